--- a/internal/command/serve/process_test.go
+++ b/internal/command/serve/process_test.go
@@ -72,7 +72,7 @@
 	return as
 }
 
-func settings(t *testing.T, a []string, more string) string {
+func testSettings(t *testing.T, a []string, more string) string {
 	f := filepath.Join(t.TempDir(), "o.json")
 	s := fmt.Sprintf(`{"name":"a1","zone":"z1","listen":%q,"fellow_listen":%q,"seeds":[%q,%q,%q]%s}`, a[0], a[1], a[2], a[3], a[4], more)
 	assert.NilError(t, os.WriteFile(f, []byte(s), 0o600))
@@ -82,7 +82,7 @@
 // A hang-up once ended the process. It has the settings read again, at once and changed or not; a broken pipe does nothing.
 func TestHangUpReadsTheSettingsAgain(t *testing.T) {
 	as := ports(t, 5)
-	f := settings(t, as, "")
+	f := testSettings(t, as, "")
 	l := newRecord()
 	done := make(chan error, 1)
 	go func() { done <- Run([]string{"-options", f}, l) }()
@@ -109,7 +109,7 @@
 	assert.NilError(t, err)
 	l := newRecord()
 	done := make(chan error, 1)
-	go func() { done <- Run([]string{"-options", settings(t, as, "")}, l) }()
+	go func() { done <- Run([]string{"-options", testSettings(t, as, "")}, l) }()
 	l.await(t, event.StartWaits, 1)
 	assert.NilError(t, held.Close())
 	l.await(t, event.Listening, 1)
--- a/internal/control/confirm/confirm_test.go
+++ b/internal/control/confirm/confirm_test.go
@@ -20,19 +20,19 @@
 	"postjunction/internal/problem"
 )
 
-// voters are three disks that answer questions as they are told to.
-type voters struct {
+// voterSet are three disks that answer questions as they are told to.
+type voterSet struct {
 	mu  sync.Mutex
 	say map[string]problem.Kind
 }
 
-func (v *voters) set(addr string, k problem.Kind) {
+func (v *voterSet) set(addr string, k problem.Kind) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.say[addr] = k
 }
 
-func (v *voters) Do(q *http.Request) (*http.Response, error) {
+func (v *voterSet) Do(q *http.Request) (*http.Response, error) {
 	v.mu.Lock()
 	k := v.say[q.URL.Host]
 	v.mu.Unlock()
@@ -65,7 +65,7 @@
 		b, bounds := gossip.NewBoard(nil), options.DefaultBounds
 		r := roster.Found([]roster.Seat{{Node: "c1", Addr: "c1"}, {Node: "c2", Addr: "c2"}, {Node: "c3", Addr: "c3"}}, roster.Layout{Routine: 1})
 		b.Offer(gossip.News{Roster: &r})
-		v := &voters{say: map[string]problem.Kind{}}
+		v := &voterSet{say: map[string]problem.Kind{}}
 		h := holder.New("c1", v, clock.Real{}, bounds, peers{b}, func(string, voter.Value) {})
 		f := &Confirmer{Self: "c1", Net: v, Clock: clock.Real{}, Bounds: bounds, Board: b, Holder: h}
 		assert.Assert(t, !f.Latest().Apart)
--- a/internal/control/model/walk_test.go
+++ b/internal/control/model/walk_test.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	voters    = 4 // 0 to 2 are the first roster; 3 takes the seat of 2
-	attempts  = 3
-	reformers = 2
-	wiped     = 2
-	writesTop = attempts + 1
+	voterCount = 4 // 0 to 2 are the first roster; 3 takes the seat of 2
+	attempts   = 3
+	reformers  = 2
+	wiped      = 2
+	writesTop  = attempts + 1
 )
 
 // members are the voters of each roster as bits; roster 0 is none.
@@ -85,12 +85,12 @@
 	ended    bool
 	roster   int8
 	answered uint8
-	slots    [voters]slot
+	slots    [voterCount]slot
 	before   int8
 }
 
 type world struct {
-	disks    [voters]disk
+	disks    [voterCount]disk
 	tries    [attempts]attempt
 	reader   reader
 	copied   [reformers]bool
@@ -144,7 +144,7 @@
 func (k *walk) step(w world) {
 	for i := range k.attempts {
 		k.claim(w, i)
-		for v := range voters {
+		for v := range voterCount {
 			k.promise(w, i, v)
 			k.rewrite(w, i, v)
 			k.change(w, i, v)
@@ -260,7 +260,7 @@
 	if w.reader.ended {
 		return
 	}
-	for v := range voters {
+	for v := range voterCount {
 		if w.reader.answered>>v&1 == 1 || !w.open(v, w.reader.roster) {
 			continue
 		}
@@ -268,7 +268,7 @@
 		n.reader.answered |= 1 << v
 		n.reader.slots[v] = w.disks[v].slot
 		var told []voter.Slot
-		for u := range voters {
+		for u := range voterCount {
 			if n.reader.answered>>u&1 == 1 {
 				told = append(told, n.reader.slots[u].full())
 			}
@@ -294,7 +294,7 @@
 		n.disks[wiped] = disk{lost: true}
 		k.add(n)
 	}
-	for v := range voters {
+	for v := range voterCount {
 		if d := w.disks[v]; d.roster == 1 && !d.sealed && !d.lost {
 			n := w
 			n.disks[v].sealed = true
@@ -310,13 +310,13 @@
 			k.copy(w, f)
 			continue
 		}
-		for v := range voters {
+		for v := range voterCount {
 			k.openDisk(w, v, w.copies[f])
 		}
 	}
-	for from := range voters {
+	for from := range voterCount {
 		if w.disks[from].roster == 2 {
-			for v := range voters {
+			for v := range voterCount {
 				k.openDisk(w, v, w.disks[from].slot)
 			}
 		}
@@ -324,13 +324,13 @@
 }
 
 func (k *walk) copy(w world, f int) {
-	for set := range uint8(1 << voters) {
+	for set := range uint8(1 << voterCount) {
 		if bits.OnesCount8(set) < seats.Intact() {
 			continue
 		}
 		var copies []voter.Slot
 		whole := true
-		for v := range voters {
+		for v := range voterCount {
 			if set>>v&1 == 1 {
 				d := w.disks[v]
 				whole = whole && d.roster == 1 && d.sealed && !d.lost
@@ -358,7 +358,7 @@
 func run(b bounds) *walk {
 	k := &walk{bounds: b, seen: map[world]struct{}{}}
 	var w world
-	for v := range voters {
+	for v := range voterCount {
 		if members[1]>>v&1 == 1 {
 			w.disks[v].roster = 1
 		}
--- a/internal/operator/replace.go
+++ b/internal/operator/replace.go
@@ -142,16 +142,16 @@
 	return s.accepted(n), nil
 }
 
-// register is what the description's register holds: the current description, the log of accepted orders, and the count
+// stateRegister is what the description's register holds: the current description, the log of accepted orders, and the count
 // of writes that a change builds on.
-type register struct {
+type stateRegister struct {
 	writes  uint64
 	current description.Description
 	log     accepted.Log
 }
 
 // parseRegister reads the description's register. Older builds wrote no log.
-func parseRegister(v voter.Value) (r register, err error) {
+func parseRegister(v voter.Value) (r stateRegister, err error) {
 	r.writes = v.Writes
 	if r.current, err = confirm.Parse(v); err != nil {
 		return r, problem.Wrap(problem.Internal, err, "read the current description")
--- a/internal/proof/sim/hand.go
+++ b/internal/proof/sim/hand.go
@@ -17,7 +17,7 @@
 	Name, At string
 
 	g     *Guests
-	line  *session
+	line  *lineSession
 	mu    sync.Mutex
 	seen  []Seen
 	stays map[string]*stays.Stay
--- a/internal/proof/sim/visits.go
+++ b/internal/proof/sim/visits.go
@@ -30,7 +30,7 @@
 	// Ever has late visitors take cursors of any age.
 	Ever    bool
 	mu      sync.Mutex
-	lines   map[*session]bool
+	lines   map[*lineSession]bool
 	entered int
 	saved   []guest.Topic
 	guests  []*guest.Guest
@@ -39,8 +39,8 @@
 	wg      sync.WaitGroup
 }
 
-// session is a visitor's end of a connection to a machine, with what is under way on it.
-type session struct {
+// lineSession is a visitor's end of a connection to a machine, with what is under way on it.
+type lineSession struct {
 	g    *Guests
 	m    *Machine
 	run  int
@@ -67,7 +67,7 @@
 }
 
 // Do sends a task.
-func (s *session) Do(t visit.Task) {
+func (s *lineSession) Do(t visit.Task) {
 	b, err := json.Marshal(t)
 	if err != nil {
 		panic(err)
@@ -79,9 +79,9 @@
 }
 
 // End closes the connection from the visitor's side.
-func (s *session) End() { s.cut() }
+func (s *lineSession) End() { s.cut() }
 
-func (s *session) cut() {
+func (s *lineSession) cut() {
 	s.once.Do(func() {
 		close(s.dead)
 		s.g.mu.Lock()
@@ -91,25 +91,25 @@
 }
 
 // Still has the visitor not read for a while.
-func (s *session) Still(d time.Duration) {
+func (s *lineSession) Still(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.still = time.Now().Add(d)
 }
 
-func (s *session) rests() time.Duration {
+func (s *lineSession) rests() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Until(s.still)
 }
 
-func (s *session) here() bool {
+func (s *lineSession) here() bool {
 	s.m.gate()
 	_, run := s.m.node()
 	return run == s.run
 }
 
-func (s *session) way() {
+func (s *lineSession) way() {
 	d := s.g.w.Site.Latency / 2
 	s.m.mu.Lock()
 	d += s.m.slow
@@ -118,7 +118,7 @@
 }
 
 // ask carries what the visitor says.
-func (s *session) ask() {
+func (s *lineSession) ask() {
 	for {
 		select {
 		case <-s.more:
@@ -142,7 +142,7 @@
 }
 
 // listen carries what the visitor is told.
-func (s *session) listen() {
+func (s *lineSession) listen() {
 	var part []byte
 	for {
 		select {
@@ -192,7 +192,7 @@
 }
 
 // connect opens a connection to a machine, nil where nobody takes it. A scripted one is never drawn to rest, from its first moment on.
-func (g *Guests) connect(m *Machine, scripted bool, hear func(visit.Answer, time.Time), broken func()) *session {
+func (g *Guests) connect(m *Machine, scripted bool, hear func(visit.Answer, time.Time), broken func()) *lineSession {
 	sv := m.services()
 	p, run := m.visits()
 	if p == nil || sv == nil {
@@ -202,7 +202,7 @@
 	if c == nil {
 		return nil
 	}
-	s := &session{g: g, m: m, run: run, c: c, hear: hear, over: broken, dead: make(chan struct{}), more: make(chan struct{}, 1), scripted: scripted}
+	s := &lineSession{g: g, m: m, run: run, c: c, hear: hear, over: broken, dead: make(chan struct{}), more: make(chan struct{}, 1), scripted: scripted}
 	g.mu.Lock()
 	g.entered++
 	s.n = g.entered
@@ -264,7 +264,7 @@
 
 // Guests lets n visitors in, who follow some of the load's topics each and send on two.
 func (w *World) Guests(n int, l Load) *Guests {
-	g := &Guests{w: w, Book: stays.New(w.Site.Bounds.Keeping, 3*w.Site.Bounds.Spread), Load: l, lines: map[*session]bool{}}
+	g := &Guests{w: w, Book: stays.New(w.Site.Bounds.Keeping, 3*w.Site.Bounds.Spread), Load: l, lines: map[*lineSession]bool{}}
 	g.sending, g.quiet = context.WithCancel(w.ctx)
 	g.Rested = l.Rested
 	g.wg.Go(g.rest)
@@ -320,14 +320,14 @@
 
 func (g *Guests) draw(r *rand.Rand) {
 	g.mu.Lock()
-	var ss []*session
+	var ss []*lineSession
 	for s := range g.lines {
 		if !s.scripted {
 			ss = append(ss, s)
 		}
 	}
 	g.mu.Unlock()
-	slices.SortFunc(ss, func(a, b *session) int { return cmp.Compare(a.n, b.n) })
+	slices.SortFunc(ss, func(a, b *lineSession) int { return cmp.Compare(a.n, b.n) })
 	if len(ss) > 0 {
 		ss[r.IntN(len(ss))].Still(time.Duration(r.Int64N(int64(restMost))))
 	}
--- a/internal/samza/changelog/bench_test.go
+++ b/internal/samza/changelog/bench_test.go
@@ -11,7 +11,7 @@
 // past makes a changelog of many batches over a number of keys, and the state at its end.
 func past(keys, batches int) ([]line.Entry, *state.State) {
 	s := state.New()
-	var log []line.Entry
+	var changes []line.Entry
 	o := uint64(0)
 	for b := range batches {
 		for i := range keys / 4 {
@@ -19,19 +19,19 @@
 			k := (b*keys/4 + i) % keys
 			s.Apply(line.Entry{Offset: o, What: line.Message, Visitor: fmt.Sprintf("v%d", k), Topic: fmt.Sprintf("t%d", k%50), Call: uint64(b) + 1, Digest: "0123456789abcdef01234567"})
 		}
-		log = append(log, Pack(s.Input, s.Dirty(), false)...)
-		log = append(log, PackCommit(Commit{Input: s.Input}))
+		changes = append(changes, Pack(s.Input, s.Dirty(), false)...)
+		changes = append(changes, PackCommit(Commit{Input: s.Input}))
 	}
-	return log, s
+	return changes, s
 }
 
 func BenchmarkRecovery(b *testing.B) {
 	for _, keys := range []int{1000, 10000, 50000} {
-		log, s := past(keys, 16)
+		changes, s := past(keys, 16)
 		pack := s.Pack()
 		b.Run(fmt.Sprintf("full replay/keys=%d", keys), func(b *testing.B) {
 			for b.Loop() {
-				if _, err := Replay(state.New(), 0, log); err != nil {
+				if _, err := Replay(state.New(), 0, changes); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -43,14 +43,14 @@
 				}
 			}
 		})
-		after := len(log) - len(log)/16
+		after := len(changes) - len(changes)/16
 		b.Run(fmt.Sprintf("directory and the last batch/keys=%d", keys), func(b *testing.B) {
 			for b.Loop() {
 				d, err := state.Unpack(pack)
 				if err != nil {
 					b.Fatal(err)
 				}
-				if _, err := Replay(d, 0, log[after:]); err != nil {
+				if _, err := Replay(d, 0, changes[after:]); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/samza/changelog/changelog_test.go
+++ b/internal/samza/changelog/changelog_test.go
@@ -32,9 +32,9 @@
 	whole := apply(state.New(), es)
 	for _, cut := range []int{0, 1, 2500, 5001, 5002} {
 		s := apply(state.New(), es[:cut])
-		log := append(Pack(s.Input, s.Dirty(), false), PackCommit(Commit{Input: s.Input}))
+		changes := append(Pack(s.Input, s.Dirty(), false), PackCommit(Commit{Input: s.Input}))
 		got := state.New()
-		in, err := Replay(got, 0, log)
+		in, err := Replay(got, 0, changes)
 		assert.NilError(t, err)
 		assert.Equal(t, in, uint64(cut))
 		for _, e := range es[:in] {
@@ -49,14 +49,14 @@
 
 func TestBatchIsAppliedOnlyWhole(t *testing.T) {
 	s := apply(state.New(), ledger(5000))
-	log := Pack(s.Input, s.Dirty(), false)
-	assert.Assert(t, len(log) > 2)
+	changes := Pack(s.Input, s.Dirty(), false)
+	assert.Assert(t, len(changes) > 2)
 	got := state.New()
-	in, err := Replay(got, 0, log[:len(log)-1])
+	in, err := Replay(got, 0, changes[:len(changes)-1])
 	assert.NilError(t, err)
 	assert.Equal(t, in, uint64(0))
 	assert.Equal(t, got.Size(), 0)
-	in, err = Replay(got, 0, append(append(log[:1:1], line.Entry{What: line.Start}), log...))
+	in, err = Replay(got, 0, append(append(changes[:1:1], line.Entry{What: line.Start}), changes...))
 	assert.NilError(t, err)
 	assert.Equal(t, in, uint64(0), "the offset counts by its own record only")
 	assert.Equal(t, got.Size(), s.Size())
@@ -67,11 +67,11 @@
 func TestBatchWithoutItsRecordKnowsItsAnswers(t *testing.T) {
 	es := ledger(5000)
 	s := apply(state.New(), es[:2000])
-	log := append(Pack(s.Input, s.Dirty(), false), PackCommit(Commit{Input: s.Input}))
+	changes := append(Pack(s.Input, s.Dirty(), false), PackCommit(Commit{Input: s.Input}))
 	apply(s, es[2000:])
-	log = append(log, Pack(s.Input, s.Dirty(), false)...)
+	changes = append(changes, Pack(s.Input, s.Dirty(), false)...)
 	got := state.New()
-	in, err := Replay(got, 0, log)
+	in, err := Replay(got, 0, changes)
 	assert.NilError(t, err)
 	assert.Equal(t, in, uint64(2000))
 	for _, e := range es[:in] {
--- a/internal/samza/changelog/marks_test.go
+++ b/internal/samza/changelog/marks_test.go
@@ -24,18 +24,18 @@
 	for cut := range len(es) + 1 {
 		for _, whole := range []bool{false, true} {
 			s := apply(state.New(), es[:cut])
-			log := append(Pack(s.Input, s.Dirty(), false), PackCommit(Commit{Input: s.Input}))
+			changes := append(Pack(s.Input, s.Dirty(), false), PackCommit(Commit{Input: s.Input}))
 			apply(s, es[cut:])
 			s.Unmark(state.Key("t", "k"))
 			if whole {
 				s.All()
 			}
-			log = append(log, Pack(s.Input, s.Dirty(), whole)...)
-			in, err := Replay(state.New(), 0, append(log[:len(log):len(log)], PackCommit(Commit{Input: s.Input})))
+			changes = append(changes, Pack(s.Input, s.Dirty(), whole)...)
+			in, err := Replay(state.New(), 0, append(changes[:len(changes):len(changes)], PackCommit(Commit{Input: s.Input})))
 			assert.NilError(t, err)
 			assert.Equal(t, in, uint64(len(es)))
 			got := state.New()
-			_, err = Replay(got, 0, append(log, PackCommit(Commit{Input: s.Input})))
+			_, err = Replay(got, 0, append(changes, PackCommit(Commit{Input: s.Input})))
 			assert.NilError(t, err)
 			for _, x := range []*state.State{got, unpacked(t, got)} {
 				assert.DeepEqual(t, x.Marks, map[string]state.Mark{state.Key("t", "l"): {Offset: 6, Visitor: "w", Call: 1}})
@@ -43,7 +43,7 @@
 				assert.Equal(t, x.Accepted[state.Key("v", "t")].Last, uint64(9))
 			}
 			got = state.New()
-			in, err = Replay(got, 0, log)
+			in, err = Replay(got, 0, changes)
 			assert.NilError(t, err)
 			for _, e := range es[:in] {
 				got.Recall(e)
--- a/internal/visitor/follow.go
+++ b/internal/visitor/follow.go
@@ -63,7 +63,7 @@
 	err   error
 }
 
-type stream struct {
+type subscriptionStream struct {
 	s       *Service
 	t       *Task
 	fleet   string
@@ -95,7 +95,7 @@
 		return err
 	}
 	r := s.Board.Roster()
-	st := &stream{
+	st := &subscriptionStream{
 		s: s, t: t, fleet: r.Fleet, want: map[string]bool{}, urgent: map[string]bool{}, parts: map[string]int{}, pos: cursor.Cursor{}, given: cursor.Cursor{},
 		wake: make(chan struct{}, 1), checked: make(chan error, 1), index: s.Board.Index().Sequence,
 	}
@@ -126,7 +126,7 @@
 	return st.run(ctx)
 }
 
-func (st *stream) plan(routineCount int) (urgent, routine []int) {
+func (st *subscriptionStream) plan(routineCount int) (urgent, routine []int) {
 	l := st.s.Board.Roster().Layout
 	for i, n := range st.t.Topics {
 		p := partition.Of(n, st.t.spaces[i].Urgent, l)
@@ -143,7 +143,7 @@
 }
 
 // guard joins the feed that tells of newer attachments, and only then asks which attachment is in force, so that none falls between.
-func (st *stream) guard(ctx context.Context, k token.Token, urgent bool) error {
+func (st *subscriptionStream) guard(ctx context.Context, k token.Token, urgent bool) error {
 	f, leave, err := st.s.Feeds.Follow(ctx, st.s.Desk.Home(k.Visitor, urgent), st.wake)
 	if err != nil {
 		return err
@@ -153,7 +153,7 @@
 	return st.s.identify(ctx, st.t, k, urgent)
 }
 
-func (st *stream) resume(partitions int) error {
+func (st *subscriptionStream) resume(partitions int) error {
 	from := st.t.Cursor
 	if from == "" {
 		from = st.t.acked
@@ -166,7 +166,7 @@
 	return err
 }
 
-func (st *stream) open(ctx context.Context, p int, urgent bool) opened {
+func (st *subscriptionStream) open(ctx context.Context, p int, urgent bool) opened {
 	o := opened{lane: lane{p: p, urgent: urgent, got: make(chan pulled, 1)}}
 	o.feed, o.leave, o.err = st.s.Feeds.Follow(ctx, p, st.wake)
 	if o.err != nil {
@@ -194,7 +194,7 @@
 
 // openAll opens the urgent partitions within the call's time. Routine ones have to be open by then too when there are no urgent ones;
 // beside urgent ones they may join later, so that an urgent stream never waits for a routine partition.
-func (st *stream) openAll(ctx, limit context.Context, urgent, routine []int) error {
+func (st *subscriptionStream) openAll(ctx, limit context.Context, urgent, routine []int) error {
 	firm := len(urgent)
 	for _, p := range urgent {
 		go func() { st.joins <- st.open(limit, p, true) }()
@@ -245,21 +245,21 @@
 	return nil
 }
 
-func (st *stream) nudge() {
+func (st *subscriptionStream) nudge() {
 	select {
 	case st.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (st *stream) join(o opened) {
+func (st *subscriptionStream) join(o opened) {
 	st.leaves = append(st.leaves, o.leave)
 	st.pos[o.p] = o.at
 	st.lanes = append(st.lanes, o.lane)
 	slices.SortFunc(st.lanes, func(a, b lane) int { return b.p - a.p })
 }
 
-func (st *stream) topics(ok func(p int) bool) []string {
+func (st *subscriptionStream) topics(ok func(p int) bool) []string {
 	var ns []string
 	for n, p := range st.parts {
 		if st.want[n] && ok(p) {
@@ -270,13 +270,13 @@
 	return ns
 }
 
-func (st *stream) waiting() []string {
+func (st *subscriptionStream) waiting() []string {
 	return st.topics(func(p int) bool {
 		return !slices.ContainsFunc(st.lanes, func(l lane) bool { return l.p == p })
 	})
 }
 
-func (st *stream) cursor() string {
+func (st *subscriptionStream) cursor() string {
 	c := cursor.Cursor{}
 	for p, o := range st.given {
 		c[p] = o
@@ -287,7 +287,7 @@
 	return cursor.Pack(st.fleet, c)
 }
 
-func (st *stream) emit(l Line) error {
+func (st *subscriptionStream) emit(l Line) error {
 	l.Cursor = st.cursor()
 	b, err := plain.JSON(l)
 	if err != nil {
@@ -301,7 +301,7 @@
 	return nil
 }
 
-func (st *stream) end(err error) error {
+func (st *subscriptionStream) end(err error) error {
 	if st.gone != nil {
 		return nil
 	}
@@ -310,7 +310,7 @@
 	return nil
 }
 
-func (st *stream) run(ctx context.Context) error {
+func (st *subscriptionStream) run(ctx context.Context) error {
 	s := st.s
 	if err := st.emit(Line{Attached: st.t.who.Generation, Waiting: st.waiting()}); err != nil {
 		return err
@@ -369,7 +369,7 @@
 }
 
 // round gives what is at hand, urgent partitions first, and never waits: what a feed no longer holds is fetched beside.
-func (st *stream) round(ctx context.Context) (bool, error) {
+func (st *subscriptionStream) round(ctx context.Context) (bool, error) {
 	if err := st.fenced(ctx); err != nil {
 		return false, err
 	}
@@ -401,7 +401,7 @@
 	return false, nil
 }
 
-func (st *stream) pull(ctx context.Context, l *lane) ([]line.Entry, error) {
+func (st *subscriptionStream) pull(ctx context.Context, l *lane) ([]line.Entry, error) {
 	if len(l.left.Entries) > 0 {
 		return l.left.Entries, nil
 	}
@@ -436,7 +436,7 @@
 }
 
 // give gives an entry of a lane's window, or tells that the window is to be filled anew.
-func (st *stream) give(l lane, e line.Entry) (stale bool, err error) {
+func (st *subscriptionStream) give(l lane, e line.Entry) (stale bool, err error) {
 	if e.Offset <= st.pos[l.p] {
 		return false, nil
 	}
@@ -459,14 +459,14 @@
 }
 
 // cut ends the write that is under way.
-func (st *stream) cut() {
+func (st *subscriptionStream) cut() {
 	if st.t.Cut != nil {
 		st.t.Cut()
 	}
 }
 
 // refresh drops topics that the current description no longer has, or has with another urgency, and ends a stream without topics.
-func (st *stream) refresh() error {
+func (st *subscriptionStream) refresh() error {
 	x := st.s.Board.Index()
 	if x.Sequence == st.index {
 		return nil
@@ -496,7 +496,7 @@
 	return st.emit(Line{Dropped: gone})
 }
 
-func (st *stream) fenced(ctx context.Context) error {
+func (st *subscriptionStream) fenced(ctx context.Context) error {
 	if st.asking {
 		select {
 		case err := <-st.checked:
@@ -527,7 +527,7 @@
 }
 
 // recheck asks which attachment is in force, after the feed passed over entries that this stream had not seen.
-func (st *stream) recheck(ctx context.Context) {
+func (st *subscriptionStream) recheck(ctx context.Context) {
 	st.asking = true
 	st.seen = st.fence.To()
 	who, urgent := st.t.who, slices.ContainsFunc(st.lanes, func(l lane) bool { return l.urgent })
@@ -550,6 +550,6 @@
 	}()
 }
 
-func (st *stream) superseded(g uint64) error {
+func (st *subscriptionStream) superseded(g uint64) error {
 	return problem.New(problem.TokenFenced, "attachment %d of %s took over", g, st.t.Visitor)
 }
--- a/internal/visitor/follow_test.go
+++ b/internal/visitor/follow_test.go
@@ -27,7 +27,7 @@
 	}
 	describe(1, description.Space{Name: "s", Kind: "kept", Topics: []string{"a", "b", "gone"}})
 	var got []string
-	st := &stream{s: &Service{Board: b}, t: &Task{Emit: func(l []byte) error {
+	st := &subscriptionStream{s: &Service{Board: b}, t: &Task{Emit: func(l []byte) error {
 		var x Line
 		assert.NilError(t, json.Unmarshal(l, &x))
 		got = append(got, x.Topic+strings.Join(x.Dropped, "-"))
@@ -75,7 +75,7 @@
 		fs := feed.New(ctx, "a1", "1", owners{urgent}, clock.Real{}, options.DefaultBounds)
 		b := gossip.NewBoard(nil)
 		var got []string
-		st := &stream{s: &Service{Board: b, Clock: clock.Real{}, Bounds: options.DefaultBounds}, t: &Task{Emit: func(l []byte) error {
+		st := &subscriptionStream{s: &Service{Board: b, Clock: clock.Real{}, Bounds: options.DefaultBounds}, t: &Task{Emit: func(l []byte) error {
 			var x Line
 			assert.NilError(t, json.Unmarshal(l, &x))
 			got = append(got, x.Topic)
