--- a/internal/control/client/client.go
+++ b/internal/control/client/client.go
@@ -9,7 +9,7 @@
 	"slices"
 	"sync"
 
-	"postjunction/internal/control/holder"
+	"postjunction/internal/control/register"
 	"postjunction/internal/control/voter"
 	"postjunction/internal/member"
 	"postjunction/internal/options"
@@ -23,13 +23,13 @@
 	net    wire.Network
 	bounds options.Bounds
 	view   func() []member.Info
-	local  *holder.Holder
+	local  *register.Holder
 	mu     sync.Mutex
 	good   string
 }
 
 // New makes a client; local is the node's own holder, nil without a control disk.
-func New(self string, n wire.Network, b options.Bounds, view func() []member.Info, local *holder.Holder) *Client {
+func New(self string, n wire.Network, b options.Bounds, view func() []member.Info, local *register.Holder) *Client {
 	return &Client{self: self, net: n, bounds: b, view: view, local: local}
 }
 
@@ -129,12 +129,12 @@
 	err := error(problem.New(problem.NotFounded, "no control node is known"))
 	if c.local != nil {
 		var v *voter.Value
-		if v, err = c.local.Read(ctx, &holder.ReadRequest{Key: key}); err == nil {
+		if v, err = c.local.Read(ctx, &register.ReadRequest{Key: key}); err == nil {
 			return *v, nil
 		}
 	}
 	v, ok := race(ctx, c, func(ctx context.Context, addr string) (*voter.Value, error) {
-		return holder.Read.Call(ctx, c.net, c.self, addr, &holder.ReadRequest{Key: key})
+		return register.Read.Call(ctx, c.net, c.self, addr, &register.ReadRequest{Key: key})
 	}, func(e error, _ int) bool {
 		err = e
 		return ctx.Err() != nil
@@ -150,11 +150,11 @@
 // Change writes a key on its base. After an unclear answer the same change is asked of the next
 // control node, which knows it by name; a stale base after an unclear answer stays unclear.
 func (c *Client) Change(ctx context.Context, key string, base uint64, by string, body []byte) (voter.Value, error) {
-	return c.Write(ctx, &holder.ChangeRequest{Key: key, Base: base, By: by, Body: body})
+	return c.Write(ctx, &register.ChangeRequest{Key: key, Base: base, By: by, Body: body})
 }
 
 // Write makes a change as Change does.
-func (c *Client) Write(ctx context.Context, q *holder.ChangeRequest) (voter.Value, error) {
+func (c *Client) Write(ctx context.Context, q *register.ChangeRequest) (voter.Value, error) {
 	err := error(problem.New(problem.NotFounded, "no control node is known"))
 	doubt := false
 	see := func(e error, open int) bool {
@@ -180,7 +180,7 @@
 		}
 	}
 	v, ok := race(ctx, c, func(ctx context.Context, addr string) (*voter.Value, error) {
-		return holder.Change.Call(ctx, c.net, c.self, addr, q)
+		return register.Change.Call(ctx, c.net, c.self, addr, q)
 	}, see)
 	if ok {
 		return *v, nil
--- a/internal/control/confirm/confirm.go
+++ b/internal/control/confirm/confirm.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"postjunction/internal/clock"
-	"postjunction/internal/control/holder"
+	"postjunction/internal/control/register"
 	"postjunction/internal/control/repair"
 	"postjunction/internal/control/roster"
 	"postjunction/internal/control/voter"
@@ -33,7 +33,7 @@
 	Clock  clock.Clock
 	Bounds options.Bounds
 	Board  *gossip.Board
-	Holder *holder.Holder
+	Holder *register.Holder
 	Mender *repair.Mender
 	mu     sync.Mutex
 	c      session.Confirmed
@@ -130,7 +130,7 @@
 	}
 	v, ok := f.Holder.Glance(cx, Key)
 	if !ok {
-		w, err := f.Holder.Read(cx, &holder.ReadRequest{Key: Key})
+		w, err := f.Holder.Read(cx, &register.ReadRequest{Key: Key})
 		if err != nil {
 			return
 		}
--- a/internal/control/confirm/confirm_test.go
+++ b/internal/control/confirm/confirm_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/clock"
-	"postjunction/internal/control/holder"
+	"postjunction/internal/control/register"
 	"postjunction/internal/control/roster"
 	"postjunction/internal/control/voter"
 	"postjunction/internal/gossip"
@@ -66,7 +66,7 @@
 		r := roster.Found([]roster.Seat{{Node: "c1", Addr: "c1"}, {Node: "c2", Addr: "c2"}, {Node: "c3", Addr: "c3"}}, roster.Layout{Routine: 1})
 		b.Offer(gossip.News{Roster: &r})
 		v := &voterSet{say: map[string]problem.Kind{}}
-		h := holder.New("c1", v, clock.Real{}, bounds, peers{b}, func(string, voter.Value) {})
+		h := register.New("c1", v, clock.Real{}, bounds, peers{b}, func(string, voter.Value) {})
 		f := &Confirmer{Self: "c1", Net: v, Clock: clock.Real{}, Bounds: bounds, Board: b, Holder: h}
 		assert.Assert(t, !f.Latest().Apart)
 		go f.Run(ctx)
--- a/internal/control/holder/calls.go
+++ b/internal/control/register/calls.go
@@ -1,5 +1,5 @@
-// Package holder owns control keys: one holder per key, which has a change on a majority of disks before it answers.
-package holder
+// Package register owns control keys: one holder per key, which has a change on a majority of disks before it answers.
+package register
 
 import (
 	"postjunction/internal/control/voter"
--- a/internal/control/holder/holder.go
+++ b/internal/control/register/holder.go
@@ -1,4 +1,4 @@
-package holder
+package register
 
 import (
 	"context"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -16,8 +16,8 @@
 	"postjunction/internal/control/client"
 	"postjunction/internal/control/confirm"
 	"postjunction/internal/control/founding"
-	"postjunction/internal/control/holder"
 	"postjunction/internal/control/reform"
+	"postjunction/internal/control/register"
 	"postjunction/internal/control/repair"
 	"postjunction/internal/control/roster"
 	"postjunction/internal/control/steward"
@@ -83,7 +83,7 @@
 	host         *session.Host
 	table        *member.Table
 	gossip       *gossip.Gossip
-	holder       *holder.Holder
+	holder       *register.Holder
 	confirm      *confirm.Confirmer
 	client       *client.Client
 	owners       *owners.Keeper
@@ -296,7 +296,7 @@
 	self, net, clk := o.Name, n.w.Net, n.w.Clock
 	if o.Voter() {
 		n.table = member.NewTable(clk, b)
-		n.holder = holder.New(self, net, clk, b, n, n.told)
+		n.holder = register.New(self, net, clk, b, n, n.told)
 		mender := &repair.Mender{Self: self, Net: net, Bounds: b}
 		n.confirm = &confirm.Confirmer{Self: self, Net: net, Clock: clk, Bounds: b, Board: n.Board, Holder: n.holder, Mender: mender}
 		n.host = &session.Host{Self: self, Seeds: o.Seeds, Clock: clk, Bounds: b, Net: net, Table: n.table, Board: n.Board, Info: n.Info, Latest: n.confirm.Latest}
--- a/internal/operator/replace.go
+++ b/internal/operator/replace.go
@@ -6,7 +6,7 @@
 	"fmt"
 
 	"postjunction/internal/control/confirm"
-	"postjunction/internal/control/holder"
+	"postjunction/internal/control/register"
 	"postjunction/internal/control/voter"
 	"postjunction/internal/description"
 	"postjunction/internal/event"
@@ -135,7 +135,7 @@
 	if len(body) > description.PackedMost {
 		return nil, problem.New(problem.Oversize, "the description takes %d bytes with its source, the limit is %d", len(body), description.PackedMost)
 	}
-	q := &holder.ChangeRequest{Key: confirm.Key, Base: c.value.writes, By: o.Name(), Body: body, Memory: log.With(o).Pack()}
+	q := &register.ChangeRequest{Key: confirm.Key, Base: c.value.writes, By: o.Name(), Body: body, Memory: log.With(o).Pack()}
 	if _, err := s.Client.Write(ctx, q); err != nil {
 		return nil, err
 	}
--- a/internal/placement/duty/duty.go
+++ b/internal/placement/duty/duty.go
@@ -10,7 +10,7 @@
 
 	"postjunction/internal/clock"
 	"postjunction/internal/control/client"
-	"postjunction/internal/control/holder"
+	"postjunction/internal/control/register"
 	"postjunction/internal/event"
 	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
@@ -28,7 +28,7 @@
 	Self   string
 	Clock  clock.Clock
 	Bounds options.Bounds
-	Holder *holder.Holder
+	Holder *register.Holder
 	Client *client.Client
 	Board  *gossip.Board
 	Live   func() []member.Info
--- a/internal/proof/sim/storm_test.go
+++ b/internal/proof/sim/storm_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	keys "postjunction/internal/control/holder"
+	keys "postjunction/internal/control/register"
 	"postjunction/internal/control/voter"
 )
 
