--- a/internal/control/voter/calls.go
+++ b/internal/control/acceptor/calls.go
@@ -1,5 +1,5 @@
-// Package voter is the part of a control node that promises and accepts, each synced before it is answered.
-package voter
+// Package acceptor is the part of a control node that promises and accepts, each synced before it is answered.
+package acceptor
 
 import (
 	"context"
--- a/internal/control/voter/giveup_test.go
+++ b/internal/control/acceptor/giveup_test.go
@@ -1,4 +1,4 @@
-package voter
+package acceptor
 
 import (
 	"context"
--- a/internal/control/voter/slot.go
+++ b/internal/control/acceptor/slot.go
@@ -1,4 +1,4 @@
-package voter
+package acceptor
 
 import "postjunction/internal/control/epoch"
 
--- a/internal/control/client/client.go
+++ b/internal/control/client/client.go
@@ -9,8 +9,8 @@
 	"slices"
 	"sync"
 
+	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/register"
-	"postjunction/internal/control/voter"
 	"postjunction/internal/member"
 	"postjunction/internal/options"
 	"postjunction/internal/problem"
@@ -125,15 +125,15 @@
 }
 
 // Read gives a key's current value.
-func (c *Client) Read(ctx context.Context, key string) (voter.Value, error) {
+func (c *Client) Read(ctx context.Context, key string) (acceptor.Value, error) {
 	err := error(problem.New(problem.NotFounded, "no control node is known"))
 	if c.local != nil {
-		var v *voter.Value
+		var v *acceptor.Value
 		if v, err = c.local.Read(ctx, &register.ReadRequest{Key: key}); err == nil {
 			return *v, nil
 		}
 	}
-	v, ok := race(ctx, c, func(ctx context.Context, addr string) (*voter.Value, error) {
+	v, ok := race(ctx, c, func(ctx context.Context, addr string) (*acceptor.Value, error) {
 		return register.Read.Call(ctx, c.net, c.self, addr, &register.ReadRequest{Key: key})
 	}, func(e error, _ int) bool {
 		err = e
@@ -142,19 +142,19 @@
 	if ok {
 		return *v, nil
 	}
-	return voter.Value{}, err
+	return acceptor.Value{}, err
 }
 
 var settled = map[problem.Kind]bool{problem.StaleBase: true}
 
 // Change writes a key on its base. After an unclear answer the same change is asked of the next
 // control node, which knows it by name; a stale base after an unclear answer stays unclear.
-func (c *Client) Change(ctx context.Context, key string, base uint64, by string, body []byte) (voter.Value, error) {
+func (c *Client) Change(ctx context.Context, key string, base uint64, by string, body []byte) (acceptor.Value, error) {
 	return c.Write(ctx, &register.ChangeRequest{Key: key, Base: base, By: by, Body: body})
 }
 
 // Write makes a change as Change does.
-func (c *Client) Write(ctx context.Context, q *register.ChangeRequest) (voter.Value, error) {
+func (c *Client) Write(ctx context.Context, q *register.ChangeRequest) (acceptor.Value, error) {
 	err := error(problem.New(problem.NotFounded, "no control node is known"))
 	doubt := false
 	see := func(e error, open int) bool {
@@ -176,10 +176,10 @@
 			return *v, nil
 		}
 		if see(e, 0) {
-			return voter.Value{}, err
+			return acceptor.Value{}, err
 		}
 	}
-	v, ok := race(ctx, c, func(ctx context.Context, addr string) (*voter.Value, error) {
+	v, ok := race(ctx, c, func(ctx context.Context, addr string) (*acceptor.Value, error) {
 		return register.Change.Call(ctx, c.net, c.self, addr, q)
 	}, see)
 	if ok {
@@ -188,5 +188,5 @@
 	if doubt && !problem.Has(err, problem.NoMajority) {
 		err = problem.Wrap(problem.NoMajority, problem.New(problem.NoMajority, "%v", err), "the outcome of writing %s is not known", q.Key)
 	}
-	return voter.Value{}, err
+	return acceptor.Value{}, err
 }
--- a/internal/control/confirm/confirm.go
+++ b/internal/control/confirm/confirm.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"postjunction/internal/clock"
+	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/register"
 	"postjunction/internal/control/repair"
 	"postjunction/internal/control/roster"
-	"postjunction/internal/control/voter"
 	"postjunction/internal/description"
 	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
@@ -55,7 +55,7 @@
 }
 
 // Parse reads the description of a register; none was put when it was never written.
-func Parse(v voter.Value) (description.Description, error) {
+func Parse(v acceptor.Value) (description.Description, error) {
 	var d description.Description
 	if len(v.Body) == 0 {
 		return d, nil
@@ -87,7 +87,7 @@
 	return f.c.At != none
 }
 
-type peeks = []gather.Answer[roster.Seat, *voter.PeekResponse]
+type peeks = []gather.Answer[roster.Seat, *acceptor.PeekResponse]
 
 func (f *Confirmer) once(ctx context.Context) {
 	r := f.Board.Roster()
@@ -97,8 +97,8 @@
 	at := f.Clock.Now()
 	cx, stop := context.WithTimeout(ctx, f.Bounds.Call())
 	defer stop()
-	as := gather.Ask(cx, r.Seats, func(ctx context.Context, s roster.Seat) (*voter.PeekResponse, error) {
-		return voter.Peek.Call(ctx, f.Net, f.Self, s.Addr, &voter.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Keys: []string{Key}, Brief: true})
+	as := gather.Ask(cx, r.Seats, func(ctx context.Context, s roster.Seat) (*acceptor.PeekResponse, error) {
+		return acceptor.Peek.Call(ctx, f.Net, f.Self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Keys: []string{Key}, Brief: true})
 	}, func(as peeks) bool {
 		f.reach(as, r.Majority())
 		return len(gather.Good(as)) >= r.Majority()
@@ -194,9 +194,9 @@
 
 var none time.Time
 
-func (f *Confirmer) writes(s voter.Slot) bool { return f.at == s.Value.Writes && f.c.At != none }
+func (f *Confirmer) writes(s acceptor.Slot) bool { return f.at == s.Value.Writes && f.c.At != none }
 
-func (f *Confirmer) set(at time.Time, seq uint64, s voter.Slot) {
+func (f *Confirmer) set(at time.Time, seq uint64, s acceptor.Slot) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.c = session.Confirmed{OK: true, Sequence: max(seq, f.c.Sequence), At: at}
--- a/internal/control/confirm/confirm_test.go
+++ b/internal/control/confirm/confirm_test.go
@@ -12,9 +12,9 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/clock"
+	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/register"
 	"postjunction/internal/control/roster"
-	"postjunction/internal/control/voter"
 	"postjunction/internal/gossip"
 	"postjunction/internal/options"
 	"postjunction/internal/problem"
@@ -41,11 +41,11 @@
 		return nil, q.Context().Err()
 	}
 	m := http.NewServeMux()
-	voter.Peek.Handle(m, func(context.Context, *voter.PeekRequest) (*voter.PeekResponse, error) {
+	acceptor.Peek.Handle(m, func(context.Context, *acceptor.PeekRequest) (*acceptor.PeekResponse, error) {
 		if k != "" {
 			return nil, problem.New(k, "so")
 		}
-		return &voter.PeekResponse{Slots: map[string]voter.Slot{Key: {}}}, nil
+		return &acceptor.PeekResponse{Slots: map[string]acceptor.Slot{Key: {}}}, nil
 	})
 	w := httptest.NewRecorder()
 	m.ServeHTTP(w, q)
@@ -66,7 +66,7 @@
 		r := roster.Found([]roster.Seat{{Node: "c1", Addr: "c1"}, {Node: "c2", Addr: "c2"}, {Node: "c3", Addr: "c3"}}, roster.Layout{Routine: 1})
 		b.Offer(gossip.News{Roster: &r})
 		v := &voterSet{say: map[string]problem.Kind{}}
-		h := register.New("c1", v, clock.Real{}, bounds, peers{b}, func(string, voter.Value) {})
+		h := register.New("c1", v, clock.Real{}, bounds, peers{b}, func(string, acceptor.Value) {})
 		f := &Confirmer{Self: "c1", Net: v, Clock: clock.Real{}, Bounds: bounds, Board: b, Holder: h}
 		assert.Assert(t, !f.Latest().Apart)
 		go f.Run(ctx)
--- a/internal/control/founding/founding.go
+++ b/internal/control/founding/founding.go
@@ -6,8 +6,8 @@
 	"slices"
 	"strings"
 
+	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/roster"
-	"postjunction/internal/control/voter"
 	"postjunction/internal/gather"
 	"postjunction/internal/member"
 	"postjunction/internal/options"
@@ -127,8 +127,8 @@
 			return r, err
 		}
 	}
-	ask := func(do func(context.Context, roster.Seat) (*voter.Done, error)) error {
-		as := gather.Ask(ctx, r.Seats, func(ctx context.Context, s roster.Seat) (*voter.Done, error) {
+	ask := func(do func(context.Context, roster.Seat) (*acceptor.Done, error)) error {
+		as := gather.Ask(ctx, r.Seats, func(ctx context.Context, s roster.Seat) (*acceptor.Done, error) {
 			cx, stop := context.WithTimeout(ctx, f.opts.Bounds().Call())
 			defer stop()
 			return do(cx, s)
@@ -138,12 +138,12 @@
 		}
 		return nil
 	}
-	if err := ask(func(ctx context.Context, s roster.Seat) (*voter.Done, error) {
-		return voter.Found.Call(ctx, f.net, f.opts.Name, s.Addr, &voter.FoundRequest{Incarnation: s.Incarnation, Roster: r})
+	if err := ask(func(ctx context.Context, s roster.Seat) (*acceptor.Done, error) {
+		return acceptor.Found.Call(ctx, f.net, f.opts.Name, s.Addr, &acceptor.FoundRequest{Incarnation: s.Incarnation, Roster: r})
 	}); err != nil {
 		return r, err
 	}
-	return r, ask(func(ctx context.Context, s roster.Seat) (*voter.Done, error) {
-		return voter.Open.Call(ctx, f.net, f.opts.Name, s.Addr, &voter.OpenRequest{Incarnation: s.Incarnation, Roster: r, Founding: true})
+	return r, ask(func(ctx context.Context, s roster.Seat) (*acceptor.Done, error) {
+		return acceptor.Open.Call(ctx, f.net, f.opts.Name, s.Addr, &acceptor.OpenRequest{Incarnation: s.Incarnation, Roster: r, Founding: true})
 	})
 }
--- a/internal/control/founding/leave.go
+++ b/internal/control/founding/leave.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"sync"
 
-	"postjunction/internal/control/voter"
+	"postjunction/internal/control/acceptor"
 	"postjunction/internal/options"
 	"postjunction/internal/problem"
 	"postjunction/internal/wire"
@@ -18,7 +18,7 @@
 }
 
 // Leave is the call for it.
-var Leave = wire.Name[LeaveRequest, voter.Done]("Founding", "Leave", wire.Numbered, "a seed gives leave to one disk for its life, and to the same one again")
+var Leave = wire.Name[LeaveRequest, acceptor.Done]("Founding", "Leave", wire.Numbered, "a seed gives leave to one disk for its life, and to the same one again")
 
 // Leaves gives leave to one disk at most in the life of the process. Only a process of the first start gives any, so a
 // restarted seed that forgot whom it gave leave to never gives it to another.
@@ -35,7 +35,7 @@
 }
 
 // Leave gives leave to the first that asks.
-func (l *Leaves) Leave(_ context.Context, q *LeaveRequest) (*voter.Done, error) {
+func (l *Leaves) Leave(_ context.Context, q *LeaveRequest) (*acceptor.Done, error) {
 	if r := l.roster(); r > 0 {
 		return nil, problem.New(problem.StaleRoster, "the fleet is under roster %d already", r).At(r)
 	}
@@ -50,7 +50,7 @@
 	if l.given != *q {
 		return nil, problem.New(problem.NotFounded, "%s founds the fleet", l.given.Node)
 	}
-	return &voter.Done{}, nil
+	return &acceptor.Done{}, nil
 }
 
 // Serve adds the call.
--- a/internal/control/model/walk_test.go
+++ b/internal/control/model/walk_test.go
@@ -11,9 +11,9 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/epoch"
 	"postjunction/internal/control/roster"
-	"postjunction/internal/control/voter"
 )
 
 const (
@@ -35,8 +35,8 @@
 // slot is a voter.Slot in numbers: epochs and values are those of the attempt with that number, counted from 1.
 type slot struct{ promised, accepted, writes, value int8 }
 
-func (s slot) full() voter.Slot {
-	return voter.Slot{Promised: epochOf(s.promised), Accepted: epochOf(s.accepted), Value: voter.Value{Writes: uint64(s.writes), By: name(s.value)}}
+func (s slot) full() acceptor.Slot {
+	return acceptor.Slot{Promised: epochOf(s.promised), Accepted: epochOf(s.accepted), Value: acceptor.Value{Writes: uint64(s.writes), By: name(s.value)}}
 }
 
 func epochOf(n int8) epoch.Epoch { return epoch.Epoch{N: uint64(n)} }
@@ -45,7 +45,7 @@
 
 func name(n int8) string { return names[n] }
 
-func small(s voter.Slot) slot {
+func small(s acceptor.Slot) slot {
 	return slot{int8(s.Promised.N), int8(s.Accepted.N), int8(s.Value.Writes), int8(slices.Index(names[:], s.Value.By))}
 }
 
@@ -206,7 +206,7 @@
 	k.add(n)
 	if ok && t.phase == promising {
 		n.tries[i].promises |= 1 << v
-		n.tries[i].top = small(voter.Highest([]voter.Slot{t.top.full(), s}))
+		n.tries[i].top = small(acceptor.Highest([]acceptor.Slot{t.top.full(), s}))
 		k.add(n)
 	}
 }
@@ -267,14 +267,14 @@
 		n := w
 		n.reader.answered |= 1 << v
 		n.reader.slots[v] = w.disks[v].slot
-		var told []voter.Slot
+		var told []acceptor.Slot
 		for u := range voterCount {
 			if n.reader.answered>>u&1 == 1 {
 				told = append(told, n.reader.slots[u].full())
 			}
 		}
-		if len(voter.Alike(told)) >= seats.Majority() {
-			top := small(voter.Highest(told))
+		if len(acceptor.Alike(told)) >= seats.Majority() {
+			top := small(acceptor.Highest(told))
 			if top.writes < w.reader.before {
 				k.breach("a quorum read gave write %d, and write %d was decided before it began", top.writes, w.reader.before)
 			}
@@ -328,7 +328,7 @@
 		if bits.OnesCount8(set) < seats.Intact() {
 			continue
 		}
-		var copies []voter.Slot
+		var copies []acceptor.Slot
 		whole := true
 		for v := range voterCount {
 			if set>>v&1 == 1 {
@@ -339,7 +339,7 @@
 		}
 		if whole {
 			n := w
-			n.copied[f], n.copies[f] = true, small(voter.Merge(copies))
+			n.copied[f], n.copies[f] = true, small(acceptor.Merge(copies))
 			k.add(n)
 		}
 	}
@@ -350,7 +350,7 @@
 		return
 	}
 	n := w
-	n.disks[v] = disk{roster: 2, slot: small(voter.Merge([]voter.Slot{s.full()}))}
+	n.disks[v] = disk{roster: 2, slot: small(acceptor.Merge([]acceptor.Slot{s.full()}))}
 	k.add(n)
 }
 
--- a/internal/control/reform/reform.go
+++ b/internal/control/reform/reform.go
@@ -5,9 +5,9 @@
 	"context"
 	"encoding/json"
 
+	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/epoch"
 	"postjunction/internal/control/roster"
-	"postjunction/internal/control/voter"
 	"postjunction/internal/gather"
 	"postjunction/internal/options"
 	"postjunction/internal/problem"
@@ -42,11 +42,11 @@
 	if err != nil {
 		return roster.Roster{}, err
 	}
-	as := gather.Ask(ctx, next.Seats, func(ctx context.Context, s roster.Seat) (*voter.Done, error) {
+	as := gather.Ask(ctx, next.Seats, func(ctx context.Context, s roster.Seat) (*acceptor.Done, error) {
 		cx, stop := f.call(context.WithoutCancel(ctx))
 		defer stop()
-		return voter.Open.Call(cx, f.net, f.self, s.Addr, &voter.OpenRequest{Incarnation: s.Incarnation, Roster: next, Slots: slots})
-	}, func(as []gather.Answer[roster.Seat, *voter.Done]) bool {
+		return acceptor.Open.Call(cx, f.net, f.self, s.Addr, &acceptor.OpenRequest{Incarnation: s.Incarnation, Roster: next, Slots: slots})
+	}, func(as []gather.Answer[roster.Seat, *acceptor.Done]) bool {
 		return len(gather.Good(as)) >= next.Majority()
 	})
 	if n := len(gather.Good(as)); n < next.Majority() {
@@ -58,19 +58,19 @@
 func (f *Reformer) decide(ctx context.Context, r, want roster.Roster) (roster.Roster, error) {
 	e := f.seen.Next(f.self)
 	f.seen = e
-	enough := func(as []gather.Answer[roster.Seat, *voter.SlotResponse]) bool { return f.ok(as) >= r.Majority() }
-	ballot := func(s roster.Seat) voter.Ballot {
-		return voter.Ballot{Roster: r.Sequence, Incarnation: s.Incarnation, Key: voter.RosterKey}
+	enough := func(as []gather.Answer[roster.Seat, *acceptor.SlotResponse]) bool { return f.ok(as) >= r.Majority() }
+	ballot := func(s roster.Seat) acceptor.Ballot {
+		return acceptor.Ballot{Roster: r.Sequence, Incarnation: s.Incarnation, Key: acceptor.RosterKey}
 	}
-	as := gather.Ask(ctx, r.Seats, func(ctx context.Context, s roster.Seat) (*voter.SlotResponse, error) {
+	as := gather.Ask(ctx, r.Seats, func(ctx context.Context, s roster.Seat) (*acceptor.SlotResponse, error) {
 		cx, stop := f.call(ctx)
 		defer stop()
-		return voter.Promise.Call(cx, f.net, f.self, s.Addr, &voter.PromiseRequest{Ballot: ballot(s), Epoch: e})
+		return acceptor.Promise.Call(cx, f.net, f.self, s.Addr, &acceptor.PromiseRequest{Ballot: ballot(s), Epoch: e})
 	}, enough)
 	if !enough(as) {
 		return roster.Roster{}, f.short(r, as, "promised")
 	}
-	var top voter.Slot
+	var top acceptor.Slot
 	for _, a := range gather.Good(as) {
 		if a.A.OK && a.A.Slot.Above(top) {
 			top = a.A.Slot
@@ -83,10 +83,10 @@
 		}
 	}
 	b, _ := json.Marshal(next)
-	as = gather.Ask(ctx, r.Seats, func(ctx context.Context, s roster.Seat) (*voter.SlotResponse, error) {
+	as = gather.Ask(ctx, r.Seats, func(ctx context.Context, s roster.Seat) (*acceptor.SlotResponse, error) {
 		cx, stop := f.call(ctx)
 		defer stop()
-		return voter.Accept.Call(cx, f.net, f.self, s.Addr, &voter.AcceptRequest{Ballot: ballot(s), Epoch: e, Value: voter.Value{Writes: 1, By: f.self, Body: b}})
+		return acceptor.Accept.Call(cx, f.net, f.self, s.Addr, &acceptor.AcceptRequest{Ballot: ballot(s), Epoch: e, Value: acceptor.Value{Writes: 1, By: f.self, Body: b}})
 	}, enough)
 	if !enough(as) {
 		return roster.Roster{}, f.short(r, as, "accepted")
@@ -94,7 +94,7 @@
 	return next, nil
 }
 
-func (f *Reformer) ok(as []gather.Answer[roster.Seat, *voter.SlotResponse]) int {
+func (f *Reformer) ok(as []gather.Answer[roster.Seat, *acceptor.SlotResponse]) int {
 	n := 0
 	for _, a := range gather.Good(as) {
 		if a.A.OK {
@@ -106,7 +106,7 @@
 	return n
 }
 
-func (f *Reformer) short(r roster.Roster, as []gather.Answer[roster.Seat, *voter.SlotResponse], verb string) error {
+func (f *Reformer) short(r roster.Roster, as []gather.Answer[roster.Seat, *acceptor.SlotResponse], verb string) error {
 	for _, a := range as {
 		if problem.Has(a.Err, problem.StaleRoster) {
 			return a.Err
@@ -115,28 +115,28 @@
 	return problem.Because(problem.NoMajority, gather.First(as), "%d of %d disks %s a change of roster %d", f.ok(as), len(r.Seats), verb, r.Sequence)
 }
 
-func (f *Reformer) copy(ctx context.Context, r roster.Roster) (map[string]voter.Slot, error) {
-	type answers = []gather.Answer[roster.Seat, *voter.PeekResponse]
+func (f *Reformer) copy(ctx context.Context, r roster.Roster) (map[string]acceptor.Slot, error) {
+	type answers = []gather.Answer[roster.Seat, *acceptor.PeekResponse]
 	enough := func(as answers) bool { return len(gather.Good(as)) >= r.Intact() }
-	as := gather.Ask(ctx, r.Seats, func(ctx context.Context, s roster.Seat) (*voter.PeekResponse, error) {
+	as := gather.Ask(ctx, r.Seats, func(ctx context.Context, s roster.Seat) (*acceptor.PeekResponse, error) {
 		cx, stop := f.call(ctx)
 		defer stop()
-		return voter.Peek.Call(cx, f.net, f.self, s.Addr, &voter.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Sealed: true})
+		return acceptor.Peek.Call(cx, f.net, f.self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Sealed: true})
 	}, enough)
 	if !enough(as) {
 		return nil, problem.Because(problem.NoMajority, gather.First(as), "%d of the %d intact disks needed gave their keys", len(gather.Good(as)), r.Intact())
 	}
-	copies := map[string][]voter.Slot{}
+	copies := map[string][]acceptor.Slot{}
 	for _, a := range gather.Good(as) {
 		for k, s := range a.A.Slots {
-			if k != voter.RosterKey {
+			if k != acceptor.RosterKey {
 				copies[k] = append(copies[k], s)
 			}
 		}
 	}
-	slots := map[string]voter.Slot{}
+	slots := map[string]acceptor.Slot{}
 	for k, cs := range copies {
-		slots[k] = voter.Merge(cs)
+		slots[k] = acceptor.Merge(cs)
 	}
 	return slots, nil
 }
@@ -148,14 +148,14 @@
 			continue
 		}
 		cx, stop := f.call(ctx)
-		a, err := voter.Peek.Call(cx, f.net, f.self, s.Addr, &voter.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation})
+		a, err := acceptor.Peek.Call(cx, f.net, f.self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation})
 		stop()
 		if err != nil {
 			continue
 		}
 		cx, stop = f.call(ctx)
 		defer stop()
-		_, err = voter.Open.Call(cx, f.net, f.self, late.Addr, &voter.OpenRequest{Incarnation: late.Incarnation, Roster: r, Slots: a.Slots})
+		_, err = acceptor.Open.Call(cx, f.net, f.self, late.Addr, &acceptor.OpenRequest{Incarnation: late.Incarnation, Roster: r, Slots: a.Slots})
 		return err
 	}
 	return problem.New(problem.NoMajority, "no seat could give its keys to %s", late.Node)
--- a/internal/control/register/calls.go
+++ b/internal/control/register/calls.go
@@ -2,7 +2,7 @@
 package register
 
 import (
-	"postjunction/internal/control/voter"
+	"postjunction/internal/control/acceptor"
 	"postjunction/internal/wire"
 )
 
@@ -41,8 +41,8 @@
 
 // The holder's calls.
 var (
-	Change = wire.Name[ChangeRequest, voter.Value]("Control", "Change", wire.Numbered, "the change has a name and builds on a count of writes; the register knows both")
-	Read   = wire.Name[ReadRequest, voter.Value]("Control", "Read", wire.Reads, "a majority is asked")
+	Change = wire.Name[ChangeRequest, acceptor.Value]("Control", "Change", wire.Numbered, "the change has a name and builds on a count of writes; the register knows both")
+	Read   = wire.Name[ReadRequest, acceptor.Value]("Control", "Read", wire.Reads, "a majority is asked")
 	Who    = wire.Name[WhoRequest, WhoResponse]("Control", "Who", wire.Reads, "says who is taken for the holder")
-	Take   = wire.Name[TakeRequest, voter.Done]("Control", "Take", wire.Ordered, "claims under a higher epoch, whoever held the key")
+	Take   = wire.Name[TakeRequest, acceptor.Done]("Control", "Take", wire.Ordered, "claims under a higher epoch, whoever held the key")
 )
--- a/internal/control/register/holder.go
+++ b/internal/control/register/holder.go
@@ -7,9 +7,9 @@
 	"sync"
 
 	"postjunction/internal/clock"
+	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/epoch"
 	"postjunction/internal/control/roster"
-	"postjunction/internal/control/voter"
 	"postjunction/internal/gather"
 	"postjunction/internal/options"
 	"postjunction/internal/problem"
@@ -24,13 +24,13 @@
 }
 
 // Told hears of a key's value once it is on a majority.
-type Told func(key string, v voter.Value)
+type Told func(key string, v acceptor.Value)
 
 type held struct {
 	epoch  epoch.Epoch
 	roster uint64
 	sure   bool
-	value  voter.Value
+	value  acceptor.Value
 	seen   epoch.Epoch
 	hint   string
 }
@@ -119,12 +119,12 @@
 var passing = map[problem.Kind]bool{problem.Unreachable: true, problem.NotHolder: true, problem.Leaving: true, problem.NotFounded: true}
 
 // Change has a change on a majority before it answers.
-func (h *Holder) Change(ctx context.Context, q *ChangeRequest) (*voter.Value, error) {
+func (h *Holder) Change(ctx context.Context, q *ChangeRequest) (*acceptor.Value, error) {
 	doubt := false
 	for n := *q; ; {
 		if a, ok := h.elsewhere(q.Key); ok && n.Handed < handsMost {
 			n.Handed++
-			v, err := toldBy(ctx, h, func(cx context.Context) (*voter.Value, error) { return Change.Call(cx, h.net, h.self, a, &n) })
+			v, err := toldBy(ctx, h, func(cx context.Context) (*acceptor.Value, error) { return Change.Call(cx, h.net, h.self, a, &n) })
 			if err == nil || !passing[problem.Of(err).Kind] {
 				return v, h.clear(err, doubt, q)
 			}
@@ -154,7 +154,7 @@
 	return err
 }
 
-func (h *Holder) change(ctx context.Context, q *ChangeRequest, doubt, polite bool) (*voter.Value, error) {
+func (h *Holder) change(ctx context.Context, q *ChangeRequest, doubt, polite bool) (*acceptor.Value, error) {
 	back, err := h.turns.Take(ctx, q.Key)
 	if err != nil {
 		return nil, err
@@ -174,7 +174,7 @@
 	if v.value.Writes != q.Base {
 		return nil, h.clear(problem.New(problem.StaleBase, "%s was written %d times, the change builds on %d", q.Key, v.value.Writes, q.Base).At(v.value.Writes), doubt, q)
 	}
-	n := voter.Value{Writes: q.Base + 1, By: q.By, Body: q.Body, Memory: q.Memory}
+	n := acceptor.Value{Writes: q.Base + 1, By: q.By, Body: q.Body, Memory: q.Memory}
 	if err := h.accept(ctx, q.Key, v, n); err != nil {
 		return nil, err
 	}
@@ -186,11 +186,11 @@
 }
 
 // Read gives the value that was current at some moment after the call began.
-func (h *Holder) Read(ctx context.Context, q *ReadRequest) (*voter.Value, error) {
+func (h *Holder) Read(ctx context.Context, q *ReadRequest) (*acceptor.Value, error) {
 	for handed := q.Handed; ; {
 		if a, ok := h.elsewhere(q.Key); ok && handed < handsMost {
 			handed++
-			v, err := toldBy(ctx, h, func(cx context.Context) (*voter.Value, error) {
+			v, err := toldBy(ctx, h, func(cx context.Context) (*acceptor.Value, error) {
 				return Read.Call(cx, h.net, h.self, a, &ReadRequest{Key: q.Key, Handed: handed})
 			})
 			if err == nil {
@@ -207,7 +207,7 @@
 	}
 }
 
-func (h *Holder) read(ctx context.Context, k string, polite bool) (*voter.Value, error) {
+func (h *Holder) read(ctx context.Context, k string, polite bool) (*acceptor.Value, error) {
 	back, err := h.turns.Take(ctx, k)
 	if err != nil {
 		return nil, err
@@ -233,23 +233,23 @@
 	return &v.value, nil
 }
 
-type peeks = []gather.Answer[roster.Seat, *voter.PeekResponse]
+type peeks = []gather.Answer[roster.Seat, *acceptor.PeekResponse]
 
 // Glance reads a key without claiming it, whoever holds it: what a majority has accepted alike was decided, and nothing was decided after it before
 // the question. It waits a moment for more than a majority where the first copies differ. Only this node's own voter, or one voter more, gives the
 // value itself.
-func (h *Holder) Glance(ctx context.Context, k string) (voter.Value, bool) {
+func (h *Holder) Glance(ctx context.Context, k string) (acceptor.Value, bool) {
 	r := h.peers.Roster()
 	if r.Sequence == 0 {
-		return voter.Value{}, false
+		return acceptor.Value{}, false
 	}
 	cx, stop := context.WithTimeout(ctx, h.bounds.Hand())
 	defer stop()
-	peek := func(ctx context.Context, s roster.Seat, brief bool) (*voter.PeekResponse, error) {
-		return voter.Peek.Call(ctx, h.net, h.self, s.Addr, &voter.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Keys: []string{k}, Brief: brief})
+	peek := func(ctx context.Context, s roster.Seat, brief bool) (*acceptor.PeekResponse, error) {
+		return acceptor.Peek.Call(ctx, h.net, h.self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Keys: []string{k}, Brief: brief})
 	}
 	waiting := false
-	g := gather.Good(gather.Ask(cx, r.Seats, func(ctx context.Context, s roster.Seat) (*voter.PeekResponse, error) {
+	g := gather.Good(gather.Ask(cx, r.Seats, func(ctx context.Context, s roster.Seat) (*acceptor.PeekResponse, error) {
 		return peek(ctx, s, s.Node != h.self)
 	}, func(as peeks) bool {
 		g := gather.Good(as)
@@ -270,7 +270,7 @@
 	}
 	as := alike(g, k)
 	if len(as) < r.Majority() {
-		return voter.Value{}, false
+		return acceptor.Value{}, false
 	}
 	for _, a := range as {
 		if a.Who.Node == h.self {
@@ -285,19 +285,19 @@
 	defer more()
 	a, err := peek(late, as[0].Who, false)
 	if err != nil || a.Slots[k].Accepted != top.Accepted || a.Slots[k].Value.Writes != top.Value.Writes {
-		return voter.Value{}, false
+		return acceptor.Value{}, false
 	}
 	return a.Slots[k].Value, true
 }
 
 // alike gives the answers that hold the highest copy.
 func alike(g peeks, k string) peeks {
-	var slots []voter.Slot
+	var slots []acceptor.Slot
 	for _, a := range g {
 		slots = append(slots, a.A.Slots[k])
 	}
 	var as peeks
-	for _, i := range voter.Alike(slots) {
+	for _, i := range acceptor.Alike(slots) {
 		as = append(as, g[i])
 	}
 	return as
@@ -324,7 +324,7 @@
 	r := h.peers.Roster()
 	ctx, stop := context.WithTimeout(ctx, h.bounds.Call())
 	defer stop()
-	ours := func(as []gather.Answer[roster.Seat, *voter.PeekResponse]) int {
+	ours := func(as []gather.Answer[roster.Seat, *acceptor.PeekResponse]) int {
 		n := 0
 		for _, a := range gather.Good(as) {
 			if a.A.Slots[k].Promised == v.epoch {
@@ -333,9 +333,9 @@
 		}
 		return n
 	}
-	as := gather.Ask(ctx, r.Seats, func(ctx context.Context, s roster.Seat) (*voter.PeekResponse, error) {
-		return voter.Peek.Call(ctx, h.net, h.self, s.Addr, &voter.PeekRequest{Roster: v.roster, Incarnation: s.Incarnation, Keys: []string{k}, Brief: true})
-	}, func(as []gather.Answer[roster.Seat, *voter.PeekResponse]) bool { return ours(as) >= r.Majority() })
+	as := gather.Ask(ctx, r.Seats, func(ctx context.Context, s roster.Seat) (*acceptor.PeekResponse, error) {
+		return acceptor.Peek.Call(ctx, h.net, h.self, s.Addr, &acceptor.PeekRequest{Roster: v.roster, Incarnation: s.Incarnation, Keys: []string{k}, Brief: true})
+	}, func(as []gather.Answer[roster.Seat, *acceptor.PeekResponse]) bool { return ours(as) >= r.Majority() })
 	for _, a := range gather.Good(as) {
 		x := a.A.Slots[k]
 		h.Hint(k, x.Promised, x.Value.Successor)
@@ -377,7 +377,7 @@
 	}
 }
 
-type slotResponses = []gather.Answer[roster.Seat, *voter.SlotResponse]
+type slotResponses = []gather.Answer[roster.Seat, *acceptor.SlotResponse]
 
 func granted(as slotResponses) int {
 	n := 0
@@ -430,8 +430,8 @@
 	h.count(&h.claims)
 	cx, stop := context.WithTimeout(ctx, h.bounds.Call())
 	defer stop()
-	as := gather.Ask(cx, r.Seats, func(ctx context.Context, s roster.Seat) (*voter.SlotResponse, error) {
-		return voter.Promise.Call(ctx, h.net, h.self, s.Addr, &voter.PromiseRequest{Ballot: ballot(r, s, k), Epoch: e})
+	as := gather.Ask(cx, r.Seats, func(ctx context.Context, s roster.Seat) (*acceptor.SlotResponse, error) {
+		return acceptor.Promise.Call(ctx, h.net, h.self, s.Addr, &acceptor.PromiseRequest{Ballot: ballot(r, s, k), Epoch: e})
 	}, func(as slotResponses) bool { return granted(as) >= r.Majority() })
 	if err := h.verdict(k, r, as); err != nil {
 		return held{}, err
@@ -452,21 +452,21 @@
 }
 
 // highest gives the latest acceptance of the voters that granted what was asked.
-func highest(as slotResponses) voter.Slot {
-	var slots []voter.Slot
+func highest(as slotResponses) acceptor.Slot {
+	var slots []acceptor.Slot
 	for _, a := range gather.Good(as) {
 		if a.A.OK {
 			slots = append(slots, a.A.Slot)
 		}
 	}
-	return voter.Highest(slots)
+	return acceptor.Highest(slots)
 }
 
-func ballot(r roster.Roster, s roster.Seat, k string) voter.Ballot {
-	return voter.Ballot{Roster: r.Sequence, Incarnation: s.Incarnation, Key: k}
+func ballot(r roster.Roster, s roster.Seat, k string) acceptor.Ballot {
+	return acceptor.Ballot{Roster: r.Sequence, Incarnation: s.Incarnation, Key: k}
 }
 
-func (h *Holder) accept(ctx context.Context, k string, v held, n voter.Value) error {
+func (h *Holder) accept(ctx context.Context, k string, v held, n acceptor.Value) error {
 	r := h.peers.Roster()
 	if r.Sequence != v.roster {
 		return problem.New(problem.StaleRoster, "roster %d came into force", r.Sequence)
@@ -487,11 +487,11 @@
 	}
 }
 
-func (h *Holder) round(ctx context.Context, k string, r roster.Roster, v held, n voter.Value) error {
-	as := gather.Ask(ctx, r.Seats, func(ctx context.Context, s roster.Seat) (*voter.SlotResponse, error) {
+func (h *Holder) round(ctx context.Context, k string, r roster.Roster, v held, n acceptor.Value) error {
+	as := gather.Ask(ctx, r.Seats, func(ctx context.Context, s roster.Seat) (*acceptor.SlotResponse, error) {
 		cx, stop := context.WithTimeout(context.WithoutCancel(ctx), h.bounds.Call())
 		defer stop()
-		return voter.Accept.Call(cx, h.net, h.self, s.Addr, &voter.AcceptRequest{Ballot: ballot(r, s, k), Epoch: v.epoch, Value: n})
+		return acceptor.Accept.Call(cx, h.net, h.self, s.Addr, &acceptor.AcceptRequest{Ballot: ballot(r, s, k), Epoch: v.epoch, Value: n})
 	}, func(as slotResponses) bool { return granted(as) >= r.Majority() })
 	if err := h.verdict(k, r, as); err != nil {
 		if refusals(as) == len(r.Seats) {
@@ -604,8 +604,8 @@
 	Who.Handle(m, func(_ context.Context, q *WhoRequest) (*WhoResponse, error) {
 		return &WhoResponse{Holds: h.Holds(q.Key), Hint: h.get(q.Key).hint}, nil
 	})
-	Take.Handle(m, func(ctx context.Context, q *TakeRequest) (*voter.Done, error) {
+	Take.Handle(m, func(ctx context.Context, q *TakeRequest) (*acceptor.Done, error) {
 		h.forget(q.Key)
-		return &voter.Done{}, h.take(ctx, q.Key, false)
+		return &acceptor.Done{}, h.take(ctx, q.Key, false)
 	})
 }
--- a/internal/control/register/holder_test.go
+++ b/internal/control/register/holder_test.go
@@ -11,9 +11,9 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/clock"
+	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/epoch"
 	"postjunction/internal/control/roster"
-	"postjunction/internal/control/voter"
 	"postjunction/internal/gather"
 	"postjunction/internal/options"
 	"postjunction/internal/problem"
@@ -21,9 +21,9 @@
 
 // Only copies alike to the highest one count: a higher copy on one disk may or may not be decided, and what lies below it says nothing.
 func TestOnlyTheHighestCopiesCountAsAlike(t *testing.T) {
-	at := func(n, writes uint64) gather.Answer[roster.Seat, *voter.PeekResponse] {
-		return gather.Answer[roster.Seat, *voter.PeekResponse]{A: &voter.PeekResponse{Slots: map[string]voter.Slot{
-			"k": {Accepted: epoch.Epoch{N: n, Node: "c1"}, Value: voter.Value{Writes: writes}},
+	at := func(n, writes uint64) gather.Answer[roster.Seat, *acceptor.PeekResponse] {
+		return gather.Answer[roster.Seat, *acceptor.PeekResponse]{A: &acceptor.PeekResponse{Slots: map[string]acceptor.Slot{
+			"k": {Accepted: epoch.Epoch{N: n, Node: "c1"}, Value: acceptor.Value{Writes: writes}},
 		}}}
 	}
 	for _, x := range []struct {
@@ -61,9 +61,9 @@
 		}
 		return c.who, nil
 	})
-	voter.Promise.Handle(m, func(_ context.Context, q *voter.PromiseRequest) (*voter.SlotResponse, error) {
+	acceptor.Promise.Handle(m, func(_ context.Context, q *acceptor.PromiseRequest) (*acceptor.SlotResponse, error) {
 		c.promised.Add(1)
-		return &voter.SlotResponse{OK: true, Slot: voter.Slot{Promised: q.Epoch}}, nil
+		return &acceptor.SlotResponse{OK: true, Slot: acceptor.Slot{Promised: q.Epoch}}, nil
 	})
 	w := httptest.NewRecorder()
 	m.ServeHTTP(w, q)
@@ -90,7 +90,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := &core{who: x.who}
-				h := New("c1", c, clock.Real{}, options.DefaultBounds, c, func(string, voter.Value) {})
+				h := New("c1", c, clock.Real{}, options.DefaultBounds, c, func(string, acceptor.Value) {})
 				h.Hint("k", epoch.Epoch{N: 3, Node: "c2"}, "")
 				err := h.Claim(t.Context(), "k")
 				synctest.Wait()
@@ -108,8 +108,8 @@
 
 func (*elsewhere) Do(q *http.Request) (*http.Response, error) {
 	m := http.NewServeMux()
-	voter.Peek.Handle(m, func(_ context.Context, q *voter.PeekRequest) (*voter.PeekResponse, error) {
-		return &voter.PeekResponse{Slots: map[string]voter.Slot{q.Keys[0]: {Promised: epoch.Epoch{N: 9, Node: "c2"}}}}, nil
+	acceptor.Peek.Handle(m, func(_ context.Context, q *acceptor.PeekRequest) (*acceptor.PeekResponse, error) {
+		return &acceptor.PeekResponse{Slots: map[string]acceptor.Slot{q.Keys[0]: {Promised: epoch.Epoch{N: 9, Node: "c2"}}}}, nil
 	})
 	w := httptest.NewRecorder()
 	m.ServeHTTP(w, q)
@@ -123,7 +123,7 @@
 		h := New("c1", net, clock.Real{}, options.Default().Bounds(), net, nil)
 		mine := epoch.Epoch{N: 3, Node: "c1"}
 		h.edit("k", func(v *held) {
-			*v = held{epoch: mine, seen: mine, roster: net.Roster().Sequence, sure: true, hint: "c1", value: voter.Value{Writes: 4}}
+			*v = held{epoch: mine, seen: mine, roster: net.Roster().Sequence, sure: true, hint: "c1", value: acceptor.Value{Writes: 4}}
 		})
 		_, err := h.change(t.Context(), &ChangeRequest{Key: "k", Base: 7}, false, true)
 		assert.Assert(t, problem.Has(err, problem.NotHolder), "%v", err)
--- a/internal/control/repair/repair.go
+++ b/internal/control/repair/repair.go
@@ -5,8 +5,8 @@
 	"context"
 	"slices"
 
+	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/roster"
-	"postjunction/internal/control/voter"
 	"postjunction/internal/gather"
 	"postjunction/internal/options"
 	"postjunction/internal/wire"
@@ -19,17 +19,17 @@
 	Bounds options.Bounds
 }
 
-type copy = gather.Answer[roster.Seat, *voter.PeekResponse]
+type copy = gather.Answer[roster.Seat, *acceptor.PeekResponse]
 
 // Keys compares the copies of the named keys, all when none are named, and brings old ones up. It gives how many it mended. Values are read only
 // where some copy is old, and then from one voter.
 func (m *Mender) Keys(ctx context.Context, r roster.Roster, keys ...string) int {
 	cx, stop := context.WithTimeout(ctx, m.Bounds.Call())
 	defer stop()
-	as := gather.Good(gather.Ask(cx, r.Seats, func(ctx context.Context, s roster.Seat) (*voter.PeekResponse, error) {
-		return voter.Peek.Call(ctx, m.Net, m.Self, s.Addr, &voter.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Keys: keys, Brief: true})
+	as := gather.Good(gather.Ask(cx, r.Seats, func(ctx context.Context, s roster.Seat) (*acceptor.PeekResponse, error) {
+		return acceptor.Peek.Call(ctx, m.Net, m.Self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Keys: keys, Brief: true})
 	}, nil))
-	top, at := map[string]voter.Slot{}, map[string]roster.Seat{}
+	top, at := map[string]acceptor.Slot{}, map[string]roster.Seat{}
 	for _, a := range as {
 		for k, s := range a.A.Slots {
 			if s.Above(top[k]) {
@@ -43,18 +43,18 @@
 		if len(old) == 0 {
 			continue
 		}
-		if v, ok := voter.Whole(cx, m.Net, m.Self, r, at[k], k, t); ok {
+		if v, ok := acceptor.Whole(cx, m.Net, m.Self, r, at[k], k, t); ok {
 			n += m.key(ctx, r, old, k, v)
 		}
 	}
 	return n
 }
 
-func (m *Mender) key(ctx context.Context, r roster.Roster, old []copy, k string, t voter.Slot) int {
+func (m *Mender) key(ctx context.Context, r roster.Roster, old []copy, k string, t acceptor.Slot) int {
 	n := 0
 	for _, a := range old {
 		cx, stop := context.WithTimeout(ctx, m.Bounds.Call())
-		b, err := voter.Accept.Call(cx, m.Net, m.Self, a.Who.Addr, &voter.AcceptRequest{Ballot: voter.Ballot{Roster: r.Sequence, Incarnation: a.Who.Incarnation, Key: k}, Epoch: t.Accepted, Value: t.Value})
+		b, err := acceptor.Accept.Call(cx, m.Net, m.Self, a.Who.Addr, &acceptor.AcceptRequest{Ballot: acceptor.Ballot{Roster: r.Sequence, Incarnation: a.Who.Incarnation, Key: k}, Epoch: t.Accepted, Value: t.Value})
 		stop()
 		if err == nil && b.OK {
 			n++
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -13,6 +13,7 @@
 	"postjunction/internal/carrier/feed"
 	"postjunction/internal/carrier/presence"
 	"postjunction/internal/clock"
+	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/client"
 	"postjunction/internal/control/confirm"
 	"postjunction/internal/control/founding"
@@ -21,7 +22,6 @@
 	"postjunction/internal/control/repair"
 	"postjunction/internal/control/roster"
 	"postjunction/internal/control/steward"
-	"postjunction/internal/control/voter"
 	"postjunction/internal/disk/identity"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/door"
@@ -74,7 +74,7 @@
 
 	journal *journal.Journal
 	id      *identity.Part
-	voter   *voter.Voter
+	voter   *acceptor.Voter
 	replica *replica.Replica
 
 	Board        *gossip.Board
@@ -131,7 +131,7 @@
 
 func (n *Node) open(ctx context.Context) error {
 	n.id = &identity.Part{}
-	n.voter, n.replica = voter.New(), replica.New(n.w.Clock)
+	n.voter, n.replica = acceptor.New(), replica.New(n.w.Clock)
 	parts := map[uint16]journal.Part{kinds.Identity: n.id, kinds.Slot: n.voter, kinds.Roster: n.voter}
 	for _, k := range replica.Kinds() {
 		parts[k] = n.replica
@@ -265,7 +265,7 @@
 	return n.View.All()
 }
 
-func (n *Node) told(k string, v voter.Value) {
+func (n *Node) told(k string, v acceptor.Value) {
 	if p, ok := record.Partition(k); ok && len(v.Body) > 0 {
 		if r, err := record.Parse(v.Body, v.Writes); err == nil {
 			r.Partition = p
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
+	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/client"
-	"postjunction/internal/control/voter"
 	"postjunction/internal/event"
 	"postjunction/internal/gather"
 	"postjunction/internal/member"
@@ -21,7 +21,7 @@
 	list   drain.List
 }
 
-func parseDrains(v voter.Value) (drainList, error) {
+func parseDrains(v acceptor.Value) (drainList, error) {
 	l, err := drain.Parse(v.Body)
 	return drainList{v.Writes, l}, err
 }
@@ -127,7 +127,7 @@
 }
 
 // parseRecord reads a partition's record; one that was never written names nobody.
-func parseRecord(p int, v voter.Value) (record.Record, error) {
+func parseRecord(p int, v acceptor.Value) (record.Record, error) {
 	if len(v.Body) == 0 {
 		return record.Record{Partition: p}, nil
 	}
@@ -142,7 +142,7 @@
 		ps = append(ps, p)
 	}
 	for _, a := range gather.Ask(ctx, ps, func(ctx context.Context, p int) (confirmed[bool], error) {
-		return readAs(ctx, s, record.Key(p), func(v voter.Value) (bool, error) {
+		return readAs(ctx, s, record.Key(p), func(v acceptor.Value) (bool, error) {
 			r, err := parseRecord(p, v)
 			return r.Holds(node), err
 		})
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -10,9 +10,9 @@
 	"sync/atomic"
 
 	"postjunction/internal/clock"
+	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/client"
 	"postjunction/internal/control/roster"
-	"postjunction/internal/control/voter"
 	"postjunction/internal/event"
 	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
@@ -148,7 +148,7 @@
 	}
 	ctx, stop := s.limit(ctx)
 	defer stop()
-	c, err := readAs(ctx, s, record.Key(p), func(v voter.Value) (record.Record, error) { return parseRecord(p, v) })
+	c, err := readAs(ctx, s, record.Key(p), func(v acceptor.Value) (record.Record, error) { return parseRecord(p, v) })
 	if err != nil {
 		return nil, err
 	}
--- a/internal/operator/quorum.go
+++ b/internal/operator/quorum.go
@@ -3,8 +3,8 @@
 import (
 	"context"
 
+	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/roster"
-	"postjunction/internal/control/voter"
 	"postjunction/internal/gather"
 	"postjunction/internal/member"
 	"postjunction/internal/problem"
@@ -27,7 +27,7 @@
 }
 
 // readAs reads a control key by quorum. While the voters change nobody can tell, and it asks again.
-func readAs[T any](ctx context.Context, s *Service, key string, parse func(voter.Value) (T, error)) (c confirmed[T], err error) {
+func readAs[T any](ctx context.Context, s *Service, key string, parse func(acceptor.Value) (T, error)) (c confirmed[T], err error) {
 	v, err := s.Client.Read(ctx, key)
 	for problem.Has(err, problem.StaleRoster) && s.Clock.Sleep(ctx, s.Bounds.Retry()) == nil {
 		v, err = s.Client.Read(ctx, key)
@@ -35,7 +35,7 @@
 	if err != nil {
 		return c, err
 	}
-	return with(confirmed[voter.Value]{v}, parse)
+	return with(confirmed[acceptor.Value]{v}, parse)
 }
 
 // machines are nodes by name, as several control nodes know them.
--- a/internal/operator/replace.go
+++ b/internal/operator/replace.go
@@ -5,9 +5,9 @@
 	"encoding/json"
 	"fmt"
 
+	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/confirm"
 	"postjunction/internal/control/register"
-	"postjunction/internal/control/voter"
 	"postjunction/internal/description"
 	"postjunction/internal/event"
 	"postjunction/internal/gossip"
@@ -151,7 +151,7 @@
 }
 
 // parseRegister reads the description's register. Older builds wrote no log.
-func parseRegister(v voter.Value) (r stateRegister, err error) {
+func parseRegister(v acceptor.Value) (r stateRegister, err error) {
 	r.writes = v.Writes
 	if r.current, err = confirm.Parse(v); err != nil {
 		return r, problem.Wrap(problem.Internal, err, "read the current description")
--- a/internal/placement/duty/drains.go
+++ b/internal/placement/duty/drains.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
+	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/client"
-	"postjunction/internal/control/voter"
 	"postjunction/internal/event"
 	"postjunction/internal/gather"
 	"postjunction/internal/placement/drain"
@@ -15,7 +15,7 @@
 )
 
 // readDrains reads the list of drains by quorum.
-func (d *Duty) readDrains(ctx context.Context) (voter.Value, drain.List, error) {
+func (d *Duty) readDrains(ctx context.Context) (acceptor.Value, drain.List, error) {
 	v, err := d.Client.Read(ctx, drain.Key)
 	if err != nil {
 		return v, nil, err
--- a/internal/proof/crash/crash_test.go
+++ b/internal/proof/crash/crash_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/clock"
+	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/epoch"
 	"postjunction/internal/control/roster"
-	"postjunction/internal/control/voter"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/kinds"
 	"postjunction/internal/ledger/line"
@@ -19,13 +19,13 @@
 
 type store struct {
 	j *journal.Journal
-	v *voter.Voter
+	v *acceptor.Voter
 	r *replica.Replica
 }
 
 func boot(t *testing.T, l journal.Log) (*store, journal.Report, func()) {
 	t.Helper()
-	s := &store{v: voter.New(), r: replica.New(clock.Real{})}
+	s := &store{v: acceptor.New(), r: replica.New(clock.Real{})}
 	parts := map[uint16]journal.Part{kinds.Slot: s.v, kinds.Roster: s.v}
 	for _, k := range replica.Kinds() {
 		parts[k] = s.r
@@ -66,7 +66,7 @@
 type picture struct {
 	seals map[int]uint64
 	lines map[line.ID]map[uint64]line.Point
-	slots map[string]voter.Slot
+	slots map[string]acceptor.Slot
 	rost  uint64
 }
 
@@ -74,7 +74,7 @@
 
 func (s *store) picture(t *testing.T) picture {
 	t.Helper()
-	p := picture{seals: map[int]uint64{}, lines: map[line.ID]map[uint64]line.Point{}, slots: map[string]voter.Slot{}, rost: s.v.Roster().Sequence}
+	p := picture{seals: map[int]uint64{}, lines: map[line.ID]map[uint64]line.Point{}, slots: map[string]acceptor.Slot{}, rost: s.v.Roster().Sequence}
 	for n := range partitions {
 		p.seals[n] = s.r.Sealed(n)
 		for _, k := range line.Kinds {
@@ -91,7 +91,7 @@
 	}
 	if p.rost > 0 {
 		for _, sealed := range []bool{false, true} {
-			if a, err := s.v.Peek(context.Background(), &voter.PeekRequest{Roster: p.rost, Incarnation: "i1", Sealed: sealed}); err == nil {
+			if a, err := s.v.Peek(context.Background(), &acceptor.PeekRequest{Roster: p.rost, Incarnation: "i1", Sealed: sealed}); err == nil {
 				p.slots = a.Slots
 			}
 		}
@@ -172,26 +172,28 @@
 			return s.r.Keep(ctx, replica.Directory{Partition: p, At: s.r.Line(p, line.Changelog).Last(), Input: 1, State: []byte(`{}`)})
 		}
 	}
-	ballot := func(k string, seq uint64) voter.Ballot { return voter.Ballot{Roster: seq, Incarnation: "i1", Key: k} }
+	ballot := func(k string, seq uint64) acceptor.Ballot {
+		return acceptor.Ballot{Roster: seq, Incarnation: "i1", Key: k}
+	}
 	promise := func(k string, n uint64) func(*store) error {
 		return func(s *store) error {
-			_, err := s.v.Promise(ctx, &voter.PromiseRequest{Ballot: ballot(k, s.v.Roster().Sequence), Epoch: epoch.Epoch{N: n, Node: "c1"}})
+			_, err := s.v.Promise(ctx, &acceptor.PromiseRequest{Ballot: ballot(k, s.v.Roster().Sequence), Epoch: epoch.Epoch{N: n, Node: "c1"}})
 			return err
 		}
 	}
 	accept := func(k string, n, w uint64) func(*store) error {
 		return func(s *store) error {
-			_, err := s.v.Accept(ctx, &voter.AcceptRequest{Ballot: ballot(k, s.v.Roster().Sequence), Epoch: epoch.Epoch{N: n, Node: "c1"}, Value: voter.Value{Writes: w, Body: []byte(k)}})
+			_, err := s.v.Accept(ctx, &acceptor.AcceptRequest{Ballot: ballot(k, s.v.Roster().Sequence), Epoch: epoch.Epoch{N: n, Node: "c1"}, Value: acceptor.Value{Writes: w, Body: []byte(k)}})
 			return err
 		}
 	}
 	ts := []func(*store) error{
 		func(s *store) error {
-			_, err := s.v.Found(ctx, &voter.FoundRequest{Incarnation: "i1", Roster: founding()})
+			_, err := s.v.Found(ctx, &acceptor.FoundRequest{Incarnation: "i1", Roster: founding()})
 			return err
 		},
 		func(s *store) error {
-			_, err := s.v.Open(ctx, &voter.OpenRequest{Incarnation: "i1", Roster: founding(), Founding: true})
+			_, err := s.v.Open(ctx, &acceptor.OpenRequest{Incarnation: "i1", Roster: founding(), Founding: true})
 			return err
 		},
 		promise("description", 1), accept("description", 1, 1), promise("description", 3), accept("description", 3, 2), promise("partition/000", 2),
@@ -202,11 +204,11 @@
 		func(s *store) error { return s.r.CutTo(ctx, to(1, 5), line.Ledger, 22, false) },
 		seal(2, 1), put(2, line.Ledger, 1, end, 4, false),
 		func(s *store) error { _, err := s.r.Drop(ctx, &replica.DropRequest{Target: to(2, 9)}); return err },
-		accept(voter.RosterKey, 1, 1),
+		accept(acceptor.RosterKey, 1, 1),
 		func(s *store) error {
 			n := s.v.Roster()
 			n.Sequence++
-			_, err := s.v.Open(ctx, &voter.OpenRequest{Incarnation: "i1", Roster: n, Slots: map[string]voter.Slot{"description": {Accepted: epoch.Epoch{N: 3, Node: "c1"}, Value: voter.Value{Writes: 2}}}})
+			_, err := s.v.Open(ctx, &acceptor.OpenRequest{Incarnation: "i1", Roster: n, Slots: map[string]acceptor.Slot{"description": {Accepted: epoch.Epoch{N: 3, Node: "c1"}, Value: acceptor.Value{Writes: 2}}}})
 			return err
 		},
 		promise("description", 7),
--- a/internal/proof/crash/slices_test.go
+++ b/internal/proof/crash/slices_test.go
@@ -10,8 +10,8 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/epoch"
-	"postjunction/internal/control/voter"
 	"postjunction/internal/disk/frame"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/kinds"
@@ -84,9 +84,9 @@
 			return s.r.Keep(ctx, replica.Directory{Partition: p, At: s.r.Line(p, line.Changelog).Last(), Input: 1, State: []byte(`{}`)})
 		},
 		func(s *store) error {
-			b := voter.Ballot{Roster: s.v.Roster().Sequence, Incarnation: "i1", Key: "description"}
+			b := acceptor.Ballot{Roster: s.v.Roster().Sequence, Incarnation: "i1", Key: "description"}
 			*e++
-			_, err := s.v.Promise(ctx, &voter.PromiseRequest{Ballot: b, Epoch: epoch.Epoch{N: *e, Node: "c1"}})
+			_, err := s.v.Promise(ctx, &acceptor.PromiseRequest{Ballot: b, Epoch: epoch.Epoch{N: *e, Node: "c1"}})
 			return err
 		},
 	}[r.IntN(9)]
--- a/internal/proof/sim/points_test.go
+++ b/internal/proof/sim/points_test.go
@@ -12,8 +12,8 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/confirm"
-	"postjunction/internal/control/voter"
 	"postjunction/internal/ledger/desk"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/replica"
@@ -61,8 +61,8 @@
 
 // deciding tells whether a call asks a voter to accept a description.
 func deciding(x Point) bool {
-	var q voter.AcceptRequest
-	return x.Path == voter.Accept.Path && wire.Read(x.Body, &q) == nil && q.Key == confirm.Key
+	var q acceptor.AcceptRequest
+	return x.Path == acceptor.Accept.Path && wire.Read(x.Body, &q) == nil && q.Key == confirm.Key
 }
 
 func on(path, stage string) func(x Point) bool {
@@ -109,10 +109,10 @@
 	"taken, not told":             {at: serving(on(desk.Submit.Path, Answering))},
 	"vouched, not told":           {at: serving(on(desk.Attached.Path, Answering))},
 	"attached, not told":          {arrive: true, at: serving(on(desk.Attach.Path, Answering))},
-	"promised, not accepted":      {control: true, at: owning(on(voter.Accept.Path, Asking))},
-	"accepted, answers under way": {control: true, at: owning(on(voter.Accept.Path, Answering))},
+	"promised, not accepted":      {control: true, at: owning(on(acceptor.Accept.Path, Asking))},
+	"accepted, answers under way": {control: true, at: owning(on(acceptor.Accept.Path, Answering))},
 	"voter synced, not answered": {control: true, at: serving(func(x Point) bool {
-		return x.Stage == Answering && (x.Path == voter.Accept.Path || x.Path == voter.Promise.Path) && !bytes.Contains(x.Body, isDuty)
+		return x.Stage == Answering && (x.Path == acceptor.Accept.Path || x.Path == acceptor.Promise.Path) && !bytes.Contains(x.Body, isDuty)
 	})},
 }
 
@@ -172,7 +172,7 @@
 
 // A disk is wiped just after it promised: with the answer still under way, or told. It comes back empty under its old machine's name.
 func TestDiskWipedJustAfterEachKindOfPromise(t *testing.T) {
-	kinds := map[string]string{"sealed": replica.Seal.Path, "appended": replica.Append.Path, "promised": voter.Promise.Path, "accepted": voter.Accept.Path}
+	kinds := map[string]string{"sealed": replica.Seal.Path, "appended": replica.Append.Path, "promised": acceptor.Promise.Path, "accepted": acceptor.Accept.Path}
 	for name, path := range kinds {
 		for _, told := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, told %v", name, told), func(t *testing.T) {
--- a/internal/proof/sim/restart_test.go
+++ b/internal/proof/sim/restart_test.go
@@ -9,8 +9,8 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/epoch"
-	"postjunction/internal/control/voter"
 	"postjunction/internal/placement/duty"
 	"postjunction/internal/visitor"
 )
@@ -61,7 +61,7 @@
 	m := w.Machines[c]
 	_, run := m.node()
 	r := m.Node().Roster()
-	a, err := voter.Promise.Call(w.ctx, &endpoint{w, m, run}, c, m.Opts.Peers, &voter.PromiseRequest{Ballot: voter.Ballot{Roster: r.Sequence, Incarnation: m.Node().Info().Incarnation, Key: key}, Epoch: e})
+	a, err := acceptor.Promise.Call(w.ctx, &endpoint{w, m, run}, c, m.Opts.Peers, &acceptor.PromiseRequest{Ballot: acceptor.Ballot{Roster: r.Sequence, Incarnation: m.Node().Info().Incarnation, Key: key}, Epoch: e})
 	assert.NilError(t, err)
 	assert.Assert(t, a.OK)
 }
--- a/internal/proof/sim/sealed_test.go
+++ b/internal/proof/sim/sealed_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/control/voter"
+	"postjunction/internal/control/acceptor"
 	"postjunction/internal/wire"
 )
 
@@ -25,8 +25,8 @@
 			var mu sync.Mutex
 			who := ""
 			release, hits := w.Hold(func(x Point) bool {
-				var q voter.OpenRequest
-				if x.Path != voter.Open.Path || x.Stage != Asking || wire.Read(x.Body, &q) != nil {
+				var q acceptor.OpenRequest
+				if x.Path != acceptor.Open.Path || x.Stage != Asking || wire.Read(x.Body, &q) != nil {
 					return false
 				}
 				mu.Lock()
--- a/internal/proof/sim/still_test.go
+++ b/internal/proof/sim/still_test.go
@@ -6,8 +6,8 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/control/acceptor"
 	keys "postjunction/internal/control/register"
-	"postjunction/internal/control/voter"
 	"postjunction/internal/ledger/replica"
 )
 
@@ -49,7 +49,7 @@
 		const sweeps = 4
 		time.Sleep(sweeps * s.Bounds.Sweep())
 		is := w.Flows()
-		for _, p := range []string{keys.Read.Path, voter.Peek.Path} {
+		for _, p := range []string{keys.Read.Path, acceptor.Peek.Path} {
 			t.Logf("%s: %d calls, %d bytes in %d sweeps of %d partitions", p, is[p].Calls-was[p].Calls, is[p].Bytes-was[p].Bytes, sweeps, s.Routine+s.Urgent)
 		}
 		n := is[keys.Read.Path].Calls - was[keys.Read.Path].Calls
--- a/internal/proof/sim/storm_test.go
+++ b/internal/proof/sim/storm_test.go
@@ -7,8 +7,8 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/control/acceptor"
 	keys "postjunction/internal/control/register"
-	"postjunction/internal/control/voter"
 )
 
 // While a change is on its way to some voters, copies of the description differ. All control nodes saw that each heartbeat, read the key, compared whole
@@ -27,7 +27,7 @@
 		assert.NilError(t, err)
 		time.Sleep(s.Bounds.Spread)
 		release, hits := w.Hold(func(p Point) bool {
-			return p.Path == voter.Accept.Path && (p.To == "c6" || p.To == "c7" || p.To == "c8")
+			return p.Path == acceptor.Accept.Path && (p.To == "c6" || p.To == "c7" || p.To == "c8")
 		})
 		was := w.Flows()
 		_, err = w.Put("a1", bootLoad.Describe(1))
@@ -37,8 +37,8 @@
 		release()
 		assert.Assert(t, hits() > 0)
 		reads := is[keys.Read.Path].Calls - was[keys.Read.Path].Calls
-		bytes := is[voter.Peek.Path].Bytes - was[voter.Peek.Path].Bytes
-		claims := is[voter.Promise.Path].Calls - was[voter.Promise.Path].Calls
+		bytes := is[acceptor.Peek.Path].Bytes - was[acceptor.Peek.Path].Bytes
+		claims := is[acceptor.Promise.Path].Calls - was[acceptor.Promise.Path].Calls
 		t.Logf("%d reads, %d bytes of copies, %d promises asked", reads, bytes, claims)
 		assert.Assert(t, reads <= 6, "%d reads", reads)
 		assert.Assert(t, bytes < 44<<10, "%d bytes of copies", bytes)
--- a/internal/proof/sim/vows.go
+++ b/internal/proof/sim/vows.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"postjunction/internal/control/voter"
+	"postjunction/internal/control/acceptor"
 	"postjunction/internal/ledger/replica"
 	"postjunction/internal/problem"
 	"postjunction/internal/proof/history"
@@ -16,10 +16,10 @@
 type vowReader func(w *World, q []byte, a []byte, asked time.Time)
 
 var vowReaders = map[string]vowReader{
-	replica.Seal.Path:   replicaVow,
-	replica.Append.Path: replicaVow,
-	voter.Promise.Path:  voterVow,
-	voter.Accept.Path:   voterVow,
+	replica.Seal.Path:     replicaVow,
+	replica.Append.Path:   replicaVow,
+	acceptor.Promise.Path: voterVow,
+	acceptor.Accept.Path:  voterVow,
 }
 
 type answered struct {
@@ -42,7 +42,7 @@
 }
 
 func voterVow(w *World, q, a []byte, asked time.Time) {
-	var t voter.PromiseRequest
+	var t acceptor.PromiseRequest
 	if wire.Read(q, &t) == nil && yes(a) {
 		w.History.Vow(t.Incarnation, "key "+t.Key+" under roster "+string(rune('0'+t.Roster)), history.Rank{Number: t.Epoch.N, Node: t.Epoch.Node}, asked, time.Now())
 	}
--- a/internal/proof/sim/woken_test.go
+++ b/internal/proof/sim/woken_test.go
@@ -8,8 +8,8 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/control/acceptor"
 	keys "postjunction/internal/control/register"
-	"postjunction/internal/control/voter"
 )
 
 // Many control nodes that lose power right after a description was accepted, and come back one after another, are licensed soon, and do not send
@@ -49,7 +49,7 @@
 					return !slices.ContainsFunc(ns, func(n string) bool { return w.Machines[n].Node().Ready() != nil })
 				}))
 				is, bytes := w.Flows(), 0
-				for _, p := range []string{keys.Read.Path, voter.Peek.Path, voter.Promise.Path, voter.Accept.Path} {
+				for _, p := range []string{keys.Read.Path, acceptor.Peek.Path, acceptor.Promise.Path, acceptor.Accept.Path} {
 					bytes += is[p].Bytes - was[p].Bytes
 				}
 				assert.Assert(t, bytes < 50*len(big.Describe(1)), "%d bytes for a description of %d", bytes, len(big.Describe(1)))
