--- a/internal/control/acceptor/calls.go
+++ b/internal/control/acceptor/calls.go
@@ -5,7 +5,7 @@
 	"context"
 
 	"postjunction/internal/control/epoch"
-	"postjunction/internal/control/roster"
+	"postjunction/internal/control/voters"
 	"postjunction/internal/wire"
 )
 
@@ -78,7 +78,7 @@
 // OpenRequest brings a voter under a roster with the copied keys.
 type OpenRequest struct {
 	Incarnation string          `json:"incarnation"`
-	Roster      roster.Roster   `json:"roster"`
+	Roster      voters.Roster   `json:"roster"`
 	Slots       map[string]Slot `json:"slots"`
 	Founding    bool            `json:"founding,omitempty"`
 }
@@ -86,7 +86,7 @@
 // FoundRequest asks a fresh disk to agree to a founding roster.
 type FoundRequest struct {
 	Incarnation string        `json:"incarnation"`
-	Roster      roster.Roster `json:"roster"`
+	Roster      voters.Roster `json:"roster"`
 }
 
 // Done is an answer without contents.
@@ -105,7 +105,7 @@
 const RosterKey = "roster"
 
 // Whole reads the slot that a voter told briefly, with its value; it is not ok when another one stands there by now.
-func Whole(ctx context.Context, n wire.Network, self string, r roster.Roster, s roster.Seat, k string, told Slot) (Slot, bool) {
+func Whole(ctx context.Context, n wire.Network, self string, r voters.Roster, s voters.Seat, k string, told Slot) (Slot, bool) {
 	a, err := Peek.Call(ctx, n, self, s.Addr, &PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Keys: []string{k}})
 	if err != nil {
 		return Slot{}, false
--- a/internal/control/acceptor/giveup_test.go
+++ b/internal/control/acceptor/giveup_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/clock"
-	"postjunction/internal/control/roster"
+	"postjunction/internal/control/voters"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/disk/memlog"
 	"postjunction/internal/kinds"
@@ -58,7 +58,7 @@
 				run, end := context.WithCancel(ctx)
 				defer end()
 				go j.Run(run)
-				v.Start("i1", j, func(roster.Roster) error { return nil }, func(roster.Roster) {})
+				v.Start("i1", j, func(voters.Roster) error { return nil }, func(voters.Roster) {})
 				_, err = v.Found(ctx, &FoundRequest{Incarnation: "i1", Roster: first()})
 				assert.NilError(t, err)
 				_, err = v.Open(ctx, &OpenRequest{Incarnation: "i1", Roster: first(), Founding: true})
--- a/internal/control/acceptor/voter.go
+++ b/internal/control/acceptor/voter.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"sync"
 
-	"postjunction/internal/control/roster"
+	"postjunction/internal/control/voters"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/kinds"
 	"postjunction/internal/problem"
@@ -20,11 +20,11 @@
 	turns       *turn.Turns
 	mu          sync.Mutex
 	slots       map[string]Slot
-	roster      roster.Roster
-	founding    *roster.Roster
+	roster      voters.Roster
+	founding    *voters.Roster
 	sealing     chan struct{}
-	agree       func(roster.Roster) error
-	opened      func(roster.Roster)
+	agree       func(voters.Roster) error
+	opened      func(voters.Roster)
 }
 
 const turnShards = 8
@@ -35,7 +35,7 @@
 }
 
 // Start gives the voter its disk, its check of foundings, and whom to tell of a new roster.
-func (v *Voter) Start(incarnation string, j *journal.Journal, agree func(roster.Roster) error, opened func(roster.Roster)) {
+func (v *Voter) Start(incarnation string, j *journal.Journal, agree func(voters.Roster) error, opened func(voters.Roster)) {
 	v.incarnation, v.journal, v.agree, v.opened = incarnation, j, agree, opened
 }
 
@@ -45,8 +45,8 @@
 }
 
 type rosterRec struct {
-	Roster   roster.Roster  `json:"roster"`
-	Founding *roster.Roster `json:"founding,omitempty"`
+	Roster   voters.Roster  `json:"roster"`
+	Founding *voters.Roster `json:"founding,omitempty"`
 	Clear    bool           `json:"clear,omitempty"`
 }
 
@@ -102,7 +102,7 @@
 }
 
 // Roster gives the roster that this voter is under; its sequence is 0 before founding.
-func (v *Voter) Roster() roster.Roster {
+func (v *Voter) Roster() voters.Roster {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.roster
--- a/internal/control/confirm/confirm.go
+++ b/internal/control/confirm/confirm.go
@@ -11,7 +11,7 @@
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/register"
 	"postjunction/internal/control/repair"
-	"postjunction/internal/control/roster"
+	"postjunction/internal/control/voters"
 	"postjunction/internal/description"
 	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
@@ -87,7 +87,7 @@
 	return f.c.At != none
 }
 
-type peeks = []gather.Answer[roster.Seat, *acceptor.PeekResponse]
+type peeks = []gather.Answer[voters.Seat, *acceptor.PeekResponse]
 
 func (f *Confirmer) once(ctx context.Context) {
 	r := f.Board.Roster()
@@ -97,7 +97,7 @@
 	at := f.Clock.Now()
 	cx, stop := context.WithTimeout(ctx, f.Bounds.Call())
 	defer stop()
-	as := gather.Ask(cx, r.Seats, func(ctx context.Context, s roster.Seat) (*acceptor.PeekResponse, error) {
+	as := gather.Ask(cx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
 		return acceptor.Peek.Call(ctx, f.Net, f.Self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Keys: []string{Key}, Brief: true})
 	}, func(as peeks) bool {
 		f.reach(as, r.Majority())
@@ -177,7 +177,7 @@
 // settle tells whether the description may be read now. Copies that differ mostly do so while a change is on its way, and to read a key whose copies
 // differ may mean to claim it, which makes them differ for all others. So that is left to later heartbeats, while the last confirmation is young, and to a few
 // nodes.
-func (f *Confirmer) settle(r roster.Roster, same bool) bool {
+func (f *Confirmer) settle(r voters.Roster, same bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if same || f.c.At == none {
--- a/internal/control/founding/founding.go
+++ b/internal/control/founding/founding.go
@@ -7,7 +7,7 @@
 	"strings"
 
 	"postjunction/internal/control/acceptor"
-	"postjunction/internal/control/roster"
+	"postjunction/internal/control/voters"
 	"postjunction/internal/gather"
 	"postjunction/internal/member"
 	"postjunction/internal/options"
@@ -29,9 +29,9 @@
 
 // Plan gives the founding roster, once every node that may take part has answered.
 // A fleet that stands already, seen at any of them, ends the plan.
-func (f *Founder) Plan(ctx context.Context) (roster.Roster, error) {
+func (f *Founder) Plan(ctx context.Context) (voters.Roster, error) {
 	if f.opts.Founding == options.FoundNever {
-		return roster.Roster{}, problem.New(problem.NotFounded, "this disk came back empty: it founds nothing and waits for a seat")
+		return voters.Roster{}, problem.New(problem.NotFounded, "this disk came back empty: it founds nothing and waits for a seat")
 	}
 	addrs := f.opts.Founders
 	named := len(addrs) > 0
@@ -56,31 +56,31 @@
 		return h.Info, nil
 	}, nil)
 	if err := gather.First(as); err != nil || len(as) < len(addrs) {
-		return roster.Roster{}, problem.Because(problem.NotFounded, err, "%d of %d founding addresses answered", len(gather.Good(as)), len(addrs))
+		return voters.Roster{}, problem.Because(problem.NotFounded, err, "%d of %d founding addresses answered", len(gather.Good(as)), len(addrs))
 	}
-	var seats []roster.Seat
+	var seats []voters.Seat
 	for _, a := range as {
 		if a.A.Roster > 0 {
-			return roster.Roster{}, problem.New(problem.StaleRoster, "%s is under roster %d already", a.A.Name, a.A.Roster).At(a.A.Roster)
+			return voters.Roster{}, problem.New(problem.StaleRoster, "%s is under roster %d already", a.A.Name, a.A.Roster).At(a.A.Roster)
 		}
 		if a.A.Disk == options.DiskControl {
-			seats = append(seats, roster.Seat{Node: a.A.Name, Addr: a.A.Peers, Incarnation: a.A.Incarnation})
+			seats = append(seats, voters.Seat{Node: a.A.Name, Addr: a.A.Peers, Incarnation: a.A.Incarnation})
 		} else if named {
-			return roster.Roster{}, problem.New(problem.NotFounded, "founder %s at %s has no control disk", a.A.Name, a.Who)
+			return voters.Roster{}, problem.New(problem.NotFounded, "founder %s at %s has no control disk", a.A.Name, a.Who)
 		}
 	}
 	if len(seats) == 0 && seeds {
 		i := f.self()
-		seats = []roster.Seat{{Node: i.Name, Addr: i.Peers, Incarnation: i.Incarnation}}
+		seats = []voters.Seat{{Node: i.Name, Addr: i.Peers, Incarnation: i.Incarnation}}
 	}
 	if len(seats) == 0 {
-		return roster.Roster{}, problem.New(problem.NotFounded, "no founding address has a control disk")
+		return voters.Roster{}, problem.New(problem.NotFounded, "no founding address has a control disk")
 	}
-	return roster.Found(seats, roster.Layout{Routine: f.opts.Routine, Urgent: f.opts.Urgent, Losses: f.opts.Losses}), nil
+	return voters.Found(seats, voters.Layout{Routine: f.opts.Routine, Urgent: f.opts.Urgent, Losses: f.opts.Losses}), nil
 }
 
 // Agree checks a proposed founding against this node's own plan.
-func (f *Founder) Agree(ctx context.Context, r roster.Roster) error {
+func (f *Founder) Agree(ctx context.Context, r voters.Roster) error {
 	p, err := f.Plan(ctx)
 	if err != nil {
 		return err
@@ -91,7 +91,7 @@
 	return nil
 }
 
-func names(r roster.Roster) string {
+func names(r voters.Roster) string {
 	var s []string
 	for _, x := range r.Seats {
 		s = append(s, x.Node)
@@ -100,7 +100,7 @@
 }
 
 // leave gets the leave to found alone from every seed, one after the other, so that of several voters at most one gets them all.
-func (f *Founder) leave(ctx context.Context, r roster.Roster) error {
+func (f *Founder) leave(ctx context.Context, r voters.Roster) error {
 	addrs := slices.Sorted(slices.Values(f.opts.Seeds))
 	for _, a := range slices.Compact(addrs) {
 		cx, stop := context.WithTimeout(ctx, f.opts.Bounds().Call())
@@ -114,7 +114,7 @@
 }
 
 // Try founds the fleet if this node is the first of the founders.
-func (f *Founder) Try(ctx context.Context) (roster.Roster, error) {
+func (f *Founder) Try(ctx context.Context) (voters.Roster, error) {
 	r, err := f.Plan(ctx)
 	if err != nil {
 		return r, err
@@ -127,8 +127,8 @@
 			return r, err
 		}
 	}
-	ask := func(do func(context.Context, roster.Seat) (*acceptor.Done, error)) error {
-		as := gather.Ask(ctx, r.Seats, func(ctx context.Context, s roster.Seat) (*acceptor.Done, error) {
+	ask := func(do func(context.Context, voters.Seat) (*acceptor.Done, error)) error {
+		as := gather.Ask(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.Done, error) {
 			cx, stop := context.WithTimeout(ctx, f.opts.Bounds().Call())
 			defer stop()
 			return do(cx, s)
@@ -138,12 +138,12 @@
 		}
 		return nil
 	}
-	if err := ask(func(ctx context.Context, s roster.Seat) (*acceptor.Done, error) {
+	if err := ask(func(ctx context.Context, s voters.Seat) (*acceptor.Done, error) {
 		return acceptor.Found.Call(ctx, f.net, f.opts.Name, s.Addr, &acceptor.FoundRequest{Incarnation: s.Incarnation, Roster: r})
 	}); err != nil {
 		return r, err
 	}
-	return r, ask(func(ctx context.Context, s roster.Seat) (*acceptor.Done, error) {
+	return r, ask(func(ctx context.Context, s voters.Seat) (*acceptor.Done, error) {
 		return acceptor.Open.Call(ctx, f.net, f.opts.Name, s.Addr, &acceptor.OpenRequest{Incarnation: s.Incarnation, Roster: r, Founding: true})
 	})
 }
--- a/internal/control/model/walk_test.go
+++ b/internal/control/model/walk_test.go
@@ -13,7 +13,7 @@
 
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/epoch"
-	"postjunction/internal/control/roster"
+	"postjunction/internal/control/voters"
 )
 
 const (
@@ -28,7 +28,7 @@
 var members = [3]uint8{0, 0b0111, 0b1011}
 
 // seats gives the roster's own rules their sizes.
-var seats = roster.Roster{Seats: make([]roster.Seat, 3)}
+var seats = voters.Roster{Seats: make([]voters.Seat, 3)}
 
 func majority(mask uint8) bool { return bits.OnesCount8(mask) >= seats.Majority() }
 
--- a/internal/control/reform/reform.go
+++ b/internal/control/reform/reform.go
@@ -7,7 +7,7 @@
 
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/epoch"
-	"postjunction/internal/control/roster"
+	"postjunction/internal/control/voters"
 	"postjunction/internal/gather"
 	"postjunction/internal/options"
 	"postjunction/internal/problem"
@@ -33,42 +33,42 @@
 
 // Change decides what follows roster r, wanted unless another change was begun, and opens it.
 // It gives the roster that came into force.
-func (f *Reformer) Change(ctx context.Context, r, want roster.Roster) (roster.Roster, error) {
+func (f *Reformer) Change(ctx context.Context, r, want voters.Roster) (voters.Roster, error) {
 	next, err := f.decide(ctx, r, want)
 	if err != nil {
-		return roster.Roster{}, err
+		return voters.Roster{}, err
 	}
 	slots, err := f.copy(ctx, r)
 	if err != nil {
-		return roster.Roster{}, err
+		return voters.Roster{}, err
 	}
-	as := gather.Ask(ctx, next.Seats, func(ctx context.Context, s roster.Seat) (*acceptor.Done, error) {
+	as := gather.Ask(ctx, next.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.Done, error) {
 		cx, stop := f.call(context.WithoutCancel(ctx))
 		defer stop()
 		return acceptor.Open.Call(cx, f.net, f.self, s.Addr, &acceptor.OpenRequest{Incarnation: s.Incarnation, Roster: next, Slots: slots})
-	}, func(as []gather.Answer[roster.Seat, *acceptor.Done]) bool {
+	}, func(as []gather.Answer[voters.Seat, *acceptor.Done]) bool {
 		return len(gather.Good(as)) >= next.Majority()
 	})
 	if n := len(gather.Good(as)); n < next.Majority() {
-		return roster.Roster{}, problem.Because(problem.NoMajority, gather.First(as), "roster %d was opened on %d of %d disks", next.Sequence, n, len(next.Seats))
+		return voters.Roster{}, problem.Because(problem.NoMajority, gather.First(as), "roster %d was opened on %d of %d disks", next.Sequence, n, len(next.Seats))
 	}
 	return next, nil
 }
 
-func (f *Reformer) decide(ctx context.Context, r, want roster.Roster) (roster.Roster, error) {
+func (f *Reformer) decide(ctx context.Context, r, want voters.Roster) (voters.Roster, error) {
 	e := f.seen.Next(f.self)
 	f.seen = e
-	enough := func(as []gather.Answer[roster.Seat, *acceptor.SlotResponse]) bool { return f.ok(as) >= r.Majority() }
-	ballot := func(s roster.Seat) acceptor.Ballot {
+	enough := func(as []gather.Answer[voters.Seat, *acceptor.SlotResponse]) bool { return f.ok(as) >= r.Majority() }
+	ballot := func(s voters.Seat) acceptor.Ballot {
 		return acceptor.Ballot{Roster: r.Sequence, Incarnation: s.Incarnation, Key: acceptor.RosterKey}
 	}
-	as := gather.Ask(ctx, r.Seats, func(ctx context.Context, s roster.Seat) (*acceptor.SlotResponse, error) {
+	as := gather.Ask(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.SlotResponse, error) {
 		cx, stop := f.call(ctx)
 		defer stop()
 		return acceptor.Promise.Call(cx, f.net, f.self, s.Addr, &acceptor.PromiseRequest{Ballot: ballot(s), Epoch: e})
 	}, enough)
 	if !enough(as) {
-		return roster.Roster{}, f.short(r, as, "promised")
+		return voters.Roster{}, f.short(r, as, "promised")
 	}
 	var top acceptor.Slot
 	for _, a := range gather.Good(as) {
@@ -79,22 +79,22 @@
 	next := want
 	if !top.Accepted.Zero() {
 		if err := json.Unmarshal(top.Value.Body, &next); err != nil {
-			return roster.Roster{}, problem.Wrap(problem.DiskDamaged, err, "read the next roster")
+			return voters.Roster{}, problem.Wrap(problem.DiskDamaged, err, "read the next roster")
 		}
 	}
 	b, _ := json.Marshal(next)
-	as = gather.Ask(ctx, r.Seats, func(ctx context.Context, s roster.Seat) (*acceptor.SlotResponse, error) {
+	as = gather.Ask(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.SlotResponse, error) {
 		cx, stop := f.call(ctx)
 		defer stop()
 		return acceptor.Accept.Call(cx, f.net, f.self, s.Addr, &acceptor.AcceptRequest{Ballot: ballot(s), Epoch: e, Value: acceptor.Value{Writes: 1, By: f.self, Body: b}})
 	}, enough)
 	if !enough(as) {
-		return roster.Roster{}, f.short(r, as, "accepted")
+		return voters.Roster{}, f.short(r, as, "accepted")
 	}
 	return next, nil
 }
 
-func (f *Reformer) ok(as []gather.Answer[roster.Seat, *acceptor.SlotResponse]) int {
+func (f *Reformer) ok(as []gather.Answer[voters.Seat, *acceptor.SlotResponse]) int {
 	n := 0
 	for _, a := range gather.Good(as) {
 		if a.A.OK {
@@ -106,7 +106,7 @@
 	return n
 }
 
-func (f *Reformer) short(r roster.Roster, as []gather.Answer[roster.Seat, *acceptor.SlotResponse], verb string) error {
+func (f *Reformer) short(r voters.Roster, as []gather.Answer[voters.Seat, *acceptor.SlotResponse], verb string) error {
 	for _, a := range as {
 		if problem.Has(a.Err, problem.StaleRoster) {
 			return a.Err
@@ -115,10 +115,10 @@
 	return problem.Because(problem.NoMajority, gather.First(as), "%d of %d disks %s a change of roster %d", f.ok(as), len(r.Seats), verb, r.Sequence)
 }
 
-func (f *Reformer) copy(ctx context.Context, r roster.Roster) (map[string]acceptor.Slot, error) {
-	type answers = []gather.Answer[roster.Seat, *acceptor.PeekResponse]
+func (f *Reformer) copy(ctx context.Context, r voters.Roster) (map[string]acceptor.Slot, error) {
+	type answers = []gather.Answer[voters.Seat, *acceptor.PeekResponse]
 	enough := func(as answers) bool { return len(gather.Good(as)) >= r.Intact() }
-	as := gather.Ask(ctx, r.Seats, func(ctx context.Context, s roster.Seat) (*acceptor.PeekResponse, error) {
+	as := gather.Ask(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
 		cx, stop := f.call(ctx)
 		defer stop()
 		return acceptor.Peek.Call(cx, f.net, f.self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Sealed: true})
@@ -142,7 +142,7 @@
 }
 
 // Catch opens the roster in force on a seat that missed it, with the slots of a seat that has it.
-func (f *Reformer) Catch(ctx context.Context, r roster.Roster, late roster.Seat) error {
+func (f *Reformer) Catch(ctx context.Context, r voters.Roster, late voters.Seat) error {
 	for _, s := range r.Seats {
 		if s.Node == late.Node {
 			continue
--- a/internal/control/repair/repair.go
+++ b/internal/control/repair/repair.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"postjunction/internal/control/acceptor"
-	"postjunction/internal/control/roster"
+	"postjunction/internal/control/voters"
 	"postjunction/internal/gather"
 	"postjunction/internal/options"
 	"postjunction/internal/wire"
@@ -19,17 +19,17 @@
 	Bounds options.Bounds
 }
 
-type copy = gather.Answer[roster.Seat, *acceptor.PeekResponse]
+type copy = gather.Answer[voters.Seat, *acceptor.PeekResponse]
 
 // Keys compares the copies of the named keys, all when none are named, and brings old ones up. It gives how many it mended. Values are read only
 // where some copy is old, and then from one voter.
-func (m *Mender) Keys(ctx context.Context, r roster.Roster, keys ...string) int {
+func (m *Mender) Keys(ctx context.Context, r voters.Roster, keys ...string) int {
 	cx, stop := context.WithTimeout(ctx, m.Bounds.Call())
 	defer stop()
-	as := gather.Good(gather.Ask(cx, r.Seats, func(ctx context.Context, s roster.Seat) (*acceptor.PeekResponse, error) {
+	as := gather.Good(gather.Ask(cx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
 		return acceptor.Peek.Call(ctx, m.Net, m.Self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Keys: keys, Brief: true})
 	}, nil))
-	top, at := map[string]acceptor.Slot{}, map[string]roster.Seat{}
+	top, at := map[string]acceptor.Slot{}, map[string]voters.Seat{}
 	for _, a := range as {
 		for k, s := range a.A.Slots {
 			if s.Above(top[k]) {
@@ -50,7 +50,7 @@
 	return n
 }
 
-func (m *Mender) key(ctx context.Context, r roster.Roster, old []copy, k string, t acceptor.Slot) int {
+func (m *Mender) key(ctx context.Context, r voters.Roster, old []copy, k string, t acceptor.Slot) int {
 	n := 0
 	for _, a := range old {
 		cx, stop := context.WithTimeout(ctx, m.Bounds.Call())
--- a/internal/control/steward/steward.go
+++ b/internal/control/steward/steward.go
@@ -14,7 +14,7 @@
 	"postjunction/internal/control/founding"
 	"postjunction/internal/control/reform"
 	"postjunction/internal/control/repair"
-	"postjunction/internal/control/roster"
+	"postjunction/internal/control/voters"
 	"postjunction/internal/event"
 	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
@@ -92,7 +92,7 @@
 	}
 }
 
-func (s *Reconfigurer) tend(ctx context.Context, r roster.Roster) {
+func (s *Reconfigurer) tend(ctx context.Context, r voters.Roster) {
 	live := map[string]member.Info{}
 	for _, i := range s.Live() {
 		if i.Disk == options.DiskControl {
@@ -113,9 +113,9 @@
 	}
 	s.sealed = time.Time{}
 	s.sweep(ctx, r)
-	var ins []roster.Seat
+	var ins []voters.Seat
 	var whys []string
-	var late []roster.Seat
+	var late []voters.Seat
 	for _, x := range r.Seats {
 		i, ok := live[x.Node]
 		switch {
@@ -157,7 +157,7 @@
 		s.change(ctx, r, r.Without(gone...).Replace(ins...), strings.Join(whys, "; "))
 		return
 	}
-	gather.Ask(ctx, late, func(ctx context.Context, x roster.Seat) (bool, error) {
+	gather.Ask(ctx, late, func(ctx context.Context, x voters.Seat) (bool, error) {
 		err := s.Reformer.Catch(ctx, r, x)
 		if err != nil {
 			s.Log.Say(event.RosterTrouble, "problem", err)
@@ -168,7 +168,7 @@
 
 // finish ends a change of the roster that another voter began, when the roster has been sealed here for longer than that takes: who began it may
 // be lost, and nobody decides anything until it ended. The voters step in one after the other; epochs settle it where two do.
-func (s *Reconfigurer) finish(ctx context.Context, r roster.Roster, live map[string]member.Info, first string) {
+func (s *Reconfigurer) finish(ctx context.Context, r voters.Roster, live map[string]member.Info, first string) {
 	if s.Sealed() != r.Sequence {
 		s.sealed = time.Time{}
 		return
@@ -194,7 +194,7 @@
 }
 
 // miss notes which seats are not live and since when, and the zones of those that are.
-func (s *Reconfigurer) miss(r roster.Roster, live map[string]member.Info) {
+func (s *Reconfigurer) miss(r voters.Roster, live map[string]member.Info) {
 	was := s.gone
 	s.gone = map[string]time.Time{}
 	if s.zones == nil {
@@ -232,7 +232,7 @@
 }
 
 // surplus lists the seats, among those beyond what the fleet was founded with, whose voters are gone: a newcomer was seated before they went.
-func (s *Reconfigurer) surplus(r roster.Roster) []string {
+func (s *Reconfigurer) surplus(r voters.Roster) []string {
 	var gone []string
 	for _, x := range r.Seats {
 		t, ok := s.gone[x.Node]
@@ -257,7 +257,7 @@
 	return s.Clock.Now().Sub(s.gone[out]) >= wait
 }
 
-func (s *Reconfigurer) sweep(ctx context.Context, r roster.Roster) {
+func (s *Reconfigurer) sweep(ctx context.Context, r voters.Roster) {
 	now := s.Clock.Now()
 	if now.Sub(s.swept) < s.Bounds.Sweep() {
 		return
@@ -268,11 +268,11 @@
 	}
 }
 
-func seat(i member.Info) roster.Seat {
-	return roster.Seat{Node: i.Name, Addr: i.Peers, Incarnation: i.Incarnation}
+func seat(i member.Info) voters.Seat {
+	return voters.Seat{Node: i.Name, Addr: i.Peers, Incarnation: i.Incarnation}
 }
 
-func (s *Reconfigurer) change(ctx context.Context, r, want roster.Roster, why string) {
+func (s *Reconfigurer) change(ctx context.Context, r, want voters.Roster, why string) {
 	s.Log.Say(event.RosterChange, "from", r.Sequence, "reason", why)
 	n, err := s.Reformer.Change(ctx, r, want)
 	if err != nil {
--- a/internal/control/roster/roster.go
+++ b/internal/control/voters/roster.go
@@ -1,5 +1,5 @@
-// Package roster names the disks whose majority decides control keys.
-package roster
+// Package voters names the disks whose majority decides control keys.
+package voters
 
 import (
 	"crypto/sha256"
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"postjunction/internal/clock"
-	"postjunction/internal/control/roster"
+	"postjunction/internal/control/voters"
 	"postjunction/internal/description"
 	"postjunction/internal/member"
 	"postjunction/internal/options"
@@ -35,7 +35,7 @@
 
 // News is what one node has and another lacks. A description comes whole, without its source, or by the changes to one that the other has.
 type News struct {
-	Roster      *roster.Roster           `json:"r,omitempty"`
+	Roster      *voters.Roster           `json:"r,omitempty"`
 	Description *description.Description `json:"d,omitempty"`
 	Changes     []description.Change     `json:"c,omitempty"`
 	Records     []record.Record          `json:"p,omitempty"`
@@ -66,7 +66,7 @@
 // Board holds a node's news; nothing on it ever goes back.
 type Board struct {
 	mu      sync.Mutex
-	roster  roster.Roster
+	roster  voters.Roster
 	desc    description.Description
 	index   *description.Index
 	changes []description.Change
@@ -196,7 +196,7 @@
 }
 
 // Roster gives the newest roster.
-func (b *Board) Roster() roster.Roster {
+func (b *Board) Roster() voters.Roster {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.roster
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/clock"
-	"postjunction/internal/control/roster"
+	"postjunction/internal/control/voters"
 	"postjunction/internal/description"
 	"postjunction/internal/options"
 	"postjunction/internal/placement/record"
@@ -20,14 +20,14 @@
 func TestNewsNeverGoesBack(t *testing.T) {
 	heard := 0
 	b := NewBoard(func(News) { heard++ })
-	r := roster.Roster{Sequence: 2, Fleet: "f", Layout: roster.Layout{Routine: 1, Urgent: 1}}
+	r := voters.Roster{Sequence: 2, Fleet: "f", Layout: voters.Layout{Routine: 1, Urgent: 1}}
 	offer := func(d, w uint64) bool {
 		return !b.Offer(News{Roster: &r, Description: &description.Description{Sequence: d}, Records: []record.Record{{Partition: 1, Writes: w}}}).Empty()
 	}
 	assert.Assert(t, offer(3, 5))
 	assert.Assert(t, !offer(3, 5))
 	assert.Assert(t, !offer(2, 4))
-	other := roster.Roster{Sequence: 9, Fleet: "g"}
+	other := voters.Roster{Sequence: 9, Fleet: "g"}
 	assert.Assert(t, b.Offer(News{Roster: &other}).Empty(), "another fleet's roster")
 	assert.Equal(t, heard, 1)
 	assert.Equal(t, b.Description().Sequence, uint64(3))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -20,8 +20,8 @@
 	"postjunction/internal/control/reform"
 	"postjunction/internal/control/register"
 	"postjunction/internal/control/repair"
-	"postjunction/internal/control/roster"
 	"postjunction/internal/control/steward"
+	"postjunction/internal/control/voters"
 	"postjunction/internal/disk/identity"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/door"
@@ -162,11 +162,11 @@
 		n.log.Say(event.DiskNew, "incarnation", inc)
 	}
 	n.replica.Start(inc, j)
-	n.voter.Start(inc, j, n.agree, func(r roster.Roster) { n.Board.Offer(gossip.News{Roster: &r}) })
+	n.voter.Start(inc, j, n.agree, func(r voters.Roster) { n.Board.Offer(gossip.News{Roster: &r}) })
 	return nil
 }
 
-func (n *Node) agree(r roster.Roster) error {
+func (n *Node) agree(r voters.Roster) error {
 	cx, stop := context.WithTimeout(context.Background(), n.bounds().Call())
 	defer stop()
 	return n.founder.Agree(cx, r)
@@ -207,7 +207,7 @@
 }
 
 // Roster gives the newest roster known here.
-func (n *Node) Roster() roster.Roster { return n.Board.Roster() }
+func (n *Node) Roster() voters.Roster { return n.Board.Roster() }
 
 // Live finds a control node that has a session.
 func (n *Node) Live(node string) (string, bool) {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -12,7 +12,7 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/client"
-	"postjunction/internal/control/roster"
+	"postjunction/internal/control/voters"
 	"postjunction/internal/event"
 	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
@@ -63,7 +63,7 @@
 	Licensed    bool            `json:"licensed"`
 	Fleet       string          `json:"fleet"`
 	Description uint64          `json:"description"`
-	Roster      roster.Roster   `json:"roster"`
+	Roster      voters.Roster   `json:"roster"`
 	Members     []member.Info   `json:"members"`
 	Partitions  []record.Record `json:"partitions"`
 	Owned       []owner.View    `json:"owned"`
--- a/internal/operator/quorum.go
+++ b/internal/operator/quorum.go
@@ -4,7 +4,7 @@
 	"context"
 
 	"postjunction/internal/control/acceptor"
-	"postjunction/internal/control/roster"
+	"postjunction/internal/control/voters"
 	"postjunction/internal/gather"
 	"postjunction/internal/member"
 	"postjunction/internal/problem"
@@ -46,7 +46,7 @@
 	r := s.Board.Roster()
 	cx, stop := context.WithTimeout(ctx, s.Bounds.Call())
 	defer stop()
-	as := gather.Ask(cx, r.Seats, s.known, func(as []gather.Answer[roster.Seat, []member.Info]) bool { return len(gather.Good(as)) >= r.Majority() })
+	as := gather.Ask(cx, r.Seats, s.known, func(as []gather.Answer[voters.Seat, []member.Info]) bool { return len(gather.Good(as)) >= r.Majority() })
 	good := gather.Good(as)
 	if r.Sequence == 0 || len(good) < r.Majority() {
 		return c, problem.Because(problem.NoMajority, gather.First(as), "%d of %d control nodes told which machines they know", len(good), len(r.Seats))
@@ -61,7 +61,7 @@
 }
 
 // known asks the control node of a seat which machines it knows, itself among them.
-func (s *Service) known(ctx context.Context, to roster.Seat) ([]member.Info, error) {
+func (s *Service) known(ctx context.Context, to voters.Seat) ([]member.Info, error) {
 	a, err := member.Hello.Call(ctx, s.Net, s.Info().Name, to.Addr, &member.HelloRequest{})
 	if err != nil {
 		return nil, err
--- a/internal/partition/partition.go
+++ b/internal/partition/partition.go
@@ -4,7 +4,7 @@
 import (
 	"hash/fnv"
 
-	"postjunction/internal/control/roster"
+	"postjunction/internal/control/voters"
 )
 
 // None is the partition of everything before the layout is known.
@@ -20,7 +20,7 @@
 }
 
 // Of gives the partition of a topic.
-func Of(topic string, urgent bool, l roster.Layout) int {
+func Of(topic string, urgent bool, l voters.Layout) int {
 	if urgent {
 		return pick(topic, l.Routine, l.Urgent)
 	}
@@ -29,9 +29,9 @@
 
 // OfVisitor gives the partition that keeps a visitor's attachment. There are two: a routine one, which numbers attachments,
 // and an urgent one, which urgent calls ask, so that they never meet a routine partition.
-func OfVisitor(name string, urgent bool, l roster.Layout) int {
+func OfVisitor(name string, urgent bool, l voters.Layout) int {
 	return Of("\x1fvisitors/"+name, urgent, l)
 }
 
 // Urgent tells whether a partition is one of the urgent ones.
-func Urgent(p int, l roster.Layout) bool { return p >= l.Routine }
+func Urgent(p int, l voters.Layout) bool { return p >= l.Routine }
--- a/internal/proof/crash/crash_test.go
+++ b/internal/proof/crash/crash_test.go
@@ -10,7 +10,7 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/epoch"
-	"postjunction/internal/control/roster"
+	"postjunction/internal/control/voters"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/kinds"
 	"postjunction/internal/ledger/line"
@@ -40,15 +40,15 @@
 	}()
 	s.j = j
 	s.r.Start("i", j)
-	s.v.Start("i1", j, func(roster.Roster) error { return nil }, func(roster.Roster) {})
+	s.v.Start("i1", j, func(voters.Roster) error { return nil }, func(voters.Roster) {})
 	return s, rep, func() {
 		stop()
 		<-done
 	}
 }
 
-func founding() roster.Roster {
-	return roster.Found([]roster.Seat{{Node: "c1", Incarnation: "i1"}, {Node: "c2", Incarnation: "i2"}, {Node: "c3", Incarnation: "i3"}}, roster.Layout{Routine: 2, Urgent: 1})
+func founding() voters.Roster {
+	return voters.Found([]voters.Seat{{Node: "c1", Incarnation: "i1"}, {Node: "c2", Incarnation: "i2"}, {Node: "c3", Incarnation: "i3"}}, voters.Layout{Routine: 2, Urgent: 1})
 }
 
 func entries(after line.Point, e uint64, n int) []line.Entry {
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"postjunction/internal/clock"
-	"postjunction/internal/control/roster"
+	"postjunction/internal/control/voters"
 	"postjunction/internal/description"
 	"postjunction/internal/event"
 	"postjunction/internal/gather"
@@ -54,7 +54,7 @@
 	Confirmed   bool                     `json:"confirmed"`
 	Sequence    uint64                   `json:"sequence"`
 	Age         time.Duration            `json:"age"`
-	Roster      *roster.Roster           `json:"roster,omitempty"`
+	Roster      *voters.Roster           `json:"roster,omitempty"`
 	Description *description.Description `json:"description,omitempty"`
 	Changes     []description.Change     `json:"d,omitempty"`
 }
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -14,7 +14,7 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/clock"
-	"postjunction/internal/control/roster"
+	"postjunction/internal/control/voters"
 	"postjunction/internal/event"
 	"postjunction/internal/gossip"
 	"postjunction/internal/member"
@@ -29,7 +29,7 @@
 				o := options.Default()
 				o.Name, o.Stretch = "a1", options.Span(10*time.Second)
 				b := gossip.NewBoard(nil)
-				b.Offer(gossip.News{Roster: &roster.Roster{Sequence: 1, Fleet: "f"}})
+				b.Offer(gossip.News{Roster: &voters.Roster{Sequence: 1, Fleet: "f"}})
 				info := func() member.Info { return member.Info{Name: "a1"} }
 				c := Confirmed{OK: true}
 				h := &Host{Self: "a1", Clock: clock.Real{}, Bounds: o.Bounds(), Table: member.NewTable(clock.Real{}, o.Bounds()), Board: b, Info: info, Latest: func() Confirmed { return c }}
@@ -271,7 +271,7 @@
 		o := options.Default()
 		o.Name = "c1"
 		b := gossip.NewBoard(nil)
-		b.Offer(gossip.News{Roster: &roster.Roster{Sequence: 1, Fleet: "f"}})
+		b.Offer(gossip.News{Roster: &voters.Roster{Sequence: 1, Fleet: "f"}})
 		info := func() member.Info { return member.Info{Name: "c1"} }
 		ready := time.Now().Add(o.Bounds().Heartbeat() * 2)
 		latest := func() Confirmed {
--- a/internal/visitor/visit/house_test.go
+++ b/internal/visitor/visit/house_test.go
@@ -13,7 +13,7 @@
 
 	"postjunction/internal/carrier/fan"
 	"postjunction/internal/clock"
-	"postjunction/internal/control/roster"
+	"postjunction/internal/control/voters"
 	"postjunction/internal/description"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
@@ -118,7 +118,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		b := gossip.NewBoard(nil)
-		b.Offer(gossip.News{Roster: &roster.Roster{Sequence: 1, Fleet: "fleet00", Layout: roster.Layout{Routine: 1}}, Records: []record.Record{{Owner: "s1", Epoch: 1, Writes: 1}}})
+		b.Offer(gossip.News{Roster: &voters.Roster{Sequence: 1, Fleet: "fleet00", Layout: voters.Layout{Routine: 1}}, Records: []record.Record{{Owner: "s1", Epoch: 1, Writes: 1}}})
 		h := &hall{src: &source{follow: func(*owner.Want) *owner.Told { return nil }}, board: b}
 		hub := fan.New(ctx, "a1", "boot", h.src, b, clock.Real{}, options.DefaultBounds)
 		h.House = (&House{
--- a/tools/guards.sh
+++ b/tools/guards.sh
@@ -85,7 +85,7 @@
 guard slot-highest internal/control/acceptor/slot.go 's/\t\tif s\.Above\(top\) \{/\t\tif top.Accepted.Zero() {/' $M 'SmallBounds'
 guard slot-merge internal/control/acceptor/slot.go 's/s := Highest\(copies\)/s := copies[0]/' $M 'SmallBounds'
 guard slot-alike internal/control/acceptor/slot.go 's/\t\tif !top\.Above\(s\) \{/\t\tif !top.Above(s) || true {/' $M 'SmallBounds'
-guard intact internal/control/roster/roster.go 's/return len\(r\.Seats\) - r\.Majority\(\) \+ 1/return len(r.Seats) - r.Majority()/' $M 'SmallBounds'
+guard intact internal/control/voters/roster.go 's/return len\(r\.Seats\) - r\.Majority\(\) \+ 1/return len(r.Seats) - r.Majority()/' $M 'SmallBounds'
 guard base internal/operator/replace.go 's/case cur\.Sequence != d\.Base:/case false \&\& cur.Sequence != d.Base:/' $S 'TwoOperators|Invalid'
 guard orders-remembered internal/operator/replace.go 's/Memory: log\.With\(o\)\.Pack\(\)/Memory: log.Pack()/' $S 'AcceptedOrder'
 guard orders-forgotten internal/operator/accepted/accepted.go 's/o\.Sequence > l\.Forgotten \|\| //' ./internal/operator/accepted 'ForgetsTheOldest|OlderDescription'
