--- a/internal/control/reform/reform.go
+++ b/internal/control/reconfig/reform.go
@@ -1,5 +1,5 @@
-// Package reform changes the roster: it seals the old one on a majority, copies all keys, and opens the next.
-package reform
+// Package reconfig changes the roster: it seals the old one on a majority, copies all keys, and opens the next.
+package reconfig
 
 import (
 	"context"
--- a/internal/control/reconfigurer/steward.go
+++ b/internal/control/reconfigurer/steward.go
@@ -12,7 +12,7 @@
 
 	"postjunction/internal/clock"
 	"postjunction/internal/control/founding"
-	"postjunction/internal/control/reform"
+	"postjunction/internal/control/reconfig"
 	"postjunction/internal/control/repair"
 	"postjunction/internal/control/voters"
 	"postjunction/internal/event"
@@ -30,7 +30,7 @@
 	Bounds   options.Bounds
 	Board    *gossip.Board
 	Founder  *founding.Founder
-	Reformer *reform.Reformer
+	Reformer *reconfig.Reformer
 	Live     func() []member.Info
 	// Changed gives what is closed at news of the members.
 	Changed func() <-chan struct{}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -17,8 +17,8 @@
 	"postjunction/internal/control/client"
 	"postjunction/internal/control/confirm"
 	"postjunction/internal/control/founding"
+	"postjunction/internal/control/reconfig"
 	"postjunction/internal/control/reconfigurer"
-	"postjunction/internal/control/reform"
 	"postjunction/internal/control/register"
 	"postjunction/internal/control/repair"
 	"postjunction/internal/control/voters"
@@ -301,7 +301,7 @@
 		n.confirm = &confirm.Confirmer{Self: self, Net: net, Clock: clk, Bounds: b, Board: n.Board, Holder: n.holder, Mender: mender}
 		n.host = &session.Host{Self: self, Seeds: o.Seeds, Clock: clk, Bounds: b, Net: net, Table: n.table, Board: n.Board, Info: n.Info, Latest: n.confirm.Latest}
 		n.founder = founding.New(o, net, n.Info)
-		n.reconfigurer = &reconfigurer.Reconfigurer{Self: self, Clock: clk, Bounds: b, Board: n.Board, Founder: n.founder, Reformer: reform.New(self, net, b), Mender: mender, Live: n.controls, Changed: n.table.Changed, Sealed: n.voter.Sealed, Sealing: n.voter.Sealing, Log: n.log}
+		n.reconfigurer = &reconfigurer.Reconfigurer{Self: self, Clock: clk, Bounds: b, Board: n.Board, Founder: n.founder, Reformer: reconfig.New(self, net, b), Mender: mender, Live: n.controls, Changed: n.table.Changed, Sealed: n.voter.Sealed, Sealing: n.voter.Sealing, Log: n.log}
 		if r := n.voter.Roster(); r.Sequence > 0 {
 			n.Board.Offer(gossip.News{Roster: &r})
 		}
