--- a/internal/control/founding/founding.go
+++ b/internal/control/bootstrap/founding.go
@@ -1,5 +1,5 @@
-// Package founding makes the first roster: all founding disks agree, then it is opened on each.
-package founding
+// Package bootstrap makes the first roster: all founding disks agree, then it is opened on each.
+package bootstrap
 
 import (
 	"context"
--- a/internal/control/founding/leave.go
+++ b/internal/control/bootstrap/leave.go
@@ -1,4 +1,4 @@
-package founding
+package bootstrap
 
 import (
 	"context"
--- a/internal/control/reconfigurer/steward.go
+++ b/internal/control/reconfigurer/steward.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"postjunction/internal/clock"
-	"postjunction/internal/control/founding"
+	"postjunction/internal/control/bootstrap"
 	"postjunction/internal/control/reconfig"
 	"postjunction/internal/control/repair"
 	"postjunction/internal/control/voters"
@@ -29,7 +29,7 @@
 	Clock    clock.Clock
 	Bounds   options.Bounds
 	Board    *gossip.Board
-	Founder  *founding.Founder
+	Founder  *bootstrap.Founder
 	Reformer *reconfig.Reformer
 	Live     func() []member.Info
 	// Changed gives what is closed at news of the members.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -14,9 +14,9 @@
 	"postjunction/internal/carrier/presence"
 	"postjunction/internal/clock"
 	"postjunction/internal/control/acceptor"
+	"postjunction/internal/control/bootstrap"
 	"postjunction/internal/control/client"
 	"postjunction/internal/control/confirm"
-	"postjunction/internal/control/founding"
 	"postjunction/internal/control/reconfig"
 	"postjunction/internal/control/reconfigurer"
 	"postjunction/internal/control/register"
@@ -91,8 +91,8 @@
 	presence     *presence.Presence
 	gates        *admission.Gates
 	turned       turned.Memory
-	founder      *founding.Founder
-	leaves       *founding.Leaves
+	founder      *bootstrap.Founder
+	leaves       *bootstrap.Leaves
 	reconfigurer *reconfigurer.Reconfigurer
 	duty         *duty.Duty
 	watch        *watch.Watch
@@ -300,13 +300,13 @@
 		mender := &repair.Mender{Self: self, Net: net, Bounds: b}
 		n.confirm = &confirm.Confirmer{Self: self, Net: net, Clock: clk, Bounds: b, Board: n.Board, Holder: n.holder, Mender: mender}
 		n.host = &session.Host{Self: self, Seeds: o.Seeds, Clock: clk, Bounds: b, Net: net, Table: n.table, Board: n.Board, Info: n.Info, Latest: n.confirm.Latest}
-		n.founder = founding.New(o, net, n.Info)
+		n.founder = bootstrap.New(o, net, n.Info)
 		n.reconfigurer = &reconfigurer.Reconfigurer{Self: self, Clock: clk, Bounds: b, Board: n.Board, Founder: n.founder, Reformer: reconfig.New(self, net, b), Mender: mender, Live: n.controls, Changed: n.table.Changed, Sealed: n.voter.Sealed, Sealing: n.voter.Sealing, Log: n.log}
 		if r := n.voter.Roster(); r.Sequence > 0 {
 			n.Board.Offer(gossip.News{Roster: &r})
 		}
 	}
-	n.leaves = founding.NewLeaves(o, func() uint64 { return n.Board.Roster().Sequence })
+	n.leaves = bootstrap.NewLeaves(o, func() uint64 { return n.Board.Roster().Sequence })
 	n.client = client.New(self, net, b, n.members, n.holder)
 	n.keeper = &session.Keeper{Opts: o, Clock: clk, Net: net, Board: n.Board, View: n.View, Info: n.Info, Local: n.host, Log: n.log}
 	n.gossip = &gossip.Gossip{Self: self, Net: net, Clock: clk, Bounds: b, Board: n.Board, View: n.View.All, Control: o.Voter(), Disk: o.Disk != options.DiskNone}
