--- a/internal/control/confirm/confirm.go
+++ b/internal/control/quorumread/confirm.go
@@ -1,5 +1,5 @@
-// Package confirm finds out from a majority of control disks which description is current.
-package confirm
+// Package quorumread finds out from a majority of control disks which description is current.
+package quorumread
 
 import (
 	"context"
--- a/internal/control/confirm/confirm_test.go
+++ b/internal/control/quorumread/confirm_test.go
@@ -1,4 +1,4 @@
-package confirm
+package quorumread
 
 import (
 	"context"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -16,7 +16,7 @@
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/bootstrap"
 	"postjunction/internal/control/client"
-	"postjunction/internal/control/confirm"
+	"postjunction/internal/control/quorumread"
 	"postjunction/internal/control/reconfig"
 	"postjunction/internal/control/reconfigurer"
 	"postjunction/internal/control/register"
@@ -84,7 +84,7 @@
 	table        *member.Table
 	gossip       *gossip.Gossip
 	holder       *register.Holder
-	confirm      *confirm.Confirmer
+	confirm      *quorumread.Confirmer
 	client       *client.Client
 	owners       *owners.Keeper
 	desk         *desk.Desk
@@ -272,8 +272,8 @@
 			n.Board.Offer(gossip.News{Records: []record.Record{r}})
 		}
 	}
-	if k == confirm.Key {
-		if d, err := confirm.Parse(v); err == nil && d.Sequence > 0 {
+	if k == quorumread.Key {
+		if d, err := quorumread.Parse(v); err == nil && d.Sequence > 0 {
 			n.Board.Offer(gossip.News{Description: &d})
 		}
 	}
@@ -298,7 +298,7 @@
 		n.table = member.NewTable(clk, b)
 		n.holder = register.New(self, net, clk, b, n, n.told)
 		mender := &repair.Mender{Self: self, Net: net, Bounds: b}
-		n.confirm = &confirm.Confirmer{Self: self, Net: net, Clock: clk, Bounds: b, Board: n.Board, Holder: n.holder, Mender: mender}
+		n.confirm = &quorumread.Confirmer{Self: self, Net: net, Clock: clk, Bounds: b, Board: n.Board, Holder: n.holder, Mender: mender}
 		n.host = &session.Host{Self: self, Seeds: o.Seeds, Clock: clk, Bounds: b, Net: net, Table: n.table, Board: n.Board, Info: n.Info, Latest: n.confirm.Latest}
 		n.founder = bootstrap.New(o, net, n.Info)
 		n.reconfigurer = &reconfigurer.Reconfigurer{Self: self, Clock: clk, Bounds: b, Board: n.Board, Founder: n.founder, Reformer: reconfig.New(self, net, b), Mender: mender, Live: n.controls, Changed: n.table.Changed, Sealed: n.voter.Sealed, Sealing: n.voter.Sealing, Log: n.log}
--- a/internal/operator/replace.go
+++ b/internal/operator/replace.go
@@ -6,7 +6,7 @@
 	"fmt"
 
 	"postjunction/internal/control/acceptor"
-	"postjunction/internal/control/confirm"
+	"postjunction/internal/control/quorumread"
 	"postjunction/internal/control/register"
 	"postjunction/internal/description"
 	"postjunction/internal/event"
@@ -35,7 +35,7 @@
 func (s *Service) Current(ctx context.Context) (description.Description, error) {
 	ctx, stop := s.limit(ctx)
 	defer stop()
-	c, err := readAs(ctx, s, confirm.Key, parseRegister)
+	c, err := readAs(ctx, s, quorumread.Key, parseRegister)
 	if err != nil {
 		return description.Description{}, err
 	}
@@ -112,7 +112,7 @@
 // try reads the register by quorum and, where the order builds on what stands there, changes it on the count that was
 // read. All tries of an order share the change's name, so the register takes it once.
 func (s *Service) try(ctx context.Context, d description.Description, o accepted.Order) (*Accepted, error) {
-	c, err := readAs(ctx, s, confirm.Key, parseRegister)
+	c, err := readAs(ctx, s, quorumread.Key, parseRegister)
 	if err != nil {
 		return nil, err
 	}
@@ -135,7 +135,7 @@
 	if len(body) > description.PackedMost {
 		return nil, problem.New(problem.Oversize, "the description takes %d bytes with its source, the limit is %d", len(body), description.PackedMost)
 	}
-	q := &register.ChangeRequest{Key: confirm.Key, Base: c.value.writes, By: o.Name(), Body: body, Memory: log.With(o).Pack()}
+	q := &register.ChangeRequest{Key: quorumread.Key, Base: c.value.writes, By: o.Name(), Body: body, Memory: log.With(o).Pack()}
 	if _, err := s.Client.Write(ctx, q); err != nil {
 		return nil, err
 	}
@@ -153,7 +153,7 @@
 // parseRegister reads the description's register. Older builds wrote no log.
 func parseRegister(v acceptor.Value) (r stateRegister, err error) {
 	r.writes = v.Writes
-	if r.current, err = confirm.Parse(v); err != nil {
+	if r.current, err = quorumread.Parse(v); err != nil {
 		return r, problem.Wrap(problem.Internal, err, "read the current description")
 	}
 	if len(v.Memory) == 0 {
--- a/internal/proof/sim/points_test.go
+++ b/internal/proof/sim/points_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/control/acceptor"
-	"postjunction/internal/control/confirm"
+	"postjunction/internal/control/quorumread"
 	"postjunction/internal/ledger/desk"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/replica"
@@ -37,10 +37,10 @@
 	assert.NilError(t, w.Until(30*time.Second, "void: one control node holds the description", func() bool {
 		for _, n := range w.Names {
 			x := w.Machines[n].Node()
-			if x == nil || !x.Holds(confirm.Key) {
+			if x == nil || !x.Holds(quorumread.Key) {
 				continue
 			}
-			if at, err := w.current(n); err == nil && x.Holds(confirm.Key) {
+			if at, err := w.current(n); err == nil && x.Holds(quorumread.Key) {
 				who, seq = n, at
 				return true
 			}
@@ -62,7 +62,7 @@
 // deciding tells whether a call asks a voter to accept a description.
 func deciding(x Point) bool {
 	var q acceptor.AcceptRequest
-	return x.Path == acceptor.Accept.Path && wire.Read(x.Body, &q) == nil && q.Key == confirm.Key
+	return x.Path == acceptor.Accept.Path && wire.Read(x.Body, &q) == nil && q.Key == quorumread.Key
 }
 
 func on(path, stage string) func(x Point) bool {
