--- a/internal/control/client/client.go
+++ b/internal/control/registerclient/client.go
@@ -1,5 +1,5 @@
-// Package client hands control calls over to a control node.
-package client
+// Package registerclient hands control calls over to a control node.
+package registerclient
 
 import (
 	"context"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -15,11 +15,11 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/bootstrap"
-	"postjunction/internal/control/client"
 	"postjunction/internal/control/quorumread"
 	"postjunction/internal/control/reconfig"
 	"postjunction/internal/control/reconfigurer"
 	"postjunction/internal/control/register"
+	"postjunction/internal/control/registerclient"
 	"postjunction/internal/control/repair"
 	"postjunction/internal/control/voters"
 	"postjunction/internal/disk/identity"
@@ -85,7 +85,7 @@
 	gossip       *gossip.Gossip
 	holder       *register.Holder
 	confirm      *quorumread.Confirmer
-	client       *client.Client
+	client       *registerclient.Client
 	owners       *owners.Keeper
 	desk         *desk.Desk
 	presence     *presence.Presence
@@ -307,7 +307,7 @@
 		}
 	}
 	n.leaves = bootstrap.NewLeaves(o, func() uint64 { return n.Board.Roster().Sequence })
-	n.client = client.New(self, net, b, n.members, n.holder)
+	n.client = registerclient.New(self, net, b, n.members, n.holder)
 	n.keeper = &session.Keeper{Opts: o, Clock: clk, Net: net, Board: n.Board, View: n.View, Info: n.Info, Local: n.host, Log: n.log}
 	n.gossip = &gossip.Gossip{Self: self, Net: net, Clock: clk, Bounds: b, Board: n.Board, View: n.View.All, Control: o.Voter(), Disk: o.Disk != options.DiskNone}
 	if o.Voter() {
--- a/internal/node/owners/heir.go
+++ b/internal/node/owners/heir.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"postjunction/internal/clock"
-	"postjunction/internal/control/client"
+	"postjunction/internal/control/registerclient"
 	"postjunction/internal/event"
 	"postjunction/internal/placement/record"
 	"postjunction/internal/problem"
@@ -69,7 +69,7 @@
 	cx, stop := context.WithTimeout(ctx, k.Bounds.Call())
 	defer stop()
 	n := r.Next(k.Self, r.Replicas, "the owner is gone: "+why, k.Clock.Now())
-	v, err := k.Client.Change(cx, record.Key(r.Partition), r.Writes, client.Name(), n.Pack())
+	v, err := k.Client.Change(cx, record.Key(r.Partition), r.Writes, registerclient.Name(), n.Pack())
 	if err == nil {
 		n.Writes = v.Writes
 		k.Log.Say(event.Inherited, "partition", r.Partition, "epoch", n.Epoch, "from", r.Owner, "reason", why)
--- a/internal/node/owners/owners.go
+++ b/internal/node/owners/owners.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"postjunction/internal/clock"
-	"postjunction/internal/control/client"
+	"postjunction/internal/control/registerclient"
 	"postjunction/internal/event"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/owner"
@@ -26,7 +26,7 @@
 	Clock   clock.Clock
 	Bounds  options.Bounds
 	Board   *gossip.Board
-	Client  *client.Client
+	Client  *registerclient.Client
 	Replica *replica.Replica
 	Deps    owner.Deps
 	Log     *event.Logger
@@ -233,7 +233,7 @@
 			if r.Epoch != epoch || !ok {
 				return false
 			}
-			v, e := k.Client.Change(ctx, record.Key(p), r.Writes, client.Name(), n.Pack())
+			v, e := k.Client.Change(ctx, record.Key(p), r.Writes, registerclient.Name(), n.Pack())
 			if e == nil {
 				n.Writes = v.Writes
 				k.Tell(ctx, n)
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"postjunction/internal/control/acceptor"
-	"postjunction/internal/control/client"
+	"postjunction/internal/control/registerclient"
 	"postjunction/internal/event"
 	"postjunction/internal/gather"
 	"postjunction/internal/member"
@@ -81,7 +81,7 @@
 		if !c.value.list.Add(x) {
 			return nil, c.refuse(problem.DrainUnsafe, "%d machines are being emptied, which is the most", drain.ListMost)
 		}
-		_, err = s.Client.Change(ctx, drain.Key, c.value.writes, client.Name(), c.value.list.Pack())
+		_, err = s.Client.Change(ctx, drain.Key, c.value.writes, registerclient.Name(), c.value.list.Pack())
 		if err == nil {
 			s.Log.Say(event.DrainAsked, "node", node, "partitions", x.Left)
 			return x, nil
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -11,7 +11,7 @@
 
 	"postjunction/internal/clock"
 	"postjunction/internal/control/acceptor"
-	"postjunction/internal/control/client"
+	"postjunction/internal/control/registerclient"
 	"postjunction/internal/control/voters"
 	"postjunction/internal/event"
 	"postjunction/internal/gather"
@@ -33,7 +33,7 @@
 	Clock    clock.Clock
 	Bounds   options.Bounds
 	Net      wire.Network
-	Client   *client.Client
+	Client   *registerclient.Client
 	Board    *gossip.Board
 	View     *member.View
 	Info     func() member.Info
--- a/internal/operator/retire.go
+++ b/internal/operator/retire.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"postjunction/internal/control/client"
+	"postjunction/internal/control/registerclient"
 	"postjunction/internal/description"
 	"postjunction/internal/problem"
 )
@@ -50,7 +50,7 @@
 		if err != nil || !more {
 			return err
 		}
-		_, err = s.Client.Change(ctx, retiredKey, v.Writes, client.Name(), r.Pack())
+		_, err = s.Client.Change(ctx, retiredKey, v.Writes, registerclient.Name(), r.Pack())
 		if err == nil {
 			return nil
 		}
--- a/internal/operator/submit.go
+++ b/internal/operator/submit.go
@@ -7,7 +7,7 @@
 	"io"
 	"net/http"
 
-	"postjunction/internal/control/client"
+	"postjunction/internal/control/registerclient"
 	"postjunction/internal/description"
 	"postjunction/internal/problem"
 	"postjunction/internal/wire"
@@ -55,7 +55,7 @@
 	if err != nil {
 		return false, err
 	}
-	sent, err := client.Once(ctx, s.Client, Submit, &SubmitRequest{Base: base, By: client.Name(), Doc: b})
+	sent, err := registerclient.Once(ctx, s.Client, Submit, &SubmitRequest{Base: base, By: registerclient.Name(), Doc: b})
 	return sent && !problem.Has(err, problem.NotReady), err
 }
 
--- a/internal/placement/duty/drains.go
+++ b/internal/placement/duty/drains.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"postjunction/internal/control/acceptor"
-	"postjunction/internal/control/client"
+	"postjunction/internal/control/registerclient"
 	"postjunction/internal/event"
 	"postjunction/internal/gather"
 	"postjunction/internal/placement/drain"
@@ -42,7 +42,7 @@
 	if maps.Equal(was, list) {
 		return
 	}
-	if _, err := d.Client.Change(ctx, drain.Key, v.Writes, client.Name(), list.Pack()); err != nil {
+	if _, err := d.Client.Change(ctx, drain.Key, v.Writes, registerclient.Name(), list.Pack()); err != nil {
 		d.Log.Say(event.DrainTrouble, "problem", err)
 		return
 	}
@@ -93,7 +93,7 @@
 	whole := true
 	rs := slices.Collect(maps.Values(d.recs))
 	for _, a := range gather.Ask(ctx, rs, func(ctx context.Context, r record.Record) (record.Record, error) {
-		v, err := d.Client.Change(ctx, record.Key(r.Partition), r.Writes, client.Name(), r.Pack())
+		v, err := d.Client.Change(ctx, record.Key(r.Partition), r.Writes, registerclient.Name(), r.Pack())
 		if err == nil {
 			r.Writes = v.Writes
 			return r, nil
--- a/internal/placement/duty/duty.go
+++ b/internal/placement/duty/duty.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"postjunction/internal/clock"
-	"postjunction/internal/control/client"
 	"postjunction/internal/control/register"
+	"postjunction/internal/control/registerclient"
 	"postjunction/internal/event"
 	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
@@ -29,7 +29,7 @@
 	Clock  clock.Clock
 	Bounds options.Bounds
 	Holder *register.Holder
-	Client *client.Client
+	Client *registerclient.Client
 	Board  *gossip.Board
 	Live   func() []member.Info
 	// Changed gives what is closed at news of the members.
@@ -178,7 +178,7 @@
 	ws := d.wants
 	d.wants = nil
 	for _, a := range gather.Ask(ctx, ws, func(ctx context.Context, w want) (record.Record, error) {
-		v, err := d.Client.Change(ctx, record.Key(w.n.Partition), w.old.Writes, client.Name(), w.n.Pack())
+		v, err := d.Client.Change(ctx, record.Key(w.n.Partition), w.old.Writes, registerclient.Name(), w.n.Pack())
 		if err == nil {
 			w.n.Writes = v.Writes
 			d.Tell(context.WithoutCancel(ctx), w.n)
--- a/internal/proof/sim/retire_test.go
+++ b/internal/proof/sim/retire_test.go
@@ -9,7 +9,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/control/client"
+	"postjunction/internal/control/registerclient"
 	"postjunction/internal/node"
 	"postjunction/internal/placement/drain"
 	"postjunction/internal/placement/record"
@@ -129,7 +129,7 @@
 				others++
 			}
 			r.Learner = &record.Place{Node: o, Incarnation: w.Machines[o].Node().Info().Incarnation}
-			_, err := op.Client.Change(w.ctx, record.Key(p), r.Writes, client.Name(), r.Pack())
+			_, err := op.Client.Change(w.ctx, record.Key(p), r.Writes, registerclient.Name(), r.Pack())
 			assert.Assert(t, problem.Has(err, problem.StaleBase), "partition %d: %v", p, err)
 			assert.Assert(t, !read(p).Holds(o))
 		}
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"postjunction/internal/clock"
-	"postjunction/internal/control/client"
+	"postjunction/internal/control/registerclient"
 	"postjunction/internal/problem"
 	"postjunction/internal/proof/port"
 	"postjunction/internal/replay/recording"
@@ -78,7 +78,7 @@
 
 // Play sends a recording's messages in the recorded order of each topic, at a speed, and checks what a listener receives.
 func Play(ctx context.Context, p port.Port, h recording.Header, ms []recording.Message, speed float64) (Report, error) {
-	run := client.Name()[:8]
+	run := registerclient.Name()[:8]
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	byTopic := map[string][]recording.Message{}
