--- a/internal/carrier/presence/presence.go
+++ b/internal/carrier/presence/presence.go
@@ -7,7 +7,7 @@
 	"slices"
 
 	"postjunction/internal/gather"
-	"postjunction/internal/member"
+	"postjunction/internal/membership"
 	"postjunction/internal/options"
 	"postjunction/internal/turn"
 	"postjunction/internal/wire"
@@ -31,12 +31,12 @@
 	Self   string
 	Net    wire.Network
 	Bounds options.Bounds
-	View   *member.View
+	View   *membership.View
 	m      *turn.Map[string, map[string]int]
 }
 
 // New makes an empty presence.
-func New(self string, n wire.Network, b options.Bounds, v *member.View) *Presence {
+func New(self string, n wire.Network, b options.Bounds, v *membership.View) *Presence {
 	return &Presence{Self: self, Net: n, Bounds: b, View: v, m: turn.NewMap[string, map[string]int]()}
 }
 
@@ -79,8 +79,8 @@
 func (p *Presence) Others(ctx context.Context, topic, visitor string) (n int, whole bool) {
 	cx, stop := context.WithTimeout(ctx, p.Bounds.Call()/2)
 	defer stop()
-	fs := member.Pick(p.View.All(), func(i member.Info) bool { return i.Name != p.Self })
-	as := gather.Ask(cx, fs, func(ctx context.Context, i member.Info) (*CountResponse, error) {
+	fs := membership.Pick(p.View.All(), func(i membership.Info) bool { return i.Name != p.Self })
+	as := gather.Ask(cx, fs, func(ctx context.Context, i membership.Info) (*CountResponse, error) {
 		return Count.Call(ctx, p.Net, p.Self, i.Peers, &CountRequest{Topic: topic})
 	}, nil)
 	all := p.here(topic)
--- a/internal/control/bootstrap/founding.go
+++ b/internal/control/bootstrap/founding.go
@@ -9,7 +9,7 @@
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/voters"
 	"postjunction/internal/gather"
-	"postjunction/internal/member"
+	"postjunction/internal/membership"
 	"postjunction/internal/options"
 	"postjunction/internal/problem"
 	"postjunction/internal/wire"
@@ -19,11 +19,11 @@
 type Founder struct {
 	opts options.Options
 	net  wire.Network
-	self func() member.Info
+	self func() membership.Info
 }
 
 // New makes a founder.
-func New(o options.Options, n wire.Network, self func() member.Info) *Founder {
+func New(o options.Options, n wire.Network, self func() membership.Info) *Founder {
 	return &Founder{opts: o, net: n, self: self}
 }
 
@@ -43,15 +43,15 @@
 	}
 	slices.Sort(addrs)
 	addrs = slices.Compact(slices.Clone(addrs))
-	as := gather.Ask(ctx, addrs, func(ctx context.Context, a string) (member.Info, error) {
+	as := gather.Ask(ctx, addrs, func(ctx context.Context, a string) (membership.Info, error) {
 		if a == f.opts.Reached() {
 			return f.self(), nil
 		}
 		cx, stop := context.WithTimeout(ctx, f.opts.Bounds().Call())
 		defer stop()
-		h, err := member.Hello.Call(cx, f.net, f.opts.Name, a, &member.HelloRequest{})
+		h, err := membership.Hello.Call(cx, f.net, f.opts.Name, a, &membership.HelloRequest{})
 		if err != nil {
-			return member.Info{}, err
+			return membership.Info{}, err
 		}
 		return h.Info, nil
 	}, nil)
--- a/internal/control/reconfigurer/steward.go
+++ b/internal/control/reconfigurer/steward.go
@@ -18,7 +18,7 @@
 	"postjunction/internal/event"
 	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
-	"postjunction/internal/member"
+	"postjunction/internal/membership"
 	"postjunction/internal/options"
 	"postjunction/internal/problem"
 )
@@ -31,7 +31,7 @@
 	Board    *gossip.Board
 	Founder  *bootstrap.Founder
 	Reformer *reconfig.Reformer
-	Live     func() []member.Info
+	Live     func() []membership.Info
 	// Changed gives what is closed at news of the members.
 	Changed func() <-chan struct{}
 	// Sealed gives the roster that is sealed on this disk, and Sealing what is closed when one is.
@@ -93,7 +93,7 @@
 }
 
 func (s *Reconfigurer) tend(ctx context.Context, r voters.Roster) {
-	live := map[string]member.Info{}
+	live := map[string]membership.Info{}
 	for _, i := range s.Live() {
 		if i.Disk == options.DiskControl {
 			live[i.Name] = i
@@ -128,10 +128,10 @@
 			late = append(late, x)
 		}
 	}
-	var news []member.Info
+	var news []membership.Info
 	for _, n := range slices.Sorted(maps.Keys(live)) {
 		i := live[n]
-		if _, ok := r.Seat(n); !ok && i.Roster < r.Sequence && i.Stage == member.Serving {
+		if _, ok := r.Seat(n); !ok && i.Roster < r.Sequence && i.Stage == membership.Serving {
 			news = append(news, i)
 		}
 	}
@@ -168,7 +168,7 @@
 
 // finish ends a change of the roster that another voter began, when the roster has been sealed here for longer than that takes: who began it may
 // be lost, and nobody decides anything until it ended. The voters step in one after the other; epochs settle it where two do.
-func (s *Reconfigurer) finish(ctx context.Context, r voters.Roster, live map[string]member.Info, first string) {
+func (s *Reconfigurer) finish(ctx context.Context, r voters.Roster, live map[string]membership.Info, first string) {
 	if s.Sealed() != r.Sequence {
 		s.sealed = time.Time{}
 		return
@@ -194,7 +194,7 @@
 }
 
 // miss notes which seats are not live and since when, and the zones of those that are.
-func (s *Reconfigurer) miss(r voters.Roster, live map[string]member.Info) {
+func (s *Reconfigurer) miss(r voters.Roster, live map[string]membership.Info) {
 	was := s.gone
 	s.gone = map[string]time.Time{}
 	if s.zones == nil {
@@ -213,7 +213,7 @@
 }
 
 // pair gives newcomers the seats of voters that are gone, each at most one: that of their zone first, then the one that is gone for longest.
-func (s *Reconfigurer) pair(news []member.Info) map[string]string {
+func (s *Reconfigurer) pair(news []membership.Info) map[string]string {
 	gone := slices.SortedFunc(maps.Keys(s.gone), func(a, b string) int {
 		return cmp.Or(s.gone[a].Compare(s.gone[b]), strings.Compare(a, b))
 	})
@@ -249,7 +249,7 @@
 }
 
 // ripe tells whether a voter is gone for long enough that its seat may be taken, which is longer for a newcomer of another zone.
-func (s *Reconfigurer) ripe(out string, i member.Info) bool {
+func (s *Reconfigurer) ripe(out string, i membership.Info) bool {
 	wait := s.Bounds.Session()
 	if s.zones[out] == i.Zone {
 		wait /= 2
@@ -268,7 +268,7 @@
 	}
 }
 
-func seat(i member.Info) voters.Seat {
+func seat(i membership.Info) voters.Seat {
 	return voters.Seat{Node: i.Name, Addr: i.Peers, Incarnation: i.Incarnation}
 }
 
--- a/internal/control/registerclient/client.go
+++ b/internal/control/registerclient/client.go
@@ -11,7 +11,7 @@
 
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/register"
-	"postjunction/internal/member"
+	"postjunction/internal/membership"
 	"postjunction/internal/options"
 	"postjunction/internal/problem"
 	"postjunction/internal/wire"
@@ -22,25 +22,25 @@
 	self   string
 	net    wire.Network
 	bounds options.Bounds
-	view   func() []member.Info
+	view   func() []membership.Info
 	local  *register.Holder
 	mu     sync.Mutex
 	good   string
 }
 
 // New makes a client; local is the node's own holder, nil without a control disk.
-func New(self string, n wire.Network, b options.Bounds, view func() []member.Info, local *register.Holder) *Client {
+func New(self string, n wire.Network, b options.Bounds, view func() []membership.Info, local *register.Holder) *Client {
 	return &Client{self: self, net: n, bounds: b, view: view, local: local}
 }
 
-func (c *Client) nodes() []member.Info {
-	is := member.Pick(c.view(), func(i member.Info) bool {
-		return i.Disk == options.DiskControl && i.Stage == member.Serving && i.Name != c.self
+func (c *Client) nodes() []membership.Info {
+	is := membership.Pick(c.view(), func(i membership.Info) bool {
+		return i.Disk == options.DiskControl && i.Stage == membership.Serving && i.Name != c.self
 	})
 	c.mu.Lock()
 	good := c.good
 	c.mu.Unlock()
-	if k := slices.IndexFunc(is, func(i member.Info) bool { return i.Name == good }); k > 0 {
+	if k := slices.IndexFunc(is, func(i membership.Info) bool { return i.Name == good }); k > 0 {
 		is = append(slices.Clone(is[k:]), is[:k]...)
 	}
 	return is
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -14,7 +14,7 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/control/voters"
 	"postjunction/internal/description"
-	"postjunction/internal/member"
+	"postjunction/internal/membership"
 	"postjunction/internal/options"
 	"postjunction/internal/placement/record"
 	"postjunction/internal/wire"
@@ -294,7 +294,7 @@
 	Clock  clock.Clock
 	Bounds options.Bounds
 	Board  *Board
-	View   func() []member.Info
+	View   func() []membership.Info
 	// Control tells that the node is a control node, from which others have their news; Disk that it has a disk of any kind, and passes news of
 	// ownership on to its share of those that have none. A node without a disk writes no records, and has them without their history.
 	Control bool
@@ -376,7 +376,7 @@
 			few, wide = g.wait(ctx, ch)
 		}
 		g.pass(ctx)
-		fs := member.Pick(g.View(), func(i member.Info) bool { return i.Name != g.Self && (wide || kept(i)) })
+		fs := membership.Pick(g.View(), func(i membership.Info) bool { return i.Name != g.Self && (wide || kept(i)) })
 		rand.Shuffle(len(fs), func(a, b int) { fs[a], fs[b] = fs[b], fs[a] })
 		for _, f := range fs[:min(len(fs), few)] {
 			go g.swap(ctx, f)
@@ -450,7 +450,7 @@
 	tellers     = 2
 )
 
-func kept(i member.Info) bool { return i.Disk != "" && i.Disk != options.DiskNone }
+func kept(i membership.Info) bool { return i.Disk != "" && i.Disk != options.DiskNone }
 
 // pass gives what is new of ownership, on a node with a disk, to those without one that are in its share: each is in that of two nodes, which all
 // find alike from the names. All that a node hears after its start is new to it, so it asks first whether it is to them.
@@ -463,11 +463,11 @@
 	g.over, g.passed = e, g.Board.Digest()
 	was.Without = true
 	n := g.Board.Since(was)
-	var mine []member.Info
+	var mine []membership.Info
 	all := g.View()
-	by := member.Pick(all, kept)
-	if !slices.ContainsFunc(by, func(i member.Info) bool { return i.Name == g.Self }) {
-		by = append(by, member.Info{Name: g.Self})
+	by := membership.Pick(all, kept)
+	if !slices.ContainsFunc(by, func(i membership.Info) bool { return i.Name == g.Self }) {
+		by = append(by, membership.Info{Name: g.Self})
 	}
 	for _, i := range all {
 		if !kept(i) && i.Name != g.Self && share(g.Self, by, i.Name) {
@@ -484,7 +484,7 @@
 }
 
 // share tells whether a node is among the few that pass news on to another.
-func share(self string, by []member.Info, to string) bool {
+func share(self string, by []membership.Info, to string) bool {
 	mine, before := weight(self, to), 0
 	for _, i := range by {
 		if w := weight(i.Name, to); w > mine || w == mine && i.Name < self {
@@ -504,7 +504,7 @@
 }
 
 // tell gives news to a peer, without asking for any description.
-func (g *Gossip) tell(ctx context.Context, f member.Info, n News) {
+func (g *Gossip) tell(ctx context.Context, f membership.Info, n News) {
 	cx, stop := context.WithTimeout(ctx, g.Bounds.Call())
 	defer stop()
 	d := g.digest()
@@ -539,7 +539,7 @@
 			named[n] = true
 		}
 	}
-	fs := member.Pick(g.View(), func(i member.Info) bool { return i.Name != g.Self && kept(i) })
+	fs := membership.Pick(g.View(), func(i membership.Info) bool { return i.Name != g.Self && kept(i) })
 	rand.Shuffle(len(fs), func(a, b int) { fs[a], fs[b] = fs[b], fs[a] })
 	more := toldPerNews
 	for _, f := range fs {
@@ -570,7 +570,7 @@
 	g.asking = g.asking && !mine
 }
 
-func (g *Gossip) swap(ctx context.Context, f member.Info) {
+func (g *Gossip) swap(ctx context.Context, f membership.Info) {
 	cx, stop := context.WithTimeout(ctx, g.Bounds.Call())
 	defer stop()
 	d, hash := g.digest(), g.Board.Hash()
--- a/internal/ledger/desk/desk.go
+++ b/internal/ledger/desk/desk.go
@@ -10,7 +10,7 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/owner"
-	"postjunction/internal/member"
+	"postjunction/internal/membership"
 	"postjunction/internal/options"
 	"postjunction/internal/partition"
 	"postjunction/internal/placement/record"
@@ -117,7 +117,7 @@
 	Clock  clock.Clock
 	Bounds options.Bounds
 	Board  *gossip.Board
-	View   *member.View
+	View   *membership.View
 	Owners Owners
 	reigns reigns
 	// Backlog is how many messages may wait here for one partition; nil for any number.
--- a/internal/ledger/desk/offer_test.go
+++ b/internal/ledger/desk/offer_test.go
@@ -17,7 +17,7 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/owner"
-	"postjunction/internal/member"
+	"postjunction/internal/membership"
 	"postjunction/internal/options"
 	"postjunction/internal/placement/record"
 	"postjunction/internal/problem"
@@ -85,8 +85,8 @@
 	b.path = func(ctx context.Context, to string, q *ManyRequest) (*ManyResponse, error) {
 		return path(b, ctx, to, q)
 	}
-	v := member.NewView()
-	v.Set([]member.Info{{Name: "s1", Peers: "s1"}, {Name: "s2", Peers: "s2"}, {Name: "s0", Peers: "s0"}})
+	v := membership.NewView()
+	v.Set([]membership.Info{{Name: "s1", Peers: "s1"}, {Name: "s2", Peers: "s2"}, {Name: "s0", Peers: "s0"}})
 	b.Desk = &Desk{Self: "a1", Net: b, Clock: clock.Real{}, Bounds: options.DefaultBounds, Board: gossip.NewBoard(func(n gossip.News) { b.News(n.Records) }), View: v, Owners: unready{}, Backlog: func() int { return 1000 }}
 	return b
 }
--- a/internal/ledger/owner/marks.go
+++ b/internal/ledger/owner/marks.go
@@ -9,7 +9,7 @@
 	"unicode/utf8"
 
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/member"
+	"postjunction/internal/membership"
 	"postjunction/internal/problem"
 	"postjunction/internal/samza/state"
 )
@@ -432,7 +432,7 @@
 func (o *Owner) visit(ctx context.Context, node, addr, boot string) {
 	cx, stop := context.WithTimeout(ctx, o.d.Bounds.Call())
 	defer stop()
-	a, err := member.Hello.Call(cx, o.d.Net, o.d.Self, addr, &member.HelloRequest{})
+	a, err := membership.Hello.Call(cx, o.d.Net, o.d.Self, addr, &membership.HelloRequest{})
 	if err != nil || a.Info.Name != home(node) || a.Info.Boot == "" || strings.HasPrefix(boot, a.Info.Boot) {
 		return
 	}
--- a/internal/ledger/owner/marks_test.go
+++ b/internal/ledger/owner/marks_test.go
@@ -15,7 +15,7 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/replica"
-	"postjunction/internal/member"
+	"postjunction/internal/membership"
 	"postjunction/internal/options"
 	"postjunction/internal/placement/record"
 	"postjunction/internal/problem"
@@ -47,8 +47,8 @@
 		return nil, problem.New(problem.Unreachable, "nobody at %s", q.URL.Host)
 	}
 	m := http.NewServeMux()
-	member.Hello.Handle(m, func(context.Context, *member.HelloRequest) (*member.HelloResponse, error) {
-		return &member.HelloResponse{Info: member.Info{Name: strings.TrimPrefix(q.URL.Host, "at-"), Boot: boot}}, nil
+	membership.Hello.Handle(m, func(context.Context, *membership.HelloRequest) (*membership.HelloResponse, error) {
+		return &membership.HelloResponse{Info: membership.Info{Name: strings.TrimPrefix(q.URL.Host, "at-"), Boot: boot}}, nil
 	})
 	w := httptest.NewRecorder()
 	m.ServeHTTP(w, q)
--- a/internal/member/touch/touch.go
+++ b/internal/member/touch/touch.go
@@ -9,8 +9,8 @@
 
 	"postjunction/internal/clock"
 	"postjunction/internal/gather"
-	"postjunction/internal/member"
 	"postjunction/internal/member/watch"
+	"postjunction/internal/membership"
 	"postjunction/internal/options"
 	"postjunction/internal/wire"
 )
@@ -49,11 +49,11 @@
 	// Owners gives the addresses of the other machines that decide at present.
 	Owners func() []string
 	// Peers gives the nodes that could take this node's visitors, in groups, the nearest first.
-	Peers func() [][]member.Info
+	Peers func() [][]membership.Info
 	// Able tells whether this node itself could take visitors.
 	Able func() error
 	// Away hears which peers take this node's visitors, and nothing once this node reaches those who decide again.
-	Away func(to []member.Info)
+	Away func(to []membership.Info)
 }
 
 // Run looks after the way to those who decide until ctx ends. As long as heartbeats are heard it costs nothing; when one is late, the machines that decide
@@ -62,7 +62,7 @@
 	away := false
 	for pause := t.Bounds.Beat(); t.Clock.Sleep(ctx, pause) == nil; {
 		pause = t.Bounds.Beat()
-		reached, to := true, []member.Info(nil)
+		reached, to := true, []membership.Info(nil)
 		if t.doubtful() {
 			if reached, to = t.look(ctx, !away); reached {
 				pause = t.Bounds.Heartbeat()
@@ -82,12 +82,12 @@
 }
 
 // look tells whether some machine that decides is reached or a heartbeat was heard meanwhile, and if not, which peers reach them, if that is asked for.
-func (t *Touch) look(ctx context.Context, ask bool) (bool, []member.Info) {
+func (t *Touch) look(ctx context.Context, ask bool) (bool, []membership.Info) {
 	cx, stop := context.WithCancel(ctx)
 	defer stop()
-	c := make(chan []member.Info, 1)
+	c := make(chan []membership.Info, 1)
 	go func() {
-		var to []member.Info
+		var to []membership.Info
 		if ask {
 			to = t.well(cx)
 		}
@@ -125,12 +125,12 @@
 }
 
 // well gives the peers of the nearest group in which some say that they reach those who decide: those who say so soon after the first.
-func (t *Touch) well(ctx context.Context) []member.Info {
+func (t *Touch) well(ctx context.Context) []membership.Info {
 	for _, g := range t.Peers() {
 		rand.Shuffle(len(g), func(i, k int) { g[i], g[k] = g[k], g[i] })
 		g = g[:min(len(g), askedMost)]
 		cx, stop := context.WithTimeout(ctx, 2*t.Bounds.Hedge())
-		as := gather.Good(gather.Ask(cx, g, func(ctx context.Context, i member.Info) (*ReachResponse, error) {
+		as := gather.Good(gather.Ask(cx, g, func(ctx context.Context, i membership.Info) (*ReachResponse, error) {
 			a, err := Reach.Call(ctx, t.Net, t.Self, i.Peers, &ReachRequest{})
 			if err == nil && a.Well {
 				go func() {
@@ -141,7 +141,7 @@
 			return a, err
 		}, nil))
 		stop()
-		var to []member.Info
+		var to []membership.Info
 		for _, a := range as {
 			if a.A.Well {
 				to = append(to, a.Who)
--- a/internal/member/member.go
+++ b/internal/membership/member.go
@@ -1,5 +1,5 @@
-// Package member knows the nodes of the fleet: a node is a member while its session with a control node stands.
-package member
+// Package membership knows the nodes of the fleet: a node is a member while its session with a control node stands.
+package membership
 
 import (
 	"slices"
--- a/internal/member/roll_test.go
+++ b/internal/membership/roll_test.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 import (
 	"fmt"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -32,9 +32,9 @@
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/ledger/replica"
 	"postjunction/internal/ledger/still"
-	"postjunction/internal/member"
 	"postjunction/internal/member/touch"
 	"postjunction/internal/member/watch"
+	"postjunction/internal/membership"
 	"postjunction/internal/node/owners"
 	"postjunction/internal/operator"
 	"postjunction/internal/options"
@@ -78,10 +78,10 @@
 	replica *replica.Replica
 
 	Board        *gossip.Board
-	View         *member.View
+	View         *membership.View
 	keeper       *session.Keeper
 	host         *session.Host
-	table        *member.Table
+	table        *membership.Table
 	gossip       *gossip.Gossip
 	holder       *register.Holder
 	confirm      *quorumread.Confirmer
@@ -114,7 +114,7 @@
 func Start(ctx context.Context, o options.Options, w World, l *event.Logger) (*Node, error) {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
-	n := &Node{w: w, log: l, opts: o, boot: hex.EncodeToString(b[:]), stage: member.Serving, leaving: make(chan struct{}), View: member.NewView()}
+	n := &Node{w: w, log: l, opts: o, boot: hex.EncodeToString(b[:]), stage: membership.Serving, leaving: make(chan struct{}), View: membership.NewView()}
 	n.Board = gossip.NewBoard(n.heard)
 	ctx, n.stop = context.WithCancel(ctx)
 	if o.Disk != options.DiskNone {
@@ -183,11 +183,11 @@
 }
 
 // Info is what the node says of itself.
-func (n *Node) Info() member.Info {
+func (n *Node) Info() membership.Info {
 	n.mu.Lock()
 	o, st, fit := n.opts, n.stage, n.fitness
 	n.mu.Unlock()
-	i := member.Info{Name: o.Name, Zone: o.Zone, Listen: o.Listen, Peers: o.Reached(), Visits: o.Visits, Disk: o.Disk, Boot: n.boot, Stage: st, Fitness: fit, Description: n.Board.Description().Sequence, Build: Build, Wire: wire.Sequence, Homes: true, Keys: true, Processor: o.Carries(), Roster: n.Board.Roster().Sequence}
+	i := membership.Info{Name: o.Name, Zone: o.Zone, Listen: o.Listen, Peers: o.Reached(), Visits: o.Visits, Disk: o.Disk, Boot: n.boot, Stage: st, Fitness: fit, Description: n.Board.Description().Sequence, Build: Build, Wire: wire.Sequence, Homes: true, Keys: true, Processor: o.Carries(), Roster: n.Board.Roster().Sequence}
 	if n.keeper != nil {
 		i.Deaf = !n.keeper.Confirmed()
 	}
@@ -214,7 +214,7 @@
 	if n.table != nil {
 		for _, i := range n.table.Live() {
 			if i.Name == node {
-				return i.Peers, i.Stage == member.Serving && !n.host.Lost(i.Peers)
+				return i.Peers, i.Stage == membership.Serving && !n.host.Lost(i.Peers)
 			}
 		}
 		return "", false
@@ -224,7 +224,7 @@
 }
 
 // controls gives the members as a control node knows them, itself as it is now.
-func (n *Node) controls() []member.Info {
+func (n *Node) controls() []membership.Info {
 	is := n.table.Live()
 	for k := range is {
 		if is[k].Name == n.opts.Name {
@@ -252,13 +252,13 @@
 	if p.Node == n.options().Name {
 		i, ok = n.Info(), true
 	}
-	if !ok || i.Incarnation != p.Incarnation || i.Fitness != "" || i.Stage != member.Serving || i.Deaf || n.watch.Lost(p.Node) {
+	if !ok || i.Incarnation != p.Incarnation || i.Fitness != "" || i.Stage != membership.Serving || i.Deaf || n.watch.Lost(p.Node) {
 		return -1
 	}
 	return ranks[i.Disk]
 }
 
-func (n *Node) members() []member.Info {
+func (n *Node) members() []membership.Info {
 	if n.table != nil {
 		return n.table.Live()
 	}
@@ -295,7 +295,7 @@
 	o, b := n.opts, n.opts.Bounds()
 	self, net, clk := o.Name, n.w.Net, n.w.Clock
 	if o.Voter() {
-		n.table = member.NewTable(clk, b)
+		n.table = membership.NewTable(clk, b)
 		n.holder = register.New(self, net, clk, b, n, n.told)
 		mender := &repair.Mender{Self: self, Net: net, Bounds: b}
 		n.confirm = &quorumread.Confirmer{Self: self, Net: net, Clock: clk, Bounds: b, Board: n.Board, Holder: n.holder, Mender: mender}
@@ -352,7 +352,7 @@
 	}).Open(ctx)
 	n.touch = &touch.Touch{
 		Self: self, Clock: clk, Bounds: b, Net: net, Heard: n.keeper.Heard, Usual: n.keeper.Usual, Owners: n.deciders, Peers: n.nearest, Able: n.Ready,
-		Away: func(to []member.Info) {
+		Away: func(to []membership.Info) {
 			if len(to) > 0 {
 				n.log.Say(event.VisitorsSent, "visitors", n.House.Count(), "fellows", len(to))
 			} else {
@@ -383,11 +383,11 @@
 }
 
 // nearest gives the other nodes that take visitors: those of this node's zone, then the rest.
-func (n *Node) nearest() [][]member.Info {
+func (n *Node) nearest() [][]membership.Info {
 	me := n.options()
-	gs := make([][]member.Info, 2)
+	gs := make([][]membership.Info, 2)
 	for _, i := range n.View.All() {
-		if i.Visits == "" || i.Name == me.Name || i.Stage != member.Serving || i.Deaf {
+		if i.Visits == "" || i.Name == me.Name || i.Stage != membership.Serving || i.Deaf {
 			continue
 		}
 		k := 1
@@ -399,7 +399,7 @@
 	return gs
 }
 
-func (n *Node) askTurned(ctx context.Context, i member.Info, q turned.Task) ([]turned.Note, error) {
+func (n *Node) askTurned(ctx context.Context, i membership.Info, q turned.Task) ([]turned.Note, error) {
 	if i.Name == n.opts.Name {
 		return n.turned.Find(q), nil
 	}
@@ -487,7 +487,7 @@
 // Peers gives the handler of the other nodes' calls.
 func (n *Node) Peers() http.Handler {
 	m := http.NewServeMux()
-	member.Hello.Handle(m, n.keeper.Hello)
+	membership.Hello.Handle(m, n.keeper.Hello)
 	n.gossip.Serve(m)
 	n.desk.Serve(m)
 	n.presence.Serve(m)
@@ -536,18 +536,18 @@
 	b := n.bounds()
 	n.log.Say(event.Stopping)
 	n.mu.Lock()
-	if n.stage == member.Leaving {
+	if n.stage == membership.Leaving {
 		n.mu.Unlock()
 		return
 	}
-	n.stage = member.Leaving
+	n.stage = membership.Leaving
 	n.mu.Unlock()
 	close(n.leaving)
 	ctx, stop := context.WithTimeout(context.Background(), b.Stop()*3/4)
 	defer stop()
 	able := func(p record.Place) bool {
 		i, ok := n.View.Get(p.Node)
-		return ok && i.Incarnation == p.Incarnation && i.Fitness == "" && i.Stage == member.Serving
+		return ok && i.Incarnation == p.Incarnation && i.Fitness == "" && i.Stage == membership.Serving
 	}
 	k := 0
 	if n.replica != nil {
@@ -556,8 +556,8 @@
 	h := 0
 	if n.holder != nil {
 		var to []string
-		for _, i := range member.Pick(n.table.Live(), func(i member.Info) bool {
-			return i.Disk == options.DiskControl && i.Name != n.opts.Name && i.Stage == member.Serving
+		for _, i := range membership.Pick(n.table.Live(), func(i membership.Info) bool {
+			return i.Disk == options.DiskControl && i.Name != n.opts.Name && i.Stage == membership.Serving
 		}) {
 			to = append(to, i.Name)
 		}
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -8,7 +8,7 @@
 	"postjunction/internal/control/registerclient"
 	"postjunction/internal/event"
 	"postjunction/internal/gather"
-	"postjunction/internal/member"
+	"postjunction/internal/membership"
 	"postjunction/internal/options"
 	"postjunction/internal/placement/drain"
 	"postjunction/internal/placement/record"
@@ -163,7 +163,7 @@
 	for name, seen := range all {
 		able := false
 		for _, i := range seen {
-			able = able || i.Disk != options.DiskNone && i.Fitness == "" && i.Stage == member.Serving
+			able = able || i.Disk != options.DiskNone && i.Fitness == "" && i.Stage == membership.Serving
 		}
 		if able && name != but && !drains.Out(name) {
 			n++
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -18,7 +18,7 @@
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/desk"
 	"postjunction/internal/ledger/owner"
-	"postjunction/internal/member"
+	"postjunction/internal/membership"
 	"postjunction/internal/options"
 	"postjunction/internal/partition"
 	"postjunction/internal/placement/record"
@@ -35,8 +35,8 @@
 	Net      wire.Network
 	Client   *registerclient.Client
 	Board    *gossip.Board
-	View     *member.View
-	Info     func() member.Info
+	View     *membership.View
+	Info     func() membership.Info
 	Licensed func() error
 	With     func() string
 	Owners   func() []owner.View
@@ -44,7 +44,7 @@
 	Marks    func(ctx context.Context, p int) (*owner.MarksView, error)
 	Tallies  func() map[string]any
 	Trace    func(ctx context.Context, p int, q *desk.TraceRequest) (*desk.Traced, error)
-	Turned   func(ctx context.Context, i member.Info, q turned.Task) ([]turned.Note, error)
+	Turned   func(ctx context.Context, i membership.Info, q turned.Task) ([]turned.Note, error)
 	Log      *event.Logger
 
 	reader atomic.Pointer[Reader]
@@ -58,15 +58,15 @@
 
 // Status is what a node knows of the fleet.
 type Status struct {
-	Node        member.Info     `json:"node"`
-	Control     string          `json:"session_with"`
-	Licensed    bool            `json:"licensed"`
-	Fleet       string          `json:"fleet"`
-	Description uint64          `json:"description"`
-	Roster      voters.Roster   `json:"roster"`
-	Members     []member.Info   `json:"members"`
-	Partitions  []record.Record `json:"partitions"`
-	Owned       []owner.View    `json:"owned"`
+	Node        membership.Info   `json:"node"`
+	Control     string            `json:"session_with"`
+	Licensed    bool              `json:"licensed"`
+	Fleet       string            `json:"fleet"`
+	Description uint64            `json:"description"`
+	Roster      voters.Roster     `json:"roster"`
+	Members     []membership.Info `json:"members"`
+	Partitions  []record.Record   `json:"partitions"`
+	Owned       []owner.View      `json:"owned"`
 }
 
 // Status gives this node's view.
--- a/internal/operator/quorum.go
+++ b/internal/operator/quorum.go
@@ -6,7 +6,7 @@
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/voters"
 	"postjunction/internal/gather"
-	"postjunction/internal/member"
+	"postjunction/internal/membership"
 	"postjunction/internal/problem"
 )
 
@@ -39,14 +39,16 @@
 }
 
 // machines are nodes by name, as several control nodes know them.
-type machines map[string][]member.Info
+type machines map[string][]membership.Info
 
 // askMajority asks the control nodes which machines they know until a majority of the voters has answered.
 func (s *Service) askMajority(ctx context.Context) (c confirmed[machines], err error) {
 	r := s.Board.Roster()
 	cx, stop := context.WithTimeout(ctx, s.Bounds.Call())
 	defer stop()
-	as := gather.Ask(cx, r.Seats, s.known, func(as []gather.Answer[voters.Seat, []member.Info]) bool { return len(gather.Good(as)) >= r.Majority() })
+	as := gather.Ask(cx, r.Seats, s.known, func(as []gather.Answer[voters.Seat, []membership.Info]) bool {
+		return len(gather.Good(as)) >= r.Majority()
+	})
 	good := gather.Good(as)
 	if r.Sequence == 0 || len(good) < r.Majority() {
 		return c, problem.Because(problem.NoMajority, gather.First(as), "%d of %d control nodes told which machines they know", len(good), len(r.Seats))
@@ -61,8 +63,8 @@
 }
 
 // known asks the control node of a seat which machines it knows, itself among them.
-func (s *Service) known(ctx context.Context, to voters.Seat) ([]member.Info, error) {
-	a, err := member.Hello.Call(ctx, s.Net, s.Info().Name, to.Addr, &member.HelloRequest{})
+func (s *Service) known(ctx context.Context, to voters.Seat) ([]membership.Info, error) {
+	a, err := membership.Hello.Call(ctx, s.Net, s.Info().Name, to.Addr, &membership.HelloRequest{})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/placement/duty/drains_test.go
+++ b/internal/placement/duty/drains_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 	"pgregory.net/rapid"
 
-	"postjunction/internal/member"
+	"postjunction/internal/membership"
 	"postjunction/internal/options"
 	"postjunction/internal/placement/drain"
 )
@@ -38,7 +38,7 @@
 func (e *emptied) place() {
 	delete(e.scene.m, "s4")
 	if e.here {
-		e.scene.m["s4"] = &machine{Info: member.Info{Name: "s4", Disk: options.DiskStorage, Incarnation: fmt.Sprint("disk-", e.disks), Stage: member.Serving}}
+		e.scene.m["s4"] = &machine{Info: membership.Info{Name: "s4", Disk: options.DiskStorage, Incarnation: fmt.Sprint("disk-", e.disks), Stage: membership.Serving}}
 	}
 }
 
--- a/internal/placement/duty/duty.go
+++ b/internal/placement/duty/duty.go
@@ -14,7 +14,7 @@
 	"postjunction/internal/event"
 	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
-	"postjunction/internal/member"
+	"postjunction/internal/membership"
 	"postjunction/internal/options"
 	"postjunction/internal/placement/record"
 	"postjunction/internal/problem"
@@ -31,7 +31,7 @@
 	Holder *register.Holder
 	Client *registerclient.Client
 	Board  *gossip.Board
-	Live   func() []member.Info
+	Live   func() []membership.Info
 	// Changed gives what is closed at news of the members.
 	Changed func() <-chan struct{}
 	Log     *event.Logger
--- a/internal/placement/duty/duty_test.go
+++ b/internal/placement/duty/duty_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/member"
+	"postjunction/internal/membership"
 	"postjunction/internal/options"
 	"postjunction/internal/placement/drain"
 	"postjunction/internal/placement/record"
@@ -28,7 +28,7 @@
 		r.Replicas = append(r.Replicas, record.Place{Node: n, Incarnation: "disk-" + n})
 	}
 	for _, n := range names {
-		s.m[n] = &machine{Info: member.Info{Name: n, Zone: "z" + n[1:], Disk: options.DiskStorage, Incarnation: "disk-" + n, Stage: member.Serving}}
+		s.m[n] = &machine{Info: membership.Info{Name: n, Zone: "z" + n[1:], Disk: options.DiskStorage, Incarnation: "disk-" + n, Stage: membership.Serving}}
 		s.stores++
 		if r.Holds(n) {
 			s.m[n].holds = 1
@@ -64,7 +64,7 @@
 			d.since, d.gone["s1"] = s.now.Add(-b.Previous()), s.now.Add(-b.Previous())
 		}, "", true},
 		{"a failing disk", func(_ *Duty, s *scene, _ *record.Record) { s.m["s1"].Fitness = "disk_full" }, "the owner's disk fails: disk_full", false},
-		{"stopping", func(_ *Duty, s *scene, _ *record.Record) { s.m["s1"].Stage = member.Leaving }, "the owner is stopping", false},
+		{"stopping", func(_ *Duty, s *scene, _ *record.Record) { s.m["s1"].Stage = membership.Leaving }, "the owner is stopping", false},
 		{"deaf for a moment", func(d *Duty, s *scene, _ *record.Record) {
 			s.m["s1"].Deaf, d.deaf["s1"] = true, s.now.Add(time.Millisecond-half)
 		}, "", false},
--- a/internal/placement/duty/owners.go
+++ b/internal/placement/duty/owners.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"postjunction/internal/member"
+	"postjunction/internal/membership"
 	"postjunction/internal/options"
 	"postjunction/internal/placement/record"
 )
@@ -53,7 +53,7 @@
 		reason = "the owner is gone"
 	case m.Fitness != "":
 		reason = "the owner's disk fails: " + m.Fitness
-	case m.Stage != member.Serving:
+	case m.Stage != membership.Serving:
 		reason = "the owner is stopping"
 	case m.Deaf && s.now.Sub(d.deaf[r.Owner]) >= d.Bounds.Session()/2:
 		reason = "the owner has no licence: it is heard but does not hear"
--- a/internal/placement/duty/scene.go
+++ b/internal/placement/duty/scene.go
@@ -7,14 +7,14 @@
 	"time"
 
 	"postjunction/internal/event"
-	"postjunction/internal/member"
+	"postjunction/internal/membership"
 	"postjunction/internal/options"
 	"postjunction/internal/placement/drain"
 	"postjunction/internal/placement/record"
 )
 
 type machine struct {
-	member.Info
+	membership.Info
 	holds, owns int
 	load        float64
 	out         bool
@@ -59,11 +59,11 @@
 
 // fit tells whether a machine may be given a copy.
 func (s *scene) fit(m *machine) bool {
-	return m != nil && !m.out && m.Fitness == "" && !m.Deaf && m.Stage == member.Serving && (m.Disk == options.DiskStorage || s.stores < s.copies)
+	return m != nil && !m.out && m.Fitness == "" && !m.Deaf && m.Stage == membership.Serving && (m.Disk == options.DiskStorage || s.stores < s.copies)
 }
 
 func (s *scene) canOwn(p record.Place) bool {
-	return s.usable(p) && s.m[p.Node].Stage == member.Serving && !s.m[p.Node].Deaf && !s.m[p.Node].slow
+	return s.usable(p) && s.m[p.Node].Stage == membership.Serving && !s.m[p.Node].Deaf && !s.m[p.Node].slow
 }
 
 func (d *Duty) scene(ctx context.Context) (*scene, error) {
--- a/internal/session/behind_test.go
+++ b/internal/session/behind_test.go
@@ -10,7 +10,7 @@
 
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
-	"postjunction/internal/member"
+	"postjunction/internal/membership"
 	"postjunction/internal/options"
 )
 
@@ -19,22 +19,22 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := options.DefaultBounds
 		seq := uint64(7)
-		h := &Host{Self: "c1", Clock: clock.Real{}, Bounds: b, Table: member.NewTable(clock.Real{}, b), Board: gossip.NewBoard(nil), Latest: func() Confirmed {
+		h := &Host{Self: "c1", Clock: clock.Real{}, Bounds: b, Table: membership.NewTable(clock.Real{}, b), Board: gossip.NewBoard(nil), Latest: func() Confirmed {
 			return Confirmed{OK: true, Sequence: seq, At: time.Now()}
 		}}
 		has := map[string]uint64{"a1": 7, "a2": 7, "a3": 7}
-		var c member.Copy
-		told := func(heartbeats int) (news []member.Info) {
+		var c membership.Copy
+		told := func(heartbeats int) (news []membership.Info) {
 			for range heartbeats {
 				time.Sleep(b.Heartbeat())
 				for _, n := range []string{"a1", "a2", "a3"} {
 					m := c.Mark()
-					a, err := h.Heartbeat(context.Background(), &HeartbeatRequest{Info: member.Info{Name: n, Boot: "1", Stage: member.Serving, Description: has[n]}, Have: &m})
+					a, err := h.Heartbeat(context.Background(), &HeartbeatRequest{Info: membership.Info{Name: n, Boot: "1", Stage: membership.Serving, Description: has[n]}, Have: &m})
 					assert.NilError(t, err)
 					assert.Equal(t, len(a.Change.Moved), 0)
 					if n == "a1" {
 						assert.Assert(t, c.Take(*a.Change))
-						news = append(append(news, a.Change.News...), make([]member.Info, len(a.Change.Gone))...)
+						news = append(append(news, a.Change.News...), make([]membership.Info, len(a.Change.Gone))...)
 					}
 				}
 			}
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -15,7 +15,7 @@
 	"postjunction/internal/event"
 	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
-	"postjunction/internal/member"
+	"postjunction/internal/membership"
 	"postjunction/internal/options"
 	"postjunction/internal/problem"
 	"postjunction/internal/wire"
@@ -23,12 +23,12 @@
 
 // HeartbeatRequest renews a session.
 type HeartbeatRequest struct {
-	Info member.Info `json:"info,omitzero"`
-	Left bool        `json:"left,omitempty"`
+	Info membership.Info `json:"info,omitzero"`
+	Left bool            `json:"left,omitempty"`
 	// Brief stands for the Info of a run whose last one this control node has, when there is nothing new to say.
 	Brief *Brief `json:"b,omitempty"`
 	// Have says how far the members are known from this control node.
-	Have *member.Mark `json:"h,omitempty"`
+	Have *membership.Mark `json:"h,omitempty"`
 	// Changes tells that a description may come by its changes.
 	Changes bool `json:"c,omitempty"`
 }
@@ -42,9 +42,9 @@
 
 // HeartbeatResponse gives the members, and, when a majority confirmed it, which description is current.
 type HeartbeatResponse struct {
-	Members []member.Info `json:"members,omitempty"`
+	Members []membership.Info `json:"members,omitempty"`
 	// Change gives the members by difference, to a node that says what it has.
-	Change *member.Change `json:"c,omitempty"`
+	Change *membership.Change `json:"c,omitempty"`
 	// Said is the number of the node's last whole saying, 0 when one is asked for.
 	Said uint64 `json:"s,omitempty"`
 	// Young tells that the control node began so lately that it can't know all members yet.
@@ -77,9 +77,9 @@
 	Clock  clock.Clock
 	Bounds options.Bounds
 	Net    wire.Network
-	Table  *member.Table
+	Table  *membership.Table
 	Board  *gossip.Board
-	Info   func() member.Info
+	Info   func() membership.Info
 	Latest func() Confirmed
 	mu     sync.Mutex
 	own    map[string]mine
@@ -92,7 +92,7 @@
 }
 
 type mine struct {
-	info member.Info
+	info membership.Info
 	at   time.Time
 	said uint64
 }
@@ -157,18 +157,18 @@
 	return h.news
 }
 
-func (h *Host) sessions() []member.Heard {
+func (h *Host) sessions() []membership.Heard {
 	now := h.Clock.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var s []member.Heard
+	var s []membership.Heard
 	for n, m := range h.own {
 		age := now.Sub(m.at)
 		if age > h.Bounds.Session() {
 			delete(h.own, n)
 			continue
 		}
-		s = append(s, member.Heard{Info: m.info, Age: age})
+		s = append(s, membership.Heard{Info: m.info, Age: age})
 	}
 	return s
 }
@@ -188,7 +188,7 @@
 
 // alone tells whether this control node has to find others through its seeds.
 func (h *Host) alone() bool {
-	return h.Board.Roster().Sequence == 0 || len(member.Pick(h.Table.Live(), func(i member.Info) bool { return i.Disk == options.DiskControl && i.Name != h.Self })) == 0
+	return h.Board.Roster().Sequence == 0 || len(membership.Pick(h.Table.Live(), func(i membership.Info) bool { return i.Disk == options.DiskControl && i.Name != h.Self })) == 0
 }
 
 // seek asks all seeds at once who they are and whom they know.
@@ -197,8 +197,8 @@
 	defer stop()
 	me := h.Info()
 	met := map[string]string{}
-	for _, a := range gather.Good(gather.Ask(cx, others(h.Seeds, me.Peers), func(ctx context.Context, a string) (*member.HelloResponse, error) {
-		return member.Hello.Call(ctx, h.Net, h.Self, a, &member.HelloRequest{From: &me})
+	for _, a := range gather.Good(gather.Ask(cx, others(h.Seeds, me.Peers), func(ctx context.Context, a string) (*membership.HelloResponse, error) {
+		return membership.Hello.Call(ctx, h.Net, h.Self, a, &membership.HelloRequest{From: &me})
 	}, nil)) {
 		for _, i := range append(a.A.Known, a.A.Info) {
 			if i.Disk == options.DiskControl {
@@ -221,7 +221,7 @@
 	for again := false; ; again = true {
 		q := h.task(addr)
 		cx, stop := context.WithTimeout(ctx, h.Bounds.Call())
-		a, err := member.Sessions.Call(cx, h.Net, h.Self, addr, q)
+		a, err := membership.Sessions.Call(cx, h.Net, h.Self, addr, q)
 		stop()
 		away := wire.TurnedAway(err)
 		switch {
@@ -297,7 +297,7 @@
 	return others(as, h.Info().Peers)
 }
 
-func (h *Host) note(s []member.Heard) {
+func (h *Host) note(s []membership.Heard) {
 	for _, x := range s {
 		h.Table.Note(x.Info, x.Age)
 	}
@@ -306,14 +306,14 @@
 // Serve adds the host's calls.
 func (h *Host) Serve(m *http.ServeMux) {
 	Heartbeat.Handle(m, h.Heartbeat)
-	member.Sessions.Handle(m, func(_ context.Context, q *member.SessionsRequest) (*member.SessionsResponse, error) {
+	membership.Sessions.Handle(m, func(_ context.Context, q *membership.SessionsRequest) (*membership.SessionsResponse, error) {
 		h.note(q.Sessions)
 		if q.Have == nil {
-			return &member.SessionsResponse{Sessions: h.sessions()}, nil
+			return &membership.SessionsResponse{Sessions: h.sessions()}, nil
 		}
 		h.hear(q.From, q.Story)
 		s, k := h.story(*q.Have), h.heard(q.From)
-		return &member.SessionsResponse{From: h.Self, Story: &s, Have: &k}, nil
+		return &membership.SessionsResponse{From: h.Self, Story: &s, Have: &k}, nil
 	})
 }
 
@@ -323,17 +323,17 @@
 	Clock clock.Clock
 	Net   wire.Network
 	Board *gossip.Board
-	View  *member.View
-	Info  func() member.Info
+	View  *membership.View
+	Info  func() membership.Info
 	Local *Host
 	Log   *event.Logger
 	mu    sync.Mutex
-	with  member.Info
+	with  membership.Info
 	until time.Time
 	// heard is when a control node last answered a heartbeat.
 	heard time.Time
 	live  bool
-	known []member.Info
+	known []membership.Info
 	met   map[string]mine
 	lags  []time.Duration
 	// usual is how long the last few answered heartbeats took.
@@ -342,8 +342,8 @@
 	behind bool
 	// of is what the control node that the session is with was told, and what it told.
 	of   string
-	copy member.Copy
-	last member.Info
+	copy membership.Copy
+	last membership.Info
 	said uint64
 	// young is what that control node last said of its table; wary tells that members it left out may be there.
 	young bool
@@ -422,8 +422,8 @@
 }
 
 // Hello says who this node is and whom it knows, with the control nodes that asked it lately.
-func (k *Keeper) Hello(_ context.Context, q *member.HelloRequest) (*member.HelloResponse, error) {
-	a := &member.HelloResponse{Info: k.Info(), Known: slices.Clone(k.View.All())}
+func (k *Keeper) Hello(_ context.Context, q *membership.HelloRequest) (*membership.HelloResponse, error) {
+	a := &membership.HelloResponse{Info: k.Info(), Known: slices.Clone(k.View.All())}
 	now := k.Clock.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -445,20 +445,20 @@
 	return a, nil
 }
 
-func (k *Keeper) able(is []member.Info, not string) []member.Info {
-	return member.Pick(is, func(i member.Info) bool {
-		return i.Disk == options.DiskControl && i.Stage == member.Serving && i.Name != not && i.Name != k.Opts.Name
+func (k *Keeper) able(is []membership.Info, not string) []membership.Info {
+	return membership.Pick(is, func(i membership.Info) bool {
+		return i.Disk == options.DiskControl && i.Stage == membership.Serving && i.Name != not && i.Name != k.Opts.Name
 	})
 }
 
 // ask asks all seeds at once, and waits no longer than for the first that names a control node.
-func (k *Keeper) ask(ctx context.Context, not string) []member.Info {
+func (k *Keeper) ask(ctx context.Context, not string) []membership.Info {
 	cx, stop := context.WithTimeout(ctx, k.Opts.Bounds().Call()/2)
 	defer stop()
-	var is []member.Info
-	gather.Ask(cx, others(k.Opts.Seeds, k.Opts.Reached()), func(ctx context.Context, a string) (*member.HelloResponse, error) {
-		return member.Hello.Call(ctx, k.Net, k.Opts.Name, a, &member.HelloRequest{})
-	}, func(as []gather.Answer[string, *member.HelloResponse]) bool {
+	var is []membership.Info
+	gather.Ask(cx, others(k.Opts.Seeds, k.Opts.Reached()), func(ctx context.Context, a string) (*membership.HelloResponse, error) {
+		return membership.Hello.Call(ctx, k.Net, k.Opts.Name, a, &membership.HelloRequest{})
+	}, func(as []gather.Answer[string, *membership.HelloResponse]) bool {
 		if h := as[len(as)-1]; h.Err == nil {
 			is = append(append(is, h.A.Info), h.A.Known...)
 		}
@@ -468,11 +468,11 @@
 }
 
 // choose finds a control node: after a session that worked among the members known from it, otherwise through the seeds.
-func (k *Keeper) choose(ctx context.Context, not string, worked bool) (member.Info, error) {
+func (k *Keeper) choose(ctx context.Context, not string, worked bool) (membership.Info, error) {
 	if k.Local != nil && not == "" {
 		return k.Info(), nil
 	}
-	var is []member.Info
+	var is []membership.Info
 	if worked {
 		is = k.able(slices.Concat(k.View.All(), k.known), not)
 	}
@@ -480,9 +480,9 @@
 		is = k.able(slices.Concat(k.ask(ctx, not), k.View.All(), k.known), not)
 	}
 	if len(is) == 0 {
-		return member.Info{}, problem.New(problem.Unreachable, "no control node was found through the seeds")
+		return membership.Info{}, problem.New(problem.Unreachable, "no control node was found through the seeds")
 	}
-	near := member.Pick(is, func(i member.Info) bool { return i.Zone == k.Opts.Zone })
+	near := membership.Pick(is, func(i membership.Info) bool { return i.Zone == k.Opts.Zone })
 	if len(near) > 0 && not == "" {
 		is = near
 	}
@@ -492,12 +492,12 @@
 // Run keeps the session until ctx ends.
 func (k *Keeper) Run(ctx context.Context) {
 	not, bad, worked, begun := "", 0, false, k.Clock.Now()
-	var with member.Info
+	var with membership.Info
 	for ctx.Err() == nil {
 		if with.Name == "" {
 			var err error
 			if with, err = k.choose(ctx, not, worked); err != nil {
-				with = member.Info{}
+				with = membership.Info{}
 				not, worked = "", false
 				k.watch()
 				_ = k.Clock.Sleep(ctx, clock.Jitter(k.pace(begun), 1, rand.Float64()))
@@ -524,7 +524,7 @@
 		k.watch()
 		if bad >= missesMost {
 			k.Log.Say(event.SessionMoved, "control", with.Name)
-			not, bad, with = with.Name, 0, member.Info{}
+			not, bad, with = with.Name, 0, membership.Info{}
 			continue
 		}
 		_ = k.Clock.Sleep(ctx, pause)
@@ -547,15 +547,15 @@
 const missesMost = 2
 
 // say heartbeats once: with all that this node says of itself, or with word that nothing of it is new.
-func (k *Keeper) say(ctx context.Context, with member.Info) (*HeartbeatResponse, error) {
+func (k *Keeper) say(ctx context.Context, with membership.Info) (*HeartbeatResponse, error) {
 	if k.of != with.Name {
-		k.of, k.copy, k.last, k.said = with.Name, member.Copy{}, member.Info{}, 0
+		k.of, k.copy, k.last, k.said = with.Name, membership.Copy{}, membership.Info{}, 0
 	}
 	for {
 		i, m := k.Info(), k.copy.Mark()
 		q := &HeartbeatRequest{Info: i, Have: &m, Changes: k.Board.Takes()}
 		if k.said != 0 && i.Alike(k.last) {
-			q.Info, q.Brief = member.Info{}, &Brief{Name: i.Name, Boot: i.Boot, Said: k.said}
+			q.Info, q.Brief = membership.Info{}, &Brief{Name: i.Name, Boot: i.Boot, Said: k.said}
 		}
 		a, err := k.heartbeat(ctx, with, q)
 		if err != nil {
@@ -569,7 +569,7 @@
 			k.last, k.said = i, a.Said
 		}
 		if a.Change != nil && !k.copy.Take(*a.Change) {
-			k.copy = member.Copy{}
+			k.copy = membership.Copy{}
 			continue
 		}
 		return a, nil
@@ -594,12 +594,12 @@
 	} else {
 		k.View.Set(a.Members)
 	}
-	if cs := member.Pick(a.Members, func(i member.Info) bool { return i.Disk == options.DiskControl }); len(cs) > 0 {
+	if cs := membership.Pick(a.Members, func(i membership.Info) bool { return i.Disk == options.DiskControl }); len(cs) > 0 {
 		k.known = slices.Clone(cs)
 	}
 }
 
-func (k *Keeper) heartbeat(ctx context.Context, with member.Info, q *HeartbeatRequest) (*HeartbeatResponse, error) {
+func (k *Keeper) heartbeat(ctx context.Context, with membership.Info, q *HeartbeatRequest) (*HeartbeatResponse, error) {
 	if k.Local != nil && with.Name == k.Opts.Name {
 		return k.Local.Heartbeat(ctx, q)
 	}
@@ -608,7 +608,7 @@
 	return Heartbeat.Call(cx, k.Net, k.Opts.Name, with.Peers, q)
 }
 
-func (k *Keeper) beat(ctx context.Context, with member.Info) error {
+func (k *Keeper) beat(ctx context.Context, with membership.Info) error {
 	b := k.Opts.Bounds()
 	sent := k.Clock.Now()
 	a, err := k.say(ctx, with)
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -17,7 +17,7 @@
 	"postjunction/internal/control/voters"
 	"postjunction/internal/event"
 	"postjunction/internal/gossip"
-	"postjunction/internal/member"
+	"postjunction/internal/membership"
 	"postjunction/internal/options"
 )
 
@@ -30,10 +30,10 @@
 				o.Name, o.Stretch = "a1", options.Span(10*time.Second)
 				b := gossip.NewBoard(nil)
 				b.Offer(gossip.News{Roster: &voters.Roster{Sequence: 1, Fleet: "f"}})
-				info := func() member.Info { return member.Info{Name: "a1"} }
+				info := func() membership.Info { return membership.Info{Name: "a1"} }
 				c := Confirmed{OK: true}
-				h := &Host{Self: "a1", Clock: clock.Real{}, Bounds: o.Bounds(), Table: member.NewTable(clock.Real{}, o.Bounds()), Board: b, Info: info, Latest: func() Confirmed { return c }}
-				k := &Keeper{Opts: o, Clock: clock.Real{}, Board: b, View: member.NewView(), Info: info, Local: h}
+				h := &Host{Self: "a1", Clock: clock.Real{}, Bounds: o.Bounds(), Table: membership.NewTable(clock.Real{}, o.Bounds()), Board: b, Info: info, Latest: func() Confirmed { return c }}
+				k := &Keeper{Opts: o, Clock: clock.Real{}, Board: b, View: membership.NewView(), Info: info, Local: h}
 				assert.Assert(t, k.Licensed() != nil, "a node starts without a licence")
 				c.At = time.Now()
 				assert.NilError(t, k.beat(context.Background(), info()))
@@ -75,7 +75,7 @@
 		var asked []*HeartbeatRequest
 		var h *Host
 		start := func() {
-			h = &Host{Self: "c1", Clock: clock.Real{}, Bounds: o.Bounds(), Table: member.NewTable(clock.Real{}, o.Bounds()), Board: b, Latest: func() Confirmed { return Confirmed{OK: true, At: time.Now()} }}
+			h = &Host{Self: "c1", Clock: clock.Real{}, Bounds: o.Bounds(), Table: membership.NewTable(clock.Real{}, o.Bounds()), Board: b, Latest: func() Confirmed { return Confirmed{OK: true, At: time.Now()} }}
 		}
 		start()
 		m := http.NewServeMux()
@@ -83,13 +83,13 @@
 			asked = append(asked, q)
 			return h.Heartbeat(ctx, q)
 		})
-		me := member.Info{Name: "a1", Boot: "1", Stage: member.Serving, Lag: 500}
-		k := &Keeper{Opts: o, Clock: clock.Real{}, Net: &pair{m}, Board: b, View: member.NewView(), Info: func() member.Info { return me }}
+		me := membership.Info{Name: "a1", Boot: "1", Stage: membership.Serving, Lag: 500}
+		k := &Keeper{Opts: o, Clock: clock.Real{}, Net: &pair{m}, Board: b, View: membership.NewView(), Info: func() membership.Info { return me }}
 		beat := func(whole ...bool) {
 			t.Helper()
 			asked = nil
 			time.Sleep(o.Bounds().Heartbeat())
-			assert.NilError(t, k.beat(context.Background(), member.Info{Name: "c1", Peers: "127.0.0.1:1"}))
+			assert.NilError(t, k.beat(context.Background(), membership.Info{Name: "c1", Peers: "127.0.0.1:1"}))
 			assert.Equal(t, len(asked), len(whole))
 			for n, q := range asked {
 				assert.Equal(t, q.Brief == nil, whole[n])
@@ -102,7 +102,7 @@
 		beat(false)
 		me.Lag = 510
 		beat(false)
-		me.Stage = member.Leaving
+		me.Stage = membership.Leaving
 		beat(true)
 		beat(false)
 		start()
@@ -117,7 +117,7 @@
 		o := options.Default()
 		o.Name = "a1"
 		b := gossip.NewBoard(nil)
-		h := &Host{Self: "c1", Clock: clock.Real{}, Bounds: o.Bounds(), Table: member.NewTable(clock.Real{}, o.Bounds()), Board: b, Latest: func() Confirmed { return Confirmed{OK: true, At: time.Now()} }}
+		h := &Host{Self: "c1", Clock: clock.Real{}, Bounds: o.Bounds(), Table: membership.NewTable(clock.Real{}, o.Bounds()), Board: b, Latest: func() Confirmed { return Confirmed{OK: true, At: time.Now()} }}
 		m := http.NewServeMux()
 		whole := 0
 		takes := time.Millisecond
@@ -128,16 +128,16 @@
 			}
 			return h.Heartbeat(ctx, q)
 		})
-		k := &Keeper{Opts: o, Clock: clock.Real{}, Net: &pair{m}, Board: b, View: member.NewView()}
-		k.Info = func() member.Info {
-			return member.Info{Name: "a1", Boot: "1", Stage: member.Serving, Lag: k.Lag().Microseconds()}
+		k := &Keeper{Opts: o, Clock: clock.Real{}, Net: &pair{m}, Board: b, View: membership.NewView()}
+		k.Info = func() membership.Info {
+			return membership.Info{Name: "a1", Boot: "1", Stage: membership.Serving, Lag: k.Lag().Microseconds()}
 		}
 		beats := func(d time.Duration) int {
 			t.Helper()
 			whole, takes = 0, d
 			for range lagsMost + 2 {
 				time.Sleep(o.Bounds().Heartbeat())
-				assert.NilError(t, k.beat(context.Background(), member.Info{Name: "c1", Peers: "127.0.0.1:1"}))
+				assert.NilError(t, k.beat(context.Background(), membership.Info{Name: "c1", Peers: "127.0.0.1:1"}))
 			}
 			return whole
 		}
@@ -165,9 +165,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		o := options.Default()
 		hosts := map[string]*Host{}
-		var asked *member.SessionsRequest
+		var asked *membership.SessionsRequest
 		start := func(name, other string) {
-			h := &Host{Self: name, Clock: clock.Real{}, Bounds: o.Bounds(), Table: member.NewTable(clock.Real{}, o.Bounds()), Board: gossip.NewBoard(nil), Latest: func() Confirmed { return Confirmed{} }, Info: func() member.Info { return member.Info{Name: name} }}
+			h := &Host{Self: name, Clock: clock.Real{}, Bounds: o.Bounds(), Table: membership.NewTable(clock.Real{}, o.Bounds()), Board: gossip.NewBoard(nil), Latest: func() Confirmed { return Confirmed{} }, Info: func() membership.Info { return membership.Info{Name: name} }}
 			h.Net = &reach{func(r *http.Request) (*http.Response, error) {
 				m := http.NewServeMux()
 				hosts[other].Serve(m)
@@ -178,7 +178,7 @@
 		start("c1", "c2")
 		start("c2", "c1")
 		heartbeat := func(name, stage string) {
-			_, err := hosts["c1"].Heartbeat(context.Background(), &HeartbeatRequest{Info: member.Info{Name: name, Stage: stage}, Have: &member.Mark{}})
+			_, err := hosts["c1"].Heartbeat(context.Background(), &HeartbeatRequest{Info: membership.Info{Name: name, Stage: stage}, Have: &membership.Mark{}})
 			assert.NilError(t, err)
 		}
 		round := func() {
@@ -193,26 +193,26 @@
 			}
 			return s
 		}
-		heartbeat("a", member.Serving)
+		heartbeat("a", membership.Serving)
 		round()
-		assert.DeepEqual(t, stages(), map[string]string{"a": member.Serving})
-		heartbeat("b", member.Serving)
+		assert.DeepEqual(t, stages(), map[string]string{"a": membership.Serving})
+		heartbeat("b", membership.Serving)
 		round()
-		assert.DeepEqual(t, stages(), map[string]string{"a": member.Serving, "b": member.Serving})
+		assert.DeepEqual(t, stages(), map[string]string{"a": membership.Serving, "b": membership.Serving})
 		for range 20 {
-			heartbeat("a", member.Serving)
+			heartbeat("a", membership.Serving)
 			round()
 		}
 		assert.Assert(t, asked.Story != nil && asked.Story.Change.Empty())
-		assert.DeepEqual(t, stages(), map[string]string{"a": member.Serving})
+		assert.DeepEqual(t, stages(), map[string]string{"a": membership.Serving})
 		start("c2", "c1")
-		heartbeat("a", member.Leaving)
+		heartbeat("a", membership.Leaving)
 		round()
-		assert.DeepEqual(t, stages(), map[string]string{"a": member.Leaving})
+		assert.DeepEqual(t, stages(), map[string]string{"a": membership.Leaving})
 		start("c1", "c2")
-		heartbeat("a", member.Serving)
+		heartbeat("a", membership.Serving)
 		round()
-		assert.DeepEqual(t, stages(), map[string]string{"a": member.Serving})
+		assert.DeepEqual(t, stages(), map[string]string{"a": membership.Serving})
 	})
 }
 
@@ -228,21 +228,21 @@
 		o := options.Default()
 		o.Name = "a1"
 		b := gossip.NewBoard(nil)
-		h := &Host{Self: "c1", Clock: clock.Real{}, Bounds: o.Bounds(), Table: member.NewTable(clock.Real{}, o.Bounds()), Board: b, Latest: func() Confirmed { return Confirmed{OK: true, At: time.Now()} }}
+		h := &Host{Self: "c1", Clock: clock.Real{}, Bounds: o.Bounds(), Table: membership.NewTable(clock.Real{}, o.Bounds()), Board: b, Latest: func() Confirmed { return Confirmed{OK: true, At: time.Now()} }}
 		m := http.NewServeMux()
 		Heartbeat.Handle(m, func(ctx context.Context, q *HeartbeatRequest) (*HeartbeatResponse, error) {
 			assert.Assert(t, q.Brief == nil)
 			return h.Heartbeat(ctx, &HeartbeatRequest{Info: q.Info, Left: q.Left})
 		})
-		var asked []*member.SessionsRequest
-		member.Sessions.Handle(m, func(_ context.Context, q *member.SessionsRequest) (*member.SessionsResponse, error) {
+		var asked []*membership.SessionsRequest
+		membership.Sessions.Handle(m, func(_ context.Context, q *membership.SessionsRequest) (*membership.SessionsResponse, error) {
 			asked = append(asked, q)
-			return &member.SessionsResponse{Sessions: []member.Heard{{Info: member.Info{Name: "b"}}}}, nil
+			return &membership.SessionsResponse{Sessions: []membership.Heard{{Info: membership.Info{Name: "b"}}}}, nil
 		})
-		k := &Keeper{Opts: o, Clock: clock.Real{}, Net: &pair{m}, Board: b, View: member.NewView(), Info: func() member.Info { return member.Info{Name: "a1", Boot: "1"} }}
+		k := &Keeper{Opts: o, Clock: clock.Real{}, Net: &pair{m}, Board: b, View: membership.NewView(), Info: func() membership.Info { return membership.Info{Name: "a1", Boot: "1"} }}
 		for range 4 {
 			time.Sleep(o.Bounds().Heartbeat())
-			assert.NilError(t, k.beat(context.Background(), member.Info{Name: "c1", Peers: "127.0.0.1:1"}))
+			assert.NilError(t, k.beat(context.Background(), membership.Info{Name: "c1", Peers: "127.0.0.1:1"}))
 			_, ok := k.View.Get("a1")
 			assert.Assert(t, ok)
 		}
@@ -258,7 +258,7 @@
 		assert.Equal(t, len(h.Table.Live()), 2)
 		n := http.NewServeMux()
 		h.Serve(n)
-		a, err := member.Sessions.Call(context.Background(), &pair{n}, "c2", "c1", &member.SessionsRequest{From: "c2"})
+		a, err := membership.Sessions.Call(context.Background(), &pair{n}, "c2", "c1", &membership.SessionsRequest{From: "c2"})
 		assert.NilError(t, err)
 		assert.Equal(t, len(a.Sessions), 1)
 		assert.Assert(t, a.Story == nil)
@@ -272,14 +272,14 @@
 		o.Name = "c1"
 		b := gossip.NewBoard(nil)
 		b.Offer(gossip.News{Roster: &voters.Roster{Sequence: 1, Fleet: "f"}})
-		info := func() member.Info { return member.Info{Name: "c1"} }
+		info := func() membership.Info { return membership.Info{Name: "c1"} }
 		ready := time.Now().Add(o.Bounds().Heartbeat() * 2)
 		latest := func() Confirmed {
 			return Confirmed{OK: time.Now().After(ready), At: time.Now()}
 		}
-		h := &Host{Self: "c1", Clock: clock.Real{}, Bounds: o.Bounds(), Table: member.NewTable(clock.Real{}, o.Bounds()), Board: b, Info: info, Latest: latest}
+		h := &Host{Self: "c1", Clock: clock.Real{}, Bounds: o.Bounds(), Table: membership.NewTable(clock.Real{}, o.Bounds()), Board: b, Info: info, Latest: latest}
 		var lg bytes.Buffer
-		k := &Keeper{Opts: o, Clock: clock.Real{}, Board: b, View: member.NewView(), Info: info, Local: h, Log: event.NewLogger(hclog.New(&hclog.LoggerOptions{Level: hclog.Info, Output: &lg}))}
+		k := &Keeper{Opts: o, Clock: clock.Real{}, Board: b, View: membership.NewView(), Info: info, Local: h, Log: event.NewLogger(hclog.New(&hclog.LoggerOptions{Level: hclog.Info, Output: &lg}))}
 		ctx, stop := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
--- a/internal/session/story.go
+++ b/internal/session/story.go
@@ -3,21 +3,21 @@
 import (
 	"time"
 
-	"postjunction/internal/member"
+	"postjunction/internal/membership"
 )
 
 // told is what a control node told and heard by difference. The lock of its Host guards it, save the rolls, which have their own.
 type told struct {
-	live   member.Roll
-	own    member.Roll
+	live   membership.Roll
+	own    membership.Roll
 	seen   <-chan struct{}
 	looked time.Time
 	// put is the description confirmed last, from when on, and due the one that all nodes must have.
 	put, due uint64
 	from     time.Time
 	// has says how far the other control nodes, by address, know this one's sessions; heard is what they told, by name; names are theirs by address.
-	has   map[string]member.Mark
-	heard map[string]*member.Copy
+	has   map[string]membership.Mark
+	heard map[string]*membership.Copy
 	names map[string]string
 }
 
@@ -27,7 +27,7 @@
 )
 
 // members gives the roll of all members, which is looked through anew when one has news, and a few times a heartbeat for those that lapsed.
-func (h *Host) members() *member.Roll {
+func (h *Host) members() *membership.Roll {
 	now := h.Clock.Now()
 	h.mu.Lock()
 	fresh := h.told.seen != nil && now.Sub(h.told.looked) < h.Bounds.Heartbeat()/looksPerHeartbeat
@@ -69,9 +69,9 @@
 }
 
 // story tells this node's sessions to one who knows them up to a mark.
-func (h *Host) story(have member.Mark) member.Story {
-	var is []member.Info
-	var s member.Story
+func (h *Host) story(have membership.Mark) membership.Story {
+	var is []membership.Info
+	var s membership.Story
 	for _, x := range h.sessions() {
 		is = append(is, x.Info)
 		if x.Age > h.Bounds.Heartbeat()+h.Bounds.Heartbeat()/lateShare {
@@ -88,13 +88,13 @@
 	return s
 }
 
-func (h *Host) task(addr string) *member.SessionsRequest {
+func (h *Host) task(addr string) *membership.SessionsRequest {
 	h.mu.Lock()
 	have, ok := h.told.has[addr]
 	name := h.told.names[addr]
 	h.mu.Unlock()
 	k := h.heard(name)
-	q := &member.SessionsRequest{From: h.Self, Have: &k}
+	q := &membership.SessionsRequest{From: h.Self, Have: &k}
 	if !ok {
 		q.Sessions = h.sessions()
 		return q
@@ -104,31 +104,31 @@
 	return q
 }
 
-func (h *Host) heard(name string) member.Mark {
+func (h *Host) heard(name string) membership.Mark {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if c := h.told.heard[name]; c != nil {
 		return c.Mark()
 	}
-	return member.Mark{}
+	return membership.Mark{}
 }
 
 // hear takes in another control node's story, and tells whether it is known up to there.
-func (h *Host) hear(name string, s *member.Story) bool {
+func (h *Host) hear(name string, s *membership.Story) bool {
 	if s == nil {
 		return true
 	}
 	h.mu.Lock()
 	if h.told.heard == nil {
-		h.told.heard = map[string]*member.Copy{}
+		h.told.heard = map[string]*membership.Copy{}
 	}
 	c := h.told.heard[name]
 	if c == nil {
-		c = &member.Copy{}
+		c = &membership.Copy{}
 		h.told.heard[name] = c
 	}
 	ok := c.Take(s.Change)
-	var is []member.Info
+	var is []membership.Info
 	if ok {
 		is = c.All()
 	}
@@ -144,11 +144,11 @@
 }
 
 // reached notes how far the one at an address knows this node's sessions, and tells whether it could follow what it was told.
-func (h *Host) reached(addr string, q *member.SessionsRequest, a *member.SessionsResponse) bool {
+func (h *Host) reached(addr string, q *membership.SessionsRequest, a *membership.SessionsResponse) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.told.has == nil {
-		h.told.has, h.told.names = map[string]member.Mark{}, map[string]string{}
+		h.told.has, h.told.names = map[string]membership.Mark{}, map[string]string{}
 	}
 	if a.Have == nil {
 		delete(h.told.has, addr)
--- a/internal/visitor/visit/house.go
+++ b/internal/visitor/visit/house.go
@@ -11,7 +11,7 @@
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
-	"postjunction/internal/member"
+	"postjunction/internal/membership"
 	"postjunction/internal/options"
 	"postjunction/internal/partition"
 	"postjunction/internal/problem"
@@ -36,8 +36,8 @@
 	Ledger   Ledger
 	Licensed func() error
 	Leaving  <-chan struct{}
-	Members  func() []member.Info
-	Info     func() member.Info
+	Members  func() []membership.Info
+	Info     func() membership.Info
 	Body     int
 
 	ctx context.Context
@@ -47,7 +47,7 @@
 	held map[Holder]bool
 	x    *description.Index
 	// refuge deals out the nodes that take this node's visitors, nil while they may stay.
-	refuge func() member.Info
+	refuge func() membership.Info
 
 	spread spread
 }
@@ -137,10 +137,10 @@
 // move tells every visitor another node of its zone, spread over those that serve by their processor, or of any zone when there is none.
 func (h *House) move() {
 	me := h.Info()
-	all := member.Pick(h.Members(), func(i member.Info) bool {
-		return i.Visits != "" && i.Name != me.Name && i.Stage == member.Serving && !i.Deaf
+	all := membership.Pick(h.Members(), func(i membership.Info) bool {
+		return i.Visits != "" && i.Name != me.Name && i.Stage == membership.Serving && !i.Deaf
 	})
-	to := member.Pick(all, func(i member.Info) bool { return i.Zone == me.Zone })
+	to := membership.Pick(all, func(i membership.Info) bool { return i.Zone == me.Zone })
 	if len(to) == 0 {
 		to = all
 	}
@@ -148,7 +148,7 @@
 }
 
 // send tells all visitors to go to other nodes, spread over them.
-func (h *House) send(to []member.Info) {
+func (h *House) send(to []membership.Info) {
 	if len(to) == 0 {
 		return
 	}
@@ -159,7 +159,7 @@
 }
 
 // Away sends all visitors, and those who come later, to other nodes until it is called with none.
-func (h *House) Away(to []member.Info) {
+func (h *House) Away(to []membership.Info) {
 	h.mu.Lock()
 	h.refuge = nil
 	if len(to) > 0 {
--- a/internal/visitor/visit/house_test.go
+++ b/internal/visitor/visit/house_test.go
@@ -18,7 +18,7 @@
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
-	"postjunction/internal/member"
+	"postjunction/internal/membership"
 	"postjunction/internal/options"
 	"postjunction/internal/placement/record"
 	"postjunction/internal/problem"
@@ -123,7 +123,7 @@
 		hub := fan.New(ctx, "a1", "boot", h.src, b, clock.Real{}, options.DefaultBounds)
 		h.House = (&House{
 			Self: "a1", Clock: clock.Real{}, Bounds: options.DefaultBounds, Board: b, Hub: hub, Licensed: func() error { return nil }, Leaving: make(chan struct{}),
-			Members: func() []member.Info { return nil }, Info: func() member.Info { return member.Info{Name: "a1", Visits: here} }, Body: 1 << 10,
+			Members: func() []membership.Info { return nil }, Info: func() membership.Info { return membership.Info{Name: "a1", Visits: here} }, Body: 1 << 10,
 		}).Open(ctx)
 		go h.Run(ctx)
 		go hub.Run(ctx)
--- a/internal/visitor/visit/spread.go
+++ b/internal/visitor/visit/spread.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"postjunction/internal/member"
+	"postjunction/internal/membership"
 	"postjunction/internal/options"
 )
 
@@ -28,12 +28,12 @@
 }
 
 // plan finds which part of its newcomers a node keeps, and who takes the others. Each of n nodes that serve is sent as many.
-func plan(me member.Info, all []member.Info) (keep float64, to []room) {
+func plan(me membership.Info, all []membership.Info) (keep float64, to []room) {
 	if me.Processor == 0 || me.Processor >= scarce {
 		return 1, nil
 	}
-	in := member.Pick(all, func(i member.Info) bool {
-		return i.Zone == me.Zone && i.Visits != "" && i.Processor > 0 && (i.Name == me.Name || i.Stage == member.Serving && !i.Deaf)
+	in := membership.Pick(all, func(i membership.Info) bool {
+		return i.Zone == me.Zone && i.Visits != "" && i.Processor > 0 && (i.Name == me.Name || i.Stage == membership.Serving && !i.Deaf)
 	})
 	sum := 0
 	for _, i := range in {
@@ -56,7 +56,7 @@
 }
 
 // free is what a node has of a processor for visitors: a control node keeps half for what the whole fleet waits for.
-func free(i member.Info) int {
+func free(i membership.Info) int {
 	if i.Disk == options.DiskControl {
 		return max(i.Processor/controlShare, 1)
 	}
@@ -95,7 +95,7 @@
 }
 
 // deal gives nodes in turn, each as often as its processor is of all theirs. One that doesn't say what it has counts like the least.
-func deal(to []member.Info) func() member.Info {
+func deal(to []membership.Info) func() membership.Info {
 	least := math.MaxInt
 	for _, i := range to {
 		if i.Processor > 0 {
@@ -103,7 +103,7 @@
 		}
 	}
 	had, sum := make([]float64, len(to)), 0.0
-	part := func(i member.Info) float64 {
+	part := func(i membership.Info) float64 {
 		if i.Processor == 0 {
 			return 1
 		}
@@ -115,7 +115,7 @@
 	for k := range had {
 		had[k] = rand.Float64() * part(to[k]) / sum
 	}
-	return func() member.Info {
+	return func() membership.Info {
 		best := 0
 		for k, i := range to {
 			if had[k] += part(i) / sum; had[k] > had[best] {
--- a/internal/visitor/visit/spread_test.go
+++ b/internal/visitor/visit/spread_test.go
@@ -7,20 +7,20 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/member"
+	"postjunction/internal/membership"
 )
 
-func zone(big, small int) []member.Info {
-	var all []member.Info
+func zone(big, small int) []membership.Info {
+	var all []membership.Info
 	for i := range big + small {
-		x := member.Info{Name: fmt.Sprintf("a%d", i), Zone: "z", Visits: fmt.Sprintf("10.0.0.%d:1", i), Stage: member.Serving, Processor: 32}
+		x := membership.Info{Name: fmt.Sprintf("a%d", i), Zone: "z", Visits: fmt.Sprintf("10.0.0.%d:1", i), Stage: membership.Serving, Processor: 32}
 		if i < big {
 			x.Processor = 352
 		}
 		all = append(all, x)
 	}
-	return append(all, member.Info{Name: "far", Zone: "y", Visits: "10.1.0.1:1", Stage: member.Serving, Processor: 4000},
-		member.Info{Name: "store", Zone: "z", Stage: member.Serving, Processor: 480})
+	return append(all, membership.Info{Name: "far", Zone: "y", Visits: "10.1.0.1:1", Stage: membership.Serving, Processor: 4000},
+		membership.Info{Name: "store", Zone: "z", Stage: membership.Serving, Processor: 480})
 }
 
 // Visitors come to all nodes of a zone alike; after those with next to no processor sent on what is not theirs, each node has visits by its processor.
@@ -48,15 +48,15 @@
 
 func TestWhoKeepsAllVisitors(t *testing.T) {
 	all := zone(2, 17)
-	for name, f := range map[string]func(me *member.Info, all []member.Info){
-		"plenty":                  func(me *member.Info, _ []member.Info) { me.Processor = scarce },
-		"not known":               func(me *member.Info, _ []member.Info) { me.Processor = 0 },
-		"nobody in the zone":      func(me *member.Info, _ []member.Info) { me.Zone = "x" },
-		"the others leave":        func(_ *member.Info, all []member.Info) { all[0].Stage, all[1].Stage = "leaving", "leaving" },
-		"the others are cut off":  func(_ *member.Info, all []member.Info) { all[0].Deaf, all[1].Deaf = true, true },
-		"the others have as much": func(_ *member.Info, all []member.Info) { all[0].Processor, all[1].Processor = 32, 32 },
+	for name, f := range map[string]func(me *membership.Info, all []membership.Info){
+		"plenty":                  func(me *membership.Info, _ []membership.Info) { me.Processor = scarce },
+		"not known":               func(me *membership.Info, _ []membership.Info) { me.Processor = 0 },
+		"nobody in the zone":      func(me *membership.Info, _ []membership.Info) { me.Zone = "x" },
+		"the others leave":        func(_ *membership.Info, all []membership.Info) { all[0].Stage, all[1].Stage = "leaving", "leaving" },
+		"the others are cut off":  func(_ *membership.Info, all []membership.Info) { all[0].Deaf, all[1].Deaf = true, true },
+		"the others have as much": func(_ *membership.Info, all []membership.Info) { all[0].Processor, all[1].Processor = 32, 32 },
 	} {
-		is := append([]member.Info(nil), all...)
+		is := append([]membership.Info(nil), all...)
 		me := is[5]
 		f(&me, is)
 		keep, to := plan(me, is)
@@ -69,7 +69,7 @@
 	enter(t, func(t *testing.T, h *hall, v *Visit) {
 		all := zone(1, 9)
 		me := all[3]
-		h.Info, h.Members = func() member.Info { return me }, func() []member.Info { return all }
+		h.Info, h.Members = func() membership.Info { return me }, func() []membership.Info { return all }
 		time.Sleep(h.Bounds.Heartbeat())
 		v.Do(Task{Verb: Leave, Topic: "a"})
 		assert.DeepEqual(t, h.said(), []string{"left a"})
@@ -97,7 +97,7 @@
 
 // Visits of a node that leaves are dealt to its peers by what they have, and evenly where nobody says.
 func TestVisitsOfALeavingNodeAreDealtByProcessor(t *testing.T) {
-	count := func(is []member.Info, n int) map[string]int {
+	count := func(is []membership.Info, n int) map[string]int {
 		got, next := map[string]int{}, deal(is)
 		for range n {
 			got[next().Visits]++
--- a/internal/visitor/withdraw_test.go
+++ b/internal/visitor/withdraw_test.go
@@ -17,7 +17,7 @@
 	"postjunction/internal/ledger/desk"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
-	"postjunction/internal/member"
+	"postjunction/internal/membership"
 	"postjunction/internal/options"
 	"postjunction/internal/problem"
 )
@@ -115,10 +115,10 @@
 }
 
 func TestNoKeysUntilEveryBuildKnowsThem(t *testing.T) {
-	v := member.NewView()
+	v := membership.NewView()
 	s := &Service{Desk: &desk.Desk{View: v}}
 	k := "k"
-	v.Set([]member.Info{{Name: "a1", Keys: true}, {Name: "a2"}})
+	v.Set([]membership.Info{{Name: "a1", Keys: true}, {Name: "a2"}})
 	_, err := s.submit(t.Context(), &Task{Key: &k}, &owner.Task{})
 	assert.Assert(t, problem.Has(err, problem.NotReady), "%v", err)
 	assert.ErrorContains(t, err, "a2")
--- a/internal/wire/codec_test.go
+++ b/internal/wire/codec_test.go
@@ -14,7 +14,7 @@
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/replica"
-	"postjunction/internal/member"
+	"postjunction/internal/membership"
 	_ "postjunction/internal/node"
 	"postjunction/internal/problem"
 	"postjunction/internal/session"
@@ -153,9 +153,9 @@
 }
 
 func samples() map[string]any {
-	ms := make([]member.Info, 13)
+	ms := make([]membership.Info, 13)
 	for i := range ms {
-		ms[i] = member.Info{Name: fmt.Sprintf("store-%d", i), Zone: "zone-a", Listen: "127.0.0.1:7000", Peers: "127.0.0.1:8000", Disk: "own", Incarnation: "0123456789abcdef", Boot: "fedcba9876543210", Stage: "serving", Description: 17, Roster: 3, Partitions: 4, Loads: map[int]float64{1: 0.25, 7: 3.5}, Build: "1.0", Wire: 2, Lag: 900, Homes: true}
+		ms[i] = membership.Info{Name: fmt.Sprintf("store-%d", i), Zone: "zone-a", Listen: "127.0.0.1:7000", Peers: "127.0.0.1:8000", Disk: "own", Incarnation: "0123456789abcdef", Boot: "fedcba9876543210", Stage: "serving", Description: 17, Roster: 3, Partitions: 4, Loads: map[int]float64{1: 0.25, 7: 3.5}, Build: "1.0", Wire: 2, Lag: 900, Homes: true}
 	}
 	es := make([]line.Entry, 4)
 	for i := range es {
