--- a/internal/member/touch/touch.go
+++ b/internal/member/touch/touch.go
@@ -9,8 +9,8 @@
 
 	"postjunction/internal/clock"
 	"postjunction/internal/gather"
-	"postjunction/internal/member/watch"
 	"postjunction/internal/membership"
+	"postjunction/internal/membership/failuredetector"
 	"postjunction/internal/options"
 	"postjunction/internal/wire"
 )
@@ -118,9 +118,11 @@
 	defer stop()
 	as := t.Owners()
 	most := max(1, (len(as)+share-1)/share)
-	got := gather.Good(gather.Ask(cx, as, func(ctx context.Context, a string) (*watch.BeatResponse, error) {
-		return watch.Beat.Call(ctx, t.Net, t.Self, a, &watch.BeatRequest{})
-	}, func(as []gather.Answer[string, *watch.BeatResponse]) bool { return len(gather.Good(as)) >= most }))
+	got := gather.Good(gather.Ask(cx, as, func(ctx context.Context, a string) (*failuredetector.BeatResponse, error) {
+		return failuredetector.Beat.Call(ctx, t.Net, t.Self, a, &failuredetector.BeatRequest{})
+	}, func(as []gather.Answer[string, *failuredetector.BeatResponse]) bool {
+		return len(gather.Good(as)) >= most
+	}))
 	return len(got), len(as)
 }
 
--- a/internal/member/watch/watch.go
+++ b/internal/membership/failuredetector/watch.go
@@ -1,5 +1,5 @@
-// Package watch has machines that share partitions look after one another, so that a loss is noticed by those who take over.
-package watch
+// Package failuredetector has machines that share partitions look after one another, so that a loss is noticed by those who take over.
+package failuredetector
 
 import (
 	"context"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -33,8 +33,8 @@
 	"postjunction/internal/ledger/replica"
 	"postjunction/internal/ledger/still"
 	"postjunction/internal/member/touch"
-	"postjunction/internal/member/watch"
 	"postjunction/internal/membership"
+	"postjunction/internal/membership/failuredetector"
 	"postjunction/internal/node/owners"
 	"postjunction/internal/operator"
 	"postjunction/internal/options"
@@ -95,7 +95,7 @@
 	leaves       *bootstrap.Leaves
 	reconfigurer *reconfigurer.Reconfigurer
 	duty         *duty.Duty
-	watch        *watch.Watch
+	watch        *failuredetector.Watch
 	touch        *touch.Touch
 
 	// Visitors and Operators are the services behind the door.
@@ -314,7 +314,7 @@
 		n.duty = &duty.Duty{Self: self, Clock: clk, Bounds: b, Holder: n.holder, Client: n.client, Board: n.Board, Live: n.table.Live, Tell: n.gossip.Tell, Changed: n.table.Changed, Log: n.log}
 	}
 	n.owners = &owners.Keeper{Self: self, Clock: clk, Bounds: b, Board: n.Board, Client: n.client, Replica: n.replica, Log: n.log, Able: n.able, Tell: n.gossip.Tell}
-	n.watch = &watch.Watch{Self: self, Boot: n.boot, Clock: clk, Bounds: b, Net: net, Board: n.Board, Addr: n.reach, Gone: n.owners.Inherit}
+	n.watch = &failuredetector.Watch{Self: self, Boot: n.boot, Clock: clk, Bounds: b, Net: net, Board: n.Board, Addr: n.reach, Gone: n.owners.Inherit}
 	n.owners.Deps = owner.Deps{
 		Self: self, Net: net, Clock: clk, Bounds: b, Replica: n.replica, Still: still.New(ctx, self, net, clk, b), Addr: n.addr, Licensed: n.keeper.Licensed,
 		Batch:   func() time.Duration { return n.options().Batch() },
--- a/internal/proof/sim/owner_test.go
+++ b/internal/proof/sim/owner_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/ledger/owner"
-	"postjunction/internal/member/watch"
+	"postjunction/internal/membership/failuredetector"
 	"postjunction/internal/options"
 	"postjunction/internal/partition"
 	"postjunction/internal/placement/record"
@@ -64,7 +64,7 @@
 					assert.Equal(t, r.Epoch, before[p].Epoch+1)
 					heir, why := o, "came back"
 					if !kept {
-						heir, why = before[p].Heirs(func(record.Place) int { return 0 })[0].Node, "the owner is gone: "+watch.Refused
+						heir, why = before[p].Heirs(func(record.Place) int { return 0 })[0].Node, "the owner is gone: "+failuredetector.Refused
 					}
 					assert.Equal(t, r.Owner, heir, "partition %d", p)
 					last := r.History[len(r.History)-1]
