--- a/internal/member/touch/touch.go
+++ b/internal/membership/reachability/touch.go
@@ -1,5 +1,5 @@
-// Package touch finds out whether a node still reaches the machines that decide, and which peers do when it does not.
-package touch
+// Package reachability finds out whether a node still reaches the machines that decide, and which peers do when it does not.
+package reachability
 
 import (
 	"context"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -32,9 +32,9 @@
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/ledger/replica"
 	"postjunction/internal/ledger/still"
-	"postjunction/internal/member/touch"
 	"postjunction/internal/membership"
 	"postjunction/internal/membership/failuredetector"
+	"postjunction/internal/membership/reachability"
 	"postjunction/internal/node/owners"
 	"postjunction/internal/operator"
 	"postjunction/internal/options"
@@ -96,7 +96,7 @@
 	reconfigurer *reconfigurer.Reconfigurer
 	duty         *duty.Duty
 	watch        *failuredetector.Watch
-	touch        *touch.Touch
+	touch        *reachability.Touch
 
 	// Visitors and Operators are the services behind the door.
 	Visitors  *visitor.Service
@@ -350,7 +350,7 @@
 		Self: self, Clock: clk, Bounds: b, Board: n.Board, Hub: n.hub, Ledger: n.desk, Licensed: n.keeper.Licensed,
 		Leaving: n.leaving, Members: n.View.All, Info: n.Info, Body: o.Body,
 	}).Open(ctx)
-	n.touch = &touch.Touch{
+	n.touch = &reachability.Touch{
 		Self: self, Clock: clk, Bounds: b, Net: net, Heard: n.keeper.Heard, Usual: n.keeper.Usual, Owners: n.deciders, Peers: n.nearest, Able: n.Ready,
 		Away: func(to []membership.Info) {
 			if len(to) > 0 {
--- a/tools/guards.sh
+++ b/tools/guards.sh
@@ -130,7 +130,7 @@
 guard line-kept internal/disk/journal/journal.go 's/after: t\.More\(\), //' ./internal/ledger/replica 'GivesUp'
 guard change-finished internal/control/reconfigurer/steward.go 's/s\.finish\(ctx, r, live, first\)/_ = first/' $S 'ChangeOfVotersOutlives'
 guard astray internal/node/node.go 's/n\.goes\(func\(\) \{ n\.touch\.Run\(ctx\) \}\)/_ = n.touch.Run/' $S 'FellowThatReaches'
-guard sent-in-vain internal/member/touch/touch.go 's/if a\.A\.Well \{/if true {/' $S 'SentAwayInVain'
+guard sent-in-vain internal/membership/reachability/touch.go 's/if a\.A\.Well \{/if true {/' $S 'SentAwayInVain'
 guard left-alone internal/control/quorumread/confirm.go 's/if !f\.settle\(r, same\)/if false/' $S 'LeftAlone'
 guard swift-is-swift internal/session/session.go 's/return max\((slices\.Sorted\(slices\.Values\(k\.lags\)\)\[lagAt\]), .*\)\n/_ = options.SlowTimes\n\treturn $1\n/' ./internal/session 'FarFromSlow'
 guard no-disk-no-time internal/node/node.go 's/if n\.keeper != nil && o\.Disk != options\.DiskNone \{/if n.keeper != nil {/' $S 'TellHowLong'
