--- a/internal/control/quorumread/confirm.go
+++ b/internal/control/quorumread/confirm.go
@@ -15,9 +15,9 @@
 	"postjunction/internal/description"
 	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
+	"postjunction/internal/nodelease"
 	"postjunction/internal/options"
 	"postjunction/internal/problem"
-	"postjunction/internal/session"
 	"postjunction/internal/wire"
 
 	"github.com/mailru/easyjson"
@@ -36,7 +36,7 @@
 	Holder *register.Holder
 	Mender *repair.Mender
 	mu     sync.Mutex
-	c      session.Confirmed
+	c      nodelease.Confirmed
 	at     uint64
 	// reached is when a majority had last answered, in whatever way; there tells that it has answered the question that is open.
 	reached time.Time
@@ -44,7 +44,7 @@
 }
 
 // Latest gives the last confirmation; it is OK only while young.
-func (f *Confirmer) Latest() session.Confirmed {
+func (f *Confirmer) Latest() nodelease.Confirmed {
 	now := f.Clock.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -199,6 +199,6 @@
 func (f *Confirmer) set(at time.Time, seq uint64, s acceptor.Slot) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.c = session.Confirmed{OK: true, Sequence: max(seq, f.c.Sequence), At: at}
+	f.c = nodelease.Confirmed{OK: true, Sequence: max(seq, f.c.Sequence), At: at}
 	f.at = s.Value.Writes
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -36,12 +36,12 @@
 	"postjunction/internal/membership/failuredetector"
 	"postjunction/internal/membership/reachability"
 	"postjunction/internal/node/owners"
+	"postjunction/internal/nodelease"
 	"postjunction/internal/operator"
 	"postjunction/internal/options"
 	"postjunction/internal/placement/duty"
 	"postjunction/internal/placement/record"
 	"postjunction/internal/problem"
-	"postjunction/internal/session"
 	"postjunction/internal/visitor"
 	"postjunction/internal/visitor/admission"
 	"postjunction/internal/visitor/turned"
@@ -79,8 +79,8 @@
 
 	Board        *gossip.Board
 	View         *membership.View
-	keeper       *session.Keeper
-	host         *session.Host
+	keeper       *nodelease.Keeper
+	host         *nodelease.Host
 	table        *membership.Table
 	gossip       *gossip.Gossip
 	holder       *register.Holder
@@ -299,7 +299,7 @@
 		n.holder = register.New(self, net, clk, b, n, n.told)
 		mender := &repair.Mender{Self: self, Net: net, Bounds: b}
 		n.confirm = &quorumread.Confirmer{Self: self, Net: net, Clock: clk, Bounds: b, Board: n.Board, Holder: n.holder, Mender: mender}
-		n.host = &session.Host{Self: self, Seeds: o.Seeds, Clock: clk, Bounds: b, Net: net, Table: n.table, Board: n.Board, Info: n.Info, Latest: n.confirm.Latest}
+		n.host = &nodelease.Host{Self: self, Seeds: o.Seeds, Clock: clk, Bounds: b, Net: net, Table: n.table, Board: n.Board, Info: n.Info, Latest: n.confirm.Latest}
 		n.founder = bootstrap.New(o, net, n.Info)
 		n.reconfigurer = &reconfigurer.Reconfigurer{Self: self, Clock: clk, Bounds: b, Board: n.Board, Founder: n.founder, Reformer: reconfig.New(self, net, b), Mender: mender, Live: n.controls, Changed: n.table.Changed, Sealed: n.voter.Sealed, Sealing: n.voter.Sealing, Log: n.log}
 		if r := n.voter.Roster(); r.Sequence > 0 {
@@ -308,7 +308,7 @@
 	}
 	n.leaves = bootstrap.NewLeaves(o, func() uint64 { return n.Board.Roster().Sequence })
 	n.client = registerclient.New(self, net, b, n.members, n.holder)
-	n.keeper = &session.Keeper{Opts: o, Clock: clk, Net: net, Board: n.Board, View: n.View, Info: n.Info, Local: n.host, Log: n.log}
+	n.keeper = &nodelease.Keeper{Opts: o, Clock: clk, Net: net, Board: n.Board, View: n.View, Info: n.Info, Local: n.host, Log: n.log}
 	n.gossip = &gossip.Gossip{Self: self, Net: net, Clock: clk, Bounds: b, Board: n.Board, View: n.View.All, Control: o.Voter(), Disk: o.Disk != options.DiskNone}
 	if o.Voter() {
 		n.duty = &duty.Duty{Self: self, Clock: clk, Bounds: b, Holder: n.holder, Client: n.client, Board: n.Board, Live: n.table.Live, Tell: n.gossip.Tell, Changed: n.table.Changed, Log: n.log}
--- a/internal/session/session.go
+++ b/internal/nodelease/session.go
@@ -1,5 +1,5 @@
-// Package session keeps a node's session with a control node, and its lease to serve.
-package session
+// Package nodelease keeps a node's session with a control node, and its lease to serve.
+package nodelease
 
 import (
 	"context"
--- a/internal/session/session_test.go
+++ b/internal/nodelease/session_test.go
@@ -1,4 +1,4 @@
-package session
+package nodelease
 
 import (
 	"bytes"
--- a/internal/wire/codec_test.go
+++ b/internal/wire/codec_test.go
@@ -16,8 +16,8 @@
 	"postjunction/internal/ledger/replica"
 	"postjunction/internal/membership"
 	_ "postjunction/internal/node"
+	"postjunction/internal/nodelease"
 	"postjunction/internal/problem"
-	"postjunction/internal/session"
 	"postjunction/internal/wire"
 )
 
@@ -163,7 +163,7 @@
 	}
 	return map[string]any{
 		"digest": &gossip.ExchangeRequest{Digest: gossip.Digest{Roster: 3, Description: 17, Records: []uint64{4, 5, 6, 7, 8, 9}}},
-		"pulse":  &session.HeartbeatResponse{Members: ms, Confirmed: true, Sequence: 17, Age: time.Millisecond},
+		"pulse":  &nodelease.HeartbeatResponse{Members: ms, Confirmed: true, Sequence: 17, Age: time.Millisecond},
 		"append": &replica.AppendRequest{After: line.Point{Offset: 1e6 - 1, Epoch: 4, Chain: 0xfedcba9876543210}, Entries: es, Commit: 1e6 - 1},
 	}
 }
