--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -39,7 +39,7 @@
 	"postjunction/internal/nodelease"
 	"postjunction/internal/operator"
 	"postjunction/internal/options"
-	"postjunction/internal/placement/duty"
+	"postjunction/internal/placement/controller"
 	"postjunction/internal/placement/record"
 	"postjunction/internal/problem"
 	"postjunction/internal/visitor"
@@ -94,7 +94,7 @@
 	founder      *bootstrap.Founder
 	leaves       *bootstrap.Leaves
 	reconfigurer *reconfigurer.Reconfigurer
-	duty         *duty.Duty
+	duty         *controller.Duty
 	watch        *failuredetector.Watch
 	touch        *reachability.Touch
 
@@ -311,7 +311,7 @@
 	n.keeper = &nodelease.Keeper{Opts: o, Clock: clk, Net: net, Board: n.Board, View: n.View, Info: n.Info, Local: n.host, Log: n.log}
 	n.gossip = &gossip.Gossip{Self: self, Net: net, Clock: clk, Bounds: b, Board: n.Board, View: n.View.All, Control: o.Voter(), Disk: o.Disk != options.DiskNone}
 	if o.Voter() {
-		n.duty = &duty.Duty{Self: self, Clock: clk, Bounds: b, Holder: n.holder, Client: n.client, Board: n.Board, Live: n.table.Live, Tell: n.gossip.Tell, Changed: n.table.Changed, Log: n.log}
+		n.duty = &controller.Duty{Self: self, Clock: clk, Bounds: b, Holder: n.holder, Client: n.client, Board: n.Board, Live: n.table.Live, Tell: n.gossip.Tell, Changed: n.table.Changed, Log: n.log}
 	}
 	n.owners = &owners.Keeper{Self: self, Clock: clk, Bounds: b, Board: n.Board, Client: n.client, Replica: n.replica, Log: n.log, Able: n.able, Tell: n.gossip.Tell}
 	n.watch = &failuredetector.Watch{Self: self, Boot: n.boot, Clock: clk, Bounds: b, Net: net, Board: n.Board, Addr: n.reach, Gone: n.owners.Inherit}
@@ -526,7 +526,7 @@
 }
 
 // HoldsDuty tells whether this node has the placement duty as far as it knows.
-func (n *Node) HoldsDuty() bool { return n.Holds(duty.Key) }
+func (n *Node) HoldsDuty() bool { return n.Holds(controller.Key) }
 
 // Holds tells whether this node holds a control key as far as it knows.
 func (n *Node) Holds(key string) bool { return n.holder != nil && n.holder.Holds(key) }
--- a/internal/placement/duty/copies.go
+++ b/internal/placement/controller/copies.go
@@ -1,4 +1,4 @@
-package duty
+package controller
 
 import (
 	"fmt"
--- a/internal/placement/duty/duty.go
+++ b/internal/placement/controller/duty.go
@@ -1,5 +1,5 @@
-// Package duty is the placement duty: the node that holds its key gives partitions their disks and owners.
-package duty
+// Package controller is the placement duty: the node that holds its key gives partitions their disks and owners.
+package controller
 
 import (
 	"context"
--- a/internal/proof/sim/points_test.go
+++ b/internal/proof/sim/points_test.go
@@ -17,7 +17,7 @@
 	"postjunction/internal/ledger/desk"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/replica"
-	"postjunction/internal/placement/duty"
+	"postjunction/internal/placement/controller"
 	"postjunction/internal/wire"
 )
 
@@ -77,7 +77,7 @@
 	return func(who string, x Point) bool { return x.To == who && f(x) }
 }
 
-var isDuty = []byte(duty.Key)
+var isDuty = []byte(controller.Key)
 
 func appending(x Point) (replica.AppendRequest, bool) {
 	var q replica.AppendRequest
@@ -198,7 +198,7 @@
 							w.Terminate("s1")
 							w.History.Disturb("stop", time.Now())
 						case "promised":
-							w.Terminate(w.holderOf(duty.Key))
+							w.Terminate(w.holderOf(controller.Key))
 						case "accepted":
 							go func() { _, _ = w.Put("a1", load.Describe(1)) }()
 						}
--- a/tools/guards.sh
+++ b/tools/guards.sh
@@ -93,7 +93,7 @@
 guard stale-base-asked internal/control/register/holder.go 's/if v\.value\.Writes != q\.Base && !h\.confirm\(ctx, q\.Key, v\) \{/if false {/' ./internal/control/register 'StaleBase'
 guard memory-kept internal/control/register/holder.go 's/, Memory: q\.Memory\}/}/' $S 'AcceptedOrder'
 guard drain-stays internal/placement/drain/drain.go 's/return ok && !d\.Back/return ok \&\& !d.Back \&\& !d.Done/' $S 'ARestartDoesNotEnd'
-guard drain-fence internal/placement/duty/drains.go 's/fenced = fenced \|\| d\.fence\(ctx\)/fenced = true/' $S 'FencesWhat'
+guard drain-fence internal/placement/controller/drains.go 's/fenced = fenced \|\| d\.fence\(ctx\)/fenced = true/' $S 'FencesWhat'
 guard drain-read internal/placement/drain/drain.go 's/return nil, problem\.Wrap\(problem\.DiskDamaged, err, "read the list of drains"\)/_ = problem.Kind("")\n\t\treturn List{}, nil/' ./internal/placement/drain 'CantBeRead'
 guard final-confirmed internal/operator/drains.go 's/all\.refuse\(problem\.UnknownNode/problem.New(problem.UnknownNode/' ./internal/operator 'FinalAnswers'
 guard retired-urgency internal/description/retired.go 's/if p\.urgent != urgent \{/if false \&\& p.urgent != urgent {/' $S 'ComesBack'
@@ -107,7 +107,7 @@
 guard skip-seen internal/visitor/follow.go 's/if e.Offset <= st.pos\[l.p\] \{/if false {/' ./internal/visitor 'Skips'
 guard keep-before-trim internal/ledger/owner/takeover.go 's/l.Older\(now.Add\(-o.d.Bounds.KeptFor\(o.d.Longest\(\)\)\)\)/l.Older(now.Add(-o.d.Bounds.Spread))/' $S 'Keeping'
 guard trim-behind-input internal/ledger/owner/takeover.go 's/to := min\(old, o\.input\)/to := old/; s/o\.trim\(line\.Ledger, to\)/o.trim(line.Ledger, max(to, o.forget()))/' $S 'TrimmingWaits'
-guard deaf-passed-over internal/placement/duty/owners.go 's/case m\.Deaf && s\.now/case false \&\& m.Deaf \&\& s.now/' ./internal/placement/duty WhoLosesAPartition
+guard deaf-passed-over internal/placement/controller/owners.go 's/case m\.Deaf && s\.now/case false \&\& m.Deaf \&\& s.now/' ./internal/placement/controller WhoLosesAPartition
 guard anew-whole internal/disk/journal/journal.go 's/if k := unfinished\(fs\); k < len\(fs\) \{/if k := unfinished(fs); false \&\& k < len(fs) {/' ./internal/proof/crash 'AfterEveryWrite'
 guard probe-writes internal/disk/journal/journal.go 's/return j\.Put\(ctx, true, nil, Rec\{Kind: kinds\.Probe, Body: make\(\[\]byte, probeBytes\)\}\)/return j.Put(ctx, true, nil)/' $S 'Faults/disk_fills'
 guard torn-or-damaged internal/disk/journal/journal.go 's/if bad != 0 && bad <= mark \{/if false {/' ./internal/disk/walog 'Tails'
@@ -117,12 +117,12 @@
 guard urgent-never-waits internal/visitor/follow.go 's/go func\(\) \{\n\t\tw, err := f\.After/func() {\n\t\tw, err := f.After/' ./internal/visitor ARoundOfAStream
 guard urgent-writes-alone internal/disk/journal/journal.go 's/if len\(ps\) > 0 \{\n\t\t\tbreak\n\t\t\}//' ./internal/disk/journal 'WrittenAlone'
 guard scrub-in-slices internal/disk/journal/anew.go 's/scrubSlice = 64/scrubSlice = 1 << 30/' ./internal/disk/journal 'ScrubLets'
-guard slow-passed-over internal/placement/duty/owners.go 's/case m\.slow && m\.slowFor/case false \&\& m.slow \&\& m.slowFor/' $S 'SlowStore'
-guard load-counts internal/placement/duty/scene.go 's/return idle \+ m\.Loads\[r\.Partition\]/_ = m\n\t\treturn idle/' $S 'SkewedLoad'
+guard slow-passed-over internal/placement/controller/owners.go 's/case m\.slow && m\.slowFor/case false \&\& m.slow \&\& m.slowFor/' $S 'SlowStore'
+guard load-counts internal/placement/controller/scene.go 's/return idle \+ m\.Loads\[r\.Partition\]/_ = m\n\t\treturn idle/' $S 'SkewedLoad'
 guard told-at-once internal/ledger/desk/desk.go 's/if over && d\.Board/if false \&\& over \&\& d.Board/' $S 'ToldAtOnce'
 guard urgent-lane internal/visitor/service.go 's/if t\.urgent\(\) \{\n\t\tl = /if false {\n\t\tl = /' $S 'UrgentUnderFlood'
-guard newcomer-at-once internal/placement/duty/copies.go 's/wait = min\(wait, d\.early\(s\)\)/_ = d.early(s)/' $S 'ReplacedStore'
-guard restart-moves-nothing internal/placement/duty/copies.go 's/wait = min\(wait, d\.Bounds\.Session\(\)\/2\)/wait = 0/' ./internal/placement/duty HowLongACopy
+guard newcomer-at-once internal/placement/controller/copies.go 's/wait = min\(wait, d\.early\(s\)\)/_ = d.early(s)/' $S 'ReplacedStore'
+guard restart-moves-nothing internal/placement/controller/copies.go 's/wait = min\(wait, d\.Bounds\.Session\(\)\/2\)/wait = 0/' ./internal/placement/controller HowLongACopy
 guard dead-seat-taken internal/control/reconfigurer/steward.go 's/ins, gone, whys = append\(ins, seat\(i\)\), append\(gone, out\)/ins, gone, whys = append(ins, seat(i)), append(gone, "")/; s/!ok \|\| len\(gone\) >= r\.Spare\(\)/true || !ok/' $S 'ReplacedVoter'
 guard dead-seat-given-up internal/control/reconfigurer/steward.go 's/!ok \|\| len\(gone\) >= r\.Spare\(\)/true || !ok/' $S 'ReplacedVoter'
 guard back-without-a-seat internal/control/reconfigurer/steward.go 's/i\.Roster < r\.Sequence && i\.Stage/i.Roster == 0 \&\& i.Stage/' $S 'SeatsOf'
