--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -10,7 +10,7 @@
 	"postjunction/internal/gather"
 	"postjunction/internal/membership"
 	"postjunction/internal/options"
-	"postjunction/internal/placement/drain"
+	"postjunction/internal/placement/decommission"
 	"postjunction/internal/placement/record"
 	"postjunction/internal/problem"
 )
@@ -18,11 +18,11 @@
 // drainList is the list of drains with the count of writes that a change of it builds on.
 type drainList struct {
 	writes uint64
-	list   drain.List
+	list   decommission.List
 }
 
 func parseDrains(v acceptor.Value) (drainList, error) {
-	l, err := drain.Parse(v.Body)
+	l, err := decommission.Parse(v.Body)
 	return drainList{v.Writes, l}, err
 }
 
@@ -30,7 +30,7 @@
 func (s *Service) Drains(ctx context.Context) (any, error) {
 	ctx, stop := s.limit(ctx)
 	defer stop()
-	c, err := readAs(ctx, s, drain.Key, parseDrains)
+	c, err := readAs(ctx, s, decommission.Key, parseDrains)
 	if err != nil {
 		return nil, err
 	}
@@ -38,12 +38,12 @@
 }
 
 // Emptying tells how far the emptying of a machine is. One that held nothing when it was asked for counts as done.
-func (s *Service) Emptying(ctx context.Context, node string) (drain.Drain, error) {
+func (s *Service) Emptying(ctx context.Context, node string) (decommission.Drain, error) {
 	ctx, stop := s.limit(ctx)
 	defer stop()
-	c, err := readAs(ctx, s, drain.Key, parseDrains)
+	c, err := readAs(ctx, s, decommission.Key, parseDrains)
 	if err != nil {
-		return drain.Drain{}, err
+		return decommission.Drain{}, err
 	}
 	if x, ok := c.value.list[node]; ok {
 		return x, nil
@@ -53,9 +53,9 @@
 	case problem.Has(err, problem.AlreadyEmpty):
 		return x, nil
 	case err != nil && !problem.Has(err, problem.DrainUnsafe):
-		return drain.Drain{}, err
+		return decommission.Drain{}, err
 	}
-	return drain.Drain{}, c.refuse(problem.UnknownNode, "the emptying of %q was not asked for", node)
+	return decommission.Drain{}, c.refuse(problem.UnknownNode, "the emptying of %q was not asked for", node)
 }
 
 // Drain asks for a machine to be emptied. The order is recorded and carried out whoever has the placement duty. The same
@@ -64,7 +64,7 @@
 	ctx, stop := s.limit(ctx)
 	defer stop()
 	for {
-		c, err := readAs(ctx, s, drain.Key, parseDrains)
+		c, err := readAs(ctx, s, decommission.Key, parseDrains)
 		if err != nil {
 			return nil, err
 		}
@@ -79,9 +79,9 @@
 			return nil, err
 		}
 		if !c.value.list.Add(x) {
-			return nil, c.refuse(problem.DrainUnsafe, "%d machines are being emptied, which is the most", drain.ListMost)
+			return nil, c.refuse(problem.DrainUnsafe, "%d machines are being emptied, which is the most", decommission.ListMost)
 		}
-		_, err = s.Client.Change(ctx, drain.Key, c.value.writes, registerclient.Name(), c.value.list.Pack())
+		_, err = s.Client.Change(ctx, decommission.Key, c.value.writes, registerclient.Name(), c.value.list.Pack())
 		if err == nil {
 			s.Log.Say(event.DrainAsked, "node", node, "partitions", x.Left)
 			return x, nil
@@ -95,17 +95,17 @@
 
 // judge makes the order to empty a machine, or tells why that can't be asked for. It rests on all records, each read by
 // quorum, and on the machines that a majority of the control nodes knows.
-func (s *Service) judge(ctx context.Context, node string, drains confirmed[drainList]) (drain.Drain, error) {
+func (s *Service) judge(ctx context.Context, node string, drains confirmed[drainList]) (decommission.Drain, error) {
 	left, err := s.holdings(ctx, node)
 	if err != nil {
-		return drain.Drain{}, err
+		return decommission.Drain{}, err
 	}
 	all, err := s.askMajority(ctx)
 	if err != nil {
-		return drain.Drain{}, err
+		return decommission.Drain{}, err
 	}
 	seen := all.value[node]
-	x := drain.Drain{Node: node, Asked: time.Now().UTC(), Left: left.value}
+	x := decommission.Drain{Node: node, Asked: time.Now().UTC(), Left: left.value}
 	storage, withDisk := false, len(seen) == 0 && left.value > 0
 	for _, i := range seen {
 		x.Boot, x.Disk = i.Boot, i.Incarnation
@@ -158,7 +158,7 @@
 }
 
 // serving counts the other machines that can hold copies: those that some control node of the majority knows as such.
-func serving(all machines, drains drain.List, but string) int {
+func serving(all machines, drains decommission.List, but string) int {
 	n := 0
 	for name, seen := range all {
 		able := false
--- a/internal/placement/controller/drains.go
+++ b/internal/placement/controller/drains.go
@@ -10,17 +10,17 @@
 	"postjunction/internal/control/registerclient"
 	"postjunction/internal/event"
 	"postjunction/internal/gather"
-	"postjunction/internal/placement/drain"
+	"postjunction/internal/placement/decommission"
 	"postjunction/internal/placement/record"
 )
 
 // readDrains reads the list of drains by quorum.
-func (d *Duty) readDrains(ctx context.Context) (acceptor.Value, drain.List, error) {
-	v, err := d.Client.Read(ctx, drain.Key)
+func (d *Duty) readDrains(ctx context.Context) (acceptor.Value, decommission.List, error) {
+	v, err := d.Client.Read(ctx, decommission.Key)
 	if err != nil {
 		return v, nil, err
 	}
-	l, err := drain.Parse(v.Body)
+	l, err := decommission.Parse(v.Body)
 	return v, l, err
 }
 
@@ -42,7 +42,7 @@
 	if maps.Equal(was, list) {
 		return
 	}
-	if _, err := d.Client.Change(ctx, drain.Key, v.Writes, registerclient.Name(), list.Pack()); err != nil {
+	if _, err := d.Client.Change(ctx, decommission.Key, v.Writes, registerclient.Name(), list.Pack()); err != nil {
 		d.Log.Say(event.DrainTrouble, "problem", err)
 		return
 	}
@@ -57,7 +57,7 @@
 }
 
 // progress counts what is left to be moved. Machines that no record names any more are done once all records are fenced.
-func (d *Duty) progress(ctx context.Context, s *scene, list drain.List) {
+func (d *Duty) progress(ctx context.Context, s *scene, list decommission.List) {
 	fenced := false
 	for _, x := range list.Sorted() {
 		if x.Done {
@@ -120,7 +120,7 @@
 
 // returned tells whether an emptied machine serves again. It does once it was away for the keeping time, or has stood there
 // for as long with another disk. A machine that is only started again is still to be taken away.
-func (d *Duty) returned(s *scene, x drain.Drain) drain.Drain {
+func (d *Duty) returned(s *scene, x decommission.Drain) decommission.Drain {
 	m, live := s.m[x.Node]
 	if !x.Done || x.Back || live {
 		delete(d.absent, x.Node)
--- a/internal/placement/controller/drains_test.go
+++ b/internal/placement/controller/drains_test.go
@@ -10,14 +10,14 @@
 
 	"postjunction/internal/membership"
 	"postjunction/internal/options"
-	"postjunction/internal/placement/drain"
+	"postjunction/internal/placement/decommission"
 )
 
 // emptied is a machine that was emptied, as the placement duty sees it from look to look, and when what it sees began.
 type emptied struct {
 	duty  *Duty
 	scene *scene
-	order drain.Drain
+	order decommission.Drain
 
 	disks      int
 	here       bool
@@ -30,7 +30,7 @@
 func newEmptied() *emptied {
 	d, s, _ := table("s1", "s2", "s3", "s4")
 	e := &emptied{duty: d, scene: s, here: true}
-	e.order = drain.Drain{Node: "s4", Disk: "disk-0", Done: true}
+	e.order = decommission.Drain{Node: "s4", Disk: "disk-0", Done: true}
 	e.place()
 	return e
 }
--- a/internal/placement/controller/duty_test.go
+++ b/internal/placement/controller/duty_test.go
@@ -9,7 +9,7 @@
 
 	"postjunction/internal/membership"
 	"postjunction/internal/options"
-	"postjunction/internal/placement/drain"
+	"postjunction/internal/placement/decommission"
 	"postjunction/internal/placement/record"
 )
 
@@ -22,7 +22,7 @@
 		Bounds: b, since: long, moved: long, recs: map[int]record.Record{}, gone: map[string]time.Time{}, deaf: map[string]time.Time{}, slow: map[string]time.Time{},
 		fresh: map[string]time.Time{}, absent: map[string]time.Time{}, renewed: map[string]time.Time{}, opened: map[int]time.Time{}, epochs: map[int]uint64{},
 	}
-	s := &scene{now: now, m: map[string]*machine{}, copies: 3, drains: drain.List{}}
+	s := &scene{now: now, m: map[string]*machine{}, copies: 3, drains: decommission.List{}}
 	r := record.Record{Partition: 1, Epoch: 4, Owner: "s1", Settled: true}
 	for _, n := range []string{"s1", "s2", "s3"} {
 		r.Replicas = append(r.Replicas, record.Place{Node: n, Incarnation: "disk-" + n})
--- a/internal/placement/controller/scene.go
+++ b/internal/placement/controller/scene.go
@@ -9,7 +9,7 @@
 	"postjunction/internal/event"
 	"postjunction/internal/membership"
 	"postjunction/internal/options"
-	"postjunction/internal/placement/drain"
+	"postjunction/internal/placement/decommission"
 	"postjunction/internal/placement/record"
 )
 
@@ -43,7 +43,7 @@
 	stores int
 	// copies is how many disks are to hold a partition.
 	copies int
-	drains drain.List
+	drains decommission.List
 	usual  time.Duration
 }
 
--- a/internal/placement/drain/drain.go
+++ b/internal/placement/decommission/drain.go
@@ -1,9 +1,9 @@
-// Package drain keeps the recorded orders to empty machines.
+// Package decommission keeps the recorded orders to empty machines.
 //
 // An order stands in a control register until its machine serves again, whatever process or disk the machine comes back
 // with meanwhile. Invariants: an order that is Done stays Done; while an order stands and its machine is not Back, no copy
 // is placed on the machine.
-package drain
+package decommission
 
 import (
 	"cmp"
--- a/internal/placement/drain/drain_test.go
+++ b/internal/placement/decommission/drain_test.go
@@ -1,4 +1,4 @@
-package drain
+package decommission
 
 import (
 	"fmt"
--- a/internal/proof/fleet/links.go
+++ b/internal/proof/fleet/links.go
@@ -15,7 +15,7 @@
 	"golang.org/x/sys/unix"
 
 	"postjunction/internal/options"
-	"postjunction/internal/placement/drain"
+	"postjunction/internal/placement/decommission"
 	"postjunction/internal/problem"
 )
 
@@ -164,7 +164,7 @@
 }
 
 func drained(answer, node string) bool {
-	var a struct{ Drains []drain.Drain }
+	var a struct{ Drains []decommission.Drain }
 	if json.Unmarshal([]byte(answer), &a) != nil {
 		return false
 	}
--- a/internal/proof/sim/drain_test.go
+++ b/internal/proof/sim/drain_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/placement/drain"
+	"postjunction/internal/placement/decommission"
 	"postjunction/internal/placement/record"
 	"postjunction/internal/problem"
 )
@@ -47,11 +47,11 @@
 
 func (w *World) drained(n string) func() bool {
 	return func() bool {
-		v, err := w.Machines["a1"].Node().Operators.Client.Read(w.ctx, drain.Key)
+		v, err := w.Machines["a1"].Node().Operators.Client.Read(w.ctx, decommission.Key)
 		if err != nil {
 			return false
 		}
-		l, err := drain.Parse(v.Body)
+		l, err := decommission.Parse(v.Body)
 		return err == nil && l[n].Done
 	}
 }
--- a/internal/proof/sim/retire_test.go
+++ b/internal/proof/sim/retire_test.go
@@ -11,21 +11,21 @@
 
 	"postjunction/internal/control/registerclient"
 	"postjunction/internal/node"
-	"postjunction/internal/placement/drain"
+	"postjunction/internal/placement/decommission"
 	"postjunction/internal/placement/record"
 	"postjunction/internal/problem"
 )
 
 // emptying asks a node how far the emptying of a machine is.
-func (w *World) emptying(at, n string) (drain.Drain, error) {
-	var x drain.Drain
+func (w *World) emptying(at, n string) (decommission.Drain, error) {
+	var x decommission.Drain
 	err := w.ask(at, w.Site.Bounds.Call(), func(ctx context.Context, k *node.Node) error {
 		var e error
 		x, e = k.Operators.Emptying(ctx, n)
 		return e
 	})
 	if err != nil {
-		return drain.Drain{}, err // a call that was given up on may still write x
+		return decommission.Drain{}, err // a call that was given up on may still write x
 	}
 	return x, nil
 }
--- a/internal/proof/sim/world.go
+++ b/internal/proof/sim/world.go
@@ -26,7 +26,7 @@
 	"postjunction/internal/disk/memlog"
 	"postjunction/internal/node"
 	"postjunction/internal/options"
-	"postjunction/internal/placement/drain"
+	"postjunction/internal/placement/decommission"
 	"postjunction/internal/problem"
 	"postjunction/internal/proof/caller"
 	"postjunction/internal/proof/guest"
@@ -539,11 +539,11 @@
 		for _, k := range w.Names {
 			if k[0] == 'c' && !done.Load() {
 				_ = w.ask(k, w.Site.Bounds.Call(), func(ctx context.Context, x *node.Node) error {
-					v, err := x.Operators.Client.Read(ctx, drain.Key)
+					v, err := x.Operators.Client.Read(ctx, decommission.Key)
 					if err != nil {
 						return err
 					}
-					l, err := drain.Parse(v.Body)
+					l, err := decommission.Parse(v.Body)
 					done.Store(err == nil && l[n].Done)
 					return err
 				})
