--- a/internal/carrier/fan/feed.go
+++ b/internal/carrier/fan/feed.go
@@ -10,7 +10,7 @@
 	"postjunction/internal/description"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
-	"postjunction/internal/placement/record"
+	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
 )
 
@@ -127,7 +127,7 @@
 }
 
 // turn ends a poll that asks an owner who no longer decides.
-func (f *feed) turn(r record.Record) {
+func (f *feed) turn(r assignment.Record) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if r.Writes == f.writes && r.Epoch == f.epoch {
--- a/internal/carrier/fan/forget_test.go
+++ b/internal/carrier/fan/forget_test.go
@@ -17,7 +17,7 @@
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/options"
-	"postjunction/internal/placement/record"
+	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
 )
 
@@ -177,11 +177,11 @@
 	}
 }
 
-func (c *court) Follow(ctx context.Context, _ record.Record, q *owner.Want) (*owner.Told, error) {
+func (c *court) Follow(ctx context.Context, _ assignment.Record, q *owner.Want) (*owner.Told, error) {
 	return ask(ctx, c, func() *owner.Told { return c.told(q) })
 }
 
-func (c *court) Poll(ctx context.Context, _ record.Record, q *owner.PollRequest) (*owner.Polled, error) {
+func (c *court) Poll(ctx context.Context, _ assignment.Record, q *owner.PollRequest) (*owner.Polled, error) {
 	cx, stop := context.WithTimeout(ctx, q.Hold+options.DefaultBounds.Call())
 	defer stop()
 	until := time.Now().Add(q.Hold)
--- a/internal/carrier/fan/hub.go
+++ b/internal/carrier/fan/hub.go
@@ -12,13 +12,13 @@
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/options"
-	"postjunction/internal/placement/record"
+	"postjunction/internal/placement/assignment"
 )
 
 // Owners asks the owner that a record names, one time.
 type Owners interface {
-	Follow(ctx context.Context, r record.Record, q *owner.Want) (*owner.Told, error)
-	Poll(ctx context.Context, r record.Record, q *owner.PollRequest) (*owner.Polled, error)
+	Follow(ctx context.Context, r assignment.Record, q *owner.Want) (*owner.Told, error)
+	Poll(ctx context.Context, r assignment.Record, q *owner.PollRequest) (*owner.Polled, error)
 }
 
 // Hub holds what one node follows, by partition.
--- a/internal/carrier/fan/later_test.go
+++ b/internal/carrier/fan/later_test.go
@@ -15,7 +15,7 @@
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/options"
-	"postjunction/internal/placement/record"
+	"postjunction/internal/placement/assignment"
 )
 
 // clerk is an owner that counts what it is told.
@@ -25,7 +25,7 @@
 	topics map[string]int
 }
 
-func (c *clerk) Follow(_ context.Context, _ record.Record, q *owner.Want) (*owner.Told, error) {
+func (c *clerk) Follow(_ context.Context, _ assignment.Record, q *owner.Want) (*owner.Told, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.told++
@@ -41,7 +41,7 @@
 	return &owner.Told{Epoch: 1}, nil
 }
 
-func (c *clerk) Poll(ctx context.Context, _ record.Record, q *owner.PollRequest) (*owner.Polled, error) {
+func (c *clerk) Poll(ctx context.Context, _ assignment.Record, q *owner.PollRequest) (*owner.Polled, error) {
 	return &owner.Polled{Epoch: 1, To: q.From}, clock.Real{}.Sleep(ctx, q.Hold)
 }
 
--- a/internal/carrier/fan/marks_test.go
+++ b/internal/carrier/fan/marks_test.go
@@ -17,7 +17,7 @@
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/options"
-	"postjunction/internal/placement/record"
+	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
 )
 
@@ -48,7 +48,7 @@
 	return l
 }
 
-func (s *scribe) Follow(ctx context.Context, _ record.Record, q *owner.Want) (*owner.Told, error) {
+func (s *scribe) Follow(ctx context.Context, _ assignment.Record, q *owner.Want) (*owner.Told, error) {
 	say := "follow"
 	if q.Done {
 		say = "done"
@@ -63,7 +63,7 @@
 	return a, nil
 }
 
-func (s *scribe) Poll(ctx context.Context, _ record.Record, q *owner.PollRequest) (*owner.Polled, error) {
+func (s *scribe) Poll(ctx context.Context, _ assignment.Record, q *owner.PollRequest) (*owner.Polled, error) {
 	s.note("poll %s %d marks=%t", q.Boot, q.From, q.Marks)
 	s.mu.Lock()
 	a, d := &owner.Polled{Epoch: 1, To: q.From}, q.Hold
--- a/internal/carrier/fan/slow_test.go
+++ b/internal/carrier/fan/slow_test.go
@@ -13,7 +13,7 @@
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/options"
-	"postjunction/internal/placement/record"
+	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
 )
 
@@ -23,7 +23,7 @@
 	back  []line.Entry
 }
 
-func (s *thin) Follow(ctx context.Context, _ record.Record, q *owner.Want) (*owner.Told, error) {
+func (s *thin) Follow(ctx context.Context, _ assignment.Record, q *owner.Want) (*owner.Told, error) {
 	if err := (clock.Real{}).Sleep(ctx, s.takes); err != nil {
 		return nil, problem.Because(problem.Unreachable, err, "no answer in time")
 	}
@@ -37,7 +37,7 @@
 	return a, nil
 }
 
-func (s *thin) Poll(ctx context.Context, _ record.Record, q *owner.PollRequest) (*owner.Polled, error) {
+func (s *thin) Poll(ctx context.Context, _ assignment.Record, q *owner.PollRequest) (*owner.Polled, error) {
 	_ = clock.Real{}.Sleep(ctx, q.Hold)
 	return &owner.Polled{Epoch: 1, To: q.From}, nil
 }
--- a/internal/carrier/fan/soon_test.go
+++ b/internal/carrier/fan/soon_test.go
@@ -15,7 +15,7 @@
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/options"
-	"postjunction/internal/placement/record"
+	"postjunction/internal/placement/assignment"
 )
 
 // far is an owner that keeps a line and takes a time for each way.
@@ -35,7 +35,7 @@
 	}
 }
 
-func (s *far) Follow(ctx context.Context, _ record.Record, q *owner.Want) (*owner.Told, error) {
+func (s *far) Follow(ctx context.Context, _ assignment.Record, q *owner.Want) (*owner.Told, error) {
 	if err := (clock.Real{}).Sleep(ctx, s.way); err != nil {
 		return nil, err
 	}
@@ -59,7 +59,7 @@
 	return a, clock.Real{}.Sleep(ctx, s.way)
 }
 
-func (s *far) Poll(ctx context.Context, _ record.Record, q *owner.PollRequest) (*owner.Polled, error) {
+func (s *far) Poll(ctx context.Context, _ assignment.Record, q *owner.PollRequest) (*owner.Polled, error) {
 	if err := (clock.Real{}).Sleep(ctx, time.Millisecond); err != nil {
 		return nil, err
 	}
--- a/internal/carrier/fan/turn_test.go
+++ b/internal/carrier/fan/turn_test.go
@@ -13,7 +13,7 @@
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/options"
-	"postjunction/internal/placement/record"
+	"postjunction/internal/placement/assignment"
 )
 
 // usher is an owner that answers only those who tell the turn it gave last.
@@ -25,7 +25,7 @@
 	deaf   bool
 }
 
-func (u *usher) Follow(_ context.Context, _ record.Record, q *owner.Want) (*owner.Told, error) {
+func (u *usher) Follow(_ context.Context, _ assignment.Record, q *owner.Want) (*owner.Told, error) {
 	time.Sleep(time.Millisecond)
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -33,7 +33,7 @@
 	return &owner.Told{Epoch: 1, Lost: u.deaf || q.Turn != u.turn, Turn: u.turn}, nil
 }
 
-func (u *usher) Poll(ctx context.Context, _ record.Record, q *owner.PollRequest) (*owner.Polled, error) {
+func (u *usher) Poll(ctx context.Context, _ assignment.Record, q *owner.PollRequest) (*owner.Polled, error) {
 	u.mu.Lock()
 	u.polled = append(u.polled, q.Turn)
 	t, late := u.turn, q.Turn != u.turn
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -16,7 +16,7 @@
 	"postjunction/internal/description"
 	"postjunction/internal/membership"
 	"postjunction/internal/options"
-	"postjunction/internal/placement/record"
+	"postjunction/internal/placement/assignment"
 	"postjunction/internal/wire"
 )
 
@@ -38,7 +38,7 @@
 	Roster      *voters.Roster           `json:"r,omitempty"`
 	Description *description.Description `json:"d,omitempty"`
 	Changes     []description.Change     `json:"c,omitempty"`
-	Records     []record.Record          `json:"p,omitempty"`
+	Records     []assignment.Record      `json:"p,omitempty"`
 }
 
 // Empty tells whether there is nothing new.
@@ -72,7 +72,7 @@
 	changes []description.Change
 	whole   bool
 	others  uint64
-	records map[int]record.Record
+	records map[int]assignment.Record
 	changed chan struct{}
 	hear    func(News)
 	hash    uint64
@@ -80,7 +80,7 @@
 
 // NewBoard makes an empty board; hear is told of what was new.
 func NewBoard(hear func(News)) *Board {
-	return &Board{index: description.NewIndex(description.Description{}), records: map[int]record.Record{}, changed: make(chan struct{}), hear: hear}
+	return &Board{index: description.NewIndex(description.Description{}), records: map[int]assignment.Record{}, changed: make(chan struct{}), hear: hear}
 }
 
 // Offer takes in news and gives the part that was new here.
@@ -217,7 +217,7 @@
 }
 
 // Record gives the newest record of a partition.
-func (b *Board) Record(p int) record.Record {
+func (b *Board) Record(p int) assignment.Record {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.records[p]
@@ -306,7 +306,7 @@
 	mended  uint64
 	coming  uint64
 	until   time.Time
-	untold  []record.Record
+	untold  []assignment.Record
 	telling bool
 	rounds  int
 	alike   int
@@ -513,7 +513,7 @@
 }
 
 // Tell has records that were written here known at once: by those that they name, and by a few others with a disk that pass them on.
-func (g *Gossip) Tell(ctx context.Context, rs ...record.Record) {
+func (g *Gossip) Tell(ctx context.Context, rs ...assignment.Record) {
 	g.Board.Offer(News{Records: rs})
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -532,7 +532,7 @@
 	}()
 }
 
-func (g *Gossip) spread(ctx context.Context, rs []record.Record) {
+func (g *Gossip) spread(ctx context.Context, rs []assignment.Record) {
 	named := map[string]bool{}
 	for _, r := range rs {
 		for _, n := range r.Nodes() {
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -13,7 +13,7 @@
 	"postjunction/internal/control/voters"
 	"postjunction/internal/description"
 	"postjunction/internal/options"
-	"postjunction/internal/placement/record"
+	"postjunction/internal/placement/assignment"
 	"postjunction/internal/wire"
 )
 
@@ -22,7 +22,7 @@
 	b := NewBoard(func(News) { heard++ })
 	r := voters.Roster{Sequence: 2, Fleet: "f", Layout: voters.Layout{Routine: 1, Urgent: 1}}
 	offer := func(d, w uint64) bool {
-		return !b.Offer(News{Roster: &r, Description: &description.Description{Sequence: d}, Records: []record.Record{{Partition: 1, Writes: w}}}).Empty()
+		return !b.Offer(News{Roster: &r, Description: &description.Description{Sequence: d}, Records: []assignment.Record{{Partition: 1, Writes: w}}}).Empty()
 	}
 	assert.Assert(t, offer(3, 5))
 	assert.Assert(t, !offer(3, 5))
@@ -141,16 +141,16 @@
 // Nodes without a disk hear who decides, not the history of it, which is most of a record; those with a disk, which write records, have them whole
 // and from one another only.
 func TestRecordsGoWithoutTheirHistoryToNodesWithoutADisk(t *testing.T) {
-	r := record.Record{Partition: 1, Writes: 1}
+	r := assignment.Record{Partition: 1, Writes: 1}
 	for range 9 {
-		r = r.Next("s1", []record.Place{{Node: "s1", Incarnation: "i1"}, {Node: "s2", Incarnation: "i2"}}, "the owner is gone: nothing is heard from it", time.Now())
+		r = r.Next("s1", []assignment.Place{{Node: "s1", Incarnation: "i1"}, {Node: "s2", Incarnation: "i2"}}, "the owner is gone: nothing is heard from it", time.Now())
 	}
 	store, front, other := &Gossip{Board: NewBoard(nil), Disk: true}, &Gossip{Board: NewBoard(nil)}, &Gossip{Board: NewBoard(nil)}
-	store.Board.Offer(News{Records: []record.Record{r}})
+	store.Board.Offer(News{Records: []assignment.Record{r}})
 	assert.Assert(t, !store.digest().Lean && front.digest().Lean && front.answer(Digest{}).Lean)
 
 	whole := store.suited(store.Board.Since(Digest{}), false)
-	assert.DeepEqual(t, whole.Records, []record.Record{r})
+	assert.DeepEqual(t, whole.Records, []assignment.Record{r})
 	lean := store.suited(store.Board.Since(front.digest()), front.digest().Lean)
 	assert.Equal(t, len(lean.Records), 1)
 	assert.Equal(t, len(lean.Records[0].History), 0)
--- a/internal/ledger/desk/desk.go
+++ b/internal/ledger/desk/desk.go
@@ -13,7 +13,7 @@
 	"postjunction/internal/membership"
 	"postjunction/internal/options"
 	"postjunction/internal/partition"
-	"postjunction/internal/placement/record"
+	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
 	"postjunction/internal/samza/state"
 	"postjunction/internal/wire"
@@ -318,7 +318,7 @@
 	return x.After(clock.Jitter(2*d.Bounds.Retry(), 1, rand.Float64()).Round(time.Millisecond))
 }
 
-func try[Q, A any](ctx context.Context, d *Desk, p int, r record.Record, c *wire.Procedure[Q, A], local func(context.Context, *Q) (*A, error), q *Q) (*A, error) {
+func try[Q, A any](ctx context.Context, d *Desk, p int, r assignment.Record, c *wire.Procedure[Q, A], local func(context.Context, *Q) (*A, error), q *Q) (*A, error) {
 	if r.Owner == "" {
 		return nil, problem.New(problem.NoOwner, "partition %d has no owner yet", p)
 	}
@@ -449,4 +449,4 @@
 }
 
 // Record gives the newest ownership record known here.
-func (d *Desk) Record(p int) record.Record { return d.Board.Record(p) }
+func (d *Desk) Record(p int) assignment.Record { return d.Board.Record(p) }
--- a/internal/ledger/desk/fan.go
+++ b/internal/ledger/desk/fan.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"postjunction/internal/ledger/owner"
-	"postjunction/internal/placement/record"
+	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
 	"postjunction/internal/wire"
 )
@@ -76,7 +76,7 @@
 }
 
 // once asks the owner that a record names, one time.
-func once[Q, A any](ctx context.Context, d *Desk, r record.Record, limit time.Duration, c *wire.Procedure[Q, A], local func(context.Context, *Q) (*A, error), q *Q) (*A, error) {
+func once[Q, A any](ctx context.Context, d *Desk, r assignment.Record, limit time.Duration, c *wire.Procedure[Q, A], local func(context.Context, *Q) (*A, error), q *Q) (*A, error) {
 	if r.Owner == "" {
 		return nil, problem.New(problem.NoOwner, "partition %d has no owner yet", r.Partition)
 	}
@@ -93,7 +93,7 @@
 }
 
 // Follow tells a partition's owner what this node follows, one time.
-func (d *Desk) Follow(ctx context.Context, r record.Record, q *owner.Want) (*owner.Told, error) {
+func (d *Desk) Follow(ctx context.Context, r assignment.Record, q *owner.Want) (*owner.Told, error) {
 	q.Packs = d.Packs
 	a, err := once(ctx, d, r, d.Bounds.Call(), Follow, d.follow, q)
 	if err != nil {
@@ -103,7 +103,7 @@
 }
 
 // Poll reads what this node follows from a partition's owner, one time.
-func (d *Desk) Poll(ctx context.Context, r record.Record, q *owner.PollRequest) (*owner.Polled, error) {
+func (d *Desk) Poll(ctx context.Context, r assignment.Record, q *owner.PollRequest) (*owner.Polled, error) {
 	q.Packs = d.Packs
 	a, err := once(ctx, d, r, q.Hold+d.Bounds.Call(), Poll, d.poll, q)
 	if err != nil {
--- a/internal/ledger/desk/offer.go
+++ b/internal/ledger/desk/offer.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"postjunction/internal/ledger/owner"
-	"postjunction/internal/placement/record"
+	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
 	"postjunction/internal/wire"
 )
@@ -212,7 +212,7 @@
 
 // attempt hands a batch over once, and meanwhile tells those whose time is over. What may have left this node for another is in doubt from then on,
 // whatever comes back: an older copy of the batch may still be on its way.
-func (d *Desk) attempt(p int, l *lane, r record.Record, batch []*offer) ([]owner.Verdict, error) {
+func (d *Desk) attempt(p int, l *lane, r assignment.Record, batch []*offer) ([]owner.Verdict, error) {
 	type answer struct {
 		a   *ManyResponse
 		err error
@@ -274,7 +274,7 @@
 }
 
 // answer tells what was decided and gives up what nobody can decide; it gives the rest, in order, to be tried again.
-func (d *Desk) answer(p int, l *lane, r record.Record, batch []*offer, vs []owner.Verdict, begun time.Time, err error) []*offer {
+func (d *Desk) answer(p int, l *lane, r assignment.Record, batch []*offer, vs []owner.Verdict, begun time.Time, err error) []*offer {
 	now := d.Clock.Now()
 	var stay []*offer
 	var why []error
--- a/internal/ledger/desk/offer_test.go
+++ b/internal/ledger/desk/offer_test.go
@@ -19,7 +19,7 @@
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/membership"
 	"postjunction/internal/options"
-	"postjunction/internal/placement/record"
+	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
 )
 
@@ -77,7 +77,7 @@
 
 func (b *bench) owned(who string) {
 	b.writes++
-	b.Board.Offer(gossip.News{Records: []record.Record{{Partition: part, Owner: who, Epoch: b.writes, Writes: b.writes}}})
+	b.Board.Offer(gossip.News{Records: []assignment.Record{{Partition: part, Owner: who, Epoch: b.writes, Writes: b.writes}}})
 }
 
 func newBench(path func(b *bench, ctx context.Context, to string, q *ManyRequest) (*ManyResponse, error)) *bench {
--- a/internal/ledger/desk/reign.go
+++ b/internal/ledger/desk/reign.go
@@ -5,7 +5,7 @@
 	"sync"
 
 	"postjunction/internal/gossip"
-	"postjunction/internal/placement/record"
+	"postjunction/internal/placement/assignment"
 )
 
 type reign struct {
@@ -20,7 +20,7 @@
 	m  map[int]reign
 }
 
-func (s *reigns) of(b *gossip.Board, r record.Record) context.Context {
+func (s *reigns) of(b *gossip.Board, r assignment.Record) context.Context {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.m == nil {
@@ -43,7 +43,7 @@
 }
 
 // News ends the reigns that newer records put an end to.
-func (d *Desk) News(rs []record.Record) {
+func (d *Desk) News(rs []assignment.Record) {
 	d.reigns.mu.Lock()
 	defer d.reigns.mu.Unlock()
 	for _, r := range rs {
--- a/internal/ledger/owner/learner.go
+++ b/internal/ledger/owner/learner.go
@@ -5,17 +5,17 @@
 
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/replica"
-	"postjunction/internal/placement/record"
+	"postjunction/internal/placement/assignment"
 )
 
 // Update takes news of the record under the same epoch: a learner to bring up.
-func (o *Owner) Update(ctx context.Context, r record.Record) {
+func (o *Owner) Update(ctx context.Context, r assignment.Record) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.stage != Open || r.Epoch != o.Rec.Epoch {
 		return
 	}
-	var l record.Place
+	var l assignment.Place
 	if r.Learner != nil {
 		l = *r.Learner
 	}
@@ -40,13 +40,13 @@
 }
 
 // caughtUp tells whether a learner holds all that is committed, and all that a lost disk of the same machine was known to hold: it takes that one's place.
-func (t *track) caughtUp(r record.Record, l record.Place) bool {
+func (t *track) caughtUp(r assignment.Record, l assignment.Place) bool {
 	m := t.match[l.Incarnation]
 	old, _ := r.Place(l.Node)
 	return m > 0 && m >= t.commit && m >= t.match[old.Incarnation]
 }
 
-func (o *Owner) raise(ctx context.Context, l record.Place) {
+func (o *Owner) raise(ctx context.Context, l assignment.Place) {
 	for o.d.Clock.Sleep(ctx, o.d.Bounds.Retry()/raiseShare) == nil {
 		o.mu.Lock()
 		up := true
--- a/internal/ledger/owner/owner.go
+++ b/internal/ledger/owner/owner.go
@@ -11,7 +11,7 @@
 	"postjunction/internal/ledger/replica"
 	"postjunction/internal/ledger/still"
 	"postjunction/internal/options"
-	"postjunction/internal/placement/record"
+	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
 	"postjunction/internal/samza/state"
 	"postjunction/internal/wire"
@@ -45,8 +45,8 @@
 	// Marks is how many withdrawals of a partition may stand, and Stretch what a node's lease may last longer.
 	Marks   func() int
 	Stretch time.Duration
-	Settled func(ctx context.Context, r record.Record)
-	Promote func(ctx context.Context, r record.Record, l record.Place)
+	Settled func(ctx context.Context, r assignment.Record)
+	Promote func(ctx context.Context, r assignment.Record, l assignment.Place)
 	Log     Log
 	Witness Witness
 }
@@ -92,7 +92,7 @@
 
 // Owner decides for one partition until it is lost.
 type Owner struct {
-	Rec    record.Record
+	Rec    assignment.Record
 	Urgent bool
 	d      Deps
 	mu     sync.Mutex
@@ -122,12 +122,12 @@
 	ctx     context.Context
 	next    *round
 	asking  bool
-	learner record.Place
+	learner assignment.Place
 	leave   context.CancelFunc
 }
 
 // New makes an owner for a record that names this node.
-func New(d Deps, r record.Record, urgent bool) *Owner {
+func New(d Deps, r assignment.Record, urgent bool) *Owner {
 	return &Owner{
 		Rec: r, Urgent: urgent, d: d, stage: Taking, tracks: map[line.Kind]*track{}, bases: map[line.Kind]line.Point{},
 		trims: map[line.Kind]chan struct{}{line.Ledger: make(chan struct{}, 1), line.Changelog: make(chan struct{}, 1)},
--- a/internal/ledger/owner/takeover.go
+++ b/internal/ledger/owner/takeover.go
@@ -8,13 +8,13 @@
 	"postjunction/internal/gather"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/replica"
-	"postjunction/internal/placement/record"
+	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
 	"postjunction/internal/samza/changelog"
 	"postjunction/internal/samza/state"
 )
 
-type sealed = gather.Answer[record.Place, *replica.SealResponse]
+type sealed = gather.Answer[assignment.Place, *replica.SealResponse]
 
 func (o *Owner) takeOver(ctx context.Context) error {
 	begun := o.d.Clock.Now()
@@ -110,7 +110,7 @@
 func (o *Owner) seal(ctx context.Context) ([]sealed, error) {
 	cx, stop := context.WithTimeout(ctx, o.d.Bounds.Call())
 	defer stop()
-	as := gather.Ask(cx, o.Rec.Replicas, func(ctx context.Context, p record.Place) (*replica.SealResponse, error) {
+	as := gather.Ask(cx, o.Rec.Replicas, func(ctx context.Context, p assignment.Place) (*replica.SealResponse, error) {
 		q := &replica.SealRequest{Target: o.target(p.Node), Urgent: o.Urgent}
 		if p.Node == o.d.Self {
 			return o.d.Replica.Seal(ctx, q)
--- a/internal/ledger/owner/track.go
+++ b/internal/ledger/owner/track.go
@@ -8,7 +8,7 @@
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/replica"
 	"postjunction/internal/ledger/still"
-	"postjunction/internal/placement/record"
+	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
 )
 
@@ -71,7 +71,7 @@
 	return es
 }
 
-func (t *track) settle(r record.Record, self string) bool {
+func (t *track) settle(r assignment.Record, self string) bool {
 	var os []uint64
 	for _, p := range r.Replicas {
 		if p.Node == self {
@@ -143,7 +143,7 @@
 	full bool
 }
 
-func (o *Owner) replicate(ctx context.Context, t *track, p record.Place, tail replica.Tail, known bool) {
+func (o *Owner) replicate(ctx context.Context, t *track, p assignment.Place, tail replica.Tail, known bool) {
 	var c cursor
 	o.mu.Lock()
 	c.at = t.last
--- a/internal/membership/failuredetector/watch.go
+++ b/internal/membership/failuredetector/watch.go
@@ -12,7 +12,7 @@
 	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
 	"postjunction/internal/options"
-	"postjunction/internal/placement/record"
+	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
 	"postjunction/internal/wire"
 )
@@ -128,7 +128,7 @@
 	w.rings = rings
 }
 
-func others(r record.Record, self string) []string {
+func others(r assignment.Record, self string) []string {
 	return slices.DeleteFunc(r.Nodes(), func(n string) bool { return n == self || n == r.Owner })
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -39,8 +39,8 @@
 	"postjunction/internal/nodelease"
 	"postjunction/internal/operator"
 	"postjunction/internal/options"
+	"postjunction/internal/placement/assignment"
 	"postjunction/internal/placement/controller"
-	"postjunction/internal/placement/record"
 	"postjunction/internal/problem"
 	"postjunction/internal/visitor"
 	"postjunction/internal/visitor/admission"
@@ -247,7 +247,7 @@
 var ranks = map[string]int{options.DiskStorage: 0, options.DiskControl: 1}
 
 // able ranks a disk as the next owner of a partition whose owner is gone.
-func (n *Node) able(p record.Place) int {
+func (n *Node) able(p assignment.Place) int {
 	i, ok := n.View.Last(p.Node)
 	if p.Node == n.options().Name {
 		i, ok = n.Info(), true
@@ -266,10 +266,10 @@
 }
 
 func (n *Node) told(k string, v acceptor.Value) {
-	if p, ok := record.Partition(k); ok && len(v.Body) > 0 {
-		if r, err := record.Parse(v.Body, v.Writes); err == nil {
+	if p, ok := assignment.Partition(k); ok && len(v.Body) > 0 {
+		if r, err := assignment.Parse(v.Body, v.Writes); err == nil {
 			r.Partition = p
-			n.Board.Offer(gossip.News{Records: []record.Record{r}})
+			n.Board.Offer(gossip.News{Records: []assignment.Record{r}})
 		}
 	}
 	if k == quorumread.Key {
@@ -545,7 +545,7 @@
 	close(n.leaving)
 	ctx, stop := context.WithTimeout(context.Background(), b.Stop()*3/4)
 	defer stop()
-	able := func(p record.Place) bool {
+	able := func(p assignment.Place) bool {
 		i, ok := n.View.Get(p.Node)
 		return ok && i.Incarnation == p.Incarnation && i.Fitness == "" && i.Stage == membership.Serving
 	}
--- a/internal/node/owners/heir.go
+++ b/internal/node/owners/heir.go
@@ -9,7 +9,7 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/control/registerclient"
 	"postjunction/internal/event"
-	"postjunction/internal/placement/record"
+	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
 )
 
@@ -65,11 +65,11 @@
 	}
 }
 
-func (k *Keeper) inherit(ctx context.Context, r record.Record, why string) {
+func (k *Keeper) inherit(ctx context.Context, r assignment.Record, why string) {
 	cx, stop := context.WithTimeout(ctx, k.Bounds.Call())
 	defer stop()
 	n := r.Next(k.Self, r.Replicas, "the owner is gone: "+why, k.Clock.Now())
-	v, err := k.Client.Change(cx, record.Key(r.Partition), r.Writes, registerclient.Name(), n.Pack())
+	v, err := k.Client.Change(cx, assignment.Key(r.Partition), r.Writes, registerclient.Name(), n.Pack())
 	if err == nil {
 		n.Writes = v.Writes
 		k.Log.Say(event.Inherited, "partition", r.Partition, "epoch", n.Epoch, "from", r.Owner, "reason", why)
--- a/internal/node/owners/owners.go
+++ b/internal/node/owners/owners.go
@@ -16,7 +16,7 @@
 	"postjunction/internal/ledger/replica"
 	"postjunction/internal/options"
 	"postjunction/internal/partition"
-	"postjunction/internal/placement/record"
+	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
 )
 
@@ -31,10 +31,10 @@
 	Deps    owner.Deps
 	Log     *event.Logger
 	// Able ranks a disk as the next owner by what is known of its machine: 0 first, below 0 for one that can't be.
-	Able  func(record.Place) int
+	Able  func(assignment.Place) int
 	heirs heirs
 	// Tell has records that were written here known at once.
-	Tell   func(context.Context, ...record.Record)
+	Tell   func(context.Context, ...assignment.Record)
 	mu     sync.Mutex
 	m      map[int]*owner.Owner
 	closed bool
@@ -200,7 +200,7 @@
 	return k.Renew(cx, r)
 }
 
-func (k *Keeper) named(r record.Record) bool {
+func (k *Keeper) named(r assignment.Record) bool {
 	p, ok := r.Place(k.Self)
 	return ok && p.Incarnation == k.Replica.Incarnation()
 }
@@ -211,21 +211,21 @@
 	return k.m[p] == nil && k.epochs[p] >= epoch
 }
 
-func (k *Keeper) read(ctx context.Context, p int) (record.Record, error) {
-	v, err := k.Client.Read(ctx, record.Key(p))
+func (k *Keeper) read(ctx context.Context, p int) (assignment.Record, error) {
+	v, err := k.Client.Read(ctx, assignment.Key(p))
 	if err != nil {
-		return record.Record{}, err
+		return assignment.Record{}, err
 	}
-	r, err := record.Parse(v.Body, v.Writes)
+	r, err := assignment.Parse(v.Body, v.Writes)
 	if err != nil {
 		return r, problem.Wrap(problem.Internal, err, "read the record of partition %d", p)
 	}
-	k.Board.Offer(gossip.News{Records: []record.Record{r}})
+	k.Board.Offer(gossip.News{Records: []assignment.Record{r}})
 	return r, nil
 }
 
 // Change rewrites a partition's record while it is still at the given epoch.
-func (k *Keeper) Change(ctx context.Context, p int, epoch uint64, f func(record.Record) (record.Record, bool)) bool {
+func (k *Keeper) Change(ctx context.Context, p int, epoch uint64, f func(assignment.Record) (assignment.Record, bool)) bool {
 	for try := 0; ctx.Err() == nil; try++ {
 		r, err := k.read(ctx, p)
 		if err == nil {
@@ -233,7 +233,7 @@
 			if r.Epoch != epoch || !ok {
 				return false
 			}
-			v, e := k.Client.Change(ctx, record.Key(p), r.Writes, registerclient.Name(), n.Pack())
+			v, e := k.Client.Change(ctx, assignment.Key(p), r.Writes, registerclient.Name(), n.Pack())
 			if e == nil {
 				n.Writes = v.Writes
 				k.Tell(ctx, n)
@@ -246,31 +246,31 @@
 }
 
 // Settled records that a take-over is finished, so that replicas may change.
-func (k *Keeper) Settled(ctx context.Context, r record.Record) {
-	k.Change(ctx, r.Partition, r.Epoch, func(x record.Record) (record.Record, bool) {
+func (k *Keeper) Settled(ctx context.Context, r assignment.Record) {
+	k.Change(ctx, r.Partition, r.Epoch, func(x assignment.Record) (assignment.Record, bool) {
 		x.Settled = true
 		return x, true
 	})
 }
 
 // Renew asks for a new epoch, and tells whether it got one, since this disk used the record's in an earlier run.
-func (k *Keeper) Renew(ctx context.Context, r record.Record) bool {
+func (k *Keeper) Renew(ctx context.Context, r assignment.Record) bool {
 	k.Log.Say(event.OwnerRenew, "partition", r.Partition, "epoch", r.Epoch)
-	return k.Change(ctx, r.Partition, r.Epoch, func(x record.Record) (record.Record, bool) {
+	return k.Change(ctx, r.Partition, r.Epoch, func(x assignment.Record) (assignment.Record, bool) {
 		return x.Next(k.Self, x.Replicas, "the owner came back on its machine", k.Clock.Now()), x.Owner == k.Self
 	})
 }
 
 // Promote makes the learner, which has caught up, a replica: in the place of its machine's lost disk if the record names one, otherwise as one more.
-func (k *Keeper) Promote(ctx context.Context, r record.Record, l record.Place) {
-	k.Change(ctx, r.Partition, r.Epoch, func(x record.Record) (record.Record, bool) {
+func (k *Keeper) Promote(ctx context.Context, r assignment.Record, l assignment.Place) {
+	k.Change(ctx, r.Partition, r.Epoch, func(x assignment.Record) (assignment.Record, bool) {
 		ok := x.Learner != nil && *x.Learner == l && x.Owner == k.Self && x.Settled
 		return x.Next(k.Self, x.With(l), l.Node+" has caught up and holds a copy", k.Clock.Now()), ok
 	})
 }
 
 // HandOver gives every owned partition to another replica, state flushed first.
-func (k *Keeper) HandOver(ctx context.Context, able func(record.Place) bool, limit time.Duration) int {
+func (k *Keeper) HandOver(ctx context.Context, able func(assignment.Place) bool, limit time.Duration) int {
 	k.mu.Lock()
 	k.closed = true
 	k.mu.Unlock()
@@ -281,7 +281,7 @@
 		wg.Go(func() {
 			o.Flush(ctx, limit/2)
 			o.Close()
-			if k.Change(ctx, o.Rec.Partition, o.Rec.Epoch, func(x record.Record) (record.Record, bool) {
+			if k.Change(ctx, o.Rec.Partition, o.Rec.Epoch, func(x assignment.Record) (assignment.Record, bool) {
 				for i := range x.Replicas {
 					p := x.Replicas[(i+o.Rec.Partition)%len(x.Replicas)]
 					if p.Node != k.Self && able(p) {
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -10,8 +10,8 @@
 	"postjunction/internal/gather"
 	"postjunction/internal/membership"
 	"postjunction/internal/options"
+	"postjunction/internal/placement/assignment"
 	"postjunction/internal/placement/decommission"
-	"postjunction/internal/placement/record"
 	"postjunction/internal/problem"
 )
 
@@ -127,11 +127,11 @@
 }
 
 // parseRecord reads a partition's record; one that was never written names nobody.
-func parseRecord(p int, v acceptor.Value) (record.Record, error) {
+func parseRecord(p int, v acceptor.Value) (assignment.Record, error) {
 	if len(v.Body) == 0 {
-		return record.Record{Partition: p}, nil
+		return assignment.Record{Partition: p}, nil
 	}
-	r, err := record.Parse(v.Body, v.Writes)
+	r, err := assignment.Parse(v.Body, v.Writes)
 	return r, problem.Wrap(problem.Internal, err, "read the record of partition %d", p)
 }
 
@@ -142,7 +142,7 @@
 		ps = append(ps, p)
 	}
 	for _, a := range gather.Ask(ctx, ps, func(ctx context.Context, p int) (confirmed[bool], error) {
-		return readAs(ctx, s, record.Key(p), func(v acceptor.Value) (bool, error) {
+		return readAs(ctx, s, assignment.Key(p), func(v acceptor.Value) (bool, error) {
 			r, err := parseRecord(p, v)
 			return r.Holds(node), err
 		})
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -21,7 +21,7 @@
 	"postjunction/internal/membership"
 	"postjunction/internal/options"
 	"postjunction/internal/partition"
-	"postjunction/internal/placement/record"
+	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
 	"postjunction/internal/usage"
 	"postjunction/internal/visitor/turned"
@@ -58,15 +58,15 @@
 
 // Status is what a node knows of the fleet.
 type Status struct {
-	Node        membership.Info   `json:"node"`
-	Control     string            `json:"session_with"`
-	Licensed    bool              `json:"licensed"`
-	Fleet       string            `json:"fleet"`
-	Description uint64            `json:"description"`
-	Roster      voters.Roster     `json:"roster"`
-	Members     []membership.Info `json:"members"`
-	Partitions  []record.Record   `json:"partitions"`
-	Owned       []owner.View      `json:"owned"`
+	Node        membership.Info     `json:"node"`
+	Control     string              `json:"session_with"`
+	Licensed    bool                `json:"licensed"`
+	Fleet       string              `json:"fleet"`
+	Description uint64              `json:"description"`
+	Roster      voters.Roster       `json:"roster"`
+	Members     []membership.Info   `json:"members"`
+	Partitions  []assignment.Record `json:"partitions"`
+	Owned       []owner.View        `json:"owned"`
 }
 
 // Status gives this node's view.
@@ -125,9 +125,9 @@
 
 // Detail is one partition's record with its history, and which withdrawals stand there, as far as its owner answers.
 type Detail struct {
-	Topic  string        `json:"topic,omitempty"`
-	Urgent bool          `json:"urgent"`
-	Record record.Record `json:"record"`
+	Topic  string            `json:"topic,omitempty"`
+	Urgent bool              `json:"urgent"`
+	Record assignment.Record `json:"record"`
 	// Withdrawn is nil where nothing has keys.
 	Withdrawn *owner.MarksView `json:"withdrawn,omitempty"`
 }
@@ -148,7 +148,7 @@
 	}
 	ctx, stop := s.limit(ctx)
 	defer stop()
-	c, err := readAs(ctx, s, record.Key(p), func(v acceptor.Value) (record.Record, error) { return parseRecord(p, v) })
+	c, err := readAs(ctx, s, assignment.Key(p), func(v acceptor.Value) (assignment.Record, error) { return parseRecord(p, v) })
 	if err != nil {
 		return nil, err
 	}
--- a/internal/placement/record/record.go
+++ b/internal/placement/assignment/record.go
@@ -1,5 +1,5 @@
-// Package record is the ownership record of a partition.
-package record
+// Package assignment is the ownership record of a partition.
+package assignment
 
 import (
 	"encoding/json"
--- a/internal/placement/controller/copies.go
+++ b/internal/placement/controller/copies.go
@@ -6,12 +6,12 @@
 	"time"
 
 	"postjunction/internal/options"
-	"postjunction/internal/placement/record"
+	"postjunction/internal/placement/assignment"
 )
 
 // patience is how long a copy on a machine that is gone is waited for: hardly, where a newcomer came to take its place; for half a session more, which most restarts
 // are back within, where a newcomer was there before; as long as service may take to be back, where another storage machine is there; and long, where it would be a small disk.
-func (d *Duty) patience(s *scene, r record.Record, p record.Place) time.Duration {
+func (d *Duty) patience(s *scene, r assignment.Record, p assignment.Place) time.Duration {
 	wait := d.Bounds.Repair()
 	for n, m := range s.m {
 		if _, ok := r.Place(n); ok || m.Disk != options.DiskStorage || !s.fit(m) {
@@ -37,22 +37,22 @@
 	return d.Bounds.Previous()
 }
 
-func (d *Duty) first(s *scene, r record.Record) {
+func (d *Duty) first(s *scene, r assignment.Record) {
 	if s.stores < s.copies && s.now.Sub(d.since) < d.Bounds.Session() {
 		return
 	}
-	var ps []record.Place
+	var ps []assignment.Place
 	for len(ps) < s.copies {
 		m := d.candidate(s, ps)
 		if m == nil {
 			break
 		}
-		ps = append(ps, record.Place{Node: m.Name, Incarnation: m.Incarnation})
+		ps = append(ps, assignment.Place{Node: m.Name, Incarnation: m.Incarnation})
 	}
 	if len(ps) < s.copies {
 		return
 	}
-	o := slices.MinFunc(ps, func(a, b record.Place) int { return s.m[a.Node].owns - s.m[b.Node].owns })
+	o := slices.MinFunc(ps, func(a, b assignment.Place) int { return s.m[a.Node].owns - s.m[b.Node].owns })
 	d.write(r, r.Next(o.Node, ps, "first placement", s.now))
 	for _, p := range ps {
 		s.m[p.Node].holds++
@@ -60,7 +60,7 @@
 	s.give(o.Node, idle)
 }
 
-func (d *Duty) candidate(s *scene, ps []record.Place) *machine {
+func (d *Duty) candidate(s *scene, ps []assignment.Place) *machine {
 	zones, names := map[string]int{}, map[string]bool{}
 	for _, p := range ps {
 		names[p.Node] = true
@@ -92,7 +92,7 @@
 	return best
 }
 
-func (d *Duty) faulty(s *scene, r record.Record, p record.Place) string {
+func (d *Duty) faulty(s *scene, r assignment.Record, p assignment.Place) string {
 	m, ok := s.m[p.Node]
 	switch {
 	case !ok && s.emptied(p.Node):
@@ -114,7 +114,7 @@
 	return ""
 }
 
-func (d *Duty) copies(s *scene, r record.Record, learners *int) {
+func (d *Duty) copies(s *scene, r assignment.Record, learners *int) {
 	bad, why := -1, ""
 	for i, p := range r.Replicas {
 		if w := d.faulty(s, r, p); w != "" && (bad < 0 || !s.usable(p)) {
@@ -163,14 +163,14 @@
 		return
 	}
 	n := r
-	n.Learner = &record.Place{Node: m.Name, Incarnation: m.Incarnation}
+	n.Learner = &assignment.Place{Node: m.Name, Incarnation: m.Incarnation}
 	d.write(r, n)
 	m.holds++
 	*learners++
 }
 
-func (d *Duty) spare(s *scene, r record.Record) int {
-	if i := slices.IndexFunc(r.Replicas, func(p record.Place) bool { return s.m[p.Node] == nil }); i >= 0 {
+func (d *Duty) spare(s *scene, r assignment.Record) int {
+	if i := slices.IndexFunc(r.Replicas, func(p assignment.Place) bool { return s.m[p.Node] == nil }); i >= 0 {
 		return i
 	}
 	at := 0
--- a/internal/placement/controller/drains.go
+++ b/internal/placement/controller/drains.go
@@ -10,8 +10,8 @@
 	"postjunction/internal/control/registerclient"
 	"postjunction/internal/event"
 	"postjunction/internal/gather"
+	"postjunction/internal/placement/assignment"
 	"postjunction/internal/placement/decommission"
-	"postjunction/internal/placement/record"
 )
 
 // readDrains reads the list of drains by quorum.
@@ -92,13 +92,13 @@
 func (d *Duty) fence(ctx context.Context) bool {
 	whole := true
 	rs := slices.Collect(maps.Values(d.recs))
-	for _, a := range gather.Ask(ctx, rs, func(ctx context.Context, r record.Record) (record.Record, error) {
-		v, err := d.Client.Change(ctx, record.Key(r.Partition), r.Writes, registerclient.Name(), r.Pack())
+	for _, a := range gather.Ask(ctx, rs, func(ctx context.Context, r assignment.Record) (assignment.Record, error) {
+		v, err := d.Client.Change(ctx, assignment.Key(r.Partition), r.Writes, registerclient.Name(), r.Pack())
 		if err == nil {
 			r.Writes = v.Writes
 			return r, nil
 		}
-		return record.Record{}, err
+		return assignment.Record{}, err
 	}, nil) {
 		if a.Err != nil {
 			whole = false
--- a/internal/placement/controller/duty.go
+++ b/internal/placement/controller/duty.go
@@ -16,7 +16,7 @@
 	"postjunction/internal/gossip"
 	"postjunction/internal/membership"
 	"postjunction/internal/options"
-	"postjunction/internal/placement/record"
+	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
 )
 
@@ -36,11 +36,11 @@
 	Changed func() <-chan struct{}
 	Log     *event.Logger
 	// Tell has records that were written here known at once.
-	Tell func(context.Context, ...record.Record)
+	Tell func(context.Context, ...assignment.Record)
 
 	held  bool
 	since time.Time
-	recs  map[int]record.Record
+	recs  map[int]assignment.Record
 	gone  map[string]time.Time
 	deaf  map[string]time.Time
 	slow  map[string]time.Time
@@ -58,7 +58,7 @@
 }
 
 // want is a change of a record that a round has decided on.
-type want struct{ old, n record.Record }
+type want struct{ old, n assignment.Record }
 
 const (
 	learnersMost = 32
@@ -122,7 +122,7 @@
 }
 
 func (d *Duty) take(ctx context.Context) {
-	d.recs, d.gone, d.deaf, d.slow = map[int]record.Record{}, map[string]time.Time{}, map[string]time.Time{}, map[string]time.Time{}
+	d.recs, d.gone, d.deaf, d.slow = map[int]assignment.Record{}, map[string]time.Time{}, map[string]time.Time{}, map[string]time.Time{}
 	d.fresh, d.absent, d.renewed = map[string]time.Time{}, map[string]time.Time{}, map[string]time.Time{}
 	d.opened, d.epochs = map[int]time.Time{}, map[int]uint64{}
 	var ps []int
@@ -140,14 +140,14 @@
 	d.Log.Say(event.DutyTaken, "partitions", len(d.recs))
 }
 
-func (d *Duty) fetch(ctx context.Context, p int) (record.Record, error) {
-	v, err := d.Client.Read(ctx, record.Key(p))
+func (d *Duty) fetch(ctx context.Context, p int) (assignment.Record, error) {
+	v, err := d.Client.Read(ctx, assignment.Key(p))
 	if err != nil {
-		return record.Record{}, err
+		return assignment.Record{}, err
 	}
-	r := record.Record{Partition: p}
+	r := assignment.Record{Partition: p}
 	if len(v.Body) > 0 {
-		if r, err = record.Parse(v.Body, v.Writes); err != nil {
+		if r, err = assignment.Parse(v.Body, v.Writes); err != nil {
 			return r, problem.Wrap(problem.Internal, err, "read the record of partition %d", p)
 		}
 	}
@@ -155,10 +155,10 @@
 	return r, nil
 }
 
-func (d *Duty) keep(r record.Record) {
+func (d *Duty) keep(r assignment.Record) {
 	d.recs[r.Partition] = r
 	if r.Writes > 0 {
-		d.Board.Offer(gossip.News{Records: []record.Record{r}})
+		d.Board.Offer(gossip.News{Records: []assignment.Record{r}})
 	}
 }
 
@@ -171,14 +171,14 @@
 }
 
 // write notes a change, which is made with all others of the round.
-func (d *Duty) write(old, n record.Record) { d.wants = append(d.wants, want{old, n}) }
+func (d *Duty) write(old, n assignment.Record) { d.wants = append(d.wants, want{old, n}) }
 
 // flush makes all changes that were noted, at once.
 func (d *Duty) flush(ctx context.Context) {
 	ws := d.wants
 	d.wants = nil
-	for _, a := range gather.Ask(ctx, ws, func(ctx context.Context, w want) (record.Record, error) {
-		v, err := d.Client.Change(ctx, record.Key(w.n.Partition), w.old.Writes, registerclient.Name(), w.n.Pack())
+	for _, a := range gather.Ask(ctx, ws, func(ctx context.Context, w want) (assignment.Record, error) {
+		v, err := d.Client.Change(ctx, assignment.Key(w.n.Partition), w.old.Writes, registerclient.Name(), w.n.Pack())
 		if err == nil {
 			w.n.Writes = v.Writes
 			d.Tell(context.WithoutCancel(ctx), w.n)
--- a/internal/placement/controller/duty_test.go
+++ b/internal/placement/controller/duty_test.go
@@ -9,23 +9,23 @@
 
 	"postjunction/internal/membership"
 	"postjunction/internal/options"
+	"postjunction/internal/placement/assignment"
 	"postjunction/internal/placement/decommission"
-	"postjunction/internal/placement/record"
 )
 
 // table is a duty that began long ago, at whose site three stores in three zones hold a partition, s1 as its owner, and s4 may hold nothing.
-func table(names ...string) (*Duty, *scene, record.Record) {
+func table(names ...string) (*Duty, *scene, assignment.Record) {
 	now := time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 	long := now.Add(-time.Hour)
 	b := options.DefaultBounds
 	d := &Duty{
-		Bounds: b, since: long, moved: long, recs: map[int]record.Record{}, gone: map[string]time.Time{}, deaf: map[string]time.Time{}, slow: map[string]time.Time{},
+		Bounds: b, since: long, moved: long, recs: map[int]assignment.Record{}, gone: map[string]time.Time{}, deaf: map[string]time.Time{}, slow: map[string]time.Time{},
 		fresh: map[string]time.Time{}, absent: map[string]time.Time{}, renewed: map[string]time.Time{}, opened: map[int]time.Time{}, epochs: map[int]uint64{},
 	}
 	s := &scene{now: now, m: map[string]*machine{}, copies: 3, drains: decommission.List{}}
-	r := record.Record{Partition: 1, Epoch: 4, Owner: "s1", Settled: true}
+	r := assignment.Record{Partition: 1, Epoch: 4, Owner: "s1", Settled: true}
 	for _, n := range []string{"s1", "s2", "s3"} {
-		r.Replicas = append(r.Replicas, record.Place{Node: n, Incarnation: "disk-" + n})
+		r.Replicas = append(r.Replicas, assignment.Place{Node: n, Incarnation: "disk-" + n})
 	}
 	for _, n := range names {
 		s.m[n] = &machine{Info: membership.Info{Name: n, Zone: "z" + n[1:], Disk: options.DiskStorage, Incarnation: "disk-" + n, Stage: membership.Serving}}
@@ -44,53 +44,53 @@
 	half := b.Session() / 2
 	for _, x := range []struct {
 		name string
-		set  func(d *Duty, s *scene, r *record.Record)
+		set  func(d *Duty, s *scene, r *assignment.Record)
 		say  string
 		// waits tells that nothing else is done about the partition meanwhile.
 		waits bool
 	}{
-		{"all is well", func(*Duty, *scene, *record.Record) {}, "", false},
-		{"another disk", func(_ *Duty, s *scene, _ *record.Record) { s.m["s1"].Incarnation = "new" }, "the owner's disk is another one", false},
-		{"gone for a moment", func(d *Duty, s *scene, _ *record.Record) {
+		{"all is well", func(*Duty, *scene, *assignment.Record) {}, "", false},
+		{"another disk", func(_ *Duty, s *scene, _ *assignment.Record) { s.m["s1"].Incarnation = "new" }, "the owner's disk is another one", false},
+		{"gone for a moment", func(d *Duty, s *scene, _ *assignment.Record) {
 			delete(s.m, "s1")
 			d.gone["s1"] = s.now.Add(time.Millisecond - b.Previous())
 		}, "", true},
-		{"gone", func(d *Duty, s *scene, _ *record.Record) {
+		{"gone", func(d *Duty, s *scene, _ *assignment.Record) {
 			delete(s.m, "s1")
 			d.gone["s1"] = s.now.Add(-b.Previous())
 		}, "the owner is gone", false},
-		{"gone, to a duty that has just begun", func(d *Duty, s *scene, _ *record.Record) {
+		{"gone, to a duty that has just begun", func(d *Duty, s *scene, _ *assignment.Record) {
 			delete(s.m, "s1")
 			d.since, d.gone["s1"] = s.now.Add(-b.Previous()), s.now.Add(-b.Previous())
 		}, "", true},
-		{"a failing disk", func(_ *Duty, s *scene, _ *record.Record) { s.m["s1"].Fitness = "disk_full" }, "the owner's disk fails: disk_full", false},
-		{"stopping", func(_ *Duty, s *scene, _ *record.Record) { s.m["s1"].Stage = membership.Leaving }, "the owner is stopping", false},
-		{"deaf for a moment", func(d *Duty, s *scene, _ *record.Record) {
+		{"a failing disk", func(_ *Duty, s *scene, _ *assignment.Record) { s.m["s1"].Fitness = "disk_full" }, "the owner's disk fails: disk_full", false},
+		{"stopping", func(_ *Duty, s *scene, _ *assignment.Record) { s.m["s1"].Stage = membership.Leaving }, "the owner is stopping", false},
+		{"deaf for a moment", func(d *Duty, s *scene, _ *assignment.Record) {
 			s.m["s1"].Deaf, d.deaf["s1"] = true, s.now.Add(time.Millisecond-half)
 		}, "", false},
-		{"deaf", func(d *Duty, s *scene, _ *record.Record) { s.m["s1"].Deaf, d.deaf["s1"] = true, s.now.Add(-half) }, "the owner has no licence", false},
-		{"slow for a moment", func(_ *Duty, s *scene, _ *record.Record) {
+		{"deaf", func(d *Duty, s *scene, _ *assignment.Record) { s.m["s1"].Deaf, d.deaf["s1"] = true, s.now.Add(-half) }, "the owner has no licence", false},
+		{"slow for a moment", func(_ *Duty, s *scene, _ *assignment.Record) {
 			s.m["s1"].slow, s.m["s1"].slowFor = true, half-time.Millisecond
 		}, "", false},
-		{"slow", func(_ *Duty, s *scene, _ *record.Record) { s.m["s1"].slow, s.m["s1"].slowFor = true, half }, "the owner is slow", false},
-		{"slow as all others", func(_ *Duty, s *scene, _ *record.Record) {
+		{"slow", func(_ *Duty, s *scene, _ *assignment.Record) { s.m["s1"].slow, s.m["s1"].slowFor = true, half }, "the owner is slow", false},
+		{"slow as all others", func(_ *Duty, s *scene, _ *assignment.Record) {
 			for _, m := range s.m {
 				m.slow, m.slowFor = true, half
 			}
 		}, "", false},
-		{"to be emptied", func(_ *Duty, s *scene, _ *record.Record) { s.m["s1"].out = true }, "the owner is being emptied", false},
-		{"to be emptied as all others", func(_ *Duty, s *scene, _ *record.Record) {
+		{"to be emptied", func(_ *Duty, s *scene, _ *assignment.Record) { s.m["s1"].out = true }, "the owner is being emptied", false},
+		{"to be emptied as all others", func(_ *Duty, s *scene, _ *assignment.Record) {
 			for _, m := range s.m {
 				m.out = true
 			}
 		}, "", false},
-		{"a take-over under way", func(d *Duty, s *scene, r *record.Record) {
+		{"a take-over under way", func(d *Duty, s *scene, r *assignment.Record) {
 			r.Settled, d.opened[1] = false, s.now.Add(-2*b.Settle())
 		}, "", false},
-		{"a take-over without an end", func(d *Duty, s *scene, r *record.Record) {
+		{"a take-over without an end", func(d *Duty, s *scene, r *assignment.Record) {
 			r.Settled, d.opened[1] = false, s.now.Add(-2*b.Settle()-1)
 		}, "the take-over did not finish", false},
-		{"gone with another copy", func(d *Duty, s *scene, _ *record.Record) {
+		{"gone with another copy", func(d *Duty, s *scene, _ *assignment.Record) {
 			delete(s.m, "s1")
 			delete(s.m, "s2")
 			d.gone["s1"] = s.now.Add(-b.Previous())
--- a/internal/placement/controller/owners.go
+++ b/internal/placement/controller/owners.go
@@ -6,11 +6,11 @@
 
 	"postjunction/internal/membership"
 	"postjunction/internal/options"
-	"postjunction/internal/placement/record"
+	"postjunction/internal/placement/assignment"
 )
 
-func (d *Duty) heir(s *scene, r record.Record, not string) (record.Place, bool) {
-	var best record.Place
+func (d *Duty) heir(s *scene, r assignment.Record, not string) (assignment.Place, bool) {
+	var best assignment.Place
 	found := false
 	for _, p := range r.Replicas {
 		if p.Node == not || !s.canOwn(p) {
@@ -23,7 +23,7 @@
 	return best, found
 }
 
-func (d *Duty) better(s *scene, r record.Record, p, q record.Place) bool {
+func (d *Duty) better(s *scene, r assignment.Record, p, q assignment.Place) bool {
 	a, b := s.m[p.Node], s.m[q.Node]
 	if a.out != b.out {
 		return b.out
@@ -40,7 +40,7 @@
 	return p.Node < q.Node
 }
 
-func (d *Duty) owner(s *scene, r record.Record) bool {
+func (d *Duty) owner(s *scene, r assignment.Record) bool {
 	me, ok := r.Place(r.Owner)
 	reason := ""
 	switch m := s.m[r.Owner]; {
@@ -101,7 +101,7 @@
 	if most == nil {
 		return
 	}
-	best, to, low := record.Record{}, record.Place{}, most.load
+	best, to, low := assignment.Record{}, assignment.Place{}, most.load
 	for p := range len(d.recs) {
 		r := d.recs[p]
 		if r.Owner != most.Name || !r.Settled || r.Learner != nil || len(r.Replicas) != s.copies {
--- a/internal/placement/controller/scene.go
+++ b/internal/placement/controller/scene.go
@@ -9,8 +9,8 @@
 	"postjunction/internal/event"
 	"postjunction/internal/membership"
 	"postjunction/internal/options"
+	"postjunction/internal/placement/assignment"
 	"postjunction/internal/placement/decommission"
-	"postjunction/internal/placement/record"
 )
 
 type machine struct {
@@ -25,7 +25,7 @@
 // idle is the load of a partition that takes nothing, in messages a second: what its heartbeats cost.
 const idle = 1
 
-func (s *scene) weight(r record.Record) float64 {
+func (s *scene) weight(r assignment.Record) float64 {
 	if m, ok := s.m[r.Owner]; ok {
 		return idle + m.Loads[r.Partition]
 	}
@@ -47,7 +47,7 @@
 	usual  time.Duration
 }
 
-func (s *scene) usable(p record.Place) bool {
+func (s *scene) usable(p assignment.Place) bool {
 	m, ok := s.m[p.Node]
 	return ok && m.Incarnation == p.Incarnation && m.Fitness == ""
 }
@@ -62,7 +62,7 @@
 	return m != nil && !m.out && m.Fitness == "" && !m.Deaf && m.Stage == membership.Serving && (m.Disk == options.DiskStorage || s.stores < s.copies)
 }
 
-func (s *scene) canOwn(p record.Place) bool {
+func (s *scene) canOwn(p assignment.Place) bool {
 	return s.usable(p) && s.m[p.Node].Stage == membership.Serving && !s.m[p.Node].Deaf && !s.m[p.Node].slow
 }
 
@@ -123,7 +123,7 @@
 // newcomers notes the storage machines that hold nothing: they take the place of one that is gone, all of it.
 func (d *Duty) newcomers(s *scene) {
 	for n := range d.gone {
-		if !slices.ContainsFunc(slices.Collect(maps.Values(d.recs)), func(r record.Record) bool { _, ok := r.Place(n); return ok }) {
+		if !slices.ContainsFunc(slices.Collect(maps.Values(d.recs)), func(r assignment.Record) bool { _, ok := r.Place(n); return ok }) {
 			delete(d.gone, n)
 		}
 	}
--- a/internal/proof/sim/drain_test.go
+++ b/internal/proof/sim/drain_test.go
@@ -7,8 +7,8 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/placement/assignment"
 	"postjunction/internal/placement/decommission"
-	"postjunction/internal/placement/record"
 	"postjunction/internal/problem"
 )
 
@@ -29,9 +29,9 @@
 	k := 0
 	ref := w.Machines["a1"].Node()
 	for p := range ref.Roster().Layout.Count() {
-		v, err := ref.Operators.Client.Read(w.ctx, record.Key(p))
+		v, err := ref.Operators.Client.Read(w.ctx, assignment.Key(p))
 		assert.NilError(t, err)
-		r, err := record.Parse(v.Body, v.Writes)
+		r, err := assignment.Parse(v.Body, v.Writes)
 		assert.NilError(t, err)
 		if r.Holds(n) {
 			k++
--- a/internal/proof/sim/owner_test.go
+++ b/internal/proof/sim/owner_test.go
@@ -13,14 +13,14 @@
 	"postjunction/internal/membership/failuredetector"
 	"postjunction/internal/options"
 	"postjunction/internal/partition"
-	"postjunction/internal/placement/record"
+	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
 	"postjunction/internal/visitor"
 )
 
-func (w *World) records() []record.Record {
+func (w *World) records() []assignment.Record {
 	b := w.Machines["a1"].Node().Board
-	var rs []record.Record
+	var rs []assignment.Record
 	for p := range b.Roster().Layout.Count() {
 		rs = append(rs, w.storied(b.Record(p)))
 	}
@@ -28,7 +28,7 @@
 }
 
 // storied gives a record as a node without a disk has it the history that those with one know of the very same writing.
-func (w *World) storied(r record.Record) record.Record {
+func (w *World) storied(r assignment.Record) assignment.Record {
 	for _, m := range w.Machines {
 		n := m.Node()
 		if n == nil || m.Opts.Disk == options.DiskNone {
@@ -64,7 +64,7 @@
 					assert.Equal(t, r.Epoch, before[p].Epoch+1)
 					heir, why := o, "came back"
 					if !kept {
-						heir, why = before[p].Heirs(func(record.Place) int { return 0 })[0].Node, "the owner is gone: "+failuredetector.Refused
+						heir, why = before[p].Heirs(func(assignment.Place) int { return 0 })[0].Node, "the owner is gone: "+failuredetector.Refused
 					}
 					assert.Equal(t, r.Owner, heir, "partition %d", p)
 					last := r.History[len(r.History)-1]
--- a/internal/proof/sim/retire_test.go
+++ b/internal/proof/sim/retire_test.go
@@ -11,8 +11,8 @@
 
 	"postjunction/internal/control/registerclient"
 	"postjunction/internal/node"
+	"postjunction/internal/placement/assignment"
 	"postjunction/internal/placement/decommission"
-	"postjunction/internal/placement/record"
 	"postjunction/internal/problem"
 )
 
@@ -109,14 +109,14 @@
 	stand(t, Traductores, 400, func(t *testing.T, w *World) {
 		described(t, w)
 		op := w.Machines["c1"].Node().Operators
-		read := func(p int) (r record.Record) {
-			v, err := op.Client.Read(w.ctx, record.Key(p))
+		read := func(p int) (r assignment.Record) {
+			v, err := op.Client.Read(w.ctx, assignment.Key(p))
 			assert.NilError(t, err)
-			r, err = record.Parse(v.Body, v.Writes)
+			r, err = assignment.Parse(v.Body, v.Writes)
 			assert.NilError(t, err)
 			return r
 		}
-		var before []record.Record
+		var before []assignment.Record
 		for p := range w.Machines["c1"].Node().Roster().Layout.Count() {
 			before = append(before, read(p))
 		}
@@ -128,8 +128,8 @@
 			if !r.Holds(o) {
 				others++
 			}
-			r.Learner = &record.Place{Node: o, Incarnation: w.Machines[o].Node().Info().Incarnation}
-			_, err := op.Client.Change(w.ctx, record.Key(p), r.Writes, registerclient.Name(), r.Pack())
+			r.Learner = &assignment.Place{Node: o, Incarnation: w.Machines[o].Node().Info().Incarnation}
+			_, err := op.Client.Change(w.ctx, assignment.Key(p), r.Writes, registerclient.Name(), r.Pack())
 			assert.Assert(t, problem.Has(err, problem.StaleBase), "partition %d: %v", p, err)
 			assert.Assert(t, !read(p).Holds(o))
 		}
--- a/internal/visitor/visit/house_test.go
+++ b/internal/visitor/visit/house_test.go
@@ -20,7 +20,7 @@
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/membership"
 	"postjunction/internal/options"
-	"postjunction/internal/placement/record"
+	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
 )
 
@@ -33,7 +33,7 @@
 }
 
 // Follow answers as the test says.
-func (s *source) Follow(ctx context.Context, _ record.Record, q *owner.Want) (*owner.Told, error) {
+func (s *source) Follow(ctx context.Context, _ assignment.Record, q *owner.Want) (*owner.Told, error) {
 	s.mu.Lock()
 	s.wants = append(s.wants, q)
 	f := s.follow
@@ -45,7 +45,7 @@
 }
 
 // Poll answers as the test says, at most once in a while.
-func (s *source) Poll(ctx context.Context, _ record.Record, q *owner.PollRequest) (*owner.Polled, error) {
+func (s *source) Poll(ctx context.Context, _ assignment.Record, q *owner.PollRequest) (*owner.Polled, error) {
 	s.mu.Lock()
 	f := s.poll
 	s.mu.Unlock()
@@ -118,7 +118,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		b := gossip.NewBoard(nil)
-		b.Offer(gossip.News{Roster: &voters.Roster{Sequence: 1, Fleet: "fleet00", Layout: voters.Layout{Routine: 1}}, Records: []record.Record{{Owner: "s1", Epoch: 1, Writes: 1}}})
+		b.Offer(gossip.News{Roster: &voters.Roster{Sequence: 1, Fleet: "fleet00", Layout: voters.Layout{Routine: 1}}, Records: []assignment.Record{{Owner: "s1", Epoch: 1, Writes: 1}}})
 		h := &hall{src: &source{follow: func(*owner.Want) *owner.Told { return nil }}, board: b}
 		hub := fan.New(ctx, "a1", "boot", h.src, b, clock.Real{}, options.DefaultBounds)
 		h.House = (&House{
