--- a/internal/operator/accepted/accepted.go
+++ b/internal/operator/orderlog/accepted.go
@@ -1,4 +1,4 @@
-// Package accepted remembers which orders of operators became a configuration.
+// Package orderlog remembers which orders of operators became a configuration.
 //
 // The log of accepted orders is written into the description's register together with the description, in the same
 // decided value, so it is exactly as durable as the decision itself and is copied with it when voters are replaced. It
@@ -7,7 +7,7 @@
 //
 // Invariant: an order whose sequence is above Log.Forgotten was accepted if and only if it stands in the log. Of orders
 // up to Forgotten nothing is known.
-package accepted
+package orderlog
 
 import (
 	"crypto/sha256"
--- a/internal/operator/accepted/accepted_test.go
+++ b/internal/operator/orderlog/accepted_test.go
@@ -1,4 +1,4 @@
-package accepted
+package orderlog
 
 import (
 	"fmt"
--- a/internal/operator/replace.go
+++ b/internal/operator/replace.go
@@ -11,7 +11,7 @@
 	"postjunction/internal/description"
 	"postjunction/internal/event"
 	"postjunction/internal/gossip"
-	"postjunction/internal/operator/accepted"
+	"postjunction/internal/operator/orderlog"
 	"postjunction/internal/problem"
 )
 
@@ -90,7 +90,7 @@
 	if err := s.check(d); err != nil {
 		return nil, err
 	}
-	o := accepted.Of(d)
+	o := orderlog.Of(d)
 	for {
 		a, err := s.try(ctx, d, o)
 		if err == nil || settled[problem.Of(err).Kind] {
@@ -111,7 +111,7 @@
 
 // try reads the register by quorum and, where the order builds on what stands there, changes it on the count that was
 // read. All tries of an order share the change's name, so the register takes it once.
-func (s *Service) try(ctx context.Context, d description.Description, o accepted.Order) (*Accepted, error) {
+func (s *Service) try(ctx context.Context, d description.Description, o orderlog.Order) (*Accepted, error) {
 	c, err := readAs(ctx, s, quorumread.Key, parseRegister)
 	if err != nil {
 		return nil, err
@@ -147,7 +147,7 @@
 type stateRegister struct {
 	writes  uint64
 	current description.Description
-	log     accepted.Log
+	log     orderlog.Log
 }
 
 // parseRegister reads the description's register. Older builds wrote no log.
@@ -157,10 +157,10 @@
 		return r, problem.Wrap(problem.Internal, err, "read the current description")
 	}
 	if len(v.Memory) == 0 {
-		r.log = accepted.Since(r.current)
+		r.log = orderlog.Since(r.current)
 		return r, nil
 	}
-	r.log, err = accepted.Parse(v.Memory)
+	r.log, err = orderlog.Parse(v.Memory)
 	return r, err
 }
 
