--- a/internal/carrier/fan/feed.go
+++ b/internal/carrier/fan/feed.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"postjunction/internal/description"
+	"postjunction/internal/configuration"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/placement/assignment"
@@ -479,7 +479,7 @@
 // kept tells whether a topic's messages are owed to those who come back.
 func (f *feed) kept(topic string) bool {
 	sp, err := f.h.board.Index().Find(topic)
-	return err == nil && sp.Kind != description.Live
+	return err == nil && sp.Kind != configuration.Live
 }
 
 // end ends a subscription that can't go on after an offset, as what follows there is no longer held.
--- a/internal/description/description.go
+++ b/internal/configuration/description.go
@@ -1,4 +1,4 @@
-package description
+package configuration
 
 import (
 	"bytes"
--- a/internal/description/types.go
+++ b/internal/configuration/types.go
@@ -1,5 +1,5 @@
-// Package description is the operators' whole, numbered description of all topic spaces.
-package description
+// Package configuration is the operators' whole, numbered description of all topic spaces.
+package configuration
 
 //go:generate go tool easyjson -disallow_unknown_fields -output_filename types_easyjson.go types.go
 
--- a/internal/control/quorumread/confirm.go
+++ b/internal/control/quorumread/confirm.go
@@ -8,11 +8,11 @@
 	"time"
 
 	"postjunction/internal/clock"
+	"postjunction/internal/configuration"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/register"
 	"postjunction/internal/control/repair"
 	"postjunction/internal/control/voters"
-	"postjunction/internal/description"
 	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
 	"postjunction/internal/nodelease"
@@ -55,8 +55,8 @@
 }
 
 // Parse reads the description of a register; none was put when it was never written.
-func Parse(v acceptor.Value) (description.Description, error) {
-	var d description.Description
+func Parse(v acceptor.Value) (configuration.Description, error) {
+	var d configuration.Description
 	if len(v.Body) == 0 {
 		return d, nil
 	}
--- a/internal/door/door.go
+++ b/internal/door/door.go
@@ -9,7 +9,7 @@
 	"net/http"
 	"strconv"
 
-	"postjunction/internal/description"
+	"postjunction/internal/configuration"
 	"postjunction/internal/description/strict"
 	"postjunction/internal/operator"
 	"postjunction/internal/options"
@@ -262,7 +262,7 @@
 }
 
 func (d *Door) putDescription(w http.ResponseWriter, r *http.Request) (any, error) {
-	b, err := body(w, r, description.BytesMost)
+	b, err := body(w, r, configuration.BytesMost)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"postjunction/internal/clock"
+	"postjunction/internal/configuration"
 	"postjunction/internal/control/voters"
-	"postjunction/internal/description"
 	"postjunction/internal/membership"
 	"postjunction/internal/options"
 	"postjunction/internal/placement/assignment"
@@ -35,10 +35,10 @@
 
 // News is what one node has and another lacks. A description comes whole, without its source, or by the changes to one that the other has.
 type News struct {
-	Roster      *voters.Roster           `json:"r,omitempty"`
-	Description *description.Description `json:"d,omitempty"`
-	Changes     []description.Change     `json:"c,omitempty"`
-	Records     []assignment.Record      `json:"p,omitempty"`
+	Roster      *voters.Roster             `json:"r,omitempty"`
+	Description *configuration.Description `json:"d,omitempty"`
+	Changes     []configuration.Change     `json:"c,omitempty"`
+	Records     []assignment.Record        `json:"p,omitempty"`
 }
 
 // Empty tells whether there is nothing new.
@@ -67,9 +67,9 @@
 type Board struct {
 	mu      sync.Mutex
 	roster  voters.Roster
-	desc    description.Description
-	index   *description.Index
-	changes []description.Change
+	desc    configuration.Description
+	index   *configuration.Index
+	changes []configuration.Change
 	whole   bool
 	others  uint64
 	records map[int]assignment.Record
@@ -80,7 +80,7 @@
 
 // NewBoard makes an empty board; hear is told of what was new.
 func NewBoard(hear func(News)) *Board {
-	return &Board{index: description.NewIndex(description.Description{}), records: map[int]assignment.Record{}, changed: make(chan struct{}), hear: hear}
+	return &Board{index: configuration.NewIndex(configuration.Description{}), records: map[int]assignment.Record{}, changed: make(chan struct{}), hear: hear}
 }
 
 // Offer takes in news and gives the part that was new here.
@@ -118,7 +118,7 @@
 
 // describe takes in a whole description or changes to the one that is here, and gives the new one, or nil. What doesn't come out as it has to
 // is left alone, and the next one has to come whole.
-func (b *Board) describe(n News) *description.Description {
+func (b *Board) describe(n News) *configuration.Description {
 	was := b.desc
 	if d := n.Description; d != nil && d.Sequence > b.desc.Sequence {
 		x := *d
@@ -151,17 +151,17 @@
 }
 
 // Newer gives the description to one that has the one numbered seq: by changes where it takes them and they are known and small, else whole.
-func (b *Board) Newer(seq uint64, changes bool) (*description.Description, []description.Change) {
+func (b *Board) Newer(seq uint64, changes bool) (*configuration.Description, []configuration.Change) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.newer(seq, changes)
 }
 
-func (b *Board) newer(seq uint64, changes bool) (*description.Description, []description.Change) {
+func (b *Board) newer(seq uint64, changes bool) (*configuration.Description, []configuration.Change) {
 	if b.desc.Sequence <= seq {
 		return nil, nil
 	}
-	if i := slices.IndexFunc(b.changes, func(c description.Change) bool { return c.From == seq }); changes && i >= 0 {
+	if i := slices.IndexFunc(b.changes, func(c configuration.Change) bool { return c.From == seq }); changes && i >= 0 {
 		size := 0
 		for _, c := range b.changes[i:] {
 			size += c.Size()
@@ -203,14 +203,14 @@
 }
 
 // Description gives the newest description.
-func (b *Board) Description() description.Description {
+func (b *Board) Description() configuration.Description {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.desc
 }
 
 // Index gives the newest description's index.
-func (b *Board) Index() *description.Index {
+func (b *Board) Index() *configuration.Index {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.index
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/clock"
+	"postjunction/internal/configuration"
 	"postjunction/internal/control/voters"
-	"postjunction/internal/description"
 	"postjunction/internal/options"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/wire"
@@ -22,7 +22,7 @@
 	b := NewBoard(func(News) { heard++ })
 	r := voters.Roster{Sequence: 2, Fleet: "f", Layout: voters.Layout{Routine: 1, Urgent: 1}}
 	offer := func(d, w uint64) bool {
-		return !b.Offer(News{Roster: &r, Description: &description.Description{Sequence: d}, Records: []assignment.Record{{Partition: 1, Writes: w}}}).Empty()
+		return !b.Offer(News{Roster: &r, Description: &configuration.Description{Sequence: d}, Records: []assignment.Record{{Partition: 1, Writes: w}}}).Empty()
 	}
 	assert.Assert(t, offer(3, 5))
 	assert.Assert(t, !offer(3, 5))
@@ -50,13 +50,13 @@
 		assert.Assert(t, !lacks(6))
 		time.Sleep(b.Heartbeat())
 		assert.Assert(t, lacks(6), "the fellow that was let send it never did")
-		g.Board.Offer(News{Description: &description.Description{Sequence: 6}})
+		g.Board.Offer(News{Description: &configuration.Description{Sequence: 6}})
 		assert.Equal(t, g.answer(Digest{Description: 6}).Description, uint64(6))
 		assert.Equal(t, g.answer(Digest{Description: 3}).Description, uint64(6))
 	})
 }
 
-func step(d description.Description) description.Description {
+func step(d configuration.Description) configuration.Description {
 	n := d
 	n.Base, n.Sequence = d.Sequence, d.Sequence+1
 	n.Spaces = slices.Clone(d.Spaces)
@@ -66,7 +66,7 @@
 
 func TestADescriptionTravelsByItsChanges(t *testing.T) {
 	a, b, late := NewBoard(nil), NewBoard(nil), NewBoard(nil)
-	d := description.Description{Sequence: 1, Source: "the document", Spaces: []description.Space{{Name: "a", Prefix: "a"}, {Name: "b", Prefix: "b"}, {Name: "c", Prefix: "c"}, {Name: "d", Prefix: "d"}}}
+	d := configuration.Description{Sequence: 1, Source: "the document", Spaces: []configuration.Space{{Name: "a", Prefix: "a"}, {Name: "b", Prefix: "b"}, {Name: "c", Prefix: "c"}, {Name: "d", Prefix: "d"}}}
 	a.Offer(News{Description: &d})
 	assert.Equal(t, a.Description().Source, "", "the document goes round")
 	n := a.Since(b.Digest())
@@ -99,7 +99,7 @@
 
 func TestAfterAChangeThatDoesNotComeOutTheWholeComes(t *testing.T) {
 	a, b := NewBoard(nil), NewBoard(nil)
-	d := description.Description{Sequence: 1, Spaces: []description.Space{{Name: "a", Prefix: "a"}, {Name: "b", Prefix: "b"}}}
+	d := configuration.Description{Sequence: 1, Spaces: []configuration.Space{{Name: "a", Prefix: "a"}, {Name: "b", Prefix: "b"}}}
 	a.Offer(News{Description: &d})
 	other := step(d)
 	other.Sequence = 1
@@ -110,7 +110,7 @@
 	d = step(d)
 	a.Offer(News{Description: &d})
 	was := b.Description()
-	n := News{Changes: []description.Change{{From: 1, Sequence: 2, Parts: []description.Part{{Count: 2}}, Sum: 5}}}
+	n := News{Changes: []configuration.Change{{From: 1, Sequence: 2, Parts: []configuration.Part{{Count: 2}}, Sum: 5}}}
 	assert.Assert(t, b.Offer(n).Empty())
 	assert.DeepEqual(t, b.Description(), was)
 	assert.Assert(t, !b.Takes())
@@ -130,7 +130,7 @@
 	g.freed(true)
 	assert.Assert(t, g.first())
 	a := NewBoard(nil)
-	d := description.Description{Sequence: 1}
+	d := configuration.Description{Sequence: 1}
 	a.Offer(News{Description: &d})
 	assert.Assert(t, a.Since(Digest{Without: true}).Empty())
 	g.Board.Offer(a.Since(Digest{}))
@@ -172,39 +172,39 @@
 
 // Of a description of 514 spaces, what changed goes between nodes in a hundredth of the bytes of the whole.
 func TestAChangeIsSmallOnTheWire(t *testing.T) {
-	d := description.Description{Sequence: 70000, Base: 69999, StandingLanes: true}
+	d := configuration.Description{Sequence: 70000, Base: 69999, StandingLanes: true}
 	for i := range 514 {
-		d.Spaces = append(d.Spaces, description.Space{Name: fmt.Sprintf("pick-line/aisle-%04d/", i), Prefix: fmt.Sprintf("pick-line/aisle-%04d/", i), Kind: description.Kept, Order: description.BySender, Urgent: i%4 == 0, KeepMS: 35000, DeadlineMS: 1500, AimMS: 150, Weight: 1})
+		d.Spaces = append(d.Spaces, configuration.Space{Name: fmt.Sprintf("pick-line/aisle-%04d/", i), Prefix: fmt.Sprintf("pick-line/aisle-%04d/", i), Kind: configuration.Kept, Order: configuration.BySender, Urgent: i%4 == 0, KeepMS: 35000, DeadlineMS: 1500, AimMS: 150, Weight: 1})
 	}
-	d = d.Stand(description.Description{}, description.Retired{})
+	d = d.Stand(configuration.Description{}, configuration.Retired{})
 	size := func(v any) int {
 		b, err := wire.Write(v)
 		assert.NilError(t, err)
 		return len(b)
 	}
 	whole := size(News{Description: &d})
-	changed := func(name string, f func(n *description.Description)) int {
+	changed := func(name string, f func(n *configuration.Description)) int {
 		b := NewBoard(nil)
 		b.Offer(News{Description: &d})
 		n := d
 		n.Sequence, n.Base, n.Spaces = d.Sequence+1, d.Sequence, slices.Clone(d.Spaces)
 		f(&n)
-		n = n.Stand(d, description.Retired{})
+		n = n.Stand(d, configuration.Retired{})
 		b.Offer(News{Description: &n})
 		x := b.Since(Digest{Description: d.Sequence, Changes: true})
 		assert.Assert(t, x.Description == nil, name)
 		t.Logf("%s: %d bytes, whole %d", name, size(x), whole)
 		return size(x)
 	}
-	one := changed("a space changed", func(n *description.Description) { n.Spaces[200].DeadlineMS++ })
+	one := changed("a space changed", func(n *configuration.Description) { n.Spaces[200].DeadlineMS++ })
 	assert.Assert(t, one*100 < whole)
-	changed("a space removed", func(n *description.Description) { n.Spaces = slices.Delete(n.Spaces, 200, 201) })
-	changed("ten spaces changed", func(n *description.Description) {
+	changed("a space removed", func(n *configuration.Description) { n.Spaces = slices.Delete(n.Spaces, 200, 201) })
+	changed("ten spaces changed", func(n *configuration.Description) {
 		for i := range 10 {
 			n.Spaces[i*50].DeadlineMS++
 		}
 	})
-	changed("a space more, and with it the table of lanes", func(n *description.Description) {
-		n.Spaces = slices.Insert(n.Spaces, 200, description.Space{Name: "new", Prefix: "new/", Kind: description.Kept})
+	changed("a space more, and with it the table of lanes", func(n *configuration.Description) {
+		n.Spaces = slices.Insert(n.Spaces, 200, configuration.Space{Name: "new", Prefix: "new/", Kind: configuration.Kept})
 	})
 }
--- a/internal/nodelease/session.go
+++ b/internal/nodelease/session.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"postjunction/internal/clock"
+	"postjunction/internal/configuration"
 	"postjunction/internal/control/voters"
-	"postjunction/internal/description"
 	"postjunction/internal/event"
 	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
@@ -50,13 +50,13 @@
 	// Young tells that the control node began so lately that it can't know all members yet.
 	Young bool `json:"young,omitempty"`
 	// Apart tells that no majority has answered the control node for so long that its sessions may have gone to others.
-	Apart       bool                     `json:"a,omitempty"`
-	Confirmed   bool                     `json:"confirmed"`
-	Sequence    uint64                   `json:"sequence"`
-	Age         time.Duration            `json:"age"`
-	Roster      *voters.Roster           `json:"roster,omitempty"`
-	Description *description.Description `json:"description,omitempty"`
-	Changes     []description.Change     `json:"d,omitempty"`
+	Apart       bool                       `json:"a,omitempty"`
+	Confirmed   bool                       `json:"confirmed"`
+	Sequence    uint64                     `json:"sequence"`
+	Age         time.Duration              `json:"age"`
+	Roster      *voters.Roster             `json:"roster,omitempty"`
+	Description *configuration.Description `json:"description,omitempty"`
+	Changes     []configuration.Change     `json:"d,omitempty"`
 }
 
 // Heartbeat is the session call.
--- a/internal/operator/orderlog/accepted.go
+++ b/internal/operator/orderlog/accepted.go
@@ -15,7 +15,7 @@
 	"encoding/hex"
 	"slices"
 
-	"postjunction/internal/description"
+	"postjunction/internal/configuration"
 	"postjunction/internal/problem"
 )
 
@@ -39,9 +39,9 @@
 }
 
 // Of gives the order of a description; the fleet's own table of lanes is no part of what an operator writes.
-func Of(d description.Description) Order {
+func Of(d configuration.Description) Order {
 	d = d.Whole()
-	d.Lanes = description.Lanes{}
+	d.Lanes = configuration.Lanes{}
 	sum := sha256.Sum256(d.Pack())
 	return Order{Sequence: d.Sequence, Base: d.Base, Digest: Digest(sum[:digestBytes])}
 }
@@ -56,7 +56,7 @@
 }
 
 // Since begins a log at a description that was accepted before logs were kept; of what came before it nothing is known.
-func Since(d description.Description) Log {
+func Since(d configuration.Description) Log {
 	if d.Sequence == 0 {
 		return Log{}
 	}
--- a/internal/operator/replace.go
+++ b/internal/operator/replace.go
@@ -5,10 +5,10 @@
 	"encoding/json"
 	"fmt"
 
+	"postjunction/internal/configuration"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/quorumread"
 	"postjunction/internal/control/register"
-	"postjunction/internal/description"
 	"postjunction/internal/event"
 	"postjunction/internal/gossip"
 	"postjunction/internal/operator/orderlog"
@@ -17,8 +17,8 @@
 
 // Accepted is the answer to an accepted description. KeptLanes names what stands in another lane than its space asks for.
 type Accepted struct {
-	Sequence  uint64             `json:"sequence"`
-	KeptLanes []description.Lane `json:"kept_lanes,omitempty"`
+	Sequence  uint64               `json:"sequence"`
+	KeptLanes []configuration.Lane `json:"kept_lanes,omitempty"`
 }
 
 // Description reads the current description back, confirmed by a majority.
@@ -27,27 +27,27 @@
 	if err != nil {
 		return nil, err
 	}
-	d.Lanes = description.Lanes{}
+	d.Lanes = configuration.Lanes{}
 	return json.RawMessage(d.Pack()), nil
 }
 
 // Current gives the current description, confirmed by a majority.
-func (s *Service) Current(ctx context.Context) (description.Description, error) {
+func (s *Service) Current(ctx context.Context) (configuration.Description, error) {
 	ctx, stop := s.limit(ctx)
 	defer stop()
 	c, err := readAs(ctx, s, quorumread.Key, parseRegister)
 	if err != nil {
-		return description.Description{}, err
+		return configuration.Description{}, err
 	}
 	if c.value.current.Sequence == 0 {
-		return description.Description{}, c.refuse(problem.DescriptionNone, "no description was put yet")
+		return configuration.Description{}, c.refuse(problem.DescriptionNone, "no description was put yet")
 	}
 	return c.value.current, nil
 }
 
 // Put takes a whole description, built on the sequence last seen.
 func (s *Service) Put(ctx context.Context, b []byte) (any, error) {
-	d, err := description.Parse(b)
+	d, err := configuration.Parse(b)
 	if err != nil {
 		s.Log.Say(event.DescriptionFault, "problem", err)
 		return nil, err
@@ -65,7 +65,7 @@
 // accepted. The very same order again is a yes for good, also when others were accepted on top of it, as far as the
 // register remembers; past that the outcome is unknown and never a refusal. Where the outcome of a try is not known it
 // is asked for until the context ends.
-func (s *Service) Replace(ctx context.Context, d description.Description) (*Accepted, error) {
+func (s *Service) Replace(ctx context.Context, d configuration.Description) (*Accepted, error) {
 	return s.report(s.replace(ctx, d.Whole(), false))
 }
 
@@ -86,7 +86,7 @@
 var settled = map[problem.Kind]bool{problem.DescriptionRaced: true, problem.DescriptionBad: true, problem.OutcomeUnknown: true, problem.Oversize: true}
 
 // replace tries an order until its outcome is known. doubt tells that an earlier try may have been accepted.
-func (s *Service) replace(ctx context.Context, d description.Description, doubt bool) (*Accepted, error) {
+func (s *Service) replace(ctx context.Context, d configuration.Description, doubt bool) (*Accepted, error) {
 	if err := s.check(d); err != nil {
 		return nil, err
 	}
@@ -111,7 +111,7 @@
 
 // try reads the register by quorum and, where the order builds on what stands there, changes it on the count that was
 // read. All tries of an order share the change's name, so the register takes it once.
-func (s *Service) try(ctx context.Context, d description.Description, o orderlog.Order) (*Accepted, error) {
+func (s *Service) try(ctx context.Context, d configuration.Description, o orderlog.Order) (*Accepted, error) {
 	c, err := readAs(ctx, s, quorumread.Key, parseRegister)
 	if err != nil {
 		return nil, err
@@ -132,8 +132,8 @@
 		return nil, err
 	}
 	body := n.Pack()
-	if len(body) > description.PackedMost {
-		return nil, problem.New(problem.Oversize, "the description takes %d bytes with its source, the limit is %d", len(body), description.PackedMost)
+	if len(body) > configuration.PackedMost {
+		return nil, problem.New(problem.Oversize, "the description takes %d bytes with its source, the limit is %d", len(body), configuration.PackedMost)
 	}
 	q := &register.ChangeRequest{Key: quorumread.Key, Base: c.value.writes, By: o.Name(), Body: body, Memory: log.With(o).Pack()}
 	if _, err := s.Client.Write(ctx, q); err != nil {
@@ -146,7 +146,7 @@
 // of writes that a change builds on.
 type stateRegister struct {
 	writes  uint64
-	current description.Description
+	current configuration.Description
 	log     orderlog.Log
 }
 
@@ -165,14 +165,14 @@
 }
 
 // check finds the faults that need no other description, those against the fleet's bounds among them.
-func (s *Service) check(d description.Description) error {
+func (s *Service) check(d configuration.Description) error {
 	f := d.Faults()
 	for i, x := range d.Spaces {
 		if most := uint64(s.Bounds.KeptMost().Milliseconds()); x.KeepMS > most {
 			f = append(f, problem.Fault{Place: fmt.Sprintf("$.spaces[%d].keep_ms", i), Say: fmt.Sprintf("must be at most ten times the fleet's keeping (%d), is %d", most, x.KeepMS)})
 		}
 	}
-	return description.Bad(f)
+	return configuration.Bad(f)
 }
 
 func outcome(doubt bool, err error) error {
@@ -184,7 +184,7 @@
 	return p
 }
 
-func (s *Service) accepted(d description.Description) *Accepted {
+func (s *Service) accepted(d configuration.Description) *Accepted {
 	s.Board.Offer(gossip.News{Description: &d})
 	return &Accepted{Sequence: d.Sequence, KeptLanes: d.KeptLanes()}
 }
--- a/internal/operator/retire.go
+++ b/internal/operator/retire.go
@@ -3,8 +3,8 @@
 import (
 	"context"
 
+	"postjunction/internal/configuration"
 	"postjunction/internal/control/registerclient"
-	"postjunction/internal/description"
 	"postjunction/internal/problem"
 )
 
@@ -12,7 +12,7 @@
 
 // stand makes a description of what an operator wrote and where lines stand. The table of lanes, once there is one, says it all;
 // before, the current spaces and the removed ones do.
-func (s *Service) stand(ctx context.Context, d, cur description.Description) (description.Description, error) {
+func (s *Service) stand(ctx context.Context, d, cur configuration.Description) (configuration.Description, error) {
 	known := cur.Lanes.IsDefined()
 	if !d.StandingLanes && !known {
 		if err := d.Follows(cur); err != nil {
@@ -20,13 +20,13 @@
 		}
 		return d, s.retire(ctx, d, cur)
 	}
-	r := description.Retired{}
+	r := configuration.Retired{}
 	if !known {
 		v, err := s.Client.Read(ctx, retiredKey)
 		if err != nil {
 			return d, err
 		}
-		if r, err = description.ParseRetired(v.Body); err != nil {
+		if r, err = configuration.ParseRetired(v.Body); err != nil {
 			return d, err
 		}
 	}
@@ -36,13 +36,13 @@
 
 // retire keeps the urgency of every space that a description removes, before the description is changed, and checks spaces that come back against it.
 // Names kept by a description that then loses its race do no harm: they stand with the urgency that they have.
-func (s *Service) retire(ctx context.Context, d, cur description.Description) error {
+func (s *Service) retire(ctx context.Context, d, cur configuration.Description) error {
 	for {
 		v, err := s.Client.Read(ctx, retiredKey)
 		if err != nil {
 			return err
 		}
-		r, err := description.ParseRetired(v.Body)
+		r, err := configuration.ParseRetired(v.Body)
 		if err != nil {
 			return err
 		}
--- a/internal/operator/submit.go
+++ b/internal/operator/submit.go
@@ -7,14 +7,14 @@
 	"io"
 	"net/http"
 
+	"postjunction/internal/configuration"
 	"postjunction/internal/control/registerclient"
-	"postjunction/internal/description"
 	"postjunction/internal/problem"
 	"postjunction/internal/wire"
 )
 
 // Reader reads an operator's own document as a description that builds on base.
-type Reader = func(doc []byte, base uint64) (description.Description, error)
+type Reader = func(doc []byte, base uint64) (configuration.Description, error)
 
 // SubmitRequest hands an operator's own document over to a control node, deflated. By is the change's name for older
 // builds, which take a change without one for a repeat; in this build the name follows from the order itself.
@@ -101,12 +101,12 @@
 }
 
 func inflate(b []byte) ([]byte, error) {
-	doc, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(b)), description.BytesMost+1))
+	doc, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(b)), configuration.BytesMost+1))
 	switch {
 	case err != nil:
 		return nil, problem.Because(problem.Malformed, err, "the document can't be unpacked")
-	case len(doc) > description.BytesMost:
-		return nil, problem.New(problem.Oversize, "the document has more than %d bytes", description.BytesMost)
+	case len(doc) > configuration.BytesMost:
+		return nil, problem.New(problem.Oversize, "the document has more than %d bytes", configuration.BytesMost)
 	}
 	return doc, nil
 }
--- a/internal/proof/sim/description_test.go
+++ b/internal/proof/sim/description_test.go
@@ -11,7 +11,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/description"
+	"postjunction/internal/configuration"
 	"postjunction/internal/problem"
 )
 
@@ -105,7 +105,7 @@
 					assert.Assert(t, problem.Has(err, problem.DescriptionRaced), "%v", err)
 				}
 				assert.Assert(t, won >= 0, "nobody won on base %d: %v", base, errs)
-				want, err := description.Parse(docs[won])
+				want, err := configuration.Parse(docs[won])
 				assert.NilError(t, err)
 				for i := range docs {
 					_, err := w.Put(w.Names[w.Int(len(w.Names))], docs[i])
@@ -244,7 +244,7 @@
 				var err error
 				base, err = w.Put(to, doc)
 				assert.NilError(t, err, spaces)
-				d, err := description.Parse(doc)
+				d, err := configuration.Parse(doc)
 				assert.NilError(t, err)
 				a, err := w.Machines["a1"].Node().Operators.Replace(w.ctx, d)
 				assert.NilError(t, err, "the same again")
@@ -318,16 +318,16 @@
 // A description at its limits is taken, stands everywhere within the spread, and reads back to the byte.
 func TestLargeDescriptions(t *testing.T) {
 	t.Parallel()
-	for _, c := range []struct{ spaces, source int }{{514, 100 << 10}, {description.SpacesMost, description.BytesMost}} {
+	for _, c := range []struct{ spaces, source int }{{514, 100 << 10}, {configuration.SpacesMost, configuration.BytesMost}} {
 		t.Run(fmt.Sprint(c.spaces), func(t *testing.T) {
 			if c.spaces > 1000 {
 				long(t)
 			}
 			stand(t, Armor, 340, func(t *testing.T, w *World) {
 				w.Watch()
-				d := description.Description{Sequence: 5, Source: strings.Repeat("\"é\" ", c.source/5)}
+				d := configuration.Description{Sequence: 5, Source: strings.Repeat("\"é\" ", c.source/5)}
 				for i := range c.spaces {
-					d.Spaces = append(d.Spaces, description.Space{Name: fmt.Sprintf("r-%d", i), Kind: "kept", Prefix: fmt.Sprintf("k%d.", i), DeadlineMS: 1500, AimMS: 120, KeepMS: 35000})
+					d.Spaces = append(d.Spaces, configuration.Space{Name: fmt.Sprintf("r-%d", i), Kind: "kept", Prefix: fmt.Sprintf("k%d.", i), DeadlineMS: 1500, AimMS: 120, KeepMS: 35000})
 				}
 				ctx, stop := context.WithTimeout(w.ctx, w.Site.Bounds.Recovery)
 				defer stop()
@@ -373,8 +373,8 @@
 				assert.Assert(t, problem.Has(err, k), "%s: %v", doc, err)
 			}
 		}
-		for _, d := range []description.Description{
-			{Base: 1, Sequence: 1}, {Base: 1, Spaces: []description.Space{{Name: "a", Kind: "kept"}}}, {Base: 1, Spaces: []description.Space{{Name: "a", Kind: "kept", Prefix: "k", KeepMS: 1 << 30}}},
+		for _, d := range []configuration.Description{
+			{Base: 1, Sequence: 1}, {Base: 1, Spaces: []configuration.Space{{Name: "a", Kind: "kept"}}}, {Base: 1, Spaces: []configuration.Space{{Name: "a", Kind: "kept", Prefix: "k", KeepMS: 1 << 30}}},
 		} {
 			_, err := w.Machines["c2"].Node().Operators.Replace(w.ctx, d)
 			assert.Assert(t, problem.Has(err, problem.DescriptionBad), "%v: %v", d, err)
--- a/internal/proof/sim/orders_test.go
+++ b/internal/proof/sim/orders_test.go
@@ -13,7 +13,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/description"
+	"postjunction/internal/configuration"
 	"postjunction/internal/node"
 	"postjunction/internal/problem"
 	"postjunction/internal/proof/orders"
@@ -131,7 +131,7 @@
 	call := time.Now()
 	doc := load.Numbered(x.Base, x.Sequence, x.ID)
 	err := o.w.ask(o.node(), patience, func(ctx context.Context, n *node.Node) error {
-		d, err := description.Parse(doc)
+		d, err := configuration.Parse(doc)
 		if err != nil {
 			return err
 		}
@@ -287,7 +287,7 @@
 		v, err := op.Client.Read(w.ctx, "description")
 		assert.NilError(t, err)
 		assert.Assert(t, len(v.Memory) > 0)
-		var d description.Description
+		var d configuration.Description
 		assert.NilError(t, json.Unmarshal(v.Body, &d))
 		_, err = op.Client.Change(w.ctx, "description", v.Writes, "an older build", v.Body)
 		assert.NilError(t, err)
--- a/internal/proof/sim/submit_test.go
+++ b/internal/proof/sim/submit_test.go
@@ -5,12 +5,12 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/description"
+	"postjunction/internal/configuration"
 	"postjunction/internal/problem"
 )
 
-func plainReader(doc []byte, _ uint64) (description.Description, error) {
-	return description.Parse(doc)
+func plainReader(doc []byte, _ uint64) (configuration.Description, error) {
+	return configuration.Parse(doc)
 }
 
 // A document is handed over to a control node; where none reads documents, the node that was asked goes on itself. Either way it is taken once.
@@ -20,7 +20,7 @@
 		stand(t, Armor, 77, func(t *testing.T, w *World) {
 			w.Watch()
 			here := 0
-			read := func(doc []byte, base uint64) (description.Description, error) {
+			read := func(doc []byte, base uint64) (configuration.Description, error) {
 				here++
 				return plainReader(doc, base)
 			}
--- a/internal/proof/sim/world.go
+++ b/internal/proof/sim/world.go
@@ -22,7 +22,7 @@
 	"github.com/hashicorp/go-hclog"
 
 	"postjunction/internal/clock"
-	"postjunction/internal/description"
+	"postjunction/internal/configuration"
 	"postjunction/internal/disk/memlog"
 	"postjunction/internal/node"
 	"postjunction/internal/options"
@@ -809,7 +809,7 @@
 	seq, err := w.Port(n).Put(ctx, doc)
 	end(time.Now())
 	if err == nil {
-		var d description.Description
+		var d configuration.Description
 		_ = json.Unmarshal(doc, &d)
 		w.History.Accept(d.Base, seq, string(doc), time.Now())
 	}
--- a/internal/visitor/follow_test.go
+++ b/internal/visitor/follow_test.go
@@ -13,7 +13,7 @@
 	"postjunction/internal/carrier/cursor"
 	"postjunction/internal/carrier/feed"
 	"postjunction/internal/clock"
-	"postjunction/internal/description"
+	"postjunction/internal/configuration"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
@@ -22,10 +22,10 @@
 
 func TestStreamSkipsWhatItGaveAndWhatNobodyAskedFor(t *testing.T) {
 	b := gossip.NewBoard(nil)
-	describe := func(seq uint64, ss ...description.Space) {
-		b.Offer(gossip.News{Description: &description.Description{Sequence: seq, Spaces: ss}})
+	describe := func(seq uint64, ss ...configuration.Space) {
+		b.Offer(gossip.News{Description: &configuration.Description{Sequence: seq, Spaces: ss}})
 	}
-	describe(1, description.Space{Name: "s", Kind: "kept", Topics: []string{"a", "b", "gone"}})
+	describe(1, configuration.Space{Name: "s", Kind: "kept", Topics: []string{"a", "b", "gone"}})
 	var got []string
 	st := &subscriptionStream{s: &Service{Board: b}, t: &Task{Emit: func(l []byte) error {
 		var x Line
@@ -43,12 +43,12 @@
 	give(2, "s/b")
 	give(3, "s/gone")
 	give(2, "s/a")
-	describe(2, description.Space{Name: "s", Kind: "kept", Topics: []string{"a", "b"}})
+	describe(2, configuration.Space{Name: "s", Kind: "kept", Topics: []string{"a", "b"}})
 	assert.NilError(t, st.refresh())
 	give(4, "s/gone")
 	give(5, "s/a")
 	assert.DeepEqual(t, got, []string{"s/a", "s/gone", "s/gone", "s/a"})
-	describe(3, description.Space{Name: "s", Kind: "kept", Urgent: true, Topics: []string{"a"}})
+	describe(3, configuration.Space{Name: "s", Kind: "kept", Urgent: true, Topics: []string{"a"}})
 	assert.ErrorContains(t, st.refresh(), "unknown_topic")
 }
 
--- a/internal/visitor/service.go
+++ b/internal/visitor/service.go
@@ -13,7 +13,7 @@
 	"postjunction/internal/carrier/feed"
 	"postjunction/internal/carrier/presence"
 	"postjunction/internal/clock"
-	"postjunction/internal/description"
+	"postjunction/internal/configuration"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/desk"
 	"postjunction/internal/ledger/line"
@@ -44,14 +44,14 @@
 	Upto uint64
 
 	who    token.Token
-	spaces []description.Space
+	spaces []configuration.Space
 	acked  string
 	mark   owner.Decision
 	out    any
 }
 
 func (t *Task) urgent() bool {
-	return (t.Verb == VerbSend || t.Verb == VerbWithdraw || t.Verb == VerbFollow) && slices.ContainsFunc(t.spaces, func(s description.Space) bool { return s.Urgent })
+	return (t.Verb == VerbSend || t.Verb == VerbWithdraw || t.Verb == VerbFollow) && slices.ContainsFunc(t.spaces, func(s configuration.Space) bool { return s.Urgent })
 }
 
 // Emit writes one line of a stream.
@@ -307,7 +307,7 @@
 	}
 	sp := t.spaces[0]
 	q.Visitor, q.Generation, q.Topic, q.Call = t.Visitor, t.who.Generation, t.Topics[0], t.Call
-	q.Live, q.Description = sp.Kind == description.Live, s.Board.Index().Sequence
+	q.Live, q.Description = sp.Kind == configuration.Live, s.Board.Index().Sequence
 	return s.Desk.Submit(ctx, partition.Of(q.Topic, sp.Urgent, s.Board.Roster().Layout), q)
 }
 
--- a/internal/visitor/visit/house.go
+++ b/internal/visitor/visit/house.go
@@ -7,7 +7,7 @@
 
 	"postjunction/internal/carrier/fan"
 	"postjunction/internal/clock"
-	"postjunction/internal/description"
+	"postjunction/internal/configuration"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
@@ -45,7 +45,7 @@
 	m   map[*Visit]bool
 	// held are the holders of answers, which outlast their visits.
 	held map[Holder]bool
-	x    *description.Index
+	x    *configuration.Index
 	// refuge deals out the nodes that take this node's visitors, nil while they may stay.
 	refuge func() membership.Info
 
@@ -369,12 +369,12 @@
 	return nil
 }
 
-func (v *Visit) find(topic string) (description.Space, int, error) {
+func (v *Visit) find(topic string) (configuration.Space, int, error) {
 	if err := v.able(); err != nil {
-		return description.Space{}, 0, err
+		return configuration.Space{}, 0, err
 	}
 	if !plainName(topic, topicMost) {
-		return description.Space{}, 0, problem.New(problem.Malformed, "a topic must be 1 to %d printable bytes without spaces", topicMost)
+		return configuration.Space{}, 0, problem.New(problem.Malformed, "a topic must be 1 to %d printable bytes without spaces", topicMost)
 	}
 	sp, err := v.h.Board.Index().Find(topic)
 	if err != nil {
@@ -471,7 +471,7 @@
 	}
 	until := v.h.Clock.Now().Add(v.h.patience(sp))
 	v.h.Ledger.Offer(v.h.ctx, p, &owner.Task{
-		Visitor: v.name, Topic: t.Topic, Call: t.Call, Body: t.Body, Key: t.Key, Live: sp.Kind == description.Live, Description: v.h.Board.Index().Sequence,
+		Visitor: v.name, Topic: t.Topic, Call: t.Call, Body: t.Body, Key: t.Key, Live: sp.Kind == configuration.Live, Description: v.h.Board.Index().Sequence,
 	}, until, func(_ *owner.Decision, err error) {
 		if err != nil {
 			v.turn(t, err)
@@ -488,7 +488,7 @@
 )
 
 // patience is how long a message may wait for its decision: four fifths of its space's deadline.
-func (h *House) patience(sp description.Space) time.Duration {
+func (h *House) patience(sp configuration.Space) time.Duration {
 	d := h.Bounds.Call()
 	if sp.DeadlineMS > 0 {
 		d = min(d, time.Duration(sp.DeadlineMS)*time.Millisecond)
--- a/internal/visitor/visit/house_test.go
+++ b/internal/visitor/visit/house_test.go
@@ -13,8 +13,8 @@
 
 	"postjunction/internal/carrier/fan"
 	"postjunction/internal/clock"
+	"postjunction/internal/configuration"
 	"postjunction/internal/control/voters"
-	"postjunction/internal/description"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
@@ -72,9 +72,9 @@
 	heard []string
 }
 
-func (h *hall) describe(spaces ...description.Space) {
+func (h *hall) describe(spaces ...configuration.Space) {
 	h.seq++
-	h.board.Offer(gossip.News{Description: &description.Description{Sequence: h.seq, Base: h.seq - 1, Spaces: spaces}})
+	h.board.Offer(gossip.News{Description: &configuration.Description{Sequence: h.seq, Base: h.seq - 1, Spaces: spaces}})
 	synctest.Wait()
 }
 
@@ -106,9 +106,9 @@
 }
 
 var (
-	kept  = description.Space{Name: "kept", Kind: description.Kept, Topics: []string{"a", "b"}}
-	other = description.Space{Name: "other", Kind: description.Kept, Topics: []string{"a"}}
-	live  = description.Space{Name: "live", Kind: description.Live, Topics: []string{"a"}}
+	kept  = configuration.Space{Name: "kept", Kind: configuration.Kept, Topics: []string{"a", "b"}}
+	other = configuration.Space{Name: "other", Kind: configuration.Kept, Topics: []string{"a"}}
+	live  = configuration.Space{Name: "live", Kind: configuration.Live, Topics: []string{"a"}}
 )
 
 const here = "127.0.0.1:1"
@@ -249,8 +249,8 @@
 			v.Do(Task{Verb: Join, Topic: "kept/a"})
 			v.Do(Task{Verb: Join, Topic: "kept/b"})
 			h.seq++
-			sp := []description.Space{kept, other}[i%2]
-			go h.board.Offer(gossip.News{Description: &description.Description{Sequence: h.seq, Base: h.seq - 1, Spaces: []description.Space{sp, kept}[i%2 : 2]}})
+			sp := []configuration.Space{kept, other}[i%2]
+			go h.board.Offer(gossip.News{Description: &configuration.Description{Sequence: h.seq, Base: h.seq - 1, Spaces: []configuration.Space{sp, kept}[i%2 : 2]}})
 			v.Do(Task{Verb: Leave, Topic: "kept/a"})
 			v.Do(Task{Verb: Leave, Topic: "kept/b"})
 		}
