--- a/internal/configuration/description.go
+++ b/internal/configuration/description.go
@@ -10,7 +10,7 @@
 
 	"github.com/mailru/easyjson"
 
-	"postjunction/internal/description/strict"
+	"postjunction/internal/configuration/strictjson"
 	"postjunction/internal/problem"
 )
 
@@ -25,33 +25,33 @@
 	countMost  = 1 << 31
 )
 
-var shape = strict.Shape{
-	Kind:   strict.Object,
+var shape = strictjson.Shape{
+	Kind:   strictjson.Object,
 	Needed: []string{"base", "spaces"},
-	Fields: map[string]strict.Shape{
-		"base":           {Kind: strict.Count},
-		"sequence":       {Kind: strict.Count},
-		"source":         {Kind: strict.Text},
-		"standing_lanes": {Kind: strict.Flag},
-		"limits": {Kind: strict.Object, Fields: map[string]strict.Shape{
-			"topics": {Kind: strict.Above},
-			"body":   {Kind: strict.Above},
+	Fields: map[string]strictjson.Shape{
+		"base":           {Kind: strictjson.Count},
+		"sequence":       {Kind: strictjson.Count},
+		"source":         {Kind: strictjson.Text},
+		"standing_lanes": {Kind: strictjson.Flag},
+		"limits": {Kind: strictjson.Object, Fields: map[string]strictjson.Shape{
+			"topics": {Kind: strictjson.Above},
+			"body":   {Kind: strictjson.Above},
 		}},
-		"spaces": {Kind: strict.Array, Items: &strict.Shape{
-			Kind:   strict.Object,
+		"spaces": {Kind: strictjson.Array, Items: &strictjson.Shape{
+			Kind:   strictjson.Object,
 			Needed: []string{"name", "kind"},
-			Fields: map[string]strict.Shape{
-				"name":        {Kind: strict.Text},
-				"kind":        {Kind: strict.Text},
-				"urgent":      {Kind: strict.Flag},
-				"topics":      {Kind: strict.Array, Items: &strict.Shape{Kind: strict.Text}},
-				"prefix":      {Kind: strict.Text},
-				"all":         {Kind: strict.Flag},
-				"keep_ms":     {Kind: strict.Count},
-				"deadline_ms": {Kind: strict.Above},
-				"aim_ms":      {Kind: strict.Above},
-				"order":       {Kind: strict.Text},
-				"weight":      {Kind: strict.Count},
+			Fields: map[string]strictjson.Shape{
+				"name":        {Kind: strictjson.Text},
+				"kind":        {Kind: strictjson.Text},
+				"urgent":      {Kind: strictjson.Flag},
+				"topics":      {Kind: strictjson.Array, Items: &strictjson.Shape{Kind: strictjson.Text}},
+				"prefix":      {Kind: strictjson.Text},
+				"all":         {Kind: strictjson.Flag},
+				"keep_ms":     {Kind: strictjson.Count},
+				"deadline_ms": {Kind: strictjson.Above},
+				"aim_ms":      {Kind: strictjson.Above},
+				"order":       {Kind: strictjson.Text},
+				"weight":      {Kind: strictjson.Count},
 			},
 		}},
 	},
@@ -71,7 +71,7 @@
 	if len(b) > BytesMost {
 		return d, problem.New(problem.Oversize, "the description has %d bytes, the limit is %d", len(b), BytesMost)
 	}
-	f, err := strict.Check(b, shape)
+	f, err := strictjson.Check(b, shape)
 	if err != nil {
 		return d, err
 	}
--- a/internal/description/strict/strict.go
+++ b/internal/configuration/strictjson/strict.go
@@ -1,5 +1,5 @@
-// Package strict walks a JSON document and finds every unknown, doubled, missing or mistyped field with its place.
-package strict
+// Package strictjson walks a JSON document and finds every unknown, doubled, missing or mistyped field with its place.
+package strictjson
 
 import (
 	"bytes"
--- a/internal/door/door.go
+++ b/internal/door/door.go
@@ -10,7 +10,7 @@
 	"strconv"
 
 	"postjunction/internal/configuration"
-	"postjunction/internal/description/strict"
+	"postjunction/internal/configuration/strictjson"
 	"postjunction/internal/operator"
 	"postjunction/internal/options"
 	"postjunction/internal/plain"
@@ -115,12 +115,12 @@
 	return b, problem.Wrap(problem.Malformed, err, "the document could not be read whole")
 }
 
-func document(w http.ResponseWriter, r *http.Request, s strict.Shape, v any) error {
+func document(w http.ResponseWriter, r *http.Request, s strictjson.Shape, v any) error {
 	b, err := body(w, r, callBytes)
 	if err != nil {
 		return err
 	}
-	f, err := strict.Check(b, s)
+	f, err := strictjson.Check(b, s)
 	if err != nil {
 		return err
 	}
@@ -130,20 +130,20 @@
 	return problem.Wrap(problem.Malformed, json.Unmarshal(b, v), "the document could not be read")
 }
 
-func object(needed []string, fields map[string]string) strict.Shape {
-	s := strict.Shape{Kind: strict.Object, Needed: needed, Fields: map[string]strict.Shape{}}
+func object(needed []string, fields map[string]string) strictjson.Shape {
+	s := strictjson.Shape{Kind: strictjson.Object, Needed: needed, Fields: map[string]strictjson.Shape{}}
 	for n, k := range fields {
-		s.Fields[n] = strict.Shape{Kind: k}
+		s.Fields[n] = strictjson.Shape{Kind: k}
 	}
 	return s
 }
 
 var (
-	attachShape   = object([]string{"visitor"}, map[string]string{"visitor": strict.Text})
-	sendShape     = object([]string{"topic", "call_seq", "body"}, map[string]string{"topic": strict.Text, "call_seq": strict.Count, "key": strict.Text, "body": strict.Any})
-	ackShape      = object([]string{"cursor"}, map[string]string{"cursor": strict.Text})
-	withdrawShape = object([]string{"topic", "key", "call_seq"}, map[string]string{"topic": strict.Text, "key": strict.Text, "call_seq": strict.Count, "of": strict.Text, "upto": strict.Above})
-	drainShape    = object([]string{"node"}, map[string]string{"node": strict.Text})
+	attachShape   = object([]string{"visitor"}, map[string]string{"visitor": strictjson.Text})
+	sendShape     = object([]string{"topic", "call_seq", "body"}, map[string]string{"topic": strictjson.Text, "call_seq": strictjson.Count, "key": strictjson.Text, "body": strictjson.Any})
+	ackShape      = object([]string{"cursor"}, map[string]string{"cursor": strictjson.Text})
+	withdrawShape = object([]string{"topic", "key", "call_seq"}, map[string]string{"topic": strictjson.Text, "key": strictjson.Text, "call_seq": strictjson.Count, "of": strictjson.Text, "upto": strictjson.Above})
+	drainShape    = object([]string{"node"}, map[string]string{"node": strictjson.Text})
 )
 
 func (d *Door) ready(http.ResponseWriter, *http.Request) (any, error) {
--- a/internal/door/lines/plain/plain.go
+++ b/internal/door/lines/plain/plain.go
@@ -6,7 +6,7 @@
 	"bytes"
 	"encoding/json"
 
-	"postjunction/internal/description/strict"
+	"postjunction/internal/configuration/strictjson"
 	"postjunction/internal/door/lines"
 	"postjunction/internal/plain"
 	"postjunction/internal/problem"
@@ -52,11 +52,11 @@
 const roomBytes = 2 << 10
 
 var (
-	text   = strict.Shape{Kind: strict.Text}
-	fields = map[string]strict.Shape{
+	text   = strictjson.Shape{Kind: strictjson.Text}
+	fields = map[string]strictjson.Shape{
 		"visitor": text, "topic": text, "cursor": text,
-		"call_seq": {Kind: strict.Count}, "body": {Kind: strict.Any},
-		"key": text, "of": text, "upto": {Kind: strict.Count},
+		"call_seq": {Kind: strictjson.Count}, "body": {Kind: strictjson.Any},
+		"key": text, "of": text, "upto": {Kind: strictjson.Count},
 	}
 	needs = map[visit.Verb][]string{
 		visit.Attach:    {"visitor"},
@@ -69,10 +69,10 @@
 		visit.Withdraw: {"topic", "key", "call_seq"},
 	}
 	may    = map[visit.Verb][]string{visit.Join: {"cursor"}, visit.Send: {"key"}, visit.Withdraw: {"of", "upto"}}
-	shapes = func() map[visit.Verb]strict.Shape {
-		m := map[visit.Verb]strict.Shape{}
+	shapes = func() map[visit.Verb]strictjson.Shape {
+		m := map[visit.Verb]strictjson.Shape{}
 		for v, fs := range needs {
-			s := strict.Shape{Kind: strict.Object, Needed: append([]string{"verb"}, fs...), Fields: map[string]strict.Shape{"verb": text}}
+			s := strictjson.Shape{Kind: strictjson.Object, Needed: append([]string{"verb"}, fs...), Fields: map[string]strictjson.Shape{"verb": text}}
 			for _, f := range append(may[v], fs...) {
 				s.Fields[f] = fields[f]
 			}
@@ -100,7 +100,7 @@
 	if !ok {
 		return visit.Task{}, lines.Malformed(true, "there is no verb %q", q.Verb)
 	}
-	f, err := strict.Check(b, s)
+	f, err := strictjson.Check(b, s)
 	if err != nil {
 		return t, &lines.Fault{Problem: err, Sure: true}
 	}
