--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -14,10 +14,10 @@
 	"syscall"
 	"time"
 
-	"postjunction/internal/options"
 	"postjunction/internal/problem"
 	"postjunction/internal/proof/fleet"
 	"postjunction/internal/proof/history"
+	"postjunction/internal/settings"
 )
 
 func main() {
@@ -94,7 +94,7 @@
 			return problem.Wrap(problem.Usage, err, "build: %s", out)
 		}
 	}
-	f, err := fleet.New(*bin, full, s, *base, *direct, func(o *options.Options) {
+	f, err := fleet.New(*bin, full, s, *base, *direct, func(o *settings.Options) {
 		if *backlog > 0 {
 			o.Backlog = *backlog
 		}
--- a/internal/carrier/fan/deaf_test.go
+++ b/internal/carrier/fan/deaf_test.go
@@ -8,13 +8,13 @@
 
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
-	"postjunction/internal/options"
+	"postjunction/internal/settings"
 )
 
 // A node that an owner may wait for, and that has heard of no owner for as long as service may rest, has all it holds let go before it says so under the boot that held it, three
 // times at most; what is followed then goes on under another boot. Without a turn, which nobody has where nothing has a key, it goes on asking.
 func TestADeafReaderLetsGoAndSaysSo(t *testing.T) {
-	b := options.DefaultBounds
+	b := settings.DefaultBounds
 	for _, x := range []struct {
 		name string
 		turn uint64
--- a/internal/carrier/fan/forget_test.go
+++ b/internal/carrier/fan/forget_test.go
@@ -16,9 +16,9 @@
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
-	"postjunction/internal/options"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 )
 
 // court is an owner after the design: it counts who reads by boot, passes over what is withdrawn, and gives its yes once all readers asked from behind a mark. Its
@@ -182,7 +182,7 @@
 }
 
 func (c *court) Poll(ctx context.Context, _ assignment.Record, q *owner.PollRequest) (*owner.Polled, error) {
-	cx, stop := context.WithTimeout(ctx, q.Hold+options.DefaultBounds.Call())
+	cx, stop := context.WithTimeout(ctx, q.Hold+settings.DefaultBounds.Call())
 	defer stop()
 	until := time.Now().Add(q.Hold)
 	return ask(cx, c, func() *owner.Polled {
@@ -319,7 +319,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			ctx, stop := context.WithCancel(t.Context())
 			c := &court{r: rand.New(rand.NewPCG(seed, 1)), marks: marks{}, yes: marks{}, readers: map[string]uint64{}}
-			h := New(ctx, "a1", "boot", c, gossip.NewBoard(nil), clock.Real{}, options.DefaultBounds)
+			h := New(ctx, "a1", "boot", c, gossip.NewBoard(nil), clock.Real{}, settings.DefaultBounds)
 			h.Hold(c)
 			until := time.Now().Add(30 * time.Second)
 			for range 1 + seed%3 {
--- a/internal/carrier/fan/hasten_test.go
+++ b/internal/carrier/fan/hasten_test.go
@@ -8,12 +8,12 @@
 
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
-	"postjunction/internal/options"
+	"postjunction/internal/settings"
 )
 
 // A node with next to no processor gets to those whose place needs no owner only after they were asked about in vain, some have left and the others are asked about anew.
 func TestPlacesAreHastenedLate(t *testing.T) {
-	h := New(t.Context(), "a1", "boot", nil, gossip.NewBoard(nil), clock.Real{}, options.DefaultBounds)
+	h := New(t.Context(), "a1", "boot", nil, gossip.NewBoard(nil), clock.Real{}, settings.DefaultBounds)
 	f := h.feed(0)
 	f.telling = true
 	opened := map[string]uint64{}
--- a/internal/carrier/fan/hub.go
+++ b/internal/carrier/fan/hub.go
@@ -11,8 +11,8 @@
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
-	"postjunction/internal/options"
 	"postjunction/internal/placement/assignment"
+	"postjunction/internal/settings"
 )
 
 // Owners asks the owner that a record names, one time.
@@ -27,7 +27,7 @@
 	src        Owners
 	board      *gossip.Board
 	clk        clock.Clock
-	bounds     options.Bounds
+	bounds     settings.Bounds
 	ctx        context.Context
 	mu         sync.Mutex
 	m          map[int]*feed
@@ -43,7 +43,7 @@
 }
 
 // New makes a hub that lives as long as ctx; boot names this run of the node.
-func New(ctx context.Context, self, boot string, s Owners, g *gossip.Board, c clock.Clock, b options.Bounds) *Hub {
+func New(ctx context.Context, self, boot string, s Owners, g *gossip.Board, c clock.Clock, b settings.Bounds) *Hub {
 	return &Hub{self: self, boot: boot, src: s, board: g, clk: c, bounds: b, ctx: ctx, m: map[int]*feed{}}
 }
 
--- a/internal/carrier/fan/later_test.go
+++ b/internal/carrier/fan/later_test.go
@@ -14,8 +14,8 @@
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
-	"postjunction/internal/options"
 	"postjunction/internal/placement/assignment"
+	"postjunction/internal/settings"
 )
 
 // clerk is an owner that counts what it is told.
@@ -54,7 +54,7 @@
 // Visitors whose connections break and who come back cost one word to the owner, not two; those who stay away are told of in time.
 func TestDropsAreToldWithWhatFollows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := options.DefaultBounds
+		b := settings.DefaultBounds
 		ctx, stop := context.WithCancel(t.Context())
 		c := &clerk{topics: map[string]int{}}
 		h := New(ctx, "a1", "boot", c, gossip.NewBoard(nil), clock.Real{}, b)
--- a/internal/carrier/fan/marks_test.go
+++ b/internal/carrier/fan/marks_test.go
@@ -16,9 +16,9 @@
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
-	"postjunction/internal/options"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 )
 
 // scribe is an owner that answers as a test says, and a holder that writes down in which order it and the owner are asked.
@@ -119,7 +119,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		s := &scribe{follow: tail(4)}
-		s.h = New(ctx, "a1", "boot", s, gossip.NewBoard(nil), clock.Real{}, options.DefaultBounds)
+		s.h = New(ctx, "a1", "boot", s, gossip.NewBoard(nil), clock.Real{}, settings.DefaultBounds)
 		s.h.Hold(s)
 		f(t, s)
 		stop()
@@ -314,7 +314,7 @@
 // The owner hears that this node is done once all that it gave under keys is let go, again until it answers. What is taken up after that goes on under another boot.
 func TestAReaderSaysThatItIsDone(t *testing.T) {
 	scripted(t, func(t *testing.T, s *scribe) {
-		b := options.DefaultBounds
+		b := settings.DefaultBounds
 		s.stuck = true
 		s.then(once(tick, message(5, "k")))
 		var x, y heard
@@ -370,7 +370,7 @@
 // not answer is not held up by that.
 func TestTakenUpAgainBeforeItIsDone(t *testing.T) {
 	scripted(t, func(t *testing.T, s *scribe) {
-		b := options.DefaultBounds
+		b := settings.DefaultBounds
 		s.stuck = true
 		s.then(once(tick, message(5, "k")))
 		var x, y, z heard
@@ -407,7 +407,7 @@
 		a := x.sub(s.h, "a", nil)
 		pass(2 * tick)
 		s.h.Leave(a)
-		pass(options.DefaultBounds.Spread + later/2)
+		pass(settings.DefaultBounds.Spread + later/2)
 		s.said()
 		y.sub(s.h, "a", after(5))
 		pass(later)
@@ -429,7 +429,7 @@
 				a := x.sub(s.h, "a", nil)
 				pass(tick)
 				s.h.Leave(a)
-				pass(2 * options.DefaultBounds.Spread)
+				pass(2 * settings.DefaultBounds.Spread)
 				l := s.said()
 				assert.Assert(t, slices.Contains(l, "done boot full=true topics=0 marks=true"), "%v", l)
 				assert.Equal(t, len(x.got), 0)
@@ -452,7 +452,7 @@
 		a := x.sub(s.h, "a", nil)
 		pass(tick)
 		s.h.Leave(a)
-		pass(2 * options.DefaultBounds.Spread)
+		pass(2 * settings.DefaultBounds.Spread)
 		l := s.said()
 		assert.Assert(t, slices.Contains(l, "done boot full=true topics=0 marks=true"), "%v", l)
 	})
--- a/internal/carrier/fan/slow_test.go
+++ b/internal/carrier/fan/slow_test.go
@@ -12,9 +12,9 @@
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
-	"postjunction/internal/options"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 )
 
 // thin is an owner behind a link that takes longer for an answer with messages than a new subscription waits.
@@ -44,7 +44,7 @@
 
 func TestMissedMessagesComeOverASlowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := options.DefaultBounds
+		b := settings.DefaultBounds
 		ctx, stop := context.WithCancel(t.Context())
 		s := &thin{takes: 3 * b.Retry(), back: []line.Entry{{Offset: 4, What: line.Message, Topic: "a"}, {Offset: 7, What: line.Message, Topic: "a"}}}
 		h := New(ctx, "a1", "boot", s, gossip.NewBoard(nil), clock.Real{}, b)
--- a/internal/carrier/fan/soon_test.go
+++ b/internal/carrier/fan/soon_test.go
@@ -14,8 +14,8 @@
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
-	"postjunction/internal/options"
 	"postjunction/internal/placement/assignment"
+	"postjunction/internal/settings"
 )
 
 // far is an owner that keeps a line and takes a time for each way.
@@ -96,7 +96,7 @@
 // Who comes back with a cursor is told its place before its owner answers, and gets all that it missed, once.
 func TestAPlaceThatNeedsNoOwnerIsToldSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := options.DefaultBounds
+		b := settings.DefaultBounds
 		ctx, stop := context.WithCancel(t.Context())
 		s := &far{way: b.Retry() * 3 / 4, topics: map[string]bool{}}
 		h := New(ctx, "a1", "boot", s, gossip.NewBoard(nil), clock.Real{}, b)
@@ -120,7 +120,7 @@
 // Who comes without a cursor while the owner's answer is under way is given the place that this node has read to, and nothing behind it is passed over.
 func TestWhatComesBetweenThePlaceAndTheAnswerIsGiven(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := options.DefaultBounds
+		b := settings.DefaultBounds
 		ctx, stop := context.WithCancel(t.Context())
 		s := &far{way: b.Retry() * 3 / 4, topics: map[string]bool{}}
 		h := New(ctx, "a1", "boot", s, gossip.NewBoard(nil), clock.Real{}, b)
--- a/internal/carrier/fan/turn_test.go
+++ b/internal/carrier/fan/turn_test.go
@@ -12,8 +12,8 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/owner"
-	"postjunction/internal/options"
 	"postjunction/internal/placement/assignment"
+	"postjunction/internal/settings"
 )
 
 // usher is an owner that answers only those who tell the turn it gave last.
@@ -61,7 +61,7 @@
 // An owner's turn is told with what is asked next, at once; an owner that goes on answering as if nothing was told is not asked without a pause.
 func TestTheTurnIsToldWithWhatIsAskedNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := options.DefaultBounds
+		b := settings.DefaultBounds
 		ctx, stop := context.WithCancel(t.Context())
 		u := &usher{turn: 7}
 		h := New(ctx, "a1", "boot", u, gossip.NewBoard(nil), clock.Real{}, b)
--- a/internal/carrier/feed/feed.go
+++ b/internal/carrier/feed/feed.go
@@ -12,8 +12,8 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
-	"postjunction/internal/options"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 )
 
 // Source reads committed entries.
@@ -27,7 +27,7 @@
 	boot   string
 	src    Source
 	clk    clock.Clock
-	bounds options.Bounds
+	bounds settings.Bounds
 	ctx    context.Context
 	mu     sync.Mutex
 	m      map[int]*Feed
@@ -36,7 +36,7 @@
 }
 
 // New makes the feeds of a node under a boot; they live as long as ctx.
-func New(ctx context.Context, node, boot string, s Source, c clock.Clock, b options.Bounds) *Feeds {
+func New(ctx context.Context, node, boot string, s Source, c clock.Clock, b settings.Bounds) *Feeds {
 	return &Feeds{node: node + "/streams", boot: boot, src: s, clk: c, bounds: b, ctx: ctx, m: map[int]*Feed{}, there: map[*Feed]bool{}}
 }
 
--- a/internal/carrier/feed/feed_test.go
+++ b/internal/carrier/feed/feed_test.go
@@ -13,7 +13,7 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
-	"postjunction/internal/options"
+	"postjunction/internal/settings"
 )
 
 // clerk is an owner whose ledger a test writes.
@@ -281,7 +281,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, stop := context.WithCancel(t.Context())
 				c := &clerk{news: make(chan struct{})}
-				fs := New(ctx, "a1", "b", c, clock.Real{}, options.DefaultBounds)
+				fs := New(ctx, "a1", "b", c, clock.Real{}, settings.DefaultBounds)
 				d, leave, err := fs.Follow(ctx, 0, make(chan struct{}, 1))
 				assert.NilError(t, err)
 				f(&run{t, c, fs, d, leave})
--- a/internal/carrier/presence/presence.go
+++ b/internal/carrier/presence/presence.go
@@ -8,7 +8,7 @@
 
 	"postjunction/internal/gather"
 	"postjunction/internal/membership"
-	"postjunction/internal/options"
+	"postjunction/internal/settings"
 	"postjunction/internal/turn"
 	"postjunction/internal/wire"
 )
@@ -30,13 +30,13 @@
 type Presence struct {
 	Self   string
 	Net    wire.Network
-	Bounds options.Bounds
+	Bounds settings.Bounds
 	View   *membership.View
 	m      *turn.Map[string, map[string]int]
 }
 
 // New makes an empty presence.
-func New(self string, n wire.Network, b options.Bounds, v *membership.View) *Presence {
+func New(self string, n wire.Network, b settings.Bounds, v *membership.View) *Presence {
 	return &Presence{Self: self, Net: n, Bounds: b, View: v, m: turn.NewMap[string, map[string]int]()}
 }
 
--- a/internal/command/caller/visit.go
+++ b/internal/command/caller/visit.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"postjunction/internal/clock"
-	"postjunction/internal/options"
 	"postjunction/internal/plain"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 	"postjunction/internal/visitor/visit"
 )
 
@@ -88,7 +88,7 @@
 }
 
 func heartbeats(ctx context.Context, d *desk) {
-	for (clock.Real{}).Sleep(ctx, time.Duration(options.Default().Keepalive)) == nil {
+	for (clock.Real{}).Sleep(ctx, time.Duration(settings.Default().Keepalive)) == nil {
 		if d.task(map[string]any{"verb": visit.Heartbeat}) != nil {
 			return
 		}
--- a/internal/command/serve/patience.go
+++ b/internal/command/serve/patience.go
@@ -13,8 +13,8 @@
 
 	"postjunction/internal/clock"
 	"postjunction/internal/event"
-	"postjunction/internal/options"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 )
 
 // signals are what a process is told from outside: to stop, and to read its settings again.
@@ -54,7 +54,7 @@
 // and a disk that takes no writes, for as long as it lasts.
 type patience struct {
 	clk    clock.Clock
-	bounds options.Bounds
+	bounds settings.Bounds
 	log    *event.Logger
 	stop   <-chan struct{}
 	mu     sync.Mutex
--- a/internal/command/serve/process_test.go
+++ b/internal/command/serve/process_test.go
@@ -19,8 +19,8 @@
 
 	"postjunction/internal/clock"
 	"postjunction/internal/event"
-	"postjunction/internal/options"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 )
 
 // paper is a log that can be waited on.
@@ -120,19 +120,19 @@
 // A port that stays held ends the start after the recovery bound; a disk that takes no writes never does; what can't pass does at once.
 func TestPatience(t *testing.T) {
 	for k, want := range map[problem.Kind]time.Duration{
-		problem.Held: options.DefaultBounds.Recovery, problem.DiskFull: time.Hour, problem.DiskFailed: time.Hour, problem.OptionsBad: 0, problem.DiskForeign: 0,
+		problem.Held: settings.DefaultBounds.Recovery, problem.DiskFull: time.Hour, problem.DiskFailed: time.Hour, problem.OptionsBad: 0, problem.DiskForeign: 0,
 	} {
 		t.Run(string(k), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				stop := make(chan struct{})
-				p := &patience{clk: clock.Real{}, bounds: options.DefaultBounds, log: event.NewLogger(hclog.NewNullLogger()), stop: stop}
+				p := &patience{clk: clock.Real{}, bounds: settings.DefaultBounds, log: event.NewLogger(hclog.NewNullLogger()), stop: stop}
 				end := time.AfterFunc(time.Hour, func() { close(stop) })
 				defer end.Stop()
 				at := time.Now()
 				_, err := patient(p, func() (int, error) { return 0, problem.New(k, "not now") })
 				assert.Assert(t, problem.Has(err, k))
 				got := time.Since(at)
-				assert.Assert(t, got >= want && got <= want+options.DefaultBounds.Retry(), "%s", got)
+				assert.Assert(t, got >= want && got <= want+settings.DefaultBounds.Retry(), "%s", got)
 			})
 		})
 	}
@@ -159,7 +159,7 @@
 func TestBrokenListenerIsOpenedAgain(t *testing.T) {
 	a := ports(t, 1)[0]
 	l := newRecord()
-	p := &patience{clk: clock.Real{}, bounds: options.DefaultBounds, log: event.NewLogger(hclog.New(&hclog.LoggerOptions{Output: l}))}
+	p := &patience{clk: clock.Real{}, bounds: settings.DefaultBounds, log: event.NewLogger(hclog.New(&hclog.LoggerOptions{Output: l}))}
 	d := Door{Field: "listen", Address: a}
 	first, err := d.listen()
 	assert.NilError(t, err)
--- a/internal/command/serve/serve.go
+++ b/internal/command/serve/serve.go
@@ -22,16 +22,16 @@
 	"postjunction/internal/door/lines"
 	"postjunction/internal/event"
 	"postjunction/internal/node"
-	"postjunction/internal/options"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 
 	"postjunction/internal/disk/walog"
 	"postjunction/internal/wire"
 )
 
 // Read makes the settings from a file and flags; flags win.
-func Read(args []string, out io.Writer) (options.Options, string, error) {
-	o := options.Default()
+func Read(args []string, out io.Writer) (settings.Options, string, error) {
+	o := settings.Default()
 	path := ""
 	bind := func(fs *flag.FlagSet) {
 		fs.StringVar(&path, "options", path, "settings `file`")
@@ -49,7 +49,7 @@
 	where := "flags"
 	if path != "" {
 		where = path
-		o = options.Default()
+		o = settings.Default()
 		if err := o.Read(path); err != nil {
 			return o, path, err
 		}
@@ -60,7 +60,7 @@
 			return o, path, problem.Wrap(problem.Usage, err, "serve")
 		}
 	}
-	return o, path, options.Problem(where, o.Check())
+	return o, path, settings.Problem(where, o.Check())
 }
 
 // Run serves until a signal asks to stop.
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	again := func() (options.Options, error) {
+	again := func() (settings.Options, error) {
 		o, _, err := Read(args, io.Discard)
 		return o, err
 	}
@@ -78,10 +78,10 @@
 
 // Task is what a process runs: one node, and the doors that a main adds to those of the settings.
 type Task struct {
-	Options options.Options
+	Options settings.Options
 	// File, if any, is followed for changes and read by Again.
 	File  string
-	Again func() (options.Options, error)
+	Again func() (settings.Options, error)
 	// Callers, if any, wraps the handler of callers and operators.
 	Callers func(n *node.Node, h http.Handler) http.Handler
 	// Words are those of visits, the product's own if none.
@@ -119,7 +119,7 @@
 	defer s.end()
 	p := &patience{clk: clock.Real{}, bounds: o.Bounds(), log: log, stop: s.stop}
 	runtime.GOMAXPROCS(threads(o.Disk, runtime.GOMAXPROCS(0)))
-	if o.Disk != options.DiskNone {
+	if o.Disk != settings.DiskNone {
 		release, err := patient(p, func() (func(), error) { return lock(o.Data) })
 		if err != nil {
 			return err
@@ -257,7 +257,7 @@
 // threads is how many threads may run Go code: one core is not one thread, since the thread that waits for a sync of the disk keeps its place
 // for up to 10 ms, and all calls would stand still meanwhile.
 func threads(disk string, have int) int {
-	if disk == options.DiskNone {
+	if disk == settings.DiskNone {
 		return have
 	}
 	return max(have, 2)
--- a/internal/command/serve/serve_test.go
+++ b/internal/command/serve/serve_test.go
@@ -8,8 +8,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/options"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 )
 
 const sound = `{"name":"a1","zone":"z1","listen":"127.0.0.1:7404","fellow_listen":"127.0.0.1:7504","seeds":["127.0.0.1:7501","127.0.0.1:7502","127.0.0.1:7503"]`
@@ -64,7 +64,7 @@
 }
 
 func TestBoundsAddUp(t *testing.T) {
-	b := options.DefaultBounds
+	b := settings.DefaultBounds
 	assert.Assert(t, b.Gap() <= b.Recovery)
 	assert.Assert(t, b.Stop() < 6e9)
 	assert.Assert(t, b.Lease() < b.Spread)
--- a/internal/command/serve/threads_test.go
+++ b/internal/command/serve/threads_test.go
@@ -8,19 +8,19 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/options"
+	"postjunction/internal/settings"
 )
 
 func TestOneThreadIsToSpareBesideADisk(t *testing.T) {
-	assert.Equal(t, threads(options.DiskStorage, 1), 2)
-	assert.Equal(t, threads(options.DiskControl, 1), 2)
-	assert.Equal(t, threads(options.DiskNone, 1), 1)
-	assert.Equal(t, threads(options.DiskStorage, 8), 8)
+	assert.Equal(t, threads(settings.DiskStorage, 1), 2)
+	assert.Equal(t, threads(settings.DiskControl, 1), 2)
+	assert.Equal(t, threads(settings.DiskNone, 1), 1)
+	assert.Equal(t, threads(settings.DiskStorage, 8), 8)
 }
 
 // With the threads of a machine with a disk, others go on while one waits in the kernel.
 func TestOthersRunWhileADiskIsWaitedFor(t *testing.T) {
-	was := runtime.GOMAXPROCS(threads(options.DiskStorage, 1))
+	was := runtime.GOMAXPROCS(threads(settings.DiskStorage, 1))
 	defer runtime.GOMAXPROCS(was)
 	f, err := os.Create(filepath.Join(t.TempDir(), "x"))
 	assert.NilError(t, err)
--- a/internal/command/serve/visits.go
+++ b/internal/command/serve/visits.go
@@ -7,7 +7,7 @@
 	"postjunction/internal/door/lines"
 	"postjunction/internal/door/lines/plain"
 	"postjunction/internal/node"
-	"postjunction/internal/options"
+	"postjunction/internal/settings"
 	"postjunction/internal/visitor/visit"
 )
 
@@ -23,7 +23,7 @@
 func (h house) Enter(out visit.Out) lines.Guest { return h.House.Enter(out) }
 
 // visits makes the server of line sessions. Of a bounded number of descriptors, a quarter stays for peers and files.
-func visits(n *node.Node, o options.Options, words lines.Codec) Server {
+func visits(n *node.Node, o settings.Options, words lines.Codec) Server {
 	if words == nil {
 		words = plain.Codec{}
 	}
--- a/internal/control/bootstrap/founding.go
+++ b/internal/control/bootstrap/founding.go
@@ -10,32 +10,32 @@
 	"postjunction/internal/control/voters"
 	"postjunction/internal/gather"
 	"postjunction/internal/membership"
-	"postjunction/internal/options"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
 
 // Founder works out who founds from the settings and the answers at those addresses.
 type Founder struct {
-	opts options.Options
+	opts settings.Options
 	net  wire.Network
 	self func() membership.Info
 }
 
 // New makes a founder.
-func New(o options.Options, n wire.Network, self func() membership.Info) *Founder {
+func New(o settings.Options, n wire.Network, self func() membership.Info) *Founder {
 	return &Founder{opts: o, net: n, self: self}
 }
 
 // Plan gives the founding roster, once every node that may take part has answered.
 // A fleet that stands already, seen at any of them, ends the plan.
 func (f *Founder) Plan(ctx context.Context) (voters.Roster, error) {
-	if f.opts.Founding == options.FoundNever {
+	if f.opts.Founding == settings.FoundNever {
 		return voters.Roster{}, problem.New(problem.NotFounded, "this disk came back empty: it founds nothing and waits for a seat")
 	}
 	addrs := f.opts.Founders
 	named := len(addrs) > 0
-	seeds := !named && f.opts.Founding == options.FoundSeeds
+	seeds := !named && f.opts.Founding == settings.FoundSeeds
 	if seeds {
 		addrs = f.opts.Seeds
 	} else if !named {
@@ -63,7 +63,7 @@
 		if a.A.Roster > 0 {
 			return voters.Roster{}, problem.New(problem.StaleRoster, "%s is under roster %d already", a.A.Name, a.A.Roster).At(a.A.Roster)
 		}
-		if a.A.Disk == options.DiskControl {
+		if a.A.Disk == settings.DiskControl {
 			seats = append(seats, voters.Seat{Node: a.A.Name, Addr: a.A.Peers, Incarnation: a.A.Incarnation})
 		} else if named {
 			return voters.Roster{}, problem.New(problem.NotFounded, "founder %s at %s has no control disk", a.A.Name, a.Who)
@@ -122,7 +122,7 @@
 	if r.Seats[0].Node != f.opts.Name {
 		return r, problem.New(problem.NotFounded, "%s founds the fleet", r.Seats[0].Node)
 	}
-	if f.opts.Founding == options.FoundSeeds && len(f.opts.Founders) == 0 && !slices.Contains(f.opts.Seeds, f.opts.Reached()) {
+	if f.opts.Founding == settings.FoundSeeds && len(f.opts.Founders) == 0 && !slices.Contains(f.opts.Seeds, f.opts.Reached()) {
 		if err := f.leave(ctx, r); err != nil {
 			return r, err
 		}
--- a/internal/control/bootstrap/leave.go
+++ b/internal/control/bootstrap/leave.go
@@ -6,8 +6,8 @@
 	"sync"
 
 	"postjunction/internal/control/acceptor"
-	"postjunction/internal/options"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
 
@@ -23,14 +23,14 @@
 // Leaves gives leave to one disk at most in the life of the process. Only a process of the first start gives any, so a
 // restarted seed that forgot whom it gave leave to never gives it to another.
 type Leaves struct {
-	opts   options.Options
+	opts   settings.Options
 	roster func() uint64
 	mu     sync.Mutex
 	given  LeaveRequest
 }
 
 // NewLeaves makes the seeds' side; roster gives the sequence of the roster known here.
-func NewLeaves(o options.Options, roster func() uint64) *Leaves {
+func NewLeaves(o settings.Options, roster func() uint64) *Leaves {
 	return &Leaves{opts: o, roster: roster}
 }
 
@@ -39,7 +39,7 @@
 	if r := l.roster(); r > 0 {
 		return nil, problem.New(problem.StaleRoster, "the fleet is under roster %d already", r).At(r)
 	}
-	if l.opts.Founding != options.FoundSeeds || l.opts.Voter() {
+	if l.opts.Founding != settings.FoundSeeds || l.opts.Voter() {
 		return nil, problem.New(problem.NotFounded, "%s gives no leave to found", l.opts.Name)
 	}
 	l.mu.Lock()
--- a/internal/control/quorumread/confirm.go
+++ b/internal/control/quorumread/confirm.go
@@ -16,8 +16,8 @@
 	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
 	"postjunction/internal/nodelease"
-	"postjunction/internal/options"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 
 	"github.com/mailru/easyjson"
@@ -31,7 +31,7 @@
 	Self   string
 	Net    wire.Network
 	Clock  clock.Clock
-	Bounds options.Bounds
+	Bounds settings.Bounds
 	Board  *gossip.Board
 	Holder *register.Holder
 	Mender *repair.Mender
--- a/internal/control/quorumread/confirm_test.go
+++ b/internal/control/quorumread/confirm_test.go
@@ -16,8 +16,8 @@
 	"postjunction/internal/control/register"
 	"postjunction/internal/control/voters"
 	"postjunction/internal/gossip"
-	"postjunction/internal/options"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 )
 
 // voterSet are three disks that answer questions as they are told to.
@@ -62,7 +62,7 @@
 func TestWhoIsApart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		b, bounds := gossip.NewBoard(nil), options.DefaultBounds
+		b, bounds := gossip.NewBoard(nil), settings.DefaultBounds
 		r := voters.Found([]voters.Seat{{Node: "c1", Addr: "c1"}, {Node: "c2", Addr: "c2"}, {Node: "c3", Addr: "c3"}}, voters.Layout{Routine: 1})
 		b.Offer(gossip.News{Roster: &r})
 		v := &voterSet{say: map[string]problem.Kind{}}
--- a/internal/control/reconfig/reform.go
+++ b/internal/control/reconfig/reform.go
@@ -9,8 +9,8 @@
 	"postjunction/internal/control/epoch"
 	"postjunction/internal/control/voters"
 	"postjunction/internal/gather"
-	"postjunction/internal/options"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
 
@@ -18,12 +18,12 @@
 type Reformer struct {
 	self   string
 	net    wire.Network
-	bounds options.Bounds
+	bounds settings.Bounds
 	seen   epoch.Epoch
 }
 
 // New makes a reformer.
-func New(self string, n wire.Network, b options.Bounds) *Reformer {
+func New(self string, n wire.Network, b settings.Bounds) *Reformer {
 	return &Reformer{self: self, net: n, bounds: b}
 }
 
--- a/internal/control/reconfigurer/steward.go
+++ b/internal/control/reconfigurer/steward.go
@@ -19,15 +19,15 @@
 	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
 	"postjunction/internal/membership"
-	"postjunction/internal/options"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 )
 
 // Reconfigurer runs beside a voter.
 type Reconfigurer struct {
 	Self     string
 	Clock    clock.Clock
-	Bounds   options.Bounds
+	Bounds   settings.Bounds
 	Board    *gossip.Board
 	Founder  *bootstrap.Founder
 	Reformer *reconfig.Reformer
@@ -95,7 +95,7 @@
 func (s *Reconfigurer) tend(ctx context.Context, r voters.Roster) {
 	live := map[string]membership.Info{}
 	for _, i := range s.Live() {
-		if i.Disk == options.DiskControl {
+		if i.Disk == settings.DiskControl {
 			live[i.Name] = i
 		}
 	}
--- a/internal/control/register/holder.go
+++ b/internal/control/register/holder.go
@@ -11,8 +11,8 @@
 	"postjunction/internal/control/epoch"
 	"postjunction/internal/control/voters"
 	"postjunction/internal/gather"
-	"postjunction/internal/options"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 	"postjunction/internal/turn"
 	"postjunction/internal/wire"
 )
@@ -40,7 +40,7 @@
 	self    string
 	net     wire.Network
 	clk     clock.Clock
-	bounds  options.Bounds
+	bounds  settings.Bounds
 	peers   Peers
 	told    Told
 	turns   *turn.Turns
@@ -60,7 +60,7 @@
 )
 
 // New makes a holder that holds nothing.
-func New(self string, n wire.Network, c clock.Clock, b options.Bounds, f Peers, t Told) *Holder {
+func New(self string, n wire.Network, c clock.Clock, b settings.Bounds, f Peers, t Told) *Holder {
 	return &Holder{self: self, net: n, clk: c, bounds: b, peers: f, told: t, turns: turn.New(turnShards), keys: turn.NewMap[string, held]()}
 }
 
--- a/internal/control/registerclient/client.go
+++ b/internal/control/registerclient/client.go
@@ -12,8 +12,8 @@
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/register"
 	"postjunction/internal/membership"
-	"postjunction/internal/options"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
 
@@ -21,7 +21,7 @@
 type Client struct {
 	self   string
 	net    wire.Network
-	bounds options.Bounds
+	bounds settings.Bounds
 	view   func() []membership.Info
 	local  *register.Holder
 	mu     sync.Mutex
@@ -29,13 +29,13 @@
 }
 
 // New makes a client; local is the node's own holder, nil without a control disk.
-func New(self string, n wire.Network, b options.Bounds, view func() []membership.Info, local *register.Holder) *Client {
+func New(self string, n wire.Network, b settings.Bounds, view func() []membership.Info, local *register.Holder) *Client {
 	return &Client{self: self, net: n, bounds: b, view: view, local: local}
 }
 
 func (c *Client) nodes() []membership.Info {
 	is := membership.Pick(c.view(), func(i membership.Info) bool {
-		return i.Disk == options.DiskControl && i.Stage == membership.Serving && i.Name != c.self
+		return i.Disk == settings.DiskControl && i.Stage == membership.Serving && i.Name != c.self
 	})
 	c.mu.Lock()
 	good := c.good
--- a/internal/control/repair/repair.go
+++ b/internal/control/repair/repair.go
@@ -8,7 +8,7 @@
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/voters"
 	"postjunction/internal/gather"
-	"postjunction/internal/options"
+	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
 
@@ -16,7 +16,7 @@
 type Mender struct {
 	Self   string
 	Net    wire.Network
-	Bounds options.Bounds
+	Bounds settings.Bounds
 }
 
 type copy = gather.Answer[voters.Seat, *acceptor.PeekResponse]
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -17,8 +17,8 @@
 
 	"postjunction/internal/event"
 	_ "postjunction/internal/node" // names all calls
-	"postjunction/internal/options"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
 
@@ -120,7 +120,7 @@
 func TestOperatorsPageNamesEverySetting(t *testing.T) {
 	page := read(t, "docs/operating.md")
 	page = page[:strings.Index(page, "## Starting and stopping")]
-	d := reflect.ValueOf(options.Default())
+	d := reflect.ValueOf(settings.Default())
 	for i := range d.NumField() {
 		n, _, _ := strings.Cut(d.Type().Field(i).Tag.Get("json"), ",")
 		assert.Assert(t, n != "" && strings.Contains(page, "`"+n+"`"), "the page lacks %s", n)
--- a/internal/door/door.go
+++ b/internal/door/door.go
@@ -12,9 +12,9 @@
 	"postjunction/internal/configuration"
 	"postjunction/internal/configuration/strictjson"
 	"postjunction/internal/operator"
-	"postjunction/internal/options"
 	"postjunction/internal/plain"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 	"postjunction/internal/visitor"
 	"postjunction/internal/visitor/token"
 )
@@ -23,7 +23,7 @@
 type Door struct {
 	Visitors  *visitor.Service
 	Operators *operator.Service
-	Bounds    options.Bounds
+	Bounds    settings.Bounds
 	Ready     func() error
 	mux       *http.ServeMux
 }
@@ -299,7 +299,7 @@
 }
 
 // Server makes the HTTP server of a door.
-func Server(h http.Handler, b options.Bounds) *http.Server {
+func Server(h http.Handler, b settings.Bounds) *http.Server {
 	return &http.Server{
 		Handler:           h,
 		ReadHeaderTimeout: b.Recovery / readShare,
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -15,8 +15,8 @@
 	"postjunction/internal/configuration"
 	"postjunction/internal/control/voters"
 	"postjunction/internal/membership"
-	"postjunction/internal/options"
 	"postjunction/internal/placement/assignment"
+	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
 
@@ -292,7 +292,7 @@
 	Self   string
 	Net    wire.Network
 	Clock  clock.Clock
-	Bounds options.Bounds
+	Bounds settings.Bounds
 	Board  *Board
 	View   func() []membership.Info
 	// Control tells that the node is a control node, from which others have their news; Disk that it has a disk of any kind, and passes news of
@@ -450,7 +450,7 @@
 	tellers     = 2
 )
 
-func kept(i membership.Info) bool { return i.Disk != "" && i.Disk != options.DiskNone }
+func kept(i membership.Info) bool { return i.Disk != "" && i.Disk != settings.DiskNone }
 
 // pass gives what is new of ownership, on a node with a disk, to those without one that are in its share: each is in that of two nodes, which all
 // find alike from the names. All that a node hears after its start is new to it, so it asks first whether it is to them.
@@ -584,7 +584,7 @@
 	got := false
 	if !a.Same {
 		got = !g.Board.Offer(a.News).Empty()
-		if n := g.suited(g.Board.Since(a.Digest), f.Disk == options.DiskNone); !n.Empty() || g.Board.behind(a.Digest) {
+		if n := g.suited(g.Board.Since(a.Digest), f.Disk == settings.DiskNone); !n.Empty() || g.Board.behind(a.Digest) {
 			got = true
 			had := g.digest()
 			had.Without = d.Without
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -12,8 +12,8 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/configuration"
 	"postjunction/internal/control/voters"
-	"postjunction/internal/options"
 	"postjunction/internal/placement/assignment"
+	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
 
@@ -40,7 +40,7 @@
 
 func TestADescriptionComesFromOneFellowAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := options.DefaultBounds
+		b := settings.DefaultBounds
 		g := &Gossip{Clock: clock.Real{}, Bounds: b, Board: NewBoard(nil)}
 		lacks := func(seq uint64) bool { return g.answer(Digest{Description: seq}).Description < seq }
 		assert.Assert(t, lacks(5))
--- a/internal/ledger/desk/desk.go
+++ b/internal/ledger/desk/desk.go
@@ -11,11 +11,11 @@
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/membership"
-	"postjunction/internal/options"
 	"postjunction/internal/partition"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
 	"postjunction/internal/samza/state"
+	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
 
@@ -115,7 +115,7 @@
 	Self   string
 	Net    wire.Network
 	Clock  clock.Clock
-	Bounds options.Bounds
+	Bounds settings.Bounds
 	Board  *gossip.Board
 	View   *membership.View
 	Owners Owners
--- a/internal/ledger/owner/fan_test.go
+++ b/internal/ledger/owner/fan_test.go
@@ -10,15 +10,15 @@
 
 	"postjunction/internal/clock"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/options"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/samza/state"
+	"postjunction/internal/settings"
 )
 
 func following(t *testing.T, script func(t *testing.T, o *Owner)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		o := New(Deps{Clock: clock.Real{}, Bounds: options.DefaultBounds}, assignment.Record{Epoch: 1, Replicas: []assignment.Place{{Node: "s1"}}}, false)
+		o := New(Deps{Clock: clock.Real{}, Bounds: settings.DefaultBounds}, assignment.Record{Epoch: 1, Replicas: []assignment.Place{{Node: "s1"}}}, false)
 		o.stage = Open
 		o.tracks[line.Ledger] = newTrack(line.Ledger, line.New())
 		o.st = state.New()
--- a/internal/ledger/owner/marks_test.go
+++ b/internal/ledger/owner/marks_test.go
@@ -16,11 +16,11 @@
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/replica"
 	"postjunction/internal/membership"
-	"postjunction/internal/options"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
 	"postjunction/internal/samza/changelog"
 	"postjunction/internal/samza/state"
+	"postjunction/internal/settings"
 )
 
 // rig is an owner whose disk writes when the test says so, and the fleet around it.
@@ -66,7 +66,7 @@
 			r.members[n] = "at-" + n
 		}
 		r.Owner = New(Deps{
-			Self: "s1", Net: r, Clock: clock.Real{}, Bounds: options.DefaultBounds, Replica: replica.New(clock.Real{}), Log: r,
+			Self: "s1", Net: r, Clock: clock.Real{}, Bounds: settings.DefaultBounds, Replica: replica.New(clock.Real{}), Log: r,
 			Backlog: func() int { return 64 }, Licensed: func() error { return nil }, Longest: func() time.Duration { return 0 }, Stretch: time.Second,
 			Addr: func(n string) (string, bool) { a, ok := r.members[n]; return a, ok },
 		}, rec, false)
--- a/internal/ledger/owner/owner.go
+++ b/internal/ledger/owner/owner.go
@@ -10,10 +10,10 @@
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/replica"
 	"postjunction/internal/ledger/still"
-	"postjunction/internal/options"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
 	"postjunction/internal/samza/state"
+	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
 
@@ -32,7 +32,7 @@
 	Self    string
 	Net     wire.Network
 	Clock   clock.Clock
-	Bounds  options.Bounds
+	Bounds  settings.Bounds
 	Batch   func() time.Duration
 	Backlog func() int
 	Replica *replica.Replica
--- a/internal/ledger/owner/used_test.go
+++ b/internal/ledger/owner/used_test.go
@@ -10,9 +10,9 @@
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/disk/memlog"
 	"postjunction/internal/ledger/replica"
-	"postjunction/internal/options"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 )
 
 // An epoch that a disk has sealed is never decided under again by a new run, whoever asks for it.
@@ -34,7 +34,7 @@
 	at := replica.Target{Partition: 3, Incarnation: "i", Epoch: 5}
 	_, err = r.Seal(ctx, &replica.SealRequest{Target: at})
 	assert.NilError(t, err)
-	o := New(Deps{Self: "s1", Clock: clock.Real{}, Bounds: options.DefaultBounds, Replica: r}, assignment.Record{Partition: 3, Epoch: 5, Owner: "s1", Replicas: []assignment.Place{{Node: "s1", Incarnation: "i"}}}, false)
+	o := New(Deps{Self: "s1", Clock: clock.Real{}, Bounds: settings.DefaultBounds, Replica: r}, assignment.Record{Partition: 3, Epoch: 5, Owner: "s1", Replicas: []assignment.Place{{Node: "s1", Incarnation: "i"}}}, false)
 	short, end := context.WithCancel(ctx)
 	end()
 	assert.Assert(t, problem.Has(o.takeOver(short), problem.StaleEpoch))
--- a/internal/ledger/still/still.go
+++ b/internal/ledger/still/still.go
@@ -11,7 +11,7 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/replica"
-	"postjunction/internal/options"
+	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
 
@@ -49,14 +49,14 @@
 	self   string
 	net    wire.Network
 	clk    clock.Clock
-	bounds options.Bounds
+	bounds settings.Bounds
 	ctx    context.Context
 	mu     sync.Mutex
 	m      map[Disk]*group
 }
 
 // New makes an empty set that lives as long as ctx.
-func New(ctx context.Context, self string, n wire.Network, c clock.Clock, b options.Bounds) *Lines {
+func New(ctx context.Context, self string, n wire.Network, c clock.Clock, b settings.Bounds) *Lines {
 	return &Lines{self: self, net: n, clk: c, bounds: b, ctx: ctx, m: map[Disk]*group{}}
 }
 
--- a/internal/membership/failuredetector/watch.go
+++ b/internal/membership/failuredetector/watch.go
@@ -11,9 +11,9 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
-	"postjunction/internal/options"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
 
@@ -70,7 +70,7 @@
 	Self   string
 	Boot   string
 	Clock  clock.Clock
-	Bounds options.Bounds
+	Bounds settings.Bounds
 	Net    wire.Network
 	Board  *gossip.Board
 	Addr   func(node string) (string, bool)
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"postjunction/internal/clock"
-	"postjunction/internal/options"
+	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
 
@@ -101,13 +101,13 @@
 type Table struct {
 	mu     sync.Mutex
 	clk    clock.Clock
-	bounds options.Bounds
+	bounds settings.Bounds
 	m      map[string]seen
 	news   chan struct{}
 }
 
 // NewTable makes an empty table.
-func NewTable(c clock.Clock, b options.Bounds) *Table {
+func NewTable(c clock.Clock, b settings.Bounds) *Table {
 	return &Table{clk: c, bounds: b, m: map[string]seen{}, news: make(chan struct{})}
 }
 
--- a/internal/membership/reachability/touch.go
+++ b/internal/membership/reachability/touch.go
@@ -11,7 +11,7 @@
 	"postjunction/internal/gather"
 	"postjunction/internal/membership"
 	"postjunction/internal/membership/failuredetector"
-	"postjunction/internal/options"
+	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
 
@@ -40,7 +40,7 @@
 type Touch struct {
 	Self   string
 	Clock  clock.Clock
-	Bounds options.Bounds
+	Bounds settings.Bounds
 	Net    wire.Network
 	// Heard tells when the fleet was last heard in the ordinary way, the zero time when it never was.
 	Heard func() time.Time
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -38,10 +38,10 @@
 	"postjunction/internal/node/owners"
 	"postjunction/internal/nodelease"
 	"postjunction/internal/operator"
-	"postjunction/internal/options"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/placement/controller"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 	"postjunction/internal/visitor"
 	"postjunction/internal/visitor/admission"
 	"postjunction/internal/visitor/turned"
@@ -68,7 +68,7 @@
 	boot string
 
 	mu      sync.Mutex
-	opts    options.Options
+	opts    settings.Options
 	stage   string
 	fitness string
 
@@ -111,13 +111,13 @@
 }
 
 // Start opens the disk and runs all parts until Stop or Kill.
-func Start(ctx context.Context, o options.Options, w World, l *event.Logger) (*Node, error) {
+func Start(ctx context.Context, o settings.Options, w World, l *event.Logger) (*Node, error) {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
 	n := &Node{w: w, log: l, opts: o, boot: hex.EncodeToString(b[:]), stage: membership.Serving, leaving: make(chan struct{}), View: membership.NewView()}
 	n.Board = gossip.NewBoard(n.heard)
 	ctx, n.stop = context.WithCancel(ctx)
-	if o.Disk != options.DiskNone {
+	if o.Disk != settings.DiskNone {
 		if err := n.open(ctx); err != nil {
 			n.Kill()
 			return nil, err
@@ -174,9 +174,9 @@
 
 func (n *Node) goes(f func()) { n.wg.Go(f) }
 
-func (n *Node) bounds() options.Bounds { return n.options().Bounds() }
+func (n *Node) bounds() settings.Bounds { return n.options().Bounds() }
 
-func (n *Node) options() options.Options {
+func (n *Node) options() settings.Options {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.opts
@@ -191,7 +191,7 @@
 	if n.keeper != nil {
 		i.Deaf = !n.keeper.Confirmed()
 	}
-	if n.keeper != nil && o.Disk != options.DiskNone {
+	if n.keeper != nil && o.Disk != settings.DiskNone {
 		i.Lag = n.keeper.Lag().Microseconds()
 	}
 	if n.id != nil {
@@ -244,7 +244,7 @@
 	return i.Peers, ok
 }
 
-var ranks = map[string]int{options.DiskStorage: 0, options.DiskControl: 1}
+var ranks = map[string]int{settings.DiskStorage: 0, settings.DiskControl: 1}
 
 // able ranks a disk as the next owner of a partition whose owner is gone.
 func (n *Node) able(p assignment.Place) int {
@@ -309,7 +309,7 @@
 	n.leaves = bootstrap.NewLeaves(o, func() uint64 { return n.Board.Roster().Sequence })
 	n.client = registerclient.New(self, net, b, n.members, n.holder)
 	n.keeper = &nodelease.Keeper{Opts: o, Clock: clk, Net: net, Board: n.Board, View: n.View, Info: n.Info, Local: n.host, Log: n.log}
-	n.gossip = &gossip.Gossip{Self: self, Net: net, Clock: clk, Bounds: b, Board: n.Board, View: n.View.All, Control: o.Voter(), Disk: o.Disk != options.DiskNone}
+	n.gossip = &gossip.Gossip{Self: self, Net: net, Clock: clk, Bounds: b, Board: n.Board, View: n.View.All, Control: o.Voter(), Disk: o.Disk != settings.DiskNone}
 	if o.Voter() {
 		n.duty = &controller.Duty{Self: self, Clock: clk, Bounds: b, Holder: n.holder, Client: n.client, Board: n.Board, Live: n.table.Live, Tell: n.gossip.Tell, Changed: n.table.Changed, Log: n.log}
 	}
@@ -557,7 +557,7 @@
 	if n.holder != nil {
 		var to []string
 		for _, i := range membership.Pick(n.table.Live(), func(i membership.Info) bool {
-			return i.Disk == options.DiskControl && i.Name != n.opts.Name && i.Stage == membership.Serving
+			return i.Disk == settings.DiskControl && i.Name != n.opts.Name && i.Stage == membership.Serving
 		}) {
 			to = append(to, i.Name)
 		}
@@ -578,15 +578,15 @@
 }
 
 // Apply takes changed settings, or turns all of them away.
-func (n *Node) Apply(o options.Options) error {
+func (n *Node) Apply(o settings.Options) error {
 	cur := n.options()
-	for _, f := range options.Changed(cur, o) {
-		if _, ok := options.Live[f]; !ok {
+	for _, f := range settings.Changed(cur, o) {
+		if _, ok := settings.Live[f]; !ok {
 			return problem.New(problem.OptionsBad, "field %q can't change under a running node", f)
 		}
 	}
 	n.mu.Lock()
-	for _, f := range options.Live {
+	for _, f := range settings.Live {
 		f(&n.opts, o)
 	}
 	n.mu.Unlock()
--- a/internal/node/owners/owners.go
+++ b/internal/node/owners/owners.go
@@ -14,17 +14,17 @@
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/ledger/replica"
-	"postjunction/internal/options"
 	"postjunction/internal/partition"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 )
 
 // Keeper starts and ends owners as the records change.
 type Keeper struct {
 	Self    string
 	Clock   clock.Clock
-	Bounds  options.Bounds
+	Bounds  settings.Bounds
 	Board   *gossip.Board
 	Client  *registerclient.Client
 	Replica *replica.Replica
--- a/internal/nodelease/behind_test.go
+++ b/internal/nodelease/behind_test.go
@@ -11,13 +11,13 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
 	"postjunction/internal/membership"
-	"postjunction/internal/options"
+	"postjunction/internal/settings"
 )
 
 // A description that reaches everybody is no news of anybody: nodes are told only who has had an older one for longer than a lease, and that it has no longer.
 func TestOnlyWhoLagsBehindADescriptionIsTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := options.DefaultBounds
+		b := settings.DefaultBounds
 		seq := uint64(7)
 		h := &Host{Self: "c1", Clock: clock.Real{}, Bounds: b, Table: membership.NewTable(clock.Real{}, b), Board: gossip.NewBoard(nil), Latest: func() Confirmed {
 			return Confirmed{OK: true, Sequence: seq, At: time.Now()}
--- a/internal/nodelease/session.go
+++ b/internal/nodelease/session.go
@@ -16,8 +16,8 @@
 	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
 	"postjunction/internal/membership"
-	"postjunction/internal/options"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
 
@@ -75,7 +75,7 @@
 	Self   string
 	Seeds  []string
 	Clock  clock.Clock
-	Bounds options.Bounds
+	Bounds settings.Bounds
 	Net    wire.Network
 	Table  *membership.Table
 	Board  *gossip.Board
@@ -188,7 +188,7 @@
 
 // alone tells whether this control node has to find others through its seeds.
 func (h *Host) alone() bool {
-	return h.Board.Roster().Sequence == 0 || len(membership.Pick(h.Table.Live(), func(i membership.Info) bool { return i.Disk == options.DiskControl && i.Name != h.Self })) == 0
+	return h.Board.Roster().Sequence == 0 || len(membership.Pick(h.Table.Live(), func(i membership.Info) bool { return i.Disk == settings.DiskControl && i.Name != h.Self })) == 0
 }
 
 // seek asks all seeds at once who they are and whom they know.
@@ -201,7 +201,7 @@
 		return membership.Hello.Call(ctx, h.Net, h.Self, a, &membership.HelloRequest{From: &me})
 	}, nil)) {
 		for _, i := range append(a.A.Known, a.A.Info) {
-			if i.Disk == options.DiskControl {
+			if i.Disk == settings.DiskControl {
 				met[i.Name] = i.Peers
 			}
 		}
@@ -290,7 +290,7 @@
 		as = append(as, s.Addr)
 	}
 	for _, i := range h.Table.Live() {
-		if i.Disk == options.DiskControl {
+		if i.Disk == settings.DiskControl {
 			as = append(as, i.Peers)
 		}
 	}
@@ -319,7 +319,7 @@
 
 // Keeper is a node's side of its session.
 type Keeper struct {
-	Opts  options.Options
+	Opts  settings.Options
 	Clock clock.Clock
 	Net   wire.Network
 	Board *gossip.Board
@@ -371,7 +371,7 @@
 	if len(k.lags) < lagsMost {
 		return 0
 	}
-	return max(slices.Sorted(slices.Values(k.lags))[lagAt], k.Opts.Bounds().Slow()/options.SlowTimes)
+	return max(slices.Sorted(slices.Values(k.lags))[lagAt], k.Opts.Bounds().Slow()/settings.SlowTimes)
 }
 
 // Usual gives the second shortest of the last few answered heartbeats' times, and whether there were enough. Heartbeats that were not answered don't count, so
@@ -447,7 +447,7 @@
 
 func (k *Keeper) able(is []membership.Info, not string) []membership.Info {
 	return membership.Pick(is, func(i membership.Info) bool {
-		return i.Disk == options.DiskControl && i.Stage == membership.Serving && i.Name != not && i.Name != k.Opts.Name
+		return i.Disk == settings.DiskControl && i.Stage == membership.Serving && i.Name != not && i.Name != k.Opts.Name
 	})
 }
 
@@ -594,7 +594,7 @@
 	} else {
 		k.View.Set(a.Members)
 	}
-	if cs := membership.Pick(a.Members, func(i membership.Info) bool { return i.Disk == options.DiskControl }); len(cs) > 0 {
+	if cs := membership.Pick(a.Members, func(i membership.Info) bool { return i.Disk == settings.DiskControl }); len(cs) > 0 {
 		k.known = slices.Clone(cs)
 	}
 }
--- a/internal/nodelease/session_test.go
+++ b/internal/nodelease/session_test.go
@@ -18,7 +18,7 @@
 	"postjunction/internal/event"
 	"postjunction/internal/gossip"
 	"postjunction/internal/membership"
-	"postjunction/internal/options"
+	"postjunction/internal/settings"
 )
 
 // A node that heard of a newer description which has not arrived keeps to the plain lease; one that hears nobody has the stretch.
@@ -26,8 +26,8 @@
 	for name, newer := range map[string]bool{"nobody confirms": false, "a newer one is confirmed": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				o := options.Default()
-				o.Name, o.Stretch = "a1", options.Span(10*time.Second)
+				o := settings.Default()
+				o.Name, o.Stretch = "a1", settings.Span(10*time.Second)
 				b := gossip.NewBoard(nil)
 				b.Offer(gossip.News{Roster: &voters.Roster{Sequence: 1, Fleet: "f"}})
 				info := func() membership.Info { return membership.Info{Name: "a1"} }
@@ -69,7 +69,7 @@
 // A node that has nothing new to say sends no saying, and says all again to a control node that lost it.
 func TestABriefPulseIsUnderstoodOrAskedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := options.Default()
+		o := settings.Default()
 		o.Name = "a1"
 		b := gossip.NewBoard(nil)
 		var asked []*HeartbeatRequest
@@ -114,7 +114,7 @@
 // Heartbeats that are all far from slow are told as alike, however much they differ; a slow one is told as it is.
 func TestPulsesFarFromSlowAreNoNews(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := options.Default()
+		o := settings.Default()
 		o.Name = "a1"
 		b := gossip.NewBoard(nil)
 		h := &Host{Self: "c1", Clock: clock.Real{}, Bounds: o.Bounds(), Table: membership.NewTable(clock.Real{}, o.Bounds()), Board: b, Latest: func() Confirmed { return Confirmed{OK: true, At: time.Now()} }}
@@ -144,7 +144,7 @@
 		assert.Assert(t, beats(time.Millisecond) > 0)
 		told := 0
 		for range 4 {
-			for _, d := range []time.Duration{500 * time.Microsecond, time.Millisecond, 2 * time.Millisecond, o.Bounds().Slow() / options.SlowTimes} {
+			for _, d := range []time.Duration{500 * time.Microsecond, time.Millisecond, 2 * time.Millisecond, o.Bounds().Slow() / settings.SlowTimes} {
 				told += beats(d)
 			}
 		}
@@ -163,7 +163,7 @@
 // Control nodes tell each other what changed, and every session that stands stays known by the other.
 func TestControlNodesTellSessionsByDifference(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := options.Default()
+		o := settings.Default()
 		hosts := map[string]*Host{}
 		var asked *membership.SessionsRequest
 		start := func(name, other string) {
@@ -225,7 +225,7 @@
 // A build that knows nothing of differences is told and tells whole lists.
 func TestOlderBuildsAreSpokenToInWholeLists(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := options.Default()
+		o := settings.Default()
 		o.Name = "a1"
 		b := gossip.NewBoard(nil)
 		h := &Host{Self: "c1", Clock: clock.Real{}, Bounds: o.Bounds(), Table: membership.NewTable(clock.Real{}, o.Bounds()), Board: b, Latest: func() Confirmed { return Confirmed{OK: true, At: time.Now()} }}
@@ -268,7 +268,7 @@
 // A control node that began lately and has not confirmed yet is asked again soon, not left for another one.
 func TestAYoungControlNodeIsAskedAgainSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := options.Default()
+		o := settings.Default()
 		o.Name = "c1"
 		b := gossip.NewBoard(nil)
 		b.Offer(gossip.News{Roster: &voters.Roster{Sequence: 1, Fleet: "f"}})
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -9,10 +9,10 @@
 	"postjunction/internal/event"
 	"postjunction/internal/gather"
 	"postjunction/internal/membership"
-	"postjunction/internal/options"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/placement/decommission"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 )
 
 // drainList is the list of drains with the count of writes that a change of it builds on.
@@ -109,8 +109,8 @@
 	storage, withDisk := false, len(seen) == 0 && left.value > 0
 	for _, i := range seen {
 		x.Boot, x.Disk = i.Boot, i.Incarnation
-		storage = storage || i.Disk == options.DiskStorage
-		withDisk = withDisk || i.Disk != options.DiskNone
+		storage = storage || i.Disk == settings.DiskStorage
+		withDisk = withDisk || i.Disk != settings.DiskNone
 	}
 	if !withDisk {
 		return x, all.refuse(problem.UnknownNode, "%q is no machine with a disk of this fleet", node)
@@ -163,7 +163,7 @@
 	for name, seen := range all {
 		able := false
 		for _, i := range seen {
-			able = able || i.Disk != options.DiskNone && i.Fitness == "" && i.Stage == membership.Serving
+			able = able || i.Disk != settings.DiskNone && i.Fitness == "" && i.Stage == membership.Serving
 		}
 		if able && name != but && !drains.Out(name) {
 			n++
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -19,10 +19,10 @@
 	"postjunction/internal/ledger/desk"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/membership"
-	"postjunction/internal/options"
 	"postjunction/internal/partition"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 	"postjunction/internal/usage"
 	"postjunction/internal/visitor/turned"
 	"postjunction/internal/wire"
@@ -31,7 +31,7 @@
 // Service serves operators on one node.
 type Service struct {
 	Clock    clock.Clock
-	Bounds   options.Bounds
+	Bounds   settings.Bounds
 	Net      wire.Network
 	Client   *registerclient.Client
 	Board    *gossip.Board
--- a/internal/placement/controller/copies.go
+++ b/internal/placement/controller/copies.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"postjunction/internal/options"
 	"postjunction/internal/placement/assignment"
+	"postjunction/internal/settings"
 )
 
 // patience is how long a copy on a machine that is gone is waited for: hardly, where a newcomer came to take its place; for half a session more, which most restarts
@@ -14,7 +14,7 @@
 func (d *Duty) patience(s *scene, r assignment.Record, p assignment.Place) time.Duration {
 	wait := d.Bounds.Repair()
 	for n, m := range s.m {
-		if _, ok := r.Place(n); ok || m.Disk != options.DiskStorage || !s.fit(m) {
+		if _, ok := r.Place(n); ok || m.Disk != settings.DiskStorage || !s.fit(m) {
 			continue
 		}
 		switch t, ok := d.fresh[n]; {
@@ -71,7 +71,7 @@
 	var best *machine
 	rank := func(m *machine) [3]int {
 		k := [3]int{0, zones[m.Zone], m.holds}
-		if m.Disk != options.DiskStorage {
+		if m.Disk != settings.DiskStorage {
 			k[0] = 1
 		}
 		return k
@@ -108,7 +108,7 @@
 		return "it is being emptied"
 	case m.Fitness != "":
 		return "its disk fails"
-	case m.Disk != options.DiskStorage && s.stores >= s.copies:
+	case m.Disk != settings.DiskStorage && s.stores >= s.copies:
 		return "storage machines suffice again"
 	}
 	return ""
--- a/internal/placement/controller/drains_test.go
+++ b/internal/placement/controller/drains_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 
 	"postjunction/internal/membership"
-	"postjunction/internal/options"
 	"postjunction/internal/placement/decommission"
+	"postjunction/internal/settings"
 )
 
 // emptied is a machine that was emptied, as the placement duty sees it from look to look, and when what it sees began.
@@ -38,7 +38,7 @@
 func (e *emptied) place() {
 	delete(e.scene.m, "s4")
 	if e.here {
-		e.scene.m["s4"] = &machine{Info: membership.Info{Name: "s4", Disk: options.DiskStorage, Incarnation: fmt.Sprint("disk-", e.disks), Stage: membership.Serving}}
+		e.scene.m["s4"] = &machine{Info: membership.Info{Name: "s4", Disk: settings.DiskStorage, Incarnation: fmt.Sprint("disk-", e.disks), Stage: membership.Serving}}
 	}
 }
 
--- a/internal/placement/controller/duty.go
+++ b/internal/placement/controller/duty.go
@@ -15,9 +15,9 @@
 	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
 	"postjunction/internal/membership"
-	"postjunction/internal/options"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 )
 
 // Key is the control key whose holder has the duty.
@@ -27,7 +27,7 @@
 type Duty struct {
 	Self   string
 	Clock  clock.Clock
-	Bounds options.Bounds
+	Bounds settings.Bounds
 	Holder *register.Holder
 	Client *registerclient.Client
 	Board  *gossip.Board
--- a/internal/placement/controller/duty_test.go
+++ b/internal/placement/controller/duty_test.go
@@ -8,16 +8,16 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/membership"
-	"postjunction/internal/options"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/placement/decommission"
+	"postjunction/internal/settings"
 )
 
 // table is a duty that began long ago, at whose site three stores in three zones hold a partition, s1 as its owner, and s4 may hold nothing.
 func table(names ...string) (*Duty, *scene, assignment.Record) {
 	now := time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 	long := now.Add(-time.Hour)
-	b := options.DefaultBounds
+	b := settings.DefaultBounds
 	d := &Duty{
 		Bounds: b, since: long, moved: long, recs: map[int]assignment.Record{}, gone: map[string]time.Time{}, deaf: map[string]time.Time{}, slow: map[string]time.Time{},
 		fresh: map[string]time.Time{}, absent: map[string]time.Time{}, renewed: map[string]time.Time{}, opened: map[int]time.Time{}, epochs: map[int]uint64{},
@@ -28,7 +28,7 @@
 		r.Replicas = append(r.Replicas, assignment.Place{Node: n, Incarnation: "disk-" + n})
 	}
 	for _, n := range names {
-		s.m[n] = &machine{Info: membership.Info{Name: n, Zone: "z" + n[1:], Disk: options.DiskStorage, Incarnation: "disk-" + n, Stage: membership.Serving}}
+		s.m[n] = &machine{Info: membership.Info{Name: n, Zone: "z" + n[1:], Disk: settings.DiskStorage, Incarnation: "disk-" + n, Stage: membership.Serving}}
 		s.stores++
 		if r.Holds(n) {
 			s.m[n].holds = 1
@@ -40,7 +40,7 @@
 
 // Each reason for which a partition is given to another machine, and what comes right before it and is none yet.
 func TestWhoLosesAPartition(t *testing.T) {
-	b := options.DefaultBounds
+	b := settings.DefaultBounds
 	half := b.Session() / 2
 	for _, x := range []struct {
 		name string
@@ -116,7 +116,7 @@
 
 // How long a copy on a machine that is gone is waited for, by who could take its place.
 func TestHowLongACopyIsWaitedFor(t *testing.T) {
-	b := options.DefaultBounds
+	b := settings.DefaultBounds
 	for _, x := range []struct {
 		name  string
 		there []string
--- a/internal/placement/controller/owners.go
+++ b/internal/placement/controller/owners.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"postjunction/internal/membership"
-	"postjunction/internal/options"
 	"postjunction/internal/placement/assignment"
+	"postjunction/internal/settings"
 )
 
 func (d *Duty) heir(s *scene, r assignment.Record, not string) (assignment.Place, bool) {
@@ -28,8 +28,8 @@
 	if a.out != b.out {
 		return b.out
 	}
-	if (a.Disk == options.DiskStorage) != (b.Disk == options.DiskStorage) {
-		return a.Disk == options.DiskStorage
+	if (a.Disk == settings.DiskStorage) != (b.Disk == settings.DiskStorage) {
+		return a.Disk == settings.DiskStorage
 	}
 	if a.load != b.load {
 		return a.load < b.load
@@ -113,7 +113,7 @@
 			}
 		}
 		h, ok := d.heir(s, r, r.Owner)
-		if !ok || s.m[h.Node].out || s.m[h.Node].Disk != options.DiskStorage {
+		if !ok || s.m[h.Node].out || s.m[h.Node].Disk != settings.DiskStorage {
 			continue
 		}
 		w := s.weight(r)
--- a/internal/placement/controller/scene.go
+++ b/internal/placement/controller/scene.go
@@ -8,9 +8,9 @@
 
 	"postjunction/internal/event"
 	"postjunction/internal/membership"
-	"postjunction/internal/options"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/placement/decommission"
+	"postjunction/internal/settings"
 )
 
 type machine struct {
@@ -59,7 +59,7 @@
 
 // fit tells whether a machine may be given a copy.
 func (s *scene) fit(m *machine) bool {
-	return m != nil && !m.out && m.Fitness == "" && !m.Deaf && m.Stage == membership.Serving && (m.Disk == options.DiskStorage || s.stores < s.copies)
+	return m != nil && !m.out && m.Fitness == "" && !m.Deaf && m.Stage == membership.Serving && (m.Disk == settings.DiskStorage || s.stores < s.copies)
 }
 
 func (s *scene) canOwn(p assignment.Place) bool {
@@ -75,12 +75,12 @@
 	}
 	s.drains = list
 	for _, i := range d.Live() {
-		if i.Disk == options.DiskNone {
+		if i.Disk == settings.DiskNone {
 			continue
 		}
 		out := s.drains.Out(i.Name)
 		s.m[i.Name] = &machine{Info: i, out: out}
-		if i.Disk == options.DiskStorage && !out && i.Fitness == "" {
+		if i.Disk == settings.DiskStorage && !out && i.Fitness == "" {
 			s.stores++
 		}
 	}
@@ -133,7 +133,7 @@
 		}
 	}
 	for n, m := range s.m {
-		if _, ok := d.fresh[n]; !ok && m.Disk == options.DiskStorage && m.holds == 0 && s.fit(m) {
+		if _, ok := d.fresh[n]; !ok && m.Disk == settings.DiskStorage && m.holds == 0 && s.fit(m) {
 			d.fresh[n] = s.now
 		}
 	}
@@ -153,13 +153,13 @@
 	for n, m := range s.m {
 		lag := time.Duration(m.Lag) * time.Microsecond
 		switch since := d.slow[n]; {
-		case lag > max(options.SlowTimes*s.usual, d.Bounds.Slow()):
+		case lag > max(settings.SlowTimes*s.usual, d.Bounds.Slow()):
 			if since.IsZero() {
 				since = s.now
 				d.slow[n] = s.now
 			}
 			m.slow, m.slowFor = true, s.now.Sub(since)
-		case lag < max(options.SlowTimes*s.usual, d.Bounds.Slow())/2:
+		case lag < max(settings.SlowTimes*s.usual, d.Bounds.Slow())/2:
 			delete(d.slow, n)
 		default:
 			m.slow = !since.IsZero()
--- a/internal/proof/fleet/day.go
+++ b/internal/proof/fleet/day.go
@@ -13,12 +13,12 @@
 	"time"
 
 	"postjunction/internal/clock"
-	"postjunction/internal/options"
 	"postjunction/internal/problem"
 	"postjunction/internal/proof/caller"
 	"postjunction/internal/proof/history"
 	"postjunction/internal/proof/port"
 	"postjunction/internal/proof/sim"
+	"postjunction/internal/settings"
 )
 
 // Day is a run of a fleet under load and faults.
@@ -83,7 +83,7 @@
 	},
 	"wipe": func(ctx context.Context, d *Day, _ *Fleet, p *Process, rng *rand.Rand) error {
 		p.Kill()
-		if p.Opts.Disk != options.DiskNone {
+		if p.Opts.Disk != settings.DiskNone {
 			if err := p.Wipe(); err != nil {
 				return problem.Wrap(problem.Internal, err, "wipe %s", p.Name)
 			}
@@ -129,7 +129,7 @@
 		return killAll(ctx, f.choose(rng, 3+rng.IntN(3), func(*Process) bool { return true }), down(rng)/2)
 	}
 	faults["reset"] = func(ctx context.Context, d *Day, f *Fleet, _ *Process, rng *rand.Rand) error {
-		return killAll(ctx, f.choose(rng, len(f.Processes), func(p *Process) bool { return p.Opts.Disk == options.DiskNone }), time.Second)
+		return killAll(ctx, f.choose(rng, len(f.Processes), func(p *Process) bool { return p.Opts.Disk == settings.DiskNone }), time.Second)
 	}
 	faults["fleet"] = func(ctx context.Context, d *Day, f *Fleet, _ *Process, rng *rand.Rand) error {
 		return killAll(ctx, f.Processes, time.Second)
@@ -187,7 +187,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	h := history.New()
-	spread := options.DefaultBounds.Spread
+	spread := settings.DefaultBounds.Spread
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stop()
@@ -204,7 +204,7 @@
 	}
 	h.Accept(0, seq, string(d.Load.Describe(0)), time.Now())
 	wait(ctx, spread)
-	h.Bound = options.DefaultBounds.Recovery
+	h.Bound = settings.DefaultBounds.Recovery
 	for _, p := range f.Processes {
 		wg.Go(func() { watchDescription(ctx, p, h, spread) })
 	}
@@ -260,10 +260,10 @@
 		wait(ctx, d.Interval)
 	}
 	wait(ctx, time.Until(end))
-	wait(ctx, options.DefaultBounds.Recovery)
+	wait(ctx, settings.DefaultBounds.Recovery)
 	quiet()
 	cut := time.Now()
-	wait(ctx, options.DefaultBounds.Recovery)
+	wait(ctx, settings.DefaultBounds.Recovery)
 	watched()
 	d.Still = <-still
 	r := h.Check(cut, time.Now())
@@ -272,7 +272,7 @@
 
 // begin puts the first description; where its outcome is not known, the very same one again tells.
 func (d *Day) begin(ctx context.Context, f *Fleet) (uint64, error) {
-	end := time.Now().Add(options.DefaultBounds.Recovery)
+	end := time.Now().Add(settings.DefaultBounds.Recovery)
 	for {
 		seq, err := f.Processes[0].Port().Put(ctx, d.Load.Describe(0))
 		if err == nil || time.Now().After(end) || !problem.Has(err, problem.OutcomeUnknown) {
@@ -293,7 +293,7 @@
 		t := time.Now()
 		do()
 		e := time.Now()
-		if late := e.Sub(t) - usual; late >= options.DefaultBounds.Silent() {
+		if late := e.Sub(t) - usual; late >= settings.DefaultBounds.Silent() {
 			d.say("%s of the machine under the fleet stood still for %s until now", what, late)
 			h.Disturb("stood still: "+what, t)
 			h.Disturb("end of stood still: "+what, e)
@@ -325,7 +325,7 @@
 			return
 		}
 		ps := f.Ports("")
-		cx, stop := context.WithTimeout(ctx, options.DefaultBounds.Recovery)
+		cx, stop := context.WithTimeout(ctx, settings.DefaultBounds.Recovery)
 		asked := time.Now()
 		cur, err := ps[rng.IntN(len(ps))].Get(cx)
 		if err == nil {
--- a/internal/proof/fleet/fleet.go
+++ b/internal/proof/fleet/fleet.go
@@ -16,10 +16,10 @@
 	"syscall"
 	"time"
 
-	"postjunction/internal/options"
 	"postjunction/internal/problem"
 	"postjunction/internal/proof/port"
 	"postjunction/internal/proof/sim"
+	"postjunction/internal/settings"
 )
 
 // Site is a deployment.
@@ -39,7 +39,7 @@
 // Process is one machine of the fleet.
 type Process struct {
 	Name string
-	Opts options.Options
+	Opts settings.Options
 	file string
 	bin  string
 	dir  string
@@ -90,14 +90,14 @@
 
 // New writes the settings of a site's machines under dir. With base 0 the ports are free ones,
 // else callers' ports count up from base and peers' ports from base+100. Unless direct, a relay stands between the machines.
-func New(bin, dir string, s Site, base int, direct bool, edit func(*options.Options)) (*Fleet, error) {
+func New(bin, dir string, s Site, base int, direct bool, edit func(*settings.Options)) (*Fleet, error) {
 	f := &Fleet{byName: map[string]*Process{}, ready: map[string]bool{}, Relay: newRelay(s.Apart)}
 	var seeds []string
 	k := 0
 	add := func(kind, disk string, n int) error {
 		for i := range n {
 			k++
-			o := options.Default()
+			o := settings.Default()
 			o.Name, o.Zone, o.Disk = fmt.Sprintf("%s%d", kind, i+1), fmt.Sprintf("z%d", i%s.Zones+1), disk
 			o.Listen, o.Peers = fmt.Sprintf("127.0.0.1:%d", base+k), fmt.Sprintf("127.0.0.1:%d", base+100+k)
 			if base == 0 {
@@ -109,7 +109,7 @@
 					return err
 				}
 			}
-			if disk != options.DiskNone {
+			if disk != settings.DiskNone {
 				o.Data = filepath.Join(dir, o.Name)
 			}
 			var err error
@@ -118,7 +118,7 @@
 					return err
 				}
 			}
-			if disk == options.DiskControl && len(seeds) < 3 {
+			if disk == settings.DiskControl && len(seeds) < 3 {
 				seeds = append(seeds, o.Reached())
 			}
 			if edit != nil {
@@ -134,7 +134,7 @@
 	for _, x := range []struct {
 		kind, disk string
 		n          int
-	}{{"c", options.DiskControl, s.Control}, {"a", options.DiskNone, s.Access}, {"s", options.DiskStorage, s.Stores}} {
+	}{{"c", settings.DiskControl, s.Control}, {"a", settings.DiskNone, s.Access}, {"s", settings.DiskStorage, s.Stores}} {
 		if err := add(x.kind, x.disk, x.n); err != nil {
 			return nil, err
 		}
@@ -152,7 +152,7 @@
 }
 
 // Write writes the settings file of a machine.
-func (p *Process) Write(o options.Options) error {
+func (p *Process) Write(o settings.Options) error {
 	b, _ := json.MarshalIndent(o, "", "  ")
 	return problem.Wrap(problem.Usage, os.WriteFile(p.file, append(b, '\n'), 0o640), "settings of %s", p.Name)
 }
--- a/internal/proof/fleet/links.go
+++ b/internal/proof/fleet/links.go
@@ -14,9 +14,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"postjunction/internal/options"
 	"postjunction/internal/placement/decommission"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 )
 
 var bit = map[bool]int{true: 1}
@@ -48,7 +48,7 @@
 		if !strings.HasPrefix(p.Name, "c") {
 			continue
 		}
-		cx, stop := context.WithTimeout(ctx, options.DefaultBounds.Recovery)
+		cx, stop := context.WithTimeout(ctx, settings.DefaultBounds.Recovery)
 		r, err := http.NewRequestWithContext(cx, method, p.port.Base+path, strings.NewReader(doc))
 		if err == nil {
 			var a *http.Response
@@ -119,8 +119,8 @@
 		return nil
 	}
 	faults["full"] = func(ctx context.Context, _ *Day, f *Fleet, p *Process, rng *rand.Rand) error {
-		if p.Opts.Disk == options.DiskNone {
-			p = f.choose(rng, 1, func(q *Process) bool { return q.Opts.Disk != options.DiskNone })[0]
+		if p.Opts.Disk == settings.DiskNone {
+			p = f.choose(rng, 1, func(q *Process) bool { return q.Opts.Disk != settings.DiskNone })[0]
 		}
 		if err := p.full(true); err != nil {
 			return err
--- a/internal/proof/fleet/relay_test.go
+++ b/internal/proof/fleet/relay_test.go
@@ -9,8 +9,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/options"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
 
@@ -23,7 +23,7 @@
 // between stands a server behind a relay and gives a way to call it as the machine "a" does.
 func between(t *testing.T, apart time.Duration, f func(string)) (*Relay, func(string) error) {
 	t.Helper()
-	b := options.DefaultBounds
+	b := settings.DefaultBounds
 	m := http.NewServeMux()
 	noted.Handle(m, func(_ context.Context, q *note) (*note, error) {
 		f(q.Say)
--- a/internal/proof/fleet/visits.go
+++ b/internal/proof/fleet/visits.go
@@ -10,11 +10,11 @@
 	"sync"
 	"time"
 
-	"postjunction/internal/options"
 	"postjunction/internal/problem"
 	"postjunction/internal/proof/guest"
 	"postjunction/internal/proof/sim"
 	"postjunction/internal/proof/stays"
+	"postjunction/internal/settings"
 	"postjunction/internal/visitor/visit"
 )
 
@@ -179,7 +179,7 @@
 
 // Enter lets n visitors in, who follow and send on topics of a load until Leave.
 func (f *Fleet) Enter(ctx context.Context, n int, l sim.Load, seed uint64) *Visits {
-	b := options.DefaultBounds
+	b := settings.DefaultBounds
 	v := &Visits{Book: stays.New(b.Keeping, 3*b.Spread), f: f}
 	v.ctx, v.stop = context.WithCancel(ctx)
 	v.sends, v.quiet = context.WithCancel(v.ctx)
--- a/internal/proof/fleet/visits_test.go
+++ b/internal/proof/fleet/visits_test.go
@@ -8,15 +8,15 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/options"
 	"postjunction/internal/proof/sim"
+	"postjunction/internal/settings"
 )
 
 // Real processes: visitors carry keys and withdraw while a router is cut off with its visitors still connected and comes back, and then is paused and goes on. Nothing
 // withdrawn is shown after its yes, nothing else is lost.
 func TestWithdrawalsWhileARouterIsCutOffAndComesBack(t *testing.T) {
-	f, err := New(build(t), t.ArtifactDir(), Sites["small"], 0, false, func(o *options.Options) {
-		if o.Disk == options.DiskNone {
+	f, err := New(build(t), t.ArtifactDir(), Sites["small"], 0, false, func(o *settings.Options) {
+		if o.Disk == settings.DiskNone {
 			a, err := free()
 			assert.NilError(t, err)
 			o.Visits = a
@@ -35,7 +35,7 @@
 		}
 	})
 	go f.Watch(ctx)
-	b := options.DefaultBounds
+	b := settings.DefaultBounds
 	for at := time.Now(); !f.AllReady(); wait(ctx, 100*time.Millisecond) {
 		assert.Assert(t, time.Since(at) < 30*time.Second, "not ready: %s", f.unready())
 	}
--- a/internal/proof/sim/blows.go
+++ b/internal/proof/sim/blows.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"postjunction/internal/node"
-	"postjunction/internal/options"
 	"postjunction/internal/problem"
 	"postjunction/internal/proof/history"
+	"postjunction/internal/settings"
 )
 
 // Blow is a fault of a random day; the function that it gives puts right what can be put right.
@@ -187,7 +187,7 @@
 			if x := w.Machines[n].Node(); x != nil && r.IntN(2) == 0 {
 				o := w.Machines[n].Opts
 				o.Backlog = 16 + r.IntN(64)
-				o.Changelog = options.Span(time.Duration(200+r.IntN(6000)) * time.Millisecond)
+				o.Changelog = settings.Span(time.Duration(200+r.IntN(6000)) * time.Millisecond)
 				if r.IntN(4) == 0 {
 					o.Zone = "elsewhere"
 				}
--- a/internal/proof/sim/founding_test.go
+++ b/internal/proof/sim/founding_test.go
@@ -8,13 +8,13 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/options"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 )
 
 func seedSite(control, known int) Site {
 	s := Armor
-	s.Control, s.Access, s.Founding, s.Known = control, 3, options.FoundSeeds, known
+	s.Control, s.Access, s.Founding, s.Known = control, 3, settings.FoundSeeds, known
 	return s
 }
 
@@ -29,7 +29,7 @@
 	for _, n := range w.Names {
 		m := w.Machines[n]
 		x := m.Node()
-		if x == nil || m.Opts.Disk != options.DiskControl {
+		if x == nil || m.Opts.Disk != settings.DiskControl {
 			continue
 		}
 		r := x.Roster()
@@ -93,7 +93,7 @@
 		fleet := w.Machines["c2"].Node().Roster().Fleet
 		w.Wipe("c1")
 		time.Sleep(3 * time.Second)
-		w.Machines["c1"].Opts.Founding = options.FoundNever
+		w.Machines["c1"].Opts.Founding = settings.FoundNever
 		assert.NilError(t, w.Start("c1"))
 		at := time.Now()
 		assert.NilError(t, w.Until(2*time.Second, "all voters are seated again", w.fullRoster))
@@ -107,7 +107,7 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := Armor
-		s.Founding = options.FoundNever
+		s.Founding = settings.FoundNever
 		w := New(s, 7, Logger())
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
--- a/internal/proof/sim/machine.go
+++ b/internal/proof/sim/machine.go
@@ -10,15 +10,15 @@
 	"postjunction/internal/disk/memlog"
 	"postjunction/internal/event"
 	"postjunction/internal/node"
-	"postjunction/internal/options"
 	"postjunction/internal/proof/history"
 	"postjunction/internal/proof/port"
+	"postjunction/internal/settings"
 )
 
 // Machine is one simulated machine: a disk that outlives its processes, and a process that may run on it.
 type Machine struct {
 	w    *World
-	Opts options.Options
+	Opts settings.Options
 	Disk *memlog.Disk
 
 	mu     sync.Mutex
@@ -196,7 +196,7 @@
 	w := node.World{Clock: machineClock{m}, Net: &endpoint{m.w, m, run}, Witness: func(p int, e uint64, what string, begun time.Time) {
 		m.w.History.Decide(history.Verdict{Node: m.Opts.Name, Partition: p, Epoch: e, What: what, Begun: begun, Told: time.Now()})
 	}}
-	if m.Opts.Disk != options.DiskNone {
+	if m.Opts.Disk != settings.DiskNone {
 		w.Disk = gatedDisk{m.Disk, m, run}
 	}
 	n, err := node.Start(m.w.ctx, m.Opts, w, event.NewLogger(m.w.logger.With("node", m.Opts.Name)))
--- a/internal/proof/sim/measure_test.go
+++ b/internal/proof/sim/measure_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/ledger/owner"
-	"postjunction/internal/options"
+	"postjunction/internal/settings"
 )
 
 func measuring(t *testing.T) {
@@ -40,7 +40,7 @@
 				w := New(Armor, seed, nil)
 				defer w.Close()
 				for _, m := range w.Machines {
-					m.Opts.Changelog = options.Span(every)
+					m.Opts.Changelog = settings.Span(every)
 				}
 				assert.NilError(t, w.Start(w.Names...))
 				assert.NilError(t, w.Settle(20*time.Second))
--- a/internal/proof/sim/owner_test.go
+++ b/internal/proof/sim/owner_test.go
@@ -11,10 +11,10 @@
 
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/membership/failuredetector"
-	"postjunction/internal/options"
 	"postjunction/internal/partition"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 	"postjunction/internal/visitor"
 )
 
@@ -31,7 +31,7 @@
 func (w *World) storied(r assignment.Record) assignment.Record {
 	for _, m := range w.Machines {
 		n := m.Node()
-		if n == nil || m.Opts.Disk == options.DiskNone {
+		if n == nil || m.Opts.Disk == settings.DiskNone {
 			continue
 		}
 		if x := n.Board.Record(r.Partition); x.Writes == r.Writes {
--- a/internal/proof/sim/world.go
+++ b/internal/proof/sim/world.go
@@ -25,13 +25,13 @@
 	"postjunction/internal/configuration"
 	"postjunction/internal/disk/memlog"
 	"postjunction/internal/node"
-	"postjunction/internal/options"
 	"postjunction/internal/placement/decommission"
 	"postjunction/internal/problem"
 	"postjunction/internal/proof/caller"
 	"postjunction/internal/proof/guest"
 	"postjunction/internal/proof/history"
 	"postjunction/internal/proof/port"
+	"postjunction/internal/settings"
 )
 
 var errGone = problem.New(problem.Stopped, "the process is gone")
@@ -40,7 +40,7 @@
 type Site struct {
 	Zones, Control, Access, Stores int
 	Latency                        time.Duration
-	Bounds                         options.Bounds
+	Bounds                         settings.Bounds
 	Routine, Urgent                int
 	// Founding is the setting of that name, self when empty. With seeds, Known of the three seeds are control nodes, the others access nodes.
 	Founding string
@@ -57,8 +57,8 @@
 
 // Armor and Traductores are the two deployments with fewer access machines.
 var (
-	Armor       = Site{Zones: 3, Control: 3, Access: 1, Stores: 3, Latency: 500 * time.Microsecond, Bounds: options.DefaultBounds, Routine: 4, Urgent: 2}
-	Traductores = Site{Zones: 4, Control: 4, Access: 1, Stores: 4, Latency: 1500 * time.Microsecond, Bounds: options.DefaultBounds, Routine: 4, Urgent: 2}
+	Armor       = Site{Zones: 3, Control: 3, Access: 1, Stores: 3, Latency: 500 * time.Microsecond, Bounds: settings.DefaultBounds, Routine: 4, Urgent: 2}
+	Traductores = Site{Zones: 4, Control: 4, Access: 1, Stores: 4, Latency: 1500 * time.Microsecond, Bounds: settings.DefaultBounds, Routine: 4, Urgent: 2}
 )
 
 // World is a simulated fleet with its callers.
@@ -113,16 +113,16 @@
 		for i := range n {
 			o := w.opts(fmt.Sprintf("%s%d", kind, i+1), fmt.Sprintf("z%d", i%s.Zones+1), disk)
 			name := o.Name
-			if disk == options.DiskControl && (s.Founding != options.FoundSeeds || i < s.Known) && len(seeds) < 3 || s.Founding == options.FoundSeeds && disk == options.DiskNone && len(seeds) < 3 {
+			if disk == settings.DiskControl && (s.Founding != settings.FoundSeeds || i < s.Known) && len(seeds) < 3 || s.Founding == settings.FoundSeeds && disk == settings.DiskNone && len(seeds) < 3 {
 				seeds = append(seeds, o.Peers)
 			}
 			w.Machines[name] = &Machine{w: w, Opts: o, Disk: memlog.New(), broken: make(chan struct{})}
 			w.Names = append(w.Names, name)
 		}
 	}
-	add("c", options.DiskControl, s.Control)
-	add("s", options.DiskStorage, s.Stores)
-	add("a", options.DiskNone, s.Access)
+	add("c", settings.DiskControl, s.Control)
+	add("s", settings.DiskStorage, s.Stores)
+	add("a", settings.DiskNone, s.Access)
 	for _, n := range s.Spares {
 		w.spare(n)
 	}
@@ -132,12 +132,12 @@
 	return w
 }
 
-func (w *World) opts(name, zone, disk string) options.Options {
+func (w *World) opts(name, zone, disk string) settings.Options {
 	s, k := w.Site, len(w.Names)+1
-	o := options.Default()
+	o := settings.Default()
 	o.Name, o.Zone, o.Disk, o.Data = name, zone, disk, "data"
 	o.Listen, o.Peers = fmt.Sprintf("127.0.0.1:%d", 20000+k), fmt.Sprintf("127.0.0.1:%d", 30000+k)
-	o.Keeping, o.Spread, o.Recovery = options.Span(s.Bounds.Keeping), options.Span(s.Bounds.Spread), options.Span(s.Bounds.Recovery)
+	o.Keeping, o.Spread, o.Recovery = settings.Span(s.Bounds.Keeping), settings.Span(s.Bounds.Spread), settings.Span(s.Bounds.Recovery)
 	o.Routine, o.Urgent = s.Routine, s.Urgent
 	if s.Founding != "" {
 		o.Founding = s.Founding
@@ -146,7 +146,7 @@
 	if s.Losses > 0 {
 		o.Losses = s.Losses
 	}
-	if disk == options.DiskNone {
+	if disk == settings.DiskNone {
 		o.Visits = fmt.Sprintf("127.0.0.1:%d", 25000+k)
 	}
 	return o
@@ -156,7 +156,7 @@
 func (w *World) spare(like string) {
 	x := w.Machines[like].Opts
 	o := w.opts(like+"b", x.Zone, x.Disk)
-	o.Founding = options.FoundNever
+	o.Founding = settings.FoundNever
 	w.Machines[o.Name] = &Machine{w: w, Opts: o, Disk: memlog.New(), broken: make(chan struct{}), away: true}
 	w.Names = append(w.Names, o.Name)
 }
--- a/internal/options/bounds.go
+++ b/internal/settings/bounds.go
@@ -1,5 +1,5 @@
-// Package options holds the settings of a node: read, checked with exact messages, and turned into times.
-package options
+// Package settings holds the settings of a node: read, checked with exact messages, and turned into times.
+package settings
 
 import "time"
 
--- a/internal/options/packs_test.go
+++ b/internal/settings/packs_test.go
@@ -1,4 +1,4 @@
-package options
+package settings
 
 import (
 	"testing"
--- a/internal/visitor/follow_test.go
+++ b/internal/visitor/follow_test.go
@@ -17,7 +17,7 @@
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
-	"postjunction/internal/options"
+	"postjunction/internal/settings"
 )
 
 func TestStreamSkipsWhatItGaveAndWhatNobodyAskedFor(t *testing.T) {
@@ -72,10 +72,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		const routine, urgent = 0, 5
-		fs := feed.New(ctx, "a1", "1", owners{urgent}, clock.Real{}, options.DefaultBounds)
+		fs := feed.New(ctx, "a1", "1", owners{urgent}, clock.Real{}, settings.DefaultBounds)
 		b := gossip.NewBoard(nil)
 		var got []string
-		st := &subscriptionStream{s: &Service{Board: b, Clock: clock.Real{}, Bounds: options.DefaultBounds}, t: &Task{Emit: func(l []byte) error {
+		st := &subscriptionStream{s: &Service{Board: b, Clock: clock.Real{}, Bounds: settings.DefaultBounds}, t: &Task{Emit: func(l []byte) error {
 			var x Line
 			assert.NilError(t, json.Unmarshal(l, &x))
 			got = append(got, x.Topic)
--- a/internal/visitor/service.go
+++ b/internal/visitor/service.go
@@ -18,10 +18,10 @@
 	"postjunction/internal/ledger/desk"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
-	"postjunction/internal/options"
 	"postjunction/internal/partition"
 	"postjunction/internal/policy"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 	"postjunction/internal/visitor/admission"
 	"postjunction/internal/visitor/token"
 )
@@ -60,7 +60,7 @@
 // Service serves the callers of one node.
 type Service struct {
 	Clock    clock.Clock
-	Bounds   options.Bounds
+	Bounds   settings.Bounds
 	Body     int
 	Board    *gossip.Board
 	Desk     *desk.Desk
--- a/internal/visitor/visit/house.go
+++ b/internal/visitor/visit/house.go
@@ -12,9 +12,9 @@
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/membership"
-	"postjunction/internal/options"
 	"postjunction/internal/partition"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 )
 
 // Ledger has messages decided and listeners counted, wherever the owner is.
@@ -30,7 +30,7 @@
 type House struct {
 	Self     string
 	Clock    clock.Clock
-	Bounds   options.Bounds
+	Bounds   settings.Bounds
 	Board    *gossip.Board
 	Hub      *fan.Hub
 	Ledger   Ledger
--- a/internal/visitor/visit/spread.go
+++ b/internal/visitor/visit/spread.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"postjunction/internal/membership"
-	"postjunction/internal/options"
+	"postjunction/internal/settings"
 )
 
 // scarce is how many thousandths of a core are next to none: a node with fewer keeps only its share of the visitors that come to it.
@@ -57,7 +57,7 @@
 
 // free is what a node has of a processor for visitors: a control node keeps half for what the whole fleet waits for.
 func free(i membership.Info) int {
-	if i.Disk == options.DiskControl {
+	if i.Disk == settings.DiskControl {
 		return max(i.Processor/controlShare, 1)
 	}
 	return i.Processor
--- a/internal/visitor/withdraw_test.go
+++ b/internal/visitor/withdraw_test.go
@@ -18,8 +18,8 @@
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/membership"
-	"postjunction/internal/options"
 	"postjunction/internal/problem"
+	"postjunction/internal/settings"
 )
 
 // pages are what the reads of a partition give, one after the other.
@@ -73,7 +73,7 @@
 				ctx, stop := context.WithCancel(t.Context())
 				p := make(pages)
 				wake := make(chan struct{}, 1)
-				f, leave, err := feed.New(ctx, "a1", "b", p, clock.Real{}, options.DefaultBounds).Follow(ctx, 0, wake)
+				f, leave, err := feed.New(ctx, "a1", "b", p, clock.Real{}, settings.DefaultBounds).Follow(ctx, 0, wake)
 				assert.NilError(t, err)
 				defer leave()
 				var got []string
@@ -140,7 +140,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &Service{Clock: clock.Real{}, Bounds: options.DefaultBounds}
+				s := &Service{Clock: clock.Real{}, Bounds: settings.DefaultBounds}
 				n := 0
 				begun := time.Now()
 				given, err := s.awaited(t.Context(), owner.Decision{Partition: 3, Offset: 7}, func(context.Context) (*owner.Unheard, error) {
--- a/internal/wire/real.go
+++ b/internal/wire/real.go
@@ -4,7 +4,7 @@
 	"net/http"
 	"time"
 
-	"postjunction/internal/options"
+	"postjunction/internal/settings"
 	"postjunction/internal/wire/lane"
 )
 
@@ -16,7 +16,7 @@
 	quietShare   = 16
 )
 
-func lanes(b options.Bounds) lane.Options {
+func lanes(b settings.Bounds) lane.Options {
 	return lane.Options{
 		Times: lane.Times{
 			Dial:    b.Call() / dialShare,
@@ -32,7 +32,7 @@
 }
 
 // Real reaches peers over TCP, with one connection to each.
-func Real(b options.Bounds) *lane.Network { return lane.New(lanes(b)) }
+func Real(b settings.Bounds) *lane.Network { return lane.New(lanes(b)) }
 
 // Server answers the peers that come to the listener that it is given.
-func Server(h http.Handler, b options.Bounds) *lane.Server { return lane.NewServer(h, lanes(b)) }
+func Server(h http.Handler, b settings.Bounds) *lane.Server { return lane.NewServer(h, lanes(b)) }
--- a/tools/guards.sh
+++ b/tools/guards.sh
@@ -57,7 +57,7 @@
 guard deaf-lets-go internal/carrier/fan/feed.go 's/return f\.reader && f\.number > 0 &&/return false \&\& f.number > 0 \&\&/' $S 'ADeafRouter'
 guard deaf-releases-first internal/carrier/fan/feed.go 's/(go func\(\) \{\n)\t\tf\.h\.release\(f\.p, true\)\n(\t\tfor tries := range farewells)/$1$2/' ./internal/carrier/fan 'ADeafReader'
 guard deaf-streams internal/carrier/feed/feed.go 's/> f\.bounds\.Recovery && d\.depart\(\)/> f.bounds.Recovery \&\& d == nil/' $S 'StreamsForget'
-guard silent-six internal/options/bounds.go 's/silentShare     = 16/silentShare     = 12/' $S 'MadeGoodWithinASecond'
+guard silent-six internal/settings/bounds.go 's/silentShare     = 16/silentShare     = 12/' $S 'MadeGoodWithinASecond'
 guard slow-is-not-silent internal/membership/failuredetector/watch.go 's/Silent\(\)\+2\*x\.took/Silent()+0*x.took/' $S 'AnswersSlowly'
 guard copies-unsent internal/control/register/holder.go 's/peek\(ctx, s, s\.Node != h\.self\)/peek(ctx, s, false)/' $S 'NotSentAround'
 guard highest-alike internal/control/acceptor/slot.go 's/\t\tif !top\.Above\(s\) \{/\t\tif !top.Above(s) || true {/' ./internal/control/register 'HighestCopies'
