--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 	"postjunction/internal/proof/fleet"
 	"postjunction/internal/proof/history"
 	"postjunction/internal/settings"
@@ -34,7 +34,7 @@
 
 func run(args []string) error {
 	if len(args) == 0 || verbs[args[0]] == nil {
-		return problem.New(problem.Usage, "usage: fleet up|run [flags]; fleet up -h lists the flags")
+		return apierror.New(apierror.Usage, "usage: fleet up|run [flags]; fleet up -h lists the flags")
 	}
 	fs := flag.NewFlagSet("fleet "+args[0], flag.ContinueOnError)
 	bin := fs.String("bin", "", "postjunction `program`; without it one is built")
@@ -57,41 +57,41 @@
 	fs.IntVar(&d.Load.LiveTopics, "live", d.Load.LiveTopics, "`number` of live topics")
 	fs.DurationVar(&d.Load.Every, "every", d.Load.Every, "`time` between a caller's messages")
 	if err := fs.Parse(args[1:]); err != nil {
-		return problem.Wrap(problem.Usage, err, "fleet")
+		return apierror.Wrap(apierror.Usage, err, "fleet")
 	}
 	s, ok := fleet.Sites[*site]
 	if !ok {
-		return problem.New(problem.Usage, "there is no site %q; there are small, armor and traductores", *site)
+		return apierror.New(apierror.Usage, "there is no site %q; there are small, armor and traductores", *site)
 	}
 	for _, n := range strings.Split(*list, ",") {
 		if n != "" && !slices.Contains(fleet.FaultNames(), n) {
-			return problem.New(problem.Usage, "there is no fault %q; there are %s", n, strings.Join(fleet.FaultNames(), ", "))
+			return apierror.New(apierror.Usage, "there is no fault %q; there are %s", n, strings.Join(fleet.FaultNames(), ", "))
 		}
 		if n != "" {
 			d.Faults = append(d.Faults, n)
 		}
 	}
 	if d.Length < time.Second || d.Interval < 100*time.Millisecond || d.Load.Callers < 1 || d.Load.Topics < 1 || d.Load.LiveTopics < 0 || d.Load.Flood < 0 || d.Load.Every < time.Millisecond {
-		return problem.New(problem.Usage, "length is at least 1s, interval 100ms, every 1ms, callers and topics 1, live and flood 0")
+		return apierror.New(apierror.Usage, "length is at least 1s, interval 100ms, every 1ms, callers and topics 1, live and flood 0")
 	}
 	if *dir == "" {
 		t, err := os.MkdirTemp("", "postjunction-")
 		if err != nil {
-			return problem.Wrap(problem.Usage, err, "folder")
+			return apierror.Wrap(apierror.Usage, err, "folder")
 		}
 		*dir = t
 	}
 	full, err := filepath.Abs(*dir)
 	if err != nil {
-		return problem.Wrap(problem.Usage, err, "folder %s", *dir)
+		return apierror.Wrap(apierror.Usage, err, "folder %s", *dir)
 	}
 	if err := os.MkdirAll(full, 0o750); err != nil {
-		return problem.Wrap(problem.Usage, err, "folder %s", full)
+		return apierror.Wrap(apierror.Usage, err, "folder %s", full)
 	}
 	if *bin == "" {
 		*bin = filepath.Join(full, "postjunction")
 		if out, err := exec.Command("go", "build", "-o", *bin, "./cmd/postjunction").CombinedOutput(); err != nil {
-			return problem.Wrap(problem.Usage, err, "build: %s", out)
+			return apierror.Wrap(apierror.Usage, err, "build: %s", out)
 		}
 	}
 	f, err := fleet.New(*bin, full, s, *base, *direct, func(o *settings.Options) {
@@ -155,7 +155,7 @@
 		}
 	}
 	if len(r.Violations) > 0 {
-		return problem.New(problem.Internal, "%d violations of the never-list", len(r.Violations))
+		return apierror.New(apierror.Internal, "%d violations of the never-list", len(r.Violations))
 	}
 	return nil
 }
--- a/cmd/postjunction/main.go
+++ b/cmd/postjunction/main.go
@@ -10,10 +10,10 @@
 	"os"
 	"sort"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/command/caller"
 	"postjunction/internal/command/serve"
 	"postjunction/internal/node"
-	"postjunction/internal/problem"
 	"postjunction/platform"
 )
 
@@ -24,7 +24,7 @@
 		return
 	}
 	_, _ = fmt.Fprintf(os.Stderr, "postjunction: %v\n", err)
-	if problem.Has(err, problem.Usage) || problem.Has(err, problem.OptionsBad) {
+	if apierror.Has(err, apierror.Usage) || apierror.Has(err, apierror.OptionsBad) {
 		os.Exit(2)
 	}
 	os.Exit(1)
@@ -49,14 +49,14 @@
 func run(args []string, s caller.Streams) error {
 	if len(args) == 0 {
 		usage(s.Err)
-		return problem.New(problem.Usage, "a verb is needed")
+		return apierror.New(apierror.Usage, "a verb is needed")
 	}
 	if f, ok := own[args[0]]; ok {
 		return f(args[1:], s)
 	}
 	if _, ok := caller.Verbs[args[0]]; !ok {
 		usage(s.Err)
-		return problem.New(problem.Usage, "there is no verb %q", args[0])
+		return apierror.New(apierror.Usage, "there is no verb %q", args[0])
 	}
 	return caller.Run(context.Background(), args[0], args[1:], s)
 }
--- a/cmd/replay/main.go
+++ b/cmd/replay/main.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 	"postjunction/internal/proof/port"
 	"postjunction/internal/replay"
 	"postjunction/internal/replay/recording"
@@ -36,7 +36,7 @@
 
 func run(ctx context.Context, args []string) error {
 	if len(args) == 0 || verbs[args[0]] == nil {
-		return problem.New(problem.Usage, "usage: replay record|play|check [flags] FILE; replay play -h lists the flags")
+		return apierror.New(apierror.Usage, "usage: replay record|play|check [flags] FILE; replay play -h lists the flags")
 	}
 	var f flags
 	fs := flag.NewFlagSet("replay "+args[0], flag.ContinueOnError)
@@ -46,13 +46,13 @@
 	fs.DurationVar(&f.length, "length", time.Minute, "`time` to record")
 	fs.Float64Var(&f.speed, "speed", 1, "`times` as fast as recorded")
 	if err := fs.Parse(args[1:]); err != nil {
-		return problem.Wrap(problem.Usage, err, "replay")
+		return apierror.Wrap(apierror.Usage, err, "replay")
 	}
 	if fs.NArg() != 1 {
-		return problem.New(problem.Usage, "one file is needed; flags go first")
+		return apierror.New(apierror.Usage, "one file is needed; flags go first")
 	}
 	if f.speed <= 0 {
-		return problem.New(problem.Usage, "speed must be above 0, is %g", f.speed)
+		return apierror.New(apierror.Usage, "speed must be above 0, is %g", f.speed)
 	}
 	return verbs[args[0]](ctx, f, fs.Arg(0))
 }
@@ -63,15 +63,15 @@
 
 func record(ctx context.Context, f flags, file string) error {
 	if f.topics == "" {
-		return problem.New(problem.Usage, "topics are needed")
+		return apierror.New(apierror.Usage, "topics are needed")
 	}
 	o, err := os.OpenFile(file, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o640)
 	if err != nil {
-		return problem.Wrap(problem.Usage, err, "recording %s", file)
+		return apierror.Wrap(apierror.Usage, err, "recording %s", file)
 	}
 	n, err := replay.Record(ctx, node(f), f.visitor, strings.Split(f.topics, ","), f.length, o)
 	if err == nil {
-		err = problem.Wrap(problem.Usage, o.Close(), "recording %s", file)
+		err = apierror.Wrap(apierror.Usage, o.Close(), "recording %s", file)
 	}
 	fmt.Printf("recorded %d messages\n", n)
 	return err
@@ -80,7 +80,7 @@
 func read(file string) (recording.Header, []recording.Message, error) {
 	o, err := os.Open(file)
 	if err != nil {
-		return recording.Header{}, nil, problem.Wrap(problem.Usage, err, "recording %s", file)
+		return recording.Header{}, nil, apierror.Wrap(apierror.Usage, err, "recording %s", file)
 	}
 	defer func() { _ = o.Close() }()
 	return recording.Read(o)
--- a/internal/problem/catalogue.go
+++ b/internal/apierror/catalogue.go
@@ -1,4 +1,4 @@
-package problem
+package apierror
 
 import "time"
 
--- a/internal/problem/problem.go
+++ b/internal/apierror/problem.go
@@ -1,5 +1,5 @@
-// Package problem holds the typed failures of the project and the helper that wraps and names them.
-package problem
+// Package apierror holds the typed failures of the project and the helper that wraps and names them.
+package apierror
 
 import (
 	"errors"
--- a/internal/carrier/fan/feed.go
+++ b/internal/carrier/fan/feed.go
@@ -7,11 +7,11 @@
 	"sync"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/configuration"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/placement/assignment"
-	"postjunction/internal/problem"
 )
 
 type feed struct {
@@ -231,7 +231,7 @@
 		f.mu.Lock()
 		f.asking = false
 		if err == nil && a.Epoch < f.seen {
-			err = problem.New(problem.StaleEpoch, "epoch %d of partition %d has answered, this is %d", f.seen, f.p, a.Epoch)
+			err = apierror.New(apierror.StaleEpoch, "epoch %d of partition %d has answered, this is %d", f.seen, f.p, a.Epoch)
 		}
 		if err == nil && q.Boot == f.boot && a.Turn > 0 {
 			f.number = a.Turn
@@ -490,7 +490,7 @@
 		return
 	}
 	s.answered = true
-	s.Opened(0, problem.New(problem.CursorExpired, "messages of %s after offset %d are no longer held", s.Topic, after))
+	s.Opened(0, apierror.New(apierror.CursorExpired, "messages of %s after offset %d are no longer held", s.Topic, after))
 }
 
 // bear opens subscriptions that have waited for an owner at places that need none: the cursor they came with, or what this node has seen.
@@ -512,7 +512,7 @@
 		case age > despair*unit:
 			f.remove(s)
 			s.answered = true
-			s.Opened(0, problem.New(problem.NoOwner, "partition %d could not be followed in time", f.p))
+			s.Opened(0, apierror.New(apierror.NoOwner, "partition %d could not be followed in time", f.p))
 		}
 	}
 }
--- a/internal/carrier/fan/forget_test.go
+++ b/internal/carrier/fan/forget_test.go
@@ -12,12 +12,12 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/placement/assignment"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 )
 
@@ -173,7 +173,7 @@
 	case a := <-got:
 		return a, nil
 	case <-ctx.Done():
-		return nil, problem.Because(problem.Unreachable, ctx.Err(), "no answer")
+		return nil, apierror.Because(apierror.Unreachable, ctx.Err(), "no answer")
 	}
 }
 
--- a/internal/carrier/fan/marks_test.go
+++ b/internal/carrier/fan/marks_test.go
@@ -12,12 +12,12 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/placement/assignment"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 )
 
@@ -58,7 +58,7 @@
 	a, d := s.follow(q)
 	s.mu.Unlock()
 	if err := (clock.Real{}).Sleep(ctx, d); err != nil {
-		return nil, problem.Because(problem.Unreachable, err, "no answer in time")
+		return nil, apierror.Because(apierror.Unreachable, err, "no answer in time")
 	}
 	return a, nil
 }
@@ -73,10 +73,10 @@
 	}
 	s.mu.Unlock()
 	if err := (clock.Real{}).Sleep(ctx, d); err != nil {
-		return nil, problem.Because(problem.Unreachable, err, "no answer in time")
+		return nil, apierror.Because(apierror.Unreachable, err, "no answer in time")
 	}
 	if a == nil {
-		return nil, problem.New(problem.Unreachable, "the answer was lost")
+		return nil, apierror.New(apierror.Unreachable, "the answer was lost")
 	}
 	return a, nil
 }
--- a/internal/carrier/fan/slow_test.go
+++ b/internal/carrier/fan/slow_test.go
@@ -8,12 +8,12 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/placement/assignment"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 )
 
@@ -25,7 +25,7 @@
 
 func (s *thin) Follow(ctx context.Context, _ assignment.Record, q *owner.Want) (*owner.Told, error) {
 	if err := (clock.Real{}).Sleep(ctx, s.takes); err != nil {
-		return nil, problem.Because(problem.Unreachable, err, "no answer in time")
+		return nil, apierror.Because(apierror.Unreachable, err, "no answer in time")
 	}
 	last := s.back[len(s.back)-1].Offset
 	a := &owner.Told{Epoch: 1, Tail: last, Upto: last}
--- a/internal/carrier/feed/feed.go
+++ b/internal/carrier/feed/feed.go
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 )
 
@@ -128,7 +128,7 @@
 		return d, leave, nil
 	case <-ctx.Done():
 		leave()
-		return nil, nil, problem.New(problem.NoOwner, "partition %d could not be read in time", p)
+		return nil, nil, apierror.New(apierror.NoOwner, "partition %d could not be read in time", p)
 	}
 }
 
@@ -198,7 +198,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if r.Epoch < d.epoch {
-		return nil, problem.New(problem.NotOwner, "partition %d was read at epoch %d, after %d", d.p, r.Epoch, d.epoch)
+		return nil, apierror.New(apierror.NotOwner, "partition %d was read at epoch %d, after %d", d.p, r.Epoch, d.epoch)
 	}
 	d.epoch = r.Epoch
 	if r.Turn > 0 && boot == d.boot {
@@ -386,10 +386,10 @@
 		return Window{}, err
 	}
 	if r.Clean {
-		return Window{}, problem.New(problem.NotReady, "partition %d is being read anew", d.p)
+		return Window{}, apierror.New(apierror.NotReady, "partition %d is being read anew", d.p)
 	}
 	if r.Base > o {
-		return Window{}, problem.New(problem.CursorExpired, "partition %d is kept from offset %d on, the cursor is at %d", d.p, r.Base+1, o)
+		return Window{}, apierror.New(apierror.CursorExpired, "partition %d is kept from offset %d on, the cursor is at %d", d.p, r.Base+1, o)
 	}
 	return Window{r.Entries, era}, nil
 }
--- a/internal/command/caller/caller.go
+++ b/internal/command/caller/caller.go
@@ -14,8 +14,8 @@
 	"strconv"
 	"strings"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/plain"
-	"postjunction/internal/problem"
 	"postjunction/internal/usage"
 )
 
@@ -60,7 +60,7 @@
 			b, err = os.ReadFile(a[0])
 		}
 		if err != nil {
-			return problem.Wrap(problem.Usage, err, "description %s", a[0])
+			return apierror.Wrap(apierror.Usage, err, "description %s", a[0])
 		}
 		return call(ctx, s, w, http.MethodPut, "/v1/description", b)
 	}},
@@ -153,14 +153,14 @@
 		v.set(fs, w)
 	}
 	if err := fs.Parse(args); err != nil {
-		return problem.Wrap(problem.Usage, err, "%s", name)
+		return apierror.Wrap(apierror.Usage, err, "%s", name)
 	}
 	n := 0
 	if v.Args != "" {
 		n = 1
 	}
 	if fs.NArg() != n {
-		return problem.New(problem.Usage, "%s takes %d arguments (%s), was given %d; flags go first", name, n, v.Args, fs.NArg())
+		return apierror.New(apierror.Usage, "%s takes %d arguments (%s), was given %d; flags go first", name, n, v.Args, fs.NArg())
 	}
 	return v.run(ctx, s, w, fs.Args())
 }
@@ -168,7 +168,7 @@
 func post(ctx context.Context, s Streams, w *want, path string, doc any) error {
 	b, err := plain.JSON(doc)
 	if err != nil {
-		return problem.Wrap(problem.Malformed, err, "the body is no JSON value")
+		return apierror.Wrap(apierror.Malformed, err, "the body is no JSON value")
 	}
 	return call(ctx, s, w, http.MethodPost, path, b)
 }
@@ -176,31 +176,31 @@
 func open(ctx context.Context, w *want, method, path string, b []byte) (*http.Response, error) {
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+w.at+path, bytes.NewReader(b))
 	if err != nil {
-		return nil, problem.Wrap(problem.Usage, err, "address %s", w.at)
+		return nil, apierror.Wrap(apierror.Usage, err, "address %s", w.at)
 	}
 	if w.token != "" {
 		r.Header.Set("Authorization", "Bearer "+w.token)
 	}
 	a, err := http.DefaultClient.Do(r)
-	return a, problem.Wrap(problem.Unreachable, err, "node at %s", w.at)
+	return a, apierror.Wrap(apierror.Unreachable, err, "node at %s", w.at)
 }
 
 func turned(a *http.Response, b []byte) error {
 	var p struct {
-		Code   problem.Kind    `json:"code"`
-		Say    string          `json:"say"`
-		Advice string          `json:"advice"`
-		Faults []problem.Fault `json:"faults"`
-		Retry  int64           `json:"retry_after_ms"`
+		Code   apierror.Kind    `json:"code"`
+		Say    string           `json:"say"`
+		Advice string           `json:"advice"`
+		Faults []apierror.Fault `json:"faults"`
+		Retry  int64            `json:"retry_after_ms"`
 	}
 	if json.Unmarshal(b, &p) != nil || p.Code == "" {
-		return problem.New(problem.Internal, "the node answered %s", a.Status)
+		return apierror.New(apierror.Internal, "the node answered %s", a.Status)
 	}
 	s := p.Say
 	for _, f := range p.Faults {
 		s += "\n  " + f.Place + ": " + f.Say
 	}
-	q := problem.New(p.Code, "%s\n%s", s, p.Advice)
+	q := apierror.New(p.Code, "%s\n%s", s, p.Advice)
 	q.RetryMS = p.Retry
 	return q
 }
@@ -213,7 +213,7 @@
 	defer func() { _ = a.Body.Close() }()
 	got, err := io.ReadAll(a.Body)
 	if err != nil {
-		return problem.Wrap(problem.Unreachable, err, "the answer broke off")
+		return apierror.Wrap(apierror.Unreachable, err, "the answer broke off")
 	}
 	if a.StatusCode != http.StatusOK {
 		return turned(a, got)
@@ -225,7 +225,7 @@
 	}
 	out.WriteByte('\n')
 	_, err = out.WriteTo(s.Out)
-	return problem.Wrap(problem.Usage, err, "write the answer")
+	return apierror.Wrap(apierror.Usage, err, "write the answer")
 }
 
 func export(ctx context.Context, s Streams, w *want, _ []string) error {
@@ -238,7 +238,7 @@
 			return err
 		}
 		if err := json.Unmarshal(b.Bytes(), &a); err != nil {
-			return problem.Wrap(problem.Malformed, err, "usage")
+			return apierror.Wrap(apierror.Malformed, err, "usage")
 		}
 	}
 	return usage.Write(s.Out, w.format, a.Usage)
@@ -262,7 +262,7 @@
 	sc.Buffer(nil, 4<<20)
 	for n := 0; sc.Scan(); {
 		if _, err := s.Out.Write(append(sc.Bytes(), '\n')); err != nil {
-			return problem.Wrap(problem.Usage, err, "write a line")
+			return apierror.Wrap(apierror.Usage, err, "write a line")
 		}
 		var l struct {
 			Topic     string `json:"topic"`
@@ -275,5 +275,5 @@
 			return nil
 		}
 	}
-	return problem.Wrap(problem.Unreachable, sc.Err(), "the stream broke off")
+	return apierror.Wrap(apierror.Unreachable, sc.Err(), "the stream broke off")
 }
--- a/internal/command/caller/visit.go
+++ b/internal/command/caller/visit.go
@@ -10,9 +10,9 @@
 	"sync"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/plain"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 	"postjunction/internal/visitor/visit"
 )
@@ -32,13 +32,13 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	_, err := d.c.Write(append(b, '\n'))
-	return problem.Wrap(problem.Unreachable, err, "the connection broke off")
+	return apierror.Wrap(apierror.Unreachable, err, "the connection broke off")
 }
 
 func (d *desk) task(m map[string]any) error {
 	b, err := plain.JSON(m)
 	if err != nil {
-		return problem.Wrap(problem.Malformed, err, "the task is no JSON value")
+		return apierror.Wrap(apierror.Malformed, err, "the task is no JSON value")
 	}
 	return d.say(b)
 }
@@ -49,7 +49,7 @@
 	defer stop()
 	c, err := (&net.Dialer{}).DialContext(ctx, "tcp", w.at)
 	if err != nil {
-		return problem.Wrap(problem.Unreachable, err, "node at %s", w.at)
+		return apierror.Wrap(apierror.Unreachable, err, "node at %s", w.at)
 	}
 	defer func() { _ = c.Close() }()
 	d := &desk{c: c}
@@ -71,7 +71,7 @@
 			return nil
 		}
 		if err != nil {
-			return problem.Wrap(problem.Unreachable, err, "the connection broke off")
+			return apierror.Wrap(apierror.Unreachable, err, "the connection broke off")
 		}
 		var l struct {
 			What visit.What `json:"what"`
@@ -81,7 +81,7 @@
 		}
 		n++
 		if _, err := s.Out.Write(b); err != nil {
-			return problem.Wrap(problem.Usage, err, "write a line")
+			return apierror.Wrap(apierror.Usage, err, "write a line")
 		}
 	}
 	return nil
--- a/internal/command/serve/patience.go
+++ b/internal/command/serve/patience.go
@@ -11,9 +11,9 @@
 
 	"context"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/event"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 )
 
@@ -61,10 +61,10 @@
 	ended  bool
 }
 
-var lasting = map[problem.Kind]bool{problem.DiskFull: true, problem.DiskFailed: true}
+var lasting = map[apierror.Kind]bool{apierror.DiskFull: true, apierror.DiskFailed: true}
 
 func passing(err error) bool {
-	return problem.Has(err, problem.Held)
+	return apierror.Has(err, apierror.Held)
 }
 
 func patient[T any](p *patience, f func() (T, error)) (T, error) {
@@ -75,7 +75,7 @@
 		if err == nil {
 			return x, nil
 		}
-		k := problem.Of(err).Kind
+		k := apierror.Of(err).Kind
 		if !lasting[k] && (!passing(err) || p.clk.Now().Sub(begun) > p.bounds.Recovery) {
 			return x, err
 		}
@@ -112,9 +112,9 @@
 	}
 	l, err := c.Listen(context.Background(), "tcp", d.Address)
 	if errors.Is(err, syscall.EADDRINUSE) {
-		return nil, problem.Wrap(problem.Held, err, "%s %s", d.Field, d.Address)
+		return nil, apierror.Wrap(apierror.Held, err, "%s %s", d.Field, d.Address)
 	}
-	return l, problem.Wrap(problem.OptionsBad, err, "%s %s", d.Field, d.Address)
+	return l, apierror.Wrap(apierror.OptionsBad, err, "%s %s", d.Field, d.Address)
 }
 
 // serve serves a door, and opens its port again should it break.
@@ -124,7 +124,7 @@
 		if err == nil || errors.Is(err, http.ErrServerClosed) || p.over() {
 			return
 		}
-		p.log.Say(event.ServeFailed, "problem", problem.Wrap(problem.Internal, err, "serve on %s", d.Address))
+		p.log.Say(event.ServeFailed, "problem", apierror.Wrap(apierror.Internal, err, "serve on %s", d.Address))
 		_ = l.Close()
 		for {
 			_ = p.clk.Sleep(context.Background(), p.bounds.Retry())
--- a/internal/command/serve/process_test.go
+++ b/internal/command/serve/process_test.go
@@ -17,9 +17,9 @@
 	"github.com/hashicorp/go-hclog"
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/event"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 )
 
@@ -119,8 +119,8 @@
 
 // A port that stays held ends the start after the recovery bound; a disk that takes no writes never does; what can't pass does at once.
 func TestPatience(t *testing.T) {
-	for k, want := range map[problem.Kind]time.Duration{
-		problem.Held: settings.DefaultBounds.Recovery, problem.DiskFull: time.Hour, problem.DiskFailed: time.Hour, problem.OptionsBad: 0, problem.DiskForeign: 0,
+	for k, want := range map[apierror.Kind]time.Duration{
+		apierror.Held: settings.DefaultBounds.Recovery, apierror.DiskFull: time.Hour, apierror.DiskFailed: time.Hour, apierror.OptionsBad: 0, apierror.DiskForeign: 0,
 	} {
 		t.Run(string(k), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -129,8 +129,8 @@
 				end := time.AfterFunc(time.Hour, func() { close(stop) })
 				defer end.Stop()
 				at := time.Now()
-				_, err := patient(p, func() (int, error) { return 0, problem.New(k, "not now") })
-				assert.Assert(t, problem.Has(err, k))
+				_, err := patient(p, func() (int, error) { return 0, apierror.New(k, "not now") })
+				assert.Assert(t, apierror.Has(err, k))
 				got := time.Since(at)
 				assert.Assert(t, got >= want && got <= want+settings.DefaultBounds.Retry(), "%s", got)
 			})
@@ -170,12 +170,12 @@
 		close(done)
 	}()
 	<-b.served
-	b.fail <- problem.New(problem.Internal, "broken")
+	b.fail <- apierror.New(apierror.Internal, "broken")
 	second := <-b.served
 	assert.Equal(t, second.Addr().String(), a)
 	assert.Equal(t, l.count(event.ServeFailed), 1)
 	p.end()
-	b.fail <- problem.New(problem.Internal, "broken")
+	b.fail <- apierror.New(apierror.Internal, "broken")
 	<-done
 	assert.NilError(t, second.Close())
 }
--- a/internal/command/serve/serve.go
+++ b/internal/command/serve/serve.go
@@ -17,12 +17,12 @@
 
 	"github.com/hashicorp/go-hclog"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/door"
 	"postjunction/internal/door/lines"
 	"postjunction/internal/event"
 	"postjunction/internal/node"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 
 	"postjunction/internal/disk/walog"
@@ -41,10 +41,10 @@
 	fs.SetOutput(out)
 	bind(fs)
 	if err := fs.Parse(args); err != nil {
-		return o, path, problem.Wrap(problem.Usage, err, "serve")
+		return o, path, apierror.Wrap(apierror.Usage, err, "serve")
 	}
 	if fs.NArg() > 0 {
-		return o, path, problem.New(problem.Usage, "serve takes no argument %q", fs.Arg(0))
+		return o, path, apierror.New(apierror.Usage, "serve takes no argument %q", fs.Arg(0))
 	}
 	where := "flags"
 	if path != "" {
@@ -57,7 +57,7 @@
 		fs.SetOutput(io.Discard)
 		bind(fs)
 		if err := fs.Parse(args); err != nil {
-			return o, path, problem.Wrap(problem.Usage, err, "serve")
+			return o, path, apierror.Wrap(apierror.Usage, err, "serve")
 		}
 	}
 	return o, path, settings.Problem(where, o.Check())
@@ -127,7 +127,7 @@
 		defer release()
 		g, err := patient(p, func() (*walog.Log, error) {
 			g, err := walog.Open(o.Data)
-			if problem.Has(err, problem.DiskDamaged) {
+			if apierror.Has(err, apierror.DiskDamaged) {
 				log.Say(event.DiskDamaged, "problem", err)
 				err = g.SetAside()
 			}
@@ -240,18 +240,18 @@
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		_ = f.Close()
-		return nil, problem.Wrap(problem.Held, err, "data folder %s is in use by another process", dir)
+		return nil, apierror.Wrap(apierror.Held, err, "data folder %s is in use by another process", dir)
 	}
 	return func() { _ = f.Close() }, nil
 }
 
 // folder tells a disk that takes no writes from a folder that can't be one.
 func folder(err error, dir string) error {
-	k := problem.DiskFailed
+	k := apierror.DiskFailed
 	if errors.Is(err, os.ErrPermission) || errors.Is(err, syscall.ENOTDIR) || errors.Is(err, syscall.EROFS) {
-		k = problem.OptionsBad
+		k = apierror.OptionsBad
 	}
-	return problem.Wrap(k, err, "data folder %s", dir)
+	return apierror.Wrap(k, err, "data folder %s", dir)
 }
 
 // threads is how many threads may run Go code: one core is not one thread, since the thread that waits for a sync of the disk keeps its place
--- a/internal/command/serve/serve_test.go
+++ b/internal/command/serve/serve_test.go
@@ -8,7 +8,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 	"postjunction/internal/settings"
 )
 
@@ -50,7 +50,7 @@
 			}
 		}
 		assert.Equal(t, got, want)
-		assert.Assert(t, problem.Has(err, problem.OptionsBad))
+		assert.Assert(t, apierror.Has(err, apierror.OptionsBad))
 	}
 }
 
--- a/internal/configuration/description.go
+++ b/internal/configuration/description.go
@@ -10,8 +10,8 @@
 
 	"github.com/mailru/easyjson"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/configuration/strictjson"
-	"postjunction/internal/problem"
 )
 
 // Limits of a description. BytesMost bounds a document that is read and a source, PackedMost both together as they are kept;
@@ -69,25 +69,25 @@
 func Parse(b []byte) (Description, error) {
 	var d Description
 	if len(b) > BytesMost {
-		return d, problem.New(problem.Oversize, "the description has %d bytes, the limit is %d", len(b), BytesMost)
+		return d, apierror.New(apierror.Oversize, "the description has %d bytes, the limit is %d", len(b), BytesMost)
 	}
 	f, err := strictjson.Check(b, shape)
 	if err != nil {
 		return d, err
 	}
 	if len(f) > 0 {
-		more := slices.DeleteFunc(lenient(b), func(m problem.Fault) bool {
-			return slices.ContainsFunc(f, func(o problem.Fault) bool { return o.Place == m.Place })
+		more := slices.DeleteFunc(lenient(b), func(m apierror.Fault) bool {
+			return slices.ContainsFunc(f, func(o apierror.Fault) bool { return o.Place == m.Place })
 		})
 		return d, Bad(append(f, more...))
 	}
 	if err := easyjson.Unmarshal(b, &d); err != nil {
-		return d, Bad([]problem.Fault{{Place: "$", Say: err.Error()}})
+		return d, Bad([]apierror.Fault{{Place: "$", Say: err.Error()}})
 	}
 	return d, Bad(d.Faults())
 }
 
-func lenient(b []byte) []problem.Fault {
+func lenient(b []byte) []apierror.Fault {
 	type loose struct {
 		Name       string   `json:"name"`
 		Kind       string   `json:"kind"`
@@ -119,19 +119,19 @@
 }
 
 // Bad makes one problem of faults, none of none.
-func Bad(f []problem.Fault) error {
+func Bad(f []apierror.Fault) error {
 	if len(f) == 0 {
 		return nil
 	}
-	return problem.New(problem.DescriptionBad, "the first fault is at %s: %s", f[0].Place, f[0].Say).With(f)
+	return apierror.New(apierror.DescriptionBad, "the first fault is at %s: %s", f[0].Place, f[0].Say).With(f)
 }
 
 // Faults finds every fault of a description by itself.
-func (d Description) Faults() []problem.Fault {
-	var f []problem.Fault
+func (d Description) Faults() []apierror.Fault {
+	var f []apierror.Fault
 	add := func(ok bool, place, say string, a ...any) {
 		if !ok {
-			f = append(f, problem.Fault{Place: place, Say: fmt.Sprintf(say, a...)})
+			f = append(f, apierror.Fault{Place: place, Say: fmt.Sprintf(say, a...)})
 		}
 	}
 	add(d.Sequence == 0 || d.Sequence > d.Base, "$.sequence", "must be above base (%d) or left out, is %d", d.Base, d.Sequence)
@@ -183,17 +183,17 @@
 }
 
 // mixed finds spaces of which one may hold a topic of the other, now or once that one is gone, with another urgency.
-func (d Description) mixed() []problem.Fault {
+func (d Description) mixed() []apierror.Fault {
 	var in prefixes[int]
 	for i, s := range d.Spaces {
 		in.add(s.path(), i)
 	}
-	var f []problem.Fault
+	var f []apierror.Fault
 	for i, s := range d.Spaces {
 		in.each(s.path(), func(_ string, k int) bool {
 			o := d.Spaces[k]
 			if o.Urgent != s.Urgent {
-				f = append(f, problem.Fault{Place: fmt.Sprintf("$.spaces[%d].urgent", i), Say: fmt.Sprintf("must be that of %q, whose topics those of %q are a part of", o.Name, s.Name)})
+				f = append(f, apierror.Fault{Place: fmt.Sprintf("$.spaces[%d].urgent", i), Say: fmt.Sprintf("must be that of %q, whose topics those of %q are a part of", o.Name, s.Name)})
 				return false
 			}
 			return true
@@ -234,10 +234,10 @@
 	for _, s := range cur.Spaces {
 		was[s.path()] = s
 	}
-	var f []problem.Fault
+	var f []apierror.Fault
 	for i, s := range d.Spaces {
 		if o, ok := was[s.path()]; ok && o.Urgent != s.Urgent {
-			f = append(f, problem.Fault{Place: fmt.Sprintf("$.spaces[%d].urgent", i), Say: fmt.Sprintf("of the standing space %q can't change; make a new space", o.Name)})
+			f = append(f, apierror.Fault{Place: fmt.Sprintf("$.spaces[%d].urgent", i), Say: fmt.Sprintf("of the standing space %q can't change; make a new space", o.Name)})
 		}
 	}
 	return Bad(f)
--- a/internal/configuration/lanes.go
+++ b/internal/configuration/lanes.go
@@ -6,7 +6,7 @@
 	"maps"
 	"slices"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 )
 
 // LanesMost is how many lanes are kept one by one.
@@ -116,9 +116,9 @@
 	if d.StandingLanes {
 		return nil
 	}
-	var f []problem.Fault
+	var f []apierror.Fault
 	for _, l := range d.KeptLanes() {
-		f = append(f, problem.Fault{Place: fmt.Sprintf("$.spaces[%d].urgent", l.space), Say: fmt.Sprintf("must be %v, where the lines of %q stand, or standing_lanes be true", l.Urgent, l.Prefix)})
+		f = append(f, apierror.Fault{Place: fmt.Sprintf("$.spaces[%d].urgent", l.space), Say: fmt.Sprintf("must be %v, where the lines of %q stand, or standing_lanes be true", l.Urgent, l.Prefix)})
 	}
 	return Bad(f)
 }
--- a/internal/configuration/retired.go
+++ b/internal/configuration/retired.go
@@ -6,7 +6,7 @@
 	"maps"
 	"strings"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 )
 
 // RetiredMost is how many removed spaces are kept one by one.
@@ -41,7 +41,7 @@
 	if len(b) == 0 {
 		return r, nil
 	}
-	return r, problem.Wrap(problem.Internal, json.Unmarshal(b, &r), "read the removed spaces")
+	return r, apierror.Wrap(apierror.Internal, json.Unmarshal(b, &r), "read the removed spaces")
 }
 
 // Pack writes the removed spaces.
@@ -93,10 +93,10 @@
 			return true
 		})
 	}
-	var f []problem.Fault
+	var f []apierror.Fault
 	for i, s := range d.Spaces {
 		if say, ok := faults[s.path()]; ok {
-			f = append(f, problem.Fault{Place: fmt.Sprintf("$.spaces[%d].urgent", i), Say: say})
+			f = append(f, apierror.Fault{Place: fmt.Sprintf("$.spaces[%d].urgent", i), Say: say})
 		}
 	}
 	return r.add(d, cur), Bad(append(f, r.full()...))
@@ -126,9 +126,9 @@
 	return more
 }
 
-func (r Retired) full() []problem.Fault {
+func (r Retired) full() []apierror.Fault {
 	if len(r) <= RetiredMost {
 		return nil
 	}
-	return []problem.Fault{{Place: "$.spaces", Say: fmt.Sprintf("would make %d removed urgent spaces, %d can be kept; keep some or bring some back", len(r)-1, RetiredMost-1)}}
+	return []apierror.Fault{{Place: "$.spaces", Say: fmt.Sprintf("would make %d removed urgent spaces, %d can be kept; keep some or bring some back", len(r)-1, RetiredMost-1)}}
 }
--- a/internal/configuration/strictjson/strict.go
+++ b/internal/configuration/strictjson/strict.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"io"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 )
 
 // Shape says what a value must be.
@@ -31,17 +31,17 @@
 
 type walker struct {
 	d *json.Decoder
-	f []problem.Fault
+	f []apierror.Fault
 }
 
 const faultsMost = 100
 
 // Check gives every fault of a document against a shape; an error means that it is no JSON at all.
-func Check(b []byte, s Shape) ([]problem.Fault, error) {
+func Check(b []byte, s Shape) ([]apierror.Fault, error) {
 	w := &walker{d: json.NewDecoder(bytes.NewReader(b))}
 	w.d.UseNumber()
 	if err := w.value("$", &s); err != nil {
-		return nil, problem.Wrap(problem.Malformed, err, "the document breaks off or is no JSON at byte %d", w.d.InputOffset())
+		return nil, apierror.Wrap(apierror.Malformed, err, "the document breaks off or is no JSON at byte %d", w.d.InputOffset())
 	}
 	if _, err := w.d.Token(); err != io.EOF {
 		w.add("$", "something follows the document")
@@ -51,7 +51,7 @@
 
 func (w *walker) add(place, say string, a ...any) {
 	if len(w.f) < faultsMost {
-		w.f = append(w.f, problem.Fault{Place: place, Say: fmt.Sprintf(say, a...)})
+		w.f = append(w.f, apierror.Fault{Place: place, Say: fmt.Sprintf(say, a...)})
 	}
 }
 
--- a/internal/control/acceptor/voter.go
+++ b/internal/control/acceptor/voter.go
@@ -6,10 +6,10 @@
 	"net/http"
 	"sync"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/control/voters"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/kinds"
-	"postjunction/internal/problem"
 	"postjunction/internal/turn"
 )
 
@@ -57,14 +57,14 @@
 	if r.Kind == kinds.Slot {
 		var s slotRec
 		if err := json.Unmarshal(r.Body, &s); err != nil {
-			return problem.Wrap(problem.DiskDamaged, err, "read a slot")
+			return apierror.Wrap(apierror.DiskDamaged, err, "read a slot")
 		}
 		v.slots[s.Key] = s.Slot
 		return nil
 	}
 	var s rosterRec
 	if err := json.Unmarshal(r.Body, &s); err != nil {
-		return problem.Wrap(problem.DiskDamaged, err, "read a roster")
+		return apierror.Wrap(apierror.DiskDamaged, err, "read a roster")
 	}
 	v.roster, v.founding = s.Roster, s.Founding
 	if s.Clear {
@@ -127,7 +127,7 @@
 
 func (v *Voter) disk(inc string) error {
 	if inc != v.incarnation {
-		return problem.New(problem.WrongDisk, "this disk is %s, not %s", v.incarnation, inc)
+		return apierror.New(apierror.WrongDisk, "this disk is %s, not %s", v.incarnation, inc)
 	}
 	return nil
 }
@@ -139,10 +139,10 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.roster.Sequence != b.Roster || b.Roster == 0 {
-		return Slot{}, problem.New(problem.StaleRoster, "the ballot is under roster %d, this voter under %d", b.Roster, v.roster.Sequence).At(v.roster.Sequence)
+		return Slot{}, apierror.New(apierror.StaleRoster, "the ballot is under roster %d, this voter under %d", b.Roster, v.roster.Sequence).At(v.roster.Sequence)
 	}
 	if v.sealed() && b.Key != RosterKey {
-		return Slot{}, problem.New(problem.StaleRoster, "roster %d is sealed", v.roster.Sequence).At(v.roster.Sequence)
+		return Slot{}, apierror.New(apierror.StaleRoster, "roster %d is sealed", v.roster.Sequence).At(v.roster.Sequence)
 	}
 	return v.slots[b.Key], nil
 }
@@ -237,10 +237,10 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.roster.Sequence != q.Roster || q.Roster == 0 || v.sealed() && !q.Sealed {
-		return nil, problem.New(problem.StaleRoster, "the peek is under roster %d, this voter under %d", q.Roster, v.roster.Sequence).At(v.roster.Sequence)
+		return nil, apierror.New(apierror.StaleRoster, "the peek is under roster %d, this voter under %d", q.Roster, v.roster.Sequence).At(v.roster.Sequence)
 	}
 	if q.Sealed && !v.sealed() {
-		return nil, problem.New(problem.StaleRoster, "roster %d is not sealed here", v.roster.Sequence)
+		return nil, apierror.New(apierror.StaleRoster, "roster %d is not sealed here", v.roster.Sequence)
 	}
 	a := &PeekResponse{Slots: map[string]Slot{}}
 	add := func(k string, s Slot) {
@@ -272,15 +272,15 @@
 	v.mu.Unlock()
 	if cur.Sequence >= q.Roster.Sequence {
 		if cur.Fleet != q.Roster.Fleet {
-			return nil, problem.New(problem.DiskForeign, "this disk is of fleet %s", cur.Fleet)
+			return nil, apierror.New(apierror.DiskForeign, "this disk is of fleet %s", cur.Fleet)
 		}
 		return &Done{}, nil
 	}
 	if q.Founding && (f == nil || f.Fleet != q.Roster.Fleet) {
-		return nil, problem.New(problem.StaleRoster, "another founding was agreed to since")
+		return nil, apierror.New(apierror.StaleRoster, "another founding was agreed to since")
 	}
 	if cur.Sequence > 0 && cur.Fleet != q.Roster.Fleet {
-		return nil, problem.New(problem.DiskForeign, "this disk is of fleet %s", cur.Fleet)
+		return nil, apierror.New(apierror.DiskForeign, "this disk is of fleet %s", cur.Fleet)
 	}
 	slots := make(map[string]Slot, len(q.Slots))
 	rs := []journal.Rec{rec(kinds.Roster, rosterRec{Roster: q.Roster, Clear: true})}
@@ -312,7 +312,7 @@
 	}
 	defer t.Back()
 	if cur := v.Roster(); cur.Sequence > 0 {
-		return nil, problem.New(problem.StaleRoster, "this disk is under roster %d already", cur.Sequence).At(cur.Sequence)
+		return nil, apierror.New(apierror.StaleRoster, "this disk is under roster %d already", cur.Sequence).At(cur.Sequence)
 	}
 	if err := v.agree(q.Roster); err != nil {
 		return nil, err
--- a/internal/control/quorumread/confirm.go
+++ b/internal/control/quorumread/confirm.go
@@ -7,6 +7,7 @@
 	"sync"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/configuration"
 	"postjunction/internal/control/acceptor"
@@ -16,7 +17,6 @@
 	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
 	"postjunction/internal/nodelease"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 
@@ -154,7 +154,7 @@
 func (f *Confirmer) reach(as peeks, majority int) {
 	n := 0
 	for _, a := range as {
-		if !problem.Has(a.Err, problem.Unreachable) {
+		if !apierror.Has(a.Err, apierror.Unreachable) {
 			n++
 		}
 	}
--- a/internal/control/quorumread/confirm_test.go
+++ b/internal/control/quorumread/confirm_test.go
@@ -11,22 +11,22 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/register"
 	"postjunction/internal/control/voters"
 	"postjunction/internal/gossip"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 )
 
 // voterSet are three disks that answer questions as they are told to.
 type voterSet struct {
 	mu  sync.Mutex
-	say map[string]problem.Kind
+	say map[string]apierror.Kind
 }
 
-func (v *voterSet) set(addr string, k problem.Kind) {
+func (v *voterSet) set(addr string, k apierror.Kind) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.say[addr] = k
@@ -36,14 +36,14 @@
 	v.mu.Lock()
 	k := v.say[q.URL.Host]
 	v.mu.Unlock()
-	if k == problem.Unreachable {
+	if k == apierror.Unreachable {
 		<-q.Context().Done()
 		return nil, q.Context().Err()
 	}
 	m := http.NewServeMux()
 	acceptor.Peek.Handle(m, func(context.Context, *acceptor.PeekRequest) (*acceptor.PeekResponse, error) {
 		if k != "" {
-			return nil, problem.New(k, "so")
+			return nil, apierror.New(k, "so")
 		}
 		return &acceptor.PeekResponse{Slots: map[string]acceptor.Slot{Key: {}}}, nil
 	})
@@ -65,22 +65,22 @@
 		b, bounds := gossip.NewBoard(nil), settings.DefaultBounds
 		r := voters.Found([]voters.Seat{{Node: "c1", Addr: "c1"}, {Node: "c2", Addr: "c2"}, {Node: "c3", Addr: "c3"}}, voters.Layout{Routine: 1})
 		b.Offer(gossip.News{Roster: &r})
-		v := &voterSet{say: map[string]problem.Kind{}}
+		v := &voterSet{say: map[string]apierror.Kind{}}
 		h := register.New("c1", v, clock.Real{}, bounds, peers{b}, func(string, acceptor.Value) {})
 		f := &Confirmer{Self: "c1", Net: v, Clock: clock.Real{}, Bounds: bounds, Board: b, Holder: h}
 		assert.Assert(t, !f.Latest().Apart)
 		go f.Run(ctx)
 		for _, x := range []struct {
 			name  string
-			say   map[string]problem.Kind
+			say   map[string]apierror.Kind
 			apart bool
 		}{
 			{"all answer", nil, false},
-			{"one is silent", map[string]problem.Kind{"c3": problem.Unreachable}, false},
-			{"two are silent", map[string]problem.Kind{"c2": problem.Unreachable, "c3": problem.Unreachable}, true},
+			{"one is silent", map[string]apierror.Kind{"c3": apierror.Unreachable}, false},
+			{"two are silent", map[string]apierror.Kind{"c2": apierror.Unreachable, "c3": apierror.Unreachable}, true},
 			{"all are back", nil, false},
-			{"the roster changes", map[string]problem.Kind{"c1": problem.StaleRoster, "c2": problem.StaleRoster, "c3": problem.StaleRoster}, false},
-			{"it changes and two are silent", map[string]problem.Kind{"c1": problem.StaleRoster, "c2": problem.Unreachable, "c3": problem.Unreachable}, true},
+			{"the roster changes", map[string]apierror.Kind{"c1": apierror.StaleRoster, "c2": apierror.StaleRoster, "c3": apierror.StaleRoster}, false},
+			{"it changes and two are silent", map[string]apierror.Kind{"c1": apierror.StaleRoster, "c2": apierror.Unreachable, "c3": apierror.Unreachable}, true},
 		} {
 			for _, n := range []string{"c1", "c2", "c3"} {
 				v.set(n, x.say[n])
@@ -91,7 +91,7 @@
 		v.set("c2", "")
 		time.Sleep(bounds.Call() + 2*bounds.Heartbeat())
 		assert.Assert(t, !f.Latest().Apart)
-		v.set("c2", problem.Unreachable)
+		v.set("c2", apierror.Unreachable)
 		time.Sleep(bounds.Apart())
 		assert.Assert(t, !f.Latest().Apart, "too soon")
 		time.Sleep(2 * bounds.Heartbeat())
--- a/internal/control/reconfig/reform.go
+++ b/internal/control/reconfig/reform.go
@@ -5,11 +5,11 @@
 	"context"
 	"encoding/json"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/epoch"
 	"postjunction/internal/control/voters"
 	"postjunction/internal/gather"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
@@ -50,7 +50,7 @@
 		return len(gather.Good(as)) >= next.Majority()
 	})
 	if n := len(gather.Good(as)); n < next.Majority() {
-		return voters.Roster{}, problem.Because(problem.NoMajority, gather.First(as), "roster %d was opened on %d of %d disks", next.Sequence, n, len(next.Seats))
+		return voters.Roster{}, apierror.Because(apierror.NoMajority, gather.First(as), "roster %d was opened on %d of %d disks", next.Sequence, n, len(next.Seats))
 	}
 	return next, nil
 }
@@ -79,7 +79,7 @@
 	next := want
 	if !top.Accepted.Zero() {
 		if err := json.Unmarshal(top.Value.Body, &next); err != nil {
-			return voters.Roster{}, problem.Wrap(problem.DiskDamaged, err, "read the next roster")
+			return voters.Roster{}, apierror.Wrap(apierror.DiskDamaged, err, "read the next roster")
 		}
 	}
 	b, _ := json.Marshal(next)
@@ -108,11 +108,11 @@
 
 func (f *Reformer) short(r voters.Roster, as []gather.Answer[voters.Seat, *acceptor.SlotResponse], verb string) error {
 	for _, a := range as {
-		if problem.Has(a.Err, problem.StaleRoster) {
+		if apierror.Has(a.Err, apierror.StaleRoster) {
 			return a.Err
 		}
 	}
-	return problem.Because(problem.NoMajority, gather.First(as), "%d of %d disks %s a change of roster %d", f.ok(as), len(r.Seats), verb, r.Sequence)
+	return apierror.Because(apierror.NoMajority, gather.First(as), "%d of %d disks %s a change of roster %d", f.ok(as), len(r.Seats), verb, r.Sequence)
 }
 
 func (f *Reformer) copy(ctx context.Context, r voters.Roster) (map[string]acceptor.Slot, error) {
@@ -124,7 +124,7 @@
 		return acceptor.Peek.Call(cx, f.net, f.self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Sealed: true})
 	}, enough)
 	if !enough(as) {
-		return nil, problem.Because(problem.NoMajority, gather.First(as), "%d of the %d intact disks needed gave their keys", len(gather.Good(as)), r.Intact())
+		return nil, apierror.Because(apierror.NoMajority, gather.First(as), "%d of the %d intact disks needed gave their keys", len(gather.Good(as)), r.Intact())
 	}
 	copies := map[string][]acceptor.Slot{}
 	for _, a := range gather.Good(as) {
@@ -158,5 +158,5 @@
 		_, err = acceptor.Open.Call(cx, f.net, f.self, late.Addr, &acceptor.OpenRequest{Incarnation: late.Incarnation, Roster: r, Slots: a.Slots})
 		return err
 	}
-	return problem.New(problem.NoMajority, "no seat could give its keys to %s", late.Node)
+	return apierror.New(apierror.NoMajority, "no seat could give its keys to %s", late.Node)
 }
--- a/internal/control/reconfigurer/steward.go
+++ b/internal/control/reconfigurer/steward.go
@@ -10,6 +10,7 @@
 	"strings"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/control/bootstrap"
 	"postjunction/internal/control/reconfig"
@@ -19,7 +20,6 @@
 	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
 	"postjunction/internal/membership"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 )
 
@@ -276,7 +276,7 @@
 	s.Log.Say(event.RosterChange, "from", r.Sequence, "reason", why)
 	n, err := s.Reformer.Change(ctx, r, want)
 	if err != nil {
-		if !problem.Has(err, problem.StaleRoster) {
+		if !apierror.Has(err, apierror.StaleRoster) {
 			s.Log.Say(event.RosterTrouble, "problem", err)
 		}
 		return
--- a/internal/control/register/holder_test.go
+++ b/internal/control/register/holder_test.go
@@ -10,12 +10,12 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/epoch"
 	"postjunction/internal/control/voters"
 	"postjunction/internal/gather"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 )
 
@@ -57,7 +57,7 @@
 	m := http.NewServeMux()
 	Who.Handle(m, func(context.Context, *WhoRequest) (*WhoResponse, error) {
 		if c.who == nil {
-			return nil, problem.New(problem.Unreachable, "c2 does not answer")
+			return nil, apierror.New(apierror.Unreachable, "c2 does not answer")
 		}
 		return c.who, nil
 	})
@@ -96,7 +96,7 @@
 				synctest.Wait()
 				assert.Equal(t, h.Holds("k"), x.claim, "%v", err)
 				assert.Equal(t, c.promised.Load() > 0, x.claim, "promises that were asked for")
-				assert.Equal(t, problem.Has(err, problem.NotHolder), !x.claim, "%v", err)
+				assert.Equal(t, apierror.Has(err, apierror.NotHolder), !x.claim, "%v", err)
 				assert.Equal(t, h.Holder("k"), x.hint)
 			})
 		})
@@ -126,7 +126,7 @@
 			*v = held{epoch: mine, seen: mine, roster: net.Roster().Sequence, sure: true, hint: "c1", value: acceptor.Value{Writes: 4}}
 		})
 		_, err := h.change(t.Context(), &ChangeRequest{Key: "k", Base: 7}, false, true)
-		assert.Assert(t, problem.Has(err, problem.NotHolder), "%v", err)
+		assert.Assert(t, apierror.Has(err, apierror.NotHolder), "%v", err)
 		assert.Assert(t, !h.Holds("k"))
 	})
 }
--- a/internal/control/registerclient/client.go
+++ b/internal/control/registerclient/client.go
@@ -9,10 +9,10 @@
 	"slices"
 	"sync"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/register"
 	"postjunction/internal/membership"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
@@ -96,7 +96,7 @@
 		case <-hx.Done():
 			halt()
 			if ctx.Err() != nil {
-				see(problem.Because(problem.Unreachable, ctx.Err(), "no control node answered in time"), open)
+				see(apierror.Because(apierror.Unreachable, ctx.Err(), "no control node answered in time"), open)
 				return a, false
 			}
 			ask()
@@ -109,7 +109,7 @@
 func Once[Q, A any](ctx context.Context, c *Client, p *wire.Procedure[Q, A], q *Q) (sent bool, err error) {
 	ns := c.nodes()
 	if c.local != nil || len(ns) == 0 {
-		return false, problem.New(problem.Unreachable, "no control node to hand it to")
+		return false, apierror.New(apierror.Unreachable, "no control node to hand it to")
 	}
 	cx, stop := context.WithTimeout(ctx, c.bounds.Call())
 	defer stop()
@@ -126,7 +126,7 @@
 
 // Read gives a key's current value.
 func (c *Client) Read(ctx context.Context, key string) (acceptor.Value, error) {
-	err := error(problem.New(problem.NotFounded, "no control node is known"))
+	err := error(apierror.New(apierror.NotFounded, "no control node is known"))
 	if c.local != nil {
 		var v *acceptor.Value
 		if v, err = c.local.Read(ctx, &register.ReadRequest{Key: key}); err == nil {
@@ -145,7 +145,7 @@
 	return acceptor.Value{}, err
 }
 
-var settled = map[problem.Kind]bool{problem.StaleBase: true}
+var settled = map[apierror.Kind]bool{apierror.StaleBase: true}
 
 // Change writes a key on its base. After an unclear answer the same change is asked of the next
 // control node, which knows it by name; a stale base after an unclear answer stays unclear.
@@ -155,19 +155,19 @@
 
 // Write makes a change as Change does.
 func (c *Client) Write(ctx context.Context, q *register.ChangeRequest) (acceptor.Value, error) {
-	err := error(problem.New(problem.NotFounded, "no control node is known"))
+	err := error(apierror.New(apierror.NotFounded, "no control node is known"))
 	doubt := false
 	see := func(e error, open int) bool {
 		err = e
-		p := problem.Of(e)
+		p := apierror.Of(e)
 		doubt = doubt || open > 0
 		if settled[p.Kind] {
 			if doubt {
-				err = problem.New(problem.NoMajority, "%s changed after an unclear answer", q.Key)
+				err = apierror.New(apierror.NoMajority, "%s changed after an unclear answer", q.Key)
 			}
 			return true
 		}
-		doubt = doubt || p.Kind == problem.NoMajority || p.Kind == problem.Unreachable
+		doubt = doubt || p.Kind == apierror.NoMajority || p.Kind == apierror.Unreachable
 		return ctx.Err() != nil
 	}
 	if c.local != nil {
@@ -185,8 +185,8 @@
 	if ok {
 		return *v, nil
 	}
-	if doubt && !problem.Has(err, problem.NoMajority) {
-		err = problem.Wrap(problem.NoMajority, problem.New(problem.NoMajority, "%v", err), "the outcome of writing %s is not known", q.Key)
+	if doubt && !apierror.Has(err, apierror.NoMajority) {
+		err = apierror.Wrap(apierror.NoMajority, apierror.New(apierror.NoMajority, "%v", err), "the outcome of writing %s is not known", q.Key)
 	}
 	return acceptor.Value{}, err
 }
--- a/internal/disk/frame/frame.go
+++ b/internal/disk/frame/frame.go
@@ -5,7 +5,7 @@
 	"encoding/binary"
 	"hash/crc32"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 )
 
 // Format is the sequence number of the disk format: 1 had bodies in JSON, 2 has the ledger's in CBOR, and writes it anew in slices.
@@ -51,16 +51,16 @@
 // Unpack reads a frame and checks its sum, its format and its index.
 func Unpack(i uint64, b []byte) (Frame, error) {
 	if len(b) < Size {
-		return Frame{}, problem.New(problem.DiskDamaged, "record %d has %d bytes, fewer than its header", i, len(b))
+		return Frame{}, apierror.New(apierror.DiskDamaged, "record %d has %d bytes, fewer than its header", i, len(b))
 	}
 	if binary.LittleEndian.Uint32(b) != crc32.Checksum(b[4:], table) {
-		return Frame{}, problem.New(problem.DiskDamaged, "record %d fails its checksum", i)
+		return Frame{}, apierror.New(apierror.DiskDamaged, "record %d fails its checksum", i)
 	}
 	if binary.LittleEndian.Uint16(b[4:]) != magic {
-		return Frame{}, problem.New(problem.DiskForeign, "record %d is not one of postjunction's", i)
+		return Frame{}, apierror.New(apierror.DiskForeign, "record %d is not one of postjunction's", i)
 	}
 	if b[6] > Format {
-		return Frame{}, problem.New(problem.DiskNewer, "record %d has format %d, this build knows %d", i, b[6], Format)
+		return Frame{}, apierror.New(apierror.DiskNewer, "record %d has format %d, this build knows %d", i, b[6], Format)
 	}
 	f := Frame{
 		Kind:   uint16(b[7]),
@@ -71,7 +71,7 @@
 		Body:   b[Size:],
 	}
 	if f.Index != i {
-		return Frame{}, problem.New(problem.DiskDamaged, "record %d says that it is %d", i, f.Index)
+		return Frame{}, apierror.New(apierror.DiskDamaged, "record %d says that it is %d", i, f.Index)
 	}
 	return f, nil
 }
--- a/internal/disk/identity/identity.go
+++ b/internal/disk/identity/identity.go
@@ -8,9 +8,9 @@
 	"encoding/json"
 	"sync"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/kinds"
-	"postjunction/internal/problem"
 )
 
 // Identity names a disk.
@@ -30,7 +30,7 @@
 func (p *Part) Restore(r journal.Rec) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return problem.Wrap(problem.DiskDamaged, json.Unmarshal(r.Body, &p.id), "read the identity of the disk")
+	return apierror.Wrap(apierror.DiskDamaged, json.Unmarshal(r.Body, &p.id), "read the identity of the disk")
 }
 
 func (p *Part) rec(i Identity) journal.Rec {
@@ -56,7 +56,7 @@
 // Check turns a disk away that belongs to another node.
 func (p *Part) Check(node string) error {
 	if i := p.Get(); i.Node != "" && i.Node != node {
-		return problem.New(problem.DiskForeign, "the data folder is node %s's, the settings name %s", i.Node, node)
+		return apierror.New(apierror.DiskForeign, "the data folder is node %s's, the settings name %s", i.Node, node)
 	}
 	return nil
 }
@@ -87,7 +87,7 @@
 		return nil
 	}
 	if i.Fleet != "" {
-		return problem.New(problem.DiskForeign, "the data folder is of fleet %s, this fleet is %s", i.Fleet, fleet)
+		return apierror.New(apierror.DiskForeign, "the data folder is of fleet %s, this fleet is %s", i.Fleet, fleet)
 	}
 	i.Fleet = fleet
 	return j.Put(ctx, true, func() { p.set(i) }, p.rec(i))
--- a/internal/disk/journal/anew.go
+++ b/internal/disk/journal/anew.go
@@ -3,9 +3,9 @@
 import (
 	"context"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/disk/frame"
 	"postjunction/internal/kinds"
-	"postjunction/internal/problem"
 )
 
 // Slice gives some of a part's live records as they are now, and whether more are to come. Restored after all that the log held when it was
@@ -205,7 +205,7 @@
 	j.mu.Lock()
 	if j.closed {
 		j.mu.Unlock()
-		return 0, 0, problem.New(problem.Stopped, "the journal was stopped")
+		return 0, 0, apierror.New(apierror.Stopped, "the journal was stopped")
 	}
 	j.scrubs = append(j.scrubs, c)
 	j.mu.Unlock()
@@ -214,6 +214,6 @@
 	case err := <-c.done:
 		return c.records, c.rotten, err
 	case <-ctx.Done():
-		return 0, 0, problem.Because(problem.DiskFailed, ctx.Err(), "the disk did not answer in time")
+		return 0, 0, apierror.Because(apierror.DiskFailed, ctx.Err(), "the disk did not answer in time")
 	}
 }
--- a/internal/disk/journal/journal.go
+++ b/internal/disk/journal/journal.go
@@ -5,10 +5,10 @@
 	"sync"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/disk/frame"
 	"postjunction/internal/kinds"
-	"postjunction/internal/problem"
 	"postjunction/internal/turn"
 )
 
@@ -111,7 +111,7 @@
 			f, err = frame.Unpack(i, b)
 		}
 		if err != nil {
-			if problem.Has(err, problem.DiskNewer) || problem.Has(err, problem.DiskForeign) {
+			if apierror.Has(err, apierror.DiskNewer) || apierror.Has(err, apierror.DiskForeign) {
 				return nil, 0, 0, err
 			}
 			if bad == 0 {
@@ -125,10 +125,10 @@
 		}
 	}
 	if bad != 0 && bad <= mark {
-		return nil, bad, mark, problem.Wrap(problem.DiskDamaged, cause, "record %d is damaged though synced up to %d", bad, mark)
+		return nil, bad, mark, apierror.Wrap(apierror.DiskDamaged, cause, "record %d is damaged though synced up to %d", bad, mark)
 	}
 	if bad == 0 && last < mark {
-		return nil, last + 1, mark, problem.New(problem.DiskDamaged, "the log ends at %d though synced up to %d", last, mark)
+		return nil, last + 1, mark, apierror.New(apierror.DiskDamaged, "the log ends at %d though synced up to %d", last, mark)
 	}
 	return fs, bad, last, nil
 }
@@ -149,7 +149,7 @@
 
 func (j *Journal) load() (Report, error) {
 	fs, bad, last, err := j.scan()
-	if problem.Has(err, problem.DiskDamaged) {
+	if apierror.Has(err, apierror.DiskDamaged) {
 		r := Report{Damaged: true, Cause: err}
 		if err := j.log.SetAside(); err != nil {
 			return r, err
@@ -212,7 +212,7 @@
 	ls := j.lanes
 	j.lanes = [2][]put{}
 	j.mu.Unlock()
-	gone := problem.New(problem.Stopped, "the journal was stopped")
+	gone := apierror.New(apierror.Stopped, "the journal was stopped")
 	for _, l := range ls {
 		for _, p := range l {
 			p.end(gone)
@@ -320,7 +320,7 @@
 		return err
 	}
 	if last < j.mark {
-		return problem.New(problem.DiskDamaged, "the log ends at %d though synced up to %d", last, j.mark)
+		return apierror.New(apierror.DiskDamaged, "the log ends at %d though synced up to %d", last, j.mark)
 	}
 	if last > j.mark {
 		if err := j.log.CutBack(j.mark); err != nil {
@@ -391,7 +391,7 @@
 	if j.closed {
 		j.mu.Unlock()
 		p.end(nil)
-		return problem.New(problem.Stopped, "the journal was stopped")
+		return apierror.New(apierror.Stopped, "the journal was stopped")
 	}
 	j.lanes[k] = append(j.lanes[k], p)
 	j.mu.Unlock()
@@ -400,7 +400,7 @@
 	case err := <-p.done:
 		return err
 	case <-ctx.Done():
-		return problem.Because(problem.DiskFailed, ctx.Err(), "the disk did not answer in time")
+		return apierror.Because(apierror.DiskFailed, ctx.Err(), "the disk did not answer in time")
 	}
 }
 
--- a/internal/disk/journal/room.go
+++ b/internal/disk/journal/room.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/disk/frame"
 	"postjunction/internal/kinds"
-	"postjunction/internal/problem"
 )
 
 // room is how much of a bounded disk the journal takes. Writing anew needs place for the live records beside the old ones, so it comes
@@ -76,7 +76,7 @@
 	if len(out) == 0 {
 		return ps
 	}
-	err := problem.New(problem.DiskFull, "the journal takes %d of the %d bytes that the settings give it", j.room.used, j.room.most)
+	err := apierror.New(apierror.DiskFull, "the journal takes %d of the %d bytes that the settings give it", j.room.used, j.room.most)
 	j.room.tight = true
 	j.mu.Lock()
 	j.fault = err
--- a/internal/disk/memlog/memlog.go
+++ b/internal/disk/memlog/memlog.go
@@ -4,7 +4,7 @@
 import (
 	"sync"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 )
 
 // Disk outlives the logs that are opened on it.
@@ -105,10 +105,10 @@
 		if first == d.first+uint64(len(d.recs)) && len(recs) > 0 {
 			d.recs = append(d.recs, recs[0][:len(recs[0])/2])
 		}
-		return problem.New(problem.DiskFull, "no space is left on the simulated disk")
+		return apierror.New(apierror.DiskFull, "no space is left on the simulated disk")
 	}
 	if first != d.first+uint64(len(d.recs)) {
-		return problem.New(problem.DiskFailed, "index %d does not follow %d", first, d.first+uint64(len(d.recs))-1)
+		return apierror.New(apierror.DiskFailed, "index %d does not follow %d", first, d.first+uint64(len(d.recs))-1)
 	}
 	for _, r := range recs {
 		d.recs = append(d.recs, append([]byte(nil), r...))
@@ -131,7 +131,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if i < d.first || i >= d.first+uint64(len(d.recs)) {
-		return nil, problem.New(problem.OutOfRange, "record %d is not on the disk", i)
+		return nil, apierror.New(apierror.OutOfRange, "record %d is not on the disk", i)
 	}
 	return d.recs[i-d.first], nil
 }
--- a/internal/disk/walog/walog.go
+++ b/internal/disk/walog/walog.go
@@ -13,7 +13,7 @@
 
 	"github.com/tidwall/wal"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 )
 
 // Log is one tidwall/wal folder with a side file that notes the last synced index.
@@ -33,13 +33,13 @@
 	prefix     = binary.MaxVarintLen64
 )
 
-var byErrno = map[syscall.Errno]problem.Kind{
-	syscall.ENOSPC: problem.DiskFull,
-	syscall.EDQUOT: problem.DiskFull,
-	syscall.EFBIG:  problem.DiskFull,
+var byErrno = map[syscall.Errno]apierror.Kind{
+	syscall.ENOSPC: apierror.DiskFull,
+	syscall.EDQUOT: apierror.DiskFull,
+	syscall.EFBIG:  apierror.DiskFull,
 }
 
-func kindOf(err error) problem.Kind {
+func kindOf(err error) apierror.Kind {
 	var n syscall.Errno
 	if errors.As(err, &n) {
 		if k, ok := byErrno[n]; ok {
@@ -47,12 +47,12 @@
 		}
 	}
 	if errors.Is(err, wal.ErrCorrupt) {
-		return problem.DiskDamaged
+		return apierror.DiskDamaged
 	}
-	return problem.DiskFailed
+	return apierror.DiskFailed
 }
 
-func wrap(err error, say string) error { return problem.Wrap(kindOf(err), err, "%s", say) }
+func wrap(err error, say string) error { return apierror.Wrap(kindOf(err), err, "%s", say) }
 
 // Open opens or makes the log in dir, cutting a short last record.
 func Open(dir string) (*Log, error) {
@@ -151,7 +151,7 @@
 // Write appends records from index first on; they are not durable yet.
 func (l *Log) Write(first uint64, recs [][]byte) error {
 	if l.log == nil {
-		return problem.New(problem.DiskFailed, "the journal is closed")
+		return apierror.New(apierror.DiskFailed, "the journal is closed")
 	}
 	var b wal.Batch
 	for i, r := range recs {
@@ -164,7 +164,7 @@
 // Sync makes all that was written durable, folder entries of new segments included.
 func (l *Log) Sync() error {
 	if l.log == nil {
-		return problem.New(problem.DiskFailed, "the journal is closed")
+		return apierror.New(apierror.DiskFailed, "the journal is closed")
 	}
 	if err := l.log.Sync(); err != nil {
 		return wrap(err, "sync the journal")
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -15,9 +15,9 @@
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/golden"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/event"
 	_ "postjunction/internal/node" // names all calls
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
@@ -67,7 +67,7 @@
 }
 
 func TestProblemCatalogue(t *testing.T) {
-	m := problem.Kinds()
+	m := apierror.Kinds()
 	var ks []string
 	for k := range m {
 		ks = append(ks, string(k))
@@ -76,7 +76,7 @@
 	var b strings.Builder
 	b.WriteString("\n| code | status | what to do |\n|---|---|---|\n")
 	for _, k := range ks {
-		status, advice, _ := strings.Cut(m[problem.Kind(k)], " ")
+		status, advice, _ := strings.Cut(m[apierror.Kind(k)], " ")
 		fmt.Fprintf(&b, "| `%s` | %s | %s |\n", k, status, advice)
 	}
 	b.WriteString("\n")
--- a/internal/door/door.go
+++ b/internal/door/door.go
@@ -9,11 +9,11 @@
 	"net/http"
 	"strconv"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/configuration"
 	"postjunction/internal/configuration/strictjson"
 	"postjunction/internal/operator"
 	"postjunction/internal/plain"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 	"postjunction/internal/visitor"
 	"postjunction/internal/visitor/token"
@@ -55,7 +55,7 @@
 	d.add("/v1/partition", map[string]call{"GET": d.partition})
 	d.add("/v1/why", map[string]call{"GET": d.why})
 	d.mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		Turn(w, problem.New(problem.UnknownPath, "there is no %s", r.URL.Path))
+		Turn(w, apierror.New(apierror.UnknownPath, "there is no %s", r.URL.Path))
 	})
 	return d.mux
 }
@@ -67,7 +67,7 @@
 			for k := range m {
 				w.Header().Add("Allow", k)
 			}
-			Turn(w, problem.New(problem.WrongMethod, "%s is not a method of %s", r.Method, path))
+			Turn(w, apierror.New(apierror.WrongMethod, "%s is not a method of %s", r.Method, path))
 			return
 		}
 		a, err := f(w, r)
@@ -89,17 +89,17 @@
 }
 
 type turned struct {
-	Code    problem.Kind    `json:"code"`
-	Say     string          `json:"say"`
-	Advice  string          `json:"advice"`
-	Faults  []problem.Fault `json:"faults,omitempty"`
-	Current *uint64         `json:"current,omitempty"`
-	RetryMS int64           `json:"retry_after_ms,omitempty"`
+	Code    apierror.Kind    `json:"code"`
+	Say     string           `json:"say"`
+	Advice  string           `json:"advice"`
+	Faults  []apierror.Fault `json:"faults,omitempty"`
+	Current *uint64          `json:"current,omitempty"`
+	RetryMS int64            `json:"retry_after_ms,omitempty"`
 }
 
 // Turn writes a problem as the answer.
 func Turn(w http.ResponseWriter, err error) {
-	p := problem.Of(err)
+	p := apierror.Of(err)
 	if p.RetryMS > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(float64(p.RetryMS)/1000))))
 	}
@@ -110,9 +110,9 @@
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
 	var big *http.MaxBytesError
 	if errors.As(err, &big) {
-		return nil, problem.New(problem.Oversize, "the document is larger than %d bytes", most)
+		return nil, apierror.New(apierror.Oversize, "the document is larger than %d bytes", most)
 	}
-	return b, problem.Wrap(problem.Malformed, err, "the document could not be read whole")
+	return b, apierror.Wrap(apierror.Malformed, err, "the document could not be read whole")
 }
 
 func document(w http.ResponseWriter, r *http.Request, s strictjson.Shape, v any) error {
@@ -125,9 +125,9 @@
 		return err
 	}
 	if len(f) > 0 {
-		return problem.New(problem.DocumentFaulty, "the first fault is at %s: %s", f[0].Place, f[0].Say).With(f)
+		return apierror.New(apierror.DocumentFaulty, "the first fault is at %s: %s", f[0].Place, f[0].Say).With(f)
 	}
-	return problem.Wrap(problem.Malformed, json.Unmarshal(b, v), "the document could not be read")
+	return apierror.Wrap(apierror.Malformed, json.Unmarshal(b, v), "the document could not be read")
 }
 
 func object(needed []string, fields map[string]string) strictjson.Shape {
@@ -224,7 +224,7 @@
 	}
 	for k := range r.URL.Query() {
 		if !ok[k] {
-			return problem.New(problem.DocumentFaulty, "%q is not a parameter of %s", k, r.URL.Path)
+			return apierror.New(apierror.DocumentFaulty, "%q is not a parameter of %s", k, r.URL.Path)
 		}
 	}
 	return nil
@@ -293,7 +293,7 @@
 	q := r.URL.Query()
 	n, err := strconv.ParseUint(q.Get("call_seq"), 10, 64)
 	if err != nil {
-		return nil, problem.New(problem.Malformed, "call_seq must be a number from 1, is %q", q.Get("call_seq"))
+		return nil, apierror.New(apierror.Malformed, "call_seq must be a number from 1, is %q", q.Get("call_seq"))
 	}
 	return d.Operators.Why(r.Context(), q.Get("visitor"), q.Get("topic"), n)
 }
--- a/internal/door/lines/lines.go
+++ b/internal/door/lines/lines.go
@@ -10,8 +10,8 @@
 	"sync/atomic"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
-	"postjunction/internal/problem"
 	"postjunction/internal/visitor/visit"
 )
 
@@ -347,5 +347,5 @@
 
 // Malformed is a fault of a line that can't be read.
 func Malformed(sure bool, say string, a ...any) *Fault {
-	return &Fault{Problem: problem.New(problem.Malformed, say, a...), Sure: sure}
+	return &Fault{Problem: apierror.New(apierror.Malformed, say, a...), Sure: sure}
 }
--- a/internal/door/lines/nobody.go
+++ b/internal/door/lines/nobody.go
@@ -1,7 +1,7 @@
 package lines
 
 import (
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 	"postjunction/internal/visitor/visit"
 )
 
@@ -19,7 +19,7 @@
 		a.out(visit.Answer{What: visit.Alive})
 		return
 	}
-	a.out(visit.Answer{What: visit.Turned, Re: t.Verb, Topic: t.Topic, Call: t.Call, Err: problem.New(problem.NotReady, "nobody serves visits here")})
+	a.out(visit.Answer{What: visit.Turned, Re: t.Verb, Topic: t.Topic, Call: t.Call, Err: apierror.New(apierror.NotReady, "nobody serves visits here")})
 }
 
 // End does nothing.
--- a/internal/door/lines/plain/plain.go
+++ b/internal/door/lines/plain/plain.go
@@ -6,10 +6,10 @@
 	"bytes"
 	"encoding/json"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/configuration/strictjson"
 	"postjunction/internal/door/lines"
 	"postjunction/internal/plain"
-	"postjunction/internal/problem"
 	"postjunction/internal/visitor/visit"
 )
 
@@ -41,7 +41,7 @@
 	Address string          `json:"address,omitempty"`
 	Already bool            `json:"already,omitempty"`
 	GivenUp []string        `json:"given_up,omitempty"`
-	Code    problem.Kind    `json:"code,omitempty"`
+	Code    apierror.Kind   `json:"code,omitempty"`
 	Say     string          `json:"say,omitempty"`
 	Advice  string          `json:"advice,omitempty"`
 	Current *uint64         `json:"current,omitempty"`
@@ -105,14 +105,14 @@
 		return t, &lines.Fault{Problem: err, Sure: true}
 	}
 	if len(f) > 0 {
-		return t, &lines.Fault{Problem: problem.New(problem.Malformed, "%s: %s", f[0].Place, f[0].Say).With(f), Sure: true}
+		return t, &lines.Fault{Problem: apierror.New(apierror.Malformed, "%s: %s", f[0].Place, f[0].Say).With(f), Sure: true}
 	}
 	if q.Key != nil && t.Key == "" {
 		return t, lines.Malformed(true, "$.key: is empty")
 	}
 	if len(q.Body) > body {
 		t.Body = nil
-		return t, &lines.Fault{Problem: problem.New(problem.Oversize, "the body has %d bytes, the limit is %d", len(q.Body), body), Sure: true}
+		return t, &lines.Fault{Problem: apierror.New(apierror.Oversize, "the body has %d bytes, the limit is %d", len(q.Body), body), Sure: true}
 	}
 	return t, nil
 }
@@ -127,12 +127,12 @@
 		x.Body = value(a.Body)
 	}
 	if a.Err != nil {
-		p := problem.Of(a.Err)
+		p := apierror.Of(a.Err)
 		x.Code, x.Say, x.Advice, x.Current, x.RetryMS = p.Kind, p.Say, p.Advice(), p.Current, p.RetryMS
 	}
 	l, err := plain.JSON(x)
 	if err != nil {
-		l, _ = plain.JSON(answer{What: visit.Turned, Re: a.Re, Topic: a.Topic, Call: a.Call, Code: problem.Internal})
+		l, _ = plain.JSON(answer{What: visit.Turned, Re: a.Re, Topic: a.Topic, Call: a.Call, Code: apierror.Internal})
 	}
 	return append(append(b, l...), '\n')
 }
--- a/internal/door/lines/plain/plain_test.go
+++ b/internal/door/lines/plain/plain_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/golden"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/door/lines"
-	"postjunction/internal/problem"
 	"postjunction/internal/visitor/visit"
 )
 
@@ -27,14 +27,14 @@
 		{What: visit.Left, Topic: "a/b"},
 		{What: visit.Counted, Topic: "a/b"},
 		{What: visit.Alive},
-		{What: visit.Turned, Re: visit.Send, Topic: "a/b", Call: 9, Err: problem.New(problem.Overloaded, "64 wait")},
+		{What: visit.Turned, Re: visit.Send, Topic: "a/b", Call: 9, Err: apierror.New(apierror.Overloaded, "64 wait")},
 		{What: visit.Turned, Re: visit.Join, Topic: "a/b", Err: io.EOF},
 		{What: visit.Moved, Address: "127.0.0.1:7400"},
 		{What: visit.Message, Topic: "a/b", Cursor: "c4", From: "v1", Call: 10, Body: []byte(`1`), Key: "k1", Partition: 3, Offset: 9},
 		{What: visit.Withdrawn, Topic: "a/b", Cursor: "c5", From: "v1", Call: 11, Key: "k1", Partition: 3, Offset: 10},
 		{What: visit.Forgotten, Topic: "a/b", Call: 11, Key: "k1"},
 		{What: visit.Forgotten, Topic: "a/b", Call: 12, Key: "k1", Already: true, GivenUp: []string{"a3"}},
-		{What: visit.Turned, Re: visit.Withdraw, Topic: "a/b", Call: 13, Key: "k1", GivenUp: []string{"a3"}, Err: problem.New(problem.WithdrawalOpen, "a2")},
+		{What: visit.Turned, Re: visit.Withdraw, Topic: "a/b", Call: 13, Key: "k1", GivenUp: []string{"a3"}, Err: apierror.New(apierror.WithdrawalOpen, "a2")},
 	} {
 		b = Codec{}.Append(b, a)
 	}
--- a/internal/door/lines/read.go
+++ b/internal/door/lines/read.go
@@ -6,7 +6,7 @@
 	"errors"
 	"io"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 )
 
 // Line reads one line of at most most bytes without its end, LF or CRLF. It is valid until the next read. A longer line is skipped and is
@@ -31,7 +31,7 @@
 	}
 	b = bytes.TrimSuffix(b[:len(b)-1], []byte("\r"))
 	if len(b) > most {
-		return nil, &Fault{Problem: problem.New(problem.Oversize, "the line is longer than %d bytes", most), Sure: true}
+		return nil, &Fault{Problem: apierror.New(apierror.Oversize, "the line is longer than %d bytes", most), Sure: true}
 	}
 	return b, nil
 }
@@ -42,7 +42,7 @@
 // Body reads n bytes and the line's end after them, CRLF. A body longer than most is skipped and is a fault.
 func Body(r *bufio.Reader, n, most int) ([]byte, error) {
 	if n > most {
-		long := &Fault{Problem: problem.New(problem.Oversize, "the body has %d bytes, the limit is %d", n, most), Sure: true}
+		long := &Fault{Problem: apierror.New(apierror.Oversize, "the body has %d bytes, the limit is %d", n, most), Sure: true}
 		if n/skipShare > most {
 			long.Sure = false
 			return nil, long
--- a/internal/door/paper.go
+++ b/internal/door/paper.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 	"time"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 )
 
 // paper takes the lines of a stream. Once it is cut nothing goes to the visitor any more, and a write under way ends.
@@ -27,12 +27,12 @@
 	_ = p.c.SetWriteDeadline(time.Now().Add(p.most))
 	if p.gone.Load() {
 		p.cut()
-		return problem.New(problem.SlowReader, "the stream was cut off")
+		return apierror.New(apierror.SlowReader, "the stream was cut off")
 	}
 	if _, err := p.w.Write(b); err != nil {
-		return problem.Wrap(problem.SlowReader, err, "write a line")
+		return apierror.Wrap(apierror.SlowReader, err, "write a line")
 	}
-	return problem.Wrap(problem.SlowReader, p.c.Flush(), "flush a line")
+	return apierror.Wrap(apierror.SlowReader, p.c.Flush(), "flush a line")
 }
 
 func (p *paper) cut() {
--- a/internal/gather/gather_test.go
+++ b/internal/gather/gather_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 )
 
 // A seal that nobody answered in time once came back as no answers and no error, and passed for a majority.
@@ -24,6 +24,6 @@
 	assert.Equal(t, len(as), 3)
 	assert.Assert(t, len(Good(as)) <= 1)
 	assert.Assert(t, First(as) != nil)
-	assert.Assert(t, problem.Because(problem.NoMajority, nil, "x") != nil)
-	assert.NilError(t, problem.Wrap(problem.NoMajority, nil, "x"))
+	assert.Assert(t, apierror.Because(apierror.NoMajority, nil, "x") != nil)
+	assert.NilError(t, apierror.Wrap(apierror.NoMajority, nil, "x"))
 }
--- a/internal/ledger/desk/desk.go
+++ b/internal/ledger/desk/desk.go
@@ -7,13 +7,13 @@
 	"net/http"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/membership"
 	"postjunction/internal/partition"
 	"postjunction/internal/placement/assignment"
-	"postjunction/internal/problem"
 	"postjunction/internal/samza/state"
 	"postjunction/internal/settings"
 	"postjunction/internal/wire"
@@ -133,7 +133,7 @@
 func (d *Desk) place(q *owner.Task) (int, error) {
 	x := d.Board.Index()
 	if x.Sequence < q.Description {
-		return 0, problem.New(problem.NotReady, "the call was let in under description %d, this node has %d", q.Description, x.Sequence)
+		return 0, apierror.New(apierror.NotReady, "the call was let in under description %d, this node has %d", q.Description, x.Sequence)
 	}
 	s, err := x.Find(q.Topic)
 	if err != nil {
@@ -241,14 +241,14 @@
 	d.serveFans(m)
 }
 
-var elsewhere = map[problem.Kind]bool{
-	problem.NotOwner: true, problem.NotReady: true, problem.Unreachable: true, problem.OutcomeUnknown: true,
-	problem.Leaving: true, problem.StaleEpoch: true, problem.Unlicensed: true, problem.Stopped: true,
+var elsewhere = map[apierror.Kind]bool{
+	apierror.NotOwner: true, apierror.NotReady: true, apierror.Unreachable: true, apierror.OutcomeUnknown: true,
+	apierror.Leaving: true, apierror.StaleEpoch: true, apierror.Unlicensed: true, apierror.Stopped: true,
 }
 
-var unclear = map[problem.Kind]bool{problem.Unreachable: true, problem.OutcomeUnknown: true, problem.Internal: true}
+var unclear = map[apierror.Kind]bool{apierror.Unreachable: true, apierror.OutcomeUnknown: true, apierror.Internal: true}
 
-var final = map[problem.Kind]bool{problem.CallAltered: true, problem.CallPassed: true, problem.CallForgotten: true, problem.TokenFenced: true, problem.Malformed: true, problem.KeyUnknown: true}
+var final = map[apierror.Kind]bool{apierror.CallAltered: true, apierror.CallPassed: true, apierror.CallForgotten: true, apierror.TokenFenced: true, apierror.Malformed: true, apierror.KeyUnknown: true}
 
 // handOver has a task done by the partition's owner, wherever that is. It tries again while something may come of it: at once after news of the record,
 // and else for a call's time after the last such news. When the node knows that nobody can decide for now, it says so after one more look.
@@ -267,11 +267,11 @@
 		if err == nil {
 			return a, nil
 		}
-		k := problem.Of(err).Kind
+		k := apierror.Of(err).Kind
 		doubt = doubt || unclear[k]
-		if !elsewhere[k] && k != problem.NoOwner {
+		if !elsewhere[k] && k != apierror.NoOwner {
 			if doubt && !final[k] {
-				return nil, problem.Wrap(problem.OutcomeUnknown, problem.New(problem.OutcomeUnknown, "%v", err), "partition %d", p)
+				return nil, apierror.Wrap(apierror.OutcomeUnknown, apierror.New(apierror.OutcomeUnknown, "%v", err), "partition %d", p)
 			}
 			return nil, err
 		}
@@ -301,26 +301,26 @@
 }
 
 // soon are the problems of a partition that is on its way from one owner to another, which takes milliseconds: pauses begin short.
-var soon = map[problem.Kind]bool{problem.NotOwner: true, problem.NotReady: true, problem.Leaving: true, problem.StaleEpoch: true}
+var soon = map[apierror.Kind]bool{apierror.NotOwner: true, apierror.NotReady: true, apierror.Leaving: true, apierror.StaleEpoch: true}
 
 const soonShare = 32
 
 // looks is how often a problem is met, without news of the record in between, before a call is given up.
-var looks = map[problem.Kind]int{problem.NoOwner: 2, problem.Unreachable: 3}
+var looks = map[apierror.Kind]int{apierror.NoOwner: 2, apierror.Unreachable: 3}
 
 // surrender is the answer to a call that this node has given up on, with the time to come back.
 func (d *Desk) surrender(p int, doubt bool, err error) error {
-	k := problem.NoOwner
+	k := apierror.NoOwner
 	if doubt {
-		k = problem.OutcomeUnknown
+		k = apierror.OutcomeUnknown
 	}
-	x := problem.New(k, "partition %d could not decide: %v", p, err)
+	x := apierror.New(k, "partition %d could not decide: %v", p, err)
 	return x.After(clock.Jitter(2*d.Bounds.Retry(), 1, rand.Float64()).Round(time.Millisecond))
 }
 
 func try[Q, A any](ctx context.Context, d *Desk, p int, r assignment.Record, c *wire.Procedure[Q, A], local func(context.Context, *Q) (*A, error), q *Q) (*A, error) {
 	if r.Owner == "" {
-		return nil, problem.New(problem.NoOwner, "partition %d has no owner yet", p)
+		return nil, apierror.New(apierror.NoOwner, "partition %d has no owner yet", p)
 	}
 	cx, stop := context.WithTimeout(ctx, d.Bounds.Call())
 	defer stop()
@@ -329,7 +329,7 @@
 	}
 	i, ok := d.View.Get(r.Owner)
 	if !ok {
-		return nil, problem.New(problem.NoOwner, "the owner %s of partition %d is gone", r.Owner, p)
+		return nil, apierror.New(apierror.NoOwner, "the owner %s of partition %d is gone", r.Owner, p)
 	}
 	defer context.AfterFunc(d.reigns.of(d.Board, r), stop)()
 	return c.Call(cx, d.Net, d.Self, i.Peers, q)
@@ -358,7 +358,7 @@
 func (d *Desk) Keys() error {
 	for _, i := range d.View.All() {
 		if !i.Keys {
-			return problem.New(problem.NotReady, "the build of %s knows no keys", i.Name)
+			return apierror.New(apierror.NotReady, "the build of %s knows no keys", i.Name)
 		}
 	}
 	return nil
--- a/internal/ledger/desk/forgotten_test.go
+++ b/internal/ledger/desk/forgotten_test.go
@@ -9,8 +9,8 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/ledger/owner"
-	"postjunction/internal/problem"
 )
 
 type askers struct {
@@ -33,10 +33,10 @@
 // Who is asked for readers while a partition moves is asked again until somebody decides; where nobody does, that is no yes.
 func TestForgottenIsAskedAgain(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		moving := []problem.Kind{problem.NotOwner, problem.NotReady, problem.Leaving, problem.StaleEpoch}
+		moving := []apierror.Kind{apierror.NotOwner, apierror.NotReady, apierror.Leaving, apierror.StaleEpoch}
 		a := &askers{tell: func(n int) (*owner.Unheard, error) {
 			if n <= len(moving) {
-				return nil, problem.New(moving[n-1], "moving")
+				return nil, apierror.New(moving[n-1], "moving")
 			}
 			return &owner.Unheard{Nodes: []string{"a2"}}, nil
 		}}
@@ -49,9 +49,9 @@
 		assert.Equal(t, len(a.asked), len(moving)+1)
 		assert.DeepEqual(t, a.asked[0], ForgottenRequest{Partition: part, Offset: 7, Hold: time.Second})
 
-		a.tell = func(int) (*owner.Unheard, error) { return nil, problem.New(problem.NotOwner, "superseded") }
+		a.tell = func(int) (*owner.Unheard, error) { return nil, apierror.New(apierror.NotOwner, "superseded") }
 		u, err = b.Forgotten(t.Context(), part, 7, time.Second)
-		assert.Assert(t, u == nil && problem.Has(err, problem.NoOwner), "%v", err)
+		assert.Assert(t, u == nil && apierror.Has(err, apierror.NoOwner), "%v", err)
 	})
 }
 
@@ -63,12 +63,12 @@
 			if n++; n == 1 {
 				return lost()
 			}
-			return &ManyResponse{Verdicts: []owner.Verdict{{Problem: problem.New(problem.KeyUnknown, "nothing")}}}, nil
+			return &ManyResponse{Verdicts: []owner.Verdict{{Problem: apierror.New(apierror.KeyUnknown, "nothing")}}}, nil
 		})
 		b.owned("s1")
 		b.offer(1, time.Minute)
 		wait(time.Second)
-		assert.Equal(t, b.kind(1), problem.KeyUnknown)
+		assert.Equal(t, b.kind(1), apierror.KeyUnknown)
 		assert.Equal(t, n, 2)
 	})
 }
--- a/internal/ledger/desk/offer.go
+++ b/internal/ledger/desk/offer.go
@@ -8,9 +8,9 @@
 	"syscall"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/placement/assignment"
-	"postjunction/internal/problem"
 	"postjunction/internal/wire"
 )
 
@@ -96,7 +96,7 @@
 	l.mu.Lock()
 	if n := len(l.wait) + l.held; d.Backlog != nil && n >= d.Backlog() {
 		l.mu.Unlock()
-		o.tell(nil, problem.New(problem.Overloaded, "%d messages wait here for partition %d", n, p))
+		o.tell(nil, apierror.New(apierror.Overloaded, "%d messages wait here for partition %d", n, p))
 		return
 	}
 	l.wait = append(l.wait, o)
@@ -183,7 +183,7 @@
 	}
 }
 
-var tooLate = problem.New(problem.NoOwner, "the time of the message is over")
+var tooLate = apierror.New(apierror.NoOwner, "the time of the message is over")
 
 func (d *Desk) drive(p int, l *lane) {
 	for {
@@ -220,9 +220,9 @@
 	i, known := d.View.Get(r.Owner)
 	switch {
 	case r.Owner == "":
-		return nil, problem.New(problem.NoOwner, "partition %d has no owner yet", p)
+		return nil, apierror.New(apierror.NoOwner, "partition %d has no owner yet", p)
 	case r.Owner != d.Self && !known:
-		return nil, problem.New(problem.NoOwner, "the owner %s of partition %d is gone", r.Owner, p)
+		return nil, apierror.New(apierror.NoOwner, "the owner %s of partition %d is gone", r.Owner, p)
 	}
 	ctx, stop := context.WithTimeout(context.Background(), d.Bounds.Call())
 	defer stop()
@@ -260,7 +260,7 @@
 				}
 			}
 			if x.err == nil && len(x.a.Verdicts) != len(batch) {
-				x.err = problem.New(problem.Unreachable, "%d verdicts on %d messages", len(x.a.Verdicts), len(batch))
+				x.err = apierror.New(apierror.Unreachable, "%d verdicts on %d messages", len(x.a.Verdicts), len(batch))
 			}
 			if x.err != nil {
 				return nil, x.err
@@ -285,8 +285,8 @@
 				e = x.After(time.Duration(x.RetryMS) * time.Millisecond)
 			}
 		}
-		k := problem.Of(e).Kind
-		open := elsewhere[k] || k == problem.NoOwner
+		k := apierror.Of(e).Kind
+		open := elsewhere[k] || k == apierror.NoOwner
 		if err == nil && !open {
 			l.hopes, l.tries = 0, 0
 		}
@@ -299,7 +299,7 @@
 				stay, why = append(stay, o), append(why, e)
 			}
 		case o.doubt && !final[k]:
-			o.tell(nil, problem.Wrap(problem.OutcomeUnknown, problem.New(problem.OutcomeUnknown, "%v", e), "partition %d", p))
+			o.tell(nil, apierror.Wrap(apierror.OutcomeUnknown, apierror.New(apierror.OutcomeUnknown, "%v", e), "partition %d", p))
 		default:
 			o.tell(nil, e)
 		}
@@ -307,7 +307,7 @@
 	if len(stay) == 0 {
 		return nil
 	}
-	k := problem.Of(why[0]).Kind
+	k := apierror.Of(why[0]).Kind
 	if looks[k] > 0 && (l.hopes == 0 || now.Sub(l.hoped) >= d.Bounds.Retry()) {
 		l.hopes++
 		l.hoped = now
@@ -368,7 +368,7 @@
 	var at []int
 	for i, t := range q.Tasks {
 		if err := d.placed(t, q.Partition); err != nil {
-			a.Verdicts[i].Problem = problem.Of(err)
+			a.Verdicts[i].Problem = apierror.Of(err)
 			continue
 		}
 		ts, at = append(ts, t), append(at, i)
@@ -382,7 +382,7 @@
 func (d *Desk) placed(q *owner.Task, p int) error {
 	at, err := d.place(q)
 	if err == nil && at != p {
-		err = problem.New(problem.NotOwner, "topic %s stands in partition %d, not %d", q.Topic, at, p)
+		err = apierror.New(apierror.NotOwner, "topic %s stands in partition %d, not %d", q.Topic, at, p)
 	}
 	return err
 }
--- a/internal/ledger/desk/offer_test.go
+++ b/internal/ledger/desk/offer_test.go
@@ -14,12 +14,12 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/membership"
 	"postjunction/internal/placement/assignment"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 )
 
@@ -42,7 +42,7 @@
 // Do carries a call to the stand-in.
 func (b *bench) Do(r *http.Request) (*http.Response, error) {
 	if r.URL.Host == "s0" {
-		return nil, problem.Because(problem.Unreachable, syscall.ECONNREFUSED, "nobody listens")
+		return nil, apierror.Because(apierror.Unreachable, syscall.ECONNREFUSED, "nobody listens")
 	}
 	m := http.NewServeMux()
 	SubmitMany.Handle(m, func(_ context.Context, q *ManyRequest) (*ManyResponse, error) {
@@ -61,7 +61,7 @@
 	m.ServeHTTP(rec, r)
 	a := rec.Result()
 	if err := r.Context().Err(); err != nil {
-		return nil, problem.Because(problem.Unreachable, err, "no answer")
+		return nil, apierror.Because(apierror.Unreachable, err, "no answer")
 	}
 	return a, nil
 }
@@ -69,11 +69,11 @@
 type unready struct{}
 
 func (unready) Owner(int) (*owner.Owner, error) {
-	return nil, problem.New(problem.NotReady, "taking over")
+	return nil, apierror.New(apierror.NotReady, "taking over")
 }
 
 // lost makes a call fail on its way, as seen by the caller.
-func lost() (*ManyResponse, error) { return nil, problem.New(problem.Unreachable, "lost") }
+func lost() (*ManyResponse, error) { return nil, apierror.New(apierror.Unreachable, "lost") }
 
 func (b *bench) owned(who string) {
 	b.writes++
@@ -105,7 +105,7 @@
 	})
 }
 
-func (b *bench) kind(call uint64) problem.Kind {
+func (b *bench) kind(call uint64) apierror.Kind {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	err, ok := b.told[call]
@@ -115,7 +115,7 @@
 	case err == nil:
 		return "taken"
 	}
-	return problem.Of(err).Kind
+	return apierror.Of(err).Kind
 }
 
 // take decides as an owner does: a number above the last is taken.
@@ -129,7 +129,7 @@
 		case slices.Contains(b.got, t.Call):
 			v.Decision.Repeat = true
 		case len(b.got) > 0 && t.Call < b.got[len(b.got)-1]:
-			v = owner.Verdict{Problem: problem.New(problem.CallPassed, "%d", t.Call)}
+			v = owner.Verdict{Problem: apierror.New(apierror.CallPassed, "%d", t.Call)}
 		default:
 			b.got = append(b.got, t.Call)
 		}
@@ -167,7 +167,7 @@
 				b.take(&ManyRequest{Tasks: q.Tasks[:(len(q.Tasks)+1)/2]})
 				return lost()
 			case 6:
-				return nil, problem.New(problem.NotReady, "taking over")
+				return nil, apierror.New(apierror.NotReady, "taking over")
 			}
 			return b.take(q), nil
 		})
@@ -182,7 +182,7 @@
 		assert.Equal(t, len(b.told), 600)
 		assert.Equal(t, len(b.again), 0, "told twice, or of another's place: %v", b.again)
 		for c := range uint64(600) {
-			assert.Equal(t, b.kind(c+1), problem.Kind("taken"), "call %d", c+1)
+			assert.Equal(t, b.kind(c+1), apierror.Kind("taken"), "call %d", c+1)
 		}
 		assert.Assert(t, slices.IsSorted(b.got) && len(b.got) == 600)
 		assert.Equal(t, b.most, 1, "batches of one node and partition under way")
@@ -195,42 +195,42 @@
 	cases := map[string]struct {
 		owner string
 		path  func(b *bench, n int, ctx context.Context, q *ManyRequest) (*ManyResponse, error)
-		kind  problem.Kind
+		kind  apierror.Kind
 		last  time.Duration
 	}{
-		"no owner":         {"", nil, problem.NoOwner, 300 * time.Millisecond},
-		"the owner's gone": {"s9", nil, problem.NoOwner, 300 * time.Millisecond},
-		"each call lost":   {"s1", func(*bench, int, context.Context, *ManyRequest) (*ManyResponse, error) { return lost() }, problem.OutcomeUnknown, 500 * time.Millisecond},
+		"no owner":         {"", nil, apierror.NoOwner, 300 * time.Millisecond},
+		"the owner's gone": {"s9", nil, apierror.NoOwner, 300 * time.Millisecond},
+		"each call lost":   {"s1", func(*bench, int, context.Context, *ManyRequest) (*ManyResponse, error) { return lost() }, apierror.OutcomeUnknown, 500 * time.Millisecond},
 		"taking over, at length": {"s1", func(*bench, int, context.Context, *ManyRequest) (*ManyResponse, error) {
-			return nil, problem.New(problem.NotReady, "x")
-		}, problem.OutcomeUnknown, 2 * time.Second},
-		"taking over here, at length": {"a1", nil, problem.NoOwner, 2 * time.Second},
-		"nobody listens":              {"s0", nil, problem.NoOwner, 500 * time.Millisecond},
+			return nil, apierror.New(apierror.NotReady, "x")
+		}, apierror.OutcomeUnknown, 2 * time.Second},
+		"taking over here, at length": {"a1", nil, apierror.NoOwner, 2 * time.Second},
+		"nobody listens":              {"s0", nil, apierror.NoOwner, 500 * time.Millisecond},
 		"one call lost, then taking over": {"s1", func(_ *bench, n int, _ context.Context, _ *ManyRequest) (*ManyResponse, error) {
 			if n == 1 {
 				return lost()
 			}
-			return nil, problem.New(problem.NotReady, "x")
-		}, problem.OutcomeUnknown, 2 * time.Second},
+			return nil, apierror.New(apierror.NotReady, "x")
+		}, apierror.OutcomeUnknown, 2 * time.Second},
 		"one call lost, then no room": {"s1", func(_ *bench, n int, _ context.Context, q *ManyRequest) (*ManyResponse, error) {
 			if n == 1 {
 				return lost()
 			}
-			return &ManyResponse{Verdicts: []owner.Verdict{{Problem: problem.New(problem.Overloaded, "x")}}}, nil
-		}, problem.OutcomeUnknown, 500 * time.Millisecond},
+			return &ManyResponse{Verdicts: []owner.Verdict{{Problem: apierror.New(apierror.Overloaded, "x")}}}, nil
+		}, apierror.OutcomeUnknown, 500 * time.Millisecond},
 		"one call lost, then passed": {"s1", func(_ *bench, n int, _ context.Context, q *ManyRequest) (*ManyResponse, error) {
 			if n == 1 {
 				return lost()
 			}
-			return &ManyResponse{Verdicts: []owner.Verdict{{Problem: problem.New(problem.CallPassed, "x")}}}, nil
-		}, problem.CallPassed, 500 * time.Millisecond},
+			return &ManyResponse{Verdicts: []owner.Verdict{{Problem: apierror.New(apierror.CallPassed, "x")}}}, nil
+		}, apierror.CallPassed, 500 * time.Millisecond},
 		"no room": {"s1", func(*bench, int, context.Context, *ManyRequest) (*ManyResponse, error) {
-			return &ManyResponse{Verdicts: []owner.Verdict{{Problem: problem.New(problem.Overloaded, "x")}}}, nil
-		}, problem.OutcomeUnknown, time.Millisecond},
+			return &ManyResponse{Verdicts: []owner.Verdict{{Problem: apierror.New(apierror.Overloaded, "x")}}}, nil
+		}, apierror.OutcomeUnknown, time.Millisecond},
 		"the owner hangs": {"s1", func(_ *bench, _ int, ctx context.Context, _ *ManyRequest) (*ManyResponse, error) {
 			<-ctx.Done()
 			return lost()
-		}, problem.OutcomeUnknown, 1500 * time.Millisecond},
+		}, apierror.OutcomeUnknown, 1500 * time.Millisecond},
 	}
 	for n, c := range cases {
 		t.Run(n, func(t *testing.T) {
@@ -271,13 +271,13 @@
 		b.offer(4, 3*time.Second)
 		wait(5 * time.Second)
 		at := func(c uint64) time.Duration { return b.times[c].Sub(begun) }
-		assert.Equal(t, b.kind(1), problem.OutcomeUnknown)
+		assert.Equal(t, b.kind(1), apierror.OutcomeUnknown)
 		assert.Equal(t, at(1), 700*time.Millisecond)
-		assert.Equal(t, b.kind(2), problem.NoOwner)
+		assert.Equal(t, b.kind(2), apierror.NoOwner)
 		assert.Equal(t, at(2), 500*time.Millisecond)
-		assert.Equal(t, b.kind(3), problem.NoOwner)
+		assert.Equal(t, b.kind(3), apierror.NoOwner)
 		assert.Equal(t, at(3), 300*time.Millisecond)
-		assert.Equal(t, b.kind(4), problem.Kind("taken"))
+		assert.Equal(t, b.kind(4), apierror.Kind("taken"))
 		assert.DeepEqual(t, b.got, []uint64{1, 4})
 		assert.Equal(t, len(b.again), 0)
 	})
@@ -298,13 +298,13 @@
 				synctest.Wait()
 			}
 		}
-		assert.Equal(t, b.kind(4), problem.Overloaded, "told before Offer returns")
-		assert.Equal(t, b.kind(5), problem.Overloaded)
+		assert.Equal(t, b.kind(4), apierror.Overloaded, "told before Offer returns")
+		assert.Equal(t, b.kind(5), apierror.Overloaded)
 		wait(5 * time.Second)
 		assert.DeepEqual(t, b.got, []uint64{1, 2, 3})
 		b.offer(6, 5*time.Second)
 		wait(2 * time.Second)
-		assert.Equal(t, b.kind(6), problem.Kind("taken"), "the lane takes up again after it ended")
+		assert.Equal(t, b.kind(6), apierror.Kind("taken"), "the lane takes up again after it ended")
 	})
 }
 
@@ -326,7 +326,7 @@
 			}
 			a := b.take(&ManyRequest{Tasks: q.Tasks[:1]})
 			for range q.Tasks[1:] {
-				a.Verdicts = append(a.Verdicts, owner.Verdict{Problem: problem.New(problem.OutcomeUnknown, "lost the partition")})
+				a.Verdicts = append(a.Verdicts, owner.Verdict{Problem: apierror.New(apierror.OutcomeUnknown, "lost the partition")})
 			}
 			return a, nil
 		})
@@ -340,8 +340,8 @@
 		wait(15 * time.Millisecond)
 		b.offer(5, 5*time.Second)
 		wait(10 * time.Millisecond)
-		assert.Equal(t, b.kind(2), problem.Kind("taken"))
-		assert.Equal(t, b.kind(3), problem.Kind("not told"))
+		assert.Equal(t, b.kind(2), apierror.Kind("taken"))
+		assert.Equal(t, b.kind(3), apierror.Kind("not told"))
 		wait(time.Second)
 		assert.Equal(t, fmt.Sprint(seen), "[[1] [2 3 4] [3 4 5]]")
 		assert.DeepEqual(t, b.got, []uint64{1, 2, 3, 4, 5})
@@ -366,7 +366,7 @@
 		b.owned("s2")
 		wait(time.Second)
 		assert.Equal(t, b.times[1].Sub(begun), 100*time.Millisecond)
-		assert.Equal(t, b.kind(1), problem.Kind("taken"))
+		assert.Equal(t, b.kind(1), apierror.Kind("taken"))
 		assert.DeepEqual(t, b.got, []uint64{1, 2})
 	})
 }
--- a/internal/ledger/line/key.go
+++ b/internal/ledger/line/key.go
@@ -1,6 +1,6 @@
 package line
 
-import "postjunction/internal/problem"
+import "postjunction/internal/apierror"
 
 const nameMost = 128
 
@@ -11,7 +11,7 @@
 		ok = ok && s[i] > ' ' && s[i] <= '~'
 	}
 	if !ok {
-		return problem.New(problem.Malformed, "%s must be 1 to %d printable bytes without spaces", field, nameMost)
+		return apierror.New(apierror.Malformed, "%s must be 1 to %d printable bytes without spaces", field, nameMost)
 	}
 	return nil
 }
--- a/internal/ledger/owner/assure.go
+++ b/internal/ledger/owner/assure.go
@@ -3,11 +3,11 @@
 import (
 	"context"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/gather"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/replica"
 	"postjunction/internal/placement/assignment"
-	"postjunction/internal/problem"
 )
 
 type round struct {
@@ -33,9 +33,9 @@
 	case <-r.done:
 		return r.err
 	case <-ctx.Done():
-		return problem.Because(problem.NotOwner, ctx.Err(), "no majority confirmed epoch %d of partition %d in time", o.Rec.Epoch, o.Rec.Partition)
+		return apierror.Because(apierror.NotOwner, ctx.Err(), "no majority confirmed epoch %d of partition %d in time", o.Rec.Epoch, o.Rec.Partition)
 	case <-o.lost:
-		return problem.New(problem.NotOwner, "partition %d was lost", o.Rec.Partition)
+		return apierror.New(apierror.NotOwner, "partition %d was lost", o.Rec.Partition)
 	}
 }
 
@@ -67,7 +67,7 @@
 		}
 		a, ok := o.d.Addr(p.Node)
 		if !ok {
-			return false, problem.New(problem.Unreachable, "%s is not a member", p.Node)
+			return false, apierror.New(apierror.Unreachable, "%s is not a member", p.Node)
 		}
 		_, err := replica.Append.Call(ctx, o.d.Net, o.d.Self, a, q)
 		return err == nil, err
@@ -78,7 +78,7 @@
 		}
 	}
 	if n := len(gather.Good(as)); n < o.Rec.Majority() {
-		return problem.Because(problem.NotOwner, gather.First(as), "%d of %d replicas confirmed epoch %d of partition %d", n, len(o.Rec.Replicas), o.Rec.Epoch, o.Rec.Partition)
+		return apierror.Because(apierror.NotOwner, gather.First(as), "%d of %d replicas confirmed epoch %d of partition %d", n, len(o.Rec.Replicas), o.Rec.Epoch, o.Rec.Partition)
 	}
 	return nil
 }
@@ -86,7 +86,7 @@
 // settled waits until all that an answer rests on is committed and nobody else can have decided since.
 func (o *Owner) settled(ctx context.Context, basis uint64) error {
 	if err := o.await(ctx, line.Ledger, basis); err != nil {
-		return problem.New(problem.NotOwner, "an answer of partition %d rests on offset %d, which is not on a majority", o.Rec.Partition, basis)
+		return apierror.New(apierror.NotOwner, "an answer of partition %d rests on offset %d, which is not on a majority", o.Rec.Partition, basis)
 	}
 	return o.assure(ctx)
 }
--- a/internal/ledger/owner/fan.go
+++ b/internal/ledger/owner/fan.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/problem"
 )
 
 // Want is what a node follows of a partition: how many listen to each topic, 0 for a topic that it drops. It builds on the sequence
@@ -95,7 +95,7 @@
 
 func (o *Owner) following() error {
 	if o.stage != Open && o.stage != Closing {
-		return problem.New(problem.NotReady, "partition %d is %s", o.Rec.Partition, o.stage)
+		return apierror.New(apierror.NotReady, "partition %d is %s", o.Rec.Partition, o.stage)
 	}
 	return nil
 }
@@ -120,9 +120,9 @@
 		select {
 		case <-moved:
 		case <-o.lost:
-			return nil, problem.New(problem.NotOwner, "partition %d was lost", o.Rec.Partition)
+			return nil, apierror.New(apierror.NotOwner, "partition %d was lost", o.Rec.Partition)
 		case <-ctx.Done():
-			return nil, problem.Because(problem.Unreachable, ctx.Err(), "following partition %d", o.Rec.Partition)
+			return nil, apierror.Because(apierror.Unreachable, ctx.Err(), "following partition %d", o.Rec.Partition)
 		}
 	}
 }
@@ -314,11 +314,11 @@
 		case <-moved:
 		case <-due:
 			if ctx.Err() != nil {
-				return nil, problem.Because(problem.Unreachable, ctx.Err(), "following partition %d", o.Rec.Partition)
+				return nil, apierror.Because(apierror.Unreachable, ctx.Err(), "following partition %d", o.Rec.Partition)
 			}
 			return a, nil
 		case <-o.lost:
-			return nil, problem.New(problem.NotOwner, "partition %d was lost", o.Rec.Partition)
+			return nil, apierror.New(apierror.NotOwner, "partition %d was lost", o.Rec.Partition)
 		}
 	}
 }
--- a/internal/ledger/owner/many.go
+++ b/internal/ledger/owner/many.go
@@ -4,15 +4,15 @@
 	"context"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/problem"
 	"postjunction/internal/samza/state"
 )
 
 // Verdict is the answer to one message of several: a decision or a problem.
 type Verdict struct {
-	Decision *Decision        `json:"d,omitempty"`
-	Problem  *problem.Problem `json:"p,omitempty"`
+	Decision *Decision         `json:"d,omitempty"`
+	Problem  *apierror.Problem `json:"p,omitempty"`
 }
 
 type ruling struct {
@@ -53,13 +53,13 @@
 		if r.repeat {
 			o.tally.Repeats++
 		}
-		ask = ask || r.repeat || r.already || r.err != nil && final[problem.Of(r.err).Kind]
+		ask = ask || r.repeat || r.already || r.err != nil && final[apierror.Of(r.err).Kind]
 	}
 	o.mu.Unlock()
 	vs := make([]Verdict, len(qs))
 	if closed != nil {
 		for i := range vs {
-			vs[i].Problem = problem.Of(closed)
+			vs[i].Problem = apierror.Of(closed)
 		}
 		return vs
 	}
@@ -84,7 +84,7 @@
 	if r.err == nil && !r.already {
 		return r.taken.Offset
 	}
-	if r.already || final[problem.Of(r.err).Kind] {
+	if r.already || final[apierror.Of(r.err).Kind] {
 		return r.basis
 	}
 	return 0
@@ -92,19 +92,19 @@
 
 func (o *Owner) verdict(r ruling, landed, sure error, begun time.Time) Verdict {
 	switch {
-	case r.err != nil && !final[problem.Of(r.err).Kind]:
-		return Verdict{Problem: problem.Of(r.err)}
+	case r.err != nil && !final[apierror.Of(r.err).Kind]:
+		return Verdict{Problem: apierror.Of(r.err)}
 	case r.err != nil && landed != nil:
-		return Verdict{Problem: problem.New(problem.NotOwner, "an answer of partition %d rests on offset %d, which is not on a majority", o.Rec.Partition, r.rests())}
+		return Verdict{Problem: apierror.New(apierror.NotOwner, "an answer of partition %d rests on offset %d, which is not on a majority", o.Rec.Partition, r.rests())}
 	case r.err != nil && sure != nil:
-		return Verdict{Problem: problem.Of(sure)}
+		return Verdict{Problem: apierror.Of(sure)}
 	case r.err != nil:
-		o.say("no: "+string(problem.Of(r.err).Kind), begun)
-		return Verdict{Problem: problem.Of(r.err)}
+		o.say("no: "+string(apierror.Of(r.err).Kind), begun)
+		return Verdict{Problem: apierror.Of(r.err)}
 	case landed != nil:
-		return Verdict{Problem: problem.Of(landed)}
+		return Verdict{Problem: apierror.Of(landed)}
 	case (r.repeat || r.already) && sure != nil:
-		return Verdict{Problem: problem.New(problem.OutcomeUnknown, "call_seq %d was taken before at offset %d, and nobody confirmed it: %v", r.taken.Call, r.taken.Offset, sure)}
+		return Verdict{Problem: apierror.New(apierror.OutcomeUnknown, "call_seq %d was taken before at offset %d, and nobody confirmed it: %v", r.taken.Call, r.taken.Offset, sure)}
 	}
 	o.say(r.told(), begun)
 	return Verdict{Decision: &Decision{Partition: o.Rec.Partition, Epoch: o.Rec.Epoch, Offset: r.taken.Offset, Repeat: r.repeat, Already: r.already}}
--- a/internal/ledger/owner/marks.go
+++ b/internal/ledger/owner/marks.go
@@ -8,9 +8,9 @@
 	"unicode"
 	"unicode/utf8"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/membership"
-	"postjunction/internal/problem"
 	"postjunction/internal/samza/state"
 )
 
@@ -79,7 +79,7 @@
 func (q *Task) check() error {
 	for _, m := range malformed {
 		if m.bad(q) {
-			return problem.New(problem.Malformed, "%s", m.say)
+			return apierror.New(apierror.Malformed, "%s", m.say)
 		}
 	}
 	return nil
@@ -134,7 +134,7 @@
 	k := state.Key(q.Topic, q.Key)
 	s := o.stands(k)
 	if s.message <= s.mark && q.Of == "" {
-		return problem.New(problem.KeyUnknown, "nothing is held under key %q on %s", q.Key, q.Topic)
+		return apierror.New(apierror.KeyUnknown, "nothing is held under key %q on %s", q.Key, q.Topic)
 	}
 	if s.mark > 0 {
 		return nil
@@ -157,7 +157,7 @@
 		o.full = true
 		o.d.Log.MarksFull(o.Rec.Partition, o.Rec.Epoch, n)
 	}
-	return problem.New(problem.Overloaded, "%d withdrawals of partition %d stand", n, o.Rec.Partition)
+	return apierror.New(apierror.Overloaded, "%d withdrawals of partition %d stand", n, o.Rec.Partition)
 }
 
 // noteKeyed notes an entry with a key that was pushed.
@@ -348,14 +348,14 @@
 		case <-moved:
 		case <-due:
 			if !stands {
-				return nil, problem.New(problem.NotReady, "offset %d of partition %d is not on a majority", offset, o.Rec.Partition)
+				return nil, apierror.New(apierror.NotReady, "offset %d of partition %d is not on a majority", offset, o.Rec.Partition)
 			}
 			if ctx.Err() != nil {
-				return nil, problem.Because(problem.Unreachable, ctx.Err(), "waiting for readers of partition %d", o.Rec.Partition)
+				return nil, apierror.Because(apierror.Unreachable, ctx.Err(), "waiting for readers of partition %d", o.Rec.Partition)
 			}
 			return u, nil
 		case <-o.lost:
-			return nil, problem.New(problem.NotOwner, "partition %d was lost", o.Rec.Partition)
+			return nil, apierror.New(apierror.NotOwner, "partition %d was lost", o.Rec.Partition)
 		}
 	}
 }
--- a/internal/ledger/owner/marks_test.go
+++ b/internal/ledger/owner/marks_test.go
@@ -12,12 +12,12 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/replica"
 	"postjunction/internal/membership"
 	"postjunction/internal/placement/assignment"
-	"postjunction/internal/problem"
 	"postjunction/internal/samza/changelog"
 	"postjunction/internal/samza/state"
 	"postjunction/internal/settings"
@@ -44,7 +44,7 @@
 func (r *rig) Do(q *http.Request) (*http.Response, error) {
 	boot, ok := r.runs[q.URL.Host]
 	if !ok {
-		return nil, problem.New(problem.Unreachable, "nobody at %s", q.URL.Host)
+		return nil, apierror.New(apierror.Unreachable, "nobody at %s", q.URL.Host)
 	}
 	m := http.NewServeMux()
 	membership.Hello.Handle(m, func(context.Context, *membership.HelloRequest) (*membership.HelloResponse, error) {
@@ -113,7 +113,7 @@
 	return 0
 }
 
-func (r *rig) turns(q *Task, k problem.Kind) {
+func (r *rig) turns(q *Task, k apierror.Kind) {
 	r.t.Helper()
 	v := r.submits(q)[0]
 	assert.Assert(r.t, v.Problem != nil && v.Problem.Kind == k, "%+v is not %s", v, k)
@@ -378,7 +378,7 @@
 		ctx, stop := context.WithTimeout(t.Context(), time.Second)
 		defer stop()
 		_, err := r.Follow(ctx, &Want{Node: "a2", Boot: "b", Sequence: 1, Full: true, Marks: true, After: map[string]uint64{"t": 0}, Turn: r.told("a2", "b")})
-		assert.Assert(t, problem.Has(err, problem.Unreachable), "%v", err)
+		assert.Assert(t, apierror.Has(err, apierror.Unreachable), "%v", err)
 		assert.Equal(t, len(r.st.Readers), 0)
 	})
 }
@@ -395,23 +395,23 @@
 func TestAnswersToWithdrawals(t *testing.T) {
 	owning(t, 1, func(t *testing.T, r *rig) {
 		r.takes(says("v", 1, "t", "k"))
-		r.turns(withdraws("v", 2, "t", "other"), problem.KeyUnknown)
-		r.turns(withdraws("v", 2, "u", "k"), problem.KeyUnknown)
+		r.turns(withdraws("v", 2, "t", "other"), apierror.KeyUnknown)
+		r.turns(withdraws("v", 2, "u", "k"), apierror.KeyUnknown)
 		assert.Equal(t, r.tally.Rounds, uint64(2), "that nothing is held is said once a majority confirmed the epoch")
 		assert.Equal(t, r.takes(withdraws("v", 2, "t", "k")), uint64(2))
 		v := r.submits(withdraws("v", 2, "t", "k"))[0]
 		assert.DeepEqual(t, v.Decision, &Decision{Epoch: 1, Offset: 2, Repeat: true})
 		for _, q := range []*Task{withdraws("v", 2, "t", "l"), says("v", 2, "t", "k"), says("v", 2, "t", ""), {Visitor: "v", Call: 2, Topic: "t", Key: "k", Withdraw: true, Of: "w", Upto: 3}, says("v", 1, "t", "l"), says("v", 1, "t", "")} {
-			r.turns(q, problem.CallAltered)
+			r.turns(q, apierror.CallAltered)
 		}
 		v = r.submits(withdraws("w", 1, "t", "k"))[0]
 		assert.DeepEqual(t, v.Decision, &Decision{Epoch: 1, Offset: 3, Already: true})
 		assert.DeepEqual(t, r.submits(says("w", 2, "t", "k"), withdraws("w", 3, "t", "k"), withdraws("x", 1, "t", "k"))[2].Decision, &Decision{Epoch: 1, Offset: 6, Already: true})
 		assert.DeepEqual(t, r.submits(says("w", 4, "t", "k"), withdraws("x", 1, "t", "k"))[1].Decision, &Decision{Epoch: 1, Offset: 6, Repeat: true})
 		assert.Assert(t, !r.st.Covers(line.Entry{Topic: "t", Key: "k", Offset: 7}))
-		r.turns(says("v", 1, "t", ""), problem.CallAltered)
+		r.turns(says("v", 1, "t", ""), apierror.CallAltered)
 		for _, q := range []*Task{withdraws("v", 9, "t", ""), says("v", 9, "t", "a\x1fb"), says("v", 9, "t", strings.Repeat("k", 129)), {Visitor: "v", Call: 9, Topic: "t", Of: "w", Upto: 1}, {Visitor: "v", Call: 9, Topic: "t", Key: "k", Withdraw: true, Of: "w"}, {Visitor: "v", Call: 9, Topic: "t", Key: "k", Withdraw: true, Body: []byte("b")}} {
-			r.turns(q, problem.Malformed)
+			r.turns(q, apierror.Malformed)
 		}
 		r.takes(says("v", 9, "t", strings.Repeat("k", 128)))
 		assert.Equal(t, r.View().Marks, 1)
@@ -438,7 +438,7 @@
 		r.submitsTo(says("v", 1, "t", "k"))
 		r.st.Apply(line.Entry{What: line.Withdraw, Offset: 1, Topic: "t", Visitor: "v", Call: 2, Key: "l"})
 		v := r.SubmitMany(t.Context(), []*Task{withdraws("w", 1, "t", "m")})
-		assert.Equal(t, v[0].Problem.Kind, problem.NotOwner)
+		assert.Equal(t, v[0].Problem.Kind, apierror.NotOwner)
 	})
 }
 
@@ -448,10 +448,10 @@
 		w := withdraws("w", 1, "t", "k")
 		w.Of, w.Upto = "v", 5
 		vs := r.submits(says("v", 2, "t", "k"), w, says("v", 4, "t", "k"), says("v", 2, "t", "k"), says("v", 6, "t", "k"), says("v", 5, "u", "k"))
-		assert.Equal(t, vs[2].Problem.Kind, problem.CallPassed)
+		assert.Equal(t, vs[2].Problem.Kind, apierror.CallPassed)
 		assert.Assert(t, vs[3].Decision.Repeat)
 		assert.Assert(t, vs[4].Problem == nil && vs[5].Problem == nil)
-		r.turns(says("v", 5, "t", "k"), problem.CallPassed)
+		r.turns(says("v", 5, "t", "k"), apierror.CallPassed)
 		r.takes(says("v", 7, "t", "k"))
 		assert.Assert(t, r.submits(w)[0].Decision.Repeat)
 	})
@@ -466,11 +466,11 @@
 		at.line.Append(time.Now(), at.pending[0])
 		at.pending, at.durable = at.pending[1:], 2
 		r.settle(at)
-		assert.Assert(t, problem.Has(r.judge(says("v", 4, "t", "k")).err, problem.CallPassed), "the message in flight landed, the withdrawal did not yet")
+		assert.Assert(t, apierror.Has(r.judge(says("v", 4, "t", "k")).err, apierror.CallPassed), "the message in flight landed, the withdrawal did not yet")
 		r.lands()
 		assert.Equal(t, len(r.front), 0)
 		assert.Equal(t, len(r.keyed), 0)
-		assert.Assert(t, problem.Has(r.judge(says("v", 4, "t", "k")).err, problem.CallPassed))
+		assert.Assert(t, apierror.Has(r.judge(says("v", 4, "t", "k")).err, apierror.CallPassed))
 		again := withdraws("w", 2, "t", w.Key)
 		again.Of, again.Upto = "v", 4
 		assert.Assert(t, r.judge(again).already)
@@ -485,9 +485,9 @@
 		r.d.Marks = func() int { return 2 }
 		r.takes(says("v", 1, "t", "a"), says("v", 2, "t", "b"), says("v", 3, "t", "c"))
 		vs := r.submits(withdraws("v", 4, "t", "a"), withdraws("v", 5, "t", "b"), withdraws("v", 6, "t", "c"), says("v", 7, "t", "c"))
-		assert.Equal(t, vs[2].Problem.Kind, problem.Overloaded)
+		assert.Equal(t, vs[2].Problem.Kind, apierror.Overloaded)
 		assert.Assert(t, vs[3].Problem == nil, "messages go on")
-		r.turns(withdraws("v", 8, "t", "c"), problem.Overloaded)
+		r.turns(withdraws("v", 8, "t", "c"), apierror.Overloaded)
 		assert.DeepEqual(t, r.said, []string{"full"})
 		r.takes(says("v", 8, "t", "a"))
 		r.takes(withdraws("v", 9, "t", "a"))
@@ -533,11 +533,11 @@
 	owning(t, 3, func(t *testing.T, r *rig) {
 		r.submitsTo(says("v", 1, "t", "k"))
 		_, err := r.forgotten(1)
-		assert.Assert(t, problem.Has(err, problem.NotOwner), "%v", err)
+		assert.Assert(t, apierror.Has(err, apierror.NotOwner), "%v", err)
 	})
 	owning(t, 1, func(t *testing.T, r *rig) {
 		_, err := r.forgotten(1)
-		assert.Assert(t, problem.Has(err, problem.NotReady), "%v", err)
+		assert.Assert(t, apierror.Has(err, apierror.NotReady), "%v", err)
 		u, err := r.forgotten(0)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, u, &Unheard{})
@@ -575,7 +575,7 @@
 		r.locked(r.release)
 		assert.Equal(t, len(r.st.Marks), 0)
 		assert.Equal(t, r.tally.Unmarked, uint64(1))
-		r.turns(withdraws("v", 4, "t", "k"), problem.KeyUnknown)
+		r.turns(withdraws("v", 4, "t", "k"), apierror.KeyUnknown)
 	})
 	owning(t, 1, func(t *testing.T, r *rig) {
 		r.takes(says("v", 1, "t", "k"))
@@ -749,7 +749,7 @@
 		assert.NilError(t, err)
 		assert.DeepEqual(t, u, &Unheard{})
 		assert.Assert(t, r.submits(withdraws("v", 3, "t", "k"))[0].Decision.Repeat)
-		r.turns(says("v", 1, "t", ""), problem.CallAltered)
+		r.turns(says("v", 1, "t", ""), apierror.CallAltered)
 		r.takes(withdraws("v", 5, "t", "l"))
 	})
 }
--- a/internal/ledger/owner/owner.go
+++ b/internal/ledger/owner/owner.go
@@ -6,12 +6,12 @@
 	"sync"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/replica"
 	"postjunction/internal/ledger/still"
 	"postjunction/internal/placement/assignment"
-	"postjunction/internal/problem"
 	"postjunction/internal/samza/state"
 	"postjunction/internal/settings"
 	"postjunction/internal/wire"
@@ -187,7 +187,7 @@
 	return replica.Target{Partition: o.Rec.Partition, Incarnation: p.Incarnation, Epoch: o.Rec.Epoch}
 }
 
-func (o *Owner) fenced(err error) bool { return problem.Has(err, problem.StaleEpoch) }
+func (o *Owner) fenced(err error) bool { return apierror.Has(err, apierror.StaleEpoch) }
 
 func (o *Owner) lose(err error) {
 	o.mu.Lock()
@@ -268,7 +268,7 @@
 		return
 	}
 	o.tend(ctx)
-	o.lose(problem.New(problem.Stopped, "the owner was stopped"))
+	o.lose(apierror.New(apierror.Stopped, "the owner was stopped"))
 }
 
 func (o *Owner) await(ctx context.Context, k line.Kind, at uint64) error {
@@ -283,9 +283,9 @@
 		select {
 		case <-moved:
 		case <-o.lost:
-			return problem.New(problem.OutcomeUnknown, "the owner of partition %d lost it before offset %d was on a majority", o.Rec.Partition, at)
+			return apierror.New(apierror.OutcomeUnknown, "the owner of partition %d lost it before offset %d was on a majority", o.Rec.Partition, at)
 		case <-ctx.Done():
-			return problem.New(problem.OutcomeUnknown, "offset %d of partition %d was not on a majority in time", at, o.Rec.Partition)
+			return apierror.New(apierror.OutcomeUnknown, "offset %d of partition %d was not on a majority in time", at, o.Rec.Partition)
 		}
 	}
 }
@@ -294,7 +294,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.stage == Lost {
-		return 0, problem.New(problem.NotOwner, "partition %d was lost: %v", o.Rec.Partition, o.cause)
+		return 0, apierror.New(apierror.NotOwner, "partition %d was lost: %v", o.Rec.Partition, o.cause)
 	}
 	var at uint64
 	for _, e := range es {
--- a/internal/ledger/owner/packed.go
+++ b/internal/ledger/owner/packed.go
@@ -6,8 +6,8 @@
 	"io"
 	"sync"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/problem"
 )
 
 // Packed holds the bodies of an answer's entries in one deflated piece, in their order; the entries are without theirs then.
@@ -65,20 +65,20 @@
 	n := 0
 	for _, k := range p.Sizes {
 		if k < 0 || k > packMost-n {
-			return problem.New(problem.Unreachable, "packed bodies of impossible sizes")
+			return apierror.New(apierror.Unreachable, "packed bodies of impossible sizes")
 		}
 		n += k
 	}
 	if len(p.Sizes) != len(es) {
-		return problem.New(problem.Unreachable, "%d packed bodies for %d entries", len(p.Sizes), len(es))
+		return apierror.New(apierror.Unreachable, "%d packed bodies for %d entries", len(p.Sizes), len(es))
 	}
 	b := make([]byte, n)
 	r := flate.NewReader(bytes.NewReader(p.Bytes))
 	if _, err := io.ReadFull(r, b); err != nil {
-		return problem.Because(problem.Unreachable, err, "packed bodies that break off")
+		return apierror.Because(apierror.Unreachable, err, "packed bodies that break off")
 	}
 	if k, err := r.Read(make([]byte, 1)); k > 0 || err != io.EOF {
-		return problem.New(problem.Unreachable, "more packed bodies than entries")
+		return apierror.New(apierror.Unreachable, "more packed bodies than entries")
 	}
 	for i, k := range p.Sizes {
 		es[i].Body, b = b[:k:k], b[k:]
--- a/internal/ledger/owner/read.go
+++ b/internal/ledger/owner/read.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/problem"
 	"postjunction/internal/samza/state"
 )
 
@@ -87,10 +87,10 @@
 		select {
 		case <-moved:
 		case <-o.lost:
-			return nil, problem.New(problem.NotOwner, "partition %d was lost", o.Rec.Partition)
+			return nil, apierror.New(apierror.NotOwner, "partition %d was lost", o.Rec.Partition)
 		case <-cx.Done():
 			if ctx.Err() != nil {
-				return nil, problem.Because(problem.Unreachable, ctx.Err(), "reading partition %d", o.Rec.Partition)
+				return nil, apierror.Because(apierror.Unreachable, ctx.Err(), "reading partition %d", o.Rec.Partition)
 			}
 			return r, nil
 		}
--- a/internal/ledger/owner/submit.go
+++ b/internal/ledger/owner/submit.go
@@ -4,8 +4,8 @@
 	"context"
 	"strings"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/problem"
 	"postjunction/internal/samza/state"
 )
 
@@ -44,16 +44,16 @@
 
 func (o *Owner) ready() error {
 	if o.stage == Lost {
-		return problem.New(problem.NotOwner, "partition %d was lost", o.Rec.Partition)
+		return apierror.New(apierror.NotOwner, "partition %d was lost", o.Rec.Partition)
 	}
 	if o.stage == Closing {
-		return problem.New(problem.Leaving, "partition %d is being handed over", o.Rec.Partition)
+		return apierror.New(apierror.Leaving, "partition %d is being handed over", o.Rec.Partition)
 	}
 	if n := o.near(); n < o.Rec.Majority() {
-		return problem.New(problem.NoOwner, "%d of %d copies of partition %d are members", n, len(o.Rec.Replicas), o.Rec.Partition)
+		return apierror.New(apierror.NoOwner, "%d of %d copies of partition %d are members", n, len(o.Rec.Replicas), o.Rec.Partition)
 	}
 	if o.stage != Open {
-		return problem.New(problem.NotReady, "partition %d is being taken over at epoch %d", o.Rec.Partition, o.Rec.Epoch)
+		return apierror.New(apierror.NotReady, "partition %d is being taken over at epoch %d", o.Rec.Partition, o.Rec.Epoch)
 	}
 	if err := o.d.Licensed(); err != nil {
 		return err
@@ -63,7 +63,7 @@
 
 func (o *Owner) room() error {
 	if t := o.tracks[line.Ledger]; t.last.Offset-t.commit >= uint64(o.d.Backlog()) {
-		return problem.New(problem.Overloaded, "%d entries of partition %d wait for a majority", t.last.Offset-t.commit, o.Rec.Partition)
+		return apierror.New(apierror.Overloaded, "%d entries of partition %d wait for a majority", t.last.Offset-t.commit, o.Rec.Partition)
 	}
 	return nil
 }
@@ -98,7 +98,7 @@
 		last, gen = max(last, f.last), max(gen, f.generation)
 	}
 	if q.Generation > 0 && q.Generation < gen {
-		return ruling{err: problem.New(problem.TokenFenced, "attachment %d of %s sent on %s after %d", gen, q.Visitor, q.Topic, q.Generation)}
+		return ruling{err: apierror.New(apierror.TokenFenced, "attachment %d of %s sent on %s after %d", gen, q.Visitor, q.Topic, q.Generation)}
 	}
 	mark, basis, already := o.already(q)
 	if q.Call <= last {
@@ -108,7 +108,7 @@
 		}
 		switch {
 		case ok && t.Digest != name:
-			return ruling{err: problem.New(problem.CallAltered, "call_seq %d was taken with another %s", q.Call, differs[strings.HasPrefix(t.Digest, e.Digest)]).At(last)}
+			return ruling{err: apierror.New(apierror.CallAltered, "call_seq %d was taken with another %s", q.Call, differs[strings.HasPrefix(t.Digest, e.Digest)]).At(last)}
 		case ok:
 			return ruling{taken: t, repeat: true}
 		case q.Withdraw && o.st.Marks[state.Key(q.Topic, q.Key)].By(q.Visitor, q.Call):
@@ -116,9 +116,9 @@
 		case already && q.Call <= a.Floor:
 			return ruling{taken: state.Taken{Call: q.Call, Offset: mark}, already: true, basis: basis}
 		case q.Call <= a.Floor:
-			return ruling{err: problem.New(problem.CallForgotten, "call_seq %d may have been taken, the ledger no longer holds what %s sent up to %d", q.Call, q.Visitor, a.Floor).At(last)}
+			return ruling{err: apierror.New(apierror.CallForgotten, "call_seq %d may have been taken, the ledger no longer holds what %s sent up to %d", q.Call, q.Visitor, a.Floor).At(last)}
 		default:
-			return ruling{err: problem.New(problem.CallPassed, "call_seq %d was never taken, and %d was", q.Call, last).At(last)}
+			return ruling{err: apierror.New(apierror.CallPassed, "call_seq %d was never taken, and %d was", q.Call, last).At(last)}
 		}
 	}
 	if q.Withdraw && !already {
@@ -187,7 +187,7 @@
 var (
 	// differs names what differs from a call that was taken, by whether the bodies are alike.
 	differs = map[bool]string{false: "body", true: "key"}
-	final   = map[problem.Kind]bool{problem.CallAltered: true, problem.CallPassed: true, problem.CallForgotten: true, problem.TokenFenced: true, problem.KeyUnknown: true}
+	final   = map[apierror.Kind]bool{apierror.CallAltered: true, apierror.CallPassed: true, apierror.CallForgotten: true, apierror.TokenFenced: true, apierror.KeyUnknown: true}
 )
 
 func (o *Owner) basis(k string) uint64 {
@@ -236,7 +236,7 @@
 			return 0, err
 		}
 		if given < last {
-			return 0, problem.New(problem.TokenFenced, "attachment %d of %s took over from %d", last, visitor, given)
+			return 0, apierror.New(apierror.TokenFenced, "attachment %d of %s took over from %d", last, visitor, given)
 		}
 		return given, nil
 	}
@@ -276,12 +276,12 @@
 	o.mu.Lock()
 	if n := o.near(); n < o.Rec.Majority() {
 		o.mu.Unlock()
-		return state.Attached{}, state.Acked{}, problem.New(problem.NoOwner, "%d of %d copies of partition %d are members", n, len(o.Rec.Replicas), o.Rec.Partition)
+		return state.Attached{}, state.Acked{}, apierror.New(apierror.NoOwner, "%d of %d copies of partition %d are members", n, len(o.Rec.Replicas), o.Rec.Partition)
 	}
 	if o.stage != Open && o.stage != Closing {
 		st := o.stage
 		o.mu.Unlock()
-		return state.Attached{}, state.Acked{}, problem.New(problem.NotReady, "partition %d is %s", o.Rec.Partition, st)
+		return state.Attached{}, state.Acked{}, apierror.New(apierror.NotReady, "partition %d is %s", o.Rec.Partition, st)
 	}
 	if err := o.d.Licensed(); err != nil {
 		o.mu.Unlock()
@@ -308,7 +308,7 @@
 		if err := o.assure(ctx); err != nil {
 			return err
 		}
-		return problem.New(problem.TokenFenced, "attachment %d of %s is in force", g, visitor)
+		return apierror.New(apierror.TokenFenced, "attachment %d of %s is in force", g, visitor)
 	}
 	e := o.tracks[line.Ledger].push(line.Entry{What: line.Cursor, Visitor: visitor, Generation: generation, Body: []byte(cursor)}, o.Rec.Epoch)
 	o.mu.Unlock()
@@ -321,7 +321,7 @@
 	if o.stage != Open && o.stage != Closing {
 		st := o.stage
 		o.mu.Unlock()
-		return a, at, false, problem.New(problem.NotReady, "partition %d is %s", o.Rec.Partition, st)
+		return a, at, false, apierror.New(apierror.NotReady, "partition %d is %s", o.Rec.Partition, st)
 	}
 	a = o.st.Accepted[state.Key(visitor, topic)]
 	o.mu.Unlock()
@@ -342,7 +342,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.stage != Open && o.stage != Closing {
-		return nil, problem.New(problem.NotReady, "partition %d is %s", o.Rec.Partition, o.stage)
+		return nil, apierror.New(apierror.NotReady, "partition %d is %s", o.Rec.Partition, o.stage)
 	}
 	var us []Use
 	senders := o.st.Senders()
--- a/internal/ledger/owner/takeover.go
+++ b/internal/ledger/owner/takeover.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/gather"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/replica"
 	"postjunction/internal/placement/assignment"
-	"postjunction/internal/problem"
 	"postjunction/internal/samza/changelog"
 	"postjunction/internal/samza/state"
 )
@@ -20,10 +20,10 @@
 	begun := o.d.Clock.Now()
 	me, ok := o.Rec.Place(o.d.Self)
 	if !ok || me.Incarnation != o.d.Replica.Incarnation() {
-		return problem.New(problem.WrongDisk, "the record of partition %d names disk %q of this node", o.Rec.Partition, me.Incarnation)
+		return apierror.New(apierror.WrongDisk, "the record of partition %d names disk %q of this node", o.Rec.Partition, me.Incarnation)
 	}
 	if s := o.d.Replica.Sealed(o.Rec.Partition); s >= o.Rec.Epoch {
-		return problem.New(problem.StaleEpoch, "epoch %d was used before on this disk, sealed at %d", o.Rec.Epoch, s)
+		return apierror.New(apierror.StaleEpoch, "epoch %d was used before on this disk, sealed at %d", o.Rec.Epoch, s)
 	}
 	var tails []sealed
 	if err := o.insist(ctx, "seal", func() error {
@@ -83,7 +83,7 @@
 			return err
 		}
 		if ctx.Err() != nil {
-			return problem.Because(problem.Stopped, ctx.Err(), "taking over partition %d", o.Rec.Partition)
+			return apierror.Because(apierror.Stopped, ctx.Err(), "taking over partition %d", o.Rec.Partition)
 		}
 		o.d.Log.Trouble(o.Rec.Partition, o.Rec.Epoch, step, err)
 		_ = o.d.Clock.Sleep(ctx, o.d.Bounds.Grown(try))
@@ -117,7 +117,7 @@
 		}
 		a, ok := o.d.Addr(p.Node)
 		if !ok {
-			return nil, problem.New(problem.Unreachable, "%s is not a member", p.Node)
+			return nil, apierror.New(apierror.Unreachable, "%s is not a member", p.Node)
 		}
 		return replica.Seal.Call(ctx, o.d.Net, o.d.Self, a, q)
 	}, func(as []sealed) bool { return len(gather.Good(as)) >= o.Rec.Majority() })
@@ -127,7 +127,7 @@
 		}
 	}
 	if n := len(gather.Good(as)); n < o.Rec.Majority() {
-		return nil, problem.Because(problem.NoMajority, gather.First(as), "%d of %d replicas were sealed", n, len(o.Rec.Replicas))
+		return nil, apierror.Because(apierror.NoMajority, gather.First(as), "%d of %d replicas were sealed", n, len(o.Rec.Replicas))
 	}
 	return gather.Good(as), nil
 }
@@ -138,7 +138,7 @@
 	p, _ := o.Rec.Place(node)
 	a, ok := o.d.Addr(node)
 	if !ok {
-		return nil, problem.New(problem.Unreachable, "%s is not a member", node)
+		return nil, apierror.New(apierror.Unreachable, "%s is not a member", node)
 	}
 	cx, stop := context.WithTimeout(ctx, o.d.Bounds.Call())
 	defer stop()
@@ -175,14 +175,14 @@
 			return err
 		}
 		if len(f.Entries) == 0 || f.Tail.Last.Less(top) {
-			return problem.New(problem.Mismatch, "%s ends at %d, short of %d", best, f.Tail.Last.Offset, top.Offset)
+			return apierror.New(apierror.Mismatch, "%s ends at %d, short of %d", best, f.Tail.Last.Offset, top.Offset)
 		}
 		a, err := o.d.Replica.Append(ctx, &replica.AppendRequest{Target: o.target(o.d.Self), Kind: k, After: at, Entries: f.Entries, Reset: reset, Urgent: o.Urgent})
 		if err != nil {
 			return err
 		}
 		if !a.OK {
-			return problem.New(problem.Mismatch, "the own line does not hold %d", at.Offset)
+			return apierror.New(apierror.Mismatch, "the own line does not hold %d", at.Offset)
 		}
 		o.mu.Lock()
 		o.how.Fetched += len(f.Entries)
@@ -255,7 +255,7 @@
 	}
 	o.how.Replayed = len(es)
 	if b := led.line.Base().Offset; input < b && b > 0 {
-		return problem.New(problem.DiskDamaged, "the changelog of partition %d ends at input offset %d, the ledger begins after %d", o.Rec.Partition, input, b)
+		return apierror.New(apierror.DiskDamaged, "the changelog of partition %d ends at input offset %d, the ledger begins after %d", o.Rec.Partition, input, b)
 	}
 	st.Input = input
 	o.pruned = led.line.Base().Offset
--- a/internal/ledger/owner/track.go
+++ b/internal/ledger/owner/track.go
@@ -4,12 +4,12 @@
 	"context"
 	"sort"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/replica"
 	"postjunction/internal/ledger/still"
 	"postjunction/internal/placement/assignment"
-	"postjunction/internal/problem"
 )
 
 type track struct {
@@ -114,15 +114,15 @@
 		}
 		a, err := o.d.Replica.Append(ctx, &replica.AppendRequest{Target: o.target(o.d.Self), Kind: t.kind, After: at, Entries: es, Base: base, Urgent: o.Urgent})
 		if err == nil && !a.OK {
-			err = problem.New(problem.Mismatch, "the own line ends at %d", a.Tail.Last.Offset)
+			err = apierror.New(apierror.Mismatch, "the own line ends at %d", a.Tail.Last.Offset)
 		}
 		if err != nil {
-			if o.fenced(err) || problem.Has(err, problem.Mismatch) {
+			if o.fenced(err) || apierror.Has(err, apierror.Mismatch) {
 				o.lose(err)
 				return
 			}
 			o.d.Log.Disk(o.Rec.Partition, err)
-			full = problem.Has(err, problem.DiskFull)
+			full = apierror.Has(err, apierror.DiskFull)
 			_ = o.d.Clock.Sleep(ctx, o.d.Bounds.Retry())
 			continue
 		}
@@ -199,10 +199,10 @@
 				o.lose(err)
 				return
 			}
-			if problem.Has(err, problem.Mismatch) {
+			if apierror.Has(err, apierror.Mismatch) {
 				c.reset = false
 			}
-			c.full = problem.Has(err, problem.DiskFull)
+			c.full = apierror.Has(err, apierror.DiskFull)
 			_ = o.d.Clock.Sleep(ctx, o.d.Bounds.Grown(tries))
 			tries++
 			continue
--- a/internal/ledger/owner/used_test.go
+++ b/internal/ledger/owner/used_test.go
@@ -6,12 +6,12 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/disk/memlog"
 	"postjunction/internal/ledger/replica"
 	"postjunction/internal/placement/assignment"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 )
 
@@ -37,6 +37,6 @@
 	o := New(Deps{Self: "s1", Clock: clock.Real{}, Bounds: settings.DefaultBounds, Replica: r}, assignment.Record{Partition: 3, Epoch: 5, Owner: "s1", Replicas: []assignment.Place{{Node: "s1", Incarnation: "i"}}}, false)
 	short, end := context.WithCancel(ctx)
 	end()
-	assert.Assert(t, problem.Has(o.takeOver(short), problem.StaleEpoch))
+	assert.Assert(t, apierror.Has(o.takeOver(short), apierror.StaleEpoch))
 	assert.Equal(t, r.Sealed(3), uint64(5))
 }
--- a/internal/ledger/replica/replica.go
+++ b/internal/ledger/replica/replica.go
@@ -7,11 +7,11 @@
 	"sort"
 	"sync"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/kinds"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/problem"
 	"postjunction/internal/turn"
 	"postjunction/internal/wire"
 )
@@ -196,7 +196,7 @@
 func (r *Replica) Restore(x journal.Rec) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return problem.Wrap(problem.DiskDamaged, restore[x.Kind](r, x.Body), "read a record of kind %d", x.Kind)
+	return apierror.Wrap(apierror.DiskDamaged, restore[x.Kind](r, x.Body), "read a record of kind %d", x.Kind)
 }
 
 func (r *Replica) forget(p int) {
@@ -299,13 +299,13 @@
 
 func (r *Replica) fence(t Target) error {
 	if t.Incarnation != r.incarnation {
-		return problem.New(problem.WrongDisk, "this disk is %s, not %s", r.incarnation, t.Incarnation)
+		return apierror.New(apierror.WrongDisk, "this disk is %s, not %s", r.incarnation, t.Incarnation)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if s := r.seals[t.Partition]; t.Epoch < s {
 		r.turned++
-		return problem.New(problem.StaleEpoch, "partition %d is sealed at epoch %d, the call is under %d", t.Partition, s, t.Epoch).At(s)
+		return apierror.New(apierror.StaleEpoch, "partition %d is sealed at epoch %d, the call is under %d", t.Partition, s, t.Epoch).At(s)
 	}
 	return nil
 }
@@ -375,7 +375,7 @@
 	var fresh []line.Entry
 	for _, e := range q.Entries {
 		if !e.Sound(at) {
-			return nil, problem.New(problem.Mismatch, "entry %d does not follow %d soundly", e.Offset, at.Offset)
+			return nil, apierror.New(apierror.Mismatch, "entry %d does not follow %d soundly", e.Offset, at.Offset)
 		}
 		at = e.At()
 		if p, ok := l.Point(e.Offset); !q.Reset && ok && p == at {
@@ -427,7 +427,7 @@
 // Fetch reads entries.
 func (r *Replica) Fetch(_ context.Context, q *FetchRequest) (*FetchResponse, error) {
 	if q.Incarnation != r.incarnation {
-		return nil, problem.New(problem.WrongDisk, "this disk is %s, not %s", r.incarnation, q.Incarnation)
+		return nil, apierror.New(apierror.WrongDisk, "this disk is %s, not %s", r.incarnation, q.Incarnation)
 	}
 	l := r.Line(q.Partition, q.Kind)
 	a := &FetchResponse{Tail: r.tail(q.Partition, q.Kind)}
--- a/internal/ledger/replica/still.go
+++ b/internal/ledger/replica/still.go
@@ -7,8 +7,8 @@
 	"maps"
 	"slices"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/problem"
 )
 
 // Sum is the sum of lines in the order of their kinds and partitions. It only tells what to look at: no promise rests on it.
@@ -28,7 +28,7 @@
 // Still tells whether lines end here as their owners have told them, and nobody else has sealed their partitions since. It writes nothing and waits for nobody.
 func (r *Replica) Still(_ context.Context, q *StillRequest) (*StillResponse, error) {
 	if q.Incarnation != r.incarnation {
-		return nil, problem.New(problem.WrongDisk, "this disk is %s, not %s", r.incarnation, q.Incarnation)
+		return nil, apierror.New(apierror.WrongDisk, "this disk is %s, not %s", r.incarnation, q.Incarnation)
 	}
 	var ss []Silent
 	for _, k := range slices.Sorted(maps.Keys(q.Lines)) {
--- a/internal/ledger/still/still_test.go
+++ b/internal/ledger/still/still_test.go
@@ -11,10 +11,10 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/replica"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 )
 
@@ -37,7 +37,7 @@
 	defer c.mu.Unlock()
 	c.asked = append(c.asked, len(q.Lines[line.Ledger]))
 	if c.deaf {
-		return nil, problem.New(problem.WrongDisk, "another disk")
+		return nil, apierror.New(apierror.WrongDisk, "another disk")
 	}
 	var ss []replica.Silent
 	for _, p := range q.Lines[line.Ledger] {
--- a/internal/membership/failuredetector/watch.go
+++ b/internal/membership/failuredetector/watch.go
@@ -8,11 +8,11 @@
 	"sync"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
 	"postjunction/internal/placement/assignment"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
@@ -212,7 +212,7 @@
 	as := gather.Ask(cx, ring, func(ctx context.Context, f string) (bool, error) {
 		a, ok := w.Addr(f)
 		if !ok {
-			return false, problem.New(problem.Unreachable, "%s is not known", f)
+			return false, apierror.New(apierror.Unreachable, "%s is not known", f)
 		}
 		h, err := Heard.Call(ctx, w.Net, w.Self, a, &HeardRequest{Node: n})
 		return err == nil && h.Heard, err
@@ -235,7 +235,7 @@
 	defer w.mu.Unlock()
 	x := w.wards[n]
 	if x == nil {
-		return false, problem.New(problem.NotReady, "%s does not look after %s", w.Self, n)
+		return false, apierror.New(apierror.NotReady, "%s does not look after %s", w.Self, n)
 	}
 	return x.why == "" && x.missed <= lately && x.refused == 0, nil
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -9,6 +9,7 @@
 	"sync"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/carrier/fan"
 	"postjunction/internal/carrier/feed"
 	"postjunction/internal/carrier/presence"
@@ -40,7 +41,6 @@
 	"postjunction/internal/operator"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/placement/controller"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 	"postjunction/internal/visitor"
 	"postjunction/internal/visitor/admission"
@@ -338,7 +338,7 @@
 		Feeds: feed.New(ctx, self, n.boot, n.desk, clk, b), Licensed: n.keeper.Licensed, Leaving: n.leaving,
 		Heard: func(t *visitor.Task, err error) {
 			n.log.Say(event.Turned, "verb", t.Verb, "visitor", t.Visitor, "problem", err)
-			p, topic := problem.Of(err), ""
+			p, topic := apierror.Of(err), ""
 			if len(t.Topics) > 0 {
 				topic = t.Topics[0]
 			}
@@ -444,8 +444,8 @@
 	swept, dropped := n.w.Clock.Now(), n.w.Clock.Now()
 	for n.w.Clock.Sleep(ctx, b.Tend()) == nil {
 		if f := n.Board.Roster().Fleet; f != "" {
-			if err := n.id.Join(ctx, n.journal, f); problem.Has(err, problem.DiskForeign) {
-				if n.setFitness(string(problem.DiskForeign)) {
+			if err := n.id.Join(ctx, n.journal, f); apierror.Has(err, apierror.DiskForeign) {
+				if n.setFitness(string(apierror.DiskForeign)) {
 					n.log.Say(event.DiskTrouble, "problem", err)
 				}
 				continue
@@ -460,7 +460,7 @@
 			err = n.journal.Probe(ctx, b.Call())
 		}
 		if err != nil && ctx.Err() == nil {
-			if n.setFitness(string(problem.Of(err).Kind)) {
+			if n.setFitness(string(apierror.Of(err).Kind)) {
 				n.log.Say(event.DiskTrouble, "problem", err)
 			}
 			continue
@@ -516,7 +516,7 @@
 func (n *Node) Ready() error {
 	select {
 	case <-n.leaving:
-		return problem.New(problem.Leaving, "this node is stopping")
+		return apierror.New(apierror.Leaving, "this node is stopping")
 	default:
 	}
 	if err := n.House.Stays(); err != nil {
@@ -582,7 +582,7 @@
 	cur := n.options()
 	for _, f := range settings.Changed(cur, o) {
 		if _, ok := settings.Live[f]; !ok {
-			return problem.New(problem.OptionsBad, "field %q can't change under a running node", f)
+			return apierror.New(apierror.OptionsBad, "field %q can't change under a running node", f)
 		}
 	}
 	n.mu.Lock()
--- a/internal/node/owners/heir.go
+++ b/internal/node/owners/heir.go
@@ -6,11 +6,11 @@
 	"sync"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/control/registerclient"
 	"postjunction/internal/event"
 	"postjunction/internal/placement/assignment"
-	"postjunction/internal/problem"
 )
 
 const claimsMost = 32
@@ -76,7 +76,7 @@
 		k.Tell(ctx, n)
 		return
 	}
-	if !problem.Has(err, problem.StaleBase) {
+	if !apierror.Has(err, apierror.StaleBase) {
 		k.Log.Say(event.PlaceTrouble, "partition", r.Partition, "problem", err)
 		_ = k.Clock.Sleep(ctx, clock.Jitter(k.Bounds.Beat(), 1, rand.Float64()))
 	}
--- a/internal/node/owners/owners.go
+++ b/internal/node/owners/owners.go
@@ -8,6 +8,7 @@
 	"sync"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/control/registerclient"
 	"postjunction/internal/event"
@@ -16,7 +17,6 @@
 	"postjunction/internal/ledger/replica"
 	"postjunction/internal/partition"
 	"postjunction/internal/placement/assignment"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 )
 
@@ -49,7 +49,7 @@
 	if o, ok := k.m[p]; ok {
 		return o, nil
 	}
-	return nil, problem.New(problem.NotOwner, "%s does not decide for partition %d", k.Self, p)
+	return nil, apierror.New(apierror.NotOwner, "%s does not decide for partition %d", k.Self, p)
 }
 
 // Views gives the figures of all owners.
@@ -138,7 +138,7 @@
 				delete(k.m, p)
 				k.mu.Unlock()
 				if o != nil {
-					o.End(problem.New(problem.StaleEpoch, "epoch %d came", r.Epoch))
+					o.End(apierror.New(apierror.StaleEpoch, "epoch %d came", r.Epoch))
 				}
 				go k.revive(ctx, p)
 				continue
@@ -147,7 +147,7 @@
 			k.m[p] = n
 			k.mu.Unlock()
 			if o != nil {
-				o.End(problem.New(problem.StaleEpoch, "epoch %d came", r.Epoch))
+				o.End(apierror.New(apierror.StaleEpoch, "epoch %d came", r.Epoch))
 			}
 			k.Log.Say(event.OwnerTakes, "partition", p, "epoch", r.Epoch)
 			go k.serve(ctx, n)
@@ -157,7 +157,7 @@
 			}
 			k.mu.Unlock()
 			if o != nil && r.Epoch > o.Rec.Epoch {
-				o.End(problem.New(problem.StaleEpoch, "%s decides under epoch %d", r.Owner, r.Epoch))
+				o.End(apierror.New(apierror.StaleEpoch, "%s decides under epoch %d", r.Owner, r.Epoch))
 			}
 		}
 	}
@@ -218,7 +218,7 @@
 	}
 	r, err := assignment.Parse(v.Body, v.Writes)
 	if err != nil {
-		return r, problem.Wrap(problem.Internal, err, "read the record of partition %d", p)
+		return r, apierror.Wrap(apierror.Internal, err, "read the record of partition %d", p)
 	}
 	k.Board.Offer(gossip.News{Records: []assignment.Record{r}})
 	return r, nil
@@ -294,7 +294,7 @@
 				n++
 				mu.Unlock()
 			}
-			o.End(problem.New(problem.Leaving, "this node is stopping"))
+			o.End(apierror.New(apierror.Leaving, "this node is stopping"))
 		})
 	}
 	wg.Wait()
--- a/internal/nodelease/session.go
+++ b/internal/nodelease/session.go
@@ -9,6 +9,7 @@
 	"sync"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/configuration"
 	"postjunction/internal/control/voters"
@@ -16,7 +17,6 @@
 	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
 	"postjunction/internal/membership"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
@@ -393,7 +393,7 @@
 	if now.Before(k.until) || !k.behind && !k.until.IsZero() && now.Before(k.until.Add(time.Duration(k.Opts.Stretch))) {
 		return nil
 	}
-	return problem.New(problem.Unlicensed, "no control node confirmed the description within %s", k.Opts.Bounds().Lease()+time.Duration(k.Opts.Stretch))
+	return apierror.New(apierror.Unlicensed, "no control node confirmed the description within %s", k.Opts.Bounds().Lease()+time.Duration(k.Opts.Stretch))
 }
 
 // Confirmed tells whether the lease stands by a control node's word alone, not by the stretch.
@@ -480,7 +480,7 @@
 		is = k.able(slices.Concat(k.ask(ctx, not), k.View.All(), k.known), not)
 	}
 	if len(is) == 0 {
-		return membership.Info{}, problem.New(problem.Unreachable, "no control node was found through the seeds")
+		return membership.Info{}, apierror.New(apierror.Unreachable, "no control node was found through the seeds")
 	}
 	near := membership.Pick(is, func(i membership.Info) bool { return i.Zone == k.Opts.Zone })
 	if len(near) > 0 && not == "" {
@@ -512,10 +512,10 @@
 		err := k.beat(ctx, with)
 		pause := k.pace(begun)
 		switch {
-		case problem.Has(err, problem.NotReady):
+		case apierror.Has(err, apierror.NotReady):
 		case err != nil:
 			bad++
-			if problem.Has(err, problem.Unreachable) {
+			if apierror.Has(err, apierror.Unreachable) {
 				pause = k.Opts.Bounds().Again()
 			}
 		default:
@@ -627,17 +627,17 @@
 		return nil
 	}
 	if !a.Confirmed && a.Young {
-		return problem.New(problem.NotReady, "%s began lately and has not confirmed the description yet", with.Name)
+		return apierror.New(apierror.NotReady, "%s began lately and has not confirmed the description yet", with.Name)
 	}
 	if !a.Confirmed {
-		return problem.New(problem.Unlicensed, "%s could not confirm the description", with.Name)
+		return apierror.New(apierror.Unlicensed, "%s could not confirm the description", with.Name)
 	}
 	late := k.Board.Description().Sequence < a.Sequence
 	k.mu.Lock()
 	k.behind = late
 	k.mu.Unlock()
 	if late {
-		return problem.New(problem.Unlicensed, "description %d did not arrive yet", a.Sequence)
+		return apierror.New(apierror.Unlicensed, "description %d did not arrive yet", a.Sequence)
 	}
 	k.mu.Lock()
 	if t := sent.Add(b.Lease() - a.Age); t.After(k.until) {
@@ -645,7 +645,7 @@
 	}
 	k.mu.Unlock()
 	if a.Apart {
-		return problem.New(problem.Unlicensed, "no majority answers %s", with.Name)
+		return apierror.New(apierror.Unlicensed, "no majority answers %s", with.Name)
 	}
 	return nil
 }
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -4,6 +4,7 @@
 	"context"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/registerclient"
 	"postjunction/internal/event"
@@ -11,7 +12,6 @@
 	"postjunction/internal/membership"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/placement/decommission"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 )
 
@@ -50,12 +50,12 @@
 	}
 	x, err := s.judge(ctx, node, c)
 	switch {
-	case problem.Has(err, problem.AlreadyEmpty):
+	case apierror.Has(err, apierror.AlreadyEmpty):
 		return x, nil
-	case err != nil && !problem.Has(err, problem.DrainUnsafe):
+	case err != nil && !apierror.Has(err, apierror.DrainUnsafe):
 		return decommission.Drain{}, err
 	}
-	return decommission.Drain{}, c.refuse(problem.UnknownNode, "the emptying of %q was not asked for", node)
+	return decommission.Drain{}, c.refuse(apierror.UnknownNode, "the emptying of %q was not asked for", node)
 }
 
 // Drain asks for a machine to be emptied. The order is recorded and carried out whoever has the placement duty. The same
@@ -70,7 +70,7 @@
 		}
 		if x := c.value.list[node]; c.value.list.Out(node) {
 			if x.Done {
-				return nil, c.refuse(problem.AlreadyEmpty, "%s was emptied before", node)
+				return nil, c.refuse(apierror.AlreadyEmpty, "%s was emptied before", node)
 			}
 			return x, nil
 		}
@@ -79,14 +79,14 @@
 			return nil, err
 		}
 		if !c.value.list.Add(x) {
-			return nil, c.refuse(problem.DrainUnsafe, "%d machines are being emptied, which is the most", decommission.ListMost)
+			return nil, c.refuse(apierror.DrainUnsafe, "%d machines are being emptied, which is the most", decommission.ListMost)
 		}
 		_, err = s.Client.Change(ctx, decommission.Key, c.value.writes, registerclient.Name(), c.value.list.Pack())
 		if err == nil {
 			s.Log.Say(event.DrainAsked, "node", node, "partitions", x.Left)
 			return x, nil
 		}
-		again := problem.Has(err, problem.StaleBase) || problem.Has(err, problem.StaleRoster) && s.Clock.Sleep(ctx, s.Bounds.Retry()) == nil
+		again := apierror.Has(err, apierror.StaleBase) || apierror.Has(err, apierror.StaleRoster) && s.Clock.Sleep(ctx, s.Bounds.Retry()) == nil
 		if !again || ctx.Err() != nil {
 			return nil, outcome(true, err)
 		}
@@ -113,15 +113,15 @@
 		withDisk = withDisk || i.Disk != settings.DiskNone
 	}
 	if !withDisk {
-		return x, all.refuse(problem.UnknownNode, "%q is no machine with a disk of this fleet", node)
+		return x, all.refuse(apierror.UnknownNode, "%q is no machine with a disk of this fleet", node)
 	}
 	if left.value == 0 && !storage {
 		x.Done = true
-		return x, all.refuse(problem.AlreadyEmpty, "%s holds no partition", node)
+		return x, all.refuse(apierror.AlreadyEmpty, "%s holds no partition", node)
 	}
 	rest, needed := serving(all.value, drains.value.list, node), s.Board.Roster().Layout.Copies()
 	if rest < needed {
-		return x, all.refuse(problem.DrainUnsafe, "without %s only %d machines with disks serve, %d are needed to bear a loss", node, rest, needed)
+		return x, all.refuse(apierror.DrainUnsafe, "without %s only %d machines with disks serve, %d are needed to bear a loss", node, rest, needed)
 	}
 	return x, nil
 }
@@ -132,7 +132,7 @@
 		return assignment.Record{Partition: p}, nil
 	}
 	r, err := assignment.Parse(v.Body, v.Writes)
-	return r, problem.Wrap(problem.Internal, err, "read the record of partition %d", p)
+	return r, apierror.Wrap(apierror.Internal, err, "read the record of partition %d", p)
 }
 
 // holdings counts the records that name a machine.
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -9,6 +9,7 @@
 	"strings"
 	"sync/atomic"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/registerclient"
@@ -21,7 +22,6 @@
 	"postjunction/internal/membership"
 	"postjunction/internal/partition"
 	"postjunction/internal/placement/assignment"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 	"postjunction/internal/usage"
 	"postjunction/internal/visitor/turned"
@@ -92,7 +92,7 @@
 	}
 	as := gather.Ask(ctx, ps, s.Uses, nil)
 	if err := gather.First(as); err != nil || len(as) < len(ps) {
-		return nil, problem.Because(problem.NoOwner, err, "usage of all partitions")
+		return nil, apierror.Because(apierror.NoOwner, err, "usage of all partitions")
 	}
 	rows := []usage.Row{}
 	for _, a := range as {
@@ -144,7 +144,7 @@
 		p, err = partition.Of(topic, sp.Urgent, l), nil
 	}
 	if err != nil || p < 0 || p >= l.Count() {
-		return nil, problem.New(problem.Malformed, "n must be from 0 to %d, is %q", l.Count()-1, n)
+		return nil, apierror.New(apierror.Malformed, "n must be from 0 to %d, is %q", l.Count()-1, n)
 	}
 	ctx, stop := s.limit(ctx)
 	defer stop()
--- a/internal/operator/orderlog/accepted.go
+++ b/internal/operator/orderlog/accepted.go
@@ -15,8 +15,8 @@
 	"encoding/hex"
 	"slices"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/configuration"
-	"postjunction/internal/problem"
 )
 
 // Most is how many orders a log holds. The users make hundreds of changes a day; the oldest is forgotten first.
@@ -97,7 +97,7 @@
 // Parse reads a log. A log that can't be read is an error, never an empty log.
 func Parse(b []byte) (Log, error) {
 	if len(b) == 0 || b[0] != formatOne {
-		return Log{}, problem.New(problem.DiskDamaged, "the log of accepted orders has an unknown format")
+		return Log{}, apierror.New(apierror.DiskDamaged, "the log of accepted orders has an unknown format")
 	}
 	r := reader{rest: b[1:]}
 	l := Log{Forgotten: r.number()}
@@ -110,7 +110,7 @@
 		last = o.Sequence
 	}
 	if r.bad || len(r.rest) > 0 {
-		return Log{}, problem.New(problem.DiskDamaged, "the log of accepted orders breaks off or goes on behind its end")
+		return Log{}, apierror.New(apierror.DiskDamaged, "the log of accepted orders breaks off or goes on behind its end")
 	}
 	return l, nil
 }
--- a/internal/operator/quorum.go
+++ b/internal/operator/quorum.go
@@ -3,11 +3,11 @@
 import (
 	"context"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/voters"
 	"postjunction/internal/gather"
 	"postjunction/internal/membership"
-	"postjunction/internal/problem"
 )
 
 // confirmed is a value that a majority of voters stood for after the operator had asked. Only readAs and askMajority make
@@ -16,8 +16,8 @@
 type confirmed[T any] struct{ value T }
 
 // refuse makes a final refusal that rests on the confirmed value.
-func (c confirmed[T]) refuse(k problem.Kind, f string, a ...any) *problem.Problem {
-	return problem.New(k, f, a...)
+func (c confirmed[T]) refuse(k apierror.Kind, f string, a ...any) *apierror.Problem {
+	return apierror.New(k, f, a...)
 }
 
 // with gives another value that follows from this one.
@@ -29,7 +29,7 @@
 // readAs reads a control key by quorum. While the voters change nobody can tell, and it asks again.
 func readAs[T any](ctx context.Context, s *Service, key string, parse func(acceptor.Value) (T, error)) (c confirmed[T], err error) {
 	v, err := s.Client.Read(ctx, key)
-	for problem.Has(err, problem.StaleRoster) && s.Clock.Sleep(ctx, s.Bounds.Retry()) == nil {
+	for apierror.Has(err, apierror.StaleRoster) && s.Clock.Sleep(ctx, s.Bounds.Retry()) == nil {
 		v, err = s.Client.Read(ctx, key)
 	}
 	if err != nil {
@@ -51,7 +51,7 @@
 	})
 	good := gather.Good(as)
 	if r.Sequence == 0 || len(good) < r.Majority() {
-		return c, problem.Because(problem.NoMajority, gather.First(as), "%d of %d control nodes told which machines they know", len(good), len(r.Seats))
+		return c, apierror.Because(apierror.NoMajority, gather.First(as), "%d of %d control nodes told which machines they know", len(good), len(r.Seats))
 	}
 	c.value = machines{}
 	for _, a := range good {
@@ -69,7 +69,7 @@
 		return nil, err
 	}
 	if a.Info.Incarnation != to.Incarnation {
-		return nil, problem.New(problem.WrongDisk, "%s has another disk than its seat", to.Node)
+		return nil, apierror.New(apierror.WrongDisk, "%s has another disk than its seat", to.Node)
 	}
 	return append(a.Known, a.Info), nil
 }
--- a/internal/operator/replace.go
+++ b/internal/operator/replace.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"fmt"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/configuration"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/quorumread"
@@ -12,7 +13,6 @@
 	"postjunction/internal/event"
 	"postjunction/internal/gossip"
 	"postjunction/internal/operator/orderlog"
-	"postjunction/internal/problem"
 )
 
 // Accepted is the answer to an accepted description. KeptLanes names what stands in another lane than its space asks for.
@@ -40,7 +40,7 @@
 		return configuration.Description{}, err
 	}
 	if c.value.current.Sequence == 0 {
-		return configuration.Description{}, c.refuse(problem.DescriptionNone, "no description was put yet")
+		return configuration.Description{}, c.refuse(apierror.DescriptionNone, "no description was put yet")
 	}
 	return c.value.current, nil
 }
@@ -83,7 +83,7 @@
 }
 
 // settled problems are final answers to an order; after all others the register is asked again.
-var settled = map[problem.Kind]bool{problem.DescriptionRaced: true, problem.DescriptionBad: true, problem.OutcomeUnknown: true, problem.Oversize: true}
+var settled = map[apierror.Kind]bool{apierror.DescriptionRaced: true, apierror.DescriptionBad: true, apierror.OutcomeUnknown: true, apierror.Oversize: true}
 
 // replace tries an order until its outcome is known. doubt tells that an earlier try may have been accepted.
 func (s *Service) replace(ctx context.Context, d configuration.Description, doubt bool) (*Accepted, error) {
@@ -93,14 +93,14 @@
 	o := orderlog.Of(d)
 	for {
 		a, err := s.try(ctx, d, o)
-		if err == nil || settled[problem.Of(err).Kind] {
+		if err == nil || settled[apierror.Of(err).Kind] {
 			return a, err
 		}
-		if problem.Has(err, problem.StaleBase) && ctx.Err() == nil {
+		if apierror.Has(err, apierror.StaleBase) && ctx.Err() == nil {
 			continue
 		}
-		doubt = doubt || problem.Has(err, problem.NoMajority) || problem.Has(err, problem.Unreachable)
-		if !doubt && !problem.Has(err, problem.StaleRoster) {
+		doubt = doubt || apierror.Has(err, apierror.NoMajority) || apierror.Has(err, apierror.Unreachable)
+		if !doubt && !apierror.Has(err, apierror.StaleRoster) {
 			return nil, err
 		}
 		if e := s.Clock.Sleep(ctx, s.Bounds.Retry()); e != nil {
@@ -123,9 +123,9 @@
 	case log.Holds(o):
 		return &Accepted{Sequence: o.Sequence}, nil
 	case !log.Knows(o):
-		return nil, problem.New(problem.OutcomeUnknown, "which orders were accepted up to %d is no longer known; current is %d", log.Forgotten, cur.Sequence).At(cur.Sequence)
+		return nil, apierror.New(apierror.OutcomeUnknown, "which orders were accepted up to %d is no longer known; current is %d", log.Forgotten, cur.Sequence).At(cur.Sequence)
 	case cur.Sequence != d.Base:
-		return nil, c.refuse(problem.DescriptionRaced, "the description builds on %d, current is %d", d.Base, cur.Sequence).At(cur.Sequence)
+		return nil, c.refuse(apierror.DescriptionRaced, "the description builds on %d, current is %d", d.Base, cur.Sequence).At(cur.Sequence)
 	}
 	n, err := s.stand(ctx, d, cur)
 	if err != nil {
@@ -133,7 +133,7 @@
 	}
 	body := n.Pack()
 	if len(body) > configuration.PackedMost {
-		return nil, problem.New(problem.Oversize, "the description takes %d bytes with its source, the limit is %d", len(body), configuration.PackedMost)
+		return nil, apierror.New(apierror.Oversize, "the description takes %d bytes with its source, the limit is %d", len(body), configuration.PackedMost)
 	}
 	q := &register.ChangeRequest{Key: quorumread.Key, Base: c.value.writes, By: o.Name(), Body: body, Memory: log.With(o).Pack()}
 	if _, err := s.Client.Write(ctx, q); err != nil {
@@ -154,7 +154,7 @@
 func parseRegister(v acceptor.Value) (r stateRegister, err error) {
 	r.writes = v.Writes
 	if r.current, err = quorumread.Parse(v); err != nil {
-		return r, problem.Wrap(problem.Internal, err, "read the current description")
+		return r, apierror.Wrap(apierror.Internal, err, "read the current description")
 	}
 	if len(v.Memory) == 0 {
 		r.log = orderlog.Since(r.current)
@@ -169,7 +169,7 @@
 	f := d.Faults()
 	for i, x := range d.Spaces {
 		if most := uint64(s.Bounds.KeptMost().Milliseconds()); x.KeepMS > most {
-			f = append(f, problem.Fault{Place: fmt.Sprintf("$.spaces[%d].keep_ms", i), Say: fmt.Sprintf("must be at most ten times the fleet's keeping (%d), is %d", most, x.KeepMS)})
+			f = append(f, apierror.Fault{Place: fmt.Sprintf("$.spaces[%d].keep_ms", i), Say: fmt.Sprintf("must be at most ten times the fleet's keeping (%d), is %d", most, x.KeepMS)})
 		}
 	}
 	return configuration.Bad(f)
@@ -179,8 +179,8 @@
 	if !doubt {
 		return err
 	}
-	p := problem.New(problem.OutcomeUnknown, "the description may or may not have been accepted; read it back to learn which: %v", err)
-	p.Current = problem.Of(err).Current
+	p := apierror.New(apierror.OutcomeUnknown, "the description may or may not have been accepted; read it back to learn which: %v", err)
+	p.Current = apierror.Of(err).Current
 	return p
 }
 
--- a/internal/operator/retire.go
+++ b/internal/operator/retire.go
@@ -3,9 +3,9 @@
 import (
 	"context"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/configuration"
 	"postjunction/internal/control/registerclient"
-	"postjunction/internal/problem"
 )
 
 const retiredKey = "spaces/retired"
@@ -54,8 +54,8 @@
 		if err == nil {
 			return nil
 		}
-		if ctx.Err() != nil || !problem.Has(err, problem.StaleBase) {
-			return problem.Because(problem.NoMajority, err, "nothing was changed: the removed spaces could not be noted")
+		if ctx.Err() != nil || !apierror.Has(err, apierror.StaleBase) {
+			return apierror.Because(apierror.NoMajority, err, "nothing was changed: the removed spaces could not be noted")
 		}
 	}
 }
--- a/internal/operator/submit.go
+++ b/internal/operator/submit.go
@@ -7,9 +7,9 @@
 	"io"
 	"net/http"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/configuration"
 	"postjunction/internal/control/registerclient"
-	"postjunction/internal/problem"
 	"postjunction/internal/wire"
 )
 
@@ -41,14 +41,14 @@
 	ctx, stop := s.limit(context.WithoutCancel(ctx))
 	defer stop()
 	doubt, err := s.forward(ctx, doc, base)
-	if err == nil || final[problem.Of(err).Kind] {
+	if err == nil || final[apierror.Of(err).Kind] {
 		return err
 	}
 	return s.take(ctx, doc, base, doubt, read)
 }
 
 // final problems are those after which a control node surely did nothing, nor will, and no other would.
-var final = map[problem.Kind]bool{problem.DescriptionRaced: true, problem.DescriptionBad: true, problem.Malformed: true, problem.Oversize: true}
+var final = map[apierror.Kind]bool{apierror.DescriptionRaced: true, apierror.DescriptionBad: true, apierror.Malformed: true, apierror.Oversize: true}
 
 func (s *Service) forward(ctx context.Context, doc []byte, base uint64) (doubt bool, err error) {
 	b, err := deflate(doc)
@@ -56,7 +56,7 @@
 		return false, err
 	}
 	sent, err := registerclient.Once(ctx, s.Client, Submit, &SubmitRequest{Base: base, By: registerclient.Name(), Doc: b})
-	return sent && !problem.Has(err, problem.NotReady), err
+	return sent && !apierror.Has(err, apierror.NotReady), err
 }
 
 func (s *Service) take(ctx context.Context, doc []byte, base uint64, doubt bool, read Reader) error {
@@ -73,7 +73,7 @@
 	Submit.Handle(m, func(ctx context.Context, q *SubmitRequest) (*SubmitResponse, error) {
 		read := s.reader.Load()
 		if read == nil {
-			return nil, problem.New(problem.NotReady, "this node reads no documents")
+			return nil, apierror.New(apierror.NotReady, "this node reads no documents")
 		}
 		doc, err := inflate(q.Doc)
 		if err != nil {
@@ -92,21 +92,21 @@
 	var w bytes.Buffer
 	f, err := flate.NewWriter(&w, flate.BestSpeed)
 	if err != nil {
-		return nil, problem.Wrap(problem.Internal, err, "pack a document")
+		return nil, apierror.Wrap(apierror.Internal, err, "pack a document")
 	}
 	if _, err = f.Write(b); err == nil {
 		err = f.Close()
 	}
-	return w.Bytes(), problem.Wrap(problem.Internal, err, "pack a document")
+	return w.Bytes(), apierror.Wrap(apierror.Internal, err, "pack a document")
 }
 
 func inflate(b []byte) ([]byte, error) {
 	doc, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(b)), configuration.BytesMost+1))
 	switch {
 	case err != nil:
-		return nil, problem.Because(problem.Malformed, err, "the document can't be unpacked")
+		return nil, apierror.Because(apierror.Malformed, err, "the document can't be unpacked")
 	case len(doc) > configuration.BytesMost:
-		return nil, problem.New(problem.Oversize, "the document has more than %d bytes", configuration.BytesMost)
+		return nil, apierror.New(apierror.Oversize, "the document has more than %d bytes", configuration.BytesMost)
 	}
 	return doc, nil
 }
--- a/internal/operator/why.go
+++ b/internal/operator/why.go
@@ -4,29 +4,29 @@
 	"context"
 	"slices"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/gather"
 	"postjunction/internal/ledger/desk"
 	"postjunction/internal/membership"
 	"postjunction/internal/partition"
-	"postjunction/internal/problem"
 	"postjunction/internal/visitor/turned"
 )
 
 // Why is what the fleet knows of a visitor's call: what the ledger decided, and which nodes turned it away and why.
 type Why struct {
-	Visitor string           `json:"visitor"`
-	Topic   string           `json:"topic"`
-	Call    uint64           `json:"call_seq"`
-	Ledger  *desk.Traced     `json:"ledger,omitempty"`
-	Problem *problem.Problem `json:"ledger_problem,omitempty"`
-	Turned  []turned.Note    `json:"turned_away"`
-	Whole   bool             `json:"whole"`
+	Visitor string            `json:"visitor"`
+	Topic   string            `json:"topic"`
+	Call    uint64            `json:"call_seq"`
+	Ledger  *desk.Traced      `json:"ledger,omitempty"`
+	Problem *apierror.Problem `json:"ledger_problem,omitempty"`
+	Turned  []turned.Note     `json:"turned_away"`
+	Whole   bool              `json:"whole"`
 }
 
 // Why explains a call after the fact.
 func (s *Service) Why(ctx context.Context, visitor, topic string, call uint64) (any, error) {
 	if visitor == "" || topic == "" || call == 0 {
-		return nil, problem.New(problem.Malformed, "name the visitor, the topic and the call_seq, which begins at 1")
+		return nil, apierror.New(apierror.Malformed, "name the visitor, the topic and the call_seq, which begins at 1")
 	}
 	ctx, stop := s.limit(ctx)
 	defer stop()
@@ -36,7 +36,7 @@
 		w.Ledger, err = s.Trace(ctx, partition.Of(topic, sp.Urgent, s.Board.Roster().Layout), &desk.TraceRequest{Visitor: visitor, Topic: topic, Call: call})
 	}
 	if err != nil {
-		w.Problem = problem.Of(err)
+		w.Problem = apierror.Of(err)
 	}
 	q := turned.Task{Visitor: visitor, Topic: topic, Call: call}
 	for _, a := range gather.Ask(ctx, s.View.All(), func(ctx context.Context, i membership.Info) ([]turned.Note, error) { return s.Turned(ctx, i, q) }, nil) {
@@ -45,7 +45,7 @@
 	}
 	slices.SortFunc(w.Turned, func(a, b turned.Note) int { return a.At.Compare(b.At) })
 	if len(w.Turned) == 0 && w.Whole && w.Ledger != nil && w.Ledger.Last < call {
-		return nil, problem.New(problem.UnknownCall, "no node remembers call %d of %s on %s, and the ledger has taken up to %d", call, visitor, topic, w.Ledger.Last).At(w.Ledger.Last)
+		return nil, apierror.New(apierror.UnknownCall, "no node remembers call %d of %s on %s, and the ledger has taken up to %d", call, visitor, topic, w.Ledger.Last).At(w.Ledger.Last)
 	}
 	return w, nil
 }
--- a/internal/placement/controller/duty.go
+++ b/internal/placement/controller/duty.go
@@ -8,6 +8,7 @@
 	"strings"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/control/register"
 	"postjunction/internal/control/registerclient"
@@ -16,7 +17,6 @@
 	"postjunction/internal/gossip"
 	"postjunction/internal/membership"
 	"postjunction/internal/placement/assignment"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 )
 
@@ -148,7 +148,7 @@
 	r := assignment.Record{Partition: p}
 	if len(v.Body) > 0 {
 		if r, err = assignment.Parse(v.Body, v.Writes); err != nil {
-			return r, problem.Wrap(problem.Internal, err, "read the record of partition %d", p)
+			return r, apierror.Wrap(apierror.Internal, err, "read the record of partition %d", p)
 		}
 	}
 	r.Writes = v.Writes
@@ -184,7 +184,7 @@
 			d.Tell(context.WithoutCancel(ctx), w.n)
 			return w.n, nil
 		}
-		if !problem.Has(err, problem.StaleBase) {
+		if !apierror.Has(err, apierror.StaleBase) {
 			d.Log.Say(event.PlaceTrouble, "partition", w.n.Partition, "problem", err)
 		}
 		return d.fetch(ctx, w.n.Partition)
--- a/internal/placement/decommission/drain.go
+++ b/internal/placement/decommission/drain.go
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 )
 
 // Key is the control key of all drains.
@@ -47,7 +47,7 @@
 		return l, nil
 	}
 	if err := json.Unmarshal(b, &l); err != nil {
-		return nil, problem.Wrap(problem.DiskDamaged, err, "read the list of drains")
+		return nil, apierror.Wrap(apierror.DiskDamaged, err, "read the list of drains")
 	}
 	return l, nil
 }
--- a/internal/proof/caller/caller.go
+++ b/internal/proof/caller/caller.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
-	"postjunction/internal/problem"
 	"postjunction/internal/proof/history"
 	"postjunction/internal/proof/port"
 	"postjunction/internal/visitor"
@@ -148,12 +148,12 @@
 		if got {
 			opened = c.History.Begin(history.WaitOpen, c.Name, c.Clock.Now())
 		}
-		if problem.Has(err, problem.TokenForeign) || problem.Has(err, problem.TokenFenced) {
+		if apierror.Has(err, apierror.TokenForeign) || apierror.Has(err, apierror.TokenFenced) {
 			if c.current() == t {
 				c.attach(ctx)
 			}
 		}
-		if problem.Has(err, problem.CursorExpired) || problem.Has(err, problem.CursorBad) {
+		if apierror.Has(err, apierror.CursorExpired) || apierror.Has(err, apierror.CursorBad) {
 			c.History.Violate(history.Missed, "%s could not resume: %v", c.Name, err)
 			c.cursor = ""
 		}
@@ -211,9 +211,9 @@
 	return fmt.Sprintf(`"%s %s %d %s"`, c.Name, topic, n, strings.Repeat(bodyLetter[int(n)%26:int(n)%26+1], k))
 }
 
-var definite = map[problem.Kind]bool{
-	problem.CallPassed: true, problem.CallAltered: true, problem.CallForgotten: true, problem.UnknownTopic: true, problem.UnknownSpace: true,
-	problem.TokenFenced: true, problem.TokenForeign: true, problem.TokenMissing: true, problem.Malformed: true, problem.Oversize: true,
+var definite = map[apierror.Kind]bool{
+	apierror.CallPassed: true, apierror.CallAltered: true, apierror.CallForgotten: true, apierror.UnknownTopic: true, apierror.UnknownSpace: true,
+	apierror.TokenFenced: true, apierror.TokenForeign: true, apierror.TokenMissing: true, apierror.Malformed: true, apierror.Oversize: true,
 }
 
 func (c *Caller) send(ctx context.Context, topic string, lane int) {
@@ -234,14 +234,14 @@
 				end(c.Clock.Now())
 				break
 			}
-			p := problem.Of(err)
-			if p.Kind == problem.TokenForeign || p.Kind == problem.TokenFenced {
+			p := apierror.Of(err)
+			if p.Kind == apierror.TokenForeign || p.Kind == apierror.TokenFenced {
 				if c.current() == t {
 					c.attach(ctx)
 				}
 				continue
 			}
-			if p.Kind == problem.Internal {
+			if p.Kind == apierror.Internal {
 				c.History.Violate(history.Foreign, "%s got an untyped failure: %v", c.Name, err)
 			}
 			if definite[p.Kind] {
--- a/internal/proof/fleet/day.go
+++ b/internal/proof/fleet/day.go
@@ -12,8 +12,8 @@
 	"syscall"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
-	"postjunction/internal/problem"
 	"postjunction/internal/proof/caller"
 	"postjunction/internal/proof/history"
 	"postjunction/internal/proof/port"
@@ -70,7 +70,7 @@
 	},
 	"stop": func(ctx context.Context, d *Day, _ *Fleet, p *Process, rng *rand.Rand) error {
 		if t := p.Signal(syscall.SIGTERM, true); t > 6*time.Second {
-			return problem.New(problem.Internal, "%s took %s to stop", p.Name, t)
+			return apierror.New(apierror.Internal, "%s took %s to stop", p.Name, t)
 		}
 		wait(ctx, down(rng))
 		return p.Start()
@@ -85,7 +85,7 @@
 		p.Kill()
 		if p.Opts.Disk != settings.DiskNone {
 			if err := p.Wipe(); err != nil {
-				return problem.Wrap(problem.Internal, err, "wipe %s", p.Name)
+				return apierror.Wrap(apierror.Internal, err, "wipe %s", p.Name)
 			}
 		}
 		wait(ctx, down(rng))
@@ -158,7 +158,7 @@
 	faults["upgrade"] = func(ctx context.Context, d *Day, f *Fleet, _ *Process, rng *rand.Rand) error {
 		for _, p := range f.choose(rng, len(f.Processes), func(*Process) bool { return true }) {
 			if t := p.Signal(syscall.SIGTERM, true); t > 6*time.Second {
-				return problem.New(problem.Internal, "%s took %s to stop", p.Name, t)
+				return apierror.New(apierror.Internal, "%s took %s to stop", p.Name, t)
 			}
 			if d.Next != "" {
 				p.bin = d.Next
@@ -194,7 +194,7 @@
 	wg.Go(func() { f.Watch(ctx) })
 	for t := time.Now(); !f.AllReady(); wait(ctx, 100*time.Millisecond) {
 		if time.Since(t) > 30*time.Second || ctx.Err() != nil {
-			return history.Report{}, problem.New(problem.Internal, "the fleet was not ready in 30 s: %s", f.unready())
+			return history.Report{}, apierror.New(apierror.Internal, "the fleet was not ready in 30 s: %s", f.unready())
 		}
 	}
 	d.say("all %d machines are ready", len(f.Processes))
@@ -275,7 +275,7 @@
 	end := time.Now().Add(settings.DefaultBounds.Recovery)
 	for {
 		seq, err := f.Processes[0].Port().Put(ctx, d.Load.Describe(0))
-		if err == nil || time.Now().After(end) || !problem.Has(err, problem.OutcomeUnknown) {
+		if err == nil || time.Now().After(end) || !apierror.Has(err, apierror.OutcomeUnknown) {
 			return seq, err
 		}
 	}
@@ -334,7 +334,7 @@
 			n, e := ps[rng.IntN(len(ps))].Put(cx, doc)
 			if e == nil {
 				h.Accept(cur, n, string(doc), time.Now())
-			} else if problem.Has(e, problem.DescriptionBad) {
+			} else if apierror.Has(e, apierror.DescriptionBad) {
 				h.Violate(history.Invalid, "a sound description was turned away: %v", e)
 			}
 		}
@@ -356,7 +356,7 @@
 			c++
 		}
 		if err != nil {
-			wait(ctx, time.Duration(max(50, problem.Of(err).RetryMS))*time.Millisecond)
+			wait(ctx, time.Duration(max(50, apierror.Of(err).RetryMS))*time.Millisecond)
 		}
 	}
 }
--- a/internal/proof/fleet/fleet.go
+++ b/internal/proof/fleet/fleet.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 	"postjunction/internal/proof/port"
 	"postjunction/internal/proof/sim"
 	"postjunction/internal/settings"
@@ -82,10 +82,10 @@
 		}
 		a := fmt.Sprintf("127.0.0.1:%d", nextPort.n)
 		if l, err := net.Listen("tcp", a); err == nil {
-			return a, problem.Wrap(problem.Internal, l.Close(), "give back port %d", nextPort.n)
+			return a, apierror.Wrap(apierror.Internal, l.Close(), "give back port %d", nextPort.n)
 		}
 	}
-	return "", problem.New(problem.Internal, "no port from %d to %d is free", portsFrom, portsTo)
+	return "", apierror.New(apierror.Internal, "no port from %d to %d is free", portsFrom, portsTo)
 }
 
 // New writes the settings of a site's machines under dir. With base 0 the ports are free ones,
@@ -140,7 +140,7 @@
 		}
 	}
 	if err := os.MkdirAll(dir, 0o750); err != nil {
-		return nil, problem.Wrap(problem.Usage, err, "folder %s", dir)
+		return nil, apierror.Wrap(apierror.Usage, err, "folder %s", dir)
 	}
 	for _, p := range f.Processes {
 		p.Opts.Seeds = seeds
@@ -154,7 +154,7 @@
 // Write writes the settings file of a machine.
 func (p *Process) Write(o settings.Options) error {
 	b, _ := json.MarshalIndent(o, "", "  ")
-	return problem.Wrap(problem.Usage, os.WriteFile(p.file, append(b, '\n'), 0o640), "settings of %s", p.Name)
+	return apierror.Wrap(apierror.Usage, os.WriteFile(p.file, append(b, '\n'), 0o640), "settings of %s", p.Name)
 }
 
 // Start starts the process.
@@ -166,13 +166,13 @@
 	}
 	log, err := os.OpenFile(filepath.Join(p.dir, p.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o640)
 	if err != nil {
-		return problem.Wrap(problem.Usage, err, "log of %s", p.Name)
+		return apierror.Wrap(apierror.Usage, err, "log of %s", p.Name)
 	}
 	c := exec.Command(p.bin, "serve", "-options", p.file)
 	c.Stderr = log
 	if err := c.Start(); err != nil {
 		_ = log.Close()
-		return problem.Wrap(problem.Usage, err, "start %s", p.Name)
+		return apierror.Wrap(apierror.Usage, err, "start %s", p.Name)
 	}
 	p.cmd, p.done = c, make(chan struct{})
 	go func(c *exec.Cmd, done chan struct{}) {
--- a/internal/proof/fleet/links.go
+++ b/internal/proof/fleet/links.go
@@ -14,8 +14,8 @@
 
 	"golang.org/x/sys/unix"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/placement/decommission"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 )
 
@@ -40,7 +40,7 @@
 	if on {
 		most = 1
 	}
-	return problem.Wrap(problem.Internal, unix.Prlimit(c.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: most, Max: math.MaxUint64}, nil), "limit the files of %s", p.Name)
+	return apierror.Wrap(apierror.Internal, unix.Prlimit(c.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: most, Max: math.MaxUint64}, nil), "limit the files of %s", p.Name)
 }
 
 func (f *Fleet) ask(ctx context.Context, method, path, doc string) (string, error) {
@@ -67,7 +67,7 @@
 		}
 		stop()
 	}
-	return "", problem.New(problem.Unreachable, "no control node answered %s", path)
+	return "", apierror.New(apierror.Unreachable, "no control node answered %s", path)
 }
 
 func init() {
@@ -148,7 +148,7 @@
 		wait(ctx, down(rng))
 		if rng.IntN(2) == 0 {
 			if err := p.Wipe(); err != nil {
-				return problem.Wrap(problem.Internal, err, "wipe %s", p.Name)
+				return apierror.Wrap(apierror.Internal, err, "wipe %s", p.Name)
 			}
 		}
 		return p.Start()
@@ -156,9 +156,9 @@
 }
 
 func failed(b []byte) error {
-	p := &problem.Problem{}
+	p := &apierror.Problem{}
 	if json.Unmarshal(b, p) != nil {
-		return problem.New(problem.Malformed, "%.80s", b)
+		return apierror.New(apierror.Malformed, "%.80s", b)
 	}
 	return p
 }
--- a/internal/proof/fleet/relay.go
+++ b/internal/proof/fleet/relay.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 	"postjunction/internal/wire/lane"
 )
 
@@ -45,7 +45,7 @@
 func (r *Relay) serve(name, zone, to string) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return "", problem.Wrap(problem.Internal, err, "relay to %s", name)
+		return "", apierror.Wrap(apierror.Internal, err, "relay to %s", name)
 	}
 	r.mu.Lock()
 	r.zones[name], r.conns[name] = zone, map[net.Conn]bool{}
@@ -143,7 +143,7 @@
 		select {
 		case <-c:
 		case <-r.ctx.Done():
-			return problem.Because(problem.Stopped, r.ctx.Err(), "from %s to %s", from, to)
+			return apierror.Because(apierror.Stopped, r.ctx.Err(), "from %s to %s", from, to)
 		}
 	}
 }
--- a/internal/proof/fleet/relay_test.go
+++ b/internal/proof/fleet/relay_test.go
@@ -9,7 +9,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
@@ -48,7 +48,7 @@
 		defer stop()
 		a, err := noted.Call(ctx, n, "a", addr, &note{say})
 		if err == nil && a.Say != say {
-			return problem.New(problem.Internal, "%q for %q", a.Say, say)
+			return apierror.New(apierror.Internal, "%q for %q", a.Say, say)
 		}
 		return err
 	}
@@ -105,7 +105,7 @@
 		<-in
 		assert.Equal(t, r.Reset(1), 1)
 		err := <-res
-		assert.Assert(t, problem.Has(err, problem.Unreachable), "%v", err)
+		assert.Assert(t, apierror.Has(err, apierror.Unreachable), "%v", err)
 		out <- true
 		assert.NilError(t, call("after"))
 	}
--- a/internal/proof/fleet/totals.go
+++ b/internal/proof/fleet/totals.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"net/http"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 )
 
 // Sums are counters added up over the fleet, since each process's start.
@@ -31,7 +31,7 @@
 	for _, p := range f.Processes {
 		a, err := p.port.Client.Get(p.port.Base + "/v1/counters")
 		if err != nil {
-			return s, problem.Wrap(problem.Unreachable, err, "%s", p.Name)
+			return s, apierror.Wrap(apierror.Unreachable, err, "%s", p.Name)
 		}
 		var c struct {
 			Streams uint64 `json:"streams"`
@@ -43,7 +43,7 @@
 		err = json.NewDecoder(a.Body).Decode(&c)
 		_ = a.Body.Close()
 		if a.StatusCode != http.StatusOK || err != nil {
-			return s, problem.Wrap(problem.Malformed, err, "%s", p.Name)
+			return s, apierror.Wrap(apierror.Malformed, err, "%s", p.Name)
 		}
 		s.Records, s.Batches, s.Streams = s.Records+c.Journal.Records, s.Batches+c.Journal.Batches, s.Streams+c.Streams
 		for _, o := range c.Owners {
--- a/internal/proof/fleet/visits.go
+++ b/internal/proof/fleet/visits.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 	"postjunction/internal/proof/guest"
 	"postjunction/internal/proof/sim"
 	"postjunction/internal/proof/stays"
@@ -46,24 +46,24 @@
 }
 
 type told struct {
-	What    visit.What   `json:"what"`
-	Re      visit.Verb   `json:"re"`
-	Topic   string       `json:"topic"`
-	From    string       `json:"from"`
-	Call    uint64       `json:"call_seq"`
-	Cursor  string       `json:"cursor"`
-	Key     string       `json:"key"`
-	Count   int          `json:"count"`
-	Body    string       `json:"body"`
-	Address string       `json:"address"`
-	Code    problem.Kind `json:"code"`
-	Say     string       `json:"say"`
+	What    visit.What    `json:"what"`
+	Re      visit.Verb    `json:"re"`
+	Topic   string        `json:"topic"`
+	From    string        `json:"from"`
+	Call    uint64        `json:"call_seq"`
+	Cursor  string        `json:"cursor"`
+	Key     string        `json:"key"`
+	Count   int           `json:"count"`
+	Body    string        `json:"body"`
+	Address string        `json:"address"`
+	Code    apierror.Kind `json:"code"`
+	Say     string        `json:"say"`
 }
 
 func (a told) answer() visit.Answer {
 	x := visit.Answer{What: a.What, Re: a.Re, Topic: a.Topic, From: a.From, Call: a.Call, Cursor: a.Cursor, Key: a.Key, Count: a.Count, Body: []byte(a.Body), Address: a.Address}
 	if a.Code != "" {
-		x.Err = &problem.Problem{Kind: a.Code, Say: a.Say}
+		x.Err = &apierror.Problem{Kind: a.Code, Say: a.Say}
 	}
 	return x
 }
--- a/internal/proof/guest/guest.go
+++ b/internal/proof/guest/guest.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 	"postjunction/internal/proof/stays"
 	"postjunction/internal/visitor/visit"
 )
@@ -150,13 +150,13 @@
 }
 
 // Promises are the problems that say that a message was not taken and never will be.
-var Promises = map[problem.Kind]bool{
-	problem.Overloaded: true, problem.Leaving: true, problem.Unlicensed: true, problem.NoOwner: true,
-	problem.CallPassed: true,
+var Promises = map[apierror.Kind]bool{
+	apierror.Overloaded: true, apierror.Leaving: true, apierror.Unlicensed: true, apierror.NoOwner: true,
+	apierror.CallPassed: true,
 }
 
 // Voids are the problems that say that nothing was withdrawn under a number and never will be.
-var Voids = map[problem.Kind]bool{problem.KeyUnknown: true, problem.CallPassed: true}
+var Voids = map[apierror.Kind]bool{apierror.KeyUnknown: true, apierror.CallPassed: true}
 
 const (
 	tickOf   = 40
@@ -575,10 +575,10 @@
 		s.here = nil
 		s.state, s.retry = idle, now.Add(g.span(g.Habits.Keepalive/2))
 		switch {
-		case problem.Has(a.Err, problem.CursorExpired):
+		case apierror.Has(a.Err, apierror.CursorExpired):
 			s.stay.Expired(now)
 			s.stay = nil
-		case problem.Has(a.Err, problem.CursorBad):
+		case apierror.Has(a.Err, apierror.CursorBad):
 			g.Book.Breach(stays.Mixed, "%s was told that its cursor %q of %s is bad: %v", g.Name, s.cursor, s.Name, a.Err)
 		}
 	},
@@ -588,8 +588,8 @@
 			return
 		}
 		m.out, m.retry = false, now.Add(g.span(g.Habits.Keepalive/10))
-		switch k := problem.Of(a.Err).Kind; {
-		case k == problem.WithdrawalOpen:
+		switch k := apierror.Of(a.Err).Kind; {
+		case k == apierror.WithdrawalOpen:
 			m.draw.Stands(now)
 		case Voids[k]:
 			m.draw.Void()
@@ -597,7 +597,7 @@
 		}
 	},
 	visit.Send: func(g *Guest, now time.Time, a visit.Answer) {
-		k := problem.Of(a.Err).Kind
+		k := apierror.Of(a.Err).Kind
 		if Promises[k] {
 			g.Book.Turned(stays.Message{Topic: a.Topic, From: g.Name, Call: a.Call})
 		}
--- a/internal/proof/port/port.go
+++ b/internal/proof/port/port.go
@@ -10,9 +10,9 @@
 	"net/http"
 	"net/url"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/door"
 	"postjunction/internal/plain"
-	"postjunction/internal/problem"
 	"postjunction/internal/visitor"
 )
 
@@ -35,30 +35,30 @@
 func (p *HTTP) call(ctx context.Context, method, path, token string, doc []byte, out any) error {
 	r, err := http.NewRequestWithContext(ctx, method, p.Base+path, bytes.NewReader(doc))
 	if err != nil {
-		return problem.Wrap(problem.Usage, err, "%s", path)
+		return apierror.Wrap(apierror.Usage, err, "%s", path)
 	}
 	if token != "" {
 		r.Header.Set("Authorization", "Bearer "+token)
 	}
 	a, err := p.Client.Do(r)
 	if err != nil {
-		return problem.Wrap(problem.Unreachable, err, "%s", path)
+		return apierror.Wrap(apierror.Unreachable, err, "%s", path)
 	}
 	defer func() { _ = a.Body.Close() }()
 	b, err := io.ReadAll(a.Body)
 	if err != nil {
-		return problem.Wrap(problem.Unreachable, err, "%s", path)
+		return apierror.Wrap(apierror.Unreachable, err, "%s", path)
 	}
 	if a.StatusCode != http.StatusOK {
 		return failed(a.StatusCode, b)
 	}
-	return problem.Wrap(problem.Malformed, json.Unmarshal(b, out), "%s", path)
+	return apierror.Wrap(apierror.Malformed, json.Unmarshal(b, out), "%s", path)
 }
 
 func failed(code int, b []byte) error {
-	p := &problem.Problem{}
-	if json.Unmarshal(b, p) != nil || !problem.Known(p.Kind) {
-		return problem.New(problem.Internal, "status %d without a problem: %.80s", code, b)
+	p := &apierror.Problem{}
+	if json.Unmarshal(b, p) != nil || !apierror.Known(p.Kind) {
+		return apierror.New(apierror.Internal, "status %d without a problem: %.80s", code, b)
 	}
 	return p
 }
@@ -116,12 +116,12 @@
 	}
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, p.Base+"/v1/stream?"+q.Encode(), nil)
 	if err != nil {
-		return problem.Wrap(problem.Usage, err, "stream")
+		return apierror.Wrap(apierror.Usage, err, "stream")
 	}
 	r.Header.Set("Authorization", "Bearer "+token)
 	a, err := p.Client.Do(r)
 	if err != nil {
-		return problem.Wrap(problem.Unreachable, err, "stream")
+		return apierror.Wrap(apierror.Unreachable, err, "stream")
 	}
 	defer func() { _ = a.Body.Close() }()
 	if a.StatusCode != http.StatusOK {
@@ -133,13 +133,13 @@
 	for sc.Scan() {
 		var l visitor.Line
 		if err := json.Unmarshal(sc.Bytes(), &l); err != nil {
-			return problem.Wrap(problem.Malformed, err, "stream line")
+			return apierror.Wrap(apierror.Malformed, err, "stream line")
 		}
 		if err := f(l); err != nil {
 			return err
 		}
 	}
-	return problem.Wrap(problem.Unreachable, sc.Err(), "stream")
+	return apierror.Wrap(apierror.Unreachable, sc.Err(), "stream")
 }
 
 // Direct reaches the services of a node in this process. Gate holds calls while the machine is frozen.
@@ -159,7 +159,7 @@
 func (p *Direct) run(ctx context.Context, f func(n *Services) (any, error)) (any, error) {
 	n := p.Node()
 	if n == nil {
-		return nil, problem.New(problem.Unreachable, "the node is down")
+		return nil, apierror.New(apierror.Unreachable, "the node is down")
 	}
 	type ans struct {
 		a   any
@@ -175,13 +175,13 @@
 	select {
 	case x := <-c:
 		if p.Node() != n {
-			return nil, problem.New(problem.Unreachable, "the node went down")
+			return nil, apierror.New(apierror.Unreachable, "the node went down")
 		}
 		return x.a, x.err
 	case <-n.Gone:
-		return nil, problem.New(problem.Unreachable, "the connection was reset")
+		return nil, apierror.New(apierror.Unreachable, "the connection was reset")
 	case <-ctx.Done():
-		return nil, problem.New(problem.Unreachable, "no answer in time")
+		return nil, apierror.New(apierror.Unreachable, "no answer in time")
 	}
 }
 
@@ -213,13 +213,13 @@
 		_, err := p.do(cx, &visitor.Task{Verb: visitor.VerbFollow, Token: token, Topics: topics, Cursor: cursor, Emit: func(b []byte) error {
 			var l visitor.Line
 			if err := json.Unmarshal(b, &l); err != nil {
-				return problem.Wrap(problem.Malformed, err, "stream line")
+				return apierror.Wrap(apierror.Malformed, err, "stream line")
 			}
 			select {
 			case lines <- l:
 				return nil
 			case <-cx.Done():
-				return problem.New(problem.Unreachable, "the reader is gone")
+				return apierror.New(apierror.Unreachable, "the reader is gone")
 			}
 		}})
 		done <- err
@@ -261,7 +261,7 @@
 func (p *Direct) Shows(ctx context.Context) (uint64, bool, error) {
 	n := p.Node()
 	if n == nil {
-		return 0, false, problem.New(problem.Unreachable, "the node is down")
+		return 0, false, apierror.New(apierror.Unreachable, "the node is down")
 	}
 	ready := n.Door.Ready() == nil
 	return n.Door.Operators.Board.Description().Sequence, ready, nil
--- a/internal/proof/sim/blows.go
+++ b/internal/proof/sim/blows.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/node"
-	"postjunction/internal/problem"
 	"postjunction/internal/proof/history"
 	"postjunction/internal/settings"
 )
@@ -216,7 +216,7 @@
 					}
 					return
 				}
-				if _, err := w.Put(n, doc); problem.Has(err, problem.DescriptionBad) {
+				if _, err := w.Put(n, doc); apierror.Has(err, apierror.DescriptionBad) {
 					w.History.Violate(history.Invalid, "a sound description was turned away through %s: %v", n, err)
 				}
 			})
--- a/internal/proof/sim/chaos_test.go
+++ b/internal/proof/sim/chaos_test.go
@@ -14,8 +14,8 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
-	"postjunction/internal/problem"
 	"postjunction/internal/proof/history"
 )
 
@@ -99,11 +99,11 @@
 		w.History.ReadBack(cur, asked)
 		doc := w.load.Numbered(cur, cur+1+r.Uint64N(9), "")
 		_, err = w.Put(to, doc)
-		if problem.Has(err, problem.OutcomeUnknown) {
+		if apierror.Has(err, apierror.OutcomeUnknown) {
 			to = w.pick(r, "")
 			_, err = w.Put(to, doc)
 		}
-		if problem.Has(err, problem.DescriptionBad) {
+		if apierror.Has(err, apierror.DescriptionBad) {
 			w.History.Violate(history.Invalid, "a sound description was turned away through %s: %v", to, err)
 		}
 	}
--- a/internal/proof/sim/flood_test.go
+++ b/internal/proof/sim/flood_test.go
@@ -10,8 +10,8 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/partition"
-	"postjunction/internal/problem"
 )
 
 // Routine callers flood every node and every owner at once; then a store is lost beside the flood, and comes back with an empty disk, so that
@@ -63,9 +63,9 @@
 					if err == nil {
 						c++
 						taken++
-					} else if problem.Has(err, problem.Overloaded) {
+					} else if apierror.Has(err, apierror.Overloaded) {
 						shed++
-						assert.Check(t, problem.Of(err).RetryMS > 0, "no hint when to come back")
+						assert.Check(t, apierror.Of(err).RetryMS > 0, "no hint when to come back")
 					}
 					mu.Unlock()
 					if err != nil {
--- a/internal/proof/sim/founding_test.go
+++ b/internal/proof/sim/founding_test.go
@@ -8,7 +8,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 	"postjunction/internal/settings"
 )
 
@@ -116,7 +116,7 @@
 			assert.Equal(t, w.Machines[n].Node().Roster().Sequence, uint64(0))
 		}
 		_, err := w.Put("c1", load.Describe(0))
-		assert.Assert(t, problem.Has(err, problem.NotFounded) || problem.Has(err, problem.Unlicensed) || problem.Has(err, problem.Unreachable), "%v", err)
+		assert.Assert(t, apierror.Has(err, apierror.NotFounded) || apierror.Has(err, apierror.Unlicensed) || apierror.Has(err, apierror.Unreachable), "%v", err)
 	})
 }
 
--- a/internal/proof/sim/hand.go
+++ b/internal/proof/sim/hand.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 	"postjunction/internal/proof/guest"
 	"postjunction/internal/proof/stays"
 	"postjunction/internal/visitor/visit"
@@ -119,7 +119,7 @@
 	case visit.Withdrawn:
 		b.Told(h.Name, a.Topic, a.Key, now)
 	case visit.Turned:
-		if a.Re == visit.Send && guest.Promises[problem.Of(a.Err).Kind] {
+		if a.Re == visit.Send && guest.Promises[apierror.Of(a.Err).Kind] {
 			b.Turned(stays.Message{Topic: a.Topic, From: h.Name, Call: a.Call})
 		}
 	}
@@ -226,7 +226,7 @@
 		if ok && s.What == visit.Taken {
 			return true
 		}
-		if ok && guest.Promises[problem.Of(s.Err).Kind] {
+		if ok && guest.Promises[apierror.Of(s.Err).Kind] {
 			return false
 		}
 		time.Sleep(h.g.w.Site.Bounds.Retry())
@@ -247,9 +247,9 @@
 	case !ok:
 	case s.What == visit.Forgotten:
 		x.Forgotten(stays.Place{Partition: s.Partition, Offset: s.Offset}, s.Shown)
-	case problem.Has(s.Err, problem.WithdrawalOpen):
+	case apierror.Has(s.Err, apierror.WithdrawalOpen):
 		x.Stands(time.Now())
-	case guest.Voids[problem.Of(s.Err).Kind]:
+	case guest.Voids[apierror.Of(s.Err).Kind]:
 		x.Void()
 	}
 	return s, ok
--- a/internal/proof/sim/last.go
+++ b/internal/proof/sim/last.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 	"postjunction/internal/proof/history"
 	"postjunction/internal/visitor"
 )
@@ -27,7 +27,7 @@
 
 func (w *World) fresh(name string, topics []string, cursor string, through string, limit time.Duration, f func(visitor.Line) error) error {
 	end := time.Now().Add(limit)
-	err := error(problem.New(problem.Unreachable, "%s was not tried", through))
+	err := error(apierror.New(apierror.Unreachable, "%s was not tried", through))
 	for time.Now().Before(end) {
 		ctx, stop := context.WithDeadline(w.ctx, end)
 		var a visitor.Attachment
@@ -62,7 +62,7 @@
 		return a, nil
 	}
 	if err == nil {
-		err = problem.New(problem.Unreachable, "no cursor was given")
+		err = apierror.New(apierror.Unreachable, "no cursor was given")
 	}
 	return a, err
 }
@@ -95,12 +95,12 @@
 			break
 		}
 		why = err
-		if problem.Has(err, problem.CursorExpired) || problem.Has(err, problem.CursorBad) {
+		if apierror.Has(err, apierror.CursorExpired) || apierror.Has(err, apierror.CursorBad) {
 			return err
 		}
 	}
 	if len(r.Got) == 0 {
-		return problem.Because(problem.Unreachable, why, "nothing was read back through %s", through)
+		return apierror.Because(apierror.Unreachable, why, "nothing was read back through %s", through)
 	}
 	w.History.Reread(r)
 	return nil
--- a/internal/proof/sim/offer_test.go
+++ b/internal/proof/sim/offer_test.go
@@ -11,15 +11,15 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/ledger/desk"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/partition"
-	"postjunction/internal/problem"
 	"postjunction/internal/proof/history"
 )
 
-var promises = map[problem.Kind]bool{problem.NoOwner: true, problem.Overloaded: true, problem.CallPassed: true}
+var promises = map[apierror.Kind]bool{apierror.NoOwner: true, apierror.Overloaded: true, apierror.CallPassed: true}
 
 type offered struct {
 	history.Message
@@ -60,7 +60,7 @@
 func (v *offerer) told(m offered, d *owner.Decision, err error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	k := string(problem.Of(err).Kind)
+	k := string(apierror.Of(err).Kind)
 	if err == nil {
 		k = map[bool]string{false: "taken", true: "repeat"}[d.Repeat]
 		v.w.History.Take(m.Message, d.Partition, d.Offset, time.Now())
@@ -70,14 +70,14 @@
 		delete(v.open, m.Call)
 	}
 	v.tally[k]++
-	if err != nil && promises[problem.Of(err).Kind] {
+	if err != nil && promises[apierror.Of(err).Kind] {
 		v.w.History.Turn(m.Message)
 		delete(v.open, m.Call)
 	}
-	if problem.Has(err, problem.CallPassed) {
+	if apierror.Has(err, apierror.CallPassed) {
 		v.w.History.Pass(m.Message)
 	}
-	if err != nil && !promises[problem.Of(err).Kind] && !problem.Has(err, problem.OutcomeUnknown) {
+	if err != nil && !promises[apierror.Of(err).Kind] && !apierror.Has(err, apierror.OutcomeUnknown) {
 		v.w.History.Violate(history.Lost, "%v was told %v", m.Message, err)
 	}
 }
--- a/internal/proof/sim/room_test.go
+++ b/internal/proof/sim/room_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 )
 
 // One store's disk is far smaller than what the partitions need. It says that it is full, gives its duties away, and takes part again once there is less to keep; nothing is lost and
@@ -16,7 +16,7 @@
 	long(t)
 	synctestRoom(t, 1, func(t *testing.T, w *World) {
 		x := w.Machines["s1"].Node()
-		assert.NilError(t, w.Until(60*time.Second, "s1 is full", func() bool { return x.Info().Fitness == string(problem.DiskFull) }))
+		assert.NilError(t, w.Until(60*time.Second, "s1 is full", func() bool { return x.Info().Fitness == string(apierror.DiskFull) }))
 		full := time.Now()
 		assert.NilError(t, w.Until(20*time.Second, "s1 decides for nothing", func() bool { return x.Info().Partitions == 0 }))
 		t.Logf("duties away after %s", time.Since(full))
--- a/internal/proof/sim/socket.go
+++ b/internal/proof/sim/socket.go
@@ -10,9 +10,9 @@
 	"sync"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/door/lines"
 	"postjunction/internal/node"
-	"postjunction/internal/problem"
 	"postjunction/internal/visitor/visit"
 )
 
@@ -156,7 +156,7 @@
 
 type worded struct {
 	visit.Answer
-	Err     *problem.Problem
+	Err     *apierror.Problem
 	Failure string
 }
 
@@ -175,7 +175,7 @@
 func (words) Append(b []byte, a visit.Answer) []byte {
 	w := worded{Answer: a}
 	if a.Err != nil {
-		w.Err = problem.Of(a.Err)
+		w.Err = apierror.Of(a.Err)
 		w.Failure = a.Err.Error()
 	}
 	l, err := json.Marshal(w)
--- a/internal/proof/sim/streams_forget_test.go
+++ b/internal/proof/sim/streams_forget_test.go
@@ -12,9 +12,9 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/node"
 	"postjunction/internal/partition"
-	"postjunction/internal/problem"
 	"postjunction/internal/visitor"
 )
 
@@ -90,7 +90,7 @@
 				}
 				return nil
 			})
-			if !problem.Has(err, problem.Unlicensed) {
+			if !apierror.Has(err, apierror.Unlicensed) {
 				return
 			}
 			time.Sleep(x.Site.Bounds.Retry() / 4)
@@ -114,8 +114,8 @@
 
 func (x *forgetting) open(err error, who string) {
 	x.t.Helper()
-	assert.Assert(x.t, problem.Has(err, problem.WithdrawalOpen), "%v", err)
-	assert.Assert(x.t, slices.ContainsFunc(problem.Of(err).Faults, func(f problem.Fault) bool { return f.Place == who }), "%v names nobody", err)
+	assert.Assert(x.t, apierror.Has(err, apierror.WithdrawalOpen), "%v", err)
+	assert.Assert(x.t, slices.ContainsFunc(apierror.Of(err).Faults, func(f apierror.Fault) bool { return f.Place == who }), "%v names nobody", err)
 }
 
 var forgets = map[string]func(x *forgetting){
@@ -213,7 +213,7 @@
 		x.Kill(x.owner())
 		assert.NilError(x.t, x.Until(15*time.Second, "taken over", func() bool {
 			_, err := x.withdraw("k", x.call)
-			return problem.Has(err, problem.WithdrawalOpen) && len(problem.Of(err).Faults) > 0
+			return apierror.Has(err, apierror.WithdrawalOpen) && len(apierror.Of(err).Faults) > 0
 		}))
 		x.Heal()
 		x.forgotten("k", x.call, 10*time.Second)
@@ -253,7 +253,7 @@
 				}
 				<-cut
 				emitted = append(emitted, string(b))
-				return problem.New(problem.SlowReader, "cut off")
+				return apierror.New(apierror.SlowReader, "cut off")
 			}, Cut: func() { close(cut) }})
 		})
 		time.Sleep(time.Second)
--- a/internal/proof/sim/submit_test.go
+++ b/internal/proof/sim/submit_test.go
@@ -5,8 +5,8 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/configuration"
-	"postjunction/internal/problem"
 )
 
 func plainReader(doc []byte, _ uint64) (configuration.Description, error) {
@@ -41,9 +41,9 @@
 			}
 			assert.NilError(t, o.Submit(w.ctx, load.Describe(base-2), base-2, read), "an accepted one again, with another on top of it")
 			err := o.Submit(w.ctx, load.Numbered(base-2, base-1, "other"), base-2, read)
-			assert.Assert(t, problem.Has(err, problem.DescriptionRaced), "%v", err)
+			assert.Assert(t, apierror.Has(err, apierror.DescriptionRaced), "%v", err)
 			err = o.Submit(w.ctx, []byte(`{"base":1,"spaces":[{"name":"A"}]}`), base, read)
-			assert.Assert(t, err != nil && len(problem.Of(err).Faults) > 0, "%v", err)
+			assert.Assert(t, err != nil && len(apierror.Of(err).Faults) > 0, "%v", err)
 			assert.Equal(t, here == 0, handed, "read here %d times", here)
 		})
 	}
--- a/internal/proof/sim/told_test.go
+++ b/internal/proof/sim/told_test.go
@@ -8,7 +8,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 )
 
 // Two of three stores are gone for good, so most partitions can't decide. Each call is told so at once, with a time to come back, and not
@@ -33,9 +33,9 @@
 					if err == nil {
 						continue
 					}
-					p := problem.Of(err)
+					p := apierror.Of(err)
 					assert.Assert(t, p.RetryMS > 0, "no time to come back: %v", err)
-					assert.Assert(t, p.Kind == problem.NoOwner || p.Kind == problem.OutcomeUnknown, "%v", err)
+					assert.Assert(t, p.Kind == apierror.NoOwner || p.Kind == apierror.OutcomeUnknown, "%v", err)
 					turned++
 					most = max(most, time.Since(at))
 				}
--- a/internal/proof/sim/vows.go
+++ b/internal/proof/sim/vows.go
@@ -6,9 +6,9 @@
 	"net/http"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/ledger/replica"
-	"postjunction/internal/problem"
 	"postjunction/internal/proof/history"
 	"postjunction/internal/wire"
 )
@@ -26,7 +26,7 @@
 	Body *struct {
 		OK *bool `json:"ok"`
 	} `json:"b"`
-	Problem *problem.Problem `json:"p"`
+	Problem *apierror.Problem `json:"p"`
 }
 
 func yes(a []byte) bool {
--- a/internal/proof/sim/why_test.go
+++ b/internal/proof/sim/why_test.go
@@ -5,8 +5,8 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/operator"
-	"postjunction/internal/problem"
 )
 
 // A call that one node turned away is explained by any other, beside what the ledger decided.
@@ -20,9 +20,9 @@
 		_, err = w.Port("a1").Send(w.ctx, tok, "kept/t0", 6, []byte(`"six"`))
 		assert.NilError(t, err)
 		_, err = w.Port("a1").Send(w.ctx, tok, "kept/t0", 4, []byte(`"four"`))
-		assert.Assert(t, problem.Has(err, problem.CallPassed), "%v", err)
+		assert.Assert(t, apierror.Has(err, apierror.CallPassed), "%v", err)
 		_, err = w.Port("s2").Send(w.ctx, tok, "kept/t0", 1, []byte(`"other"`))
-		assert.Assert(t, problem.Has(err, problem.CallAltered), "%v", err)
+		assert.Assert(t, apierror.Has(err, apierror.CallAltered), "%v", err)
 		why := func(call uint64) (*operator.Why, error) {
 			a, err := w.Machines["c2"].Node().Operators.Why(w.ctx, "v", "kept/t0", call)
 			x, _ := a.(*operator.Why)
@@ -31,15 +31,15 @@
 		x, err := why(4)
 		assert.NilError(t, err)
 		assert.Assert(t, x.Whole && len(x.Turned) == 1 && !x.Ledger.Taken && !x.Ledger.Forgotten && x.Ledger.Last == 6, "%+v", x)
-		assert.Equal(t, x.Turned[0].Code, string(problem.CallPassed))
+		assert.Equal(t, x.Turned[0].Code, string(apierror.CallPassed))
 		assert.Equal(t, x.Turned[0].Node, "a1")
 		x, err = why(1)
 		assert.NilError(t, err)
 		assert.Assert(t, x.Ledger.Taken && x.Ledger.Offset > 0 && len(x.Turned) == 1 && x.Turned[0].Node == "s2", "%+v", x)
 		_, err = why(9)
-		assert.Assert(t, problem.Has(err, problem.UnknownCall), "%v", err)
+		assert.Assert(t, apierror.Has(err, apierror.UnknownCall), "%v", err)
 		_, err = why(0)
-		assert.Assert(t, problem.Has(err, problem.Malformed), "%v", err)
+		assert.Assert(t, apierror.Has(err, apierror.Malformed), "%v", err)
 		w.Kill("s3")
 		x, err = why(4)
 		assert.NilError(t, err)
