--- a/internal/proof/sim/withdraw_test.go
+++ b/internal/proof/sim/withdraw_test.go
@@ -9,9 +9,9 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/ledger/desk"
 	"postjunction/internal/partition"
-	"postjunction/internal/problem"
 	"postjunction/internal/proof/guest"
 	"postjunction/internal/proof/stays"
 	"postjunction/internal/visitor/visit"
@@ -105,7 +105,7 @@
 	begun := time.Now()
 	a, ok := s.lead.Withdraw(w)
 	took := time.Since(begun)
-	assert.Assert(s.t, ok && problem.Has(a.Err, problem.WithdrawalOpen), "was told %s %v after %s", a.What, a.Err, took)
+	assert.Assert(s.t, ok && apierror.Has(a.Err, apierror.WithdrawalOpen), "was told %s %v after %s", a.What, a.Err, took)
 	assert.Assert(s.t, strings.Contains(a.Err.Error(), node), "%v does not name %s", a.Err, node)
 	assert.Assert(s.t, took <= s.w.Site.Bounds.Call(), "the answer took %s", took)
 }
@@ -416,13 +416,13 @@
 			assert.Assert(s.t, ok)
 			<-sent
 			a, ok := twin.Wait(0, handLimit, func(a visit.Answer) bool {
-				return a.Call == m && (a.What == visit.Taken || a.Re == visit.Send && guest.Promises[problem.Of(a.Err).Kind])
+				return a.Call == m && (a.What == visit.Taken || a.Re == visit.Send && guest.Promises[apierror.Of(a.Err).Kind])
 			})
 			assert.Assert(s.t, ok, "no answer to %d", m)
 			if a.What == visit.Taken {
 				taken++
 			} else {
-				assert.Assert(s.t, problem.Has(a.Err, problem.CallPassed), "%v", a.Err)
+				assert.Assert(s.t, apierror.Has(a.Err, apierror.CallPassed), "%v", a.Err)
 				passed++
 			}
 		}
@@ -434,7 +434,7 @@
 			a, ok := s.lead.Withdraw(stays.Withdrawal{Topic: ground, Key: "foe", Call: s.next(), Of: "foe", Upto: n})
 			assert.Assert(s.t, ok && a.What == visit.Forgotten, "%v", a.Err)
 			a, ok = foe.Send(ground, "foe", n-1)
-			assert.Assert(s.t, ok && problem.Has(a.Err, problem.CallPassed), "%s %v", a.What, a.Err)
+			assert.Assert(s.t, ok && apierror.Has(a.Err, apierror.CallPassed), "%s %v", a.What, a.Err)
 			assert.Assert(s.t, foe.Sent(ground, "foe", n+1))
 		}
 		twin.End()
@@ -447,7 +447,7 @@
 	t.Parallel()
 	staged(t, 940, 1, func(s *scene) {
 		a, ok := s.lead.Withdraw(stays.Withdrawal{Topic: ground, Key: "nothing", Call: s.next()})
-		assert.Assert(s.t, ok && problem.Has(a.Err, problem.KeyUnknown), "%s %v", a.What, a.Err)
+		assert.Assert(s.t, ok && apierror.Has(a.Err, apierror.KeyUnknown), "%s %v", a.What, a.Err)
 		s.write("turn", 1)
 		x := stays.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}
 		first := s.yes(x, time.Second)
@@ -476,14 +476,14 @@
 		x := s.open("turn", "a1")
 		y := stays.Withdrawal{Topic: ground, Key: "turn", Call: 1}
 		a, ok := other.Withdraw(y)
-		assert.Assert(s.t, ok && problem.Has(a.Err, problem.WithdrawalOpen), "%s %v", a.What, a.Err)
+		assert.Assert(s.t, ok && apierror.Has(a.Err, apierror.WithdrawalOpen), "%s %v", a.What, a.Err)
 		s.write("turn", 1)
 		anew := s.call
 		a, ok = other.Withdraw(y)
-		assert.Assert(s.t, ok && problem.Has(a.Err, problem.WithdrawalOpen), "%s %v", a.What, a.Err)
+		assert.Assert(s.t, ok && apierror.Has(a.Err, apierror.WithdrawalOpen), "%s %v", a.What, a.Err)
 		assert.Assert(s.t, other.Sent(ground, "", 2))
 		a, ok = other.Withdraw(y)
-		assert.Assert(s.t, ok && problem.Has(a.Err, problem.WithdrawalOpen), "%s %v", a.What, a.Err)
+		assert.Assert(s.t, ok && apierror.Has(a.Err, apierror.WithdrawalOpen), "%s %v", a.What, a.Err)
 		s.w.Heal()
 		s.yes(x, s.w.Site.Bounds.Recovery)
 		a, ok = other.Withdraw(y)
--- a/internal/proof/sim/world.go
+++ b/internal/proof/sim/world.go
@@ -21,12 +21,12 @@
 
 	"github.com/hashicorp/go-hclog"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/configuration"
 	"postjunction/internal/disk/memlog"
 	"postjunction/internal/node"
 	"postjunction/internal/placement/decommission"
-	"postjunction/internal/problem"
 	"postjunction/internal/proof/caller"
 	"postjunction/internal/proof/guest"
 	"postjunction/internal/proof/history"
@@ -34,7 +34,7 @@
 	"postjunction/internal/settings"
 )
 
-var errGone = problem.New(problem.Stopped, "the process is gone")
+var errGone = apierror.New(apierror.Stopped, "the process is gone")
 
 // Site says how many machines of each kind stand in how many zones.
 type Site struct {
@@ -245,7 +245,7 @@
 	w := e.w
 	if w.isCut(from.Opts.Name, to.Opts.Name) && from != to {
 		<-ctx.Done()
-		return problem.Because(problem.Unreachable, ctx.Err(), "cut off")
+		return apierror.Because(apierror.Unreachable, ctx.Err(), "cut off")
 	}
 	d := w.Site.Latency/2 + time.Duration(w.draw(from, to)*float64(w.Site.Latency)/4)
 	from.mu.Lock()
@@ -263,7 +263,7 @@
 	case <-t.C:
 		return nil
 	case <-ctx.Done():
-		return problem.Because(problem.Unreachable, ctx.Err(), "in flight")
+		return apierror.Because(apierror.Unreachable, ctx.Err(), "in flight")
 	}
 }
 
@@ -271,9 +271,9 @@
 func hush(ctx context.Context, broken <-chan struct{}, m *Machine) error {
 	select {
 	case <-ctx.Done():
-		return problem.Because(problem.Unreachable, ctx.Err(), "nothing is heard from %s", m.Opts.Name)
+		return apierror.Because(apierror.Unreachable, ctx.Err(), "nothing is heard from %s", m.Opts.Name)
 	case <-broken:
-		return problem.Because(problem.Unreachable, syscall.ECONNRESET, "the connections of %s were reset", m.Opts.Name)
+		return apierror.Because(apierror.Unreachable, syscall.ECONNRESET, "the connections of %s were reset", m.Opts.Name)
 	}
 }
 
@@ -293,7 +293,7 @@
 	asked := time.Now()
 	s, ok := e.w.at(r.URL.Host)
 	if !ok || !e.alive() {
-		return nil, problem.Because(problem.Unreachable, syscall.ECONNREFUSED, "nobody listens at %s", r.URL.Host)
+		return nil, apierror.Because(apierror.Unreachable, syscall.ECONNREFUSED, "nobody listens at %s", r.URL.Host)
 	}
 	ctx := r.Context()
 	at := Point{From: e.m.Opts.Name, To: s.m.Opts.Name, Path: r.URL.Path, Stage: Asking, Body: b}
@@ -308,7 +308,7 @@
 		return nil, hush(ctx, broken, s.m)
 	}
 	if _, run := s.m.node(); run != s.run {
-		return nil, problem.Because(problem.Unreachable, syscall.ECONNREFUSED, "connection refused by %s", s.m.Opts.Name)
+		return nil, apierror.Because(apierror.Unreachable, syscall.ECONNREFUSED, "connection refused by %s", s.m.Opts.Name)
 	}
 	type ans struct {
 		r   *http.Response
@@ -335,7 +335,7 @@
 				c <- ans{nil, hush(ctx, broken, s.m)}
 				return
 			}
-			c <- ans{nil, problem.Because(problem.Unreachable, syscall.ECONNRESET, "connection reset by %s", s.m.Opts.Name)}
+			c <- ans{nil, apierror.Because(apierror.Unreachable, syscall.ECONNRESET, "connection reset by %s", s.m.Opts.Name)}
 			return
 		}
 		at.Stage = Answering
@@ -347,9 +347,9 @@
 	}()
 	select {
 	case <-e.m.reset():
-		return nil, problem.New(problem.Unreachable, "the connections of %s were reset", e.m.Opts.Name)
+		return nil, apierror.New(apierror.Unreachable, "the connections of %s were reset", e.m.Opts.Name)
 	case <-broken:
-		return nil, problem.Because(problem.Unreachable, syscall.ECONNRESET, "the connections of %s were reset", s.m.Opts.Name)
+		return nil, apierror.Because(apierror.Unreachable, syscall.ECONNRESET, "the connections of %s were reset", s.m.Opts.Name)
 	case a := <-c:
 		e.m.gate()
 		if !e.alive() {
@@ -361,7 +361,7 @@
 		return a.r, a.err
 	case <-ctx.Done():
 		e.m.gate()
-		return nil, problem.Because(problem.Unreachable, ctx.Err(), "no answer from %s", s.m.Opts.Name)
+		return nil, apierror.Because(apierror.Unreachable, ctx.Err(), "no answer from %s", s.m.Opts.Name)
 	}
 }
 
@@ -442,7 +442,7 @@
 func (w *World) Start(names ...string) error {
 	for _, n := range names {
 		if err := w.Machines[n].start(); err != nil {
-			return problem.Wrap(problem.Internal, err, "start %s", n)
+			return apierror.Wrap(apierror.Internal, err, "start %s", n)
 		}
 	}
 	return nil
@@ -516,7 +516,7 @@
 func (w *World) ask(n string, limit time.Duration, f func(ctx context.Context, x *node.Node) error) error {
 	x := w.Machines[n].Node()
 	if x == nil {
-		return problem.New(problem.Unreachable, "%s is down", n)
+		return apierror.New(apierror.Unreachable, "%s is down", n)
 	}
 	ctx, stop := context.WithTimeout(w.ctx, limit)
 	defer stop()
@@ -529,7 +529,7 @@
 	case err := <-c:
 		return err
 	case <-ctx.Done():
-		return problem.New(problem.Unreachable, "%s did not answer", n)
+		return apierror.New(apierror.Unreachable, "%s did not answer", n)
 	}
 }
 
@@ -786,7 +786,7 @@
 	end := time.Now().Add(limit)
 	for !f() {
 		if time.Now().After(end) {
-			return problem.New(problem.Internal, "not within %s: %s", limit, what)
+			return apierror.New(apierror.Internal, "not within %s: %s", limit, what)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/control/registerclient"
-	"postjunction/internal/problem"
 	"postjunction/internal/proof/port"
 	"postjunction/internal/replay/recording"
 	"postjunction/internal/visitor"
@@ -43,7 +43,7 @@
 			}
 			return f(l)
 		})
-		if k := problem.Of(err).Kind; err != nil && (k == problem.UnknownTopic || k == problem.UnknownSpace || k == problem.TokenFenced || k == problem.RecordingBad) {
+		if k := apierror.Of(err).Kind; err != nil && (k == apierror.UnknownTopic || k == apierror.UnknownSpace || k == apierror.TokenFenced || k == apierror.RecordingBad) {
 			return err
 		}
 		_ = clock.Real{}.Sleep(ctx, again)
@@ -106,7 +106,7 @@
 	case err := <-failed:
 		return Report{}, err
 	case <-time.After(patience):
-		return Report{}, problem.New(problem.Unreachable, "no stream opened within %s", patience)
+		return Report{}, apierror.New(apierror.Unreachable, "no stream opened within %s", patience)
 	}
 	s := &sender{p: p, run: run, begun: time.Now(), speed: speed, tokens: map[string]string{}}
 	var wg sync.WaitGroup
@@ -136,7 +136,7 @@
 		}
 	}
 	if r.First != "" {
-		return r, problem.New(problem.ReplayDiffers, "%s", r.First)
+		return r, apierror.New(apierror.ReplayDiffers, "%s", r.First)
 	}
 	return r, nil
 }
@@ -183,8 +183,8 @@
 	return a.Token, err
 }
 
-var lasting = map[problem.Kind]bool{
-	problem.UnknownTopic: true, problem.UnknownSpace: true, problem.CallPassed: true, problem.CallAltered: true, problem.TokenFenced: true, problem.Oversize: true,
+var lasting = map[apierror.Kind]bool{
+	apierror.UnknownTopic: true, apierror.UnknownSpace: true, apierror.CallPassed: true, apierror.CallAltered: true, apierror.TokenFenced: true, apierror.Oversize: true,
 }
 
 func (s *sender) topic(ctx context.Context, ms []recording.Message) error {
@@ -201,8 +201,8 @@
 			if err == nil {
 				break
 			}
-			if lasting[problem.Of(err).Kind] || ctx.Err() != nil || time.Now().After(end) {
-				return problem.Wrap(problem.ReplayDiffers, err, "send on %s", m.Topic)
+			if lasting[apierror.Of(err).Kind] || ctx.Err() != nil || time.Now().After(end) {
+				return apierror.Wrap(apierror.ReplayDiffers, err, "send on %s", m.Topic)
 			}
 			_ = clock.Real{}.Sleep(ctx, again)
 		}
--- a/internal/samza/changelog/changelog.go
+++ b/internal/samza/changelog/changelog.go
@@ -4,8 +4,8 @@
 import (
 	"encoding/json"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/problem"
 	"postjunction/internal/samza/state"
 )
 
@@ -53,7 +53,7 @@
 		case line.Batch:
 			var b Batch
 			if err := json.Unmarshal(e.Body, &b); err != nil {
-				return 0, problem.Wrap(problem.DiskDamaged, err, "read changelog entry %d", e.Offset)
+				return 0, apierror.Wrap(apierror.DiskDamaged, err, "read changelog entry %d", e.Offset)
 			}
 			if b.Part == 0 {
 				parts = nil
@@ -68,7 +68,7 @@
 			for _, p := range parts {
 				for _, i := range p.Items {
 					if err := s.Set(i); err != nil {
-						return 0, problem.Wrap(problem.DiskDamaged, err, "read changelog key %q", i.Key)
+						return 0, apierror.Wrap(apierror.DiskDamaged, err, "read changelog key %q", i.Key)
 					}
 				}
 			}
@@ -76,7 +76,7 @@
 		case line.Offset:
 			var c Commit
 			if err := json.Unmarshal(e.Body, &c); err != nil {
-				return 0, problem.Wrap(problem.DiskDamaged, err, "read changelog entry %d", e.Offset)
+				return 0, apierror.Wrap(apierror.DiskDamaged, err, "read changelog entry %d", e.Offset)
 			}
 			input = max(input, c.Input)
 		}
--- a/internal/turn/turn.go
+++ b/internal/turn/turn.go
@@ -5,7 +5,7 @@
 	"context"
 	"hash/fnv"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 )
 
 // Turns is a row of shards.
@@ -40,7 +40,7 @@
 	case t.s[i] <- struct{}{}:
 		return nil
 	case <-ctx.Done():
-		return problem.Because(problem.Unreachable, ctx.Err(), "waiting for a turn")
+		return apierror.Because(apierror.Unreachable, ctx.Err(), "waiting for a turn")
 	}
 }
 
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -9,7 +9,7 @@
 
 	"github.com/parquet-go/parquet-go"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 )
 
 // Row is the use of one topic since the fleet was founded.
@@ -77,7 +77,7 @@
 func Write(w io.Writer, format string, rows []Row) error {
 	f, ok := formats[format]
 	if !ok {
-		return problem.New(problem.Usage, "format must be csv, parquet or schema, is %q", format)
+		return apierror.New(apierror.Usage, "format must be csv, parquet or schema, is %q", format)
 	}
-	return problem.Wrap(problem.Usage, f(w, rows), "write usage as %s", format)
+	return apierror.Wrap(apierror.Usage, f(w, rows), "write usage as %s", format)
 }
--- a/internal/visitor/admission/admission.go
+++ b/internal/visitor/admission/admission.go
@@ -8,8 +8,8 @@
 
 	"github.com/failsafe-go/failsafe-go/bulkhead"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
-	"postjunction/internal/problem"
 )
 
 // Lane names a backlog.
@@ -74,7 +74,7 @@
 	}
 	g.mu.Unlock()
 	if !ok {
-		p := problem.New(problem.Overloaded, "the %s lane of this node is full", l)
+		p := apierror.New(apierror.Overloaded, "the %s lane of this node is full", l)
 		return nil, p.After(clock.Jitter(p.Retry, 2, rand.Float64()).Round(time.Millisecond))
 	}
 	return b.ReleasePermit, nil
--- a/internal/visitor/follow.go
+++ b/internal/visitor/follow.go
@@ -5,12 +5,12 @@
 	"encoding/json"
 	"slices"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/carrier/cursor"
 	"postjunction/internal/carrier/feed"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/partition"
 	"postjunction/internal/plain"
-	"postjunction/internal/problem"
 	"postjunction/internal/visitor/token"
 )
 
@@ -180,7 +180,7 @@
 	if at > tail {
 		r, err := st.s.Desk.Read(ctx, p, ^uint64(0), 0)
 		if err == nil && at > r.To {
-			err = problem.New(problem.CursorBad, "the cursor is at offset %d of partition %d, which ends at %d", at, p, r.To)
+			err = apierror.New(apierror.CursorBad, "the cursor is at offset %d of partition %d, which ends at %d", at, p, r.To)
 		}
 		if err != nil {
 			o.leave()
@@ -210,7 +210,7 @@
 				if o.err == nil && ctx.Err() != nil {
 					o.leave()
 				}
-				if o.err == nil || len(urgent) == 0 || ctx.Err() != nil || problem.Has(o.err, problem.CursorBad) {
+				if o.err == nil || len(urgent) == 0 || ctx.Err() != nil || apierror.Has(o.err, apierror.CursorBad) {
 					st.joins <- o
 					st.nudge()
 					return
@@ -291,11 +291,11 @@
 	l.Cursor = st.cursor()
 	b, err := plain.JSON(l)
 	if err != nil {
-		return problem.Wrap(problem.Internal, err, "write a stream line")
+		return apierror.Wrap(apierror.Internal, err, "write a stream line")
 	}
 	if err := st.t.Emit(append(b, '\n')); err != nil {
 		st.gone = err
-		return problem.Wrap(problem.SlowReader, err, "the stream could not be written")
+		return apierror.Wrap(apierror.SlowReader, err, "the stream could not be written")
 	}
 	st.s.tally(0, 1)
 	return nil
@@ -305,7 +305,7 @@
 	if st.gone != nil {
 		return nil
 	}
-	p := problem.Of(err)
+	p := apierror.Of(err)
 	_ = st.emit(Line{End: &End{Code: string(p.Kind), Say: p.Say, Advice: p.Advice(), RetryMS: p.RetryMS}})
 	return nil
 }
@@ -331,7 +331,7 @@
 		}
 		select {
 		case <-s.Leaving:
-			return st.end(problem.New(problem.Leaving, "this node is stopping"))
+			return st.end(apierror.New(apierror.Leaving, "this node is stopping"))
 		default:
 		}
 		news := s.Board.Changed()
@@ -409,7 +409,7 @@
 		select {
 		case g := <-l.got:
 			l.busy, l.left = false, g.w
-			if problem.Has(g.err, problem.CursorExpired) {
+			if apierror.Has(g.err, apierror.CursorExpired) {
 				return nil, g.err
 			}
 			return l.left.Entries, nil
@@ -426,7 +426,7 @@
 	f, got := l.feed, l.got
 	go func() {
 		w, err := f.After(ctx, at)
-		if err != nil && !problem.Has(err, problem.CursorExpired) {
+		if err != nil && !apierror.Has(err, apierror.CursorExpired) {
 			_ = st.s.Clock.Sleep(ctx, st.s.Bounds.Retry())
 		}
 		got <- pulled{w, err}
@@ -477,7 +477,7 @@
 	for n := range st.want {
 		sp, err := x.Find(n)
 		if err == nil && sp.Urgent != st.urgent[n] {
-			err = problem.New(problem.UnknownTopic, "%s stands in a space of another urgency since description %d", n, x.Sequence)
+			err = apierror.New(apierror.UnknownTopic, "%s stands in a space of another urgency since description %d", n, x.Sequence)
 		}
 		if err != nil {
 			gone, why = append(gone, n), err
@@ -501,7 +501,7 @@
 		select {
 		case err := <-st.checked:
 			st.asking = false
-			if problem.Has(err, problem.TokenFenced) {
+			if apierror.Has(err, apierror.TokenFenced) {
 				return err
 			}
 		default:
@@ -532,7 +532,7 @@
 	st.seen = st.fence.To()
 	who, urgent := st.t.who, slices.ContainsFunc(st.lanes, func(l lane) bool { return l.urgent })
 	go func() {
-		err := error(problem.New(problem.NoOwner, "not asked yet"))
+		err := error(apierror.New(apierror.NoOwner, "not asked yet"))
 		for err != nil && ctx.Err() == nil {
 			cx, stop := context.WithTimeout(ctx, callShare*st.s.Bounds.Call())
 			a, e := st.s.Desk.Attached(cx, who.Visitor, who.Generation, urgent)
@@ -551,5 +551,5 @@
 }
 
 func (st *subscriptionStream) superseded(g uint64) error {
-	return problem.New(problem.TokenFenced, "attachment %d of %s took over", g, st.t.Visitor)
+	return apierror.New(apierror.TokenFenced, "attachment %d of %s took over", g, st.t.Visitor)
 }
--- a/internal/visitor/service.go
+++ b/internal/visitor/service.go
@@ -9,6 +9,7 @@
 	"slices"
 	"sync"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/carrier/cursor"
 	"postjunction/internal/carrier/feed"
 	"postjunction/internal/carrier/presence"
@@ -20,7 +21,6 @@
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/partition"
 	"postjunction/internal/policy"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 	"postjunction/internal/visitor/admission"
 	"postjunction/internal/visitor/token"
@@ -170,7 +170,7 @@
 func (s *Service) stage(ctx context.Context, t *Task, next policy.Next[*Task]) error {
 	select {
 	case <-s.Leaving:
-		return problem.New(problem.Leaving, "this node is stopping")
+		return apierror.New(apierror.Leaving, "this node is stopping")
 	default:
 		return next(ctx, t)
 	}
@@ -185,7 +185,7 @@
 
 func (s *Service) interest(ctx context.Context, t *Task, next policy.Next[*Task]) error {
 	if len(t.Topics) == 0 || len(t.Topics) > topicsMost {
-		return problem.New(problem.Malformed, "the call must name 1 to %d topics, names %d", topicsMost, len(t.Topics))
+		return apierror.New(apierror.Malformed, "the call must name 1 to %d topics, names %d", topicsMost, len(t.Topics))
 	}
 	x := s.Board.Index()
 	for _, n := range t.Topics {
@@ -238,7 +238,7 @@
 
 func (s *Service) unpack(t *Task) (token.Token, error) {
 	if t.Token == "" {
-		return token.Token{}, problem.New(problem.TokenMissing, "the call has no bearer token")
+		return token.Token{}, apierror.New(apierror.TokenMissing, "the call has no bearer token")
 	}
 	k, err := token.Unpack(t.Token)
 	if err == nil {
@@ -250,16 +250,16 @@
 func (s *Service) identify(ctx context.Context, t *Task, k token.Token, urgent bool) error {
 	a, err := s.Desk.Attached(ctx, k.Visitor, k.Generation, urgent)
 	if err != nil {
-		if problem.Has(err, problem.OutcomeUnknown) {
-			err = problem.New(problem.NoOwner, "the attachment could not be checked: %v", err)
+		if apierror.Has(err, apierror.OutcomeUnknown) {
+			err = apierror.New(apierror.NoOwner, "the attachment could not be checked: %v", err)
 		}
 		return err
 	}
 	switch g := a.Attached.Generation; {
 	case g > k.Generation:
-		return problem.New(problem.TokenFenced, "attachment %d of %s is in force, the token is of %d", g, k.Visitor, k.Generation)
+		return apierror.New(apierror.TokenFenced, "attachment %d of %s is in force, the token is of %d", g, k.Visitor, k.Generation)
 	case g < k.Generation || !k.Matches(a.Attached.Secret):
-		return problem.New(problem.TokenForeign, "the token is not the one given to %s", k.Visitor)
+		return apierror.New(apierror.TokenForeign, "the token is not the one given to %s", k.Visitor)
 	}
 	t.who, t.Visitor, t.acked = k, k.Visitor, a.Acked.Cursor
 	return nil
@@ -267,7 +267,7 @@
 
 func (s *Service) attach(ctx context.Context, t *Task) error {
 	if !nameRule.MatchString(t.Visitor) {
-		return problem.New(problem.Malformed, "visitor must be 1 to 63 of letters, digits, ., _ and -, is %q", t.Visitor)
+		return apierror.New(apierror.Malformed, "visitor must be 1 to 63 of letters, digits, ., _ and -, is %q", t.Visitor)
 	}
 	sec := token.Secret()
 	a, err := s.Desk.Attach(ctx, &desk.AttachRequest{Visitor: t.Visitor, Secret: token.Digest(sec)})
@@ -281,10 +281,10 @@
 func (s *Service) send(ctx context.Context, t *Task) error {
 	var b bytes.Buffer
 	if err := json.Compact(&b, t.Body); err != nil {
-		return problem.Wrap(problem.Malformed, err, "body is no JSON value")
+		return apierror.Wrap(apierror.Malformed, err, "body is no JSON value")
 	}
 	if b.Len() > s.Body {
-		return problem.New(problem.Oversize, "the body has %d bytes, the limit is %d", b.Len(), s.Body)
+		return apierror.New(apierror.Oversize, "the body has %d bytes, the limit is %d", b.Len(), s.Body)
 	}
 	d, err := s.submit(ctx, t, &owner.Task{Body: b.Bytes()})
 	if err != nil {
--- a/internal/visitor/token/token.go
+++ b/internal/visitor/token/token.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"strings"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 )
 
 // Token names a visitor, the generation of the attachment, and its secret.
@@ -46,7 +46,7 @@
 
 // Unpack reads a token.
 func Unpack(s string) (Token, error) {
-	foreign := problem.New(problem.TokenForeign, "the token is none of this service's")
+	foreign := apierror.New(apierror.TokenForeign, "the token is none of this service's")
 	w, ok := strings.CutPrefix(s, prefix)
 	b, err := base64.RawURLEncoding.DecodeString(w)
 	if !ok || err != nil {
@@ -66,11 +66,11 @@
 // Bearer reads the token of an Authorization header.
 func Bearer(h string) (Token, error) {
 	if h == "" {
-		return Token{}, problem.New(problem.TokenMissing, "the call has no Authorization header")
+		return Token{}, apierror.New(apierror.TokenMissing, "the call has no Authorization header")
 	}
 	s, ok := strings.CutPrefix(h, bearer)
 	if !ok {
-		return Token{}, problem.New(problem.TokenMissing, "the Authorization header is no bearer token")
+		return Token{}, apierror.New(apierror.TokenMissing, "the Authorization header is no bearer token")
 	}
 	return Unpack(s)
 }
--- a/internal/visitor/visit/house.go
+++ b/internal/visitor/visit/house.go
@@ -5,6 +5,7 @@
 	"sync"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/carrier/fan"
 	"postjunction/internal/clock"
 	"postjunction/internal/configuration"
@@ -13,7 +14,6 @@
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/membership"
 	"postjunction/internal/partition"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 )
 
@@ -127,7 +127,7 @@
 				continue
 			}
 			if err == nil {
-				err = problem.New(problem.UnknownTopic, "%s is another topic now", t)
+				err = apierror.New(apierror.UnknownTopic, "%s is another topic now", t)
 			}
 			v.drop(t, err)
 		}
@@ -184,7 +184,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.refuge != nil {
-		return problem.New(problem.NotReady, "this node does not reach those who decide, other nodes do")
+		return apierror.New(apierror.NotReady, "this node does not reach those who decide, other nodes do")
 	}
 	return nil
 }
@@ -314,7 +314,7 @@
 func (v *Visit) Do(t Task) {
 	f, ok := verbs[t.Verb]
 	if !ok {
-		f = func(*Visit, Task) error { return problem.New(problem.Malformed, "there is no verb %q", t.Verb) }
+		f = func(*Visit, Task) error { return apierror.New(apierror.Malformed, "there is no verb %q", t.Verb) }
 	}
 	if err := f(v, t); err != nil {
 		v.turn(t, err)
@@ -339,7 +339,7 @@
 
 func (v *Visit) able() error {
 	if v.name == "" {
-		return problem.New(problem.TokenMissing, "attach first")
+		return apierror.New(apierror.TokenMissing, "attach first")
 	}
 	return v.h.able()
 }
@@ -347,7 +347,7 @@
 func (h *House) able() error {
 	select {
 	case <-h.Leaving:
-		return problem.New(problem.Leaving, "this node is stopping")
+		return apierror.New(apierror.Leaving, "this node is stopping")
 	default:
 	}
 	return h.Licensed()
@@ -355,7 +355,7 @@
 
 func (v *Visit) attach(t Task) error {
 	if !plainName(t.Visitor, nameMost) {
-		return problem.New(problem.Malformed, "a visitor's name must be 1 to %d printable bytes without spaces", nameMost)
+		return apierror.New(apierror.Malformed, "a visitor's name must be 1 to %d printable bytes without spaces", nameMost)
 	}
 	if err := v.h.able(); err != nil {
 		return err
@@ -374,7 +374,7 @@
 		return configuration.Space{}, 0, err
 	}
 	if !plainName(topic, topicMost) {
-		return configuration.Space{}, 0, problem.New(problem.Malformed, "a topic must be 1 to %d printable bytes without spaces", topicMost)
+		return configuration.Space{}, 0, apierror.New(apierror.Malformed, "a topic must be 1 to %d printable bytes without spaces", topicMost)
 	}
 	sp, err := v.h.Board.Index().Find(topic)
 	if err != nil {
@@ -382,7 +382,7 @@
 	}
 	p := partition.Of(topic, sp.Urgent, v.h.Board.Roster().Layout)
 	if p == partition.None {
-		return sp, 0, problem.New(problem.NoOwner, "the fleet is not founded yet")
+		return sp, 0, apierror.New(apierror.NoOwner, "the fleet is not founded yet")
 	}
 	return sp, p, nil
 }
@@ -400,7 +400,7 @@
 			return err
 		}
 		if c.Partition != p {
-			return problem.New(problem.CursorBad, "the cursor %.64q is not of %s", t.Cursor, t.Topic)
+			return apierror.New(apierror.CursorBad, "the cursor %.64q is not of %s", t.Cursor, t.Topic)
 		}
 		s.After = &c.Offset
 	}
@@ -420,11 +420,11 @@
 		v.out(a)
 	}
 	s.Broken = func() { v.broken(s) }
-	v.drop(t.Topic, problem.New(problem.Overloaded, "%s was asked for again", t.Topic))
+	v.drop(t.Topic, apierror.New(apierror.Overloaded, "%s was asked for again", t.Topic))
 	v.mu.Lock()
 	if len(v.subs) >= v.h.topicsMost() {
 		v.mu.Unlock()
-		return problem.New(problem.Overloaded, "a visit takes up at most %d topics", v.h.topicsMost())
+		return apierror.New(apierror.Overloaded, "a visit takes up at most %d topics", v.h.topicsMost())
 	}
 	if v.gone {
 		v.mu.Unlock()
@@ -448,7 +448,7 @@
 }
 
 func (v *Visit) leave(t Task) error {
-	v.drop(t.Topic, problem.New(problem.Overloaded, "%s was left before it could be taken up", t.Topic))
+	v.drop(t.Topic, apierror.New(apierror.Overloaded, "%s was left before it could be taken up", t.Topic))
 	v.out(Answer{What: Left, Topic: t.Topic})
 	return nil
 }
@@ -459,7 +459,7 @@
 		return err
 	}
 	if t.Call == 0 {
-		return problem.New(problem.Malformed, "call_seq must be above 0")
+		return apierror.New(apierror.Malformed, "call_seq must be above 0")
 	}
 	if t.Key != "" {
 		if err := v.h.keyed(t.Key); err != nil {
@@ -467,7 +467,7 @@
 		}
 	}
 	if len(t.Body) > v.h.Body {
-		return problem.New(problem.Oversize, "the body has %d bytes, the limit is %d", len(t.Body), v.h.Body)
+		return apierror.New(apierror.Oversize, "the body has %d bytes, the limit is %d", len(t.Body), v.h.Body)
 	}
 	until := v.h.Clock.Now().Add(v.h.patience(sp))
 	v.h.Ledger.Offer(v.h.ctx, p, &owner.Task{
--- a/internal/visitor/visit/house_test.go
+++ b/internal/visitor/visit/house_test.go
@@ -11,6 +11,7 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/carrier/fan"
 	"postjunction/internal/clock"
 	"postjunction/internal/configuration"
@@ -20,7 +21,6 @@
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/membership"
 	"postjunction/internal/placement/assignment"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 )
 
@@ -60,7 +60,7 @@
 
 func wait(ctx context.Context, d time.Duration) error {
 	_ = clock.Real{}.Sleep(ctx, d)
-	return problem.New(problem.Unreachable, "no answer")
+	return apierror.New(apierror.Unreachable, "no answer")
 }
 
 type hall struct {
@@ -86,7 +86,7 @@
 	case Message:
 		s += fmt.Sprintf(" %s %s/%d", a.Topic, a.From, a.Call)
 	case Turned:
-		s += fmt.Sprintf(" %s %s %s", a.Re, a.Topic, problem.Of(a.Err).Kind)
+		s += fmt.Sprintf(" %s %s %s", a.Re, a.Topic, apierror.Of(a.Err).Kind)
 	case Moved:
 		s += " " + a.Address
 	case Joined, Left:
--- a/internal/visitor/visit/withdraw.go
+++ b/internal/visitor/visit/withdraw.go
@@ -5,9 +5,9 @@
 	"strings"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/configuration"
 	"postjunction/internal/ledger/owner"
-	"postjunction/internal/problem"
 )
 
 const keyMost = 128
@@ -15,7 +15,7 @@
 // keyed tells why a key can't be taken.
 func (h *House) keyed(key string) error {
 	if !plainName(key, keyMost) {
-		return problem.New(problem.Malformed, "a key must be 1 to %d printable bytes without spaces", keyMost)
+		return apierror.New(apierror.Malformed, "a key must be 1 to %d printable bytes without spaces", keyMost)
 	}
 	return h.Ledger.Keys()
 }
@@ -26,10 +26,10 @@
 		return err
 	}
 	if t.Call == 0 {
-		return problem.New(problem.Malformed, "call_seq must be above 0")
+		return apierror.New(apierror.Malformed, "call_seq must be above 0")
 	}
 	if (t.Of != "") != (t.Upto > 0) || t.Of != "" && !plainName(t.Of, nameMost) {
-		return problem.New(problem.Malformed, "a sender (of) and its highest number (upto, above 0) go together")
+		return apierror.New(apierror.Malformed, "a sender (of) and its highest number (upto, above 0) go together")
 	}
 	if err := v.h.keyed(t.Key); err != nil {
 		return err
@@ -66,9 +66,9 @@
 		}
 		a.What, a.Re, a.Already = Turned, t.Verb, false
 		if err != nil {
-			a.Err = problem.Because(problem.WithdrawalOpen, err, "what stood under %s was withdrawn; who has forgotten it could not be learnt", t.Key)
+			a.Err = apierror.Because(apierror.WithdrawalOpen, err, "what stood under %s was withdrawn; who has forgotten it could not be learnt", t.Key)
 		} else {
-			a.Err = problem.New(problem.WithdrawalOpen, "what stood under %s was withdrawn; %s did not say that it is forgotten", t.Key, strings.Join(u.Nodes, ", "))
+			a.Err = apierror.New(apierror.WithdrawalOpen, "what stood under %s was withdrawn; %s did not say that it is forgotten", t.Key, strings.Join(u.Nodes, ", "))
 		}
 		v.out(a)
 		return
--- a/internal/visitor/visit/withdraw_test.go
+++ b/internal/visitor/visit/withdraw_test.go
@@ -11,10 +11,10 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/carrier/fan"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 )
 
@@ -79,7 +79,7 @@
 			s += " without " + strings.Join(a.GivenUp, ",")
 		}
 		if a.Err != nil {
-			p := problem.Of(a.Err)
+			p := apierror.Of(a.Err)
 			s += fmt.Sprintf(" %s %s (%s)", a.Re, p.Kind, p.Say)
 		}
 		l = append(l, s)
@@ -114,25 +114,25 @@
 			[]string{"1200: turned kept/a 7 k without a3 withdraw withdrawal_open (what stood under k was withdrawn; a2, a4 did not say that it is forgotten)"},
 		},
 		"no answer": {
-			&clerk{decide: taken, ask: func(int) (*owner.Unheard, error) { return nil, problem.New(problem.NoOwner, "gone") }}, ask,
+			&clerk{decide: taken, ask: func(int) (*owner.Unheard, error) { return nil, apierror.New(apierror.NoOwner, "gone") }}, ask,
 			[]string{"1200: turned kept/a 7 k withdraw withdrawal_open (what stood under k was withdrawn; who has forgotten it could not be learnt)"},
 		},
 		"not taken": {
 			&clerk{decide: func(*owner.Task) (*owner.Decision, error) {
-				return nil, problem.New(problem.KeyUnknown, "nothing there")
+				return nil, apierror.New(apierror.KeyUnknown, "nothing there")
 			}}, ask,
 			[]string{"0: turned kept/a 7 withdraw key_unknown (nothing there)"},
 		},
 		"an older build": {
-			&clerk{keys: problem.New(problem.NotReady, "a2 knows no keys")}, ask,
+			&clerk{keys: apierror.New(apierror.NotReady, "a2 knows no keys")}, ask,
 			[]string{"0: turned kept/a 7 withdraw not_ready (a2 knows no keys)"},
 		},
 		"a send to an older build": {
-			&clerk{keys: problem.New(problem.NotReady, "a2 knows no keys")}, Task{Verb: Send, Topic: "kept/a", Call: 7, Key: "k"},
+			&clerk{keys: apierror.New(apierror.NotReady, "a2 knows no keys")}, Task{Verb: Send, Topic: "kept/a", Call: 7, Key: "k"},
 			[]string{"0: turned kept/a 7 send not_ready (a2 knows no keys)"},
 		},
 		"a send without a key to an older build": {
-			&clerk{keys: problem.New(problem.NotReady, "a2 knows no keys"), decide: taken}, Task{Verb: Send, Topic: "kept/a", Call: 7}, []string{"0: taken kept/a 7"},
+			&clerk{keys: apierror.New(apierror.NotReady, "a2 knows no keys"), decide: taken}, Task{Verb: Send, Topic: "kept/a", Call: 7}, []string{"0: taken kept/a 7"},
 		},
 		"a key with a space": {
 			&clerk{}, Task{Verb: Send, Topic: "kept/a", Call: 7, Key: "k k"},
--- a/internal/visitor/withdraw.go
+++ b/internal/visitor/withdraw.go
@@ -4,15 +4,15 @@
 	"context"
 	"strings"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/policy"
-	"postjunction/internal/problem"
 )
 
 func (s *Service) withdraw(ctx context.Context, t *Task) error {
 	if (t.Of == "") != (t.Upto == 0) {
-		return problem.New(problem.Malformed, "of, a sender's name, and upto, its number from 1, go together")
+		return apierror.New(apierror.Malformed, "of, a sender's name, and upto, its number from 1, go together")
 	}
 	if t.Of != "" {
 		if err := line.Plain("of", t.Of); err != nil {
@@ -64,11 +64,11 @@
 
 func unheard(m owner.Decision, left []string, err error) error {
 	if len(left) == 0 {
-		return problem.New(problem.WithdrawalOpen, "the mark stands at offset %d of partition %d; who has to forget could not be asked: %v", m.Offset, m.Partition, err)
+		return apierror.New(apierror.WithdrawalOpen, "the mark stands at offset %d of partition %d; who has to forget could not be asked: %v", m.Offset, m.Partition, err)
 	}
-	var fs []problem.Fault
+	var fs []apierror.Fault
 	for _, n := range left {
-		fs = append(fs, problem.Fault{Place: n, Say: "has not read behind the mark"})
+		fs = append(fs, apierror.Fault{Place: n, Say: "has not read behind the mark"})
 	}
-	return problem.New(problem.WithdrawalOpen, "the mark stands at offset %d of partition %d; not heard: %s", m.Offset, m.Partition, strings.Join(left, ", ")).With(fs)
+	return apierror.New(apierror.WithdrawalOpen, "the mark stands at offset %d of partition %d; not heard: %s", m.Offset, m.Partition, strings.Join(left, ", ")).With(fs)
 }
--- a/internal/visitor/withdraw_test.go
+++ b/internal/visitor/withdraw_test.go
@@ -10,6 +10,7 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/carrier/cursor"
 	"postjunction/internal/carrier/feed"
 	"postjunction/internal/clock"
@@ -18,7 +19,6 @@
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/membership"
-	"postjunction/internal/problem"
 	"postjunction/internal/settings"
 )
 
@@ -120,13 +120,13 @@
 	k := "k"
 	v.Set([]membership.Info{{Name: "a1", Keys: true}, {Name: "a2"}})
 	_, err := s.submit(t.Context(), &Task{Key: &k}, &owner.Task{})
-	assert.Assert(t, problem.Has(err, problem.NotReady), "%v", err)
+	assert.Assert(t, apierror.Has(err, apierror.NotReady), "%v", err)
 	assert.ErrorContains(t, err, "a2")
 }
 
 // Who has not forgotten is named, with what was heard last, however the asking goes on.
 func TestOpenWithdrawalsNameWhoWasNotHeard(t *testing.T) {
-	late := problem.New(problem.Unreachable, "no answer")
+	late := apierror.New(apierror.Unreachable, "no answer")
 	for name, c := range map[string]struct {
 		answers []any
 		say     string
@@ -157,7 +157,7 @@
 					assert.NilError(t, err)
 					return
 				}
-				assert.Assert(t, problem.Has(err, problem.WithdrawalOpen), "%v", err)
+				assert.Assert(t, apierror.Has(err, apierror.WithdrawalOpen), "%v", err)
 				assert.ErrorContains(t, err, "offset 7 of partition 3")
 				assert.ErrorContains(t, err, c.say)
 			})
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -6,7 +6,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 )
 
 const mostNested = 64
@@ -27,7 +27,7 @@
 
 func must[T any](v T, err error) T {
 	if err != nil {
-		panic(problem.Wrap(problem.Internal, err, "codec"))
+		panic(apierror.Wrap(apierror.Internal, err, "codec"))
 	}
 	return v
 }
--- a/internal/wire/codec_test.go
+++ b/internal/wire/codec_test.go
@@ -11,13 +11,13 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/replica"
 	"postjunction/internal/membership"
 	_ "postjunction/internal/node"
 	"postjunction/internal/nodelease"
-	"postjunction/internal/problem"
 	"postjunction/internal/wire"
 )
 
@@ -134,7 +134,7 @@
 
 func TestReplyKeepsTheProblem(t *testing.T) {
 	n := uint64(0)
-	p := &problem.Problem{Kind: problem.Overloaded, Say: "full \xff\xfe", Faults: []problem.Fault{{Place: "a.b", Say: "c"}}, Current: &n, Retry: time.Second, RetryMS: 1000, Cause: problem.New(problem.Internal, "x")}
+	p := &apierror.Problem{Kind: apierror.Overloaded, Say: "full \xff\xfe", Faults: []apierror.Fault{{Place: "a.b", Say: "c"}}, Current: &n, Retry: time.Second, RetryMS: 1000, Cause: apierror.New(apierror.Internal, "x")}
 	got := trip(t, reflect.ValueOf(&wire.Reply[gossip.ExchangeResponse]{Problem: p})).(*wire.Reply[gossip.ExchangeResponse])
 	assert.Assert(t, got.Body == nil)
 	want := *p
--- a/internal/wire/lane/frame.go
+++ b/internal/wire/lane/frame.go
@@ -5,7 +5,7 @@
 	"encoding/binary"
 	"io"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 )
 
 // Kinds of frame. A frame is its kind, a number, a length and that many bytes; the number is that of the call, of the head that is named, or nothing.
@@ -43,7 +43,7 @@
 	own  bool
 }
 
-func broken(f string, a ...any) error { return problem.New(problem.Unreachable, f, a...) }
+func broken(f string, a ...any) error { return apierror.New(apierror.Unreachable, f, a...) }
 
 // read reads a frame. Its body is valid until the next read unless own says that it is the frame's own.
 func (f *frame) read(r *bufio.Reader) error {
--- a/internal/wire/lane/link.go
+++ b/internal/wire/lane/link.go
@@ -15,7 +15,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 )
 
 // Times are the bounds of a connection.
@@ -45,9 +45,9 @@
 )
 
 var (
-	errUnsent = problem.New(problem.Unreachable, "the connection closed before the call was sent")
-	errFull   = problem.New(problem.Unreachable, "too much waits to be sent")
-	errClosed = problem.New(problem.Unreachable, "closed on this side")
+	errUnsent = apierror.New(apierror.Unreachable, "the connection closed before the call was sent")
+	errFull   = apierror.New(apierror.Unreachable, "too much waits to be sent")
+	errClosed = apierror.New(apierror.Unreachable, "closed on this side")
 )
 
 type buf struct{ b []byte }
--- a/internal/wire/lane/network.go
+++ b/internal/wire/lane/network.go
@@ -16,7 +16,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 )
 
 const (
@@ -206,7 +206,7 @@
 	defer p.mu.Unlock()
 	p.d = nil
 	if err != nil {
-		d.err = problem.Because(problem.Unreachable, err, "no connection to %s", p.addr)
+		d.err = apierror.Because(apierror.Unreachable, err, "no connection to %s", p.addr)
 	} else {
 		d.c = newClient(p, nc, from)
 		p.c = d.c
@@ -286,7 +286,7 @@
 		c.kick()
 	case c.quiet >= 2*ticks:
 		c.mu.Unlock()
-		c.fail(problem.New(problem.Unreachable, "%s gives no sign of life", c.p.addr), true)
+		c.fail(apierror.New(apierror.Unreachable, "%s gives no sign of life", c.p.addr), true)
 	default:
 		c.mu.Unlock()
 	}
@@ -304,7 +304,7 @@
 	m := c.calls
 	c.calls = map[uint64]*call{}
 	for _, x := range m {
-		x.err = problem.Because(problem.Unreachable, err, "the connection to %s broke", c.p.addr)
+		x.err = apierror.Because(apierror.Unreachable, err, "the connection to %s broke", c.p.addr)
 		if x.batch > c.out {
 			x.err = errUnsent
 		}
@@ -355,7 +355,7 @@
 		c.end(x)
 		c.mu.Unlock()
 		if x != nil {
-			x.err = problem.New(problem.Unreachable, "%s gave no answer: %s", c.p.addr, f.body)
+			x.err = apierror.New(apierror.Unreachable, "%s gave no answer: %s", c.p.addr, f.body)
 			x.done <- struct{}{}
 		}
 		return nil
@@ -483,7 +483,7 @@
 	x.head = appendPiece(x.heads[:0], r.URL.Path)
 	x.head = appendHeaders(x.head, r.Header, names)
 	if len(x.head) > mostHead {
-		return problem.New(problem.Oversize, "headers of %d bytes", len(x.head))
+		return apierror.New(apierror.Oversize, "headers of %d bytes", len(x.head))
 	}
 	if t := r.Header[timeout]; len(t) == 1 {
 		x.wait, _ = strconv.ParseUint(t[0], 10, 63)
@@ -494,7 +494,7 @@
 	}
 	defer func() { _ = r.Body.Close() }()
 	if r.ContentLength > mostBody {
-		return problem.New(problem.Oversize, "a task of %d bytes", r.ContentLength)
+		return apierror.New(apierror.Oversize, "a task of %d bytes", r.ContentLength)
 	}
 	if n := int(r.ContentLength); n > 0 {
 		if cap(x.body) < n {
@@ -502,13 +502,13 @@
 		}
 		x.body = x.body[:n]
 		_, err := io.ReadFull(r.Body, x.body)
-		return problem.Wrap(problem.Internal, err, "the body of a task")
+		return apierror.Wrap(apierror.Internal, err, "the body of a task")
 	}
 	b, err := io.ReadAll(io.LimitReader(r.Body, mostBody+1))
 	if x.body = b; len(b) > mostBody {
-		return problem.New(problem.Oversize, "a task of more than %d bytes", mostBody)
+		return apierror.New(apierror.Oversize, "a task of more than %d bytes", mostBody)
 	}
-	return problem.Wrap(problem.Internal, err, "the body of a task")
+	return apierror.Wrap(apierror.Internal, err, "the body of a task")
 }
 
 func appendHeaders(b []byte, h http.Header, names []string) []byte {
@@ -536,7 +536,7 @@
 func (x *call) response(r *http.Request) (*http.Response, error) {
 	st, err := strconv.Atoi(x.answer.first)
 	if err != nil {
-		return nil, problem.Because(problem.Unreachable, err, "an answer of status %q", x.answer.first)
+		return nil, apierror.Because(apierror.Unreachable, err, "an answer of status %q", x.answer.first)
 	}
 	b := &body{}
 	b.Reset(x.got)
--- a/internal/wire/lane/server.go
+++ b/internal/wire/lane/server.go
@@ -14,8 +14,8 @@
 	"sync/atomic"
 	"time"
 
+	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
-	"postjunction/internal/problem"
 )
 
 const (
@@ -59,12 +59,12 @@
 			go s.serve(nc)
 		case s.over():
 		case errors.Is(err, net.ErrClosed):
-			return problem.Wrap(problem.Internal, err, "accept on %s", l.Addr())
+			return apierror.Wrap(apierror.Internal, err, "accept on %s", l.Addr())
 		default:
 			_ = clock.Real{}.Sleep(s.ctx, s.o.Silence/pauseShare)
 		}
 	}
-	return problem.Wrap(problem.Internal, shut(l), "close %s", l.Addr())
+	return apierror.Wrap(apierror.Internal, shut(l), "close %s", l.Addr())
 }
 
 func (s *Server) over() bool {
@@ -102,7 +102,7 @@
 	for _, c := range cs {
 		c.fail(errClosed, false)
 	}
-	return problem.Wrap(problem.Internal, err, "close")
+	return apierror.Wrap(apierror.Internal, err, "close")
 }
 
 // served is this side's end of a connection that a peer opened.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -11,7 +11,7 @@
 
 	"connectrpc.com/connect"
 
-	"postjunction/internal/problem"
+	"postjunction/internal/apierror"
 )
 
 // Sequence is the number of the wire format; a node turns away what is newer.
@@ -29,8 +29,8 @@
 
 // Reply is the envelope of every answer.
 type Reply[T any] struct {
-	Body    *T               `json:"b,omitempty"`
-	Problem *problem.Problem `json:"p,omitempty"`
+	Body    *T                `json:"b,omitempty"`
+	Problem *apierror.Problem `json:"p,omitempty"`
 }
 
 // Procedure names a call and its types.
@@ -91,13 +91,13 @@
 	r.Header().Set(fromHeader, from)
 	a, err := v.(*connect.Client[Q, Reply[A]]).CallUnary(ctx, r)
 	if err != nil {
-		return nil, problem.Wrap(problem.Unreachable, err, "%s at %s", p.Path, addr)
+		return nil, apierror.Wrap(apierror.Unreachable, err, "%s at %s", p.Path, addr)
 	}
 	if a.Msg.Problem != nil {
 		return nil, a.Msg.Problem.After(ms(a.Msg.Problem.RetryMS))
 	}
 	if a.Msg.Body == nil {
-		return nil, problem.New(problem.Unreachable, "%s at %s gave an empty answer", p.Path, addr)
+		return nil, apierror.New(apierror.Unreachable, "%s at %s gave an empty answer", p.Path, addr)
 	}
 	return a.Msg.Body, nil
 }
@@ -106,13 +106,13 @@
 func (p *Procedure[Q, A]) Handle(m *http.ServeMux, f func(context.Context, *Q) (*A, error)) {
 	m.Handle(p.Path, connect.NewUnaryHandler(p.Path, func(ctx context.Context, r *connect.Request[Q]) (*connect.Response[Reply[A]], error) {
 		if n, err := strconv.Atoi(r.Header().Get(sequenceHeader)); err != nil || n > Sequence {
-			return connect.NewResponse(&Reply[A]{Problem: problem.New(problem.WireNewer, "wire sequence %q, this build knows %d", r.Header().Get(sequenceHeader), Sequence)}), nil
+			return connect.NewResponse(&Reply[A]{Problem: apierror.New(apierror.WireNewer, "wire sequence %q, this build knows %d", r.Header().Get(sequenceHeader), Sequence)}), nil
 		}
 		a, err := f(ctx, r.Msg)
 		if err != nil {
-			q := problem.Of(err)
-			if q.Kind == problem.Internal && (errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)) {
-				q = problem.New(problem.Unreachable, "the call ended before its answer")
+			q := apierror.Of(err)
+			if q.Kind == apierror.Internal && (errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)) {
+				q = apierror.New(apierror.Unreachable, "the call ended before its answer")
 			}
 			return connect.NewResponse(&Reply[A]{Problem: q}), nil
 		}
