--- a/internal/control/acceptor/giveup_test.go
+++ b/internal/control/acceptor/giveup_test.go
@@ -11,7 +11,7 @@
 	"postjunction/internal/control/voters"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/disk/memlog"
-	"postjunction/internal/kinds"
+	"postjunction/internal/recordtype"
 )
 
 // slowDisk takes no sync to its end while it is held.
@@ -53,7 +53,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				d := &slowDisk{memlog.New(), make(chan chan struct{}, 1)}
 				v := New()
-				j, _, err := journal.Open(d, clock.Real{}, map[uint16]journal.Part{kinds.Slot: v, kinds.Roster: v}, []journal.Part{v})
+				j, _, err := journal.Open(d, clock.Real{}, map[uint16]journal.Part{recordtype.Slot: v, recordtype.Roster: v}, []journal.Part{v})
 				assert.NilError(t, err)
 				run, end := context.WithCancel(ctx)
 				defer end()
--- a/internal/control/acceptor/voter.go
+++ b/internal/control/acceptor/voter.go
@@ -9,7 +9,7 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/control/voters"
 	"postjunction/internal/disk/journal"
-	"postjunction/internal/kinds"
+	"postjunction/internal/recordtype"
 	"postjunction/internal/turn"
 )
 
@@ -54,7 +54,7 @@
 func (v *Voter) Restore(r journal.Rec) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if r.Kind == kinds.Slot {
+	if r.Kind == recordtype.Slot {
 		var s slotRec
 		if err := json.Unmarshal(r.Body, &s); err != nil {
 			return apierror.Wrap(apierror.DiskDamaged, err, "read a slot")
@@ -89,9 +89,9 @@
 func (v *Voter) dump() []journal.Rec {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	rs := []journal.Rec{rec(kinds.Roster, rosterRec{Roster: v.roster, Founding: v.founding, Clear: true})}
+	rs := []journal.Rec{rec(recordtype.Roster, rosterRec{Roster: v.roster, Founding: v.founding, Clear: true})}
 	for k, s := range v.slots {
-		rs = append(rs, rec(kinds.Slot, slotRec{Key: k, Slot: s}))
+		rs = append(rs, rec(recordtype.Slot, slotRec{Key: k, Slot: s}))
 	}
 	return rs
 }
@@ -192,7 +192,7 @@
 			close(v.sealing)
 			v.sealing = make(chan struct{})
 		}
-	}, rec(kinds.Slot, slotRec{Key: key, Slot: s}))
+	}, rec(recordtype.Slot, slotRec{Key: key, Slot: s}))
 }
 
 // Promise answers once the promise is synced.
@@ -283,14 +283,14 @@
 		return nil, apierror.New(apierror.DiskForeign, "this disk is of fleet %s", cur.Fleet)
 	}
 	slots := make(map[string]Slot, len(q.Slots))
-	rs := []journal.Rec{rec(kinds.Roster, rosterRec{Roster: q.Roster, Clear: true})}
+	rs := []journal.Rec{rec(recordtype.Roster, rosterRec{Roster: q.Roster, Clear: true})}
 	for k, s := range q.Slots {
 		if k == RosterKey {
 			continue
 		}
 		s = Merge([]Slot{s})
 		slots[k] = s
-		rs = append(rs, rec(kinds.Slot, slotRec{Key: k, Slot: s}))
+		rs = append(rs, rec(recordtype.Slot, slotRec{Key: k, Slot: s}))
 	}
 	err = v.journal.PutIn(ctx, t, true, func() {
 		v.mu.Lock()
@@ -322,7 +322,7 @@
 		v.mu.Lock()
 		defer v.mu.Unlock()
 		v.founding = &r
-	}, rec(kinds.Roster, rosterRec{Founding: &r}))
+	}, rec(recordtype.Roster, rosterRec{Founding: &r}))
 	return &Done{}, err
 }
 
--- a/internal/control/acceptor/voter_test.go
+++ b/internal/control/acceptor/voter_test.go
@@ -12,14 +12,14 @@
 	"postjunction/internal/control/voters"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/disk/memlog"
-	"postjunction/internal/kinds"
+	"postjunction/internal/recordtype"
 )
 
 var ctx = context.Background()
 
 func boot(t *testing.T, d *memlog.Disk, inc string) *Voter {
 	v := New()
-	j, _, err := journal.Open(d, clock.Real{}, map[uint16]journal.Part{kinds.Slot: v, kinds.Roster: v}, []journal.Part{v})
+	j, _, err := journal.Open(d, clock.Real{}, map[uint16]journal.Part{recordtype.Slot: v, recordtype.Roster: v}, []journal.Part{v})
 	assert.NilError(t, err)
 	cx, stop := context.WithCancel(ctx)
 	t.Cleanup(stop)
--- a/internal/disk/identity/identity.go
+++ b/internal/disk/identity/identity.go
@@ -10,7 +10,7 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/disk/journal"
-	"postjunction/internal/kinds"
+	"postjunction/internal/recordtype"
 )
 
 // Identity names a disk.
@@ -35,7 +35,7 @@
 
 func (p *Part) rec(i Identity) journal.Rec {
 	b, _ := json.Marshal(i)
-	return journal.Rec{Kind: kinds.Identity, Body: b}
+	return journal.Rec{Kind: recordtype.Identity, Body: b}
 }
 
 // Live counts the record.
--- a/internal/disk/journal/anew.go
+++ b/internal/disk/journal/anew.go
@@ -5,7 +5,7 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/disk/frame"
-	"postjunction/internal/kinds"
+	"postjunction/internal/recordtype"
 )
 
 // Slice gives some of a part's live records as they are now, and whether more are to come. Restored after all that the log held when it was
@@ -62,7 +62,7 @@
 			a.slices = a.slices[1:]
 		}
 		if len(rs) > 0 {
-			return append(append([]Rec{{Kind: kinds.AnewBegins}}, rs...), Rec{Kind: kinds.AnewEnds})
+			return append(append([]Rec{{Kind: recordtype.AnewBegins}}, rs...), Rec{Kind: recordtype.AnewEnds})
 		}
 	}
 	return nil
--- a/internal/disk/journal/journal.go
+++ b/internal/disk/journal/journal.go
@@ -8,7 +8,7 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/disk/frame"
-	"postjunction/internal/kinds"
+	"postjunction/internal/recordtype"
 	"postjunction/internal/turn"
 )
 
@@ -138,9 +138,9 @@
 	at := len(fs)
 	for i, f := range fs {
 		switch f.Kind {
-		case kinds.AnewBegins:
+		case recordtype.AnewBegins:
 			at = i
-		case kinds.AnewEnds:
+		case recordtype.AnewEnds:
 			at = len(fs)
 		}
 	}
@@ -431,5 +431,5 @@
 func (j *Journal) Probe(ctx context.Context, limit time.Duration) error {
 	ctx, stop := context.WithTimeout(ctx, limit)
 	defer stop()
-	return j.Put(ctx, true, nil, Rec{Kind: kinds.Probe, Body: make([]byte, probeBytes)})
+	return j.Put(ctx, true, nil, Rec{Kind: recordtype.Probe, Body: make([]byte, probeBytes)})
 }
--- a/internal/disk/journal/room.go
+++ b/internal/disk/journal/room.go
@@ -6,7 +6,7 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/disk/frame"
-	"postjunction/internal/kinds"
+	"postjunction/internal/recordtype"
 )
 
 // room is how much of a bounded disk the journal takes. Writing anew needs place for the live records beside the old ones, so it comes
@@ -53,7 +53,7 @@
 
 func (r *room) fits(anew int64) bool { return !r.over(r.used+anew, lastPercent) }
 
-var keeps = map[uint16]bool{kinds.Entry: true, kinds.Directory: true}
+var keeps = map[uint16]bool{recordtype.Entry: true, recordtype.Directory: true}
 
 func brings(rs []Rec) bool { return slices.ContainsFunc(rs, func(r Rec) bool { return keeps[r.Kind] }) }
 
--- a/internal/disk/journal/room_test.go
+++ b/internal/disk/journal/room_test.go
@@ -14,7 +14,7 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/disk/memlog"
-	"postjunction/internal/kinds"
+	"postjunction/internal/recordtype"
 )
 
 // shelf keeps the newest bodies, as many as it is told.
@@ -154,14 +154,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		const room = 1 << 20
 		s := &shelf{most: 1 << 20}
-		j, _, err := journal.Open(memlog.New(), clock.Real{}, map[uint16]journal.Part{kinds.Entry: s}, []journal.Part{s})
+		j, _, err := journal.Open(memlog.New(), clock.Real{}, map[uint16]journal.Part{recordtype.Entry: s}, []journal.Part{s})
 		assert.NilError(t, err)
 		j.Limit(room, time.Second)
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go j.Run(ctx)
 		put := func() error {
-			r := journal.Rec{Kind: kinds.Entry, Body: make([]byte, 300)}
+			r := journal.Rec{Kind: recordtype.Entry, Body: make([]byte, 300)}
 			return j.Put(t.Context(), false, func() { s.add(r) }, r)
 		}
 		for err = nil; err == nil; {
@@ -170,7 +170,7 @@
 		assert.Assert(t, apierror.Has(err, apierror.DiskFull), "%v", err)
 		assert.Assert(t, apierror.Has(j.Fault(), apierror.DiskFull))
 		for range 500 {
-			assert.NilError(t, j.Put(t.Context(), false, nil, journal.Rec{Kind: kinds.Forget, Body: make([]byte, 100)}))
+			assert.NilError(t, j.Put(t.Context(), false, nil, journal.Rec{Kind: recordtype.Forget, Body: make([]byte, 100)}))
 		}
 		s.keep(0)
 		time.Sleep(2 * time.Second)
@@ -195,7 +195,7 @@
 			r := journal.Rec{Kind: k, Body: make([]byte, 400)}
 			return j.Put(t.Context(), false, func() { s.add(r) }, r)
 		}
-		for _, k := range []uint16{kinds.Entry, kinds.Directory} {
+		for _, k := range []uint16{recordtype.Entry, recordtype.Directory} {
 			for n := 0; err == nil; n++ {
 				assert.Assert(t, n < room/400, "nothing was turned away")
 				err = put(k)
@@ -204,12 +204,12 @@
 			err = nil
 		}
 		for range 100 {
-			assert.NilError(t, put(kinds.Forget))
+			assert.NilError(t, put(recordtype.Forget))
 		}
 		s.keep(10)
 		time.Sleep(2 * time.Second)
-		assert.Assert(t, apierror.Has(put(kinds.Entry), apierror.DiskFull), "it is told of until a writing anew made place")
-		assert.NilError(t, put(kinds.Entry))
+		assert.Assert(t, apierror.Has(put(recordtype.Entry), apierror.DiskFull), "it is told of until a writing anew made place")
+		assert.NilError(t, put(recordtype.Entry))
 		assert.NilError(t, j.Fault())
 	})
 }
--- a/internal/ledger/replica/replica.go
+++ b/internal/ledger/replica/replica.go
@@ -10,8 +10,8 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/disk/journal"
-	"postjunction/internal/kinds"
 	"postjunction/internal/ledger/line"
+	"postjunction/internal/recordtype"
 	"postjunction/internal/turn"
 	"postjunction/internal/wire"
 )
@@ -139,19 +139,19 @@
 }
 
 var restore = map[uint16]func(*Replica, []byte) error{
-	kinds.Seal: func(r *Replica, b []byte) error {
+	recordtype.Seal: func(r *Replica, b []byte) error {
 		var s sealRec
 		err := read(b, &s)
 		r.seals[s.Partition] = max(s.Epoch, r.seals[s.Partition])
 		return err
 	},
-	kinds.Entry: func(r *Replica, b []byte) error {
+	recordtype.Entry: func(r *Replica, b []byte) error {
 		var s entryRec
 		err := read(b, &s)
 		r.line(s.ID).Append(r.clk.Now(), s.Entry)
 		return err
 	},
-	kinds.Base: func(r *Replica, b []byte) error {
+	recordtype.Base: func(r *Replica, b []byte) error {
 		var s baseRec
 		err := read(b, &s)
 		if s.Fresh {
@@ -163,19 +163,19 @@
 		r.line(s.ID).Rebase(s.Base)
 		return err
 	},
-	kinds.Cut: func(r *Replica, b []byte) error {
+	recordtype.Cut: func(r *Replica, b []byte) error {
 		var s cutRec
 		err := read(b, &s)
 		r.line(s.ID).Cut(s.Cut)
 		return err
 	},
-	kinds.Directory: func(r *Replica, b []byte) error {
+	recordtype.Directory: func(r *Replica, b []byte) error {
 		var s Directory
 		err := read(b, &s)
 		r.states[s.Partition] = s
 		return err
 	},
-	kinds.Forget: func(r *Replica, b []byte) error {
+	recordtype.Forget: func(r *Replica, b []byte) error {
 		var s sealRec
 		err := read(b, &s)
 		r.forget(s.Partition)
@@ -255,7 +255,7 @@
 	defer r.mu.Unlock()
 	var rs []journal.Rec
 	for p, e := range r.seals {
-		rs = append(rs, rec(kinds.Seal, e, 0, sealRec{p, e}))
+		rs = append(rs, rec(recordtype.Seal, e, 0, sealRec{p, e}))
 	}
 	return rs
 }
@@ -267,7 +267,7 @@
 	if !ok {
 		return nil
 	}
-	return []journal.Rec{rec(kinds.Directory, d.At.Epoch, d.At.Offset, d)}
+	return []journal.Rec{rec(recordtype.Directory, d.At.Epoch, d.At.Offset, d)}
 }
 
 // slice goes through a line from its base to its end. What is put meanwhile at or before the place reached counts by itself when the log is
@@ -282,10 +282,10 @@
 			return nil, false
 		}
 		b := l.Base()
-		rs := []journal.Rec{rec(kinds.Base, b.Epoch, b.Offset, baseRec{ID: id, Base: b, Anew: true})}
+		rs := []journal.Rec{rec(recordtype.Base, b.Epoch, b.Offset, baseRec{ID: id, Base: b, Anew: true})}
 		next = max(next, b.Offset+1)
 		for _, e := range l.Slice(next, ^uint64(0), anewMost, anewBytes) {
-			rs = append(rs, rec(kinds.Entry, e.Epoch, e.Offset, entryRec{id, e}))
+			rs = append(rs, rec(recordtype.Entry, e.Epoch, e.Offset, entryRec{id, e}))
 			next = e.Offset + 1
 		}
 		return rs, next <= l.Last().Offset
@@ -333,7 +333,7 @@
 	}
 	defer in.Back()
 	if r.Sealed(q.Partition) < q.Epoch {
-		if err := r.journal.PutIn(ctx, in, q.Urgent, func() { r.setSeal(q.Partition, q.Epoch) }, rec(kinds.Seal, q.Epoch, 0, sealRec{q.Partition, q.Epoch})); err != nil {
+		if err := r.journal.PutIn(ctx, in, q.Urgent, func() { r.setSeal(q.Partition, q.Epoch) }, rec(recordtype.Seal, q.Epoch, 0, sealRec{q.Partition, q.Epoch})); err != nil {
 			return nil, err
 		}
 	}
@@ -366,10 +366,10 @@
 	}
 	var rs []journal.Rec
 	if r.Sealed(q.Partition) < q.Epoch {
-		rs = append(rs, rec(kinds.Seal, q.Epoch, 0, sealRec{q.Partition, q.Epoch}))
+		rs = append(rs, rec(recordtype.Seal, q.Epoch, 0, sealRec{q.Partition, q.Epoch}))
 	}
 	if q.Reset {
-		rs = append(rs, rec(kinds.Base, q.After.Epoch, q.After.Offset, baseRec{ID: id, Base: q.After, Fresh: true}))
+		rs = append(rs, rec(recordtype.Base, q.After.Epoch, q.After.Offset, baseRec{ID: id, Base: q.After, Fresh: true}))
 	}
 	at := q.After
 	var fresh []line.Entry
@@ -382,12 +382,12 @@
 			continue
 		}
 		fresh = append(fresh, e)
-		rs = append(rs, rec(kinds.Entry, e.Epoch, e.Offset, entryRec{id, e}))
+		rs = append(rs, rec(recordtype.Entry, e.Epoch, e.Offset, entryRec{id, e}))
 	}
 	trim := line.Point{}
 	if p, ok := l.Point(q.Base.Offset); ok && p == q.Base && q.Base.Offset > l.Base().Offset {
 		trim = q.Base
-		rs = append(rs, rec(kinds.Base, trim.Epoch, trim.Offset, baseRec{ID: id, Base: trim}))
+		rs = append(rs, rec(recordtype.Base, trim.Epoch, trim.Offset, baseRec{ID: id, Base: trim}))
 	}
 	if len(rs) > 0 {
 		err := r.journal.PutIn(ctx, in, q.Urgent, func() {
@@ -421,7 +421,7 @@
 	}
 	defer in.Back()
 	id := line.ID{Partition: t.Partition, Kind: k}
-	return r.journal.PutIn(ctx, in, urgent, func() { r.Line(t.Partition, k).Cut(o) }, rec(kinds.Cut, t.Epoch, o, cutRec{id, o}))
+	return r.journal.PutIn(ctx, in, urgent, func() { r.Line(t.Partition, k).Cut(o) }, rec(recordtype.Cut, t.Epoch, o, cutRec{id, o}))
 }
 
 // Fetch reads entries.
@@ -450,7 +450,7 @@
 		defer r.mu.Unlock()
 		r.seals[q.Partition] = max(r.seals[q.Partition], q.Epoch)
 		r.forget(q.Partition)
-	}, rec(kinds.Seal, q.Epoch, 0, sealRec{q.Partition, q.Epoch}), rec(kinds.Forget, q.Epoch, 0, sealRec{q.Partition, q.Epoch}))
+	}, rec(recordtype.Seal, q.Epoch, 0, sealRec{q.Partition, q.Epoch}), rec(recordtype.Forget, q.Epoch, 0, sealRec{q.Partition, q.Epoch}))
 }
 
 // Keep saves a state directory.
@@ -459,7 +459,7 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.states[d.Partition] = d
-	}, rec(kinds.Directory, d.At.Epoch, d.At.Offset, d))
+	}, rec(recordtype.Directory, d.At.Epoch, d.At.Offset, d))
 }
 
 // Directory gives the state directory of a partition if its point is on the changelog held.
--- a/internal/ledger/replica/replica_test.go
+++ b/internal/ledger/replica/replica_test.go
@@ -12,8 +12,8 @@
 	"postjunction/internal/disk/frame"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/disk/memlog"
-	"postjunction/internal/kinds"
 	"postjunction/internal/ledger/line"
+	"postjunction/internal/recordtype"
 )
 
 var ctx = context.Background()
@@ -162,7 +162,7 @@
 	for _, e := range es {
 		b, err := json.Marshal(entryRec{line.ID{Partition: 1, Kind: line.Ledger}, e})
 		assert.NilError(t, err)
-		f := frame.Pack(frame.Frame{Kind: kinds.Entry, Index: e.Offset, Epoch: 1, Offset: e.Offset, Body: b})
+		f := frame.Pack(frame.Frame{Kind: recordtype.Entry, Index: e.Offset, Epoch: 1, Offset: e.Offset, Body: b})
 		f[6] = 1
 		rs = append(rs, frame.Seal(f))
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -28,7 +28,6 @@
 	"postjunction/internal/door"
 	"postjunction/internal/event"
 	"postjunction/internal/gossip"
-	"postjunction/internal/kinds"
 	"postjunction/internal/ledger/desk"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/ledger/replica"
@@ -41,6 +40,7 @@
 	"postjunction/internal/operator"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/placement/controller"
+	"postjunction/internal/recordtype"
 	"postjunction/internal/settings"
 	"postjunction/internal/visitor"
 	"postjunction/internal/visitor/admission"
@@ -132,7 +132,7 @@
 func (n *Node) open(ctx context.Context) error {
 	n.id = &identity.Part{}
 	n.voter, n.replica = acceptor.New(), replica.New(n.w.Clock)
-	parts := map[uint16]journal.Part{kinds.Identity: n.id, kinds.Slot: n.voter, kinds.Roster: n.voter}
+	parts := map[uint16]journal.Part{recordtype.Identity: n.id, recordtype.Slot: n.voter, recordtype.Roster: n.voter}
 	for _, k := range replica.Kinds() {
 		parts[k] = n.replica
 	}
--- a/internal/proof/crash/crash_test.go
+++ b/internal/proof/crash/crash_test.go
@@ -12,9 +12,9 @@
 	"postjunction/internal/control/epoch"
 	"postjunction/internal/control/voters"
 	"postjunction/internal/disk/journal"
-	"postjunction/internal/kinds"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/replica"
+	"postjunction/internal/recordtype"
 )
 
 type store struct {
@@ -26,7 +26,7 @@
 func boot(t *testing.T, l journal.Log) (*store, journal.Report, func()) {
 	t.Helper()
 	s := &store{v: acceptor.New(), r: replica.New(clock.Real{})}
-	parts := map[uint16]journal.Part{kinds.Slot: s.v, kinds.Roster: s.v}
+	parts := map[uint16]journal.Part{recordtype.Slot: s.v, recordtype.Roster: s.v}
 	for _, k := range replica.Kinds() {
 		parts[k] = s.r
 	}
--- a/internal/proof/crash/slices_test.go
+++ b/internal/proof/crash/slices_test.go
@@ -14,9 +14,9 @@
 	"postjunction/internal/control/epoch"
 	"postjunction/internal/disk/frame"
 	"postjunction/internal/disk/journal"
-	"postjunction/internal/kinds"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/replica"
+	"postjunction/internal/recordtype"
 )
 
 // gated lets one task in before each slice of a writing anew.
@@ -29,7 +29,7 @@
 // Write opens the gate.
 func (g *gated) Write(first uint64, recs [][]byte) error {
 	for i, r := range recs {
-		if f, err := frame.Unpack(first+uint64(i), r); err == nil && f.Kind == kinds.AnewBegins {
+		if f, err := frame.Unpack(first+uint64(i), r); err == nil && f.Kind == recordtype.AnewBegins {
 			g.count++
 			g.slice()
 			break
@@ -152,7 +152,7 @@
 			}
 			before, idle := len(l.Moments()), make([]journal.Rec, 10000)
 			for i := range idle {
-				idle[i].Kind = kinds.Probe
+				idle[i].Kind = recordtype.Probe
 			}
 			go func() {
 				defer close(over)
--- a/internal/kinds/kinds.go
+++ b/internal/recordtype/kinds.go
@@ -1,5 +1,5 @@
-// Package kinds numbers the records of the disk format.
-package kinds
+// Package recordtype numbers the records of the disk format.
+package recordtype
 
 // The kinds of record.
 const (
