--- a/internal/command/caller/caller.go
+++ b/internal/command/caller/caller.go
@@ -15,7 +15,7 @@
 	"strings"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/plain"
+	"postjunction/internal/rawjson"
 	"postjunction/internal/usage"
 )
 
@@ -166,7 +166,7 @@
 }
 
 func post(ctx context.Context, s Streams, w *want, path string, doc any) error {
-	b, err := plain.JSON(doc)
+	b, err := rawjson.JSON(doc)
 	if err != nil {
 		return apierror.Wrap(apierror.Malformed, err, "the body is no JSON value")
 	}
--- a/internal/command/caller/visit.go
+++ b/internal/command/caller/visit.go
@@ -12,7 +12,7 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
-	"postjunction/internal/plain"
+	"postjunction/internal/rawjson"
 	"postjunction/internal/settings"
 	"postjunction/internal/visitor/visit"
 )
@@ -36,7 +36,7 @@
 }
 
 func (d *desk) task(m map[string]any) error {
-	b, err := plain.JSON(m)
+	b, err := rawjson.JSON(m)
 	if err != nil {
 		return apierror.Wrap(apierror.Malformed, err, "the task is no JSON value")
 	}
--- a/internal/door/door.go
+++ b/internal/door/door.go
@@ -13,7 +13,7 @@
 	"postjunction/internal/configuration"
 	"postjunction/internal/configuration/strictjson"
 	"postjunction/internal/operator"
-	"postjunction/internal/plain"
+	"postjunction/internal/rawjson"
 	"postjunction/internal/settings"
 	"postjunction/internal/visitor"
 	"postjunction/internal/visitor/token"
@@ -84,7 +84,7 @@
 func answer(w http.ResponseWriter, code int, a any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
-	b, _ := plain.JSON(a)
+	b, _ := rawjson.JSON(a)
 	_, _ = w.Write(append(b, '\n'))
 }
 
--- a/internal/door/lines/plain/plain.go
+++ b/internal/door/lines/plain/plain.go
@@ -9,7 +9,7 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/configuration/strictjson"
 	"postjunction/internal/door/lines"
-	"postjunction/internal/plain"
+	"postjunction/internal/rawjson"
 	"postjunction/internal/visitor/visit"
 )
 
@@ -130,9 +130,9 @@
 		p := apierror.Of(a.Err)
 		x.Code, x.Say, x.Advice, x.Current, x.RetryMS = p.Kind, p.Say, p.Advice(), p.Current, p.RetryMS
 	}
-	l, err := plain.JSON(x)
+	l, err := rawjson.JSON(x)
 	if err != nil {
-		l, _ = plain.JSON(answer{What: visit.Turned, Re: a.Re, Topic: a.Topic, Call: a.Call, Code: apierror.Internal})
+		l, _ = rawjson.JSON(answer{What: visit.Turned, Re: a.Re, Topic: a.Topic, Call: a.Call, Code: apierror.Internal})
 	}
 	return append(append(b, l...), '\n')
 }
--- a/internal/proof/port/port.go
+++ b/internal/proof/port/port.go
@@ -12,7 +12,7 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/door"
-	"postjunction/internal/plain"
+	"postjunction/internal/rawjson"
 	"postjunction/internal/visitor"
 )
 
@@ -64,7 +64,7 @@
 }
 
 func must(v any) []byte {
-	b, _ := plain.JSON(v)
+	b, _ := rawjson.JSON(v)
 	return b
 }
 
--- a/internal/plain/plain.go
+++ b/internal/rawjson/plain.go
@@ -1,5 +1,5 @@
-// Package plain writes JSON without rewriting the bytes of strings inside it.
-package plain
+// Package rawjson writes JSON without rewriting the bytes of strings inside it.
+package rawjson
 
 import (
 	"bytes"
--- a/internal/replay/recording/recording.go
+++ b/internal/replay/recording/recording.go
@@ -10,7 +10,7 @@
 	"io"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/plain"
+	"postjunction/internal/rawjson"
 )
 
 // Format is the sequence number of the file format.
@@ -58,7 +58,7 @@
 }
 
 func (w *Writer) line(v any) error {
-	b, err := plain.JSON(v)
+	b, err := rawjson.JSON(v)
 	if err != nil {
 		return apierror.Wrap(apierror.RecordingBad, err, "write a line")
 	}
--- a/internal/visitor/follow.go
+++ b/internal/visitor/follow.go
@@ -10,7 +10,7 @@
 	"postjunction/internal/carrier/feed"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/partition"
-	"postjunction/internal/plain"
+	"postjunction/internal/rawjson"
 	"postjunction/internal/visitor/token"
 )
 
@@ -289,7 +289,7 @@
 
 func (st *subscriptionStream) emit(l Line) error {
 	l.Cursor = st.cursor()
-	b, err := plain.JSON(l)
+	b, err := rawjson.JSON(l)
 	if err != nil {
 		return apierror.Wrap(apierror.Internal, err, "write a stream line")
 	}
