--- a/internal/policy/policy.go
+++ b/internal/callpolicy/policy.go
@@ -1,5 +1,5 @@
-// Package policy is the way of a task through a process: policies as plug-ins behind one interface.
-package policy
+// Package callpolicy is the way of a task through a process: policies as plug-ins behind one interface.
+package callpolicy
 
 import "context"
 
--- a/internal/visitor/service.go
+++ b/internal/visitor/service.go
@@ -10,6 +10,7 @@
 	"sync"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/callpolicy"
 	"postjunction/internal/carrier/cursor"
 	"postjunction/internal/carrier/feed"
 	"postjunction/internal/carrier/presence"
@@ -20,7 +21,6 @@
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/partition"
-	"postjunction/internal/policy"
 	"postjunction/internal/settings"
 	"postjunction/internal/visitor/admission"
 	"postjunction/internal/visitor/token"
@@ -72,7 +72,7 @@
 	Heard    func(t *Task, err error)
 
 	mu      sync.Mutex
-	ways    map[string]policy.Next[*Task]
+	ways    map[string]callpolicy.Next[*Task]
 	streams int
 	lines   uint64
 }
@@ -138,21 +138,21 @@
 
 var nameRule = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-func (s *Service) way(verb string) policy.Next[*Task] {
+func (s *Service) way(verb string) callpolicy.Next[*Task] {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ways == nil {
-		stage, lease := policy.Func[*Task](s.stage), policy.Func[*Task](s.lease)
-		interest, gate, identity := policy.Func[*Task](s.interest), policy.Func[*Task](s.gate), policy.Func[*Task](s.identity)
-		limit := policy.Func[*Task](s.limit)
-		s.ways = map[string]policy.Next[*Task]{
-			VerbAttach: policy.Chain[*Task](s.attach, stage, lease, gate, limit),
-			VerbSend:   policy.Chain[*Task](s.send, stage, lease, interest, gate, limit, identity),
-			VerbFollow: policy.Chain[*Task](s.follow, stage, lease, interest, gate),
-			VerbAck:    policy.Chain[*Task](s.ack, stage, lease, gate, limit, identity),
-			VerbCount:  policy.Chain[*Task](s.count, stage, lease, interest, gate, limit, identity),
-
-			VerbWithdraw: policy.Chain[*Task](s.withdraw, stage, lease, interest, policy.Func[*Task](s.forget), gate, limit, identity),
+		stage, lease := callpolicy.Func[*Task](s.stage), callpolicy.Func[*Task](s.lease)
+		interest, gate, identity := callpolicy.Func[*Task](s.interest), callpolicy.Func[*Task](s.gate), callpolicy.Func[*Task](s.identity)
+		limit := callpolicy.Func[*Task](s.limit)
+		s.ways = map[string]callpolicy.Next[*Task]{
+			VerbAttach: callpolicy.Chain[*Task](s.attach, stage, lease, gate, limit),
+			VerbSend:   callpolicy.Chain[*Task](s.send, stage, lease, interest, gate, limit, identity),
+			VerbFollow: callpolicy.Chain[*Task](s.follow, stage, lease, interest, gate),
+			VerbAck:    callpolicy.Chain[*Task](s.ack, stage, lease, gate, limit, identity),
+			VerbCount:  callpolicy.Chain[*Task](s.count, stage, lease, interest, gate, limit, identity),
+
+			VerbWithdraw: callpolicy.Chain[*Task](s.withdraw, stage, lease, interest, callpolicy.Func[*Task](s.forget), gate, limit, identity),
 		}
 	}
 	return s.ways[verb]
@@ -167,7 +167,7 @@
 	return t.out, err
 }
 
-func (s *Service) stage(ctx context.Context, t *Task, next policy.Next[*Task]) error {
+func (s *Service) stage(ctx context.Context, t *Task, next callpolicy.Next[*Task]) error {
 	select {
 	case <-s.Leaving:
 		return apierror.New(apierror.Leaving, "this node is stopping")
@@ -176,14 +176,14 @@
 	}
 }
 
-func (s *Service) lease(ctx context.Context, t *Task, next policy.Next[*Task]) error {
+func (s *Service) lease(ctx context.Context, t *Task, next callpolicy.Next[*Task]) error {
 	if err := s.Licensed(); err != nil {
 		return err
 	}
 	return next(ctx, t)
 }
 
-func (s *Service) interest(ctx context.Context, t *Task, next policy.Next[*Task]) error {
+func (s *Service) interest(ctx context.Context, t *Task, next callpolicy.Next[*Task]) error {
 	if len(t.Topics) == 0 || len(t.Topics) > topicsMost {
 		return apierror.New(apierror.Malformed, "the call must name 1 to %d topics, names %d", topicsMost, len(t.Topics))
 	}
@@ -204,7 +204,7 @@
 
 var urgentLanes = map[string]admission.Lane{VerbFollow: admission.UrgentStream, VerbSend: admission.Urgent, VerbWithdraw: admission.Urgent}
 
-func (s *Service) gate(ctx context.Context, t *Task, next policy.Next[*Task]) error {
+func (s *Service) gate(ctx context.Context, t *Task, next callpolicy.Next[*Task]) error {
 	l := lanes[t.Verb]
 	if t.urgent() {
 		l = urgentLanes[t.Verb]
@@ -217,13 +217,13 @@
 	return next(ctx, t)
 }
 
-func (s *Service) limit(ctx context.Context, t *Task, next policy.Next[*Task]) error {
+func (s *Service) limit(ctx context.Context, t *Task, next callpolicy.Next[*Task]) error {
 	cx, stop := context.WithTimeout(ctx, callShare*s.Bounds.Call())
 	defer stop()
 	return next(cx, t)
 }
 
-func (s *Service) identity(ctx context.Context, t *Task, next policy.Next[*Task]) error {
+func (s *Service) identity(ctx context.Context, t *Task, next callpolicy.Next[*Task]) error {
 	k, err := s.unpack(t)
 	if err != nil {
 		return err
--- a/internal/visitor/withdraw.go
+++ b/internal/visitor/withdraw.go
@@ -5,9 +5,9 @@
 	"strings"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/callpolicy"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
-	"postjunction/internal/policy"
 )
 
 func (s *Service) withdraw(ctx context.Context, t *Task) error {
@@ -28,7 +28,7 @@
 }
 
 // forget waits for every reader of the partition, apart from the places of calls under way, and for a call's time at most.
-func (s *Service) forget(ctx context.Context, t *Task, next policy.Next[*Task]) error {
+func (s *Service) forget(ctx context.Context, t *Task, next callpolicy.Next[*Task]) error {
 	if err := next(ctx, t); err != nil {
 		return err
 	}
