--- a/internal/control/bootstrap/founding.go
+++ b/internal/control/bootstrap/founding.go
@@ -9,8 +9,8 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/voters"
-	"postjunction/internal/gather"
 	"postjunction/internal/membership"
+	"postjunction/internal/quorum"
 	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
@@ -43,7 +43,7 @@
 	}
 	slices.Sort(addrs)
 	addrs = slices.Compact(slices.Clone(addrs))
-	as := gather.Ask(ctx, addrs, func(ctx context.Context, a string) (membership.Info, error) {
+	as := quorum.Ask(ctx, addrs, func(ctx context.Context, a string) (membership.Info, error) {
 		if a == f.opts.Reached() {
 			return f.self(), nil
 		}
@@ -55,8 +55,8 @@
 		}
 		return h.Info, nil
 	}, nil)
-	if err := gather.First(as); err != nil || len(as) < len(addrs) {
-		return voters.Roster{}, apierror.Because(apierror.NotFounded, err, "%d of %d founding addresses answered", len(gather.Good(as)), len(addrs))
+	if err := quorum.First(as); err != nil || len(as) < len(addrs) {
+		return voters.Roster{}, apierror.Because(apierror.NotFounded, err, "%d of %d founding addresses answered", len(quorum.Good(as)), len(addrs))
 	}
 	var seats []voters.Seat
 	for _, a := range as {
@@ -128,13 +128,13 @@
 		}
 	}
 	ask := func(do func(context.Context, voters.Seat) (*acceptor.Done, error)) error {
-		as := gather.Ask(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.Done, error) {
+		as := quorum.Ask(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.Done, error) {
 			cx, stop := context.WithTimeout(ctx, f.opts.Bounds().Call())
 			defer stop()
 			return do(cx, s)
 		}, nil)
-		if err := gather.First(as); err != nil || len(as) < len(r.Seats) {
-			return apierror.Because(apierror.NotFounded, err, "%d of %d founding disks agreed", len(gather.Good(as)), len(r.Seats))
+		if err := quorum.First(as); err != nil || len(as) < len(r.Seats) {
+			return apierror.Because(apierror.NotFounded, err, "%d of %d founding disks agreed", len(quorum.Good(as)), len(r.Seats))
 		}
 		return nil
 	}
--- a/internal/control/quorumread/confirm.go
+++ b/internal/control/quorumread/confirm.go
@@ -14,9 +14,9 @@
 	"postjunction/internal/control/register"
 	"postjunction/internal/control/repair"
 	"postjunction/internal/control/voters"
-	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
 	"postjunction/internal/nodelease"
+	"postjunction/internal/quorum"
 	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 
@@ -87,7 +87,7 @@
 	return f.c.At != none
 }
 
-type peeks = []gather.Answer[voters.Seat, *acceptor.PeekResponse]
+type peeks = []quorum.Answer[voters.Seat, *acceptor.PeekResponse]
 
 func (f *Confirmer) once(ctx context.Context) {
 	r := f.Board.Roster()
@@ -97,14 +97,14 @@
 	at := f.Clock.Now()
 	cx, stop := context.WithTimeout(ctx, f.Bounds.Call())
 	defer stop()
-	as := gather.Ask(cx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
+	as := quorum.Ask(cx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
 		return acceptor.Peek.Call(ctx, f.Net, f.Self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Keys: []string{Key}, Brief: true})
 	}, func(as peeks) bool {
 		f.reach(as, r.Majority())
-		return len(gather.Good(as)) >= r.Majority()
+		return len(quorum.Good(as)) >= r.Majority()
 	})
 	f.leave()
-	g := gather.Good(as)
+	g := quorum.Good(as)
 	if len(g) < r.Majority() {
 		return
 	}
--- a/internal/control/reconfig/reform.go
+++ b/internal/control/reconfig/reform.go
@@ -9,7 +9,7 @@
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/epoch"
 	"postjunction/internal/control/voters"
-	"postjunction/internal/gather"
+	"postjunction/internal/quorum"
 	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
@@ -42,15 +42,15 @@
 	if err != nil {
 		return voters.Roster{}, err
 	}
-	as := gather.Ask(ctx, next.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.Done, error) {
+	as := quorum.Ask(ctx, next.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.Done, error) {
 		cx, stop := f.call(context.WithoutCancel(ctx))
 		defer stop()
 		return acceptor.Open.Call(cx, f.net, f.self, s.Addr, &acceptor.OpenRequest{Incarnation: s.Incarnation, Roster: next, Slots: slots})
-	}, func(as []gather.Answer[voters.Seat, *acceptor.Done]) bool {
-		return len(gather.Good(as)) >= next.Majority()
+	}, func(as []quorum.Answer[voters.Seat, *acceptor.Done]) bool {
+		return len(quorum.Good(as)) >= next.Majority()
 	})
-	if n := len(gather.Good(as)); n < next.Majority() {
-		return voters.Roster{}, apierror.Because(apierror.NoMajority, gather.First(as), "roster %d was opened on %d of %d disks", next.Sequence, n, len(next.Seats))
+	if n := len(quorum.Good(as)); n < next.Majority() {
+		return voters.Roster{}, apierror.Because(apierror.NoMajority, quorum.First(as), "roster %d was opened on %d of %d disks", next.Sequence, n, len(next.Seats))
 	}
 	return next, nil
 }
@@ -58,11 +58,11 @@
 func (f *Reformer) decide(ctx context.Context, r, want voters.Roster) (voters.Roster, error) {
 	e := f.seen.Next(f.self)
 	f.seen = e
-	enough := func(as []gather.Answer[voters.Seat, *acceptor.SlotResponse]) bool { return f.ok(as) >= r.Majority() }
+	enough := func(as []quorum.Answer[voters.Seat, *acceptor.SlotResponse]) bool { return f.ok(as) >= r.Majority() }
 	ballot := func(s voters.Seat) acceptor.Ballot {
 		return acceptor.Ballot{Roster: r.Sequence, Incarnation: s.Incarnation, Key: acceptor.RosterKey}
 	}
-	as := gather.Ask(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.SlotResponse, error) {
+	as := quorum.Ask(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.SlotResponse, error) {
 		cx, stop := f.call(ctx)
 		defer stop()
 		return acceptor.Promise.Call(cx, f.net, f.self, s.Addr, &acceptor.PromiseRequest{Ballot: ballot(s), Epoch: e})
@@ -71,7 +71,7 @@
 		return voters.Roster{}, f.short(r, as, "promised")
 	}
 	var top acceptor.Slot
-	for _, a := range gather.Good(as) {
+	for _, a := range quorum.Good(as) {
 		if a.A.OK && a.A.Slot.Above(top) {
 			top = a.A.Slot
 		}
@@ -83,7 +83,7 @@
 		}
 	}
 	b, _ := json.Marshal(next)
-	as = gather.Ask(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.SlotResponse, error) {
+	as = quorum.Ask(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.SlotResponse, error) {
 		cx, stop := f.call(ctx)
 		defer stop()
 		return acceptor.Accept.Call(cx, f.net, f.self, s.Addr, &acceptor.AcceptRequest{Ballot: ballot(s), Epoch: e, Value: acceptor.Value{Writes: 1, By: f.self, Body: b}})
@@ -94,9 +94,9 @@
 	return next, nil
 }
 
-func (f *Reformer) ok(as []gather.Answer[voters.Seat, *acceptor.SlotResponse]) int {
+func (f *Reformer) ok(as []quorum.Answer[voters.Seat, *acceptor.SlotResponse]) int {
 	n := 0
-	for _, a := range gather.Good(as) {
+	for _, a := range quorum.Good(as) {
 		if a.A.OK {
 			n++
 		} else if f.seen.Less(a.A.Slot.Promised) {
@@ -106,28 +106,28 @@
 	return n
 }
 
-func (f *Reformer) short(r voters.Roster, as []gather.Answer[voters.Seat, *acceptor.SlotResponse], verb string) error {
+func (f *Reformer) short(r voters.Roster, as []quorum.Answer[voters.Seat, *acceptor.SlotResponse], verb string) error {
 	for _, a := range as {
 		if apierror.Has(a.Err, apierror.StaleRoster) {
 			return a.Err
 		}
 	}
-	return apierror.Because(apierror.NoMajority, gather.First(as), "%d of %d disks %s a change of roster %d", f.ok(as), len(r.Seats), verb, r.Sequence)
+	return apierror.Because(apierror.NoMajority, quorum.First(as), "%d of %d disks %s a change of roster %d", f.ok(as), len(r.Seats), verb, r.Sequence)
 }
 
 func (f *Reformer) copy(ctx context.Context, r voters.Roster) (map[string]acceptor.Slot, error) {
-	type answers = []gather.Answer[voters.Seat, *acceptor.PeekResponse]
-	enough := func(as answers) bool { return len(gather.Good(as)) >= r.Intact() }
-	as := gather.Ask(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
+	type answers = []quorum.Answer[voters.Seat, *acceptor.PeekResponse]
+	enough := func(as answers) bool { return len(quorum.Good(as)) >= r.Intact() }
+	as := quorum.Ask(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
 		cx, stop := f.call(ctx)
 		defer stop()
 		return acceptor.Peek.Call(cx, f.net, f.self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Sealed: true})
 	}, enough)
 	if !enough(as) {
-		return nil, apierror.Because(apierror.NoMajority, gather.First(as), "%d of the %d intact disks needed gave their keys", len(gather.Good(as)), r.Intact())
+		return nil, apierror.Because(apierror.NoMajority, quorum.First(as), "%d of the %d intact disks needed gave their keys", len(quorum.Good(as)), r.Intact())
 	}
 	copies := map[string][]acceptor.Slot{}
-	for _, a := range gather.Good(as) {
+	for _, a := range quorum.Good(as) {
 		for k, s := range a.A.Slots {
 			if k != acceptor.RosterKey {
 				copies[k] = append(copies[k], s)
--- a/internal/control/reconfigurer/steward.go
+++ b/internal/control/reconfigurer/steward.go
@@ -17,9 +17,9 @@
 	"postjunction/internal/control/repair"
 	"postjunction/internal/control/voters"
 	"postjunction/internal/event"
-	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
 	"postjunction/internal/membership"
+	"postjunction/internal/quorum"
 	"postjunction/internal/settings"
 )
 
@@ -157,7 +157,7 @@
 		s.change(ctx, r, r.Without(gone...).Replace(ins...), strings.Join(whys, "; "))
 		return
 	}
-	gather.Ask(ctx, late, func(ctx context.Context, x voters.Seat) (bool, error) {
+	quorum.Ask(ctx, late, func(ctx context.Context, x voters.Seat) (bool, error) {
 		err := s.Reformer.Catch(ctx, r, x)
 		if err != nil {
 			s.Log.Say(event.RosterTrouble, "problem", err)
--- a/internal/control/register/holder.go
+++ b/internal/control/register/holder.go
@@ -11,7 +11,7 @@
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/epoch"
 	"postjunction/internal/control/voters"
-	"postjunction/internal/gather"
+	"postjunction/internal/quorum"
 	"postjunction/internal/settings"
 	"postjunction/internal/turn"
 	"postjunction/internal/wire"
@@ -233,7 +233,7 @@
 	return &v.value, nil
 }
 
-type peeks = []gather.Answer[voters.Seat, *acceptor.PeekResponse]
+type peeks = []quorum.Answer[voters.Seat, *acceptor.PeekResponse]
 
 // Glance reads a key without claiming it, whoever holds it: what a majority has accepted alike was decided, and nothing was decided after it before
 // the question. It waits a moment for more than a majority where the first copies differ. Only this node's own voter, or one voter more, gives the
@@ -249,10 +249,10 @@
 		return acceptor.Peek.Call(ctx, h.net, h.self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Keys: []string{k}, Brief: brief})
 	}
 	waiting := false
-	g := gather.Good(gather.Ask(cx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
+	g := quorum.Good(quorum.Ask(cx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
 		return peek(ctx, s, s.Node != h.self)
 	}, func(as peeks) bool {
-		g := gather.Good(as)
+		g := quorum.Good(as)
 		if len(g) < r.Majority() {
 			return false
 		}
@@ -324,19 +324,19 @@
 	r := h.peers.Roster()
 	ctx, stop := context.WithTimeout(ctx, h.bounds.Call())
 	defer stop()
-	ours := func(as []gather.Answer[voters.Seat, *acceptor.PeekResponse]) int {
+	ours := func(as []quorum.Answer[voters.Seat, *acceptor.PeekResponse]) int {
 		n := 0
-		for _, a := range gather.Good(as) {
+		for _, a := range quorum.Good(as) {
 			if a.A.Slots[k].Promised == v.epoch {
 				n++
 			}
 		}
 		return n
 	}
-	as := gather.Ask(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
+	as := quorum.Ask(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
 		return acceptor.Peek.Call(ctx, h.net, h.self, s.Addr, &acceptor.PeekRequest{Roster: v.roster, Incarnation: s.Incarnation, Keys: []string{k}, Brief: true})
-	}, func(as []gather.Answer[voters.Seat, *acceptor.PeekResponse]) bool { return ours(as) >= r.Majority() })
-	for _, a := range gather.Good(as) {
+	}, func(as []quorum.Answer[voters.Seat, *acceptor.PeekResponse]) bool { return ours(as) >= r.Majority() })
+	for _, a := range quorum.Good(as) {
 		x := a.A.Slots[k]
 		h.Hint(k, x.Promised, x.Value.Successor)
 	}
@@ -377,11 +377,11 @@
 	}
 }
 
-type slotResponses = []gather.Answer[voters.Seat, *acceptor.SlotResponse]
+type slotResponses = []quorum.Answer[voters.Seat, *acceptor.SlotResponse]
 
 func granted(as slotResponses) int {
 	n := 0
-	for _, a := range gather.Good(as) {
+	for _, a := range quorum.Good(as) {
 		if a.A.OK {
 			n++
 		}
@@ -403,7 +403,7 @@
 	if granted(as) >= r.Majority() {
 		return nil
 	}
-	for _, a := range gather.Good(as) {
+	for _, a := range quorum.Good(as) {
 		if !a.A.OK {
 			h.Hint(k, a.A.Slot.Promised, a.A.Slot.Value.Successor)
 			return apierror.New(apierror.NotHolder, "%s is held under epoch %s", k, a.A.Slot.Promised)
@@ -415,7 +415,7 @@
 		}
 	}
 	p := apierror.New(apierror.NoMajority, "%d of %d control disks answered for %s, %d are needed", granted(as), len(r.Seats), k, r.Majority())
-	p.Cause = gather.First(as)
+	p.Cause = quorum.First(as)
 	return p
 }
 
@@ -430,7 +430,7 @@
 	h.count(&h.claims)
 	cx, stop := context.WithTimeout(ctx, h.bounds.Call())
 	defer stop()
-	as := gather.Ask(cx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.SlotResponse, error) {
+	as := quorum.Ask(cx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.SlotResponse, error) {
 		return acceptor.Promise.Call(ctx, h.net, h.self, s.Addr, &acceptor.PromiseRequest{Ballot: ballot(r, s, k), Epoch: e})
 	}, func(as slotResponses) bool { return granted(as) >= r.Majority() })
 	if err := h.verdict(k, r, as); err != nil {
@@ -454,7 +454,7 @@
 // highest gives the latest acceptance of the voters that granted what was asked.
 func highest(as slotResponses) acceptor.Slot {
 	var slots []acceptor.Slot
-	for _, a := range gather.Good(as) {
+	for _, a := range quorum.Good(as) {
 		if a.A.OK {
 			slots = append(slots, a.A.Slot)
 		}
@@ -488,7 +488,7 @@
 }
 
 func (h *Holder) round(ctx context.Context, k string, r voters.Roster, v held, n acceptor.Value) error {
-	as := gather.Ask(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.SlotResponse, error) {
+	as := quorum.Ask(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.SlotResponse, error) {
 		cx, stop := context.WithTimeout(context.WithoutCancel(ctx), h.bounds.Call())
 		defer stop()
 		return acceptor.Accept.Call(cx, h.net, h.self, s.Addr, &acceptor.AcceptRequest{Ballot: ballot(r, s, k), Epoch: v.epoch, Value: n})
@@ -570,7 +570,7 @@
 	for n, k := range ks {
 		i[k] = n
 	}
-	as := gather.Ask(ctx, ks, func(ctx context.Context, k string) (bool, error) {
+	as := quorum.Ask(ctx, ks, func(ctx context.Context, k string) (bool, error) {
 		back, err := h.turns.Take(ctx, k)
 		if err != nil {
 			return false, err
@@ -594,7 +594,7 @@
 		_, err = Take.Call(ctx, h.net, h.self, a, &TakeRequest{Key: k})
 		return err == nil, err
 	}, nil)
-	return len(gather.Good(as))
+	return len(quorum.Good(as))
 }
 
 // Serve adds the holder's calls.
--- a/internal/control/repair/repair.go
+++ b/internal/control/repair/repair.go
@@ -7,7 +7,7 @@
 
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/voters"
-	"postjunction/internal/gather"
+	"postjunction/internal/quorum"
 	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
@@ -19,14 +19,14 @@
 	Bounds settings.Bounds
 }
 
-type copy = gather.Answer[voters.Seat, *acceptor.PeekResponse]
+type copy = quorum.Answer[voters.Seat, *acceptor.PeekResponse]
 
 // Keys compares the copies of the named keys, all when none are named, and brings old ones up. It gives how many it mended. Values are read only
 // where some copy is old, and then from one voter.
 func (m *Mender) Keys(ctx context.Context, r voters.Roster, keys ...string) int {
 	cx, stop := context.WithTimeout(ctx, m.Bounds.Call())
 	defer stop()
-	as := gather.Good(gather.Ask(cx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
+	as := quorum.Good(quorum.Ask(cx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
 		return acceptor.Peek.Call(ctx, m.Net, m.Self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Keys: keys, Brief: true})
 	}, nil))
 	top, at := map[string]acceptor.Slot{}, map[string]voters.Seat{}
--- a/internal/ledger/owner/takeover.go
+++ b/internal/ledger/owner/takeover.go
@@ -6,15 +6,15 @@
 	"time"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/gather"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/replica"
 	"postjunction/internal/placement/assignment"
+	"postjunction/internal/quorum"
 	"postjunction/internal/samza/changelog"
 	"postjunction/internal/samza/state"
 )
 
-type sealed = gather.Answer[assignment.Place, *replica.SealResponse]
+type sealed = quorum.Answer[assignment.Place, *replica.SealResponse]
 
 func (o *Owner) takeOver(ctx context.Context) error {
 	begun := o.d.Clock.Now()
@@ -110,7 +110,7 @@
 func (o *Owner) seal(ctx context.Context) ([]sealed, error) {
 	cx, stop := context.WithTimeout(ctx, o.d.Bounds.Call())
 	defer stop()
-	as := gather.Ask(cx, o.Rec.Replicas, func(ctx context.Context, p assignment.Place) (*replica.SealResponse, error) {
+	as := quorum.Ask(cx, o.Rec.Replicas, func(ctx context.Context, p assignment.Place) (*replica.SealResponse, error) {
 		q := &replica.SealRequest{Target: o.target(p.Node), Urgent: o.Urgent}
 		if p.Node == o.d.Self {
 			return o.d.Replica.Seal(ctx, q)
@@ -120,16 +120,16 @@
 			return nil, apierror.New(apierror.Unreachable, "%s is not a member", p.Node)
 		}
 		return replica.Seal.Call(ctx, o.d.Net, o.d.Self, a, q)
-	}, func(as []sealed) bool { return len(gather.Good(as)) >= o.Rec.Majority() })
+	}, func(as []sealed) bool { return len(quorum.Good(as)) >= o.Rec.Majority() })
 	for _, a := range as {
 		if o.fenced(a.Err) {
 			return nil, a.Err
 		}
 	}
-	if n := len(gather.Good(as)); n < o.Rec.Majority() {
-		return nil, apierror.Because(apierror.NoMajority, gather.First(as), "%d of %d replicas were sealed", n, len(o.Rec.Replicas))
+	if n := len(quorum.Good(as)); n < o.Rec.Majority() {
+		return nil, apierror.Because(apierror.NoMajority, quorum.First(as), "%d of %d replicas were sealed", n, len(o.Rec.Replicas))
 	}
-	return gather.Good(as), nil
+	return quorum.Good(as), nil
 }
 
 const fetchMost = 512
--- a/internal/membership/failuredetector/watch.go
+++ b/internal/membership/failuredetector/watch.go
@@ -10,9 +10,9 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
-	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
 	"postjunction/internal/placement/assignment"
+	"postjunction/internal/quorum"
 	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
@@ -209,24 +209,24 @@
 func (w *Watch) doubt(ctx context.Context, n string, x *ward, ring []string) {
 	cx, stop := context.WithTimeout(ctx, w.Bounds.Hedge())
 	defer stop()
-	as := gather.Ask(cx, ring, func(ctx context.Context, f string) (bool, error) {
+	as := quorum.Ask(cx, ring, func(ctx context.Context, f string) (bool, error) {
 		a, ok := w.Addr(f)
 		if !ok {
 			return false, apierror.New(apierror.Unreachable, "%s is not known", f)
 		}
 		h, err := Heard.Call(ctx, w.Net, w.Self, a, &HeardRequest{Node: n})
 		return err == nil && h.Heard, err
-	}, func(as []gather.Answer[string, bool]) bool { return heard(as) })
+	}, func(as []quorum.Answer[string, bool]) bool { return heard(as) })
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	x.asking = false
-	if !heard(as) && len(gather.Good(as)) > 0 && x.missed > 0 {
+	if !heard(as) && len(quorum.Good(as)) > 0 && x.missed > 0 {
 		w.lost(ctx, n, x, Silent)
 	}
 }
 
-func heard(as []gather.Answer[string, bool]) bool {
-	return slices.ContainsFunc(gather.Good(as), func(a gather.Answer[string, bool]) bool { return a.A })
+func heard(as []quorum.Answer[string, bool]) bool {
+	return slices.ContainsFunc(quorum.Good(as), func(a quorum.Answer[string, bool]) bool { return a.A })
 }
 
 // Hears tells whether a machine that is looked after here was heard lately.
--- a/internal/membership/reachability/touch.go
+++ b/internal/membership/reachability/touch.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"postjunction/internal/clock"
-	"postjunction/internal/gather"
 	"postjunction/internal/membership"
 	"postjunction/internal/membership/failuredetector"
+	"postjunction/internal/quorum"
 	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
@@ -118,10 +118,10 @@
 	defer stop()
 	as := t.Owners()
 	most := max(1, (len(as)+share-1)/share)
-	got := gather.Good(gather.Ask(cx, as, func(ctx context.Context, a string) (*failuredetector.BeatResponse, error) {
+	got := quorum.Good(quorum.Ask(cx, as, func(ctx context.Context, a string) (*failuredetector.BeatResponse, error) {
 		return failuredetector.Beat.Call(ctx, t.Net, t.Self, a, &failuredetector.BeatRequest{})
-	}, func(as []gather.Answer[string, *failuredetector.BeatResponse]) bool {
-		return len(gather.Good(as)) >= most
+	}, func(as []quorum.Answer[string, *failuredetector.BeatResponse]) bool {
+		return len(quorum.Good(as)) >= most
 	}))
 	return len(got), len(as)
 }
@@ -132,7 +132,7 @@
 		rand.Shuffle(len(g), func(i, k int) { g[i], g[k] = g[k], g[i] })
 		g = g[:min(len(g), askedMost)]
 		cx, stop := context.WithTimeout(ctx, 2*t.Bounds.Hedge())
-		as := gather.Good(gather.Ask(cx, g, func(ctx context.Context, i membership.Info) (*ReachResponse, error) {
+		as := quorum.Good(quorum.Ask(cx, g, func(ctx context.Context, i membership.Info) (*ReachResponse, error) {
 			a, err := Reach.Call(ctx, t.Net, t.Self, i.Peers, &ReachRequest{})
 			if err == nil && a.Well {
 				go func() {
--- a/internal/nodelease/session.go
+++ b/internal/nodelease/session.go
@@ -14,9 +14,9 @@
 	"postjunction/internal/configuration"
 	"postjunction/internal/control/voters"
 	"postjunction/internal/event"
-	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
 	"postjunction/internal/membership"
+	"postjunction/internal/quorum"
 	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
@@ -197,7 +197,7 @@
 	defer stop()
 	me := h.Info()
 	met := map[string]string{}
-	for _, a := range gather.Good(gather.Ask(cx, others(h.Seeds, me.Peers), func(ctx context.Context, a string) (*membership.HelloResponse, error) {
+	for _, a := range quorum.Good(quorum.Ask(cx, others(h.Seeds, me.Peers), func(ctx context.Context, a string) (*membership.HelloResponse, error) {
 		return membership.Hello.Call(ctx, h.Net, h.Self, a, &membership.HelloRequest{From: &me})
 	}, nil)) {
 		for _, i := range append(a.A.Known, a.A.Info) {
@@ -456,9 +456,9 @@
 	cx, stop := context.WithTimeout(ctx, k.Opts.Bounds().Call()/2)
 	defer stop()
 	var is []membership.Info
-	gather.Ask(cx, others(k.Opts.Seeds, k.Opts.Reached()), func(ctx context.Context, a string) (*membership.HelloResponse, error) {
+	quorum.Ask(cx, others(k.Opts.Seeds, k.Opts.Reached()), func(ctx context.Context, a string) (*membership.HelloResponse, error) {
 		return membership.Hello.Call(ctx, k.Net, k.Opts.Name, a, &membership.HelloRequest{})
-	}, func(as []gather.Answer[string, *membership.HelloResponse]) bool {
+	}, func(as []quorum.Answer[string, *membership.HelloResponse]) bool {
 		if h := as[len(as)-1]; h.Err == nil {
 			is = append(append(is, h.A.Info), h.A.Known...)
 		}
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -8,10 +8,10 @@
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/registerclient"
 	"postjunction/internal/event"
-	"postjunction/internal/gather"
 	"postjunction/internal/membership"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/placement/decommission"
+	"postjunction/internal/quorum"
 	"postjunction/internal/settings"
 )
 
@@ -141,7 +141,7 @@
 	for p := range s.Board.Roster().Layout.Count() {
 		ps = append(ps, p)
 	}
-	for _, a := range gather.Ask(ctx, ps, func(ctx context.Context, p int) (confirmed[bool], error) {
+	for _, a := range quorum.Ask(ctx, ps, func(ctx context.Context, p int) (confirmed[bool], error) {
 		return readAs(ctx, s, assignment.Key(p), func(v acceptor.Value) (bool, error) {
 			r, err := parseRecord(p, v)
 			return r.Holds(node), err
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -15,13 +15,13 @@
 	"postjunction/internal/control/registerclient"
 	"postjunction/internal/control/voters"
 	"postjunction/internal/event"
-	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/desk"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/membership"
 	"postjunction/internal/partition"
 	"postjunction/internal/placement/assignment"
+	"postjunction/internal/quorum"
 	"postjunction/internal/settings"
 	"postjunction/internal/usage"
 	"postjunction/internal/visitor/turned"
@@ -90,8 +90,8 @@
 	for p := range s.Board.Roster().Layout.Count() {
 		ps = append(ps, p)
 	}
-	as := gather.Ask(ctx, ps, s.Uses, nil)
-	if err := gather.First(as); err != nil || len(as) < len(ps) {
+	as := quorum.Ask(ctx, ps, s.Uses, nil)
+	if err := quorum.First(as); err != nil || len(as) < len(ps) {
 		return nil, apierror.Because(apierror.NoOwner, err, "usage of all partitions")
 	}
 	rows := []usage.Row{}
--- a/internal/operator/quorum.go
+++ b/internal/operator/quorum.go
@@ -6,8 +6,8 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/voters"
-	"postjunction/internal/gather"
 	"postjunction/internal/membership"
+	"postjunction/internal/quorum"
 )
 
 // confirmed is a value that a majority of voters stood for after the operator had asked. Only readAs and askMajority make
@@ -46,12 +46,12 @@
 	r := s.Board.Roster()
 	cx, stop := context.WithTimeout(ctx, s.Bounds.Call())
 	defer stop()
-	as := gather.Ask(cx, r.Seats, s.known, func(as []gather.Answer[voters.Seat, []membership.Info]) bool {
-		return len(gather.Good(as)) >= r.Majority()
+	as := quorum.Ask(cx, r.Seats, s.known, func(as []quorum.Answer[voters.Seat, []membership.Info]) bool {
+		return len(quorum.Good(as)) >= r.Majority()
 	})
-	good := gather.Good(as)
+	good := quorum.Good(as)
 	if r.Sequence == 0 || len(good) < r.Majority() {
-		return c, apierror.Because(apierror.NoMajority, gather.First(as), "%d of %d control nodes told which machines they know", len(good), len(r.Seats))
+		return c, apierror.Because(apierror.NoMajority, quorum.First(as), "%d of %d control nodes told which machines they know", len(good), len(r.Seats))
 	}
 	c.value = machines{}
 	for _, a := range good {
--- a/internal/operator/why.go
+++ b/internal/operator/why.go
@@ -5,10 +5,10 @@
 	"slices"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/gather"
 	"postjunction/internal/ledger/desk"
 	"postjunction/internal/membership"
 	"postjunction/internal/partition"
+	"postjunction/internal/quorum"
 	"postjunction/internal/visitor/turned"
 )
 
@@ -39,7 +39,7 @@
 		w.Problem = apierror.Of(err)
 	}
 	q := turned.Task{Visitor: visitor, Topic: topic, Call: call}
-	for _, a := range gather.Ask(ctx, s.View.All(), func(ctx context.Context, i membership.Info) ([]turned.Note, error) { return s.Turned(ctx, i, q) }, nil) {
+	for _, a := range quorum.Ask(ctx, s.View.All(), func(ctx context.Context, i membership.Info) ([]turned.Note, error) { return s.Turned(ctx, i, q) }, nil) {
 		w.Whole = w.Whole && a.Err == nil
 		w.Turned = append(w.Turned, a.A...)
 	}
--- a/internal/placement/controller/drains.go
+++ b/internal/placement/controller/drains.go
@@ -9,9 +9,9 @@
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/registerclient"
 	"postjunction/internal/event"
-	"postjunction/internal/gather"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/placement/decommission"
+	"postjunction/internal/quorum"
 )
 
 // readDrains reads the list of drains by quorum.
@@ -92,7 +92,7 @@
 func (d *Duty) fence(ctx context.Context) bool {
 	whole := true
 	rs := slices.Collect(maps.Values(d.recs))
-	for _, a := range gather.Ask(ctx, rs, func(ctx context.Context, r assignment.Record) (assignment.Record, error) {
+	for _, a := range quorum.Ask(ctx, rs, func(ctx context.Context, r assignment.Record) (assignment.Record, error) {
 		v, err := d.Client.Change(ctx, assignment.Key(r.Partition), r.Writes, registerclient.Name(), r.Pack())
 		if err == nil {
 			r.Writes = v.Writes
--- a/internal/placement/controller/duty.go
+++ b/internal/placement/controller/duty.go
@@ -13,10 +13,10 @@
 	"postjunction/internal/control/register"
 	"postjunction/internal/control/registerclient"
 	"postjunction/internal/event"
-	"postjunction/internal/gather"
 	"postjunction/internal/gossip"
 	"postjunction/internal/membership"
 	"postjunction/internal/placement/assignment"
+	"postjunction/internal/quorum"
 	"postjunction/internal/settings"
 )
 
@@ -129,7 +129,7 @@
 	for p := range d.Board.Roster().Layout.Count() {
 		ps = append(ps, p)
 	}
-	for _, a := range gather.Ask(ctx, ps, d.fetch, nil) {
+	for _, a := range quorum.Ask(ctx, ps, d.fetch, nil) {
 		if a.Err != nil {
 			d.Log.Say(event.PlaceTrouble, "partition", a.Who, "problem", a.Err)
 			return
@@ -177,7 +177,7 @@
 func (d *Duty) flush(ctx context.Context) {
 	ws := d.wants
 	d.wants = nil
-	for _, a := range gather.Ask(ctx, ws, func(ctx context.Context, w want) (assignment.Record, error) {
+	for _, a := range quorum.Ask(ctx, ws, func(ctx context.Context, w want) (assignment.Record, error) {
 		v, err := d.Client.Change(ctx, assignment.Key(w.n.Partition), w.old.Writes, registerclient.Name(), w.n.Pack())
 		if err == nil {
 			w.n.Writes = v.Writes
--- a/internal/gather/gather.go
+++ b/internal/quorum/gather.go
@@ -1,5 +1,5 @@
-// Package gather asks many at once and stops when enough have answered.
-package gather
+// Package quorum asks many at once and stops when enough have answered.
+package quorum
 
 import (
 	"context"
--- a/internal/gather/gather_test.go
+++ b/internal/quorum/gather_test.go
@@ -1,4 +1,4 @@
-package gather
+package quorum
 
 import (
 	"context"
