--- a/internal/carrier/presence/presence.go
+++ b/internal/carrier/presence/presence.go
@@ -6,10 +6,10 @@
 	"net/http"
 	"slices"
 
+	"postjunction/internal/keylock"
 	"postjunction/internal/membership"
 	"postjunction/internal/quorum"
 	"postjunction/internal/settings"
-	"postjunction/internal/turn"
 	"postjunction/internal/wire"
 )
 
@@ -32,12 +32,12 @@
 	Net    wire.Network
 	Bounds settings.Bounds
 	View   *membership.View
-	m      *turn.Map[string, map[string]int]
+	m      *keylock.Map[string, map[string]int]
 }
 
 // New makes an empty presence.
 func New(self string, n wire.Network, b settings.Bounds, v *membership.View) *Presence {
-	return &Presence{Self: self, Net: n, Bounds: b, View: v, m: turn.NewMap[string, map[string]int]()}
+	return &Presence{Self: self, Net: n, Bounds: b, View: v, m: keylock.NewMap[string, map[string]int]()}
 }
 
 func (p *Presence) add(topic, visitor string, n int) {
--- a/internal/control/acceptor/voter.go
+++ b/internal/control/acceptor/voter.go
@@ -9,15 +9,15 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/control/voters"
 	"postjunction/internal/disk/journal"
+	"postjunction/internal/keylock"
 	"postjunction/internal/recordtype"
-	"postjunction/internal/turn"
 )
 
 // Voter keeps promises on one disk.
 type Voter struct {
 	incarnation string
 	journal     *journal.Journal
-	turns       *turn.Turns
+	turns       *keylock.Turns
 	mu          sync.Mutex
 	slots       map[string]Slot
 	roster      voters.Roster
@@ -31,7 +31,7 @@
 
 // New makes a voter that has promised nothing.
 func New() *Voter {
-	return &Voter{slots: map[string]Slot{}, turns: turn.New(turnShards), sealing: make(chan struct{})}
+	return &Voter{slots: map[string]Slot{}, turns: keylock.New(turnShards), sealing: make(chan struct{})}
 }
 
 // Start gives the voter its disk, its check of foundings, and whom to tell of a new roster.
@@ -159,7 +159,7 @@
 	return v.turns.Take(ctx, key)
 }
 
-func (v *Voter) enter(ctx context.Context, b Ballot) (Slot, *turn.Held, error) {
+func (v *Voter) enter(ctx context.Context, b Ballot) (Slot, *keylock.Held, error) {
 	back, err := v.take(ctx, b.Key)
 	if err != nil {
 		return Slot{}, nil, err
@@ -169,10 +169,10 @@
 		back()
 		return s, nil, err
 	}
-	return s, turn.Hold(back), nil
+	return s, keylock.Hold(back), nil
 }
 
-func (v *Voter) alone(ctx context.Context, inc string) (*turn.Held, error) {
+func (v *Voter) alone(ctx context.Context, inc string) (*keylock.Held, error) {
 	if err := v.disk(inc); err != nil {
 		return nil, err
 	}
@@ -180,10 +180,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return turn.Hold(back), nil
+	return keylock.Hold(back), nil
 }
 
-func (v *Voter) store(ctx context.Context, t *turn.Held, key string, s Slot) error {
+func (v *Voter) store(ctx context.Context, t *keylock.Held, key string, s Slot) error {
 	return v.journal.PutIn(ctx, t, true, func() {
 		v.mu.Lock()
 		defer v.mu.Unlock()
--- a/internal/control/register/holder.go
+++ b/internal/control/register/holder.go
@@ -11,9 +11,9 @@
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/epoch"
 	"postjunction/internal/control/voters"
+	"postjunction/internal/keylock"
 	"postjunction/internal/quorum"
 	"postjunction/internal/settings"
-	"postjunction/internal/turn"
 	"postjunction/internal/wire"
 )
 
@@ -43,8 +43,8 @@
 	bounds  settings.Bounds
 	peers   Peers
 	told    Told
-	turns   *turn.Turns
-	keys    *turn.Map[string, held]
+	turns   *keylock.Turns
+	keys    *keylock.Map[string, held]
 	mu      sync.Mutex
 	leaving bool
 	claims  uint64
@@ -61,7 +61,7 @@
 
 // New makes a holder that holds nothing.
 func New(self string, n wire.Network, c clock.Clock, b settings.Bounds, f Peers, t Told) *Holder {
-	return &Holder{self: self, net: n, clk: c, bounds: b, peers: f, told: t, turns: turn.New(turnShards), keys: turn.NewMap[string, held]()}
+	return &Holder{self: self, net: n, clk: c, bounds: b, peers: f, told: t, turns: keylock.New(turnShards), keys: keylock.NewMap[string, held]()}
 }
 
 func (h *Holder) get(k string) held {
--- a/internal/disk/journal/journal.go
+++ b/internal/disk/journal/journal.go
@@ -8,8 +8,8 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/disk/frame"
+	"postjunction/internal/keylock"
 	"postjunction/internal/recordtype"
-	"postjunction/internal/turn"
 )
 
 // Rec is a record to be written.
@@ -380,7 +380,7 @@
 
 // PutIn is Put in a turn in which the records were made from what stands. The turn is kept until it is settled whether they stand, also where
 // ctx ends before that: whoever has the next turn must not go by what stood before them.
-func (j *Journal) PutIn(ctx context.Context, t *turn.Held, urgent bool, apply func(), recs ...Rec) error {
+func (j *Journal) PutIn(ctx context.Context, t *keylock.Held, urgent bool, apply func(), recs ...Rec) error {
 	return j.put(ctx, put{recs: recs, apply: apply, after: t.More(), done: make(chan error, 1)}, lane[urgent])
 }
 
--- a/internal/turn/shards.go
+++ b/internal/keylock/shards.go
@@ -1,4 +1,4 @@
-package turn
+package keylock
 
 import (
 	"hash/maphash"
--- a/internal/turn/turn.go
+++ b/internal/keylock/turn.go
@@ -1,5 +1,5 @@
-// Package turn hands out turns: one worker at a time per shard, waiting in a channel and not on a lock.
-package turn
+// Package keylock hands out turns: one worker at a time per shard, waiting in a channel and not on a lock.
+package keylock
 
 import (
 	"context"
--- a/internal/ledger/replica/replica.go
+++ b/internal/ledger/replica/replica.go
@@ -10,9 +10,9 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/disk/journal"
+	"postjunction/internal/keylock"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/recordtype"
-	"postjunction/internal/turn"
 	"postjunction/internal/wire"
 )
 
@@ -21,7 +21,7 @@
 	incarnation string
 	journal     *journal.Journal
 	clk         clock.Clock
-	turns       *turn.Turns
+	turns       *keylock.Turns
 	mu          sync.Mutex
 	lines       map[line.ID]*line.Line
 	seals       map[int]uint64
@@ -45,7 +45,7 @@
 
 // New makes an empty store.
 func New(c clock.Clock) *Replica {
-	return &Replica{clk: c, turns: turn.New(turnShards), lines: map[line.ID]*line.Line{}, seals: map[int]uint64{}, states: map[int]Directory{}}
+	return &Replica{clk: c, turns: keylock.New(turnShards), lines: map[line.ID]*line.Line{}, seals: map[int]uint64{}, states: map[int]Directory{}}
 }
 
 // Start gives the store its disk.
@@ -313,7 +313,7 @@
 // Stands tells whether a target's epoch is still the highest on this disk, under its own name.
 func (r *Replica) Stands(t Target) error { return r.fence(t) }
 
-func (r *Replica) enter(ctx context.Context, t Target) (*turn.Held, error) {
+func (r *Replica) enter(ctx context.Context, t Target) (*keylock.Held, error) {
 	back, err := r.turns.TakeNumber(ctx, t.Partition)
 	if err != nil {
 		return nil, err
@@ -322,7 +322,7 @@
 		back()
 		return nil, err
 	}
-	return turn.Hold(back), nil
+	return keylock.Hold(back), nil
 }
 
 // Seal turns lower epochs away from now on; it answers once that is synced.
