--- a/internal/visitor/service.go
+++ b/internal/client/service.go
@@ -1,5 +1,5 @@
-// Package visitor is the service to callers: attach, send, follow, ack and count.
-package visitor
+// Package client is the service to callers: attach, send, follow, ack and count.
+package client
 
 import (
 	"bytes"
--- a/internal/visitor/withdraw.go
+++ b/internal/client/withdraw.go
@@ -1,4 +1,4 @@
-package visitor
+package client
 
 import (
 	"context"
--- a/internal/door/door.go
+++ b/internal/door/door.go
@@ -10,18 +10,18 @@
 	"strconv"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/client"
 	"postjunction/internal/configuration"
 	"postjunction/internal/configuration/strictjson"
 	"postjunction/internal/operator"
 	"postjunction/internal/rawjson"
 	"postjunction/internal/settings"
-	"postjunction/internal/visitor"
 	"postjunction/internal/visitor/token"
 )
 
 // Door serves one node's callers and operators.
 type Door struct {
-	Visitors  *visitor.Service
+	Visitors  *client.Service
 	Operators *operator.Service
 	Bounds    settings.Bounds
 	Ready     func() error
@@ -160,7 +160,7 @@
 	if err := document(w, r, attachShape, &q); err != nil {
 		return nil, err
 	}
-	return d.Visitors.Do(r.Context(), &visitor.Task{Verb: visitor.VerbAttach, Visitor: q.Visitor})
+	return d.Visitors.Do(r.Context(), &client.Task{Verb: client.VerbAttach, Visitor: q.Visitor})
 }
 
 func bearer(r *http.Request) (string, error) {
@@ -182,7 +182,7 @@
 	if err := document(w, r, sendShape, &q); err != nil {
 		return nil, err
 	}
-	return d.Visitors.Do(r.Context(), &visitor.Task{Verb: visitor.VerbSend, Token: t, Topics: []string{q.Topic}, Call: q.Call, Key: q.Key, Body: q.Body})
+	return d.Visitors.Do(r.Context(), &client.Task{Verb: client.VerbSend, Token: t, Topics: []string{q.Topic}, Call: q.Call, Key: q.Key, Body: q.Body})
 }
 
 func (d *Door) withdraw(w http.ResponseWriter, r *http.Request) (any, error) {
@@ -200,7 +200,7 @@
 	if err := document(w, r, withdrawShape, &q); err != nil {
 		return nil, err
 	}
-	return d.Visitors.Do(r.Context(), &visitor.Task{Verb: visitor.VerbWithdraw, Token: t, Topics: []string{q.Topic}, Call: q.Call, Key: q.Key, Of: q.Of, Upto: q.Upto})
+	return d.Visitors.Do(r.Context(), &client.Task{Verb: client.VerbWithdraw, Token: t, Topics: []string{q.Topic}, Call: q.Call, Key: q.Key, Of: q.Of, Upto: q.Upto})
 }
 
 func (d *Door) ack(w http.ResponseWriter, r *http.Request) (any, error) {
@@ -214,7 +214,7 @@
 	if err := document(w, r, ackShape, &q); err != nil {
 		return nil, err
 	}
-	return d.Visitors.Do(r.Context(), &visitor.Task{Verb: visitor.VerbAck, Token: t, Cursor: q.Cursor})
+	return d.Visitors.Do(r.Context(), &client.Task{Verb: client.VerbAck, Token: t, Cursor: q.Cursor})
 }
 
 func query(r *http.Request, known ...string) error {
@@ -238,7 +238,7 @@
 	if err := query(r, "topic"); err != nil {
 		return nil, err
 	}
-	return d.Visitors.Do(r.Context(), &visitor.Task{Verb: visitor.VerbCount, Token: t, Topics: r.URL.Query()["topic"]})
+	return d.Visitors.Do(r.Context(), &client.Task{Verb: client.VerbCount, Token: t, Topics: r.URL.Query()["topic"]})
 }
 
 func (d *Door) stream(w http.ResponseWriter, r *http.Request) (any, error) {
@@ -250,7 +250,7 @@
 		return nil, err
 	}
 	p := &paper{w: w, c: http.NewResponseController(w), most: d.Bounds.Recovery / writeShare}
-	_, err = d.Visitors.Do(r.Context(), &visitor.Task{Verb: visitor.VerbFollow, Token: t, Topics: r.URL.Query()["topic"], Cursor: r.URL.Query().Get("cursor"), Emit: p.emit, Cut: p.cut})
+	_, err = d.Visitors.Do(r.Context(), &client.Task{Verb: client.VerbFollow, Token: t, Topics: r.URL.Query()["topic"], Cursor: r.URL.Query().Get("cursor"), Emit: p.emit, Cut: p.cut})
 	if p.begun {
 		return nil, nil
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -13,6 +13,7 @@
 	"postjunction/internal/carrier/fan"
 	"postjunction/internal/carrier/feed"
 	"postjunction/internal/carrier/presence"
+	"postjunction/internal/client"
 	"postjunction/internal/clock"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/bootstrap"
@@ -42,7 +43,6 @@
 	"postjunction/internal/placement/controller"
 	"postjunction/internal/recordtype"
 	"postjunction/internal/settings"
-	"postjunction/internal/visitor"
 	"postjunction/internal/visitor/admission"
 	"postjunction/internal/visitor/turned"
 	"postjunction/internal/visitor/visit"
@@ -99,7 +99,7 @@
 	touch        *reachability.Touch
 
 	// Visitors and Operators are the services behind the door.
-	Visitors  *visitor.Service
+	Visitors  *client.Service
 	Operators *operator.Service
 	// House takes visits on line sessions.
 	House *visit.House
@@ -333,10 +333,10 @@
 	n.presence = presence.New(self, net, b, n.View)
 	n.gates = admission.New(o.Backlog)
 	n.turned = turned.New()
-	n.Visitors = &visitor.Service{
+	n.Visitors = &client.Service{
 		Clock: clk, Bounds: b, Body: o.Body, Board: n.Board, Desk: n.desk, Presence: n.presence, Gates: n.gates,
 		Feeds: feed.New(ctx, self, n.boot, n.desk, clk, b), Licensed: n.keeper.Licensed, Leaving: n.leaving,
-		Heard: func(t *visitor.Task, err error) {
+		Heard: func(t *client.Task, err error) {
 			n.log.Say(event.Turned, "verb", t.Verb, "visitor", t.Visitor, "problem", err)
 			p, topic := apierror.Of(err), ""
 			if len(t.Topics) > 0 {
--- a/internal/proof/caller/caller.go
+++ b/internal/proof/caller/caller.go
@@ -11,10 +11,10 @@
 	"time"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/client"
 	"postjunction/internal/clock"
 	"postjunction/internal/proof/history"
 	"postjunction/internal/proof/port"
-	"postjunction/internal/visitor"
 )
 
 // Caller is one visitor.
@@ -121,7 +121,7 @@
 		t := c.current()
 		cx, alive := c.watch(ctx)
 		got := false
-		err := c.port().Follow(cx, t, c.Follows, c.cursor, func(l visitor.Line) error {
+		err := c.port().Follow(cx, t, c.Follows, c.cursor, func(l client.Line) error {
 			now := c.Clock.Now()
 			alive()
 			if !got && l.End == nil {
@@ -162,7 +162,7 @@
 }
 
 // note tells the history from when on topics are followed: those that the first line does not name as waiting, and those that joined.
-func (c *Caller) note(l visitor.Line, now time.Time) {
+func (c *Caller) note(l client.Line, now time.Time) {
 	if l.Attached > 0 {
 		var ts []string
 		for _, t := range c.Follows {
--- a/internal/proof/port/port.go
+++ b/internal/proof/port/port.go
@@ -11,16 +11,16 @@
 	"net/url"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/client"
 	"postjunction/internal/door"
 	"postjunction/internal/rawjson"
-	"postjunction/internal/visitor"
 )
 
 // Port is one node as callers see it.
 type Port interface {
-	Attach(ctx context.Context, name string) (visitor.Attachment, error)
-	Send(ctx context.Context, token, topic string, call uint64, body []byte) (visitor.Receipt, error)
-	Follow(ctx context.Context, token string, topics []string, cursor string, f func(visitor.Line) error) error
+	Attach(ctx context.Context, name string) (client.Attachment, error)
+	Send(ctx context.Context, token, topic string, call uint64, body []byte) (client.Receipt, error)
+	Follow(ctx context.Context, token string, topics []string, cursor string, f func(client.Line) error) error
 	Put(ctx context.Context, doc []byte) (uint64, error)
 	Get(ctx context.Context) (uint64, error)
 	Shows(ctx context.Context) (seq uint64, ready bool, err error)
@@ -69,12 +69,12 @@
 }
 
 // Attach attaches.
-func (p *HTTP) Attach(ctx context.Context, name string) (a visitor.Attachment, err error) {
+func (p *HTTP) Attach(ctx context.Context, name string) (a client.Attachment, err error) {
 	return a, p.call(ctx, http.MethodPost, "/v1/attach", "", must(map[string]string{"visitor": name}), &a)
 }
 
 // Send sends.
-func (p *HTTP) Send(ctx context.Context, token, topic string, call uint64, body []byte) (r visitor.Receipt, err error) {
+func (p *HTTP) Send(ctx context.Context, token, topic string, call uint64, body []byte) (r client.Receipt, err error) {
 	return r, p.call(ctx, http.MethodPost, "/v1/send", token, must(map[string]any{"topic": topic, "call_seq": call, "body": json.RawMessage(body)}), &r)
 }
 
@@ -109,7 +109,7 @@
 const lineMost = 4 << 20
 
 // Follow reads a stream until it ends.
-func (p *HTTP) Follow(ctx context.Context, token string, topics []string, cursor string, f func(visitor.Line) error) error {
+func (p *HTTP) Follow(ctx context.Context, token string, topics []string, cursor string, f func(client.Line) error) error {
 	q := url.Values{"topic": topics}
 	if cursor != "" {
 		q.Set("cursor", cursor)
@@ -131,7 +131,7 @@
 	sc := bufio.NewScanner(a.Body)
 	sc.Buffer(nil, lineMost)
 	for sc.Scan() {
-		var l visitor.Line
+		var l client.Line
 		if err := json.Unmarshal(sc.Bytes(), &l); err != nil {
 			return apierror.Wrap(apierror.Malformed, err, "stream line")
 		}
@@ -150,7 +150,7 @@
 
 // Services are what a node offers.
 type Services struct {
-	Visitors *visitor.Service
+	Visitors *client.Service
 	Door     *door.Door
 	// Gone is closed when the process ends, as its connections would be.
 	Gone chan struct{}
@@ -185,33 +185,33 @@
 	}
 }
 
-func (p *Direct) do(ctx context.Context, t *visitor.Task) (any, error) {
+func (p *Direct) do(ctx context.Context, t *client.Task) (any, error) {
 	return p.run(ctx, func(n *Services) (any, error) { return n.Visitors.Do(ctx, t) })
 }
 
 // Attach attaches.
-func (p *Direct) Attach(ctx context.Context, name string) (visitor.Attachment, error) {
-	a, err := p.do(ctx, &visitor.Task{Verb: visitor.VerbAttach, Visitor: name})
-	x, _ := a.(visitor.Attachment)
+func (p *Direct) Attach(ctx context.Context, name string) (client.Attachment, error) {
+	a, err := p.do(ctx, &client.Task{Verb: client.VerbAttach, Visitor: name})
+	x, _ := a.(client.Attachment)
 	return x, err
 }
 
 // Send sends.
-func (p *Direct) Send(ctx context.Context, token, topic string, call uint64, body []byte) (visitor.Receipt, error) {
-	a, err := p.do(ctx, &visitor.Task{Verb: visitor.VerbSend, Token: token, Topics: []string{topic}, Call: call, Body: body})
-	x, _ := a.(visitor.Receipt)
+func (p *Direct) Send(ctx context.Context, token, topic string, call uint64, body []byte) (client.Receipt, error) {
+	a, err := p.do(ctx, &client.Task{Verb: client.VerbSend, Token: token, Topics: []string{topic}, Call: call, Body: body})
+	x, _ := a.(client.Receipt)
 	return x, err
 }
 
 // Follow follows.
-func (p *Direct) Follow(ctx context.Context, token string, topics []string, cursor string, f func(visitor.Line) error) error {
+func (p *Direct) Follow(ctx context.Context, token string, topics []string, cursor string, f func(client.Line) error) error {
 	cx, stop := context.WithCancel(ctx)
 	defer stop()
-	lines := make(chan visitor.Line)
+	lines := make(chan client.Line)
 	done := make(chan error, 1)
 	go func() {
-		_, err := p.do(cx, &visitor.Task{Verb: visitor.VerbFollow, Token: token, Topics: topics, Cursor: cursor, Emit: func(b []byte) error {
-			var l visitor.Line
+		_, err := p.do(cx, &client.Task{Verb: client.VerbFollow, Token: token, Topics: topics, Cursor: cursor, Emit: func(b []byte) error {
+			var l client.Line
 			if err := json.Unmarshal(b, &l); err != nil {
 				return apierror.Wrap(apierror.Malformed, err, "stream line")
 			}
--- a/internal/proof/sim/effect_test.go
+++ b/internal/proof/sim/effect_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/visitor"
+	"postjunction/internal/client"
 )
 
 // A description takes effect on every node within the spread: on sends, on new streams, and on streams that stand open while nothing is sent.
@@ -36,7 +36,7 @@
 				a := attach(t, w, n, "on-"+n)
 				tokens[n] = a.Token
 				w.wg.Go(func() {
-					_ = w.Port(n).Follow(w.ctx, a.Token, []string{"kept/t0", "kept/t1"}, "", func(l visitor.Line) error {
+					_ = w.Port(n).Follow(w.ctx, a.Token, []string{"kept/t0", "kept/t1"}, "", func(l client.Line) error {
 						mu.Lock()
 						defer mu.Unlock()
 						if slices.Contains(l.Dropped, "kept/t1") {
--- a/internal/proof/sim/last.go
+++ b/internal/proof/sim/last.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/client"
 	"postjunction/internal/proof/history"
-	"postjunction/internal/visitor"
 )
 
 // Archive is a cursor into all kept topics, taken at a moment.
@@ -25,12 +25,12 @@
 
 var errEnough error = enough{}
 
-func (w *World) fresh(name string, topics []string, cursor string, through string, limit time.Duration, f func(visitor.Line) error) error {
+func (w *World) fresh(name string, topics []string, cursor string, through string, limit time.Duration, f func(client.Line) error) error {
 	end := time.Now().Add(limit)
 	err := error(apierror.New(apierror.Unreachable, "%s was not tried", through))
 	for time.Now().Before(end) {
 		ctx, stop := context.WithDeadline(w.ctx, end)
-		var a visitor.Attachment
+		var a client.Attachment
 		if a, err = w.Port(through).Attach(ctx, name); err == nil {
 			err = w.Port(through).Follow(ctx, a.Token, topics, cursor, f)
 		}
@@ -54,7 +54,7 @@
 	if w.Machines[through].gone() {
 		through = "c3"
 	}
-	err := w.fresh("archivist", a.Topics, "", through, w.Site.Bounds.Recovery, func(x visitor.Line) error {
+	err := w.fresh("archivist", a.Topics, "", through, w.Site.Bounds.Recovery, func(x client.Line) error {
 		a.Cursor, a.Since = x.Cursor, time.Now()
 		return errEnough
 	})
@@ -77,7 +77,7 @@
 	var why error
 	cursor := a.Cursor
 	for begun := time.Now(); time.Since(begun) < w.Site.Bounds.Recovery+w.Site.Bounds.Spread; {
-		err := w.fresh(fmt.Sprintf("reader-%s-%d", through, len(r.Got)), a.Topics, cursor, through, w.Site.Bounds.Spread, func(l visitor.Line) error {
+		err := w.fresh(fmt.Sprintf("reader-%s-%d", through, len(r.Got)), a.Topics, cursor, through, w.Site.Bounds.Spread, func(l client.Line) error {
 			if l.Cursor != "" {
 				cursor = l.Cursor
 			}
--- a/internal/proof/sim/owner_test.go
+++ b/internal/proof/sim/owner_test.go
@@ -10,12 +10,12 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/client"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/membership/failuredetector"
 	"postjunction/internal/partition"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
-	"postjunction/internal/visitor"
 )
 
 func (w *World) records() []assignment.Record {
@@ -75,7 +75,7 @@
 	}
 }
 
-func attach(t *testing.T, w *World, n, name string) visitor.Attachment {
+func attach(t *testing.T, w *World, n, name string) client.Attachment {
 	t.Helper()
 	a, err := w.Port(n).Attach(w.ctx, name)
 	assert.NilError(t, err)
@@ -104,7 +104,7 @@
 	ctx, stop := context.WithTimeout(w.ctx, d)
 	defer stop()
 	last = cursor
-	err := w.Port(n).Follow(ctx, token, topics, cursor, func(l visitor.Line) error {
+	err := w.Port(n).Follow(ctx, token, topics, cursor, func(l client.Line) error {
 		last = l.Cursor
 		if l.Topic != "" {
 			calls = append(calls, l.Call)
--- a/internal/proof/sim/restart_test.go
+++ b/internal/proof/sim/restart_test.go
@@ -9,10 +9,10 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/client"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/epoch"
 	"postjunction/internal/placement/controller"
-	"postjunction/internal/visitor"
 )
 
 // The whole fleet loses power in one instant and comes back. Control nodes that each took another for the holder of the
@@ -37,7 +37,7 @@
 			at := time.Now()
 			assert.NilError(t, w.Start(w.Names...))
 			for i := range load.Topics {
-				var r visitor.Receipt
+				var r client.Receipt
 				err := error(nil)
 				for ok := false; !ok && time.Since(at) < w.Site.Bounds.Recovery; ok = err == nil {
 					ctx, stop := context.WithTimeout(w.ctx, w.Site.Bounds.Spread)
--- a/internal/proof/sim/slow_test.go
+++ b/internal/proof/sim/slow_test.go
@@ -8,7 +8,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/visitor"
+	"postjunction/internal/client"
 )
 
 // A reader that takes a line every five seconds holds nobody up, and still gets every line in order once it reads on.
@@ -20,7 +20,7 @@
 		const n = 200
 		ctx, stop := context.WithCancel(w.ctx)
 		listen := func(token string, pause time.Duration, got *[]uint64, worst *time.Duration, sent []time.Time) {
-			_ = w.Port("a1").Follow(ctx, token, []string{"kept/t0"}, "", func(l visitor.Line) error {
+			_ = w.Port("a1").Follow(ctx, token, []string{"kept/t0"}, "", func(l client.Line) error {
 				if l.Topic == "" {
 					return nil
 				}
--- a/internal/proof/sim/streams_forget_test.go
+++ b/internal/proof/sim/streams_forget_test.go
@@ -13,9 +13,9 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/client"
 	"postjunction/internal/node"
 	"postjunction/internal/partition"
-	"postjunction/internal/visitor"
 )
 
 // forgetting is a fleet with a sender at c1 and a stream of kept/t0 at a1.
@@ -31,7 +31,7 @@
 	last  string
 }
 
-func (x *forgetting) do(n string, k *visitor.Task) (any, error) {
+func (x *forgetting) do(n string, k *client.Task) (any, error) {
 	c := make(chan any, 1)
 	err := x.ask(n, x.Site.Bounds.Recovery, func(ctx context.Context, m *node.Node) error {
 		a, err := m.Visitors.Do(ctx, k)
@@ -47,21 +47,21 @@
 func (x *forgetting) send(key, body string) uint64 {
 	x.t.Helper()
 	x.call++
-	_, err := x.do("c1", &visitor.Task{Verb: visitor.VerbSend, Token: x.sender, Topics: []string{"kept/t0"}, Key: &key, Call: x.call, Body: json.RawMessage(`"` + body + `"`)})
+	_, err := x.do("c1", &client.Task{Verb: client.VerbSend, Token: x.sender, Topics: []string{"kept/t0"}, Key: &key, Call: x.call, Body: json.RawMessage(`"` + body + `"`)})
 	assert.NilError(x.t, err)
 	return x.call
 }
 
-func (x *forgetting) withdraw(key string, call uint64) (visitor.Withdrawal, error) {
-	a, err := x.do("c1", &visitor.Task{Verb: visitor.VerbWithdraw, Token: x.sender, Topics: []string{"kept/t0"}, Key: &key, Call: call})
-	w, _ := a.(visitor.Withdrawal)
+func (x *forgetting) withdraw(key string, call uint64) (client.Withdrawal, error) {
+	a, err := x.do("c1", &client.Task{Verb: client.VerbWithdraw, Token: x.sender, Topics: []string{"kept/t0"}, Key: &key, Call: call})
+	w, _ := a.(client.Withdrawal)
 	return w, err
 }
 
 // forgotten has a withdrawal asked about until there is a yes.
-func (x *forgetting) forgotten(key string, call uint64, limit time.Duration) visitor.Withdrawal {
+func (x *forgetting) forgotten(key string, call uint64, limit time.Duration) client.Withdrawal {
 	x.t.Helper()
-	var a visitor.Withdrawal
+	var a client.Withdrawal
 	var err error
 	assert.NilError(x.t, x.Until(limit, "withdrawn", func() bool {
 		a, err = x.withdraw(key, call)
@@ -78,7 +78,7 @@
 	x.mu.Unlock()
 	x.wg.Go(func() {
 		for {
-			err := x.Port("a1").Follow(x.ctx, x.reader, []string{"kept/t0"}, from, func(l visitor.Line) error {
+			err := x.Port("a1").Follow(x.ctx, x.reader, []string{"kept/t0"}, from, func(l client.Line) error {
 				x.mu.Lock()
 				defer x.mu.Unlock()
 				x.last = l.Cursor
@@ -247,7 +247,7 @@
 		var emitted []string
 		x.wg.Go(func() {
 			defer close(ended)
-			_, _ = x.Machines["a1"].Node().Visitors.Do(x.ctx, &visitor.Task{Verb: visitor.VerbFollow, Token: a.Token, Topics: []string{"kept/t0"}, Emit: func(b []byte) error {
+			_, _ = x.Machines["a1"].Node().Visitors.Do(x.ctx, &client.Task{Verb: client.VerbFollow, Token: a.Token, Topics: []string{"kept/t0"}, Emit: func(b []byte) error {
 				if !strings.Contains(string(b), `"k"`) {
 					return nil
 				}
--- a/internal/proof/sim/urgent_test.go
+++ b/internal/proof/sim/urgent_test.go
@@ -10,7 +10,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/visitor"
+	"postjunction/internal/client"
 	"postjunction/internal/wire"
 )
 
@@ -54,7 +54,7 @@
 				got[name] = map[uint64]time.Time{}
 				mu.Unlock()
 				w.wg.Go(func() {
-					_ = w.Port(through).Follow(w.ctx, token, topics, cursor, func(l visitor.Line) error {
+					_ = w.Port(through).Follow(w.ctx, token, topics, cursor, func(l client.Line) error {
 						mu.Lock()
 						defer mu.Unlock()
 						if l.Topic == "stop/line" {
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -9,11 +9,11 @@
 	"time"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/client"
 	"postjunction/internal/clock"
 	"postjunction/internal/control/registerclient"
 	"postjunction/internal/proof/port"
 	"postjunction/internal/replay/recording"
-	"postjunction/internal/visitor"
 )
 
 const (
@@ -21,7 +21,7 @@
 	patience = 15 * time.Second
 )
 
-func listen(ctx context.Context, p port.Port, name string, topics []string, ready chan<- struct{}, f func(visitor.Line) error) error {
+func listen(ctx context.Context, p port.Port, name string, topics []string, ready chan<- struct{}, f func(client.Line) error) error {
 	cursor, tok, told := "", "", false
 	for ctx.Err() == nil {
 		if tok == "" {
@@ -32,7 +32,7 @@
 			}
 			tok = a.Token
 		}
-		err := p.Follow(ctx, tok, topics, cursor, func(l visitor.Line) error {
+		err := p.Follow(ctx, tok, topics, cursor, func(l client.Line) error {
 			cursor = l.Cursor
 			if !told {
 				told = true
@@ -60,7 +60,7 @@
 	ctx, stop := context.WithTimeout(ctx, length)
 	defer stop()
 	begun, n := time.Now(), 0
-	err = listen(ctx, p, name, topics, make(chan struct{}), func(l visitor.Line) error {
+	err = listen(ctx, p, name, topics, make(chan struct{}), func(l client.Line) error {
 		n++
 		return r.Add(recording.Message{MS: time.Since(begun).Milliseconds(), Topic: l.Topic, From: l.From, Call: l.Call, Body: l.Body})
 	})
@@ -86,12 +86,12 @@
 		byTopic[m.Topic] = append(byTopic[m.Topic], m)
 	}
 	var mu sync.Mutex
-	got := map[string][]visitor.Line{}
+	got := map[string][]client.Line{}
 	n := 0
 	all := make(chan struct{})
 	ready, failed := make(chan struct{}), make(chan error, 1)
 	go func() {
-		failed <- listen(ctx, p, "replay-"+run, h.Topics, ready, func(l visitor.Line) error {
+		failed <- listen(ctx, p, "replay-"+run, h.Topics, ready, func(l client.Line) error {
 			mu.Lock()
 			defer mu.Unlock()
 			got[l.Topic] = append(got[l.Topic], l)
@@ -146,7 +146,7 @@
 	return n[:min(len(n), 63)]
 }
 
-func differ(t, run string, want []recording.Message, got []visitor.Line) string {
+func differ(t, run string, want []recording.Message, got []client.Line) string {
 	for i, w := range want {
 		if i >= len(got) {
 			return fmt.Sprintf("%s: line %d of %d never came", t, i+1, len(want))
