--- a/internal/visitor/visit/house.go
+++ b/internal/client/session/house.go
@@ -1,4 +1,4 @@
-package visit
+package session
 
 import (
 	"context"
--- a/internal/visitor/visit/task.go
+++ b/internal/client/session/task.go
@@ -1,6 +1,6 @@
-// Package visit is a visitor's stay on one connection: it attaches, takes topics up and drops them, sends, counts and gives signs
+// Package session is a visitor's stay on one connection: it attaches, takes topics up and drops them, sends, counts and gives signs
 // of life, and is answered in any order.
-package visit
+package session
 
 import "postjunction/internal/carrier/fan"
 
--- a/internal/command/caller/visit.go
+++ b/internal/command/caller/visit.go
@@ -11,10 +11,10 @@
 	"time"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/client/session"
 	"postjunction/internal/clock"
 	"postjunction/internal/rawjson"
 	"postjunction/internal/settings"
-	"postjunction/internal/visitor/visit"
 )
 
 func init() {
@@ -53,7 +53,7 @@
 	}
 	defer func() { _ = c.Close() }()
 	d := &desk{c: c}
-	if err := d.task(map[string]any{"verb": visit.Attach, "visitor": a[0]}); err != nil {
+	if err := d.task(map[string]any{"verb": session.Attach, "visitor": a[0]}); err != nil {
 		return err
 	}
 	go heartbeats(ctx, d)
@@ -74,9 +74,9 @@
 			return apierror.Wrap(apierror.Unreachable, err, "the connection broke off")
 		}
 		var l struct {
-			What visit.What `json:"what"`
+			What session.What `json:"what"`
 		}
-		if json.Unmarshal(b, &l) == nil && l.What == visit.Alive {
+		if json.Unmarshal(b, &l) == nil && l.What == session.Alive {
 			continue
 		}
 		n++
@@ -89,7 +89,7 @@
 
 func heartbeats(ctx context.Context, d *desk) {
 	for (clock.Real{}).Sleep(ctx, time.Duration(settings.Default().Keepalive)) == nil {
-		if d.task(map[string]any{"verb": visit.Heartbeat}) != nil {
+		if d.task(map[string]any{"verb": session.Heartbeat}) != nil {
 			return
 		}
 	}
--- a/internal/command/serve/visits.go
+++ b/internal/command/serve/visits.go
@@ -3,12 +3,12 @@
 import (
 	"time"
 
+	"postjunction/internal/client/session"
 	"postjunction/internal/clock"
 	"postjunction/internal/door/lines"
 	"postjunction/internal/door/lines/plain"
 	"postjunction/internal/node"
 	"postjunction/internal/settings"
-	"postjunction/internal/visitor/visit"
 )
 
 const (
@@ -17,10 +17,10 @@
 )
 
 // house lets a node's house be a host of lines.
-type house struct{ *visit.House }
+type house struct{ *session.House }
 
 // Enter begins a visit.
-func (h house) Enter(out visit.Out) lines.Guest { return h.House.Enter(out) }
+func (h house) Enter(out session.Out) lines.Guest { return h.House.Enter(out) }
 
 // visits makes the server of line sessions. Of a bounded number of descriptors, a quarter stays for peers and files.
 func visits(n *node.Node, o settings.Options, words lines.Codec) Server {
--- a/internal/door/lines/lines.go
+++ b/internal/door/lines/lines.go
@@ -11,31 +11,31 @@
 	"time"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/client/session"
 	"postjunction/internal/clock"
-	"postjunction/internal/visitor/visit"
 )
 
 // Guest is one visitor's stay. Do never blocks for long and keeps the order of calls; End ends the stay, once.
 type Guest interface {
-	Do(visit.Task)
+	Do(session.Task)
 	End()
 }
 
 // Holding is a guest who minds where its answers wait, so that they can be taken back. The function that it gives is called once none waits there any more.
 type Holding interface {
-	Hold(x visit.Holder) func()
+	Hold(x session.Holder) func()
 }
 
 // Host takes visitors in. Answers come through out, from any goroutine.
 type Host interface {
-	Enter(out visit.Out) Guest
+	Enter(out session.Out) Guest
 }
 
 // Codec is the words of a kind of line. Read gives the next task; body is the largest body in bytes. A line that can't be taken is a
 // *Fault together with what is known of the task; any other error ends the connection. Append writes an answer.
 type Codec interface {
-	Read(r *bufio.Reader, body int) (visit.Task, error)
-	Append(b []byte, a visit.Answer) []byte
+	Read(r *bufio.Reader, body int) (session.Task, error)
+	Append(b []byte, a session.Answer) []byte
 }
 
 // Settings of a server. Most bounds the connections, 0 for no bound; Retry is the pause after a failed accept.
@@ -229,12 +229,12 @@
 	if !errors.As(err, &f) {
 		return false
 	}
-	c.put(visit.Answer{What: visit.Turned, Re: t.Verb, Topic: t.Topic, Call: t.Call, Err: f.Problem})
+	c.put(session.Answer{What: session.Turned, Re: t.Verb, Topic: t.Topic, Call: t.Call, Err: f.Problem})
 	return f.Sure
 }
 
 // put adds an answer to what waits to be written. A visitor that leaves too much unread is cut.
-func (c *conn) put(a visit.Answer) {
+func (c *conn) put(a session.Answer) {
 	c.mu.Lock()
 	if c.over || c.gone {
 		c.mu.Unlock()
@@ -245,7 +245,7 @@
 	}
 	n := len(c.out)
 	c.out = c.v.s.Codec.Append(c.out, a)
-	if a.Key != "" && a.What == visit.Message {
+	if a.Key != "" && a.What == session.Message {
 		c.kept = append(c.kept, span{a.Partition, a.Topic, a.Key, a.Offset, n, len(c.out)})
 	}
 	cut := len(c.out)+c.flying > backlogBytes
--- a/internal/door/lines/lines_test.go
+++ b/internal/door/lines/lines_test.go
@@ -15,10 +15,10 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/client/session"
 	"postjunction/internal/clock"
 	"postjunction/internal/door/lines"
 	"postjunction/internal/door/lines/plain"
-	"postjunction/internal/visitor/visit"
 )
 
 // pipes is a listener whose connections are made in the process.
@@ -54,25 +54,25 @@
 // hall is a host that answers as its function says and remembers what it heard.
 type hall struct {
 	mu    sync.Mutex
-	do    func(visit.Task, visit.Out)
-	heard []visit.Task
-	outs  []visit.Out
+	do    func(session.Task, session.Out)
+	heard []session.Task
+	outs  []session.Out
 	ended int
 }
 
 type guest struct {
 	h   *hall
-	out visit.Out
+	out session.Out
 }
 
-func (h *hall) Enter(out visit.Out) lines.Guest {
+func (h *hall) Enter(out session.Out) lines.Guest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.outs = append(h.outs, out)
 	return &guest{h, out}
 }
 
-func (g *guest) Do(t visit.Task) {
+func (g *guest) Do(t session.Task) {
 	g.h.mu.Lock()
 	g.h.heard = append(g.h.heard, t)
 	g.h.mu.Unlock()
@@ -87,7 +87,7 @@
 	g.h.ended++
 }
 
-func echo(t visit.Task, out visit.Out) { out(visit.Answer{What: visit.Left, Topic: t.Topic}) }
+func echo(t session.Task, out session.Out) { out(session.Answer{What: session.Left, Topic: t.Topic}) }
 
 const keepalive = 2 * time.Second
 
@@ -162,10 +162,10 @@
 		c := l.dial()
 		synctest.Wait()
 		out := h.outs[0]
-		out(visit.Answer{What: visit.Alive})
+		out(session.Answer{What: session.Alive})
 		synctest.Wait()
 		for range 100 {
-			out(visit.Answer{What: visit.Alive})
+			out(session.Answer{What: session.Alive})
 		}
 		b := make([]byte, 64<<10)
 		n, err := c.Read(b)
@@ -182,7 +182,7 @@
 	play(t, 0, h, func(t *testing.T, s *lines.Server, l *pipes) {
 		_ = l.dial()
 		synctest.Wait()
-		m := visit.Answer{What: visit.Message, Topic: "a", Body: bytes.Repeat([]byte("x"), 16<<10)}
+		m := session.Answer{What: session.Message, Topic: "a", Body: bytes.Repeat([]byte("x"), 16<<10)}
 		for range 15 {
 			h.outs[0](m)
 		}
@@ -295,11 +295,11 @@
 }
 
 func TestNobodyTurnsAway(t *testing.T) {
-	var got []visit.Answer
-	g := lines.Nobody{}.Enter(func(a visit.Answer) { got = append(got, a) })
-	g.Do(visit.Task{Verb: visit.Heartbeat})
-	g.Do(visit.Task{Verb: visit.Join, Topic: "a"})
+	var got []session.Answer
+	g := lines.Nobody{}.Enter(func(a session.Answer) { got = append(got, a) })
+	g.Do(session.Task{Verb: session.Heartbeat})
+	g.Do(session.Task{Verb: session.Join, Topic: "a"})
 	g.End()
-	assert.Equal(t, got[0].What, visit.Alive)
-	assert.Equal(t, got[1].Re, visit.Join)
+	assert.Equal(t, got[0].What, session.Alive)
+	assert.Equal(t, got[1].Re, session.Join)
 }
--- a/internal/door/lines/plain/plain.go
+++ b/internal/door/lines/plain/plain.go
@@ -7,17 +7,17 @@
 	"encoding/json"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/client/session"
 	"postjunction/internal/configuration/strictjson"
 	"postjunction/internal/door/lines"
 	"postjunction/internal/rawjson"
-	"postjunction/internal/visitor/visit"
 )
 
 // Codec reads and writes JSON lines.
 type Codec struct{}
 
 type task struct {
-	Verb    visit.Verb      `json:"verb"`
+	Verb    session.Verb    `json:"verb"`
 	Visitor string          `json:"visitor,omitempty"`
 	Topic   string          `json:"topic,omitempty"`
 	Cursor  string          `json:"cursor,omitempty"`
@@ -29,8 +29,8 @@
 }
 
 type answer struct {
-	What    visit.What      `json:"what"`
-	Re      visit.Verb      `json:"re,omitempty"`
+	What    session.What    `json:"what"`
+	Re      session.Verb    `json:"re,omitempty"`
 	Topic   string          `json:"topic,omitempty"`
 	From    string          `json:"from,omitempty"`
 	Call    uint64          `json:"call_seq,omitempty"`
@@ -58,19 +58,19 @@
 		"call_seq": {Kind: strictjson.Count}, "body": {Kind: strictjson.Any},
 		"key": text, "of": text, "upto": {Kind: strictjson.Count},
 	}
-	needs = map[visit.Verb][]string{
-		visit.Attach:    {"visitor"},
-		visit.Join:      {"topic"},
-		visit.Leave:     {"topic"},
-		visit.Send:      {"topic", "call_seq", "body"},
-		visit.Count:     {"topic"},
-		visit.Heartbeat: nil,
+	needs = map[session.Verb][]string{
+		session.Attach:    {"visitor"},
+		session.Join:      {"topic"},
+		session.Leave:     {"topic"},
+		session.Send:      {"topic", "call_seq", "body"},
+		session.Count:     {"topic"},
+		session.Heartbeat: nil,
 
-		visit.Withdraw: {"topic", "key", "call_seq"},
+		session.Withdraw: {"topic", "key", "call_seq"},
 	}
-	may    = map[visit.Verb][]string{visit.Join: {"cursor"}, visit.Send: {"key"}, visit.Withdraw: {"of", "upto"}}
-	shapes = func() map[visit.Verb]strictjson.Shape {
-		m := map[visit.Verb]strictjson.Shape{}
+	may    = map[session.Verb][]string{session.Join: {"cursor"}, session.Send: {"key"}, session.Withdraw: {"of", "upto"}}
+	shapes = func() map[session.Verb]strictjson.Shape {
+		m := map[session.Verb]strictjson.Shape{}
 		for v, fs := range needs {
 			s := strictjson.Shape{Kind: strictjson.Object, Needed: append([]string{"verb"}, fs...), Fields: map[string]strictjson.Shape{"verb": text}}
 			for _, f := range append(may[v], fs...) {
@@ -83,22 +83,22 @@
 )
 
 // Read reads one line as a task.
-func (Codec) Read(r *bufio.Reader, body int) (visit.Task, error) {
+func (Codec) Read(r *bufio.Reader, body int) (session.Task, error) {
 	b, err := lines.Line(r, body+roomBytes)
 	if err != nil {
-		return visit.Task{}, err
+		return session.Task{}, err
 	}
 	var q task
 	if err := json.Unmarshal(b, &q); err != nil {
-		return visit.Task{}, lines.Malformed(true, "the line is no JSON object of a task")
+		return session.Task{}, lines.Malformed(true, "the line is no JSON object of a task")
 	}
-	t := visit.Task{Verb: q.Verb, Visitor: q.Visitor, Topic: q.Topic, Cursor: q.Cursor, Call: q.Call, Body: q.Body, Of: q.Of, Upto: q.Upto}
+	t := session.Task{Verb: q.Verb, Visitor: q.Visitor, Topic: q.Topic, Cursor: q.Cursor, Call: q.Call, Body: q.Body, Of: q.Of, Upto: q.Upto}
 	if q.Key != nil {
 		t.Key = *q.Key
 	}
 	s, ok := shapes[q.Verb]
 	if !ok {
-		return visit.Task{}, lines.Malformed(true, "there is no verb %q", q.Verb)
+		return session.Task{}, lines.Malformed(true, "there is no verb %q", q.Verb)
 	}
 	f, err := strictjson.Check(b, s)
 	if err != nil {
@@ -118,9 +118,9 @@
 }
 
 // Append writes an answer as one line.
-func (Codec) Append(b []byte, a visit.Answer) []byte {
+func (Codec) Append(b []byte, a session.Answer) []byte {
 	x := answer{What: a.What, Re: a.Re, Topic: a.Topic, From: a.From, Call: a.Call, Cursor: a.Cursor, Key: a.Key, Address: a.Address, Already: a.Already, GivenUp: a.GivenUp}
-	if a.What == visit.Counted {
+	if a.What == session.Counted {
 		x.Count = &a.Count
 	}
 	if a.Body != nil {
@@ -132,7 +132,7 @@
 	}
 	l, err := rawjson.JSON(x)
 	if err != nil {
-		l, _ = rawjson.JSON(answer{What: visit.Turned, Re: a.Re, Topic: a.Topic, Call: a.Call, Code: apierror.Internal})
+		l, _ = rawjson.JSON(answer{What: session.Turned, Re: a.Re, Topic: a.Topic, Call: a.Call, Code: apierror.Internal})
 	}
 	return append(append(b, l...), '\n')
 }
--- a/internal/door/lines/plain/plain_test.go
+++ b/internal/door/lines/plain/plain_test.go
@@ -12,29 +12,29 @@
 	"gotest.tools/v3/golden"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/client/session"
 	"postjunction/internal/door/lines"
-	"postjunction/internal/visitor/visit"
 )
 
 func TestAnswersAreApproved(t *testing.T) {
 	var b []byte
-	for _, a := range []visit.Answer{
-		{What: visit.Attached},
-		{What: visit.Joined, Topic: "a/b", Cursor: "c1"},
-		{What: visit.Message, Topic: "a/b", Cursor: "c2", From: "v1", Call: 7, Body: []byte(`{"x":"<&>"}`)},
-		{What: visit.Message, Topic: "a/b", Cursor: "c3", From: "v1", Call: 8, Body: []byte("no json\nat all")},
-		{What: visit.Taken, Topic: "a/b", Call: 7},
-		{What: visit.Left, Topic: "a/b"},
-		{What: visit.Counted, Topic: "a/b"},
-		{What: visit.Alive},
-		{What: visit.Turned, Re: visit.Send, Topic: "a/b", Call: 9, Err: apierror.New(apierror.Overloaded, "64 wait")},
-		{What: visit.Turned, Re: visit.Join, Topic: "a/b", Err: io.EOF},
-		{What: visit.Moved, Address: "127.0.0.1:7400"},
-		{What: visit.Message, Topic: "a/b", Cursor: "c4", From: "v1", Call: 10, Body: []byte(`1`), Key: "k1", Partition: 3, Offset: 9},
-		{What: visit.Withdrawn, Topic: "a/b", Cursor: "c5", From: "v1", Call: 11, Key: "k1", Partition: 3, Offset: 10},
-		{What: visit.Forgotten, Topic: "a/b", Call: 11, Key: "k1"},
-		{What: visit.Forgotten, Topic: "a/b", Call: 12, Key: "k1", Already: true, GivenUp: []string{"a3"}},
-		{What: visit.Turned, Re: visit.Withdraw, Topic: "a/b", Call: 13, Key: "k1", GivenUp: []string{"a3"}, Err: apierror.New(apierror.WithdrawalOpen, "a2")},
+	for _, a := range []session.Answer{
+		{What: session.Attached},
+		{What: session.Joined, Topic: "a/b", Cursor: "c1"},
+		{What: session.Message, Topic: "a/b", Cursor: "c2", From: "v1", Call: 7, Body: []byte(`{"x":"<&>"}`)},
+		{What: session.Message, Topic: "a/b", Cursor: "c3", From: "v1", Call: 8, Body: []byte("no json\nat all")},
+		{What: session.Taken, Topic: "a/b", Call: 7},
+		{What: session.Left, Topic: "a/b"},
+		{What: session.Counted, Topic: "a/b"},
+		{What: session.Alive},
+		{What: session.Turned, Re: session.Send, Topic: "a/b", Call: 9, Err: apierror.New(apierror.Overloaded, "64 wait")},
+		{What: session.Turned, Re: session.Join, Topic: "a/b", Err: io.EOF},
+		{What: session.Moved, Address: "127.0.0.1:7400"},
+		{What: session.Message, Topic: "a/b", Cursor: "c4", From: "v1", Call: 10, Body: []byte(`1`), Key: "k1", Partition: 3, Offset: 9},
+		{What: session.Withdrawn, Topic: "a/b", Cursor: "c5", From: "v1", Call: 11, Key: "k1", Partition: 3, Offset: 10},
+		{What: session.Forgotten, Topic: "a/b", Call: 11, Key: "k1"},
+		{What: session.Forgotten, Topic: "a/b", Call: 12, Key: "k1", Already: true, GivenUp: []string{"a3"}},
+		{What: session.Turned, Re: session.Withdraw, Topic: "a/b", Call: 13, Key: "k1", GivenUp: []string{"a3"}, Err: apierror.New(apierror.WithdrawalOpen, "a2")},
 	} {
 		b = Codec{}.Append(b, a)
 	}
@@ -42,18 +42,18 @@
 }
 
 func TestTasksAreRead(t *testing.T) {
-	cases := map[string]visit.Task{
-		`{"verb":"attach","visitor":"v1"}`:                          {Verb: visit.Attach, Visitor: "v1"},
-		`{"verb":"join","topic":"a/b"}`:                             {Verb: visit.Join, Topic: "a/b"},
-		`{"verb":"join","topic":"a/b","cursor":"c1"}`:               {Verb: visit.Join, Topic: "a/b", Cursor: "c1"},
-		`{"verb":"leave","topic":"a/b"}`:                            {Verb: visit.Leave, Topic: "a/b"},
-		`{"verb":"send","topic":"a/b","call_seq":7,"body":{"x":1}}`: {Verb: visit.Send, Topic: "a/b", Call: 7, Body: []byte(`{"x":1}`)},
-		`{"verb":"count","topic":"a/b"}`:                            {Verb: visit.Count, Topic: "a/b"},
-		`{"verb":"pulse"}`:                                          {Verb: visit.Heartbeat},
+	cases := map[string]session.Task{
+		`{"verb":"attach","visitor":"v1"}`:                          {Verb: session.Attach, Visitor: "v1"},
+		`{"verb":"join","topic":"a/b"}`:                             {Verb: session.Join, Topic: "a/b"},
+		`{"verb":"join","topic":"a/b","cursor":"c1"}`:               {Verb: session.Join, Topic: "a/b", Cursor: "c1"},
+		`{"verb":"leave","topic":"a/b"}`:                            {Verb: session.Leave, Topic: "a/b"},
+		`{"verb":"send","topic":"a/b","call_seq":7,"body":{"x":1}}`: {Verb: session.Send, Topic: "a/b", Call: 7, Body: []byte(`{"x":1}`)},
+		`{"verb":"count","topic":"a/b"}`:                            {Verb: session.Count, Topic: "a/b"},
+		`{"verb":"pulse"}`:                                          {Verb: session.Heartbeat},
 
-		`{"verb":"send","topic":"a/b","call_seq":7,"body":1,"key":"k"}`:               {Verb: visit.Send, Topic: "a/b", Call: 7, Body: []byte(`1`), Key: "k"},
-		`{"verb":"withdraw","topic":"a/b","key":"k","call_seq":8}`:                    {Verb: visit.Withdraw, Topic: "a/b", Key: "k", Call: 8},
-		`{"verb":"withdraw","topic":"a/b","key":"k","call_seq":8,"of":"v2","upto":5}`: {Verb: visit.Withdraw, Topic: "a/b", Key: "k", Call: 8, Of: "v2", Upto: 5},
+		`{"verb":"send","topic":"a/b","call_seq":7,"body":1,"key":"k"}`:               {Verb: session.Send, Topic: "a/b", Call: 7, Body: []byte(`1`), Key: "k"},
+		`{"verb":"withdraw","topic":"a/b","key":"k","call_seq":8}`:                    {Verb: session.Withdraw, Topic: "a/b", Key: "k", Call: 8},
+		`{"verb":"withdraw","topic":"a/b","key":"k","call_seq":8,"of":"v2","upto":5}`: {Verb: session.Withdraw, Topic: "a/b", Key: "k", Call: 8, Of: "v2", Upto: 5},
 	}
 	for s, want := range cases {
 		got, err := Codec{}.Read(bufio.NewReader(strings.NewReader(s+"\n")), 64)
@@ -91,7 +91,7 @@
 		assert.Assert(t, errors.As(err, &f) && f.Sure, s)
 		next, err := Codec{}.Read(r, 5)
 		assert.NilError(t, err)
-		assert.Equal(t, next.Verb, visit.Heartbeat)
+		assert.Equal(t, next.Verb, session.Heartbeat)
 	}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -14,6 +14,7 @@
 	"postjunction/internal/carrier/feed"
 	"postjunction/internal/carrier/presence"
 	"postjunction/internal/client"
+	"postjunction/internal/client/session"
 	"postjunction/internal/clock"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/bootstrap"
@@ -45,7 +46,6 @@
 	"postjunction/internal/settings"
 	"postjunction/internal/visitor/admission"
 	"postjunction/internal/visitor/turned"
-	"postjunction/internal/visitor/visit"
 	"postjunction/internal/wire"
 )
 
@@ -102,7 +102,7 @@
 	Visitors  *client.Service
 	Operators *operator.Service
 	// House takes visits on line sessions.
-	House *visit.House
+	House *session.House
 	hub   *fan.Hub
 
 	leaving chan struct{}
@@ -346,7 +346,7 @@
 		},
 	}
 	n.hub = fan.New(ctx, self, n.boot, n.desk, n.Board, clk, b)
-	n.House = (&visit.House{
+	n.House = (&session.House{
 		Self: self, Clock: clk, Bounds: b, Board: n.Board, Hub: n.hub, Ledger: n.desk, Licensed: n.keeper.Licensed,
 		Leaving: n.leaving, Members: n.View.All, Info: n.Info, Body: o.Body,
 	}).Open(ctx)
--- a/internal/proof/fleet/visits.go
+++ b/internal/proof/fleet/visits.go
@@ -11,11 +11,11 @@
 	"time"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/client/session"
 	"postjunction/internal/proof/guest"
 	"postjunction/internal/proof/sim"
 	"postjunction/internal/proof/stays"
 	"postjunction/internal/settings"
-	"postjunction/internal/visitor/visit"
 )
 
 // Visits are visitors on line sessions of a fleet, who carry keys and withdraw.
@@ -34,20 +34,20 @@
 
 // asked is a task and told an answer as they stand on a line.
 type asked struct {
-	Verb    visit.Verb `json:"verb"`
-	Visitor string     `json:"visitor,omitempty"`
-	Topic   string     `json:"topic,omitempty"`
-	Cursor  string     `json:"cursor,omitempty"`
-	Call    uint64     `json:"call_seq,omitempty"`
-	Body    *string    `json:"body,omitempty"`
-	Key     string     `json:"key,omitempty"`
-	Of      string     `json:"of,omitempty"`
-	Upto    uint64     `json:"upto,omitempty"`
+	Verb    session.Verb `json:"verb"`
+	Visitor string       `json:"visitor,omitempty"`
+	Topic   string       `json:"topic,omitempty"`
+	Cursor  string       `json:"cursor,omitempty"`
+	Call    uint64       `json:"call_seq,omitempty"`
+	Body    *string      `json:"body,omitempty"`
+	Key     string       `json:"key,omitempty"`
+	Of      string       `json:"of,omitempty"`
+	Upto    uint64       `json:"upto,omitempty"`
 }
 
 type told struct {
-	What    visit.What    `json:"what"`
-	Re      visit.Verb    `json:"re"`
+	What    session.What  `json:"what"`
+	Re      session.Verb  `json:"re"`
 	Topic   string        `json:"topic"`
 	From    string        `json:"from"`
 	Call    uint64        `json:"call_seq"`
@@ -60,8 +60,8 @@
 	Say     string        `json:"say"`
 }
 
-func (a told) answer() visit.Answer {
-	x := visit.Answer{What: a.What, Re: a.Re, Topic: a.Topic, From: a.From, Call: a.Call, Cursor: a.Cursor, Key: a.Key, Count: a.Count, Body: []byte(a.Body), Address: a.Address}
+func (a told) answer() session.Answer {
+	x := session.Answer{What: a.What, Re: a.Re, Topic: a.Topic, From: a.From, Call: a.Call, Cursor: a.Cursor, Key: a.Key, Count: a.Count, Body: []byte(a.Body), Address: a.Address}
 	if a.Code != "" {
 		x.Err = &apierror.Problem{Kind: a.Code, Say: a.Say}
 	}
@@ -79,9 +79,9 @@
 }
 
 // Do sends a task.
-func (l *wired) Do(t visit.Task) {
+func (l *wired) Do(t session.Task) {
 	q := asked{Verb: t.Verb, Visitor: t.Visitor, Topic: t.Topic, Cursor: t.Cursor, Call: t.Call, Key: t.Key, Of: t.Of, Upto: t.Upto}
-	if t.Verb == visit.Send {
+	if t.Verb == session.Send {
 		s := string(t.Body)
 		q.Body = &s
 	}
@@ -123,7 +123,7 @@
 	}
 }
 
-func (l *wired) read(hear func(visit.Answer, time.Time), broken func()) {
+func (l *wired) read(hear func(session.Answer, time.Time), broken func()) {
 	defer l.End()
 	defer broken()
 	r := bufio.NewReader(l.c)
@@ -135,10 +135,10 @@
 		}
 		var a told
 		if err := json.Unmarshal(b, &a); err != nil {
-			hear(visit.Answer{What: visit.What(fmt.Sprintf("%.200s: %v", b, err))}, now)
+			hear(session.Answer{What: session.What(fmt.Sprintf("%.200s: %v", b, err))}, now)
 			return
 		}
-		if a.What == visit.Message {
+		if a.What == session.Message {
 			now = now.Add(-unread)
 		}
 		hear(a.answer(), now)
@@ -164,7 +164,7 @@
 }
 
 func (v *Visits) door(p *Process) guest.Door {
-	return guest.Door{Address: p.Opts.Visits, Enter: func(hear func(visit.Answer, time.Time), broken func()) guest.Line {
+	return guest.Door{Address: p.Opts.Visits, Enter: func(hear func(session.Answer, time.Time), broken func()) guest.Line {
 		c, err := (&net.Dialer{Timeout: time.Second}).DialContext(v.ctx, "tcp", p.Opts.Visits)
 		if err != nil {
 			return nil
--- a/internal/proof/guest/guest.go
+++ b/internal/proof/guest/guest.go
@@ -13,13 +13,13 @@
 	"time"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/client/session"
 	"postjunction/internal/proof/stays"
-	"postjunction/internal/visitor/visit"
 )
 
 // Line is one connection to a node. End is its closing by the visitor.
 type Line interface {
-	Do(t visit.Task)
+	Do(t session.Task)
 	End()
 }
 
@@ -27,7 +27,7 @@
 // the connection took its last byte, broken the end of the connection, if the visitor did not end it itself.
 type Door struct {
 	Address string
-	Enter   func(hear func(a visit.Answer, shown time.Time), broken func()) Line
+	Enter   func(hear func(a session.Answer, shown time.Time), broken func()) Line
 }
 
 // Topic is something that a guest follows, from a cursor that another was given with a message, if there is one.
@@ -103,7 +103,7 @@
 
 type heard struct {
 	serial int
-	a      visit.Answer
+	a      session.Answer
 	shown  time.Time
 	broken bool
 }
@@ -293,16 +293,16 @@
 	g.serial++
 	n := g.serial
 	g.mu.Unlock()
-	g.line = d.Enter(func(a visit.Answer, shown time.Time) { g.hear(heard{serial: n, a: a, shown: shown}) }, func() { g.hear(heard{serial: n, broken: true}) })
+	g.line = d.Enter(func(a session.Answer, shown time.Time) { g.hear(heard{serial: n, a: a, shown: shown}) }, func() { g.hear(heard{serial: n, broken: true}) })
 	if g.line == nil {
 		g.back = now.Add(g.span(g.Habits.Keepalive / 2))
 		return
 	}
 	g.begun, g.heardAt, g.up = now, now, false
-	g.say(now, visit.Task{Verb: visit.Attach, Visitor: g.Name})
+	g.say(now, session.Task{Verb: session.Attach, Visitor: g.Name})
 }
 
-func (g *Guest) say(now time.Time, t visit.Task) {
+func (g *Guest) say(now time.Time, t session.Task) {
 	g.saidAt = now
 	g.line.Do(t)
 }
@@ -344,7 +344,7 @@
 		t := g.subs[g.Rand.IntN(len(g.subs))].Name
 		if _, ok := g.counted[t]; !ok {
 			g.counted[t] = now
-			g.say(now, visit.Task{Verb: visit.Count, Topic: t})
+			g.say(now, session.Task{Verb: session.Count, Topic: t})
 		}
 	}
 	for _, s := range g.subs {
@@ -358,7 +358,7 @@
 		}
 	}
 	if now.Sub(g.saidAt) > h.Keepalive {
-		g.say(now, visit.Task{Verb: visit.Heartbeat})
+		g.say(now, session.Task{Verb: session.Heartbeat})
 	}
 }
 
@@ -376,13 +376,13 @@
 		}
 		s.state, s.since = asked, now
 		s.here = g.Book.Here(s.Name, now)
-		g.say(now, visit.Task{Verb: visit.Join, Topic: s.Name, Cursor: s.cursor})
+		g.say(now, session.Task{Verb: session.Join, Topic: s.Name, Cursor: s.cursor})
 	case !s.want && s.state == joined:
 		s.stay.Ended(now)
 		s.here.Gone(now)
 		s.here = nil
 		s.state, s.since = dropping, now
-		g.say(now, visit.Task{Verb: visit.Leave, Topic: s.Name})
+		g.say(now, session.Task{Verb: session.Leave, Topic: s.Name})
 	case !s.want && s.state == idle && s.stay != nil:
 		s.stay.Ended(now)
 		s.stay = nil
@@ -429,7 +429,7 @@
 		}
 		m.out, m.asked = true, now
 		if w := m.draw; w != nil {
-			g.say(now, visit.Task{Verb: visit.Withdraw, Topic: l.Topic, Call: m.call, Key: w.Key, Of: w.Of, Upto: w.Upto})
+			g.say(now, session.Task{Verb: session.Withdraw, Topic: l.Topic, Call: m.call, Key: w.Key, Of: w.Of, Upto: w.Upto})
 			continue
 		}
 		if m.call == 0 {
@@ -440,7 +440,7 @@
 			}
 		}
 		g.Book.Try(stays.Message{Topic: l.Topic, From: g.Name, Call: m.call}, m.key, m.body, now)
-		g.say(now, visit.Task{Verb: visit.Send, Topic: l.Topic, Call: m.call, Key: m.key, Body: []byte(m.body)})
+		g.say(now, session.Task{Verb: session.Send, Topic: l.Topic, Call: m.call, Key: m.key, Body: []byte(m.body)})
 	}
 	return true
 }
@@ -477,10 +477,10 @@
 	return nil, nil
 }
 
-var takes = map[visit.What]func(g *Guest, now time.Time, a visit.Answer){
-	visit.Attached: func(g *Guest, _ time.Time, _ visit.Answer) { g.up = true },
-	visit.Alive:    func(*Guest, time.Time, visit.Answer) {},
-	visit.Joined: func(g *Guest, now time.Time, a visit.Answer) {
+var takes = map[session.What]func(g *Guest, now time.Time, a session.Answer){
+	session.Attached: func(g *Guest, _ time.Time, _ session.Answer) { g.up = true },
+	session.Alive:    func(*Guest, time.Time, session.Answer) {},
+	session.Joined: func(g *Guest, now time.Time, a session.Answer) {
 		s := g.sub(a.Topic)
 		if s == nil || s.state != asked {
 			g.Book.Breach(stays.Mixed, "%s was told that it joined %s, which it did not ask", g.Name, a.Topic)
@@ -494,7 +494,7 @@
 		}
 		s.cursor = a.Cursor
 	},
-	visit.Left: func(g *Guest, now time.Time, a visit.Answer) {
+	session.Left: func(g *Guest, now time.Time, a session.Answer) {
 		s := g.sub(a.Topic)
 		if s == nil || s.state != dropping {
 			g.Book.Breach(stays.Mixed, "%s was told that it left %s, which it did not ask", g.Name, a.Topic)
@@ -502,7 +502,7 @@
 		}
 		s.state, s.stay, s.cursor, s.retry = dropped, nil, "", now
 	},
-	visit.Message: func(g *Guest, now time.Time, a visit.Answer) {
+	session.Message: func(g *Guest, now time.Time, a session.Answer) {
 		m := stays.Message{Topic: a.Topic, From: a.From, Call: a.Call}
 		s := g.sub(a.Topic)
 		if s == nil || s.state == idle || s.state == dropped {
@@ -519,13 +519,13 @@
 			g.Saved(Topic{Name: s.Name, Kept: true, Cursor: a.Cursor, Place: m, Given: now})
 		}
 	},
-	visit.Taken: func(g *Guest, now time.Time, a visit.Answer) {
+	session.Taken: func(g *Guest, now time.Time, a session.Answer) {
 		g.Book.Taken(stays.Message{Topic: a.Topic, From: g.Name, Call: a.Call}, now)
 		if l, m := g.message(a.Topic, a.Call); m != nil {
 			l.ms = slices.DeleteFunc(l.ms, func(x *message) bool { return x == m })
 		}
 	},
-	visit.Forgotten: func(g *Guest, now time.Time, a visit.Answer) {
+	session.Forgotten: func(g *Guest, now time.Time, a session.Answer) {
 		l, m := g.message(a.Topic, a.Call)
 		if m == nil {
 			return
@@ -537,8 +537,8 @@
 		m.draw.Forgotten(stays.Place{Partition: a.Partition, Offset: a.Offset}, g.shown)
 		l.ms = slices.DeleteFunc(l.ms, func(x *message) bool { return x == m })
 	},
-	visit.Withdrawn: func(g *Guest, now time.Time, a visit.Answer) { g.Book.Told(g.Name, a.Topic, a.Key, now) },
-	visit.Counted: func(g *Guest, now time.Time, a visit.Answer) {
+	session.Withdrawn: func(g *Guest, now time.Time, a session.Answer) { g.Book.Told(g.Name, a.Topic, a.Key, now) },
+	session.Counted: func(g *Guest, now time.Time, a session.Answer) {
 		at, ok := g.counted[a.Topic]
 		if !ok {
 			g.Book.Breach(stays.Mixed, "%s was told a count of %s, which it did not ask", g.Name, a.Topic)
@@ -547,7 +547,7 @@
 		delete(g.counted, a.Topic)
 		g.Book.Count(a.Topic, a.Count, at, now, g.Calm())
 	},
-	visit.Turned: func(g *Guest, now time.Time, a visit.Answer) {
+	session.Turned: func(g *Guest, now time.Time, a session.Answer) {
 		f, ok := turns[a.Re]
 		if !ok || a.Err == nil {
 			g.Book.Breach(stays.Mixed, "%s was turned away with %q: %v", g.Name, a.Re, a.Err)
@@ -555,17 +555,17 @@
 		}
 		f(g, now, a)
 	},
-	visit.Moved: func(g *Guest, now time.Time, a visit.Answer) {
+	session.Moved: func(g *Guest, now time.Time, a session.Answer) {
 		g.close(now, g.Habits.Keepalive/tickOf, false)
 		g.to = a.Address
 	},
 }
 
-var turns = map[visit.Verb]func(g *Guest, now time.Time, a visit.Answer){
-	visit.Attach: func(g *Guest, now time.Time, _ visit.Answer) { g.close(now, g.Habits.Keepalive/2, false) },
-	visit.Count:  func(g *Guest, _ time.Time, a visit.Answer) { delete(g.counted, a.Topic) },
-	visit.Leave:  func(g *Guest, now time.Time, _ visit.Answer) { g.close(now, g.Habits.Keepalive/2, false) },
-	visit.Join: func(g *Guest, now time.Time, a visit.Answer) {
+var turns = map[session.Verb]func(g *Guest, now time.Time, a session.Answer){
+	session.Attach: func(g *Guest, now time.Time, _ session.Answer) { g.close(now, g.Habits.Keepalive/2, false) },
+	session.Count:  func(g *Guest, _ time.Time, a session.Answer) { delete(g.counted, a.Topic) },
+	session.Leave:  func(g *Guest, now time.Time, _ session.Answer) { g.close(now, g.Habits.Keepalive/2, false) },
+	session.Join: func(g *Guest, now time.Time, a session.Answer) {
 		s := g.sub(a.Topic)
 		if s == nil || s.state != asked {
 			g.Book.Breach(stays.Mixed, "%s was turned away from %s, which it did not ask: %v", g.Name, a.Topic, a.Err)
@@ -582,7 +582,7 @@
 			g.Book.Breach(stays.Mixed, "%s was told that its cursor %q of %s is bad: %v", g.Name, s.cursor, s.Name, a.Err)
 		}
 	},
-	visit.Withdraw: func(g *Guest, now time.Time, a visit.Answer) {
+	session.Withdraw: func(g *Guest, now time.Time, a session.Answer) {
 		l, m := g.message(a.Topic, a.Call)
 		if m == nil || m.draw == nil {
 			return
@@ -596,7 +596,7 @@
 			l.ms = slices.DeleteFunc(l.ms, func(x *message) bool { return x == m })
 		}
 	},
-	visit.Send: func(g *Guest, now time.Time, a visit.Answer) {
+	session.Send: func(g *Guest, now time.Time, a session.Answer) {
 		k := apierror.Of(a.Err).Kind
 		if Promises[k] {
 			g.Book.Turned(stays.Message{Topic: a.Topic, From: g.Name, Call: a.Call})
--- a/internal/proof/sim/astray_test.go
+++ b/internal/proof/sim/astray_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/visitor/visit"
+	"postjunction/internal/client/session"
 )
 
 // pairs has two access nodes in each zone.
@@ -122,7 +122,7 @@
 				}
 				call++
 				a, ok := h.Send(ground, "", call)
-				assert.Assert(t, ok && a.What == visit.Taken, "after %s: %s %v", time.Since(cut), a.What, a.Err)
+				assert.Assert(t, ok && a.What == session.Taken, "after %s: %s %v", time.Since(cut), a.What, a.Err)
 				time.Sleep(50 * time.Millisecond)
 			}
 			h.End()
--- a/internal/proof/sim/hand.go
+++ b/internal/proof/sim/hand.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/client/session"
 	"postjunction/internal/proof/guest"
 	"postjunction/internal/proof/stays"
-	"postjunction/internal/visitor/visit"
 )
 
 // Hand is a visitor that does what a script says, on one connection to a named machine; what it sees goes into the guests' book.
@@ -29,7 +29,7 @@
 
 // Seen is an answer, and when the connection took its last byte.
 type Seen struct {
-	visit.Answer
+	session.Answer
 	Shown time.Time
 }
 
@@ -42,8 +42,8 @@
 	if h.line == nil {
 		return nil
 	}
-	h.line.Do(visit.Task{Verb: visit.Attach, Visitor: name})
-	if a, ok := h.Wait(0, handLimit, func(a visit.Answer) bool { return a.What == visit.Attached || a.Re == visit.Attach }); !ok || a.What != visit.Attached {
+	h.line.Do(session.Task{Verb: session.Attach, Visitor: name})
+	if a, ok := h.Wait(0, handLimit, func(a session.Answer) bool { return a.What == session.Attached || a.Re == session.Attach }); !ok || a.What != session.Attached {
 		h.line.End()
 		return nil
 	}
@@ -57,7 +57,7 @@
 	for !h.Ended() {
 		select {
 		case <-t.C:
-			h.line.Do(visit.Task{Verb: visit.Heartbeat})
+			h.line.Do(session.Task{Verb: session.Heartbeat})
 		case <-h.g.w.ctx.Done():
 			h.line.End()
 			return
@@ -99,7 +99,7 @@
 // Still has the hand not read for a while.
 func (h *Hand) Still(d time.Duration) { h.line.Still(d) }
 
-func (h *Hand) hear(a visit.Answer, shown time.Time) {
+func (h *Hand) hear(a session.Answer, shown time.Time) {
 	h.mu.Lock()
 	if h.ended {
 		h.mu.Unlock()
@@ -110,16 +110,16 @@
 	h.mu.Unlock()
 	now, b := time.Now(), h.g.Book
 	switch a.What {
-	case visit.Joined:
+	case session.Joined:
 		s.Joined(now)
-	case visit.Message:
+	case session.Message:
 		s.Got(stays.Message{Topic: a.Topic, From: a.From, Call: a.Call}, string(a.Body), stays.Place{Partition: a.Partition, Offset: a.Offset}, shown)
-	case visit.Taken:
+	case session.Taken:
 		b.Taken(stays.Message{Topic: a.Topic, From: h.Name, Call: a.Call}, now)
-	case visit.Withdrawn:
+	case session.Withdrawn:
 		b.Told(h.Name, a.Topic, a.Key, now)
-	case visit.Turned:
-		if a.Re == visit.Send && guest.Promises[apierror.Of(a.Err).Kind] {
+	case session.Turned:
+		if a.Re == session.Send && guest.Promises[apierror.Of(a.Err).Kind] {
 			b.Turned(stays.Message{Topic: a.Topic, From: h.Name, Call: a.Call})
 		}
 	}
@@ -141,7 +141,7 @@
 }
 
 // Wait waits for an answer behind a mark.
-func (h *Hand) Wait(from int, limit time.Duration, ok func(visit.Answer) bool) (Seen, bool) {
+func (h *Hand) Wait(from int, limit time.Duration, ok func(session.Answer) bool) (Seen, bool) {
 	end := time.NewTimer(limit)
 	defer end.Stop()
 	for {
@@ -174,9 +174,11 @@
 	}
 	n := len(h.seen)
 	h.mu.Unlock()
-	h.line.Do(visit.Task{Verb: visit.Join, Topic: topic, Cursor: cursor})
-	s, ok := h.Wait(n, handLimit, func(a visit.Answer) bool { return a.Topic == topic && (a.What == visit.Joined || a.Re == visit.Join) })
-	return s, ok && s.What == visit.Joined
+	h.line.Do(session.Task{Verb: session.Join, Topic: topic, Cursor: cursor})
+	s, ok := h.Wait(n, handLimit, func(a session.Answer) bool {
+		return a.Topic == topic && (a.What == session.Joined || a.Re == session.Join)
+	})
+	return s, ok && s.What == session.Joined
 }
 
 // Resume goes on where another hand of the same name has ended, on the stay of that.
@@ -207,15 +209,15 @@
 // Post sends without waiting.
 func (h *Hand) Post(topic, key string, call uint64) {
 	h.g.Book.Try(stays.Message{Topic: topic, From: h.Name, Call: call}, key, h.Body(call), time.Now())
-	h.line.Do(visit.Task{Verb: visit.Send, Topic: topic, Key: key, Call: call, Body: []byte(h.Body(call))})
+	h.line.Do(session.Task{Verb: session.Send, Topic: topic, Key: key, Call: call, Body: []byte(h.Body(call))})
 }
 
 // Send sends and gives the answer.
 func (h *Hand) Send(topic, key string, call uint64) (Seen, bool) {
 	n := h.Mark()
 	h.Post(topic, key, call)
-	return h.Wait(n, handLimit, func(a visit.Answer) bool {
-		return a.Topic == topic && a.Call == call && (a.What == visit.Taken || a.Re == visit.Send)
+	return h.Wait(n, handLimit, func(a session.Answer) bool {
+		return a.Topic == topic && a.Call == call && (a.What == session.Taken || a.Re == session.Send)
 	})
 }
 
@@ -223,7 +225,7 @@
 func (h *Hand) Sent(topic, key string, call uint64) bool {
 	for range 20 {
 		s, ok := h.Send(topic, key, call)
-		if ok && s.What == visit.Taken {
+		if ok && s.What == session.Taken {
 			return true
 		}
 		if ok && guest.Promises[apierror.Of(s.Err).Kind] {
@@ -239,13 +241,13 @@
 	w.By = h.Name
 	x := h.g.Book.Withdraw(w, time.Now())
 	n := h.Mark()
-	h.line.Do(visit.Task{Verb: visit.Withdraw, Topic: w.Topic, Key: w.Key, Call: w.Call, Of: w.Of, Upto: w.Upto})
-	s, ok := h.Wait(n, handLimit, func(a visit.Answer) bool {
-		return a.Topic == w.Topic && a.Call == w.Call && (a.What == visit.Forgotten || a.Re == visit.Withdraw)
+	h.line.Do(session.Task{Verb: session.Withdraw, Topic: w.Topic, Key: w.Key, Call: w.Call, Of: w.Of, Upto: w.Upto})
+	s, ok := h.Wait(n, handLimit, func(a session.Answer) bool {
+		return a.Topic == w.Topic && a.Call == w.Call && (a.What == session.Forgotten || a.Re == session.Withdraw)
 	})
 	switch {
 	case !ok:
-	case s.What == visit.Forgotten:
+	case s.What == session.Forgotten:
 		x.Forgotten(stays.Place{Partition: s.Partition, Offset: s.Offset}, s.Shown)
 	case apierror.Has(s.Err, apierror.WithdrawalOpen):
 		x.Stands(time.Now())
--- a/internal/proof/sim/socket.go
+++ b/internal/proof/sim/socket.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/client/session"
 	"postjunction/internal/door/lines"
 	"postjunction/internal/node"
-	"postjunction/internal/visitor/visit"
 )
 
 // socketBytes is what a simulated connection takes of what its reader has not read.
@@ -155,7 +155,7 @@
 type words struct{}
 
 type worded struct {
-	visit.Answer
+	session.Answer
 	Err     *apierror.Problem
 	Failure string
 }
@@ -163,7 +163,7 @@
 const wordsMost = 64 << 10
 
 // Read reads one line as a task.
-func (words) Read(r *bufio.Reader, _ int) (t visit.Task, err error) {
+func (words) Read(r *bufio.Reader, _ int) (t session.Task, err error) {
 	b, err := lines.Line(r, wordsMost)
 	if err != nil {
 		return t, err
@@ -172,7 +172,7 @@
 }
 
 // Append writes an answer as one line.
-func (words) Append(b []byte, a visit.Answer) []byte {
+func (words) Append(b []byte, a session.Answer) []byte {
 	w := worded{Answer: a}
 	if a.Err != nil {
 		w.Err = apierror.Of(a.Err)
@@ -185,7 +185,7 @@
 	return append(append(b, l...), '\n')
 }
 
-func unworded(l []byte) visit.Answer {
+func unworded(l []byte) session.Answer {
 	var w worded
 	if err := json.Unmarshal(l, &w); err != nil {
 		panic(err)
@@ -234,10 +234,10 @@
 	}
 }
 
-type house struct{ *visit.House }
+type house struct{ *session.House }
 
 // Enter begins a visit.
-func (h house) Enter(out visit.Out) lines.Guest { return h.House.Enter(out) }
+func (h house) Enter(out session.Out) lines.Guest { return h.House.Enter(out) }
 
 // porch is what serves visits on a machine's process.
 type porch struct {
--- a/internal/proof/sim/visits.go
+++ b/internal/proof/sim/visits.go
@@ -12,11 +12,11 @@
 	"sync/atomic"
 	"time"
 
+	"postjunction/internal/client/session"
 	"postjunction/internal/clock"
 	"postjunction/internal/ledger/desk"
 	"postjunction/internal/proof/guest"
 	"postjunction/internal/proof/stays"
-	"postjunction/internal/visitor/visit"
 )
 
 // Guests are the visitors of a world on line sessions.
@@ -45,7 +45,7 @@
 	m    *Machine
 	run  int
 	c    *socket
-	hear func(visit.Answer, time.Time)
+	hear func(session.Answer, time.Time)
 	over func()
 	once sync.Once
 	dead chan struct{}
@@ -67,7 +67,7 @@
 }
 
 // Do sends a task.
-func (s *lineSession) Do(t visit.Task) {
+func (s *lineSession) Do(t session.Task) {
 	b, err := json.Marshal(t)
 	if err != nil {
 		panic(err)
@@ -183,7 +183,7 @@
 }
 
 func (g *Guests) door(m *Machine) guest.Door {
-	return guest.Door{Address: m.Opts.Visits, Enter: func(hear func(visit.Answer, time.Time), broken func()) guest.Line {
+	return guest.Door{Address: m.Opts.Visits, Enter: func(hear func(session.Answer, time.Time), broken func()) guest.Line {
 		if s := g.connect(m, false, hear, broken); s != nil {
 			return s
 		}
@@ -192,7 +192,7 @@
 }
 
 // connect opens a connection to a machine, nil where nobody takes it. A scripted one is never drawn to rest, from its first moment on.
-func (g *Guests) connect(m *Machine, scripted bool, hear func(visit.Answer, time.Time), broken func()) *lineSession {
+func (g *Guests) connect(m *Machine, scripted bool, hear func(session.Answer, time.Time), broken func()) *lineSession {
 	sv := m.services()
 	p, run := m.visits()
 	if p == nil || sv == nil {
--- a/internal/proof/sim/withdraw_test.go
+++ b/internal/proof/sim/withdraw_test.go
@@ -10,11 +10,11 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/client/session"
 	"postjunction/internal/ledger/desk"
 	"postjunction/internal/partition"
 	"postjunction/internal/proof/guest"
 	"postjunction/internal/proof/stays"
-	"postjunction/internal/visitor/visit"
 )
 
 // fourth is traductores with three access machines.
@@ -88,7 +88,9 @@
 // wait lets a hand get a message.
 func (s *scene) wait(h *Hand, call uint64) {
 	s.t.Helper()
-	_, ok := h.Wait(0, handLimit, func(a visit.Answer) bool { return a.What == visit.Message && a.From == s.lead.Name && a.Call == call })
+	_, ok := h.Wait(0, handLimit, func(a session.Answer) bool {
+		return a.What == session.Message && a.From == s.lead.Name && a.Call == call
+	})
 	assert.Assert(s.t, ok, "%s never got %d", h.Name, call)
 }
 
@@ -116,7 +118,7 @@
 	end := time.Now().Add(limit)
 	for {
 		a, ok := s.lead.Withdraw(w)
-		if ok && a.What == visit.Forgotten {
+		if ok && a.What == session.Forgotten {
 			return a
 		}
 		assert.Assert(s.t, time.Now().Before(end), "no yes within %s: %v %s %v", limit, ok, a.What, a.Err)
@@ -151,7 +153,7 @@
 // got tells whether a hand was shown a call of the lead after a moment.
 func (s *scene) got(h *Hand, call uint64, after time.Time) bool {
 	return slices.ContainsFunc(h.All(), func(x Seen) bool {
-		return x.What == visit.Message && x.Topic == ground && x.From == s.lead.Name && x.Call == call && x.Shown.After(after)
+		return x.What == session.Message && x.Topic == ground && x.From == s.lead.Name && x.Call == call && x.Shown.After(after)
 	})
 }
 
@@ -249,7 +251,9 @@
 		if _, ok := h.Resume(was, ground); !ok {
 			return false
 		}
-		_, ok := h.Wait(0, time.Second, func(a visit.Answer) bool { return a.What == visit.Message && a.From == s.lead.Name && a.Call == last })
+		_, ok := h.Wait(0, time.Second, func(a session.Answer) bool {
+			return a.What == session.Message && a.From == s.lead.Name && a.Call == last
+		})
 		return ok
 	})
 	assert.NilError(s.t, err)
@@ -415,11 +419,11 @@
 			_, ok := s.lead.Withdraw(stays.Withdrawal{Topic: ground, Key: "race", Call: d, Of: "lead", Upto: m})
 			assert.Assert(s.t, ok)
 			<-sent
-			a, ok := twin.Wait(0, handLimit, func(a visit.Answer) bool {
-				return a.Call == m && (a.What == visit.Taken || a.Re == visit.Send && guest.Promises[apierror.Of(a.Err).Kind])
+			a, ok := twin.Wait(0, handLimit, func(a session.Answer) bool {
+				return a.Call == m && (a.What == session.Taken || a.Re == session.Send && guest.Promises[apierror.Of(a.Err).Kind])
 			})
 			assert.Assert(s.t, ok, "no answer to %d", m)
-			if a.What == visit.Taken {
+			if a.What == session.Taken {
 				taken++
 			} else {
 				assert.Assert(s.t, apierror.Has(a.Err, apierror.CallPassed), "%v", a.Err)
@@ -432,7 +436,7 @@
 		for i := range 5 {
 			n := uint64(10 * (i + 1))
 			a, ok := s.lead.Withdraw(stays.Withdrawal{Topic: ground, Key: "foe", Call: s.next(), Of: "foe", Upto: n})
-			assert.Assert(s.t, ok && a.What == visit.Forgotten, "%v", a.Err)
+			assert.Assert(s.t, ok && a.What == session.Forgotten, "%v", a.Err)
 			a, ok = foe.Send(ground, "foe", n-1)
 			assert.Assert(s.t, ok && apierror.Has(a.Err, apierror.CallPassed), "%s %v", a.What, a.Err)
 			assert.Assert(s.t, foe.Sent(ground, "foe", n+1))
@@ -457,7 +461,7 @@
 		other := s.again("a3", "other")
 		s.write("turn", 1)
 		a, ok = other.Withdraw(stays.Withdrawal{Topic: ground, Key: "turn", Call: 1})
-		assert.Assert(s.t, ok && a.What == visit.Forgotten, "%s %v", a.What, a.Err)
+		assert.Assert(s.t, ok && a.What == session.Forgotten, "%s %v", a.What, a.Err)
 		s.write("turn", 1)
 		s.wait(s.far, s.call)
 		s.wait(s.reader, s.call)
@@ -487,7 +491,7 @@
 		s.w.Heal()
 		s.yes(x, s.w.Site.Bounds.Recovery)
 		a, ok = other.Withdraw(y)
-		assert.Assert(s.t, ok && a.What == visit.Forgotten, "%s %v", a.What, a.Err)
+		assert.Assert(s.t, ok && a.What == session.Forgotten, "%s %v", a.What, a.Err)
 		s.resumed()
 		s.wait(s.reader, anew)
 		other.End()
@@ -601,7 +605,9 @@
 		if _, ok := s.reader.Follow(ground, ""); !ok || !s.lead.Sent(ground, "turn", s.next()) {
 			return false
 		}
-		_, ok := s.reader.Wait(0, time.Second, func(a visit.Answer) bool { return a.What == visit.Message && a.From == s.lead.Name && a.Call == s.call })
+		_, ok := s.reader.Wait(0, time.Second, func(a session.Answer) bool {
+			return a.What == session.Message && a.From == s.lead.Name && a.Call == s.call
+		})
 		return ok
 	})
 	assert.NilError(s.t, err)
