--- a/internal/visitor/turned/turned.go
+++ b/internal/client/rejections/turned.go
@@ -1,5 +1,5 @@
-// Package turned remembers, within bounds, which calls a node turned away and why.
-package turned
+// Package rejections remembers, within bounds, which calls a node turned away and why.
+package rejections
 
 import (
 	"context"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -14,6 +14,7 @@
 	"postjunction/internal/carrier/feed"
 	"postjunction/internal/carrier/presence"
 	"postjunction/internal/client"
+	"postjunction/internal/client/rejections"
 	"postjunction/internal/client/session"
 	"postjunction/internal/clock"
 	"postjunction/internal/control/acceptor"
@@ -45,7 +46,6 @@
 	"postjunction/internal/recordtype"
 	"postjunction/internal/settings"
 	"postjunction/internal/visitor/admission"
-	"postjunction/internal/visitor/turned"
 	"postjunction/internal/wire"
 )
 
@@ -90,7 +90,7 @@
 	desk         *desk.Desk
 	presence     *presence.Presence
 	gates        *admission.Gates
-	turned       turned.Memory
+	turned       rejections.Memory
 	founder      *bootstrap.Founder
 	leaves       *bootstrap.Leaves
 	reconfigurer *reconfigurer.Reconfigurer
@@ -332,7 +332,7 @@
 	n.desk = &desk.Desk{Self: self, Net: net, Clock: clk, Bounds: b, Board: n.Board, View: n.View, Owners: n.owners, Backlog: func() int { return n.options().Backlog }, Packs: o.Packs()}
 	n.presence = presence.New(self, net, b, n.View)
 	n.gates = admission.New(o.Backlog)
-	n.turned = turned.New()
+	n.turned = rejections.New()
 	n.Visitors = &client.Service{
 		Clock: clk, Bounds: b, Body: o.Body, Board: n.Board, Desk: n.desk, Presence: n.presence, Gates: n.gates,
 		Feeds: feed.New(ctx, self, n.boot, n.desk, clk, b), Licensed: n.keeper.Licensed, Leaving: n.leaving,
@@ -342,7 +342,7 @@
 			if len(t.Topics) > 0 {
 				topic = t.Topics[0]
 			}
-			n.turned.Add(turned.Note{At: clk.Now().UTC(), Node: self, Verb: t.Verb, Visitor: t.Visitor, Topic: topic, Call: t.Call, Code: string(p.Kind), Say: p.Say})
+			n.turned.Add(rejections.Note{At: clk.Now().UTC(), Node: self, Verb: t.Verb, Visitor: t.Visitor, Topic: topic, Call: t.Call, Code: string(p.Kind), Say: p.Say})
 		},
 	}
 	n.hub = fan.New(ctx, self, n.boot, n.desk, n.Board, clk, b)
@@ -399,11 +399,11 @@
 	return gs
 }
 
-func (n *Node) askTurned(ctx context.Context, i membership.Info, q turned.Task) ([]turned.Note, error) {
+func (n *Node) askTurned(ctx context.Context, i membership.Info, q rejections.Task) ([]rejections.Note, error) {
 	if i.Name == n.opts.Name {
 		return n.turned.Find(q), nil
 	}
-	a, err := turned.Turned.Call(ctx, n.w.Net, n.opts.Name, i.Peers, &q)
+	a, err := rejections.Turned.Call(ctx, n.w.Net, n.opts.Name, i.Peers, &q)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -10,6 +10,7 @@
 	"sync/atomic"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/client/rejections"
 	"postjunction/internal/clock"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/registerclient"
@@ -24,7 +25,6 @@
 	"postjunction/internal/quorum"
 	"postjunction/internal/settings"
 	"postjunction/internal/usage"
-	"postjunction/internal/visitor/turned"
 	"postjunction/internal/wire"
 )
 
@@ -44,7 +44,7 @@
 	Marks    func(ctx context.Context, p int) (*owner.MarksView, error)
 	Tallies  func() map[string]any
 	Trace    func(ctx context.Context, p int, q *desk.TraceRequest) (*desk.Traced, error)
-	Turned   func(ctx context.Context, i membership.Info, q turned.Task) ([]turned.Note, error)
+	Turned   func(ctx context.Context, i membership.Info, q rejections.Task) ([]rejections.Note, error)
 	Log      *event.Logger
 
 	reader atomic.Pointer[Reader]
--- a/internal/operator/why.go
+++ b/internal/operator/why.go
@@ -5,11 +5,11 @@
 	"slices"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/client/rejections"
 	"postjunction/internal/ledger/desk"
 	"postjunction/internal/membership"
 	"postjunction/internal/partition"
 	"postjunction/internal/quorum"
-	"postjunction/internal/visitor/turned"
 )
 
 // Why is what the fleet knows of a visitor's call: what the ledger decided, and which nodes turned it away and why.
@@ -19,7 +19,7 @@
 	Call    uint64            `json:"call_seq"`
 	Ledger  *desk.Traced      `json:"ledger,omitempty"`
 	Problem *apierror.Problem `json:"ledger_problem,omitempty"`
-	Turned  []turned.Note     `json:"turned_away"`
+	Turned  []rejections.Note `json:"turned_away"`
 	Whole   bool              `json:"whole"`
 }
 
@@ -30,7 +30,7 @@
 	}
 	ctx, stop := s.limit(ctx)
 	defer stop()
-	w := &Why{Visitor: visitor, Topic: topic, Call: call, Whole: true, Turned: []turned.Note{}}
+	w := &Why{Visitor: visitor, Topic: topic, Call: call, Whole: true, Turned: []rejections.Note{}}
 	sp, err := s.Board.Index().Find(topic)
 	if err == nil {
 		w.Ledger, err = s.Trace(ctx, partition.Of(topic, sp.Urgent, s.Board.Roster().Layout), &desk.TraceRequest{Visitor: visitor, Topic: topic, Call: call})
@@ -38,12 +38,12 @@
 	if err != nil {
 		w.Problem = apierror.Of(err)
 	}
-	q := turned.Task{Visitor: visitor, Topic: topic, Call: call}
-	for _, a := range quorum.Ask(ctx, s.View.All(), func(ctx context.Context, i membership.Info) ([]turned.Note, error) { return s.Turned(ctx, i, q) }, nil) {
+	q := rejections.Task{Visitor: visitor, Topic: topic, Call: call}
+	for _, a := range quorum.Ask(ctx, s.View.All(), func(ctx context.Context, i membership.Info) ([]rejections.Note, error) { return s.Turned(ctx, i, q) }, nil) {
 		w.Whole = w.Whole && a.Err == nil
 		w.Turned = append(w.Turned, a.A...)
 	}
-	slices.SortFunc(w.Turned, func(a, b turned.Note) int { return a.At.Compare(b.At) })
+	slices.SortFunc(w.Turned, func(a, b rejections.Note) int { return a.At.Compare(b.At) })
 	if len(w.Turned) == 0 && w.Whole && w.Ledger != nil && w.Ledger.Last < call {
 		return nil, apierror.New(apierror.UnknownCall, "no node remembers call %d of %s on %s, and the ledger has taken up to %d", call, visitor, topic, w.Ledger.Last).At(w.Ledger.Last)
 	}
