--- a/internal/client/follow.go
+++ b/internal/client/follow.go
@@ -8,10 +8,10 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/carrier/cursor"
 	"postjunction/internal/carrier/feed"
+	"postjunction/internal/client/token"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/partition"
 	"postjunction/internal/rawjson"
-	"postjunction/internal/visitor/token"
 )
 
 // Line is one line of a stream: a message, a withdrawal, a greeting, a change of what is followed, a sign of life, or the end with its reason.
--- a/internal/door/door.go
+++ b/internal/door/door.go
@@ -11,12 +11,12 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/client"
+	"postjunction/internal/client/token"
 	"postjunction/internal/configuration"
 	"postjunction/internal/configuration/strictjson"
 	"postjunction/internal/operator"
 	"postjunction/internal/rawjson"
 	"postjunction/internal/settings"
-	"postjunction/internal/visitor/token"
 )
 
 // Door serves one node's callers and operators.
