--- a/internal/client/service.go
+++ b/internal/client/service.go
@@ -14,6 +14,7 @@
 	"postjunction/internal/carrier/cursor"
 	"postjunction/internal/carrier/feed"
 	"postjunction/internal/carrier/presence"
+	"postjunction/internal/client/admission"
 	"postjunction/internal/client/token"
 	"postjunction/internal/clock"
 	"postjunction/internal/configuration"
@@ -23,7 +24,6 @@
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/partition"
 	"postjunction/internal/settings"
-	"postjunction/internal/visitor/admission"
 )
 
 // Task is one call on its way through the process.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -14,6 +14,7 @@
 	"postjunction/internal/carrier/feed"
 	"postjunction/internal/carrier/presence"
 	"postjunction/internal/client"
+	"postjunction/internal/client/admission"
 	"postjunction/internal/client/rejections"
 	"postjunction/internal/client/session"
 	"postjunction/internal/clock"
@@ -45,7 +46,6 @@
 	"postjunction/internal/placement/controller"
 	"postjunction/internal/recordtype"
 	"postjunction/internal/settings"
-	"postjunction/internal/visitor/admission"
 	"postjunction/internal/wire"
 )
 
