--- a/internal/command/serve/serve.go
+++ b/internal/command/serve/serve.go
@@ -19,9 +19,9 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
-	"postjunction/internal/door"
 	"postjunction/internal/door/lines"
 	"postjunction/internal/event"
+	"postjunction/internal/httpapi"
 	"postjunction/internal/node"
 	"postjunction/internal/settings"
 
@@ -145,7 +145,7 @@
 	}
 	doors := append([]Door{
 		{Field: "fellow_listen", Address: o.Peers, Open: func(n *node.Node) Server { return wire.Server(n.Peers(), o.Bounds()) }},
-		{Field: "listen", Address: o.Listen, Open: func(n *node.Node) Server { return door.Server(callers(n), o.Bounds()) }},
+		{Field: "listen", Address: o.Listen, Open: func(n *node.Node) Server { return httpapi.Server(callers(n), o.Bounds()) }},
 	}, t.Doors...)
 	if o.Visits != "" {
 		doors = append(doors, Door{Field: "visit_listen", Address: o.Visits, Swept: true, Open: func(n *node.Node) Server { return visits(n, o, t.Words) }})
--- a/internal/door/door.go
+++ b/internal/httpapi/door.go
@@ -1,5 +1,5 @@
-// Package door is the HTTP side towards callers and operators: JSON in, JSON or lines out, every failure typed.
-package door
+// Package httpapi is the HTTP side towards callers and operators: JSON in, JSON or lines out, every failure typed.
+package httpapi
 
 import (
 	"encoding/json"
--- a/internal/door/paper_test.go
+++ b/internal/httpapi/paper_test.go
@@ -1,4 +1,4 @@
-package door
+package httpapi
 
 import (
 	"bufio"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -29,9 +29,9 @@
 	"postjunction/internal/control/voters"
 	"postjunction/internal/disk/identity"
 	"postjunction/internal/disk/journal"
-	"postjunction/internal/door"
 	"postjunction/internal/event"
 	"postjunction/internal/gossip"
+	"postjunction/internal/httpapi"
 	"postjunction/internal/ledger/desk"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/ledger/replica"
@@ -508,8 +508,8 @@
 }
 
 // Door gives the side towards callers and operators.
-func (n *Node) Door() *door.Door {
-	return &door.Door{Visitors: n.Visitors, Operators: n.Operators, Bounds: n.bounds(), Ready: n.Ready}
+func (n *Node) Door() *httpapi.Door {
+	return &httpapi.Door{Visitors: n.Visitors, Operators: n.Operators, Bounds: n.bounds(), Ready: n.Ready}
 }
 
 // Ready tells whether new callers should come here.
--- a/internal/proof/port/port.go
+++ b/internal/proof/port/port.go
@@ -12,7 +12,7 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/client"
-	"postjunction/internal/door"
+	"postjunction/internal/httpapi"
 	"postjunction/internal/rawjson"
 )
 
@@ -151,7 +151,7 @@
 // Services are what a node offers.
 type Services struct {
 	Visitors *client.Service
-	Door     *door.Door
+	Door     *httpapi.Door
 	// Gone is closed when the process ends, as its connections would be.
 	Gone chan struct{}
 }
