--- a/internal/command/serve/serve.go
+++ b/internal/command/serve/serve.go
@@ -19,9 +19,9 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
-	"postjunction/internal/door/lines"
 	"postjunction/internal/event"
 	"postjunction/internal/httpapi"
+	"postjunction/internal/lineserver"
 	"postjunction/internal/node"
 	"postjunction/internal/settings"
 
@@ -85,7 +85,7 @@
 	// Callers, if any, wraps the handler of callers and operators.
 	Callers func(n *node.Node, h http.Handler) http.Handler
 	// Words are those of visits, the product's own if none.
-	Words lines.Codec
+	Words lineserver.Codec
 	Doors []Door
 	Errs  io.Writer
 }
--- a/internal/command/serve/visits.go
+++ b/internal/command/serve/visits.go
@@ -5,8 +5,8 @@
 
 	"postjunction/internal/client/session"
 	"postjunction/internal/clock"
-	"postjunction/internal/door/lines"
 	"postjunction/internal/door/lines/plain"
+	"postjunction/internal/lineserver"
 	"postjunction/internal/node"
 	"postjunction/internal/settings"
 )
@@ -20,14 +20,14 @@
 type house struct{ *session.House }
 
 // Enter begins a visit.
-func (h house) Enter(out session.Out) lines.Guest { return h.House.Enter(out) }
+func (h house) Enter(out session.Out) lineserver.Guest { return h.House.Enter(out) }
 
 // visits makes the server of line sessions. Of a bounded number of descriptors, a quarter stays for peers and files.
-func visits(n *node.Node, o settings.Options, words lines.Codec) Server {
+func visits(n *node.Node, o settings.Options, words lineserver.Codec) Server {
 	if words == nil {
 		words = plain.Codec{}
 	}
-	return lines.New(lines.Settings{
+	return lineserver.New(lineserver.Settings{
 		Host: house{n.House}, Codec: words, Clock: clock.Real{},
 		Keepalive: time.Duration(o.Keepalive), Retry: o.Bounds().Retry(),
 		Body: func() int { return body(o.Body, n.Board.Description().Limits.Body) }, Most: o.Descriptors * visitParts / descriptorParts,
--- a/internal/door/lines/plain/plain.go
+++ b/internal/door/lines/plain/plain.go
@@ -9,7 +9,7 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/client/session"
 	"postjunction/internal/configuration/strictjson"
-	"postjunction/internal/door/lines"
+	"postjunction/internal/lineserver"
 	"postjunction/internal/rawjson"
 )
 
@@ -84,13 +84,13 @@
 
 // Read reads one line as a task.
 func (Codec) Read(r *bufio.Reader, body int) (session.Task, error) {
-	b, err := lines.Line(r, body+roomBytes)
+	b, err := lineserver.Line(r, body+roomBytes)
 	if err != nil {
 		return session.Task{}, err
 	}
 	var q task
 	if err := json.Unmarshal(b, &q); err != nil {
-		return session.Task{}, lines.Malformed(true, "the line is no JSON object of a task")
+		return session.Task{}, lineserver.Malformed(true, "the line is no JSON object of a task")
 	}
 	t := session.Task{Verb: q.Verb, Visitor: q.Visitor, Topic: q.Topic, Cursor: q.Cursor, Call: q.Call, Body: q.Body, Of: q.Of, Upto: q.Upto}
 	if q.Key != nil {
@@ -98,21 +98,21 @@
 	}
 	s, ok := shapes[q.Verb]
 	if !ok {
-		return session.Task{}, lines.Malformed(true, "there is no verb %q", q.Verb)
+		return session.Task{}, lineserver.Malformed(true, "there is no verb %q", q.Verb)
 	}
 	f, err := strictjson.Check(b, s)
 	if err != nil {
-		return t, &lines.Fault{Problem: err, Sure: true}
+		return t, &lineserver.Fault{Problem: err, Sure: true}
 	}
 	if len(f) > 0 {
-		return t, &lines.Fault{Problem: apierror.New(apierror.Malformed, "%s: %s", f[0].Place, f[0].Say).With(f), Sure: true}
+		return t, &lineserver.Fault{Problem: apierror.New(apierror.Malformed, "%s: %s", f[0].Place, f[0].Say).With(f), Sure: true}
 	}
 	if q.Key != nil && t.Key == "" {
-		return t, lines.Malformed(true, "$.key: is empty")
+		return t, lineserver.Malformed(true, "$.key: is empty")
 	}
 	if len(q.Body) > body {
 		t.Body = nil
-		return t, &lines.Fault{Problem: apierror.New(apierror.Oversize, "the body has %d bytes, the limit is %d", len(q.Body), body), Sure: true}
+		return t, &lineserver.Fault{Problem: apierror.New(apierror.Oversize, "the body has %d bytes, the limit is %d", len(q.Body), body), Sure: true}
 	}
 	return t, nil
 }
--- a/internal/door/lines/plain/plain_test.go
+++ b/internal/door/lines/plain/plain_test.go
@@ -13,7 +13,7 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/client/session"
-	"postjunction/internal/door/lines"
+	"postjunction/internal/lineserver"
 )
 
 func TestAnswersAreApproved(t *testing.T) {
@@ -87,7 +87,7 @@
 		r := bufio.NewReader(strings.NewReader(s + "\n" + `{"verb":"pulse"}` + "\n"))
 		_, err := Codec{}.Read(r, 5)
 		assert.Error(t, err, want, s)
-		var f *lines.Fault
+		var f *lineserver.Fault
 		assert.Assert(t, errors.As(err, &f) && f.Sure, s)
 		next, err := Codec{}.Read(r, 5)
 		assert.NilError(t, err)
@@ -105,7 +105,7 @@
 		for n := 0; ; n++ {
 			q, err := Codec{}.Read(r, 32)
 			assert.Assert(t, len(q.Body) <= 32)
-			var x *lines.Fault
+			var x *lineserver.Fault
 			if err != nil && !errors.As(err, &x) {
 				assert.ErrorIs(t, err, io.EOF)
 				assert.Assert(t, n <= bytes.Count(b, []byte("\n")))
--- a/internal/door/lines/hold_test.go
+++ b/internal/lineserver/hold_test.go
@@ -1,4 +1,4 @@
-package lines_test
+package lineserver_test
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/client/session"
-	"postjunction/internal/door/lines"
+	"postjunction/internal/lineserver"
 )
 
 // keeper is a host that minds where answers wait.
@@ -23,11 +23,11 @@
 }
 
 type keeping struct {
-	lines.Guest
+	lineserver.Guest
 	k *keeper
 }
 
-func (k *keeper) Enter(out session.Out) lines.Guest { return keeping{k.hall.Enter(out), k} }
+func (k *keeper) Enter(out session.Out) lineserver.Guest { return keeping{k.hall.Enter(out), k} }
 
 func (g keeping) Hold(x session.Holder) func() {
 	g.k.mu.Lock()
@@ -40,10 +40,10 @@
 	}
 }
 
-func keep(t *testing.T, f func(t *testing.T, s *lines.Server, c net.Conn, k *keeper)) {
+func keep(t *testing.T, f func(t *testing.T, s *lineserver.Server, c net.Conn, k *keeper)) {
 	t.Helper()
 	k := &keeper{}
-	playWith(t, 0, &k.hall, k, func(t *testing.T, s *lines.Server, l *pipes) {
+	playWith(t, 0, &k.hall, k, func(t *testing.T, s *lineserver.Server, l *pipes) {
 		c := l.dial()
 		synctest.Wait()
 		f(t, s, c, k)
@@ -79,7 +79,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			keep(t, func(t *testing.T, _ *lines.Server, n net.Conn, k *keeper) {
+			keep(t, func(t *testing.T, _ *lineserver.Server, n net.Conn, k *keeper) {
 				out := k.outs[0]
 				out(session.Answer{What: session.Alive})
 				synctest.Wait()
@@ -133,7 +133,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			keep(t, func(t *testing.T, s *lines.Server, n net.Conn, k *keeper) {
+			keep(t, func(t *testing.T, s *lineserver.Server, n net.Conn, k *keeper) {
 				k.outs[0](at(0, "a", "k", 5))
 				synctest.Wait()
 				k.outs[0](at(0, "a", "", 6))
@@ -171,7 +171,7 @@
 // A visitor that has ended its side still gets what was answered, except what is withdrawn meanwhile.
 func TestWhatWaitsOutlastsTheVisit(t *testing.T) {
 	k := &keeper{}
-	playWith(t, 0, &k.hall, k, func(t *testing.T, _ *lines.Server, l *pipes) {
+	playWith(t, 0, &k.hall, k, func(t *testing.T, _ *lineserver.Server, l *pipes) {
 		a, n := net.Pipe()
 		h := half{a, make(chan struct{})}
 		l.in <- h
--- a/internal/door/lines/lines.go
+++ b/internal/lineserver/lines.go
@@ -1,5 +1,5 @@
-// Package lines serves visits over connections of text lines; a codec gives the words.
-package lines
+// Package lineserver serves visits over connections of text lines; a codec gives the words.
+package lineserver
 
 import (
 	"bufio"
--- a/internal/door/lines/lines_test.go
+++ b/internal/lineserver/lines_test.go
@@ -1,4 +1,4 @@
-package lines_test
+package lineserver_test
 
 import (
 	"bufio"
@@ -17,8 +17,8 @@
 
 	"postjunction/internal/client/session"
 	"postjunction/internal/clock"
-	"postjunction/internal/door/lines"
 	"postjunction/internal/door/lines/plain"
+	"postjunction/internal/lineserver"
 )
 
 // pipes is a listener whose connections are made in the process.
@@ -65,7 +65,7 @@
 	out session.Out
 }
 
-func (h *hall) Enter(out session.Out) lines.Guest {
+func (h *hall) Enter(out session.Out) lineserver.Guest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.outs = append(h.outs, out)
@@ -91,13 +91,13 @@
 
 const keepalive = 2 * time.Second
 
-func play(t *testing.T, most int, h *hall, f func(t *testing.T, s *lines.Server, l *pipes)) {
+func play(t *testing.T, most int, h *hall, f func(t *testing.T, s *lineserver.Server, l *pipes)) {
 	playWith(t, most, h, h, f)
 }
 
-func playWith(t *testing.T, most int, h *hall, x lines.Host, f func(t *testing.T, s *lines.Server, l *pipes)) {
+func playWith(t *testing.T, most int, h *hall, x lineserver.Host, f func(t *testing.T, s *lineserver.Server, l *pipes)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := lines.New(lines.Settings{
+		s := lineserver.New(lineserver.Settings{
 			Host: x, Codec: plain.Codec{}, Clock: clock.Real{}, Keepalive: keepalive, Retry: 200 * time.Millisecond,
 			Body: func() int { return 64 }, Most: most,
 		})
@@ -129,7 +129,7 @@
 
 func TestTasksKeepTheirOrderAndTurnsAreTold(t *testing.T) {
 	h := &hall{do: echo}
-	play(t, 0, h, func(t *testing.T, _ *lines.Server, l *pipes) {
+	play(t, 0, h, func(t *testing.T, _ *lineserver.Server, l *pipes) {
 		c := l.dial()
 		r := bufio.NewReader(c)
 		go say(t, c, `{"verb":"leave","topic":"a"}`+"\n"+`{"verb":"dance"}`+"\r\n"+`{"verb":"leave"}`+"\n"+
@@ -146,7 +146,7 @@
 
 func TestHalfALineIsDropped(t *testing.T) {
 	h := &hall{do: echo}
-	play(t, 0, h, func(t *testing.T, s *lines.Server, l *pipes) {
+	play(t, 0, h, func(t *testing.T, s *lineserver.Server, l *pipes) {
 		c := l.dial()
 		say(t, c, `{"verb":"leave","topic":"a"}`)
 		assert.NilError(t, c.Close())
@@ -158,7 +158,7 @@
 
 func TestAnswersThatWaitGoOutTogether(t *testing.T) {
 	h := &hall{}
-	play(t, 0, h, func(t *testing.T, _ *lines.Server, l *pipes) {
+	play(t, 0, h, func(t *testing.T, _ *lineserver.Server, l *pipes) {
 		c := l.dial()
 		synctest.Wait()
 		out := h.outs[0]
@@ -179,7 +179,7 @@
 
 func TestVisitorThatDoesNotReadIsCut(t *testing.T) {
 	h := &hall{}
-	play(t, 0, h, func(t *testing.T, s *lines.Server, l *pipes) {
+	play(t, 0, h, func(t *testing.T, s *lineserver.Server, l *pipes) {
 		_ = l.dial()
 		synctest.Wait()
 		m := session.Answer{What: session.Message, Topic: "a", Body: bytes.Repeat([]byte("x"), 16<<10)}
@@ -199,7 +199,7 @@
 // A write that no one reads ends a visit even if the visitor goes on talking.
 func TestStuckWriteEndsTheVisit(t *testing.T) {
 	h := &hall{do: echo}
-	play(t, 0, h, func(t *testing.T, s *lines.Server, l *pipes) {
+	play(t, 0, h, func(t *testing.T, s *lineserver.Server, l *pipes) {
 		c := l.dial()
 		for range 3 {
 			say(t, c, `{"verb":"leave","topic":"a"}`+"\n")
@@ -216,7 +216,7 @@
 
 func TestSilentVisitorIsDropped(t *testing.T) {
 	h := &hall{}
-	play(t, 0, h, func(t *testing.T, s *lines.Server, l *pipes) {
+	play(t, 0, h, func(t *testing.T, s *lineserver.Server, l *pipes) {
 		_, talks := l.dial(), l.dial()
 		synctest.Wait()
 		assert.Equal(t, s.Count(), 2)
@@ -234,7 +234,7 @@
 
 func TestAcceptGoesOnAfterAFailure(t *testing.T) {
 	h := &hall{}
-	play(t, 0, h, func(t *testing.T, s *lines.Server, l *pipes) {
+	play(t, 0, h, func(t *testing.T, s *lineserver.Server, l *pipes) {
 		for range 3 {
 			l.in <- errors.New("too many open files")
 		}
@@ -247,7 +247,7 @@
 
 func TestConnectionsAreBounded(t *testing.T) {
 	h := &hall{}
-	play(t, 2, h, func(t *testing.T, s *lines.Server, l *pipes) {
+	play(t, 2, h, func(t *testing.T, s *lineserver.Server, l *pipes) {
 		_, _, third := l.dial(), l.dial(), l.dial()
 		_, err := third.Read(make([]byte, 1))
 		assert.ErrorIs(t, err, io.EOF)
@@ -257,7 +257,7 @@
 
 func TestShutdownWaitsForVisitorsToGo(t *testing.T) {
 	h := &hall{}
-	play(t, 0, h, func(t *testing.T, s *lines.Server, l *pipes) {
+	play(t, 0, h, func(t *testing.T, s *lineserver.Server, l *pipes) {
 		a, _ := l.dial(), l.dial()
 		synctest.Wait()
 		cx, stop := context.WithTimeout(t.Context(), time.Second)
@@ -278,7 +278,7 @@
 // Whoever ends its side still gets what was answered.
 func TestLastAnswersAreWritten(t *testing.T) {
 	h := &hall{do: echo}
-	s := lines.New(lines.Settings{Host: h, Codec: plain.Codec{}, Clock: clock.Real{}, Keepalive: keepalive, Retry: keepalive, Body: func() int { return 64 }})
+	s := lineserver.New(lineserver.Settings{Host: h, Codec: plain.Codec{}, Clock: clock.Real{}, Keepalive: keepalive, Retry: keepalive, Body: func() int { return 64 }})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	done := make(chan error)
@@ -296,7 +296,7 @@
 
 func TestNobodyTurnsAway(t *testing.T) {
 	var got []session.Answer
-	g := lines.Nobody{}.Enter(func(a session.Answer) { got = append(got, a) })
+	g := lineserver.Nobody{}.Enter(func(a session.Answer) { got = append(got, a) })
 	g.Do(session.Task{Verb: session.Heartbeat})
 	g.Do(session.Task{Verb: session.Join, Topic: "a"})
 	g.End()
--- a/internal/door/lines/nobody.go
+++ b/internal/lineserver/nobody.go
@@ -1,4 +1,4 @@
-package lines
+package lineserver
 
 import (
 	"postjunction/internal/apierror"
--- a/internal/proof/sim/socket.go
+++ b/internal/proof/sim/socket.go
@@ -12,7 +12,7 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/client/session"
-	"postjunction/internal/door/lines"
+	"postjunction/internal/lineserver"
 	"postjunction/internal/node"
 )
 
@@ -164,7 +164,7 @@
 
 // Read reads one line as a task.
 func (words) Read(r *bufio.Reader, _ int) (t session.Task, err error) {
-	b, err := lines.Line(r, wordsMost)
+	b, err := lineserver.Line(r, wordsMost)
 	if err != nil {
 		return t, err
 	}
@@ -237,11 +237,11 @@
 type house struct{ *session.House }
 
 // Enter begins a visit.
-func (h house) Enter(out session.Out) lines.Guest { return h.House.Enter(out) }
+func (h house) Enter(out session.Out) lineserver.Guest { return h.House.Enter(out) }
 
 // porch is what serves visits on a machine's process.
 type porch struct {
-	s *lines.Server
+	s *lineserver.Server
 	l *calls
 }
 
@@ -249,7 +249,7 @@
 
 func (m *Machine) opened(n *node.Node) *porch {
 	p := &porch{l: &calls{c: make(chan net.Conn), done: make(chan struct{})}}
-	p.s = lines.New(lines.Settings{
+	p.s = lineserver.New(lineserver.Settings{
 		Host: house{n.House}, Codec: words{}, Clock: machineClock{m}, Keepalive: Habits().Keepalive, Retry: m.w.Site.Bounds.Retry(), Body: func() int { return bodyMost },
 	})
 	go func() { _ = p.s.Serve(p.l) }()
