--- a/internal/command/serve/visits.go
+++ b/internal/command/serve/visits.go
@@ -5,8 +5,8 @@
 
 	"postjunction/internal/client/session"
 	"postjunction/internal/clock"
-	"postjunction/internal/door/lines/plain"
 	"postjunction/internal/lineserver"
+	"postjunction/internal/lineserver/jsoncodec"
 	"postjunction/internal/node"
 	"postjunction/internal/settings"
 )
@@ -25,7 +25,7 @@
 // visits makes the server of line sessions. Of a bounded number of descriptors, a quarter stays for peers and files.
 func visits(n *node.Node, o settings.Options, words lineserver.Codec) Server {
 	if words == nil {
-		words = plain.Codec{}
+		words = jsoncodec.Codec{}
 	}
 	return lineserver.New(lineserver.Settings{
 		Host: house{n.House}, Codec: words, Clock: clock.Real{},
--- a/internal/door/lines/plain/plain.go
+++ b/internal/lineserver/jsoncodec/plain.go
@@ -1,5 +1,5 @@
-// Package plain is the product's own codec of visits: one JSON object a line, each way.
-package plain
+// Package jsoncodec is the product's own codec of visits: one JSON object a line, each way.
+package jsoncodec
 
 import (
 	"bufio"
--- a/internal/door/lines/plain/plain_test.go
+++ b/internal/lineserver/jsoncodec/plain_test.go
@@ -1,4 +1,4 @@
-package plain
+package jsoncodec
 
 import (
 	"bufio"
--- a/internal/lineserver/lines_test.go
+++ b/internal/lineserver/lines_test.go
@@ -17,8 +17,8 @@
 
 	"postjunction/internal/client/session"
 	"postjunction/internal/clock"
-	"postjunction/internal/door/lines/plain"
 	"postjunction/internal/lineserver"
+	"postjunction/internal/lineserver/jsoncodec"
 )
 
 // pipes is a listener whose connections are made in the process.
@@ -98,7 +98,7 @@
 func playWith(t *testing.T, most int, h *hall, x lineserver.Host, f func(t *testing.T, s *lineserver.Server, l *pipes)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := lineserver.New(lineserver.Settings{
-			Host: x, Codec: plain.Codec{}, Clock: clock.Real{}, Keepalive: keepalive, Retry: 200 * time.Millisecond,
+			Host: x, Codec: jsoncodec.Codec{}, Clock: clock.Real{}, Keepalive: keepalive, Retry: 200 * time.Millisecond,
 			Body: func() int { return 64 }, Most: most,
 		})
 		l := listen()
@@ -278,7 +278,7 @@
 // Whoever ends its side still gets what was answered.
 func TestLastAnswersAreWritten(t *testing.T) {
 	h := &hall{do: echo}
-	s := lineserver.New(lineserver.Settings{Host: h, Codec: plain.Codec{}, Clock: clock.Real{}, Keepalive: keepalive, Retry: keepalive, Body: func() int { return 64 }})
+	s := lineserver.New(lineserver.Settings{Host: h, Codec: jsoncodec.Codec{}, Clock: clock.Real{}, Keepalive: keepalive, Retry: keepalive, Body: func() int { return 64 }})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	done := make(chan error)
