--- a/internal/client/session/house.go
+++ b/internal/client/session/house.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/carrier/fan"
 	"postjunction/internal/clock"
 	"postjunction/internal/configuration"
+	"postjunction/internal/delivery/fanout"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
@@ -32,7 +32,7 @@
 	Clock    clock.Clock
 	Bounds   settings.Bounds
 	Board    *gossip.Board
-	Hub      *fan.Hub
+	Hub      *fanout.Hub
 	Ledger   Ledger
 	Licensed func() error
 	Leaving  <-chan struct{}
@@ -58,7 +58,7 @@
 	out  Out
 	name string
 	mu   sync.Mutex
-	subs map[string]*fan.Sub
+	subs map[string]*fanout.Sub
 	held Holder
 	gone bool
 	away bool
@@ -191,7 +191,7 @@
 
 // Enter begins a visit. Answers go to out, which must not block.
 func (h *House) Enter(out Out) *Visit {
-	v := &Visit{h: h, out: out, subs: map[string]*fan.Sub{}}
+	v := &Visit{h: h, out: out, subs: map[string]*fanout.Sub{}}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.m[v] = true
@@ -222,7 +222,7 @@
 }
 
 // Withdraw has all visits here let go of what withdrawals cover, also those that left the topic and those that ended.
-func (h *House) Withdraw(p int, covered fan.Covered) {
+func (h *House) Withdraw(p int, covered fanout.Covered) {
 	for _, x := range h.holders() {
 		x.Withdraw(p, covered)
 	}
@@ -260,7 +260,7 @@
 	return ts
 }
 
-func (v *Visit) sub(t string) *fan.Sub {
+func (v *Visit) sub(t string) *fanout.Sub {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.subs[t]
@@ -285,7 +285,7 @@
 }
 
 // broken sends the visitor away to come back here with its cursors, as a topic that it has joined can't go on.
-func (v *Visit) broken(s *fan.Sub) {
+func (v *Visit) broken(s *fanout.Sub) {
 	v.lost(s)
 	v.mu.Lock()
 	again := v.away
@@ -439,7 +439,7 @@
 func (h *House) topicsMost() int { return topicsMost }
 
 // lost forgets a subscription that the hub has ended.
-func (v *Visit) lost(s *fan.Sub) {
+func (v *Visit) lost(s *fanout.Sub) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.subs[s.Topic] == s {
--- a/internal/client/session/house_test.go
+++ b/internal/client/session/house_test.go
@@ -12,10 +12,10 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/carrier/fan"
 	"postjunction/internal/clock"
 	"postjunction/internal/configuration"
 	"postjunction/internal/control/voters"
+	"postjunction/internal/delivery/fanout"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
@@ -120,7 +120,7 @@
 		b := gossip.NewBoard(nil)
 		b.Offer(gossip.News{Roster: &voters.Roster{Sequence: 1, Fleet: "fleet00", Layout: voters.Layout{Routine: 1}}, Records: []assignment.Record{{Owner: "s1", Epoch: 1, Writes: 1}}})
 		h := &hall{src: &source{follow: func(*owner.Want) *owner.Told { return nil }}, board: b}
-		hub := fan.New(ctx, "a1", "boot", h.src, b, clock.Real{}, settings.DefaultBounds)
+		hub := fanout.New(ctx, "a1", "boot", h.src, b, clock.Real{}, settings.DefaultBounds)
 		h.House = (&House{
 			Self: "a1", Clock: clock.Real{}, Bounds: settings.DefaultBounds, Board: b, Hub: hub, Licensed: func() error { return nil }, Leaving: make(chan struct{}),
 			Members: func() []membership.Info { return nil }, Info: func() membership.Info { return membership.Info{Name: "a1", Visits: here} }, Body: 1 << 10,
--- a/internal/client/session/task.go
+++ b/internal/client/session/task.go
@@ -2,7 +2,7 @@
 // of life, and is answered in any order.
 package session
 
-import "postjunction/internal/carrier/fan"
+import "postjunction/internal/delivery/fanout"
 
 // Verb is what a task asks for.
 type Verb string
@@ -80,7 +80,7 @@
 // have keys of a topic, Release of those of a partition; it tells whether none is left. What is being written can only be let go of by ending the connection:
 // Withdraw does so, Release where it may cut.
 type Holder interface {
-	Withdraw(p int, covered fan.Covered)
+	Withdraw(p int, covered fanout.Covered)
 	Drop(topic string)
 	Release(p int, cut bool) bool
 }
--- a/internal/client/session/withdraw_test.go
+++ b/internal/client/session/withdraw_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/carrier/fan"
+	"postjunction/internal/delivery/fanout"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/settings"
@@ -217,7 +217,7 @@
 	return l
 }
 
-func (s *shelf) Withdraw(p int, covered fan.Covered) {
+func (s *shelf) Withdraw(p int, covered fanout.Covered) {
 	s.note("withdraw %d %t %t", p, covered("kept/a", "k", 20), covered("kept/a", "k", 21))
 }
 
--- a/internal/carrier/fan/feed.go
+++ b/internal/delivery/fanout/feed.go
@@ -1,4 +1,4 @@
-package fan
+package fanout
 
 import (
 	"context"
--- a/internal/carrier/fan/hub.go
+++ b/internal/delivery/fanout/hub.go
@@ -1,6 +1,6 @@
-// Package fan carries the messages of followed topics from their owners to the visits of one node: it tells each owner which topics are
+// Package fanout carries the messages of followed topics from their owners to the visits of one node: it tells each owner which topics are
 // followed here, and gets only these.
-package fan
+package fanout
 
 import (
 	"context"
--- a/internal/lineserver/hold.go
+++ b/internal/lineserver/hold.go
@@ -1,6 +1,6 @@
 package lineserver
 
-import "postjunction/internal/carrier/fan"
+import "postjunction/internal/delivery/fanout"
 
 // span is where a message with a key stands in bytes that wait.
 type span struct {
@@ -11,7 +11,7 @@
 }
 
 // Withdraw takes back messages of a partition that are covered. A write that is under way with one ends the connection.
-func (c *conn) Withdraw(p int, covered fan.Covered) {
+func (c *conn) Withdraw(p int, covered fanout.Covered) {
 	c.take(true, func(s *span) bool { return s.p == p && covered(s.topic, s.key, s.offset) })
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -10,7 +10,6 @@
 	"time"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/carrier/fan"
 	"postjunction/internal/carrier/feed"
 	"postjunction/internal/carrier/presence"
 	"postjunction/internal/client"
@@ -27,6 +26,7 @@
 	"postjunction/internal/control/registerclient"
 	"postjunction/internal/control/repair"
 	"postjunction/internal/control/voters"
+	"postjunction/internal/delivery/fanout"
 	"postjunction/internal/disk/identity"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/event"
@@ -103,7 +103,7 @@
 	Operators *operator.Service
 	// House takes visits on line sessions.
 	House *session.House
-	hub   *fan.Hub
+	hub   *fanout.Hub
 
 	leaving chan struct{}
 	stop    context.CancelFunc
@@ -345,7 +345,7 @@
 			n.turned.Add(rejections.Note{At: clk.Now().UTC(), Node: self, Verb: t.Verb, Visitor: t.Visitor, Topic: topic, Call: t.Call, Code: string(p.Kind), Say: p.Say})
 		},
 	}
-	n.hub = fan.New(ctx, self, n.boot, n.desk, n.Board, clk, b)
+	n.hub = fanout.New(ctx, self, n.boot, n.desk, n.Board, clk, b)
 	n.House = (&session.House{
 		Self: self, Clock: clk, Bounds: b, Board: n.Board, Hub: n.hub, Ledger: n.desk, Licensed: n.keeper.Licensed,
 		Leaving: n.leaving, Members: n.View.All, Info: n.Info, Body: o.Body,
--- a/tools/guards.sh
+++ b/tools/guards.sh
@@ -49,13 +49,13 @@
 guard recall internal/ledger/owner/takeover.go 's/st\.Recall\(e\)/_ = st/' $S 'OfferedInOrder'
 guard offers-in-order internal/ledger/desk/offer.go 's/l\.wait = append\(os, l\.wait\.\.\.\)/l.wait = append(l.wait, os...)/' ./internal/ledger/desk 'Order'
 guard offer-doubt internal/ledger/desk/offer.go 's/o\.doubt = o\.doubt \|\| r\.Owner != d\.Self/o.doubt = o.doubt \&\& doubts[i]/' ./internal/ledger/desk 'Promise'
-guard place-meanwhile internal/carrier/fan/feed.go 's/s\.After != nil && \(!ok \|\| at > \*s\.After\)/false \&\& ok \&\& at > 0/' ./internal/carrier/fan 'BetweenThePlace'
+guard place-meanwhile internal/delivery/fanout/feed.go 's/s\.After != nil && \(!ok \|\| at > \*s\.After\)/false \&\& ok \&\& at > 0/' ./internal/delivery/fanout 'BetweenThePlace'
 guard lean-stays-lean internal/gossip/gossip.go 's/if !g\.Disk \{\n\t\t\tn\.Records = nil\n\t\t\}/_ = g/' ./internal/gossip 'WithoutTheirHistory'
 guard apart-told internal/control/quorumread/confirm.go 's/c\.Apart = f\.reached != none && /c.Apart = false \&\& /' $S 'ACutControlNode'
 guard apart-left internal/nodelease/session.go 's/if a\.Apart \{\n\t\treturn problem/if false \{\n\t\treturn problem/' $S 'ACutControlNode'
-guard waiting-apart internal/carrier/fan/feed.go 's/slices\.Concat\(w, f\.waiting\)/append(w, f.waiting...)/' ./internal/carrier/fan 'HastenedLate'
-guard deaf-lets-go internal/carrier/fan/feed.go 's/return f\.reader && f\.number > 0 &&/return false \&\& f.number > 0 \&\&/' $S 'ADeafRouter'
-guard deaf-releases-first internal/carrier/fan/feed.go 's/(go func\(\) \{\n)\t\tf\.h\.release\(f\.p, true\)\n(\t\tfor tries := range farewells)/$1$2/' ./internal/carrier/fan 'ADeafReader'
+guard waiting-apart internal/delivery/fanout/feed.go 's/slices\.Concat\(w, f\.waiting\)/append(w, f.waiting...)/' ./internal/delivery/fanout 'HastenedLate'
+guard deaf-lets-go internal/delivery/fanout/feed.go 's/return f\.reader && f\.number > 0 &&/return false \&\& f.number > 0 \&\&/' $S 'ADeafRouter'
+guard deaf-releases-first internal/delivery/fanout/feed.go 's/(go func\(\) \{\n)\t\tf\.h\.release\(f\.p, true\)\n(\t\tfor tries := range farewells)/$1$2/' ./internal/delivery/fanout 'ADeafReader'
 guard deaf-streams internal/carrier/feed/feed.go 's/> f\.bounds\.Recovery && d\.depart\(\)/> f.bounds.Recovery \&\& d == nil/' $S 'StreamsForget'
 guard silent-six internal/settings/bounds.go 's/silentShare     = 16/silentShare     = 12/' $S 'MadeGoodWithinASecond'
 guard slow-is-not-silent internal/membership/failuredetector/watch.go 's/Silent\(\)\+2\*x\.took/Silent()+0*x.took/' $S 'AnswersSlowly'
@@ -155,19 +155,19 @@
 guard given-up-only-when-gone internal/ledger/owner/marks.go 's/ && now\.Sub\(h\.member\) > o\.patience\(\)//' ./internal/ledger/owner 'GivenUp'
 guard done-is-done internal/ledger/owner/fan.go 's/ \|\| f\.done \|\| / || /' ./internal/ledger/owner 'IsDoneIsGone'
 guard run-is-over internal/ledger/owner/marks.go 's/ \|\| strings\.HasPrefix\(boot, a\.Info\.Boot\)/ || strings.Contains(boot, \"?\")/' ./internal/ledger/owner 'OfARunThatIsOver'
-guard held-back-purge internal/carrier/fan/feed.go 's/s\.held = slices\.DeleteFunc\(s\.held, func\(x line\.Entry\) bool \{ return x\.What == line\.Message && /s.held = slices.DeleteFunc(s.held, func(x line.Entry) bool { return false \&\& /' ./internal/carrier/fan 'HeldBack'
-guard older-than-a-mark internal/carrier/fan/feed.go 's/return e\.Key != \"\" && e\.What == line\.Message && /return false \&\& /' ./internal/carrier/fan 'OlderThanAMark'
-guard marks-let-go internal/carrier/fan/feed.go 's/f\.begin\(a, q, w\)\n\t\tf\.marks = nil/f.begin(a, q, w)/' ./internal/carrier/fan 'OlderThanAMark'
-guard superseded-answer internal/carrier/fan/feed.go 's/err == nil && a\.Epoch < f\.seen/false \&\& a.Epoch < f.seen/' ./internal/carrier/fan 'Superseded'
-guard poll-after-empty internal/carrier/fan/feed.go 's/if gen != f\.gen \{/if false \&\& gen != f.gen {/' ./internal/carrier/fan 'FromBeforeNothing'
-guard let-go-before-poll internal/carrier/fan/feed.go 's/(f\.h\.withdraw\(f\.p, m\))/go func() { _ = f.h.clk.Sleep(f.h.ctx, 1e9); $1 }()/' ./internal/carrier/fan 'NextPoll'
-guard clean-anew internal/carrier/fan/feed.go 's/clear\(f\.dirty\)\n\tf\.anew\(\)/clear(f.dirty)/' ./internal/carrier/fan 'GivenUp'
-guard clean-lets-go internal/carrier/fan/feed.go 's/f\.h\.release\(f\.p, true\)\n//' ./internal/carrier/fan 'GivenUp'
-guard clean-breaks internal/carrier/fan/feed.go 's/f\.remove\(s\)\n\t\t\t\ts\.Broken\(\)/f.waiting = append(f.waiting, s)/' ./internal/carrier/fan 'GivenUp'
-guard done-said internal/carrier/fan/feed.go 's/go f\.part\(\)/f.known = false/' ./internal/carrier/fan 'SaysThatItIsDone'
-guard done-again internal/carrier/fan/feed.go 's/f\.reader = !ok\n/f.reader = false\n/' ./internal/carrier/fan 'SaysThatItIsDone'
-guard done-other-boot internal/carrier/fan/feed.go 's/if f\.parted \{/if false \&\& f.parted {/' ./internal/carrier/fan 'SaysThatItIsDone'
-guard place-until-let-go internal/carrier/fan/feed.go 's/case !f\.reader:\n/default:\n/; s/case !f\.known:\n\t\tf\.wake\(\)\n\tcase !f\.parting:\n\t\tf\.parting = true\n\t\tgo f\.part\(\)\n/\n/' ./internal/carrier/fan 'BeforeItIsDone'
+guard held-back-purge internal/delivery/fanout/feed.go 's/s\.held = slices\.DeleteFunc\(s\.held, func\(x line\.Entry\) bool \{ return x\.What == line\.Message && /s.held = slices.DeleteFunc(s.held, func(x line.Entry) bool { return false \&\& /' ./internal/delivery/fanout 'HeldBack'
+guard older-than-a-mark internal/delivery/fanout/feed.go 's/return e\.Key != \"\" && e\.What == line\.Message && /return false \&\& /' ./internal/delivery/fanout 'OlderThanAMark'
+guard marks-let-go internal/delivery/fanout/feed.go 's/f\.begin\(a, q, w\)\n\t\tf\.marks = nil/f.begin(a, q, w)/' ./internal/delivery/fanout 'OlderThanAMark'
+guard superseded-answer internal/delivery/fanout/feed.go 's/err == nil && a\.Epoch < f\.seen/false \&\& a.Epoch < f.seen/' ./internal/delivery/fanout 'Superseded'
+guard poll-after-empty internal/delivery/fanout/feed.go 's/if gen != f\.gen \{/if false \&\& gen != f.gen {/' ./internal/delivery/fanout 'FromBeforeNothing'
+guard let-go-before-poll internal/delivery/fanout/feed.go 's/(f\.h\.withdraw\(f\.p, m\))/go func() { _ = f.h.clk.Sleep(f.h.ctx, 1e9); $1 }()/' ./internal/delivery/fanout 'NextPoll'
+guard clean-anew internal/delivery/fanout/feed.go 's/clear\(f\.dirty\)\n\tf\.anew\(\)/clear(f.dirty)/' ./internal/delivery/fanout 'GivenUp'
+guard clean-lets-go internal/delivery/fanout/feed.go 's/f\.h\.release\(f\.p, true\)\n//' ./internal/delivery/fanout 'GivenUp'
+guard clean-breaks internal/delivery/fanout/feed.go 's/f\.remove\(s\)\n\t\t\t\ts\.Broken\(\)/f.waiting = append(f.waiting, s)/' ./internal/delivery/fanout 'GivenUp'
+guard done-said internal/delivery/fanout/feed.go 's/go f\.part\(\)/f.known = false/' ./internal/delivery/fanout 'SaysThatItIsDone'
+guard done-again internal/delivery/fanout/feed.go 's/f\.reader = !ok\n/f.reader = false\n/' ./internal/delivery/fanout 'SaysThatItIsDone'
+guard done-other-boot internal/delivery/fanout/feed.go 's/if f\.parted \{/if false \&\& f.parted {/' ./internal/delivery/fanout 'SaysThatItIsDone'
+guard place-until-let-go internal/delivery/fanout/feed.go 's/case !f\.reader:\n/default:\n/; s/case !f\.known:\n\t\tf\.wake\(\)\n\tcase !f\.parting:\n\t\tf\.parting = true\n\t\tgo f\.part\(\)\n/\n/' ./internal/delivery/fanout 'BeforeItIsDone'
 guard waiting-purge internal/lineserver/hold.go 's/if len\(c\.kept\) > 0 \{/if false {/' ./internal/lineserver 'NeverWritten'
 guard flying-cut internal/lineserver/hold.go 's/if cut \{/if false {/' ./internal/lineserver 'UnderWayIsCut'
 guard outlasts-the-visit internal/lineserver/lines.go 's/(c\.mu\.Unlock\(\)\n\tif now \{\n\t\t_ = c\.n\.Close\(\)\n)\t\tc\.free\(\)\n\t\}/$1\t}\n\tc.free()/' ./internal/lineserver 'OutlastsTheVisit'
@@ -201,11 +201,11 @@
 guard yes-in-time internal/client/withdraw.go 's/WithTimeout\(ctx, s\.Bounds\.Call\(\)\)/WithTimeout(ctx, 9*s.Bounds.Call())/' ./internal/client 'NotHeard'
 guard keys-everywhere internal/client/service.go 's/if err := s\.Desk\.Keys\(\); err != nil/if err := s.Desk.Keys(); false/' ./internal/client 'EveryBuild'
 guard streams-let-go internal/node/node.go 's/n\.Visitors\.Feeds\.Rest\(cx\)/_ = cx/' $S 'StreamsForget'
-guard lost-answer-reads internal/carrier/fan/feed.go 's/\t\t\tf\.reader = true\n\t\t\tif f\.deaf/\t\t\tif f.deaf/' ./internal/carrier/fan 'LateAnswer'
-guard lost-follow-reads internal/carrier/fan/feed.go 's/f\.reader = f\.reader \|\| err != nil/_ = err/' ./internal/carrier/fan 'LostFollow'
-guard shut-while-letting-go internal/carrier/fan/feed.go 's/if f\.shut > 0 \{/if false {/' ./internal/carrier/fan 'WhileAllIsLetGo'
-guard done-after-let-go internal/carrier/fan/feed.go 's/if ok \{\n\t\tf\.parting/if ok = true; ok {\n\t\tf.parting/' ./internal/carrier/fan 'AfterTheYes'
-guard void-poll-reads internal/carrier/fan/feed.go 's/f\.reader = f\.reader \|\| a\.Reader \|\| keyed\(a\.Entries\)/_ = keyed/' ./internal/carrier/fan 'LateAnswer'
+guard lost-answer-reads internal/delivery/fanout/feed.go 's/\t\t\tf\.reader = true\n\t\t\tif f\.deaf/\t\t\tif f.deaf/' ./internal/delivery/fanout 'LateAnswer'
+guard lost-follow-reads internal/delivery/fanout/feed.go 's/f\.reader = f\.reader \|\| err != nil/_ = err/' ./internal/delivery/fanout 'LostFollow'
+guard shut-while-letting-go internal/delivery/fanout/feed.go 's/if f\.shut > 0 \{/if false {/' ./internal/delivery/fanout 'WhileAllIsLetGo'
+guard done-after-let-go internal/delivery/fanout/feed.go 's/if ok \{\n\t\tf\.parting/if ok = true; ok {\n\t\tf.parting/' ./internal/delivery/fanout 'AfterTheYes'
+guard void-poll-reads internal/delivery/fanout/feed.go 's/f\.reader = f\.reader \|\| a\.Reader \|\| keyed\(a\.Entries\)/_ = keyed/' ./internal/delivery/fanout 'LateAnswer'
 # Withdrawals in whole fleets: each is removed where the product does it, and a router that drops out must show it.
 guard fleet-waiting-purge internal/lineserver/hold.go 's/if len\(c\.kept\) > 0 \{/if false {/' $S 'RouterDropsOut'
 guard fleet-flying-cut internal/lineserver/hold.go 's/if cut \{/if false {/' $S 'RouterDropsOut'
@@ -221,12 +221,12 @@
 guard fleet-number-outlives internal/ledger/owner/submit.go 's/case already && q\.Call <= a\.Floor:/case false:/; s/\.By\(q\.Visitor, q\.Call\)/.By("?", 0)/' $S 'RouterAway'
 guard run-before internal/ledger/owner/marks.go 's/return ok && r\.Before == boot && boot != ""/return false && ok && r.Before == boot/' ./internal/ledger/owner TestARunThatIsOver
 guard reader-told internal/ledger/owner/fan.go 's/, Reader: o\.noted\(q\.Node, q\.Boot\), Turn: turn\}/, Turn: turn}/g' ./internal/ledger/owner TestReaderIsToldThatItIsOne
-guard reader-heeded internal/carrier/fan/feed.go 's/a\.Reader/false/g' ./internal/carrier/fan TestAReaderOfNothing
+guard reader-heeded internal/delivery/fanout/feed.go 's/a\.Reader/false/g' ./internal/delivery/fanout TestAReaderOfNothing
 guard turn-told internal/ledger/owner/read.go 's/return t\.n, t\.n == told && !t\.over/return t.n, true || told > 0/' ./internal/ledger/owner TestARunOfLongAgo
 guard turn-of-epoch internal/ledger/owner/read.go 's/max\(o\.turn, o\.Rec\.Epoch\*turnsOf\)/o.turn/' ./internal/ledger/owner TestTurnsOfEpochs
 guard turn-over internal/ledger/owner/marks.go 's/over: true/over: false/' ./internal/ledger/owner 'ReaderThatIsDone'
-guard turn-heeded internal/carrier/fan/feed.go 's/f\.number = a\.Turn/_ = a/' ./internal/carrier/fan TestTheTurnIsTold
-guard lost-paced internal/carrier/fan/feed.go 's/if !again \{/if _ = again; err != nil {/' ./internal/carrier/fan TestTheTurnIsTold
+guard turn-heeded internal/delivery/fanout/feed.go 's/f\.number = a\.Turn/_ = a/' ./internal/delivery/fanout TestTheTurnIsTold
+guard lost-paced internal/delivery/fanout/feed.go 's/if !again \{/if _ = again; err != nil {/' ./internal/delivery/fanout TestTheTurnIsTold
 guard still-sealed internal/ledger/replica/still.go 's/Epoch: r\.seals\[p\]\}, r\.lines/Epoch: 3}, r.lines/' ./internal/ledger/replica TestStillStands
 guard still-this-disk internal/ledger/replica/still.go 's/q\.Incarnation != r\.incarnation/q.Incarnation == "?"/' ./internal/ledger/replica TestStillStands
 guard still-halves internal/ledger/still/still.go 's/case !a\.Alike:\n\t\tsaid = Doubt\n//' ./internal/ledger/still TestWhatDiffers
