--- a/internal/client/follow.go
+++ b/internal/client/follow.go
@@ -7,8 +7,8 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/carrier/cursor"
-	"postjunction/internal/carrier/feed"
 	"postjunction/internal/client/token"
+	"postjunction/internal/delivery/stream"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/partition"
 	"postjunction/internal/rawjson"
@@ -42,18 +42,18 @@
 }
 
 type pulled struct {
-	w   feed.Window
+	w   stream.Window
 	err error
 }
 
 type lane struct {
 	p      int
-	feed   *feed.Feed
+	feed   *stream.Feed
 	live   uint64
 	urgent bool
 	busy   bool
 	got    chan pulled
-	left   feed.Window
+	left   stream.Window
 }
 
 type opened struct {
@@ -75,7 +75,7 @@
 	lanes   []lane
 	joins   chan opened
 	leaves  []func()
-	fence   *feed.Feed
+	fence   *stream.Feed
 	seen    uint64
 	checked chan error
 	asking  bool
@@ -389,7 +389,7 @@
 			if stale, err := st.give(*l, e); err != nil {
 				return false, err
 			} else if stale {
-				l.left = feed.Window{}
+				l.left = stream.Window{}
 				return true, nil
 			}
 		}
@@ -440,11 +440,11 @@
 	if e.Offset <= st.pos[l.p] {
 		return false, nil
 	}
-	fate, end := feed.Due, func() {}
+	fate, end := stream.Due, func() {}
 	if st.want[e.Topic] {
 		fate, end = l.feed.Begin(l.left, e, st.cut)
 	}
-	if fate == feed.Stale {
+	if fate == stream.Stale {
 		return true, nil
 	}
 	defer end()
@@ -452,7 +452,7 @@
 	if e.What == line.Withdraw && st.want[e.Topic] {
 		return false, st.emit(Line{Topic: e.Topic, Withdrawn: e.Key, Partition: &l.p, Offset: e.Offset})
 	}
-	if e.What != line.Message || !st.want[e.Topic] || fate == feed.Withdrawn || e.Key != "" && e.Hollow || e.Live && (e.Hollow || e.Offset <= l.live) {
+	if e.What != line.Message || !st.want[e.Topic] || fate == stream.Withdrawn || e.Key != "" && e.Hollow || e.Live && (e.Hollow || e.Offset <= l.live) {
 		return false, nil
 	}
 	return false, st.emit(Line{Topic: e.Topic, From: e.Visitor, Key: e.Key, Call: e.Call, Body: e.Body, Partition: &l.p, Offset: e.Offset})
--- a/internal/client/follow_test.go
+++ b/internal/client/follow_test.go
@@ -11,9 +11,9 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/carrier/cursor"
-	"postjunction/internal/carrier/feed"
 	"postjunction/internal/clock"
 	"postjunction/internal/configuration"
+	"postjunction/internal/delivery/stream"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
@@ -72,7 +72,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		const routine, urgent = 0, 5
-		fs := feed.New(ctx, "a1", "1", owners{urgent}, clock.Real{}, settings.DefaultBounds)
+		fs := stream.New(ctx, "a1", "1", owners{urgent}, clock.Real{}, settings.DefaultBounds)
 		b := gossip.NewBoard(nil)
 		var got []string
 		st := &subscriptionStream{s: &Service{Board: b, Clock: clock.Real{}, Bounds: settings.DefaultBounds}, t: &Task{Emit: func(l []byte) error {
--- a/internal/client/service.go
+++ b/internal/client/service.go
@@ -12,12 +12,12 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/callpolicy"
 	"postjunction/internal/carrier/cursor"
-	"postjunction/internal/carrier/feed"
 	"postjunction/internal/carrier/presence"
 	"postjunction/internal/client/admission"
 	"postjunction/internal/client/token"
 	"postjunction/internal/clock"
 	"postjunction/internal/configuration"
+	"postjunction/internal/delivery/stream"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/desk"
 	"postjunction/internal/ledger/line"
@@ -64,7 +64,7 @@
 	Body     int
 	Board    *gossip.Board
 	Desk     *desk.Desk
-	Feeds    *feed.Feeds
+	Feeds    *stream.Feeds
 	Presence *presence.Presence
 	Gates    *admission.Gates
 	Licensed func() error
--- a/internal/client/withdraw_test.go
+++ b/internal/client/withdraw_test.go
@@ -12,8 +12,8 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/carrier/cursor"
-	"postjunction/internal/carrier/feed"
 	"postjunction/internal/clock"
+	"postjunction/internal/delivery/stream"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/desk"
 	"postjunction/internal/ledger/line"
@@ -73,7 +73,7 @@
 				ctx, stop := context.WithCancel(t.Context())
 				p := make(pages)
 				wake := make(chan struct{}, 1)
-				f, leave, err := feed.New(ctx, "a1", "b", p, clock.Real{}, settings.DefaultBounds).Follow(ctx, 0, wake)
+				f, leave, err := stream.New(ctx, "a1", "b", p, clock.Real{}, settings.DefaultBounds).Follow(ctx, 0, wake)
 				assert.NilError(t, err)
 				defer leave()
 				var got []string
--- a/internal/carrier/feed/feed.go
+++ b/internal/delivery/stream/feed.go
@@ -1,5 +1,5 @@
-// Package feed carries committed entries from the owners to the streams of one node, and has them forget what is withdrawn.
-package feed
+// Package stream carries committed entries from the owners to the streams of one node, and has them forget what is withdrawn.
+package stream
 
 import (
 	"context"
--- a/internal/carrier/feed/feed_test.go
+++ b/internal/delivery/stream/feed_test.go
@@ -1,4 +1,4 @@
-package feed
+package stream
 
 import (
 	"context"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -10,7 +10,6 @@
 	"time"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/carrier/feed"
 	"postjunction/internal/carrier/presence"
 	"postjunction/internal/client"
 	"postjunction/internal/client/admission"
@@ -27,6 +26,7 @@
 	"postjunction/internal/control/repair"
 	"postjunction/internal/control/voters"
 	"postjunction/internal/delivery/fanout"
+	"postjunction/internal/delivery/stream"
 	"postjunction/internal/disk/identity"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/event"
@@ -335,7 +335,7 @@
 	n.turned = rejections.New()
 	n.Visitors = &client.Service{
 		Clock: clk, Bounds: b, Body: o.Body, Board: n.Board, Desk: n.desk, Presence: n.presence, Gates: n.gates,
-		Feeds: feed.New(ctx, self, n.boot, n.desk, clk, b), Licensed: n.keeper.Licensed, Leaving: n.leaving,
+		Feeds: stream.New(ctx, self, n.boot, n.desk, clk, b), Licensed: n.keeper.Licensed, Leaving: n.leaving,
 		Heard: func(t *client.Task, err error) {
 			n.log.Say(event.Turned, "verb", t.Verb, "visitor", t.Visitor, "problem", err)
 			p, topic := apierror.Of(err), ""
