--- a/internal/client/follow.go
+++ b/internal/client/follow.go
@@ -6,8 +6,8 @@
 	"slices"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/carrier/cursor"
 	"postjunction/internal/client/token"
+	"postjunction/internal/delivery/cursor"
 	"postjunction/internal/delivery/stream"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/partition"
--- a/internal/client/follow_test.go
+++ b/internal/client/follow_test.go
@@ -10,9 +10,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/carrier/cursor"
 	"postjunction/internal/clock"
 	"postjunction/internal/configuration"
+	"postjunction/internal/delivery/cursor"
 	"postjunction/internal/delivery/stream"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
--- a/internal/client/service.go
+++ b/internal/client/service.go
@@ -11,12 +11,12 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/callpolicy"
-	"postjunction/internal/carrier/cursor"
 	"postjunction/internal/carrier/presence"
 	"postjunction/internal/client/admission"
 	"postjunction/internal/client/token"
 	"postjunction/internal/clock"
 	"postjunction/internal/configuration"
+	"postjunction/internal/delivery/cursor"
 	"postjunction/internal/delivery/stream"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/desk"
--- a/internal/client/withdraw_test.go
+++ b/internal/client/withdraw_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/carrier/cursor"
 	"postjunction/internal/clock"
+	"postjunction/internal/delivery/cursor"
 	"postjunction/internal/delivery/stream"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/desk"
