--- a/internal/client/service.go
+++ b/internal/client/service.go
@@ -11,7 +11,6 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/callpolicy"
-	"postjunction/internal/carrier/presence"
 	"postjunction/internal/client/admission"
 	"postjunction/internal/client/token"
 	"postjunction/internal/clock"
@@ -23,6 +22,7 @@
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/partition"
+	"postjunction/internal/presence"
 	"postjunction/internal/settings"
 )
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -10,7 +10,6 @@
 	"time"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/carrier/presence"
 	"postjunction/internal/client"
 	"postjunction/internal/client/admission"
 	"postjunction/internal/client/rejections"
@@ -44,6 +43,7 @@
 	"postjunction/internal/operator"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/placement/controller"
+	"postjunction/internal/presence"
 	"postjunction/internal/recordtype"
 	"postjunction/internal/settings"
 	"postjunction/internal/wire"
