--- a/internal/client/service.go
+++ b/internal/client/service.go
@@ -18,10 +18,10 @@
 	"postjunction/internal/delivery/cursor"
 	"postjunction/internal/delivery/stream"
 	"postjunction/internal/gossip"
-	"postjunction/internal/ledger/desk"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/partition"
+	"postjunction/internal/partitionlog/router"
 	"postjunction/internal/presence"
 	"postjunction/internal/settings"
 )
@@ -63,7 +63,7 @@
 	Bounds   settings.Bounds
 	Body     int
 	Board    *gossip.Board
-	Desk     *desk.Desk
+	Desk     *router.Desk
 	Feeds    *stream.Feeds
 	Presence *presence.Presence
 	Gates    *admission.Gates
@@ -270,7 +270,7 @@
 		return apierror.New(apierror.Malformed, "visitor must be 1 to 63 of letters, digits, ., _ and -, is %q", t.Visitor)
 	}
 	sec := token.Secret()
-	a, err := s.Desk.Attach(ctx, &desk.AttachRequest{Visitor: t.Visitor, Secret: token.Digest(sec)})
+	a, err := s.Desk.Attach(ctx, &router.AttachRequest{Visitor: t.Visitor, Secret: token.Digest(sec)})
 	if err != nil {
 		return err
 	}
@@ -316,7 +316,7 @@
 	if _, err := cursor.Unpack(r.Fleet, r.Layout.Count(), t.Cursor); err != nil {
 		return err
 	}
-	if err := s.Desk.Ack(ctx, &desk.AckRequest{Visitor: t.Visitor, Generation: t.who.Generation, Cursor: t.Cursor}); err != nil {
+	if err := s.Desk.Ack(ctx, &router.AckRequest{Visitor: t.Visitor, Generation: t.who.Generation, Cursor: t.Cursor}); err != nil {
 		return err
 	}
 	t.out = Left{Cursor: t.Cursor}
--- a/internal/client/withdraw_test.go
+++ b/internal/client/withdraw_test.go
@@ -15,10 +15,10 @@
 	"postjunction/internal/delivery/cursor"
 	"postjunction/internal/delivery/stream"
 	"postjunction/internal/gossip"
-	"postjunction/internal/ledger/desk"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/membership"
+	"postjunction/internal/partitionlog/router"
 	"postjunction/internal/settings"
 )
 
@@ -116,7 +116,7 @@
 
 func TestNoKeysUntilEveryBuildKnowsThem(t *testing.T) {
 	v := membership.NewView()
-	s := &Service{Desk: &desk.Desk{View: v}}
+	s := &Service{Desk: &router.Desk{View: v}}
 	k := "k"
 	v.Set([]membership.Info{{Name: "a1", Keys: true}, {Name: "a2"}})
 	_, err := s.submit(t.Context(), &Task{Key: &k}, &owner.Task{})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -31,7 +31,6 @@
 	"postjunction/internal/event"
 	"postjunction/internal/gossip"
 	"postjunction/internal/httpapi"
-	"postjunction/internal/ledger/desk"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/ledger/replica"
 	"postjunction/internal/ledger/still"
@@ -41,6 +40,7 @@
 	"postjunction/internal/node/owners"
 	"postjunction/internal/nodelease"
 	"postjunction/internal/operator"
+	"postjunction/internal/partitionlog/router"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/placement/controller"
 	"postjunction/internal/presence"
@@ -87,7 +87,7 @@
 	confirm      *quorumread.Confirmer
 	client       *registerclient.Client
 	owners       *owners.Keeper
-	desk         *desk.Desk
+	desk         *router.Desk
 	presence     *presence.Presence
 	gates        *admission.Gates
 	turned       rejections.Memory
@@ -329,7 +329,7 @@
 		},
 		Settled: n.owners.Settled, Promote: n.owners.Promote, Log: (*ownerLog)(n), Witness: n.w.Witness,
 	}
-	n.desk = &desk.Desk{Self: self, Net: net, Clock: clk, Bounds: b, Board: n.Board, View: n.View, Owners: n.owners, Backlog: func() int { return n.options().Backlog }, Packs: o.Packs()}
+	n.desk = &router.Desk{Self: self, Net: net, Clock: clk, Bounds: b, Board: n.Board, View: n.View, Owners: n.owners, Backlog: func() int { return n.options().Backlog }, Packs: o.Packs()}
 	n.presence = presence.New(self, net, b, n.View)
 	n.gates = admission.New(o.Backlog)
 	n.turned = rejections.New()
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -17,10 +17,10 @@
 	"postjunction/internal/control/voters"
 	"postjunction/internal/event"
 	"postjunction/internal/gossip"
-	"postjunction/internal/ledger/desk"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/membership"
 	"postjunction/internal/partition"
+	"postjunction/internal/partitionlog/router"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/quorum"
 	"postjunction/internal/settings"
@@ -43,7 +43,7 @@
 	Uses     func(ctx context.Context, p int) ([]owner.Use, error)
 	Marks    func(ctx context.Context, p int) (*owner.MarksView, error)
 	Tallies  func() map[string]any
-	Trace    func(ctx context.Context, p int, q *desk.TraceRequest) (*desk.Traced, error)
+	Trace    func(ctx context.Context, p int, q *router.TraceRequest) (*router.Traced, error)
 	Turned   func(ctx context.Context, i membership.Info, q rejections.Task) ([]rejections.Note, error)
 	Log      *event.Logger
 
--- a/internal/operator/why.go
+++ b/internal/operator/why.go
@@ -6,9 +6,9 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/client/rejections"
-	"postjunction/internal/ledger/desk"
 	"postjunction/internal/membership"
 	"postjunction/internal/partition"
+	"postjunction/internal/partitionlog/router"
 	"postjunction/internal/quorum"
 )
 
@@ -17,7 +17,7 @@
 	Visitor string            `json:"visitor"`
 	Topic   string            `json:"topic"`
 	Call    uint64            `json:"call_seq"`
-	Ledger  *desk.Traced      `json:"ledger,omitempty"`
+	Ledger  *router.Traced    `json:"ledger,omitempty"`
 	Problem *apierror.Problem `json:"ledger_problem,omitempty"`
 	Turned  []rejections.Note `json:"turned_away"`
 	Whole   bool              `json:"whole"`
@@ -33,7 +33,7 @@
 	w := &Why{Visitor: visitor, Topic: topic, Call: call, Whole: true, Turned: []rejections.Note{}}
 	sp, err := s.Board.Index().Find(topic)
 	if err == nil {
-		w.Ledger, err = s.Trace(ctx, partition.Of(topic, sp.Urgent, s.Board.Roster().Layout), &desk.TraceRequest{Visitor: visitor, Topic: topic, Call: call})
+		w.Ledger, err = s.Trace(ctx, partition.Of(topic, sp.Urgent, s.Board.Roster().Layout), &router.TraceRequest{Visitor: visitor, Topic: topic, Call: call})
 	}
 	if err != nil {
 		w.Problem = apierror.Of(err)
--- a/internal/ledger/desk/desk.go
+++ b/internal/partitionlog/router/desk.go
@@ -1,5 +1,5 @@
-// Package desk takes ledger work in at the owner's node and hands it over from every other.
-package desk
+// Package router takes ledger work in at the owner's node and hands it over from every other.
+package router
 
 import (
 	"context"
--- a/internal/ledger/desk/packing_test.go
+++ b/internal/partitionlog/router/packing_test.go
@@ -1,4 +1,4 @@
-package desk
+package router
 
 import (
 	"bytes"
--- a/internal/proof/sim/early_test.go
+++ b/internal/proof/sim/early_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/ledger/desk"
 	"postjunction/internal/ledger/owner"
+	"postjunction/internal/partitionlog/router"
 )
 
 // A node that knows no roster yet was once asked for an attachment and divided by its zero partitions.
@@ -22,9 +22,9 @@
 		time.Sleep(time.Second)
 		m := w.Machines["a1"]
 		_, run := m.node()
-		_, err := desk.Attached.Call(w.ctx, &endpoint{w, m, run}, "a1", w.Machines["s1"].Opts.Peers, &desk.AttachedRequest{Visitor: "v"})
+		_, err := router.Attached.Call(w.ctx, &endpoint{w, m, run}, "a1", w.Machines["s1"].Opts.Peers, &router.AttachedRequest{Visitor: "v"})
 		assert.Assert(t, apierror.Has(err, apierror.NotOwner), "%v", err)
-		_, err = desk.Submit.Call(w.ctx, &endpoint{w, m, run}, "a1", w.Machines["s1"].Opts.Peers, &owner.Task{Visitor: "v", Topic: "kept/t0", Call: 1, Body: []byte("1"), Description: 1})
+		_, err = router.Submit.Call(w.ctx, &endpoint{w, m, run}, "a1", w.Machines["s1"].Opts.Peers, &owner.Task{Visitor: "v", Topic: "kept/t0", Call: 1, Body: []byte("1"), Description: 1})
 		assert.Assert(t, apierror.Has(err, apierror.NotReady), "a store that lacks the description refused for good: %v", err)
 		_, err = w.Port("a1").Attach(w.ctx, "v")
 		assert.Assert(t, apierror.Has(err, apierror.Unlicensed), "%v", err)
--- a/internal/proof/sim/offer_test.go
+++ b/internal/proof/sim/offer_test.go
@@ -12,10 +12,10 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/ledger/desk"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/owner"
 	"postjunction/internal/partition"
+	"postjunction/internal/partitionlog/router"
 	"postjunction/internal/proof/history"
 )
 
@@ -160,7 +160,7 @@
 				here[x] = true
 				parts[partition.Of(x, false, w.Machines["a1"].Node().Roster().Layout)] = true
 			}
-			many := func(x Point) bool { return x.Path == desk.SubmitMany.Path }
+			many := func(x Point) bool { return x.Path == router.SubmitMany.Path }
 			begun := time.Now()
 			ctx, stop := context.WithCancel(w.ctx)
 			var wg, open sync.WaitGroup
--- a/internal/proof/sim/points_test.go
+++ b/internal/proof/sim/points_test.go
@@ -14,9 +14,9 @@
 
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/quorumread"
-	"postjunction/internal/ledger/desk"
 	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/replica"
+	"postjunction/internal/partitionlog/router"
 	"postjunction/internal/placement/controller"
 	"postjunction/internal/wire"
 )
@@ -106,9 +106,9 @@
 		return x.Stage == Answering && late(x)
 	})},
 	"copy synced, not answered":   {at: serving(on(replica.Append.Path, Answering))},
-	"taken, not told":             {at: serving(on(desk.Submit.Path, Answering))},
-	"vouched, not told":           {at: serving(on(desk.Attached.Path, Answering))},
-	"attached, not told":          {arrive: true, at: serving(on(desk.Attach.Path, Answering))},
+	"taken, not told":             {at: serving(on(router.Submit.Path, Answering))},
+	"vouched, not told":           {at: serving(on(router.Attached.Path, Answering))},
+	"attached, not told":          {arrive: true, at: serving(on(router.Attach.Path, Answering))},
 	"promised, not accepted":      {control: true, at: owning(on(acceptor.Accept.Path, Asking))},
 	"accepted, answers under way": {control: true, at: owning(on(acceptor.Accept.Path, Answering))},
 	"voter synced, not answered": {control: true, at: serving(func(x Point) bool {
--- a/internal/proof/sim/visits.go
+++ b/internal/proof/sim/visits.go
@@ -14,7 +14,7 @@
 
 	"postjunction/internal/client/session"
 	"postjunction/internal/clock"
-	"postjunction/internal/ledger/desk"
+	"postjunction/internal/partitionlog/router"
 	"postjunction/internal/proof/guest"
 	"postjunction/internal/proof/stays"
 )
@@ -374,7 +374,7 @@
 	var mu sync.Mutex
 	r := rand.New(rand.NewPCG(seed, 77))
 	return func(p Point) Meddle {
-		if p.Path != desk.Follow.Path && p.Path != desk.Poll.Path {
+		if p.Path != router.Follow.Path && p.Path != router.Poll.Path {
 			return Meddle{}
 		}
 		mu.Lock()
--- a/internal/proof/sim/withdraw_test.go
+++ b/internal/proof/sim/withdraw_test.go
@@ -11,8 +11,8 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/client/session"
-	"postjunction/internal/ledger/desk"
 	"postjunction/internal/partition"
+	"postjunction/internal/partitionlog/router"
 	"postjunction/internal/proof/guest"
 	"postjunction/internal/proof/stays"
 )
@@ -539,7 +539,7 @@
 				}
 			}
 		}
-		answered := s.w.Parts("a1", desk.Poll.Path)
+		answered := s.w.Parts("a1", router.Poll.Path)
 		s.moved(o)
 		s.reopened("")
 		x := s.open("turn", "a1")
@@ -549,7 +549,7 @@
 		}
 		time.Sleep(2 * time.Second)
 		s.still(x, "a1")
-		assert.Assert(s.t, s.w.Parts("a1", desk.Poll.Path) > answered, "void: the old owner was not asked")
+		assert.Assert(s.t, s.w.Parts("a1", router.Poll.Path) > answered, "void: the old owner was not asked")
 		s.w.Heal()
 		s.yes(x, s.w.Site.Bounds.Recovery)
 		s.resumed()
