--- a/internal/client/service.go
+++ b/internal/client/service.go
@@ -19,8 +19,8 @@
 	"postjunction/internal/delivery/stream"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/ledger/owner"
 	"postjunction/internal/partition"
+	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/partitionlog/router"
 	"postjunction/internal/presence"
 	"postjunction/internal/settings"
@@ -46,7 +46,7 @@
 	who    token.Token
 	spaces []configuration.Space
 	acked  string
-	mark   owner.Decision
+	mark   leader.Decision
 	out    any
 }
 
@@ -286,7 +286,7 @@
 	if b.Len() > s.Body {
 		return apierror.New(apierror.Oversize, "the body has %d bytes, the limit is %d", b.Len(), s.Body)
 	}
-	d, err := s.submit(ctx, t, &owner.Task{Body: b.Bytes()})
+	d, err := s.submit(ctx, t, &leader.Task{Body: b.Bytes()})
 	if err != nil {
 		return err
 	}
@@ -295,7 +295,7 @@
 }
 
 // submit has a message or a withdrawal decided.
-func (s *Service) submit(ctx context.Context, t *Task, q *owner.Task) (*owner.Decision, error) {
+func (s *Service) submit(ctx context.Context, t *Task, q *leader.Task) (*leader.Decision, error) {
 	if t.Key != nil {
 		if err := line.Plain("key", *t.Key); err != nil {
 			return nil, err
--- a/internal/client/session/house.go
+++ b/internal/client/session/house.go
@@ -11,17 +11,17 @@
 	"postjunction/internal/delivery/fanout"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/ledger/owner"
 	"postjunction/internal/membership"
 	"postjunction/internal/partition"
+	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/settings"
 )
 
 // Ledger has messages decided and listeners counted, wherever the owner is.
 type Ledger interface {
-	Offer(ctx context.Context, p int, q *owner.Task, until time.Time, done func(*owner.Decision, error))
+	Offer(ctx context.Context, p int, q *leader.Task, until time.Time, done func(*leader.Decision, error))
 	Listeners(ctx context.Context, p int, topic string) (int, error)
-	Forgotten(ctx context.Context, p int, offset uint64, hold time.Duration) (*owner.Unheard, error)
+	Forgotten(ctx context.Context, p int, offset uint64, hold time.Duration) (*leader.Unheard, error)
 	// Keys gives a problem while some node's build knows no keys.
 	Keys() error
 }
@@ -470,9 +470,9 @@
 		return apierror.New(apierror.Oversize, "the body has %d bytes, the limit is %d", len(t.Body), v.h.Body)
 	}
 	until := v.h.Clock.Now().Add(v.h.patience(sp))
-	v.h.Ledger.Offer(v.h.ctx, p, &owner.Task{
+	v.h.Ledger.Offer(v.h.ctx, p, &leader.Task{
 		Visitor: v.name, Topic: t.Topic, Call: t.Call, Body: t.Body, Key: t.Key, Live: sp.Kind == configuration.Live, Description: v.h.Board.Index().Sequence,
-	}, until, func(_ *owner.Decision, err error) {
+	}, until, func(_ *leader.Decision, err error) {
 		if err != nil {
 			v.turn(t, err)
 			return
--- a/internal/client/session/house_test.go
+++ b/internal/client/session/house_test.go
@@ -18,8 +18,8 @@
 	"postjunction/internal/delivery/fanout"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/ledger/owner"
 	"postjunction/internal/membership"
+	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
@@ -27,13 +27,13 @@
 // source stands in for the owner of the only partition. A nil answer is never given.
 type source struct {
 	mu     sync.Mutex
-	follow func(q *owner.Want) *owner.Told
-	poll   func(q *owner.PollRequest) *owner.Polled
-	wants  []*owner.Want
+	follow func(q *leader.Want) *leader.Told
+	poll   func(q *leader.PollRequest) *leader.Polled
+	wants  []*leader.Want
 }
 
 // Follow answers as the test says.
-func (s *source) Follow(ctx context.Context, _ assignment.Record, q *owner.Want) (*owner.Told, error) {
+func (s *source) Follow(ctx context.Context, _ assignment.Record, q *leader.Want) (*leader.Told, error) {
 	s.mu.Lock()
 	s.wants = append(s.wants, q)
 	f := s.follow
@@ -45,7 +45,7 @@
 }
 
 // Poll answers as the test says, at most once in a while.
-func (s *source) Poll(ctx context.Context, _ assignment.Record, q *owner.PollRequest) (*owner.Polled, error) {
+func (s *source) Poll(ctx context.Context, _ assignment.Record, q *leader.PollRequest) (*leader.Polled, error) {
 	s.mu.Lock()
 	f := s.poll
 	s.mu.Unlock()
@@ -119,7 +119,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		b := gossip.NewBoard(nil)
 		b.Offer(gossip.News{Roster: &voters.Roster{Sequence: 1, Fleet: "fleet00", Layout: voters.Layout{Routine: 1}}, Records: []assignment.Record{{Owner: "s1", Epoch: 1, Writes: 1}}})
-		h := &hall{src: &source{follow: func(*owner.Want) *owner.Told { return nil }}, board: b}
+		h := &hall{src: &source{follow: func(*leader.Want) *leader.Told { return nil }}, board: b}
 		hub := fanout.New(ctx, "a1", "boot", h.src, b, clock.Real{}, settings.DefaultBounds)
 		h.House = (&House{
 			Self: "a1", Clock: clock.Real{}, Bounds: settings.DefaultBounds, Board: b, Hub: hub, Licensed: func() error { return nil }, Leaving: make(chan struct{}),
@@ -137,8 +137,8 @@
 	})
 }
 
-func at(tail uint64, gone map[string]uint64) func(q *owner.Want) *owner.Told {
-	return func(*owner.Want) *owner.Told { return &owner.Told{Epoch: 1, Tail: tail, Upto: tail, Gone: gone} }
+func at(tail uint64, gone map[string]uint64) func(q *leader.Want) *leader.Told {
+	return func(*leader.Want) *leader.Told { return &leader.Told{Epoch: 1, Tail: tail, Upto: tail, Gone: gone} }
 }
 
 func cursor(o uint64) string { return Place{0, o}.Pack("fleet00") }
@@ -170,7 +170,7 @@
 // Only the cursors that lack something are too old, however old another's is.
 func TestCursorsOfOneTopicExpireApart(t *testing.T) {
 	enter(t, func(t *testing.T, h *hall, v *Visit) {
-		h.src.follow = func(q *owner.Want) *owner.Told {
+		h.src.follow = func(q *leader.Want) *leader.Told {
 			time.Sleep(settings.DefaultBounds.Retry() / 4)
 			return at(40, map[string]uint64{"kept/a": 15})(q)
 		}
@@ -224,12 +224,12 @@
 			return line.Entry{What: line.Message, Topic: topic, Visitor: "x", Call: o, Offset: o}
 		}
 		h.src.mu.Lock()
-		h.src.poll = func(q *owner.PollRequest) *owner.Polled {
+		h.src.poll = func(q *leader.PollRequest) *leader.Polled {
 			if given {
 				return nil
 			}
 			given = true
-			return &owner.Polled{Epoch: 1, Base: 40, To: 44, Gone: map[string]uint64{"kept/a": 30, "live/a": 35}, Entries: []line.Entry{entry("kept/a", 41), entry("kept/b", 42), entry("live/a", 43)}}
+			return &leader.Polled{Epoch: 1, Base: 40, To: 44, Gone: map[string]uint64{"kept/a": 30, "live/a": 35}, Entries: []line.Entry{entry("kept/a", 41), entry("kept/b", 42), entry("live/a", 43)}}
 		}
 		h.src.mu.Unlock()
 		time.Sleep(4 * time.Second)
@@ -265,8 +265,8 @@
 			return line.Entry{What: line.Message, Topic: "kept/a", Visitor: "x", Call: o, Offset: o}
 		}
 		polled := uint64(40)
-		h.src.follow = func(q *owner.Want) *owner.Told {
-			a := &owner.Told{Epoch: 1, Tail: 40, Upto: 40}
+		h.src.follow = func(q *leader.Want) *leader.Told {
+			a := &leader.Told{Epoch: 1, Tail: 40, Upto: 40}
 			if from, ok := q.After["kept/a"]; ok {
 				_ = clock.Real{}.Sleep(t.Context(), 10*time.Millisecond)
 				a.Upto = min(from+10, 40)
@@ -276,12 +276,12 @@
 			}
 			return a
 		}
-		h.src.poll = func(*owner.PollRequest) *owner.Polled {
+		h.src.poll = func(*leader.PollRequest) *leader.Polled {
 			if polled >= 60 {
 				return nil
 			}
 			polled++
-			return &owner.Polled{Epoch: 1, To: polled, Entries: []line.Entry{entry(polled)}}
+			return &leader.Polled{Epoch: 1, To: polled, Entries: []line.Entry{entry(polled)}}
 		}
 		w := h.Enter(func(Answer) {})
 		w.Do(Task{Verb: Attach, Visitor: "w"})
--- a/internal/client/withdraw.go
+++ b/internal/client/withdraw.go
@@ -7,7 +7,7 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/callpolicy"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/ledger/owner"
+	"postjunction/internal/partitionlog/leader"
 )
 
 func (s *Service) withdraw(ctx context.Context, t *Task) error {
@@ -19,7 +19,7 @@
 			return err
 		}
 	}
-	d, err := s.submit(ctx, t, &owner.Task{Withdraw: true, Of: t.Of, Upto: t.Upto})
+	d, err := s.submit(ctx, t, &leader.Task{Withdraw: true, Of: t.Of, Upto: t.Upto})
 	if err != nil {
 		return err
 	}
@@ -33,7 +33,7 @@
 		return err
 	}
 	m := t.mark
-	given, err := s.awaited(ctx, m, func(ctx context.Context) (*owner.Unheard, error) {
+	given, err := s.awaited(ctx, m, func(ctx context.Context) (*leader.Unheard, error) {
 		return s.Desk.Forgotten(ctx, m.Partition, m.Offset, s.Bounds.Hold())
 	})
 	if err != nil {
@@ -44,7 +44,7 @@
 }
 
 // awaited asks who has not forgotten until nobody is left, and names them once the time is over.
-func (s *Service) awaited(ctx context.Context, m owner.Decision, ask func(context.Context) (*owner.Unheard, error)) ([]string, error) {
+func (s *Service) awaited(ctx context.Context, m leader.Decision, ask func(context.Context) (*leader.Unheard, error)) ([]string, error) {
 	ctx, stop := context.WithTimeout(ctx, s.Bounds.Call())
 	defer stop()
 	var left []string
@@ -62,7 +62,7 @@
 	}
 }
 
-func unheard(m owner.Decision, left []string, err error) error {
+func unheard(m leader.Decision, left []string, err error) error {
 	if len(left) == 0 {
 		return apierror.New(apierror.WithdrawalOpen, "the mark stands at offset %d of partition %d; who has to forget could not be asked: %v", m.Offset, m.Partition, err)
 	}
--- a/internal/client/withdraw_test.go
+++ b/internal/client/withdraw_test.go
@@ -16,18 +16,18 @@
 	"postjunction/internal/delivery/stream"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/ledger/owner"
 	"postjunction/internal/membership"
+	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/partitionlog/router"
 	"postjunction/internal/settings"
 )
 
 // pages are what the reads of a partition give, one after the other.
-type pages chan *owner.Reading
+type pages chan *leader.Reading
 
-func (p pages) ReadAs(ctx context.Context, q *owner.ReadRequest) (*owner.Reading, error) {
+func (p pages) ReadAs(ctx context.Context, q *leader.ReadRequest) (*leader.Reading, error) {
 	if q.Done || q.From == ^uint64(0) {
-		return &owner.Reading{}, nil
+		return &leader.Reading{}, nil
 	}
 	select {
 	case r := <-p:
@@ -38,7 +38,7 @@
 }
 
 func (p pages) tell(es ...line.Entry) {
-	p <- &owner.Reading{Entries: es, To: es[len(es)-1].Offset}
+	p <- &leader.Reading{Entries: es, To: es[len(es)-1].Offset}
 	synctest.Wait()
 }
 
@@ -119,7 +119,7 @@
 	s := &Service{Desk: &router.Desk{View: v}}
 	k := "k"
 	v.Set([]membership.Info{{Name: "a1", Keys: true}, {Name: "a2"}})
-	_, err := s.submit(t.Context(), &Task{Key: &k}, &owner.Task{})
+	_, err := s.submit(t.Context(), &Task{Key: &k}, &leader.Task{})
 	assert.Assert(t, apierror.Has(err, apierror.NotReady), "%v", err)
 	assert.ErrorContains(t, err, "a2")
 }
@@ -132,24 +132,24 @@
 		say     string
 		given   []string
 	}{
-		"all at once":              {[]any{&owner.Unheard{}}, "", []string{}},
-		"one later, one given up":  {[]any{&owner.Unheard{Nodes: []string{"a1"}}, &owner.Unheard{GivenUp: []string{"a2"}}}, "", []string{"a2"}},
-		"never":                    {[]any{&owner.Unheard{Nodes: []string{"a1", "a2/streams"}}}, "a1, a2/streams", nil},
+		"all at once":              {[]any{&leader.Unheard{}}, "", []string{}},
+		"one later, one given up":  {[]any{&leader.Unheard{Nodes: []string{"a1"}}, &leader.Unheard{GivenUp: []string{"a2"}}}, "", []string{"a2"}},
+		"never":                    {[]any{&leader.Unheard{Nodes: []string{"a1", "a2/streams"}}}, "a1, a2/streams", nil},
 		"not to be asked":          {[]any{late}, "could not be asked: unreachable", nil},
-		"not to be asked any more": {[]any{&owner.Unheard{Nodes: []string{"a1"}}, late}, "a1", nil},
+		"not to be asked any more": {[]any{&leader.Unheard{Nodes: []string{"a1"}}, late}, "a1", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := &Service{Clock: clock.Real{}, Bounds: settings.DefaultBounds}
 				n := 0
 				begun := time.Now()
-				given, err := s.awaited(t.Context(), owner.Decision{Partition: 3, Offset: 7}, func(context.Context) (*owner.Unheard, error) {
+				given, err := s.awaited(t.Context(), leader.Decision{Partition: 3, Offset: 7}, func(context.Context) (*leader.Unheard, error) {
 					a := c.answers[min(n, len(c.answers)-1)]
 					n++
 					if e, ok := a.(error); ok {
 						return nil, e
 					}
-					return a.(*owner.Unheard), nil
+					return a.(*leader.Unheard), nil
 				})
 				assert.Assert(t, time.Since(begun) <= s.Bounds.Call())
 				assert.DeepEqual(t, given, c.given)
--- a/internal/delivery/fanout/bench_test.go
+++ b/internal/delivery/fanout/bench_test.go
@@ -4,7 +4,7 @@
 	"testing"
 
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/ledger/owner"
+	"postjunction/internal/partitionlog/leader"
 )
 
 func BenchmarkTakeWithoutKeys(b *testing.B) {
@@ -14,7 +14,7 @@
 		s := &Sub{Topic: "a", open: true, told: true, Give: func(line.Entry) { n++ }}
 		f.topics["a"][s] = true
 	}
-	a := &owner.Polled{}
+	a := &leader.Polled{}
 	for range 100 {
 		a.Entries = append(a.Entries, line.Entry{What: line.Message, Topic: "a"})
 	}
--- a/internal/delivery/fanout/feed.go
+++ b/internal/delivery/fanout/feed.go
@@ -10,7 +10,7 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/configuration"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/ledger/owner"
+	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/placement/assignment"
 )
 
@@ -147,7 +147,7 @@
 }
 
 // want puts together what is to be told, nil when there is nothing.
-func (f *feed) want() (*owner.Want, []*Sub, []string) {
+func (f *feed) want() (*leader.Want, []*Sub, []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.shut > 0 {
@@ -158,7 +158,7 @@
 		clear(f.dirty)
 		f.due, f.lost, f.parted = false, false, true
 		f.seq++
-		return &owner.Want{Partition: f.p, Node: f.h.self, Boot: f.boot, Sequence: f.seq, Full: true, Marks: true, Done: true, Turn: f.number}, nil, nil
+		return &leader.Want{Partition: f.p, Node: f.h.self, Boot: f.boot, Sequence: f.seq, Full: true, Marks: true, Done: true, Turn: f.number}, nil, nil
 	}
 	due := f.due && len(f.dirty) > 0
 	f.due = false
@@ -175,7 +175,7 @@
 	}
 	f.seq++
 	f.asking = true
-	q := &owner.Want{Partition: f.p, Node: f.h.self, Boot: f.boot, Before: f.acked, Sequence: f.seq, Full: f.lost || !f.known, Topics: map[string]int{}, Marks: true, Turn: f.number}
+	q := &leader.Want{Partition: f.p, Node: f.h.self, Boot: f.boot, Before: f.acked, Sequence: f.seq, Full: f.lost || !f.known, Topics: map[string]int{}, Marks: true, Turn: f.number}
 	if q.Full {
 		for t, m := range f.topics {
 			q.Topics[t] = len(m)
@@ -291,7 +291,7 @@
 
 // limit is how long an answer is waited for: short while someone has not been told anything, since places are then found without an owner;
 // what is fetched for those that were told comes over links that may be slow.
-func (f *feed) limit(q *owner.Want) time.Duration {
+func (f *feed) limit(q *leader.Want) time.Duration {
 	if q.Brief {
 		return patience * f.h.bounds.Retry()
 	}
@@ -309,7 +309,7 @@
 }
 
 // done tells the owner that nothing is followed and held here any more. Who takes a topic up ends it.
-func (f *feed) done(ctx context.Context, stop context.CancelFunc, q *owner.Want, tries int) {
+func (f *feed) done(ctx context.Context, stop context.CancelFunc, q *leader.Want, tries int) {
 	defer stop()
 	f.mu.Lock()
 	f.quit = stop
@@ -366,7 +366,7 @@
 // depart lets go of all for want of an answer, says so under the boot that held it, as an owner that isn't heard may hear, and begins under another one.
 func (f *feed) depart() {
 	f.seq++
-	q := &owner.Want{Partition: f.p, Node: f.h.self, Boot: f.boot, Sequence: f.seq, Full: true, Marks: true, Done: true, Turn: f.number}
+	q := &leader.Want{Partition: f.p, Node: f.h.self, Boot: f.boot, Sequence: f.seq, Full: true, Marks: true, Done: true, Turn: f.number}
 	f.clean()
 	go func() {
 		f.h.release(f.p, true)
@@ -442,7 +442,7 @@
 }
 
 // begin opens the subscriptions that waited for an answer, each at its place. One that was given its place meanwhile is asked for from there.
-func (f *feed) begin(a *owner.Told, q *owner.Want, w []*Sub) {
+func (f *feed) begin(a *leader.Told, q *leader.Want, w []*Sub) {
 	for _, s := range w {
 		if s.left {
 			continue
@@ -567,7 +567,7 @@
 		f.cut = cut
 		r := f.h.board.Record(f.p)
 		f.epoch = r.Epoch
-		q := &owner.PollRequest{Partition: f.p, Node: f.h.self, Boot: f.boot, Sequence: f.acked, From: f.to, Hold: f.h.bounds.Spread, Marks: true, Turn: f.number}
+		q := &leader.PollRequest{Partition: f.p, Node: f.h.self, Boot: f.boot, Sequence: f.acked, From: f.to, Hold: f.h.bounds.Spread, Marks: true, Turn: f.number}
 		ready, gen := f.ready, f.gen
 		f.mu.Unlock()
 		a, err := f.h.src.Poll(cx, r, q)
@@ -614,7 +614,7 @@
 }
 
 // take gives what a poll brought, and takes back what was withdrawn before the next poll says so. The answer counts only if no topic was taken up after none was left.
-func (f *feed) take(a *owner.Polled, gen uint64) {
+func (f *feed) take(a *leader.Polled, gen uint64) {
 	m, clean := f.taken(a, gen)
 	if clean {
 		f.cleaned()
@@ -624,7 +624,7 @@
 	}
 }
 
-func (f *feed) taken(a *owner.Polled, gen uint64) (m marks, clean bool) {
+func (f *feed) taken(a *leader.Polled, gen uint64) (m marks, clean bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if gen != f.gen {
--- a/internal/delivery/fanout/forget_test.go
+++ b/internal/delivery/fanout/forget_test.go
@@ -16,7 +16,7 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/ledger/owner"
+	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
@@ -103,11 +103,11 @@
 	return es
 }
 
-func (c *court) told(q *owner.Want) *owner.Told {
+func (c *court) told(q *leader.Want) *leader.Told {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if q.Sequence <= c.seq || !q.Full && (q.Boot != c.boot || q.Before != c.seq) {
-		return &owner.Told{Epoch: 1, Lost: true}
+		return &leader.Told{Epoch: 1, Lost: true}
 	}
 	if q.Full {
 		c.topics = map[string]int{}
@@ -124,7 +124,7 @@
 	for t, n := range q.Topics {
 		c.topics[t] = n
 	}
-	a := &owner.Told{Epoch: 1, Tail: uint64(len(c.es)), Upto: uint64(len(c.es))}
+	a := &leader.Told{Epoch: 1, Tail: uint64(len(c.es)), Upto: uint64(len(c.es))}
 	a.Back = c.gather(q.Boot, 0, func(e line.Entry) bool {
 		at, ok := q.After[e.Topic]
 		return ok && e.Offset > at
@@ -136,17 +136,17 @@
 	return a
 }
 
-func (c *court) polled(q *owner.PollRequest) *owner.Polled {
+func (c *court) polled(q *leader.PollRequest) *leader.Polled {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if q.Boot != c.boot || q.Sequence > c.seq {
-		return &owner.Polled{Epoch: 1, Lost: true}
+		return &leader.Polled{Epoch: 1, Lost: true}
 	}
 	if at, ok := c.readers[q.Boot]; ok {
 		c.readers[q.Boot] = max(at, q.From)
 		c.settle()
 	}
-	a := &owner.Polled{Epoch: 1, To: uint64(len(c.es))}
+	a := &leader.Polled{Epoch: 1, To: uint64(len(c.es))}
 	follows := func(e line.Entry) bool { return e.What == line.Message && c.topics[e.Topic] > 0 }
 	a.Entries = c.gather(q.Boot, q.From, follows)
 	if _, ok := c.readers[q.Boot]; ok {
@@ -177,15 +177,15 @@
 	}
 }
 
-func (c *court) Follow(ctx context.Context, _ assignment.Record, q *owner.Want) (*owner.Told, error) {
-	return ask(ctx, c, func() *owner.Told { return c.told(q) })
+func (c *court) Follow(ctx context.Context, _ assignment.Record, q *leader.Want) (*leader.Told, error) {
+	return ask(ctx, c, func() *leader.Told { return c.told(q) })
 }
 
-func (c *court) Poll(ctx context.Context, _ assignment.Record, q *owner.PollRequest) (*owner.Polled, error) {
+func (c *court) Poll(ctx context.Context, _ assignment.Record, q *leader.PollRequest) (*leader.Polled, error) {
 	cx, stop := context.WithTimeout(ctx, q.Hold+settings.DefaultBounds.Call())
 	defer stop()
 	until := time.Now().Add(q.Hold)
-	return ask(cx, c, func() *owner.Polled {
+	return ask(cx, c, func() *leader.Polled {
 		for {
 			if time.Now().After(until) {
 				q.Hold = 0
--- a/internal/delivery/fanout/hub.go
+++ b/internal/delivery/fanout/hub.go
@@ -10,15 +10,15 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/ledger/owner"
+	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
 
 // Owners asks the owner that a record names, one time.
 type Owners interface {
-	Follow(ctx context.Context, r assignment.Record, q *owner.Want) (*owner.Told, error)
-	Poll(ctx context.Context, r assignment.Record, q *owner.PollRequest) (*owner.Polled, error)
+	Follow(ctx context.Context, r assignment.Record, q *leader.Want) (*leader.Told, error)
+	Poll(ctx context.Context, r assignment.Record, q *leader.PollRequest) (*leader.Polled, error)
 }
 
 // Hub holds what one node follows, by partition.
--- a/internal/delivery/fanout/later_test.go
+++ b/internal/delivery/fanout/later_test.go
@@ -13,7 +13,7 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/ledger/owner"
+	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
@@ -25,7 +25,7 @@
 	topics map[string]int
 }
 
-func (c *clerk) Follow(_ context.Context, _ assignment.Record, q *owner.Want) (*owner.Told, error) {
+func (c *clerk) Follow(_ context.Context, _ assignment.Record, q *leader.Want) (*leader.Told, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.told++
@@ -38,11 +38,11 @@
 			delete(c.topics, t)
 		}
 	}
-	return &owner.Told{Epoch: 1}, nil
+	return &leader.Told{Epoch: 1}, nil
 }
 
-func (c *clerk) Poll(ctx context.Context, _ assignment.Record, q *owner.PollRequest) (*owner.Polled, error) {
-	return &owner.Polled{Epoch: 1, To: q.From}, clock.Real{}.Sleep(ctx, q.Hold)
+func (c *clerk) Poll(ctx context.Context, _ assignment.Record, q *leader.PollRequest) (*leader.Polled, error) {
+	return &leader.Polled{Epoch: 1, To: q.From}, clock.Real{}.Sleep(ctx, q.Hold)
 }
 
 func (c *clerk) read() (int, map[string]int) {
--- a/internal/delivery/fanout/marks_test.go
+++ b/internal/delivery/fanout/marks_test.go
@@ -16,7 +16,7 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/ledger/owner"
+	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
@@ -24,8 +24,8 @@
 // scribe is an owner that answers as a test says, and a holder that writes down in which order it and the owner are asked.
 type scribe struct {
 	mu     sync.Mutex
-	follow func(q *owner.Want) (*owner.Told, time.Duration)
-	polls  []func(q *owner.PollRequest) (*owner.Polled, time.Duration)
+	follow func(q *leader.Want) (*leader.Told, time.Duration)
+	polls  []func(q *leader.PollRequest) (*leader.Polled, time.Duration)
 	log    []string
 	stuck  bool
 	takes  time.Duration
@@ -48,7 +48,7 @@
 	return l
 }
 
-func (s *scribe) Follow(ctx context.Context, _ assignment.Record, q *owner.Want) (*owner.Told, error) {
+func (s *scribe) Follow(ctx context.Context, _ assignment.Record, q *leader.Want) (*leader.Told, error) {
 	say := "follow"
 	if q.Done {
 		say = "done"
@@ -63,10 +63,10 @@
 	return a, nil
 }
 
-func (s *scribe) Poll(ctx context.Context, _ assignment.Record, q *owner.PollRequest) (*owner.Polled, error) {
+func (s *scribe) Poll(ctx context.Context, _ assignment.Record, q *leader.PollRequest) (*leader.Polled, error) {
 	s.note("poll %s %d marks=%t", q.Boot, q.From, q.Marks)
 	s.mu.Lock()
-	a, d := &owner.Polled{Epoch: 1, To: q.From}, q.Hold
+	a, d := &leader.Polled{Epoch: 1, To: q.From}, q.Hold
 	if len(s.polls) > 0 {
 		a, d = s.polls[0](q)
 		s.polls = s.polls[1:]
@@ -94,15 +94,15 @@
 }
 
 // once answers a poll after a while with entries.
-func once(after time.Duration, es ...line.Entry) func(*owner.PollRequest) (*owner.Polled, time.Duration) {
-	return func(*owner.PollRequest) (*owner.Polled, time.Duration) {
-		return &owner.Polled{Epoch: 1, To: es[len(es)-1].Offset, Entries: es}, after
+func once(after time.Duration, es ...line.Entry) func(*leader.PollRequest) (*leader.Polled, time.Duration) {
+	return func(*leader.PollRequest) (*leader.Polled, time.Duration) {
+		return &leader.Polled{Epoch: 1, To: es[len(es)-1].Offset, Entries: es}, after
 	}
 }
 
-func tail(at uint64) func(*owner.Want) (*owner.Told, time.Duration) {
-	return func(*owner.Want) (*owner.Told, time.Duration) {
-		return &owner.Told{Epoch: 1, Tail: at, Upto: at}, 0
+func tail(at uint64) func(*leader.Want) (*leader.Told, time.Duration) {
+	return func(*leader.Want) (*leader.Told, time.Duration) {
+		return &leader.Told{Epoch: 1, Tail: at, Upto: at}, 0
 	}
 }
 
@@ -127,13 +127,13 @@
 	})
 }
 
-func (s *scribe) set(f func(q *owner.Want) (*owner.Told, time.Duration)) {
+func (s *scribe) set(f func(q *leader.Want) (*leader.Told, time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.follow = f
 }
 
-func (s *scribe) then(ps ...func(*owner.PollRequest) (*owner.Polled, time.Duration)) {
+func (s *scribe) then(ps ...func(*leader.PollRequest) (*leader.Polled, time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.polls = append(s.polls, ps...)
@@ -159,8 +159,8 @@
 		var x, y heard
 		x.sub(s.h, "a", nil)
 		synctest.Wait()
-		s.set(func(*owner.Want) (*owner.Told, time.Duration) {
-			return &owner.Told{Epoch: 1, Tail: 4, Upto: 4}, later + 5*tick
+		s.set(func(*leader.Want) (*leader.Told, time.Duration) {
+			return &leader.Told{Epoch: 1, Tail: 4, Upto: 4}, later + 5*tick
 		})
 		y.sub(s.h, "a", after(4))
 		pass(time.Second)
@@ -176,14 +176,14 @@
 		var x, y, z heard
 		x.sub(s.h, "a", nil)
 		synctest.Wait()
-		s.set(func(*owner.Want) (*owner.Told, time.Duration) {
-			return &owner.Told{Epoch: 1, Tail: 8, Upto: 8, Back: []line.Entry{message(5, "k"), withdrawal(6, "i"), message(7, "j"), message(8, "k")}}, later + 5*tick
+		s.set(func(*leader.Want) (*leader.Told, time.Duration) {
+			return &leader.Told{Epoch: 1, Tail: 8, Upto: 8, Back: []line.Entry{message(5, "k"), withdrawal(6, "i"), message(7, "j"), message(8, "k")}}, later + 5*tick
 		})
 		y.sub(s.h, "a", after(3))
 		pass(time.Second)
 		assert.DeepEqual(t, y.got, []uint64{6, 7, 9, 10})
-		s.set(func(*owner.Want) (*owner.Told, time.Duration) {
-			return &owner.Told{Epoch: 1, Tail: 10, Upto: 10, Back: []line.Entry{message(8, "k")}}, 0
+		s.set(func(*leader.Want) (*leader.Told, time.Duration) {
+			return &leader.Told{Epoch: 1, Tail: 10, Upto: 10, Back: []line.Entry{message(8, "k")}}, 0
 		})
 		z.sub(s.h, "a", after(3))
 		pass(time.Second)
@@ -197,16 +197,16 @@
 // Once a newer owner has answered, one that it superseded, and that knows no mark of its, is not believed.
 func TestAnOwnerThatWasSupersededBringsNothingBack(t *testing.T) {
 	scripted(t, func(t *testing.T, s *scribe) {
-		s.set(func(*owner.Want) (*owner.Told, time.Duration) { return &owner.Told{Epoch: 2, Tail: 9, Upto: 9}, 0 })
+		s.set(func(*leader.Want) (*leader.Told, time.Duration) { return &leader.Told{Epoch: 2, Tail: 9, Upto: 9}, 0 })
 		var x, y heard
 		x.sub(s.h, "b", nil)
 		pass(tick)
 		old := 0
-		s.set(func(*owner.Want) (*owner.Told, time.Duration) {
+		s.set(func(*leader.Want) (*leader.Told, time.Duration) {
 			if old++; old == 1 {
-				return &owner.Told{Epoch: 1, Tail: 6, Upto: 6, Back: []line.Entry{message(5, "k")}}, 0
+				return &leader.Told{Epoch: 1, Tail: 6, Upto: 6, Back: []line.Entry{message(5, "k")}}, 0
 			}
-			return &owner.Told{Epoch: 2, Tail: 9, Upto: 9, Back: []line.Entry{message(7, "j")}}, 0
+			return &leader.Told{Epoch: 2, Tail: 9, Upto: 9, Back: []line.Entry{message(7, "j")}}, 0
 		})
 		y.sub(s.h, "a", after(3))
 		pass(time.Second)
@@ -245,19 +245,19 @@
 func TestAReaderThatWasGivenUpBeginsAnew(t *testing.T) {
 	ways := map[string]func(s *scribe){
 		"by follow": func(s *scribe) {
-			s.set(func(q *owner.Want) (*owner.Told, time.Duration) {
+			s.set(func(q *leader.Want) (*leader.Told, time.Duration) {
 				if q.Boot == "boot" {
-					return &owner.Told{Epoch: 1, Clean: true}, later / 4
+					return &leader.Told{Epoch: 1, Clean: true}, later / 4
 				}
-				return &owner.Told{Epoch: 1, Tail: 20, Upto: 20, Back: []line.Entry{message(15, "k")}}, 0
+				return &leader.Told{Epoch: 1, Tail: 20, Upto: 20, Back: []line.Entry{message(15, "k")}}, 0
 			})
 		},
 		"by poll": func(s *scribe) {
-			s.set(func(q *owner.Want) (*owner.Told, time.Duration) {
+			s.set(func(q *leader.Want) (*leader.Told, time.Duration) {
 				if q.Boot == "boot" {
-					return &owner.Told{Epoch: 1, Tail: 8, Upto: 8, Back: []line.Entry{message(5, "k")}}, later / 2
+					return &leader.Told{Epoch: 1, Tail: 8, Upto: 8, Back: []line.Entry{message(5, "k")}}, later / 2
 				}
-				return &owner.Told{Epoch: 1, Tail: 20, Upto: 20, Back: []line.Entry{message(15, "k")}}, 0
+				return &leader.Told{Epoch: 1, Tail: 20, Upto: 20, Back: []line.Entry{message(15, "k")}}, 0
 			})
 		},
 	}
@@ -268,8 +268,8 @@
 				if name == "by follow" {
 					wait = time.Second
 				}
-				s.then(once(later, message(5, "k")), func(*owner.PollRequest) (*owner.Polled, time.Duration) {
-					return &owner.Polled{Epoch: 1, Clean: true}, wait - later
+				s.then(once(later, message(5, "k")), func(*leader.PollRequest) (*leader.Polled, time.Duration) {
+					return &leader.Polled{Epoch: 1, Clean: true}, wait - later
 				})
 				var x, y heard
 				broken := 0
@@ -323,12 +323,12 @@
 		s.said()
 		s.h.Leave(a)
 		deaf := 2
-		s.set(func(q *owner.Want) (*owner.Told, time.Duration) {
+		s.set(func(q *leader.Want) (*leader.Told, time.Duration) {
 			if q.Done && deaf > 0 {
 				deaf--
 				return nil, time.Hour
 			}
-			return &owner.Told{Epoch: 1, Tail: 30, Upto: 30}, 0
+			return &leader.Told{Epoch: 1, Tail: 30, Upto: 30}, 0
 		})
 		pass(b.Spread + tick)
 		assert.DeepEqual(t, s.said(), []string{"follow boot full=false topics=1 marks=true", "release 0 cut=false"})
@@ -347,12 +347,12 @@
 	for name, told := range map[string]bool{"by follow": true, "by poll": false} {
 		t.Run(name, func(t *testing.T) {
 			scripted(t, func(t *testing.T, s *scribe) {
-				s.set(func(*owner.Want) (*owner.Told, time.Duration) {
-					return &owner.Told{Epoch: 1, Tail: 4, Upto: 4, Reader: told}, 0
+				s.set(func(*leader.Want) (*leader.Told, time.Duration) {
+					return &leader.Told{Epoch: 1, Tail: 4, Upto: 4, Reader: told}, 0
 				})
 				if !told {
-					s.then(func(q *owner.PollRequest) (*owner.Polled, time.Duration) {
-						return &owner.Polled{Epoch: 1, To: q.From, Reader: true}, tick
+					s.then(func(q *leader.PollRequest) (*leader.Polled, time.Duration) {
+						return &leader.Polled{Epoch: 1, To: q.From, Reader: true}, tick
 					})
 				}
 				var x heard
@@ -383,11 +383,11 @@
 		a = y.sub(s.h, "a", nil)
 		assert.DeepEqual(t, s.said(), []string{"follow boot full=false topics=1 marks=true", "poll boot 5 marks=true"})
 		s.h.Leave(a)
-		s.set(func(q *owner.Want) (*owner.Told, time.Duration) {
+		s.set(func(q *leader.Want) (*leader.Told, time.Duration) {
 			if q.Done {
 				return nil, time.Hour
 			}
-			return &owner.Told{Epoch: 1, Tail: 40, Upto: 40}, 0
+			return &leader.Told{Epoch: 1, Tail: 40, Upto: 40}, 0
 		})
 		pass(b.Spread + b.Hold() + tick)
 		l := s.said()
@@ -417,9 +417,9 @@
 
 // A node to which the owner gave something with a key counts as a reader, also where that came too late to be used.
 func TestAReaderByALateAnswer(t *testing.T) {
-	answers := map[string]func(*owner.PollRequest) (*owner.Polled, time.Duration){
+	answers := map[string]func(*leader.PollRequest) (*leader.Polled, time.Duration){
 		"late": once(later, message(5, "k")),
-		"lost": func(*owner.PollRequest) (*owner.Polled, time.Duration) { return nil, later },
+		"lost": func(*leader.PollRequest) (*leader.Polled, time.Duration) { return nil, later },
 	}
 	for name, poll := range answers {
 		t.Run(name, func(t *testing.T) {
@@ -442,11 +442,11 @@
 func TestAReaderByALostFollow(t *testing.T) {
 	scripted(t, func(t *testing.T, s *scribe) {
 		lost := 1
-		s.set(func(q *owner.Want) (*owner.Told, time.Duration) {
+		s.set(func(q *leader.Want) (*leader.Told, time.Duration) {
 			if lost--; lost >= 0 {
 				return nil, time.Hour
 			}
-			return &owner.Told{Epoch: 1, Tail: 4, Upto: 4}, 0
+			return &leader.Told{Epoch: 1, Tail: 4, Upto: 4}, 0
 		})
 		var x heard
 		a := x.sub(s.h, "a", nil)
--- a/internal/delivery/fanout/slow_test.go
+++ b/internal/delivery/fanout/slow_test.go
@@ -12,7 +12,7 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/ledger/owner"
+	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
@@ -23,12 +23,12 @@
 	back  []line.Entry
 }
 
-func (s *thin) Follow(ctx context.Context, _ assignment.Record, q *owner.Want) (*owner.Told, error) {
+func (s *thin) Follow(ctx context.Context, _ assignment.Record, q *leader.Want) (*leader.Told, error) {
 	if err := (clock.Real{}).Sleep(ctx, s.takes); err != nil {
 		return nil, apierror.Because(apierror.Unreachable, err, "no answer in time")
 	}
 	last := s.back[len(s.back)-1].Offset
-	a := &owner.Told{Epoch: 1, Tail: last, Upto: last}
+	a := &leader.Told{Epoch: 1, Tail: last, Upto: last}
 	for _, e := range s.back {
 		if at, ok := q.After[e.Topic]; ok && e.Offset > at {
 			a.Back = append(a.Back, e)
@@ -37,9 +37,9 @@
 	return a, nil
 }
 
-func (s *thin) Poll(ctx context.Context, _ assignment.Record, q *owner.PollRequest) (*owner.Polled, error) {
+func (s *thin) Poll(ctx context.Context, _ assignment.Record, q *leader.PollRequest) (*leader.Polled, error) {
 	_ = clock.Real{}.Sleep(ctx, q.Hold)
-	return &owner.Polled{Epoch: 1, To: q.From}, nil
+	return &leader.Polled{Epoch: 1, To: q.From}, nil
 }
 
 func TestMissedMessagesComeOverASlowLink(t *testing.T) {
--- a/internal/delivery/fanout/soon_test.go
+++ b/internal/delivery/fanout/soon_test.go
@@ -13,7 +13,7 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/ledger/owner"
+	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
@@ -35,7 +35,7 @@
 	}
 }
 
-func (s *far) Follow(ctx context.Context, _ assignment.Record, q *owner.Want) (*owner.Told, error) {
+func (s *far) Follow(ctx context.Context, _ assignment.Record, q *leader.Want) (*leader.Told, error) {
 	if err := (clock.Real{}).Sleep(ctx, s.way); err != nil {
 		return nil, err
 	}
@@ -44,7 +44,7 @@
 		s.topics[t] = true
 	}
 	s.briefs = append(s.briefs, q.Brief)
-	a := &owner.Told{Epoch: 1, Tail: uint64(len(s.es)), Upto: uint64(len(s.es))}
+	a := &leader.Told{Epoch: 1, Tail: uint64(len(s.es)), Upto: uint64(len(s.es))}
 	for _, e := range s.es {
 		if at, ok := q.After[e.Topic]; !ok || e.Offset <= at {
 			continue
@@ -59,13 +59,13 @@
 	return a, clock.Real{}.Sleep(ctx, s.way)
 }
 
-func (s *far) Poll(ctx context.Context, _ assignment.Record, q *owner.PollRequest) (*owner.Polled, error) {
+func (s *far) Poll(ctx context.Context, _ assignment.Record, q *leader.PollRequest) (*leader.Polled, error) {
 	if err := (clock.Real{}).Sleep(ctx, time.Millisecond); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := &owner.Polled{Epoch: 1, To: uint64(len(s.es))}
+	a := &leader.Polled{Epoch: 1, To: uint64(len(s.es))}
 	for _, e := range s.es {
 		if e.Offset > q.From && s.topics[e.Topic] {
 			a.Entries = append(a.Entries, e)
--- a/internal/delivery/fanout/turn_test.go
+++ b/internal/delivery/fanout/turn_test.go
@@ -11,7 +11,7 @@
 
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
-	"postjunction/internal/ledger/owner"
+	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
@@ -25,15 +25,15 @@
 	deaf   bool
 }
 
-func (u *usher) Follow(_ context.Context, _ assignment.Record, q *owner.Want) (*owner.Told, error) {
+func (u *usher) Follow(_ context.Context, _ assignment.Record, q *leader.Want) (*leader.Told, error) {
 	time.Sleep(time.Millisecond)
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.asked++
-	return &owner.Told{Epoch: 1, Lost: u.deaf || q.Turn != u.turn, Turn: u.turn}, nil
+	return &leader.Told{Epoch: 1, Lost: u.deaf || q.Turn != u.turn, Turn: u.turn}, nil
 }
 
-func (u *usher) Poll(ctx context.Context, _ assignment.Record, q *owner.PollRequest) (*owner.Polled, error) {
+func (u *usher) Poll(ctx context.Context, _ assignment.Record, q *leader.PollRequest) (*leader.Polled, error) {
 	u.mu.Lock()
 	u.polled = append(u.polled, q.Turn)
 	t, late := u.turn, q.Turn != u.turn
@@ -41,7 +41,7 @@
 	if !late {
 		_ = clock.Real{}.Sleep(ctx, q.Hold)
 	}
-	return &owner.Polled{Epoch: 1, To: q.From, Turn: t}, nil
+	return &leader.Polled{Epoch: 1, To: q.From, Turn: t}, nil
 }
 
 func (u *usher) set(turn uint64, deaf bool) {
--- a/internal/delivery/stream/feed.go
+++ b/internal/delivery/stream/feed.go
@@ -12,13 +12,13 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/ledger/owner"
+	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/settings"
 )
 
 // Source reads committed entries.
 type Source interface {
-	ReadAs(ctx context.Context, q *owner.ReadRequest) (*owner.Reading, error)
+	ReadAs(ctx context.Context, q *leader.ReadRequest) (*leader.Reading, error)
 }
 
 // Feeds holds a feed per partition that some stream here follows.
@@ -156,7 +156,7 @@
 			from = ^uint64(0)
 		}
 		cx, stop := context.WithTimeout(ctx, f.bounds.Recovery)
-		r, err := d.ask(cx, &owner.ReadRequest{From: from, Hold: f.bounds.Hold()})
+		r, err := d.ask(cx, &leader.ReadRequest{From: from, Hold: f.bounds.Hold()})
 		stop()
 		if err != nil {
 			if f.clk.Now().Sub(heard) > f.bounds.Recovery && d.depart() {
@@ -186,7 +186,7 @@
 }
 
 // ask reads as the feed's reader, and takes nothing from an owner that is known to be superseded.
-func (d *Feed) ask(ctx context.Context, q *owner.ReadRequest) (*owner.Reading, error) {
+func (d *Feed) ask(ctx context.Context, q *leader.ReadRequest) (*leader.Reading, error) {
 	d.mu.Lock()
 	boot := d.boot
 	q.Partition, q.Node, q.Boot, q.Turn, q.Marks = d.p, d.fs.node, d.boot, d.turn, true
@@ -212,7 +212,7 @@
 	f := d.fs
 	for f.ctx.Err() == nil {
 		cx, stop := context.WithTimeout(f.ctx, f.bounds.Recovery)
-		_, err := d.ask(cx, &owner.ReadRequest{From: ^uint64(0), Done: true})
+		_, err := d.ask(cx, &leader.ReadRequest{From: ^uint64(0), Done: true})
 		stop()
 		if err == nil {
 			return
@@ -241,7 +241,7 @@
 func (d *Feed) depart() bool {
 	f := d.fs
 	d.mu.Lock()
-	q := &owner.ReadRequest{Partition: d.p, Node: f.node, Boot: d.boot, Turn: d.turn, Marks: true, From: ^uint64(0), Done: true}
+	q := &leader.ReadRequest{Partition: d.p, Node: f.node, Boot: d.boot, Turn: d.turn, Marks: true, From: ^uint64(0), Done: true}
 	d.mu.Unlock()
 	if q.Turn == 0 {
 		return false
@@ -277,7 +277,7 @@
 }
 
 // take adds what was read and gives the writes cut off, which have to end before anything behind it is asked for.
-func (d *Feed) take(r *owner.Reading, first bool) []*writing {
+func (d *Feed) take(r *leader.Reading, first bool) []*writing {
 	now := d.fs.clk.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -381,7 +381,7 @@
 	d.mu.Lock()
 	era := d.era
 	d.mu.Unlock()
-	r, err := d.ask(cx, &owner.ReadRequest{From: o, Beside: true})
+	r, err := d.ask(cx, &leader.ReadRequest{From: o, Beside: true})
 	if err != nil {
 		return Window{}, err
 	}
--- a/internal/delivery/stream/feed_test.go
+++ b/internal/delivery/stream/feed_test.go
@@ -12,7 +12,7 @@
 
 	"postjunction/internal/clock"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/ledger/owner"
+	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/settings"
 )
 
@@ -22,18 +22,18 @@
 	es    []line.Entry
 	base  uint64
 	epoch uint64
-	asked []owner.ReadRequest
+	asked []leader.ReadRequest
 	turn  uint64
 	clean map[string]bool
 	late  chan struct{}
 	news  chan struct{}
 }
 
-func (c *clerk) ReadAs(ctx context.Context, q *owner.ReadRequest) (*owner.Reading, error) {
+func (c *clerk) ReadAs(ctx context.Context, q *leader.ReadRequest) (*leader.Reading, error) {
 	for end := time.Now().Add(q.Hold); ; {
 		c.mu.Lock()
 		c.asked = append(c.asked, *q)
-		r := &owner.Reading{Base: c.base, To: uint64(len(c.es)), Epoch: c.epoch, Turn: c.turn}
+		r := &leader.Reading{Base: c.base, To: uint64(len(c.es)), Epoch: c.epoch, Turn: c.turn}
 		late, news := c.late, c.news
 		switch {
 		case c.clean[q.Boot]:
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -31,7 +31,6 @@
 	"postjunction/internal/event"
 	"postjunction/internal/gossip"
 	"postjunction/internal/httpapi"
-	"postjunction/internal/ledger/owner"
 	"postjunction/internal/ledger/replica"
 	"postjunction/internal/ledger/still"
 	"postjunction/internal/membership"
@@ -40,6 +39,7 @@
 	"postjunction/internal/node/owners"
 	"postjunction/internal/nodelease"
 	"postjunction/internal/operator"
+	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/partitionlog/router"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/placement/controller"
@@ -58,7 +58,7 @@
 	Net   wire.Network
 	Disk  journal.Log
 	// Witness, if any, hears every verdict of the owners that run here; only proof uses it.
-	Witness owner.Witness
+	Witness leader.Witness
 }
 
 // Node is one process of the fleet.
@@ -315,7 +315,7 @@
 	}
 	n.owners = &owners.Keeper{Self: self, Clock: clk, Bounds: b, Board: n.Board, Client: n.client, Replica: n.replica, Log: n.log, Able: n.able, Tell: n.gossip.Tell}
 	n.watch = &failuredetector.Watch{Self: self, Boot: n.boot, Clock: clk, Bounds: b, Net: net, Board: n.Board, Addr: n.reach, Gone: n.owners.Inherit}
-	n.owners.Deps = owner.Deps{
+	n.owners.Deps = leader.Deps{
 		Self: self, Net: net, Clock: clk, Bounds: b, Replica: n.replica, Still: still.New(ctx, self, net, clk, b), Addr: n.addr, Licensed: n.keeper.Licensed,
 		Batch:   func() time.Duration { return n.options().Batch() },
 		Backlog: func() int { return n.options().Backlog },
@@ -608,7 +608,7 @@
 }
 
 // Open logs a finished take-over.
-func (l *ownerLog) Open(p int, e uint64, h owner.Recovery) {
+func (l *ownerLog) Open(p int, e uint64, h leader.Recovery) {
 	l.log.Say(event.OwnerOpen, "partition", p, "epoch", e, "tails", h.Tails, "directory", h.Directory, "replayed", h.Replayed, "fetched", h.Fetched, "reprocessed", h.Reprocessed, "keys", h.Keys, "took", h.Took.String())
 }
 
--- a/internal/node/owners/owners.go
+++ b/internal/node/owners/owners.go
@@ -13,9 +13,9 @@
 	"postjunction/internal/control/registerclient"
 	"postjunction/internal/event"
 	"postjunction/internal/gossip"
-	"postjunction/internal/ledger/owner"
 	"postjunction/internal/ledger/replica"
 	"postjunction/internal/partition"
+	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
@@ -28,7 +28,7 @@
 	Board   *gossip.Board
 	Client  *registerclient.Client
 	Replica *replica.Replica
-	Deps    owner.Deps
+	Deps    leader.Deps
 	Log     *event.Logger
 	// Able ranks a disk as the next owner by what is known of its machine: 0 first, below 0 for one that can't be.
 	Able  func(assignment.Place) int
@@ -36,14 +36,14 @@
 	// Tell has records that were written here known at once.
 	Tell   func(context.Context, ...assignment.Record)
 	mu     sync.Mutex
-	m      map[int]*owner.Owner
+	m      map[int]*leader.Owner
 	closed bool
 	epochs map[int]uint64
 	loads  map[int]sample
 }
 
 // Owner finds the owner of a partition that runs here.
-func (k *Keeper) Owner(p int) (*owner.Owner, error) {
+func (k *Keeper) Owner(p int) (*leader.Owner, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if o, ok := k.m[p]; ok {
@@ -53,8 +53,8 @@
 }
 
 // Views gives the figures of all owners.
-func (k *Keeper) Views() []owner.View {
-	vs := []owner.View{}
+func (k *Keeper) Views() []leader.View {
+	vs := []leader.View{}
 	for _, o := range k.all() {
 		vs = append(vs, o.View())
 	}
@@ -64,10 +64,10 @@
 // Count is how many owners run here.
 func (k *Keeper) Count() int { return len(k.all()) }
 
-func (k *Keeper) all() []*owner.Owner {
+func (k *Keeper) all() []*leader.Owner {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	os := make([]*owner.Owner, 0, len(k.m))
+	os := make([]*leader.Owner, 0, len(k.m))
 	for _, p := range slices.Sorted(maps.Keys(k.m)) {
 		os = append(os, k.m[p])
 	}
@@ -124,7 +124,7 @@
 		}
 		k.mu.Lock()
 		if k.m == nil {
-			k.m, k.epochs = map[int]*owner.Owner{}, map[int]uint64{}
+			k.m, k.epochs = map[int]*leader.Owner{}, map[int]uint64{}
 		}
 		o := k.m[p]
 		switch {
@@ -143,7 +143,7 @@
 				go k.revive(ctx, p)
 				continue
 			}
-			n := owner.New(k.Deps, r, partition.Urgent(p, l))
+			n := leader.New(k.Deps, r, partition.Urgent(p, l))
 			k.m[p] = n
 			k.mu.Unlock()
 			if o != nil {
@@ -163,7 +163,7 @@
 	}
 }
 
-func (k *Keeper) serve(ctx context.Context, o *owner.Owner) {
+func (k *Keeper) serve(ctx context.Context, o *leader.Owner) {
 	o.Run(ctx)
 	k.mu.Lock()
 	alone := k.m[o.Rec.Partition] == o && !k.closed
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -17,9 +17,9 @@
 	"postjunction/internal/control/voters"
 	"postjunction/internal/event"
 	"postjunction/internal/gossip"
-	"postjunction/internal/ledger/owner"
 	"postjunction/internal/membership"
 	"postjunction/internal/partition"
+	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/partitionlog/router"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/quorum"
@@ -39,9 +39,9 @@
 	Info     func() membership.Info
 	Licensed func() error
 	With     func() string
-	Owners   func() []owner.View
-	Uses     func(ctx context.Context, p int) ([]owner.Use, error)
-	Marks    func(ctx context.Context, p int) (*owner.MarksView, error)
+	Owners   func() []leader.View
+	Uses     func(ctx context.Context, p int) ([]leader.Use, error)
+	Marks    func(ctx context.Context, p int) (*leader.MarksView, error)
 	Tallies  func() map[string]any
 	Trace    func(ctx context.Context, p int, q *router.TraceRequest) (*router.Traced, error)
 	Turned   func(ctx context.Context, i membership.Info, q rejections.Task) ([]rejections.Note, error)
@@ -66,7 +66,7 @@
 	Roster      voters.Roster       `json:"roster"`
 	Members     []membership.Info   `json:"members"`
 	Partitions  []assignment.Record `json:"partitions"`
-	Owned       []owner.View        `json:"owned"`
+	Owned       []leader.View       `json:"owned"`
 }
 
 // Status gives this node's view.
@@ -129,7 +129,7 @@
 	Urgent bool              `json:"urgent"`
 	Record assignment.Record `json:"record"`
 	// Withdrawn is nil where nothing has keys.
-	Withdrawn *owner.MarksView `json:"withdrawn,omitempty"`
+	Withdrawn *leader.MarksView `json:"withdrawn,omitempty"`
 }
 
 // Partition reads one partition's record, named by number or by a topic of it.
--- a/internal/ledger/owner/attach_test.go
+++ b/internal/partitionlog/leader/attach_test.go
@@ -1,4 +1,4 @@
-package owner
+package leader
 
 import (
 	"testing"
--- a/internal/ledger/owner/owner.go
+++ b/internal/partitionlog/leader/owner.go
@@ -1,5 +1,5 @@
-// Package owner decides for one partition under one epoch: it takes over, orders, replicates and commits.
-package owner
+// Package leader decides for one partition under one epoch: it takes over, orders, replicates and commits.
+package leader
 
 import (
 	"context"
--- a/internal/partitionlog/router/desk.go
+++ b/internal/partitionlog/router/desk.go
@@ -10,9 +10,9 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
-	"postjunction/internal/ledger/owner"
 	"postjunction/internal/membership"
 	"postjunction/internal/partition"
+	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/samza/state"
 	"postjunction/internal/settings"
@@ -63,8 +63,8 @@
 
 // UsageResponse says so.
 type UsageResponse struct {
-	Uses  []owner.Use      `json:"u"`
-	Marks *owner.MarksView `json:"m,omitempty"`
+	Uses  []leader.Use      `json:"u"`
+	Marks *leader.MarksView `json:"m,omitempty"`
 }
 
 // TraceRequest asks what the ledger knows of a call.
@@ -94,20 +94,20 @@
 
 // The desk's calls.
 var (
-	Submit   = wire.Name[owner.Task, owner.Decision]("Ledger", "Submit", wire.Numbered, "the message has its number, which the owner remembers")
+	Submit   = wire.Name[leader.Task, leader.Decision]("Ledger", "Submit", wire.Numbered, "the message has its number, which the owner remembers")
 	Attach   = wire.Name[AttachRequest, AttachResponse]("Ledger", "Attach", wire.Numbered, "the attachment has a secret of its own; the one in force is known by it")
 	Attached = wire.Name[AttachedRequest, AttachedResponse]("Ledger", "Attached", wire.Reads, "confirmed by a majority of copies")
 	Ack      = wire.Name[AckRequest, Done]("Ledger", "Ack", wire.Ordered, "the cursor left last stands, as long as the attachment is in force")
 	Trace    = wire.Name[TraceRequest, Traced]("Ledger", "Trace", wire.Reads, "looks up a call's fate")
 	Usage    = wire.Name[UsageRequest, UsageResponse]("Ledger", "Usage", wire.Reads, "counts")
-	Read     = wire.Name[owner.ReadRequest, owner.Reading]("Ledger", "Read", wire.Reads, "committed entries behind a place")
+	Read     = wire.Name[leader.ReadRequest, leader.Reading]("Ledger", "Read", wire.Reads, "committed entries behind a place")
 	// Forgotten tells who has not read behind a mark yet.
-	Forgotten = wire.Name[ForgottenRequest, owner.Unheard]("Ledger", "Forgotten", wire.Reads, "waits for readers, changes nothing")
+	Forgotten = wire.Name[ForgottenRequest, leader.Unheard]("Ledger", "Forgotten", wire.Reads, "waits for readers, changes nothing")
 )
 
 // Owners finds the owner that runs here.
 type Owners interface {
-	Owner(p int) (*owner.Owner, error)
+	Owner(p int) (*leader.Owner, error)
 }
 
 // Desk is one node's.
@@ -128,9 +128,9 @@
 	lanes lanes
 }
 
-func (d *Desk) here(p int) (*owner.Owner, error) { return d.Owners.Owner(p) }
+func (d *Desk) here(p int) (*leader.Owner, error) { return d.Owners.Owner(p) }
 
-func (d *Desk) place(q *owner.Task) (int, error) {
+func (d *Desk) place(q *leader.Task) (int, error) {
 	x := d.Board.Index()
 	if x.Sequence < q.Description {
 		return 0, apierror.New(apierror.NotReady, "the call was let in under description %d, this node has %d", q.Description, x.Sequence)
@@ -142,7 +142,7 @@
 	return partition.Of(q.Topic, s.Urgent, d.Board.Roster().Layout), nil
 }
 
-func (d *Desk) submit(ctx context.Context, q *owner.Task) (*owner.Decision, error) {
+func (d *Desk) submit(ctx context.Context, q *leader.Task) (*leader.Decision, error) {
 	p, err := d.place(q)
 	if err != nil {
 		return nil, err
@@ -184,7 +184,7 @@
 	return &Done{}, o.Ack(ctx, q.Visitor, q.Generation, q.Cursor)
 }
 
-func (d *Desk) read(ctx context.Context, q *owner.ReadRequest) (*owner.Reading, error) {
+func (d *Desk) read(ctx context.Context, q *leader.ReadRequest) (*leader.Reading, error) {
 	o, err := d.here(q.Partition)
 	if err != nil {
 		return nil, err
@@ -193,7 +193,7 @@
 	return o.Read(ctx, q)
 }
 
-func (d *Desk) forgotten(ctx context.Context, q *ForgottenRequest) (*owner.Unheard, error) {
+func (d *Desk) forgotten(ctx context.Context, q *ForgottenRequest) (*leader.Unheard, error) {
 	o, err := d.here(q.Partition)
 	if err != nil {
 		return nil, err
@@ -336,7 +336,7 @@
 }
 
 // Submit has a message decided by its partition's owner, wherever that is.
-func (d *Desk) Submit(ctx context.Context, p int, q *owner.Task) (*owner.Decision, error) {
+func (d *Desk) Submit(ctx context.Context, p int, q *leader.Task) (*leader.Decision, error) {
 	return handOver(ctx, d, p, Submit, d.submit, q)
 }
 
@@ -411,12 +411,12 @@
 }
 
 // Read reads committed entries of a partition, without what stands under keys.
-func (d *Desk) Read(ctx context.Context, p int, from uint64, hold time.Duration) (*owner.Reading, error) {
-	return d.ReadAs(ctx, &owner.ReadRequest{Partition: p, From: from, Hold: hold})
+func (d *Desk) Read(ctx context.Context, p int, from uint64, hold time.Duration) (*leader.Reading, error) {
+	return d.ReadAs(ctx, &leader.ReadRequest{Partition: p, From: from, Hold: hold})
 }
 
 // ReadAs reads committed entries of a partition as a reader that may mind withdrawals.
-func (d *Desk) ReadAs(ctx context.Context, q *owner.ReadRequest) (*owner.Reading, error) {
+func (d *Desk) ReadAs(ctx context.Context, q *leader.ReadRequest) (*leader.Reading, error) {
 	return handOver(ctx, d, q.Partition, Read, d.read, q)
 }
 
@@ -426,12 +426,12 @@
 }
 
 // Forgotten asks who has not read behind a mark of a partition yet, waiting up to hold until nobody is left.
-func (d *Desk) Forgotten(ctx context.Context, p int, offset uint64, hold time.Duration) (*owner.Unheard, error) {
+func (d *Desk) Forgotten(ctx context.Context, p int, offset uint64, hold time.Duration) (*leader.Unheard, error) {
 	return handOver(ctx, d, p, Forgotten, d.forgotten, &ForgottenRequest{Partition: p, Offset: offset, Hold: hold})
 }
 
 // Usage asks how a partition's topics were used.
-func (d *Desk) Usage(ctx context.Context, p int) ([]owner.Use, error) {
+func (d *Desk) Usage(ctx context.Context, p int) ([]leader.Use, error) {
 	a, err := handOver(ctx, d, p, Usage, d.usage, &UsageRequest{Partition: p})
 	if err != nil {
 		return nil, err
@@ -440,7 +440,7 @@
 }
 
 // Marks asks which withdrawals of a partition stand and who reads what has keys; nil where nothing does.
-func (d *Desk) Marks(ctx context.Context, p int) (*owner.MarksView, error) {
+func (d *Desk) Marks(ctx context.Context, p int) (*leader.MarksView, error) {
 	a, err := handOver(ctx, d, p, Usage, d.usage, &UsageRequest{Partition: p})
 	if err != nil {
 		return nil, err
--- a/internal/partitionlog/router/fan.go
+++ b/internal/partitionlog/router/fan.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/ledger/owner"
+	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/wire"
 )
@@ -24,12 +24,12 @@
 
 // The calls of nodes that follow topics.
 var (
-	Follow    = wire.Name[owner.Want, owner.Told]("Ledger", "Follow", wire.Ordered, "wishes of a feed are numbered; an old number changes nothing")
-	Poll      = wire.Name[owner.PollRequest, owner.Polled]("Ledger", "Poll", wire.Reads, "committed entries behind a place; the place that it confirms only rises")
+	Follow    = wire.Name[leader.Want, leader.Told]("Ledger", "Follow", wire.Ordered, "wishes of a feed are numbered; an old number changes nothing")
+	Poll      = wire.Name[leader.PollRequest, leader.Polled]("Ledger", "Poll", wire.Reads, "committed entries behind a place; the place that it confirms only rises")
 	Listeners = wire.Name[ListenersRequest, ListenersResponse]("Ledger", "Listeners", wire.Reads, "counts")
 )
 
-func (d *Desk) follow(ctx context.Context, q *owner.Want) (*owner.Told, error) {
+func (d *Desk) follow(ctx context.Context, q *leader.Want) (*leader.Told, error) {
 	o, err := d.here(q.Partition)
 	if err != nil {
 		return nil, err
@@ -37,7 +37,7 @@
 	return o.Follow(ctx, q)
 }
 
-func (d *Desk) poll(ctx context.Context, q *owner.PollRequest) (*owner.Polled, error) {
+func (d *Desk) poll(ctx context.Context, q *leader.PollRequest) (*leader.Polled, error) {
 	o, err := d.here(q.Partition)
 	if err != nil {
 		return nil, err
@@ -56,8 +56,8 @@
 }
 
 func (d *Desk) serveFans(m *http.ServeMux) {
-	Follow.Handle(m, packing(d.follow, func(q *owner.Want) bool { return q.Packs }))
-	Poll.Handle(m, packing(d.poll, func(q *owner.PollRequest) bool { return q.Packs }))
+	Follow.Handle(m, packing(d.follow, func(q *leader.Want) bool { return q.Packs }))
+	Poll.Handle(m, packing(d.poll, func(q *leader.PollRequest) bool { return q.Packs }))
 	Listeners.Handle(m, d.listeners)
 }
 
@@ -93,7 +93,7 @@
 }
 
 // Follow tells a partition's owner what this node follows, one time.
-func (d *Desk) Follow(ctx context.Context, r assignment.Record, q *owner.Want) (*owner.Told, error) {
+func (d *Desk) Follow(ctx context.Context, r assignment.Record, q *leader.Want) (*leader.Told, error) {
 	q.Packs = d.Packs
 	a, err := once(ctx, d, r, d.Bounds.Call(), Follow, d.follow, q)
 	if err != nil {
@@ -103,7 +103,7 @@
 }
 
 // Poll reads what this node follows from a partition's owner, one time.
-func (d *Desk) Poll(ctx context.Context, r assignment.Record, q *owner.PollRequest) (*owner.Polled, error) {
+func (d *Desk) Poll(ctx context.Context, r assignment.Record, q *leader.PollRequest) (*leader.Polled, error) {
 	q.Packs = d.Packs
 	a, err := once(ctx, d, r, q.Hold+d.Bounds.Call(), Poll, d.poll, q)
 	if err != nil {
--- a/internal/partitionlog/router/forgotten_test.go
+++ b/internal/partitionlog/router/forgotten_test.go
@@ -10,18 +10,18 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/ledger/owner"
+	"postjunction/internal/partitionlog/leader"
 )
 
 type askers struct {
 	asked []ForgottenRequest
-	tell  func(n int) (*owner.Unheard, error)
+	tell  func(n int) (*leader.Unheard, error)
 }
 
 // Do carries a call to the stand-in.
 func (a *askers) Do(r *http.Request) (*http.Response, error) {
 	m := http.NewServeMux()
-	Forgotten.Handle(m, func(_ context.Context, q *ForgottenRequest) (*owner.Unheard, error) {
+	Forgotten.Handle(m, func(_ context.Context, q *ForgottenRequest) (*leader.Unheard, error) {
 		a.asked = append(a.asked, *q)
 		return a.tell(len(a.asked))
 	})
@@ -34,22 +34,22 @@
 func TestForgottenIsAskedAgain(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		moving := []apierror.Kind{apierror.NotOwner, apierror.NotReady, apierror.Leaving, apierror.StaleEpoch}
-		a := &askers{tell: func(n int) (*owner.Unheard, error) {
+		a := &askers{tell: func(n int) (*leader.Unheard, error) {
 			if n <= len(moving) {
 				return nil, apierror.New(moving[n-1], "moving")
 			}
-			return &owner.Unheard{Nodes: []string{"a2"}}, nil
+			return &leader.Unheard{Nodes: []string{"a2"}}, nil
 		}}
 		b := newBench(nil)
 		b.Net = a
 		b.owned("s1")
 		u, err := b.Forgotten(t.Context(), part, 7, time.Second)
 		assert.NilError(t, err)
-		assert.DeepEqual(t, u, &owner.Unheard{Nodes: []string{"a2"}})
+		assert.DeepEqual(t, u, &leader.Unheard{Nodes: []string{"a2"}})
 		assert.Equal(t, len(a.asked), len(moving)+1)
 		assert.DeepEqual(t, a.asked[0], ForgottenRequest{Partition: part, Offset: 7, Hold: time.Second})
 
-		a.tell = func(int) (*owner.Unheard, error) { return nil, apierror.New(apierror.NotOwner, "superseded") }
+		a.tell = func(int) (*leader.Unheard, error) { return nil, apierror.New(apierror.NotOwner, "superseded") }
 		u, err = b.Forgotten(t.Context(), part, 7, time.Second)
 		assert.Assert(t, u == nil && apierror.Has(err, apierror.NoOwner), "%v", err)
 	})
@@ -63,7 +63,7 @@
 			if n++; n == 1 {
 				return lost()
 			}
-			return &ManyResponse{Verdicts: []owner.Verdict{{Problem: apierror.New(apierror.KeyUnknown, "nothing")}}}, nil
+			return &ManyResponse{Verdicts: []leader.Verdict{{Problem: apierror.New(apierror.KeyUnknown, "nothing")}}}, nil
 		})
 		b.owned("s1")
 		b.offer(1, time.Minute)
--- a/internal/partitionlog/router/offer.go
+++ b/internal/partitionlog/router/offer.go
@@ -9,20 +9,20 @@
 	"time"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/ledger/owner"
+	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/wire"
 )
 
 // ManyRequest is messages of one partition, decided in their order.
 type ManyRequest struct {
-	Partition int           `json:"p"`
-	Tasks     []*owner.Task `json:"t"`
+	Partition int            `json:"p"`
+	Tasks     []*leader.Task `json:"t"`
 }
 
 // ManyResponse gives a verdict for each message, in the same order.
 type ManyResponse struct {
-	Verdicts []owner.Verdict `json:"v"`
+	Verdicts []leader.Verdict `json:"v"`
 }
 
 // SubmitMany has a batch decided at the owner's node.
@@ -35,15 +35,15 @@
 
 type offer struct {
 	ctx   context.Context
-	q     *owner.Task
+	q     *leader.Task
 	since time.Time
 	until time.Time
-	done  func(*owner.Decision, error)
+	done  func(*leader.Decision, error)
 	doubt bool
 	told  bool
 }
 
-func (o *offer) tell(a *owner.Decision, err error) {
+func (o *offer) tell(a *leader.Decision, err error) {
 	if !o.told {
 		o.told = true
 		o.done(a, err)
@@ -90,7 +90,7 @@
 // Offer has a message decided by its partition's owner and never waits: done hears the answer once, as soon as it is known and by until at the latest.
 // What one node offers for a partition reaches the owner in the order offered. done must not block; when the backlog is full it hears so before Offer
 // returns. no_owner and overloaded promise that the message never was and never will be taken by this offer; outcome_unknown promises nothing.
-func (d *Desk) Offer(ctx context.Context, p int, q *owner.Task, until time.Time, done func(*owner.Decision, error)) {
+func (d *Desk) Offer(ctx context.Context, p int, q *leader.Task, until time.Time, done func(*leader.Decision, error)) {
 	l := d.lanes.of(p)
 	o := &offer{ctx: ctx, q: q, since: d.Clock.Now(), until: until, done: done}
 	l.mu.Lock()
@@ -212,7 +212,7 @@
 
 // attempt hands a batch over once, and meanwhile tells those whose time is over. What may have left this node for another is in doubt from then on,
 // whatever comes back: an older copy of the batch may still be on its way.
-func (d *Desk) attempt(p int, l *lane, r assignment.Record, batch []*offer) ([]owner.Verdict, error) {
+func (d *Desk) attempt(p int, l *lane, r assignment.Record, batch []*offer) ([]leader.Verdict, error) {
 	type answer struct {
 		a   *ManyResponse
 		err error
@@ -274,7 +274,7 @@
 }
 
 // answer tells what was decided and gives up what nobody can decide; it gives the rest, in order, to be tried again.
-func (d *Desk) answer(p int, l *lane, r assignment.Record, batch []*offer, vs []owner.Verdict, begun time.Time, err error) []*offer {
+func (d *Desk) answer(p int, l *lane, r assignment.Record, batch []*offer, vs []leader.Verdict, begun time.Time, err error) []*offer {
 	now := d.Clock.Now()
 	var stay []*offer
 	var why []error
@@ -363,8 +363,8 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &ManyResponse{Verdicts: make([]owner.Verdict, len(q.Tasks))}
-	var ts []*owner.Task
+	a := &ManyResponse{Verdicts: make([]leader.Verdict, len(q.Tasks))}
+	var ts []*leader.Task
 	var at []int
 	for i, t := range q.Tasks {
 		if err := d.placed(t, q.Partition); err != nil {
@@ -379,7 +379,7 @@
 	return a, nil
 }
 
-func (d *Desk) placed(q *owner.Task, p int) error {
+func (d *Desk) placed(q *leader.Task, p int) error {
 	at, err := d.place(q)
 	if err == nil && at != p {
 		err = apierror.New(apierror.NotOwner, "topic %s stands in partition %d, not %d", q.Topic, at, p)
--- a/internal/partitionlog/router/packing_test.go
+++ b/internal/partitionlog/router/packing_test.go
@@ -8,19 +8,19 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/ledger/owner"
+	"postjunction/internal/partitionlog/leader"
 )
 
 // Bodies come packed to those that ask for it, and to nobody else.
 func TestBodiesArePackedForThoseThatAsk(t *testing.T) {
 	body := bytes.Repeat([]byte("abcdefgh"), 100)
-	f := packing(func(context.Context, *owner.PollRequest) (*owner.Polled, error) {
-		return &owner.Polled{Entries: []line.Entry{{Topic: "t", Body: body}}}, nil
-	}, func(q *owner.PollRequest) bool { return q.Packs })
-	a, err := f(t.Context(), &owner.PollRequest{})
+	f := packing(func(context.Context, *leader.PollRequest) (*leader.Polled, error) {
+		return &leader.Polled{Entries: []line.Entry{{Topic: "t", Body: body}}}, nil
+	}, func(q *leader.PollRequest) bool { return q.Packs })
+	a, err := f(t.Context(), &leader.PollRequest{})
 	assert.NilError(t, err)
 	assert.Assert(t, a.Packed == nil && bytes.Equal(a.Entries[0].Body, body))
-	a, err = f(t.Context(), &owner.PollRequest{Packs: true})
+	a, err = f(t.Context(), &leader.PollRequest{Packs: true})
 	assert.NilError(t, err)
 	assert.Assert(t, a.Packed != nil && a.Entries[0].Body == nil)
 	assert.NilError(t, a.Unpack())
--- a/internal/proof/sim/answers_test.go
+++ b/internal/proof/sim/answers_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/ledger/owner"
 	"postjunction/internal/partition"
+	"postjunction/internal/partitionlog/leader"
 )
 
 // An owner whose data links are cut keeps its lease and its belief that it decides. While others decide, it must neither vouch for an
@@ -51,7 +51,7 @@
 				if err == nil {
 					assert.Equal(t, a.Attached.Generation, second.Generation, "vouched for a superseded attachment")
 				}
-				_, err = stale.Visitors.Desk.Submit(ctx, p, &owner.Task{Visitor: who, Generation: second.Generation, Topic: topic, Call: 5, Body: []byte(`"later"`)})
+				_, err = stale.Visitors.Desk.Submit(ctx, p, &leader.Task{Visitor: who, Generation: second.Generation, Topic: topic, Call: 5, Body: []byte(`"later"`)})
 				assert.Assert(t, !apierror.Has(err, apierror.CallPassed), "a final no from an owner that is none: %v", err)
 				stop()
 				assert.Assert(t, hits() > 0, "void: nothing was held")
--- a/internal/proof/sim/boot_test.go
+++ b/internal/proof/sim/boot_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/ledger/owner"
 	"postjunction/internal/partition"
+	"postjunction/internal/partitionlog/leader"
 )
 
 // boots are the ways in which processes go and come back.
@@ -78,7 +78,7 @@
 		}
 		p := partition.Of(topic, sp.Urgent, x.Board.Roster().Layout)
 		done := make(chan error, 1)
-		x.House.Ledger.Offer(w.ctx, p, &owner.Task{Visitor: who, Topic: topic, Call: call, Body: []byte(`"b"`)}, time.Now().Add(w.Site.Bounds.Call()), func(d *owner.Decision, err error) {
+		x.House.Ledger.Offer(w.ctx, p, &leader.Task{Visitor: who, Topic: topic, Call: call, Body: []byte(`"b"`)}, time.Now().Add(w.Site.Bounds.Call()), func(d *leader.Decision, err error) {
 			if err == nil {
 				mu.Lock()
 				last[topic] = max(last[topic], d.Offset)
--- a/internal/proof/sim/early_test.go
+++ b/internal/proof/sim/early_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/ledger/owner"
+	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/partitionlog/router"
 )
 
@@ -24,7 +24,7 @@
 		_, run := m.node()
 		_, err := router.Attached.Call(w.ctx, &endpoint{w, m, run}, "a1", w.Machines["s1"].Opts.Peers, &router.AttachedRequest{Visitor: "v"})
 		assert.Assert(t, apierror.Has(err, apierror.NotOwner), "%v", err)
-		_, err = router.Submit.Call(w.ctx, &endpoint{w, m, run}, "a1", w.Machines["s1"].Opts.Peers, &owner.Task{Visitor: "v", Topic: "kept/t0", Call: 1, Body: []byte("1"), Description: 1})
+		_, err = router.Submit.Call(w.ctx, &endpoint{w, m, run}, "a1", w.Machines["s1"].Opts.Peers, &leader.Task{Visitor: "v", Topic: "kept/t0", Call: 1, Body: []byte("1"), Description: 1})
 		assert.Assert(t, apierror.Has(err, apierror.NotReady), "a store that lacks the description refused for good: %v", err)
 		_, err = w.Port("a1").Attach(w.ctx, "v")
 		assert.Assert(t, apierror.Has(err, apierror.Unlicensed), "%v", err)
--- a/internal/proof/sim/gap_test.go
+++ b/internal/proof/sim/gap_test.go
@@ -12,9 +12,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/ledger/owner"
 	"postjunction/internal/node"
 	"postjunction/internal/partition"
+	"postjunction/internal/partitionlog/leader"
 )
 
 var wide = Load{Callers: 4, Topics: 40, LiveTopics: 2, Leads: 1, Every: 500 * time.Millisecond}
@@ -51,7 +51,7 @@
 func (k *takers) send(ctx context.Context, n *node.Node, p int, topic string) {
 	for c := uint64(1); ctx.Err() == nil; {
 		cx, stop := context.WithTimeout(ctx, time.Second)
-		_, err := n.Visitors.Desk.Submit(cx, p, &owner.Task{Visitor: "taker", Topic: topic, Call: c, Body: []byte(`1`)})
+		_, err := n.Visitors.Desk.Submit(cx, p, &leader.Task{Visitor: "taker", Topic: topic, Call: c, Body: []byte(`1`)})
 		stop()
 		if err == nil {
 			c++
--- a/internal/proof/sim/measure_test.go
+++ b/internal/proof/sim/measure_test.go
@@ -11,7 +11,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/ledger/owner"
+	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/settings"
 )
 
@@ -21,8 +21,8 @@
 	}
 }
 
-func views(w *World) []owner.View {
-	var vs []owner.View
+func views(w *World) []leader.View {
+	var vs []leader.View
 	for _, m := range w.Machines {
 		if n := m.Node(); n != nil {
 			vs = append(vs, n.Operators.Owners()...)
--- a/internal/proof/sim/offer_test.go
+++ b/internal/proof/sim/offer_test.go
@@ -13,8 +13,8 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/ledger/owner"
 	"postjunction/internal/partition"
+	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/partitionlog/router"
 	"postjunction/internal/proof/history"
 )
@@ -51,13 +51,13 @@
 	v.w.History.Send(m.Message, m.body, false, time.Now())
 	p := partition.Of(m.Topic, false, n.Roster().Layout)
 	v.wg.Add(1)
-	n.Visitors.Desk.Offer(v.w.ctx, p, &owner.Task{Visitor: v.name, Topic: m.Topic, Call: m.Call, Body: []byte(m.body)}, time.Now().Add(time.Second), func(d *owner.Decision, err error) {
+	n.Visitors.Desk.Offer(v.w.ctx, p, &leader.Task{Visitor: v.name, Topic: m.Topic, Call: m.Call, Body: []byte(m.body)}, time.Now().Add(time.Second), func(d *leader.Decision, err error) {
 		defer v.wg.Done()
 		v.told(m, d, err)
 	})
 }
 
-func (v *offerer) told(m offered, d *owner.Decision, err error) {
+func (v *offerer) told(m offered, d *leader.Decision, err error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	k := string(apierror.Of(err).Kind)
--- a/internal/proof/sim/owner_test.go
+++ b/internal/proof/sim/owner_test.go
@@ -11,9 +11,9 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/client"
-	"postjunction/internal/ledger/owner"
 	"postjunction/internal/membership/failuredetector"
 	"postjunction/internal/partition"
+	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
@@ -94,7 +94,7 @@
 		assert.NilError(t, err)
 		n := w.Machines["a1"].Node()
 		p := partition.Of("kept/t0", false, n.Roster().Layout)
-		_, err = n.Visitors.Desk.Submit(w.ctx, p, &owner.Task{Visitor: "v", Generation: old.Generation, Topic: "kept/t0", Call: 2, Body: []byte(`2`)})
+		_, err = n.Visitors.Desk.Submit(w.ctx, p, &leader.Task{Visitor: "v", Generation: old.Generation, Topic: "kept/t0", Call: 2, Body: []byte(`2`)})
 		assert.Assert(t, apierror.Has(err, apierror.TokenFenced), "a send that was on its way: %v", err)
 	})
 }
--- a/internal/proof/sim/trim_test.go
+++ b/internal/proof/sim/trim_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/ledger/owner"
 	"postjunction/internal/partition"
+	"postjunction/internal/partitionlog/leader"
 )
 
 // The changelog of a partition stands still for longer than entries are kept, while its ledger goes on. Once the late batch is through, the
@@ -83,9 +83,9 @@
 			const topic, quiet = "kept/t0", "kept/t1"
 			n := w.Machines["a1"].Node()
 			p, q := partition.Of(topic, false, n.Roster().Layout), partition.Of(quiet, false, n.Roster().Layout)
-			send := func(topic string, call uint64) (*owner.Decision, error) {
+			send := func(topic string, call uint64) (*leader.Decision, error) {
 				p := partition.Of(topic, false, n.Roster().Layout)
-				return n.Visitors.Desk.Submit(w.ctx, p, &owner.Task{Visitor: "v", Topic: topic, Call: call, Body: []byte("1")})
+				return n.Visitors.Desk.Submit(w.ctx, p, &leader.Task{Visitor: "v", Topic: topic, Call: call, Body: []byte("1")})
 			}
 			must := func(topic string, call uint64) uint64 {
 				d, err := send(topic, call)
