--- a/internal/ledger/still/still.go
+++ b/internal/ledger/still/still.go
@@ -10,7 +10,7 @@
 
 	"postjunction/internal/clock"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/ledger/replica"
+	"postjunction/internal/partitionlog/replica"
 	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
--- a/internal/ledger/still/still_test.go
+++ b/internal/ledger/still/still_test.go
@@ -14,7 +14,7 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/ledger/replica"
+	"postjunction/internal/partitionlog/replica"
 	"postjunction/internal/settings"
 )
 
--- a/internal/node/owners/owners.go
+++ b/internal/node/owners/owners.go
@@ -13,9 +13,9 @@
 	"postjunction/internal/control/registerclient"
 	"postjunction/internal/event"
 	"postjunction/internal/gossip"
-	"postjunction/internal/ledger/replica"
 	"postjunction/internal/partition"
 	"postjunction/internal/partitionlog/leader"
+	"postjunction/internal/partitionlog/replica"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
--- a/internal/partitionlog/leader/learner.go
+++ b/internal/partitionlog/leader/learner.go
@@ -4,7 +4,7 @@
 	"context"
 
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/ledger/replica"
+	"postjunction/internal/partitionlog/replica"
 	"postjunction/internal/placement/assignment"
 )
 
--- a/internal/partitionlog/leader/takeover.go
+++ b/internal/partitionlog/leader/takeover.go
@@ -7,7 +7,7 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/ledger/replica"
+	"postjunction/internal/partitionlog/replica"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/quorum"
 	"postjunction/internal/samza/changelog"
--- a/internal/partitionlog/leader/track.go
+++ b/internal/partitionlog/leader/track.go
@@ -7,8 +7,8 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/ledger/replica"
 	"postjunction/internal/ledger/still"
+	"postjunction/internal/partitionlog/replica"
 	"postjunction/internal/placement/assignment"
 )
 
--- a/internal/partitionlog/leader/used_test.go
+++ b/internal/partitionlog/leader/used_test.go
@@ -10,7 +10,7 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/disk/memlog"
-	"postjunction/internal/ledger/replica"
+	"postjunction/internal/partitionlog/replica"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
--- a/internal/proof/crash/crash_test.go
+++ b/internal/proof/crash/crash_test.go
@@ -13,7 +13,7 @@
 	"postjunction/internal/control/voters"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/ledger/replica"
+	"postjunction/internal/partitionlog/replica"
 	"postjunction/internal/recordtype"
 )
 
--- a/internal/proof/crash/slices_test.go
+++ b/internal/proof/crash/slices_test.go
@@ -15,7 +15,7 @@
 	"postjunction/internal/disk/frame"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/ledger/replica"
+	"postjunction/internal/partitionlog/replica"
 	"postjunction/internal/recordtype"
 )
 
--- a/internal/proof/sim/points_test.go
+++ b/internal/proof/sim/points_test.go
@@ -15,7 +15,7 @@
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/quorumread"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/ledger/replica"
+	"postjunction/internal/partitionlog/replica"
 	"postjunction/internal/partitionlog/router"
 	"postjunction/internal/placement/controller"
 	"postjunction/internal/wire"
--- a/internal/proof/sim/still_test.go
+++ b/internal/proof/sim/still_test.go
@@ -8,7 +8,7 @@
 
 	"postjunction/internal/control/acceptor"
 	keys "postjunction/internal/control/register"
-	"postjunction/internal/ledger/replica"
+	"postjunction/internal/partitionlog/replica"
 )
 
 // What it costs to keep the copies of silent partitions in step grows with pairs of machines, not with partitions; a copy whose disk is gone is noticed all the same.
--- a/internal/proof/sim/vows.go
+++ b/internal/proof/sim/vows.go
@@ -8,7 +8,7 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/control/acceptor"
-	"postjunction/internal/ledger/replica"
+	"postjunction/internal/partitionlog/replica"
 	"postjunction/internal/proof/history"
 	"postjunction/internal/wire"
 )
--- a/internal/wire/codec_test.go
+++ b/internal/wire/codec_test.go
@@ -14,10 +14,10 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/gossip"
 	"postjunction/internal/ledger/line"
-	"postjunction/internal/ledger/replica"
 	"postjunction/internal/membership"
 	_ "postjunction/internal/node"
 	"postjunction/internal/nodelease"
+	"postjunction/internal/partitionlog/replica"
 	"postjunction/internal/wire"
 )
 
--- a/tools/guards.sh
+++ b/tools/guards.sh
@@ -29,8 +29,8 @@
 }
 
 S=./internal/proof/sim
-guard fence-replica internal/ledger/replica/replica.go 's/if s := r.seals\[t.Partition\]; t.Epoch < s \{/if s := r.seals[t.Partition]; false && t.Epoch < s {/' ./internal/ledger/replica 'Fenced'
-guard fence-cut internal/ledger/replica/replica.go 's/(func \(r \*Replica\) CutTo.*?)in, err := r\.enter\(ctx, t\)\n\tif err != nil \{\n\t\treturn err\n\t\}/$1back, err := r.turns.TakeNumber(ctx, t.Partition)\n\tif err != nil {\n\t\treturn err\n\t}\n\tin := turn.Hold(back)/s' ./internal/ledger/replica 'CutsNothing'
+guard fence-replica internal/partitionlog/replica/replica.go 's/if s := r.seals\[t.Partition\]; t.Epoch < s \{/if s := r.seals[t.Partition]; false && t.Epoch < s {/' ./internal/partitionlog/replica 'Fenced'
+guard fence-cut internal/partitionlog/replica/replica.go 's/(func \(r \*Replica\) CutTo.*?)in, err := r\.enter\(ctx, t\)\n\tif err != nil \{\n\t\treturn err\n\t\}/$1back, err := r.turns.TakeNumber(ctx, t.Partition)\n\tif err != nil {\n\t\treturn err\n\t}\n\tin := turn.Hold(back)/s' ./internal/partitionlog/replica 'CutsNothing'
 guard seal-before-tail internal/partitionlog/leader/takeover.go 's/\[\]sealed\) bool \{ return len\(gather.Good\(as\)\) >= o.Rec.Majority\(\) \}/[]sealed) bool { return len(gather.Good(as)) >= 1 }/; s/n < o.Rec.Majority\(\) \{/n < 1 {/' $S 'Faults|TakeOver|Seeds'
 guard best-tail internal/partitionlog/leader/takeover.go 's/if t := s.A.Tails\[k\].Last; top.Less\(t\) \{/if t := s.A.Tails[k].Last; false \&\& top.Less(t) {/' $S 'Faults|TakeOver|Seeds'
 guard epoch-used-before internal/partitionlog/leader/takeover.go 's/s >= o.Rec.Epoch \{/false \&\& s >= o.Rec.Epoch {/' ./internal/partitionlog/leader 'SealedEpoch'
@@ -65,10 +65,10 @@
 guard generation internal/partitionlog/leader/submit.go 's/if q.Generation > 0 && q.Generation < gen \{/if false \&\& q.Generation < gen {/' $S 'OldAttachment'
 guard reprocess internal/partitionlog/leader/takeover.go 's/todo := led.line.Slice\(input\+1, led.commit/todo := led.line.Slice(led.commit+1, led.commit/' $S 'Faults|Reprocess'
 guard offset-after-batch internal/samza/changelog/changelog.go 's/len\(parts\) < b.Parts \{/false {/' ./internal/samza/changelog 'Whole'
-guard directory-check internal/ledger/replica/replica.go 's/return d, ok && at == d.At/return d, ok \&\& at != line.Point{}/' ./internal/ledger/replica 'Directory'
+guard directory-check internal/partitionlog/replica/replica.go 's/return d, ok && at == d.At/return d, ok \&\& at != line.Point{}/' ./internal/partitionlog/replica 'Directory'
 guard renew-named-disk internal/node/owners/owners.go 's/ \|\| !k\.named\(r\)//' $S 'WipedStoreAsks'
 guard reread-again internal/node/owners/owners.go 's/for try := 0; !k\.reread\(ctx, p\); try\+\+ \{/for try := 0; !k.reread(ctx, p) \&\& try < 0; try++ {/' $S 'KeepsAsking'
-guard disk-incarnation internal/ledger/replica/replica.go 's/if t.Incarnation != r.incarnation \{/if false \&\& t.Incarnation != r.incarnation {/' ./internal/ledger/replica 'Incarnation'
+guard disk-incarnation internal/partitionlog/replica/replica.go 's/if t.Incarnation != r.incarnation \{/if false \&\& t.Incarnation != r.incarnation {/' ./internal/partitionlog/replica 'Incarnation'
 guard voter-incarnation internal/control/acceptor/voter.go 's/if inc != v.incarnation \{/if false \&\& inc != v.incarnation {/' ./internal/control/acceptor 'Wiped'
 guard voter-roster internal/control/acceptor/voter.go 's/if v.roster.Sequence != b.Roster \|\| b.Roster == 0 \{/if b.Roster == 0 {/' ./internal/control/acceptor 'Roster'
 guard voter-seal internal/control/acceptor/voter.go 's/if v.sealed\(\) && b.Key != RosterKey \{/if false \&\& v.sealed() \&\& b.Key != RosterKey {/' ./internal/control/acceptor 'Sealed'
@@ -127,7 +127,7 @@
 guard dead-seat-given-up internal/control/reconfigurer/steward.go 's/!ok \|\| len\(gone\) >= r\.Spare\(\)/true || !ok/' $S 'ReplacedVoter'
 guard back-without-a-seat internal/control/reconfigurer/steward.go 's/i\.Roster < r\.Sequence && i\.Stage/i.Roster == 0 \&\& i.Stage/' $S 'SeatsOf'
 guard turn-kept internal/disk/journal/journal.go 's/after: t\.More\(\), //' ./internal/control/acceptor 'GivesUp'
-guard line-kept internal/disk/journal/journal.go 's/after: t\.More\(\), //' ./internal/ledger/replica 'GivesUp'
+guard line-kept internal/disk/journal/journal.go 's/after: t\.More\(\), //' ./internal/partitionlog/replica 'GivesUp'
 guard change-finished internal/control/reconfigurer/steward.go 's/s\.finish\(ctx, r, live, first\)/_ = first/' $S 'ChangeOfVotersOutlives'
 guard astray internal/node/node.go 's/n\.goes\(func\(\) \{ n\.touch\.Run\(ctx\) \}\)/_ = n.touch.Run/' $S 'FellowThatReaches'
 guard sent-in-vain internal/membership/reachability/touch.go 's/if a\.A\.Well \{/if true {/' $S 'SentAwayInVain'
@@ -227,8 +227,8 @@
 guard turn-over internal/partitionlog/leader/marks.go 's/over: true/over: false/' ./internal/partitionlog/leader 'ReaderThatIsDone'
 guard turn-heeded internal/delivery/fanout/feed.go 's/f\.number = a\.Turn/_ = a/' ./internal/delivery/fanout TestTheTurnIsTold
 guard lost-paced internal/delivery/fanout/feed.go 's/if !again \{/if _ = again; err != nil {/' ./internal/delivery/fanout TestTheTurnIsTold
-guard still-sealed internal/ledger/replica/still.go 's/Epoch: r\.seals\[p\]\}, r\.lines/Epoch: 3}, r.lines/' ./internal/ledger/replica TestStillStands
-guard still-this-disk internal/ledger/replica/still.go 's/q\.Incarnation != r\.incarnation/q.Incarnation == "?"/' ./internal/ledger/replica TestStillStands
+guard still-sealed internal/partitionlog/replica/still.go 's/Epoch: r\.seals\[p\]\}, r\.lines/Epoch: 3}, r.lines/' ./internal/partitionlog/replica TestStillStands
+guard still-this-disk internal/partitionlog/replica/still.go 's/q\.Incarnation != r\.incarnation/q.Incarnation == "?"/' ./internal/partitionlog/replica TestStillStands
 guard still-halves internal/ledger/still/still.go 's/case !a\.Alike:\n\t\tsaid = Doubt\n//' ./internal/ledger/still TestWhatDiffers
 guard still-sooner internal/ledger/still/still.go 's/case g\.wake != nil && due\.Before\(g\.due\):\n\t\tg\.wake\(\)\n//' ./internal/ledger/still TestALineThatIsDueSooner
 guard still-asked internal/partitionlog/leader/track.go 's/ok \&\& o\.d\.Still != nil \&\& /false \&\& ok \&\& /' $S TestSilentLinesAre
