--- a/internal/client/follow.go
+++ b/internal/client/follow.go
@@ -9,8 +9,8 @@
 	"postjunction/internal/client/token"
 	"postjunction/internal/delivery/cursor"
 	"postjunction/internal/delivery/stream"
-	"postjunction/internal/ledger/line"
 	"postjunction/internal/partition"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/rawjson"
 )
 
@@ -401,7 +401,7 @@
 	return false, nil
 }
 
-func (st *subscriptionStream) pull(ctx context.Context, l *lane) ([]line.Entry, error) {
+func (st *subscriptionStream) pull(ctx context.Context, l *lane) ([]log.Entry, error) {
 	if len(l.left.Entries) > 0 {
 		return l.left.Entries, nil
 	}
@@ -436,7 +436,7 @@
 }
 
 // give gives an entry of a lane's window, or tells that the window is to be filled anew.
-func (st *subscriptionStream) give(l lane, e line.Entry) (stale bool, err error) {
+func (st *subscriptionStream) give(l lane, e log.Entry) (stale bool, err error) {
 	if e.Offset <= st.pos[l.p] {
 		return false, nil
 	}
@@ -449,10 +449,10 @@
 	}
 	defer end()
 	st.pos[l.p] = e.Offset
-	if e.What == line.Withdraw && st.want[e.Topic] {
+	if e.What == log.Withdraw && st.want[e.Topic] {
 		return false, st.emit(Line{Topic: e.Topic, Withdrawn: e.Key, Partition: &l.p, Offset: e.Offset})
 	}
-	if e.What != line.Message || !st.want[e.Topic] || fate == stream.Withdrawn || e.Key != "" && e.Hollow || e.Live && (e.Hollow || e.Offset <= l.live) {
+	if e.What != log.Message || !st.want[e.Topic] || fate == stream.Withdrawn || e.Key != "" && e.Hollow || e.Live && (e.Hollow || e.Offset <= l.live) {
 		return false, nil
 	}
 	return false, st.emit(Line{Topic: e.Topic, From: e.Visitor, Key: e.Key, Call: e.Call, Body: e.Body, Partition: &l.p, Offset: e.Offset})
@@ -519,7 +519,7 @@
 		}
 		for _, e := range w.Entries {
 			st.seen = max(st.seen, e.Offset)
-			if e.What == line.Attach && e.Visitor == st.t.Visitor && e.Generation > st.t.who.Generation {
+			if e.What == log.Attach && e.Visitor == st.t.Visitor && e.Generation > st.t.who.Generation {
 				return st.superseded(e.Generation)
 			}
 		}
--- a/internal/client/service.go
+++ b/internal/client/service.go
@@ -18,9 +18,9 @@
 	"postjunction/internal/delivery/cursor"
 	"postjunction/internal/delivery/stream"
 	"postjunction/internal/gossip"
-	"postjunction/internal/ledger/line"
 	"postjunction/internal/partition"
 	"postjunction/internal/partitionlog/leader"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/partitionlog/router"
 	"postjunction/internal/presence"
 	"postjunction/internal/settings"
@@ -297,7 +297,7 @@
 // submit has a message or a withdrawal decided.
 func (s *Service) submit(ctx context.Context, t *Task, q *leader.Task) (*leader.Decision, error) {
 	if t.Key != nil {
-		if err := line.Plain("key", *t.Key); err != nil {
+		if err := log.Plain("key", *t.Key); err != nil {
 			return nil, err
 		}
 		if err := s.Desk.Keys(); err != nil {
--- a/internal/client/session/house.go
+++ b/internal/client/session/house.go
@@ -10,10 +10,10 @@
 	"postjunction/internal/configuration"
 	"postjunction/internal/delivery/fanout"
 	"postjunction/internal/gossip"
-	"postjunction/internal/ledger/line"
 	"postjunction/internal/membership"
 	"postjunction/internal/partition"
 	"postjunction/internal/partitionlog/leader"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/settings"
 )
 
@@ -412,9 +412,9 @@
 		}
 		v.out(Answer{What: Joined, Topic: t.Topic, Cursor: Place{p, at}.Pack(fleet)})
 	}
-	s.Give = func(e line.Entry) {
+	s.Give = func(e log.Entry) {
 		a := Answer{What: Message, Topic: e.Topic, Cursor: Place{p, e.Offset}.Pack(fleet), From: e.Visitor, Call: e.Call, Body: e.Body, Key: e.Key, Partition: p, Offset: e.Offset}
-		if e.What == line.Withdraw {
+		if e.What == log.Withdraw {
 			a.What, a.Body = Withdrawn, nil
 		}
 		v.out(a)
--- a/internal/client/session/house_test.go
+++ b/internal/client/session/house_test.go
@@ -17,9 +17,9 @@
 	"postjunction/internal/control/voters"
 	"postjunction/internal/delivery/fanout"
 	"postjunction/internal/gossip"
-	"postjunction/internal/ledger/line"
 	"postjunction/internal/membership"
 	"postjunction/internal/partitionlog/leader"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
@@ -220,8 +220,8 @@
 		time.Sleep(100 * time.Millisecond)
 		h.said()
 		given := false
-		entry := func(topic string, o uint64) line.Entry {
-			return line.Entry{What: line.Message, Topic: topic, Visitor: "x", Call: o, Offset: o}
+		entry := func(topic string, o uint64) log.Entry {
+			return log.Entry{What: log.Message, Topic: topic, Visitor: "x", Call: o, Offset: o}
 		}
 		h.src.mu.Lock()
 		h.src.poll = func(q *leader.PollRequest) *leader.Polled {
@@ -229,7 +229,7 @@
 				return nil
 			}
 			given = true
-			return &leader.Polled{Epoch: 1, Base: 40, To: 44, Gone: map[string]uint64{"kept/a": 30, "live/a": 35}, Entries: []line.Entry{entry("kept/a", 41), entry("kept/b", 42), entry("live/a", 43)}}
+			return &leader.Polled{Epoch: 1, Base: 40, To: 44, Gone: map[string]uint64{"kept/a": 30, "live/a": 35}, Entries: []log.Entry{entry("kept/a", 41), entry("kept/b", 42), entry("live/a", 43)}}
 		}
 		h.src.mu.Unlock()
 		time.Sleep(4 * time.Second)
@@ -261,8 +261,8 @@
 // What a returning visitor missed comes in several parts, while newer messages come already: all are given, in order.
 func TestMissedMessagesComeInPartsBeforeNewerOnes(t *testing.T) {
 	enter(t, func(t *testing.T, h *hall, v *Visit) {
-		entry := func(o uint64) line.Entry {
-			return line.Entry{What: line.Message, Topic: "kept/a", Visitor: "x", Call: o, Offset: o}
+		entry := func(o uint64) log.Entry {
+			return log.Entry{What: log.Message, Topic: "kept/a", Visitor: "x", Call: o, Offset: o}
 		}
 		polled := uint64(40)
 		h.src.follow = func(q *leader.Want) *leader.Told {
@@ -281,7 +281,7 @@
 				return nil
 			}
 			polled++
-			return &leader.Polled{Epoch: 1, To: polled, Entries: []line.Entry{entry(polled)}}
+			return &leader.Polled{Epoch: 1, To: polled, Entries: []log.Entry{entry(polled)}}
 		}
 		w := h.Enter(func(Answer) {})
 		w.Do(Task{Verb: Attach, Visitor: "w"})
--- a/internal/client/session/withdraw_test.go
+++ b/internal/client/session/withdraw_test.go
@@ -13,8 +13,8 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/delivery/fanout"
-	"postjunction/internal/ledger/line"
 	"postjunction/internal/partitionlog/leader"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/settings"
 )
 
@@ -254,7 +254,7 @@
 			if next++; next > 22 {
 				return nil
 			}
-			return &leader.Polled{Epoch: 1, To: next, Entries: []line.Entry{{What: line.Withdraw, Topic: "kept/a", Key: "k", Visitor: "c", Call: next, Offset: next}}}
+			return &leader.Polled{Epoch: 1, To: next, Entries: []log.Entry{{What: log.Withdraw, Topic: "kept/a", Key: "k", Visitor: "c", Call: next, Offset: next}}}
 		}
 		h.src.mu.Unlock()
 		time.Sleep(settings.DefaultBounds.Spread)
--- a/internal/client/withdraw.go
+++ b/internal/client/withdraw.go
@@ -6,8 +6,8 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/callpolicy"
-	"postjunction/internal/ledger/line"
 	"postjunction/internal/partitionlog/leader"
+	"postjunction/internal/partitionlog/log"
 )
 
 func (s *Service) withdraw(ctx context.Context, t *Task) error {
@@ -15,7 +15,7 @@
 		return apierror.New(apierror.Malformed, "of, a sender's name, and upto, its number from 1, go together")
 	}
 	if t.Of != "" {
-		if err := line.Plain("of", t.Of); err != nil {
+		if err := log.Plain("of", t.Of); err != nil {
 			return err
 		}
 	}
--- a/internal/client/withdraw_test.go
+++ b/internal/client/withdraw_test.go
@@ -15,9 +15,9 @@
 	"postjunction/internal/delivery/cursor"
 	"postjunction/internal/delivery/stream"
 	"postjunction/internal/gossip"
-	"postjunction/internal/ledger/line"
 	"postjunction/internal/membership"
 	"postjunction/internal/partitionlog/leader"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/partitionlog/router"
 	"postjunction/internal/settings"
 )
@@ -37,34 +37,34 @@
 	}
 }
 
-func (p pages) tell(es ...line.Entry) {
+func (p pages) tell(es ...log.Entry) {
 	p <- &leader.Reading{Entries: es, To: es[len(es)-1].Offset}
 	synctest.Wait()
 }
 
-func keyed(o uint64, what, key, body string) line.Entry {
-	return line.Entry{Offset: o, What: what, Topic: "s/a", Key: key, Body: []byte(body), Hollow: what == line.Message && body == ""}
+func keyed(o uint64, what, key, body string) log.Entry {
+	return log.Entry{Offset: o, What: what, Topic: "s/a", Key: key, Body: []byte(body), Hollow: what == log.Message && body == ""}
 }
 
 // A stream's window is older than a mark: what it covers is never given, the rest is, and the withdrawal is told.
 func TestStreamGivesNothingThatWasWithdrawnMeanwhile(t *testing.T) {
 	for name, c := range map[string]struct {
-		held, then []line.Entry
+		held, then []log.Entry
 		want       []string
 	}{
 		"withdrawn while it waits in the window": {
-			[]line.Entry{keyed(1, line.Message, "k", `1`), keyed(2, line.Message, "l", `2`), keyed(3, line.Message, "", `3`)},
-			[]line.Entry{keyed(4, line.Withdraw, "k", ""), keyed(5, line.Message, "k", `5`)},
+			[]log.Entry{keyed(1, log.Message, "k", `1`), keyed(2, log.Message, "l", `2`), keyed(3, log.Message, "", `3`)},
+			[]log.Entry{keyed(4, log.Withdraw, "k", ""), keyed(5, log.Message, "k", `5`)},
 			[]string{"2 l", "3 ", "-k", "5 k"},
 		},
 		"left out by the owner": {
-			[]line.Entry{keyed(1, line.Message, "k", ""), keyed(2, line.Message, "l", `2`)},
-			[]line.Entry{keyed(3, line.Message, "l", `3`)},
+			[]log.Entry{keyed(1, log.Message, "k", ""), keyed(2, log.Message, "l", `2`)},
+			[]log.Entry{keyed(3, log.Message, "l", `3`)},
 			[]string{"2 l", "3 l"},
 		},
 		"a window that is stale is filled anew": {
-			[]line.Entry{keyed(1, line.Message, "k", `1`), keyed(2, line.Message, "l", `2`)},
-			append(many(3, 1100), keyed(1103, line.Withdraw, "k", "")),
+			[]log.Entry{keyed(1, log.Message, "k", `1`), keyed(2, log.Message, "l", `2`)},
+			append(many(3, 1100), keyed(1103, log.Withdraw, "k", "")),
 			[]string{"2 l", "-k"},
 		},
 	} {
@@ -106,10 +106,10 @@
 }
 
 // many gives withdrawals of other keys, each with the number that no stream was given.
-func many(from uint64, n int) []line.Entry {
-	var es []line.Entry
+func many(from uint64, n int) []log.Entry {
+	var es []log.Entry
 	for i := range uint64(n) {
-		es = append(es, keyed(from+i, line.Withdraw, "other"+string(rune('a'+i%26))+string(rune('a'+i/26%26))+string(rune('a'+i/676)), ""))
+		es = append(es, keyed(from+i, log.Withdraw, "other"+string(rune('a'+i%26))+string(rune('a'+i/26%26))+string(rune('a'+i/676)), ""))
 	}
 	return es
 }
--- a/internal/delivery/fanout/bench_test.go
+++ b/internal/delivery/fanout/bench_test.go
@@ -3,20 +3,20 @@
 import (
 	"testing"
 
-	"postjunction/internal/ledger/line"
 	"postjunction/internal/partitionlog/leader"
+	"postjunction/internal/partitionlog/log"
 )
 
 func BenchmarkTakeWithoutKeys(b *testing.B) {
 	f := &feed{topics: map[string]map[*Sub]bool{"a": {}}}
 	n := 0
 	for range 20 {
-		s := &Sub{Topic: "a", open: true, told: true, Give: func(line.Entry) { n++ }}
+		s := &Sub{Topic: "a", open: true, told: true, Give: func(log.Entry) { n++ }}
 		f.topics["a"][s] = true
 	}
 	a := &leader.Polled{}
 	for range 100 {
-		a.Entries = append(a.Entries, line.Entry{What: line.Message, Topic: "a"})
+		a.Entries = append(a.Entries, log.Entry{What: log.Message, Topic: "a"})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/delivery/fanout/deaf_test.go
+++ b/internal/delivery/fanout/deaf_test.go
@@ -6,8 +6,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/ledger/line"
 	"postjunction/internal/partitionlog/leader"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/settings"
 )
 
@@ -34,7 +34,7 @@
 				broken := 0
 				a := s.h.Sub(0, "a")
 				a.Opened = func(uint64, error) {}
-				a.Give = func(e line.Entry) { y.got = append(y.got, e.Offset) }
+				a.Give = func(e log.Entry) { y.got = append(y.got, e.Offset) }
 				a.Broken = func() { broken++ }
 				s.h.Join(a)
 				pass(2 * tick)
--- a/internal/delivery/fanout/feed.go
+++ b/internal/delivery/fanout/feed.go
@@ -9,8 +9,8 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/configuration"
-	"postjunction/internal/ledger/line"
 	"postjunction/internal/partitionlog/leader"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/placement/assignment"
 )
 
@@ -66,7 +66,7 @@
 
 func (m marks) cover(topic, key string, offset uint64) bool { return offset < m[stand{topic, key}] }
 
-func (m *marks) add(e line.Entry) {
+func (m *marks) add(e log.Entry) {
 	if *m == nil {
 		*m = marks{}
 	}
@@ -525,7 +525,7 @@
 	s.Opened(at, nil)
 }
 
-func (s *Sub) give(e line.Entry) {
+func (s *Sub) give(e log.Entry) {
 	if s.left || e.Offset <= s.pos {
 		return
 	}
@@ -655,7 +655,7 @@
 		}
 		if e.Key != "" {
 			f.reader = true
-			if e.What == line.Withdraw {
+			if e.What == log.Withdraw {
 				m.add(e)
 				f.mark(e)
 			}
@@ -672,21 +672,21 @@
 	return m, false
 }
 
-func keyed(es []line.Entry) bool {
-	return slices.ContainsFunc(es, func(e line.Entry) bool { return e.Key != "" })
+func keyed(es []log.Entry) bool {
+	return slices.ContainsFunc(es, func(e log.Entry) bool { return e.Key != "" })
 }
 
 // mark takes back what a withdrawal covers.
-func (f *feed) mark(e line.Entry) {
+func (f *feed) mark(e log.Entry) {
 	if f.asking {
 		f.marks.add(e)
 	}
 	for s := range f.topics[e.Topic] {
-		s.held = slices.DeleteFunc(s.held, func(x line.Entry) bool { return x.What == line.Message && x.Key == e.Key && x.Offset < e.Offset })
+		s.held = slices.DeleteFunc(s.held, func(x log.Entry) bool { return x.What == log.Message && x.Key == e.Key && x.Offset < e.Offset })
 	}
 }
 
 // covered tells whether a mark that was read meanwhile covers a message.
-func (f *feed) covered(e line.Entry) bool {
-	return e.Key != "" && e.What == line.Message && f.marks.cover(e.Topic, e.Key, e.Offset)
+func (f *feed) covered(e log.Entry) bool {
+	return e.Key != "" && e.What == log.Message && f.marks.cover(e.Topic, e.Key, e.Offset)
 }
--- a/internal/delivery/fanout/forget_test.go
+++ b/internal/delivery/fanout/forget_test.go
@@ -15,8 +15,8 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
-	"postjunction/internal/ledger/line"
 	"postjunction/internal/partitionlog/leader"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
@@ -26,9 +26,9 @@
 type court struct {
 	mu      sync.Mutex
 	r       *rand.Rand
-	es      []line.Entry
+	es      []log.Entry
 	marks   marks
-	open    []line.Entry
+	open    []log.Entry
 	yes     marks
 	boot    string
 	seq     uint64
@@ -57,13 +57,13 @@
 	time.Sleep(d)
 }
 
-func (c *court) covered(e line.Entry) bool {
-	return e.Key != "" && e.What == line.Message && c.marks.cover(e.Topic, e.Key, e.Offset)
+func (c *court) covered(e log.Entry) bool {
+	return e.Key != "" && e.What == log.Message && c.marks.cover(e.Topic, e.Key, e.Offset)
 }
 
 // settle gives the yes to withdrawals that all readers have read behind.
 func (c *court) settle() {
-	c.open = slices.DeleteFunc(c.open, func(e line.Entry) bool {
+	c.open = slices.DeleteFunc(c.open, func(e log.Entry) bool {
 		for _, at := range c.readers {
 			if at < e.Offset {
 				return false
@@ -77,12 +77,12 @@
 func (c *court) write() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e := line.Entry{Offset: uint64(len(c.es) + 1), What: line.Message, Topic: []string{"a", "b"}[c.r.IntN(2)], Key: []string{"", "k", "j"}[c.r.IntN(3)]}
+	e := log.Entry{Offset: uint64(len(c.es) + 1), What: log.Message, Topic: []string{"a", "b"}[c.r.IntN(2)], Key: []string{"", "k", "j"}[c.r.IntN(3)]}
 	if e.Key != "" && c.r.IntN(3) == 0 {
-		e.What = line.Withdraw
+		e.What = log.Withdraw
 	}
 	c.es = append(c.es, e)
-	if e.What == line.Withdraw {
+	if e.What == log.Withdraw {
 		c.marks.add(e)
 		c.open = append(c.open, e)
 		c.settle()
@@ -90,8 +90,8 @@
 }
 
 // gather gives what is wanted behind a place, and notes who reads before anything with a key is given.
-func (c *court) gather(boot string, from uint64, want func(line.Entry) bool) []line.Entry {
-	var es []line.Entry
+func (c *court) gather(boot string, from uint64, want func(log.Entry) bool) []log.Entry {
+	var es []log.Entry
 	for _, e := range c.es[from:] {
 		if want(e) && !c.covered(e) {
 			es = append(es, e)
@@ -125,7 +125,7 @@
 		c.topics[t] = n
 	}
 	a := &leader.Told{Epoch: 1, Tail: uint64(len(c.es)), Upto: uint64(len(c.es))}
-	a.Back = c.gather(q.Boot, 0, func(e line.Entry) bool {
+	a.Back = c.gather(q.Boot, 0, func(e log.Entry) bool {
 		at, ok := q.After[e.Topic]
 		return ok && e.Offset > at
 	})
@@ -147,10 +147,10 @@
 		c.settle()
 	}
 	a := &leader.Polled{Epoch: 1, To: uint64(len(c.es))}
-	follows := func(e line.Entry) bool { return e.What == line.Message && c.topics[e.Topic] > 0 }
+	follows := func(e log.Entry) bool { return e.What == log.Message && c.topics[e.Topic] > 0 }
 	a.Entries = c.gather(q.Boot, q.From, follows)
 	if _, ok := c.readers[q.Boot]; ok {
-		a.Entries = c.gather(q.Boot, q.From, func(e line.Entry) bool { return e.What == line.Withdraw || follows(e) })
+		a.Entries = c.gather(q.Boot, q.From, func(e log.Entry) bool { return e.What == log.Withdraw || follows(e) })
 	}
 	if len(a.Entries) == 0 && q.Hold > 0 {
 		return nil
@@ -200,11 +200,11 @@
 
 // wired is a visitor's connection.
 type wired struct {
-	wait, fly []line.Entry
+	wait, fly []log.Entry
 	busy, cut bool
 }
 
-func (c *court) give(w *wired, e line.Entry) {
+func (c *court) give(w *wired, e log.Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if w.cut {
@@ -231,7 +231,7 @@
 		time.Sleep(d)
 		c.mu.Lock()
 		for _, e := range w.fly {
-			if e.What == line.Message && e.Key != "" && c.yes.cover(e.Topic, e.Key, e.Offset) {
+			if e.What == log.Message && e.Key != "" && c.yes.cover(e.Topic, e.Key, e.Offset) {
 				c.fault("%s %s at %d was shown after the yes", e.Topic, e.Key, e.Offset)
 			}
 			c.shown++
@@ -241,7 +241,7 @@
 	w.busy = false
 }
 
-func (c *court) take(cut bool, covers func(line.Entry) bool) bool {
+func (c *court) take(cut bool, covers func(log.Entry) bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	free := true
@@ -259,13 +259,13 @@
 }
 
 func (c *court) Withdraw(_ int, covered Covered) {
-	c.take(true, func(e line.Entry) bool {
-		return e.What == line.Message && e.Key != "" && covered(e.Topic, e.Key, e.Offset)
+	c.take(true, func(e log.Entry) bool {
+		return e.What == log.Message && e.Key != "" && covered(e.Topic, e.Key, e.Offset)
 	})
 }
 
 func (c *court) Release(_ int, cut bool) bool {
-	return c.take(cut, func(e line.Entry) bool { return e.What == line.Message && e.Key != "" })
+	return c.take(cut, func(e log.Entry) bool { return e.What == log.Message && e.Key != "" })
 }
 
 // visit takes a topic up and drops it again and again, at any cursor.
@@ -285,7 +285,7 @@
 		c.mu.Unlock()
 		var at uint64
 		s.Opened = func(o uint64, _ error) { at = o }
-		s.Give = func(e line.Entry) {
+		s.Give = func(e log.Entry) {
 			c.mu.Lock()
 			for _, x := range c.es[at : e.Offset-1] {
 				if x.Topic == s.Topic && x.Key == "" {
@@ -304,7 +304,7 @@
 		time.Sleep(time.Duration(c.roll(2000)) * time.Millisecond)
 		h.Leave(s)
 		c.mu.Lock()
-		w.wait = slices.DeleteFunc(w.wait, func(e line.Entry) bool { return e.Key != "" && e.Topic == s.Topic })
+		w.wait = slices.DeleteFunc(w.wait, func(e log.Entry) bool { return e.Key != "" && e.Topic == s.Topic })
 		c.mu.Unlock()
 		if c.roll(3) == 0 {
 			time.Sleep(time.Duration(c.roll(6000)) * time.Millisecond)
--- a/internal/delivery/fanout/hub.go
+++ b/internal/delivery/fanout/hub.go
@@ -9,8 +9,8 @@
 
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
-	"postjunction/internal/ledger/line"
 	"postjunction/internal/partitionlog/leader"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
@@ -84,7 +84,7 @@
 	Topic  string
 	After  *uint64
 	Opened func(at uint64, err error)
-	Give   func(e line.Entry)
+	Give   func(e log.Entry)
 	Broken func()
 
 	feed     *feed
@@ -94,7 +94,7 @@
 	answered bool
 	open     bool
 	left     bool
-	held     []line.Entry
+	held     []log.Entry
 }
 
 func (h *Hub) feed(p int) *feed {
--- a/internal/delivery/fanout/later_test.go
+++ b/internal/delivery/fanout/later_test.go
@@ -12,8 +12,8 @@
 
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
-	"postjunction/internal/ledger/line"
 	"postjunction/internal/partitionlog/leader"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
@@ -65,7 +65,7 @@
 				assert.NilError(t, err)
 				opened++
 			}
-			s.Give = func(line.Entry) {}
+			s.Give = func(log.Entry) {}
 			h.Join(s)
 			synctest.Wait()
 			return s
--- a/internal/delivery/fanout/marks_test.go
+++ b/internal/delivery/fanout/marks_test.go
@@ -15,8 +15,8 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
-	"postjunction/internal/ledger/line"
 	"postjunction/internal/partitionlog/leader"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
@@ -94,7 +94,7 @@
 }
 
 // once answers a poll after a while with entries.
-func once(after time.Duration, es ...line.Entry) func(*leader.PollRequest) (*leader.Polled, time.Duration) {
+func once(after time.Duration, es ...log.Entry) func(*leader.PollRequest) (*leader.Polled, time.Duration) {
 	return func(*leader.PollRequest) (*leader.Polled, time.Duration) {
 		return &leader.Polled{Epoch: 1, To: es[len(es)-1].Offset, Entries: es}, after
 	}
@@ -106,12 +106,12 @@
 	}
 }
 
-func message(at uint64, key string) line.Entry {
-	return line.Entry{Offset: at, What: line.Message, Topic: "a", Key: key}
+func message(at uint64, key string) log.Entry {
+	return log.Entry{Offset: at, What: log.Message, Topic: "a", Key: key}
 }
 
-func withdrawal(at uint64, key string) line.Entry {
-	return line.Entry{Offset: at, What: line.Withdraw, Topic: "a", Key: key}
+func withdrawal(at uint64, key string) log.Entry {
+	return log.Entry{Offset: at, What: log.Withdraw, Topic: "a", Key: key}
 }
 
 func scripted(t *testing.T, f func(t *testing.T, s *scribe)) {
@@ -177,13 +177,13 @@
 		x.sub(s.h, "a", nil)
 		synctest.Wait()
 		s.set(func(*leader.Want) (*leader.Told, time.Duration) {
-			return &leader.Told{Epoch: 1, Tail: 8, Upto: 8, Back: []line.Entry{message(5, "k"), withdrawal(6, "i"), message(7, "j"), message(8, "k")}}, later + 5*tick
+			return &leader.Told{Epoch: 1, Tail: 8, Upto: 8, Back: []log.Entry{message(5, "k"), withdrawal(6, "i"), message(7, "j"), message(8, "k")}}, later + 5*tick
 		})
 		y.sub(s.h, "a", after(3))
 		pass(time.Second)
 		assert.DeepEqual(t, y.got, []uint64{6, 7, 9, 10})
 		s.set(func(*leader.Want) (*leader.Told, time.Duration) {
-			return &leader.Told{Epoch: 1, Tail: 10, Upto: 10, Back: []line.Entry{message(8, "k")}}, 0
+			return &leader.Told{Epoch: 1, Tail: 10, Upto: 10, Back: []log.Entry{message(8, "k")}}, 0
 		})
 		z.sub(s.h, "a", after(3))
 		pass(time.Second)
@@ -204,9 +204,9 @@
 		old := 0
 		s.set(func(*leader.Want) (*leader.Told, time.Duration) {
 			if old++; old == 1 {
-				return &leader.Told{Epoch: 1, Tail: 6, Upto: 6, Back: []line.Entry{message(5, "k")}}, 0
+				return &leader.Told{Epoch: 1, Tail: 6, Upto: 6, Back: []log.Entry{message(5, "k")}}, 0
 			}
-			return &leader.Told{Epoch: 2, Tail: 9, Upto: 9, Back: []line.Entry{message(7, "j")}}, 0
+			return &leader.Told{Epoch: 2, Tail: 9, Upto: 9, Back: []log.Entry{message(7, "j")}}, 0
 		})
 		y.sub(s.h, "a", after(3))
 		pass(time.Second)
@@ -249,15 +249,15 @@
 				if q.Boot == "boot" {
 					return &leader.Told{Epoch: 1, Clean: true}, later / 4
 				}
-				return &leader.Told{Epoch: 1, Tail: 20, Upto: 20, Back: []line.Entry{message(15, "k")}}, 0
+				return &leader.Told{Epoch: 1, Tail: 20, Upto: 20, Back: []log.Entry{message(15, "k")}}, 0
 			})
 		},
 		"by poll": func(s *scribe) {
 			s.set(func(q *leader.Want) (*leader.Told, time.Duration) {
 				if q.Boot == "boot" {
-					return &leader.Told{Epoch: 1, Tail: 8, Upto: 8, Back: []line.Entry{message(5, "k")}}, later / 2
+					return &leader.Told{Epoch: 1, Tail: 8, Upto: 8, Back: []log.Entry{message(5, "k")}}, later / 2
 				}
-				return &leader.Told{Epoch: 1, Tail: 20, Upto: 20, Back: []line.Entry{message(15, "k")}}, 0
+				return &leader.Told{Epoch: 1, Tail: 20, Upto: 20, Back: []log.Entry{message(15, "k")}}, 0
 			})
 		},
 	}
@@ -275,7 +275,7 @@
 				broken := 0
 				a := s.h.Sub(0, "a")
 				a.Opened = func(uint64, error) {}
-				a.Give = func(e line.Entry) { x.got = append(x.got, e.Offset) }
+				a.Give = func(e log.Entry) { x.got = append(x.got, e.Offset) }
 				a.Broken = func() { broken++ }
 				s.h.Join(a)
 				pass(later + tick)
--- a/internal/delivery/fanout/slow_test.go
+++ b/internal/delivery/fanout/slow_test.go
@@ -11,8 +11,8 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
-	"postjunction/internal/ledger/line"
 	"postjunction/internal/partitionlog/leader"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
@@ -20,7 +20,7 @@
 // thin is an owner behind a link that takes longer for an answer with messages than a new subscription waits.
 type thin struct {
 	takes time.Duration
-	back  []line.Entry
+	back  []log.Entry
 }
 
 func (s *thin) Follow(ctx context.Context, _ assignment.Record, q *leader.Want) (*leader.Told, error) {
@@ -46,7 +46,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := settings.DefaultBounds
 		ctx, stop := context.WithCancel(t.Context())
-		s := &thin{takes: 3 * b.Retry(), back: []line.Entry{{Offset: 4, What: line.Message, Topic: "a"}, {Offset: 7, What: line.Message, Topic: "a"}}}
+		s := &thin{takes: 3 * b.Retry(), back: []log.Entry{{Offset: 4, What: log.Message, Topic: "a"}, {Offset: 7, What: log.Message, Topic: "a"}}}
 		h := New(ctx, "a1", "boot", s, gossip.NewBoard(nil), clock.Real{}, b)
 		x := h.Sub(0, "a")
 		at := uint64(3)
@@ -56,7 +56,7 @@
 			assert.NilError(t, err)
 			opened = append(opened, at)
 		}
-		x.Give = func(e line.Entry) { got = append(got, e.Offset) }
+		x.Give = func(e log.Entry) { got = append(got, e.Offset) }
 		h.Join(x)
 		time.Sleep(b.Call())
 		synctest.Wait()
--- a/internal/delivery/fanout/soon_test.go
+++ b/internal/delivery/fanout/soon_test.go
@@ -12,8 +12,8 @@
 
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
-	"postjunction/internal/ledger/line"
 	"postjunction/internal/partitionlog/leader"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
@@ -22,7 +22,7 @@
 type far struct {
 	mu     sync.Mutex
 	way    time.Duration
-	es     []line.Entry
+	es     []log.Entry
 	topics map[string]bool
 	briefs []bool
 }
@@ -31,7 +31,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, t := range topics {
-		s.es = append(s.es, line.Entry{Offset: uint64(len(s.es) + 1), What: line.Message, Topic: t})
+		s.es = append(s.es, log.Entry{Offset: uint64(len(s.es) + 1), What: log.Message, Topic: t})
 	}
 }
 
@@ -88,7 +88,7 @@
 			x.opened, x.at = append(x.opened, at), time.Now()
 		}
 	}
-	s.Give = func(e line.Entry) { x.got = append(x.got, e.Offset) }
+	s.Give = func(e log.Entry) { x.got = append(x.got, e.Offset) }
 	h.Join(s)
 	return s
 }
--- a/internal/delivery/stream/feed.go
+++ b/internal/delivery/stream/feed.go
@@ -11,8 +11,8 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
-	"postjunction/internal/ledger/line"
 	"postjunction/internal/partitionlog/leader"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/settings"
 )
 
@@ -50,11 +50,11 @@
 
 type place struct{ topic, key string }
 
-func at(e line.Entry) place { return place{e.Topic, e.Key} }
+func at(e log.Entry) place { return place{e.Topic, e.Key} }
 
 // writing is an entry that a stream is giving to its visitor right now.
 type writing struct {
-	e    line.Entry
+	e    log.Entry
 	cut  func()
 	done chan struct{}
 }
@@ -77,7 +77,7 @@
 	to     uint64
 	epoch  uint64
 	turn   uint64
-	es     []line.Entry
+	es     []log.Entry
 	at     []time.Time
 	bytes  int
 	era    uint64
@@ -291,7 +291,7 @@
 	}
 	for _, e := range r.Entries {
 		if e.Offset == d.to+1 {
-			if e.What == line.Withdraw {
+			if e.What == log.Withdraw {
 				ws = append(ws, d.forget(e)...)
 			}
 			d.es, d.at, d.to = append(d.es, e), append(d.at, now), e.Offset
@@ -305,7 +305,7 @@
 		k++
 	}
 	if k > 0 {
-		d.es, d.at = append([]line.Entry(nil), d.es[k:]...), append([]time.Time(nil), d.at[k:]...)
+		d.es, d.at = append([]log.Entry(nil), d.es[k:]...), append([]time.Time(nil), d.at[k:]...)
 	}
 	if len(r.Entries) == 0 && !first {
 		return ws
@@ -321,9 +321,9 @@
 
 // forget takes what a withdrawal covers out of the cache, remembers its mark for windows that were filled before, and cuts off the writes that are
 // under way with what it covers. Where there are too many marks, windows of before are stale as a whole.
-func (d *Feed) forget(m line.Entry) []*writing {
+func (d *Feed) forget(m log.Entry) []*writing {
 	for i := range d.es {
-		if e := &d.es[i]; e.What == line.Message && at(*e) == at(m) {
+		if e := &d.es[i]; e.What == log.Message && at(*e) == at(m) {
 			d.bytes -= len(e.Body)
 			e.Body, e.Digest, e.Hollow = nil, "", true
 		}
@@ -353,7 +353,7 @@
 
 // Window is a part of the ledger that a stream holds. What it holds may be withdrawn meanwhile, see Begin.
 type Window struct {
-	Entries []line.Entry
+	Entries []log.Entry
 	era     uint64
 }
 
@@ -406,8 +406,8 @@
 
 // Begin comes right before an entry of a window is given to a visitor. Where it is due, the function returned says that the giving ended; if the entry is withdrawn
 // before that, cut is called from elsewhere: it must not wait, and has the giving end soon.
-func (d *Feed) Begin(w Window, e line.Entry, cut func()) (Fate, func()) {
-	if e.Key == "" || e.What != line.Message {
+func (d *Feed) Begin(w Window, e log.Entry, cut func()) (Fate, func()) {
+	if e.Key == "" || e.What != log.Message {
 		return Due, func() {}
 	}
 	d.mu.Lock()
--- a/internal/ledger/still/still.go
+++ b/internal/ledger/still/still.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"postjunction/internal/clock"
-	"postjunction/internal/ledger/line"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/partitionlog/replica"
 	"postjunction/internal/settings"
 	"postjunction/internal/wire"
@@ -132,7 +132,7 @@
 
 // ask tells what became of lines that were silent, in their order. Where the sums of many differ, those of their halves tell which.
 func (l *Lines) ask(d Disk, all []*waiting) {
-	q := &replica.StillRequest{Incarnation: d.Incarnation, Lines: map[line.Kind][]int{}}
+	q := &replica.StillRequest{Incarnation: d.Incarnation, Lines: map[log.Kind][]int{}}
 	ss := make([]replica.Silent, len(all))
 	for i, w := range all {
 		ss[i] = w.line
--- a/internal/partitionlog/leader/attach_test.go
+++ b/internal/partitionlog/leader/attach_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/ledger/line"
+	"postjunction/internal/partitionlog/log"
 )
 
 // An attachment whose answer was lost is asked for again: it is the same one, while it is being written and afterwards.
@@ -38,7 +38,7 @@
 		go attach("one")
 		synctest.Wait()
 		expect(1)
-		r.locked(func() { assert.Equal(t, r.tracks[line.Ledger].last.Offset, uint64(1), "entries that were written") })
+		r.locked(func() { assert.Equal(t, r.tracks[log.Ledger].last.Offset, uint64(1), "entries that were written") })
 		go attach("two")
 		synctest.Wait()
 		r.lands()
--- a/internal/partitionlog/leader/fan.go
+++ b/internal/partitionlog/leader/fan.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/ledger/line"
+	"postjunction/internal/partitionlog/log"
 )
 
 // Want is what a node follows of a partition: how many listen to each topic, 0 for a topic that it drops. It builds on the sequence
@@ -41,7 +41,7 @@
 	Clean  bool              `json:"c,omitempty"`
 	Reader bool              `json:"r,omitempty"`
 	Turn   uint64            `json:"v,omitempty"`
-	Back   []line.Entry      `json:"n,omitempty"`
+	Back   []log.Entry       `json:"n,omitempty"`
 	Gone   map[string]uint64 `json:"g,omitempty"`
 	// Packed holds the bodies where the asker packs.
 	Packed *Packed `json:"z,omitempty"`
@@ -70,7 +70,7 @@
 	Clean   bool              `json:"c,omitempty"`
 	Reader  bool              `json:"r,omitempty"`
 	Turn    uint64            `json:"v,omitempty"`
-	Entries []line.Entry      `json:"n,omitempty"`
+	Entries []log.Entry       `json:"n,omitempty"`
 	Gone    map[string]uint64 `json:"g,omitempty"`
 	// Packed holds the bodies where the asker packs.
 	Packed *Packed `json:"z,omitempty"`
@@ -145,7 +145,7 @@
 	if !q.Done {
 		o.meet(q.Node, q.Boot)
 	}
-	t := o.tracks[line.Ledger]
+	t := o.tracks[log.Ledger]
 	a := &Told{Epoch: o.Rec.Epoch, Base: t.line.Base().Offset, Tail: t.commit, Upto: t.commit, Reader: o.noted(q.Node, q.Boot), Turn: turn}
 	if q.Done {
 		o.dismiss(q.Node, q.Boot)
@@ -159,7 +159,7 @@
 			most = 0
 		}
 		short := false
-		a.Back, a.Upto, short = o.gather(max(from, a.Base), most, asked{marks: q.Marks, reads: reads, want: func(e line.Entry) bool {
+		a.Back, a.Upto, short = o.gather(max(from, a.Base), most, asked{marks: q.Marks, reads: reads, want: func(e log.Entry) bool {
 			at, ok := q.After[e.Topic]
 			return ok && e.Offset > at
 		}})
@@ -204,9 +204,9 @@
 }
 
 // lean leaves out of an entry what only those who hold copies need.
-func lean(e line.Entry) line.Entry {
+func lean(e log.Entry) log.Entry {
 	e.Generation, e.Description, e.Digest, e.Chain = 0, 0, "", 0
-	if e.What == line.Withdraw {
+	if e.What == log.Withdraw {
 		e.Body = nil
 	}
 	return e
@@ -215,14 +215,14 @@
 // asked is what a node wants of the ledger: messages, with marks also those under keys and the withdrawals on their topics, with all every withdrawal.
 // reads tells that it is on a majority that the node reads here.
 type asked struct {
-	want              func(line.Entry) bool
+	want              func(log.Entry) bool
 	marks, all, reads bool
 }
 
 // gather gives what is wanted after an offset and how far it came; short tells that it stopped before an entry under a key, which nobody is given who
 // is not known to read here.
-func (o *Owner) gather(from uint64, most int, q asked) (got []line.Entry, upto uint64, short bool) {
-	t := o.tracks[line.Ledger]
+func (o *Owner) gather(from uint64, most int, q asked) (got []log.Entry, upto uint64, short bool) {
+	t := o.tracks[log.Ledger]
 	bytes := 0
 	for from < t.commit {
 		es := t.after(from)
@@ -234,7 +234,7 @@
 				return got, from, false
 			}
 			if o.gives(e, q) {
-				if e.Key != "" && e.What == line.Message && !q.reads {
+				if e.Key != "" && e.What == log.Message && !q.reads {
 					return got, from, true
 				}
 				got = append(got, lean(e))
@@ -246,11 +246,11 @@
 	return got, from, false
 }
 
-func (o *Owner) gives(e line.Entry, q asked) bool {
+func (o *Owner) gives(e log.Entry, q asked) bool {
 	switch e.What {
-	case line.Message:
+	case log.Message:
 		return !e.Hollow && q.want(e) && (e.Key == "" || q.marks && !o.st.Covers(e))
-	case line.Withdraw:
+	case log.Withdraw:
 		return q.marks && (q.all || q.want(e))
 	}
 	return false
@@ -281,15 +281,15 @@
 		}
 		turn, turned := o.turned(q.Node, q.Boot, q.Turn)
 		if !turned && o.displaces(q.Node, q.Boot) {
-			base := o.tracks[line.Ledger].line.Base().Offset
+			base := o.tracks[log.Ledger].line.Base().Offset
 			o.mu.Unlock()
 			return &Polled{Epoch: o.Rec.Epoch, Base: base, To: q.From, Turn: turn}, nil
 		}
 		o.meet(q.Node, q.Boot)
-		t := o.tracks[line.Ledger]
+		t := o.tracks[log.Ledger]
 		a := &Polled{Epoch: o.Rec.Epoch, Base: t.line.Base().Offset, Reader: o.noted(q.Node, q.Boot), Turn: turn}
 		short := false
-		a.Entries, at, short = o.gather(max(at, a.Base), pollBytes, asked{marks: q.Marks, all: true, reads: reads, want: func(e line.Entry) bool { return f.topics[e.Topic] > 0 }})
+		a.Entries, at, short = o.gather(max(at, a.Base), pollBytes, asked{marks: q.Marks, all: true, reads: reads, want: func(e log.Entry) bool { return f.topics[e.Topic] > 0 }})
 		if short && turned {
 			o.enlist(q.Node, q.Boot)
 			a.Reader = true
--- a/internal/partitionlog/leader/fan_test.go
+++ b/internal/partitionlog/leader/fan_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/clock"
-	"postjunction/internal/ledger/line"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/samza/state"
 	"postjunction/internal/settings"
@@ -20,7 +20,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		o := New(Deps{Clock: clock.Real{}, Bounds: settings.DefaultBounds}, assignment.Record{Epoch: 1, Replicas: []assignment.Place{{Node: "s1"}}}, false)
 		o.stage = Open
-		o.tracks[line.Ledger] = newTrack(line.Ledger, line.New())
+		o.tracks[log.Ledger] = newTrack(log.Ledger, log.New())
 		o.st = state.New()
 		script(t, o)
 	})
@@ -65,10 +65,10 @@
 // What was missed comes in parts: one message while someone waits for its place, as much as a slow link carries otherwise.
 func TestABriefAnswerHoldsOneMessage(t *testing.T) {
 	following(t, func(t *testing.T, o *Owner) {
-		k := o.tracks[line.Ledger]
+		k := o.tracks[log.Ledger]
 		for range 4 {
-			k.push(line.Entry{What: line.Message, Topic: "t", Body: make([]byte, 600)}, 1)
-			k.push(line.Entry{What: line.Message, Topic: "other"}, 1)
+			k.push(log.Entry{What: log.Message, Topic: "t", Body: make([]byte, 600)}, 1)
+			k.push(log.Entry{What: log.Message, Topic: "other"}, 1)
 		}
 		k.line.Append(time.Now(), k.pending...)
 		k.pending, k.durable, k.commit = nil, k.last.Offset, k.last.Offset
--- a/internal/partitionlog/leader/learner.go
+++ b/internal/partitionlog/leader/learner.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"postjunction/internal/ledger/line"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/partitionlog/replica"
 	"postjunction/internal/placement/assignment"
 )
@@ -32,7 +32,7 @@
 	}
 	cx, stop := context.WithCancel(o.ctx)
 	o.leave = stop
-	for _, k := range line.Kinds {
+	for _, k := range log.Kinds {
 		delete(o.tracks[k].match, l.Incarnation)
 		go o.replicate(cx, o.tracks[k], l, replica.Tail{}, false)
 	}
--- a/internal/partitionlog/leader/marks.go
+++ b/internal/partitionlog/leader/marks.go
@@ -9,8 +9,8 @@
 	"unicode/utf8"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/ledger/line"
 	"postjunction/internal/membership"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/samza/state"
 )
 
@@ -85,15 +85,15 @@
 	return nil
 }
 
-func (q *Task) entry() line.Entry {
-	e := line.Entry{What: line.Message, Topic: q.Topic, Visitor: q.Visitor, Key: q.Key, Call: q.Call, Generation: q.Generation, Description: q.Description, Live: q.Live, Body: q.Body}
+func (q *Task) entry() log.Entry {
+	e := log.Entry{What: log.Message, Topic: q.Topic, Visitor: q.Visitor, Key: q.Key, Call: q.Call, Generation: q.Generation, Description: q.Description, Live: q.Live, Body: q.Body}
 	if q.Withdraw {
-		e.What, e.Live = line.Withdraw, false
+		e.What, e.Live = log.Withdraw, false
 		if q.Of != "" {
 			e.Body = state.Body(state.Passes{Of: q.Of, Upto: q.Upto})
 		}
 	}
-	e.Digest = line.Digest(e.Body)
+	e.Digest = log.Digest(e.Body)
 	return e
 }
 
@@ -161,13 +161,13 @@
 }
 
 // noteKeyed notes an entry with a key that was pushed.
-func (o *Owner) noteKeyed(e line.Entry) {
+func (o *Owner) noteKeyed(e log.Entry) {
 	if e.Key == "" {
 		return
 	}
 	k := state.Key(e.Topic, e.Key)
 	f := o.keyed[k]
-	if e.What == line.Withdraw {
+	if e.What == log.Withdraw {
 		f.mark = e.Offset
 	} else {
 		f.message = e.Offset
@@ -175,7 +175,7 @@
 	o.keyed[k] = f
 }
 
-func (o *Owner) landedKeyed(e line.Entry) {
+func (o *Owner) landedKeyed(e log.Entry) {
 	if e.Key == "" {
 		return
 	}
@@ -185,7 +185,7 @@
 }
 
 // landedReader takes up what an entry on a majority says of a reader.
-func (o *Owner) landedReader(e line.Entry) {
+func (o *Owner) landedReader(e log.Entry) {
 	if o.entered[e.Visitor].at <= e.Offset {
 		delete(o.entered, e.Visitor)
 	}
@@ -214,7 +214,7 @@
 
 // enter writes what becomes of a reader.
 func (o *Owner) enter(node string, r state.Reads) {
-	e := o.tracks[line.Ledger].push(line.Entry{What: line.Reader, Visitor: node, Body: state.Body(r)}, o.Rec.Epoch)
+	e := o.tracks[log.Ledger].push(log.Entry{What: log.Reader, Visitor: node, Body: state.Body(r)}, o.Rec.Epoch)
 	o.entered[node] = entered{r.Boot, e.Offset}
 }
 
@@ -321,7 +321,7 @@
 			o.mu.Unlock()
 			return nil, err
 		}
-		t := o.tracks[line.Ledger]
+		t := o.tracks[log.Ledger]
 		u, moved := o.unheard(offset), t.moved
 		if o.news == nil {
 			o.news = make(chan struct{})
@@ -372,7 +372,7 @@
 
 // release lets go of the marks that all readers have read behind and that cover nothing which the ledger holds.
 func (o *Owner) release() {
-	least := o.tracks[line.Ledger].line.Base().Offset
+	least := o.tracks[log.Ledger].line.Base().Offset
 	for n, r := range o.st.Readers {
 		if !r.GivenUp {
 			least = min(least, o.read(n, r))
@@ -450,7 +450,7 @@
 	if o.st == nil || len(o.st.Marks)+len(o.st.Readers) == 0 {
 		return nil
 	}
-	v := o.marksView(o.tracks[line.Ledger].commit)
+	v := o.marksView(o.tracks[log.Ledger].commit)
 	return &v
 }
 
--- a/internal/partitionlog/leader/marks_test.go
+++ b/internal/partitionlog/leader/marks_test.go
@@ -14,8 +14,8 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
-	"postjunction/internal/ledger/line"
 	"postjunction/internal/membership"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/partitionlog/replica"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/samza/changelog"
@@ -71,7 +71,7 @@
 			Addr: func(n string) (string, bool) { a, ok := r.members[n]; return a, ok },
 		}, rec, false)
 		r.stage, r.st, r.ctx = Open, state.New(), t.Context()
-		r.tracks[line.Ledger], r.tracks[line.Changelog] = newTrack(line.Ledger, line.New()), newTrack(line.Changelog, line.New())
+		r.tracks[log.Ledger], r.tracks[log.Changelog] = newTrack(log.Ledger, log.New()), newTrack(log.Changelog, log.New())
 		script(t, r)
 	})
 }
@@ -79,7 +79,7 @@
 // lands has all that was pushed written, and committed where a majority is one copy.
 func (r *rig) lands() {
 	r.mu.Lock()
-	t := r.tracks[line.Ledger]
+	t := r.tracks[log.Ledger]
 	t.line.Append(time.Now(), t.pending...)
 	t.pending, t.durable = nil, t.last.Offset
 	r.settle(t)
@@ -176,7 +176,7 @@
 	return offsets(p.a.Entries)
 }
 
-func offsets(es []line.Entry) []uint64 {
+func offsets(es []log.Entry) []uint64 {
 	os := []uint64{}
 	for _, e := range es {
 		os = append(os, e.Offset)
@@ -214,7 +214,7 @@
 		assert.NilError(t, err)
 		assert.DeepEqual(t, offsets(a.Back), []uint64{2, 5, 6})
 		w := a.Back[1]
-		assert.Equal(t, [...]string{w.What, w.Topic, w.Key, w.Visitor}, [...]string{line.Withdraw, "t", "k", "v"})
+		assert.Equal(t, [...]string{w.What, w.Topic, w.Key, w.Visitor}, [...]string{log.Withdraw, "t", "k", "v"})
 	})
 }
 
@@ -261,7 +261,7 @@
 		assert.Equal(t, r.st.Readers["a1"], state.Reader{Boot: "b", Offset: 4})
 		assert.DeepEqual(t, r.said, []string{"a1 b"})
 		assert.DeepEqual(t, r.got(r.polls("a1", "b", 1)), []uint64{2, 3})
-		assert.Equal(t, r.tracks[line.Ledger].last.Offset, uint64(4), "a run is noted once")
+		assert.Equal(t, r.tracks[log.Ledger].last.Offset, uint64(4), "a run is noted once")
 
 		answers := make(chan *Told, 1)
 		go func() {
@@ -287,7 +287,7 @@
 		r.takes(withdraws("v", 2, "t", "k"))
 		p := <-c
 		assert.NilError(t, p.err)
-		assert.Assert(t, !slices.ContainsFunc(p.a.Entries, func(e line.Entry) bool { return e.What == line.Message }))
+		assert.Assert(t, !slices.ContainsFunc(p.a.Entries, func(e log.Entry) bool { return e.What == log.Message }))
 		assert.Equal(t, r.st.Readers["a1"].Boot, "b")
 		assert.Assert(t, p.a.Reader)
 		a, err := r.Follow(t.Context(), &Want{Node: "a1", Boot: "b", Before: 1, Sequence: 2, Marks: true, Topics: map[string]int{"t": 0}})
@@ -386,9 +386,9 @@
 // submitsTo has a message committed by the copies that go on holding the line no further.
 func (r *rig) submitsTo(q *Task) {
 	r.judge(q)
-	r.tracks[line.Ledger].match[""] = 1
+	r.tracks[log.Ledger].match[""] = 1
 	r.lands()
-	assert.Equal(r.t, r.tracks[line.Ledger].commit, uint64(1))
+	assert.Equal(r.t, r.tracks[log.Ledger].commit, uint64(1))
 }
 
 // A withdrawal is told again what became of it, whoever asks whatever else under its number is told so, and nothing is withdrawn that is not there.
@@ -408,7 +408,7 @@
 		assert.DeepEqual(t, v.Decision, &Decision{Epoch: 1, Offset: 3, Already: true})
 		assert.DeepEqual(t, r.submits(says("w", 2, "t", "k"), withdraws("w", 3, "t", "k"), withdraws("x", 1, "t", "k"))[2].Decision, &Decision{Epoch: 1, Offset: 6, Already: true})
 		assert.DeepEqual(t, r.submits(says("w", 4, "t", "k"), withdraws("x", 1, "t", "k"))[1].Decision, &Decision{Epoch: 1, Offset: 6, Repeat: true})
-		assert.Assert(t, !r.st.Covers(line.Entry{Topic: "t", Key: "k", Offset: 7}))
+		assert.Assert(t, !r.st.Covers(log.Entry{Topic: "t", Key: "k", Offset: 7}))
 		r.turns(says("v", 1, "t", ""), apierror.CallAltered)
 		for _, q := range []*Task{withdraws("v", 9, "t", ""), says("v", 9, "t", "a\x1fb"), says("v", 9, "t", strings.Repeat("k", 129)), {Visitor: "v", Call: 9, Topic: "t", Of: "w", Upto: 1}, {Visitor: "v", Call: 9, Topic: "t", Key: "k", Withdraw: true, Of: "w"}, {Visitor: "v", Call: 9, Topic: "t", Key: "k", Withdraw: true, Body: []byte("b")}} {
 			r.turns(q, apierror.Malformed)
@@ -436,7 +436,7 @@
 	})
 	owning(t, 3, func(t *testing.T, r *rig) {
 		r.submitsTo(says("v", 1, "t", "k"))
-		r.st.Apply(line.Entry{What: line.Withdraw, Offset: 1, Topic: "t", Visitor: "v", Call: 2, Key: "l"})
+		r.st.Apply(log.Entry{What: log.Withdraw, Offset: 1, Topic: "t", Visitor: "v", Call: 2, Key: "l"})
 		v := r.SubmitMany(t.Context(), []*Task{withdraws("w", 1, "t", "m")})
 		assert.Equal(t, v[0].Problem.Kind, apierror.NotOwner)
 	})
@@ -462,7 +462,7 @@
 		w.Of, w.Upto = "v", 5
 		r.judge(says("v", 3, "t", "k"))
 		r.judge(w)
-		at := r.tracks[line.Ledger]
+		at := r.tracks[log.Ledger]
 		at.line.Append(time.Now(), at.pending[0])
 		at.pending, at.durable = at.pending[1:], 2
 		r.settle(at)
@@ -548,7 +548,7 @@
 // trims has the ledger let go of what stands up to an offset.
 func (r *rig) trims(to uint64) {
 	r.t.Helper()
-	l := r.tracks[line.Ledger].line
+	l := r.tracks[log.Ledger].line
 	r.st.Prune(l.Slice(r.pruned+1, to, 1<<20, 1<<30)...)
 	r.pruned, r.input = to, to
 	p, ok := l.Point(to)
@@ -724,7 +724,7 @@
 		r.takes(says("v", 4, "t", "l"))
 		r.polls("a1", "b", at)
 		r.st.Unmark(state.Key("t", "k"))
-		cl := r.tracks[line.Changelog]
+		cl := r.tracks[log.Changelog]
 		for _, e := range append(changelog.Pack(r.st.Input, r.st.Dirty(), false), changelog.PackCommit(changelog.Commit{Input: r.st.Input})) {
 			cl.push(e, 1)
 		}
@@ -762,7 +762,7 @@
 		r.becomes("a1", "b", 0)
 		at := r.takes(withdraws("v", 2, "t", "k"))
 		r.polls("a1", "b", at)
-		l := r.tracks[line.Ledger].line
+		l := r.tracks[log.Ledger].line
 		r.st.Prune(l.Slice(1, at, 9, 1<<20)...)
 		r.pruned = at
 		r.locked(r.release)
--- a/internal/partitionlog/leader/owner.go
+++ b/internal/partitionlog/leader/owner.go
@@ -8,8 +8,8 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
-	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/still"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/partitionlog/replica"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/samza/state"
@@ -97,9 +97,9 @@
 	d      Deps
 	mu     sync.Mutex
 	stage  string
-	tracks map[line.Kind]*track
-	bases  map[line.Kind]line.Point
-	trims  map[line.Kind]chan struct{}
+	tracks map[log.Kind]*track
+	bases  map[log.Kind]log.Point
+	trims  map[log.Kind]chan struct{}
 	st     *state.State
 	front  map[string]*front
 	input  uint64
@@ -129,8 +129,8 @@
 // New makes an owner for a record that names this node.
 func New(d Deps, r assignment.Record, urgent bool) *Owner {
 	return &Owner{
-		Rec: r, Urgent: urgent, d: d, stage: Taking, tracks: map[line.Kind]*track{}, bases: map[line.Kind]line.Point{},
-		trims: map[line.Kind]chan struct{}{line.Ledger: make(chan struct{}, 1), line.Changelog: make(chan struct{}, 1)},
+		Rec: r, Urgent: urgent, d: d, stage: Taking, tracks: map[log.Kind]*track{}, bases: map[log.Kind]log.Point{},
+		trims: map[log.Kind]chan struct{}{log.Ledger: make(chan struct{}, 1), log.Changelog: make(chan struct{}, 1)},
 		front: map[string]*front{}, lost: make(chan struct{}), flush: make(chan chan struct{}),
 		keyed: map[string]flying{}, entered: map[string]entered{}, heard: map[string]heard{}, turns: map[string]turn{},
 	}
@@ -171,9 +171,9 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	v := View{Partition: o.Rec.Partition, Epoch: o.Rec.Epoch, Stage: o.stage, Input: o.input, Recovery: o.how, Tally: o.tally}
-	if t := o.tracks[line.Ledger]; t != nil {
+	if t := o.tracks[log.Ledger]; t != nil {
 		v.Commit, v.Last, v.Ledger = t.commit, t.last.Offset, t.line.Len()
-		v.Changelog = o.tracks[line.Changelog].line.Len()
+		v.Changelog = o.tracks[log.Changelog].line.Len()
 	}
 	if o.st != nil {
 		v.Keys = o.st.Size()
@@ -209,9 +209,9 @@
 // Done is closed once the owner is lost.
 func (o *Owner) Done() <-chan struct{} { return o.lost }
 
-func (o *Owner) trimmed(k line.Kind) <-chan struct{} { return o.trims[k] }
+func (o *Owner) trimmed(k log.Kind) <-chan struct{} { return o.trims[k] }
 
-func (o *Owner) trim(k line.Kind, to uint64) {
+func (o *Owner) trim(k log.Kind, to uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t := o.tracks[k]
@@ -229,7 +229,7 @@
 
 func (o *Owner) settle(t *track) {
 	from := t.commit
-	if !t.settle(o.Rec, o.d.Self) || t.kind != line.Ledger || o.st == nil {
+	if !t.settle(o.Rec, o.d.Self) || t.kind != log.Ledger || o.st == nil {
 		return
 	}
 	o.apply(t, from, t.commit)
@@ -271,7 +271,7 @@
 	o.lose(apierror.New(apierror.Stopped, "the owner was stopped"))
 }
 
-func (o *Owner) await(ctx context.Context, k line.Kind, at uint64) error {
+func (o *Owner) await(ctx context.Context, k log.Kind, at uint64) error {
 	for {
 		o.mu.Lock()
 		t := o.tracks[k]
@@ -290,7 +290,7 @@
 	}
 }
 
-func (o *Owner) push(k line.Kind, es ...line.Entry) (uint64, error) {
+func (o *Owner) push(k log.Kind, es ...log.Entry) (uint64, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.stage == Lost {
--- a/internal/partitionlog/leader/packed.go
+++ b/internal/partitionlog/leader/packed.go
@@ -7,7 +7,7 @@
 	"sync"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/ledger/line"
+	"postjunction/internal/partitionlog/log"
 )
 
 // Packed holds the bodies of an answer's entries in one deflated piece, in their order; the entries are without theirs then.
@@ -29,7 +29,7 @@
 }}
 
 // pack takes the bodies out of entries, nil where that is worth nothing. Entries are the caller's own; what their bodies point to is left alone.
-func pack(es []line.Entry) *Packed {
+func pack(es []log.Entry) *Packed {
 	n := 0
 	for _, e := range es {
 		n += len(e.Body)
@@ -58,7 +58,7 @@
 }
 
 // unpack gives entries their bodies back.
-func (p *Packed) unpack(es []line.Entry) error {
+func (p *Packed) unpack(es []log.Entry) error {
 	if p == nil {
 		return nil
 	}
--- a/internal/partitionlog/leader/packed_test.go
+++ b/internal/partitionlog/leader/packed_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/ledger/line"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/wire"
 )
 
@@ -25,7 +25,7 @@
 	for _, sizes := range [][]int{{700}, {20, 0, 4000, 333}, {900, 900, 900}} {
 		a := &Polled{}
 		for i, n := range sizes {
-			a.Entries = append(a.Entries, line.Entry{Offset: uint64(i + 1), Topic: "t", Body: letters(r, n)})
+			a.Entries = append(a.Entries, log.Entry{Offset: uint64(i + 1), Topic: "t", Body: letters(r, n)})
 		}
 		var want [][]byte
 		n := 0
@@ -52,7 +52,7 @@
 		noise[i] = byte(r.IntN(256))
 	}
 	for _, b := range [][]byte{letters(r, packFrom-1), noise, nil} {
-		a := &Told{Back: []line.Entry{{Body: b}}}
+		a := &Told{Back: []log.Entry{{Body: b}}}
 		a.Pack()
 		assert.Assert(t, a.Packed == nil)
 		assert.Assert(t, bytes.Equal(a.Back[0].Body, b))
@@ -70,7 +70,7 @@
 		"a huge size":     func(a *Told) { a.Packed.Sizes[0] = 1 << 40 },
 		"below nothing":   func(a *Told) { a.Packed.Sizes[0] = -1 },
 	} {
-		a := &Told{Back: []line.Entry{{Body: letters(r, 700)}, {Body: letters(r, 700)}}}
+		a := &Told{Back: []log.Entry{{Body: letters(r, 700)}, {Body: letters(r, 700)}}}
 		a.Pack()
 		assert.Assert(t, a.Packed != nil)
 		harm(a)
--- a/internal/partitionlog/leader/read.go
+++ b/internal/partitionlog/leader/read.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/ledger/line"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/samza/state"
 )
 
@@ -28,12 +28,12 @@
 // Reading is a part of the committed ledger: entries after From, up to To. What was withdrawn is left out of its entry, and so is what stands under
 // a key where the task has no Marks. Clean is that of Told.
 type Reading struct {
-	Base    uint64       `json:"base"`
-	To      uint64       `json:"to"`
-	Epoch   uint64       `json:"epoch"`
-	Clean   bool         `json:"c,omitempty"`
-	Turn    uint64       `json:"u,omitempty"`
-	Entries []line.Entry `json:"n,omitempty"`
+	Base    uint64      `json:"base"`
+	To      uint64      `json:"to"`
+	Epoch   uint64      `json:"epoch"`
+	Clean   bool        `json:"c,omitempty"`
+	Turn    uint64      `json:"u,omitempty"`
+	Entries []log.Entry `json:"n,omitempty"`
 }
 
 const (
@@ -75,7 +75,7 @@
 			o.mu.Unlock()
 			return nil, err
 		}
-		moved := o.tracks[line.Ledger].moved
+		moved := o.tracks[log.Ledger].moved
 		r, wait := o.reading(q)
 		o.mu.Unlock()
 		if q.From == ^uint64(0) {
@@ -99,7 +99,7 @@
 
 // reading gives the answer of now, and whether news are worth waiting for.
 func (o *Owner) reading(q *ReadRequest) (*Reading, bool) {
-	t := o.tracks[line.Ledger]
+	t := o.tracks[log.Ledger]
 	r := &Reading{Base: t.line.Base().Offset, To: t.commit, Epoch: o.Rec.Epoch}
 	reads, turned := false, true
 	if q.Marks {
@@ -127,7 +127,7 @@
 		if e.Offset > t.commit {
 			break
 		}
-		if e.Key != "" && e.What == line.Message && !e.Hollow {
+		if e.Key != "" && e.What == log.Message && !e.Hollow {
 			if !q.Marks || o.st.Covers(e) {
 				e.Body, e.Digest, e.Hollow = nil, "", true
 			} else if !reads {
@@ -152,9 +152,9 @@
 		o.enter(q.Node, state.Reads{Boot: q.Boot, Gone: true})
 	}
 	at := o.entered[q.Node].at
-	r := &Reading{Base: o.tracks[line.Ledger].line.Base().Offset, To: o.tracks[line.Ledger].commit, Epoch: o.Rec.Epoch}
+	r := &Reading{Base: o.tracks[log.Ledger].line.Base().Offset, To: o.tracks[log.Ledger].commit, Epoch: o.Rec.Epoch}
 	o.mu.Unlock()
-	if err := o.await(ctx, line.Ledger, at); err != nil {
+	if err := o.await(ctx, log.Ledger, at); err != nil {
 		return nil, err
 	}
 	return r, o.assure(ctx)
--- a/internal/partitionlog/leader/read_test.go
+++ b/internal/partitionlog/leader/read_test.go
@@ -11,7 +11,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/ledger/line"
+	"postjunction/internal/partitionlog/log"
 )
 
 // feed is a reader of the whole partition.
@@ -41,10 +41,10 @@
 	return c
 }
 
-func shown(es []line.Entry) string {
+func shown(es []log.Entry) string {
 	var s []string
 	for _, e := range es {
-		if e.What == line.Message {
+		if e.What == log.Message {
 			s = append(s, fmt.Sprintf("%d%s%s", e.Offset, e.Body, map[bool]string{true: "-"}[e.Hollow]))
 		} else {
 			s = append(s, fmt.Sprintf("%d%s", e.Offset, e.What))
@@ -105,7 +105,7 @@
 		assert.Equal(t, len(c), 0)
 		r.lands()
 		assert.Equal(t, shown((<-c).Entries), "2b 3reader")
-		assert.Equal(t, r.tracks[line.Ledger].last.Offset, uint64(3))
+		assert.Equal(t, r.tracks[log.Ledger].last.Offset, uint64(3))
 	},
 	"the run of a feed says by its place what it forgot, what it reads beside does not": func(t *testing.T, r *rig) {
 		r.takes(says("v", 1, "t", "k"))
@@ -160,7 +160,7 @@
 	"one that was not noted as a reader is done as well": func(t *testing.T, r *rig) {
 		f := &feed{rig: r, boot: "b.1"}
 		<-f.asks(ReadRequest{From: ^uint64(0), Done: true})
-		assert.Equal(t, r.tracks[line.Ledger].last.Offset, uint64(0))
+		assert.Equal(t, r.tracks[log.Ledger].last.Offset, uint64(0))
 	},
 	"a run that is done does not end the one after it": func(t *testing.T, r *rig) {
 		r.takes(says("v", 1, "t", "k"))
--- a/internal/partitionlog/leader/takeover.go
+++ b/internal/partitionlog/leader/takeover.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/ledger/line"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/partitionlog/replica"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/quorum"
@@ -36,26 +36,26 @@
 	}); err != nil {
 		return err
 	}
-	for _, k := range line.Kinds {
+	for _, k := range log.Kinds {
 		if err := o.insist(ctx, "adopt the "+string(k), func() error { return o.adopt(ctx, k, tails) }); err != nil {
 			return err
 		}
 	}
 	o.mu.Lock()
-	for _, k := range line.Kinds {
+	for _, k := range log.Kinds {
 		o.tracks[k] = newTrack(k, o.d.Replica.Line(o.Rec.Partition, k))
 		o.bases[k] = o.tracks[k].line.Base()
 	}
 	o.mu.Unlock()
-	starts := map[line.Kind]uint64{}
-	for _, k := range line.Kinds {
+	starts := map[log.Kind]uint64{}
+	for _, k := range log.Kinds {
 		var err error
-		if starts[k], err = o.push(k, line.Entry{What: line.Start}); err != nil {
+		if starts[k], err = o.push(k, log.Entry{What: log.Start}); err != nil {
 			return err
 		}
 		o.spread(ctx, o.tracks[k], tails)
 	}
-	for _, k := range line.Kinds {
+	for _, k := range log.Kinds {
 		if err := o.await(ctx, k, starts[k]); err != nil {
 			return err
 		}
@@ -134,7 +134,7 @@
 
 const fetchMost = 512
 
-func (o *Owner) fetch(ctx context.Context, node string, k line.Kind, from uint64, most int) (*replica.FetchResponse, error) {
+func (o *Owner) fetch(ctx context.Context, node string, k log.Kind, from uint64, most int) (*replica.FetchResponse, error) {
 	p, _ := o.Rec.Place(node)
 	a, ok := o.d.Addr(node)
 	if !ok {
@@ -145,7 +145,7 @@
 	return replica.Fetch.Call(cx, o.d.Net, o.d.Self, a, &replica.FetchRequest{Partition: o.Rec.Partition, Incarnation: p.Incarnation, Kind: k, From: from, Most: most})
 }
 
-func (o *Owner) adopt(ctx context.Context, k line.Kind, tails []sealed) error {
+func (o *Owner) adopt(ctx context.Context, k log.Kind, tails []sealed) error {
 	best := o.d.Self
 	l := o.d.Replica.Line(o.Rec.Partition, k)
 	top := l.Last()
@@ -195,10 +195,10 @@
 	return nil
 }
 
-func (o *Owner) common(ctx context.Context, best string, k line.Kind, l *line.Line) (line.Point, bool, error) {
+func (o *Owner) common(ctx context.Context, best string, k log.Kind, l *log.Line) (log.Point, bool, error) {
 	f, err := o.fetch(ctx, best, k, l.Last().Offset+1, 1)
 	if err != nil {
-		return line.Point{}, false, err
+		return log.Point{}, false, err
 	}
 	same := func(at uint64) (bool, error) {
 		mine, ok := l.Point(at)
@@ -218,7 +218,7 @@
 	}
 	ok, err := same(lo)
 	if err != nil {
-		return line.Point{}, false, err
+		return log.Point{}, false, err
 	}
 	if !ok {
 		return f.Tail.Base, true, nil
@@ -226,7 +226,7 @@
 	for lo < hi {
 		mid := (lo + hi + 1) / 2
 		if ok, err = same(mid); err != nil {
-			return line.Point{}, false, err
+			return log.Point{}, false, err
 		}
 		if ok {
 			lo = mid
@@ -241,7 +241,7 @@
 func (o *Owner) recover() error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	cl, led := o.tracks[line.Changelog], o.tracks[line.Ledger]
+	cl, led := o.tracks[log.Changelog], o.tracks[log.Ledger]
 	st, input, from := state.New(), uint64(0), cl.line.Base().Offset
 	if d, ok := o.d.Replica.Directory(o.Rec.Partition); ok && d.At.Offset <= cl.commit {
 		if s, err := state.Unpack(d.State); err == nil {
@@ -314,7 +314,7 @@
 			close(done)
 		}
 		if err == nil {
-			o.trim(line.Ledger, to)
+			o.trim(log.Ledger, to)
 		}
 	}
 }
@@ -322,7 +322,7 @@
 // forget lets go of what stands up to the offset that it gives: the ledger drops that much once the state that says so is written down.
 func (o *Owner) forget() uint64 {
 	now := o.d.Clock.Now()
-	l := o.tracks[line.Ledger].line
+	l := o.tracks[log.Ledger].line
 	l.Hollow(now.Add(-o.d.Bounds.Spread))
 	old := l.Older(now.Add(-o.d.Bounds.KeptFor(o.d.Longest())))
 	o.mu.Lock()
@@ -349,7 +349,7 @@
 
 func (o *Owner) batch(ctx context.Context, keep bool) error {
 	o.mu.Lock()
-	cl := o.tracks[line.Changelog]
+	cl := o.tracks[log.Changelog]
 	whole := cl.line.Len() > compactAt && cl.line.Len() > compactOver*(1+o.st.Size()/compactAt)
 	if whole {
 		o.st.All()
@@ -368,9 +368,9 @@
 	o.tally.Batches++
 	o.tally.Items += uint64(len(items))
 	o.mu.Unlock()
-	at, err := o.push(line.Changelog, changelog.Pack(input, items, whole)...)
+	at, err := o.push(log.Changelog, changelog.Pack(input, items, whole)...)
 	if err == nil && len(items) > 0 {
-		err = o.await(ctx, line.Changelog, at)
+		err = o.await(ctx, log.Changelog, at)
 	}
 	if err != nil {
 		return err
@@ -379,10 +379,10 @@
 	if whole {
 		c.Base = before
 	}
-	if at, err = o.push(line.Changelog, changelog.PackCommit(c)); err != nil {
+	if at, err = o.push(log.Changelog, changelog.PackCommit(c)); err != nil {
 		return err
 	}
-	if err := o.await(ctx, line.Changelog, at); err != nil {
+	if err := o.await(ctx, log.Changelog, at); err != nil {
 		return err
 	}
 	o.mu.Lock()
@@ -396,7 +396,7 @@
 		_ = o.d.Replica.Keep(ctx, replica.Directory{Partition: o.Rec.Partition, At: p, Input: input, State: pack})
 	}
 	if whole {
-		o.trim(line.Changelog, before)
+		o.trim(log.Changelog, before)
 	}
 	return nil
 }
--- a/internal/partitionlog/leader/track.go
+++ b/internal/partitionlog/leader/track.go
@@ -6,17 +6,17 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
-	"postjunction/internal/ledger/line"
 	"postjunction/internal/ledger/still"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/partitionlog/replica"
 	"postjunction/internal/placement/assignment"
 )
 
 type track struct {
-	kind    line.Kind
-	line    *line.Line
-	pending []line.Entry
-	last    line.Point
+	kind    log.Kind
+	line    *log.Line
+	pending []log.Entry
+	last    log.Point
 	durable uint64
 	// match is how far each other disk is known to hold the line, by its incarnation: a machine's new disk counts for nothing where the record names its lost one.
 	match  map[string]uint64
@@ -25,17 +25,17 @@
 	grown  chan struct{}
 }
 
-func newTrack(k line.Kind, l *line.Line) *track {
+func newTrack(k log.Kind, l *log.Line) *track {
 	p := l.Last()
 	return &track{kind: k, line: l, last: p, durable: p.Offset, match: map[string]uint64{}, moved: make(chan struct{}), grown: make(chan struct{})}
 }
 
-func (t *track) push(e line.Entry, epoch uint64) line.Entry {
+func (t *track) push(e log.Entry, epoch uint64) log.Entry {
 	e.Offset, e.Epoch = t.last.Offset+1, epoch
 	if e.Digest == "" {
-		e.Digest = line.Digest(e.Body)
+		e.Digest = log.Digest(e.Body)
 	}
-	e.Chain = line.Link(t.last.Chain, e)
+	e.Chain = log.Link(t.last.Chain, e)
 	t.pending = append(t.pending, e)
 	t.last = e.At()
 	close(t.grown)
@@ -43,7 +43,7 @@
 	return e
 }
 
-func (t *track) point(o uint64) (line.Point, bool) {
+func (t *track) point(o uint64) (log.Point, bool) {
 	if k := int(o) - int(t.durable) - 1; k >= 0 && k < len(t.pending) {
 		return t.pending[k].At(), true
 	}
@@ -55,7 +55,7 @@
 	sendBytes = 512 << 10
 )
 
-func (t *track) after(o uint64) []line.Entry {
+func (t *track) after(o uint64) []log.Entry {
 	es := t.line.Slice(o+1, t.durable, sendMost, sendBytes)
 	if o+uint64(len(es)) < t.durable || len(es) == sendMost {
 		return es
@@ -97,7 +97,7 @@
 	for ctx.Err() == nil {
 		o.mu.Lock()
 		at, _ := t.point(t.durable)
-		es := append([]line.Entry(nil), t.pending[:min(len(t.pending), sendMost)]...)
+		es := append([]log.Entry(nil), t.pending[:min(len(t.pending), sendMost)]...)
 		grown := t.grown
 		base := o.bases[t.kind]
 		o.mu.Unlock()
@@ -136,7 +136,7 @@
 }
 
 type cursor struct {
-	at    line.Point
+	at    log.Point
 	reset bool
 	step  uint64
 	// full tells that the disk had no room: it is asked to trim, without entries.
@@ -152,7 +152,7 @@
 		o.back(t, &c, tail)
 	}
 	told, said, sent, tries := false, uint64(0), o.d.Clock.Now(), 0
-	var cut line.Point
+	var cut log.Point
 	for ctx.Err() == nil {
 		o.mu.Lock()
 		es := t.after(c.at.Offset)
@@ -164,7 +164,7 @@
 		addr, ok := o.d.Addr(p.Node)
 		if len(es) == 0 && told && !c.full {
 			d, quiet := o.d.Bounds.Session(), ok && o.d.Still != nil && commit == said && base == cut
-			if commit > said && t.kind == line.Ledger {
+			if commit > said && t.kind == log.Ledger {
 				d, moved = o.d.Bounds.Heartbeat(), nil
 			}
 			if base != cut {
--- a/internal/ledger/line/entry.go
+++ b/internal/partitionlog/log/entry.go
@@ -1,5 +1,5 @@
-// Package line is one append-only, ordered, replayable log of a partition, as one replica holds it.
-package line
+// Package log is one append-only, ordered, replayable log of a partition, as one replica holds it.
+package log
 
 import (
 	"crypto/sha256"
--- a/internal/ledger/line/key.go
+++ b/internal/partitionlog/log/key.go
@@ -1,4 +1,4 @@
-package line
+package log
 
 import "postjunction/internal/apierror"
 
--- a/internal/partitionlog/replica/calls.go
+++ b/internal/partitionlog/replica/calls.go
@@ -2,7 +2,7 @@
 package replica
 
 import (
-	"postjunction/internal/ledger/line"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/wire"
 )
 
@@ -21,26 +21,26 @@
 
 // Tail says what a replica holds of one line.
 type Tail struct {
-	Base   line.Point `json:"base"`
-	Last   line.Point `json:"last"`
-	Commit uint64     `json:"commit"`
+	Base   log.Point `json:"base"`
+	Last   log.Point `json:"last"`
+	Commit uint64    `json:"commit"`
 }
 
 // SealResponse gives the tails of both lines.
 type SealResponse struct {
-	Tails map[line.Kind]Tail `json:"tails"`
+	Tails map[log.Kind]Tail `json:"tails"`
 }
 
 // AppendRequest extends a line after a point; with Reset the replica starts anew there.
 type AppendRequest struct {
 	Target
-	Kind    line.Kind    `json:"k"`
-	After   line.Point   `json:"a"`
-	Entries []line.Entry `json:"n,omitempty"`
-	Commit  uint64       `json:"c"`
-	Base    line.Point   `json:"b"`
-	Reset   bool         `json:"r,omitempty"`
-	Urgent  bool         `json:"u,omitempty"`
+	Kind    log.Kind    `json:"k"`
+	After   log.Point   `json:"a"`
+	Entries []log.Entry `json:"n,omitempty"`
+	Commit  uint64      `json:"c"`
+	Base    log.Point   `json:"b"`
+	Reset   bool        `json:"r,omitempty"`
+	Urgent  bool        `json:"u,omitempty"`
 }
 
 // AppendResponse gives the replica's last point; OK tells whether the lines matched.
@@ -52,16 +52,16 @@
 // Silent is a line that its owner has nothing new for: the epoch that it was told under, and where it ends.
 type Silent struct {
 	Partition int
-	Kind      line.Kind
+	Kind      log.Kind
 	Epoch     uint64
-	Last      line.Point
+	Last      log.Point
 }
 
 // StillRequest asks whether lines of one disk stand as their owners have told them: the partitions by the kind of line, each in rising order, and the sum of all.
 type StillRequest struct {
-	Incarnation string              `json:"i"`
-	Lines       map[line.Kind][]int `json:"l"`
-	Sum         uint64              `json:"s"`
+	Incarnation string             `json:"i"`
+	Lines       map[log.Kind][]int `json:"l"`
+	Sum         uint64             `json:"s"`
 }
 
 // StillResponse tells whether all do.
@@ -71,18 +71,18 @@
 
 // FetchRequest reads entries of a line, committed or not.
 type FetchRequest struct {
-	Partition   int       `json:"p"`
-	Incarnation string    `json:"i"`
-	Kind        line.Kind `json:"k"`
-	From        uint64    `json:"f"`
-	Most        int       `json:"m"`
+	Partition   int      `json:"p"`
+	Incarnation string   `json:"i"`
+	Kind        log.Kind `json:"k"`
+	From        uint64   `json:"f"`
+	Most        int      `json:"m"`
 }
 
 // FetchResponse gives entries with the tail they were read at.
 type FetchResponse struct {
-	Tail    Tail         `json:"tail"`
-	Before  line.Point   `json:"before"`
-	Entries []line.Entry `json:"n,omitempty"`
+	Tail    Tail        `json:"tail"`
+	Before  log.Point   `json:"before"`
+	Entries []log.Entry `json:"n,omitempty"`
 }
 
 // DropRequest tells a replica that the ownership record no longer names it.
--- a/internal/partitionlog/replica/replica.go
+++ b/internal/partitionlog/replica/replica.go
@@ -11,7 +11,7 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/keylock"
-	"postjunction/internal/ledger/line"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/recordtype"
 	"postjunction/internal/wire"
 )
@@ -23,7 +23,7 @@
 	clk         clock.Clock
 	turns       *keylock.Turns
 	mu          sync.Mutex
-	lines       map[line.ID]*line.Line
+	lines       map[log.ID]*log.Line
 	seals       map[int]uint64
 	states      map[int]Directory
 	turned      uint64
@@ -32,7 +32,7 @@
 // Directory is a partition's state directory: the materialised state at a point of the changelog.
 type Directory struct {
 	Partition int             `json:"p"`
-	At        line.Point      `json:"at"`
+	At        log.Point       `json:"at"`
 	Input     uint64          `json:"input"`
 	State     json.RawMessage `json:"state"`
 }
@@ -45,7 +45,7 @@
 
 // New makes an empty store.
 func New(c clock.Clock) *Replica {
-	return &Replica{clk: c, turns: keylock.New(turnShards), lines: map[line.ID]*line.Line{}, seals: map[int]uint64{}, states: map[int]Directory{}}
+	return &Replica{clk: c, turns: keylock.New(turnShards), lines: map[log.ID]*log.Line{}, seals: map[int]uint64{}, states: map[int]Directory{}}
 }
 
 // Start gives the store its disk.
@@ -55,16 +55,16 @@
 func (r *Replica) Incarnation() string { return r.incarnation }
 
 // Line gives a line, made empty if need be.
-func (r *Replica) Line(p int, k line.Kind) *line.Line {
+func (r *Replica) Line(p int, k log.Kind) *log.Line {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.line(line.ID{Partition: p, Kind: k})
+	return r.line(log.ID{Partition: p, Kind: k})
 }
 
-func (r *Replica) line(id line.ID) *line.Line {
+func (r *Replica) line(id log.ID) *log.Line {
 	l, ok := r.lines[id]
 	if !ok {
-		l = line.New()
+		l = log.New()
 		r.lines[id] = l
 	}
 	return l
@@ -108,21 +108,21 @@
 }
 
 type entryRec struct {
-	ID line.ID `json:"id"`
-	line.Entry
+	ID log.ID `json:"id"`
+	log.Entry
 }
 
 type baseRec struct {
-	ID    line.ID    `json:"id"`
-	Base  line.Point `json:"base"`
-	Fresh bool       `json:"fresh,omitempty"`
+	ID    log.ID    `json:"id"`
+	Base  log.Point `json:"base"`
+	Fresh bool      `json:"fresh,omitempty"`
 	// Anew comes before a slice of the line: one that does not hold the base is begun there.
 	Anew bool `json:"anew,omitempty"`
 }
 
 type cutRec struct {
-	ID  line.ID `json:"id"`
-	Cut uint64  `json:"cut"`
+	ID  log.ID `json:"id"`
+	Cut uint64 `json:"cut"`
 }
 
 func rec(k uint16, e, o uint64, x any) journal.Rec {
@@ -155,10 +155,10 @@
 		var s baseRec
 		err := read(b, &s)
 		if s.Fresh {
-			r.lines[s.ID] = line.New()
+			r.lines[s.ID] = log.New()
 		}
 		if p, ok := r.line(s.ID).Point(s.Base.Offset); s.Anew && (!ok || p != s.Base) {
-			r.lines[s.ID] = line.New()
+			r.lines[s.ID] = log.New()
 		}
 		r.line(s.ID).Rebase(s.Base)
 		return err
@@ -200,8 +200,8 @@
 }
 
 func (r *Replica) forget(p int) {
-	for _, k := range line.Kinds {
-		delete(r.lines, line.ID{Partition: p, Kind: k})
+	for _, k := range log.Kinds {
+		delete(r.lines, log.ID{Partition: p, Kind: k})
 	}
 	delete(r.states, p)
 }
@@ -233,7 +233,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ss := journal.Whole(r.dumpSeals)
-	ids := make([]line.ID, 0, len(r.lines))
+	ids := make([]log.ID, 0, len(r.lines))
 	for id := range r.lines {
 		ids = append(ids, id)
 	}
@@ -272,13 +272,13 @@
 
 // slice goes through a line from its base to its end. What is put meanwhile at or before the place reached counts by itself when the log is
 // read from where the writing anew began; what is put after it is passed over there, and comes with a later slice.
-func (r *Replica) slice(id line.ID) journal.Slice {
+func (r *Replica) slice(id log.ID) journal.Slice {
 	next := uint64(0)
 	return func() ([]journal.Rec, bool) {
 		r.mu.Lock()
 		l, ok := r.lines[id]
 		r.mu.Unlock()
-		if !ok || l.Last() == (line.Point{}) {
+		if !ok || l.Last() == (log.Point{}) {
 			return nil, false
 		}
 		b := l.Base()
@@ -292,7 +292,7 @@
 	}
 }
 
-func (r *Replica) tail(p int, k line.Kind) Tail {
+func (r *Replica) tail(p int, k log.Kind) Tail {
 	l := r.Line(p, k)
 	return Tail{Base: l.Base(), Last: l.Last(), Commit: l.Commit()}
 }
@@ -337,8 +337,8 @@
 			return nil, err
 		}
 	}
-	a := &SealResponse{Tails: map[line.Kind]Tail{}}
-	for _, k := range line.Kinds {
+	a := &SealResponse{Tails: map[log.Kind]Tail{}}
+	for _, k := range log.Kinds {
 		a.Tails[k] = r.tail(q.Partition, k)
 	}
 	return a, nil
@@ -357,7 +357,7 @@
 		return nil, err
 	}
 	defer in.Back()
-	id := line.ID{Partition: q.Partition, Kind: q.Kind}
+	id := log.ID{Partition: q.Partition, Kind: q.Kind}
 	l := r.Line(q.Partition, q.Kind)
 	if !q.Reset {
 		if p, ok := l.Point(q.After.Offset); !ok || p != q.After {
@@ -372,7 +372,7 @@
 		rs = append(rs, rec(recordtype.Base, q.After.Epoch, q.After.Offset, baseRec{ID: id, Base: q.After, Fresh: true}))
 	}
 	at := q.After
-	var fresh []line.Entry
+	var fresh []log.Entry
 	for _, e := range q.Entries {
 		if !e.Sound(at) {
 			return nil, apierror.New(apierror.Mismatch, "entry %d does not follow %d soundly", e.Offset, at.Offset)
@@ -384,7 +384,7 @@
 		fresh = append(fresh, e)
 		rs = append(rs, rec(recordtype.Entry, e.Epoch, e.Offset, entryRec{id, e}))
 	}
-	trim := line.Point{}
+	trim := log.Point{}
 	if p, ok := l.Point(q.Base.Offset); ok && p == q.Base && q.Base.Offset > l.Base().Offset {
 		trim = q.Base
 		rs = append(rs, rec(recordtype.Base, trim.Epoch, trim.Offset, baseRec{ID: id, Base: trim}))
@@ -393,7 +393,7 @@
 		err := r.journal.PutIn(ctx, in, q.Urgent, func() {
 			r.setSeal(q.Partition, q.Epoch)
 			if q.Reset {
-				n := line.New()
+				n := log.New()
 				n.Rebase(q.After)
 				r.mu.Lock()
 				r.lines[id] = n
@@ -414,13 +414,13 @@
 }
 
 // CutTo drops what follows an offset, when a tail adopted under the target's epoch differs.
-func (r *Replica) CutTo(ctx context.Context, t Target, k line.Kind, o uint64, urgent bool) error {
+func (r *Replica) CutTo(ctx context.Context, t Target, k log.Kind, o uint64, urgent bool) error {
 	in, err := r.enter(ctx, t)
 	if err != nil {
 		return err
 	}
 	defer in.Back()
-	id := line.ID{Partition: t.Partition, Kind: k}
+	id := log.ID{Partition: t.Partition, Kind: k}
 	return r.journal.PutIn(ctx, in, urgent, func() { r.Line(t.Partition, k).Cut(o) }, rec(recordtype.Cut, t.Epoch, o, cutRec{id, o}))
 }
 
@@ -470,7 +470,7 @@
 	if !ok {
 		return d, false
 	}
-	at, ok := r.Line(p, line.Changelog).Point(d.At.Offset)
+	at, ok := r.Line(p, log.Changelog).Point(d.At.Offset)
 	return d, ok && at == d.At
 }
 
--- a/internal/partitionlog/replica/replica_test.go
+++ b/internal/partitionlog/replica/replica_test.go
@@ -12,7 +12,7 @@
 	"postjunction/internal/disk/frame"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/disk/memlog"
-	"postjunction/internal/ledger/line"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/recordtype"
 )
 
@@ -33,11 +33,11 @@
 	return r
 }
 
-func chain(after line.Point, epoch uint64, bodies ...string) []line.Entry {
-	var es []line.Entry
+func chain(after log.Point, epoch uint64, bodies ...string) []log.Entry {
+	var es []log.Entry
 	for _, b := range bodies {
-		e := line.Entry{Offset: after.Offset + 1, Epoch: epoch, What: line.Message, Body: []byte(b), Digest: line.Digest([]byte(b))}
-		e.Chain = line.Link(after.Chain, e)
+		e := log.Entry{Offset: after.Offset + 1, Epoch: epoch, What: log.Message, Body: []byte(b), Digest: log.Digest([]byte(b))}
+		e.Chain = log.Link(after.Chain, e)
 		es, after = append(es, e), e.At()
 	}
 	return es
@@ -45,7 +45,7 @@
 
 func to(epoch uint64) Target { return Target{Partition: 1, Incarnation: "i", Epoch: epoch} }
 
-func put(t *testing.T, r *Replica, k line.Kind, epoch uint64, after line.Point, bodies ...string) line.Point {
+func put(t *testing.T, r *Replica, k log.Kind, epoch uint64, after log.Point, bodies ...string) log.Point {
 	es := chain(after, epoch, bodies...)
 	a, err := r.Append(ctx, &AppendRequest{Target: to(epoch), Kind: k, After: after, Entries: es})
 	assert.NilError(t, err)
@@ -56,13 +56,13 @@
 func TestFencedEpochsStayFencedAcrossPowerLoss(t *testing.T) {
 	d := memlog.New()
 	r := boot(t, d, "i")
-	p := put(t, r, line.Ledger, 1, line.Point{}, "a", "b")
+	p := put(t, r, log.Ledger, 1, log.Point{}, "a", "b")
 	s, err := r.Seal(ctx, &SealRequest{Target: to(3)})
 	assert.NilError(t, err)
-	assert.Equal(t, s.Tails[line.Ledger].Last, p)
+	assert.Equal(t, s.Tails[log.Ledger].Last, p)
 	d.LosePower(true)
 	r = boot(t, d, "i")
-	for _, k := range line.Kinds {
+	for _, k := range log.Kinds {
 		_, err = r.Append(ctx, &AppendRequest{Target: to(2), Kind: k, After: r.Line(1, k).Last(), Entries: chain(r.Line(1, k).Last(), 2, "late")})
 		assert.Assert(t, apierror.Has(err, apierror.StaleEpoch), "%s: %v", k, err)
 	}
@@ -70,49 +70,49 @@
 	assert.Assert(t, apierror.Has(err, apierror.StaleEpoch), "%v", err)
 	_, err = r.Drop(ctx, &DropRequest{to(2)})
 	assert.Assert(t, apierror.Has(err, apierror.StaleEpoch), "%v", err)
-	assert.Equal(t, r.Line(1, line.Ledger).Last(), p)
+	assert.Equal(t, r.Line(1, log.Ledger).Last(), p)
 }
 
 func TestAnotherIncarnationIsTurnedAway(t *testing.T) {
 	r := boot(t, memlog.New(), "j")
 	_, err := r.Seal(ctx, &SealRequest{Target: to(1)})
 	assert.Assert(t, apierror.Has(err, apierror.WrongDisk), "%v", err)
-	_, err = r.Append(ctx, &AppendRequest{Target: to(1), Kind: line.Ledger})
+	_, err = r.Append(ctx, &AppendRequest{Target: to(1), Kind: log.Ledger})
 	assert.Assert(t, apierror.Has(err, apierror.WrongDisk), "%v", err)
-	_, err = r.Fetch(ctx, &FetchRequest{Partition: 1, Incarnation: "i", Kind: line.Ledger})
+	_, err = r.Fetch(ctx, &FetchRequest{Partition: 1, Incarnation: "i", Kind: log.Ledger})
 	assert.Assert(t, apierror.Has(err, apierror.WrongDisk), "%v", err)
 }
 
 func TestTailThatDiffersIsReplacedAndAlteredEntriesAreNot(t *testing.T) {
 	d := memlog.New()
 	r := boot(t, d, "i")
-	p := put(t, r, line.Ledger, 1, line.Point{}, "a")
-	put(t, r, line.Ledger, 1, p, "lost", "lost too")
-	a, err := r.Append(ctx, &AppendRequest{Target: to(2), Kind: line.Ledger, After: line.Point{Offset: 2, Epoch: 1, Chain: 5}})
+	p := put(t, r, log.Ledger, 1, log.Point{}, "a")
+	put(t, r, log.Ledger, 1, p, "lost", "lost too")
+	a, err := r.Append(ctx, &AppendRequest{Target: to(2), Kind: log.Ledger, After: log.Point{Offset: 2, Epoch: 1, Chain: 5}})
 	assert.NilError(t, err)
 	assert.Assert(t, !a.OK, "another line at the same place")
 	bad := chain(p, 2, "x")
 	bad[0].Body = []byte("altered")
-	_, err = r.Append(ctx, &AppendRequest{Target: to(2), Kind: line.Ledger, After: p, Entries: bad})
+	_, err = r.Append(ctx, &AppendRequest{Target: to(2), Kind: log.Ledger, After: p, Entries: bad})
 	assert.Assert(t, apierror.Has(err, apierror.Mismatch), "%v", err)
-	q := put(t, r, line.Ledger, 2, p, "kept")
+	q := put(t, r, log.Ledger, 2, p, "kept")
 	d.LosePower(false)
 	r = boot(t, d, "i")
-	assert.Equal(t, r.Line(1, line.Ledger).Last(), q)
-	assert.Equal(t, string(r.Line(1, line.Ledger).Slice(2, 2, 1, 1)[0].Body), "kept")
+	assert.Equal(t, r.Line(1, log.Ledger).Last(), q)
+	assert.Equal(t, string(r.Line(1, log.Ledger).Slice(2, 2, 1, 1)[0].Body), "kept")
 }
 
 func TestDirectoryIsUsedOnlyWhereItsPointIsOnTheChangelog(t *testing.T) {
 	d := memlog.New()
 	r := boot(t, d, "i")
-	p := put(t, r, line.Changelog, 1, line.Point{}, "one")
-	q := put(t, r, line.Changelog, 1, p, "two")
+	p := put(t, r, log.Changelog, 1, log.Point{}, "one")
+	q := put(t, r, log.Changelog, 1, p, "two")
 	assert.NilError(t, r.Keep(ctx, Directory{Partition: 1, At: q, Input: 9, State: []byte(`{}`)}))
 	r = boot(t, d, "i")
 	got, ok := r.Directory(1)
 	assert.Assert(t, ok)
 	assert.Equal(t, got.Input, uint64(9))
-	put(t, r, line.Changelog, 2, p, "another two")
+	put(t, r, log.Changelog, 2, p, "another two")
 	_, ok = r.Directory(1)
 	assert.Assert(t, !ok, "the directory is of a tail that was cut")
 	_, err := r.Drop(ctx, &DropRequest{to(3)})
@@ -125,42 +125,42 @@
 // A state directory of an older day counts while its point is on the changelog, and not once another owner replaced that part of it.
 func TestDirectoryOfAnOlderDay(t *testing.T) {
 	r := boot(t, memlog.New(), "i")
-	p := put(t, r, line.Changelog, 1, line.Point{}, "a", "b")
+	p := put(t, r, log.Changelog, 1, log.Point{}, "a", "b")
 	assert.NilError(t, r.Keep(ctx, Directory{Partition: 1, At: p, Input: 7, State: []byte(`{}`)}))
-	q := put(t, r, line.Changelog, 1, p, "c", "d")
+	q := put(t, r, log.Changelog, 1, p, "c", "d")
 	_, ok := r.Directory(1)
 	assert.Assert(t, ok, "the changelog went on, the directory's point is still on it")
-	assert.NilError(t, r.CutTo(ctx, to(1), line.Changelog, 1, false))
-	first, _ := r.Line(1, line.Changelog).Point(1)
-	put(t, r, line.Changelog, 2, first, "B", "C", "D")
+	assert.NilError(t, r.CutTo(ctx, to(1), log.Changelog, 1, false))
+	first, _ := r.Line(1, log.Changelog).Point(1)
+	put(t, r, log.Changelog, 2, first, "B", "C", "D")
 	_, ok = r.Directory(1)
 	assert.Assert(t, !ok, "the directory stands on a tail that was replaced")
-	assert.Assert(t, q != r.Line(1, line.Changelog).Last())
+	assert.Assert(t, q != r.Line(1, log.Changelog).Last())
 }
 
 // An owner held up between sealing and adopting once cut what a later owner had put on the disk since.
 func TestFencedOwnerCutsNothing(t *testing.T) {
 	r := boot(t, memlog.New(), "i")
-	p := put(t, r, line.Ledger, 1, line.Point{}, "a", "b")
+	p := put(t, r, log.Ledger, 1, log.Point{}, "a", "b")
 	_, err := r.Seal(ctx, &SealRequest{Target: to(2)})
 	assert.NilError(t, err)
 	_, err = r.Seal(ctx, &SealRequest{Target: to(3)})
 	assert.NilError(t, err)
-	q := put(t, r, line.Ledger, 3, p, "told to be taken")
-	err = r.CutTo(ctx, to(2), line.Ledger, 1, false)
+	q := put(t, r, log.Ledger, 3, p, "told to be taken")
+	err = r.CutTo(ctx, to(2), log.Ledger, 1, false)
 	assert.Assert(t, apierror.Has(err, apierror.StaleEpoch), "%v", err)
-	assert.Equal(t, r.Line(1, line.Ledger).Last(), q)
-	assert.NilError(t, r.CutTo(ctx, to(3), line.Ledger, p.Offset, false))
-	assert.Equal(t, r.Line(1, line.Ledger).Last(), p)
+	assert.Equal(t, r.Line(1, log.Ledger).Last(), q)
+	assert.NilError(t, r.CutTo(ctx, to(3), log.Ledger, p.Offset, false))
+	assert.Equal(t, r.Line(1, log.Ledger).Last(), p)
 }
 
 // Folders of the first format had bodies in JSON.
 func TestFoldersOfTheFirstFormatAreRead(t *testing.T) {
 	d := memlog.New()
-	es := chain(line.Point{}, 1, "a", "b")
+	es := chain(log.Point{}, 1, "a", "b")
 	var rs [][]byte
 	for _, e := range es {
-		b, err := json.Marshal(entryRec{line.ID{Partition: 1, Kind: line.Ledger}, e})
+		b, err := json.Marshal(entryRec{log.ID{Partition: 1, Kind: log.Ledger}, e})
 		assert.NilError(t, err)
 		f := frame.Pack(frame.Frame{Kind: recordtype.Entry, Index: e.Offset, Epoch: 1, Offset: e.Offset, Body: b})
 		f[6] = 1
@@ -170,16 +170,16 @@
 	assert.NilError(t, d.Sync())
 	for range 2 {
 		r := boot(t, d, "i")
-		assert.DeepEqual(t, r.Line(1, line.Ledger).Slice(0, ^uint64(0), 9, 1<<20), es)
+		assert.DeepEqual(t, r.Line(1, log.Ledger).Slice(0, ^uint64(0), 9, 1<<20), es)
 		es = append(es, chain(es[len(es)-1].At(), 2, "c")...)
-		put(t, r, line.Ledger, 2, es[len(es)-2].At(), "c")
+		put(t, r, log.Ledger, 2, es[len(es)-2].At(), "c")
 	}
 }
 
 // A copy tells that a line stands as it was told only while it ends there and nobody has sealed its partition under a higher epoch since.
 func TestStillStands(t *testing.T) {
 	still := func(r *Replica, inc string, ss ...Silent) (bool, error) {
-		q := &StillRequest{Incarnation: inc, Lines: map[line.Kind][]int{}, Sum: Sum(ss)}
+		q := &StillRequest{Incarnation: inc, Lines: map[log.Kind][]int{}, Sum: Sum(ss)}
 		for _, s := range ss {
 			q.Lines[s.Kind] = append(q.Lines[s.Kind], s.Partition)
 		}
@@ -187,12 +187,12 @@
 		return err == nil && a.Alike, err
 	}
 	r := boot(t, memlog.New(), "i")
-	e := put(t, r, line.Ledger, 3, line.Point{}, "a")
-	one, none := Silent{Partition: 1, Kind: line.Ledger, Epoch: 3, Last: e}, Silent{Partition: 1, Kind: line.Changelog, Epoch: 3}
+	e := put(t, r, log.Ledger, 3, log.Point{}, "a")
+	one, none := Silent{Partition: 1, Kind: log.Ledger, Epoch: 3, Last: e}, Silent{Partition: 1, Kind: log.Changelog, Epoch: 3}
 	lines := len(r.lines)
 	ok, err := still(r, "i", none, one)
 	assert.Assert(t, ok && err == nil)
-	for _, bad := range []Silent{{1, line.Ledger, 3, line.Point{}}, {1, line.Ledger, 2, e}, {2, line.Ledger, 3, e}} {
+	for _, bad := range []Silent{{1, log.Ledger, 3, log.Point{}}, {1, log.Ledger, 2, e}, {2, log.Ledger, 3, e}} {
 		ok, err = still(r, "i", none, bad)
 		assert.Assert(t, !ok && err == nil, "%+v", bad)
 	}
--- a/internal/partitionlog/replica/still.go
+++ b/internal/partitionlog/replica/still.go
@@ -8,7 +8,7 @@
 	"slices"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/ledger/line"
+	"postjunction/internal/partitionlog/log"
 )
 
 // Sum is the sum of lines in the order of their kinds and partitions. It only tells what to look at: no promise rests on it.
@@ -39,9 +39,9 @@
 	return &StillResponse{Alike: Sum(ss) == q.Sum}, nil
 }
 
-func (r *Replica) silent(p int, k line.Kind) Silent {
+func (r *Replica) silent(p int, k log.Kind) Silent {
 	r.mu.Lock()
-	s, l := Silent{Partition: p, Kind: k, Epoch: r.seals[p]}, r.lines[line.ID{Partition: p, Kind: k}]
+	s, l := Silent{Partition: p, Kind: k, Epoch: r.seals[p]}, r.lines[log.ID{Partition: p, Kind: k}]
 	r.mu.Unlock()
 	if l != nil {
 		s.Last = l.Last()
--- a/internal/partitionlog/router/packing_test.go
+++ b/internal/partitionlog/router/packing_test.go
@@ -7,15 +7,15 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/ledger/line"
 	"postjunction/internal/partitionlog/leader"
+	"postjunction/internal/partitionlog/log"
 )
 
 // Bodies come packed to those that ask for it, and to nobody else.
 func TestBodiesArePackedForThoseThatAsk(t *testing.T) {
 	body := bytes.Repeat([]byte("abcdefgh"), 100)
 	f := packing(func(context.Context, *leader.PollRequest) (*leader.Polled, error) {
-		return &leader.Polled{Entries: []line.Entry{{Topic: "t", Body: body}}}, nil
+		return &leader.Polled{Entries: []log.Entry{{Topic: "t", Body: body}}}, nil
 	}, func(q *leader.PollRequest) bool { return q.Packs })
 	a, err := f(t.Context(), &leader.PollRequest{})
 	assert.NilError(t, err)
--- a/internal/proof/sim/boot_test.go
+++ b/internal/proof/sim/boot_test.go
@@ -10,9 +10,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/ledger/line"
 	"postjunction/internal/partition"
 	"postjunction/internal/partitionlog/leader"
+	"postjunction/internal/partitionlog/log"
 )
 
 // boots are the ways in which processes go and come back.
@@ -141,7 +141,7 @@
 					opened, given, broken := make(chan error, 1), make(chan struct{}), make(chan struct{})
 					var once sync.Once
 					s.Opened = func(_ uint64, err error) { opened <- err }
-					s.Give = func(line.Entry) { once.Do(func() { close(given) }) }
+					s.Give = func(log.Entry) { once.Do(func() { close(given) }) }
 					s.Broken = func() { close(broken) }
 					x.House.Hub.Join(s)
 					select {
--- a/internal/proof/sim/measure_marks_test.go
+++ b/internal/proof/sim/measure_marks_test.go
@@ -11,7 +11,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/ledger/line"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/proof/guest"
 	"postjunction/internal/samza/state"
 )
@@ -103,12 +103,12 @@
 func TestMeasureMarkBytes(t *testing.T) {
 	measuring(t)
 	const n = 10_000
-	for what, entry := range map[string]func(i int) line.Entry{
-		"mark": func(i int) line.Entry {
-			return line.Entry{What: line.Withdraw, Offset: uint64(i + 1), Topic: "station/zone-b/seat-3", Key: fmt.Sprintf("turn-%08d", i), Visitor: "coordinator-17", Call: uint64(i + 1)}
+	for what, entry := range map[string]func(i int) log.Entry{
+		"mark": func(i int) log.Entry {
+			return log.Entry{What: log.Withdraw, Offset: uint64(i + 1), Topic: "station/zone-b/seat-3", Key: fmt.Sprintf("turn-%08d", i), Visitor: "coordinator-17", Call: uint64(i + 1)}
 		},
-		"reader": func(i int) line.Entry {
-			return line.Entry{What: line.Reader, Offset: uint64(i + 1), Visitor: fmt.Sprintf("access-%05d", i), Body: state.Body(state.Reads{Boot: "7daa68ab16870a7c"})}
+		"reader": func(i int) log.Entry {
+			return log.Entry{What: log.Reader, Offset: uint64(i + 1), Visitor: fmt.Sprintf("access-%05d", i), Body: state.Body(state.Reads{Boot: "7daa68ab16870a7c"})}
 		},
 	} {
 		var a, b runtime.MemStats
--- a/internal/proof/sim/offer_test.go
+++ b/internal/proof/sim/offer_test.go
@@ -12,9 +12,9 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/ledger/line"
 	"postjunction/internal/partition"
 	"postjunction/internal/partitionlog/leader"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/partitionlog/router"
 	"postjunction/internal/proof/history"
 )
@@ -136,7 +136,7 @@
 			return got
 		}
 		for _, e := range r.Entries {
-			if e.What == line.Message && topics[e.Topic] {
+			if e.What == log.Message && topics[e.Topic] {
 				got = append(got, history.Receipt{Message: history.Message{Topic: e.Topic, From: e.Visitor, Call: e.Call}, Body: string(e.Body), Partition: p, Offset: e.Offset, At: time.Now()})
 			}
 		}
--- a/internal/proof/sim/points_test.go
+++ b/internal/proof/sim/points_test.go
@@ -14,7 +14,7 @@
 
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/quorumread"
-	"postjunction/internal/ledger/line"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/partitionlog/replica"
 	"postjunction/internal/partitionlog/router"
 	"postjunction/internal/placement/controller"
@@ -86,7 +86,7 @@
 
 func late(x Point) bool {
 	q, ok := appending(x)
-	return ok && q.Kind == line.Changelog
+	return ok && q.Kind == log.Changelog
 }
 
 // points are the places in a decision's way at which whoever decides is held up while its sessions lapse and others go on.
--- a/internal/samza/changelog/bench_test.go
+++ b/internal/samza/changelog/bench_test.go
@@ -4,20 +4,20 @@
 	"fmt"
 	"testing"
 
-	"postjunction/internal/ledger/line"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/samza/state"
 )
 
 // past makes a changelog of many batches over a number of keys, and the state at its end.
-func past(keys, batches int) ([]line.Entry, *state.State) {
+func past(keys, batches int) ([]log.Entry, *state.State) {
 	s := state.New()
-	var changes []line.Entry
+	var changes []log.Entry
 	o := uint64(0)
 	for b := range batches {
 		for i := range keys / 4 {
 			o++
 			k := (b*keys/4 + i) % keys
-			s.Apply(line.Entry{Offset: o, What: line.Message, Visitor: fmt.Sprintf("v%d", k), Topic: fmt.Sprintf("t%d", k%50), Call: uint64(b) + 1, Digest: "0123456789abcdef01234567"})
+			s.Apply(log.Entry{Offset: o, What: log.Message, Visitor: fmt.Sprintf("v%d", k), Topic: fmt.Sprintf("t%d", k%50), Call: uint64(b) + 1, Digest: "0123456789abcdef01234567"})
 		}
 		changes = append(changes, Pack(s.Input, s.Dirty(), false)...)
 		changes = append(changes, PackCommit(Commit{Input: s.Input}))
--- a/internal/samza/changelog/changelog.go
+++ b/internal/samza/changelog/changelog.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/ledger/line"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/samza/state"
 )
 
@@ -27,30 +27,30 @@
 const itemsPerPart = 256
 
 // Pack makes the entries of one batch; whole marks a compaction.
-func Pack(input uint64, items []state.Item, whole bool) []line.Entry {
+func Pack(input uint64, items []state.Item, whole bool) []log.Entry {
 	n := (len(items) + itemsPerPart - 1) / itemsPerPart
-	var es []line.Entry
+	var es []log.Entry
 	for i := range n {
 		to := min((i+1)*itemsPerPart, len(items))
 		b, _ := json.Marshal(Batch{Input: input, Part: i, Parts: n, Whole: whole, Items: items[i*itemsPerPart : to]})
-		es = append(es, line.Entry{What: line.Batch, Body: b})
+		es = append(es, log.Entry{What: log.Batch, Body: b})
 	}
 	return es
 }
 
 // PackCommit makes the entry that commits an input offset.
-func PackCommit(c Commit) line.Entry {
+func PackCommit(c Commit) log.Entry {
 	b, _ := json.Marshal(c)
-	return line.Entry{What: line.Offset, Body: b}
+	return log.Entry{What: log.Offset, Body: b}
 }
 
 // Replay applies changelog entries to a state: batches only when whole, the input offset only by its record.
 // It gives the committed input offset.
-func Replay(s *state.State, input uint64, es []line.Entry) (uint64, error) {
+func Replay(s *state.State, input uint64, es []log.Entry) (uint64, error) {
 	var parts []Batch
 	for _, e := range es {
 		switch e.What {
-		case line.Batch:
+		case log.Batch:
 			var b Batch
 			if err := json.Unmarshal(e.Body, &b); err != nil {
 				return 0, apierror.Wrap(apierror.DiskDamaged, err, "read changelog entry %d", e.Offset)
@@ -73,7 +73,7 @@
 				}
 			}
 			parts = nil
-		case line.Offset:
+		case log.Offset:
 			var c Commit
 			if err := json.Unmarshal(e.Body, &c); err != nil {
 				return 0, apierror.Wrap(apierror.DiskDamaged, err, "read changelog entry %d", e.Offset)
--- a/internal/samza/changelog/changelog_test.go
+++ b/internal/samza/changelog/changelog_test.go
@@ -6,21 +6,21 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/ledger/line"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/samza/state"
 )
 
-func ledger(n int) []line.Entry {
-	var es []line.Entry
+func ledger(n int) []log.Entry {
+	var es []log.Entry
 	for i := range n {
 		v, t := fmt.Sprintf("v%d", i%700), fmt.Sprintf("t%d", i%3)
-		es = append(es, line.Entry{Offset: uint64(i + 1), What: line.Message, Visitor: v, Topic: t, Call: uint64(i/2100) + 1, Digest: "d"})
+		es = append(es, log.Entry{Offset: uint64(i + 1), What: log.Message, Visitor: v, Topic: t, Call: uint64(i/2100) + 1, Digest: "d"})
 	}
-	es = append(es, line.Entry{Offset: uint64(n + 1), What: line.Attach, Visitor: "v1", Generation: 2, Body: []byte("s")}, line.Entry{Offset: uint64(n + 2), What: line.Cursor, Visitor: "v1", Body: []byte("c")})
+	es = append(es, log.Entry{Offset: uint64(n + 1), What: log.Attach, Visitor: "v1", Generation: 2, Body: []byte("s")}, log.Entry{Offset: uint64(n + 2), What: log.Cursor, Visitor: "v1", Body: []byte("c")})
 	return es
 }
 
-func apply(s *state.State, es []line.Entry) *state.State {
+func apply(s *state.State, es []log.Entry) *state.State {
 	for _, e := range es {
 		s.Apply(e)
 	}
@@ -56,7 +56,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, in, uint64(0))
 	assert.Equal(t, got.Size(), 0)
-	in, err = Replay(got, 0, append(append(changes[:1:1], line.Entry{What: line.Start}), changes...))
+	in, err = Replay(got, 0, append(append(changes[:1:1], log.Entry{What: log.Start}), changes...))
 	assert.NilError(t, err)
 	assert.Equal(t, in, uint64(0), "the offset counts by its own record only")
 	assert.Equal(t, got.Size(), s.Size())
--- a/internal/samza/changelog/marks_test.go
+++ b/internal/samza/changelog/marks_test.go
@@ -5,16 +5,16 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/ledger/line"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/samza/state"
 )
 
-func marked() []line.Entry {
-	return []line.Entry{
-		{Offset: 1, What: line.Message, Topic: "t", Visitor: "v", Call: 1, Key: "k"}, {Offset: 2, What: line.Message, Topic: "t", Visitor: "v", Call: 2, Key: "l"},
-		{Offset: 3, What: line.Reader, Visitor: "a1", Body: state.Body(state.Reads{Boot: "b"})}, {Offset: 4, What: line.Reader, Visitor: "a2", Body: state.Body(state.Reads{Boot: "b"})},
-		{Offset: 5, What: line.Withdraw, Topic: "t", Visitor: "v", Call: 3, Key: "k"}, {Offset: 6, What: line.Withdraw, Topic: "t", Visitor: "w", Call: 1, Key: "l", Body: state.Body(state.Passes{Of: "v", Upto: 9})},
-		{Offset: 7, What: line.Reader, Visitor: "a2", Body: state.Body(state.Reads{Boot: "b", Gone: true})}, {Offset: 8, What: line.Reader, Visitor: "a1", Body: state.Body(state.Reads{Boot: "b", GivenUp: true})},
+func marked() []log.Entry {
+	return []log.Entry{
+		{Offset: 1, What: log.Message, Topic: "t", Visitor: "v", Call: 1, Key: "k"}, {Offset: 2, What: log.Message, Topic: "t", Visitor: "v", Call: 2, Key: "l"},
+		{Offset: 3, What: log.Reader, Visitor: "a1", Body: state.Body(state.Reads{Boot: "b"})}, {Offset: 4, What: log.Reader, Visitor: "a2", Body: state.Body(state.Reads{Boot: "b"})},
+		{Offset: 5, What: log.Withdraw, Topic: "t", Visitor: "v", Call: 3, Key: "k"}, {Offset: 6, What: log.Withdraw, Topic: "t", Visitor: "w", Call: 1, Key: "l", Body: state.Body(state.Passes{Of: "v", Upto: 9})},
+		{Offset: 7, What: log.Reader, Visitor: "a2", Body: state.Body(state.Reads{Boot: "b", Gone: true})}, {Offset: 8, What: log.Reader, Visitor: "a1", Body: state.Body(state.Reads{Boot: "b", GivenUp: true})},
 	}
 }
 
--- a/internal/samza/state/marks_test.go
+++ b/internal/samza/state/marks_test.go
@@ -5,30 +5,30 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/ledger/line"
+	"postjunction/internal/partitionlog/log"
 )
 
-func message(o uint64, visitor string, call uint64, key string) line.Entry {
-	return line.Entry{Offset: o, What: line.Message, Topic: "s/a", Visitor: visitor, Call: call, Key: key, Digest: "d"}
+func message(o uint64, visitor string, call uint64, key string) log.Entry {
+	return log.Entry{Offset: o, What: log.Message, Topic: "s/a", Visitor: visitor, Call: call, Key: key, Digest: "d"}
 }
 
-func withdrawal(o uint64, visitor string, call uint64, key string, p Passes) line.Entry {
-	return line.Entry{Offset: o, What: line.Withdraw, Topic: "s/a", Visitor: visitor, Call: call, Key: key, Body: Body(p), Digest: "w"}
+func withdrawal(o uint64, visitor string, call uint64, key string, p Passes) log.Entry {
+	return log.Entry{Offset: o, What: log.Withdraw, Topic: "s/a", Visitor: visitor, Call: call, Key: key, Body: Body(p), Digest: "w"}
 }
 
-func reader(o uint64, node string, r Reads) line.Entry {
-	return line.Entry{Offset: o, What: line.Reader, Visitor: node, Body: Body(r)}
+func reader(o uint64, node string, r Reads) log.Entry {
+	return log.Entry{Offset: o, What: log.Reader, Visitor: node, Body: Body(r)}
 }
 
-func keyed() []line.Entry {
-	return []line.Entry{
+func keyed() []log.Entry {
+	return []log.Entry{
 		message(1, "v", 1, "k"), message(2, "v", 2, "l"), reader(3, "a1", Reads{Boot: "b"}), reader(4, "a2", Reads{Boot: "b"}),
 		withdrawal(5, "w", 3, "k", Passes{"v", 7}), message(6, "u", 1, "k"), reader(7, "a1", Reads{Boot: "c"}), reader(8, "a2", Reads{Boot: "b", GivenUp: true}),
 		reader(9, "a3", Reads{Boot: "b"}), reader(10, "a3", Reads{Boot: "b", Gone: true}),
 	}
 }
 
-func all(es ...line.Entry) *State {
+func all(es ...log.Entry) *State {
 	s := New()
 	for _, e := range es {
 		s.Apply(e)
@@ -45,7 +45,7 @@
 		assert.DeepEqual(t, s.Marks, map[string]Mark{known: {5, "w", 3}})
 		assert.DeepEqual(t, s.Readers, map[string]Reader{"a1": {"c", 7, false, "b"}, "a2": {"b", 8, true, ""}})
 		assert.DeepEqual(t, s.Held, map[string]uint64{known: 6, Key("s/a", "l"): 2})
-		assert.DeepEqual(t, s.Accepted[Key("w", "s/a")].Recent, []Taken{{3, 5, Named(line.Withdraw, "k", "w")}})
+		assert.DeepEqual(t, s.Accepted[Key("w", "s/a")].Recent, []Taken{{3, 5, Named(log.Withdraw, "k", "w")}})
 		v := s.Accepted[Key("v", "s/a")]
 		assert.Equal(t, v.Last, uint64(7))
 		assert.Equal(t, v.Floor, uint64(0))
@@ -64,11 +64,11 @@
 // What a call was taken with is its body, its key, and what it asked; a message without a key is known as ever.
 func TestCallsAreKnownByKeyAndBody(t *testing.T) {
 	seen := map[string]bool{}
-	for _, n := range []string{Named(line.Message, "", "d"), Named(line.Message, "k", "d"), Named(line.Withdraw, "k", "d"), Named(line.Message, "l", "d"), Named(line.Message, "k", "e")} {
+	for _, n := range []string{Named(log.Message, "", "d"), Named(log.Message, "k", "d"), Named(log.Withdraw, "k", "d"), Named(log.Message, "l", "d"), Named(log.Message, "k", "e")} {
 		assert.Assert(t, !seen[n], n)
 		seen[n] = true
 	}
-	assert.Equal(t, Named(line.Message, "", "d"), "d")
+	assert.Equal(t, Named(log.Message, "", "d"), "d")
 }
 
 // What is held, and the marks of what is held, come back from the ledger, also a mark that was let go by an owner whose ledger was cut further.
--- a/internal/samza/state/state.go
+++ b/internal/samza/state/state.go
@@ -8,7 +8,7 @@
 	"slices"
 	"strings"
 
-	"postjunction/internal/ledger/line"
+	"postjunction/internal/partitionlog/log"
 )
 
 // Taken is one accepted call: its number, its place and the name of its body.
@@ -109,7 +109,7 @@
 }
 
 // Part reads a part of an entry from its body; that of an empty body is empty.
-func Part[T any](e line.Entry) T {
+func Part[T any](e log.Entry) T {
 	var v T
 	_ = json.Unmarshal(e.Body, &v)
 	return v
@@ -174,9 +174,9 @@
 	readers  = "r:"
 )
 
-var apply = map[string]func(*State, line.Entry){
-	line.Message: func(s *State, e line.Entry) { s.take(e, 1) },
-	line.Withdraw: func(s *State, e line.Entry) {
+var apply = map[string]func(*State, log.Entry){
+	log.Message: func(s *State, e log.Entry) { s.take(e, 1) },
+	log.Withdraw: func(s *State, e log.Entry) {
 		s.take(e, 0)
 		s.mark(e)
 		if p := Part[Passes](e); p.Of != "" {
@@ -188,7 +188,7 @@
 			}
 		}
 	},
-	line.Reader: func(s *State, e line.Entry) {
+	log.Reader: func(s *State, e log.Entry) {
 		if e.Offset <= s.Readers[e.Visitor].Offset {
 			return
 		}
@@ -203,13 +203,13 @@
 		}
 		s.dirty[readers+e.Visitor] = true
 	},
-	line.Attach: func(s *State, e line.Entry) {
+	log.Attach: func(s *State, e log.Entry) {
 		if e.Generation > s.Attached[e.Visitor].Generation {
 			s.Attached[e.Visitor] = Attached{e.Generation, string(e.Body), e.Offset}
 			s.dirty[attached+e.Visitor] = true
 		}
 	},
-	line.Cursor: func(s *State, e line.Entry) {
+	log.Cursor: func(s *State, e log.Entry) {
 		if e.Offset > s.Acked[e.Visitor].Offset {
 			s.Acked[e.Visitor] = Acked{string(e.Body), e.Offset}
 			s.dirty[acked+e.Visitor] = true
@@ -217,7 +217,7 @@
 	},
 }
 
-func (s *State) take(e line.Entry, n uint64) {
+func (s *State) take(e log.Entry, n uint64) {
 	k := Key(e.Visitor, e.Topic)
 	a := s.Accepted[k]
 	if e.Call <= a.Last {
@@ -235,20 +235,20 @@
 	}
 }
 
-func (s *State) hold(e line.Entry) {
-	if e.What == line.Message && e.Key != "" {
+func (s *State) hold(e log.Entry) {
+	if e.What == log.Message && e.Key != "" {
 		k := Key(e.Topic, e.Key)
 		s.Held[k] = max(s.Held[k], e.Offset)
 	}
 }
 
-func (s *State) drop(e line.Entry) {
+func (s *State) drop(e log.Entry) {
 	if k := Key(e.Topic, e.Key); s.Held[k] <= e.Offset {
 		delete(s.Held, k)
 	}
 }
 
-func (s *State) mark(e line.Entry) {
+func (s *State) mark(e log.Entry) {
 	if k := Key(e.Topic, e.Key); e.Offset > s.Marks[k].Offset {
 		s.Marks[k] = Mark{e.Offset, e.Visitor, e.Call}
 		s.dirty[marks+k] = true
@@ -256,7 +256,7 @@
 }
 
 // Covers tells whether a message stands under a key that was withdrawn behind it.
-func (s *State) Covers(e line.Entry) bool {
+func (s *State) Covers(e log.Entry) bool {
 	return e.Key != "" && s.Marks[Key(e.Topic, e.Key)].Offset > e.Offset
 }
 
@@ -267,7 +267,7 @@
 }
 
 // Apply takes one committed entry; applying it again changes nothing.
-func (s *State) Apply(e line.Entry) {
+func (s *State) Apply(e log.Entry) {
 	if f, ok := apply[e.What]; ok {
 		f(s, e)
 	}
@@ -342,12 +342,12 @@
 
 // Recall takes an entry of the ledger that the state was written down with, so that its answer is known again. Entries come in the order of the ledger.
 // A mark stands again with its entry: one that was let go elsewhere covers what this ledger still holds.
-func (s *State) Recall(e line.Entry) {
+func (s *State) Recall(e log.Entry) {
 	if !numbered[e.What] {
 		return
 	}
 	s.hold(e)
-	if e.What == line.Withdraw {
+	if e.What == log.Withdraw {
 		s.mark(e)
 	}
 	k := Key(e.Visitor, e.Topic)
@@ -360,11 +360,11 @@
 }
 
 // numbered are the entries that a visitor's call numbers name.
-var numbered = map[string]bool{line.Message: true, line.Withdraw: true}
+var numbered = map[string]bool{log.Message: true, log.Withdraw: true}
 
 // Prune lets go of the answers to entries that the ledger is about to drop, in the order of their offsets, and notes per topic what is gone; how far the
 // calls have come stays for good, so nothing is ever taken twice. It gives how many answers were let go.
-func (s *State) Prune(es ...line.Entry) int {
+func (s *State) Prune(es ...log.Entry) int {
 	n := 0
 	for _, e := range es {
 		if !numbered[e.What] {
--- a/internal/wire/codec_test.go
+++ b/internal/wire/codec_test.go
@@ -13,10 +13,10 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/gossip"
-	"postjunction/internal/ledger/line"
 	"postjunction/internal/membership"
 	_ "postjunction/internal/node"
 	"postjunction/internal/nodelease"
+	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/partitionlog/replica"
 	"postjunction/internal/wire"
 )
@@ -157,14 +157,14 @@
 	for i := range ms {
 		ms[i] = membership.Info{Name: fmt.Sprintf("store-%d", i), Zone: "zone-a", Listen: "127.0.0.1:7000", Peers: "127.0.0.1:8000", Disk: "own", Incarnation: "0123456789abcdef", Boot: "fedcba9876543210", Stage: "serving", Description: 17, Roster: 3, Partitions: 4, Loads: map[int]float64{1: 0.25, 7: 3.5}, Build: "1.0", Wire: 2, Lag: 900, Homes: true}
 	}
-	es := make([]line.Entry, 4)
+	es := make([]log.Entry, 4)
 	for i := range es {
-		es[i] = line.Entry{Offset: uint64(1e6 + i), Epoch: 4, What: "message", Topic: "armor/alerts", Visitor: "visitor-17", Call: 99, Generation: 3, Description: 17, Digest: "0123456789abcdef", Chain: 0xfedcba9876543210, Body: make([]byte, 200)}
+		es[i] = log.Entry{Offset: uint64(1e6 + i), Epoch: 4, What: "message", Topic: "armor/alerts", Visitor: "visitor-17", Call: 99, Generation: 3, Description: 17, Digest: "0123456789abcdef", Chain: 0xfedcba9876543210, Body: make([]byte, 200)}
 	}
 	return map[string]any{
 		"digest": &gossip.ExchangeRequest{Digest: gossip.Digest{Roster: 3, Description: 17, Records: []uint64{4, 5, 6, 7, 8, 9}}},
 		"pulse":  &nodelease.HeartbeatResponse{Members: ms, Confirmed: true, Sequence: 17, Age: time.Millisecond},
-		"append": &replica.AppendRequest{After: line.Point{Offset: 1e6 - 1, Epoch: 4, Chain: 0xfedcba9876543210}, Entries: es, Commit: 1e6 - 1},
+		"append": &replica.AppendRequest{After: log.Point{Offset: 1e6 - 1, Epoch: 4, Chain: 0xfedcba9876543210}, Entries: es, Commit: 1e6 - 1},
 	}
 }
 
--- a/tools/guards.sh
+++ b/tools/guards.sh
@@ -41,7 +41,7 @@
 guard altered-body internal/partitionlog/leader/submit.go 's/case ok && t.Digest != name:/case ok \&\& false:/' ./internal/proof/transcript 'BadInput'
 guard description-known internal/partitionlog/router/desk.go 's/if x.Sequence < q.Description \{/if false \&\& x.Sequence < q.Description {/' $S 'Before'
 guard silence-is-no-answer internal/quorum/gather.go 's/for range len\(ws\) - len\(as\) \{/for range 0 {/' ./internal/quorum 'NotAnswer'
-guard base-not-back internal/ledger/line/line.go 's/if p.Offset <= l.base.Offset \|\| p.Offset > l.last\(\).Offset \{\n\t\treturn/if p.Offset <= l.base.Offset || p.Offset > l.last().Offset {\n\t\tl.base, l.es, l.at = p, nil, nil\n\t\treturn/' ./internal/ledger/line 'Base'
+guard base-not-back internal/partitionlog/log/line.go 's/if p.Offset <= l.base.Offset \|\| p.Offset > l.last\(\).Offset \{\n\t\treturn/if p.Offset <= l.base.Offset || p.Offset > l.last().Offset {\n\t\tl.base, l.es, l.at = p, nil, nil\n\t\treturn/' ./internal/partitionlog/log 'Base'
 guard passed internal/partitionlog/leader/submit.go 's/if q.Call <= last \{/if _, ok := a.Find(q.Call); ok {/' ./internal/proof/transcript 'BadInput'
 guard floor internal/samza/state/state.go 's/a\.Floor = max\(a\.Floor, a\.Recent\[i-1\]\.Call\)/a.Floor += 0/' ./internal/proof/transcript 'BadInput'
 guard recall-again internal/samza/state/state.go 's/s\.Recall\(e\)\n/_ = e\n/' ./internal/samza/changelog 'WithoutItsRecord'
