--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -31,13 +31,13 @@
 	"postjunction/internal/event"
 	"postjunction/internal/gossip"
 	"postjunction/internal/httpapi"
-	"postjunction/internal/ledger/still"
 	"postjunction/internal/membership"
 	"postjunction/internal/membership/failuredetector"
 	"postjunction/internal/membership/reachability"
 	"postjunction/internal/node/owners"
 	"postjunction/internal/nodelease"
 	"postjunction/internal/operator"
+	"postjunction/internal/partitionlog/idle"
 	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/partitionlog/replica"
 	"postjunction/internal/partitionlog/router"
@@ -316,7 +316,7 @@
 	n.owners = &owners.Keeper{Self: self, Clock: clk, Bounds: b, Board: n.Board, Client: n.client, Replica: n.replica, Log: n.log, Able: n.able, Tell: n.gossip.Tell}
 	n.watch = &failuredetector.Watch{Self: self, Boot: n.boot, Clock: clk, Bounds: b, Net: net, Board: n.Board, Addr: n.reach, Gone: n.owners.Inherit}
 	n.owners.Deps = leader.Deps{
-		Self: self, Net: net, Clock: clk, Bounds: b, Replica: n.replica, Still: still.New(ctx, self, net, clk, b), Addr: n.addr, Licensed: n.keeper.Licensed,
+		Self: self, Net: net, Clock: clk, Bounds: b, Replica: n.replica, Still: idle.New(ctx, self, net, clk, b), Addr: n.addr, Licensed: n.keeper.Licensed,
 		Batch:   func() time.Duration { return n.options().Batch() },
 		Backlog: func() int { return n.options().Backlog },
 		Marks:   func() int { return n.options().Marks },
--- a/internal/ledger/still/still.go
+++ b/internal/partitionlog/idle/still.go
@@ -1,5 +1,5 @@
-// Package still confirms silent lines to the machines that hold copies of them: all of a disk in one call, instead of an empty append for each.
-package still
+// Package idle confirms silent lines to the machines that hold copies of them: all of a disk in one call, instead of an empty append for each.
+package idle
 
 import (
 	"cmp"
--- a/internal/ledger/still/still_test.go
+++ b/internal/partitionlog/idle/still_test.go
@@ -1,4 +1,4 @@
-package still
+package idle
 
 import (
 	"context"
--- a/internal/partitionlog/leader/owner.go
+++ b/internal/partitionlog/leader/owner.go
@@ -8,7 +8,7 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
-	"postjunction/internal/ledger/still"
+	"postjunction/internal/partitionlog/idle"
 	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/partitionlog/replica"
 	"postjunction/internal/placement/assignment"
@@ -37,7 +37,7 @@
 	Backlog func() int
 	Replica *replica.Replica
 	// Still confirms lines that have nothing new; without it, each is confirmed by an append without entries.
-	Still *still.Lines
+	Still *idle.Lines
 	Addr  func(node string) (string, bool)
 	// Longest is how long spaces ask to keep for, as far as this node knows.
 	Longest  func() time.Duration
--- a/internal/partitionlog/leader/track.go
+++ b/internal/partitionlog/leader/track.go
@@ -6,7 +6,7 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
-	"postjunction/internal/ledger/still"
+	"postjunction/internal/partitionlog/idle"
 	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/partitionlog/replica"
 	"postjunction/internal/placement/assignment"
@@ -173,11 +173,11 @@
 			due := sent.Add(d)
 			if quiet {
 				s := replica.Silent{Partition: o.Rec.Partition, Kind: t.kind, Epoch: o.Rec.Epoch, Last: c.at}
-				v := o.d.Still.Wait(ctx, still.Disk{Addr: addr, Incarnation: p.Incarnation}, s, due, grown, moved)
-				if v == still.Alike {
+				v := o.d.Still.Wait(ctx, idle.Disk{Addr: addr, Incarnation: p.Incarnation}, s, due, grown, moved)
+				if v == idle.Alike {
 					sent = o.d.Clock.Now()
 				}
-				if v != still.Doubt {
+				if v != idle.Doubt {
 					continue
 				}
 			} else if left := due.Sub(o.d.Clock.Now()); left > 0 {
--- a/tools/guards.sh
+++ b/tools/guards.sh
@@ -229,8 +229,8 @@
 guard lost-paced internal/delivery/fanout/feed.go 's/if !again \{/if _ = again; err != nil {/' ./internal/delivery/fanout TestTheTurnIsTold
 guard still-sealed internal/partitionlog/replica/still.go 's/Epoch: r\.seals\[p\]\}, r\.lines/Epoch: 3}, r.lines/' ./internal/partitionlog/replica TestStillStands
 guard still-this-disk internal/partitionlog/replica/still.go 's/q\.Incarnation != r\.incarnation/q.Incarnation == "?"/' ./internal/partitionlog/replica TestStillStands
-guard still-halves internal/ledger/still/still.go 's/case !a\.Alike:\n\t\tsaid = Doubt\n//' ./internal/ledger/still TestWhatDiffers
-guard still-sooner internal/ledger/still/still.go 's/case g\.wake != nil && due\.Before\(g\.due\):\n\t\tg\.wake\(\)\n//' ./internal/ledger/still TestALineThatIsDueSooner
+guard still-halves internal/partitionlog/idle/still.go 's/case !a\.Alike:\n\t\tsaid = Doubt\n//' ./internal/partitionlog/idle TestWhatDiffers
+guard still-sooner internal/partitionlog/idle/still.go 's/case g\.wake != nil && due\.Before\(g\.due\):\n\t\tg\.wake\(\)\n//' ./internal/partitionlog/idle TestALineThatIsDueSooner
 guard still-asked internal/partitionlog/leader/track.go 's/ok \&\& o\.d\.Still != nil \&\& /false \&\& ok \&\& /' $S TestSilentLinesAre
 guard records-unread internal/node/owners/owners.go 's/if k\.Board\.Record\(p\)\.Holds\(k\.Self\) \{/if false {/' $S TestRecordsAreNotReadAtRest
 exit $missed
