--- a/internal/proof/fleet/relay.go
+++ b/internal/proof/fleet/relay.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/wire/lane"
+	"postjunction/internal/wire/mux"
 )
 
 const (
@@ -89,7 +89,7 @@
 	r.hold(name, a, true)
 	defer r.hold(name, a, false)
 	in := bufio.NewReader(a)
-	from, err := lane.Preface(in)
+	from, err := mux.Preface(in)
 	if err != nil || r.open(from, name) != nil {
 		end(a, true)
 		return
@@ -100,7 +100,7 @@
 		return
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { r.way(io.MultiReader(bytes.NewReader(lane.AppendPreface(nil, from)), in), b, from, name) })
+	wg.Go(func() { r.way(io.MultiReader(bytes.NewReader(mux.AppendPreface(nil, from)), in), b, from, name) })
 	wg.Go(func() { r.way(b, a, name, from) })
 	wg.Wait()
 }
--- a/internal/wire/lane/cut_test.go
+++ b/internal/wire/mux/cut_test.go
@@ -1,4 +1,4 @@
-package lane
+package mux
 
 import (
 	"context"
--- a/internal/wire/lane/link.go
+++ b/internal/wire/mux/link.go
@@ -1,6 +1,6 @@
-// Package lane carries many calls at a time over one TCP connection for each pair of nodes and direction: short frames, heads sent once,
+// Package mux carries many calls at a time over one TCP connection for each pair of nodes and direction: short frames, heads sent once,
 // answers in any order, long bodies in pieces between which short ones go through.
-package lane
+package mux
 
 import (
 	"encoding/binary"
--- a/internal/wire/real.go
+++ b/internal/wire/real.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"postjunction/internal/settings"
-	"postjunction/internal/wire/lane"
+	"postjunction/internal/wire/mux"
 )
 
 func ms(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
@@ -16,9 +16,9 @@
 	quietShare   = 16
 )
 
-func lanes(b settings.Bounds) lane.Options {
-	return lane.Options{
-		Times: lane.Times{
+func lanes(b settings.Bounds) mux.Options {
+	return mux.Options{
+		Times: mux.Times{
 			Dial:    b.Call() / dialShare,
 			Quiet:   b.Session() / quietShare,
 			Silence: max(b.Session()/silenceShare, b.Hold()),
@@ -32,7 +32,7 @@
 }
 
 // Real reaches peers over TCP, with one connection to each.
-func Real(b settings.Bounds) *lane.Network { return lane.New(lanes(b)) }
+func Real(b settings.Bounds) *mux.Network { return mux.New(lanes(b)) }
 
 // Server answers the peers that come to the listener that it is given.
-func Server(h http.Handler, b settings.Bounds) *lane.Server { return lane.NewServer(h, lanes(b)) }
+func Server(h http.Handler, b settings.Bounds) *mux.Server { return mux.NewServer(h, lanes(b)) }
--- a/tools/guards.sh
+++ b/tools/guards.sh
@@ -75,7 +75,7 @@
 guard promise internal/control/acceptor/slot.go 's/if e\.Less\(s\.Promised\) \|\| s\.Above\(n\) \{/if s.Above(n) {/' ./internal/control/acceptor 'Promise'
 guard claim-asks internal/control/register/holder.go 's/err != nil \|\| w\.Holds/err != nil || w.Holds || true/' ./internal/control/register 'ClaimAsks'
 guard compare-and-set internal/control/register/holder.go 's/if v.value.Writes != q.Base \{/if false \&\& v.value.Writes != q.Base {/' $S 'TwoOperators|Outcome'
-guard unsent-only internal/wire/lane/network.go 's/case err == errUnsent && !again:/case err != nil \&\& !again:/' ./internal/wire/lane 'DoneTwice'
+guard unsent-only internal/wire/mux/network.go 's/case err == errUnsent && !again:/case err != nil \&\& !again:/' ./internal/wire/mux 'DoneTwice'
 guard attach-once internal/partitionlog/leader/submit.go 's/if given == 0 && o\.isRepeated\(visitor, f, secret\) \{/if false {/' ./internal/partitionlog/leader 'RepeatedAttachment'
 guard read-confirmed internal/control/register/holder.go 's/\t\tif h\.confirm\(ctx, k, v\) \{/\t\tif h.confirm(ctx, k, v) || true {/' $S 'TwentySeconds|AnsweredAsByOne'
 M=./internal/control/model
