--- a/internal/node/owners/load.go
+++ b/internal/node/leaders/load.go
@@ -1,4 +1,4 @@
-package owners
+package leaders
 
 import (
 	"math"
--- a/internal/node/owners/owners.go
+++ b/internal/node/leaders/owners.go
@@ -1,5 +1,5 @@
-// Package owners runs the owners that the ownership records name this node for.
-package owners
+// Package leaders runs the owners that the ownership records name this node for.
+package leaders
 
 import (
 	"context"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -34,7 +34,7 @@
 	"postjunction/internal/membership"
 	"postjunction/internal/membership/failuredetector"
 	"postjunction/internal/membership/reachability"
-	"postjunction/internal/node/owners"
+	"postjunction/internal/node/leaders"
 	"postjunction/internal/nodelease"
 	"postjunction/internal/operator"
 	"postjunction/internal/partitionlog/idle"
@@ -86,7 +86,7 @@
 	holder       *register.Holder
 	confirm      *quorumread.Confirmer
 	client       *registerclient.Client
-	owners       *owners.Keeper
+	owners       *leaders.Keeper
 	desk         *router.Desk
 	presence     *presence.Presence
 	gates        *admission.Gates
@@ -313,7 +313,7 @@
 	if o.Voter() {
 		n.duty = &controller.Duty{Self: self, Clock: clk, Bounds: b, Holder: n.holder, Client: n.client, Board: n.Board, Live: n.table.Live, Tell: n.gossip.Tell, Changed: n.table.Changed, Log: n.log}
 	}
-	n.owners = &owners.Keeper{Self: self, Clock: clk, Bounds: b, Board: n.Board, Client: n.client, Replica: n.replica, Log: n.log, Able: n.able, Tell: n.gossip.Tell}
+	n.owners = &leaders.Keeper{Self: self, Clock: clk, Bounds: b, Board: n.Board, Client: n.client, Replica: n.replica, Log: n.log, Able: n.able, Tell: n.gossip.Tell}
 	n.watch = &failuredetector.Watch{Self: self, Boot: n.boot, Clock: clk, Bounds: b, Net: net, Board: n.Board, Addr: n.reach, Gone: n.owners.Inherit}
 	n.owners.Deps = leader.Deps{
 		Self: self, Net: net, Clock: clk, Bounds: b, Replica: n.replica, Still: idle.New(ctx, self, net, clk, b), Addr: n.addr, Licensed: n.keeper.Licensed,
--- a/tools/guards.sh
+++ b/tools/guards.sh
@@ -66,8 +66,8 @@
 guard reprocess internal/partitionlog/leader/takeover.go 's/todo := led.line.Slice\(input\+1, led.commit/todo := led.line.Slice(led.commit+1, led.commit/' $S 'Faults|Reprocess'
 guard offset-after-batch internal/samza/changelog/changelog.go 's/len\(parts\) < b.Parts \{/false {/' ./internal/samza/changelog 'Whole'
 guard directory-check internal/partitionlog/replica/replica.go 's/return d, ok && at == d.At/return d, ok \&\& at != line.Point{}/' ./internal/partitionlog/replica 'Directory'
-guard renew-named-disk internal/node/owners/owners.go 's/ \|\| !k\.named\(r\)//' $S 'WipedStoreAsks'
-guard reread-again internal/node/owners/owners.go 's/for try := 0; !k\.reread\(ctx, p\); try\+\+ \{/for try := 0; !k.reread(ctx, p) \&\& try < 0; try++ {/' $S 'KeepsAsking'
+guard renew-named-disk internal/node/leaders/owners.go 's/ \|\| !k\.named\(r\)//' $S 'WipedStoreAsks'
+guard reread-again internal/node/leaders/owners.go 's/for try := 0; !k\.reread\(ctx, p\); try\+\+ \{/for try := 0; !k.reread(ctx, p) \&\& try < 0; try++ {/' $S 'KeepsAsking'
 guard disk-incarnation internal/partitionlog/replica/replica.go 's/if t.Incarnation != r.incarnation \{/if false \&\& t.Incarnation != r.incarnation {/' ./internal/partitionlog/replica 'Incarnation'
 guard voter-incarnation internal/control/acceptor/voter.go 's/if inc != v.incarnation \{/if false \&\& inc != v.incarnation {/' ./internal/control/acceptor 'Wiped'
 guard voter-roster internal/control/acceptor/voter.go 's/if v.roster.Sequence != b.Roster \|\| b.Roster == 0 \{/if b.Roster == 0 {/' ./internal/control/acceptor 'Roster'
@@ -232,5 +232,5 @@
 guard still-halves internal/partitionlog/idle/still.go 's/case !a\.Alike:\n\t\tsaid = Doubt\n//' ./internal/partitionlog/idle TestWhatDiffers
 guard still-sooner internal/partitionlog/idle/still.go 's/case g\.wake != nil && due\.Before\(g\.due\):\n\t\tg\.wake\(\)\n//' ./internal/partitionlog/idle TestALineThatIsDueSooner
 guard still-asked internal/partitionlog/leader/track.go 's/ok \&\& o\.d\.Still != nil \&\& /false \&\& ok \&\& /' $S TestSilentLinesAre
-guard records-unread internal/node/owners/owners.go 's/if k\.Board\.Record\(p\)\.Holds\(k\.Self\) \{/if false {/' $S TestRecordsAreNotReadAtRest
+guard records-unread internal/node/leaders/owners.go 's/if k\.Board\.Record\(p\)\.Holds\(k\.Self\) \{/if false {/' $S TestRecordsAreNotReadAtRest
 exit $missed
