--- a/internal/proof/fleet/day.go
+++ b/internal/proof/fleet/day.go
@@ -17,8 +17,8 @@
 	"postjunction/internal/proof/caller"
 	"postjunction/internal/proof/history"
 	"postjunction/internal/proof/port"
-	"postjunction/internal/proof/sim"
 	"postjunction/internal/settings"
+	"postjunction/internal/testing/sim"
 )
 
 // Day is a run of a fleet under load and faults.
--- a/internal/proof/fleet/fleet.go
+++ b/internal/proof/fleet/fleet.go
@@ -18,8 +18,8 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/proof/port"
-	"postjunction/internal/proof/sim"
 	"postjunction/internal/settings"
+	"postjunction/internal/testing/sim"
 )
 
 // Site is a deployment.
--- a/internal/proof/fleet/fleet_test.go
+++ b/internal/proof/fleet/fleet_test.go
@@ -14,8 +14,8 @@
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/poll"
 
-	"postjunction/internal/proof/sim"
 	"postjunction/internal/settings"
+	"postjunction/internal/testing/sim"
 )
 
 func build(t *testing.T) string {
--- a/internal/proof/fleet/visits.go
+++ b/internal/proof/fleet/visits.go
@@ -13,9 +13,9 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/client/session"
 	"postjunction/internal/proof/guest"
-	"postjunction/internal/proof/sim"
 	"postjunction/internal/proof/stays"
 	"postjunction/internal/settings"
+	"postjunction/internal/testing/sim"
 )
 
 // Visits are visitors on line sessions of a fleet, who carry keys and withdraw.
--- a/internal/proof/fleet/visits_test.go
+++ b/internal/proof/fleet/visits_test.go
@@ -8,8 +8,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/proof/sim"
 	"postjunction/internal/settings"
+	"postjunction/internal/testing/sim"
 )
 
 // Real processes: visitors carry keys and withdraw while a router is cut off with its visitors still connected and comes back, and then is paused and goes on. Nothing
--- a/internal/proof/transcript/transcript_test.go
+++ b/internal/proof/transcript/transcript_test.go
@@ -17,7 +17,7 @@
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/golden"
 
-	"postjunction/internal/proof/sim"
+	"postjunction/internal/testing/sim"
 )
 
 type exchange struct {
--- a/tools/guards.sh
+++ b/tools/guards.sh
@@ -28,7 +28,7 @@
   fi
 }
 
-S=./internal/proof/sim
+S=./internal/testing/sim
 guard fence-replica internal/partitionlog/replica/replica.go 's/if s := r.seals\[t.Partition\]; t.Epoch < s \{/if s := r.seals[t.Partition]; false && t.Epoch < s {/' ./internal/partitionlog/replica 'Fenced'
 guard fence-cut internal/partitionlog/replica/replica.go 's/(func \(r \*Replica\) CutTo.*?)in, err := r\.enter\(ctx, t\)\n\tif err != nil \{\n\t\treturn err\n\t\}/$1back, err := r.turns.TakeNumber(ctx, t.Partition)\n\tif err != nil {\n\t\treturn err\n\t}\n\tin := turn.Hold(back)/s' ./internal/partitionlog/replica 'CutsNothing'
 guard seal-before-tail internal/partitionlog/leader/takeover.go 's/\[\]sealed\) bool \{ return len\(gather.Good\(as\)\) >= o.Rec.Majority\(\) \}/[]sealed) bool { return len(gather.Good(as)) >= 1 }/; s/n < o.Rec.Majority\(\) \{/n < 1 {/' $S 'Faults|TakeOver|Seeds'
