--- a/test.sh
+++ b/test.sh
@@ -14,7 +14,7 @@
 # A day of real processes goes by the real clock, and by itself.
 go test -race -count=1 -timeout 5m "${skip[@]}" ./internal/proof/fleet
 # Simulated fleets, and the walks through the model of the registers, run in full without the race detector, which slows them tenfold.
-go test -count=1 -timeout 12m "${skip[@]}" ./internal/testing/sim ./internal/proof/crash ./internal/control/model
+go test -count=1 -timeout 12m "${skip[@]}" ./internal/testing/sim ./internal/testing/crash ./internal/control/model
 if [ -s KNOWN-RED.txt ]; then
   while read -r name pkg why; do
     if go test -race -count=1 -timeout 3m -run "^$name\$" "${pkg%:}" >/dev/null 2>&1; then v=green; else v=red; fi
--- a/tools/guards.sh
+++ b/tools/guards.sh
@@ -108,7 +108,7 @@
 guard keep-before-trim internal/partitionlog/leader/takeover.go 's/l.Older\(now.Add\(-o.d.Bounds.KeptFor\(o.d.Longest\(\)\)\)\)/l.Older(now.Add(-o.d.Bounds.Spread))/' $S 'Keeping'
 guard trim-behind-input internal/partitionlog/leader/takeover.go 's/to := min\(old, o\.input\)/to := old/; s/o\.trim\(line\.Ledger, to\)/o.trim(line.Ledger, max(to, o.forget()))/' $S 'TrimmingWaits'
 guard deaf-passed-over internal/placement/controller/owners.go 's/case m\.Deaf && s\.now/case false \&\& m.Deaf \&\& s.now/' ./internal/placement/controller WhoLosesAPartition
-guard anew-whole internal/disk/journal/journal.go 's/if k := unfinished\(fs\); k < len\(fs\) \{/if k := unfinished(fs); false \&\& k < len(fs) {/' ./internal/proof/crash 'AfterEveryWrite'
+guard anew-whole internal/disk/journal/journal.go 's/if k := unfinished\(fs\); k < len\(fs\) \{/if k := unfinished(fs); false \&\& k < len(fs) {/' ./internal/testing/crash 'AfterEveryWrite'
 guard probe-writes internal/disk/journal/journal.go 's/return j\.Put\(ctx, true, nil, Rec\{Kind: kinds\.Probe, Body: make\(\[\]byte, probeBytes\)\}\)/return j.Put(ctx, true, nil)/' $S 'Faults/disk_fills'
 guard torn-or-damaged internal/disk/journal/journal.go 's/if bad != 0 && bad <= mark \{/if false {/' ./internal/disk/walog 'Tails'
 guard failed-write internal/disk/journal/journal.go 's/if last > j.mark \{/if false {/' ./internal/disk/walog 'FullDisk'
