--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/proof/fleet"
 	"postjunction/internal/proof/history"
 	"postjunction/internal/settings"
+	"postjunction/internal/testing/fleet"
 )
 
 func main() {
