--- a/internal/testing/fleet/visits.go
+++ b/internal/testing/fleet/visits.go
@@ -12,10 +12,10 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/client/session"
-	"postjunction/internal/proof/guest"
 	"postjunction/internal/proof/stays"
 	"postjunction/internal/settings"
 	"postjunction/internal/testing/sim"
+	"postjunction/internal/testing/simclient"
 )
 
 // Visits are visitors on line sessions of a fleet, who carry keys and withdraw.
@@ -145,7 +145,7 @@
 	}
 }
 
-func (v *Visits) doors() (ds []guest.Door) {
+func (v *Visits) doors() (ds []simclient.Door) {
 	for _, p := range v.f.Processes {
 		if p.Opts.Visits == "" || !v.f.isReady(p.Name) {
 			continue
@@ -163,8 +163,8 @@
 	return ds
 }
 
-func (v *Visits) door(p *Process) guest.Door {
-	return guest.Door{Address: p.Opts.Visits, Enter: func(hear func(session.Answer, time.Time), broken func()) guest.Line {
+func (v *Visits) door(p *Process) simclient.Door {
+	return simclient.Door{Address: p.Opts.Visits, Enter: func(hear func(session.Answer, time.Time), broken func()) simclient.Line {
 		c, err := (&net.Dialer{Timeout: time.Second}).DialContext(v.ctx, "tcp", p.Opts.Visits)
 		if err != nil {
 			return nil
@@ -185,13 +185,13 @@
 	v.sends, v.quiet = context.WithCancel(v.ctx)
 	for i := range n {
 		r := rand.New(rand.NewPCG(seed, uint64(i)+1000))
-		x := &guest.Guest{Name: fmt.Sprintf("g%d", i), Habits: sim.Habits(), Rand: r, Doors: v.doors, Book: v.Book, Calm: func() bool { return false }}
+		x := &simclient.Guest{Name: fmt.Sprintf("g%d", i), Habits: sim.Habits(), Rand: r, Doors: v.doors, Book: v.Book, Calm: func() bool { return false }}
 		x.Habits.Withdraw = 3 * time.Second
 		for _, k := range r.Perm(l.Topics)[:min(l.Topics, 3+r.IntN(3))] {
-			x.Follow = append(x.Follow, guest.Topic{Name: fmt.Sprintf("kept/t%d", k), Kept: true})
+			x.Follow = append(x.Follow, simclient.Topic{Name: fmt.Sprintf("kept/t%d", k), Kept: true})
 		}
 		for k := range 2 {
-			x.Lanes = append(x.Lanes, guest.Lane{Topic: fmt.Sprintf("kept/t%d", (i+7*k)%l.Topics), Width: 1 + 3*(i%2), Every: l.Every / time.Duration(1+3*(i%2))})
+			x.Lanes = append(x.Lanes, simclient.Lane{Topic: fmt.Sprintf("kept/t%d", (i+7*k)%l.Topics), Width: 1 + 3*(i%2), Every: l.Every / time.Duration(1+3*(i%2))})
 		}
 		v.wg.Go(func() { x.Run(v.ctx, v.sends) })
 	}
--- a/internal/testing/sim/hand.go
+++ b/internal/testing/sim/hand.go
@@ -8,8 +8,8 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/client/session"
-	"postjunction/internal/proof/guest"
 	"postjunction/internal/proof/stays"
+	"postjunction/internal/testing/simclient"
 )
 
 // Hand is a visitor that does what a script says, on one connection to a named machine; what it sees goes into the guests' book.
@@ -119,7 +119,7 @@
 	case session.Withdrawn:
 		b.Told(h.Name, a.Topic, a.Key, now)
 	case session.Turned:
-		if a.Re == session.Send && guest.Promises[apierror.Of(a.Err).Kind] {
+		if a.Re == session.Send && simclient.Promises[apierror.Of(a.Err).Kind] {
 			b.Turned(stays.Message{Topic: a.Topic, From: h.Name, Call: a.Call})
 		}
 	}
@@ -228,7 +228,7 @@
 		if ok && s.What == session.Taken {
 			return true
 		}
-		if ok && guest.Promises[apierror.Of(s.Err).Kind] {
+		if ok && simclient.Promises[apierror.Of(s.Err).Kind] {
 			return false
 		}
 		time.Sleep(h.g.w.Site.Bounds.Retry())
@@ -251,7 +251,7 @@
 		x.Forgotten(stays.Place{Partition: s.Partition, Offset: s.Offset}, s.Shown)
 	case apierror.Has(s.Err, apierror.WithdrawalOpen):
 		x.Stands(time.Now())
-	case guest.Voids[apierror.Of(s.Err).Kind]:
+	case simclient.Voids[apierror.Of(s.Err).Kind]:
 		x.Void()
 	}
 	return s, ok
--- a/internal/testing/sim/measure_marks_test.go
+++ b/internal/testing/sim/measure_marks_test.go
@@ -12,19 +12,19 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/partitionlog/log"
-	"postjunction/internal/proof/guest"
 	"postjunction/internal/samza/state"
+	"postjunction/internal/testing/simclient"
 )
 
 // marked runs visitors for a time in a fleet and gives the world, its guests and the time that was measured.
-func marked(t *testing.T, s Site, seed uint64, n int, habits func(h *guest.Habits), during func(w *World), f func(w *World, g *Guests, from, to time.Time)) {
+func marked(t *testing.T, s Site, seed uint64, n int, habits func(h *simclient.Habits), during func(w *World), f func(w *World, g *Guests, from, to time.Time)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := New(s, seed, nil)
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
 		assert.NilError(t, w.Settle(20*time.Second))
-		l := Load{Topics: 24, LiveTopics: 4, Every: time.Second, Rested: true, Habits: func(h *guest.Habits) {
+		l := Load{Topics: 24, LiveTopics: 4, Every: time.Second, Rested: true, Habits: func(h *simclient.Habits) {
 			h.Change, h.Away, h.Count = 0, 0, 0
 			habits(h)
 		}}
@@ -59,12 +59,12 @@
 		var yes, with, without []time.Duration
 		for seed := range uint64(2) {
 			calm := func(*World) { time.Sleep(20 * time.Second) }
-			marked(t, s, seed, 30, func(h *guest.Habits) { h.Withdraw = 3 * time.Second }, calm, func(_ *World, g *Guests, from, to time.Time) {
+			marked(t, s, seed, 30, func(h *simclient.Habits) { h.Withdraw = 3 * time.Second }, calm, func(_ *World, g *Guests, from, to time.Time) {
 				ds, open := g.Book.Marks(from, to.Add(-5*time.Second))
 				assert.Equal(t, open, 0)
 				yes, with = append(yes, ds...), append(with, g.Book.Spread(from, to, nil)...)
 			})
-			marked(t, s, seed, 30, func(h *guest.Habits) { h.Withdraw, h.Keyed = 0, 0 }, calm, func(_ *World, g *Guests, from, to time.Time) {
+			marked(t, s, seed, 30, func(h *simclient.Habits) { h.Withdraw, h.Keyed = 0, 0 }, calm, func(_ *World, g *Guests, from, to time.Time) {
 				without = append(without, g.Book.Spread(from, to, nil)...)
 			})
 		}
@@ -81,7 +81,7 @@
 	measuring(t)
 	for name, s := range halls {
 		var say string
-		marked(t, s, 1, 10, func(h *guest.Habits) { h.Withdraw, h.Keys = 2*time.Second, 50 }, func(w *World) {
+		marked(t, s, 1, 10, func(h *simclient.Habits) { h.Withdraw, h.Keys = 2*time.Second, 50 }, func(w *World) {
 			for i := range 12 {
 				if i == 2 {
 					w.Isolate("a1")
--- a/internal/testing/sim/visits.go
+++ b/internal/testing/sim/visits.go
@@ -15,8 +15,8 @@
 	"postjunction/internal/client/session"
 	"postjunction/internal/clock"
 	"postjunction/internal/partitionlog/router"
-	"postjunction/internal/proof/guest"
 	"postjunction/internal/proof/stays"
+	"postjunction/internal/testing/simclient"
 )
 
 // Guests are the visitors of a world on line sessions.
@@ -32,8 +32,8 @@
 	mu      sync.Mutex
 	lines   map[*lineSession]bool
 	entered int
-	saved   []guest.Topic
-	guests  []*guest.Guest
+	saved   []simclient.Topic
+	guests  []*simclient.Guest
 	sending context.Context
 	quiet   context.CancelFunc
 	wg      sync.WaitGroup
@@ -182,8 +182,8 @@
 	}
 }
 
-func (g *Guests) door(m *Machine) guest.Door {
-	return guest.Door{Address: m.Opts.Visits, Enter: func(hear func(session.Answer, time.Time), broken func()) guest.Line {
+func (g *Guests) door(m *Machine) simclient.Door {
+	return simclient.Door{Address: m.Opts.Visits, Enter: func(hear func(session.Answer, time.Time), broken func()) simclient.Line {
 		if s := g.connect(m, false, hear, broken); s != nil {
 			return s
 		}
@@ -222,8 +222,8 @@
 }
 
 // Doors gives the access machines that the platform passes visitors to: those that are ready, all when none is.
-func (g *Guests) Doors() []guest.Door {
-	var ready, all []guest.Door
+func (g *Guests) Doors() []simclient.Door {
+	var ready, all []simclient.Door
 	for _, n := range g.w.Names {
 		m := g.w.Machines[n]
 		if m.Opts.Visits == "" {
@@ -254,8 +254,8 @@
 }
 
 // Habits are those of the platform's clients.
-func Habits() guest.Habits {
-	return guest.Habits{
+func Habits() simclient.Habits {
+	return simclient.Habits{
 		Keepalive: 2 * time.Second, Answer: 1500 * time.Millisecond, Longest: 2 * time.Second, Deadline: 6 * time.Second,
 		Change: 20 * time.Second, Away: 30 * time.Second, Count: 10 * time.Second, Absence: 10 * time.Second,
 		Keyed: 0.2, Keys: 2, Withdraw: 10 * time.Second, Forget: 20 * time.Second,
@@ -270,26 +270,26 @@
 	g.wg.Go(g.rest)
 	for i := range n {
 		r := rand.New(rand.NewPCG(w.Seed, uint64(i)+1000))
-		x := &guest.Guest{Name: fmt.Sprintf("g%d", i), Habits: Habits(), Rand: r}
+		x := &simclient.Guest{Name: fmt.Sprintf("g%d", i), Habits: Habits(), Rand: r}
 		if l.Habits != nil {
 			l.Habits(&x.Habits)
 		}
 		for _, k := range r.Perm(l.Topics)[:min(l.Topics, 4+r.IntN(4))] {
-			x.Follow = append(x.Follow, guest.Topic{Name: fmt.Sprintf("kept/t%d", k), Kept: true})
+			x.Follow = append(x.Follow, simclient.Topic{Name: fmt.Sprintf("kept/t%d", k), Kept: true})
 		}
 		if l.LiveTopics > 0 && i%2 == 0 {
 			t := fmt.Sprintf("live/l%d", r.IntN(l.LiveTopics))
-			x.Follow = append(x.Follow, guest.Topic{Name: t})
-			x.Lanes = append(x.Lanes, guest.Lane{Topic: t, Width: 1, Every: 2 * l.Every})
+			x.Follow = append(x.Follow, simclient.Topic{Name: t})
+			x.Lanes = append(x.Lanes, simclient.Lane{Topic: t, Width: 1, Every: 2 * l.Every})
 		}
 		for k := range 2 {
 			width := 1
 			if i%4 == 0 && k == 0 {
 				width = 8
 			}
-			x.Lanes = append(x.Lanes, guest.Lane{Topic: fmt.Sprintf("kept/t%d", (i+k*7)%max(1, l.Topics)), Width: width, Every: l.Every / time.Duration(width)})
+			x.Lanes = append(x.Lanes, simclient.Lane{Topic: fmt.Sprintf("kept/t%d", (i+k*7)%max(1, l.Topics)), Width: width, Every: l.Every / time.Duration(width)})
 		}
-		x.Saved = func(t guest.Topic) {
+		x.Saved = func(t simclient.Topic) {
 			g.mu.Lock()
 			defer g.mu.Unlock()
 			g.saved = append(g.saved, t)
@@ -333,7 +333,7 @@
 	}
 }
 
-func (g *Guests) enter(x *guest.Guest) {
+func (g *Guests) enter(x *simclient.Guest) {
 	x.Doors, x.Book, x.Calm = g.Doors, g.Book, g.Calm.Load
 	g.guests = append(g.guests, x)
 	g.wg.Go(func() { x.Run(g.w.ctx, g.sending) })
@@ -342,7 +342,7 @@
 // Late lets visitors in who take up cursors given to others since a moment.
 func (g *Guests) Late(n int, since time.Time) {
 	g.mu.Lock()
-	var ts []guest.Topic
+	var ts []simclient.Topic
 	for _, t := range g.saved {
 		if g.Ever || t.Given.After(since) {
 			ts = append(ts, t)
@@ -352,7 +352,7 @@
 	h := Habits()
 	h.Change, h.Away, h.Count = 0, 0, 0
 	for i := range n {
-		x := &guest.Guest{Name: fmt.Sprintf("late%d", i), Habits: h, Rand: rand.New(rand.NewPCG(g.w.Seed, uint64(i)+5000))}
+		x := &simclient.Guest{Name: fmt.Sprintf("late%d", i), Habits: h, Rand: rand.New(rand.NewPCG(g.w.Seed, uint64(i)+5000))}
 		seen := map[string]bool{}
 		for range 5 {
 			if len(ts) == 0 {
--- a/internal/testing/sim/visits_gap_test.go
+++ b/internal/testing/sim/visits_gap_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/proof/guest"
+	"postjunction/internal/testing/simclient"
 )
 
 // A node is cut off from all others for longer than messages are held, while its visitors stay; others are away that long, and some come at the
@@ -15,7 +15,7 @@
 	t.Parallel()
 	long(t)
 	for seed := range uint64(seeds(1)) {
-		r := entertain(t, hall, 700+seed, Load{Topics: 24, LiveTopics: 2, Every: 6 * time.Second, Habits: func(h *guest.Habits) { h.Away, h.Absence, h.Change = time.Minute, 80*time.Second, 0 }}, 24, func(_ *testing.T, w *World, g *Guests) {
+		r := entertain(t, hall, 700+seed, Load{Topics: 24, LiveTopics: 2, Every: 6 * time.Second, Habits: func(h *simclient.Habits) { h.Away, h.Absence, h.Change = time.Minute, 80*time.Second, 0 }}, 24, func(_ *testing.T, w *World, g *Guests) {
 			time.Sleep(5 * time.Second)
 			w.Isolate("a1")
 			time.Sleep(w.Site.Bounds.Kept() + w.Site.Bounds.Recovery)
--- a/internal/testing/sim/visits_test.go
+++ b/internal/testing/sim/visits_test.go
@@ -10,8 +10,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/proof/guest"
 	"postjunction/internal/proof/stays"
+	"postjunction/internal/testing/simclient"
 )
 
 var (
@@ -170,7 +170,7 @@
 	t.Parallel()
 	long(t)
 	for seed := range uint64(seeds(2)) {
-		l := Load{Topics: 5, LiveTopics: 1, Every: time.Second, Habits: func(h *guest.Habits) { h.Change, h.Away, h.Absence = time.Second, 6*time.Second, 3*time.Second }}
+		l := Load{Topics: 5, LiveTopics: 1, Every: time.Second, Habits: func(h *simclient.Habits) { h.Change, h.Away, h.Absence = time.Second, 6*time.Second, 3*time.Second }}
 		entertain(t, hall, 800+seed, l, 7, func(_ *testing.T, w *World, g *Guests) {
 			stop := w.Meddle(Meddler(w.Seed, 0.1+0.5*w.float()))
 			for range 5 {
--- a/internal/testing/sim/withdraw_test.go
+++ b/internal/testing/sim/withdraw_test.go
@@ -13,8 +13,8 @@
 	"postjunction/internal/client/session"
 	"postjunction/internal/partition"
 	"postjunction/internal/partitionlog/router"
-	"postjunction/internal/proof/guest"
 	"postjunction/internal/proof/stays"
+	"postjunction/internal/testing/simclient"
 )
 
 // fourth is traductores with three access machines.
@@ -420,7 +420,7 @@
 			assert.Assert(s.t, ok)
 			<-sent
 			a, ok := twin.Wait(0, handLimit, func(a session.Answer) bool {
-				return a.Call == m && (a.What == session.Taken || a.Re == session.Send && guest.Promises[apierror.Of(a.Err).Kind])
+				return a.Call == m && (a.What == session.Taken || a.Re == session.Send && simclient.Promises[apierror.Of(a.Err).Kind])
 			})
 			assert.Assert(s.t, ok, "no answer to %d", m)
 			if a.What == session.Taken {
--- a/internal/testing/sim/world.go
+++ b/internal/testing/sim/world.go
@@ -28,10 +28,10 @@
 	"postjunction/internal/node"
 	"postjunction/internal/placement/decommission"
 	"postjunction/internal/proof/caller"
-	"postjunction/internal/proof/guest"
 	"postjunction/internal/proof/history"
 	"postjunction/internal/proof/port"
 	"postjunction/internal/settings"
+	"postjunction/internal/testing/simclient"
 )
 
 var errGone = apierror.New(apierror.Stopped, "the process is gone")
@@ -698,7 +698,7 @@
 	// Rested has no guest stop reading for a while.
 	Rested bool
 	// Habits changes those of guests; nil for none.
-	Habits func(h *guest.Habits)
+	Habits func(h *simclient.Habits)
 }
 
 // Describe writes the description of a load on a base.
--- a/internal/proof/guest/guest.go
+++ b/internal/testing/simclient/guest.go
@@ -1,6 +1,6 @@
-// Package guest is a seeded stand-in for visitors on line sessions: it joins its topics with its cursors, sends, goes away and returns,
+// Package simclient is a seeded stand-in for visitors on line sessions: it joins its topics with its cursors, sends, goes away and returns,
 // and notes all it sees.
-package guest
+package simclient
 
 import (
 	"cmp"
