--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/proof/history"
 	"postjunction/internal/settings"
 	"postjunction/internal/testing/fleet"
+	"postjunction/internal/testing/history"
 )
 
 func main() {
--- a/internal/proof/caller/caller.go
+++ b/internal/proof/caller/caller.go
@@ -13,8 +13,8 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/client"
 	"postjunction/internal/clock"
-	"postjunction/internal/proof/history"
 	"postjunction/internal/proof/port"
+	"postjunction/internal/testing/history"
 )
 
 // Caller is one visitor.
--- a/internal/testing/fleet/day.go
+++ b/internal/testing/fleet/day.go
@@ -15,9 +15,9 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/proof/caller"
-	"postjunction/internal/proof/history"
 	"postjunction/internal/proof/port"
 	"postjunction/internal/settings"
+	"postjunction/internal/testing/history"
 	"postjunction/internal/testing/sim"
 )
 
--- a/internal/testing/sim/blows.go
+++ b/internal/testing/sim/blows.go
@@ -10,8 +10,8 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/node"
-	"postjunction/internal/proof/history"
 	"postjunction/internal/settings"
+	"postjunction/internal/testing/history"
 )
 
 // Blow is a fault of a random day; the function that it gives puts right what can be put right.
--- a/internal/testing/sim/chaos_test.go
+++ b/internal/testing/sim/chaos_test.go
@@ -16,7 +16,7 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
-	"postjunction/internal/proof/history"
+	"postjunction/internal/testing/history"
 )
 
 // whole tells whether every partition has its copies on the disks in use, and every voter its seat.
--- a/internal/testing/sim/faults_test.go
+++ b/internal/testing/sim/faults_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/proof/history"
+	"postjunction/internal/testing/history"
 )
 
 func settle(w *World) { time.Sleep(14 * time.Second) }
--- a/internal/testing/sim/last.go
+++ b/internal/testing/sim/last.go
@@ -8,7 +8,7 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/client"
-	"postjunction/internal/proof/history"
+	"postjunction/internal/testing/history"
 )
 
 // Archive is a cursor into all kept topics, taken at a moment.
--- a/internal/testing/sim/machine.go
+++ b/internal/testing/sim/machine.go
@@ -10,9 +10,9 @@
 	"postjunction/internal/disk/memlog"
 	"postjunction/internal/event"
 	"postjunction/internal/node"
-	"postjunction/internal/proof/history"
 	"postjunction/internal/proof/port"
 	"postjunction/internal/settings"
+	"postjunction/internal/testing/history"
 )
 
 // Machine is one simulated machine: a disk that outlives its processes, and a process that may run on it.
--- a/internal/testing/sim/offer_test.go
+++ b/internal/testing/sim/offer_test.go
@@ -16,7 +16,7 @@
 	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/partitionlog/router"
-	"postjunction/internal/proof/history"
+	"postjunction/internal/testing/history"
 )
 
 var promises = map[apierror.Kind]bool{apierror.NoOwner: true, apierror.Overloaded: true, apierror.CallPassed: true}
--- a/internal/testing/sim/sim_test.go
+++ b/internal/testing/sim/sim_test.go
@@ -12,7 +12,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/proof/history"
+	"postjunction/internal/testing/history"
 )
 
 var load = Load{Callers: 10, Topics: 6, LiveTopics: 2, Leads: 2, Every: 400 * time.Millisecond}
--- a/internal/testing/sim/vows.go
+++ b/internal/testing/sim/vows.go
@@ -9,7 +9,7 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/partitionlog/replica"
-	"postjunction/internal/proof/history"
+	"postjunction/internal/testing/history"
 	"postjunction/internal/wire"
 )
 
--- a/internal/testing/sim/world.go
+++ b/internal/testing/sim/world.go
@@ -28,9 +28,9 @@
 	"postjunction/internal/node"
 	"postjunction/internal/placement/decommission"
 	"postjunction/internal/proof/caller"
-	"postjunction/internal/proof/history"
 	"postjunction/internal/proof/port"
 	"postjunction/internal/settings"
+	"postjunction/internal/testing/history"
 	"postjunction/internal/testing/simclient"
 )
 
