--- a/internal/testing/sim/cut_test.go
+++ b/internal/testing/sim/cut_test.go
@@ -11,7 +11,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/proof/orders"
+	"postjunction/internal/testing/orders"
 )
 
 // coreCut cuts a control node off in some way until the world is healed.
--- a/internal/testing/sim/orders_test.go
+++ b/internal/testing/sim/orders_test.go
@@ -16,7 +16,7 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/configuration"
 	"postjunction/internal/node"
-	"postjunction/internal/proof/orders"
+	"postjunction/internal/testing/orders"
 )
 
 // An accepted order is acknowledged again through any node, also after others were accepted on top of it; one that was
