--- a/cmd/replay/main.go
+++ b/cmd/replay/main.go
@@ -12,9 +12,9 @@
 	"time"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/proof/port"
 	"postjunction/internal/replay"
 	"postjunction/internal/replay/recording"
+	"postjunction/internal/testing/transport"
 )
 
 func main() {
@@ -57,8 +57,8 @@
 	return verbs[args[0]](ctx, f, fs.Arg(0))
 }
 
-func node(f flags) port.Port {
-	return &port.HTTP{Base: "http://" + f.at, Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
+func node(f flags) transport.Port {
+	return &transport.HTTP{Base: "http://" + f.at, Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 }
 
 func record(ctx context.Context, f flags, file string) error {
--- a/internal/proof/caller/caller.go
+++ b/internal/proof/caller/caller.go
@@ -13,15 +13,15 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/client"
 	"postjunction/internal/clock"
-	"postjunction/internal/proof/port"
 	"postjunction/internal/testing/history"
+	"postjunction/internal/testing/transport"
 )
 
 // Caller is one visitor.
 type Caller struct {
 	Name    string
 	Clock   clock.Clock
-	Ports   func() []port.Port
+	Ports   func() []transport.Port
 	History *history.History
 	Follows []string
 	Sends   []string
@@ -53,7 +53,7 @@
 	bodyMore   = 300
 )
 
-func (c *Caller) port() port.Port {
+func (c *Caller) port() transport.Port {
 	ps := c.Ports()
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -12,8 +12,8 @@
 	"postjunction/internal/client"
 	"postjunction/internal/clock"
 	"postjunction/internal/control/registerclient"
-	"postjunction/internal/proof/port"
 	"postjunction/internal/replay/recording"
+	"postjunction/internal/testing/transport"
 )
 
 const (
@@ -21,7 +21,7 @@
 	patience = 15 * time.Second
 )
 
-func listen(ctx context.Context, p port.Port, name string, topics []string, ready chan<- struct{}, f func(client.Line) error) error {
+func listen(ctx context.Context, p transport.Port, name string, topics []string, ready chan<- struct{}, f func(client.Line) error) error {
 	cursor, tok, told := "", "", false
 	for ctx.Err() == nil {
 		if tok == "" {
@@ -52,7 +52,7 @@
 }
 
 // Record follows topics for a time and writes what it gets.
-func Record(ctx context.Context, p port.Port, name string, topics []string, length time.Duration, w io.Writer) (int, error) {
+func Record(ctx context.Context, p transport.Port, name string, topics []string, length time.Duration, w io.Writer) (int, error) {
 	r, err := recording.NewWriter(w, topics)
 	if err != nil {
 		return 0, err
@@ -77,7 +77,7 @@
 }
 
 // Play sends a recording's messages in the recorded order of each topic, at a speed, and checks what a listener receives.
-func Play(ctx context.Context, p port.Port, h recording.Header, ms []recording.Message, speed float64) (Report, error) {
+func Play(ctx context.Context, p transport.Port, h recording.Header, ms []recording.Message, speed float64) (Report, error) {
 	run := registerclient.Name()[:8]
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -162,7 +162,7 @@
 }
 
 type sender struct {
-	p      port.Port
+	p      transport.Port
 	run    string
 	begun  time.Time
 	speed  float64
--- a/internal/testing/fleet/day.go
+++ b/internal/testing/fleet/day.go
@@ -15,10 +15,10 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/proof/caller"
-	"postjunction/internal/proof/port"
 	"postjunction/internal/settings"
 	"postjunction/internal/testing/history"
 	"postjunction/internal/testing/sim"
+	"postjunction/internal/testing/transport"
 )
 
 // Day is a run of a fleet under load and faults.
@@ -220,7 +220,7 @@
 			f.callers.mu.Unlock()
 			c.Name = prefix + c.Name
 			c.Clock, c.History = clock.Real{}, h
-			c.Ports = func() []port.Port { return f.Ports(f.callers.at(i)) }
+			c.Ports = func() []transport.Port { return f.Ports(f.callers.at(i)) }
 			wg.Go(func() { c.Run(ctx, sends) })
 		}
 	}
--- a/internal/testing/fleet/fleet.go
+++ b/internal/testing/fleet/fleet.go
@@ -17,9 +17,9 @@
 	"time"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/proof/port"
 	"postjunction/internal/settings"
 	"postjunction/internal/testing/sim"
+	"postjunction/internal/testing/transport"
 )
 
 // Site is a deployment.
@@ -46,7 +46,7 @@
 	mu   sync.Mutex
 	cmd  *exec.Cmd
 	done chan struct{}
-	port *port.HTTP
+	port *transport.HTTP
 }
 
 // Fleet is a deployment on this machine.
@@ -125,7 +125,7 @@
 				edit(&o)
 			}
 			t := &http.Transport{MaxIdleConnsPerHost: 256, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
-			p := &Process{Name: o.Name, Opts: o, bin: bin, dir: dir, file: filepath.Join(dir, o.Name+".json"), port: &port.HTTP{Base: "http://" + o.Listen, Client: &http.Client{Transport: t}}}
+			p := &Process{Name: o.Name, Opts: o, bin: bin, dir: dir, file: filepath.Join(dir, o.Name+".json"), port: &transport.HTTP{Base: "http://" + o.Listen, Client: &http.Client{Transport: t}}}
 			f.Processes = append(f.Processes, p)
 			f.byName[o.Name] = p
 		}
@@ -209,7 +209,7 @@
 func (p *Process) Wipe() error { return os.RemoveAll(p.Opts.Data) }
 
 // Port gives the machine as callers see it.
-func (p *Process) Port() *port.HTTP { return p.port }
+func (p *Process) Port() *transport.HTTP { return p.port }
 
 // Get finds a machine.
 func (f *Fleet) Get(n string) *Process { return f.byName[n] }
@@ -329,10 +329,10 @@
 }
 
 // Ports gives the access machines of a zone that are ready, or of any zone when none is.
-func (f *Fleet) Ports(zone string) []port.Port {
+func (f *Fleet) Ports(zone string) []transport.Port {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var near, far []port.Port
+	var near, far []transport.Port
 	for _, p := range f.Processes {
 		if !f.ready[p.Name] || strings.HasPrefix(p.Name, "s") {
 			continue
--- a/internal/testing/sim/machine.go
+++ b/internal/testing/sim/machine.go
@@ -10,9 +10,9 @@
 	"postjunction/internal/disk/memlog"
 	"postjunction/internal/event"
 	"postjunction/internal/node"
-	"postjunction/internal/proof/port"
 	"postjunction/internal/settings"
 	"postjunction/internal/testing/history"
+	"postjunction/internal/testing/transport"
 )
 
 // Machine is one simulated machine: a disk that outlives its processes, and a process that may run on it.
@@ -23,7 +23,7 @@
 
 	mu     sync.Mutex
 	n      *node.Node
-	ports  *port.Services
+	ports  *transport.Services
 	porch  *porch
 	run    int
 	frozen chan struct{}
@@ -172,7 +172,7 @@
 	return n != nil
 }
 
-func (m *Machine) services() *port.Services {
+func (m *Machine) services() *transport.Services {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.ports
@@ -210,7 +210,7 @@
 		m.snap()
 	}
 	m.n = n
-	m.ports = &port.Services{Visitors: n.Visitors, Door: n.Door(), Gone: make(chan struct{})}
+	m.ports = &transport.Services{Visitors: n.Visitors, Door: n.Door(), Gone: make(chan struct{})}
 	m.w.serve(m.Opts.Peers, m, run, n.Peers())
 	m.w.History.Disturb("start", time.Now())
 	return nil
--- a/internal/testing/sim/world.go
+++ b/internal/testing/sim/world.go
@@ -28,10 +28,10 @@
 	"postjunction/internal/node"
 	"postjunction/internal/placement/decommission"
 	"postjunction/internal/proof/caller"
-	"postjunction/internal/proof/port"
 	"postjunction/internal/settings"
 	"postjunction/internal/testing/history"
 	"postjunction/internal/testing/simclient"
+	"postjunction/internal/testing/transport"
 )
 
 var errGone = apierror.New(apierror.Stopped, "the process is gone")
@@ -664,13 +664,13 @@
 }
 
 // Port gives a machine as callers see it.
-func (w *World) Port(n string) port.Port {
-	return &port.Direct{Node: w.Machines[n].services, Gate: w.Machines[n].gate}
+func (w *World) Port(n string) transport.Port {
+	return &transport.Direct{Node: w.Machines[n].services, Gate: w.Machines[n].gate}
 }
 
 // Ports gives all machines whose process runs, as the platform's balancing would after asking for readiness.
-func (w *World) Ports() []port.Port {
-	var ps []port.Port
+func (w *World) Ports() []transport.Port {
+	var ps []transport.Port
 	for _, n := range w.Names {
 		m := w.Machines[n]
 		m.mu.Lock()
--- a/internal/proof/port/port.go
+++ b/internal/testing/transport/port.go
@@ -1,5 +1,5 @@
-// Package port is how stand-in callers reach a node: over HTTP, or straight into a simulated one.
-package port
+// Package transport is how stand-in callers reach a node: over HTTP, or straight into a simulated one.
+package transport
 
 import (
 	"bufio"
