--- a/internal/proof/stays/book.go
+++ b/internal/testing/deliverycheck/book.go
@@ -1,6 +1,6 @@
-// Package stays records what stand-in guests on line sessions saw and judges it: each stay is one subscription of one visitor to one
+// Package deliverycheck records what stand-in guests on line sessions saw and judges it: each stay is one subscription of one visitor to one
 // topic, from its first joined answer to its end, across connections.
-package stays
+package deliverycheck
 
 import (
 	"fmt"
--- a/internal/proof/stays/order.go
+++ b/internal/testing/deliverycheck/order.go
@@ -1,4 +1,4 @@
-package stays
+package deliverycheck
 
 // order is what follows what in the lines that visitors saw of a topic.
 type order struct {
--- a/internal/proof/stays/withdrawn_test.go
+++ b/internal/testing/deliverycheck/withdrawn_test.go
@@ -1,4 +1,4 @@
-package stays
+package deliverycheck
 
 import (
 	"testing"
--- a/internal/testing/fleet/visits.go
+++ b/internal/testing/fleet/visits.go
@@ -12,15 +12,15 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/client/session"
-	"postjunction/internal/proof/stays"
 	"postjunction/internal/settings"
+	"postjunction/internal/testing/deliverycheck"
 	"postjunction/internal/testing/sim"
 	"postjunction/internal/testing/simclient"
 )
 
 // Visits are visitors on line sessions of a fleet, who carry keys and withdraw.
 type Visits struct {
-	Book  *stays.Book
+	Book  *deliverycheck.Book
 	f     *Fleet
 	ctx   context.Context
 	sends context.Context
@@ -180,7 +180,7 @@
 // Enter lets n visitors in, who follow and send on topics of a load until Leave.
 func (f *Fleet) Enter(ctx context.Context, n int, l sim.Load, seed uint64) *Visits {
 	b := settings.DefaultBounds
-	v := &Visits{Book: stays.New(b.Keeping, 3*b.Spread), f: f}
+	v := &Visits{Book: deliverycheck.New(b.Keeping, 3*b.Spread), f: f}
 	v.ctx, v.stop = context.WithCancel(ctx)
 	v.sends, v.quiet = context.WithCancel(v.ctx)
 	for i := range n {
@@ -199,7 +199,7 @@
 }
 
 // Leave stops the senders, waits until visitors have caught up, has them leave, and judges what they saw.
-func (v *Visits) Leave(wait time.Duration) (stays.Tally, []stays.Breach) {
+func (v *Visits) Leave(wait time.Duration) (deliverycheck.Tally, []deliverycheck.Breach) {
 	cut := time.Now()
 	v.quiet()
 	t := time.NewTimer(wait)
--- a/internal/testing/sim/hand.go
+++ b/internal/testing/sim/hand.go
@@ -8,7 +8,7 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/client/session"
-	"postjunction/internal/proof/stays"
+	"postjunction/internal/testing/deliverycheck"
 	"postjunction/internal/testing/simclient"
 )
 
@@ -20,7 +20,7 @@
 	line  *lineSession
 	mu    sync.Mutex
 	seen  []Seen
-	stays map[string]*stays.Stay
+	stays map[string]*deliverycheck.Stay
 	// cursor is what a topic was resumed with.
 	cursor map[string]string
 	ended  bool
@@ -37,7 +37,7 @@
 
 // Hand lets a scripted visitor in, nil where nobody answers.
 func (g *Guests) Hand(at, name string) *Hand {
-	h := &Hand{Name: name, At: at, g: g, stays: map[string]*stays.Stay{}, cursor: map[string]string{}, bell: make(chan struct{}, 1)}
+	h := &Hand{Name: name, At: at, g: g, stays: map[string]*deliverycheck.Stay{}, cursor: map[string]string{}, bell: make(chan struct{}, 1)}
 	h.line = g.connect(g.w.Machines[at], true, h.hear, h.lose)
 	if h.line == nil {
 		return nil
@@ -113,14 +113,14 @@
 	case session.Joined:
 		s.Joined(now)
 	case session.Message:
-		s.Got(stays.Message{Topic: a.Topic, From: a.From, Call: a.Call}, string(a.Body), stays.Place{Partition: a.Partition, Offset: a.Offset}, shown)
+		s.Got(deliverycheck.Message{Topic: a.Topic, From: a.From, Call: a.Call}, string(a.Body), deliverycheck.Place{Partition: a.Partition, Offset: a.Offset}, shown)
 	case session.Taken:
-		b.Taken(stays.Message{Topic: a.Topic, From: h.Name, Call: a.Call}, now)
+		b.Taken(deliverycheck.Message{Topic: a.Topic, From: h.Name, Call: a.Call}, now)
 	case session.Withdrawn:
 		b.Told(h.Name, a.Topic, a.Key, now)
 	case session.Turned:
 		if a.Re == session.Send && simclient.Promises[apierror.Of(a.Err).Kind] {
-			b.Turned(stays.Message{Topic: a.Topic, From: h.Name, Call: a.Call})
+			b.Turned(deliverycheck.Message{Topic: a.Topic, From: h.Name, Call: a.Call})
 		}
 	}
 	ring(h.bell)
@@ -208,7 +208,7 @@
 
 // Post sends without waiting.
 func (h *Hand) Post(topic, key string, call uint64) {
-	h.g.Book.Try(stays.Message{Topic: topic, From: h.Name, Call: call}, key, h.Body(call), time.Now())
+	h.g.Book.Try(deliverycheck.Message{Topic: topic, From: h.Name, Call: call}, key, h.Body(call), time.Now())
 	h.line.Do(session.Task{Verb: session.Send, Topic: topic, Key: key, Call: call, Body: []byte(h.Body(call))})
 }
 
@@ -237,7 +237,7 @@
 }
 
 // Withdraw asks for a withdrawal once and notes the answer.
-func (h *Hand) Withdraw(w stays.Withdrawal) (Seen, bool) {
+func (h *Hand) Withdraw(w deliverycheck.Withdrawal) (Seen, bool) {
 	w.By = h.Name
 	x := h.g.Book.Withdraw(w, time.Now())
 	n := h.Mark()
@@ -248,7 +248,7 @@
 	switch {
 	case !ok:
 	case s.What == session.Forgotten:
-		x.Forgotten(stays.Place{Partition: s.Partition, Offset: s.Offset}, s.Shown)
+		x.Forgotten(deliverycheck.Place{Partition: s.Partition, Offset: s.Offset}, s.Shown)
 	case apierror.Has(s.Err, apierror.WithdrawalOpen):
 		x.Stands(time.Now())
 	case simclient.Voids[apierror.Of(s.Err).Kind]:
--- a/internal/testing/sim/visits.go
+++ b/internal/testing/sim/visits.go
@@ -15,14 +15,14 @@
 	"postjunction/internal/client/session"
 	"postjunction/internal/clock"
 	"postjunction/internal/partitionlog/router"
-	"postjunction/internal/proof/stays"
+	"postjunction/internal/testing/deliverycheck"
 	"postjunction/internal/testing/simclient"
 )
 
 // Guests are the visitors of a world on line sessions.
 type Guests struct {
 	w    *World
-	Book *stays.Book
+	Book *deliverycheck.Book
 	Load Load
 	Calm atomic.Bool
 	// Rested has no visitor stop reading for a while.
@@ -264,7 +264,7 @@
 
 // Guests lets n visitors in, who follow some of the load's topics each and send on two.
 func (w *World) Guests(n int, l Load) *Guests {
-	g := &Guests{w: w, Book: stays.New(w.Site.Bounds.Keeping, 3*w.Site.Bounds.Spread), Load: l, lines: map[*lineSession]bool{}}
+	g := &Guests{w: w, Book: deliverycheck.New(w.Site.Bounds.Keeping, 3*w.Site.Bounds.Spread), Load: l, lines: map[*lineSession]bool{}}
 	g.sending, g.quiet = context.WithCancel(w.ctx)
 	g.Rested = l.Rested
 	g.wg.Go(g.rest)
--- a/internal/testing/sim/visits_test.go
+++ b/internal/testing/sim/visits_test.go
@@ -10,7 +10,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/proof/stays"
+	"postjunction/internal/testing/deliverycheck"
 	"postjunction/internal/testing/simclient"
 )
 
@@ -22,7 +22,7 @@
 )
 
 // entertain runs a fleet with visitors on line sessions through a script and judges what they saw.
-func entertain(t *testing.T, s Site, seed uint64, l Load, n int, script func(t *testing.T, w *World, g *Guests)) (r stays.Tally) {
+func entertain(t *testing.T, s Site, seed uint64, l Load, n int, script func(t *testing.T, w *World, g *Guests)) (r deliverycheck.Tally) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := New(s, seed, Logger())
@@ -50,7 +50,7 @@
 		time.Sleep(w.Site.Bounds.Recovery)
 		w.stop()
 		g.wg.Wait()
-		var bs []stays.Breach
+		var bs []deliverycheck.Breach
 		r, bs = g.Book.Judge(cut)
 		t.Logf("seed %d: %+v", seed, r)
 		for i, b := range bs {
--- a/internal/testing/sim/withdraw_test.go
+++ b/internal/testing/sim/withdraw_test.go
@@ -13,7 +13,7 @@
 	"postjunction/internal/client/session"
 	"postjunction/internal/partition"
 	"postjunction/internal/partitionlog/router"
-	"postjunction/internal/proof/stays"
+	"postjunction/internal/testing/deliverycheck"
 	"postjunction/internal/testing/simclient"
 )
 
@@ -95,14 +95,14 @@
 }
 
 // open withdraws what stands under a key and expects that a router is named which has not forgotten, within a call's time.
-func (s *scene) open(key, node string) stays.Withdrawal {
+func (s *scene) open(key, node string) deliverycheck.Withdrawal {
 	s.t.Helper()
-	w := stays.Withdrawal{Topic: ground, Key: key, Call: s.next()}
+	w := deliverycheck.Withdrawal{Topic: ground, Key: key, Call: s.next()}
 	s.still(w, node)
 	return w
 }
 
-func (s *scene) still(w stays.Withdrawal, node string) {
+func (s *scene) still(w deliverycheck.Withdrawal, node string) {
 	s.t.Helper()
 	begun := time.Now()
 	a, ok := s.lead.Withdraw(w)
@@ -113,7 +113,7 @@
 }
 
 // yes asks again until the yes comes.
-func (s *scene) yes(w stays.Withdrawal, limit time.Duration) Seen {
+func (s *scene) yes(w deliverycheck.Withdrawal, limit time.Duration) Seen {
 	s.t.Helper()
 	end := time.Now().Add(limit)
 	for {
@@ -416,7 +416,7 @@
 				close(sent)
 			}()
 			time.Sleep(ahead)
-			_, ok := s.lead.Withdraw(stays.Withdrawal{Topic: ground, Key: "race", Call: d, Of: "lead", Upto: m})
+			_, ok := s.lead.Withdraw(deliverycheck.Withdrawal{Topic: ground, Key: "race", Call: d, Of: "lead", Upto: m})
 			assert.Assert(s.t, ok)
 			<-sent
 			a, ok := twin.Wait(0, handLimit, func(a session.Answer) bool {
@@ -435,7 +435,7 @@
 		foe := s.again("a3", "foe")
 		for i := range 5 {
 			n := uint64(10 * (i + 1))
-			a, ok := s.lead.Withdraw(stays.Withdrawal{Topic: ground, Key: "foe", Call: s.next(), Of: "foe", Upto: n})
+			a, ok := s.lead.Withdraw(deliverycheck.Withdrawal{Topic: ground, Key: "foe", Call: s.next(), Of: "foe", Upto: n})
 			assert.Assert(s.t, ok && a.What == session.Forgotten, "%v", a.Err)
 			a, ok = foe.Send(ground, "foe", n-1)
 			assert.Assert(s.t, ok && apierror.Has(a.Err, apierror.CallPassed), "%s %v", a.What, a.Err)
@@ -450,17 +450,17 @@
 func TestAnswersToWithdrawals(t *testing.T) {
 	t.Parallel()
 	staged(t, 940, 1, func(s *scene) {
-		a, ok := s.lead.Withdraw(stays.Withdrawal{Topic: ground, Key: "nothing", Call: s.next()})
+		a, ok := s.lead.Withdraw(deliverycheck.Withdrawal{Topic: ground, Key: "nothing", Call: s.next()})
 		assert.Assert(s.t, ok && apierror.Has(a.Err, apierror.KeyUnknown), "%s %v", a.What, a.Err)
 		s.write("turn", 1)
-		x := stays.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}
+		x := deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}
 		first := s.yes(x, time.Second)
 		assert.Equal(s.t, first.Key, "turn")
 		s.yes(x, time.Second)
-		s.yes(stays.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}, time.Second)
+		s.yes(deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}, time.Second)
 		other := s.again("a3", "other")
 		s.write("turn", 1)
-		a, ok = other.Withdraw(stays.Withdrawal{Topic: ground, Key: "turn", Call: 1})
+		a, ok = other.Withdraw(deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: 1})
 		assert.Assert(s.t, ok && a.What == session.Forgotten, "%s %v", a.What, a.Err)
 		s.write("turn", 1)
 		s.wait(s.far, s.call)
@@ -478,7 +478,7 @@
 		s.wait(s.reader, s.call)
 		s.w.Isolate("a1")
 		x := s.open("turn", "a1")
-		y := stays.Withdrawal{Topic: ground, Key: "turn", Call: 1}
+		y := deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: 1}
 		a, ok := other.Withdraw(y)
 		assert.Assert(s.t, ok && apierror.Has(a.Err, apierror.WithdrawalOpen), "%s %v", a.What, a.Err)
 		s.write("turn", 1)
@@ -513,7 +513,7 @@
 				}
 				for range 10 {
 					s.write("turn", 2)
-					s.yes(stays.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}, s.w.Site.Bounds.Call())
+					s.yes(deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}, s.w.Site.Bounds.Call())
 				}
 				s.write("turn", 1)
 				s.wait(s.reader, s.call)
@@ -584,7 +584,7 @@
 				assert.Assert(s.t, took >= s.w.Site.Bounds.Keeping, "given up after %s", took)
 				for range 5 {
 					s.write("turn", 1)
-					s.yes(stays.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}, s.w.Site.Bounds.Call())
+					s.yes(deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}, s.w.Site.Bounds.Call())
 				}
 				back()
 				s.anew()
@@ -611,5 +611,5 @@
 		return ok
 	})
 	assert.NilError(s.t, err)
-	s.yes(stays.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}, s.w.Site.Bounds.Call())
+	s.yes(deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}, s.w.Site.Bounds.Call())
 }
--- a/internal/testing/simclient/guest.go
+++ b/internal/testing/simclient/guest.go
@@ -14,7 +14,7 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/client/session"
-	"postjunction/internal/proof/stays"
+	"postjunction/internal/testing/deliverycheck"
 )
 
 // Line is one connection to a node. End is its closing by the visitor.
@@ -35,7 +35,7 @@
 	Name   string
 	Kept   bool
 	Cursor string
-	Place  stays.Message
+	Place  deliverycheck.Message
 	Given  time.Time
 }
 
@@ -67,7 +67,7 @@
 type Guest struct {
 	Name   string
 	Doors  func() []Door
-	Book   *stays.Book
+	Book   *deliverycheck.Book
 	Follow []Topic
 	Lanes  []Lane
 	Habits Habits
@@ -97,7 +97,7 @@
 	leave   time.Time
 	tell    time.Time
 	counted map[string]time.Time
-	seen    map[string]stays.Message
+	seen    map[string]deliverycheck.Message
 	sending context.Context
 }
 
@@ -125,8 +125,8 @@
 	since  time.Time
 	retry  time.Time
 	cursor string
-	stay   *stays.Stay
-	here   *stays.Presence
+	stay   *deliverycheck.Stay
+	here   *deliverycheck.Presence
 }
 
 type lane struct {
@@ -146,7 +146,7 @@
 	out   bool
 	key   string
 	// draw is that of a withdrawal, and none of a message.
-	draw *stays.Withdrawal
+	draw *deliverycheck.Withdrawal
 }
 
 // Promises are the problems that say that a message was not taken and never will be.
@@ -202,7 +202,7 @@
 // Run goes on until ctx ends, and sends new messages until sends ends.
 func (g *Guest) Run(ctx, sends context.Context) {
 	now := time.Now()
-	g.bell, g.sending, g.counted, g.seen = make(chan struct{}, 1), sends, map[string]time.Time{}, map[string]stays.Message{}
+	g.bell, g.sending, g.counted, g.seen = make(chan struct{}, 1), sends, map[string]time.Time{}, map[string]deliverycheck.Message{}
 	for _, t := range g.Follow {
 		s := &sub{Topic: t, want: true}
 		if t.Cursor != "" {
@@ -242,7 +242,7 @@
 			if f, ok := takes[h.a.What]; ok {
 				f(g, now, h.a)
 			} else {
-				g.Book.Breach(stays.Mixed, "%s got an answer %q", g.Name, h.a.What)
+				g.Book.Breach(deliverycheck.Mixed, "%s got an answer %q", g.Name, h.a.What)
 			}
 		}
 		g.step(now)
@@ -439,7 +439,7 @@
 				m.key = g.key()
 			}
 		}
-		g.Book.Try(stays.Message{Topic: l.Topic, From: g.Name, Call: m.call}, m.key, m.body, now)
+		g.Book.Try(deliverycheck.Message{Topic: l.Topic, From: g.Name, Call: m.call}, m.key, m.body, now)
 		g.say(now, session.Task{Verb: session.Send, Topic: l.Topic, Call: m.call, Key: m.key, Body: []byte(m.body)})
 	}
 	return true
@@ -449,7 +449,7 @@
 
 // withdrawal withdraws what stands under a key, at times with a sender that was seen on the topic and a number that it may not have reached.
 func (g *Guest) withdrawal(now time.Time, topic string) *message {
-	w := stays.Withdrawal{Topic: topic, Key: g.key(), By: g.Name, Call: g.number()}
+	w := deliverycheck.Withdrawal{Topic: topic, Key: g.key(), By: g.Name, Call: g.number()}
 	if m, ok := g.seen[topic]; ok && m.From != g.Name && g.Rand.IntN(ofOthers) == 0 {
 		w.Of, w.Upto = m.From, m.Call+uint64(g.Rand.IntN(ahead))
 	}
@@ -483,27 +483,27 @@
 	session.Joined: func(g *Guest, now time.Time, a session.Answer) {
 		s := g.sub(a.Topic)
 		if s == nil || s.state != asked {
-			g.Book.Breach(stays.Mixed, "%s was told that it joined %s, which it did not ask", g.Name, a.Topic)
+			g.Book.Breach(deliverycheck.Mixed, "%s was told that it joined %s, which it did not ask", g.Name, a.Topic)
 			return
 		}
 		s.state = joined
 		s.stay.Joined(now)
 		s.here.Joined(now)
 		if s.cursor != "" && s.cursor != a.Cursor && s.Kept {
-			g.Book.Breach(stays.Mixed, "%s joined %s with cursor %q and was told %q", g.Name, s.Name, s.cursor, a.Cursor)
+			g.Book.Breach(deliverycheck.Mixed, "%s joined %s with cursor %q and was told %q", g.Name, s.Name, s.cursor, a.Cursor)
 		}
 		s.cursor = a.Cursor
 	},
 	session.Left: func(g *Guest, now time.Time, a session.Answer) {
 		s := g.sub(a.Topic)
 		if s == nil || s.state != dropping {
-			g.Book.Breach(stays.Mixed, "%s was told that it left %s, which it did not ask", g.Name, a.Topic)
+			g.Book.Breach(deliverycheck.Mixed, "%s was told that it left %s, which it did not ask", g.Name, a.Topic)
 			return
 		}
 		s.state, s.stay, s.cursor, s.retry = dropped, nil, "", now
 	},
 	session.Message: func(g *Guest, now time.Time, a session.Answer) {
-		m := stays.Message{Topic: a.Topic, From: a.From, Call: a.Call}
+		m := deliverycheck.Message{Topic: a.Topic, From: a.From, Call: a.Call}
 		s := g.sub(a.Topic)
 		if s == nil || s.state == idle || s.state == dropped {
 			g.Book.Stray(g.Name, m, now)
@@ -512,7 +512,7 @@
 		if s.state == dropping {
 			return
 		}
-		s.stay.Got(m, string(a.Body), stays.Place{Partition: a.Partition, Offset: a.Offset}, g.shown)
+		s.stay.Got(m, string(a.Body), deliverycheck.Place{Partition: a.Partition, Offset: a.Offset}, g.shown)
 		g.seen[a.Topic] = m
 		s.cursor = a.Cursor
 		if g.Saved != nil && s.Kept && g.Rand.IntN(savedOf) == 0 {
@@ -520,7 +520,7 @@
 		}
 	},
 	session.Taken: func(g *Guest, now time.Time, a session.Answer) {
-		g.Book.Taken(stays.Message{Topic: a.Topic, From: g.Name, Call: a.Call}, now)
+		g.Book.Taken(deliverycheck.Message{Topic: a.Topic, From: g.Name, Call: a.Call}, now)
 		if l, m := g.message(a.Topic, a.Call); m != nil {
 			l.ms = slices.DeleteFunc(l.ms, func(x *message) bool { return x == m })
 		}
@@ -531,17 +531,17 @@
 			return
 		}
 		if m.draw == nil || m.draw.Key != a.Key {
-			g.Book.Breach(stays.Mixed, "%s was told that %s of %s, %d, is forgotten, which it did not ask", g.Name, a.Key, a.Topic, a.Call)
+			g.Book.Breach(deliverycheck.Mixed, "%s was told that %s of %s, %d, is forgotten, which it did not ask", g.Name, a.Key, a.Topic, a.Call)
 			return
 		}
-		m.draw.Forgotten(stays.Place{Partition: a.Partition, Offset: a.Offset}, g.shown)
+		m.draw.Forgotten(deliverycheck.Place{Partition: a.Partition, Offset: a.Offset}, g.shown)
 		l.ms = slices.DeleteFunc(l.ms, func(x *message) bool { return x == m })
 	},
 	session.Withdrawn: func(g *Guest, now time.Time, a session.Answer) { g.Book.Told(g.Name, a.Topic, a.Key, now) },
 	session.Counted: func(g *Guest, now time.Time, a session.Answer) {
 		at, ok := g.counted[a.Topic]
 		if !ok {
-			g.Book.Breach(stays.Mixed, "%s was told a count of %s, which it did not ask", g.Name, a.Topic)
+			g.Book.Breach(deliverycheck.Mixed, "%s was told a count of %s, which it did not ask", g.Name, a.Topic)
 			return
 		}
 		delete(g.counted, a.Topic)
@@ -550,7 +550,7 @@
 	session.Turned: func(g *Guest, now time.Time, a session.Answer) {
 		f, ok := turns[a.Re]
 		if !ok || a.Err == nil {
-			g.Book.Breach(stays.Mixed, "%s was turned away with %q: %v", g.Name, a.Re, a.Err)
+			g.Book.Breach(deliverycheck.Mixed, "%s was turned away with %q: %v", g.Name, a.Re, a.Err)
 			return
 		}
 		f(g, now, a)
@@ -568,7 +568,7 @@
 	session.Join: func(g *Guest, now time.Time, a session.Answer) {
 		s := g.sub(a.Topic)
 		if s == nil || s.state != asked {
-			g.Book.Breach(stays.Mixed, "%s was turned away from %s, which it did not ask: %v", g.Name, a.Topic, a.Err)
+			g.Book.Breach(deliverycheck.Mixed, "%s was turned away from %s, which it did not ask: %v", g.Name, a.Topic, a.Err)
 			return
 		}
 		s.here.Gone(now)
@@ -579,7 +579,7 @@
 			s.stay.Expired(now)
 			s.stay = nil
 		case apierror.Has(a.Err, apierror.CursorBad):
-			g.Book.Breach(stays.Mixed, "%s was told that its cursor %q of %s is bad: %v", g.Name, s.cursor, s.Name, a.Err)
+			g.Book.Breach(deliverycheck.Mixed, "%s was told that its cursor %q of %s is bad: %v", g.Name, s.cursor, s.Name, a.Err)
 		}
 	},
 	session.Withdraw: func(g *Guest, now time.Time, a session.Answer) {
@@ -599,7 +599,7 @@
 	session.Send: func(g *Guest, now time.Time, a session.Answer) {
 		k := apierror.Of(a.Err).Kind
 		if Promises[k] {
-			g.Book.Turned(stays.Message{Topic: a.Topic, From: g.Name, Call: a.Call})
+			g.Book.Turned(deliverycheck.Message{Topic: a.Topic, From: g.Name, Call: a.Call})
 		}
 		l, m := g.message(a.Topic, a.Call)
 		if m == nil {
