--- a/internal/testing/fleet/day.go
+++ b/internal/testing/fleet/day.go
@@ -14,9 +14,9 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
-	"postjunction/internal/proof/caller"
 	"postjunction/internal/settings"
 	"postjunction/internal/testing/history"
+	"postjunction/internal/testing/httpclient"
 	"postjunction/internal/testing/sim"
 	"postjunction/internal/testing/transport"
 )
@@ -46,7 +46,7 @@
 // callers hold each caller's zone, which may change.
 type callers struct {
 	mu   sync.Mutex
-	cs   []*caller.Caller
+	cs   []*httpclient.Caller
 	zone []string
 }
 
--- a/internal/proof/caller/caller.go
+++ b/internal/testing/httpclient/caller.go
@@ -1,5 +1,5 @@
-// Package caller is a seeded stand-in for handsets and desk clients: it sends, listens, resumes and notes all it sees.
-package caller
+// Package httpclient is a seeded stand-in for handsets and desk clients: it sends, listens, resumes and notes all it sees.
+package httpclient
 
 import (
 	"context"
--- a/internal/testing/sim/world.go
+++ b/internal/testing/sim/world.go
@@ -27,9 +27,9 @@
 	"postjunction/internal/disk/memlog"
 	"postjunction/internal/node"
 	"postjunction/internal/placement/decommission"
-	"postjunction/internal/proof/caller"
 	"postjunction/internal/settings"
 	"postjunction/internal/testing/history"
+	"postjunction/internal/testing/httpclient"
 	"postjunction/internal/testing/simclient"
 	"postjunction/internal/testing/transport"
 )
@@ -86,7 +86,7 @@
 	sending context.Context
 	sends   context.CancelFunc
 	load    Load
-	callers []*caller.Caller
+	callers []*httpclient.Caller
 	hops    map[[2]string]uint64
 }
 
@@ -732,7 +732,7 @@
 	w.run(Plan(l, w.Seed, w.Site.Bounds.Spread), "")
 }
 
-func (w *World) run(cs []*caller.Caller, prefix string) {
+func (w *World) run(cs []*httpclient.Caller, prefix string) {
 	for _, c := range cs {
 		c.Name = prefix + c.Name
 		c.Clock, c.Ports, c.History = clock.Real{}, w.Ports, w.History
@@ -744,11 +744,11 @@
 }
 
 // Plan makes the callers of a load; who sends and follows what depends only on the seed.
-func Plan(l Load, seed uint64, spread time.Duration) []*caller.Caller {
+func Plan(l Load, seed uint64, spread time.Duration) []*httpclient.Caller {
 	rng := rand.New(rand.NewPCG(seed, 2))
-	var cs []*caller.Caller
+	var cs []*httpclient.Caller
 	for i := range l.Callers {
-		c := &caller.Caller{Name: fmt.Sprintf("v%d", i), Every: l.Every, Rand: rand.New(rand.NewPCG(seed, uint64(i)+10)), Spread: spread, Urgent: map[string]bool{}, Live: map[string]bool{}}
+		c := &httpclient.Caller{Name: fmt.Sprintf("v%d", i), Every: l.Every, Rand: rand.New(rand.NewPCG(seed, uint64(i)+10)), Spread: spread, Urgent: map[string]bool{}, Live: map[string]bool{}}
 		a := i % l.Topics
 		c.Follows = []string{fmt.Sprintf("kept/t%d", a), fmt.Sprintf("kept/t%d", (a+1+rng.IntN(max(1, l.Topics-1)))%l.Topics)}
 		c.Sends = []string{fmt.Sprintf("kept/t%d", a)}
