--- a/cmd/postjunction/main.go
+++ b/cmd/postjunction/main.go
@@ -11,14 +11,14 @@
 	"sort"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/command/caller"
+	"postjunction/internal/command/cli"
 	"postjunction/internal/command/serve"
 	"postjunction/internal/node"
 	"postjunction/platform"
 )
 
 func main() {
-	s := caller.Streams{In: os.Stdin, Out: os.Stdout, Err: os.Stderr}
+	s := cli.Streams{In: os.Stdin, Out: os.Stdout, Err: os.Stderr}
 	err := run(os.Args[1:], s)
 	if err == nil || errors.Is(err, flag.ErrHelp) {
 		return
@@ -30,15 +30,15 @@
 	os.Exit(1)
 }
 
-var own = map[string]func(args []string, s caller.Streams) error{
-	"platform": func(_ []string, s caller.Streams) error { return platform.Run(s.Err) },
-	"serve":    func(a []string, s caller.Streams) error { return serve.Run(a, s.Err) },
+var own = map[string]func(args []string, s cli.Streams) error{
+	"platform": func(_ []string, s cli.Streams) error { return platform.Run(s.Err) },
+	"serve":    func(a []string, s cli.Streams) error { return serve.Run(a, s.Err) },
 	"check":    check,
-	"version":  func(_ []string, s caller.Streams) error { _, err := fmt.Fprintln(s.Out, node.Build); return err },
-	"help":     func(_ []string, s caller.Streams) error { usage(s.Out); return nil },
+	"version":  func(_ []string, s cli.Streams) error { _, err := fmt.Fprintln(s.Out, node.Build); return err },
+	"help":     func(_ []string, s cli.Streams) error { usage(s.Out); return nil },
 }
 
-func check(a []string, s caller.Streams) error {
+func check(a []string, s cli.Streams) error {
 	_, _, err := serve.Read(a, s.Err)
 	if err == nil {
 		_, err = fmt.Fprintln(s.Out, "the settings are sound")
@@ -46,7 +46,7 @@
 	return err
 }
 
-func run(args []string, s caller.Streams) error {
+func run(args []string, s cli.Streams) error {
 	if len(args) == 0 {
 		usage(s.Err)
 		return apierror.New(apierror.Usage, "a verb is needed")
@@ -54,22 +54,22 @@
 	if f, ok := own[args[0]]; ok {
 		return f(args[1:], s)
 	}
-	if _, ok := caller.Verbs[args[0]]; !ok {
+	if _, ok := cli.Verbs[args[0]]; !ok {
 		usage(s.Err)
 		return apierror.New(apierror.Usage, "there is no verb %q", args[0])
 	}
-	return caller.Run(context.Background(), args[0], args[1:], s)
+	return cli.Run(context.Background(), args[0], args[1:], s)
 }
 
 func usage(w io.Writer) {
 	_, _ = fmt.Fprint(w, "usage: postjunction VERB [flags] [argument]\n\n  serve      run a node\n  platform   run a node by the platform's settings file\n  check      check settings without running\n  version    print the build\n  help       print this\n")
 	var ns []string
-	for n := range caller.Verbs {
+	for n := range cli.Verbs {
 		ns = append(ns, n)
 	}
 	sort.Strings(ns)
 	for _, n := range ns {
-		_, _ = fmt.Fprintf(w, "  %-10s %s\n", n, caller.Verbs[n].Help)
+		_, _ = fmt.Fprintf(w, "  %-10s %s\n", n, cli.Verbs[n].Help)
 	}
 	_, _ = fmt.Fprint(w, "\nEach verb lists its flags with -h.\n")
 }
--- a/internal/command/caller/caller.go
+++ b/internal/command/cli/caller.go
@@ -1,5 +1,5 @@
-// Package caller holds the operator and caller verbs of the command line.
-package caller
+// Package cli holds the operator and caller verbs of the command line.
+package cli
 
 import (
 	"bufio"
--- a/internal/command/caller/visit.go
+++ b/internal/command/cli/visit.go
@@ -1,4 +1,4 @@
-package caller
+package cli
 
 import (
 	"bufio"
