--- a/cmd/postjunction/main.go
+++ b/cmd/postjunction/main.go
@@ -24,7 +24,7 @@
 		return
 	}
 	_, _ = fmt.Fprintf(os.Stderr, "postjunction: %v\n", err)
-	if apierror.Has(err, apierror.Usage) || apierror.Has(err, apierror.OptionsBad) {
+	if apierror.HasCode(err, apierror.Usage) || apierror.HasCode(err, apierror.SettingsInvalid) {
 		os.Exit(2)
 	}
 	os.Exit(1)
--- a/internal/client/admission/admission.go
+++ b/internal/client/admission/admission.go
@@ -75,7 +75,7 @@
 	g.mu.Unlock()
 	if !ok {
 		p := apierror.New(apierror.Overloaded, "the %s lane of this node is full", l)
-		return nil, p.After(clock.Jitter(p.Retry, 2, rand.Float64()).Round(time.Millisecond))
+		return nil, p.WithRetryAfter(clock.Jitter(p.RetryAfter, 2, rand.Float64()).Round(time.Millisecond))
 	}
 	return b.ReleasePermit, nil
 }
--- a/internal/client/follow.go
+++ b/internal/client/follow.go
@@ -180,7 +180,7 @@
 	if at > tail {
 		r, err := st.s.Desk.Read(ctx, p, ^uint64(0), 0)
 		if err == nil && at > r.To {
-			err = apierror.New(apierror.CursorBad, "the cursor is at offset %d of partition %d, which ends at %d", at, p, r.To)
+			err = apierror.New(apierror.CursorMalformed, "the cursor is at offset %d of partition %d, which ends at %d", at, p, r.To)
 		}
 		if err != nil {
 			o.leave()
@@ -210,7 +210,7 @@
 				if o.err == nil && ctx.Err() != nil {
 					o.leave()
 				}
-				if o.err == nil || len(urgent) == 0 || ctx.Err() != nil || apierror.Has(o.err, apierror.CursorBad) {
+				if o.err == nil || len(urgent) == 0 || ctx.Err() != nil || apierror.HasCode(o.err, apierror.CursorMalformed) {
 					st.joins <- o
 					st.nudge()
 					return
@@ -305,8 +305,8 @@
 	if st.gone != nil {
 		return nil
 	}
-	p := apierror.Of(err)
-	_ = st.emit(Line{End: &End{Code: string(p.Kind), Say: p.Say, Advice: p.Advice(), RetryMS: p.RetryMS}})
+	p := apierror.From(err)
+	_ = st.emit(Line{End: &End{Code: string(p.Code), Say: p.Message, Advice: p.Advice(), RetryMS: p.RetryAfterMS}})
 	return nil
 }
 
@@ -331,7 +331,7 @@
 		}
 		select {
 		case <-s.Leaving:
-			return st.end(apierror.New(apierror.Leaving, "this node is stopping"))
+			return st.end(apierror.New(apierror.ShuttingDown, "this node is stopping"))
 		default:
 		}
 		news := s.Board.Changed()
@@ -409,7 +409,7 @@
 		select {
 		case g := <-l.got:
 			l.busy, l.left = false, g.w
-			if apierror.Has(g.err, apierror.CursorExpired) {
+			if apierror.HasCode(g.err, apierror.CursorExpired) {
 				return nil, g.err
 			}
 			return l.left.Entries, nil
@@ -426,7 +426,7 @@
 	f, got := l.feed, l.got
 	go func() {
 		w, err := f.After(ctx, at)
-		if err != nil && !apierror.Has(err, apierror.CursorExpired) {
+		if err != nil && !apierror.HasCode(err, apierror.CursorExpired) {
 			_ = st.s.Clock.Sleep(ctx, st.s.Bounds.Retry())
 		}
 		got <- pulled{w, err}
@@ -501,7 +501,7 @@
 		select {
 		case err := <-st.checked:
 			st.asking = false
-			if apierror.Has(err, apierror.TokenFenced) {
+			if apierror.HasCode(err, apierror.TokenFenced) {
 				return err
 			}
 		default:
@@ -532,7 +532,7 @@
 	st.seen = st.fence.To()
 	who, urgent := st.t.who, slices.ContainsFunc(st.lanes, func(l lane) bool { return l.urgent })
 	go func() {
-		err := error(apierror.New(apierror.NoOwner, "not asked yet"))
+		err := error(apierror.New(apierror.NoPartitionLeader, "not asked yet"))
 		for err != nil && ctx.Err() == nil {
 			cx, stop := context.WithTimeout(ctx, callShare*st.s.Bounds.Call())
 			a, e := st.s.Desk.Attached(cx, who.Visitor, who.Generation, urgent)
--- a/internal/client/service.go
+++ b/internal/client/service.go
@@ -170,7 +170,7 @@
 func (s *Service) stage(ctx context.Context, t *Task, next callpolicy.Next[*Task]) error {
 	select {
 	case <-s.Leaving:
-		return apierror.New(apierror.Leaving, "this node is stopping")
+		return apierror.New(apierror.ShuttingDown, "this node is stopping")
 	default:
 		return next(ctx, t)
 	}
@@ -250,8 +250,8 @@
 func (s *Service) identify(ctx context.Context, t *Task, k token.Token, urgent bool) error {
 	a, err := s.Desk.Attached(ctx, k.Visitor, k.Generation, urgent)
 	if err != nil {
-		if apierror.Has(err, apierror.OutcomeUnknown) {
-			err = apierror.New(apierror.NoOwner, "the attachment could not be checked: %v", err)
+		if apierror.HasCode(err, apierror.OutcomeUnknown) {
+			err = apierror.New(apierror.NoPartitionLeader, "the attachment could not be checked: %v", err)
 		}
 		return err
 	}
--- a/internal/client/session/house.go
+++ b/internal/client/session/house.go
@@ -347,7 +347,7 @@
 func (h *House) able() error {
 	select {
 	case <-h.Leaving:
-		return apierror.New(apierror.Leaving, "this node is stopping")
+		return apierror.New(apierror.ShuttingDown, "this node is stopping")
 	default:
 	}
 	return h.Licensed()
@@ -382,7 +382,7 @@
 	}
 	p := partition.Of(topic, sp.Urgent, v.h.Board.Roster().Layout)
 	if p == partition.None {
-		return sp, 0, apierror.New(apierror.NoOwner, "the fleet is not founded yet")
+		return sp, 0, apierror.New(apierror.NoPartitionLeader, "the fleet is not founded yet")
 	}
 	return sp, p, nil
 }
@@ -400,7 +400,7 @@
 			return err
 		}
 		if c.Partition != p {
-			return apierror.New(apierror.CursorBad, "the cursor %.64q is not of %s", t.Cursor, t.Topic)
+			return apierror.New(apierror.CursorMalformed, "the cursor %.64q is not of %s", t.Cursor, t.Topic)
 		}
 		s.After = &c.Offset
 	}
--- a/internal/client/session/house_test.go
+++ b/internal/client/session/house_test.go
@@ -86,7 +86,7 @@
 	case Message:
 		s += fmt.Sprintf(" %s %s/%d", a.Topic, a.From, a.Call)
 	case Turned:
-		s += fmt.Sprintf(" %s %s %s", a.Re, a.Topic, apierror.Of(a.Err).Kind)
+		s += fmt.Sprintf(" %s %s %s", a.Re, a.Topic, apierror.From(a.Err).Code)
 	case Moved:
 		s += " " + a.Address
 	case Joined, Left:
--- a/internal/client/session/place.go
+++ b/internal/client/session/place.go
@@ -27,7 +27,7 @@
 
 // Unplace reads a cursor of a fleet.
 func Unplace(fleet, s string) (Place, error) {
-	bad := apierror.New(apierror.CursorBad, "%.64q is no cursor of this fleet", s)
+	bad := apierror.New(apierror.CursorMalformed, "%.64q is no cursor of this fleet", s)
 	w := strings.Split(s, ".")
 	if len(w) != 3 || w[0] != fleet[:min(fleetMost, len(fleet))] {
 		return Place{}, bad
--- a/internal/client/session/withdraw.go
+++ b/internal/client/session/withdraw.go
@@ -66,7 +66,7 @@
 		}
 		a.What, a.Re, a.Already = Turned, t.Verb, false
 		if err != nil {
-			a.Err = apierror.Because(apierror.WithdrawalOpen, err, "what stood under %s was withdrawn; who has forgotten it could not be learnt", t.Key)
+			a.Err = apierror.WithCause(apierror.WithdrawalOpen, err, "what stood under %s was withdrawn; who has forgotten it could not be learnt", t.Key)
 		} else {
 			a.Err = apierror.New(apierror.WithdrawalOpen, "what stood under %s was withdrawn; %s did not say that it is forgotten", t.Key, strings.Join(u.Nodes, ", "))
 		}
--- a/internal/client/session/withdraw_test.go
+++ b/internal/client/session/withdraw_test.go
@@ -79,8 +79,8 @@
 			s += " without " + strings.Join(a.GivenUp, ",")
 		}
 		if a.Err != nil {
-			p := apierror.Of(a.Err)
-			s += fmt.Sprintf(" %s %s (%s)", a.Re, p.Kind, p.Say)
+			p := apierror.From(a.Err)
+			s += fmt.Sprintf(" %s %s (%s)", a.Re, p.Code, p.Message)
 		}
 		l = append(l, s)
 	}
@@ -114,7 +114,7 @@
 			[]string{"1200: turned kept/a 7 k without a3 withdraw withdrawal_open (what stood under k was withdrawn; a2, a4 did not say that it is forgotten)"},
 		},
 		"no answer": {
-			&clerk{decide: taken, ask: func(int) (*leader.Unheard, error) { return nil, apierror.New(apierror.NoOwner, "gone") }}, ask,
+			&clerk{decide: taken, ask: func(int) (*leader.Unheard, error) { return nil, apierror.New(apierror.NoPartitionLeader, "gone") }}, ask,
 			[]string{"1200: turned kept/a 7 k withdraw withdrawal_open (what stood under k was withdrawn; who has forgotten it could not be learnt)"},
 		},
 		"not taken": {
--- a/internal/client/withdraw.go
+++ b/internal/client/withdraw.go
@@ -68,7 +68,7 @@
 	}
 	var fs []apierror.Fault
 	for _, n := range left {
-		fs = append(fs, apierror.Fault{Place: n, Say: "has not read behind the mark"})
+		fs = append(fs, apierror.Fault{Path: n, Message: "has not read behind the mark"})
 	}
-	return apierror.New(apierror.WithdrawalOpen, "the mark stands at offset %d of partition %d; not heard: %s", m.Offset, m.Partition, strings.Join(left, ", ")).With(fs)
+	return apierror.New(apierror.WithdrawalOpen, "the mark stands at offset %d of partition %d; not heard: %s", m.Offset, m.Partition, strings.Join(left, ", ")).WithFaults(fs)
 }
--- a/internal/client/withdraw_test.go
+++ b/internal/client/withdraw_test.go
@@ -120,7 +120,7 @@
 	k := "k"
 	v.Set([]membership.Info{{Name: "a1", Keys: true}, {Name: "a2"}})
 	_, err := s.submit(t.Context(), &Task{Key: &k}, &leader.Task{})
-	assert.Assert(t, apierror.Has(err, apierror.NotReady), "%v", err)
+	assert.Assert(t, apierror.HasCode(err, apierror.NotReady), "%v", err)
 	assert.ErrorContains(t, err, "a2")
 }
 
@@ -157,7 +157,7 @@
 					assert.NilError(t, err)
 					return
 				}
-				assert.Assert(t, apierror.Has(err, apierror.WithdrawalOpen), "%v", err)
+				assert.Assert(t, apierror.HasCode(err, apierror.WithdrawalOpen), "%v", err)
 				assert.ErrorContains(t, err, "offset 7 of partition 3")
 				assert.ErrorContains(t, err, c.say)
 			})
--- a/internal/command/cli/caller.go
+++ b/internal/command/cli/caller.go
@@ -187,7 +187,7 @@
 
 func turned(a *http.Response, b []byte) error {
 	var p struct {
-		Code   apierror.Kind    `json:"code"`
+		Code   apierror.Code    `json:"code"`
 		Say    string           `json:"say"`
 		Advice string           `json:"advice"`
 		Faults []apierror.Fault `json:"faults"`
@@ -198,10 +198,10 @@
 	}
 	s := p.Say
 	for _, f := range p.Faults {
-		s += "\n  " + f.Place + ": " + f.Say
+		s += "\n  " + f.Path + ": " + f.Message
 	}
 	q := apierror.New(p.Code, "%s\n%s", s, p.Advice)
-	q.RetryMS = p.Retry
+	q.RetryAfterMS = p.Retry
 	return q
 }
 
--- a/internal/command/serve/patience.go
+++ b/internal/command/serve/patience.go
@@ -61,10 +61,10 @@
 	ended  bool
 }
 
-var lasting = map[apierror.Kind]bool{apierror.DiskFull: true, apierror.DiskFailed: true}
+var lasting = map[apierror.Code]bool{apierror.DiskFull: true, apierror.DiskFailed: true}
 
 func passing(err error) bool {
-	return apierror.Has(err, apierror.Held)
+	return apierror.HasCode(err, apierror.StillHeld)
 }
 
 func patient[T any](p *patience, f func() (T, error)) (T, error) {
@@ -75,7 +75,7 @@
 		if err == nil {
 			return x, nil
 		}
-		k := apierror.Of(err).Kind
+		k := apierror.From(err).Code
 		if !lasting[k] && (!passing(err) || p.clk.Now().Sub(begun) > p.bounds.Recovery) {
 			return x, err
 		}
@@ -112,9 +112,9 @@
 	}
 	l, err := c.Listen(context.Background(), "tcp", d.Address)
 	if errors.Is(err, syscall.EADDRINUSE) {
-		return nil, apierror.Wrap(apierror.Held, err, "%s %s", d.Field, d.Address)
+		return nil, apierror.Wrap(apierror.StillHeld, err, "%s %s", d.Field, d.Address)
 	}
-	return l, apierror.Wrap(apierror.OptionsBad, err, "%s %s", d.Field, d.Address)
+	return l, apierror.Wrap(apierror.SettingsInvalid, err, "%s %s", d.Field, d.Address)
 }
 
 // serve serves a door, and opens its port again should it break.
--- a/internal/command/serve/process_test.go
+++ b/internal/command/serve/process_test.go
@@ -119,8 +119,8 @@
 
 // A port that stays held ends the start after the recovery bound; a disk that takes no writes never does; what can't pass does at once.
 func TestPatience(t *testing.T) {
-	for k, want := range map[apierror.Kind]time.Duration{
-		apierror.Held: settings.DefaultBounds.Recovery, apierror.DiskFull: time.Hour, apierror.DiskFailed: time.Hour, apierror.OptionsBad: 0, apierror.DiskForeign: 0,
+	for k, want := range map[apierror.Code]time.Duration{
+		apierror.StillHeld: settings.DefaultBounds.Recovery, apierror.DiskFull: time.Hour, apierror.DiskFailed: time.Hour, apierror.SettingsInvalid: 0, apierror.DiskForeign: 0,
 	} {
 		t.Run(string(k), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -130,7 +130,7 @@
 				defer end.Stop()
 				at := time.Now()
 				_, err := patient(p, func() (int, error) { return 0, apierror.New(k, "not now") })
-				assert.Assert(t, apierror.Has(err, k))
+				assert.Assert(t, apierror.HasCode(err, k))
 				got := time.Since(at)
 				assert.Assert(t, got >= want && got <= want+settings.DefaultBounds.Retry(), "%s", got)
 			})
--- a/internal/command/serve/serve.go
+++ b/internal/command/serve/serve.go
@@ -127,7 +127,7 @@
 		defer release()
 		g, err := patient(p, func() (*walog.Log, error) {
 			g, err := walog.Open(o.Data)
-			if apierror.Has(err, apierror.DiskDamaged) {
+			if apierror.HasCode(err, apierror.DiskDamaged) {
 				log.Say(event.DiskDamaged, "problem", err)
 				err = g.SetAside()
 			}
@@ -240,7 +240,7 @@
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		_ = f.Close()
-		return nil, apierror.Wrap(apierror.Held, err, "data folder %s is in use by another process", dir)
+		return nil, apierror.Wrap(apierror.StillHeld, err, "data folder %s is in use by another process", dir)
 	}
 	return func() { _ = f.Close() }, nil
 }
@@ -249,7 +249,7 @@
 func folder(err error, dir string) error {
 	k := apierror.DiskFailed
 	if errors.Is(err, os.ErrPermission) || errors.Is(err, syscall.ENOTDIR) || errors.Is(err, syscall.EROFS) {
-		k = apierror.OptionsBad
+		k = apierror.SettingsInvalid
 	}
 	return apierror.Wrap(k, err, "data folder %s", dir)
 }
--- a/internal/command/serve/serve_test.go
+++ b/internal/command/serve/serve_test.go
@@ -50,7 +50,7 @@
 			}
 		}
 		assert.Equal(t, got, want)
-		assert.Assert(t, apierror.Has(err, apierror.OptionsBad))
+		assert.Assert(t, apierror.HasCode(err, apierror.SettingsInvalid))
 	}
 }
 
--- a/internal/configuration/description.go
+++ b/internal/configuration/description.go
@@ -77,12 +77,12 @@
 	}
 	if len(f) > 0 {
 		more := slices.DeleteFunc(lenient(b), func(m apierror.Fault) bool {
-			return slices.ContainsFunc(f, func(o apierror.Fault) bool { return o.Place == m.Place })
+			return slices.ContainsFunc(f, func(o apierror.Fault) bool { return o.Path == m.Path })
 		})
 		return d, Bad(append(f, more...))
 	}
 	if err := easyjson.Unmarshal(b, &d); err != nil {
-		return d, Bad([]apierror.Fault{{Place: "$", Say: err.Error()}})
+		return d, Bad([]apierror.Fault{{Path: "$", Message: err.Error()}})
 	}
 	return d, Bad(d.Faults())
 }
@@ -123,7 +123,7 @@
 	if len(f) == 0 {
 		return nil
 	}
-	return apierror.New(apierror.DescriptionBad, "the first fault is at %s: %s", f[0].Place, f[0].Say).With(f)
+	return apierror.New(apierror.ConfigurationInvalid, "the first fault is at %s: %s", f[0].Path, f[0].Message).WithFaults(f)
 }
 
 // Faults finds every fault of a description by itself.
@@ -131,7 +131,7 @@
 	var f []apierror.Fault
 	add := func(ok bool, place, say string, a ...any) {
 		if !ok {
-			f = append(f, apierror.Fault{Place: place, Say: fmt.Sprintf(say, a...)})
+			f = append(f, apierror.Fault{Path: place, Message: fmt.Sprintf(say, a...)})
 		}
 	}
 	add(d.Sequence == 0 || d.Sequence > d.Base, "$.sequence", "must be above base (%d) or left out, is %d", d.Base, d.Sequence)
@@ -193,7 +193,7 @@
 		in.each(s.path(), func(_ string, k int) bool {
 			o := d.Spaces[k]
 			if o.Urgent != s.Urgent {
-				f = append(f, apierror.Fault{Place: fmt.Sprintf("$.spaces[%d].urgent", i), Say: fmt.Sprintf("must be that of %q, whose topics those of %q are a part of", o.Name, s.Name)})
+				f = append(f, apierror.Fault{Path: fmt.Sprintf("$.spaces[%d].urgent", i), Message: fmt.Sprintf("must be that of %q, whose topics those of %q are a part of", o.Name, s.Name)})
 				return false
 			}
 			return true
@@ -237,7 +237,7 @@
 	var f []apierror.Fault
 	for i, s := range d.Spaces {
 		if o, ok := was[s.path()]; ok && o.Urgent != s.Urgent {
-			f = append(f, apierror.Fault{Place: fmt.Sprintf("$.spaces[%d].urgent", i), Say: fmt.Sprintf("of the standing space %q can't change; make a new space", o.Name)})
+			f = append(f, apierror.Fault{Path: fmt.Sprintf("$.spaces[%d].urgent", i), Message: fmt.Sprintf("of the standing space %q can't change; make a new space", o.Name)})
 		}
 	}
 	return Bad(f)
--- a/internal/configuration/description_test.go
+++ b/internal/configuration/description_test.go
@@ -23,8 +23,8 @@
 		return ""
 	}
 	var fs []string
-	for _, f := range apierror.Of(err).Faults {
-		fs = append(fs, f.Place+" "+f.Say)
+	for _, f := range apierror.From(err).Faults {
+		fs = append(fs, f.Path+" "+f.Message)
 	}
 	return strings.Join(fs, "; ")
 }
@@ -59,7 +59,7 @@
 	} {
 		assert.Equal(t, faults(t, c.doc), c.want, c.doc)
 	}
-	assert.Equal(t, Description{Sequence: 1, Source: "\xff"}.Faults()[0], apierror.Fault{Place: "$.source", Say: "must be UTF-8"})
+	assert.Equal(t, Description{Sequence: 1, Source: "\xff"}.Faults()[0], apierror.Fault{Path: "$.source", Message: "must be UTF-8"})
 }
 
 func TestLimits(t *testing.T) {
@@ -70,11 +70,11 @@
 	d.Source = strings.Repeat("x", BytesMost)
 	assert.Equal(t, len(d.Faults()), 0)
 	d.Source += "x"
-	assert.Equal(t, d.Faults()[0].Say, "must have at most 4194304 bytes, has 4194305")
+	assert.Equal(t, d.Faults()[0].Message, "must have at most 4194304 bytes, has 4194305")
 	d.Source, d.Spaces = "", append(d.Spaces, open("q", false))
-	assert.Equal(t, d.Faults()[0].Say, "must be at most 4096, are 4097")
+	assert.Equal(t, d.Faults()[0].Message, "must be at most 4096, are 4097")
 	_, err := Parse(make([]byte, BytesMost+1))
-	assert.Assert(t, apierror.Has(err, apierror.Oversize), "%v", err)
+	assert.Assert(t, apierror.HasCode(err, apierror.Oversize), "%v", err)
 }
 
 func TestPackReadsBackAsItWas(t *testing.T) {
@@ -120,10 +120,10 @@
 	assert.Equal(t, x.Limits.Topics, 5)
 	for _, topic := range []string{"", "list", "j", "jka.b"} {
 		_, err := x.Find(topic)
-		assert.Assert(t, apierror.Has(err, apierror.UnknownSpace), "%q: %v", topic, err)
+		assert.Assert(t, apierror.HasCode(err, apierror.UnknownSpace), "%q: %v", topic, err)
 	}
 	_, err := NewIndex(described(Space{Name: "list", Kind: Kept, Topics: []string{"a"}})).Find("list/b")
-	assert.Assert(t, apierror.Has(err, apierror.UnknownTopic), "%v", err)
+	assert.Assert(t, apierror.HasCode(err, apierror.UnknownTopic), "%v", err)
 	s, err = NewIndex(described(open("", false), open("ka.", false))).Find("anything")
 	assert.NilError(t, err)
 	assert.Equal(t, s.Name, "n-")
@@ -188,9 +188,9 @@
 	_, err = r.Check(described(open("u1.x", true)), described())
 	assert.NilError(t, err)
 	_, err = r.Check(described(open("r7.", true)), described())
-	assert.Assert(t, apierror.Has(err, apierror.DescriptionBad), "%v", err)
+	assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationInvalid), "%v", err)
 	_, err = r.Check(described(open("u1.", false)), described())
-	assert.Assert(t, apierror.Has(err, apierror.DescriptionBad), "%v", err)
+	assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationInvalid), "%v", err)
 	_, err = r.Check(described(), rest)
 	assert.ErrorContains(t, err, "would make 4096 removed urgent spaces, 4095 can be kept")
 }
--- a/internal/configuration/index.go
+++ b/internal/configuration/index.go
@@ -111,11 +111,11 @@
 	}
 	n, _, ok := strings.Cut(topic, "/")
 	if ok && x.names[n] {
-		return Space{}, apierror.New(apierror.UnknownTopic, "description %d has no topic %q", x.Sequence, topic).At(x.Sequence)
+		return Space{}, apierror.New(apierror.UnknownTopic, "description %d has no topic %q", x.Sequence, topic).WithCurrent(x.Sequence)
 	}
 	say := "description %d has no space for %q; topics are written space/topic"
 	if len(x.open.by) > 0 {
 		say = "description %d has no space for %q; topics are written space/topic or begin with the prefix of a space"
 	}
-	return Space{}, apierror.New(apierror.UnknownSpace, say, x.Sequence, topic).At(x.Sequence)
+	return Space{}, apierror.New(apierror.UnknownSpace, say, x.Sequence, topic).WithCurrent(x.Sequence)
 }
--- a/internal/configuration/lanes.go
+++ b/internal/configuration/lanes.go
@@ -118,7 +118,7 @@
 	}
 	var f []apierror.Fault
 	for _, l := range d.KeptLanes() {
-		f = append(f, apierror.Fault{Place: fmt.Sprintf("$.spaces[%d].urgent", l.space), Say: fmt.Sprintf("must be %v, where the lines of %q stand, or standing_lanes be true", l.Urgent, l.Prefix)})
+		f = append(f, apierror.Fault{Path: fmt.Sprintf("$.spaces[%d].urgent", l.space), Message: fmt.Sprintf("must be %v, where the lines of %q stand, or standing_lanes be true", l.Urgent, l.Prefix)})
 	}
 	return Bad(f)
 }
--- a/internal/configuration/retired.go
+++ b/internal/configuration/retired.go
@@ -96,7 +96,7 @@
 	var f []apierror.Fault
 	for i, s := range d.Spaces {
 		if say, ok := faults[s.path()]; ok {
-			f = append(f, apierror.Fault{Place: fmt.Sprintf("$.spaces[%d].urgent", i), Say: say})
+			f = append(f, apierror.Fault{Path: fmt.Sprintf("$.spaces[%d].urgent", i), Message: say})
 		}
 	}
 	return r.add(d, cur), Bad(append(f, r.full()...))
@@ -130,5 +130,5 @@
 	if len(r) <= RetiredMost {
 		return nil
 	}
-	return []apierror.Fault{{Place: "$.spaces", Say: fmt.Sprintf("would make %d removed urgent spaces, %d can be kept; keep some or bring some back", len(r)-1, RetiredMost-1)}}
+	return []apierror.Fault{{Path: "$.spaces", Message: fmt.Sprintf("would make %d removed urgent spaces, %d can be kept; keep some or bring some back", len(r)-1, RetiredMost-1)}}
 }
--- a/internal/configuration/strictjson/strict.go
+++ b/internal/configuration/strictjson/strict.go
@@ -51,7 +51,7 @@
 
 func (w *walker) add(place, say string, a ...any) {
 	if len(w.f) < faultsMost {
-		w.f = append(w.f, apierror.Fault{Place: place, Say: fmt.Sprintf(say, a...)})
+		w.f = append(w.f, apierror.Fault{Path: place, Message: fmt.Sprintf(say, a...)})
 	}
 }
 
--- a/internal/control/acceptor/voter.go
+++ b/internal/control/acceptor/voter.go
@@ -139,10 +139,10 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.roster.Sequence != b.Roster || b.Roster == 0 {
-		return Slot{}, apierror.New(apierror.StaleRoster, "the ballot is under roster %d, this voter under %d", b.Roster, v.roster.Sequence).At(v.roster.Sequence)
+		return Slot{}, apierror.New(apierror.StaleVoterSet, "the ballot is under roster %d, this voter under %d", b.Roster, v.roster.Sequence).WithCurrent(v.roster.Sequence)
 	}
 	if v.sealed() && b.Key != RosterKey {
-		return Slot{}, apierror.New(apierror.StaleRoster, "roster %d is sealed", v.roster.Sequence).At(v.roster.Sequence)
+		return Slot{}, apierror.New(apierror.StaleVoterSet, "roster %d is sealed", v.roster.Sequence).WithCurrent(v.roster.Sequence)
 	}
 	return v.slots[b.Key], nil
 }
@@ -237,10 +237,10 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.roster.Sequence != q.Roster || q.Roster == 0 || v.sealed() && !q.Sealed {
-		return nil, apierror.New(apierror.StaleRoster, "the peek is under roster %d, this voter under %d", q.Roster, v.roster.Sequence).At(v.roster.Sequence)
+		return nil, apierror.New(apierror.StaleVoterSet, "the peek is under roster %d, this voter under %d", q.Roster, v.roster.Sequence).WithCurrent(v.roster.Sequence)
 	}
 	if q.Sealed && !v.sealed() {
-		return nil, apierror.New(apierror.StaleRoster, "roster %d is not sealed here", v.roster.Sequence)
+		return nil, apierror.New(apierror.StaleVoterSet, "roster %d is not sealed here", v.roster.Sequence)
 	}
 	a := &PeekResponse{Slots: map[string]Slot{}}
 	add := func(k string, s Slot) {
@@ -277,7 +277,7 @@
 		return &Done{}, nil
 	}
 	if q.Founding && (f == nil || f.Fleet != q.Roster.Fleet) {
-		return nil, apierror.New(apierror.StaleRoster, "another founding was agreed to since")
+		return nil, apierror.New(apierror.StaleVoterSet, "another founding was agreed to since")
 	}
 	if cur.Sequence > 0 && cur.Fleet != q.Roster.Fleet {
 		return nil, apierror.New(apierror.DiskForeign, "this disk is of fleet %s", cur.Fleet)
@@ -312,7 +312,7 @@
 	}
 	defer t.Back()
 	if cur := v.Roster(); cur.Sequence > 0 {
-		return nil, apierror.New(apierror.StaleRoster, "this disk is under roster %d already", cur.Sequence).At(cur.Sequence)
+		return nil, apierror.New(apierror.StaleVoterSet, "this disk is under roster %d already", cur.Sequence).WithCurrent(cur.Sequence)
 	}
 	if err := v.agree(q.Roster); err != nil {
 		return nil, err
--- a/internal/control/acceptor/voter_test.go
+++ b/internal/control/acceptor/voter_test.go
@@ -82,9 +82,9 @@
 	d.Wipe()
 	v := boot(t, d, "i9")
 	_, err := v.Promise(ctx, &PromiseRequest{Ballot: ballot("k"), Epoch: at(1, "c1")})
-	assert.Assert(t, apierror.Has(err, apierror.WrongDisk), "%v", err)
+	assert.Assert(t, apierror.HasCode(err, apierror.WrongDisk), "%v", err)
 	_, err = v.Open(ctx, &OpenRequest{Incarnation: "i1", Roster: first()})
-	assert.Assert(t, apierror.Has(err, apierror.WrongDisk), "%v", err)
+	assert.Assert(t, apierror.HasCode(err, apierror.WrongDisk), "%v", err)
 }
 
 func TestRosterSequenceVoidsOtherBallots(t *testing.T) {
@@ -92,12 +92,12 @@
 	b := ballot("k")
 	b.Roster = 2
 	_, err := v.Accept(ctx, &AcceptRequest{Ballot: b, Epoch: at(9, "c1"), Value: Value{Writes: 1}})
-	assert.Assert(t, apierror.Has(err, apierror.StaleRoster), "%v", err)
+	assert.Assert(t, apierror.HasCode(err, apierror.StaleVoterSet), "%v", err)
 	n := first().Replace(voters.Seat{Node: "c3", Incarnation: "j3"})
 	_, err = v.Open(ctx, &OpenRequest{Incarnation: "i1", Roster: n, Slots: map[string]Slot{"k": {Accepted: at(4, "c2"), Value: Value{Writes: 7}}}})
 	assert.NilError(t, err)
 	_, err = v.Promise(ctx, &PromiseRequest{Ballot: ballot("k"), Epoch: at(9, "c1")})
-	assert.Assert(t, apierror.Has(err, apierror.StaleRoster), "%v", err)
+	assert.Assert(t, apierror.HasCode(err, apierror.StaleVoterSet), "%v", err)
 	a, err := v.Promise(ctx, &PromiseRequest{Ballot: b, Epoch: at(4, "c1")})
 	assert.NilError(t, err)
 	assert.Assert(t, !a.OK, "below what was accepted")
@@ -112,11 +112,11 @@
 	assert.NilError(t, err)
 	assert.Assert(t, a.OK)
 	_, err = v.Accept(ctx, &AcceptRequest{Ballot: ballot("k"), Epoch: at(9, "c1"), Value: Value{Writes: 1}})
-	assert.Assert(t, apierror.Has(err, apierror.StaleRoster), "%v", err)
+	assert.Assert(t, apierror.HasCode(err, apierror.StaleVoterSet), "%v", err)
 	_, err = v.Promise(ctx, &PromiseRequest{Ballot: ballot("k"), Epoch: at(9, "c1")})
-	assert.Assert(t, apierror.Has(err, apierror.StaleRoster), "%v", err)
+	assert.Assert(t, apierror.HasCode(err, apierror.StaleVoterSet), "%v", err)
 	_, err = v.Peek(ctx, &PeekRequest{Roster: 1, Incarnation: "i1"})
-	assert.Assert(t, apierror.Has(err, apierror.StaleRoster), "%v", err)
+	assert.Assert(t, apierror.HasCode(err, apierror.StaleVoterSet), "%v", err)
 	_, err = v.Peek(ctx, &PeekRequest{Roster: 1, Incarnation: "i1", Sealed: true})
 	assert.NilError(t, err)
 }
--- a/internal/control/bootstrap/founding.go
+++ b/internal/control/bootstrap/founding.go
@@ -31,7 +31,7 @@
 // A fleet that stands already, seen at any of them, ends the plan.
 func (f *Founder) Plan(ctx context.Context) (voters.Roster, error) {
 	if f.opts.Founding == settings.FoundNever {
-		return voters.Roster{}, apierror.New(apierror.NotFounded, "this disk came back empty: it founds nothing and waits for a seat")
+		return voters.Roster{}, apierror.New(apierror.NotBootstrapped, "this disk came back empty: it founds nothing and waits for a seat")
 	}
 	addrs := f.opts.Founders
 	named := len(addrs) > 0
@@ -56,17 +56,17 @@
 		return h.Info, nil
 	}, nil)
 	if err := quorum.First(as); err != nil || len(as) < len(addrs) {
-		return voters.Roster{}, apierror.Because(apierror.NotFounded, err, "%d of %d founding addresses answered", len(quorum.Good(as)), len(addrs))
+		return voters.Roster{}, apierror.WithCause(apierror.NotBootstrapped, err, "%d of %d founding addresses answered", len(quorum.Good(as)), len(addrs))
 	}
 	var seats []voters.Seat
 	for _, a := range as {
 		if a.A.Roster > 0 {
-			return voters.Roster{}, apierror.New(apierror.StaleRoster, "%s is under roster %d already", a.A.Name, a.A.Roster).At(a.A.Roster)
+			return voters.Roster{}, apierror.New(apierror.StaleVoterSet, "%s is under roster %d already", a.A.Name, a.A.Roster).WithCurrent(a.A.Roster)
 		}
 		if a.A.Disk == settings.DiskControl {
 			seats = append(seats, voters.Seat{Node: a.A.Name, Addr: a.A.Peers, Incarnation: a.A.Incarnation})
 		} else if named {
-			return voters.Roster{}, apierror.New(apierror.NotFounded, "founder %s at %s has no control disk", a.A.Name, a.Who)
+			return voters.Roster{}, apierror.New(apierror.NotBootstrapped, "founder %s at %s has no control disk", a.A.Name, a.Who)
 		}
 	}
 	if len(seats) == 0 && seeds {
@@ -74,7 +74,7 @@
 		seats = []voters.Seat{{Node: i.Name, Addr: i.Peers, Incarnation: i.Incarnation}}
 	}
 	if len(seats) == 0 {
-		return voters.Roster{}, apierror.New(apierror.NotFounded, "no founding address has a control disk")
+		return voters.Roster{}, apierror.New(apierror.NotBootstrapped, "no founding address has a control disk")
 	}
 	return voters.Found(seats, voters.Layout{Routine: f.opts.Routine, Urgent: f.opts.Urgent, Losses: f.opts.Losses}), nil
 }
@@ -86,7 +86,7 @@
 		return err
 	}
 	if p.Fleet != r.Fleet || p.Layout != r.Layout {
-		return apierror.New(apierror.NotFounded, "this node would found with %s, not %s; check seeds, founders and partitions", names(p), names(r))
+		return apierror.New(apierror.NotBootstrapped, "this node would found with %s, not %s; check seeds, founders and partitions", names(p), names(r))
 	}
 	return nil
 }
@@ -107,7 +107,7 @@
 		_, err := Leave.Call(cx, f.net, f.opts.Name, a, &LeaveRequest{Node: f.opts.Name, Incarnation: r.Seats[0].Incarnation})
 		stop()
 		if err != nil {
-			return apierror.Because(apierror.NotFounded, err, "no seed has a control disk, and %s gave no leave to found alone", a)
+			return apierror.WithCause(apierror.NotBootstrapped, err, "no seed has a control disk, and %s gave no leave to found alone", a)
 		}
 	}
 	return nil
@@ -120,7 +120,7 @@
 		return r, err
 	}
 	if r.Seats[0].Node != f.opts.Name {
-		return r, apierror.New(apierror.NotFounded, "%s founds the fleet", r.Seats[0].Node)
+		return r, apierror.New(apierror.NotBootstrapped, "%s founds the fleet", r.Seats[0].Node)
 	}
 	if f.opts.Founding == settings.FoundSeeds && len(f.opts.Founders) == 0 && !slices.Contains(f.opts.Seeds, f.opts.Reached()) {
 		if err := f.leave(ctx, r); err != nil {
@@ -134,7 +134,7 @@
 			return do(cx, s)
 		}, nil)
 		if err := quorum.First(as); err != nil || len(as) < len(r.Seats) {
-			return apierror.Because(apierror.NotFounded, err, "%d of %d founding disks agreed", len(quorum.Good(as)), len(r.Seats))
+			return apierror.WithCause(apierror.NotBootstrapped, err, "%d of %d founding disks agreed", len(quorum.Good(as)), len(r.Seats))
 		}
 		return nil
 	}
--- a/internal/control/bootstrap/leave.go
+++ b/internal/control/bootstrap/leave.go
@@ -37,10 +37,10 @@
 // Leave gives leave to the first that asks.
 func (l *Leaves) Leave(_ context.Context, q *LeaveRequest) (*acceptor.Done, error) {
 	if r := l.roster(); r > 0 {
-		return nil, apierror.New(apierror.StaleRoster, "the fleet is under roster %d already", r).At(r)
+		return nil, apierror.New(apierror.StaleVoterSet, "the fleet is under roster %d already", r).WithCurrent(r)
 	}
 	if l.opts.Founding != settings.FoundSeeds || l.opts.Voter() {
-		return nil, apierror.New(apierror.NotFounded, "%s gives no leave to found", l.opts.Name)
+		return nil, apierror.New(apierror.NotBootstrapped, "%s gives no leave to found", l.opts.Name)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -48,7 +48,7 @@
 		l.given = *q
 	}
 	if l.given != *q {
-		return nil, apierror.New(apierror.NotFounded, "%s founds the fleet", l.given.Node)
+		return nil, apierror.New(apierror.NotBootstrapped, "%s founds the fleet", l.given.Node)
 	}
 	return &acceptor.Done{}, nil
 }
--- a/internal/control/quorumread/confirm.go
+++ b/internal/control/quorumread/confirm.go
@@ -154,7 +154,7 @@
 func (f *Confirmer) reach(as peeks, majority int) {
 	n := 0
 	for _, a := range as {
-		if !apierror.Has(a.Err, apierror.Unreachable) {
+		if !apierror.HasCode(a.Err, apierror.Unreachable) {
 			n++
 		}
 	}
--- a/internal/control/quorumread/confirm_test.go
+++ b/internal/control/quorumread/confirm_test.go
@@ -23,10 +23,10 @@
 // voterSet are three disks that answer questions as they are told to.
 type voterSet struct {
 	mu  sync.Mutex
-	say map[string]apierror.Kind
+	say map[string]apierror.Code
 }
 
-func (v *voterSet) set(addr string, k apierror.Kind) {
+func (v *voterSet) set(addr string, k apierror.Code) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.say[addr] = k
@@ -65,22 +65,22 @@
 		b, bounds := gossip.NewBoard(nil), settings.DefaultBounds
 		r := voters.Found([]voters.Seat{{Node: "c1", Addr: "c1"}, {Node: "c2", Addr: "c2"}, {Node: "c3", Addr: "c3"}}, voters.Layout{Routine: 1})
 		b.Offer(gossip.News{Roster: &r})
-		v := &voterSet{say: map[string]apierror.Kind{}}
+		v := &voterSet{say: map[string]apierror.Code{}}
 		h := register.New("c1", v, clock.Real{}, bounds, peers{b}, func(string, acceptor.Value) {})
 		f := &Confirmer{Self: "c1", Net: v, Clock: clock.Real{}, Bounds: bounds, Board: b, Holder: h}
 		assert.Assert(t, !f.Latest().Apart)
 		go f.Run(ctx)
 		for _, x := range []struct {
 			name  string
-			say   map[string]apierror.Kind
+			say   map[string]apierror.Code
 			apart bool
 		}{
 			{"all answer", nil, false},
-			{"one is silent", map[string]apierror.Kind{"c3": apierror.Unreachable}, false},
-			{"two are silent", map[string]apierror.Kind{"c2": apierror.Unreachable, "c3": apierror.Unreachable}, true},
+			{"one is silent", map[string]apierror.Code{"c3": apierror.Unreachable}, false},
+			{"two are silent", map[string]apierror.Code{"c2": apierror.Unreachable, "c3": apierror.Unreachable}, true},
 			{"all are back", nil, false},
-			{"the roster changes", map[string]apierror.Kind{"c1": apierror.StaleRoster, "c2": apierror.StaleRoster, "c3": apierror.StaleRoster}, false},
-			{"it changes and two are silent", map[string]apierror.Kind{"c1": apierror.StaleRoster, "c2": apierror.Unreachable, "c3": apierror.Unreachable}, true},
+			{"the roster changes", map[string]apierror.Code{"c1": apierror.StaleVoterSet, "c2": apierror.StaleVoterSet, "c3": apierror.StaleVoterSet}, false},
+			{"it changes and two are silent", map[string]apierror.Code{"c1": apierror.StaleVoterSet, "c2": apierror.Unreachable, "c3": apierror.Unreachable}, true},
 		} {
 			for _, n := range []string{"c1", "c2", "c3"} {
 				v.set(n, x.say[n])
--- a/internal/control/reconfig/reform.go
+++ b/internal/control/reconfig/reform.go
@@ -50,7 +50,7 @@
 		return len(quorum.Good(as)) >= next.Majority()
 	})
 	if n := len(quorum.Good(as)); n < next.Majority() {
-		return voters.Roster{}, apierror.Because(apierror.NoMajority, quorum.First(as), "roster %d was opened on %d of %d disks", next.Sequence, n, len(next.Seats))
+		return voters.Roster{}, apierror.WithCause(apierror.NoMajority, quorum.First(as), "roster %d was opened on %d of %d disks", next.Sequence, n, len(next.Seats))
 	}
 	return next, nil
 }
@@ -108,11 +108,11 @@
 
 func (f *Reformer) short(r voters.Roster, as []quorum.Answer[voters.Seat, *acceptor.SlotResponse], verb string) error {
 	for _, a := range as {
-		if apierror.Has(a.Err, apierror.StaleRoster) {
+		if apierror.HasCode(a.Err, apierror.StaleVoterSet) {
 			return a.Err
 		}
 	}
-	return apierror.Because(apierror.NoMajority, quorum.First(as), "%d of %d disks %s a change of roster %d", f.ok(as), len(r.Seats), verb, r.Sequence)
+	return apierror.WithCause(apierror.NoMajority, quorum.First(as), "%d of %d disks %s a change of roster %d", f.ok(as), len(r.Seats), verb, r.Sequence)
 }
 
 func (f *Reformer) copy(ctx context.Context, r voters.Roster) (map[string]acceptor.Slot, error) {
@@ -124,7 +124,7 @@
 		return acceptor.Peek.Call(cx, f.net, f.self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Sealed: true})
 	}, enough)
 	if !enough(as) {
-		return nil, apierror.Because(apierror.NoMajority, quorum.First(as), "%d of the %d intact disks needed gave their keys", len(quorum.Good(as)), r.Intact())
+		return nil, apierror.WithCause(apierror.NoMajority, quorum.First(as), "%d of the %d intact disks needed gave their keys", len(quorum.Good(as)), r.Intact())
 	}
 	copies := map[string][]acceptor.Slot{}
 	for _, a := range quorum.Good(as) {
--- a/internal/control/reconfigurer/steward.go
+++ b/internal/control/reconfigurer/steward.go
@@ -276,7 +276,7 @@
 	s.Log.Say(event.RosterChange, "from", r.Sequence, "reason", why)
 	n, err := s.Reformer.Change(ctx, r, want)
 	if err != nil {
-		if !apierror.Has(err, apierror.StaleRoster) {
+		if !apierror.HasCode(err, apierror.StaleVoterSet) {
 			s.Log.Say(event.RosterTrouble, "problem", err)
 		}
 		return
--- a/internal/control/register/holder.go
+++ b/internal/control/register/holder.go
@@ -116,7 +116,7 @@
 	return h.leaving
 }
 
-var passing = map[apierror.Kind]bool{apierror.Unreachable: true, apierror.NotHolder: true, apierror.Leaving: true, apierror.NotFounded: true}
+var passing = map[apierror.Code]bool{apierror.Unreachable: true, apierror.NotKeyLeader: true, apierror.ShuttingDown: true, apierror.NotBootstrapped: true}
 
 // Change has a change on a majority before it answers.
 func (h *Holder) Change(ctx context.Context, q *ChangeRequest) (*acceptor.Value, error) {
@@ -125,15 +125,15 @@
 		if a, ok := h.elsewhere(q.Key); ok && n.Handed < handsMost {
 			n.Handed++
 			v, err := toldBy(ctx, h, func(cx context.Context) (*acceptor.Value, error) { return Change.Call(cx, h.net, h.self, a, &n) })
-			if err == nil || !passing[apierror.Of(err).Kind] {
+			if err == nil || !passing[apierror.From(err).Code] {
 				return v, h.clear(err, doubt, q)
 			}
-			doubt = doubt || apierror.Has(err, apierror.Unreachable)
+			doubt = doubt || apierror.HasCode(err, apierror.Unreachable)
 			h.forget(q.Key)
 			n.Handed = handsMost
 		}
 		v, err := h.change(ctx, q, doubt, n.Handed < handsMost)
-		if _, ok := h.elsewhere(q.Key); ok && apierror.Has(err, apierror.NotHolder) && n.Handed < handsMost {
+		if _, ok := h.elsewhere(q.Key); ok && apierror.HasCode(err, apierror.NotKeyLeader) && n.Handed < handsMost {
 			continue
 		}
 		return v, err
@@ -148,7 +148,7 @@
 }
 
 func (h *Holder) clear(err error, doubt bool, q *ChangeRequest) error {
-	if doubt && apierror.Has(err, apierror.StaleBase) {
+	if doubt && apierror.HasCode(err, apierror.StaleBase) {
 		return apierror.New(apierror.NoMajority, "%s changed while the holder of the key was lost; the outcome is not known", q.Key)
 	}
 	return err
@@ -169,10 +169,10 @@
 	}
 	if v.value.Writes != q.Base && !h.confirm(ctx, q.Key, v) {
 		h.edit(q.Key, func(x *held) { x.sure = false })
-		return nil, apierror.New(apierror.NotHolder, "%s was claimed elsewhere", q.Key)
+		return nil, apierror.New(apierror.NotKeyLeader, "%s was claimed elsewhere", q.Key)
 	}
 	if v.value.Writes != q.Base {
-		return nil, h.clear(apierror.New(apierror.StaleBase, "%s was written %d times, the change builds on %d", q.Key, v.value.Writes, q.Base).At(v.value.Writes), doubt, q)
+		return nil, h.clear(apierror.New(apierror.StaleBase, "%s was written %d times, the change builds on %d", q.Key, v.value.Writes, q.Base).WithCurrent(v.value.Writes), doubt, q)
 	}
 	n := acceptor.Value{Writes: q.Base + 1, By: q.By, Body: q.Body, Memory: q.Memory}
 	if err := h.accept(ctx, q.Key, v, n); err != nil {
@@ -200,7 +200,7 @@
 			handed = handsMost
 		}
 		v, err := h.read(ctx, q.Key, handed < handsMost)
-		if _, ok := h.elsewhere(q.Key); ok && apierror.Has(err, apierror.NotHolder) && handed < handsMost {
+		if _, ok := h.elsewhere(q.Key); ok && apierror.HasCode(err, apierror.NotKeyLeader) && handed < handsMost {
 			continue
 		}
 		return v, err
@@ -220,7 +220,7 @@
 		}
 		h.edit(k, func(x *held) { x.sure = false })
 		if _, ok := h.elsewhere(k); ok && polite {
-			return nil, apierror.New(apierror.NotHolder, "%s was claimed elsewhere", k)
+			return nil, apierror.New(apierror.NotKeyLeader, "%s was claimed elsewhere", k)
 		}
 	}
 	if v, ok := h.Glance(ctx, k); ok {
@@ -347,28 +347,28 @@
 	for try := 0; ; try++ {
 		r := h.peers.Roster()
 		if r.Sequence == 0 {
-			return held{}, apierror.New(apierror.NotFounded, "no roster of control disks is known")
+			return held{}, apierror.New(apierror.NotBootstrapped, "no roster of control disks is known")
 		}
 		v := h.get(k)
 		if v.sure && v.roster == r.Sequence {
 			return v, nil
 		}
 		if h.isLeaving() {
-			return held{}, apierror.New(apierror.Leaving, "this control node is stopping")
+			return held{}, apierror.New(apierror.ShuttingDown, "this control node is stopping")
 		}
 		begun := h.clk.Now()
 		v, err := h.claim(ctx, k, r)
 		if err == nil {
 			return v, nil
 		}
-		if _, ok := h.elsewhere(k); ok && polite && apierror.Has(err, apierror.NotHolder) {
+		if _, ok := h.elsewhere(k); ok && polite && apierror.HasCode(err, apierror.NotKeyLeader) {
 			return held{}, err
 		}
-		if try == claimTries || ctx.Err() != nil || apierror.Has(err, apierror.StaleRoster) {
+		if try == claimTries || ctx.Err() != nil || apierror.HasCode(err, apierror.StaleVoterSet) {
 			return held{}, err
 		}
 		pause := h.bounds.Grown(claimPace*try) / 2
-		if apierror.Has(err, apierror.NotHolder) {
+		if apierror.HasCode(err, apierror.NotKeyLeader) {
 			pause = max(pause, min(h.clk.Now().Sub(begun), h.bounds.Hand()))
 		}
 		if e := h.clk.Sleep(ctx, clock.Jitter(pause, 2, rand.Float64())); e != nil {
@@ -392,7 +392,7 @@
 func refusals(as slotResponses) int {
 	n := 0
 	for _, a := range as {
-		if a.Err == nil && !a.A.OK || apierror.Has(a.Err, apierror.StaleRoster) || apierror.Has(a.Err, apierror.WrongDisk) {
+		if a.Err == nil && !a.A.OK || apierror.HasCode(a.Err, apierror.StaleVoterSet) || apierror.HasCode(a.Err, apierror.WrongDisk) {
 			n++
 		}
 	}
@@ -406,11 +406,11 @@
 	for _, a := range quorum.Good(as) {
 		if !a.A.OK {
 			h.Hint(k, a.A.Slot.Promised, a.A.Slot.Value.Successor)
-			return apierror.New(apierror.NotHolder, "%s is held under epoch %s", k, a.A.Slot.Promised)
+			return apierror.New(apierror.NotKeyLeader, "%s is held under epoch %s", k, a.A.Slot.Promised)
 		}
 	}
 	for _, a := range as {
-		if apierror.Has(a.Err, apierror.StaleRoster) {
+		if apierror.HasCode(a.Err, apierror.StaleVoterSet) {
 			return a.Err
 		}
 	}
@@ -469,7 +469,7 @@
 func (h *Holder) accept(ctx context.Context, k string, v held, n acceptor.Value) error {
 	r := h.peers.Roster()
 	if r.Sequence != v.roster {
-		return apierror.New(apierror.StaleRoster, "roster %d came into force", r.Sequence)
+		return apierror.New(apierror.StaleVoterSet, "roster %d came into force", r.Sequence)
 	}
 	h.edit(k, func(x *held) { x.sure, x.epoch = false, v.epoch })
 	h.count(&h.accepts)
@@ -483,7 +483,7 @@
 	case err := <-done:
 		return err
 	case <-ctx.Done():
-		return apierror.Because(apierror.NoMajority, ctx.Err(), "the outcome of writing %s is not known yet", k)
+		return apierror.WithCause(apierror.NoMajority, ctx.Err(), "the outcome of writing %s is not known yet", k)
 	}
 }
 
@@ -533,11 +533,11 @@
 		return Who.Call(cx, h.net, h.self, a, &WhoRequest{Key: k})
 	})
 	if err != nil || w.Holds {
-		return apierror.Because(apierror.NotHolder, err, "%s is held by %s", k, hint)
+		return apierror.WithCause(apierror.NotKeyLeader, err, "%s is held by %s", k, hint)
 	}
 	if _, live := h.peers.Live(w.Hint); live && w.Hint != h.self && w.Hint != hint {
 		h.edit(k, func(v *held) { v.hint = w.Hint })
-		return apierror.New(apierror.NotHolder, "%s does not hold %s and names %s", hint, k, w.Hint)
+		return apierror.New(apierror.NotKeyLeader, "%s does not hold %s and names %s", hint, k, w.Hint)
 	}
 	return h.take(ctx, k, false)
 }
--- a/internal/control/register/holder_test.go
+++ b/internal/control/register/holder_test.go
@@ -96,7 +96,7 @@
 				synctest.Wait()
 				assert.Equal(t, h.Holds("k"), x.claim, "%v", err)
 				assert.Equal(t, c.promised.Load() > 0, x.claim, "promises that were asked for")
-				assert.Equal(t, apierror.Has(err, apierror.NotHolder), !x.claim, "%v", err)
+				assert.Equal(t, apierror.HasCode(err, apierror.NotKeyLeader), !x.claim, "%v", err)
 				assert.Equal(t, h.Holder("k"), x.hint)
 			})
 		})
@@ -126,7 +126,7 @@
 			*v = held{epoch: mine, seen: mine, roster: net.Roster().Sequence, sure: true, hint: "c1", value: acceptor.Value{Writes: 4}}
 		})
 		_, err := h.change(t.Context(), &ChangeRequest{Key: "k", Base: 7}, false, true)
-		assert.Assert(t, apierror.Has(err, apierror.NotHolder), "%v", err)
+		assert.Assert(t, apierror.HasCode(err, apierror.NotKeyLeader), "%v", err)
 		assert.Assert(t, !h.Holds("k"))
 	})
 }
--- a/internal/control/registerclient/client.go
+++ b/internal/control/registerclient/client.go
@@ -96,7 +96,7 @@
 		case <-hx.Done():
 			halt()
 			if ctx.Err() != nil {
-				see(apierror.Because(apierror.Unreachable, ctx.Err(), "no control node answered in time"), open)
+				see(apierror.WithCause(apierror.Unreachable, ctx.Err(), "no control node answered in time"), open)
 				return a, false
 			}
 			ask()
@@ -126,7 +126,7 @@
 
 // Read gives a key's current value.
 func (c *Client) Read(ctx context.Context, key string) (acceptor.Value, error) {
-	err := error(apierror.New(apierror.NotFounded, "no control node is known"))
+	err := error(apierror.New(apierror.NotBootstrapped, "no control node is known"))
 	if c.local != nil {
 		var v *acceptor.Value
 		if v, err = c.local.Read(ctx, &register.ReadRequest{Key: key}); err == nil {
@@ -145,7 +145,7 @@
 	return acceptor.Value{}, err
 }
 
-var settled = map[apierror.Kind]bool{apierror.StaleBase: true}
+var settled = map[apierror.Code]bool{apierror.StaleBase: true}
 
 // Change writes a key on its base. After an unclear answer the same change is asked of the next
 // control node, which knows it by name; a stale base after an unclear answer stays unclear.
@@ -155,19 +155,19 @@
 
 // Write makes a change as Change does.
 func (c *Client) Write(ctx context.Context, q *register.ChangeRequest) (acceptor.Value, error) {
-	err := error(apierror.New(apierror.NotFounded, "no control node is known"))
+	err := error(apierror.New(apierror.NotBootstrapped, "no control node is known"))
 	doubt := false
 	see := func(e error, open int) bool {
 		err = e
-		p := apierror.Of(e)
+		p := apierror.From(e)
 		doubt = doubt || open > 0
-		if settled[p.Kind] {
+		if settled[p.Code] {
 			if doubt {
 				err = apierror.New(apierror.NoMajority, "%s changed after an unclear answer", q.Key)
 			}
 			return true
 		}
-		doubt = doubt || p.Kind == apierror.NoMajority || p.Kind == apierror.Unreachable
+		doubt = doubt || p.Code == apierror.NoMajority || p.Code == apierror.Unreachable
 		return ctx.Err() != nil
 	}
 	if c.local != nil {
@@ -185,7 +185,7 @@
 	if ok {
 		return *v, nil
 	}
-	if doubt && !apierror.Has(err, apierror.NoMajority) {
+	if doubt && !apierror.HasCode(err, apierror.NoMajority) {
 		err = apierror.Wrap(apierror.NoMajority, apierror.New(apierror.NoMajority, "%v", err), "the outcome of writing %s is not known", q.Key)
 	}
 	return acceptor.Value{}, err
--- a/internal/delivery/cursor/cursor.go
+++ b/internal/delivery/cursor/cursor.go
@@ -42,20 +42,20 @@
 	t, ok := strings.CutPrefix(s, prefix)
 	b, err := base64.RawURLEncoding.DecodeString(t)
 	if !ok || err != nil || len(b) < 4 {
-		return nil, apierror.New(apierror.CursorBad, "%.40q is no cursor", s)
+		return nil, apierror.New(apierror.CursorMalformed, "%.40q is no cursor", s)
 	}
 	if binary.BigEndian.Uint32(b) != crc32.Update(seed(fleet), crc32.IEEETable, b[4:]) {
-		return nil, apierror.New(apierror.CursorBad, "%.40q was altered or is of another fleet", s)
+		return nil, apierror.New(apierror.CursorMalformed, "%.40q was altered or is of another fleet", s)
 	}
 	c := Cursor{}
 	for b = b[4:]; len(b) > 0; {
 		p, n := binary.Uvarint(b)
 		if n <= 0 || p >= uint64(partitions) || len(c) >= placesMost {
-			return nil, apierror.New(apierror.CursorBad, "%.40q names a partition that there is not", s)
+			return nil, apierror.New(apierror.CursorMalformed, "%.40q names a partition that there is not", s)
 		}
 		o, m := binary.Uvarint(b[n:])
 		if m <= 0 {
-			return nil, apierror.New(apierror.CursorBad, "%.40q breaks off", s)
+			return nil, apierror.New(apierror.CursorMalformed, "%.40q breaks off", s)
 		}
 		c[int(p)] = o
 		b = b[n+m:]
--- a/internal/delivery/fanout/feed.go
+++ b/internal/delivery/fanout/feed.go
@@ -512,7 +512,7 @@
 		case age > despair*unit:
 			f.remove(s)
 			s.answered = true
-			s.Opened(0, apierror.New(apierror.NoOwner, "partition %d could not be followed in time", f.p))
+			s.Opened(0, apierror.New(apierror.NoPartitionLeader, "partition %d could not be followed in time", f.p))
 		}
 	}
 }
--- a/internal/delivery/fanout/forget_test.go
+++ b/internal/delivery/fanout/forget_test.go
@@ -173,7 +173,7 @@
 	case a := <-got:
 		return a, nil
 	case <-ctx.Done():
-		return nil, apierror.Because(apierror.Unreachable, ctx.Err(), "no answer")
+		return nil, apierror.WithCause(apierror.Unreachable, ctx.Err(), "no answer")
 	}
 }
 
--- a/internal/delivery/fanout/marks_test.go
+++ b/internal/delivery/fanout/marks_test.go
@@ -58,7 +58,7 @@
 	a, d := s.follow(q)
 	s.mu.Unlock()
 	if err := (clock.Real{}).Sleep(ctx, d); err != nil {
-		return nil, apierror.Because(apierror.Unreachable, err, "no answer in time")
+		return nil, apierror.WithCause(apierror.Unreachable, err, "no answer in time")
 	}
 	return a, nil
 }
@@ -73,7 +73,7 @@
 	}
 	s.mu.Unlock()
 	if err := (clock.Real{}).Sleep(ctx, d); err != nil {
-		return nil, apierror.Because(apierror.Unreachable, err, "no answer in time")
+		return nil, apierror.WithCause(apierror.Unreachable, err, "no answer in time")
 	}
 	if a == nil {
 		return nil, apierror.New(apierror.Unreachable, "the answer was lost")
--- a/internal/delivery/fanout/slow_test.go
+++ b/internal/delivery/fanout/slow_test.go
@@ -25,7 +25,7 @@
 
 func (s *thin) Follow(ctx context.Context, _ assignment.Record, q *leader.Want) (*leader.Told, error) {
 	if err := (clock.Real{}).Sleep(ctx, s.takes); err != nil {
-		return nil, apierror.Because(apierror.Unreachable, err, "no answer in time")
+		return nil, apierror.WithCause(apierror.Unreachable, err, "no answer in time")
 	}
 	last := s.back[len(s.back)-1].Offset
 	a := &leader.Told{Epoch: 1, Tail: last, Upto: last}
--- a/internal/delivery/stream/feed.go
+++ b/internal/delivery/stream/feed.go
@@ -128,7 +128,7 @@
 		return d, leave, nil
 	case <-ctx.Done():
 		leave()
-		return nil, nil, apierror.New(apierror.NoOwner, "partition %d could not be read in time", p)
+		return nil, nil, apierror.New(apierror.NoPartitionLeader, "partition %d could not be read in time", p)
 	}
 }
 
@@ -198,7 +198,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if r.Epoch < d.epoch {
-		return nil, apierror.New(apierror.NotOwner, "partition %d was read at epoch %d, after %d", d.p, r.Epoch, d.epoch)
+		return nil, apierror.New(apierror.NotPartitionLeader, "partition %d was read at epoch %d, after %d", d.p, r.Epoch, d.epoch)
 	}
 	d.epoch = r.Epoch
 	if r.Turn > 0 && boot == d.boot {
--- a/internal/disk/journal/anew.go
+++ b/internal/disk/journal/anew.go
@@ -214,6 +214,6 @@
 	case err := <-c.done:
 		return c.records, c.rotten, err
 	case <-ctx.Done():
-		return 0, 0, apierror.Because(apierror.DiskFailed, ctx.Err(), "the disk did not answer in time")
+		return 0, 0, apierror.WithCause(apierror.DiskFailed, ctx.Err(), "the disk did not answer in time")
 	}
 }
--- a/internal/disk/journal/journal.go
+++ b/internal/disk/journal/journal.go
@@ -111,7 +111,7 @@
 			f, err = frame.Unpack(i, b)
 		}
 		if err != nil {
-			if apierror.Has(err, apierror.DiskNewer) || apierror.Has(err, apierror.DiskForeign) {
+			if apierror.HasCode(err, apierror.DiskNewer) || apierror.HasCode(err, apierror.DiskForeign) {
 				return nil, 0, 0, err
 			}
 			if bad == 0 {
@@ -149,7 +149,7 @@
 
 func (j *Journal) load() (Report, error) {
 	fs, bad, last, err := j.scan()
-	if apierror.Has(err, apierror.DiskDamaged) {
+	if apierror.HasCode(err, apierror.DiskDamaged) {
 		r := Report{Damaged: true, Cause: err}
 		if err := j.log.SetAside(); err != nil {
 			return r, err
@@ -400,7 +400,7 @@
 	case err := <-p.done:
 		return err
 	case <-ctx.Done():
-		return apierror.Because(apierror.DiskFailed, ctx.Err(), "the disk did not answer in time")
+		return apierror.WithCause(apierror.DiskFailed, ctx.Err(), "the disk did not answer in time")
 	}
 }
 
--- a/internal/disk/journal/room_test.go
+++ b/internal/disk/journal/room_test.go
@@ -122,11 +122,11 @@
 			assert.Assert(t, k < room/body, "nothing was turned away")
 			err = put(body)
 		}
-		assert.Assert(t, apierror.Has(err, apierror.DiskFull), "%v", err)
-		assert.Assert(t, apierror.Has(j.Fault(), apierror.DiskFull), "a full disk that is not told of")
+		assert.Assert(t, apierror.HasCode(err, apierror.DiskFull), "%v", err)
+		assert.Assert(t, apierror.HasCode(j.Fault(), apierror.DiskFull), "a full disk that is not told of")
 		assert.NilError(t, put(100))
-		assert.Assert(t, apierror.Has(j.Fault(), apierror.DiskFull), "a small record that went in does not make it well")
-		assert.Assert(t, apierror.Has(j.Probe(t.Context(), time.Second), apierror.DiskFull))
+		assert.Assert(t, apierror.HasCode(j.Fault(), apierror.DiskFull), "a small record that went in does not make it well")
+		assert.Assert(t, apierror.HasCode(j.Probe(t.Context(), time.Second), apierror.DiskFull))
 		stop()
 		synctest.Wait()
 		j, stop = open()
@@ -136,7 +136,7 @@
 				break
 			}
 		}
-		assert.Assert(t, apierror.Has(err, apierror.DiskFull), "%v", err)
+		assert.Assert(t, apierror.HasCode(err, apierror.DiskFull), "%v", err)
 		s.keep(20)
 		time.Sleep(2 * time.Second)
 		_ = j.Probe(t.Context(), time.Second)
@@ -167,8 +167,8 @@
 		for err = nil; err == nil; {
 			err = put()
 		}
-		assert.Assert(t, apierror.Has(err, apierror.DiskFull), "%v", err)
-		assert.Assert(t, apierror.Has(j.Fault(), apierror.DiskFull))
+		assert.Assert(t, apierror.HasCode(err, apierror.DiskFull), "%v", err)
+		assert.Assert(t, apierror.HasCode(j.Fault(), apierror.DiskFull))
 		for range 500 {
 			assert.NilError(t, j.Put(t.Context(), false, nil, journal.Rec{Kind: recordtype.Forget, Body: make([]byte, 100)}))
 		}
@@ -200,7 +200,7 @@
 				assert.Assert(t, n < room/400, "nothing was turned away")
 				err = put(k)
 			}
-			assert.Assert(t, apierror.Has(err, apierror.DiskFull), "%v", err)
+			assert.Assert(t, apierror.HasCode(err, apierror.DiskFull), "%v", err)
 			err = nil
 		}
 		for range 100 {
@@ -208,7 +208,7 @@
 		}
 		s.keep(10)
 		time.Sleep(2 * time.Second)
-		assert.Assert(t, apierror.Has(put(recordtype.Entry), apierror.DiskFull), "it is told of until a writing anew made place")
+		assert.Assert(t, apierror.HasCode(put(recordtype.Entry), apierror.DiskFull), "it is told of until a writing anew made place")
 		assert.NilError(t, put(recordtype.Entry))
 		assert.NilError(t, j.Fault())
 	})
--- a/internal/disk/walog/walog.go
+++ b/internal/disk/walog/walog.go
@@ -33,13 +33,13 @@
 	prefix     = binary.MaxVarintLen64
 )
 
-var byErrno = map[syscall.Errno]apierror.Kind{
+var byErrno = map[syscall.Errno]apierror.Code{
 	syscall.ENOSPC: apierror.DiskFull,
 	syscall.EDQUOT: apierror.DiskFull,
 	syscall.EFBIG:  apierror.DiskFull,
 }
 
-func kindOf(err error) apierror.Kind {
+func kindOf(err error) apierror.Code {
 	var n syscall.Errno
 	if errors.As(err, &n) {
 		if k, ok := byErrno[n]; ok {
--- a/internal/disk/walog/walog_test.go
+++ b/internal/disk/walog/walog_test.go
@@ -151,7 +151,7 @@
 	assert.Equal(t, bad, 0)
 	assert.Assert(t, d.Rot(1))
 	_, bad, err = j.Scrub(ctx)
-	assert.Assert(t, apierror.Has(err, apierror.DiskDamaged), "%v", err)
+	assert.Assert(t, apierror.HasCode(err, apierror.DiskDamaged), "%v", err)
 	assert.Equal(t, bad, 1)
 	_, bad, err = j.Scrub(ctx)
 	assert.NilError(t, err)
@@ -175,8 +175,8 @@
 	}
 	assert.NilError(t, put("a"))
 	d.Fill(true)
-	assert.Assert(t, apierror.Has(put("b"), apierror.DiskFull))
-	assert.Assert(t, apierror.Has(j.Fault(), apierror.DiskFull))
+	assert.Assert(t, apierror.HasCode(put("b"), apierror.DiskFull))
+	assert.Assert(t, apierror.HasCode(j.Fault(), apierror.DiskFull))
 	d.Fill(false)
 	assert.NilError(t, put("c"))
 	assert.NilError(t, j.Fault())
@@ -196,7 +196,7 @@
 	assert.NilError(t, l.Write(1, [][]byte{frame.Seal(f)}))
 	assert.NilError(t, l.Sync())
 	_, _, err = journal.Open(l, clock.Real{}, nil, nil)
-	assert.Assert(t, apierror.Has(err, apierror.DiskNewer), "%v", err)
+	assert.Assert(t, apierror.HasCode(err, apierror.DiskNewer), "%v", err)
 	_, last, err := l.Bounds()
 	assert.NilError(t, err)
 	assert.Equal(t, last, uint64(1), "nothing was harmed")
@@ -205,8 +205,8 @@
 	p := &identity.Part{}
 	assert.NilError(t, p.Restore(journal.Rec{Body: []byte(`{"node":"s1","incarnation":"i","fleet":"f"}`)}))
 	assert.NilError(t, p.Check("s1"))
-	assert.Assert(t, apierror.Has(p.Check("s2"), apierror.DiskForeign))
-	assert.Assert(t, apierror.Has(p.Join(context.Background(), nil, "g"), apierror.DiskForeign))
+	assert.Assert(t, apierror.HasCode(p.Check("s2"), apierror.DiskForeign))
+	assert.Assert(t, apierror.HasCode(p.Join(context.Background(), nil, "g"), apierror.DiskForeign))
 }
 
 func TestManySegmentsAndCompaction(t *testing.T) {
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -67,7 +67,7 @@
 }
 
 func TestProblemCatalogue(t *testing.T) {
-	m := apierror.Kinds()
+	m := apierror.Codes()
 	var ks []string
 	for k := range m {
 		ks = append(ks, string(k))
@@ -76,7 +76,7 @@
 	var b strings.Builder
 	b.WriteString("\n| code | status | what to do |\n|---|---|---|\n")
 	for _, k := range ks {
-		status, advice, _ := strings.Cut(m[apierror.Kind(k)], " ")
+		status, advice, _ := strings.Cut(m[apierror.Code(k)], " ")
 		fmt.Fprintf(&b, "| `%s` | %s | %s |\n", k, status, advice)
 	}
 	b.WriteString("\n")
--- a/internal/httpapi/door.go
+++ b/internal/httpapi/door.go
@@ -89,7 +89,7 @@
 }
 
 type turned struct {
-	Code    apierror.Kind    `json:"code"`
+	Code    apierror.Code    `json:"code"`
 	Say     string           `json:"say"`
 	Advice  string           `json:"advice"`
 	Faults  []apierror.Fault `json:"faults,omitempty"`
@@ -99,11 +99,11 @@
 
 // Turn writes a problem as the answer.
 func Turn(w http.ResponseWriter, err error) {
-	p := apierror.Of(err)
-	if p.RetryMS > 0 {
-		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(float64(p.RetryMS)/1000))))
+	p := apierror.From(err)
+	if p.RetryAfterMS > 0 {
+		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(float64(p.RetryAfterMS)/1000))))
 	}
-	answer(w, p.Status(), turned{p.Kind, p.Say, p.Advice(), p.Faults, p.Current, p.RetryMS})
+	answer(w, p.Status(), turned{p.Code, p.Message, p.Advice(), p.Faults, p.Current, p.RetryAfterMS})
 }
 
 func body(w http.ResponseWriter, r *http.Request, most int64) ([]byte, error) {
@@ -125,7 +125,7 @@
 		return err
 	}
 	if len(f) > 0 {
-		return apierror.New(apierror.DocumentFaulty, "the first fault is at %s: %s", f[0].Place, f[0].Say).With(f)
+		return apierror.New(apierror.DocumentFaulty, "the first fault is at %s: %s", f[0].Path, f[0].Message).WithFaults(f)
 	}
 	return apierror.Wrap(apierror.Malformed, json.Unmarshal(b, v), "the document could not be read")
 }
--- a/internal/keylock/turn.go
+++ b/internal/keylock/turn.go
@@ -40,7 +40,7 @@
 	case t.s[i] <- struct{}{}:
 		return nil
 	case <-ctx.Done():
-		return apierror.Because(apierror.Unreachable, ctx.Err(), "waiting for a turn")
+		return apierror.WithCause(apierror.Unreachable, ctx.Err(), "waiting for a turn")
 	}
 }
 
--- a/internal/lineserver/jsoncodec/plain.go
+++ b/internal/lineserver/jsoncodec/plain.go
@@ -41,7 +41,7 @@
 	Address string          `json:"address,omitempty"`
 	Already bool            `json:"already,omitempty"`
 	GivenUp []string        `json:"given_up,omitempty"`
-	Code    apierror.Kind   `json:"code,omitempty"`
+	Code    apierror.Code   `json:"code,omitempty"`
 	Say     string          `json:"say,omitempty"`
 	Advice  string          `json:"advice,omitempty"`
 	Current *uint64         `json:"current,omitempty"`
@@ -105,7 +105,7 @@
 		return t, &lineserver.Fault{Problem: err, Sure: true}
 	}
 	if len(f) > 0 {
-		return t, &lineserver.Fault{Problem: apierror.New(apierror.Malformed, "%s: %s", f[0].Place, f[0].Say).With(f), Sure: true}
+		return t, &lineserver.Fault{Problem: apierror.New(apierror.Malformed, "%s: %s", f[0].Path, f[0].Message).WithFaults(f), Sure: true}
 	}
 	if q.Key != nil && t.Key == "" {
 		return t, lineserver.Malformed(true, "$.key: is empty")
@@ -127,8 +127,8 @@
 		x.Body = value(a.Body)
 	}
 	if a.Err != nil {
-		p := apierror.Of(a.Err)
-		x.Code, x.Say, x.Advice, x.Current, x.RetryMS = p.Kind, p.Say, p.Advice(), p.Current, p.RetryMS
+		p := apierror.From(a.Err)
+		x.Code, x.Say, x.Advice, x.Current, x.RetryMS = p.Code, p.Message, p.Advice(), p.Current, p.RetryAfterMS
 	}
 	l, err := rawjson.JSON(x)
 	if err != nil {
--- a/internal/node/leaders/heir.go
+++ b/internal/node/leaders/heir.go
@@ -76,7 +76,7 @@
 		k.Tell(ctx, n)
 		return
 	}
-	if !apierror.Has(err, apierror.StaleBase) {
+	if !apierror.HasCode(err, apierror.StaleBase) {
 		k.Log.Say(event.PlaceTrouble, "partition", r.Partition, "problem", err)
 		_ = k.Clock.Sleep(ctx, clock.Jitter(k.Bounds.Beat(), 1, rand.Float64()))
 	}
--- a/internal/node/leaders/owners.go
+++ b/internal/node/leaders/owners.go
@@ -49,7 +49,7 @@
 	if o, ok := k.m[p]; ok {
 		return o, nil
 	}
-	return nil, apierror.New(apierror.NotOwner, "%s does not decide for partition %d", k.Self, p)
+	return nil, apierror.New(apierror.NotPartitionLeader, "%s does not decide for partition %d", k.Self, p)
 }
 
 // Views gives the figures of all owners.
@@ -294,7 +294,7 @@
 				n++
 				mu.Unlock()
 			}
-			o.End(apierror.New(apierror.Leaving, "this node is stopping"))
+			o.End(apierror.New(apierror.ShuttingDown, "this node is stopping"))
 		})
 	}
 	wg.Wait()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -338,11 +338,11 @@
 		Feeds: stream.New(ctx, self, n.boot, n.desk, clk, b), Licensed: n.keeper.Licensed, Leaving: n.leaving,
 		Heard: func(t *client.Task, err error) {
 			n.log.Say(event.Turned, "verb", t.Verb, "visitor", t.Visitor, "problem", err)
-			p, topic := apierror.Of(err), ""
+			p, topic := apierror.From(err), ""
 			if len(t.Topics) > 0 {
 				topic = t.Topics[0]
 			}
-			n.turned.Add(rejections.Note{At: clk.Now().UTC(), Node: self, Verb: t.Verb, Visitor: t.Visitor, Topic: topic, Call: t.Call, Code: string(p.Kind), Say: p.Say})
+			n.turned.Add(rejections.Note{At: clk.Now().UTC(), Node: self, Verb: t.Verb, Visitor: t.Visitor, Topic: topic, Call: t.Call, Code: string(p.Code), Say: p.Message})
 		},
 	}
 	n.hub = fanout.New(ctx, self, n.boot, n.desk, n.Board, clk, b)
@@ -444,7 +444,7 @@
 	swept, dropped := n.w.Clock.Now(), n.w.Clock.Now()
 	for n.w.Clock.Sleep(ctx, b.Tend()) == nil {
 		if f := n.Board.Roster().Fleet; f != "" {
-			if err := n.id.Join(ctx, n.journal, f); apierror.Has(err, apierror.DiskForeign) {
+			if err := n.id.Join(ctx, n.journal, f); apierror.HasCode(err, apierror.DiskForeign) {
 				if n.setFitness(string(apierror.DiskForeign)) {
 					n.log.Say(event.DiskTrouble, "problem", err)
 				}
@@ -460,7 +460,7 @@
 			err = n.journal.Probe(ctx, b.Call())
 		}
 		if err != nil && ctx.Err() == nil {
-			if n.setFitness(string(apierror.Of(err).Kind)) {
+			if n.setFitness(string(apierror.From(err).Code)) {
 				n.log.Say(event.DiskTrouble, "problem", err)
 			}
 			continue
@@ -516,7 +516,7 @@
 func (n *Node) Ready() error {
 	select {
 	case <-n.leaving:
-		return apierror.New(apierror.Leaving, "this node is stopping")
+		return apierror.New(apierror.ShuttingDown, "this node is stopping")
 	default:
 	}
 	if err := n.House.Stays(); err != nil {
@@ -582,7 +582,7 @@
 	cur := n.options()
 	for _, f := range settings.Changed(cur, o) {
 		if _, ok := settings.Live[f]; !ok {
-			return apierror.New(apierror.OptionsBad, "field %q can't change under a running node", f)
+			return apierror.New(apierror.SettingsInvalid, "field %q can't change under a running node", f)
 		}
 	}
 	n.mu.Lock()
--- a/internal/nodelease/session.go
+++ b/internal/nodelease/session.go
@@ -393,7 +393,7 @@
 	if now.Before(k.until) || !k.behind && !k.until.IsZero() && now.Before(k.until.Add(time.Duration(k.Opts.Stretch))) {
 		return nil
 	}
-	return apierror.New(apierror.Unlicensed, "no control node confirmed the description within %s", k.Opts.Bounds().Lease()+time.Duration(k.Opts.Stretch))
+	return apierror.New(apierror.NoLease, "no control node confirmed the description within %s", k.Opts.Bounds().Lease()+time.Duration(k.Opts.Stretch))
 }
 
 // Confirmed tells whether the lease stands by a control node's word alone, not by the stretch.
@@ -512,10 +512,10 @@
 		err := k.beat(ctx, with)
 		pause := k.pace(begun)
 		switch {
-		case apierror.Has(err, apierror.NotReady):
+		case apierror.HasCode(err, apierror.NotReady):
 		case err != nil:
 			bad++
-			if apierror.Has(err, apierror.Unreachable) {
+			if apierror.HasCode(err, apierror.Unreachable) {
 				pause = k.Opts.Bounds().Again()
 			}
 		default:
@@ -630,14 +630,14 @@
 		return apierror.New(apierror.NotReady, "%s began lately and has not confirmed the description yet", with.Name)
 	}
 	if !a.Confirmed {
-		return apierror.New(apierror.Unlicensed, "%s could not confirm the description", with.Name)
+		return apierror.New(apierror.NoLease, "%s could not confirm the description", with.Name)
 	}
 	late := k.Board.Description().Sequence < a.Sequence
 	k.mu.Lock()
 	k.behind = late
 	k.mu.Unlock()
 	if late {
-		return apierror.New(apierror.Unlicensed, "description %d did not arrive yet", a.Sequence)
+		return apierror.New(apierror.NoLease, "description %d did not arrive yet", a.Sequence)
 	}
 	k.mu.Lock()
 	if t := sent.Add(b.Lease() - a.Age); t.After(k.until) {
@@ -645,7 +645,7 @@
 	}
 	k.mu.Unlock()
 	if a.Apart {
-		return apierror.New(apierror.Unlicensed, "no majority answers %s", with.Name)
+		return apierror.New(apierror.NoLease, "no majority answers %s", with.Name)
 	}
 	return nil
 }
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -50,9 +50,9 @@
 	}
 	x, err := s.judge(ctx, node, c)
 	switch {
-	case apierror.Has(err, apierror.AlreadyEmpty):
+	case apierror.HasCode(err, apierror.AlreadyEmpty):
 		return x, nil
-	case err != nil && !apierror.Has(err, apierror.DrainUnsafe):
+	case err != nil && !apierror.HasCode(err, apierror.DecommissionUnsafe):
 		return decommission.Drain{}, err
 	}
 	return decommission.Drain{}, c.refuse(apierror.UnknownNode, "the emptying of %q was not asked for", node)
@@ -79,14 +79,14 @@
 			return nil, err
 		}
 		if !c.value.list.Add(x) {
-			return nil, c.refuse(apierror.DrainUnsafe, "%d machines are being emptied, which is the most", decommission.ListMost)
+			return nil, c.refuse(apierror.DecommissionUnsafe, "%d machines are being emptied, which is the most", decommission.ListMost)
 		}
 		_, err = s.Client.Change(ctx, decommission.Key, c.value.writes, registerclient.Name(), c.value.list.Pack())
 		if err == nil {
 			s.Log.Say(event.DrainAsked, "node", node, "partitions", x.Left)
 			return x, nil
 		}
-		again := apierror.Has(err, apierror.StaleBase) || apierror.Has(err, apierror.StaleRoster) && s.Clock.Sleep(ctx, s.Bounds.Retry()) == nil
+		again := apierror.HasCode(err, apierror.StaleBase) || apierror.HasCode(err, apierror.StaleVoterSet) && s.Clock.Sleep(ctx, s.Bounds.Retry()) == nil
 		if !again || ctx.Err() != nil {
 			return nil, outcome(true, err)
 		}
@@ -121,7 +121,7 @@
 	}
 	rest, needed := serving(all.value, drains.value.list, node), s.Board.Roster().Layout.Copies()
 	if rest < needed {
-		return x, all.refuse(apierror.DrainUnsafe, "without %s only %d machines with disks serve, %d are needed to bear a loss", node, rest, needed)
+		return x, all.refuse(apierror.DecommissionUnsafe, "without %s only %d machines with disks serve, %d are needed to bear a loss", node, rest, needed)
 	}
 	return x, nil
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -92,7 +92,7 @@
 	}
 	as := quorum.Ask(ctx, ps, s.Uses, nil)
 	if err := quorum.First(as); err != nil || len(as) < len(ps) {
-		return nil, apierror.Because(apierror.NoOwner, err, "usage of all partitions")
+		return nil, apierror.WithCause(apierror.NoPartitionLeader, err, "usage of all partitions")
 	}
 	rows := []usage.Row{}
 	for _, a := range as {
--- a/internal/operator/quorum.go
+++ b/internal/operator/quorum.go
@@ -16,7 +16,7 @@
 type confirmed[T any] struct{ value T }
 
 // refuse makes a final refusal that rests on the confirmed value.
-func (c confirmed[T]) refuse(k apierror.Kind, f string, a ...any) *apierror.Problem {
+func (c confirmed[T]) refuse(k apierror.Code, f string, a ...any) *apierror.Error {
 	return apierror.New(k, f, a...)
 }
 
@@ -29,7 +29,7 @@
 // readAs reads a control key by quorum. While the voters change nobody can tell, and it asks again.
 func readAs[T any](ctx context.Context, s *Service, key string, parse func(acceptor.Value) (T, error)) (c confirmed[T], err error) {
 	v, err := s.Client.Read(ctx, key)
-	for apierror.Has(err, apierror.StaleRoster) && s.Clock.Sleep(ctx, s.Bounds.Retry()) == nil {
+	for apierror.HasCode(err, apierror.StaleVoterSet) && s.Clock.Sleep(ctx, s.Bounds.Retry()) == nil {
 		v, err = s.Client.Read(ctx, key)
 	}
 	if err != nil {
@@ -51,7 +51,7 @@
 	})
 	good := quorum.Good(as)
 	if r.Sequence == 0 || len(good) < r.Majority() {
-		return c, apierror.Because(apierror.NoMajority, quorum.First(as), "%d of %d control nodes told which machines they know", len(good), len(r.Seats))
+		return c, apierror.WithCause(apierror.NoMajority, quorum.First(as), "%d of %d control nodes told which machines they know", len(good), len(r.Seats))
 	}
 	c.value = machines{}
 	for _, a := range good {
--- a/internal/operator/replace.go
+++ b/internal/operator/replace.go
@@ -40,7 +40,7 @@
 		return configuration.Description{}, err
 	}
 	if c.value.current.Sequence == 0 {
-		return configuration.Description{}, c.refuse(apierror.DescriptionNone, "no description was put yet")
+		return configuration.Description{}, c.refuse(apierror.ConfigurationMissing, "no description was put yet")
 	}
 	return c.value.current, nil
 }
@@ -83,7 +83,7 @@
 }
 
 // settled problems are final answers to an order; after all others the register is asked again.
-var settled = map[apierror.Kind]bool{apierror.DescriptionRaced: true, apierror.DescriptionBad: true, apierror.OutcomeUnknown: true, apierror.Oversize: true}
+var settled = map[apierror.Code]bool{apierror.ConfigurationConflict: true, apierror.ConfigurationInvalid: true, apierror.OutcomeUnknown: true, apierror.Oversize: true}
 
 // replace tries an order until its outcome is known. doubt tells that an earlier try may have been accepted.
 func (s *Service) replace(ctx context.Context, d configuration.Description, doubt bool) (*Accepted, error) {
@@ -93,14 +93,14 @@
 	o := orderlog.Of(d)
 	for {
 		a, err := s.try(ctx, d, o)
-		if err == nil || settled[apierror.Of(err).Kind] {
+		if err == nil || settled[apierror.From(err).Code] {
 			return a, err
 		}
-		if apierror.Has(err, apierror.StaleBase) && ctx.Err() == nil {
+		if apierror.HasCode(err, apierror.StaleBase) && ctx.Err() == nil {
 			continue
 		}
-		doubt = doubt || apierror.Has(err, apierror.NoMajority) || apierror.Has(err, apierror.Unreachable)
-		if !doubt && !apierror.Has(err, apierror.StaleRoster) {
+		doubt = doubt || apierror.HasCode(err, apierror.NoMajority) || apierror.HasCode(err, apierror.Unreachable)
+		if !doubt && !apierror.HasCode(err, apierror.StaleVoterSet) {
 			return nil, err
 		}
 		if e := s.Clock.Sleep(ctx, s.Bounds.Retry()); e != nil {
@@ -123,9 +123,9 @@
 	case log.Holds(o):
 		return &Accepted{Sequence: o.Sequence}, nil
 	case !log.Knows(o):
-		return nil, apierror.New(apierror.OutcomeUnknown, "which orders were accepted up to %d is no longer known; current is %d", log.Forgotten, cur.Sequence).At(cur.Sequence)
+		return nil, apierror.New(apierror.OutcomeUnknown, "which orders were accepted up to %d is no longer known; current is %d", log.Forgotten, cur.Sequence).WithCurrent(cur.Sequence)
 	case cur.Sequence != d.Base:
-		return nil, c.refuse(apierror.DescriptionRaced, "the description builds on %d, current is %d", d.Base, cur.Sequence).At(cur.Sequence)
+		return nil, c.refuse(apierror.ConfigurationConflict, "the description builds on %d, current is %d", d.Base, cur.Sequence).WithCurrent(cur.Sequence)
 	}
 	n, err := s.stand(ctx, d, cur)
 	if err != nil {
@@ -169,7 +169,7 @@
 	f := d.Faults()
 	for i, x := range d.Spaces {
 		if most := uint64(s.Bounds.KeptMost().Milliseconds()); x.KeepMS > most {
-			f = append(f, apierror.Fault{Place: fmt.Sprintf("$.spaces[%d].keep_ms", i), Say: fmt.Sprintf("must be at most ten times the fleet's keeping (%d), is %d", most, x.KeepMS)})
+			f = append(f, apierror.Fault{Path: fmt.Sprintf("$.spaces[%d].keep_ms", i), Message: fmt.Sprintf("must be at most ten times the fleet's keeping (%d), is %d", most, x.KeepMS)})
 		}
 	}
 	return configuration.Bad(f)
@@ -180,7 +180,7 @@
 		return err
 	}
 	p := apierror.New(apierror.OutcomeUnknown, "the description may or may not have been accepted; read it back to learn which: %v", err)
-	p.Current = apierror.Of(err).Current
+	p.Current = apierror.From(err).Current
 	return p
 }
 
--- a/internal/operator/retire.go
+++ b/internal/operator/retire.go
@@ -54,8 +54,8 @@
 		if err == nil {
 			return nil
 		}
-		if ctx.Err() != nil || !apierror.Has(err, apierror.StaleBase) {
-			return apierror.Because(apierror.NoMajority, err, "nothing was changed: the removed spaces could not be noted")
+		if ctx.Err() != nil || !apierror.HasCode(err, apierror.StaleBase) {
+			return apierror.WithCause(apierror.NoMajority, err, "nothing was changed: the removed spaces could not be noted")
 		}
 	}
 }
--- a/internal/operator/submit.go
+++ b/internal/operator/submit.go
@@ -41,14 +41,14 @@
 	ctx, stop := s.limit(context.WithoutCancel(ctx))
 	defer stop()
 	doubt, err := s.forward(ctx, doc, base)
-	if err == nil || final[apierror.Of(err).Kind] {
+	if err == nil || final[apierror.From(err).Code] {
 		return err
 	}
 	return s.take(ctx, doc, base, doubt, read)
 }
 
 // final problems are those after which a control node surely did nothing, nor will, and no other would.
-var final = map[apierror.Kind]bool{apierror.DescriptionRaced: true, apierror.DescriptionBad: true, apierror.Malformed: true, apierror.Oversize: true}
+var final = map[apierror.Code]bool{apierror.ConfigurationConflict: true, apierror.ConfigurationInvalid: true, apierror.Malformed: true, apierror.Oversize: true}
 
 func (s *Service) forward(ctx context.Context, doc []byte, base uint64) (doubt bool, err error) {
 	b, err := deflate(doc)
@@ -56,7 +56,7 @@
 		return false, err
 	}
 	sent, err := registerclient.Once(ctx, s.Client, Submit, &SubmitRequest{Base: base, By: registerclient.Name(), Doc: b})
-	return sent && !apierror.Has(err, apierror.NotReady), err
+	return sent && !apierror.HasCode(err, apierror.NotReady), err
 }
 
 func (s *Service) take(ctx context.Context, doc []byte, base uint64, doubt bool, read Reader) error {
@@ -104,7 +104,7 @@
 	doc, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(b)), configuration.BytesMost+1))
 	switch {
 	case err != nil:
-		return nil, apierror.Because(apierror.Malformed, err, "the document can't be unpacked")
+		return nil, apierror.WithCause(apierror.Malformed, err, "the document can't be unpacked")
 	case len(doc) > configuration.BytesMost:
 		return nil, apierror.New(apierror.Oversize, "the document has more than %d bytes", configuration.BytesMost)
 	}
--- a/internal/operator/why.go
+++ b/internal/operator/why.go
@@ -18,7 +18,7 @@
 	Topic   string            `json:"topic"`
 	Call    uint64            `json:"call_seq"`
 	Ledger  *router.Traced    `json:"ledger,omitempty"`
-	Problem *apierror.Problem `json:"ledger_problem,omitempty"`
+	Problem *apierror.Error   `json:"ledger_problem,omitempty"`
 	Turned  []rejections.Note `json:"turned_away"`
 	Whole   bool              `json:"whole"`
 }
@@ -36,7 +36,7 @@
 		w.Ledger, err = s.Trace(ctx, partition.Of(topic, sp.Urgent, s.Board.Roster().Layout), &router.TraceRequest{Visitor: visitor, Topic: topic, Call: call})
 	}
 	if err != nil {
-		w.Problem = apierror.Of(err)
+		w.Problem = apierror.From(err)
 	}
 	q := rejections.Task{Visitor: visitor, Topic: topic, Call: call}
 	for _, a := range quorum.Ask(ctx, s.View.All(), func(ctx context.Context, i membership.Info) ([]rejections.Note, error) { return s.Turned(ctx, i, q) }, nil) {
@@ -45,7 +45,7 @@
 	}
 	slices.SortFunc(w.Turned, func(a, b rejections.Note) int { return a.At.Compare(b.At) })
 	if len(w.Turned) == 0 && w.Whole && w.Ledger != nil && w.Ledger.Last < call {
-		return nil, apierror.New(apierror.UnknownCall, "no node remembers call %d of %s on %s, and the ledger has taken up to %d", call, visitor, topic, w.Ledger.Last).At(w.Ledger.Last)
+		return nil, apierror.New(apierror.UnknownCall, "no node remembers call %d of %s on %s, and the ledger has taken up to %d", call, visitor, topic, w.Ledger.Last).WithCurrent(w.Ledger.Last)
 	}
 	return w, nil
 }
--- a/internal/partitionlog/leader/assure.go
+++ b/internal/partitionlog/leader/assure.go
@@ -33,9 +33,9 @@
 	case <-r.done:
 		return r.err
 	case <-ctx.Done():
-		return apierror.Because(apierror.NotOwner, ctx.Err(), "no majority confirmed epoch %d of partition %d in time", o.Rec.Epoch, o.Rec.Partition)
+		return apierror.WithCause(apierror.NotPartitionLeader, ctx.Err(), "no majority confirmed epoch %d of partition %d in time", o.Rec.Epoch, o.Rec.Partition)
 	case <-o.lost:
-		return apierror.New(apierror.NotOwner, "partition %d was lost", o.Rec.Partition)
+		return apierror.New(apierror.NotPartitionLeader, "partition %d was lost", o.Rec.Partition)
 	}
 }
 
@@ -78,7 +78,7 @@
 		}
 	}
 	if n := len(quorum.Good(as)); n < o.Rec.Majority() {
-		return apierror.Because(apierror.NotOwner, quorum.First(as), "%d of %d replicas confirmed epoch %d of partition %d", n, len(o.Rec.Replicas), o.Rec.Epoch, o.Rec.Partition)
+		return apierror.WithCause(apierror.NotPartitionLeader, quorum.First(as), "%d of %d replicas confirmed epoch %d of partition %d", n, len(o.Rec.Replicas), o.Rec.Epoch, o.Rec.Partition)
 	}
 	return nil
 }
@@ -86,7 +86,7 @@
 // settled waits until all that an answer rests on is committed and nobody else can have decided since.
 func (o *Owner) settled(ctx context.Context, basis uint64) error {
 	if err := o.await(ctx, log.Ledger, basis); err != nil {
-		return apierror.New(apierror.NotOwner, "an answer of partition %d rests on offset %d, which is not on a majority", o.Rec.Partition, basis)
+		return apierror.New(apierror.NotPartitionLeader, "an answer of partition %d rests on offset %d, which is not on a majority", o.Rec.Partition, basis)
 	}
 	return o.assure(ctx)
 }
--- a/internal/partitionlog/leader/fan.go
+++ b/internal/partitionlog/leader/fan.go
@@ -120,9 +120,9 @@
 		select {
 		case <-moved:
 		case <-o.lost:
-			return nil, apierror.New(apierror.NotOwner, "partition %d was lost", o.Rec.Partition)
+			return nil, apierror.New(apierror.NotPartitionLeader, "partition %d was lost", o.Rec.Partition)
 		case <-ctx.Done():
-			return nil, apierror.Because(apierror.Unreachable, ctx.Err(), "following partition %d", o.Rec.Partition)
+			return nil, apierror.WithCause(apierror.Unreachable, ctx.Err(), "following partition %d", o.Rec.Partition)
 		}
 	}
 }
@@ -314,11 +314,11 @@
 		case <-moved:
 		case <-due:
 			if ctx.Err() != nil {
-				return nil, apierror.Because(apierror.Unreachable, ctx.Err(), "following partition %d", o.Rec.Partition)
+				return nil, apierror.WithCause(apierror.Unreachable, ctx.Err(), "following partition %d", o.Rec.Partition)
 			}
 			return a, nil
 		case <-o.lost:
-			return nil, apierror.New(apierror.NotOwner, "partition %d was lost", o.Rec.Partition)
+			return nil, apierror.New(apierror.NotPartitionLeader, "partition %d was lost", o.Rec.Partition)
 		}
 	}
 }
--- a/internal/partitionlog/leader/many.go
+++ b/internal/partitionlog/leader/many.go
@@ -11,8 +11,8 @@
 
 // Verdict is the answer to one message of several: a decision or a problem.
 type Verdict struct {
-	Decision *Decision         `json:"d,omitempty"`
-	Problem  *apierror.Problem `json:"p,omitempty"`
+	Decision *Decision       `json:"d,omitempty"`
+	Problem  *apierror.Error `json:"p,omitempty"`
 }
 
 type ruling struct {
@@ -53,13 +53,13 @@
 		if r.repeat {
 			o.tally.Repeats++
 		}
-		ask = ask || r.repeat || r.already || r.err != nil && final[apierror.Of(r.err).Kind]
+		ask = ask || r.repeat || r.already || r.err != nil && final[apierror.From(r.err).Code]
 	}
 	o.mu.Unlock()
 	vs := make([]Verdict, len(qs))
 	if closed != nil {
 		for i := range vs {
-			vs[i].Problem = apierror.Of(closed)
+			vs[i].Problem = apierror.From(closed)
 		}
 		return vs
 	}
@@ -84,7 +84,7 @@
 	if r.err == nil && !r.already {
 		return r.taken.Offset
 	}
-	if r.already || final[apierror.Of(r.err).Kind] {
+	if r.already || final[apierror.From(r.err).Code] {
 		return r.basis
 	}
 	return 0
@@ -92,17 +92,17 @@
 
 func (o *Owner) verdict(r ruling, landed, sure error, begun time.Time) Verdict {
 	switch {
-	case r.err != nil && !final[apierror.Of(r.err).Kind]:
-		return Verdict{Problem: apierror.Of(r.err)}
+	case r.err != nil && !final[apierror.From(r.err).Code]:
+		return Verdict{Problem: apierror.From(r.err)}
 	case r.err != nil && landed != nil:
-		return Verdict{Problem: apierror.New(apierror.NotOwner, "an answer of partition %d rests on offset %d, which is not on a majority", o.Rec.Partition, r.rests())}
+		return Verdict{Problem: apierror.New(apierror.NotPartitionLeader, "an answer of partition %d rests on offset %d, which is not on a majority", o.Rec.Partition, r.rests())}
 	case r.err != nil && sure != nil:
-		return Verdict{Problem: apierror.Of(sure)}
+		return Verdict{Problem: apierror.From(sure)}
 	case r.err != nil:
-		o.say("no: "+string(apierror.Of(r.err).Kind), begun)
-		return Verdict{Problem: apierror.Of(r.err)}
+		o.say("no: "+string(apierror.From(r.err).Code), begun)
+		return Verdict{Problem: apierror.From(r.err)}
 	case landed != nil:
-		return Verdict{Problem: apierror.Of(landed)}
+		return Verdict{Problem: apierror.From(landed)}
 	case (r.repeat || r.already) && sure != nil:
 		return Verdict{Problem: apierror.New(apierror.OutcomeUnknown, "call_seq %d was taken before at offset %d, and nobody confirmed it: %v", r.taken.Call, r.taken.Offset, sure)}
 	}
--- a/internal/partitionlog/leader/marks.go
+++ b/internal/partitionlog/leader/marks.go
@@ -351,11 +351,11 @@
 				return nil, apierror.New(apierror.NotReady, "offset %d of partition %d is not on a majority", offset, o.Rec.Partition)
 			}
 			if ctx.Err() != nil {
-				return nil, apierror.Because(apierror.Unreachable, ctx.Err(), "waiting for readers of partition %d", o.Rec.Partition)
+				return nil, apierror.WithCause(apierror.Unreachable, ctx.Err(), "waiting for readers of partition %d", o.Rec.Partition)
 			}
 			return u, nil
 		case <-o.lost:
-			return nil, apierror.New(apierror.NotOwner, "partition %d was lost", o.Rec.Partition)
+			return nil, apierror.New(apierror.NotPartitionLeader, "partition %d was lost", o.Rec.Partition)
 		}
 	}
 }
--- a/internal/partitionlog/leader/marks_test.go
+++ b/internal/partitionlog/leader/marks_test.go
@@ -113,10 +113,10 @@
 	return 0
 }
 
-func (r *rig) turns(q *Task, k apierror.Kind) {
+func (r *rig) turns(q *Task, k apierror.Code) {
 	r.t.Helper()
 	v := r.submits(q)[0]
-	assert.Assert(r.t, v.Problem != nil && v.Problem.Kind == k, "%+v is not %s", v, k)
+	assert.Assert(r.t, v.Problem != nil && v.Problem.Code == k, "%+v is not %s", v, k)
 }
 
 func says(visitor string, call uint64, topic, key string) *Task {
@@ -378,7 +378,7 @@
 		ctx, stop := context.WithTimeout(t.Context(), time.Second)
 		defer stop()
 		_, err := r.Follow(ctx, &Want{Node: "a2", Boot: "b", Sequence: 1, Full: true, Marks: true, After: map[string]uint64{"t": 0}, Turn: r.told("a2", "b")})
-		assert.Assert(t, apierror.Has(err, apierror.Unreachable), "%v", err)
+		assert.Assert(t, apierror.HasCode(err, apierror.Unreachable), "%v", err)
 		assert.Equal(t, len(r.st.Readers), 0)
 	})
 }
@@ -438,7 +438,7 @@
 		r.submitsTo(says("v", 1, "t", "k"))
 		r.st.Apply(log.Entry{What: log.Withdraw, Offset: 1, Topic: "t", Visitor: "v", Call: 2, Key: "l"})
 		v := r.SubmitMany(t.Context(), []*Task{withdraws("w", 1, "t", "m")})
-		assert.Equal(t, v[0].Problem.Kind, apierror.NotOwner)
+		assert.Equal(t, v[0].Problem.Code, apierror.NotPartitionLeader)
 	})
 }
 
@@ -448,7 +448,7 @@
 		w := withdraws("w", 1, "t", "k")
 		w.Of, w.Upto = "v", 5
 		vs := r.submits(says("v", 2, "t", "k"), w, says("v", 4, "t", "k"), says("v", 2, "t", "k"), says("v", 6, "t", "k"), says("v", 5, "u", "k"))
-		assert.Equal(t, vs[2].Problem.Kind, apierror.CallPassed)
+		assert.Equal(t, vs[2].Problem.Code, apierror.CallPassed)
 		assert.Assert(t, vs[3].Decision.Repeat)
 		assert.Assert(t, vs[4].Problem == nil && vs[5].Problem == nil)
 		r.turns(says("v", 5, "t", "k"), apierror.CallPassed)
@@ -466,11 +466,11 @@
 		at.line.Append(time.Now(), at.pending[0])
 		at.pending, at.durable = at.pending[1:], 2
 		r.settle(at)
-		assert.Assert(t, apierror.Has(r.judge(says("v", 4, "t", "k")).err, apierror.CallPassed), "the message in flight landed, the withdrawal did not yet")
+		assert.Assert(t, apierror.HasCode(r.judge(says("v", 4, "t", "k")).err, apierror.CallPassed), "the message in flight landed, the withdrawal did not yet")
 		r.lands()
 		assert.Equal(t, len(r.front), 0)
 		assert.Equal(t, len(r.keyed), 0)
-		assert.Assert(t, apierror.Has(r.judge(says("v", 4, "t", "k")).err, apierror.CallPassed))
+		assert.Assert(t, apierror.HasCode(r.judge(says("v", 4, "t", "k")).err, apierror.CallPassed))
 		again := withdraws("w", 2, "t", w.Key)
 		again.Of, again.Upto = "v", 4
 		assert.Assert(t, r.judge(again).already)
@@ -485,7 +485,7 @@
 		r.d.Marks = func() int { return 2 }
 		r.takes(says("v", 1, "t", "a"), says("v", 2, "t", "b"), says("v", 3, "t", "c"))
 		vs := r.submits(withdraws("v", 4, "t", "a"), withdraws("v", 5, "t", "b"), withdraws("v", 6, "t", "c"), says("v", 7, "t", "c"))
-		assert.Equal(t, vs[2].Problem.Kind, apierror.Overloaded)
+		assert.Equal(t, vs[2].Problem.Code, apierror.Overloaded)
 		assert.Assert(t, vs[3].Problem == nil, "messages go on")
 		r.turns(withdraws("v", 8, "t", "c"), apierror.Overloaded)
 		assert.DeepEqual(t, r.said, []string{"full"})
@@ -533,11 +533,11 @@
 	owning(t, 3, func(t *testing.T, r *rig) {
 		r.submitsTo(says("v", 1, "t", "k"))
 		_, err := r.forgotten(1)
-		assert.Assert(t, apierror.Has(err, apierror.NotOwner), "%v", err)
+		assert.Assert(t, apierror.HasCode(err, apierror.NotPartitionLeader), "%v", err)
 	})
 	owning(t, 1, func(t *testing.T, r *rig) {
 		_, err := r.forgotten(1)
-		assert.Assert(t, apierror.Has(err, apierror.NotReady), "%v", err)
+		assert.Assert(t, apierror.HasCode(err, apierror.NotReady), "%v", err)
 		u, err := r.forgotten(0)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, u, &Unheard{})
--- a/internal/partitionlog/leader/owner.go
+++ b/internal/partitionlog/leader/owner.go
@@ -187,7 +187,7 @@
 	return replica.Target{Partition: o.Rec.Partition, Incarnation: p.Incarnation, Epoch: o.Rec.Epoch}
 }
 
-func (o *Owner) fenced(err error) bool { return apierror.Has(err, apierror.StaleEpoch) }
+func (o *Owner) fenced(err error) bool { return apierror.HasCode(err, apierror.StaleEpoch) }
 
 func (o *Owner) lose(err error) {
 	o.mu.Lock()
@@ -294,7 +294,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.stage == Lost {
-		return 0, apierror.New(apierror.NotOwner, "partition %d was lost: %v", o.Rec.Partition, o.cause)
+		return 0, apierror.New(apierror.NotPartitionLeader, "partition %d was lost: %v", o.Rec.Partition, o.cause)
 	}
 	var at uint64
 	for _, e := range es {
--- a/internal/partitionlog/leader/packed.go
+++ b/internal/partitionlog/leader/packed.go
@@ -75,7 +75,7 @@
 	b := make([]byte, n)
 	r := flate.NewReader(bytes.NewReader(p.Bytes))
 	if _, err := io.ReadFull(r, b); err != nil {
-		return apierror.Because(apierror.Unreachable, err, "packed bodies that break off")
+		return apierror.WithCause(apierror.Unreachable, err, "packed bodies that break off")
 	}
 	if k, err := r.Read(make([]byte, 1)); k > 0 || err != io.EOF {
 		return apierror.New(apierror.Unreachable, "more packed bodies than entries")
--- a/internal/partitionlog/leader/read.go
+++ b/internal/partitionlog/leader/read.go
@@ -87,10 +87,10 @@
 		select {
 		case <-moved:
 		case <-o.lost:
-			return nil, apierror.New(apierror.NotOwner, "partition %d was lost", o.Rec.Partition)
+			return nil, apierror.New(apierror.NotPartitionLeader, "partition %d was lost", o.Rec.Partition)
 		case <-cx.Done():
 			if ctx.Err() != nil {
-				return nil, apierror.Because(apierror.Unreachable, ctx.Err(), "reading partition %d", o.Rec.Partition)
+				return nil, apierror.WithCause(apierror.Unreachable, ctx.Err(), "reading partition %d", o.Rec.Partition)
 			}
 			return r, nil
 		}
--- a/internal/partitionlog/leader/submit.go
+++ b/internal/partitionlog/leader/submit.go
@@ -44,13 +44,13 @@
 
 func (o *Owner) ready() error {
 	if o.stage == Lost {
-		return apierror.New(apierror.NotOwner, "partition %d was lost", o.Rec.Partition)
+		return apierror.New(apierror.NotPartitionLeader, "partition %d was lost", o.Rec.Partition)
 	}
 	if o.stage == Closing {
-		return apierror.New(apierror.Leaving, "partition %d is being handed over", o.Rec.Partition)
+		return apierror.New(apierror.ShuttingDown, "partition %d is being handed over", o.Rec.Partition)
 	}
 	if n := o.near(); n < o.Rec.Majority() {
-		return apierror.New(apierror.NoOwner, "%d of %d copies of partition %d are members", n, len(o.Rec.Replicas), o.Rec.Partition)
+		return apierror.New(apierror.NoPartitionLeader, "%d of %d copies of partition %d are members", n, len(o.Rec.Replicas), o.Rec.Partition)
 	}
 	if o.stage != Open {
 		return apierror.New(apierror.NotReady, "partition %d is being taken over at epoch %d", o.Rec.Partition, o.Rec.Epoch)
@@ -108,7 +108,7 @@
 		}
 		switch {
 		case ok && t.Digest != name:
-			return ruling{err: apierror.New(apierror.CallAltered, "call_seq %d was taken with another %s", q.Call, differs[strings.HasPrefix(t.Digest, e.Digest)]).At(last)}
+			return ruling{err: apierror.New(apierror.CallAltered, "call_seq %d was taken with another %s", q.Call, differs[strings.HasPrefix(t.Digest, e.Digest)]).WithCurrent(last)}
 		case ok:
 			return ruling{taken: t, repeat: true}
 		case q.Withdraw && o.st.Marks[state.Key(q.Topic, q.Key)].By(q.Visitor, q.Call):
@@ -116,9 +116,9 @@
 		case already && q.Call <= a.Floor:
 			return ruling{taken: state.Taken{Call: q.Call, Offset: mark}, already: true, basis: basis}
 		case q.Call <= a.Floor:
-			return ruling{err: apierror.New(apierror.CallForgotten, "call_seq %d may have been taken, the ledger no longer holds what %s sent up to %d", q.Call, q.Visitor, a.Floor).At(last)}
+			return ruling{err: apierror.New(apierror.CallForgotten, "call_seq %d may have been taken, the ledger no longer holds what %s sent up to %d", q.Call, q.Visitor, a.Floor).WithCurrent(last)}
 		default:
-			return ruling{err: apierror.New(apierror.CallPassed, "call_seq %d was never taken, and %d was", q.Call, last).At(last)}
+			return ruling{err: apierror.New(apierror.CallPassed, "call_seq %d was never taken, and %d was", q.Call, last).WithCurrent(last)}
 		}
 	}
 	if q.Withdraw && !already {
@@ -187,7 +187,7 @@
 var (
 	// differs names what differs from a call that was taken, by whether the bodies are alike.
 	differs = map[bool]string{false: "body", true: "key"}
-	final   = map[apierror.Kind]bool{apierror.CallAltered: true, apierror.CallPassed: true, apierror.CallForgotten: true, apierror.TokenFenced: true, apierror.KeyUnknown: true}
+	final   = map[apierror.Code]bool{apierror.CallAltered: true, apierror.CallPassed: true, apierror.CallForgotten: true, apierror.TokenFenced: true, apierror.KeyUnknown: true}
 )
 
 func (o *Owner) basis(k string) uint64 {
@@ -276,7 +276,7 @@
 	o.mu.Lock()
 	if n := o.near(); n < o.Rec.Majority() {
 		o.mu.Unlock()
-		return state.Attached{}, state.Acked{}, apierror.New(apierror.NoOwner, "%d of %d copies of partition %d are members", n, len(o.Rec.Replicas), o.Rec.Partition)
+		return state.Attached{}, state.Acked{}, apierror.New(apierror.NoPartitionLeader, "%d of %d copies of partition %d are members", n, len(o.Rec.Replicas), o.Rec.Partition)
 	}
 	if o.stage != Open && o.stage != Closing {
 		st := o.stage
--- a/internal/partitionlog/leader/takeover.go
+++ b/internal/partitionlog/leader/takeover.go
@@ -83,7 +83,7 @@
 			return err
 		}
 		if ctx.Err() != nil {
-			return apierror.Because(apierror.Stopped, ctx.Err(), "taking over partition %d", o.Rec.Partition)
+			return apierror.WithCause(apierror.Stopped, ctx.Err(), "taking over partition %d", o.Rec.Partition)
 		}
 		o.d.Log.Trouble(o.Rec.Partition, o.Rec.Epoch, step, err)
 		_ = o.d.Clock.Sleep(ctx, o.d.Bounds.Grown(try))
@@ -127,7 +127,7 @@
 		}
 	}
 	if n := len(quorum.Good(as)); n < o.Rec.Majority() {
-		return nil, apierror.Because(apierror.NoMajority, quorum.First(as), "%d of %d replicas were sealed", n, len(o.Rec.Replicas))
+		return nil, apierror.WithCause(apierror.NoMajority, quorum.First(as), "%d of %d replicas were sealed", n, len(o.Rec.Replicas))
 	}
 	return quorum.Good(as), nil
 }
@@ -175,14 +175,14 @@
 			return err
 		}
 		if len(f.Entries) == 0 || f.Tail.Last.Less(top) {
-			return apierror.New(apierror.Mismatch, "%s ends at %d, short of %d", best, f.Tail.Last.Offset, top.Offset)
+			return apierror.New(apierror.LogMismatch, "%s ends at %d, short of %d", best, f.Tail.Last.Offset, top.Offset)
 		}
 		a, err := o.d.Replica.Append(ctx, &replica.AppendRequest{Target: o.target(o.d.Self), Kind: k, After: at, Entries: f.Entries, Reset: reset, Urgent: o.Urgent})
 		if err != nil {
 			return err
 		}
 		if !a.OK {
-			return apierror.New(apierror.Mismatch, "the own line does not hold %d", at.Offset)
+			return apierror.New(apierror.LogMismatch, "the own line does not hold %d", at.Offset)
 		}
 		o.mu.Lock()
 		o.how.Fetched += len(f.Entries)
--- a/internal/partitionlog/leader/track.go
+++ b/internal/partitionlog/leader/track.go
@@ -114,15 +114,15 @@
 		}
 		a, err := o.d.Replica.Append(ctx, &replica.AppendRequest{Target: o.target(o.d.Self), Kind: t.kind, After: at, Entries: es, Base: base, Urgent: o.Urgent})
 		if err == nil && !a.OK {
-			err = apierror.New(apierror.Mismatch, "the own line ends at %d", a.Tail.Last.Offset)
+			err = apierror.New(apierror.LogMismatch, "the own line ends at %d", a.Tail.Last.Offset)
 		}
 		if err != nil {
-			if o.fenced(err) || apierror.Has(err, apierror.Mismatch) {
+			if o.fenced(err) || apierror.HasCode(err, apierror.LogMismatch) {
 				o.lose(err)
 				return
 			}
 			o.d.Log.Disk(o.Rec.Partition, err)
-			full = apierror.Has(err, apierror.DiskFull)
+			full = apierror.HasCode(err, apierror.DiskFull)
 			_ = o.d.Clock.Sleep(ctx, o.d.Bounds.Retry())
 			continue
 		}
@@ -199,10 +199,10 @@
 				o.lose(err)
 				return
 			}
-			if apierror.Has(err, apierror.Mismatch) {
+			if apierror.HasCode(err, apierror.LogMismatch) {
 				c.reset = false
 			}
-			c.full = apierror.Has(err, apierror.DiskFull)
+			c.full = apierror.HasCode(err, apierror.DiskFull)
 			_ = o.d.Clock.Sleep(ctx, o.d.Bounds.Grown(tries))
 			tries++
 			continue
--- a/internal/partitionlog/leader/used_test.go
+++ b/internal/partitionlog/leader/used_test.go
@@ -37,6 +37,6 @@
 	o := New(Deps{Self: "s1", Clock: clock.Real{}, Bounds: settings.DefaultBounds, Replica: r}, assignment.Record{Partition: 3, Epoch: 5, Owner: "s1", Replicas: []assignment.Place{{Node: "s1", Incarnation: "i"}}}, false)
 	short, end := context.WithCancel(ctx)
 	end()
-	assert.Assert(t, apierror.Has(o.takeOver(short), apierror.StaleEpoch))
+	assert.Assert(t, apierror.HasCode(o.takeOver(short), apierror.StaleEpoch))
 	assert.Equal(t, r.Sealed(3), uint64(5))
 }
--- a/internal/partitionlog/replica/replica.go
+++ b/internal/partitionlog/replica/replica.go
@@ -305,7 +305,7 @@
 	defer r.mu.Unlock()
 	if s := r.seals[t.Partition]; t.Epoch < s {
 		r.turned++
-		return apierror.New(apierror.StaleEpoch, "partition %d is sealed at epoch %d, the call is under %d", t.Partition, s, t.Epoch).At(s)
+		return apierror.New(apierror.StaleEpoch, "partition %d is sealed at epoch %d, the call is under %d", t.Partition, s, t.Epoch).WithCurrent(s)
 	}
 	return nil
 }
@@ -375,7 +375,7 @@
 	var fresh []log.Entry
 	for _, e := range q.Entries {
 		if !e.Sound(at) {
-			return nil, apierror.New(apierror.Mismatch, "entry %d does not follow %d soundly", e.Offset, at.Offset)
+			return nil, apierror.New(apierror.LogMismatch, "entry %d does not follow %d soundly", e.Offset, at.Offset)
 		}
 		at = e.At()
 		if p, ok := l.Point(e.Offset); !q.Reset && ok && p == at {
--- a/internal/partitionlog/replica/replica_test.go
+++ b/internal/partitionlog/replica/replica_test.go
@@ -64,23 +64,23 @@
 	r = boot(t, d, "i")
 	for _, k := range log.Kinds {
 		_, err = r.Append(ctx, &AppendRequest{Target: to(2), Kind: k, After: r.Line(1, k).Last(), Entries: chain(r.Line(1, k).Last(), 2, "late")})
-		assert.Assert(t, apierror.Has(err, apierror.StaleEpoch), "%s: %v", k, err)
+		assert.Assert(t, apierror.HasCode(err, apierror.StaleEpoch), "%s: %v", k, err)
 	}
 	_, err = r.Seal(ctx, &SealRequest{Target: to(2)})
-	assert.Assert(t, apierror.Has(err, apierror.StaleEpoch), "%v", err)
+	assert.Assert(t, apierror.HasCode(err, apierror.StaleEpoch), "%v", err)
 	_, err = r.Drop(ctx, &DropRequest{to(2)})
-	assert.Assert(t, apierror.Has(err, apierror.StaleEpoch), "%v", err)
+	assert.Assert(t, apierror.HasCode(err, apierror.StaleEpoch), "%v", err)
 	assert.Equal(t, r.Line(1, log.Ledger).Last(), p)
 }
 
 func TestAnotherIncarnationIsTurnedAway(t *testing.T) {
 	r := boot(t, memlog.New(), "j")
 	_, err := r.Seal(ctx, &SealRequest{Target: to(1)})
-	assert.Assert(t, apierror.Has(err, apierror.WrongDisk), "%v", err)
+	assert.Assert(t, apierror.HasCode(err, apierror.WrongDisk), "%v", err)
 	_, err = r.Append(ctx, &AppendRequest{Target: to(1), Kind: log.Ledger})
-	assert.Assert(t, apierror.Has(err, apierror.WrongDisk), "%v", err)
+	assert.Assert(t, apierror.HasCode(err, apierror.WrongDisk), "%v", err)
 	_, err = r.Fetch(ctx, &FetchRequest{Partition: 1, Incarnation: "i", Kind: log.Ledger})
-	assert.Assert(t, apierror.Has(err, apierror.WrongDisk), "%v", err)
+	assert.Assert(t, apierror.HasCode(err, apierror.WrongDisk), "%v", err)
 }
 
 func TestTailThatDiffersIsReplacedAndAlteredEntriesAreNot(t *testing.T) {
@@ -94,7 +94,7 @@
 	bad := chain(p, 2, "x")
 	bad[0].Body = []byte("altered")
 	_, err = r.Append(ctx, &AppendRequest{Target: to(2), Kind: log.Ledger, After: p, Entries: bad})
-	assert.Assert(t, apierror.Has(err, apierror.Mismatch), "%v", err)
+	assert.Assert(t, apierror.HasCode(err, apierror.LogMismatch), "%v", err)
 	q := put(t, r, log.Ledger, 2, p, "kept")
 	d.LosePower(false)
 	r = boot(t, d, "i")
@@ -148,7 +148,7 @@
 	assert.NilError(t, err)
 	q := put(t, r, log.Ledger, 3, p, "told to be taken")
 	err = r.CutTo(ctx, to(2), log.Ledger, 1, false)
-	assert.Assert(t, apierror.Has(err, apierror.StaleEpoch), "%v", err)
+	assert.Assert(t, apierror.HasCode(err, apierror.StaleEpoch), "%v", err)
 	assert.Equal(t, r.Line(1, log.Ledger).Last(), q)
 	assert.NilError(t, r.CutTo(ctx, to(3), log.Ledger, p.Offset, false))
 	assert.Equal(t, r.Line(1, log.Ledger).Last(), p)
@@ -198,7 +198,7 @@
 	}
 	assert.Equal(t, len(r.lines), lines, "asking makes no lines")
 	_, err = still(r, "another", one)
-	assert.Assert(t, apierror.Has(err, apierror.WrongDisk))
+	assert.Assert(t, apierror.HasCode(err, apierror.WrongDisk))
 	_, err = r.Seal(t.Context(), &SealRequest{Target: to(4)})
 	assert.NilError(t, err)
 	ok, err = still(r, "i", none, one)
--- a/internal/partitionlog/router/desk.go
+++ b/internal/partitionlog/router/desk.go
@@ -241,14 +241,14 @@
 	d.serveFans(m)
 }
 
-var elsewhere = map[apierror.Kind]bool{
-	apierror.NotOwner: true, apierror.NotReady: true, apierror.Unreachable: true, apierror.OutcomeUnknown: true,
-	apierror.Leaving: true, apierror.StaleEpoch: true, apierror.Unlicensed: true, apierror.Stopped: true,
+var elsewhere = map[apierror.Code]bool{
+	apierror.NotPartitionLeader: true, apierror.NotReady: true, apierror.Unreachable: true, apierror.OutcomeUnknown: true,
+	apierror.ShuttingDown: true, apierror.StaleEpoch: true, apierror.NoLease: true, apierror.Stopped: true,
 }
 
-var unclear = map[apierror.Kind]bool{apierror.Unreachable: true, apierror.OutcomeUnknown: true, apierror.Internal: true}
+var unclear = map[apierror.Code]bool{apierror.Unreachable: true, apierror.OutcomeUnknown: true, apierror.Internal: true}
 
-var final = map[apierror.Kind]bool{apierror.CallAltered: true, apierror.CallPassed: true, apierror.CallForgotten: true, apierror.TokenFenced: true, apierror.Malformed: true, apierror.KeyUnknown: true}
+var final = map[apierror.Code]bool{apierror.CallAltered: true, apierror.CallPassed: true, apierror.CallForgotten: true, apierror.TokenFenced: true, apierror.Malformed: true, apierror.KeyUnknown: true}
 
 // handOver has a task done by the partition's owner, wherever that is. It tries again while something may come of it: at once after news of the record,
 // and else for a call's time after the last such news. When the node knows that nobody can decide for now, it says so after one more look.
@@ -267,9 +267,9 @@
 		if err == nil {
 			return a, nil
 		}
-		k := apierror.Of(err).Kind
+		k := apierror.From(err).Code
 		doubt = doubt || unclear[k]
-		if !elsewhere[k] && k != apierror.NoOwner {
+		if !elsewhere[k] && k != apierror.NoPartitionLeader {
 			if doubt && !final[k] {
 				return nil, apierror.Wrap(apierror.OutcomeUnknown, apierror.New(apierror.OutcomeUnknown, "%v", err), "partition %d", p)
 			}
@@ -301,26 +301,26 @@
 }
 
 // soon are the problems of a partition that is on its way from one owner to another, which takes milliseconds: pauses begin short.
-var soon = map[apierror.Kind]bool{apierror.NotOwner: true, apierror.NotReady: true, apierror.Leaving: true, apierror.StaleEpoch: true}
+var soon = map[apierror.Code]bool{apierror.NotPartitionLeader: true, apierror.NotReady: true, apierror.ShuttingDown: true, apierror.StaleEpoch: true}
 
 const soonShare = 32
 
 // looks is how often a problem is met, without news of the record in between, before a call is given up.
-var looks = map[apierror.Kind]int{apierror.NoOwner: 2, apierror.Unreachable: 3}
+var looks = map[apierror.Code]int{apierror.NoPartitionLeader: 2, apierror.Unreachable: 3}
 
 // surrender is the answer to a call that this node has given up on, with the time to come back.
 func (d *Desk) surrender(p int, doubt bool, err error) error {
-	k := apierror.NoOwner
+	k := apierror.NoPartitionLeader
 	if doubt {
 		k = apierror.OutcomeUnknown
 	}
 	x := apierror.New(k, "partition %d could not decide: %v", p, err)
-	return x.After(clock.Jitter(2*d.Bounds.Retry(), 1, rand.Float64()).Round(time.Millisecond))
+	return x.WithRetryAfter(clock.Jitter(2*d.Bounds.Retry(), 1, rand.Float64()).Round(time.Millisecond))
 }
 
 func try[Q, A any](ctx context.Context, d *Desk, p int, r assignment.Record, c *wire.Procedure[Q, A], local func(context.Context, *Q) (*A, error), q *Q) (*A, error) {
 	if r.Owner == "" {
-		return nil, apierror.New(apierror.NoOwner, "partition %d has no owner yet", p)
+		return nil, apierror.New(apierror.NoPartitionLeader, "partition %d has no owner yet", p)
 	}
 	cx, stop := context.WithTimeout(ctx, d.Bounds.Call())
 	defer stop()
@@ -329,7 +329,7 @@
 	}
 	i, ok := d.View.Get(r.Owner)
 	if !ok {
-		return nil, apierror.New(apierror.NoOwner, "the owner %s of partition %d is gone", r.Owner, p)
+		return nil, apierror.New(apierror.NoPartitionLeader, "the owner %s of partition %d is gone", r.Owner, p)
 	}
 	defer context.AfterFunc(d.reigns.of(d.Board, r), stop)()
 	return c.Call(cx, d.Net, d.Self, i.Peers, q)
--- a/internal/partitionlog/router/forgotten_test.go
+++ b/internal/partitionlog/router/forgotten_test.go
@@ -33,7 +33,7 @@
 // Who is asked for readers while a partition moves is asked again until somebody decides; where nobody does, that is no yes.
 func TestForgottenIsAskedAgain(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		moving := []apierror.Kind{apierror.NotOwner, apierror.NotReady, apierror.Leaving, apierror.StaleEpoch}
+		moving := []apierror.Code{apierror.NotPartitionLeader, apierror.NotReady, apierror.ShuttingDown, apierror.StaleEpoch}
 		a := &askers{tell: func(n int) (*leader.Unheard, error) {
 			if n <= len(moving) {
 				return nil, apierror.New(moving[n-1], "moving")
@@ -49,9 +49,11 @@
 		assert.Equal(t, len(a.asked), len(moving)+1)
 		assert.DeepEqual(t, a.asked[0], ForgottenRequest{Partition: part, Offset: 7, Hold: time.Second})
 
-		a.tell = func(int) (*leader.Unheard, error) { return nil, apierror.New(apierror.NotOwner, "superseded") }
+		a.tell = func(int) (*leader.Unheard, error) {
+			return nil, apierror.New(apierror.NotPartitionLeader, "superseded")
+		}
 		u, err = b.Forgotten(t.Context(), part, 7, time.Second)
-		assert.Assert(t, u == nil && apierror.Has(err, apierror.NoOwner), "%v", err)
+		assert.Assert(t, u == nil && apierror.HasCode(err, apierror.NoPartitionLeader), "%v", err)
 	})
 }
 
--- a/internal/partitionlog/router/offer.go
+++ b/internal/partitionlog/router/offer.go
@@ -183,7 +183,7 @@
 	}
 }
 
-var tooLate = apierror.New(apierror.NoOwner, "the time of the message is over")
+var tooLate = apierror.New(apierror.NoPartitionLeader, "the time of the message is over")
 
 func (d *Desk) drive(p int, l *lane) {
 	for {
@@ -220,9 +220,9 @@
 	i, known := d.View.Get(r.Owner)
 	switch {
 	case r.Owner == "":
-		return nil, apierror.New(apierror.NoOwner, "partition %d has no owner yet", p)
+		return nil, apierror.New(apierror.NoPartitionLeader, "partition %d has no owner yet", p)
 	case r.Owner != d.Self && !known:
-		return nil, apierror.New(apierror.NoOwner, "the owner %s of partition %d is gone", r.Owner, p)
+		return nil, apierror.New(apierror.NoPartitionLeader, "the owner %s of partition %d is gone", r.Owner, p)
 	}
 	ctx, stop := context.WithTimeout(context.Background(), d.Bounds.Call())
 	defer stop()
@@ -282,11 +282,11 @@
 		e := err
 		if err == nil {
 			if x := vs[i].Problem; x != nil {
-				e = x.After(time.Duration(x.RetryMS) * time.Millisecond)
+				e = x.WithRetryAfter(time.Duration(x.RetryAfterMS) * time.Millisecond)
 			}
 		}
-		k := apierror.Of(e).Kind
-		open := elsewhere[k] || k == apierror.NoOwner
+		k := apierror.From(e).Code
+		open := elsewhere[k] || k == apierror.NoPartitionLeader
 		if err == nil && !open {
 			l.hopes, l.tries = 0, 0
 		}
@@ -307,7 +307,7 @@
 	if len(stay) == 0 {
 		return nil
 	}
-	k := apierror.Of(why[0]).Kind
+	k := apierror.From(why[0]).Code
 	if looks[k] > 0 && (l.hopes == 0 || now.Sub(l.hoped) >= d.Bounds.Retry()) {
 		l.hopes++
 		l.hoped = now
@@ -368,7 +368,7 @@
 	var at []int
 	for i, t := range q.Tasks {
 		if err := d.placed(t, q.Partition); err != nil {
-			a.Verdicts[i].Problem = apierror.Of(err)
+			a.Verdicts[i].Problem = apierror.From(err)
 			continue
 		}
 		ts, at = append(ts, t), append(at, i)
@@ -382,7 +382,7 @@
 func (d *Desk) placed(q *leader.Task, p int) error {
 	at, err := d.place(q)
 	if err == nil && at != p {
-		err = apierror.New(apierror.NotOwner, "topic %s stands in partition %d, not %d", q.Topic, at, p)
+		err = apierror.New(apierror.NotPartitionLeader, "topic %s stands in partition %d, not %d", q.Topic, at, p)
 	}
 	return err
 }
--- a/internal/partitionlog/router/offer_test.go
+++ b/internal/partitionlog/router/offer_test.go
@@ -42,7 +42,7 @@
 // Do carries a call to the stand-in.
 func (b *bench) Do(r *http.Request) (*http.Response, error) {
 	if r.URL.Host == "s0" {
-		return nil, apierror.Because(apierror.Unreachable, syscall.ECONNREFUSED, "nobody listens")
+		return nil, apierror.WithCause(apierror.Unreachable, syscall.ECONNREFUSED, "nobody listens")
 	}
 	m := http.NewServeMux()
 	SubmitMany.Handle(m, func(_ context.Context, q *ManyRequest) (*ManyResponse, error) {
@@ -61,7 +61,7 @@
 	m.ServeHTTP(rec, r)
 	a := rec.Result()
 	if err := r.Context().Err(); err != nil {
-		return nil, apierror.Because(apierror.Unreachable, err, "no answer")
+		return nil, apierror.WithCause(apierror.Unreachable, err, "no answer")
 	}
 	return a, nil
 }
@@ -105,7 +105,7 @@
 	})
 }
 
-func (b *bench) kind(call uint64) apierror.Kind {
+func (b *bench) kind(call uint64) apierror.Code {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	err, ok := b.told[call]
@@ -115,7 +115,7 @@
 	case err == nil:
 		return "taken"
 	}
-	return apierror.Of(err).Kind
+	return apierror.From(err).Code
 }
 
 // take decides as an owner does: a number above the last is taken.
@@ -182,7 +182,7 @@
 		assert.Equal(t, len(b.told), 600)
 		assert.Equal(t, len(b.again), 0, "told twice, or of another's place: %v", b.again)
 		for c := range uint64(600) {
-			assert.Equal(t, b.kind(c+1), apierror.Kind("taken"), "call %d", c+1)
+			assert.Equal(t, b.kind(c+1), apierror.Code("taken"), "call %d", c+1)
 		}
 		assert.Assert(t, slices.IsSorted(b.got) && len(b.got) == 600)
 		assert.Equal(t, b.most, 1, "batches of one node and partition under way")
@@ -195,17 +195,17 @@
 	cases := map[string]struct {
 		owner string
 		path  func(b *bench, n int, ctx context.Context, q *ManyRequest) (*ManyResponse, error)
-		kind  apierror.Kind
+		kind  apierror.Code
 		last  time.Duration
 	}{
-		"no owner":         {"", nil, apierror.NoOwner, 300 * time.Millisecond},
-		"the owner's gone": {"s9", nil, apierror.NoOwner, 300 * time.Millisecond},
+		"no owner":         {"", nil, apierror.NoPartitionLeader, 300 * time.Millisecond},
+		"the owner's gone": {"s9", nil, apierror.NoPartitionLeader, 300 * time.Millisecond},
 		"each call lost":   {"s1", func(*bench, int, context.Context, *ManyRequest) (*ManyResponse, error) { return lost() }, apierror.OutcomeUnknown, 500 * time.Millisecond},
 		"taking over, at length": {"s1", func(*bench, int, context.Context, *ManyRequest) (*ManyResponse, error) {
 			return nil, apierror.New(apierror.NotReady, "x")
 		}, apierror.OutcomeUnknown, 2 * time.Second},
-		"taking over here, at length": {"a1", nil, apierror.NoOwner, 2 * time.Second},
-		"nobody listens":              {"s0", nil, apierror.NoOwner, 500 * time.Millisecond},
+		"taking over here, at length": {"a1", nil, apierror.NoPartitionLeader, 2 * time.Second},
+		"nobody listens":              {"s0", nil, apierror.NoPartitionLeader, 500 * time.Millisecond},
 		"one call lost, then taking over": {"s1", func(_ *bench, n int, _ context.Context, _ *ManyRequest) (*ManyResponse, error) {
 			if n == 1 {
 				return lost()
@@ -273,11 +273,11 @@
 		at := func(c uint64) time.Duration { return b.times[c].Sub(begun) }
 		assert.Equal(t, b.kind(1), apierror.OutcomeUnknown)
 		assert.Equal(t, at(1), 700*time.Millisecond)
-		assert.Equal(t, b.kind(2), apierror.NoOwner)
+		assert.Equal(t, b.kind(2), apierror.NoPartitionLeader)
 		assert.Equal(t, at(2), 500*time.Millisecond)
-		assert.Equal(t, b.kind(3), apierror.NoOwner)
+		assert.Equal(t, b.kind(3), apierror.NoPartitionLeader)
 		assert.Equal(t, at(3), 300*time.Millisecond)
-		assert.Equal(t, b.kind(4), apierror.Kind("taken"))
+		assert.Equal(t, b.kind(4), apierror.Code("taken"))
 		assert.DeepEqual(t, b.got, []uint64{1, 4})
 		assert.Equal(t, len(b.again), 0)
 	})
@@ -304,7 +304,7 @@
 		assert.DeepEqual(t, b.got, []uint64{1, 2, 3})
 		b.offer(6, 5*time.Second)
 		wait(2 * time.Second)
-		assert.Equal(t, b.kind(6), apierror.Kind("taken"), "the lane takes up again after it ended")
+		assert.Equal(t, b.kind(6), apierror.Code("taken"), "the lane takes up again after it ended")
 	})
 }
 
@@ -340,8 +340,8 @@
 		wait(15 * time.Millisecond)
 		b.offer(5, 5*time.Second)
 		wait(10 * time.Millisecond)
-		assert.Equal(t, b.kind(2), apierror.Kind("taken"))
-		assert.Equal(t, b.kind(3), apierror.Kind("not told"))
+		assert.Equal(t, b.kind(2), apierror.Code("taken"))
+		assert.Equal(t, b.kind(3), apierror.Code("not told"))
 		wait(time.Second)
 		assert.Equal(t, fmt.Sprint(seen), "[[1] [2 3 4] [3 4 5]]")
 		assert.DeepEqual(t, b.got, []uint64{1, 2, 3, 4, 5})
@@ -366,7 +366,7 @@
 		b.owned("s2")
 		wait(time.Second)
 		assert.Equal(t, b.times[1].Sub(begun), 100*time.Millisecond)
-		assert.Equal(t, b.kind(1), apierror.Kind("taken"))
+		assert.Equal(t, b.kind(1), apierror.Code("taken"))
 		assert.DeepEqual(t, b.got, []uint64{1, 2})
 	})
 }
--- a/internal/placement/controller/duty.go
+++ b/internal/placement/controller/duty.go
@@ -184,7 +184,7 @@
 			d.Tell(context.WithoutCancel(ctx), w.n)
 			return w.n, nil
 		}
-		if !apierror.Has(err, apierror.StaleBase) {
+		if !apierror.HasCode(err, apierror.StaleBase) {
 			d.Log.Say(event.PlaceTrouble, "partition", w.n.Partition, "problem", err)
 		}
 		return d.fetch(ctx, w.n.Partition)
--- a/internal/placement/decommission/drain_test.go
+++ b/internal/placement/decommission/drain_test.go
@@ -15,7 +15,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, len(none), 0)
 	_, err = Parse([]byte(`{"s1":{"node":`))
-	assert.Assert(t, apierror.Has(err, apierror.DiskDamaged), "%v", err)
+	assert.Assert(t, apierror.HasCode(err, apierror.DiskDamaged), "%v", err)
 	l := List{"s1": {Node: "s1", Disk: "d", Done: true}}
 	again, err := Parse(l.Pack())
 	assert.NilError(t, err)
--- a/internal/quorum/gather.go
+++ b/internal/quorum/gather.go
@@ -31,7 +31,7 @@
 			as = append(as, a)
 		case <-ctx.Done():
 			for range len(ws) - len(as) {
-				as = append(as, Answer[W, A]{Err: apierror.Because(apierror.Unreachable, ctx.Err(), "no answer in time")})
+				as = append(as, Answer[W, A]{Err: apierror.WithCause(apierror.Unreachable, ctx.Err(), "no answer in time")})
 			}
 			return as
 		}
--- a/internal/quorum/gather_test.go
+++ b/internal/quorum/gather_test.go
@@ -24,6 +24,6 @@
 	assert.Equal(t, len(as), 3)
 	assert.Assert(t, len(Good(as)) <= 1)
 	assert.Assert(t, First(as) != nil)
-	assert.Assert(t, apierror.Because(apierror.NoMajority, nil, "x") != nil)
+	assert.Assert(t, apierror.WithCause(apierror.NoMajority, nil, "x") != nil)
 	assert.NilError(t, apierror.Wrap(apierror.NoMajority, nil, "x"))
 }
--- a/internal/replay/recording/recording.go
+++ b/internal/replay/recording/recording.go
@@ -60,11 +60,11 @@
 func (w *Writer) line(v any) error {
 	b, err := rawjson.JSON(v)
 	if err != nil {
-		return apierror.Wrap(apierror.RecordingBad, err, "write a line")
+		return apierror.Wrap(apierror.RecordingInvalid, err, "write a line")
 	}
 	w.sum = next(w.sum, b)
 	_, err = w.w.Write(append(b, '\n'))
-	return apierror.Wrap(apierror.RecordingBad, err, "write a line")
+	return apierror.Wrap(apierror.RecordingInvalid, err, "write a line")
 }
 
 // Add writes a message.
@@ -91,10 +91,10 @@
 	sc.Buffer(nil, lineMost)
 	var h Header
 	if !sc.Scan() || strict(sc.Bytes(), &h) != nil || h.Format == 0 {
-		return h, nil, apierror.New(apierror.RecordingBad, "the file is no recording")
+		return h, nil, apierror.New(apierror.RecordingInvalid, "the file is no recording")
 	}
 	if h.Format > Format {
-		return h, nil, apierror.New(apierror.RecordingBad, "the recording has format %d, this build knows %d", h.Format, Format)
+		return h, nil, apierror.New(apierror.RecordingInvalid, "the recording has format %d, this build knows %d", h.Format, Format)
 	}
 	sum := next("", sc.Bytes())
 	var ms []Message
@@ -102,19 +102,19 @@
 		var e end
 		if strict(sc.Bytes(), &e) == nil {
 			if e.Sum != sum || e.Messages != len(ms) {
-				return h, nil, apierror.New(apierror.RecordingBad, "the recording is corrupt before its end")
+				return h, nil, apierror.New(apierror.RecordingInvalid, "the recording is corrupt before its end")
 			}
 			if sc.Scan() {
-				return h, nil, apierror.New(apierror.RecordingBad, "something follows the recording's end")
+				return h, nil, apierror.New(apierror.RecordingInvalid, "something follows the recording's end")
 			}
 			return h, ms, nil
 		}
 		var m Message
 		if err := strict(sc.Bytes(), &m); err != nil || m.Sum != sum {
-			return h, nil, apierror.New(apierror.RecordingBad, "the recording is corrupt at line %d", len(ms)+2)
+			return h, nil, apierror.New(apierror.RecordingInvalid, "the recording is corrupt at line %d", len(ms)+2)
 		}
 		sum = next(sum, sc.Bytes())
 		ms = append(ms, m)
 	}
-	return h, nil, apierror.New(apierror.RecordingBad, "the recording breaks off after %d messages", len(ms))
+	return h, nil, apierror.New(apierror.RecordingInvalid, "the recording breaks off after %d messages", len(ms))
 }
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -43,7 +43,7 @@
 			}
 			return f(l)
 		})
-		if k := apierror.Of(err).Kind; err != nil && (k == apierror.UnknownTopic || k == apierror.UnknownSpace || k == apierror.TokenFenced || k == apierror.RecordingBad) {
+		if k := apierror.From(err).Code; err != nil && (k == apierror.UnknownTopic || k == apierror.UnknownSpace || k == apierror.TokenFenced || k == apierror.RecordingInvalid) {
 			return err
 		}
 		_ = clock.Real{}.Sleep(ctx, again)
@@ -183,7 +183,7 @@
 	return a.Token, err
 }
 
-var lasting = map[apierror.Kind]bool{
+var lasting = map[apierror.Code]bool{
 	apierror.UnknownTopic: true, apierror.UnknownSpace: true, apierror.CallPassed: true, apierror.CallAltered: true, apierror.TokenFenced: true, apierror.Oversize: true,
 }
 
@@ -201,7 +201,7 @@
 			if err == nil {
 				break
 			}
-			if lasting[apierror.Of(err).Kind] || ctx.Err() != nil || time.Now().After(end) {
+			if lasting[apierror.From(err).Code] || ctx.Err() != nil || time.Now().After(end) {
 				return apierror.Wrap(apierror.ReplayDiffers, err, "send on %s", m.Topic)
 			}
 			_ = clock.Real{}.Sleep(ctx, again)
--- a/internal/settings/options.go
+++ b/internal/settings/options.go
@@ -96,11 +96,11 @@
 func (s *Span) UnmarshalJSON(b []byte) error {
 	var t string
 	if err := json.Unmarshal(b, &t); err != nil {
-		return apierror.New(apierror.OptionsBad, "must be a duration in quotes such as \"35s\"")
+		return apierror.New(apierror.SettingsInvalid, "must be a duration in quotes such as \"35s\"")
 	}
 	d, err := time.ParseDuration(t)
 	if err != nil {
-		return apierror.New(apierror.OptionsBad, "%q is no duration such as \"35s\"", t)
+		return apierror.New(apierror.SettingsInvalid, "%q is no duration such as \"35s\"", t)
 	}
 	*s = Span(d)
 	return nil
@@ -215,7 +215,7 @@
 func (o *Options) Read(path string) error {
 	b, err := os.ReadFile(path)
 	if err != nil {
-		return apierror.Wrap(apierror.OptionsBad, err, "settings file %s can't be read", path)
+		return apierror.Wrap(apierror.SettingsInvalid, err, "settings file %s can't be read", path)
 	}
 	return o.Parse(path, b)
 }
@@ -223,22 +223,22 @@
 // Parse reads the text of a settings file over o.
 func (o *Options) Parse(path string, b []byte) error {
 	if n, err := doubled(b); err == nil && n != "" {
-		return apierror.New(apierror.OptionsBad, "%s: field %q: stands twice", path, n)
+		return apierror.New(apierror.SettingsInvalid, "%s: field %q: stands twice", path, n)
 	}
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.DisallowUnknownFields()
 	if err := d.Decode(o); err != nil {
-		return apierror.New(apierror.OptionsBad, "%s: %s", path, plain(err))
+		return apierror.New(apierror.SettingsInvalid, "%s: %s", path, plain(err))
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return apierror.New(apierror.OptionsBad, "%s: something follows the settings object", path)
+		return apierror.New(apierror.SettingsInvalid, "%s: something follows the settings object", path)
 	}
 	return nil
 }
 
 func plain(err error) string {
 	s := strings.TrimPrefix(err.Error(), "json: ")
-	return strings.TrimPrefix(s, string(apierror.OptionsBad)+": ")
+	return strings.TrimPrefix(s, string(apierror.SettingsInvalid)+": ")
 }
 
 func doubled(b []byte) (string, error) {
@@ -344,9 +344,9 @@
 	var l []apierror.Fault
 	for _, x := range f {
 		s = append(s, fmt.Sprintf("%s: field %q: %s", where, x.Field, x.Say))
-		l = append(l, apierror.Fault{Place: x.Field, Say: x.Say})
+		l = append(l, apierror.Fault{Path: x.Field, Message: x.Say})
 	}
-	return apierror.New(apierror.OptionsBad, "%s", strings.Join(s, "; ")).With(l)
+	return apierror.New(apierror.SettingsInvalid, "%s", strings.Join(s, "; ")).WithFaults(l)
 }
 
 // Live lists the fields that may change under a running node.
--- a/internal/testing/fleet/day.go
+++ b/internal/testing/fleet/day.go
@@ -275,7 +275,7 @@
 	end := time.Now().Add(settings.DefaultBounds.Recovery)
 	for {
 		seq, err := f.Processes[0].Port().Put(ctx, d.Load.Describe(0))
-		if err == nil || time.Now().After(end) || !apierror.Has(err, apierror.OutcomeUnknown) {
+		if err == nil || time.Now().After(end) || !apierror.HasCode(err, apierror.OutcomeUnknown) {
 			return seq, err
 		}
 	}
@@ -334,7 +334,7 @@
 			n, e := ps[rng.IntN(len(ps))].Put(cx, doc)
 			if e == nil {
 				h.Accept(cur, n, string(doc), time.Now())
-			} else if apierror.Has(e, apierror.DescriptionBad) {
+			} else if apierror.HasCode(e, apierror.ConfigurationInvalid) {
 				h.Violate(history.Invalid, "a sound description was turned away: %v", e)
 			}
 		}
@@ -356,7 +356,7 @@
 			c++
 		}
 		if err != nil {
-			wait(ctx, time.Duration(max(50, apierror.Of(err).RetryMS))*time.Millisecond)
+			wait(ctx, time.Duration(max(50, apierror.From(err).RetryAfterMS))*time.Millisecond)
 		}
 	}
 }
--- a/internal/testing/fleet/links.go
+++ b/internal/testing/fleet/links.go
@@ -156,7 +156,7 @@
 }
 
 func failed(b []byte) error {
-	p := &apierror.Problem{}
+	p := &apierror.Error{}
 	if json.Unmarshal(b, p) != nil {
 		return apierror.New(apierror.Malformed, "%.80s", b)
 	}
--- a/internal/testing/fleet/relay.go
+++ b/internal/testing/fleet/relay.go
@@ -143,7 +143,7 @@
 		select {
 		case <-c:
 		case <-r.ctx.Done():
-			return apierror.Because(apierror.Stopped, r.ctx.Err(), "from %s to %s", from, to)
+			return apierror.WithCause(apierror.Stopped, r.ctx.Err(), "from %s to %s", from, to)
 		}
 	}
 }
--- a/internal/testing/fleet/relay_test.go
+++ b/internal/testing/fleet/relay_test.go
@@ -105,7 +105,7 @@
 		<-in
 		assert.Equal(t, r.Reset(1), 1)
 		err := <-res
-		assert.Assert(t, apierror.Has(err, apierror.Unreachable), "%v", err)
+		assert.Assert(t, apierror.HasCode(err, apierror.Unreachable), "%v", err)
 		out <- true
 		assert.NilError(t, call("after"))
 	}
--- a/internal/testing/fleet/visits.go
+++ b/internal/testing/fleet/visits.go
@@ -56,14 +56,14 @@
 	Count   int           `json:"count"`
 	Body    string        `json:"body"`
 	Address string        `json:"address"`
-	Code    apierror.Kind `json:"code"`
+	Code    apierror.Code `json:"code"`
 	Say     string        `json:"say"`
 }
 
 func (a told) answer() session.Answer {
 	x := session.Answer{What: a.What, Re: a.Re, Topic: a.Topic, From: a.From, Call: a.Call, Cursor: a.Cursor, Key: a.Key, Count: a.Count, Body: []byte(a.Body), Address: a.Address}
 	if a.Code != "" {
-		x.Err = &apierror.Problem{Kind: a.Code, Say: a.Say}
+		x.Err = &apierror.Error{Code: a.Code, Message: a.Say}
 	}
 	return x
 }
--- a/internal/testing/httpclient/caller.go
+++ b/internal/testing/httpclient/caller.go
@@ -148,12 +148,12 @@
 		if got {
 			opened = c.History.Begin(history.WaitOpen, c.Name, c.Clock.Now())
 		}
-		if apierror.Has(err, apierror.TokenForeign) || apierror.Has(err, apierror.TokenFenced) {
+		if apierror.HasCode(err, apierror.TokenForeign) || apierror.HasCode(err, apierror.TokenFenced) {
 			if c.current() == t {
 				c.attach(ctx)
 			}
 		}
-		if apierror.Has(err, apierror.CursorExpired) || apierror.Has(err, apierror.CursorBad) {
+		if apierror.HasCode(err, apierror.CursorExpired) || apierror.HasCode(err, apierror.CursorMalformed) {
 			c.History.Violate(history.Missed, "%s could not resume: %v", c.Name, err)
 			c.cursor = ""
 		}
@@ -211,7 +211,7 @@
 	return fmt.Sprintf(`"%s %s %d %s"`, c.Name, topic, n, strings.Repeat(bodyLetter[int(n)%26:int(n)%26+1], k))
 }
 
-var definite = map[apierror.Kind]bool{
+var definite = map[apierror.Code]bool{
 	apierror.CallPassed: true, apierror.CallAltered: true, apierror.CallForgotten: true, apierror.UnknownTopic: true, apierror.UnknownSpace: true,
 	apierror.TokenFenced: true, apierror.TokenForeign: true, apierror.TokenMissing: true, apierror.Malformed: true, apierror.Oversize: true,
 }
@@ -234,22 +234,22 @@
 				end(c.Clock.Now())
 				break
 			}
-			p := apierror.Of(err)
-			if p.Kind == apierror.TokenForeign || p.Kind == apierror.TokenFenced {
+			p := apierror.From(err)
+			if p.Code == apierror.TokenForeign || p.Code == apierror.TokenFenced {
 				if c.current() == t {
 					c.attach(ctx)
 				}
 				continue
 			}
-			if p.Kind == apierror.Internal {
+			if p.Code == apierror.Internal {
 				c.History.Violate(history.Foreign, "%s got an untyped failure: %v", c.Name, err)
 			}
-			if definite[p.Kind] {
-				c.History.Violate(history.Lost, "%s was told %s for %v, which it sends in order: %v", c.Name, p.Kind, m, err)
+			if definite[p.Code] {
+				c.History.Violate(history.Lost, "%s was told %s for %v, which it sends in order: %v", c.Name, p.Code, m, err)
 				return
 			}
-			c.History.Told(string(p.Kind), c.Clock.Now().Sub(asked))
-			c.pause(ctx, max(c.Spread/30, time.Duration(p.RetryMS)*time.Millisecond/2))
+			c.History.Told(string(p.Code), c.Clock.Now().Sub(asked))
+			c.pause(ctx, max(c.Spread/30, time.Duration(p.RetryAfterMS)*time.Millisecond/2))
 		}
 		end(c.Clock.Now())
 		c.pause(ctx, c.Every*2/3)
--- a/internal/testing/sim/answers_test.go
+++ b/internal/testing/sim/answers_test.go
@@ -43,7 +43,7 @@
 				w.Thaw(old)
 				second := attach(t, w, "a1", who)
 				_, err := w.Port("a1").Send(w.ctx, second.Token, topic, 4, []byte(`"after"`))
-				assert.Assert(t, err == nil || apierror.Has(err, apierror.CallAltered), "%v", err)
+				assert.Assert(t, err == nil || apierror.HasCode(err, apierror.CallAltered), "%v", err)
 				assert.NilError(t, w.Until(10*time.Second, "the old owner is licensed", func() bool { return w.Machines[old].Node().Ready() == nil }))
 				stale := w.Machines[old].Node()
 				ctx, stop := context.WithTimeout(w.ctx, w.Site.Bounds.Spread)
@@ -52,7 +52,7 @@
 					assert.Equal(t, a.Attached.Generation, second.Generation, "vouched for a superseded attachment")
 				}
 				_, err = stale.Visitors.Desk.Submit(ctx, p, &leader.Task{Visitor: who, Generation: second.Generation, Topic: topic, Call: 5, Body: []byte(`"later"`)})
-				assert.Assert(t, !apierror.Has(err, apierror.CallPassed), "a final no from an owner that is none: %v", err)
+				assert.Assert(t, !apierror.HasCode(err, apierror.CallPassed), "a final no from an owner that is none: %v", err)
 				stop()
 				assert.Assert(t, hits() > 0, "void: nothing was held")
 				release()
--- a/internal/testing/sim/blows.go
+++ b/internal/testing/sim/blows.go
@@ -216,7 +216,7 @@
 					}
 					return
 				}
-				if _, err := w.Put(n, doc); apierror.Has(err, apierror.DescriptionBad) {
+				if _, err := w.Put(n, doc); apierror.HasCode(err, apierror.ConfigurationInvalid) {
 					w.History.Violate(history.Invalid, "a sound description was turned away through %s: %v", n, err)
 				}
 			})
--- a/internal/testing/sim/chaos_test.go
+++ b/internal/testing/sim/chaos_test.go
@@ -99,11 +99,11 @@
 		w.History.ReadBack(cur, asked)
 		doc := w.load.Numbered(cur, cur+1+r.Uint64N(9), "")
 		_, err = w.Put(to, doc)
-		if apierror.Has(err, apierror.OutcomeUnknown) {
+		if apierror.HasCode(err, apierror.OutcomeUnknown) {
 			to = w.pick(r, "")
 			_, err = w.Put(to, doc)
 		}
-		if apierror.Has(err, apierror.DescriptionBad) {
+		if apierror.HasCode(err, apierror.ConfigurationInvalid) {
 			w.History.Violate(history.Invalid, "a sound description was turned away through %s: %v", to, err)
 		}
 	}
--- a/internal/testing/sim/description_test.go
+++ b/internal/testing/sim/description_test.go
@@ -66,7 +66,7 @@
 					won = i
 					continue
 				}
-				assert.Assert(t, apierror.Has(err, apierror.DescriptionRaced), "%v", err)
+				assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationConflict), "%v", err)
 			}
 			assert.Assert(t, won >= 0, "nobody won on base %d: %v", base, errs)
 			time.Sleep(w.Site.Bounds.Spread)
@@ -102,7 +102,7 @@
 						won = i
 						continue
 					}
-					assert.Assert(t, apierror.Has(err, apierror.DescriptionRaced), "%v", err)
+					assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationConflict), "%v", err)
 				}
 				assert.Assert(t, won >= 0, "nobody won on base %d: %v", base, errs)
 				want, err := configuration.Parse(docs[won])
@@ -110,7 +110,7 @@
 				for i := range docs {
 					_, err := w.Put(w.Names[w.Int(len(w.Names))], docs[i])
 					assert.Equal(t, err == nil, i == won, "the same again: %v", err)
-					assert.Assert(t, err == nil || apierror.Has(err, apierror.DescriptionRaced), "%v", err)
+					assert.Assert(t, err == nil || apierror.HasCode(err, apierror.ConfigurationConflict), "%v", err)
 				}
 				time.Sleep(w.Site.Bounds.Spread)
 				bare := want
@@ -156,7 +156,7 @@
 		assert.Equal(t, seq, uint64(7))
 		for _, doc := range [][]byte{load.Numbered(0, 7, "other"), load.Numbered(7, 9, "other"), load.Numbered(7, 10, "second"), load.Numbered(0, 9, "second")} {
 			_, err = w.Put("c2", doc)
-			assert.Assert(t, apierror.Has(err, apierror.DescriptionRaced), "%s: %v", doc, err)
+			assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationConflict), "%s: %v", doc, err)
 		}
 		got, err := w.Machines["s1"].Node().Operators.Current(w.ctx)
 		assert.NilError(t, err)
@@ -203,10 +203,10 @@
 					assert.Equal(t, s.Kind, kind)
 				}
 			}
-			assert.Assert(t, apierror.Has(send("kc.x"), apierror.UnknownSpace))
+			assert.Assert(t, apierror.HasCode(send("kc.x"), apierror.UnknownSpace))
 			assert.NilError(t, put(whole))
 			assert.NilError(t, send("ka.bc"), "the shorter prefix holds the topics now")
-			assert.Assert(t, apierror.Has(send("kb.x"), apierror.UnknownSpace))
+			assert.Assert(t, apierror.HasCode(send("kb.x"), apierror.UnknownSpace))
 			for _, spaces := range []string{
 				whole + `,{"name":"r-3","kind":"kept","prefix":"kb."}`,
 				whole + `,{"name":"other","kind":"kept","prefix":"kb.x"}`,
@@ -214,10 +214,10 @@
 				whole + `,{"name":"r-4","kind":"kept","urgent":true,"prefix":"ka.c"}`,
 			} {
 				err := put(spaces)
-				assert.Assert(t, apierror.Has(err, apierror.DescriptionBad), "lines would move: %s: %v", spaces, err)
+				assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationInvalid), "lines would move: %s: %v", spaces, err)
 			}
 			assert.NilError(t, put(part))
-			assert.Assert(t, apierror.Has(send("ka.a"), apierror.UnknownSpace))
+			assert.Assert(t, apierror.HasCode(send("ka.a"), apierror.UnknownSpace))
 			assert.NilError(t, put(whole+`,{"name":"renamed","kind":"kept","urgent":true,"prefix":"kb."}`))
 			for _, n := range topics {
 				assert.NilError(t, send(n), n)
@@ -294,7 +294,7 @@
 	stand(t, Armor, 360, func(t *testing.T, w *World) {
 		most := w.Site.Bounds.KeptMost().Milliseconds()
 		_, err := w.Put("c1", []byte(fmt.Sprintf(`{"base":0,"spaces":[{"name":"k","kind":"kept","prefix":"k","keep_ms":%d}]}`, most+1)))
-		assert.Assert(t, apierror.Has(err, apierror.DescriptionBad), "%v", err)
+		assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationInvalid), "%v", err)
 		asked := 2 * w.Site.Bounds.Keeping
 		_, err = w.Put("c1", []byte(fmt.Sprintf(`{"base":0,"spaces":[{"name":"k","kind":"kept","prefix":"k","keep_ms":%d},{"name":"l","kind":"kept","prefix":"l"}]}`, asked.Milliseconds())))
 		assert.NilError(t, err)
@@ -311,7 +311,7 @@
 		assert.NilError(t, err)
 		time.Sleep(5 * time.Second)
 		_, _, err = follow(w, "c2", attach(t, w, "c2", "x").Token, cursor, []string{"k1"}, 2*time.Second)
-		assert.Assert(t, apierror.Has(err, apierror.CursorExpired), "let go in the end: %v", err)
+		assert.Assert(t, apierror.HasCode(err, apierror.CursorExpired), "let go in the end: %v", err)
 	})
 }
 
@@ -353,31 +353,31 @@
 	stand(t, Armor, 4, func(t *testing.T, w *World) {
 		_, err := w.Put("c1", load.Describe(0))
 		assert.NilError(t, err)
-		bad := map[string]apierror.Kind{
-			`{"base":1,"spaces":[{"name":"kept","kind":"kept","topics":["t0","t0"]},{"name":"X","kind":"gone","topics":[]}]}`: apierror.DescriptionBad,
-			`{"base":1,"base":1,"spaces":[],"more":true}`:                                          apierror.DescriptionBad,
-			`{"base":1,"spaces":[{"name":"stop","kind":"kept","urgent":false,"topics":["line"]}]}`: apierror.DescriptionBad,
-			`{"base":1,"spaces":[]} {}`:                                                            apierror.DescriptionBad,
+		bad := map[string]apierror.Code{
+			`{"base":1,"spaces":[{"name":"kept","kind":"kept","topics":["t0","t0"]},{"name":"X","kind":"gone","topics":[]}]}`: apierror.ConfigurationInvalid,
+			`{"base":1,"base":1,"spaces":[],"more":true}`:                                          apierror.ConfigurationInvalid,
+			`{"base":1,"spaces":[{"name":"stop","kind":"kept","urgent":false,"topics":["line"]}]}`: apierror.ConfigurationInvalid,
+			`{"base":1,"spaces":[]} {}`:                                                            apierror.ConfigurationInvalid,
 			`{"base":1,"spaces":`:                                                                  apierror.Malformed,
-			`{"base":7,"spaces":[]}`:                                                               apierror.DescriptionRaced,
-			`{"base":1,"sequence":1,"spaces":[]}`:                                                  apierror.DescriptionBad,
-			`{"base":1,"sequence":9,"spaces":[{"name":"a","kind":"kept","prefix":"k"},{"name":"b","kind":"kept","prefix":"k"}]}`: apierror.DescriptionBad,
-			`{"base":1,"sequence":9,"spaces":[{"name":"a","kind":"kept","prefix":"k"},{"name":"a","kind":"kept","prefix":"l"}]}`: apierror.DescriptionBad,
-			`{"base":1,"sequence":9,"spaces":[{"name":"a","kind":"kept","prefix":"k","deadline_ms":0}]}`:                         apierror.DescriptionBad,
-			`{"base":1,"sequence":9,"spaces":[{"name":"a","kind":"kept","prefix":"k","keep_ms":86400000}]}`:                      apierror.DescriptionBad,
-			`{"base":0,"sequence":1,"spaces":[{"name":"a","kind":"kept","prefix":"k","deadline_ms":0}]}`:                         apierror.DescriptionBad,
+			`{"base":7,"spaces":[]}`:                                                               apierror.ConfigurationConflict,
+			`{"base":1,"sequence":1,"spaces":[]}`:                                                  apierror.ConfigurationInvalid,
+			`{"base":1,"sequence":9,"spaces":[{"name":"a","kind":"kept","prefix":"k"},{"name":"b","kind":"kept","prefix":"k"}]}`: apierror.ConfigurationInvalid,
+			`{"base":1,"sequence":9,"spaces":[{"name":"a","kind":"kept","prefix":"k"},{"name":"a","kind":"kept","prefix":"l"}]}`: apierror.ConfigurationInvalid,
+			`{"base":1,"sequence":9,"spaces":[{"name":"a","kind":"kept","prefix":"k","deadline_ms":0}]}`:                         apierror.ConfigurationInvalid,
+			`{"base":1,"sequence":9,"spaces":[{"name":"a","kind":"kept","prefix":"k","keep_ms":86400000}]}`:                      apierror.ConfigurationInvalid,
+			`{"base":0,"sequence":1,"spaces":[{"name":"a","kind":"kept","prefix":"k","deadline_ms":0}]}`:                         apierror.ConfigurationInvalid,
 		}
 		for doc, k := range bad {
 			for _, n := range []string{"a1", "c2"} {
 				_, err := w.Put(n, []byte(doc))
-				assert.Assert(t, apierror.Has(err, k), "%s: %v", doc, err)
+				assert.Assert(t, apierror.HasCode(err, k), "%s: %v", doc, err)
 			}
 		}
 		for _, d := range []configuration.Description{
 			{Base: 1, Sequence: 1}, {Base: 1, Spaces: []configuration.Space{{Name: "a", Kind: "kept"}}}, {Base: 1, Spaces: []configuration.Space{{Name: "a", Kind: "kept", Prefix: "k", KeepMS: 1 << 30}}},
 		} {
 			_, err := w.Machines["c2"].Node().Operators.Replace(w.ctx, d)
-			assert.Assert(t, apierror.Has(err, apierror.DescriptionBad), "%v: %v", d, err)
+			assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationInvalid), "%v: %v", d, err)
 		}
 		time.Sleep(w.Site.Bounds.Spread)
 		for _, n := range w.Names {
@@ -463,7 +463,7 @@
 			wg.Wait()
 			time.Sleep(4 * time.Second)
 			got, e := w.Port("a1").Get(w.ctx)
-			if apierror.Has(e, apierror.DescriptionNone) {
+			if apierror.HasCode(e, apierror.ConfigurationMissing) {
 				got, e = 0, nil
 			}
 			assert.NilError(t, e)
@@ -472,7 +472,7 @@
 				w.History.Accept(seq, put, string(load.Describe(seq)), time.Now())
 			} else {
 				assert.Assert(t, got == seq || got == seq+1, "read back %d after %d and %v", got, seq, err)
-				if !apierror.Has(err, apierror.OutcomeUnknown) {
+				if !apierror.HasCode(err, apierror.OutcomeUnknown) {
 					assert.Equal(t, got, seq, "told %v, though it was accepted", err)
 				}
 			}
--- a/internal/testing/sim/drain_test.go
+++ b/internal/testing/sim/drain_test.go
@@ -62,9 +62,9 @@
 	t.Parallel()
 	long(t)
 	play(t, Armor, 11, Armor.Bounds.Recovery, func(t *testing.T, w *World) {
-		assert.Assert(t, apierror.Has(w.askDrain("nobody"), apierror.UnknownNode))
-		assert.Assert(t, apierror.Has(w.askDrain("a1"), apierror.UnknownNode))
-		assert.Assert(t, apierror.Has(w.askDrain("c1"), apierror.AlreadyEmpty))
+		assert.Assert(t, apierror.HasCode(w.askDrain("nobody"), apierror.UnknownNode))
+		assert.Assert(t, apierror.HasCode(w.askDrain("a1"), apierror.UnknownNode))
+		assert.Assert(t, apierror.HasCode(w.askDrain("c1"), apierror.AlreadyEmpty))
 		assert.NilError(t, w.askDrain("s1"))
 		assert.NilError(t, w.askDrain("s1"), "asking again is no fault")
 		time.Sleep(700 * time.Millisecond)
@@ -82,7 +82,7 @@
 		for p := range w.Machines["a1"].Node().Roster().Layout.Count() {
 			assert.Equal(t, len(w.Machines["a1"].Node().Board.Record(p).Replicas), 3)
 		}
-		assert.Assert(t, apierror.Has(w.askDrain("s1"), apierror.AlreadyEmpty))
+		assert.Assert(t, apierror.HasCode(w.askDrain("s1"), apierror.AlreadyEmpty))
 		w.Wipe("s1")
 		time.Sleep(2 * time.Second)
 		w.Wipe("s2")
--- a/internal/testing/sim/early_test.go
+++ b/internal/testing/sim/early_test.go
@@ -23,10 +23,10 @@
 		m := w.Machines["a1"]
 		_, run := m.node()
 		_, err := router.Attached.Call(w.ctx, &endpoint{w, m, run}, "a1", w.Machines["s1"].Opts.Peers, &router.AttachedRequest{Visitor: "v"})
-		assert.Assert(t, apierror.Has(err, apierror.NotOwner), "%v", err)
+		assert.Assert(t, apierror.HasCode(err, apierror.NotPartitionLeader), "%v", err)
 		_, err = router.Submit.Call(w.ctx, &endpoint{w, m, run}, "a1", w.Machines["s1"].Opts.Peers, &leader.Task{Visitor: "v", Topic: "kept/t0", Call: 1, Body: []byte("1"), Description: 1})
-		assert.Assert(t, apierror.Has(err, apierror.NotReady), "a store that lacks the description refused for good: %v", err)
+		assert.Assert(t, apierror.HasCode(err, apierror.NotReady), "a store that lacks the description refused for good: %v", err)
 		_, err = w.Port("a1").Attach(w.ctx, "v")
-		assert.Assert(t, apierror.Has(err, apierror.Unlicensed), "%v", err)
+		assert.Assert(t, apierror.HasCode(err, apierror.NoLease), "%v", err)
 	})
 }
--- a/internal/testing/sim/effect_test.go
+++ b/internal/testing/sim/effect_test.go
@@ -59,9 +59,9 @@
 				if err == nil {
 					w.History.Effect(n, seq-1, asked, w.Site.Bounds.Spread-time.Millisecond, "took a message on a removed topic")
 				}
-				assert.Assert(t, apierror.Has(err, apierror.UnknownTopic), "%s: %v", n, err)
+				assert.Assert(t, apierror.HasCode(err, apierror.UnknownTopic), "%s: %v", n, err)
 				_, _, err = follow(w, n, tokens[n], "", []string{"kept/t1"}, time.Second)
-				assert.Assert(t, apierror.Has(err, apierror.UnknownTopic), "%s: %v", n, err)
+				assert.Assert(t, apierror.HasCode(err, apierror.UnknownTopic), "%s: %v", n, err)
 				_, err = w.Port(n).Send(ctx, tokens[n], "kept/t9", 1, []byte(`1`))
 				assert.NilError(t, err, "%s: an added topic", n)
 				if i == 0 {
@@ -114,9 +114,9 @@
 			assert.NilError(t, send(1))
 			assert.NilError(t, send(2))
 			assert.NilError(t, put(""))
-			assert.Assert(t, apierror.Has(send(3), apierror.UnknownSpace))
+			assert.Assert(t, apierror.HasCode(send(3), apierror.UnknownSpace))
 			err := put(other)
-			assert.Assert(t, apierror.Has(err, apierror.DescriptionBad), "a space came back with another urgency: %v", err)
+			assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationInvalid), "a space came back with another urgency: %v", err)
 			o := busiest(w)
 			w.Kill(o)
 			time.Sleep(6 * time.Second)
@@ -129,7 +129,7 @@
 			assert.NilError(t, send(4))
 			assert.NilError(t, send(3), "a repeat of the one that was taken while the space was live")
 			assert.NilError(t, send(6))
-			assert.Assert(t, apierror.Has(send(5), apierror.CallPassed))
+			assert.Assert(t, apierror.HasCode(send(5), apierror.CallPassed))
 			calls, _, _ := follow(w, "c1", attach(t, w, "c1", "w").Token, cursor, []string{"line/a"}, 2*time.Second)
 			assert.DeepEqual(t, calls, []uint64{1, 2, 4, 6})
 		})
--- a/internal/testing/sim/flood_test.go
+++ b/internal/testing/sim/flood_test.go
@@ -63,9 +63,9 @@
 					if err == nil {
 						c++
 						taken++
-					} else if apierror.Has(err, apierror.Overloaded) {
+					} else if apierror.HasCode(err, apierror.Overloaded) {
 						shed++
-						assert.Check(t, apierror.Of(err).RetryMS > 0, "no hint when to come back")
+						assert.Check(t, apierror.From(err).RetryAfterMS > 0, "no hint when to come back")
 					}
 					mu.Unlock()
 					if err != nil {
--- a/internal/testing/sim/founding_test.go
+++ b/internal/testing/sim/founding_test.go
@@ -116,7 +116,7 @@
 			assert.Equal(t, w.Machines[n].Node().Roster().Sequence, uint64(0))
 		}
 		_, err := w.Put("c1", load.Describe(0))
-		assert.Assert(t, apierror.Has(err, apierror.NotFounded) || apierror.Has(err, apierror.Unlicensed) || apierror.Has(err, apierror.Unreachable), "%v", err)
+		assert.Assert(t, apierror.HasCode(err, apierror.NotBootstrapped) || apierror.HasCode(err, apierror.NoLease) || apierror.HasCode(err, apierror.Unreachable), "%v", err)
 	})
 }
 
--- a/internal/testing/sim/hand.go
+++ b/internal/testing/sim/hand.go
@@ -119,7 +119,7 @@
 	case session.Withdrawn:
 		b.Told(h.Name, a.Topic, a.Key, now)
 	case session.Turned:
-		if a.Re == session.Send && simclient.Promises[apierror.Of(a.Err).Kind] {
+		if a.Re == session.Send && simclient.Promises[apierror.From(a.Err).Code] {
 			b.Turned(deliverycheck.Message{Topic: a.Topic, From: h.Name, Call: a.Call})
 		}
 	}
@@ -228,7 +228,7 @@
 		if ok && s.What == session.Taken {
 			return true
 		}
-		if ok && simclient.Promises[apierror.Of(s.Err).Kind] {
+		if ok && simclient.Promises[apierror.From(s.Err).Code] {
 			return false
 		}
 		time.Sleep(h.g.w.Site.Bounds.Retry())
@@ -249,9 +249,9 @@
 	case !ok:
 	case s.What == session.Forgotten:
 		x.Forgotten(deliverycheck.Place{Partition: s.Partition, Offset: s.Offset}, s.Shown)
-	case apierror.Has(s.Err, apierror.WithdrawalOpen):
+	case apierror.HasCode(s.Err, apierror.WithdrawalOpen):
 		x.Stands(time.Now())
-	case simclient.Voids[apierror.Of(s.Err).Kind]:
+	case simclient.Voids[apierror.From(s.Err).Code]:
 		x.Void()
 	}
 	return s, ok
--- a/internal/testing/sim/last.go
+++ b/internal/testing/sim/last.go
@@ -95,12 +95,12 @@
 			break
 		}
 		why = err
-		if apierror.Has(err, apierror.CursorExpired) || apierror.Has(err, apierror.CursorBad) {
+		if apierror.HasCode(err, apierror.CursorExpired) || apierror.HasCode(err, apierror.CursorMalformed) {
 			return err
 		}
 	}
 	if len(r.Got) == 0 {
-		return apierror.Because(apierror.Unreachable, why, "nothing was read back through %s", through)
+		return apierror.WithCause(apierror.Unreachable, why, "nothing was read back through %s", through)
 	}
 	w.History.Reread(r)
 	return nil
--- a/internal/testing/sim/offer_test.go
+++ b/internal/testing/sim/offer_test.go
@@ -19,7 +19,7 @@
 	"postjunction/internal/testing/history"
 )
 
-var promises = map[apierror.Kind]bool{apierror.NoOwner: true, apierror.Overloaded: true, apierror.CallPassed: true}
+var promises = map[apierror.Code]bool{apierror.NoPartitionLeader: true, apierror.Overloaded: true, apierror.CallPassed: true}
 
 type offered struct {
 	history.Message
@@ -60,7 +60,7 @@
 func (v *offerer) told(m offered, d *leader.Decision, err error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	k := string(apierror.Of(err).Kind)
+	k := string(apierror.From(err).Code)
 	if err == nil {
 		k = map[bool]string{false: "taken", true: "repeat"}[d.Repeat]
 		v.w.History.Take(m.Message, d.Partition, d.Offset, time.Now())
@@ -70,14 +70,14 @@
 		delete(v.open, m.Call)
 	}
 	v.tally[k]++
-	if err != nil && promises[apierror.Of(err).Kind] {
+	if err != nil && promises[apierror.From(err).Code] {
 		v.w.History.Turn(m.Message)
 		delete(v.open, m.Call)
 	}
-	if apierror.Has(err, apierror.CallPassed) {
+	if apierror.HasCode(err, apierror.CallPassed) {
 		v.w.History.Pass(m.Message)
 	}
-	if err != nil && !promises[apierror.Of(err).Kind] && !apierror.Has(err, apierror.OutcomeUnknown) {
+	if err != nil && !promises[apierror.From(err).Code] && !apierror.HasCode(err, apierror.OutcomeUnknown) {
 		v.w.History.Violate(history.Lost, "%v was told %v", m.Message, err)
 	}
 }
--- a/internal/testing/sim/orders_test.go
+++ b/internal/testing/sim/orders_test.go
@@ -37,7 +37,7 @@
 				assert.Equal(t, seq, uint64(2*k+2))
 			}
 			_, err = w.Put(w.Names[w.Int(len(w.Names))], load.Numbered(2*n, 2*n+2, "another of the same number"))
-			assert.Assert(t, apierror.Has(err, apierror.DescriptionRaced), "%v", err)
+			assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationConflict), "%v", err)
 		}
 		got, err := w.Machines["s1"].Node().Operators.Current(w.ctx)
 		assert.NilError(t, err)
@@ -79,7 +79,7 @@
 			assert.Equal(t, seq, uint64(3))
 		}
 		_, err := w.Put("a1", load.Numbered(0, 3, "other"))
-		assert.Assert(t, apierror.Has(err, apierror.DescriptionRaced), "%v", err)
+		assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationConflict), "%v", err)
 	})
 }
 
@@ -117,7 +117,7 @@
 		return err
 	})
 	switch {
-	case apierror.Has(err, apierror.DescriptionNone):
+	case apierror.HasCode(err, apierror.ConfigurationMissing):
 		got = orders.Order{}
 	case err != nil:
 		return orders.Order{}, false // a call that was given up on may still write got
@@ -142,7 +142,7 @@
 	switch {
 	case err == nil:
 		outcome = orders.Acknowledged
-	case apierror.Has(err, apierror.DescriptionRaced):
+	case apierror.HasCode(err, apierror.ConfigurationConflict):
 		outcome = orders.Refused
 	}
 	if o.rng.Float64() < o.lost {
@@ -294,8 +294,8 @@
 		_, err = w.Put("c2", load.Numbered(1, 2, "old"))
 		assert.NilError(t, err, "the current one is known")
 		_, err = w.Put("c2", load.Numbered(0, 1, "old"))
-		assert.Assert(t, apierror.Has(err, apierror.OutcomeUnknown), "%v", err)
+		assert.Assert(t, apierror.HasCode(err, apierror.OutcomeUnknown), "%v", err)
 		_, err = w.Put("c2", load.Numbered(1, 2, "other"))
-		assert.Assert(t, apierror.Has(err, apierror.DescriptionRaced), "%v", err)
+		assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationConflict), "%v", err)
 	})
 }
--- a/internal/testing/sim/owner_test.go
+++ b/internal/testing/sim/owner_test.go
@@ -89,13 +89,13 @@
 		old := attach(t, w, "a1", "v")
 		now := attach(t, w, "c1", "v")
 		_, err := w.Port("c2").Send(w.ctx, old.Token, "kept/t0", 1, []byte(`1`))
-		assert.Assert(t, apierror.Has(err, apierror.TokenFenced), "%v", err)
+		assert.Assert(t, apierror.HasCode(err, apierror.TokenFenced), "%v", err)
 		_, err = w.Port("c2").Send(w.ctx, now.Token, "kept/t0", 1, []byte(`1`))
 		assert.NilError(t, err)
 		n := w.Machines["a1"].Node()
 		p := partition.Of("kept/t0", false, n.Roster().Layout)
 		_, err = n.Visitors.Desk.Submit(w.ctx, p, &leader.Task{Visitor: "v", Generation: old.Generation, Topic: "kept/t0", Call: 2, Body: []byte(`2`)})
-		assert.Assert(t, apierror.Has(err, apierror.TokenFenced), "a send that was on its way: %v", err)
+		assert.Assert(t, apierror.HasCode(err, apierror.TokenFenced), "a send that was on its way: %v", err)
 	})
 }
 
@@ -110,7 +110,7 @@
 			calls = append(calls, l.Call)
 		}
 		if l.End != nil {
-			end = apierror.New(apierror.Kind(l.End.Code), "%s", l.End.Say)
+			end = apierror.New(apierror.Code(l.End.Code), "%s", l.End.Say)
 		}
 		return nil
 	})
@@ -153,7 +153,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		_, _, err := follow(w, "c3", v.Token, away, topics, 2*time.Second)
-		assert.Assert(t, apierror.Has(err, apierror.CursorExpired), "an expired cursor must be told, not skipped: %v", err)
+		assert.Assert(t, apierror.HasCode(err, apierror.CursorExpired), "an expired cursor must be told, not skipped: %v", err)
 	})
 }
 
--- a/internal/testing/sim/retire_test.go
+++ b/internal/testing/sim/retire_test.go
@@ -130,7 +130,7 @@
 			}
 			r.Learner = &assignment.Place{Node: o, Incarnation: w.Machines[o].Node().Info().Incarnation}
 			_, err := op.Client.Change(w.ctx, assignment.Key(p), r.Writes, registerclient.Name(), r.Pack())
-			assert.Assert(t, apierror.Has(err, apierror.StaleBase), "partition %d: %v", p, err)
+			assert.Assert(t, apierror.HasCode(err, apierror.StaleBase), "partition %d: %v", p, err)
 			assert.Assert(t, !read(p).Holds(o))
 		}
 		assert.Assert(t, others > 0, "void: %s held everything", o)
@@ -168,22 +168,22 @@
 				assert.Assert(t, unclear(err), "a read: %v", err)
 			}
 			_, err = w.emptying(other, "nobody")
-			assert.Assert(t, apierror.Has(err, apierror.UnknownNode), "%v", err)
+			assert.Assert(t, apierror.HasCode(err, apierror.UnknownNode), "%v", err)
 			w.Heal()
 			time.Sleep(w.Site.Bounds.Session())
 			for _, n := range w.Names {
 				_, err := w.emptying(n, "s1")
-				assert.Assert(t, apierror.Has(err, apierror.UnknownNode), "%v", err)
+				assert.Assert(t, apierror.HasCode(err, apierror.UnknownNode), "%v", err)
 			}
 		})
 	}
 }
 
 // final are the problems that end an operator's call for good.
-var final = []apierror.Kind{apierror.UnknownNode, apierror.DrainUnsafe, apierror.AlreadyEmpty, apierror.DescriptionRaced, apierror.DescriptionBad, apierror.DescriptionNone}
+var final = []apierror.Code{apierror.UnknownNode, apierror.DecommissionUnsafe, apierror.AlreadyEmpty, apierror.ConfigurationConflict, apierror.ConfigurationInvalid, apierror.ConfigurationMissing}
 
 func unclear(err error) bool {
-	return err != nil && !slices.ContainsFunc(final, func(k apierror.Kind) bool { return apierror.Has(err, k) })
+	return err != nil && !slices.ContainsFunc(final, func(k apierror.Code) bool { return apierror.HasCode(err, k) })
 }
 
 // A machine that joined a moment ago is known through every node, also one that has not heard of it.
@@ -200,7 +200,7 @@
 				continue
 			}
 			_, err := w.Machines[n].Node().Operators.Drain(w.ctx, "s2b")
-			assert.Assert(t, err == nil || apierror.Has(err, apierror.AlreadyEmpty), "through %s: %v", n, err)
+			assert.Assert(t, err == nil || apierror.HasCode(err, apierror.AlreadyEmpty), "through %s: %v", n, err)
 		}
 	})
 }
--- a/internal/testing/sim/socket.go
+++ b/internal/testing/sim/socket.go
@@ -156,7 +156,7 @@
 
 type worded struct {
 	session.Answer
-	Err     *apierror.Problem
+	Err     *apierror.Error
 	Failure string
 }
 
@@ -175,7 +175,7 @@
 func (words) Append(b []byte, a session.Answer) []byte {
 	w := worded{Answer: a}
 	if a.Err != nil {
-		w.Err = apierror.Of(a.Err)
+		w.Err = apierror.From(a.Err)
 		w.Failure = a.Err.Error()
 	}
 	l, err := json.Marshal(w)
--- a/internal/testing/sim/streams_forget_test.go
+++ b/internal/testing/sim/streams_forget_test.go
@@ -90,7 +90,7 @@
 				}
 				return nil
 			})
-			if !apierror.Has(err, apierror.Unlicensed) {
+			if !apierror.HasCode(err, apierror.NoLease) {
 				return
 			}
 			time.Sleep(x.Site.Bounds.Retry() / 4)
@@ -114,8 +114,8 @@
 
 func (x *forgetting) open(err error, who string) {
 	x.t.Helper()
-	assert.Assert(x.t, apierror.Has(err, apierror.WithdrawalOpen), "%v", err)
-	assert.Assert(x.t, slices.ContainsFunc(apierror.Of(err).Faults, func(f apierror.Fault) bool { return f.Place == who }), "%v names nobody", err)
+	assert.Assert(x.t, apierror.HasCode(err, apierror.WithdrawalOpen), "%v", err)
+	assert.Assert(x.t, slices.ContainsFunc(apierror.From(err).Faults, func(f apierror.Fault) bool { return f.Path == who }), "%v names nobody", err)
 }
 
 var forgets = map[string]func(x *forgetting){
@@ -213,7 +213,7 @@
 		x.Kill(x.owner())
 		assert.NilError(x.t, x.Until(15*time.Second, "taken over", func() bool {
 			_, err := x.withdraw("k", x.call)
-			return apierror.Has(err, apierror.WithdrawalOpen) && len(apierror.Of(err).Faults) > 0
+			return apierror.HasCode(err, apierror.WithdrawalOpen) && len(apierror.From(err).Faults) > 0
 		}))
 		x.Heal()
 		x.forgotten("k", x.call, 10*time.Second)
--- a/internal/testing/sim/submit_test.go
+++ b/internal/testing/sim/submit_test.go
@@ -41,9 +41,9 @@
 			}
 			assert.NilError(t, o.Submit(w.ctx, load.Describe(base-2), base-2, read), "an accepted one again, with another on top of it")
 			err := o.Submit(w.ctx, load.Numbered(base-2, base-1, "other"), base-2, read)
-			assert.Assert(t, apierror.Has(err, apierror.DescriptionRaced), "%v", err)
+			assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationConflict), "%v", err)
 			err = o.Submit(w.ctx, []byte(`{"base":1,"spaces":[{"name":"A"}]}`), base, read)
-			assert.Assert(t, err != nil && len(apierror.Of(err).Faults) > 0, "%v", err)
+			assert.Assert(t, err != nil && len(apierror.From(err).Faults) > 0, "%v", err)
 			assert.Equal(t, here == 0, handed, "read here %d times", here)
 		})
 	}
--- a/internal/testing/sim/told_test.go
+++ b/internal/testing/sim/told_test.go
@@ -33,9 +33,9 @@
 					if err == nil {
 						continue
 					}
-					p := apierror.Of(err)
-					assert.Assert(t, p.RetryMS > 0, "no time to come back: %v", err)
-					assert.Assert(t, p.Kind == apierror.NoOwner || p.Kind == apierror.OutcomeUnknown, "%v", err)
+					p := apierror.From(err)
+					assert.Assert(t, p.RetryAfterMS > 0, "no time to come back: %v", err)
+					assert.Assert(t, p.Code == apierror.NoPartitionLeader || p.Code == apierror.OutcomeUnknown, "%v", err)
 					turned++
 					most = max(most, time.Since(at))
 				}
--- a/internal/testing/sim/trim_test.go
+++ b/internal/testing/sim/trim_test.go
@@ -62,13 +62,13 @@
 				return r.Owner != o && r.Settled
 			}))
 			_, err = w.Port("c1").Send(w.ctx, early, topic, 1, []byte(`"late"`))
-			assert.Assert(t, apierror.Has(err, apierror.CallAltered) || apierror.Has(err, apierror.CallForgotten), "a call that came only once, while the changelog stood still: %v", err)
+			assert.Assert(t, apierror.HasCode(err, apierror.CallAltered) || apierror.HasCode(err, apierror.CallForgotten), "a call that came only once, while the changelog stood still: %v", err)
 			_, err = w.Port("c1").Send(w.ctx, tok, topic, n+1, []byte(`"goes on"`))
 			assert.NilError(t, err, "the state was not brought back")
 			_, err = w.Port("c1").Send(w.ctx, tok, topic, n, []byte(fmt.Sprint(n)))
 			assert.NilError(t, err, "a repeat")
 			_, err = w.Port("c1").Send(w.ctx, tok, topic, n, []byte(`"other"`))
-			assert.Assert(t, apierror.Has(err, apierror.CallAltered), "%v", err)
+			assert.Assert(t, apierror.HasCode(err, apierror.CallAltered), "%v", err)
 		})
 	}
 }
@@ -106,12 +106,12 @@
 				assert.Assert(t, !y.Lacks(quiet, 0) && !y.Lacks("kept/never", 0), "%s: a topic of which nothing is gone", when)
 				for _, c := range []uint64{10, 20, 15, 1} {
 					_, err = send(topic, c)
-					assert.Assert(t, apierror.Has(err, apierror.CallForgotten), "%s: %d may have been taken: %v", when, c, err)
+					assert.Assert(t, apierror.HasCode(err, apierror.CallForgotten), "%s: %d may have been taken: %v", when, c, err)
 				}
 				_, err = send(topic, 25)
-				assert.Assert(t, apierror.Has(err, apierror.CallPassed), "%s: %v", when, err)
+				assert.Assert(t, apierror.HasCode(err, apierror.CallPassed), "%s: %v", when, err)
 				_, err = send(quiet, 4)
-				assert.Assert(t, apierror.Has(err, apierror.CallPassed), "%s: %v", when, err)
+				assert.Assert(t, apierror.HasCode(err, apierror.CallPassed), "%s: %v", when, err)
 				d, err := send(topic, 30)
 				assert.Assert(t, err == nil && d.Repeat && d.Offset == third, "%s: %v", when, err)
 			}
--- a/internal/testing/sim/vows.go
+++ b/internal/testing/sim/vows.go
@@ -26,7 +26,7 @@
 	Body *struct {
 		OK *bool `json:"ok"`
 	} `json:"b"`
-	Problem *apierror.Problem `json:"p"`
+	Problem *apierror.Error `json:"p"`
 }
 
 func yes(a []byte) bool {
--- a/internal/testing/sim/withdraw_test.go
+++ b/internal/testing/sim/withdraw_test.go
@@ -107,7 +107,7 @@
 	begun := time.Now()
 	a, ok := s.lead.Withdraw(w)
 	took := time.Since(begun)
-	assert.Assert(s.t, ok && apierror.Has(a.Err, apierror.WithdrawalOpen), "was told %s %v after %s", a.What, a.Err, took)
+	assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.WithdrawalOpen), "was told %s %v after %s", a.What, a.Err, took)
 	assert.Assert(s.t, strings.Contains(a.Err.Error(), node), "%v does not name %s", a.Err, node)
 	assert.Assert(s.t, took <= s.w.Site.Bounds.Call(), "the answer took %s", took)
 }
@@ -420,13 +420,13 @@
 			assert.Assert(s.t, ok)
 			<-sent
 			a, ok := twin.Wait(0, handLimit, func(a session.Answer) bool {
-				return a.Call == m && (a.What == session.Taken || a.Re == session.Send && simclient.Promises[apierror.Of(a.Err).Kind])
+				return a.Call == m && (a.What == session.Taken || a.Re == session.Send && simclient.Promises[apierror.From(a.Err).Code])
 			})
 			assert.Assert(s.t, ok, "no answer to %d", m)
 			if a.What == session.Taken {
 				taken++
 			} else {
-				assert.Assert(s.t, apierror.Has(a.Err, apierror.CallPassed), "%v", a.Err)
+				assert.Assert(s.t, apierror.HasCode(a.Err, apierror.CallPassed), "%v", a.Err)
 				passed++
 			}
 		}
@@ -438,7 +438,7 @@
 			a, ok := s.lead.Withdraw(deliverycheck.Withdrawal{Topic: ground, Key: "foe", Call: s.next(), Of: "foe", Upto: n})
 			assert.Assert(s.t, ok && a.What == session.Forgotten, "%v", a.Err)
 			a, ok = foe.Send(ground, "foe", n-1)
-			assert.Assert(s.t, ok && apierror.Has(a.Err, apierror.CallPassed), "%s %v", a.What, a.Err)
+			assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.CallPassed), "%s %v", a.What, a.Err)
 			assert.Assert(s.t, foe.Sent(ground, "foe", n+1))
 		}
 		twin.End()
@@ -451,7 +451,7 @@
 	t.Parallel()
 	staged(t, 940, 1, func(s *scene) {
 		a, ok := s.lead.Withdraw(deliverycheck.Withdrawal{Topic: ground, Key: "nothing", Call: s.next()})
-		assert.Assert(s.t, ok && apierror.Has(a.Err, apierror.KeyUnknown), "%s %v", a.What, a.Err)
+		assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.KeyUnknown), "%s %v", a.What, a.Err)
 		s.write("turn", 1)
 		x := deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}
 		first := s.yes(x, time.Second)
@@ -480,14 +480,14 @@
 		x := s.open("turn", "a1")
 		y := deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: 1}
 		a, ok := other.Withdraw(y)
-		assert.Assert(s.t, ok && apierror.Has(a.Err, apierror.WithdrawalOpen), "%s %v", a.What, a.Err)
+		assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.WithdrawalOpen), "%s %v", a.What, a.Err)
 		s.write("turn", 1)
 		anew := s.call
 		a, ok = other.Withdraw(y)
-		assert.Assert(s.t, ok && apierror.Has(a.Err, apierror.WithdrawalOpen), "%s %v", a.What, a.Err)
+		assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.WithdrawalOpen), "%s %v", a.What, a.Err)
 		assert.Assert(s.t, other.Sent(ground, "", 2))
 		a, ok = other.Withdraw(y)
-		assert.Assert(s.t, ok && apierror.Has(a.Err, apierror.WithdrawalOpen), "%s %v", a.What, a.Err)
+		assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.WithdrawalOpen), "%s %v", a.What, a.Err)
 		s.w.Heal()
 		s.yes(x, s.w.Site.Bounds.Recovery)
 		a, ok = other.Withdraw(y)
--- a/internal/testing/sim/world.go
+++ b/internal/testing/sim/world.go
@@ -245,7 +245,7 @@
 	w := e.w
 	if w.isCut(from.Opts.Name, to.Opts.Name) && from != to {
 		<-ctx.Done()
-		return apierror.Because(apierror.Unreachable, ctx.Err(), "cut off")
+		return apierror.WithCause(apierror.Unreachable, ctx.Err(), "cut off")
 	}
 	d := w.Site.Latency/2 + time.Duration(w.draw(from, to)*float64(w.Site.Latency)/4)
 	from.mu.Lock()
@@ -263,7 +263,7 @@
 	case <-t.C:
 		return nil
 	case <-ctx.Done():
-		return apierror.Because(apierror.Unreachable, ctx.Err(), "in flight")
+		return apierror.WithCause(apierror.Unreachable, ctx.Err(), "in flight")
 	}
 }
 
@@ -271,9 +271,9 @@
 func hush(ctx context.Context, broken <-chan struct{}, m *Machine) error {
 	select {
 	case <-ctx.Done():
-		return apierror.Because(apierror.Unreachable, ctx.Err(), "nothing is heard from %s", m.Opts.Name)
+		return apierror.WithCause(apierror.Unreachable, ctx.Err(), "nothing is heard from %s", m.Opts.Name)
 	case <-broken:
-		return apierror.Because(apierror.Unreachable, syscall.ECONNRESET, "the connections of %s were reset", m.Opts.Name)
+		return apierror.WithCause(apierror.Unreachable, syscall.ECONNRESET, "the connections of %s were reset", m.Opts.Name)
 	}
 }
 
@@ -293,7 +293,7 @@
 	asked := time.Now()
 	s, ok := e.w.at(r.URL.Host)
 	if !ok || !e.alive() {
-		return nil, apierror.Because(apierror.Unreachable, syscall.ECONNREFUSED, "nobody listens at %s", r.URL.Host)
+		return nil, apierror.WithCause(apierror.Unreachable, syscall.ECONNREFUSED, "nobody listens at %s", r.URL.Host)
 	}
 	ctx := r.Context()
 	at := Point{From: e.m.Opts.Name, To: s.m.Opts.Name, Path: r.URL.Path, Stage: Asking, Body: b}
@@ -308,7 +308,7 @@
 		return nil, hush(ctx, broken, s.m)
 	}
 	if _, run := s.m.node(); run != s.run {
-		return nil, apierror.Because(apierror.Unreachable, syscall.ECONNREFUSED, "connection refused by %s", s.m.Opts.Name)
+		return nil, apierror.WithCause(apierror.Unreachable, syscall.ECONNREFUSED, "connection refused by %s", s.m.Opts.Name)
 	}
 	type ans struct {
 		r   *http.Response
@@ -335,7 +335,7 @@
 				c <- ans{nil, hush(ctx, broken, s.m)}
 				return
 			}
-			c <- ans{nil, apierror.Because(apierror.Unreachable, syscall.ECONNRESET, "connection reset by %s", s.m.Opts.Name)}
+			c <- ans{nil, apierror.WithCause(apierror.Unreachable, syscall.ECONNRESET, "connection reset by %s", s.m.Opts.Name)}
 			return
 		}
 		at.Stage = Answering
@@ -349,7 +349,7 @@
 	case <-e.m.reset():
 		return nil, apierror.New(apierror.Unreachable, "the connections of %s were reset", e.m.Opts.Name)
 	case <-broken:
-		return nil, apierror.Because(apierror.Unreachable, syscall.ECONNRESET, "the connections of %s were reset", s.m.Opts.Name)
+		return nil, apierror.WithCause(apierror.Unreachable, syscall.ECONNRESET, "the connections of %s were reset", s.m.Opts.Name)
 	case a := <-c:
 		e.m.gate()
 		if !e.alive() {
@@ -361,7 +361,7 @@
 		return a.r, a.err
 	case <-ctx.Done():
 		e.m.gate()
-		return nil, apierror.Because(apierror.Unreachable, ctx.Err(), "no answer from %s", s.m.Opts.Name)
+		return nil, apierror.WithCause(apierror.Unreachable, ctx.Err(), "no answer from %s", s.m.Opts.Name)
 	}
 }
 
--- a/internal/testing/simclient/guest.go
+++ b/internal/testing/simclient/guest.go
@@ -150,13 +150,13 @@
 }
 
 // Promises are the problems that say that a message was not taken and never will be.
-var Promises = map[apierror.Kind]bool{
-	apierror.Overloaded: true, apierror.Leaving: true, apierror.Unlicensed: true, apierror.NoOwner: true,
+var Promises = map[apierror.Code]bool{
+	apierror.Overloaded: true, apierror.ShuttingDown: true, apierror.NoLease: true, apierror.NoPartitionLeader: true,
 	apierror.CallPassed: true,
 }
 
 // Voids are the problems that say that nothing was withdrawn under a number and never will be.
-var Voids = map[apierror.Kind]bool{apierror.KeyUnknown: true, apierror.CallPassed: true}
+var Voids = map[apierror.Code]bool{apierror.KeyUnknown: true, apierror.CallPassed: true}
 
 const (
 	tickOf   = 40
@@ -575,10 +575,10 @@
 		s.here = nil
 		s.state, s.retry = idle, now.Add(g.span(g.Habits.Keepalive/2))
 		switch {
-		case apierror.Has(a.Err, apierror.CursorExpired):
+		case apierror.HasCode(a.Err, apierror.CursorExpired):
 			s.stay.Expired(now)
 			s.stay = nil
-		case apierror.Has(a.Err, apierror.CursorBad):
+		case apierror.HasCode(a.Err, apierror.CursorMalformed):
 			g.Book.Breach(deliverycheck.Mixed, "%s was told that its cursor %q of %s is bad: %v", g.Name, s.cursor, s.Name, a.Err)
 		}
 	},
@@ -588,7 +588,7 @@
 			return
 		}
 		m.out, m.retry = false, now.Add(g.span(g.Habits.Keepalive/10))
-		switch k := apierror.Of(a.Err).Kind; {
+		switch k := apierror.From(a.Err).Code; {
 		case k == apierror.WithdrawalOpen:
 			m.draw.Stands(now)
 		case Voids[k]:
@@ -597,7 +597,7 @@
 		}
 	},
 	session.Send: func(g *Guest, now time.Time, a session.Answer) {
-		k := apierror.Of(a.Err).Kind
+		k := apierror.From(a.Err).Code
 		if Promises[k] {
 			g.Book.Turned(deliverycheck.Message{Topic: a.Topic, From: g.Name, Call: a.Call})
 		}
--- a/internal/testing/transport/port.go
+++ b/internal/testing/transport/port.go
@@ -56,8 +56,8 @@
 }
 
 func failed(code int, b []byte) error {
-	p := &apierror.Problem{}
-	if json.Unmarshal(b, p) != nil || !apierror.Known(p.Kind) {
+	p := &apierror.Error{}
+	if json.Unmarshal(b, p) != nil || !apierror.IsKnown(p.Code) {
 		return apierror.New(apierror.Internal, "status %d without a problem: %.80s", code, b)
 	}
 	return p
--- a/internal/wire/away.go
+++ b/internal/wire/away.go
@@ -25,5 +25,5 @@
 
 // Spoke tells whether the other side answered at all, if only that it does not know the call, as an older build does.
 func Spoke(err error) bool {
-	return err == nil || apierror.Of(err).Kind != apierror.Unreachable || connect.CodeOf(err) == connect.CodeUnimplemented
+	return err == nil || apierror.From(err).Code != apierror.Unreachable || connect.CodeOf(err) == connect.CodeUnimplemented
 }
--- a/internal/wire/codec_test.go
+++ b/internal/wire/codec_test.go
@@ -134,11 +134,11 @@
 
 func TestReplyKeepsTheProblem(t *testing.T) {
 	n := uint64(0)
-	p := &apierror.Problem{Kind: apierror.Overloaded, Say: "full \xff\xfe", Faults: []apierror.Fault{{Place: "a.b", Say: "c"}}, Current: &n, Retry: time.Second, RetryMS: 1000, Cause: apierror.New(apierror.Internal, "x")}
+	p := &apierror.Error{Code: apierror.Overloaded, Message: "full \xff\xfe", Faults: []apierror.Fault{{Path: "a.b", Message: "c"}}, Current: &n, RetryAfter: time.Second, RetryAfterMS: 1000, Cause: apierror.New(apierror.Internal, "x")}
 	got := trip(t, reflect.ValueOf(&wire.Reply[gossip.ExchangeResponse]{Problem: p})).(*wire.Reply[gossip.ExchangeResponse])
 	assert.Assert(t, got.Body == nil)
 	want := *p
-	want.Cause, want.Retry = nil, 0
+	want.Cause, want.RetryAfter = nil, 0
 	assert.DeepEqual(t, got.Problem, &want)
 }
 
--- a/internal/wire/mux/lane_test.go
+++ b/internal/wire/mux/lane_test.go
@@ -180,7 +180,7 @@
 	assert.NilError(t, f.s.Close())
 	for range 3 {
 		_, err := f.ask("/x", nil)
-		assert.Assert(t, apierror.Has(err, apierror.Unreachable), "%v", err)
+		assert.Assert(t, apierror.HasCode(err, apierror.Unreachable), "%v", err)
 	}
 	f.s = serve(listen(t, f.addr), echo)
 	_, err := f.ask("/x", nil)
@@ -244,7 +244,7 @@
 	assert.NilError(t, f.s.Close())
 	for range 20 {
 		err := <-res
-		assert.Assert(t, apierror.Has(err, apierror.Unreachable), "%v", err)
+		assert.Assert(t, apierror.HasCode(err, apierror.Unreachable), "%v", err)
 	}
 }
 
@@ -283,7 +283,7 @@
 			assert.Equal(t, n.Load(), int64(1))
 			continue
 		}
-		assert.Assert(t, apierror.Has(err, apierror.Unreachable), "%v", err)
+		assert.Assert(t, apierror.HasCode(err, apierror.Unreachable), "%v", err)
 		assert.Equal(t, n.Load(), int64(0))
 		_, err = f.ask("/x", nil)
 		assert.NilError(t, err)
@@ -351,7 +351,7 @@
 	n.tick()
 	for range 5 {
 		err := <-res
-		assert.Assert(t, apierror.Has(err, apierror.Unreachable), "%v", err)
+		assert.Assert(t, apierror.HasCode(err, apierror.Unreachable), "%v", err)
 	}
 }
 
@@ -405,7 +405,7 @@
 		}
 	}
 	err := <-full
-	assert.Assert(t, apierror.Has(err, apierror.Unreachable), "%v", err)
+	assert.Assert(t, apierror.HasCode(err, apierror.Unreachable), "%v", err)
 	assert.Assert(t, started >= mostBulk>>20, "only %d went", started)
 	_, err = ask(canceled(), n, addr, "/small", nil)
 	assert.ErrorIs(t, err, context.Canceled)
@@ -510,7 +510,7 @@
 	})
 	for range 3 {
 		_, err := f.ask("/bad", nil)
-		assert.Assert(t, apierror.Has(err, apierror.Unreachable), "%v", err)
+		assert.Assert(t, apierror.HasCode(err, apierror.Unreachable), "%v", err)
 		_, err = f.ask("/good", nil)
 		assert.NilError(t, err)
 	}
@@ -547,7 +547,7 @@
 	go func() { _ = hs.Serve(l) }()
 	defer func() { _ = hs.Close() }()
 	_, err := ask(context.Background(), f.n, l.Addr().String(), "/x", nil)
-	assert.Assert(t, apierror.Has(err, apierror.Unreachable), "%v", err)
+	assert.Assert(t, apierror.HasCode(err, apierror.Unreachable), "%v", err)
 }
 
 func TestPrefaceTellsWhoCalls(t *testing.T) {
--- a/internal/wire/mux/network.go
+++ b/internal/wire/mux/network.go
@@ -206,7 +206,7 @@
 	defer p.mu.Unlock()
 	p.d = nil
 	if err != nil {
-		d.err = apierror.Because(apierror.Unreachable, err, "no connection to %s", p.addr)
+		d.err = apierror.WithCause(apierror.Unreachable, err, "no connection to %s", p.addr)
 	} else {
 		d.c = newClient(p, nc, from)
 		p.c = d.c
@@ -304,7 +304,7 @@
 	m := c.calls
 	c.calls = map[uint64]*call{}
 	for _, x := range m {
-		x.err = apierror.Because(apierror.Unreachable, err, "the connection to %s broke", c.p.addr)
+		x.err = apierror.WithCause(apierror.Unreachable, err, "the connection to %s broke", c.p.addr)
 		if x.batch > c.out {
 			x.err = errUnsent
 		}
@@ -536,7 +536,7 @@
 func (x *call) response(r *http.Request) (*http.Response, error) {
 	st, err := strconv.Atoi(x.answer.first)
 	if err != nil {
-		return nil, apierror.Because(apierror.Unreachable, err, "an answer of status %q", x.answer.first)
+		return nil, apierror.WithCause(apierror.Unreachable, err, "an answer of status %q", x.answer.first)
 	}
 	b := &body{}
 	b.Reset(x.got)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -29,8 +29,8 @@
 
 // Reply is the envelope of every answer.
 type Reply[T any] struct {
-	Body    *T                `json:"b,omitempty"`
-	Problem *apierror.Problem `json:"p,omitempty"`
+	Body    *T              `json:"b,omitempty"`
+	Problem *apierror.Error `json:"p,omitempty"`
 }
 
 // Procedure names a call and its types.
@@ -94,7 +94,7 @@
 		return nil, apierror.Wrap(apierror.Unreachable, err, "%s at %s", p.Path, addr)
 	}
 	if a.Msg.Problem != nil {
-		return nil, a.Msg.Problem.After(ms(a.Msg.Problem.RetryMS))
+		return nil, a.Msg.Problem.WithRetryAfter(ms(a.Msg.Problem.RetryAfterMS))
 	}
 	if a.Msg.Body == nil {
 		return nil, apierror.New(apierror.Unreachable, "%s at %s gave an empty answer", p.Path, addr)
@@ -110,8 +110,8 @@
 		}
 		a, err := f(ctx, r.Msg)
 		if err != nil {
-			q := apierror.Of(err)
-			if q.Kind == apierror.Internal && (errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)) {
+			q := apierror.From(err)
+			if q.Code == apierror.Internal && (errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)) {
 				q = apierror.New(apierror.Unreachable, "the call ended before its answer")
 			}
 			return connect.NewResponse(&Reply[A]{Problem: q}), nil
