--- a/internal/control/bootstrap/founding.go
+++ b/internal/control/bootstrap/founding.go
@@ -43,7 +43,7 @@
 	}
 	slices.Sort(addrs)
 	addrs = slices.Compact(slices.Clone(addrs))
-	as := quorum.Ask(ctx, addrs, func(ctx context.Context, a string) (membership.Info, error) {
+	as := quorum.Gather(ctx, addrs, func(ctx context.Context, a string) (membership.Info, error) {
 		if a == f.opts.Reached() {
 			return f.self(), nil
 		}
@@ -55,18 +55,18 @@
 		}
 		return h.Info, nil
 	}, nil)
-	if err := quorum.First(as); err != nil || len(as) < len(addrs) {
-		return voters.Roster{}, apierror.WithCause(apierror.NotBootstrapped, err, "%d of %d founding addresses answered", len(quorum.Good(as)), len(addrs))
+	if err := quorum.FirstError(as); err != nil || len(as) < len(addrs) {
+		return voters.Roster{}, apierror.WithCause(apierror.NotBootstrapped, err, "%d of %d founding addresses answered", len(quorum.Successes(as)), len(addrs))
 	}
 	var seats []voters.Seat
 	for _, a := range as {
-		if a.A.Roster > 0 {
-			return voters.Roster{}, apierror.New(apierror.StaleVoterSet, "%s is under roster %d already", a.A.Name, a.A.Roster).WithCurrent(a.A.Roster)
+		if a.Value.Roster > 0 {
+			return voters.Roster{}, apierror.New(apierror.StaleVoterSet, "%s is under roster %d already", a.Value.Name, a.Value.Roster).WithCurrent(a.Value.Roster)
 		}
-		if a.A.Disk == settings.DiskControl {
-			seats = append(seats, voters.Seat{Node: a.A.Name, Addr: a.A.Peers, Incarnation: a.A.Incarnation})
+		if a.Value.Disk == settings.DiskControl {
+			seats = append(seats, voters.Seat{Node: a.Value.Name, Addr: a.Value.Peers, Incarnation: a.Value.Incarnation})
 		} else if named {
-			return voters.Roster{}, apierror.New(apierror.NotBootstrapped, "founder %s at %s has no control disk", a.A.Name, a.Who)
+			return voters.Roster{}, apierror.New(apierror.NotBootstrapped, "founder %s at %s has no control disk", a.Value.Name, a.Target)
 		}
 	}
 	if len(seats) == 0 && seeds {
@@ -128,13 +128,13 @@
 		}
 	}
 	ask := func(do func(context.Context, voters.Seat) (*acceptor.Done, error)) error {
-		as := quorum.Ask(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.Done, error) {
+		as := quorum.Gather(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.Done, error) {
 			cx, stop := context.WithTimeout(ctx, f.opts.Bounds().Call())
 			defer stop()
 			return do(cx, s)
 		}, nil)
-		if err := quorum.First(as); err != nil || len(as) < len(r.Seats) {
-			return apierror.WithCause(apierror.NotBootstrapped, err, "%d of %d founding disks agreed", len(quorum.Good(as)), len(r.Seats))
+		if err := quorum.FirstError(as); err != nil || len(as) < len(r.Seats) {
+			return apierror.WithCause(apierror.NotBootstrapped, err, "%d of %d founding disks agreed", len(quorum.Successes(as)), len(r.Seats))
 		}
 		return nil
 	}
--- a/internal/control/quorumread/confirm.go
+++ b/internal/control/quorumread/confirm.go
@@ -87,7 +87,7 @@
 	return f.c.At != none
 }
 
-type peeks = []quorum.Answer[voters.Seat, *acceptor.PeekResponse]
+type peeks = []quorum.Result[voters.Seat, *acceptor.PeekResponse]
 
 func (f *Confirmer) once(ctx context.Context) {
 	r := f.Board.Roster()
@@ -97,21 +97,21 @@
 	at := f.Clock.Now()
 	cx, stop := context.WithTimeout(ctx, f.Bounds.Call())
 	defer stop()
-	as := quorum.Ask(cx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
+	as := quorum.Gather(cx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
 		return acceptor.Peek.Call(ctx, f.Net, f.Self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Keys: []string{Key}, Brief: true})
 	}, func(as peeks) bool {
 		f.reach(as, r.Majority())
-		return len(quorum.Good(as)) >= r.Majority()
+		return len(quorum.Successes(as)) >= r.Majority()
 	})
 	f.leave()
-	g := quorum.Good(as)
+	g := quorum.Successes(as)
 	if len(g) < r.Majority() {
 		return
 	}
-	top := g[0].A.Slots[Key]
+	top := g[0].Value.Slots[Key]
 	same := true
 	for _, a := range g[1:] {
-		s := a.A.Slots[Key]
+		s := a.Value.Slots[Key]
 		same = same && s.Accepted == top.Accepted && s.Value.Writes == top.Value.Writes
 		if s.Above(top) {
 			top = s
--- a/internal/control/reconfig/reform.go
+++ b/internal/control/reconfig/reform.go
@@ -42,15 +42,15 @@
 	if err != nil {
 		return voters.Roster{}, err
 	}
-	as := quorum.Ask(ctx, next.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.Done, error) {
+	as := quorum.Gather(ctx, next.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.Done, error) {
 		cx, stop := f.call(context.WithoutCancel(ctx))
 		defer stop()
 		return acceptor.Open.Call(cx, f.net, f.self, s.Addr, &acceptor.OpenRequest{Incarnation: s.Incarnation, Roster: next, Slots: slots})
-	}, func(as []quorum.Answer[voters.Seat, *acceptor.Done]) bool {
-		return len(quorum.Good(as)) >= next.Majority()
+	}, func(as []quorum.Result[voters.Seat, *acceptor.Done]) bool {
+		return len(quorum.Successes(as)) >= next.Majority()
 	})
-	if n := len(quorum.Good(as)); n < next.Majority() {
-		return voters.Roster{}, apierror.WithCause(apierror.NoMajority, quorum.First(as), "roster %d was opened on %d of %d disks", next.Sequence, n, len(next.Seats))
+	if n := len(quorum.Successes(as)); n < next.Majority() {
+		return voters.Roster{}, apierror.WithCause(apierror.NoMajority, quorum.FirstError(as), "roster %d was opened on %d of %d disks", next.Sequence, n, len(next.Seats))
 	}
 	return next, nil
 }
@@ -58,11 +58,11 @@
 func (f *Reformer) decide(ctx context.Context, r, want voters.Roster) (voters.Roster, error) {
 	e := f.seen.Next(f.self)
 	f.seen = e
-	enough := func(as []quorum.Answer[voters.Seat, *acceptor.SlotResponse]) bool { return f.ok(as) >= r.Majority() }
+	enough := func(as []quorum.Result[voters.Seat, *acceptor.SlotResponse]) bool { return f.ok(as) >= r.Majority() }
 	ballot := func(s voters.Seat) acceptor.Ballot {
 		return acceptor.Ballot{Roster: r.Sequence, Incarnation: s.Incarnation, Key: acceptor.RosterKey}
 	}
-	as := quorum.Ask(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.SlotResponse, error) {
+	as := quorum.Gather(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.SlotResponse, error) {
 		cx, stop := f.call(ctx)
 		defer stop()
 		return acceptor.Promise.Call(cx, f.net, f.self, s.Addr, &acceptor.PromiseRequest{Ballot: ballot(s), Epoch: e})
@@ -71,9 +71,9 @@
 		return voters.Roster{}, f.short(r, as, "promised")
 	}
 	var top acceptor.Slot
-	for _, a := range quorum.Good(as) {
-		if a.A.OK && a.A.Slot.Above(top) {
-			top = a.A.Slot
+	for _, a := range quorum.Successes(as) {
+		if a.Value.OK && a.Value.Slot.Above(top) {
+			top = a.Value.Slot
 		}
 	}
 	next := want
@@ -83,7 +83,7 @@
 		}
 	}
 	b, _ := json.Marshal(next)
-	as = quorum.Ask(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.SlotResponse, error) {
+	as = quorum.Gather(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.SlotResponse, error) {
 		cx, stop := f.call(ctx)
 		defer stop()
 		return acceptor.Accept.Call(cx, f.net, f.self, s.Addr, &acceptor.AcceptRequest{Ballot: ballot(s), Epoch: e, Value: acceptor.Value{Writes: 1, By: f.self, Body: b}})
@@ -94,41 +94,41 @@
 	return next, nil
 }
 
-func (f *Reformer) ok(as []quorum.Answer[voters.Seat, *acceptor.SlotResponse]) int {
+func (f *Reformer) ok(as []quorum.Result[voters.Seat, *acceptor.SlotResponse]) int {
 	n := 0
-	for _, a := range quorum.Good(as) {
-		if a.A.OK {
+	for _, a := range quorum.Successes(as) {
+		if a.Value.OK {
 			n++
-		} else if f.seen.Less(a.A.Slot.Promised) {
-			f.seen = a.A.Slot.Promised
+		} else if f.seen.Less(a.Value.Slot.Promised) {
+			f.seen = a.Value.Slot.Promised
 		}
 	}
 	return n
 }
 
-func (f *Reformer) short(r voters.Roster, as []quorum.Answer[voters.Seat, *acceptor.SlotResponse], verb string) error {
+func (f *Reformer) short(r voters.Roster, as []quorum.Result[voters.Seat, *acceptor.SlotResponse], verb string) error {
 	for _, a := range as {
 		if apierror.HasCode(a.Err, apierror.StaleVoterSet) {
 			return a.Err
 		}
 	}
-	return apierror.WithCause(apierror.NoMajority, quorum.First(as), "%d of %d disks %s a change of roster %d", f.ok(as), len(r.Seats), verb, r.Sequence)
+	return apierror.WithCause(apierror.NoMajority, quorum.FirstError(as), "%d of %d disks %s a change of roster %d", f.ok(as), len(r.Seats), verb, r.Sequence)
 }
 
 func (f *Reformer) copy(ctx context.Context, r voters.Roster) (map[string]acceptor.Slot, error) {
-	type answers = []quorum.Answer[voters.Seat, *acceptor.PeekResponse]
-	enough := func(as answers) bool { return len(quorum.Good(as)) >= r.Intact() }
-	as := quorum.Ask(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
+	type answers = []quorum.Result[voters.Seat, *acceptor.PeekResponse]
+	enough := func(as answers) bool { return len(quorum.Successes(as)) >= r.Intact() }
+	as := quorum.Gather(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
 		cx, stop := f.call(ctx)
 		defer stop()
 		return acceptor.Peek.Call(cx, f.net, f.self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Sealed: true})
 	}, enough)
 	if !enough(as) {
-		return nil, apierror.WithCause(apierror.NoMajority, quorum.First(as), "%d of the %d intact disks needed gave their keys", len(quorum.Good(as)), r.Intact())
+		return nil, apierror.WithCause(apierror.NoMajority, quorum.FirstError(as), "%d of the %d intact disks needed gave their keys", len(quorum.Successes(as)), r.Intact())
 	}
 	copies := map[string][]acceptor.Slot{}
-	for _, a := range quorum.Good(as) {
-		for k, s := range a.A.Slots {
+	for _, a := range quorum.Successes(as) {
+		for k, s := range a.Value.Slots {
 			if k != acceptor.RosterKey {
 				copies[k] = append(copies[k], s)
 			}
--- a/internal/control/reconfigurer/steward.go
+++ b/internal/control/reconfigurer/steward.go
@@ -157,7 +157,7 @@
 		s.change(ctx, r, r.Without(gone...).Replace(ins...), strings.Join(whys, "; "))
 		return
 	}
-	quorum.Ask(ctx, late, func(ctx context.Context, x voters.Seat) (bool, error) {
+	quorum.Gather(ctx, late, func(ctx context.Context, x voters.Seat) (bool, error) {
 		err := s.Reformer.Catch(ctx, r, x)
 		if err != nil {
 			s.Log.Say(event.RosterTrouble, "problem", err)
--- a/internal/control/register/holder.go
+++ b/internal/control/register/holder.go
@@ -233,7 +233,7 @@
 	return &v.value, nil
 }
 
-type peeks = []quorum.Answer[voters.Seat, *acceptor.PeekResponse]
+type peeks = []quorum.Result[voters.Seat, *acceptor.PeekResponse]
 
 // Glance reads a key without claiming it, whoever holds it: what a majority has accepted alike was decided, and nothing was decided after it before
 // the question. It waits a moment for more than a majority where the first copies differ. Only this node's own voter, or one voter more, gives the
@@ -249,10 +249,10 @@
 		return acceptor.Peek.Call(ctx, h.net, h.self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Keys: []string{k}, Brief: brief})
 	}
 	waiting := false
-	g := quorum.Good(quorum.Ask(cx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
+	g := quorum.Successes(quorum.Gather(cx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
 		return peek(ctx, s, s.Node != h.self)
 	}, func(as peeks) bool {
-		g := quorum.Good(as)
+		g := quorum.Successes(as)
 		if len(g) < r.Majority() {
 			return false
 		}
@@ -266,24 +266,24 @@
 		return len(alike(g, k)) >= r.Majority()
 	}))
 	for _, a := range g {
-		h.Hint(k, a.A.Slots[k].Promised, a.A.Slots[k].Value.Successor)
+		h.Hint(k, a.Value.Slots[k].Promised, a.Value.Slots[k].Value.Successor)
 	}
 	as := alike(g, k)
 	if len(as) < r.Majority() {
 		return acceptor.Value{}, false
 	}
 	for _, a := range as {
-		if a.Who.Node == h.self {
-			return a.A.Slots[k].Value, true
+		if a.Target.Node == h.self {
+			return a.Value.Slots[k].Value, true
 		}
 	}
-	top := as[0].A.Slots[k]
+	top := as[0].Value.Slots[k]
 	if top.Accepted.Zero() {
 		return top.Value, true
 	}
 	late, more := context.WithTimeout(ctx, h.bounds.Hand())
 	defer more()
-	a, err := peek(late, as[0].Who, false)
+	a, err := peek(late, as[0].Target, false)
 	if err != nil || a.Slots[k].Accepted != top.Accepted || a.Slots[k].Value.Writes != top.Value.Writes {
 		return acceptor.Value{}, false
 	}
@@ -294,7 +294,7 @@
 func alike(g peeks, k string) peeks {
 	var slots []acceptor.Slot
 	for _, a := range g {
-		slots = append(slots, a.A.Slots[k])
+		slots = append(slots, a.Value.Slots[k])
 	}
 	var as peeks
 	for _, i := range acceptor.Alike(slots) {
@@ -324,20 +324,20 @@
 	r := h.peers.Roster()
 	ctx, stop := context.WithTimeout(ctx, h.bounds.Call())
 	defer stop()
-	ours := func(as []quorum.Answer[voters.Seat, *acceptor.PeekResponse]) int {
+	ours := func(as []quorum.Result[voters.Seat, *acceptor.PeekResponse]) int {
 		n := 0
-		for _, a := range quorum.Good(as) {
-			if a.A.Slots[k].Promised == v.epoch {
+		for _, a := range quorum.Successes(as) {
+			if a.Value.Slots[k].Promised == v.epoch {
 				n++
 			}
 		}
 		return n
 	}
-	as := quorum.Ask(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
+	as := quorum.Gather(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
 		return acceptor.Peek.Call(ctx, h.net, h.self, s.Addr, &acceptor.PeekRequest{Roster: v.roster, Incarnation: s.Incarnation, Keys: []string{k}, Brief: true})
-	}, func(as []quorum.Answer[voters.Seat, *acceptor.PeekResponse]) bool { return ours(as) >= r.Majority() })
-	for _, a := range quorum.Good(as) {
-		x := a.A.Slots[k]
+	}, func(as []quorum.Result[voters.Seat, *acceptor.PeekResponse]) bool { return ours(as) >= r.Majority() })
+	for _, a := range quorum.Successes(as) {
+		x := a.Value.Slots[k]
 		h.Hint(k, x.Promised, x.Value.Successor)
 	}
 	return r.Sequence == v.roster && ours(as) >= r.Majority()
@@ -377,12 +377,12 @@
 	}
 }
 
-type slotResponses = []quorum.Answer[voters.Seat, *acceptor.SlotResponse]
+type slotResponses = []quorum.Result[voters.Seat, *acceptor.SlotResponse]
 
 func granted(as slotResponses) int {
 	n := 0
-	for _, a := range quorum.Good(as) {
-		if a.A.OK {
+	for _, a := range quorum.Successes(as) {
+		if a.Value.OK {
 			n++
 		}
 	}
@@ -392,7 +392,7 @@
 func refusals(as slotResponses) int {
 	n := 0
 	for _, a := range as {
-		if a.Err == nil && !a.A.OK || apierror.HasCode(a.Err, apierror.StaleVoterSet) || apierror.HasCode(a.Err, apierror.WrongDisk) {
+		if a.Err == nil && !a.Value.OK || apierror.HasCode(a.Err, apierror.StaleVoterSet) || apierror.HasCode(a.Err, apierror.WrongDisk) {
 			n++
 		}
 	}
@@ -403,10 +403,10 @@
 	if granted(as) >= r.Majority() {
 		return nil
 	}
-	for _, a := range quorum.Good(as) {
-		if !a.A.OK {
-			h.Hint(k, a.A.Slot.Promised, a.A.Slot.Value.Successor)
-			return apierror.New(apierror.NotKeyLeader, "%s is held under epoch %s", k, a.A.Slot.Promised)
+	for _, a := range quorum.Successes(as) {
+		if !a.Value.OK {
+			h.Hint(k, a.Value.Slot.Promised, a.Value.Slot.Value.Successor)
+			return apierror.New(apierror.NotKeyLeader, "%s is held under epoch %s", k, a.Value.Slot.Promised)
 		}
 	}
 	for _, a := range as {
@@ -415,7 +415,7 @@
 		}
 	}
 	p := apierror.New(apierror.NoMajority, "%d of %d control disks answered for %s, %d are needed", granted(as), len(r.Seats), k, r.Majority())
-	p.Cause = quorum.First(as)
+	p.Cause = quorum.FirstError(as)
 	return p
 }
 
@@ -430,7 +430,7 @@
 	h.count(&h.claims)
 	cx, stop := context.WithTimeout(ctx, h.bounds.Call())
 	defer stop()
-	as := quorum.Ask(cx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.SlotResponse, error) {
+	as := quorum.Gather(cx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.SlotResponse, error) {
 		return acceptor.Promise.Call(ctx, h.net, h.self, s.Addr, &acceptor.PromiseRequest{Ballot: ballot(r, s, k), Epoch: e})
 	}, func(as slotResponses) bool { return granted(as) >= r.Majority() })
 	if err := h.verdict(k, r, as); err != nil {
@@ -454,9 +454,9 @@
 // highest gives the latest acceptance of the voters that granted what was asked.
 func highest(as slotResponses) acceptor.Slot {
 	var slots []acceptor.Slot
-	for _, a := range quorum.Good(as) {
-		if a.A.OK {
-			slots = append(slots, a.A.Slot)
+	for _, a := range quorum.Successes(as) {
+		if a.Value.OK {
+			slots = append(slots, a.Value.Slot)
 		}
 	}
 	return acceptor.Highest(slots)
@@ -488,7 +488,7 @@
 }
 
 func (h *Holder) round(ctx context.Context, k string, r voters.Roster, v held, n acceptor.Value) error {
-	as := quorum.Ask(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.SlotResponse, error) {
+	as := quorum.Gather(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.SlotResponse, error) {
 		cx, stop := context.WithTimeout(context.WithoutCancel(ctx), h.bounds.Call())
 		defer stop()
 		return acceptor.Accept.Call(cx, h.net, h.self, s.Addr, &acceptor.AcceptRequest{Ballot: ballot(r, s, k), Epoch: v.epoch, Value: n})
@@ -570,7 +570,7 @@
 	for n, k := range ks {
 		i[k] = n
 	}
-	as := quorum.Ask(ctx, ks, func(ctx context.Context, k string) (bool, error) {
+	as := quorum.Gather(ctx, ks, func(ctx context.Context, k string) (bool, error) {
 		back, err := h.turns.Take(ctx, k)
 		if err != nil {
 			return false, err
@@ -594,7 +594,7 @@
 		_, err = Take.Call(ctx, h.net, h.self, a, &TakeRequest{Key: k})
 		return err == nil, err
 	}, nil)
-	return len(quorum.Good(as))
+	return len(quorum.Successes(as))
 }
 
 // Serve adds the holder's calls.
--- a/internal/control/register/holder_test.go
+++ b/internal/control/register/holder_test.go
@@ -21,8 +21,8 @@
 
 // Only copies alike to the highest one count: a higher copy on one disk may or may not be decided, and what lies below it says nothing.
 func TestOnlyTheHighestCopiesCountAsAlike(t *testing.T) {
-	at := func(n, writes uint64) quorum.Answer[voters.Seat, *acceptor.PeekResponse] {
-		return quorum.Answer[voters.Seat, *acceptor.PeekResponse]{A: &acceptor.PeekResponse{Slots: map[string]acceptor.Slot{
+	at := func(n, writes uint64) quorum.Result[voters.Seat, *acceptor.PeekResponse] {
+		return quorum.Result[voters.Seat, *acceptor.PeekResponse]{Value: &acceptor.PeekResponse{Slots: map[string]acceptor.Slot{
 			"k": {Accepted: epoch.Epoch{N: n, Node: "c1"}, Value: acceptor.Value{Writes: writes}},
 		}}}
 	}
--- a/internal/control/repair/repair.go
+++ b/internal/control/repair/repair.go
@@ -19,27 +19,27 @@
 	Bounds settings.Bounds
 }
 
-type copy = quorum.Answer[voters.Seat, *acceptor.PeekResponse]
+type copy = quorum.Result[voters.Seat, *acceptor.PeekResponse]
 
 // Keys compares the copies of the named keys, all when none are named, and brings old ones up. It gives how many it mended. Values are read only
 // where some copy is old, and then from one voter.
 func (m *Mender) Keys(ctx context.Context, r voters.Roster, keys ...string) int {
 	cx, stop := context.WithTimeout(ctx, m.Bounds.Call())
 	defer stop()
-	as := quorum.Good(quorum.Ask(cx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
+	as := quorum.Successes(quorum.Gather(cx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
 		return acceptor.Peek.Call(ctx, m.Net, m.Self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Keys: keys, Brief: true})
 	}, nil))
 	top, at := map[string]acceptor.Slot{}, map[string]voters.Seat{}
 	for _, a := range as {
-		for k, s := range a.A.Slots {
+		for k, s := range a.Value.Slots {
 			if s.Above(top[k]) {
-				top[k], at[k] = s, a.Who
+				top[k], at[k] = s, a.Target
 			}
 		}
 	}
 	n := 0
 	for k, t := range top {
-		old := slices.DeleteFunc(slices.Clone(as), func(a copy) bool { return !t.Above(a.A.Slots[k]) })
+		old := slices.DeleteFunc(slices.Clone(as), func(a copy) bool { return !t.Above(a.Value.Slots[k]) })
 		if len(old) == 0 {
 			continue
 		}
@@ -54,7 +54,7 @@
 	n := 0
 	for _, a := range old {
 		cx, stop := context.WithTimeout(ctx, m.Bounds.Call())
-		b, err := acceptor.Accept.Call(cx, m.Net, m.Self, a.Who.Addr, &acceptor.AcceptRequest{Ballot: acceptor.Ballot{Roster: r.Sequence, Incarnation: a.Who.Incarnation, Key: k}, Epoch: t.Accepted, Value: t.Value})
+		b, err := acceptor.Accept.Call(cx, m.Net, m.Self, a.Target.Addr, &acceptor.AcceptRequest{Ballot: acceptor.Ballot{Roster: r.Sequence, Incarnation: a.Target.Incarnation, Key: k}, Epoch: t.Accepted, Value: t.Value})
 		stop()
 		if err == nil && b.OK {
 			n++
--- a/internal/membership/failuredetector/watch.go
+++ b/internal/membership/failuredetector/watch.go
@@ -209,24 +209,24 @@
 func (w *Watch) doubt(ctx context.Context, n string, x *ward, ring []string) {
 	cx, stop := context.WithTimeout(ctx, w.Bounds.Hedge())
 	defer stop()
-	as := quorum.Ask(cx, ring, func(ctx context.Context, f string) (bool, error) {
+	as := quorum.Gather(cx, ring, func(ctx context.Context, f string) (bool, error) {
 		a, ok := w.Addr(f)
 		if !ok {
 			return false, apierror.New(apierror.Unreachable, "%s is not known", f)
 		}
 		h, err := Heard.Call(ctx, w.Net, w.Self, a, &HeardRequest{Node: n})
 		return err == nil && h.Heard, err
-	}, func(as []quorum.Answer[string, bool]) bool { return heard(as) })
+	}, func(as []quorum.Result[string, bool]) bool { return heard(as) })
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	x.asking = false
-	if !heard(as) && len(quorum.Good(as)) > 0 && x.missed > 0 {
+	if !heard(as) && len(quorum.Successes(as)) > 0 && x.missed > 0 {
 		w.lost(ctx, n, x, Silent)
 	}
 }
 
-func heard(as []quorum.Answer[string, bool]) bool {
-	return slices.ContainsFunc(quorum.Good(as), func(a quorum.Answer[string, bool]) bool { return a.A })
+func heard(as []quorum.Result[string, bool]) bool {
+	return slices.ContainsFunc(quorum.Successes(as), func(a quorum.Result[string, bool]) bool { return a.Value })
 }
 
 // Hears tells whether a machine that is looked after here was heard lately.
--- a/internal/membership/reachability/touch.go
+++ b/internal/membership/reachability/touch.go
@@ -118,10 +118,10 @@
 	defer stop()
 	as := t.Owners()
 	most := max(1, (len(as)+share-1)/share)
-	got := quorum.Good(quorum.Ask(cx, as, func(ctx context.Context, a string) (*failuredetector.BeatResponse, error) {
+	got := quorum.Successes(quorum.Gather(cx, as, func(ctx context.Context, a string) (*failuredetector.BeatResponse, error) {
 		return failuredetector.Beat.Call(ctx, t.Net, t.Self, a, &failuredetector.BeatRequest{})
-	}, func(as []quorum.Answer[string, *failuredetector.BeatResponse]) bool {
-		return len(quorum.Good(as)) >= most
+	}, func(as []quorum.Result[string, *failuredetector.BeatResponse]) bool {
+		return len(quorum.Successes(as)) >= most
 	}))
 	return len(got), len(as)
 }
@@ -132,7 +132,7 @@
 		rand.Shuffle(len(g), func(i, k int) { g[i], g[k] = g[k], g[i] })
 		g = g[:min(len(g), askedMost)]
 		cx, stop := context.WithTimeout(ctx, 2*t.Bounds.Hedge())
-		as := quorum.Good(quorum.Ask(cx, g, func(ctx context.Context, i membership.Info) (*ReachResponse, error) {
+		as := quorum.Successes(quorum.Gather(cx, g, func(ctx context.Context, i membership.Info) (*ReachResponse, error) {
 			a, err := Reach.Call(ctx, t.Net, t.Self, i.Peers, &ReachRequest{})
 			if err == nil && a.Well {
 				go func() {
@@ -145,8 +145,8 @@
 		stop()
 		var to []membership.Info
 		for _, a := range as {
-			if a.A.Well {
-				to = append(to, a.Who)
+			if a.Value.Well {
+				to = append(to, a.Target)
 			}
 		}
 		if len(to) > 0 {
--- a/internal/nodelease/session.go
+++ b/internal/nodelease/session.go
@@ -197,10 +197,10 @@
 	defer stop()
 	me := h.Info()
 	met := map[string]string{}
-	for _, a := range quorum.Good(quorum.Ask(cx, others(h.Seeds, me.Peers), func(ctx context.Context, a string) (*membership.HelloResponse, error) {
+	for _, a := range quorum.Successes(quorum.Gather(cx, others(h.Seeds, me.Peers), func(ctx context.Context, a string) (*membership.HelloResponse, error) {
 		return membership.Hello.Call(ctx, h.Net, h.Self, a, &membership.HelloRequest{From: &me})
 	}, nil)) {
-		for _, i := range append(a.A.Known, a.A.Info) {
+		for _, i := range append(a.Value.Known, a.Value.Info) {
 			if i.Disk == settings.DiskControl {
 				met[i.Name] = i.Peers
 			}
@@ -456,11 +456,11 @@
 	cx, stop := context.WithTimeout(ctx, k.Opts.Bounds().Call()/2)
 	defer stop()
 	var is []membership.Info
-	quorum.Ask(cx, others(k.Opts.Seeds, k.Opts.Reached()), func(ctx context.Context, a string) (*membership.HelloResponse, error) {
+	quorum.Gather(cx, others(k.Opts.Seeds, k.Opts.Reached()), func(ctx context.Context, a string) (*membership.HelloResponse, error) {
 		return membership.Hello.Call(ctx, k.Net, k.Opts.Name, a, &membership.HelloRequest{})
-	}, func(as []quorum.Answer[string, *membership.HelloResponse]) bool {
+	}, func(as []quorum.Result[string, *membership.HelloResponse]) bool {
 		if h := as[len(as)-1]; h.Err == nil {
-			is = append(append(is, h.A.Info), h.A.Known...)
+			is = append(append(is, h.Value.Info), h.Value.Known...)
 		}
 		return len(k.able(is, not)) > 0
 	})
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -141,7 +141,7 @@
 	for p := range s.Board.Roster().Layout.Count() {
 		ps = append(ps, p)
 	}
-	for _, a := range quorum.Ask(ctx, ps, func(ctx context.Context, p int) (confirmed[bool], error) {
+	for _, a := range quorum.Gather(ctx, ps, func(ctx context.Context, p int) (confirmed[bool], error) {
 		return readAs(ctx, s, assignment.Key(p), func(v acceptor.Value) (bool, error) {
 			r, err := parseRecord(p, v)
 			return r.Holds(node), err
@@ -150,7 +150,7 @@
 		if a.Err != nil {
 			return c, a.Err
 		}
-		if a.A.value {
+		if a.Value.value {
 			c.value++
 		}
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -90,15 +90,15 @@
 	for p := range s.Board.Roster().Layout.Count() {
 		ps = append(ps, p)
 	}
-	as := quorum.Ask(ctx, ps, s.Uses, nil)
-	if err := quorum.First(as); err != nil || len(as) < len(ps) {
+	as := quorum.Gather(ctx, ps, s.Uses, nil)
+	if err := quorum.FirstError(as); err != nil || len(as) < len(ps) {
 		return nil, apierror.WithCause(apierror.NoPartitionLeader, err, "usage of all partitions")
 	}
 	rows := []usage.Row{}
 	for _, a := range as {
-		for _, u := range a.A {
+		for _, u := range a.Value {
 			sp, t := s.named(u.Topic)
-			rows = append(rows, usage.Row{Space: sp, Topic: t, Partition: int32(a.Who), Messages: int64(u.Messages), Senders: int32(u.Senders), LastOffset: int64(u.Offset)})
+			rows = append(rows, usage.Row{Space: sp, Topic: t, Partition: int32(a.Target), Messages: int64(u.Messages), Senders: int32(u.Senders), LastOffset: int64(u.Offset)})
 		}
 	}
 	slices.SortFunc(rows, func(a, b usage.Row) int {
--- a/internal/operator/quorum.go
+++ b/internal/operator/quorum.go
@@ -46,16 +46,16 @@
 	r := s.Board.Roster()
 	cx, stop := context.WithTimeout(ctx, s.Bounds.Call())
 	defer stop()
-	as := quorum.Ask(cx, r.Seats, s.known, func(as []quorum.Answer[voters.Seat, []membership.Info]) bool {
-		return len(quorum.Good(as)) >= r.Majority()
+	as := quorum.Gather(cx, r.Seats, s.known, func(as []quorum.Result[voters.Seat, []membership.Info]) bool {
+		return len(quorum.Successes(as)) >= r.Majority()
 	})
-	good := quorum.Good(as)
+	good := quorum.Successes(as)
 	if r.Sequence == 0 || len(good) < r.Majority() {
-		return c, apierror.WithCause(apierror.NoMajority, quorum.First(as), "%d of %d control nodes told which machines they know", len(good), len(r.Seats))
+		return c, apierror.WithCause(apierror.NoMajority, quorum.FirstError(as), "%d of %d control nodes told which machines they know", len(good), len(r.Seats))
 	}
 	c.value = machines{}
 	for _, a := range good {
-		for _, i := range a.A {
+		for _, i := range a.Value {
 			c.value[i.Name] = append(c.value[i.Name], i)
 		}
 	}
--- a/internal/operator/why.go
+++ b/internal/operator/why.go
@@ -39,9 +39,9 @@
 		w.Problem = apierror.From(err)
 	}
 	q := rejections.Task{Visitor: visitor, Topic: topic, Call: call}
-	for _, a := range quorum.Ask(ctx, s.View.All(), func(ctx context.Context, i membership.Info) ([]rejections.Note, error) { return s.Turned(ctx, i, q) }, nil) {
+	for _, a := range quorum.Gather(ctx, s.View.All(), func(ctx context.Context, i membership.Info) ([]rejections.Note, error) { return s.Turned(ctx, i, q) }, nil) {
 		w.Whole = w.Whole && a.Err == nil
-		w.Turned = append(w.Turned, a.A...)
+		w.Turned = append(w.Turned, a.Value...)
 	}
 	slices.SortFunc(w.Turned, func(a, b rejections.Note) int { return a.At.Compare(b.At) })
 	if len(w.Turned) == 0 && w.Whole && w.Ledger != nil && w.Ledger.Last < call {
--- a/internal/partitionlog/leader/assure.go
+++ b/internal/partitionlog/leader/assure.go
@@ -60,7 +60,7 @@
 func (o *Owner) ask(ctx context.Context) error {
 	cx, stop := context.WithTimeout(ctx, o.d.Bounds.Call())
 	defer stop()
-	as := quorum.Ask(cx, o.Rec.Replicas, func(ctx context.Context, p assignment.Place) (bool, error) {
+	as := quorum.Gather(cx, o.Rec.Replicas, func(ctx context.Context, p assignment.Place) (bool, error) {
 		q := &replica.AppendRequest{Target: replica.Target{Partition: o.Rec.Partition, Incarnation: p.Incarnation, Epoch: o.Rec.Epoch}, Kind: log.Ledger, Urgent: o.Urgent}
 		if p.Node == o.d.Self {
 			return true, o.d.Replica.Stands(q.Target)
@@ -71,14 +71,16 @@
 		}
 		_, err := replica.Append.Call(ctx, o.d.Net, o.d.Self, a, q)
 		return err == nil, err
-	}, func(as []quorum.Answer[assignment.Place, bool]) bool { return len(quorum.Good(as)) >= o.Rec.Majority() })
+	}, func(as []quorum.Result[assignment.Place, bool]) bool {
+		return len(quorum.Successes(as)) >= o.Rec.Majority()
+	})
 	for _, a := range as {
 		if o.fenced(a.Err) {
 			o.lose(a.Err)
 		}
 	}
-	if n := len(quorum.Good(as)); n < o.Rec.Majority() {
-		return apierror.WithCause(apierror.NotPartitionLeader, quorum.First(as), "%d of %d replicas confirmed epoch %d of partition %d", n, len(o.Rec.Replicas), o.Rec.Epoch, o.Rec.Partition)
+	if n := len(quorum.Successes(as)); n < o.Rec.Majority() {
+		return apierror.WithCause(apierror.NotPartitionLeader, quorum.FirstError(as), "%d of %d replicas confirmed epoch %d of partition %d", n, len(o.Rec.Replicas), o.Rec.Epoch, o.Rec.Partition)
 	}
 	return nil
 }
--- a/internal/partitionlog/leader/takeover.go
+++ b/internal/partitionlog/leader/takeover.go
@@ -14,7 +14,7 @@
 	"postjunction/internal/samza/state"
 )
 
-type sealed = quorum.Answer[assignment.Place, *replica.SealResponse]
+type sealed = quorum.Result[assignment.Place, *replica.SealResponse]
 
 func (o *Owner) takeOver(ctx context.Context) error {
 	begun := o.d.Clock.Now()
@@ -99,8 +99,8 @@
 		var tail replica.Tail
 		known := false
 		for _, s := range tails {
-			if s.Err == nil && s.Who.Node == p.Node {
-				tail, known = s.A.Tails[t.kind], true
+			if s.Err == nil && s.Target.Node == p.Node {
+				tail, known = s.Value.Tails[t.kind], true
 			}
 		}
 		go o.replicate(ctx, t, p, tail, known)
@@ -110,7 +110,7 @@
 func (o *Owner) seal(ctx context.Context) ([]sealed, error) {
 	cx, stop := context.WithTimeout(ctx, o.d.Bounds.Call())
 	defer stop()
-	as := quorum.Ask(cx, o.Rec.Replicas, func(ctx context.Context, p assignment.Place) (*replica.SealResponse, error) {
+	as := quorum.Gather(cx, o.Rec.Replicas, func(ctx context.Context, p assignment.Place) (*replica.SealResponse, error) {
 		q := &replica.SealRequest{Target: o.target(p.Node), Urgent: o.Urgent}
 		if p.Node == o.d.Self {
 			return o.d.Replica.Seal(ctx, q)
@@ -120,16 +120,16 @@
 			return nil, apierror.New(apierror.Unreachable, "%s is not a member", p.Node)
 		}
 		return replica.Seal.Call(ctx, o.d.Net, o.d.Self, a, q)
-	}, func(as []sealed) bool { return len(quorum.Good(as)) >= o.Rec.Majority() })
+	}, func(as []sealed) bool { return len(quorum.Successes(as)) >= o.Rec.Majority() })
 	for _, a := range as {
 		if o.fenced(a.Err) {
 			return nil, a.Err
 		}
 	}
-	if n := len(quorum.Good(as)); n < o.Rec.Majority() {
-		return nil, apierror.WithCause(apierror.NoMajority, quorum.First(as), "%d of %d replicas were sealed", n, len(o.Rec.Replicas))
+	if n := len(quorum.Successes(as)); n < o.Rec.Majority() {
+		return nil, apierror.WithCause(apierror.NoMajority, quorum.FirstError(as), "%d of %d replicas were sealed", n, len(o.Rec.Replicas))
 	}
-	return quorum.Good(as), nil
+	return quorum.Successes(as), nil
 }
 
 const fetchMost = 512
@@ -150,15 +150,15 @@
 	l := o.d.Replica.Line(o.Rec.Partition, k)
 	top := l.Last()
 	for _, s := range tails {
-		if t := s.A.Tails[k].Last; top.Less(t) {
-			best, top = s.Who.Node, t
+		if t := s.Value.Tails[k].Last; top.Less(t) {
+			best, top = s.Target.Node, t
 		}
 	}
 	o.mu.Lock()
 	o.how.Tails += fmt.Sprintf("%s from %s:", k, best)
 	for _, s := range tails {
-		t := s.A.Tails[k].Last
-		o.how.Tails += fmt.Sprintf(" %s %d/%d", s.Who.Node, t.Epoch, t.Offset)
+		t := s.Value.Tails[k].Last
+		o.how.Tails += fmt.Sprintf(" %s %d/%d", s.Target.Node, t.Epoch, t.Offset)
 	}
 	o.how.Tails += "; "
 	o.mu.Unlock()
--- a/internal/placement/controller/drains.go
+++ b/internal/placement/controller/drains.go
@@ -92,7 +92,7 @@
 func (d *Duty) fence(ctx context.Context) bool {
 	whole := true
 	rs := slices.Collect(maps.Values(d.recs))
-	for _, a := range quorum.Ask(ctx, rs, func(ctx context.Context, r assignment.Record) (assignment.Record, error) {
+	for _, a := range quorum.Gather(ctx, rs, func(ctx context.Context, r assignment.Record) (assignment.Record, error) {
 		v, err := d.Client.Change(ctx, assignment.Key(r.Partition), r.Writes, registerclient.Name(), r.Pack())
 		if err == nil {
 			r.Writes = v.Writes
@@ -102,10 +102,10 @@
 	}, nil) {
 		if a.Err != nil {
 			whole = false
-			_ = d.read(ctx, a.Who.Partition)
+			_ = d.read(ctx, a.Target.Partition)
 			continue
 		}
-		d.keep(a.A)
+		d.keep(a.Value)
 	}
 	return whole
 }
--- a/internal/placement/controller/duty.go
+++ b/internal/placement/controller/duty.go
@@ -129,12 +129,12 @@
 	for p := range d.Board.Roster().Layout.Count() {
 		ps = append(ps, p)
 	}
-	for _, a := range quorum.Ask(ctx, ps, d.fetch, nil) {
+	for _, a := range quorum.Gather(ctx, ps, d.fetch, nil) {
 		if a.Err != nil {
-			d.Log.Say(event.PlaceTrouble, "partition", a.Who, "problem", a.Err)
+			d.Log.Say(event.PlaceTrouble, "partition", a.Target, "problem", a.Err)
 			return
 		}
-		d.keep(a.A)
+		d.keep(a.Value)
 	}
 	d.held, d.since, d.moved = true, d.Clock.Now(), d.Clock.Now()
 	d.Log.Say(event.DutyTaken, "partitions", len(d.recs))
@@ -177,7 +177,7 @@
 func (d *Duty) flush(ctx context.Context) {
 	ws := d.wants
 	d.wants = nil
-	for _, a := range quorum.Ask(ctx, ws, func(ctx context.Context, w want) (assignment.Record, error) {
+	for _, a := range quorum.Gather(ctx, ws, func(ctx context.Context, w want) (assignment.Record, error) {
 		v, err := d.Client.Change(ctx, assignment.Key(w.n.Partition), w.old.Writes, registerclient.Name(), w.n.Pack())
 		if err == nil {
 			w.n.Writes = v.Writes
@@ -192,8 +192,8 @@
 		if a.Err != nil {
 			continue
 		}
-		d.keep(a.A)
-		if n := a.Who.n; a.A.Epoch == n.Epoch && n.Epoch != a.Who.old.Epoch && a.A.Owner == n.Owner {
+		d.keep(a.Value)
+		if n := a.Target.n; a.Value.Epoch == n.Epoch && n.Epoch != a.Target.old.Epoch && a.Value.Owner == n.Owner {
 			h := n.History[len(n.History)-1]
 			d.Log.Say(event.Placed, "partition", n.Partition, "epoch", n.Epoch, "owner", n.Owner, "replicas", strings.Join(h.Replicas, ","), "reason", h.Reason)
 		}
--- a/internal/presence/presence.go
+++ b/internal/presence/presence.go
@@ -80,16 +80,16 @@
 	cx, stop := context.WithTimeout(ctx, p.Bounds.Call()/2)
 	defer stop()
 	fs := membership.Pick(p.View.All(), func(i membership.Info) bool { return i.Name != p.Self })
-	as := quorum.Ask(cx, fs, func(ctx context.Context, i membership.Info) (*CountResponse, error) {
+	as := quorum.Gather(cx, fs, func(ctx context.Context, i membership.Info) (*CountResponse, error) {
 		return Count.Call(ctx, p.Net, p.Self, i.Peers, &CountRequest{Topic: topic})
 	}, nil)
 	all := p.here(topic)
-	for _, a := range quorum.Good(as) {
-		all = append(all, a.A.Visitors...)
+	for _, a := range quorum.Successes(as) {
+		all = append(all, a.Value.Visitors...)
 	}
 	slices.Sort(all)
 	all = slices.DeleteFunc(slices.Compact(all), func(s string) bool { return s == visitor })
-	return len(all), len(quorum.Good(as)) == len(fs)
+	return len(all), len(quorum.Successes(as)) == len(fs)
 }
 
 // Serve adds the presence call.
--- a/internal/quorum/gather.go
+++ b/internal/quorum/gather.go
@@ -7,31 +7,31 @@
 	"postjunction/internal/apierror"
 )
 
-// Answer is what one of those asked said.
-type Answer[W, A any] struct {
-	Who W
-	A   A
-	Err error
+// Result is what one of those asked said.
+type Result[W, A any] struct {
+	Target W
+	Value  A
+	Err    error
 }
 
-// Ask calls f on all of ws at once and gives the answers so far when enough says so, or all of them.
+// Gather calls f on all of ws at once and gives the answers so far when enough says so, or all of them.
 // When ctx ends, those that have not answered count as errors, so that there is one answer for each asked.
-func Ask[W, A any](ctx context.Context, ws []W, f func(context.Context, W) (A, error), enough func([]Answer[W, A]) bool) []Answer[W, A] {
-	c := make(chan Answer[W, A], len(ws))
+func Gather[W, A any](ctx context.Context, ws []W, f func(context.Context, W) (A, error), enough func([]Result[W, A]) bool) []Result[W, A] {
+	c := make(chan Result[W, A], len(ws))
 	for _, w := range ws {
 		go func() {
 			a, err := f(ctx, w)
-			c <- Answer[W, A]{w, a, err}
+			c <- Result[W, A]{w, a, err}
 		}()
 	}
-	var as []Answer[W, A]
+	var as []Result[W, A]
 	for range ws {
 		select {
 		case a := <-c:
 			as = append(as, a)
 		case <-ctx.Done():
 			for range len(ws) - len(as) {
-				as = append(as, Answer[W, A]{Err: apierror.WithCause(apierror.Unreachable, ctx.Err(), "no answer in time")})
+				as = append(as, Result[W, A]{Err: apierror.WithCause(apierror.Unreachable, ctx.Err(), "no answer in time")})
 			}
 			return as
 		}
@@ -42,9 +42,9 @@
 	return as
 }
 
-// Good gives the answers without an error.
-func Good[W, A any](as []Answer[W, A]) []Answer[W, A] {
-	var g []Answer[W, A]
+// Successes gives the answers without an error.
+func Successes[W, A any](as []Result[W, A]) []Result[W, A] {
+	var g []Result[W, A]
 	for _, a := range as {
 		if a.Err == nil {
 			g = append(g, a)
@@ -53,8 +53,8 @@
 	return g
 }
 
-// First gives the first error.
-func First[W, A any](as []Answer[W, A]) error {
+// FirstError gives the first error.
+func FirstError[W, A any](as []Result[W, A]) error {
 	for _, a := range as {
 		if a.Err != nil {
 			return a.Err
--- a/internal/quorum/gather_test.go
+++ b/internal/quorum/gather_test.go
@@ -12,7 +12,7 @@
 // A seal that nobody answered in time once came back as no answers and no error, and passed for a majority.
 func TestThoseWhoDoNotAnswerInTimeAreErrors(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
-	as := Ask(ctx, []int{1, 2, 3}, func(ctx context.Context, w int) (string, error) {
+	as := Gather(ctx, []int{1, 2, 3}, func(ctx context.Context, w int) (string, error) {
 		if w == 2 {
 			stop()
 			return "two", nil
@@ -22,8 +22,8 @@
 		return "", nil
 	}, nil)
 	assert.Equal(t, len(as), 3)
-	assert.Assert(t, len(Good(as)) <= 1)
-	assert.Assert(t, First(as) != nil)
+	assert.Assert(t, len(Successes(as)) <= 1)
+	assert.Assert(t, FirstError(as) != nil)
 	assert.Assert(t, apierror.WithCause(apierror.NoMajority, nil, "x") != nil)
 	assert.NilError(t, apierror.Wrap(apierror.NoMajority, nil, "x"))
 }
