--- a/internal/control/acceptor/voter.go
+++ b/internal/control/acceptor/voter.go
@@ -17,7 +17,7 @@
 type Voter struct {
 	incarnation string
 	journal     *journal.Journal
-	turns       *keylock.Turns
+	turns       *keylock.Locks
 	mu          sync.Mutex
 	slots       map[string]Slot
 	roster      voters.Roster
@@ -154,12 +154,12 @@
 
 func (v *Voter) take(ctx context.Context, key string) (func(), error) {
 	if key == RosterKey {
-		return v.turns.All(ctx)
+		return v.turns.LockAll(ctx)
 	}
-	return v.turns.Take(ctx, key)
+	return v.turns.Lock(ctx, key)
 }
 
-func (v *Voter) enter(ctx context.Context, b Ballot) (Slot, *keylock.Held, error) {
+func (v *Voter) enter(ctx context.Context, b Ballot) (Slot, *keylock.Shared, error) {
 	back, err := v.take(ctx, b.Key)
 	if err != nil {
 		return Slot{}, nil, err
@@ -169,21 +169,21 @@
 		back()
 		return s, nil, err
 	}
-	return s, keylock.Hold(back), nil
+	return s, keylock.Share(back), nil
 }
 
-func (v *Voter) alone(ctx context.Context, inc string) (*keylock.Held, error) {
+func (v *Voter) alone(ctx context.Context, inc string) (*keylock.Shared, error) {
 	if err := v.disk(inc); err != nil {
 		return nil, err
 	}
-	back, err := v.turns.All(ctx)
+	back, err := v.turns.LockAll(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return keylock.Hold(back), nil
+	return keylock.Share(back), nil
 }
 
-func (v *Voter) store(ctx context.Context, t *keylock.Held, key string, s Slot) error {
+func (v *Voter) store(ctx context.Context, t *keylock.Shared, key string, s Slot) error {
 	return v.journal.PutIn(ctx, t, true, func() {
 		v.mu.Lock()
 		defer v.mu.Unlock()
@@ -201,7 +201,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer t.Back()
+	defer t.Release()
 	n, ok := s.Promise(q.Epoch)
 	if !ok || n.Promised == s.Promised {
 		return &SlotResponse{OK: ok, Slot: s}, nil
@@ -218,7 +218,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer t.Back()
+	defer t.Release()
 	n, ok := s.Accept(q.Epoch, q.Value)
 	if !ok {
 		return &SlotResponse{Slot: s}, nil
@@ -266,7 +266,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer t.Back()
+	defer t.Release()
 	v.mu.Lock()
 	cur, f := v.roster, v.founding
 	v.mu.Unlock()
@@ -310,7 +310,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer t.Back()
+	defer t.Release()
 	if cur := v.Roster(); cur.Sequence > 0 {
 		return nil, apierror.New(apierror.StaleVoterSet, "this disk is under roster %d already", cur.Sequence).WithCurrent(cur.Sequence)
 	}
--- a/internal/control/register/holder.go
+++ b/internal/control/register/holder.go
@@ -43,7 +43,7 @@
 	bounds  settings.Bounds
 	peers   Peers
 	told    Told
-	turns   *keylock.Turns
+	turns   *keylock.Locks
 	keys    *keylock.Map[string, held]
 	mu      sync.Mutex
 	leaving bool
@@ -70,7 +70,7 @@
 }
 
 func (h *Holder) edit(k string, f func(*held)) {
-	h.keys.With(k, func(v held, _ bool) (held, bool) {
+	h.keys.Update(k, func(v held, _ bool) (held, bool) {
 		f(&v)
 		return v, true
 	})
@@ -155,7 +155,7 @@
 }
 
 func (h *Holder) change(ctx context.Context, q *ChangeRequest, doubt, polite bool) (*acceptor.Value, error) {
-	back, err := h.turns.Take(ctx, q.Key)
+	back, err := h.turns.Lock(ctx, q.Key)
 	if err != nil {
 		return nil, err
 	}
@@ -208,7 +208,7 @@
 }
 
 func (h *Holder) read(ctx context.Context, k string, polite bool) (*acceptor.Value, error) {
-	back, err := h.turns.Take(ctx, k)
+	back, err := h.turns.Lock(ctx, k)
 	if err != nil {
 		return nil, err
 	}
@@ -305,7 +305,7 @@
 
 // Confirmed tells whether this node still holds a key, as a majority says.
 func (h *Holder) Confirmed(ctx context.Context, k string) bool {
-	back, err := h.turns.Take(ctx, k)
+	back, err := h.turns.Lock(ctx, k)
 	if err != nil {
 		return false
 	}
@@ -440,7 +440,7 @@
 	v := held{epoch: e, roster: r.Sequence, value: top.Value, seen: e, hint: h.self}
 	if top.Accepted.Zero() {
 		v.sure = true
-		h.keys.With(k, func(held, bool) (held, bool) { return v, true })
+		h.keys.Update(k, func(held, bool) (held, bool) { return v, true })
 		return v, nil
 	}
 	n := top.Value
@@ -543,7 +543,7 @@
 }
 
 func (h *Holder) take(ctx context.Context, k string, polite bool) error {
-	back, err := h.turns.Take(ctx, k)
+	back, err := h.turns.Lock(ctx, k)
 	if err != nil {
 		return err
 	}
@@ -558,7 +558,7 @@
 	h.leaving = true
 	h.mu.Unlock()
 	var ks []string
-	h.keys.Each(func(k string, v held) {
+	h.keys.Range(func(k string, v held) {
 		if v.sure {
 			ks = append(ks, k)
 		}
@@ -571,7 +571,7 @@
 		i[k] = n
 	}
 	as := quorum.Gather(ctx, ks, func(ctx context.Context, k string) (bool, error) {
-		back, err := h.turns.Take(ctx, k)
+		back, err := h.turns.Lock(ctx, k)
 		if err != nil {
 			return false, err
 		}
--- a/internal/disk/journal/journal.go
+++ b/internal/disk/journal/journal.go
@@ -380,8 +380,8 @@
 
 // PutIn is Put in a turn in which the records were made from what stands. The turn is kept until it is settled whether they stand, also where
 // ctx ends before that: whoever has the next turn must not go by what stood before them.
-func (j *Journal) PutIn(ctx context.Context, t *keylock.Held, urgent bool, apply func(), recs ...Rec) error {
-	return j.put(ctx, put{recs: recs, apply: apply, after: t.More(), done: make(chan error, 1)}, lane[urgent])
+func (j *Journal) PutIn(ctx context.Context, t *keylock.Shared, urgent bool, apply func(), recs ...Rec) error {
+	return j.put(ctx, put{recs: recs, apply: apply, after: t.Retain(), done: make(chan error, 1)}, lane[urgent])
 }
 
 var lane = map[bool]int{true: 0, false: 1}
--- a/internal/keylock/held.go
+++ b/internal/keylock/held.go
@@ -2,27 +2,27 @@
 
 import "sync/atomic"
 
-// Held is a turn that several may need: it is given back once all of them have done so.
-type Held struct {
+// Shared is a turn that several may need: it is given back once all of them have done so.
+type Shared struct {
 	n    atomic.Int32
 	back func()
 }
 
-// Hold makes a turn that was taken one that several may need; whoever made it gives it back with Back.
-func Hold(back func()) *Held {
-	h := &Held{back: back}
+// Share makes a turn that was taken one that several may need; whoever made it gives it back with Back.
+func Share(back func()) *Shared {
+	h := &Shared{back: back}
 	h.n.Store(1)
 	return h
 }
 
-// More keeps the turn for one more; the function gives that one's part back.
-func (h *Held) More() func() {
+// Retain keeps the turn for one more; the function gives that one's part back.
+func (h *Shared) Retain() func() {
 	h.n.Add(1)
-	return h.Back
+	return h.Release
 }
 
-// Back gives one part back.
-func (h *Held) Back() {
+// Release gives one part back.
+func (h *Shared) Release() {
 	if h.n.Add(-1) == 0 {
 		h.back()
 	}
--- a/internal/keylock/shards.go
+++ b/internal/keylock/shards.go
@@ -31,8 +31,8 @@
 	return &m.shards[maphash.Comparable(m.seed, k)%shardCount]
 }
 
-// With runs f on the value of k under the shard's lock; f tells whether the value stays.
-func (m *Map[K, V]) With(k K, f func(v V, ok bool) (V, bool)) {
+// Update runs f on the value of k under the shard's lock; f tells whether the value stays.
+func (m *Map[K, V]) Update(k K, f func(v V, ok bool) (V, bool)) {
 	s := m.at(k)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,8 +53,8 @@
 	return v, ok
 }
 
-// Each runs f on a copy of every pair.
-func (m *Map[K, V]) Each(f func(K, V)) {
+// Range runs f on a copy of every pair.
+func (m *Map[K, V]) Range(f func(K, V)) {
 	for i := range m.shards {
 		s := &m.shards[i]
 		s.mu.Lock()
--- a/internal/keylock/turn.go
+++ b/internal/keylock/turn.go
@@ -8,20 +8,20 @@
 	"postjunction/internal/apierror"
 )
 
-// Turns is a row of shards.
-type Turns struct{ s []chan struct{} }
+// Locks is a row of shards.
+type Locks struct{ s []chan struct{} }
 
 // New makes n shards.
-func New(n int) *Turns {
-	t := &Turns{s: make([]chan struct{}, n)}
+func New(n int) *Locks {
+	t := &Locks{s: make([]chan struct{}, n)}
 	for i := range t.s {
 		t.s[i] = make(chan struct{}, 1)
 	}
 	return t
 }
 
-// TakeNumber waits for the turn of a number; numbers that differ by less than the count of shards never share one.
-func (t *Turns) TakeNumber(ctx context.Context, n int) (func(), error) {
+// LockNumber waits for the turn of a number; numbers that differ by less than the count of shards never share one.
+func (t *Locks) LockNumber(ctx context.Context, n int) (func(), error) {
 	i := n % len(t.s)
 	if err := t.take(ctx, i); err != nil {
 		return nil, err
@@ -29,13 +29,13 @@
 	return func() { <-t.s[i] }, nil
 }
 
-func (t *Turns) at(k string) int {
+func (t *Locks) at(k string) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(k))
 	return int(h.Sum32() % uint32(len(t.s)))
 }
 
-func (t *Turns) take(ctx context.Context, i int) error {
+func (t *Locks) take(ctx context.Context, i int) error {
 	select {
 	case t.s[i] <- struct{}{}:
 		return nil
@@ -44,8 +44,8 @@
 	}
 }
 
-// Take waits for the turn of a key; the function gives it back.
-func (t *Turns) Take(ctx context.Context, k string) (func(), error) {
+// Lock waits for the turn of a key; the function gives it back.
+func (t *Locks) Lock(ctx context.Context, k string) (func(), error) {
 	i := t.at(k)
 	if err := t.take(ctx, i); err != nil {
 		return nil, err
@@ -53,8 +53,8 @@
 	return func() { <-t.s[i] }, nil
 }
 
-// All waits for every shard.
-func (t *Turns) All(ctx context.Context) (func(), error) {
+// LockAll waits for every shard.
+func (t *Locks) LockAll(ctx context.Context) (func(), error) {
 	n := 0
 	back := func() {
 		for i := range n {
--- a/internal/partitionlog/replica/replica.go
+++ b/internal/partitionlog/replica/replica.go
@@ -21,7 +21,7 @@
 	incarnation string
 	journal     *journal.Journal
 	clk         clock.Clock
-	turns       *keylock.Turns
+	turns       *keylock.Locks
 	mu          sync.Mutex
 	lines       map[log.ID]*log.Line
 	seals       map[int]uint64
@@ -313,8 +313,8 @@
 // Stands tells whether a target's epoch is still the highest on this disk, under its own name.
 func (r *Replica) Stands(t Target) error { return r.fence(t) }
 
-func (r *Replica) enter(ctx context.Context, t Target) (*keylock.Held, error) {
-	back, err := r.turns.TakeNumber(ctx, t.Partition)
+func (r *Replica) enter(ctx context.Context, t Target) (*keylock.Shared, error) {
+	back, err := r.turns.LockNumber(ctx, t.Partition)
 	if err != nil {
 		return nil, err
 	}
@@ -322,7 +322,7 @@
 		back()
 		return nil, err
 	}
-	return keylock.Hold(back), nil
+	return keylock.Share(back), nil
 }
 
 // Seal turns lower epochs away from now on; it answers once that is synced.
@@ -331,7 +331,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer in.Back()
+	defer in.Release()
 	if r.Sealed(q.Partition) < q.Epoch {
 		if err := r.journal.PutIn(ctx, in, q.Urgent, func() { r.setSeal(q.Partition, q.Epoch) }, rec(recordtype.Seal, q.Epoch, 0, sealRec{q.Partition, q.Epoch})); err != nil {
 			return nil, err
@@ -356,7 +356,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer in.Back()
+	defer in.Release()
 	id := log.ID{Partition: q.Partition, Kind: q.Kind}
 	l := r.Line(q.Partition, q.Kind)
 	if !q.Reset {
@@ -419,7 +419,7 @@
 	if err != nil {
 		return err
 	}
-	defer in.Back()
+	defer in.Release()
 	id := log.ID{Partition: t.Partition, Kind: k}
 	return r.journal.PutIn(ctx, in, urgent, func() { r.Line(t.Partition, k).Cut(o) }, rec(recordtype.Cut, t.Epoch, o, cutRec{id, o}))
 }
@@ -444,7 +444,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer in.Back()
+	defer in.Release()
 	return &Done{}, r.journal.PutIn(ctx, in, false, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
--- a/internal/presence/presence.go
+++ b/internal/presence/presence.go
@@ -41,7 +41,7 @@
 }
 
 func (p *Presence) add(topic, visitor string, n int) {
-	p.m.With(topic, func(m map[string]int, ok bool) (map[string]int, bool) {
+	p.m.Update(topic, func(m map[string]int, ok bool) (map[string]int, bool) {
 		if !ok {
 			m = map[string]int{}
 		}
@@ -66,7 +66,7 @@
 
 func (p *Presence) here(topic string) []string {
 	var s []string
-	p.m.With(topic, func(m map[string]int, ok bool) (map[string]int, bool) {
+	p.m.Update(topic, func(m map[string]int, ok bool) (map[string]int, bool) {
 		for v := range m {
 			s = append(s, v)
 		}
