--- a/internal/client/follow.go
+++ b/internal/client/follow.go
@@ -289,7 +289,7 @@
 
 func (st *subscriptionStream) emit(l Line) error {
 	l.Cursor = st.cursor()
-	b, err := rawjson.JSON(l)
+	b, err := rawjson.Marshal(l)
 	if err != nil {
 		return apierror.Wrap(apierror.Internal, err, "write a stream line")
 	}
--- a/internal/command/cli/caller.go
+++ b/internal/command/cli/caller.go
@@ -166,7 +166,7 @@
 }
 
 func post(ctx context.Context, s Streams, w *want, path string, doc any) error {
-	b, err := rawjson.JSON(doc)
+	b, err := rawjson.Marshal(doc)
 	if err != nil {
 		return apierror.Wrap(apierror.Malformed, err, "the body is no JSON value")
 	}
--- a/internal/command/cli/visit.go
+++ b/internal/command/cli/visit.go
@@ -36,7 +36,7 @@
 }
 
 func (d *desk) task(m map[string]any) error {
-	b, err := rawjson.JSON(m)
+	b, err := rawjson.Marshal(m)
 	if err != nil {
 		return apierror.Wrap(apierror.Malformed, err, "the task is no JSON value")
 	}
--- a/internal/httpapi/door.go
+++ b/internal/httpapi/door.go
@@ -84,7 +84,7 @@
 func answer(w http.ResponseWriter, code int, a any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
-	b, _ := rawjson.JSON(a)
+	b, _ := rawjson.Marshal(a)
 	_, _ = w.Write(append(b, '\n'))
 }
 
--- a/internal/lineserver/jsoncodec/plain.go
+++ b/internal/lineserver/jsoncodec/plain.go
@@ -130,9 +130,9 @@
 		p := apierror.From(a.Err)
 		x.Code, x.Say, x.Advice, x.Current, x.RetryMS = p.Code, p.Message, p.Advice(), p.Current, p.RetryAfterMS
 	}
-	l, err := rawjson.JSON(x)
+	l, err := rawjson.Marshal(x)
 	if err != nil {
-		l, _ = rawjson.JSON(answer{What: session.Turned, Re: a.Re, Topic: a.Topic, Call: a.Call, Code: apierror.Internal})
+		l, _ = rawjson.Marshal(answer{What: session.Turned, Re: a.Re, Topic: a.Topic, Call: a.Call, Code: apierror.Internal})
 	}
 	return append(append(b, l...), '\n')
 }
--- a/internal/rawjson/plain.go
+++ b/internal/rawjson/plain.go
@@ -6,8 +6,8 @@
 	"encoding/json"
 )
 
-// JSON gives the JSON of v on one line, without its newline.
-func JSON(v any) ([]byte, error) {
+// Marshal gives the Marshal of v on one line, without its newline.
+func Marshal(v any) ([]byte, error) {
 	var b bytes.Buffer
 	e := json.NewEncoder(&b)
 	e.SetEscapeHTML(false)
--- a/internal/replay/recording/recording.go
+++ b/internal/replay/recording/recording.go
@@ -58,7 +58,7 @@
 }
 
 func (w *Writer) line(v any) error {
-	b, err := rawjson.JSON(v)
+	b, err := rawjson.Marshal(v)
 	if err != nil {
 		return apierror.Wrap(apierror.RecordingInvalid, err, "write a line")
 	}
--- a/internal/testing/transport/port.go
+++ b/internal/testing/transport/port.go
@@ -64,7 +64,7 @@
 }
 
 func must(v any) []byte {
-	b, _ := rawjson.JSON(v)
+	b, _ := rawjson.Marshal(v)
 	return b
 }
 
