--- a/internal/client/rejections/turned.go
+++ b/internal/client/rejections/turned.go
@@ -71,7 +71,7 @@
 }
 
 // Turned is the call that asks.
-var Turned = wire.Name[Task, Answer]("Visitor", "Turned", wire.Reads, "notes of rejected calls")
+var Turned = wire.NewProcedure[Task, Answer]("Visitor", "Turned", wire.ReadOnly, "notes of rejected calls")
 
 // Memory is one node's.
 type Memory struct{ *Ring[Note] }
--- a/internal/control/acceptor/calls.go
+++ b/internal/control/acceptor/calls.go
@@ -94,11 +94,11 @@
 
 // The voter's calls.
 var (
-	Promise = wire.Name[PromiseRequest, SlotResponse]("Control", "Promise", wire.Ordered, "epochs only rise; the same one is promised again")
-	Accept  = wire.Name[AcceptRequest, SlotResponse]("Control", "Accept", wire.Ordered, "epoch and count of writes only rise")
-	Peek    = wire.Name[PeekRequest, PeekResponse]("Control", "Peek", wire.Reads, "slots of a voter")
-	Open    = wire.Name[OpenRequest, Done]("Control", "Open", wire.Ordered, "rosters only rise; one that is in force or below changes nothing")
-	Found   = wire.Name[FoundRequest, Done]("Control", "Found", wire.Ordered, "agreed to as long as the disk is under no roster")
+	Promise = wire.NewProcedure[PromiseRequest, SlotResponse]("Control", "Promise", wire.Monotonic, "epochs only rise; the same one is promised again")
+	Accept  = wire.NewProcedure[AcceptRequest, SlotResponse]("Control", "Accept", wire.Monotonic, "epoch and count of writes only rise")
+	Peek    = wire.NewProcedure[PeekRequest, PeekResponse]("Control", "Peek", wire.ReadOnly, "slots of a voter")
+	Open    = wire.NewProcedure[OpenRequest, Done]("Control", "Open", wire.Monotonic, "rosters only rise; one that is in force or below changes nothing")
+	Found   = wire.NewProcedure[FoundRequest, Done]("Control", "Found", wire.Monotonic, "agreed to as long as the disk is under no roster")
 )
 
 // RosterKey is the register that names the next roster; accepting it seals the present one.
--- a/internal/control/bootstrap/leave.go
+++ b/internal/control/bootstrap/leave.go
@@ -18,7 +18,7 @@
 }
 
 // Leave is the call for it.
-var Leave = wire.Name[LeaveRequest, acceptor.Done]("Founding", "Leave", wire.Numbered, "a seed gives leave to one disk for its life, and to the same one again")
+var Leave = wire.NewProcedure[LeaveRequest, acceptor.Done]("Founding", "Leave", wire.Deduplicated, "a seed gives leave to one disk for its life, and to the same one again")
 
 // Leaves gives leave to one disk at most in the life of the process. Only a process of the first start gives any, so a
 // restarted seed that forgot whom it gave leave to never gives it to another.
--- a/internal/control/register/calls.go
+++ b/internal/control/register/calls.go
@@ -41,8 +41,8 @@
 
 // The holder's calls.
 var (
-	Change = wire.Name[ChangeRequest, acceptor.Value]("Control", "Change", wire.Numbered, "the change has a name and builds on a count of writes; the register knows both")
-	Read   = wire.Name[ReadRequest, acceptor.Value]("Control", "Read", wire.Reads, "a majority is asked")
-	Who    = wire.Name[WhoRequest, WhoResponse]("Control", "Who", wire.Reads, "says who is taken for the holder")
-	Take   = wire.Name[TakeRequest, acceptor.Done]("Control", "Take", wire.Ordered, "claims under a higher epoch, whoever held the key")
+	Change = wire.NewProcedure[ChangeRequest, acceptor.Value]("Control", "Change", wire.Deduplicated, "the change has a name and builds on a count of writes; the register knows both")
+	Read   = wire.NewProcedure[ReadRequest, acceptor.Value]("Control", "Read", wire.ReadOnly, "a majority is asked")
+	Who    = wire.NewProcedure[WhoRequest, WhoResponse]("Control", "Who", wire.ReadOnly, "says who is taken for the holder")
+	Take   = wire.NewProcedure[TakeRequest, acceptor.Done]("Control", "Take", wire.Monotonic, "claims under a higher epoch, whoever held the key")
 )
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -55,12 +55,12 @@
 
 // The table of calls between nodes says of each why it may be made again.
 func TestCallsTable(t *testing.T) {
-	calls := wire.Shapes()
+	calls := wire.Procedures()
 	sort.Slice(calls, func(i, k int) bool { return calls[i].Path < calls[k].Path })
 	var b strings.Builder
 	b.WriteString("\n| call | repeated | because |\n|---|---|---|\n")
 	for _, c := range calls {
-		fmt.Fprintf(&b, "| `%s` | %s | %s |\n", strings.TrimPrefix(c.Path, "/postjunction."), c.Repeat, c.How)
+		fmt.Fprintf(&b, "| `%s` | %s | %s |\n", strings.TrimPrefix(c.Path, "/postjunction."), c.Idempotency, c.Reason)
 	}
 	b.WriteString("\n")
 	update(t, "design/wire.md", "<!-- calls -->", "<!-- end -->", b.String())
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -61,7 +61,7 @@
 }
 
 // Exchange is the gossip call.
-var Exchange = wire.Name[ExchangeRequest, ExchangeResponse]("Gossip", "Exchange", wire.Ordered, "news are numbered, and only higher numbers are taken")
+var Exchange = wire.NewProcedure[ExchangeRequest, ExchangeResponse]("Gossip", "Exchange", wire.Monotonic, "news are numbered, and only higher numbers are taken")
 
 // Board holds a node's news; nothing on it ever goes back.
 type Board struct {
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -156,9 +156,9 @@
 	assert.Equal(t, len(lean.Records[0].History), 0)
 	assert.Equal(t, lean.Records[0].Owner, "s1")
 	assert.Equal(t, len(store.Board.Record(1).History), 9, "the own record lost its history")
-	a, err := wire.Write(whole)
+	a, err := wire.Marshal(whole)
 	assert.NilError(t, err)
-	b, err := wire.Write(lean)
+	b, err := wire.Marshal(lean)
 	assert.NilError(t, err)
 	assert.Assert(t, len(b)*5 < len(a), "%d bytes whole, %d lean", len(a), len(b))
 
@@ -178,7 +178,7 @@
 	}
 	d = d.Stand(configuration.Description{}, configuration.Retired{})
 	size := func(v any) int {
-		b, err := wire.Write(v)
+		b, err := wire.Marshal(v)
 		assert.NilError(t, err)
 		return len(b)
 	}
--- a/internal/membership/failuredetector/watch.go
+++ b/internal/membership/failuredetector/watch.go
@@ -37,8 +37,8 @@
 
 // The calls of machines that look after one another.
 var (
-	Beat  = wire.Name[BeatRequest, BeatResponse]("Watch", "Beat", wire.Reads, "tells that the process lives")
-	Heard = wire.Name[HeardRequest, HeardResponse]("Watch", "Heard", wire.Reads, "tells whom the receiver has heard")
+	Beat  = wire.NewProcedure[BeatRequest, BeatResponse]("Watch", "Beat", wire.ReadOnly, "tells that the process lives")
+	Heard = wire.NewProcedure[HeardRequest, HeardResponse]("Watch", "Heard", wire.ReadOnly, "tells whom the receiver has heard")
 )
 
 // Why a machine counts as gone.
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -88,8 +88,8 @@
 
 // The calls of membership.
 var (
-	Sessions = wire.Name[SessionsRequest, SessionsResponse]("Member", "Sessions", wire.Ordered, "sessions carry ages, and what was heard later stands")
-	Hello    = wire.Name[HelloRequest, HelloResponse]("Member", "Hello", wire.Ordered, "what is said of the sender is kept for a session at most")
+	Sessions = wire.NewProcedure[SessionsRequest, SessionsResponse]("Member", "Sessions", wire.Monotonic, "sessions carry ages, and what was heard later stands")
+	Hello    = wire.NewProcedure[HelloRequest, HelloResponse]("Member", "Hello", wire.Monotonic, "what is said of the sender is kept for a session at most")
 )
 
 type seen struct {
--- a/internal/membership/reachability/touch.go
+++ b/internal/membership/reachability/touch.go
@@ -24,7 +24,7 @@
 }
 
 // Reach is the call.
-var Reach = wire.Name[ReachRequest, ReachResponse]("Touch", "Reach", wire.Reads, "the receiver looks whom it reaches")
+var Reach = wire.NewProcedure[ReachRequest, ReachResponse]("Touch", "Reach", wire.ReadOnly, "the receiver looks whom it reaches")
 
 const (
 	doubtOf   = 3
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -187,7 +187,7 @@
 	n.mu.Lock()
 	o, st, fit := n.opts, n.stage, n.fitness
 	n.mu.Unlock()
-	i := membership.Info{Name: o.Name, Zone: o.Zone, Listen: o.Listen, Peers: o.Reached(), Visits: o.Visits, Disk: o.Disk, Boot: n.boot, Stage: st, Fitness: fit, Description: n.Board.Description().Sequence, Build: Build, Wire: wire.Sequence, Homes: true, Keys: true, Processor: o.Carries(), Roster: n.Board.Roster().Sequence}
+	i := membership.Info{Name: o.Name, Zone: o.Zone, Listen: o.Listen, Peers: o.Reached(), Visits: o.Visits, Disk: o.Disk, Boot: n.boot, Stage: st, Fitness: fit, Description: n.Board.Description().Sequence, Build: Build, Wire: wire.FormatVersion, Homes: true, Keys: true, Processor: o.Carries(), Roster: n.Board.Roster().Sequence}
 	if n.keeper != nil {
 		i.Deaf = !n.keeper.Confirmed()
 	}
--- a/internal/nodelease/session.go
+++ b/internal/nodelease/session.go
@@ -60,7 +60,7 @@
 }
 
 // Heartbeat is the session call.
-var Heartbeat = wire.Name[HeartbeatRequest, HeartbeatResponse]("Member", "Pulse", wire.Ordered, "a session is renewed as of when the pulse arrived; sayings are numbered within a run")
+var Heartbeat = wire.NewProcedure[HeartbeatRequest, HeartbeatResponse]("Member", "Pulse", wire.Monotonic, "a session is renewed as of when the pulse arrived; sayings are numbered within a run")
 
 // Confirmed is what a control node knows of the current description, and when it asked. Apart tells that no majority has answered it for a while.
 type Confirmed struct {
--- a/internal/operator/submit.go
+++ b/internal/operator/submit.go
@@ -28,7 +28,7 @@
 type SubmitResponse struct{}
 
 // Submit is the call that hands a document over.
-var Submit = wire.Name[SubmitRequest, SubmitResponse]("Operator", "Submit", wire.Numbered, "the order names its base and has a digest; the register remembers accepted orders")
+var Submit = wire.NewProcedure[SubmitRequest, SubmitResponse]("Operator", "Submit", wire.Deduplicated, "the order names its base and has a digest; the register remembers accepted orders")
 
 // Read sets how this node reads the documents that other nodes hand over.
 func (s *Service) Read(r Reader) { s.reader.Store(&r) }
--- a/internal/partitionlog/leader/packed_test.go
+++ b/internal/partitionlog/leader/packed_test.go
@@ -33,11 +33,11 @@
 			want, n = append(want, e.Body), n+len(e.Body)
 		}
 		a.Pack()
-		b, err := wire.Write(a)
+		b, err := wire.Marshal(a)
 		assert.NilError(t, err)
 		assert.Assert(t, len(b) < n*7/10+40*len(sizes), "%d bytes for %d", len(b), n)
 		var got Polled
-		assert.NilError(t, wire.Read(b, &got))
+		assert.NilError(t, wire.Unmarshal(b, &got))
 		assert.NilError(t, got.Unpack())
 		for i, e := range got.Entries {
 			assert.Assert(t, bytes.Equal(e.Body, want[i]), "entry %d", i)
--- a/internal/partitionlog/replica/calls.go
+++ b/internal/partitionlog/replica/calls.go
@@ -95,9 +95,9 @@
 
 // The replica's calls.
 var (
-	Seal   = wire.Name[SealRequest, SealResponse]("Ledger", "Seal", wire.Ordered, "epochs only rise on a disk")
-	Append = wire.Name[AppendRequest, AppendResponse]("Ledger", "Append", wire.Ordered, "entries have their epoch and place; a copy that has them answers the same, and lower epochs are refused")
-	Still  = wire.Name[StillRequest, StillResponse]("Ledger", "Still", wire.Reads, "compares sums, changes nothing on disk")
-	Fetch  = wire.Name[FetchRequest, FetchResponse]("Ledger", "Fetch", wire.Reads, "entries of a copy")
-	Drop   = wire.Name[DropRequest, Done]("Ledger", "Drop", wire.Ordered, "names the epoch of the record that no longer places the copy here")
+	Seal   = wire.NewProcedure[SealRequest, SealResponse]("Ledger", "Seal", wire.Monotonic, "epochs only rise on a disk")
+	Append = wire.NewProcedure[AppendRequest, AppendResponse]("Ledger", "Append", wire.Monotonic, "entries have their epoch and place; a copy that has them answers the same, and lower epochs are refused")
+	Still  = wire.NewProcedure[StillRequest, StillResponse]("Ledger", "Still", wire.ReadOnly, "compares sums, changes nothing on disk")
+	Fetch  = wire.NewProcedure[FetchRequest, FetchResponse]("Ledger", "Fetch", wire.ReadOnly, "entries of a copy")
+	Drop   = wire.NewProcedure[DropRequest, Done]("Ledger", "Drop", wire.Monotonic, "names the epoch of the record that no longer places the copy here")
 )
--- a/internal/partitionlog/replica/replica.go
+++ b/internal/partitionlog/replica/replica.go
@@ -126,7 +126,7 @@
 }
 
 func rec(k uint16, e, o uint64, x any) journal.Rec {
-	b, _ := wire.Write(x)
+	b, _ := wire.Marshal(x)
 	return journal.Rec{Kind: k, Epoch: e, Offset: o, Body: b}
 }
 
@@ -135,7 +135,7 @@
 	if len(b) > 0 && b[0] == '{' {
 		return json.Unmarshal(b, x)
 	}
-	return wire.Read(b, x)
+	return wire.Unmarshal(b, x)
 }
 
 var restore = map[uint16]func(*Replica, []byte) error{
--- a/internal/partitionlog/router/desk.go
+++ b/internal/partitionlog/router/desk.go
@@ -94,15 +94,15 @@
 
 // The desk's calls.
 var (
-	Submit   = wire.Name[leader.Task, leader.Decision]("Ledger", "Submit", wire.Numbered, "the message has its number, which the owner remembers")
-	Attach   = wire.Name[AttachRequest, AttachResponse]("Ledger", "Attach", wire.Numbered, "the attachment has a secret of its own; the one in force is known by it")
-	Attached = wire.Name[AttachedRequest, AttachedResponse]("Ledger", "Attached", wire.Reads, "confirmed by a majority of copies")
-	Ack      = wire.Name[AckRequest, Done]("Ledger", "Ack", wire.Ordered, "the cursor left last stands, as long as the attachment is in force")
-	Trace    = wire.Name[TraceRequest, Traced]("Ledger", "Trace", wire.Reads, "looks up a call's fate")
-	Usage    = wire.Name[UsageRequest, UsageResponse]("Ledger", "Usage", wire.Reads, "counts")
-	Read     = wire.Name[leader.ReadRequest, leader.Reading]("Ledger", "Read", wire.Reads, "committed entries behind a place")
+	Submit   = wire.NewProcedure[leader.Task, leader.Decision]("Ledger", "Submit", wire.Deduplicated, "the message has its number, which the owner remembers")
+	Attach   = wire.NewProcedure[AttachRequest, AttachResponse]("Ledger", "Attach", wire.Deduplicated, "the attachment has a secret of its own; the one in force is known by it")
+	Attached = wire.NewProcedure[AttachedRequest, AttachedResponse]("Ledger", "Attached", wire.ReadOnly, "confirmed by a majority of copies")
+	Ack      = wire.NewProcedure[AckRequest, Done]("Ledger", "Ack", wire.Monotonic, "the cursor left last stands, as long as the attachment is in force")
+	Trace    = wire.NewProcedure[TraceRequest, Traced]("Ledger", "Trace", wire.ReadOnly, "looks up a call's fate")
+	Usage    = wire.NewProcedure[UsageRequest, UsageResponse]("Ledger", "Usage", wire.ReadOnly, "counts")
+	Read     = wire.NewProcedure[leader.ReadRequest, leader.Reading]("Ledger", "Read", wire.ReadOnly, "committed entries behind a place")
 	// Forgotten tells who has not read behind a mark yet.
-	Forgotten = wire.Name[ForgottenRequest, leader.Unheard]("Ledger", "Forgotten", wire.Reads, "waits for readers, changes nothing")
+	Forgotten = wire.NewProcedure[ForgottenRequest, leader.Unheard]("Ledger", "Forgotten", wire.ReadOnly, "waits for readers, changes nothing")
 )
 
 // Owners finds the owner that runs here.
--- a/internal/partitionlog/router/fan.go
+++ b/internal/partitionlog/router/fan.go
@@ -24,9 +24,9 @@
 
 // The calls of nodes that follow topics.
 var (
-	Follow    = wire.Name[leader.Want, leader.Told]("Ledger", "Follow", wire.Ordered, "wishes of a feed are numbered; an old number changes nothing")
-	Poll      = wire.Name[leader.PollRequest, leader.Polled]("Ledger", "Poll", wire.Reads, "committed entries behind a place; the place that it confirms only rises")
-	Listeners = wire.Name[ListenersRequest, ListenersResponse]("Ledger", "Listeners", wire.Reads, "counts")
+	Follow    = wire.NewProcedure[leader.Want, leader.Told]("Ledger", "Follow", wire.Monotonic, "wishes of a feed are numbered; an old number changes nothing")
+	Poll      = wire.NewProcedure[leader.PollRequest, leader.Polled]("Ledger", "Poll", wire.ReadOnly, "committed entries behind a place; the place that it confirms only rises")
+	Listeners = wire.NewProcedure[ListenersRequest, ListenersResponse]("Ledger", "Listeners", wire.ReadOnly, "counts")
 )
 
 func (d *Desk) follow(ctx context.Context, q *leader.Want) (*leader.Told, error) {
--- a/internal/partitionlog/router/offer.go
+++ b/internal/partitionlog/router/offer.go
@@ -26,7 +26,7 @@
 }
 
 // SubmitMany has a batch decided at the owner's node.
-var SubmitMany = wire.Name[ManyRequest, ManyResponse]("Ledger", "SubmitMany", wire.Numbered, "each message has its number, which the owner remembers")
+var SubmitMany = wire.NewProcedure[ManyRequest, ManyResponse]("Ledger", "SubmitMany", wire.Deduplicated, "each message has its number, which the owner remembers")
 
 const (
 	batchMost  = 256
--- a/internal/presence/presence.go
+++ b/internal/presence/presence.go
@@ -24,7 +24,7 @@
 }
 
 // Count is the presence call.
-var Count = wire.Name[CountRequest, CountResponse]("Carrier", "Count", wire.Reads, "counts")
+var Count = wire.NewProcedure[CountRequest, CountResponse]("Carrier", "Count", wire.ReadOnly, "counts")
 
 // Presence holds the listeners of one node by topic.
 type Presence struct {
--- a/internal/testing/fleet/relay_test.go
+++ b/internal/testing/fleet/relay_test.go
@@ -18,7 +18,7 @@
 	Say string `json:"say"`
 }
 
-var noted = wire.Name[note, note]("Proof", "Note", wire.Reads, "echoes")
+var noted = wire.NewProcedure[note, note]("Proof", "Note", wire.ReadOnly, "echoes")
 
 // between stands a server behind a relay and gives a way to call it as the machine "a" does.
 func between(t *testing.T, apart time.Duration, f func(string)) (*Relay, func(string) error) {
--- a/internal/testing/sim/points_test.go
+++ b/internal/testing/sim/points_test.go
@@ -62,7 +62,7 @@
 // deciding tells whether a call asks a voter to accept a description.
 func deciding(x Point) bool {
 	var q acceptor.AcceptRequest
-	return x.Path == acceptor.Accept.Path && wire.Read(x.Body, &q) == nil && q.Key == quorumread.Key
+	return x.Path == acceptor.Accept.Path && wire.Unmarshal(x.Body, &q) == nil && q.Key == quorumread.Key
 }
 
 func on(path, stage string) func(x Point) bool {
@@ -81,7 +81,7 @@
 
 func appending(x Point) (replica.AppendRequest, bool) {
 	var q replica.AppendRequest
-	return q, x.Path == replica.Append.Path && wire.Read(x.Body, &q) == nil
+	return q, x.Path == replica.Append.Path && wire.Unmarshal(x.Body, &q) == nil
 }
 
 func late(x Point) bool {
--- a/internal/testing/sim/sealed_test.go
+++ b/internal/testing/sim/sealed_test.go
@@ -26,7 +26,7 @@
 			who := ""
 			release, hits := w.Hold(func(x Point) bool {
 				var q acceptor.OpenRequest
-				if x.Path != acceptor.Open.Path || x.Stage != Asking || wire.Read(x.Body, &q) != nil {
+				if x.Path != acceptor.Open.Path || x.Stage != Asking || wire.Unmarshal(x.Body, &q) != nil {
 					return false
 				}
 				mu.Lock()
--- a/internal/testing/sim/urgent_test.go
+++ b/internal/testing/sim/urgent_test.go
@@ -26,7 +26,7 @@
 		Urgent      bool   `json:"u"`
 		Visitor     string `json:"v"`
 	}
-	if wire.Read(x.Body, &q) != nil {
+	if wire.Unmarshal(x.Body, &q) != nil {
 		return false
 	}
 	switch {
--- a/internal/testing/sim/vows.go
+++ b/internal/testing/sim/vows.go
@@ -31,19 +31,19 @@
 
 func yes(a []byte) bool {
 	var x answered
-	return wire.Read(a, &x) == nil && x.Problem == nil && x.Body != nil && (x.Body.OK == nil || *x.Body.OK)
+	return wire.Unmarshal(a, &x) == nil && x.Problem == nil && x.Body != nil && (x.Body.OK == nil || *x.Body.OK)
 }
 
 func replicaVow(w *World, q, a []byte, asked time.Time) {
 	var t replica.Target
-	if wire.Read(q, &t) == nil && yes(a) {
+	if wire.Unmarshal(q, &t) == nil && yes(a) {
 		w.History.Vow(t.Incarnation, "partition "+string(rune('0'+t.Partition)), history.Rank{Number: t.Epoch}, asked, time.Now())
 	}
 }
 
 func voterVow(w *World, q, a []byte, asked time.Time) {
 	var t acceptor.PromiseRequest
-	if wire.Read(q, &t) == nil && yes(a) {
+	if wire.Unmarshal(q, &t) == nil && yes(a) {
 		w.History.Vow(t.Incarnation, "key "+t.Key+" under roster "+string(rune('0'+t.Roster)), history.Rank{Number: t.Epoch.N, Node: t.Epoch.Node}, asked, time.Now())
 	}
 }
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -46,8 +46,8 @@
 
 func (codec) Unmarshal(b []byte, v any) error { return decode.Unmarshal(b, v) }
 
-// Write gives a task or an answer as it stands between nodes.
-func Write(v any) ([]byte, error) { return codec{}.MarshalAppend(nil, v) }
+// Marshal gives a task or an answer as it stands between nodes.
+func Marshal(v any) ([]byte, error) { return codec{}.MarshalAppend(nil, v) }
 
-// Read reads a task or an answer as it stands between nodes.
-func Read(b []byte, v any) error { return codec{}.Unmarshal(b, v) }
+// Unmarshal reads a task or an answer as it stands between nodes.
+func Unmarshal(b []byte, v any) error { return codec{}.Unmarshal(b, v) }
--- a/internal/wire/codec_test.go
+++ b/internal/wire/codec_test.go
@@ -109,15 +109,15 @@
 }
 
 func TestEveryTaskAndAnswerSurvives(t *testing.T) {
-	ss := wire.Shapes()
+	ss := wire.Procedures()
 	assert.Assert(t, len(ss) >= 25, "only %d procedures", len(ss))
 	seen := map[string]bool{}
 	for _, s := range ss {
 		assert.Assert(t, !seen[s.Path], "%s twice", s.Path)
 		seen[s.Path] = true
-		assert.Assert(t, s.Repeat == wire.Reads || s.Repeat == wire.Ordered || s.Repeat == wire.Numbered, "%s does not say why it may be repeated", s.Path)
-		assert.Assert(t, s.How != "", "%s does not say what its repetition rests on", s.Path)
-		for _, x := range []reflect.Type{s.Task, s.Answer} {
+		assert.Assert(t, s.Idempotency == wire.ReadOnly || s.Idempotency == wire.Monotonic || s.Idempotency == wire.Deduplicated, "%s does not say why it may be repeated", s.Path)
+		assert.Assert(t, s.Reason != "", "%s does not say what its repetition rests on", s.Path)
+		for _, x := range []reflect.Type{s.Request, s.Response} {
 			t.Run(strings.TrimPrefix(s.Path, "/postjunction.")+" "+x.Name(), func(t *testing.T) {
 				whole := reflect.New(x)
 				(&filler{}).fill(whole.Elem(), 0)
@@ -135,7 +135,7 @@
 func TestReplyKeepsTheProblem(t *testing.T) {
 	n := uint64(0)
 	p := &apierror.Error{Code: apierror.Overloaded, Message: "full \xff\xfe", Faults: []apierror.Fault{{Path: "a.b", Message: "c"}}, Current: &n, RetryAfter: time.Second, RetryAfterMS: 1000, Cause: apierror.New(apierror.Internal, "x")}
-	got := trip(t, reflect.ValueOf(&wire.Reply[gossip.ExchangeResponse]{Problem: p})).(*wire.Reply[gossip.ExchangeResponse])
+	got := trip(t, reflect.ValueOf(&wire.Envelope[gossip.ExchangeResponse]{Problem: p})).(*wire.Envelope[gossip.ExchangeResponse])
 	assert.Assert(t, got.Body == nil)
 	want := *p
 	want.Cause, want.RetryAfter = nil, 0
--- a/internal/wire/lane_bench_test.go
+++ b/internal/wire/lane_bench_test.go
@@ -25,7 +25,7 @@
 	Body []byte `json:"body,omitempty"`
 }
 
-var poll = wire.Name[asked, asked]("Bench", "Poll", wire.Reads, "echoes")
+var poll = wire.NewProcedure[asked, asked]("Bench", "Poll", wire.ReadOnly, "echoes")
 
 type plainCodec struct{}
 
@@ -36,8 +36,8 @@
 // before is the way that calls went until wire sequence 1: JSON over the HTTP of the standard library.
 func before(b *testing.B) func(*asked) error {
 	m := http.NewServeMux()
-	m.Handle(poll.Path, connect.NewUnaryHandler(poll.Path, func(_ context.Context, r *connect.Request[asked]) (*connect.Response[wire.Reply[asked]], error) {
-		return connect.NewResponse(&wire.Reply[asked]{Body: r.Msg}), nil
+	m.Handle(poll.Path, connect.NewUnaryHandler(poll.Path, func(_ context.Context, r *connect.Request[asked]) (*connect.Response[wire.Envelope[asked]], error) {
+		return connect.NewResponse(&wire.Envelope[asked]{Body: r.Msg}), nil
 	}, connect.WithCodec(plainCodec{}), connect.WithCompression("gzip", nil, nil)))
 	l := hear(b)
 	s := &http.Server{Handler: m, ReadHeaderTimeout: time.Minute}
@@ -47,7 +47,7 @@
 		t.CloseIdleConnections()
 		_ = s.Close()
 	})
-	c := connect.NewClient[asked, wire.Reply[asked]](&http.Client{Transport: t}, "http://"+l.Addr().String()+poll.Path, connect.WithCodec(plainCodec{}), connect.WithAcceptCompression("gzip", nil, nil))
+	c := connect.NewClient[asked, wire.Envelope[asked]](&http.Client{Transport: t}, "http://"+l.Addr().String()+poll.Path, connect.WithCodec(plainCodec{}), connect.WithAcceptCompression("gzip", nil, nil))
 	return func(q *asked) error {
 		r := connect.NewRequest(q)
 		r.Header().Set("Postjunction-Wire", "1")
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -14,8 +14,8 @@
 	"postjunction/internal/apierror"
 )
 
-// Sequence is the number of the wire format; a node turns away what is newer.
-const Sequence = 2
+// FormatVersion is the number of the wire format; a node turns away what is newer.
+const FormatVersion = 2
 
 const (
 	sequenceHeader = "Postjunction-Wire"
@@ -27,8 +27,8 @@
 	connect.HTTPClient
 }
 
-// Reply is the envelope of every answer.
-type Reply[T any] struct {
+// Envelope is the envelope of every answer.
+type Envelope[T any] struct {
 	Body    *T              `json:"b,omitempty"`
 	Problem *apierror.Error `json:"p,omitempty"`
 }
@@ -39,40 +39,40 @@
 	client sync.Map
 }
 
-// Repeat says why a call may be made again when the outcome of the first one is not known. There is no kind for calls
+// Idempotency says why a call may be made again when the outcome of the first one is not known. There is no kind for calls
 // that may not: a new call has to be one of these.
-type Repeat string
+type Idempotency string
 
 // The kinds of Repeat.
 const (
-	// Reads is of calls that change nothing.
-	Reads Repeat = "reads"
-	// Ordered is of calls whose task has an epoch, a number or a place that only rises: done again, or late, it changes nothing
+	// ReadOnly is of calls that change nothing.
+	ReadOnly Idempotency = "reads"
+	// Monotonic is of calls whose task has an epoch, a number or a place that only rises: done again, or late, it changes nothing
 	// that is newer.
-	Ordered Repeat = "ordered"
-	// Numbered is of calls whose task has a name or number of its own that the receiver remembers, so that it is done once.
-	Numbered Repeat = "numbered"
+	Monotonic Idempotency = "ordered"
+	// Deduplicated is of calls whose task has a name or number of its own that the receiver remembers, so that it is done once.
+	Deduplicated Idempotency = "numbered"
 )
 
-// Name makes a procedure. It may be repeated for the given kind of reason; how says what that rests on.
-func Name[Q, A any](part, verb string, repeat Repeat, how string) *Procedure[Q, A] {
+// NewProcedure makes a procedure. It may be repeated for the given kind of reason; how says what that rests on.
+func NewProcedure[Q, A any](part, verb string, repeat Idempotency, how string) *Procedure[Q, A] {
 	p := &Procedure[Q, A]{Path: "/postjunction." + part + "/" + verb}
-	shapes = append(shapes, Shape{Path: p.Path, Task: reflect.TypeFor[Q](), Answer: reflect.TypeFor[A](), Repeat: repeat, How: how})
+	shapes = append(shapes, ProcedureInfo{Path: p.Path, Request: reflect.TypeFor[Q](), Response: reflect.TypeFor[A](), Idempotency: repeat, Reason: how})
 	return p
 }
 
-// Shape is a procedure's path and types, and why it may be repeated.
-type Shape struct {
-	Path         string
-	Task, Answer reflect.Type
-	Repeat       Repeat
-	How          string
+// ProcedureInfo is a procedure's path and types, and why it may be repeated.
+type ProcedureInfo struct {
+	Path              string
+	Request, Response reflect.Type
+	Idempotency       Idempotency
+	Reason            string
 }
 
-var shapes []Shape
+var shapes []ProcedureInfo
 
-// Shapes gives all procedures that this program names; procedures are named while packages start.
-func Shapes() []Shape { return shapes }
+// Procedures gives all procedures that this program names; procedures are named while packages start.
+func Procedures() []ProcedureInfo { return shapes }
 
 type key struct {
 	net  Network
@@ -84,12 +84,12 @@
 	k := key{n, addr}
 	v, ok := p.client.Load(k)
 	if !ok {
-		v, _ = p.client.LoadOrStore(k, connect.NewClient[Q, Reply[A]](n, "http://"+addr+p.Path, connect.WithCodec(codec{}), connect.WithAcceptCompression("gzip", nil, nil)))
+		v, _ = p.client.LoadOrStore(k, connect.NewClient[Q, Envelope[A]](n, "http://"+addr+p.Path, connect.WithCodec(codec{}), connect.WithAcceptCompression("gzip", nil, nil)))
 	}
 	r := connect.NewRequest(q)
-	r.Header().Set(sequenceHeader, strconv.Itoa(Sequence))
+	r.Header().Set(sequenceHeader, strconv.Itoa(FormatVersion))
 	r.Header().Set(fromHeader, from)
-	a, err := v.(*connect.Client[Q, Reply[A]]).CallUnary(ctx, r)
+	a, err := v.(*connect.Client[Q, Envelope[A]]).CallUnary(ctx, r)
 	if err != nil {
 		return nil, apierror.Wrap(apierror.Unreachable, err, "%s at %s", p.Path, addr)
 	}
@@ -104,9 +104,9 @@
 
 // Handle serves a procedure.
 func (p *Procedure[Q, A]) Handle(m *http.ServeMux, f func(context.Context, *Q) (*A, error)) {
-	m.Handle(p.Path, connect.NewUnaryHandler(p.Path, func(ctx context.Context, r *connect.Request[Q]) (*connect.Response[Reply[A]], error) {
-		if n, err := strconv.Atoi(r.Header().Get(sequenceHeader)); err != nil || n > Sequence {
-			return connect.NewResponse(&Reply[A]{Problem: apierror.New(apierror.WireNewer, "wire sequence %q, this build knows %d", r.Header().Get(sequenceHeader), Sequence)}), nil
+	m.Handle(p.Path, connect.NewUnaryHandler(p.Path, func(ctx context.Context, r *connect.Request[Q]) (*connect.Response[Envelope[A]], error) {
+		if n, err := strconv.Atoi(r.Header().Get(sequenceHeader)); err != nil || n > FormatVersion {
+			return connect.NewResponse(&Envelope[A]{Problem: apierror.New(apierror.WireNewer, "wire sequence %q, this build knows %d", r.Header().Get(sequenceHeader), FormatVersion)}), nil
 		}
 		a, err := f(ctx, r.Msg)
 		if err != nil {
@@ -114,8 +114,8 @@
 			if q.Code == apierror.Internal && (errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)) {
 				q = apierror.New(apierror.Unreachable, "the call ended before its answer")
 			}
-			return connect.NewResponse(&Reply[A]{Problem: q}), nil
+			return connect.NewResponse(&Envelope[A]{Problem: q}), nil
 		}
-		return connect.NewResponse(&Reply[A]{Body: a}), nil
+		return connect.NewResponse(&Envelope[A]{Body: a}), nil
 	}, connect.WithCodec(codec{}), connect.WithCompression("gzip", nil, nil)))
 }
