--- a/internal/client/follow.go
+++ b/internal/client/follow.go
@@ -108,7 +108,7 @@
 			f()
 		}
 	}()
-	cx, stop := context.WithTimeout(ctx, callShare*s.Bounds.Call())
+	cx, stop := context.WithTimeout(ctx, callShare*s.Bounds.CallTimeout())
 	defer stop()
 	if err := st.guard(cx, k, len(urgent) > 0); err != nil {
 		return err
@@ -215,13 +215,13 @@
 					st.nudge()
 					return
 				}
-				_ = st.s.Clock.Sleep(ctx, st.s.Bounds.Retry())
+				_ = st.s.Clock.Sleep(ctx, st.s.Bounds.MaxBackoff())
 			}
 		}()
 	}
 	soon := make(chan struct{})
 	go func() {
-		_ = st.s.Clock.Sleep(ctx, st.s.Bounds.Retry())
+		_ = st.s.Clock.Sleep(ctx, st.s.Bounds.MaxBackoff())
 		close(soon)
 	}()
 	for left, n := firm, len(urgent)+len(routine); n > 0; n-- {
@@ -427,7 +427,7 @@
 	go func() {
 		w, err := f.After(ctx, at)
 		if err != nil && !apierror.HasCode(err, apierror.CursorExpired) {
-			_ = st.s.Clock.Sleep(ctx, st.s.Bounds.Retry())
+			_ = st.s.Clock.Sleep(ctx, st.s.Bounds.MaxBackoff())
 		}
 		got <- pulled{w, err}
 		st.nudge()
@@ -534,7 +534,7 @@
 	go func() {
 		err := error(apierror.New(apierror.NoPartitionLeader, "not asked yet"))
 		for err != nil && ctx.Err() == nil {
-			cx, stop := context.WithTimeout(ctx, callShare*st.s.Bounds.Call())
+			cx, stop := context.WithTimeout(ctx, callShare*st.s.Bounds.CallTimeout())
 			a, e := st.s.Desk.Attached(cx, who.Visitor, who.Generation, urgent)
 			stop()
 			if err = e; err == nil && a.Attached.Generation > who.Generation {
@@ -542,7 +542,7 @@
 				break
 			}
 			if err != nil {
-				_ = st.s.Clock.Sleep(ctx, st.s.Bounds.Retry())
+				_ = st.s.Clock.Sleep(ctx, st.s.Bounds.MaxBackoff())
 			}
 		}
 		st.checked <- err
--- a/internal/client/follow_test.go
+++ b/internal/client/follow_test.go
@@ -72,10 +72,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		const routine, urgent = 0, 5
-		fs := stream.New(ctx, "a1", "1", owners{urgent}, clock.Real{}, settings.DefaultBounds)
+		fs := stream.New(ctx, "a1", "1", owners{urgent}, clock.Real{}, settings.DefaultTiming)
 		b := gossip.NewBoard(nil)
 		var got []string
-		st := &subscriptionStream{s: &Service{Board: b, Clock: clock.Real{}, Bounds: settings.DefaultBounds}, t: &Task{Emit: func(l []byte) error {
+		st := &subscriptionStream{s: &Service{Board: b, Clock: clock.Real{}, Bounds: settings.DefaultTiming}, t: &Task{Emit: func(l []byte) error {
 			var x Line
 			assert.NilError(t, json.Unmarshal(l, &x))
 			got = append(got, x.Topic)
--- a/internal/client/service.go
+++ b/internal/client/service.go
@@ -60,7 +60,7 @@
 // Service serves the callers of one node.
 type Service struct {
 	Clock    clock.Clock
-	Bounds   settings.Bounds
+	Bounds   settings.Timing
 	Body     int
 	Board    *gossip.Board
 	Desk     *router.Desk
@@ -218,7 +218,7 @@
 }
 
 func (s *Service) limit(ctx context.Context, t *Task, next callpolicy.Next[*Task]) error {
-	cx, stop := context.WithTimeout(ctx, callShare*s.Bounds.Call())
+	cx, stop := context.WithTimeout(ctx, callShare*s.Bounds.CallTimeout())
 	defer stop()
 	return next(cx, t)
 }
@@ -228,7 +228,7 @@
 	if err != nil {
 		return err
 	}
-	cx, stop := context.WithTimeout(ctx, callShare*s.Bounds.Call())
+	cx, stop := context.WithTimeout(ctx, callShare*s.Bounds.CallTimeout())
 	defer stop()
 	if err := s.identify(cx, t, k, t.urgent()); err != nil {
 		return err
--- a/internal/client/session/house.go
+++ b/internal/client/session/house.go
@@ -30,7 +30,7 @@
 type House struct {
 	Self     string
 	Clock    clock.Clock
-	Bounds   settings.Bounds
+	Bounds   settings.Timing
 	Board    *gossip.Board
 	Hub      *fanout.Hub
 	Ledger   Ledger
@@ -489,7 +489,7 @@
 
 // patience is how long a message may wait for its decision: four fifths of its space's deadline.
 func (h *House) patience(sp configuration.Space) time.Duration {
-	d := h.Bounds.Call()
+	d := h.Bounds.CallTimeout()
 	if sp.DeadlineMS > 0 {
 		d = min(d, time.Duration(sp.DeadlineMS)*time.Millisecond)
 	}
--- a/internal/client/session/house_test.go
+++ b/internal/client/session/house_test.go
@@ -41,7 +41,7 @@
 	if a := f(q); a != nil {
 		return a, nil
 	}
-	return nil, wait(ctx, settings.DefaultBounds.Retry())
+	return nil, wait(ctx, settings.DefaultTiming.MaxBackoff())
 }
 
 // Poll answers as the test says, at most once in a while.
@@ -55,7 +55,7 @@
 			return a, nil
 		}
 	}
-	return nil, wait(ctx, settings.DefaultBounds.Spread)
+	return nil, wait(ctx, settings.DefaultTiming.Spread)
 }
 
 func wait(ctx context.Context, d time.Duration) error {
@@ -120,9 +120,9 @@
 		b := gossip.NewBoard(nil)
 		b.Offer(gossip.News{Roster: &voters.Roster{Sequence: 1, Fleet: "fleet00", Layout: voters.Layout{Routine: 1}}, Records: []assignment.Record{{Owner: "s1", Epoch: 1, Writes: 1}}})
 		h := &hall{src: &source{follow: func(*leader.Want) *leader.Told { return nil }}, board: b}
-		hub := fanout.New(ctx, "a1", "boot", h.src, b, clock.Real{}, settings.DefaultBounds)
+		hub := fanout.New(ctx, "a1", "boot", h.src, b, clock.Real{}, settings.DefaultTiming)
 		h.House = (&House{
-			Self: "a1", Clock: clock.Real{}, Bounds: settings.DefaultBounds, Board: b, Hub: hub, Licensed: func() error { return nil }, Leaving: make(chan struct{}),
+			Self: "a1", Clock: clock.Real{}, Bounds: settings.DefaultTiming, Board: b, Hub: hub, Licensed: func() error { return nil }, Leaving: make(chan struct{}),
 			Members: func() []membership.Info { return nil }, Info: func() membership.Info { return membership.Info{Name: "a1", Visits: here} }, Body: 1 << 10,
 		}).Open(ctx)
 		go h.Run(ctx)
@@ -171,7 +171,7 @@
 func TestCursorsOfOneTopicExpireApart(t *testing.T) {
 	enter(t, func(t *testing.T, h *hall, v *Visit) {
 		h.src.follow = func(q *leader.Want) *leader.Told {
-			time.Sleep(settings.DefaultBounds.Retry() / 4)
+			time.Sleep(settings.DefaultTiming.MaxBackoff() / 4)
 			return at(40, map[string]uint64{"kept/a": 15})(q)
 		}
 		w := h.Enter(h.hear)
--- a/internal/client/session/spread.go
+++ b/internal/client/session/spread.go
@@ -74,7 +74,7 @@
 	h.spread.mu.Lock()
 	defer h.spread.mu.Unlock()
 	s, now := &h.spread, h.Clock.Now()
-	if s.from.IsZero() || now.Sub(s.from) >= h.Bounds.Heartbeat() {
+	if s.from.IsZero() || now.Sub(s.from) >= h.Bounds.HeartbeatInterval() {
 		s.from = now
 		s.keep, s.to = plan(h.Info(), h.Members())
 	}
--- a/internal/client/session/spread_test.go
+++ b/internal/client/session/spread_test.go
@@ -70,7 +70,7 @@
 		all := zone(1, 9)
 		me := all[3]
 		h.Info, h.Members = func() membership.Info { return me }, func() []membership.Info { return all }
-		time.Sleep(h.Bounds.Heartbeat())
+		time.Sleep(h.Bounds.HeartbeatInterval())
 		v.Do(Task{Verb: Leave, Topic: "a"})
 		assert.DeepEqual(t, h.said(), []string{"left a"})
 		kept, sent := 0, 0
--- a/internal/client/session/withdraw.go
+++ b/internal/client/session/withdraw.go
@@ -61,7 +61,7 @@
 			}
 		}
 		left := until.Sub(v.h.Clock.Now())
-		if left > 0 && v.h.Clock.Sleep(v.h.ctx, min(left, v.h.Bounds.Grown(tries))) == nil {
+		if left > 0 && v.h.Clock.Sleep(v.h.ctx, min(left, v.h.Bounds.Backoff(tries))) == nil {
 			continue
 		}
 		a.What, a.Re, a.Already = Turned, t.Verb, false
@@ -78,7 +78,7 @@
 // unheard asks once who has not read behind a mark, for as long as there is time, and a retry longer for the answer.
 func (h *House) unheard(p int, offset uint64, until time.Time) (*leader.Unheard, error) {
 	left := max(until.Sub(h.Clock.Now()), 0)
-	cx, stop := context.WithTimeout(h.ctx, left+h.Bounds.Retry())
+	cx, stop := context.WithTimeout(h.ctx, left+h.Bounds.MaxBackoff())
 	defer stop()
-	return h.Ledger.Forgotten(cx, p, offset, min(left, h.Bounds.Hold()))
+	return h.Ledger.Forgotten(cx, p, offset, min(left, h.Bounds.LongPoll()))
 }
--- a/internal/client/session/withdraw_test.go
+++ b/internal/client/session/withdraw_test.go
@@ -164,7 +164,7 @@
 				h.Ledger = c.c
 				told := h.told(v)
 				v.Do(c.do)
-				time.Sleep(2 * settings.DefaultBounds.Call())
+				time.Sleep(2 * settings.DefaultTiming.CallTimeout())
 				assert.DeepEqual(t, told(), c.want)
 			})
 		})
@@ -186,7 +186,7 @@
 		v.Do(Task{Verb: Send, Topic: "live/a", Key: "k", Call: 8, Body: []byte("x")})
 		v.Do(Task{Verb: Heartbeat})
 		assert.DeepEqual(t, told(), []string{"0: taken live/a 8", "0: alive "})
-		time.Sleep(settings.DefaultBounds.Call())
+		time.Sleep(settings.DefaultTiming.CallTimeout())
 		assert.DeepEqual(t, told()[2:], []string{"1025: forgotten live/a 7 k"})
 		seq := h.Board.Index().Sequence
 		assert.DeepEqual(t, c.offers, []*leader.Task{
@@ -257,12 +257,12 @@
 			return &leader.Polled{Epoch: 1, To: next, Entries: []log.Entry{{What: log.Withdraw, Topic: "kept/a", Key: "k", Visitor: "c", Call: next, Offset: next}}}
 		}
 		h.src.mu.Unlock()
-		time.Sleep(settings.DefaultBounds.Spread)
+		time.Sleep(settings.DefaultTiming.Spread)
 		assert.DeepEqual(t, left.said(), []string{"withdraw 0 true false", "withdraw 0 true true"})
 		assert.DeepEqual(t, over.said(), []string{"withdraw 0 true false", "withdraw 0 true true"})
 		free()
 		v.Do(Task{Verb: Leave, Topic: "kept/a"})
-		time.Sleep(2 * settings.DefaultBounds.Spread)
+		time.Sleep(2 * settings.DefaultTiming.Spread)
 		assert.DeepEqual(t, left.said(), []string{"release 0 cut=false"})
 		assert.Equal(t, len(over.said()), 0)
 		l := told()
--- a/internal/client/withdraw.go
+++ b/internal/client/withdraw.go
@@ -34,7 +34,7 @@
 	}
 	m := t.mark
 	given, err := s.awaited(ctx, m, func(ctx context.Context) (*leader.Unheard, error) {
-		return s.Desk.Forgotten(ctx, m.Partition, m.Offset, s.Bounds.Hold())
+		return s.Desk.Forgotten(ctx, m.Partition, m.Offset, s.Bounds.LongPoll())
 	})
 	if err != nil {
 		return err
@@ -45,7 +45,7 @@
 
 // awaited asks who has not forgotten until nobody is left, and names them once the time is over.
 func (s *Service) awaited(ctx context.Context, m leader.Decision, ask func(context.Context) (*leader.Unheard, error)) ([]string, error) {
-	ctx, stop := context.WithTimeout(ctx, s.Bounds.Call())
+	ctx, stop := context.WithTimeout(ctx, s.Bounds.CallTimeout())
 	defer stop()
 	var left []string
 	for {
@@ -56,7 +56,7 @@
 		if err == nil {
 			left = u.Nodes
 		}
-		if err != nil || s.Clock.Sleep(ctx, s.Bounds.Soon()) != nil {
+		if err != nil || s.Clock.Sleep(ctx, s.Bounds.InitialBackoff()) != nil {
 			return nil, unheard(m, left, err)
 		}
 	}
--- a/internal/client/withdraw_test.go
+++ b/internal/client/withdraw_test.go
@@ -73,7 +73,7 @@
 				ctx, stop := context.WithCancel(t.Context())
 				p := make(pages)
 				wake := make(chan struct{}, 1)
-				f, leave, err := stream.New(ctx, "a1", "b", p, clock.Real{}, settings.DefaultBounds).Follow(ctx, 0, wake)
+				f, leave, err := stream.New(ctx, "a1", "b", p, clock.Real{}, settings.DefaultTiming).Follow(ctx, 0, wake)
 				assert.NilError(t, err)
 				defer leave()
 				var got []string
@@ -140,7 +140,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &Service{Clock: clock.Real{}, Bounds: settings.DefaultBounds}
+				s := &Service{Clock: clock.Real{}, Bounds: settings.DefaultTiming}
 				n := 0
 				begun := time.Now()
 				given, err := s.awaited(t.Context(), leader.Decision{Partition: 3, Offset: 7}, func(context.Context) (*leader.Unheard, error) {
@@ -151,7 +151,7 @@
 					}
 					return a.(*leader.Unheard), nil
 				})
-				assert.Assert(t, time.Since(begun) <= s.Bounds.Call())
+				assert.Assert(t, time.Since(begun) <= s.Bounds.CallTimeout())
 				assert.DeepEqual(t, given, c.given)
 				if c.say == "" {
 					assert.NilError(t, err)
--- a/internal/command/serve/patience.go
+++ b/internal/command/serve/patience.go
@@ -54,7 +54,7 @@
 // and a disk that takes no writes, for as long as it lasts.
 type patience struct {
 	clk    clock.Clock
-	bounds settings.Bounds
+	bounds settings.Timing
 	log    *event.Logger
 	stop   <-chan struct{}
 	mu     sync.Mutex
@@ -83,7 +83,7 @@
 			said = t
 			p.log.Say(event.StartWaits, "problem", err)
 		}
-		clock.Wait(context.Background(), p.clk, p.bounds.Retry(), p.stop, nil)
+		clock.Wait(context.Background(), p.clk, p.bounds.MaxBackoff(), p.stop, nil)
 		select {
 		case <-p.stop:
 			return x, err
@@ -127,7 +127,7 @@
 		p.log.Say(event.ServeFailed, "problem", apierror.Wrap(apierror.Internal, err, "serve on %s", d.Address))
 		_ = l.Close()
 		for {
-			_ = p.clk.Sleep(context.Background(), p.bounds.Retry())
+			_ = p.clk.Sleep(context.Background(), p.bounds.MaxBackoff())
 			if p.over() {
 				return
 			}
--- a/internal/command/serve/process_test.go
+++ b/internal/command/serve/process_test.go
@@ -120,19 +120,19 @@
 // A port that stays held ends the start after the recovery bound; a disk that takes no writes never does; what can't pass does at once.
 func TestPatience(t *testing.T) {
 	for k, want := range map[apierror.Code]time.Duration{
-		apierror.StillHeld: settings.DefaultBounds.Recovery, apierror.DiskFull: time.Hour, apierror.DiskFailed: time.Hour, apierror.SettingsInvalid: 0, apierror.DiskForeign: 0,
+		apierror.StillHeld: settings.DefaultTiming.Recovery, apierror.DiskFull: time.Hour, apierror.DiskFailed: time.Hour, apierror.SettingsInvalid: 0, apierror.DiskForeign: 0,
 	} {
 		t.Run(string(k), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				stop := make(chan struct{})
-				p := &patience{clk: clock.Real{}, bounds: settings.DefaultBounds, log: event.NewLogger(hclog.NewNullLogger()), stop: stop}
+				p := &patience{clk: clock.Real{}, bounds: settings.DefaultTiming, log: event.NewLogger(hclog.NewNullLogger()), stop: stop}
 				end := time.AfterFunc(time.Hour, func() { close(stop) })
 				defer end.Stop()
 				at := time.Now()
 				_, err := patient(p, func() (int, error) { return 0, apierror.New(k, "not now") })
 				assert.Assert(t, apierror.HasCode(err, k))
 				got := time.Since(at)
-				assert.Assert(t, got >= want && got <= want+settings.DefaultBounds.Retry(), "%s", got)
+				assert.Assert(t, got >= want && got <= want+settings.DefaultTiming.MaxBackoff(), "%s", got)
 			})
 		})
 	}
@@ -159,7 +159,7 @@
 func TestBrokenListenerIsOpenedAgain(t *testing.T) {
 	a := ports(t, 1)[0]
 	l := newRecord()
-	p := &patience{clk: clock.Real{}, bounds: settings.DefaultBounds, log: event.NewLogger(hclog.New(&hclog.LoggerOptions{Output: l}))}
+	p := &patience{clk: clock.Real{}, bounds: settings.DefaultTiming, log: event.NewLogger(hclog.New(&hclog.LoggerOptions{Output: l}))}
 	d := Door{Field: "listen", Address: a}
 	first, err := d.listen()
 	assert.NilError(t, err)
--- a/internal/command/serve/serve.go
+++ b/internal/command/serve/serve.go
@@ -60,7 +60,7 @@
 			return o, path, apierror.Wrap(apierror.Usage, err, "serve")
 		}
 	}
-	return o, path, settings.Problem(where, o.Check())
+	return o, path, settings.FaultsError(where, o.Check())
 }
 
 // Run serves until a signal asks to stop.
@@ -111,22 +111,22 @@
 // Process serves until a signal asks to stop.
 func Process(t Task) error {
 	o := t.Options
-	h := hclog.New(&hclog.LoggerOptions{Name: "postjunction", Level: hclog.LevelFromString(o.Level), Output: t.Errs, TimeFn: time.Now})
+	h := hclog.New(&hclog.LoggerOptions{Name: "postjunction", Level: hclog.LevelFromString(o.LogLevel), Output: t.Errs, TimeFn: time.Now})
 	log := event.NewLogger(h.With("node", o.Name))
-	frugal(o.Memory, o.Processor)
-	w := node.World{Clock: clock.Real{}, Net: wire.Real(o.Bounds())}
+	frugal(o.MemoryMB, o.MilliCores)
+	w := node.World{Clock: clock.Real{}, Net: wire.Real(o.Timing())}
 	s := listen()
 	defer s.end()
-	p := &patience{clk: clock.Real{}, bounds: o.Bounds(), log: log, stop: s.stop}
+	p := &patience{clk: clock.Real{}, bounds: o.Timing(), log: log, stop: s.stop}
 	runtime.GOMAXPROCS(threads(o.Disk, runtime.GOMAXPROCS(0)))
 	if o.Disk != settings.DiskNone {
-		release, err := patient(p, func() (func(), error) { return lock(o.Data) })
+		release, err := patient(p, func() (func(), error) { return lock(o.DataDir) })
 		if err != nil {
 			return err
 		}
 		defer release()
 		g, err := patient(p, func() (*walog.Log, error) {
-			g, err := walog.Open(o.Data)
+			g, err := walog.Open(o.DataDir)
 			if apierror.HasCode(err, apierror.DiskDamaged) {
 				log.Say(event.DiskDamaged, "problem", err)
 				err = g.SetAside()
@@ -144,11 +144,11 @@
 		callers = func(n *node.Node) http.Handler { return t.Callers(n, n.Door().Handler()) }
 	}
 	doors := append([]Door{
-		{Field: "fellow_listen", Address: o.Peers, Open: func(n *node.Node) Server { return wire.Server(n.Peers(), o.Bounds()) }},
-		{Field: "listen", Address: o.Listen, Open: func(n *node.Node) Server { return httpapi.Server(callers(n), o.Bounds()) }},
+		{Field: "fellow_listen", Address: o.PeerListen, Open: func(n *node.Node) Server { return wire.Server(n.Peers(), o.Timing()) }},
+		{Field: "listen", Address: o.Listen, Open: func(n *node.Node) Server { return httpapi.Server(callers(n), o.Timing()) }},
 	}, t.Doors...)
-	if o.Visits != "" {
-		doors = append(doors, Door{Field: "visit_listen", Address: o.Visits, Swept: true, Open: func(n *node.Node) Server { return visits(n, o, t.Words) }})
+	if o.ClientListen != "" {
+		doors = append(doors, Door{Field: "visit_listen", Address: o.ClientListen, Swept: true, Open: func(n *node.Node) Server { return visits(n, o, t.Words) }})
 	}
 	var ls []net.Listener
 	for _, d := range doors {
@@ -175,7 +175,7 @@
 		ss = append(ss, s)
 		go p.serve(d, s, ls[i])
 	}
-	log.Say(event.Listening, "callers", o.Listen, "fellows", o.Peers)
+	log.Say(event.Listening, "callers", o.Listen, "fellows", o.PeerListen)
 	watch, unwatch := context.WithCancel(context.Background())
 	defer unwatch()
 	if t.File != "" {
@@ -183,10 +183,10 @@
 	}
 	<-s.stop
 	p.end()
-	cut := time.AfterFunc(o.Bounds().Stop(), func() { os.Exit(0) })
+	cut := time.AfterFunc(o.Timing().ShutdownTimeout(), func() { os.Exit(0) })
 	defer cut.Stop()
 	n.Stop()
-	cx, stop := context.WithTimeout(context.Background(), o.Bounds().Stop()/8)
+	cx, stop := context.WithTimeout(context.Background(), o.Timing().ShutdownTimeout()/8)
 	defer stop()
 	var wg sync.WaitGroup
 	for _, s := range ss[1:] {
--- a/internal/command/serve/serve_test.go
+++ b/internal/command/serve/serve_test.go
@@ -60,12 +60,12 @@
 	o, _, err := Read([]string{"-options", f, "-zone", "z9"}, io.Discard)
 	assert.NilError(t, err)
 	assert.Equal(t, o.Zone, "z9")
-	assert.Equal(t, o.Level, "warn")
+	assert.Equal(t, o.LogLevel, "warn")
 }
 
 func TestBoundsAddUp(t *testing.T) {
-	b := settings.DefaultBounds
-	assert.Assert(t, b.Gap() <= b.Recovery)
-	assert.Assert(t, b.Stop() < 6e9)
-	assert.Assert(t, b.Lease() < b.Spread)
+	b := settings.DefaultTiming
+	assert.Assert(t, b.MaxFailover() <= b.Recovery)
+	assert.Assert(t, b.ShutdownTimeout() < 6e9)
+	assert.Assert(t, b.LeaseDuration() < b.Spread)
 }
--- a/internal/control/bootstrap/founding.go
+++ b/internal/control/bootstrap/founding.go
@@ -30,24 +30,24 @@
 // Plan gives the founding roster, once every node that may take part has answered.
 // A fleet that stands already, seen at any of them, ends the plan.
 func (f *Founder) Plan(ctx context.Context) (voters.Roster, error) {
-	if f.opts.Founding == settings.FoundNever {
+	if f.opts.BootstrapBy == settings.BootstrapNever {
 		return voters.Roster{}, apierror.New(apierror.NotBootstrapped, "this disk came back empty: it founds nothing and waits for a seat")
 	}
 	addrs := f.opts.Founders
 	named := len(addrs) > 0
-	seeds := !named && f.opts.Founding == settings.FoundSeeds
+	seeds := !named && f.opts.BootstrapBy == settings.BootstrapSeeds
 	if seeds {
 		addrs = f.opts.Seeds
 	} else if !named {
-		addrs = append([]string{f.opts.Reached()}, f.opts.Seeds...)
+		addrs = append([]string{f.opts.DialAddress()}, f.opts.Seeds...)
 	}
 	slices.Sort(addrs)
 	addrs = slices.Compact(slices.Clone(addrs))
 	as := quorum.Gather(ctx, addrs, func(ctx context.Context, a string) (membership.Info, error) {
-		if a == f.opts.Reached() {
+		if a == f.opts.DialAddress() {
 			return f.self(), nil
 		}
-		cx, stop := context.WithTimeout(ctx, f.opts.Bounds().Call())
+		cx, stop := context.WithTimeout(ctx, f.opts.Timing().CallTimeout())
 		defer stop()
 		h, err := membership.Hello.Call(cx, f.net, f.opts.Name, a, &membership.HelloRequest{})
 		if err != nil {
@@ -76,7 +76,7 @@
 	if len(seats) == 0 {
 		return voters.Roster{}, apierror.New(apierror.NotBootstrapped, "no founding address has a control disk")
 	}
-	return voters.Found(seats, voters.Layout{Routine: f.opts.Routine, Urgent: f.opts.Urgent, Losses: f.opts.Losses}), nil
+	return voters.Found(seats, voters.Layout{Routine: f.opts.RoutinePartitions, Urgent: f.opts.UrgentPartitions, Losses: f.opts.ToleratedLosses}), nil
 }
 
 // Agree checks a proposed founding against this node's own plan.
@@ -103,7 +103,7 @@
 func (f *Founder) leave(ctx context.Context, r voters.Roster) error {
 	addrs := slices.Sorted(slices.Values(f.opts.Seeds))
 	for _, a := range slices.Compact(addrs) {
-		cx, stop := context.WithTimeout(ctx, f.opts.Bounds().Call())
+		cx, stop := context.WithTimeout(ctx, f.opts.Timing().CallTimeout())
 		_, err := Leave.Call(cx, f.net, f.opts.Name, a, &LeaveRequest{Node: f.opts.Name, Incarnation: r.Seats[0].Incarnation})
 		stop()
 		if err != nil {
@@ -122,14 +122,14 @@
 	if r.Seats[0].Node != f.opts.Name {
 		return r, apierror.New(apierror.NotBootstrapped, "%s founds the fleet", r.Seats[0].Node)
 	}
-	if f.opts.Founding == settings.FoundSeeds && len(f.opts.Founders) == 0 && !slices.Contains(f.opts.Seeds, f.opts.Reached()) {
+	if f.opts.BootstrapBy == settings.BootstrapSeeds && len(f.opts.Founders) == 0 && !slices.Contains(f.opts.Seeds, f.opts.DialAddress()) {
 		if err := f.leave(ctx, r); err != nil {
 			return r, err
 		}
 	}
 	ask := func(do func(context.Context, voters.Seat) (*acceptor.Done, error)) error {
 		as := quorum.Gather(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.Done, error) {
-			cx, stop := context.WithTimeout(ctx, f.opts.Bounds().Call())
+			cx, stop := context.WithTimeout(ctx, f.opts.Timing().CallTimeout())
 			defer stop()
 			return do(cx, s)
 		}, nil)
--- a/internal/control/bootstrap/leave.go
+++ b/internal/control/bootstrap/leave.go
@@ -39,7 +39,7 @@
 	if r := l.roster(); r > 0 {
 		return nil, apierror.New(apierror.StaleVoterSet, "the fleet is under roster %d already", r).WithCurrent(r)
 	}
-	if l.opts.Founding != settings.FoundSeeds || l.opts.Voter() {
+	if l.opts.BootstrapBy != settings.BootstrapSeeds || l.opts.HasControlDisk() {
 		return nil, apierror.New(apierror.NotBootstrapped, "%s gives no leave to found", l.opts.Name)
 	}
 	l.mu.Lock()
--- a/internal/control/quorumread/confirm.go
+++ b/internal/control/quorumread/confirm.go
@@ -31,7 +31,7 @@
 	Self   string
 	Net    wire.Network
 	Clock  clock.Clock
-	Bounds settings.Bounds
+	Bounds settings.Timing
 	Board  *gossip.Board
 	Holder *register.Holder
 	Mender *repair.Mender
@@ -49,8 +49,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c := f.c
-	c.OK = c.OK && now.Sub(c.At) < f.Bounds.Lease()
-	c.Apart = f.reached != none && !f.there && now.Sub(f.reached) > f.Bounds.Apart()
+	c.OK = c.OK && now.Sub(c.At) < f.Bounds.LeaseDuration()
+	c.Apart = f.reached != none && !f.there && now.Sub(f.reached) > f.Bounds.IsolationTimeout()
 	return c
 }
 
@@ -70,14 +70,14 @@
 		news := f.Board.Changed()
 		f.once(ctx)
 		if f.begun() {
-			_ = f.Clock.Sleep(ctx, f.Bounds.Heartbeat())
+			_ = f.Clock.Sleep(ctx, f.Bounds.HeartbeatInterval())
 			continue
 		}
 		if f.Board.Roster().Sequence == 0 {
-			clock.Wait(ctx, f.Clock, f.Bounds.Heartbeat()/2, news, nil)
+			clock.Wait(ctx, f.Clock, f.Bounds.HeartbeatInterval()/2, news, nil)
 			continue
 		}
-		_ = f.Clock.Sleep(ctx, clock.Jitter(f.Bounds.Soon(), 1, rand.Float64()))
+		_ = f.Clock.Sleep(ctx, clock.Jitter(f.Bounds.InitialBackoff(), 1, rand.Float64()))
 	}
 }
 
@@ -95,7 +95,7 @@
 		return
 	}
 	at := f.Clock.Now()
-	cx, stop := context.WithTimeout(ctx, f.Bounds.Call())
+	cx, stop := context.WithTimeout(ctx, f.Bounds.CallTimeout())
 	defer stop()
 	as := quorum.Gather(cx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
 		return acceptor.Peek.Call(ctx, f.Net, f.Self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Keys: []string{Key}, Brief: true})
@@ -183,7 +183,7 @@
 	if same || f.c.At == none {
 		return true
 	}
-	return f.Clock.Now().Sub(f.c.At) >= f.Bounds.Lease()/youngShare && rand.IntN(len(r.Seats)) < fewNodes
+	return f.Clock.Now().Sub(f.c.At) >= f.Bounds.LeaseDuration()/youngShare && rand.IntN(len(r.Seats)) < fewNodes
 }
 
 // A confirmation is young for a part of the lease; fewNodes is how many read a key whose copies differ, on the average.
--- a/internal/control/quorumread/confirm_test.go
+++ b/internal/control/quorumread/confirm_test.go
@@ -62,7 +62,7 @@
 func TestWhoIsApart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		b, bounds := gossip.NewBoard(nil), settings.DefaultBounds
+		b, bounds := gossip.NewBoard(nil), settings.DefaultTiming
 		r := voters.Found([]voters.Seat{{Node: "c1", Addr: "c1"}, {Node: "c2", Addr: "c2"}, {Node: "c3", Addr: "c3"}}, voters.Layout{Routine: 1})
 		b.Offer(gossip.News{Roster: &r})
 		v := &voterSet{say: map[string]apierror.Code{}}
@@ -85,16 +85,16 @@
 			for _, n := range []string{"c1", "c2", "c3"} {
 				v.set(n, x.say[n])
 			}
-			time.Sleep(bounds.Apart() + bounds.Call() + 2*bounds.Heartbeat())
+			time.Sleep(bounds.IsolationTimeout() + bounds.CallTimeout() + 2*bounds.HeartbeatInterval())
 			assert.Equal(t, f.Latest().Apart, x.apart, x.name)
 		}
 		v.set("c2", "")
-		time.Sleep(bounds.Call() + 2*bounds.Heartbeat())
+		time.Sleep(bounds.CallTimeout() + 2*bounds.HeartbeatInterval())
 		assert.Assert(t, !f.Latest().Apart)
 		v.set("c2", apierror.Unreachable)
-		time.Sleep(bounds.Apart())
+		time.Sleep(bounds.IsolationTimeout())
 		assert.Assert(t, !f.Latest().Apart, "too soon")
-		time.Sleep(2 * bounds.Heartbeat())
+		time.Sleep(2 * bounds.HeartbeatInterval())
 		assert.Assert(t, f.Latest().Apart, "too late")
 		stop()
 		synctest.Wait()
--- a/internal/control/reconfig/reform.go
+++ b/internal/control/reconfig/reform.go
@@ -18,17 +18,17 @@
 type Reformer struct {
 	self   string
 	net    wire.Network
-	bounds settings.Bounds
+	bounds settings.Timing
 	seen   epoch.Epoch
 }
 
 // New makes a reformer.
-func New(self string, n wire.Network, b settings.Bounds) *Reformer {
+func New(self string, n wire.Network, b settings.Timing) *Reformer {
 	return &Reformer{self: self, net: n, bounds: b}
 }
 
 func (f *Reformer) call(ctx context.Context) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, f.bounds.Call())
+	return context.WithTimeout(ctx, f.bounds.CallTimeout())
 }
 
 // Change decides what follows roster r, wanted unless another change was begun, and opens it.
--- a/internal/control/reconfigurer/steward.go
+++ b/internal/control/reconfigurer/steward.go
@@ -27,7 +27,7 @@
 type Reconfigurer struct {
 	Self     string
 	Clock    clock.Clock
-	Bounds   settings.Bounds
+	Bounds   settings.Timing
 	Board    *gossip.Board
 	Founder  *bootstrap.Founder
 	Reformer *reconfig.Reformer
@@ -51,22 +51,22 @@
 func (s *Reconfigurer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		ch, seal := s.Changed(), s.Sealing()
-		pace := clock.Jitter(s.Bounds.Tend(), 1, rand.Float64())
+		pace := clock.Jitter(s.Bounds.ReconcileInterval(), 1, rand.Float64())
 		cx, stop := context.WithTimeout(ctx, s.Bounds.Recovery)
 		if r := s.Board.Roster(); r.Sequence == 0 {
 			s.found(cx)
-			pace = s.Bounds.Retry()
+			pace = s.Bounds.MaxBackoff()
 		} else {
 			s.waits = false
 			s.tend(cx, r)
 			if s.waits {
-				pace = s.Bounds.Retry()
+				pace = s.Bounds.MaxBackoff()
 			} else if r.Spare() > 0 {
 				pace /= spareShare
 			}
 		}
 		stop()
-		if s.Clock.Sleep(ctx, s.Bounds.Retry()/gatherShare) != nil {
+		if s.Clock.Sleep(ctx, s.Bounds.MaxBackoff()/gatherShare) != nil {
 			return
 		}
 		clock.Wait(ctx, s.Clock, pace, ch, seal)
@@ -174,7 +174,7 @@
 		return
 	}
 	s.waits = true
-	now, wait := s.Clock.Now(), s.Bounds.Hand()
+	now, wait := s.Clock.Now(), s.Bounds.ForwardTimeout()
 	if s.sealed.IsZero() {
 		s.sealed = now
 	}
@@ -183,7 +183,7 @@
 			break
 		}
 		if _, ok := live[x.Node]; ok && x.Node != first {
-			wait += s.Bounds.Session() / 2
+			wait += s.Bounds.SessionTimeout() / 2
 		}
 	}
 	if now.Sub(s.sealed) < wait {
@@ -239,7 +239,7 @@
 		if !ok || len(gone) >= r.Spare() {
 			continue
 		}
-		if s.Clock.Now().Sub(t) < s.Bounds.Session()/2 {
+		if s.Clock.Now().Sub(t) < s.Bounds.SessionTimeout()/2 {
 			s.waits = true
 			continue
 		}
@@ -250,7 +250,7 @@
 
 // ripe tells whether a voter is gone for long enough that its seat may be taken, which is longer for a newcomer of another zone.
 func (s *Reconfigurer) ripe(out string, i membership.Info) bool {
-	wait := s.Bounds.Session()
+	wait := s.Bounds.SessionTimeout()
 	if s.zones[out] == i.Zone {
 		wait /= 2
 	}
@@ -259,7 +259,7 @@
 
 func (s *Reconfigurer) sweep(ctx context.Context, r voters.Roster) {
 	now := s.Clock.Now()
-	if now.Sub(s.swept) < s.Bounds.Sweep() {
+	if now.Sub(s.swept) < s.Bounds.SweepInterval() {
 		return
 	}
 	s.swept = now
--- a/internal/control/register/holder.go
+++ b/internal/control/register/holder.go
@@ -40,7 +40,7 @@
 	self    string
 	net     wire.Network
 	clk     clock.Clock
-	bounds  settings.Bounds
+	bounds  settings.Timing
 	peers   Peers
 	told    Told
 	turns   *keylock.Locks
@@ -60,7 +60,7 @@
 )
 
 // New makes a holder that holds nothing.
-func New(self string, n wire.Network, c clock.Clock, b settings.Bounds, f Peers, t Told) *Holder {
+func New(self string, n wire.Network, c clock.Clock, b settings.Timing, f Peers, t Told) *Holder {
 	return &Holder{self: self, net: n, clk: c, bounds: b, peers: f, told: t, turns: keylock.New(turnShards), keys: keylock.NewMap[string, held]()}
 }
 
@@ -142,7 +142,7 @@
 
 // toldBy asks the one thought to hold a key, for no longer than a holder may take: after that the key is claimed.
 func toldBy[A any](ctx context.Context, h *Holder, f func(context.Context) (A, error)) (A, error) {
-	cx, stop := context.WithTimeout(ctx, h.bounds.Hand())
+	cx, stop := context.WithTimeout(ctx, h.bounds.ForwardTimeout())
 	defer stop()
 	return f(cx)
 }
@@ -243,7 +243,7 @@
 	if r.Sequence == 0 {
 		return acceptor.Value{}, false
 	}
-	cx, stop := context.WithTimeout(ctx, h.bounds.Hand())
+	cx, stop := context.WithTimeout(ctx, h.bounds.ForwardTimeout())
 	defer stop()
 	peek := func(ctx context.Context, s voters.Seat, brief bool) (*acceptor.PeekResponse, error) {
 		return acceptor.Peek.Call(ctx, h.net, h.self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Keys: []string{k}, Brief: brief})
@@ -259,7 +259,7 @@
 		if !waiting {
 			waiting = true
 			go func() {
-				_ = h.clk.Sleep(cx, soonMore*h.bounds.Soon())
+				_ = h.clk.Sleep(cx, soonMore*h.bounds.InitialBackoff())
 				stop()
 			}()
 		}
@@ -281,7 +281,7 @@
 	if top.Accepted.Zero() {
 		return top.Value, true
 	}
-	late, more := context.WithTimeout(ctx, h.bounds.Hand())
+	late, more := context.WithTimeout(ctx, h.bounds.ForwardTimeout())
 	defer more()
 	a, err := peek(late, as[0].Target, false)
 	if err != nil || a.Slots[k].Accepted != top.Accepted || a.Slots[k].Value.Writes != top.Value.Writes {
@@ -322,7 +322,7 @@
 
 func (h *Holder) confirm(ctx context.Context, k string, v held) bool {
 	r := h.peers.Roster()
-	ctx, stop := context.WithTimeout(ctx, h.bounds.Call())
+	ctx, stop := context.WithTimeout(ctx, h.bounds.CallTimeout())
 	defer stop()
 	ours := func(as []quorum.Result[voters.Seat, *acceptor.PeekResponse]) int {
 		n := 0
@@ -367,9 +367,9 @@
 		if try == claimTries || ctx.Err() != nil || apierror.HasCode(err, apierror.StaleVoterSet) {
 			return held{}, err
 		}
-		pause := h.bounds.Grown(claimPace*try) / 2
+		pause := h.bounds.Backoff(claimPace*try) / 2
 		if apierror.HasCode(err, apierror.NotKeyLeader) {
-			pause = max(pause, min(h.clk.Now().Sub(begun), h.bounds.Hand()))
+			pause = max(pause, min(h.clk.Now().Sub(begun), h.bounds.ForwardTimeout()))
 		}
 		if e := h.clk.Sleep(ctx, clock.Jitter(pause, 2, rand.Float64())); e != nil {
 			return held{}, err
@@ -428,7 +428,7 @@
 	e = e.Next(h.self)
 	h.edit(k, func(v *held) { v.sure, v.epoch = false, e })
 	h.count(&h.claims)
-	cx, stop := context.WithTimeout(ctx, h.bounds.Call())
+	cx, stop := context.WithTimeout(ctx, h.bounds.CallTimeout())
 	defer stop()
 	as := quorum.Gather(cx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.SlotResponse, error) {
 		return acceptor.Promise.Call(ctx, h.net, h.self, s.Addr, &acceptor.PromiseRequest{Ballot: ballot(r, s, k), Epoch: e})
@@ -473,7 +473,7 @@
 	}
 	h.edit(k, func(x *held) { x.sure, x.epoch = false, v.epoch })
 	h.count(&h.accepts)
-	cx, stop := context.WithTimeout(context.WithoutCancel(ctx), h.bounds.Call())
+	cx, stop := context.WithTimeout(context.WithoutCancel(ctx), h.bounds.CallTimeout())
 	done := make(chan error, 1)
 	go func() {
 		defer stop()
@@ -489,7 +489,7 @@
 
 func (h *Holder) round(ctx context.Context, k string, r voters.Roster, v held, n acceptor.Value) error {
 	as := quorum.Gather(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.SlotResponse, error) {
-		cx, stop := context.WithTimeout(context.WithoutCancel(ctx), h.bounds.Call())
+		cx, stop := context.WithTimeout(context.WithoutCancel(ctx), h.bounds.CallTimeout())
 		defer stop()
 		return acceptor.Accept.Call(cx, h.net, h.self, s.Addr, &acceptor.AcceptRequest{Ballot: ballot(r, s, k), Epoch: v.epoch, Value: n})
 	}, func(as slotResponses) bool { return granted(as) >= r.Majority() })
--- a/internal/control/register/holder_test.go
+++ b/internal/control/register/holder_test.go
@@ -90,7 +90,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := &core{who: x.who}
-				h := New("c1", c, clock.Real{}, settings.DefaultBounds, c, func(string, acceptor.Value) {})
+				h := New("c1", c, clock.Real{}, settings.DefaultTiming, c, func(string, acceptor.Value) {})
 				h.Hint("k", epoch.Epoch{N: 3, Node: "c2"}, "")
 				err := h.Claim(t.Context(), "k")
 				synctest.Wait()
@@ -120,7 +120,7 @@
 func TestAStaleBaseIsAnsweredOnlyByWhoStillHoldsTheKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := &elsewhere{}
-		h := New("c1", net, clock.Real{}, settings.Default().Bounds(), net, nil)
+		h := New("c1", net, clock.Real{}, settings.Default().Timing(), net, nil)
 		mine := epoch.Epoch{N: 3, Node: "c1"}
 		h.edit("k", func(v *held) {
 			*v = held{epoch: mine, seen: mine, roster: net.Roster().Sequence, sure: true, hint: "c1", value: acceptor.Value{Writes: 4}}
--- a/internal/control/registerclient/client.go
+++ b/internal/control/registerclient/client.go
@@ -21,7 +21,7 @@
 type Client struct {
 	self   string
 	net    wire.Network
-	bounds settings.Bounds
+	bounds settings.Timing
 	view   func() []membership.Info
 	local  *register.Holder
 	mu     sync.Mutex
@@ -29,7 +29,7 @@
 }
 
 // New makes a client; local is the node's own holder, nil without a control disk.
-func New(self string, n wire.Network, b settings.Bounds, view func() []membership.Info, local *register.Holder) *Client {
+func New(self string, n wire.Network, b settings.Timing, view func() []membership.Info, local *register.Holder) *Client {
 	return &Client{self: self, net: n, bounds: b, view: view, local: local}
 }
 
@@ -70,7 +70,7 @@
 		next++
 		open++
 		go func() {
-			cx, stop := context.WithTimeout(cx, c.bounds.Call())
+			cx, stop := context.WithTimeout(cx, c.bounds.CallTimeout())
 			defer stop()
 			a, err := f(cx, i.Peers)
 			ch <- answer[A]{a, err, i.Name}
@@ -78,7 +78,7 @@
 	}
 	ask()
 	for open > 0 {
-		hx, halt := context.WithTimeout(cx, c.bounds.Hedge())
+		hx, halt := context.WithTimeout(cx, c.bounds.HedgeDelay())
 		select {
 		case g := <-ch:
 			halt()
@@ -111,7 +111,7 @@
 	if c.local != nil || len(ns) == 0 {
 		return false, apierror.New(apierror.Unreachable, "no control node to hand it to")
 	}
-	cx, stop := context.WithTimeout(ctx, c.bounds.Call())
+	cx, stop := context.WithTimeout(ctx, c.bounds.CallTimeout())
 	defer stop()
 	_, err = p.Call(cx, c.net, c.self, ns[mrand.IntN(len(ns))].Peers, q)
 	return true, err
--- a/internal/control/repair/repair.go
+++ b/internal/control/repair/repair.go
@@ -16,7 +16,7 @@
 type Mender struct {
 	Self   string
 	Net    wire.Network
-	Bounds settings.Bounds
+	Bounds settings.Timing
 }
 
 type copy = quorum.Result[voters.Seat, *acceptor.PeekResponse]
@@ -24,7 +24,7 @@
 // Keys compares the copies of the named keys, all when none are named, and brings old ones up. It gives how many it mended. Values are read only
 // where some copy is old, and then from one voter.
 func (m *Mender) Keys(ctx context.Context, r voters.Roster, keys ...string) int {
-	cx, stop := context.WithTimeout(ctx, m.Bounds.Call())
+	cx, stop := context.WithTimeout(ctx, m.Bounds.CallTimeout())
 	defer stop()
 	as := quorum.Successes(quorum.Gather(cx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
 		return acceptor.Peek.Call(ctx, m.Net, m.Self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Keys: keys, Brief: true})
@@ -53,7 +53,7 @@
 func (m *Mender) key(ctx context.Context, r voters.Roster, old []copy, k string, t acceptor.Slot) int {
 	n := 0
 	for _, a := range old {
-		cx, stop := context.WithTimeout(ctx, m.Bounds.Call())
+		cx, stop := context.WithTimeout(ctx, m.Bounds.CallTimeout())
 		b, err := acceptor.Accept.Call(cx, m.Net, m.Self, a.Target.Addr, &acceptor.AcceptRequest{Ballot: acceptor.Ballot{Roster: r.Sequence, Incarnation: a.Target.Incarnation, Key: k}, Epoch: t.Accepted, Value: t.Value})
 		stop()
 		if err == nil && b.OK {
--- a/internal/delivery/fanout/deaf_test.go
+++ b/internal/delivery/fanout/deaf_test.go
@@ -14,7 +14,7 @@
 // A node that an owner may wait for, and that has heard of no owner for as long as service may rest, has all it holds let go before it says so under the boot that held it, three
 // times at most; what is followed then goes on under another boot. Without a turn, which nobody has where nothing has a key, it goes on asking.
 func TestADeafReaderLetsGoAndSaysSo(t *testing.T) {
-	b := settings.DefaultBounds
+	b := settings.DefaultTiming
 	for _, x := range []struct {
 		name string
 		turn uint64
--- a/internal/delivery/fanout/feed.go
+++ b/internal/delivery/fanout/feed.go
@@ -102,7 +102,7 @@
 	}
 	f.drops = true
 	go func() {
-		_ = f.h.clk.Sleep(f.h.ctx, f.h.bounds.Hold())
+		_ = f.h.clk.Sleep(f.h.ctx, f.h.bounds.LongPoll())
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.drops = false
@@ -293,14 +293,14 @@
 // what is fetched for those that were told comes over links that may be slow.
 func (f *feed) limit(q *leader.Want) time.Duration {
 	if q.Brief {
-		return patience * f.h.bounds.Retry()
+		return patience * f.h.bounds.MaxBackoff()
 	}
-	return f.h.bounds.Call()
+	return f.h.bounds.CallTimeout()
 }
 
 // hasten opens those that need no owner for their place while its answer is under way.
 func (f *feed) hasten(ctx context.Context, w []*Sub) {
-	if f.h.clk.Sleep(ctx, f.h.bounds.Retry()/hasty) != nil {
+	if f.h.clk.Sleep(ctx, f.h.bounds.MaxBackoff()/hasty) != nil {
 		return
 	}
 	f.mu.Lock()
@@ -371,10 +371,10 @@
 	go func() {
 		f.h.release(f.p, true)
 		for tries := range farewells {
-			ctx, stop := context.WithTimeout(f.h.ctx, patience*f.h.bounds.Retry())
+			ctx, stop := context.WithTimeout(f.h.ctx, patience*f.h.bounds.MaxBackoff())
 			_, err := f.h.src.Follow(ctx, f.h.board.Record(f.p), q)
 			stop()
-			if err == nil || f.h.clk.Sleep(f.h.ctx, f.h.bounds.Grown(tries)) != nil {
+			if err == nil || f.h.clk.Sleep(f.h.ctx, f.h.bounds.Backoff(tries)) != nil {
 				break
 			}
 		}
@@ -416,7 +416,7 @@
 // not taken after a while ends its connection.
 func (f *feed) part() {
 	for cut := false; !f.release(cut) && f.h.ctx.Err() == nil; cut = true {
-		_ = f.h.clk.Sleep(f.h.ctx, f.h.bounds.Hold())
+		_ = f.h.clk.Sleep(f.h.ctx, f.h.bounds.LongPoll())
 	}
 }
 
@@ -496,7 +496,7 @@
 // bear opens subscriptions that have waited for an owner at places that need none: the cursor they came with, or what this node has seen.
 // It turns away those that have waited too long.
 func (f *feed) bear(w []*Sub) {
-	now, unit := f.h.clk.Now(), f.h.bounds.Retry()
+	now, unit := f.h.clk.Now(), f.h.bounds.MaxBackoff()
 	for _, s := range w {
 		age := now.Sub(s.asked)
 		if s.told || s.left || s.answered || age < unit/hasty {
@@ -545,7 +545,7 @@
 	cx, stop := context.WithCancel(ctx)
 	due := make(chan struct{})
 	go func() {
-		_ = f.h.clk.Sleep(cx, f.h.bounds.Grown(tries))
+		_ = f.h.clk.Sleep(cx, f.h.bounds.Backoff(tries))
 		close(due)
 	}()
 	select {
@@ -602,7 +602,7 @@
 	defer stop()
 	due := make(chan struct{})
 	go func() {
-		_ = f.h.clk.Sleep(cx, f.h.bounds.Grown(tries))
+		_ = f.h.clk.Sleep(cx, f.h.bounds.Backoff(tries))
 		close(due)
 	}()
 	changed := f.h.board.Changed()
--- a/internal/delivery/fanout/forget_test.go
+++ b/internal/delivery/fanout/forget_test.go
@@ -182,7 +182,7 @@
 }
 
 func (c *court) Poll(ctx context.Context, _ assignment.Record, q *leader.PollRequest) (*leader.Polled, error) {
-	cx, stop := context.WithTimeout(ctx, q.Hold+settings.DefaultBounds.Call())
+	cx, stop := context.WithTimeout(ctx, q.Hold+settings.DefaultTiming.CallTimeout())
 	defer stop()
 	until := time.Now().Add(q.Hold)
 	return ask(cx, c, func() *leader.Polled {
@@ -319,7 +319,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			ctx, stop := context.WithCancel(t.Context())
 			c := &court{r: rand.New(rand.NewPCG(seed, 1)), marks: marks{}, yes: marks{}, readers: map[string]uint64{}}
-			h := New(ctx, "a1", "boot", c, gossip.NewBoard(nil), clock.Real{}, settings.DefaultBounds)
+			h := New(ctx, "a1", "boot", c, gossip.NewBoard(nil), clock.Real{}, settings.DefaultTiming)
 			h.Hold(c)
 			until := time.Now().Add(30 * time.Second)
 			for range 1 + seed%3 {
--- a/internal/delivery/fanout/hub.go
+++ b/internal/delivery/fanout/hub.go
@@ -27,7 +27,7 @@
 	src        Owners
 	board      *gossip.Board
 	clk        clock.Clock
-	bounds     settings.Bounds
+	bounds     settings.Timing
 	ctx        context.Context
 	mu         sync.Mutex
 	m          map[int]*feed
@@ -43,7 +43,7 @@
 }
 
 // New makes a hub that lives as long as ctx; boot names this run of the node.
-func New(ctx context.Context, self, boot string, s Owners, g *gossip.Board, c clock.Clock, b settings.Bounds) *Hub {
+func New(ctx context.Context, self, boot string, s Owners, g *gossip.Board, c clock.Clock, b settings.Timing) *Hub {
 	return &Hub{self: self, boot: boot, src: s, board: g, clk: c, bounds: b, ctx: ctx, m: map[int]*feed{}}
 }
 
--- a/internal/delivery/fanout/later_test.go
+++ b/internal/delivery/fanout/later_test.go
@@ -54,7 +54,7 @@
 // Visitors whose connections break and who come back cost one word to the owner, not two; those who stay away are told of in time.
 func TestDropsAreToldWithWhatFollows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := settings.DefaultBounds
+		b := settings.DefaultTiming
 		ctx, stop := context.WithCancel(t.Context())
 		c := &clerk{topics: map[string]int{}}
 		h := New(ctx, "a1", "boot", c, gossip.NewBoard(nil), clock.Real{}, b)
@@ -74,7 +74,7 @@
 		was, _ := c.read()
 		for range 5 {
 			h.Leave(x)
-			time.Sleep(b.Hold() / 8)
+			time.Sleep(b.LongPoll() / 8)
 			x = join("a")
 		}
 		is, topics := c.read()
@@ -82,12 +82,12 @@
 		assert.Equal(t, opened, 7)
 		assert.DeepEqual(t, topics, map[string]int{"a": 1, "b": 1})
 		h.Leave(x)
-		time.Sleep(b.Hold())
+		time.Sleep(b.LongPoll())
 		synctest.Wait()
 		_, topics = c.read()
 		assert.DeepEqual(t, topics, map[string]int{"b": 1})
 		h.Leave(y)
-		time.Sleep(b.Hold() + b.Spread)
+		time.Sleep(b.LongPoll() + b.Spread)
 		synctest.Wait()
 		_, topics = c.read()
 		assert.DeepEqual(t, topics, map[string]int{})
--- a/internal/delivery/fanout/marks_test.go
+++ b/internal/delivery/fanout/marks_test.go
@@ -119,7 +119,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		s := &scribe{follow: tail(4)}
-		s.h = New(ctx, "a1", "boot", s, gossip.NewBoard(nil), clock.Real{}, settings.DefaultBounds)
+		s.h = New(ctx, "a1", "boot", s, gossip.NewBoard(nil), clock.Real{}, settings.DefaultTiming)
 		s.h.Hold(s)
 		f(t, s)
 		stop()
@@ -314,7 +314,7 @@
 // The owner hears that this node is done once all that it gave under keys is let go, again until it answers. What is taken up after that goes on under another boot.
 func TestAReaderSaysThatItIsDone(t *testing.T) {
 	scripted(t, func(t *testing.T, s *scribe) {
-		b := settings.DefaultBounds
+		b := settings.DefaultTiming
 		s.stuck = true
 		s.then(once(tick, message(5, "k")))
 		var x, y heard
@@ -332,7 +332,7 @@
 		})
 		pass(b.Spread + tick)
 		assert.DeepEqual(t, s.said(), []string{"follow boot full=false topics=1 marks=true", "release 0 cut=false"})
-		pass(b.Hold())
+		pass(b.LongPoll())
 		assert.DeepEqual(t, s.said(), []string{"release 0 cut=true", "done boot full=true topics=0 marks=true"})
 		pass(time.Minute)
 		assert.DeepEqual(t, s.said(), []string{"done boot full=true topics=0 marks=true", "done boot full=true topics=0 marks=true"})
@@ -370,14 +370,14 @@
 // not answer is not held up by that.
 func TestTakenUpAgainBeforeItIsDone(t *testing.T) {
 	scripted(t, func(t *testing.T, s *scribe) {
-		b := settings.DefaultBounds
+		b := settings.DefaultTiming
 		s.stuck = true
 		s.then(once(tick, message(5, "k")))
 		var x, y, z heard
 		a := x.sub(s.h, "a", nil)
 		pass(2 * tick)
 		s.h.Leave(a)
-		pass(b.Spread + b.Hold()/2)
+		pass(b.Spread + b.LongPoll()/2)
 		s.said()
 		s.set(tail(30))
 		a = y.sub(s.h, "a", nil)
@@ -389,7 +389,7 @@
 			}
 			return &leader.Told{Epoch: 1, Tail: 40, Upto: 40}, 0
 		})
-		pass(b.Spread + b.Hold() + tick)
+		pass(b.Spread + b.LongPoll() + tick)
 		l := s.said()
 		assert.Assert(t, slices.Contains(l, "done boot full=true topics=0 marks=true"), "%v", l)
 		z.sub(s.h, "a", nil)
@@ -407,7 +407,7 @@
 		a := x.sub(s.h, "a", nil)
 		pass(2 * tick)
 		s.h.Leave(a)
-		pass(settings.DefaultBounds.Spread + later/2)
+		pass(settings.DefaultTiming.Spread + later/2)
 		s.said()
 		y.sub(s.h, "a", after(5))
 		pass(later)
@@ -429,7 +429,7 @@
 				a := x.sub(s.h, "a", nil)
 				pass(tick)
 				s.h.Leave(a)
-				pass(2 * settings.DefaultBounds.Spread)
+				pass(2 * settings.DefaultTiming.Spread)
 				l := s.said()
 				assert.Assert(t, slices.Contains(l, "done boot full=true topics=0 marks=true"), "%v", l)
 				assert.Equal(t, len(x.got), 0)
@@ -452,7 +452,7 @@
 		a := x.sub(s.h, "a", nil)
 		pass(tick)
 		s.h.Leave(a)
-		pass(2 * settings.DefaultBounds.Spread)
+		pass(2 * settings.DefaultTiming.Spread)
 		l := s.said()
 		assert.Assert(t, slices.Contains(l, "done boot full=true topics=0 marks=true"), "%v", l)
 	})
--- a/internal/delivery/fanout/slow_test.go
+++ b/internal/delivery/fanout/slow_test.go
@@ -44,9 +44,9 @@
 
 func TestMissedMessagesComeOverASlowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := settings.DefaultBounds
+		b := settings.DefaultTiming
 		ctx, stop := context.WithCancel(t.Context())
-		s := &thin{takes: 3 * b.Retry(), back: []log.Entry{{Offset: 4, What: log.Message, Topic: "a"}, {Offset: 7, What: log.Message, Topic: "a"}}}
+		s := &thin{takes: 3 * b.MaxBackoff(), back: []log.Entry{{Offset: 4, What: log.Message, Topic: "a"}, {Offset: 7, What: log.Message, Topic: "a"}}}
 		h := New(ctx, "a1", "boot", s, gossip.NewBoard(nil), clock.Real{}, b)
 		x := h.Sub(0, "a")
 		at := uint64(3)
@@ -58,10 +58,10 @@
 		}
 		x.Give = func(e log.Entry) { got = append(got, e.Offset) }
 		h.Join(x)
-		time.Sleep(b.Call())
+		time.Sleep(b.CallTimeout())
 		synctest.Wait()
 		assert.DeepEqual(t, opened, []uint64{3})
-		time.Sleep(2 * b.Call())
+		time.Sleep(2 * b.CallTimeout())
 		synctest.Wait()
 		assert.DeepEqual(t, got, []uint64{4, 7})
 		h.Leave(x)
--- a/internal/delivery/fanout/soon_test.go
+++ b/internal/delivery/fanout/soon_test.go
@@ -96,20 +96,20 @@
 // Who comes back with a cursor is told its place before its owner answers, and gets all that it missed, once.
 func TestAPlaceThatNeedsNoOwnerIsToldSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := settings.DefaultBounds
+		b := settings.DefaultTiming
 		ctx, stop := context.WithCancel(t.Context())
-		s := &far{way: b.Retry() * 3 / 4, topics: map[string]bool{}}
+		s := &far{way: b.MaxBackoff() * 3 / 4, topics: map[string]bool{}}
 		h := New(ctx, "a1", "boot", s, gossip.NewBoard(nil), clock.Real{}, b)
 		s.add("a", "b", "a", "a", "b", "a")
 		begun, at := time.Now(), uint64(1)
 		var x heard
 		x.sub(h, "a", &at)
-		time.Sleep(b.Call())
+		time.Sleep(b.CallTimeout())
 		s.add("a")
-		time.Sleep(10 * b.Call())
+		time.Sleep(10 * b.CallTimeout())
 		synctest.Wait()
 		assert.DeepEqual(t, x.opened, []uint64{1})
-		assert.Assert(t, x.at.Sub(begun) < b.Retry(), "told after %s", x.at.Sub(begun))
+		assert.Assert(t, x.at.Sub(begun) < b.MaxBackoff(), "told after %s", x.at.Sub(begun))
 		assert.DeepEqual(t, x.got, []uint64{3, 4, 6, 7})
 		assert.Assert(t, slices.Equal(s.briefs, []bool{true, false}), "%v", s.briefs)
 		stop()
@@ -120,20 +120,20 @@
 // Who comes without a cursor while the owner's answer is under way is given the place that this node has read to, and nothing behind it is passed over.
 func TestWhatComesBetweenThePlaceAndTheAnswerIsGiven(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := settings.DefaultBounds
+		b := settings.DefaultTiming
 		ctx, stop := context.WithCancel(t.Context())
-		s := &far{way: b.Retry() * 3 / 4, topics: map[string]bool{}}
+		s := &far{way: b.MaxBackoff() * 3 / 4, topics: map[string]bool{}}
 		h := New(ctx, "a1", "boot", s, gossip.NewBoard(nil), clock.Real{}, b)
 		s.add("a", "a")
 		var x, y heard
 		x.sub(h, "a", nil)
-		time.Sleep(10 * b.Call())
+		time.Sleep(10 * b.CallTimeout())
 		y.sub(h, "b", nil)
-		time.Sleep(b.Retry() * 5 / 8)
+		time.Sleep(b.MaxBackoff() * 5 / 8)
 		s.add("b", "a")
-		time.Sleep(10 * b.Call())
+		time.Sleep(10 * b.CallTimeout())
 		s.add("b")
-		time.Sleep(10 * b.Call())
+		time.Sleep(10 * b.CallTimeout())
 		synctest.Wait()
 		assert.DeepEqual(t, y.opened, []uint64{2})
 		assert.DeepEqual(t, y.got, []uint64{3, 5})
--- a/internal/delivery/fanout/turn_test.go
+++ b/internal/delivery/fanout/turn_test.go
@@ -61,14 +61,14 @@
 // An owner's turn is told with what is asked next, at once; an owner that goes on answering as if nothing was told is not asked without a pause.
 func TestTheTurnIsToldWithWhatIsAskedNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := settings.DefaultBounds
+		b := settings.DefaultTiming
 		ctx, stop := context.WithCancel(t.Context())
 		u := &usher{turn: 7}
 		h := New(ctx, "a1", "boot", u, gossip.NewBoard(nil), clock.Real{}, b)
 		x := h.Sub(0, "a")
 		x.Opened = func(uint64, error) {}
 		h.Join(x)
-		time.Sleep(b.Retry())
+		time.Sleep(b.MaxBackoff())
 		synctest.Wait()
 		asked, polled := u.saw()
 		assert.Equal(t, asked, 2, "once to hear the turn, once to tell it")
@@ -84,10 +84,10 @@
 		y := h.Sub(0, "b")
 		y.Opened = func(uint64, error) {}
 		h.Join(y)
-		time.Sleep(b.Call())
+		time.Sleep(b.CallTimeout())
 		synctest.Wait()
 		asked, _ = u.saw()
-		assert.Assert(t, asked > 2 && asked < 20, "asked %d times in %s", asked, b.Call())
+		assert.Assert(t, asked > 2 && asked < 20, "asked %d times in %s", asked, b.CallTimeout())
 		h.Leave(x)
 		h.Leave(y)
 		stop()
--- a/internal/delivery/stream/feed.go
+++ b/internal/delivery/stream/feed.go
@@ -27,7 +27,7 @@
 	boot   string
 	src    Source
 	clk    clock.Clock
-	bounds settings.Bounds
+	bounds settings.Timing
 	ctx    context.Context
 	mu     sync.Mutex
 	m      map[int]*Feed
@@ -36,7 +36,7 @@
 }
 
 // New makes the feeds of a node under a boot; they live as long as ctx.
-func New(ctx context.Context, node, boot string, s Source, c clock.Clock, b settings.Bounds) *Feeds {
+func New(ctx context.Context, node, boot string, s Source, c clock.Clock, b settings.Timing) *Feeds {
 	return &Feeds{node: node + "/streams", boot: boot, src: s, clk: c, bounds: b, ctx: ctx, m: map[int]*Feed{}, there: map[*Feed]bool{}}
 }
 
@@ -156,13 +156,13 @@
 			from = ^uint64(0)
 		}
 		cx, stop := context.WithTimeout(ctx, f.bounds.Recovery)
-		r, err := d.ask(cx, &leader.ReadRequest{From: from, Hold: f.bounds.Hold()})
+		r, err := d.ask(cx, &leader.ReadRequest{From: from, Hold: f.bounds.LongPoll()})
 		stop()
 		if err != nil {
 			if f.clk.Now().Sub(heard) > f.bounds.Recovery && d.depart() {
 				first, heard = true, f.clk.Now()
 			}
-			_ = f.clk.Sleep(ctx, f.bounds.Retry())
+			_ = f.clk.Sleep(ctx, f.bounds.MaxBackoff())
 			continue
 		}
 		heard = f.clk.Now()
@@ -217,7 +217,7 @@
 		if err == nil {
 			return
 		}
-		_ = f.clk.Sleep(f.ctx, f.bounds.Retry())
+		_ = f.clk.Sleep(f.ctx, f.bounds.MaxBackoff())
 	}
 }
 
@@ -248,10 +248,10 @@
 	}
 	d.anew(f.another())
 	for tries := range farewells {
-		cx, stop := context.WithTimeout(f.ctx, patience*f.bounds.Retry())
+		cx, stop := context.WithTimeout(f.ctx, patience*f.bounds.MaxBackoff())
 		_, err := f.src.ReadAs(cx, q)
 		stop()
-		if err == nil || f.clk.Sleep(f.ctx, f.bounds.Grown(tries)) != nil {
+		if err == nil || f.clk.Sleep(f.ctx, f.bounds.Backoff(tries)) != nil {
 			break
 		}
 	}
@@ -299,7 +299,7 @@
 		}
 	}
 	k := 0
-	for k < len(d.es) && (d.bytes > cacheBytes || now.Sub(d.at[k]) > d.fs.bounds.Kept()) {
+	for k < len(d.es) && (d.bytes > cacheBytes || now.Sub(d.at[k]) > d.fs.bounds.Retention()) {
 		d.bytes -= len(d.es[k].Body) + entryCost
 		d.base = d.es[k].Offset
 		k++
@@ -376,7 +376,7 @@
 	if w, ok := d.Held(o); ok {
 		return w, nil
 	}
-	cx, stop := context.WithTimeout(ctx, 2*d.fs.bounds.Call())
+	cx, stop := context.WithTimeout(ctx, 2*d.fs.bounds.CallTimeout())
 	defer stop()
 	d.mu.Lock()
 	era := d.era
--- a/internal/delivery/stream/feed_test.go
+++ b/internal/delivery/stream/feed_test.go
@@ -281,7 +281,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, stop := context.WithCancel(t.Context())
 				c := &clerk{news: make(chan struct{})}
-				fs := New(ctx, "a1", "b", c, clock.Real{}, settings.DefaultBounds)
+				fs := New(ctx, "a1", "b", c, clock.Real{}, settings.DefaultTiming)
 				d, leave, err := fs.Follow(ctx, 0, make(chan struct{}, 1))
 				assert.NilError(t, err)
 				f(&run{t, c, fs, d, leave})
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -292,7 +292,7 @@
 	Self   string
 	Net    wire.Network
 	Clock  clock.Clock
-	Bounds settings.Bounds
+	Bounds settings.Timing
 	Board  *Board
 	View   func() []membership.Info
 	// Control tells that the node is a control node, from which others have their news; Disk that it has a disk of any kind, and passes news of
@@ -353,7 +353,7 @@
 		d.Description = theirs.Description
 		return d
 	}
-	g.coming, g.until = theirs.Description, now.Add(g.Bounds.Heartbeat())
+	g.coming, g.until = theirs.Description, now.Add(g.Bounds.HeartbeatInterval())
 	return d
 }
 
@@ -381,7 +381,7 @@
 		for _, f := range fs[:min(len(fs), few)] {
 			go g.swap(ctx, f)
 		}
-		if err := g.Clock.Sleep(ctx, g.Bounds.Heartbeat()/peersPerRound/10); err != nil {
+		if err := g.Clock.Sleep(ctx, g.Bounds.HeartbeatInterval()/peersPerRound/10); err != nil {
 			return
 		}
 	}
@@ -393,7 +393,7 @@
 	defer stop()
 	due := make(chan struct{})
 	go func() {
-		_ = g.Clock.Sleep(cx, clock.Jitter(g.Bounds.Hold(), 1, rand.Float64()))
+		_ = g.Clock.Sleep(cx, clock.Jitter(g.Bounds.LongPoll(), 1, rand.Float64()))
 		close(due)
 	}()
 	select {
@@ -505,7 +505,7 @@
 
 // tell gives news to a peer, without asking for any description.
 func (g *Gossip) tell(ctx context.Context, f membership.Info, n News) {
-	cx, stop := context.WithTimeout(ctx, g.Bounds.Call())
+	cx, stop := context.WithTimeout(ctx, g.Bounds.CallTimeout())
 	defer stop()
 	d := g.digest()
 	d.Description, d.Without = 0, true
@@ -523,7 +523,7 @@
 	}
 	g.telling = true
 	go func() {
-		_ = g.Clock.Sleep(ctx, g.Bounds.Heartbeat()/gatherShare)
+		_ = g.Clock.Sleep(ctx, g.Bounds.HeartbeatInterval()/gatherShare)
 		g.mu.Lock()
 		rs := g.untold
 		g.untold, g.telling = nil, false
@@ -571,7 +571,7 @@
 }
 
 func (g *Gossip) swap(ctx context.Context, f membership.Info) {
-	cx, stop := context.WithTimeout(ctx, g.Bounds.Call())
+	cx, stop := context.WithTimeout(ctx, g.Bounds.CallTimeout())
 	defer stop()
 	d, hash := g.digest(), g.Board.Hash()
 	d.Records = nil
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -40,7 +40,7 @@
 
 func TestADescriptionComesFromOneFellowAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := settings.DefaultBounds
+		b := settings.DefaultTiming
 		g := &Gossip{Clock: clock.Real{}, Bounds: b, Board: NewBoard(nil)}
 		lacks := func(seq uint64) bool { return g.answer(Digest{Description: seq}).Description < seq }
 		assert.Assert(t, lacks(5))
@@ -48,7 +48,7 @@
 		assert.Assert(t, !lacks(4))
 		assert.Assert(t, lacks(6), "a newer one")
 		assert.Assert(t, !lacks(6))
-		time.Sleep(b.Heartbeat())
+		time.Sleep(b.HeartbeatInterval())
 		assert.Assert(t, lacks(6), "the fellow that was let send it never did")
 		g.Board.Offer(News{Description: &configuration.Description{Sequence: 6}})
 		assert.Equal(t, g.answer(Digest{Description: 6}).Description, uint64(6))
--- a/internal/httpapi/door.go
+++ b/internal/httpapi/door.go
@@ -23,7 +23,7 @@
 type Door struct {
 	Visitors  *client.Service
 	Operators *operator.Service
-	Bounds    settings.Bounds
+	Bounds    settings.Timing
 	Ready     func() error
 	mux       *http.ServeMux
 }
@@ -299,7 +299,7 @@
 }
 
 // Server makes the HTTP server of a door.
-func Server(h http.Handler, b settings.Bounds) *http.Server {
+func Server(h http.Handler, b settings.Timing) *http.Server {
 	return &http.Server{
 		Handler:           h,
 		ReadHeaderTimeout: b.Recovery / readShare,
--- a/internal/membership/failuredetector/watch.go
+++ b/internal/membership/failuredetector/watch.go
@@ -70,7 +70,7 @@
 	Self   string
 	Boot   string
 	Clock  clock.Clock
-	Bounds settings.Bounds
+	Bounds settings.Timing
 	Net    wire.Network
 	Board  *gossip.Board
 	Addr   func(node string) (string, bool)
@@ -85,9 +85,9 @@
 // Run looks after the others until ctx ends. Silence is counted in own beats, so that own pauses don't count.
 func (w *Watch) Run(ctx context.Context) {
 	var known <-chan struct{}
-	for at := w.Clock.Now(); w.Clock.Sleep(ctx, w.Bounds.Beat()) == nil; {
+	for at := w.Clock.Now(); w.Clock.Sleep(ctx, w.Bounds.PingInterval()) == nil; {
 		now := w.Clock.Now()
-		paused := now.Sub(at) > 2*w.Bounds.Beat()
+		paused := now.Sub(at) > 2*w.Bounds.PingInterval()
 		at = now
 		select {
 		case <-known:
@@ -134,8 +134,8 @@
 
 // most is how many beats may go unanswered: more where answers took long lately, since what is slow or lossy is not gone.
 func (w *Watch) most(x *ward) int {
-	s := min(w.Bounds.Silent()+2*x.took, w.Bounds.Session()/2)
-	return int((s + w.Bounds.Beat()/2) / w.Bounds.Beat())
+	s := min(w.Bounds.FailureTimeout()+2*x.took, w.Bounds.SessionTimeout()/2)
+	return int((s + w.Bounds.PingInterval()/2) / w.Bounds.PingInterval())
 }
 
 func (w *Watch) round(ctx context.Context, paused bool) {
@@ -165,11 +165,11 @@
 
 func (w *Watch) beat(ctx context.Context, n string, x *ward, addr string) {
 	for again := false; ; again = true {
-		cx, stop := context.WithTimeout(ctx, w.Bounds.Silent())
+		cx, stop := context.WithTimeout(ctx, w.Bounds.FailureTimeout())
 		at := w.Clock.Now()
 		_, err := Beat.Call(cx, w.Net, w.Self, addr, &BeatRequest{})
 		stop()
-		if !w.judge(ctx, n, x, w.Clock.Now().Sub(at), err, again) || w.Clock.Sleep(ctx, w.Bounds.Again()) != nil {
+		if !w.judge(ctx, n, x, w.Clock.Now().Sub(at), err, again) || w.Clock.Sleep(ctx, w.Bounds.RefusalRetryDelay()) != nil {
 			return
 		}
 	}
@@ -207,7 +207,7 @@
 
 // doubt asks the others that hold copies whether they hear a machine that is not heard here: a broken link between two is no loss.
 func (w *Watch) doubt(ctx context.Context, n string, x *ward, ring []string) {
-	cx, stop := context.WithTimeout(ctx, w.Bounds.Hedge())
+	cx, stop := context.WithTimeout(ctx, w.Bounds.HedgeDelay())
 	defer stop()
 	as := quorum.Gather(cx, ring, func(ctx context.Context, f string) (bool, error) {
 		a, ok := w.Addr(f)
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -101,13 +101,13 @@
 type Table struct {
 	mu     sync.Mutex
 	clk    clock.Clock
-	bounds settings.Bounds
+	bounds settings.Timing
 	m      map[string]seen
 	news   chan struct{}
 }
 
 // NewTable makes an empty table.
-func NewTable(c clock.Clock, b settings.Bounds) *Table {
+func NewTable(c clock.Clock, b settings.Timing) *Table {
 	return &Table{clk: c, bounds: b, m: map[string]seen{}, news: make(chan struct{})}
 }
 
@@ -125,7 +125,7 @@
 		return
 	}
 	t.m[i.Name] = seen{info: i, at: at}
-	if !ok || now.Sub(s.at) >= t.bounds.Session() || s.info.Differs(i) {
+	if !ok || now.Sub(s.at) >= t.bounds.SessionTimeout() || s.info.Differs(i) {
 		close(t.news)
 		t.news = make(chan struct{})
 	}
@@ -151,9 +151,9 @@
 	var is []Info
 	for n, s := range t.m {
 		age := now.Sub(s.at)
-		if age < t.bounds.Session() {
+		if age < t.bounds.SessionTimeout() {
 			is = append(is, s.info)
-		} else if age > forgetAfter*t.bounds.Session() {
+		} else if age > forgetAfter*t.bounds.SessionTimeout() {
 			delete(t.m, n)
 		}
 	}
@@ -168,7 +168,7 @@
 	defer t.mu.Unlock()
 	var hs []Heard
 	for _, s := range t.m {
-		if age := now.Sub(s.at); age < t.bounds.Session() {
+		if age := now.Sub(s.at); age < t.bounds.SessionTimeout() {
 			hs = append(hs, Heard{Info: s.info, Age: age})
 		}
 	}
--- a/internal/membership/reachability/touch.go
+++ b/internal/membership/reachability/touch.go
@@ -40,7 +40,7 @@
 type Touch struct {
 	Self   string
 	Clock  clock.Clock
-	Bounds settings.Bounds
+	Bounds settings.Timing
 	Net    wire.Network
 	// Heard tells when the fleet was last heard in the ordinary way, the zero time when it never was.
 	Heard func() time.Time
@@ -60,12 +60,12 @@
 // are called and peers asked at once, and when none of the former answers, peers that reach them take the visitors.
 func (t *Touch) Run(ctx context.Context) {
 	away := false
-	for pause := t.Bounds.Beat(); t.Clock.Sleep(ctx, pause) == nil; {
-		pause = t.Bounds.Beat()
+	for pause := t.Bounds.PingInterval(); t.Clock.Sleep(ctx, pause) == nil; {
+		pause = t.Bounds.PingInterval()
 		reached, to := true, []membership.Info(nil)
 		if t.doubtful() {
 			if reached, to = t.look(ctx, !away); reached {
-				pause = t.Bounds.Heartbeat()
+				pause = t.Bounds.HeartbeatInterval()
 			}
 		}
 		switch {
@@ -109,12 +109,12 @@
 func (t *Touch) doubtful() bool {
 	_, ok := t.Usual()
 	at := t.Heard()
-	return ok && !at.IsZero() && t.Clock.Now().Sub(at) > t.Bounds.Heartbeat()*doubtOf/doubtIn+t.slack()
+	return ok && !at.IsZero() && t.Clock.Now().Sub(at) > t.Bounds.HeartbeatInterval()*doubtOf/doubtIn+t.slack()
 }
 
 // reached calls the machines that decide, and tells how many of how many answered, as soon as a share of them did.
 func (t *Touch) reached(ctx context.Context, share int) (n, all int) {
-	cx, stop := context.WithTimeout(ctx, t.Bounds.Hedge()+t.slack())
+	cx, stop := context.WithTimeout(ctx, t.Bounds.HedgeDelay()+t.slack())
 	defer stop()
 	as := t.Owners()
 	most := max(1, (len(as)+share-1)/share)
@@ -131,12 +131,12 @@
 	for _, g := range t.Peers() {
 		rand.Shuffle(len(g), func(i, k int) { g[i], g[k] = g[k], g[i] })
 		g = g[:min(len(g), askedMost)]
-		cx, stop := context.WithTimeout(ctx, 2*t.Bounds.Hedge())
+		cx, stop := context.WithTimeout(ctx, 2*t.Bounds.HedgeDelay())
 		as := quorum.Successes(quorum.Gather(cx, g, func(ctx context.Context, i membership.Info) (*ReachResponse, error) {
 			a, err := Reach.Call(ctx, t.Net, t.Self, i.Peers, &ReachRequest{})
 			if err == nil && a.Well {
 				go func() {
-					_ = t.Clock.Sleep(cx, t.Bounds.Soon())
+					_ = t.Clock.Sleep(cx, t.Bounds.InitialBackoff())
 					stop()
 				}()
 			}
--- a/internal/node/leaders/heir.go
+++ b/internal/node/leaders/heir.go
@@ -54,7 +54,7 @@
 		if r.Owner != node || !k.named(r) {
 			continue
 		}
-		turn := time.Duration(r.Heirs(k.Able).Turn(k.Self)) * k.Bounds.Jitter()
+		turn := time.Duration(r.Heirs(k.Able).Turn(k.Self)) * k.Bounds.ClaimJitter()
 		if turn < 0 || k.Clock.Now().Sub(since) < turn || !k.heirs.begin(p) {
 			continue
 		}
@@ -66,7 +66,7 @@
 }
 
 func (k *Keeper) inherit(ctx context.Context, r assignment.Record, why string) {
-	cx, stop := context.WithTimeout(ctx, k.Bounds.Call())
+	cx, stop := context.WithTimeout(ctx, k.Bounds.CallTimeout())
 	defer stop()
 	n := r.Next(k.Self, r.Replicas, "the owner is gone: "+why, k.Clock.Now())
 	v, err := k.Client.Change(cx, assignment.Key(r.Partition), r.Writes, registerclient.Name(), n.Pack())
@@ -78,7 +78,7 @@
 	}
 	if !apierror.HasCode(err, apierror.StaleBase) {
 		k.Log.Say(event.PlaceTrouble, "partition", r.Partition, "problem", err)
-		_ = k.Clock.Sleep(ctx, clock.Jitter(k.Bounds.Beat(), 1, rand.Float64()))
+		_ = k.Clock.Sleep(ctx, clock.Jitter(k.Bounds.PingInterval(), 1, rand.Float64()))
 	}
 	_, _ = k.read(cx, r.Partition)
 }
--- a/internal/node/leaders/owners.go
+++ b/internal/node/leaders/owners.go
@@ -24,7 +24,7 @@
 type Keeper struct {
 	Self    string
 	Clock   clock.Clock
-	Bounds  settings.Bounds
+	Bounds  settings.Timing
 	Board   *gossip.Board
 	Client  *registerclient.Client
 	Replica *replica.Replica
@@ -83,7 +83,7 @@
 		cx, stop := context.WithCancel(ctx)
 		due := make(chan struct{})
 		go func() {
-			_ = k.Clock.Sleep(cx, k.Bounds.Tend())
+			_ = k.Clock.Sleep(cx, k.Bounds.ReconcileInterval())
 			close(due)
 		}()
 		select {
@@ -101,14 +101,14 @@
 		wg.Go(func() {
 			for try := 0; ctx.Err() == nil && k.Board.Record(p).Epoch == 0; try++ {
 				if k.Board.Roster().Sequence > 0 {
-					cx, stop := context.WithTimeout(ctx, k.Bounds.Call())
+					cx, stop := context.WithTimeout(ctx, k.Bounds.CallTimeout())
 					_, err := k.read(cx, p)
 					stop()
 					if err == nil {
 						return
 					}
 				}
-				_ = k.Clock.Sleep(ctx, k.Bounds.Grown(try))
+				_ = k.Clock.Sleep(ctx, k.Bounds.Backoff(try))
 			}
 		})
 	}
@@ -171,7 +171,7 @@
 		delete(k.m, o.Rec.Partition)
 	}
 	k.mu.Unlock()
-	if alone && k.Clock.Sleep(ctx, k.Bounds.Retry()) == nil {
+	if alone && k.Clock.Sleep(ctx, k.Bounds.MaxBackoff()) == nil {
 		k.revive(ctx, o.Rec.Partition)
 	}
 }
@@ -179,7 +179,7 @@
 // revive asks for a new epoch of a partition that the record names this node for, under one that this disk used before.
 func (k *Keeper) revive(ctx context.Context, p int) {
 	for try := 0; !k.reread(ctx, p); try++ {
-		if k.Clock.Sleep(ctx, k.Bounds.Grown(try)) != nil {
+		if k.Clock.Sleep(ctx, k.Bounds.Backoff(try)) != nil {
 			return
 		}
 	}
@@ -188,7 +188,7 @@
 // reread looks whether the record still names this node, though nobody decides here, and asks for a new epoch then. It tells whether it
 // came to an end: until the record was read, nobody else would notice.
 func (k *Keeper) reread(ctx context.Context, p int) bool {
-	cx, stop := context.WithTimeout(ctx, k.Bounds.Settle())
+	cx, stop := context.WithTimeout(ctx, k.Bounds.TakeoverTimeout())
 	defer stop()
 	r, err := k.read(cx, p)
 	if err != nil {
@@ -240,7 +240,7 @@
 				return true
 			}
 		}
-		_ = k.Clock.Sleep(ctx, k.Bounds.Grown(try))
+		_ = k.Clock.Sleep(ctx, k.Bounds.Backoff(try))
 	}
 	return false
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -140,7 +140,7 @@
 	if err != nil {
 		return err
 	}
-	j.Limit(int64(n.opts.Room)<<20, n.bounds().Tend())
+	j.Limit(int64(n.opts.DiskMB)<<20, n.bounds().ReconcileInterval())
 	n.journal = j
 	n.log.Say(event.DiskOpened, "records", r.Records)
 	if r.Torn > 0 {
@@ -167,14 +167,14 @@
 }
 
 func (n *Node) agree(r voters.Roster) error {
-	cx, stop := context.WithTimeout(context.Background(), n.bounds().Call())
+	cx, stop := context.WithTimeout(context.Background(), n.bounds().CallTimeout())
 	defer stop()
 	return n.founder.Agree(cx, r)
 }
 
 func (n *Node) goes(f func()) { n.wg.Go(f) }
 
-func (n *Node) bounds() settings.Bounds { return n.options().Bounds() }
+func (n *Node) bounds() settings.Timing { return n.options().Timing() }
 
 func (n *Node) options() settings.Options {
 	n.mu.Lock()
@@ -187,7 +187,7 @@
 	n.mu.Lock()
 	o, st, fit := n.opts, n.stage, n.fitness
 	n.mu.Unlock()
-	i := membership.Info{Name: o.Name, Zone: o.Zone, Listen: o.Listen, Peers: o.Reached(), Visits: o.Visits, Disk: o.Disk, Boot: n.boot, Stage: st, Fitness: fit, Description: n.Board.Description().Sequence, Build: Build, Wire: wire.FormatVersion, Homes: true, Keys: true, Processor: o.Carries(), Roster: n.Board.Roster().Sequence}
+	i := membership.Info{Name: o.Name, Zone: o.Zone, Listen: o.Listen, Peers: o.DialAddress(), Visits: o.ClientListen, Disk: o.Disk, Boot: n.boot, Stage: st, Fitness: fit, Description: n.Board.Description().Sequence, Build: Build, Wire: wire.FormatVersion, Homes: true, Keys: true, Processor: o.ClientCapacity(), Roster: n.Board.Roster().Sequence}
 	if n.keeper != nil {
 		i.Deaf = !n.keeper.Confirmed()
 	}
@@ -197,7 +197,7 @@
 	if n.id != nil {
 		i.Incarnation = n.id.Get().Incarnation
 	}
-	if n.voter != nil && o.Voter() {
+	if n.voter != nil && o.HasControlDisk() {
 		i.Roster = n.voter.Roster().Sequence
 	}
 	if n.owners != nil {
@@ -292,9 +292,9 @@
 }
 
 func (n *Node) build(ctx context.Context) {
-	o, b := n.opts, n.opts.Bounds()
+	o, b := n.opts, n.opts.Timing()
 	self, net, clk := o.Name, n.w.Net, n.w.Clock
-	if o.Voter() {
+	if o.HasControlDisk() {
 		n.table = membership.NewTable(clk, b)
 		n.holder = register.New(self, net, clk, b, n, n.told)
 		mender := &repair.Mender{Self: self, Net: net, Bounds: b}
@@ -309,32 +309,32 @@
 	n.leaves = bootstrap.NewLeaves(o, func() uint64 { return n.Board.Roster().Sequence })
 	n.client = registerclient.New(self, net, b, n.members, n.holder)
 	n.keeper = &nodelease.Keeper{Opts: o, Clock: clk, Net: net, Board: n.Board, View: n.View, Info: n.Info, Local: n.host, Log: n.log}
-	n.gossip = &gossip.Gossip{Self: self, Net: net, Clock: clk, Bounds: b, Board: n.Board, View: n.View.All, Control: o.Voter(), Disk: o.Disk != settings.DiskNone}
-	if o.Voter() {
+	n.gossip = &gossip.Gossip{Self: self, Net: net, Clock: clk, Bounds: b, Board: n.Board, View: n.View.All, Control: o.HasControlDisk(), Disk: o.Disk != settings.DiskNone}
+	if o.HasControlDisk() {
 		n.duty = &controller.Duty{Self: self, Clock: clk, Bounds: b, Holder: n.holder, Client: n.client, Board: n.Board, Live: n.table.Live, Tell: n.gossip.Tell, Changed: n.table.Changed, Log: n.log}
 	}
 	n.owners = &leaders.Keeper{Self: self, Clock: clk, Bounds: b, Board: n.Board, Client: n.client, Replica: n.replica, Log: n.log, Able: n.able, Tell: n.gossip.Tell}
 	n.watch = &failuredetector.Watch{Self: self, Boot: n.boot, Clock: clk, Bounds: b, Net: net, Board: n.Board, Addr: n.reach, Gone: n.owners.Inherit}
 	n.owners.Deps = leader.Deps{
 		Self: self, Net: net, Clock: clk, Bounds: b, Replica: n.replica, Still: idle.New(ctx, self, net, clk, b), Addr: n.addr, Licensed: n.keeper.Licensed,
-		Batch:   func() time.Duration { return n.options().Batch() },
+		Batch:   func() time.Duration { return n.options().ChangelogInterval() },
 		Backlog: func() int { return n.options().Backlog },
-		Marks:   func() int { return n.options().Marks },
-		Stretch: time.Duration(o.Stretch),
+		Marks:   func() int { return n.options().MaxTombstones },
+		Stretch: time.Duration(o.LeaseExtension),
 		Longest: func() time.Duration {
 			if x := n.Board.Index(); x.Sequence > 0 {
 				return x.Longest
 			}
-			return b.KeptMost()
+			return b.MaxRetention()
 		},
 		Settled: n.owners.Settled, Promote: n.owners.Promote, Log: (*ownerLog)(n), Witness: n.w.Witness,
 	}
-	n.desk = &router.Desk{Self: self, Net: net, Clock: clk, Bounds: b, Board: n.Board, View: n.View, Owners: n.owners, Backlog: func() int { return n.options().Backlog }, Packs: o.Packs()}
+	n.desk = &router.Desk{Self: self, Net: net, Clock: clk, Bounds: b, Board: n.Board, View: n.View, Owners: n.owners, Backlog: func() int { return n.options().Backlog }, Packs: o.CompressStreams()}
 	n.presence = presence.New(self, net, b, n.View)
 	n.gates = admission.New(o.Backlog)
 	n.turned = rejections.New()
 	n.Visitors = &client.Service{
-		Clock: clk, Bounds: b, Body: o.Body, Board: n.Board, Desk: n.desk, Presence: n.presence, Gates: n.gates,
+		Clock: clk, Bounds: b, Body: o.BodyLimit, Board: n.Board, Desk: n.desk, Presence: n.presence, Gates: n.gates,
 		Feeds: stream.New(ctx, self, n.boot, n.desk, clk, b), Licensed: n.keeper.Licensed, Leaving: n.leaving,
 		Heard: func(t *client.Task, err error) {
 			n.log.Say(event.Turned, "verb", t.Verb, "visitor", t.Visitor, "problem", err)
@@ -348,7 +348,7 @@
 	n.hub = fanout.New(ctx, self, n.boot, n.desk, n.Board, clk, b)
 	n.House = (&session.House{
 		Self: self, Clock: clk, Bounds: b, Board: n.Board, Hub: n.hub, Ledger: n.desk, Licensed: n.keeper.Licensed,
-		Leaving: n.leaving, Members: n.View.All, Info: n.Info, Body: o.Body,
+		Leaving: n.leaving, Members: n.View.All, Info: n.Info, Body: o.BodyLimit,
 	}).Open(ctx)
 	n.touch = &reachability.Touch{
 		Self: self, Clock: clk, Bounds: b, Net: net, Heard: n.keeper.Heard, Usual: n.keeper.Usual, Owners: n.deciders, Peers: n.nearest, Able: n.Ready,
@@ -415,10 +415,10 @@
 	n.goes(func() { n.gossip.Run(ctx) })
 	n.goes(func() { n.hub.Run(ctx) })
 	n.goes(func() { n.House.Run(ctx) })
-	if n.opts.Visits != "" {
+	if n.opts.ClientListen != "" {
 		n.goes(func() { n.touch.Run(ctx) })
 	}
-	if n.opts.Voter() {
+	if n.opts.HasControlDisk() {
 		n.goes(func() { n.host.Run(ctx) })
 		n.goes(func() { n.confirm.Run(ctx) })
 		n.goes(func() { n.reconfigurer.Run(ctx) })
@@ -442,7 +442,7 @@
 func (n *Node) disk(ctx context.Context) {
 	b := n.bounds()
 	swept, dropped := n.w.Clock.Now(), n.w.Clock.Now()
-	for n.w.Clock.Sleep(ctx, b.Tend()) == nil {
+	for n.w.Clock.Sleep(ctx, b.ReconcileInterval()) == nil {
 		if f := n.Board.Roster().Fleet; f != "" {
 			if err := n.id.Join(ctx, n.journal, f); apierror.HasCode(err, apierror.DiskForeign) {
 				if n.setFitness(string(apierror.DiskForeign)) {
@@ -451,13 +451,13 @@
 				continue
 			}
 		}
-		if n.w.Clock.Now().Sub(dropped) > b.Sweep() {
+		if n.w.Clock.Now().Sub(dropped) > b.SweepInterval() {
 			dropped = n.w.Clock.Now()
 			n.owners.Orphans(ctx)
 		}
 		err := n.journal.Fault()
 		if err != nil {
-			err = n.journal.Probe(ctx, b.Call())
+			err = n.journal.Probe(ctx, b.CallTimeout())
 		}
 		if err != nil && ctx.Err() == nil {
 			if n.setFitness(string(apierror.From(err).Code)) {
@@ -468,7 +468,7 @@
 		if n.setFitness("") {
 			n.log.Say(event.DiskHealed)
 		}
-		if n.w.Clock.Now().Sub(swept) > b.Sweep() {
+		if n.w.Clock.Now().Sub(swept) > b.SweepInterval() {
 			swept = n.w.Clock.Now()
 			n.scrub(ctx)
 		}
@@ -543,7 +543,7 @@
 	n.stage = membership.Leaving
 	n.mu.Unlock()
 	close(n.leaving)
-	ctx, stop := context.WithTimeout(context.Background(), b.Stop()*3/4)
+	ctx, stop := context.WithTimeout(context.Background(), b.ShutdownTimeout()*3/4)
 	defer stop()
 	able := func(p assignment.Place) bool {
 		i, ok := n.View.Get(p.Node)
@@ -551,7 +551,7 @@
 	}
 	k := 0
 	if n.replica != nil {
-		k = n.owners.HandOver(ctx, able, b.HandOver())
+		k = n.owners.HandOver(ctx, able, b.TransferTimeout())
 	}
 	h := 0
 	if n.holder != nil {
@@ -563,7 +563,7 @@
 		}
 		h = n.holder.HandOver(ctx, to)
 	}
-	cx, rest := context.WithTimeout(ctx, b.HandOver())
+	cx, rest := context.WithTimeout(ctx, b.TransferTimeout())
 	defer rest()
 	n.Visitors.Feeds.Rest(cx)
 	n.log.Say(event.HandedOver, "partitions", k, "keys", h)
@@ -581,16 +581,16 @@
 func (n *Node) Apply(o settings.Options) error {
 	cur := n.options()
 	for _, f := range settings.Changed(cur, o) {
-		if _, ok := settings.Live[f]; !ok {
+		if _, ok := settings.Reloadable[f]; !ok {
 			return apierror.New(apierror.SettingsInvalid, "field %q can't change under a running node", f)
 		}
 	}
 	n.mu.Lock()
-	for _, f := range settings.Live {
+	for _, f := range settings.Reloadable {
 		f(&n.opts, o)
 	}
 	n.mu.Unlock()
-	n.log.Level(o.Level)
+	n.log.Level(o.LogLevel)
 	n.gates.Resize(o.Backlog)
 	return nil
 }
--- a/internal/nodelease/behind_test.go
+++ b/internal/nodelease/behind_test.go
@@ -17,7 +17,7 @@
 // A description that reaches everybody is no news of anybody: nodes are told only who has had an older one for longer than a lease, and that it has no longer.
 func TestOnlyWhoLagsBehindADescriptionIsTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := settings.DefaultBounds
+		b := settings.DefaultTiming
 		seq := uint64(7)
 		h := &Host{Self: "c1", Clock: clock.Real{}, Bounds: b, Table: membership.NewTable(clock.Real{}, b), Board: gossip.NewBoard(nil), Latest: func() Confirmed {
 			return Confirmed{OK: true, Sequence: seq, At: time.Now()}
@@ -26,7 +26,7 @@
 		var c membership.Copy
 		told := func(heartbeats int) (news []membership.Info) {
 			for range heartbeats {
-				time.Sleep(b.Heartbeat())
+				time.Sleep(b.HeartbeatInterval())
 				for _, n := range []string{"a1", "a2", "a3"} {
 					m := c.Mark()
 					a, err := h.Heartbeat(context.Background(), &HeartbeatRequest{Info: membership.Info{Name: n, Boot: "1", Stage: membership.Serving, Description: has[n]}, Have: &m})
@@ -40,7 +40,7 @@
 			}
 			return news
 		}
-		lease := int(b.Lease()/b.Heartbeat()) + 2
+		lease := int(b.LeaseDuration()/b.HeartbeatInterval()) + 2
 		assert.Equal(t, len(told(lease)), 3)
 		seq, has["a1"], has["a2"] = 8, 8, 8
 		assert.Equal(t, len(told(lease-3)), 0, "within a licence nobody is behind")
--- a/internal/nodelease/session.go
+++ b/internal/nodelease/session.go
@@ -75,7 +75,7 @@
 	Self   string
 	Seeds  []string
 	Clock  clock.Clock
-	Bounds settings.Bounds
+	Bounds settings.Timing
 	Net    wire.Network
 	Table  *membership.Table
 	Board  *gossip.Board
@@ -120,7 +120,7 @@
 		is.said = h.said
 	}
 	h.own[name] = is
-	young := now.Sub(h.since) < h.Bounds.Session()
+	young := now.Sub(h.since) < h.Bounds.SessionTimeout()
 	h.mu.Unlock()
 	if !ok || was.info.Differs(is.info) {
 		select {
@@ -164,7 +164,7 @@
 	var s []membership.Heard
 	for n, m := range h.own {
 		age := now.Sub(m.at)
-		if age > h.Bounds.Session() {
+		if age > h.Bounds.SessionTimeout() {
 			delete(h.own, n)
 			continue
 		}
@@ -175,7 +175,7 @@
 
 // Run tells the other control nodes this one's sessions every heartbeat, and at once when there is news of one.
 func (h *Host) Run(ctx context.Context) {
-	for ; ctx.Err() == nil; clock.Wait(ctx, h.Clock, h.Bounds.Heartbeat(), h.word(), nil) {
+	for ; ctx.Err() == nil; clock.Wait(ctx, h.Clock, h.Bounds.HeartbeatInterval(), h.word(), nil) {
 		if h.alone() {
 			go h.seek(ctx)
 		}
@@ -193,7 +193,7 @@
 
 // seek asks all seeds at once who they are and whom they know.
 func (h *Host) seek(ctx context.Context) {
-	cx, stop := context.WithTimeout(ctx, h.Bounds.Call())
+	cx, stop := context.WithTimeout(ctx, h.Bounds.CallTimeout())
 	defer stop()
 	me := h.Info()
 	met := map[string]string{}
@@ -220,7 +220,7 @@
 func (h *Host) exchange(ctx context.Context, addr string) {
 	for again := false; ; again = true {
 		q := h.task(addr)
-		cx, stop := context.WithTimeout(ctx, h.Bounds.Call())
+		cx, stop := context.WithTimeout(ctx, h.Bounds.CallTimeout())
 		a, err := membership.Sessions.Call(cx, h.Net, h.Self, addr, q)
 		stop()
 		away := wire.TurnedAway(err)
@@ -235,7 +235,7 @@
 		case again && away:
 			h.away(addr)
 			return
-		case again || !away || h.Clock.Sleep(ctx, h.Bounds.Again()) != nil:
+		case again || !away || h.Clock.Sleep(ctx, h.Bounds.RefusalRetryDelay()) != nil:
 			return
 		}
 	}
@@ -276,7 +276,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	q, ok := h.quiet[addr]
-	return ok && (q.away || h.Clock.Now().Sub(q.since) > quietMost*h.Bounds.Heartbeat())
+	return ok && (q.away || h.Clock.Now().Sub(q.since) > quietMost*h.Bounds.HeartbeatInterval())
 }
 
 func (h *Host) others() []string {
@@ -371,7 +371,7 @@
 	if len(k.lags) < lagsMost {
 		return 0
 	}
-	return max(slices.Sorted(slices.Values(k.lags))[lagAt], k.Opts.Bounds().Slow()/settings.SlowTimes)
+	return max(slices.Sorted(slices.Values(k.lags))[lagAt], k.Opts.Timing().SlowThreshold()/settings.SlowFactor)
 }
 
 // Usual gives the second shortest of the last few answered heartbeats' times, and whether there were enough. Heartbeats that were not answered don't count, so
@@ -390,10 +390,10 @@
 	now := k.Clock.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if now.Before(k.until) || !k.behind && !k.until.IsZero() && now.Before(k.until.Add(time.Duration(k.Opts.Stretch))) {
+	if now.Before(k.until) || !k.behind && !k.until.IsZero() && now.Before(k.until.Add(time.Duration(k.Opts.LeaseExtension))) {
 		return nil
 	}
-	return apierror.New(apierror.NoLease, "no control node confirmed the description within %s", k.Opts.Bounds().Lease()+time.Duration(k.Opts.Stretch))
+	return apierror.New(apierror.NoLease, "no control node confirmed the description within %s", k.Opts.Timing().LeaseDuration()+time.Duration(k.Opts.LeaseExtension))
 }
 
 // Confirmed tells whether the lease stands by a control node's word alone, not by the stretch.
@@ -434,7 +434,7 @@
 		k.met[q.From.Name] = mine{info: *q.From, at: now}
 	}
 	for n, m := range k.met {
-		if now.Sub(m.at) > k.Opts.Bounds().Session() {
+		if now.Sub(m.at) > k.Opts.Timing().SessionTimeout() {
 			delete(k.met, n)
 			continue
 		}
@@ -453,10 +453,10 @@
 
 // ask asks all seeds at once, and waits no longer than for the first that names a control node.
 func (k *Keeper) ask(ctx context.Context, not string) []membership.Info {
-	cx, stop := context.WithTimeout(ctx, k.Opts.Bounds().Call()/2)
+	cx, stop := context.WithTimeout(ctx, k.Opts.Timing().CallTimeout()/2)
 	defer stop()
 	var is []membership.Info
-	quorum.Gather(cx, others(k.Opts.Seeds, k.Opts.Reached()), func(ctx context.Context, a string) (*membership.HelloResponse, error) {
+	quorum.Gather(cx, others(k.Opts.Seeds, k.Opts.DialAddress()), func(ctx context.Context, a string) (*membership.HelloResponse, error) {
 		return membership.Hello.Call(ctx, k.Net, k.Opts.Name, a, &membership.HelloRequest{})
 	}, func(as []quorum.Result[string, *membership.HelloResponse]) bool {
 		if h := as[len(as)-1]; h.Err == nil {
@@ -516,7 +516,7 @@
 		case err != nil:
 			bad++
 			if apierror.HasCode(err, apierror.Unreachable) {
-				pause = k.Opts.Bounds().Again()
+				pause = k.Opts.Timing().RefusalRetryDelay()
 			}
 		default:
 			bad, worked = 0, true
@@ -534,14 +534,14 @@
 // pace is the pause before the next heartbeat: short while the first lease is to come, for no longer than a session, and a while longer
 // under a control node that began lately itself.
 func (k *Keeper) pace(begun time.Time) time.Duration {
-	b := k.Opts.Bounds()
+	b := k.Opts.Timing()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	age := k.Clock.Now().Sub(begun)
-	if k.until.IsZero() && age < b.Session() || k.young && age < b.Session()/2 {
-		return clock.Jitter(b.Eager(), 1, rand.Float64())
+	if k.until.IsZero() && age < b.SessionTimeout() || k.young && age < b.SessionTimeout()/2 {
+		return clock.Jitter(b.EagerHeartbeatInterval(), 1, rand.Float64())
 	}
-	return b.Heartbeat()
+	return b.HeartbeatInterval()
 }
 
 const missesMost = 2
@@ -603,13 +603,13 @@
 	if k.Local != nil && with.Name == k.Opts.Name {
 		return k.Local.Heartbeat(ctx, q)
 	}
-	cx, stop := context.WithTimeout(ctx, k.Opts.Bounds().Session()/3)
+	cx, stop := context.WithTimeout(ctx, k.Opts.Timing().SessionTimeout()/3)
 	defer stop()
 	return Heartbeat.Call(cx, k.Net, k.Opts.Name, with.Peers, q)
 }
 
 func (k *Keeper) beat(ctx context.Context, with membership.Info) error {
-	b := k.Opts.Bounds()
+	b := k.Opts.Timing()
 	sent := k.Clock.Now()
 	a, err := k.say(ctx, with)
 	k.took(k.Clock.Now().Sub(sent))
@@ -640,7 +640,7 @@
 		return apierror.New(apierror.NoLease, "description %d did not arrive yet", a.Sequence)
 	}
 	k.mu.Lock()
-	if t := sent.Add(b.Lease() - a.Age); t.After(k.until) {
+	if t := sent.Add(b.LeaseDuration() - a.Age); t.After(k.until) {
 		k.until = t
 	}
 	k.mu.Unlock()
--- a/internal/nodelease/session_test.go
+++ b/internal/nodelease/session_test.go
@@ -27,12 +27,12 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				o := settings.Default()
-				o.Name, o.Stretch = "a1", settings.Span(10*time.Second)
+				o.Name, o.LeaseExtension = "a1", settings.Duration(10*time.Second)
 				b := gossip.NewBoard(nil)
 				b.Offer(gossip.News{Roster: &voters.Roster{Sequence: 1, Fleet: "f"}})
 				info := func() membership.Info { return membership.Info{Name: "a1"} }
 				c := Confirmed{OK: true}
-				h := &Host{Self: "a1", Clock: clock.Real{}, Bounds: o.Bounds(), Table: membership.NewTable(clock.Real{}, o.Bounds()), Board: b, Info: info, Latest: func() Confirmed { return c }}
+				h := &Host{Self: "a1", Clock: clock.Real{}, Bounds: o.Timing(), Table: membership.NewTable(clock.Real{}, o.Timing()), Board: b, Info: info, Latest: func() Confirmed { return c }}
 				k := &Keeper{Opts: o, Clock: clock.Real{}, Board: b, View: membership.NewView(), Info: info, Local: h}
 				assert.Assert(t, k.Licensed() != nil, "a node starts without a licence")
 				c.At = time.Now()
@@ -44,13 +44,13 @@
 					c = Confirmed{OK: true, Sequence: 1, At: time.Now()}
 				}
 				assert.Assert(t, k.beat(context.Background(), info()) != nil)
-				time.Sleep(o.Bounds().Lease())
+				time.Sleep(o.Timing().LeaseDuration())
 				assert.Equal(t, k.Licensed() == nil, !newer)
 				assert.Assert(t, !k.Confirmed())
 				c = Confirmed{}
 				_ = k.beat(context.Background(), info())
 				assert.Equal(t, k.Licensed() == nil, !newer)
-				time.Sleep(time.Duration(o.Stretch))
+				time.Sleep(time.Duration(o.LeaseExtension))
 				assert.Assert(t, k.Licensed() != nil, "the stretch ends")
 			})
 		})
@@ -75,7 +75,7 @@
 		var asked []*HeartbeatRequest
 		var h *Host
 		start := func() {
-			h = &Host{Self: "c1", Clock: clock.Real{}, Bounds: o.Bounds(), Table: membership.NewTable(clock.Real{}, o.Bounds()), Board: b, Latest: func() Confirmed { return Confirmed{OK: true, At: time.Now()} }}
+			h = &Host{Self: "c1", Clock: clock.Real{}, Bounds: o.Timing(), Table: membership.NewTable(clock.Real{}, o.Timing()), Board: b, Latest: func() Confirmed { return Confirmed{OK: true, At: time.Now()} }}
 		}
 		start()
 		m := http.NewServeMux()
@@ -88,7 +88,7 @@
 		beat := func(whole ...bool) {
 			t.Helper()
 			asked = nil
-			time.Sleep(o.Bounds().Heartbeat())
+			time.Sleep(o.Timing().HeartbeatInterval())
 			assert.NilError(t, k.beat(context.Background(), membership.Info{Name: "c1", Peers: "127.0.0.1:1"}))
 			assert.Equal(t, len(asked), len(whole))
 			for n, q := range asked {
@@ -117,7 +117,7 @@
 		o := settings.Default()
 		o.Name = "a1"
 		b := gossip.NewBoard(nil)
-		h := &Host{Self: "c1", Clock: clock.Real{}, Bounds: o.Bounds(), Table: membership.NewTable(clock.Real{}, o.Bounds()), Board: b, Latest: func() Confirmed { return Confirmed{OK: true, At: time.Now()} }}
+		h := &Host{Self: "c1", Clock: clock.Real{}, Bounds: o.Timing(), Table: membership.NewTable(clock.Real{}, o.Timing()), Board: b, Latest: func() Confirmed { return Confirmed{OK: true, At: time.Now()} }}
 		m := http.NewServeMux()
 		whole := 0
 		takes := time.Millisecond
@@ -136,7 +136,7 @@
 			t.Helper()
 			whole, takes = 0, d
 			for range lagsMost + 2 {
-				time.Sleep(o.Bounds().Heartbeat())
+				time.Sleep(o.Timing().HeartbeatInterval())
 				assert.NilError(t, k.beat(context.Background(), membership.Info{Name: "c1", Peers: "127.0.0.1:1"}))
 			}
 			return whole
@@ -144,19 +144,19 @@
 		assert.Assert(t, beats(time.Millisecond) > 0)
 		told := 0
 		for range 4 {
-			for _, d := range []time.Duration{500 * time.Microsecond, time.Millisecond, 2 * time.Millisecond, o.Bounds().Slow() / settings.SlowTimes} {
+			for _, d := range []time.Duration{500 * time.Microsecond, time.Millisecond, 2 * time.Millisecond, o.Timing().SlowThreshold() / settings.SlowFactor} {
 				told += beats(d)
 			}
 		}
 		assert.Equal(t, told, 0)
-		for _, d := range []time.Duration{o.Bounds().Slow() / 2, 2 * o.Bounds().Slow()} {
+		for _, d := range []time.Duration{o.Timing().SlowThreshold() / 2, 2 * o.Timing().SlowThreshold()} {
 			assert.Assert(t, beats(d) > 0)
 			is := h.Table.Live()
 			assert.Equal(t, len(is), 1)
 			assert.Equal(t, is[0].Lag, d.Microseconds())
 		}
 		assert.Assert(t, beats(time.Millisecond) > 0)
-		assert.Assert(t, time.Duration(h.Table.Live()[0].Lag)*time.Microsecond < o.Bounds().Slow()/2)
+		assert.Assert(t, time.Duration(h.Table.Live()[0].Lag)*time.Microsecond < o.Timing().SlowThreshold()/2)
 	})
 }
 
@@ -167,7 +167,7 @@
 		hosts := map[string]*Host{}
 		var asked *membership.SessionsRequest
 		start := func(name, other string) {
-			h := &Host{Self: name, Clock: clock.Real{}, Bounds: o.Bounds(), Table: membership.NewTable(clock.Real{}, o.Bounds()), Board: gossip.NewBoard(nil), Latest: func() Confirmed { return Confirmed{} }, Info: func() membership.Info { return membership.Info{Name: name} }}
+			h := &Host{Self: name, Clock: clock.Real{}, Bounds: o.Timing(), Table: membership.NewTable(clock.Real{}, o.Timing()), Board: gossip.NewBoard(nil), Latest: func() Confirmed { return Confirmed{} }, Info: func() membership.Info { return membership.Info{Name: name} }}
 			h.Net = &reach{func(r *http.Request) (*http.Response, error) {
 				m := http.NewServeMux()
 				hosts[other].Serve(m)
@@ -182,7 +182,7 @@
 			assert.NilError(t, err)
 		}
 		round := func() {
-			time.Sleep(o.Bounds().Heartbeat())
+			time.Sleep(o.Timing().HeartbeatInterval())
 			asked = hosts["c1"].task("c2")
 			hosts["c1"].exchange(context.Background(), "c2")
 		}
@@ -228,7 +228,7 @@
 		o := settings.Default()
 		o.Name = "a1"
 		b := gossip.NewBoard(nil)
-		h := &Host{Self: "c1", Clock: clock.Real{}, Bounds: o.Bounds(), Table: membership.NewTable(clock.Real{}, o.Bounds()), Board: b, Latest: func() Confirmed { return Confirmed{OK: true, At: time.Now()} }}
+		h := &Host{Self: "c1", Clock: clock.Real{}, Bounds: o.Timing(), Table: membership.NewTable(clock.Real{}, o.Timing()), Board: b, Latest: func() Confirmed { return Confirmed{OK: true, At: time.Now()} }}
 		m := http.NewServeMux()
 		Heartbeat.Handle(m, func(ctx context.Context, q *HeartbeatRequest) (*HeartbeatResponse, error) {
 			assert.Assert(t, q.Brief == nil)
@@ -241,14 +241,14 @@
 		})
 		k := &Keeper{Opts: o, Clock: clock.Real{}, Net: &pair{m}, Board: b, View: membership.NewView(), Info: func() membership.Info { return membership.Info{Name: "a1", Boot: "1"} }}
 		for range 4 {
-			time.Sleep(o.Bounds().Heartbeat())
+			time.Sleep(o.Timing().HeartbeatInterval())
 			assert.NilError(t, k.beat(context.Background(), membership.Info{Name: "c1", Peers: "127.0.0.1:1"}))
 			_, ok := k.View.Get("a1")
 			assert.Assert(t, ok)
 		}
 		h.Net = &pair{m}
 		for range 4 {
-			time.Sleep(o.Bounds().Heartbeat())
+			time.Sleep(o.Timing().HeartbeatInterval())
 			h.exchange(context.Background(), "c2")
 		}
 		assert.Equal(t, len(asked), 4)
@@ -273,11 +273,11 @@
 		b := gossip.NewBoard(nil)
 		b.Offer(gossip.News{Roster: &voters.Roster{Sequence: 1, Fleet: "f"}})
 		info := func() membership.Info { return membership.Info{Name: "c1"} }
-		ready := time.Now().Add(o.Bounds().Heartbeat() * 2)
+		ready := time.Now().Add(o.Timing().HeartbeatInterval() * 2)
 		latest := func() Confirmed {
 			return Confirmed{OK: time.Now().After(ready), At: time.Now()}
 		}
-		h := &Host{Self: "c1", Clock: clock.Real{}, Bounds: o.Bounds(), Table: membership.NewTable(clock.Real{}, o.Bounds()), Board: b, Info: info, Latest: latest}
+		h := &Host{Self: "c1", Clock: clock.Real{}, Bounds: o.Timing(), Table: membership.NewTable(clock.Real{}, o.Timing()), Board: b, Info: info, Latest: latest}
 		var lg bytes.Buffer
 		k := &Keeper{Opts: o, Clock: clock.Real{}, Board: b, View: membership.NewView(), Info: info, Local: h, Log: event.NewLogger(hclog.New(&hclog.LoggerOptions{Level: hclog.Info, Output: &lg}))}
 		ctx, stop := context.WithCancel(context.Background())
@@ -286,7 +286,7 @@
 			defer close(done)
 			k.Run(ctx)
 		}()
-		time.Sleep(o.Bounds().Heartbeat()*2 + o.Bounds().Heartbeat()/2)
+		time.Sleep(o.Timing().HeartbeatInterval()*2 + o.Timing().HeartbeatInterval()/2)
 		synctest.Wait()
 		assert.NilError(t, k.Licensed(), "licensed within half a pulse after the first confirmation")
 		assert.Equal(t, k.With(), "c1")
--- a/internal/nodelease/story.go
+++ b/internal/nodelease/story.go
@@ -30,7 +30,7 @@
 func (h *Host) members() *membership.Roll {
 	now := h.Clock.Now()
 	h.mu.Lock()
-	fresh := h.told.seen != nil && now.Sub(h.told.looked) < h.Bounds.Heartbeat()/looksPerHeartbeat
+	fresh := h.told.seen != nil && now.Sub(h.told.looked) < h.Bounds.HeartbeatInterval()/looksPerHeartbeat
 	if fresh {
 		select {
 		case <-h.told.seen:
@@ -62,7 +62,7 @@
 	if c.OK && c.Sequence != h.told.put {
 		h.told.put, h.told.from = c.Sequence, c.At
 	}
-	if h.Clock.Now().Sub(h.told.from) >= h.Bounds.Lease() {
+	if h.Clock.Now().Sub(h.told.from) >= h.Bounds.LeaseDuration() {
 		h.told.due = h.told.put
 	}
 	return h.told.due
@@ -74,7 +74,7 @@
 	var s membership.Story
 	for _, x := range h.sessions() {
 		is = append(is, x.Info)
-		if x.Age > h.Bounds.Heartbeat()+h.Bounds.Heartbeat()/lateShare {
+		if x.Age > h.Bounds.HeartbeatInterval()+h.Bounds.HeartbeatInterval()/lateShare {
 			if s.Late == nil {
 				s.Late = map[string]time.Duration{}
 			}
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -86,7 +86,7 @@
 			s.Log.Say(event.DrainAsked, "node", node, "partitions", x.Left)
 			return x, nil
 		}
-		again := apierror.HasCode(err, apierror.StaleBase) || apierror.HasCode(err, apierror.StaleVoterSet) && s.Clock.Sleep(ctx, s.Bounds.Retry()) == nil
+		again := apierror.HasCode(err, apierror.StaleBase) || apierror.HasCode(err, apierror.StaleVoterSet) && s.Clock.Sleep(ctx, s.Bounds.MaxBackoff()) == nil
 		if !again || ctx.Err() != nil {
 			return nil, outcome(true, err)
 		}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -31,7 +31,7 @@
 // Service serves operators on one node.
 type Service struct {
 	Clock    clock.Clock
-	Bounds   settings.Bounds
+	Bounds   settings.Timing
 	Net      wire.Network
 	Client   *registerclient.Client
 	Board    *gossip.Board
@@ -53,7 +53,7 @@
 const deadlineShare = 3
 
 func (s *Service) limit(ctx context.Context) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, deadlineShare*s.Bounds.Call())
+	return context.WithTimeout(ctx, deadlineShare*s.Bounds.CallTimeout())
 }
 
 // Status is what a node knows of the fleet.
@@ -153,7 +153,7 @@
 		return nil, err
 	}
 	d := Detail{Topic: topic, Urgent: partition.Urgent(p, l), Record: c.value}
-	cx, end := context.WithTimeout(ctx, s.Bounds.Call())
+	cx, end := context.WithTimeout(ctx, s.Bounds.CallTimeout())
 	defer end()
 	d.Withdrawn, _ = s.Marks(cx, p)
 	return d, nil
--- a/internal/operator/replace.go
+++ b/internal/operator/replace.go
@@ -103,7 +103,7 @@
 		if !doubt && !apierror.HasCode(err, apierror.StaleVoterSet) {
 			return nil, err
 		}
-		if e := s.Clock.Sleep(ctx, s.Bounds.Retry()); e != nil {
+		if e := s.Clock.Sleep(ctx, s.Bounds.MaxBackoff()); e != nil {
 			return nil, outcome(doubt, err)
 		}
 	}
@@ -168,7 +168,7 @@
 func (s *Service) check(d configuration.Description) error {
 	f := d.Faults()
 	for i, x := range d.Spaces {
-		if most := uint64(s.Bounds.KeptMost().Milliseconds()); x.KeepMS > most {
+		if most := uint64(s.Bounds.MaxRetention().Milliseconds()); x.KeepMS > most {
 			f = append(f, apierror.Fault{Path: fmt.Sprintf("$.spaces[%d].keep_ms", i), Message: fmt.Sprintf("must be at most ten times the fleet's keeping (%d), is %d", most, x.KeepMS)})
 		}
 	}
--- a/internal/partitionlog/idle/still.go
+++ b/internal/partitionlog/idle/still.go
@@ -49,14 +49,14 @@
 	self   string
 	net    wire.Network
 	clk    clock.Clock
-	bounds settings.Bounds
+	bounds settings.Timing
 	ctx    context.Context
 	mu     sync.Mutex
 	m      map[Disk]*group
 }
 
 // New makes an empty set that lives as long as ctx.
-func New(ctx context.Context, self string, n wire.Network, c clock.Clock, b settings.Bounds) *Lines {
+func New(ctx context.Context, self string, n wire.Network, c clock.Clock, b settings.Timing) *Lines {
 	return &Lines{self: self, net: n, clk: c, bounds: b, ctx: ctx, m: map[Disk]*group{}}
 }
 
@@ -139,7 +139,7 @@
 		q.Lines[w.line.Kind] = append(q.Lines[w.line.Kind], w.line.Partition)
 	}
 	q.Sum = replica.Sum(ss)
-	cx, stop := context.WithTimeout(l.ctx, l.bounds.Call())
+	cx, stop := context.WithTimeout(l.ctx, l.bounds.CallTimeout())
 	a, err := replica.Still.Call(cx, l.net, l.self, d.Addr, q)
 	stop()
 	said := Alike
--- a/internal/partitionlog/idle/still_test.go
+++ b/internal/partitionlog/idle/still_test.go
@@ -63,7 +63,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		l := New(ctx, "s1", c, clock.Real{}, settings.DefaultBounds)
+		l := New(ctx, "s1", c, clock.Real{}, settings.DefaultTiming)
 		said, news := make([]chan Said, n), make(chan struct{})
 		begun := time.Now()
 		for p := range n {
@@ -111,7 +111,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		c := &copies{}
-		l := New(ctx, "s1", c, clock.Real{}, settings.DefaultBounds)
+		l := New(ctx, "s1", c, clock.Real{}, settings.DefaultTiming)
 		begun, said := time.Now(), make(chan Said, 2)
 		for p, due := range []time.Duration{2 * time.Second, time.Second} {
 			go func() { said <- l.Wait(ctx, Disk{"at-s2", "disk"}, at(p), begun.Add(due), nil, nil) }()
--- a/internal/partitionlog/leader/assure.go
+++ b/internal/partitionlog/leader/assure.go
@@ -58,7 +58,7 @@
 }
 
 func (o *Owner) ask(ctx context.Context) error {
-	cx, stop := context.WithTimeout(ctx, o.d.Bounds.Call())
+	cx, stop := context.WithTimeout(ctx, o.d.Bounds.CallTimeout())
 	defer stop()
 	as := quorum.Gather(cx, o.Rec.Replicas, func(ctx context.Context, p assignment.Place) (bool, error) {
 		q := &replica.AppendRequest{Target: replica.Target{Partition: o.Rec.Partition, Incarnation: p.Incarnation, Epoch: o.Rec.Epoch}, Kind: log.Ledger, Urgent: o.Urgent}
--- a/internal/partitionlog/leader/fan.go
+++ b/internal/partitionlog/leader/fan.go
@@ -105,7 +105,7 @@
 	if f == nil || f.boot != boot {
 		return nil
 	}
-	f.until = o.d.Clock.Now().Add(o.d.Bounds.Spread + o.d.Bounds.Session())
+	f.until = o.d.Clock.Now().Add(o.d.Bounds.Spread + o.d.Bounds.SessionTimeout())
 	return f
 }
 
@@ -332,7 +332,7 @@
 	defer o.mu.Unlock()
 	f.polls--
 	if ctx.Err() != nil && f.polls == 0 {
-		f.until = o.d.Clock.Now().Add(2 * o.d.Bounds.Retry())
+		f.until = o.d.Clock.Now().Add(2 * o.d.Bounds.MaxBackoff())
 	}
 }
 
--- a/internal/partitionlog/leader/learner.go
+++ b/internal/partitionlog/leader/learner.go
@@ -47,7 +47,7 @@
 }
 
 func (o *Owner) raise(ctx context.Context, l assignment.Place) {
-	for o.d.Clock.Sleep(ctx, o.d.Bounds.Retry()/raiseShare) == nil {
+	for o.d.Clock.Sleep(ctx, o.d.Bounds.MaxBackoff()/raiseShare) == nil {
 		o.mu.Lock()
 		up := true
 		for _, t := range o.tracks {
@@ -57,7 +57,7 @@
 		o.mu.Unlock()
 		if up {
 			o.d.Promote(ctx, rec, l)
-			_ = o.d.Clock.Sleep(ctx, o.d.Bounds.Tend())
+			_ = o.d.Clock.Sleep(ctx, o.d.Bounds.ReconcileInterval())
 		}
 	}
 }
--- a/internal/partitionlog/leader/marks.go
+++ b/internal/partitionlog/leader/marks.go
@@ -388,7 +388,7 @@
 
 // patience is how long a reader is waited for that was not heard and was no member.
 func (o *Owner) patience() time.Duration {
-	return o.d.Bounds.KeptFor(o.d.Longest()) + o.d.Bounds.Lease() + o.d.Stretch
+	return o.d.Bounds.RetentionFor(o.d.Longest()) + o.d.Bounds.LeaseDuration() + o.d.Stretch
 }
 
 // abandon gives up the readers that keep marks and were neither heard nor members for long.
@@ -415,7 +415,7 @@
 		switch {
 		case !r.GivenUp && now.Sub(h.last) > o.patience() && now.Sub(h.member) > o.patience():
 			o.enter(n, state.Reads{Boot: r.Boot, GivenUp: true})
-		case near && now.Sub(h.last) > o.d.Bounds.Session():
+		case near && now.Sub(h.last) > o.d.Bounds.SessionTimeout():
 			go o.visit(o.ctx, n, addr, r.Boot)
 		}
 	}
@@ -430,7 +430,7 @@
 // visit asks a node that keeps marks and is silent which run it is in: where it is another one, nothing is left of the one that read. What reads under a
 // boot that begins with that of the run belongs to it.
 func (o *Owner) visit(ctx context.Context, node, addr, boot string) {
-	cx, stop := context.WithTimeout(ctx, o.d.Bounds.Call())
+	cx, stop := context.WithTimeout(ctx, o.d.Bounds.CallTimeout())
 	defer stop()
 	a, err := membership.Hello.Call(cx, o.d.Net, o.d.Self, addr, &membership.HelloRequest{})
 	if err != nil || a.Info.Name != home(node) || a.Info.Boot == "" || strings.HasPrefix(boot, a.Info.Boot) {
--- a/internal/partitionlog/leader/marks_test.go
+++ b/internal/partitionlog/leader/marks_test.go
@@ -66,7 +66,7 @@
 			r.members[n] = "at-" + n
 		}
 		r.Owner = New(Deps{
-			Self: "s1", Net: r, Clock: clock.Real{}, Bounds: settings.DefaultBounds, Replica: replica.New(clock.Real{}), Log: r,
+			Self: "s1", Net: r, Clock: clock.Real{}, Bounds: settings.DefaultTiming, Replica: replica.New(clock.Real{}), Log: r,
 			Backlog: func() int { return 64 }, Licensed: func() error { return nil }, Longest: func() time.Duration { return 0 }, Stretch: time.Second,
 			Addr: func(n string) (string, bool) { a, ok := r.members[n]; return a, ok },
 		}, rec, false)
@@ -194,7 +194,7 @@
 }
 
 func (r *rig) forgotten(at uint64) (*Unheard, error) {
-	return r.Forgotten(r.t.Context(), at, r.d.Bounds.Hold())
+	return r.Forgotten(r.t.Context(), at, r.d.Bounds.LongPoll())
 }
 
 // What was withdrawn is passed over, what is written anew under its key is not, and a withdrawal that is not on a majority withdraws nothing yet.
@@ -507,7 +507,7 @@
 		u, err := r.forgotten(at)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, u.Nodes, []string{"a1", "a2"})
-		assert.Equal(t, time.Since(begun), r.d.Bounds.Hold())
+		assert.Equal(t, time.Since(begun), r.d.Bounds.LongPoll())
 		r.polls("a1", "b", at-1)
 		r.polls("a2", "b", at)
 		r.polls("a1", "c", at)
@@ -694,7 +694,7 @@
 		r.locked(func() { r.enter("a2/streams", state.Reads{Boot: "b.1", GivenUp: true}) })
 		r.lands()
 		tend := func() {
-			time.Sleep(r.d.Bounds.Session() + time.Second)
+			time.Sleep(r.d.Bounds.SessionTimeout() + time.Second)
 			r.locked(r.abandon)
 			synctest.Wait()
 			r.lands()
--- a/internal/partitionlog/leader/owner.go
+++ b/internal/partitionlog/leader/owner.go
@@ -32,7 +32,7 @@
 	Self    string
 	Net     wire.Network
 	Clock   clock.Clock
-	Bounds  settings.Bounds
+	Bounds  settings.Timing
 	Batch   func() time.Duration
 	Backlog func() int
 	Replica *replica.Replica
--- a/internal/partitionlog/leader/read_test.go
+++ b/internal/partitionlog/leader/read_test.go
@@ -24,7 +24,7 @@
 
 func (f *feed) asks(q ReadRequest) chan *Reading {
 	f.mu.Lock()
-	q.Node, q.Boot, q.Turn, q.Marks, q.Hold = "a1/streams", f.boot, f.turn, true, f.d.Bounds.Hold()
+	q.Node, q.Boot, q.Turn, q.Marks, q.Hold = "a1/streams", f.boot, f.turn, true, f.d.Bounds.LongPoll()
 	f.mu.Unlock()
 	c := make(chan *Reading, 1)
 	go func() {
--- a/internal/partitionlog/leader/takeover.go
+++ b/internal/partitionlog/leader/takeover.go
@@ -86,7 +86,7 @@
 			return apierror.WithCause(apierror.Stopped, ctx.Err(), "taking over partition %d", o.Rec.Partition)
 		}
 		o.d.Log.Trouble(o.Rec.Partition, o.Rec.Epoch, step, err)
-		_ = o.d.Clock.Sleep(ctx, o.d.Bounds.Grown(try))
+		_ = o.d.Clock.Sleep(ctx, o.d.Bounds.Backoff(try))
 	}
 }
 
@@ -108,7 +108,7 @@
 }
 
 func (o *Owner) seal(ctx context.Context) ([]sealed, error) {
-	cx, stop := context.WithTimeout(ctx, o.d.Bounds.Call())
+	cx, stop := context.WithTimeout(ctx, o.d.Bounds.CallTimeout())
 	defer stop()
 	as := quorum.Gather(cx, o.Rec.Replicas, func(ctx context.Context, p assignment.Place) (*replica.SealResponse, error) {
 		q := &replica.SealRequest{Target: o.target(p.Node), Urgent: o.Urgent}
@@ -140,7 +140,7 @@
 	if !ok {
 		return nil, apierror.New(apierror.Unreachable, "%s is not a member", node)
 	}
-	cx, stop := context.WithTimeout(ctx, o.d.Bounds.Call())
+	cx, stop := context.WithTimeout(ctx, o.d.Bounds.CallTimeout())
 	defer stop()
 	return replica.Fetch.Call(cx, o.d.Net, o.d.Self, a, &replica.FetchRequest{Partition: o.Rec.Partition, Incarnation: p.Incarnation, Kind: k, From: from, Most: most})
 }
@@ -324,7 +324,7 @@
 	now := o.d.Clock.Now()
 	l := o.tracks[log.Ledger].line
 	l.Hollow(now.Add(-o.d.Bounds.Spread))
-	old := l.Older(now.Add(-o.d.Bounds.KeptFor(o.d.Longest())))
+	old := l.Older(now.Add(-o.d.Bounds.RetentionFor(o.d.Longest())))
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for to := min(old, o.input); o.pruned < to; {
--- a/internal/partitionlog/leader/track.go
+++ b/internal/partitionlog/leader/track.go
@@ -123,7 +123,7 @@
 			}
 			o.d.Log.Disk(o.Rec.Partition, err)
 			full = apierror.HasCode(err, apierror.DiskFull)
-			_ = o.d.Clock.Sleep(ctx, o.d.Bounds.Retry())
+			_ = o.d.Clock.Sleep(ctx, o.d.Bounds.MaxBackoff())
 			continue
 		}
 		full = false
@@ -163,12 +163,12 @@
 		}
 		addr, ok := o.d.Addr(p.Node)
 		if len(es) == 0 && told && !c.full {
-			d, quiet := o.d.Bounds.Session(), ok && o.d.Still != nil && commit == said && base == cut
+			d, quiet := o.d.Bounds.SessionTimeout(), ok && o.d.Still != nil && commit == said && base == cut
 			if commit > said && t.kind == log.Ledger {
-				d, moved = o.d.Bounds.Heartbeat(), nil
+				d, moved = o.d.Bounds.HeartbeatInterval(), nil
 			}
 			if base != cut {
-				d = o.d.Bounds.Heartbeat()
+				d = o.d.Bounds.HeartbeatInterval()
 			}
 			due := sent.Add(d)
 			if quiet {
@@ -186,11 +186,11 @@
 			}
 		}
 		if !ok {
-			_ = o.d.Clock.Sleep(ctx, o.d.Bounds.Grown(tries))
+			_ = o.d.Clock.Sleep(ctx, o.d.Bounds.Backoff(tries))
 			tries++
 			continue
 		}
-		cx, stop := context.WithTimeout(ctx, o.d.Bounds.Call())
+		cx, stop := context.WithTimeout(ctx, o.d.Bounds.CallTimeout())
 		a, err := replica.Append.Call(cx, o.d.Net, o.d.Self, addr, &replica.AppendRequest{Target: replica.Target{Partition: o.Rec.Partition, Incarnation: p.Incarnation, Epoch: o.Rec.Epoch}, Kind: t.kind, After: c.at, Entries: es, Commit: commit, Base: base, Reset: c.reset, Urgent: o.Urgent})
 		stop()
 		sent = o.d.Clock.Now()
@@ -203,7 +203,7 @@
 				c.reset = false
 			}
 			c.full = apierror.HasCode(err, apierror.DiskFull)
-			_ = o.d.Clock.Sleep(ctx, o.d.Bounds.Grown(tries))
+			_ = o.d.Clock.Sleep(ctx, o.d.Bounds.Backoff(tries))
 			tries++
 			continue
 		}
--- a/internal/partitionlog/router/desk.go
+++ b/internal/partitionlog/router/desk.go
@@ -115,7 +115,7 @@
 	Self   string
 	Net    wire.Network
 	Clock  clock.Clock
-	Bounds settings.Bounds
+	Bounds settings.Timing
 	Board  *gossip.Board
 	View   *membership.View
 	Owners Owners
@@ -189,7 +189,7 @@
 	if err != nil {
 		return nil, err
 	}
-	q.Hold = min(q.Hold, d.Bounds.Hold())
+	q.Hold = min(q.Hold, d.Bounds.LongPoll())
 	return o.Read(ctx, q)
 }
 
@@ -198,7 +198,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return o.Forgotten(ctx, q.Offset, min(q.Hold, d.Bounds.Hold()))
+	return o.Forgotten(ctx, q.Offset, min(q.Hold, d.Bounds.LongPoll()))
 }
 
 func (d *Desk) usage(_ context.Context, q *UsageRequest) (*UsageResponse, error) {
@@ -253,14 +253,14 @@
 // handOver has a task done by the partition's owner, wherever that is. It tries again while something may come of it: at once after news of the record,
 // and else for a call's time after the last such news. When the node knows that nobody can decide for now, it says so after one more look.
 func handOver[Q, A any](ctx context.Context, d *Desk, p int, c *wire.Procedure[Q, A], local func(context.Context, *Q) (*A, error), q *Q) (*A, error) {
-	doubt, hopes, short := false, 0, d.Bounds.Retry()/soonShare
+	doubt, hopes, short := false, 0, d.Bounds.MaxBackoff()/soonShare
 	var seen uint64
 	since := d.Clock.Now()
 	for {
 		ch := d.Board.Changed()
 		r := d.Board.Record(p)
 		if r.Writes != seen {
-			seen, since, hopes, short = r.Writes, d.Clock.Now(), 0, d.Bounds.Retry()/soonShare
+			seen, since, hopes, short = r.Writes, d.Clock.Now(), 0, d.Bounds.MaxBackoff()/soonShare
 		}
 		begun := d.Clock.Now()
 		a, err := try(ctx, d, p, r, c, local, q)
@@ -279,11 +279,11 @@
 		if looks[k] > 0 {
 			hopes++
 		}
-		over := hopes >= looks[k] && looks[k] > 0 || now.Sub(since) >= d.Bounds.Call() || unclear[k] && now.Sub(begun) >= d.Bounds.Call()
+		over := hopes >= looks[k] && looks[k] > 0 || now.Sub(since) >= d.Bounds.CallTimeout() || unclear[k] && now.Sub(begun) >= d.Bounds.CallTimeout()
 		if over && d.Board.Record(p).Writes == seen {
 			return nil, d.surrender(p, doubt, err)
 		}
-		pause := d.Bounds.Retry()
+		pause := d.Bounds.MaxBackoff()
 		if soon[k] {
 			short = min(2*short, pause)
 			pause = short
@@ -315,14 +315,14 @@
 		k = apierror.OutcomeUnknown
 	}
 	x := apierror.New(k, "partition %d could not decide: %v", p, err)
-	return x.WithRetryAfter(clock.Jitter(2*d.Bounds.Retry(), 1, rand.Float64()).Round(time.Millisecond))
+	return x.WithRetryAfter(clock.Jitter(2*d.Bounds.MaxBackoff(), 1, rand.Float64()).Round(time.Millisecond))
 }
 
 func try[Q, A any](ctx context.Context, d *Desk, p int, r assignment.Record, c *wire.Procedure[Q, A], local func(context.Context, *Q) (*A, error), q *Q) (*A, error) {
 	if r.Owner == "" {
 		return nil, apierror.New(apierror.NoPartitionLeader, "partition %d has no owner yet", p)
 	}
-	cx, stop := context.WithTimeout(ctx, d.Bounds.Call())
+	cx, stop := context.WithTimeout(ctx, d.Bounds.CallTimeout())
 	defer stop()
 	if r.Owner == d.Self {
 		return local(cx, q)
--- a/internal/partitionlog/router/fan.go
+++ b/internal/partitionlog/router/fan.go
@@ -95,7 +95,7 @@
 // Follow tells a partition's owner what this node follows, one time.
 func (d *Desk) Follow(ctx context.Context, r assignment.Record, q *leader.Want) (*leader.Told, error) {
 	q.Packs = d.Packs
-	a, err := once(ctx, d, r, d.Bounds.Call(), Follow, d.follow, q)
+	a, err := once(ctx, d, r, d.Bounds.CallTimeout(), Follow, d.follow, q)
 	if err != nil {
 		return nil, err
 	}
@@ -105,7 +105,7 @@
 // Poll reads what this node follows from a partition's owner, one time.
 func (d *Desk) Poll(ctx context.Context, r assignment.Record, q *leader.PollRequest) (*leader.Polled, error) {
 	q.Packs = d.Packs
-	a, err := once(ctx, d, r, q.Hold+d.Bounds.Call(), Poll, d.poll, q)
+	a, err := once(ctx, d, r, q.Hold+d.Bounds.CallTimeout(), Poll, d.poll, q)
 	if err != nil {
 		return nil, err
 	}
@@ -114,7 +114,7 @@
 
 // Listeners asks a partition's owner how many listen to a topic, one time.
 func (d *Desk) Listeners(ctx context.Context, p int, topic string) (int, error) {
-	a, err := once(ctx, d, d.Board.Record(p), d.Bounds.Call()/2, Listeners, d.listeners, &ListenersRequest{Partition: p, Topic: topic})
+	a, err := once(ctx, d, d.Board.Record(p), d.Bounds.CallTimeout()/2, Listeners, d.listeners, &ListenersRequest{Partition: p, Topic: topic})
 	if err != nil {
 		return 0, err
 	}
--- a/internal/partitionlog/router/offer.go
+++ b/internal/partitionlog/router/offer.go
@@ -224,7 +224,7 @@
 	case r.Owner != d.Self && !known:
 		return nil, apierror.New(apierror.NoPartitionLeader, "the owner %s of partition %d is gone", r.Owner, p)
 	}
-	ctx, stop := context.WithTimeout(context.Background(), d.Bounds.Call())
+	ctx, stop := context.WithTimeout(context.Background(), d.Bounds.CallTimeout())
 	defer stop()
 	defer context.AfterFunc(d.reigns.of(d.Board, r), stop)()
 	q := &ManyRequest{Partition: p}
@@ -308,21 +308,21 @@
 		return nil
 	}
 	k := apierror.From(why[0]).Code
-	if looks[k] > 0 && (l.hopes == 0 || now.Sub(l.hoped) >= d.Bounds.Retry()) {
+	if looks[k] > 0 && (l.hopes == 0 || now.Sub(l.hoped) >= d.Bounds.MaxBackoff()) {
 		l.hopes++
 		l.hoped = now
 	}
 	if d.Board.Record(p).Writes != r.Writes {
 		return stay
 	}
-	all := looks[k] > 0 && l.hopes >= looks[k] || unclear[k] && now.Sub(begun) >= d.Bounds.Call()
+	all := looks[k] > 0 && l.hopes >= looks[k] || unclear[k] && now.Sub(begun) >= d.Bounds.CallTimeout()
 	var again []*offer
 	for i, o := range stay {
 		since := o.since
 		if l.news.After(since) {
 			since = l.news
 		}
-		if all || now.Sub(since) >= d.Bounds.Call() {
+		if all || now.Sub(since) >= d.Bounds.CallTimeout() {
 			o.tell(nil, d.surrender(p, o.doubt, why[i]))
 		} else {
 			again = append(again, o)
@@ -333,8 +333,8 @@
 
 // rest waits for news of the records or for the pause between two tries, and meanwhile tells those whose time is over.
 func (d *Desk) rest(p int, l *lane, ch <-chan struct{}) {
-	pause := d.Bounds.Grown(l.tries)
-	if left := d.Bounds.Retry() - d.Clock.Now().Sub(l.hoped); l.hopes > 0 && left > 0 {
+	pause := d.Bounds.Backoff(l.tries)
+	if left := d.Bounds.MaxBackoff() - d.Clock.Now().Sub(l.hoped); l.hopes > 0 && left > 0 {
 		pause = min(pause, left)
 	}
 	l.tries++
--- a/internal/placement/controller/copies.go
+++ b/internal/placement/controller/copies.go
@@ -12,7 +12,7 @@
 // patience is how long a copy on a machine that is gone is waited for: hardly, where a newcomer came to take its place; for half a session more, which most restarts
 // are back within, where a newcomer was there before; as long as service may take to be back, where another storage machine is there; and long, where it would be a small disk.
 func (d *Duty) patience(s *scene, r assignment.Record, p assignment.Place) time.Duration {
-	wait := d.Bounds.Repair()
+	wait := d.Bounds.ReplacementDelay()
 	for n, m := range s.m {
 		if _, ok := r.Place(n); ok || m.Disk != settings.DiskStorage || !s.fit(m) {
 			continue
@@ -20,8 +20,8 @@
 		switch t, ok := d.fresh[n]; {
 		case !ok:
 			wait = min(wait, d.Bounds.Recovery)
-		case t.Before(d.gone[p.Node].Add(-d.Bounds.Session())):
-			wait = min(wait, d.Bounds.Session()/2)
+		case t.Before(d.gone[p.Node].Add(-d.Bounds.SessionTimeout())):
+			wait = min(wait, d.Bounds.SessionTimeout()/2)
 		default:
 			wait = min(wait, d.early(s))
 		}
@@ -31,14 +31,14 @@
 
 // early is how long a machine must be gone before anything is done, longer while the duty is young and may not have heard of it.
 func (d *Duty) early(s *scene) time.Duration {
-	if s.now.Sub(d.since) < d.Bounds.Session() {
-		return d.Bounds.Session() / 2
+	if s.now.Sub(d.since) < d.Bounds.SessionTimeout() {
+		return d.Bounds.SessionTimeout() / 2
 	}
-	return d.Bounds.Previous()
+	return d.Bounds.PreviousLeaderWait()
 }
 
 func (d *Duty) first(s *scene, r assignment.Record) {
-	if s.stores < s.copies && s.now.Sub(d.since) < d.Bounds.Session() {
+	if s.stores < s.copies && s.now.Sub(d.since) < d.Bounds.SessionTimeout() {
 		return
 	}
 	var ps []assignment.Place
--- a/internal/placement/controller/drains.go
+++ b/internal/placement/controller/drains.go
@@ -115,7 +115,7 @@
 	if since[node].IsZero() {
 		since[node] = s.now
 	}
-	return s.now.Sub(since[node]) >= d.Bounds.Repair()
+	return s.now.Sub(since[node]) >= d.Bounds.ReplacementDelay()
 }
 
 // returned tells whether an emptied machine serves again. It does once it was away for the keeping time, or has stood there
--- a/internal/placement/controller/drains_test.go
+++ b/internal/placement/controller/drains_test.go
@@ -46,7 +46,7 @@
 func (e *emptied) look() {
 	e.place()
 	e.order = e.duty.returned(e.scene, e.order)
-	now, keeping := e.scene.now, e.duty.Bounds.Repair()
+	now, keeping := e.scene.now, e.duty.Bounds.ReplacementDelay()
 	if e.here {
 		e.goneSince = time.Time{}
 	} else if e.goneSince.IsZero() {
--- a/internal/placement/controller/duty.go
+++ b/internal/placement/controller/duty.go
@@ -27,7 +27,7 @@
 type Duty struct {
 	Self   string
 	Clock  clock.Clock
-	Bounds settings.Bounds
+	Bounds settings.Timing
 	Holder *register.Holder
 	Client *registerclient.Client
 	Board  *gossip.Board
@@ -70,11 +70,11 @@
 
 // wait waits for the next round: the one that has the duty acts on news, the others look at their own pace.
 func (d *Duty) wait(ctx context.Context) error {
-	pace := clock.Jitter(d.Bounds.Tend(), 0.2, rand.Float64())
+	pace := clock.Jitter(d.Bounds.ReconcileInterval(), 0.2, rand.Float64())
 	if !d.held {
 		return d.Clock.Sleep(ctx, pace)
 	}
-	if err := d.Clock.Sleep(ctx, d.Bounds.Retry()/newsShare); err != nil {
+	if err := d.Clock.Sleep(ctx, d.Bounds.MaxBackoff()/newsShare); err != nil {
 		return err
 	}
 	clock.Wait(ctx, d.Clock, pace, d.members, d.records)
@@ -109,14 +109,14 @@
 
 func (d *Duty) mine(ctx context.Context) bool {
 	if !d.Holder.Holds(Key) {
-		cx, stop := context.WithTimeout(ctx, d.Bounds.Call())
+		cx, stop := context.WithTimeout(ctx, d.Bounds.CallTimeout())
 		defer stop()
 		if err := d.Holder.Claim(cx, Key); err != nil {
 			return false
 		}
 		return d.Holder.Confirmed(cx, Key)
 	}
-	cx, stop := context.WithTimeout(ctx, d.Bounds.Call())
+	cx, stop := context.WithTimeout(ctx, d.Bounds.CallTimeout())
 	defer stop()
 	return d.Holder.Confirmed(cx, Key)
 }
@@ -207,7 +207,7 @@
 		}
 	}
 	for p, r := range d.recs {
-		if !r.Settled && r.Epoch > 0 && d.Clock.Now().Sub(d.opened[p]) > d.Bounds.Settle() {
+		if !r.Settled && r.Epoch > 0 && d.Clock.Now().Sub(d.opened[p]) > d.Bounds.TakeoverTimeout() {
 			_ = d.read(ctx, p)
 		}
 	}
--- a/internal/placement/controller/duty_test.go
+++ b/internal/placement/controller/duty_test.go
@@ -17,7 +17,7 @@
 func table(names ...string) (*Duty, *scene, assignment.Record) {
 	now := time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 	long := now.Add(-time.Hour)
-	b := settings.DefaultBounds
+	b := settings.DefaultTiming
 	d := &Duty{
 		Bounds: b, since: long, moved: long, recs: map[int]assignment.Record{}, gone: map[string]time.Time{}, deaf: map[string]time.Time{}, slow: map[string]time.Time{},
 		fresh: map[string]time.Time{}, absent: map[string]time.Time{}, renewed: map[string]time.Time{}, opened: map[int]time.Time{}, epochs: map[int]uint64{},
@@ -40,8 +40,8 @@
 
 // Each reason for which a partition is given to another machine, and what comes right before it and is none yet.
 func TestWhoLosesAPartition(t *testing.T) {
-	b := settings.DefaultBounds
-	half := b.Session() / 2
+	b := settings.DefaultTiming
+	half := b.SessionTimeout() / 2
 	for _, x := range []struct {
 		name string
 		set  func(d *Duty, s *scene, r *assignment.Record)
@@ -53,15 +53,15 @@
 		{"another disk", func(_ *Duty, s *scene, _ *assignment.Record) { s.m["s1"].Incarnation = "new" }, "the owner's disk is another one", false},
 		{"gone for a moment", func(d *Duty, s *scene, _ *assignment.Record) {
 			delete(s.m, "s1")
-			d.gone["s1"] = s.now.Add(time.Millisecond - b.Previous())
+			d.gone["s1"] = s.now.Add(time.Millisecond - b.PreviousLeaderWait())
 		}, "", true},
 		{"gone", func(d *Duty, s *scene, _ *assignment.Record) {
 			delete(s.m, "s1")
-			d.gone["s1"] = s.now.Add(-b.Previous())
+			d.gone["s1"] = s.now.Add(-b.PreviousLeaderWait())
 		}, "the owner is gone", false},
 		{"gone, to a duty that has just begun", func(d *Duty, s *scene, _ *assignment.Record) {
 			delete(s.m, "s1")
-			d.since, d.gone["s1"] = s.now.Add(-b.Previous()), s.now.Add(-b.Previous())
+			d.since, d.gone["s1"] = s.now.Add(-b.PreviousLeaderWait()), s.now.Add(-b.PreviousLeaderWait())
 		}, "", true},
 		{"a failing disk", func(_ *Duty, s *scene, _ *assignment.Record) { s.m["s1"].Fitness = "disk_full" }, "the owner's disk fails: disk_full", false},
 		{"stopping", func(_ *Duty, s *scene, _ *assignment.Record) { s.m["s1"].Stage = membership.Leaving }, "the owner is stopping", false},
@@ -85,15 +85,15 @@
 			}
 		}, "", false},
 		{"a take-over under way", func(d *Duty, s *scene, r *assignment.Record) {
-			r.Settled, d.opened[1] = false, s.now.Add(-2*b.Settle())
+			r.Settled, d.opened[1] = false, s.now.Add(-2*b.TakeoverTimeout())
 		}, "", false},
 		{"a take-over without an end", func(d *Duty, s *scene, r *assignment.Record) {
-			r.Settled, d.opened[1] = false, s.now.Add(-2*b.Settle()-1)
+			r.Settled, d.opened[1] = false, s.now.Add(-2*b.TakeoverTimeout()-1)
 		}, "the take-over did not finish", false},
 		{"gone with another copy", func(d *Duty, s *scene, _ *assignment.Record) {
 			delete(s.m, "s1")
 			delete(s.m, "s2")
-			d.gone["s1"] = s.now.Add(-b.Previous())
+			d.gone["s1"] = s.now.Add(-b.PreviousLeaderWait())
 		}, "", true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
@@ -116,23 +116,23 @@
 
 // How long a copy on a machine that is gone is waited for, by who could take its place.
 func TestHowLongACopyIsWaitedFor(t *testing.T) {
-	b := settings.DefaultBounds
+	b := settings.DefaultTiming
 	for _, x := range []struct {
 		name  string
 		there []string
 		set   func(d *Duty, s *scene)
 		want  time.Duration
 	}{
-		{"small disks only", []string{"s1", "s2"}, func(*Duty, *scene) {}, b.Repair()},
+		{"small disks only", []string{"s1", "s2"}, func(*Duty, *scene) {}, b.ReplacementDelay()},
 		{"another store, which holds other copies", []string{"s1", "s2", "s4"}, func(_ *Duty, s *scene) { s.m["s4"].holds = 1 }, b.Recovery},
-		{"a store that came after it", []string{"s1", "s2", "s4"}, func(d *Duty, s *scene) { d.fresh["s4"] = s.now }, b.Previous()},
-		{"a store that held nothing long before", []string{"s1", "s2", "s4"}, func(d *Duty, s *scene) { d.fresh["s4"] = s.now.Add(-time.Minute) }, b.Session() / 2},
+		{"a store that came after it", []string{"s1", "s2", "s4"}, func(d *Duty, s *scene) { d.fresh["s4"] = s.now }, b.PreviousLeaderWait()},
+		{"a store that held nothing long before", []string{"s1", "s2", "s4"}, func(d *Duty, s *scene) { d.fresh["s4"] = s.now.Add(-time.Minute) }, b.SessionTimeout() / 2},
 		{"one of each", []string{"s1", "s2", "s4", "s5"}, func(d *Duty, s *scene) {
 			s.m["s5"].holds, d.fresh["s4"] = 1, s.now
-		}, b.Previous()},
+		}, b.PreviousLeaderWait()},
 		{"a store that came after it, to a duty that has just begun", []string{"s1", "s2", "s4"}, func(d *Duty, s *scene) {
 			d.fresh["s4"], d.since = s.now, s.now
-		}, b.Session() / 2},
+		}, b.SessionTimeout() / 2},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			d, s, r := table(x.there...)
--- a/internal/placement/controller/owners.go
+++ b/internal/placement/controller/owners.go
@@ -55,9 +55,9 @@
 		reason = "the owner's disk fails: " + m.Fitness
 	case m.Stage != membership.Serving:
 		reason = "the owner is stopping"
-	case m.Deaf && s.now.Sub(d.deaf[r.Owner]) >= d.Bounds.Session()/2:
+	case m.Deaf && s.now.Sub(d.deaf[r.Owner]) >= d.Bounds.SessionTimeout()/2:
 		reason = "the owner has no licence: it is heard but does not hear"
-	case m.slow && m.slowFor >= d.Bounds.Session()/2:
+	case m.slow && m.slowFor >= d.Bounds.SessionTimeout()/2:
 		if _, ok := d.heir(s, r, r.Owner); !ok || !r.Settled {
 			return false
 		}
@@ -67,8 +67,8 @@
 			return false
 		}
 		reason = "the owner is being emptied"
-	case !r.Settled && s.now.Sub(d.opened[r.Partition]) > 2*d.Bounds.Settle():
-		reason = "the take-over did not finish in " + (2 * d.Bounds.Settle()).String()
+	case !r.Settled && s.now.Sub(d.opened[r.Partition]) > 2*d.Bounds.TakeoverTimeout():
+		reason = "the take-over did not finish in " + (2 * d.Bounds.TakeoverTimeout()).String()
 	default:
 		return false
 	}
@@ -89,7 +89,7 @@
 }
 
 func (d *Duty) balance(s *scene) {
-	if s.now.Sub(d.moved) < d.Bounds.Repair()/2 {
+	if s.now.Sub(d.moved) < d.Bounds.ReplacementDelay()/2 {
 		return
 	}
 	var most *machine
--- a/internal/placement/controller/scene.go
+++ b/internal/placement/controller/scene.go
@@ -153,13 +153,13 @@
 	for n, m := range s.m {
 		lag := time.Duration(m.Lag) * time.Microsecond
 		switch since := d.slow[n]; {
-		case lag > max(settings.SlowTimes*s.usual, d.Bounds.Slow()):
+		case lag > max(settings.SlowFactor*s.usual, d.Bounds.SlowThreshold()):
 			if since.IsZero() {
 				since = s.now
 				d.slow[n] = s.now
 			}
 			m.slow, m.slowFor = true, s.now.Sub(since)
-		case lag < max(settings.SlowTimes*s.usual, d.Bounds.Slow())/2:
+		case lag < max(settings.SlowFactor*s.usual, d.Bounds.SlowThreshold())/2:
 			delete(d.slow, n)
 		default:
 			m.slow = !since.IsZero()
--- a/internal/presence/presence.go
+++ b/internal/presence/presence.go
@@ -30,13 +30,13 @@
 type Presence struct {
 	Self   string
 	Net    wire.Network
-	Bounds settings.Bounds
+	Bounds settings.Timing
 	View   *membership.View
 	m      *keylock.Map[string, map[string]int]
 }
 
 // New makes an empty presence.
-func New(self string, n wire.Network, b settings.Bounds, v *membership.View) *Presence {
+func New(self string, n wire.Network, b settings.Timing, v *membership.View) *Presence {
 	return &Presence{Self: self, Net: n, Bounds: b, View: v, m: keylock.NewMap[string, map[string]int]()}
 }
 
@@ -77,7 +77,7 @@
 
 // Others counts the other visitors that listen to a topic on any node; whole tells whether every node answered.
 func (p *Presence) Others(ctx context.Context, topic, visitor string) (n int, whole bool) {
-	cx, stop := context.WithTimeout(ctx, p.Bounds.Call()/2)
+	cx, stop := context.WithTimeout(ctx, p.Bounds.CallTimeout()/2)
 	defer stop()
 	fs := membership.Pick(p.View.All(), func(i membership.Info) bool { return i.Name != p.Self })
 	as := quorum.Gather(cx, fs, func(ctx context.Context, i membership.Info) (*CountResponse, error) {
--- a/internal/settings/options.go
+++ b/internal/settings/options.go
@@ -18,82 +18,82 @@
 
 // Fault is one thing wrong with the settings.
 type Fault struct {
-	Field string
-	Say   string
+	Field   string
+	Message string
 }
 
 // Options are the settings of one node.
 type Options struct {
-	Name      string   `json:"name"`
-	Zone      string   `json:"zone"`
-	Listen    string   `json:"listen"`
-	Peers     string   `json:"fellow_listen"`
-	Reach     string   `json:"fellow_address,omitempty"`
-	Seeds     []string `json:"seeds"`
-	Disk      string   `json:"disk"`
-	Data      string   `json:"data"`
-	Founders  []string `json:"founders"`
-	Routine   int      `json:"routine_partitions"`
-	Urgent    int      `json:"urgent_partitions"`
-	Keeping   Span     `json:"keeping"`
-	Spread    Span     `json:"spread"`
-	Recovery  Span     `json:"recovery"`
-	Changelog Span     `json:"changelog"`
-	Body      int      `json:"body_limit"`
-	Backlog   int      `json:"backlog"`
-	// Marks is how many withdrawals of one partition may stand.
-	Marks int    `json:"marks"`
-	Level string `json:"log_level"`
-	// Visits is where visitors' line sessions are taken; empty for none.
-	Visits string `json:"visit_listen,omitempty"`
-	// Founding says who founds the fleet when founders are not named: self, seeds or never.
-	Founding string `json:"founding"`
-	// Losses is how many machines with a disk may be lost at once; copies and acknowledgements follow from it.
-	Losses int `json:"losses"`
-	// Stretch lengthens the lease of a node that no control node can confirm for.
-	Stretch Span `json:"stretch"`
+	Name              string   `json:"name"`
+	Zone              string   `json:"zone"`
+	Listen            string   `json:"listen"`
+	PeerListen        string   `json:"fellow_listen"`
+	PeerAddress       string   `json:"fellow_address,omitempty"`
+	Seeds             []string `json:"seeds"`
+	Disk              string   `json:"disk"`
+	DataDir           string   `json:"data"`
+	Founders          []string `json:"founders"`
+	RoutinePartitions int      `json:"routine_partitions"`
+	UrgentPartitions  int      `json:"urgent_partitions"`
+	Keeping           Duration `json:"keeping"`
+	Spread            Duration `json:"spread"`
+	Recovery          Duration `json:"recovery"`
+	Changelog         Duration `json:"changelog"`
+	BodyLimit         int      `json:"body_limit"`
+	Backlog           int      `json:"backlog"`
+	// MaxTombstones is how many withdrawals of one partition may stand.
+	MaxTombstones int    `json:"marks"`
+	LogLevel      string `json:"log_level"`
+	// ClientListen is where visitors' line sessions are taken; empty for none.
+	ClientListen string `json:"visit_listen,omitempty"`
+	// BootstrapBy says who founds the fleet when founders are not named: self, seeds or never.
+	BootstrapBy string `json:"founding"`
+	// ToleratedLosses is how many machines with a disk may be lost at once; copies and acknowledgements follow from it.
+	ToleratedLosses int `json:"losses"`
+	// LeaseExtension lengthens the lease of a node that no control node can confirm for.
+	LeaseExtension Duration `json:"stretch"`
 	// Keepalive is how long a visitor may be silent before it gives a sign of life; three times that ends its visit.
-	Keepalive Span `json:"keepalive"`
+	Keepalive Duration `json:"keepalive"`
 	// Redelivery is how long after its taking a call may come again.
-	Redelivery Span `json:"redelivery"`
-	// Memory, Descriptors and Room bound the process and its disk, in MiB, numbers and MiB; 0 for no bound.
-	Memory      int `json:"memory_mb"`
+	Redelivery Duration `json:"redelivery"`
+	// MemoryMB, Descriptors and Room bound the process and its disk, in MiB, numbers and MiB; 0 for no bound.
+	MemoryMB    int `json:"memory_mb"`
 	Descriptors int `json:"descriptors"`
-	Room        int `json:"disk_mb"`
-	// Processor is what the process has of one, in thousandths of a core; 0 for plenty.
-	Processor int `json:"processor_thousandths"`
-	// Link is what the machine's link carries each way, in Kbit/s; 0 for plenty.
-	Link int `json:"link_kbits"`
+	DiskMB      int `json:"disk_mb"`
+	// MilliCores is what the process has of one, in thousandths of a core; 0 for plenty.
+	MilliCores int `json:"processor_thousandths"`
+	// LinkKbits is what the machine's link carries each way, in Kbit/s; 0 for plenty.
+	LinkKbits int `json:"link_kbits"`
 }
 
 // packsBelow is the Kbit/s of link for each thousandth of a core below which a link is narrow: packed bodies are asked for, and visitors go elsewhere.
 const packsBelow = 25
 
-// Carries is how many thousandths of a core the machine is worth to visitors: its processor, or less where the link is narrow beside it. 0 where that isn't known.
-func (o *Options) Carries() int {
-	if !o.Packs() {
-		return o.Processor
+// ClientCapacity is how many thousandths of a core the machine is worth to visitors: its processor, or less where the link is narrow beside it. 0 where that isn't known.
+func (o *Options) ClientCapacity() int {
+	if !o.CompressStreams() {
+		return o.MilliCores
 	}
-	return max(o.Link/packsBelow, 1)
+	return max(o.LinkKbits/packsBelow, 1)
 }
 
-// Packs tells whether the link is so narrow beside the processor that what peers tell is to come packed.
-func (o *Options) Packs() bool {
-	return o.Link > 0 && o.Processor > 0 && o.Link < packsBelow*o.Processor
+// CompressStreams tells whether the link is so narrow beside the processor that what peers tell is to come packed.
+func (o *Options) CompressStreams() bool {
+	return o.LinkKbits > 0 && o.MilliCores > 0 && o.LinkKbits < packsBelow*o.MilliCores
 }
 
 // Who founds the fleet when founders are not named.
 const (
-	FoundSelf  = "self"
-	FoundSeeds = "seeds"
-	FoundNever = "never"
+	BootstrapSelf  = "self"
+	BootstrapSeeds = "seeds"
+	BootstrapNever = "never"
 )
 
-// Span is a duration written as Go writes it.
-type Span time.Duration
+// Duration is a duration written as Go writes it.
+type Duration time.Duration
 
 // UnmarshalJSON reads "35s".
-func (s *Span) UnmarshalJSON(b []byte) error {
+func (s *Duration) UnmarshalJSON(b []byte) error {
 	var t string
 	if err := json.Unmarshal(b, &t); err != nil {
 		return apierror.New(apierror.SettingsInvalid, "must be a duration in quotes such as \"35s\"")
@@ -102,22 +102,22 @@
 	if err != nil {
 		return apierror.New(apierror.SettingsInvalid, "%q is no duration such as \"35s\"", t)
 	}
-	*s = Span(d)
+	*s = Duration(d)
 	return nil
 }
 
 // MarshalJSON writes "35s".
-func (s Span) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(s).String()) }
+func (s Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(s).String()) }
 
 // Set reads a flag.
-func (s *Span) Set(t string) error {
+func (s *Duration) Set(t string) error {
 	d, err := time.ParseDuration(t)
-	*s = Span(d)
+	*s = Duration(d)
 	return err
 }
 
 // String writes a flag.
-func (s *Span) String() string { return time.Duration(*s).String() }
+func (s *Duration) String() string { return time.Duration(*s).String() }
 
 const (
 	foundersMost = 7
@@ -136,79 +136,79 @@
 // Default gives the settings before a file and flags are read.
 func Default() Options {
 	return Options{
-		Listen: "127.0.0.1:7400", Peers: "127.0.0.1:7500", Disk: DiskNone,
-		Routine: 12, Urgent: 4,
-		Keeping: Span(DefaultBounds.Keeping), Spread: Span(DefaultBounds.Spread), Recovery: Span(DefaultBounds.Recovery),
-		Body: 64 << 10, Backlog: 64, Marks: 4096, Level: "info",
-		Founding: FoundSelf, Losses: 1, Keepalive: Span(2 * time.Second), Redelivery: Span(10 * time.Second),
+		Listen: "127.0.0.1:7400", PeerListen: "127.0.0.1:7500", Disk: DiskNone,
+		RoutinePartitions: 12, UrgentPartitions: 4,
+		Keeping: Duration(DefaultTiming.Keeping), Spread: Duration(DefaultTiming.Spread), Recovery: Duration(DefaultTiming.Recovery),
+		BodyLimit: 64 << 10, Backlog: 64, MaxTombstones: 4096, LogLevel: "info",
+		BootstrapBy: BootstrapSelf, ToleratedLosses: 1, Keepalive: Duration(2 * time.Second), Redelivery: Duration(10 * time.Second),
 	}
 }
 
-// Reached is the address that other nodes dial.
-func (o Options) Reached() string {
-	if o.Reach != "" {
-		return o.Reach
+// DialAddress is the address that other nodes dial.
+func (o Options) DialAddress() string {
+	if o.PeerAddress != "" {
+		return o.PeerAddress
 	}
-	return o.Peers
+	return o.PeerListen
 }
 
-// Bounds gives the three times.
-func (o Options) Bounds() Bounds {
-	return Bounds{Keeping: time.Duration(o.Keeping), Spread: time.Duration(o.Spread), Recovery: time.Duration(o.Recovery)}
+// Timing gives the three times.
+func (o Options) Timing() Timing {
+	return Timing{Keeping: time.Duration(o.Keeping), Spread: time.Duration(o.Spread), Recovery: time.Duration(o.Recovery)}
 }
 
-// Batch is the changelog interval.
-func (o Options) Batch() time.Duration {
+// ChangelogInterval is the changelog interval.
+func (o Options) ChangelogInterval() time.Duration {
 	if o.Changelog > 0 {
 		return time.Duration(o.Changelog)
 	}
-	return o.Bounds().Changelog()
+	return o.Timing().ChangelogInterval()
 }
 
-// Voter tells whether the node has a small disk for control keys.
-func (o Options) Voter() bool { return o.Disk == DiskControl }
+// HasControlDisk tells whether the node has a small disk for control keys.
+func (o Options) HasControlDisk() bool { return o.Disk == DiskControl }
 
-// Store tells whether the node has a storage disk.
-func (o Options) Store() bool { return o.Disk == DiskStorage }
+// HasStorageDisk tells whether the node has a storage disk.
+func (o Options) HasStorageDisk() bool { return o.Disk == DiskStorage }
 
 // Flags binds the settings to a flag set.
 func (o *Options) Flags(fs *flag.FlagSet) {
 	fs.StringVar(&o.Name, "name", o.Name, "lasting `name` of this node")
 	fs.StringVar(&o.Zone, "zone", o.Zone, "`zone` that this node stands in")
 	fs.StringVar(&o.Listen, "listen", o.Listen, "`address` for callers and operators")
-	fs.StringVar(&o.Peers, "fellow-listen", o.Peers, "`address` for the other nodes")
-	fs.StringVar(&o.Reach, "fellow-address", o.Reach, "`address` that the other nodes dial, when it differs from fellow-listen")
+	fs.StringVar(&o.PeerListen, "fellow-listen", o.PeerListen, "`address` for the other nodes")
+	fs.StringVar(&o.PeerAddress, "fellow-address", o.PeerAddress, "`address` that the other nodes dial, when it differs from fellow-listen")
 	fs.Func("seeds", "one to seven `addresses` of other nodes, with commas between", func(t string) error {
 		o.Seeds = strings.Split(t, ",")
 		return nil
 	})
 	fs.StringVar(&o.Disk, "disk", o.Disk, "`kind` of disk: none, control or storage")
-	fs.StringVar(&o.Data, "data", o.Data, "data `folder`, needed with a disk")
+	fs.StringVar(&o.DataDir, "data", o.DataDir, "data `folder`, needed with a disk")
 	fs.Func("founders", "fellow `addresses` of the control disks that found the fleet, with commas between; without it those among this node and its seeds", func(t string) error {
 		o.Founders = strings.Split(t, ",")
 		return nil
 	})
-	fs.IntVar(&o.Routine, "routine-partitions", o.Routine, "`number` of routine partitions, fixed at founding")
-	fs.IntVar(&o.Urgent, "urgent-partitions", o.Urgent, "`number` of urgent partitions, fixed at founding")
+	fs.IntVar(&o.RoutinePartitions, "routine-partitions", o.RoutinePartitions, "`number` of routine partitions, fixed at founding")
+	fs.IntVar(&o.UrgentPartitions, "urgent-partitions", o.UrgentPartitions, "`number` of urgent partitions, fixed at founding")
 	fs.Var(&o.Keeping, "keeping", "keeping `time`")
 	fs.Var(&o.Spread, "spread", "`time` in which a description reaches every node")
 	fs.Var(&o.Recovery, "recovery", "`time` in which service returns after a loss")
 	fs.Var(&o.Changelog, "changelog", "`interval` of changelog batches, 0 for recovery/6")
-	fs.IntVar(&o.Body, "body-limit", o.Body, "largest message body in `bytes`")
+	fs.IntVar(&o.BodyLimit, "body-limit", o.BodyLimit, "largest message body in `bytes`")
 	fs.IntVar(&o.Backlog, "backlog", o.Backlog, "tasks that may wait in a lane, a `number`")
-	fs.IntVar(&o.Marks, "marks", o.Marks, "withdrawals of one partition that may stand, a `number`")
-	fs.StringVar(&o.Visits, "visit-listen", o.Visits, "`address` for visitors' line sessions, empty for none")
-	fs.StringVar(&o.Founding, "founding", o.Founding, "`who` founds when founders are not named: self (and seeds), seeds or never")
-	fs.IntVar(&o.Losses, "losses", o.Losses, "`number` of machines with a disk that may be lost at once")
-	fs.Var(&o.Stretch, "stretch", "`time` that a licence lasts longer while no control node can confirm")
+	fs.IntVar(&o.MaxTombstones, "marks", o.MaxTombstones, "withdrawals of one partition that may stand, a `number`")
+	fs.StringVar(&o.ClientListen, "visit-listen", o.ClientListen, "`address` for visitors' line sessions, empty for none")
+	fs.StringVar(&o.BootstrapBy, "founding", o.BootstrapBy, "`who` founds when founders are not named: self (and seeds), seeds or never")
+	fs.IntVar(&o.ToleratedLosses, "losses", o.ToleratedLosses, "`number` of machines with a disk that may be lost at once")
+	fs.Var(&o.LeaseExtension, "stretch", "`time` that a licence lasts longer while no control node can confirm")
 	fs.Var(&o.Keepalive, "keepalive", "`time` after which a silent visitor gives a sign of life")
 	fs.Var(&o.Redelivery, "redelivery", "`time` within which a taken call may come again")
-	fs.IntVar(&o.Memory, "memory-mb", o.Memory, "memory of the process in `MiB`, 0 for no bound")
-	fs.IntVar(&o.Processor, "processor-thousandths", o.Processor, "`thousandths` of a core that the process has, 0 for plenty")
-	fs.IntVar(&o.Link, "link-kbits", o.Link, "`Kbit/s` that the link carries each way, 0 for plenty")
+	fs.IntVar(&o.MemoryMB, "memory-mb", o.MemoryMB, "memory of the process in `MiB`, 0 for no bound")
+	fs.IntVar(&o.MilliCores, "processor-thousandths", o.MilliCores, "`thousandths` of a core that the process has, 0 for plenty")
+	fs.IntVar(&o.LinkKbits, "link-kbits", o.LinkKbits, "`Kbit/s` that the link carries each way, 0 for plenty")
 	fs.IntVar(&o.Descriptors, "descriptors", o.Descriptors, "`number` of descriptors, 0 for no bound")
-	fs.IntVar(&o.Room, "disk-mb", o.Room, "room on the disk in `MiB`, 0 for no bound")
-	fs.StringVar(&o.Level, "log-level", o.Level, "`level`: trace, debug, info, warn or error")
+	fs.IntVar(&o.DiskMB, "disk-mb", o.DiskMB, "room on the disk in `MiB`, 0 for no bound")
+	fs.StringVar(&o.LogLevel, "log-level", o.LogLevel, "`level`: trace, debug, info, warn or error")
 }
 
 // Read reads a settings file over o: one JSON object, no unknown, double or trailing things.
@@ -268,7 +268,7 @@
 var (
 	nameRule  = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 	levels    = map[string]bool{"trace": true, "debug": true, "info": true, "warn": true, "error": true}
-	foundings = map[string]bool{FoundSelf: true, FoundSeeds: true, FoundNever: true}
+	foundings = map[string]bool{BootstrapSelf: true, BootstrapSeeds: true, BootstrapNever: true}
 	disks     = map[string]bool{DiskNone: true, DiskControl: true, DiskStorage: true}
 )
 
@@ -277,7 +277,7 @@
 	var f []Fault
 	add := func(ok bool, field, say string, a ...any) {
 		if !ok {
-			f = append(f, Fault{Field: field, Say: fmt.Sprintf(say, a...)})
+			f = append(f, Fault{Field: field, Message: fmt.Sprintf(say, a...)})
 		}
 	}
 	span := func(field string, v, lo, hi int) {
@@ -286,39 +286,39 @@
 	add(nameRule.MatchString(o.Name), "name", "must be 1 to 63 of a-z, 0-9 and -, is %q", o.Name)
 	add(nameRule.MatchString(o.Zone), "zone", "must be 1 to 63 of a-z, 0-9 and -, is %q", o.Zone)
 	add(address(o.Listen), "listen", "must be an IP number and a port from 1 to 65535, is %q", o.Listen)
-	add(address(o.Peers), "fellow_listen", "must be an IP number and a port from 1 to 65535, is %q", o.Peers)
-	add(o.Reach == "" || address(o.Reach), "fellow_address", "must be empty or an IP number and a port from 1 to 65535, is %q", o.Reach)
-	add(o.Listen != o.Peers, "fellow_listen", "must differ from listen, is %q too", o.Peers)
+	add(address(o.PeerListen), "fellow_listen", "must be an IP number and a port from 1 to 65535, is %q", o.PeerListen)
+	add(o.PeerAddress == "" || address(o.PeerAddress), "fellow_address", "must be empty or an IP number and a port from 1 to 65535, is %q", o.PeerAddress)
+	add(o.Listen != o.PeerListen, "fellow_listen", "must differ from listen, is %q too", o.PeerListen)
 	add(len(o.Seeds) >= 1 && len(o.Seeds) <= seedsMost, "seeds", "must be 1 to %d addresses, are %d", seedsMost, len(o.Seeds))
 	for i, s := range o.Seeds {
 		add(address(s), fmt.Sprintf("seeds[%d]", i), "must be an IP number and a port from 1 to 65535, is %q", s)
 	}
 	add(disks[o.Disk], "disk", "must be none, control or storage, is %q", o.Disk)
-	add(o.Disk == DiskNone || o.Data != "", "data", "must name a folder when disk is %q", o.Disk)
+	add(o.Disk == DiskNone || o.DataDir != "", "data", "must name a folder when disk is %q", o.Disk)
 	add(len(o.Founders) <= foundersMost, "founders", "must be at most %d addresses, are %d", foundersMost, len(o.Founders))
 	for i, s := range o.Founders {
 		add(address(s), fmt.Sprintf("founders[%d]", i), "must be an IP number and a port from 1 to 65535, is %q", s)
 	}
-	add(o.Visits == "" || address(o.Visits), "visit_listen", "must be empty or an IP number and a port from 1 to 65535, is %q", o.Visits)
-	add(foundings[o.Founding], "founding", "must be self, seeds or never, is %q", o.Founding)
-	span("losses", o.Losses, 1, 3)
-	add(o.Stretch >= 0 && time.Duration(o.Stretch) <= 10*time.Minute, "stretch", "must be from 0s to 10m, is %s", time.Duration(o.Stretch))
+	add(o.ClientListen == "" || address(o.ClientListen), "visit_listen", "must be empty or an IP number and a port from 1 to 65535, is %q", o.ClientListen)
+	add(foundings[o.BootstrapBy], "founding", "must be self, seeds or never, is %q", o.BootstrapBy)
+	span("losses", o.ToleratedLosses, 1, 3)
+	add(o.LeaseExtension >= 0 && time.Duration(o.LeaseExtension) <= 10*time.Minute, "stretch", "must be from 0s to 10m, is %s", time.Duration(o.LeaseExtension))
 	add(time.Duration(o.Keepalive) >= 100*time.Millisecond && time.Duration(o.Keepalive) <= time.Hour, "keepalive", "must be from 100ms to 1h, is %s", time.Duration(o.Keepalive))
 	add(o.Redelivery > 0 && o.Redelivery <= o.Keeping, "redelivery", "must be above 0s and at most keeping, is %s", time.Duration(o.Redelivery))
-	span("memory_mb", o.Memory, 0, 1<<20)
-	span("processor_thousandths", o.Processor, 0, 1<<20)
-	span("link_kbits", o.Link, 0, 1<<30)
+	span("memory_mb", o.MemoryMB, 0, 1<<20)
+	span("processor_thousandths", o.MilliCores, 0, 1<<20)
+	span("link_kbits", o.LinkKbits, 0, 1<<30)
 	span("descriptors", o.Descriptors, 0, 1<<20)
-	span("disk_mb", o.Room, 0, 1<<30)
-	span("routine_partitions", o.Routine, 1, routineMost)
-	span("urgent_partitions", o.Urgent, 1, urgentMost)
-	span("body_limit", o.Body, 1, 1<<20)
+	span("disk_mb", o.DiskMB, 0, 1<<30)
+	span("routine_partitions", o.RoutinePartitions, 1, routineMost)
+	span("urgent_partitions", o.UrgentPartitions, 1, urgentMost)
+	span("body_limit", o.BodyLimit, 1, 1<<20)
 	span("backlog", o.Backlog, 8, 1<<16)
-	span("marks", o.Marks, 1, 1<<20)
-	add(levels[o.Level], "log_level", "must be trace, debug, info, warn or error, is %q", o.Level)
-	f = append(f, o.Bounds().check()...)
-	c := o.Batch()
-	add(c >= 50*time.Millisecond && c <= o.Bounds().Keeping/changelogAtMost, "changelog", "must be from 50ms to half of keeping (%s), is %s", o.Bounds().Keeping/changelogAtMost, c)
+	span("marks", o.MaxTombstones, 1, 1<<20)
+	add(levels[o.LogLevel], "log_level", "must be trace, debug, info, warn or error, is %q", o.LogLevel)
+	f = append(f, o.Timing().check()...)
+	c := o.ChangelogInterval()
+	add(c >= 50*time.Millisecond && c <= o.Timing().Keeping/changelogAtMost, "changelog", "must be from 50ms to half of keeping (%s), is %s", o.Timing().Keeping/changelogAtMost, c)
 	sort.SliceStable(f, func(i, k int) bool { return f[i].Field < f[k].Field })
 	return f
 }
@@ -335,25 +335,25 @@
 	return n >= 1 && n <= 65535
 }
 
-// Problem makes one problem of the faults, nil when there are none.
-func Problem(where string, f []Fault) error {
+// FaultsError makes one problem of the faults, nil when there are none.
+func FaultsError(where string, f []Fault) error {
 	if len(f) == 0 {
 		return nil
 	}
 	var s []string
 	var l []apierror.Fault
 	for _, x := range f {
-		s = append(s, fmt.Sprintf("%s: field %q: %s", where, x.Field, x.Say))
-		l = append(l, apierror.Fault{Path: x.Field, Message: x.Say})
+		s = append(s, fmt.Sprintf("%s: field %q: %s", where, x.Field, x.Message))
+		l = append(l, apierror.Fault{Path: x.Field, Message: x.Message})
 	}
 	return apierror.New(apierror.SettingsInvalid, "%s", strings.Join(s, "; ")).WithFaults(l)
 }
 
-// Live lists the fields that may change under a running node.
-var Live = map[string]func(dst *Options, src Options){
-	"log_level": func(d *Options, s Options) { d.Level = s.Level },
+// Reloadable lists the fields that may change under a running node.
+var Reloadable = map[string]func(dst *Options, src Options){
+	"log_level": func(d *Options, s Options) { d.LogLevel = s.LogLevel },
 	"backlog":   func(d *Options, s Options) { d.Backlog = s.Backlog },
-	"marks":     func(d *Options, s Options) { d.Marks = s.Marks },
+	"marks":     func(d *Options, s Options) { d.MaxTombstones = s.MaxTombstones },
 	"changelog": func(d *Options, s Options) { d.Changelog = s.Changelog },
 }
 
--- a/internal/settings/packs_test.go
+++ b/internal/settings/packs_test.go
@@ -13,8 +13,8 @@
 		packs           bool
 		carries         int
 	}{{2200, 192, true, 88}, {2200, 0, false, 0}, {0, 192, false, 192}, {4000, 32, false, 32}, {100000, 512, false, 512}, {2000000, 624, false, 624}, {1, 1, true, 1}} {
-		o := Options{Link: x.link, Processor: x.processor}
-		assert.Equal(t, o.Packs(), x.packs, "%d Kbit/s, %d thousandths", x.link, x.processor)
-		assert.Equal(t, o.Carries(), x.carries)
+		o := Options{LinkKbits: x.link, MilliCores: x.processor}
+		assert.Equal(t, o.CompressStreams(), x.packs, "%d Kbit/s, %d thousandths", x.link, x.processor)
+		assert.Equal(t, o.ClientCapacity(), x.carries)
 	}
 }
--- a/internal/testing/fleet/day.go
+++ b/internal/testing/fleet/day.go
@@ -187,7 +187,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	h := history.New()
-	spread := settings.DefaultBounds.Spread
+	spread := settings.DefaultTiming.Spread
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stop()
@@ -204,7 +204,7 @@
 	}
 	h.Accept(0, seq, string(d.Load.Describe(0)), time.Now())
 	wait(ctx, spread)
-	h.Bound = settings.DefaultBounds.Recovery
+	h.Bound = settings.DefaultTiming.Recovery
 	for _, p := range f.Processes {
 		wg.Go(func() { watchDescription(ctx, p, h, spread) })
 	}
@@ -260,10 +260,10 @@
 		wait(ctx, d.Interval)
 	}
 	wait(ctx, time.Until(end))
-	wait(ctx, settings.DefaultBounds.Recovery)
+	wait(ctx, settings.DefaultTiming.Recovery)
 	quiet()
 	cut := time.Now()
-	wait(ctx, settings.DefaultBounds.Recovery)
+	wait(ctx, settings.DefaultTiming.Recovery)
 	watched()
 	d.Still = <-still
 	r := h.Check(cut, time.Now())
@@ -272,7 +272,7 @@
 
 // begin puts the first description; where its outcome is not known, the very same one again tells.
 func (d *Day) begin(ctx context.Context, f *Fleet) (uint64, error) {
-	end := time.Now().Add(settings.DefaultBounds.Recovery)
+	end := time.Now().Add(settings.DefaultTiming.Recovery)
 	for {
 		seq, err := f.Processes[0].Port().Put(ctx, d.Load.Describe(0))
 		if err == nil || time.Now().After(end) || !apierror.HasCode(err, apierror.OutcomeUnknown) {
@@ -293,7 +293,7 @@
 		t := time.Now()
 		do()
 		e := time.Now()
-		if late := e.Sub(t) - usual; late >= settings.DefaultBounds.Silent() {
+		if late := e.Sub(t) - usual; late >= settings.DefaultTiming.FailureTimeout() {
 			d.say("%s of the machine under the fleet stood still for %s until now", what, late)
 			h.Disturb("stood still: "+what, t)
 			h.Disturb("end of stood still: "+what, e)
@@ -325,7 +325,7 @@
 			return
 		}
 		ps := f.Ports("")
-		cx, stop := context.WithTimeout(ctx, settings.DefaultBounds.Recovery)
+		cx, stop := context.WithTimeout(ctx, settings.DefaultTiming.Recovery)
 		asked := time.Now()
 		cur, err := ps[rng.IntN(len(ps))].Get(cx)
 		if err == nil {
--- a/internal/testing/fleet/fleet.go
+++ b/internal/testing/fleet/fleet.go
@@ -99,27 +99,27 @@
 			k++
 			o := settings.Default()
 			o.Name, o.Zone, o.Disk = fmt.Sprintf("%s%d", kind, i+1), fmt.Sprintf("z%d", i%s.Zones+1), disk
-			o.Listen, o.Peers = fmt.Sprintf("127.0.0.1:%d", base+k), fmt.Sprintf("127.0.0.1:%d", base+100+k)
+			o.Listen, o.PeerListen = fmt.Sprintf("127.0.0.1:%d", base+k), fmt.Sprintf("127.0.0.1:%d", base+100+k)
 			if base == 0 {
 				var err error
 				if o.Listen, err = free(); err != nil {
 					return err
 				}
-				if o.Peers, err = free(); err != nil {
+				if o.PeerListen, err = free(); err != nil {
 					return err
 				}
 			}
 			if disk != settings.DiskNone {
-				o.Data = filepath.Join(dir, o.Name)
+				o.DataDir = filepath.Join(dir, o.Name)
 			}
 			var err error
 			if !direct {
-				if o.Reach, err = f.Relay.serve(o.Name, o.Zone, o.Peers); err != nil {
+				if o.PeerAddress, err = f.Relay.serve(o.Name, o.Zone, o.PeerListen); err != nil {
 					return err
 				}
 			}
 			if disk == settings.DiskControl && len(seeds) < 3 {
-				seeds = append(seeds, o.Reached())
+				seeds = append(seeds, o.DialAddress())
 			}
 			if edit != nil {
 				edit(&o)
@@ -206,7 +206,7 @@
 func (p *Process) Kill() { p.Signal(syscall.SIGKILL, true) }
 
 // Wipe empties the machine's data folder.
-func (p *Process) Wipe() error { return os.RemoveAll(p.Opts.Data) }
+func (p *Process) Wipe() error { return os.RemoveAll(p.Opts.DataDir) }
 
 // Port gives the machine as callers see it.
 func (p *Process) Port() *transport.HTTP { return p.port }
--- a/internal/testing/fleet/fleet_test.go
+++ b/internal/testing/fleet/fleet_test.go
@@ -52,9 +52,9 @@
 	assert.Assert(t, r.Taken > 300, "taken %d", r.Taken)
 	t.Logf("taken %d receipts %d longest wait to be taken %s, longest wait %s (%s at %s from %s on), undisturbed %s, the machine stood still for %s", r.Taken, r.Receipts, max(r.Routine.Max, r.Urgent.Max),
 		r.Longest.Whole, r.Longest.Kind, r.Longest.Place, r.Longest.From.Format("04:05.000"), r.LongestUndisturbed.Undisturbed, d.Still)
-	assert.Assert(t, r.LongestUndisturbed.Undisturbed < settings.DefaultBounds.Recovery, "%s at %s waited %s with nothing new going wrong", r.LongestUndisturbed.Kind, r.LongestUndisturbed.Place, r.LongestUndisturbed.Undisturbed)
+	assert.Assert(t, r.LongestUndisturbed.Undisturbed < settings.DefaultTiming.Recovery, "%s at %s waited %s with nothing new going wrong", r.LongestUndisturbed.Kind, r.LongestUndisturbed.Place, r.LongestUndisturbed.Undisturbed)
 	// Where the machine under the fleet stood still by itself, the wait as a whole says nothing of the fleet.
-	assert.Assert(t, d.Still > 0 || max(r.Routine.Max, r.Urgent.Max) < settings.DefaultBounds.Recovery, "a caller waited %s", max(r.Routine.Max, r.Urgent.Max))
+	assert.Assert(t, d.Still > 0 || max(r.Routine.Max, r.Urgent.Max) < settings.DefaultTiming.Recovery, "a caller waited %s", max(r.Routine.Max, r.Urgent.Max))
 }
 
 type testWriter struct{ t *testing.T }
--- a/internal/testing/fleet/links.go
+++ b/internal/testing/fleet/links.go
@@ -48,7 +48,7 @@
 		if !strings.HasPrefix(p.Name, "c") {
 			continue
 		}
-		cx, stop := context.WithTimeout(ctx, settings.DefaultBounds.Recovery)
+		cx, stop := context.WithTimeout(ctx, settings.DefaultTiming.Recovery)
 		r, err := http.NewRequestWithContext(cx, method, p.port.Base+path, strings.NewReader(doc))
 		if err == nil {
 			var a *http.Response
@@ -129,7 +129,7 @@
 		return p.full(false)
 	}
 	faults["drain"] = func(ctx context.Context, d *Day, f *Fleet, _ *Process, rng *rand.Rand) error {
-		p := f.choose(rng, 1, func(q *Process) bool { return q.Opts.Store() })[0]
+		p := f.choose(rng, 1, func(q *Process) bool { return q.Opts.HasStorageDisk() })[0]
 		a, err := f.ask(ctx, http.MethodPost, "/v1/drain", `{"node":"`+p.Name+`"}`)
 		if err != nil {
 			d.say("emptying of %s was not asked for: %v", p.Name, err)
--- a/internal/testing/fleet/relay_test.go
+++ b/internal/testing/fleet/relay_test.go
@@ -23,7 +23,7 @@
 // between stands a server behind a relay and gives a way to call it as the machine "a" does.
 func between(t *testing.T, apart time.Duration, f func(string)) (*Relay, func(string) error) {
 	t.Helper()
-	b := settings.DefaultBounds
+	b := settings.DefaultTiming
 	m := http.NewServeMux()
 	noted.Handle(m, func(_ context.Context, q *note) (*note, error) {
 		f(q.Say)
--- a/internal/testing/fleet/visits.go
+++ b/internal/testing/fleet/visits.go
@@ -147,7 +147,7 @@
 
 func (v *Visits) doors() (ds []simclient.Door) {
 	for _, p := range v.f.Processes {
-		if p.Opts.Visits == "" || !v.f.isReady(p.Name) {
+		if p.Opts.ClientListen == "" || !v.f.isReady(p.Name) {
 			continue
 		}
 		ds = append(ds, v.door(p))
@@ -156,7 +156,7 @@
 		return ds
 	}
 	for _, p := range v.f.Processes {
-		if p.Opts.Visits != "" {
+		if p.Opts.ClientListen != "" {
 			ds = append(ds, v.door(p))
 		}
 	}
@@ -164,8 +164,8 @@
 }
 
 func (v *Visits) door(p *Process) simclient.Door {
-	return simclient.Door{Address: p.Opts.Visits, Enter: func(hear func(session.Answer, time.Time), broken func()) simclient.Line {
-		c, err := (&net.Dialer{Timeout: time.Second}).DialContext(v.ctx, "tcp", p.Opts.Visits)
+	return simclient.Door{Address: p.Opts.ClientListen, Enter: func(hear func(session.Answer, time.Time), broken func()) simclient.Line {
+		c, err := (&net.Dialer{Timeout: time.Second}).DialContext(v.ctx, "tcp", p.Opts.ClientListen)
 		if err != nil {
 			return nil
 		}
@@ -179,7 +179,7 @@
 
 // Enter lets n visitors in, who follow and send on topics of a load until Leave.
 func (f *Fleet) Enter(ctx context.Context, n int, l sim.Load, seed uint64) *Visits {
-	b := settings.DefaultBounds
+	b := settings.DefaultTiming
 	v := &Visits{Book: deliverycheck.New(b.Keeping, 3*b.Spread), f: f}
 	v.ctx, v.stop = context.WithCancel(ctx)
 	v.sends, v.quiet = context.WithCancel(v.ctx)
--- a/internal/testing/fleet/visits_test.go
+++ b/internal/testing/fleet/visits_test.go
@@ -19,7 +19,7 @@
 		if o.Disk == settings.DiskNone {
 			a, err := free()
 			assert.NilError(t, err)
-			o.Visits = a
+			o.ClientListen = a
 		}
 	})
 	assert.NilError(t, err)
@@ -35,7 +35,7 @@
 		}
 	})
 	go f.Watch(ctx)
-	b := settings.DefaultBounds
+	b := settings.DefaultTiming
 	for at := time.Now(); !f.AllReady(); wait(ctx, 100*time.Millisecond) {
 		assert.Assert(t, time.Since(at) < 30*time.Second, "not ready: %s", f.unready())
 	}
--- a/internal/testing/sim/blows.go
+++ b/internal/testing/sim/blows.go
@@ -187,7 +187,7 @@
 			if x := w.Machines[n].Node(); x != nil && r.IntN(2) == 0 {
 				o := w.Machines[n].Opts
 				o.Backlog = 16 + r.IntN(64)
-				o.Changelog = settings.Span(time.Duration(200+r.IntN(6000)) * time.Millisecond)
+				o.Changelog = settings.Duration(time.Duration(200+r.IntN(6000)) * time.Millisecond)
 				if r.IntN(4) == 0 {
 					o.Zone = "elsewhere"
 				}
--- a/internal/testing/sim/boot_test.go
+++ b/internal/testing/sim/boot_test.go
@@ -78,7 +78,7 @@
 		}
 		p := partition.Of(topic, sp.Urgent, x.Board.Roster().Layout)
 		done := make(chan error, 1)
-		x.House.Ledger.Offer(w.ctx, p, &leader.Task{Visitor: who, Topic: topic, Call: call, Body: []byte(`"b"`)}, time.Now().Add(w.Site.Bounds.Call()), func(d *leader.Decision, err error) {
+		x.House.Ledger.Offer(w.ctx, p, &leader.Task{Visitor: who, Topic: topic, Call: call, Body: []byte(`"b"`)}, time.Now().Add(w.Site.Bounds.CallTimeout()), func(d *leader.Decision, err error) {
 			if err == nil {
 				mu.Lock()
 				last[topic] = max(last[topic], d.Offset)
@@ -213,7 +213,7 @@
 			stand(t, bootSite(seed), 300+seed, func(t *testing.T, w *World) {
 				b := boot(t, w, way.down, way.away(w))
 				last := max(at(b.open, 1), at(b.take, 1), at(b.give, 1))
-				assert.Assert(t, last < w.Site.Bounds.Tend(), "seed %d: %s: everything only after %s", seed, way.name, last)
+				assert.Assert(t, last < w.Site.Bounds.ReconcileInterval(), "seed %d: %s: everything only after %s", seed, way.name, last)
 			})
 		}
 	}
--- a/internal/testing/sim/description_test.go
+++ b/internal/testing/sim/description_test.go
@@ -292,7 +292,7 @@
 func TestKeepingAsLongAsASpaceAsks(t *testing.T) {
 	t.Parallel()
 	stand(t, Armor, 360, func(t *testing.T, w *World) {
-		most := w.Site.Bounds.KeptMost().Milliseconds()
+		most := w.Site.Bounds.MaxRetention().Milliseconds()
 		_, err := w.Put("c1", []byte(fmt.Sprintf(`{"base":0,"spaces":[{"name":"k","kind":"kept","prefix":"k","keep_ms":%d}]}`, most+1)))
 		assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationInvalid), "%v", err)
 		asked := 2 * w.Site.Bounds.Keeping
@@ -306,7 +306,7 @@
 		time.Sleep(asked)
 		calls, _, _ := follow(w, "c1", attach(t, w, "c1", "w").Token, cursor, []string{"k1"}, 2*time.Second)
 		assert.DeepEqual(t, calls, []uint64{1})
-		time.Sleep(w.Site.Bounds.KeptFor(asked) - asked + 10*time.Second)
+		time.Sleep(w.Site.Bounds.RetentionFor(asked) - asked + 10*time.Second)
 		_, err = w.Port("a1").Send(w.ctx, tok, "k1", 2, []byte("2"))
 		assert.NilError(t, err)
 		time.Sleep(5 * time.Second)
--- a/internal/testing/sim/flood_test.go
+++ b/internal/testing/sim/flood_test.go
@@ -96,7 +96,7 @@
 		repaired := longest(time.Second)
 		limit := 3*calm + 2*time.Millisecond
 		if epochs() != was {
-			limit = 2 * s.Bounds.Retry()
+			limit = 2 * s.Bounds.MaxBackoff()
 			t.Logf("a copy of an urgent partition was replaced too, and its owner opened it anew")
 		}
 		stop()
--- a/internal/testing/sim/founding_test.go
+++ b/internal/testing/sim/founding_test.go
@@ -14,7 +14,7 @@
 
 func seedSite(control, known int) Site {
 	s := Armor
-	s.Control, s.Access, s.Founding, s.Known = control, 3, settings.FoundSeeds, known
+	s.Control, s.Access, s.Founding, s.Known = control, 3, settings.BootstrapSeeds, known
 	return s
 }
 
@@ -93,7 +93,7 @@
 		fleet := w.Machines["c2"].Node().Roster().Fleet
 		w.Wipe("c1")
 		time.Sleep(3 * time.Second)
-		w.Machines["c1"].Opts.Founding = settings.FoundNever
+		w.Machines["c1"].Opts.BootstrapBy = settings.BootstrapNever
 		assert.NilError(t, w.Start("c1"))
 		at := time.Now()
 		assert.NilError(t, w.Until(2*time.Second, "all voters are seated again", w.fullRoster))
@@ -107,7 +107,7 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := Armor
-		s.Founding = settings.FoundNever
+		s.Founding = settings.BootstrapNever
 		w := New(s, 7, Logger())
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
@@ -130,7 +130,7 @@
 		assert.NilError(t, w.Until(3*time.Second, "all voters are seated", w.fullRoster))
 		w.Isolate("c1")
 		w.Isolate("a1")
-		w.Machines["a3"].Opts.Seeds = []string{w.Machines["c1"].Opts.Peers, w.Machines["a1"].Opts.Peers, w.Machines["a2"].Opts.Peers}
+		w.Machines["a3"].Opts.Seeds = []string{w.Machines["c1"].Opts.PeerListen, w.Machines["a1"].Opts.PeerListen, w.Machines["a2"].Opts.PeerListen}
 		time.Sleep(5 * time.Second)
 		assert.NilError(t, w.Start("a3"))
 		at := time.Now()
--- a/internal/testing/sim/hand.go
+++ b/internal/testing/sim/hand.go
@@ -231,7 +231,7 @@
 		if ok && simclient.Promises[apierror.From(s.Err).Code] {
 			return false
 		}
-		time.Sleep(h.g.w.Site.Bounds.Retry())
+		time.Sleep(h.g.w.Site.Bounds.MaxBackoff())
 	}
 	return false
 }
--- a/internal/testing/sim/lag_test.go
+++ b/internal/testing/sim/lag_test.go
@@ -36,7 +36,7 @@
 				at := time.Now()
 				_, err := w.Port("a1").Send(w.ctx, tok, topic, n, []byte(`1`))
 				for ; err != nil; _, err = w.Port("a1").Send(w.ctx, tok, topic, n, []byte(`1`)) {
-					time.Sleep(w.Site.Bounds.Retry() / 2)
+					time.Sleep(w.Site.Bounds.MaxBackoff() / 2)
 				}
 				calls++
 				if d := time.Since(at); d > 150*time.Millisecond {
@@ -57,7 +57,7 @@
 func TestOnlyNodesWithADiskTellHowLongPulsesTake(t *testing.T) {
 	t.Parallel()
 	stand(t, Armor, 380, func(t *testing.T, w *World) {
-		slow := w.Site.Bounds.Slow()
+		slow := w.Site.Bounds.SlowThreshold()
 		for _, n := range []string{"a1", "s1"} {
 			w.Slow(n, 2*slow)
 		}
--- a/internal/testing/sim/last.go
+++ b/internal/testing/sim/last.go
@@ -38,7 +38,7 @@
 		if err == nil || errors.Is(err, errEnough) {
 			return err
 		}
-		time.Sleep(w.Site.Bounds.Retry())
+		time.Sleep(w.Site.Bounds.MaxBackoff())
 	}
 	return err
 }
--- a/internal/testing/sim/machine.go
+++ b/internal/testing/sim/machine.go
@@ -211,7 +211,7 @@
 	}
 	m.n = n
 	m.ports = &transport.Services{Visitors: n.Visitors, Door: n.Door(), Gone: make(chan struct{})}
-	m.w.serve(m.Opts.Peers, m, run, n.Peers())
+	m.w.serve(m.Opts.PeerListen, m, run, n.Peers())
 	m.w.History.Disturb("start", time.Now())
 	return nil
 }
--- a/internal/testing/sim/measure_test.go
+++ b/internal/testing/sim/measure_test.go
@@ -40,7 +40,7 @@
 				w := New(Armor, seed, nil)
 				defer w.Close()
 				for _, m := range w.Machines {
-					m.Opts.Changelog = settings.Span(every)
+					m.Opts.Changelog = settings.Duration(every)
 				}
 				assert.NilError(t, w.Start(w.Names...))
 				assert.NilError(t, w.Settle(20*time.Second))
--- a/internal/testing/sim/orders_test.go
+++ b/internal/testing/sim/orders_test.go
@@ -57,7 +57,7 @@
 		for _, n := range []string{"c1", "c2", "c3"} {
 			w.Remove(n, n == "c2")
 			time.Sleep(time.Second)
-			w.Machines[n+"b"].Opts.Seeds = []string{w.Machines["s1"].Opts.Peers}
+			w.Machines[n+"b"].Opts.Seeds = []string{w.Machines["s1"].Opts.PeerListen}
 			assert.NilError(t, w.Add(n+"b"))
 			assert.NilError(t, w.Until(60*time.Second, n+"b has a seat", func() bool {
 				x := w.Machines["a1"].Node().Roster()
@@ -69,7 +69,7 @@
 		}
 		for _, n := range w.There() {
 			w.LosePower(n, w.Int(2) == 0)
-			w.Machines[n].Opts.Seeds = []string{w.Machines["c1b"].Opts.Peers, w.Machines["c3b"].Opts.Peers}
+			w.Machines[n].Opts.Seeds = []string{w.Machines["c1b"].Opts.PeerListen, w.Machines["c3b"].Opts.PeerListen}
 		}
 		assert.NilError(t, w.Start(w.There()...))
 		assert.NilError(t, w.Settle(30*time.Second))
--- a/internal/testing/sim/owner_test.go
+++ b/internal/testing/sim/owner_test.go
@@ -145,7 +145,7 @@
 		assert.Equal(t, len(calls), 34, "%v", calls)
 		again, _, _ := follow(w, "a1", v.Token, cursor, topics, 2*time.Second)
 		assert.Equal(t, len(again), 0, "%v twice", again)
-		time.Sleep(w.Site.Bounds.Kept() + 10*time.Second)
+		time.Sleep(w.Site.Bounds.Retention() + 10*time.Second)
 		for n < 40 {
 			n++
 			_, err := w.Port("c2").Send(w.ctx, s.Token, "kept/t0", n, []byte(fmt.Sprint(n)))
--- a/internal/testing/sim/repair_test.go
+++ b/internal/testing/sim/repair_test.go
@@ -120,9 +120,9 @@
 		assert.NilError(t, w.Start("s4"))
 		time.Sleep(time.Second)
 		assert.NilError(t, w.askDrain("s4"))
-		assert.NilError(t, w.Until(w.Site.Bounds.Session(), "s4 is empty and the records are fenced", w.drained("s4")))
+		assert.NilError(t, w.Until(w.Site.Bounds.SessionTimeout(), "s4 is empty and the records are fenced", w.drained("s4")))
 		w.Kill("s2")
-		assert.NilError(t, w.Until(w.Site.Bounds.Repair()+10*time.Second, "the small disks have the copies", func() bool { return w.holdings("s2") == 0 && w.copied() }))
+		assert.NilError(t, w.Until(w.Site.Bounds.ReplacementDelay()+10*time.Second, "the small disks have the copies", func() bool { return w.holdings("s2") == 0 && w.copied() }))
 		assert.Equal(t, w.holdings("s4"), 0)
 	})
 }
--- a/internal/testing/sim/restart_test.go
+++ b/internal/testing/sim/restart_test.go
@@ -43,7 +43,7 @@
 					ctx, stop := context.WithTimeout(w.ctx, w.Site.Bounds.Spread)
 					r, err = w.Port("a1").Send(ctx, tok, fmt.Sprintf("kept/t%d", i), 1, []byte(`"back"`))
 					stop()
-					time.Sleep(w.Site.Bounds.Heartbeat() / 3)
+					time.Sleep(w.Site.Bounds.HeartbeatInterval() / 3)
 				}
 				assert.NilError(t, err, "seed %d: topic %d", seed, i)
 				_ = r
@@ -61,7 +61,7 @@
 	m := w.Machines[c]
 	_, run := m.node()
 	r := m.Node().Roster()
-	a, err := acceptor.Promise.Call(w.ctx, &endpoint{w, m, run}, c, m.Opts.Peers, &acceptor.PromiseRequest{Ballot: acceptor.Ballot{Roster: r.Sequence, Incarnation: m.Node().Info().Incarnation, Key: key}, Epoch: e})
+	a, err := acceptor.Promise.Call(w.ctx, &endpoint{w, m, run}, c, m.Opts.PeerListen, &acceptor.PromiseRequest{Ballot: acceptor.Ballot{Roster: r.Sequence, Incarnation: m.Node().Info().Incarnation, Key: key}, Epoch: e})
 	assert.NilError(t, err)
 	assert.Assert(t, a.OK)
 }
--- a/internal/testing/sim/retire_test.go
+++ b/internal/testing/sim/retire_test.go
@@ -19,7 +19,7 @@
 // emptying asks a node how far the emptying of a machine is.
 func (w *World) emptying(at, n string) (decommission.Drain, error) {
 	var x decommission.Drain
-	err := w.ask(at, w.Site.Bounds.Call(), func(ctx context.Context, k *node.Node) error {
+	err := w.ask(at, w.Site.Bounds.CallTimeout(), func(ctx context.Context, k *node.Node) error {
 		var e error
 		x, e = k.Operators.Emptying(ctx, n)
 		return e
@@ -153,7 +153,7 @@
 				for _, n := range []string{"nobody", "s1", "c1", "a1"} {
 					_, err := w.emptying(cut, n)
 					assert.Assert(t, unclear(err), "the emptying of %s: %v", n, err)
-					err = w.ask(cut, 2*w.Site.Bounds.Call(), func(ctx context.Context, k *node.Node) error {
+					err = w.ask(cut, 2*w.Site.Bounds.CallTimeout(), func(ctx context.Context, k *node.Node) error {
 						_, err := k.Operators.Drain(ctx, n)
 						return err
 					})
@@ -161,7 +161,7 @@
 				}
 				_, err := w.Put(cut, load.Describe(1))
 				assert.Assert(t, unclear(err), "an order: %v", err)
-				err = w.ask(cut, 2*w.Site.Bounds.Call(), func(ctx context.Context, k *node.Node) error {
+				err = w.ask(cut, 2*w.Site.Bounds.CallTimeout(), func(ctx context.Context, k *node.Node) error {
 					_, err := k.Operators.Current(ctx)
 					return err
 				})
@@ -170,7 +170,7 @@
 			_, err = w.emptying(other, "nobody")
 			assert.Assert(t, apierror.HasCode(err, apierror.UnknownNode), "%v", err)
 			w.Heal()
-			time.Sleep(w.Site.Bounds.Session())
+			time.Sleep(w.Site.Bounds.SessionTimeout())
 			for _, n := range w.Names {
 				_, err := w.emptying(n, "s1")
 				assert.Assert(t, apierror.HasCode(err, apierror.UnknownNode), "%v", err)
--- a/internal/testing/sim/room_test.go
+++ b/internal/testing/sim/room_test.go
@@ -22,7 +22,7 @@
 		t.Logf("duties away after %s", time.Since(full))
 		assert.NilError(t, w.Until(20*time.Second, "s1 holds nothing", func() bool { return w.holdings("s1") == 0 }))
 		t.Logf("copies away after %s", time.Since(full))
-		w.Quiet(w.Site.Bounds.Kept())
+		w.Quiet(w.Site.Bounds.Retention())
 		assert.NilError(t, w.Until(60*time.Second, "s1 is well and holds copies", func() bool { return x.Info().Fitness == "" && w.copied() && w.holdings("s1") > 0 }))
 		assert.Assert(t, w.Machines["s1"].Node() == x, "its process ended")
 	})
--- a/internal/testing/sim/silent_test.go
+++ b/internal/testing/sim/silent_test.go
@@ -38,10 +38,10 @@
 				was := changes(w)
 				for range 4 {
 					o := busiest(w)
-					w.Slow(o, w.Site.Bounds.Beat()*2/3)
-					time.Sleep(4 * w.Site.Bounds.Beat())
+					w.Slow(o, w.Site.Bounds.PingInterval()*2/3)
+					time.Sleep(4 * w.Site.Bounds.PingInterval())
 					w.Freeze(o)
-					time.Sleep(w.Site.Bounds.Silent() + w.Site.Bounds.Beat()/2)
+					time.Sleep(w.Site.Bounds.FailureTimeout() + w.Site.Bounds.PingInterval()/2)
 					w.Thaw(o)
 					w.Slow(o, 0)
 					time.Sleep(w.Site.Bounds.Spread)
--- a/internal/testing/sim/sim_test.go
+++ b/internal/testing/sim/sim_test.go
@@ -111,7 +111,7 @@
 		if time.Now().After(end) {
 			return err
 		}
-		time.Sleep(w.Site.Bounds.Retry())
+		time.Sleep(w.Site.Bounds.MaxBackoff())
 	}
 }
 
--- a/internal/testing/sim/spread_test.go
+++ b/internal/testing/sim/spread_test.go
@@ -91,7 +91,7 @@
 					if know == all {
 						d := time.Since(first)
 						t.Logf("seed %d: the new owner of partition %d was known to all %d after %s", seed, p, all, d)
-						assert.Assert(t, d < s.Bounds.Heartbeat(), "partition %d: %s", p, d)
+						assert.Assert(t, d < s.Bounds.HeartbeatInterval(), "partition %d: %s", p, d)
 						delete(lost, p)
 					}
 				}
--- a/internal/testing/sim/still_test.go
+++ b/internal/testing/sim/still_test.go
@@ -21,7 +21,7 @@
 		time.Sleep(s.Bounds.Recovery)
 		const sessions = 10
 		was := w.Flows()
-		time.Sleep(sessions * s.Bounds.Session())
+		time.Sleep(sessions * s.Bounds.SessionTimeout())
 		is := w.Flows()
 		pairs := s.Stores * (s.Stores - 1)
 		stills, appends := is[replica.Still.Path], is[replica.Append.Path].Calls-was[replica.Append.Path].Calls
@@ -47,7 +47,7 @@
 		time.Sleep(s.Bounds.Recovery)
 		was := w.Flows()
 		const sweeps = 4
-		time.Sleep(sweeps * s.Bounds.Sweep())
+		time.Sleep(sweeps * s.Bounds.SweepInterval())
 		is := w.Flows()
 		for _, p := range []string{keys.Read.Path, acceptor.Peek.Path} {
 			t.Logf("%s: %d calls, %d bytes in %d sweeps of %d partitions", p, is[p].Calls-was[p].Calls, is[p].Bytes-was[p].Bytes, sweeps, s.Routine+s.Urgent)
--- a/internal/testing/sim/storm_test.go
+++ b/internal/testing/sim/storm_test.go
@@ -32,7 +32,7 @@
 		was := w.Flows()
 		_, err = w.Put("a1", bootLoad.Describe(1))
 		assert.NilError(t, err)
-		time.Sleep(s.Bounds.Lease() / 3)
+		time.Sleep(s.Bounds.LeaseDuration() / 3)
 		is := w.Flows()
 		release()
 		assert.Assert(t, hits() > 0)
--- a/internal/testing/sim/streams_forget_test.go
+++ b/internal/testing/sim/streams_forget_test.go
@@ -93,7 +93,7 @@
 			if !apierror.HasCode(err, apierror.NoLease) {
 				return
 			}
-			time.Sleep(x.Site.Bounds.Retry() / 4)
+			time.Sleep(x.Site.Bounds.MaxBackoff() / 4)
 		}
 	})
 	time.Sleep(time.Second)
@@ -126,7 +126,7 @@
 		x.call++
 		_, err := x.withdraw("k", x.call)
 		x.open(err, "a1/streams")
-		assert.Assert(x.t, time.Since(begun) <= 2*x.Site.Bounds.Call(), "held for %s", time.Since(begun))
+		assert.Assert(x.t, time.Since(begun) <= 2*x.Site.Bounds.CallTimeout(), "held for %s", time.Since(begun))
 		_, err = x.withdraw("k", x.call)
 		x.open(err, "a1/streams")
 		x.send("k", "anew")
@@ -263,7 +263,7 @@
 		x.call++
 		_, err := x.withdraw("k", x.call)
 		assert.NilError(x.t, err)
-		assert.Assert(x.t, time.Since(begun) < x.Site.Bounds.Call())
+		assert.Assert(x.t, time.Since(begun) < x.Site.Bounds.CallTimeout())
 		<-ended
 		assert.Equal(x.t, len(emitted), 1)
 	},
--- a/internal/testing/sim/stretch_test.go
+++ b/internal/testing/sim/stretch_test.go
@@ -17,7 +17,7 @@
 		w := New(Armor, 71, Logger())
 		defer w.Close()
 		for _, m := range w.Machines {
-			m.Opts.Stretch = settings.Span(stretched)
+			m.Opts.LeaseExtension = settings.Duration(stretched)
 		}
 		assert.NilError(t, w.Start(w.Names...))
 		assert.NilError(t, w.Settle(20*time.Second))
--- a/internal/testing/sim/told_test.go
+++ b/internal/testing/sim/told_test.go
@@ -42,7 +42,7 @@
 			}
 			assert.Assert(t, turned > 10, "void: %d calls were told to come back", turned)
 			t.Logf("%d calls told to come back, the last after %s", turned, most)
-			assert.Assert(t, most < 2*w.Site.Bounds.Retry()+w.Site.Bounds.Retry()/2, "told after %s", most)
+			assert.Assert(t, most < 2*w.Site.Bounds.MaxBackoff()+w.Site.Bounds.MaxBackoff()/2, "told after %s", most)
 		})
 	}
 }
--- a/internal/testing/sim/trim_test.go
+++ b/internal/testing/sim/trim_test.go
@@ -29,7 +29,7 @@
 				return x.From == o && x.Stage == Asking && late(x) && q.Partition == p
 			})
 			n := uint64(0)
-			for begun := time.Now(); time.Since(begun) < w.Site.Bounds.Kept()+20*time.Second; {
+			for begun := time.Now(); time.Since(begun) < w.Site.Bounds.Retention()+20*time.Second; {
 				n++
 				_, err := w.Port("c1").Send(w.ctx, tok, topic, n, []byte(fmt.Sprint(n)))
 				assert.NilError(t, err)
@@ -55,7 +55,7 @@
 			n++
 			_, err := w.Port("c1").Send(w.ctx, tok, topic, n, []byte(fmt.Sprint(n)))
 			assert.NilError(t, err, "the message that a trim goes along with")
-			time.Sleep(w.Site.Bounds.Changelog() / 2)
+			time.Sleep(w.Site.Bounds.ChangelogInterval() / 2)
 			w.Kill(o)
 			assert.NilError(t, w.Until(10*time.Second, "another owner is open", func() bool {
 				r := w.records()[p]
--- a/internal/testing/sim/urgent_test.go
+++ b/internal/testing/sim/urgent_test.go
@@ -89,7 +89,7 @@
 			time.Sleep(time.Second)
 			calm := send(20)
 			release, hits := w.Hold(w.routineWork)
-			time.Sleep(w.Site.Bounds.Retry())
+			time.Sleep(w.Site.Bounds.MaxBackoff())
 			for i := range 30 {
 				w.wg.Go(func() {
 					ctx, stop := context.WithTimeout(w.ctx, w.Site.Bounds.Spread)
@@ -99,7 +99,7 @@
 			}
 			listen("behind, shared", "c3", late.Token, cursor, "stop/line", "kept/t0")
 			listen("new, shared", "c2", early.Token, "", "stop/line", "kept/t3", "kept/t4")
-			opened := w.Site.Bounds.Retry() * 3 / 2
+			opened := w.Site.Bounds.MaxBackoff() * 3 / 2
 			time.Sleep(opened)
 			first := n + 1
 			busy := send(20)
--- a/internal/testing/sim/visits.go
+++ b/internal/testing/sim/visits.go
@@ -183,7 +183,7 @@
 }
 
 func (g *Guests) door(m *Machine) simclient.Door {
-	return simclient.Door{Address: m.Opts.Visits, Enter: func(hear func(session.Answer, time.Time), broken func()) simclient.Line {
+	return simclient.Door{Address: m.Opts.ClientListen, Enter: func(hear func(session.Answer, time.Time), broken func()) simclient.Line {
 		if s := g.connect(m, false, hear, broken); s != nil {
 			return s
 		}
@@ -226,7 +226,7 @@
 	var ready, all []simclient.Door
 	for _, n := range g.w.Names {
 		m := g.w.Machines[n]
-		if m.Opts.Visits == "" {
+		if m.Opts.ClientListen == "" {
 			continue
 		}
 		m.mu.Lock()
--- a/internal/testing/sim/visits_gap_test.go
+++ b/internal/testing/sim/visits_gap_test.go
@@ -18,7 +18,7 @@
 		r := entertain(t, hall, 700+seed, Load{Topics: 24, LiveTopics: 2, Every: 6 * time.Second, Habits: func(h *simclient.Habits) { h.Away, h.Absence, h.Change = time.Minute, 80*time.Second, 0 }}, 24, func(_ *testing.T, w *World, g *Guests) {
 			time.Sleep(5 * time.Second)
 			w.Isolate("a1")
-			time.Sleep(w.Site.Bounds.Kept() + w.Site.Bounds.Recovery)
+			time.Sleep(w.Site.Bounds.Retention() + w.Site.Bounds.Recovery)
 			w.Heal()
 			time.Sleep(5 * time.Second)
 			g.Ever = true
--- a/internal/testing/sim/wiped_test.go
+++ b/internal/testing/sim/wiped_test.go
@@ -26,7 +26,7 @@
 			}
 			time.Sleep(time.Duration(seed) * 100 * time.Millisecond)
 			assert.NilError(t, w.Start(o))
-			time.Sleep(w.Site.Bounds.Settle())
+			time.Sleep(w.Site.Bounds.TakeoverTimeout())
 			release()
 			time.Sleep(10 * time.Second)
 			for p, r := range w.records() {
@@ -51,10 +51,10 @@
 			w.Kill(o)
 			release, hits := w.Hold(func(x Point) bool { return x.From == o && strings.Contains(x.Path, "/postjunction.Control/") })
 			assert.NilError(t, w.Start(o))
-			time.Sleep(w.Site.Bounds.Settle() * 3)
+			time.Sleep(w.Site.Bounds.TakeoverTimeout() * 3)
 			assert.Assert(t, hits() > 0, "void: nothing was held")
 			release()
-			time.Sleep(w.Site.Bounds.Settle())
+			time.Sleep(w.Site.Bounds.TakeoverTimeout())
 			for p, r := range w.records() {
 				assert.Assert(t, r.Owner != o || r.Epoch > 1, "partition %d is closed: its owner %s never asked again", p, o)
 			}
--- a/internal/testing/sim/withdraw_test.go
+++ b/internal/testing/sim/withdraw_test.go
@@ -109,7 +109,7 @@
 	took := time.Since(begun)
 	assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.WithdrawalOpen), "was told %s %v after %s", a.What, a.Err, took)
 	assert.Assert(s.t, strings.Contains(a.Err.Error(), node), "%v does not name %s", a.Err, node)
-	assert.Assert(s.t, took <= s.w.Site.Bounds.Call(), "the answer took %s", took)
+	assert.Assert(s.t, took <= s.w.Site.Bounds.CallTimeout(), "the answer took %s", took)
 }
 
 // yes asks again until the yes comes.
@@ -122,7 +122,7 @@
 			return a
 		}
 		assert.Assert(s.t, time.Now().Before(end), "no yes within %s: %v %s %v", limit, ok, a.What, a.Err)
-		time.Sleep(s.w.Site.Bounds.Retry())
+		time.Sleep(s.w.Site.Bounds.MaxBackoff())
 	}
 }
 
@@ -225,7 +225,7 @@
 				cut(s)
 				s.reader.Still(3 * time.Second)
 				x := s.open("turn", "a1")
-				a := s.yes(x, s.w.Site.Bounds.Recovery+s.w.Site.Bounds.Call())
+				a := s.yes(x, s.w.Site.Bounds.Recovery+s.w.Site.Bounds.CallTimeout())
 				s.flow("turn", time.Second)
 				assert.Assert(s.t, !s.got(s.reader, last, a.Shown), "shown after the yes")
 				s.w.Heal()
@@ -295,7 +295,7 @@
 		was := s.compactions()
 		for range 90 {
 			s.write("", 1)
-			time.Sleep(s.w.Site.Bounds.Retry())
+			time.Sleep(s.w.Site.Bounds.MaxBackoff())
 		}
 		assert.Assert(s.t, s.compactions() > was, "void: no changelog was compacted")
 		o := s.seat()
@@ -323,7 +323,7 @@
 func (s *scene) reopened(key string) {
 	s.t.Helper()
 	assert.NilError(s.t, s.w.Until(s.w.Site.Bounds.Recovery, "the line is open again", func() bool { return s.lead.Sent(ground, key, s.next()) }))
-	time.Sleep(s.w.Site.Bounds.Session())
+	time.Sleep(s.w.Site.Bounds.SessionTimeout())
 }
 
 func (s *scene) compactions() (n uint64) {
@@ -513,7 +513,7 @@
 				}
 				for range 10 {
 					s.write("turn", 2)
-					s.yes(deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}, s.w.Site.Bounds.Call())
+					s.yes(deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}, s.w.Site.Bounds.CallTimeout())
 				}
 				s.write("turn", 1)
 				s.wait(s.reader, s.call)
@@ -577,14 +577,14 @@
 				back := away(s.w)
 				x := s.open("turn", "a1")
 				begun := time.Now()
-				a := s.yes(x, s.w.Site.Bounds.Kept()+2*s.w.Site.Bounds.Recovery)
+				a := s.yes(x, s.w.Site.Bounds.Retention()+2*s.w.Site.Bounds.Recovery)
 				assert.Assert(s.t, slices.Contains(a.GivenUp, "a1"), "the yes names %v", a.GivenUp)
 				took := time.Since(begun)
 				s.t.Logf("given up after %s", took)
 				assert.Assert(s.t, took >= s.w.Site.Bounds.Keeping, "given up after %s", took)
 				for range 5 {
 					s.write("turn", 1)
-					s.yes(deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}, s.w.Site.Bounds.Call())
+					s.yes(deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}, s.w.Site.Bounds.CallTimeout())
 				}
 				back()
 				s.anew()
@@ -611,5 +611,5 @@
 		return ok
 	})
 	assert.NilError(s.t, err)
-	s.yes(deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}, s.w.Site.Bounds.Call())
+	s.yes(deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}, s.w.Site.Bounds.CallTimeout())
 }
--- a/internal/testing/sim/woken_test.go
+++ b/internal/testing/sim/woken_test.go
@@ -34,7 +34,7 @@
 				for _, n := range w.Names {
 					w.LosePower(n, w.Int(2) == 0)
 				}
-				time.Sleep(s.Bounds.Silent())
+				time.Sleep(s.Bounds.FailureTimeout())
 				ns := slices.Clone(w.Names)
 				for i := range ns {
 					k := w.Int(i + 1)
@@ -45,7 +45,7 @@
 					assert.NilError(t, w.Start(n))
 					time.Sleep(time.Duration(w.Int(60)) * time.Millisecond)
 				}
-				assert.NilError(t, w.Until(s.Bounds.Tend(), "all are ready", func() bool {
+				assert.NilError(t, w.Until(s.Bounds.ReconcileInterval(), "all are ready", func() bool {
 					return !slices.ContainsFunc(ns, func(n string) bool { return w.Machines[n].Node().Ready() != nil })
 				}))
 				is, bytes := w.Flows(), 0
--- a/internal/testing/sim/world.go
+++ b/internal/testing/sim/world.go
@@ -40,7 +40,7 @@
 type Site struct {
 	Zones, Control, Access, Stores int
 	Latency                        time.Duration
-	Bounds                         settings.Bounds
+	Bounds                         settings.Timing
 	Routine, Urgent                int
 	// Founding is the setting of that name, self when empty. With seeds, Known of the three seeds are control nodes, the others access nodes.
 	Founding string
@@ -57,8 +57,8 @@
 
 // Armor and Traductores are the two deployments with fewer access machines.
 var (
-	Armor       = Site{Zones: 3, Control: 3, Access: 1, Stores: 3, Latency: 500 * time.Microsecond, Bounds: settings.DefaultBounds, Routine: 4, Urgent: 2}
-	Traductores = Site{Zones: 4, Control: 4, Access: 1, Stores: 4, Latency: 1500 * time.Microsecond, Bounds: settings.DefaultBounds, Routine: 4, Urgent: 2}
+	Armor       = Site{Zones: 3, Control: 3, Access: 1, Stores: 3, Latency: 500 * time.Microsecond, Bounds: settings.DefaultTiming, Routine: 4, Urgent: 2}
+	Traductores = Site{Zones: 4, Control: 4, Access: 1, Stores: 4, Latency: 1500 * time.Microsecond, Bounds: settings.DefaultTiming, Routine: 4, Urgent: 2}
 )
 
 // World is a simulated fleet with its callers.
@@ -113,8 +113,8 @@
 		for i := range n {
 			o := w.opts(fmt.Sprintf("%s%d", kind, i+1), fmt.Sprintf("z%d", i%s.Zones+1), disk)
 			name := o.Name
-			if disk == settings.DiskControl && (s.Founding != settings.FoundSeeds || i < s.Known) && len(seeds) < 3 || s.Founding == settings.FoundSeeds && disk == settings.DiskNone && len(seeds) < 3 {
-				seeds = append(seeds, o.Peers)
+			if disk == settings.DiskControl && (s.Founding != settings.BootstrapSeeds || i < s.Known) && len(seeds) < 3 || s.Founding == settings.BootstrapSeeds && disk == settings.DiskNone && len(seeds) < 3 {
+				seeds = append(seeds, o.PeerListen)
 			}
 			w.Machines[name] = &Machine{w: w, Opts: o, Disk: memlog.New(), broken: make(chan struct{})}
 			w.Names = append(w.Names, name)
@@ -135,19 +135,19 @@
 func (w *World) opts(name, zone, disk string) settings.Options {
 	s, k := w.Site, len(w.Names)+1
 	o := settings.Default()
-	o.Name, o.Zone, o.Disk, o.Data = name, zone, disk, "data"
-	o.Listen, o.Peers = fmt.Sprintf("127.0.0.1:%d", 20000+k), fmt.Sprintf("127.0.0.1:%d", 30000+k)
-	o.Keeping, o.Spread, o.Recovery = settings.Span(s.Bounds.Keeping), settings.Span(s.Bounds.Spread), settings.Span(s.Bounds.Recovery)
-	o.Routine, o.Urgent = s.Routine, s.Urgent
+	o.Name, o.Zone, o.Disk, o.DataDir = name, zone, disk, "data"
+	o.Listen, o.PeerListen = fmt.Sprintf("127.0.0.1:%d", 20000+k), fmt.Sprintf("127.0.0.1:%d", 30000+k)
+	o.Keeping, o.Spread, o.Recovery = settings.Duration(s.Bounds.Keeping), settings.Duration(s.Bounds.Spread), settings.Duration(s.Bounds.Recovery)
+	o.RoutinePartitions, o.UrgentPartitions = s.Routine, s.Urgent
 	if s.Founding != "" {
-		o.Founding = s.Founding
+		o.BootstrapBy = s.Founding
 	}
-	o.Room = s.Room[name]
+	o.DiskMB = s.Room[name]
 	if s.Losses > 0 {
-		o.Losses = s.Losses
+		o.ToleratedLosses = s.Losses
 	}
 	if disk == settings.DiskNone {
-		o.Visits = fmt.Sprintf("127.0.0.1:%d", 25000+k)
+		o.ClientListen = fmt.Sprintf("127.0.0.1:%d", 25000+k)
 	}
 	return o
 }
@@ -156,7 +156,7 @@
 func (w *World) spare(like string) {
 	x := w.Machines[like].Opts
 	o := w.opts(like+"b", x.Zone, x.Disk)
-	o.Founding = settings.FoundNever
+	o.BootstrapBy = settings.BootstrapNever
 	w.Machines[o.Name] = &Machine{w: w, Opts: o, Disk: memlog.New(), broken: make(chan struct{}), away: true}
 	w.Names = append(w.Names, o.Name)
 }
@@ -538,7 +538,7 @@
 		var done atomic.Bool
 		for _, k := range w.Names {
 			if k[0] == 'c' && !done.Load() {
-				_ = w.ask(k, w.Site.Bounds.Call(), func(ctx context.Context, x *node.Node) error {
+				_ = w.ask(k, w.Site.Bounds.CallTimeout(), func(ctx context.Context, x *node.Node) error {
 					v, err := x.Operators.Client.Read(ctx, decommission.Key)
 					if err != nil {
 						return err
@@ -838,7 +838,7 @@
 					w.History.Show(fmt.Sprintf("%s#%d", n, run), s.Door.Operators.Board.Description().Sequence, time.Now(), w.Site.Bounds.Spread)
 				}
 			}
-			_ = clock.Real{}.Sleep(w.ctx, w.Site.Bounds.Heartbeat()/3)
+			_ = clock.Real{}.Sleep(w.ctx, w.Site.Bounds.HeartbeatInterval()/3)
 		}
 	})
 }
--- a/internal/wire/lane_bench_test.go
+++ b/internal/wire/lane_bench_test.go
@@ -52,7 +52,7 @@
 		r := connect.NewRequest(q)
 		r.Header().Set("Postjunction-Wire", "1")
 		r.Header().Set("Postjunction-From", "store-1")
-		ctx, stop := context.WithTimeout(context.Background(), settings.DefaultBounds.Call())
+		ctx, stop := context.WithTimeout(context.Background(), settings.DefaultTiming.CallTimeout())
 		defer stop()
 		_, err := c.CallUnary(ctx, r)
 		return err
@@ -63,15 +63,15 @@
 	m := http.NewServeMux()
 	poll.Handle(m, func(_ context.Context, q *asked) (*asked, error) { return q, nil })
 	l := hear(b)
-	s := wire.Server(m, settings.DefaultBounds)
+	s := wire.Server(m, settings.DefaultTiming)
 	go func() { _ = s.Serve(l) }()
-	n := wire.Real(settings.DefaultBounds)
+	n := wire.Real(settings.DefaultTiming)
 	b.Cleanup(func() {
 		n.Close()
 		_ = s.Close()
 	})
 	return func(q *asked) error {
-		ctx, stop := context.WithTimeout(context.Background(), settings.DefaultBounds.Call())
+		ctx, stop := context.WithTimeout(context.Background(), settings.DefaultTiming.CallTimeout())
 		defer stop()
 		_, err := poll.Call(ctx, n, "store-1", l.Addr().String(), q)
 		return err
--- a/internal/wire/real.go
+++ b/internal/wire/real.go
@@ -16,13 +16,13 @@
 	quietShare   = 16
 )
 
-func lanes(b settings.Bounds) mux.Options {
+func lanes(b settings.Timing) mux.Options {
 	return mux.Options{
 		Times: mux.Times{
-			Dial:    b.Call() / dialShare,
-			Quiet:   b.Session() / quietShare,
-			Silence: max(b.Session()/silenceShare, b.Hold()),
-			Unheard: b.Session() / silenceShare,
+			Dial:    b.CallTimeout() / dialShare,
+			Quiet:   b.SessionTimeout() / quietShare,
+			Silence: max(b.SessionTimeout()/silenceShare, b.LongPoll()),
+			Unheard: b.SessionTimeout() / silenceShare,
 			Idle:    b.Keeping,
 			Begin:   b.Recovery,
 		},
@@ -32,7 +32,7 @@
 }
 
 // Real reaches peers over TCP, with one connection to each.
-func Real(b settings.Bounds) *mux.Network { return mux.New(lanes(b)) }
+func Real(b settings.Timing) *mux.Network { return mux.New(lanes(b)) }
 
 // Server answers the peers that come to the listener that it is given.
-func Server(h http.Handler, b settings.Bounds) *mux.Server { return mux.NewServer(h, lanes(b)) }
+func Server(h http.Handler, b settings.Timing) *mux.Server { return mux.NewServer(h, lanes(b)) }
