--- a/internal/client/follow.go
+++ b/internal/client/follow.go
@@ -99,7 +99,7 @@
 		s: s, t: t, fleet: r.Fleet, want: map[string]bool{}, urgent: map[string]bool{}, parts: map[string]int{}, pos: cursor.Cursor{}, given: cursor.Cursor{},
 		wake: make(chan struct{}, 1), checked: make(chan error, 1), index: s.Board.Index().Sequence,
 	}
-	urgent, routine := st.plan(r.Layout.Routine)
+	urgent, routine := st.plan(r.Layout.RoutinePartitions)
 	st.joins = make(chan opened, len(urgent)+len(routine))
 	ctx, end := context.WithCancel(ctx)
 	defer func() {
@@ -113,7 +113,7 @@
 	if err := st.guard(cx, k, len(urgent) > 0); err != nil {
 		return err
 	}
-	if err := st.resume(r.Layout.Count()); err != nil {
+	if err := st.resume(r.Layout.PartitionCount()); err != nil {
 		return err
 	}
 	if err := st.openAll(ctx, cx, urgent, routine); err != nil {
--- a/internal/client/service.go
+++ b/internal/client/service.go
@@ -313,7 +313,7 @@
 
 func (s *Service) ack(ctx context.Context, t *Task) error {
 	r := s.Board.Roster()
-	if _, err := cursor.Unpack(r.Fleet, r.Layout.Count(), t.Cursor); err != nil {
+	if _, err := cursor.Unpack(r.Fleet, r.Layout.PartitionCount(), t.Cursor); err != nil {
 		return err
 	}
 	if err := s.Desk.Ack(ctx, &router.AckRequest{Visitor: t.Visitor, Generation: t.who.Generation, Cursor: t.Cursor}); err != nil {
--- a/internal/control/acceptor/calls.go
+++ b/internal/control/acceptor/calls.go
@@ -78,15 +78,15 @@
 // OpenRequest brings a voter under a roster with the copied keys.
 type OpenRequest struct {
 	Incarnation string          `json:"incarnation"`
-	Roster      voters.Roster   `json:"roster"`
+	Roster      voters.Set      `json:"roster"`
 	Slots       map[string]Slot `json:"slots"`
 	Founding    bool            `json:"founding,omitempty"`
 }
 
 // FoundRequest asks a fresh disk to agree to a founding roster.
 type FoundRequest struct {
-	Incarnation string        `json:"incarnation"`
-	Roster      voters.Roster `json:"roster"`
+	Incarnation string     `json:"incarnation"`
+	Roster      voters.Set `json:"roster"`
 }
 
 // Done is an answer without contents.
@@ -105,7 +105,7 @@
 const RosterKey = "roster"
 
 // Whole reads the slot that a voter told briefly, with its value; it is not ok when another one stands there by now.
-func Whole(ctx context.Context, n wire.Network, self string, r voters.Roster, s voters.Seat, k string, told Slot) (Slot, bool) {
+func Whole(ctx context.Context, n wire.Network, self string, r voters.Set, s voters.Voter, k string, told Slot) (Slot, bool) {
 	a, err := Peek.Call(ctx, n, self, s.Addr, &PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Keys: []string{k}})
 	if err != nil {
 		return Slot{}, false
--- a/internal/control/acceptor/giveup_test.go
+++ b/internal/control/acceptor/giveup_test.go
@@ -58,7 +58,7 @@
 				run, end := context.WithCancel(ctx)
 				defer end()
 				go j.Run(run)
-				v.Start("i1", j, func(voters.Roster) error { return nil }, func(voters.Roster) {})
+				v.Start("i1", j, func(voters.Set) error { return nil }, func(voters.Set) {})
 				_, err = v.Found(ctx, &FoundRequest{Incarnation: "i1", Roster: first()})
 				assert.NilError(t, err)
 				_, err = v.Open(ctx, &OpenRequest{Incarnation: "i1", Roster: first(), Founding: true})
--- a/internal/control/acceptor/voter.go
+++ b/internal/control/acceptor/voter.go
@@ -20,11 +20,11 @@
 	turns       *keylock.Locks
 	mu          sync.Mutex
 	slots       map[string]Slot
-	roster      voters.Roster
-	founding    *voters.Roster
+	roster      voters.Set
+	founding    *voters.Set
 	sealing     chan struct{}
-	agree       func(voters.Roster) error
-	opened      func(voters.Roster)
+	agree       func(voters.Set) error
+	opened      func(voters.Set)
 }
 
 const turnShards = 8
@@ -35,7 +35,7 @@
 }
 
 // Start gives the voter its disk, its check of foundings, and whom to tell of a new roster.
-func (v *Voter) Start(incarnation string, j *journal.Journal, agree func(voters.Roster) error, opened func(voters.Roster)) {
+func (v *Voter) Start(incarnation string, j *journal.Journal, agree func(voters.Set) error, opened func(voters.Set)) {
 	v.incarnation, v.journal, v.agree, v.opened = incarnation, j, agree, opened
 }
 
@@ -45,9 +45,9 @@
 }
 
 type rosterRec struct {
-	Roster   voters.Roster  `json:"roster"`
-	Founding *voters.Roster `json:"founding,omitempty"`
-	Clear    bool           `json:"clear,omitempty"`
+	Roster   voters.Set  `json:"roster"`
+	Founding *voters.Set `json:"founding,omitempty"`
+	Clear    bool        `json:"clear,omitempty"`
 }
 
 // Restore takes back a record.
@@ -102,7 +102,7 @@
 }
 
 // Roster gives the roster that this voter is under; its sequence is 0 before founding.
-func (v *Voter) Roster() voters.Roster {
+func (v *Voter) Roster() voters.Set {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.roster
--- a/internal/control/acceptor/voter_test.go
+++ b/internal/control/acceptor/voter_test.go
@@ -24,12 +24,12 @@
 	cx, stop := context.WithCancel(ctx)
 	t.Cleanup(stop)
 	go j.Run(cx)
-	v.Start(inc, j, func(voters.Roster) error { return nil }, func(voters.Roster) {})
+	v.Start(inc, j, func(voters.Set) error { return nil }, func(voters.Set) {})
 	return v
 }
 
-func first() voters.Roster {
-	return voters.Found([]voters.Seat{{Node: "c1", Incarnation: "i1"}, {Node: "c2", Incarnation: "i2"}, {Node: "c3", Incarnation: "i3"}}, voters.Layout{Routine: 2, Urgent: 1})
+func first() voters.Set {
+	return voters.NewSet([]voters.Voter{{Node: "c1", Incarnation: "i1"}, {Node: "c2", Incarnation: "i2"}, {Node: "c3", Incarnation: "i3"}}, voters.Layout{RoutinePartitions: 2, UrgentPartitions: 1})
 }
 
 func opened(t *testing.T, d *memlog.Disk) *Voter {
@@ -93,7 +93,7 @@
 	b.Roster = 2
 	_, err := v.Accept(ctx, &AcceptRequest{Ballot: b, Epoch: at(9, "c1"), Value: Value{Writes: 1}})
 	assert.Assert(t, apierror.HasCode(err, apierror.StaleVoterSet), "%v", err)
-	n := first().Replace(voters.Seat{Node: "c3", Incarnation: "j3"})
+	n := first().Replace(voters.Voter{Node: "c3", Incarnation: "j3"})
 	_, err = v.Open(ctx, &OpenRequest{Incarnation: "i1", Roster: n, Slots: map[string]Slot{"k": {Accepted: at(4, "c2"), Value: Value{Writes: 7}}}})
 	assert.NilError(t, err)
 	_, err = v.Promise(ctx, &PromiseRequest{Ballot: ballot("k"), Epoch: at(9, "c1")})
--- a/internal/control/bootstrap/founding.go
+++ b/internal/control/bootstrap/founding.go
@@ -29,9 +29,9 @@
 
 // Plan gives the founding roster, once every node that may take part has answered.
 // A fleet that stands already, seen at any of them, ends the plan.
-func (f *Founder) Plan(ctx context.Context) (voters.Roster, error) {
+func (f *Founder) Plan(ctx context.Context) (voters.Set, error) {
 	if f.opts.BootstrapBy == settings.BootstrapNever {
-		return voters.Roster{}, apierror.New(apierror.NotBootstrapped, "this disk came back empty: it founds nothing and waits for a seat")
+		return voters.Set{}, apierror.New(apierror.NotBootstrapped, "this disk came back empty: it founds nothing and waits for a seat")
 	}
 	addrs := f.opts.Founders
 	named := len(addrs) > 0
@@ -56,31 +56,31 @@
 		return h.Info, nil
 	}, nil)
 	if err := quorum.FirstError(as); err != nil || len(as) < len(addrs) {
-		return voters.Roster{}, apierror.WithCause(apierror.NotBootstrapped, err, "%d of %d founding addresses answered", len(quorum.Successes(as)), len(addrs))
+		return voters.Set{}, apierror.WithCause(apierror.NotBootstrapped, err, "%d of %d founding addresses answered", len(quorum.Successes(as)), len(addrs))
 	}
-	var seats []voters.Seat
+	var seats []voters.Voter
 	for _, a := range as {
 		if a.Value.Roster > 0 {
-			return voters.Roster{}, apierror.New(apierror.StaleVoterSet, "%s is under roster %d already", a.Value.Name, a.Value.Roster).WithCurrent(a.Value.Roster)
+			return voters.Set{}, apierror.New(apierror.StaleVoterSet, "%s is under roster %d already", a.Value.Name, a.Value.Roster).WithCurrent(a.Value.Roster)
 		}
 		if a.Value.Disk == settings.DiskControl {
-			seats = append(seats, voters.Seat{Node: a.Value.Name, Addr: a.Value.Peers, Incarnation: a.Value.Incarnation})
+			seats = append(seats, voters.Voter{Node: a.Value.Name, Addr: a.Value.Peers, Incarnation: a.Value.Incarnation})
 		} else if named {
-			return voters.Roster{}, apierror.New(apierror.NotBootstrapped, "founder %s at %s has no control disk", a.Value.Name, a.Target)
+			return voters.Set{}, apierror.New(apierror.NotBootstrapped, "founder %s at %s has no control disk", a.Value.Name, a.Target)
 		}
 	}
 	if len(seats) == 0 && seeds {
 		i := f.self()
-		seats = []voters.Seat{{Node: i.Name, Addr: i.Peers, Incarnation: i.Incarnation}}
+		seats = []voters.Voter{{Node: i.Name, Addr: i.Peers, Incarnation: i.Incarnation}}
 	}
 	if len(seats) == 0 {
-		return voters.Roster{}, apierror.New(apierror.NotBootstrapped, "no founding address has a control disk")
+		return voters.Set{}, apierror.New(apierror.NotBootstrapped, "no founding address has a control disk")
 	}
-	return voters.Found(seats, voters.Layout{Routine: f.opts.RoutinePartitions, Urgent: f.opts.UrgentPartitions, Losses: f.opts.ToleratedLosses}), nil
+	return voters.NewSet(seats, voters.Layout{RoutinePartitions: f.opts.RoutinePartitions, UrgentPartitions: f.opts.UrgentPartitions, ToleratedLosses: f.opts.ToleratedLosses}), nil
 }
 
 // Agree checks a proposed founding against this node's own plan.
-func (f *Founder) Agree(ctx context.Context, r voters.Roster) error {
+func (f *Founder) Agree(ctx context.Context, r voters.Set) error {
 	p, err := f.Plan(ctx)
 	if err != nil {
 		return err
@@ -91,20 +91,20 @@
 	return nil
 }
 
-func names(r voters.Roster) string {
+func names(r voters.Set) string {
 	var s []string
-	for _, x := range r.Seats {
+	for _, x := range r.Voters {
 		s = append(s, x.Node)
 	}
 	return strings.Join(s, ",")
 }
 
 // leave gets the leave to found alone from every seed, one after the other, so that of several voters at most one gets them all.
-func (f *Founder) leave(ctx context.Context, r voters.Roster) error {
+func (f *Founder) leave(ctx context.Context, r voters.Set) error {
 	addrs := slices.Sorted(slices.Values(f.opts.Seeds))
 	for _, a := range slices.Compact(addrs) {
 		cx, stop := context.WithTimeout(ctx, f.opts.Timing().CallTimeout())
-		_, err := Leave.Call(cx, f.net, f.opts.Name, a, &LeaveRequest{Node: f.opts.Name, Incarnation: r.Seats[0].Incarnation})
+		_, err := Leave.Call(cx, f.net, f.opts.Name, a, &LeaveRequest{Node: f.opts.Name, Incarnation: r.Voters[0].Incarnation})
 		stop()
 		if err != nil {
 			return apierror.WithCause(apierror.NotBootstrapped, err, "no seed has a control disk, and %s gave no leave to found alone", a)
@@ -114,36 +114,36 @@
 }
 
 // Try founds the fleet if this node is the first of the founders.
-func (f *Founder) Try(ctx context.Context) (voters.Roster, error) {
+func (f *Founder) Try(ctx context.Context) (voters.Set, error) {
 	r, err := f.Plan(ctx)
 	if err != nil {
 		return r, err
 	}
-	if r.Seats[0].Node != f.opts.Name {
-		return r, apierror.New(apierror.NotBootstrapped, "%s founds the fleet", r.Seats[0].Node)
+	if r.Voters[0].Node != f.opts.Name {
+		return r, apierror.New(apierror.NotBootstrapped, "%s founds the fleet", r.Voters[0].Node)
 	}
 	if f.opts.BootstrapBy == settings.BootstrapSeeds && len(f.opts.Founders) == 0 && !slices.Contains(f.opts.Seeds, f.opts.DialAddress()) {
 		if err := f.leave(ctx, r); err != nil {
 			return r, err
 		}
 	}
-	ask := func(do func(context.Context, voters.Seat) (*acceptor.Done, error)) error {
-		as := quorum.Gather(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.Done, error) {
+	ask := func(do func(context.Context, voters.Voter) (*acceptor.Done, error)) error {
+		as := quorum.Gather(ctx, r.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.Done, error) {
 			cx, stop := context.WithTimeout(ctx, f.opts.Timing().CallTimeout())
 			defer stop()
 			return do(cx, s)
 		}, nil)
-		if err := quorum.FirstError(as); err != nil || len(as) < len(r.Seats) {
-			return apierror.WithCause(apierror.NotBootstrapped, err, "%d of %d founding disks agreed", len(quorum.Successes(as)), len(r.Seats))
+		if err := quorum.FirstError(as); err != nil || len(as) < len(r.Voters) {
+			return apierror.WithCause(apierror.NotBootstrapped, err, "%d of %d founding disks agreed", len(quorum.Successes(as)), len(r.Voters))
 		}
 		return nil
 	}
-	if err := ask(func(ctx context.Context, s voters.Seat) (*acceptor.Done, error) {
+	if err := ask(func(ctx context.Context, s voters.Voter) (*acceptor.Done, error) {
 		return acceptor.Found.Call(ctx, f.net, f.opts.Name, s.Addr, &acceptor.FoundRequest{Incarnation: s.Incarnation, Roster: r})
 	}); err != nil {
 		return r, err
 	}
-	return r, ask(func(ctx context.Context, s voters.Seat) (*acceptor.Done, error) {
+	return r, ask(func(ctx context.Context, s voters.Voter) (*acceptor.Done, error) {
 		return acceptor.Open.Call(ctx, f.net, f.opts.Name, s.Addr, &acceptor.OpenRequest{Incarnation: s.Incarnation, Roster: r, Founding: true})
 	})
 }
--- a/internal/control/model/walk_test.go
+++ b/internal/control/model/walk_test.go
@@ -28,7 +28,7 @@
 var members = [3]uint8{0, 0b0111, 0b1011}
 
 // seats gives the roster's own rules their sizes.
-var seats = voters.Roster{Seats: make([]voters.Seat, 3)}
+var seats = voters.Set{Voters: make([]voters.Voter, 3)}
 
 func majority(mask uint8) bool { return bits.OnesCount8(mask) >= seats.Majority() }
 
@@ -325,7 +325,7 @@
 
 func (k *walk) copy(w world, f int) {
 	for set := range uint8(1 << voterCount) {
-		if bits.OnesCount8(set) < seats.Intact() {
+		if bits.OnesCount8(set) < seats.SealQuorum() {
 			continue
 		}
 		var copies []acceptor.Slot
--- a/internal/control/quorumread/confirm.go
+++ b/internal/control/quorumread/confirm.go
@@ -87,7 +87,7 @@
 	return f.c.At != none
 }
 
-type peeks = []quorum.Result[voters.Seat, *acceptor.PeekResponse]
+type peeks = []quorum.Result[voters.Voter, *acceptor.PeekResponse]
 
 func (f *Confirmer) once(ctx context.Context) {
 	r := f.Board.Roster()
@@ -97,7 +97,7 @@
 	at := f.Clock.Now()
 	cx, stop := context.WithTimeout(ctx, f.Bounds.CallTimeout())
 	defer stop()
-	as := quorum.Gather(cx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
+	as := quorum.Gather(cx, r.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.PeekResponse, error) {
 		return acceptor.Peek.Call(ctx, f.Net, f.Self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Keys: []string{Key}, Brief: true})
 	}, func(as peeks) bool {
 		f.reach(as, r.Majority())
@@ -177,13 +177,13 @@
 // settle tells whether the description may be read now. Copies that differ mostly do so while a change is on its way, and to read a key whose copies
 // differ may mean to claim it, which makes them differ for all others. So that is left to later heartbeats, while the last confirmation is young, and to a few
 // nodes.
-func (f *Confirmer) settle(r voters.Roster, same bool) bool {
+func (f *Confirmer) settle(r voters.Set, same bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if same || f.c.At == none {
 		return true
 	}
-	return f.Clock.Now().Sub(f.c.At) >= f.Bounds.LeaseDuration()/youngShare && rand.IntN(len(r.Seats)) < fewNodes
+	return f.Clock.Now().Sub(f.c.At) >= f.Bounds.LeaseDuration()/youngShare && rand.IntN(len(r.Voters)) < fewNodes
 }
 
 // A confirmation is young for a part of the lease; fewNodes is how many read a key whose copies differ, on the average.
--- a/internal/control/quorumread/confirm_test.go
+++ b/internal/control/quorumread/confirm_test.go
@@ -54,7 +54,7 @@
 
 type peers struct{ b *gossip.Board }
 
-func (f peers) Roster() voters.Roster      { return f.b.Roster() }
+func (f peers) Roster() voters.Set         { return f.b.Roster() }
 func (peers) Live(n string) (string, bool) { return n, true }
 
 // A control node is apart once no majority has answered for a third of a lease, and no longer when one does. Voters that turn the question away, as while the
@@ -63,7 +63,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		b, bounds := gossip.NewBoard(nil), settings.DefaultTiming
-		r := voters.Found([]voters.Seat{{Node: "c1", Addr: "c1"}, {Node: "c2", Addr: "c2"}, {Node: "c3", Addr: "c3"}}, voters.Layout{Routine: 1})
+		r := voters.NewSet([]voters.Voter{{Node: "c1", Addr: "c1"}, {Node: "c2", Addr: "c2"}, {Node: "c3", Addr: "c3"}}, voters.Layout{RoutinePartitions: 1})
 		b.Offer(gossip.News{Roster: &r})
 		v := &voterSet{say: map[string]apierror.Code{}}
 		h := register.New("c1", v, clock.Real{}, bounds, peers{b}, func(string, acceptor.Value) {})
--- a/internal/control/reconfig/reform.go
+++ b/internal/control/reconfig/reform.go
@@ -33,42 +33,42 @@
 
 // Change decides what follows roster r, wanted unless another change was begun, and opens it.
 // It gives the roster that came into force.
-func (f *Reformer) Change(ctx context.Context, r, want voters.Roster) (voters.Roster, error) {
+func (f *Reformer) Change(ctx context.Context, r, want voters.Set) (voters.Set, error) {
 	next, err := f.decide(ctx, r, want)
 	if err != nil {
-		return voters.Roster{}, err
+		return voters.Set{}, err
 	}
 	slots, err := f.copy(ctx, r)
 	if err != nil {
-		return voters.Roster{}, err
+		return voters.Set{}, err
 	}
-	as := quorum.Gather(ctx, next.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.Done, error) {
+	as := quorum.Gather(ctx, next.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.Done, error) {
 		cx, stop := f.call(context.WithoutCancel(ctx))
 		defer stop()
 		return acceptor.Open.Call(cx, f.net, f.self, s.Addr, &acceptor.OpenRequest{Incarnation: s.Incarnation, Roster: next, Slots: slots})
-	}, func(as []quorum.Result[voters.Seat, *acceptor.Done]) bool {
+	}, func(as []quorum.Result[voters.Voter, *acceptor.Done]) bool {
 		return len(quorum.Successes(as)) >= next.Majority()
 	})
 	if n := len(quorum.Successes(as)); n < next.Majority() {
-		return voters.Roster{}, apierror.WithCause(apierror.NoMajority, quorum.FirstError(as), "roster %d was opened on %d of %d disks", next.Sequence, n, len(next.Seats))
+		return voters.Set{}, apierror.WithCause(apierror.NoMajority, quorum.FirstError(as), "roster %d was opened on %d of %d disks", next.Sequence, n, len(next.Voters))
 	}
 	return next, nil
 }
 
-func (f *Reformer) decide(ctx context.Context, r, want voters.Roster) (voters.Roster, error) {
+func (f *Reformer) decide(ctx context.Context, r, want voters.Set) (voters.Set, error) {
 	e := f.seen.Next(f.self)
 	f.seen = e
-	enough := func(as []quorum.Result[voters.Seat, *acceptor.SlotResponse]) bool { return f.ok(as) >= r.Majority() }
-	ballot := func(s voters.Seat) acceptor.Ballot {
+	enough := func(as []quorum.Result[voters.Voter, *acceptor.SlotResponse]) bool { return f.ok(as) >= r.Majority() }
+	ballot := func(s voters.Voter) acceptor.Ballot {
 		return acceptor.Ballot{Roster: r.Sequence, Incarnation: s.Incarnation, Key: acceptor.RosterKey}
 	}
-	as := quorum.Gather(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.SlotResponse, error) {
+	as := quorum.Gather(ctx, r.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.SlotResponse, error) {
 		cx, stop := f.call(ctx)
 		defer stop()
 		return acceptor.Promise.Call(cx, f.net, f.self, s.Addr, &acceptor.PromiseRequest{Ballot: ballot(s), Epoch: e})
 	}, enough)
 	if !enough(as) {
-		return voters.Roster{}, f.short(r, as, "promised")
+		return voters.Set{}, f.short(r, as, "promised")
 	}
 	var top acceptor.Slot
 	for _, a := range quorum.Successes(as) {
@@ -79,22 +79,22 @@
 	next := want
 	if !top.Accepted.Zero() {
 		if err := json.Unmarshal(top.Value.Body, &next); err != nil {
-			return voters.Roster{}, apierror.Wrap(apierror.DiskDamaged, err, "read the next roster")
+			return voters.Set{}, apierror.Wrap(apierror.DiskDamaged, err, "read the next roster")
 		}
 	}
 	b, _ := json.Marshal(next)
-	as = quorum.Gather(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.SlotResponse, error) {
+	as = quorum.Gather(ctx, r.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.SlotResponse, error) {
 		cx, stop := f.call(ctx)
 		defer stop()
 		return acceptor.Accept.Call(cx, f.net, f.self, s.Addr, &acceptor.AcceptRequest{Ballot: ballot(s), Epoch: e, Value: acceptor.Value{Writes: 1, By: f.self, Body: b}})
 	}, enough)
 	if !enough(as) {
-		return voters.Roster{}, f.short(r, as, "accepted")
+		return voters.Set{}, f.short(r, as, "accepted")
 	}
 	return next, nil
 }
 
-func (f *Reformer) ok(as []quorum.Result[voters.Seat, *acceptor.SlotResponse]) int {
+func (f *Reformer) ok(as []quorum.Result[voters.Voter, *acceptor.SlotResponse]) int {
 	n := 0
 	for _, a := range quorum.Successes(as) {
 		if a.Value.OK {
@@ -106,25 +106,25 @@
 	return n
 }
 
-func (f *Reformer) short(r voters.Roster, as []quorum.Result[voters.Seat, *acceptor.SlotResponse], verb string) error {
+func (f *Reformer) short(r voters.Set, as []quorum.Result[voters.Voter, *acceptor.SlotResponse], verb string) error {
 	for _, a := range as {
 		if apierror.HasCode(a.Err, apierror.StaleVoterSet) {
 			return a.Err
 		}
 	}
-	return apierror.WithCause(apierror.NoMajority, quorum.FirstError(as), "%d of %d disks %s a change of roster %d", f.ok(as), len(r.Seats), verb, r.Sequence)
+	return apierror.WithCause(apierror.NoMajority, quorum.FirstError(as), "%d of %d disks %s a change of roster %d", f.ok(as), len(r.Voters), verb, r.Sequence)
 }
 
-func (f *Reformer) copy(ctx context.Context, r voters.Roster) (map[string]acceptor.Slot, error) {
-	type answers = []quorum.Result[voters.Seat, *acceptor.PeekResponse]
-	enough := func(as answers) bool { return len(quorum.Successes(as)) >= r.Intact() }
-	as := quorum.Gather(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
+func (f *Reformer) copy(ctx context.Context, r voters.Set) (map[string]acceptor.Slot, error) {
+	type answers = []quorum.Result[voters.Voter, *acceptor.PeekResponse]
+	enough := func(as answers) bool { return len(quorum.Successes(as)) >= r.SealQuorum() }
+	as := quorum.Gather(ctx, r.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.PeekResponse, error) {
 		cx, stop := f.call(ctx)
 		defer stop()
 		return acceptor.Peek.Call(cx, f.net, f.self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Sealed: true})
 	}, enough)
 	if !enough(as) {
-		return nil, apierror.WithCause(apierror.NoMajority, quorum.FirstError(as), "%d of the %d intact disks needed gave their keys", len(quorum.Successes(as)), r.Intact())
+		return nil, apierror.WithCause(apierror.NoMajority, quorum.FirstError(as), "%d of the %d intact disks needed gave their keys", len(quorum.Successes(as)), r.SealQuorum())
 	}
 	copies := map[string][]acceptor.Slot{}
 	for _, a := range quorum.Successes(as) {
@@ -142,8 +142,8 @@
 }
 
 // Catch opens the roster in force on a seat that missed it, with the slots of a seat that has it.
-func (f *Reformer) Catch(ctx context.Context, r voters.Roster, late voters.Seat) error {
-	for _, s := range r.Seats {
+func (f *Reformer) Catch(ctx context.Context, r voters.Set, late voters.Voter) error {
+	for _, s := range r.Voters {
 		if s.Node == late.Node {
 			continue
 		}
--- a/internal/control/reconfigurer/steward.go
+++ b/internal/control/reconfigurer/steward.go
@@ -61,7 +61,7 @@
 			s.tend(cx, r)
 			if s.waits {
 				pace = s.Bounds.MaxBackoff()
-			} else if r.Spare() > 0 {
+			} else if r.SpareVoters() > 0 {
 				pace /= spareShare
 			}
 		}
@@ -82,7 +82,7 @@
 func (s *Reconfigurer) found(ctx context.Context) {
 	r, err := s.Founder.Try(ctx)
 	if err == nil {
-		s.Log.Say(event.Founded, "fleet", r.Fleet, "voters", len(r.Seats))
+		s.Log.Say(event.Founded, "fleet", r.Fleet, "voters", len(r.Voters))
 		s.Board.Offer(gossip.News{Roster: &r})
 		return
 	}
@@ -92,7 +92,7 @@
 	}
 }
 
-func (s *Reconfigurer) tend(ctx context.Context, r voters.Roster) {
+func (s *Reconfigurer) tend(ctx context.Context, r voters.Set) {
 	live := map[string]membership.Info{}
 	for _, i := range s.Live() {
 		if i.Disk == settings.DiskControl {
@@ -101,7 +101,7 @@
 	}
 	s.miss(r, live)
 	first := ""
-	for _, x := range r.Seats {
+	for _, x := range r.Voters {
 		i, ok := live[x.Node]
 		if ok && i.Incarnation == x.Incarnation && i.Roster == r.Sequence && first == "" {
 			first = x.Node
@@ -113,10 +113,10 @@
 	}
 	s.sealed = time.Time{}
 	s.sweep(ctx, r)
-	var ins []voters.Seat
+	var ins []voters.Voter
 	var whys []string
-	var late []voters.Seat
-	for _, x := range r.Seats {
+	var late []voters.Voter
+	for _, x := range r.Voters {
 		i, ok := live[x.Node]
 		switch {
 		case !ok:
@@ -131,7 +131,7 @@
 	var news []membership.Info
 	for _, n := range slices.Sorted(maps.Keys(live)) {
 		i := live[n]
-		if _, ok := r.Seat(n); !ok && i.Roster < r.Sequence && i.Stage == membership.Serving {
+		if _, ok := r.Voter(n); !ok && i.Roster < r.Sequence && i.Stage == membership.Serving {
 			news = append(news, i)
 		}
 	}
@@ -157,7 +157,7 @@
 		s.change(ctx, r, r.Without(gone...).Replace(ins...), strings.Join(whys, "; "))
 		return
 	}
-	quorum.Gather(ctx, late, func(ctx context.Context, x voters.Seat) (bool, error) {
+	quorum.Gather(ctx, late, func(ctx context.Context, x voters.Voter) (bool, error) {
 		err := s.Reformer.Catch(ctx, r, x)
 		if err != nil {
 			s.Log.Say(event.RosterTrouble, "problem", err)
@@ -168,7 +168,7 @@
 
 // finish ends a change of the roster that another voter began, when the roster has been sealed here for longer than that takes: who began it may
 // be lost, and nobody decides anything until it ended. The voters step in one after the other; epochs settle it where two do.
-func (s *Reconfigurer) finish(ctx context.Context, r voters.Roster, live map[string]membership.Info, first string) {
+func (s *Reconfigurer) finish(ctx context.Context, r voters.Set, live map[string]membership.Info, first string) {
 	if s.Sealed() != r.Sequence {
 		s.sealed = time.Time{}
 		return
@@ -178,7 +178,7 @@
 	if s.sealed.IsZero() {
 		s.sealed = now
 	}
-	for _, x := range r.Seats {
+	for _, x := range r.Voters {
 		if x.Node == s.Self {
 			break
 		}
@@ -194,13 +194,13 @@
 }
 
 // miss notes which seats are not live and since when, and the zones of those that are.
-func (s *Reconfigurer) miss(r voters.Roster, live map[string]membership.Info) {
+func (s *Reconfigurer) miss(r voters.Set, live map[string]membership.Info) {
 	was := s.gone
 	s.gone = map[string]time.Time{}
 	if s.zones == nil {
 		s.zones = map[string]string{}
 	}
-	for _, x := range r.Seats {
+	for _, x := range r.Voters {
 		if i, ok := live[x.Node]; ok {
 			s.zones[x.Node] = i.Zone
 			continue
@@ -232,11 +232,11 @@
 }
 
 // surplus lists the seats, among those beyond what the fleet was founded with, whose voters are gone: a newcomer was seated before they went.
-func (s *Reconfigurer) surplus(r voters.Roster) []string {
+func (s *Reconfigurer) surplus(r voters.Set) []string {
 	var gone []string
-	for _, x := range r.Seats {
+	for _, x := range r.Voters {
 		t, ok := s.gone[x.Node]
-		if !ok || len(gone) >= r.Spare() {
+		if !ok || len(gone) >= r.SpareVoters() {
 			continue
 		}
 		if s.Clock.Now().Sub(t) < s.Bounds.SessionTimeout()/2 {
@@ -257,7 +257,7 @@
 	return s.Clock.Now().Sub(s.gone[out]) >= wait
 }
 
-func (s *Reconfigurer) sweep(ctx context.Context, r voters.Roster) {
+func (s *Reconfigurer) sweep(ctx context.Context, r voters.Set) {
 	now := s.Clock.Now()
 	if now.Sub(s.swept) < s.Bounds.SweepInterval() {
 		return
@@ -268,11 +268,11 @@
 	}
 }
 
-func seat(i membership.Info) voters.Seat {
-	return voters.Seat{Node: i.Name, Addr: i.Peers, Incarnation: i.Incarnation}
+func seat(i membership.Info) voters.Voter {
+	return voters.Voter{Node: i.Name, Addr: i.Peers, Incarnation: i.Incarnation}
 }
 
-func (s *Reconfigurer) change(ctx context.Context, r, want voters.Roster, why string) {
+func (s *Reconfigurer) change(ctx context.Context, r, want voters.Set, why string) {
 	s.Log.Say(event.RosterChange, "from", r.Sequence, "reason", why)
 	n, err := s.Reformer.Change(ctx, r, want)
 	if err != nil {
--- a/internal/control/register/holder.go
+++ b/internal/control/register/holder.go
@@ -19,7 +19,7 @@
 
 // Peers is what the holder knows of the other nodes.
 type Peers interface {
-	Roster() voters.Roster
+	Roster() voters.Set
 	Live(node string) (addr string, ok bool)
 }
 
@@ -233,7 +233,7 @@
 	return &v.value, nil
 }
 
-type peeks = []quorum.Result[voters.Seat, *acceptor.PeekResponse]
+type peeks = []quorum.Result[voters.Voter, *acceptor.PeekResponse]
 
 // Glance reads a key without claiming it, whoever holds it: what a majority has accepted alike was decided, and nothing was decided after it before
 // the question. It waits a moment for more than a majority where the first copies differ. Only this node's own voter, or one voter more, gives the
@@ -245,11 +245,11 @@
 	}
 	cx, stop := context.WithTimeout(ctx, h.bounds.ForwardTimeout())
 	defer stop()
-	peek := func(ctx context.Context, s voters.Seat, brief bool) (*acceptor.PeekResponse, error) {
+	peek := func(ctx context.Context, s voters.Voter, brief bool) (*acceptor.PeekResponse, error) {
 		return acceptor.Peek.Call(ctx, h.net, h.self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Keys: []string{k}, Brief: brief})
 	}
 	waiting := false
-	g := quorum.Successes(quorum.Gather(cx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
+	g := quorum.Successes(quorum.Gather(cx, r.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.PeekResponse, error) {
 		return peek(ctx, s, s.Node != h.self)
 	}, func(as peeks) bool {
 		g := quorum.Successes(as)
@@ -324,7 +324,7 @@
 	r := h.peers.Roster()
 	ctx, stop := context.WithTimeout(ctx, h.bounds.CallTimeout())
 	defer stop()
-	ours := func(as []quorum.Result[voters.Seat, *acceptor.PeekResponse]) int {
+	ours := func(as []quorum.Result[voters.Voter, *acceptor.PeekResponse]) int {
 		n := 0
 		for _, a := range quorum.Successes(as) {
 			if a.Value.Slots[k].Promised == v.epoch {
@@ -333,9 +333,9 @@
 		}
 		return n
 	}
-	as := quorum.Gather(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
+	as := quorum.Gather(ctx, r.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.PeekResponse, error) {
 		return acceptor.Peek.Call(ctx, h.net, h.self, s.Addr, &acceptor.PeekRequest{Roster: v.roster, Incarnation: s.Incarnation, Keys: []string{k}, Brief: true})
-	}, func(as []quorum.Result[voters.Seat, *acceptor.PeekResponse]) bool { return ours(as) >= r.Majority() })
+	}, func(as []quorum.Result[voters.Voter, *acceptor.PeekResponse]) bool { return ours(as) >= r.Majority() })
 	for _, a := range quorum.Successes(as) {
 		x := a.Value.Slots[k]
 		h.Hint(k, x.Promised, x.Value.Successor)
@@ -377,7 +377,7 @@
 	}
 }
 
-type slotResponses = []quorum.Result[voters.Seat, *acceptor.SlotResponse]
+type slotResponses = []quorum.Result[voters.Voter, *acceptor.SlotResponse]
 
 func granted(as slotResponses) int {
 	n := 0
@@ -399,7 +399,7 @@
 	return n
 }
 
-func (h *Holder) verdict(k string, r voters.Roster, as slotResponses) error {
+func (h *Holder) verdict(k string, r voters.Set, as slotResponses) error {
 	if granted(as) >= r.Majority() {
 		return nil
 	}
@@ -414,12 +414,12 @@
 			return a.Err
 		}
 	}
-	p := apierror.New(apierror.NoMajority, "%d of %d control disks answered for %s, %d are needed", granted(as), len(r.Seats), k, r.Majority())
+	p := apierror.New(apierror.NoMajority, "%d of %d control disks answered for %s, %d are needed", granted(as), len(r.Voters), k, r.Majority())
 	p.Cause = quorum.FirstError(as)
 	return p
 }
 
-func (h *Holder) claim(ctx context.Context, k string, r voters.Roster) (held, error) {
+func (h *Holder) claim(ctx context.Context, k string, r voters.Set) (held, error) {
 	old := h.get(k)
 	e := old.seen
 	if e.Less(old.epoch) {
@@ -430,7 +430,7 @@
 	h.count(&h.claims)
 	cx, stop := context.WithTimeout(ctx, h.bounds.CallTimeout())
 	defer stop()
-	as := quorum.Gather(cx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.SlotResponse, error) {
+	as := quorum.Gather(cx, r.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.SlotResponse, error) {
 		return acceptor.Promise.Call(ctx, h.net, h.self, s.Addr, &acceptor.PromiseRequest{Ballot: ballot(r, s, k), Epoch: e})
 	}, func(as slotResponses) bool { return granted(as) >= r.Majority() })
 	if err := h.verdict(k, r, as); err != nil {
@@ -462,7 +462,7 @@
 	return acceptor.Highest(slots)
 }
 
-func ballot(r voters.Roster, s voters.Seat, k string) acceptor.Ballot {
+func ballot(r voters.Set, s voters.Voter, k string) acceptor.Ballot {
 	return acceptor.Ballot{Roster: r.Sequence, Incarnation: s.Incarnation, Key: k}
 }
 
@@ -487,14 +487,14 @@
 	}
 }
 
-func (h *Holder) round(ctx context.Context, k string, r voters.Roster, v held, n acceptor.Value) error {
-	as := quorum.Gather(ctx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.SlotResponse, error) {
+func (h *Holder) round(ctx context.Context, k string, r voters.Set, v held, n acceptor.Value) error {
+	as := quorum.Gather(ctx, r.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.SlotResponse, error) {
 		cx, stop := context.WithTimeout(context.WithoutCancel(ctx), h.bounds.CallTimeout())
 		defer stop()
 		return acceptor.Accept.Call(cx, h.net, h.self, s.Addr, &acceptor.AcceptRequest{Ballot: ballot(r, s, k), Epoch: v.epoch, Value: n})
 	}, func(as slotResponses) bool { return granted(as) >= r.Majority() })
 	if err := h.verdict(k, r, as); err != nil {
-		if refusals(as) == len(r.Seats) {
+		if refusals(as) == len(r.Voters) {
 			return err
 		}
 		return apierror.New(apierror.NoMajority, "the outcome of writing %s is not known: %v", k, err)
--- a/internal/control/register/holder_test.go
+++ b/internal/control/register/holder_test.go
@@ -21,8 +21,8 @@
 
 // Only copies alike to the highest one count: a higher copy on one disk may or may not be decided, and what lies below it says nothing.
 func TestOnlyTheHighestCopiesCountAsAlike(t *testing.T) {
-	at := func(n, writes uint64) quorum.Result[voters.Seat, *acceptor.PeekResponse] {
-		return quorum.Result[voters.Seat, *acceptor.PeekResponse]{Value: &acceptor.PeekResponse{Slots: map[string]acceptor.Slot{
+	at := func(n, writes uint64) quorum.Result[voters.Voter, *acceptor.PeekResponse] {
+		return quorum.Result[voters.Voter, *acceptor.PeekResponse]{Value: &acceptor.PeekResponse{Slots: map[string]acceptor.Slot{
 			"k": {Accepted: epoch.Epoch{N: n, Node: "c1"}, Value: acceptor.Value{Writes: writes}},
 		}}}
 	}
@@ -47,8 +47,8 @@
 	promised atomic.Int32
 }
 
-func (*core) Roster() voters.Roster {
-	return voters.Found([]voters.Seat{{Node: "c1", Addr: "c1"}, {Node: "c2", Addr: "c2"}, {Node: "c3", Addr: "c3"}}, voters.Layout{})
+func (*core) Roster() voters.Set {
+	return voters.NewSet([]voters.Voter{{Node: "c1", Addr: "c1"}, {Node: "c2", Addr: "c2"}, {Node: "c3", Addr: "c3"}}, voters.Layout{})
 }
 
 func (*core) Live(n string) (string, bool) { return n, n != "" && n != "c4" }
--- a/internal/control/repair/repair.go
+++ b/internal/control/repair/repair.go
@@ -19,17 +19,17 @@
 	Bounds settings.Timing
 }
 
-type copy = quorum.Result[voters.Seat, *acceptor.PeekResponse]
+type copy = quorum.Result[voters.Voter, *acceptor.PeekResponse]
 
 // Keys compares the copies of the named keys, all when none are named, and brings old ones up. It gives how many it mended. Values are read only
 // where some copy is old, and then from one voter.
-func (m *Mender) Keys(ctx context.Context, r voters.Roster, keys ...string) int {
+func (m *Mender) Keys(ctx context.Context, r voters.Set, keys ...string) int {
 	cx, stop := context.WithTimeout(ctx, m.Bounds.CallTimeout())
 	defer stop()
-	as := quorum.Successes(quorum.Gather(cx, r.Seats, func(ctx context.Context, s voters.Seat) (*acceptor.PeekResponse, error) {
+	as := quorum.Successes(quorum.Gather(cx, r.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.PeekResponse, error) {
 		return acceptor.Peek.Call(ctx, m.Net, m.Self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Keys: keys, Brief: true})
 	}, nil))
-	top, at := map[string]acceptor.Slot{}, map[string]voters.Seat{}
+	top, at := map[string]acceptor.Slot{}, map[string]voters.Voter{}
 	for _, a := range as {
 		for k, s := range a.Value.Slots {
 			if s.Above(top[k]) {
@@ -50,7 +50,7 @@
 	return n
 }
 
-func (m *Mender) key(ctx context.Context, r voters.Roster, old []copy, k string, t acceptor.Slot) int {
+func (m *Mender) key(ctx context.Context, r voters.Set, old []copy, k string, t acceptor.Slot) int {
 	n := 0
 	for _, a := range old {
 		cx, stop := context.WithTimeout(ctx, m.Bounds.CallTimeout())
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -35,7 +35,7 @@
 
 // News is what one node has and another lacks. A description comes whole, without its source, or by the changes to one that the other has.
 type News struct {
-	Roster      *voters.Roster             `json:"r,omitempty"`
+	Roster      *voters.Set                `json:"r,omitempty"`
 	Description *configuration.Description `json:"d,omitempty"`
 	Changes     []configuration.Change     `json:"c,omitempty"`
 	Records     []assignment.Record        `json:"p,omitempty"`
@@ -66,7 +66,7 @@
 // Board holds a node's news; nothing on it ever goes back.
 type Board struct {
 	mu      sync.Mutex
-	roster  voters.Roster
+	roster  voters.Set
 	desc    configuration.Description
 	index   *configuration.Index
 	changes []configuration.Change
@@ -196,7 +196,7 @@
 }
 
 // Roster gives the newest roster.
-func (b *Board) Roster() voters.Roster {
+func (b *Board) Roster() voters.Set {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.roster
@@ -248,7 +248,7 @@
 }
 
 func (b *Board) digest() Digest {
-	d := Digest{Roster: b.roster.Sequence, Description: b.desc.Sequence, Changes: !b.whole, Records: make([]uint64, b.roster.Layout.Count())}
+	d := Digest{Roster: b.roster.Sequence, Description: b.desc.Sequence, Changes: !b.whole, Records: make([]uint64, b.roster.Layout.PartitionCount())}
 	for i := range d.Records {
 		d.Records[i] = b.records[i].Writes
 	}
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -20,14 +20,14 @@
 func TestNewsNeverGoesBack(t *testing.T) {
 	heard := 0
 	b := NewBoard(func(News) { heard++ })
-	r := voters.Roster{Sequence: 2, Fleet: "f", Layout: voters.Layout{Routine: 1, Urgent: 1}}
+	r := voters.Set{Sequence: 2, Fleet: "f", Layout: voters.Layout{RoutinePartitions: 1, UrgentPartitions: 1}}
 	offer := func(d, w uint64) bool {
 		return !b.Offer(News{Roster: &r, Description: &configuration.Description{Sequence: d}, Records: []assignment.Record{{Partition: 1, Writes: w}}}).Empty()
 	}
 	assert.Assert(t, offer(3, 5))
 	assert.Assert(t, !offer(3, 5))
 	assert.Assert(t, !offer(2, 4))
-	other := voters.Roster{Sequence: 9, Fleet: "g"}
+	other := voters.Set{Sequence: 9, Fleet: "g"}
 	assert.Assert(t, b.Offer(News{Roster: &other}).Empty(), "another fleet's roster")
 	assert.Equal(t, heard, 1)
 	assert.Equal(t, b.Description().Sequence, uint64(3))
--- a/internal/membership/failuredetector/watch.go
+++ b/internal/membership/failuredetector/watch.go
@@ -104,7 +104,7 @@
 
 func (w *Watch) learn() {
 	rings := map[string][]string{}
-	for p := range w.Board.Roster().Layout.Count() {
+	for p := range w.Board.Roster().Layout.PartitionCount() {
 		r := w.Board.Record(p)
 		if _, ok := r.Place(w.Self); !ok || r.Owner == "" || r.Owner == w.Self {
 			continue
--- a/internal/node/leaders/owners.go
+++ b/internal/node/leaders/owners.go
@@ -117,7 +117,7 @@
 
 func (k *Keeper) look(ctx context.Context) {
 	l := k.Board.Roster().Layout
-	for p := range l.Count() {
+	for p := range l.PartitionCount() {
 		r := k.Board.Record(p)
 		if r.Epoch == 0 {
 			continue
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -162,11 +162,11 @@
 		n.log.Say(event.DiskNew, "incarnation", inc)
 	}
 	n.replica.Start(inc, j)
-	n.voter.Start(inc, j, n.agree, func(r voters.Roster) { n.Board.Offer(gossip.News{Roster: &r}) })
+	n.voter.Start(inc, j, n.agree, func(r voters.Set) { n.Board.Offer(gossip.News{Roster: &r}) })
 	return nil
 }
 
-func (n *Node) agree(r voters.Roster) error {
+func (n *Node) agree(r voters.Set) error {
 	cx, stop := context.WithTimeout(context.Background(), n.bounds().CallTimeout())
 	defer stop()
 	return n.founder.Agree(cx, r)
@@ -207,7 +207,7 @@
 }
 
 // Roster gives the newest roster known here.
-func (n *Node) Roster() voters.Roster { return n.Board.Roster() }
+func (n *Node) Roster() voters.Set { return n.Board.Roster() }
 
 // Live finds a control node that has a session.
 func (n *Node) Live(node string) (string, bool) {
@@ -287,7 +287,7 @@
 		n.log.Say(event.DescriptionNews, "sequence", x.Description.Sequence, "spaces", len(x.Description.Spaces))
 	}
 	if x.Roster != nil {
-		n.log.Say(event.RosterOpened, "sequence", x.Roster.Sequence, "fleet", x.Roster.Fleet, "seats", len(x.Roster.Seats))
+		n.log.Say(event.RosterOpened, "sequence", x.Roster.Sequence, "fleet", x.Roster.Fleet, "seats", len(x.Roster.Voters))
 	}
 }
 
@@ -369,7 +369,7 @@
 	self := n.options().Name
 	by := map[string]bool{}
 	var as []string
-	for p := range n.Board.Roster().Layout.Count() {
+	for p := range n.Board.Roster().Layout.PartitionCount() {
 		o := n.Board.Record(p).Owner
 		if o == "" || o == self || by[o] {
 			continue
--- a/internal/nodelease/session.go
+++ b/internal/nodelease/session.go
@@ -54,7 +54,7 @@
 	Confirmed   bool                       `json:"confirmed"`
 	Sequence    uint64                     `json:"sequence"`
 	Age         time.Duration              `json:"age"`
-	Roster      *voters.Roster             `json:"roster,omitempty"`
+	Roster      *voters.Set                `json:"roster,omitempty"`
 	Description *configuration.Description `json:"description,omitempty"`
 	Changes     []configuration.Change     `json:"d,omitempty"`
 }
@@ -286,7 +286,7 @@
 		as = append(as, a)
 	}
 	h.mu.Unlock()
-	for _, s := range h.Board.Roster().Seats {
+	for _, s := range h.Board.Roster().Voters {
 		as = append(as, s.Addr)
 	}
 	for _, i := range h.Table.Live() {
--- a/internal/nodelease/session_test.go
+++ b/internal/nodelease/session_test.go
@@ -29,7 +29,7 @@
 				o := settings.Default()
 				o.Name, o.LeaseExtension = "a1", settings.Duration(10*time.Second)
 				b := gossip.NewBoard(nil)
-				b.Offer(gossip.News{Roster: &voters.Roster{Sequence: 1, Fleet: "f"}})
+				b.Offer(gossip.News{Roster: &voters.Set{Sequence: 1, Fleet: "f"}})
 				info := func() membership.Info { return membership.Info{Name: "a1"} }
 				c := Confirmed{OK: true}
 				h := &Host{Self: "a1", Clock: clock.Real{}, Bounds: o.Timing(), Table: membership.NewTable(clock.Real{}, o.Timing()), Board: b, Info: info, Latest: func() Confirmed { return c }}
@@ -271,7 +271,7 @@
 		o := settings.Default()
 		o.Name = "c1"
 		b := gossip.NewBoard(nil)
-		b.Offer(gossip.News{Roster: &voters.Roster{Sequence: 1, Fleet: "f"}})
+		b.Offer(gossip.News{Roster: &voters.Set{Sequence: 1, Fleet: "f"}})
 		info := func() membership.Info { return membership.Info{Name: "c1"} }
 		ready := time.Now().Add(o.Timing().HeartbeatInterval() * 2)
 		latest := func() Confirmed {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -63,7 +63,7 @@
 	Licensed    bool                `json:"licensed"`
 	Fleet       string              `json:"fleet"`
 	Description uint64              `json:"description"`
-	Roster      voters.Roster       `json:"roster"`
+	Roster      voters.Set          `json:"roster"`
 	Members     []membership.Info   `json:"members"`
 	Partitions  []assignment.Record `json:"partitions"`
 	Owned       []leader.View       `json:"owned"`
@@ -73,7 +73,7 @@
 func (s *Service) Status(context.Context) (any, error) {
 	r := s.Board.Roster()
 	st := Status{Node: s.Info(), Control: s.With(), Licensed: s.Licensed() == nil, Fleet: r.Fleet, Description: s.Board.Description().Sequence, Roster: r, Members: s.View.All(), Owned: s.Owners()}
-	for p := range r.Layout.Count() {
+	for p := range r.Layout.PartitionCount() {
 		x := s.Board.Record(p)
 		x.Partition = p
 		x.History = nil
@@ -87,7 +87,7 @@
 	ctx, stop := s.limit(ctx)
 	defer stop()
 	var ps []int
-	for p := range s.Board.Roster().Layout.Count() {
+	for p := range s.Board.Roster().Layout.PartitionCount() {
 		ps = append(ps, p)
 	}
 	as := quorum.Gather(ctx, ps, s.Uses, nil)
@@ -143,8 +143,8 @@
 		}
 		p, err = partition.Of(topic, sp.Urgent, l), nil
 	}
-	if err != nil || p < 0 || p >= l.Count() {
-		return nil, apierror.New(apierror.Malformed, "n must be from 0 to %d, is %q", l.Count()-1, n)
+	if err != nil || p < 0 || p >= l.PartitionCount() {
+		return nil, apierror.New(apierror.Malformed, "n must be from 0 to %d, is %q", l.PartitionCount()-1, n)
 	}
 	ctx, stop := s.limit(ctx)
 	defer stop()
--- a/internal/operator/quorum.go
+++ b/internal/operator/quorum.go
@@ -46,12 +46,12 @@
 	r := s.Board.Roster()
 	cx, stop := context.WithTimeout(ctx, s.Bounds.CallTimeout())
 	defer stop()
-	as := quorum.Gather(cx, r.Seats, s.known, func(as []quorum.Result[voters.Seat, []membership.Info]) bool {
+	as := quorum.Gather(cx, r.Voters, s.known, func(as []quorum.Result[voters.Voter, []membership.Info]) bool {
 		return len(quorum.Successes(as)) >= r.Majority()
 	})
 	good := quorum.Successes(as)
 	if r.Sequence == 0 || len(good) < r.Majority() {
-		return c, apierror.WithCause(apierror.NoMajority, quorum.FirstError(as), "%d of %d control nodes told which machines they know", len(good), len(r.Seats))
+		return c, apierror.WithCause(apierror.NoMajority, quorum.FirstError(as), "%d of %d control nodes told which machines they know", len(good), len(r.Voters))
 	}
 	c.value = machines{}
 	for _, a := range good {
@@ -63,7 +63,7 @@
 }
 
 // known asks the control node of a seat which machines it knows, itself among them.
-func (s *Service) known(ctx context.Context, to voters.Seat) ([]membership.Info, error) {
+func (s *Service) known(ctx context.Context, to voters.Voter) ([]membership.Info, error) {
 	a, err := membership.Hello.Call(ctx, s.Net, s.Info().Name, to.Addr, &membership.HelloRequest{})
 	if err != nil {
 		return nil, err
--- a/internal/partition/partition.go
+++ b/internal/partition/partition.go
@@ -22,9 +22,9 @@
 // Of gives the partition of a topic.
 func Of(topic string, urgent bool, l voters.Layout) int {
 	if urgent {
-		return pick(topic, l.Routine, l.Urgent)
+		return pick(topic, l.RoutinePartitions, l.UrgentPartitions)
 	}
-	return pick(topic, 0, l.Routine)
+	return pick(topic, 0, l.RoutinePartitions)
 }
 
 // OfVisitor gives the partition that keeps a visitor's attachment. There are two: a routine one, which numbers attachments,
@@ -34,4 +34,4 @@
 }
 
 // Urgent tells whether a partition is one of the urgent ones.
-func Urgent(p int, l voters.Layout) bool { return p >= l.Routine }
+func Urgent(p int, l voters.Layout) bool { return p >= l.RoutinePartitions }
--- a/internal/partitionlog/router/desk.go
+++ b/internal/partitionlog/router/desk.go
@@ -351,7 +351,7 @@
 			return false
 		}
 	}
-	return d.Board.Roster().Layout.Urgent > 0
+	return d.Board.Roster().Layout.UrgentPartitions > 0
 }
 
 // Keys gives a problem until every member's build knows keys and withdrawals.
--- a/internal/placement/controller/duty.go
+++ b/internal/placement/controller/duty.go
@@ -126,7 +126,7 @@
 	d.fresh, d.absent, d.renewed = map[string]time.Time{}, map[string]time.Time{}, map[string]time.Time{}
 	d.opened, d.epochs = map[int]time.Time{}, map[int]uint64{}
 	var ps []int
-	for p := range d.Board.Roster().Layout.Count() {
+	for p := range d.Board.Roster().Layout.PartitionCount() {
 		ps = append(ps, p)
 	}
 	for _, a := range quorum.Gather(ctx, ps, d.fetch, nil) {
@@ -230,7 +230,7 @@
 	}
 	layout := d.Board.Roster().Layout
 	slices.SortFunc(ps, func(a, b int) int {
-		if (a >= layout.Routine) != (b >= layout.Routine) {
+		if (a >= layout.RoutinePartitions) != (b >= layout.RoutinePartitions) {
 			return b - a
 		}
 		return a - b
--- a/internal/testing/crash/crash_test.go
+++ b/internal/testing/crash/crash_test.go
@@ -40,15 +40,15 @@
 	}()
 	s.j = j
 	s.r.Start("i", j)
-	s.v.Start("i1", j, func(voters.Roster) error { return nil }, func(voters.Roster) {})
+	s.v.Start("i1", j, func(voters.Set) error { return nil }, func(voters.Set) {})
 	return s, rep, func() {
 		stop()
 		<-done
 	}
 }
 
-func founding() voters.Roster {
-	return voters.Found([]voters.Seat{{Node: "c1", Incarnation: "i1"}, {Node: "c2", Incarnation: "i2"}, {Node: "c3", Incarnation: "i3"}}, voters.Layout{Routine: 2, Urgent: 1})
+func founding() voters.Set {
+	return voters.NewSet([]voters.Voter{{Node: "c1", Incarnation: "i1"}, {Node: "c2", Incarnation: "i2"}, {Node: "c3", Incarnation: "i3"}}, voters.Layout{RoutinePartitions: 2, UrgentPartitions: 1})
 }
 
 func entries(after log.Point, e uint64, n int) []log.Entry {
--- a/internal/testing/sim/chaos_test.go
+++ b/internal/testing/sim/chaos_test.go
@@ -28,15 +28,15 @@
 	}
 	ref := w.Machines["a1"].Node()
 	r := ref.Roster()
-	for _, s := range r.Seats {
+	for _, s := range r.Voters {
 		i := w.Machines[s.Node].Node().Info()
 		if i.Incarnation != s.Incarnation || i.Roster != r.Sequence {
 			return false
 		}
 	}
-	for p := range r.Layout.Count() {
+	for p := range r.Layout.PartitionCount() {
 		x := ref.Board.Record(p)
-		if !x.Settled || len(x.Replicas) != r.Layout.Copies() || x.Learner != nil {
+		if !x.Settled || len(x.Replicas) != r.Layout.ReplicationFactor() || x.Learner != nil {
 			return false
 		}
 		for _, q := range x.Replicas {
--- a/internal/testing/sim/founding_test.go
+++ b/internal/testing/sim/founding_test.go
@@ -33,7 +33,7 @@
 			continue
 		}
 		r := x.Roster()
-		s, ok := r.Seat(n)
+		s, ok := r.Voter(n)
 		if i := x.Info(); top == 0 || r.Sequence != top || !ok || s.Incarnation != i.Incarnation || i.Roster != top {
 			return false
 		}
--- a/internal/testing/sim/orders_test.go
+++ b/internal/testing/sim/orders_test.go
@@ -61,8 +61,8 @@
 			assert.NilError(t, w.Add(n+"b"))
 			assert.NilError(t, w.Until(60*time.Second, n+"b has a seat", func() bool {
 				x := w.Machines["a1"].Node().Roster()
-				_, ok := x.Seat(n + "b")
-				_, old := x.Seat(n)
+				_, ok := x.Voter(n + "b")
+				_, old := x.Voter(n)
 				return ok && !old
 			}))
 			time.Sleep(w.Site.Bounds.Recovery)
--- a/internal/testing/sim/repair_test.go
+++ b/internal/testing/sim/repair_test.go
@@ -21,9 +21,9 @@
 func (w *World) copied() bool {
 	ref := w.Machines["a1"].Node()
 	l := ref.Roster().Layout
-	for p := range l.Count() {
+	for p := range l.PartitionCount() {
 		x := ref.Board.Record(p)
-		if !x.Settled || len(x.Replicas) != l.Copies() || x.Learner != nil {
+		if !x.Settled || len(x.Replicas) != l.ReplicationFactor() || x.Learner != nil {
 			return false
 		}
 		for _, q := range x.Replicas {
--- a/internal/testing/sim/world.go
+++ b/internal/testing/sim/world.go
@@ -829,7 +829,7 @@
 					continue
 				}
 				b := s.Door.Operators.Board
-				for p := range b.Roster().Layout.Count() {
+				for p := range b.Roster().Layout.PartitionCount() {
 					for _, x := range b.Record(p).History {
 						w.History.Own(p, x.Epoch, x.Owner)
 					}
