--- a/internal/control/acceptor/voter.go
+++ b/internal/control/acceptor/voter.go
@@ -149,7 +149,7 @@
 
 func (v *Voter) sealed() bool {
 	s := v.slots[RosterKey]
-	return !s.Accepted.Zero()
+	return !s.Accepted.IsZero()
 }
 
 func (v *Voter) take(ctx context.Context, key string) (func(), error) {
--- a/internal/control/acceptor/voter_test.go
+++ b/internal/control/acceptor/voter_test.go
@@ -42,7 +42,7 @@
 	return v
 }
 
-func at(n uint64, node string) epoch.Epoch { return epoch.Epoch{N: n, Node: node} }
+func at(n uint64, node string) epoch.Epoch { return epoch.Epoch{Number: n, Node: node} }
 
 func ballot(k string) Ballot { return Ballot{Roster: 1, Incarnation: "i1", Key: k} }
 
--- a/internal/control/model/walk_test.go
+++ b/internal/control/model/walk_test.go
@@ -39,14 +39,14 @@
 	return acceptor.Slot{Promised: epochOf(s.promised), Accepted: epochOf(s.accepted), Value: acceptor.Value{Writes: uint64(s.writes), By: name(s.value)}}
 }
 
-func epochOf(n int8) epoch.Epoch { return epoch.Epoch{N: uint64(n)} }
+func epochOf(n int8) epoch.Epoch { return epoch.Epoch{Number: uint64(n)} }
 
 var names = [attempts + 1]string{"", "first", "second", "third"}
 
 func name(n int8) string { return names[n] }
 
 func small(s acceptor.Slot) slot {
-	return slot{int8(s.Promised.N), int8(s.Accepted.N), int8(s.Value.Writes), int8(slices.Index(names[:], s.Value.By))}
+	return slot{int8(s.Promised.Number), int8(s.Accepted.Number), int8(s.Value.Writes), int8(slices.Index(names[:], s.Value.By))}
 }
 
 type disk struct {
--- a/internal/control/reconfig/reform.go
+++ b/internal/control/reconfig/reform.go
@@ -77,7 +77,7 @@
 		}
 	}
 	next := want
-	if !top.Accepted.Zero() {
+	if !top.Accepted.IsZero() {
 		if err := json.Unmarshal(top.Value.Body, &next); err != nil {
 			return voters.Set{}, apierror.Wrap(apierror.DiskDamaged, err, "read the next roster")
 		}
--- a/internal/control/register/holder.go
+++ b/internal/control/register/holder.go
@@ -278,7 +278,7 @@
 		}
 	}
 	top := as[0].Value.Slots[k]
-	if top.Accepted.Zero() {
+	if top.Accepted.IsZero() {
 		return top.Value, true
 	}
 	late, more := context.WithTimeout(ctx, h.bounds.ForwardTimeout())
@@ -438,7 +438,7 @@
 	}
 	top := highest(as)
 	v := held{epoch: e, roster: r.Sequence, value: top.Value, seen: e, hint: h.self}
-	if top.Accepted.Zero() {
+	if top.Accepted.IsZero() {
 		v.sure = true
 		h.keys.Update(k, func(held, bool) (held, bool) { return v, true })
 		return v, nil
--- a/internal/control/register/holder_test.go
+++ b/internal/control/register/holder_test.go
@@ -23,7 +23,7 @@
 func TestOnlyTheHighestCopiesCountAsAlike(t *testing.T) {
 	at := func(n, writes uint64) quorum.Result[voters.Voter, *acceptor.PeekResponse] {
 		return quorum.Result[voters.Voter, *acceptor.PeekResponse]{Value: &acceptor.PeekResponse{Slots: map[string]acceptor.Slot{
-			"k": {Accepted: epoch.Epoch{N: n, Node: "c1"}, Value: acceptor.Value{Writes: writes}},
+			"k": {Accepted: epoch.Epoch{Number: n, Node: "c1"}, Value: acceptor.Value{Writes: writes}},
 		}}}
 	}
 	for _, x := range []struct {
@@ -91,7 +91,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := &core{who: x.who}
 				h := New("c1", c, clock.Real{}, settings.DefaultTiming, c, func(string, acceptor.Value) {})
-				h.Hint("k", epoch.Epoch{N: 3, Node: "c2"}, "")
+				h.Hint("k", epoch.Epoch{Number: 3, Node: "c2"}, "")
 				err := h.Claim(t.Context(), "k")
 				synctest.Wait()
 				assert.Equal(t, h.Holds("k"), x.claim, "%v", err)
@@ -109,7 +109,7 @@
 func (*elsewhere) Do(q *http.Request) (*http.Response, error) {
 	m := http.NewServeMux()
 	acceptor.Peek.Handle(m, func(_ context.Context, q *acceptor.PeekRequest) (*acceptor.PeekResponse, error) {
-		return &acceptor.PeekResponse{Slots: map[string]acceptor.Slot{q.Keys[0]: {Promised: epoch.Epoch{N: 9, Node: "c2"}}}}, nil
+		return &acceptor.PeekResponse{Slots: map[string]acceptor.Slot{q.Keys[0]: {Promised: epoch.Epoch{Number: 9, Node: "c2"}}}}, nil
 	})
 	w := httptest.NewRecorder()
 	m.ServeHTTP(w, q)
@@ -121,7 +121,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		net := &elsewhere{}
 		h := New("c1", net, clock.Real{}, settings.Default().Timing(), net, nil)
-		mine := epoch.Epoch{N: 3, Node: "c1"}
+		mine := epoch.Epoch{Number: 3, Node: "c1"}
 		h.edit("k", func(v *held) {
 			*v = held{epoch: mine, seen: mine, roster: net.Roster().Sequence, sure: true, hint: "c1", value: acceptor.Value{Writes: 4}}
 		})
--- a/internal/testing/crash/crash_test.go
+++ b/internal/testing/crash/crash_test.go
@@ -177,13 +177,13 @@
 	}
 	promise := func(k string, n uint64) func(*store) error {
 		return func(s *store) error {
-			_, err := s.v.Promise(ctx, &acceptor.PromiseRequest{Ballot: ballot(k, s.v.Roster().Sequence), Epoch: epoch.Epoch{N: n, Node: "c1"}})
+			_, err := s.v.Promise(ctx, &acceptor.PromiseRequest{Ballot: ballot(k, s.v.Roster().Sequence), Epoch: epoch.Epoch{Number: n, Node: "c1"}})
 			return err
 		}
 	}
 	accept := func(k string, n, w uint64) func(*store) error {
 		return func(s *store) error {
-			_, err := s.v.Accept(ctx, &acceptor.AcceptRequest{Ballot: ballot(k, s.v.Roster().Sequence), Epoch: epoch.Epoch{N: n, Node: "c1"}, Value: acceptor.Value{Writes: w, Body: []byte(k)}})
+			_, err := s.v.Accept(ctx, &acceptor.AcceptRequest{Ballot: ballot(k, s.v.Roster().Sequence), Epoch: epoch.Epoch{Number: n, Node: "c1"}, Value: acceptor.Value{Writes: w, Body: []byte(k)}})
 			return err
 		}
 	}
@@ -208,7 +208,7 @@
 		func(s *store) error {
 			n := s.v.Roster()
 			n.Sequence++
-			_, err := s.v.Open(ctx, &acceptor.OpenRequest{Incarnation: "i1", Roster: n, Slots: map[string]acceptor.Slot{"description": {Accepted: epoch.Epoch{N: 3, Node: "c1"}, Value: acceptor.Value{Writes: 2}}}})
+			_, err := s.v.Open(ctx, &acceptor.OpenRequest{Incarnation: "i1", Roster: n, Slots: map[string]acceptor.Slot{"description": {Accepted: epoch.Epoch{Number: 3, Node: "c1"}, Value: acceptor.Value{Writes: 2}}}})
 			return err
 		},
 		promise("description", 7),
--- a/internal/testing/crash/slices_test.go
+++ b/internal/testing/crash/slices_test.go
@@ -86,7 +86,7 @@
 		func(s *store) error {
 			b := acceptor.Ballot{Roster: s.v.Roster().Sequence, Incarnation: "i1", Key: "description"}
 			*e++
-			_, err := s.v.Promise(ctx, &acceptor.PromiseRequest{Ballot: b, Epoch: epoch.Epoch{N: *e, Node: "c1"}})
+			_, err := s.v.Promise(ctx, &acceptor.PromiseRequest{Ballot: b, Epoch: epoch.Epoch{Number: *e, Node: "c1"}})
 			return err
 		},
 	}[r.IntN(9)]
--- a/internal/testing/sim/restart_test.go
+++ b/internal/testing/sim/restart_test.go
@@ -27,7 +27,7 @@
 			for i := range w.Site.Control {
 				c := fmt.Sprintf("c%d", i+1)
 				if m := w.Machines[c]; !m.Node().HoldsDuty() && w.Int(2) == 0 {
-					w.promiseAlone(t, c, controller.Key, epoch.Epoch{N: 50 + uint64(i), Node: c})
+					w.promiseAlone(t, c, controller.Key, epoch.Epoch{Number: 50 + uint64(i), Node: c})
 				}
 			}
 			tok := attach(t, w, "c1", "v").Token
