--- a/internal/control/acceptor/calls.go
+++ b/internal/control/acceptor/calls.go
@@ -13,11 +13,11 @@
 // the writers of the key remember beside it. Body and Memory are decided together. Memory is absent from values that
 // older builds wrote.
 type Value struct {
-	Writes    uint64 `json:"writes"`
-	By        string `json:"by,omitempty"`
+	Version   uint64 `json:"writes"`
+	ChangeID  string `json:"by,omitempty"`
 	Successor string `json:"successor,omitempty"`
 	Body      []byte `json:"body,omitempty"`
-	Memory    []byte `json:"memory,omitempty"`
+	Metadata  []byte `json:"memory,omitempty"`
 }
 
 // Slot is a voter's memory of one key.
@@ -27,43 +27,43 @@
 	Value    Value       `json:"value"`
 }
 
-// Above tells whether s holds a later acceptance than t.
-func (s Slot) Above(t Slot) bool {
+// NewerThan tells whether s holds a later acceptance than t.
+func (s Slot) NewerThan(t Slot) bool {
 	if s.Accepted != t.Accepted {
 		return t.Accepted.Less(s.Accepted)
 	}
-	return s.Value.Writes > t.Value.Writes
+	return s.Value.Version > t.Value.Version
 }
 
-// Ballot addresses one disk under one roster.
-type Ballot struct {
-	Roster      uint64 `json:"roster"`
+// Target addresses one disk under one roster.
+type Target struct {
+	VoterSet    uint64 `json:"roster"`
 	Incarnation string `json:"incarnation"`
 	Key         string `json:"key"`
 }
 
 // PromiseRequest asks for a promise.
 type PromiseRequest struct {
-	Ballot
+	Target
 	Epoch epoch.Epoch `json:"epoch"`
 }
 
 // AcceptRequest asks for an acceptance.
 type AcceptRequest struct {
-	Ballot
+	Target
 	Epoch epoch.Epoch `json:"epoch"`
 	Value Value       `json:"value"`
 }
 
 // SlotResponse gives the slot; OK tells whether the task was done.
 type SlotResponse struct {
-	OK   bool `json:"ok"`
-	Slot Slot `json:"slot"`
+	Granted bool `json:"ok"`
+	Slot    Slot `json:"slot"`
 }
 
 // PeekRequest reads slots of the named keys, all when none are named. Sealed slots are given only when asked for; Brief leaves out body and memory.
 type PeekRequest struct {
-	Roster      uint64   `json:"roster"`
+	VoterSet    uint64   `json:"roster"`
 	Incarnation string   `json:"incarnation"`
 	Keys        []string `json:"keys,omitempty"`
 	Sealed      bool     `json:"sealed,omitempty"`
@@ -75,41 +75,41 @@
 	Slots map[string]Slot `json:"slots"`
 }
 
-// OpenRequest brings a voter under a roster with the copied keys.
-type OpenRequest struct {
+// ActivateRequest brings a voter under a roster with the copied keys.
+type ActivateRequest struct {
 	Incarnation string          `json:"incarnation"`
-	Roster      voters.Set      `json:"roster"`
+	VoterSet    voters.Set      `json:"roster"`
 	Slots       map[string]Slot `json:"slots"`
-	Founding    bool            `json:"founding,omitempty"`
+	Bootstrap   bool            `json:"founding,omitempty"`
 }
 
-// FoundRequest asks a fresh disk to agree to a founding roster.
-type FoundRequest struct {
+// BootstrapRequest asks a fresh disk to agree to a founding roster.
+type BootstrapRequest struct {
 	Incarnation string     `json:"incarnation"`
-	Roster      voters.Set `json:"roster"`
+	VoterSet    voters.Set `json:"roster"`
 }
 
-// Done is an answer without contents.
-type Done struct{}
+// Empty is an answer without contents.
+type Empty struct{}
 
 // The voter's calls.
 var (
-	Promise = wire.NewProcedure[PromiseRequest, SlotResponse]("Control", "Promise", wire.Monotonic, "epochs only rise; the same one is promised again")
-	Accept  = wire.NewProcedure[AcceptRequest, SlotResponse]("Control", "Accept", wire.Monotonic, "epoch and count of writes only rise")
-	Peek    = wire.NewProcedure[PeekRequest, PeekResponse]("Control", "Peek", wire.ReadOnly, "slots of a voter")
-	Open    = wire.NewProcedure[OpenRequest, Done]("Control", "Open", wire.Monotonic, "rosters only rise; one that is in force or below changes nothing")
-	Found   = wire.NewProcedure[FoundRequest, Done]("Control", "Found", wire.Monotonic, "agreed to as long as the disk is under no roster")
+	Promise   = wire.NewProcedure[PromiseRequest, SlotResponse]("Control", "Promise", wire.Monotonic, "epochs only rise; the same one is promised again")
+	Accept    = wire.NewProcedure[AcceptRequest, SlotResponse]("Control", "Accept", wire.Monotonic, "epoch and count of writes only rise")
+	Peek      = wire.NewProcedure[PeekRequest, PeekResponse]("Control", "Peek", wire.ReadOnly, "slots of a voter")
+	Activate  = wire.NewProcedure[ActivateRequest, Empty]("Control", "Open", wire.Monotonic, "rosters only rise; one that is in force or below changes nothing")
+	Bootstrap = wire.NewProcedure[BootstrapRequest, Empty]("Control", "Found", wire.Monotonic, "agreed to as long as the disk is under no roster")
 )
 
-// RosterKey is the register that names the next roster; accepting it seals the present one.
-const RosterKey = "roster"
+// VoterSetKey is the register that names the next roster; accepting it seals the present one.
+const VoterSetKey = "roster"
 
-// Whole reads the slot that a voter told briefly, with its value; it is not ok when another one stands there by now.
-func Whole(ctx context.Context, n wire.Network, self string, r voters.Set, s voters.Voter, k string, told Slot) (Slot, bool) {
-	a, err := Peek.Call(ctx, n, self, s.Addr, &PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Keys: []string{k}})
+// ReadFullSlot reads the slot that a voter told briefly, with its value; it is not ok when another one stands there by now.
+func ReadFullSlot(ctx context.Context, n wire.Network, self string, r voters.Set, s voters.Voter, k string, told Slot) (Slot, bool) {
+	a, err := Peek.Call(ctx, n, self, s.Addr, &PeekRequest{VoterSet: r.Sequence, Incarnation: s.Incarnation, Keys: []string{k}})
 	if err != nil {
 		return Slot{}, false
 	}
 	x := a.Slots[k]
-	return x, x.Accepted == told.Accepted && x.Value.Writes == told.Value.Writes
+	return x, x.Accepted == told.Accepted && x.Value.Version == told.Value.Version
 }
--- a/internal/control/acceptor/giveup_test.go
+++ b/internal/control/acceptor/giveup_test.go
@@ -39,13 +39,13 @@
 // Whoever asks a voter may stop waiting for its disk. What the voter was asked to keep comes to stand all the same, and what it promises next
 // must go by that: it went by what stood before, and wrote that over an accepted value.
 func TestAnAskerThatGivesUpLeavesNoStaleSlot(t *testing.T) {
-	for name, next := range map[string]func(v *Voter) (Slot, error){
-		"a promise comes next": func(v *Voter) (Slot, error) {
-			a, err := v.Promise(ctx, &PromiseRequest{Ballot: ballot("k"), Epoch: at(2, "c2")})
+	for name, next := range map[string]func(v *Acceptor) (Slot, error){
+		"a promise comes next": func(v *Acceptor) (Slot, error) {
+			a, err := v.Promise(ctx, &PromiseRequest{Target: ballot("k"), Epoch: at(2, "c2")})
 			return a.Slot, err
 		},
-		"the same write comes again": func(v *Voter) (Slot, error) {
-			a, err := v.Accept(ctx, &AcceptRequest{Ballot: ballot("k"), Epoch: at(1, "c1"), Value: Value{Writes: 1, Body: []byte("a")}})
+		"the same write comes again": func(v *Acceptor) (Slot, error) {
+			a, err := v.Accept(ctx, &AcceptRequest{Target: ballot("k"), Epoch: at(1, "c1"), Value: Value{Version: 1, Body: []byte("a")}})
 			return a.Slot, err
 		},
 	} {
@@ -59,9 +59,9 @@
 				defer end()
 				go j.Run(run)
 				v.Start("i1", j, func(voters.Set) error { return nil }, func(voters.Set) {})
-				_, err = v.Found(ctx, &FoundRequest{Incarnation: "i1", Roster: first()})
+				_, err = v.Bootstrap(ctx, &BootstrapRequest{Incarnation: "i1", VoterSet: first()})
 				assert.NilError(t, err)
-				_, err = v.Open(ctx, &OpenRequest{Incarnation: "i1", Roster: first(), Founding: true})
+				_, err = v.Activate(ctx, &ActivateRequest{Incarnation: "i1", VoterSet: first(), Bootstrap: true})
 				assert.NilError(t, err)
 				promise(t, v, at(1, "c1"))
 				accept(t, v, at(1, "c1"), 1, "a")
@@ -69,7 +69,7 @@
 				cx, leave := context.WithCancel(ctx)
 				gone := make(chan error, 1)
 				go func() {
-					_, err := v.Accept(cx, &AcceptRequest{Ballot: ballot("k"), Epoch: at(1, "c1"), Value: Value{Writes: 2, Body: []byte("b")}})
+					_, err := v.Accept(cx, &AcceptRequest{Target: ballot("k"), Epoch: at(1, "c1"), Value: Value{Version: 2, Body: []byte("b")}})
 					gone <- err
 				}()
 				synctest.Wait()
@@ -85,10 +85,10 @@
 				synctest.Wait()
 				release()
 				assert.NilError(t, <-done)
-				assert.Equal(t, s.Value.Writes, uint64(2))
-				p, err := v.Peek(ctx, &PeekRequest{Roster: 1, Incarnation: "i1", Keys: []string{"k"}})
+				assert.Equal(t, s.Value.Version, uint64(2))
+				p, err := v.Peek(ctx, &PeekRequest{VoterSet: 1, Incarnation: "i1", Keys: []string{"k"}})
 				assert.NilError(t, err)
-				assert.Equal(t, p.Slots["k"].Value.Writes, uint64(2))
+				assert.Equal(t, p.Slots["k"].Value.Version, uint64(2))
 				assert.Equal(t, string(p.Slots["k"].Value.Body), "b")
 			})
 		})
--- a/internal/control/acceptor/slot.go
+++ b/internal/control/acceptor/slot.go
@@ -20,7 +20,7 @@
 // epochs below the promised one, and values that were written before the one that it holds.
 func (s Slot) Accept(e epoch.Epoch, v Value) (Slot, bool) {
 	n := Slot{Promised: e, Accepted: e, Value: v}
-	if e.Less(s.Promised) || s.Above(n) {
+	if e.Less(s.Promised) || s.NewerThan(n) {
 		return s, false
 	}
 	return n, true
@@ -30,7 +30,7 @@
 func Highest(slots []Slot) Slot {
 	var top Slot
 	for _, s := range slots {
-		if s.Above(top) {
+		if s.NewerThan(top) {
 			top = s
 		}
 	}
@@ -53,13 +53,13 @@
 	return s
 }
 
-// Alike gives the places of the slots that hold the highest acceptance among them. Where these are a majority that value
+// HoldingHighest gives the places of the slots that hold the highest acceptance among them. Where these are a majority that value
 // was decided, and none after it was when the slots were asked for.
-func Alike(slots []Slot) []int {
+func HoldingHighest(slots []Slot) []int {
 	var at []int
 	top := Highest(slots)
 	for i, s := range slots {
-		if !top.Above(s) {
+		if !top.NewerThan(s) {
 			at = append(at, i)
 		}
 	}
--- a/internal/control/acceptor/voter.go
+++ b/internal/control/acceptor/voter.go
@@ -13,8 +13,8 @@
 	"postjunction/internal/recordtype"
 )
 
-// Voter keeps promises on one disk.
-type Voter struct {
+// Acceptor keeps promises on one disk.
+type Acceptor struct {
 	incarnation string
 	journal     *journal.Journal
 	turns       *keylock.Locks
@@ -30,12 +30,12 @@
 const turnShards = 8
 
 // New makes a voter that has promised nothing.
-func New() *Voter {
-	return &Voter{slots: map[string]Slot{}, turns: keylock.New(turnShards), sealing: make(chan struct{})}
+func New() *Acceptor {
+	return &Acceptor{slots: map[string]Slot{}, turns: keylock.New(turnShards), sealing: make(chan struct{})}
 }
 
 // Start gives the voter its disk, its check of foundings, and whom to tell of a new roster.
-func (v *Voter) Start(incarnation string, j *journal.Journal, agree func(voters.Set) error, opened func(voters.Set)) {
+func (v *Acceptor) Start(incarnation string, j *journal.Journal, agree func(voters.Set) error, opened func(voters.Set)) {
 	v.incarnation, v.journal, v.agree, v.opened = incarnation, j, agree, opened
 }
 
@@ -51,7 +51,7 @@
 }
 
 // Restore takes back a record.
-func (v *Voter) Restore(r journal.Rec) error {
+func (v *Acceptor) Restore(r journal.Rec) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if r.Kind == recordtype.Slot {
@@ -74,7 +74,7 @@
 }
 
 // Live counts the live records.
-func (v *Voter) Live() (int, int64) {
+func (v *Acceptor) Live() (int, int64) {
 	rs := v.dump()
 	n := int64(0)
 	for _, r := range rs {
@@ -84,9 +84,9 @@
 }
 
 // Slices gives the live records: the roster clears the slots that stand before them, so that they are one slice.
-func (v *Voter) Slices() []journal.Slice { return journal.Whole(v.dump) }
+func (v *Acceptor) Slices() []journal.Slice { return journal.Whole(v.dump) }
 
-func (v *Voter) dump() []journal.Rec {
+func (v *Acceptor) dump() []journal.Rec {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	rs := []journal.Rec{rec(recordtype.Roster, rosterRec{Roster: v.roster, Founding: v.founding, Clear: true})}
@@ -101,15 +101,15 @@
 	return journal.Rec{Kind: k, Body: b}
 }
 
-// Roster gives the roster that this voter is under; its sequence is 0 before founding.
-func (v *Voter) Roster() voters.Set {
+// VoterSet gives the roster that this voter is under; its sequence is 0 before founding.
+func (v *Acceptor) VoterSet() voters.Set {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.roster
 }
 
 // Sealed gives the sequence of the roster that is sealed here and waits for the next one to be opened, 0 when none does.
-func (v *Voter) Sealed() uint64 {
+func (v *Acceptor) Sealed() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !v.sealed() {
@@ -119,47 +119,47 @@
 }
 
 // Sealing gives what is closed when a roster is sealed here.
-func (v *Voter) Sealing() <-chan struct{} {
+func (v *Acceptor) Sealing() <-chan struct{} {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.sealing
 }
 
-func (v *Voter) disk(inc string) error {
+func (v *Acceptor) disk(inc string) error {
 	if inc != v.incarnation {
 		return apierror.New(apierror.WrongDisk, "this disk is %s, not %s", v.incarnation, inc)
 	}
 	return nil
 }
 
-func (v *Voter) view(b Ballot) (Slot, error) {
+func (v *Acceptor) view(b Target) (Slot, error) {
 	if err := v.disk(b.Incarnation); err != nil {
 		return Slot{}, err
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.roster.Sequence != b.Roster || b.Roster == 0 {
-		return Slot{}, apierror.New(apierror.StaleVoterSet, "the ballot is under roster %d, this voter under %d", b.Roster, v.roster.Sequence).WithCurrent(v.roster.Sequence)
+	if v.roster.Sequence != b.VoterSet || b.VoterSet == 0 {
+		return Slot{}, apierror.New(apierror.StaleVoterSet, "the ballot is under roster %d, this voter under %d", b.VoterSet, v.roster.Sequence).WithCurrent(v.roster.Sequence)
 	}
-	if v.sealed() && b.Key != RosterKey {
+	if v.sealed() && b.Key != VoterSetKey {
 		return Slot{}, apierror.New(apierror.StaleVoterSet, "roster %d is sealed", v.roster.Sequence).WithCurrent(v.roster.Sequence)
 	}
 	return v.slots[b.Key], nil
 }
 
-func (v *Voter) sealed() bool {
-	s := v.slots[RosterKey]
+func (v *Acceptor) sealed() bool {
+	s := v.slots[VoterSetKey]
 	return !s.Accepted.IsZero()
 }
 
-func (v *Voter) take(ctx context.Context, key string) (func(), error) {
-	if key == RosterKey {
+func (v *Acceptor) take(ctx context.Context, key string) (func(), error) {
+	if key == VoterSetKey {
 		return v.turns.LockAll(ctx)
 	}
 	return v.turns.Lock(ctx, key)
 }
 
-func (v *Voter) enter(ctx context.Context, b Ballot) (Slot, *keylock.Shared, error) {
+func (v *Acceptor) enter(ctx context.Context, b Target) (Slot, *keylock.Shared, error) {
 	back, err := v.take(ctx, b.Key)
 	if err != nil {
 		return Slot{}, nil, err
@@ -172,7 +172,7 @@
 	return s, keylock.Share(back), nil
 }
 
-func (v *Voter) alone(ctx context.Context, inc string) (*keylock.Shared, error) {
+func (v *Acceptor) alone(ctx context.Context, inc string) (*keylock.Shared, error) {
 	if err := v.disk(inc); err != nil {
 		return nil, err
 	}
@@ -183,12 +183,12 @@
 	return keylock.Share(back), nil
 }
 
-func (v *Voter) store(ctx context.Context, t *keylock.Shared, key string, s Slot) error {
+func (v *Acceptor) store(ctx context.Context, t *keylock.Shared, key string, s Slot) error {
 	return v.journal.PutIn(ctx, t, true, func() {
 		v.mu.Lock()
 		defer v.mu.Unlock()
 		v.slots[key] = s
-		if key == RosterKey && v.sealed() {
+		if key == VoterSetKey && v.sealed() {
 			close(v.sealing)
 			v.sealing = make(chan struct{})
 		}
@@ -196,25 +196,25 @@
 }
 
 // Promise answers once the promise is synced.
-func (v *Voter) Promise(ctx context.Context, q *PromiseRequest) (*SlotResponse, error) {
-	s, t, err := v.enter(ctx, q.Ballot)
+func (v *Acceptor) Promise(ctx context.Context, q *PromiseRequest) (*SlotResponse, error) {
+	s, t, err := v.enter(ctx, q.Target)
 	if err != nil {
 		return nil, err
 	}
 	defer t.Release()
 	n, ok := s.Promise(q.Epoch)
 	if !ok || n.Promised == s.Promised {
-		return &SlotResponse{OK: ok, Slot: s}, nil
+		return &SlotResponse{Granted: ok, Slot: s}, nil
 	}
 	if err := v.store(ctx, t, q.Key, n); err != nil {
 		return nil, err
 	}
-	return &SlotResponse{OK: true, Slot: n}, nil
+	return &SlotResponse{Granted: true, Slot: n}, nil
 }
 
 // Accept answers once the value is synced.
-func (v *Voter) Accept(ctx context.Context, q *AcceptRequest) (*SlotResponse, error) {
-	s, t, err := v.enter(ctx, q.Ballot)
+func (v *Acceptor) Accept(ctx context.Context, q *AcceptRequest) (*SlotResponse, error) {
+	s, t, err := v.enter(ctx, q.Target)
 	if err != nil {
 		return nil, err
 	}
@@ -226,18 +226,18 @@
 	if err := v.store(ctx, t, q.Key, n); err != nil {
 		return nil, err
 	}
-	return &SlotResponse{OK: true, Slot: n}, nil
+	return &SlotResponse{Granted: true, Slot: n}, nil
 }
 
 // Peek reads without promising.
-func (v *Voter) Peek(_ context.Context, q *PeekRequest) (*PeekResponse, error) {
+func (v *Acceptor) Peek(_ context.Context, q *PeekRequest) (*PeekResponse, error) {
 	if err := v.disk(q.Incarnation); err != nil {
 		return nil, err
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.roster.Sequence != q.Roster || q.Roster == 0 || v.sealed() && !q.Sealed {
-		return nil, apierror.New(apierror.StaleVoterSet, "the peek is under roster %d, this voter under %d", q.Roster, v.roster.Sequence).WithCurrent(v.roster.Sequence)
+	if v.roster.Sequence != q.VoterSet || q.VoterSet == 0 || v.sealed() && !q.Sealed {
+		return nil, apierror.New(apierror.StaleVoterSet, "the peek is under roster %d, this voter under %d", q.VoterSet, v.roster.Sequence).WithCurrent(v.roster.Sequence)
 	}
 	if q.Sealed && !v.sealed() {
 		return nil, apierror.New(apierror.StaleVoterSet, "roster %d is not sealed here", v.roster.Sequence)
@@ -245,7 +245,7 @@
 	a := &PeekResponse{Slots: map[string]Slot{}}
 	add := func(k string, s Slot) {
 		if q.Brief {
-			s.Value.Body, s.Value.Memory = nil, nil
+			s.Value.Body, s.Value.Metadata = nil, nil
 		}
 		a.Slots[k] = s
 	}
@@ -260,8 +260,8 @@
 	return a, nil
 }
 
-// Open brings the voter under a higher roster; slots accepted under the old one are replaced by the copy.
-func (v *Voter) Open(ctx context.Context, q *OpenRequest) (*Done, error) {
+// Activate brings the voter under a higher roster; slots accepted under the old one are replaced by the copy.
+func (v *Acceptor) Activate(ctx context.Context, q *ActivateRequest) (*Empty, error) {
 	t, err := v.alone(ctx, q.Incarnation)
 	if err != nil {
 		return nil, err
@@ -270,22 +270,22 @@
 	v.mu.Lock()
 	cur, f := v.roster, v.founding
 	v.mu.Unlock()
-	if cur.Sequence >= q.Roster.Sequence {
-		if cur.Fleet != q.Roster.Fleet {
+	if cur.Sequence >= q.VoterSet.Sequence {
+		if cur.Fleet != q.VoterSet.Fleet {
 			return nil, apierror.New(apierror.DiskForeign, "this disk is of fleet %s", cur.Fleet)
 		}
-		return &Done{}, nil
+		return &Empty{}, nil
 	}
-	if q.Founding && (f == nil || f.Fleet != q.Roster.Fleet) {
+	if q.Bootstrap && (f == nil || f.Fleet != q.VoterSet.Fleet) {
 		return nil, apierror.New(apierror.StaleVoterSet, "another founding was agreed to since")
 	}
-	if cur.Sequence > 0 && cur.Fleet != q.Roster.Fleet {
+	if cur.Sequence > 0 && cur.Fleet != q.VoterSet.Fleet {
 		return nil, apierror.New(apierror.DiskForeign, "this disk is of fleet %s", cur.Fleet)
 	}
 	slots := make(map[string]Slot, len(q.Slots))
-	rs := []journal.Rec{rec(recordtype.Roster, rosterRec{Roster: q.Roster, Clear: true})}
+	rs := []journal.Rec{rec(recordtype.Roster, rosterRec{Roster: q.VoterSet, Clear: true})}
 	for k, s := range q.Slots {
-		if k == RosterKey {
+		if k == VoterSetKey {
 			continue
 		}
 		s = Merge([]Slot{s})
@@ -295,42 +295,42 @@
 	err = v.journal.PutIn(ctx, t, true, func() {
 		v.mu.Lock()
 		defer v.mu.Unlock()
-		v.roster, v.founding, v.slots = q.Roster, nil, slots
+		v.roster, v.founding, v.slots = q.VoterSet, nil, slots
 	}, rs...)
 	if err != nil {
 		return nil, err
 	}
-	v.opened(q.Roster)
-	return &Done{}, nil
+	v.opened(q.VoterSet)
+	return &Empty{}, nil
 }
 
-// Found agrees to a founding roster while the disk is under none.
-func (v *Voter) Found(ctx context.Context, q *FoundRequest) (*Done, error) {
+// Bootstrap agrees to a founding roster while the disk is under none.
+func (v *Acceptor) Bootstrap(ctx context.Context, q *BootstrapRequest) (*Empty, error) {
 	t, err := v.alone(ctx, q.Incarnation)
 	if err != nil {
 		return nil, err
 	}
 	defer t.Release()
-	if cur := v.Roster(); cur.Sequence > 0 {
+	if cur := v.VoterSet(); cur.Sequence > 0 {
 		return nil, apierror.New(apierror.StaleVoterSet, "this disk is under roster %d already", cur.Sequence).WithCurrent(cur.Sequence)
 	}
-	if err := v.agree(q.Roster); err != nil {
+	if err := v.agree(q.VoterSet); err != nil {
 		return nil, err
 	}
-	r := q.Roster
+	r := q.VoterSet
 	err = v.journal.PutIn(ctx, t, true, func() {
 		v.mu.Lock()
 		defer v.mu.Unlock()
 		v.founding = &r
 	}, rec(recordtype.Roster, rosterRec{Founding: &r}))
-	return &Done{}, err
+	return &Empty{}, err
 }
 
 // Serve adds the voter's calls.
-func (v *Voter) Serve(m *http.ServeMux) {
+func (v *Acceptor) Serve(m *http.ServeMux) {
 	Promise.Handle(m, v.Promise)
 	Accept.Handle(m, v.Accept)
 	Peek.Handle(m, v.Peek)
-	Open.Handle(m, v.Open)
-	Found.Handle(m, v.Found)
+	Activate.Handle(m, v.Activate)
+	Bootstrap.Handle(m, v.Bootstrap)
 }
--- a/internal/control/bootstrap/founding.go
+++ b/internal/control/bootstrap/founding.go
@@ -127,8 +127,8 @@
 			return r, err
 		}
 	}
-	ask := func(do func(context.Context, voters.Voter) (*acceptor.Done, error)) error {
-		as := quorum.Gather(ctx, r.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.Done, error) {
+	ask := func(do func(context.Context, voters.Voter) (*acceptor.Empty, error)) error {
+		as := quorum.Gather(ctx, r.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.Empty, error) {
 			cx, stop := context.WithTimeout(ctx, f.opts.Timing().CallTimeout())
 			defer stop()
 			return do(cx, s)
@@ -138,12 +138,12 @@
 		}
 		return nil
 	}
-	if err := ask(func(ctx context.Context, s voters.Voter) (*acceptor.Done, error) {
-		return acceptor.Found.Call(ctx, f.net, f.opts.Name, s.Addr, &acceptor.FoundRequest{Incarnation: s.Incarnation, Roster: r})
+	if err := ask(func(ctx context.Context, s voters.Voter) (*acceptor.Empty, error) {
+		return acceptor.Bootstrap.Call(ctx, f.net, f.opts.Name, s.Addr, &acceptor.BootstrapRequest{Incarnation: s.Incarnation, VoterSet: r})
 	}); err != nil {
 		return r, err
 	}
-	return r, ask(func(ctx context.Context, s voters.Voter) (*acceptor.Done, error) {
-		return acceptor.Open.Call(ctx, f.net, f.opts.Name, s.Addr, &acceptor.OpenRequest{Incarnation: s.Incarnation, Roster: r, Founding: true})
+	return r, ask(func(ctx context.Context, s voters.Voter) (*acceptor.Empty, error) {
+		return acceptor.Activate.Call(ctx, f.net, f.opts.Name, s.Addr, &acceptor.ActivateRequest{Incarnation: s.Incarnation, VoterSet: r, Bootstrap: true})
 	})
 }
--- a/internal/control/bootstrap/leave.go
+++ b/internal/control/bootstrap/leave.go
@@ -18,7 +18,7 @@
 }
 
 // Leave is the call for it.
-var Leave = wire.NewProcedure[LeaveRequest, acceptor.Done]("Founding", "Leave", wire.Deduplicated, "a seed gives leave to one disk for its life, and to the same one again")
+var Leave = wire.NewProcedure[LeaveRequest, acceptor.Empty]("Founding", "Leave", wire.Deduplicated, "a seed gives leave to one disk for its life, and to the same one again")
 
 // Leaves gives leave to one disk at most in the life of the process. Only a process of the first start gives any, so a
 // restarted seed that forgot whom it gave leave to never gives it to another.
@@ -35,7 +35,7 @@
 }
 
 // Leave gives leave to the first that asks.
-func (l *Leaves) Leave(_ context.Context, q *LeaveRequest) (*acceptor.Done, error) {
+func (l *Leaves) Leave(_ context.Context, q *LeaveRequest) (*acceptor.Empty, error) {
 	if r := l.roster(); r > 0 {
 		return nil, apierror.New(apierror.StaleVoterSet, "the fleet is under roster %d already", r).WithCurrent(r)
 	}
@@ -50,7 +50,7 @@
 	if l.given != *q {
 		return nil, apierror.New(apierror.NotBootstrapped, "%s founds the fleet", l.given.Node)
 	}
-	return &acceptor.Done{}, nil
+	return &acceptor.Empty{}, nil
 }
 
 // Serve adds the call.
--- a/internal/control/model/walk_test.go
+++ b/internal/control/model/walk_test.go
@@ -36,7 +36,7 @@
 type slot struct{ promised, accepted, writes, value int8 }
 
 func (s slot) full() acceptor.Slot {
-	return acceptor.Slot{Promised: epochOf(s.promised), Accepted: epochOf(s.accepted), Value: acceptor.Value{Writes: uint64(s.writes), By: name(s.value)}}
+	return acceptor.Slot{Promised: epochOf(s.promised), Accepted: epochOf(s.accepted), Value: acceptor.Value{Version: uint64(s.writes), ChangeID: name(s.value)}}
 }
 
 func epochOf(n int8) epoch.Epoch { return epoch.Epoch{Number: uint64(n)} }
@@ -46,7 +46,7 @@
 func name(n int8) string { return names[n] }
 
 func small(s acceptor.Slot) slot {
-	return slot{int8(s.Promised.Number), int8(s.Accepted.Number), int8(s.Value.Writes), int8(slices.Index(names[:], s.Value.By))}
+	return slot{int8(s.Promised.Number), int8(s.Accepted.Number), int8(s.Value.Version), int8(slices.Index(names[:], s.Value.ChangeID))}
 }
 
 type disk struct {
@@ -273,7 +273,7 @@
 				told = append(told, n.reader.slots[u].full())
 			}
 		}
-		if len(acceptor.Alike(told)) >= seats.Majority() {
+		if len(acceptor.HoldingHighest(told)) >= seats.Majority() {
 			top := small(acceptor.Highest(told))
 			if top.writes < w.reader.before {
 				k.breach("a quorum read gave write %d, and write %d was decided before it began", top.writes, w.reader.before)
--- a/internal/control/quorumread/confirm.go
+++ b/internal/control/quorumread/confirm.go
@@ -98,7 +98,7 @@
 	cx, stop := context.WithTimeout(ctx, f.Bounds.CallTimeout())
 	defer stop()
 	as := quorum.Gather(cx, r.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.PeekResponse, error) {
-		return acceptor.Peek.Call(ctx, f.Net, f.Self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Keys: []string{Key}, Brief: true})
+		return acceptor.Peek.Call(ctx, f.Net, f.Self, s.Addr, &acceptor.PeekRequest{VoterSet: r.Sequence, Incarnation: s.Incarnation, Keys: []string{Key}, Brief: true})
 	}, func(as peeks) bool {
 		f.reach(as, r.Majority())
 		return len(quorum.Successes(as)) >= r.Majority()
@@ -112,8 +112,8 @@
 	same := true
 	for _, a := range g[1:] {
 		s := a.Value.Slots[Key]
-		same = same && s.Accepted == top.Accepted && s.Value.Writes == top.Value.Writes
-		if s.Above(top) {
+		same = same && s.Accepted == top.Accepted && s.Value.Version == top.Value.Version
+		if s.NewerThan(top) {
 			top = s
 		}
 	}
@@ -146,7 +146,7 @@
 	if !same {
 		f.Mender.Keys(cx, r, Key)
 	}
-	top.Value.Writes = v.Writes
+	top.Value.Version = v.Version
 	f.set(at, d.Sequence, top)
 }
 
@@ -194,11 +194,11 @@
 
 var none time.Time
 
-func (f *Confirmer) writes(s acceptor.Slot) bool { return f.at == s.Value.Writes && f.c.At != none }
+func (f *Confirmer) writes(s acceptor.Slot) bool { return f.at == s.Value.Version && f.c.At != none }
 
 func (f *Confirmer) set(at time.Time, seq uint64, s acceptor.Slot) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.c = nodelease.Confirmed{OK: true, Sequence: max(seq, f.c.Sequence), At: at}
-	f.at = s.Value.Writes
+	f.at = s.Value.Version
 }
--- a/internal/control/reconfig/reform.go
+++ b/internal/control/reconfig/reform.go
@@ -42,11 +42,11 @@
 	if err != nil {
 		return voters.Set{}, err
 	}
-	as := quorum.Gather(ctx, next.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.Done, error) {
+	as := quorum.Gather(ctx, next.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.Empty, error) {
 		cx, stop := f.call(context.WithoutCancel(ctx))
 		defer stop()
-		return acceptor.Open.Call(cx, f.net, f.self, s.Addr, &acceptor.OpenRequest{Incarnation: s.Incarnation, Roster: next, Slots: slots})
-	}, func(as []quorum.Result[voters.Voter, *acceptor.Done]) bool {
+		return acceptor.Activate.Call(cx, f.net, f.self, s.Addr, &acceptor.ActivateRequest{Incarnation: s.Incarnation, VoterSet: next, Slots: slots})
+	}, func(as []quorum.Result[voters.Voter, *acceptor.Empty]) bool {
 		return len(quorum.Successes(as)) >= next.Majority()
 	})
 	if n := len(quorum.Successes(as)); n < next.Majority() {
@@ -59,20 +59,20 @@
 	e := f.seen.Next(f.self)
 	f.seen = e
 	enough := func(as []quorum.Result[voters.Voter, *acceptor.SlotResponse]) bool { return f.ok(as) >= r.Majority() }
-	ballot := func(s voters.Voter) acceptor.Ballot {
-		return acceptor.Ballot{Roster: r.Sequence, Incarnation: s.Incarnation, Key: acceptor.RosterKey}
+	ballot := func(s voters.Voter) acceptor.Target {
+		return acceptor.Target{VoterSet: r.Sequence, Incarnation: s.Incarnation, Key: acceptor.VoterSetKey}
 	}
 	as := quorum.Gather(ctx, r.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.SlotResponse, error) {
 		cx, stop := f.call(ctx)
 		defer stop()
-		return acceptor.Promise.Call(cx, f.net, f.self, s.Addr, &acceptor.PromiseRequest{Ballot: ballot(s), Epoch: e})
+		return acceptor.Promise.Call(cx, f.net, f.self, s.Addr, &acceptor.PromiseRequest{Target: ballot(s), Epoch: e})
 	}, enough)
 	if !enough(as) {
 		return voters.Set{}, f.short(r, as, "promised")
 	}
 	var top acceptor.Slot
 	for _, a := range quorum.Successes(as) {
-		if a.Value.OK && a.Value.Slot.Above(top) {
+		if a.Value.Granted && a.Value.Slot.NewerThan(top) {
 			top = a.Value.Slot
 		}
 	}
@@ -86,7 +86,7 @@
 	as = quorum.Gather(ctx, r.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.SlotResponse, error) {
 		cx, stop := f.call(ctx)
 		defer stop()
-		return acceptor.Accept.Call(cx, f.net, f.self, s.Addr, &acceptor.AcceptRequest{Ballot: ballot(s), Epoch: e, Value: acceptor.Value{Writes: 1, By: f.self, Body: b}})
+		return acceptor.Accept.Call(cx, f.net, f.self, s.Addr, &acceptor.AcceptRequest{Target: ballot(s), Epoch: e, Value: acceptor.Value{Version: 1, ChangeID: f.self, Body: b}})
 	}, enough)
 	if !enough(as) {
 		return voters.Set{}, f.short(r, as, "accepted")
@@ -97,7 +97,7 @@
 func (f *Reformer) ok(as []quorum.Result[voters.Voter, *acceptor.SlotResponse]) int {
 	n := 0
 	for _, a := range quorum.Successes(as) {
-		if a.Value.OK {
+		if a.Value.Granted {
 			n++
 		} else if f.seen.Less(a.Value.Slot.Promised) {
 			f.seen = a.Value.Slot.Promised
@@ -121,7 +121,7 @@
 	as := quorum.Gather(ctx, r.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.PeekResponse, error) {
 		cx, stop := f.call(ctx)
 		defer stop()
-		return acceptor.Peek.Call(cx, f.net, f.self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Sealed: true})
+		return acceptor.Peek.Call(cx, f.net, f.self, s.Addr, &acceptor.PeekRequest{VoterSet: r.Sequence, Incarnation: s.Incarnation, Sealed: true})
 	}, enough)
 	if !enough(as) {
 		return nil, apierror.WithCause(apierror.NoMajority, quorum.FirstError(as), "%d of the %d intact disks needed gave their keys", len(quorum.Successes(as)), r.SealQuorum())
@@ -129,7 +129,7 @@
 	copies := map[string][]acceptor.Slot{}
 	for _, a := range quorum.Successes(as) {
 		for k, s := range a.Value.Slots {
-			if k != acceptor.RosterKey {
+			if k != acceptor.VoterSetKey {
 				copies[k] = append(copies[k], s)
 			}
 		}
@@ -148,14 +148,14 @@
 			continue
 		}
 		cx, stop := f.call(ctx)
-		a, err := acceptor.Peek.Call(cx, f.net, f.self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation})
+		a, err := acceptor.Peek.Call(cx, f.net, f.self, s.Addr, &acceptor.PeekRequest{VoterSet: r.Sequence, Incarnation: s.Incarnation})
 		stop()
 		if err != nil {
 			continue
 		}
 		cx, stop = f.call(ctx)
 		defer stop()
-		_, err = acceptor.Open.Call(cx, f.net, f.self, late.Addr, &acceptor.OpenRequest{Incarnation: late.Incarnation, Roster: r, Slots: a.Slots})
+		_, err = acceptor.Activate.Call(cx, f.net, f.self, late.Addr, &acceptor.ActivateRequest{Incarnation: late.Incarnation, VoterSet: r, Slots: a.Slots})
 		return err
 	}
 	return apierror.New(apierror.NoMajority, "no seat could give its keys to %s", late.Node)
--- a/internal/control/register/calls.go
+++ b/internal/control/register/calls.go
@@ -44,5 +44,5 @@
 	Change = wire.NewProcedure[ChangeRequest, acceptor.Value]("Control", "Change", wire.Deduplicated, "the change has a name and builds on a count of writes; the register knows both")
 	Read   = wire.NewProcedure[ReadRequest, acceptor.Value]("Control", "Read", wire.ReadOnly, "a majority is asked")
 	Who    = wire.NewProcedure[WhoRequest, WhoResponse]("Control", "Who", wire.ReadOnly, "says who is taken for the holder")
-	Take   = wire.NewProcedure[TakeRequest, acceptor.Done]("Control", "Take", wire.Monotonic, "claims under a higher epoch, whoever held the key")
+	Take   = wire.NewProcedure[TakeRequest, acceptor.Empty]("Control", "Take", wire.Monotonic, "claims under a higher epoch, whoever held the key")
 )
--- a/internal/control/register/holder.go
+++ b/internal/control/register/holder.go
@@ -164,17 +164,17 @@
 	if err != nil {
 		return nil, err
 	}
-	if q.By != "" && v.value.By == q.By {
+	if q.By != "" && v.value.ChangeID == q.By {
 		return &v.value, nil
 	}
-	if v.value.Writes != q.Base && !h.confirm(ctx, q.Key, v) {
+	if v.value.Version != q.Base && !h.confirm(ctx, q.Key, v) {
 		h.edit(q.Key, func(x *held) { x.sure = false })
 		return nil, apierror.New(apierror.NotKeyLeader, "%s was claimed elsewhere", q.Key)
 	}
-	if v.value.Writes != q.Base {
-		return nil, h.clear(apierror.New(apierror.StaleBase, "%s was written %d times, the change builds on %d", q.Key, v.value.Writes, q.Base).WithCurrent(v.value.Writes), doubt, q)
+	if v.value.Version != q.Base {
+		return nil, h.clear(apierror.New(apierror.StaleBase, "%s was written %d times, the change builds on %d", q.Key, v.value.Version, q.Base).WithCurrent(v.value.Version), doubt, q)
 	}
-	n := acceptor.Value{Writes: q.Base + 1, By: q.By, Body: q.Body, Memory: q.Memory}
+	n := acceptor.Value{Version: q.Base + 1, ChangeID: q.By, Body: q.Body, Metadata: q.Memory}
 	if err := h.accept(ctx, q.Key, v, n); err != nil {
 		return nil, err
 	}
@@ -246,7 +246,7 @@
 	cx, stop := context.WithTimeout(ctx, h.bounds.ForwardTimeout())
 	defer stop()
 	peek := func(ctx context.Context, s voters.Voter, brief bool) (*acceptor.PeekResponse, error) {
-		return acceptor.Peek.Call(ctx, h.net, h.self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Keys: []string{k}, Brief: brief})
+		return acceptor.Peek.Call(ctx, h.net, h.self, s.Addr, &acceptor.PeekRequest{VoterSet: r.Sequence, Incarnation: s.Incarnation, Keys: []string{k}, Brief: brief})
 	}
 	waiting := false
 	g := quorum.Successes(quorum.Gather(cx, r.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.PeekResponse, error) {
@@ -284,7 +284,7 @@
 	late, more := context.WithTimeout(ctx, h.bounds.ForwardTimeout())
 	defer more()
 	a, err := peek(late, as[0].Target, false)
-	if err != nil || a.Slots[k].Accepted != top.Accepted || a.Slots[k].Value.Writes != top.Value.Writes {
+	if err != nil || a.Slots[k].Accepted != top.Accepted || a.Slots[k].Value.Version != top.Value.Version {
 		return acceptor.Value{}, false
 	}
 	return a.Slots[k].Value, true
@@ -297,7 +297,7 @@
 		slots = append(slots, a.Value.Slots[k])
 	}
 	var as peeks
-	for _, i := range acceptor.Alike(slots) {
+	for _, i := range acceptor.HoldingHighest(slots) {
 		as = append(as, g[i])
 	}
 	return as
@@ -334,7 +334,7 @@
 		return n
 	}
 	as := quorum.Gather(ctx, r.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.PeekResponse, error) {
-		return acceptor.Peek.Call(ctx, h.net, h.self, s.Addr, &acceptor.PeekRequest{Roster: v.roster, Incarnation: s.Incarnation, Keys: []string{k}, Brief: true})
+		return acceptor.Peek.Call(ctx, h.net, h.self, s.Addr, &acceptor.PeekRequest{VoterSet: v.roster, Incarnation: s.Incarnation, Keys: []string{k}, Brief: true})
 	}, func(as []quorum.Result[voters.Voter, *acceptor.PeekResponse]) bool { return ours(as) >= r.Majority() })
 	for _, a := range quorum.Successes(as) {
 		x := a.Value.Slots[k]
@@ -382,7 +382,7 @@
 func granted(as slotResponses) int {
 	n := 0
 	for _, a := range quorum.Successes(as) {
-		if a.Value.OK {
+		if a.Value.Granted {
 			n++
 		}
 	}
@@ -392,7 +392,7 @@
 func refusals(as slotResponses) int {
 	n := 0
 	for _, a := range as {
-		if a.Err == nil && !a.Value.OK || apierror.HasCode(a.Err, apierror.StaleVoterSet) || apierror.HasCode(a.Err, apierror.WrongDisk) {
+		if a.Err == nil && !a.Value.Granted || apierror.HasCode(a.Err, apierror.StaleVoterSet) || apierror.HasCode(a.Err, apierror.WrongDisk) {
 			n++
 		}
 	}
@@ -404,7 +404,7 @@
 		return nil
 	}
 	for _, a := range quorum.Successes(as) {
-		if !a.Value.OK {
+		if !a.Value.Granted {
 			h.Hint(k, a.Value.Slot.Promised, a.Value.Slot.Value.Successor)
 			return apierror.New(apierror.NotKeyLeader, "%s is held under epoch %s", k, a.Value.Slot.Promised)
 		}
@@ -431,7 +431,7 @@
 	cx, stop := context.WithTimeout(ctx, h.bounds.CallTimeout())
 	defer stop()
 	as := quorum.Gather(cx, r.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.SlotResponse, error) {
-		return acceptor.Promise.Call(ctx, h.net, h.self, s.Addr, &acceptor.PromiseRequest{Ballot: ballot(r, s, k), Epoch: e})
+		return acceptor.Promise.Call(ctx, h.net, h.self, s.Addr, &acceptor.PromiseRequest{Target: ballot(r, s, k), Epoch: e})
 	}, func(as slotResponses) bool { return granted(as) >= r.Majority() })
 	if err := h.verdict(k, r, as); err != nil {
 		return held{}, err
@@ -455,15 +455,15 @@
 func highest(as slotResponses) acceptor.Slot {
 	var slots []acceptor.Slot
 	for _, a := range quorum.Successes(as) {
-		if a.Value.OK {
+		if a.Value.Granted {
 			slots = append(slots, a.Value.Slot)
 		}
 	}
 	return acceptor.Highest(slots)
 }
 
-func ballot(r voters.Set, s voters.Voter, k string) acceptor.Ballot {
-	return acceptor.Ballot{Roster: r.Sequence, Incarnation: s.Incarnation, Key: k}
+func ballot(r voters.Set, s voters.Voter, k string) acceptor.Target {
+	return acceptor.Target{VoterSet: r.Sequence, Incarnation: s.Incarnation, Key: k}
 }
 
 func (h *Holder) accept(ctx context.Context, k string, v held, n acceptor.Value) error {
@@ -491,7 +491,7 @@
 	as := quorum.Gather(ctx, r.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.SlotResponse, error) {
 		cx, stop := context.WithTimeout(context.WithoutCancel(ctx), h.bounds.CallTimeout())
 		defer stop()
-		return acceptor.Accept.Call(cx, h.net, h.self, s.Addr, &acceptor.AcceptRequest{Ballot: ballot(r, s, k), Epoch: v.epoch, Value: n})
+		return acceptor.Accept.Call(cx, h.net, h.self, s.Addr, &acceptor.AcceptRequest{Target: ballot(r, s, k), Epoch: v.epoch, Value: n})
 	}, func(as slotResponses) bool { return granted(as) >= r.Majority() })
 	if err := h.verdict(k, r, as); err != nil {
 		if refusals(as) == len(r.Voters) {
@@ -578,10 +578,10 @@
 		defer back()
 		to := successors[i[k]%len(successors)]
 		v := h.get(k)
-		if v.value.Writes > 0 {
+		if v.value.Version > 0 {
 			n := v.value
 			n.Successor = to
-			n.Writes++
+			n.Version++
 			if err := h.accept(ctx, k, v, n); err != nil {
 				return false, err
 			}
@@ -604,8 +604,8 @@
 	Who.Handle(m, func(_ context.Context, q *WhoRequest) (*WhoResponse, error) {
 		return &WhoResponse{Holds: h.Holds(q.Key), Hint: h.get(q.Key).hint}, nil
 	})
-	Take.Handle(m, func(ctx context.Context, q *TakeRequest) (*acceptor.Done, error) {
+	Take.Handle(m, func(ctx context.Context, q *TakeRequest) (*acceptor.Empty, error) {
 		h.forget(q.Key)
-		return &acceptor.Done{}, h.take(ctx, q.Key, false)
+		return &acceptor.Empty{}, h.take(ctx, q.Key, false)
 	})
 }
--- a/internal/control/register/holder_test.go
+++ b/internal/control/register/holder_test.go
@@ -23,7 +23,7 @@
 func TestOnlyTheHighestCopiesCountAsAlike(t *testing.T) {
 	at := func(n, writes uint64) quorum.Result[voters.Voter, *acceptor.PeekResponse] {
 		return quorum.Result[voters.Voter, *acceptor.PeekResponse]{Value: &acceptor.PeekResponse{Slots: map[string]acceptor.Slot{
-			"k": {Accepted: epoch.Epoch{Number: n, Node: "c1"}, Value: acceptor.Value{Writes: writes}},
+			"k": {Accepted: epoch.Epoch{Number: n, Node: "c1"}, Value: acceptor.Value{Version: writes}},
 		}}}
 	}
 	for _, x := range []struct {
@@ -63,7 +63,7 @@
 	})
 	acceptor.Promise.Handle(m, func(_ context.Context, q *acceptor.PromiseRequest) (*acceptor.SlotResponse, error) {
 		c.promised.Add(1)
-		return &acceptor.SlotResponse{OK: true, Slot: acceptor.Slot{Promised: q.Epoch}}, nil
+		return &acceptor.SlotResponse{Granted: true, Slot: acceptor.Slot{Promised: q.Epoch}}, nil
 	})
 	w := httptest.NewRecorder()
 	m.ServeHTTP(w, q)
@@ -123,7 +123,7 @@
 		h := New("c1", net, clock.Real{}, settings.Default().Timing(), net, nil)
 		mine := epoch.Epoch{Number: 3, Node: "c1"}
 		h.edit("k", func(v *held) {
-			*v = held{epoch: mine, seen: mine, roster: net.Roster().Sequence, sure: true, hint: "c1", value: acceptor.Value{Writes: 4}}
+			*v = held{epoch: mine, seen: mine, roster: net.Roster().Sequence, sure: true, hint: "c1", value: acceptor.Value{Version: 4}}
 		})
 		_, err := h.change(t.Context(), &ChangeRequest{Key: "k", Base: 7}, false, true)
 		assert.Assert(t, apierror.HasCode(err, apierror.NotKeyLeader), "%v", err)
--- a/internal/control/repair/repair.go
+++ b/internal/control/repair/repair.go
@@ -27,23 +27,23 @@
 	cx, stop := context.WithTimeout(ctx, m.Bounds.CallTimeout())
 	defer stop()
 	as := quorum.Successes(quorum.Gather(cx, r.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.PeekResponse, error) {
-		return acceptor.Peek.Call(ctx, m.Net, m.Self, s.Addr, &acceptor.PeekRequest{Roster: r.Sequence, Incarnation: s.Incarnation, Keys: keys, Brief: true})
+		return acceptor.Peek.Call(ctx, m.Net, m.Self, s.Addr, &acceptor.PeekRequest{VoterSet: r.Sequence, Incarnation: s.Incarnation, Keys: keys, Brief: true})
 	}, nil))
 	top, at := map[string]acceptor.Slot{}, map[string]voters.Voter{}
 	for _, a := range as {
 		for k, s := range a.Value.Slots {
-			if s.Above(top[k]) {
+			if s.NewerThan(top[k]) {
 				top[k], at[k] = s, a.Target
 			}
 		}
 	}
 	n := 0
 	for k, t := range top {
-		old := slices.DeleteFunc(slices.Clone(as), func(a copy) bool { return !t.Above(a.Value.Slots[k]) })
+		old := slices.DeleteFunc(slices.Clone(as), func(a copy) bool { return !t.NewerThan(a.Value.Slots[k]) })
 		if len(old) == 0 {
 			continue
 		}
-		if v, ok := acceptor.Whole(cx, m.Net, m.Self, r, at[k], k, t); ok {
+		if v, ok := acceptor.ReadFullSlot(cx, m.Net, m.Self, r, at[k], k, t); ok {
 			n += m.key(ctx, r, old, k, v)
 		}
 	}
@@ -54,9 +54,9 @@
 	n := 0
 	for _, a := range old {
 		cx, stop := context.WithTimeout(ctx, m.Bounds.CallTimeout())
-		b, err := acceptor.Accept.Call(cx, m.Net, m.Self, a.Target.Addr, &acceptor.AcceptRequest{Ballot: acceptor.Ballot{Roster: r.Sequence, Incarnation: a.Target.Incarnation, Key: k}, Epoch: t.Accepted, Value: t.Value})
+		b, err := acceptor.Accept.Call(cx, m.Net, m.Self, a.Target.Addr, &acceptor.AcceptRequest{Target: acceptor.Target{VoterSet: r.Sequence, Incarnation: a.Target.Incarnation, Key: k}, Epoch: t.Accepted, Value: t.Value})
 		stop()
-		if err == nil && b.OK {
+		if err == nil && b.Granted {
 			n++
 		}
 	}
--- a/internal/node/leaders/heir.go
+++ b/internal/node/leaders/heir.go
@@ -71,7 +71,7 @@
 	n := r.Next(k.Self, r.Replicas, "the owner is gone: "+why, k.Clock.Now())
 	v, err := k.Client.Change(cx, assignment.Key(r.Partition), r.Writes, registerclient.Name(), n.Pack())
 	if err == nil {
-		n.Writes = v.Writes
+		n.Writes = v.Version
 		k.Log.Say(event.Inherited, "partition", r.Partition, "epoch", n.Epoch, "from", r.Owner, "reason", why)
 		k.Tell(ctx, n)
 		return
--- a/internal/node/leaders/owners.go
+++ b/internal/node/leaders/owners.go
@@ -216,7 +216,7 @@
 	if err != nil {
 		return assignment.Record{}, err
 	}
-	r, err := assignment.Parse(v.Body, v.Writes)
+	r, err := assignment.Parse(v.Body, v.Version)
 	if err != nil {
 		return r, apierror.Wrap(apierror.Internal, err, "read the record of partition %d", p)
 	}
@@ -235,7 +235,7 @@
 			}
 			v, e := k.Client.Change(ctx, assignment.Key(p), r.Writes, registerclient.Name(), n.Pack())
 			if e == nil {
-				n.Writes = v.Writes
+				n.Writes = v.Version
 				k.Tell(ctx, n)
 				return true
 			}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -74,7 +74,7 @@
 
 	journal *journal.Journal
 	id      *identity.Part
-	voter   *acceptor.Voter
+	voter   *acceptor.Acceptor
 	replica *replica.Replica
 
 	Board        *gossip.Board
@@ -198,7 +198,7 @@
 		i.Incarnation = n.id.Get().Incarnation
 	}
 	if n.voter != nil && o.HasControlDisk() {
-		i.Roster = n.voter.Roster().Sequence
+		i.Roster = n.voter.VoterSet().Sequence
 	}
 	if n.owners != nil {
 		i.Partitions, i.Loads = n.owners.Count(), n.owners.Loads()
@@ -267,7 +267,7 @@
 
 func (n *Node) told(k string, v acceptor.Value) {
 	if p, ok := assignment.Partition(k); ok && len(v.Body) > 0 {
-		if r, err := assignment.Parse(v.Body, v.Writes); err == nil {
+		if r, err := assignment.Parse(v.Body, v.Version); err == nil {
 			r.Partition = p
 			n.Board.Offer(gossip.News{Records: []assignment.Record{r}})
 		}
@@ -302,7 +302,7 @@
 		n.host = &nodelease.Host{Self: self, Seeds: o.Seeds, Clock: clk, Bounds: b, Net: net, Table: n.table, Board: n.Board, Info: n.Info, Latest: n.confirm.Latest}
 		n.founder = bootstrap.New(o, net, n.Info)
 		n.reconfigurer = &reconfigurer.Reconfigurer{Self: self, Clock: clk, Bounds: b, Board: n.Board, Founder: n.founder, Reformer: reconfig.New(self, net, b), Mender: mender, Live: n.controls, Changed: n.table.Changed, Sealed: n.voter.Sealed, Sealing: n.voter.Sealing, Log: n.log}
-		if r := n.voter.Roster(); r.Sequence > 0 {
+		if r := n.voter.VoterSet(); r.Sequence > 0 {
 			n.Board.Offer(gossip.News{Roster: &r})
 		}
 	}
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -23,7 +23,7 @@
 
 func parseDrains(v acceptor.Value) (drainList, error) {
 	l, err := decommission.Parse(v.Body)
-	return drainList{v.Writes, l}, err
+	return drainList{v.Version, l}, err
 }
 
 // Drains lists the machines that are being or were emptied.
@@ -131,7 +131,7 @@
 	if len(v.Body) == 0 {
 		return assignment.Record{Partition: p}, nil
 	}
-	r, err := assignment.Parse(v.Body, v.Writes)
+	r, err := assignment.Parse(v.Body, v.Version)
 	return r, apierror.Wrap(apierror.Internal, err, "read the record of partition %d", p)
 }
 
--- a/internal/operator/replace.go
+++ b/internal/operator/replace.go
@@ -152,15 +152,15 @@
 
 // parseRegister reads the description's register. Older builds wrote no log.
 func parseRegister(v acceptor.Value) (r stateRegister, err error) {
-	r.writes = v.Writes
+	r.writes = v.Version
 	if r.current, err = quorumread.Parse(v); err != nil {
 		return r, apierror.Wrap(apierror.Internal, err, "read the current description")
 	}
-	if len(v.Memory) == 0 {
+	if len(v.Metadata) == 0 {
 		r.log = orderlog.Since(r.current)
 		return r, nil
 	}
-	r.log, err = orderlog.Parse(v.Memory)
+	r.log, err = orderlog.Parse(v.Metadata)
 	return r, err
 }
 
--- a/internal/placement/controller/drains.go
+++ b/internal/placement/controller/drains.go
@@ -42,7 +42,7 @@
 	if maps.Equal(was, list) {
 		return
 	}
-	if _, err := d.Client.Change(ctx, decommission.Key, v.Writes, registerclient.Name(), list.Pack()); err != nil {
+	if _, err := d.Client.Change(ctx, decommission.Key, v.Version, registerclient.Name(), list.Pack()); err != nil {
 		d.Log.Say(event.DrainTrouble, "problem", err)
 		return
 	}
@@ -95,7 +95,7 @@
 	for _, a := range quorum.Gather(ctx, rs, func(ctx context.Context, r assignment.Record) (assignment.Record, error) {
 		v, err := d.Client.Change(ctx, assignment.Key(r.Partition), r.Writes, registerclient.Name(), r.Pack())
 		if err == nil {
-			r.Writes = v.Writes
+			r.Writes = v.Version
 			return r, nil
 		}
 		return assignment.Record{}, err
--- a/internal/placement/controller/duty.go
+++ b/internal/placement/controller/duty.go
@@ -147,11 +147,11 @@
 	}
 	r := assignment.Record{Partition: p}
 	if len(v.Body) > 0 {
-		if r, err = assignment.Parse(v.Body, v.Writes); err != nil {
+		if r, err = assignment.Parse(v.Body, v.Version); err != nil {
 			return r, apierror.Wrap(apierror.Internal, err, "read the record of partition %d", p)
 		}
 	}
-	r.Writes = v.Writes
+	r.Writes = v.Version
 	return r, nil
 }
 
@@ -180,7 +180,7 @@
 	for _, a := range quorum.Gather(ctx, ws, func(ctx context.Context, w want) (assignment.Record, error) {
 		v, err := d.Client.Change(ctx, assignment.Key(w.n.Partition), w.old.Writes, registerclient.Name(), w.n.Pack())
 		if err == nil {
-			w.n.Writes = v.Writes
+			w.n.Writes = v.Version
 			d.Tell(context.WithoutCancel(ctx), w.n)
 			return w.n, nil
 		}
--- a/internal/testing/crash/crash_test.go
+++ b/internal/testing/crash/crash_test.go
@@ -19,7 +19,7 @@
 
 type store struct {
 	j *journal.Journal
-	v *acceptor.Voter
+	v *acceptor.Acceptor
 	r *replica.Replica
 }
 
@@ -74,7 +74,7 @@
 
 func (s *store) picture(t *testing.T) picture {
 	t.Helper()
-	p := picture{seals: map[int]uint64{}, lines: map[log.ID]map[uint64]log.Point{}, slots: map[string]acceptor.Slot{}, rost: s.v.Roster().Sequence}
+	p := picture{seals: map[int]uint64{}, lines: map[log.ID]map[uint64]log.Point{}, slots: map[string]acceptor.Slot{}, rost: s.v.VoterSet().Sequence}
 	for n := range partitions {
 		p.seals[n] = s.r.Sealed(n)
 		for _, k := range log.Kinds {
@@ -91,7 +91,7 @@
 	}
 	if p.rost > 0 {
 		for _, sealed := range []bool{false, true} {
-			if a, err := s.v.Peek(context.Background(), &acceptor.PeekRequest{Roster: p.rost, Incarnation: "i1", Sealed: sealed}); err == nil {
+			if a, err := s.v.Peek(context.Background(), &acceptor.PeekRequest{VoterSet: p.rost, Incarnation: "i1", Sealed: sealed}); err == nil {
 				p.slots = a.Slots
 			}
 		}
@@ -124,7 +124,7 @@
 	}
 	for k, s := range last.slots {
 		g := got.slots[k]
-		if got.rost == last.rost && (g.Promised.Less(s.Promised) || s.Above(g)) {
+		if got.rost == last.rost && (g.Promised.Less(s.Promised) || s.NewerThan(g)) {
 			return fmt.Errorf("key %s: promised %v and accepted %v, came back as %v and %v", k, s.Promised, s.Accepted, g.Promised, g.Accepted)
 		}
 	}
@@ -172,28 +172,28 @@
 			return s.r.Keep(ctx, replica.Directory{Partition: p, At: s.r.Line(p, log.Changelog).Last(), Input: 1, State: []byte(`{}`)})
 		}
 	}
-	ballot := func(k string, seq uint64) acceptor.Ballot {
-		return acceptor.Ballot{Roster: seq, Incarnation: "i1", Key: k}
+	ballot := func(k string, seq uint64) acceptor.Target {
+		return acceptor.Target{VoterSet: seq, Incarnation: "i1", Key: k}
 	}
 	promise := func(k string, n uint64) func(*store) error {
 		return func(s *store) error {
-			_, err := s.v.Promise(ctx, &acceptor.PromiseRequest{Ballot: ballot(k, s.v.Roster().Sequence), Epoch: epoch.Epoch{Number: n, Node: "c1"}})
+			_, err := s.v.Promise(ctx, &acceptor.PromiseRequest{Target: ballot(k, s.v.VoterSet().Sequence), Epoch: epoch.Epoch{Number: n, Node: "c1"}})
 			return err
 		}
 	}
 	accept := func(k string, n, w uint64) func(*store) error {
 		return func(s *store) error {
-			_, err := s.v.Accept(ctx, &acceptor.AcceptRequest{Ballot: ballot(k, s.v.Roster().Sequence), Epoch: epoch.Epoch{Number: n, Node: "c1"}, Value: acceptor.Value{Writes: w, Body: []byte(k)}})
+			_, err := s.v.Accept(ctx, &acceptor.AcceptRequest{Target: ballot(k, s.v.VoterSet().Sequence), Epoch: epoch.Epoch{Number: n, Node: "c1"}, Value: acceptor.Value{Version: w, Body: []byte(k)}})
 			return err
 		}
 	}
 	ts := []func(*store) error{
 		func(s *store) error {
-			_, err := s.v.Found(ctx, &acceptor.FoundRequest{Incarnation: "i1", Roster: founding()})
+			_, err := s.v.Bootstrap(ctx, &acceptor.BootstrapRequest{Incarnation: "i1", VoterSet: founding()})
 			return err
 		},
 		func(s *store) error {
-			_, err := s.v.Open(ctx, &acceptor.OpenRequest{Incarnation: "i1", Roster: founding(), Founding: true})
+			_, err := s.v.Activate(ctx, &acceptor.ActivateRequest{Incarnation: "i1", VoterSet: founding(), Bootstrap: true})
 			return err
 		},
 		promise("description", 1), accept("description", 1, 1), promise("description", 3), accept("description", 3, 2), promise("partition/000", 2),
@@ -204,11 +204,11 @@
 		func(s *store) error { return s.r.CutTo(ctx, to(1, 5), log.Ledger, 22, false) },
 		seal(2, 1), put(2, log.Ledger, 1, end, 4, false),
 		func(s *store) error { _, err := s.r.Drop(ctx, &replica.DropRequest{Target: to(2, 9)}); return err },
-		accept(acceptor.RosterKey, 1, 1),
+		accept(acceptor.VoterSetKey, 1, 1),
 		func(s *store) error {
-			n := s.v.Roster()
+			n := s.v.VoterSet()
 			n.Sequence++
-			_, err := s.v.Open(ctx, &acceptor.OpenRequest{Incarnation: "i1", Roster: n, Slots: map[string]acceptor.Slot{"description": {Accepted: epoch.Epoch{Number: 3, Node: "c1"}, Value: acceptor.Value{Writes: 2}}}})
+			_, err := s.v.Activate(ctx, &acceptor.ActivateRequest{Incarnation: "i1", VoterSet: n, Slots: map[string]acceptor.Slot{"description": {Accepted: epoch.Epoch{Number: 3, Node: "c1"}, Value: acceptor.Value{Version: 2}}}})
 			return err
 		},
 		promise("description", 7),
--- a/internal/testing/crash/slices_test.go
+++ b/internal/testing/crash/slices_test.go
@@ -84,9 +84,9 @@
 			return s.r.Keep(ctx, replica.Directory{Partition: p, At: s.r.Line(p, log.Changelog).Last(), Input: 1, State: []byte(`{}`)})
 		},
 		func(s *store) error {
-			b := acceptor.Ballot{Roster: s.v.Roster().Sequence, Incarnation: "i1", Key: "description"}
+			b := acceptor.Target{VoterSet: s.v.VoterSet().Sequence, Incarnation: "i1", Key: "description"}
 			*e++
-			_, err := s.v.Promise(ctx, &acceptor.PromiseRequest{Ballot: b, Epoch: epoch.Epoch{Number: *e, Node: "c1"}})
+			_, err := s.v.Promise(ctx, &acceptor.PromiseRequest{Target: b, Epoch: epoch.Epoch{Number: *e, Node: "c1"}})
 			return err
 		},
 	}[r.IntN(9)]
--- a/internal/testing/sim/drain_test.go
+++ b/internal/testing/sim/drain_test.go
@@ -31,7 +31,7 @@
 	for p := range ref.Roster().Layout.PartitionCount() {
 		v, err := ref.Operators.Client.Read(w.ctx, assignment.Key(p))
 		assert.NilError(t, err)
-		r, err := assignment.Parse(v.Body, v.Writes)
+		r, err := assignment.Parse(v.Body, v.Version)
 		assert.NilError(t, err)
 		if r.Holds(n) {
 			k++
--- a/internal/testing/sim/orders_test.go
+++ b/internal/testing/sim/orders_test.go
@@ -286,10 +286,10 @@
 		op := w.Machines["c1"].Node().Operators
 		v, err := op.Client.Read(w.ctx, "description")
 		assert.NilError(t, err)
-		assert.Assert(t, len(v.Memory) > 0)
+		assert.Assert(t, len(v.Metadata) > 0)
 		var d configuration.Description
 		assert.NilError(t, json.Unmarshal(v.Body, &d))
-		_, err = op.Client.Change(w.ctx, "description", v.Writes, "an older build", v.Body)
+		_, err = op.Client.Change(w.ctx, "description", v.Version, "an older build", v.Body)
 		assert.NilError(t, err)
 		_, err = w.Put("c2", load.Numbered(1, 2, "old"))
 		assert.NilError(t, err, "the current one is known")
--- a/internal/testing/sim/restart_test.go
+++ b/internal/testing/sim/restart_test.go
@@ -61,9 +61,9 @@
 	m := w.Machines[c]
 	_, run := m.node()
 	r := m.Node().Roster()
-	a, err := acceptor.Promise.Call(w.ctx, &endpoint{w, m, run}, c, m.Opts.PeerListen, &acceptor.PromiseRequest{Ballot: acceptor.Ballot{Roster: r.Sequence, Incarnation: m.Node().Info().Incarnation, Key: key}, Epoch: e})
+	a, err := acceptor.Promise.Call(w.ctx, &endpoint{w, m, run}, c, m.Opts.PeerListen, &acceptor.PromiseRequest{Target: acceptor.Target{VoterSet: r.Sequence, Incarnation: m.Node().Info().Incarnation, Key: key}, Epoch: e})
 	assert.NilError(t, err)
-	assert.Assert(t, a.OK)
+	assert.Assert(t, a.Granted)
 }
 
 func (w *World) span(lo, hi int) time.Duration {
--- a/internal/testing/sim/retire_test.go
+++ b/internal/testing/sim/retire_test.go
@@ -112,7 +112,7 @@
 		read := func(p int) (r assignment.Record) {
 			v, err := op.Client.Read(w.ctx, assignment.Key(p))
 			assert.NilError(t, err)
-			r, err = assignment.Parse(v.Body, v.Writes)
+			r, err = assignment.Parse(v.Body, v.Version)
 			assert.NilError(t, err)
 			return r
 		}
--- a/internal/testing/sim/sealed_test.go
+++ b/internal/testing/sim/sealed_test.go
@@ -25,8 +25,8 @@
 			var mu sync.Mutex
 			who := ""
 			release, hits := w.Hold(func(x Point) bool {
-				var q acceptor.OpenRequest
-				if x.Path != acceptor.Open.Path || x.Stage != Asking || wire.Unmarshal(x.Body, &q) != nil {
+				var q acceptor.ActivateRequest
+				if x.Path != acceptor.Activate.Path || x.Stage != Asking || wire.Unmarshal(x.Body, &q) != nil {
 					return false
 				}
 				mu.Lock()
--- a/internal/testing/sim/vows.go
+++ b/internal/testing/sim/vows.go
@@ -44,7 +44,7 @@
 func voterVow(w *World, q, a []byte, asked time.Time) {
 	var t acceptor.PromiseRequest
 	if wire.Unmarshal(q, &t) == nil && yes(a) {
-		w.History.Vow(t.Incarnation, "key "+t.Key+" under roster "+string(rune('0'+t.Roster)), history.Rank{Number: t.Epoch.Number, Node: t.Epoch.Node}, asked, time.Now())
+		w.History.Vow(t.Incarnation, "key "+t.Key+" under roster "+string(rune('0'+t.VoterSet)), history.Rank{Number: t.Epoch.Number, Node: t.Epoch.Node}, asked, time.Now())
 	}
 }
 
