--- a/internal/control/quorumread/confirm.go
+++ b/internal/control/quorumread/confirm.go
@@ -33,7 +33,7 @@
 	Clock  clock.Clock
 	Bounds settings.Timing
 	Board  *gossip.Board
-	Holder *register.Holder
+	Holder *register.Proposer
 	Mender *repair.Mender
 	mu     sync.Mutex
 	c      nodelease.Confirmed
@@ -117,7 +117,7 @@
 			top = s
 		}
 	}
-	f.Holder.Hint(Key, top.Promised, top.Value.Successor)
+	f.Holder.ObserveEpoch(Key, top.Promised, top.Value.Successor)
 	f.mu.Lock()
 	had, seq := f.c.OK && same && f.writes(top), f.c.Sequence
 	f.mu.Unlock()
@@ -128,7 +128,7 @@
 	if !f.settle(r, same) {
 		return
 	}
-	v, ok := f.Holder.Glance(cx, Key)
+	v, ok := f.Holder.QuorumRead(cx, Key)
 	if !ok {
 		w, err := f.Holder.Read(cx, &register.ReadRequest{Key: Key})
 		if err != nil {
--- a/internal/control/quorumread/confirm_test.go
+++ b/internal/control/quorumread/confirm_test.go
@@ -54,7 +54,7 @@
 
 type peers struct{ b *gossip.Board }
 
-func (f peers) Roster() voters.Set         { return f.b.Roster() }
+func (f peers) VoterSet() voters.Set       { return f.b.Roster() }
 func (peers) Live(n string) (string, bool) { return n, true }
 
 // A control node is apart once no majority has answered for a third of a lease, and no longer when one does. Voters that turn the question away, as while the
--- a/internal/control/register/holder.go
+++ b/internal/control/register/holder.go
@@ -19,12 +19,12 @@
 
 // Peers is what the holder knows of the other nodes.
 type Peers interface {
-	Roster() voters.Set
+	VoterSet() voters.Set
 	Live(node string) (addr string, ok bool)
 }
 
-// Told hears of a key's value once it is on a majority.
-type Told func(key string, v acceptor.Value)
+// CommitHandler hears of a key's value once it is on a majority.
+type CommitHandler func(key string, v acceptor.Value)
 
 type held struct {
 	epoch  epoch.Epoch
@@ -35,14 +35,14 @@
 	hint   string
 }
 
-// Holder claims and keeps keys for one control node.
-type Holder struct {
+// Proposer claims and keeps keys for one control node.
+type Proposer struct {
 	self    string
 	net     wire.Network
 	clk     clock.Clock
 	bounds  settings.Timing
 	peers   Peers
-	told    Told
+	told    CommitHandler
 	turns   *keylock.Locks
 	keys    *keylock.Map[string, held]
 	mu      sync.Mutex
@@ -60,30 +60,30 @@
 )
 
 // New makes a holder that holds nothing.
-func New(self string, n wire.Network, c clock.Clock, b settings.Timing, f Peers, t Told) *Holder {
-	return &Holder{self: self, net: n, clk: c, bounds: b, peers: f, told: t, turns: keylock.New(turnShards), keys: keylock.NewMap[string, held]()}
+func New(self string, n wire.Network, c clock.Clock, b settings.Timing, f Peers, t CommitHandler) *Proposer {
+	return &Proposer{self: self, net: n, clk: c, bounds: b, peers: f, told: t, turns: keylock.New(turnShards), keys: keylock.NewMap[string, held]()}
 }
 
-func (h *Holder) get(k string) held {
+func (h *Proposer) get(k string) held {
 	v, _ := h.keys.Get(k)
 	return v
 }
 
-func (h *Holder) edit(k string, f func(*held)) {
+func (h *Proposer) edit(k string, f func(*held)) {
 	h.keys.Update(k, func(v held, _ bool) (held, bool) {
 		f(&v)
 		return v, true
 	})
 }
 
-// Holds tells whether this node holds a key as far as it knows.
-func (h *Holder) Holds(k string) bool {
+// Leads tells whether this node holds a key as far as it knows.
+func (h *Proposer) Leads(k string) bool {
 	v := h.get(k)
-	return v.sure && v.roster == h.peers.Roster().Sequence
+	return v.sure && v.roster == h.peers.VoterSet().Sequence
 }
 
-// Hint notes who holds a key by an epoch seen elsewhere.
-func (h *Holder) Hint(k string, e epoch.Epoch, successor string) {
+// ObserveEpoch notes who holds a key by an epoch seen elsewhere.
+func (h *Proposer) ObserveEpoch(k string, e epoch.Epoch, successor string) {
 	h.edit(k, func(v *held) {
 		if !e.Less(v.seen) {
 			v.seen, v.hint = e, e.Node
@@ -94,23 +94,23 @@
 	})
 }
 
-func (h *Holder) elsewhere(k string) (string, bool) {
+func (h *Proposer) elsewhere(k string) (string, bool) {
 	v := h.get(k)
-	if v.sure && v.roster == h.peers.Roster().Sequence || v.hint == "" || v.hint == h.self {
+	if v.sure && v.roster == h.peers.VoterSet().Sequence || v.hint == "" || v.hint == h.self {
 		return "", false
 	}
 	return h.peers.Live(v.hint)
 }
 
-// Holder gives who is thought to hold a key.
-func (h *Holder) Holder(k string) string {
-	if h.Holds(k) {
+// LeaderOf gives who is thought to hold a key.
+func (h *Proposer) LeaderOf(k string) string {
+	if h.Leads(k) {
 		return h.self
 	}
 	return h.get(k).hint
 }
 
-func (h *Holder) isLeaving() bool {
+func (h *Proposer) isLeaving() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.leaving
@@ -119,21 +119,21 @@
 var passing = map[apierror.Code]bool{apierror.Unreachable: true, apierror.NotKeyLeader: true, apierror.ShuttingDown: true, apierror.NotBootstrapped: true}
 
 // Change has a change on a majority before it answers.
-func (h *Holder) Change(ctx context.Context, q *ChangeRequest) (*acceptor.Value, error) {
+func (h *Proposer) Change(ctx context.Context, q *ChangeRequest) (*acceptor.Value, error) {
 	doubt := false
 	for n := *q; ; {
-		if a, ok := h.elsewhere(q.Key); ok && n.Handed < handsMost {
-			n.Handed++
+		if a, ok := h.elsewhere(q.Key); ok && n.Forwards < handsMost {
+			n.Forwards++
 			v, err := toldBy(ctx, h, func(cx context.Context) (*acceptor.Value, error) { return Change.Call(cx, h.net, h.self, a, &n) })
 			if err == nil || !passing[apierror.From(err).Code] {
 				return v, h.clear(err, doubt, q)
 			}
 			doubt = doubt || apierror.HasCode(err, apierror.Unreachable)
 			h.forget(q.Key)
-			n.Handed = handsMost
+			n.Forwards = handsMost
 		}
-		v, err := h.change(ctx, q, doubt, n.Handed < handsMost)
-		if _, ok := h.elsewhere(q.Key); ok && apierror.HasCode(err, apierror.NotKeyLeader) && n.Handed < handsMost {
+		v, err := h.change(ctx, q, doubt, n.Forwards < handsMost)
+		if _, ok := h.elsewhere(q.Key); ok && apierror.HasCode(err, apierror.NotKeyLeader) && n.Forwards < handsMost {
 			continue
 		}
 		return v, err
@@ -141,20 +141,20 @@
 }
 
 // toldBy asks the one thought to hold a key, for no longer than a holder may take: after that the key is claimed.
-func toldBy[A any](ctx context.Context, h *Holder, f func(context.Context) (A, error)) (A, error) {
+func toldBy[A any](ctx context.Context, h *Proposer, f func(context.Context) (A, error)) (A, error) {
 	cx, stop := context.WithTimeout(ctx, h.bounds.ForwardTimeout())
 	defer stop()
 	return f(cx)
 }
 
-func (h *Holder) clear(err error, doubt bool, q *ChangeRequest) error {
+func (h *Proposer) clear(err error, doubt bool, q *ChangeRequest) error {
 	if doubt && apierror.HasCode(err, apierror.StaleBase) {
 		return apierror.New(apierror.NoMajority, "%s changed while the holder of the key was lost; the outcome is not known", q.Key)
 	}
 	return err
 }
 
-func (h *Holder) change(ctx context.Context, q *ChangeRequest, doubt, polite bool) (*acceptor.Value, error) {
+func (h *Proposer) change(ctx context.Context, q *ChangeRequest, doubt, polite bool) (*acceptor.Value, error) {
 	back, err := h.turns.Lock(ctx, q.Key)
 	if err != nil {
 		return nil, err
@@ -164,34 +164,34 @@
 	if err != nil {
 		return nil, err
 	}
-	if q.By != "" && v.value.ChangeID == q.By {
+	if q.ChangeID != "" && v.value.ChangeID == q.ChangeID {
 		return &v.value, nil
 	}
-	if v.value.Version != q.Base && !h.confirm(ctx, q.Key, v) {
+	if v.value.Version != q.BaseVersion && !h.confirm(ctx, q.Key, v) {
 		h.edit(q.Key, func(x *held) { x.sure = false })
 		return nil, apierror.New(apierror.NotKeyLeader, "%s was claimed elsewhere", q.Key)
 	}
-	if v.value.Version != q.Base {
-		return nil, h.clear(apierror.New(apierror.StaleBase, "%s was written %d times, the change builds on %d", q.Key, v.value.Version, q.Base).WithCurrent(v.value.Version), doubt, q)
+	if v.value.Version != q.BaseVersion {
+		return nil, h.clear(apierror.New(apierror.StaleBase, "%s was written %d times, the change builds on %d", q.Key, v.value.Version, q.BaseVersion).WithCurrent(v.value.Version), doubt, q)
 	}
-	n := acceptor.Value{Version: q.Base + 1, ChangeID: q.By, Body: q.Body, Metadata: q.Memory}
+	n := acceptor.Value{Version: q.BaseVersion + 1, ChangeID: q.ChangeID, Body: q.Body, Metadata: q.Metadata}
 	if err := h.accept(ctx, q.Key, v, n); err != nil {
 		return nil, err
 	}
 	return &n, nil
 }
 
-func (h *Holder) forget(k string) {
+func (h *Proposer) forget(k string) {
 	h.edit(k, func(v *held) { v.hint = "" })
 }
 
 // Read gives the value that was current at some moment after the call began.
-func (h *Holder) Read(ctx context.Context, q *ReadRequest) (*acceptor.Value, error) {
-	for handed := q.Handed; ; {
+func (h *Proposer) Read(ctx context.Context, q *ReadRequest) (*acceptor.Value, error) {
+	for handed := q.Forwards; ; {
 		if a, ok := h.elsewhere(q.Key); ok && handed < handsMost {
 			handed++
 			v, err := toldBy(ctx, h, func(cx context.Context) (*acceptor.Value, error) {
-				return Read.Call(cx, h.net, h.self, a, &ReadRequest{Key: q.Key, Handed: handed})
+				return Read.Call(cx, h.net, h.self, a, &ReadRequest{Key: q.Key, Forwards: handed})
 			})
 			if err == nil {
 				return v, nil
@@ -207,13 +207,13 @@
 	}
 }
 
-func (h *Holder) read(ctx context.Context, k string, polite bool) (*acceptor.Value, error) {
+func (h *Proposer) read(ctx context.Context, k string, polite bool) (*acceptor.Value, error) {
 	back, err := h.turns.Lock(ctx, k)
 	if err != nil {
 		return nil, err
 	}
 	defer back()
-	if h.Holds(k) {
+	if h.Leads(k) {
 		v := h.get(k)
 		if h.confirm(ctx, k, v) {
 			return &v.value, nil
@@ -223,7 +223,7 @@
 			return nil, apierror.New(apierror.NotKeyLeader, "%s was claimed elsewhere", k)
 		}
 	}
-	if v, ok := h.Glance(ctx, k); ok {
+	if v, ok := h.QuorumRead(ctx, k); ok {
 		return &v, nil
 	}
 	v, err := h.own(ctx, k, polite)
@@ -235,11 +235,11 @@
 
 type peeks = []quorum.Result[voters.Voter, *acceptor.PeekResponse]
 
-// Glance reads a key without claiming it, whoever holds it: what a majority has accepted alike was decided, and nothing was decided after it before
+// QuorumRead reads a key without claiming it, whoever holds it: what a majority has accepted alike was decided, and nothing was decided after it before
 // the question. It waits a moment for more than a majority where the first copies differ. Only this node's own voter, or one voter more, gives the
 // value itself.
-func (h *Holder) Glance(ctx context.Context, k string) (acceptor.Value, bool) {
-	r := h.peers.Roster()
+func (h *Proposer) QuorumRead(ctx context.Context, k string) (acceptor.Value, bool) {
+	r := h.peers.VoterSet()
 	if r.Sequence == 0 {
 		return acceptor.Value{}, false
 	}
@@ -266,7 +266,7 @@
 		return len(alike(g, k)) >= r.Majority()
 	}))
 	for _, a := range g {
-		h.Hint(k, a.Value.Slots[k].Promised, a.Value.Slots[k].Value.Successor)
+		h.ObserveEpoch(k, a.Value.Slots[k].Promised, a.Value.Slots[k].Value.Successor)
 	}
 	as := alike(g, k)
 	if len(as) < r.Majority() {
@@ -303,14 +303,14 @@
 	return as
 }
 
-// Confirmed tells whether this node still holds a key, as a majority says.
-func (h *Holder) Confirmed(ctx context.Context, k string) bool {
+// ConfirmLeadership tells whether this node still holds a key, as a majority says.
+func (h *Proposer) ConfirmLeadership(ctx context.Context, k string) bool {
 	back, err := h.turns.Lock(ctx, k)
 	if err != nil {
 		return false
 	}
 	defer back()
-	if !h.Holds(k) {
+	if !h.Leads(k) {
 		return false
 	}
 	if h.confirm(ctx, k, h.get(k)) {
@@ -320,8 +320,8 @@
 	return false
 }
 
-func (h *Holder) confirm(ctx context.Context, k string, v held) bool {
-	r := h.peers.Roster()
+func (h *Proposer) confirm(ctx context.Context, k string, v held) bool {
+	r := h.peers.VoterSet()
 	ctx, stop := context.WithTimeout(ctx, h.bounds.CallTimeout())
 	defer stop()
 	ours := func(as []quorum.Result[voters.Voter, *acceptor.PeekResponse]) int {
@@ -338,14 +338,14 @@
 	}, func(as []quorum.Result[voters.Voter, *acceptor.PeekResponse]) bool { return ours(as) >= r.Majority() })
 	for _, a := range quorum.Successes(as) {
 		x := a.Value.Slots[k]
-		h.Hint(k, x.Promised, x.Value.Successor)
+		h.ObserveEpoch(k, x.Promised, x.Value.Successor)
 	}
 	return r.Sequence == v.roster && ours(as) >= r.Majority()
 }
 
-func (h *Holder) own(ctx context.Context, k string, polite bool) (held, error) {
+func (h *Proposer) own(ctx context.Context, k string, polite bool) (held, error) {
 	for try := 0; ; try++ {
-		r := h.peers.Roster()
+		r := h.peers.VoterSet()
 		if r.Sequence == 0 {
 			return held{}, apierror.New(apierror.NotBootstrapped, "no roster of control disks is known")
 		}
@@ -399,13 +399,13 @@
 	return n
 }
 
-func (h *Holder) verdict(k string, r voters.Set, as slotResponses) error {
+func (h *Proposer) verdict(k string, r voters.Set, as slotResponses) error {
 	if granted(as) >= r.Majority() {
 		return nil
 	}
 	for _, a := range quorum.Successes(as) {
 		if !a.Value.Granted {
-			h.Hint(k, a.Value.Slot.Promised, a.Value.Slot.Value.Successor)
+			h.ObserveEpoch(k, a.Value.Slot.Promised, a.Value.Slot.Value.Successor)
 			return apierror.New(apierror.NotKeyLeader, "%s is held under epoch %s", k, a.Value.Slot.Promised)
 		}
 	}
@@ -419,7 +419,7 @@
 	return p
 }
 
-func (h *Holder) claim(ctx context.Context, k string, r voters.Set) (held, error) {
+func (h *Proposer) claim(ctx context.Context, k string, r voters.Set) (held, error) {
 	old := h.get(k)
 	e := old.seen
 	if e.Less(old.epoch) {
@@ -466,8 +466,8 @@
 	return acceptor.Target{VoterSet: r.Sequence, Incarnation: s.Incarnation, Key: k}
 }
 
-func (h *Holder) accept(ctx context.Context, k string, v held, n acceptor.Value) error {
-	r := h.peers.Roster()
+func (h *Proposer) accept(ctx context.Context, k string, v held, n acceptor.Value) error {
+	r := h.peers.VoterSet()
 	if r.Sequence != v.roster {
 		return apierror.New(apierror.StaleVoterSet, "roster %d came into force", r.Sequence)
 	}
@@ -487,7 +487,7 @@
 	}
 }
 
-func (h *Holder) round(ctx context.Context, k string, r voters.Set, v held, n acceptor.Value) error {
+func (h *Proposer) round(ctx context.Context, k string, r voters.Set, v held, n acceptor.Value) error {
 	as := quorum.Gather(ctx, r.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.SlotResponse, error) {
 		cx, stop := context.WithTimeout(context.WithoutCancel(ctx), h.bounds.CallTimeout())
 		defer stop()
@@ -508,14 +508,14 @@
 	return nil
 }
 
-func (h *Holder) count(n *uint64) {
+func (h *Proposer) count(n *uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	*n++
 }
 
 // Counts gives how many claims and writes were tried.
-func (h *Holder) Counts() (claims, accepts uint64) {
+func (h *Proposer) Counts() (claims, accepts uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.claims, h.accepts
@@ -523,16 +523,16 @@
 
 // Claim makes this node the holder of a key unless a live one holds it. A live one that is only thought to hold it is
 // asked, since two that each took the other for the holder would both wait.
-func (h *Holder) Claim(ctx context.Context, k string) error {
+func (h *Proposer) Claim(ctx context.Context, k string) error {
 	a, ok := h.elsewhere(k)
 	if !ok {
 		return h.take(ctx, k, true)
 	}
 	hint := h.get(k).hint
-	w, err := toldBy(ctx, h, func(cx context.Context) (*WhoResponse, error) {
-		return Who.Call(cx, h.net, h.self, a, &WhoRequest{Key: k})
+	w, err := toldBy(ctx, h, func(cx context.Context) (*LeaderResponse, error) {
+		return Leader.Call(cx, h.net, h.self, a, &LeaderRequest{Key: k})
 	})
-	if err != nil || w.Holds {
+	if err != nil || w.Leads {
 		return apierror.WithCause(apierror.NotKeyLeader, err, "%s is held by %s", k, hint)
 	}
 	if _, live := h.peers.Live(w.Hint); live && w.Hint != h.self && w.Hint != hint {
@@ -542,7 +542,7 @@
 	return h.take(ctx, k, false)
 }
 
-func (h *Holder) take(ctx context.Context, k string, polite bool) error {
+func (h *Proposer) take(ctx context.Context, k string, polite bool) error {
 	back, err := h.turns.Lock(ctx, k)
 	if err != nil {
 		return err
@@ -552,8 +552,8 @@
 	return err
 }
 
-// HandOver names a successor for every key held and has it take them.
-func (h *Holder) HandOver(ctx context.Context, successors []string) int {
+// TransferLeadership names a successor for every key held and has it take them.
+func (h *Proposer) TransferLeadership(ctx context.Context, successors []string) int {
 	h.mu.Lock()
 	h.leaving = true
 	h.mu.Unlock()
@@ -591,20 +591,20 @@
 		if !ok {
 			return false, apierror.New(apierror.Unreachable, "%s is gone", to)
 		}
-		_, err = Take.Call(ctx, h.net, h.self, a, &TakeRequest{Key: k})
+		_, err = TakeOver.Call(ctx, h.net, h.self, a, &TakeOverRequest{Key: k})
 		return err == nil, err
 	}, nil)
 	return len(quorum.Successes(as))
 }
 
 // Serve adds the holder's calls.
-func (h *Holder) Serve(m *http.ServeMux) {
+func (h *Proposer) Serve(m *http.ServeMux) {
 	Change.Handle(m, h.Change)
 	Read.Handle(m, h.Read)
-	Who.Handle(m, func(_ context.Context, q *WhoRequest) (*WhoResponse, error) {
-		return &WhoResponse{Holds: h.Holds(q.Key), Hint: h.get(q.Key).hint}, nil
+	Leader.Handle(m, func(_ context.Context, q *LeaderRequest) (*LeaderResponse, error) {
+		return &LeaderResponse{Leads: h.Leads(q.Key), Hint: h.get(q.Key).hint}, nil
 	})
-	Take.Handle(m, func(ctx context.Context, q *TakeRequest) (*acceptor.Empty, error) {
+	TakeOver.Handle(m, func(ctx context.Context, q *TakeOverRequest) (*acceptor.Empty, error) {
 		h.forget(q.Key)
 		return &acceptor.Empty{}, h.take(ctx, q.Key, false)
 	})
--- a/internal/control/register/holder_test.go
+++ b/internal/control/register/holder_test.go
@@ -43,11 +43,11 @@
 
 // core is three control nodes, of which c2 says who holds a key, and all promise it to anybody.
 type core struct {
-	who      *WhoResponse
+	who      *LeaderResponse
 	promised atomic.Int32
 }
 
-func (*core) Roster() voters.Set {
+func (*core) VoterSet() voters.Set {
 	return voters.NewSet([]voters.Voter{{Node: "c1", Addr: "c1"}, {Node: "c2", Addr: "c2"}, {Node: "c3", Addr: "c3"}}, voters.Layout{})
 }
 
@@ -55,7 +55,7 @@
 
 func (c *core) Do(q *http.Request) (*http.Response, error) {
 	m := http.NewServeMux()
-	Who.Handle(m, func(context.Context, *WhoRequest) (*WhoResponse, error) {
+	Leader.Handle(m, func(context.Context, *LeaderRequest) (*LeaderResponse, error) {
 		if c.who == nil {
 			return nil, apierror.New(apierror.Unreachable, "c2 does not answer")
 		}
@@ -75,29 +75,29 @@
 func TestClaimAsksWhoIsTakenForTheHolder(t *testing.T) {
 	for _, x := range []struct {
 		name  string
-		who   *WhoResponse
+		who   *LeaderResponse
 		hint  string
 		claim bool
 	}{
-		{"it holds the key", &WhoResponse{Holds: true}, "c2", false},
+		{"it holds the key", &LeaderResponse{Leads: true}, "c2", false},
 		{"it does not answer", nil, "c2", false},
-		{"it names another one", &WhoResponse{Hint: "c3"}, "c3", false},
-		{"it names one that is gone", &WhoResponse{Hint: "c4"}, "c1", true},
-		{"it names the asker", &WhoResponse{Hint: "c1"}, "c1", true},
-		{"it names itself", &WhoResponse{Hint: "c2"}, "c1", true},
-		{"it names nobody", &WhoResponse{}, "c1", true},
+		{"it names another one", &LeaderResponse{Hint: "c3"}, "c3", false},
+		{"it names one that is gone", &LeaderResponse{Hint: "c4"}, "c1", true},
+		{"it names the asker", &LeaderResponse{Hint: "c1"}, "c1", true},
+		{"it names itself", &LeaderResponse{Hint: "c2"}, "c1", true},
+		{"it names nobody", &LeaderResponse{}, "c1", true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := &core{who: x.who}
 				h := New("c1", c, clock.Real{}, settings.DefaultTiming, c, func(string, acceptor.Value) {})
-				h.Hint("k", epoch.Epoch{Number: 3, Node: "c2"}, "")
+				h.ObserveEpoch("k", epoch.Epoch{Number: 3, Node: "c2"}, "")
 				err := h.Claim(t.Context(), "k")
 				synctest.Wait()
-				assert.Equal(t, h.Holds("k"), x.claim, "%v", err)
+				assert.Equal(t, h.Leads("k"), x.claim, "%v", err)
 				assert.Equal(t, c.promised.Load() > 0, x.claim, "promises that were asked for")
 				assert.Equal(t, apierror.HasCode(err, apierror.NotKeyLeader), !x.claim, "%v", err)
-				assert.Equal(t, h.Holder("k"), x.hint)
+				assert.Equal(t, h.LeaderOf("k"), x.hint)
 			})
 		})
 	}
@@ -123,10 +123,10 @@
 		h := New("c1", net, clock.Real{}, settings.Default().Timing(), net, nil)
 		mine := epoch.Epoch{Number: 3, Node: "c1"}
 		h.edit("k", func(v *held) {
-			*v = held{epoch: mine, seen: mine, roster: net.Roster().Sequence, sure: true, hint: "c1", value: acceptor.Value{Version: 4}}
+			*v = held{epoch: mine, seen: mine, roster: net.VoterSet().Sequence, sure: true, hint: "c1", value: acceptor.Value{Version: 4}}
 		})
-		_, err := h.change(t.Context(), &ChangeRequest{Key: "k", Base: 7}, false, true)
+		_, err := h.change(t.Context(), &ChangeRequest{Key: "k", BaseVersion: 7}, false, true)
 		assert.Assert(t, apierror.HasCode(err, apierror.NotKeyLeader), "%v", err)
-		assert.Assert(t, !h.Holds("k"))
+		assert.Assert(t, !h.Leads("k"))
 	})
 }
--- a/internal/control/registerclient/client.go
+++ b/internal/control/registerclient/client.go
@@ -23,13 +23,13 @@
 	net    wire.Network
 	bounds settings.Timing
 	view   func() []membership.Info
-	local  *register.Holder
+	local  *register.Proposer
 	mu     sync.Mutex
 	good   string
 }
 
 // New makes a client; local is the node's own holder, nil without a control disk.
-func New(self string, n wire.Network, b settings.Timing, view func() []membership.Info, local *register.Holder) *Client {
+func New(self string, n wire.Network, b settings.Timing, view func() []membership.Info, local *register.Proposer) *Client {
 	return &Client{self: self, net: n, bounds: b, view: view, local: local}
 }
 
@@ -150,7 +150,7 @@
 // Change writes a key on its base. After an unclear answer the same change is asked of the next
 // control node, which knows it by name; a stale base after an unclear answer stays unclear.
 func (c *Client) Change(ctx context.Context, key string, base uint64, by string, body []byte) (acceptor.Value, error) {
-	return c.Write(ctx, &register.ChangeRequest{Key: key, Base: base, By: by, Body: body})
+	return c.Write(ctx, &register.ChangeRequest{Key: key, BaseVersion: base, ChangeID: by, Body: body})
 }
 
 // Write makes a change as Change does.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -83,7 +83,7 @@
 	host         *nodelease.Host
 	table        *membership.Table
 	gossip       *gossip.Gossip
-	holder       *register.Holder
+	holder       *register.Proposer
 	confirm      *quorumread.Confirmer
 	client       *registerclient.Client
 	owners       *leaders.Keeper
@@ -206,8 +206,8 @@
 	return i
 }
 
-// Roster gives the newest roster known here.
-func (n *Node) Roster() voters.Set { return n.Board.Roster() }
+// VoterSet gives the newest roster known here.
+func (n *Node) VoterSet() voters.Set { return n.Board.Roster() }
 
 // Live finds a control node that has a session.
 func (n *Node) Live(node string) (string, bool) {
@@ -529,7 +529,7 @@
 func (n *Node) HoldsDuty() bool { return n.Holds(controller.Key) }
 
 // Holds tells whether this node holds a control key as far as it knows.
-func (n *Node) Holds(key string) bool { return n.holder != nil && n.holder.Holds(key) }
+func (n *Node) Holds(key string) bool { return n.holder != nil && n.holder.Leads(key) }
 
 // Stop leaves in good order: unready at once, duties handed over, streams ended with a hint.
 func (n *Node) Stop() {
@@ -561,7 +561,7 @@
 		}) {
 			to = append(to, i.Name)
 		}
-		h = n.holder.HandOver(ctx, to)
+		h = n.holder.TransferLeadership(ctx, to)
 	}
 	cx, rest := context.WithTimeout(ctx, b.TransferTimeout())
 	defer rest()
--- a/internal/operator/replace.go
+++ b/internal/operator/replace.go
@@ -135,7 +135,7 @@
 	if len(body) > configuration.PackedMost {
 		return nil, apierror.New(apierror.Oversize, "the description takes %d bytes with its source, the limit is %d", len(body), configuration.PackedMost)
 	}
-	q := &register.ChangeRequest{Key: quorumread.Key, Base: c.value.writes, By: o.Name(), Body: body, Memory: log.With(o).Pack()}
+	q := &register.ChangeRequest{Key: quorumread.Key, BaseVersion: c.value.writes, ChangeID: o.Name(), Body: body, Metadata: log.With(o).Pack()}
 	if _, err := s.Client.Write(ctx, q); err != nil {
 		return nil, err
 	}
--- a/internal/placement/controller/duty.go
+++ b/internal/placement/controller/duty.go
@@ -28,7 +28,7 @@
 	Self   string
 	Clock  clock.Clock
 	Bounds settings.Timing
-	Holder *register.Holder
+	Holder *register.Proposer
 	Client *registerclient.Client
 	Board  *gossip.Board
 	Live   func() []membership.Info
@@ -108,17 +108,17 @@
 }
 
 func (d *Duty) mine(ctx context.Context) bool {
-	if !d.Holder.Holds(Key) {
+	if !d.Holder.Leads(Key) {
 		cx, stop := context.WithTimeout(ctx, d.Bounds.CallTimeout())
 		defer stop()
 		if err := d.Holder.Claim(cx, Key); err != nil {
 			return false
 		}
-		return d.Holder.Confirmed(cx, Key)
+		return d.Holder.ConfirmLeadership(cx, Key)
 	}
 	cx, stop := context.WithTimeout(ctx, d.Bounds.CallTimeout())
 	defer stop()
-	return d.Holder.Confirmed(cx, Key)
+	return d.Holder.ConfirmLeadership(cx, Key)
 }
 
 func (d *Duty) take(ctx context.Context) {
--- a/internal/testing/sim/answers_test.go
+++ b/internal/testing/sim/answers_test.go
@@ -22,7 +22,7 @@
 			described(t, w)
 			w.Watch()
 			topic, who := "kept/t0", "v"
-			l := w.Machines["a1"].Node().Roster().Layout
+			l := w.Machines["a1"].Node().VoterSet().Layout
 			first := attach(t, w, "a1", who)
 			for n := range uint64(3) {
 				_, err := w.Port("a1").Send(w.ctx, first.Token, topic, n+1, []byte(`"before"`))
--- a/internal/testing/sim/chaos_test.go
+++ b/internal/testing/sim/chaos_test.go
@@ -27,7 +27,7 @@
 		}
 	}
 	ref := w.Machines["a1"].Node()
-	r := ref.Roster()
+	r := ref.VoterSet()
 	for _, s := range r.Voters {
 		i := w.Machines[s.Node].Node().Info()
 		if i.Incarnation != s.Incarnation || i.Roster != r.Sequence {
--- a/internal/testing/sim/drain_test.go
+++ b/internal/testing/sim/drain_test.go
@@ -15,7 +15,7 @@
 func (w *World) holdings(n string) int {
 	k := 0
 	ref := w.Machines["a1"].Node()
-	for p := range ref.Roster().Layout.PartitionCount() {
+	for p := range ref.VoterSet().Layout.PartitionCount() {
 		if ref.Board.Record(p).Holds(n) {
 			k++
 		}
@@ -28,7 +28,7 @@
 	t.Helper()
 	k := 0
 	ref := w.Machines["a1"].Node()
-	for p := range ref.Roster().Layout.PartitionCount() {
+	for p := range ref.VoterSet().Layout.PartitionCount() {
 		v, err := ref.Operators.Client.Read(w.ctx, assignment.Key(p))
 		assert.NilError(t, err)
 		r, err := assignment.Parse(v.Body, v.Version)
@@ -79,7 +79,7 @@
 		}
 		assert.NilError(t, w.Until(60*time.Second, "s1 is empty", w.drained("s1")))
 		assert.Equal(t, w.registered(t, "s1"), 0)
-		for p := range w.Machines["a1"].Node().Roster().Layout.PartitionCount() {
+		for p := range w.Machines["a1"].Node().VoterSet().Layout.PartitionCount() {
 			assert.Equal(t, len(w.Machines["a1"].Node().Board.Record(p).Replicas), 3)
 		}
 		assert.Assert(t, apierror.HasCode(w.askDrain("s1"), apierror.AlreadyEmpty))
--- a/internal/testing/sim/faults_test.go
+++ b/internal/testing/sim/faults_test.go
@@ -83,7 +83,7 @@
 			_ = w.Start(c)
 			_, _ = w.Put("a1", load.Describe(uint64(i+1)))
 			assert.NilError(t, w.Until(30*time.Second, "the wiped disk has a seat", func() bool {
-				r := w.Machines["a1"].Node().Roster()
+				r := w.Machines["a1"].Node().VoterSet()
 				s, ok := r.Voter(c)
 				return ok && s.Incarnation == w.Machines[c].Node().Info().Incarnation && w.Machines[c].Node().Info().Roster == r.Sequence
 			}))
--- a/internal/testing/sim/flood_test.go
+++ b/internal/testing/sim/flood_test.go
@@ -27,7 +27,7 @@
 			assert.NilError(t, m.Node().Apply(o))
 		}
 		described(t, w)
-		l := w.Machines["a1"].Node().Roster().Layout
+		l := w.Machines["a1"].Node().VoterSet().Layout
 		lead := attach(t, w, "a1", "lead")
 		urgent := []string{w.records()[partition.Of("stop/line", true, l)].Owner, w.records()[partition.OfVisitor("lead", true, l)].Owner}
 		n := uint64(0)
--- a/internal/testing/sim/founding_test.go
+++ b/internal/testing/sim/founding_test.go
@@ -23,7 +23,7 @@
 	var top uint64
 	for _, n := range w.Names {
 		if x := w.Machines[n].Node(); x != nil {
-			top = max(top, x.Roster().Sequence)
+			top = max(top, x.VoterSet().Sequence)
 		}
 	}
 	for _, n := range w.Names {
@@ -32,7 +32,7 @@
 		if x == nil || m.Opts.Disk != settings.DiskControl {
 			continue
 		}
-		r := x.Roster()
+		r := x.VoterSet()
 		s, ok := r.Voter(n)
 		if i := x.Info(); top == 0 || r.Sequence != top || !ok || s.Incarnation != i.Incarnation || i.Roster != top {
 			return false
@@ -53,11 +53,11 @@
 					assert.NilError(t, w.Start(w.Names...))
 					at := time.Now()
 					assert.NilError(t, w.Until(3*time.Second, "all voters are seated", w.fullRoster))
-					t.Logf("all voters are seated after %s under roster %d", time.Since(at), w.Machines["c1"].Node().Roster().Sequence)
+					t.Logf("all voters are seated after %s under roster %d", time.Since(at), w.Machines["c1"].Node().VoterSet().Sequence)
 					assert.NilError(t, w.Settle(3*time.Second))
 					fleets := map[string]bool{}
 					for _, n := range w.Names {
-						fleets[w.Machines[n].Node().Roster().Fleet] = true
+						fleets[w.Machines[n].Node().VoterSet().Fleet] = true
 					}
 					assert.Equal(t, len(fleets), 1)
 					described(t, w)
@@ -75,7 +75,7 @@
 		defer w.Close()
 		assert.NilError(t, w.Start("c1", "c2", "c3", "c4", "s1", "a1"))
 		time.Sleep(10 * time.Second)
-		assert.Equal(t, w.Machines["c1"].Node().Roster().Sequence, uint64(0))
+		assert.Equal(t, w.Machines["c1"].Node().VoterSet().Sequence, uint64(0))
 		assert.NilError(t, w.Start(w.Names...))
 		assert.NilError(t, w.Until(3*time.Second, "all voters are seated", w.fullRoster))
 	})
@@ -90,7 +90,7 @@
 		assert.NilError(t, w.Start(w.Names...))
 		assert.NilError(t, w.Until(3*time.Second, "all voters are seated", w.fullRoster))
 		described(t, w)
-		fleet := w.Machines["c2"].Node().Roster().Fleet
+		fleet := w.Machines["c2"].Node().VoterSet().Fleet
 		w.Wipe("c1")
 		time.Sleep(3 * time.Second)
 		w.Machines["c1"].Opts.BootstrapBy = settings.BootstrapNever
@@ -98,7 +98,7 @@
 		at := time.Now()
 		assert.NilError(t, w.Until(2*time.Second, "all voters are seated again", w.fullRoster))
 		t.Logf("seated again after %s", time.Since(at))
-		assert.Equal(t, w.Machines["c1"].Node().Roster().Fleet, fleet)
+		assert.Equal(t, w.Machines["c1"].Node().VoterSet().Fleet, fleet)
 	})
 }
 
@@ -113,7 +113,7 @@
 		assert.NilError(t, w.Start(w.Names...))
 		time.Sleep(20 * time.Second)
 		for _, n := range w.Names {
-			assert.Equal(t, w.Machines[n].Node().Roster().Sequence, uint64(0))
+			assert.Equal(t, w.Machines[n].Node().VoterSet().Sequence, uint64(0))
 		}
 		_, err := w.Put("c1", load.Describe(0))
 		assert.Assert(t, apierror.HasCode(err, apierror.NotBootstrapped) || apierror.HasCode(err, apierror.NoLease) || apierror.HasCode(err, apierror.Unreachable), "%v", err)
--- a/internal/testing/sim/gap_test.go
+++ b/internal/testing/sim/gap_test.go
@@ -33,7 +33,7 @@
 	k := &takers{last: map[int]time.Time{}, gap: map[int]time.Duration{}, stop: stop}
 	n := w.Machines[through].Node()
 	topics := map[int]string{}
-	l := n.Roster().Layout
+	l := n.VoterSet().Layout
 	for i := range wide.Topics {
 		t := fmt.Sprintf("kept/t%d", i)
 		topics[partition.Of(t, false, l)] = t
--- a/internal/testing/sim/lag_test.go
+++ b/internal/testing/sim/lag_test.go
@@ -21,7 +21,7 @@
 			o, topic := "", ""
 			for i := 0; o == "" || o == w.Machines["a1"].Opts.Name; i++ {
 				topic = fmt.Sprintf("kept/t%d", i)
-				o = w.records()[partition.Of(topic, false, w.Machines["a1"].Node().Roster().Layout)].Owner
+				o = w.records()[partition.Of(topic, false, w.Machines["a1"].Node().VoterSet().Layout)].Owner
 			}
 			tok := attach(t, w, "a1", "v").Token
 			before := w.moves()
--- a/internal/testing/sim/load_test.go
+++ b/internal/testing/sim/load_test.go
@@ -61,7 +61,7 @@
 			assert.NilError(t, err)
 			time.Sleep(w.Site.Bounds.Spread)
 			hot := busiest(w)
-			layout := w.Machines["a1"].Node().Roster().Layout
+			layout := w.Machines["a1"].Node().VoterSet().Layout
 			var topics []string
 			for i := range l.Topics {
 				n := fmt.Sprintf("kept/t%d", i)
--- a/internal/testing/sim/offer_test.go
+++ b/internal/testing/sim/offer_test.go
@@ -49,7 +49,7 @@
 	}
 	v.w.History.Try(m.Message)
 	v.w.History.Send(m.Message, m.body, false, time.Now())
-	p := partition.Of(m.Topic, false, n.Roster().Layout)
+	p := partition.Of(m.Topic, false, n.VoterSet().Layout)
 	v.wg.Add(1)
 	n.Visitors.Desk.Offer(v.w.ctx, p, &leader.Task{Visitor: v.name, Topic: m.Topic, Call: m.Call, Body: []byte(m.body)}, time.Now().Add(time.Second), func(d *leader.Decision, err error) {
 		defer v.wg.Done()
@@ -158,7 +158,7 @@
 			parts := map[int]bool{}
 			for _, x := range topics {
 				here[x] = true
-				parts[partition.Of(x, false, w.Machines["a1"].Node().Roster().Layout)] = true
+				parts[partition.Of(x, false, w.Machines["a1"].Node().VoterSet().Layout)] = true
 			}
 			many := func(x Point) bool { return x.Path == router.SubmitMany.Path }
 			begun := time.Now()
@@ -177,7 +177,7 @@
 			plan := rand.New(rand.NewPCG(seed, 99)).Perm(6)
 			for i := 0; time.Since(begun) < 26*time.Second; i++ {
 				time.Sleep(time.Duration(500+w.Int(500)) * time.Millisecond)
-				o := w.records()[partition.Of(topics[w.Int(len(topics))], false, w.Machines["a1"].Node().Roster().Layout)].Owner
+				o := w.records()[partition.Of(topics[w.Int(len(topics))], false, w.Machines["a1"].Node().VoterSet().Layout)].Owner
 				switch plan[i%len(plan)] {
 				case 0:
 					end := w.Meddle(func(x Point) Meddle {
--- a/internal/testing/sim/orders_test.go
+++ b/internal/testing/sim/orders_test.go
@@ -60,7 +60,7 @@
 			w.Machines[n+"b"].Opts.Seeds = []string{w.Machines["s1"].Opts.PeerListen}
 			assert.NilError(t, w.Add(n+"b"))
 			assert.NilError(t, w.Until(60*time.Second, n+"b has a seat", func() bool {
-				x := w.Machines["a1"].Node().Roster()
+				x := w.Machines["a1"].Node().VoterSet()
 				_, ok := x.Voter(n + "b")
 				_, old := x.Voter(n)
 				return ok && !old
--- a/internal/testing/sim/owner_test.go
+++ b/internal/testing/sim/owner_test.go
@@ -93,7 +93,7 @@
 		_, err = w.Port("c2").Send(w.ctx, now.Token, "kept/t0", 1, []byte(`1`))
 		assert.NilError(t, err)
 		n := w.Machines["a1"].Node()
-		p := partition.Of("kept/t0", false, n.Roster().Layout)
+		p := partition.Of("kept/t0", false, n.VoterSet().Layout)
 		_, err = n.Visitors.Desk.Submit(w.ctx, p, &leader.Task{Visitor: "v", Generation: old.Generation, Topic: "kept/t0", Call: 2, Body: []byte(`2`)})
 		assert.Assert(t, apierror.HasCode(err, apierror.TokenFenced), "a send that was on its way: %v", err)
 	})
@@ -134,7 +134,7 @@
 			_, err := w.Port("c2").Send(w.ctx, s.Token, "kept/t0", n, []byte(fmt.Sprint(n)))
 			assert.NilError(t, err)
 			if n == 10 || n == 20 {
-				o := w.records()[partition.Of("kept/t0", false, w.Machines["a1"].Node().Roster().Layout)].Owner
+				o := w.records()[partition.Of("kept/t0", false, w.Machines["a1"].Node().VoterSet().Layout)].Owner
 				w.Kill(o)
 				time.Sleep(5 * time.Second)
 				assert.NilError(t, w.Start(o))
--- a/internal/testing/sim/repair_test.go
+++ b/internal/testing/sim/repair_test.go
@@ -20,7 +20,7 @@
 // copied tells whether every partition has all its copies on disks of processes that run, and is settled.
 func (w *World) copied() bool {
 	ref := w.Machines["a1"].Node()
-	l := ref.Roster().Layout
+	l := ref.VoterSet().Layout
 	for p := range l.PartitionCount() {
 		x := ref.Board.Record(p)
 		if !x.Settled || len(x.Replicas) != l.ReplicationFactor() || x.Learner != nil {
--- a/internal/testing/sim/replace_test.go
+++ b/internal/testing/sim/replace_test.go
@@ -108,7 +108,7 @@
 
 func (w *World) seated(n string) []string {
 	var ns []string
-	for _, x := range w.Machines[n].Node().Roster().Voters {
+	for _, x := range w.Machines[n].Node().VoterSet().Voters {
 		ns = append(ns, x.Node)
 	}
 	return ns
--- a/internal/testing/sim/restart_test.go
+++ b/internal/testing/sim/restart_test.go
@@ -60,7 +60,7 @@
 	t.Helper()
 	m := w.Machines[c]
 	_, run := m.node()
-	r := m.Node().Roster()
+	r := m.Node().VoterSet()
 	a, err := acceptor.Promise.Call(w.ctx, &endpoint{w, m, run}, c, m.Opts.PeerListen, &acceptor.PromiseRequest{Target: acceptor.Target{VoterSet: r.Sequence, Incarnation: m.Node().Info().Incarnation, Key: key}, Epoch: e})
 	assert.NilError(t, err)
 	assert.Assert(t, a.Granted)
--- a/internal/testing/sim/retire_test.go
+++ b/internal/testing/sim/retire_test.go
@@ -117,7 +117,7 @@
 			return r
 		}
 		var before []assignment.Record
-		for p := range w.Machines["c1"].Node().Roster().Layout.PartitionCount() {
+		for p := range w.Machines["c1"].Node().VoterSet().Layout.PartitionCount() {
 			before = append(before, read(p))
 		}
 		o := busiest(w)
--- a/internal/testing/sim/trim_test.go
+++ b/internal/testing/sim/trim_test.go
@@ -21,7 +21,7 @@
 		stand(t, Armor, 280+seed, func(t *testing.T, w *World) {
 			described(t, w)
 			const topic = "kept/t0"
-			p := partition.Of(topic, false, w.Machines["a1"].Node().Roster().Layout)
+			p := partition.Of(topic, false, w.Machines["a1"].Node().VoterSet().Layout)
 			tok, early := attach(t, w, "c1", "v").Token, attach(t, w, "c1", "early").Token
 			o := w.records()[p].Owner
 			release, hits := w.Hold(func(x Point) bool {
@@ -82,9 +82,9 @@
 			described(t, w)
 			const topic, quiet = "kept/t0", "kept/t1"
 			n := w.Machines["a1"].Node()
-			p, q := partition.Of(topic, false, n.Roster().Layout), partition.Of(quiet, false, n.Roster().Layout)
+			p, q := partition.Of(topic, false, n.VoterSet().Layout), partition.Of(quiet, false, n.VoterSet().Layout)
 			send := func(topic string, call uint64) (*leader.Decision, error) {
-				p := partition.Of(topic, false, n.Roster().Layout)
+				p := partition.Of(topic, false, n.VoterSet().Layout)
 				return n.Visitors.Desk.Submit(w.ctx, p, &leader.Task{Visitor: "v", Topic: topic, Call: call, Body: []byte("1")})
 			}
 			must := func(topic string, call uint64) uint64 {
