--- a/internal/control/reconfig/reform.go
+++ b/internal/control/reconfig/reform.go
@@ -14,8 +14,8 @@
 	"postjunction/internal/wire"
 )
 
-// Reformer runs roster changes for one control node.
-type Reformer struct {
+// Executor runs roster changes for one control node.
+type Executor struct {
 	self   string
 	net    wire.Network
 	bounds settings.Timing
@@ -23,17 +23,17 @@
 }
 
 // New makes a reformer.
-func New(self string, n wire.Network, b settings.Timing) *Reformer {
-	return &Reformer{self: self, net: n, bounds: b}
+func New(self string, n wire.Network, b settings.Timing) *Executor {
+	return &Executor{self: self, net: n, bounds: b}
 }
 
-func (f *Reformer) call(ctx context.Context) (context.Context, context.CancelFunc) {
+func (f *Executor) call(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, f.bounds.CallTimeout())
 }
 
 // Change decides what follows roster r, wanted unless another change was begun, and opens it.
 // It gives the roster that came into force.
-func (f *Reformer) Change(ctx context.Context, r, want voters.Set) (voters.Set, error) {
+func (f *Executor) Change(ctx context.Context, r, want voters.Set) (voters.Set, error) {
 	next, err := f.decide(ctx, r, want)
 	if err != nil {
 		return voters.Set{}, err
@@ -55,7 +55,7 @@
 	return next, nil
 }
 
-func (f *Reformer) decide(ctx context.Context, r, want voters.Set) (voters.Set, error) {
+func (f *Executor) decide(ctx context.Context, r, want voters.Set) (voters.Set, error) {
 	e := f.seen.Next(f.self)
 	f.seen = e
 	enough := func(as []quorum.Result[voters.Voter, *acceptor.SlotResponse]) bool { return f.ok(as) >= r.Majority() }
@@ -94,7 +94,7 @@
 	return next, nil
 }
 
-func (f *Reformer) ok(as []quorum.Result[voters.Voter, *acceptor.SlotResponse]) int {
+func (f *Executor) ok(as []quorum.Result[voters.Voter, *acceptor.SlotResponse]) int {
 	n := 0
 	for _, a := range quorum.Successes(as) {
 		if a.Value.Granted {
@@ -106,7 +106,7 @@
 	return n
 }
 
-func (f *Reformer) short(r voters.Set, as []quorum.Result[voters.Voter, *acceptor.SlotResponse], verb string) error {
+func (f *Executor) short(r voters.Set, as []quorum.Result[voters.Voter, *acceptor.SlotResponse], verb string) error {
 	for _, a := range as {
 		if apierror.HasCode(a.Err, apierror.StaleVoterSet) {
 			return a.Err
@@ -115,7 +115,7 @@
 	return apierror.WithCause(apierror.NoMajority, quorum.FirstError(as), "%d of %d disks %s a change of roster %d", f.ok(as), len(r.Voters), verb, r.Sequence)
 }
 
-func (f *Reformer) copy(ctx context.Context, r voters.Set) (map[string]acceptor.Slot, error) {
+func (f *Executor) copy(ctx context.Context, r voters.Set) (map[string]acceptor.Slot, error) {
 	type answers = []quorum.Result[voters.Voter, *acceptor.PeekResponse]
 	enough := func(as answers) bool { return len(quorum.Successes(as)) >= r.SealQuorum() }
 	as := quorum.Gather(ctx, r.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.PeekResponse, error) {
@@ -141,8 +141,8 @@
 	return slots, nil
 }
 
-// Catch opens the roster in force on a seat that missed it, with the slots of a seat that has it.
-func (f *Reformer) Catch(ctx context.Context, r voters.Set, late voters.Voter) error {
+// CatchUp opens the roster in force on a seat that missed it, with the slots of a seat that has it.
+func (f *Executor) CatchUp(ctx context.Context, r voters.Set, late voters.Voter) error {
 	for _, s := range r.Voters {
 		if s.Node == late.Node {
 			continue
--- a/internal/control/reconfigurer/steward.go
+++ b/internal/control/reconfigurer/steward.go
@@ -30,7 +30,7 @@
 	Bounds   settings.Timing
 	Board    *gossip.Board
 	Founder  *bootstrap.Founder
-	Reformer *reconfig.Reformer
+	Reformer *reconfig.Executor
 	Live     func() []membership.Info
 	// Changed gives what is closed at news of the members.
 	Changed func() <-chan struct{}
@@ -158,7 +158,7 @@
 		return
 	}
 	quorum.Gather(ctx, late, func(ctx context.Context, x voters.Voter) (bool, error) {
-		err := s.Reformer.Catch(ctx, r, x)
+		err := s.Reformer.CatchUp(ctx, r, x)
 		if err != nil {
 			s.Log.Say(event.RosterTrouble, "problem", err)
 		}
