--- a/internal/control/bootstrap/founding.go
+++ b/internal/control/bootstrap/founding.go
@@ -15,21 +15,21 @@
 	"postjunction/internal/wire"
 )
 
-// Founder works out who founds from the settings and the answers at those addresses.
-type Founder struct {
+// Bootstrapper works out who founds from the settings and the answers at those addresses.
+type Bootstrapper struct {
 	opts settings.Options
 	net  wire.Network
 	self func() membership.Info
 }
 
 // New makes a founder.
-func New(o settings.Options, n wire.Network, self func() membership.Info) *Founder {
-	return &Founder{opts: o, net: n, self: self}
+func New(o settings.Options, n wire.Network, self func() membership.Info) *Bootstrapper {
+	return &Bootstrapper{opts: o, net: n, self: self}
 }
 
 // Plan gives the founding roster, once every node that may take part has answered.
 // A fleet that stands already, seen at any of them, ends the plan.
-func (f *Founder) Plan(ctx context.Context) (voters.Set, error) {
+func (f *Bootstrapper) Plan(ctx context.Context) (voters.Set, error) {
 	if f.opts.BootstrapBy == settings.BootstrapNever {
 		return voters.Set{}, apierror.New(apierror.NotBootstrapped, "this disk came back empty: it founds nothing and waits for a seat")
 	}
@@ -80,7 +80,7 @@
 }
 
 // Agree checks a proposed founding against this node's own plan.
-func (f *Founder) Agree(ctx context.Context, r voters.Set) error {
+func (f *Bootstrapper) Agree(ctx context.Context, r voters.Set) error {
 	p, err := f.Plan(ctx)
 	if err != nil {
 		return err
@@ -100,11 +100,11 @@
 }
 
 // leave gets the leave to found alone from every seed, one after the other, so that of several voters at most one gets them all.
-func (f *Founder) leave(ctx context.Context, r voters.Set) error {
+func (f *Bootstrapper) leave(ctx context.Context, r voters.Set) error {
 	addrs := slices.Sorted(slices.Values(f.opts.Seeds))
 	for _, a := range slices.Compact(addrs) {
 		cx, stop := context.WithTimeout(ctx, f.opts.Timing().CallTimeout())
-		_, err := Leave.Call(cx, f.net, f.opts.Name, a, &LeaveRequest{Node: f.opts.Name, Incarnation: r.Voters[0].Incarnation})
+		_, err := Grant.Call(cx, f.net, f.opts.Name, a, &GrantRequest{Node: f.opts.Name, Incarnation: r.Voters[0].Incarnation})
 		stop()
 		if err != nil {
 			return apierror.WithCause(apierror.NotBootstrapped, err, "no seed has a control disk, and %s gave no leave to found alone", a)
@@ -114,7 +114,7 @@
 }
 
 // Try founds the fleet if this node is the first of the founders.
-func (f *Founder) Try(ctx context.Context) (voters.Set, error) {
+func (f *Bootstrapper) Try(ctx context.Context) (voters.Set, error) {
 	r, err := f.Plan(ctx)
 	if err != nil {
 		return r, err
--- a/internal/control/bootstrap/leave.go
+++ b/internal/control/bootstrap/leave.go
@@ -11,31 +11,31 @@
 	"postjunction/internal/wire"
 )
 
-// LeaveRequest asks a seed for leave to found a fleet of one control disk, where no seed has such a disk.
-type LeaveRequest struct {
+// GrantRequest asks a seed for leave to found a fleet of one control disk, where no seed has such a disk.
+type GrantRequest struct {
 	Node        string `json:"node"`
 	Incarnation string `json:"incarnation"`
 }
 
-// Leave is the call for it.
-var Leave = wire.NewProcedure[LeaveRequest, acceptor.Empty]("Founding", "Leave", wire.Deduplicated, "a seed gives leave to one disk for its life, and to the same one again")
+// Grant is the call for it.
+var Grant = wire.NewProcedure[GrantRequest, acceptor.Empty]("Founding", "Leave", wire.Deduplicated, "a seed gives leave to one disk for its life, and to the same one again")
 
-// Leaves gives leave to one disk at most in the life of the process. Only a process of the first start gives any, so a
+// Granter gives leave to one disk at most in the life of the process. Only a process of the first start gives any, so a
 // restarted seed that forgot whom it gave leave to never gives it to another.
-type Leaves struct {
+type Granter struct {
 	opts   settings.Options
 	roster func() uint64
 	mu     sync.Mutex
-	given  LeaveRequest
+	given  GrantRequest
 }
 
-// NewLeaves makes the seeds' side; roster gives the sequence of the roster known here.
-func NewLeaves(o settings.Options, roster func() uint64) *Leaves {
-	return &Leaves{opts: o, roster: roster}
+// NewGranter makes the seeds' side; roster gives the sequence of the roster known here.
+func NewGranter(o settings.Options, roster func() uint64) *Granter {
+	return &Granter{opts: o, roster: roster}
 }
 
-// Leave gives leave to the first that asks.
-func (l *Leaves) Leave(_ context.Context, q *LeaveRequest) (*acceptor.Empty, error) {
+// Grant gives leave to the first that asks.
+func (l *Granter) Grant(_ context.Context, q *GrantRequest) (*acceptor.Empty, error) {
 	if r := l.roster(); r > 0 {
 		return nil, apierror.New(apierror.StaleVoterSet, "the fleet is under roster %d already", r).WithCurrent(r)
 	}
@@ -54,4 +54,4 @@
 }
 
 // Serve adds the call.
-func (l *Leaves) Serve(m *http.ServeMux) { Leave.Handle(m, l.Leave) }
+func (l *Granter) Serve(m *http.ServeMux) { Grant.Handle(m, l.Grant) }
--- a/internal/control/reconfigurer/steward.go
+++ b/internal/control/reconfigurer/steward.go
@@ -29,7 +29,7 @@
 	Clock    clock.Clock
 	Bounds   settings.Timing
 	Board    *gossip.Board
-	Founder  *bootstrap.Founder
+	Founder  *bootstrap.Bootstrapper
 	Reformer *reconfig.Executor
 	Live     func() []membership.Info
 	// Changed gives what is closed at news of the members.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -91,8 +91,8 @@
 	presence     *presence.Presence
 	gates        *admission.Gates
 	turned       rejections.Memory
-	founder      *bootstrap.Founder
-	leaves       *bootstrap.Leaves
+	founder      *bootstrap.Bootstrapper
+	leaves       *bootstrap.Granter
 	reconfigurer *reconfigurer.Reconfigurer
 	duty         *controller.Duty
 	watch        *failuredetector.Watch
@@ -306,7 +306,7 @@
 			n.Board.Offer(gossip.News{Roster: &r})
 		}
 	}
-	n.leaves = bootstrap.NewLeaves(o, func() uint64 { return n.Board.Roster().Sequence })
+	n.leaves = bootstrap.NewGranter(o, func() uint64 { return n.Board.Roster().Sequence })
 	n.client = registerclient.New(self, net, b, n.members, n.holder)
 	n.keeper = &nodelease.Keeper{Opts: o, Clock: clk, Net: net, Board: n.Board, View: n.View, Info: n.Info, Local: n.host, Log: n.log}
 	n.gossip = &gossip.Gossip{Self: self, Net: net, Clock: clk, Bounds: b, Board: n.Board, View: n.View.All, Control: o.HasControlDisk(), Disk: o.Disk != settings.DiskNone}
