--- a/internal/control/quorumread/confirm.go
+++ b/internal/control/quorumread/confirm.go
@@ -34,7 +34,7 @@
 	Bounds settings.Timing
 	Board  *gossip.Board
 	Holder *register.Proposer
-	Mender *repair.Mender
+	Mender *repair.Repairer
 	mu     sync.Mutex
 	c      nodelease.Confirmed
 	at     uint64
@@ -144,7 +144,7 @@
 		f.Board.Offer(gossip.News{Description: &d})
 	}
 	if !same {
-		f.Mender.Keys(cx, r, Key)
+		f.Mender.Repair(cx, r, Key)
 	}
 	top.Value.Version = v.Version
 	f.set(at, d.Sequence, top)
--- a/internal/control/reconfigurer/steward.go
+++ b/internal/control/reconfigurer/steward.go
@@ -38,7 +38,7 @@
 	Sealed  func() uint64
 	Sealing func() <-chan struct{}
 	Log     *event.Logger
-	Mender  *repair.Mender
+	Mender  *repair.Repairer
 	said    string
 	sealed  time.Time
 	swept   time.Time
@@ -263,7 +263,7 @@
 		return
 	}
 	s.swept = now
-	if n := s.Mender.Keys(ctx, r); n > 0 {
+	if n := s.Mender.Repair(ctx, r); n > 0 {
 		s.Log.Say(event.RepairFound, "keys", n)
 	}
 }
--- a/internal/control/repair/repair.go
+++ b/internal/control/repair/repair.go
@@ -12,8 +12,8 @@
 	"postjunction/internal/wire"
 )
 
-// Mender resends what a majority may already hold; it never proposes anything of its own.
-type Mender struct {
+// Repairer resends what a majority may already hold; it never proposes anything of its own.
+type Repairer struct {
 	Self   string
 	Net    wire.Network
 	Bounds settings.Timing
@@ -21,9 +21,9 @@
 
 type copy = quorum.Result[voters.Voter, *acceptor.PeekResponse]
 
-// Keys compares the copies of the named keys, all when none are named, and brings old ones up. It gives how many it mended. Values are read only
+// Repair compares the copies of the named keys, all when none are named, and brings old ones up. It gives how many it mended. Values are read only
 // where some copy is old, and then from one voter.
-func (m *Mender) Keys(ctx context.Context, r voters.Set, keys ...string) int {
+func (m *Repairer) Repair(ctx context.Context, r voters.Set, keys ...string) int {
 	cx, stop := context.WithTimeout(ctx, m.Bounds.CallTimeout())
 	defer stop()
 	as := quorum.Successes(quorum.Gather(cx, r.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.PeekResponse, error) {
@@ -50,7 +50,7 @@
 	return n
 }
 
-func (m *Mender) key(ctx context.Context, r voters.Set, old []copy, k string, t acceptor.Slot) int {
+func (m *Repairer) key(ctx context.Context, r voters.Set, old []copy, k string, t acceptor.Slot) int {
 	n := 0
 	for _, a := range old {
 		cx, stop := context.WithTimeout(ctx, m.Bounds.CallTimeout())
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -297,7 +297,7 @@
 	if o.HasControlDisk() {
 		n.table = membership.NewTable(clk, b)
 		n.holder = register.New(self, net, clk, b, n, n.told)
-		mender := &repair.Mender{Self: self, Net: net, Bounds: b}
+		mender := &repair.Repairer{Self: self, Net: net, Bounds: b}
 		n.confirm = &quorumread.Confirmer{Self: self, Net: net, Clock: clk, Bounds: b, Board: n.Board, Holder: n.holder, Mender: mender}
 		n.host = &nodelease.Host{Self: self, Seeds: o.Seeds, Clock: clk, Bounds: b, Net: net, Table: n.table, Board: n.Board, Info: n.Info, Latest: n.confirm.Latest}
 		n.founder = bootstrap.New(o, net, n.Info)
