--- a/internal/control/quorumread/confirm.go
+++ b/internal/control/quorumread/confirm.go
@@ -23,21 +23,21 @@
 	"github.com/mailru/easyjson"
 )
 
-// Key is the control key of the description.
-const Key = "description"
+// ConfigurationKey is the control key of the description.
+const ConfigurationKey = "description"
 
 // Confirmer keeps the answer fresh on one control node.
 type Confirmer struct {
-	Self   string
-	Net    wire.Network
-	Clock  clock.Clock
-	Bounds settings.Timing
-	Board  *gossip.Board
-	Holder *register.Proposer
-	Mender *repair.Repairer
-	mu     sync.Mutex
-	c      nodelease.Confirmed
-	at     uint64
+	Self     string
+	Net      wire.Network
+	Clock    clock.Clock
+	Timing   settings.Timing
+	Store    *gossip.Board
+	Proposer *register.Proposer
+	Repairer *repair.Repairer
+	mu       sync.Mutex
+	c        nodelease.Confirmed
+	at       uint64
 	// reached is when a majority had last answered, in whatever way; there tells that it has answered the question that is open.
 	reached time.Time
 	there   bool
@@ -49,8 +49,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c := f.c
-	c.OK = c.OK && now.Sub(c.At) < f.Bounds.LeaseDuration()
-	c.Apart = f.reached != none && !f.there && now.Sub(f.reached) > f.Bounds.IsolationTimeout()
+	c.OK = c.OK && now.Sub(c.At) < f.Timing.LeaseDuration()
+	c.Apart = f.reached != none && !f.there && now.Sub(f.reached) > f.Timing.IsolationTimeout()
 	return c
 }
 
@@ -67,17 +67,17 @@
 // Run confirms every heartbeat; until it did so for the first time, it tries again soon and on news.
 func (f *Confirmer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		news := f.Board.Changed()
+		news := f.Store.Changed()
 		f.once(ctx)
 		if f.begun() {
-			_ = f.Clock.Sleep(ctx, f.Bounds.HeartbeatInterval())
+			_ = f.Clock.Sleep(ctx, f.Timing.HeartbeatInterval())
 			continue
 		}
-		if f.Board.Roster().Sequence == 0 {
-			clock.Wait(ctx, f.Clock, f.Bounds.HeartbeatInterval()/2, news, nil)
+		if f.Store.Roster().Sequence == 0 {
+			clock.Wait(ctx, f.Clock, f.Timing.HeartbeatInterval()/2, news, nil)
 			continue
 		}
-		_ = f.Clock.Sleep(ctx, clock.Jitter(f.Bounds.InitialBackoff(), 1, rand.Float64()))
+		_ = f.Clock.Sleep(ctx, clock.Jitter(f.Timing.InitialBackoff(), 1, rand.Float64()))
 	}
 }
 
@@ -90,15 +90,15 @@
 type peeks = []quorum.Result[voters.Voter, *acceptor.PeekResponse]
 
 func (f *Confirmer) once(ctx context.Context) {
-	r := f.Board.Roster()
+	r := f.Store.Roster()
 	if r.Sequence == 0 {
 		return
 	}
 	at := f.Clock.Now()
-	cx, stop := context.WithTimeout(ctx, f.Bounds.CallTimeout())
+	cx, stop := context.WithTimeout(ctx, f.Timing.CallTimeout())
 	defer stop()
 	as := quorum.Gather(cx, r.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.PeekResponse, error) {
-		return acceptor.Peek.Call(ctx, f.Net, f.Self, s.Addr, &acceptor.PeekRequest{VoterSet: r.Sequence, Incarnation: s.Incarnation, Keys: []string{Key}, Brief: true})
+		return acceptor.Peek.Call(ctx, f.Net, f.Self, s.Addr, &acceptor.PeekRequest{VoterSet: r.Sequence, Incarnation: s.Incarnation, Keys: []string{ConfigurationKey}, Brief: true})
 	}, func(as peeks) bool {
 		f.reach(as, r.Majority())
 		return len(quorum.Successes(as)) >= r.Majority()
@@ -108,16 +108,16 @@
 	if len(g) < r.Majority() {
 		return
 	}
-	top := g[0].Value.Slots[Key]
+	top := g[0].Value.Slots[ConfigurationKey]
 	same := true
 	for _, a := range g[1:] {
-		s := a.Value.Slots[Key]
+		s := a.Value.Slots[ConfigurationKey]
 		same = same && s.Accepted == top.Accepted && s.Value.Version == top.Value.Version
 		if s.NewerThan(top) {
 			top = s
 		}
 	}
-	f.Holder.ObserveEpoch(Key, top.Promised, top.Value.Successor)
+	f.Proposer.ObserveEpoch(ConfigurationKey, top.Promised, top.Value.Successor)
 	f.mu.Lock()
 	had, seq := f.c.OK && same && f.writes(top), f.c.Sequence
 	f.mu.Unlock()
@@ -128,9 +128,9 @@
 	if !f.settle(r, same) {
 		return
 	}
-	v, ok := f.Holder.QuorumRead(cx, Key)
+	v, ok := f.Proposer.QuorumRead(cx, ConfigurationKey)
 	if !ok {
-		w, err := f.Holder.Read(cx, &register.ReadRequest{Key: Key})
+		w, err := f.Proposer.Read(cx, &register.ReadRequest{Key: ConfigurationKey})
 		if err != nil {
 			return
 		}
@@ -141,10 +141,10 @@
 		return
 	}
 	if d.Sequence > 0 {
-		f.Board.Offer(gossip.News{Description: &d})
+		f.Store.Offer(gossip.News{Description: &d})
 	}
 	if !same {
-		f.Mender.Repair(cx, r, Key)
+		f.Repairer.Repair(cx, r, ConfigurationKey)
 	}
 	top.Value.Version = v.Version
 	f.set(at, d.Sequence, top)
@@ -183,7 +183,7 @@
 	if same || f.c.At == none {
 		return true
 	}
-	return f.Clock.Now().Sub(f.c.At) >= f.Bounds.LeaseDuration()/youngShare && rand.IntN(len(r.Voters)) < fewNodes
+	return f.Clock.Now().Sub(f.c.At) >= f.Timing.LeaseDuration()/youngShare && rand.IntN(len(r.Voters)) < fewNodes
 }
 
 // A confirmation is young for a part of the lease; fewNodes is how many read a key whose copies differ, on the average.
--- a/internal/control/quorumread/confirm_test.go
+++ b/internal/control/quorumread/confirm_test.go
@@ -45,7 +45,7 @@
 		if k != "" {
 			return nil, apierror.New(k, "so")
 		}
-		return &acceptor.PeekResponse{Slots: map[string]acceptor.Slot{Key: {}}}, nil
+		return &acceptor.PeekResponse{Slots: map[string]acceptor.Slot{ConfigurationKey: {}}}, nil
 	})
 	w := httptest.NewRecorder()
 	m.ServeHTTP(w, q)
@@ -67,7 +67,7 @@
 		b.Offer(gossip.News{Roster: &r})
 		v := &voterSet{say: map[string]apierror.Code{}}
 		h := register.New("c1", v, clock.Real{}, bounds, peers{b}, func(string, acceptor.Value) {})
-		f := &Confirmer{Self: "c1", Net: v, Clock: clock.Real{}, Bounds: bounds, Board: b, Holder: h}
+		f := &Confirmer{Self: "c1", Net: v, Clock: clock.Real{}, Timing: bounds, Store: b, Proposer: h}
 		assert.Assert(t, !f.Latest().Apart)
 		go f.Run(ctx)
 		for _, x := range []struct {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -272,7 +272,7 @@
 			n.Board.Offer(gossip.News{Records: []assignment.Record{r}})
 		}
 	}
-	if k == quorumread.Key {
+	if k == quorumread.ConfigurationKey {
 		if d, err := quorumread.Parse(v); err == nil && d.Sequence > 0 {
 			n.Board.Offer(gossip.News{Description: &d})
 		}
@@ -298,7 +298,7 @@
 		n.table = membership.NewTable(clk, b)
 		n.holder = register.New(self, net, clk, b, n, n.told)
 		mender := &repair.Repairer{Self: self, Net: net, Bounds: b}
-		n.confirm = &quorumread.Confirmer{Self: self, Net: net, Clock: clk, Bounds: b, Board: n.Board, Holder: n.holder, Mender: mender}
+		n.confirm = &quorumread.Confirmer{Self: self, Net: net, Clock: clk, Timing: b, Store: n.Board, Proposer: n.holder, Repairer: mender}
 		n.host = &nodelease.Host{Self: self, Seeds: o.Seeds, Clock: clk, Bounds: b, Net: net, Table: n.table, Board: n.Board, Info: n.Info, Latest: n.confirm.Latest}
 		n.founder = bootstrap.New(o, net, n.Info)
 		n.reconfigurer = &reconfigurer.Reconfigurer{Self: self, Clock: clk, Bounds: b, Board: n.Board, Founder: n.founder, Reformer: reconfig.New(self, net, b), Mender: mender, Live: n.controls, Changed: n.table.Changed, Sealed: n.voter.Sealed, Sealing: n.voter.Sealing, Log: n.log}
--- a/internal/operator/replace.go
+++ b/internal/operator/replace.go
@@ -35,7 +35,7 @@
 func (s *Service) Current(ctx context.Context) (configuration.Description, error) {
 	ctx, stop := s.limit(ctx)
 	defer stop()
-	c, err := readAs(ctx, s, quorumread.Key, parseRegister)
+	c, err := readAs(ctx, s, quorumread.ConfigurationKey, parseRegister)
 	if err != nil {
 		return configuration.Description{}, err
 	}
@@ -112,7 +112,7 @@
 // try reads the register by quorum and, where the order builds on what stands there, changes it on the count that was
 // read. All tries of an order share the change's name, so the register takes it once.
 func (s *Service) try(ctx context.Context, d configuration.Description, o orderlog.Order) (*Accepted, error) {
-	c, err := readAs(ctx, s, quorumread.Key, parseRegister)
+	c, err := readAs(ctx, s, quorumread.ConfigurationKey, parseRegister)
 	if err != nil {
 		return nil, err
 	}
@@ -135,7 +135,7 @@
 	if len(body) > configuration.PackedMost {
 		return nil, apierror.New(apierror.Oversize, "the description takes %d bytes with its source, the limit is %d", len(body), configuration.PackedMost)
 	}
-	q := &register.ChangeRequest{Key: quorumread.Key, BaseVersion: c.value.writes, ChangeID: o.Name(), Body: body, Metadata: log.With(o).Pack()}
+	q := &register.ChangeRequest{Key: quorumread.ConfigurationKey, BaseVersion: c.value.writes, ChangeID: o.Name(), Body: body, Metadata: log.With(o).Pack()}
 	if _, err := s.Client.Write(ctx, q); err != nil {
 		return nil, err
 	}
--- a/internal/testing/sim/points_test.go
+++ b/internal/testing/sim/points_test.go
@@ -37,10 +37,10 @@
 	assert.NilError(t, w.Until(30*time.Second, "void: one control node holds the description", func() bool {
 		for _, n := range w.Names {
 			x := w.Machines[n].Node()
-			if x == nil || !x.Holds(quorumread.Key) {
+			if x == nil || !x.Holds(quorumread.ConfigurationKey) {
 				continue
 			}
-			if at, err := w.current(n); err == nil && x.Holds(quorumread.Key) {
+			if at, err := w.current(n); err == nil && x.Holds(quorumread.ConfigurationKey) {
 				who, seq = n, at
 				return true
 			}
@@ -62,7 +62,7 @@
 // deciding tells whether a call asks a voter to accept a description.
 func deciding(x Point) bool {
 	var q acceptor.AcceptRequest
-	return x.Path == acceptor.Accept.Path && wire.Unmarshal(x.Body, &q) == nil && q.Key == quorumread.Key
+	return x.Path == acceptor.Accept.Path && wire.Unmarshal(x.Body, &q) == nil && q.Key == quorumread.ConfigurationKey
 }
 
 func on(path, stage string) func(x Point) bool {
