--- a/internal/control/registerclient/client.go
+++ b/internal/control/registerclient/client.go
@@ -105,8 +105,8 @@
 	return a, false
 }
 
-// Once has one control node do what a node without a control disk would else do itself. sent tells that it may have heard of it.
-func Once[Q, A any](ctx context.Context, c *Client, p *wire.Procedure[Q, A], q *Q) (sent bool, err error) {
+// ForwardOnce has one control node do what a node without a control disk would else do itself. sent tells that it may have heard of it.
+func ForwardOnce[Q, A any](ctx context.Context, c *Client, p *wire.Procedure[Q, A], q *Q) (sent bool, err error) {
 	ns := c.nodes()
 	if c.local != nil || len(ns) == 0 {
 		return false, apierror.New(apierror.Unreachable, "no control node to hand it to")
@@ -117,8 +117,8 @@
 	return true, err
 }
 
-// Name makes a fresh name for a change.
-func Name() string {
+// NewChangeID makes a fresh name for a change.
+func NewChangeID() string {
 	var b [12]byte
 	_, _ = rand.Read(b[:])
 	return hex.EncodeToString(b[:])
--- a/internal/node/leaders/heir.go
+++ b/internal/node/leaders/heir.go
@@ -69,7 +69,7 @@
 	cx, stop := context.WithTimeout(ctx, k.Bounds.CallTimeout())
 	defer stop()
 	n := r.Next(k.Self, r.Replicas, "the owner is gone: "+why, k.Clock.Now())
-	v, err := k.Client.Change(cx, assignment.Key(r.Partition), r.Writes, registerclient.Name(), n.Pack())
+	v, err := k.Client.Change(cx, assignment.Key(r.Partition), r.Writes, registerclient.NewChangeID(), n.Pack())
 	if err == nil {
 		n.Writes = v.Version
 		k.Log.Say(event.Inherited, "partition", r.Partition, "epoch", n.Epoch, "from", r.Owner, "reason", why)
--- a/internal/node/leaders/owners.go
+++ b/internal/node/leaders/owners.go
@@ -233,7 +233,7 @@
 			if r.Epoch != epoch || !ok {
 				return false
 			}
-			v, e := k.Client.Change(ctx, assignment.Key(p), r.Writes, registerclient.Name(), n.Pack())
+			v, e := k.Client.Change(ctx, assignment.Key(p), r.Writes, registerclient.NewChangeID(), n.Pack())
 			if e == nil {
 				n.Writes = v.Version
 				k.Tell(ctx, n)
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -81,7 +81,7 @@
 		if !c.value.list.Add(x) {
 			return nil, c.refuse(apierror.DecommissionUnsafe, "%d machines are being emptied, which is the most", decommission.ListMost)
 		}
-		_, err = s.Client.Change(ctx, decommission.Key, c.value.writes, registerclient.Name(), c.value.list.Pack())
+		_, err = s.Client.Change(ctx, decommission.Key, c.value.writes, registerclient.NewChangeID(), c.value.list.Pack())
 		if err == nil {
 			s.Log.Say(event.DrainAsked, "node", node, "partitions", x.Left)
 			return x, nil
--- a/internal/operator/retire.go
+++ b/internal/operator/retire.go
@@ -50,7 +50,7 @@
 		if err != nil || !more {
 			return err
 		}
-		_, err = s.Client.Change(ctx, retiredKey, v.Version, registerclient.Name(), r.Pack())
+		_, err = s.Client.Change(ctx, retiredKey, v.Version, registerclient.NewChangeID(), r.Pack())
 		if err == nil {
 			return nil
 		}
--- a/internal/operator/submit.go
+++ b/internal/operator/submit.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return false, err
 	}
-	sent, err := registerclient.Once(ctx, s.Client, Submit, &SubmitRequest{Base: base, By: registerclient.Name(), Doc: b})
+	sent, err := registerclient.ForwardOnce(ctx, s.Client, Submit, &SubmitRequest{Base: base, By: registerclient.NewChangeID(), Doc: b})
 	return sent && !apierror.HasCode(err, apierror.NotReady), err
 }
 
--- a/internal/placement/controller/drains.go
+++ b/internal/placement/controller/drains.go
@@ -42,7 +42,7 @@
 	if maps.Equal(was, list) {
 		return
 	}
-	if _, err := d.Client.Change(ctx, decommission.Key, v.Version, registerclient.Name(), list.Pack()); err != nil {
+	if _, err := d.Client.Change(ctx, decommission.Key, v.Version, registerclient.NewChangeID(), list.Pack()); err != nil {
 		d.Log.Say(event.DrainTrouble, "problem", err)
 		return
 	}
@@ -93,7 +93,7 @@
 	whole := true
 	rs := slices.Collect(maps.Values(d.recs))
 	for _, a := range quorum.Gather(ctx, rs, func(ctx context.Context, r assignment.Record) (assignment.Record, error) {
-		v, err := d.Client.Change(ctx, assignment.Key(r.Partition), r.Writes, registerclient.Name(), r.Pack())
+		v, err := d.Client.Change(ctx, assignment.Key(r.Partition), r.Writes, registerclient.NewChangeID(), r.Pack())
 		if err == nil {
 			r.Writes = v.Version
 			return r, nil
--- a/internal/placement/controller/duty.go
+++ b/internal/placement/controller/duty.go
@@ -178,7 +178,7 @@
 	ws := d.wants
 	d.wants = nil
 	for _, a := range quorum.Gather(ctx, ws, func(ctx context.Context, w want) (assignment.Record, error) {
-		v, err := d.Client.Change(ctx, assignment.Key(w.n.Partition), w.old.Writes, registerclient.Name(), w.n.Pack())
+		v, err := d.Client.Change(ctx, assignment.Key(w.n.Partition), w.old.Writes, registerclient.NewChangeID(), w.n.Pack())
 		if err == nil {
 			w.n.Writes = v.Version
 			d.Tell(context.WithoutCancel(ctx), w.n)
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -78,7 +78,7 @@
 
 // Play sends a recording's messages in the recorded order of each topic, at a speed, and checks what a listener receives.
 func Play(ctx context.Context, p transport.Port, h recording.Header, ms []recording.Message, speed float64) (Report, error) {
-	run := registerclient.Name()[:8]
+	run := registerclient.NewChangeID()[:8]
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	byTopic := map[string][]recording.Message{}
--- a/internal/testing/sim/retire_test.go
+++ b/internal/testing/sim/retire_test.go
@@ -129,7 +129,7 @@
 				others++
 			}
 			r.Learner = &assignment.Place{Node: o, Incarnation: w.Machines[o].Node().Info().Incarnation}
-			_, err := op.Client.Change(w.ctx, assignment.Key(p), r.Writes, registerclient.Name(), r.Pack())
+			_, err := op.Client.Change(w.ctx, assignment.Key(p), r.Writes, registerclient.NewChangeID(), r.Pack())
 			assert.Assert(t, apierror.HasCode(err, apierror.StaleBase), "partition %d: %v", p, err)
 			assert.Assert(t, !read(p).Holds(o))
 		}
