--- a/internal/control/reconfigurer/steward.go
+++ b/internal/control/reconfigurer/steward.go
@@ -25,48 +25,48 @@
 
 // Reconfigurer runs beside a voter.
 type Reconfigurer struct {
-	Self     string
-	Clock    clock.Clock
-	Bounds   settings.Timing
-	Board    *gossip.Board
-	Founder  *bootstrap.Bootstrapper
-	Reformer *reconfig.Executor
-	Live     func() []membership.Info
+	Self         string
+	Clock        clock.Clock
+	Timing       settings.Timing
+	Store        *gossip.Board
+	Bootstrapper *bootstrap.Bootstrapper
+	Executor     *reconfig.Executor
+	Live         func() []membership.Info
 	// Changed gives what is closed at news of the members.
 	Changed func() <-chan struct{}
 	// Sealed gives the roster that is sealed on this disk, and Sealing what is closed when one is.
-	Sealed  func() uint64
-	Sealing func() <-chan struct{}
-	Log     *event.Logger
-	Mender  *repair.Repairer
-	said    string
-	sealed  time.Time
-	swept   time.Time
-	gone    map[string]time.Time
-	zones   map[string]string
-	waits   bool
+	Sealed   func() uint64
+	Sealing  func() <-chan struct{}
+	Log      *event.Logger
+	Repairer *repair.Repairer
+	said     string
+	sealed   time.Time
+	swept    time.Time
+	gone     map[string]time.Time
+	zones    map[string]string
+	waits    bool
 }
 
 // Run tends the roster until ctx ends: at once on news of a control disk, and at its own pace.
 func (s *Reconfigurer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		ch, seal := s.Changed(), s.Sealing()
-		pace := clock.Jitter(s.Bounds.ReconcileInterval(), 1, rand.Float64())
-		cx, stop := context.WithTimeout(ctx, s.Bounds.Recovery)
-		if r := s.Board.Roster(); r.Sequence == 0 {
+		pace := clock.Jitter(s.Timing.ReconcileInterval(), 1, rand.Float64())
+		cx, stop := context.WithTimeout(ctx, s.Timing.Recovery)
+		if r := s.Store.Roster(); r.Sequence == 0 {
 			s.found(cx)
-			pace = s.Bounds.MaxBackoff()
+			pace = s.Timing.MaxBackoff()
 		} else {
 			s.waits = false
 			s.tend(cx, r)
 			if s.waits {
-				pace = s.Bounds.MaxBackoff()
+				pace = s.Timing.MaxBackoff()
 			} else if r.SpareVoters() > 0 {
 				pace /= spareShare
 			}
 		}
 		stop()
-		if s.Clock.Sleep(ctx, s.Bounds.MaxBackoff()/gatherShare) != nil {
+		if s.Clock.Sleep(ctx, s.Timing.MaxBackoff()/gatherShare) != nil {
 			return
 		}
 		clock.Wait(ctx, s.Clock, pace, ch, seal)
@@ -80,10 +80,10 @@
 const spareShare = 2
 
 func (s *Reconfigurer) found(ctx context.Context) {
-	r, err := s.Founder.Try(ctx)
+	r, err := s.Bootstrapper.Try(ctx)
 	if err == nil {
 		s.Log.Say(event.Founded, "fleet", r.Fleet, "voters", len(r.Voters))
-		s.Board.Offer(gossip.News{Roster: &r})
+		s.Store.Offer(gossip.News{Roster: &r})
 		return
 	}
 	if t := err.Error(); t != s.said {
@@ -158,7 +158,7 @@
 		return
 	}
 	quorum.Gather(ctx, late, func(ctx context.Context, x voters.Voter) (bool, error) {
-		err := s.Reformer.CatchUp(ctx, r, x)
+		err := s.Executor.CatchUp(ctx, r, x)
 		if err != nil {
 			s.Log.Say(event.RosterTrouble, "problem", err)
 		}
@@ -174,7 +174,7 @@
 		return
 	}
 	s.waits = true
-	now, wait := s.Clock.Now(), s.Bounds.ForwardTimeout()
+	now, wait := s.Clock.Now(), s.Timing.ForwardTimeout()
 	if s.sealed.IsZero() {
 		s.sealed = now
 	}
@@ -183,7 +183,7 @@
 			break
 		}
 		if _, ok := live[x.Node]; ok && x.Node != first {
-			wait += s.Bounds.SessionTimeout() / 2
+			wait += s.Timing.SessionTimeout() / 2
 		}
 	}
 	if now.Sub(s.sealed) < wait {
@@ -239,7 +239,7 @@
 		if !ok || len(gone) >= r.SpareVoters() {
 			continue
 		}
-		if s.Clock.Now().Sub(t) < s.Bounds.SessionTimeout()/2 {
+		if s.Clock.Now().Sub(t) < s.Timing.SessionTimeout()/2 {
 			s.waits = true
 			continue
 		}
@@ -250,7 +250,7 @@
 
 // ripe tells whether a voter is gone for long enough that its seat may be taken, which is longer for a newcomer of another zone.
 func (s *Reconfigurer) ripe(out string, i membership.Info) bool {
-	wait := s.Bounds.SessionTimeout()
+	wait := s.Timing.SessionTimeout()
 	if s.zones[out] == i.Zone {
 		wait /= 2
 	}
@@ -259,11 +259,11 @@
 
 func (s *Reconfigurer) sweep(ctx context.Context, r voters.Set) {
 	now := s.Clock.Now()
-	if now.Sub(s.swept) < s.Bounds.SweepInterval() {
+	if now.Sub(s.swept) < s.Timing.SweepInterval() {
 		return
 	}
 	s.swept = now
-	if n := s.Mender.Repair(ctx, r); n > 0 {
+	if n := s.Repairer.Repair(ctx, r); n > 0 {
 		s.Log.Say(event.RepairFound, "keys", n)
 	}
 }
@@ -274,12 +274,12 @@
 
 func (s *Reconfigurer) change(ctx context.Context, r, want voters.Set, why string) {
 	s.Log.Say(event.RosterChange, "from", r.Sequence, "reason", why)
-	n, err := s.Reformer.Change(ctx, r, want)
+	n, err := s.Executor.Change(ctx, r, want)
 	if err != nil {
 		if !apierror.HasCode(err, apierror.StaleVoterSet) {
 			s.Log.Say(event.RosterTrouble, "problem", err)
 		}
 		return
 	}
-	s.Board.Offer(gossip.News{Roster: &n})
+	s.Store.Offer(gossip.News{Roster: &n})
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -301,7 +301,7 @@
 		n.confirm = &quorumread.Confirmer{Self: self, Net: net, Clock: clk, Timing: b, Store: n.Board, Proposer: n.holder, Repairer: mender}
 		n.host = &nodelease.Host{Self: self, Seeds: o.Seeds, Clock: clk, Bounds: b, Net: net, Table: n.table, Board: n.Board, Info: n.Info, Latest: n.confirm.Latest}
 		n.founder = bootstrap.New(o, net, n.Info)
-		n.reconfigurer = &reconfigurer.Reconfigurer{Self: self, Clock: clk, Bounds: b, Board: n.Board, Founder: n.founder, Reformer: reconfig.New(self, net, b), Mender: mender, Live: n.controls, Changed: n.table.Changed, Sealed: n.voter.Sealed, Sealing: n.voter.Sealing, Log: n.log}
+		n.reconfigurer = &reconfigurer.Reconfigurer{Self: self, Clock: clk, Timing: b, Store: n.Board, Bootstrapper: n.founder, Executor: reconfig.New(self, net, b), Repairer: mender, Live: n.controls, Changed: n.table.Changed, Sealed: n.voter.Sealed, Sealing: n.voter.Sealing, Log: n.log}
 		if r := n.voter.VoterSet(); r.Sequence > 0 {
 			n.Board.Offer(gossip.News{Roster: &r})
 		}
