--- a/internal/client/session/house.go
+++ b/internal/client/session/house.go
@@ -137,10 +137,10 @@
 // move tells every visitor another node of its zone, spread over those that serve by their processor, or of any zone when there is none.
 func (h *House) move() {
 	me := h.Info()
-	all := membership.Pick(h.Members(), func(i membership.Info) bool {
-		return i.Visits != "" && i.Name != me.Name && i.Stage == membership.Serving && !i.Deaf
+	all := membership.Filter(h.Members(), func(i membership.Info) bool {
+		return i.ClientAddr != "" && i.Name != me.Name && i.Stage == membership.Serving && !i.Deaf
 	})
-	to := membership.Pick(all, func(i membership.Info) bool { return i.Zone == me.Zone })
+	to := membership.Filter(all, func(i membership.Info) bool { return i.Zone == me.Zone })
 	if len(to) == 0 {
 		to = all
 	}
@@ -154,7 +154,7 @@
 	}
 	next := deal(to)
 	for _, v := range h.all() {
-		v.out(Answer{What: Moved, Address: next().Visits})
+		v.out(Answer{What: Moved, Address: next().ClientAddr})
 	}
 }
 
@@ -176,7 +176,7 @@
 	if h.refuge == nil {
 		return ""
 	}
-	return h.refuge().Visits
+	return h.refuge().ClientAddr
 }
 
 // Stays tells whether visitors may stay here.
@@ -292,7 +292,7 @@
 	v.away = true
 	v.mu.Unlock()
 	if !again {
-		v.out(Answer{What: Moved, Address: v.h.Info().Visits})
+		v.out(Answer{What: Moved, Address: v.h.Info().ClientAddr})
 	}
 }
 
--- a/internal/client/session/house_test.go
+++ b/internal/client/session/house_test.go
@@ -123,7 +123,7 @@
 		hub := fanout.New(ctx, "a1", "boot", h.src, b, clock.Real{}, settings.DefaultTiming)
 		h.House = (&House{
 			Self: "a1", Clock: clock.Real{}, Bounds: settings.DefaultTiming, Board: b, Hub: hub, Licensed: func() error { return nil }, Leaving: make(chan struct{}),
-			Members: func() []membership.Info { return nil }, Info: func() membership.Info { return membership.Info{Name: "a1", Visits: here} }, Body: 1 << 10,
+			Members: func() []membership.Info { return nil }, Info: func() membership.Info { return membership.Info{Name: "a1", ClientAddr: here} }, Body: 1 << 10,
 		}).Open(ctx)
 		go h.Run(ctx)
 		go hub.Run(ctx)
--- a/internal/client/session/spread.go
+++ b/internal/client/session/spread.go
@@ -29,11 +29,11 @@
 
 // plan finds which part of its newcomers a node keeps, and who takes the others. Each of n nodes that serve is sent as many.
 func plan(me membership.Info, all []membership.Info) (keep float64, to []room) {
-	if me.Processor == 0 || me.Processor >= scarce {
+	if me.MilliCores == 0 || me.MilliCores >= scarce {
 		return 1, nil
 	}
-	in := membership.Pick(all, func(i membership.Info) bool {
-		return i.Zone == me.Zone && i.Visits != "" && i.Processor > 0 && (i.Name == me.Name || i.Stage == membership.Serving && !i.Deaf)
+	in := membership.Filter(all, func(i membership.Info) bool {
+		return i.Zone == me.Zone && i.ClientAddr != "" && i.MilliCores > 0 && (i.Name == me.Name || i.Stage == membership.Serving && !i.Deaf)
 	})
 	sum := 0
 	for _, i := range in {
@@ -41,9 +41,9 @@
 	}
 	mean, surplus := float64(sum)/float64(max(len(in), 1)), 0.0
 	for _, i := range in {
-		if x := float64(free(i)) - mean; x > 0 && i.Processor >= scarce && i.Name != me.Name {
+		if x := float64(free(i)) - mean; x > 0 && i.MilliCores >= scarce && i.Name != me.Name {
 			surplus += x
-			to = append(to, room{i.Visits, surplus})
+			to = append(to, room{i.ClientAddr, surplus})
 		}
 	}
 	if len(to) == 0 {
@@ -58,9 +58,9 @@
 // free is what a node has of a processor for visitors: a control node keeps half for what the whole fleet waits for.
 func free(i membership.Info) int {
 	if i.Disk == settings.DiskControl {
-		return max(i.Processor/controlShare, 1)
+		return max(i.MilliCores/controlShare, 1)
 	}
-	return i.Processor
+	return i.MilliCores
 }
 
 const controlShare = 2
@@ -98,13 +98,13 @@
 func deal(to []membership.Info) func() membership.Info {
 	least := math.MaxInt
 	for _, i := range to {
-		if i.Processor > 0 {
+		if i.MilliCores > 0 {
 			least = min(least, free(i))
 		}
 	}
 	had, sum := make([]float64, len(to)), 0.0
 	part := func(i membership.Info) float64 {
-		if i.Processor == 0 {
+		if i.MilliCores == 0 {
 			return 1
 		}
 		return float64(free(i)) / float64(least)
--- a/internal/client/session/spread_test.go
+++ b/internal/client/session/spread_test.go
@@ -13,14 +13,14 @@
 func zone(big, small int) []membership.Info {
 	var all []membership.Info
 	for i := range big + small {
-		x := membership.Info{Name: fmt.Sprintf("a%d", i), Zone: "z", Visits: fmt.Sprintf("10.0.0.%d:1", i), Stage: membership.Serving, Processor: 32}
+		x := membership.Info{Name: fmt.Sprintf("a%d", i), Zone: "z", ClientAddr: fmt.Sprintf("10.0.0.%d:1", i), Stage: membership.Serving, MilliCores: 32}
 		if i < big {
-			x.Processor = 352
+			x.MilliCores = 352
 		}
 		all = append(all, x)
 	}
-	return append(all, membership.Info{Name: "far", Zone: "y", Visits: "10.1.0.1:1", Stage: membership.Serving, Processor: 4000},
-		membership.Info{Name: "store", Zone: "z", Stage: membership.Serving, Processor: 480})
+	return append(all, membership.Info{Name: "far", Zone: "y", ClientAddr: "10.1.0.1:1", Stage: membership.Serving, MilliCores: 4000},
+		membership.Info{Name: "store", Zone: "z", Stage: membership.Serving, MilliCores: 480})
 }
 
 // Visitors come to all nodes of a zone alike; after those with next to no processor sent on what is not theirs, each node has visits by its processor.
@@ -28,9 +28,9 @@
 	all := zone(2, 17)
 	got, sum := map[string]float64{}, 0
 	for _, me := range all[:19] {
-		sum += me.Processor
+		sum += me.MilliCores
 		keep, to := plan(me, all)
-		got[me.Visits] += keep
+		got[me.ClientAddr] += keep
 		was := 0.0
 		for _, r := range to {
 			got[r.address] += (1 - keep) * (r.upto - was)
@@ -41,7 +41,7 @@
 		}
 	}
 	for _, i := range all[:19] {
-		share, want := got[i.Visits]/19, float64(i.Processor)/float64(sum)
+		share, want := got[i.ClientAddr]/19, float64(i.MilliCores)/float64(sum)
 		assert.Assert(t, share > 0.99*want && share < 1.01*want, "%s has %.3f of the visitors and %.3f of the processor", i.Name, share, want)
 	}
 }
@@ -49,12 +49,12 @@
 func TestWhoKeepsAllVisitors(t *testing.T) {
 	all := zone(2, 17)
 	for name, f := range map[string]func(me *membership.Info, all []membership.Info){
-		"plenty":                  func(me *membership.Info, _ []membership.Info) { me.Processor = scarce },
-		"not known":               func(me *membership.Info, _ []membership.Info) { me.Processor = 0 },
+		"plenty":                  func(me *membership.Info, _ []membership.Info) { me.MilliCores = scarce },
+		"not known":               func(me *membership.Info, _ []membership.Info) { me.MilliCores = 0 },
 		"nobody in the zone":      func(me *membership.Info, _ []membership.Info) { me.Zone = "x" },
 		"the others leave":        func(_ *membership.Info, all []membership.Info) { all[0].Stage, all[1].Stage = "leaving", "leaving" },
 		"the others are cut off":  func(_ *membership.Info, all []membership.Info) { all[0].Deaf, all[1].Deaf = true, true },
-		"the others have as much": func(_ *membership.Info, all []membership.Info) { all[0].Processor, all[1].Processor = 32, 32 },
+		"the others have as much": func(_ *membership.Info, all []membership.Info) { all[0].MilliCores, all[1].MilliCores = 32, 32 },
 	} {
 		is := append([]membership.Info(nil), all...)
 		me := is[5]
@@ -81,7 +81,7 @@
 			case "attached":
 				kept++
 				continue
-			case "moved " + all[0].Visits:
+			case "moved " + all[0].ClientAddr:
 				sent++
 			default:
 				t.Fatal(s)
@@ -100,18 +100,18 @@
 	count := func(is []membership.Info, n int) map[string]int {
 		got, next := map[string]int{}, deal(is)
 		for range n {
-			got[next().Visits]++
+			got[next().ClientAddr]++
 		}
 		return got
 	}
 	is := zone(2, 3)[:5]
 	got := count(is, 800)
 	for _, i := range is {
-		want := 800 * i.Processor / (2*352 + 3*32)
-		assert.Assert(t, got[i.Visits] >= want-1 && got[i.Visits] <= want+1, "%s got %d, not %d", i.Name, got[i.Visits], want)
+		want := 800 * i.MilliCores / (2*352 + 3*32)
+		assert.Assert(t, got[i.ClientAddr] >= want-1 && got[i.ClientAddr] <= want+1, "%s got %d, not %d", i.Name, got[i.ClientAddr], want)
 	}
 	for i := range is {
-		is[i].Processor = 0
+		is[i].MilliCores = 0
 	}
 	for a, n := range count(is, 100) {
 		assert.Assert(t, n >= 19 && n <= 21, "%s got %d of 100 among five", a, n)
--- a/internal/client/withdraw_test.go
+++ b/internal/client/withdraw_test.go
@@ -118,7 +118,7 @@
 	v := membership.NewView()
 	s := &Service{Desk: &router.Desk{View: v}}
 	k := "k"
-	v.Set([]membership.Info{{Name: "a1", Keys: true}, {Name: "a2"}})
+	v.Set([]membership.Info{{Name: "a1", SupportsKeys: true}, {Name: "a2"}})
 	_, err := s.submit(t.Context(), &Task{Key: &k}, &leader.Task{})
 	assert.Assert(t, apierror.HasCode(err, apierror.NotReady), "%v", err)
 	assert.ErrorContains(t, err, "a2")
--- a/internal/control/bootstrap/founding.go
+++ b/internal/control/bootstrap/founding.go
@@ -49,7 +49,7 @@
 		}
 		cx, stop := context.WithTimeout(ctx, f.opts.Timing().CallTimeout())
 		defer stop()
-		h, err := membership.Hello.Call(cx, f.net, f.opts.Name, a, &membership.HelloRequest{})
+		h, err := membership.Identify.Call(cx, f.net, f.opts.Name, a, &membership.IdentifyRequest{})
 		if err != nil {
 			return membership.Info{}, err
 		}
@@ -60,18 +60,18 @@
 	}
 	var seats []voters.Voter
 	for _, a := range as {
-		if a.Value.Roster > 0 {
-			return voters.Set{}, apierror.New(apierror.StaleVoterSet, "%s is under roster %d already", a.Value.Name, a.Value.Roster).WithCurrent(a.Value.Roster)
+		if a.Value.VoterSet > 0 {
+			return voters.Set{}, apierror.New(apierror.StaleVoterSet, "%s is under roster %d already", a.Value.Name, a.Value.VoterSet).WithCurrent(a.Value.VoterSet)
 		}
 		if a.Value.Disk == settings.DiskControl {
-			seats = append(seats, voters.Voter{Node: a.Value.Name, Addr: a.Value.Peers, Incarnation: a.Value.Incarnation})
+			seats = append(seats, voters.Voter{Node: a.Value.Name, Addr: a.Value.PeerAddr, Incarnation: a.Value.Incarnation})
 		} else if named {
 			return voters.Set{}, apierror.New(apierror.NotBootstrapped, "founder %s at %s has no control disk", a.Value.Name, a.Target)
 		}
 	}
 	if len(seats) == 0 && seeds {
 		i := f.self()
-		seats = []voters.Voter{{Node: i.Name, Addr: i.Peers, Incarnation: i.Incarnation}}
+		seats = []voters.Voter{{Node: i.Name, Addr: i.PeerAddr, Incarnation: i.Incarnation}}
 	}
 	if len(seats) == 0 {
 		return voters.Set{}, apierror.New(apierror.NotBootstrapped, "no founding address has a control disk")
--- a/internal/control/reconfigurer/steward.go
+++ b/internal/control/reconfigurer/steward.go
@@ -103,7 +103,7 @@
 	first := ""
 	for _, x := range r.Voters {
 		i, ok := live[x.Node]
-		if ok && i.Incarnation == x.Incarnation && i.Roster == r.Sequence && first == "" {
+		if ok && i.Incarnation == x.Incarnation && i.VoterSet == r.Sequence && first == "" {
 			first = x.Node
 		}
 	}
@@ -122,16 +122,16 @@
 		case !ok:
 		case i.Incarnation != x.Incarnation:
 			ins, whys = append(ins, seat(i)), append(whys, "disk of "+x.Node+" is another one")
-		case i.Peers != x.Addr:
+		case i.PeerAddr != x.Addr:
 			ins, whys = append(ins, seat(i)), append(whys, x.Node+" is reached at another address")
-		case i.Roster < r.Sequence:
+		case i.VoterSet < r.Sequence:
 			late = append(late, x)
 		}
 	}
 	var news []membership.Info
 	for _, n := range slices.Sorted(maps.Keys(live)) {
 		i := live[n]
-		if _, ok := r.Voter(n); !ok && i.Roster < r.Sequence && i.Stage == membership.Serving {
+		if _, ok := r.Voter(n); !ok && i.VoterSet < r.Sequence && i.Stage == membership.Serving {
 			news = append(news, i)
 		}
 	}
@@ -269,7 +269,7 @@
 }
 
 func seat(i membership.Info) voters.Voter {
-	return voters.Voter{Node: i.Name, Addr: i.Peers, Incarnation: i.Incarnation}
+	return voters.Voter{Node: i.Name, Addr: i.PeerAddr, Incarnation: i.Incarnation}
 }
 
 func (s *Reconfigurer) change(ctx context.Context, r, want voters.Set, why string) {
--- a/internal/control/registerclient/client.go
+++ b/internal/control/registerclient/client.go
@@ -34,7 +34,7 @@
 }
 
 func (c *Client) nodes() []membership.Info {
-	is := membership.Pick(c.view(), func(i membership.Info) bool {
+	is := membership.Filter(c.view(), func(i membership.Info) bool {
 		return i.Disk == settings.DiskControl && i.Stage == membership.Serving && i.Name != c.self
 	})
 	c.mu.Lock()
@@ -72,7 +72,7 @@
 		go func() {
 			cx, stop := context.WithTimeout(cx, c.bounds.CallTimeout())
 			defer stop()
-			a, err := f(cx, i.Peers)
+			a, err := f(cx, i.PeerAddr)
 			ch <- answer[A]{a, err, i.Name}
 		}()
 	}
@@ -113,7 +113,7 @@
 	}
 	cx, stop := context.WithTimeout(ctx, c.bounds.CallTimeout())
 	defer stop()
-	_, err = p.Call(cx, c.net, c.self, ns[mrand.IntN(len(ns))].Peers, q)
+	_, err = p.Call(cx, c.net, c.self, ns[mrand.IntN(len(ns))].PeerAddr, q)
 	return true, err
 }
 
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -376,7 +376,7 @@
 			few, wide = g.wait(ctx, ch)
 		}
 		g.pass(ctx)
-		fs := membership.Pick(g.View(), func(i membership.Info) bool { return i.Name != g.Self && (wide || kept(i)) })
+		fs := membership.Filter(g.View(), func(i membership.Info) bool { return i.Name != g.Self && (wide || kept(i)) })
 		rand.Shuffle(len(fs), func(a, b int) { fs[a], fs[b] = fs[b], fs[a] })
 		for _, f := range fs[:min(len(fs), few)] {
 			go g.swap(ctx, f)
@@ -465,7 +465,7 @@
 	n := g.Board.Since(was)
 	var mine []membership.Info
 	all := g.View()
-	by := membership.Pick(all, kept)
+	by := membership.Filter(all, kept)
 	if !slices.ContainsFunc(by, func(i membership.Info) bool { return i.Name == g.Self }) {
 		by = append(by, membership.Info{Name: g.Self})
 	}
@@ -509,7 +509,7 @@
 	defer stop()
 	d := g.digest()
 	d.Description, d.Without = 0, true
-	_, _ = Exchange.Call(cx, g.Net, g.Self, f.Peers, &ExchangeRequest{Digest: d, News: g.suited(n, !kept(f))})
+	_, _ = Exchange.Call(cx, g.Net, g.Self, f.PeerAddr, &ExchangeRequest{Digest: d, News: g.suited(n, !kept(f))})
 }
 
 // Tell has records that were written here known at once: by those that they name, and by a few others with a disk that pass them on.
@@ -539,7 +539,7 @@
 			named[n] = true
 		}
 	}
-	fs := membership.Pick(g.View(), func(i membership.Info) bool { return i.Name != g.Self && kept(i) })
+	fs := membership.Filter(g.View(), func(i membership.Info) bool { return i.Name != g.Self && kept(i) })
 	rand.Shuffle(len(fs), func(a, b int) { fs[a], fs[b] = fs[b], fs[a] })
 	more := toldPerNews
 	for _, f := range fs {
@@ -577,7 +577,7 @@
 	d.Records = nil
 	d.Without = !g.first()
 	defer g.freed(!d.Without)
-	a, err := Exchange.Call(cx, g.Net, g.Self, f.Peers, &ExchangeRequest{Digest: d, Hash: hash})
+	a, err := Exchange.Call(cx, g.Net, g.Self, f.PeerAddr, &ExchangeRequest{Digest: d, Hash: hash})
 	if err != nil {
 		return
 	}
@@ -588,7 +588,7 @@
 			got = true
 			had := g.digest()
 			had.Without = d.Without
-			if a, err = Exchange.Call(cx, g.Net, g.Self, f.Peers, &ExchangeRequest{Digest: had, News: n}); err == nil {
+			if a, err = Exchange.Call(cx, g.Net, g.Self, f.PeerAddr, &ExchangeRequest{Digest: had, News: n}); err == nil {
 				g.Board.Offer(a.News)
 			}
 		}
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -14,74 +14,74 @@
 
 // Stages of a node.
 const (
-	Serving = "serving"
-	Leaving = "leaving"
+	Serving  = "serving"
+	Draining = "leaving"
 )
 
 // Info is what a node says of itself.
 type Info struct {
-	Name   string `json:"name"`
-	Zone   string `json:"zone"`
-	Listen string `json:"listen"`
-	Peers  string `json:"fellows"`
-	// Visits is where visitors' line sessions are taken.
-	Visits      string `json:"visits,omitempty"`
+	Name       string `json:"name"`
+	Zone       string `json:"zone"`
+	ListenAddr string `json:"listen"`
+	PeerAddr   string `json:"fellows"`
+	// ClientAddr is where visitors' line sessions are taken.
+	ClientAddr  string `json:"visits,omitempty"`
 	Disk        string `json:"disk"`
 	Incarnation string `json:"incarnation,omitempty"`
-	Boot        string `json:"boot"`
+	BootID      string `json:"boot"`
 	Stage       string `json:"stage"`
-	// Description is which one the node has. Control nodes alone are told that of others, the others that one is Behind: it has had an older one than is
+	// Configuration is which one the node has. Control nodes alone are told that of others, the others that one is Behind: it has had an older one than is
 	// confirmed for longer than a lease.
-	Description uint64 `json:"description,omitempty"`
-	Behind      bool   `json:"behind,omitempty"`
-	Roster      uint64 `json:"roster"`
-	Partitions  int    `json:"partitions"`
+	Configuration      uint64 `json:"description,omitempty"`
+	ConfigurationStale bool   `json:"behind,omitempty"`
+	VoterSet           uint64 `json:"roster"`
+	Partitions         int    `json:"partitions"`
 	// Loads is what each partition owned here takes a second.
-	Loads   map[int]float64 `json:"loads,omitempty"`
-	Fitness string          `json:"fitness,omitempty"`
-	Deaf    bool            `json:"deaf,omitempty"`
-	Build   string          `json:"build,omitempty"`
-	Wire    int             `json:"wire"`
-	// Lag is how long this node's heartbeats take, in microseconds, the second shortest of the last few; all that are far from slow are told as one.
-	Lag int64 `json:"lag_us,omitempty"`
-	// Homes tells that this build keeps attachments in an urgent partition too.
-	Homes bool `json:"homes,omitempty"`
-	// Keys tells that this build knows keys of messages and their withdrawal.
-	Keys bool `json:"keys,omitempty"`
-	// Processor is what the node has of one for visitors, in thousandths of a core, less where its link is narrow beside it; 0 when that isn't known.
-	Processor int `json:"processor,omitempty"`
+	Loads        map[int]float64 `json:"loads,omitempty"`
+	DiskHealth   string          `json:"fitness,omitempty"`
+	Deaf         bool            `json:"deaf,omitempty"`
+	BuildVersion string          `json:"build,omitempty"`
+	WireVersion  int             `json:"wire"`
+	// LatencyMicros is how long this node's heartbeats take, in microseconds, the second shortest of the last few; all that are far from slow are told as one.
+	LatencyMicros int64 `json:"lag_us,omitempty"`
+	// SupportsTwoHomes tells that this build keeps attachments in an urgent partition too.
+	SupportsTwoHomes bool `json:"homes,omitempty"`
+	// SupportsKeys tells that this build knows keys of messages and their withdrawal.
+	SupportsKeys bool `json:"keys,omitempty"`
+	// MilliCores is what the node has of one for visitors, in thousandths of a core, less where its link is narrow beside it; 0 when that isn't known.
+	MilliCores int `json:"processor,omitempty"`
 }
 
-// Heard is a session: what a node said and how long ago.
-type Heard struct {
+// Session is a session: what a node said and how long ago.
+type Session struct {
 	Info Info          `json:"info"`
 	Age  time.Duration `json:"age"`
 }
 
 // SessionsRequest gives a control node another's sessions.
 type SessionsRequest struct {
-	From     string  `json:"from"`
-	Sessions []Heard `json:"sessions,omitempty"`
-	// Story tells the sessions by difference, Have how far the story of the receiver is known; Sessions then holds nothing.
-	Story *Story `json:"s,omitempty"`
-	Have  *Mark  `json:"h,omitempty"`
+	From     string    `json:"from"`
+	Sessions []Session `json:"sessions,omitempty"`
+	// Update tells the sessions by difference, Have how far the story of the receiver is known; Sessions then holds nothing.
+	Update       *SessionUpdate `json:"s,omitempty"`
+	KnownVersion *Version       `json:"h,omitempty"`
 }
 
 // SessionsResponse gives the receiver's sessions back.
 type SessionsResponse struct {
-	From     string  `json:"f,omitempty"`
-	Sessions []Heard `json:"sessions,omitempty"`
-	Story    *Story  `json:"s,omitempty"`
-	Have     *Mark   `json:"h,omitempty"`
+	From         string         `json:"f,omitempty"`
+	Sessions     []Session      `json:"sessions,omitempty"`
+	Update       *SessionUpdate `json:"s,omitempty"`
+	KnownVersion *Version       `json:"h,omitempty"`
 }
 
-// HelloRequest asks a seed who it is. A control node that knows no roster says who it is itself, so that others find it through the seed.
-type HelloRequest struct {
+// IdentifyRequest asks a seed who it is. A control node that knows no roster says who it is itself, so that others find it through the seed.
+type IdentifyRequest struct {
 	From *Info `json:"from,omitempty"`
 }
 
-// HelloResponse says who a node is and whom it knows.
-type HelloResponse struct {
+// IdentifyResponse says who a node is and whom it knows.
+type IdentifyResponse struct {
 	Info  Info   `json:"info"`
 	Known []Info `json:"known"`
 }
@@ -89,7 +89,7 @@
 // The calls of membership.
 var (
 	Sessions = wire.NewProcedure[SessionsRequest, SessionsResponse]("Member", "Sessions", wire.Monotonic, "sessions carry ages, and what was heard later stands")
-	Hello    = wire.NewProcedure[HelloRequest, HelloResponse]("Member", "Hello", wire.Monotonic, "what is said of the sender is kept for a session at most")
+	Identify = wire.NewProcedure[IdentifyRequest, IdentifyResponse]("Member", "Hello", wire.Monotonic, "what is said of the sender is kept for a session at most")
 )
 
 type seen struct {
@@ -113,9 +113,9 @@
 
 const forgetAfter = 10
 
-// Note takes in what was heard of a node some time ago. News of another run of the
+// Observe takes in what was heard of a node some time ago. News of another run of the
 // same node counts only when it is younger.
-func (t *Table) Note(i Info, age time.Duration) {
+func (t *Table) Observe(i Info, age time.Duration) {
 	now := t.clk.Now()
 	at := now.Add(-age)
 	t.mu.Lock()
@@ -125,15 +125,15 @@
 		return
 	}
 	t.m[i.Name] = seen{info: i, at: at}
-	if !ok || now.Sub(s.at) >= t.bounds.SessionTimeout() || s.info.Differs(i) {
+	if !ok || now.Sub(s.at) >= t.bounds.SessionTimeout() || s.info.DiffersMaterially(i) {
 		close(t.news)
 		t.news = make(chan struct{})
 	}
 }
 
-// Differs tells whether two sayings of one node differ in what control and placement act on.
-func (i Info) Differs(k Info) bool {
-	return i.Boot != k.Boot || i.Disk != k.Disk || i.Incarnation != k.Incarnation || i.Stage != k.Stage || i.Fitness != k.Fitness || i.Deaf != k.Deaf || i.Peers != k.Peers || i.Roster != k.Roster
+// DiffersMaterially tells whether two sayings of one node differ in what control and placement act on.
+func (i Info) DiffersMaterially(k Info) bool {
+	return i.BootID != k.BootID || i.Disk != k.Disk || i.Incarnation != k.Incarnation || i.Stage != k.Stage || i.DiskHealth != k.DiskHealth || i.Deaf != k.Deaf || i.PeerAddr != k.PeerAddr || i.VoterSet != k.VoterSet
 }
 
 // Changed is closed when a node joins, comes back, or says something new of its disk, stage, lease, address or roster.
@@ -161,15 +161,15 @@
 	return is
 }
 
-// Heard gives all live sessions with their ages.
-func (t *Table) Heard() []Heard {
+// Sessions gives all live sessions with their ages.
+func (t *Table) Sessions() []Session {
 	now := t.clk.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var hs []Heard
+	var hs []Session
 	for _, s := range t.m {
 		if age := now.Sub(s.at); age < t.bounds.SessionTimeout() {
-			hs = append(hs, Heard{Info: s.info, Age: age})
+			hs = append(hs, Session{Info: s.info, Age: age})
 		}
 	}
 	return hs
@@ -221,8 +221,8 @@
 	v.Set(all)
 }
 
-// Last finds a member, or a node that was one once.
-func (v *View) Last(n string) (Info, bool) {
+// LastKnown finds a member, or a node that was one once.
+func (v *View) LastKnown(n string) (Info, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	i, ok := v.last[n]
@@ -244,8 +244,8 @@
 	return i, ok
 }
 
-// Pick gives the members that f keeps.
-func Pick(is []Info, f func(Info) bool) []Info {
+// Filter gives the members that f keeps.
+func Filter(is []Info, f func(Info) bool) []Info {
 	var r []Info
 	for _, i := range is {
 		if f(i) {
--- a/internal/membership/reachability/touch.go
+++ b/internal/membership/reachability/touch.go
@@ -133,7 +133,7 @@
 		g = g[:min(len(g), askedMost)]
 		cx, stop := context.WithTimeout(ctx, 2*t.Bounds.HedgeDelay())
 		as := quorum.Successes(quorum.Gather(cx, g, func(ctx context.Context, i membership.Info) (*ReachResponse, error) {
-			a, err := Reach.Call(ctx, t.Net, t.Self, i.Peers, &ReachRequest{})
+			a, err := Reach.Call(ctx, t.Net, t.Self, i.PeerAddr, &ReachRequest{})
 			if err == nil && a.Well {
 				go func() {
 					_ = t.Clock.Sleep(cx, t.Bounds.InitialBackoff())
--- a/internal/membership/roll.go
+++ b/internal/membership/roll.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// Lasting gives what all nodes are told of a node, without what moves all the time: that goes to control nodes only.
-func (i Info) Lasting() Info {
-	i.Description, i.Roster, i.Partitions, i.Loads, i.Lag = 0, 0, 0, nil, 0
+// Stable gives what all nodes are told of a node, without what moves all the time: that goes to control nodes only.
+func (i Info) Stable() Info {
+	i.Configuration, i.VoterSet, i.Partitions, i.Loads, i.LatencyMicros = 0, 0, 0, nil, 0
 	return i
 }
 
 // same tells whether two sayings of one node are alike in all that Lasting keeps.
 func (i Info) same(k Info) bool {
-	return !i.Differs(k) && i.Behind == k.Behind && i.Name == k.Name && i.Zone == k.Zone && i.Listen == k.Listen && i.Visits == k.Visits && i.Build == k.Build && i.Wire == k.Wire && i.Homes == k.Homes && i.Keys == k.Keys && i.Processor == k.Processor
+	return !i.DiffersMaterially(k) && i.ConfigurationStale == k.ConfigurationStale && i.Name == k.Name && i.Zone == k.Zone && i.ListenAddr == k.ListenAddr && i.ClientAddr == k.ClientAddr && i.BuildVersion == k.BuildVersion && i.WireVersion == k.WireVersion && i.SupportsTwoHomes == k.SupportsTwoHomes && i.SupportsKeys == k.SupportsKeys && i.MilliCores == k.MilliCores
 }
 
-// Alike tells whether a saying is near enough to an older one that it need not be told.
-func (i Info) Alike(k Info) bool {
-	return i.same(k) && i.Description == k.Description && i.Partitions == k.Partitions && near(float64(i.Lag), float64(k.Lag)) &&
+// EquivalentTo tells whether a saying is near enough to an older one that it need not be told.
+func (i Info) EquivalentTo(k Info) bool {
+	return i.same(k) && i.Configuration == k.Configuration && i.Partitions == k.Partitions && near(float64(i.LatencyMicros), float64(k.LatencyMicros)) &&
 		maps.EqualFunc(i.Loads, k.Loads, near)
 }
 
@@ -37,27 +37,27 @@
 	return max(d, -d) <= max(m/nearShare, nearLeast)
 }
 
-// Mark is a place in the story of a roll: which roll it is, and how many changes there were. The zero mark stands before all.
-type Mark struct {
-	Run uint64 `json:"r,omitempty"`
-	To  uint64 `json:"t,omitempty"`
+// Version is a place in the story of a roll: which roll it is, and how many changes there were. The zero mark stands before all.
+type Version struct {
+	List    uint64 `json:"r,omitempty"`
+	Changes uint64 `json:"t,omitempty"`
 }
 
 // Change is what came to a roll after a mark: sayings that are new, nodes that only have another description, and names that are gone.
 // Whole says that it is all there is.
 type Change struct {
-	Mark  Mark     `json:"m"`
-	Base  uint64   `json:"b,omitempty"`
-	Whole bool     `json:"w,omitempty"`
-	News  []Info   `json:"n,omitempty"`
-	Gone  []string `json:"g,omitempty"`
-	// Moved has the descriptions of nodes of which nothing else changed.
-	Moved map[string]uint64 `json:"d,omitempty"`
+	Version  Version  `json:"m"`
+	Base     uint64   `json:"b,omitempty"`
+	Complete bool     `json:"w,omitempty"`
+	Updated  []Info   `json:"n,omitempty"`
+	Removed  []string `json:"g,omitempty"`
+	// ConfigurationOnly has the descriptions of nodes of which nothing else changed.
+	ConfigurationOnly map[string]uint64 `json:"d,omitempty"`
 }
 
 // Empty tells whether there is nothing new.
 func (c Change) Empty() bool {
-	return !c.Whole && len(c.News) == 0 && len(c.Gone) == 0 && len(c.Moved) == 0
+	return !c.Complete && len(c.Updated) == 0 && len(c.Removed) == 0 && len(c.ConfigurationOnly) == 0
 }
 
 const goneMost = 1 << 10
@@ -68,8 +68,8 @@
 	moved uint64
 }
 
-// Roll is a list of nodes that tells its changes.
-type Roll struct {
+// VersionedList is a list of nodes that tells its changes.
+type VersionedList struct {
 	mu    sync.Mutex
 	run   uint64
 	to    uint64
@@ -79,7 +79,7 @@
 }
 
 // Set replaces the list; sayings that are alike count as no change.
-func (r *Roll) Set(is []Info) {
+func (r *VersionedList) Set(is []Info) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.run == 0 {
@@ -90,13 +90,13 @@
 		have[i.Name] = true
 		e, ok := r.m[i.Name]
 		was := e.info
-		was.Description = i.Description
+		was.Configuration = i.Configuration
 		switch {
-		case !ok || !i.Alike(was):
+		case !ok || !i.EquivalentTo(was):
 			r.to++
 			r.m[i.Name] = entry{info: i, at: r.to}
 			delete(r.gone, i.Name)
-		case i.Description != e.info.Description:
+		case i.Configuration != e.info.Configuration:
 			r.to++
 			r.m[i.Name] = entry{was, e.at, r.to}
 		}
@@ -115,32 +115,32 @@
 }
 
 // Since gives what came after a mark.
-func (r *Roll) Since(k Mark) Change {
+func (r *VersionedList) Since(k Version) Change {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c := Change{Mark: Mark{r.run, r.to}, Base: k.To}
-	if c.Whole = k.Run != r.run || k.To < r.floor || k.To > r.to; c.Whole {
+	c := Change{Version: Version{r.run, r.to}, Base: k.Changes}
+	if c.Complete = k.List != r.run || k.Changes < r.floor || k.Changes > r.to; c.Complete {
 		c.Base = 0
-	} else if k.To == r.to {
+	} else if k.Changes == r.to {
 		return c
 	}
 	for n, e := range r.m {
 		switch {
-		case c.Whole || e.at > c.Base:
-			c.News = append(c.News, e.info)
+		case c.Complete || e.at > c.Base:
+			c.Updated = append(c.Updated, e.info)
 		case e.moved > c.Base:
-			if c.Moved == nil {
-				c.Moved = map[string]uint64{}
+			if c.ConfigurationOnly == nil {
+				c.ConfigurationOnly = map[string]uint64{}
 			}
-			c.Moved[n] = e.info.Description
+			c.ConfigurationOnly[n] = e.info.Configuration
 		}
 	}
 	for n, at := range r.gone {
-		if !c.Whole && at > c.Base {
-			c.Gone = append(c.Gone, n)
+		if !c.Complete && at > c.Base {
+			c.Removed = append(c.Removed, n)
 		}
 	}
-	byName(c.News)
+	byName(c.Updated)
 	return c
 }
 
@@ -148,51 +148,51 @@
 	slices.SortFunc(is, func(a, b Info) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// Copy is a roll as another node was told of it. It isn't for use from several goroutines.
-type Copy struct {
-	mark Mark
+// ListReplica is a roll as another node was told of it. It isn't for use from several goroutines.
+type ListReplica struct {
+	mark Version
 	m    map[string]Info
 }
 
-// Mark says how far the copy goes.
-func (c *Copy) Mark() Mark { return c.mark }
+// Version says how far the copy goes.
+func (c *ListReplica) Version() Version { return c.mark }
 
-// Take takes a change in, and tells whether the copy is now as new as the change; one that builds on what is not here is left.
-func (c *Copy) Take(x Change) bool {
-	old := x.Mark.Run == c.mark.Run && x.Mark.To < c.mark.To
+// Apply takes a change in, and tells whether the copy is now as new as the change; one that builds on what is not here is left.
+func (c *ListReplica) Apply(x Change) bool {
+	old := x.Version.List == c.mark.List && x.Version.Changes < c.mark.Changes
 	switch {
-	case x.Mark.Run == 0 || old:
+	case x.Version.List == 0 || old:
 		return false
-	case x.Whole:
-		c.m = make(map[string]Info, len(x.News))
-	case x.Mark.Run != c.mark.Run || x.Base > c.mark.To:
+	case x.Complete:
+		c.m = make(map[string]Info, len(x.Updated))
+	case x.Version.List != c.mark.List || x.Base > c.mark.Changes:
 		return false
 	}
-	for _, n := range x.Gone {
+	for _, n := range x.Removed {
 		delete(c.m, n)
 	}
-	for _, i := range x.News {
+	for _, i := range x.Updated {
 		c.m[i.Name] = i
 	}
-	for n, d := range x.Moved {
+	for n, d := range x.ConfigurationOnly {
 		if i, ok := c.m[n]; ok {
-			i.Description = d
+			i.Configuration = d
 			c.m[n] = i
 		}
 	}
-	c.mark = x.Mark
+	c.mark = x.Version
 	return true
 }
 
 // All gives the nodes of the copy by name.
-func (c *Copy) All() []Info {
+func (c *ListReplica) All() []Info {
 	is := slices.AppendSeq(make([]Info, 0, len(c.m)), maps.Values(c.m))
 	byName(is)
 	return is
 }
 
-// Story is what one control node tells another of its sessions: what changed, and how long ago all of them were heard at most, save those that are late.
-type Story struct {
+// SessionUpdate is what one control node tells another of its sessions: what changed, and how long ago all of them were heard at most, save those that are late.
+type SessionUpdate struct {
 	Change Change                   `json:"c"`
 	Age    time.Duration            `json:"a,omitempty"`
 	Late   map[string]time.Duration `json:"l,omitempty"`
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -187,18 +187,18 @@
 	n.mu.Lock()
 	o, st, fit := n.opts, n.stage, n.fitness
 	n.mu.Unlock()
-	i := membership.Info{Name: o.Name, Zone: o.Zone, Listen: o.Listen, Peers: o.DialAddress(), Visits: o.ClientListen, Disk: o.Disk, Boot: n.boot, Stage: st, Fitness: fit, Description: n.Board.Description().Sequence, Build: Build, Wire: wire.FormatVersion, Homes: true, Keys: true, Processor: o.ClientCapacity(), Roster: n.Board.Roster().Sequence}
+	i := membership.Info{Name: o.Name, Zone: o.Zone, ListenAddr: o.Listen, PeerAddr: o.DialAddress(), ClientAddr: o.ClientListen, Disk: o.Disk, BootID: n.boot, Stage: st, DiskHealth: fit, Configuration: n.Board.Description().Sequence, BuildVersion: Build, WireVersion: wire.FormatVersion, SupportsTwoHomes: true, SupportsKeys: true, MilliCores: o.ClientCapacity(), VoterSet: n.Board.Roster().Sequence}
 	if n.keeper != nil {
 		i.Deaf = !n.keeper.Confirmed()
 	}
 	if n.keeper != nil && o.Disk != settings.DiskNone {
-		i.Lag = n.keeper.Lag().Microseconds()
+		i.LatencyMicros = n.keeper.Lag().Microseconds()
 	}
 	if n.id != nil {
 		i.Incarnation = n.id.Get().Incarnation
 	}
 	if n.voter != nil && o.HasControlDisk() {
-		i.Roster = n.voter.VoterSet().Sequence
+		i.VoterSet = n.voter.VoterSet().Sequence
 	}
 	if n.owners != nil {
 		i.Partitions, i.Loads = n.owners.Count(), n.owners.Loads()
@@ -214,13 +214,13 @@
 	if n.table != nil {
 		for _, i := range n.table.Live() {
 			if i.Name == node {
-				return i.Peers, i.Stage == membership.Serving && !n.host.Lost(i.Peers)
+				return i.PeerAddr, i.Stage == membership.Serving && !n.host.Lost(i.PeerAddr)
 			}
 		}
 		return "", false
 	}
 	i, ok := n.View.Get(node)
-	return i.Peers, ok
+	return i.PeerAddr, ok
 }
 
 // controls gives the members as a control node knows them, itself as it is now.
@@ -236,23 +236,23 @@
 
 func (n *Node) addr(node string) (string, bool) {
 	i, ok := n.View.Get(node)
-	return i.Peers, ok
+	return i.PeerAddr, ok
 }
 
 func (n *Node) reach(node string) (string, bool) {
-	i, ok := n.View.Last(node)
-	return i.Peers, ok
+	i, ok := n.View.LastKnown(node)
+	return i.PeerAddr, ok
 }
 
 var ranks = map[string]int{settings.DiskStorage: 0, settings.DiskControl: 1}
 
 // able ranks a disk as the next owner of a partition whose owner is gone.
 func (n *Node) able(p assignment.Place) int {
-	i, ok := n.View.Last(p.Node)
+	i, ok := n.View.LastKnown(p.Node)
 	if p.Node == n.options().Name {
 		i, ok = n.Info(), true
 	}
-	if !ok || i.Incarnation != p.Incarnation || i.Fitness != "" || i.Stage != membership.Serving || i.Deaf || n.watch.Lost(p.Node) {
+	if !ok || i.Incarnation != p.Incarnation || i.DiskHealth != "" || i.Stage != membership.Serving || i.Deaf || n.watch.Lost(p.Node) {
 		return -1
 	}
 	return ranks[i.Disk]
@@ -387,7 +387,7 @@
 	me := n.options()
 	gs := make([][]membership.Info, 2)
 	for _, i := range n.View.All() {
-		if i.Visits == "" || i.Name == me.Name || i.Stage != membership.Serving || i.Deaf {
+		if i.ClientAddr == "" || i.Name == me.Name || i.Stage != membership.Serving || i.Deaf {
 			continue
 		}
 		k := 1
@@ -403,7 +403,7 @@
 	if i.Name == n.opts.Name {
 		return n.turned.Find(q), nil
 	}
-	a, err := rejections.Turned.Call(ctx, n.w.Net, n.opts.Name, i.Peers, &q)
+	a, err := rejections.Turned.Call(ctx, n.w.Net, n.opts.Name, i.PeerAddr, &q)
 	if err != nil {
 		return nil, err
 	}
@@ -487,7 +487,7 @@
 // Peers gives the handler of the other nodes' calls.
 func (n *Node) Peers() http.Handler {
 	m := http.NewServeMux()
-	membership.Hello.Handle(m, n.keeper.Hello)
+	membership.Identify.Handle(m, n.keeper.Hello)
 	n.gossip.Serve(m)
 	n.desk.Serve(m)
 	n.presence.Serve(m)
@@ -536,18 +536,18 @@
 	b := n.bounds()
 	n.log.Say(event.Stopping)
 	n.mu.Lock()
-	if n.stage == membership.Leaving {
+	if n.stage == membership.Draining {
 		n.mu.Unlock()
 		return
 	}
-	n.stage = membership.Leaving
+	n.stage = membership.Draining
 	n.mu.Unlock()
 	close(n.leaving)
 	ctx, stop := context.WithTimeout(context.Background(), b.ShutdownTimeout()*3/4)
 	defer stop()
 	able := func(p assignment.Place) bool {
 		i, ok := n.View.Get(p.Node)
-		return ok && i.Incarnation == p.Incarnation && i.Fitness == "" && i.Stage == membership.Serving
+		return ok && i.Incarnation == p.Incarnation && i.DiskHealth == "" && i.Stage == membership.Serving
 	}
 	k := 0
 	if n.replica != nil {
@@ -556,7 +556,7 @@
 	h := 0
 	if n.holder != nil {
 		var to []string
-		for _, i := range membership.Pick(n.table.Live(), func(i membership.Info) bool {
+		for _, i := range membership.Filter(n.table.Live(), func(i membership.Info) bool {
 			return i.Disk == settings.DiskControl && i.Name != n.opts.Name && i.Stage == membership.Serving
 		}) {
 			to = append(to, i.Name)
--- a/internal/nodelease/behind_test.go
+++ b/internal/nodelease/behind_test.go
@@ -23,18 +23,18 @@
 			return Confirmed{OK: true, Sequence: seq, At: time.Now()}
 		}}
 		has := map[string]uint64{"a1": 7, "a2": 7, "a3": 7}
-		var c membership.Copy
+		var c membership.ListReplica
 		told := func(heartbeats int) (news []membership.Info) {
 			for range heartbeats {
 				time.Sleep(b.HeartbeatInterval())
 				for _, n := range []string{"a1", "a2", "a3"} {
-					m := c.Mark()
-					a, err := h.Heartbeat(context.Background(), &HeartbeatRequest{Info: membership.Info{Name: n, Boot: "1", Stage: membership.Serving, Description: has[n]}, Have: &m})
+					m := c.Version()
+					a, err := h.Heartbeat(context.Background(), &HeartbeatRequest{Info: membership.Info{Name: n, BootID: "1", Stage: membership.Serving, Configuration: has[n]}, Have: &m})
 					assert.NilError(t, err)
-					assert.Equal(t, len(a.Change.Moved), 0)
+					assert.Equal(t, len(a.Change.ConfigurationOnly), 0)
 					if n == "a1" {
-						assert.Assert(t, c.Take(*a.Change))
-						news = append(append(news, a.Change.News...), make([]membership.Info, len(a.Change.Gone))...)
+						assert.Assert(t, c.Apply(*a.Change))
+						news = append(append(news, a.Change.Updated...), make([]membership.Info, len(a.Change.Removed))...)
 					}
 				}
 			}
@@ -45,11 +45,11 @@
 		seq, has["a1"], has["a2"] = 8, 8, 8
 		assert.Equal(t, len(told(lease-3)), 0, "within a licence nobody is behind")
 		late := told(3)
-		assert.Assert(t, len(late) == 1 && late[0].Name == "a3" && late[0].Behind && late[0].Description == 0, "%+v", late)
+		assert.Assert(t, len(late) == 1 && late[0].Name == "a3" && late[0].ConfigurationStale && late[0].Configuration == 0, "%+v", late)
 		assert.Equal(t, len(told(lease)), 0)
 		has["a3"] = 8
 		late = told(2)
-		assert.Assert(t, len(late) == 1 && late[0].Name == "a3" && !late[0].Behind, "%+v", late)
+		assert.Assert(t, len(late) == 1 && late[0].Name == "a3" && !late[0].ConfigurationStale, "%+v", late)
 		for range 5 {
 			seq++
 			has = map[string]uint64{"a1": seq, "a2": seq, "a3": seq}
--- a/internal/nodelease/session.go
+++ b/internal/nodelease/session.go
@@ -28,7 +28,7 @@
 	// Brief stands for the Info of a run whose last one this control node has, when there is nothing new to say.
 	Brief *Brief `json:"b,omitempty"`
 	// Have says how far the members are known from this control node.
-	Have *membership.Mark `json:"h,omitempty"`
+	Have *membership.Version `json:"h,omitempty"`
 	// Changes tells that a description may come by its changes.
 	Changes bool `json:"c,omitempty"`
 }
@@ -110,7 +110,7 @@
 	was, ok := h.own[name]
 	is := mine{q.Info, now, was.said}
 	if q.Brief != nil {
-		if !ok || was.info.Boot != q.Brief.Boot || was.said != q.Brief.Said {
+		if !ok || was.info.BootID != q.Brief.Boot || was.said != q.Brief.Said {
 			h.mu.Unlock()
 			return &HeartbeatResponse{}, nil
 		}
@@ -122,13 +122,13 @@
 	h.own[name] = is
 	young := now.Sub(h.since) < h.Bounds.SessionTimeout()
 	h.mu.Unlock()
-	if !ok || was.info.Differs(is.info) {
+	if !ok || was.info.DiffersMaterially(is.info) {
 		select {
 		case h.word() <- struct{}{}:
 		default:
 		}
 	}
-	h.Table.Note(is.info, 0)
+	h.Table.Observe(is.info, 0)
 	a := &HeartbeatResponse{Young: young}
 	if q.Have != nil {
 		c := h.members().Since(*q.Have)
@@ -140,10 +140,10 @@
 	if a.Apart = c.Apart; c.OK {
 		a.Confirmed, a.Sequence, a.Age = true, c.Sequence, h.Clock.Now().Sub(c.At)
 	}
-	if r := h.Board.Roster(); r.Sequence > is.info.Roster {
+	if r := h.Board.Roster(); r.Sequence > is.info.VoterSet {
 		a.Roster = &r
 	}
-	a.Description, a.Changes = h.Board.Newer(is.info.Description, q.Changes)
+	a.Description, a.Changes = h.Board.Newer(is.info.Configuration, q.Changes)
 	return a, nil
 }
 
@@ -157,18 +157,18 @@
 	return h.news
 }
 
-func (h *Host) sessions() []membership.Heard {
+func (h *Host) sessions() []membership.Session {
 	now := h.Clock.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var s []membership.Heard
+	var s []membership.Session
 	for n, m := range h.own {
 		age := now.Sub(m.at)
 		if age > h.Bounds.SessionTimeout() {
 			delete(h.own, n)
 			continue
 		}
-		s = append(s, membership.Heard{Info: m.info, Age: age})
+		s = append(s, membership.Session{Info: m.info, Age: age})
 	}
 	return s
 }
@@ -188,7 +188,7 @@
 
 // alone tells whether this control node has to find others through its seeds.
 func (h *Host) alone() bool {
-	return h.Board.Roster().Sequence == 0 || len(membership.Pick(h.Table.Live(), func(i membership.Info) bool { return i.Disk == settings.DiskControl && i.Name != h.Self })) == 0
+	return h.Board.Roster().Sequence == 0 || len(membership.Filter(h.Table.Live(), func(i membership.Info) bool { return i.Disk == settings.DiskControl && i.Name != h.Self })) == 0
 }
 
 // seek asks all seeds at once who they are and whom they know.
@@ -197,12 +197,12 @@
 	defer stop()
 	me := h.Info()
 	met := map[string]string{}
-	for _, a := range quorum.Successes(quorum.Gather(cx, others(h.Seeds, me.Peers), func(ctx context.Context, a string) (*membership.HelloResponse, error) {
-		return membership.Hello.Call(ctx, h.Net, h.Self, a, &membership.HelloRequest{From: &me})
+	for _, a := range quorum.Successes(quorum.Gather(cx, others(h.Seeds, me.PeerAddr), func(ctx context.Context, a string) (*membership.IdentifyResponse, error) {
+		return membership.Identify.Call(ctx, h.Net, h.Self, a, &membership.IdentifyRequest{From: &me})
 	}, nil)) {
 		for _, i := range append(a.Value.Known, a.Value.Info) {
 			if i.Disk == settings.DiskControl {
-				met[i.Name] = i.Peers
+				met[i.Name] = i.PeerAddr
 			}
 		}
 	}
@@ -228,7 +228,7 @@
 		case err == nil:
 			h.answered(addr)
 			h.note(a.Sessions)
-			ok := h.hear(a.From, a.Story)
+			ok := h.hear(a.From, a.Update)
 			if h.reached(addr, q, a) && ok || again {
 				return
 			}
@@ -291,15 +291,15 @@
 	}
 	for _, i := range h.Table.Live() {
 		if i.Disk == settings.DiskControl {
-			as = append(as, i.Peers)
+			as = append(as, i.PeerAddr)
 		}
 	}
-	return others(as, h.Info().Peers)
+	return others(as, h.Info().PeerAddr)
 }
 
-func (h *Host) note(s []membership.Heard) {
+func (h *Host) note(s []membership.Session) {
 	for _, x := range s {
-		h.Table.Note(x.Info, x.Age)
+		h.Table.Observe(x.Info, x.Age)
 	}
 }
 
@@ -308,12 +308,12 @@
 	Heartbeat.Handle(m, h.Heartbeat)
 	membership.Sessions.Handle(m, func(_ context.Context, q *membership.SessionsRequest) (*membership.SessionsResponse, error) {
 		h.note(q.Sessions)
-		if q.Have == nil {
+		if q.KnownVersion == nil {
 			return &membership.SessionsResponse{Sessions: h.sessions()}, nil
 		}
-		h.hear(q.From, q.Story)
-		s, k := h.story(*q.Have), h.heard(q.From)
-		return &membership.SessionsResponse{From: h.Self, Story: &s, Have: &k}, nil
+		h.hear(q.From, q.Update)
+		s, k := h.story(*q.KnownVersion), h.heard(q.From)
+		return &membership.SessionsResponse{From: h.Self, Update: &s, KnownVersion: &k}, nil
 	})
 }
 
@@ -342,7 +342,7 @@
 	behind bool
 	// of is what the control node that the session is with was told, and what it told.
 	of   string
-	copy membership.Copy
+	copy membership.ListReplica
 	last membership.Info
 	said uint64
 	// young is what that control node last said of its table; wary tells that members it left out may be there.
@@ -422,8 +422,8 @@
 }
 
 // Hello says who this node is and whom it knows, with the control nodes that asked it lately.
-func (k *Keeper) Hello(_ context.Context, q *membership.HelloRequest) (*membership.HelloResponse, error) {
-	a := &membership.HelloResponse{Info: k.Info(), Known: slices.Clone(k.View.All())}
+func (k *Keeper) Hello(_ context.Context, q *membership.IdentifyRequest) (*membership.IdentifyResponse, error) {
+	a := &membership.IdentifyResponse{Info: k.Info(), Known: slices.Clone(k.View.All())}
 	now := k.Clock.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -446,7 +446,7 @@
 }
 
 func (k *Keeper) able(is []membership.Info, not string) []membership.Info {
-	return membership.Pick(is, func(i membership.Info) bool {
+	return membership.Filter(is, func(i membership.Info) bool {
 		return i.Disk == settings.DiskControl && i.Stage == membership.Serving && i.Name != not && i.Name != k.Opts.Name
 	})
 }
@@ -456,9 +456,9 @@
 	cx, stop := context.WithTimeout(ctx, k.Opts.Timing().CallTimeout()/2)
 	defer stop()
 	var is []membership.Info
-	quorum.Gather(cx, others(k.Opts.Seeds, k.Opts.DialAddress()), func(ctx context.Context, a string) (*membership.HelloResponse, error) {
-		return membership.Hello.Call(ctx, k.Net, k.Opts.Name, a, &membership.HelloRequest{})
-	}, func(as []quorum.Result[string, *membership.HelloResponse]) bool {
+	quorum.Gather(cx, others(k.Opts.Seeds, k.Opts.DialAddress()), func(ctx context.Context, a string) (*membership.IdentifyResponse, error) {
+		return membership.Identify.Call(ctx, k.Net, k.Opts.Name, a, &membership.IdentifyRequest{})
+	}, func(as []quorum.Result[string, *membership.IdentifyResponse]) bool {
 		if h := as[len(as)-1]; h.Err == nil {
 			is = append(append(is, h.Value.Info), h.Value.Known...)
 		}
@@ -482,7 +482,7 @@
 	if len(is) == 0 {
 		return membership.Info{}, apierror.New(apierror.Unreachable, "no control node was found through the seeds")
 	}
-	near := membership.Pick(is, func(i membership.Info) bool { return i.Zone == k.Opts.Zone })
+	near := membership.Filter(is, func(i membership.Info) bool { return i.Zone == k.Opts.Zone })
 	if len(near) > 0 && not == "" {
 		is = near
 	}
@@ -549,13 +549,13 @@
 // say heartbeats once: with all that this node says of itself, or with word that nothing of it is new.
 func (k *Keeper) say(ctx context.Context, with membership.Info) (*HeartbeatResponse, error) {
 	if k.of != with.Name {
-		k.of, k.copy, k.last, k.said = with.Name, membership.Copy{}, membership.Info{}, 0
+		k.of, k.copy, k.last, k.said = with.Name, membership.ListReplica{}, membership.Info{}, 0
 	}
 	for {
-		i, m := k.Info(), k.copy.Mark()
+		i, m := k.Info(), k.copy.Version()
 		q := &HeartbeatRequest{Info: i, Have: &m, Changes: k.Board.Takes()}
-		if k.said != 0 && i.Alike(k.last) {
-			q.Info, q.Brief = membership.Info{}, &Brief{Name: i.Name, Boot: i.Boot, Said: k.said}
+		if k.said != 0 && i.EquivalentTo(k.last) {
+			q.Info, q.Brief = membership.Info{}, &Brief{Name: i.Name, Boot: i.BootID, Said: k.said}
 		}
 		a, err := k.heartbeat(ctx, with, q)
 		if err != nil {
@@ -568,8 +568,8 @@
 		if q.Brief == nil {
 			k.last, k.said = i, a.Said
 		}
-		if a.Change != nil && !k.copy.Take(*a.Change) {
-			k.copy = membership.Copy{}
+		if a.Change != nil && !k.copy.Apply(*a.Change) {
+			k.copy = membership.ListReplica{}
 			continue
 		}
 		return a, nil
@@ -594,7 +594,7 @@
 	} else {
 		k.View.Set(a.Members)
 	}
-	if cs := membership.Pick(a.Members, func(i membership.Info) bool { return i.Disk == settings.DiskControl }); len(cs) > 0 {
+	if cs := membership.Filter(a.Members, func(i membership.Info) bool { return i.Disk == settings.DiskControl }); len(cs) > 0 {
 		k.known = slices.Clone(cs)
 	}
 }
@@ -605,7 +605,7 @@
 	}
 	cx, stop := context.WithTimeout(ctx, k.Opts.Timing().SessionTimeout()/3)
 	defer stop()
-	return Heartbeat.Call(cx, k.Net, k.Opts.Name, with.Peers, q)
+	return Heartbeat.Call(cx, k.Net, k.Opts.Name, with.PeerAddr, q)
 }
 
 func (k *Keeper) beat(ctx context.Context, with membership.Info) error {
--- a/internal/nodelease/session_test.go
+++ b/internal/nodelease/session_test.go
@@ -83,13 +83,13 @@
 			asked = append(asked, q)
 			return h.Heartbeat(ctx, q)
 		})
-		me := membership.Info{Name: "a1", Boot: "1", Stage: membership.Serving, Lag: 500}
+		me := membership.Info{Name: "a1", BootID: "1", Stage: membership.Serving, LatencyMicros: 500}
 		k := &Keeper{Opts: o, Clock: clock.Real{}, Net: &pair{m}, Board: b, View: membership.NewView(), Info: func() membership.Info { return me }}
 		beat := func(whole ...bool) {
 			t.Helper()
 			asked = nil
 			time.Sleep(o.Timing().HeartbeatInterval())
-			assert.NilError(t, k.beat(context.Background(), membership.Info{Name: "c1", Peers: "127.0.0.1:1"}))
+			assert.NilError(t, k.beat(context.Background(), membership.Info{Name: "c1", PeerAddr: "127.0.0.1:1"}))
 			assert.Equal(t, len(asked), len(whole))
 			for n, q := range asked {
 				assert.Equal(t, q.Brief == nil, whole[n])
@@ -100,9 +100,9 @@
 		}
 		beat(true)
 		beat(false)
-		me.Lag = 510
+		me.LatencyMicros = 510
 		beat(false)
-		me.Stage = membership.Leaving
+		me.Stage = membership.Draining
 		beat(true)
 		beat(false)
 		start()
@@ -130,14 +130,14 @@
 		})
 		k := &Keeper{Opts: o, Clock: clock.Real{}, Net: &pair{m}, Board: b, View: membership.NewView()}
 		k.Info = func() membership.Info {
-			return membership.Info{Name: "a1", Boot: "1", Stage: membership.Serving, Lag: k.Lag().Microseconds()}
+			return membership.Info{Name: "a1", BootID: "1", Stage: membership.Serving, LatencyMicros: k.Lag().Microseconds()}
 		}
 		beats := func(d time.Duration) int {
 			t.Helper()
 			whole, takes = 0, d
 			for range lagsMost + 2 {
 				time.Sleep(o.Timing().HeartbeatInterval())
-				assert.NilError(t, k.beat(context.Background(), membership.Info{Name: "c1", Peers: "127.0.0.1:1"}))
+				assert.NilError(t, k.beat(context.Background(), membership.Info{Name: "c1", PeerAddr: "127.0.0.1:1"}))
 			}
 			return whole
 		}
@@ -153,10 +153,10 @@
 			assert.Assert(t, beats(d) > 0)
 			is := h.Table.Live()
 			assert.Equal(t, len(is), 1)
-			assert.Equal(t, is[0].Lag, d.Microseconds())
+			assert.Equal(t, is[0].LatencyMicros, d.Microseconds())
 		}
 		assert.Assert(t, beats(time.Millisecond) > 0)
-		assert.Assert(t, time.Duration(h.Table.Live()[0].Lag)*time.Microsecond < o.Timing().SlowThreshold()/2)
+		assert.Assert(t, time.Duration(h.Table.Live()[0].LatencyMicros)*time.Microsecond < o.Timing().SlowThreshold()/2)
 	})
 }
 
@@ -178,7 +178,7 @@
 		start("c1", "c2")
 		start("c2", "c1")
 		heartbeat := func(name, stage string) {
-			_, err := hosts["c1"].Heartbeat(context.Background(), &HeartbeatRequest{Info: membership.Info{Name: name, Stage: stage}, Have: &membership.Mark{}})
+			_, err := hosts["c1"].Heartbeat(context.Background(), &HeartbeatRequest{Info: membership.Info{Name: name, Stage: stage}, Have: &membership.Version{}})
 			assert.NilError(t, err)
 		}
 		round := func() {
@@ -203,12 +203,12 @@
 			heartbeat("a", membership.Serving)
 			round()
 		}
-		assert.Assert(t, asked.Story != nil && asked.Story.Change.Empty())
+		assert.Assert(t, asked.Update != nil && asked.Update.Change.Empty())
 		assert.DeepEqual(t, stages(), map[string]string{"a": membership.Serving})
 		start("c2", "c1")
-		heartbeat("a", membership.Leaving)
+		heartbeat("a", membership.Draining)
 		round()
-		assert.DeepEqual(t, stages(), map[string]string{"a": membership.Leaving})
+		assert.DeepEqual(t, stages(), map[string]string{"a": membership.Draining})
 		start("c1", "c2")
 		heartbeat("a", membership.Serving)
 		round()
@@ -237,12 +237,12 @@
 		var asked []*membership.SessionsRequest
 		membership.Sessions.Handle(m, func(_ context.Context, q *membership.SessionsRequest) (*membership.SessionsResponse, error) {
 			asked = append(asked, q)
-			return &membership.SessionsResponse{Sessions: []membership.Heard{{Info: membership.Info{Name: "b"}}}}, nil
+			return &membership.SessionsResponse{Sessions: []membership.Session{{Info: membership.Info{Name: "b"}}}}, nil
 		})
-		k := &Keeper{Opts: o, Clock: clock.Real{}, Net: &pair{m}, Board: b, View: membership.NewView(), Info: func() membership.Info { return membership.Info{Name: "a1", Boot: "1"} }}
+		k := &Keeper{Opts: o, Clock: clock.Real{}, Net: &pair{m}, Board: b, View: membership.NewView(), Info: func() membership.Info { return membership.Info{Name: "a1", BootID: "1"} }}
 		for range 4 {
 			time.Sleep(o.Timing().HeartbeatInterval())
-			assert.NilError(t, k.beat(context.Background(), membership.Info{Name: "c1", Peers: "127.0.0.1:1"}))
+			assert.NilError(t, k.beat(context.Background(), membership.Info{Name: "c1", PeerAddr: "127.0.0.1:1"}))
 			_, ok := k.View.Get("a1")
 			assert.Assert(t, ok)
 		}
@@ -253,7 +253,7 @@
 		}
 		assert.Equal(t, len(asked), 4)
 		for _, q := range asked {
-			assert.Assert(t, q.Story == nil && len(q.Sessions) == 1)
+			assert.Assert(t, q.Update == nil && len(q.Sessions) == 1)
 		}
 		assert.Equal(t, len(h.Table.Live()), 2)
 		n := http.NewServeMux()
@@ -261,7 +261,7 @@
 		a, err := membership.Sessions.Call(context.Background(), &pair{n}, "c2", "c1", &membership.SessionsRequest{From: "c2"})
 		assert.NilError(t, err)
 		assert.Equal(t, len(a.Sessions), 1)
-		assert.Assert(t, a.Story == nil)
+		assert.Assert(t, a.Update == nil)
 	})
 }
 
--- a/internal/nodelease/story.go
+++ b/internal/nodelease/story.go
@@ -8,16 +8,16 @@
 
 // told is what a control node told and heard by difference. The lock of its Host guards it, save the rolls, which have their own.
 type told struct {
-	live   membership.Roll
-	own    membership.Roll
+	live   membership.VersionedList
+	own    membership.VersionedList
 	seen   <-chan struct{}
 	looked time.Time
 	// put is the description confirmed last, from when on, and due the one that all nodes must have.
 	put, due uint64
 	from     time.Time
 	// has says how far the other control nodes, by address, know this one's sessions; heard is what they told, by name; names are theirs by address.
-	has   map[string]membership.Mark
-	heard map[string]*membership.Copy
+	has   map[string]membership.Version
+	heard map[string]*membership.ListReplica
 	names map[string]string
 }
 
@@ -27,7 +27,7 @@
 )
 
 // members gives the roll of all members, which is looked through anew when one has news, and a few times a heartbeat for those that lapsed.
-func (h *Host) members() *membership.Roll {
+func (h *Host) members() *membership.VersionedList {
 	now := h.Clock.Now()
 	h.mu.Lock()
 	fresh := h.told.seen != nil && now.Sub(h.told.looked) < h.Bounds.HeartbeatInterval()/looksPerHeartbeat
@@ -46,8 +46,8 @@
 		is := h.Table.Live()
 		due := h.due()
 		for k, i := range is {
-			is[k] = i.Lasting()
-			is[k].Behind = i.Description < due
+			is[k] = i.Stable()
+			is[k].ConfigurationStale = i.Configuration < due
 		}
 		h.told.live.Set(is)
 	}
@@ -69,9 +69,9 @@
 }
 
 // story tells this node's sessions to one who knows them up to a mark.
-func (h *Host) story(have membership.Mark) membership.Story {
+func (h *Host) story(have membership.Version) membership.SessionUpdate {
 	var is []membership.Info
-	var s membership.Story
+	var s membership.SessionUpdate
 	for _, x := range h.sessions() {
 		is = append(is, x.Info)
 		if x.Age > h.Bounds.HeartbeatInterval()+h.Bounds.HeartbeatInterval()/lateShare {
@@ -94,40 +94,40 @@
 	name := h.told.names[addr]
 	h.mu.Unlock()
 	k := h.heard(name)
-	q := &membership.SessionsRequest{From: h.Self, Have: &k}
+	q := &membership.SessionsRequest{From: h.Self, KnownVersion: &k}
 	if !ok {
 		q.Sessions = h.sessions()
 		return q
 	}
 	s := h.story(have)
-	q.Story = &s
+	q.Update = &s
 	return q
 }
 
-func (h *Host) heard(name string) membership.Mark {
+func (h *Host) heard(name string) membership.Version {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if c := h.told.heard[name]; c != nil {
-		return c.Mark()
+		return c.Version()
 	}
-	return membership.Mark{}
+	return membership.Version{}
 }
 
 // hear takes in another control node's story, and tells whether it is known up to there.
-func (h *Host) hear(name string, s *membership.Story) bool {
+func (h *Host) hear(name string, s *membership.SessionUpdate) bool {
 	if s == nil {
 		return true
 	}
 	h.mu.Lock()
 	if h.told.heard == nil {
-		h.told.heard = map[string]*membership.Copy{}
+		h.told.heard = map[string]*membership.ListReplica{}
 	}
 	c := h.told.heard[name]
 	if c == nil {
-		c = &membership.Copy{}
+		c = &membership.ListReplica{}
 		h.told.heard[name] = c
 	}
-	ok := c.Take(s.Change)
+	ok := c.Apply(s.Change)
 	var is []membership.Info
 	if ok {
 		is = c.All()
@@ -138,7 +138,7 @@
 		if !late {
 			age = s.Age
 		}
-		h.Table.Note(i, age)
+		h.Table.Observe(i, age)
 	}
 	return ok
 }
@@ -148,12 +148,12 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.told.has == nil {
-		h.told.has, h.told.names = map[string]membership.Mark{}, map[string]string{}
+		h.told.has, h.told.names = map[string]membership.Version{}, map[string]string{}
 	}
-	if a.Have == nil {
+	if a.KnownVersion == nil {
 		delete(h.told.has, addr)
 		return true
 	}
-	h.told.has[addr], h.told.names[addr] = *a.Have, a.From
-	return q.Story == nil || a.Have.Run == q.Story.Change.Mark.Run
+	h.told.has[addr], h.told.names[addr] = *a.KnownVersion, a.From
+	return q.Update == nil || a.KnownVersion.List == q.Update.Change.Version.List
 }
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -108,7 +108,7 @@
 	x := decommission.Drain{Node: node, Asked: time.Now().UTC(), Left: left.value}
 	storage, withDisk := false, len(seen) == 0 && left.value > 0
 	for _, i := range seen {
-		x.Boot, x.Disk = i.Boot, i.Incarnation
+		x.Boot, x.Disk = i.BootID, i.Incarnation
 		storage = storage || i.Disk == settings.DiskStorage
 		withDisk = withDisk || i.Disk != settings.DiskNone
 	}
@@ -163,7 +163,7 @@
 	for name, seen := range all {
 		able := false
 		for _, i := range seen {
-			able = able || i.Disk != settings.DiskNone && i.Fitness == "" && i.Stage == membership.Serving
+			able = able || i.Disk != settings.DiskNone && i.DiskHealth == "" && i.Stage == membership.Serving
 		}
 		if able && name != but && !drains.Out(name) {
 			n++
--- a/internal/operator/quorum.go
+++ b/internal/operator/quorum.go
@@ -64,7 +64,7 @@
 
 // known asks the control node of a seat which machines it knows, itself among them.
 func (s *Service) known(ctx context.Context, to voters.Voter) ([]membership.Info, error) {
-	a, err := membership.Hello.Call(ctx, s.Net, s.Info().Name, to.Addr, &membership.HelloRequest{})
+	a, err := membership.Identify.Call(ctx, s.Net, s.Info().Name, to.Addr, &membership.IdentifyRequest{})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/partitionlog/leader/marks.go
+++ b/internal/partitionlog/leader/marks.go
@@ -432,8 +432,8 @@
 func (o *Owner) visit(ctx context.Context, node, addr, boot string) {
 	cx, stop := context.WithTimeout(ctx, o.d.Bounds.CallTimeout())
 	defer stop()
-	a, err := membership.Hello.Call(cx, o.d.Net, o.d.Self, addr, &membership.HelloRequest{})
-	if err != nil || a.Info.Name != home(node) || a.Info.Boot == "" || strings.HasPrefix(boot, a.Info.Boot) {
+	a, err := membership.Identify.Call(cx, o.d.Net, o.d.Self, addr, &membership.IdentifyRequest{})
+	if err != nil || a.Info.Name != home(node) || a.Info.BootID == "" || strings.HasPrefix(boot, a.Info.BootID) {
 		return
 	}
 	o.mu.Lock()
--- a/internal/partitionlog/leader/marks_test.go
+++ b/internal/partitionlog/leader/marks_test.go
@@ -47,8 +47,8 @@
 		return nil, apierror.New(apierror.Unreachable, "nobody at %s", q.URL.Host)
 	}
 	m := http.NewServeMux()
-	membership.Hello.Handle(m, func(context.Context, *membership.HelloRequest) (*membership.HelloResponse, error) {
-		return &membership.HelloResponse{Info: membership.Info{Name: strings.TrimPrefix(q.URL.Host, "at-"), Boot: boot}}, nil
+	membership.Identify.Handle(m, func(context.Context, *membership.IdentifyRequest) (*membership.IdentifyResponse, error) {
+		return &membership.IdentifyResponse{Info: membership.Info{Name: strings.TrimPrefix(q.URL.Host, "at-"), BootID: boot}}, nil
 	})
 	w := httptest.NewRecorder()
 	m.ServeHTTP(w, q)
--- a/internal/partitionlog/router/desk.go
+++ b/internal/partitionlog/router/desk.go
@@ -332,7 +332,7 @@
 		return nil, apierror.New(apierror.NoPartitionLeader, "the owner %s of partition %d is gone", r.Owner, p)
 	}
 	defer context.AfterFunc(d.reigns.of(d.Board, r), stop)()
-	return c.Call(cx, d.Net, d.Self, i.Peers, q)
+	return c.Call(cx, d.Net, d.Self, i.PeerAddr, q)
 }
 
 // Submit has a message decided by its partition's owner, wherever that is.
@@ -347,7 +347,7 @@
 // TwoHomes tells whether attachments are kept in an urgent partition too: once every member's build does.
 func (d *Desk) TwoHomes() bool {
 	for _, i := range d.View.All() {
-		if !i.Homes {
+		if !i.SupportsTwoHomes {
 			return false
 		}
 	}
@@ -357,7 +357,7 @@
 // Keys gives a problem until every member's build knows keys and withdrawals.
 func (d *Desk) Keys() error {
 	for _, i := range d.View.All() {
-		if !i.Keys {
+		if !i.SupportsKeys {
 			return apierror.New(apierror.NotReady, "the build of %s knows no keys", i.Name)
 		}
 	}
--- a/internal/partitionlog/router/fan.go
+++ b/internal/partitionlog/router/fan.go
@@ -89,7 +89,7 @@
 	if !ok {
 		return nil, apierror.New(apierror.NoPartitionLeader, "the owner %s of partition %d is gone", r.Owner, r.Partition)
 	}
-	return c.Call(cx, d.Net, d.Self, i.Peers, q)
+	return c.Call(cx, d.Net, d.Self, i.PeerAddr, q)
 }
 
 // Follow tells a partition's owner what this node follows, one time.
--- a/internal/partitionlog/router/offer.go
+++ b/internal/partitionlog/router/offer.go
@@ -241,7 +241,7 @@
 			c <- answer{a, err}
 			return
 		}
-		a, err := SubmitMany.Call(ctx, d.Net, d.Self, i.Peers, q)
+		a, err := SubmitMany.Call(ctx, d.Net, d.Self, i.PeerAddr, q)
 		c <- answer{a, err}
 	}()
 	for {
--- a/internal/partitionlog/router/offer_test.go
+++ b/internal/partitionlog/router/offer_test.go
@@ -86,7 +86,7 @@
 		return path(b, ctx, to, q)
 	}
 	v := membership.NewView()
-	v.Set([]membership.Info{{Name: "s1", Peers: "s1"}, {Name: "s2", Peers: "s2"}, {Name: "s0", Peers: "s0"}})
+	v.Set([]membership.Info{{Name: "s1", PeerAddr: "s1"}, {Name: "s2", PeerAddr: "s2"}, {Name: "s0", PeerAddr: "s0"}})
 	b.Desk = &Desk{Self: "a1", Net: b, Clock: clock.Real{}, Bounds: settings.DefaultTiming, Board: gossip.NewBoard(func(n gossip.News) { b.News(n.Records) }), View: v, Owners: unready{}, Backlog: func() int { return 1000 }}
 	return b
 }
--- a/internal/placement/controller/copies.go
+++ b/internal/placement/controller/copies.go
@@ -106,7 +106,7 @@
 		return "its disk is another one"
 	case m.out:
 		return "it is being emptied"
-	case m.Fitness != "":
+	case m.DiskHealth != "":
 		return "its disk fails"
 	case m.Disk != settings.DiskStorage && s.stores >= s.copies:
 		return "storage machines suffice again"
@@ -123,7 +123,7 @@
 	}
 	if r.Learner != nil {
 		m, ok := s.m[r.Learner.Node]
-		if !ok || m.Incarnation != r.Learner.Incarnation || m.Fitness != "" || m.out || bad < 0 && len(r.Replicas) >= s.copies {
+		if !ok || m.Incarnation != r.Learner.Incarnation || m.DiskHealth != "" || m.out || bad < 0 && len(r.Replicas) >= s.copies {
 			n := r
 			n.Learner = nil
 			d.write(r, n)
--- a/internal/placement/controller/drains.go
+++ b/internal/placement/controller/drains.go
@@ -65,7 +65,7 @@
 		}
 		x.Left = d.named(x.Node)
 		if m, live := s.m[x.Node]; live {
-			x.Boot, x.Disk = m.Boot, m.Incarnation
+			x.Boot, x.Disk = m.BootID, m.Incarnation
 		}
 		if x.Left == 0 {
 			fenced = fenced || d.fence(ctx)
--- a/internal/placement/controller/duty_test.go
+++ b/internal/placement/controller/duty_test.go
@@ -63,8 +63,8 @@
 			delete(s.m, "s1")
 			d.since, d.gone["s1"] = s.now.Add(-b.PreviousLeaderWait()), s.now.Add(-b.PreviousLeaderWait())
 		}, "", true},
-		{"a failing disk", func(_ *Duty, s *scene, _ *assignment.Record) { s.m["s1"].Fitness = "disk_full" }, "the owner's disk fails: disk_full", false},
-		{"stopping", func(_ *Duty, s *scene, _ *assignment.Record) { s.m["s1"].Stage = membership.Leaving }, "the owner is stopping", false},
+		{"a failing disk", func(_ *Duty, s *scene, _ *assignment.Record) { s.m["s1"].DiskHealth = "disk_full" }, "the owner's disk fails: disk_full", false},
+		{"stopping", func(_ *Duty, s *scene, _ *assignment.Record) { s.m["s1"].Stage = membership.Draining }, "the owner is stopping", false},
 		{"deaf for a moment", func(d *Duty, s *scene, _ *assignment.Record) {
 			s.m["s1"].Deaf, d.deaf["s1"] = true, s.now.Add(time.Millisecond-half)
 		}, "", false},
--- a/internal/placement/controller/owners.go
+++ b/internal/placement/controller/owners.go
@@ -51,8 +51,8 @@
 			return true
 		}
 		reason = "the owner is gone"
-	case m.Fitness != "":
-		reason = "the owner's disk fails: " + m.Fitness
+	case m.DiskHealth != "":
+		reason = "the owner's disk fails: " + m.DiskHealth
 	case m.Stage != membership.Serving:
 		reason = "the owner is stopping"
 	case m.Deaf && s.now.Sub(d.deaf[r.Owner]) >= d.Bounds.SessionTimeout()/2:
@@ -61,7 +61,7 @@
 		if _, ok := d.heir(s, r, r.Owner); !ok || !r.Settled {
 			return false
 		}
-		reason = fmt.Sprintf("the owner is slow: its pulses take %s, %s are usual", time.Duration(m.Lag)*time.Microsecond, s.usual)
+		reason = fmt.Sprintf("the owner is slow: its pulses take %s, %s are usual", time.Duration(m.LatencyMicros)*time.Microsecond, s.usual)
 	case m.out && len(r.Replicas) <= s.copies:
 		if h, ok := d.heir(s, r, r.Owner); !ok || s.m[h.Node].out || !r.Settled {
 			return false
--- a/internal/placement/controller/scene.go
+++ b/internal/placement/controller/scene.go
@@ -49,7 +49,7 @@
 
 func (s *scene) usable(p assignment.Place) bool {
 	m, ok := s.m[p.Node]
-	return ok && m.Incarnation == p.Incarnation && m.Fitness == ""
+	return ok && m.Incarnation == p.Incarnation && m.DiskHealth == ""
 }
 
 // emptied tells whether a machine that is gone was asked to be emptied, so that it is not waited for.
@@ -59,7 +59,7 @@
 
 // fit tells whether a machine may be given a copy.
 func (s *scene) fit(m *machine) bool {
-	return m != nil && !m.out && m.Fitness == "" && !m.Deaf && m.Stage == membership.Serving && (m.Disk == settings.DiskStorage || s.stores < s.copies)
+	return m != nil && !m.out && m.DiskHealth == "" && !m.Deaf && m.Stage == membership.Serving && (m.Disk == settings.DiskStorage || s.stores < s.copies)
 }
 
 func (s *scene) canOwn(p assignment.Place) bool {
@@ -80,7 +80,7 @@
 		}
 		out := s.drains.Out(i.Name)
 		s.m[i.Name] = &machine{Info: i, out: out}
-		if i.Disk == settings.DiskStorage && !out && i.Fitness == "" {
+		if i.Disk == settings.DiskStorage && !out && i.DiskHealth == "" {
 			s.stores++
 		}
 	}
@@ -143,7 +143,7 @@
 func (d *Duty) lags(s *scene) {
 	var ls []int64
 	for _, m := range s.m {
-		ls = append(ls, m.Lag)
+		ls = append(ls, m.LatencyMicros)
 	}
 	slices.Sort(ls)
 	if len(ls) == 0 {
@@ -151,7 +151,7 @@
 	}
 	s.usual = time.Duration(ls[len(ls)/2]) * time.Microsecond
 	for n, m := range s.m {
-		lag := time.Duration(m.Lag) * time.Microsecond
+		lag := time.Duration(m.LatencyMicros) * time.Microsecond
 		switch since := d.slow[n]; {
 		case lag > max(settings.SlowFactor*s.usual, d.Bounds.SlowThreshold()):
 			if since.IsZero() {
--- a/internal/presence/presence.go
+++ b/internal/presence/presence.go
@@ -79,9 +79,9 @@
 func (p *Presence) Others(ctx context.Context, topic, visitor string) (n int, whole bool) {
 	cx, stop := context.WithTimeout(ctx, p.Bounds.CallTimeout()/2)
 	defer stop()
-	fs := membership.Pick(p.View.All(), func(i membership.Info) bool { return i.Name != p.Self })
+	fs := membership.Filter(p.View.All(), func(i membership.Info) bool { return i.Name != p.Self })
 	as := quorum.Gather(cx, fs, func(ctx context.Context, i membership.Info) (*CountResponse, error) {
-		return Count.Call(ctx, p.Net, p.Self, i.Peers, &CountRequest{Topic: topic})
+		return Count.Call(ctx, p.Net, p.Self, i.PeerAddr, &CountRequest{Topic: topic})
 	}, nil)
 	all := p.here(topic)
 	for _, a := range quorum.Successes(as) {
--- a/internal/testing/sim/chaos_test.go
+++ b/internal/testing/sim/chaos_test.go
@@ -30,7 +30,7 @@
 	r := ref.VoterSet()
 	for _, s := range r.Voters {
 		i := w.Machines[s.Node].Node().Info()
-		if i.Incarnation != s.Incarnation || i.Roster != r.Sequence {
+		if i.Incarnation != s.Incarnation || i.VoterSet != r.Sequence {
 			return false
 		}
 	}
--- a/internal/testing/sim/description_test.go
+++ b/internal/testing/sim/description_test.go
@@ -430,7 +430,7 @@
 					assert.NilError(t, w.Until(30*time.Second, "the wiped disk has a seat", func() bool {
 						n := w.Machines[c].Node()
 						x, ok := w.Machines["a1"].Node().VoterSet().Voter(c)
-						return ok && x.Incarnation == n.Info().Incarnation && n.Info().Roster == w.Machines["a1"].Node().VoterSet().Sequence
+						return ok && x.Incarnation == n.Info().Incarnation && n.Info().VoterSet == w.Machines["a1"].Node().VoterSet().Sequence
 					}))
 					time.Sleep(2 * time.Second)
 				}
--- a/internal/testing/sim/faults_test.go
+++ b/internal/testing/sim/faults_test.go
@@ -85,7 +85,7 @@
 			assert.NilError(t, w.Until(30*time.Second, "the wiped disk has a seat", func() bool {
 				r := w.Machines["a1"].Node().VoterSet()
 				s, ok := r.Voter(c)
-				return ok && s.Incarnation == w.Machines[c].Node().Info().Incarnation && w.Machines[c].Node().Info().Roster == r.Sequence
+				return ok && s.Incarnation == w.Machines[c].Node().Info().Incarnation && w.Machines[c].Node().Info().VoterSet == r.Sequence
 			}))
 			time.Sleep(3 * time.Second)
 		}
--- a/internal/testing/sim/founding_test.go
+++ b/internal/testing/sim/founding_test.go
@@ -34,7 +34,7 @@
 		}
 		r := x.VoterSet()
 		s, ok := r.Voter(n)
-		if i := x.Info(); top == 0 || r.Sequence != top || !ok || s.Incarnation != i.Incarnation || i.Roster != top {
+		if i := x.Info(); top == 0 || r.Sequence != top || !ok || s.Incarnation != i.Incarnation || i.VoterSet != top {
 			return false
 		}
 	}
--- a/internal/testing/sim/lag_test.go
+++ b/internal/testing/sim/lag_test.go
@@ -62,7 +62,7 @@
 			w.Slow(n, 2*slow)
 		}
 		time.Sleep(w.Site.Bounds.Spread)
-		assert.Equal(t, w.Machines["a1"].Node().Info().Lag, int64(0))
-		assert.Assert(t, w.Machines["s1"].Node().Info().Lag > slow.Microseconds())
+		assert.Equal(t, w.Machines["a1"].Node().Info().LatencyMicros, int64(0))
+		assert.Assert(t, w.Machines["s1"].Node().Info().LatencyMicros > slow.Microseconds())
 	})
 }
--- a/internal/testing/sim/room_test.go
+++ b/internal/testing/sim/room_test.go
@@ -16,14 +16,14 @@
 	long(t)
 	synctestRoom(t, 1, func(t *testing.T, w *World) {
 		x := w.Machines["s1"].Node()
-		assert.NilError(t, w.Until(60*time.Second, "s1 is full", func() bool { return x.Info().Fitness == string(apierror.DiskFull) }))
+		assert.NilError(t, w.Until(60*time.Second, "s1 is full", func() bool { return x.Info().DiskHealth == string(apierror.DiskFull) }))
 		full := time.Now()
 		assert.NilError(t, w.Until(20*time.Second, "s1 decides for nothing", func() bool { return x.Info().Partitions == 0 }))
 		t.Logf("duties away after %s", time.Since(full))
 		assert.NilError(t, w.Until(20*time.Second, "s1 holds nothing", func() bool { return w.holdings("s1") == 0 }))
 		t.Logf("copies away after %s", time.Since(full))
 		w.Quiet(w.Site.Bounds.Retention())
-		assert.NilError(t, w.Until(60*time.Second, "s1 is well and holds copies", func() bool { return x.Info().Fitness == "" && w.copied() && w.holdings("s1") > 0 }))
+		assert.NilError(t, w.Until(60*time.Second, "s1 is well and holds copies", func() bool { return x.Info().DiskHealth == "" && w.copied() && w.holdings("s1") > 0 }))
 		assert.Assert(t, w.Machines["s1"].Node() == x, "its process ended")
 	})
 }
--- a/internal/wire/codec_test.go
+++ b/internal/wire/codec_test.go
@@ -155,7 +155,7 @@
 func samples() map[string]any {
 	ms := make([]membership.Info, 13)
 	for i := range ms {
-		ms[i] = membership.Info{Name: fmt.Sprintf("store-%d", i), Zone: "zone-a", Listen: "127.0.0.1:7000", Peers: "127.0.0.1:8000", Disk: "own", Incarnation: "0123456789abcdef", Boot: "fedcba9876543210", Stage: "serving", Description: 17, Roster: 3, Partitions: 4, Loads: map[int]float64{1: 0.25, 7: 3.5}, Build: "1.0", Wire: 2, Lag: 900, Homes: true}
+		ms[i] = membership.Info{Name: fmt.Sprintf("store-%d", i), Zone: "zone-a", ListenAddr: "127.0.0.1:7000", PeerAddr: "127.0.0.1:8000", Disk: "own", Incarnation: "0123456789abcdef", BootID: "fedcba9876543210", Stage: "serving", Configuration: 17, VoterSet: 3, Partitions: 4, Loads: map[int]float64{1: 0.25, 7: 3.5}, BuildVersion: "1.0", WireVersion: 2, LatencyMicros: 900, SupportsTwoHomes: true}
 	}
 	es := make([]log.Entry, 4)
 	for i := range es {
