--- a/internal/membership/failuredetector/watch.go
+++ b/internal/membership/failuredetector/watch.go
@@ -17,28 +17,28 @@
 	"postjunction/internal/wire"
 )
 
-// BeatRequest asks for a sign of life.
-type BeatRequest struct{}
+// PingRequest asks for a sign of life.
+type PingRequest struct{}
 
-// BeatResponse is one: the run of the process.
-type BeatResponse struct {
-	Boot string `json:"b"`
+// PingResponse is one: the run of the process.
+type PingResponse struct {
+	BootID string `json:"b"`
 }
 
-// HeardRequest asks a peer what it knows of a machine that is not heard.
-type HeardRequest struct {
+// QueryRequest asks a peer what it knows of a machine that is not heard.
+type QueryRequest struct {
 	Node string `json:"n"`
 }
 
-// HeardResponse says whether the machine was heard lately.
-type HeardResponse struct {
+// QueryResponse says whether the machine was heard lately.
+type QueryResponse struct {
 	Heard bool `json:"h"`
 }
 
 // The calls of machines that look after one another.
 var (
-	Beat  = wire.NewProcedure[BeatRequest, BeatResponse]("Watch", "Beat", wire.ReadOnly, "tells that the process lives")
-	Heard = wire.NewProcedure[HeardRequest, HeardResponse]("Watch", "Heard", wire.ReadOnly, "tells whom the receiver has heard")
+	Ping  = wire.NewProcedure[PingRequest, PingResponse]("Watch", "Beat", wire.ReadOnly, "tells that the process lives")
+	Query = wire.NewProcedure[QueryRequest, QueryResponse]("Watch", "Heard", wire.ReadOnly, "tells whom the receiver has heard")
 )
 
 // Why a machine counts as gone.
@@ -65,17 +65,17 @@
 	why     string
 }
 
-// Watch is one machine's; it looks after the owners of the partitions that it holds copies of.
-type Watch struct {
+// Detector is one machine's; it looks after the owners of the partitions that it holds copies of.
+type Detector struct {
 	Self   string
-	Boot   string
+	BootID string
 	Clock  clock.Clock
-	Bounds settings.Timing
+	Timing settings.Timing
 	Net    wire.Network
-	Board  *gossip.Board
+	Store  *gossip.Board
 	Addr   func(node string) (string, bool)
-	// Gone hears each beat of a machine that is gone, since when and why.
-	Gone func(ctx context.Context, node string, since time.Time, why string)
+	// OnFailure hears each beat of a machine that is gone, since when and why.
+	OnFailure func(ctx context.Context, node string, since time.Time, why string)
 
 	mu    sync.Mutex
 	wards map[string]*ward
@@ -83,11 +83,11 @@
 }
 
 // Run looks after the others until ctx ends. Silence is counted in own beats, so that own pauses don't count.
-func (w *Watch) Run(ctx context.Context) {
+func (w *Detector) Run(ctx context.Context) {
 	var known <-chan struct{}
-	for at := w.Clock.Now(); w.Clock.Sleep(ctx, w.Bounds.PingInterval()) == nil; {
+	for at := w.Clock.Now(); w.Clock.Sleep(ctx, w.Timing.PingInterval()) == nil; {
 		now := w.Clock.Now()
-		paused := now.Sub(at) > 2*w.Bounds.PingInterval()
+		paused := now.Sub(at) > 2*w.Timing.PingInterval()
 		at = now
 		select {
 		case <-known:
@@ -95,17 +95,17 @@
 		default:
 		}
 		if known == nil {
-			known = w.Board.Changed()
+			known = w.Store.Changed()
 			w.learn()
 		}
 		w.round(ctx, paused)
 	}
 }
 
-func (w *Watch) learn() {
+func (w *Detector) learn() {
 	rings := map[string][]string{}
-	for p := range w.Board.Roster().Layout.PartitionCount() {
-		r := w.Board.Record(p)
+	for p := range w.Store.Roster().Layout.PartitionCount() {
+		r := w.Store.Record(p)
 		if _, ok := r.Place(w.Self); !ok || r.Owner == "" || r.Owner == w.Self {
 			continue
 		}
@@ -133,12 +133,12 @@
 }
 
 // most is how many beats may go unanswered: more where answers took long lately, since what is slow or lossy is not gone.
-func (w *Watch) most(x *ward) int {
-	s := min(w.Bounds.FailureTimeout()+2*x.took, w.Bounds.SessionTimeout()/2)
-	return int((s + w.Bounds.PingInterval()/2) / w.Bounds.PingInterval())
+func (w *Detector) most(x *ward) int {
+	s := min(w.Timing.FailureTimeout()+2*x.took, w.Timing.SessionTimeout()/2)
+	return int((s + w.Timing.PingInterval()/2) / w.Timing.PingInterval())
 }
 
-func (w *Watch) round(ctx context.Context, paused bool) {
+func (w *Detector) round(ctx context.Context, paused bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for n, x := range w.wards {
@@ -155,7 +155,7 @@
 		}
 		switch {
 		case x.why != "":
-			go w.Gone(ctx, n, x.since, x.why)
+			go w.OnFailure(ctx, n, x.since, x.why)
 		case x.missed > w.most(x) && !x.asking:
 			x.asking = true
 			go w.doubt(ctx, n, x, w.rings[n])
@@ -163,20 +163,20 @@
 	}
 }
 
-func (w *Watch) beat(ctx context.Context, n string, x *ward, addr string) {
+func (w *Detector) beat(ctx context.Context, n string, x *ward, addr string) {
 	for again := false; ; again = true {
-		cx, stop := context.WithTimeout(ctx, w.Bounds.FailureTimeout())
+		cx, stop := context.WithTimeout(ctx, w.Timing.FailureTimeout())
 		at := w.Clock.Now()
-		_, err := Beat.Call(cx, w.Net, w.Self, addr, &BeatRequest{})
+		_, err := Ping.Call(cx, w.Net, w.Self, addr, &PingRequest{})
 		stop()
-		if !w.judge(ctx, n, x, w.Clock.Now().Sub(at), err, again) || w.Clock.Sleep(ctx, w.Bounds.RefusalRetryDelay()) != nil {
+		if !w.judge(ctx, n, x, w.Clock.Now().Sub(at), err, again) || w.Clock.Sleep(ctx, w.Timing.RefusalRetryDelay()) != nil {
 			return
 		}
 	}
 }
 
 // judge takes in how a beat went, and tells whether to try once more at once.
-func (w *Watch) judge(ctx context.Context, n string, x *ward, took time.Duration, err error, again bool) bool {
+func (w *Detector) judge(ctx context.Context, n string, x *ward, took time.Duration, err error, again bool) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if away := wire.TurnedAway(err); err != nil && away && ctx.Err() == nil {
@@ -197,24 +197,24 @@
 	return false
 }
 
-func (w *Watch) lost(ctx context.Context, n string, x *ward, why string) {
+func (w *Detector) lost(ctx context.Context, n string, x *ward, why string) {
 	if x.why != "" || w.wards[n] != x {
 		return
 	}
 	x.why, x.since = why, w.Clock.Now()
-	go w.Gone(ctx, n, x.since, why)
+	go w.OnFailure(ctx, n, x.since, why)
 }
 
 // doubt asks the others that hold copies whether they hear a machine that is not heard here: a broken link between two is no loss.
-func (w *Watch) doubt(ctx context.Context, n string, x *ward, ring []string) {
-	cx, stop := context.WithTimeout(ctx, w.Bounds.HedgeDelay())
+func (w *Detector) doubt(ctx context.Context, n string, x *ward, ring []string) {
+	cx, stop := context.WithTimeout(ctx, w.Timing.HedgeDelay())
 	defer stop()
 	as := quorum.Gather(cx, ring, func(ctx context.Context, f string) (bool, error) {
 		a, ok := w.Addr(f)
 		if !ok {
 			return false, apierror.New(apierror.Unreachable, "%s is not known", f)
 		}
-		h, err := Heard.Call(ctx, w.Net, w.Self, a, &HeardRequest{Node: n})
+		h, err := Query.Call(ctx, w.Net, w.Self, a, &QueryRequest{Node: n})
 		return err == nil && h.Heard, err
 	}, func(as []quorum.Result[string, bool]) bool { return heard(as) })
 	w.mu.Lock()
@@ -229,8 +229,8 @@
 	return slices.ContainsFunc(quorum.Successes(as), func(a quorum.Result[string, bool]) bool { return a.Value })
 }
 
-// Hears tells whether a machine that is looked after here was heard lately.
-func (w *Watch) Hears(n string) (bool, error) {
+// Heard tells whether a machine that is looked after here was heard lately.
+func (w *Detector) Heard(n string) (bool, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	x := w.wards[n]
@@ -240,8 +240,8 @@
 	return x.why == "" && x.missed <= lately && x.refused == 0, nil
 }
 
-// Lost tells whether a machine that is looked after here counts as gone.
-func (w *Watch) Lost(n string) bool {
+// Failed tells whether a machine that is looked after here counts as gone.
+func (w *Detector) Failed(n string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	x := w.wards[n]
@@ -249,10 +249,12 @@
 }
 
 // Serve adds the calls.
-func (w *Watch) Serve(m *http.ServeMux) {
-	Beat.Handle(m, func(context.Context, *BeatRequest) (*BeatResponse, error) { return &BeatResponse{Boot: w.Boot}, nil })
-	Heard.Handle(m, func(_ context.Context, q *HeardRequest) (*HeardResponse, error) {
-		h, err := w.Hears(q.Node)
-		return &HeardResponse{Heard: h}, err
+func (w *Detector) Serve(m *http.ServeMux) {
+	Ping.Handle(m, func(context.Context, *PingRequest) (*PingResponse, error) {
+		return &PingResponse{BootID: w.BootID}, nil
+	})
+	Query.Handle(m, func(_ context.Context, q *QueryRequest) (*QueryResponse, error) {
+		h, err := w.Heard(q.Node)
+		return &QueryResponse{Heard: h}, err
 	})
 }
--- a/internal/membership/reachability/touch.go
+++ b/internal/membership/reachability/touch.go
@@ -118,9 +118,9 @@
 	defer stop()
 	as := t.Owners()
 	most := max(1, (len(as)+share-1)/share)
-	got := quorum.Successes(quorum.Gather(cx, as, func(ctx context.Context, a string) (*failuredetector.BeatResponse, error) {
-		return failuredetector.Beat.Call(ctx, t.Net, t.Self, a, &failuredetector.BeatRequest{})
-	}, func(as []quorum.Result[string, *failuredetector.BeatResponse]) bool {
+	got := quorum.Successes(quorum.Gather(cx, as, func(ctx context.Context, a string) (*failuredetector.PingResponse, error) {
+		return failuredetector.Ping.Call(ctx, t.Net, t.Self, a, &failuredetector.PingRequest{})
+	}, func(as []quorum.Result[string, *failuredetector.PingResponse]) bool {
 		return len(quorum.Successes(as)) >= most
 	}))
 	return len(got), len(as)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -95,7 +95,7 @@
 	leaves       *bootstrap.Granter
 	reconfigurer *reconfigurer.Reconfigurer
 	duty         *controller.Duty
-	watch        *failuredetector.Watch
+	watch        *failuredetector.Detector
 	touch        *reachability.Touch
 
 	// Visitors and Operators are the services behind the door.
@@ -252,7 +252,7 @@
 	if p.Node == n.options().Name {
 		i, ok = n.Info(), true
 	}
-	if !ok || i.Incarnation != p.Incarnation || i.DiskHealth != "" || i.Stage != membership.Serving || i.Deaf || n.watch.Lost(p.Node) {
+	if !ok || i.Incarnation != p.Incarnation || i.DiskHealth != "" || i.Stage != membership.Serving || i.Deaf || n.watch.Failed(p.Node) {
 		return -1
 	}
 	return ranks[i.Disk]
@@ -314,7 +314,7 @@
 		n.duty = &controller.Duty{Self: self, Clock: clk, Bounds: b, Holder: n.holder, Client: n.client, Board: n.Board, Live: n.table.Live, Tell: n.gossip.Tell, Changed: n.table.Changed, Log: n.log}
 	}
 	n.owners = &leaders.Keeper{Self: self, Clock: clk, Bounds: b, Board: n.Board, Client: n.client, Replica: n.replica, Log: n.log, Able: n.able, Tell: n.gossip.Tell}
-	n.watch = &failuredetector.Watch{Self: self, Boot: n.boot, Clock: clk, Bounds: b, Net: net, Board: n.Board, Addr: n.reach, Gone: n.owners.Inherit}
+	n.watch = &failuredetector.Detector{Self: self, BootID: n.boot, Clock: clk, Timing: b, Net: net, Store: n.Board, Addr: n.reach, OnFailure: n.owners.Inherit}
 	n.owners.Deps = leader.Deps{
 		Self: self, Net: net, Clock: clk, Bounds: b, Replica: n.replica, Still: idle.New(ctx, self, net, clk, b), Addr: n.addr, Licensed: n.keeper.Licensed,
 		Batch:   func() time.Duration { return n.options().ChangelogInterval() },
