--- a/internal/membership/reachability/touch.go
+++ b/internal/membership/reachability/touch.go
@@ -15,16 +15,16 @@
 	"postjunction/internal/wire"
 )
 
-// ReachRequest asks a peer whether it reaches the machines that decide.
-type ReachRequest struct{}
+// ProbeRequest asks a peer whether it reaches the machines that decide.
+type ProbeRequest struct{}
 
-// ReachResponse says so.
-type ReachResponse struct {
-	Well bool `json:"w"`
+// ProbeResponse says so.
+type ProbeResponse struct {
+	Reachable bool `json:"w"`
 }
 
-// Reach is the call.
-var Reach = wire.NewProcedure[ReachRequest, ReachResponse]("Touch", "Reach", wire.ReadOnly, "the receiver looks whom it reaches")
+// Probe is the call.
+var Probe = wire.NewProcedure[ProbeRequest, ProbeResponse]("Touch", "Reach", wire.ReadOnly, "the receiver looks whom it reaches")
 
 const (
 	doubtOf   = 3
@@ -36,36 +36,36 @@
 	some = 1 << 10
 )
 
-// Touch is one node's.
-type Touch struct {
+// Monitor is one node's.
+type Monitor struct {
 	Self   string
 	Clock  clock.Clock
-	Bounds settings.Timing
+	Timing settings.Timing
 	Net    wire.Network
-	// Heard tells when the fleet was last heard in the ordinary way, the zero time when it never was.
-	Heard func() time.Time
-	// Usual tells how long a heartbeat that is answered takes, and whether this node has been here long enough to know.
-	Usual func() (time.Duration, bool)
-	// Owners gives the addresses of the other machines that decide at present.
-	Owners func() []string
+	// LastHeard tells when the fleet was last heard in the ordinary way, the zero time when it never was.
+	LastHeard func() time.Time
+	// UsualLatency tells how long a heartbeat that is answered takes, and whether this node has been here long enough to know.
+	UsualLatency func() (time.Duration, bool)
+	// LeaderAddrs gives the addresses of the other machines that decide at present.
+	LeaderAddrs func() []string
 	// Peers gives the nodes that could take this node's visitors, in groups, the nearest first.
 	Peers func() [][]membership.Info
-	// Able tells whether this node itself could take visitors.
-	Able func() error
-	// Away hears which peers take this node's visitors, and nothing once this node reaches those who decide again.
-	Away func(to []membership.Info)
+	// CheckServing tells whether this node itself could take visitors.
+	CheckServing func() error
+	// OnRedirect hears which peers take this node's visitors, and nothing once this node reaches those who decide again.
+	OnRedirect func(to []membership.Info)
 }
 
 // Run looks after the way to those who decide until ctx ends. As long as heartbeats are heard it costs nothing; when one is late, the machines that decide
 // are called and peers asked at once, and when none of the former answers, peers that reach them take the visitors.
-func (t *Touch) Run(ctx context.Context) {
+func (t *Monitor) Run(ctx context.Context) {
 	away := false
-	for pause := t.Bounds.PingInterval(); t.Clock.Sleep(ctx, pause) == nil; {
-		pause = t.Bounds.PingInterval()
+	for pause := t.Timing.PingInterval(); t.Clock.Sleep(ctx, pause) == nil; {
+		pause = t.Timing.PingInterval()
 		reached, to := true, []membership.Info(nil)
 		if t.doubtful() {
 			if reached, to = t.look(ctx, !away); reached {
-				pause = t.Bounds.HeartbeatInterval()
+				pause = t.Timing.HeartbeatInterval()
 			}
 		}
 		switch {
@@ -73,16 +73,16 @@
 			return
 		case reached && away:
 			away = false
-			t.Away(nil)
+			t.OnRedirect(nil)
 		case !reached && len(to) > 0:
 			away = true
-			t.Away(to)
+			t.OnRedirect(to)
 		}
 	}
 }
 
 // look tells whether some machine that decides is reached or a heartbeat was heard meanwhile, and if not, which peers reach them, if that is asked for.
-func (t *Touch) look(ctx context.Context, ask bool) (bool, []membership.Info) {
+func (t *Monitor) look(ctx context.Context, ask bool) (bool, []membership.Info) {
 	cx, stop := context.WithCancel(ctx)
 	defer stop()
 	c := make(chan []membership.Info, 1)
@@ -101,22 +101,22 @@
 }
 
 // slack is what a slow machine or link is given more, since slow is not away.
-func (t *Touch) slack() time.Duration {
-	d, _ := t.Usual()
+func (t *Monitor) slack() time.Duration {
+	d, _ := t.UsualLatency()
 	return slackOf * d
 }
 
-func (t *Touch) doubtful() bool {
-	_, ok := t.Usual()
-	at := t.Heard()
-	return ok && !at.IsZero() && t.Clock.Now().Sub(at) > t.Bounds.HeartbeatInterval()*doubtOf/doubtIn+t.slack()
+func (t *Monitor) doubtful() bool {
+	_, ok := t.UsualLatency()
+	at := t.LastHeard()
+	return ok && !at.IsZero() && t.Clock.Now().Sub(at) > t.Timing.HeartbeatInterval()*doubtOf/doubtIn+t.slack()
 }
 
 // reached calls the machines that decide, and tells how many of how many answered, as soon as a share of them did.
-func (t *Touch) reached(ctx context.Context, share int) (n, all int) {
-	cx, stop := context.WithTimeout(ctx, t.Bounds.HedgeDelay()+t.slack())
+func (t *Monitor) reached(ctx context.Context, share int) (n, all int) {
+	cx, stop := context.WithTimeout(ctx, t.Timing.HedgeDelay()+t.slack())
 	defer stop()
-	as := t.Owners()
+	as := t.LeaderAddrs()
 	most := max(1, (len(as)+share-1)/share)
 	got := quorum.Successes(quorum.Gather(cx, as, func(ctx context.Context, a string) (*failuredetector.PingResponse, error) {
 		return failuredetector.Ping.Call(ctx, t.Net, t.Self, a, &failuredetector.PingRequest{})
@@ -127,16 +127,16 @@
 }
 
 // well gives the peers of the nearest group in which some say that they reach those who decide: those who say so soon after the first.
-func (t *Touch) well(ctx context.Context) []membership.Info {
+func (t *Monitor) well(ctx context.Context) []membership.Info {
 	for _, g := range t.Peers() {
 		rand.Shuffle(len(g), func(i, k int) { g[i], g[k] = g[k], g[i] })
 		g = g[:min(len(g), askedMost)]
-		cx, stop := context.WithTimeout(ctx, 2*t.Bounds.HedgeDelay())
-		as := quorum.Successes(quorum.Gather(cx, g, func(ctx context.Context, i membership.Info) (*ReachResponse, error) {
-			a, err := Reach.Call(ctx, t.Net, t.Self, i.PeerAddr, &ReachRequest{})
-			if err == nil && a.Well {
+		cx, stop := context.WithTimeout(ctx, 2*t.Timing.HedgeDelay())
+		as := quorum.Successes(quorum.Gather(cx, g, func(ctx context.Context, i membership.Info) (*ProbeResponse, error) {
+			a, err := Probe.Call(ctx, t.Net, t.Self, i.PeerAddr, &ProbeRequest{})
+			if err == nil && a.Reachable {
 				go func() {
-					_ = t.Clock.Sleep(cx, t.Bounds.InitialBackoff())
+					_ = t.Clock.Sleep(cx, t.Timing.InitialBackoff())
 					stop()
 				}()
 			}
@@ -145,7 +145,7 @@
 		stop()
 		var to []membership.Info
 		for _, a := range as {
-			if a.Value.Well {
+			if a.Value.Reachable {
 				to = append(to, a.Target)
 			}
 		}
@@ -156,13 +156,13 @@
 	return nil
 }
 
-func (t *Touch) reach(ctx context.Context, _ *ReachRequest) (*ReachResponse, error) {
-	if err := t.Able(); err != nil {
+func (t *Monitor) reach(ctx context.Context, _ *ProbeRequest) (*ProbeResponse, error) {
+	if err := t.CheckServing(); err != nil {
 		return nil, err
 	}
 	n, all := t.reached(ctx, half)
-	return &ReachResponse{Well: half*n >= all}, nil
+	return &ProbeResponse{Reachable: half*n >= all}, nil
 }
 
 // Serve adds the call.
-func (t *Touch) Serve(m *http.ServeMux) { Reach.Handle(m, t.reach) }
+func (t *Monitor) Serve(m *http.ServeMux) { Probe.Handle(m, t.reach) }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -96,7 +96,7 @@
 	reconfigurer *reconfigurer.Reconfigurer
 	duty         *controller.Duty
 	watch        *failuredetector.Detector
-	touch        *reachability.Touch
+	touch        *reachability.Monitor
 
 	// Visitors and Operators are the services behind the door.
 	Visitors  *client.Service
@@ -350,9 +350,9 @@
 		Self: self, Clock: clk, Bounds: b, Board: n.Board, Hub: n.hub, Ledger: n.desk, Licensed: n.keeper.Licensed,
 		Leaving: n.leaving, Members: n.View.All, Info: n.Info, Body: o.BodyLimit,
 	}).Open(ctx)
-	n.touch = &reachability.Touch{
-		Self: self, Clock: clk, Bounds: b, Net: net, Heard: n.keeper.Heard, Usual: n.keeper.Usual, Owners: n.deciders, Peers: n.nearest, Able: n.Ready,
-		Away: func(to []membership.Info) {
+	n.touch = &reachability.Monitor{
+		Self: self, Clock: clk, Timing: b, Net: net, LastHeard: n.keeper.Heard, UsualLatency: n.keeper.Usual, LeaderAddrs: n.deciders, Peers: n.nearest, CheckServing: n.Ready,
+		OnRedirect: func(to []membership.Info) {
 			if len(to) > 0 {
 				n.log.Say(event.VisitorsSent, "visitors", n.House.Count(), "fellows", len(to))
 			} else {
