--- a/internal/client/follow.go
+++ b/internal/client/follow.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		return err
 	}
-	r := s.Board.Roster()
+	r := s.Board.VoterSet()
 	st := &subscriptionStream{
 		s: s, t: t, fleet: r.Fleet, want: map[string]bool{}, urgent: map[string]bool{}, parts: map[string]int{}, pos: cursor.Cursor{}, given: cursor.Cursor{},
 		wake: make(chan struct{}, 1), checked: make(chan error, 1), index: s.Board.Index().Sequence,
@@ -127,7 +127,7 @@
 }
 
 func (st *subscriptionStream) plan(routineCount int) (urgent, routine []int) {
-	l := st.s.Board.Roster().Layout
+	l := st.s.Board.VoterSet().Layout
 	for i, n := range st.t.Topics {
 		p := partition.Of(n, st.t.spaces[i].Urgent, l)
 		st.want[n], st.urgent[n], st.parts[n] = true, st.t.spaces[i].Urgent, p
--- a/internal/client/follow_test.go
+++ b/internal/client/follow_test.go
@@ -21,9 +21,9 @@
 )
 
 func TestStreamSkipsWhatItGaveAndWhatNobodyAskedFor(t *testing.T) {
-	b := gossip.NewBoard(nil)
+	b := gossip.NewStore(nil)
 	describe := func(seq uint64, ss ...configuration.Space) {
-		b.Offer(gossip.News{Description: &configuration.Description{Sequence: seq, Spaces: ss}})
+		b.Apply(gossip.Update{Configuration: &configuration.Description{Sequence: seq, Spaces: ss}})
 	}
 	describe(1, configuration.Space{Name: "s", Kind: "kept", Topics: []string{"a", "b", "gone"}})
 	var got []string
@@ -73,7 +73,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		const routine, urgent = 0, 5
 		fs := stream.New(ctx, "a1", "1", owners{urgent}, clock.Real{}, settings.DefaultTiming)
-		b := gossip.NewBoard(nil)
+		b := gossip.NewStore(nil)
 		var got []string
 		st := &subscriptionStream{s: &Service{Board: b, Clock: clock.Real{}, Bounds: settings.DefaultTiming}, t: &Task{Emit: func(l []byte) error {
 			var x Line
--- a/internal/client/service.go
+++ b/internal/client/service.go
@@ -62,7 +62,7 @@
 	Clock    clock.Clock
 	Bounds   settings.Timing
 	Body     int
-	Board    *gossip.Board
+	Board    *gossip.Store
 	Desk     *router.Desk
 	Feeds    *stream.Feeds
 	Presence *presence.Presence
@@ -308,11 +308,11 @@
 	sp := t.spaces[0]
 	q.Visitor, q.Generation, q.Topic, q.Call = t.Visitor, t.who.Generation, t.Topics[0], t.Call
 	q.Live, q.Description = sp.Kind == configuration.Live, s.Board.Index().Sequence
-	return s.Desk.Submit(ctx, partition.Of(q.Topic, sp.Urgent, s.Board.Roster().Layout), q)
+	return s.Desk.Submit(ctx, partition.Of(q.Topic, sp.Urgent, s.Board.VoterSet().Layout), q)
 }
 
 func (s *Service) ack(ctx context.Context, t *Task) error {
-	r := s.Board.Roster()
+	r := s.Board.VoterSet()
 	if _, err := cursor.Unpack(r.Fleet, r.Layout.PartitionCount(), t.Cursor); err != nil {
 		return err
 	}
--- a/internal/client/session/house.go
+++ b/internal/client/session/house.go
@@ -31,7 +31,7 @@
 	Self     string
 	Clock    clock.Clock
 	Bounds   settings.Timing
-	Board    *gossip.Board
+	Board    *gossip.Store
 	Hub      *fanout.Hub
 	Ledger   Ledger
 	Licensed func() error
@@ -123,7 +123,7 @@
 	for _, v := range h.all() {
 		for _, t := range v.topics() {
 			sp, err := x.Find(t)
-			if s := v.sub(t); s == nil || err == nil && partition.Of(t, sp.Urgent, h.Board.Roster().Layout) == s.Partition() {
+			if s := v.sub(t); s == nil || err == nil && partition.Of(t, sp.Urgent, h.Board.VoterSet().Layout) == s.Partition() {
 				continue
 			}
 			if err == nil {
@@ -380,7 +380,7 @@
 	if err != nil {
 		return sp, 0, err
 	}
-	p := partition.Of(topic, sp.Urgent, v.h.Board.Roster().Layout)
+	p := partition.Of(topic, sp.Urgent, v.h.Board.VoterSet().Layout)
 	if p == partition.None {
 		return sp, 0, apierror.New(apierror.NoPartitionLeader, "the fleet is not founded yet")
 	}
@@ -392,7 +392,7 @@
 	if err != nil {
 		return err
 	}
-	fleet := v.h.Board.Roster().Fleet
+	fleet := v.h.Board.VoterSet().Fleet
 	s := v.h.Hub.Sub(p, t.Topic)
 	if t.Cursor != "" {
 		c, err := Unplace(fleet, t.Cursor)
--- a/internal/client/session/house_test.go
+++ b/internal/client/session/house_test.go
@@ -66,7 +66,7 @@
 type hall struct {
 	*House
 	src   *source
-	board *gossip.Board
+	board *gossip.Store
 	seq   uint64
 	mu    sync.Mutex
 	heard []string
@@ -74,7 +74,7 @@
 
 func (h *hall) describe(spaces ...configuration.Space) {
 	h.seq++
-	h.board.Offer(gossip.News{Description: &configuration.Description{Sequence: h.seq, Base: h.seq - 1, Spaces: spaces}})
+	h.board.Apply(gossip.Update{Configuration: &configuration.Description{Sequence: h.seq, Base: h.seq - 1, Spaces: spaces}})
 	synctest.Wait()
 }
 
@@ -117,8 +117,8 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		b := gossip.NewBoard(nil)
-		b.Offer(gossip.News{Roster: &voters.Set{Sequence: 1, Fleet: "fleet00", Layout: voters.Layout{RoutinePartitions: 1}}, Records: []assignment.Record{{Owner: "s1", Epoch: 1, Writes: 1}}})
+		b := gossip.NewStore(nil)
+		b.Apply(gossip.Update{VoterSet: &voters.Set{Sequence: 1, Fleet: "fleet00", Layout: voters.Layout{RoutinePartitions: 1}}, Records: []assignment.Record{{Owner: "s1", Epoch: 1, Writes: 1}}})
 		h := &hall{src: &source{follow: func(*leader.Want) *leader.Told { return nil }}, board: b}
 		hub := fanout.New(ctx, "a1", "boot", h.src, b, clock.Real{}, settings.DefaultTiming)
 		h.House = (&House{
@@ -250,7 +250,7 @@
 			v.Do(Task{Verb: Join, Topic: "kept/b"})
 			h.seq++
 			sp := []configuration.Space{kept, other}[i%2]
-			go h.board.Offer(gossip.News{Description: &configuration.Description{Sequence: h.seq, Base: h.seq - 1, Spaces: []configuration.Space{sp, kept}[i%2 : 2]}})
+			go h.board.Apply(gossip.Update{Configuration: &configuration.Description{Sequence: h.seq, Base: h.seq - 1, Spaces: []configuration.Space{sp, kept}[i%2 : 2]}})
 			v.Do(Task{Verb: Leave, Topic: "kept/a"})
 			v.Do(Task{Verb: Leave, Topic: "kept/b"})
 		}
--- a/internal/client/withdraw_test.go
+++ b/internal/client/withdraw_test.go
@@ -77,7 +77,7 @@
 				assert.NilError(t, err)
 				defer leave()
 				var got []string
-				st := &subscriptionStream{s: &Service{Board: gossip.NewBoard(nil)}, t: &Task{Emit: func(b []byte) error {
+				st := &subscriptionStream{s: &Service{Board: gossip.NewStore(nil)}, t: &Task{Emit: func(b []byte) error {
 					var l Line
 					assert.NilError(t, json.Unmarshal(b, &l))
 					switch {
--- a/internal/command/serve/visits.go
+++ b/internal/command/serve/visits.go
@@ -30,7 +30,7 @@
 	return lineserver.New(lineserver.Settings{
 		Host: house{n.House}, Codec: words, Clock: clock.Real{},
 		Keepalive: time.Duration(o.Keepalive), Retry: o.Timing().MaxBackoff(),
-		Body: func() int { return body(o.BodyLimit, n.Board.Description().Limits.Body) }, Most: o.Descriptors * visitParts / descriptorParts,
+		Body: func() int { return body(o.BodyLimit, n.Board.Configuration().Limits.Body) }, Most: o.Descriptors * visitParts / descriptorParts,
 	})
 }
 
--- a/internal/control/quorumread/confirm.go
+++ b/internal/control/quorumread/confirm.go
@@ -32,7 +32,7 @@
 	Net      wire.Network
 	Clock    clock.Clock
 	Timing   settings.Timing
-	Store    *gossip.Board
+	Store    *gossip.Store
 	Proposer *register.Proposer
 	Repairer *repair.Repairer
 	mu       sync.Mutex
@@ -73,7 +73,7 @@
 			_ = f.Clock.Sleep(ctx, f.Timing.HeartbeatInterval())
 			continue
 		}
-		if f.Store.Roster().Sequence == 0 {
+		if f.Store.VoterSet().Sequence == 0 {
 			clock.Wait(ctx, f.Clock, f.Timing.HeartbeatInterval()/2, news, nil)
 			continue
 		}
@@ -90,7 +90,7 @@
 type peeks = []quorum.Result[voters.Voter, *acceptor.PeekResponse]
 
 func (f *Confirmer) once(ctx context.Context) {
-	r := f.Store.Roster()
+	r := f.Store.VoterSet()
 	if r.Sequence == 0 {
 		return
 	}
@@ -141,7 +141,7 @@
 		return
 	}
 	if d.Sequence > 0 {
-		f.Store.Offer(gossip.News{Description: &d})
+		f.Store.Apply(gossip.Update{Configuration: &d})
 	}
 	if !same {
 		f.Repairer.Repair(cx, r, ConfigurationKey)
--- a/internal/control/quorumread/confirm_test.go
+++ b/internal/control/quorumread/confirm_test.go
@@ -52,9 +52,9 @@
 	return w.Result(), nil
 }
 
-type peers struct{ b *gossip.Board }
+type peers struct{ b *gossip.Store }
 
-func (f peers) VoterSet() voters.Set       { return f.b.Roster() }
+func (f peers) VoterSet() voters.Set       { return f.b.VoterSet() }
 func (peers) Live(n string) (string, bool) { return n, true }
 
 // A control node is apart once no majority has answered for a third of a lease, and no longer when one does. Voters that turn the question away, as while the
@@ -62,9 +62,9 @@
 func TestWhoIsApart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		b, bounds := gossip.NewBoard(nil), settings.DefaultTiming
+		b, bounds := gossip.NewStore(nil), settings.DefaultTiming
 		r := voters.NewSet([]voters.Voter{{Node: "c1", Addr: "c1"}, {Node: "c2", Addr: "c2"}, {Node: "c3", Addr: "c3"}}, voters.Layout{RoutinePartitions: 1})
-		b.Offer(gossip.News{Roster: &r})
+		b.Apply(gossip.Update{VoterSet: &r})
 		v := &voterSet{say: map[string]apierror.Code{}}
 		h := register.New("c1", v, clock.Real{}, bounds, peers{b}, func(string, acceptor.Value) {})
 		f := &Confirmer{Self: "c1", Net: v, Clock: clock.Real{}, Timing: bounds, Store: b, Proposer: h}
--- a/internal/control/reconfigurer/steward.go
+++ b/internal/control/reconfigurer/steward.go
@@ -28,7 +28,7 @@
 	Self         string
 	Clock        clock.Clock
 	Timing       settings.Timing
-	Store        *gossip.Board
+	Store        *gossip.Store
 	Bootstrapper *bootstrap.Bootstrapper
 	Executor     *reconfig.Executor
 	Live         func() []membership.Info
@@ -53,7 +53,7 @@
 		ch, seal := s.Changed(), s.Sealing()
 		pace := clock.Jitter(s.Timing.ReconcileInterval(), 1, rand.Float64())
 		cx, stop := context.WithTimeout(ctx, s.Timing.Recovery)
-		if r := s.Store.Roster(); r.Sequence == 0 {
+		if r := s.Store.VoterSet(); r.Sequence == 0 {
 			s.found(cx)
 			pace = s.Timing.MaxBackoff()
 		} else {
@@ -83,7 +83,7 @@
 	r, err := s.Bootstrapper.Try(ctx)
 	if err == nil {
 		s.Log.Say(event.Founded, "fleet", r.Fleet, "voters", len(r.Voters))
-		s.Store.Offer(gossip.News{Roster: &r})
+		s.Store.Apply(gossip.Update{VoterSet: &r})
 		return
 	}
 	if t := err.Error(); t != s.said {
@@ -281,5 +281,5 @@
 		}
 		return
 	}
-	s.Store.Offer(gossip.News{Roster: &n})
+	s.Store.Apply(gossip.Update{VoterSet: &n})
 }
--- a/internal/delivery/fanout/forget_test.go
+++ b/internal/delivery/fanout/forget_test.go
@@ -319,7 +319,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			ctx, stop := context.WithCancel(t.Context())
 			c := &court{r: rand.New(rand.NewPCG(seed, 1)), marks: marks{}, yes: marks{}, readers: map[string]uint64{}}
-			h := New(ctx, "a1", "boot", c, gossip.NewBoard(nil), clock.Real{}, settings.DefaultTiming)
+			h := New(ctx, "a1", "boot", c, gossip.NewStore(nil), clock.Real{}, settings.DefaultTiming)
 			h.Hold(c)
 			until := time.Now().Add(30 * time.Second)
 			for range 1 + seed%3 {
--- a/internal/delivery/fanout/hasten_test.go
+++ b/internal/delivery/fanout/hasten_test.go
@@ -13,7 +13,7 @@
 
 // A node with next to no processor gets to those whose place needs no owner only after they were asked about in vain, some have left and the others are asked about anew.
 func TestPlacesAreHastenedLate(t *testing.T) {
-	h := New(t.Context(), "a1", "boot", nil, gossip.NewBoard(nil), clock.Real{}, settings.DefaultTiming)
+	h := New(t.Context(), "a1", "boot", nil, gossip.NewStore(nil), clock.Real{}, settings.DefaultTiming)
 	f := h.feed(0)
 	f.telling = true
 	opened := map[string]uint64{}
--- a/internal/delivery/fanout/hub.go
+++ b/internal/delivery/fanout/hub.go
@@ -25,7 +25,7 @@
 type Hub struct {
 	self, boot string
 	src        Owners
-	board      *gossip.Board
+	board      *gossip.Store
 	clk        clock.Clock
 	bounds     settings.Timing
 	ctx        context.Context
@@ -43,7 +43,7 @@
 }
 
 // New makes a hub that lives as long as ctx; boot names this run of the node.
-func New(ctx context.Context, self, boot string, s Owners, g *gossip.Board, c clock.Clock, b settings.Timing) *Hub {
+func New(ctx context.Context, self, boot string, s Owners, g *gossip.Store, c clock.Clock, b settings.Timing) *Hub {
 	return &Hub{self: self, boot: boot, src: s, board: g, clk: c, bounds: b, ctx: ctx, m: map[int]*feed{}}
 }
 
--- a/internal/delivery/fanout/later_test.go
+++ b/internal/delivery/fanout/later_test.go
@@ -57,7 +57,7 @@
 		b := settings.DefaultTiming
 		ctx, stop := context.WithCancel(t.Context())
 		c := &clerk{topics: map[string]int{}}
-		h := New(ctx, "a1", "boot", c, gossip.NewBoard(nil), clock.Real{}, b)
+		h := New(ctx, "a1", "boot", c, gossip.NewStore(nil), clock.Real{}, b)
 		opened := 0
 		join := func(topic string) *Sub {
 			s := h.Sub(0, topic)
--- a/internal/delivery/fanout/marks_test.go
+++ b/internal/delivery/fanout/marks_test.go
@@ -119,7 +119,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		s := &scribe{follow: tail(4)}
-		s.h = New(ctx, "a1", "boot", s, gossip.NewBoard(nil), clock.Real{}, settings.DefaultTiming)
+		s.h = New(ctx, "a1", "boot", s, gossip.NewStore(nil), clock.Real{}, settings.DefaultTiming)
 		s.h.Hold(s)
 		f(t, s)
 		stop()
--- a/internal/delivery/fanout/soon_test.go
+++ b/internal/delivery/fanout/soon_test.go
@@ -99,7 +99,7 @@
 		b := settings.DefaultTiming
 		ctx, stop := context.WithCancel(t.Context())
 		s := &far{way: b.MaxBackoff() * 3 / 4, topics: map[string]bool{}}
-		h := New(ctx, "a1", "boot", s, gossip.NewBoard(nil), clock.Real{}, b)
+		h := New(ctx, "a1", "boot", s, gossip.NewStore(nil), clock.Real{}, b)
 		s.add("a", "b", "a", "a", "b", "a")
 		begun, at := time.Now(), uint64(1)
 		var x heard
@@ -123,7 +123,7 @@
 		b := settings.DefaultTiming
 		ctx, stop := context.WithCancel(t.Context())
 		s := &far{way: b.MaxBackoff() * 3 / 4, topics: map[string]bool{}}
-		h := New(ctx, "a1", "boot", s, gossip.NewBoard(nil), clock.Real{}, b)
+		h := New(ctx, "a1", "boot", s, gossip.NewStore(nil), clock.Real{}, b)
 		s.add("a", "a")
 		var x, y heard
 		x.sub(h, "a", nil)
--- a/internal/delivery/fanout/turn_test.go
+++ b/internal/delivery/fanout/turn_test.go
@@ -64,7 +64,7 @@
 		b := settings.DefaultTiming
 		ctx, stop := context.WithCancel(t.Context())
 		u := &usher{turn: 7}
-		h := New(ctx, "a1", "boot", u, gossip.NewBoard(nil), clock.Real{}, b)
+		h := New(ctx, "a1", "boot", u, gossip.NewStore(nil), clock.Real{}, b)
 		x := h.Sub(0, "a")
 		x.Opened = func(uint64, error) {}
 		h.Join(x)
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -22,49 +22,49 @@
 
 // Digest says how new a node's news is.
 type Digest struct {
-	Roster      uint64   `json:"r"`
-	Description uint64   `json:"d"`
-	Records     []uint64 `json:"p"`
+	VoterSet      uint64   `json:"r"`
+	Configuration uint64   `json:"d"`
+	Records       []uint64 `json:"p"`
 	// Changes tells that a description may come by its changes.
 	Changes bool `json:"c,omitempty"`
-	// Without tells that the description is asked of another peer already.
-	Without bool `json:"w,omitempty"`
-	// Lean tells that records are wanted without their history.
-	Lean bool `json:"l,omitempty"`
+	// ConfigurationPending tells that the description is asked of another peer already.
+	ConfigurationPending bool `json:"w,omitempty"`
+	// OmitHistory tells that records are wanted without their history.
+	OmitHistory bool `json:"l,omitempty"`
 }
 
-// News is what one node has and another lacks. A description comes whole, without its source, or by the changes to one that the other has.
-type News struct {
-	Roster      *voters.Set                `json:"r,omitempty"`
-	Description *configuration.Description `json:"d,omitempty"`
-	Changes     []configuration.Change     `json:"c,omitempty"`
-	Records     []assignment.Record        `json:"p,omitempty"`
+// Update is what one node has and another lacks. A description comes whole, without its source, or by the changes to one that the other has.
+type Update struct {
+	VoterSet      *voters.Set                `json:"r,omitempty"`
+	Configuration *configuration.Description `json:"d,omitempty"`
+	Changes       []configuration.Change     `json:"c,omitempty"`
+	Records       []assignment.Record        `json:"p,omitempty"`
 }
 
 // Empty tells whether there is nothing new.
-func (n News) Empty() bool {
-	return n.Roster == nil && n.Description == nil && len(n.Changes) == 0 && len(n.Records) == 0
+func (n Update) Empty() bool {
+	return n.VoterSet == nil && n.Configuration == nil && len(n.Changes) == 0 && len(n.Records) == 0
 }
 
 // ExchangeRequest offers a digest, and news to those known to lack it. With a Hash of it, the digest leaves the records out.
 type ExchangeRequest struct {
 	Digest Digest `json:"digest,omitzero"`
-	News   News   `json:"news,omitzero"`
+	Update Update `json:"news,omitzero"`
 	Hash   uint64 `json:"h,omitempty"`
 }
 
 // ExchangeResponse gives the receiver's digest and what the asker lacks, or only that both have the Same.
 type ExchangeResponse struct {
 	Digest Digest `json:"digest,omitzero"`
-	News   News   `json:"news,omitzero"`
+	Update Update `json:"news,omitzero"`
 	Same   bool   `json:"s,omitempty"`
 }
 
 // Exchange is the gossip call.
 var Exchange = wire.NewProcedure[ExchangeRequest, ExchangeResponse]("Gossip", "Exchange", wire.Monotonic, "news are numbered, and only higher numbers are taken")
 
-// Board holds a node's news; nothing on it ever goes back.
-type Board struct {
+// Store holds a node's news; nothing on it ever goes back.
+type Store struct {
 	mu      sync.Mutex
 	roster  voters.Set
 	desc    configuration.Description
@@ -74,23 +74,23 @@
 	others  uint64
 	records map[int]assignment.Record
 	changed chan struct{}
-	hear    func(News)
+	hear    func(Update)
 	hash    uint64
 }
 
-// NewBoard makes an empty board; hear is told of what was new.
-func NewBoard(hear func(News)) *Board {
-	return &Board{index: configuration.NewIndex(configuration.Description{}), records: map[int]assignment.Record{}, changed: make(chan struct{}), hear: hear}
+// NewStore makes an empty board; hear is told of what was new.
+func NewStore(hear func(Update)) *Store {
+	return &Store{index: configuration.NewIndex(configuration.Description{}), records: map[int]assignment.Record{}, changed: make(chan struct{}), hear: hear}
 }
 
-// Offer takes in news and gives the part that was new here.
-func (b *Board) Offer(n News) News {
+// Apply takes in news and gives the part that was new here.
+func (b *Store) Apply(n Update) Update {
 	b.mu.Lock()
-	var f News
-	if n.Roster != nil && n.Roster.Sequence > b.roster.Sequence && (b.roster.Fleet == "" || b.roster.Fleet == n.Roster.Fleet) {
-		b.roster, f.Roster = *n.Roster, n.Roster
+	var f Update
+	if n.VoterSet != nil && n.VoterSet.Sequence > b.roster.Sequence && (b.roster.Fleet == "" || b.roster.Fleet == n.VoterSet.Fleet) {
+		b.roster, f.VoterSet = *n.VoterSet, n.VoterSet
 	}
-	if f.Description = b.describe(n); f.Description != nil {
+	if f.Configuration = b.describe(n); f.Configuration != nil {
 		b.whole = false
 	}
 	for _, r := range n.Records {
@@ -99,7 +99,7 @@
 			f.Records = append(f.Records, r)
 		}
 	}
-	if f.Roster != nil || len(f.Records) > 0 {
+	if f.VoterSet != nil || len(f.Records) > 0 {
 		b.others++
 	}
 	if !f.Empty() {
@@ -118,9 +118,9 @@
 
 // describe takes in a whole description or changes to the one that is here, and gives the new one, or nil. What doesn't come out as it has to
 // is left alone, and the next one has to come whole.
-func (b *Board) describe(n News) *configuration.Description {
+func (b *Store) describe(n Update) *configuration.Description {
 	was := b.desc
-	if d := n.Description; d != nil && d.Sequence > b.desc.Sequence {
+	if d := n.Configuration; d != nil && d.Sequence > b.desc.Sequence {
 		x := *d
 		x.Source = ""
 		if b.desc.Sequence > 0 {
@@ -150,14 +150,14 @@
 	return &x
 }
 
-// Newer gives the description to one that has the one numbered seq: by changes where it takes them and they are known and small, else whole.
-func (b *Board) Newer(seq uint64, changes bool) (*configuration.Description, []configuration.Change) {
+// ConfigurationSince gives the description to one that has the one numbered seq: by changes where it takes them and they are known and small, else whole.
+func (b *Store) ConfigurationSince(seq uint64, changes bool) (*configuration.Description, []configuration.Change) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.newer(seq, changes)
 }
 
-func (b *Board) newer(seq uint64, changes bool) (*configuration.Description, []configuration.Change) {
+func (b *Store) newer(seq uint64, changes bool) (*configuration.Description, []configuration.Change) {
 	if b.desc.Sequence <= seq {
 		return nil, nil
 	}
@@ -175,56 +175,56 @@
 }
 
 // told counts the news of anything but descriptions.
-func (b *Board) told() uint64 {
+func (b *Store) told() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.others
 }
 
-// Takes tells whether changes are of use here; they aren't after some that didn't come out as they had to, until a whole description came.
-func (b *Board) Takes() bool {
+// AcceptsChanges tells whether changes are of use here; they aren't after some that didn't come out as they had to, until a whole description came.
+func (b *Store) AcceptsChanges() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return !b.whole
 }
 
 // Changed is closed at the next news.
-func (b *Board) Changed() <-chan struct{} {
+func (b *Store) Changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.changed
 }
 
-// Roster gives the newest roster.
-func (b *Board) Roster() voters.Set {
+// VoterSet gives the newest roster.
+func (b *Store) VoterSet() voters.Set {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.roster
 }
 
-// Description gives the newest description.
-func (b *Board) Description() configuration.Description {
+// Configuration gives the newest description.
+func (b *Store) Configuration() configuration.Description {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.desc
 }
 
 // Index gives the newest description's index.
-func (b *Board) Index() *configuration.Index {
+func (b *Store) Index() *configuration.Index {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.index
 }
 
 // Record gives the newest record of a partition.
-func (b *Board) Record(p int) assignment.Record {
+func (b *Store) Record(p int) assignment.Record {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.records[p]
 }
 
 // Hash gives a number that boards with the same news have in common, never 0.
-func (b *Board) Hash() uint64 {
+func (b *Store) Hash() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.hash != 0 {
@@ -233,7 +233,7 @@
 	d := b.digest()
 	var t [binary.MaxVarintLen64]byte
 	h := fnv.New64a()
-	for _, n := range append([]uint64{d.Roster, d.Description}, d.Records...) {
+	for _, n := range append([]uint64{d.VoterSet, d.Configuration}, d.Records...) {
 		_, _ = h.Write(binary.AppendUvarint(t[:0], n))
 	}
 	b.hash = h.Sum64() | 1
@@ -241,14 +241,14 @@
 }
 
 // Digest says how new the board is.
-func (b *Board) Digest() Digest {
+func (b *Store) Digest() Digest {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.digest()
 }
 
-func (b *Board) digest() Digest {
-	d := Digest{Roster: b.roster.Sequence, Description: b.desc.Sequence, Changes: !b.whole, Records: make([]uint64, b.roster.Layout.PartitionCount())}
+func (b *Store) digest() Digest {
+	d := Digest{VoterSet: b.roster.Sequence, Configuration: b.desc.Sequence, Changes: !b.whole, Records: make([]uint64, b.roster.Layout.PartitionCount())}
 	for i := range d.Records {
 		d.Records[i] = b.records[i].Writes
 	}
@@ -256,16 +256,16 @@
 }
 
 // Since gives what the board has and a digest lacks.
-func (b *Board) Since(d Digest) News {
+func (b *Store) Since(d Digest) Update {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var n News
-	if b.roster.Sequence > d.Roster {
+	var n Update
+	if b.roster.Sequence > d.VoterSet {
 		r := b.roster
-		n.Roster = &r
+		n.VoterSet = &r
 	}
-	if !d.Without {
-		n.Description, n.Changes = b.newer(d.Description, d.Changes)
+	if !d.ConfigurationPending {
+		n.Configuration, n.Changes = b.newer(d.Configuration, d.Changes)
 	}
 	for p, r := range b.records {
 		if p >= len(d.Records) || r.Writes > d.Records[p] {
@@ -276,7 +276,7 @@
 }
 
 // behind tells whether a digest knows newer records than the board has.
-func (b *Board) behind(d Digest) bool {
+func (b *Store) behind(d Digest) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for p, n := range d.Records {
@@ -287,13 +287,13 @@
 	return false
 }
 
-// Gossip passes the board's news on.
-type Gossip struct {
+// Gossiper passes the board's news on.
+type Gossiper struct {
 	Self   string
 	Net    wire.Network
 	Clock  clock.Clock
-	Bounds settings.Timing
-	Board  *Board
+	Timing settings.Timing
+	Store  *Store
 	View   func() []membership.Info
 	// Control tells that the node is a control node, from which others have their news; Disk that it has a disk of any kind, and passes news of
 	// ownership on to its share of those that have none. A node without a disk writes no records, and has them without their history.
@@ -319,7 +319,7 @@
 
 // suited gives news as one peer is to have it: records without their history where they are lean. A node without a disk gives records to lean ones only,
 // since those that write them need them whole.
-func (g *Gossip) suited(n News, lean bool) News {
+func (g *Gossiper) suited(n Update, lean bool) Update {
 	if !lean {
 		if !g.Disk {
 			n.Records = nil
@@ -333,41 +333,41 @@
 	return n
 }
 
-func (g *Gossip) digest() Digest {
-	d := g.Board.Digest()
-	d.Lean = !g.Disk
+func (g *Gossiper) digest() Digest {
+	d := g.Store.Digest()
+	d.OmitHistory = !g.Disk
 	return d
 }
 
 // answer says how new the board is to one that told how new its own is. A description that one peer was let send stands as had towards the
 // others for a heartbeat, so that the whole of it doesn't come from all of them at once.
-func (g *Gossip) answer(theirs Digest) Digest {
+func (g *Gossiper) answer(theirs Digest) Digest {
 	d := g.digest()
-	if theirs.Description <= d.Description {
+	if theirs.Configuration <= d.Configuration {
 		return d
 	}
 	now := g.Clock.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if theirs.Description <= g.coming && now.Before(g.until) {
-		d.Description = theirs.Description
+	if theirs.Configuration <= g.coming && now.Before(g.until) {
+		d.Configuration = theirs.Configuration
 		return d
 	}
-	g.coming, g.until = theirs.Description, now.Add(g.Bounds.HeartbeatInterval())
+	g.coming, g.until = theirs.Configuration, now.Add(g.Timing.HeartbeatInterval())
 	return d
 }
 
 // Counts gives the exchanges made and those that mended a gap.
-func (g *Gossip) Counts() (sent, mended uint64) {
+func (g *Gossiper) Counts() (sent, mended uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.sent, g.mended
 }
 
 // Run exchanges with a few peers at once when there is news, and again until several in a row had the same; else with one now and then.
-func (g *Gossip) Run(ctx context.Context) {
+func (g *Gossiper) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		ch := g.Board.Changed()
+		ch := g.Store.Changed()
 		few, wide := peersPerRound, g.wide
 		switch {
 		case g.Disk && g.owners():
@@ -381,19 +381,19 @@
 		for _, f := range fs[:min(len(fs), few)] {
 			go g.swap(ctx, f)
 		}
-		if err := g.Clock.Sleep(ctx, g.Bounds.HeartbeatInterval()/peersPerRound/10); err != nil {
+		if err := g.Clock.Sleep(ctx, g.Timing.HeartbeatInterval()/peersPerRound/10); err != nil {
 			return
 		}
 	}
 }
 
 // wait waits for news or until it is time to ask someone, and says how many peers to exchange with, and whether those without a disk are among them.
-func (g *Gossip) wait(ctx context.Context, ch <-chan struct{}) (few int, wide bool) {
+func (g *Gossiper) wait(ctx context.Context, ch <-chan struct{}) (few int, wide bool) {
 	cx, stop := context.WithCancel(ctx)
 	defer stop()
 	due := make(chan struct{})
 	go func() {
-		_ = g.Clock.Sleep(cx, clock.Jitter(g.Bounds.LongPoll(), 1, rand.Float64()))
+		_ = g.Clock.Sleep(cx, clock.Jitter(g.Timing.LongPoll(), 1, rand.Float64()))
 		close(due)
 	}()
 	select {
@@ -419,8 +419,8 @@
 
 // owners tells whether there was news of ownership since the last time. That can't wait for the next heartbeat; of a description only control nodes tell
 // at once, and all others hear with their heartbeats, each in its own time, which spares a small machine two dozen exchanges at once.
-func (g *Gossip) owners() bool {
-	e := g.Board.told()
+func (g *Gossiper) owners() bool {
+	e := g.Store.told()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	was := g.seen
@@ -429,7 +429,7 @@
 }
 
 // warm begins rounds, wide ones with peers of all kinds. Wide ones that go on stay so.
-func (g *Gossip) warm(wide bool) bool {
+func (g *Gossiper) warm(wide bool) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.wide = wide || g.wide && g.rounds > 0 && g.alike < alikeMost
@@ -437,7 +437,7 @@
 	return g.wide
 }
 
-func (g *Gossip) cooled() bool {
+func (g *Gossiper) cooled() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.rounds--
@@ -454,15 +454,15 @@
 
 // pass gives what is new of ownership, on a node with a disk, to those without one that are in its share: each is in that of two nodes, which all
 // find alike from the names. All that a node hears after its start is new to it, so it asks first whether it is to them.
-func (g *Gossip) pass(ctx context.Context) {
-	e := g.Board.told()
+func (g *Gossiper) pass(ctx context.Context) {
+	e := g.Store.told()
 	if !g.Disk || e == g.over {
 		return
 	}
 	was := g.passed
-	g.over, g.passed = e, g.Board.Digest()
-	was.Without = true
-	n := g.Board.Since(was)
+	g.over, g.passed = e, g.Store.Digest()
+	was.ConfigurationPending = true
+	n := g.Store.Since(was)
 	var mine []membership.Info
 	all := g.View()
 	by := membership.Filter(all, kept)
@@ -475,7 +475,7 @@
 		}
 	}
 	for _, f := range mine {
-		if was.Roster == 0 {
+		if was.VoterSet == 0 {
 			go g.swap(ctx, f)
 			continue
 		}
@@ -504,17 +504,17 @@
 }
 
 // tell gives news to a peer, without asking for any description.
-func (g *Gossip) tell(ctx context.Context, f membership.Info, n News) {
-	cx, stop := context.WithTimeout(ctx, g.Bounds.CallTimeout())
+func (g *Gossiper) tell(ctx context.Context, f membership.Info, n Update) {
+	cx, stop := context.WithTimeout(ctx, g.Timing.CallTimeout())
 	defer stop()
 	d := g.digest()
-	d.Description, d.Without = 0, true
-	_, _ = Exchange.Call(cx, g.Net, g.Self, f.PeerAddr, &ExchangeRequest{Digest: d, News: g.suited(n, !kept(f))})
+	d.Configuration, d.ConfigurationPending = 0, true
+	_, _ = Exchange.Call(cx, g.Net, g.Self, f.PeerAddr, &ExchangeRequest{Digest: d, Update: g.suited(n, !kept(f))})
 }
 
-// Tell has records that were written here known at once: by those that they name, and by a few others with a disk that pass them on.
-func (g *Gossip) Tell(ctx context.Context, rs ...assignment.Record) {
-	g.Board.Offer(News{Records: rs})
+// Broadcast has records that were written here known at once: by those that they name, and by a few others with a disk that pass them on.
+func (g *Gossiper) Broadcast(ctx context.Context, rs ...assignment.Record) {
+	g.Store.Apply(Update{Records: rs})
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.untold = append(g.untold, rs...)
@@ -523,7 +523,7 @@
 	}
 	g.telling = true
 	go func() {
-		_ = g.Clock.Sleep(ctx, g.Bounds.HeartbeatInterval()/gatherShare)
+		_ = g.Clock.Sleep(ctx, g.Timing.HeartbeatInterval()/gatherShare)
 		g.mu.Lock()
 		rs := g.untold
 		g.untold, g.telling = nil, false
@@ -532,7 +532,7 @@
 	}()
 }
 
-func (g *Gossip) spread(ctx context.Context, rs []assignment.Record) {
+func (g *Gossiper) spread(ctx context.Context, rs []assignment.Record) {
 	named := map[string]bool{}
 	for _, r := range rs {
 		for _, n := range r.Nodes() {
@@ -548,13 +548,13 @@
 				continue
 			}
 		}
-		go g.tell(ctx, f, News{Records: rs})
+		go g.tell(ctx, f, Update{Records: rs})
 	}
 }
 
 // first tells whether a description may come with an exchange: on a node that has none yet, only with one at a time, as it comes whole.
-func (g *Gossip) first() bool {
-	none := g.Board.Description().Sequence == 0
+func (g *Gossiper) first() bool {
+	none := g.Store.Configuration().Sequence == 0
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if none && g.asking {
@@ -564,32 +564,32 @@
 	return true
 }
 
-func (g *Gossip) freed(mine bool) {
+func (g *Gossiper) freed(mine bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.asking = g.asking && !mine
 }
 
-func (g *Gossip) swap(ctx context.Context, f membership.Info) {
-	cx, stop := context.WithTimeout(ctx, g.Bounds.CallTimeout())
+func (g *Gossiper) swap(ctx context.Context, f membership.Info) {
+	cx, stop := context.WithTimeout(ctx, g.Timing.CallTimeout())
 	defer stop()
-	d, hash := g.digest(), g.Board.Hash()
+	d, hash := g.digest(), g.Store.Hash()
 	d.Records = nil
-	d.Without = !g.first()
-	defer g.freed(!d.Without)
+	d.ConfigurationPending = !g.first()
+	defer g.freed(!d.ConfigurationPending)
 	a, err := Exchange.Call(cx, g.Net, g.Self, f.PeerAddr, &ExchangeRequest{Digest: d, Hash: hash})
 	if err != nil {
 		return
 	}
 	got := false
 	if !a.Same {
-		got = !g.Board.Offer(a.News).Empty()
-		if n := g.suited(g.Board.Since(a.Digest), f.Disk == settings.DiskNone); !n.Empty() || g.Board.behind(a.Digest) {
+		got = !g.Store.Apply(a.Update).Empty()
+		if n := g.suited(g.Store.Since(a.Digest), f.Disk == settings.DiskNone); !n.Empty() || g.Store.behind(a.Digest) {
 			got = true
 			had := g.digest()
-			had.Without = d.Without
-			if a, err = Exchange.Call(cx, g.Net, g.Self, f.PeerAddr, &ExchangeRequest{Digest: had, News: n}); err == nil {
-				g.Board.Offer(a.News)
+			had.ConfigurationPending = d.ConfigurationPending
+			if a, err = Exchange.Call(cx, g.Net, g.Self, f.PeerAddr, &ExchangeRequest{Digest: had, Update: n}); err == nil {
+				g.Store.Apply(a.Update)
 			}
 		}
 	}
@@ -605,16 +605,16 @@
 }
 
 // Serve adds the gossip call.
-func (g *Gossip) Serve(m *http.ServeMux) {
+func (g *Gossiper) Serve(m *http.ServeMux) {
 	Exchange.Handle(m, func(_ context.Context, q *ExchangeRequest) (*ExchangeResponse, error) {
-		g.Board.Offer(q.News)
-		n := g.Board.Since(q.Digest)
+		g.Store.Apply(q.Update)
+		n := g.Store.Since(q.Digest)
 		if q.Hash != 0 {
-			if q.Hash == g.Board.Hash() {
+			if q.Hash == g.Store.Hash() {
 				return &ExchangeResponse{Same: true}, nil
 			}
 			n.Records = nil
 		}
-		return &ExchangeResponse{Digest: g.answer(q.Digest), News: g.suited(n, q.Digest.Lean)}, nil
+		return &ExchangeResponse{Digest: g.answer(q.Digest), Update: g.suited(n, q.Digest.OmitHistory)}, nil
 	})
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -19,21 +19,21 @@
 
 func TestNewsNeverGoesBack(t *testing.T) {
 	heard := 0
-	b := NewBoard(func(News) { heard++ })
+	b := NewStore(func(Update) { heard++ })
 	r := voters.Set{Sequence: 2, Fleet: "f", Layout: voters.Layout{RoutinePartitions: 1, UrgentPartitions: 1}}
 	offer := func(d, w uint64) bool {
-		return !b.Offer(News{Roster: &r, Description: &configuration.Description{Sequence: d}, Records: []assignment.Record{{Partition: 1, Writes: w}}}).Empty()
+		return !b.Apply(Update{VoterSet: &r, Configuration: &configuration.Description{Sequence: d}, Records: []assignment.Record{{Partition: 1, Writes: w}}}).Empty()
 	}
 	assert.Assert(t, offer(3, 5))
 	assert.Assert(t, !offer(3, 5))
 	assert.Assert(t, !offer(2, 4))
 	other := voters.Set{Sequence: 9, Fleet: "g"}
-	assert.Assert(t, b.Offer(News{Roster: &other}).Empty(), "another fleet's roster")
+	assert.Assert(t, b.Apply(Update{VoterSet: &other}).Empty(), "another fleet's roster")
 	assert.Equal(t, heard, 1)
-	assert.Equal(t, b.Description().Sequence, uint64(3))
+	assert.Equal(t, b.Configuration().Sequence, uint64(3))
 	assert.Equal(t, b.Record(1).Writes, uint64(5))
 	d := b.Digest()
-	assert.DeepEqual(t, d, Digest{Roster: 2, Description: 3, Records: []uint64{0, 5}, Changes: true})
+	assert.DeepEqual(t, d, Digest{VoterSet: 2, Configuration: 3, Records: []uint64{0, 5}, Changes: true})
 	assert.Assert(t, b.Since(d).Empty())
 	assert.Equal(t, len(b.Since(Digest{}).Records), 1)
 }
@@ -41,8 +41,8 @@
 func TestADescriptionComesFromOneFellowAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := settings.DefaultTiming
-		g := &Gossip{Clock: clock.Real{}, Bounds: b, Board: NewBoard(nil)}
-		lacks := func(seq uint64) bool { return g.answer(Digest{Description: seq}).Description < seq }
+		g := &Gossiper{Clock: clock.Real{}, Timing: b, Store: NewStore(nil)}
+		lacks := func(seq uint64) bool { return g.answer(Digest{Configuration: seq}).Configuration < seq }
 		assert.Assert(t, lacks(5))
 		assert.Assert(t, !lacks(5), "a second fellow was let send it at once")
 		assert.Assert(t, !lacks(4))
@@ -50,9 +50,9 @@
 		assert.Assert(t, !lacks(6))
 		time.Sleep(b.HeartbeatInterval())
 		assert.Assert(t, lacks(6), "the fellow that was let send it never did")
-		g.Board.Offer(News{Description: &configuration.Description{Sequence: 6}})
-		assert.Equal(t, g.answer(Digest{Description: 6}).Description, uint64(6))
-		assert.Equal(t, g.answer(Digest{Description: 3}).Description, uint64(6))
+		g.Store.Apply(Update{Configuration: &configuration.Description{Sequence: 6}})
+		assert.Equal(t, g.answer(Digest{Configuration: 6}).Configuration, uint64(6))
+		assert.Equal(t, g.answer(Digest{Configuration: 3}).Configuration, uint64(6))
 	})
 }
 
@@ -65,75 +65,75 @@
 }
 
 func TestADescriptionTravelsByItsChanges(t *testing.T) {
-	a, b, late := NewBoard(nil), NewBoard(nil), NewBoard(nil)
+	a, b, late := NewStore(nil), NewStore(nil), NewStore(nil)
 	d := configuration.Description{Sequence: 1, Source: "the document", Spaces: []configuration.Space{{Name: "a", Prefix: "a"}, {Name: "b", Prefix: "b"}, {Name: "c", Prefix: "c"}, {Name: "d", Prefix: "d"}}}
-	a.Offer(News{Description: &d})
-	assert.Equal(t, a.Description().Source, "", "the document goes round")
+	a.Apply(Update{Configuration: &d})
+	assert.Equal(t, a.Configuration().Source, "", "the document goes round")
 	n := a.Since(b.Digest())
-	assert.Assert(t, n.Description != nil && len(n.Changes) == 0)
-	b.Offer(n)
+	assert.Assert(t, n.Configuration != nil && len(n.Changes) == 0)
+	b.Apply(n)
 	for i := range uint64(changesMost + 3) {
 		d = step(d)
-		a.Offer(News{Description: &d})
+		a.Apply(Update{Configuration: &d})
 		if i < 2 {
-			late.Offer(News{Description: &d})
+			late.Apply(Update{Configuration: &d})
 		}
 		if i%2 == 0 {
 			continue
 		}
 		n := a.Since(b.Digest())
-		assert.Assert(t, n.Description == nil)
+		assert.Assert(t, n.Configuration == nil)
 		assert.Equal(t, len(n.Changes), 2)
-		b.Offer(n)
-		assert.DeepEqual(t, b.Description(), a.Description())
+		b.Apply(n)
+		assert.DeepEqual(t, b.Configuration(), a.Configuration())
 		assert.Assert(t, b.Since(a.Digest()).Empty())
-		assert.Assert(t, b.Offer(n).Empty(), "the same again")
+		assert.Assert(t, b.Apply(n).Empty(), "the same again")
 	}
-	assert.Assert(t, a.Since(late.Digest()).Description != nil, "the changes to one so old are kept")
-	n = a.Since(Digest{Description: d.Sequence - 1})
-	assert.Assert(t, n.Description != nil, "one that knows nothing of changes was sent some")
-	late.Offer(News{Changes: a.Since(b.Digest()).Changes})
-	late.Offer(a.Since(late.Digest()))
-	assert.DeepEqual(t, late.Description(), a.Description())
+	assert.Assert(t, a.Since(late.Digest()).Configuration != nil, "the changes to one so old are kept")
+	n = a.Since(Digest{Configuration: d.Sequence - 1})
+	assert.Assert(t, n.Configuration != nil, "one that knows nothing of changes was sent some")
+	late.Apply(Update{Changes: a.Since(b.Digest()).Changes})
+	late.Apply(a.Since(late.Digest()))
+	assert.DeepEqual(t, late.Configuration(), a.Configuration())
 }
 
 func TestAfterAChangeThatDoesNotComeOutTheWholeComes(t *testing.T) {
-	a, b := NewBoard(nil), NewBoard(nil)
+	a, b := NewStore(nil), NewStore(nil)
 	d := configuration.Description{Sequence: 1, Spaces: []configuration.Space{{Name: "a", Prefix: "a"}, {Name: "b", Prefix: "b"}}}
-	a.Offer(News{Description: &d})
+	a.Apply(Update{Configuration: &d})
 	other := step(d)
 	other.Sequence = 1
-	b.Offer(News{Description: &other})
+	b.Apply(Update{Configuration: &other})
 	d = step(d)
 	d.Spaces[1].Weight = 3
-	a.Offer(News{Description: &d})
+	a.Apply(Update{Configuration: &d})
 	d = step(d)
-	a.Offer(News{Description: &d})
-	was := b.Description()
-	n := News{Changes: []configuration.Change{{From: 1, Sequence: 2, Parts: []configuration.Part{{Count: 2}}, Sum: 5}}}
-	assert.Assert(t, b.Offer(n).Empty())
-	assert.DeepEqual(t, b.Description(), was)
-	assert.Assert(t, !b.Takes())
+	a.Apply(Update{Configuration: &d})
+	was := b.Configuration()
+	n := Update{Changes: []configuration.Change{{From: 1, Sequence: 2, Parts: []configuration.Part{{Count: 2}}, Sum: 5}}}
+	assert.Assert(t, b.Apply(n).Empty())
+	assert.DeepEqual(t, b.Configuration(), was)
+	assert.Assert(t, !b.AcceptsChanges())
 	n = a.Since(b.Digest())
-	assert.Assert(t, n.Description != nil && len(n.Changes) == 0)
-	b.Offer(n)
-	assert.DeepEqual(t, b.Description(), a.Description())
-	assert.Assert(t, b.Takes())
+	assert.Assert(t, n.Configuration != nil && len(n.Changes) == 0)
+	b.Apply(n)
+	assert.DeepEqual(t, b.Configuration(), a.Configuration())
+	assert.Assert(t, b.AcceptsChanges())
 }
 
 func TestTheFirstDescriptionIsAskedOfOneFellowAtATime(t *testing.T) {
-	g := &Gossip{Board: NewBoard(nil)}
+	g := &Gossiper{Store: NewStore(nil)}
 	assert.Assert(t, g.first())
 	assert.Assert(t, !g.first())
 	g.freed(false)
 	assert.Assert(t, !g.first(), "the one that was told to do without freed it")
 	g.freed(true)
 	assert.Assert(t, g.first())
-	a := NewBoard(nil)
+	a := NewStore(nil)
 	d := configuration.Description{Sequence: 1}
-	a.Offer(News{Description: &d})
-	assert.Assert(t, a.Since(Digest{Without: true}).Empty())
-	g.Board.Offer(a.Since(Digest{}))
+	a.Apply(Update{Configuration: &d})
+	assert.Assert(t, a.Since(Digest{ConfigurationPending: true}).Empty())
+	g.Store.Apply(a.Since(Digest{}))
 	assert.Assert(t, g.first(), "changes are small")
 	assert.Assert(t, g.first())
 }
@@ -145,29 +145,29 @@
 	for range 9 {
 		r = r.Next("s1", []assignment.Place{{Node: "s1", Incarnation: "i1"}, {Node: "s2", Incarnation: "i2"}}, "the owner is gone: nothing is heard from it", time.Now())
 	}
-	store, front, other := &Gossip{Board: NewBoard(nil), Disk: true}, &Gossip{Board: NewBoard(nil)}, &Gossip{Board: NewBoard(nil)}
-	store.Board.Offer(News{Records: []assignment.Record{r}})
-	assert.Assert(t, !store.digest().Lean && front.digest().Lean && front.answer(Digest{}).Lean)
+	store, front, other := &Gossiper{Store: NewStore(nil), Disk: true}, &Gossiper{Store: NewStore(nil)}, &Gossiper{Store: NewStore(nil)}
+	store.Store.Apply(Update{Records: []assignment.Record{r}})
+	assert.Assert(t, !store.digest().OmitHistory && front.digest().OmitHistory && front.answer(Digest{}).OmitHistory)
 
-	whole := store.suited(store.Board.Since(Digest{}), false)
+	whole := store.suited(store.Store.Since(Digest{}), false)
 	assert.DeepEqual(t, whole.Records, []assignment.Record{r})
-	lean := store.suited(store.Board.Since(front.digest()), front.digest().Lean)
+	lean := store.suited(store.Store.Since(front.digest()), front.digest().OmitHistory)
 	assert.Equal(t, len(lean.Records), 1)
 	assert.Equal(t, len(lean.Records[0].History), 0)
 	assert.Equal(t, lean.Records[0].Owner, "s1")
-	assert.Equal(t, len(store.Board.Record(1).History), 9, "the own record lost its history")
+	assert.Equal(t, len(store.Store.Record(1).History), 9, "the own record lost its history")
 	a, err := wire.Marshal(whole)
 	assert.NilError(t, err)
 	b, err := wire.Marshal(lean)
 	assert.NilError(t, err)
 	assert.Assert(t, len(b)*5 < len(a), "%d bytes whole, %d lean", len(a), len(b))
 
-	front.Board.Offer(lean)
-	assert.Equal(t, front.Board.Hash(), store.Board.Hash(), "they know the same")
-	passed := front.suited(front.Board.Since(other.digest()), other.digest().Lean)
-	other.Board.Offer(passed)
-	assert.Equal(t, other.Board.Record(1).Epoch, r.Epoch)
-	assert.Assert(t, front.suited(front.Board.Since(store.digest()), false).Empty(), "a record without its history went to one that may write it")
+	front.Store.Apply(lean)
+	assert.Equal(t, front.Store.Hash(), store.Store.Hash(), "they know the same")
+	passed := front.suited(front.Store.Since(other.digest()), other.digest().OmitHistory)
+	other.Store.Apply(passed)
+	assert.Equal(t, other.Store.Record(1).Epoch, r.Epoch)
+	assert.Assert(t, front.suited(front.Store.Since(store.digest()), false).Empty(), "a record without its history went to one that may write it")
 }
 
 // Of a description of 514 spaces, what changed goes between nodes in a hundredth of the bytes of the whole.
@@ -182,17 +182,17 @@
 		assert.NilError(t, err)
 		return len(b)
 	}
-	whole := size(News{Description: &d})
+	whole := size(Update{Configuration: &d})
 	changed := func(name string, f func(n *configuration.Description)) int {
-		b := NewBoard(nil)
-		b.Offer(News{Description: &d})
+		b := NewStore(nil)
+		b.Apply(Update{Configuration: &d})
 		n := d
 		n.Sequence, n.Base, n.Spaces = d.Sequence+1, d.Sequence, slices.Clone(d.Spaces)
 		f(&n)
 		n = n.Stand(d, configuration.Retired{})
-		b.Offer(News{Description: &n})
-		x := b.Since(Digest{Description: d.Sequence, Changes: true})
-		assert.Assert(t, x.Description == nil, name)
+		b.Apply(Update{Configuration: &n})
+		x := b.Since(Digest{Configuration: d.Sequence, Changes: true})
+		assert.Assert(t, x.Configuration == nil, name)
 		t.Logf("%s: %d bytes, whole %d", name, size(x), whole)
 		return size(x)
 	}
--- a/internal/membership/failuredetector/watch.go
+++ b/internal/membership/failuredetector/watch.go
@@ -72,7 +72,7 @@
 	Clock  clock.Clock
 	Timing settings.Timing
 	Net    wire.Network
-	Store  *gossip.Board
+	Store  *gossip.Store
 	Addr   func(node string) (string, bool)
 	// OnFailure hears each beat of a machine that is gone, since when and why.
 	OnFailure func(ctx context.Context, node string, since time.Time, why string)
@@ -104,7 +104,7 @@
 
 func (w *Detector) learn() {
 	rings := map[string][]string{}
-	for p := range w.Store.Roster().Layout.PartitionCount() {
+	for p := range w.Store.VoterSet().Layout.PartitionCount() {
 		r := w.Store.Record(p)
 		if _, ok := r.Place(w.Self); !ok || r.Owner == "" || r.Owner == w.Self {
 			continue
--- a/internal/node/leaders/heir.go
+++ b/internal/node/leaders/heir.go
@@ -49,7 +49,7 @@
 	if closed {
 		return
 	}
-	for p := range k.Board.Roster().Layout.PartitionCount() {
+	for p := range k.Board.VoterSet().Layout.PartitionCount() {
 		r := k.Board.Record(p)
 		if r.Owner != node || !k.named(r) {
 			continue
--- a/internal/node/leaders/owners.go
+++ b/internal/node/leaders/owners.go
@@ -25,7 +25,7 @@
 	Self    string
 	Clock   clock.Clock
 	Bounds  settings.Timing
-	Board   *gossip.Board
+	Board   *gossip.Store
 	Client  *registerclient.Client
 	Replica *replica.Replica
 	Deps    leader.Deps
@@ -100,7 +100,7 @@
 	for _, p := range k.Replica.Partitions() {
 		wg.Go(func() {
 			for try := 0; ctx.Err() == nil && k.Board.Record(p).Epoch == 0; try++ {
-				if k.Board.Roster().Sequence > 0 {
+				if k.Board.VoterSet().Sequence > 0 {
 					cx, stop := context.WithTimeout(ctx, k.Bounds.CallTimeout())
 					_, err := k.read(cx, p)
 					stop()
@@ -116,7 +116,7 @@
 }
 
 func (k *Keeper) look(ctx context.Context) {
-	l := k.Board.Roster().Layout
+	l := k.Board.VoterSet().Layout
 	for p := range l.PartitionCount() {
 		r := k.Board.Record(p)
 		if r.Epoch == 0 {
@@ -220,7 +220,7 @@
 	if err != nil {
 		return r, apierror.Wrap(apierror.Internal, err, "read the record of partition %d", p)
 	}
-	k.Board.Offer(gossip.News{Records: []assignment.Record{r}})
+	k.Board.Apply(gossip.Update{Records: []assignment.Record{r}})
 	return r, nil
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -77,12 +77,12 @@
 	voter   *acceptor.Acceptor
 	replica *replica.Replica
 
-	Board        *gossip.Board
+	Board        *gossip.Store
 	View         *membership.View
 	keeper       *nodelease.Keeper
 	host         *nodelease.Host
 	table        *membership.Table
-	gossip       *gossip.Gossip
+	gossip       *gossip.Gossiper
 	holder       *register.Proposer
 	confirm      *quorumread.Confirmer
 	client       *registerclient.Client
@@ -115,7 +115,7 @@
 	var b [8]byte
 	_, _ = rand.Read(b[:])
 	n := &Node{w: w, log: l, opts: o, boot: hex.EncodeToString(b[:]), stage: membership.Serving, leaving: make(chan struct{}), View: membership.NewView()}
-	n.Board = gossip.NewBoard(n.heard)
+	n.Board = gossip.NewStore(n.heard)
 	ctx, n.stop = context.WithCancel(ctx)
 	if o.Disk != settings.DiskNone {
 		if err := n.open(ctx); err != nil {
@@ -162,7 +162,7 @@
 		n.log.Say(event.DiskNew, "incarnation", inc)
 	}
 	n.replica.Start(inc, j)
-	n.voter.Start(inc, j, n.agree, func(r voters.Set) { n.Board.Offer(gossip.News{Roster: &r}) })
+	n.voter.Start(inc, j, n.agree, func(r voters.Set) { n.Board.Apply(gossip.Update{VoterSet: &r}) })
 	return nil
 }
 
@@ -187,7 +187,7 @@
 	n.mu.Lock()
 	o, st, fit := n.opts, n.stage, n.fitness
 	n.mu.Unlock()
-	i := membership.Info{Name: o.Name, Zone: o.Zone, ListenAddr: o.Listen, PeerAddr: o.DialAddress(), ClientAddr: o.ClientListen, Disk: o.Disk, BootID: n.boot, Stage: st, DiskHealth: fit, Configuration: n.Board.Description().Sequence, BuildVersion: Build, WireVersion: wire.FormatVersion, SupportsTwoHomes: true, SupportsKeys: true, MilliCores: o.ClientCapacity(), VoterSet: n.Board.Roster().Sequence}
+	i := membership.Info{Name: o.Name, Zone: o.Zone, ListenAddr: o.Listen, PeerAddr: o.DialAddress(), ClientAddr: o.ClientListen, Disk: o.Disk, BootID: n.boot, Stage: st, DiskHealth: fit, Configuration: n.Board.Configuration().Sequence, BuildVersion: Build, WireVersion: wire.FormatVersion, SupportsTwoHomes: true, SupportsKeys: true, MilliCores: o.ClientCapacity(), VoterSet: n.Board.VoterSet().Sequence}
 	if n.keeper != nil {
 		i.Deaf = !n.keeper.Confirmed()
 	}
@@ -207,7 +207,7 @@
 }
 
 // VoterSet gives the newest roster known here.
-func (n *Node) VoterSet() voters.Set { return n.Board.Roster() }
+func (n *Node) VoterSet() voters.Set { return n.Board.VoterSet() }
 
 // Live finds a control node that has a session.
 func (n *Node) Live(node string) (string, bool) {
@@ -269,25 +269,25 @@
 	if p, ok := assignment.Partition(k); ok && len(v.Body) > 0 {
 		if r, err := assignment.Parse(v.Body, v.Version); err == nil {
 			r.Partition = p
-			n.Board.Offer(gossip.News{Records: []assignment.Record{r}})
+			n.Board.Apply(gossip.Update{Records: []assignment.Record{r}})
 		}
 	}
 	if k == quorumread.ConfigurationKey {
 		if d, err := quorumread.Parse(v); err == nil && d.Sequence > 0 {
-			n.Board.Offer(gossip.News{Description: &d})
+			n.Board.Apply(gossip.Update{Configuration: &d})
 		}
 	}
 }
 
-func (n *Node) heard(x gossip.News) {
+func (n *Node) heard(x gossip.Update) {
 	if n.desk != nil {
 		n.desk.News(x.Records)
 	}
-	if x.Description != nil {
-		n.log.Say(event.DescriptionNews, "sequence", x.Description.Sequence, "spaces", len(x.Description.Spaces))
+	if x.Configuration != nil {
+		n.log.Say(event.DescriptionNews, "sequence", x.Configuration.Sequence, "spaces", len(x.Configuration.Spaces))
 	}
-	if x.Roster != nil {
-		n.log.Say(event.RosterOpened, "sequence", x.Roster.Sequence, "fleet", x.Roster.Fleet, "seats", len(x.Roster.Voters))
+	if x.VoterSet != nil {
+		n.log.Say(event.RosterOpened, "sequence", x.VoterSet.Sequence, "fleet", x.VoterSet.Fleet, "seats", len(x.VoterSet.Voters))
 	}
 }
 
@@ -303,17 +303,17 @@
 		n.founder = bootstrap.New(o, net, n.Info)
 		n.reconfigurer = &reconfigurer.Reconfigurer{Self: self, Clock: clk, Timing: b, Store: n.Board, Bootstrapper: n.founder, Executor: reconfig.New(self, net, b), Repairer: mender, Live: n.controls, Changed: n.table.Changed, Sealed: n.voter.Sealed, Sealing: n.voter.Sealing, Log: n.log}
 		if r := n.voter.VoterSet(); r.Sequence > 0 {
-			n.Board.Offer(gossip.News{Roster: &r})
+			n.Board.Apply(gossip.Update{VoterSet: &r})
 		}
 	}
-	n.leaves = bootstrap.NewGranter(o, func() uint64 { return n.Board.Roster().Sequence })
+	n.leaves = bootstrap.NewGranter(o, func() uint64 { return n.Board.VoterSet().Sequence })
 	n.client = registerclient.New(self, net, b, n.members, n.holder)
 	n.keeper = &nodelease.Keeper{Opts: o, Clock: clk, Net: net, Board: n.Board, View: n.View, Info: n.Info, Local: n.host, Log: n.log}
-	n.gossip = &gossip.Gossip{Self: self, Net: net, Clock: clk, Bounds: b, Board: n.Board, View: n.View.All, Control: o.HasControlDisk(), Disk: o.Disk != settings.DiskNone}
+	n.gossip = &gossip.Gossiper{Self: self, Net: net, Clock: clk, Timing: b, Store: n.Board, View: n.View.All, Control: o.HasControlDisk(), Disk: o.Disk != settings.DiskNone}
 	if o.HasControlDisk() {
-		n.duty = &controller.Duty{Self: self, Clock: clk, Bounds: b, Holder: n.holder, Client: n.client, Board: n.Board, Live: n.table.Live, Tell: n.gossip.Tell, Changed: n.table.Changed, Log: n.log}
+		n.duty = &controller.Duty{Self: self, Clock: clk, Bounds: b, Holder: n.holder, Client: n.client, Board: n.Board, Live: n.table.Live, Tell: n.gossip.Broadcast, Changed: n.table.Changed, Log: n.log}
 	}
-	n.owners = &leaders.Keeper{Self: self, Clock: clk, Bounds: b, Board: n.Board, Client: n.client, Replica: n.replica, Log: n.log, Able: n.able, Tell: n.gossip.Tell}
+	n.owners = &leaders.Keeper{Self: self, Clock: clk, Bounds: b, Board: n.Board, Client: n.client, Replica: n.replica, Log: n.log, Able: n.able, Tell: n.gossip.Broadcast}
 	n.watch = &failuredetector.Detector{Self: self, BootID: n.boot, Clock: clk, Timing: b, Net: net, Store: n.Board, Addr: n.reach, OnFailure: n.owners.Inherit}
 	n.owners.Deps = leader.Deps{
 		Self: self, Net: net, Clock: clk, Bounds: b, Replica: n.replica, Still: idle.New(ctx, self, net, clk, b), Addr: n.addr, Licensed: n.keeper.Licensed,
@@ -369,7 +369,7 @@
 	self := n.options().Name
 	by := map[string]bool{}
 	var as []string
-	for p := range n.Board.Roster().Layout.PartitionCount() {
+	for p := range n.Board.VoterSet().Layout.PartitionCount() {
 		o := n.Board.Record(p).Owner
 		if o == "" || o == self || by[o] {
 			continue
@@ -443,7 +443,7 @@
 	b := n.bounds()
 	swept, dropped := n.w.Clock.Now(), n.w.Clock.Now()
 	for n.w.Clock.Sleep(ctx, b.ReconcileInterval()) == nil {
-		if f := n.Board.Roster().Fleet; f != "" {
+		if f := n.Board.VoterSet().Fleet; f != "" {
 			if err := n.id.Join(ctx, n.journal, f); apierror.HasCode(err, apierror.DiskForeign) {
 				if n.setFitness(string(apierror.DiskForeign)) {
 					n.log.Say(event.DiskTrouble, "problem", err)
--- a/internal/nodelease/behind_test.go
+++ b/internal/nodelease/behind_test.go
@@ -19,7 +19,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := settings.DefaultTiming
 		seq := uint64(7)
-		h := &Host{Self: "c1", Clock: clock.Real{}, Bounds: b, Table: membership.NewTable(clock.Real{}, b), Board: gossip.NewBoard(nil), Latest: func() Confirmed {
+		h := &Host{Self: "c1", Clock: clock.Real{}, Bounds: b, Table: membership.NewTable(clock.Real{}, b), Board: gossip.NewStore(nil), Latest: func() Confirmed {
 			return Confirmed{OK: true, Sequence: seq, At: time.Now()}
 		}}
 		has := map[string]uint64{"a1": 7, "a2": 7, "a3": 7}
--- a/internal/nodelease/session.go
+++ b/internal/nodelease/session.go
@@ -78,7 +78,7 @@
 	Bounds settings.Timing
 	Net    wire.Network
 	Table  *membership.Table
-	Board  *gossip.Board
+	Board  *gossip.Store
 	Info   func() membership.Info
 	Latest func() Confirmed
 	mu     sync.Mutex
@@ -140,10 +140,10 @@
 	if a.Apart = c.Apart; c.OK {
 		a.Confirmed, a.Sequence, a.Age = true, c.Sequence, h.Clock.Now().Sub(c.At)
 	}
-	if r := h.Board.Roster(); r.Sequence > is.info.VoterSet {
+	if r := h.Board.VoterSet(); r.Sequence > is.info.VoterSet {
 		a.Roster = &r
 	}
-	a.Description, a.Changes = h.Board.Newer(is.info.Configuration, q.Changes)
+	a.Description, a.Changes = h.Board.ConfigurationSince(is.info.Configuration, q.Changes)
 	return a, nil
 }
 
@@ -188,7 +188,7 @@
 
 // alone tells whether this control node has to find others through its seeds.
 func (h *Host) alone() bool {
-	return h.Board.Roster().Sequence == 0 || len(membership.Filter(h.Table.Live(), func(i membership.Info) bool { return i.Disk == settings.DiskControl && i.Name != h.Self })) == 0
+	return h.Board.VoterSet().Sequence == 0 || len(membership.Filter(h.Table.Live(), func(i membership.Info) bool { return i.Disk == settings.DiskControl && i.Name != h.Self })) == 0
 }
 
 // seek asks all seeds at once who they are and whom they know.
@@ -286,7 +286,7 @@
 		as = append(as, a)
 	}
 	h.mu.Unlock()
-	for _, s := range h.Board.Roster().Voters {
+	for _, s := range h.Board.VoterSet().Voters {
 		as = append(as, s.Addr)
 	}
 	for _, i := range h.Table.Live() {
@@ -322,7 +322,7 @@
 	Opts  settings.Options
 	Clock clock.Clock
 	Net   wire.Network
-	Board *gossip.Board
+	Board *gossip.Store
 	View  *membership.View
 	Info  func() membership.Info
 	Local *Host
@@ -553,7 +553,7 @@
 	}
 	for {
 		i, m := k.Info(), k.copy.Version()
-		q := &HeartbeatRequest{Info: i, Have: &m, Changes: k.Board.Takes()}
+		q := &HeartbeatRequest{Info: i, Have: &m, Changes: k.Board.AcceptsChanges()}
 		if k.said != 0 && i.EquivalentTo(k.last) {
 			q.Info, q.Brief = membership.Info{}, &Brief{Name: i.Name, Boot: i.BootID, Said: k.said}
 		}
@@ -621,9 +621,9 @@
 	k.usual = append(k.usual, k.heard.Sub(sent))
 	k.usual = k.usual[max(0, len(k.usual)-lagsMost):]
 	k.mu.Unlock()
-	k.Board.Offer(gossip.News{Roster: a.Roster, Description: a.Description, Changes: a.Changes})
+	k.Board.Apply(gossip.Update{VoterSet: a.Roster, Configuration: a.Description, Changes: a.Changes})
 	k.see(a)
-	if k.Board.Roster().Sequence == 0 {
+	if k.Board.VoterSet().Sequence == 0 {
 		return nil
 	}
 	if !a.Confirmed && a.Young {
@@ -632,7 +632,7 @@
 	if !a.Confirmed {
 		return apierror.New(apierror.NoLease, "%s could not confirm the description", with.Name)
 	}
-	late := k.Board.Description().Sequence < a.Sequence
+	late := k.Board.Configuration().Sequence < a.Sequence
 	k.mu.Lock()
 	k.behind = late
 	k.mu.Unlock()
--- a/internal/nodelease/session_test.go
+++ b/internal/nodelease/session_test.go
@@ -28,8 +28,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				o := settings.Default()
 				o.Name, o.LeaseExtension = "a1", settings.Duration(10*time.Second)
-				b := gossip.NewBoard(nil)
-				b.Offer(gossip.News{Roster: &voters.Set{Sequence: 1, Fleet: "f"}})
+				b := gossip.NewStore(nil)
+				b.Apply(gossip.Update{VoterSet: &voters.Set{Sequence: 1, Fleet: "f"}})
 				info := func() membership.Info { return membership.Info{Name: "a1"} }
 				c := Confirmed{OK: true}
 				h := &Host{Self: "a1", Clock: clock.Real{}, Bounds: o.Timing(), Table: membership.NewTable(clock.Real{}, o.Timing()), Board: b, Info: info, Latest: func() Confirmed { return c }}
@@ -71,7 +71,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		o := settings.Default()
 		o.Name = "a1"
-		b := gossip.NewBoard(nil)
+		b := gossip.NewStore(nil)
 		var asked []*HeartbeatRequest
 		var h *Host
 		start := func() {
@@ -116,7 +116,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		o := settings.Default()
 		o.Name = "a1"
-		b := gossip.NewBoard(nil)
+		b := gossip.NewStore(nil)
 		h := &Host{Self: "c1", Clock: clock.Real{}, Bounds: o.Timing(), Table: membership.NewTable(clock.Real{}, o.Timing()), Board: b, Latest: func() Confirmed { return Confirmed{OK: true, At: time.Now()} }}
 		m := http.NewServeMux()
 		whole := 0
@@ -167,7 +167,7 @@
 		hosts := map[string]*Host{}
 		var asked *membership.SessionsRequest
 		start := func(name, other string) {
-			h := &Host{Self: name, Clock: clock.Real{}, Bounds: o.Timing(), Table: membership.NewTable(clock.Real{}, o.Timing()), Board: gossip.NewBoard(nil), Latest: func() Confirmed { return Confirmed{} }, Info: func() membership.Info { return membership.Info{Name: name} }}
+			h := &Host{Self: name, Clock: clock.Real{}, Bounds: o.Timing(), Table: membership.NewTable(clock.Real{}, o.Timing()), Board: gossip.NewStore(nil), Latest: func() Confirmed { return Confirmed{} }, Info: func() membership.Info { return membership.Info{Name: name} }}
 			h.Net = &reach{func(r *http.Request) (*http.Response, error) {
 				m := http.NewServeMux()
 				hosts[other].Serve(m)
@@ -227,7 +227,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		o := settings.Default()
 		o.Name = "a1"
-		b := gossip.NewBoard(nil)
+		b := gossip.NewStore(nil)
 		h := &Host{Self: "c1", Clock: clock.Real{}, Bounds: o.Timing(), Table: membership.NewTable(clock.Real{}, o.Timing()), Board: b, Latest: func() Confirmed { return Confirmed{OK: true, At: time.Now()} }}
 		m := http.NewServeMux()
 		Heartbeat.Handle(m, func(ctx context.Context, q *HeartbeatRequest) (*HeartbeatResponse, error) {
@@ -270,8 +270,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		o := settings.Default()
 		o.Name = "c1"
-		b := gossip.NewBoard(nil)
-		b.Offer(gossip.News{Roster: &voters.Set{Sequence: 1, Fleet: "f"}})
+		b := gossip.NewStore(nil)
+		b.Apply(gossip.Update{VoterSet: &voters.Set{Sequence: 1, Fleet: "f"}})
 		info := func() membership.Info { return membership.Info{Name: "c1"} }
 		ready := time.Now().Add(o.Timing().HeartbeatInterval() * 2)
 		latest := func() Confirmed {
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -119,7 +119,7 @@
 		x.Done = true
 		return x, all.refuse(apierror.AlreadyEmpty, "%s holds no partition", node)
 	}
-	rest, needed := serving(all.value, drains.value.list, node), s.Board.Roster().Layout.ReplicationFactor()
+	rest, needed := serving(all.value, drains.value.list, node), s.Board.VoterSet().Layout.ReplicationFactor()
 	if rest < needed {
 		return x, all.refuse(apierror.DecommissionUnsafe, "without %s only %d machines with disks serve, %d are needed to bear a loss", node, rest, needed)
 	}
@@ -138,7 +138,7 @@
 // holdings counts the records that name a machine.
 func (s *Service) holdings(ctx context.Context, node string) (c confirmed[int], err error) {
 	var ps []int
-	for p := range s.Board.Roster().Layout.PartitionCount() {
+	for p := range s.Board.VoterSet().Layout.PartitionCount() {
 		ps = append(ps, p)
 	}
 	for _, a := range quorum.Gather(ctx, ps, func(ctx context.Context, p int) (confirmed[bool], error) {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -34,7 +34,7 @@
 	Bounds   settings.Timing
 	Net      wire.Network
 	Client   *registerclient.Client
-	Board    *gossip.Board
+	Board    *gossip.Store
 	View     *membership.View
 	Info     func() membership.Info
 	Licensed func() error
@@ -71,8 +71,8 @@
 
 // Status gives this node's view.
 func (s *Service) Status(context.Context) (any, error) {
-	r := s.Board.Roster()
-	st := Status{Node: s.Info(), Control: s.With(), Licensed: s.Licensed() == nil, Fleet: r.Fleet, Description: s.Board.Description().Sequence, Roster: r, Members: s.View.All(), Owned: s.Owners()}
+	r := s.Board.VoterSet()
+	st := Status{Node: s.Info(), Control: s.With(), Licensed: s.Licensed() == nil, Fleet: r.Fleet, Description: s.Board.Configuration().Sequence, Roster: r, Members: s.View.All(), Owned: s.Owners()}
 	for p := range r.Layout.PartitionCount() {
 		x := s.Board.Record(p)
 		x.Partition = p
@@ -87,7 +87,7 @@
 	ctx, stop := s.limit(ctx)
 	defer stop()
 	var ps []int
-	for p := range s.Board.Roster().Layout.PartitionCount() {
+	for p := range s.Board.VoterSet().Layout.PartitionCount() {
 		ps = append(ps, p)
 	}
 	as := quorum.Gather(ctx, ps, s.Uses, nil)
@@ -134,7 +134,7 @@
 
 // Partition reads one partition's record, named by number or by a topic of it.
 func (s *Service) Partition(ctx context.Context, n, topic string) (any, error) {
-	l := s.Board.Roster().Layout
+	l := s.Board.VoterSet().Layout
 	p, err := strconv.Atoi(n)
 	if topic != "" {
 		sp, e := s.Board.Index().Find(topic)
--- a/internal/operator/quorum.go
+++ b/internal/operator/quorum.go
@@ -43,7 +43,7 @@
 
 // askMajority asks the control nodes which machines they know until a majority of the voters has answered.
 func (s *Service) askMajority(ctx context.Context) (c confirmed[machines], err error) {
-	r := s.Board.Roster()
+	r := s.Board.VoterSet()
 	cx, stop := context.WithTimeout(ctx, s.Bounds.CallTimeout())
 	defer stop()
 	as := quorum.Gather(cx, r.Voters, s.known, func(as []quorum.Result[voters.Voter, []membership.Info]) bool {
--- a/internal/operator/replace.go
+++ b/internal/operator/replace.go
@@ -185,6 +185,6 @@
 }
 
 func (s *Service) accepted(d configuration.Description) *Accepted {
-	s.Board.Offer(gossip.News{Description: &d})
+	s.Board.Apply(gossip.Update{Configuration: &d})
 	return &Accepted{Sequence: d.Sequence, KeptLanes: d.KeptLanes()}
 }
--- a/internal/operator/why.go
+++ b/internal/operator/why.go
@@ -33,7 +33,7 @@
 	w := &Why{Visitor: visitor, Topic: topic, Call: call, Whole: true, Turned: []rejections.Note{}}
 	sp, err := s.Board.Index().Find(topic)
 	if err == nil {
-		w.Ledger, err = s.Trace(ctx, partition.Of(topic, sp.Urgent, s.Board.Roster().Layout), &router.TraceRequest{Visitor: visitor, Topic: topic, Call: call})
+		w.Ledger, err = s.Trace(ctx, partition.Of(topic, sp.Urgent, s.Board.VoterSet().Layout), &router.TraceRequest{Visitor: visitor, Topic: topic, Call: call})
 	}
 	if err != nil {
 		w.Problem = apierror.From(err)
--- a/internal/partitionlog/router/desk.go
+++ b/internal/partitionlog/router/desk.go
@@ -116,7 +116,7 @@
 	Net    wire.Network
 	Clock  clock.Clock
 	Bounds settings.Timing
-	Board  *gossip.Board
+	Board  *gossip.Store
 	View   *membership.View
 	Owners Owners
 	reigns reigns
@@ -139,7 +139,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return partition.Of(q.Topic, s.Urgent, d.Board.Roster().Layout), nil
+	return partition.Of(q.Topic, s.Urgent, d.Board.VoterSet().Layout), nil
 }
 
 func (d *Desk) submit(ctx context.Context, q *leader.Task) (*leader.Decision, error) {
@@ -215,7 +215,7 @@
 	if err != nil {
 		return nil, err
 	}
-	o, err := d.here(partition.Of(q.Topic, s.Urgent, d.Board.Roster().Layout))
+	o, err := d.here(partition.Of(q.Topic, s.Urgent, d.Board.VoterSet().Layout))
 	if err != nil {
 		return nil, err
 	}
@@ -341,7 +341,7 @@
 }
 
 func (d *Desk) home(visitor string, urgent bool) int {
-	return partition.OfVisitor(visitor, urgent, d.Board.Roster().Layout)
+	return partition.OfVisitor(visitor, urgent, d.Board.VoterSet().Layout)
 }
 
 // TwoHomes tells whether attachments are kept in an urgent partition too: once every member's build does.
@@ -351,7 +351,7 @@
 			return false
 		}
 	}
-	return d.Board.Roster().Layout.UrgentPartitions > 0
+	return d.Board.VoterSet().Layout.UrgentPartitions > 0
 }
 
 // Keys gives a problem until every member's build knows keys and withdrawals.
--- a/internal/partitionlog/router/offer_test.go
+++ b/internal/partitionlog/router/offer_test.go
@@ -77,7 +77,7 @@
 
 func (b *bench) owned(who string) {
 	b.writes++
-	b.Board.Offer(gossip.News{Records: []assignment.Record{{Partition: part, Owner: who, Epoch: b.writes, Writes: b.writes}}})
+	b.Board.Apply(gossip.Update{Records: []assignment.Record{{Partition: part, Owner: who, Epoch: b.writes, Writes: b.writes}}})
 }
 
 func newBench(path func(b *bench, ctx context.Context, to string, q *ManyRequest) (*ManyResponse, error)) *bench {
@@ -87,7 +87,7 @@
 	}
 	v := membership.NewView()
 	v.Set([]membership.Info{{Name: "s1", PeerAddr: "s1"}, {Name: "s2", PeerAddr: "s2"}, {Name: "s0", PeerAddr: "s0"}})
-	b.Desk = &Desk{Self: "a1", Net: b, Clock: clock.Real{}, Bounds: settings.DefaultTiming, Board: gossip.NewBoard(func(n gossip.News) { b.News(n.Records) }), View: v, Owners: unready{}, Backlog: func() int { return 1000 }}
+	b.Desk = &Desk{Self: "a1", Net: b, Clock: clock.Real{}, Bounds: settings.DefaultTiming, Board: gossip.NewStore(func(n gossip.Update) { b.News(n.Records) }), View: v, Owners: unready{}, Backlog: func() int { return 1000 }}
 	return b
 }
 
--- a/internal/partitionlog/router/reign.go
+++ b/internal/partitionlog/router/reign.go
@@ -20,7 +20,7 @@
 	m  map[int]reign
 }
 
-func (s *reigns) of(b *gossip.Board, r assignment.Record) context.Context {
+func (s *reigns) of(b *gossip.Store, r assignment.Record) context.Context {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.m == nil {
--- a/internal/placement/controller/duty.go
+++ b/internal/placement/controller/duty.go
@@ -30,7 +30,7 @@
 	Bounds settings.Timing
 	Holder *register.Proposer
 	Client *registerclient.Client
-	Board  *gossip.Board
+	Board  *gossip.Store
 	Live   func() []membership.Info
 	// Changed gives what is closed at news of the members.
 	Changed func() <-chan struct{}
@@ -85,7 +85,7 @@
 // Run tends the partitions until ctx ends.
 func (d *Duty) Run(ctx context.Context) {
 	for d.wait(ctx) == nil {
-		if d.Board.Roster().Sequence == 0 {
+		if d.Board.VoterSet().Sequence == 0 {
 			continue
 		}
 		cx, stop := context.WithTimeout(ctx, d.Bounds.Recovery)
@@ -126,7 +126,7 @@
 	d.fresh, d.absent, d.renewed = map[string]time.Time{}, map[string]time.Time{}, map[string]time.Time{}
 	d.opened, d.epochs = map[int]time.Time{}, map[int]uint64{}
 	var ps []int
-	for p := range d.Board.Roster().Layout.PartitionCount() {
+	for p := range d.Board.VoterSet().Layout.PartitionCount() {
 		ps = append(ps, p)
 	}
 	for _, a := range quorum.Gather(ctx, ps, d.fetch, nil) {
@@ -158,7 +158,7 @@
 func (d *Duty) keep(r assignment.Record) {
 	d.recs[r.Partition] = r
 	if r.Writes > 0 {
-		d.Board.Offer(gossip.News{Records: []assignment.Record{r}})
+		d.Board.Apply(gossip.Update{Records: []assignment.Record{r}})
 	}
 }
 
@@ -228,7 +228,7 @@
 			learners++
 		}
 	}
-	layout := d.Board.Roster().Layout
+	layout := d.Board.VoterSet().Layout
 	slices.SortFunc(ps, func(a, b int) int {
 		if (a >= layout.RoutinePartitions) != (b >= layout.RoutinePartitions) {
 			return b - a
--- a/internal/placement/controller/scene.go
+++ b/internal/placement/controller/scene.go
@@ -67,7 +67,7 @@
 }
 
 func (d *Duty) scene(ctx context.Context) (*scene, error) {
-	s := &scene{now: d.Clock.Now(), m: map[string]*machine{}, copies: d.Board.Roster().Layout.ReplicationFactor()}
+	s := &scene{now: d.Clock.Now(), m: map[string]*machine{}, copies: d.Board.VoterSet().Layout.ReplicationFactor()}
 	_, list, err := d.readDrains(ctx)
 	if err != nil {
 		d.Log.Say(event.DrainTrouble, "problem", err)
--- a/internal/testing/sim/boot_test.go
+++ b/internal/testing/sim/boot_test.go
@@ -76,7 +76,7 @@
 		if err != nil {
 			return false
 		}
-		p := partition.Of(topic, sp.Urgent, x.Board.Roster().Layout)
+		p := partition.Of(topic, sp.Urgent, x.Board.VoterSet().Layout)
 		done := make(chan error, 1)
 		x.House.Ledger.Offer(w.ctx, p, &leader.Task{Visitor: who, Topic: topic, Call: call, Body: []byte(`"b"`)}, time.Now().Add(w.Site.Bounds.CallTimeout()), func(d *leader.Decision, err error) {
 			if err == nil {
@@ -126,7 +126,7 @@
 			wg.Go(func() {
 				for cx.Err() == nil {
 					x := w.Machines[a].Node()
-					if x == nil || x.Ready() != nil || x.Board.Roster().Sequence == 0 {
+					if x == nil || x.Ready() != nil || x.Board.VoterSet().Sequence == 0 {
 						tick()
 						continue
 					}
@@ -136,7 +136,7 @@
 						continue
 					}
 					f := from[topic]
-					s := x.House.Hub.Sub(partition.Of(topic, sp.Urgent, x.Board.Roster().Layout), topic)
+					s := x.House.Hub.Sub(partition.Of(topic, sp.Urgent, x.Board.VoterSet().Layout), topic)
 					s.After = &f
 					opened, given, broken := make(chan error, 1), make(chan struct{}), make(chan struct{})
 					var once sync.Once
--- a/internal/testing/sim/description_test.go
+++ b/internal/testing/sim/description_test.go
@@ -71,7 +71,7 @@
 			assert.Assert(t, won >= 0, "nobody won on base %d: %v", base, errs)
 			time.Sleep(w.Site.Bounds.Spread)
 			for _, n := range w.Names {
-				d := w.Machines[n].Node().Board.Description()
+				d := w.Machines[n].Node().Board.Configuration()
 				assert.Equal(t, d.Sequence, base+1)
 				assert.Equal(t, len(d.Spaces[0].Topics), won+1, "%s applied a description that lost", n)
 			}
@@ -116,7 +116,7 @@
 				bare := want
 				bare.Source = ""
 				for _, n := range w.Names {
-					assert.DeepEqual(t, w.Machines[n].Node().Board.Description(), bare)
+					assert.DeepEqual(t, w.Machines[n].Node().Board.Configuration(), bare)
 				}
 				got, err := w.Machines["a1"].Node().Operators.Current(w.ctx)
 				assert.NilError(t, err)
--- a/internal/testing/sim/owner_test.go
+++ b/internal/testing/sim/owner_test.go
@@ -21,7 +21,7 @@
 func (w *World) records() []assignment.Record {
 	b := w.Machines["a1"].Node().Board
 	var rs []assignment.Record
-	for p := range b.Roster().Layout.PartitionCount() {
+	for p := range b.VoterSet().Layout.PartitionCount() {
 		rs = append(rs, w.storied(b.Record(p)))
 	}
 	return rs
--- a/internal/testing/sim/world.go
+++ b/internal/testing/sim/world.go
@@ -829,13 +829,13 @@
 					continue
 				}
 				b := s.Door.Operators.Board
-				for p := range b.Roster().Layout.PartitionCount() {
+				for p := range b.VoterSet().Layout.PartitionCount() {
 					for _, x := range b.Record(p).History {
 						w.History.Own(p, x.Epoch, x.Owner)
 					}
 				}
 				if s.Door.Ready() == nil {
-					w.History.Show(fmt.Sprintf("%s#%d", n, run), s.Door.Operators.Board.Description().Sequence, time.Now(), w.Site.Bounds.Spread)
+					w.History.Show(fmt.Sprintf("%s#%d", n, run), s.Door.Operators.Board.Configuration().Sequence, time.Now(), w.Site.Bounds.Spread)
 				}
 			}
 			_ = clock.Real{}.Sleep(w.ctx, w.Site.Bounds.HeartbeatInterval()/3)
--- a/internal/testing/transport/port.go
+++ b/internal/testing/transport/port.go
@@ -264,5 +264,5 @@
 		return 0, false, apierror.New(apierror.Unreachable, "the node is down")
 	}
 	ready := n.Door.Ready() == nil
-	return n.Door.Operators.Board.Description().Sequence, ready, nil
+	return n.Door.Operators.Board.Configuration().Sequence, ready, nil
 }
