--- a/internal/control/quorumread/confirm.go
+++ b/internal/control/quorumread/confirm.go
@@ -36,7 +36,7 @@
 	Proposer *register.Proposer
 	Repairer *repair.Repairer
 	mu       sync.Mutex
-	c        nodelease.Confirmed
+	c        nodelease.Confirmation
 	at       uint64
 	// reached is when a majority had last answered, in whatever way; there tells that it has answered the question that is open.
 	reached time.Time
@@ -44,13 +44,13 @@
 }
 
 // Latest gives the last confirmation; it is OK only while young.
-func (f *Confirmer) Latest() nodelease.Confirmed {
+func (f *Confirmer) Latest() nodelease.Confirmation {
 	now := f.Clock.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c := f.c
 	c.OK = c.OK && now.Sub(c.At) < f.Timing.LeaseDuration()
-	c.Apart = f.reached != none && !f.there && now.Sub(f.reached) > f.Timing.IsolationTimeout()
+	c.Isolated = f.reached != none && !f.there && now.Sub(f.reached) > f.Timing.IsolationTimeout()
 	return c
 }
 
@@ -199,6 +199,6 @@
 func (f *Confirmer) set(at time.Time, seq uint64, s acceptor.Slot) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.c = nodelease.Confirmed{OK: true, Sequence: max(seq, f.c.Sequence), At: at}
+	f.c = nodelease.Confirmation{OK: true, Sequence: max(seq, f.c.Sequence), At: at}
 	f.at = s.Value.Version
 }
--- a/internal/control/quorumread/confirm_test.go
+++ b/internal/control/quorumread/confirm_test.go
@@ -68,7 +68,7 @@
 		v := &voterSet{say: map[string]apierror.Code{}}
 		h := register.New("c1", v, clock.Real{}, bounds, peers{b}, func(string, acceptor.Value) {})
 		f := &Confirmer{Self: "c1", Net: v, Clock: clock.Real{}, Timing: bounds, Store: b, Proposer: h}
-		assert.Assert(t, !f.Latest().Apart)
+		assert.Assert(t, !f.Latest().Isolated)
 		go f.Run(ctx)
 		for _, x := range []struct {
 			name  string
@@ -86,16 +86,16 @@
 				v.set(n, x.say[n])
 			}
 			time.Sleep(bounds.IsolationTimeout() + bounds.CallTimeout() + 2*bounds.HeartbeatInterval())
-			assert.Equal(t, f.Latest().Apart, x.apart, x.name)
+			assert.Equal(t, f.Latest().Isolated, x.apart, x.name)
 		}
 		v.set("c2", "")
 		time.Sleep(bounds.CallTimeout() + 2*bounds.HeartbeatInterval())
-		assert.Assert(t, !f.Latest().Apart)
+		assert.Assert(t, !f.Latest().Isolated)
 		v.set("c2", apierror.Unreachable)
 		time.Sleep(bounds.IsolationTimeout())
-		assert.Assert(t, !f.Latest().Apart, "too soon")
+		assert.Assert(t, !f.Latest().Isolated, "too soon")
 		time.Sleep(2 * bounds.HeartbeatInterval())
-		assert.Assert(t, f.Latest().Apart, "too late")
+		assert.Assert(t, f.Latest().Isolated, "too late")
 		stop()
 		synctest.Wait()
 	})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -79,8 +79,8 @@
 
 	Board        *gossip.Store
 	View         *membership.View
-	keeper       *nodelease.Keeper
-	host         *nodelease.Host
+	keeper       *nodelease.Manager
+	host         *nodelease.Server
 	table        *membership.Table
 	gossip       *gossip.Gossiper
 	holder       *register.Proposer
@@ -189,10 +189,10 @@
 	n.mu.Unlock()
 	i := membership.Info{Name: o.Name, Zone: o.Zone, ListenAddr: o.Listen, PeerAddr: o.DialAddress(), ClientAddr: o.ClientListen, Disk: o.Disk, BootID: n.boot, Stage: st, DiskHealth: fit, Configuration: n.Board.Configuration().Sequence, BuildVersion: Build, WireVersion: wire.FormatVersion, SupportsTwoHomes: true, SupportsKeys: true, MilliCores: o.ClientCapacity(), VoterSet: n.Board.VoterSet().Sequence}
 	if n.keeper != nil {
-		i.Deaf = !n.keeper.Confirmed()
+		i.Deaf = !n.keeper.LeaseConfirmed()
 	}
 	if n.keeper != nil && o.Disk != settings.DiskNone {
-		i.LatencyMicros = n.keeper.Lag().Microseconds()
+		i.LatencyMicros = n.keeper.ReportedLatency().Microseconds()
 	}
 	if n.id != nil {
 		i.Incarnation = n.id.Get().Incarnation
@@ -214,7 +214,7 @@
 	if n.table != nil {
 		for _, i := range n.table.Live() {
 			if i.Name == node {
-				return i.PeerAddr, i.Stage == membership.Serving && !n.host.Lost(i.PeerAddr)
+				return i.PeerAddr, i.Stage == membership.Serving && !n.host.Failed(i.PeerAddr)
 			}
 		}
 		return "", false
@@ -299,7 +299,7 @@
 		n.holder = register.New(self, net, clk, b, n, n.told)
 		mender := &repair.Repairer{Self: self, Net: net, Bounds: b}
 		n.confirm = &quorumread.Confirmer{Self: self, Net: net, Clock: clk, Timing: b, Store: n.Board, Proposer: n.holder, Repairer: mender}
-		n.host = &nodelease.Host{Self: self, Seeds: o.Seeds, Clock: clk, Bounds: b, Net: net, Table: n.table, Board: n.Board, Info: n.Info, Latest: n.confirm.Latest}
+		n.host = &nodelease.Server{Self: self, Seeds: o.Seeds, Clock: clk, Timing: b, Net: net, Table: n.table, Store: n.Board, Info: n.Info, LatestConfirmation: n.confirm.Latest}
 		n.founder = bootstrap.New(o, net, n.Info)
 		n.reconfigurer = &reconfigurer.Reconfigurer{Self: self, Clock: clk, Timing: b, Store: n.Board, Bootstrapper: n.founder, Executor: reconfig.New(self, net, b), Repairer: mender, Live: n.controls, Changed: n.table.Changed, Sealed: n.voter.Sealed, Sealing: n.voter.Sealing, Log: n.log}
 		if r := n.voter.VoterSet(); r.Sequence > 0 {
@@ -308,7 +308,7 @@
 	}
 	n.leaves = bootstrap.NewGranter(o, func() uint64 { return n.Board.VoterSet().Sequence })
 	n.client = registerclient.New(self, net, b, n.members, n.holder)
-	n.keeper = &nodelease.Keeper{Opts: o, Clock: clk, Net: net, Board: n.Board, View: n.View, Info: n.Info, Local: n.host, Log: n.log}
+	n.keeper = &nodelease.Manager{Settings: o, Clock: clk, Net: net, Store: n.Board, View: n.View, Info: n.Info, Local: n.host, Log: n.log}
 	n.gossip = &gossip.Gossiper{Self: self, Net: net, Clock: clk, Timing: b, Store: n.Board, View: n.View.All, Control: o.HasControlDisk(), Disk: o.Disk != settings.DiskNone}
 	if o.HasControlDisk() {
 		n.duty = &controller.Duty{Self: self, Clock: clk, Bounds: b, Holder: n.holder, Client: n.client, Board: n.Board, Live: n.table.Live, Tell: n.gossip.Broadcast, Changed: n.table.Changed, Log: n.log}
@@ -316,7 +316,7 @@
 	n.owners = &leaders.Keeper{Self: self, Clock: clk, Bounds: b, Board: n.Board, Client: n.client, Replica: n.replica, Log: n.log, Able: n.able, Tell: n.gossip.Broadcast}
 	n.watch = &failuredetector.Detector{Self: self, BootID: n.boot, Clock: clk, Timing: b, Net: net, Store: n.Board, Addr: n.reach, OnFailure: n.owners.Inherit}
 	n.owners.Deps = leader.Deps{
-		Self: self, Net: net, Clock: clk, Bounds: b, Replica: n.replica, Still: idle.New(ctx, self, net, clk, b), Addr: n.addr, Licensed: n.keeper.Licensed,
+		Self: self, Net: net, Clock: clk, Bounds: b, Replica: n.replica, Still: idle.New(ctx, self, net, clk, b), Addr: n.addr, Licensed: n.keeper.CheckLease,
 		Batch:   func() time.Duration { return n.options().ChangelogInterval() },
 		Backlog: func() int { return n.options().Backlog },
 		Marks:   func() int { return n.options().MaxTombstones },
@@ -335,7 +335,7 @@
 	n.turned = rejections.New()
 	n.Visitors = &client.Service{
 		Clock: clk, Bounds: b, Body: o.BodyLimit, Board: n.Board, Desk: n.desk, Presence: n.presence, Gates: n.gates,
-		Feeds: stream.New(ctx, self, n.boot, n.desk, clk, b), Licensed: n.keeper.Licensed, Leaving: n.leaving,
+		Feeds: stream.New(ctx, self, n.boot, n.desk, clk, b), Licensed: n.keeper.CheckLease, Leaving: n.leaving,
 		Heard: func(t *client.Task, err error) {
 			n.log.Say(event.Turned, "verb", t.Verb, "visitor", t.Visitor, "problem", err)
 			p, topic := apierror.From(err), ""
@@ -347,11 +347,11 @@
 	}
 	n.hub = fanout.New(ctx, self, n.boot, n.desk, n.Board, clk, b)
 	n.House = (&session.House{
-		Self: self, Clock: clk, Bounds: b, Board: n.Board, Hub: n.hub, Ledger: n.desk, Licensed: n.keeper.Licensed,
+		Self: self, Clock: clk, Bounds: b, Board: n.Board, Hub: n.hub, Ledger: n.desk, Licensed: n.keeper.CheckLease,
 		Leaving: n.leaving, Members: n.View.All, Info: n.Info, Body: o.BodyLimit,
 	}).Open(ctx)
 	n.touch = &reachability.Monitor{
-		Self: self, Clock: clk, Timing: b, Net: net, LastHeard: n.keeper.Heard, UsualLatency: n.keeper.Usual, LeaderAddrs: n.deciders, Peers: n.nearest, CheckServing: n.Ready,
+		Self: self, Clock: clk, Timing: b, Net: net, LastHeard: n.keeper.LastHeard, UsualLatency: n.keeper.UsualLatency, LeaderAddrs: n.deciders, Peers: n.nearest, CheckServing: n.Ready,
 		OnRedirect: func(to []membership.Info) {
 			if len(to) > 0 {
 				n.log.Say(event.VisitorsSent, "visitors", n.House.Count(), "fellows", len(to))
@@ -361,7 +361,7 @@
 			n.House.Away(to)
 		},
 	}
-	n.Operators = &operator.Service{Clock: n.w.Clock, Bounds: b, Net: n.w.Net, Client: n.client, Board: n.Board, View: n.View, Info: n.Info, Licensed: n.keeper.Licensed, With: n.keeper.With, Owners: n.owners.Views, Uses: n.desk.Usage, Marks: n.desk.Marks, Tallies: n.tallies, Trace: n.desk.Trace, Turned: n.askTurned, Log: n.log}
+	n.Operators = &operator.Service{Clock: n.w.Clock, Bounds: b, Net: n.w.Net, Client: n.client, Board: n.Board, View: n.View, Info: n.Info, Licensed: n.keeper.CheckLease, With: n.keeper.ControlNode, Owners: n.owners.Views, Uses: n.desk.Usage, Marks: n.desk.Marks, Tallies: n.tallies, Trace: n.desk.Trace, Turned: n.askTurned, Log: n.log}
 }
 
 // deciders gives the addresses of the other machines that records name as owners.
@@ -487,7 +487,7 @@
 // Peers gives the handler of the other nodes' calls.
 func (n *Node) Peers() http.Handler {
 	m := http.NewServeMux()
-	membership.Identify.Handle(m, n.keeper.Hello)
+	membership.Identify.Handle(m, n.keeper.Identify)
 	n.gossip.Serve(m)
 	n.desk.Serve(m)
 	n.presence.Serve(m)
@@ -522,7 +522,7 @@
 	if err := n.House.Stays(); err != nil {
 		return err
 	}
-	return n.keeper.Licensed()
+	return n.keeper.CheckLease()
 }
 
 // HoldsDuty tells whether this node has the placement duty as far as it knows.
--- a/internal/nodelease/behind_test.go
+++ b/internal/nodelease/behind_test.go
@@ -19,8 +19,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := settings.DefaultTiming
 		seq := uint64(7)
-		h := &Host{Self: "c1", Clock: clock.Real{}, Bounds: b, Table: membership.NewTable(clock.Real{}, b), Board: gossip.NewStore(nil), Latest: func() Confirmed {
-			return Confirmed{OK: true, Sequence: seq, At: time.Now()}
+		h := &Server{Self: "c1", Clock: clock.Real{}, Timing: b, Table: membership.NewTable(clock.Real{}, b), Store: gossip.NewStore(nil), LatestConfirmation: func() Confirmation {
+			return Confirmation{OK: true, Sequence: seq, At: time.Now()}
 		}}
 		has := map[string]uint64{"a1": 7, "a2": 7, "a3": 7}
 		var c membership.ListReplica
@@ -29,7 +29,7 @@
 				time.Sleep(b.HeartbeatInterval())
 				for _, n := range []string{"a1", "a2", "a3"} {
 					m := c.Version()
-					a, err := h.Heartbeat(context.Background(), &HeartbeatRequest{Info: membership.Info{Name: n, BootID: "1", Stage: membership.Serving, Configuration: has[n]}, Have: &m})
+					a, err := h.Heartbeat(context.Background(), &HeartbeatRequest{Info: membership.Info{Name: n, BootID: "1", Stage: membership.Serving, Configuration: has[n]}, KnownVersion: &m})
 					assert.NilError(t, err)
 					assert.Equal(t, len(a.Change.ConfigurationOnly), 0)
 					if n == "a1" {
--- a/internal/nodelease/session.go
+++ b/internal/nodelease/session.go
@@ -23,21 +23,21 @@
 
 // HeartbeatRequest renews a session.
 type HeartbeatRequest struct {
-	Info membership.Info `json:"info,omitzero"`
-	Left bool            `json:"left,omitempty"`
-	// Brief stands for the Info of a run whose last one this control node has, when there is nothing new to say.
-	Brief *Brief `json:"b,omitempty"`
-	// Have says how far the members are known from this control node.
-	Have *membership.Version `json:"h,omitempty"`
-	// Changes tells that a description may come by its changes.
-	Changes bool `json:"c,omitempty"`
+	Info    membership.Info `json:"info,omitzero"`
+	Leaving bool            `json:"left,omitempty"`
+	// InfoReference stands for the Info of a run whose last one this control node has, when there is nothing new to say.
+	InfoReference *InfoReference `json:"b,omitempty"`
+	// KnownVersion says how far the members are known from this control node.
+	KnownVersion *membership.Version `json:"h,omitempty"`
+	// AcceptsChanges tells that a description may come by its changes.
+	AcceptsChanges bool `json:"c,omitempty"`
 }
 
-// Brief names the run of a node, and which saying of it holds.
-type Brief struct {
-	Name string `json:"n"`
-	Boot string `json:"b"`
-	Said uint64 `json:"s"`
+// InfoReference names the run of a node, and which saying of it holds.
+type InfoReference struct {
+	Name       string `json:"n"`
+	BootID     string `json:"b"`
+	InfoNumber uint64 `json:"s"`
 }
 
 // HeartbeatResponse gives the members, and, when a majority confirmed it, which description is current.
@@ -45,50 +45,50 @@
 	Members []membership.Info `json:"members,omitempty"`
 	// Change gives the members by difference, to a node that says what it has.
 	Change *membership.Change `json:"c,omitempty"`
-	// Said is the number of the node's last whole saying, 0 when one is asked for.
-	Said uint64 `json:"s,omitempty"`
-	// Young tells that the control node began so lately that it can't know all members yet.
-	Young bool `json:"young,omitempty"`
-	// Apart tells that no majority has answered the control node for so long that its sessions may have gone to others.
-	Apart       bool                       `json:"a,omitempty"`
-	Confirmed   bool                       `json:"confirmed"`
-	Sequence    uint64                     `json:"sequence"`
-	Age         time.Duration              `json:"age"`
-	Roster      *voters.Set                `json:"roster,omitempty"`
-	Description *configuration.Description `json:"description,omitempty"`
-	Changes     []configuration.Change     `json:"d,omitempty"`
+	// InfoNumber is the number of the node's last whole saying, 0 when one is asked for.
+	InfoNumber uint64 `json:"s,omitempty"`
+	// WarmingUp tells that the control node began so lately that it can't know all members yet.
+	WarmingUp bool `json:"young,omitempty"`
+	// Isolated tells that no majority has answered the control node for so long that its sessions may have gone to others.
+	Isolated      bool                       `json:"a,omitempty"`
+	Confirmed     bool                       `json:"confirmed"`
+	Sequence      uint64                     `json:"sequence"`
+	Age           time.Duration              `json:"age"`
+	VoterSet      *voters.Set                `json:"roster,omitempty"`
+	Configuration *configuration.Description `json:"description,omitempty"`
+	Changes       []configuration.Change     `json:"d,omitempty"`
 }
 
 // Heartbeat is the session call.
 var Heartbeat = wire.NewProcedure[HeartbeatRequest, HeartbeatResponse]("Member", "Pulse", wire.Monotonic, "a session is renewed as of when the pulse arrived; sayings are numbered within a run")
 
-// Confirmed is what a control node knows of the current description, and when it asked. Apart tells that no majority has answered it for a while.
-type Confirmed struct {
+// Confirmation is what a control node knows of the current description, and when it asked. Apart tells that no majority has answered it for a while.
+type Confirmation struct {
 	OK       bool
 	Sequence uint64
 	At       time.Time
-	Apart    bool
-}
-
-// Host is a control node's side of sessions.
-type Host struct {
-	Self   string
-	Seeds  []string
-	Clock  clock.Clock
-	Bounds settings.Timing
-	Net    wire.Network
-	Table  *membership.Table
-	Board  *gossip.Store
-	Info   func() membership.Info
-	Latest func() Confirmed
-	mu     sync.Mutex
-	own    map[string]mine
-	met    map[string]string
-	news   chan struct{}
-	quiet  map[string]quiet
-	since  time.Time
-	said   uint64
-	told   told
+	Isolated bool
+}
+
+// Server is a control node's side of sessions.
+type Server struct {
+	Self               string
+	Seeds              []string
+	Clock              clock.Clock
+	Timing             settings.Timing
+	Net                wire.Network
+	Table              *membership.Table
+	Store              *gossip.Store
+	Info               func() membership.Info
+	LatestConfirmation func() Confirmation
+	mu                 sync.Mutex
+	own                map[string]mine
+	met                map[string]string
+	news               chan struct{}
+	quiet              map[string]quiet
+	since              time.Time
+	said               uint64
+	told               told
 }
 
 type mine struct {
@@ -98,10 +98,10 @@
 }
 
 // Heartbeat answers a node's heartbeat.
-func (h *Host) Heartbeat(_ context.Context, q *HeartbeatRequest) (*HeartbeatResponse, error) {
+func (h *Server) Heartbeat(_ context.Context, q *HeartbeatRequest) (*HeartbeatResponse, error) {
 	now, name := h.Clock.Now(), q.Info.Name
-	if q.Brief != nil {
-		name = q.Brief.Name
+	if q.InfoReference != nil {
+		name = q.InfoReference.Name
 	}
 	h.mu.Lock()
 	if h.own == nil {
@@ -109,8 +109,8 @@
 	}
 	was, ok := h.own[name]
 	is := mine{q.Info, now, was.said}
-	if q.Brief != nil {
-		if !ok || was.info.BootID != q.Brief.Boot || was.said != q.Brief.Said {
+	if q.InfoReference != nil {
+		if !ok || was.info.BootID != q.InfoReference.BootID || was.said != q.InfoReference.InfoNumber {
 			h.mu.Unlock()
 			return &HeartbeatResponse{}, nil
 		}
@@ -120,7 +120,7 @@
 		is.said = h.said
 	}
 	h.own[name] = is
-	young := now.Sub(h.since) < h.Bounds.SessionTimeout()
+	young := now.Sub(h.since) < h.Timing.SessionTimeout()
 	h.mu.Unlock()
 	if !ok || was.info.DiffersMaterially(is.info) {
 		select {
@@ -129,26 +129,26 @@
 		}
 	}
 	h.Table.Observe(is.info, 0)
-	a := &HeartbeatResponse{Young: young}
-	if q.Have != nil {
-		c := h.members().Since(*q.Have)
-		a.Change, a.Said = &c, is.said
+	a := &HeartbeatResponse{WarmingUp: young}
+	if q.KnownVersion != nil {
+		c := h.members().Since(*q.KnownVersion)
+		a.Change, a.InfoNumber = &c, is.said
 	} else {
 		a.Members = h.Table.Live()
 	}
-	c := h.Latest()
-	if a.Apart = c.Apart; c.OK {
+	c := h.LatestConfirmation()
+	if a.Isolated = c.Isolated; c.OK {
 		a.Confirmed, a.Sequence, a.Age = true, c.Sequence, h.Clock.Now().Sub(c.At)
 	}
-	if r := h.Board.VoterSet(); r.Sequence > is.info.VoterSet {
-		a.Roster = &r
+	if r := h.Store.VoterSet(); r.Sequence > is.info.VoterSet {
+		a.VoterSet = &r
 	}
-	a.Description, a.Changes = h.Board.ConfigurationSince(is.info.Configuration, q.Changes)
+	a.Configuration, a.Changes = h.Store.ConfigurationSince(is.info.Configuration, q.AcceptsChanges)
 	return a, nil
 }
 
 // word has the other control nodes hear of this one's sessions at once.
-func (h *Host) word() chan struct{} {
+func (h *Server) word() chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.news == nil {
@@ -157,14 +157,14 @@
 	return h.news
 }
 
-func (h *Host) sessions() []membership.Session {
+func (h *Server) sessions() []membership.Session {
 	now := h.Clock.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var s []membership.Session
 	for n, m := range h.own {
 		age := now.Sub(m.at)
-		if age > h.Bounds.SessionTimeout() {
+		if age > h.Timing.SessionTimeout() {
 			delete(h.own, n)
 			continue
 		}
@@ -174,8 +174,8 @@
 }
 
 // Run tells the other control nodes this one's sessions every heartbeat, and at once when there is news of one.
-func (h *Host) Run(ctx context.Context) {
-	for ; ctx.Err() == nil; clock.Wait(ctx, h.Clock, h.Bounds.HeartbeatInterval(), h.word(), nil) {
+func (h *Server) Run(ctx context.Context) {
+	for ; ctx.Err() == nil; clock.Wait(ctx, h.Clock, h.Timing.HeartbeatInterval(), h.word(), nil) {
 		if h.alone() {
 			go h.seek(ctx)
 		}
@@ -187,13 +187,13 @@
 }
 
 // alone tells whether this control node has to find others through its seeds.
-func (h *Host) alone() bool {
-	return h.Board.VoterSet().Sequence == 0 || len(membership.Filter(h.Table.Live(), func(i membership.Info) bool { return i.Disk == settings.DiskControl && i.Name != h.Self })) == 0
+func (h *Server) alone() bool {
+	return h.Store.VoterSet().Sequence == 0 || len(membership.Filter(h.Table.Live(), func(i membership.Info) bool { return i.Disk == settings.DiskControl && i.Name != h.Self })) == 0
 }
 
 // seek asks all seeds at once who they are and whom they know.
-func (h *Host) seek(ctx context.Context) {
-	cx, stop := context.WithTimeout(ctx, h.Bounds.CallTimeout())
+func (h *Server) seek(ctx context.Context) {
+	cx, stop := context.WithTimeout(ctx, h.Timing.CallTimeout())
 	defer stop()
 	me := h.Info()
 	met := map[string]string{}
@@ -217,10 +217,10 @@
 	return slices.DeleteFunc(slices.Compact(as), func(a string) bool { return a == me })
 }
 
-func (h *Host) exchange(ctx context.Context, addr string) {
+func (h *Server) exchange(ctx context.Context, addr string) {
 	for again := false; ; again = true {
 		q := h.task(addr)
-		cx, stop := context.WithTimeout(ctx, h.Bounds.CallTimeout())
+		cx, stop := context.WithTimeout(ctx, h.Timing.CallTimeout())
 		a, err := membership.Sessions.Call(cx, h.Net, h.Self, addr, q)
 		stop()
 		away := wire.TurnedAway(err)
@@ -235,7 +235,7 @@
 		case again && away:
 			h.away(addr)
 			return
-		case again || !away || h.Clock.Sleep(ctx, h.Bounds.RefusalRetryDelay()) != nil:
+		case again || !away || h.Clock.Sleep(ctx, h.Timing.RefusalRetryDelay()) != nil:
 			return
 		}
 	}
@@ -246,7 +246,7 @@
 	away  bool
 }
 
-func (h *Host) wait(addr string) {
+func (h *Server) wait(addr string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.quiet == nil {
@@ -257,13 +257,13 @@
 	}
 }
 
-func (h *Host) answered(addr string) {
+func (h *Server) answered(addr string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.quiet, addr)
 }
 
-func (h *Host) away(addr string) {
+func (h *Server) away(addr string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.quiet[addr] = quiet{since: h.Clock.Now(), away: true}
@@ -271,22 +271,22 @@
 
 const quietMost = 2
 
-// Lost tells whether another control node is silent or turns calls away, long before its session lapses.
-func (h *Host) Lost(addr string) bool {
+// Failed tells whether another control node is silent or turns calls away, long before its session lapses.
+func (h *Server) Failed(addr string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	q, ok := h.quiet[addr]
-	return ok && (q.away || h.Clock.Now().Sub(q.since) > quietMost*h.Bounds.HeartbeatInterval())
+	return ok && (q.away || h.Clock.Now().Sub(q.since) > quietMost*h.Timing.HeartbeatInterval())
 }
 
-func (h *Host) others() []string {
+func (h *Server) others() []string {
 	var as []string
 	h.mu.Lock()
 	for _, a := range h.met {
 		as = append(as, a)
 	}
 	h.mu.Unlock()
-	for _, s := range h.Board.VoterSet().Voters {
+	for _, s := range h.Store.VoterSet().Voters {
 		as = append(as, s.Addr)
 	}
 	for _, i := range h.Table.Live() {
@@ -297,14 +297,14 @@
 	return others(as, h.Info().PeerAddr)
 }
 
-func (h *Host) note(s []membership.Session) {
+func (h *Server) note(s []membership.Session) {
 	for _, x := range s {
 		h.Table.Observe(x.Info, x.Age)
 	}
 }
 
 // Serve adds the host's calls.
-func (h *Host) Serve(m *http.ServeMux) {
+func (h *Server) Serve(m *http.ServeMux) {
 	Heartbeat.Handle(m, h.Heartbeat)
 	membership.Sessions.Handle(m, func(_ context.Context, q *membership.SessionsRequest) (*membership.SessionsResponse, error) {
 		h.note(q.Sessions)
@@ -317,19 +317,19 @@
 	})
 }
 
-// Keeper is a node's side of its session.
-type Keeper struct {
-	Opts  settings.Options
-	Clock clock.Clock
-	Net   wire.Network
-	Board *gossip.Store
-	View  *membership.View
-	Info  func() membership.Info
-	Local *Host
-	Log   *event.Logger
-	mu    sync.Mutex
-	with  membership.Info
-	until time.Time
+// Manager is a node's side of its session.
+type Manager struct {
+	Settings settings.Options
+	Clock    clock.Clock
+	Net      wire.Network
+	Store    *gossip.Store
+	View     *membership.View
+	Info     func() membership.Info
+	Local    *Server
+	Log      *event.Logger
+	mu       sync.Mutex
+	with     membership.Info
+	until    time.Time
 	// heard is when a control node last answered a heartbeat.
 	heard time.Time
 	live  bool
@@ -356,27 +356,27 @@
 	lagAt = 1
 )
 
-func (k *Keeper) took(d time.Duration) {
+func (k *Manager) took(d time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.lags = append(k.lags, d)
 	k.lags = k.lags[max(0, len(k.lags)-lagsMost):]
 }
 
-// Lag gives the second shortest of the last few heartbeats' times, 0 before there are enough. Times so short that a machine eight times slower is not slow yet
+// ReportedLatency gives the second shortest of the last few heartbeats' times, 0 before there are enough. Times so short that a machine eight times slower is not slow yet
 // count as the longest of them: no judgement hangs on which one it is, and each that is told is told to all control nodes.
-func (k *Keeper) Lag() time.Duration {
+func (k *Manager) ReportedLatency() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if len(k.lags) < lagsMost {
 		return 0
 	}
-	return max(slices.Sorted(slices.Values(k.lags))[lagAt], k.Opts.Timing().SlowThreshold()/settings.SlowFactor)
+	return max(slices.Sorted(slices.Values(k.lags))[lagAt], k.Settings.Timing().SlowThreshold()/settings.SlowFactor)
 }
 
-// Usual gives the second shortest of the last few answered heartbeats' times, and whether there were enough. Heartbeats that were not answered don't count, so
+// UsualLatency gives the second shortest of the last few answered heartbeats' times, and whether there were enough. Heartbeats that were not answered don't count, so
 // that it says how slow the way is, not whether there is one.
-func (k *Keeper) Usual() (time.Duration, bool) {
+func (k *Manager) UsualLatency() (time.Duration, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if len(k.usual) < lagsMost {
@@ -385,44 +385,44 @@
 	return slices.Sorted(slices.Values(k.usual))[lagAt], true
 }
 
-// Licensed tells whether this node may serve now.
-func (k *Keeper) Licensed() error {
+// CheckLease tells whether this node may serve now.
+func (k *Manager) CheckLease() error {
 	now := k.Clock.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if now.Before(k.until) || !k.behind && !k.until.IsZero() && now.Before(k.until.Add(time.Duration(k.Opts.LeaseExtension))) {
+	if now.Before(k.until) || !k.behind && !k.until.IsZero() && now.Before(k.until.Add(time.Duration(k.Settings.LeaseExtension))) {
 		return nil
 	}
-	return apierror.New(apierror.NoLease, "no control node confirmed the description within %s", k.Opts.Timing().LeaseDuration()+time.Duration(k.Opts.LeaseExtension))
+	return apierror.New(apierror.NoLease, "no control node confirmed the description within %s", k.Settings.Timing().LeaseDuration()+time.Duration(k.Settings.LeaseExtension))
 }
 
-// Confirmed tells whether the lease stands by a control node's word alone, not by the stretch.
-func (k *Keeper) Confirmed() bool {
+// LeaseConfirmed tells whether the lease stands by a control node's word alone, not by the stretch.
+func (k *Manager) LeaseConfirmed() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.Clock.Now().Before(k.until)
 }
 
-// Heard tells when this node last had word from the fleet: an answer to a heartbeat, or on a control node the word of a majority.
-func (k *Keeper) Heard() time.Time {
+// LastHeard tells when this node last had word from the fleet: an answer to a heartbeat, or on a control node the word of a majority.
+func (k *Manager) LastHeard() time.Time {
 	k.mu.Lock()
-	own, at := k.Local != nil && k.with.Name == k.Opts.Name, k.heard
+	own, at := k.Local != nil && k.with.Name == k.Settings.Name, k.heard
 	k.mu.Unlock()
 	if own {
-		return k.Local.Latest().At
+		return k.Local.LatestConfirmation().At
 	}
 	return at
 }
 
-// With gives the control node that the session is with.
-func (k *Keeper) With() string {
+// ControlNode gives the control node that the session is with.
+func (k *Manager) ControlNode() string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.with.Name
 }
 
-// Hello says who this node is and whom it knows, with the control nodes that asked it lately.
-func (k *Keeper) Hello(_ context.Context, q *membership.IdentifyRequest) (*membership.IdentifyResponse, error) {
+// Identify says who this node is and whom it knows, with the control nodes that asked it lately.
+func (k *Manager) Identify(_ context.Context, q *membership.IdentifyRequest) (*membership.IdentifyResponse, error) {
 	a := &membership.IdentifyResponse{Info: k.Info(), Known: slices.Clone(k.View.All())}
 	now := k.Clock.Now()
 	k.mu.Lock()
@@ -434,7 +434,7 @@
 		k.met[q.From.Name] = mine{info: *q.From, at: now}
 	}
 	for n, m := range k.met {
-		if now.Sub(m.at) > k.Opts.Timing().SessionTimeout() {
+		if now.Sub(m.at) > k.Settings.Timing().SessionTimeout() {
 			delete(k.met, n)
 			continue
 		}
@@ -445,19 +445,19 @@
 	return a, nil
 }
 
-func (k *Keeper) able(is []membership.Info, not string) []membership.Info {
+func (k *Manager) able(is []membership.Info, not string) []membership.Info {
 	return membership.Filter(is, func(i membership.Info) bool {
-		return i.Disk == settings.DiskControl && i.Stage == membership.Serving && i.Name != not && i.Name != k.Opts.Name
+		return i.Disk == settings.DiskControl && i.Stage == membership.Serving && i.Name != not && i.Name != k.Settings.Name
 	})
 }
 
 // ask asks all seeds at once, and waits no longer than for the first that names a control node.
-func (k *Keeper) ask(ctx context.Context, not string) []membership.Info {
-	cx, stop := context.WithTimeout(ctx, k.Opts.Timing().CallTimeout()/2)
+func (k *Manager) ask(ctx context.Context, not string) []membership.Info {
+	cx, stop := context.WithTimeout(ctx, k.Settings.Timing().CallTimeout()/2)
 	defer stop()
 	var is []membership.Info
-	quorum.Gather(cx, others(k.Opts.Seeds, k.Opts.DialAddress()), func(ctx context.Context, a string) (*membership.IdentifyResponse, error) {
-		return membership.Identify.Call(ctx, k.Net, k.Opts.Name, a, &membership.IdentifyRequest{})
+	quorum.Gather(cx, others(k.Settings.Seeds, k.Settings.DialAddress()), func(ctx context.Context, a string) (*membership.IdentifyResponse, error) {
+		return membership.Identify.Call(ctx, k.Net, k.Settings.Name, a, &membership.IdentifyRequest{})
 	}, func(as []quorum.Result[string, *membership.IdentifyResponse]) bool {
 		if h := as[len(as)-1]; h.Err == nil {
 			is = append(append(is, h.Value.Info), h.Value.Known...)
@@ -468,7 +468,7 @@
 }
 
 // choose finds a control node: after a session that worked among the members known from it, otherwise through the seeds.
-func (k *Keeper) choose(ctx context.Context, not string, worked bool) (membership.Info, error) {
+func (k *Manager) choose(ctx context.Context, not string, worked bool) (membership.Info, error) {
 	if k.Local != nil && not == "" {
 		return k.Info(), nil
 	}
@@ -482,7 +482,7 @@
 	if len(is) == 0 {
 		return membership.Info{}, apierror.New(apierror.Unreachable, "no control node was found through the seeds")
 	}
-	near := membership.Filter(is, func(i membership.Info) bool { return i.Zone == k.Opts.Zone })
+	near := membership.Filter(is, func(i membership.Info) bool { return i.Zone == k.Settings.Zone })
 	if len(near) > 0 && not == "" {
 		is = near
 	}
@@ -490,7 +490,7 @@
 }
 
 // Run keeps the session until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Manager) Run(ctx context.Context) {
 	not, bad, worked, begun := "", 0, false, k.Clock.Now()
 	var with membership.Info
 	for ctx.Err() == nil {
@@ -516,7 +516,7 @@
 		case err != nil:
 			bad++
 			if apierror.HasCode(err, apierror.Unreachable) {
-				pause = k.Opts.Timing().RefusalRetryDelay()
+				pause = k.Settings.Timing().RefusalRetryDelay()
 			}
 		default:
 			bad, worked = 0, true
@@ -533,8 +533,8 @@
 
 // pace is the pause before the next heartbeat: short while the first lease is to come, for no longer than a session, and a while longer
 // under a control node that began lately itself.
-func (k *Keeper) pace(begun time.Time) time.Duration {
-	b := k.Opts.Timing()
+func (k *Manager) pace(begun time.Time) time.Duration {
+	b := k.Settings.Timing()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	age := k.Clock.Now().Sub(begun)
@@ -547,26 +547,26 @@
 const missesMost = 2
 
 // say heartbeats once: with all that this node says of itself, or with word that nothing of it is new.
-func (k *Keeper) say(ctx context.Context, with membership.Info) (*HeartbeatResponse, error) {
+func (k *Manager) say(ctx context.Context, with membership.Info) (*HeartbeatResponse, error) {
 	if k.of != with.Name {
 		k.of, k.copy, k.last, k.said = with.Name, membership.ListReplica{}, membership.Info{}, 0
 	}
 	for {
 		i, m := k.Info(), k.copy.Version()
-		q := &HeartbeatRequest{Info: i, Have: &m, Changes: k.Board.AcceptsChanges()}
+		q := &HeartbeatRequest{Info: i, KnownVersion: &m, AcceptsChanges: k.Store.AcceptsChanges()}
 		if k.said != 0 && i.EquivalentTo(k.last) {
-			q.Info, q.Brief = membership.Info{}, &Brief{Name: i.Name, Boot: i.BootID, Said: k.said}
+			q.Info, q.InfoReference = membership.Info{}, &InfoReference{Name: i.Name, BootID: i.BootID, InfoNumber: k.said}
 		}
 		a, err := k.heartbeat(ctx, with, q)
 		if err != nil {
 			return nil, err
 		}
-		if q.Brief != nil && a.Said == 0 {
+		if q.InfoReference != nil && a.InfoNumber == 0 {
 			k.said = 0
 			continue
 		}
-		if q.Brief == nil {
-			k.last, k.said = i, a.Said
+		if q.InfoReference == nil {
+			k.last, k.said = i, a.InfoNumber
 		}
 		if a.Change != nil && !k.copy.Apply(*a.Change) {
 			k.copy = membership.ListReplica{}
@@ -578,16 +578,16 @@
 
 // see takes in the members that a control node told, if they are other ones than before. Whom one leaves out that began lately, or that no majority answers,
 // may be there all the same: one that is cut off loses sessions which the others keep.
-func (k *Keeper) see(a *HeartbeatResponse) {
-	wary := a.Young || a.Apart || !a.Confirmed
+func (k *Manager) see(a *HeartbeatResponse) {
+	wary := a.WarmingUp || a.Isolated || !a.Confirmed
 	if a.Change != nil {
-		if a.Change.Empty() && wary == k.wary && a.Young == k.young {
+		if a.Change.Empty() && wary == k.wary && a.WarmingUp == k.young {
 			return
 		}
 		a.Members = k.copy.All()
 	}
 	k.mu.Lock()
-	k.young, k.wary = a.Young, wary
+	k.young, k.wary = a.WarmingUp, wary
 	k.mu.Unlock()
 	if wary {
 		k.View.Add(a.Members)
@@ -599,17 +599,17 @@
 	}
 }
 
-func (k *Keeper) heartbeat(ctx context.Context, with membership.Info, q *HeartbeatRequest) (*HeartbeatResponse, error) {
-	if k.Local != nil && with.Name == k.Opts.Name {
+func (k *Manager) heartbeat(ctx context.Context, with membership.Info, q *HeartbeatRequest) (*HeartbeatResponse, error) {
+	if k.Local != nil && with.Name == k.Settings.Name {
 		return k.Local.Heartbeat(ctx, q)
 	}
-	cx, stop := context.WithTimeout(ctx, k.Opts.Timing().SessionTimeout()/3)
+	cx, stop := context.WithTimeout(ctx, k.Settings.Timing().SessionTimeout()/3)
 	defer stop()
-	return Heartbeat.Call(cx, k.Net, k.Opts.Name, with.PeerAddr, q)
+	return Heartbeat.Call(cx, k.Net, k.Settings.Name, with.PeerAddr, q)
 }
 
-func (k *Keeper) beat(ctx context.Context, with membership.Info) error {
-	b := k.Opts.Timing()
+func (k *Manager) beat(ctx context.Context, with membership.Info) error {
+	b := k.Settings.Timing()
 	sent := k.Clock.Now()
 	a, err := k.say(ctx, with)
 	k.took(k.Clock.Now().Sub(sent))
@@ -621,18 +621,18 @@
 	k.usual = append(k.usual, k.heard.Sub(sent))
 	k.usual = k.usual[max(0, len(k.usual)-lagsMost):]
 	k.mu.Unlock()
-	k.Board.Apply(gossip.Update{VoterSet: a.Roster, Configuration: a.Description, Changes: a.Changes})
+	k.Store.Apply(gossip.Update{VoterSet: a.VoterSet, Configuration: a.Configuration, Changes: a.Changes})
 	k.see(a)
-	if k.Board.VoterSet().Sequence == 0 {
+	if k.Store.VoterSet().Sequence == 0 {
 		return nil
 	}
-	if !a.Confirmed && a.Young {
+	if !a.Confirmed && a.WarmingUp {
 		return apierror.New(apierror.NotReady, "%s began lately and has not confirmed the description yet", with.Name)
 	}
 	if !a.Confirmed {
 		return apierror.New(apierror.NoLease, "%s could not confirm the description", with.Name)
 	}
-	late := k.Board.Configuration().Sequence < a.Sequence
+	late := k.Store.Configuration().Sequence < a.Sequence
 	k.mu.Lock()
 	k.behind = late
 	k.mu.Unlock()
@@ -644,14 +644,14 @@
 		k.until = t
 	}
 	k.mu.Unlock()
-	if a.Apart {
+	if a.Isolated {
 		return apierror.New(apierror.NoLease, "no majority answers %s", with.Name)
 	}
 	return nil
 }
 
-func (k *Keeper) watch() {
-	ok := k.Licensed() == nil
+func (k *Manager) watch() {
+	ok := k.CheckLease() == nil
 	k.mu.Lock()
 	was := k.live
 	k.live = ok
--- a/internal/nodelease/session_test.go
+++ b/internal/nodelease/session_test.go
@@ -31,27 +31,27 @@
 				b := gossip.NewStore(nil)
 				b.Apply(gossip.Update{VoterSet: &voters.Set{Sequence: 1, Fleet: "f"}})
 				info := func() membership.Info { return membership.Info{Name: "a1"} }
-				c := Confirmed{OK: true}
-				h := &Host{Self: "a1", Clock: clock.Real{}, Bounds: o.Timing(), Table: membership.NewTable(clock.Real{}, o.Timing()), Board: b, Info: info, Latest: func() Confirmed { return c }}
-				k := &Keeper{Opts: o, Clock: clock.Real{}, Board: b, View: membership.NewView(), Info: info, Local: h}
-				assert.Assert(t, k.Licensed() != nil, "a node starts without a licence")
+				c := Confirmation{OK: true}
+				h := &Server{Self: "a1", Clock: clock.Real{}, Timing: o.Timing(), Table: membership.NewTable(clock.Real{}, o.Timing()), Store: b, Info: info, LatestConfirmation: func() Confirmation { return c }}
+				k := &Manager{Settings: o, Clock: clock.Real{}, Store: b, View: membership.NewView(), Info: info, Local: h}
+				assert.Assert(t, k.CheckLease() != nil, "a node starts without a licence")
 				c.At = time.Now()
 				assert.NilError(t, k.beat(context.Background(), info()))
-				assert.NilError(t, k.Licensed())
+				assert.NilError(t, k.CheckLease())
 				time.Sleep(time.Second)
-				c = Confirmed{}
+				c = Confirmation{}
 				if newer {
-					c = Confirmed{OK: true, Sequence: 1, At: time.Now()}
+					c = Confirmation{OK: true, Sequence: 1, At: time.Now()}
 				}
 				assert.Assert(t, k.beat(context.Background(), info()) != nil)
 				time.Sleep(o.Timing().LeaseDuration())
-				assert.Equal(t, k.Licensed() == nil, !newer)
-				assert.Assert(t, !k.Confirmed())
-				c = Confirmed{}
+				assert.Equal(t, k.CheckLease() == nil, !newer)
+				assert.Assert(t, !k.LeaseConfirmed())
+				c = Confirmation{}
 				_ = k.beat(context.Background(), info())
-				assert.Equal(t, k.Licensed() == nil, !newer)
+				assert.Equal(t, k.CheckLease() == nil, !newer)
 				time.Sleep(time.Duration(o.LeaseExtension))
-				assert.Assert(t, k.Licensed() != nil, "the stretch ends")
+				assert.Assert(t, k.CheckLease() != nil, "the stretch ends")
 			})
 		})
 	}
@@ -73,9 +73,9 @@
 		o.Name = "a1"
 		b := gossip.NewStore(nil)
 		var asked []*HeartbeatRequest
-		var h *Host
+		var h *Server
 		start := func() {
-			h = &Host{Self: "c1", Clock: clock.Real{}, Bounds: o.Timing(), Table: membership.NewTable(clock.Real{}, o.Timing()), Board: b, Latest: func() Confirmed { return Confirmed{OK: true, At: time.Now()} }}
+			h = &Server{Self: "c1", Clock: clock.Real{}, Timing: o.Timing(), Table: membership.NewTable(clock.Real{}, o.Timing()), Store: b, LatestConfirmation: func() Confirmation { return Confirmation{OK: true, At: time.Now()} }}
 		}
 		start()
 		m := http.NewServeMux()
@@ -84,7 +84,7 @@
 			return h.Heartbeat(ctx, q)
 		})
 		me := membership.Info{Name: "a1", BootID: "1", Stage: membership.Serving, LatencyMicros: 500}
-		k := &Keeper{Opts: o, Clock: clock.Real{}, Net: &pair{m}, Board: b, View: membership.NewView(), Info: func() membership.Info { return me }}
+		k := &Manager{Settings: o, Clock: clock.Real{}, Net: &pair{m}, Store: b, View: membership.NewView(), Info: func() membership.Info { return me }}
 		beat := func(whole ...bool) {
 			t.Helper()
 			asked = nil
@@ -92,7 +92,7 @@
 			assert.NilError(t, k.beat(context.Background(), membership.Info{Name: "c1", PeerAddr: "127.0.0.1:1"}))
 			assert.Equal(t, len(asked), len(whole))
 			for n, q := range asked {
-				assert.Equal(t, q.Brief == nil, whole[n])
+				assert.Equal(t, q.InfoReference == nil, whole[n])
 			}
 			assert.Equal(t, len(h.Table.Live()), 1)
 			i, ok := k.View.Get("a1")
@@ -117,20 +117,20 @@
 		o := settings.Default()
 		o.Name = "a1"
 		b := gossip.NewStore(nil)
-		h := &Host{Self: "c1", Clock: clock.Real{}, Bounds: o.Timing(), Table: membership.NewTable(clock.Real{}, o.Timing()), Board: b, Latest: func() Confirmed { return Confirmed{OK: true, At: time.Now()} }}
+		h := &Server{Self: "c1", Clock: clock.Real{}, Timing: o.Timing(), Table: membership.NewTable(clock.Real{}, o.Timing()), Store: b, LatestConfirmation: func() Confirmation { return Confirmation{OK: true, At: time.Now()} }}
 		m := http.NewServeMux()
 		whole := 0
 		takes := time.Millisecond
 		Heartbeat.Handle(m, func(ctx context.Context, q *HeartbeatRequest) (*HeartbeatResponse, error) {
 			time.Sleep(takes)
-			if q.Brief == nil {
+			if q.InfoReference == nil {
 				whole++
 			}
 			return h.Heartbeat(ctx, q)
 		})
-		k := &Keeper{Opts: o, Clock: clock.Real{}, Net: &pair{m}, Board: b, View: membership.NewView()}
+		k := &Manager{Settings: o, Clock: clock.Real{}, Net: &pair{m}, Store: b, View: membership.NewView()}
 		k.Info = func() membership.Info {
-			return membership.Info{Name: "a1", BootID: "1", Stage: membership.Serving, LatencyMicros: k.Lag().Microseconds()}
+			return membership.Info{Name: "a1", BootID: "1", Stage: membership.Serving, LatencyMicros: k.ReportedLatency().Microseconds()}
 		}
 		beats := func(d time.Duration) int {
 			t.Helper()
@@ -164,10 +164,10 @@
 func TestControlNodesTellSessionsByDifference(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := settings.Default()
-		hosts := map[string]*Host{}
+		hosts := map[string]*Server{}
 		var asked *membership.SessionsRequest
 		start := func(name, other string) {
-			h := &Host{Self: name, Clock: clock.Real{}, Bounds: o.Timing(), Table: membership.NewTable(clock.Real{}, o.Timing()), Board: gossip.NewStore(nil), Latest: func() Confirmed { return Confirmed{} }, Info: func() membership.Info { return membership.Info{Name: name} }}
+			h := &Server{Self: name, Clock: clock.Real{}, Timing: o.Timing(), Table: membership.NewTable(clock.Real{}, o.Timing()), Store: gossip.NewStore(nil), LatestConfirmation: func() Confirmation { return Confirmation{} }, Info: func() membership.Info { return membership.Info{Name: name} }}
 			h.Net = &reach{func(r *http.Request) (*http.Response, error) {
 				m := http.NewServeMux()
 				hosts[other].Serve(m)
@@ -178,7 +178,7 @@
 		start("c1", "c2")
 		start("c2", "c1")
 		heartbeat := func(name, stage string) {
-			_, err := hosts["c1"].Heartbeat(context.Background(), &HeartbeatRequest{Info: membership.Info{Name: name, Stage: stage}, Have: &membership.Version{}})
+			_, err := hosts["c1"].Heartbeat(context.Background(), &HeartbeatRequest{Info: membership.Info{Name: name, Stage: stage}, KnownVersion: &membership.Version{}})
 			assert.NilError(t, err)
 		}
 		round := func() {
@@ -228,18 +228,18 @@
 		o := settings.Default()
 		o.Name = "a1"
 		b := gossip.NewStore(nil)
-		h := &Host{Self: "c1", Clock: clock.Real{}, Bounds: o.Timing(), Table: membership.NewTable(clock.Real{}, o.Timing()), Board: b, Latest: func() Confirmed { return Confirmed{OK: true, At: time.Now()} }}
+		h := &Server{Self: "c1", Clock: clock.Real{}, Timing: o.Timing(), Table: membership.NewTable(clock.Real{}, o.Timing()), Store: b, LatestConfirmation: func() Confirmation { return Confirmation{OK: true, At: time.Now()} }}
 		m := http.NewServeMux()
 		Heartbeat.Handle(m, func(ctx context.Context, q *HeartbeatRequest) (*HeartbeatResponse, error) {
-			assert.Assert(t, q.Brief == nil)
-			return h.Heartbeat(ctx, &HeartbeatRequest{Info: q.Info, Left: q.Left})
+			assert.Assert(t, q.InfoReference == nil)
+			return h.Heartbeat(ctx, &HeartbeatRequest{Info: q.Info, Leaving: q.Leaving})
 		})
 		var asked []*membership.SessionsRequest
 		membership.Sessions.Handle(m, func(_ context.Context, q *membership.SessionsRequest) (*membership.SessionsResponse, error) {
 			asked = append(asked, q)
 			return &membership.SessionsResponse{Sessions: []membership.Session{{Info: membership.Info{Name: "b"}}}}, nil
 		})
-		k := &Keeper{Opts: o, Clock: clock.Real{}, Net: &pair{m}, Board: b, View: membership.NewView(), Info: func() membership.Info { return membership.Info{Name: "a1", BootID: "1"} }}
+		k := &Manager{Settings: o, Clock: clock.Real{}, Net: &pair{m}, Store: b, View: membership.NewView(), Info: func() membership.Info { return membership.Info{Name: "a1", BootID: "1"} }}
 		for range 4 {
 			time.Sleep(o.Timing().HeartbeatInterval())
 			assert.NilError(t, k.beat(context.Background(), membership.Info{Name: "c1", PeerAddr: "127.0.0.1:1"}))
@@ -274,12 +274,12 @@
 		b.Apply(gossip.Update{VoterSet: &voters.Set{Sequence: 1, Fleet: "f"}})
 		info := func() membership.Info { return membership.Info{Name: "c1"} }
 		ready := time.Now().Add(o.Timing().HeartbeatInterval() * 2)
-		latest := func() Confirmed {
-			return Confirmed{OK: time.Now().After(ready), At: time.Now()}
+		latest := func() Confirmation {
+			return Confirmation{OK: time.Now().After(ready), At: time.Now()}
 		}
-		h := &Host{Self: "c1", Clock: clock.Real{}, Bounds: o.Timing(), Table: membership.NewTable(clock.Real{}, o.Timing()), Board: b, Info: info, Latest: latest}
+		h := &Server{Self: "c1", Clock: clock.Real{}, Timing: o.Timing(), Table: membership.NewTable(clock.Real{}, o.Timing()), Store: b, Info: info, LatestConfirmation: latest}
 		var lg bytes.Buffer
-		k := &Keeper{Opts: o, Clock: clock.Real{}, Board: b, View: membership.NewView(), Info: info, Local: h, Log: event.NewLogger(hclog.New(&hclog.LoggerOptions{Level: hclog.Info, Output: &lg}))}
+		k := &Manager{Settings: o, Clock: clock.Real{}, Store: b, View: membership.NewView(), Info: info, Local: h, Log: event.NewLogger(hclog.New(&hclog.LoggerOptions{Level: hclog.Info, Output: &lg}))}
 		ctx, stop := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
@@ -288,8 +288,8 @@
 		}()
 		time.Sleep(o.Timing().HeartbeatInterval()*2 + o.Timing().HeartbeatInterval()/2)
 		synctest.Wait()
-		assert.NilError(t, k.Licensed(), "licensed within half a pulse after the first confirmation")
-		assert.Equal(t, k.With(), "c1")
+		assert.NilError(t, k.CheckLease(), "licensed within half a pulse after the first confirmation")
+		assert.Equal(t, k.ControlNode(), "c1")
 		stop()
 		<-done
 		assert.Assert(t, !strings.Contains(lg.String(), event.SessionMoved.Text), "%s", lg.String())
--- a/internal/nodelease/story.go
+++ b/internal/nodelease/story.go
@@ -27,10 +27,10 @@
 )
 
 // members gives the roll of all members, which is looked through anew when one has news, and a few times a heartbeat for those that lapsed.
-func (h *Host) members() *membership.VersionedList {
+func (h *Server) members() *membership.VersionedList {
 	now := h.Clock.Now()
 	h.mu.Lock()
-	fresh := h.told.seen != nil && now.Sub(h.told.looked) < h.Bounds.HeartbeatInterval()/looksPerHeartbeat
+	fresh := h.told.seen != nil && now.Sub(h.told.looked) < h.Timing.HeartbeatInterval()/looksPerHeartbeat
 	if fresh {
 		select {
 		case <-h.told.seen:
@@ -55,26 +55,26 @@
 }
 
 // due gives the description that every node must have by now: the one confirmed here, once it has been for a lease, or the one that was due before.
-func (h *Host) due() uint64 {
-	c := h.Latest()
+func (h *Server) due() uint64 {
+	c := h.LatestConfirmation()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if c.OK && c.Sequence != h.told.put {
 		h.told.put, h.told.from = c.Sequence, c.At
 	}
-	if h.Clock.Now().Sub(h.told.from) >= h.Bounds.LeaseDuration() {
+	if h.Clock.Now().Sub(h.told.from) >= h.Timing.LeaseDuration() {
 		h.told.due = h.told.put
 	}
 	return h.told.due
 }
 
 // story tells this node's sessions to one who knows them up to a mark.
-func (h *Host) story(have membership.Version) membership.SessionUpdate {
+func (h *Server) story(have membership.Version) membership.SessionUpdate {
 	var is []membership.Info
 	var s membership.SessionUpdate
 	for _, x := range h.sessions() {
 		is = append(is, x.Info)
-		if x.Age > h.Bounds.HeartbeatInterval()+h.Bounds.HeartbeatInterval()/lateShare {
+		if x.Age > h.Timing.HeartbeatInterval()+h.Timing.HeartbeatInterval()/lateShare {
 			if s.Late == nil {
 				s.Late = map[string]time.Duration{}
 			}
@@ -88,7 +88,7 @@
 	return s
 }
 
-func (h *Host) task(addr string) *membership.SessionsRequest {
+func (h *Server) task(addr string) *membership.SessionsRequest {
 	h.mu.Lock()
 	have, ok := h.told.has[addr]
 	name := h.told.names[addr]
@@ -104,7 +104,7 @@
 	return q
 }
 
-func (h *Host) heard(name string) membership.Version {
+func (h *Server) heard(name string) membership.Version {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if c := h.told.heard[name]; c != nil {
@@ -114,7 +114,7 @@
 }
 
 // hear takes in another control node's story, and tells whether it is known up to there.
-func (h *Host) hear(name string, s *membership.SessionUpdate) bool {
+func (h *Server) hear(name string, s *membership.SessionUpdate) bool {
 	if s == nil {
 		return true
 	}
@@ -144,7 +144,7 @@
 }
 
 // reached notes how far the one at an address knows this node's sessions, and tells whether it could follow what it was told.
-func (h *Host) reached(addr string, q *membership.SessionsRequest, a *membership.SessionsResponse) bool {
+func (h *Server) reached(addr string, q *membership.SessionsRequest, a *membership.SessionsResponse) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.told.has == nil {
