--- a/internal/client/session/house_test.go
+++ b/internal/client/session/house_test.go
@@ -118,7 +118,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		b := gossip.NewStore(nil)
-		b.Apply(gossip.Update{VoterSet: &voters.Set{Sequence: 1, Fleet: "fleet00", Layout: voters.Layout{RoutinePartitions: 1}}, Records: []assignment.Record{{Owner: "s1", Epoch: 1, Writes: 1}}})
+		b.Apply(gossip.Update{VoterSet: &voters.Set{Sequence: 1, Fleet: "fleet00", Layout: voters.Layout{RoutinePartitions: 1}}, Records: []assignment.Record{{Leader: "s1", Epoch: 1, Version: 1}}})
 		h := &hall{src: &source{follow: func(*leader.Want) *leader.Told { return nil }}, board: b}
 		hub := fanout.New(ctx, "a1", "boot", h.src, b, clock.Real{}, settings.DefaultTiming)
 		h.House = (&House{
--- a/internal/delivery/fanout/feed.go
+++ b/internal/delivery/fanout/feed.go
@@ -130,10 +130,10 @@
 func (f *feed) turn(r assignment.Record) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if r.Writes == f.writes && r.Epoch == f.epoch {
+	if r.Version == f.writes && r.Epoch == f.epoch {
 		return
 	}
-	f.writes = r.Writes
+	f.writes = r.Version
 	if r.Epoch != f.epoch {
 		f.epoch = r.Epoch
 		if f.cut != nil {
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -94,7 +94,7 @@
 		b.whole = false
 	}
 	for _, r := range n.Records {
-		if r.Writes > b.records[r.Partition].Writes {
+		if r.Version > b.records[r.Partition].Version {
 			b.records[r.Partition] = r
 			f.Records = append(f.Records, r)
 		}
@@ -250,7 +250,7 @@
 func (b *Store) digest() Digest {
 	d := Digest{VoterSet: b.roster.Sequence, Configuration: b.desc.Sequence, Changes: !b.whole, Records: make([]uint64, b.roster.Layout.PartitionCount())}
 	for i := range d.Records {
-		d.Records[i] = b.records[i].Writes
+		d.Records[i] = b.records[i].Version
 	}
 	return d
 }
@@ -268,7 +268,7 @@
 		n.Configuration, n.Changes = b.newer(d.Configuration, d.Changes)
 	}
 	for p, r := range b.records {
-		if p >= len(d.Records) || r.Writes > d.Records[p] {
+		if p >= len(d.Records) || r.Version > d.Records[p] {
 			n.Records = append(n.Records, r)
 		}
 	}
@@ -280,7 +280,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for p, n := range d.Records {
-		if n > b.records[p].Writes {
+		if n > b.records[p].Version {
 			return true
 		}
 	}
@@ -328,7 +328,7 @@
 	}
 	n.Records = slices.Clone(n.Records)
 	for i, r := range n.Records {
-		n.Records[i] = r.Lean()
+		n.Records[i] = r.WithoutHistory()
 	}
 	return n
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -22,7 +22,7 @@
 	b := NewStore(func(Update) { heard++ })
 	r := voters.Set{Sequence: 2, Fleet: "f", Layout: voters.Layout{RoutinePartitions: 1, UrgentPartitions: 1}}
 	offer := func(d, w uint64) bool {
-		return !b.Apply(Update{VoterSet: &r, Configuration: &configuration.Description{Sequence: d}, Records: []assignment.Record{{Partition: 1, Writes: w}}}).Empty()
+		return !b.Apply(Update{VoterSet: &r, Configuration: &configuration.Description{Sequence: d}, Records: []assignment.Record{{Partition: 1, Version: w}}}).Empty()
 	}
 	assert.Assert(t, offer(3, 5))
 	assert.Assert(t, !offer(3, 5))
@@ -31,7 +31,7 @@
 	assert.Assert(t, b.Apply(Update{VoterSet: &other}).Empty(), "another fleet's roster")
 	assert.Equal(t, heard, 1)
 	assert.Equal(t, b.Configuration().Sequence, uint64(3))
-	assert.Equal(t, b.Record(1).Writes, uint64(5))
+	assert.Equal(t, b.Record(1).Version, uint64(5))
 	d := b.Digest()
 	assert.DeepEqual(t, d, Digest{VoterSet: 2, Configuration: 3, Records: []uint64{0, 5}, Changes: true})
 	assert.Assert(t, b.Since(d).Empty())
@@ -141,9 +141,9 @@
 // Nodes without a disk hear who decides, not the history of it, which is most of a record; those with a disk, which write records, have them whole
 // and from one another only.
 func TestRecordsGoWithoutTheirHistoryToNodesWithoutADisk(t *testing.T) {
-	r := assignment.Record{Partition: 1, Writes: 1}
+	r := assignment.Record{Partition: 1, Version: 1}
 	for range 9 {
-		r = r.Next("s1", []assignment.Place{{Node: "s1", Incarnation: "i1"}, {Node: "s2", Incarnation: "i2"}}, "the owner is gone: nothing is heard from it", time.Now())
+		r = r.Next("s1", []assignment.Replica{{Node: "s1", Incarnation: "i1"}, {Node: "s2", Incarnation: "i2"}}, "the owner is gone: nothing is heard from it", time.Now())
 	}
 	store, front, other := &Gossiper{Store: NewStore(nil), Disk: true}, &Gossiper{Store: NewStore(nil)}, &Gossiper{Store: NewStore(nil)}
 	store.Store.Apply(Update{Records: []assignment.Record{r}})
@@ -154,7 +154,7 @@
 	lean := store.suited(store.Store.Since(front.digest()), front.digest().OmitHistory)
 	assert.Equal(t, len(lean.Records), 1)
 	assert.Equal(t, len(lean.Records[0].History), 0)
-	assert.Equal(t, lean.Records[0].Owner, "s1")
+	assert.Equal(t, lean.Records[0].Leader, "s1")
 	assert.Equal(t, len(store.Store.Record(1).History), 9, "the own record lost its history")
 	a, err := wire.Marshal(whole)
 	assert.NilError(t, err)
--- a/internal/membership/failuredetector/watch.go
+++ b/internal/membership/failuredetector/watch.go
@@ -106,13 +106,13 @@
 	rings := map[string][]string{}
 	for p := range w.Store.VoterSet().Layout.PartitionCount() {
 		r := w.Store.Record(p)
-		if _, ok := r.Place(w.Self); !ok || r.Owner == "" || r.Owner == w.Self {
+		if _, ok := r.Replica(w.Self); !ok || r.Leader == "" || r.Leader == w.Self {
 			continue
 		}
-		if _, ok := rings[r.Owner]; !ok && len(rings) >= wardsMost {
+		if _, ok := rings[r.Leader]; !ok && len(rings) >= wardsMost {
 			continue
 		}
-		rings[r.Owner] = append(rings[r.Owner], others(r, w.Self)...)
+		rings[r.Leader] = append(rings[r.Leader], others(r, w.Self)...)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -129,7 +129,7 @@
 }
 
 func others(r assignment.Record, self string) []string {
-	return slices.DeleteFunc(r.Nodes(), func(n string) bool { return n == self || n == r.Owner })
+	return slices.DeleteFunc(r.Nodes(), func(n string) bool { return n == self || n == r.Leader })
 }
 
 // most is how many beats may go unanswered: more where answers took long lately, since what is slow or lossy is not gone.
--- a/internal/node/leaders/heir.go
+++ b/internal/node/leaders/heir.go
@@ -51,10 +51,10 @@
 	}
 	for p := range k.Board.VoterSet().Layout.PartitionCount() {
 		r := k.Board.Record(p)
-		if r.Owner != node || !k.named(r) {
+		if r.Leader != node || !k.named(r) {
 			continue
 		}
-		turn := time.Duration(r.Heirs(k.Able).Turn(k.Self)) * k.Bounds.ClaimJitter()
+		turn := time.Duration(r.Successors(k.Able).Rank(k.Self)) * k.Bounds.ClaimJitter()
 		if turn < 0 || k.Clock.Now().Sub(since) < turn || !k.heirs.begin(p) {
 			continue
 		}
@@ -69,10 +69,10 @@
 	cx, stop := context.WithTimeout(ctx, k.Bounds.CallTimeout())
 	defer stop()
 	n := r.Next(k.Self, r.Replicas, "the owner is gone: "+why, k.Clock.Now())
-	v, err := k.Client.Change(cx, assignment.Key(r.Partition), r.Writes, registerclient.NewChangeID(), n.Pack())
+	v, err := k.Client.Change(cx, assignment.Key(r.Partition), r.Version, registerclient.NewChangeID(), n.Marshal())
 	if err == nil {
-		n.Writes = v.Version
-		k.Log.Say(event.Inherited, "partition", r.Partition, "epoch", n.Epoch, "from", r.Owner, "reason", why)
+		n.Version = v.Version
+		k.Log.Say(event.Inherited, "partition", r.Partition, "epoch", n.Epoch, "from", r.Leader, "reason", why)
 		k.Tell(ctx, n)
 		return
 	}
--- a/internal/node/leaders/owners.go
+++ b/internal/node/leaders/owners.go
@@ -31,7 +31,7 @@
 	Deps    leader.Deps
 	Log     *event.Logger
 	// Able ranks a disk as the next owner by what is known of its machine: 0 first, below 0 for one that can't be.
-	Able  func(assignment.Place) int
+	Able  func(assignment.Replica) int
 	heirs heirs
 	// Tell has records that were written here known at once.
 	Tell   func(context.Context, ...assignment.Record)
@@ -132,7 +132,7 @@
 			k.mu.Unlock()
 			o.Update(ctx, r)
 			continue
-		case r.Owner == k.Self && r.Epoch > k.epochs[p] && !k.closed:
+		case r.Leader == k.Self && r.Epoch > k.epochs[p] && !k.closed:
 			k.epochs[p] = r.Epoch
 			if k.Replica.Sealed(p) >= r.Epoch && k.named(r) {
 				delete(k.m, p)
@@ -157,7 +157,7 @@
 			}
 			k.mu.Unlock()
 			if o != nil && r.Epoch > o.Rec.Epoch {
-				o.End(apierror.New(apierror.StaleEpoch, "%s decides under epoch %d", r.Owner, r.Epoch))
+				o.End(apierror.New(apierror.StaleEpoch, "%s decides under epoch %d", r.Leader, r.Epoch))
 			}
 		}
 	}
@@ -194,14 +194,14 @@
 	if err != nil {
 		return false
 	}
-	if r.Owner != k.Self || k.Board.Record(p).Epoch > r.Epoch || !k.named(r) || !k.spent(p, r.Epoch) {
+	if r.Leader != k.Self || k.Board.Record(p).Epoch > r.Epoch || !k.named(r) || !k.spent(p, r.Epoch) {
 		return true
 	}
 	return k.Renew(cx, r)
 }
 
 func (k *Keeper) named(r assignment.Record) bool {
-	p, ok := r.Place(k.Self)
+	p, ok := r.Replica(k.Self)
 	return ok && p.Incarnation == k.Replica.Incarnation()
 }
 
@@ -233,9 +233,9 @@
 			if r.Epoch != epoch || !ok {
 				return false
 			}
-			v, e := k.Client.Change(ctx, assignment.Key(p), r.Writes, registerclient.NewChangeID(), n.Pack())
+			v, e := k.Client.Change(ctx, assignment.Key(p), r.Version, registerclient.NewChangeID(), n.Marshal())
 			if e == nil {
-				n.Writes = v.Version
+				n.Version = v.Version
 				k.Tell(ctx, n)
 				return true
 			}
@@ -248,7 +248,7 @@
 // Settled records that a take-over is finished, so that replicas may change.
 func (k *Keeper) Settled(ctx context.Context, r assignment.Record) {
 	k.Change(ctx, r.Partition, r.Epoch, func(x assignment.Record) (assignment.Record, bool) {
-		x.Settled = true
+		x.Recovered = true
 		return x, true
 	})
 }
@@ -257,20 +257,20 @@
 func (k *Keeper) Renew(ctx context.Context, r assignment.Record) bool {
 	k.Log.Say(event.OwnerRenew, "partition", r.Partition, "epoch", r.Epoch)
 	return k.Change(ctx, r.Partition, r.Epoch, func(x assignment.Record) (assignment.Record, bool) {
-		return x.Next(k.Self, x.Replicas, "the owner came back on its machine", k.Clock.Now()), x.Owner == k.Self
+		return x.Next(k.Self, x.Replicas, "the owner came back on its machine", k.Clock.Now()), x.Leader == k.Self
 	})
 }
 
 // Promote makes the learner, which has caught up, a replica: in the place of its machine's lost disk if the record names one, otherwise as one more.
-func (k *Keeper) Promote(ctx context.Context, r assignment.Record, l assignment.Place) {
+func (k *Keeper) Promote(ctx context.Context, r assignment.Record, l assignment.Replica) {
 	k.Change(ctx, r.Partition, r.Epoch, func(x assignment.Record) (assignment.Record, bool) {
-		ok := x.Learner != nil && *x.Learner == l && x.Owner == k.Self && x.Settled
-		return x.Next(k.Self, x.With(l), l.Node+" has caught up and holds a copy", k.Clock.Now()), ok
+		ok := x.Learner != nil && *x.Learner == l && x.Leader == k.Self && x.Recovered
+		return x.Next(k.Self, x.WithReplica(l), l.Node+" has caught up and holds a copy", k.Clock.Now()), ok
 	})
 }
 
 // HandOver gives every owned partition to another replica, state flushed first.
-func (k *Keeper) HandOver(ctx context.Context, able func(assignment.Place) bool, limit time.Duration) int {
+func (k *Keeper) HandOver(ctx context.Context, able func(assignment.Replica) bool, limit time.Duration) int {
 	k.mu.Lock()
 	k.closed = true
 	k.mu.Unlock()
@@ -285,7 +285,7 @@
 				for i := range x.Replicas {
 					p := x.Replicas[(i+o.Rec.Partition)%len(x.Replicas)]
 					if p.Node != k.Self && able(p) {
-						return x.Next(p.Node, x.Replicas, k.Self+" stops and named its successor", k.Clock.Now()), x.Owner == k.Self
+						return x.Next(p.Node, x.Replicas, k.Self+" stops and named its successor", k.Clock.Now()), x.Leader == k.Self
 					}
 				}
 				return x, false
@@ -309,7 +309,7 @@
 			continue
 		}
 		r, err := k.read(ctx, p)
-		if err != nil || !r.Settled || r.Holds(k.Self) {
+		if err != nil || !r.Recovered || r.Holds(k.Self) {
 			continue
 		}
 		if _, err := k.Replica.Drop(ctx, &replica.DropRequest{Target: replica.Target{Partition: p, Incarnation: k.Replica.Incarnation(), Epoch: r.Epoch}}); err == nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -247,7 +247,7 @@
 var ranks = map[string]int{settings.DiskStorage: 0, settings.DiskControl: 1}
 
 // able ranks a disk as the next owner of a partition whose owner is gone.
-func (n *Node) able(p assignment.Place) int {
+func (n *Node) able(p assignment.Replica) int {
 	i, ok := n.View.LastKnown(p.Node)
 	if p.Node == n.options().Name {
 		i, ok = n.Info(), true
@@ -370,7 +370,7 @@
 	by := map[string]bool{}
 	var as []string
 	for p := range n.Board.VoterSet().Layout.PartitionCount() {
-		o := n.Board.Record(p).Owner
+		o := n.Board.Record(p).Leader
 		if o == "" || o == self || by[o] {
 			continue
 		}
@@ -545,7 +545,7 @@
 	close(n.leaving)
 	ctx, stop := context.WithTimeout(context.Background(), b.ShutdownTimeout()*3/4)
 	defer stop()
-	able := func(p assignment.Place) bool {
+	able := func(p assignment.Replica) bool {
 		i, ok := n.View.Get(p.Node)
 		return ok && i.Incarnation == p.Incarnation && i.DiskHealth == "" && i.Stage == membership.Serving
 	}
--- a/internal/partitionlog/leader/assure.go
+++ b/internal/partitionlog/leader/assure.go
@@ -60,7 +60,7 @@
 func (o *Owner) ask(ctx context.Context) error {
 	cx, stop := context.WithTimeout(ctx, o.d.Bounds.CallTimeout())
 	defer stop()
-	as := quorum.Gather(cx, o.Rec.Replicas, func(ctx context.Context, p assignment.Place) (bool, error) {
+	as := quorum.Gather(cx, o.Rec.Replicas, func(ctx context.Context, p assignment.Replica) (bool, error) {
 		q := &replica.AppendRequest{Target: replica.Target{Partition: o.Rec.Partition, Incarnation: p.Incarnation, Epoch: o.Rec.Epoch}, Kind: log.Ledger, Urgent: o.Urgent}
 		if p.Node == o.d.Self {
 			return true, o.d.Replica.Stands(q.Target)
@@ -71,7 +71,7 @@
 		}
 		_, err := replica.Append.Call(ctx, o.d.Net, o.d.Self, a, q)
 		return err == nil, err
-	}, func(as []quorum.Result[assignment.Place, bool]) bool {
+	}, func(as []quorum.Result[assignment.Replica, bool]) bool {
 		return len(quorum.Successes(as)) >= o.Rec.Majority()
 	})
 	for _, a := range as {
--- a/internal/partitionlog/leader/fan_test.go
+++ b/internal/partitionlog/leader/fan_test.go
@@ -18,7 +18,7 @@
 func following(t *testing.T, script func(t *testing.T, o *Owner)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		o := New(Deps{Clock: clock.Real{}, Bounds: settings.DefaultTiming}, assignment.Record{Epoch: 1, Replicas: []assignment.Place{{Node: "s1"}}}, false)
+		o := New(Deps{Clock: clock.Real{}, Bounds: settings.DefaultTiming}, assignment.Record{Epoch: 1, Replicas: []assignment.Replica{{Node: "s1"}}}, false)
 		o.stage = Open
 		o.tracks[log.Ledger] = newTrack(log.Ledger, log.New())
 		o.st = state.New()
--- a/internal/partitionlog/leader/learner.go
+++ b/internal/partitionlog/leader/learner.go
@@ -15,7 +15,7 @@
 	if o.stage != Open || r.Epoch != o.Rec.Epoch {
 		return
 	}
-	var l assignment.Place
+	var l assignment.Replica
 	if r.Learner != nil {
 		l = *r.Learner
 	}
@@ -40,13 +40,13 @@
 }
 
 // caughtUp tells whether a learner holds all that is committed, and all that a lost disk of the same machine was known to hold: it takes that one's place.
-func (t *track) caughtUp(r assignment.Record, l assignment.Place) bool {
+func (t *track) caughtUp(r assignment.Record, l assignment.Replica) bool {
 	m := t.match[l.Incarnation]
-	old, _ := r.Place(l.Node)
+	old, _ := r.Replica(l.Node)
 	return m > 0 && m >= t.commit && m >= t.match[old.Incarnation]
 }
 
-func (o *Owner) raise(ctx context.Context, l assignment.Place) {
+func (o *Owner) raise(ctx context.Context, l assignment.Replica) {
 	for o.d.Clock.Sleep(ctx, o.d.Bounds.MaxBackoff()/raiseShare) == nil {
 		o.mu.Lock()
 		up := true
--- a/internal/partitionlog/leader/marks_test.go
+++ b/internal/partitionlog/leader/marks_test.go
@@ -60,9 +60,9 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		r := &rig{t: t, members: map[string]string{"s1": "at-s1", "a1": "at-a1", "a2": "at-a2"}, runs: map[string]string{}}
-		rec := assignment.Record{Epoch: 1, Owner: "s1"}
+		rec := assignment.Record{Epoch: 1, Leader: "s1"}
 		for _, n := range []string{"s1", "s2", "s3"}[:copies] {
-			rec.Replicas = append(rec.Replicas, assignment.Place{Node: n})
+			rec.Replicas = append(rec.Replicas, assignment.Replica{Node: n})
 			r.members[n] = "at-" + n
 		}
 		r.Owner = New(Deps{
--- a/internal/partitionlog/leader/owner.go
+++ b/internal/partitionlog/leader/owner.go
@@ -46,7 +46,7 @@
 	Marks   func() int
 	Stretch time.Duration
 	Settled func(ctx context.Context, r assignment.Record)
-	Promote func(ctx context.Context, r assignment.Record, l assignment.Place)
+	Promote func(ctx context.Context, r assignment.Record, l assignment.Replica)
 	Log     Log
 	Witness Witness
 }
@@ -122,7 +122,7 @@
 	ctx     context.Context
 	next    *round
 	asking  bool
-	learner assignment.Place
+	learner assignment.Replica
 	leave   context.CancelFunc
 }
 
@@ -183,7 +183,7 @@
 }
 
 func (o *Owner) target(node string) replica.Target {
-	p, _ := o.Rec.Place(node)
+	p, _ := o.Rec.Replica(node)
 	return replica.Target{Partition: o.Rec.Partition, Incarnation: p.Incarnation, Epoch: o.Rec.Epoch}
 }
 
--- a/internal/partitionlog/leader/takeover.go
+++ b/internal/partitionlog/leader/takeover.go
@@ -14,11 +14,11 @@
 	"postjunction/internal/samza/state"
 )
 
-type sealed = quorum.Result[assignment.Place, *replica.SealResponse]
+type sealed = quorum.Result[assignment.Replica, *replica.SealResponse]
 
 func (o *Owner) takeOver(ctx context.Context) error {
 	begun := o.d.Clock.Now()
-	me, ok := o.Rec.Place(o.d.Self)
+	me, ok := o.Rec.Replica(o.d.Self)
 	if !ok || me.Incarnation != o.d.Replica.Incarnation() {
 		return apierror.New(apierror.WrongDisk, "the record of partition %d names disk %q of this node", o.Rec.Partition, me.Incarnation)
 	}
@@ -110,7 +110,7 @@
 func (o *Owner) seal(ctx context.Context) ([]sealed, error) {
 	cx, stop := context.WithTimeout(ctx, o.d.Bounds.CallTimeout())
 	defer stop()
-	as := quorum.Gather(cx, o.Rec.Replicas, func(ctx context.Context, p assignment.Place) (*replica.SealResponse, error) {
+	as := quorum.Gather(cx, o.Rec.Replicas, func(ctx context.Context, p assignment.Replica) (*replica.SealResponse, error) {
 		q := &replica.SealRequest{Target: o.target(p.Node), Urgent: o.Urgent}
 		if p.Node == o.d.Self {
 			return o.d.Replica.Seal(ctx, q)
@@ -135,7 +135,7 @@
 const fetchMost = 512
 
 func (o *Owner) fetch(ctx context.Context, node string, k log.Kind, from uint64, most int) (*replica.FetchResponse, error) {
-	p, _ := o.Rec.Place(node)
+	p, _ := o.Rec.Replica(node)
 	a, ok := o.d.Addr(node)
 	if !ok {
 		return nil, apierror.New(apierror.Unreachable, "%s is not a member", node)
--- a/internal/partitionlog/leader/track.go
+++ b/internal/partitionlog/leader/track.go
@@ -143,7 +143,7 @@
 	full bool
 }
 
-func (o *Owner) replicate(ctx context.Context, t *track, p assignment.Place, tail replica.Tail, known bool) {
+func (o *Owner) replicate(ctx context.Context, t *track, p assignment.Replica, tail replica.Tail, known bool) {
 	var c cursor
 	o.mu.Lock()
 	c.at = t.last
--- a/internal/partitionlog/leader/track_test.go
+++ b/internal/partitionlog/leader/track_test.go
@@ -17,7 +17,7 @@
 	k.push(log.Entry{What: log.Message, Body: []byte("old")}, 1)
 	l.Append(time.Now(), k.pending...)
 	k.pending, k.durable = nil, 1
-	r := assignment.Record{Epoch: 2, Replicas: []assignment.Place{{Node: "s1", Incarnation: "i1"}, {Node: "s2", Incarnation: "i2"}, {Node: "s3", Incarnation: "i3"}}}
+	r := assignment.Record{Epoch: 2, Replicas: []assignment.Replica{{Node: "s1", Incarnation: "i1"}, {Node: "s2", Incarnation: "i2"}, {Node: "s3", Incarnation: "i3"}}}
 	k.match["i2"], k.match["i3"] = 1, 1
 	assert.Assert(t, !k.settle(r, "s1"))
 	assert.Equal(t, k.commit, uint64(0))
@@ -36,14 +36,14 @@
 	k.push(log.Entry{What: log.Start}, 2)
 	l.Append(time.Now(), k.pending...)
 	k.pending, k.durable = nil, 1
-	r := assignment.Record{Epoch: 2, Replicas: []assignment.Place{{Node: "s1", Incarnation: "i1"}, {Node: "s2", Incarnation: "i2"}, {Node: "s3", Incarnation: "i3"}}}
+	r := assignment.Record{Epoch: 2, Replicas: []assignment.Replica{{Node: "s1", Incarnation: "i1"}, {Node: "s2", Incarnation: "i2"}, {Node: "s3", Incarnation: "i3"}}}
 	k.match["new"] = 1
 	assert.Assert(t, !k.settle(r, "s1"), "a learner was counted")
 	k.match["i2"] = 1
 	assert.Assert(t, k.settle(r, "s1"))
 
 	k.match["i3"], k.match["new"] = 9, 8
-	assert.Assert(t, !k.caughtUp(r, assignment.Place{Node: "s3", Incarnation: "new"}), "the lost disk held more, on which a commit may still rest")
+	assert.Assert(t, !k.caughtUp(r, assignment.Replica{Node: "s3", Incarnation: "new"}), "the lost disk held more, on which a commit may still rest")
 	k.match["new"] = 9
-	assert.Assert(t, k.caughtUp(r, assignment.Place{Node: "s3", Incarnation: "new"}))
+	assert.Assert(t, k.caughtUp(r, assignment.Replica{Node: "s3", Incarnation: "new"}))
 }
--- a/internal/partitionlog/router/desk.go
+++ b/internal/partitionlog/router/desk.go
@@ -259,8 +259,8 @@
 	for {
 		ch := d.Board.Changed()
 		r := d.Board.Record(p)
-		if r.Writes != seen {
-			seen, since, hopes, short = r.Writes, d.Clock.Now(), 0, d.Bounds.MaxBackoff()/soonShare
+		if r.Version != seen {
+			seen, since, hopes, short = r.Version, d.Clock.Now(), 0, d.Bounds.MaxBackoff()/soonShare
 		}
 		begun := d.Clock.Now()
 		a, err := try(ctx, d, p, r, c, local, q)
@@ -280,7 +280,7 @@
 			hopes++
 		}
 		over := hopes >= looks[k] && looks[k] > 0 || now.Sub(since) >= d.Bounds.CallTimeout() || unclear[k] && now.Sub(begun) >= d.Bounds.CallTimeout()
-		if over && d.Board.Record(p).Writes == seen {
+		if over && d.Board.Record(p).Version == seen {
 			return nil, d.surrender(p, doubt, err)
 		}
 		pause := d.Bounds.MaxBackoff()
@@ -319,17 +319,17 @@
 }
 
 func try[Q, A any](ctx context.Context, d *Desk, p int, r assignment.Record, c *wire.Procedure[Q, A], local func(context.Context, *Q) (*A, error), q *Q) (*A, error) {
-	if r.Owner == "" {
+	if r.Leader == "" {
 		return nil, apierror.New(apierror.NoPartitionLeader, "partition %d has no owner yet", p)
 	}
 	cx, stop := context.WithTimeout(ctx, d.Bounds.CallTimeout())
 	defer stop()
-	if r.Owner == d.Self {
+	if r.Leader == d.Self {
 		return local(cx, q)
 	}
-	i, ok := d.View.Get(r.Owner)
+	i, ok := d.View.Get(r.Leader)
 	if !ok {
-		return nil, apierror.New(apierror.NoPartitionLeader, "the owner %s of partition %d is gone", r.Owner, p)
+		return nil, apierror.New(apierror.NoPartitionLeader, "the owner %s of partition %d is gone", r.Leader, p)
 	}
 	defer context.AfterFunc(d.reigns.of(d.Board, r), stop)()
 	return c.Call(cx, d.Net, d.Self, i.PeerAddr, q)
--- a/internal/partitionlog/router/fan.go
+++ b/internal/partitionlog/router/fan.go
@@ -77,17 +77,17 @@
 
 // once asks the owner that a record names, one time.
 func once[Q, A any](ctx context.Context, d *Desk, r assignment.Record, limit time.Duration, c *wire.Procedure[Q, A], local func(context.Context, *Q) (*A, error), q *Q) (*A, error) {
-	if r.Owner == "" {
+	if r.Leader == "" {
 		return nil, apierror.New(apierror.NoPartitionLeader, "partition %d has no owner yet", r.Partition)
 	}
 	cx, stop := context.WithTimeout(ctx, limit)
 	defer stop()
-	if r.Owner == d.Self {
+	if r.Leader == d.Self {
 		return local(cx, q)
 	}
-	i, ok := d.View.Get(r.Owner)
+	i, ok := d.View.Get(r.Leader)
 	if !ok {
-		return nil, apierror.New(apierror.NoPartitionLeader, "the owner %s of partition %d is gone", r.Owner, r.Partition)
+		return nil, apierror.New(apierror.NoPartitionLeader, "the owner %s of partition %d is gone", r.Leader, r.Partition)
 	}
 	return c.Call(cx, d.Net, d.Self, i.PeerAddr, q)
 }
--- a/internal/partitionlog/router/offer.go
+++ b/internal/partitionlog/router/offer.go
@@ -190,8 +190,8 @@
 		ch := d.Board.Changed()
 		r := d.Board.Record(p)
 		begun := d.Clock.Now()
-		if r.Writes != l.seen || l.news.IsZero() {
-			l.seen, l.news, l.hopes, l.tries = r.Writes, begun, 0, 0
+		if r.Version != l.seen || l.news.IsZero() {
+			l.seen, l.news, l.hopes, l.tries = r.Version, begun, 0, 0
 		}
 		batch, late := l.next(begun)
 		d.giveUp(p, late, tooLate)
@@ -217,12 +217,12 @@
 		a   *ManyResponse
 		err error
 	}
-	i, known := d.View.Get(r.Owner)
+	i, known := d.View.Get(r.Leader)
 	switch {
-	case r.Owner == "":
+	case r.Leader == "":
 		return nil, apierror.New(apierror.NoPartitionLeader, "partition %d has no owner yet", p)
-	case r.Owner != d.Self && !known:
-		return nil, apierror.New(apierror.NoPartitionLeader, "the owner %s of partition %d is gone", r.Owner, p)
+	case r.Leader != d.Self && !known:
+		return nil, apierror.New(apierror.NoPartitionLeader, "the owner %s of partition %d is gone", r.Leader, p)
 	}
 	ctx, stop := context.WithTimeout(context.Background(), d.Bounds.CallTimeout())
 	defer stop()
@@ -232,11 +232,11 @@
 	for i, o := range batch {
 		q.Tasks = append(q.Tasks, o.q)
 		doubts[i] = o.doubt
-		o.doubt = o.doubt || r.Owner != d.Self
+		o.doubt = o.doubt || r.Leader != d.Self
 	}
 	c := make(chan answer, 1)
 	go func() {
-		if r.Owner == d.Self {
+		if r.Leader == d.Self {
 			a, err := d.submitMany(ctx, q)
 			c <- answer{a, err}
 			return
@@ -312,7 +312,7 @@
 		l.hopes++
 		l.hoped = now
 	}
-	if d.Board.Record(p).Writes != r.Writes {
+	if d.Board.Record(p).Version != r.Version {
 		return stay
 	}
 	all := looks[k] > 0 && l.hopes >= looks[k] || unclear[k] && now.Sub(begun) >= d.Bounds.CallTimeout()
--- a/internal/partitionlog/router/offer_test.go
+++ b/internal/partitionlog/router/offer_test.go
@@ -77,7 +77,7 @@
 
 func (b *bench) owned(who string) {
 	b.writes++
-	b.Board.Apply(gossip.Update{Records: []assignment.Record{{Partition: part, Owner: who, Epoch: b.writes, Writes: b.writes}}})
+	b.Board.Apply(gossip.Update{Records: []assignment.Record{{Partition: part, Leader: who, Epoch: b.writes, Version: b.writes}}})
 }
 
 func newBench(path func(b *bench, ctx context.Context, to string, q *ManyRequest) (*ManyResponse, error)) *bench {
--- a/internal/placement/assignment/record.go
+++ b/internal/placement/assignment/record.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// Place is one disk that holds a partition.
-type Place struct {
+// Replica is one disk that holds a partition.
+type Replica struct {
 	Node        string `json:"node"`
 	Incarnation string `json:"incarnation"`
 }
 
-// Step is one change in a record's history.
-type Step struct {
+// HistoryEntry is one change in a record's history.
+type HistoryEntry struct {
 	Epoch    uint64    `json:"epoch"`
-	Owner    string    `json:"owner"`
+	Leader   string    `json:"owner"`
 	Replicas []string  `json:"replicas"`
 	Reason   string    `json:"reason"`
 	At       time.Time `json:"at"`
@@ -27,14 +27,14 @@
 
 // Record says who decides for a partition, which disks hold it, and why.
 type Record struct {
-	Partition int     `json:"partition"`
-	Epoch     uint64  `json:"epoch"`
-	Owner     string  `json:"owner"`
-	Replicas  []Place `json:"replicas"`
-	Learner   *Place  `json:"learner,omitempty"`
-	Settled   bool    `json:"settled"`
-	Writes    uint64  `json:"writes"`
-	History   []Step  `json:"history,omitempty"`
+	Partition int            `json:"partition"`
+	Epoch     uint64         `json:"epoch"`
+	Leader    string         `json:"owner"`
+	Replicas  []Replica      `json:"replicas"`
+	Learner   *Replica       `json:"learner,omitempty"`
+	Recovered bool           `json:"settled"`
+	Version   uint64         `json:"writes"`
+	History   []HistoryEntry `json:"history,omitempty"`
 }
 
 const (
@@ -59,30 +59,30 @@
 func Parse(b []byte, writes uint64) (Record, error) {
 	var r Record
 	err := json.Unmarshal(b, &r)
-	r.Writes = writes
+	r.Version = writes
 	return r, err
 }
 
-// Pack writes a record.
-func (r Record) Pack() []byte {
+// Marshal writes a record.
+func (r Record) Marshal() []byte {
 	b, _ := json.Marshal(r)
 	return b
 }
 
-// Place finds a node's place.
-func (r Record) Place(node string) (Place, bool) {
+// Replica finds a node's place.
+func (r Record) Replica(node string) (Replica, bool) {
 	for _, p := range r.Replicas {
 		if p.Node == node {
 			return p, true
 		}
 	}
-	return Place{}, false
+	return Replica{}, false
 }
 
-// With gives the places with one more, or with it in the place of its node's other disk.
-func (r Record) With(l Place) []Place {
+// WithReplica gives the places with one more, or with it in the place of its node's other disk.
+func (r Record) WithReplica(l Replica) []Replica {
 	ps := slices.Clone(r.Replicas)
-	if i := slices.IndexFunc(ps, func(p Place) bool { return p.Node == l.Node }); i >= 0 {
+	if i := slices.IndexFunc(ps, func(p Replica) bool { return p.Node == l.Node }); i >= 0 {
 		ps[i] = l
 		return ps
 	}
@@ -102,47 +102,47 @@
 }
 
 // Next gives the record under the next epoch, with the reason for the change.
-func (r Record) Next(owner string, places []Place, reason string, now time.Time) Record {
+func (r Record) Next(owner string, places []Replica, reason string, now time.Time) Record {
 	n := r
 	n.Epoch++
-	n.Owner, n.Replicas, n.Settled, n.Learner = owner, slices.Clone(places), false, nil
-	n.History = append(slices.Clone(r.History), Step{Epoch: n.Epoch, Owner: owner, Replicas: n.Nodes(), Reason: reason, At: now.UTC()})
+	n.Leader, n.Replicas, n.Recovered, n.Learner = owner, slices.Clone(places), false, nil
+	n.History = append(slices.Clone(r.History), HistoryEntry{Epoch: n.Epoch, Leader: owner, Replicas: n.Nodes(), Reason: reason, At: now.UTC()})
 	if k := len(n.History) - history; k > 0 {
 		n.History = n.History[k:]
 	}
 	return n
 }
 
-// Lean gives the record without its history, for nodes that only need to know who decides.
-func (r Record) Lean() Record {
+// WithoutHistory gives the record without its history, for nodes that only need to know who decides.
+func (r Record) WithoutHistory() Record {
 	r.History = nil
 	return r
 }
 
 // Holds tells whether the record places the partition on a node, as replica or learner.
 func (r Record) Holds(node string) bool {
-	_, ok := r.Place(node)
+	_, ok := r.Replica(node)
 	return ok || r.Learner != nil && r.Learner.Node == node
 }
 
-// Heirs are the places that may take a partition over when its owner is gone, in the order in which they do.
-type Heirs []Place
+// Successors are the places that may take a partition over when its owner is gone, in the order in which they do.
+type Successors []Replica
 
-// Heirs names who follows the owner. The order starts at another place for each partition, so that one machine's partitions go to several;
+// Successors names who follows the owner. The order starts at another place for each partition, so that one machine's partitions go to several;
 // rank says how late a place comes, below 0 for one that can't take over.
-func (r Record) Heirs(rank func(Place) int) Heirs {
-	var h Heirs
+func (r Record) Successors(rank func(Replica) int) Successors {
+	var h Successors
 	for i := range r.Replicas {
 		p := r.Replicas[(i+r.Partition)%len(r.Replicas)]
-		if p.Node != r.Owner && rank(p) >= 0 {
+		if p.Node != r.Leader && rank(p) >= 0 {
 			h = append(h, p)
 		}
 	}
-	slices.SortStableFunc(h, func(a, b Place) int { return rank(a) - rank(b) })
+	slices.SortStableFunc(h, func(a, b Replica) int { return rank(a) - rank(b) })
 	return h
 }
 
-// Turn gives a node's place in the order, -1 if it has none.
-func (h Heirs) Turn(node string) int {
-	return slices.IndexFunc(h, func(p Place) bool { return p.Node == node })
+// Rank gives a node's place in the order, -1 if it has none.
+func (h Successors) Rank(node string) int {
+	return slices.IndexFunc(h, func(p Replica) bool { return p.Node == node })
 }
--- a/internal/placement/controller/copies.go
+++ b/internal/placement/controller/copies.go
@@ -11,10 +11,10 @@
 
 // patience is how long a copy on a machine that is gone is waited for: hardly, where a newcomer came to take its place; for half a session more, which most restarts
 // are back within, where a newcomer was there before; as long as service may take to be back, where another storage machine is there; and long, where it would be a small disk.
-func (d *Duty) patience(s *scene, r assignment.Record, p assignment.Place) time.Duration {
+func (d *Duty) patience(s *scene, r assignment.Record, p assignment.Replica) time.Duration {
 	wait := d.Bounds.ReplacementDelay()
 	for n, m := range s.m {
-		if _, ok := r.Place(n); ok || m.Disk != settings.DiskStorage || !s.fit(m) {
+		if _, ok := r.Replica(n); ok || m.Disk != settings.DiskStorage || !s.fit(m) {
 			continue
 		}
 		switch t, ok := d.fresh[n]; {
@@ -41,18 +41,18 @@
 	if s.stores < s.copies && s.now.Sub(d.since) < d.Bounds.SessionTimeout() {
 		return
 	}
-	var ps []assignment.Place
+	var ps []assignment.Replica
 	for len(ps) < s.copies {
 		m := d.candidate(s, ps)
 		if m == nil {
 			break
 		}
-		ps = append(ps, assignment.Place{Node: m.Name, Incarnation: m.Incarnation})
+		ps = append(ps, assignment.Replica{Node: m.Name, Incarnation: m.Incarnation})
 	}
 	if len(ps) < s.copies {
 		return
 	}
-	o := slices.MinFunc(ps, func(a, b assignment.Place) int { return s.m[a.Node].owns - s.m[b.Node].owns })
+	o := slices.MinFunc(ps, func(a, b assignment.Replica) int { return s.m[a.Node].owns - s.m[b.Node].owns })
 	d.write(r, r.Next(o.Node, ps, "first placement", s.now))
 	for _, p := range ps {
 		s.m[p.Node].holds++
@@ -60,7 +60,7 @@
 	s.give(o.Node, idle)
 }
 
-func (d *Duty) candidate(s *scene, ps []assignment.Place) *machine {
+func (d *Duty) candidate(s *scene, ps []assignment.Replica) *machine {
 	zones, names := map[string]int{}, map[string]bool{}
 	for _, p := range ps {
 		names[p.Node] = true
@@ -92,7 +92,7 @@
 	return best
 }
 
-func (d *Duty) faulty(s *scene, r assignment.Record, p assignment.Place) string {
+func (d *Duty) faulty(s *scene, r assignment.Record, p assignment.Replica) string {
 	m, ok := s.m[p.Node]
 	switch {
 	case !ok && s.emptied(p.Node):
@@ -135,7 +135,7 @@
 			bad, why = d.spare(s, r), "one copy more than needed"
 		}
 		rest := slices.Delete(slices.Clone(r.Replicas), bad, bad+1)
-		o := r.Owner
+		o := r.Leader
 		if r.Replicas[bad].Node == o {
 			h, ok := d.heir(s, r, o)
 			if !ok {
@@ -163,19 +163,19 @@
 		return
 	}
 	n := r
-	n.Learner = &assignment.Place{Node: m.Name, Incarnation: m.Incarnation}
+	n.Learner = &assignment.Replica{Node: m.Name, Incarnation: m.Incarnation}
 	d.write(r, n)
 	m.holds++
 	*learners++
 }
 
 func (d *Duty) spare(s *scene, r assignment.Record) int {
-	if i := slices.IndexFunc(r.Replicas, func(p assignment.Place) bool { return s.m[p.Node] == nil }); i >= 0 {
+	if i := slices.IndexFunc(r.Replicas, func(p assignment.Replica) bool { return s.m[p.Node] == nil }); i >= 0 {
 		return i
 	}
 	at := 0
 	for i, p := range r.Replicas {
-		if p.Node != r.Owner && s.m[p.Node] != nil && (s.m[r.Replicas[at].Node] == nil || r.Replicas[at].Node == r.Owner || s.m[p.Node].holds > s.m[r.Replicas[at].Node].holds) {
+		if p.Node != r.Leader && s.m[p.Node] != nil && (s.m[r.Replicas[at].Node] == nil || r.Replicas[at].Node == r.Leader || s.m[p.Node].holds > s.m[r.Replicas[at].Node].holds) {
 			at = i
 		}
 	}
--- a/internal/placement/controller/drains.go
+++ b/internal/placement/controller/drains.go
@@ -93,9 +93,9 @@
 	whole := true
 	rs := slices.Collect(maps.Values(d.recs))
 	for _, a := range quorum.Gather(ctx, rs, func(ctx context.Context, r assignment.Record) (assignment.Record, error) {
-		v, err := d.Client.Change(ctx, assignment.Key(r.Partition), r.Writes, registerclient.NewChangeID(), r.Pack())
+		v, err := d.Client.Change(ctx, assignment.Key(r.Partition), r.Version, registerclient.NewChangeID(), r.Marshal())
 		if err == nil {
-			r.Writes = v.Version
+			r.Version = v.Version
 			return r, nil
 		}
 		return assignment.Record{}, err
--- a/internal/placement/controller/duty.go
+++ b/internal/placement/controller/duty.go
@@ -151,13 +151,13 @@
 			return r, apierror.Wrap(apierror.Internal, err, "read the record of partition %d", p)
 		}
 	}
-	r.Writes = v.Version
+	r.Version = v.Version
 	return r, nil
 }
 
 func (d *Duty) keep(r assignment.Record) {
 	d.recs[r.Partition] = r
-	if r.Writes > 0 {
+	if r.Version > 0 {
 		d.Board.Apply(gossip.Update{Records: []assignment.Record{r}})
 	}
 }
@@ -178,9 +178,9 @@
 	ws := d.wants
 	d.wants = nil
 	for _, a := range quorum.Gather(ctx, ws, func(ctx context.Context, w want) (assignment.Record, error) {
-		v, err := d.Client.Change(ctx, assignment.Key(w.n.Partition), w.old.Writes, registerclient.NewChangeID(), w.n.Pack())
+		v, err := d.Client.Change(ctx, assignment.Key(w.n.Partition), w.old.Version, registerclient.NewChangeID(), w.n.Marshal())
 		if err == nil {
-			w.n.Writes = v.Version
+			w.n.Version = v.Version
 			d.Tell(context.WithoutCancel(ctx), w.n)
 			return w.n, nil
 		}
@@ -193,21 +193,21 @@
 			continue
 		}
 		d.keep(a.Value)
-		if n := a.Target.n; a.Value.Epoch == n.Epoch && n.Epoch != a.Target.old.Epoch && a.Value.Owner == n.Owner {
+		if n := a.Target.n; a.Value.Epoch == n.Epoch && n.Epoch != a.Target.old.Epoch && a.Value.Leader == n.Leader {
 			h := n.History[len(n.History)-1]
-			d.Log.Say(event.Placed, "partition", n.Partition, "epoch", n.Epoch, "owner", n.Owner, "replicas", strings.Join(h.Replicas, ","), "reason", h.Reason)
+			d.Log.Say(event.Placed, "partition", n.Partition, "epoch", n.Epoch, "owner", n.Leader, "replicas", strings.Join(h.Replicas, ","), "reason", h.Reason)
 		}
 	}
 }
 
 func (d *Duty) refresh(ctx context.Context) {
 	for p, r := range d.recs {
-		if b := d.Board.Record(p); b.Writes > r.Writes {
+		if b := d.Board.Record(p); b.Version > r.Version {
 			d.recs[p] = b
 		}
 	}
 	for p, r := range d.recs {
-		if !r.Settled && r.Epoch > 0 && d.Clock.Now().Sub(d.opened[p]) > d.Bounds.TakeoverTimeout() {
+		if !r.Recovered && r.Epoch > 0 && d.Clock.Now().Sub(d.opened[p]) > d.Bounds.TakeoverTimeout() {
 			_ = d.read(ctx, p)
 		}
 	}
@@ -247,7 +247,7 @@
 			d.first(s, r)
 			continue
 		}
-		if d.owner(s, r) || !r.Settled {
+		if d.owner(s, r) || !r.Recovered {
 			continue
 		}
 		d.copies(s, r, &learners)
--- a/internal/placement/controller/duty_test.go
+++ b/internal/placement/controller/duty_test.go
@@ -23,9 +23,9 @@
 		fresh: map[string]time.Time{}, absent: map[string]time.Time{}, renewed: map[string]time.Time{}, opened: map[int]time.Time{}, epochs: map[int]uint64{},
 	}
 	s := &scene{now: now, m: map[string]*machine{}, copies: 3, drains: decommission.List{}}
-	r := assignment.Record{Partition: 1, Epoch: 4, Owner: "s1", Settled: true}
+	r := assignment.Record{Partition: 1, Epoch: 4, Leader: "s1", Recovered: true}
 	for _, n := range []string{"s1", "s2", "s3"} {
-		r.Replicas = append(r.Replicas, assignment.Place{Node: n, Incarnation: "disk-" + n})
+		r.Replicas = append(r.Replicas, assignment.Replica{Node: n, Incarnation: "disk-" + n})
 	}
 	for _, n := range names {
 		s.m[n] = &machine{Info: membership.Info{Name: n, Zone: "z" + n[1:], Disk: settings.DiskStorage, Incarnation: "disk-" + n, Stage: membership.Serving}}
@@ -85,10 +85,10 @@
 			}
 		}, "", false},
 		{"a take-over under way", func(d *Duty, s *scene, r *assignment.Record) {
-			r.Settled, d.opened[1] = false, s.now.Add(-2*b.TakeoverTimeout())
+			r.Recovered, d.opened[1] = false, s.now.Add(-2*b.TakeoverTimeout())
 		}, "", false},
 		{"a take-over without an end", func(d *Duty, s *scene, r *assignment.Record) {
-			r.Settled, d.opened[1] = false, s.now.Add(-2*b.TakeoverTimeout()-1)
+			r.Recovered, d.opened[1] = false, s.now.Add(-2*b.TakeoverTimeout()-1)
 		}, "the take-over did not finish", false},
 		{"gone with another copy", func(d *Duty, s *scene, _ *assignment.Record) {
 			delete(s.m, "s1")
@@ -109,7 +109,7 @@
 			n := d.wants[0].n
 			h := n.History[len(n.History)-1]
 			assert.Assert(t, strings.HasPrefix(h.Reason, x.say), h.Reason)
-			assert.Assert(t, n.Epoch == r.Epoch+1 && n.Owner != "s1" && r.Holds(n.Owner) && !n.Settled, "%+v", n)
+			assert.Assert(t, n.Epoch == r.Epoch+1 && n.Leader != "s1" && r.Holds(n.Leader) && !n.Recovered, "%+v", n)
 		})
 	}
 }
@@ -138,7 +138,7 @@
 			d, s, r := table(x.there...)
 			d.gone["s3"] = s.now
 			x.set(d, s)
-			p, _ := r.Place("s3")
+			p, _ := r.Replica("s3")
 			assert.Equal(t, d.patience(s, r, p), x.want)
 			d.gone["s3"] = s.now.Add(-x.want)
 			assert.Equal(t, d.faulty(s, r, p), "")
--- a/internal/placement/controller/owners.go
+++ b/internal/placement/controller/owners.go
@@ -9,8 +9,8 @@
 	"postjunction/internal/settings"
 )
 
-func (d *Duty) heir(s *scene, r assignment.Record, not string) (assignment.Place, bool) {
-	var best assignment.Place
+func (d *Duty) heir(s *scene, r assignment.Record, not string) (assignment.Replica, bool) {
+	var best assignment.Replica
 	found := false
 	for _, p := range r.Replicas {
 		if p.Node == not || !s.canOwn(p) {
@@ -23,7 +23,7 @@
 	return best, found
 }
 
-func (d *Duty) better(s *scene, r assignment.Record, p, q assignment.Place) bool {
+func (d *Duty) better(s *scene, r assignment.Record, p, q assignment.Replica) bool {
 	a, b := s.m[p.Node], s.m[q.Node]
 	if a.out != b.out {
 		return b.out
@@ -41,13 +41,13 @@
 }
 
 func (d *Duty) owner(s *scene, r assignment.Record) bool {
-	me, ok := r.Place(r.Owner)
+	me, ok := r.Replica(r.Leader)
 	reason := ""
-	switch m := s.m[r.Owner]; {
+	switch m := s.m[r.Leader]; {
 	case !ok || m != nil && m.Incarnation != me.Incarnation:
 		reason = "the owner's disk is another one"
 	case m == nil:
-		if s.now.Sub(d.gone[r.Owner]) < d.early(s) {
+		if s.now.Sub(d.gone[r.Leader]) < d.early(s) {
 			return true
 		}
 		reason = "the owner is gone"
@@ -55,19 +55,19 @@
 		reason = "the owner's disk fails: " + m.DiskHealth
 	case m.Stage != membership.Serving:
 		reason = "the owner is stopping"
-	case m.Deaf && s.now.Sub(d.deaf[r.Owner]) >= d.Bounds.SessionTimeout()/2:
+	case m.Deaf && s.now.Sub(d.deaf[r.Leader]) >= d.Bounds.SessionTimeout()/2:
 		reason = "the owner has no licence: it is heard but does not hear"
 	case m.slow && m.slowFor >= d.Bounds.SessionTimeout()/2:
-		if _, ok := d.heir(s, r, r.Owner); !ok || !r.Settled {
+		if _, ok := d.heir(s, r, r.Leader); !ok || !r.Recovered {
 			return false
 		}
 		reason = fmt.Sprintf("the owner is slow: its pulses take %s, %s are usual", time.Duration(m.LatencyMicros)*time.Microsecond, s.usual)
 	case m.out && len(r.Replicas) <= s.copies:
-		if h, ok := d.heir(s, r, r.Owner); !ok || s.m[h.Node].out || !r.Settled {
+		if h, ok := d.heir(s, r, r.Leader); !ok || s.m[h.Node].out || !r.Recovered {
 			return false
 		}
 		reason = "the owner is being emptied"
-	case !r.Settled && s.now.Sub(d.opened[r.Partition]) > 2*d.Bounds.TakeoverTimeout():
+	case !r.Recovered && s.now.Sub(d.opened[r.Partition]) > 2*d.Bounds.TakeoverTimeout():
 		reason = "the take-over did not finish in " + (2 * d.Bounds.TakeoverTimeout()).String()
 	default:
 		return false
@@ -78,7 +78,7 @@
 			alive++
 		}
 	}
-	h, ok := d.heir(s, r, r.Owner)
+	h, ok := d.heir(s, r, r.Leader)
 	if !ok || alive < r.Majority() {
 		return true
 	}
@@ -101,10 +101,10 @@
 	if most == nil {
 		return
 	}
-	best, to, low := assignment.Record{}, assignment.Place{}, most.load
+	best, to, low := assignment.Record{}, assignment.Replica{}, most.load
 	for p := range len(d.recs) {
 		r := d.recs[p]
-		if r.Owner != most.Name || !r.Settled || r.Learner != nil || len(r.Replicas) != s.copies {
+		if r.Leader != most.Name || !r.Recovered || r.Learner != nil || len(r.Replicas) != s.copies {
 			continue
 		}
 		for _, q := range r.Replicas {
@@ -112,7 +112,7 @@
 				return
 			}
 		}
-		h, ok := d.heir(s, r, r.Owner)
+		h, ok := d.heir(s, r, r.Leader)
 		if !ok || s.m[h.Node].out || s.m[h.Node].Disk != settings.DiskStorage {
 			continue
 		}
--- a/internal/placement/controller/scene.go
+++ b/internal/placement/controller/scene.go
@@ -26,7 +26,7 @@
 const idle = 1
 
 func (s *scene) weight(r assignment.Record) float64 {
-	if m, ok := s.m[r.Owner]; ok {
+	if m, ok := s.m[r.Leader]; ok {
 		return idle + m.Loads[r.Partition]
 	}
 	return idle
@@ -47,7 +47,7 @@
 	usual  time.Duration
 }
 
-func (s *scene) usable(p assignment.Place) bool {
+func (s *scene) usable(p assignment.Replica) bool {
 	m, ok := s.m[p.Node]
 	return ok && m.Incarnation == p.Incarnation && m.DiskHealth == ""
 }
@@ -62,7 +62,7 @@
 	return m != nil && !m.out && m.DiskHealth == "" && !m.Deaf && m.Stage == membership.Serving && (m.Disk == settings.DiskStorage || s.stores < s.copies)
 }
 
-func (s *scene) canOwn(p assignment.Place) bool {
+func (s *scene) canOwn(p assignment.Replica) bool {
 	return s.usable(p) && s.m[p.Node].Stage == membership.Serving && !s.m[p.Node].Deaf && !s.m[p.Node].slow
 }
 
@@ -88,7 +88,7 @@
 		for _, p := range r.Replicas {
 			if m, ok := s.m[p.Node]; ok {
 				m.holds++
-				if r.Owner == p.Node {
+				if r.Leader == p.Node {
 					m.owns++
 					m.load += s.weight(r)
 				}
@@ -123,7 +123,7 @@
 // newcomers notes the storage machines that hold nothing: they take the place of one that is gone, all of it.
 func (d *Duty) newcomers(s *scene) {
 	for n := range d.gone {
-		if !slices.ContainsFunc(slices.Collect(maps.Values(d.recs)), func(r assignment.Record) bool { _, ok := r.Place(n); return ok }) {
+		if !slices.ContainsFunc(slices.Collect(maps.Values(d.recs)), func(r assignment.Record) bool { _, ok := r.Replica(n); return ok }) {
 			delete(d.gone, n)
 		}
 	}
--- a/internal/testing/sim/answers_test.go
+++ b/internal/testing/sim/answers_test.go
@@ -30,7 +30,7 @@
 			}
 			ps := []int{partition.Of(topic, false, l), partition.OfVisitor(who, false, l)}
 			for _, p := range ps {
-				old := w.records()[p].Owner
+				old := w.records()[p].Leader
 				data := func(x Point) bool {
 					return (x.From == old || x.To == old) && (strings.Contains(x.Path, "Ledger") || strings.Contains(x.Path, "Gossip"))
 				}
@@ -38,7 +38,7 @@
 				w.Freeze(old)
 				assert.NilError(t, w.Until(15*time.Second, "another owner", func() bool {
 					r := w.records()[p]
-					return r.Owner != old && r.Settled
+					return r.Leader != old && r.Recovered
 				}))
 				w.Thaw(old)
 				second := attach(t, w, "a1", who)
--- a/internal/testing/sim/chaos_test.go
+++ b/internal/testing/sim/chaos_test.go
@@ -36,7 +36,7 @@
 	}
 	for p := range r.Layout.PartitionCount() {
 		x := ref.Board.Record(p)
-		if !x.Settled || len(x.Replicas) != r.Layout.ReplicationFactor() || x.Learner != nil {
+		if !x.Recovered || len(x.Replicas) != r.Layout.ReplicationFactor() || x.Learner != nil {
 			return false
 		}
 		for _, q := range x.Replicas {
--- a/internal/testing/sim/lag_test.go
+++ b/internal/testing/sim/lag_test.go
@@ -21,7 +21,7 @@
 			o, topic := "", ""
 			for i := 0; o == "" || o == w.Machines["a1"].Opts.Name; i++ {
 				topic = fmt.Sprintf("kept/t%d", i)
-				o = w.records()[partition.Of(topic, false, w.Machines["a1"].Node().VoterSet().Layout)].Owner
+				o = w.records()[partition.Of(topic, false, w.Machines["a1"].Node().VoterSet().Layout)].Leader
 			}
 			tok := attach(t, w, "a1", "v").Token
 			before := w.moves()
@@ -45,7 +45,7 @@
 				time.Sleep(50 * time.Millisecond)
 			}
 			for p, x := range w.records() {
-				assert.Check(t, x.Owner != o, "partition %d is still decided by %s", p, o)
+				assert.Check(t, x.Leader != o, "partition %d is still decided by %s", p, o)
 			}
 			t.Logf("callers felt it for %s of 40 s, %d calls taken, %d moves", felt, calls, w.moves()-before)
 			assert.Assert(t, felt < 8*time.Second, "callers felt it for %s of 40 s", felt)
--- a/internal/testing/sim/load_test.go
+++ b/internal/testing/sim/load_test.go
@@ -65,7 +65,7 @@
 			var topics []string
 			for i := range l.Topics {
 				n := fmt.Sprintf("kept/t%d", i)
-				if w.records()[partition.Of(n, false, layout)].Owner == hot {
+				if w.records()[partition.Of(n, false, layout)].Leader == hot {
 					topics = append(topics, n)
 				}
 			}
--- a/internal/testing/sim/offer_test.go
+++ b/internal/testing/sim/offer_test.go
@@ -177,7 +177,7 @@
 			plan := rand.New(rand.NewPCG(seed, 99)).Perm(6)
 			for i := 0; time.Since(begun) < 26*time.Second; i++ {
 				time.Sleep(time.Duration(500+w.Int(500)) * time.Millisecond)
-				o := w.records()[partition.Of(topics[w.Int(len(topics))], false, w.Machines["a1"].Node().VoterSet().Layout)].Owner
+				o := w.records()[partition.Of(topics[w.Int(len(topics))], false, w.Machines["a1"].Node().VoterSet().Layout)].Leader
 				switch plan[i%len(plan)] {
 				case 0:
 					end := w.Meddle(func(x Point) Meddle {
@@ -203,7 +203,7 @@
 						w.Kill(o)
 						assert.NilError(t, w.Until(8*time.Second, "another owner", func() bool {
 							for _, r := range w.records() {
-								if r.Owner == o {
+								if r.Leader == o {
 									return false
 								}
 							}
--- a/internal/testing/sim/owner_test.go
+++ b/internal/testing/sim/owner_test.go
@@ -34,7 +34,7 @@
 		if n == nil || m.Opts.Disk == settings.DiskNone {
 			continue
 		}
-		if x := n.Board.Record(r.Partition); x.Writes == r.Writes {
+		if x := n.Board.Record(r.Partition); x.Version == r.Version {
 			r.History = x.History
 		}
 	}
@@ -56,17 +56,17 @@
 				assert.NilError(t, w.Start(o))
 				time.Sleep(6 * time.Second)
 				for p, r := range w.records() {
-					if before[p].Owner != o {
-						assert.Equal(t, r.Owner, before[p].Owner, "partition %d moved", p)
+					if before[p].Leader != o {
+						assert.Equal(t, r.Leader, before[p].Leader, "partition %d moved", p)
 						assert.Equal(t, r.Epoch, before[p].Epoch)
 						continue
 					}
 					assert.Equal(t, r.Epoch, before[p].Epoch+1)
 					heir, why := o, "came back"
 					if !kept {
-						heir, why = before[p].Heirs(func(assignment.Place) int { return 0 })[0].Node, "the owner is gone: "+failuredetector.Refused
+						heir, why = before[p].Successors(func(assignment.Replica) int { return 0 })[0].Node, "the owner is gone: "+failuredetector.Refused
 					}
-					assert.Equal(t, r.Owner, heir, "partition %d", p)
+					assert.Equal(t, r.Leader, heir, "partition %d", p)
 					last := r.History[len(r.History)-1]
 					assert.Assert(t, strings.Contains(last.Reason, why), last.Reason)
 				}
@@ -134,7 +134,7 @@
 			_, err := w.Port("c2").Send(w.ctx, s.Token, "kept/t0", n, []byte(fmt.Sprint(n)))
 			assert.NilError(t, err)
 			if n == 10 || n == 20 {
-				o := w.records()[partition.Of("kept/t0", false, w.Machines["a1"].Node().VoterSet().Layout)].Owner
+				o := w.records()[partition.Of("kept/t0", false, w.Machines["a1"].Node().VoterSet().Layout)].Leader
 				w.Kill(o)
 				time.Sleep(5 * time.Second)
 				assert.NilError(t, w.Start(o))
--- a/internal/testing/sim/repair_test.go
+++ b/internal/testing/sim/repair_test.go
@@ -23,7 +23,7 @@
 	l := ref.VoterSet().Layout
 	for p := range l.PartitionCount() {
 		x := ref.Board.Record(p)
-		if !x.Settled || len(x.Replicas) != l.ReplicationFactor() || x.Learner != nil {
+		if !x.Recovered || len(x.Replicas) != l.ReplicationFactor() || x.Learner != nil {
 			return false
 		}
 		for _, q := range x.Replicas {
--- a/internal/testing/sim/retire_test.go
+++ b/internal/testing/sim/retire_test.go
@@ -128,8 +128,8 @@
 			if !r.Holds(o) {
 				others++
 			}
-			r.Learner = &assignment.Place{Node: o, Incarnation: w.Machines[o].Node().Info().Incarnation}
-			_, err := op.Client.Change(w.ctx, assignment.Key(p), r.Writes, registerclient.NewChangeID(), r.Pack())
+			r.Learner = &assignment.Replica{Node: o, Incarnation: w.Machines[o].Node().Info().Incarnation}
+			_, err := op.Client.Change(w.ctx, assignment.Key(p), r.Version, registerclient.NewChangeID(), r.Marshal())
 			assert.Assert(t, apierror.HasCode(err, apierror.StaleBase), "partition %d: %v", p, err)
 			assert.Assert(t, !read(p).Holds(o))
 		}
--- a/internal/testing/sim/streams_forget_test.go
+++ b/internal/testing/sim/streams_forget_test.go
@@ -109,7 +109,7 @@
 
 func (x *forgetting) owner() string {
 	n := x.Machines["c1"].Node()
-	return n.Board.Record(partition.Of("kept/t0", false, n.VoterSet().Layout)).Owner
+	return n.Board.Record(partition.Of("kept/t0", false, n.VoterSet().Layout)).Leader
 }
 
 func (x *forgetting) open(err error, who string) {
--- a/internal/testing/sim/trim_test.go
+++ b/internal/testing/sim/trim_test.go
@@ -23,7 +23,7 @@
 			const topic = "kept/t0"
 			p := partition.Of(topic, false, w.Machines["a1"].Node().VoterSet().Layout)
 			tok, early := attach(t, w, "c1", "v").Token, attach(t, w, "c1", "early").Token
-			o := w.records()[p].Owner
+			o := w.records()[p].Leader
 			release, hits := w.Hold(func(x Point) bool {
 				q, _ := appending(x)
 				return x.From == o && x.Stage == Asking && late(x) && q.Partition == p
@@ -40,7 +40,7 @@
 				time.Sleep(500 * time.Millisecond)
 			}
 			assert.Assert(t, hits() > 0, "void: the changelog went on")
-			assert.Equal(t, w.records()[p].Owner, o, "void: the owner changed")
+			assert.Equal(t, w.records()[p].Leader, o, "void: the owner changed")
 			release()
 			late := func() uint64 {
 				for _, v := range w.Machines[o].Node().Operators.Owners() {
@@ -59,7 +59,7 @@
 			w.Kill(o)
 			assert.NilError(t, w.Until(10*time.Second, "another owner is open", func() bool {
 				r := w.records()[p]
-				return r.Owner != o && r.Settled
+				return r.Leader != o && r.Recovered
 			}))
 			_, err = w.Port("c1").Send(w.ctx, early, topic, 1, []byte(`"late"`))
 			assert.Assert(t, apierror.HasCode(err, apierror.CallAltered) || apierror.HasCode(err, apierror.CallForgotten), "a call that came only once, while the changelog stood still: %v", err)
@@ -97,11 +97,11 @@
 			third := must(topic, 30)
 			must(quiet, 5)
 			judge := func(when string) {
-				x, err := w.Machines[w.records()[p].Owner].Node().Visitors.Desk.Owners.Owner(p)
+				x, err := w.Machines[w.records()[p].Leader].Node().Visitors.Desk.Owners.Owner(p)
 				assert.NilError(t, err)
 				assert.Assert(t, x.Lacks(topic, 0) && x.Lacks(topic, first), "%s: what is gone", when)
 				assert.Assert(t, !x.Lacks(topic, second) && !x.Lacks(topic, third), "%s: what is held", when)
-				y, err := w.Machines[w.records()[q].Owner].Node().Visitors.Desk.Owners.Owner(q)
+				y, err := w.Machines[w.records()[q].Leader].Node().Visitors.Desk.Owners.Owner(q)
 				assert.NilError(t, err)
 				assert.Assert(t, !y.Lacks(quiet, 0) && !y.Lacks("kept/never", 0), "%s: a topic of which nothing is gone", when)
 				for _, c := range []uint64{10, 20, 15, 1} {
@@ -117,11 +117,11 @@
 			}
 			time.Sleep(w.Site.Bounds.Keeping * 2 / 5)
 			judge("at the first owner")
-			old := w.records()[p].Owner
+			old := w.records()[p].Leader
 			w.Kill(old)
 			assert.NilError(t, w.Until(10*time.Second, "another owner is open", func() bool {
 				for _, r := range w.records() {
-					if r.Owner == old || !r.Settled {
+					if r.Leader == old || !r.Recovered {
 						return false
 					}
 				}
@@ -146,7 +146,7 @@
 			}
 			time.Sleep(w.Site.Bounds.Recovery)
 			for p, r := range w.records() {
-				assert.Assert(t, r.Owner != o, "partition %d still waits for %s", p, o)
+				assert.Assert(t, r.Leader != o, "partition %d still waits for %s", p, o)
 			}
 			time.Sleep(w.Site.Bounds.Recovery)
 			w.Heal()
--- a/internal/testing/sim/wiped_test.go
+++ b/internal/testing/sim/wiped_test.go
@@ -31,10 +31,10 @@
 			time.Sleep(10 * time.Second)
 			for p, r := range w.records() {
 				for _, s := range r.History {
-					assert.Assert(t, s.Owner != o || s.Epoch <= before[p].Epoch || !strings.Contains(s.Reason, "came back"), "partition %d: %v on a lost disk", p, s)
+					assert.Assert(t, s.Leader != o || s.Epoch <= before[p].Epoch || !strings.Contains(s.Reason, "came back"), "partition %d: %v on a lost disk", p, s)
 				}
-				x, ok := r.Place(r.Owner)
-				assert.Assert(t, ok && x.Incarnation == w.Machines[r.Owner].Node().Info().Incarnation, "partition %d is owned on a lost disk", p)
+				x, ok := r.Replica(r.Leader)
+				assert.Assert(t, ok && x.Incarnation == w.Machines[r.Leader].Node().Info().Incarnation, "partition %d is owned on a lost disk", p)
 			}
 		})
 	}
@@ -56,7 +56,7 @@
 			release()
 			time.Sleep(w.Site.Bounds.TakeoverTimeout())
 			for p, r := range w.records() {
-				assert.Assert(t, r.Owner != o || r.Epoch > 1, "partition %d is closed: its owner %s never asked again", p, o)
+				assert.Assert(t, r.Leader != o || r.Epoch > 1, "partition %d is closed: its owner %s never asked again", p, o)
 			}
 		})
 	}
--- a/internal/testing/sim/world.go
+++ b/internal/testing/sim/world.go
@@ -831,7 +831,7 @@
 				b := s.Door.Operators.Board
 				for p := range b.VoterSet().Layout.PartitionCount() {
 					for _, x := range b.Record(p).History {
-						w.History.Own(p, x.Epoch, x.Owner)
+						w.History.Own(p, x.Epoch, x.Leader)
 					}
 				}
 				if s.Door.Ready() == nil {
