--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -18,7 +18,7 @@
 // drainList is the list of drains with the count of writes that a change of it builds on.
 type drainList struct {
 	writes uint64
-	list   decommission.List
+	list   decommission.Orders
 }
 
 func parseDrains(v acceptor.Value) (drainList, error) {
@@ -38,12 +38,12 @@
 }
 
 // Emptying tells how far the emptying of a machine is. One that held nothing when it was asked for counts as done.
-func (s *Service) Emptying(ctx context.Context, node string) (decommission.Drain, error) {
+func (s *Service) Emptying(ctx context.Context, node string) (decommission.Order, error) {
 	ctx, stop := s.limit(ctx)
 	defer stop()
 	c, err := readAs(ctx, s, decommission.Key, parseDrains)
 	if err != nil {
-		return decommission.Drain{}, err
+		return decommission.Order{}, err
 	}
 	if x, ok := c.value.list[node]; ok {
 		return x, nil
@@ -53,9 +53,9 @@
 	case apierror.HasCode(err, apierror.AlreadyEmpty):
 		return x, nil
 	case err != nil && !apierror.HasCode(err, apierror.DecommissionUnsafe):
-		return decommission.Drain{}, err
+		return decommission.Order{}, err
 	}
-	return decommission.Drain{}, c.refuse(apierror.UnknownNode, "the emptying of %q was not asked for", node)
+	return decommission.Order{}, c.refuse(apierror.UnknownNode, "the emptying of %q was not asked for", node)
 }
 
 // Drain asks for a machine to be emptied. The order is recorded and carried out whoever has the placement duty. The same
@@ -68,7 +68,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if x := c.value.list[node]; c.value.list.Out(node) {
+		if x := c.value.list[node]; c.value.list.Excludes(node) {
 			if x.Done {
 				return nil, c.refuse(apierror.AlreadyEmpty, "%s was emptied before", node)
 			}
@@ -79,11 +79,11 @@
 			return nil, err
 		}
 		if !c.value.list.Add(x) {
-			return nil, c.refuse(apierror.DecommissionUnsafe, "%d machines are being emptied, which is the most", decommission.ListMost)
+			return nil, c.refuse(apierror.DecommissionUnsafe, "%d machines are being emptied, which is the most", decommission.MaxOrders)
 		}
-		_, err = s.Client.Change(ctx, decommission.Key, c.value.writes, registerclient.NewChangeID(), c.value.list.Pack())
+		_, err = s.Client.Change(ctx, decommission.Key, c.value.writes, registerclient.NewChangeID(), c.value.list.Marshal())
 		if err == nil {
-			s.Log.Say(event.DrainAsked, "node", node, "partitions", x.Left)
+			s.Log.Say(event.DrainAsked, "node", node, "partitions", x.RemainingRecords)
 			return x, nil
 		}
 		again := apierror.HasCode(err, apierror.StaleBase) || apierror.HasCode(err, apierror.StaleVoterSet) && s.Clock.Sleep(ctx, s.Bounds.MaxBackoff()) == nil
@@ -95,20 +95,20 @@
 
 // judge makes the order to empty a machine, or tells why that can't be asked for. It rests on all records, each read by
 // quorum, and on the machines that a majority of the control nodes knows.
-func (s *Service) judge(ctx context.Context, node string, drains confirmed[drainList]) (decommission.Drain, error) {
+func (s *Service) judge(ctx context.Context, node string, drains confirmed[drainList]) (decommission.Order, error) {
 	left, err := s.holdings(ctx, node)
 	if err != nil {
-		return decommission.Drain{}, err
+		return decommission.Order{}, err
 	}
 	all, err := s.askMajority(ctx)
 	if err != nil {
-		return decommission.Drain{}, err
+		return decommission.Order{}, err
 	}
 	seen := all.value[node]
-	x := decommission.Drain{Node: node, Asked: time.Now().UTC(), Left: left.value}
+	x := decommission.Order{Node: node, RequestedAt: time.Now().UTC(), RemainingRecords: left.value}
 	storage, withDisk := false, len(seen) == 0 && left.value > 0
 	for _, i := range seen {
-		x.Boot, x.Disk = i.BootID, i.Incarnation
+		x.BootID, x.Disk = i.BootID, i.Incarnation
 		storage = storage || i.Disk == settings.DiskStorage
 		withDisk = withDisk || i.Disk != settings.DiskNone
 	}
@@ -158,14 +158,14 @@
 }
 
 // serving counts the other machines that can hold copies: those that some control node of the majority knows as such.
-func serving(all machines, drains decommission.List, but string) int {
+func serving(all machines, drains decommission.Orders, but string) int {
 	n := 0
 	for name, seen := range all {
 		able := false
 		for _, i := range seen {
 			able = able || i.Disk != settings.DiskNone && i.DiskHealth == "" && i.Stage == membership.Serving
 		}
-		if able && name != but && !drains.Out(name) {
+		if able && name != but && !drains.Excludes(name) {
 			n++
 		}
 	}
--- a/internal/placement/controller/drains.go
+++ b/internal/placement/controller/drains.go
@@ -15,7 +15,7 @@
 )
 
 // readDrains reads the list of drains by quorum.
-func (d *Duty) readDrains(ctx context.Context) (acceptor.Value, decommission.List, error) {
+func (d *Duty) readDrains(ctx context.Context) (acceptor.Value, decommission.Orders, error) {
 	v, err := d.Client.Read(ctx, decommission.Key)
 	if err != nil {
 		return v, nil, err
@@ -42,7 +42,7 @@
 	if maps.Equal(was, list) {
 		return
 	}
-	if _, err := d.Client.Change(ctx, decommission.Key, v.Version, registerclient.NewChangeID(), list.Pack()); err != nil {
+	if _, err := d.Client.Change(ctx, decommission.Key, v.Version, registerclient.NewChangeID(), list.Marshal()); err != nil {
 		d.Log.Say(event.DrainTrouble, "problem", err)
 		return
 	}
@@ -50,27 +50,27 @@
 		if x.Done && !was[n].Done {
 			d.Log.Say(event.DrainDone, "node", n)
 		}
-		if x.Back && !was[n].Back {
+		if x.Returned && !was[n].Returned {
 			d.Log.Say(event.DrainReturned, "node", n)
 		}
 	}
 }
 
 // progress counts what is left to be moved. Machines that no record names any more are done once all records are fenced.
-func (d *Duty) progress(ctx context.Context, s *scene, list decommission.List) {
+func (d *Duty) progress(ctx context.Context, s *scene, list decommission.Orders) {
 	fenced := false
 	for _, x := range list.Sorted() {
 		if x.Done {
 			continue
 		}
-		x.Left = d.named(x.Node)
+		x.RemainingRecords = d.named(x.Node)
 		if m, live := s.m[x.Node]; live {
-			x.Boot, x.Disk = m.BootID, m.Incarnation
+			x.BootID, x.Disk = m.BootID, m.Incarnation
 		}
-		if x.Left == 0 {
+		if x.RemainingRecords == 0 {
 			fenced = fenced || d.fence(ctx)
-			x.Left = d.named(x.Node)
-			x.Done = fenced && x.Left == 0
+			x.RemainingRecords = d.named(x.Node)
+			x.Done = fenced && x.RemainingRecords == 0
 		}
 		list[x.Node] = x
 	}
@@ -120,9 +120,9 @@
 
 // returned tells whether an emptied machine serves again. It does once it was away for the keeping time, or has stood there
 // for as long with another disk. A machine that is only started again is still to be taken away.
-func (d *Duty) returned(s *scene, x decommission.Drain) decommission.Drain {
+func (d *Duty) returned(s *scene, x decommission.Order) decommission.Order {
 	m, live := s.m[x.Node]
-	if !x.Done || x.Back || live {
+	if !x.Done || x.Returned || live {
 		delete(d.absent, x.Node)
 	}
 	renewed := live && x.Done && x.Disk != "" && m.Incarnation != x.Disk
@@ -130,13 +130,13 @@
 		delete(d.renewed, x.Node)
 	}
 	switch {
-	case !x.Done || x.Back:
-	case live && x.Away:
-		x.Back = true
+	case !x.Done || x.Returned:
+	case live && x.WentAway:
+		x.Returned = true
 	case renewed && d.lasts(s, d.renewed, x.Node):
-		x.Back = true
+		x.Returned = true
 	case !live && d.lasts(s, d.absent, x.Node):
-		x.Away = true
+		x.WentAway = true
 	}
 	return x
 }
--- a/internal/placement/controller/drains_test.go
+++ b/internal/placement/controller/drains_test.go
@@ -17,7 +17,7 @@
 type emptied struct {
 	duty  *Duty
 	scene *scene
-	order decommission.Drain
+	order decommission.Order
 
 	disks      int
 	here       bool
@@ -30,7 +30,7 @@
 func newEmptied() *emptied {
 	d, s, _ := table("s1", "s2", "s3", "s4")
 	e := &emptied{duty: d, scene: s, here: true}
-	e.order = decommission.Drain{Node: "s4", Disk: "disk-0", Done: true}
+	e.order = decommission.Order{Node: "s4", Disk: "disk-0", Done: true}
 	e.place()
 	return e
 }
@@ -86,10 +86,10 @@
 				if !e.order.Done {
 					t.Fatal("done went back")
 				}
-				if e.order.Back && !e.awayLong && !e.otherLong {
+				if e.order.Returned && !e.awayLong && !e.otherLong {
 					t.Fatal("it serves again too soon")
 				}
-				if e.order.Back {
+				if e.order.Returned {
 					back++
 				}
 			},
--- a/internal/placement/controller/duty_test.go
+++ b/internal/placement/controller/duty_test.go
@@ -22,7 +22,7 @@
 		Bounds: b, since: long, moved: long, recs: map[int]assignment.Record{}, gone: map[string]time.Time{}, deaf: map[string]time.Time{}, slow: map[string]time.Time{},
 		fresh: map[string]time.Time{}, absent: map[string]time.Time{}, renewed: map[string]time.Time{}, opened: map[int]time.Time{}, epochs: map[int]uint64{},
 	}
-	s := &scene{now: now, m: map[string]*machine{}, copies: 3, drains: decommission.List{}}
+	s := &scene{now: now, m: map[string]*machine{}, copies: 3, drains: decommission.Orders{}}
 	r := assignment.Record{Partition: 1, Epoch: 4, Leader: "s1", Recovered: true}
 	for _, n := range []string{"s1", "s2", "s3"} {
 		r.Replicas = append(r.Replicas, assignment.Replica{Node: n, Incarnation: "disk-" + n})
--- a/internal/placement/controller/scene.go
+++ b/internal/placement/controller/scene.go
@@ -43,7 +43,7 @@
 	stores int
 	// copies is how many disks are to hold a partition.
 	copies int
-	drains decommission.List
+	drains decommission.Orders
 	usual  time.Duration
 }
 
@@ -54,7 +54,7 @@
 
 // emptied tells whether a machine that is gone was asked to be emptied, so that it is not waited for.
 func (s *scene) emptied(node string) bool {
-	return s.drains.Out(node)
+	return s.drains.Excludes(node)
 }
 
 // fit tells whether a machine may be given a copy.
@@ -78,7 +78,7 @@
 		if i.Disk == settings.DiskNone {
 			continue
 		}
-		out := s.drains.Out(i.Name)
+		out := s.drains.Excludes(i.Name)
 		s.m[i.Name] = &machine{Info: i, out: out}
 		if i.Disk == settings.DiskStorage && !out && i.DiskHealth == "" {
 			s.stores++
--- a/internal/placement/decommission/drain.go
+++ b/internal/placement/decommission/drain.go
@@ -17,32 +17,32 @@
 // Key is the control key of all drains.
 const Key = "duty/drain"
 
-// ListMost is how many orders are kept. Past it, orders whose machines serve again or are away are forgotten, oldest first.
-const ListMost = 1024
+// MaxOrders is how many orders are kept. Past it, orders whose machines serve again or are away are forgotten, oldest first.
+const MaxOrders = 1024
 
-// Drain is the order to empty one machine.
-type Drain struct {
+// Order is the order to empty one machine.
+type Order struct {
 	Node string `json:"node"`
-	// Boot is the process that the order last met; only older builds go by it.
-	Boot string `json:"boot"`
+	// BootID is the process that the order last met; only older builds go by it.
+	BootID string `json:"boot"`
 	// Disk is the disk that the machine had when it was last seen before it was empty; "" in orders of older builds.
-	Disk  string    `json:"disk,omitempty"`
-	Asked time.Time `json:"asked"`
+	Disk        string    `json:"disk,omitempty"`
+	RequestedAt time.Time `json:"asked"`
 	// Done tells that no record names the machine, nor will any because of what was decided before the order. It never goes back.
 	Done bool `json:"done"`
-	// Left counts the records that name the machine.
-	Left int `json:"left"`
-	// Away tells that the emptied machine was gone for the keeping time, Back that it came again afterwards and serves.
-	Away bool `json:"away,omitempty"`
-	Back bool `json:"back,omitempty"`
+	// RemainingRecords counts the records that name the machine.
+	RemainingRecords int `json:"left"`
+	// WentAway tells that the emptied machine was gone for the keeping time, Back that it came again afterwards and serves.
+	WentAway bool `json:"away,omitempty"`
+	Returned bool `json:"back,omitempty"`
 }
 
-// List holds all orders by node.
-type List map[string]Drain
+// Orders holds all orders by node.
+type Orders map[string]Order
 
 // Parse reads a list; a register that was never written holds none. A list that can't be read is an error, never an empty one.
-func Parse(b []byte) (List, error) {
-	l := List{}
+func Parse(b []byte) (Orders, error) {
+	l := Orders{}
 	if len(b) == 0 {
 		return l, nil
 	}
@@ -52,27 +52,27 @@
 	return l, nil
 }
 
-// Pack writes a list.
-func (l List) Pack() []byte {
+// Marshal writes a list.
+func (l Orders) Marshal() []byte {
 	b, _ := json.Marshal(l)
 	return b
 }
 
-// Out tells whether a machine is to be empty: nothing is placed on it, and it isn't waited for.
-func (l List) Out(node string) bool {
+// Excludes tells whether a machine is to be empty: nothing is placed on it, and it isn't waited for.
+func (l Orders) Excludes(node string) bool {
 	d, ok := l[node]
-	return ok && !d.Back
+	return ok && !d.Returned
 }
 
 // Add notes a new order. It reports false where the list is full of orders that are still needed.
-func (l List) Add(d Drain) bool {
+func (l Orders) Add(d Order) bool {
 	l[d.Node] = d
-	if len(l) <= ListMost {
+	if len(l) <= MaxOrders {
 		return true
 	}
-	var old []Drain
+	var old []Order
 	for _, x := range l {
-		if x.Back || x.Away {
+		if x.Returned || x.WentAway {
 			old = append(old, x)
 		}
 	}
@@ -80,16 +80,16 @@
 		delete(l, d.Node)
 		return false
 	}
-	delete(l, slices.MinFunc(old, func(a, b Drain) int { return a.Asked.Compare(b.Asked) }).Node)
+	delete(l, slices.MinFunc(old, func(a, b Order) int { return a.RequestedAt.Compare(b.RequestedAt) }).Node)
 	return true
 }
 
 // Sorted gives the orders by node.
-func (l List) Sorted() []Drain {
-	ds := make([]Drain, 0, len(l))
+func (l Orders) Sorted() []Order {
+	ds := make([]Order, 0, len(l))
 	for _, d := range l {
 		ds = append(ds, d)
 	}
-	slices.SortFunc(ds, func(a, b Drain) int { return cmp.Compare(a.Node, b.Node) })
+	slices.SortFunc(ds, func(a, b Order) int { return cmp.Compare(a.Node, b.Node) })
 	return ds
 }
--- a/internal/testing/fleet/links.go
+++ b/internal/testing/fleet/links.go
@@ -164,7 +164,7 @@
 }
 
 func drained(answer, node string) bool {
-	var a struct{ Drains []decommission.Drain }
+	var a struct{ Drains []decommission.Order }
 	if json.Unmarshal([]byte(answer), &a) != nil {
 		return false
 	}
--- a/internal/testing/sim/retire_test.go
+++ b/internal/testing/sim/retire_test.go
@@ -17,15 +17,15 @@
 )
 
 // emptying asks a node how far the emptying of a machine is.
-func (w *World) emptying(at, n string) (decommission.Drain, error) {
-	var x decommission.Drain
+func (w *World) emptying(at, n string) (decommission.Order, error) {
+	var x decommission.Order
 	err := w.ask(at, w.Site.Bounds.CallTimeout(), func(ctx context.Context, k *node.Node) error {
 		var e error
 		x, e = k.Operators.Emptying(ctx, n)
 		return e
 	})
 	if err != nil {
-		return decommission.Drain{}, err // a call that was given up on may still write x
+		return decommission.Order{}, err // a call that was given up on may still write x
 	}
 	return x, nil
 }
