--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -94,7 +94,7 @@
 	founder      *bootstrap.Bootstrapper
 	leaves       *bootstrap.Granter
 	reconfigurer *reconfigurer.Reconfigurer
-	duty         *controller.Duty
+	duty         *controller.Controller
 	watch        *failuredetector.Detector
 	touch        *reachability.Monitor
 
@@ -311,7 +311,7 @@
 	n.keeper = &nodelease.Manager{Settings: o, Clock: clk, Net: net, Store: n.Board, View: n.View, Info: n.Info, Local: n.host, Log: n.log}
 	n.gossip = &gossip.Gossiper{Self: self, Net: net, Clock: clk, Timing: b, Store: n.Board, View: n.View.All, Control: o.HasControlDisk(), Disk: o.Disk != settings.DiskNone}
 	if o.HasControlDisk() {
-		n.duty = &controller.Duty{Self: self, Clock: clk, Bounds: b, Holder: n.holder, Client: n.client, Board: n.Board, Live: n.table.Live, Tell: n.gossip.Broadcast, Changed: n.table.Changed, Log: n.log}
+		n.duty = &controller.Controller{Self: self, Clock: clk, Timing: b, Proposer: n.holder, Client: n.client, Store: n.Board, Live: n.table.Live, Broadcast: n.gossip.Broadcast, Changed: n.table.Changed, Log: n.log}
 	}
 	n.owners = &leaders.Keeper{Self: self, Clock: clk, Bounds: b, Board: n.Board, Client: n.client, Replica: n.replica, Log: n.log, Able: n.able, Tell: n.gossip.Broadcast}
 	n.watch = &failuredetector.Detector{Self: self, BootID: n.boot, Clock: clk, Timing: b, Net: net, Store: n.Board, Addr: n.reach, OnFailure: n.owners.Inherit}
--- a/internal/placement/controller/copies.go
+++ b/internal/placement/controller/copies.go
@@ -11,17 +11,17 @@
 
 // patience is how long a copy on a machine that is gone is waited for: hardly, where a newcomer came to take its place; for half a session more, which most restarts
 // are back within, where a newcomer was there before; as long as service may take to be back, where another storage machine is there; and long, where it would be a small disk.
-func (d *Duty) patience(s *scene, r assignment.Record, p assignment.Replica) time.Duration {
-	wait := d.Bounds.ReplacementDelay()
+func (d *Controller) patience(s *scene, r assignment.Record, p assignment.Replica) time.Duration {
+	wait := d.Timing.ReplacementDelay()
 	for n, m := range s.m {
 		if _, ok := r.Replica(n); ok || m.Disk != settings.DiskStorage || !s.fit(m) {
 			continue
 		}
 		switch t, ok := d.fresh[n]; {
 		case !ok:
-			wait = min(wait, d.Bounds.Recovery)
-		case t.Before(d.gone[p.Node].Add(-d.Bounds.SessionTimeout())):
-			wait = min(wait, d.Bounds.SessionTimeout()/2)
+			wait = min(wait, d.Timing.Recovery)
+		case t.Before(d.gone[p.Node].Add(-d.Timing.SessionTimeout())):
+			wait = min(wait, d.Timing.SessionTimeout()/2)
 		default:
 			wait = min(wait, d.early(s))
 		}
@@ -30,15 +30,15 @@
 }
 
 // early is how long a machine must be gone before anything is done, longer while the duty is young and may not have heard of it.
-func (d *Duty) early(s *scene) time.Duration {
-	if s.now.Sub(d.since) < d.Bounds.SessionTimeout() {
-		return d.Bounds.SessionTimeout() / 2
+func (d *Controller) early(s *scene) time.Duration {
+	if s.now.Sub(d.since) < d.Timing.SessionTimeout() {
+		return d.Timing.SessionTimeout() / 2
 	}
-	return d.Bounds.PreviousLeaderWait()
+	return d.Timing.PreviousLeaderWait()
 }
 
-func (d *Duty) first(s *scene, r assignment.Record) {
-	if s.stores < s.copies && s.now.Sub(d.since) < d.Bounds.SessionTimeout() {
+func (d *Controller) first(s *scene, r assignment.Record) {
+	if s.stores < s.copies && s.now.Sub(d.since) < d.Timing.SessionTimeout() {
 		return
 	}
 	var ps []assignment.Replica
@@ -60,7 +60,7 @@
 	s.give(o.Node, idle)
 }
 
-func (d *Duty) candidate(s *scene, ps []assignment.Replica) *machine {
+func (d *Controller) candidate(s *scene, ps []assignment.Replica) *machine {
 	zones, names := map[string]int{}, map[string]bool{}
 	for _, p := range ps {
 		names[p.Node] = true
@@ -92,7 +92,7 @@
 	return best
 }
 
-func (d *Duty) faulty(s *scene, r assignment.Record, p assignment.Replica) string {
+func (d *Controller) faulty(s *scene, r assignment.Record, p assignment.Replica) string {
 	m, ok := s.m[p.Node]
 	switch {
 	case !ok && s.emptied(p.Node):
@@ -114,7 +114,7 @@
 	return ""
 }
 
-func (d *Duty) copies(s *scene, r assignment.Record, learners *int) {
+func (d *Controller) copies(s *scene, r assignment.Record, learners *int) {
 	bad, why := -1, ""
 	for i, p := range r.Replicas {
 		if w := d.faulty(s, r, p); w != "" && (bad < 0 || !s.usable(p)) {
@@ -169,7 +169,7 @@
 	*learners++
 }
 
-func (d *Duty) spare(s *scene, r assignment.Record) int {
+func (d *Controller) spare(s *scene, r assignment.Record) int {
 	if i := slices.IndexFunc(r.Replicas, func(p assignment.Replica) bool { return s.m[p.Node] == nil }); i >= 0 {
 		return i
 	}
--- a/internal/placement/controller/drains.go
+++ b/internal/placement/controller/drains.go
@@ -15,7 +15,7 @@
 )
 
 // readDrains reads the list of drains by quorum.
-func (d *Duty) readDrains(ctx context.Context) (acceptor.Value, decommission.Orders, error) {
+func (d *Controller) readDrains(ctx context.Context) (acceptor.Value, decommission.Orders, error) {
 	v, err := d.Client.Read(ctx, decommission.Key)
 	if err != nil {
 		return v, nil, err
@@ -25,7 +25,7 @@
 }
 
 // tendDrains notes how far each drain is, and which emptied machines serve again.
-func (d *Duty) tendDrains(ctx context.Context, s *scene) {
+func (d *Controller) tendDrains(ctx context.Context, s *scene) {
 	if len(s.drains) == 0 {
 		return
 	}
@@ -57,7 +57,7 @@
 }
 
 // progress counts what is left to be moved. Machines that no record names any more are done once all records are fenced.
-func (d *Duty) progress(ctx context.Context, s *scene, list decommission.Orders) {
+func (d *Controller) progress(ctx context.Context, s *scene, list decommission.Orders) {
 	fenced := false
 	for _, x := range list.Sorted() {
 		if x.Done {
@@ -77,7 +77,7 @@
 }
 
 // named counts the records that name a machine.
-func (d *Duty) named(node string) int {
+func (d *Controller) named(node string) int {
 	n := 0
 	for _, r := range d.recs {
 		if r.Holds(node) {
@@ -89,7 +89,7 @@
 
 // fence writes every record again as it stands. A node that had the placement duty before, and decided on a change before
 // it could know of a drain, builds on counts of writes that are stale from then on, so its change is refused.
-func (d *Duty) fence(ctx context.Context) bool {
+func (d *Controller) fence(ctx context.Context) bool {
 	whole := true
 	rs := slices.Collect(maps.Values(d.recs))
 	for _, a := range quorum.Gather(ctx, rs, func(ctx context.Context, r assignment.Record) (assignment.Record, error) {
@@ -111,16 +111,16 @@
 }
 
 // lasts tells whether something that was noted of a machine has held for the keeping time.
-func (d *Duty) lasts(s *scene, since map[string]time.Time, node string) bool {
+func (d *Controller) lasts(s *scene, since map[string]time.Time, node string) bool {
 	if since[node].IsZero() {
 		since[node] = s.now
 	}
-	return s.now.Sub(since[node]) >= d.Bounds.ReplacementDelay()
+	return s.now.Sub(since[node]) >= d.Timing.ReplacementDelay()
 }
 
 // returned tells whether an emptied machine serves again. It does once it was away for the keeping time, or has stood there
 // for as long with another disk. A machine that is only started again is still to be taken away.
-func (d *Duty) returned(s *scene, x decommission.Order) decommission.Order {
+func (d *Controller) returned(s *scene, x decommission.Order) decommission.Order {
 	m, live := s.m[x.Node]
 	if !x.Done || x.Returned || live {
 		delete(d.absent, x.Node)
--- a/internal/placement/controller/drains_test.go
+++ b/internal/placement/controller/drains_test.go
@@ -15,7 +15,7 @@
 
 // emptied is a machine that was emptied, as the placement duty sees it from look to look, and when what it sees began.
 type emptied struct {
-	duty  *Duty
+	duty  *Controller
 	scene *scene
 	order decommission.Order
 
@@ -46,7 +46,7 @@
 func (e *emptied) look() {
 	e.place()
 	e.order = e.duty.returned(e.scene, e.order)
-	now, keeping := e.scene.now, e.duty.Bounds.ReplacementDelay()
+	now, keeping := e.scene.now, e.duty.Timing.ReplacementDelay()
 	if e.here {
 		e.goneSince = time.Time{}
 	} else if e.goneSince.IsZero() {
--- a/internal/placement/controller/duty.go
+++ b/internal/placement/controller/duty.go
@@ -23,20 +23,20 @@
 // Key is the control key whose holder has the duty.
 const Key = "duty/placement"
 
-// Duty runs placement on one control node while it holds the key.
-type Duty struct {
-	Self   string
-	Clock  clock.Clock
-	Bounds settings.Timing
-	Holder *register.Proposer
-	Client *registerclient.Client
-	Board  *gossip.Store
-	Live   func() []membership.Info
+// Controller runs placement on one control node while it holds the key.
+type Controller struct {
+	Self     string
+	Clock    clock.Clock
+	Timing   settings.Timing
+	Proposer *register.Proposer
+	Client   *registerclient.Client
+	Store    *gossip.Store
+	Live     func() []membership.Info
 	// Changed gives what is closed at news of the members.
 	Changed func() <-chan struct{}
 	Log     *event.Logger
-	// Tell has records that were written here known at once.
-	Tell func(context.Context, ...assignment.Record)
+	// Broadcast has records that were written here known at once.
+	Broadcast func(context.Context, ...assignment.Record)
 
 	held  bool
 	since time.Time
@@ -69,26 +69,26 @@
 )
 
 // wait waits for the next round: the one that has the duty acts on news, the others look at their own pace.
-func (d *Duty) wait(ctx context.Context) error {
-	pace := clock.Jitter(d.Bounds.ReconcileInterval(), 0.2, rand.Float64())
+func (d *Controller) wait(ctx context.Context) error {
+	pace := clock.Jitter(d.Timing.ReconcileInterval(), 0.2, rand.Float64())
 	if !d.held {
 		return d.Clock.Sleep(ctx, pace)
 	}
-	if err := d.Clock.Sleep(ctx, d.Bounds.MaxBackoff()/newsShare); err != nil {
+	if err := d.Clock.Sleep(ctx, d.Timing.MaxBackoff()/newsShare); err != nil {
 		return err
 	}
 	clock.Wait(ctx, d.Clock, pace, d.members, d.records)
-	d.members, d.records = d.Changed(), d.Board.Changed()
+	d.members, d.records = d.Changed(), d.Store.Changed()
 	return ctx.Err()
 }
 
 // Run tends the partitions until ctx ends.
-func (d *Duty) Run(ctx context.Context) {
+func (d *Controller) Run(ctx context.Context) {
 	for d.wait(ctx) == nil {
-		if d.Board.VoterSet().Sequence == 0 {
+		if d.Store.VoterSet().Sequence == 0 {
 			continue
 		}
-		cx, stop := context.WithTimeout(ctx, d.Bounds.Recovery)
+		cx, stop := context.WithTimeout(ctx, d.Timing.Recovery)
 		if !d.mine(cx) {
 			if d.held {
 				d.Log.Say(event.DutyLost)
@@ -107,26 +107,26 @@
 	}
 }
 
-func (d *Duty) mine(ctx context.Context) bool {
-	if !d.Holder.Leads(Key) {
-		cx, stop := context.WithTimeout(ctx, d.Bounds.CallTimeout())
+func (d *Controller) mine(ctx context.Context) bool {
+	if !d.Proposer.Leads(Key) {
+		cx, stop := context.WithTimeout(ctx, d.Timing.CallTimeout())
 		defer stop()
-		if err := d.Holder.Claim(cx, Key); err != nil {
+		if err := d.Proposer.Claim(cx, Key); err != nil {
 			return false
 		}
-		return d.Holder.ConfirmLeadership(cx, Key)
+		return d.Proposer.ConfirmLeadership(cx, Key)
 	}
-	cx, stop := context.WithTimeout(ctx, d.Bounds.CallTimeout())
+	cx, stop := context.WithTimeout(ctx, d.Timing.CallTimeout())
 	defer stop()
-	return d.Holder.ConfirmLeadership(cx, Key)
+	return d.Proposer.ConfirmLeadership(cx, Key)
 }
 
-func (d *Duty) take(ctx context.Context) {
+func (d *Controller) take(ctx context.Context) {
 	d.recs, d.gone, d.deaf, d.slow = map[int]assignment.Record{}, map[string]time.Time{}, map[string]time.Time{}, map[string]time.Time{}
 	d.fresh, d.absent, d.renewed = map[string]time.Time{}, map[string]time.Time{}, map[string]time.Time{}
 	d.opened, d.epochs = map[int]time.Time{}, map[int]uint64{}
 	var ps []int
-	for p := range d.Board.VoterSet().Layout.PartitionCount() {
+	for p := range d.Store.VoterSet().Layout.PartitionCount() {
 		ps = append(ps, p)
 	}
 	for _, a := range quorum.Gather(ctx, ps, d.fetch, nil) {
@@ -140,7 +140,7 @@
 	d.Log.Say(event.DutyTaken, "partitions", len(d.recs))
 }
 
-func (d *Duty) fetch(ctx context.Context, p int) (assignment.Record, error) {
+func (d *Controller) fetch(ctx context.Context, p int) (assignment.Record, error) {
 	v, err := d.Client.Read(ctx, assignment.Key(p))
 	if err != nil {
 		return assignment.Record{}, err
@@ -155,14 +155,14 @@
 	return r, nil
 }
 
-func (d *Duty) keep(r assignment.Record) {
+func (d *Controller) keep(r assignment.Record) {
 	d.recs[r.Partition] = r
 	if r.Version > 0 {
-		d.Board.Apply(gossip.Update{Records: []assignment.Record{r}})
+		d.Store.Apply(gossip.Update{Records: []assignment.Record{r}})
 	}
 }
 
-func (d *Duty) read(ctx context.Context, p int) error {
+func (d *Controller) read(ctx context.Context, p int) error {
 	r, err := d.fetch(ctx, p)
 	if err == nil {
 		d.keep(r)
@@ -171,17 +171,17 @@
 }
 
 // write notes a change, which is made with all others of the round.
-func (d *Duty) write(old, n assignment.Record) { d.wants = append(d.wants, want{old, n}) }
+func (d *Controller) write(old, n assignment.Record) { d.wants = append(d.wants, want{old, n}) }
 
 // flush makes all changes that were noted, at once.
-func (d *Duty) flush(ctx context.Context) {
+func (d *Controller) flush(ctx context.Context) {
 	ws := d.wants
 	d.wants = nil
 	for _, a := range quorum.Gather(ctx, ws, func(ctx context.Context, w want) (assignment.Record, error) {
 		v, err := d.Client.Change(ctx, assignment.Key(w.n.Partition), w.old.Version, registerclient.NewChangeID(), w.n.Marshal())
 		if err == nil {
 			w.n.Version = v.Version
-			d.Tell(context.WithoutCancel(ctx), w.n)
+			d.Broadcast(context.WithoutCancel(ctx), w.n)
 			return w.n, nil
 		}
 		if !apierror.HasCode(err, apierror.StaleBase) {
@@ -200,20 +200,20 @@
 	}
 }
 
-func (d *Duty) refresh(ctx context.Context) {
+func (d *Controller) refresh(ctx context.Context) {
 	for p, r := range d.recs {
-		if b := d.Board.Record(p); b.Version > r.Version {
+		if b := d.Store.Record(p); b.Version > r.Version {
 			d.recs[p] = b
 		}
 	}
 	for p, r := range d.recs {
-		if !r.Recovered && r.Epoch > 0 && d.Clock.Now().Sub(d.opened[p]) > d.Bounds.TakeoverTimeout() {
+		if !r.Recovered && r.Epoch > 0 && d.Clock.Now().Sub(d.opened[p]) > d.Timing.TakeoverTimeout() {
 			_ = d.read(ctx, p)
 		}
 	}
 }
 
-func (d *Duty) round(ctx context.Context) {
+func (d *Controller) round(ctx context.Context) {
 	d.wants = nil
 	d.refresh(ctx)
 	s, err := d.scene(ctx)
@@ -228,7 +228,7 @@
 			learners++
 		}
 	}
-	layout := d.Board.VoterSet().Layout
+	layout := d.Store.VoterSet().Layout
 	slices.SortFunc(ps, func(a, b int) int {
 		if (a >= layout.RoutinePartitions) != (b >= layout.RoutinePartitions) {
 			return b - a
--- a/internal/placement/controller/owners.go
+++ b/internal/placement/controller/owners.go
@@ -9,7 +9,7 @@
 	"postjunction/internal/settings"
 )
 
-func (d *Duty) heir(s *scene, r assignment.Record, not string) (assignment.Replica, bool) {
+func (d *Controller) heir(s *scene, r assignment.Record, not string) (assignment.Replica, bool) {
 	var best assignment.Replica
 	found := false
 	for _, p := range r.Replicas {
@@ -23,7 +23,7 @@
 	return best, found
 }
 
-func (d *Duty) better(s *scene, r assignment.Record, p, q assignment.Replica) bool {
+func (d *Controller) better(s *scene, r assignment.Record, p, q assignment.Replica) bool {
 	a, b := s.m[p.Node], s.m[q.Node]
 	if a.out != b.out {
 		return b.out
@@ -40,7 +40,7 @@
 	return p.Node < q.Node
 }
 
-func (d *Duty) owner(s *scene, r assignment.Record) bool {
+func (d *Controller) owner(s *scene, r assignment.Record) bool {
 	me, ok := r.Replica(r.Leader)
 	reason := ""
 	switch m := s.m[r.Leader]; {
@@ -55,9 +55,9 @@
 		reason = "the owner's disk fails: " + m.DiskHealth
 	case m.Stage != membership.Serving:
 		reason = "the owner is stopping"
-	case m.Deaf && s.now.Sub(d.deaf[r.Leader]) >= d.Bounds.SessionTimeout()/2:
+	case m.Deaf && s.now.Sub(d.deaf[r.Leader]) >= d.Timing.SessionTimeout()/2:
 		reason = "the owner has no licence: it is heard but does not hear"
-	case m.slow && m.slowFor >= d.Bounds.SessionTimeout()/2:
+	case m.slow && m.slowFor >= d.Timing.SessionTimeout()/2:
 		if _, ok := d.heir(s, r, r.Leader); !ok || !r.Recovered {
 			return false
 		}
@@ -67,8 +67,8 @@
 			return false
 		}
 		reason = "the owner is being emptied"
-	case !r.Recovered && s.now.Sub(d.opened[r.Partition]) > 2*d.Bounds.TakeoverTimeout():
-		reason = "the take-over did not finish in " + (2 * d.Bounds.TakeoverTimeout()).String()
+	case !r.Recovered && s.now.Sub(d.opened[r.Partition]) > 2*d.Timing.TakeoverTimeout():
+		reason = "the take-over did not finish in " + (2 * d.Timing.TakeoverTimeout()).String()
 	default:
 		return false
 	}
@@ -88,8 +88,8 @@
 	return true
 }
 
-func (d *Duty) balance(s *scene) {
-	if s.now.Sub(d.moved) < d.Bounds.ReplacementDelay()/2 {
+func (d *Controller) balance(s *scene) {
+	if s.now.Sub(d.moved) < d.Timing.ReplacementDelay()/2 {
 		return
 	}
 	var most *machine
--- a/internal/placement/controller/scene.go
+++ b/internal/placement/controller/scene.go
@@ -66,8 +66,8 @@
 	return s.usable(p) && s.m[p.Node].Stage == membership.Serving && !s.m[p.Node].Deaf && !s.m[p.Node].slow
 }
 
-func (d *Duty) scene(ctx context.Context) (*scene, error) {
-	s := &scene{now: d.Clock.Now(), m: map[string]*machine{}, copies: d.Board.VoterSet().Layout.ReplicationFactor()}
+func (d *Controller) scene(ctx context.Context) (*scene, error) {
+	s := &scene{now: d.Clock.Now(), m: map[string]*machine{}, copies: d.Store.VoterSet().Layout.ReplicationFactor()}
 	_, list, err := d.readDrains(ctx)
 	if err != nil {
 		d.Log.Say(event.DrainTrouble, "problem", err)
@@ -121,7 +121,7 @@
 }
 
 // newcomers notes the storage machines that hold nothing: they take the place of one that is gone, all of it.
-func (d *Duty) newcomers(s *scene) {
+func (d *Controller) newcomers(s *scene) {
 	for n := range d.gone {
 		if !slices.ContainsFunc(slices.Collect(maps.Values(d.recs)), func(r assignment.Record) bool { _, ok := r.Replica(n); return ok }) {
 			delete(d.gone, n)
@@ -140,7 +140,7 @@
 }
 
 // lags finds machines whose heartbeats take much longer than is usual among those with a disk, and for how long.
-func (d *Duty) lags(s *scene) {
+func (d *Controller) lags(s *scene) {
 	var ls []int64
 	for _, m := range s.m {
 		ls = append(ls, m.LatencyMicros)
@@ -153,13 +153,13 @@
 	for n, m := range s.m {
 		lag := time.Duration(m.LatencyMicros) * time.Microsecond
 		switch since := d.slow[n]; {
-		case lag > max(settings.SlowFactor*s.usual, d.Bounds.SlowThreshold()):
+		case lag > max(settings.SlowFactor*s.usual, d.Timing.SlowThreshold()):
 			if since.IsZero() {
 				since = s.now
 				d.slow[n] = s.now
 			}
 			m.slow, m.slowFor = true, s.now.Sub(since)
-		case lag < max(settings.SlowFactor*s.usual, d.Bounds.SlowThreshold())/2:
+		case lag < max(settings.SlowFactor*s.usual, d.Timing.SlowThreshold())/2:
 			delete(d.slow, n)
 		default:
 			m.slow = !since.IsZero()
