--- a/internal/client/follow_test.go
+++ b/internal/client/follow_test.go
@@ -23,7 +23,7 @@
 func TestStreamSkipsWhatItGaveAndWhatNobodyAskedFor(t *testing.T) {
 	b := gossip.NewStore(nil)
 	describe := func(seq uint64, ss ...configuration.Space) {
-		b.Apply(gossip.Update{Configuration: &configuration.Description{Sequence: seq, Spaces: ss}})
+		b.Apply(gossip.Update{Configuration: &configuration.Config{Sequence: seq, Spaces: ss}})
 	}
 	describe(1, configuration.Space{Name: "s", Kind: "kept", Topics: []string{"a", "b", "gone"}})
 	var got []string
--- a/internal/client/service.go
+++ b/internal/client/service.go
@@ -307,7 +307,7 @@
 	}
 	sp := t.spaces[0]
 	q.Visitor, q.Generation, q.Topic, q.Call = t.Visitor, t.who.Generation, t.Topics[0], t.Call
-	q.Live, q.Description = sp.Kind == configuration.Live, s.Board.Index().Sequence
+	q.Live, q.Description = sp.Kind == configuration.KindLive, s.Board.Index().Sequence
 	return s.Desk.Submit(ctx, partition.Of(q.Topic, sp.Urgent, s.Board.VoterSet().Layout), q)
 }
 
--- a/internal/client/session/house.go
+++ b/internal/client/session/house.go
@@ -114,7 +114,7 @@
 func (h *House) refresh() {
 	x := h.Board.Index()
 	h.mu.Lock()
-	same := x.Agrees(h.x)
+	same := x.AgreesWith(h.x)
 	h.x = x
 	h.mu.Unlock()
 	if same {
@@ -471,7 +471,7 @@
 	}
 	until := v.h.Clock.Now().Add(v.h.patience(sp))
 	v.h.Ledger.Offer(v.h.ctx, p, &leader.Task{
-		Visitor: v.name, Topic: t.Topic, Call: t.Call, Body: t.Body, Key: t.Key, Live: sp.Kind == configuration.Live, Description: v.h.Board.Index().Sequence,
+		Visitor: v.name, Topic: t.Topic, Call: t.Call, Body: t.Body, Key: t.Key, Live: sp.Kind == configuration.KindLive, Description: v.h.Board.Index().Sequence,
 	}, until, func(_ *leader.Decision, err error) {
 		if err != nil {
 			v.turn(t, err)
--- a/internal/client/session/house_test.go
+++ b/internal/client/session/house_test.go
@@ -74,7 +74,7 @@
 
 func (h *hall) describe(spaces ...configuration.Space) {
 	h.seq++
-	h.board.Apply(gossip.Update{Configuration: &configuration.Description{Sequence: h.seq, Base: h.seq - 1, Spaces: spaces}})
+	h.board.Apply(gossip.Update{Configuration: &configuration.Config{Sequence: h.seq, Base: h.seq - 1, Spaces: spaces}})
 	synctest.Wait()
 }
 
@@ -106,9 +106,9 @@
 }
 
 var (
-	kept  = configuration.Space{Name: "kept", Kind: configuration.Kept, Topics: []string{"a", "b"}}
-	other = configuration.Space{Name: "other", Kind: configuration.Kept, Topics: []string{"a"}}
-	live  = configuration.Space{Name: "live", Kind: configuration.Live, Topics: []string{"a"}}
+	kept  = configuration.Space{Name: "kept", Kind: configuration.KindRetained, Topics: []string{"a", "b"}}
+	other = configuration.Space{Name: "other", Kind: configuration.KindRetained, Topics: []string{"a"}}
+	live  = configuration.Space{Name: "live", Kind: configuration.KindLive, Topics: []string{"a"}}
 )
 
 const here = "127.0.0.1:1"
@@ -250,7 +250,7 @@
 			v.Do(Task{Verb: Join, Topic: "kept/b"})
 			h.seq++
 			sp := []configuration.Space{kept, other}[i%2]
-			go h.board.Apply(gossip.Update{Configuration: &configuration.Description{Sequence: h.seq, Base: h.seq - 1, Spaces: []configuration.Space{sp, kept}[i%2 : 2]}})
+			go h.board.Apply(gossip.Update{Configuration: &configuration.Config{Sequence: h.seq, Base: h.seq - 1, Spaces: []configuration.Space{sp, kept}[i%2 : 2]}})
 			v.Do(Task{Verb: Leave, Topic: "kept/a"})
 			v.Do(Task{Verb: Leave, Topic: "kept/b"})
 		}
--- a/internal/client/session/withdraw.go
+++ b/internal/client/session/withdraw.go
@@ -37,7 +37,7 @@
 	until := v.h.Clock.Now().Add(v.h.patience(sp))
 	v.h.Ledger.Offer(v.h.ctx, p, &leader.Task{
 		Visitor: v.name, Topic: t.Topic, Call: t.Call, Key: t.Key, Withdraw: true, Of: t.Of, Upto: t.Upto,
-		Live: sp.Kind == configuration.Live, Description: v.h.Board.Index().Sequence,
+		Live: sp.Kind == configuration.KindLive, Description: v.h.Board.Index().Sequence,
 	}, until, func(d *leader.Decision, err error) {
 		if err != nil {
 			v.turn(t, err)
--- a/internal/configuration/change.go
+++ b/internal/configuration/change.go
@@ -12,28 +12,28 @@
 	StandingLanes bool   `json:"t,omitempty"`
 	Lanes         *Lanes `json:"n,omitempty"`
 	Parts         []Part `json:"p,omitempty"`
-	Sum           uint64 `json:"m"`
+	Checksum      uint64 `json:"m"`
 }
 
 // Part is Count spaces of the old description, from place At on, and then the spaces of Put.
 type Part struct {
-	At    int     `json:"a,omitempty"`
-	Count int     `json:"c,omitempty"`
-	Put   []Space `json:"p,omitempty"`
+	At     int     `json:"a,omitempty"`
+	Count  int     `json:"c,omitempty"`
+	Insert []Space `json:"p,omitempty"`
 }
 
 // Size is how many spaces the change holds itself.
 func (c Change) Size() int {
 	n := 0
 	for _, p := range c.Parts {
-		n += len(p.Put)
+		n += len(p.Insert)
 	}
 	return n
 }
 
 func (s Space) same(o Space) bool {
-	return s.Name == o.Name && s.Kind == o.Kind && s.Urgent == o.Urgent && s.Prefix == o.Prefix && s.All == o.All && s.KeepMS == o.KeepMS &&
-		s.DeadlineMS == o.DeadlineMS && s.AimMS == o.AimMS && s.Order == o.Order && s.Weight == o.Weight && slices.Equal(s.Topics, o.Topics)
+	return s.Name == o.Name && s.Kind == o.Kind && s.Urgent == o.Urgent && s.Prefix == o.Prefix && s.All == o.All && s.RetentionMS == o.RetentionMS &&
+		s.DeadlineMS == o.DeadlineMS && s.TargetLatencyMS == o.TargetLatencyMS && s.Order == o.Order && s.Weight == o.Weight && slices.Equal(s.Topics, o.Topics)
 }
 
 func (l Lanes) same(o Lanes) bool {
@@ -41,8 +41,8 @@
 }
 
 // Change gives what makes another description of this one, sources left out.
-func (d Description) Change(to Description) Change {
-	c := Change{From: d.Sequence, Sequence: to.Sequence, Base: to.Base, Limits: to.Limits, StandingLanes: to.StandingLanes, Sum: to.Sum()}
+func (d Config) Change(to Config) Change {
+	c := Change{From: d.Sequence, Sequence: to.Sequence, Base: to.Base, Limits: to.Limits, StandingLanes: to.StandingLanes, Checksum: to.Checksum()}
 	if !d.Lanes.same(to.Lanes) {
 		c.Lanes = &to.Lanes
 	}
@@ -63,8 +63,8 @@
 			if last < 0 {
 				c.Parts, last = append(c.Parts, Part{}), 0
 			}
-			c.Parts[last].Put = append(c.Parts[last].Put, s)
-		case last >= 0 && len(c.Parts[last].Put) == 0 && c.Parts[last].At+c.Parts[last].Count == at:
+			c.Parts[last].Insert = append(c.Parts[last].Insert, s)
+		case last >= 0 && len(c.Parts[last].Insert) == 0 && c.Parts[last].At+c.Parts[last].Count == at:
 			c.Parts[last].Count++
 		default:
 			c.Parts = append(c.Parts, Part{At: at, Count: 1})
@@ -74,31 +74,31 @@
 }
 
 // Apply makes the next description, and tells whether it came out as it has to.
-func (d Description) Apply(c Change) (Description, bool) {
-	n := Description{Sequence: c.Sequence, Base: c.Base, Limits: c.Limits, StandingLanes: c.StandingLanes, Lanes: d.Lanes}
+func (d Config) Apply(c Change) (Config, bool) {
+	n := Config{Sequence: c.Sequence, Base: c.Base, Limits: c.Limits, StandingLanes: c.StandingLanes, Lanes: d.Lanes}
 	if c.Lanes != nil {
 		n.Lanes = *c.Lanes
 	}
-	n.Spaces = make([]Space, 0, min(SpacesMost, len(d.Spaces)+c.Size()))
+	n.Spaces = make([]Space, 0, min(MaxSpaces, len(d.Spaces)+c.Size()))
 	for _, p := range c.Parts {
-		if p.At < 0 || p.Count < 0 || p.At > len(d.Spaces) || p.Count > len(d.Spaces)-p.At || len(n.Spaces)+p.Count+len(p.Put) > SpacesMost {
+		if p.At < 0 || p.Count < 0 || p.At > len(d.Spaces) || p.Count > len(d.Spaces)-p.At || len(n.Spaces)+p.Count+len(p.Insert) > MaxSpaces {
 			return d, false
 		}
-		n.Spaces = append(append(n.Spaces, d.Spaces[p.At:p.At+p.Count]...), p.Put...)
+		n.Spaces = append(append(n.Spaces, d.Spaces[p.At:p.At+p.Count]...), p.Insert...)
 	}
-	if c.From != d.Sequence || c.Sequence <= c.From || n.Sum() != c.Sum {
+	if c.From != d.Sequence || c.Sequence <= c.From || n.Checksum() != c.Checksum {
 		return d, false
 	}
 	return n, true
 }
 
-// Sum is a number that tells a description from another, sources left out.
-func (d Description) Sum() uint64 {
+// Checksum is a number that tells a description from another, sources left out.
+func (d Config) Checksum() uint64 {
 	s := sum(14695981039346656037)
 	s.number(d.Sequence, d.Base, uint64(d.Limits.Topics), uint64(d.Limits.Body), flag(d.StandingLanes), uint64(len(d.Spaces)))
 	for _, x := range d.Spaces {
 		s.text(x.Name, x.Kind, x.Prefix, x.Order)
-		s.number(flag(x.Urgent)|flag(x.All)<<1, x.KeepMS, x.DeadlineMS, x.AimMS, uint64(x.Weight))
+		s.number(flag(x.Urgent)|flag(x.All)<<1, x.RetentionMS, x.DeadlineMS, x.TargetLatencyMS, uint64(x.Weight))
 		s.list(x.Topics)
 	}
 	s.list(d.Lanes.Urgent)
--- a/internal/configuration/change_test.go
+++ b/internal/configuration/change_test.go
@@ -9,15 +9,15 @@
 	"gotest.tools/v3/assert"
 )
 
-func many(n int) Description {
-	d := Description{Sequence: 1, StandingLanes: true}
+func many(n int) Config {
+	d := Config{Sequence: 1, StandingLanes: true}
 	for i := range n {
-		d.Spaces = append(d.Spaces, Space{Name: fmt.Sprintf("pick-line/aisle-%04d/", i), Prefix: fmt.Sprintf("pick-line/aisle-%04d/", i), Kind: Kept, Order: BySender, Urgent: i%4 == 0, KeepMS: 35000, DeadlineMS: 1500, AimMS: 150, Weight: 1})
+		d.Spaces = append(d.Spaces, Space{Name: fmt.Sprintf("pick-line/aisle-%04d/", i), Prefix: fmt.Sprintf("pick-line/aisle-%04d/", i), Kind: KindRetained, Order: OrderPerSender, Urgent: i%4 == 0, RetentionMS: 35000, DeadlineMS: 1500, TargetLatencyMS: 150, Weight: 1})
 	}
-	return d.Stand(Description{}, Retired{})
+	return d.WithLanes(Config{}, RemovedSpaces{})
 }
 
-func next(r *rand.Rand, d Description) Description {
+func next(r *rand.Rand, d Config) Config {
 	n := d
 	n.Base, n.Sequence = d.Sequence, d.Sequence+1+r.Uint64N(3)
 	n.Spaces = slices.Clone(d.Spaces)
@@ -26,7 +26,7 @@
 		i := r.IntN(len(n.Spaces) + 1)
 		switch k := r.IntN(4); {
 		case k == 0:
-			s := Space{Name: fmt.Sprintf("new-%d", r.Uint64()), Kind: Live, Urgent: r.IntN(2) == 0}
+			s := Space{Name: fmt.Sprintf("new-%d", r.Uint64()), Kind: KindLive, Urgent: r.IntN(2) == 0}
 			if s.Topics = []string{"a", "b"}; r.IntN(2) == 0 {
 				s.Topics, s.Prefix = nil, s.Name+"."
 			}
@@ -41,7 +41,7 @@
 			n.Spaces[i], n.Spaces[j] = n.Spaces[j], n.Spaces[i]
 		}
 	}
-	return n.Stand(d, Retired{})
+	return n.WithLanes(d, RemovedSpaces{})
 }
 
 func TestChangesMakeTheNextDescription(t *testing.T) {
@@ -81,10 +81,10 @@
 	assert.Equal(t, len(c.Parts), 2)
 	assert.Assert(t, c.Lanes == nil)
 	x := NewIndex(d)
-	assert.Assert(t, x.Next(d, to).Agrees(x))
+	assert.Assert(t, x.Next(d, to).AgreesWith(x))
 	to.Spaces = slices.Delete(slices.Clone(d.Spaces), 200, 201)
 	assert.Equal(t, d.Change(to).Size(), 0)
-	assert.Assert(t, !x.Next(d, to).Agrees(x))
+	assert.Assert(t, !x.Next(d, to).AgreesWith(x))
 }
 
 func TestAChangeThatDoesNotComeOutIsNotTaken(t *testing.T) {
@@ -95,7 +95,7 @@
 	for name, spoil := range map[string]func(*Change){
 		"another base":     func(c *Change) { c.From++ },
 		"back":             func(c *Change) { c.Sequence = 1 },
-		"another sum":      func(c *Change) { c.Sum++ },
+		"another sum":      func(c *Change) { c.Checksum++ },
 		"another number":   func(c *Change) { c.Sequence++ },
 		"limits":           func(c *Change) { c.Limits.Body++ },
 		"lanes":            func(c *Change) { c.Lanes = &Lanes{Urgent: []string{"x"}} },
@@ -104,7 +104,7 @@
 		"a count below 0":  func(c *Change) { c.Parts = append(c.Parts, Part{At: 1, Count: -1}) },
 		"a part left out":  func(c *Change) { c.Parts = c.Parts[1:] },
 		"a space twice":    func(c *Change) { c.Parts = append(c.Parts, Part{At: 1, Count: 1}) },
-		"too many, by far": func(c *Change) { c.Parts = slices.Repeat([]Part{{Count: 9}}, SpacesMost) },
+		"too many, by far": func(c *Change) { c.Parts = slices.Repeat([]Part{{Count: 9}}, MaxSpaces) },
 	} {
 		c := good
 		c.Parts = slices.Clone(good.Parts)
--- a/internal/configuration/description.go
+++ b/internal/configuration/description.go
@@ -14,15 +14,15 @@
 	"postjunction/internal/configuration/strictjson"
 )
 
-// Limits of a description. BytesMost bounds a document that is read and a source, PackedMost both together as they are kept;
-// TimeMost bounds every time in it, in milliseconds.
+// Limits of a description. MaxBytes bounds a document that is read and a source, MaxEncodedBytes both together as they are kept;
+// MaxTimeMS bounds every time in it, in milliseconds.
 const (
-	SpacesMost = 4096
-	TopicsMost = 10000
-	BytesMost  = 4 << 20
-	PackedMost = 3 * BytesMost
-	TimeMost   = 1 << 32
-	countMost  = 1 << 31
+	MaxSpaces       = 4096
+	MaxTopics       = 10000
+	MaxBytes        = 4 << 20
+	MaxEncodedBytes = 3 * MaxBytes
+	MaxTimeMS       = 1 << 32
+	countMost       = 1 << 31
 )
 
 var shape = strictjson.Shape{
@@ -61,15 +61,15 @@
 	spaceRule  = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 	topicRule  = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,126}$`)
 	prefixRule = regexp.MustCompile(`^[^\s\p{Cc}]{1,255}$`)
-	kinds      = map[string]bool{Kept: true, Live: true}
-	orders     = map[string]bool{"": true, BySender: true, ByTopic: true}
+	kinds      = map[string]bool{KindRetained: true, KindLive: true}
+	orders     = map[string]bool{"": true, OrderPerSender: true, OrderPerTopic: true}
 )
 
 // Parse reads a description and finds every fault in it.
-func Parse(b []byte) (Description, error) {
-	var d Description
-	if len(b) > BytesMost {
-		return d, apierror.New(apierror.Oversize, "the description has %d bytes, the limit is %d", len(b), BytesMost)
+func Parse(b []byte) (Config, error) {
+	var d Config
+	if len(b) > MaxBytes {
+		return d, apierror.New(apierror.Oversize, "the description has %d bytes, the limit is %d", len(b), MaxBytes)
 	}
 	f, err := strictjson.Check(b, shape)
 	if err != nil {
@@ -79,27 +79,27 @@
 		more := slices.DeleteFunc(lenient(b), func(m apierror.Fault) bool {
 			return slices.ContainsFunc(f, func(o apierror.Fault) bool { return o.Path == m.Path })
 		})
-		return d, Bad(append(f, more...))
+		return d, FaultsError(append(f, more...))
 	}
 	if err := easyjson.Unmarshal(b, &d); err != nil {
-		return d, Bad([]apierror.Fault{{Path: "$", Message: err.Error()}})
+		return d, FaultsError([]apierror.Fault{{Path: "$", Message: err.Error()}})
 	}
-	return d, Bad(d.Faults())
+	return d, FaultsError(d.Faults())
 }
 
 func lenient(b []byte) []apierror.Fault {
 	type loose struct {
-		Name       string   `json:"name"`
-		Kind       string   `json:"kind"`
-		Urgent     bool     `json:"urgent"`
-		Topics     []string `json:"topics"`
-		Prefix     string   `json:"prefix"`
-		All        bool     `json:"all"`
-		KeepMS     uint64   `json:"keep_ms"`
-		DeadlineMS uint64   `json:"deadline_ms"`
-		AimMS      uint64   `json:"aim_ms"`
-		Order      string   `json:"order"`
-		Weight     int      `json:"weight"`
+		Name            string   `json:"name"`
+		Kind            string   `json:"kind"`
+		Urgent          bool     `json:"urgent"`
+		Topics          []string `json:"topics"`
+		Prefix          string   `json:"prefix"`
+		All             bool     `json:"all"`
+		RetentionMS     uint64   `json:"keep_ms"`
+		DeadlineMS      uint64   `json:"deadline_ms"`
+		TargetLatencyMS uint64   `json:"aim_ms"`
+		Order           string   `json:"order"`
+		Weight          int      `json:"weight"`
 	}
 	var l struct {
 		Sequence, Base uint64
@@ -111,15 +111,15 @@
 	if json.Unmarshal(b, &l) != nil {
 		return nil
 	}
-	d := Description{Sequence: l.Sequence, Base: l.Base, Limits: l.Limits, Source: l.Source, StandingLanes: l.StandingLanes}
+	d := Config{Sequence: l.Sequence, Base: l.Base, Limits: l.Limits, Source: l.Source, StandingLanes: l.StandingLanes}
 	for _, s := range l.Spaces {
 		d.Spaces = append(d.Spaces, Space(s))
 	}
 	return d.Faults()
 }
 
-// Bad makes one problem of faults, none of none.
-func Bad(f []apierror.Fault) error {
+// FaultsError makes one problem of faults, none of none.
+func FaultsError(f []apierror.Fault) error {
 	if len(f) == 0 {
 		return nil
 	}
@@ -127,7 +127,7 @@
 }
 
 // Faults finds every fault of a description by itself.
-func (d Description) Faults() []apierror.Fault {
+func (d Config) Faults() []apierror.Fault {
 	var f []apierror.Fault
 	add := func(ok bool, place, say string, a ...any) {
 		if !ok {
@@ -135,15 +135,15 @@
 		}
 	}
 	add(d.Sequence == 0 || d.Sequence > d.Base, "$.sequence", "must be above base (%d) or left out, is %d", d.Base, d.Sequence)
-	add(len(d.Spaces) <= SpacesMost, "$.spaces", "must be at most %d, are %d", SpacesMost, len(d.Spaces))
-	add(len(d.Source) <= BytesMost, "$.source", "must have at most %d bytes, has %d", BytesMost, len(d.Source))
+	add(len(d.Spaces) <= MaxSpaces, "$.spaces", "must be at most %d, are %d", MaxSpaces, len(d.Spaces))
+	add(len(d.Source) <= MaxBytes, "$.source", "must have at most %d bytes, has %d", MaxBytes, len(d.Source))
 	add(utf8.ValidString(d.Source), "$.source", "must be UTF-8")
 	add(d.Limits.Topics >= 0 && d.Limits.Topics < countMost, "$.limits.topics", "must be from 0 to %d, is %d", countMost-1, d.Limits.Topics)
 	add(d.Limits.Body >= 0 && d.Limits.Body < countMost, "$.limits.body", "must be from 0 to %d, is %d", countMost-1, d.Limits.Body)
 	names, begins, all := map[string]bool{}, map[string]bool{}, 0
 	for i, s := range d.Spaces {
 		at := fmt.Sprintf("$.spaces[%d]", i)
-		if s.Open() {
+		if s.ByPrefix() {
 			add(s.All && s.Name == "" || prefixRule.MatchString(s.Name), at+".name", "must be 1 to 255 characters without spaces, is %q", s.Name)
 			add(s.All || prefixRule.MatchString(s.Prefix), at+".prefix", "must be 1 to 255 characters without spaces, is %q", s.Prefix)
 			add(!s.All || s.Prefix == "", at+".prefix", "must be left out beside all")
@@ -157,15 +157,15 @@
 		names[s.Name] = true
 		add(kinds[s.Kind], at+".kind", "must be kept or live, is %q", s.Kind)
 		add(orders[s.Order], at+".order", "must be sender or topic, is %q", s.Order)
-		add(s.KeepMS == 0 || s.Kind != Live, at+".keep_ms", "must be left out of a live space")
+		add(s.RetentionMS == 0 || s.Kind != KindLive, at+".keep_ms", "must be left out of a live space")
 		add(s.Weight >= 0 && s.Weight < countMost, at+".weight", "must be from 0 to %d, is %d", countMost-1, s.Weight)
 		for _, t := range []struct {
 			field string
 			ms    uint64
-		}{{".keep_ms", s.KeepMS}, {".deadline_ms", s.DeadlineMS}, {".aim_ms", s.AimMS}} {
-			add(t.ms <= TimeMost, at+t.field, "must be at most %d, is %d", TimeMost, t.ms)
+		}{{".keep_ms", s.RetentionMS}, {".deadline_ms", s.DeadlineMS}, {".aim_ms", s.TargetLatencyMS}} {
+			add(t.ms <= MaxTimeMS, at+t.field, "must be at most %d, is %d", MaxTimeMS, t.ms)
 		}
-		add(s.Open() || len(s.Topics) > 0, at+".topics", "must name at least one topic")
+		add(s.ByPrefix() || len(s.Topics) > 0, at+".topics", "must name at least one topic")
 		seen := map[string]bool{}
 		for k, t := range s.Topics {
 			pl := fmt.Sprintf("%s.topics[%d]", at, k)
@@ -175,7 +175,7 @@
 		}
 		all += len(s.Topics)
 	}
-	add(all <= TopicsMost, "$.spaces", "must have at most %d topics in all, have %d", TopicsMost, all)
+	add(all <= MaxTopics, "$.spaces", "must have at most %d topics in all, have %d", MaxTopics, all)
 	if d.StandingLanes {
 		return f
 	}
@@ -183,7 +183,7 @@
 }
 
 // mixed finds spaces of which one may hold a topic of the other, now or once that one is gone, with another urgency.
-func (d Description) mixed() []apierror.Fault {
+func (d Config) mixed() []apierror.Fault {
 	var in prefixes[int]
 	for i, s := range d.Spaces {
 		in.add(s.path(), i)
@@ -204,14 +204,14 @@
 
 // path is what the names of a space's topics begin with. Lines stand in partitions by urgency, so a path keeps its urgency for good.
 func (s Space) path() string {
-	if s.Open() {
+	if s.ByPrefix() {
 		return s.Prefix
 	}
 	return s.Name + "/"
 }
 
-// Whole gives a description with what may be left out filled in, so that two that mean the same are the same.
-func (d Description) Whole() Description {
+// Normalized gives a description with what may be left out filled in, so that two that mean the same are the same.
+func (d Config) Normalized() Config {
 	if d.Sequence == 0 {
 		d.Sequence = d.Base + 1
 	}
@@ -221,15 +221,15 @@
 	return d
 }
 
-// Same tells whether two descriptions are one and the same, source and all. The table of lanes is the fleet's and doesn't count.
-func (d Description) Same(o Description) bool {
+// Equal tells whether two descriptions are one and the same, source and all. The table of lanes is the fleet's and doesn't count.
+func (d Config) Equal(o Config) bool {
 	d.Lanes, o.Lanes = Lanes{}, Lanes{}
-	return d.Base == o.Base && bytes.Equal(d.Whole().Pack(), o.Whole().Pack())
+	return d.Base == o.Base && bytes.Equal(d.Normalized().Marshal(), o.Normalized().Marshal())
 }
 
-// Follows checks a description against the one it is built on: a space that stays keeps its urgency,
+// CheckSuccession checks a description against the one it is built on: a space that stays keeps its urgency,
 // since its topics' lines stand in the partitions of that urgency. A space by prefix is the same under any name.
-func (d Description) Follows(cur Description) error {
+func (d Config) CheckSuccession(cur Config) error {
 	was := map[string]Space{}
 	for _, s := range cur.Spaces {
 		was[s.path()] = s
@@ -240,11 +240,11 @@
 			f = append(f, apierror.Fault{Path: fmt.Sprintf("$.spaces[%d].urgent", i), Message: fmt.Sprintf("of the standing space %q can't change; make a new space", o.Name)})
 		}
 	}
-	return Bad(f)
+	return FaultsError(f)
 }
 
-// Pack writes a description.
-func (d Description) Pack() []byte {
+// Marshal writes a description.
+func (d Config) Marshal() []byte {
 	b, _ := easyjson.Marshal(d)
 	return b
 }
--- a/internal/configuration/description_test.go
+++ b/internal/configuration/description_test.go
@@ -11,10 +11,10 @@
 )
 
 func open(prefix string, urgent bool) Space {
-	return Space{Name: "n-" + prefix, Kind: Kept, Urgent: urgent, Prefix: prefix, All: prefix == ""}
+	return Space{Name: "n-" + prefix, Kind: KindRetained, Urgent: urgent, Prefix: prefix, All: prefix == ""}
 }
 
-func described(ss ...Space) Description { return Description{Spaces: ss}.Whole() }
+func described(ss ...Space) Config { return Config{Spaces: ss}.Normalized() }
 
 func faults(t *testing.T, doc string) string {
 	t.Helper()
@@ -59,54 +59,54 @@
 	} {
 		assert.Equal(t, faults(t, c.doc), c.want, c.doc)
 	}
-	assert.Equal(t, Description{Sequence: 1, Source: "\xff"}.Faults()[0], apierror.Fault{Path: "$.source", Message: "must be UTF-8"})
+	assert.Equal(t, Config{Sequence: 1, Source: "\xff"}.Faults()[0], apierror.Fault{Path: "$.source", Message: "must be UTF-8"})
 }
 
 func TestLimits(t *testing.T) {
 	d := described()
-	for i := range SpacesMost {
+	for i := range MaxSpaces {
 		d.Spaces = append(d.Spaces, open(fmt.Sprintf("p%d.", i), false))
 	}
-	d.Source = strings.Repeat("x", BytesMost)
+	d.Source = strings.Repeat("x", MaxBytes)
 	assert.Equal(t, len(d.Faults()), 0)
 	d.Source += "x"
 	assert.Equal(t, d.Faults()[0].Message, "must have at most 4194304 bytes, has 4194305")
 	d.Source, d.Spaces = "", append(d.Spaces, open("q", false))
 	assert.Equal(t, d.Faults()[0].Message, "must be at most 4096, are 4097")
-	_, err := Parse(make([]byte, BytesMost+1))
+	_, err := Parse(make([]byte, MaxBytes+1))
 	assert.Assert(t, apierror.HasCode(err, apierror.Oversize), "%v", err)
 }
 
 func TestPackReadsBackAsItWas(t *testing.T) {
-	d := Description{Base: 3, Sequence: 9, Limits: Limits{Topics: 200}, Source: "{\"a\": \"<é>\" }\r\n", Spaces: []Space{
-		{Name: "a", Kind: Kept, Topics: []string{"x"}},
-		{Name: "b", Kind: Kept, Urgent: true, Prefix: "kb.", KeepMS: 1, DeadlineMS: 2, AimMS: 3, Order: ByTopic, Weight: 4},
-		{Name: "c", Kind: Live, Prefix: "kc."},
+	d := Config{Base: 3, Sequence: 9, Limits: Limits{Topics: 200}, Source: "{\"a\": \"<é>\" }\r\n", Spaces: []Space{
+		{Name: "a", Kind: KindRetained, Topics: []string{"x"}},
+		{Name: "b", Kind: KindRetained, Urgent: true, Prefix: "kb.", RetentionMS: 1, DeadlineMS: 2, TargetLatencyMS: 3, Order: OrderPerTopic, Weight: 4},
+		{Name: "c", Kind: KindLive, Prefix: "kc."},
 	}}
-	got, err := Parse(d.Pack())
+	got, err := Parse(d.Marshal())
 	assert.NilError(t, err)
 	assert.DeepEqual(t, got, d)
-	assert.Assert(t, got.Same(d))
-	for _, o := range []func(*Description){
-		func(d *Description) { d.Source += " " }, func(d *Description) { d.Base-- }, func(d *Description) { d.Sequence++ }, func(d *Description) { d.Limits.Body++ },
-		func(d *Description) { d.Spaces[1].Weight++ }, func(d *Description) { d.Spaces = d.Spaces[:2] },
+	assert.Assert(t, got.Equal(d))
+	for _, o := range []func(*Config){
+		func(d *Config) { d.Source += " " }, func(d *Config) { d.Base-- }, func(d *Config) { d.Sequence++ }, func(d *Config) { d.Limits.Body++ },
+		func(d *Config) { d.Spaces[1].Weight++ }, func(d *Config) { d.Spaces = d.Spaces[:2] },
 	} {
-		x, err := Parse(d.Pack())
+		x, err := Parse(d.Marshal())
 		assert.NilError(t, err)
 		o(&x)
-		assert.Assert(t, !x.Same(d))
+		assert.Assert(t, !x.Equal(d))
 	}
-	assert.Equal(t, string(described().Pack()), `{"sequence":1,"base":0,"spaces":[]}`)
+	assert.Equal(t, string(described().Marshal()), `{"sequence":1,"base":0,"spaces":[]}`)
 	old, err := Parse([]byte(`{"sequence":1,"base":0,"spaces":[{"name":"a","kind":"kept","topics":["x"]}]}`))
 	assert.NilError(t, err)
-	assert.DeepEqual(t, old, described(Space{Name: "a", Kind: Kept, Topics: []string{"x"}}))
+	assert.DeepEqual(t, old, described(Space{Name: "a", Kind: KindRetained, Topics: []string{"x"}}))
 }
 
 func TestIndexFindsTheLongestPrefix(t *testing.T) {
-	x := NewIndex(Description{Sequence: 7, Limits: Limits{Topics: 5}, Spaces: []Space{
-		{Name: "list", Kind: Kept, Topics: []string{"a"}},
+	x := NewIndex(Config{Sequence: 7, Limits: Limits{Topics: 5}, Spaces: []Space{
+		{Name: "list", Kind: KindRetained, Topics: []string{"a"}},
 		open("ka.", false), open("ka.b", false), open("list/", false),
-		{Name: "k", Kind: Live, Prefix: "k", DeadlineMS: 5},
+		{Name: "k", Kind: KindLive, Prefix: "k", DeadlineMS: 5},
 	}})
 	for topic, want := range map[string]string{"list/a": "list", "list/b": "n-list/", "ka.": "n-ka.", "ka.a": "n-ka.", "ka.b": "n-ka.b", "ka.bc": "n-ka.b", "ka": "k", "k": "k", "kb.x": "k"} {
 		s, err := x.Find(topic)
@@ -116,13 +116,13 @@
 	s, _ := x.Find("list/a")
 	assert.Assert(t, s.Topics == nil)
 	s, _ = x.Find("k1")
-	assert.DeepEqual(t, s, Space{Name: "k", Kind: Live, Prefix: "k", DeadlineMS: 5})
+	assert.DeepEqual(t, s, Space{Name: "k", Kind: KindLive, Prefix: "k", DeadlineMS: 5})
 	assert.Equal(t, x.Limits.Topics, 5)
 	for _, topic := range []string{"", "list", "j", "jka.b"} {
 		_, err := x.Find(topic)
 		assert.Assert(t, apierror.HasCode(err, apierror.UnknownSpace), "%q: %v", topic, err)
 	}
-	_, err := NewIndex(described(Space{Name: "list", Kind: Kept, Topics: []string{"a"}})).Find("list/b")
+	_, err := NewIndex(described(Space{Name: "list", Kind: KindRetained, Topics: []string{"a"}})).Find("list/b")
 	assert.Assert(t, apierror.HasCode(err, apierror.UnknownTopic), "%v", err)
 	s, err = NewIndex(described(open("", false), open("ka.", false))).Find("anything")
 	assert.NilError(t, err)
@@ -130,11 +130,11 @@
 }
 
 func TestUrgencyStaysWithThePrefix(t *testing.T) {
-	line := Space{Name: "line", Kind: Kept, Urgent: true, Topics: []string{"a"}}
+	line := Space{Name: "line", Kind: KindRetained, Urgent: true, Topics: []string{"a"}}
 	named := func(s Space, n string) Space { s.Name = n; return s }
 	for _, c := range []struct {
 		say      string
-		cur, d   Description
+		cur, d   Config
 		old      string
 		follows  bool
 		comeback bool
@@ -152,24 +152,24 @@
 		{"beside", described(), described(open("b", false)), `{"=a":true}`, true, true, `{"=a":true}`},
 		{"list taken over", described(line), described(open("line/", false)), `{}`, false, false, `{"line":true}`},
 		{"list taken over whole", described(line), described(open("", false)), `{}`, true, false, `{"line":true}`},
-		{"list back", described(), described(Space{Name: "line", Kind: Kept, Topics: []string{"b"}}), `{"line":true}`, true, false, `{"line":true}`},
+		{"list back", described(), described(Space{Name: "line", Kind: KindRetained, Topics: []string{"b"}}), `{"line":true}`, true, false, `{"line":true}`},
 	} {
-		r, err := ParseRetired([]byte(c.old))
+		r, err := ParseRemovedSpaces([]byte(c.old))
 		assert.NilError(t, err)
-		assert.Equal(t, c.d.Follows(c.cur) == nil, c.follows, c.say)
+		assert.Equal(t, c.d.CheckSuccession(c.cur) == nil, c.follows, c.say)
 		more, err := r.Check(c.d, c.cur)
 		assert.Equal(t, err == nil, c.comeback, "%s: %v", c.say, err)
 		if c.comeback {
-			assert.Equal(t, string(r.Pack()), c.kept, c.say)
+			assert.Equal(t, string(r.Marshal()), c.kept, c.say)
 			assert.Equal(t, more, c.old != c.kept, c.say)
 		}
 	}
 }
 
 func TestTooManyRemovedSpaces(t *testing.T) {
-	r := Retired{}
-	var routine, urgent Description
-	for i := range RetiredMost {
+	r := RemovedSpaces{}
+	var routine, urgent Config
+	for i := range MaxRemovedSpaces {
 		routine.Spaces = append(routine.Spaces, open(fmt.Sprintf("r%d.", i), false))
 		urgent.Spaces = append(urgent.Spaces, open(fmt.Sprintf("u%d.", i), true))
 	}
@@ -179,7 +179,7 @@
 	assert.NilError(t, err)
 	_, err = r.Check(described(), routine)
 	assert.NilError(t, err, "spaces that were not urgent can always go")
-	assert.Equal(t, string(r.Pack()), `{"*":false,"=u0.":true,"=u1.":true,"=u2.":true}`)
+	assert.Equal(t, string(r.Marshal()), `{"*":false,"=u0.":true,"=u1.":true,"=u2.":true}`)
 	more, err := r.Check(described(), described(open("s", false)))
 	assert.NilError(t, err)
 	assert.Assert(t, !more)
@@ -196,7 +196,7 @@
 }
 
 func BenchmarkFind(b *testing.B) {
-	var d Description
+	var d Config
 	for i := range 514 {
 		d.Spaces = append(d.Spaces, open(fmt.Sprintf("k%d%s.", i, strings.Repeat("x", i%6)), false))
 	}
--- a/internal/configuration/index.go
+++ b/internal/configuration/index.go
@@ -27,14 +27,14 @@
 }
 
 // NewIndex makes the index of a description.
-func NewIndex(d Description) *Index {
+func NewIndex(d Config) *Index {
 	x := &Index{Sequence: d.Sequence, Limits: d.Limits, spaces: make([]Space, len(d.Spaces)), form: &form{topics: map[string]int32{}, names: map[string]bool{}}}
 	x.open.by = make(map[string]int32, len(d.Spaces))
 	for i, s := range d.Spaces {
 		x.spaces[i] = s
 		x.spaces[i].Topics = nil
-		x.Longest = max(x.Longest, time.Duration(s.KeepMS)*time.Millisecond)
-		if s.Open() {
+		x.Longest = max(x.Longest, time.Duration(s.RetentionMS)*time.Millisecond)
+		if s.ByPrefix() {
 			x.open.add(s.Prefix, int32(i))
 			continue
 		}
@@ -48,25 +48,25 @@
 }
 
 // Next makes the index of the description that takes the place of was, which this index was made of, at little cost where all topics stay in their spaces.
-func (x *Index) Next(was, d Description) *Index {
+func (x *Index) Next(was, d Config) *Index {
 	if len(was.Spaces) != len(d.Spaces) || !was.Lanes.same(d.Lanes) {
 		return NewIndex(d)
 	}
 	n := &Index{Sequence: d.Sequence, Limits: d.Limits, spaces: slices.Clone(x.spaces), form: x.form}
 	for i, s := range d.Spaces {
 		o := was.Spaces[i]
-		if o.Open() != s.Open() || o.Urgent != s.Urgent || o.path() != s.path() || !slices.Equal(o.Topics, s.Topics) {
+		if o.ByPrefix() != s.ByPrefix() || o.Urgent != s.Urgent || o.path() != s.path() || !slices.Equal(o.Topics, s.Topics) {
 			return NewIndex(d)
 		}
 		s.Topics, s.Urgent = nil, x.spaces[i].Urgent
 		n.spaces[i] = s
-		n.Longest = max(n.Longest, time.Duration(s.KeepMS)*time.Millisecond)
+		n.Longest = max(n.Longest, time.Duration(s.RetentionMS)*time.Millisecond)
 	}
 	return n
 }
 
-// Agrees tells whether every topic surely is in the same space, and in the same lane, as in another index.
-func (x *Index) Agrees(o *Index) bool { return o != nil && x.form == o.form }
+// AgreesWith tells whether every topic surely is in the same space, and in the same lane, as in another index.
+func (x *Index) AgreesWith(o *Index) bool { return o != nil && x.form == o.form }
 
 // stand gives every space the lane where its lines stand, and finds the spaces of which a part stands in another.
 func (x *Index) stand(l Lanes) {
--- a/internal/configuration/lanes.go
+++ b/internal/configuration/lanes.go
@@ -9,8 +9,8 @@
 	"postjunction/internal/apierror"
 )
 
-// LanesMost is how many lanes are kept one by one.
-const LanesMost = 4096
+// MaxLanes is how many lanes are kept one by one.
+const MaxLanes = 4096
 
 // Lane tells where the lines of the topics that begin with a prefix stand.
 type Lane struct {
@@ -50,10 +50,10 @@
 	return l, len(out.by)
 }
 
-// Stand gives the description with the table of lanes, made of the one of the description before it or, where that has none, of its spaces and the removed ones.
+// WithLanes gives the description with the table of lanes, made of the one of the description before it or, where that has none, of its spaces and the removed ones.
 // A prefix under one that stands takes over its lane; any other gets the lane that its space asks for. So a name that could ever be a topic's never changes lanes.
 // Where they become too many, every name that stands nowhere yet is routine from then on.
-func (d Description) Stand(cur Description, r Retired) Description {
+func (d Config) WithLanes(cur Config, r RemovedSpaces) Config {
 	t := cur.Lanes.table()
 	if !cur.Lanes.IsDefined() {
 		if r.has(leftOut) {
@@ -79,7 +79,7 @@
 		t.add(p, u)
 	}
 	l, n := thin(t)
-	if _, ok := t.by[""]; !ok && n > LanesMost {
+	if _, ok := t.by[""]; !ok && n > MaxLanes {
 		t.add("", false)
 		l, _ = thin(t)
 	}
@@ -88,7 +88,7 @@
 }
 
 // KeptLanes gives the prefixes whose lines stand elsewhere than the space asks for.
-func (d Description) KeptLanes() []Lane {
+func (d Config) KeptLanes() []Lane {
 	var kept []Lane
 	if !d.Lanes.IsDefined() {
 		return kept
@@ -111,8 +111,8 @@
 	return slices.CompactFunc(kept, func(a, b Lane) bool { return a.Prefix == b.Prefix })
 }
 
-// Asked checks that every line stands where its space asks for, unless the description takes lanes as they stand.
-func (d Description) Asked() error {
+// CheckLanes checks that every line stands where its space asks for, unless the description takes lanes as they stand.
+func (d Config) CheckLanes() error {
 	if d.StandingLanes {
 		return nil
 	}
@@ -120,5 +120,5 @@
 	for _, l := range d.KeptLanes() {
 		f = append(f, apierror.Fault{Path: fmt.Sprintf("$.spaces[%d].urgent", l.space), Message: fmt.Sprintf("must be %v, where the lines of %q stand, or standing_lanes be true", l.Urgent, l.Prefix)})
 	}
-	return Bad(f)
+	return FaultsError(f)
 }
--- a/internal/configuration/lanes_test.go
+++ b/internal/configuration/lanes_test.go
@@ -12,13 +12,13 @@
 	"gotest.tools/v3/assert"
 )
 
-func standing(ss ...Space) Description {
+func standing(ss ...Space) Config {
 	d := described(ss...)
 	d.StandingLanes = true
 	return d
 }
 
-func lanesOf(d Description) string {
+func lanesOf(d Config) string {
 	named := func(ps []string) string {
 		var ns []string
 		for _, p := range ps {
@@ -30,35 +30,37 @@
 }
 
 func TestLanesTable(t *testing.T) {
-	line := func(urgent bool) Space { return Space{Name: "line", Kind: Kept, Urgent: urgent, Topics: []string{"a"}} }
+	line := func(urgent bool) Space {
+		return Space{Name: "line", Kind: KindRetained, Urgent: urgent, Topics: []string{"a"}}
+	}
 	for _, c := range []struct {
 		say   string
-		steps []Description
-		old   Retired
+		steps []Config
+		old   RemovedSpaces
 		lanes string
 		kept  string
 	}{
-		{"inner later", []Description{standing(open("k", false)), standing(open("k", false), open("ka.", true))}, nil, "k|", "ka. false"},
-		{"outer later", []Description{standing(open("ka.", true)), standing(open("ka.", true), open("k", false))}, nil, "k|ka.", ""},
-		{"both at once", []Description{standing(open("ka.", true), open("k", false))}, nil, "k|ka.", ""},
-		{"inner removed", []Description{standing(open("ka.", true), open("k", false)), standing(open("k", false))}, nil, "k|ka.", "ka. true"},
-		{"back with another", []Description{standing(open("ka.", true)), standing(), standing(open("ka.", false))}, nil, "|ka.", "ka. true"},
-		{"both gone, outer back with another", []Description{standing(open("ka.", true), open("k", false)), standing(), standing(open("k", true))}, nil, "k|ka.", "k false"},
-		{"changed while it stands", []Description{standing(open("k", true)), standing(open("k", false))}, nil, "|k", "k true"},
-		{"all later", []Description{standing(open("k", true)), standing(open("", false))}, nil, "(all)|k", "k true"},
-		{"under all", []Description{standing(open("", false)), standing(open("", false), open("k", true))}, nil, "(all)|", "k false"},
-		{"same", []Description{standing(open("ka.", true)), standing(open("k", true))}, nil, "|k", ""},
-		{"a list", []Description{standing(line(true)), standing(line(false)), standing(open("l", false))}, nil, "l|line/", "line/ true"},
-		{"from removed spaces", []Description{standing(open("k", false), open("lx", false))}, Retired{"=k": true, "line": false}, "lx,line/|k", "k true"},
-		{"from too many removed", []Description{standing(open("k", false), open("x", true))}, Retired{"=k": true, leftOut: false}, "(all)|k", "k true,x false"},
-		{"turned on later", []Description{described(open("k", true)), standing(open("k", true), open("ka", false))}, nil, "|k", "ka true"},
-		{"turned off later", []Description{standing(open("k", true)), described(open("k", true), open("l", false))}, nil, "l|k", ""},
+		{"inner later", []Config{standing(open("k", false)), standing(open("k", false), open("ka.", true))}, nil, "k|", "ka. false"},
+		{"outer later", []Config{standing(open("ka.", true)), standing(open("ka.", true), open("k", false))}, nil, "k|ka.", ""},
+		{"both at once", []Config{standing(open("ka.", true), open("k", false))}, nil, "k|ka.", ""},
+		{"inner removed", []Config{standing(open("ka.", true), open("k", false)), standing(open("k", false))}, nil, "k|ka.", "ka. true"},
+		{"back with another", []Config{standing(open("ka.", true)), standing(), standing(open("ka.", false))}, nil, "|ka.", "ka. true"},
+		{"both gone, outer back with another", []Config{standing(open("ka.", true), open("k", false)), standing(), standing(open("k", true))}, nil, "k|ka.", "k false"},
+		{"changed while it stands", []Config{standing(open("k", true)), standing(open("k", false))}, nil, "|k", "k true"},
+		{"all later", []Config{standing(open("k", true)), standing(open("", false))}, nil, "(all)|k", "k true"},
+		{"under all", []Config{standing(open("", false)), standing(open("", false), open("k", true))}, nil, "(all)|", "k false"},
+		{"same", []Config{standing(open("ka.", true)), standing(open("k", true))}, nil, "|k", ""},
+		{"a list", []Config{standing(line(true)), standing(line(false)), standing(open("l", false))}, nil, "l|line/", "line/ true"},
+		{"from removed spaces", []Config{standing(open("k", false), open("lx", false))}, RemovedSpaces{"=k": true, "line": false}, "lx,line/|k", "k true"},
+		{"from too many removed", []Config{standing(open("k", false), open("x", true))}, RemovedSpaces{"=k": true, leftOut: false}, "(all)|k", "k true,x false"},
+		{"turned on later", []Config{described(open("k", true)), standing(open("k", true), open("ka", false))}, nil, "|k", "ka true"},
+		{"turned off later", []Config{standing(open("k", true)), described(open("k", true), open("l", false))}, nil, "l|k", ""},
 	} {
-		var cur Description
+		var cur Config
 		for _, d := range c.steps {
 			if d.StandingLanes || cur.Lanes.IsDefined() {
-				d = d.Stand(cur, c.old)
-				assert.NilError(t, d.Asked(), c.say)
+				d = d.WithLanes(cur, c.old)
+				assert.NilError(t, d.CheckLanes(), c.say)
 			}
 			cur = d
 		}
@@ -69,8 +71,8 @@
 		assert.Equal(t, lanesOf(cur), c.lanes, c.say)
 		assert.Equal(t, strings.Join(kept, ","), c.kept, c.say)
 	}
-	d := described(open("k", false)).Stand(standing(open("k", true)).Stand(Description{}, nil), nil)
-	assert.ErrorContains(t, d.Asked(), `$.spaces[0].urgent: must be true, where the lines of "k" stand, or standing_lanes be true`)
+	d := described(open("k", false)).WithLanes(standing(open("k", true)).WithLanes(Config{}, nil), nil)
+	assert.ErrorContains(t, d.CheckLanes(), `$.spaces[0].urgent: must be true, where the lines of "k" stand, or standing_lanes be true`)
 }
 
 // Whatever valid descriptions come one after another, a name that a space once held stays in its lane: under the spaces that hold it then, and in the table.
@@ -90,7 +92,7 @@
 	for seed := range uint64(150) {
 		r := rand.New(rand.NewPCG(seed, 7))
 		most := []int{1, 3, 12}[seed%3]
-		cur, old, first, lane := described(), Retired{}, map[string]uint64{}, map[string]bool{}
+		cur, old, first, lane := described(), RemovedSpaces{}, map[string]uint64{}, map[string]bool{}
 		began := r.IntN(4) == 0
 		for step := range 30 {
 			d := standing()
@@ -102,7 +104,7 @@
 				case 0:
 					s = open("", s.Urgent)
 				case 1:
-					s = Space{Name: []string{"k", "ka"}[r.IntN(2)], Kind: Kept, Urgent: s.Urgent, Topics: []string{"a", "b"}}
+					s = Space{Name: []string{"k", "ka"}[r.IntN(2)], Kind: KindRetained, Urgent: s.Urgent, Topics: []string{"a", "b"}}
 				case 2:
 					s = open("ka/", s.Urgent)
 				}
@@ -118,12 +120,12 @@
 			var err error
 			switch {
 			case d.StandingLanes || cur.Lanes.IsDefined():
-				d = d.Stand(cur, old)
-				err = d.Asked()
+				d = d.WithLanes(cur, old)
+				err = d.CheckLanes()
 				if d.StandingLanes {
 					assert.NilError(t, err)
 				}
-			case d.Follows(cur) != nil:
+			case d.CheckSuccession(cur) != nil:
 				continue
 			default:
 				_, err = maps.Clone(old).Check(d, cur)
@@ -162,23 +164,23 @@
 	return x
 }
 
-func parsed(d Description) (x Description, err error) { return x, x.UnmarshalJSON(d.Pack()) }
+func parsed(d Config) (x Config, err error) { return x, x.UnmarshalJSON(d.Marshal()) }
 
 func TestTooManyLanes(t *testing.T) {
 	cur := standing()
 	for i := range 3 {
 		d := standing()
-		for k := range SpacesMost / 2 {
+		for k := range MaxSpaces / 2 {
 			d.Spaces = append(d.Spaces, open(fmt.Sprintf("p%d-%d.", i, k), k%4 == 0))
 		}
-		cur = d.Stand(cur, nil)
+		cur = d.WithLanes(cur, nil)
 		assert.Equal(t, len(cur.KeptLanes()), 0)
 	}
 	assert.DeepEqual(t, cur.Lanes.Routine, []string{""})
-	assert.Equal(t, len(cur.Lanes.Urgent), 3*SpacesMost/8)
+	assert.Equal(t, len(cur.Lanes.Urgent), 3*MaxSpaces/8)
 	assert.Assert(t, slices.Contains(cur.Lanes.Urgent, "p0-4."))
-	d := standing(open("new", true), open("p0-4.", true), open("p0-5.", true)).Stand(cur, nil)
-	assert.Equal(t, len(d.Lanes.Urgent), 3*SpacesMost/8)
+	d := standing(open("new", true), open("p0-4.", true), open("p0-5.", true)).WithLanes(cur, nil)
+	assert.Equal(t, len(d.Lanes.Urgent), 3*MaxSpaces/8)
 	var kept []string
 	for _, l := range d.KeptLanes() {
 		kept = append(kept, l.Prefix)
@@ -193,6 +195,6 @@
 	assert.Equal(t, faults(t, `{"base":4,"standing_lanes":true,"spaces":[{"name":"a","kind":"kept","prefix":"k"},{"name":"b","kind":"kept","prefix":"ka","urgent":true}]}`), "")
 	assert.Equal(t, faults(t, `{"base":4,"spaces":[{"name":"","kind":"kept","all":true},{"name":"all","kind":"kept","prefix":"all"}]}`), "")
 	d := standing(open("k", true))
-	assert.Assert(t, d.Stand(Description{}, nil).Same(d))
-	assert.Assert(t, !d.Same(described(open("k", true))))
+	assert.Assert(t, d.WithLanes(Config{}, nil).Equal(d))
+	assert.Assert(t, !d.Equal(described(open("k", true))))
 }
--- a/internal/configuration/retired.go
+++ b/internal/configuration/retired.go
@@ -9,12 +9,12 @@
 	"postjunction/internal/apierror"
 )
 
-// RetiredMost is how many removed spaces are kept one by one.
-const RetiredMost = 4096
+// MaxRemovedSpaces is how many removed spaces are kept one by one.
+const MaxRemovedSpaces = 4096
 
-// Retired holds the urgency of spaces that were removed: those of listed topics by name, those by prefix by "=" and the prefix.
+// RemovedSpaces holds the urgency of spaces that were removed: those of listed topics by name, those by prefix by "=" and the prefix.
 // Where they became too many, those that were not urgent are left out, and "*" says so.
-type Retired map[string]bool
+type RemovedSpaces map[string]bool
 
 const (
 	byPrefix = "="
@@ -22,7 +22,7 @@
 )
 
 func (s Space) retired() string {
-	if s.Open() {
+	if s.ByPrefix() {
 		return byPrefix + s.Prefix
 	}
 	return s.Name
@@ -35,17 +35,17 @@
 	return key + "/"
 }
 
-// ParseRetired reads the removed spaces.
-func ParseRetired(b []byte) (Retired, error) {
-	r := Retired{}
+// ParseRemovedSpaces reads the removed spaces.
+func ParseRemovedSpaces(b []byte) (RemovedSpaces, error) {
+	r := RemovedSpaces{}
 	if len(b) == 0 {
 		return r, nil
 	}
 	return r, apierror.Wrap(apierror.Internal, json.Unmarshal(b, &r), "read the removed spaces")
 }
 
-// Pack writes the removed spaces.
-func (r Retired) Pack() []byte {
+// Marshal writes the removed spaces.
+func (r RemovedSpaces) Marshal() []byte {
 	b, _ := json.Marshal(r)
 	return b
 }
@@ -57,7 +57,7 @@
 
 // Check holds a description against the current one and all removed spaces, and adds those that it removes; it tells whether there were any.
 // A space that comes back, or that shares topics with one that was there before, needs the urgency that these had.
-func (r Retired) Check(d, cur Description) (bool, error) {
+func (r RemovedSpaces) Check(d, cur Config) (bool, error) {
 	var before, after prefixes[past]
 	for k, u := range r {
 		if k != leftOut {
@@ -99,15 +99,15 @@
 			f = append(f, apierror.Fault{Path: fmt.Sprintf("$.spaces[%d].urgent", i), Message: say})
 		}
 	}
-	return r.add(d, cur), Bad(append(f, r.full()...))
+	return r.add(d, cur), FaultsError(append(f, r.full()...))
 }
 
-func (r Retired) has(k string) bool {
+func (r RemovedSpaces) has(k string) bool {
 	_, ok := r[k]
 	return ok
 }
 
-func (r Retired) add(d, cur Description) bool {
+func (r RemovedSpaces) add(d, cur Config) bool {
 	stays, more := map[string]bool{}, false
 	for _, s := range d.Spaces {
 		stays[s.path()] = true
@@ -119,16 +119,16 @@
 		}
 		r[k], more = s.Urgent, true
 	}
-	if len(r) > RetiredMost && !r.has(leftOut) {
+	if len(r) > MaxRemovedSpaces && !r.has(leftOut) {
 		maps.DeleteFunc(r, func(_ string, urgent bool) bool { return !urgent })
 		r[leftOut] = false
 	}
 	return more
 }
 
-func (r Retired) full() []apierror.Fault {
-	if len(r) <= RetiredMost {
+func (r RemovedSpaces) full() []apierror.Fault {
+	if len(r) <= MaxRemovedSpaces {
 		return nil
 	}
-	return []apierror.Fault{{Path: "$.spaces", Message: fmt.Sprintf("would make %d removed urgent spaces, %d can be kept; keep some or bring some back", len(r)-1, RetiredMost-1)}}
+	return []apierror.Fault{{Path: "$.spaces", Message: fmt.Sprintf("would make %d removed urgent spaces, %d can be kept; keep some or bring some back", len(r)-1, MaxRemovedSpaces-1)}}
 }
--- a/internal/configuration/types.go
+++ b/internal/configuration/types.go
@@ -11,17 +11,17 @@
 //
 //easyjson:json
 type Space struct {
-	Name       string   `json:"name"`
-	Kind       string   `json:"kind"`
-	Urgent     bool     `json:"urgent,omitempty"`
-	Topics     []string `json:"topics,omitempty"`
-	Prefix     string   `json:"prefix,omitempty"`
-	All        bool     `json:"all,omitempty"`
-	KeepMS     uint64   `json:"keep_ms,omitempty"`
-	DeadlineMS uint64   `json:"deadline_ms,omitempty"`
-	AimMS      uint64   `json:"aim_ms,omitempty"`
-	Order      string   `json:"order,omitempty"`
-	Weight     int      `json:"weight,omitempty"`
+	Name            string   `json:"name"`
+	Kind            string   `json:"kind"`
+	Urgent          bool     `json:"urgent,omitempty"`
+	Topics          []string `json:"topics,omitempty"`
+	Prefix          string   `json:"prefix,omitempty"`
+	All             bool     `json:"all,omitempty"`
+	RetentionMS     uint64   `json:"keep_ms,omitempty"`
+	DeadlineMS      uint64   `json:"deadline_ms,omitempty"`
+	TargetLatencyMS uint64   `json:"aim_ms,omitempty"`
+	Order           string   `json:"order,omitempty"`
+	Weight          int      `json:"weight,omitempty"`
 }
 
 // Limits bound what one visitor may do: topics on one connection and bytes of one body; 0 leaves the default.
@@ -32,12 +32,12 @@
 	Body   int `json:"body,omitempty"`
 }
 
-// Description holds all spaces. Sequence is above Base, the sequence that it builds on; left out it is Base plus one.
+// Config holds all spaces. Sequence is above Base, the sequence that it builds on; left out it is Base plus one.
 // Source is the operator's own document, kept as it was. With StandingLanes a space takes the lanes where its topics' lines
 // stand instead of being turned away for its urgency. Lanes is the fleet's own table and no part of what an operator writes.
 //
 //easyjson:json
-type Description struct {
+type Config struct {
 	Sequence uint64  `json:"sequence,omitempty"`
 	Base     uint64  `json:"base"`
 	Spaces   []Space `json:"spaces"`
@@ -58,14 +58,14 @@
 
 // Kinds of space.
 const (
-	Kept = "kept"
-	Live = "live"
+	KindRetained = "kept"
+	KindLive     = "live"
 )
 
 // Orders of a space: one order for each sender's messages, or one order of all messages of a topic for everyone.
 const (
-	BySender = "sender"
-	ByTopic  = "topic"
+	OrderPerSender = "sender"
+	OrderPerTopic  = "topic"
 )
 
 // IsDefined tells whether any limit is set.
@@ -74,5 +74,5 @@
 // IsDefined tells whether any line stands.
 func (l Lanes) IsDefined() bool { return len(l.Urgent)+len(l.Routine) > 0 }
 
-// Open tells whether a space holds topics by prefix instead of by list.
-func (s Space) Open() bool { return s.Prefix != "" || s.All }
+// ByPrefix tells whether a space holds topics by prefix instead of by list.
+func (s Space) ByPrefix() bool { return s.Prefix != "" || s.All }
--- a/internal/configuration/types_easyjson.go
+++ b/internal/configuration/types_easyjson.go
@@ -92,7 +92,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.KeepMS = uint64(in.Uint64())
+				out.RetentionMS = uint64(in.Uint64())
 			}
 		case "deadline_ms":
 			if in.IsNull() {
@@ -104,7 +104,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.AimMS = uint64(in.Uint64())
+				out.TargetLatencyMS = uint64(in.Uint64())
 			}
 		case "order":
 			if in.IsNull() {
@@ -175,20 +175,20 @@
 		out.RawString(prefix)
 		out.Bool(bool(in.All))
 	}
-	if in.KeepMS != 0 {
+	if in.RetentionMS != 0 {
 		const prefix string = ",\"keep_ms\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.KeepMS))
+		out.Uint64(uint64(in.RetentionMS))
 	}
 	if in.DeadlineMS != 0 {
 		const prefix string = ",\"deadline_ms\":"
 		out.RawString(prefix)
 		out.Uint64(uint64(in.DeadlineMS))
 	}
-	if in.AimMS != 0 {
+	if in.TargetLatencyMS != 0 {
 		const prefix string = ",\"aim_ms\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.AimMS))
+		out.Uint64(uint64(in.TargetLatencyMS))
 	}
 	if in.Order != "" {
 		const prefix string = ",\"order\":"
@@ -458,7 +458,7 @@
 func (v *Lanes) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson6601e8cdDecodePostjunctionInternalDescription2(l, v)
 }
-func easyjson6601e8cdDecodePostjunctionInternalDescription3(in *jlexer.Lexer, out *Description) {
+func easyjson6601e8cdDecodePostjunctionInternalDescription3(in *jlexer.Lexer, out *Config) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -549,7 +549,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodePostjunctionInternalDescription3(out *jwriter.Writer, in Description) {
+func easyjson6601e8cdEncodePostjunctionInternalDescription3(out *jwriter.Writer, in Config) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -609,25 +609,25 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Description) MarshalJSON() ([]byte, error) {
+func (v Config) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson6601e8cdEncodePostjunctionInternalDescription3(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Description) MarshalEasyJSON(w *jwriter.Writer) {
+func (v Config) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson6601e8cdEncodePostjunctionInternalDescription3(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Description) UnmarshalJSON(data []byte) error {
+func (v *Config) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson6601e8cdDecodePostjunctionInternalDescription3(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Description) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *Config) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson6601e8cdDecodePostjunctionInternalDescription3(l, v)
 }
--- a/internal/control/quorumread/confirm.go
+++ b/internal/control/quorumread/confirm.go
@@ -55,8 +55,8 @@
 }
 
 // Parse reads the description of a register; none was put when it was never written.
-func Parse(v acceptor.Value) (configuration.Description, error) {
-	var d configuration.Description
+func Parse(v acceptor.Value) (configuration.Config, error) {
+	var d configuration.Config
 	if len(v.Body) == 0 {
 		return d, nil
 	}
--- a/internal/delivery/fanout/feed.go
+++ b/internal/delivery/fanout/feed.go
@@ -479,7 +479,7 @@
 // kept tells whether a topic's messages are owed to those who come back.
 func (f *feed) kept(topic string) bool {
 	sp, err := f.h.board.Index().Find(topic)
-	return err == nil && sp.Kind != configuration.Live
+	return err == nil && sp.Kind != configuration.KindLive
 }
 
 // end ends a subscription that can't go on after an offset, as what follows there is no longer held.
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -35,10 +35,10 @@
 
 // Update is what one node has and another lacks. A description comes whole, without its source, or by the changes to one that the other has.
 type Update struct {
-	VoterSet      *voters.Set                `json:"r,omitempty"`
-	Configuration *configuration.Description `json:"d,omitempty"`
-	Changes       []configuration.Change     `json:"c,omitempty"`
-	Records       []assignment.Record        `json:"p,omitempty"`
+	VoterSet      *voters.Set            `json:"r,omitempty"`
+	Configuration *configuration.Config  `json:"d,omitempty"`
+	Changes       []configuration.Change `json:"c,omitempty"`
+	Records       []assignment.Record    `json:"p,omitempty"`
 }
 
 // Empty tells whether there is nothing new.
@@ -67,7 +67,7 @@
 type Store struct {
 	mu      sync.Mutex
 	roster  voters.Set
-	desc    configuration.Description
+	desc    configuration.Config
 	index   *configuration.Index
 	changes []configuration.Change
 	whole   bool
@@ -80,7 +80,7 @@
 
 // NewStore makes an empty board; hear is told of what was new.
 func NewStore(hear func(Update)) *Store {
-	return &Store{index: configuration.NewIndex(configuration.Description{}), records: map[int]assignment.Record{}, changed: make(chan struct{}), hear: hear}
+	return &Store{index: configuration.NewIndex(configuration.Config{}), records: map[int]assignment.Record{}, changed: make(chan struct{}), hear: hear}
 }
 
 // Apply takes in news and gives the part that was new here.
@@ -118,7 +118,7 @@
 
 // describe takes in a whole description or changes to the one that is here, and gives the new one, or nil. What doesn't come out as it has to
 // is left alone, and the next one has to come whole.
-func (b *Store) describe(n Update) *configuration.Description {
+func (b *Store) describe(n Update) *configuration.Config {
 	was := b.desc
 	if d := n.Configuration; d != nil && d.Sequence > b.desc.Sequence {
 		x := *d
@@ -151,13 +151,13 @@
 }
 
 // ConfigurationSince gives the description to one that has the one numbered seq: by changes where it takes them and they are known and small, else whole.
-func (b *Store) ConfigurationSince(seq uint64, changes bool) (*configuration.Description, []configuration.Change) {
+func (b *Store) ConfigurationSince(seq uint64, changes bool) (*configuration.Config, []configuration.Change) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.newer(seq, changes)
 }
 
-func (b *Store) newer(seq uint64, changes bool) (*configuration.Description, []configuration.Change) {
+func (b *Store) newer(seq uint64, changes bool) (*configuration.Config, []configuration.Change) {
 	if b.desc.Sequence <= seq {
 		return nil, nil
 	}
@@ -203,7 +203,7 @@
 }
 
 // Configuration gives the newest description.
-func (b *Store) Configuration() configuration.Description {
+func (b *Store) Configuration() configuration.Config {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.desc
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -22,7 +22,7 @@
 	b := NewStore(func(Update) { heard++ })
 	r := voters.Set{Sequence: 2, Fleet: "f", Layout: voters.Layout{RoutinePartitions: 1, UrgentPartitions: 1}}
 	offer := func(d, w uint64) bool {
-		return !b.Apply(Update{VoterSet: &r, Configuration: &configuration.Description{Sequence: d}, Records: []assignment.Record{{Partition: 1, Version: w}}}).Empty()
+		return !b.Apply(Update{VoterSet: &r, Configuration: &configuration.Config{Sequence: d}, Records: []assignment.Record{{Partition: 1, Version: w}}}).Empty()
 	}
 	assert.Assert(t, offer(3, 5))
 	assert.Assert(t, !offer(3, 5))
@@ -50,13 +50,13 @@
 		assert.Assert(t, !lacks(6))
 		time.Sleep(b.HeartbeatInterval())
 		assert.Assert(t, lacks(6), "the fellow that was let send it never did")
-		g.Store.Apply(Update{Configuration: &configuration.Description{Sequence: 6}})
+		g.Store.Apply(Update{Configuration: &configuration.Config{Sequence: 6}})
 		assert.Equal(t, g.answer(Digest{Configuration: 6}).Configuration, uint64(6))
 		assert.Equal(t, g.answer(Digest{Configuration: 3}).Configuration, uint64(6))
 	})
 }
 
-func step(d configuration.Description) configuration.Description {
+func step(d configuration.Config) configuration.Config {
 	n := d
 	n.Base, n.Sequence = d.Sequence, d.Sequence+1
 	n.Spaces = slices.Clone(d.Spaces)
@@ -66,7 +66,7 @@
 
 func TestADescriptionTravelsByItsChanges(t *testing.T) {
 	a, b, late := NewStore(nil), NewStore(nil), NewStore(nil)
-	d := configuration.Description{Sequence: 1, Source: "the document", Spaces: []configuration.Space{{Name: "a", Prefix: "a"}, {Name: "b", Prefix: "b"}, {Name: "c", Prefix: "c"}, {Name: "d", Prefix: "d"}}}
+	d := configuration.Config{Sequence: 1, Source: "the document", Spaces: []configuration.Space{{Name: "a", Prefix: "a"}, {Name: "b", Prefix: "b"}, {Name: "c", Prefix: "c"}, {Name: "d", Prefix: "d"}}}
 	a.Apply(Update{Configuration: &d})
 	assert.Equal(t, a.Configuration().Source, "", "the document goes round")
 	n := a.Since(b.Digest())
@@ -99,7 +99,7 @@
 
 func TestAfterAChangeThatDoesNotComeOutTheWholeComes(t *testing.T) {
 	a, b := NewStore(nil), NewStore(nil)
-	d := configuration.Description{Sequence: 1, Spaces: []configuration.Space{{Name: "a", Prefix: "a"}, {Name: "b", Prefix: "b"}}}
+	d := configuration.Config{Sequence: 1, Spaces: []configuration.Space{{Name: "a", Prefix: "a"}, {Name: "b", Prefix: "b"}}}
 	a.Apply(Update{Configuration: &d})
 	other := step(d)
 	other.Sequence = 1
@@ -110,7 +110,7 @@
 	d = step(d)
 	a.Apply(Update{Configuration: &d})
 	was := b.Configuration()
-	n := Update{Changes: []configuration.Change{{From: 1, Sequence: 2, Parts: []configuration.Part{{Count: 2}}, Sum: 5}}}
+	n := Update{Changes: []configuration.Change{{From: 1, Sequence: 2, Parts: []configuration.Part{{Count: 2}}, Checksum: 5}}}
 	assert.Assert(t, b.Apply(n).Empty())
 	assert.DeepEqual(t, b.Configuration(), was)
 	assert.Assert(t, !b.AcceptsChanges())
@@ -130,7 +130,7 @@
 	g.freed(true)
 	assert.Assert(t, g.first())
 	a := NewStore(nil)
-	d := configuration.Description{Sequence: 1}
+	d := configuration.Config{Sequence: 1}
 	a.Apply(Update{Configuration: &d})
 	assert.Assert(t, a.Since(Digest{ConfigurationPending: true}).Empty())
 	g.Store.Apply(a.Since(Digest{}))
@@ -172,39 +172,39 @@
 
 // Of a description of 514 spaces, what changed goes between nodes in a hundredth of the bytes of the whole.
 func TestAChangeIsSmallOnTheWire(t *testing.T) {
-	d := configuration.Description{Sequence: 70000, Base: 69999, StandingLanes: true}
+	d := configuration.Config{Sequence: 70000, Base: 69999, StandingLanes: true}
 	for i := range 514 {
-		d.Spaces = append(d.Spaces, configuration.Space{Name: fmt.Sprintf("pick-line/aisle-%04d/", i), Prefix: fmt.Sprintf("pick-line/aisle-%04d/", i), Kind: configuration.Kept, Order: configuration.BySender, Urgent: i%4 == 0, KeepMS: 35000, DeadlineMS: 1500, AimMS: 150, Weight: 1})
+		d.Spaces = append(d.Spaces, configuration.Space{Name: fmt.Sprintf("pick-line/aisle-%04d/", i), Prefix: fmt.Sprintf("pick-line/aisle-%04d/", i), Kind: configuration.KindRetained, Order: configuration.OrderPerSender, Urgent: i%4 == 0, RetentionMS: 35000, DeadlineMS: 1500, TargetLatencyMS: 150, Weight: 1})
 	}
-	d = d.Stand(configuration.Description{}, configuration.Retired{})
+	d = d.WithLanes(configuration.Config{}, configuration.RemovedSpaces{})
 	size := func(v any) int {
 		b, err := wire.Marshal(v)
 		assert.NilError(t, err)
 		return len(b)
 	}
 	whole := size(Update{Configuration: &d})
-	changed := func(name string, f func(n *configuration.Description)) int {
+	changed := func(name string, f func(n *configuration.Config)) int {
 		b := NewStore(nil)
 		b.Apply(Update{Configuration: &d})
 		n := d
 		n.Sequence, n.Base, n.Spaces = d.Sequence+1, d.Sequence, slices.Clone(d.Spaces)
 		f(&n)
-		n = n.Stand(d, configuration.Retired{})
+		n = n.WithLanes(d, configuration.RemovedSpaces{})
 		b.Apply(Update{Configuration: &n})
 		x := b.Since(Digest{Configuration: d.Sequence, Changes: true})
 		assert.Assert(t, x.Configuration == nil, name)
 		t.Logf("%s: %d bytes, whole %d", name, size(x), whole)
 		return size(x)
 	}
-	one := changed("a space changed", func(n *configuration.Description) { n.Spaces[200].DeadlineMS++ })
+	one := changed("a space changed", func(n *configuration.Config) { n.Spaces[200].DeadlineMS++ })
 	assert.Assert(t, one*100 < whole)
-	changed("a space removed", func(n *configuration.Description) { n.Spaces = slices.Delete(n.Spaces, 200, 201) })
-	changed("ten spaces changed", func(n *configuration.Description) {
+	changed("a space removed", func(n *configuration.Config) { n.Spaces = slices.Delete(n.Spaces, 200, 201) })
+	changed("ten spaces changed", func(n *configuration.Config) {
 		for i := range 10 {
 			n.Spaces[i*50].DeadlineMS++
 		}
 	})
-	changed("a space more, and with it the table of lanes", func(n *configuration.Description) {
-		n.Spaces = slices.Insert(n.Spaces, 200, configuration.Space{Name: "new", Prefix: "new/", Kind: configuration.Kept})
+	changed("a space more, and with it the table of lanes", func(n *configuration.Config) {
+		n.Spaces = slices.Insert(n.Spaces, 200, configuration.Space{Name: "new", Prefix: "new/", Kind: configuration.KindRetained})
 	})
 }
--- a/internal/httpapi/door.go
+++ b/internal/httpapi/door.go
@@ -262,7 +262,7 @@
 }
 
 func (d *Door) putDescription(w http.ResponseWriter, r *http.Request) (any, error) {
-	b, err := body(w, r, configuration.BytesMost)
+	b, err := body(w, r, configuration.MaxBytes)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/nodelease/session.go
+++ b/internal/nodelease/session.go
@@ -50,13 +50,13 @@
 	// WarmingUp tells that the control node began so lately that it can't know all members yet.
 	WarmingUp bool `json:"young,omitempty"`
 	// Isolated tells that no majority has answered the control node for so long that its sessions may have gone to others.
-	Isolated      bool                       `json:"a,omitempty"`
-	Confirmed     bool                       `json:"confirmed"`
-	Sequence      uint64                     `json:"sequence"`
-	Age           time.Duration              `json:"age"`
-	VoterSet      *voters.Set                `json:"roster,omitempty"`
-	Configuration *configuration.Description `json:"description,omitempty"`
-	Changes       []configuration.Change     `json:"d,omitempty"`
+	Isolated      bool                   `json:"a,omitempty"`
+	Confirmed     bool                   `json:"confirmed"`
+	Sequence      uint64                 `json:"sequence"`
+	Age           time.Duration          `json:"age"`
+	VoterSet      *voters.Set            `json:"roster,omitempty"`
+	Configuration *configuration.Config  `json:"description,omitempty"`
+	Changes       []configuration.Change `json:"d,omitempty"`
 }
 
 // Heartbeat is the session call.
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -110,7 +110,7 @@
 // named splits the full name of a topic into its space and the rest; of a topic by prefix, and of one that no space has, the whole is given.
 func (s *Service) named(topic string) (space, rest string) {
 	sp, err := s.Board.Index().Find(topic)
-	if err == nil && sp.Open() {
+	if err == nil && sp.ByPrefix() {
 		return sp.Name, topic
 	}
 	space, rest, ok := strings.Cut(topic, "/")
--- a/internal/operator/orderlog/accepted.go
+++ b/internal/operator/orderlog/accepted.go
@@ -39,10 +39,10 @@
 }
 
 // Of gives the order of a description; the fleet's own table of lanes is no part of what an operator writes.
-func Of(d configuration.Description) Order {
-	d = d.Whole()
+func Of(d configuration.Config) Order {
+	d = d.Normalized()
 	d.Lanes = configuration.Lanes{}
-	sum := sha256.Sum256(d.Pack())
+	sum := sha256.Sum256(d.Marshal())
 	return Order{Sequence: d.Sequence, Base: d.Base, Digest: Digest(sum[:digestBytes])}
 }
 
@@ -56,7 +56,7 @@
 }
 
 // Since begins a log at a description that was accepted before logs were kept; of what came before it nothing is known.
-func Since(d configuration.Description) Log {
+func Since(d configuration.Config) Log {
 	if d.Sequence == 0 {
 		return Log{}
 	}
--- a/internal/operator/orderlog/accepted_test.go
+++ b/internal/operator/orderlog/accepted_test.go
@@ -10,11 +10,11 @@
 )
 
 func order(base, sequence uint64, source string) Order {
-	return Of(configuration.Description{Base: base, Sequence: sequence, Source: source})
+	return Of(configuration.Config{Base: base, Sequence: sequence, Source: source})
 }
 
 func TestOrdersDifferByContentNotByLanes(t *testing.T) {
-	d := configuration.Description{Base: 1, Sequence: 2, Source: "a"}
+	d := configuration.Config{Base: 1, Sequence: 2, Source: "a"}
 	same := d
 	same.Lanes = configuration.Lanes{Urgent: []string{"x"}}
 	assert.Equal(t, Of(d), Of(same))
@@ -70,10 +70,10 @@
 
 // A description from before logs were kept is known, and of what came before it nothing is.
 func TestALogBeginsAtAnOlderDescription(t *testing.T) {
-	d := configuration.Description{Base: 5, Sequence: 8, Source: "a"}
+	d := configuration.Config{Base: 5, Sequence: 8, Source: "a"}
 	l := Since(d)
 	assert.Assert(t, l.Holds(Of(d)))
 	assert.Assert(t, l.Knows(order(5, 7, "b")) && !l.Holds(order(5, 7, "b")))
 	assert.Assert(t, !l.Knows(order(0, 5, "c")))
-	assert.DeepEqual(t, Since(configuration.Description{}), Log{})
+	assert.DeepEqual(t, Since(configuration.Config{}), Log{})
 }
--- a/internal/operator/replace.go
+++ b/internal/operator/replace.go
@@ -28,19 +28,19 @@
 		return nil, err
 	}
 	d.Lanes = configuration.Lanes{}
-	return json.RawMessage(d.Pack()), nil
+	return json.RawMessage(d.Marshal()), nil
 }
 
 // Current gives the current description, confirmed by a majority.
-func (s *Service) Current(ctx context.Context) (configuration.Description, error) {
+func (s *Service) Current(ctx context.Context) (configuration.Config, error) {
 	ctx, stop := s.limit(ctx)
 	defer stop()
 	c, err := readAs(ctx, s, quorumread.ConfigurationKey, parseRegister)
 	if err != nil {
-		return configuration.Description{}, err
+		return configuration.Config{}, err
 	}
 	if c.value.current.Sequence == 0 {
-		return configuration.Description{}, c.refuse(apierror.ConfigurationMissing, "no description was put yet")
+		return configuration.Config{}, c.refuse(apierror.ConfigurationMissing, "no description was put yet")
 	}
 	return c.value.current, nil
 }
@@ -65,8 +65,8 @@
 // accepted. The very same order again is a yes for good, also when others were accepted on top of it, as far as the
 // register remembers; past that the outcome is unknown and never a refusal. Where the outcome of a try is not known it
 // is asked for until the context ends.
-func (s *Service) Replace(ctx context.Context, d configuration.Description) (*Accepted, error) {
-	return s.report(s.replace(ctx, d.Whole(), false))
+func (s *Service) Replace(ctx context.Context, d configuration.Config) (*Accepted, error) {
+	return s.report(s.replace(ctx, d.Normalized(), false))
 }
 
 // report logs the outcome of an order.
@@ -86,7 +86,7 @@
 var settled = map[apierror.Code]bool{apierror.ConfigurationConflict: true, apierror.ConfigurationInvalid: true, apierror.OutcomeUnknown: true, apierror.Oversize: true}
 
 // replace tries an order until its outcome is known. doubt tells that an earlier try may have been accepted.
-func (s *Service) replace(ctx context.Context, d configuration.Description, doubt bool) (*Accepted, error) {
+func (s *Service) replace(ctx context.Context, d configuration.Config, doubt bool) (*Accepted, error) {
 	if err := s.check(d); err != nil {
 		return nil, err
 	}
@@ -111,7 +111,7 @@
 
 // try reads the register by quorum and, where the order builds on what stands there, changes it on the count that was
 // read. All tries of an order share the change's name, so the register takes it once.
-func (s *Service) try(ctx context.Context, d configuration.Description, o orderlog.Order) (*Accepted, error) {
+func (s *Service) try(ctx context.Context, d configuration.Config, o orderlog.Order) (*Accepted, error) {
 	c, err := readAs(ctx, s, quorumread.ConfigurationKey, parseRegister)
 	if err != nil {
 		return nil, err
@@ -131,9 +131,9 @@
 	if err != nil {
 		return nil, err
 	}
-	body := n.Pack()
-	if len(body) > configuration.PackedMost {
-		return nil, apierror.New(apierror.Oversize, "the description takes %d bytes with its source, the limit is %d", len(body), configuration.PackedMost)
+	body := n.Marshal()
+	if len(body) > configuration.MaxEncodedBytes {
+		return nil, apierror.New(apierror.Oversize, "the description takes %d bytes with its source, the limit is %d", len(body), configuration.MaxEncodedBytes)
 	}
 	q := &register.ChangeRequest{Key: quorumread.ConfigurationKey, BaseVersion: c.value.writes, ChangeID: o.Name(), Body: body, Metadata: log.With(o).Pack()}
 	if _, err := s.Client.Write(ctx, q); err != nil {
@@ -146,7 +146,7 @@
 // of writes that a change builds on.
 type stateRegister struct {
 	writes  uint64
-	current configuration.Description
+	current configuration.Config
 	log     orderlog.Log
 }
 
@@ -165,14 +165,14 @@
 }
 
 // check finds the faults that need no other description, those against the fleet's bounds among them.
-func (s *Service) check(d configuration.Description) error {
+func (s *Service) check(d configuration.Config) error {
 	f := d.Faults()
 	for i, x := range d.Spaces {
-		if most := uint64(s.Bounds.MaxRetention().Milliseconds()); x.KeepMS > most {
-			f = append(f, apierror.Fault{Path: fmt.Sprintf("$.spaces[%d].keep_ms", i), Message: fmt.Sprintf("must be at most ten times the fleet's keeping (%d), is %d", most, x.KeepMS)})
+		if most := uint64(s.Bounds.MaxRetention().Milliseconds()); x.RetentionMS > most {
+			f = append(f, apierror.Fault{Path: fmt.Sprintf("$.spaces[%d].keep_ms", i), Message: fmt.Sprintf("must be at most ten times the fleet's keeping (%d), is %d", most, x.RetentionMS)})
 		}
 	}
-	return configuration.Bad(f)
+	return configuration.FaultsError(f)
 }
 
 func outcome(doubt bool, err error) error {
@@ -184,7 +184,7 @@
 	return p
 }
 
-func (s *Service) accepted(d configuration.Description) *Accepted {
+func (s *Service) accepted(d configuration.Config) *Accepted {
 	s.Board.Apply(gossip.Update{Configuration: &d})
 	return &Accepted{Sequence: d.Sequence, KeptLanes: d.KeptLanes()}
 }
--- a/internal/operator/submit.go
+++ b/internal/operator/submit.go
@@ -14,7 +14,7 @@
 )
 
 // Reader reads an operator's own document as a description that builds on base.
-type Reader = func(doc []byte, base uint64) (configuration.Description, error)
+type Reader = func(doc []byte, base uint64) (configuration.Config, error)
 
 // SubmitRequest hands an operator's own document over to a control node, deflated. By is the change's name for older
 // builds, which take a change without one for a repeat; in this build the name follows from the order itself.
@@ -64,7 +64,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = s.report(s.replace(ctx, d.Whole(), doubt))
+	_, err = s.report(s.replace(ctx, d.Normalized(), doubt))
 	return err
 }
 
@@ -101,12 +101,12 @@
 }
 
 func inflate(b []byte) ([]byte, error) {
-	doc, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(b)), configuration.BytesMost+1))
+	doc, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(b)), configuration.MaxBytes+1))
 	switch {
 	case err != nil:
 		return nil, apierror.WithCause(apierror.Malformed, err, "the document can't be unpacked")
-	case len(doc) > configuration.BytesMost:
-		return nil, apierror.New(apierror.Oversize, "the document has more than %d bytes", configuration.BytesMost)
+	case len(doc) > configuration.MaxBytes:
+		return nil, apierror.New(apierror.Oversize, "the document has more than %d bytes", configuration.MaxBytes)
 	}
 	return doc, nil
 }
--- a/internal/testing/sim/description_test.go
+++ b/internal/testing/sim/description_test.go
@@ -318,16 +318,16 @@
 // A description at its limits is taken, stands everywhere within the spread, and reads back to the byte.
 func TestLargeDescriptions(t *testing.T) {
 	t.Parallel()
-	for _, c := range []struct{ spaces, source int }{{514, 100 << 10}, {configuration.SpacesMost, configuration.BytesMost}} {
+	for _, c := range []struct{ spaces, source int }{{514, 100 << 10}, {configuration.MaxSpaces, configuration.MaxBytes}} {
 		t.Run(fmt.Sprint(c.spaces), func(t *testing.T) {
 			if c.spaces > 1000 {
 				long(t)
 			}
 			stand(t, Armor, 340, func(t *testing.T, w *World) {
 				w.Watch()
-				d := configuration.Description{Sequence: 5, Source: strings.Repeat("\"é\" ", c.source/5)}
+				d := configuration.Config{Sequence: 5, Source: strings.Repeat("\"é\" ", c.source/5)}
 				for i := range c.spaces {
-					d.Spaces = append(d.Spaces, configuration.Space{Name: fmt.Sprintf("r-%d", i), Kind: "kept", Prefix: fmt.Sprintf("k%d.", i), DeadlineMS: 1500, AimMS: 120, KeepMS: 35000})
+					d.Spaces = append(d.Spaces, configuration.Space{Name: fmt.Sprintf("r-%d", i), Kind: "kept", Prefix: fmt.Sprintf("k%d.", i), DeadlineMS: 1500, TargetLatencyMS: 120, RetentionMS: 35000})
 				}
 				ctx, stop := context.WithTimeout(w.ctx, w.Site.Bounds.Recovery)
 				defer stop()
@@ -342,7 +342,7 @@
 				assert.NilError(t, w.Settle(20*time.Second))
 				got, err := w.Machines["c2"].Node().Operators.Current(w.ctx)
 				assert.NilError(t, err)
-				assert.Assert(t, got.Same(d))
+				assert.Assert(t, got.Equal(d))
 			})
 		})
 	}
@@ -373,8 +373,8 @@
 				assert.Assert(t, apierror.HasCode(err, k), "%s: %v", doc, err)
 			}
 		}
-		for _, d := range []configuration.Description{
-			{Base: 1, Sequence: 1}, {Base: 1, Spaces: []configuration.Space{{Name: "a", Kind: "kept"}}}, {Base: 1, Spaces: []configuration.Space{{Name: "a", Kind: "kept", Prefix: "k", KeepMS: 1 << 30}}},
+		for _, d := range []configuration.Config{
+			{Base: 1, Sequence: 1}, {Base: 1, Spaces: []configuration.Space{{Name: "a", Kind: "kept"}}}, {Base: 1, Spaces: []configuration.Space{{Name: "a", Kind: "kept", Prefix: "k", RetentionMS: 1 << 30}}},
 		} {
 			_, err := w.Machines["c2"].Node().Operators.Replace(w.ctx, d)
 			assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationInvalid), "%v: %v", d, err)
--- a/internal/testing/sim/orders_test.go
+++ b/internal/testing/sim/orders_test.go
@@ -287,7 +287,7 @@
 		v, err := op.Client.Read(w.ctx, "description")
 		assert.NilError(t, err)
 		assert.Assert(t, len(v.Metadata) > 0)
-		var d configuration.Description
+		var d configuration.Config
 		assert.NilError(t, json.Unmarshal(v.Body, &d))
 		_, err = op.Client.Change(w.ctx, "description", v.Version, "an older build", v.Body)
 		assert.NilError(t, err)
--- a/internal/testing/sim/submit_test.go
+++ b/internal/testing/sim/submit_test.go
@@ -9,7 +9,7 @@
 	"postjunction/internal/configuration"
 )
 
-func plainReader(doc []byte, _ uint64) (configuration.Description, error) {
+func plainReader(doc []byte, _ uint64) (configuration.Config, error) {
 	return configuration.Parse(doc)
 }
 
@@ -20,7 +20,7 @@
 		stand(t, Armor, 77, func(t *testing.T, w *World) {
 			w.Watch()
 			here := 0
-			read := func(doc []byte, base uint64) (configuration.Description, error) {
+			read := func(doc []byte, base uint64) (configuration.Config, error) {
 				here++
 				return plainReader(doc, base)
 			}
--- a/internal/testing/sim/world.go
+++ b/internal/testing/sim/world.go
@@ -809,7 +809,7 @@
 	seq, err := w.Port(n).Put(ctx, doc)
 	end(time.Now())
 	if err == nil {
-		var d configuration.Description
+		var d configuration.Config
 		_ = json.Unmarshal(doc, &d)
 		w.History.Accept(d.Base, seq, string(doc), time.Now())
 	}
