--- a/internal/operator/orderlog/accepted.go
+++ b/internal/operator/orderlog/accepted.go
@@ -19,8 +19,8 @@
 	"postjunction/internal/configuration"
 )
 
-// Most is how many orders a log holds. The users make hundreds of changes a day; the oldest is forgotten first.
-const Most = 2048
+// MaxOrders is how many orders a log holds. The users make hundreds of changes a day; the oldest is forgotten first.
+const MaxOrders = 2048
 
 const (
 	digestBytes = 16
@@ -38,53 +38,53 @@
 	Digest   Digest
 }
 
-// Of gives the order of a description; the fleet's own table of lanes is no part of what an operator writes.
-func Of(d configuration.Config) Order {
+// OrderOf gives the order of a description; the fleet's own table of lanes is no part of what an operator writes.
+func OrderOf(d configuration.Config) Order {
 	d = d.Normalized()
 	d.Lanes = configuration.Lanes{}
 	sum := sha256.Sum256(d.Marshal())
 	return Order{Sequence: d.Sequence, Base: d.Base, Digest: Digest(sum[:digestBytes])}
 }
 
-// Name is the name of the change that the order makes. All tries of one order share it, at whatever node.
-func (o Order) Name() string { return namePrefix + hex.EncodeToString(o.Digest[:]) }
+// ChangeID is the name of the change that the order makes. All tries of one order share it, at whatever node.
+func (o Order) ChangeID() string { return namePrefix + hex.EncodeToString(o.Digest[:]) }
 
 // Log holds accepted orders by rising sequence. Orders with sequences up to Forgotten are no longer known.
 type Log struct {
-	Forgotten uint64
-	Orders    []Order
+	ForgottenThrough uint64
+	Orders           []Order
 }
 
-// Since begins a log at a description that was accepted before logs were kept; of what came before it nothing is known.
-func Since(d configuration.Config) Log {
+// StartAt begins a log at a description that was accepted before logs were kept; of what came before it nothing is known.
+func StartAt(d configuration.Config) Log {
 	if d.Sequence == 0 {
 		return Log{}
 	}
-	return Log{Forgotten: d.Base, Orders: []Order{Of(d)}}
+	return Log{ForgottenThrough: d.Base, Orders: []Order{OrderOf(d)}}
 }
 
-// Holds tells whether the order was accepted, as far as is known.
-func (l Log) Holds(o Order) bool { return slices.Contains(l.Orders, o) }
+// Contains tells whether the order was accepted, as far as is known.
+func (l Log) Contains(o Order) bool { return slices.Contains(l.Orders, o) }
 
-// Knows tells whether the log decides about the order: it was accepted if and only if the log holds it.
-func (l Log) Knows(o Order) bool { return o.Sequence > l.Forgotten || l.Holds(o) }
+// Covers tells whether the log decides about the order: it was accepted if and only if the log holds it.
+func (l Log) Covers(o Order) bool { return o.Sequence > l.ForgottenThrough || l.Contains(o) }
 
-// With gives the log with one more order, the newest; the oldest is forgotten where there would be too many.
-func (l Log) With(o Order) Log {
+// Append gives the log with one more order, the newest; the oldest is forgotten where there would be too many.
+func (l Log) Append(o Order) Log {
 	l.Orders = append(slices.Clone(l.Orders), o)
-	if over := len(l.Orders) - Most; over > 0 {
-		l.Forgotten = l.Orders[over-1].Sequence
+	if over := len(l.Orders) - MaxOrders; over > 0 {
+		l.ForgottenThrough = l.Orders[over-1].Sequence
 		l.Orders = slices.Clone(l.Orders[over:])
 	}
 	return l
 }
 
-// Pack writes the log: a format number, Forgotten, how many orders follow, then for each the rise of its sequence, how
+// Marshal writes the log: a format number, Forgotten, how many orders follow, then for each the rise of its sequence, how
 // far below it its base is, and its digest.
-func (l Log) Pack() []byte {
-	b := binary.AppendUvarint([]byte{formatOne}, l.Forgotten)
+func (l Log) Marshal() []byte {
+	b := binary.AppendUvarint([]byte{formatOne}, l.ForgottenThrough)
 	b = binary.AppendUvarint(b, uint64(len(l.Orders)))
-	last := l.Forgotten
+	last := l.ForgottenThrough
 	for _, o := range l.Orders {
 		b = binary.AppendUvarint(b, o.Sequence-last)
 		b = binary.AppendUvarint(b, o.Sequence-o.Base)
@@ -100,8 +100,8 @@
 		return Log{}, apierror.New(apierror.DiskDamaged, "the log of accepted orders has an unknown format")
 	}
 	r := reader{rest: b[1:]}
-	l := Log{Forgotten: r.number()}
-	last := l.Forgotten
+	l := Log{ForgottenThrough: r.number()}
+	last := l.ForgottenThrough
 	for count := r.number(); count > 0 && !r.bad; count-- {
 		o := Order{Sequence: last + r.number()}
 		o.Base = o.Sequence - r.number()
--- a/internal/operator/orderlog/model_test.go
+++ b/internal/operator/orderlog/model_test.go
@@ -12,7 +12,7 @@
 // it was written at each step.
 func TestALogAgainstAPlainList(t *testing.T) {
 	var full Log
-	for n := range uint64(Most - 5) {
+	for n := range uint64(MaxOrders - 5) {
 		full.Orders = append(full.Orders, Order{Base: n, Sequence: n + 1, Digest: Digest{byte(n), byte(n >> 8)}})
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -30,17 +30,17 @@
 				rise := rapid.Uint64Range(1, 1<<40).Draw(t, "rise")
 				o := order(base, base+rise, fmt.Sprint("accepted ", len(all)))
 				all = append(all, o)
-				log = log.With(o)
+				log = log.Append(o)
 			},
 			"": func(t *rapid.T) {
-				read, err := Parse(log.Pack())
+				read, err := Parse(log.Marshal())
 				if err != nil {
 					t.Fatal(err)
 				}
-				if !slices.Equal(read.Orders, log.Orders) || read.Forgotten != log.Forgotten {
+				if !slices.Equal(read.Orders, log.Orders) || read.ForgottenThrough != log.ForgottenThrough {
 					t.Fatal("the log is read back as another one")
 				}
-				kept := all[max(0, len(all)-Most):]
+				kept := all[max(0, len(all)-MaxOrders):]
 				if len(log.Orders) != len(kept) {
 					t.Fatalf("%d orders are held, want %d", len(log.Orders), len(kept))
 				}
@@ -50,8 +50,8 @@
 						continue
 					}
 					held := i >= gone
-					if log.Holds(all[i]) != held || log.Knows(all[i]) != held {
-						t.Fatalf("order %d of %d: held %v, known %v", i, len(all), log.Holds(all[i]), log.Knows(all[i]))
+					if log.Contains(all[i]) != held || log.Covers(all[i]) != held {
+						t.Fatalf("order %d of %d: held %v, known %v", i, len(all), log.Contains(all[i]), log.Covers(all[i]))
 					}
 				}
 			},
--- a/internal/operator/replace.go
+++ b/internal/operator/replace.go
@@ -90,7 +90,7 @@
 	if err := s.check(d); err != nil {
 		return nil, err
 	}
-	o := orderlog.Of(d)
+	o := orderlog.OrderOf(d)
 	for {
 		a, err := s.try(ctx, d, o)
 		if err == nil || settled[apierror.From(err).Code] {
@@ -118,12 +118,12 @@
 	}
 	cur, log := c.value.current, c.value.log
 	switch {
-	case log.Holds(o) && o.Sequence == cur.Sequence:
+	case log.Contains(o) && o.Sequence == cur.Sequence:
 		return s.accepted(cur), nil
-	case log.Holds(o):
+	case log.Contains(o):
 		return &Accepted{Sequence: o.Sequence}, nil
-	case !log.Knows(o):
-		return nil, apierror.New(apierror.OutcomeUnknown, "which orders were accepted up to %d is no longer known; current is %d", log.Forgotten, cur.Sequence).WithCurrent(cur.Sequence)
+	case !log.Covers(o):
+		return nil, apierror.New(apierror.OutcomeUnknown, "which orders were accepted up to %d is no longer known; current is %d", log.ForgottenThrough, cur.Sequence).WithCurrent(cur.Sequence)
 	case cur.Sequence != d.Base:
 		return nil, c.refuse(apierror.ConfigurationConflict, "the description builds on %d, current is %d", d.Base, cur.Sequence).WithCurrent(cur.Sequence)
 	}
@@ -135,7 +135,7 @@
 	if len(body) > configuration.MaxEncodedBytes {
 		return nil, apierror.New(apierror.Oversize, "the description takes %d bytes with its source, the limit is %d", len(body), configuration.MaxEncodedBytes)
 	}
-	q := &register.ChangeRequest{Key: quorumread.ConfigurationKey, BaseVersion: c.value.writes, ChangeID: o.Name(), Body: body, Metadata: log.With(o).Pack()}
+	q := &register.ChangeRequest{Key: quorumread.ConfigurationKey, BaseVersion: c.value.writes, ChangeID: o.ChangeID(), Body: body, Metadata: log.Append(o).Marshal()}
 	if _, err := s.Client.Write(ctx, q); err != nil {
 		return nil, err
 	}
@@ -157,7 +157,7 @@
 		return r, apierror.Wrap(apierror.Internal, err, "read the current description")
 	}
 	if len(v.Metadata) == 0 {
-		r.log = orderlog.Since(r.current)
+		r.log = orderlog.StartAt(r.current)
 		return r, nil
 	}
 	r.log, err = orderlog.Parse(v.Metadata)
