--- a/internal/httpapi/door.go
+++ b/internal/httpapi/door.go
@@ -51,7 +51,9 @@
 	d.add("/v1/status", map[string]call{"GET": func(_ http.ResponseWriter, r *http.Request) (any, error) { return d.Operators.Status(r.Context()) }})
 	d.add("/v1/counters", map[string]call{"GET": func(_ http.ResponseWriter, r *http.Request) (any, error) { return d.Operators.Counters(), nil }})
 	d.add("/v1/usage", map[string]call{"GET": func(_ http.ResponseWriter, r *http.Request) (any, error) { return d.Operators.Usage(r.Context()) }})
-	d.add("/v1/drain", map[string]call{"GET": func(_ http.ResponseWriter, r *http.Request) (any, error) { return d.Operators.Drains(r.Context()) }, "POST": d.drain})
+	d.add("/v1/drain", map[string]call{"GET": func(_ http.ResponseWriter, r *http.Request) (any, error) {
+		return d.Operators.ListDecommissions(r.Context())
+	}, "POST": d.drain})
 	d.add("/v1/partition", map[string]call{"GET": d.partition})
 	d.add("/v1/why", map[string]call{"GET": d.why})
 	d.mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
@@ -258,7 +260,7 @@
 }
 
 func (d *Door) readDescription(_ http.ResponseWriter, r *http.Request) (any, error) {
-	return d.Operators.Description(r.Context())
+	return d.Operators.ReadConfiguration(r.Context())
 }
 
 func (d *Door) putDescription(w http.ResponseWriter, r *http.Request) (any, error) {
@@ -276,7 +278,7 @@
 	if err := document(w, r, drainShape, &q); err != nil {
 		return nil, err
 	}
-	return d.Operators.Drain(r.Context(), q.Node)
+	return d.Operators.Decommission(r.Context(), q.Node)
 }
 
 func (d *Door) partition(_ http.ResponseWriter, r *http.Request) (any, error) {
@@ -295,7 +297,7 @@
 	if err != nil {
 		return nil, apierror.New(apierror.Malformed, "call_seq must be a number from 1, is %q", q.Get("call_seq"))
 	}
-	return d.Operators.Why(r.Context(), q.Get("visitor"), q.Get("topic"), n)
+	return d.Operators.Explain(r.Context(), q.Get("visitor"), q.Get("topic"), n)
 }
 
 // Server makes the HTTP server of a door.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -361,7 +361,7 @@
 			n.House.Away(to)
 		},
 	}
-	n.Operators = &operator.Service{Clock: n.w.Clock, Bounds: b, Net: n.w.Net, Client: n.client, Board: n.Board, View: n.View, Info: n.Info, Licensed: n.keeper.CheckLease, With: n.keeper.ControlNode, Owners: n.owners.Views, Uses: n.desk.Usage, Marks: n.desk.Marks, Tallies: n.tallies, Trace: n.desk.Trace, Turned: n.askTurned, Log: n.log}
+	n.Operators = &operator.Service{Clock: n.w.Clock, Timing: b, Net: n.w.Net, Client: n.client, Store: n.Board, View: n.View, Info: n.Info, CheckLease: n.keeper.CheckLease, ControlNode: n.keeper.ControlNode, Leaders: n.owners.Views, TopicUsage: n.desk.Usage, Tombstones: n.desk.Marks, CountersByPart: n.tallies, Trace: n.desk.Trace, Rejections: n.askTurned, Log: n.log}
 }
 
 // deciders gives the addresses of the other machines that records name as owners.
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -26,8 +26,8 @@
 	return drainList{v.Version, l}, err
 }
 
-// Drains lists the machines that are being or were emptied.
-func (s *Service) Drains(ctx context.Context) (any, error) {
+// ListDecommissions lists the machines that are being or were emptied.
+func (s *Service) ListDecommissions(ctx context.Context) (any, error) {
 	ctx, stop := s.limit(ctx)
 	defer stop()
 	c, err := readAs(ctx, s, decommission.Key, parseDrains)
@@ -37,8 +37,8 @@
 	return map[string]any{"drains": c.value.list.Sorted()}, nil
 }
 
-// Emptying tells how far the emptying of a machine is. One that held nothing when it was asked for counts as done.
-func (s *Service) Emptying(ctx context.Context, node string) (decommission.Order, error) {
+// DecommissionStatus tells how far the emptying of a machine is. One that held nothing when it was asked for counts as done.
+func (s *Service) DecommissionStatus(ctx context.Context, node string) (decommission.Order, error) {
 	ctx, stop := s.limit(ctx)
 	defer stop()
 	c, err := readAs(ctx, s, decommission.Key, parseDrains)
@@ -58,9 +58,9 @@
 	return decommission.Order{}, c.refuse(apierror.UnknownNode, "the emptying of %q was not asked for", node)
 }
 
-// Drain asks for a machine to be emptied. The order is recorded and carried out whoever has the placement duty. The same
+// Decommission asks for a machine to be emptied. The order is recorded and carried out whoever has the placement duty. The same
 // order again is a yes, or already_empty once it is done.
-func (s *Service) Drain(ctx context.Context, node string) (any, error) {
+func (s *Service) Decommission(ctx context.Context, node string) (any, error) {
 	ctx, stop := s.limit(ctx)
 	defer stop()
 	for {
@@ -86,7 +86,7 @@
 			s.Log.Say(event.DrainAsked, "node", node, "partitions", x.RemainingRecords)
 			return x, nil
 		}
-		again := apierror.HasCode(err, apierror.StaleBase) || apierror.HasCode(err, apierror.StaleVoterSet) && s.Clock.Sleep(ctx, s.Bounds.MaxBackoff()) == nil
+		again := apierror.HasCode(err, apierror.StaleBase) || apierror.HasCode(err, apierror.StaleVoterSet) && s.Clock.Sleep(ctx, s.Timing.MaxBackoff()) == nil
 		if !again || ctx.Err() != nil {
 			return nil, outcome(true, err)
 		}
@@ -119,7 +119,7 @@
 		x.Done = true
 		return x, all.refuse(apierror.AlreadyEmpty, "%s holds no partition", node)
 	}
-	rest, needed := serving(all.value, drains.value.list, node), s.Board.VoterSet().Layout.ReplicationFactor()
+	rest, needed := serving(all.value, drains.value.list, node), s.Store.VoterSet().Layout.ReplicationFactor()
 	if rest < needed {
 		return x, all.refuse(apierror.DecommissionUnsafe, "without %s only %d machines with disks serve, %d are needed to bear a loss", node, rest, needed)
 	}
@@ -138,7 +138,7 @@
 // holdings counts the records that name a machine.
 func (s *Service) holdings(ctx context.Context, node string) (c confirmed[int], err error) {
 	var ps []int
-	for p := range s.Board.VoterSet().Layout.PartitionCount() {
+	for p := range s.Store.VoterSet().Layout.PartitionCount() {
 		ps = append(ps, p)
 	}
 	for _, a := range quorum.Gather(ctx, ps, func(ctx context.Context, p int) (confirmed[bool], error) {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -30,22 +30,22 @@
 
 // Service serves operators on one node.
 type Service struct {
-	Clock    clock.Clock
-	Bounds   settings.Timing
-	Net      wire.Network
-	Client   *registerclient.Client
-	Board    *gossip.Store
-	View     *membership.View
-	Info     func() membership.Info
-	Licensed func() error
-	With     func() string
-	Owners   func() []leader.View
-	Uses     func(ctx context.Context, p int) ([]leader.Use, error)
-	Marks    func(ctx context.Context, p int) (*leader.MarksView, error)
-	Tallies  func() map[string]any
-	Trace    func(ctx context.Context, p int, q *router.TraceRequest) (*router.Traced, error)
-	Turned   func(ctx context.Context, i membership.Info, q rejections.Task) ([]rejections.Note, error)
-	Log      *event.Logger
+	Clock          clock.Clock
+	Timing         settings.Timing
+	Net            wire.Network
+	Client         *registerclient.Client
+	Store          *gossip.Store
+	View           *membership.View
+	Info           func() membership.Info
+	CheckLease     func() error
+	ControlNode    func() string
+	Leaders        func() []leader.View
+	TopicUsage     func(ctx context.Context, p int) ([]leader.Use, error)
+	Tombstones     func(ctx context.Context, p int) (*leader.MarksView, error)
+	CountersByPart func() map[string]any
+	Trace          func(ctx context.Context, p int, q *router.TraceRequest) (*router.Traced, error)
+	Rejections     func(ctx context.Context, i membership.Info, q rejections.Task) ([]rejections.Note, error)
+	Log            *event.Logger
 
 	reader atomic.Pointer[Reader]
 }
@@ -53,28 +53,28 @@
 const deadlineShare = 3
 
 func (s *Service) limit(ctx context.Context) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, deadlineShare*s.Bounds.CallTimeout())
+	return context.WithTimeout(ctx, deadlineShare*s.Timing.CallTimeout())
 }
 
 // Status is what a node knows of the fleet.
 type Status struct {
-	Node        membership.Info     `json:"node"`
-	Control     string              `json:"session_with"`
-	Licensed    bool                `json:"licensed"`
-	Fleet       string              `json:"fleet"`
-	Description uint64              `json:"description"`
-	Roster      voters.Set          `json:"roster"`
-	Members     []membership.Info   `json:"members"`
-	Partitions  []assignment.Record `json:"partitions"`
-	Owned       []leader.View       `json:"owned"`
+	Node          membership.Info     `json:"node"`
+	Control       string              `json:"session_with"`
+	HoldsLease    bool                `json:"licensed"`
+	Fleet         string              `json:"fleet"`
+	Configuration uint64              `json:"description"`
+	VoterSet      voters.Set          `json:"roster"`
+	Members       []membership.Info   `json:"members"`
+	Partitions    []assignment.Record `json:"partitions"`
+	Leading       []leader.View       `json:"owned"`
 }
 
 // Status gives this node's view.
 func (s *Service) Status(context.Context) (any, error) {
-	r := s.Board.VoterSet()
-	st := Status{Node: s.Info(), Control: s.With(), Licensed: s.Licensed() == nil, Fleet: r.Fleet, Description: s.Board.Configuration().Sequence, Roster: r, Members: s.View.All(), Owned: s.Owners()}
+	r := s.Store.VoterSet()
+	st := Status{Node: s.Info(), Control: s.ControlNode(), HoldsLease: s.CheckLease() == nil, Fleet: r.Fleet, Configuration: s.Store.Configuration().Sequence, VoterSet: r, Members: s.View.All(), Leading: s.Leaders()}
 	for p := range r.Layout.PartitionCount() {
-		x := s.Board.Record(p)
+		x := s.Store.Record(p)
 		x.Partition = p
 		x.History = nil
 		st.Partitions = append(st.Partitions, x)
@@ -87,10 +87,10 @@
 	ctx, stop := s.limit(ctx)
 	defer stop()
 	var ps []int
-	for p := range s.Board.VoterSet().Layout.PartitionCount() {
+	for p := range s.Store.VoterSet().Layout.PartitionCount() {
 		ps = append(ps, p)
 	}
-	as := quorum.Gather(ctx, ps, s.Uses, nil)
+	as := quorum.Gather(ctx, ps, s.TopicUsage, nil)
 	if err := quorum.FirstError(as); err != nil || len(as) < len(ps) {
 		return nil, apierror.WithCause(apierror.NoPartitionLeader, err, "usage of all partitions")
 	}
@@ -109,7 +109,7 @@
 
 // named splits the full name of a topic into its space and the rest; of a topic by prefix, and of one that no space has, the whole is given.
 func (s *Service) named(topic string) (space, rest string) {
-	sp, err := s.Board.Index().Find(topic)
+	sp, err := s.Store.Index().Find(topic)
 	if err == nil && sp.ByPrefix() {
 		return sp.Name, topic
 	}
@@ -121,10 +121,10 @@
 }
 
 // Counters gives this node's counts.
-func (s *Service) Counters() any { return s.Tallies() }
+func (s *Service) Counters() any { return s.CountersByPart() }
 
-// Detail is one partition's record with its history, and which withdrawals stand there, as far as its owner answers.
-type Detail struct {
+// PartitionDetail is one partition's record with its history, and which withdrawals stand there, as far as its owner answers.
+type PartitionDetail struct {
 	Topic  string            `json:"topic,omitempty"`
 	Urgent bool              `json:"urgent"`
 	Record assignment.Record `json:"record"`
@@ -134,10 +134,10 @@
 
 // Partition reads one partition's record, named by number or by a topic of it.
 func (s *Service) Partition(ctx context.Context, n, topic string) (any, error) {
-	l := s.Board.VoterSet().Layout
+	l := s.Store.VoterSet().Layout
 	p, err := strconv.Atoi(n)
 	if topic != "" {
-		sp, e := s.Board.Index().Find(topic)
+		sp, e := s.Store.Index().Find(topic)
 		if e != nil {
 			return nil, e
 		}
@@ -152,9 +152,9 @@
 	if err != nil {
 		return nil, err
 	}
-	d := Detail{Topic: topic, Urgent: partition.Urgent(p, l), Record: c.value}
-	cx, end := context.WithTimeout(ctx, s.Bounds.CallTimeout())
+	d := PartitionDetail{Topic: topic, Urgent: partition.Urgent(p, l), Record: c.value}
+	cx, end := context.WithTimeout(ctx, s.Timing.CallTimeout())
 	defer end()
-	d.Withdrawn, _ = s.Marks(cx, p)
+	d.Withdrawn, _ = s.Tombstones(cx, p)
 	return d, nil
 }
--- a/internal/operator/quorum.go
+++ b/internal/operator/quorum.go
@@ -29,7 +29,7 @@
 // readAs reads a control key by quorum. While the voters change nobody can tell, and it asks again.
 func readAs[T any](ctx context.Context, s *Service, key string, parse func(acceptor.Value) (T, error)) (c confirmed[T], err error) {
 	v, err := s.Client.Read(ctx, key)
-	for apierror.HasCode(err, apierror.StaleVoterSet) && s.Clock.Sleep(ctx, s.Bounds.MaxBackoff()) == nil {
+	for apierror.HasCode(err, apierror.StaleVoterSet) && s.Clock.Sleep(ctx, s.Timing.MaxBackoff()) == nil {
 		v, err = s.Client.Read(ctx, key)
 	}
 	if err != nil {
@@ -43,8 +43,8 @@
 
 // askMajority asks the control nodes which machines they know until a majority of the voters has answered.
 func (s *Service) askMajority(ctx context.Context) (c confirmed[machines], err error) {
-	r := s.Board.VoterSet()
-	cx, stop := context.WithTimeout(ctx, s.Bounds.CallTimeout())
+	r := s.Store.VoterSet()
+	cx, stop := context.WithTimeout(ctx, s.Timing.CallTimeout())
 	defer stop()
 	as := quorum.Gather(cx, r.Voters, s.known, func(as []quorum.Result[voters.Voter, []membership.Info]) bool {
 		return len(quorum.Successes(as)) >= r.Majority()
--- a/internal/operator/replace.go
+++ b/internal/operator/replace.go
@@ -15,15 +15,15 @@
 	"postjunction/internal/operator/orderlog"
 )
 
-// Accepted is the answer to an accepted description. KeptLanes names what stands in another lane than its space asks for.
-type Accepted struct {
+// Acceptance is the answer to an accepted description. KeptLanes names what stands in another lane than its space asks for.
+type Acceptance struct {
 	Sequence  uint64               `json:"sequence"`
 	KeptLanes []configuration.Lane `json:"kept_lanes,omitempty"`
 }
 
-// Description reads the current description back, confirmed by a majority.
-func (s *Service) Description(ctx context.Context) (any, error) {
-	d, err := s.Current(ctx)
+// ReadConfiguration reads the current description back, confirmed by a majority.
+func (s *Service) ReadConfiguration(ctx context.Context) (any, error) {
+	d, err := s.CurrentConfiguration(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -31,8 +31,8 @@
 	return json.RawMessage(d.Marshal()), nil
 }
 
-// Current gives the current description, confirmed by a majority.
-func (s *Service) Current(ctx context.Context) (configuration.Config, error) {
+// CurrentConfiguration gives the current description, confirmed by a majority.
+func (s *Service) CurrentConfiguration(ctx context.Context) (configuration.Config, error) {
 	ctx, stop := s.limit(ctx)
 	defer stop()
 	c, err := readAs(ctx, s, quorumread.ConfigurationKey, parseRegister)
@@ -65,12 +65,12 @@
 // accepted. The very same order again is a yes for good, also when others were accepted on top of it, as far as the
 // register remembers; past that the outcome is unknown and never a refusal. Where the outcome of a try is not known it
 // is asked for until the context ends.
-func (s *Service) Replace(ctx context.Context, d configuration.Config) (*Accepted, error) {
+func (s *Service) Replace(ctx context.Context, d configuration.Config) (*Acceptance, error) {
 	return s.report(s.replace(ctx, d.Normalized(), false))
 }
 
 // report logs the outcome of an order.
-func (s *Service) report(a *Accepted, err error) (*Accepted, error) {
+func (s *Service) report(a *Acceptance, err error) (*Acceptance, error) {
 	if err != nil {
 		s.Log.Say(event.DescriptionFault, "problem", err)
 		return nil, err
@@ -86,7 +86,7 @@
 var settled = map[apierror.Code]bool{apierror.ConfigurationConflict: true, apierror.ConfigurationInvalid: true, apierror.OutcomeUnknown: true, apierror.Oversize: true}
 
 // replace tries an order until its outcome is known. doubt tells that an earlier try may have been accepted.
-func (s *Service) replace(ctx context.Context, d configuration.Config, doubt bool) (*Accepted, error) {
+func (s *Service) replace(ctx context.Context, d configuration.Config, doubt bool) (*Acceptance, error) {
 	if err := s.check(d); err != nil {
 		return nil, err
 	}
@@ -103,7 +103,7 @@
 		if !doubt && !apierror.HasCode(err, apierror.StaleVoterSet) {
 			return nil, err
 		}
-		if e := s.Clock.Sleep(ctx, s.Bounds.MaxBackoff()); e != nil {
+		if e := s.Clock.Sleep(ctx, s.Timing.MaxBackoff()); e != nil {
 			return nil, outcome(doubt, err)
 		}
 	}
@@ -111,7 +111,7 @@
 
 // try reads the register by quorum and, where the order builds on what stands there, changes it on the count that was
 // read. All tries of an order share the change's name, so the register takes it once.
-func (s *Service) try(ctx context.Context, d configuration.Config, o orderlog.Order) (*Accepted, error) {
+func (s *Service) try(ctx context.Context, d configuration.Config, o orderlog.Order) (*Acceptance, error) {
 	c, err := readAs(ctx, s, quorumread.ConfigurationKey, parseRegister)
 	if err != nil {
 		return nil, err
@@ -121,7 +121,7 @@
 	case log.Contains(o) && o.Sequence == cur.Sequence:
 		return s.accepted(cur), nil
 	case log.Contains(o):
-		return &Accepted{Sequence: o.Sequence}, nil
+		return &Acceptance{Sequence: o.Sequence}, nil
 	case !log.Covers(o):
 		return nil, apierror.New(apierror.OutcomeUnknown, "which orders were accepted up to %d is no longer known; current is %d", log.ForgottenThrough, cur.Sequence).WithCurrent(cur.Sequence)
 	case cur.Sequence != d.Base:
@@ -168,7 +168,7 @@
 func (s *Service) check(d configuration.Config) error {
 	f := d.Faults()
 	for i, x := range d.Spaces {
-		if most := uint64(s.Bounds.MaxRetention().Milliseconds()); x.RetentionMS > most {
+		if most := uint64(s.Timing.MaxRetention().Milliseconds()); x.RetentionMS > most {
 			f = append(f, apierror.Fault{Path: fmt.Sprintf("$.spaces[%d].keep_ms", i), Message: fmt.Sprintf("must be at most ten times the fleet's keeping (%d), is %d", most, x.RetentionMS)})
 		}
 	}
@@ -184,7 +184,7 @@
 	return p
 }
 
-func (s *Service) accepted(d configuration.Config) *Accepted {
-	s.Board.Apply(gossip.Update{Configuration: &d})
-	return &Accepted{Sequence: d.Sequence, KeptLanes: d.KeptLanes()}
+func (s *Service) accepted(d configuration.Config) *Acceptance {
+	s.Store.Apply(gossip.Update{Configuration: &d})
+	return &Acceptance{Sequence: d.Sequence, KeptLanes: d.KeptLanes()}
 }
--- a/internal/operator/submit.go
+++ b/internal/operator/submit.go
@@ -19,9 +19,9 @@
 // SubmitRequest hands an operator's own document over to a control node, deflated. By is the change's name for older
 // builds, which take a change without one for a repeat; in this build the name follows from the order itself.
 type SubmitRequest struct {
-	Base uint64 `json:"b"`
-	By   string `json:"n"`
-	Doc  []byte `json:"d"`
+	Base     uint64 `json:"b"`
+	ChangeID string `json:"n"`
+	Doc      []byte `json:"d"`
 }
 
 // SubmitResponse is the answer to an accepted document.
@@ -55,7 +55,7 @@
 	if err != nil {
 		return false, err
 	}
-	sent, err := registerclient.ForwardOnce(ctx, s.Client, Submit, &SubmitRequest{Base: base, By: registerclient.NewChangeID(), Doc: b})
+	sent, err := registerclient.ForwardOnce(ctx, s.Client, Submit, &SubmitRequest{Base: base, ChangeID: registerclient.NewChangeID(), Doc: b})
 	return sent && !apierror.HasCode(err, apierror.NotReady), err
 }
 
--- a/internal/operator/why.go
+++ b/internal/operator/why.go
@@ -12,39 +12,41 @@
 	"postjunction/internal/quorum"
 )
 
-// Why is what the fleet knows of a visitor's call: what the ledger decided, and which nodes turned it away and why.
-type Why struct {
-	Visitor string            `json:"visitor"`
-	Topic   string            `json:"topic"`
-	Call    uint64            `json:"call_seq"`
-	Ledger  *router.Traced    `json:"ledger,omitempty"`
-	Problem *apierror.Error   `json:"ledger_problem,omitempty"`
-	Turned  []rejections.Note `json:"turned_away"`
-	Whole   bool              `json:"whole"`
+// Explanation is what the fleet knows of a visitor's call: what the ledger decided, and which nodes turned it away and why.
+type Explanation struct {
+	Client     string            `json:"visitor"`
+	Topic      string            `json:"topic"`
+	Call       uint64            `json:"call_seq"`
+	Ledger     *router.Traced    `json:"ledger,omitempty"`
+	Problem    *apierror.Error   `json:"ledger_problem,omitempty"`
+	Rejections []rejections.Note `json:"turned_away"`
+	Complete   bool              `json:"whole"`
 }
 
-// Why explains a call after the fact.
-func (s *Service) Why(ctx context.Context, visitor, topic string, call uint64) (any, error) {
+// Explain explains a call after the fact.
+func (s *Service) Explain(ctx context.Context, visitor, topic string, call uint64) (any, error) {
 	if visitor == "" || topic == "" || call == 0 {
 		return nil, apierror.New(apierror.Malformed, "name the visitor, the topic and the call_seq, which begins at 1")
 	}
 	ctx, stop := s.limit(ctx)
 	defer stop()
-	w := &Why{Visitor: visitor, Topic: topic, Call: call, Whole: true, Turned: []rejections.Note{}}
-	sp, err := s.Board.Index().Find(topic)
+	w := &Explanation{Client: visitor, Topic: topic, Call: call, Complete: true, Rejections: []rejections.Note{}}
+	sp, err := s.Store.Index().Find(topic)
 	if err == nil {
-		w.Ledger, err = s.Trace(ctx, partition.Of(topic, sp.Urgent, s.Board.VoterSet().Layout), &router.TraceRequest{Visitor: visitor, Topic: topic, Call: call})
+		w.Ledger, err = s.Trace(ctx, partition.Of(topic, sp.Urgent, s.Store.VoterSet().Layout), &router.TraceRequest{Visitor: visitor, Topic: topic, Call: call})
 	}
 	if err != nil {
 		w.Problem = apierror.From(err)
 	}
 	q := rejections.Task{Visitor: visitor, Topic: topic, Call: call}
-	for _, a := range quorum.Gather(ctx, s.View.All(), func(ctx context.Context, i membership.Info) ([]rejections.Note, error) { return s.Turned(ctx, i, q) }, nil) {
-		w.Whole = w.Whole && a.Err == nil
-		w.Turned = append(w.Turned, a.Value...)
+	for _, a := range quorum.Gather(ctx, s.View.All(), func(ctx context.Context, i membership.Info) ([]rejections.Note, error) {
+		return s.Rejections(ctx, i, q)
+	}, nil) {
+		w.Complete = w.Complete && a.Err == nil
+		w.Rejections = append(w.Rejections, a.Value...)
 	}
-	slices.SortFunc(w.Turned, func(a, b rejections.Note) int { return a.At.Compare(b.At) })
-	if len(w.Turned) == 0 && w.Whole && w.Ledger != nil && w.Ledger.Last < call {
+	slices.SortFunc(w.Rejections, func(a, b rejections.Note) int { return a.At.Compare(b.At) })
+	if len(w.Rejections) == 0 && w.Complete && w.Ledger != nil && w.Ledger.Last < call {
 		return nil, apierror.New(apierror.UnknownCall, "no node remembers call %d of %s on %s, and the ledger has taken up to %d", call, visitor, topic, w.Ledger.Last).WithCurrent(w.Ledger.Last)
 	}
 	return w, nil
--- a/internal/testing/sim/astray_test.go
+++ b/internal/testing/sim/astray_test.go
@@ -102,7 +102,7 @@
 		entertain(t, pairs, seed, awake, 12, func(t *testing.T, w *World, g *Guests) {
 			by, core := map[string][]string{}, ""
 			for _, n := range w.Names {
-				if c := w.Machines[n].Node().Operators.With(); n[0] == 'a' {
+				if c := w.Machines[n].Node().Operators.ControlNode(); n[0] == 'a' {
 					if by[c] = append(by[c], n); len(by[c]) > len(by[core]) {
 						core = c
 					}
--- a/internal/testing/sim/blows.go
+++ b/internal/testing/sim/blows.go
@@ -162,7 +162,7 @@
 		n, lost := w.pick(r, "s"), r.IntN(2) == 0
 		w.note("drain")
 		asked := w.ask(w.pick(r, "c"), w.Site.Bounds.Recovery, func(ctx context.Context, x *node.Node) error {
-			_, err := x.Operators.Drain(ctx, n)
+			_, err := x.Operators.Decommission(ctx, n)
 			return err
 		}) == nil
 		return func() {
--- a/internal/testing/sim/description_test.go
+++ b/internal/testing/sim/description_test.go
@@ -118,7 +118,7 @@
 				for _, n := range w.Names {
 					assert.DeepEqual(t, w.Machines[n].Node().Board.Configuration(), bare)
 				}
-				got, err := w.Machines["a1"].Node().Operators.Current(w.ctx)
+				got, err := w.Machines["a1"].Node().Operators.CurrentConfiguration(w.ctx)
 				assert.NilError(t, err)
 				assert.DeepEqual(t, got, want)
 				base = want.Sequence
@@ -158,7 +158,7 @@
 			_, err = w.Put("c2", doc)
 			assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationConflict), "%s: %v", doc, err)
 		}
-		got, err := w.Machines["s1"].Node().Operators.Current(w.ctx)
+		got, err := w.Machines["s1"].Node().Operators.CurrentConfiguration(w.ctx)
 		assert.NilError(t, err)
 		assert.Equal(t, got.Source, "second")
 	})
@@ -281,7 +281,7 @@
 				calls, _, _ := follow(w, "c2", attach(t, w, "c2", "w"+n).Token, cursor, []string{n}, 2*time.Second)
 				assert.DeepEqual(t, calls, []uint64{1, 2, 3, 4, 5, 6, 7, 8})
 			}
-			d, err := w.Machines["a1"].Node().Operators.Description(w.ctx)
+			d, err := w.Machines["a1"].Node().Operators.ReadConfiguration(w.ctx)
 			assert.NilError(t, err)
 			assert.Assert(t, !strings.Contains(fmt.Sprintf("%s", d), `"lanes"`), "the table is the fleet's")
 		})
@@ -340,7 +340,7 @@
 				w.LosePower("c1", false)
 				assert.NilError(t, w.Start("c1"))
 				assert.NilError(t, w.Settle(20*time.Second))
-				got, err := w.Machines["c2"].Node().Operators.Current(w.ctx)
+				got, err := w.Machines["c2"].Node().Operators.CurrentConfiguration(w.ctx)
 				assert.NilError(t, err)
 				assert.Assert(t, got.Equal(d))
 			})
--- a/internal/testing/sim/drain_test.go
+++ b/internal/testing/sim/drain_test.go
@@ -41,7 +41,7 @@
 }
 
 func (w *World) askDrain(n string) error {
-	_, err := w.Machines["a1"].Node().Operators.Drain(w.ctx, n)
+	_, err := w.Machines["a1"].Node().Operators.Decommission(w.ctx, n)
 	return err
 }
 
--- a/internal/testing/sim/founding_test.go
+++ b/internal/testing/sim/founding_test.go
@@ -134,7 +134,7 @@
 		time.Sleep(5 * time.Second)
 		assert.NilError(t, w.Start("a3"))
 		at := time.Now()
-		assert.NilError(t, w.Until(time.Second, "a3 has a session", func() bool { return w.Machines["a3"].Node().Operators.With() != "" }))
+		assert.NilError(t, w.Until(time.Second, "a3 has a session", func() bool { return w.Machines["a3"].Node().Operators.ControlNode() != "" }))
 		t.Logf("a session after %s", time.Since(at))
 	})
 }
--- a/internal/testing/sim/load_test.go
+++ b/internal/testing/sim/load_test.go
@@ -27,7 +27,7 @@
 			continue
 		}
 		m[n] = 0
-		for _, v := range w.Machines[n].Node().Operators.Owners() {
+		for _, v := range w.Machines[n].Node().Operators.Leaders() {
 			m[n] += v.Tally.Taken
 		}
 	}
--- a/internal/testing/sim/measure_test.go
+++ b/internal/testing/sim/measure_test.go
@@ -25,7 +25,7 @@
 	var vs []leader.View
 	for _, m := range w.Machines {
 		if n := m.Node(); n != nil {
-			vs = append(vs, n.Operators.Owners()...)
+			vs = append(vs, n.Operators.Leaders()...)
 		}
 	}
 	return vs
--- a/internal/testing/sim/orders_test.go
+++ b/internal/testing/sim/orders_test.go
@@ -39,7 +39,7 @@
 			_, err = w.Put(w.Names[w.Int(len(w.Names))], load.Numbered(2*n, 2*n+2, "another of the same number"))
 			assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationConflict), "%v", err)
 		}
-		got, err := w.Machines["s1"].Node().Operators.Current(w.ctx)
+		got, err := w.Machines["s1"].Node().Operators.CurrentConfiguration(w.ctx)
 		assert.NilError(t, err)
 		assert.Equal(t, got.Sequence, uint64(12), "what is acknowledged again comes into force again")
 	})
@@ -112,7 +112,7 @@
 	var got orders.Order
 	call := time.Now()
 	err := o.w.ask(o.node(), patience, func(ctx context.Context, n *node.Node) error {
-		d, err := n.Operators.Current(ctx)
+		d, err := n.Operators.CurrentConfiguration(ctx)
 		got = orders.Order{Base: d.Base, Sequence: d.Sequence, ID: d.Source}
 		return err
 	})
--- a/internal/testing/sim/retire_test.go
+++ b/internal/testing/sim/retire_test.go
@@ -21,7 +21,7 @@
 	var x decommission.Order
 	err := w.ask(at, w.Site.Bounds.CallTimeout(), func(ctx context.Context, k *node.Node) error {
 		var e error
-		x, e = k.Operators.Emptying(ctx, n)
+		x, e = k.Operators.DecommissionStatus(ctx, n)
 		return e
 	})
 	if err != nil {
@@ -154,7 +154,7 @@
 					_, err := w.emptying(cut, n)
 					assert.Assert(t, unclear(err), "the emptying of %s: %v", n, err)
 					err = w.ask(cut, 2*w.Site.Bounds.CallTimeout(), func(ctx context.Context, k *node.Node) error {
-						_, err := k.Operators.Drain(ctx, n)
+						_, err := k.Operators.Decommission(ctx, n)
 						return err
 					})
 					assert.Assert(t, unclear(err), "to empty %s: %v", n, err)
@@ -162,7 +162,7 @@
 				_, err := w.Put(cut, load.Describe(1))
 				assert.Assert(t, unclear(err), "an order: %v", err)
 				err = w.ask(cut, 2*w.Site.Bounds.CallTimeout(), func(ctx context.Context, k *node.Node) error {
-					_, err := k.Operators.Current(ctx)
+					_, err := k.Operators.CurrentConfiguration(ctx)
 					return err
 				})
 				assert.Assert(t, unclear(err), "a read: %v", err)
@@ -199,7 +199,7 @@
 			if n == "s2b" {
 				continue
 			}
-			_, err := w.Machines[n].Node().Operators.Drain(w.ctx, "s2b")
+			_, err := w.Machines[n].Node().Operators.Decommission(w.ctx, "s2b")
 			assert.Assert(t, err == nil || apierror.HasCode(err, apierror.AlreadyEmpty), "through %s: %v", n, err)
 		}
 	})
--- a/internal/testing/sim/submit_test.go
+++ b/internal/testing/sim/submit_test.go
@@ -33,7 +33,7 @@
 			base := uint64(0)
 			for range 4 {
 				assert.NilError(t, o.Submit(w.ctx, load.Describe(base), base, read))
-				d, err := o.Current(w.ctx)
+				d, err := o.CurrentConfiguration(w.ctx)
 				assert.NilError(t, err)
 				assert.Equal(t, d.Sequence, base+1)
 				assert.NilError(t, o.Submit(w.ctx, load.Describe(base), base, read), "the same again")
--- a/internal/testing/sim/trim_test.go
+++ b/internal/testing/sim/trim_test.go
@@ -43,7 +43,7 @@
 			assert.Equal(t, w.records()[p].Leader, o, "void: the owner changed")
 			release()
 			late := func() uint64 {
-				for _, v := range w.Machines[o].Node().Operators.Owners() {
+				for _, v := range w.Machines[o].Node().Operators.Leaders() {
 					if v.Partition == p {
 						return v.Input
 					}
--- a/internal/testing/sim/why_test.go
+++ b/internal/testing/sim/why_test.go
@@ -23,19 +23,19 @@
 		assert.Assert(t, apierror.HasCode(err, apierror.CallPassed), "%v", err)
 		_, err = w.Port("s2").Send(w.ctx, tok, "kept/t0", 1, []byte(`"other"`))
 		assert.Assert(t, apierror.HasCode(err, apierror.CallAltered), "%v", err)
-		why := func(call uint64) (*operator.Why, error) {
-			a, err := w.Machines["c2"].Node().Operators.Why(w.ctx, "v", "kept/t0", call)
-			x, _ := a.(*operator.Why)
+		why := func(call uint64) (*operator.Explanation, error) {
+			a, err := w.Machines["c2"].Node().Operators.Explain(w.ctx, "v", "kept/t0", call)
+			x, _ := a.(*operator.Explanation)
 			return x, err
 		}
 		x, err := why(4)
 		assert.NilError(t, err)
-		assert.Assert(t, x.Whole && len(x.Turned) == 1 && !x.Ledger.Taken && !x.Ledger.Forgotten && x.Ledger.Last == 6, "%+v", x)
-		assert.Equal(t, x.Turned[0].Code, string(apierror.CallPassed))
-		assert.Equal(t, x.Turned[0].Node, "a1")
+		assert.Assert(t, x.Complete && len(x.Rejections) == 1 && !x.Ledger.Taken && !x.Ledger.Forgotten && x.Ledger.Last == 6, "%+v", x)
+		assert.Equal(t, x.Rejections[0].Code, string(apierror.CallPassed))
+		assert.Equal(t, x.Rejections[0].Node, "a1")
 		x, err = why(1)
 		assert.NilError(t, err)
-		assert.Assert(t, x.Ledger.Taken && x.Ledger.Offset > 0 && len(x.Turned) == 1 && x.Turned[0].Node == "s2", "%+v", x)
+		assert.Assert(t, x.Ledger.Taken && x.Ledger.Offset > 0 && len(x.Rejections) == 1 && x.Rejections[0].Node == "s2", "%+v", x)
 		_, err = why(9)
 		assert.Assert(t, apierror.HasCode(err, apierror.UnknownCall), "%v", err)
 		_, err = why(0)
@@ -43,6 +43,6 @@
 		w.Kill("s3")
 		x, err = why(4)
 		assert.NilError(t, err)
-		assert.Assert(t, !x.Whole && len(x.Turned) == 1, "an answer without one node says so: %+v", x)
+		assert.Assert(t, !x.Complete && len(x.Rejections) == 1, "an answer without one node says so: %+v", x)
 	})
 }
--- a/internal/testing/sim/world.go
+++ b/internal/testing/sim/world.go
@@ -828,14 +828,14 @@
 				if s == nil || froz {
 					continue
 				}
-				b := s.Door.Operators.Board
+				b := s.Door.Operators.Store
 				for p := range b.VoterSet().Layout.PartitionCount() {
 					for _, x := range b.Record(p).History {
 						w.History.Own(p, x.Epoch, x.Leader)
 					}
 				}
 				if s.Door.Ready() == nil {
-					w.History.Show(fmt.Sprintf("%s#%d", n, run), s.Door.Operators.Board.Configuration().Sequence, time.Now(), w.Site.Bounds.Spread)
+					w.History.Show(fmt.Sprintf("%s#%d", n, run), s.Door.Operators.Store.Configuration().Sequence, time.Now(), w.Site.Bounds.Spread)
 				}
 			}
 			_ = clock.Real{}.Sleep(w.ctx, w.Site.Bounds.HeartbeatInterval()/3)
--- a/internal/testing/transport/port.go
+++ b/internal/testing/transport/port.go
@@ -254,7 +254,7 @@
 
 // Get reads the description's sequence back.
 func (p *Direct) Get(ctx context.Context) (uint64, error) {
-	return p.sequence(ctx, func(n *Services) (any, error) { return n.Door.Operators.Description(ctx) })
+	return p.sequence(ctx, func(n *Services) (any, error) { return n.Door.Operators.ReadConfiguration(ctx) })
 }
 
 // Shows gives the description that the node shows, and whether it serves.
@@ -264,5 +264,5 @@
 		return 0, false, apierror.New(apierror.Unreachable, "the node is down")
 	}
 	ready := n.Door.Ready() == nil
-	return n.Door.Operators.Board.Configuration().Sequence, ready, nil
+	return n.Door.Operators.Store.Configuration().Sequence, ready, nil
 }
