--- a/internal/client/follow.go
+++ b/internal/client/follow.go
@@ -449,13 +449,13 @@
 	}
 	defer end()
 	st.pos[l.p] = e.Offset
-	if e.What == log.Withdraw && st.want[e.Topic] {
+	if e.Type == log.TypeWithdrawal && st.want[e.Topic] {
 		return false, st.emit(Line{Topic: e.Topic, Withdrawn: e.Key, Partition: &l.p, Offset: e.Offset})
 	}
-	if e.What != log.Message || !st.want[e.Topic] || fate == stream.Withdrawn || e.Key != "" && e.Hollow || e.Live && (e.Hollow || e.Offset <= l.live) {
+	if e.Type != log.TypeMessage || !st.want[e.Topic] || fate == stream.Withdrawn || e.Key != "" && e.BodyDropped || e.Live && (e.BodyDropped || e.Offset <= l.live) {
 		return false, nil
 	}
-	return false, st.emit(Line{Topic: e.Topic, From: e.Visitor, Key: e.Key, Call: e.Call, Body: e.Body, Partition: &l.p, Offset: e.Offset})
+	return false, st.emit(Line{Topic: e.Topic, From: e.Client, Key: e.Key, Call: e.CallSeq, Body: e.Body, Partition: &l.p, Offset: e.Offset})
 }
 
 // cut ends the write that is under way.
@@ -519,7 +519,7 @@
 		}
 		for _, e := range w.Entries {
 			st.seen = max(st.seen, e.Offset)
-			if e.What == log.Attach && e.Visitor == st.t.Visitor && e.Generation > st.t.who.Generation {
+			if e.Type == log.TypeAttach && e.Client == st.t.Visitor && e.Generation > st.t.who.Generation {
 				return st.superseded(e.Generation)
 			}
 		}
--- a/internal/client/follow_test.go
+++ b/internal/client/follow_test.go
@@ -34,7 +34,7 @@
 		return nil
 	}}, want: map[string]bool{"s/a": true, "s/gone": true}, urgent: map[string]bool{}, pos: cursor.Cursor{}, index: 1}
 	give := func(o uint64, topic string) {
-		stale, err := st.give(lane{}, log.Entry{Offset: o, What: log.Message, Topic: topic, Body: []byte("1")})
+		stale, err := st.give(lane{}, log.Entry{Offset: o, Type: log.TypeMessage, Topic: topic, Body: []byte("1")})
 		assert.NilError(t, err)
 		assert.Assert(t, !stale)
 	}
@@ -58,7 +58,7 @@
 func (o owners) ReadAs(ctx context.Context, q *leader.ReadRequest) (*leader.Reading, error) {
 	first := q.From == ^uint64(0)
 	if q.Partition == o.urgent && !first && q.From < 8 {
-		return &leader.Reading{To: 8, Epoch: 1, Entries: []log.Entry{{Offset: 8, What: log.Message, Topic: "s/stop", Body: []byte("1")}}}, nil
+		return &leader.Reading{To: 8, Epoch: 1, Entries: []log.Entry{{Offset: 8, Type: log.TypeMessage, Topic: "s/stop", Body: []byte("1")}}}, nil
 	}
 	if first {
 		return &leader.Reading{To: 7, Epoch: 1}, nil
--- a/internal/client/service.go
+++ b/internal/client/service.go
@@ -297,7 +297,7 @@
 // submit has a message or a withdrawal decided.
 func (s *Service) submit(ctx context.Context, t *Task, q *leader.Task) (*leader.Decision, error) {
 	if t.Key != nil {
-		if err := log.Plain("key", *t.Key); err != nil {
+		if err := log.CheckName("key", *t.Key); err != nil {
 			return nil, err
 		}
 		if err := s.Desk.Keys(); err != nil {
--- a/internal/client/session/house.go
+++ b/internal/client/session/house.go
@@ -413,8 +413,8 @@
 		v.out(Answer{What: Joined, Topic: t.Topic, Cursor: Place{p, at}.Pack(fleet)})
 	}
 	s.Give = func(e log.Entry) {
-		a := Answer{What: Message, Topic: e.Topic, Cursor: Place{p, e.Offset}.Pack(fleet), From: e.Visitor, Call: e.Call, Body: e.Body, Key: e.Key, Partition: p, Offset: e.Offset}
-		if e.What == log.Withdraw {
+		a := Answer{What: Message, Topic: e.Topic, Cursor: Place{p, e.Offset}.Pack(fleet), From: e.Client, Call: e.CallSeq, Body: e.Body, Key: e.Key, Partition: p, Offset: e.Offset}
+		if e.Type == log.TypeWithdrawal {
 			a.What, a.Body = Withdrawn, nil
 		}
 		v.out(a)
--- a/internal/client/session/house_test.go
+++ b/internal/client/session/house_test.go
@@ -221,7 +221,7 @@
 		h.said()
 		given := false
 		entry := func(topic string, o uint64) log.Entry {
-			return log.Entry{What: log.Message, Topic: topic, Visitor: "x", Call: o, Offset: o}
+			return log.Entry{Type: log.TypeMessage, Topic: topic, Client: "x", CallSeq: o, Offset: o}
 		}
 		h.src.mu.Lock()
 		h.src.poll = func(q *leader.PollRequest) *leader.Polled {
@@ -262,7 +262,7 @@
 func TestMissedMessagesComeInPartsBeforeNewerOnes(t *testing.T) {
 	enter(t, func(t *testing.T, h *hall, v *Visit) {
 		entry := func(o uint64) log.Entry {
-			return log.Entry{What: log.Message, Topic: "kept/a", Visitor: "x", Call: o, Offset: o}
+			return log.Entry{Type: log.TypeMessage, Topic: "kept/a", Client: "x", CallSeq: o, Offset: o}
 		}
 		polled := uint64(40)
 		h.src.follow = func(q *leader.Want) *leader.Told {
--- a/internal/client/session/withdraw_test.go
+++ b/internal/client/session/withdraw_test.go
@@ -254,7 +254,7 @@
 			if next++; next > 22 {
 				return nil
 			}
-			return &leader.Polled{Epoch: 1, To: next, Entries: []log.Entry{{What: log.Withdraw, Topic: "kept/a", Key: "k", Visitor: "c", Call: next, Offset: next}}}
+			return &leader.Polled{Epoch: 1, To: next, Entries: []log.Entry{{Type: log.TypeWithdrawal, Topic: "kept/a", Key: "k", Client: "c", CallSeq: next, Offset: next}}}
 		}
 		h.src.mu.Unlock()
 		time.Sleep(settings.DefaultTiming.Spread)
--- a/internal/client/withdraw.go
+++ b/internal/client/withdraw.go
@@ -15,7 +15,7 @@
 		return apierror.New(apierror.Malformed, "of, a sender's name, and upto, its number from 1, go together")
 	}
 	if t.Of != "" {
-		if err := log.Plain("of", t.Of); err != nil {
+		if err := log.CheckName("of", t.Of); err != nil {
 			return err
 		}
 	}
--- a/internal/client/withdraw_test.go
+++ b/internal/client/withdraw_test.go
@@ -43,7 +43,7 @@
 }
 
 func keyed(o uint64, what, key, body string) log.Entry {
-	return log.Entry{Offset: o, What: what, Topic: "s/a", Key: key, Body: []byte(body), Hollow: what == log.Message && body == ""}
+	return log.Entry{Offset: o, Type: what, Topic: "s/a", Key: key, Body: []byte(body), BodyDropped: what == log.TypeMessage && body == ""}
 }
 
 // A stream's window is older than a mark: what it covers is never given, the rest is, and the withdrawal is told.
@@ -53,18 +53,18 @@
 		want       []string
 	}{
 		"withdrawn while it waits in the window": {
-			[]log.Entry{keyed(1, log.Message, "k", `1`), keyed(2, log.Message, "l", `2`), keyed(3, log.Message, "", `3`)},
-			[]log.Entry{keyed(4, log.Withdraw, "k", ""), keyed(5, log.Message, "k", `5`)},
+			[]log.Entry{keyed(1, log.TypeMessage, "k", `1`), keyed(2, log.TypeMessage, "l", `2`), keyed(3, log.TypeMessage, "", `3`)},
+			[]log.Entry{keyed(4, log.TypeWithdrawal, "k", ""), keyed(5, log.TypeMessage, "k", `5`)},
 			[]string{"2 l", "3 ", "-k", "5 k"},
 		},
 		"left out by the owner": {
-			[]log.Entry{keyed(1, log.Message, "k", ""), keyed(2, log.Message, "l", `2`)},
-			[]log.Entry{keyed(3, log.Message, "l", `3`)},
+			[]log.Entry{keyed(1, log.TypeMessage, "k", ""), keyed(2, log.TypeMessage, "l", `2`)},
+			[]log.Entry{keyed(3, log.TypeMessage, "l", `3`)},
 			[]string{"2 l", "3 l"},
 		},
 		"a window that is stale is filled anew": {
-			[]log.Entry{keyed(1, log.Message, "k", `1`), keyed(2, log.Message, "l", `2`)},
-			append(many(3, 1100), keyed(1103, log.Withdraw, "k", "")),
+			[]log.Entry{keyed(1, log.TypeMessage, "k", `1`), keyed(2, log.TypeMessage, "l", `2`)},
+			append(many(3, 1100), keyed(1103, log.TypeWithdrawal, "k", "")),
 			[]string{"2 l", "-k"},
 		},
 	} {
@@ -109,7 +109,7 @@
 func many(from uint64, n int) []log.Entry {
 	var es []log.Entry
 	for i := range uint64(n) {
-		es = append(es, keyed(from+i, log.Withdraw, "other"+string(rune('a'+i%26))+string(rune('a'+i/26%26))+string(rune('a'+i/676)), ""))
+		es = append(es, keyed(from+i, log.TypeWithdrawal, "other"+string(rune('a'+i%26))+string(rune('a'+i/26%26))+string(rune('a'+i/676)), ""))
 	}
 	return es
 }
--- a/internal/delivery/fanout/bench_test.go
+++ b/internal/delivery/fanout/bench_test.go
@@ -16,7 +16,7 @@
 	}
 	a := &leader.Polled{}
 	for range 100 {
-		a.Entries = append(a.Entries, log.Entry{What: log.Message, Topic: "a"})
+		a.Entries = append(a.Entries, log.Entry{Type: log.TypeMessage, Topic: "a"})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/delivery/fanout/feed.go
+++ b/internal/delivery/fanout/feed.go
@@ -655,7 +655,7 @@
 		}
 		if e.Key != "" {
 			f.reader = true
-			if e.What == log.Withdraw {
+			if e.Type == log.TypeWithdrawal {
 				m.add(e)
 				f.mark(e)
 			}
@@ -682,11 +682,11 @@
 		f.marks.add(e)
 	}
 	for s := range f.topics[e.Topic] {
-		s.held = slices.DeleteFunc(s.held, func(x log.Entry) bool { return x.What == log.Message && x.Key == e.Key && x.Offset < e.Offset })
+		s.held = slices.DeleteFunc(s.held, func(x log.Entry) bool { return x.Type == log.TypeMessage && x.Key == e.Key && x.Offset < e.Offset })
 	}
 }
 
 // covered tells whether a mark that was read meanwhile covers a message.
 func (f *feed) covered(e log.Entry) bool {
-	return e.Key != "" && e.What == log.Message && f.marks.cover(e.Topic, e.Key, e.Offset)
+	return e.Key != "" && e.Type == log.TypeMessage && f.marks.cover(e.Topic, e.Key, e.Offset)
 }
--- a/internal/delivery/fanout/forget_test.go
+++ b/internal/delivery/fanout/forget_test.go
@@ -58,7 +58,7 @@
 }
 
 func (c *court) covered(e log.Entry) bool {
-	return e.Key != "" && e.What == log.Message && c.marks.cover(e.Topic, e.Key, e.Offset)
+	return e.Key != "" && e.Type == log.TypeMessage && c.marks.cover(e.Topic, e.Key, e.Offset)
 }
 
 // settle gives the yes to withdrawals that all readers have read behind.
@@ -77,12 +77,12 @@
 func (c *court) write() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e := log.Entry{Offset: uint64(len(c.es) + 1), What: log.Message, Topic: []string{"a", "b"}[c.r.IntN(2)], Key: []string{"", "k", "j"}[c.r.IntN(3)]}
+	e := log.Entry{Offset: uint64(len(c.es) + 1), Type: log.TypeMessage, Topic: []string{"a", "b"}[c.r.IntN(2)], Key: []string{"", "k", "j"}[c.r.IntN(3)]}
 	if e.Key != "" && c.r.IntN(3) == 0 {
-		e.What = log.Withdraw
+		e.Type = log.TypeWithdrawal
 	}
 	c.es = append(c.es, e)
-	if e.What == log.Withdraw {
+	if e.Type == log.TypeWithdrawal {
 		c.marks.add(e)
 		c.open = append(c.open, e)
 		c.settle()
@@ -147,10 +147,10 @@
 		c.settle()
 	}
 	a := &leader.Polled{Epoch: 1, To: uint64(len(c.es))}
-	follows := func(e log.Entry) bool { return e.What == log.Message && c.topics[e.Topic] > 0 }
+	follows := func(e log.Entry) bool { return e.Type == log.TypeMessage && c.topics[e.Topic] > 0 }
 	a.Entries = c.gather(q.Boot, q.From, follows)
 	if _, ok := c.readers[q.Boot]; ok {
-		a.Entries = c.gather(q.Boot, q.From, func(e log.Entry) bool { return e.What == log.Withdraw || follows(e) })
+		a.Entries = c.gather(q.Boot, q.From, func(e log.Entry) bool { return e.Type == log.TypeWithdrawal || follows(e) })
 	}
 	if len(a.Entries) == 0 && q.Hold > 0 {
 		return nil
@@ -231,7 +231,7 @@
 		time.Sleep(d)
 		c.mu.Lock()
 		for _, e := range w.fly {
-			if e.What == log.Message && e.Key != "" && c.yes.cover(e.Topic, e.Key, e.Offset) {
+			if e.Type == log.TypeMessage && e.Key != "" && c.yes.cover(e.Topic, e.Key, e.Offset) {
 				c.fault("%s %s at %d was shown after the yes", e.Topic, e.Key, e.Offset)
 			}
 			c.shown++
@@ -260,12 +260,12 @@
 
 func (c *court) Withdraw(_ int, covered Covered) {
 	c.take(true, func(e log.Entry) bool {
-		return e.What == log.Message && e.Key != "" && covered(e.Topic, e.Key, e.Offset)
+		return e.Type == log.TypeMessage && e.Key != "" && covered(e.Topic, e.Key, e.Offset)
 	})
 }
 
 func (c *court) Release(_ int, cut bool) bool {
-	return c.take(cut, func(e log.Entry) bool { return e.What == log.Message && e.Key != "" })
+	return c.take(cut, func(e log.Entry) bool { return e.Type == log.TypeMessage && e.Key != "" })
 }
 
 // visit takes a topic up and drops it again and again, at any cursor.
--- a/internal/delivery/fanout/marks_test.go
+++ b/internal/delivery/fanout/marks_test.go
@@ -107,11 +107,11 @@
 }
 
 func message(at uint64, key string) log.Entry {
-	return log.Entry{Offset: at, What: log.Message, Topic: "a", Key: key}
+	return log.Entry{Offset: at, Type: log.TypeMessage, Topic: "a", Key: key}
 }
 
 func withdrawal(at uint64, key string) log.Entry {
-	return log.Entry{Offset: at, What: log.Withdraw, Topic: "a", Key: key}
+	return log.Entry{Offset: at, Type: log.TypeWithdrawal, Topic: "a", Key: key}
 }
 
 func scripted(t *testing.T, f func(t *testing.T, s *scribe)) {
--- a/internal/delivery/fanout/slow_test.go
+++ b/internal/delivery/fanout/slow_test.go
@@ -46,7 +46,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := settings.DefaultTiming
 		ctx, stop := context.WithCancel(t.Context())
-		s := &thin{takes: 3 * b.MaxBackoff(), back: []log.Entry{{Offset: 4, What: log.Message, Topic: "a"}, {Offset: 7, What: log.Message, Topic: "a"}}}
+		s := &thin{takes: 3 * b.MaxBackoff(), back: []log.Entry{{Offset: 4, Type: log.TypeMessage, Topic: "a"}, {Offset: 7, Type: log.TypeMessage, Topic: "a"}}}
 		h := New(ctx, "a1", "boot", s, gossip.NewStore(nil), clock.Real{}, b)
 		x := h.Sub(0, "a")
 		at := uint64(3)
--- a/internal/delivery/fanout/soon_test.go
+++ b/internal/delivery/fanout/soon_test.go
@@ -31,7 +31,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, t := range topics {
-		s.es = append(s.es, log.Entry{Offset: uint64(len(s.es) + 1), What: log.Message, Topic: t})
+		s.es = append(s.es, log.Entry{Offset: uint64(len(s.es) + 1), Type: log.TypeMessage, Topic: t})
 	}
 }
 
--- a/internal/delivery/stream/feed.go
+++ b/internal/delivery/stream/feed.go
@@ -291,7 +291,7 @@
 	}
 	for _, e := range r.Entries {
 		if e.Offset == d.to+1 {
-			if e.What == log.Withdraw {
+			if e.Type == log.TypeWithdrawal {
 				ws = append(ws, d.forget(e)...)
 			}
 			d.es, d.at, d.to = append(d.es, e), append(d.at, now), e.Offset
@@ -323,9 +323,9 @@
 // under way with what it covers. Where there are too many marks, windows of before are stale as a whole.
 func (d *Feed) forget(m log.Entry) []*writing {
 	for i := range d.es {
-		if e := &d.es[i]; e.What == log.Message && at(*e) == at(m) {
+		if e := &d.es[i]; e.Type == log.TypeMessage && at(*e) == at(m) {
 			d.bytes -= len(e.Body)
-			e.Body, e.Digest, e.Hollow = nil, "", true
+			e.Body, e.Digest, e.BodyDropped = nil, "", true
 		}
 	}
 	if len(d.marks) >= marksMost {
@@ -407,7 +407,7 @@
 // Begin comes right before an entry of a window is given to a visitor. Where it is due, the function returned says that the giving ended; if the entry is withdrawn
 // before that, cut is called from elsewhere: it must not wait, and has the giving end soon.
 func (d *Feed) Begin(w Window, e log.Entry, cut func()) (Fate, func()) {
-	if e.Key == "" || e.What != log.Message {
+	if e.Key == "" || e.Type != log.TypeMessage {
 		return Due, func() {}
 	}
 	d.mu.Lock()
--- a/internal/delivery/stream/feed_test.go
+++ b/internal/delivery/stream/feed_test.go
@@ -64,7 +64,7 @@
 func (c *clerk) write(what, key, body string) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.es = append(c.es, log.Entry{Offset: uint64(len(c.es)) + 1, What: what, Topic: "t", Key: key, Body: []byte(body)})
+	c.es = append(c.es, log.Entry{Offset: uint64(len(c.es)) + 1, Type: what, Topic: "t", Key: key, Body: []byte(body)})
 	close(c.news)
 	c.news = make(chan struct{})
 	return uint64(len(c.es))
@@ -114,17 +114,17 @@
 func TestFeeds(t *testing.T) {
 	for name, f := range map[string]func(x *run){
 		"a withdrawal empties the cache and the windows filled before, and what comes behind it under its key is new": func(x *run) {
-			x.c.write(log.Message, "k", "old")
-			x.c.write(log.Message, "l", "other")
+			x.c.write(log.TypeMessage, "k", "old")
+			x.c.write(log.TypeMessage, "l", "other")
 			synctest.Wait()
 			w := x.held(0)
-			x.c.write(log.Withdraw, "k", "")
-			x.c.write(log.Message, "k", "new")
+			x.c.write(log.TypeWithdrawal, "k", "")
+			x.c.write(log.TypeMessage, "k", "new")
 			synctest.Wait()
 			assert.Equal(x, x.fate(w, 0), Withdrawn)
 			assert.Equal(x, x.fate(w, 1), Due)
 			n := x.held(0)
-			assert.Equal(x, fmt.Sprintf("%s %v", n.Entries[0].Body, n.Entries[0].Hollow), " true")
+			assert.Equal(x, fmt.Sprintf("%s %v", n.Entries[0].Body, n.Entries[0].BodyDropped), " true")
 			assert.Equal(x, string(n.Entries[1].Body)+string(n.Entries[3].Body), "othernew")
 			assert.Equal(x, string(w.Entries[0].Body), "old")
 			assert.Equal(x, x.fate(n, 3), Due)
@@ -133,7 +133,7 @@
 		},
 		"an answer to a question of before is withdrawn when it comes late": func(x *run) {
 			for range 3 {
-				x.c.write(log.Message, "k", "old")
+				x.c.write(log.TypeMessage, "k", "old")
 			}
 			synctest.Wait()
 			x.d.mu.Lock()
@@ -147,7 +147,7 @@
 				got <- w
 			}()
 			synctest.Wait()
-			x.c.write(log.Withdraw, "k", "")
+			x.c.write(log.TypeWithdrawal, "k", "")
 			synctest.Wait()
 			close(x.c.late)
 			w := <-got
@@ -157,14 +157,14 @@
 			assert.Equal(x, at, uint64(4))
 		},
 		"a write that is under way is cut off and over before anything behind the mark is asked for": func(x *run) {
-			x.c.write(log.Message, "k", "old")
-			x.c.write(log.Message, "l", "other")
+			x.c.write(log.TypeMessage, "k", "old")
+			x.c.write(log.TypeMessage, "l", "other")
 			synctest.Wait()
 			w := x.held(0)
 			cut := make(chan bool, 3)
 			_, end := x.d.Begin(w, w.Entries[0], func() { cut <- true })
 			_, spared := x.d.Begin(w, w.Entries[1], func() { cut <- false })
-			x.c.write(log.Withdraw, "k", "")
+			x.c.write(log.TypeWithdrawal, "k", "")
 			synctest.Wait()
 			assert.Equal(x, len(cut), 1)
 			assert.Assert(x, <-cut)
@@ -179,13 +179,13 @@
 			spared()
 		},
 		"past a number of marks windows are filled anew": func(x *run) {
-			x.c.write(log.Message, "k", "old")
-			x.c.write(log.Message, "", "without")
+			x.c.write(log.TypeMessage, "k", "old")
+			x.c.write(log.TypeMessage, "", "without")
 			synctest.Wait()
 			w := x.held(0)
-			x.c.write(log.Withdraw, "k", "")
+			x.c.write(log.TypeWithdrawal, "k", "")
 			for i := range marksMost {
-				x.c.write(log.Withdraw, fmt.Sprint(i), "")
+				x.c.write(log.TypeWithdrawal, fmt.Sprint(i), "")
 			}
 			synctest.Wait()
 			x.d.mu.Lock()
@@ -194,10 +194,10 @@
 			assert.Assert(x, n <= marksMost)
 			assert.Equal(x, x.fate(w, 0), Stale)
 			assert.Equal(x, x.fate(w, 1), Due)
-			assert.Assert(x, x.held(0).Entries[0].Hollow)
+			assert.Assert(x, x.held(0).Entries[0].BodyDropped)
 		},
 		"marks that were passed over make windows stale and cut writes off": func(x *run) {
-			x.c.write(log.Message, "k", "old")
+			x.c.write(log.TypeMessage, "k", "old")
 			synctest.Wait()
 			w := x.held(0)
 			cut := make(chan bool, 1)
@@ -208,7 +208,7 @@
 				}
 				x.c.base = 6
 			})
-			x.c.write(log.Message, "m", "far")
+			x.c.write(log.TypeMessage, "m", "far")
 			synctest.Wait()
 			assert.Equal(x, len(cut), 1)
 			end()
@@ -217,13 +217,13 @@
 			assert.Equal(x, string(x.held(6).Entries[0].Body), "far")
 		},
 		"a reader that was given up lets go of all and goes on under another boot": func(x *run) {
-			x.c.write(log.Message, "k", "old")
+			x.c.write(log.TypeMessage, "k", "old")
 			synctest.Wait()
 			w := x.held(0)
 			cut := make(chan bool, 1)
 			_, end := x.d.Begin(w, w.Entries[0], func() { cut <- true })
 			x.c.set(func() { x.c.clean, x.c.late = map[string]bool{"b.1": true}, make(chan struct{}) })
-			x.c.write(log.Message, "l", "other")
+			x.c.write(log.TypeMessage, "l", "other")
 			synctest.Wait()
 			assert.Equal(x, len(cut), 1)
 			end()
@@ -234,7 +234,7 @@
 			close(x.c.late)
 			synctest.Wait()
 			assert.Equal(x, x.d.To(), uint64(2))
-			x.c.write(log.Message, "m", "new")
+			x.c.write(log.TypeMessage, "m", "new")
 			synctest.Wait()
 			assert.Equal(x, string(x.held(2).Entries[0].Body), "new")
 			x.c.set(func() {
@@ -244,10 +244,10 @@
 		},
 		"nothing is taken from an owner that is known to be superseded": func(x *run) {
 			x.c.set(func() { x.c.epoch = 7 })
-			x.c.write(log.Message, "k", "old")
+			x.c.write(log.TypeMessage, "k", "old")
 			synctest.Wait()
 			x.c.set(func() { x.c.epoch = 6 })
-			x.c.write(log.Message, "k", "older owner's")
+			x.c.write(log.TypeMessage, "k", "older owner's")
 			time.Sleep(time.Second)
 			assert.Equal(x, x.d.To(), uint64(1))
 			x.c.set(func() { x.c.epoch = 8 })
@@ -272,7 +272,7 @@
 		},
 		"the turn that an answer gives is told with the next question": func(x *run) {
 			x.c.set(func() { x.c.turn = 9 })
-			x.c.write(log.Message, "k", "old")
+			x.c.write(log.TypeMessage, "k", "old")
 			synctest.Wait()
 			x.c.set(func() { assert.Check(x, x.c.asked[len(x.c.asked)-1].Turn == 9) })
 		},
--- a/internal/partitionlog/idle/still_test.go
+++ b/internal/partitionlog/idle/still_test.go
@@ -28,19 +28,19 @@
 }
 
 func at(p int) replica.Silent {
-	return replica.Silent{Partition: p, Kind: log.Ledger, Epoch: 2, Last: log.Point{Offset: uint64(p), Epoch: 1}}
+	return replica.Silent{Partition: p, Kind: log.KindLedger, Epoch: 2, Last: log.Position{Offset: uint64(p), Epoch: 1}}
 }
 
 func (c *copies) still(_ context.Context, q *replica.StillRequest) (*replica.StillResponse, error) {
 	time.Sleep(c.takes)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asked = append(c.asked, len(q.Lines[log.Ledger]))
+	c.asked = append(c.asked, len(q.Lines[log.KindLedger]))
 	if c.deaf {
 		return nil, apierror.New(apierror.WrongDisk, "another disk")
 	}
 	var ss []replica.Silent
-	for _, p := range q.Lines[log.Ledger] {
+	for _, p := range q.Lines[log.KindLedger] {
 		s := at(p)
 		if c.off[p] {
 			s.Epoch++
--- a/internal/partitionlog/leader/assure.go
+++ b/internal/partitionlog/leader/assure.go
@@ -61,7 +61,7 @@
 	cx, stop := context.WithTimeout(ctx, o.d.Bounds.CallTimeout())
 	defer stop()
 	as := quorum.Gather(cx, o.Rec.Replicas, func(ctx context.Context, p assignment.Replica) (bool, error) {
-		q := &replica.AppendRequest{Target: replica.Target{Partition: o.Rec.Partition, Incarnation: p.Incarnation, Epoch: o.Rec.Epoch}, Kind: log.Ledger, Urgent: o.Urgent}
+		q := &replica.AppendRequest{Target: replica.Target{Partition: o.Rec.Partition, Incarnation: p.Incarnation, Epoch: o.Rec.Epoch}, Kind: log.KindLedger, Urgent: o.Urgent}
 		if p.Node == o.d.Self {
 			return true, o.d.Replica.Stands(q.Target)
 		}
@@ -87,7 +87,7 @@
 
 // settled waits until all that an answer rests on is committed and nobody else can have decided since.
 func (o *Owner) settled(ctx context.Context, basis uint64) error {
-	if err := o.await(ctx, log.Ledger, basis); err != nil {
+	if err := o.await(ctx, log.KindLedger, basis); err != nil {
 		return apierror.New(apierror.NotPartitionLeader, "an answer of partition %d rests on offset %d, which is not on a majority", o.Rec.Partition, basis)
 	}
 	return o.assure(ctx)
--- a/internal/partitionlog/leader/fan.go
+++ b/internal/partitionlog/leader/fan.go
@@ -145,7 +145,7 @@
 	if !q.Done {
 		o.meet(q.Node, q.Boot)
 	}
-	t := o.tracks[log.Ledger]
+	t := o.tracks[log.KindLedger]
 	a := &Told{Epoch: o.Rec.Epoch, Base: t.line.Base().Offset, Tail: t.commit, Upto: t.commit, Reader: o.noted(q.Node, q.Boot), Turn: turn}
 	if q.Done {
 		o.dismiss(q.Node, q.Boot)
@@ -205,8 +205,8 @@
 
 // lean leaves out of an entry what only those who hold copies need.
 func lean(e log.Entry) log.Entry {
-	e.Generation, e.Description, e.Digest, e.Chain = 0, 0, "", 0
-	if e.What == log.Withdraw {
+	e.Generation, e.Configuration, e.Digest, e.Chain = 0, 0, "", 0
+	if e.Type == log.TypeWithdrawal {
 		e.Body = nil
 	}
 	return e
@@ -222,7 +222,7 @@
 // gather gives what is wanted after an offset and how far it came; short tells that it stopped before an entry under a key, which nobody is given who
 // is not known to read here.
 func (o *Owner) gather(from uint64, most int, q asked) (got []log.Entry, upto uint64, short bool) {
-	t := o.tracks[log.Ledger]
+	t := o.tracks[log.KindLedger]
 	bytes := 0
 	for from < t.commit {
 		es := t.after(from)
@@ -234,11 +234,11 @@
 				return got, from, false
 			}
 			if o.gives(e, q) {
-				if e.Key != "" && e.What == log.Message && !q.reads {
+				if e.Key != "" && e.Type == log.TypeMessage && !q.reads {
 					return got, from, true
 				}
 				got = append(got, lean(e))
-				bytes += len(e.Body) + len(e.Topic) + len(e.Visitor) + len(e.Key)
+				bytes += len(e.Body) + len(e.Topic) + len(e.Client) + len(e.Key)
 			}
 			from = e.Offset
 		}
@@ -247,10 +247,10 @@
 }
 
 func (o *Owner) gives(e log.Entry, q asked) bool {
-	switch e.What {
-	case log.Message:
-		return !e.Hollow && q.want(e) && (e.Key == "" || q.marks && !o.st.Covers(e))
-	case log.Withdraw:
+	switch e.Type {
+	case log.TypeMessage:
+		return !e.BodyDropped && q.want(e) && (e.Key == "" || q.marks && !o.st.Covers(e))
+	case log.TypeWithdrawal:
 		return q.marks && (q.all || q.want(e))
 	}
 	return false
@@ -281,12 +281,12 @@
 		}
 		turn, turned := o.turned(q.Node, q.Boot, q.Turn)
 		if !turned && o.displaces(q.Node, q.Boot) {
-			base := o.tracks[log.Ledger].line.Base().Offset
+			base := o.tracks[log.KindLedger].line.Base().Offset
 			o.mu.Unlock()
 			return &Polled{Epoch: o.Rec.Epoch, Base: base, To: q.From, Turn: turn}, nil
 		}
 		o.meet(q.Node, q.Boot)
-		t := o.tracks[log.Ledger]
+		t := o.tracks[log.KindLedger]
 		a := &Polled{Epoch: o.Rec.Epoch, Base: t.line.Base().Offset, Reader: o.noted(q.Node, q.Boot), Turn: turn}
 		short := false
 		a.Entries, at, short = o.gather(max(at, a.Base), pollBytes, asked{marks: q.Marks, all: true, reads: reads, want: func(e log.Entry) bool { return f.topics[e.Topic] > 0 }})
--- a/internal/partitionlog/leader/fan_test.go
+++ b/internal/partitionlog/leader/fan_test.go
@@ -20,7 +20,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		o := New(Deps{Clock: clock.Real{}, Bounds: settings.DefaultTiming}, assignment.Record{Epoch: 1, Replicas: []assignment.Replica{{Node: "s1"}}}, false)
 		o.stage = Open
-		o.tracks[log.Ledger] = newTrack(log.Ledger, log.New())
+		o.tracks[log.KindLedger] = newTrack(log.KindLedger, log.New())
 		o.st = state.New()
 		script(t, o)
 	})
@@ -65,10 +65,10 @@
 // What was missed comes in parts: one message while someone waits for its place, as much as a slow link carries otherwise.
 func TestABriefAnswerHoldsOneMessage(t *testing.T) {
 	following(t, func(t *testing.T, o *Owner) {
-		k := o.tracks[log.Ledger]
+		k := o.tracks[log.KindLedger]
 		for range 4 {
-			k.push(log.Entry{What: log.Message, Topic: "t", Body: make([]byte, 600)}, 1)
-			k.push(log.Entry{What: log.Message, Topic: "other"}, 1)
+			k.push(log.Entry{Type: log.TypeMessage, Topic: "t", Body: make([]byte, 600)}, 1)
+			k.push(log.Entry{Type: log.TypeMessage, Topic: "other"}, 1)
 		}
 		k.line.Append(time.Now(), k.pending...)
 		k.pending, k.durable, k.commit = nil, k.last.Offset, k.last.Offset
--- a/internal/partitionlog/leader/many.go
+++ b/internal/partitionlog/leader/many.go
@@ -71,7 +71,7 @@
 	}
 	landed := make([]error, len(rs))
 	for i := range rs {
-		landed[i] = o.await(ctx, log.Ledger, rs[i].rests())
+		landed[i] = o.await(ctx, log.KindLedger, rs[i].rests())
 	}
 	sure := <-assured
 	for i, r := range rs {
--- a/internal/partitionlog/leader/marks.go
+++ b/internal/partitionlog/leader/marks.go
@@ -86,9 +86,9 @@
 }
 
 func (q *Task) entry() log.Entry {
-	e := log.Entry{What: log.Message, Topic: q.Topic, Visitor: q.Visitor, Key: q.Key, Call: q.Call, Generation: q.Generation, Description: q.Description, Live: q.Live, Body: q.Body}
+	e := log.Entry{Type: log.TypeMessage, Topic: q.Topic, Client: q.Visitor, Key: q.Key, CallSeq: q.Call, Generation: q.Generation, Configuration: q.Description, Live: q.Live, Body: q.Body}
 	if q.Withdraw {
-		e.What, e.Live = log.Withdraw, false
+		e.Type, e.Live = log.TypeWithdrawal, false
 		if q.Of != "" {
 			e.Body = state.Body(state.Passes{Of: q.Of, Upto: q.Upto})
 		}
@@ -167,7 +167,7 @@
 	}
 	k := state.Key(e.Topic, e.Key)
 	f := o.keyed[k]
-	if e.What == log.Withdraw {
+	if e.Type == log.TypeWithdrawal {
 		f.mark = e.Offset
 	} else {
 		f.message = e.Offset
@@ -186,20 +186,20 @@
 
 // landedReader takes up what an entry on a majority says of a reader.
 func (o *Owner) landedReader(e log.Entry) {
-	if o.entered[e.Visitor].at <= e.Offset {
-		delete(o.entered, e.Visitor)
+	if o.entered[e.Client].at <= e.Offset {
+		delete(o.entered, e.Client)
 	}
-	r, ok := o.st.Readers[e.Visitor]
+	r, ok := o.st.Readers[e.Client]
 	if !ok {
-		delete(o.heard, e.Visitor)
-	} else if h, known := o.heard[e.Visitor]; !known || h.boot != r.Boot {
-		o.heard[e.Visitor] = heard{boot: r.Boot, last: o.d.Clock.Now(), member: o.d.Clock.Now()}
+		delete(o.heard, e.Client)
+	} else if h, known := o.heard[e.Client]; !known || h.boot != r.Boot {
+		o.heard[e.Client] = heard{boot: r.Boot, last: o.d.Clock.Now(), member: o.d.Clock.Now()}
 	}
 	if r.GivenUp {
 		o.tally.GivenUp++
 	}
 	if ok {
-		o.d.Log.Reader(o.Rec.Partition, o.Rec.Epoch, e.Visitor, r.Boot, r.GivenUp)
+		o.d.Log.Reader(o.Rec.Partition, o.Rec.Epoch, e.Client, r.Boot, r.GivenUp)
 	}
 	o.wake()
 }
@@ -214,7 +214,7 @@
 
 // enter writes what becomes of a reader.
 func (o *Owner) enter(node string, r state.Reads) {
-	e := o.tracks[log.Ledger].push(log.Entry{What: log.Reader, Visitor: node, Body: state.Body(r)}, o.Rec.Epoch)
+	e := o.tracks[log.KindLedger].push(log.Entry{Type: log.TypeReader, Client: node, Body: state.Body(r)}, o.Rec.Epoch)
 	o.entered[node] = entered{r.Boot, e.Offset}
 }
 
@@ -321,7 +321,7 @@
 			o.mu.Unlock()
 			return nil, err
 		}
-		t := o.tracks[log.Ledger]
+		t := o.tracks[log.KindLedger]
 		u, moved := o.unheard(offset), t.moved
 		if o.news == nil {
 			o.news = make(chan struct{})
@@ -372,7 +372,7 @@
 
 // release lets go of the marks that all readers have read behind and that cover nothing which the ledger holds.
 func (o *Owner) release() {
-	least := o.tracks[log.Ledger].line.Base().Offset
+	least := o.tracks[log.KindLedger].line.Base().Offset
 	for n, r := range o.st.Readers {
 		if !r.GivenUp {
 			least = min(least, o.read(n, r))
@@ -450,7 +450,7 @@
 	if o.st == nil || len(o.st.Marks)+len(o.st.Readers) == 0 {
 		return nil
 	}
-	v := o.marksView(o.tracks[log.Ledger].commit)
+	v := o.marksView(o.tracks[log.KindLedger].commit)
 	return &v
 }
 
--- a/internal/partitionlog/leader/marks_test.go
+++ b/internal/partitionlog/leader/marks_test.go
@@ -71,7 +71,7 @@
 			Addr: func(n string) (string, bool) { a, ok := r.members[n]; return a, ok },
 		}, rec, false)
 		r.stage, r.st, r.ctx = Open, state.New(), t.Context()
-		r.tracks[log.Ledger], r.tracks[log.Changelog] = newTrack(log.Ledger, log.New()), newTrack(log.Changelog, log.New())
+		r.tracks[log.KindLedger], r.tracks[log.KindChangelog] = newTrack(log.KindLedger, log.New()), newTrack(log.KindChangelog, log.New())
 		script(t, r)
 	})
 }
@@ -79,7 +79,7 @@
 // lands has all that was pushed written, and committed where a majority is one copy.
 func (r *rig) lands() {
 	r.mu.Lock()
-	t := r.tracks[log.Ledger]
+	t := r.tracks[log.KindLedger]
 	t.line.Append(time.Now(), t.pending...)
 	t.pending, t.durable = nil, t.last.Offset
 	r.settle(t)
@@ -214,7 +214,7 @@
 		assert.NilError(t, err)
 		assert.DeepEqual(t, offsets(a.Back), []uint64{2, 5, 6})
 		w := a.Back[1]
-		assert.Equal(t, [...]string{w.What, w.Topic, w.Key, w.Visitor}, [...]string{log.Withdraw, "t", "k", "v"})
+		assert.Equal(t, [...]string{w.Type, w.Topic, w.Key, w.Client}, [...]string{log.TypeWithdrawal, "t", "k", "v"})
 	})
 }
 
@@ -233,7 +233,7 @@
 		assert.NilError(t, p.err)
 		assert.DeepEqual(t, offsets(p.a.Entries), []uint64{2})
 		assert.Assert(t, time.Since(at) == 0, "woken after %s", time.Since(at))
-		assert.Equal(t, p.a.Entries[0].Visitor, "w")
+		assert.Equal(t, p.a.Entries[0].Client, "w")
 		assert.NilError(t, <-old)
 		a, err := r.Poll(t.Context(), &PollRequest{Node: "a2", Boot: "b", Sequence: 1})
 		assert.NilError(t, err)
@@ -261,7 +261,7 @@
 		assert.Equal(t, r.st.Readers["a1"], state.Reader{Boot: "b", Offset: 4})
 		assert.DeepEqual(t, r.said, []string{"a1 b"})
 		assert.DeepEqual(t, r.got(r.polls("a1", "b", 1)), []uint64{2, 3})
-		assert.Equal(t, r.tracks[log.Ledger].last.Offset, uint64(4), "a run is noted once")
+		assert.Equal(t, r.tracks[log.KindLedger].last.Offset, uint64(4), "a run is noted once")
 
 		answers := make(chan *Told, 1)
 		go func() {
@@ -287,7 +287,7 @@
 		r.takes(withdraws("v", 2, "t", "k"))
 		p := <-c
 		assert.NilError(t, p.err)
-		assert.Assert(t, !slices.ContainsFunc(p.a.Entries, func(e log.Entry) bool { return e.What == log.Message }))
+		assert.Assert(t, !slices.ContainsFunc(p.a.Entries, func(e log.Entry) bool { return e.Type == log.TypeMessage }))
 		assert.Equal(t, r.st.Readers["a1"].Boot, "b")
 		assert.Assert(t, p.a.Reader)
 		a, err := r.Follow(t.Context(), &Want{Node: "a1", Boot: "b", Before: 1, Sequence: 2, Marks: true, Topics: map[string]int{"t": 0}})
@@ -386,9 +386,9 @@
 // submitsTo has a message committed by the copies that go on holding the line no further.
 func (r *rig) submitsTo(q *Task) {
 	r.judge(q)
-	r.tracks[log.Ledger].match[""] = 1
+	r.tracks[log.KindLedger].match[""] = 1
 	r.lands()
-	assert.Equal(r.t, r.tracks[log.Ledger].commit, uint64(1))
+	assert.Equal(r.t, r.tracks[log.KindLedger].commit, uint64(1))
 }
 
 // A withdrawal is told again what became of it, whoever asks whatever else under its number is told so, and nothing is withdrawn that is not there.
@@ -436,7 +436,7 @@
 	})
 	owning(t, 3, func(t *testing.T, r *rig) {
 		r.submitsTo(says("v", 1, "t", "k"))
-		r.st.Apply(log.Entry{What: log.Withdraw, Offset: 1, Topic: "t", Visitor: "v", Call: 2, Key: "l"})
+		r.st.Apply(log.Entry{Type: log.TypeWithdrawal, Offset: 1, Topic: "t", Client: "v", CallSeq: 2, Key: "l"})
 		v := r.SubmitMany(t.Context(), []*Task{withdraws("w", 1, "t", "m")})
 		assert.Equal(t, v[0].Problem.Code, apierror.NotPartitionLeader)
 	})
@@ -462,7 +462,7 @@
 		w.Of, w.Upto = "v", 5
 		r.judge(says("v", 3, "t", "k"))
 		r.judge(w)
-		at := r.tracks[log.Ledger]
+		at := r.tracks[log.KindLedger]
 		at.line.Append(time.Now(), at.pending[0])
 		at.pending, at.durable = at.pending[1:], 2
 		r.settle(at)
@@ -548,14 +548,14 @@
 // trims has the ledger let go of what stands up to an offset.
 func (r *rig) trims(to uint64) {
 	r.t.Helper()
-	l := r.tracks[log.Ledger].line
+	l := r.tracks[log.KindLedger].line
 	r.st.Prune(l.Slice(r.pruned+1, to, 1<<20, 1<<30)...)
 	r.pruned, r.input = to, to
-	p, ok := l.Point(to)
+	p, ok := l.Position(to)
 	assert.Assert(r.t, ok)
 	r.locked(r.release)
 	assert.Assert(r.t, len(r.st.Marks) > 0 || l.Base().Offset == to, "the line still holds what the mark covers")
-	l.Rebase(p)
+	l.TrimTo(p)
 	r.locked(r.release)
 }
 
@@ -724,7 +724,7 @@
 		r.takes(says("v", 4, "t", "l"))
 		r.polls("a1", "b", at)
 		r.st.Unmark(state.Key("t", "k"))
-		cl := r.tracks[log.Changelog]
+		cl := r.tracks[log.KindChangelog]
 		for _, e := range append(changelog.Pack(r.st.Input, r.st.Dirty(), false), changelog.PackCommit(changelog.Commit{Input: r.st.Input})) {
 			cl.push(e, 1)
 		}
@@ -762,7 +762,7 @@
 		r.becomes("a1", "b", 0)
 		at := r.takes(withdraws("v", 2, "t", "k"))
 		r.polls("a1", "b", at)
-		l := r.tracks[log.Ledger].line
+		l := r.tracks[log.KindLedger].line
 		r.st.Prune(l.Slice(1, at, 9, 1<<20)...)
 		r.pruned = at
 		r.locked(r.release)
--- a/internal/partitionlog/leader/owner.go
+++ b/internal/partitionlog/leader/owner.go
@@ -98,7 +98,7 @@
 	mu     sync.Mutex
 	stage  string
 	tracks map[log.Kind]*track
-	bases  map[log.Kind]log.Point
+	bases  map[log.Kind]log.Position
 	trims  map[log.Kind]chan struct{}
 	st     *state.State
 	front  map[string]*front
@@ -129,8 +129,8 @@
 // New makes an owner for a record that names this node.
 func New(d Deps, r assignment.Record, urgent bool) *Owner {
 	return &Owner{
-		Rec: r, Urgent: urgent, d: d, stage: Taking, tracks: map[log.Kind]*track{}, bases: map[log.Kind]log.Point{},
-		trims: map[log.Kind]chan struct{}{log.Ledger: make(chan struct{}, 1), log.Changelog: make(chan struct{}, 1)},
+		Rec: r, Urgent: urgent, d: d, stage: Taking, tracks: map[log.Kind]*track{}, bases: map[log.Kind]log.Position{},
+		trims: map[log.Kind]chan struct{}{log.KindLedger: make(chan struct{}, 1), log.KindChangelog: make(chan struct{}, 1)},
 		front: map[string]*front{}, lost: make(chan struct{}), flush: make(chan chan struct{}),
 		keyed: map[string]flying{}, entered: map[string]entered{}, heard: map[string]heard{}, turns: map[string]turn{},
 	}
@@ -171,9 +171,9 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	v := View{Partition: o.Rec.Partition, Epoch: o.Rec.Epoch, Stage: o.stage, Input: o.input, Recovery: o.how, Tally: o.tally}
-	if t := o.tracks[log.Ledger]; t != nil {
+	if t := o.tracks[log.KindLedger]; t != nil {
 		v.Commit, v.Last, v.Ledger = t.commit, t.last.Offset, t.line.Len()
-		v.Changelog = o.tracks[log.Changelog].line.Len()
+		v.Changelog = o.tracks[log.KindChangelog].line.Len()
 	}
 	if o.st != nil {
 		v.Keys = o.st.Size()
@@ -216,7 +216,7 @@
 	defer o.mu.Unlock()
 	t := o.tracks[k]
 	to = min(to, t.commit)
-	p, ok := t.line.Point(to)
+	p, ok := t.line.Position(to)
 	if !ok || to <= o.bases[k].Offset || to <= t.line.Base().Offset {
 		return
 	}
@@ -229,7 +229,7 @@
 
 func (o *Owner) settle(t *track) {
 	from := t.commit
-	if !t.settle(o.Rec, o.d.Self) || t.kind != log.Ledger || o.st == nil {
+	if !t.settle(o.Rec, o.d.Self) || t.kind != log.KindLedger || o.st == nil {
 		return
 	}
 	o.apply(t, from, t.commit)
--- a/internal/partitionlog/leader/read.go
+++ b/internal/partitionlog/leader/read.go
@@ -75,7 +75,7 @@
 			o.mu.Unlock()
 			return nil, err
 		}
-		moved := o.tracks[log.Ledger].moved
+		moved := o.tracks[log.KindLedger].moved
 		r, wait := o.reading(q)
 		o.mu.Unlock()
 		if q.From == ^uint64(0) {
@@ -99,7 +99,7 @@
 
 // reading gives the answer of now, and whether news are worth waiting for.
 func (o *Owner) reading(q *ReadRequest) (*Reading, bool) {
-	t := o.tracks[log.Ledger]
+	t := o.tracks[log.KindLedger]
 	r := &Reading{Base: t.line.Base().Offset, To: t.commit, Epoch: o.Rec.Epoch}
 	reads, turned := false, true
 	if q.Marks {
@@ -127,9 +127,9 @@
 		if e.Offset > t.commit {
 			break
 		}
-		if e.Key != "" && e.What == log.Message && !e.Hollow {
+		if e.Key != "" && e.Type == log.TypeMessage && !e.BodyDropped {
 			if !q.Marks || o.st.Covers(e) {
-				e.Body, e.Digest, e.Hollow = nil, "", true
+				e.Body, e.Digest, e.BodyDropped = nil, "", true
 			} else if !reads {
 				o.enlist(q.Node, q.Boot)
 				break
@@ -152,9 +152,9 @@
 		o.enter(q.Node, state.Reads{Boot: q.Boot, Gone: true})
 	}
 	at := o.entered[q.Node].at
-	r := &Reading{Base: o.tracks[log.Ledger].line.Base().Offset, To: o.tracks[log.Ledger].commit, Epoch: o.Rec.Epoch}
+	r := &Reading{Base: o.tracks[log.KindLedger].line.Base().Offset, To: o.tracks[log.KindLedger].commit, Epoch: o.Rec.Epoch}
 	o.mu.Unlock()
-	if err := o.await(ctx, log.Ledger, at); err != nil {
+	if err := o.await(ctx, log.KindLedger, at); err != nil {
 		return nil, err
 	}
 	return r, o.assure(ctx)
--- a/internal/partitionlog/leader/read_test.go
+++ b/internal/partitionlog/leader/read_test.go
@@ -44,10 +44,10 @@
 func shown(es []log.Entry) string {
 	var s []string
 	for _, e := range es {
-		if e.What == log.Message {
-			s = append(s, fmt.Sprintf("%d%s%s", e.Offset, e.Body, map[bool]string{true: "-"}[e.Hollow]))
+		if e.Type == log.TypeMessage {
+			s = append(s, fmt.Sprintf("%d%s%s", e.Offset, e.Body, map[bool]string{true: "-"}[e.BodyDropped]))
 		} else {
-			s = append(s, fmt.Sprintf("%d%s", e.Offset, e.What))
+			s = append(s, fmt.Sprintf("%d%s", e.Offset, e.Type))
 		}
 	}
 	return strings.Join(s, " ")
@@ -105,7 +105,7 @@
 		assert.Equal(t, len(c), 0)
 		r.lands()
 		assert.Equal(t, shown((<-c).Entries), "2b 3reader")
-		assert.Equal(t, r.tracks[log.Ledger].last.Offset, uint64(3))
+		assert.Equal(t, r.tracks[log.KindLedger].last.Offset, uint64(3))
 	},
 	"the run of a feed says by its place what it forgot, what it reads beside does not": func(t *testing.T, r *rig) {
 		r.takes(says("v", 1, "t", "k"))
@@ -160,7 +160,7 @@
 	"one that was not noted as a reader is done as well": func(t *testing.T, r *rig) {
 		f := &feed{rig: r, boot: "b.1"}
 		<-f.asks(ReadRequest{From: ^uint64(0), Done: true})
-		assert.Equal(t, r.tracks[log.Ledger].last.Offset, uint64(0))
+		assert.Equal(t, r.tracks[log.KindLedger].last.Offset, uint64(0))
 	},
 	"a run that is done does not end the one after it": func(t *testing.T, r *rig) {
 		r.takes(says("v", 1, "t", "k"))
--- a/internal/partitionlog/leader/submit.go
+++ b/internal/partitionlog/leader/submit.go
@@ -62,7 +62,7 @@
 }
 
 func (o *Owner) room() error {
-	if t := o.tracks[log.Ledger]; t.last.Offset-t.commit >= uint64(o.d.Backlog()) {
+	if t := o.tracks[log.KindLedger]; t.last.Offset-t.commit >= uint64(o.d.Backlog()) {
 		return apierror.New(apierror.Overloaded, "%d entries of partition %d wait for a majority", t.last.Offset-t.commit, o.Rec.Partition)
 	}
 	return nil
@@ -90,7 +90,7 @@
 		return ruling{err: err}
 	}
 	e := q.entry()
-	k, name := state.Key(q.Visitor, q.Topic), state.Named(e.What, e.Key, e.Digest)
+	k, name := state.Key(q.Visitor, q.Topic), state.Named(e.Type, e.Key, e.Digest)
 	a := o.st.Accepted[k]
 	f := o.front[k]
 	last, gen := a.Last, a.Generation
@@ -129,7 +129,7 @@
 	if err := o.room(); err != nil {
 		return ruling{err: err}
 	}
-	e = o.tracks[log.Ledger].push(e, o.Rec.Epoch)
+	e = o.tracks[log.KindLedger].push(e, o.Rec.Epoch)
 	t := state.Taken{Call: q.Call, Offset: e.Offset, Digest: name}
 	f = o.ahead(k, q.Call, e.Offset)
 	f.generation = max(f.generation, q.Generation)
@@ -153,16 +153,16 @@
 }
 
 func (o *Owner) landed(e log.Entry) {
-	switch e.What {
-	case log.Message:
+	switch e.Type {
+	case log.TypeMessage:
 		o.tally.Taken++
 		o.tally.Bytes += uint64(len(e.Body))
-		o.pass(e.Visitor, e)
-	case log.Withdraw:
+		o.pass(e.Client, e)
+	case log.TypeWithdrawal:
 		o.tally.Withdrawals++
-		o.pass(e.Visitor, e)
+		o.pass(e.Client, e)
 		o.pass(state.Part[state.Passes](e).Of, e)
-	case log.Reader:
+	case log.TypeReader:
 		o.landedReader(e)
 		return
 	}
@@ -192,7 +192,7 @@
 
 func (o *Owner) basis(k string) uint64 {
 	at := uint64(0)
-	if t := o.tracks[log.Ledger]; t != nil {
+	if t := o.tracks[log.KindLedger]; t != nil {
 		at = t.commit
 	}
 	if f := o.front[k]; f != nil {
@@ -245,10 +245,10 @@
 		g = given
 	}
 	f.generation, f.secret = g, secret
-	e := o.tracks[log.Ledger].push(log.Entry{What: log.Attach, Visitor: visitor, Generation: g, Body: []byte(secret)}, o.Rec.Epoch)
+	e := o.tracks[log.KindLedger].push(log.Entry{Type: log.TypeAttach, Client: visitor, Generation: g, Body: []byte(secret)}, o.Rec.Epoch)
 	f.at = e.Offset
 	o.mu.Unlock()
-	if err := o.await(ctx, log.Ledger, e.Offset); err != nil {
+	if err := o.await(ctx, log.KindLedger, e.Offset); err != nil {
 		return 0, err
 	}
 	o.say("attached", begun)
@@ -310,9 +310,9 @@
 		}
 		return apierror.New(apierror.TokenFenced, "attachment %d of %s is in force", g, visitor)
 	}
-	e := o.tracks[log.Ledger].push(log.Entry{What: log.Cursor, Visitor: visitor, Generation: generation, Body: []byte(cursor)}, o.Rec.Epoch)
+	e := o.tracks[log.KindLedger].push(log.Entry{Type: log.TypeCursor, Client: visitor, Generation: generation, Body: []byte(cursor)}, o.Rec.Epoch)
 	o.mu.Unlock()
-	return o.await(ctx, log.Ledger, e.Offset)
+	return o.await(ctx, log.KindLedger, e.Offset)
 }
 
 // Trace tells how far a visitor's calls on a topic have come, and where one of them stands if its answer is still kept.
--- a/internal/partitionlog/leader/takeover.go
+++ b/internal/partitionlog/leader/takeover.go
@@ -50,7 +50,7 @@
 	starts := map[log.Kind]uint64{}
 	for _, k := range log.Kinds {
 		var err error
-		if starts[k], err = o.push(k, log.Entry{What: log.Start}); err != nil {
+		if starts[k], err = o.push(k, log.Entry{Type: log.TypeEpochStart}); err != nil {
 			return err
 		}
 		o.spread(ctx, o.tracks[k], tails)
@@ -195,13 +195,13 @@
 	return nil
 }
 
-func (o *Owner) common(ctx context.Context, best string, k log.Kind, l *log.Line) (log.Point, bool, error) {
+func (o *Owner) common(ctx context.Context, best string, k log.Kind, l *log.Log) (log.Position, bool, error) {
 	f, err := o.fetch(ctx, best, k, l.Last().Offset+1, 1)
 	if err != nil {
-		return log.Point{}, false, err
+		return log.Position{}, false, err
 	}
 	same := func(at uint64) (bool, error) {
-		mine, ok := l.Point(at)
+		mine, ok := l.Position(at)
 		if !ok {
 			return false, nil
 		}
@@ -218,7 +218,7 @@
 	}
 	ok, err := same(lo)
 	if err != nil {
-		return log.Point{}, false, err
+		return log.Position{}, false, err
 	}
 	if !ok {
 		return f.Tail.Base, true, nil
@@ -226,7 +226,7 @@
 	for lo < hi {
 		mid := (lo + hi + 1) / 2
 		if ok, err = same(mid); err != nil {
-			return log.Point{}, false, err
+			return log.Position{}, false, err
 		}
 		if ok {
 			lo = mid
@@ -234,14 +234,14 @@
 			hi = mid - 1
 		}
 	}
-	p, _ := l.Point(lo)
+	p, _ := l.Position(lo)
 	return p, false, nil
 }
 
 func (o *Owner) recover() error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	cl, led := o.tracks[log.Changelog], o.tracks[log.Ledger]
+	cl, led := o.tracks[log.KindChangelog], o.tracks[log.KindLedger]
 	st, input, from := state.New(), uint64(0), cl.line.Base().Offset
 	if d, ok := o.d.Replica.Directory(o.Rec.Partition); ok && d.At.Offset <= cl.commit {
 		if s, err := state.Unpack(d.State); err == nil {
@@ -314,7 +314,7 @@
 			close(done)
 		}
 		if err == nil {
-			o.trim(log.Ledger, to)
+			o.trim(log.KindLedger, to)
 		}
 	}
 }
@@ -322,9 +322,9 @@
 // forget lets go of what stands up to the offset that it gives: the ledger drops that much once the state that says so is written down.
 func (o *Owner) forget() uint64 {
 	now := o.d.Clock.Now()
-	l := o.tracks[log.Ledger].line
-	l.Hollow(now.Add(-o.d.Bounds.Spread))
-	old := l.Older(now.Add(-o.d.Bounds.RetentionFor(o.d.Longest())))
+	l := o.tracks[log.KindLedger].line
+	l.DropLiveBodies(now.Add(-o.d.Bounds.Spread))
+	old := l.LastBefore(now.Add(-o.d.Bounds.RetentionFor(o.d.Longest())))
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for to := min(old, o.input); o.pruned < to; {
@@ -349,7 +349,7 @@
 
 func (o *Owner) batch(ctx context.Context, keep bool) error {
 	o.mu.Lock()
-	cl := o.tracks[log.Changelog]
+	cl := o.tracks[log.KindChangelog]
 	whole := cl.line.Len() > compactAt && cl.line.Len() > compactOver*(1+o.st.Size()/compactAt)
 	if whole {
 		o.st.All()
@@ -368,9 +368,9 @@
 	o.tally.Batches++
 	o.tally.Items += uint64(len(items))
 	o.mu.Unlock()
-	at, err := o.push(log.Changelog, changelog.Pack(input, items, whole)...)
+	at, err := o.push(log.KindChangelog, changelog.Pack(input, items, whole)...)
 	if err == nil && len(items) > 0 {
-		err = o.await(ctx, log.Changelog, at)
+		err = o.await(ctx, log.KindChangelog, at)
 	}
 	if err != nil {
 		return err
@@ -379,10 +379,10 @@
 	if whole {
 		c.Base = before
 	}
-	if at, err = o.push(log.Changelog, changelog.PackCommit(c)); err != nil {
+	if at, err = o.push(log.KindChangelog, changelog.PackCommit(c)); err != nil {
 		return err
 	}
-	if err := o.await(ctx, log.Changelog, at); err != nil {
+	if err := o.await(ctx, log.KindChangelog, at); err != nil {
 		return err
 	}
 	o.mu.Lock()
@@ -396,7 +396,7 @@
 		_ = o.d.Replica.Keep(ctx, replica.Directory{Partition: o.Rec.Partition, At: p, Input: input, State: pack})
 	}
 	if whole {
-		o.trim(log.Changelog, before)
+		o.trim(log.KindChangelog, before)
 	}
 	return nil
 }
--- a/internal/partitionlog/leader/track.go
+++ b/internal/partitionlog/leader/track.go
@@ -14,9 +14,9 @@
 
 type track struct {
 	kind    log.Kind
-	line    *log.Line
+	line    *log.Log
 	pending []log.Entry
-	last    log.Point
+	last    log.Position
 	durable uint64
 	// match is how far each other disk is known to hold the line, by its incarnation: a machine's new disk counts for nothing where the record names its lost one.
 	match  map[string]uint64
@@ -25,7 +25,7 @@
 	grown  chan struct{}
 }
 
-func newTrack(k log.Kind, l *log.Line) *track {
+func newTrack(k log.Kind, l *log.Log) *track {
 	p := l.Last()
 	return &track{kind: k, line: l, last: p, durable: p.Offset, match: map[string]uint64{}, moved: make(chan struct{}), grown: make(chan struct{})}
 }
@@ -35,19 +35,19 @@
 	if e.Digest == "" {
 		e.Digest = log.Digest(e.Body)
 	}
-	e.Chain = log.Link(t.last.Chain, e)
+	e.Chain = log.NextChain(t.last.Chain, e)
 	t.pending = append(t.pending, e)
-	t.last = e.At()
+	t.last = e.Position()
 	close(t.grown)
 	t.grown = make(chan struct{})
 	return e
 }
 
-func (t *track) point(o uint64) (log.Point, bool) {
+func (t *track) point(o uint64) (log.Position, bool) {
 	if k := int(o) - int(t.durable) - 1; k >= 0 && k < len(t.pending) {
-		return t.pending[k].At(), true
+		return t.pending[k].Position(), true
 	}
-	return t.line.Point(o)
+	return t.line.Position(o)
 }
 
 const (
@@ -136,7 +136,7 @@
 }
 
 type cursor struct {
-	at    log.Point
+	at    log.Position
 	reset bool
 	step  uint64
 	// full tells that the disk had no room: it is asked to trim, without entries.
@@ -152,7 +152,7 @@
 		o.back(t, &c, tail)
 	}
 	told, said, sent, tries := false, uint64(0), o.d.Clock.Now(), 0
-	var cut log.Point
+	var cut log.Position
 	for ctx.Err() == nil {
 		o.mu.Lock()
 		es := t.after(c.at.Offset)
@@ -164,7 +164,7 @@
 		addr, ok := o.d.Addr(p.Node)
 		if len(es) == 0 && told && !c.full {
 			d, quiet := o.d.Bounds.SessionTimeout(), ok && o.d.Still != nil && commit == said && base == cut
-			if commit > said && t.kind == log.Ledger {
+			if commit > said && t.kind == log.KindLedger {
 				d, moved = o.d.Bounds.HeartbeatInterval(), nil
 			}
 			if base != cut {
@@ -216,7 +216,7 @@
 		}
 		c.reset, c.step, c.full, told, said, tries = false, 0, false, true, commit, 0
 		if n := len(es); n > 0 {
-			c.at = es[n-1].At()
+			c.at = es[n-1].Position()
 		}
 		o.mu.Lock()
 		t.match[p.Incarnation] = max(t.match[p.Incarnation], c.at.Offset)
--- a/internal/partitionlog/log/entry.go
+++ b/internal/partitionlog/log/entry.go
@@ -12,12 +12,12 @@
 
 // The lines: the ledger is the partition's input, the changelog that of its state.
 const (
-	Ledger    Kind = "ledger"
-	Changelog Kind = "changelog"
+	KindLedger    Kind = "ledger"
+	KindChangelog Kind = "changelog"
 )
 
 // Kinds lists both.
-var Kinds = []Kind{Ledger, Changelog}
+var Kinds = []Kind{KindLedger, KindChangelog}
 
 // ID names a line.
 type ID struct {
@@ -27,32 +27,32 @@
 
 // What an entry records.
 const (
-	Start    = "start"
-	Message  = "message"
-	Withdraw = "withdraw"
-	Reader   = "reader"
-	Attach   = "attach"
-	Cursor   = "cursor"
-	Batch    = "batch"
-	Offset   = "offset"
+	TypeEpochStart = "start"
+	TypeMessage    = "message"
+	TypeWithdrawal = "withdraw"
+	TypeReader     = "reader"
+	TypeAttach     = "attach"
+	TypeCursor     = "cursor"
+	TypeBatch      = "batch"
+	TypeOffset     = "offset"
 )
 
 // Entry is one decision: what was taken from whom, where it stands, and under which epoch and description.
 type Entry struct {
-	Offset      uint64 `json:"o"`
-	Epoch       uint64 `json:"e"`
-	What        string `json:"w"`
-	Topic       string `json:"t,omitempty"`
-	Visitor     string `json:"v,omitempty"`
-	Key         string `json:"k,omitempty"`
-	Call        uint64 `json:"c,omitempty"`
-	Generation  uint64 `json:"g,omitempty"`
-	Description uint64 `json:"d,omitempty"`
-	Live        bool   `json:"l,omitempty"`
-	Hollow      bool   `json:"h,omitempty"`
-	Digest      string `json:"s,omitempty"`
-	Chain       uint64 `json:"x"`
-	Body        []byte `json:"b,omitempty"`
+	Offset        uint64 `json:"o"`
+	Epoch         uint64 `json:"e"`
+	Type          string `json:"w"`
+	Topic         string `json:"t,omitempty"`
+	Client        string `json:"v,omitempty"`
+	Key           string `json:"k,omitempty"`
+	CallSeq       uint64 `json:"c,omitempty"`
+	Generation    uint64 `json:"g,omitempty"`
+	Configuration uint64 `json:"d,omitempty"`
+	Live          bool   `json:"l,omitempty"`
+	BodyDropped   bool   `json:"h,omitempty"`
+	Digest        string `json:"s,omitempty"`
+	Chain         uint64 `json:"x"`
+	Body          []byte `json:"b,omitempty"`
 }
 
 // Digest gives the name of a body.
@@ -61,14 +61,14 @@
 	return hex.EncodeToString(h[:12])
 }
 
-// Link gives the running checksum of a line after e, from the one before it.
-func Link(before uint64, e Entry) uint64 {
+// NextChain gives the running checksum of a line after e, from the one before it.
+func NextChain(before uint64, e Entry) uint64 {
 	var room [linkRoom]byte
 	b := room[:0]
-	for _, x := range [...]uint64{before, e.Offset, e.Epoch, e.Call, e.Generation, e.Description, uint64(len(e.Topic)), uint64(len(e.Visitor))} {
+	for _, x := range [...]uint64{before, e.Offset, e.Epoch, e.CallSeq, e.Generation, e.Configuration, uint64(len(e.Topic)), uint64(len(e.Client))} {
 		b = binary.LittleEndian.AppendUint64(b, x)
 	}
-	for _, s := range [...]string{e.What, "\x00", e.Topic, e.Visitor, e.Digest} {
+	for _, s := range [...]string{e.Type, "\x00", e.Topic, e.Client, e.Digest} {
 		b = append(b, s...)
 	}
 	if e.Key != "" {
@@ -80,28 +80,28 @@
 
 const linkRoom = 256
 
-// Point is a place in a line; equal points have equal lines up to them.
-type Point struct {
+// Position is a place in a line; equal points have equal lines up to them.
+type Position struct {
 	Offset uint64 `json:"o"`
 	Epoch  uint64 `json:"e"`
 	Chain  uint64 `json:"x"`
 }
 
 // Less orders tails: the higher epoch of the last entry, then the higher offset.
-func (p Point) Less(q Point) bool {
+func (p Position) Less(q Position) bool {
 	if p.Epoch != q.Epoch {
 		return p.Epoch < q.Epoch
 	}
 	return p.Offset < q.Offset
 }
 
-// At gives the point of an entry.
-func (e Entry) At() Point { return Point{e.Offset, e.Epoch, e.Chain} }
+// Position gives the point of an entry.
+func (e Entry) Position() Position { return Position{e.Offset, e.Epoch, e.Chain} }
 
-// Sound tells whether an entry's body and chain are what they say, after a point.
-func (e Entry) Sound(after Point) bool {
-	if !e.Hollow && e.Digest != Digest(e.Body) {
+// Valid tells whether an entry's body and chain are what they say, after a point.
+func (e Entry) Valid(after Position) bool {
+	if !e.BodyDropped && e.Digest != Digest(e.Body) {
 		return false
 	}
-	return e.Offset == after.Offset+1 && e.Chain == Link(after.Chain, e)
+	return e.Offset == after.Offset+1 && e.Chain == NextChain(after.Chain, e)
 }
--- a/internal/partitionlog/log/key.go
+++ b/internal/partitionlog/log/key.go
@@ -4,8 +4,8 @@
 
 const nameMost = 128
 
-// Plain gives a problem for what can't be a key or a sender's name.
-func Plain(field, s string) error {
+// CheckName gives a problem for what can't be a key or a sender's name.
+func CheckName(field, s string) error {
 	ok := s != "" && len(s) <= nameMost
 	for i := range len(s) {
 		ok = ok && s[i] > ' ' && s[i] <= '~'
--- a/internal/partitionlog/log/line.go
+++ b/internal/partitionlog/log/line.go
@@ -5,54 +5,54 @@
 	"time"
 )
 
-// Line holds the synced entries after a base.
-type Line struct {
+// Log holds the synced entries after a base.
+type Log struct {
 	mu     sync.Mutex
-	base   Point
+	base   Position
 	es     []Entry
 	at     []time.Time
 	commit uint64
 }
 
 // New makes an empty line.
-func New() *Line { return &Line{} }
+func New() *Log { return &Log{} }
 
 // Base gives the point before the first entry held.
-func (l *Line) Base() Point {
+func (l *Log) Base() Position {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.base
 }
 
 // Last gives the point of the last entry.
-func (l *Line) Last() Point {
+func (l *Log) Last() Position {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.last()
 }
 
-func (l *Line) last() Point {
+func (l *Log) last() Position {
 	if len(l.es) == 0 {
 		return l.base
 	}
-	return l.es[len(l.es)-1].At()
+	return l.es[len(l.es)-1].Position()
 }
 
-// Point gives the point at an offset, if held.
-func (l *Line) Point(o uint64) (Point, bool) {
+// Position gives the point at an offset, if held.
+func (l *Log) Position(o uint64) (Position, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if o == l.base.Offset {
 		return l.base, true
 	}
 	if o < l.base.Offset || o > l.last().Offset {
-		return Point{}, false
+		return Position{}, false
 	}
-	return l.es[o-l.base.Offset-1].At(), true
+	return l.es[o-l.base.Offset-1].Position(), true
 }
 
 // Slice gives entries from an offset on, bounded by a number and by bytes.
-func (l *Line) Slice(from, to uint64, most, bytes int) []Entry {
+func (l *Log) Slice(from, to uint64, most, bytes int) []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if from <= l.base.Offset {
@@ -71,7 +71,7 @@
 const entryCost = 128
 
 // Append adds entries after the last one; those at offsets held already replace the line from there.
-func (l *Line) Append(now time.Time, es ...Entry) {
+func (l *Log) Append(now time.Time, es ...Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range es {
@@ -92,8 +92,8 @@
 	}
 }
 
-// Cut drops entries after an offset.
-func (l *Line) Cut(o uint64) {
+// TruncateAfter drops entries after an offset.
+func (l *Log) TruncateAfter(o uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if o < l.base.Offset {
@@ -105,12 +105,12 @@
 	l.commit = min(l.commit, o)
 }
 
-// Rebase drops entries up to p, or begins an empty line there. A base never goes back, and a line that
+// TrimTo drops entries up to p, or begins an empty line there. A base never goes back, and a line that
 // does not hold p stays as it is.
-func (l *Line) Rebase(p Point) {
+func (l *Log) TrimTo(p Position) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.es) == 0 && l.base == (Point{}) {
+	if len(l.es) == 0 && l.base == (Position{}) {
 		l.base = p
 		return
 	}
@@ -118,7 +118,7 @@
 		return
 	}
 	k := int(p.Offset - l.base.Offset)
-	if l.es[k-1].At() == p {
+	if l.es[k-1].Position() == p {
 		l.es = append([]Entry(nil), l.es[k:]...)
 		l.at = append([]time.Time(nil), l.at[k:]...)
 		l.base = p
@@ -126,21 +126,21 @@
 }
 
 // Commit gives the last offset known to be on a majority.
-func (l *Line) Commit() uint64 {
+func (l *Log) Commit() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return min(l.commit, l.last().Offset)
 }
 
 // SetCommit raises the commit mark.
-func (l *Line) SetCommit(o uint64) {
+func (l *Log) SetCommit(o uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.commit = max(l.commit, o)
 }
 
-// Older gives the last offset that came before t.
-func (l *Line) Older(t time.Time) uint64 {
+// LastBefore gives the last offset that came before t.
+func (l *Log) LastBefore(t time.Time) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	o := l.base.Offset
@@ -153,35 +153,35 @@
 	return o
 }
 
-// Hollow drops the bodies of live entries that came before t.
-func (l *Line) Hollow(t time.Time) {
+// DropLiveBodies drops the bodies of live entries that came before t.
+func (l *Log) DropLiveBodies(t time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i, a := range l.at {
 		if !a.Before(t) {
 			return
 		}
-		if e := &l.es[i]; e.Live && !e.Hollow {
-			e.Body, e.Hollow = nil, true
+		if e := &l.es[i]; e.Live && !e.BodyDropped {
+			e.Body, e.BodyDropped = nil, true
 		}
 	}
 }
 
 // Len gives the number of entries held.
-func (l *Line) Len() int {
+func (l *Log) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.es)
 }
 
-// Weight gives the number of entries held and the bytes that they bring along: bodies, topics and visitors.
-func (l *Line) Weight() (int, int64) {
+// Size gives the number of entries held and the bytes that they bring along: bodies, topics and visitors.
+func (l *Log) Size() (int, int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
 	for i := range l.es {
 		e := &l.es[i]
-		n += len(e.Body) + len(e.Topic) + len(e.Visitor)
+		n += len(e.Body) + len(e.Topic) + len(e.Client)
 	}
 	return len(l.es), int64(n)
 }
--- a/internal/partitionlog/replica/calls.go
+++ b/internal/partitionlog/replica/calls.go
@@ -21,9 +21,9 @@
 
 // Tail says what a replica holds of one line.
 type Tail struct {
-	Base   log.Point `json:"base"`
-	Last   log.Point `json:"last"`
-	Commit uint64    `json:"commit"`
+	Base   log.Position `json:"base"`
+	Last   log.Position `json:"last"`
+	Commit uint64       `json:"commit"`
 }
 
 // SealResponse gives the tails of both lines.
@@ -34,13 +34,13 @@
 // AppendRequest extends a line after a point; with Reset the replica starts anew there.
 type AppendRequest struct {
 	Target
-	Kind    log.Kind    `json:"k"`
-	After   log.Point   `json:"a"`
-	Entries []log.Entry `json:"n,omitempty"`
-	Commit  uint64      `json:"c"`
-	Base    log.Point   `json:"b"`
-	Reset   bool        `json:"r,omitempty"`
-	Urgent  bool        `json:"u,omitempty"`
+	Kind    log.Kind     `json:"k"`
+	After   log.Position `json:"a"`
+	Entries []log.Entry  `json:"n,omitempty"`
+	Commit  uint64       `json:"c"`
+	Base    log.Position `json:"b"`
+	Reset   bool         `json:"r,omitempty"`
+	Urgent  bool         `json:"u,omitempty"`
 }
 
 // AppendResponse gives the replica's last point; OK tells whether the lines matched.
@@ -54,7 +54,7 @@
 	Partition int
 	Kind      log.Kind
 	Epoch     uint64
-	Last      log.Point
+	Last      log.Position
 }
 
 // StillRequest asks whether lines of one disk stand as their owners have told them: the partitions by the kind of line, each in rising order, and the sum of all.
@@ -80,9 +80,9 @@
 
 // FetchResponse gives entries with the tail they were read at.
 type FetchResponse struct {
-	Tail    Tail        `json:"tail"`
-	Before  log.Point   `json:"before"`
-	Entries []log.Entry `json:"n,omitempty"`
+	Tail    Tail         `json:"tail"`
+	Before  log.Position `json:"before"`
+	Entries []log.Entry  `json:"n,omitempty"`
 }
 
 // DropRequest tells a replica that the ownership record no longer names it.
--- a/internal/partitionlog/replica/giveup_test.go
+++ b/internal/partitionlog/replica/giveup_test.go
@@ -44,13 +44,13 @@
 		defer end()
 		go j.Run(run)
 		r.Start("i", j)
-		p := put(t, r, log.Ledger, 1, log.Point{}, "a", "b")
+		p := put(t, r, log.KindLedger, 1, log.Position{}, "a", "b")
 		release := make(chan struct{})
 		d.held <- release
 		cx, leave := context.WithCancel(ctx)
 		gone := make(chan error, 1)
 		go func() {
-			_, err := r.Append(cx, &AppendRequest{Target: to(1), Kind: log.Ledger, After: p, Reset: true})
+			_, err := r.Append(cx, &AppendRequest{Target: to(1), Kind: log.KindLedger, After: p, Reset: true})
 			gone <- err
 		}()
 		synctest.Wait()
@@ -58,7 +58,7 @@
 		assert.Assert(t, <-gone != nil)
 		done := make(chan *AppendResponse, 1)
 		go func() {
-			a, err := r.Append(ctx, &AppendRequest{Target: to(1), Kind: log.Ledger, After: p, Entries: chain(p, 1, "c")})
+			a, err := r.Append(ctx, &AppendRequest{Target: to(1), Kind: log.KindLedger, After: p, Entries: chain(p, 1, "c")})
 			assert.Check(t, err)
 			done <- a
 		}()
@@ -66,6 +66,6 @@
 		close(release)
 		a := <-done
 		assert.Assert(t, a.OK)
-		assert.Equal(t, r.Line(1, log.Ledger).Last(), a.Tail.Last)
+		assert.Equal(t, r.Line(1, log.KindLedger).Last(), a.Tail.Last)
 	})
 }
--- a/internal/partitionlog/replica/replica.go
+++ b/internal/partitionlog/replica/replica.go
@@ -23,7 +23,7 @@
 	clk         clock.Clock
 	turns       *keylock.Locks
 	mu          sync.Mutex
-	lines       map[log.ID]*log.Line
+	lines       map[log.ID]*log.Log
 	seals       map[int]uint64
 	states      map[int]Directory
 	turned      uint64
@@ -32,7 +32,7 @@
 // Directory is a partition's state directory: the materialised state at a point of the changelog.
 type Directory struct {
 	Partition int             `json:"p"`
-	At        log.Point       `json:"at"`
+	At        log.Position    `json:"at"`
 	Input     uint64          `json:"input"`
 	State     json.RawMessage `json:"state"`
 }
@@ -45,7 +45,7 @@
 
 // New makes an empty store.
 func New(c clock.Clock) *Replica {
-	return &Replica{clk: c, turns: keylock.New(turnShards), lines: map[log.ID]*log.Line{}, seals: map[int]uint64{}, states: map[int]Directory{}}
+	return &Replica{clk: c, turns: keylock.New(turnShards), lines: map[log.ID]*log.Log{}, seals: map[int]uint64{}, states: map[int]Directory{}}
 }
 
 // Start gives the store its disk.
@@ -55,13 +55,13 @@
 func (r *Replica) Incarnation() string { return r.incarnation }
 
 // Line gives a line, made empty if need be.
-func (r *Replica) Line(p int, k log.Kind) *log.Line {
+func (r *Replica) Line(p int, k log.Kind) *log.Log {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.line(log.ID{Partition: p, Kind: k})
 }
 
-func (r *Replica) line(id log.ID) *log.Line {
+func (r *Replica) line(id log.ID) *log.Log {
 	l, ok := r.lines[id]
 	if !ok {
 		l = log.New()
@@ -113,9 +113,9 @@
 }
 
 type baseRec struct {
-	ID    log.ID    `json:"id"`
-	Base  log.Point `json:"base"`
-	Fresh bool      `json:"fresh,omitempty"`
+	ID    log.ID       `json:"id"`
+	Base  log.Position `json:"base"`
+	Fresh bool         `json:"fresh,omitempty"`
 	// Anew comes before a slice of the line: one that does not hold the base is begun there.
 	Anew bool `json:"anew,omitempty"`
 }
@@ -157,16 +157,16 @@
 		if s.Fresh {
 			r.lines[s.ID] = log.New()
 		}
-		if p, ok := r.line(s.ID).Point(s.Base.Offset); s.Anew && (!ok || p != s.Base) {
+		if p, ok := r.line(s.ID).Position(s.Base.Offset); s.Anew && (!ok || p != s.Base) {
 			r.lines[s.ID] = log.New()
 		}
-		r.line(s.ID).Rebase(s.Base)
+		r.line(s.ID).TrimTo(s.Base)
 		return err
 	},
 	recordtype.Cut: func(r *Replica, b []byte) error {
 		var s cutRec
 		err := read(b, &s)
-		r.line(s.ID).Cut(s.Cut)
+		r.line(s.ID).TruncateAfter(s.Cut)
 		return err
 	},
 	recordtype.Directory: func(r *Replica, b []byte) error {
@@ -214,7 +214,7 @@
 	defer r.mu.Unlock()
 	n, b := len(r.seals)+len(r.lines)+len(r.states), int64(0)
 	for _, l := range r.lines {
-		k, s := l.Weight()
+		k, s := l.Size()
 		n, b = n+k, b+s
 	}
 	for _, d := range r.states {
@@ -278,7 +278,7 @@
 		r.mu.Lock()
 		l, ok := r.lines[id]
 		r.mu.Unlock()
-		if !ok || l.Last() == (log.Point{}) {
+		if !ok || l.Last() == (log.Position{}) {
 			return nil, false
 		}
 		b := l.Base()
@@ -360,7 +360,7 @@
 	id := log.ID{Partition: q.Partition, Kind: q.Kind}
 	l := r.Line(q.Partition, q.Kind)
 	if !q.Reset {
-		if p, ok := l.Point(q.After.Offset); !ok || p != q.After {
+		if p, ok := l.Position(q.After.Offset); !ok || p != q.After {
 			return &AppendResponse{Tail: r.tail(q.Partition, q.Kind)}, nil
 		}
 	}
@@ -374,18 +374,18 @@
 	at := q.After
 	var fresh []log.Entry
 	for _, e := range q.Entries {
-		if !e.Sound(at) {
+		if !e.Valid(at) {
 			return nil, apierror.New(apierror.LogMismatch, "entry %d does not follow %d soundly", e.Offset, at.Offset)
 		}
-		at = e.At()
-		if p, ok := l.Point(e.Offset); !q.Reset && ok && p == at {
+		at = e.Position()
+		if p, ok := l.Position(e.Offset); !q.Reset && ok && p == at {
 			continue
 		}
 		fresh = append(fresh, e)
 		rs = append(rs, rec(recordtype.Entry, e.Epoch, e.Offset, entryRec{id, e}))
 	}
-	trim := log.Point{}
-	if p, ok := l.Point(q.Base.Offset); ok && p == q.Base && q.Base.Offset > l.Base().Offset {
+	trim := log.Position{}
+	if p, ok := l.Position(q.Base.Offset); ok && p == q.Base && q.Base.Offset > l.Base().Offset {
 		trim = q.Base
 		rs = append(rs, rec(recordtype.Base, trim.Epoch, trim.Offset, baseRec{ID: id, Base: trim}))
 	}
@@ -394,7 +394,7 @@
 			r.setSeal(q.Partition, q.Epoch)
 			if q.Reset {
 				n := log.New()
-				n.Rebase(q.After)
+				n.TrimTo(q.After)
 				r.mu.Lock()
 				r.lines[id] = n
 				r.mu.Unlock()
@@ -402,7 +402,7 @@
 			}
 			l.Append(r.clk.Now(), fresh...)
 			if trim.Offset > 0 {
-				l.Rebase(trim)
+				l.TrimTo(trim)
 			}
 		}, rs...)
 		if err != nil {
@@ -421,7 +421,7 @@
 	}
 	defer in.Release()
 	id := log.ID{Partition: t.Partition, Kind: k}
-	return r.journal.PutIn(ctx, in, urgent, func() { r.Line(t.Partition, k).Cut(o) }, rec(recordtype.Cut, t.Epoch, o, cutRec{id, o}))
+	return r.journal.PutIn(ctx, in, urgent, func() { r.Line(t.Partition, k).TruncateAfter(o) }, rec(recordtype.Cut, t.Epoch, o, cutRec{id, o}))
 }
 
 // Fetch reads entries.
@@ -432,7 +432,7 @@
 	l := r.Line(q.Partition, q.Kind)
 	a := &FetchResponse{Tail: r.tail(q.Partition, q.Kind)}
 	if q.From > 0 {
-		a.Before, _ = l.Point(q.From - 1)
+		a.Before, _ = l.Position(q.From - 1)
 	}
 	a.Entries = l.Slice(q.From, ^uint64(0), min(q.Most, sliceMost), sliceBytes)
 	return a, nil
@@ -470,7 +470,7 @@
 	if !ok {
 		return d, false
 	}
-	at, ok := r.Line(p, log.Changelog).Point(d.At.Offset)
+	at, ok := r.Line(p, log.KindChangelog).Position(d.At.Offset)
 	return d, ok && at == d.At
 }
 
--- a/internal/samza/changelog/changelog.go
+++ b/internal/samza/changelog/changelog.go
@@ -33,7 +33,7 @@
 	for i := range n {
 		to := min((i+1)*itemsPerPart, len(items))
 		b, _ := json.Marshal(Batch{Input: input, Part: i, Parts: n, Whole: whole, Items: items[i*itemsPerPart : to]})
-		es = append(es, log.Entry{What: log.Batch, Body: b})
+		es = append(es, log.Entry{Type: log.TypeBatch, Body: b})
 	}
 	return es
 }
@@ -41,7 +41,7 @@
 // PackCommit makes the entry that commits an input offset.
 func PackCommit(c Commit) log.Entry {
 	b, _ := json.Marshal(c)
-	return log.Entry{What: log.Offset, Body: b}
+	return log.Entry{Type: log.TypeOffset, Body: b}
 }
 
 // Replay applies changelog entries to a state: batches only when whole, the input offset only by its record.
@@ -49,8 +49,8 @@
 func Replay(s *state.State, input uint64, es []log.Entry) (uint64, error) {
 	var parts []Batch
 	for _, e := range es {
-		switch e.What {
-		case log.Batch:
+		switch e.Type {
+		case log.TypeBatch:
 			var b Batch
 			if err := json.Unmarshal(e.Body, &b); err != nil {
 				return 0, apierror.Wrap(apierror.DiskDamaged, err, "read changelog entry %d", e.Offset)
@@ -73,7 +73,7 @@
 				}
 			}
 			parts = nil
-		case log.Offset:
+		case log.TypeOffset:
 			var c Commit
 			if err := json.Unmarshal(e.Body, &c); err != nil {
 				return 0, apierror.Wrap(apierror.DiskDamaged, err, "read changelog entry %d", e.Offset)
--- a/internal/samza/changelog/changelog_test.go
+++ b/internal/samza/changelog/changelog_test.go
@@ -14,9 +14,9 @@
 	var es []log.Entry
 	for i := range n {
 		v, t := fmt.Sprintf("v%d", i%700), fmt.Sprintf("t%d", i%3)
-		es = append(es, log.Entry{Offset: uint64(i + 1), What: log.Message, Visitor: v, Topic: t, Call: uint64(i/2100) + 1, Digest: "d"})
+		es = append(es, log.Entry{Offset: uint64(i + 1), Type: log.TypeMessage, Client: v, Topic: t, CallSeq: uint64(i/2100) + 1, Digest: "d"})
 	}
-	es = append(es, log.Entry{Offset: uint64(n + 1), What: log.Attach, Visitor: "v1", Generation: 2, Body: []byte("s")}, log.Entry{Offset: uint64(n + 2), What: log.Cursor, Visitor: "v1", Body: []byte("c")})
+	es = append(es, log.Entry{Offset: uint64(n + 1), Type: log.TypeAttach, Client: "v1", Generation: 2, Body: []byte("s")}, log.Entry{Offset: uint64(n + 2), Type: log.TypeCursor, Client: "v1", Body: []byte("c")})
 	return es
 }
 
@@ -56,7 +56,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, in, uint64(0))
 	assert.Equal(t, got.Size(), 0)
-	in, err = Replay(got, 0, append(append(changes[:1:1], log.Entry{What: log.Start}), changes...))
+	in, err = Replay(got, 0, append(append(changes[:1:1], log.Entry{Type: log.TypeEpochStart}), changes...))
 	assert.NilError(t, err)
 	assert.Equal(t, in, uint64(0), "the offset counts by its own record only")
 	assert.Equal(t, got.Size(), s.Size())
@@ -80,7 +80,7 @@
 	apply(got, es[in:])
 	assert.Equal(t, string(got.Pack()), string(s.Pack()))
 	for _, e := range es[:5000] {
-		x, ok := got.Accepted[state.Key(e.Visitor, e.Topic)].Find(e.Call)
-		assert.Assert(t, ok && x.Offset == e.Offset, "call %d of %s on %s", e.Call, e.Visitor, e.Topic)
+		x, ok := got.Accepted[state.Key(e.Client, e.Topic)].Find(e.CallSeq)
+		assert.Assert(t, ok && x.Offset == e.Offset, "call %d of %s on %s", e.CallSeq, e.Client, e.Topic)
 	}
 }
--- a/internal/samza/changelog/marks_test.go
+++ b/internal/samza/changelog/marks_test.go
@@ -11,10 +11,10 @@
 
 func marked() []log.Entry {
 	return []log.Entry{
-		{Offset: 1, What: log.Message, Topic: "t", Visitor: "v", Call: 1, Key: "k"}, {Offset: 2, What: log.Message, Topic: "t", Visitor: "v", Call: 2, Key: "l"},
-		{Offset: 3, What: log.Reader, Visitor: "a1", Body: state.Body(state.Reads{Boot: "b"})}, {Offset: 4, What: log.Reader, Visitor: "a2", Body: state.Body(state.Reads{Boot: "b"})},
-		{Offset: 5, What: log.Withdraw, Topic: "t", Visitor: "v", Call: 3, Key: "k"}, {Offset: 6, What: log.Withdraw, Topic: "t", Visitor: "w", Call: 1, Key: "l", Body: state.Body(state.Passes{Of: "v", Upto: 9})},
-		{Offset: 7, What: log.Reader, Visitor: "a2", Body: state.Body(state.Reads{Boot: "b", Gone: true})}, {Offset: 8, What: log.Reader, Visitor: "a1", Body: state.Body(state.Reads{Boot: "b", GivenUp: true})},
+		{Offset: 1, Type: log.TypeMessage, Topic: "t", Client: "v", CallSeq: 1, Key: "k"}, {Offset: 2, Type: log.TypeMessage, Topic: "t", Client: "v", CallSeq: 2, Key: "l"},
+		{Offset: 3, Type: log.TypeReader, Client: "a1", Body: state.Body(state.Reads{Boot: "b"})}, {Offset: 4, Type: log.TypeReader, Client: "a2", Body: state.Body(state.Reads{Boot: "b"})},
+		{Offset: 5, Type: log.TypeWithdrawal, Topic: "t", Client: "v", CallSeq: 3, Key: "k"}, {Offset: 6, Type: log.TypeWithdrawal, Topic: "t", Client: "w", CallSeq: 1, Key: "l", Body: state.Body(state.Passes{Of: "v", Upto: 9})},
+		{Offset: 7, Type: log.TypeReader, Client: "a2", Body: state.Body(state.Reads{Boot: "b", Gone: true})}, {Offset: 8, Type: log.TypeReader, Client: "a1", Body: state.Body(state.Reads{Boot: "b", GivenUp: true})},
 	}
 }
 
--- a/internal/samza/state/marks_test.go
+++ b/internal/samza/state/marks_test.go
@@ -9,15 +9,15 @@
 )
 
 func message(o uint64, visitor string, call uint64, key string) log.Entry {
-	return log.Entry{Offset: o, What: log.Message, Topic: "s/a", Visitor: visitor, Call: call, Key: key, Digest: "d"}
+	return log.Entry{Offset: o, Type: log.TypeMessage, Topic: "s/a", Client: visitor, CallSeq: call, Key: key, Digest: "d"}
 }
 
 func withdrawal(o uint64, visitor string, call uint64, key string, p Passes) log.Entry {
-	return log.Entry{Offset: o, What: log.Withdraw, Topic: "s/a", Visitor: visitor, Call: call, Key: key, Body: Body(p), Digest: "w"}
+	return log.Entry{Offset: o, Type: log.TypeWithdrawal, Topic: "s/a", Client: visitor, CallSeq: call, Key: key, Body: Body(p), Digest: "w"}
 }
 
 func reader(o uint64, node string, r Reads) log.Entry {
-	return log.Entry{Offset: o, What: log.Reader, Visitor: node, Body: Body(r)}
+	return log.Entry{Offset: o, Type: log.TypeReader, Client: node, Body: Body(r)}
 }
 
 func keyed() []log.Entry {
@@ -45,7 +45,7 @@
 		assert.DeepEqual(t, s.Marks, map[string]Mark{known: {5, "w", 3}})
 		assert.DeepEqual(t, s.Readers, map[string]Reader{"a1": {"c", 7, false, "b"}, "a2": {"b", 8, true, ""}})
 		assert.DeepEqual(t, s.Held, map[string]uint64{known: 6, Key("s/a", "l"): 2})
-		assert.DeepEqual(t, s.Accepted[Key("w", "s/a")].Recent, []Taken{{3, 5, Named(log.Withdraw, "k", "w")}})
+		assert.DeepEqual(t, s.Accepted[Key("w", "s/a")].Recent, []Taken{{3, 5, Named(log.TypeWithdrawal, "k", "w")}})
 		v := s.Accepted[Key("v", "s/a")]
 		assert.Equal(t, v.Last, uint64(7))
 		assert.Equal(t, v.Floor, uint64(0))
@@ -64,11 +64,11 @@
 // What a call was taken with is its body, its key, and what it asked; a message without a key is known as ever.
 func TestCallsAreKnownByKeyAndBody(t *testing.T) {
 	seen := map[string]bool{}
-	for _, n := range []string{Named(log.Message, "", "d"), Named(log.Message, "k", "d"), Named(log.Withdraw, "k", "d"), Named(log.Message, "l", "d"), Named(log.Message, "k", "e")} {
+	for _, n := range []string{Named(log.TypeMessage, "", "d"), Named(log.TypeMessage, "k", "d"), Named(log.TypeWithdrawal, "k", "d"), Named(log.TypeMessage, "l", "d"), Named(log.TypeMessage, "k", "e")} {
 		assert.Assert(t, !seen[n], n)
 		seen[n] = true
 	}
-	assert.Equal(t, Named(log.Message, "", "d"), "d")
+	assert.Equal(t, Named(log.TypeMessage, "", "d"), "d")
 }
 
 // What is held, and the marks of what is held, come back from the ledger, also a mark that was let go by an owner whose ledger was cut further.
--- a/internal/samza/state/state.go
+++ b/internal/samza/state/state.go
@@ -175,8 +175,8 @@
 )
 
 var apply = map[string]func(*State, log.Entry){
-	log.Message: func(s *State, e log.Entry) { s.take(e, 1) },
-	log.Withdraw: func(s *State, e log.Entry) {
+	log.TypeMessage: func(s *State, e log.Entry) { s.take(e, 1) },
+	log.TypeWithdrawal: func(s *State, e log.Entry) {
 		s.take(e, 0)
 		s.mark(e)
 		if p := Part[Passes](e); p.Of != "" {
@@ -188,45 +188,45 @@
 			}
 		}
 	},
-	log.Reader: func(s *State, e log.Entry) {
-		if e.Offset <= s.Readers[e.Visitor].Offset {
+	log.TypeReader: func(s *State, e log.Entry) {
+		if e.Offset <= s.Readers[e.Client].Offset {
 			return
 		}
 		r := Part[Reads](e)
-		was := s.Readers[e.Visitor]
+		was := s.Readers[e.Client]
 		if was.Boot != r.Boot {
 			was.Before = was.Boot
 		}
-		s.Readers[e.Visitor] = Reader{r.Boot, e.Offset, r.GivenUp, was.Before}
+		s.Readers[e.Client] = Reader{r.Boot, e.Offset, r.GivenUp, was.Before}
 		if r.Gone {
-			delete(s.Readers, e.Visitor)
+			delete(s.Readers, e.Client)
 		}
-		s.dirty[readers+e.Visitor] = true
+		s.dirty[readers+e.Client] = true
 	},
-	log.Attach: func(s *State, e log.Entry) {
-		if e.Generation > s.Attached[e.Visitor].Generation {
-			s.Attached[e.Visitor] = Attached{e.Generation, string(e.Body), e.Offset}
-			s.dirty[attached+e.Visitor] = true
+	log.TypeAttach: func(s *State, e log.Entry) {
+		if e.Generation > s.Attached[e.Client].Generation {
+			s.Attached[e.Client] = Attached{e.Generation, string(e.Body), e.Offset}
+			s.dirty[attached+e.Client] = true
 		}
 	},
-	log.Cursor: func(s *State, e log.Entry) {
-		if e.Offset > s.Acked[e.Visitor].Offset {
-			s.Acked[e.Visitor] = Acked{string(e.Body), e.Offset}
-			s.dirty[acked+e.Visitor] = true
+	log.TypeCursor: func(s *State, e log.Entry) {
+		if e.Offset > s.Acked[e.Client].Offset {
+			s.Acked[e.Client] = Acked{string(e.Body), e.Offset}
+			s.dirty[acked+e.Client] = true
 		}
 	},
 }
 
 func (s *State) take(e log.Entry, n uint64) {
-	k := Key(e.Visitor, e.Topic)
+	k := Key(e.Client, e.Topic)
 	a := s.Accepted[k]
-	if e.Call <= a.Last {
+	if e.CallSeq <= a.Last {
 		s.Recall(e)
 		return
 	}
 	s.hold(e)
-	a.Last, a.Generation = e.Call, max(a.Generation, e.Generation)
-	a.keep(Taken{e.Call, e.Offset, Named(e.What, e.Key, e.Digest)})
+	a.Last, a.Generation = e.CallSeq, max(a.Generation, e.Generation)
+	a.keep(Taken{e.CallSeq, e.Offset, Named(e.Type, e.Key, e.Digest)})
 	s.Accepted[k] = a
 	s.dirty[accepted+k] = true
 	if p := s.Progress[e.Topic]; e.Offset > p.Offset {
@@ -236,7 +236,7 @@
 }
 
 func (s *State) hold(e log.Entry) {
-	if e.What == log.Message && e.Key != "" {
+	if e.Type == log.TypeMessage && e.Key != "" {
 		k := Key(e.Topic, e.Key)
 		s.Held[k] = max(s.Held[k], e.Offset)
 	}
@@ -250,7 +250,7 @@
 
 func (s *State) mark(e log.Entry) {
 	if k := Key(e.Topic, e.Key); e.Offset > s.Marks[k].Offset {
-		s.Marks[k] = Mark{e.Offset, e.Visitor, e.Call}
+		s.Marks[k] = Mark{e.Offset, e.Client, e.CallSeq}
 		s.dirty[marks+k] = true
 	}
 }
@@ -268,7 +268,7 @@
 
 // Apply takes one committed entry; applying it again changes nothing.
 func (s *State) Apply(e log.Entry) {
-	if f, ok := apply[e.What]; ok {
+	if f, ok := apply[e.Type]; ok {
 		f(s, e)
 	}
 	s.Input = max(s.Input, e.Offset)
@@ -343,37 +343,37 @@
 // Recall takes an entry of the ledger that the state was written down with, so that its answer is known again. Entries come in the order of the ledger.
 // A mark stands again with its entry: one that was let go elsewhere covers what this ledger still holds.
 func (s *State) Recall(e log.Entry) {
-	if !numbered[e.What] {
+	if !numbered[e.Type] {
 		return
 	}
 	s.hold(e)
-	if e.What == log.Withdraw {
+	if e.Type == log.TypeWithdrawal {
 		s.mark(e)
 	}
-	k := Key(e.Visitor, e.Topic)
+	k := Key(e.Client, e.Topic)
 	a, ok := s.Accepted[k]
-	if n := len(a.Recent); !ok || e.Call > a.Last || n > 0 && a.Recent[n-1].Call >= e.Call {
+	if n := len(a.Recent); !ok || e.CallSeq > a.Last || n > 0 && a.Recent[n-1].Call >= e.CallSeq {
 		return
 	}
-	a.keep(Taken{e.Call, e.Offset, Named(e.What, e.Key, e.Digest)})
+	a.keep(Taken{e.CallSeq, e.Offset, Named(e.Type, e.Key, e.Digest)})
 	s.Accepted[k] = a
 }
 
 // numbered are the entries that a visitor's call numbers name.
-var numbered = map[string]bool{log.Message: true, log.Withdraw: true}
+var numbered = map[string]bool{log.TypeMessage: true, log.TypeWithdrawal: true}
 
 // Prune lets go of the answers to entries that the ledger is about to drop, in the order of their offsets, and notes per topic what is gone; how far the
 // calls have come stays for good, so nothing is ever taken twice. It gives how many answers were let go.
 func (s *State) Prune(es ...log.Entry) int {
 	n := 0
 	for _, e := range es {
-		if !numbered[e.What] {
+		if !numbered[e.Type] {
 			continue
 		}
 		if e.Key != "" {
 			s.drop(e)
 		}
-		k := Key(e.Visitor, e.Topic)
+		k := Key(e.Client, e.Topic)
 		a, i := s.Accepted[k], 0
 		for i < len(a.Recent) && a.Recent[i].Offset <= e.Offset {
 			i++
--- a/internal/samza/state/state_test.go
+++ b/internal/samza/state/state_test.go
@@ -14,7 +14,7 @@
 	var es []log.Entry
 	for c := range calls {
 		for v := range visitors {
-			es = append(es, log.Entry{Offset: uint64(len(es) + 1), What: log.Message, Topic: "s/a", Visitor: fmt.Sprintf("v%d", v), Call: 2 * uint64(c+1), Generation: 1, Digest: log.Digest([]byte{byte(c), byte(v)})})
+			es = append(es, log.Entry{Offset: uint64(len(es) + 1), Type: log.TypeMessage, Topic: "s/a", Client: fmt.Sprintf("v%d", v), CallSeq: 2 * uint64(c+1), Generation: 1, Digest: log.Digest([]byte{byte(c), byte(v)})})
 		}
 	}
 	return es
@@ -41,7 +41,7 @@
 		assert.Equal(t, a.Last, uint64(2*40))
 		assert.Equal(t, a.Floor, uint64(2*38))
 		assert.Equal(t, len(a.Recent), 2)
-		s.Apply(log.Entry{Offset: 500, What: log.Message, Topic: "s/a", Visitor: fmt.Sprintf("v%d", v), Call: 7})
+		s.Apply(log.Entry{Offset: 500, Type: log.TypeMessage, Topic: "s/a", Client: fmt.Sprintf("v%d", v), CallSeq: 7})
 		assert.Equal(t, s.Accepted[k].Last, uint64(2*40))
 	}
 	assert.Equal(t, s.Prune(entries(3, 40)[:3*38]...), 0)
--- a/internal/testing/crash/crash_test.go
+++ b/internal/testing/crash/crash_test.go
@@ -51,13 +51,13 @@
 	return voters.NewSet([]voters.Voter{{Node: "c1", Incarnation: "i1"}, {Node: "c2", Incarnation: "i2"}, {Node: "c3", Incarnation: "i3"}}, voters.Layout{RoutinePartitions: 2, UrgentPartitions: 1})
 }
 
-func entries(after log.Point, e uint64, n int) []log.Entry {
+func entries(after log.Position, e uint64, n int) []log.Entry {
 	var es []log.Entry
 	for i := range n {
 		b := []byte(fmt.Sprintf("%d/%d", e, i))
-		x := log.Entry{Offset: after.Offset + 1, Epoch: e, What: log.Message, Body: b, Digest: log.Digest(b)}
-		x.Chain = log.Link(after.Chain, x)
-		es, after = append(es, x), x.At()
+		x := log.Entry{Offset: after.Offset + 1, Epoch: e, Type: log.TypeMessage, Body: b, Digest: log.Digest(b)}
+		x.Chain = log.NextChain(after.Chain, x)
+		es, after = append(es, x), x.Position()
 	}
 	return es
 }
@@ -65,7 +65,7 @@
 // picture is all that a disk has promised and holds.
 type picture struct {
 	seals map[int]uint64
-	lines map[log.ID]map[uint64]log.Point
+	lines map[log.ID]map[uint64]log.Position
 	slots map[string]acceptor.Slot
 	rost  uint64
 }
@@ -74,18 +74,18 @@
 
 func (s *store) picture(t *testing.T) picture {
 	t.Helper()
-	p := picture{seals: map[int]uint64{}, lines: map[log.ID]map[uint64]log.Point{}, slots: map[string]acceptor.Slot{}, rost: s.v.VoterSet().Sequence}
+	p := picture{seals: map[int]uint64{}, lines: map[log.ID]map[uint64]log.Position{}, slots: map[string]acceptor.Slot{}, rost: s.v.VoterSet().Sequence}
 	for n := range partitions {
 		p.seals[n] = s.r.Sealed(n)
 		for _, k := range log.Kinds {
-			m := map[uint64]log.Point{}
+			m := map[uint64]log.Position{}
 			for _, e := range s.r.Line(n, k).Slice(0, ^uint64(0), 1<<30, 1<<30) {
-				m[e.Offset] = e.At()
+				m[e.Offset] = e.Position()
 			}
 			p.lines[log.ID{Partition: n, Kind: k}] = m
 		}
 		if d, ok := s.r.Directory(n); ok {
-			at, held := s.r.Line(n, log.Changelog).Point(d.At.Offset)
+			at, held := s.r.Line(n, log.KindChangelog).Position(d.At.Offset)
 			assert.Assert(t, held && at == d.At, "a directory whose point is not on the changelog was given out")
 		}
 	}
@@ -136,7 +136,7 @@
 func tasks() []func(s *store) error {
 	ctx := context.Background()
 	to := func(p int, e uint64) replica.Target { return replica.Target{Partition: p, Incarnation: "i", Epoch: e} }
-	put := func(p int, k log.Kind, e uint64, after func(l *log.Line) log.Point, n int, reset bool) func(*store) error {
+	put := func(p int, k log.Kind, e uint64, after func(l *log.Log) log.Position, n int, reset bool) func(*store) error {
 		return func(s *store) error {
 			a := after(s.r.Line(p, k))
 			x, err := s.r.Append(ctx, &replica.AppendRequest{Target: to(p, e), Kind: k, After: a, Entries: entries(a, e, n), Reset: reset})
@@ -146,10 +146,10 @@
 			return err
 		}
 	}
-	end := func(l *log.Line) log.Point { return l.Last() }
-	back := func(n uint64) func(l *log.Line) log.Point {
-		return func(l *log.Line) log.Point {
-			p, _ := l.Point(l.Last().Offset - n)
+	end := func(l *log.Log) log.Position { return l.Last() }
+	back := func(n uint64) func(l *log.Log) log.Position {
+		return func(l *log.Log) log.Position {
+			p, _ := l.Position(l.Last().Offset - n)
 			return p
 		}
 	}
@@ -162,14 +162,14 @@
 	trim := func(p int, k log.Kind, e, keep uint64) func(*store) error {
 		return func(s *store) error {
 			l := s.r.Line(p, k)
-			b, _ := l.Point(l.Last().Offset - keep)
+			b, _ := l.Position(l.Last().Offset - keep)
 			_, err := s.r.Append(ctx, &replica.AppendRequest{Target: to(p, e), Kind: k, After: l.Last(), Base: b})
 			return err
 		}
 	}
 	keep := func(p int) func(*store) error {
 		return func(s *store) error {
-			return s.r.Keep(ctx, replica.Directory{Partition: p, At: s.r.Line(p, log.Changelog).Last(), Input: 1, State: []byte(`{}`)})
+			return s.r.Keep(ctx, replica.Directory{Partition: p, At: s.r.Line(p, log.KindChangelog).Last(), Input: 1, State: []byte(`{}`)})
 		}
 	}
 	ballot := func(k string, seq uint64) acceptor.Target {
@@ -197,12 +197,12 @@
 			return err
 		},
 		promise("description", 1), accept("description", 1, 1), promise("description", 3), accept("description", 3, 2), promise("partition/000", 2),
-		seal(0, 1), put(0, log.Ledger, 1, end, 5, false), put(0, log.Changelog, 1, end, 3, false), keep(0), seal(0, 2),
-		put(0, log.Ledger, 2, back(2), 4, false), trim(0, log.Ledger, 2, 3), put(0, log.Changelog, 2, end, 2, false), keep(0), trim(0, log.Changelog, 2, 2),
-		seal(1, 4), put(1, log.Ledger, 4, end, 6, false),
-		put(1, log.Ledger, 5, func(*log.Line) log.Point { return log.Point{Epoch: 4, Offset: 20, Chain: 7} }, 3, true),
-		func(s *store) error { return s.r.CutTo(ctx, to(1, 5), log.Ledger, 22, false) },
-		seal(2, 1), put(2, log.Ledger, 1, end, 4, false),
+		seal(0, 1), put(0, log.KindLedger, 1, end, 5, false), put(0, log.KindChangelog, 1, end, 3, false), keep(0), seal(0, 2),
+		put(0, log.KindLedger, 2, back(2), 4, false), trim(0, log.KindLedger, 2, 3), put(0, log.KindChangelog, 2, end, 2, false), keep(0), trim(0, log.KindChangelog, 2, 2),
+		seal(1, 4), put(1, log.KindLedger, 4, end, 6, false),
+		put(1, log.KindLedger, 5, func(*log.Log) log.Position { return log.Position{Epoch: 4, Offset: 20, Chain: 7} }, 3, true),
+		func(s *store) error { return s.r.CutTo(ctx, to(1, 5), log.KindLedger, 22, false) },
+		seal(2, 1), put(2, log.KindLedger, 1, end, 4, false),
 		func(s *store) error { _, err := s.r.Drop(ctx, &replica.DropRequest{Target: to(2, 9)}); return err },
 		accept(acceptor.VoterSetKey, 1, 1),
 		func(s *store) error {
@@ -214,9 +214,9 @@
 		promise("description", 7),
 	}
 	for range 9 {
-		ts = append(ts, put(0, log.Ledger, 2, end, 500, false), trim(0, log.Ledger, 2, 40))
+		ts = append(ts, put(0, log.KindLedger, 2, end, 500, false), trim(0, log.KindLedger, 2, 40))
 	}
-	return append(ts, seal(0, 8), accept("description", 7, 3), put(0, log.Ledger, 8, end, 2, false))
+	return append(ts, seal(0, 8), accept("description", 7, 3), put(0, log.KindLedger, 8, end, 2, false))
 }
 
 const anewMost = 64
--- a/internal/testing/crash/slices_test.go
+++ b/internal/testing/crash/slices_test.go
@@ -44,12 +44,12 @@
 	ctx := context.Background()
 	p, k := r.IntN(partitions), log.Kinds[r.IntN(2)]
 	to := func(e uint64) replica.Target { return replica.Target{Partition: p, Incarnation: "i", Epoch: e} }
-	some := func(l *log.Line) log.Point {
+	some := func(l *log.Log) log.Position {
 		b, t := l.Base().Offset, l.Last().Offset
-		at, _ := l.Point(b + r.Uint64N(t-b+1))
+		at, _ := l.Position(b + r.Uint64N(t-b+1))
 		return at
 	}
-	put := func(after func(l *log.Line) log.Point, n int, reset bool) func(*store) error {
+	put := func(after func(l *log.Log) log.Position, n int, reset bool) func(*store) error {
 		return func(s *store) error {
 			a := after(s.r.Line(p, k))
 			x, err := s.r.Append(ctx, &replica.AppendRequest{Target: to(*e), Kind: k, After: a, Entries: entries(a, *e, n), Reset: reset})
@@ -69,8 +69,8 @@
 		}
 	}
 	return []func(*store) error{
-		put((*log.Line).Last, 1+r.IntN(90), false),
-		put((*log.Line).Last, 1, false),
+		put((*log.Log).Last, 1+r.IntN(90), false),
+		put((*log.Log).Last, 1, false),
 		seal(put(some, 1+r.IntN(90), false)),
 		seal(func(s *store) error { return s.r.CutTo(ctx, to(*e), k, some(s.r.Line(p, k)).Offset, false) }),
 		func(s *store) error {
@@ -78,10 +78,10 @@
 			_, err := s.r.Append(ctx, &replica.AppendRequest{Target: to(*e), Kind: k, After: l.Last(), Base: some(l)})
 			return err
 		},
-		seal(put(func(*log.Line) log.Point { return log.Point{Offset: uint64(r.IntN(200)), Epoch: *e - 1, Chain: 7} }, 1+r.IntN(90), true)),
+		seal(put(func(*log.Log) log.Position { return log.Position{Offset: uint64(r.IntN(200)), Epoch: *e - 1, Chain: 7} }, 1+r.IntN(90), true)),
 		seal(func(s *store) error { _, err := s.r.Drop(ctx, &replica.DropRequest{Target: to(*e)}); return err }),
 		func(s *store) error {
-			return s.r.Keep(ctx, replica.Directory{Partition: p, At: s.r.Line(p, log.Changelog).Last(), Input: 1, State: []byte(`{}`)})
+			return s.r.Keep(ctx, replica.Directory{Partition: p, At: s.r.Line(p, log.KindChangelog).Last(), Input: 1, State: []byte(`{}`)})
 		},
 		func(s *store) error {
 			b := acceptor.Target{VoterSet: s.v.VoterSet().Sequence, Incarnation: "i1", Key: "description"}
@@ -137,7 +137,7 @@
 			for p := range partitions {
 				for _, k := range log.Kinds {
 					run(func(s *store) error {
-						_, err := s.r.Append(t.Context(), &replica.AppendRequest{Target: replica.Target{Partition: p, Incarnation: "i", Epoch: 1}, Kind: k, Entries: entries(log.Point{}, 1, 100+r.IntN(200))})
+						_, err := s.r.Append(t.Context(), &replica.AppendRequest{Target: replica.Target{Partition: p, Incarnation: "i", Epoch: 1}, Kind: k, Entries: entries(log.Position{}, 1, 100+r.IntN(200))})
 						return err
 					})
 				}
--- a/internal/testing/sim/measure_marks_test.go
+++ b/internal/testing/sim/measure_marks_test.go
@@ -105,10 +105,10 @@
 	const n = 10_000
 	for what, entry := range map[string]func(i int) log.Entry{
 		"mark": func(i int) log.Entry {
-			return log.Entry{What: log.Withdraw, Offset: uint64(i + 1), Topic: "station/zone-b/seat-3", Key: fmt.Sprintf("turn-%08d", i), Visitor: "coordinator-17", Call: uint64(i + 1)}
+			return log.Entry{Type: log.TypeWithdrawal, Offset: uint64(i + 1), Topic: "station/zone-b/seat-3", Key: fmt.Sprintf("turn-%08d", i), Client: "coordinator-17", CallSeq: uint64(i + 1)}
 		},
 		"reader": func(i int) log.Entry {
-			return log.Entry{What: log.Reader, Offset: uint64(i + 1), Visitor: fmt.Sprintf("access-%05d", i), Body: state.Body(state.Reads{Boot: "7daa68ab16870a7c"})}
+			return log.Entry{Type: log.TypeReader, Offset: uint64(i + 1), Client: fmt.Sprintf("access-%05d", i), Body: state.Body(state.Reads{Boot: "7daa68ab16870a7c"})}
 		},
 	} {
 		var a, b runtime.MemStats
--- a/internal/testing/sim/offer_test.go
+++ b/internal/testing/sim/offer_test.go
@@ -136,8 +136,8 @@
 			return got
 		}
 		for _, e := range r.Entries {
-			if e.What == log.Message && topics[e.Topic] {
-				got = append(got, history.Receipt{Message: history.Message{Topic: e.Topic, From: e.Visitor, Call: e.Call}, Body: string(e.Body), Partition: p, Offset: e.Offset, At: time.Now()})
+			if e.Type == log.TypeMessage && topics[e.Topic] {
+				got = append(got, history.Receipt{Message: history.Message{Topic: e.Topic, From: e.Client, Call: e.CallSeq}, Body: string(e.Body), Partition: p, Offset: e.Offset, At: time.Now()})
 			}
 		}
 		at = r.To
--- a/internal/testing/sim/points_test.go
+++ b/internal/testing/sim/points_test.go
@@ -86,7 +86,7 @@
 
 func late(x Point) bool {
 	q, ok := appending(x)
-	return ok && q.Kind == log.Changelog
+	return ok && q.Kind == log.KindChangelog
 }
 
 // points are the places in a decision's way at which whoever decides is held up while its sessions lapse and others go on.
--- a/internal/wire/codec_test.go
+++ b/internal/wire/codec_test.go
@@ -159,12 +159,12 @@
 	}
 	es := make([]log.Entry, 4)
 	for i := range es {
-		es[i] = log.Entry{Offset: uint64(1e6 + i), Epoch: 4, What: "message", Topic: "armor/alerts", Visitor: "visitor-17", Call: 99, Generation: 3, Description: 17, Digest: "0123456789abcdef", Chain: 0xfedcba9876543210, Body: make([]byte, 200)}
+		es[i] = log.Entry{Offset: uint64(1e6 + i), Epoch: 4, Type: "message", Topic: "armor/alerts", Client: "visitor-17", CallSeq: 99, Generation: 3, Configuration: 17, Digest: "0123456789abcdef", Chain: 0xfedcba9876543210, Body: make([]byte, 200)}
 	}
 	return map[string]any{
 		"digest": &gossip.ExchangeRequest{Digest: gossip.Digest{VoterSet: 3, Configuration: 17, Records: []uint64{4, 5, 6, 7, 8, 9}}},
 		"pulse":  &nodelease.HeartbeatResponse{Members: ms, Confirmed: true, Sequence: 17, Age: time.Millisecond},
-		"append": &replica.AppendRequest{After: log.Point{Offset: 1e6 - 1, Epoch: 4, Chain: 0xfedcba9876543210}, Entries: es, Commit: 1e6 - 1},
+		"append": &replica.AppendRequest{After: log.Position{Offset: 1e6 - 1, Epoch: 4, Chain: 0xfedcba9876543210}, Entries: es, Commit: 1e6 - 1},
 	}
 }
 
