--- a/internal/control/acceptor/voter.go
+++ b/internal/control/acceptor/voter.go
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// Live counts the live records.
-func (v *Acceptor) Live() (int, int64) {
+// LiveSize counts the live records.
+func (v *Acceptor) LiveSize() (int, int64) {
 	rs := v.dump()
 	n := int64(0)
 	for _, r := range rs {
--- a/internal/disk/identity/identity.go
+++ b/internal/disk/identity/identity.go
@@ -38,8 +38,8 @@
 	return journal.Rec{Kind: recordtype.Identity, Body: b}
 }
 
-// Live counts the record.
-func (p *Part) Live() (int, int64) { return 1, int64(len(p.rec(p.Get()).Body)) }
+// LiveSize counts the record.
+func (p *Part) LiveSize() (int, int64) { return 1, int64(len(p.rec(p.Get()).Body)) }
 
 // Slices gives the record.
 func (p *Part) Slices() []journal.Slice {
--- a/internal/disk/journal/journal.go
+++ b/internal/disk/journal/journal.go
@@ -24,7 +24,7 @@
 // bodies have, and gives the live ones in slices when the log is written anew. What puts change is seen only by the journal's own steps.
 type Part interface {
 	Restore(r Rec) error
-	Live() (records int, bytes int64)
+	LiveSize() (records int, bytes int64)
 	Slices() []Slice
 }
 
@@ -287,7 +287,7 @@
 func (j *Journal) count() {
 	n, b := 0, int64(0)
 	for _, p := range j.order {
-		k, s := p.Live()
+		k, s := p.LiveSize()
 		n, b = n+k, b+s
 	}
 	j.live, j.room.live = uint64(n), b+int64(n)*size(0)
--- a/internal/disk/journal/readback_test.go
+++ b/internal/disk/journal/readback_test.go
@@ -26,7 +26,7 @@
 	return nil
 }
 
-func (k *kept) Live() (int, int64) { return len(k.recs), int64(len(k.recs)) * recBytes }
+func (k *kept) LiveSize() (int, int64) { return len(k.recs), int64(len(k.recs)) * recBytes }
 
 func (k *kept) Slices() []journal.Slice {
 	return journal.Whole(func() []journal.Rec { return k.recs })
--- a/internal/disk/journal/room_test.go
+++ b/internal/disk/journal/room_test.go
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// Live counts the live records.
-func (s *shelf) Live() (int, int64) {
+// LiveSize counts the live records.
+func (s *shelf) LiveSize() (int, int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := int64(0)
--- a/internal/disk/walog/walog_test.go
+++ b/internal/disk/walog/walog_test.go
@@ -25,7 +25,7 @@
 	return nil
 }
 
-func (p *part) Live() (int, int64) { return len(p.got), 0 }
+func (p *part) LiveSize() (int, int64) { return len(p.got), 0 }
 
 func (p *part) Slices() []journal.Slice { return journal.Whole(p.dump) }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -133,7 +133,7 @@
 	n.id = &identity.Part{}
 	n.voter, n.replica = acceptor.New(), replica.New(n.w.Clock)
 	parts := map[uint16]journal.Part{recordtype.Identity: n.id, recordtype.Slot: n.voter, recordtype.Roster: n.voter}
-	for _, k := range replica.Kinds() {
+	for _, k := range replica.RecordTypes() {
 		parts[k] = n.replica
 	}
 	j, r, err := journal.Open(n.w.Disk, n.w.Clock, parts, []journal.Part{n.id, n.voter, n.replica})
@@ -639,7 +639,7 @@
 	}
 	if n.journal != nil {
 		m["journal"] = n.journal.Tally()
-		m["epochs_turned_away"] = n.replica.Turned()
+		m["epochs_turned_away"] = n.replica.Rejected()
 	}
 	if n.holder != nil {
 		c, a := n.holder.Counts()
--- a/internal/partitionlog/idle/still.go
+++ b/internal/partitionlog/idle/still.go
@@ -32,7 +32,7 @@
 const fewLines = 4
 
 type waiting struct {
-	line replica.Silent
+	line replica.IdleLog
 	due  time.Time
 	said chan Said
 }
@@ -61,7 +61,7 @@
 }
 
 // Wait has a line confirmed to a disk once it is due, or before with another one of that disk, and waits for that or for news of it.
-func (l *Lines) Wait(ctx context.Context, d Disk, s replica.Silent, due time.Time, grown, moved <-chan struct{}) Said {
+func (l *Lines) Wait(ctx context.Context, d Disk, s replica.IdleLog, due time.Time, grown, moved <-chan struct{}) Said {
 	w := &waiting{line: s, due: due, said: make(chan Said, 1)}
 	l.mu.Lock()
 	g, runs := l.m[d]
@@ -132,25 +132,25 @@
 
 // ask tells what became of lines that were silent, in their order. Where the sums of many differ, those of their halves tell which.
 func (l *Lines) ask(d Disk, all []*waiting) {
-	q := &replica.StillRequest{Incarnation: d.Incarnation, Lines: map[log.Kind][]int{}}
-	ss := make([]replica.Silent, len(all))
+	q := &replica.CompareIdleRequest{Incarnation: d.Incarnation, Partitions: map[log.Kind][]int{}}
+	ss := make([]replica.IdleLog, len(all))
 	for i, w := range all {
 		ss[i] = w.line
-		q.Lines[w.line.Kind] = append(q.Lines[w.line.Kind], w.line.Partition)
+		q.Partitions[w.line.Kind] = append(q.Partitions[w.line.Kind], w.line.Partition)
 	}
-	q.Sum = replica.Sum(ss)
+	q.Checksum = replica.IdleChecksum(ss)
 	cx, stop := context.WithTimeout(l.ctx, l.bounds.CallTimeout())
-	a, err := replica.Still.Call(cx, l.net, l.self, d.Addr, q)
+	a, err := replica.CompareIdle.Call(cx, l.net, l.self, d.Addr, q)
 	stop()
 	said := Alike
 	switch {
 	case err != nil:
 		said = Doubt
-	case !a.Alike && len(all) > fewLines:
+	case !a.Identical && len(all) > fewLines:
 		l.ask(d, all[:len(all)/2])
 		l.ask(d, all[len(all)/2:])
 		return
-	case !a.Alike:
+	case !a.Identical:
 		said = Doubt
 	}
 	for _, w := range all {
--- a/internal/partitionlog/idle/still_test.go
+++ b/internal/partitionlog/idle/still_test.go
@@ -27,32 +27,32 @@
 	takes time.Duration
 }
 
-func at(p int) replica.Silent {
-	return replica.Silent{Partition: p, Kind: log.KindLedger, Epoch: 2, Last: log.Position{Offset: uint64(p), Epoch: 1}}
+func at(p int) replica.IdleLog {
+	return replica.IdleLog{Partition: p, Kind: log.KindLedger, Epoch: 2, Last: log.Position{Offset: uint64(p), Epoch: 1}}
 }
 
-func (c *copies) still(_ context.Context, q *replica.StillRequest) (*replica.StillResponse, error) {
+func (c *copies) still(_ context.Context, q *replica.CompareIdleRequest) (*replica.CompareIdleResponse, error) {
 	time.Sleep(c.takes)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asked = append(c.asked, len(q.Lines[log.KindLedger]))
+	c.asked = append(c.asked, len(q.Partitions[log.KindLedger]))
 	if c.deaf {
 		return nil, apierror.New(apierror.WrongDisk, "another disk")
 	}
-	var ss []replica.Silent
-	for _, p := range q.Lines[log.KindLedger] {
+	var ss []replica.IdleLog
+	for _, p := range q.Partitions[log.KindLedger] {
 		s := at(p)
 		if c.off[p] {
 			s.Epoch++
 		}
 		ss = append(ss, s)
 	}
-	return &replica.StillResponse{Alike: replica.Sum(ss) == q.Sum}, nil
+	return &replica.CompareIdleResponse{Identical: replica.IdleChecksum(ss) == q.Checksum}, nil
 }
 
 func (c *copies) Do(q *http.Request) (*http.Response, error) {
 	m := http.NewServeMux()
-	replica.Still.Handle(m, c.still)
+	replica.CompareIdle.Handle(m, c.still)
 	w := httptest.NewRecorder()
 	m.ServeHTTP(w, q)
 	return w.Result(), nil
--- a/internal/partitionlog/leader/assure.go
+++ b/internal/partitionlog/leader/assure.go
@@ -63,7 +63,7 @@
 	as := quorum.Gather(cx, o.Rec.Replicas, func(ctx context.Context, p assignment.Replica) (bool, error) {
 		q := &replica.AppendRequest{Target: replica.Target{Partition: o.Rec.Partition, Incarnation: p.Incarnation, Epoch: o.Rec.Epoch}, Kind: log.KindLedger, Urgent: o.Urgent}
 		if p.Node == o.d.Self {
-			return true, o.d.Replica.Stands(q.Target)
+			return true, o.d.Replica.CheckEpoch(q.Target)
 		}
 		a, ok := o.d.Addr(p.Node)
 		if !ok {
--- a/internal/partitionlog/leader/takeover.go
+++ b/internal/partitionlog/leader/takeover.go
@@ -43,7 +43,7 @@
 	}
 	o.mu.Lock()
 	for _, k := range log.Kinds {
-		o.tracks[k] = newTrack(k, o.d.Replica.Line(o.Rec.Partition, k))
+		o.tracks[k] = newTrack(k, o.d.Replica.Log(o.Rec.Partition, k))
 		o.bases[k] = o.tracks[k].line.Base()
 	}
 	o.mu.Unlock()
@@ -142,12 +142,12 @@
 	}
 	cx, stop := context.WithTimeout(ctx, o.d.Bounds.CallTimeout())
 	defer stop()
-	return replica.Fetch.Call(cx, o.d.Net, o.d.Self, a, &replica.FetchRequest{Partition: o.Rec.Partition, Incarnation: p.Incarnation, Kind: k, From: from, Most: most})
+	return replica.Fetch.Call(cx, o.d.Net, o.d.Self, a, &replica.FetchRequest{Partition: o.Rec.Partition, Incarnation: p.Incarnation, Kind: k, From: from, Limit: most})
 }
 
 func (o *Owner) adopt(ctx context.Context, k log.Kind, tails []sealed) error {
 	best := o.d.Self
-	l := o.d.Replica.Line(o.Rec.Partition, k)
+	l := o.d.Replica.Log(o.Rec.Partition, k)
 	top := l.Last()
 	for _, s := range tails {
 		if t := s.Value.Tails[k].Last; top.Less(t) {
@@ -181,7 +181,7 @@
 		if err != nil {
 			return err
 		}
-		if !a.OK {
+		if !a.Matched {
 			return apierror.New(apierror.LogMismatch, "the own line does not hold %d", at.Offset)
 		}
 		o.mu.Lock()
@@ -189,8 +189,8 @@
 		o.mu.Unlock()
 		at, reset = a.Tail.Last, false
 	}
-	if l := o.d.Replica.Line(o.Rec.Partition, k); l.Last().Offset > top.Offset {
-		return o.d.Replica.CutTo(ctx, o.target(o.d.Self), k, top.Offset, o.Urgent)
+	if l := o.d.Replica.Log(o.Rec.Partition, k); l.Last().Offset > top.Offset {
+		return o.d.Replica.TruncateAfter(ctx, o.target(o.d.Self), k, top.Offset, o.Urgent)
 	}
 	return nil
 }
@@ -243,7 +243,7 @@
 	defer o.mu.Unlock()
 	cl, led := o.tracks[log.KindChangelog], o.tracks[log.KindLedger]
 	st, input, from := state.New(), uint64(0), cl.line.Base().Offset
-	if d, ok := o.d.Replica.Directory(o.Rec.Partition); ok && d.At.Offset <= cl.commit {
+	if d, ok := o.d.Replica.Snapshot(o.Rec.Partition); ok && d.At.Offset <= cl.commit {
 		if s, err := state.Unpack(d.State); err == nil {
 			st, input, from, o.how.Directory = s, d.Input, d.At.Offset, true
 		}
@@ -393,7 +393,7 @@
 	p, _ := cl.point(at)
 	o.mu.Unlock()
 	if pack != nil {
-		_ = o.d.Replica.Keep(ctx, replica.Directory{Partition: o.Rec.Partition, At: p, Input: input, State: pack})
+		_ = o.d.Replica.SaveSnapshot(ctx, replica.Snapshot{Partition: o.Rec.Partition, At: p, Input: input, State: pack})
 	}
 	if whole {
 		o.trim(log.KindChangelog, before)
--- a/internal/partitionlog/leader/track.go
+++ b/internal/partitionlog/leader/track.go
@@ -113,7 +113,7 @@
 			continue
 		}
 		a, err := o.d.Replica.Append(ctx, &replica.AppendRequest{Target: o.target(o.d.Self), Kind: t.kind, After: at, Entries: es, Base: base, Urgent: o.Urgent})
-		if err == nil && !a.OK {
+		if err == nil && !a.Matched {
 			err = apierror.New(apierror.LogMismatch, "the own line ends at %d", a.Tail.Last.Offset)
 		}
 		if err != nil {
@@ -172,7 +172,7 @@
 			}
 			due := sent.Add(d)
 			if quiet {
-				s := replica.Silent{Partition: o.Rec.Partition, Kind: t.kind, Epoch: o.Rec.Epoch, Last: c.at}
+				s := replica.IdleLog{Partition: o.Rec.Partition, Kind: t.kind, Epoch: o.Rec.Epoch, Last: c.at}
 				v := o.d.Still.Wait(ctx, idle.Disk{Addr: addr, Incarnation: p.Incarnation}, s, due, grown, moved)
 				if v == idle.Alike {
 					sent = o.d.Clock.Now()
@@ -207,7 +207,7 @@
 			tries++
 			continue
 		}
-		if !a.OK {
+		if !a.Matched {
 			o.back(t, &c, a.Tail)
 			continue
 		}
--- a/internal/partitionlog/leader/used_test.go
+++ b/internal/partitionlog/leader/used_test.go
@@ -21,7 +21,7 @@
 	d := memlog.New()
 	r := replica.New(clock.Real{})
 	parts := map[uint16]journal.Part{}
-	for _, k := range replica.Kinds() {
+	for _, k := range replica.RecordTypes() {
 		parts[k] = r
 	}
 	j, _, err := journal.Open(d, clock.Real{}, parts, []journal.Part{r})
--- a/internal/partitionlog/replica/calls.go
+++ b/internal/partitionlog/replica/calls.go
@@ -45,28 +45,28 @@
 
 // AppendResponse gives the replica's last point; OK tells whether the lines matched.
 type AppendResponse struct {
-	OK   bool `json:"ok"`
-	Tail Tail `json:"tail"`
+	Matched bool `json:"ok"`
+	Tail    Tail `json:"tail"`
 }
 
-// Silent is a line that its owner has nothing new for: the epoch that it was told under, and where it ends.
-type Silent struct {
+// IdleLog is a line that its owner has nothing new for: the epoch that it was told under, and where it ends.
+type IdleLog struct {
 	Partition int
 	Kind      log.Kind
 	Epoch     uint64
 	Last      log.Position
 }
 
-// StillRequest asks whether lines of one disk stand as their owners have told them: the partitions by the kind of line, each in rising order, and the sum of all.
-type StillRequest struct {
+// CompareIdleRequest asks whether lines of one disk stand as their owners have told them: the partitions by the kind of line, each in rising order, and the sum of all.
+type CompareIdleRequest struct {
 	Incarnation string             `json:"i"`
-	Lines       map[log.Kind][]int `json:"l"`
-	Sum         uint64             `json:"s"`
+	Partitions  map[log.Kind][]int `json:"l"`
+	Checksum    uint64             `json:"s"`
 }
 
-// StillResponse tells whether all do.
-type StillResponse struct {
-	Alike bool `json:"a,omitempty"`
+// CompareIdleResponse tells whether all do.
+type CompareIdleResponse struct {
+	Identical bool `json:"a,omitempty"`
 }
 
 // FetchRequest reads entries of a line, committed or not.
@@ -75,7 +75,7 @@
 	Incarnation string   `json:"i"`
 	Kind        log.Kind `json:"k"`
 	From        uint64   `json:"f"`
-	Most        int      `json:"m"`
+	Limit       int      `json:"m"`
 }
 
 // FetchResponse gives entries with the tail they were read at.
@@ -90,14 +90,14 @@
 	Target
 }
 
-// Done is an answer without contents.
-type Done struct{}
+// Empty is an answer without contents.
+type Empty struct{}
 
 // The replica's calls.
 var (
-	Seal   = wire.NewProcedure[SealRequest, SealResponse]("Ledger", "Seal", wire.Monotonic, "epochs only rise on a disk")
-	Append = wire.NewProcedure[AppendRequest, AppendResponse]("Ledger", "Append", wire.Monotonic, "entries have their epoch and place; a copy that has them answers the same, and lower epochs are refused")
-	Still  = wire.NewProcedure[StillRequest, StillResponse]("Ledger", "Still", wire.ReadOnly, "compares sums, changes nothing on disk")
-	Fetch  = wire.NewProcedure[FetchRequest, FetchResponse]("Ledger", "Fetch", wire.ReadOnly, "entries of a copy")
-	Drop   = wire.NewProcedure[DropRequest, Done]("Ledger", "Drop", wire.Monotonic, "names the epoch of the record that no longer places the copy here")
+	Seal        = wire.NewProcedure[SealRequest, SealResponse]("Ledger", "Seal", wire.Monotonic, "epochs only rise on a disk")
+	Append      = wire.NewProcedure[AppendRequest, AppendResponse]("Ledger", "Append", wire.Monotonic, "entries have their epoch and place; a copy that has them answers the same, and lower epochs are refused")
+	CompareIdle = wire.NewProcedure[CompareIdleRequest, CompareIdleResponse]("Ledger", "Still", wire.ReadOnly, "compares sums, changes nothing on disk")
+	Fetch       = wire.NewProcedure[FetchRequest, FetchResponse]("Ledger", "Fetch", wire.ReadOnly, "entries of a copy")
+	Drop        = wire.NewProcedure[DropRequest, Empty]("Ledger", "Drop", wire.Monotonic, "names the epoch of the record that no longer places the copy here")
 )
--- a/internal/partitionlog/replica/giveup_test.go
+++ b/internal/partitionlog/replica/giveup_test.go
@@ -35,7 +35,7 @@
 		d := &slowDisk{memlog.New(), make(chan chan struct{}, 1)}
 		r := New(clock.Real{})
 		parts := map[uint16]journal.Part{}
-		for _, k := range Kinds() {
+		for _, k := range RecordTypes() {
 			parts[k] = r
 		}
 		j, _, err := journal.Open(d, clock.Real{}, parts, []journal.Part{r})
@@ -65,7 +65,7 @@
 		synctest.Wait()
 		close(release)
 		a := <-done
-		assert.Assert(t, a.OK)
-		assert.Equal(t, r.Line(1, log.KindLedger).Last(), a.Tail.Last)
+		assert.Assert(t, a.Matched)
+		assert.Equal(t, r.Log(1, log.KindLedger).Last(), a.Tail.Last)
 	})
 }
--- a/internal/partitionlog/replica/replica.go
+++ b/internal/partitionlog/replica/replica.go
@@ -25,12 +25,12 @@
 	mu          sync.Mutex
 	lines       map[log.ID]*log.Log
 	seals       map[int]uint64
-	states      map[int]Directory
+	states      map[int]Snapshot
 	turned      uint64
 }
 
-// Directory is a partition's state directory: the materialised state at a point of the changelog.
-type Directory struct {
+// Snapshot is a partition's state directory: the materialised state at a point of the changelog.
+type Snapshot struct {
 	Partition int             `json:"p"`
 	At        log.Position    `json:"at"`
 	Input     uint64          `json:"input"`
@@ -45,7 +45,7 @@
 
 // New makes an empty store.
 func New(c clock.Clock) *Replica {
-	return &Replica{clk: c, turns: keylock.New(turnShards), lines: map[log.ID]*log.Log{}, seals: map[int]uint64{}, states: map[int]Directory{}}
+	return &Replica{clk: c, turns: keylock.New(turnShards), lines: map[log.ID]*log.Log{}, seals: map[int]uint64{}, states: map[int]Snapshot{}}
 }
 
 // Start gives the store its disk.
@@ -54,8 +54,8 @@
 // Incarnation is the random name of the disk.
 func (r *Replica) Incarnation() string { return r.incarnation }
 
-// Line gives a line, made empty if need be.
-func (r *Replica) Line(p int, k log.Kind) *log.Log {
+// Log gives a line, made empty if need be.
+func (r *Replica) Log(p int, k log.Kind) *log.Log {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.line(log.ID{Partition: p, Kind: k})
@@ -95,8 +95,8 @@
 	return ps
 }
 
-// Turned counts appends and seals that were turned away for a lower epoch.
-func (r *Replica) Turned() uint64 {
+// Rejected counts appends and seals that were turned away for a lower epoch.
+func (r *Replica) Rejected() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.turned
@@ -170,7 +170,7 @@
 		return err
 	},
 	recordtype.Directory: func(r *Replica, b []byte) error {
-		var s Directory
+		var s Snapshot
 		err := read(b, &s)
 		r.states[s.Partition] = s
 		return err
@@ -183,8 +183,8 @@
 	},
 }
 
-// Kinds lists the records that the store keeps.
-func Kinds() []uint16 {
+// RecordTypes lists the records that the store keeps.
+func RecordTypes() []uint16 {
 	var ks []uint16
 	for k := range restore {
 		ks = append(ks, k)
@@ -208,8 +208,8 @@
 
 const recordCost = 160
 
-// Live counts the live records; their bytes are put high.
-func (r *Replica) Live() (int, int64) {
+// LiveSize counts the live records; their bytes are put high.
+func (r *Replica) LiveSize() (int, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n, b := len(r.seals)+len(r.lines)+len(r.states), int64(0)
@@ -293,7 +293,7 @@
 }
 
 func (r *Replica) tail(p int, k log.Kind) Tail {
-	l := r.Line(p, k)
+	l := r.Log(p, k)
 	return Tail{Base: l.Base(), Last: l.Last(), Commit: l.Commit()}
 }
 
@@ -310,8 +310,8 @@
 	return nil
 }
 
-// Stands tells whether a target's epoch is still the highest on this disk, under its own name.
-func (r *Replica) Stands(t Target) error { return r.fence(t) }
+// CheckEpoch tells whether a target's epoch is still the highest on this disk, under its own name.
+func (r *Replica) CheckEpoch(t Target) error { return r.fence(t) }
 
 func (r *Replica) enter(ctx context.Context, t Target) (*keylock.Shared, error) {
 	back, err := r.turns.LockNumber(ctx, t.Partition)
@@ -358,7 +358,7 @@
 	}
 	defer in.Release()
 	id := log.ID{Partition: q.Partition, Kind: q.Kind}
-	l := r.Line(q.Partition, q.Kind)
+	l := r.Log(q.Partition, q.Kind)
 	if !q.Reset {
 		if p, ok := l.Position(q.After.Offset); !ok || p != q.After {
 			return &AppendResponse{Tail: r.tail(q.Partition, q.Kind)}, nil
@@ -410,18 +410,18 @@
 		}
 	}
 	l.SetCommit(min(q.Commit, at.Offset))
-	return &AppendResponse{OK: true, Tail: Tail{Base: l.Base(), Last: at, Commit: l.Commit()}}, nil
+	return &AppendResponse{Matched: true, Tail: Tail{Base: l.Base(), Last: at, Commit: l.Commit()}}, nil
 }
 
-// CutTo drops what follows an offset, when a tail adopted under the target's epoch differs.
-func (r *Replica) CutTo(ctx context.Context, t Target, k log.Kind, o uint64, urgent bool) error {
+// TruncateAfter drops what follows an offset, when a tail adopted under the target's epoch differs.
+func (r *Replica) TruncateAfter(ctx context.Context, t Target, k log.Kind, o uint64, urgent bool) error {
 	in, err := r.enter(ctx, t)
 	if err != nil {
 		return err
 	}
 	defer in.Release()
 	id := log.ID{Partition: t.Partition, Kind: k}
-	return r.journal.PutIn(ctx, in, urgent, func() { r.Line(t.Partition, k).TruncateAfter(o) }, rec(recordtype.Cut, t.Epoch, o, cutRec{id, o}))
+	return r.journal.PutIn(ctx, in, urgent, func() { r.Log(t.Partition, k).TruncateAfter(o) }, rec(recordtype.Cut, t.Epoch, o, cutRec{id, o}))
 }
 
 // Fetch reads entries.
@@ -429,23 +429,23 @@
 	if q.Incarnation != r.incarnation {
 		return nil, apierror.New(apierror.WrongDisk, "this disk is %s, not %s", r.incarnation, q.Incarnation)
 	}
-	l := r.Line(q.Partition, q.Kind)
+	l := r.Log(q.Partition, q.Kind)
 	a := &FetchResponse{Tail: r.tail(q.Partition, q.Kind)}
 	if q.From > 0 {
 		a.Before, _ = l.Position(q.From - 1)
 	}
-	a.Entries = l.Slice(q.From, ^uint64(0), min(q.Most, sliceMost), sliceBytes)
+	a.Entries = l.Slice(q.From, ^uint64(0), min(q.Limit, sliceMost), sliceBytes)
 	return a, nil
 }
 
 // Drop forgets a partition that the record, at an epoch above the sealed one, no longer places here.
-func (r *Replica) Drop(ctx context.Context, q *DropRequest) (*Done, error) {
+func (r *Replica) Drop(ctx context.Context, q *DropRequest) (*Empty, error) {
 	in, err := r.enter(ctx, q.Target)
 	if err != nil {
 		return nil, err
 	}
 	defer in.Release()
-	return &Done{}, r.journal.PutIn(ctx, in, false, func() {
+	return &Empty{}, r.journal.PutIn(ctx, in, false, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.seals[q.Partition] = max(r.seals[q.Partition], q.Epoch)
@@ -453,8 +453,8 @@
 	}, rec(recordtype.Seal, q.Epoch, 0, sealRec{q.Partition, q.Epoch}), rec(recordtype.Forget, q.Epoch, 0, sealRec{q.Partition, q.Epoch}))
 }
 
-// Keep saves a state directory.
-func (r *Replica) Keep(ctx context.Context, d Directory) error {
+// SaveSnapshot saves a state directory.
+func (r *Replica) SaveSnapshot(ctx context.Context, d Snapshot) error {
 	return r.journal.Put(ctx, false, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -462,15 +462,15 @@
 	}, rec(recordtype.Directory, d.At.Epoch, d.At.Offset, d))
 }
 
-// Directory gives the state directory of a partition if its point is on the changelog held.
-func (r *Replica) Directory(p int) (Directory, bool) {
+// Snapshot gives the state directory of a partition if its point is on the changelog held.
+func (r *Replica) Snapshot(p int) (Snapshot, bool) {
 	r.mu.Lock()
 	d, ok := r.states[p]
 	r.mu.Unlock()
 	if !ok {
 		return d, false
 	}
-	at, ok := r.Line(p, log.KindChangelog).Position(d.At.Offset)
+	at, ok := r.Log(p, log.KindChangelog).Position(d.At.Offset)
 	return d, ok && at == d.At
 }
 
@@ -478,7 +478,7 @@
 func (r *Replica) Serve(m *http.ServeMux) {
 	Seal.Handle(m, r.Seal)
 	Append.Handle(m, r.Append)
-	Still.Handle(m, r.Still)
+	CompareIdle.Handle(m, r.CompareIdle)
 	Fetch.Handle(m, r.Fetch)
 	Drop.Handle(m, r.Drop)
 }
--- a/internal/partitionlog/replica/replica_test.go
+++ b/internal/partitionlog/replica/replica_test.go
@@ -21,7 +21,7 @@
 func boot(t *testing.T, d *memlog.Disk, inc string) *Replica {
 	r := New(clock.Real{})
 	parts := map[uint16]journal.Part{}
-	for _, k := range Kinds() {
+	for _, k := range RecordTypes() {
 		parts[k] = r
 	}
 	j, _, err := journal.Open(d, clock.Real{}, parts, []journal.Part{r})
@@ -49,7 +49,7 @@
 	es := chain(after, epoch, bodies...)
 	a, err := r.Append(ctx, &AppendRequest{Target: to(epoch), Kind: k, After: after, Entries: es})
 	assert.NilError(t, err)
-	assert.Assert(t, a.OK)
+	assert.Assert(t, a.Matched)
 	return es[len(es)-1].Position()
 }
 
@@ -63,14 +63,14 @@
 	d.LosePower(true)
 	r = boot(t, d, "i")
 	for _, k := range log.Kinds {
-		_, err = r.Append(ctx, &AppendRequest{Target: to(2), Kind: k, After: r.Line(1, k).Last(), Entries: chain(r.Line(1, k).Last(), 2, "late")})
+		_, err = r.Append(ctx, &AppendRequest{Target: to(2), Kind: k, After: r.Log(1, k).Last(), Entries: chain(r.Log(1, k).Last(), 2, "late")})
 		assert.Assert(t, apierror.HasCode(err, apierror.StaleEpoch), "%s: %v", k, err)
 	}
 	_, err = r.Seal(ctx, &SealRequest{Target: to(2)})
 	assert.Assert(t, apierror.HasCode(err, apierror.StaleEpoch), "%v", err)
 	_, err = r.Drop(ctx, &DropRequest{to(2)})
 	assert.Assert(t, apierror.HasCode(err, apierror.StaleEpoch), "%v", err)
-	assert.Equal(t, r.Line(1, log.KindLedger).Last(), p)
+	assert.Equal(t, r.Log(1, log.KindLedger).Last(), p)
 }
 
 func TestAnotherIncarnationIsTurnedAway(t *testing.T) {
@@ -90,7 +90,7 @@
 	put(t, r, log.KindLedger, 1, p, "lost", "lost too")
 	a, err := r.Append(ctx, &AppendRequest{Target: to(2), Kind: log.KindLedger, After: log.Position{Offset: 2, Epoch: 1, Chain: 5}})
 	assert.NilError(t, err)
-	assert.Assert(t, !a.OK, "another line at the same place")
+	assert.Assert(t, !a.Matched, "another line at the same place")
 	bad := chain(p, 2, "x")
 	bad[0].Body = []byte("altered")
 	_, err = r.Append(ctx, &AppendRequest{Target: to(2), Kind: log.KindLedger, After: p, Entries: bad})
@@ -98,8 +98,8 @@
 	q := put(t, r, log.KindLedger, 2, p, "kept")
 	d.LosePower(false)
 	r = boot(t, d, "i")
-	assert.Equal(t, r.Line(1, log.KindLedger).Last(), q)
-	assert.Equal(t, string(r.Line(1, log.KindLedger).Slice(2, 2, 1, 1)[0].Body), "kept")
+	assert.Equal(t, r.Log(1, log.KindLedger).Last(), q)
+	assert.Equal(t, string(r.Log(1, log.KindLedger).Slice(2, 2, 1, 1)[0].Body), "kept")
 }
 
 func TestDirectoryIsUsedOnlyWhereItsPointIsOnTheChangelog(t *testing.T) {
@@ -107,17 +107,17 @@
 	r := boot(t, d, "i")
 	p := put(t, r, log.KindChangelog, 1, log.Position{}, "one")
 	q := put(t, r, log.KindChangelog, 1, p, "two")
-	assert.NilError(t, r.Keep(ctx, Directory{Partition: 1, At: q, Input: 9, State: []byte(`{}`)}))
+	assert.NilError(t, r.SaveSnapshot(ctx, Snapshot{Partition: 1, At: q, Input: 9, State: []byte(`{}`)}))
 	r = boot(t, d, "i")
-	got, ok := r.Directory(1)
+	got, ok := r.Snapshot(1)
 	assert.Assert(t, ok)
 	assert.Equal(t, got.Input, uint64(9))
 	put(t, r, log.KindChangelog, 2, p, "another two")
-	_, ok = r.Directory(1)
+	_, ok = r.Snapshot(1)
 	assert.Assert(t, !ok, "the directory is of a tail that was cut")
 	_, err := r.Drop(ctx, &DropRequest{to(3)})
 	assert.NilError(t, err)
-	_, ok = r.Directory(1)
+	_, ok = r.Snapshot(1)
 	assert.Assert(t, !ok)
 	assert.Equal(t, len(boot(t, d, "i").Partitions()), 0, "a dropped partition comes back")
 }
@@ -126,16 +126,16 @@
 func TestDirectoryOfAnOlderDay(t *testing.T) {
 	r := boot(t, memlog.New(), "i")
 	p := put(t, r, log.KindChangelog, 1, log.Position{}, "a", "b")
-	assert.NilError(t, r.Keep(ctx, Directory{Partition: 1, At: p, Input: 7, State: []byte(`{}`)}))
+	assert.NilError(t, r.SaveSnapshot(ctx, Snapshot{Partition: 1, At: p, Input: 7, State: []byte(`{}`)}))
 	q := put(t, r, log.KindChangelog, 1, p, "c", "d")
-	_, ok := r.Directory(1)
+	_, ok := r.Snapshot(1)
 	assert.Assert(t, ok, "the changelog went on, the directory's point is still on it")
-	assert.NilError(t, r.CutTo(ctx, to(1), log.KindChangelog, 1, false))
-	first, _ := r.Line(1, log.KindChangelog).Position(1)
+	assert.NilError(t, r.TruncateAfter(ctx, to(1), log.KindChangelog, 1, false))
+	first, _ := r.Log(1, log.KindChangelog).Position(1)
 	put(t, r, log.KindChangelog, 2, first, "B", "C", "D")
-	_, ok = r.Directory(1)
+	_, ok = r.Snapshot(1)
 	assert.Assert(t, !ok, "the directory stands on a tail that was replaced")
-	assert.Assert(t, q != r.Line(1, log.KindChangelog).Last())
+	assert.Assert(t, q != r.Log(1, log.KindChangelog).Last())
 }
 
 // An owner held up between sealing and adopting once cut what a later owner had put on the disk since.
@@ -147,11 +147,11 @@
 	_, err = r.Seal(ctx, &SealRequest{Target: to(3)})
 	assert.NilError(t, err)
 	q := put(t, r, log.KindLedger, 3, p, "told to be taken")
-	err = r.CutTo(ctx, to(2), log.KindLedger, 1, false)
+	err = r.TruncateAfter(ctx, to(2), log.KindLedger, 1, false)
 	assert.Assert(t, apierror.HasCode(err, apierror.StaleEpoch), "%v", err)
-	assert.Equal(t, r.Line(1, log.KindLedger).Last(), q)
-	assert.NilError(t, r.CutTo(ctx, to(3), log.KindLedger, p.Offset, false))
-	assert.Equal(t, r.Line(1, log.KindLedger).Last(), p)
+	assert.Equal(t, r.Log(1, log.KindLedger).Last(), q)
+	assert.NilError(t, r.TruncateAfter(ctx, to(3), log.KindLedger, p.Offset, false))
+	assert.Equal(t, r.Log(1, log.KindLedger).Last(), p)
 }
 
 // Folders of the first format had bodies in JSON.
@@ -170,7 +170,7 @@
 	assert.NilError(t, d.Sync())
 	for range 2 {
 		r := boot(t, d, "i")
-		assert.DeepEqual(t, r.Line(1, log.KindLedger).Slice(0, ^uint64(0), 9, 1<<20), es)
+		assert.DeepEqual(t, r.Log(1, log.KindLedger).Slice(0, ^uint64(0), 9, 1<<20), es)
 		es = append(es, chain(es[len(es)-1].Position(), 2, "c")...)
 		put(t, r, log.KindLedger, 2, es[len(es)-2].Position(), "c")
 	}
@@ -178,21 +178,21 @@
 
 // A copy tells that a line stands as it was told only while it ends there and nobody has sealed its partition under a higher epoch since.
 func TestStillStands(t *testing.T) {
-	still := func(r *Replica, inc string, ss ...Silent) (bool, error) {
-		q := &StillRequest{Incarnation: inc, Lines: map[log.Kind][]int{}, Sum: Sum(ss)}
+	still := func(r *Replica, inc string, ss ...IdleLog) (bool, error) {
+		q := &CompareIdleRequest{Incarnation: inc, Partitions: map[log.Kind][]int{}, Checksum: IdleChecksum(ss)}
 		for _, s := range ss {
-			q.Lines[s.Kind] = append(q.Lines[s.Kind], s.Partition)
+			q.Partitions[s.Kind] = append(q.Partitions[s.Kind], s.Partition)
 		}
-		a, err := r.Still(t.Context(), q)
-		return err == nil && a.Alike, err
+		a, err := r.CompareIdle(t.Context(), q)
+		return err == nil && a.Identical, err
 	}
 	r := boot(t, memlog.New(), "i")
 	e := put(t, r, log.KindLedger, 3, log.Position{}, "a")
-	one, none := Silent{Partition: 1, Kind: log.KindLedger, Epoch: 3, Last: e}, Silent{Partition: 1, Kind: log.KindChangelog, Epoch: 3}
+	one, none := IdleLog{Partition: 1, Kind: log.KindLedger, Epoch: 3, Last: e}, IdleLog{Partition: 1, Kind: log.KindChangelog, Epoch: 3}
 	lines := len(r.lines)
 	ok, err := still(r, "i", none, one)
 	assert.Assert(t, ok && err == nil)
-	for _, bad := range []Silent{{1, log.KindLedger, 3, log.Position{}}, {1, log.KindLedger, 2, e}, {2, log.KindLedger, 3, e}} {
+	for _, bad := range []IdleLog{{1, log.KindLedger, 3, log.Position{}}, {1, log.KindLedger, 2, e}, {2, log.KindLedger, 3, e}} {
 		ok, err = still(r, "i", none, bad)
 		assert.Assert(t, !ok && err == nil, "%+v", bad)
 	}
--- a/internal/partitionlog/replica/still.go
+++ b/internal/partitionlog/replica/still.go
@@ -11,8 +11,8 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-// Sum is the sum of lines in the order of their kinds and partitions. It only tells what to look at: no promise rests on it.
-func Sum(ss []Silent) uint64 {
+// IdleChecksum is the sum of lines in the order of their kinds and partitions. It only tells what to look at: no promise rests on it.
+func IdleChecksum(ss []IdleLog) uint64 {
 	h := fnv.New64a()
 	var b []byte
 	for _, s := range ss {
@@ -25,23 +25,23 @@
 	return h.Sum64()
 }
 
-// Still tells whether lines end here as their owners have told them, and nobody else has sealed their partitions since. It writes nothing and waits for nobody.
-func (r *Replica) Still(_ context.Context, q *StillRequest) (*StillResponse, error) {
+// CompareIdle tells whether lines end here as their owners have told them, and nobody else has sealed their partitions since. It writes nothing and waits for nobody.
+func (r *Replica) CompareIdle(_ context.Context, q *CompareIdleRequest) (*CompareIdleResponse, error) {
 	if q.Incarnation != r.incarnation {
 		return nil, apierror.New(apierror.WrongDisk, "this disk is %s, not %s", r.incarnation, q.Incarnation)
 	}
-	var ss []Silent
-	for _, k := range slices.Sorted(maps.Keys(q.Lines)) {
-		for _, p := range q.Lines[k] {
+	var ss []IdleLog
+	for _, k := range slices.Sorted(maps.Keys(q.Partitions)) {
+		for _, p := range q.Partitions[k] {
 			ss = append(ss, r.silent(p, k))
 		}
 	}
-	return &StillResponse{Alike: Sum(ss) == q.Sum}, nil
+	return &CompareIdleResponse{Identical: IdleChecksum(ss) == q.Checksum}, nil
 }
 
-func (r *Replica) silent(p int, k log.Kind) Silent {
+func (r *Replica) silent(p int, k log.Kind) IdleLog {
 	r.mu.Lock()
-	s, l := Silent{Partition: p, Kind: k, Epoch: r.seals[p]}, r.lines[log.ID{Partition: p, Kind: k}]
+	s, l := IdleLog{Partition: p, Kind: k, Epoch: r.seals[p]}, r.lines[log.ID{Partition: p, Kind: k}]
 	r.mu.Unlock()
 	if l != nil {
 		s.Last = l.Last()
--- a/internal/testing/crash/crash_test.go
+++ b/internal/testing/crash/crash_test.go
@@ -27,7 +27,7 @@
 	t.Helper()
 	s := &store{v: acceptor.New(), r: replica.New(clock.Real{})}
 	parts := map[uint16]journal.Part{recordtype.Slot: s.v, recordtype.Roster: s.v}
-	for _, k := range replica.Kinds() {
+	for _, k := range replica.RecordTypes() {
 		parts[k] = s.r
 	}
 	j, rep, err := journal.Open(l, clock.Real{}, parts, []journal.Part{s.v, s.r})
@@ -79,13 +79,13 @@
 		p.seals[n] = s.r.Sealed(n)
 		for _, k := range log.Kinds {
 			m := map[uint64]log.Position{}
-			for _, e := range s.r.Line(n, k).Slice(0, ^uint64(0), 1<<30, 1<<30) {
+			for _, e := range s.r.Log(n, k).Slice(0, ^uint64(0), 1<<30, 1<<30) {
 				m[e.Offset] = e.Position()
 			}
 			p.lines[log.ID{Partition: n, Kind: k}] = m
 		}
-		if d, ok := s.r.Directory(n); ok {
-			at, held := s.r.Line(n, log.KindChangelog).Position(d.At.Offset)
+		if d, ok := s.r.Snapshot(n); ok {
+			at, held := s.r.Log(n, log.KindChangelog).Position(d.At.Offset)
 			assert.Assert(t, held && at == d.At, "a directory whose point is not on the changelog was given out")
 		}
 	}
@@ -138,9 +138,9 @@
 	to := func(p int, e uint64) replica.Target { return replica.Target{Partition: p, Incarnation: "i", Epoch: e} }
 	put := func(p int, k log.Kind, e uint64, after func(l *log.Log) log.Position, n int, reset bool) func(*store) error {
 		return func(s *store) error {
-			a := after(s.r.Line(p, k))
+			a := after(s.r.Log(p, k))
 			x, err := s.r.Append(ctx, &replica.AppendRequest{Target: to(p, e), Kind: k, After: a, Entries: entries(a, e, n), Reset: reset})
-			if err == nil && !x.OK {
+			if err == nil && !x.Matched {
 				err = fmt.Errorf("the lines did not match")
 			}
 			return err
@@ -161,7 +161,7 @@
 	}
 	trim := func(p int, k log.Kind, e, keep uint64) func(*store) error {
 		return func(s *store) error {
-			l := s.r.Line(p, k)
+			l := s.r.Log(p, k)
 			b, _ := l.Position(l.Last().Offset - keep)
 			_, err := s.r.Append(ctx, &replica.AppendRequest{Target: to(p, e), Kind: k, After: l.Last(), Base: b})
 			return err
@@ -169,7 +169,7 @@
 	}
 	keep := func(p int) func(*store) error {
 		return func(s *store) error {
-			return s.r.Keep(ctx, replica.Directory{Partition: p, At: s.r.Line(p, log.KindChangelog).Last(), Input: 1, State: []byte(`{}`)})
+			return s.r.SaveSnapshot(ctx, replica.Snapshot{Partition: p, At: s.r.Log(p, log.KindChangelog).Last(), Input: 1, State: []byte(`{}`)})
 		}
 	}
 	ballot := func(k string, seq uint64) acceptor.Target {
@@ -201,7 +201,7 @@
 		put(0, log.KindLedger, 2, back(2), 4, false), trim(0, log.KindLedger, 2, 3), put(0, log.KindChangelog, 2, end, 2, false), keep(0), trim(0, log.KindChangelog, 2, 2),
 		seal(1, 4), put(1, log.KindLedger, 4, end, 6, false),
 		put(1, log.KindLedger, 5, func(*log.Log) log.Position { return log.Position{Epoch: 4, Offset: 20, Chain: 7} }, 3, true),
-		func(s *store) error { return s.r.CutTo(ctx, to(1, 5), log.KindLedger, 22, false) },
+		func(s *store) error { return s.r.TruncateAfter(ctx, to(1, 5), log.KindLedger, 22, false) },
 		seal(2, 1), put(2, log.KindLedger, 1, end, 4, false),
 		func(s *store) error { _, err := s.r.Drop(ctx, &replica.DropRequest{Target: to(2, 9)}); return err },
 		accept(acceptor.VoterSetKey, 1, 1),
--- a/internal/testing/crash/slices_test.go
+++ b/internal/testing/crash/slices_test.go
@@ -51,9 +51,9 @@
 	}
 	put := func(after func(l *log.Log) log.Position, n int, reset bool) func(*store) error {
 		return func(s *store) error {
-			a := after(s.r.Line(p, k))
+			a := after(s.r.Log(p, k))
 			x, err := s.r.Append(ctx, &replica.AppendRequest{Target: to(*e), Kind: k, After: a, Entries: entries(a, *e, n), Reset: reset})
-			if err == nil && !x.OK {
+			if err == nil && !x.Matched {
 				err = fmt.Errorf("the lines did not match")
 			}
 			return err
@@ -72,16 +72,16 @@
 		put((*log.Log).Last, 1+r.IntN(90), false),
 		put((*log.Log).Last, 1, false),
 		seal(put(some, 1+r.IntN(90), false)),
-		seal(func(s *store) error { return s.r.CutTo(ctx, to(*e), k, some(s.r.Line(p, k)).Offset, false) }),
+		seal(func(s *store) error { return s.r.TruncateAfter(ctx, to(*e), k, some(s.r.Log(p, k)).Offset, false) }),
 		func(s *store) error {
-			l := s.r.Line(p, k)
+			l := s.r.Log(p, k)
 			_, err := s.r.Append(ctx, &replica.AppendRequest{Target: to(*e), Kind: k, After: l.Last(), Base: some(l)})
 			return err
 		},
 		seal(put(func(*log.Log) log.Position { return log.Position{Offset: uint64(r.IntN(200)), Epoch: *e - 1, Chain: 7} }, 1+r.IntN(90), true)),
 		seal(func(s *store) error { _, err := s.r.Drop(ctx, &replica.DropRequest{Target: to(*e)}); return err }),
 		func(s *store) error {
-			return s.r.Keep(ctx, replica.Directory{Partition: p, At: s.r.Line(p, log.KindChangelog).Last(), Input: 1, State: []byte(`{}`)})
+			return s.r.SaveSnapshot(ctx, replica.Snapshot{Partition: p, At: s.r.Log(p, log.KindChangelog).Last(), Input: 1, State: []byte(`{}`)})
 		},
 		func(s *store) error {
 			b := acceptor.Target{VoterSet: s.v.VoterSet().Sequence, Incarnation: "i1", Key: "description"}
--- a/internal/testing/sim/still_test.go
+++ b/internal/testing/sim/still_test.go
@@ -24,9 +24,9 @@
 		time.Sleep(sessions * s.Bounds.SessionTimeout())
 		is := w.Flows()
 		pairs := s.Stores * (s.Stores - 1)
-		stills, appends := is[replica.Still.Path], is[replica.Append.Path].Calls-was[replica.Append.Path].Calls
-		stills.Calls -= was[replica.Still.Path].Calls
-		stills.Bytes -= was[replica.Still.Path].Bytes
+		stills, appends := is[replica.CompareIdle.Path], is[replica.Append.Path].Calls-was[replica.Append.Path].Calls
+		stills.Calls -= was[replica.CompareIdle.Path].Calls
+		stills.Bytes -= was[replica.CompareIdle.Path].Bytes
 		t.Logf("%d partitions, %d sessions: %d calls and %d bytes for silent lines, %d appends", s.Routine+s.Urgent, sessions, stills.Calls, stills.Bytes, appends)
 		assert.Assert(t, stills.Calls >= pairs*(sessions-1) && stills.Calls <= pairs*(sessions+1), "%d calls for %d pairs", stills.Calls, pairs)
 		assert.Equal(t, appends, 0)
