--- a/internal/partitionlog/idle/still.go
+++ b/internal/partitionlog/idle/still.go
@@ -18,14 +18,14 @@
 // Disk is one disk at a machine's address.
 type Disk struct{ Addr, Incarnation string }
 
-// Said is what became of a wait.
-type Said int
+// Outcome is what became of a wait.
+type Outcome int
 
-// News came before the line was confirmed; Alike says that the copy ends as the line does, under its epoch; Doubt that it may not, or did not answer.
+// Superseded came before the line was confirmed; Identical says that the copy ends as the line does, under its epoch; Uncertain that it may not, or did not answer.
 const (
-	News Said = iota
-	Alike
-	Doubt
+	Superseded Outcome = iota
+	Identical
+	Uncertain
 )
 
 // fewLines are not looked through further where their sums differ.
@@ -34,7 +34,7 @@
 type waiting struct {
 	line replica.IdleLog
 	due  time.Time
-	said chan Said
+	said chan Outcome
 }
 
 // group is what waits for a disk; wake ends the pause until the first of it is due.
@@ -44,8 +44,8 @@
 	wake context.CancelFunc
 }
 
-// Lines are the silent lines of a machine's owners, by the disks of their copies.
-type Lines struct {
+// Confirmer are the silent lines of a machine's owners, by the disks of their copies.
+type Confirmer struct {
 	self   string
 	net    wire.Network
 	clk    clock.Clock
@@ -56,13 +56,13 @@
 }
 
 // New makes an empty set that lives as long as ctx.
-func New(ctx context.Context, self string, n wire.Network, c clock.Clock, b settings.Timing) *Lines {
-	return &Lines{self: self, net: n, clk: c, bounds: b, ctx: ctx, m: map[Disk]*group{}}
+func New(ctx context.Context, self string, n wire.Network, c clock.Clock, b settings.Timing) *Confirmer {
+	return &Confirmer{self: self, net: n, clk: c, bounds: b, ctx: ctx, m: map[Disk]*group{}}
 }
 
 // Wait has a line confirmed to a disk once it is due, or before with another one of that disk, and waits for that or for news of it.
-func (l *Lines) Wait(ctx context.Context, d Disk, s replica.IdleLog, due time.Time, grown, moved <-chan struct{}) Said {
-	w := &waiting{line: s, due: due, said: make(chan Said, 1)}
+func (l *Confirmer) Wait(ctx context.Context, d Disk, s replica.IdleLog, due time.Time, grown, moved <-chan struct{}) Outcome {
+	w := &waiting{line: s, due: due, said: make(chan Outcome, 1)}
 	l.mu.Lock()
 	g, runs := l.m[d]
 	if !runs {
@@ -87,17 +87,17 @@
 	l.mu.Lock()
 	delete(g.ws, w)
 	l.mu.Unlock()
-	return News
+	return Superseded
 }
 
 // run confirms what waits for a disk, until nothing does.
-func (l *Lines) run(d Disk, g *group) {
+func (l *Confirmer) run(d Disk, g *group) {
 	for {
 		l.mu.Lock()
 		g.wake = nil
 		if len(g.ws) == 0 || l.ctx.Err() != nil {
 			for w := range g.ws {
-				w.said <- Doubt
+				w.said <- Uncertain
 			}
 			delete(l.m, d)
 			l.mu.Unlock()
@@ -131,7 +131,7 @@
 }
 
 // ask tells what became of lines that were silent, in their order. Where the sums of many differ, those of their halves tell which.
-func (l *Lines) ask(d Disk, all []*waiting) {
+func (l *Confirmer) ask(d Disk, all []*waiting) {
 	q := &replica.CompareIdleRequest{Incarnation: d.Incarnation, Partitions: map[log.Kind][]int{}}
 	ss := make([]replica.IdleLog, len(all))
 	for i, w := range all {
@@ -142,16 +142,16 @@
 	cx, stop := context.WithTimeout(l.ctx, l.bounds.CallTimeout())
 	a, err := replica.CompareIdle.Call(cx, l.net, l.self, d.Addr, q)
 	stop()
-	said := Alike
+	said := Identical
 	switch {
 	case err != nil:
-		said = Doubt
+		said = Uncertain
 	case !a.Identical && len(all) > fewLines:
 		l.ask(d, all[:len(all)/2])
 		l.ask(d, all[len(all)/2:])
 		return
 	case !a.Identical:
-		said = Doubt
+		said = Uncertain
 	}
 	for _, w := range all {
 		w.said <- said
--- a/internal/partitionlog/idle/still_test.go
+++ b/internal/partitionlog/idle/still_test.go
@@ -59,15 +59,15 @@
 }
 
 // keep has lines of a disk be silent from now on, each due a little later than the one before.
-func (c *copies) keep(t *testing.T, n int, script func(l *Lines, said []chan Said, news chan struct{})) {
+func (c *copies) keep(t *testing.T, n int, script func(l *Confirmer, said []chan Outcome, news chan struct{})) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		l := New(ctx, "s1", c, clock.Real{}, settings.DefaultTiming)
-		said, news := make([]chan Said, n), make(chan struct{})
+		said, news := make([]chan Outcome, n), make(chan struct{})
 		begun := time.Now()
 		for p := range n {
-			said[p] = make(chan Said, 1)
+			said[p] = make(chan Outcome, 1)
 			mine := news
 			if p > 0 {
 				mine = nil
@@ -86,8 +86,8 @@
 	})
 }
 
-func count(said []chan Said) map[Said]int {
-	n := map[Said]int{}
+func count(said []chan Outcome) map[Outcome]int {
+	n := map[Outcome]int{}
 	for _, c := range said {
 		n[<-c]++
 	}
@@ -97,11 +97,11 @@
 // All silent lines of a disk are confirmed in one call, once the first is due.
 func TestSilentLinesGoTogether(t *testing.T) {
 	c := &copies{}
-	c.keep(t, 100, func(_ *Lines, said []chan Said, _ chan struct{}) {
+	c.keep(t, 100, func(_ *Confirmer, said []chan Outcome, _ chan struct{}) {
 		time.Sleep(time.Second)
 		synctest.Wait()
 		assert.DeepEqual(t, c.asked, []int{100})
-		assert.DeepEqual(t, count(said), map[Said]int{Alike: 100})
+		assert.DeepEqual(t, count(said), map[Outcome]int{Identical: 100})
 	})
 }
 
@@ -112,13 +112,13 @@
 		defer stop()
 		c := &copies{}
 		l := New(ctx, "s1", c, clock.Real{}, settings.DefaultTiming)
-		begun, said := time.Now(), make(chan Said, 2)
+		begun, said := time.Now(), make(chan Outcome, 2)
 		for p, due := range []time.Duration{2 * time.Second, time.Second} {
 			go func() { said <- l.Wait(ctx, Disk{"at-s2", "disk"}, at(p), begun.Add(due), nil, nil) }()
 			synctest.Wait()
 		}
 		for range 2 {
-			assert.Equal(t, <-said, Alike)
+			assert.Equal(t, <-said, Identical)
 		}
 		assert.Equal(t, time.Since(begun), time.Second)
 		assert.DeepEqual(t, c.asked, []int{2})
@@ -128,14 +128,14 @@
 // Where a copy differs its owner is told so, and of others no more than stand beside it; the sums of halves find it.
 func TestWhatDiffersIsFound(t *testing.T) {
 	c := &copies{off: map[int]bool{37: true}}
-	c.keep(t, 100, func(_ *Lines, said []chan Said, _ chan struct{}) {
-		n := map[Said]int{}
+	c.keep(t, 100, func(_ *Confirmer, said []chan Outcome, _ chan struct{}) {
+		n := map[Outcome]int{}
 		for p, s := range said {
 			v := <-s
 			n[v]++
-			assert.Assert(t, v == Doubt || p != 37)
+			assert.Assert(t, v == Uncertain || p != 37)
 		}
-		assert.Assert(t, n[Doubt] <= fewLines && n[Alike] == 100-n[Doubt], "%v", n)
+		assert.Assert(t, n[Uncertain] <= fewLines && n[Identical] == 100-n[Uncertain], "%v", n)
 		assert.Assert(t, len(c.asked) <= 12, "%v", c.asked)
 	})
 }
@@ -143,16 +143,16 @@
 // A line with news leaves at once, also while the others are asked about; a disk that is another one, or gives no answer, leaves all in doubt.
 func TestNewsAndSilence(t *testing.T) {
 	c := &copies{takes: 500 * time.Millisecond}
-	c.keep(t, 10, func(_ *Lines, said []chan Said, news chan struct{}) {
+	c.keep(t, 10, func(_ *Confirmer, said []chan Outcome, news chan struct{}) {
 		time.Sleep(1200 * time.Millisecond)
 		close(news)
 		synctest.Wait()
 		assert.Equal(t, len(said[0]), 1)
-		assert.DeepEqual(t, count(said), map[Said]int{News: 1, Alike: 9})
+		assert.DeepEqual(t, count(said), map[Outcome]int{Superseded: 1, Identical: 9})
 	})
 	c = &copies{deaf: true}
-	c.keep(t, 10, func(_ *Lines, said []chan Said, _ chan struct{}) {
-		assert.DeepEqual(t, count(said), map[Said]int{Doubt: 10})
+	c.keep(t, 10, func(_ *Confirmer, said []chan Outcome, _ chan struct{}) {
+		assert.DeepEqual(t, count(said), map[Outcome]int{Uncertain: 10})
 		assert.DeepEqual(t, c.asked, []int{10})
 	})
 }
--- a/internal/partitionlog/leader/owner.go
+++ b/internal/partitionlog/leader/owner.go
@@ -37,7 +37,7 @@
 	Backlog func() int
 	Replica *replica.Replica
 	// Still confirms lines that have nothing new; without it, each is confirmed by an append without entries.
-	Still *idle.Lines
+	Still *idle.Confirmer
 	Addr  func(node string) (string, bool)
 	// Longest is how long spaces ask to keep for, as far as this node knows.
 	Longest  func() time.Duration
--- a/internal/partitionlog/leader/track.go
+++ b/internal/partitionlog/leader/track.go
@@ -174,10 +174,10 @@
 			if quiet {
 				s := replica.IdleLog{Partition: o.Rec.Partition, Kind: t.kind, Epoch: o.Rec.Epoch, Last: c.at}
 				v := o.d.Still.Wait(ctx, idle.Disk{Addr: addr, Incarnation: p.Incarnation}, s, due, grown, moved)
-				if v == idle.Alike {
+				if v == idle.Identical {
 					sent = o.d.Clock.Now()
 				}
-				if v != idle.Doubt {
+				if v != idle.Uncertain {
 					continue
 				}
 			} else if left := due.Sub(o.d.Clock.Now()); left > 0 {
