--- a/internal/partitionlog/leader/fan.go
+++ b/internal/partitionlog/leader/fan.go
@@ -360,7 +360,7 @@
 	if o.st == nil {
 		return 0
 	}
-	return o.st.Progress[topic].Gone
+	return o.st.Progress[topic].Trimmed
 }
 
 // note adds a topic to those of which something after an offset is no longer held, if that is so.
--- a/internal/partitionlog/leader/many.go
+++ b/internal/partitionlog/leader/many.go
@@ -16,7 +16,7 @@
 }
 
 type ruling struct {
-	taken  state.Taken
+	taken  state.AcceptedCall
 	repeat bool
 	// already tells that the mark which a withdrawal asks for stood before.
 	already bool
@@ -104,7 +104,7 @@
 	case landed != nil:
 		return Verdict{Problem: apierror.From(landed)}
 	case (r.repeat || r.already) && sure != nil:
-		return Verdict{Problem: apierror.New(apierror.OutcomeUnknown, "call_seq %d was taken before at offset %d, and nobody confirmed it: %v", r.taken.Call, r.taken.Offset, sure)}
+		return Verdict{Problem: apierror.New(apierror.OutcomeUnknown, "call_seq %d was taken before at offset %d, and nobody confirmed it: %v", r.taken.CallSeq, r.taken.Offset, sure)}
 	}
 	o.say(r.told(), begun)
 	return Verdict{Decision: &Decision{Partition: o.Rec.Partition, Epoch: o.Rec.Epoch, Offset: r.taken.Offset, Repeat: r.repeat, Already: r.already}}
--- a/internal/partitionlog/leader/marks.go
+++ b/internal/partitionlog/leader/marks.go
@@ -90,7 +90,7 @@
 	if q.Withdraw {
 		e.Type, e.Live = log.TypeWithdrawal, false
 		if q.Of != "" {
-			e.Body = state.Body(state.Passes{Of: q.Of, Upto: q.Upto})
+			e.Body = state.EncodePart(state.SenderWithdrawal{Sender: q.Of, UpTo: q.Upto})
 		}
 	}
 	e.Digest = log.Digest(e.Body)
@@ -100,7 +100,7 @@
 // stands gives the last message and the last mark under a key, on a majority or not.
 func (o *Owner) stands(k string) flying {
 	f := o.keyed[k]
-	return flying{max(f.message, o.st.Held[k]), max(f.mark, o.st.Marks[k].Offset)}
+	return flying{max(f.message, o.st.LastKeyed[k]), max(f.mark, o.st.Tombstones[k].Offset)}
 }
 
 // last is the highest number of a visitor on a topic that was taken or passed, on a majority or not.
@@ -139,9 +139,9 @@
 	if s.mark > 0 {
 		return nil
 	}
-	n := len(o.st.Marks)
+	n := len(o.st.Tombstones)
 	for k, f := range o.keyed {
-		if _, ok := o.st.Marks[k]; !ok && f.mark > 0 {
+		if _, ok := o.st.Tombstones[k]; !ok && f.mark > 0 {
 			n++
 		}
 	}
@@ -192,14 +192,14 @@
 	r, ok := o.st.Readers[e.Client]
 	if !ok {
 		delete(o.heard, e.Client)
-	} else if h, known := o.heard[e.Client]; !known || h.boot != r.Boot {
-		o.heard[e.Client] = heard{boot: r.Boot, last: o.d.Clock.Now(), member: o.d.Clock.Now()}
+	} else if h, known := o.heard[e.Client]; !known || h.boot != r.BootID {
+		o.heard[e.Client] = heard{boot: r.BootID, last: o.d.Clock.Now(), member: o.d.Clock.Now()}
 	}
 	if r.GivenUp {
 		o.tally.GivenUp++
 	}
 	if ok {
-		o.d.Log.Reader(o.Rec.Partition, o.Rec.Epoch, e.Client, r.Boot, r.GivenUp)
+		o.d.Log.Reader(o.Rec.Partition, o.Rec.Epoch, e.Client, r.BootID, r.GivenUp)
 	}
 	o.wake()
 }
@@ -213,15 +213,15 @@
 }
 
 // enter writes what becomes of a reader.
-func (o *Owner) enter(node string, r state.Reads) {
-	e := o.tracks[log.KindLedger].push(log.Entry{Type: log.TypeReader, Client: node, Body: state.Body(r)}, o.Rec.Epoch)
-	o.entered[node] = entered{r.Boot, e.Offset}
+func (o *Owner) enter(node string, r state.ReaderEntry) {
+	e := o.tracks[log.KindLedger].push(log.Entry{Type: log.TypeReader, Client: node, Body: state.EncodePart(r)}, o.Rec.Epoch)
+	o.entered[node] = entered{r.BootID, e.Offset}
 }
 
 // enlist writes that a node reads here under a boot, unless something of it is on its way already.
 func (o *Owner) enlist(node, boot string) {
 	if _, ok := o.entered[node]; !ok && o.stage == Open {
-		o.enter(node, state.Reads{Boot: boot})
+		o.enter(node, state.ReaderEntry{BootID: boot})
 	}
 }
 
@@ -235,13 +235,13 @@
 // displaces tells whether a run that reads here would take the place of another one.
 func (o *Owner) displaces(node, boot string) bool {
 	r, ok := o.st.Readers[node]
-	return ok && r.Boot != boot
+	return ok && r.BootID != boot
 }
 
 // past tells whether another run of a node took the place of the one that asks, which then comes late.
 func (o *Owner) past(node, boot string) bool {
 	r, ok := o.st.Readers[node]
-	return ok && r.Before == boot && boot != ""
+	return ok && r.ReplacedBootID == boot && boot != ""
 }
 
 // dismiss writes that a reader is gone; its run does not read here again.
@@ -250,15 +250,15 @@
 		o.turns[node] = turn{boot: boot, over: true}
 	}
 	r, ok := o.st.Readers[node]
-	if p, under := o.entered[node]; under && p.boot == boot || ok && r.Boot == boot {
-		o.enter(node, state.Reads{Boot: boot, Gone: true})
+	if p, under := o.entered[node]; under && p.boot == boot || ok && r.BootID == boot {
+		o.enter(node, state.ReaderEntry{BootID: boot, Gone: true})
 	}
 }
 
 // reads tells whether it is on a majority that a node reads here under a boot, and whether it was given up under that boot.
 func (o *Owner) reads(node, boot string) (yes, givenUp bool) {
 	r, ok := o.st.Readers[node]
-	if !ok || r.Boot != boot {
+	if !ok || r.BootID != boot {
 		return false, false
 	}
 	_, moving := o.entered[node]
@@ -269,13 +269,13 @@
 func (o *Owner) noted(node, boot string) bool {
 	r, ok := o.st.Readers[node]
 	p, under := o.entered[node]
-	return ok && r.Boot == boot || under && p.boot == boot
+	return ok && r.BootID == boot || under && p.boot == boot
 }
 
 // hear takes a sign of a node, which has read up to an offset.
 func (o *Owner) hear(node, boot string, from uint64) {
 	r, ok := o.st.Readers[node]
-	if !ok || r.Boot != boot || r.GivenUp {
+	if !ok || r.BootID != boot || r.GivenUp {
 		return
 	}
 	h := o.heard[node]
@@ -289,7 +289,7 @@
 
 // read is how far a reader is known to have read.
 func (o *Owner) read(node string, r state.Reader) uint64 {
-	if h := o.heard[node]; h.boot == r.Boot {
+	if h := o.heard[node]; h.boot == r.BootID {
 		return h.at
 	}
 	return 0
@@ -378,9 +378,9 @@
 			least = min(least, o.read(n, r))
 		}
 	}
-	for k, m := range o.st.Marks {
+	for k, m := range o.st.Tombstones {
 		if m.Offset <= least && o.keyed[k].mark == 0 {
-			o.st.Unmark(k)
+			o.st.DropTombstone(k)
 			o.tally.Unmarked++
 		}
 	}
@@ -394,14 +394,14 @@
 // abandon gives up the readers that keep marks and were neither heard nor members for long.
 func (o *Owner) abandon() {
 	newest := uint64(0)
-	for _, m := range o.st.Marks {
+	for _, m := range o.st.Tombstones {
 		newest = max(newest, m.Offset)
 	}
 	now := o.d.Clock.Now()
 	for n, r := range o.st.Readers {
 		h, known := o.heard[n]
-		if !known || h.boot != r.Boot {
-			h = heard{boot: r.Boot, last: now, member: now}
+		if !known || h.boot != r.BootID {
+			h = heard{boot: r.BootID, last: now, member: now}
 		}
 		node := home(n)
 		addr, near := o.d.Addr(node)
@@ -414,9 +414,9 @@
 		}
 		switch {
 		case !r.GivenUp && now.Sub(h.last) > o.patience() && now.Sub(h.member) > o.patience():
-			o.enter(n, state.Reads{Boot: r.Boot, GivenUp: true})
+			o.enter(n, state.ReaderEntry{BootID: r.BootID, GivenUp: true})
 		case near && now.Sub(h.last) > o.d.Bounds.SessionTimeout():
-			go o.visit(o.ctx, n, addr, r.Boot)
+			go o.visit(o.ctx, n, addr, r.BootID)
 		}
 	}
 }
@@ -438,7 +438,7 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if _, moving := o.entered[node]; !moving && o.stage == Open && o.st.Readers[node].Boot == boot {
+	if _, moving := o.entered[node]; !moving && o.stage == Open && o.st.Readers[node].BootID == boot {
 		o.dismiss(node, boot)
 	}
 }
@@ -447,7 +447,7 @@
 func (o *Owner) Marks() *MarksView {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.st == nil || len(o.st.Marks)+len(o.st.Readers) == 0 {
+	if o.st == nil || len(o.st.Tombstones)+len(o.st.Readers) == 0 {
 		return nil
 	}
 	v := o.marksView(o.tracks[log.KindLedger].commit)
@@ -456,9 +456,9 @@
 
 // marksView gives the figures of marks and readers.
 func (o *Owner) marksView(commit uint64) MarksView {
-	v := MarksView{Marks: len(o.st.Marks)}
+	v := MarksView{Marks: len(o.st.Tombstones)}
 	oldest := commit
-	for _, m := range o.st.Marks {
+	for _, m := range o.st.Tombstones {
 		oldest = min(oldest, m.Offset)
 	}
 	v.Oldest = commit - oldest
--- a/internal/partitionlog/leader/marks_test.go
+++ b/internal/partitionlog/leader/marks_test.go
@@ -190,7 +190,7 @@
 	c := r.polls(node, boot, from)
 	r.lands()
 	assert.Assert(r.t, len(r.got(c)) > 0)
-	assert.Equal(r.t, r.st.Readers[node].Boot, boot)
+	assert.Equal(r.t, r.st.Readers[node].BootID, boot)
 }
 
 func (r *rig) forgotten(at uint64) (*Unheard, error) {
@@ -258,7 +258,7 @@
 		assert.Equal(t, len(c), 0)
 		r.lands()
 		assert.DeepEqual(t, r.got(c), []uint64{2, 3})
-		assert.Equal(t, r.st.Readers["a1"], state.Reader{Boot: "b", Offset: 4})
+		assert.Equal(t, r.st.Readers["a1"], state.Reader{BootID: "b", Offset: 4})
 		assert.DeepEqual(t, r.said, []string{"a1 b"})
 		assert.DeepEqual(t, r.got(r.polls("a1", "b", 1)), []uint64{2, 3})
 		assert.Equal(t, r.tracks[log.KindLedger].last.Offset, uint64(4), "a run is noted once")
@@ -272,7 +272,7 @@
 		assert.Equal(t, len(answers), 0)
 		r.lands()
 		assert.DeepEqual(t, offsets((<-answers).Back), []uint64{2, 3})
-		assert.Equal(t, r.st.Readers["a1"], state.Reader{Boot: "c", Offset: 5, Before: "b"})
+		assert.Equal(t, r.st.Readers["a1"], state.Reader{BootID: "c", Offset: 5, ReplacedBootID: "b"})
 		c = r.polls("a1", "b", 9)
 		assert.Assert(t, (<-c).a.Lost, "the run before is none any more")
 	})
@@ -288,7 +288,7 @@
 		p := <-c
 		assert.NilError(t, p.err)
 		assert.Assert(t, !slices.ContainsFunc(p.a.Entries, func(e log.Entry) bool { return e.Type == log.TypeMessage }))
-		assert.Equal(t, r.st.Readers["a1"].Boot, "b")
+		assert.Equal(t, r.st.Readers["a1"].BootID, "b")
 		assert.Assert(t, p.a.Reader)
 		a, err := r.Follow(t.Context(), &Want{Node: "a1", Boot: "b", Before: 1, Sequence: 2, Marks: true, Topics: map[string]int{"t": 0}})
 		assert.NilError(t, err)
@@ -312,7 +312,7 @@
 			assert.NilError(t, err)
 			assert.Assert(t, a.Lost)
 			r.lands()
-			assert.Equal(t, r.st.Readers["a1"].Boot, "c")
+			assert.Equal(t, r.st.Readers["a1"].BootID, "c")
 		}
 		p := <-r.polls("a1", "b", 0)
 		assert.NilError(t, p.err)
@@ -343,14 +343,14 @@
 			}
 		}
 		late("b", 1)
-		assert.Equal(t, r.st.Readers["a1"].Boot, "d")
+		assert.Equal(t, r.st.Readers["a1"].BootID, "d")
 		assert.DeepEqual(t, r.got(r.polls("a1", "d", 0)), []uint64{1})
 
 		given := r.told("a1", "d")
 		r.locked(func() { r.fans, r.Owner.turns, r.turn, r.Rec.Epoch = nil, map[string]turn{}, 0, r.Rec.Epoch+1 })
 		late("b", given)
 		late("c", given)
-		assert.Equal(t, r.st.Readers["a1"].Boot, "d")
+		assert.Equal(t, r.st.Readers["a1"].BootID, "d")
 		r.follows("a1", "d", "t")
 		assert.DeepEqual(t, r.got(r.polls("a1", "d", 0)), []uint64{1})
 
@@ -554,7 +554,7 @@
 	p, ok := l.Position(to)
 	assert.Assert(r.t, ok)
 	r.locked(r.release)
-	assert.Assert(r.t, len(r.st.Marks) > 0 || l.Base().Offset == to, "the line still holds what the mark covers")
+	assert.Assert(r.t, len(r.st.Tombstones) > 0 || l.Base().Offset == to, "the line still holds what the mark covers")
 	l.TrimTo(p)
 	r.locked(r.release)
 }
@@ -569,11 +569,11 @@
 		r.takes(says("v", 3, "t", ""))
 		assert.DeepEqual(t, r.View().MarksView, MarksView{Marks: 1, Oldest: 1, Readers: []ReaderView{{Node: "a1"}}})
 		r.trims(at)
-		assert.Equal(t, len(r.st.Marks), 1, "a reader may still hold it")
+		assert.Equal(t, len(r.st.Tombstones), 1, "a reader may still hold it")
 		r.polls("a1", "b", at)
 		assert.DeepEqual(t, r.View().Readers, []ReaderView{{Node: "a1", Read: at}})
 		r.locked(r.release)
-		assert.Equal(t, len(r.st.Marks), 0)
+		assert.Equal(t, len(r.st.Tombstones), 0)
 		assert.Equal(t, r.tally.Unmarked, uint64(1))
 		r.turns(withdraws("v", 4, "t", "k"), apierror.KeyUnknown)
 	})
@@ -581,9 +581,9 @@
 		r.takes(says("v", 1, "t", "k"))
 		r.takes(withdraws("v", 2, "t", "k"))
 		r.locked(r.release)
-		assert.Equal(t, len(r.st.Marks), 1, "the ledger still holds what it covers")
+		assert.Equal(t, len(r.st.Tombstones), 1, "the ledger still holds what it covers")
 		r.trims(2)
-		assert.Equal(t, len(r.st.Marks), 0)
+		assert.Equal(t, len(r.st.Tombstones), 0)
 	})
 }
 
@@ -625,7 +625,7 @@
 		assert.Assert(t, a.Clean && a.Lost)
 		r.follows("a1", "b+1", "t")
 		r.lands()
-		assert.DeepEqual(t, r.st.Readers["a1"].Boot, "b+1")
+		assert.DeepEqual(t, r.st.Readers["a1"].BootID, "b+1")
 		assert.Assert(t, !(<-r.polls("a1", "b+1", 0)).a.Clean)
 	})
 	owning(t, 1, func(t *testing.T, r *rig) {
@@ -633,7 +633,7 @@
 		r.follows("a1", "b", "t")
 		r.becomes("a1", "b", 0)
 		r.takes(withdraws("v", 2, "t", "k"))
-		r.locked(func() { r.enter("a1", state.Reads{Boot: "b", GivenUp: true}) })
+		r.locked(func() { r.enter("a1", state.ReaderEntry{BootID: "b", GivenUp: true}) })
 		r.lands()
 		a, err := r.Follow(t.Context(), &Want{Node: "a1", Boot: "b", Before: 1, Sequence: 2, Marks: true, Done: true})
 		assert.NilError(t, err)
@@ -691,7 +691,7 @@
 		r.follows("a2/streams", "b.1", "t")
 		r.becomes("a2/streams", "b.1", 0)
 		at := r.takes(withdraws("v", 2, "t", "k"))
-		r.locked(func() { r.enter("a2/streams", state.Reads{Boot: "b.1", GivenUp: true}) })
+		r.locked(func() { r.enter("a2/streams", state.ReaderEntry{BootID: "b.1", GivenUp: true}) })
 		r.lands()
 		tend := func() {
 			time.Sleep(r.d.Bounds.SessionTimeout() + time.Second)
@@ -723,9 +723,9 @@
 		at := r.takes(withdraws("v", 3, "t", "k"))
 		r.takes(says("v", 4, "t", "l"))
 		r.polls("a1", "b", at)
-		r.st.Unmark(state.Key("t", "k"))
+		r.st.DropTombstone(state.Key("t", "k"))
 		cl := r.tracks[log.KindChangelog]
-		for _, e := range append(changelog.Pack(r.st.Input, r.st.Dirty(), false), changelog.PackCommit(changelog.Commit{Input: r.st.Input})) {
+		for _, e := range append(changelog.Pack(r.st.Input, r.st.TakeChanges(), false), changelog.PackCommit(changelog.Commit{Input: r.st.Input})) {
 			cl.push(e, 1)
 		}
 		cl.line.Append(time.Now(), cl.pending...)
@@ -735,13 +735,13 @@
 		n.tracks, n.ctx = r.tracks, t.Context()
 		assert.NilError(t, n.recover())
 		n.stage, r.Owner = Open, n
-		assert.Equal(t, len(n.st.Marks), 1)
-		assert.DeepEqual(t, n.st.Readers, map[string]state.Reader{"a1": {Boot: "b", Offset: 3}})
+		assert.Equal(t, len(n.st.Tombstones), 1)
+		assert.DeepEqual(t, n.st.Readers, map[string]state.Reader{"a1": {BootID: "b", Offset: 3}})
 		u, err := r.forgotten(at)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, u.Nodes, []string{"a1"})
 		r.locked(r.release)
-		assert.Equal(t, len(n.st.Marks), 1)
+		assert.Equal(t, len(n.st.Tombstones), 1)
 		r.follows("a1", "b", "t")
 		assert.DeepEqual(t, r.got(r.polls("a1", "b", 0)), []uint64{2, 4, 5})
 		r.polls("a1", "b", at)
--- a/internal/partitionlog/leader/read.go
+++ b/internal/partitionlog/leader/read.go
@@ -148,8 +148,8 @@
 		return nil, err
 	}
 	o.dismiss(q.Node, q.Boot)
-	if r := o.st.Readers[q.Node]; r.GivenUp && r.Boot == q.Boot && o.entered[q.Node].at == 0 {
-		o.enter(q.Node, state.Reads{Boot: q.Boot, Gone: true})
+	if r := o.st.Readers[q.Node]; r.GivenUp && r.BootID == q.Boot && o.entered[q.Node].at == 0 {
+		o.enter(q.Node, state.ReaderEntry{BootID: q.Boot, Gone: true})
 	}
 	at := o.entered[q.Node].at
 	r := &Reading{Base: o.tracks[log.KindLedger].line.Base().Offset, To: o.tracks[log.KindLedger].commit, Epoch: o.Rec.Epoch}
--- a/internal/partitionlog/leader/read_test.go
+++ b/internal/partitionlog/leader/read_test.go
@@ -69,7 +69,7 @@
 	c := f.asks(ReadRequest{From: from})
 	f.lands()
 	assert.Assert(f.t, len((<-c).Entries) > 0)
-	assert.Equal(f.t, f.st.Readers["a1/streams"].Boot, f.boot)
+	assert.Equal(f.t, f.st.Readers["a1/streams"].BootID, f.boot)
 	return f
 }
 
@@ -136,7 +136,7 @@
 			a := <-f.asks(ReadRequest{From: 0})
 			assert.Equal(t, len(a.Entries), 0)
 			r.lands()
-			assert.Equal(t, r.st.Readers["a1/streams"].Boot, "b.2")
+			assert.Equal(t, r.st.Readers["a1/streams"].BootID, "b.2")
 		}
 		assert.Equal(t, len((<-now.asks(ReadRequest{From: 0})).Entries), 0, "the turn is another's meanwhile")
 		assert.Equal(t, shown((<-now.asks(ReadRequest{From: 0})).Entries), "1b 2reader 3reader")
@@ -168,7 +168,7 @@
 		now := (&feed{rig: r, boot: "b.2"}).begins(0)
 		<-old.asks(ReadRequest{From: ^uint64(0), Done: true})
 		r.lands()
-		assert.Equal(t, r.st.Readers["a1/streams"].Boot, "b.2")
+		assert.Equal(t, r.st.Readers["a1/streams"].BootID, "b.2")
 		assert.Assert(t, len((<-now.asks(ReadRequest{From: 0})).Entries) > 0)
 	},
 	"one that was given up is told so, and is one again under another boot or gone for good": func(t *testing.T, r *rig) {
--- a/internal/partitionlog/leader/submit.go
+++ b/internal/partitionlog/leader/submit.go
@@ -13,7 +13,7 @@
 	last       uint64
 	generation uint64
 	secret     string
-	flight     []state.Taken
+	flight     []state.AcceptedCall
 	at         uint64
 }
 
@@ -90,7 +90,7 @@
 		return ruling{err: err}
 	}
 	e := q.entry()
-	k, name := state.Key(q.Visitor, q.Topic), state.Named(e.Type, e.Key, e.Digest)
+	k, name := state.Key(q.Visitor, q.Topic), state.CallDigest(e.Type, e.Key, e.Digest)
 	a := o.st.Accepted[k]
 	f := o.front[k]
 	last, gen := a.Last, a.Generation
@@ -111,10 +111,10 @@
 			return ruling{err: apierror.New(apierror.CallAltered, "call_seq %d was taken with another %s", q.Call, differs[strings.HasPrefix(t.Digest, e.Digest)]).WithCurrent(last)}
 		case ok:
 			return ruling{taken: t, repeat: true}
-		case q.Withdraw && o.st.Marks[state.Key(q.Topic, q.Key)].By(q.Visitor, q.Call):
-			return ruling{taken: state.Taken{Call: q.Call, Offset: o.st.Marks[state.Key(q.Topic, q.Key)].Offset, Digest: name}, repeat: true}
+		case q.Withdraw && o.st.Tombstones[state.Key(q.Topic, q.Key)].WrittenBy(q.Visitor, q.Call):
+			return ruling{taken: state.AcceptedCall{CallSeq: q.Call, Offset: o.st.Tombstones[state.Key(q.Topic, q.Key)].Offset, Digest: name}, repeat: true}
 		case already && q.Call <= a.Floor:
-			return ruling{taken: state.Taken{Call: q.Call, Offset: mark}, already: true, basis: basis}
+			return ruling{taken: state.AcceptedCall{CallSeq: q.Call, Offset: mark}, already: true, basis: basis}
 		case q.Call <= a.Floor:
 			return ruling{err: apierror.New(apierror.CallForgotten, "call_seq %d may have been taken, the ledger no longer holds what %s sent up to %d", q.Call, q.Visitor, a.Floor).WithCurrent(last)}
 		default:
@@ -130,7 +130,7 @@
 		return ruling{err: err}
 	}
 	e = o.tracks[log.KindLedger].push(e, o.Rec.Epoch)
-	t := state.Taken{Call: q.Call, Offset: e.Offset, Digest: name}
+	t := state.AcceptedCall{CallSeq: q.Call, Offset: e.Offset, Digest: name}
 	f = o.ahead(k, q.Call, e.Offset)
 	f.generation = max(f.generation, q.Generation)
 	f.flight = append(f.flight, t)
@@ -161,7 +161,7 @@
 	case log.TypeWithdrawal:
 		o.tally.Withdrawals++
 		o.pass(e.Client, e)
-		o.pass(state.Part[state.Passes](e).Of, e)
+		o.pass(state.DecodePart[state.SenderWithdrawal](e).Sender, e)
 	case log.TypeReader:
 		o.landedReader(e)
 		return
@@ -225,7 +225,7 @@
 		f = &front{}
 		o.front[k] = f
 	}
-	last := max(o.st.Attached[visitor].Generation, f.generation)
+	last := max(o.st.Attachments[visitor].Generation, f.generation)
 	if given == 0 && o.isRepeated(visitor, f, secret) {
 		given = last
 	}
@@ -254,7 +254,7 @@
 	o.say("attached", begun)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.st.Attached[visitor].Generation >= f.generation && o.front[k] == f {
+	if o.st.Attachments[visitor].Generation >= f.generation && o.front[k] == f {
 		delete(o.front, k)
 	}
 	return g, nil
@@ -263,7 +263,7 @@
 // isRepeated tells whether the attachment that was taken last has the secret of this one: each attachment draws a secret of
 // its own, so it is the same call again. The lock is held.
 func (o *Owner) isRepeated(visitor string, f *front, secret string) bool {
-	t := o.st.Attached[visitor]
+	t := o.st.Attachments[visitor]
 	if f.generation > t.Generation {
 		return f.secret == secret
 	}
@@ -271,26 +271,26 @@
 }
 
 // Attached gives the attachment in force and the cursor that the visitor left, once a majority confirmed the epoch.
-func (o *Owner) Attached(ctx context.Context, visitor string) (state.Attached, state.Acked, error) {
+func (o *Owner) Attached(ctx context.Context, visitor string) (state.Attachment, state.SavedCursor, error) {
 	begun := o.d.Clock.Now()
 	o.mu.Lock()
 	if n := o.near(); n < o.Rec.Majority() {
 		o.mu.Unlock()
-		return state.Attached{}, state.Acked{}, apierror.New(apierror.NoPartitionLeader, "%d of %d copies of partition %d are members", n, len(o.Rec.Replicas), o.Rec.Partition)
+		return state.Attachment{}, state.SavedCursor{}, apierror.New(apierror.NoPartitionLeader, "%d of %d copies of partition %d are members", n, len(o.Rec.Replicas), o.Rec.Partition)
 	}
 	if o.stage != Open && o.stage != Closing {
 		st := o.stage
 		o.mu.Unlock()
-		return state.Attached{}, state.Acked{}, apierror.New(apierror.NotReady, "partition %d is %s", o.Rec.Partition, st)
+		return state.Attachment{}, state.SavedCursor{}, apierror.New(apierror.NotReady, "partition %d is %s", o.Rec.Partition, st)
 	}
 	if err := o.d.Licensed(); err != nil {
 		o.mu.Unlock()
-		return state.Attached{}, state.Acked{}, err
+		return state.Attachment{}, state.SavedCursor{}, err
 	}
-	t, k := o.st.Attached[visitor], o.st.Acked[visitor]
+	t, k := o.st.Attachments[visitor], o.st.SavedCursors[visitor]
 	o.mu.Unlock()
 	if err := o.assure(ctx); err != nil {
-		return state.Attached{}, state.Acked{}, err
+		return state.Attachment{}, state.SavedCursor{}, err
 	}
 	o.say("vouched", begun)
 	return t, k, nil
@@ -303,7 +303,7 @@
 		o.mu.Unlock()
 		return err
 	}
-	if g := o.st.Attached[visitor].Generation; generation < g {
+	if g := o.st.Attachments[visitor].Generation; generation < g {
 		o.mu.Unlock()
 		if err := o.assure(ctx); err != nil {
 			return err
@@ -316,7 +316,7 @@
 }
 
 // Trace tells how far a visitor's calls on a topic have come, and where one of them stands if its answer is still kept.
-func (o *Owner) Trace(ctx context.Context, visitor, topic string, call uint64) (a state.Accepted, at state.Taken, kept bool, err error) {
+func (o *Owner) Trace(ctx context.Context, visitor, topic string, call uint64) (a state.Accepted, at state.AcceptedCall, kept bool, err error) {
 	o.mu.Lock()
 	if o.stage != Open && o.stage != Closing {
 		st := o.stage
--- a/internal/partitionlog/leader/takeover.go
+++ b/internal/partitionlog/leader/takeover.go
@@ -244,7 +244,7 @@
 	cl, led := o.tracks[log.KindChangelog], o.tracks[log.KindLedger]
 	st, input, from := state.New(), uint64(0), cl.line.Base().Offset
 	if d, ok := o.d.Replica.Snapshot(o.Rec.Partition); ok && d.At.Offset <= cl.commit {
-		if s, err := state.Unpack(d.State); err == nil {
+		if s, err := state.Unmarshal(d.State); err == nil {
 			st, input, from, o.how.Directory = s, d.Input, d.At.Offset, true
 		}
 	}
@@ -265,7 +265,7 @@
 			break
 		}
 		for _, e := range es {
-			st.Recall(e)
+			st.RestoreAnswer(e)
 			at = e.Offset
 		}
 	}
@@ -277,7 +277,7 @@
 	o.st, o.input = st, input
 	now := o.d.Clock.Now()
 	for n, r := range st.Readers {
-		o.heard[n] = heard{boot: r.Boot, last: now, member: now}
+		o.heard[n] = heard{boot: r.BootID, last: now, member: now}
 	}
 	return nil
 }
@@ -352,17 +352,17 @@
 	cl := o.tracks[log.KindChangelog]
 	whole := cl.line.Len() > compactAt && cl.line.Len() > compactOver*(1+o.st.Size()/compactAt)
 	if whole {
-		o.st.All()
+		o.st.MarkAllChanged()
 	}
 	input := o.st.Input
 	if input == o.input && !whole && !keep && !o.st.Changed() {
 		o.mu.Unlock()
 		return nil
 	}
-	items := o.st.Dirty()
+	items := o.st.TakeChanges()
 	var pack []byte
 	if whole || keep {
-		pack = o.st.Pack()
+		pack = o.st.Marshal()
 	}
 	before := cl.last.Offset
 	o.tally.Batches++
--- a/internal/partitionlog/router/desk.go
+++ b/internal/partitionlog/router/desk.go
@@ -29,8 +29,8 @@
 
 // AttachResponse gives the attachment's generation and the cursor that was left.
 type AttachResponse struct {
-	Generation uint64      `json:"g"`
-	Acked      state.Acked `json:"k"`
+	Generation uint64            `json:"g"`
+	Acked      state.SavedCursor `json:"k"`
 }
 
 // AttachedRequest asks which attachment is in force.
@@ -41,8 +41,8 @@
 
 // AttachedResponse says so.
 type AttachedResponse struct {
-	Attached state.Attached `json:"t"`
-	Acked    state.Acked    `json:"k"`
+	Attached state.Attachment  `json:"t"`
+	Acked    state.SavedCursor `json:"k"`
 }
 
 // AckRequest leaves a cursor.
--- a/internal/samza/changelog/bench_test.go
+++ b/internal/samza/changelog/bench_test.go
@@ -19,7 +19,7 @@
 			k := (b*keys/4 + i) % keys
 			s.Apply(log.Entry{Offset: o, Type: log.TypeMessage, Client: fmt.Sprintf("v%d", k), Topic: fmt.Sprintf("t%d", k%50), CallSeq: uint64(b) + 1, Digest: "0123456789abcdef01234567"})
 		}
-		changes = append(changes, Pack(s.Input, s.Dirty(), false)...)
+		changes = append(changes, Pack(s.Input, s.TakeChanges(), false)...)
 		changes = append(changes, PackCommit(Commit{Input: s.Input}))
 	}
 	return changes, s
@@ -28,7 +28,7 @@
 func BenchmarkRecovery(b *testing.B) {
 	for _, keys := range []int{1000, 10000, 50000} {
 		changes, s := past(keys, 16)
-		pack := s.Pack()
+		pack := s.Marshal()
 		b.Run(fmt.Sprintf("full replay/keys=%d", keys), func(b *testing.B) {
 			for b.Loop() {
 				if _, err := Replay(state.New(), 0, changes); err != nil {
@@ -38,7 +38,7 @@
 		})
 		b.Run(fmt.Sprintf("directory/keys=%d", keys), func(b *testing.B) {
 			for b.Loop() {
-				if _, err := state.Unpack(pack); err != nil {
+				if _, err := state.Unmarshal(pack); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -46,7 +46,7 @@
 		after := len(changes) - len(changes)/16
 		b.Run(fmt.Sprintf("directory and the last batch/keys=%d", keys), func(b *testing.B) {
 			for b.Loop() {
-				d, err := state.Unpack(pack)
+				d, err := state.Unmarshal(pack)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/samza/changelog/changelog_test.go
+++ b/internal/samza/changelog/changelog_test.go
@@ -32,24 +32,24 @@
 	whole := apply(state.New(), es)
 	for _, cut := range []int{0, 1, 2500, 5001, 5002} {
 		s := apply(state.New(), es[:cut])
-		changes := append(Pack(s.Input, s.Dirty(), false), PackCommit(Commit{Input: s.Input}))
+		changes := append(Pack(s.Input, s.TakeChanges(), false), PackCommit(Commit{Input: s.Input}))
 		got := state.New()
 		in, err := Replay(got, 0, changes)
 		assert.NilError(t, err)
 		assert.Equal(t, in, uint64(cut))
 		for _, e := range es[:in] {
-			got.Recall(e)
+			got.RestoreAnswer(e)
 		}
 		apply(got, es[in:])
 		apply(got, es[in/2:])
-		assert.Equal(t, string(got.Pack()), string(whole.Pack()), "cut at %d", cut)
+		assert.Equal(t, string(got.Marshal()), string(whole.Marshal()), "cut at %d", cut)
 		assert.DeepEqual(t, got.Accepted, whole.Accepted)
 	}
 }
 
 func TestBatchIsAppliedOnlyWhole(t *testing.T) {
 	s := apply(state.New(), ledger(5000))
-	changes := Pack(s.Input, s.Dirty(), false)
+	changes := Pack(s.Input, s.TakeChanges(), false)
 	assert.Assert(t, len(changes) > 2)
 	got := state.New()
 	in, err := Replay(got, 0, changes[:len(changes)-1])
@@ -67,18 +67,18 @@
 func TestBatchWithoutItsRecordKnowsItsAnswers(t *testing.T) {
 	es := ledger(5000)
 	s := apply(state.New(), es[:2000])
-	changes := append(Pack(s.Input, s.Dirty(), false), PackCommit(Commit{Input: s.Input}))
+	changes := append(Pack(s.Input, s.TakeChanges(), false), PackCommit(Commit{Input: s.Input}))
 	apply(s, es[2000:])
-	changes = append(changes, Pack(s.Input, s.Dirty(), false)...)
+	changes = append(changes, Pack(s.Input, s.TakeChanges(), false)...)
 	got := state.New()
 	in, err := Replay(got, 0, changes)
 	assert.NilError(t, err)
 	assert.Equal(t, in, uint64(2000))
 	for _, e := range es[:in] {
-		got.Recall(e)
+		got.RestoreAnswer(e)
 	}
 	apply(got, es[in:])
-	assert.Equal(t, string(got.Pack()), string(s.Pack()))
+	assert.Equal(t, string(got.Marshal()), string(s.Marshal()))
 	for _, e := range es[:5000] {
 		x, ok := got.Accepted[state.Key(e.Client, e.Topic)].Find(e.CallSeq)
 		assert.Assert(t, ok && x.Offset == e.Offset, "call %d of %s on %s", e.CallSeq, e.Client, e.Topic)
--- a/internal/samza/changelog/marks_test.go
+++ b/internal/samza/changelog/marks_test.go
@@ -12,9 +12,9 @@
 func marked() []log.Entry {
 	return []log.Entry{
 		{Offset: 1, Type: log.TypeMessage, Topic: "t", Client: "v", CallSeq: 1, Key: "k"}, {Offset: 2, Type: log.TypeMessage, Topic: "t", Client: "v", CallSeq: 2, Key: "l"},
-		{Offset: 3, Type: log.TypeReader, Client: "a1", Body: state.Body(state.Reads{Boot: "b"})}, {Offset: 4, Type: log.TypeReader, Client: "a2", Body: state.Body(state.Reads{Boot: "b"})},
-		{Offset: 5, Type: log.TypeWithdrawal, Topic: "t", Client: "v", CallSeq: 3, Key: "k"}, {Offset: 6, Type: log.TypeWithdrawal, Topic: "t", Client: "w", CallSeq: 1, Key: "l", Body: state.Body(state.Passes{Of: "v", Upto: 9})},
-		{Offset: 7, Type: log.TypeReader, Client: "a2", Body: state.Body(state.Reads{Boot: "b", Gone: true})}, {Offset: 8, Type: log.TypeReader, Client: "a1", Body: state.Body(state.Reads{Boot: "b", GivenUp: true})},
+		{Offset: 3, Type: log.TypeReader, Client: "a1", Body: state.EncodePart(state.ReaderEntry{BootID: "b"})}, {Offset: 4, Type: log.TypeReader, Client: "a2", Body: state.EncodePart(state.ReaderEntry{BootID: "b"})},
+		{Offset: 5, Type: log.TypeWithdrawal, Topic: "t", Client: "v", CallSeq: 3, Key: "k"}, {Offset: 6, Type: log.TypeWithdrawal, Topic: "t", Client: "w", CallSeq: 1, Key: "l", Body: state.EncodePart(state.SenderWithdrawal{Sender: "v", UpTo: 9})},
+		{Offset: 7, Type: log.TypeReader, Client: "a2", Body: state.EncodePart(state.ReaderEntry{BootID: "b", Gone: true})}, {Offset: 8, Type: log.TypeReader, Client: "a1", Body: state.EncodePart(state.ReaderEntry{BootID: "b", GivenUp: true})},
 	}
 }
 
@@ -24,13 +24,13 @@
 	for cut := range len(es) + 1 {
 		for _, whole := range []bool{false, true} {
 			s := apply(state.New(), es[:cut])
-			changes := append(Pack(s.Input, s.Dirty(), false), PackCommit(Commit{Input: s.Input}))
+			changes := append(Pack(s.Input, s.TakeChanges(), false), PackCommit(Commit{Input: s.Input}))
 			apply(s, es[cut:])
-			s.Unmark(state.Key("t", "k"))
+			s.DropTombstone(state.Key("t", "k"))
 			if whole {
-				s.All()
+				s.MarkAllChanged()
 			}
-			changes = append(changes, Pack(s.Input, s.Dirty(), whole)...)
+			changes = append(changes, Pack(s.Input, s.TakeChanges(), whole)...)
 			in, err := Replay(state.New(), 0, append(changes[:len(changes):len(changes)], PackCommit(Commit{Input: s.Input})))
 			assert.NilError(t, err)
 			assert.Equal(t, in, uint64(len(es)))
@@ -38,27 +38,27 @@
 			_, err = Replay(got, 0, append(changes, PackCommit(Commit{Input: s.Input})))
 			assert.NilError(t, err)
 			for _, x := range []*state.State{got, unpacked(t, got)} {
-				assert.DeepEqual(t, x.Marks, map[string]state.Mark{state.Key("t", "l"): {Offset: 6, Visitor: "w", Call: 1}})
-				assert.DeepEqual(t, x.Readers, map[string]state.Reader{"a1": {Boot: "b", Offset: 8, GivenUp: true}})
+				assert.DeepEqual(t, x.Tombstones, map[string]state.Tombstone{state.Key("t", "l"): {Offset: 6, Client: "w", CallSeq: 1}})
+				assert.DeepEqual(t, x.Readers, map[string]state.Reader{"a1": {BootID: "b", Offset: 8, GivenUp: true}})
 				assert.Equal(t, x.Accepted[state.Key("v", "t")].Last, uint64(9))
 			}
 			got = state.New()
 			in, err = Replay(got, 0, changes)
 			assert.NilError(t, err)
 			for _, e := range es[:in] {
-				got.Recall(e)
+				got.RestoreAnswer(e)
 			}
 			apply(got, es[in:])
 			assert.DeepEqual(t, got.Readers, s.Readers)
-			assert.DeepEqual(t, got.Held, s.Held)
-			assert.Equal(t, len(got.Marks), 2, "what the ledger still tells stands")
+			assert.DeepEqual(t, got.LastKeyed, s.LastKeyed)
+			assert.Equal(t, len(got.Tombstones), 2, "what the ledger still tells stands")
 		}
 	}
 }
 
 func unpacked(t *testing.T, s *state.State) *state.State {
 	t.Helper()
-	got, err := state.Unpack(s.Pack())
+	got, err := state.Unmarshal(s.Marshal())
 	assert.NilError(t, err)
 	return got
 }
--- a/internal/samza/state/state.go
+++ b/internal/samza/state/state.go
@@ -11,11 +11,11 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-// Taken is one accepted call: its number, its place and the name of its body.
-type Taken struct {
-	Call   uint64
-	Offset uint64
-	Digest string
+// AcceptedCall is one accepted call: its number, its place and the name of its body.
+type AcceptedCall struct {
+	CallSeq uint64
+	Offset  uint64
+	Digest  string
 }
 
 // Accepted is how far a visitor's calls on a topic have come. Recent holds the answers to those whose messages the ledger still holds, rising by call
@@ -25,7 +25,7 @@
 	Last       uint64
 	Generation uint64
 	Floor      uint64
-	Recent     []Taken
+	Recent     []AcceptedCall
 }
 
 type written struct {
@@ -52,115 +52,117 @@
 
 // Progress is where a topic's line stands: the offset of its newest message, how many there were, and the offset of the last one that is no longer held.
 type Progress struct {
-	Offset uint64 `json:"o"`
-	Count  uint64 `json:"n"`
-	Gone   uint64 `json:"x,omitempty"`
+	Offset  uint64 `json:"o"`
+	Count   uint64 `json:"n"`
+	Trimmed uint64 `json:"x,omitempty"`
 }
 
-// Attached is the attachment of a visitor that is in force.
-type Attached struct {
+// Attachment is the attachment of a visitor that is in force.
+type Attachment struct {
 	Generation uint64 `json:"g"`
 	Secret     string `json:"s"`
 	Offset     uint64 `json:"o"`
 }
 
-// Acked is the cursor that a visitor left.
-type Acked struct {
+// SavedCursor is the cursor that a visitor left.
+type SavedCursor struct {
 	Cursor string `json:"c"`
 	Offset uint64 `json:"o"`
 }
 
-// Mark is a withdrawal that stands: what came before its offset under its key is withdrawn, by whom and under which number.
-type Mark struct {
+// Tombstone is a withdrawal that stands: what came before its offset under its key is withdrawn, by whom and under which number.
+type Tombstone struct {
 	Offset  uint64 `json:"o"`
-	Visitor string `json:"v"`
-	Call    uint64 `json:"c"`
+	Client  string `json:"v"`
+	CallSeq uint64 `json:"c"`
 }
 
-// By tells whether it is the mark of a visitor's call.
-func (m Mark) By(visitor string, call uint64) bool { return m.Visitor == visitor && m.Call == call }
+// WrittenBy tells whether it is the mark of a visitor's call.
+func (m Tombstone) WrittenBy(visitor string, call uint64) bool {
+	return m.Client == visitor && m.CallSeq == call
+}
 
 // Reader is a node that may have been given messages under keys, under which boot, and the offset of the entry that says so. GivenUp is one that was not
 // heard for so long that nobody waits for it. Before is the boot whose place it took: of that run nothing is left but what comes late.
 type Reader struct {
-	Boot    string `json:"b"`
-	Offset  uint64 `json:"o"`
-	GivenUp bool   `json:"x,omitempty"`
-	Before  string `json:"f,omitempty"`
+	BootID         string `json:"b"`
+	Offset         uint64 `json:"o"`
+	GivenUp        bool   `json:"x,omitempty"`
+	ReplacedBootID string `json:"f,omitempty"`
 }
 
-// Reads is what the entry of a reader says: that the node reads under a boot, that it is given up, or that it is gone.
-type Reads struct {
-	Boot    string `json:"b"`
+// ReaderEntry is what the entry of a reader says: that the node reads under a boot, that it is given up, or that it is gone.
+type ReaderEntry struct {
+	BootID  string `json:"b"`
 	GivenUp bool   `json:"x,omitempty"`
 	Gone    bool   `json:"g,omitempty"`
 }
 
-// Passes is what the entry of a withdrawal says when it names a sender: that one's numbers on the topic are passed up to one of them.
-type Passes struct {
-	Of   string `json:"o"`
-	Upto uint64 `json:"u"`
+// SenderWithdrawal is what the entry of a withdrawal says when it names a sender: that one's numbers on the topic are passed up to one of them.
+type SenderWithdrawal struct {
+	Sender string `json:"o"`
+	UpTo   uint64 `json:"u"`
 }
 
-// Body gives a part of an entry as it stands in its body.
-func Body[T any](v T) []byte {
+// EncodePart gives a part of an entry as it stands in its body.
+func EncodePart[T any](v T) []byte {
 	b, _ := json.Marshal(v)
 	return b
 }
 
-// Part reads a part of an entry from its body; that of an empty body is empty.
-func Part[T any](e log.Entry) T {
+// DecodePart reads a part of an entry from its body; that of an empty body is empty.
+func DecodePart[T any](e log.Entry) T {
 	var v T
 	_ = json.Unmarshal(e.Body, &v)
 	return v
 }
 
-// Named gives the name under which a call is known: that of its body, and where it has a key also of that and of what it asked.
-func Named(what, key, digest string) string {
+// CallDigest gives the name under which a call is known: that of its body, and where it has a key also of that and of what it asked.
+func CallDigest(what, key, digest string) string {
 	if key == "" {
 		return digest
 	}
 	return digest + "\x1f" + what + "\x1f" + key
 }
 
-// Keep is the most answers that are kept per visitor and topic, whatever the ledger holds.
-const Keep = 4096
+// MaxAnswers is the most answers that are kept per visitor and topic, whatever the ledger holds.
+const MaxAnswers = 4096
 
 // State is one partition's; it is used under its owner's turn.
 type State struct {
-	Accepted map[string]Accepted `json:"a"`
-	Progress map[string]Progress `json:"p"`
-	Attached map[string]Attached `json:"t"`
-	Acked    map[string]Acked    `json:"k"`
-	Marks    map[string]Mark     `json:"m,omitempty"`
-	Readers  map[string]Reader   `json:"r,omitempty"`
-	Input    uint64              `json:"i"`
-	// Held is the offset of the last message under a key that the ledger holds; the ledger itself tells it (Recall).
-	Held  map[string]uint64 `json:"-"`
-	dirty map[string]bool
+	Accepted     map[string]Accepted    `json:"a"`
+	Progress     map[string]Progress    `json:"p"`
+	Attachments  map[string]Attachment  `json:"t"`
+	SavedCursors map[string]SavedCursor `json:"k"`
+	Tombstones   map[string]Tombstone   `json:"m,omitempty"`
+	Readers      map[string]Reader      `json:"r,omitempty"`
+	Input        uint64                 `json:"i"`
+	// LastKeyed is the offset of the last message under a key that the ledger holds; the ledger itself tells it (Recall).
+	LastKeyed map[string]uint64 `json:"-"`
+	dirty     map[string]bool
 }
 
 // New makes an empty state.
 func New() *State {
-	return &State{Accepted: map[string]Accepted{}, Progress: map[string]Progress{}, Attached: map[string]Attached{}, Acked: map[string]Acked{}, Marks: map[string]Mark{}, Readers: map[string]Reader{}, Held: map[string]uint64{}, dirty: map[string]bool{}}
+	return &State{Accepted: map[string]Accepted{}, Progress: map[string]Progress{}, Attachments: map[string]Attachment{}, SavedCursors: map[string]SavedCursor{}, Tombstones: map[string]Tombstone{}, Readers: map[string]Reader{}, LastKeyed: map[string]uint64{}, dirty: map[string]bool{}}
 }
 
 // Key names a visitor's calls on a topic, or with the topic first what stands under a key of it.
 func Key(visitor, topic string) string { return visitor + "\x1f" + topic }
 
 // Find gives the answer kept for a call number.
-func (a Accepted) Find(c uint64) (Taken, bool) {
-	i, ok := slices.BinarySearchFunc(a.Recent, c, func(t Taken, c uint64) int { return cmp.Compare(t.Call, c) })
+func (a Accepted) Find(c uint64) (AcceptedCall, bool) {
+	i, ok := slices.BinarySearchFunc(a.Recent, c, func(t AcceptedCall, c uint64) int { return cmp.Compare(t.CallSeq, c) })
 	if !ok {
-		return Taken{}, false
+		return AcceptedCall{}, false
 	}
 	return a.Recent[i], true
 }
 
-func (a *Accepted) keep(t Taken) {
+func (a *Accepted) keep(t AcceptedCall) {
 	a.Recent = append(a.Recent, t)
-	if n := len(a.Recent) - Keep; n > 0 {
-		a.Floor = max(a.Floor, a.Recent[n-1].Call)
+	if n := len(a.Recent) - MaxAnswers; n > 0 {
+		a.Floor = max(a.Floor, a.Recent[n-1].CallSeq)
 		a.Recent = a.Recent[n:]
 	}
 }
@@ -179,10 +181,10 @@
 	log.TypeWithdrawal: func(s *State, e log.Entry) {
 		s.take(e, 0)
 		s.mark(e)
-		if p := Part[Passes](e); p.Of != "" {
-			k := Key(p.Of, e.Topic)
-			if a := s.Accepted[k]; p.Upto > a.Last {
-				a.Last = p.Upto
+		if p := DecodePart[SenderWithdrawal](e); p.Sender != "" {
+			k := Key(p.Sender, e.Topic)
+			if a := s.Accepted[k]; p.UpTo > a.Last {
+				a.Last = p.UpTo
 				s.Accepted[k] = a
 				s.dirty[accepted+k] = true
 			}
@@ -192,26 +194,26 @@
 		if e.Offset <= s.Readers[e.Client].Offset {
 			return
 		}
-		r := Part[Reads](e)
+		r := DecodePart[ReaderEntry](e)
 		was := s.Readers[e.Client]
-		if was.Boot != r.Boot {
-			was.Before = was.Boot
+		if was.BootID != r.BootID {
+			was.ReplacedBootID = was.BootID
 		}
-		s.Readers[e.Client] = Reader{r.Boot, e.Offset, r.GivenUp, was.Before}
+		s.Readers[e.Client] = Reader{r.BootID, e.Offset, r.GivenUp, was.ReplacedBootID}
 		if r.Gone {
 			delete(s.Readers, e.Client)
 		}
 		s.dirty[readers+e.Client] = true
 	},
 	log.TypeAttach: func(s *State, e log.Entry) {
-		if e.Generation > s.Attached[e.Client].Generation {
-			s.Attached[e.Client] = Attached{e.Generation, string(e.Body), e.Offset}
+		if e.Generation > s.Attachments[e.Client].Generation {
+			s.Attachments[e.Client] = Attachment{e.Generation, string(e.Body), e.Offset}
 			s.dirty[attached+e.Client] = true
 		}
 	},
 	log.TypeCursor: func(s *State, e log.Entry) {
-		if e.Offset > s.Acked[e.Client].Offset {
-			s.Acked[e.Client] = Acked{string(e.Body), e.Offset}
+		if e.Offset > s.SavedCursors[e.Client].Offset {
+			s.SavedCursors[e.Client] = SavedCursor{string(e.Body), e.Offset}
 			s.dirty[acked+e.Client] = true
 		}
 	},
@@ -221,16 +223,16 @@
 	k := Key(e.Client, e.Topic)
 	a := s.Accepted[k]
 	if e.CallSeq <= a.Last {
-		s.Recall(e)
+		s.RestoreAnswer(e)
 		return
 	}
 	s.hold(e)
 	a.Last, a.Generation = e.CallSeq, max(a.Generation, e.Generation)
-	a.keep(Taken{e.CallSeq, e.Offset, Named(e.Type, e.Key, e.Digest)})
+	a.keep(AcceptedCall{e.CallSeq, e.Offset, CallDigest(e.Type, e.Key, e.Digest)})
 	s.Accepted[k] = a
 	s.dirty[accepted+k] = true
 	if p := s.Progress[e.Topic]; e.Offset > p.Offset {
-		s.Progress[e.Topic] = Progress{e.Offset, p.Count + n, p.Gone}
+		s.Progress[e.Topic] = Progress{e.Offset, p.Count + n, p.Trimmed}
 		s.dirty[progress+e.Topic] = true
 	}
 }
@@ -238,31 +240,31 @@
 func (s *State) hold(e log.Entry) {
 	if e.Type == log.TypeMessage && e.Key != "" {
 		k := Key(e.Topic, e.Key)
-		s.Held[k] = max(s.Held[k], e.Offset)
+		s.LastKeyed[k] = max(s.LastKeyed[k], e.Offset)
 	}
 }
 
 func (s *State) drop(e log.Entry) {
-	if k := Key(e.Topic, e.Key); s.Held[k] <= e.Offset {
-		delete(s.Held, k)
+	if k := Key(e.Topic, e.Key); s.LastKeyed[k] <= e.Offset {
+		delete(s.LastKeyed, k)
 	}
 }
 
 func (s *State) mark(e log.Entry) {
-	if k := Key(e.Topic, e.Key); e.Offset > s.Marks[k].Offset {
-		s.Marks[k] = Mark{e.Offset, e.Client, e.CallSeq}
+	if k := Key(e.Topic, e.Key); e.Offset > s.Tombstones[k].Offset {
+		s.Tombstones[k] = Tombstone{e.Offset, e.Client, e.CallSeq}
 		s.dirty[marks+k] = true
 	}
 }
 
 // Covers tells whether a message stands under a key that was withdrawn behind it.
 func (s *State) Covers(e log.Entry) bool {
-	return e.Key != "" && s.Marks[Key(e.Topic, e.Key)].Offset > e.Offset
+	return e.Key != "" && s.Tombstones[Key(e.Topic, e.Key)].Offset > e.Offset
 }
 
-// Unmark lets go of a mark.
-func (s *State) Unmark(k string) {
-	delete(s.Marks, k)
+// DropTombstone lets go of a mark.
+func (s *State) DropTombstone(k string) {
+	delete(s.Tombstones, k)
 	s.dirty[marks+k] = true
 }
 
@@ -283,9 +285,9 @@
 var get = map[string]func(*State, string) any{
 	accepted: func(s *State, n string) any { return s.Accepted[n] },
 	progress: func(s *State, n string) any { return s.Progress[n] },
-	attached: func(s *State, n string) any { return s.Attached[n] },
-	acked:    func(s *State, n string) any { return s.Acked[n] },
-	marks:    func(s *State, n string) any { return left(s.Marks, n) },
+	attached: func(s *State, n string) any { return s.Attachments[n] },
+	acked:    func(s *State, n string) any { return s.SavedCursors[n] },
+	marks:    func(s *State, n string) any { return left(s.Tombstones, n) },
 	readers:  func(s *State, n string) any { return left(s.Readers, n) },
 }
 
@@ -303,8 +305,8 @@
 	return Item{k, b}
 }
 
-// Dirty gives the latest value of each key changed since the last call.
-func (s *State) Dirty() []Item {
+// TakeChanges gives the latest value of each key changed since the last call.
+func (s *State) TakeChanges() []Item {
 	ks := make([]string, 0, len(s.dirty))
 	for k := range s.dirty {
 		ks = append(ks, k)
@@ -318,21 +320,21 @@
 	return is
 }
 
-// All marks every key as changed, for a compaction of the changelog.
-func (s *State) All() {
+// MarkAllChanged marks every key as changed, for a compaction of the changelog.
+func (s *State) MarkAllChanged() {
 	for k := range s.Accepted {
 		s.dirty[accepted+k] = true
 	}
 	for k := range s.Progress {
 		s.dirty[progress+k] = true
 	}
-	for k := range s.Attached {
+	for k := range s.Attachments {
 		s.dirty[attached+k] = true
 	}
-	for k := range s.Acked {
+	for k := range s.SavedCursors {
 		s.dirty[acked+k] = true
 	}
-	for k := range s.Marks {
+	for k := range s.Tombstones {
 		s.dirty[marks+k] = true
 	}
 	for k := range s.Readers {
@@ -340,9 +342,9 @@
 	}
 }
 
-// Recall takes an entry of the ledger that the state was written down with, so that its answer is known again. Entries come in the order of the ledger.
+// RestoreAnswer takes an entry of the ledger that the state was written down with, so that its answer is known again. Entries come in the order of the ledger.
 // A mark stands again with its entry: one that was let go elsewhere covers what this ledger still holds.
-func (s *State) Recall(e log.Entry) {
+func (s *State) RestoreAnswer(e log.Entry) {
 	if !numbered[e.Type] {
 		return
 	}
@@ -352,10 +354,10 @@
 	}
 	k := Key(e.Client, e.Topic)
 	a, ok := s.Accepted[k]
-	if n := len(a.Recent); !ok || e.CallSeq > a.Last || n > 0 && a.Recent[n-1].Call >= e.CallSeq {
+	if n := len(a.Recent); !ok || e.CallSeq > a.Last || n > 0 && a.Recent[n-1].CallSeq >= e.CallSeq {
 		return
 	}
-	a.keep(Taken{e.CallSeq, e.Offset, Named(e.Type, e.Key, e.Digest)})
+	a.keep(AcceptedCall{e.CallSeq, e.Offset, CallDigest(e.Type, e.Key, e.Digest)})
 	s.Accepted[k] = a
 }
 
@@ -379,7 +381,7 @@
 			i++
 		}
 		if i > 0 {
-			a.Floor = max(a.Floor, a.Recent[i-1].Call)
+			a.Floor = max(a.Floor, a.Recent[i-1].CallSeq)
 			a.Recent = a.Recent[i:]
 			if len(a.Recent) == 0 {
 				a.Recent = nil
@@ -388,8 +390,8 @@
 			s.dirty[accepted+k] = true
 			n += i
 		}
-		if p := s.Progress[e.Topic]; e.Offset > p.Gone {
-			p.Gone = e.Offset
+		if p := s.Progress[e.Topic]; e.Offset > p.Trimmed {
+			p.Trimmed = e.Offset
 			s.Progress[e.Topic] = p
 			s.dirty[progress+e.Topic] = true
 		}
@@ -402,7 +404,7 @@
 
 // Size is the number of keys.
 func (s *State) Size() int {
-	return len(s.Accepted) + len(s.Progress) + len(s.Attached) + len(s.Acked) + len(s.Marks) + len(s.Readers)
+	return len(s.Accepted) + len(s.Progress) + len(s.Attachments) + len(s.SavedCursors) + len(s.Tombstones) + len(s.Readers)
 }
 
 func put[T any](m map[string]T, n string, b []byte) error {
@@ -419,9 +421,9 @@
 var set = map[string]func(*State, string, []byte) error{
 	accepted: func(s *State, n string, b []byte) error { return put(s.Accepted, n, b) },
 	progress: func(s *State, n string, b []byte) error { return put(s.Progress, n, b) },
-	attached: func(s *State, n string, b []byte) error { return put(s.Attached, n, b) },
-	acked:    func(s *State, n string, b []byte) error { return put(s.Acked, n, b) },
-	marks:    func(s *State, n string, b []byte) error { return put(s.Marks, n, b) },
+	attached: func(s *State, n string, b []byte) error { return put(s.Attachments, n, b) },
+	acked:    func(s *State, n string, b []byte) error { return put(s.SavedCursors, n, b) },
+	marks:    func(s *State, n string, b []byte) error { return put(s.Tombstones, n, b) },
 	readers:  func(s *State, n string, b []byte) error { return put(s.Readers, n, b) },
 }
 
@@ -447,14 +449,14 @@
 	return m
 }
 
-// Pack writes the whole state.
-func (s *State) Pack() json.RawMessage {
+// Marshal writes the whole state.
+func (s *State) Marshal() json.RawMessage {
 	b, _ := json.Marshal(s)
 	return b
 }
 
-// Unpack reads a whole state.
-func Unpack(b []byte) (*State, error) {
+// Unmarshal reads a whole state.
+func Unmarshal(b []byte) (*State, error) {
 	s := New()
 	err := json.Unmarshal(b, s)
 	return s, err
--- a/internal/samza/state/state_test.go
+++ b/internal/samza/state/state_test.go
@@ -31,10 +31,10 @@
 // What the ledger no longer holds is forgotten but for how far it went: repeats are then told so by type and never taken again.
 func TestPruningKeepsHowFarCallsHaveCome(t *testing.T) {
 	s := filled(3, 40)
-	s.Dirty()
+	s.TakeChanges()
 	assert.Equal(t, s.Prune(entries(3, 40)[:3*38]...), 3*38, "what the ledger drops is let go")
-	assert.Equal(t, len(s.Dirty()), 3+1, "how far it went is written down again, and what is gone of the topic")
-	assert.Equal(t, s.Progress["s/a"], Progress{Offset: 120, Count: 120, Gone: 3 * 38})
+	assert.Equal(t, len(s.TakeChanges()), 3+1, "how far it went is written down again, and what is gone of the topic")
+	assert.Equal(t, s.Progress["s/a"], Progress{Offset: 120, Count: 120, Trimmed: 3 * 38})
 	for v := range 3 {
 		k := Key(fmt.Sprintf("v%d", v), "s/a")
 		a := s.Accepted[k]
@@ -54,11 +54,11 @@
 	for _, gone := range []int{0, 1, 50, 119, 120} {
 		s := filled(3, 40)
 		s.Prune(es[:gone]...)
-		got, err := Unpack(s.Pack())
+		got, err := Unmarshal(s.Marshal())
 		assert.NilError(t, err)
 		for range 2 {
 			for _, e := range es[gone:] {
-				got.Recall(e)
+				got.RestoreAnswer(e)
 			}
 		}
 		for k, a := range s.Accepted {
@@ -69,7 +69,7 @@
 			}
 			assert.Equal(t, a.Floor, b.Floor)
 			for _, t0 := range a.Recent {
-				x, ok := b.Find(t0.Call)
+				x, ok := b.Find(t0.CallSeq)
 				assert.Assert(t, ok && x == t0)
 			}
 			_, ok := b.Find(41)
@@ -88,9 +88,9 @@
 }
 
 func TestAnswersAreBounded(t *testing.T) {
-	s := filled(1, Keep+10)
+	s := filled(1, MaxAnswers+10)
 	a := s.Accepted[Key("v0", "s/a")]
-	assert.Equal(t, len(a.Recent), Keep)
+	assert.Equal(t, len(a.Recent), MaxAnswers)
 	assert.Equal(t, a.Floor, uint64(20))
 }
 
@@ -98,10 +98,10 @@
 func TestAnswersAreNotWrittenDown(t *testing.T) {
 	s := filled(200, 1200)
 	n := 0
-	for _, i := range s.Dirty() {
+	for _, i := range s.TakeChanges() {
 		n += len(i.Key) + len(i.Value)
 	}
-	t.Logf("200 visitors of a topic with 1200 answers kept each: %d bytes each in a batch, %d packed", n/200, len(s.Pack())/200)
+	t.Logf("200 visitors of a topic with 1200 answers kept each: %d bytes each in a batch, %d packed", n/200, len(s.Marshal())/200)
 	assert.Assert(t, n/200 < 64)
 }
 
