--- a/internal/configuration/description.go
+++ b/internal/configuration/description.go
@@ -102,11 +102,12 @@
 		Weight          int      `json:"weight"`
 	}
 	var l struct {
-		Sequence, Base uint64
-		Spaces         []loose
-		Limits         Limits
-		Source         string
-		StandingLanes  bool `json:"standing_lanes"`
+		Sequence      uint64  `json:"sequence"`
+		Base          uint64  `json:"base"`
+		Spaces        []loose `json:"spaces"`
+		Limits        Limits  `json:"limits"`
+		Source        string  `json:"source"`
+		StandingLanes bool    `json:"standing_lanes"`
 	}
 	if json.Unmarshal(b, &l) != nil {
 		return nil
--- a/internal/disk/journal/journal.go
+++ b/internal/disk/journal/journal.go
@@ -30,7 +30,10 @@
 
 // Tally counts the journal's work.
 type Tally struct {
-	Records, Batches, Compactions, Failures uint64
+	Records     uint64 `json:"Records"`
+	Batches     uint64 `json:"Batches"`
+	Compactions uint64 `json:"Compactions"`
+	Failures    uint64 `json:"Failures"`
 }
 
 // Report says what was found when the journal was opened.
--- a/internal/partitionlog/leader/owner.go
+++ b/internal/partitionlog/leader/owner.go
@@ -81,13 +81,20 @@
 
 // Tally counts an owner's work.
 type Tally struct {
-	Taken, Bytes, Repeats, Batches, Items, Compactions uint64
+	Taken       uint64 `json:"Taken"`
+	Bytes       uint64 `json:"Bytes"`
+	Repeats     uint64 `json:"Repeats"`
+	Batches     uint64 `json:"Batches"`
+	Items       uint64 `json:"Items"`
+	Compactions uint64 `json:"Compactions"`
 	// Rounds counts the questions to a majority whether this epoch still stands.
-	Rounds uint64
+	Rounds uint64 `json:"Rounds"`
 	// Forgotten counts the answers to calls that were let go once the ledger no longer held their messages.
-	Forgotten uint64
+	Forgotten uint64 `json:"Forgotten"`
 	// Withdrawals counts those taken, Unmarked the marks let go, GivenUp the readers given up.
-	Withdrawals, Unmarked, GivenUp uint64
+	Withdrawals uint64 `json:"Withdrawals"`
+	Unmarked    uint64 `json:"Unmarked"`
+	GivenUp     uint64 `json:"GivenUp"`
 }
 
 // Owner decides for one partition until it is lost.
--- a/internal/testing/fleet/totals.go
+++ b/internal/testing/fleet/totals.go
@@ -35,10 +35,17 @@
 		}
 		var c struct {
 			Streams uint64 `json:"streams"`
-			Journal struct{ Records, Batches uint64 }
-			Owners  []struct {
-				Tally struct{ Taken, Batches, Items uint64 }
-			}
+			Journal struct {
+				Records uint64 `json:"Records"`
+				Batches uint64 `json:"Batches"`
+			} `json:"journal"`
+			Owners []struct {
+				Tally struct {
+					Taken   uint64 `json:"Taken"`
+					Batches uint64 `json:"Batches"`
+					Items   uint64 `json:"Items"`
+				} `json:"tally"`
+			} `json:"owners"`
 		}
 		err = json.NewDecoder(a.Body).Decode(&c)
 		_ = a.Body.Close()
