--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -90,7 +90,7 @@
 	return string(b)
 }
 
-// Every test and guard that the map of the brief, the never-list, the incidents and the note on hardening name must be there.
+// Every test and mutant that the map of the brief, the never-list, the incidents and the note on hardening name must be there.
 func TestChecksNamedInTheMapExist(t *testing.T) {
 	var code strings.Builder
 	assert.NilError(t, filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
@@ -99,8 +99,13 @@
 		}
 		return err
 	}))
-	guards := read(t, "tools/guards.sh")
-	tests, names := regexp.MustCompile("`(Test[A-Za-z0-9]+)`"), regexp.MustCompile("guards?:? ((?:`[a-z-]+`(?:, )?)+)")
+	mutations, err := filepath.Glob("../../tools/mutations/*.sh")
+	assert.NilError(t, err)
+	var mutants strings.Builder
+	for _, path := range mutations {
+		mutants.WriteString(read(t, strings.TrimPrefix(path, "../../")))
+	}
+	tests, names := regexp.MustCompile("`(Test[A-Za-z0-9]+)`"), regexp.MustCompile("mutants?:? ((?:`[a-z-]+`(?:, )?)+)")
 	for _, page := range []string{"docs/brief.md", "docs/never.md", "docs/incidents.md", "docs/design/hardening.md"} {
 		s := read(t, page)
 		found := tests.FindAllStringSubmatch(s, -1)
@@ -110,7 +115,7 @@
 		}
 		for _, m := range names.FindAllStringSubmatch(s, -1) {
 			for _, g := range strings.Split(m[1], ", ") {
-				assert.Assert(t, strings.Contains(guards, "guard "+strings.Trim(g, "`")+" "), "%s names guard %s, which is not there", page, g)
+				assert.Assert(t, strings.Contains(mutants.String(), "mutant "+strings.Trim(g, "`")+" "), "%s names mutant %s, which is not there", page, g)
 			}
 		}
 	}
--- /dev/null
+++ b/tools/mutations/client.sh
@@ -0,0 +1,16 @@
+# Mutants of internal/client.
+mutant dropped-topics internal/client/follow.go 's/if x\.Sequence == st\.index \{/if true {/' $S 'TakesEffect'
+mutant interest internal/client/follow.go 's/\|\| !st.want\[e.Topic\] \|\|/||/' $S 'QuietDay'
+mutant live-not-resumed internal/client/follow.go 's/e.Live && \(e.Hollow \|\| e.Offset <= l.live\)/false/' ./internal/testing/transcript 'Picker'
+mutant stream-fence internal/client/follow.go 's/e.Generation > st.t.who.Generation \{/false {/' ./internal/testing/transcript 'Picker'
+mutant skip-seen internal/client/follow.go 's/if e.Offset <= st.pos\[l.p\] \{/if false {/' ./internal/client 'Skips'
+mutant urgent-opens-alone internal/client/follow.go 's/if firm == 0 \{/if true {\n\t\tfirm += len(routine)/; s/o\.urgent \|\| len\(urgent\) == 0/true/' $S 'UrgentGoes'
+mutant urgent-never-waits internal/client/follow.go 's/go func\(\) \{\n\t\tw, err := f\.After/func() {\n\t\tw, err := f.After/' ./internal/client ARoundOfAStream
+mutant urgent-lane internal/client/service.go 's/if t\.urgent\(\) \{\n\t\tl = /if false {\n\t\tl = /' $S 'UrgentUnderFlood'
+mutant stream-withdrawn internal/client/follow.go 's/fate == feed\.Withdrawn \|\| //' ./internal/client 'WithdrawnMeanwhile'
+mutant stream-stale internal/client/follow.go 's/return true, nil\n\t\}\n\tdefer end/fate = feed.Due\n\t}\n\tdefer end/' ./internal/client 'WithdrawnMeanwhile'
+mutant stream-left-out internal/client/follow.go 's/e\.Key != "" && e\.Hollow \|\| //' ./internal/client 'WithdrawnMeanwhile'
+mutant yes-awaited internal/client/withdraw.go 's/err == nil && len\(u\.Nodes\) == 0/err == nil/' ./internal/client 'NotHeard'
+mutant yes-apart internal/client/service.go 's/interest, policy\.Func\[\*Task\]\(s\.forget\), gate/interest, gate, policy.Func[*Task](s.forget)/' $S 'StreamsForget'
+mutant yes-in-time internal/client/withdraw.go 's/WithTimeout\(ctx, s\.Bounds\.Call\(\)\)/WithTimeout(ctx, 9*s.Bounds.Call())/' ./internal/client 'NotHeard'
+mutant keys-everywhere internal/client/service.go 's/if err := s\.Desk\.Keys\(\); err != nil/if err := s.Desk.Keys(); false/' ./internal/client 'EveryBuild'
--- /dev/null
+++ b/tools/mutations/control-acceptor.sh
@@ -0,0 +1,12 @@
+# Mutants of internal/control/acceptor.
+mutant highest-alike internal/control/acceptor/slot.go 's/\t\tif !top\.Above\(s\) \{/\t\tif !top.Above(s) || true {/' ./internal/control/register 'HighestCopies'
+mutant voter-incarnation internal/control/acceptor/voter.go 's/if inc != v.incarnation \{/if false \&\& inc != v.incarnation {/' ./internal/control/acceptor 'Wiped'
+mutant voter-roster internal/control/acceptor/voter.go 's/if v.roster.Sequence != b.Roster \|\| b.Roster == 0 \{/if b.Roster == 0 {/' ./internal/control/acceptor 'Roster'
+mutant voter-seal internal/control/acceptor/voter.go 's/if v.sealed\(\) && b.Key != RosterKey \{/if false \&\& v.sealed() \&\& b.Key != RosterKey {/' ./internal/control/acceptor 'Sealed'
+mutant promise internal/control/acceptor/slot.go 's/if e\.Less\(s\.Promised\) \|\| s\.Above\(n\) \{/if s.Above(n) {/' ./internal/control/acceptor 'Promise'
+mutant slot-promise internal/control/acceptor/slot.go 's/if !s\.Promised\.Less\(e\) \{/if s.Promised == e {/' $M 'SmallBounds'
+mutant slot-accept internal/control/acceptor/slot.go 's/if e\.Less\(s\.Promised\) \|\| s\.Above\(n\) \{/if s.Above(n) {/' $M 'SmallBounds'
+mutant slot-accept-order internal/control/acceptor/slot.go 's/if e\.Less\(s\.Promised\) \|\| s\.Above\(n\) \{/if e.Less(s.Promised) {/' $M 'SmallBounds'
+mutant slot-highest internal/control/acceptor/slot.go 's/\t\tif s\.Above\(top\) \{/\t\tif top.Accepted.Zero() {/' $M 'SmallBounds'
+mutant slot-merge internal/control/acceptor/slot.go 's/s := Highest\(copies\)/s := copies[0]/' $M 'SmallBounds'
+mutant slot-alike internal/control/acceptor/slot.go 's/\t\tif !top\.Above\(s\) \{/\t\tif !top.Above(s) || true {/' $M 'SmallBounds'
--- /dev/null
+++ b/tools/mutations/delivery-fanout.sh
@@ -0,0 +1,26 @@
+# Mutants of internal/delivery/fanout.
+mutant place-meanwhile internal/delivery/fanout/feed.go 's/s\.After != nil && \(!ok \|\| at > \*s\.After\)/false \&\& ok \&\& at > 0/' ./internal/delivery/fanout 'BetweenThePlace'
+mutant waiting-apart internal/delivery/fanout/feed.go 's/slices\.Concat\(w, f\.waiting\)/append(w, f.waiting...)/' ./internal/delivery/fanout 'HastenedLate'
+mutant deaf-lets-go internal/delivery/fanout/feed.go 's/return f\.reader && f\.number > 0 &&/return false \&\& f.number > 0 \&\&/' $S 'ADeafRouter'
+mutant deaf-releases-first internal/delivery/fanout/feed.go 's/(go func\(\) \{\n)\t\tf\.h\.release\(f\.p, true\)\n(\t\tfor tries := range farewells)/$1$2/' ./internal/delivery/fanout 'ADeafReader'
+mutant held-back-purge internal/delivery/fanout/feed.go 's/s\.held = slices\.DeleteFunc\(s\.held, func\(x line\.Entry\) bool \{ return x\.What == line\.Message && /s.held = slices.DeleteFunc(s.held, func(x line.Entry) bool { return false \&\& /' ./internal/delivery/fanout 'HeldBack'
+mutant older-than-a-mark internal/delivery/fanout/feed.go 's/return e\.Key != \"\" && e\.What == line\.Message && /return false \&\& /' ./internal/delivery/fanout 'OlderThanAMark'
+mutant marks-let-go internal/delivery/fanout/feed.go 's/f\.begin\(a, q, w\)\n\t\tf\.marks = nil/f.begin(a, q, w)/' ./internal/delivery/fanout 'OlderThanAMark'
+mutant superseded-answer internal/delivery/fanout/feed.go 's/err == nil && a\.Epoch < f\.seen/false \&\& a.Epoch < f.seen/' ./internal/delivery/fanout 'Superseded'
+mutant poll-after-empty internal/delivery/fanout/feed.go 's/if gen != f\.gen \{/if false \&\& gen != f.gen {/' ./internal/delivery/fanout 'FromBeforeNothing'
+mutant let-go-before-poll internal/delivery/fanout/feed.go 's/(f\.h\.withdraw\(f\.p, m\))/go func() { _ = f.h.clk.Sleep(f.h.ctx, 1e9); $1 }()/' ./internal/delivery/fanout 'NextPoll'
+mutant clean-anew internal/delivery/fanout/feed.go 's/clear\(f\.dirty\)\n\tf\.anew\(\)/clear(f.dirty)/' ./internal/delivery/fanout 'GivenUp'
+mutant clean-lets-go internal/delivery/fanout/feed.go 's/f\.h\.release\(f\.p, true\)\n//' ./internal/delivery/fanout 'GivenUp'
+mutant clean-breaks internal/delivery/fanout/feed.go 's/f\.remove\(s\)\n\t\t\t\ts\.Broken\(\)/f.waiting = append(f.waiting, s)/' ./internal/delivery/fanout 'GivenUp'
+mutant done-said internal/delivery/fanout/feed.go 's/go f\.part\(\)/f.known = false/' ./internal/delivery/fanout 'SaysThatItIsDone'
+mutant done-again internal/delivery/fanout/feed.go 's/f\.reader = !ok\n/f.reader = false\n/' ./internal/delivery/fanout 'SaysThatItIsDone'
+mutant done-other-boot internal/delivery/fanout/feed.go 's/if f\.parted \{/if false \&\& f.parted {/' ./internal/delivery/fanout 'SaysThatItIsDone'
+mutant place-until-let-go internal/delivery/fanout/feed.go 's/case !f\.reader:\n/default:\n/; s/case !f\.known:\n\t\tf\.wake\(\)\n\tcase !f\.parting:\n\t\tf\.parting = true\n\t\tgo f\.part\(\)\n/\n/' ./internal/delivery/fanout 'BeforeItIsDone'
+mutant lost-answer-reads internal/delivery/fanout/feed.go 's/\t\t\tf\.reader = true\n\t\t\tif f\.deaf/\t\t\tif f.deaf/' ./internal/delivery/fanout 'LateAnswer'
+mutant lost-follow-reads internal/delivery/fanout/feed.go 's/f\.reader = f\.reader \|\| err != nil/_ = err/' ./internal/delivery/fanout 'LostFollow'
+mutant shut-while-letting-go internal/delivery/fanout/feed.go 's/if f\.shut > 0 \{/if false {/' ./internal/delivery/fanout 'WhileAllIsLetGo'
+mutant done-after-let-go internal/delivery/fanout/feed.go 's/if ok \{\n\t\tf\.parting/if ok = true; ok {\n\t\tf.parting/' ./internal/delivery/fanout 'AfterTheYes'
+mutant void-poll-reads internal/delivery/fanout/feed.go 's/f\.reader = f\.reader \|\| a\.Reader \|\| keyed\(a\.Entries\)/_ = keyed/' ./internal/delivery/fanout 'LateAnswer'
+mutant reader-heeded internal/delivery/fanout/feed.go 's/a\.Reader/false/g' ./internal/delivery/fanout TestAReaderOfNothing
+mutant turn-heeded internal/delivery/fanout/feed.go 's/f\.number = a\.Turn/_ = a/' ./internal/delivery/fanout TestTheTurnIsTold
+mutant lost-paced internal/delivery/fanout/feed.go 's/if !again \{/if _ = again; err != nil {/' ./internal/delivery/fanout TestTheTurnIsTold
--- /dev/null
+++ b/tools/mutations/delivery-stream.sh
@@ -0,0 +1,11 @@
+# Mutants of internal/delivery/stream.
+mutant deaf-streams internal/delivery/stream/feed.go 's/> f\.bounds\.Recovery && d\.depart\(\)/> f.bounds.Recovery \&\& d == nil/' $S 'StreamsForget'
+mutant feed-hollows internal/delivery/stream/feed.go 's/e\.Body, e\.Digest, e\.Hollow = nil, "", true/_ = e/' ./internal/delivery/stream 'TestFeeds'
+mutant feed-marks internal/delivery/stream/feed.go 's/case e\.Offset < d\.marks\[at\(e\)\]:/case false:/' ./internal/delivery/stream 'TestFeeds'
+mutant feed-cuts internal/delivery/stream/feed.go 's/(w\.e\.Offset < m\.Offset \{\n\t+)ws = append\(ws, w\.end\(\)\)/$1_ = w/' ./internal/delivery/stream 'TestFeeds'
+mutant feed-cuts-first internal/delivery/stream/feed.go 's/await\(d\.take\(r, first\)\)/d.take(r, first)/' ./internal/delivery/stream 'TestFeeds'
+mutant feed-many-marks internal/delivery/stream/feed.go 's/(len\(d\.marks\) >= marksMost \{\n\t+)d\.era\+\+/$1_ = d/' ./internal/delivery/stream 'TestFeeds'
+mutant feed-passed-over internal/delivery/stream/feed.go 's/(d\.es, d\.at, d\.bytes = nil, nil, 0\n\t)d\.era\+\+/$1_ = 0/' ./internal/delivery/stream 'TestFeeds'
+mutant feed-clean internal/delivery/stream/feed.go 's/(func \(d \*Feed\) anew.*?)ws := d\.drop\(\)/$1var ws []*writing/s' ./internal/delivery/stream 'TestFeeds'
+mutant feed-superseded internal/delivery/stream/feed.go 's/if r\.Epoch < d\.epoch \{/if false {/' ./internal/delivery/stream 'TestFeeds'
+mutant feed-done internal/delivery/stream/feed.go 's/\td\.over\(\)\n/\t_ = d.over\n/' ./internal/delivery/stream 'TestFeeds'
--- /dev/null
+++ b/tools/mutations/samza-state.sh
@@ -0,0 +1,12 @@
+# Mutants of internal/samza/state.
+mutant repeat-known internal/samza/state/state.go 's/if e.Call <= a.Last \{\n\t+s\.Recall\(e\)\n\t+return/if e.Call <= a.Last {\n\t\ta.Last--/' ./internal/samza/changelog 'Replay'
+mutant prune-keeps-last internal/samza/state/state.go 's/(a\.Floor = max\(a\.Floor, a\.Recent\[i-1\]\.Call\)\n\t+)a\.Recent = a\.Recent\[i:\]/$1a.Recent, a.Last = a.Recent[i:], 0/' ./internal/samza/state 'Pruning'
+mutant floor internal/samza/state/state.go 's/a\.Floor = max\(a\.Floor, a\.Recent\[i-1\]\.Call\)/a.Floor += 0/' ./internal/testing/transcript 'BadInput'
+mutant recall-again internal/samza/state/state.go 's/s\.Recall\(e\)\n/_ = e\n/' ./internal/samza/changelog 'WithoutItsRecord'
+mutant mark-stands-again internal/samza/state/state.go 's/if e\.What == line\.Withdraw \{\n\t\ts\.mark\(e\)\n\t\}//' ./internal/partitionlog/leader 'AtATakeOver'
+mutant mark-let-go-for-good internal/samza/state/state.go 's/if len\(b\) == 0 \|\| string\(b\) == \"null\" \{/if len(b) == 0 {/' ./internal/samza/changelog 'MarksSurvive'
+mutant sender-passed internal/samza/state/state.go 's/a\.Last = p\.Upto/a.Last += 0/' ./internal/partitionlog/leader 'NamedSender'
+mutant fleet-readers-kept internal/samza/state/state.go 's/readers:  func\(s \*State, n string, b \[\]byte\) error \{ return put\(s\.Readers, n, b\) \}/readers: func(*State, string, []byte) error { return nil }/' $S 'YesWaits'
+mutant fleet-marks-kept internal/samza/state/state.go 's/marks:    func\(s \*State, n string, b \[\]byte\) error \{ return put\(s\.Marks, n, b\) \}/marks: func(*State, string, []byte) error { return nil }/; s/(if e\.What == line\.Withdraw \{\n\t+)s\.mark\(e\)/$1_ = e/' $S 'YesWaits|YesComes'
+mutant fleet-readers-compacted internal/samza/state/state.go 's/s\.dirty\[readers\+k\] = true\n\t\}\n\}/_ = k\n\t}\n}/' $S 'YesWaits.*/.*compacted'
+mutant fleet-passes internal/samza/state/state.go 's/p\.Upto > a\.Last/false/; ' $S 'Races'
