--- a/internal/client/service.go
+++ b/internal/client/service.go
@@ -286,16 +286,16 @@
 	if b.Len() > s.Body {
 		return apierror.New(apierror.Oversize, "the body has %d bytes, the limit is %d", b.Len(), s.Body)
 	}
-	d, err := s.submit(ctx, t, &leader.Task{Body: b.Bytes()})
+	d, err := s.submit(ctx, t, &leader.Message{Body: b.Bytes()})
 	if err != nil {
 		return err
 	}
-	t.out = Receipt{Topic: t.Topics[0], Call: t.Call, Partition: d.Partition, Offset: d.Offset, Repeat: d.Repeat}
+	t.out = Receipt{Topic: t.Topics[0], Call: t.Call, Partition: d.Partition, Offset: d.Offset, Repeat: d.Duplicate}
 	return nil
 }
 
 // submit has a message or a withdrawal decided.
-func (s *Service) submit(ctx context.Context, t *Task, q *leader.Task) (*leader.Decision, error) {
+func (s *Service) submit(ctx context.Context, t *Task, q *leader.Message) (*leader.Decision, error) {
 	if t.Key != nil {
 		if err := log.CheckName("key", *t.Key); err != nil {
 			return nil, err
@@ -306,8 +306,8 @@
 		q.Key = *t.Key
 	}
 	sp := t.spaces[0]
-	q.Visitor, q.Generation, q.Topic, q.Call = t.Visitor, t.who.Generation, t.Topics[0], t.Call
-	q.Live, q.Description = sp.Kind == configuration.KindLive, s.Board.Index().Sequence
+	q.Client, q.Generation, q.Topic, q.CallSeq = t.Visitor, t.who.Generation, t.Topics[0], t.Call
+	q.Live, q.Configuration = sp.Kind == configuration.KindLive, s.Board.Index().Sequence
 	return s.Desk.Submit(ctx, partition.Of(q.Topic, sp.Urgent, s.Board.VoterSet().Layout), q)
 }
 
--- a/internal/client/session/house.go
+++ b/internal/client/session/house.go
@@ -19,9 +19,9 @@
 
 // Ledger has messages decided and listeners counted, wherever the owner is.
 type Ledger interface {
-	Offer(ctx context.Context, p int, q *leader.Task, until time.Time, done func(*leader.Decision, error))
+	Offer(ctx context.Context, p int, q *leader.Message, until time.Time, done func(*leader.Decision, error))
 	Listeners(ctx context.Context, p int, topic string) (int, error)
-	Forgotten(ctx context.Context, p int, offset uint64, hold time.Duration) (*leader.Unheard, error)
+	Forgotten(ctx context.Context, p int, offset uint64, hold time.Duration) (*leader.PendingReaders, error)
 	// Keys gives a problem while some node's build knows no keys.
 	Keys() error
 }
@@ -470,8 +470,8 @@
 		return apierror.New(apierror.Oversize, "the body has %d bytes, the limit is %d", len(t.Body), v.h.Body)
 	}
 	until := v.h.Clock.Now().Add(v.h.patience(sp))
-	v.h.Ledger.Offer(v.h.ctx, p, &leader.Task{
-		Visitor: v.name, Topic: t.Topic, Call: t.Call, Body: t.Body, Key: t.Key, Live: sp.Kind == configuration.KindLive, Description: v.h.Board.Index().Sequence,
+	v.h.Ledger.Offer(v.h.ctx, p, &leader.Message{
+		Client: v.name, Topic: t.Topic, CallSeq: t.Call, Body: t.Body, Key: t.Key, Live: sp.Kind == configuration.KindLive, Configuration: v.h.Board.Index().Sequence,
 	}, until, func(_ *leader.Decision, err error) {
 		if err != nil {
 			v.turn(t, err)
--- a/internal/client/session/house_test.go
+++ b/internal/client/session/house_test.go
@@ -27,13 +27,13 @@
 // source stands in for the owner of the only partition. A nil answer is never given.
 type source struct {
 	mu     sync.Mutex
-	follow func(q *leader.Want) *leader.Told
-	poll   func(q *leader.PollRequest) *leader.Polled
-	wants  []*leader.Want
+	follow func(q *leader.FollowRequest) *leader.FollowResponse
+	poll   func(q *leader.PollRequest) *leader.PollResponse
+	wants  []*leader.FollowRequest
 }
 
 // Follow answers as the test says.
-func (s *source) Follow(ctx context.Context, _ assignment.Record, q *leader.Want) (*leader.Told, error) {
+func (s *source) Follow(ctx context.Context, _ assignment.Record, q *leader.FollowRequest) (*leader.FollowResponse, error) {
 	s.mu.Lock()
 	s.wants = append(s.wants, q)
 	f := s.follow
@@ -45,7 +45,7 @@
 }
 
 // Poll answers as the test says, at most once in a while.
-func (s *source) Poll(ctx context.Context, _ assignment.Record, q *leader.PollRequest) (*leader.Polled, error) {
+func (s *source) Poll(ctx context.Context, _ assignment.Record, q *leader.PollRequest) (*leader.PollResponse, error) {
 	s.mu.Lock()
 	f := s.poll
 	s.mu.Unlock()
@@ -119,7 +119,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		b := gossip.NewStore(nil)
 		b.Apply(gossip.Update{VoterSet: &voters.Set{Sequence: 1, Fleet: "fleet00", Layout: voters.Layout{RoutinePartitions: 1}}, Records: []assignment.Record{{Leader: "s1", Epoch: 1, Version: 1}}})
-		h := &hall{src: &source{follow: func(*leader.Want) *leader.Told { return nil }}, board: b}
+		h := &hall{src: &source{follow: func(*leader.FollowRequest) *leader.FollowResponse { return nil }}, board: b}
 		hub := fanout.New(ctx, "a1", "boot", h.src, b, clock.Real{}, settings.DefaultTiming)
 		h.House = (&House{
 			Self: "a1", Clock: clock.Real{}, Bounds: settings.DefaultTiming, Board: b, Hub: hub, Licensed: func() error { return nil }, Leaving: make(chan struct{}),
@@ -137,8 +137,10 @@
 	})
 }
 
-func at(tail uint64, gone map[string]uint64) func(q *leader.Want) *leader.Told {
-	return func(*leader.Want) *leader.Told { return &leader.Told{Epoch: 1, Tail: tail, Upto: tail, Gone: gone} }
+func at(tail uint64, gone map[string]uint64) func(q *leader.FollowRequest) *leader.FollowResponse {
+	return func(*leader.FollowRequest) *leader.FollowResponse {
+		return &leader.FollowResponse{Epoch: 1, CommittedEnd: tail, BacklogEnd: tail, Trimmed: gone}
+	}
 }
 
 func cursor(o uint64) string { return Place{0, o}.Pack("fleet00") }
@@ -170,7 +172,7 @@
 // Only the cursors that lack something are too old, however old another's is.
 func TestCursorsOfOneTopicExpireApart(t *testing.T) {
 	enter(t, func(t *testing.T, h *hall, v *Visit) {
-		h.src.follow = func(q *leader.Want) *leader.Told {
+		h.src.follow = func(q *leader.FollowRequest) *leader.FollowResponse {
 			time.Sleep(settings.DefaultTiming.MaxBackoff() / 4)
 			return at(40, map[string]uint64{"kept/a": 15})(q)
 		}
@@ -224,12 +226,12 @@
 			return log.Entry{Type: log.TypeMessage, Topic: topic, Client: "x", CallSeq: o, Offset: o}
 		}
 		h.src.mu.Lock()
-		h.src.poll = func(q *leader.PollRequest) *leader.Polled {
+		h.src.poll = func(q *leader.PollRequest) *leader.PollResponse {
 			if given {
 				return nil
 			}
 			given = true
-			return &leader.Polled{Epoch: 1, Base: 40, To: 44, Gone: map[string]uint64{"kept/a": 30, "live/a": 35}, Entries: []log.Entry{entry("kept/a", 41), entry("kept/b", 42), entry("live/a", 43)}}
+			return &leader.PollResponse{Epoch: 1, Base: 40, To: 44, Trimmed: map[string]uint64{"kept/a": 30, "live/a": 35}, Entries: []log.Entry{entry("kept/a", 41), entry("kept/b", 42), entry("live/a", 43)}}
 		}
 		h.src.mu.Unlock()
 		time.Sleep(4 * time.Second)
@@ -265,23 +267,23 @@
 			return log.Entry{Type: log.TypeMessage, Topic: "kept/a", Client: "x", CallSeq: o, Offset: o}
 		}
 		polled := uint64(40)
-		h.src.follow = func(q *leader.Want) *leader.Told {
-			a := &leader.Told{Epoch: 1, Tail: 40, Upto: 40}
+		h.src.follow = func(q *leader.FollowRequest) *leader.FollowResponse {
+			a := &leader.FollowResponse{Epoch: 1, CommittedEnd: 40, BacklogEnd: 40}
 			if from, ok := q.After["kept/a"]; ok {
 				_ = clock.Real{}.Sleep(t.Context(), 10*time.Millisecond)
-				a.Upto = min(from+10, 40)
-				for o := from + 1; o <= a.Upto; o++ {
-					a.Back = append(a.Back, entry(o))
+				a.BacklogEnd = min(from+10, 40)
+				for o := from + 1; o <= a.BacklogEnd; o++ {
+					a.Backlog = append(a.Backlog, entry(o))
 				}
 			}
 			return a
 		}
-		h.src.poll = func(*leader.PollRequest) *leader.Polled {
+		h.src.poll = func(*leader.PollRequest) *leader.PollResponse {
 			if polled >= 60 {
 				return nil
 			}
 			polled++
-			return &leader.Polled{Epoch: 1, To: polled, Entries: []log.Entry{entry(polled)}}
+			return &leader.PollResponse{Epoch: 1, To: polled, Entries: []log.Entry{entry(polled)}}
 		}
 		w := h.Enter(func(Answer) {})
 		w.Do(Task{Verb: Attach, Visitor: "w"})
--- a/internal/client/session/withdraw.go
+++ b/internal/client/session/withdraw.go
@@ -35,9 +35,9 @@
 		return err
 	}
 	until := v.h.Clock.Now().Add(v.h.patience(sp))
-	v.h.Ledger.Offer(v.h.ctx, p, &leader.Task{
-		Visitor: v.name, Topic: t.Topic, Call: t.Call, Key: t.Key, Withdraw: true, Of: t.Of, Upto: t.Upto,
-		Live: sp.Kind == configuration.KindLive, Description: v.h.Board.Index().Sequence,
+	v.h.Ledger.Offer(v.h.ctx, p, &leader.Message{
+		Client: v.name, Topic: t.Topic, CallSeq: t.Call, Key: t.Key, Withdraw: true, WithdrawSender: t.Of, WithdrawUpTo: t.Upto,
+		Live: sp.Kind == configuration.KindLive, Configuration: v.h.Board.Index().Sequence,
 	}, until, func(d *leader.Decision, err error) {
 		if err != nil {
 			v.turn(t, err)
@@ -50,7 +50,7 @@
 
 // forgotten answers a withdrawal that stands once all who read messages with keys have read behind its mark, or says who has not when its time is over.
 func (v *Visit) forgotten(t Task, p int, d *leader.Decision, until time.Time) {
-	a := Answer{What: Forgotten, Topic: t.Topic, Call: t.Call, Key: t.Key, Already: d.Already}
+	a := Answer{What: Forgotten, Topic: t.Topic, Call: t.Call, Key: t.Key, Already: d.AlreadyWithdrawn}
 	for tries := 0; ; tries++ {
 		u, err := v.h.unheard(p, d.Offset, until)
 		if err == nil {
@@ -76,7 +76,7 @@
 }
 
 // unheard asks once who has not read behind a mark, for as long as there is time, and a retry longer for the answer.
-func (h *House) unheard(p int, offset uint64, until time.Time) (*leader.Unheard, error) {
+func (h *House) unheard(p int, offset uint64, until time.Time) (*leader.PendingReaders, error) {
 	left := max(until.Sub(h.Clock.Now()), 0)
 	cx, stop := context.WithTimeout(h.ctx, left+h.Bounds.MaxBackoff())
 	defer stop()
--- a/internal/client/session/withdraw_test.go
+++ b/internal/client/session/withdraw_test.go
@@ -21,14 +21,14 @@
 // clerk stands in for the ledger.
 type clerk struct {
 	keys   error
-	decide func(q *leader.Task) (*leader.Decision, error)
-	ask    func(n int) (*leader.Unheard, error)
+	decide func(q *leader.Message) (*leader.Decision, error)
+	ask    func(n int) (*leader.PendingReaders, error)
 	mu     sync.Mutex
 	asked  int
-	offers []*leader.Task
+	offers []*leader.Message
 }
 
-func (c *clerk) Offer(_ context.Context, _ int, q *leader.Task, _ time.Time, done func(*leader.Decision, error)) {
+func (c *clerk) Offer(_ context.Context, _ int, q *leader.Message, _ time.Time, done func(*leader.Decision, error)) {
 	c.mu.Lock()
 	c.offers = append(c.offers, q)
 	c.mu.Unlock()
@@ -39,7 +39,7 @@
 
 func (c *clerk) Keys() error { return c.keys }
 
-func (c *clerk) Forgotten(ctx context.Context, _ int, _ uint64, hold time.Duration) (*leader.Unheard, error) {
+func (c *clerk) Forgotten(ctx context.Context, _ int, _ uint64, hold time.Duration) (*leader.PendingReaders, error) {
 	c.mu.Lock()
 	c.asked++
 	n := c.asked
@@ -51,11 +51,11 @@
 	return u, err
 }
 
-func taken(q *leader.Task) (*leader.Decision, error) {
-	return &leader.Decision{Offset: q.Call, Already: q.Call == 8}, nil
+func taken(q *leader.Message) (*leader.Decision, error) {
+	return &leader.Decision{Offset: q.CallSeq, AlreadyWithdrawn: q.CallSeq == 8}, nil
 }
 
-func none(int) (*leader.Unheard, error) { return &leader.Unheard{}, nil }
+func none(int) (*leader.PendingReaders, error) { return &leader.PendingReaders{}, nil }
 
 // told gives what a visitor was told, with the time it took.
 func (h *hall) told(v *Visit) func() []string {
@@ -101,24 +101,26 @@
 	}{
 		"nobody reads": {&clerk{decide: taken, ask: none}, ask, []string{"0: forgotten kept/a 7 k"}},
 		"again":        {&clerk{decide: taken, ask: none}, Task{Verb: Withdraw, Topic: "kept/a", Key: "k", Call: 8}, []string{"0: forgotten kept/a 8 k already"}},
-		"later": {&clerk{decide: taken, ask: func(n int) (*leader.Unheard, error) {
+		"later": {&clerk{decide: taken, ask: func(n int) (*leader.PendingReaders, error) {
 			if n == 1 {
-				return &leader.Unheard{Nodes: []string{"a2"}}, nil
+				return &leader.PendingReaders{Nodes: []string{"a2"}}, nil
 			}
-			return &leader.Unheard{GivenUp: []string{"a3"}}, nil
+			return &leader.PendingReaders{GivenUp: []string{"a3"}}, nil
 		}}, ask, []string{"1025: forgotten kept/a 7 k without a3"}},
 		"never": {
-			&clerk{decide: taken, ask: func(int) (*leader.Unheard, error) {
-				return &leader.Unheard{Nodes: []string{"a2", "a4"}, GivenUp: []string{"a3"}}, nil
+			&clerk{decide: taken, ask: func(int) (*leader.PendingReaders, error) {
+				return &leader.PendingReaders{Nodes: []string{"a2", "a4"}, GivenUp: []string{"a3"}}, nil
 			}}, ask,
 			[]string{"1200: turned kept/a 7 k without a3 withdraw withdrawal_open (what stood under k was withdrawn; a2, a4 did not say that it is forgotten)"},
 		},
 		"no answer": {
-			&clerk{decide: taken, ask: func(int) (*leader.Unheard, error) { return nil, apierror.New(apierror.NoPartitionLeader, "gone") }}, ask,
+			&clerk{decide: taken, ask: func(int) (*leader.PendingReaders, error) {
+				return nil, apierror.New(apierror.NoPartitionLeader, "gone")
+			}}, ask,
 			[]string{"1200: turned kept/a 7 k withdraw withdrawal_open (what stood under k was withdrawn; who has forgotten it could not be learnt)"},
 		},
 		"not taken": {
-			&clerk{decide: func(*leader.Task) (*leader.Decision, error) {
+			&clerk{decide: func(*leader.Message) (*leader.Decision, error) {
 				return nil, apierror.New(apierror.KeyUnknown, "nothing there")
 			}}, ask,
 			[]string{"0: turned kept/a 7 withdraw key_unknown (nothing there)"},
@@ -174,9 +176,9 @@
 // What is offered names the key, the sender and its number; nothing that follows waits for a withdrawal.
 func TestWithdrawalsHoldNothingBack(t *testing.T) {
 	enter(t, func(t *testing.T, h *hall, v *Visit) {
-		c := &clerk{decide: taken, ask: func(n int) (*leader.Unheard, error) {
+		c := &clerk{decide: taken, ask: func(n int) (*leader.PendingReaders, error) {
 			if n < 2 {
-				return &leader.Unheard{Nodes: []string{"a2"}}, nil
+				return &leader.PendingReaders{Nodes: []string{"a2"}}, nil
 			}
 			return none(n)
 		}}
@@ -189,9 +191,9 @@
 		time.Sleep(settings.DefaultTiming.CallTimeout())
 		assert.DeepEqual(t, told()[2:], []string{"1025: forgotten live/a 7 k"})
 		seq := h.Board.Index().Sequence
-		assert.DeepEqual(t, c.offers, []*leader.Task{
-			{Visitor: "v", Topic: "live/a", Call: 7, Live: true, Description: seq, Key: "k", Withdraw: true, Of: "w", Upto: 3},
-			{Visitor: "v", Topic: "live/a", Call: 8, Live: true, Description: seq, Key: "k", Body: []byte("x")},
+		assert.DeepEqual(t, c.offers, []*leader.Message{
+			{Client: "v", Topic: "live/a", CallSeq: 7, Live: true, Configuration: seq, Key: "k", Withdraw: true, WithdrawSender: "w", WithdrawUpTo: 3},
+			{Client: "v", Topic: "live/a", CallSeq: 8, Live: true, Configuration: seq, Key: "k", Body: []byte("x")},
 		})
 	})
 }
@@ -250,11 +252,11 @@
 		assert.DeepEqual(t, over.said(), []string{"drop kept/a"})
 		next := uint64(20)
 		h.src.mu.Lock()
-		h.src.poll = func(*leader.PollRequest) *leader.Polled {
+		h.src.poll = func(*leader.PollRequest) *leader.PollResponse {
 			if next++; next > 22 {
 				return nil
 			}
-			return &leader.Polled{Epoch: 1, To: next, Entries: []log.Entry{{Type: log.TypeWithdrawal, Topic: "kept/a", Key: "k", Client: "c", CallSeq: next, Offset: next}}}
+			return &leader.PollResponse{Epoch: 1, To: next, Entries: []log.Entry{{Type: log.TypeWithdrawal, Topic: "kept/a", Key: "k", Client: "c", CallSeq: next, Offset: next}}}
 		}
 		h.src.mu.Unlock()
 		time.Sleep(settings.DefaultTiming.Spread)
--- a/internal/client/withdraw.go
+++ b/internal/client/withdraw.go
@@ -19,7 +19,7 @@
 			return err
 		}
 	}
-	d, err := s.submit(ctx, t, &leader.Task{Withdraw: true, Of: t.Of, Upto: t.Upto})
+	d, err := s.submit(ctx, t, &leader.Message{Withdraw: true, WithdrawSender: t.Of, WithdrawUpTo: t.Upto})
 	if err != nil {
 		return err
 	}
@@ -33,18 +33,18 @@
 		return err
 	}
 	m := t.mark
-	given, err := s.awaited(ctx, m, func(ctx context.Context) (*leader.Unheard, error) {
+	given, err := s.awaited(ctx, m, func(ctx context.Context) (*leader.PendingReaders, error) {
 		return s.Desk.Forgotten(ctx, m.Partition, m.Offset, s.Bounds.LongPoll())
 	})
 	if err != nil {
 		return err
 	}
-	t.out = Withdrawal{Topic: t.Topics[0], Key: *t.Key, Call: t.Call, Partition: m.Partition, Offset: m.Offset, Repeat: m.Repeat, Already: m.Already, Forgotten: true, GivenUp: given}
+	t.out = Withdrawal{Topic: t.Topics[0], Key: *t.Key, Call: t.Call, Partition: m.Partition, Offset: m.Offset, Repeat: m.Duplicate, Already: m.AlreadyWithdrawn, Forgotten: true, GivenUp: given}
 	return nil
 }
 
 // awaited asks who has not forgotten until nobody is left, and names them once the time is over.
-func (s *Service) awaited(ctx context.Context, m leader.Decision, ask func(context.Context) (*leader.Unheard, error)) ([]string, error) {
+func (s *Service) awaited(ctx context.Context, m leader.Decision, ask func(context.Context) (*leader.PendingReaders, error)) ([]string, error) {
 	ctx, stop := context.WithTimeout(ctx, s.Bounds.CallTimeout())
 	defer stop()
 	var left []string
--- a/internal/client/withdraw_test.go
+++ b/internal/client/withdraw_test.go
@@ -23,11 +23,11 @@
 )
 
 // pages are what the reads of a partition give, one after the other.
-type pages chan *leader.Reading
+type pages chan *leader.ReadResponse
 
-func (p pages) ReadAs(ctx context.Context, q *leader.ReadRequest) (*leader.Reading, error) {
-	if q.Done || q.From == ^uint64(0) {
-		return &leader.Reading{}, nil
+func (p pages) ReadAs(ctx context.Context, q *leader.ReadRequest) (*leader.ReadResponse, error) {
+	if q.Finished || q.From == ^uint64(0) {
+		return &leader.ReadResponse{}, nil
 	}
 	select {
 	case r := <-p:
@@ -38,7 +38,7 @@
 }
 
 func (p pages) tell(es ...log.Entry) {
-	p <- &leader.Reading{Entries: es, To: es[len(es)-1].Offset}
+	p <- &leader.ReadResponse{Entries: es, To: es[len(es)-1].Offset}
 	synctest.Wait()
 }
 
@@ -119,7 +119,7 @@
 	s := &Service{Desk: &router.Desk{View: v}}
 	k := "k"
 	v.Set([]membership.Info{{Name: "a1", SupportsKeys: true}, {Name: "a2"}})
-	_, err := s.submit(t.Context(), &Task{Key: &k}, &leader.Task{})
+	_, err := s.submit(t.Context(), &Task{Key: &k}, &leader.Message{})
 	assert.Assert(t, apierror.HasCode(err, apierror.NotReady), "%v", err)
 	assert.ErrorContains(t, err, "a2")
 }
@@ -132,24 +132,24 @@
 		say     string
 		given   []string
 	}{
-		"all at once":              {[]any{&leader.Unheard{}}, "", []string{}},
-		"one later, one given up":  {[]any{&leader.Unheard{Nodes: []string{"a1"}}, &leader.Unheard{GivenUp: []string{"a2"}}}, "", []string{"a2"}},
-		"never":                    {[]any{&leader.Unheard{Nodes: []string{"a1", "a2/streams"}}}, "a1, a2/streams", nil},
+		"all at once":              {[]any{&leader.PendingReaders{}}, "", []string{}},
+		"one later, one given up":  {[]any{&leader.PendingReaders{Nodes: []string{"a1"}}, &leader.PendingReaders{GivenUp: []string{"a2"}}}, "", []string{"a2"}},
+		"never":                    {[]any{&leader.PendingReaders{Nodes: []string{"a1", "a2/streams"}}}, "a1, a2/streams", nil},
 		"not to be asked":          {[]any{late}, "could not be asked: unreachable", nil},
-		"not to be asked any more": {[]any{&leader.Unheard{Nodes: []string{"a1"}}, late}, "a1", nil},
+		"not to be asked any more": {[]any{&leader.PendingReaders{Nodes: []string{"a1"}}, late}, "a1", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := &Service{Clock: clock.Real{}, Bounds: settings.DefaultTiming}
 				n := 0
 				begun := time.Now()
-				given, err := s.awaited(t.Context(), leader.Decision{Partition: 3, Offset: 7}, func(context.Context) (*leader.Unheard, error) {
+				given, err := s.awaited(t.Context(), leader.Decision{Partition: 3, Offset: 7}, func(context.Context) (*leader.PendingReaders, error) {
 					a := c.answers[min(n, len(c.answers)-1)]
 					n++
 					if e, ok := a.(error); ok {
 						return nil, e
 					}
-					return a.(*leader.Unheard), nil
+					return a.(*leader.PendingReaders), nil
 				})
 				assert.Assert(t, time.Since(begun) <= s.Bounds.CallTimeout())
 				assert.DeepEqual(t, given, c.given)
--- a/internal/delivery/fanout/bench_test.go
+++ b/internal/delivery/fanout/bench_test.go
@@ -14,7 +14,7 @@
 		s := &Sub{Topic: "a", open: true, told: true, Give: func(log.Entry) { n++ }}
 		f.topics["a"][s] = true
 	}
-	a := &leader.Polled{}
+	a := &leader.PollResponse{}
 	for range 100 {
 		a.Entries = append(a.Entries, log.Entry{Type: log.TypeMessage, Topic: "a"})
 	}
--- a/internal/delivery/fanout/deaf_test.go
+++ b/internal/delivery/fanout/deaf_test.go
@@ -26,8 +26,8 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			scripted(t, func(t *testing.T, s *scribe) {
-				s.set(func(*leader.Want) (*leader.Told, time.Duration) {
-					return &leader.Told{Epoch: 1, Tail: 4, Upto: 4, Turn: x.turn}, 0
+				s.set(func(*leader.FollowRequest) (*leader.FollowResponse, time.Duration) {
+					return &leader.FollowResponse{Epoch: 1, CommittedEnd: 4, BacklogEnd: 4, ReaderToken: x.turn}, 0
 				})
 				s.then(once(tick, message(5, x.key)))
 				var y heard
@@ -39,10 +39,10 @@
 				s.h.Join(a)
 				pass(2 * tick)
 				assert.DeepEqual(t, y.got, []uint64{5})
-				s.set(func(*leader.Want) (*leader.Told, time.Duration) { return nil, time.Hour })
-				var lost []func(*leader.PollRequest) (*leader.Polled, time.Duration)
+				s.set(func(*leader.FollowRequest) (*leader.FollowResponse, time.Duration) { return nil, time.Hour })
+				var lost []func(*leader.PollRequest) (*leader.PollResponse, time.Duration)
 				for range 1000 {
-					lost = append(lost, func(*leader.PollRequest) (*leader.Polled, time.Duration) { return nil, time.Second })
+					lost = append(lost, func(*leader.PollRequest) (*leader.PollResponse, time.Duration) { return nil, time.Second })
 				}
 				s.then(lost...)
 				pass(b.Recovery)
--- a/internal/delivery/fanout/feed.go
+++ b/internal/delivery/fanout/feed.go
@@ -147,7 +147,7 @@
 }
 
 // want puts together what is to be told, nil when there is nothing.
-func (f *feed) want() (*leader.Want, []*Sub, []string) {
+func (f *feed) want() (*leader.FollowRequest, []*Sub, []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.shut > 0 {
@@ -158,7 +158,7 @@
 		clear(f.dirty)
 		f.due, f.lost, f.parted = false, false, true
 		f.seq++
-		return &leader.Want{Partition: f.p, Node: f.h.self, Boot: f.boot, Sequence: f.seq, Full: true, Marks: true, Done: true, Turn: f.number}, nil, nil
+		return &leader.FollowRequest{Partition: f.p, Node: f.h.self, BootID: f.boot, Sequence: f.seq, Full: true, TracksTombstones: true, Finished: true, ReaderToken: f.number}, nil, nil
 	}
 	due := f.due && len(f.dirty) > 0
 	f.due = false
@@ -175,7 +175,7 @@
 	}
 	f.seq++
 	f.asking = true
-	q := &leader.Want{Partition: f.p, Node: f.h.self, Boot: f.boot, Before: f.acked, Sequence: f.seq, Full: f.lost || !f.known, Topics: map[string]int{}, Marks: true, Turn: f.number}
+	q := &leader.FollowRequest{Partition: f.p, Node: f.h.self, BootID: f.boot, BaseSequence: f.acked, Sequence: f.seq, Full: f.lost || !f.known, Topics: map[string]int{}, TracksTombstones: true, ReaderToken: f.number}
 	if q.Full {
 		for t, m := range f.topics {
 			q.Topics[t] = len(m)
@@ -193,7 +193,7 @@
 	w := f.waiting
 	f.waiting = nil
 	for _, s := range w {
-		q.Brief = q.Brief || !s.told
+		q.FirstOnly = q.FirstOnly || !s.told
 		if s.After == nil {
 			continue
 		}
@@ -219,10 +219,10 @@
 			continue
 		}
 		cx, stop := context.WithTimeout(ctx, f.limit(q))
-		if q.Brief {
+		if q.FirstOnly {
 			go f.hasten(cx, w)
 		}
-		if q.Done {
+		if q.Finished {
 			f.done(cx, stop, q, tries)
 			continue
 		}
@@ -233,10 +233,10 @@
 		if err == nil && a.Epoch < f.seen {
 			err = apierror.New(apierror.StaleEpoch, "epoch %d of partition %d has answered, this is %d", f.seen, f.p, a.Epoch)
 		}
-		if err == nil && q.Boot == f.boot && a.Turn > 0 {
-			f.number = a.Turn
+		if err == nil && q.BootID == f.boot && a.ReaderToken > 0 {
+			f.number = a.ReaderToken
 		}
-		if err == nil && a.Clean && q.Boot == f.boot {
+		if err == nil && a.MustReset && q.BootID == f.boot {
 			f.back(w)
 			f.clean()
 			f.mu.Unlock()
@@ -251,7 +251,7 @@
 			f.mu.Unlock()
 			continue
 		}
-		if err != nil || a.Lost || q.Boot != f.boot {
+		if err != nil || a.UnknownFollower || q.BootID != f.boot {
 			f.marks = nil
 			f.reader = f.reader || err != nil
 			f.lost = true
@@ -260,7 +260,7 @@
 			}
 			f.back(w)
 			f.bear(f.waiting)
-			again := err == nil && q.Boot == f.boot && (!q.Full || f.number != q.Turn)
+			again := err == nil && q.BootID == f.boot && (!q.Full || f.number != q.ReaderToken)
 			f.mu.Unlock()
 			if !again {
 				f.pause(ctx, tries)
@@ -269,10 +269,10 @@
 		}
 		tries = 0
 		f.acked, f.lost, f.seen = q.Sequence, false, a.Epoch
-		f.reader = f.reader || a.Reader || keyed(a.Back)
+		f.reader = f.reader || a.IsReader || keyed(a.Backlog)
 		f.base = a.Base
 		if !f.known {
-			f.known, f.to = true, a.Tail
+			f.known, f.to = true, a.CommittedEnd
 		}
 		f.begin(a, q, w)
 		f.marks = nil
@@ -291,8 +291,8 @@
 
 // limit is how long an answer is waited for: short while someone has not been told anything, since places are then found without an owner;
 // what is fetched for those that were told comes over links that may be slow.
-func (f *feed) limit(q *leader.Want) time.Duration {
-	if q.Brief {
+func (f *feed) limit(q *leader.FollowRequest) time.Duration {
+	if q.FirstOnly {
 		return patience * f.h.bounds.MaxBackoff()
 	}
 	return f.h.bounds.CallTimeout()
@@ -309,7 +309,7 @@
 }
 
 // done tells the owner that nothing is followed and held here any more. Who takes a topic up ends it.
-func (f *feed) done(ctx context.Context, stop context.CancelFunc, q *leader.Want, tries int) {
+func (f *feed) done(ctx context.Context, stop context.CancelFunc, q *leader.FollowRequest, tries int) {
 	defer stop()
 	f.mu.Lock()
 	f.quit = stop
@@ -320,7 +320,7 @@
 	a, err := f.h.src.Follow(ctx, f.h.board.Record(f.p), q)
 	f.mu.Lock()
 	f.quit = nil
-	ok := err == nil && !a.Lost && a.Epoch >= f.seen
+	ok := err == nil && !a.UnknownFollower && a.Epoch >= f.seen
 	f.reader = !ok
 	f.mu.Unlock()
 	if !ok {
@@ -366,7 +366,7 @@
 // depart lets go of all for want of an answer, says so under the boot that held it, as an owner that isn't heard may hear, and begins under another one.
 func (f *feed) depart() {
 	f.seq++
-	q := &leader.Want{Partition: f.p, Node: f.h.self, Boot: f.boot, Sequence: f.seq, Full: true, Marks: true, Done: true, Turn: f.number}
+	q := &leader.FollowRequest{Partition: f.p, Node: f.h.self, BootID: f.boot, Sequence: f.seq, Full: true, TracksTombstones: true, Finished: true, ReaderToken: f.number}
 	f.clean()
 	go func() {
 		f.h.release(f.p, true)
@@ -442,7 +442,7 @@
 }
 
 // begin opens the subscriptions that waited for an answer, each at its place. One that was given its place meanwhile is asked for from there.
-func (f *feed) begin(a *leader.Told, q *leader.Want, w []*Sub) {
+func (f *feed) begin(a *leader.FollowResponse, q *leader.FollowRequest, w []*Sub) {
 	for _, s := range w {
 		if s.left {
 			continue
@@ -452,22 +452,22 @@
 			continue
 		}
 		if s.After == nil {
-			s.start(a.Tail)
+			s.start(a.CommittedEnd)
 			s.catch()
 			continue
 		}
-		if a.Gone[s.Topic] > *s.After && f.kept(s.Topic) {
+		if a.Trimmed[s.Topic] > *s.After && f.kept(s.Topic) {
 			f.end(s, *s.After)
 			continue
 		}
 		s.start(*s.After)
-		for _, e := range a.Back {
-			if e.Topic == s.Topic && e.Offset <= a.Upto && !f.covered(e) {
+		for _, e := range a.Backlog {
+			if e.Topic == s.Topic && e.Offset <= a.BacklogEnd && !f.covered(e) {
 				s.give(e)
 			}
 		}
-		if a.Upto < a.Tail {
-			at := max(*s.After, a.Upto)
+		if a.BacklogEnd < a.CommittedEnd {
+			at := max(*s.After, a.BacklogEnd)
 			s.After = &at
 			f.waiting = append(f.waiting, s)
 			continue
@@ -567,7 +567,7 @@
 		f.cut = cut
 		r := f.h.board.Record(f.p)
 		f.epoch = r.Epoch
-		q := &leader.PollRequest{Partition: f.p, Node: f.h.self, Boot: f.boot, Sequence: f.acked, From: f.to, Hold: f.h.bounds.Spread, Marks: true, Turn: f.number}
+		q := &leader.PollRequest{Partition: f.p, Node: f.h.self, BootID: f.boot, Sequence: f.acked, From: f.to, Hold: f.h.bounds.Spread, TracksTombstones: true, ReaderToken: f.number}
 		ready, gen := f.ready, f.gen
 		f.mu.Unlock()
 		a, err := f.h.src.Poll(cx, r, q)
@@ -584,7 +584,7 @@
 			if !broken {
 				f.rest(ctx, ready, tries)
 			}
-		case a.Lost:
+		case a.UnknownFollower:
 			f.mu.Lock()
 			f.lost = true
 			f.wake()
@@ -614,7 +614,7 @@
 }
 
 // take gives what a poll brought, and takes back what was withdrawn before the next poll says so. The answer counts only if no topic was taken up after none was left.
-func (f *feed) take(a *leader.Polled, gen uint64) {
+func (f *feed) take(a *leader.PollResponse, gen uint64) {
 	m, clean := f.taken(a, gen)
 	if clean {
 		f.cleaned()
@@ -624,24 +624,24 @@
 	}
 }
 
-func (f *feed) taken(a *leader.Polled, gen uint64) (m marks, clean bool) {
+func (f *feed) taken(a *leader.PollResponse, gen uint64) (m marks, clean bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if gen != f.gen {
-		f.reader = f.reader || a.Reader || keyed(a.Entries)
+		f.reader = f.reader || a.IsReader || keyed(a.Entries)
 		return nil, false
 	}
-	if a.Clean {
+	if a.MustReset {
 		f.clean()
 		return nil, true
 	}
 	f.base, f.heard = a.Base, f.h.clk.Now()
 	f.seen = max(f.seen, a.Epoch)
-	if a.Turn > 0 {
-		f.number = a.Turn
+	if a.ReaderToken > 0 {
+		f.number = a.ReaderToken
 	}
-	f.reader = f.reader || a.Reader
-	for t, g := range a.Gone {
+	f.reader = f.reader || a.IsReader
+	for t, g := range a.Trimmed {
 		for s := range f.topics[t] {
 			if s.open && g > max(s.pos, f.to) && f.kept(t) {
 				f.end(s, max(s.pos, f.to))
--- a/internal/delivery/fanout/forget_test.go
+++ b/internal/delivery/fanout/forget_test.go
@@ -103,54 +103,54 @@
 	return es
 }
 
-func (c *court) told(q *leader.Want) *leader.Told {
+func (c *court) told(q *leader.FollowRequest) *leader.FollowResponse {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if q.Sequence <= c.seq || !q.Full && (q.Boot != c.boot || q.Before != c.seq) {
-		return &leader.Told{Epoch: 1, Lost: true}
+	if q.Sequence <= c.seq || !q.Full && (q.BootID != c.boot || q.BaseSequence != c.seq) {
+		return &leader.FollowResponse{Epoch: 1, UnknownFollower: true}
 	}
 	if q.Full {
 		c.topics = map[string]int{}
 	}
-	if q.Boot != c.boot {
+	if q.BootID != c.boot {
 		clear(c.readers)
 	}
-	c.boot, c.seq = q.Boot, q.Sequence
-	if q.Done {
+	c.boot, c.seq = q.BootID, q.Sequence
+	if q.Finished {
 		c.dones++
-		delete(c.readers, q.Boot)
+		delete(c.readers, q.BootID)
 	}
 	c.settle()
 	for t, n := range q.Topics {
 		c.topics[t] = n
 	}
-	a := &leader.Told{Epoch: 1, Tail: uint64(len(c.es)), Upto: uint64(len(c.es))}
-	a.Back = c.gather(q.Boot, 0, func(e log.Entry) bool {
+	a := &leader.FollowResponse{Epoch: 1, CommittedEnd: uint64(len(c.es)), BacklogEnd: uint64(len(c.es))}
+	a.Backlog = c.gather(q.BootID, 0, func(e log.Entry) bool {
 		at, ok := q.After[e.Topic]
 		return ok && e.Offset > at
 	})
-	if q.Brief && len(a.Back) > 1 {
-		a.Upto = a.Back[1].Offset - 1
-		a.Back = a.Back[:1]
+	if q.FirstOnly && len(a.Backlog) > 1 {
+		a.BacklogEnd = a.Backlog[1].Offset - 1
+		a.Backlog = a.Backlog[:1]
 	}
 	return a
 }
 
-func (c *court) polled(q *leader.PollRequest) *leader.Polled {
+func (c *court) polled(q *leader.PollRequest) *leader.PollResponse {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if q.Boot != c.boot || q.Sequence > c.seq {
-		return &leader.Polled{Epoch: 1, Lost: true}
+	if q.BootID != c.boot || q.Sequence > c.seq {
+		return &leader.PollResponse{Epoch: 1, UnknownFollower: true}
 	}
-	if at, ok := c.readers[q.Boot]; ok {
-		c.readers[q.Boot] = max(at, q.From)
+	if at, ok := c.readers[q.BootID]; ok {
+		c.readers[q.BootID] = max(at, q.From)
 		c.settle()
 	}
-	a := &leader.Polled{Epoch: 1, To: uint64(len(c.es))}
+	a := &leader.PollResponse{Epoch: 1, To: uint64(len(c.es))}
 	follows := func(e log.Entry) bool { return e.Type == log.TypeMessage && c.topics[e.Topic] > 0 }
-	a.Entries = c.gather(q.Boot, q.From, follows)
-	if _, ok := c.readers[q.Boot]; ok {
-		a.Entries = c.gather(q.Boot, q.From, func(e log.Entry) bool { return e.Type == log.TypeWithdrawal || follows(e) })
+	a.Entries = c.gather(q.BootID, q.From, follows)
+	if _, ok := c.readers[q.BootID]; ok {
+		a.Entries = c.gather(q.BootID, q.From, func(e log.Entry) bool { return e.Type == log.TypeWithdrawal || follows(e) })
 	}
 	if len(a.Entries) == 0 && q.Hold > 0 {
 		return nil
@@ -177,15 +177,15 @@
 	}
 }
 
-func (c *court) Follow(ctx context.Context, _ assignment.Record, q *leader.Want) (*leader.Told, error) {
-	return ask(ctx, c, func() *leader.Told { return c.told(q) })
+func (c *court) Follow(ctx context.Context, _ assignment.Record, q *leader.FollowRequest) (*leader.FollowResponse, error) {
+	return ask(ctx, c, func() *leader.FollowResponse { return c.told(q) })
 }
 
-func (c *court) Poll(ctx context.Context, _ assignment.Record, q *leader.PollRequest) (*leader.Polled, error) {
+func (c *court) Poll(ctx context.Context, _ assignment.Record, q *leader.PollRequest) (*leader.PollResponse, error) {
 	cx, stop := context.WithTimeout(ctx, q.Hold+settings.DefaultTiming.CallTimeout())
 	defer stop()
 	until := time.Now().Add(q.Hold)
-	return ask(cx, c, func() *leader.Polled {
+	return ask(cx, c, func() *leader.PollResponse {
 		for {
 			if time.Now().After(until) {
 				q.Hold = 0
--- a/internal/delivery/fanout/hub.go
+++ b/internal/delivery/fanout/hub.go
@@ -17,8 +17,8 @@
 
 // Owners asks the owner that a record names, one time.
 type Owners interface {
-	Follow(ctx context.Context, r assignment.Record, q *leader.Want) (*leader.Told, error)
-	Poll(ctx context.Context, r assignment.Record, q *leader.PollRequest) (*leader.Polled, error)
+	Follow(ctx context.Context, r assignment.Record, q *leader.FollowRequest) (*leader.FollowResponse, error)
+	Poll(ctx context.Context, r assignment.Record, q *leader.PollRequest) (*leader.PollResponse, error)
 }
 
 // Hub holds what one node follows, by partition.
--- a/internal/delivery/fanout/later_test.go
+++ b/internal/delivery/fanout/later_test.go
@@ -25,7 +25,7 @@
 	topics map[string]int
 }
 
-func (c *clerk) Follow(_ context.Context, _ assignment.Record, q *leader.Want) (*leader.Told, error) {
+func (c *clerk) Follow(_ context.Context, _ assignment.Record, q *leader.FollowRequest) (*leader.FollowResponse, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.told++
@@ -38,11 +38,11 @@
 			delete(c.topics, t)
 		}
 	}
-	return &leader.Told{Epoch: 1}, nil
+	return &leader.FollowResponse{Epoch: 1}, nil
 }
 
-func (c *clerk) Poll(ctx context.Context, _ assignment.Record, q *leader.PollRequest) (*leader.Polled, error) {
-	return &leader.Polled{Epoch: 1, To: q.From}, clock.Real{}.Sleep(ctx, q.Hold)
+func (c *clerk) Poll(ctx context.Context, _ assignment.Record, q *leader.PollRequest) (*leader.PollResponse, error) {
+	return &leader.PollResponse{Epoch: 1, To: q.From}, clock.Real{}.Sleep(ctx, q.Hold)
 }
 
 func (c *clerk) read() (int, map[string]int) {
--- a/internal/delivery/fanout/marks_test.go
+++ b/internal/delivery/fanout/marks_test.go
@@ -24,8 +24,8 @@
 // scribe is an owner that answers as a test says, and a holder that writes down in which order it and the owner are asked.
 type scribe struct {
 	mu     sync.Mutex
-	follow func(q *leader.Want) (*leader.Told, time.Duration)
-	polls  []func(q *leader.PollRequest) (*leader.Polled, time.Duration)
+	follow func(q *leader.FollowRequest) (*leader.FollowResponse, time.Duration)
+	polls  []func(q *leader.PollRequest) (*leader.PollResponse, time.Duration)
 	log    []string
 	stuck  bool
 	takes  time.Duration
@@ -48,12 +48,12 @@
 	return l
 }
 
-func (s *scribe) Follow(ctx context.Context, _ assignment.Record, q *leader.Want) (*leader.Told, error) {
+func (s *scribe) Follow(ctx context.Context, _ assignment.Record, q *leader.FollowRequest) (*leader.FollowResponse, error) {
 	say := "follow"
-	if q.Done {
+	if q.Finished {
 		say = "done"
 	}
-	s.note("%s %s full=%t topics=%d marks=%t", say, q.Boot, q.Full, len(q.Topics), q.Marks)
+	s.note("%s %s full=%t topics=%d marks=%t", say, q.BootID, q.Full, len(q.Topics), q.TracksTombstones)
 	s.mu.Lock()
 	a, d := s.follow(q)
 	s.mu.Unlock()
@@ -63,10 +63,10 @@
 	return a, nil
 }
 
-func (s *scribe) Poll(ctx context.Context, _ assignment.Record, q *leader.PollRequest) (*leader.Polled, error) {
-	s.note("poll %s %d marks=%t", q.Boot, q.From, q.Marks)
+func (s *scribe) Poll(ctx context.Context, _ assignment.Record, q *leader.PollRequest) (*leader.PollResponse, error) {
+	s.note("poll %s %d marks=%t", q.BootID, q.From, q.TracksTombstones)
 	s.mu.Lock()
-	a, d := &leader.Polled{Epoch: 1, To: q.From}, q.Hold
+	a, d := &leader.PollResponse{Epoch: 1, To: q.From}, q.Hold
 	if len(s.polls) > 0 {
 		a, d = s.polls[0](q)
 		s.polls = s.polls[1:]
@@ -94,15 +94,15 @@
 }
 
 // once answers a poll after a while with entries.
-func once(after time.Duration, es ...log.Entry) func(*leader.PollRequest) (*leader.Polled, time.Duration) {
-	return func(*leader.PollRequest) (*leader.Polled, time.Duration) {
-		return &leader.Polled{Epoch: 1, To: es[len(es)-1].Offset, Entries: es}, after
+func once(after time.Duration, es ...log.Entry) func(*leader.PollRequest) (*leader.PollResponse, time.Duration) {
+	return func(*leader.PollRequest) (*leader.PollResponse, time.Duration) {
+		return &leader.PollResponse{Epoch: 1, To: es[len(es)-1].Offset, Entries: es}, after
 	}
 }
 
-func tail(at uint64) func(*leader.Want) (*leader.Told, time.Duration) {
-	return func(*leader.Want) (*leader.Told, time.Duration) {
-		return &leader.Told{Epoch: 1, Tail: at, Upto: at}, 0
+func tail(at uint64) func(*leader.FollowRequest) (*leader.FollowResponse, time.Duration) {
+	return func(*leader.FollowRequest) (*leader.FollowResponse, time.Duration) {
+		return &leader.FollowResponse{Epoch: 1, CommittedEnd: at, BacklogEnd: at}, 0
 	}
 }
 
@@ -127,13 +127,13 @@
 	})
 }
 
-func (s *scribe) set(f func(q *leader.Want) (*leader.Told, time.Duration)) {
+func (s *scribe) set(f func(q *leader.FollowRequest) (*leader.FollowResponse, time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.follow = f
 }
 
-func (s *scribe) then(ps ...func(*leader.PollRequest) (*leader.Polled, time.Duration)) {
+func (s *scribe) then(ps ...func(*leader.PollRequest) (*leader.PollResponse, time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.polls = append(s.polls, ps...)
@@ -159,8 +159,8 @@
 		var x, y heard
 		x.sub(s.h, "a", nil)
 		synctest.Wait()
-		s.set(func(*leader.Want) (*leader.Told, time.Duration) {
-			return &leader.Told{Epoch: 1, Tail: 4, Upto: 4}, later + 5*tick
+		s.set(func(*leader.FollowRequest) (*leader.FollowResponse, time.Duration) {
+			return &leader.FollowResponse{Epoch: 1, CommittedEnd: 4, BacklogEnd: 4}, later + 5*tick
 		})
 		y.sub(s.h, "a", after(4))
 		pass(time.Second)
@@ -176,14 +176,14 @@
 		var x, y, z heard
 		x.sub(s.h, "a", nil)
 		synctest.Wait()
-		s.set(func(*leader.Want) (*leader.Told, time.Duration) {
-			return &leader.Told{Epoch: 1, Tail: 8, Upto: 8, Back: []log.Entry{message(5, "k"), withdrawal(6, "i"), message(7, "j"), message(8, "k")}}, later + 5*tick
+		s.set(func(*leader.FollowRequest) (*leader.FollowResponse, time.Duration) {
+			return &leader.FollowResponse{Epoch: 1, CommittedEnd: 8, BacklogEnd: 8, Backlog: []log.Entry{message(5, "k"), withdrawal(6, "i"), message(7, "j"), message(8, "k")}}, later + 5*tick
 		})
 		y.sub(s.h, "a", after(3))
 		pass(time.Second)
 		assert.DeepEqual(t, y.got, []uint64{6, 7, 9, 10})
-		s.set(func(*leader.Want) (*leader.Told, time.Duration) {
-			return &leader.Told{Epoch: 1, Tail: 10, Upto: 10, Back: []log.Entry{message(8, "k")}}, 0
+		s.set(func(*leader.FollowRequest) (*leader.FollowResponse, time.Duration) {
+			return &leader.FollowResponse{Epoch: 1, CommittedEnd: 10, BacklogEnd: 10, Backlog: []log.Entry{message(8, "k")}}, 0
 		})
 		z.sub(s.h, "a", after(3))
 		pass(time.Second)
@@ -197,16 +197,18 @@
 // Once a newer owner has answered, one that it superseded, and that knows no mark of its, is not believed.
 func TestAnOwnerThatWasSupersededBringsNothingBack(t *testing.T) {
 	scripted(t, func(t *testing.T, s *scribe) {
-		s.set(func(*leader.Want) (*leader.Told, time.Duration) { return &leader.Told{Epoch: 2, Tail: 9, Upto: 9}, 0 })
+		s.set(func(*leader.FollowRequest) (*leader.FollowResponse, time.Duration) {
+			return &leader.FollowResponse{Epoch: 2, CommittedEnd: 9, BacklogEnd: 9}, 0
+		})
 		var x, y heard
 		x.sub(s.h, "b", nil)
 		pass(tick)
 		old := 0
-		s.set(func(*leader.Want) (*leader.Told, time.Duration) {
+		s.set(func(*leader.FollowRequest) (*leader.FollowResponse, time.Duration) {
 			if old++; old == 1 {
-				return &leader.Told{Epoch: 1, Tail: 6, Upto: 6, Back: []log.Entry{message(5, "k")}}, 0
+				return &leader.FollowResponse{Epoch: 1, CommittedEnd: 6, BacklogEnd: 6, Backlog: []log.Entry{message(5, "k")}}, 0
 			}
-			return &leader.Told{Epoch: 2, Tail: 9, Upto: 9, Back: []log.Entry{message(7, "j")}}, 0
+			return &leader.FollowResponse{Epoch: 2, CommittedEnd: 9, BacklogEnd: 9, Backlog: []log.Entry{message(7, "j")}}, 0
 		})
 		y.sub(s.h, "a", after(3))
 		pass(time.Second)
@@ -245,19 +247,19 @@
 func TestAReaderThatWasGivenUpBeginsAnew(t *testing.T) {
 	ways := map[string]func(s *scribe){
 		"by follow": func(s *scribe) {
-			s.set(func(q *leader.Want) (*leader.Told, time.Duration) {
-				if q.Boot == "boot" {
-					return &leader.Told{Epoch: 1, Clean: true}, later / 4
+			s.set(func(q *leader.FollowRequest) (*leader.FollowResponse, time.Duration) {
+				if q.BootID == "boot" {
+					return &leader.FollowResponse{Epoch: 1, MustReset: true}, later / 4
 				}
-				return &leader.Told{Epoch: 1, Tail: 20, Upto: 20, Back: []log.Entry{message(15, "k")}}, 0
+				return &leader.FollowResponse{Epoch: 1, CommittedEnd: 20, BacklogEnd: 20, Backlog: []log.Entry{message(15, "k")}}, 0
 			})
 		},
 		"by poll": func(s *scribe) {
-			s.set(func(q *leader.Want) (*leader.Told, time.Duration) {
-				if q.Boot == "boot" {
-					return &leader.Told{Epoch: 1, Tail: 8, Upto: 8, Back: []log.Entry{message(5, "k")}}, later / 2
+			s.set(func(q *leader.FollowRequest) (*leader.FollowResponse, time.Duration) {
+				if q.BootID == "boot" {
+					return &leader.FollowResponse{Epoch: 1, CommittedEnd: 8, BacklogEnd: 8, Backlog: []log.Entry{message(5, "k")}}, later / 2
 				}
-				return &leader.Told{Epoch: 1, Tail: 20, Upto: 20, Back: []log.Entry{message(15, "k")}}, 0
+				return &leader.FollowResponse{Epoch: 1, CommittedEnd: 20, BacklogEnd: 20, Backlog: []log.Entry{message(15, "k")}}, 0
 			})
 		},
 	}
@@ -268,8 +270,8 @@
 				if name == "by follow" {
 					wait = time.Second
 				}
-				s.then(once(later, message(5, "k")), func(*leader.PollRequest) (*leader.Polled, time.Duration) {
-					return &leader.Polled{Epoch: 1, Clean: true}, wait - later
+				s.then(once(later, message(5, "k")), func(*leader.PollRequest) (*leader.PollResponse, time.Duration) {
+					return &leader.PollResponse{Epoch: 1, MustReset: true}, wait - later
 				})
 				var x, y heard
 				broken := 0
@@ -323,12 +325,12 @@
 		s.said()
 		s.h.Leave(a)
 		deaf := 2
-		s.set(func(q *leader.Want) (*leader.Told, time.Duration) {
-			if q.Done && deaf > 0 {
+		s.set(func(q *leader.FollowRequest) (*leader.FollowResponse, time.Duration) {
+			if q.Finished && deaf > 0 {
 				deaf--
 				return nil, time.Hour
 			}
-			return &leader.Told{Epoch: 1, Tail: 30, Upto: 30}, 0
+			return &leader.FollowResponse{Epoch: 1, CommittedEnd: 30, BacklogEnd: 30}, 0
 		})
 		pass(b.Spread + tick)
 		assert.DeepEqual(t, s.said(), []string{"follow boot full=false topics=1 marks=true", "release 0 cut=false"})
@@ -347,12 +349,12 @@
 	for name, told := range map[string]bool{"by follow": true, "by poll": false} {
 		t.Run(name, func(t *testing.T) {
 			scripted(t, func(t *testing.T, s *scribe) {
-				s.set(func(*leader.Want) (*leader.Told, time.Duration) {
-					return &leader.Told{Epoch: 1, Tail: 4, Upto: 4, Reader: told}, 0
+				s.set(func(*leader.FollowRequest) (*leader.FollowResponse, time.Duration) {
+					return &leader.FollowResponse{Epoch: 1, CommittedEnd: 4, BacklogEnd: 4, IsReader: told}, 0
 				})
 				if !told {
-					s.then(func(q *leader.PollRequest) (*leader.Polled, time.Duration) {
-						return &leader.Polled{Epoch: 1, To: q.From, Reader: true}, tick
+					s.then(func(q *leader.PollRequest) (*leader.PollResponse, time.Duration) {
+						return &leader.PollResponse{Epoch: 1, To: q.From, IsReader: true}, tick
 					})
 				}
 				var x heard
@@ -383,11 +385,11 @@
 		a = y.sub(s.h, "a", nil)
 		assert.DeepEqual(t, s.said(), []string{"follow boot full=false topics=1 marks=true", "poll boot 5 marks=true"})
 		s.h.Leave(a)
-		s.set(func(q *leader.Want) (*leader.Told, time.Duration) {
-			if q.Done {
+		s.set(func(q *leader.FollowRequest) (*leader.FollowResponse, time.Duration) {
+			if q.Finished {
 				return nil, time.Hour
 			}
-			return &leader.Told{Epoch: 1, Tail: 40, Upto: 40}, 0
+			return &leader.FollowResponse{Epoch: 1, CommittedEnd: 40, BacklogEnd: 40}, 0
 		})
 		pass(b.Spread + b.LongPoll() + tick)
 		l := s.said()
@@ -417,9 +419,9 @@
 
 // A node to which the owner gave something with a key counts as a reader, also where that came too late to be used.
 func TestAReaderByALateAnswer(t *testing.T) {
-	answers := map[string]func(*leader.PollRequest) (*leader.Polled, time.Duration){
+	answers := map[string]func(*leader.PollRequest) (*leader.PollResponse, time.Duration){
 		"late": once(later, message(5, "k")),
-		"lost": func(*leader.PollRequest) (*leader.Polled, time.Duration) { return nil, later },
+		"lost": func(*leader.PollRequest) (*leader.PollResponse, time.Duration) { return nil, later },
 	}
 	for name, poll := range answers {
 		t.Run(name, func(t *testing.T) {
@@ -442,11 +444,11 @@
 func TestAReaderByALostFollow(t *testing.T) {
 	scripted(t, func(t *testing.T, s *scribe) {
 		lost := 1
-		s.set(func(q *leader.Want) (*leader.Told, time.Duration) {
+		s.set(func(q *leader.FollowRequest) (*leader.FollowResponse, time.Duration) {
 			if lost--; lost >= 0 {
 				return nil, time.Hour
 			}
-			return &leader.Told{Epoch: 1, Tail: 4, Upto: 4}, 0
+			return &leader.FollowResponse{Epoch: 1, CommittedEnd: 4, BacklogEnd: 4}, 0
 		})
 		var x heard
 		a := x.sub(s.h, "a", nil)
--- a/internal/delivery/fanout/slow_test.go
+++ b/internal/delivery/fanout/slow_test.go
@@ -23,23 +23,23 @@
 	back  []log.Entry
 }
 
-func (s *thin) Follow(ctx context.Context, _ assignment.Record, q *leader.Want) (*leader.Told, error) {
+func (s *thin) Follow(ctx context.Context, _ assignment.Record, q *leader.FollowRequest) (*leader.FollowResponse, error) {
 	if err := (clock.Real{}).Sleep(ctx, s.takes); err != nil {
 		return nil, apierror.WithCause(apierror.Unreachable, err, "no answer in time")
 	}
 	last := s.back[len(s.back)-1].Offset
-	a := &leader.Told{Epoch: 1, Tail: last, Upto: last}
+	a := &leader.FollowResponse{Epoch: 1, CommittedEnd: last, BacklogEnd: last}
 	for _, e := range s.back {
 		if at, ok := q.After[e.Topic]; ok && e.Offset > at {
-			a.Back = append(a.Back, e)
+			a.Backlog = append(a.Backlog, e)
 		}
 	}
 	return a, nil
 }
 
-func (s *thin) Poll(ctx context.Context, _ assignment.Record, q *leader.PollRequest) (*leader.Polled, error) {
+func (s *thin) Poll(ctx context.Context, _ assignment.Record, q *leader.PollRequest) (*leader.PollResponse, error) {
 	_ = clock.Real{}.Sleep(ctx, q.Hold)
-	return &leader.Polled{Epoch: 1, To: q.From}, nil
+	return &leader.PollResponse{Epoch: 1, To: q.From}, nil
 }
 
 func TestMissedMessagesComeOverASlowLink(t *testing.T) {
--- a/internal/delivery/fanout/soon_test.go
+++ b/internal/delivery/fanout/soon_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func (s *far) Follow(ctx context.Context, _ assignment.Record, q *leader.Want) (*leader.Told, error) {
+func (s *far) Follow(ctx context.Context, _ assignment.Record, q *leader.FollowRequest) (*leader.FollowResponse, error) {
 	if err := (clock.Real{}).Sleep(ctx, s.way); err != nil {
 		return nil, err
 	}
@@ -43,29 +43,29 @@
 	for t := range q.Topics {
 		s.topics[t] = true
 	}
-	s.briefs = append(s.briefs, q.Brief)
-	a := &leader.Told{Epoch: 1, Tail: uint64(len(s.es)), Upto: uint64(len(s.es))}
+	s.briefs = append(s.briefs, q.FirstOnly)
+	a := &leader.FollowResponse{Epoch: 1, CommittedEnd: uint64(len(s.es)), BacklogEnd: uint64(len(s.es))}
 	for _, e := range s.es {
 		if at, ok := q.After[e.Topic]; !ok || e.Offset <= at {
 			continue
 		}
-		if q.Brief && len(a.Back) > 0 {
-			a.Upto = e.Offset - 1
+		if q.FirstOnly && len(a.Backlog) > 0 {
+			a.BacklogEnd = e.Offset - 1
 			break
 		}
-		a.Back = append(a.Back, e)
+		a.Backlog = append(a.Backlog, e)
 	}
 	s.mu.Unlock()
 	return a, clock.Real{}.Sleep(ctx, s.way)
 }
 
-func (s *far) Poll(ctx context.Context, _ assignment.Record, q *leader.PollRequest) (*leader.Polled, error) {
+func (s *far) Poll(ctx context.Context, _ assignment.Record, q *leader.PollRequest) (*leader.PollResponse, error) {
 	if err := (clock.Real{}).Sleep(ctx, time.Millisecond); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := &leader.Polled{Epoch: 1, To: uint64(len(s.es))}
+	a := &leader.PollResponse{Epoch: 1, To: uint64(len(s.es))}
 	for _, e := range s.es {
 		if e.Offset > q.From && s.topics[e.Topic] {
 			a.Entries = append(a.Entries, e)
--- a/internal/delivery/fanout/turn_test.go
+++ b/internal/delivery/fanout/turn_test.go
@@ -25,23 +25,23 @@
 	deaf   bool
 }
 
-func (u *usher) Follow(_ context.Context, _ assignment.Record, q *leader.Want) (*leader.Told, error) {
+func (u *usher) Follow(_ context.Context, _ assignment.Record, q *leader.FollowRequest) (*leader.FollowResponse, error) {
 	time.Sleep(time.Millisecond)
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.asked++
-	return &leader.Told{Epoch: 1, Lost: u.deaf || q.Turn != u.turn, Turn: u.turn}, nil
+	return &leader.FollowResponse{Epoch: 1, UnknownFollower: u.deaf || q.ReaderToken != u.turn, ReaderToken: u.turn}, nil
 }
 
-func (u *usher) Poll(ctx context.Context, _ assignment.Record, q *leader.PollRequest) (*leader.Polled, error) {
+func (u *usher) Poll(ctx context.Context, _ assignment.Record, q *leader.PollRequest) (*leader.PollResponse, error) {
 	u.mu.Lock()
-	u.polled = append(u.polled, q.Turn)
-	t, late := u.turn, q.Turn != u.turn
+	u.polled = append(u.polled, q.ReaderToken)
+	t, late := u.turn, q.ReaderToken != u.turn
 	u.mu.Unlock()
 	if !late {
 		_ = clock.Real{}.Sleep(ctx, q.Hold)
 	}
-	return &leader.Polled{Epoch: 1, To: q.From, Turn: t}, nil
+	return &leader.PollResponse{Epoch: 1, To: q.From, ReaderToken: t}, nil
 }
 
 func (u *usher) set(turn uint64, deaf bool) {
--- a/internal/delivery/stream/feed.go
+++ b/internal/delivery/stream/feed.go
@@ -18,7 +18,7 @@
 
 // Source reads committed entries.
 type Source interface {
-	ReadAs(ctx context.Context, q *leader.ReadRequest) (*leader.Reading, error)
+	ReadAs(ctx context.Context, q *leader.ReadRequest) (*leader.ReadResponse, error)
 }
 
 // Feeds holds a feed per partition that some stream here follows.
@@ -166,7 +166,7 @@
 			continue
 		}
 		heard = f.clk.Now()
-		if r.Clean {
+		if r.MustReset {
 			d.anew(f.another())
 			first = true
 			continue
@@ -186,10 +186,10 @@
 }
 
 // ask reads as the feed's reader, and takes nothing from an owner that is known to be superseded.
-func (d *Feed) ask(ctx context.Context, q *leader.ReadRequest) (*leader.Reading, error) {
+func (d *Feed) ask(ctx context.Context, q *leader.ReadRequest) (*leader.ReadResponse, error) {
 	d.mu.Lock()
 	boot := d.boot
-	q.Partition, q.Node, q.Boot, q.Turn, q.Marks = d.p, d.fs.node, d.boot, d.turn, true
+	q.Partition, q.Node, q.BootID, q.ReaderToken, q.TracksTombstones = d.p, d.fs.node, d.boot, d.turn, true
 	d.mu.Unlock()
 	r, err := d.fs.src.ReadAs(ctx, q)
 	if err != nil {
@@ -201,8 +201,8 @@
 		return nil, apierror.New(apierror.NotPartitionLeader, "partition %d was read at epoch %d, after %d", d.p, r.Epoch, d.epoch)
 	}
 	d.epoch = r.Epoch
-	if r.Turn > 0 && boot == d.boot {
-		d.turn = r.Turn
+	if r.ReaderToken > 0 && boot == d.boot {
+		d.turn = r.ReaderToken
 	}
 	return r, nil
 }
@@ -212,7 +212,7 @@
 	f := d.fs
 	for f.ctx.Err() == nil {
 		cx, stop := context.WithTimeout(f.ctx, f.bounds.Recovery)
-		_, err := d.ask(cx, &leader.ReadRequest{From: ^uint64(0), Done: true})
+		_, err := d.ask(cx, &leader.ReadRequest{From: ^uint64(0), Finished: true})
 		stop()
 		if err == nil {
 			return
@@ -241,9 +241,9 @@
 func (d *Feed) depart() bool {
 	f := d.fs
 	d.mu.Lock()
-	q := &leader.ReadRequest{Partition: d.p, Node: f.node, Boot: d.boot, Turn: d.turn, Marks: true, From: ^uint64(0), Done: true}
+	q := &leader.ReadRequest{Partition: d.p, Node: f.node, BootID: d.boot, ReaderToken: d.turn, TracksTombstones: true, From: ^uint64(0), Finished: true}
 	d.mu.Unlock()
-	if q.Turn == 0 {
+	if q.ReaderToken == 0 {
 		return false
 	}
 	d.anew(f.another())
@@ -277,7 +277,7 @@
 }
 
 // take adds what was read and gives the writes cut off, which have to end before anything behind it is asked for.
-func (d *Feed) take(r *leader.Reading, first bool) []*writing {
+func (d *Feed) take(r *leader.ReadResponse, first bool) []*writing {
 	now := d.fs.clk.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -385,7 +385,7 @@
 	if err != nil {
 		return Window{}, err
 	}
-	if r.Clean {
+	if r.MustReset {
 		return Window{}, apierror.New(apierror.NotReady, "partition %d is being read anew", d.p)
 	}
 	if r.Base > o {
--- a/internal/delivery/stream/feed_test.go
+++ b/internal/delivery/stream/feed_test.go
@@ -29,15 +29,15 @@
 	news  chan struct{}
 }
 
-func (c *clerk) ReadAs(ctx context.Context, q *leader.ReadRequest) (*leader.Reading, error) {
+func (c *clerk) ReadAs(ctx context.Context, q *leader.ReadRequest) (*leader.ReadResponse, error) {
 	for end := time.Now().Add(q.Hold); ; {
 		c.mu.Lock()
 		c.asked = append(c.asked, *q)
-		r := &leader.Reading{Base: c.base, To: uint64(len(c.es)), Epoch: c.epoch, Turn: c.turn}
+		r := &leader.ReadResponse{Base: c.base, To: uint64(len(c.es)), Epoch: c.epoch, ReaderToken: c.turn}
 		late, news := c.late, c.news
 		switch {
-		case c.clean[q.Boot]:
-			r.Clean = true
+		case c.clean[q.BootID]:
+			r.MustReset = true
 		case q.From < r.To:
 			r.Entries = append(r.Entries, c.es[max(q.From, c.base):]...)
 		}
@@ -46,7 +46,7 @@
 			<-late
 		}
 		left := time.Until(end)
-		if r.Clean || len(r.Entries) > 0 || left <= 0 || q.From == ^uint64(0) {
+		if r.MustReset || len(r.Entries) > 0 || left <= 0 || q.From == ^uint64(0) {
 			return r, nil
 		}
 		cx, stop := context.WithTimeout(ctx, left)
@@ -81,10 +81,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, q := range c.asked {
-		if q.Boot == boot && !q.Beside && !q.Done && q.From != ^uint64(0) {
+		if q.BootID == boot && !q.Beside && !q.Finished && q.From != ^uint64(0) {
 			at = max(at, q.From)
 		}
-		done = done || q.Boot == boot && q.Done
+		done = done || q.BootID == boot && q.Finished
 	}
 	return at, done
 }
@@ -239,7 +239,7 @@
 			assert.Equal(x, string(x.held(2).Entries[0].Body), "new")
 			x.c.set(func() {
 				q := x.c.asked[len(x.c.asked)-1]
-				assert.Check(x, q.Boot != "b.1" && q.From == 3, "%+v", q)
+				assert.Check(x, q.BootID != "b.1" && q.From == 3, "%+v", q)
 			})
 		},
 		"nothing is taken from an owner that is known to be superseded": func(x *run) {
@@ -274,7 +274,7 @@
 			x.c.set(func() { x.c.turn = 9 })
 			x.c.write(log.TypeMessage, "k", "old")
 			synctest.Wait()
-			x.c.set(func() { assert.Check(x, x.c.asked[len(x.c.asked)-1].Turn == 9) })
+			x.c.set(func() { assert.Check(x, x.c.asked[len(x.c.asked)-1].ReaderToken == 9) })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/node/leaders/load.go
+++ b/internal/node/leaders/load.go
@@ -24,16 +24,16 @@
 	now, tau := k.Clock.Now(), k.Bounds.ReplacementDelay()
 	m := map[int]float64{}
 	for _, o := range k.all() {
-		n, b := o.Work()
+		n, b := o.AcceptedTotals()
 		done := float64(n) + float64(b)/bytesPerMessage
 		k.mu.Lock()
 		if k.loads == nil {
 			k.loads = map[int]sample{}
 		}
-		s, p := k.loads[o.Rec.Partition], o.Rec.Partition
+		s, p := k.loads[o.Record.Partition], o.Record.Partition
 		switch d := now.Sub(s.at); {
-		case s.epoch != o.Rec.Epoch:
-			s = sample{at: now, done: done, epoch: o.Rec.Epoch}
+		case s.epoch != o.Record.Epoch:
+			s = sample{at: now, done: done, epoch: o.Record.Epoch}
 		case d >= tau/loadSteps:
 			r := (done - s.done) / d.Seconds()
 			w := 1 - math.Exp(-d.Seconds()/tau.Seconds())
--- a/internal/node/leaders/owners.go
+++ b/internal/node/leaders/owners.go
@@ -28,7 +28,7 @@
 	Board   *gossip.Store
 	Client  *registerclient.Client
 	Replica *replica.Replica
-	Deps    leader.Deps
+	Deps    leader.Options
 	Log     *event.Logger
 	// Able ranks a disk as the next owner by what is known of its machine: 0 first, below 0 for one that can't be.
 	Able  func(assignment.Replica) int
@@ -36,14 +36,14 @@
 	// Tell has records that were written here known at once.
 	Tell   func(context.Context, ...assignment.Record)
 	mu     sync.Mutex
-	m      map[int]*leader.Owner
+	m      map[int]*leader.Leader
 	closed bool
 	epochs map[int]uint64
 	loads  map[int]sample
 }
 
 // Owner finds the owner of a partition that runs here.
-func (k *Keeper) Owner(p int) (*leader.Owner, error) {
+func (k *Keeper) Owner(p int) (*leader.Leader, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if o, ok := k.m[p]; ok {
@@ -64,10 +64,10 @@
 // Count is how many owners run here.
 func (k *Keeper) Count() int { return len(k.all()) }
 
-func (k *Keeper) all() []*leader.Owner {
+func (k *Keeper) all() []*leader.Leader {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	os := make([]*leader.Owner, 0, len(k.m))
+	os := make([]*leader.Leader, 0, len(k.m))
 	for _, p := range slices.Sorted(maps.Keys(k.m)) {
 		os = append(os, k.m[p])
 	}
@@ -124,11 +124,11 @@
 		}
 		k.mu.Lock()
 		if k.m == nil {
-			k.m, k.epochs = map[int]*leader.Owner{}, map[int]uint64{}
+			k.m, k.epochs = map[int]*leader.Leader{}, map[int]uint64{}
 		}
 		o := k.m[p]
 		switch {
-		case o != nil && o.Rec.Epoch == r.Epoch:
+		case o != nil && o.Record.Epoch == r.Epoch:
 			k.mu.Unlock()
 			o.Update(ctx, r)
 			continue
@@ -138,7 +138,7 @@
 				delete(k.m, p)
 				k.mu.Unlock()
 				if o != nil {
-					o.End(apierror.New(apierror.StaleEpoch, "epoch %d came", r.Epoch))
+					o.Resign(apierror.New(apierror.StaleEpoch, "epoch %d came", r.Epoch))
 				}
 				go k.revive(ctx, p)
 				continue
@@ -147,32 +147,32 @@
 			k.m[p] = n
 			k.mu.Unlock()
 			if o != nil {
-				o.End(apierror.New(apierror.StaleEpoch, "epoch %d came", r.Epoch))
+				o.Resign(apierror.New(apierror.StaleEpoch, "epoch %d came", r.Epoch))
 			}
 			k.Log.Say(event.OwnerTakes, "partition", p, "epoch", r.Epoch)
 			go k.serve(ctx, n)
 		default:
-			if o != nil && r.Epoch > o.Rec.Epoch {
+			if o != nil && r.Epoch > o.Record.Epoch {
 				delete(k.m, p)
 			}
 			k.mu.Unlock()
-			if o != nil && r.Epoch > o.Rec.Epoch {
-				o.End(apierror.New(apierror.StaleEpoch, "%s decides under epoch %d", r.Leader, r.Epoch))
+			if o != nil && r.Epoch > o.Record.Epoch {
+				o.Resign(apierror.New(apierror.StaleEpoch, "%s decides under epoch %d", r.Leader, r.Epoch))
 			}
 		}
 	}
 }
 
-func (k *Keeper) serve(ctx context.Context, o *leader.Owner) {
+func (k *Keeper) serve(ctx context.Context, o *leader.Leader) {
 	o.Run(ctx)
 	k.mu.Lock()
-	alone := k.m[o.Rec.Partition] == o && !k.closed
+	alone := k.m[o.Record.Partition] == o && !k.closed
 	if alone {
-		delete(k.m, o.Rec.Partition)
+		delete(k.m, o.Record.Partition)
 	}
 	k.mu.Unlock()
 	if alone && k.Clock.Sleep(ctx, k.Bounds.MaxBackoff()) == nil {
-		k.revive(ctx, o.Rec.Partition)
+		k.revive(ctx, o.Record.Partition)
 	}
 }
 
@@ -281,9 +281,9 @@
 		wg.Go(func() {
 			o.Flush(ctx, limit/2)
 			o.Close()
-			if k.Change(ctx, o.Rec.Partition, o.Rec.Epoch, func(x assignment.Record) (assignment.Record, bool) {
+			if k.Change(ctx, o.Record.Partition, o.Record.Epoch, func(x assignment.Record) (assignment.Record, bool) {
 				for i := range x.Replicas {
-					p := x.Replicas[(i+o.Rec.Partition)%len(x.Replicas)]
+					p := x.Replicas[(i+o.Record.Partition)%len(x.Replicas)]
 					if p.Node != k.Self && able(p) {
 						return x.Next(p.Node, x.Replicas, k.Self+" stops and named its successor", k.Clock.Now()), x.Leader == k.Self
 					}
@@ -294,7 +294,7 @@
 				n++
 				mu.Unlock()
 			}
-			o.End(apierror.New(apierror.ShuttingDown, "this node is stopping"))
+			o.Resign(apierror.New(apierror.ShuttingDown, "this node is stopping"))
 		})
 	}
 	wg.Wait()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -58,7 +58,7 @@
 	Net   wire.Network
 	Disk  journal.Log
 	// Witness, if any, hears every verdict of the owners that run here; only proof uses it.
-	Witness leader.Witness
+	Witness leader.DecisionObserver
 }
 
 // Node is one process of the fleet.
@@ -315,19 +315,19 @@
 	}
 	n.owners = &leaders.Keeper{Self: self, Clock: clk, Bounds: b, Board: n.Board, Client: n.client, Replica: n.replica, Log: n.log, Able: n.able, Tell: n.gossip.Broadcast}
 	n.watch = &failuredetector.Detector{Self: self, BootID: n.boot, Clock: clk, Timing: b, Net: net, Store: n.Board, Addr: n.reach, OnFailure: n.owners.Inherit}
-	n.owners.Deps = leader.Deps{
-		Self: self, Net: net, Clock: clk, Bounds: b, Replica: n.replica, Still: idle.New(ctx, self, net, clk, b), Addr: n.addr, Licensed: n.keeper.CheckLease,
-		Batch:   func() time.Duration { return n.options().ChangelogInterval() },
-		Backlog: func() int { return n.options().Backlog },
-		Marks:   func() int { return n.options().MaxTombstones },
-		Stretch: time.Duration(o.LeaseExtension),
-		Longest: func() time.Duration {
+	n.owners.Deps = leader.Options{
+		Self: self, Net: net, Clock: clk, Timing: b, Replica: n.replica, Idle: idle.New(ctx, self, net, clk, b), Addr: n.addr, CheckLease: n.keeper.CheckLease,
+		ChangelogInterval: func() time.Duration { return n.options().ChangelogInterval() },
+		Backlog:           func() int { return n.options().Backlog },
+		MaxTombstones:     func() int { return n.options().MaxTombstones },
+		LeaseExtension:    time.Duration(o.LeaseExtension),
+		LongestRetention: func() time.Duration {
 			if x := n.Board.Index(); x.Sequence > 0 {
 				return x.Longest
 			}
 			return b.MaxRetention()
 		},
-		Settled: n.owners.Settled, Promote: n.owners.Promote, Log: (*ownerLog)(n), Witness: n.w.Witness,
+		OnRecovered: n.owners.Settled, OnPromote: n.owners.Promote, Observer: (*ownerLog)(n), OnDecision: n.w.Witness,
 	}
 	n.desk = &router.Desk{Self: self, Net: net, Clock: clk, Bounds: b, Board: n.Board, View: n.View, Owners: n.owners, Backlog: func() int { return n.options().Backlog }, Packs: o.CompressStreams()}
 	n.presence = presence.New(self, net, b, n.View)
@@ -597,35 +597,35 @@
 
 type ownerLog Node
 
-// Disk logs a failed write of an owner.
-func (l *ownerLog) Disk(p int, err error) {
+// DiskFailed logs a failed write of an owner.
+func (l *ownerLog) DiskFailed(p int, err error) {
 	l.log.Say(event.OwnerDisk, "partition", p, "problem", err)
 }
 
-// Lost logs the end of an ownership.
-func (l *ownerLog) Lost(p int, e uint64, err error) {
+// LeadershipLost logs the end of an ownership.
+func (l *ownerLog) LeadershipLost(p int, e uint64, err error) {
 	l.log.Say(event.OwnerLost, "partition", p, "epoch", e, "problem", err)
 }
 
-// Open logs a finished take-over.
-func (l *ownerLog) Open(p int, e uint64, h leader.Recovery) {
-	l.log.Say(event.OwnerOpen, "partition", p, "epoch", e, "tails", h.Tails, "directory", h.Directory, "replayed", h.Replayed, "fetched", h.Fetched, "reprocessed", h.Reprocessed, "keys", h.Keys, "took", h.Took.String())
+// Opened logs a finished take-over.
+func (l *ownerLog) Opened(p int, e uint64, h leader.Recovery) {
+	l.log.Say(event.OwnerOpen, "partition", p, "epoch", e, "tails", h.Tails, "directory", h.Directory, "replayed", h.Replayed, "fetched", h.Fetched, "reprocessed", h.Reprocessed, "keys", h.Keys, "took", h.Duration.String())
 }
 
-// Trouble logs a step that is tried again.
-func (l *ownerLog) Trouble(p int, e uint64, step string, err error) {
+// StepFailed logs a step that is tried again.
+func (l *ownerLog) StepFailed(p int, e uint64, step string, err error) {
 	l.log.Say(event.OwnerTrouble, "partition", p, "epoch", e, "step", step, "problem", err)
 }
 
 var readers = map[bool]event.Event{false: event.ReaderNoted, true: event.ReaderGivenUp}
 
-// Reader logs that a node reads what has keys, or was given up as one that does.
-func (l *ownerLog) Reader(p int, e uint64, node, boot string, givenUp bool) {
+// ReaderChanged logs that a node reads what has keys, or was given up as one that does.
+func (l *ownerLog) ReaderChanged(p int, e uint64, node, boot string, givenUp bool) {
 	l.log.Say(readers[givenUp], "partition", p, "epoch", e, "node", node, "boot", boot)
 }
 
-// MarksFull logs that no more withdrawals are taken.
-func (l *ownerLog) MarksFull(p int, e uint64, marks int) {
+// TombstonesFull logs that no more withdrawals are taken.
+func (l *ownerLog) TombstonesFull(p int, e uint64, marks int) {
 	l.log.Say(event.MarksFull, "partition", p, "epoch", e, "marks", marks)
 }
 
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -40,8 +40,8 @@
 	CheckLease     func() error
 	ControlNode    func() string
 	Leaders        func() []leader.View
-	TopicUsage     func(ctx context.Context, p int) ([]leader.Use, error)
-	Tombstones     func(ctx context.Context, p int) (*leader.MarksView, error)
+	TopicUsage     func(ctx context.Context, p int) ([]leader.TopicUsage, error)
+	Tombstones     func(ctx context.Context, p int) (*leader.TombstoneView, error)
 	CountersByPart func() map[string]any
 	Trace          func(ctx context.Context, p int, q *router.TraceRequest) (*router.Traced, error)
 	Rejections     func(ctx context.Context, i membership.Info, q rejections.Task) ([]rejections.Note, error)
@@ -129,7 +129,7 @@
 	Urgent bool              `json:"urgent"`
 	Record assignment.Record `json:"record"`
 	// Withdrawn is nil where nothing has keys.
-	Withdrawn *leader.MarksView `json:"withdrawn,omitempty"`
+	Withdrawn *leader.TombstoneView `json:"withdrawn,omitempty"`
 }
 
 // Partition reads one partition's record, named by number or by a topic of it.
--- a/internal/partitionlog/leader/assure.go
+++ b/internal/partitionlog/leader/assure.go
@@ -17,7 +17,7 @@
 
 // assure answers nil once a majority of the replicas, asked after the call began, turned no epoch above this one's owner away:
 // whatever was judged before the call was judged while nobody else could decide. Calls that wait share a round.
-func (o *Owner) assure(ctx context.Context) error {
+func (o *Leader) assure(ctx context.Context) error {
 	o.mu.Lock()
 	r := o.next
 	if r == nil {
@@ -33,13 +33,13 @@
 	case <-r.done:
 		return r.err
 	case <-ctx.Done():
-		return apierror.WithCause(apierror.NotPartitionLeader, ctx.Err(), "no majority confirmed epoch %d of partition %d in time", o.Rec.Epoch, o.Rec.Partition)
+		return apierror.WithCause(apierror.NotPartitionLeader, ctx.Err(), "no majority confirmed epoch %d of partition %d in time", o.Record.Epoch, o.Record.Partition)
 	case <-o.lost:
-		return apierror.New(apierror.NotPartitionLeader, "partition %d was lost", o.Rec.Partition)
+		return apierror.New(apierror.NotPartitionLeader, "partition %d was lost", o.Record.Partition)
 	}
 }
 
-func (o *Owner) rounds() {
+func (o *Leader) rounds() {
 	for {
 		o.mu.Lock()
 		r := o.next
@@ -49,7 +49,7 @@
 			o.mu.Unlock()
 			return
 		}
-		o.tally.Rounds++
+		o.tally.QuorumChecks++
 		ctx := o.ctx
 		o.mu.Unlock()
 		r.err = o.ask(ctx)
@@ -57,11 +57,11 @@
 	}
 }
 
-func (o *Owner) ask(ctx context.Context) error {
-	cx, stop := context.WithTimeout(ctx, o.d.Bounds.CallTimeout())
+func (o *Leader) ask(ctx context.Context) error {
+	cx, stop := context.WithTimeout(ctx, o.d.Timing.CallTimeout())
 	defer stop()
-	as := quorum.Gather(cx, o.Rec.Replicas, func(ctx context.Context, p assignment.Replica) (bool, error) {
-		q := &replica.AppendRequest{Target: replica.Target{Partition: o.Rec.Partition, Incarnation: p.Incarnation, Epoch: o.Rec.Epoch}, Kind: log.KindLedger, Urgent: o.Urgent}
+	as := quorum.Gather(cx, o.Record.Replicas, func(ctx context.Context, p assignment.Replica) (bool, error) {
+		q := &replica.AppendRequest{Target: replica.Target{Partition: o.Record.Partition, Incarnation: p.Incarnation, Epoch: o.Record.Epoch}, Kind: log.KindLedger, Urgent: o.Urgent}
 		if p.Node == o.d.Self {
 			return true, o.d.Replica.CheckEpoch(q.Target)
 		}
@@ -72,23 +72,23 @@
 		_, err := replica.Append.Call(ctx, o.d.Net, o.d.Self, a, q)
 		return err == nil, err
 	}, func(as []quorum.Result[assignment.Replica, bool]) bool {
-		return len(quorum.Successes(as)) >= o.Rec.Majority()
+		return len(quorum.Successes(as)) >= o.Record.Majority()
 	})
 	for _, a := range as {
 		if o.fenced(a.Err) {
 			o.lose(a.Err)
 		}
 	}
-	if n := len(quorum.Successes(as)); n < o.Rec.Majority() {
-		return apierror.WithCause(apierror.NotPartitionLeader, quorum.FirstError(as), "%d of %d replicas confirmed epoch %d of partition %d", n, len(o.Rec.Replicas), o.Rec.Epoch, o.Rec.Partition)
+	if n := len(quorum.Successes(as)); n < o.Record.Majority() {
+		return apierror.WithCause(apierror.NotPartitionLeader, quorum.FirstError(as), "%d of %d replicas confirmed epoch %d of partition %d", n, len(o.Record.Replicas), o.Record.Epoch, o.Record.Partition)
 	}
 	return nil
 }
 
 // settled waits until all that an answer rests on is committed and nobody else can have decided since.
-func (o *Owner) settled(ctx context.Context, basis uint64) error {
+func (o *Leader) settled(ctx context.Context, basis uint64) error {
 	if err := o.await(ctx, log.KindLedger, basis); err != nil {
-		return apierror.New(apierror.NotPartitionLeader, "an answer of partition %d rests on offset %d, which is not on a majority", o.Rec.Partition, basis)
+		return apierror.New(apierror.NotPartitionLeader, "an answer of partition %d rests on offset %d, which is not on a majority", o.Record.Partition, basis)
 	}
 	return o.assure(ctx)
 }
--- a/internal/partitionlog/leader/learner.go
+++ b/internal/partitionlog/leader/learner.go
@@ -9,10 +9,10 @@
 )
 
 // Update takes news of the record under the same epoch: a learner to bring up.
-func (o *Owner) Update(ctx context.Context, r assignment.Record) {
+func (o *Leader) Update(ctx context.Context, r assignment.Record) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.stage != Open || r.Epoch != o.Rec.Epoch {
+	if o.stage != StageOpen || r.Epoch != o.Record.Epoch {
 		return
 	}
 	var l assignment.Replica
@@ -46,18 +46,18 @@
 	return m > 0 && m >= t.commit && m >= t.match[old.Incarnation]
 }
 
-func (o *Owner) raise(ctx context.Context, l assignment.Replica) {
-	for o.d.Clock.Sleep(ctx, o.d.Bounds.MaxBackoff()/raiseShare) == nil {
+func (o *Leader) raise(ctx context.Context, l assignment.Replica) {
+	for o.d.Clock.Sleep(ctx, o.d.Timing.MaxBackoff()/raiseShare) == nil {
 		o.mu.Lock()
 		up := true
 		for _, t := range o.tracks {
-			up = up && t.caughtUp(o.Rec, l)
+			up = up && t.caughtUp(o.Record, l)
 		}
-		rec := o.Rec
+		rec := o.Record
 		o.mu.Unlock()
 		if up {
-			o.d.Promote(ctx, rec, l)
-			_ = o.d.Clock.Sleep(ctx, o.d.Bounds.ReconcileInterval())
+			o.d.OnPromote(ctx, rec, l)
+			_ = o.d.Clock.Sleep(ctx, o.d.Timing.ReconcileInterval())
 		}
 	}
 }
--- a/internal/partitionlog/leader/many.go
+++ b/internal/partitionlog/leader/many.go
@@ -9,10 +9,10 @@
 	"postjunction/internal/samza/state"
 )
 
-// Verdict is the answer to one message of several: a decision or a problem.
-type Verdict struct {
+// Outcome is the answer to one message of several: a decision or a problem.
+type Outcome struct {
 	Decision *Decision       `json:"d,omitempty"`
-	Problem  *apierror.Error `json:"p,omitempty"`
+	Err      *apierror.Error `json:"p,omitempty"`
 }
 
 type ruling struct {
@@ -37,7 +37,7 @@
 
 // SubmitMany decides on messages in their order and answers each, once all decisions are on a majority or failed. The verdicts stand in the order of the
 // messages. Repeats and final noes share one question to a majority, which is asked while the new messages are written.
-func (o *Owner) SubmitMany(ctx context.Context, qs []*Task) []Verdict {
+func (o *Leader) SubmitMany(ctx context.Context, qs []*Message) []Outcome {
 	begun := o.d.Clock.Now()
 	rs := make([]ruling, len(qs))
 	ask := false
@@ -49,17 +49,17 @@
 			continue
 		}
 		*r = o.judge(q)
-		r.basis = max(r.basis, o.basis(state.Key(q.Visitor, q.Topic)))
+		r.basis = max(r.basis, o.basis(state.Key(q.Client, q.Topic)))
 		if r.repeat {
-			o.tally.Repeats++
+			o.tally.Duplicates++
 		}
 		ask = ask || r.repeat || r.already || r.err != nil && final[apierror.From(r.err).Code]
 	}
 	o.mu.Unlock()
-	vs := make([]Verdict, len(qs))
+	vs := make([]Outcome, len(qs))
 	if closed != nil {
 		for i := range vs {
-			vs[i].Problem = apierror.From(closed)
+			vs[i].Err = apierror.From(closed)
 		}
 		return vs
 	}
@@ -90,22 +90,22 @@
 	return 0
 }
 
-func (o *Owner) verdict(r ruling, landed, sure error, begun time.Time) Verdict {
+func (o *Leader) verdict(r ruling, landed, sure error, begun time.Time) Outcome {
 	switch {
 	case r.err != nil && !final[apierror.From(r.err).Code]:
-		return Verdict{Problem: apierror.From(r.err)}
+		return Outcome{Err: apierror.From(r.err)}
 	case r.err != nil && landed != nil:
-		return Verdict{Problem: apierror.New(apierror.NotPartitionLeader, "an answer of partition %d rests on offset %d, which is not on a majority", o.Rec.Partition, r.rests())}
+		return Outcome{Err: apierror.New(apierror.NotPartitionLeader, "an answer of partition %d rests on offset %d, which is not on a majority", o.Record.Partition, r.rests())}
 	case r.err != nil && sure != nil:
-		return Verdict{Problem: apierror.From(sure)}
+		return Outcome{Err: apierror.From(sure)}
 	case r.err != nil:
 		o.say("no: "+string(apierror.From(r.err).Code), begun)
-		return Verdict{Problem: apierror.From(r.err)}
+		return Outcome{Err: apierror.From(r.err)}
 	case landed != nil:
-		return Verdict{Problem: apierror.From(landed)}
+		return Outcome{Err: apierror.From(landed)}
 	case (r.repeat || r.already) && sure != nil:
-		return Verdict{Problem: apierror.New(apierror.OutcomeUnknown, "call_seq %d was taken before at offset %d, and nobody confirmed it: %v", r.taken.CallSeq, r.taken.Offset, sure)}
+		return Outcome{Err: apierror.New(apierror.OutcomeUnknown, "call_seq %d was taken before at offset %d, and nobody confirmed it: %v", r.taken.CallSeq, r.taken.Offset, sure)}
 	}
 	o.say(r.told(), begun)
-	return Verdict{Decision: &Decision{Partition: o.Rec.Partition, Epoch: o.Rec.Epoch, Offset: r.taken.Offset, Repeat: r.repeat, Already: r.already}}
+	return Outcome{Decision: &Decision{Partition: o.Record.Partition, Epoch: o.Record.Epoch, Offset: r.taken.Offset, Duplicate: r.repeat, AlreadyWithdrawn: r.already}}
 }
--- a/internal/partitionlog/leader/marks.go
+++ b/internal/partitionlog/leader/marks.go
@@ -14,8 +14,8 @@
 	"postjunction/internal/samza/state"
 )
 
-// Unheard names the readers that have not read behind a mark, and those that were given up as readers because they were not heard for long.
-type Unheard struct {
+// PendingReaders names the readers that have not read behind a mark, and those that were given up as readers because they were not heard for long.
+type PendingReaders struct {
 	Nodes   []string `json:"n,omitempty"`
 	GivenUp []string `json:"g,omitempty"`
 }
@@ -27,11 +27,11 @@
 	GivenUp bool   `json:"given_up,omitempty"`
 }
 
-// MarksView is what an owner says of marks: how many stand, how many offsets back the oldest is, and who reads what has keys.
-type MarksView struct {
-	Marks   int          `json:"marks"`
-	Oldest  uint64       `json:"oldest_mark_age"`
-	Readers []ReaderView `json:"readers,omitempty"`
+// TombstoneView is what an owner says of marks: how many stand, how many offsets back the oldest is, and who reads what has keys.
+type TombstoneView struct {
+	Tombstones int          `json:"marks"`
+	OldestAge  uint64       `json:"oldest_mark_age"`
+	Readers    []ReaderView `json:"readers,omitempty"`
 }
 
 const (
@@ -65,18 +65,18 @@
 }
 
 var malformed = []struct {
-	bad func(*Task) bool
+	bad func(*Message) bool
 	say string
 }{
-	{func(q *Task) bool { return q.Call == 0 }, "call_seq must be above 0"},
-	{func(q *Task) bool { return q.Key != "" && !printable(q.Key) }, "a key must be 1 to 128 bytes of printable text"},
-	{func(q *Task) bool { return q.Withdraw && q.Key == "" }, "a withdrawal must name a key"},
-	{func(q *Task) bool { return q.Withdraw && len(q.Body) > 0 }, "a withdrawal has no body"},
-	{func(q *Task) bool { return !q.Withdraw && (q.Of != "" || q.Upto > 0) }, "only a withdrawal names a sender"},
-	{func(q *Task) bool { return (q.Of == "") != (q.Upto == 0) }, "a withdrawal names a sender and its number, or neither"},
+	{func(q *Message) bool { return q.CallSeq == 0 }, "call_seq must be above 0"},
+	{func(q *Message) bool { return q.Key != "" && !printable(q.Key) }, "a key must be 1 to 128 bytes of printable text"},
+	{func(q *Message) bool { return q.Withdraw && q.Key == "" }, "a withdrawal must name a key"},
+	{func(q *Message) bool { return q.Withdraw && len(q.Body) > 0 }, "a withdrawal has no body"},
+	{func(q *Message) bool { return !q.Withdraw && (q.WithdrawSender != "" || q.WithdrawUpTo > 0) }, "only a withdrawal names a sender"},
+	{func(q *Message) bool { return (q.WithdrawSender == "") != (q.WithdrawUpTo == 0) }, "a withdrawal names a sender and its number, or neither"},
 }
 
-func (q *Task) check() error {
+func (q *Message) check() error {
 	for _, m := range malformed {
 		if m.bad(q) {
 			return apierror.New(apierror.Malformed, "%s", m.say)
@@ -85,12 +85,12 @@
 	return nil
 }
 
-func (q *Task) entry() log.Entry {
-	e := log.Entry{Type: log.TypeMessage, Topic: q.Topic, Client: q.Visitor, Key: q.Key, CallSeq: q.Call, Generation: q.Generation, Configuration: q.Description, Live: q.Live, Body: q.Body}
+func (q *Message) entry() log.Entry {
+	e := log.Entry{Type: log.TypeMessage, Topic: q.Topic, Client: q.Client, Key: q.Key, CallSeq: q.CallSeq, Generation: q.Generation, Configuration: q.Configuration, Live: q.Live, Body: q.Body}
 	if q.Withdraw {
 		e.Type, e.Live = log.TypeWithdrawal, false
-		if q.Of != "" {
-			e.Body = state.EncodePart(state.SenderWithdrawal{Sender: q.Of, UpTo: q.Upto})
+		if q.WithdrawSender != "" {
+			e.Body = state.EncodePart(state.SenderWithdrawal{Sender: q.WithdrawSender, UpTo: q.WithdrawUpTo})
 		}
 	}
 	e.Digest = log.Digest(e.Body)
@@ -98,13 +98,13 @@
 }
 
 // stands gives the last message and the last mark under a key, on a majority or not.
-func (o *Owner) stands(k string) flying {
+func (o *Leader) stands(k string) flying {
 	f := o.keyed[k]
 	return flying{max(f.message, o.st.LastKeyed[k]), max(f.mark, o.st.Tombstones[k].Offset)}
 }
 
 // last is the highest number of a visitor on a topic that was taken or passed, on a majority or not.
-func (o *Owner) last(k string) uint64 {
+func (o *Leader) last(k string) uint64 {
 	n := o.st.Accepted[k].Last
 	if f := o.front[k]; f != nil {
 		n = max(n, f.last)
@@ -114,7 +114,7 @@
 
 // already gives the offset of the mark that a withdrawal asks for, where it stands and nothing came behind it, and what that rests on. The withdrawal
 // is an entry all the same, as what its number was must still be known when it comes again and the key was written anew.
-func (o *Owner) already(q *Task) (mark, basis uint64, ok bool) {
+func (o *Leader) already(q *Message) (mark, basis uint64, ok bool) {
 	if !q.Withdraw {
 		return 0, 0, false
 	}
@@ -122,18 +122,18 @@
 	if s.mark <= s.message {
 		return 0, 0, false
 	}
-	if q.Of == "" {
+	if q.WithdrawSender == "" {
 		return s.mark, s.mark, true
 	}
-	k := state.Key(q.Of, q.Topic)
-	return s.mark, max(s.mark, o.basis(k)), o.last(k) >= q.Upto
+	k := state.Key(q.WithdrawSender, q.Topic)
+	return s.mark, max(s.mark, o.basis(k)), o.last(k) >= q.WithdrawUpTo
 }
 
 // markable tells what keeps a withdrawal from being taken.
-func (o *Owner) markable(q *Task) error {
+func (o *Leader) markable(q *Message) error {
 	k := state.Key(q.Topic, q.Key)
 	s := o.stands(k)
-	if s.message <= s.mark && q.Of == "" {
+	if s.message <= s.mark && q.WithdrawSender == "" {
 		return apierror.New(apierror.KeyUnknown, "nothing is held under key %q on %s", q.Key, q.Topic)
 	}
 	if s.mark > 0 {
@@ -146,8 +146,8 @@
 		}
 	}
 	most := marksMost
-	if o.d.Marks != nil {
-		most = o.d.Marks()
+	if o.d.MaxTombstones != nil {
+		most = o.d.MaxTombstones()
 	}
 	if n < most {
 		o.full = false
@@ -155,13 +155,13 @@
 	}
 	if !o.full {
 		o.full = true
-		o.d.Log.MarksFull(o.Rec.Partition, o.Rec.Epoch, n)
+		o.d.Observer.TombstonesFull(o.Record.Partition, o.Record.Epoch, n)
 	}
-	return apierror.New(apierror.Overloaded, "%d withdrawals of partition %d stand", n, o.Rec.Partition)
+	return apierror.New(apierror.Overloaded, "%d withdrawals of partition %d stand", n, o.Record.Partition)
 }
 
 // noteKeyed notes an entry with a key that was pushed.
-func (o *Owner) noteKeyed(e log.Entry) {
+func (o *Leader) noteKeyed(e log.Entry) {
 	if e.Key == "" {
 		return
 	}
@@ -175,7 +175,7 @@
 	o.keyed[k] = f
 }
 
-func (o *Owner) landedKeyed(e log.Entry) {
+func (o *Leader) landedKeyed(e log.Entry) {
 	if e.Key == "" {
 		return
 	}
@@ -185,7 +185,7 @@
 }
 
 // landedReader takes up what an entry on a majority says of a reader.
-func (o *Owner) landedReader(e log.Entry) {
+func (o *Leader) landedReader(e log.Entry) {
 	if o.entered[e.Client].at <= e.Offset {
 		delete(o.entered, e.Client)
 	}
@@ -196,16 +196,16 @@
 		o.heard[e.Client] = heard{boot: r.BootID, last: o.d.Clock.Now(), member: o.d.Clock.Now()}
 	}
 	if r.GivenUp {
-		o.tally.GivenUp++
+		o.tally.ReadersGivenUp++
 	}
 	if ok {
-		o.d.Log.Reader(o.Rec.Partition, o.Rec.Epoch, e.Client, r.BootID, r.GivenUp)
+		o.d.Observer.ReaderChanged(o.Record.Partition, o.Record.Epoch, e.Client, r.BootID, r.GivenUp)
 	}
 	o.wake()
 }
 
 // wake has those look again who wait for readers.
-func (o *Owner) wake() {
+func (o *Leader) wake() {
 	if o.news != nil {
 		close(o.news)
 		o.news = nil
@@ -213,39 +213,39 @@
 }
 
 // enter writes what becomes of a reader.
-func (o *Owner) enter(node string, r state.ReaderEntry) {
-	e := o.tracks[log.KindLedger].push(log.Entry{Type: log.TypeReader, Client: node, Body: state.EncodePart(r)}, o.Rec.Epoch)
+func (o *Leader) enter(node string, r state.ReaderEntry) {
+	e := o.tracks[log.KindLedger].push(log.Entry{Type: log.TypeReader, Client: node, Body: state.EncodePart(r)}, o.Record.Epoch)
 	o.entered[node] = entered{r.BootID, e.Offset}
 }
 
 // enlist writes that a node reads here under a boot, unless something of it is on its way already.
-func (o *Owner) enlist(node, boot string) {
-	if _, ok := o.entered[node]; !ok && o.stage == Open {
+func (o *Leader) enlist(node, boot string) {
+	if _, ok := o.entered[node]; !ok && o.stage == StageOpen {
 		o.enter(node, state.ReaderEntry{BootID: boot})
 	}
 }
 
 // meet has the run of a node that is heard take the place of its last one, of which nothing is left.
-func (o *Owner) meet(node, boot string) {
+func (o *Leader) meet(node, boot string) {
 	if o.displaces(node, boot) {
 		o.enlist(node, boot)
 	}
 }
 
 // displaces tells whether a run that reads here would take the place of another one.
-func (o *Owner) displaces(node, boot string) bool {
+func (o *Leader) displaces(node, boot string) bool {
 	r, ok := o.st.Readers[node]
 	return ok && r.BootID != boot
 }
 
 // past tells whether another run of a node took the place of the one that asks, which then comes late.
-func (o *Owner) past(node, boot string) bool {
+func (o *Leader) past(node, boot string) bool {
 	r, ok := o.st.Readers[node]
 	return ok && r.ReplacedBootID == boot && boot != ""
 }
 
 // dismiss writes that a reader is gone; its run does not read here again.
-func (o *Owner) dismiss(node, boot string) {
+func (o *Leader) dismiss(node, boot string) {
 	if t := o.turns[node]; t.boot == boot || t.boot == "" {
 		o.turns[node] = turn{boot: boot, over: true}
 	}
@@ -256,7 +256,7 @@
 }
 
 // reads tells whether it is on a majority that a node reads here under a boot, and whether it was given up under that boot.
-func (o *Owner) reads(node, boot string) (yes, givenUp bool) {
+func (o *Leader) reads(node, boot string) (yes, givenUp bool) {
 	r, ok := o.st.Readers[node]
 	if !ok || r.BootID != boot {
 		return false, false
@@ -266,14 +266,14 @@
 }
 
 // noted tells whether a node reads here under a boot, on a majority or not.
-func (o *Owner) noted(node, boot string) bool {
+func (o *Leader) noted(node, boot string) bool {
 	r, ok := o.st.Readers[node]
 	p, under := o.entered[node]
 	return ok && r.BootID == boot || under && p.boot == boot
 }
 
 // hear takes a sign of a node, which has read up to an offset.
-func (o *Owner) hear(node, boot string, from uint64) {
+func (o *Leader) hear(node, boot string, from uint64) {
 	r, ok := o.st.Readers[node]
 	if !ok || r.BootID != boot || r.GivenUp {
 		return
@@ -288,15 +288,15 @@
 }
 
 // read is how far a reader is known to have read.
-func (o *Owner) read(node string, r state.Reader) uint64 {
+func (o *Leader) read(node string, r state.Reader) uint64 {
 	if h := o.heard[node]; h.boot == r.BootID {
 		return h.at
 	}
 	return 0
 }
 
-func (o *Owner) unheard(offset uint64) *Unheard {
-	u := &Unheard{}
+func (o *Leader) unheard(offset uint64) *PendingReaders {
+	u := &PendingReaders{}
 	for n, r := range o.st.Readers {
 		switch {
 		case r.GivenUp:
@@ -310,9 +310,9 @@
 	return u
 }
 
-// Forgotten tells which readers have not read behind a mark at an offset, waiting up to hold until none is left. That none is left it says only
+// PendingReaders tells which readers have not read behind a mark at an offset, waiting up to hold until none is left. That none is left it says only
 // once a majority confirmed that nobody else could have added one.
-func (o *Owner) Forgotten(ctx context.Context, offset uint64, hold time.Duration) (*Unheard, error) {
+func (o *Leader) PendingReaders(ctx context.Context, offset uint64, hold time.Duration) (*PendingReaders, error) {
 	begun := o.d.Clock.Now()
 	var due <-chan struct{}
 	for {
@@ -348,20 +348,20 @@
 		case <-moved:
 		case <-due:
 			if !stands {
-				return nil, apierror.New(apierror.NotReady, "offset %d of partition %d is not on a majority", offset, o.Rec.Partition)
+				return nil, apierror.New(apierror.NotReady, "offset %d of partition %d is not on a majority", offset, o.Record.Partition)
 			}
 			if ctx.Err() != nil {
-				return nil, apierror.WithCause(apierror.Unreachable, ctx.Err(), "waiting for readers of partition %d", o.Rec.Partition)
+				return nil, apierror.WithCause(apierror.Unreachable, ctx.Err(), "waiting for readers of partition %d", o.Record.Partition)
 			}
 			return u, nil
 		case <-o.lost:
-			return nil, apierror.New(apierror.NotPartitionLeader, "partition %d was lost", o.Rec.Partition)
+			return nil, apierror.New(apierror.NotPartitionLeader, "partition %d was lost", o.Record.Partition)
 		}
 	}
 }
 
 // due is closed after a time, or once ctx ends.
-func (o *Owner) due(ctx context.Context, d time.Duration) <-chan struct{} {
+func (o *Leader) due(ctx context.Context, d time.Duration) <-chan struct{} {
 	c := make(chan struct{})
 	go func() {
 		_ = o.d.Clock.Sleep(ctx, d)
@@ -371,7 +371,7 @@
 }
 
 // release lets go of the marks that all readers have read behind and that cover nothing which the ledger holds.
-func (o *Owner) release() {
+func (o *Leader) release() {
 	least := o.tracks[log.KindLedger].line.Base().Offset
 	for n, r := range o.st.Readers {
 		if !r.GivenUp {
@@ -381,18 +381,18 @@
 	for k, m := range o.st.Tombstones {
 		if m.Offset <= least && o.keyed[k].mark == 0 {
 			o.st.DropTombstone(k)
-			o.tally.Unmarked++
+			o.tally.TombstonesDropped++
 		}
 	}
 }
 
 // patience is how long a reader is waited for that was not heard and was no member.
-func (o *Owner) patience() time.Duration {
-	return o.d.Bounds.RetentionFor(o.d.Longest()) + o.d.Bounds.LeaseDuration() + o.d.Stretch
+func (o *Leader) patience() time.Duration {
+	return o.d.Timing.RetentionFor(o.d.LongestRetention()) + o.d.Timing.LeaseDuration() + o.d.LeaseExtension
 }
 
 // abandon gives up the readers that keep marks and were neither heard nor members for long.
-func (o *Owner) abandon() {
+func (o *Leader) abandon() {
 	newest := uint64(0)
 	for _, m := range o.st.Tombstones {
 		newest = max(newest, m.Offset)
@@ -409,13 +409,13 @@
 			h.member = now
 		}
 		o.heard[n] = h
-		if _, moving := o.entered[n]; moving || h.at >= newest || o.stage != Open {
+		if _, moving := o.entered[n]; moving || h.at >= newest || o.stage != StageOpen {
 			continue
 		}
 		switch {
 		case !r.GivenUp && now.Sub(h.last) > o.patience() && now.Sub(h.member) > o.patience():
 			o.enter(n, state.ReaderEntry{BootID: r.BootID, GivenUp: true})
-		case near && now.Sub(h.last) > o.d.Bounds.SessionTimeout():
+		case near && now.Sub(h.last) > o.d.Timing.SessionTimeout():
 			go o.visit(o.ctx, n, addr, r.BootID)
 		}
 	}
@@ -429,8 +429,8 @@
 
 // visit asks a node that keeps marks and is silent which run it is in: where it is another one, nothing is left of the one that read. What reads under a
 // boot that begins with that of the run belongs to it.
-func (o *Owner) visit(ctx context.Context, node, addr, boot string) {
-	cx, stop := context.WithTimeout(ctx, o.d.Bounds.CallTimeout())
+func (o *Leader) visit(ctx context.Context, node, addr, boot string) {
+	cx, stop := context.WithTimeout(ctx, o.d.Timing.CallTimeout())
 	defer stop()
 	a, err := membership.Identify.Call(cx, o.d.Net, o.d.Self, addr, &membership.IdentifyRequest{})
 	if err != nil || a.Info.Name != home(node) || a.Info.BootID == "" || strings.HasPrefix(boot, a.Info.BootID) {
@@ -438,13 +438,13 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if _, moving := o.entered[node]; !moving && o.stage == Open && o.st.Readers[node].BootID == boot {
+	if _, moving := o.entered[node]; !moving && o.stage == StageOpen && o.st.Readers[node].BootID == boot {
 		o.dismiss(node, boot)
 	}
 }
 
-// Marks gives the figures of marks and readers, nil where there are none.
-func (o *Owner) Marks() *MarksView {
+// Tombstones gives the figures of marks and readers, nil where there are none.
+func (o *Leader) Tombstones() *TombstoneView {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.st == nil || len(o.st.Tombstones)+len(o.st.Readers) == 0 {
@@ -455,13 +455,13 @@
 }
 
 // marksView gives the figures of marks and readers.
-func (o *Owner) marksView(commit uint64) MarksView {
-	v := MarksView{Marks: len(o.st.Tombstones)}
+func (o *Leader) marksView(commit uint64) TombstoneView {
+	v := TombstoneView{Tombstones: len(o.st.Tombstones)}
 	oldest := commit
 	for _, m := range o.st.Tombstones {
 		oldest = min(oldest, m.Offset)
 	}
-	v.Oldest = commit - oldest
+	v.OldestAge = commit - oldest
 	for n, r := range o.st.Readers {
 		v.Readers = append(v.Readers, ReaderView{Node: n, Read: o.read(n, r), GivenUp: r.GivenUp})
 	}
--- a/internal/partitionlog/leader/marks_test.go
+++ b/internal/partitionlog/leader/marks_test.go
@@ -25,19 +25,21 @@
 
 // rig is an owner whose disk writes when the test says so, and the fleet around it.
 type rig struct {
-	*Owner
+	*Leader
 	t       *testing.T
 	members map[string]string
 	runs    map[string]string
 	said    []string
 }
 
-func (r *rig) Disk(int, error)                             {}
-func (r *rig) Lost(int, uint64, error)                     {}
-func (r *rig) Open(int, uint64, Recovery)                  {}
-func (r *rig) Trouble(int, uint64, string, error)          {}
-func (r *rig) MarksFull(int, uint64, int)                  { r.said = append(r.said, "full") }
-func (r *rig) Reader(_ int, _ uint64, n, b string, g bool) { r.said = append(r.said, n+" "+b+gone[g]) }
+func (r *rig) DiskFailed(int, error)                 {}
+func (r *rig) LeadershipLost(int, uint64, error)     {}
+func (r *rig) Opened(int, uint64, Recovery)          {}
+func (r *rig) StepFailed(int, uint64, string, error) {}
+func (r *rig) TombstonesFull(int, uint64, int)       { r.said = append(r.said, "full") }
+func (r *rig) ReaderChanged(_ int, _ uint64, n, b string, g bool) {
+	r.said = append(r.said, n+" "+b+gone[g])
+}
 
 var gone = map[bool]string{true: " given up"}
 
@@ -65,12 +67,12 @@
 			rec.Replicas = append(rec.Replicas, assignment.Replica{Node: n})
 			r.members[n] = "at-" + n
 		}
-		r.Owner = New(Deps{
-			Self: "s1", Net: r, Clock: clock.Real{}, Bounds: settings.DefaultTiming, Replica: replica.New(clock.Real{}), Log: r,
-			Backlog: func() int { return 64 }, Licensed: func() error { return nil }, Longest: func() time.Duration { return 0 }, Stretch: time.Second,
+		r.Leader = New(Options{
+			Self: "s1", Net: r, Clock: clock.Real{}, Timing: settings.DefaultTiming, Replica: replica.New(clock.Real{}), Observer: r,
+			Backlog: func() int { return 64 }, CheckLease: func() error { return nil }, LongestRetention: func() time.Duration { return 0 }, LeaseExtension: time.Second,
 			Addr: func(n string) (string, bool) { a, ok := r.members[n]; return a, ok },
 		}, rec, false)
-		r.stage, r.st, r.ctx = Open, state.New(), t.Context()
+		r.stage, r.st, r.ctx = StageOpen, state.New(), t.Context()
 		r.tracks[log.KindLedger], r.tracks[log.KindChangelog] = newTrack(log.KindLedger, log.New()), newTrack(log.KindChangelog, log.New())
 		script(t, r)
 	})
@@ -94,18 +96,18 @@
 }
 
 // submits gives what becomes of messages that are judged together, once all that they wrote is on a majority.
-func (r *rig) submits(qs ...*Task) []Verdict {
-	c := make(chan []Verdict, 1)
+func (r *rig) submits(qs ...*Message) []Outcome {
+	c := make(chan []Outcome, 1)
 	go func() { c <- r.SubmitMany(r.t.Context(), qs) }()
 	synctest.Wait()
 	r.lands()
 	return <-c
 }
 
-func (r *rig) takes(qs ...*Task) uint64 {
+func (r *rig) takes(qs ...*Message) uint64 {
 	r.t.Helper()
 	for _, v := range r.submits(qs...) {
-		assert.Assert(r.t, v.Problem == nil, "%v", v.Problem)
+		assert.Assert(r.t, v.Err == nil, "%v", v.Err)
 		if v.Decision != nil {
 			return v.Decision.Offset
 		}
@@ -113,35 +115,35 @@
 	return 0
 }
 
-func (r *rig) turns(q *Task, k apierror.Code) {
+func (r *rig) turns(q *Message, k apierror.Code) {
 	r.t.Helper()
 	v := r.submits(q)[0]
-	assert.Assert(r.t, v.Problem != nil && v.Problem.Code == k, "%+v is not %s", v, k)
+	assert.Assert(r.t, v.Err != nil && v.Err.Code == k, "%+v is not %s", v, k)
 }
 
-func says(visitor string, call uint64, topic, key string) *Task {
-	return &Task{Visitor: visitor, Call: call, Topic: topic, Key: key, Body: []byte("b")}
+func says(visitor string, call uint64, topic, key string) *Message {
+	return &Message{Client: visitor, CallSeq: call, Topic: topic, Key: key, Body: []byte("b")}
 }
 
-func withdraws(visitor string, call uint64, topic, key string) *Task {
-	return &Task{Visitor: visitor, Call: call, Topic: topic, Key: key, Withdraw: true}
+func withdraws(visitor string, call uint64, topic, key string) *Message {
+	return &Message{Client: visitor, CallSeq: call, Topic: topic, Key: key, Withdraw: true}
 }
 
 // reader follows topics under a boot, as a node that minds withdrawals.
 func (r *rig) follows(node, boot string, topics ...string) {
 	r.t.Helper()
-	q := &Want{Node: node, Boot: boot, Sequence: 1, Full: true, Marks: true, Topics: map[string]int{}}
+	q := &FollowRequest{Node: node, BootID: boot, Sequence: 1, Full: true, TracksTombstones: true, Topics: map[string]int{}}
 	for _, t := range topics {
 		q.Topics[t] = 1
 	}
 	a, err := r.Follow(r.t.Context(), q)
 	assert.NilError(r.t, err)
-	if a.Lost {
-		q.Turn = a.Turn
+	if a.UnknownFollower {
+		q.ReaderToken = a.ReaderToken
 		a, err = r.Follow(r.t.Context(), q)
 		assert.NilError(r.t, err)
 	}
-	assert.Assert(r.t, !a.Lost)
+	assert.Assert(r.t, !a.UnknownFollower)
 }
 
 // told gives the turn that an owner gave a run, as that run would tell it.
@@ -153,7 +155,7 @@
 }
 
 type polled struct {
-	a   *Polled
+	a   *PollResponse
 	err error
 }
 
@@ -161,7 +163,7 @@
 	c := make(chan polled, 1)
 	turn := r.told(node, boot)
 	go func() {
-		a, err := r.Poll(r.t.Context(), &PollRequest{Node: node, Boot: boot, Sequence: 1, From: from, Hold: r.d.Bounds.Spread, Marks: true, Turn: turn})
+		a, err := r.Poll(r.t.Context(), &PollRequest{Node: node, BootID: boot, Sequence: 1, From: from, Hold: r.d.Timing.Spread, TracksTombstones: true, ReaderToken: turn})
 		c <- polled{a, err}
 	}()
 	synctest.Wait()
@@ -172,7 +174,7 @@
 	r.t.Helper()
 	p := <-c
 	assert.NilError(r.t, p.err)
-	assert.Assert(r.t, !p.a.Lost)
+	assert.Assert(r.t, !p.a.UnknownFollower)
 	return offsets(p.a.Entries)
 }
 
@@ -193,8 +195,8 @@
 	assert.Equal(r.t, r.st.Readers[node].BootID, boot)
 }
 
-func (r *rig) forgotten(at uint64) (*Unheard, error) {
-	return r.Forgotten(r.t.Context(), at, r.d.Bounds.LongPoll())
+func (r *rig) forgotten(at uint64) (*PendingReaders, error) {
+	return r.PendingReaders(r.t.Context(), at, r.d.Timing.LongPoll())
 }
 
 // What was withdrawn is passed over, what is written anew under its key is not, and a withdrawal that is not on a majority withdraws nothing yet.
@@ -203,17 +205,17 @@
 		r.takes(says("v", 1, "t", "k"), says("v", 2, "t", "other"), says("v", 1, "u", "k"))
 		r.follows("a1", "b", "t", "u")
 		r.becomes("a1", "b", 0)
-		go r.SubmitMany(t.Context(), []*Task{withdraws("v", 3, "t", "k")})
+		go r.SubmitMany(t.Context(), []*Message{withdraws("v", 3, "t", "k")})
 		synctest.Wait()
 		assert.DeepEqual(t, r.got(r.polls("a1", "b", 0)), []uint64{1, 2, 3})
 		r.lands()
 		assert.DeepEqual(t, r.got(r.polls("a1", "b", 0)), []uint64{2, 3, 5})
 		r.takes(says("v", 4, "t", "k"))
 		assert.DeepEqual(t, r.got(r.polls("a1", "b", 0)), []uint64{2, 3, 5, 6})
-		a, err := r.Follow(t.Context(), &Want{Node: "a1", Boot: "b", Before: 1, Sequence: 2, Marks: true, After: map[string]uint64{"t": 0}})
+		a, err := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "b", BaseSequence: 1, Sequence: 2, TracksTombstones: true, After: map[string]uint64{"t": 0}})
 		assert.NilError(t, err)
-		assert.DeepEqual(t, offsets(a.Back), []uint64{2, 5, 6})
-		w := a.Back[1]
+		assert.DeepEqual(t, offsets(a.Backlog), []uint64{2, 5, 6})
+		w := a.Backlog[1]
 		assert.Equal(t, [...]string{w.Type, w.Topic, w.Key, w.Client}, [...]string{log.TypeWithdrawal, "t", "k", "v"})
 	})
 }
@@ -224,7 +226,7 @@
 		r.takes(says("v", 1, "t", "k"))
 		r.follows("a1", "b", "u")
 		c := r.polls("a1", "b", 1)
-		_, err := r.Follow(t.Context(), &Want{Node: "a2", Boot: "b", Sequence: 1, Full: true, Topics: map[string]int{"t": 1}})
+		_, err := r.Follow(t.Context(), &FollowRequest{Node: "a2", BootID: "b", Sequence: 1, Full: true, Topics: map[string]int{"t": 1}})
 		assert.NilError(t, err)
 		old := r.polling(t.Context(), 1)
 		at := time.Now()
@@ -235,11 +237,11 @@
 		assert.Assert(t, time.Since(at) == 0, "woken after %s", time.Since(at))
 		assert.Equal(t, p.a.Entries[0].Client, "w")
 		assert.NilError(t, <-old)
-		a, err := r.Poll(t.Context(), &PollRequest{Node: "a2", Boot: "b", Sequence: 1})
+		a, err := r.Poll(t.Context(), &PollRequest{Node: "a2", BootID: "b", Sequence: 1})
 		assert.NilError(t, err)
 		assert.Equal(t, len(a.Entries), 0, "a node that minds no withdrawals is given nothing with a key")
 		r.takes(says("v", 2, "t", "k"))
-		a, err = r.Poll(t.Context(), &PollRequest{Node: "a2", Boot: "b", Sequence: 1})
+		a, err = r.Poll(t.Context(), &PollRequest{Node: "a2", BootID: "b", Sequence: 1})
 		assert.NilError(t, err)
 		assert.Equal(t, len(a.Entries), 0)
 		assert.Equal(t, a.To, uint64(3), "it is held up by nothing with a key")
@@ -263,18 +265,18 @@
 		assert.DeepEqual(t, r.got(r.polls("a1", "b", 1)), []uint64{2, 3})
 		assert.Equal(t, r.tracks[log.KindLedger].last.Offset, uint64(4), "a run is noted once")
 
-		answers := make(chan *Told, 1)
+		answers := make(chan *FollowResponse, 1)
 		go func() {
-			a, _ := r.Follow(t.Context(), &Want{Node: "a1", Boot: "c", Sequence: 1, Full: true, Marks: true, Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 1}, Turn: r.told("a1", "c")})
+			a, _ := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "c", Sequence: 1, Full: true, TracksTombstones: true, Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 1}, ReaderToken: r.told("a1", "c")})
 			answers <- a
 		}()
 		synctest.Wait()
 		assert.Equal(t, len(answers), 0)
 		r.lands()
-		assert.DeepEqual(t, offsets((<-answers).Back), []uint64{2, 3})
+		assert.DeepEqual(t, offsets((<-answers).Backlog), []uint64{2, 3})
 		assert.Equal(t, r.st.Readers["a1"], state.Reader{BootID: "c", Offset: 5, ReplacedBootID: "b"})
 		c = r.polls("a1", "b", 9)
-		assert.Assert(t, (<-c).a.Lost, "the run before is none any more")
+		assert.Assert(t, (<-c).a.UnknownFollower, "the run before is none any more")
 	})
 }
 
@@ -289,10 +291,10 @@
 		assert.NilError(t, p.err)
 		assert.Assert(t, !slices.ContainsFunc(p.a.Entries, func(e log.Entry) bool { return e.Type == log.TypeMessage }))
 		assert.Equal(t, r.st.Readers["a1"].BootID, "b")
-		assert.Assert(t, p.a.Reader)
-		a, err := r.Follow(t.Context(), &Want{Node: "a1", Boot: "b", Before: 1, Sequence: 2, Marks: true, Topics: map[string]int{"t": 0}})
+		assert.Assert(t, p.a.IsReader)
+		a, err := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "b", BaseSequence: 1, Sequence: 2, TracksTombstones: true, Topics: map[string]int{"t": 0}})
 		assert.NilError(t, err)
-		assert.Assert(t, a.Reader)
+		assert.Assert(t, a.IsReader)
 		r.follows("a2", "b", "t")
 		assert.Assert(t, !r.noted("a2", "b"))
 	})
@@ -308,15 +310,15 @@
 		r.lands()
 		r.becomes("a1", "c", 0)
 		for _, done := range []bool{false, true} {
-			a, err := r.Follow(t.Context(), &Want{Node: "a1", Boot: "b", Sequence: 9, Full: true, Done: done, Marks: true, Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 0}})
+			a, err := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "b", Sequence: 9, Full: true, Finished: done, TracksTombstones: true, Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 0}})
 			assert.NilError(t, err)
-			assert.Assert(t, a.Lost)
+			assert.Assert(t, a.UnknownFollower)
 			r.lands()
 			assert.Equal(t, r.st.Readers["a1"].BootID, "c")
 		}
 		p := <-r.polls("a1", "b", 0)
 		assert.NilError(t, p.err)
-		assert.Assert(t, p.a.Lost)
+		assert.Assert(t, p.a.UnknownFollower)
 	})
 }
 
@@ -333,10 +335,10 @@
 		late := func(boot string, turn uint64) {
 			t.Helper()
 			for _, sent := range []uint64{0, turn} {
-				a, err := r.Follow(t.Context(), &Want{Node: "a1", Boot: boot, Sequence: 90 + sent, Full: true, Marks: true, Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 0}, Turn: sent})
+				a, err := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: boot, Sequence: 90 + sent, Full: true, TracksTombstones: true, Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 0}, ReaderToken: sent})
 				assert.NilError(t, err)
-				assert.Assert(t, a.Lost && len(a.Back) == 0)
-				p, err := r.Poll(t.Context(), &PollRequest{Node: "a1", Boot: boot, Sequence: 1, Marks: true, Turn: sent})
+				assert.Assert(t, a.UnknownFollower && len(a.Backlog) == 0)
+				p, err := r.Poll(t.Context(), &PollRequest{Node: "a1", BootID: boot, Sequence: 1, TracksTombstones: true, ReaderToken: sent})
 				assert.NilError(t, err)
 				assert.Equal(t, len(p.Entries), 0)
 				r.lands()
@@ -347,7 +349,7 @@
 		assert.DeepEqual(t, r.got(r.polls("a1", "d", 0)), []uint64{1})
 
 		given := r.told("a1", "d")
-		r.locked(func() { r.fans, r.Owner.turns, r.turn, r.Rec.Epoch = nil, map[string]turn{}, 0, r.Rec.Epoch+1 })
+		r.locked(func() { r.fans, r.Leader.turns, r.turn, r.Record.Epoch = nil, map[string]turn{}, 0, r.Record.Epoch+1 })
 		late("b", given)
 		late("c", given)
 		assert.Equal(t, r.st.Readers["a1"].BootID, "d")
@@ -355,9 +357,9 @@
 		assert.DeepEqual(t, r.got(r.polls("a1", "d", 0)), []uint64{1})
 
 		given = r.told("a1", "d")
-		a, err := r.Follow(t.Context(), &Want{Node: "a1", Boot: "d", Sequence: 99, Full: true, Marks: true, Done: true})
+		a, err := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "d", Sequence: 99, Full: true, TracksTombstones: true, Finished: true})
 		assert.NilError(t, err)
-		assert.Assert(t, !a.Lost)
+		assert.Assert(t, !a.UnknownFollower)
 		r.lands()
 		r.locked(func() { r.fans = nil })
 		late("d", given)
@@ -377,14 +379,14 @@
 		assert.DeepEqual(t, r.got(c), []uint64{})
 		ctx, stop := context.WithTimeout(t.Context(), time.Second)
 		defer stop()
-		_, err := r.Follow(ctx, &Want{Node: "a2", Boot: "b", Sequence: 1, Full: true, Marks: true, After: map[string]uint64{"t": 0}, Turn: r.told("a2", "b")})
+		_, err := r.Follow(ctx, &FollowRequest{Node: "a2", BootID: "b", Sequence: 1, Full: true, TracksTombstones: true, After: map[string]uint64{"t": 0}, ReaderToken: r.told("a2", "b")})
 		assert.Assert(t, apierror.HasCode(err, apierror.Unreachable), "%v", err)
 		assert.Equal(t, len(r.st.Readers), 0)
 	})
 }
 
 // submitsTo has a message committed by the copies that go on holding the line no further.
-func (r *rig) submitsTo(q *Task) {
+func (r *rig) submitsTo(q *Message) {
 	r.judge(q)
 	r.tracks[log.KindLedger].match[""] = 1
 	r.lands()
@@ -397,25 +399,25 @@
 		r.takes(says("v", 1, "t", "k"))
 		r.turns(withdraws("v", 2, "t", "other"), apierror.KeyUnknown)
 		r.turns(withdraws("v", 2, "u", "k"), apierror.KeyUnknown)
-		assert.Equal(t, r.tally.Rounds, uint64(2), "that nothing is held is said once a majority confirmed the epoch")
+		assert.Equal(t, r.tally.QuorumChecks, uint64(2), "that nothing is held is said once a majority confirmed the epoch")
 		assert.Equal(t, r.takes(withdraws("v", 2, "t", "k")), uint64(2))
 		v := r.submits(withdraws("v", 2, "t", "k"))[0]
-		assert.DeepEqual(t, v.Decision, &Decision{Epoch: 1, Offset: 2, Repeat: true})
-		for _, q := range []*Task{withdraws("v", 2, "t", "l"), says("v", 2, "t", "k"), says("v", 2, "t", ""), {Visitor: "v", Call: 2, Topic: "t", Key: "k", Withdraw: true, Of: "w", Upto: 3}, says("v", 1, "t", "l"), says("v", 1, "t", "")} {
+		assert.DeepEqual(t, v.Decision, &Decision{Epoch: 1, Offset: 2, Duplicate: true})
+		for _, q := range []*Message{withdraws("v", 2, "t", "l"), says("v", 2, "t", "k"), says("v", 2, "t", ""), {Client: "v", CallSeq: 2, Topic: "t", Key: "k", Withdraw: true, WithdrawSender: "w", WithdrawUpTo: 3}, says("v", 1, "t", "l"), says("v", 1, "t", "")} {
 			r.turns(q, apierror.CallAltered)
 		}
 		v = r.submits(withdraws("w", 1, "t", "k"))[0]
-		assert.DeepEqual(t, v.Decision, &Decision{Epoch: 1, Offset: 3, Already: true})
-		assert.DeepEqual(t, r.submits(says("w", 2, "t", "k"), withdraws("w", 3, "t", "k"), withdraws("x", 1, "t", "k"))[2].Decision, &Decision{Epoch: 1, Offset: 6, Already: true})
-		assert.DeepEqual(t, r.submits(says("w", 4, "t", "k"), withdraws("x", 1, "t", "k"))[1].Decision, &Decision{Epoch: 1, Offset: 6, Repeat: true})
+		assert.DeepEqual(t, v.Decision, &Decision{Epoch: 1, Offset: 3, AlreadyWithdrawn: true})
+		assert.DeepEqual(t, r.submits(says("w", 2, "t", "k"), withdraws("w", 3, "t", "k"), withdraws("x", 1, "t", "k"))[2].Decision, &Decision{Epoch: 1, Offset: 6, AlreadyWithdrawn: true})
+		assert.DeepEqual(t, r.submits(says("w", 4, "t", "k"), withdraws("x", 1, "t", "k"))[1].Decision, &Decision{Epoch: 1, Offset: 6, Duplicate: true})
 		assert.Assert(t, !r.st.Covers(log.Entry{Topic: "t", Key: "k", Offset: 7}))
 		r.turns(says("v", 1, "t", ""), apierror.CallAltered)
-		for _, q := range []*Task{withdraws("v", 9, "t", ""), says("v", 9, "t", "a\x1fb"), says("v", 9, "t", strings.Repeat("k", 129)), {Visitor: "v", Call: 9, Topic: "t", Of: "w", Upto: 1}, {Visitor: "v", Call: 9, Topic: "t", Key: "k", Withdraw: true, Of: "w"}, {Visitor: "v", Call: 9, Topic: "t", Key: "k", Withdraw: true, Body: []byte("b")}} {
+		for _, q := range []*Message{withdraws("v", 9, "t", ""), says("v", 9, "t", "a\x1fb"), says("v", 9, "t", strings.Repeat("k", 129)), {Client: "v", CallSeq: 9, Topic: "t", WithdrawSender: "w", WithdrawUpTo: 1}, {Client: "v", CallSeq: 9, Topic: "t", Key: "k", Withdraw: true, WithdrawSender: "w"}, {Client: "v", CallSeq: 9, Topic: "t", Key: "k", Withdraw: true, Body: []byte("b")}} {
 			r.turns(q, apierror.Malformed)
 		}
 		r.takes(says("v", 9, "t", strings.Repeat("k", 128)))
-		assert.Equal(t, r.View().Marks, 1)
-		assert.Equal(t, r.View().Tally.Withdrawals, uint64(4))
+		assert.Equal(t, r.View().Tombstones, 1)
+		assert.Equal(t, r.View().Counters.Withdrawals, uint64(4))
 	})
 }
 
@@ -423,10 +425,10 @@
 func TestAlreadyRestsOnTheMark(t *testing.T) {
 	owning(t, 1, func(t *testing.T, r *rig) {
 		r.takes(says("v", 1, "t", "k"))
-		c := make(chan []Verdict, 2)
-		go func() { c <- r.SubmitMany(t.Context(), []*Task{withdraws("v", 2, "t", "k")}) }()
+		c := make(chan []Outcome, 2)
+		go func() { c <- r.SubmitMany(t.Context(), []*Message{withdraws("v", 2, "t", "k")}) }()
 		synctest.Wait()
-		go func() { c <- r.SubmitMany(t.Context(), []*Task{withdraws("w", 1, "t", "k")}) }()
+		go func() { c <- r.SubmitMany(t.Context(), []*Message{withdraws("w", 1, "t", "k")}) }()
 		synctest.Wait()
 		assert.Equal(t, len(c), 0)
 		r.lands()
@@ -437,8 +439,8 @@
 	owning(t, 3, func(t *testing.T, r *rig) {
 		r.submitsTo(says("v", 1, "t", "k"))
 		r.st.Apply(log.Entry{Type: log.TypeWithdrawal, Offset: 1, Topic: "t", Client: "v", CallSeq: 2, Key: "l"})
-		v := r.SubmitMany(t.Context(), []*Task{withdraws("w", 1, "t", "m")})
-		assert.Equal(t, v[0].Problem.Code, apierror.NotPartitionLeader)
+		v := r.SubmitMany(t.Context(), []*Message{withdraws("w", 1, "t", "m")})
+		assert.Equal(t, v[0].Err.Code, apierror.NotPartitionLeader)
 	})
 }
 
@@ -446,20 +448,20 @@
 func TestNamedSenderIsPassed(t *testing.T) {
 	owning(t, 1, func(t *testing.T, r *rig) {
 		w := withdraws("w", 1, "t", "k")
-		w.Of, w.Upto = "v", 5
+		w.WithdrawSender, w.WithdrawUpTo = "v", 5
 		vs := r.submits(says("v", 2, "t", "k"), w, says("v", 4, "t", "k"), says("v", 2, "t", "k"), says("v", 6, "t", "k"), says("v", 5, "u", "k"))
-		assert.Equal(t, vs[2].Problem.Code, apierror.CallPassed)
-		assert.Assert(t, vs[3].Decision.Repeat)
-		assert.Assert(t, vs[4].Problem == nil && vs[5].Problem == nil)
+		assert.Equal(t, vs[2].Err.Code, apierror.CallPassed)
+		assert.Assert(t, vs[3].Decision.Duplicate)
+		assert.Assert(t, vs[4].Err == nil && vs[5].Err == nil)
 		r.turns(says("v", 5, "t", "k"), apierror.CallPassed)
 		r.takes(says("v", 7, "t", "k"))
-		assert.Assert(t, r.submits(w)[0].Decision.Repeat)
+		assert.Assert(t, r.submits(w)[0].Decision.Duplicate)
 	})
 	owning(t, 1, func(t *testing.T, r *rig) {
 		r.judge(says("v", 2, "t", "k"))
 		r.lands()
 		w := withdraws("w", 1, "t", "nothing of it came yet")
-		w.Of, w.Upto = "v", 5
+		w.WithdrawSender, w.WithdrawUpTo = "v", 5
 		r.judge(says("v", 3, "t", "k"))
 		r.judge(w)
 		at := r.tracks[log.KindLedger]
@@ -472,9 +474,9 @@
 		assert.Equal(t, len(r.keyed), 0)
 		assert.Assert(t, apierror.HasCode(r.judge(says("v", 4, "t", "k")).err, apierror.CallPassed))
 		again := withdraws("w", 2, "t", w.Key)
-		again.Of, again.Upto = "v", 4
+		again.WithdrawSender, again.WithdrawUpTo = "v", 4
 		assert.Assert(t, r.judge(again).already)
-		again.Call, again.Upto = 3, 6
+		again.CallSeq, again.WithdrawUpTo = 3, 6
 		assert.Assert(t, !r.judge(again).already, "a higher number is not passed by the mark that stands")
 	})
 }
@@ -482,11 +484,11 @@
 // Marks are bounded, and their bound is no bound to withdrawing a key again.
 func TestMarksAreBounded(t *testing.T) {
 	owning(t, 1, func(t *testing.T, r *rig) {
-		r.d.Marks = func() int { return 2 }
+		r.d.MaxTombstones = func() int { return 2 }
 		r.takes(says("v", 1, "t", "a"), says("v", 2, "t", "b"), says("v", 3, "t", "c"))
 		vs := r.submits(withdraws("v", 4, "t", "a"), withdraws("v", 5, "t", "b"), withdraws("v", 6, "t", "c"), says("v", 7, "t", "c"))
-		assert.Equal(t, vs[2].Problem.Code, apierror.Overloaded)
-		assert.Assert(t, vs[3].Problem == nil, "messages go on")
+		assert.Equal(t, vs[2].Err.Code, apierror.Overloaded)
+		assert.Assert(t, vs[3].Err == nil, "messages go on")
 		r.turns(withdraws("v", 8, "t", "c"), apierror.Overloaded)
 		assert.DeepEqual(t, r.said, []string{"full"})
 		r.takes(says("v", 8, "t", "a"))
@@ -507,14 +509,14 @@
 		u, err := r.forgotten(at)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, u.Nodes, []string{"a1", "a2"})
-		assert.Equal(t, time.Since(begun), r.d.Bounds.LongPoll())
+		assert.Equal(t, time.Since(begun), r.d.Timing.LongPoll())
 		r.polls("a1", "b", at-1)
 		r.polls("a2", "b", at)
 		r.polls("a1", "c", at)
 		u, err = r.forgotten(at)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, u.Nodes, []string{"a1"})
-		yes := make(chan *Unheard, 1)
+		yes := make(chan *PendingReaders, 1)
 		go func() {
 			u, _ := r.forgotten(at)
 			yes <- u
@@ -523,7 +525,7 @@
 		begun = time.Now()
 		assert.Equal(t, r.takes(says("v", 3, "t", "k")), at+1, "nothing is held up meanwhile")
 		r.polls("a1", "b", at)
-		assert.DeepEqual(t, <-yes, &Unheard{})
+		assert.DeepEqual(t, <-yes, &PendingReaders{})
 		assert.Equal(t, time.Since(begun), time.Duration(0))
 	})
 }
@@ -540,8 +542,8 @@
 		assert.Assert(t, apierror.HasCode(err, apierror.NotReady), "%v", err)
 		u, err := r.forgotten(0)
 		assert.NilError(t, err)
-		assert.DeepEqual(t, u, &Unheard{})
-		assert.Equal(t, r.tally.Rounds, uint64(1))
+		assert.DeepEqual(t, u, &PendingReaders{})
+		assert.Equal(t, r.tally.QuorumChecks, uint64(1))
 	})
 }
 
@@ -567,14 +569,14 @@
 		r.becomes("a1", "b", 0)
 		at := r.takes(withdraws("v", 2, "t", "k"))
 		r.takes(says("v", 3, "t", ""))
-		assert.DeepEqual(t, r.View().MarksView, MarksView{Marks: 1, Oldest: 1, Readers: []ReaderView{{Node: "a1"}}})
+		assert.DeepEqual(t, r.View().TombstoneView, TombstoneView{Tombstones: 1, OldestAge: 1, Readers: []ReaderView{{Node: "a1"}}})
 		r.trims(at)
 		assert.Equal(t, len(r.st.Tombstones), 1, "a reader may still hold it")
 		r.polls("a1", "b", at)
 		assert.DeepEqual(t, r.View().Readers, []ReaderView{{Node: "a1", Read: at}})
 		r.locked(r.release)
 		assert.Equal(t, len(r.st.Tombstones), 0)
-		assert.Equal(t, r.tally.Unmarked, uint64(1))
+		assert.Equal(t, r.tally.TombstonesDropped, uint64(1))
 		r.turns(withdraws("v", 4, "t", "k"), apierror.KeyUnknown)
 	})
 	owning(t, 1, func(t *testing.T, r *rig) {
@@ -613,20 +615,20 @@
 		tends(8 * time.Second)
 		assert.Assert(t, r.st.Readers["a1"].GivenUp)
 		assert.DeepEqual(t, r.said, []string{"a1 b", "a1 b given up"})
-		assert.Equal(t, r.tally.GivenUp, uint64(1))
+		assert.Equal(t, r.tally.ReadersGivenUp, uint64(1))
 		u, err := r.forgotten(at)
 		assert.NilError(t, err)
-		assert.DeepEqual(t, u, &Unheard{GivenUp: []string{"a1"}})
+		assert.DeepEqual(t, u, &PendingReaders{GivenUp: []string{"a1"}})
 
 		p := <-r.polls("a1", "b", 0)
-		assert.Assert(t, p.a.Clean && p.a.Lost && len(p.a.Entries) == 0)
-		a, err := r.Follow(t.Context(), &Want{Node: "a1", Boot: "b", Sequence: 7, Full: true, Marks: true, Topics: map[string]int{"t": 1}})
+		assert.Assert(t, p.a.MustReset && p.a.UnknownFollower && len(p.a.Entries) == 0)
+		a, err := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "b", Sequence: 7, Full: true, TracksTombstones: true, Topics: map[string]int{"t": 1}})
 		assert.NilError(t, err)
-		assert.Assert(t, a.Clean && a.Lost)
+		assert.Assert(t, a.MustReset && a.UnknownFollower)
 		r.follows("a1", "b+1", "t")
 		r.lands()
 		assert.DeepEqual(t, r.st.Readers["a1"].BootID, "b+1")
-		assert.Assert(t, !(<-r.polls("a1", "b+1", 0)).a.Clean)
+		assert.Assert(t, !(<-r.polls("a1", "b+1", 0)).a.MustReset)
 	})
 	owning(t, 1, func(t *testing.T, r *rig) {
 		r.takes(says("v", 1, "t", "k"))
@@ -635,9 +637,9 @@
 		r.takes(withdraws("v", 2, "t", "k"))
 		r.locked(func() { r.enter("a1", state.ReaderEntry{BootID: "b", GivenUp: true}) })
 		r.lands()
-		a, err := r.Follow(t.Context(), &Want{Node: "a1", Boot: "b", Before: 1, Sequence: 2, Marks: true, Done: true})
+		a, err := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "b", BaseSequence: 1, Sequence: 2, TracksTombstones: true, Finished: true})
 		assert.NilError(t, err)
-		assert.Assert(t, !a.Clean)
+		assert.Assert(t, !a.MustReset)
 		r.lands()
 		assert.Equal(t, len(r.st.Readers), 0, "one that let go of all is none")
 	})
@@ -650,17 +652,17 @@
 		r.follows("a1", "b", "t")
 		r.becomes("a1", "b", 0)
 		late := r.polls("a1", "b", 3)
-		a, err := r.Follow(t.Context(), &Want{Node: "a1", Boot: "b", Before: 1, Sequence: 2, Marks: true, Done: true})
+		a, err := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "b", BaseSequence: 1, Sequence: 2, TracksTombstones: true, Finished: true})
 		assert.NilError(t, err)
-		assert.Assert(t, !a.Lost)
+		assert.Assert(t, !a.UnknownFollower)
 		assert.Equal(t, len(r.st.Readers), 1, "not on a majority yet")
-		again := &Want{Node: "a1", Boot: "b", Before: 2, Sequence: 3, Marks: true, Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 0}, Turn: r.told("a1", "b")}
+		again := &FollowRequest{Node: "a1", BootID: "b", BaseSequence: 2, Sequence: 3, TracksTombstones: true, Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 0}, ReaderToken: r.told("a1", "b")}
 		a, err = r.Follow(t.Context(), again)
 		assert.NilError(t, err)
-		assert.Assert(t, a.Lost, "a run that is done goes on under another boot")
-		c := make(chan *Told, 1)
+		assert.Assert(t, a.UnknownFollower, "a run that is done goes on under another boot")
+		c := make(chan *FollowResponse, 1)
 		go func() {
-			a, _ := r.Follow(t.Context(), &Want{Node: "a1", Boot: "c", Sequence: 1, Full: true, Marks: true, Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 0}, Turn: r.told("a1", "c")})
+			a, _ := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "c", Sequence: 1, Full: true, TracksTombstones: true, Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 0}, ReaderToken: r.told("a1", "c")})
 			c <- a
 		}()
 		synctest.Wait()
@@ -668,17 +670,17 @@
 		r.takes(says("v", 2, "t", "k"))
 		r.lands()
 		r.lands()
-		assert.DeepEqual(t, offsets((<-c).Back), []uint64{1, 4})
+		assert.DeepEqual(t, offsets((<-c).Backlog), []uint64{1, 4})
 		assert.Equal(t, r.st.Readers["a1"].Offset, uint64(5))
 		p := <-late
-		assert.Assert(t, p.a.Lost, "a poll of before its end is none")
-		_, err = r.Follow(t.Context(), &Want{Node: "a1", Boot: "c", Sequence: 4, Full: true, Done: true})
+		assert.Assert(t, p.a.UnknownFollower, "a poll of before its end is none")
+		_, err = r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "c", Sequence: 4, Full: true, Finished: true})
 		assert.NilError(t, err)
 		r.lands()
 		assert.Equal(t, len(r.st.Readers), 0)
-		a, err = r.Follow(t.Context(), &Want{Node: "a1", Boot: "c", Sequence: 2, Full: true, Marks: true, Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 0}, Turn: r.told("a1", "c")})
+		a, err = r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "c", Sequence: 2, Full: true, TracksTombstones: true, Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 0}, ReaderToken: r.told("a1", "c")})
 		assert.NilError(t, err)
-		assert.Assert(t, a.Lost, "a question of before its end is none")
+		assert.Assert(t, a.UnknownFollower, "a question of before its end is none")
 	})
 }
 
@@ -694,7 +696,7 @@
 		r.locked(func() { r.enter("a2/streams", state.ReaderEntry{BootID: "b.1", GivenUp: true}) })
 		r.lands()
 		tend := func() {
-			time.Sleep(r.d.Bounds.SessionTimeout() + time.Second)
+			time.Sleep(r.d.Timing.SessionTimeout() + time.Second)
 			r.locked(r.abandon)
 			synctest.Wait()
 			r.lands()
@@ -710,7 +712,7 @@
 		assert.Equal(t, len(r.st.Readers), 0)
 		u, err := r.forgotten(at)
 		assert.NilError(t, err)
-		assert.DeepEqual(t, u, &Unheard{})
+		assert.DeepEqual(t, u, &PendingReaders{})
 	})
 }
 
@@ -731,10 +733,10 @@
 		cl.line.Append(time.Now(), cl.pending...)
 		cl.pending, cl.durable, cl.commit = nil, cl.last.Offset, cl.last.Offset
 
-		n := New(r.d, r.Rec, false)
+		n := New(r.d, r.Record, false)
 		n.tracks, n.ctx = r.tracks, t.Context()
 		assert.NilError(t, n.recover())
-		n.stage, r.Owner = Open, n
+		n.stage, r.Leader = StageOpen, n
 		assert.Equal(t, len(n.st.Tombstones), 1)
 		assert.DeepEqual(t, n.st.Readers, map[string]state.Reader{"a1": {BootID: "b", Offset: 3}})
 		u, err := r.forgotten(at)
@@ -747,8 +749,8 @@
 		r.polls("a1", "b", at)
 		u, err = r.forgotten(at)
 		assert.NilError(t, err)
-		assert.DeepEqual(t, u, &Unheard{})
-		assert.Assert(t, r.submits(withdraws("v", 3, "t", "k"))[0].Decision.Repeat)
+		assert.DeepEqual(t, u, &PendingReaders{})
+		assert.Assert(t, r.submits(withdraws("v", 3, "t", "k"))[0].Decision.Duplicate)
 		r.turns(says("v", 1, "t", ""), apierror.CallAltered)
 		r.takes(withdraws("v", 5, "t", "l"))
 	})
@@ -774,7 +776,7 @@
 func TestTurnsOfEpochs(t *testing.T) {
 	owning(t, 1, func(t *testing.T, r *rig) {
 		one := r.told("a1", "b")
-		r.locked(func() { r.Owner.turns, r.turn, r.Rec.Epoch = map[string]turn{}, 0, r.Rec.Epoch+1 })
+		r.locked(func() { r.Leader.turns, r.turn, r.Record.Epoch = map[string]turn{}, 0, r.Record.Epoch+1 })
 		r.locked(func() {
 			_, ok := r.turned("a1", "b", one)
 			assert.Assert(t, !ok)
--- a/internal/partitionlog/leader/owner.go
+++ b/internal/partitionlog/leader/owner.go
@@ -17,55 +17,55 @@
 	"postjunction/internal/wire"
 )
 
-// Log hears what owners go through.
-type Log interface {
-	Disk(partition int, err error)
-	Lost(partition int, epoch uint64, err error)
-	Open(partition int, epoch uint64, how Recovery)
-	Trouble(partition int, epoch uint64, step string, err error)
-	Reader(partition int, epoch uint64, node, boot string, givenUp bool)
-	MarksFull(partition int, epoch uint64, marks int)
+// Observer hears what owners go through.
+type Observer interface {
+	DiskFailed(partition int, err error)
+	LeadershipLost(partition int, epoch uint64, err error)
+	Opened(partition int, epoch uint64, how Recovery)
+	StepFailed(partition int, epoch uint64, step string, err error)
+	ReaderChanged(partition int, epoch uint64, node, boot string, givenUp bool)
+	TombstonesFull(partition int, epoch uint64, marks int)
 }
 
-// Deps are what an owner works with.
-type Deps struct {
-	Self    string
-	Net     wire.Network
-	Clock   clock.Clock
-	Bounds  settings.Timing
-	Batch   func() time.Duration
-	Backlog func() int
-	Replica *replica.Replica
-	// Still confirms lines that have nothing new; without it, each is confirmed by an append without entries.
-	Still *idle.Confirmer
-	Addr  func(node string) (string, bool)
-	// Longest is how long spaces ask to keep for, as far as this node knows.
-	Longest  func() time.Duration
-	Licensed func() error
-	// Marks is how many withdrawals of a partition may stand, and Stretch what a node's lease may last longer.
-	Marks   func() int
-	Stretch time.Duration
-	Settled func(ctx context.Context, r assignment.Record)
-	Promote func(ctx context.Context, r assignment.Record, l assignment.Replica)
-	Log     Log
-	Witness Witness
+// Options are what an owner works with.
+type Options struct {
+	Self              string
+	Net               wire.Network
+	Clock             clock.Clock
+	Timing            settings.Timing
+	ChangelogInterval func() time.Duration
+	Backlog           func() int
+	Replica           *replica.Replica
+	// Idle confirms lines that have nothing new; without it, each is confirmed by an append without entries.
+	Idle *idle.Confirmer
+	Addr func(node string) (string, bool)
+	// LongestRetention is how long spaces ask to keep for, as far as this node knows.
+	LongestRetention func() time.Duration
+	CheckLease       func() error
+	// MaxTombstones is how many withdrawals of a partition may stand, and Stretch what a node's lease may last longer.
+	MaxTombstones  func() int
+	LeaseExtension time.Duration
+	OnRecovered    func(ctx context.Context, r assignment.Record)
+	OnPromote      func(ctx context.Context, r assignment.Record, l assignment.Replica)
+	Observer       Observer
+	OnDecision     DecisionObserver
 }
 
-// Witness hears every verdict that an owner tells: what it was, and when its task was taken up. Only proof uses it.
-type Witness func(partition int, epoch uint64, what string, begun time.Time)
+// DecisionObserver hears every verdict that an owner tells: what it was, and when its task was taken up. Only proof uses it.
+type DecisionObserver func(partition int, epoch uint64, what string, begun time.Time)
 
-func (o *Owner) say(what string, begun time.Time) {
-	if o.d.Witness != nil {
-		o.d.Witness(o.Rec.Partition, o.Rec.Epoch, what, begun)
+func (o *Leader) say(what string, begun time.Time) {
+	if o.d.OnDecision != nil {
+		o.d.OnDecision(o.Record.Partition, o.Record.Epoch, what, begun)
 	}
 }
 
 // Stages of an owner.
 const (
-	Taking  = "taking over"
-	Open    = "open"
-	Closing = "closing"
-	Lost    = "lost"
+	StageRecovering = "taking over"
+	StageOpen       = "open"
+	StageClosing    = "closing"
+	StageLost       = "lost"
 )
 
 // Recovery says how the state was brought back.
@@ -76,32 +76,32 @@
 	Fetched     int           `json:"fetched"`
 	Reprocessed int           `json:"reprocessed"`
 	Keys        int           `json:"keys"`
-	Took        time.Duration `json:"took"`
+	Duration    time.Duration `json:"took"`
 }
 
-// Tally counts an owner's work.
-type Tally struct {
-	Taken       uint64 `json:"Taken"`
+// Counters counts an owner's work.
+type Counters struct {
+	Accepted    uint64 `json:"Taken"`
 	Bytes       uint64 `json:"Bytes"`
-	Repeats     uint64 `json:"Repeats"`
+	Duplicates  uint64 `json:"Repeats"`
 	Batches     uint64 `json:"Batches"`
 	Items       uint64 `json:"Items"`
 	Compactions uint64 `json:"Compactions"`
-	// Rounds counts the questions to a majority whether this epoch still stands.
-	Rounds uint64 `json:"Rounds"`
+	// QuorumChecks counts the questions to a majority whether this epoch still stands.
+	QuorumChecks uint64 `json:"Rounds"`
 	// Forgotten counts the answers to calls that were let go once the ledger no longer held their messages.
 	Forgotten uint64 `json:"Forgotten"`
 	// Withdrawals counts those taken, Unmarked the marks let go, GivenUp the readers given up.
-	Withdrawals uint64 `json:"Withdrawals"`
-	Unmarked    uint64 `json:"Unmarked"`
-	GivenUp     uint64 `json:"GivenUp"`
+	Withdrawals       uint64 `json:"Withdrawals"`
+	TombstonesDropped uint64 `json:"Unmarked"`
+	ReadersGivenUp    uint64 `json:"GivenUp"`
 }
 
-// Owner decides for one partition until it is lost.
-type Owner struct {
-	Rec    assignment.Record
+// Leader decides for one partition until it is lost.
+type Leader struct {
+	Record assignment.Record
 	Urgent bool
-	d      Deps
+	d      Options
 	mu     sync.Mutex
 	stage  string
 	tracks map[log.Kind]*track
@@ -112,7 +112,7 @@
 	input  uint64
 	pruned uint64
 	how    Recovery
-	tally  Tally
+	tally  Counters
 	stop   context.CancelFunc
 	lost   chan struct{}
 	cause  error
@@ -134,24 +134,24 @@
 }
 
 // New makes an owner for a record that names this node.
-func New(d Deps, r assignment.Record, urgent bool) *Owner {
-	return &Owner{
-		Rec: r, Urgent: urgent, d: d, stage: Taking, tracks: map[log.Kind]*track{}, bases: map[log.Kind]log.Position{},
+func New(d Options, r assignment.Record, urgent bool) *Leader {
+	return &Leader{
+		Record: r, Urgent: urgent, d: d, stage: StageRecovering, tracks: map[log.Kind]*track{}, bases: map[log.Kind]log.Position{},
 		trims: map[log.Kind]chan struct{}{log.KindLedger: make(chan struct{}, 1), log.KindChangelog: make(chan struct{}, 1)},
 		front: map[string]*front{}, lost: make(chan struct{}), flush: make(chan chan struct{}),
 		keyed: map[string]flying{}, entered: map[string]entered{}, heard: map[string]heard{}, turns: map[string]turn{},
 	}
 }
 
-// Work gives the messages and bytes of bodies taken so far.
-func (o *Owner) Work() (messages, bytes uint64) {
+// AcceptedTotals gives the messages and bytes of bodies taken so far.
+func (o *Leader) AcceptedTotals() (messages, bytes uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.tally.Taken, o.tally.Bytes
+	return o.tally.Accepted, o.tally.Bytes
 }
 
 // Stage tells how far the owner is.
-func (o *Owner) Stage() string {
+func (o *Leader) Stage() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.stage
@@ -169,56 +169,56 @@
 	Ledger    int      `json:"ledger_entries"`
 	Keys      int      `json:"state_keys"`
 	Recovery  Recovery `json:"recovery"`
-	Tally     Tally    `json:"tally"`
-	MarksView
+	Counters  Counters `json:"tally"`
+	TombstoneView
 }
 
 // View gives the owner's figures.
-func (o *Owner) View() View {
+func (o *Leader) View() View {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	v := View{Partition: o.Rec.Partition, Epoch: o.Rec.Epoch, Stage: o.stage, Input: o.input, Recovery: o.how, Tally: o.tally}
+	v := View{Partition: o.Record.Partition, Epoch: o.Record.Epoch, Stage: o.stage, Input: o.input, Recovery: o.how, Counters: o.tally}
 	if t := o.tracks[log.KindLedger]; t != nil {
 		v.Commit, v.Last, v.Ledger = t.commit, t.last.Offset, t.line.Len()
 		v.Changelog = o.tracks[log.KindChangelog].line.Len()
 	}
 	if o.st != nil {
 		v.Keys = o.st.Size()
-		v.MarksView = o.marksView(v.Commit)
+		v.TombstoneView = o.marksView(v.Commit)
 	}
 	return v
 }
 
-func (o *Owner) target(node string) replica.Target {
-	p, _ := o.Rec.Replica(node)
-	return replica.Target{Partition: o.Rec.Partition, Incarnation: p.Incarnation, Epoch: o.Rec.Epoch}
+func (o *Leader) target(node string) replica.Target {
+	p, _ := o.Record.Replica(node)
+	return replica.Target{Partition: o.Record.Partition, Incarnation: p.Incarnation, Epoch: o.Record.Epoch}
 }
 
-func (o *Owner) fenced(err error) bool { return apierror.HasCode(err, apierror.StaleEpoch) }
+func (o *Leader) fenced(err error) bool { return apierror.HasCode(err, apierror.StaleEpoch) }
 
-func (o *Owner) lose(err error) {
+func (o *Leader) lose(err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.stage == Lost {
+	if o.stage == StageLost {
 		return
 	}
-	o.stage, o.cause = Lost, err
+	o.stage, o.cause = StageLost, err
 	close(o.lost)
 	if o.stop != nil {
 		o.stop()
 	}
-	o.d.Log.Lost(o.Rec.Partition, o.Rec.Epoch, err)
+	o.d.Observer.LeadershipLost(o.Record.Partition, o.Record.Epoch, err)
 }
 
-// End gives the partition up; those that wait get their answer at once.
-func (o *Owner) End(err error) { o.lose(err) }
+// Resign gives the partition up; those that wait get their answer at once.
+func (o *Leader) Resign(err error) { o.lose(err) }
 
 // Done is closed once the owner is lost.
-func (o *Owner) Done() <-chan struct{} { return o.lost }
+func (o *Leader) Done() <-chan struct{} { return o.lost }
 
-func (o *Owner) trimmed(k log.Kind) <-chan struct{} { return o.trims[k] }
+func (o *Leader) trimmed(k log.Kind) <-chan struct{} { return o.trims[k] }
 
-func (o *Owner) trim(k log.Kind, to uint64) {
+func (o *Leader) trim(k log.Kind, to uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t := o.tracks[k]
@@ -234,15 +234,15 @@
 	}
 }
 
-func (o *Owner) settle(t *track) {
+func (o *Leader) settle(t *track) {
 	from := t.commit
-	if !t.settle(o.Rec, o.d.Self) || t.kind != log.KindLedger || o.st == nil {
+	if !t.settle(o.Record, o.d.Self) || t.kind != log.KindLedger || o.st == nil {
 		return
 	}
 	o.apply(t, from, t.commit)
 }
 
-func (o *Owner) apply(t *track, from, to uint64) {
+func (o *Leader) apply(t *track, from, to uint64) {
 	for at := from; at < to; {
 		es := t.after(at)
 		if len(es) == 0 {
@@ -260,11 +260,11 @@
 }
 
 // Run takes the partition over and serves it until ctx ends or it is lost.
-func (o *Owner) Run(ctx context.Context) {
+func (o *Leader) Run(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	o.mu.Lock()
 	o.stop, o.ctx = stop, ctx
-	gone := o.stage == Lost
+	gone := o.stage == StageLost
 	o.mu.Unlock()
 	defer stop()
 	if gone {
@@ -278,7 +278,7 @@
 	o.lose(apierror.New(apierror.Stopped, "the owner was stopped"))
 }
 
-func (o *Owner) await(ctx context.Context, k log.Kind, at uint64) error {
+func (o *Leader) await(ctx context.Context, k log.Kind, at uint64) error {
 	for {
 		o.mu.Lock()
 		t := o.tracks[k]
@@ -290,22 +290,22 @@
 		select {
 		case <-moved:
 		case <-o.lost:
-			return apierror.New(apierror.OutcomeUnknown, "the owner of partition %d lost it before offset %d was on a majority", o.Rec.Partition, at)
+			return apierror.New(apierror.OutcomeUnknown, "the owner of partition %d lost it before offset %d was on a majority", o.Record.Partition, at)
 		case <-ctx.Done():
-			return apierror.New(apierror.OutcomeUnknown, "offset %d of partition %d was not on a majority in time", at, o.Rec.Partition)
+			return apierror.New(apierror.OutcomeUnknown, "offset %d of partition %d was not on a majority in time", at, o.Record.Partition)
 		}
 	}
 }
 
-func (o *Owner) push(k log.Kind, es ...log.Entry) (uint64, error) {
+func (o *Leader) push(k log.Kind, es ...log.Entry) (uint64, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.stage == Lost {
-		return 0, apierror.New(apierror.NotPartitionLeader, "partition %d was lost: %v", o.Rec.Partition, o.cause)
+	if o.stage == StageLost {
+		return 0, apierror.New(apierror.NotPartitionLeader, "partition %d was lost: %v", o.Record.Partition, o.cause)
 	}
 	var at uint64
 	for _, e := range es {
-		at = o.tracks[k].push(e, o.Rec.Epoch).Offset
+		at = o.tracks[k].push(e, o.Record.Epoch).Offset
 	}
 	return at, nil
 }
--- a/internal/partitionlog/leader/packed.go
+++ b/internal/partitionlog/leader/packed.go
@@ -10,8 +10,8 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-// Packed holds the bodies of an answer's entries in one deflated piece, in their order; the entries are without theirs then.
-type Packed struct {
+// CompressedBodies holds the bodies of an answer's entries in one deflated piece, in their order; the entries are without theirs then.
+type CompressedBodies struct {
 	Sizes []int  `json:"s"`
 	Bytes []byte `json:"b"`
 }
@@ -29,7 +29,7 @@
 }}
 
 // pack takes the bodies out of entries, nil where that is worth nothing. Entries are the caller's own; what their bodies point to is left alone.
-func pack(es []log.Entry) *Packed {
+func pack(es []log.Entry) *CompressedBodies {
 	n := 0
 	for _, e := range es {
 		n += len(e.Body)
@@ -41,7 +41,7 @@
 	w := packers.Get().(*flate.Writer)
 	defer packers.Put(w)
 	w.Reset(&b)
-	p := &Packed{Sizes: make([]int, len(es))}
+	p := &CompressedBodies{Sizes: make([]int, len(es))}
 	for i, e := range es {
 		p.Sizes[i] = len(e.Body)
 		_, _ = w.Write(e.Body)
@@ -58,7 +58,7 @@
 }
 
 // unpack gives entries their bodies back.
-func (p *Packed) unpack(es []log.Entry) error {
+func (p *CompressedBodies) unpack(es []log.Entry) error {
 	if p == nil {
 		return nil
 	}
@@ -86,14 +86,14 @@
 	return nil
 }
 
-// Pack packs the bodies of an answer.
-func (t *Told) Pack() { t.Packed = pack(t.Back) }
+// Compress packs the bodies of an answer.
+func (t *FollowResponse) Compress() { t.Compressed = pack(t.Backlog) }
 
-// Unpack gives the bodies of an answer back.
-func (t *Told) Unpack() error { return t.Packed.unpack(t.Back) }
+// Decompress gives the bodies of an answer back.
+func (t *FollowResponse) Decompress() error { return t.Compressed.unpack(t.Backlog) }
 
-// Pack packs the bodies of an answer.
-func (p *Polled) Pack() { p.Packed = pack(p.Entries) }
+// Compress packs the bodies of an answer.
+func (p *PollResponse) Compress() { p.Compressed = pack(p.Entries) }
 
-// Unpack gives the bodies of an answer back.
-func (p *Polled) Unpack() error { return p.Packed.unpack(p.Entries) }
+// Decompress gives the bodies of an answer back.
+func (p *PollResponse) Decompress() error { return p.Compressed.unpack(p.Entries) }
--- a/internal/partitionlog/leader/read.go
+++ b/internal/partitionlog/leader/read.go
@@ -14,26 +14,26 @@
 // it reads Beside. Done says that the reader under this boot holds nothing any more and reads no further. Turn is what an earlier answer gave: nobody
 // becomes a reader without it, as a task may come late from a run that is over.
 type ReadRequest struct {
-	Partition int           `json:"p"`
-	From      uint64        `json:"f"`
-	Hold      time.Duration `json:"h"`
-	Node      string        `json:"n,omitempty"`
-	Boot      string        `json:"b,omitempty"`
-	Marks     bool          `json:"m,omitempty"`
-	Beside    bool          `json:"s,omitempty"`
-	Done      bool          `json:"d,omitempty"`
-	Turn      uint64        `json:"u,omitempty"`
+	Partition        int           `json:"p"`
+	From             uint64        `json:"f"`
+	Hold             time.Duration `json:"h"`
+	Node             string        `json:"n,omitempty"`
+	BootID           string        `json:"b,omitempty"`
+	TracksTombstones bool          `json:"m,omitempty"`
+	Beside           bool          `json:"s,omitempty"`
+	Finished         bool          `json:"d,omitempty"`
+	ReaderToken      uint64        `json:"u,omitempty"`
 }
 
-// Reading is a part of the committed ledger: entries after From, up to To. What was withdrawn is left out of its entry, and so is what stands under
+// ReadResponse is a part of the committed ledger: entries after From, up to To. What was withdrawn is left out of its entry, and so is what stands under
 // a key where the task has no Marks. Clean is that of Told.
-type Reading struct {
-	Base    uint64      `json:"base"`
-	To      uint64      `json:"to"`
-	Epoch   uint64      `json:"epoch"`
-	Clean   bool        `json:"c,omitempty"`
-	Turn    uint64      `json:"u,omitempty"`
-	Entries []log.Entry `json:"n,omitempty"`
+type ReadResponse struct {
+	Base        uint64      `json:"base"`
+	To          uint64      `json:"to"`
+	Epoch       uint64      `json:"epoch"`
+	MustReset   bool        `json:"c,omitempty"`
+	ReaderToken uint64      `json:"u,omitempty"`
+	Entries     []log.Entry `json:"n,omitempty"`
 }
 
 const (
@@ -52,10 +52,10 @@
 const turnsOf = 1 << 20
 
 // turned gives the number that a run has to tell and whether it did: then it was there after all other runs of the node that were heard here.
-func (o *Owner) turned(node, boot string, told uint64) (uint64, bool) {
+func (o *Leader) turned(node, boot string, told uint64) (uint64, bool) {
 	t := o.turns[node]
 	if t.boot != boot {
-		o.turn = max(o.turn, o.Rec.Epoch*turnsOf) + 1
+		o.turn = max(o.turn, o.Record.Epoch*turnsOf) + 1
 		t = turn{boot: boot, n: o.turn}
 		o.turns[node] = t
 	}
@@ -63,8 +63,8 @@
 }
 
 // Read answers a ReadRequest.
-func (o *Owner) Read(ctx context.Context, q *ReadRequest) (*Reading, error) {
-	if q.Done {
+func (o *Leader) Read(ctx context.Context, q *ReadRequest) (*ReadResponse, error) {
+	if q.Finished {
 		return o.readOver(ctx, q)
 	}
 	cx, stop := context.WithTimeout(ctx, q.Hold)
@@ -87,10 +87,10 @@
 		select {
 		case <-moved:
 		case <-o.lost:
-			return nil, apierror.New(apierror.NotPartitionLeader, "partition %d was lost", o.Rec.Partition)
+			return nil, apierror.New(apierror.NotPartitionLeader, "partition %d was lost", o.Record.Partition)
 		case <-cx.Done():
 			if ctx.Err() != nil {
-				return nil, apierror.WithCause(apierror.Unreachable, ctx.Err(), "reading partition %d", o.Rec.Partition)
+				return nil, apierror.WithCause(apierror.Unreachable, ctx.Err(), "reading partition %d", o.Record.Partition)
 			}
 			return r, nil
 		}
@@ -98,26 +98,26 @@
 }
 
 // reading gives the answer of now, and whether news are worth waiting for.
-func (o *Owner) reading(q *ReadRequest) (*Reading, bool) {
+func (o *Leader) reading(q *ReadRequest) (*ReadResponse, bool) {
 	t := o.tracks[log.KindLedger]
-	r := &Reading{Base: t.line.Base().Offset, To: t.commit, Epoch: o.Rec.Epoch}
+	r := &ReadResponse{Base: t.line.Base().Offset, To: t.commit, Epoch: o.Record.Epoch}
 	reads, turned := false, true
-	if q.Marks {
-		reads, r.Clean = o.reads(q.Node, q.Boot)
-		r.Turn, turned = o.turned(q.Node, q.Boot, q.Turn)
+	if q.TracksTombstones {
+		reads, r.MustReset = o.reads(q.Node, q.BootID)
+		r.ReaderToken, turned = o.turned(q.Node, q.BootID, q.ReaderToken)
 	}
-	if q.From == ^uint64(0) || r.Clean {
+	if q.From == ^uint64(0) || r.MustReset {
 		return r, false
 	}
 	r.To = max(q.From, r.Base)
 	if !turned {
 		return r, false
 	}
-	if q.Marks {
+	if q.TracksTombstones {
 		if !q.Beside {
-			o.hear(q.Node, q.Boot, q.From)
+			o.hear(q.Node, q.BootID, q.From)
 		}
-		o.meet(q.Node, q.Boot)
+		o.meet(q.Node, q.BootID)
 	}
 	es := t.line.Slice(q.From+1, t.commit, readMost, readBytes)
 	if len(es) == 0 {
@@ -128,10 +128,10 @@
 			break
 		}
 		if e.Key != "" && e.Type == log.TypeMessage && !e.BodyDropped {
-			if !q.Marks || o.st.Covers(e) {
+			if !q.TracksTombstones || o.st.Covers(e) {
 				e.Body, e.Digest, e.BodyDropped = nil, "", true
 			} else if !reads {
-				o.enlist(q.Node, q.Boot)
+				o.enlist(q.Node, q.BootID)
 				break
 			}
 		}
@@ -141,18 +141,18 @@
 }
 
 // readOver has a reader that holds nothing any more be gone, once that is on a majority.
-func (o *Owner) readOver(ctx context.Context, q *ReadRequest) (*Reading, error) {
+func (o *Leader) readOver(ctx context.Context, q *ReadRequest) (*ReadResponse, error) {
 	o.mu.Lock()
 	if err := o.following(); err != nil {
 		o.mu.Unlock()
 		return nil, err
 	}
-	o.dismiss(q.Node, q.Boot)
-	if r := o.st.Readers[q.Node]; r.GivenUp && r.BootID == q.Boot && o.entered[q.Node].at == 0 {
-		o.enter(q.Node, state.ReaderEntry{BootID: q.Boot, Gone: true})
+	o.dismiss(q.Node, q.BootID)
+	if r := o.st.Readers[q.Node]; r.GivenUp && r.BootID == q.BootID && o.entered[q.Node].at == 0 {
+		o.enter(q.Node, state.ReaderEntry{BootID: q.BootID, Gone: true})
 	}
 	at := o.entered[q.Node].at
-	r := &Reading{Base: o.tracks[log.KindLedger].line.Base().Offset, To: o.tracks[log.KindLedger].commit, Epoch: o.Rec.Epoch}
+	r := &ReadResponse{Base: o.tracks[log.KindLedger].line.Base().Offset, To: o.tracks[log.KindLedger].commit, Epoch: o.Record.Epoch}
 	o.mu.Unlock()
 	if err := o.await(ctx, log.KindLedger, at); err != nil {
 		return nil, err
--- a/internal/partitionlog/leader/read_test.go
+++ b/internal/partitionlog/leader/read_test.go
@@ -22,17 +22,17 @@
 	turn uint64
 }
 
-func (f *feed) asks(q ReadRequest) chan *Reading {
+func (f *feed) asks(q ReadRequest) chan *ReadResponse {
 	f.mu.Lock()
-	q.Node, q.Boot, q.Turn, q.Marks, q.Hold = "a1/streams", f.boot, f.turn, true, f.d.Bounds.LongPoll()
+	q.Node, q.BootID, q.ReaderToken, q.TracksTombstones, q.Hold = "a1/streams", f.boot, f.turn, true, f.d.Timing.LongPoll()
 	f.mu.Unlock()
-	c := make(chan *Reading, 1)
+	c := make(chan *ReadResponse, 1)
 	go func() {
-		r, err := f.Owner.Read(f.t.Context(), &q)
+		r, err := f.Leader.Read(f.t.Context(), &q)
 		assert.Check(f.t, err == nil || f.t.Context().Err() != nil, "%v", err)
-		if r != nil && r.Turn > 0 {
+		if r != nil && r.ReaderToken > 0 {
 			f.mu.Lock()
-			f.turn = r.Turn
+			f.turn = r.ReaderToken
 			f.mu.Unlock()
 		}
 		c <- r
@@ -57,7 +57,7 @@
 func (f *feed) opens() *feed {
 	f.t.Helper()
 	r := <-f.asks(ReadRequest{From: ^uint64(0)})
-	assert.Equal(f.t, r.Turn, f.turn)
+	assert.Equal(f.t, r.ReaderToken, f.turn)
 	assert.Assert(f.t, f.turn > 0)
 	return f
 }
@@ -90,7 +90,7 @@
 	},
 	"a node that does not mind withdrawals is given nothing with a key": func(t *testing.T, r *rig) {
 		r.takes(says("v", 1, "t", "k"), says("v", 2, "t", ""))
-		a, err := r.Owner.Read(t.Context(), &ReadRequest{})
+		a, err := r.Leader.Read(t.Context(), &ReadRequest{})
 		assert.NilError(t, err)
 		assert.Equal(t, shown(a.Entries), "1- 2b")
 		assert.Equal(t, len(r.st.Readers), 0)
@@ -144,7 +144,7 @@
 	"a reader that let go of all is gone once that is on a majority, and its late questions bring it not back": func(t *testing.T, r *rig) {
 		r.takes(says("v", 1, "t", "k"))
 		f := (&feed{rig: r, boot: "b.1"}).begins(0)
-		c := f.asks(ReadRequest{From: ^uint64(0), Done: true})
+		c := f.asks(ReadRequest{From: ^uint64(0), Finished: true})
 		assert.Equal(t, len(c), 0)
 		r.lands()
 		<-c
@@ -159,14 +159,14 @@
 	},
 	"one that was not noted as a reader is done as well": func(t *testing.T, r *rig) {
 		f := &feed{rig: r, boot: "b.1"}
-		<-f.asks(ReadRequest{From: ^uint64(0), Done: true})
+		<-f.asks(ReadRequest{From: ^uint64(0), Finished: true})
 		assert.Equal(t, r.tracks[log.KindLedger].last.Offset, uint64(0))
 	},
 	"a run that is done does not end the one after it": func(t *testing.T, r *rig) {
 		r.takes(says("v", 1, "t", "k"))
 		old := (&feed{rig: r, boot: "b.1"}).begins(0)
 		now := (&feed{rig: r, boot: "b.2"}).begins(0)
-		<-old.asks(ReadRequest{From: ^uint64(0), Done: true})
+		<-old.asks(ReadRequest{From: ^uint64(0), Finished: true})
 		r.lands()
 		assert.Equal(t, r.st.Readers["a1/streams"].BootID, "b.2")
 		assert.Assert(t, len((<-now.asks(ReadRequest{From: 0})).Entries) > 0)
@@ -185,11 +185,11 @@
 		assert.DeepEqual(t, u.GivenUp, []string{"a1/streams"})
 		for _, q := range []ReadRequest{{From: 0}, {From: at}, {From: ^uint64(0)}, {From: 0, Beside: true}} {
 			a := <-f.asks(q)
-			assert.Assert(t, a.Clean)
+			assert.Assert(t, a.MustReset)
 			assert.Equal(t, len(a.Entries), 0)
 		}
 		r.takes(says("v", 3, "t", "k"))
-		c := f.asks(ReadRequest{From: ^uint64(0), Done: true})
+		c := f.asks(ReadRequest{From: ^uint64(0), Finished: true})
 		r.lands()
 		<-c
 		assert.Equal(t, len(r.st.Readers), 0)
@@ -230,12 +230,12 @@
 		r.submitsTo(says("v", 1, "t", "k"))
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		q := &ReadRequest{Node: "a1/streams", Boot: "b.1", Marks: true, Hold: time.Second}
+		q := &ReadRequest{Node: "a1/streams", BootID: "b.1", TracksTombstones: true, Hold: time.Second}
 		for range 2 {
-			a, err := r.Owner.Read(ctx, q)
+			a, err := r.Leader.Read(ctx, q)
 			assert.NilError(t, err)
 			assert.Equal(t, len(a.Entries), 0)
-			q.Turn = a.Turn
+			q.ReaderToken = a.ReaderToken
 		}
 		assert.Equal(t, len(r.st.Readers), 0)
 	})
--- a/internal/partitionlog/leader/submit.go
+++ b/internal/partitionlog/leader/submit.go
@@ -17,67 +17,67 @@
 	at         uint64
 }
 
-// Task is a visitor's numbered message, which may stand under a key, or with Withdraw the withdrawal of what stands under that key.
+// Message is a visitor's numbered message, which may stand under a key, or with Withdraw the withdrawal of what stands under that key.
 // Of and Upto name a sender and its highest number that is withdrawn too, though it may not have come yet.
-type Task struct {
-	Visitor     string `json:"v"`
-	Generation  uint64 `json:"g"`
-	Topic       string `json:"t"`
-	Call        uint64 `json:"c"`
-	Body        []byte `json:"b"`
-	Live        bool   `json:"l,omitempty"`
-	Description uint64 `json:"d"`
-	Key         string `json:"k,omitempty"`
-	Withdraw    bool   `json:"w,omitempty"`
-	Of          string `json:"f,omitempty"`
-	Upto        uint64 `json:"u,omitempty"`
+type Message struct {
+	Client         string `json:"v"`
+	Generation     uint64 `json:"g"`
+	Topic          string `json:"t"`
+	CallSeq        uint64 `json:"c"`
+	Body           []byte `json:"b"`
+	Live           bool   `json:"l,omitempty"`
+	Configuration  uint64 `json:"d"`
+	Key            string `json:"k,omitempty"`
+	Withdraw       bool   `json:"w,omitempty"`
+	WithdrawSender string `json:"f,omitempty"`
+	WithdrawUpTo   uint64 `json:"u,omitempty"`
 }
 
 // Decision is the ledger's answer. That to a withdrawal names the offset of its mark, and says by Already whether the mark of an earlier one stood.
 type Decision struct {
-	Partition int    `json:"p"`
-	Epoch     uint64 `json:"e"`
-	Offset    uint64 `json:"o"`
-	Repeat    bool   `json:"r,omitempty"`
-	Already   bool   `json:"a,omitempty"`
+	Partition        int    `json:"p"`
+	Epoch            uint64 `json:"e"`
+	Offset           uint64 `json:"o"`
+	Duplicate        bool   `json:"r,omitempty"`
+	AlreadyWithdrawn bool   `json:"a,omitempty"`
 }
 
-func (o *Owner) ready() error {
-	if o.stage == Lost {
-		return apierror.New(apierror.NotPartitionLeader, "partition %d was lost", o.Rec.Partition)
+func (o *Leader) ready() error {
+	if o.stage == StageLost {
+		return apierror.New(apierror.NotPartitionLeader, "partition %d was lost", o.Record.Partition)
 	}
-	if o.stage == Closing {
-		return apierror.New(apierror.ShuttingDown, "partition %d is being handed over", o.Rec.Partition)
+	if o.stage == StageClosing {
+		return apierror.New(apierror.ShuttingDown, "partition %d is being handed over", o.Record.Partition)
 	}
-	if n := o.near(); n < o.Rec.Majority() {
-		return apierror.New(apierror.NoPartitionLeader, "%d of %d copies of partition %d are members", n, len(o.Rec.Replicas), o.Rec.Partition)
+	if n := o.near(); n < o.Record.Majority() {
+		return apierror.New(apierror.NoPartitionLeader, "%d of %d copies of partition %d are members", n, len(o.Record.Replicas), o.Record.Partition)
 	}
-	if o.stage != Open {
-		return apierror.New(apierror.NotReady, "partition %d is being taken over at epoch %d", o.Rec.Partition, o.Rec.Epoch)
+	if o.stage != StageOpen {
+		return apierror.New(apierror.NotReady, "partition %d is being taken over at epoch %d", o.Record.Partition, o.Record.Epoch)
 	}
-	if err := o.d.Licensed(); err != nil {
+	if err := o.d.CheckLease(); err != nil {
 		return err
 	}
 	return nil
 }
 
-func (o *Owner) room() error {
+func (o *Leader) room() error {
 	if t := o.tracks[log.KindLedger]; t.last.Offset-t.commit >= uint64(o.d.Backlog()) {
-		return apierror.New(apierror.Overloaded, "%d entries of partition %d wait for a majority", t.last.Offset-t.commit, o.Rec.Partition)
+		return apierror.New(apierror.Overloaded, "%d entries of partition %d wait for a majority", t.last.Offset-t.commit, o.Record.Partition)
 	}
 	return nil
 }
 
-func (o *Owner) open() error {
+func (o *Leader) open() error {
 	if err := o.ready(); err != nil {
 		return err
 	}
 	return o.room()
 }
 
-func (o *Owner) near() int {
+func (o *Leader) near() int {
 	n := 0
-	for _, p := range o.Rec.Replicas {
+	for _, p := range o.Record.Replicas {
 		if _, ok := o.d.Addr(p.Node); ok || p.Node == o.d.Self {
 			n++
 		}
@@ -85,12 +85,12 @@
 	return n
 }
 
-func (o *Owner) judge(q *Task) ruling {
+func (o *Leader) judge(q *Message) ruling {
 	if err := q.check(); err != nil {
 		return ruling{err: err}
 	}
 	e := q.entry()
-	k, name := state.Key(q.Visitor, q.Topic), state.CallDigest(e.Type, e.Key, e.Digest)
+	k, name := state.Key(q.Client, q.Topic), state.CallDigest(e.Type, e.Key, e.Digest)
 	a := o.st.Accepted[k]
 	f := o.front[k]
 	last, gen := a.Last, a.Generation
@@ -98,27 +98,27 @@
 		last, gen = max(last, f.last), max(gen, f.generation)
 	}
 	if q.Generation > 0 && q.Generation < gen {
-		return ruling{err: apierror.New(apierror.TokenFenced, "attachment %d of %s sent on %s after %d", gen, q.Visitor, q.Topic, q.Generation)}
+		return ruling{err: apierror.New(apierror.TokenFenced, "attachment %d of %s sent on %s after %d", gen, q.Client, q.Topic, q.Generation)}
 	}
 	mark, basis, already := o.already(q)
-	if q.Call <= last {
-		t, ok := a.Find(q.Call)
+	if q.CallSeq <= last {
+		t, ok := a.Find(q.CallSeq)
 		if !ok && f != nil {
-			t, ok = state.Accepted{Recent: f.flight}.Find(q.Call)
+			t, ok = state.Accepted{Recent: f.flight}.Find(q.CallSeq)
 		}
 		switch {
 		case ok && t.Digest != name:
-			return ruling{err: apierror.New(apierror.CallAltered, "call_seq %d was taken with another %s", q.Call, differs[strings.HasPrefix(t.Digest, e.Digest)]).WithCurrent(last)}
+			return ruling{err: apierror.New(apierror.CallAltered, "call_seq %d was taken with another %s", q.CallSeq, differs[strings.HasPrefix(t.Digest, e.Digest)]).WithCurrent(last)}
 		case ok:
 			return ruling{taken: t, repeat: true}
-		case q.Withdraw && o.st.Tombstones[state.Key(q.Topic, q.Key)].WrittenBy(q.Visitor, q.Call):
-			return ruling{taken: state.AcceptedCall{CallSeq: q.Call, Offset: o.st.Tombstones[state.Key(q.Topic, q.Key)].Offset, Digest: name}, repeat: true}
-		case already && q.Call <= a.Floor:
-			return ruling{taken: state.AcceptedCall{CallSeq: q.Call, Offset: mark}, already: true, basis: basis}
-		case q.Call <= a.Floor:
-			return ruling{err: apierror.New(apierror.CallForgotten, "call_seq %d may have been taken, the ledger no longer holds what %s sent up to %d", q.Call, q.Visitor, a.Floor).WithCurrent(last)}
+		case q.Withdraw && o.st.Tombstones[state.Key(q.Topic, q.Key)].WrittenBy(q.Client, q.CallSeq):
+			return ruling{taken: state.AcceptedCall{CallSeq: q.CallSeq, Offset: o.st.Tombstones[state.Key(q.Topic, q.Key)].Offset, Digest: name}, repeat: true}
+		case already && q.CallSeq <= a.Floor:
+			return ruling{taken: state.AcceptedCall{CallSeq: q.CallSeq, Offset: mark}, already: true, basis: basis}
+		case q.CallSeq <= a.Floor:
+			return ruling{err: apierror.New(apierror.CallForgotten, "call_seq %d may have been taken, the ledger no longer holds what %s sent up to %d", q.CallSeq, q.Client, a.Floor).WithCurrent(last)}
 		default:
-			return ruling{err: apierror.New(apierror.CallPassed, "call_seq %d was never taken, and %d was", q.Call, last).WithCurrent(last)}
+			return ruling{err: apierror.New(apierror.CallPassed, "call_seq %d was never taken, and %d was", q.CallSeq, last).WithCurrent(last)}
 		}
 	}
 	if q.Withdraw && !already {
@@ -129,20 +129,20 @@
 	if err := o.room(); err != nil {
 		return ruling{err: err}
 	}
-	e = o.tracks[log.KindLedger].push(e, o.Rec.Epoch)
-	t := state.AcceptedCall{CallSeq: q.Call, Offset: e.Offset, Digest: name}
-	f = o.ahead(k, q.Call, e.Offset)
+	e = o.tracks[log.KindLedger].push(e, o.Record.Epoch)
+	t := state.AcceptedCall{CallSeq: q.CallSeq, Offset: e.Offset, Digest: name}
+	f = o.ahead(k, q.CallSeq, e.Offset)
 	f.generation = max(f.generation, q.Generation)
 	f.flight = append(f.flight, t)
-	if q.Of != "" {
-		o.ahead(state.Key(q.Of, q.Topic), q.Upto, e.Offset)
+	if q.WithdrawSender != "" {
+		o.ahead(state.Key(q.WithdrawSender, q.Topic), q.WithdrawUpTo, e.Offset)
 	}
 	o.noteKeyed(e)
 	return ruling{taken: t, already: already}
 }
 
 // ahead notes that a visitor's calls on a topic came up to a number by an entry that is not on a majority yet.
-func (o *Owner) ahead(k string, call, at uint64) *front {
+func (o *Leader) ahead(k string, call, at uint64) *front {
 	f := o.front[k]
 	if f == nil {
 		f = &front{}
@@ -152,10 +152,10 @@
 	return f
 }
 
-func (o *Owner) landed(e log.Entry) {
+func (o *Leader) landed(e log.Entry) {
 	switch e.Type {
 	case log.TypeMessage:
-		o.tally.Taken++
+		o.tally.Accepted++
 		o.tally.Bytes += uint64(len(e.Body))
 		o.pass(e.Client, e)
 	case log.TypeWithdrawal:
@@ -170,7 +170,7 @@
 }
 
 // pass lets go of what was noted ahead of an entry that is on a majority now.
-func (o *Owner) pass(visitor string, e log.Entry) {
+func (o *Leader) pass(visitor string, e log.Entry) {
 	k := state.Key(visitor, e.Topic)
 	f := o.front[k]
 	if f == nil {
@@ -190,7 +190,7 @@
 	final   = map[apierror.Code]bool{apierror.CallAltered: true, apierror.CallPassed: true, apierror.CallForgotten: true, apierror.TokenFenced: true, apierror.KeyUnknown: true}
 )
 
-func (o *Owner) basis(k string) uint64 {
+func (o *Leader) basis(k string) uint64 {
 	at := uint64(0)
 	if t := o.tracks[log.KindLedger]; t != nil {
 		at = t.commit
@@ -202,17 +202,17 @@
 }
 
 // Submit decides on a message and answers once the decision is on a majority.
-func (o *Owner) Submit(ctx context.Context, q *Task) (*Decision, error) {
-	v := o.SubmitMany(ctx, []*Task{q})[0]
-	if v.Problem != nil {
-		return nil, v.Problem
+func (o *Leader) Submit(ctx context.Context, q *Message) (*Decision, error) {
+	v := o.SubmitMany(ctx, []*Message{q})[0]
+	if v.Err != nil {
+		return nil, v.Err
 	}
 	return v.Decision, nil
 }
 
 // Attach records an attachment and answers with its generation, which fences all before. A given generation is that of
 // the visitor's other home.
-func (o *Owner) Attach(ctx context.Context, visitor, secret string, given uint64) (uint64, error) {
+func (o *Leader) Attach(ctx context.Context, visitor, secret string, given uint64) (uint64, error) {
 	begun := o.d.Clock.Now()
 	o.mu.Lock()
 	if err := o.open(); err != nil {
@@ -245,7 +245,7 @@
 		g = given
 	}
 	f.generation, f.secret = g, secret
-	e := o.tracks[log.KindLedger].push(log.Entry{Type: log.TypeAttach, Client: visitor, Generation: g, Body: []byte(secret)}, o.Rec.Epoch)
+	e := o.tracks[log.KindLedger].push(log.Entry{Type: log.TypeAttach, Client: visitor, Generation: g, Body: []byte(secret)}, o.Record.Epoch)
 	f.at = e.Offset
 	o.mu.Unlock()
 	if err := o.await(ctx, log.KindLedger, e.Offset); err != nil {
@@ -262,7 +262,7 @@
 
 // isRepeated tells whether the attachment that was taken last has the secret of this one: each attachment draws a secret of
 // its own, so it is the same call again. The lock is held.
-func (o *Owner) isRepeated(visitor string, f *front, secret string) bool {
+func (o *Leader) isRepeated(visitor string, f *front, secret string) bool {
 	t := o.st.Attachments[visitor]
 	if f.generation > t.Generation {
 		return f.secret == secret
@@ -270,20 +270,20 @@
 	return t.Generation > 0 && t.Secret == secret
 }
 
-// Attached gives the attachment in force and the cursor that the visitor left, once a majority confirmed the epoch.
-func (o *Owner) Attached(ctx context.Context, visitor string) (state.Attachment, state.SavedCursor, error) {
+// Attachment gives the attachment in force and the cursor that the visitor left, once a majority confirmed the epoch.
+func (o *Leader) Attachment(ctx context.Context, visitor string) (state.Attachment, state.SavedCursor, error) {
 	begun := o.d.Clock.Now()
 	o.mu.Lock()
-	if n := o.near(); n < o.Rec.Majority() {
+	if n := o.near(); n < o.Record.Majority() {
 		o.mu.Unlock()
-		return state.Attachment{}, state.SavedCursor{}, apierror.New(apierror.NoPartitionLeader, "%d of %d copies of partition %d are members", n, len(o.Rec.Replicas), o.Rec.Partition)
+		return state.Attachment{}, state.SavedCursor{}, apierror.New(apierror.NoPartitionLeader, "%d of %d copies of partition %d are members", n, len(o.Record.Replicas), o.Record.Partition)
 	}
-	if o.stage != Open && o.stage != Closing {
+	if o.stage != StageOpen && o.stage != StageClosing {
 		st := o.stage
 		o.mu.Unlock()
-		return state.Attachment{}, state.SavedCursor{}, apierror.New(apierror.NotReady, "partition %d is %s", o.Rec.Partition, st)
+		return state.Attachment{}, state.SavedCursor{}, apierror.New(apierror.NotReady, "partition %d is %s", o.Record.Partition, st)
 	}
-	if err := o.d.Licensed(); err != nil {
+	if err := o.d.CheckLease(); err != nil {
 		o.mu.Unlock()
 		return state.Attachment{}, state.SavedCursor{}, err
 	}
@@ -296,8 +296,8 @@
 	return t, k, nil
 }
 
-// Ack records the cursor that a visitor leaves.
-func (o *Owner) Ack(ctx context.Context, visitor string, generation uint64, cursor string) error {
+// SaveCursor records the cursor that a visitor leaves.
+func (o *Leader) SaveCursor(ctx context.Context, visitor string, generation uint64, cursor string) error {
 	o.mu.Lock()
 	if err := o.open(); err != nil {
 		o.mu.Unlock()
@@ -310,18 +310,18 @@
 		}
 		return apierror.New(apierror.TokenFenced, "attachment %d of %s is in force", g, visitor)
 	}
-	e := o.tracks[log.KindLedger].push(log.Entry{Type: log.TypeCursor, Client: visitor, Generation: generation, Body: []byte(cursor)}, o.Rec.Epoch)
+	e := o.tracks[log.KindLedger].push(log.Entry{Type: log.TypeCursor, Client: visitor, Generation: generation, Body: []byte(cursor)}, o.Record.Epoch)
 	o.mu.Unlock()
 	return o.await(ctx, log.KindLedger, e.Offset)
 }
 
 // Trace tells how far a visitor's calls on a topic have come, and where one of them stands if its answer is still kept.
-func (o *Owner) Trace(ctx context.Context, visitor, topic string, call uint64) (a state.Accepted, at state.AcceptedCall, kept bool, err error) {
+func (o *Leader) Trace(ctx context.Context, visitor, topic string, call uint64) (a state.Accepted, at state.AcceptedCall, kept bool, err error) {
 	o.mu.Lock()
-	if o.stage != Open && o.stage != Closing {
+	if o.stage != StageOpen && o.stage != StageClosing {
 		st := o.stage
 		o.mu.Unlock()
-		return a, at, false, apierror.New(apierror.NotReady, "partition %d is %s", o.Rec.Partition, st)
+		return a, at, false, apierror.New(apierror.NotReady, "partition %d is %s", o.Record.Partition, st)
 	}
 	a = o.st.Accepted[state.Key(visitor, topic)]
 	o.mu.Unlock()
@@ -329,8 +329,8 @@
 	return a, at, kept, o.assure(ctx)
 }
 
-// Use is how a topic was used.
-type Use struct {
+// TopicUsage is how a topic was used.
+type TopicUsage struct {
 	Topic    string `json:"t"`
 	Messages uint64 `json:"m"`
 	Senders  int    `json:"s"`
@@ -338,25 +338,25 @@
 }
 
 // Usage tells how the partition's topics were used.
-func (o *Owner) Usage() ([]Use, error) {
+func (o *Leader) Usage() ([]TopicUsage, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.stage != Open && o.stage != Closing {
-		return nil, apierror.New(apierror.NotReady, "partition %d is %s", o.Rec.Partition, o.stage)
+	if o.stage != StageOpen && o.stage != StageClosing {
+		return nil, apierror.New(apierror.NotReady, "partition %d is %s", o.Record.Partition, o.stage)
 	}
-	var us []Use
+	var us []TopicUsage
 	senders := o.st.Senders()
 	for t, p := range o.st.Progress {
-		us = append(us, Use{Topic: t, Messages: p.Count, Senders: senders[t], Offset: p.Offset})
+		us = append(us, TopicUsage{Topic: t, Messages: p.Count, Senders: senders[t], Offset: p.Offset})
 	}
 	return us, nil
 }
 
 // Close stops taking new work; what is under way is finished.
-func (o *Owner) Close() {
+func (o *Leader) Close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.stage == Open {
-		o.stage = Closing
+	if o.stage == StageOpen {
+		o.stage = StageClosing
 	}
 }
--- a/internal/partitionlog/leader/takeover.go
+++ b/internal/partitionlog/leader/takeover.go
@@ -16,14 +16,14 @@
 
 type sealed = quorum.Result[assignment.Replica, *replica.SealResponse]
 
-func (o *Owner) takeOver(ctx context.Context) error {
+func (o *Leader) takeOver(ctx context.Context) error {
 	begun := o.d.Clock.Now()
-	me, ok := o.Rec.Replica(o.d.Self)
+	me, ok := o.Record.Replica(o.d.Self)
 	if !ok || me.Incarnation != o.d.Replica.Incarnation() {
-		return apierror.New(apierror.WrongDisk, "the record of partition %d names disk %q of this node", o.Rec.Partition, me.Incarnation)
+		return apierror.New(apierror.WrongDisk, "the record of partition %d names disk %q of this node", o.Record.Partition, me.Incarnation)
 	}
-	if s := o.d.Replica.Sealed(o.Rec.Partition); s >= o.Rec.Epoch {
-		return apierror.New(apierror.StaleEpoch, "epoch %d was used before on this disk, sealed at %d", o.Rec.Epoch, s)
+	if s := o.d.Replica.Sealed(o.Record.Partition); s >= o.Record.Epoch {
+		return apierror.New(apierror.StaleEpoch, "epoch %d was used before on this disk, sealed at %d", o.Record.Epoch, s)
 	}
 	var tails []sealed
 	if err := o.insist(ctx, "seal", func() error {
@@ -43,7 +43,7 @@
 	}
 	o.mu.Lock()
 	for _, k := range log.Kinds {
-		o.tracks[k] = newTrack(k, o.d.Replica.Log(o.Rec.Partition, k))
+		o.tracks[k] = newTrack(k, o.d.Replica.Log(o.Record.Partition, k))
 		o.bases[k] = o.tracks[k].line.Base()
 	}
 	o.mu.Unlock()
@@ -64,35 +64,35 @@
 		return err
 	}
 	o.mu.Lock()
-	if o.stage == Taking {
-		o.stage = Open
+	if o.stage == StageRecovering {
+		o.stage = StageOpen
 	}
-	o.how.Took = o.d.Clock.Now().Sub(begun)
+	o.how.Duration = o.d.Clock.Now().Sub(begun)
 	how := o.how
 	o.mu.Unlock()
-	o.d.Log.Open(o.Rec.Partition, o.Rec.Epoch, how)
+	o.d.Observer.Opened(o.Record.Partition, o.Record.Epoch, how)
 	o.say("open", begun)
-	go o.d.Settled(ctx, o.Rec)
+	go o.d.OnRecovered(ctx, o.Record)
 	return nil
 }
 
-func (o *Owner) insist(ctx context.Context, step string, f func() error) error {
+func (o *Leader) insist(ctx context.Context, step string, f func() error) error {
 	for try := 0; ; try++ {
 		err := f()
 		if err == nil || o.fenced(err) {
 			return err
 		}
 		if ctx.Err() != nil {
-			return apierror.WithCause(apierror.Stopped, ctx.Err(), "taking over partition %d", o.Rec.Partition)
+			return apierror.WithCause(apierror.Stopped, ctx.Err(), "taking over partition %d", o.Record.Partition)
 		}
-		o.d.Log.Trouble(o.Rec.Partition, o.Rec.Epoch, step, err)
-		_ = o.d.Clock.Sleep(ctx, o.d.Bounds.Backoff(try))
+		o.d.Observer.StepFailed(o.Record.Partition, o.Record.Epoch, step, err)
+		_ = o.d.Clock.Sleep(ctx, o.d.Timing.Backoff(try))
 	}
 }
 
-func (o *Owner) spread(ctx context.Context, t *track, tails []sealed) {
+func (o *Leader) spread(ctx context.Context, t *track, tails []sealed) {
 	go o.writer(ctx, t)
-	for _, p := range o.Rec.Replicas {
+	for _, p := range o.Record.Replicas {
 		if p.Node == o.d.Self {
 			continue
 		}
@@ -107,10 +107,10 @@
 	}
 }
 
-func (o *Owner) seal(ctx context.Context) ([]sealed, error) {
-	cx, stop := context.WithTimeout(ctx, o.d.Bounds.CallTimeout())
+func (o *Leader) seal(ctx context.Context) ([]sealed, error) {
+	cx, stop := context.WithTimeout(ctx, o.d.Timing.CallTimeout())
 	defer stop()
-	as := quorum.Gather(cx, o.Rec.Replicas, func(ctx context.Context, p assignment.Replica) (*replica.SealResponse, error) {
+	as := quorum.Gather(cx, o.Record.Replicas, func(ctx context.Context, p assignment.Replica) (*replica.SealResponse, error) {
 		q := &replica.SealRequest{Target: o.target(p.Node), Urgent: o.Urgent}
 		if p.Node == o.d.Self {
 			return o.d.Replica.Seal(ctx, q)
@@ -120,34 +120,34 @@
 			return nil, apierror.New(apierror.Unreachable, "%s is not a member", p.Node)
 		}
 		return replica.Seal.Call(ctx, o.d.Net, o.d.Self, a, q)
-	}, func(as []sealed) bool { return len(quorum.Successes(as)) >= o.Rec.Majority() })
+	}, func(as []sealed) bool { return len(quorum.Successes(as)) >= o.Record.Majority() })
 	for _, a := range as {
 		if o.fenced(a.Err) {
 			return nil, a.Err
 		}
 	}
-	if n := len(quorum.Successes(as)); n < o.Rec.Majority() {
-		return nil, apierror.WithCause(apierror.NoMajority, quorum.FirstError(as), "%d of %d replicas were sealed", n, len(o.Rec.Replicas))
+	if n := len(quorum.Successes(as)); n < o.Record.Majority() {
+		return nil, apierror.WithCause(apierror.NoMajority, quorum.FirstError(as), "%d of %d replicas were sealed", n, len(o.Record.Replicas))
 	}
 	return quorum.Successes(as), nil
 }
 
 const fetchMost = 512
 
-func (o *Owner) fetch(ctx context.Context, node string, k log.Kind, from uint64, most int) (*replica.FetchResponse, error) {
-	p, _ := o.Rec.Replica(node)
+func (o *Leader) fetch(ctx context.Context, node string, k log.Kind, from uint64, most int) (*replica.FetchResponse, error) {
+	p, _ := o.Record.Replica(node)
 	a, ok := o.d.Addr(node)
 	if !ok {
 		return nil, apierror.New(apierror.Unreachable, "%s is not a member", node)
 	}
-	cx, stop := context.WithTimeout(ctx, o.d.Bounds.CallTimeout())
+	cx, stop := context.WithTimeout(ctx, o.d.Timing.CallTimeout())
 	defer stop()
-	return replica.Fetch.Call(cx, o.d.Net, o.d.Self, a, &replica.FetchRequest{Partition: o.Rec.Partition, Incarnation: p.Incarnation, Kind: k, From: from, Limit: most})
+	return replica.Fetch.Call(cx, o.d.Net, o.d.Self, a, &replica.FetchRequest{Partition: o.Record.Partition, Incarnation: p.Incarnation, Kind: k, From: from, Limit: most})
 }
 
-func (o *Owner) adopt(ctx context.Context, k log.Kind, tails []sealed) error {
+func (o *Leader) adopt(ctx context.Context, k log.Kind, tails []sealed) error {
 	best := o.d.Self
-	l := o.d.Replica.Log(o.Rec.Partition, k)
+	l := o.d.Replica.Log(o.Record.Partition, k)
 	top := l.Last()
 	for _, s := range tails {
 		if t := s.Value.Tails[k].Last; top.Less(t) {
@@ -189,13 +189,13 @@
 		o.mu.Unlock()
 		at, reset = a.Tail.Last, false
 	}
-	if l := o.d.Replica.Log(o.Rec.Partition, k); l.Last().Offset > top.Offset {
+	if l := o.d.Replica.Log(o.Record.Partition, k); l.Last().Offset > top.Offset {
 		return o.d.Replica.TruncateAfter(ctx, o.target(o.d.Self), k, top.Offset, o.Urgent)
 	}
 	return nil
 }
 
-func (o *Owner) common(ctx context.Context, best string, k log.Kind, l *log.Log) (log.Position, bool, error) {
+func (o *Leader) common(ctx context.Context, best string, k log.Kind, l *log.Log) (log.Position, bool, error) {
 	f, err := o.fetch(ctx, best, k, l.Last().Offset+1, 1)
 	if err != nil {
 		return log.Position{}, false, err
@@ -238,12 +238,12 @@
 	return p, false, nil
 }
 
-func (o *Owner) recover() error {
+func (o *Leader) recover() error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	cl, led := o.tracks[log.KindChangelog], o.tracks[log.KindLedger]
 	st, input, from := state.New(), uint64(0), cl.line.Base().Offset
-	if d, ok := o.d.Replica.Snapshot(o.Rec.Partition); ok && d.At.Offset <= cl.commit {
+	if d, ok := o.d.Replica.Snapshot(o.Record.Partition); ok && d.At.Offset <= cl.commit {
 		if s, err := state.Unmarshal(d.State); err == nil {
 			st, input, from, o.how.Directory = s, d.Input, d.At.Offset, true
 		}
@@ -255,7 +255,7 @@
 	}
 	o.how.Replayed = len(es)
 	if b := led.line.Base().Offset; input < b && b > 0 {
-		return apierror.New(apierror.DiskDamaged, "the changelog of partition %d ends at input offset %d, the ledger begins after %d", o.Rec.Partition, input, b)
+		return apierror.New(apierror.DiskDamaged, "the changelog of partition %d ends at input offset %d, the ledger begins after %d", o.Record.Partition, input, b)
 	}
 	st.Input = input
 	o.pruned = led.line.Base().Offset
@@ -287,12 +287,12 @@
 	compactOver = 4
 )
 
-func (o *Owner) tend(ctx context.Context) {
+func (o *Leader) tend(ctx context.Context) {
 	for {
 		cx, stop := context.WithCancel(ctx)
 		due := make(chan struct{})
 		go func() {
-			_ = o.d.Clock.Sleep(cx, o.d.Batch())
+			_ = o.d.Clock.Sleep(cx, o.d.ChangelogInterval())
 			close(due)
 		}()
 		var done chan struct{}
@@ -308,7 +308,7 @@
 		to := o.forget()
 		err := o.batch(ctx, done != nil)
 		if err != nil && ctx.Err() == nil {
-			o.d.Log.Trouble(o.Rec.Partition, o.Rec.Epoch, "write a changelog batch", err)
+			o.d.Observer.StepFailed(o.Record.Partition, o.Record.Epoch, "write a changelog batch", err)
 		}
 		if done != nil {
 			close(done)
@@ -320,11 +320,11 @@
 }
 
 // forget lets go of what stands up to the offset that it gives: the ledger drops that much once the state that says so is written down.
-func (o *Owner) forget() uint64 {
+func (o *Leader) forget() uint64 {
 	now := o.d.Clock.Now()
 	l := o.tracks[log.KindLedger].line
-	l.DropLiveBodies(now.Add(-o.d.Bounds.Spread))
-	old := l.LastBefore(now.Add(-o.d.Bounds.RetentionFor(o.d.Longest())))
+	l.DropLiveBodies(now.Add(-o.d.Timing.Spread))
+	old := l.LastBefore(now.Add(-o.d.Timing.RetentionFor(o.d.LongestRetention())))
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for to := min(old, o.input); o.pruned < to; {
@@ -340,14 +340,14 @@
 	return o.pruned
 }
 
-// Lacks tells whether a message of a topic after an offset is no longer held. What is about to be dropped counts as gone.
-func (o *Owner) Lacks(topic string, from uint64) bool {
+// Trimmed tells whether a message of a topic after an offset is no longer held. What is about to be dropped counts as gone.
+func (o *Leader) Trimmed(topic string, from uint64) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.gone(topic) > from
 }
 
-func (o *Owner) batch(ctx context.Context, keep bool) error {
+func (o *Leader) batch(ctx context.Context, keep bool) error {
 	o.mu.Lock()
 	cl := o.tracks[log.KindChangelog]
 	whole := cl.line.Len() > compactAt && cl.line.Len() > compactOver*(1+o.st.Size()/compactAt)
@@ -393,7 +393,7 @@
 	p, _ := cl.point(at)
 	o.mu.Unlock()
 	if pack != nil {
-		_ = o.d.Replica.SaveSnapshot(ctx, replica.Snapshot{Partition: o.Rec.Partition, At: p, Input: input, State: pack})
+		_ = o.d.Replica.SaveSnapshot(ctx, replica.Snapshot{Partition: o.Record.Partition, At: p, Input: input, State: pack})
 	}
 	if whole {
 		o.trim(log.KindChangelog, before)
@@ -402,7 +402,7 @@
 }
 
 // Flush writes the changelog batch that is due and the state directory, before the partition is handed over.
-func (o *Owner) Flush(ctx context.Context, limit time.Duration) {
+func (o *Leader) Flush(ctx context.Context, limit time.Duration) {
 	cx, stop := context.WithTimeout(ctx, limit)
 	defer stop()
 	c := make(chan struct{})
--- a/internal/partitionlog/leader/track.go
+++ b/internal/partitionlog/leader/track.go
@@ -92,7 +92,7 @@
 	return true
 }
 
-func (o *Owner) writer(ctx context.Context, t *track) {
+func (o *Leader) writer(ctx context.Context, t *track) {
 	full := false
 	for ctx.Err() == nil {
 		o.mu.Lock()
@@ -121,9 +121,9 @@
 				o.lose(err)
 				return
 			}
-			o.d.Log.Disk(o.Rec.Partition, err)
+			o.d.Observer.DiskFailed(o.Record.Partition, err)
 			full = apierror.HasCode(err, apierror.DiskFull)
-			_ = o.d.Clock.Sleep(ctx, o.d.Bounds.MaxBackoff())
+			_ = o.d.Clock.Sleep(ctx, o.d.Timing.MaxBackoff())
 			continue
 		}
 		full = false
@@ -143,7 +143,7 @@
 	full bool
 }
 
-func (o *Owner) replicate(ctx context.Context, t *track, p assignment.Replica, tail replica.Tail, known bool) {
+func (o *Leader) replicate(ctx context.Context, t *track, p assignment.Replica, tail replica.Tail, known bool) {
 	var c cursor
 	o.mu.Lock()
 	c.at = t.last
@@ -163,17 +163,17 @@
 		}
 		addr, ok := o.d.Addr(p.Node)
 		if len(es) == 0 && told && !c.full {
-			d, quiet := o.d.Bounds.SessionTimeout(), ok && o.d.Still != nil && commit == said && base == cut
+			d, quiet := o.d.Timing.SessionTimeout(), ok && o.d.Idle != nil && commit == said && base == cut
 			if commit > said && t.kind == log.KindLedger {
-				d, moved = o.d.Bounds.HeartbeatInterval(), nil
+				d, moved = o.d.Timing.HeartbeatInterval(), nil
 			}
 			if base != cut {
-				d = o.d.Bounds.HeartbeatInterval()
+				d = o.d.Timing.HeartbeatInterval()
 			}
 			due := sent.Add(d)
 			if quiet {
-				s := replica.IdleLog{Partition: o.Rec.Partition, Kind: t.kind, Epoch: o.Rec.Epoch, Last: c.at}
-				v := o.d.Still.Wait(ctx, idle.Disk{Addr: addr, Incarnation: p.Incarnation}, s, due, grown, moved)
+				s := replica.IdleLog{Partition: o.Record.Partition, Kind: t.kind, Epoch: o.Record.Epoch, Last: c.at}
+				v := o.d.Idle.Wait(ctx, idle.Disk{Addr: addr, Incarnation: p.Incarnation}, s, due, grown, moved)
 				if v == idle.Identical {
 					sent = o.d.Clock.Now()
 				}
@@ -186,12 +186,12 @@
 			}
 		}
 		if !ok {
-			_ = o.d.Clock.Sleep(ctx, o.d.Bounds.Backoff(tries))
+			_ = o.d.Clock.Sleep(ctx, o.d.Timing.Backoff(tries))
 			tries++
 			continue
 		}
-		cx, stop := context.WithTimeout(ctx, o.d.Bounds.CallTimeout())
-		a, err := replica.Append.Call(cx, o.d.Net, o.d.Self, addr, &replica.AppendRequest{Target: replica.Target{Partition: o.Rec.Partition, Incarnation: p.Incarnation, Epoch: o.Rec.Epoch}, Kind: t.kind, After: c.at, Entries: es, Commit: commit, Base: base, Reset: c.reset, Urgent: o.Urgent})
+		cx, stop := context.WithTimeout(ctx, o.d.Timing.CallTimeout())
+		a, err := replica.Append.Call(cx, o.d.Net, o.d.Self, addr, &replica.AppendRequest{Target: replica.Target{Partition: o.Record.Partition, Incarnation: p.Incarnation, Epoch: o.Record.Epoch}, Kind: t.kind, After: c.at, Entries: es, Commit: commit, Base: base, Reset: c.reset, Urgent: o.Urgent})
 		stop()
 		sent = o.d.Clock.Now()
 		if err != nil {
@@ -203,7 +203,7 @@
 				c.reset = false
 			}
 			c.full = apierror.HasCode(err, apierror.DiskFull)
-			_ = o.d.Clock.Sleep(ctx, o.d.Bounds.Backoff(tries))
+			_ = o.d.Clock.Sleep(ctx, o.d.Timing.Backoff(tries))
 			tries++
 			continue
 		}
@@ -225,7 +225,7 @@
 	}
 }
 
-func (o *Owner) back(t *track, c *cursor, f replica.Tail) {
+func (o *Leader) back(t *track, c *cursor, f replica.Tail) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	base := t.line.Base()
--- a/internal/partitionlog/leader/used_test.go
+++ b/internal/partitionlog/leader/used_test.go
@@ -34,7 +34,7 @@
 	at := replica.Target{Partition: 3, Incarnation: "i", Epoch: 5}
 	_, err = r.Seal(ctx, &replica.SealRequest{Target: at})
 	assert.NilError(t, err)
-	o := New(Deps{Self: "s1", Clock: clock.Real{}, Bounds: settings.DefaultTiming, Replica: r}, assignment.Record{Partition: 3, Epoch: 5, Leader: "s1", Replicas: []assignment.Replica{{Node: "s1", Incarnation: "i"}}}, false)
+	o := New(Options{Self: "s1", Clock: clock.Real{}, Timing: settings.DefaultTiming, Replica: r}, assignment.Record{Partition: 3, Epoch: 5, Leader: "s1", Replicas: []assignment.Replica{{Node: "s1", Incarnation: "i"}}}, false)
 	short, end := context.WithCancel(ctx)
 	end()
 	assert.Assert(t, apierror.HasCode(o.takeOver(short), apierror.StaleEpoch))
--- a/internal/partitionlog/router/desk.go
+++ b/internal/partitionlog/router/desk.go
@@ -63,8 +63,8 @@
 
 // UsageResponse says so.
 type UsageResponse struct {
-	Uses  []leader.Use      `json:"u"`
-	Marks *leader.MarksView `json:"m,omitempty"`
+	Uses  []leader.TopicUsage   `json:"u"`
+	Marks *leader.TombstoneView `json:"m,omitempty"`
 }
 
 // TraceRequest asks what the ledger knows of a call.
@@ -94,20 +94,20 @@
 
 // The desk's calls.
 var (
-	Submit   = wire.NewProcedure[leader.Task, leader.Decision]("Ledger", "Submit", wire.Deduplicated, "the message has its number, which the owner remembers")
+	Submit   = wire.NewProcedure[leader.Message, leader.Decision]("Ledger", "Submit", wire.Deduplicated, "the message has its number, which the owner remembers")
 	Attach   = wire.NewProcedure[AttachRequest, AttachResponse]("Ledger", "Attach", wire.Deduplicated, "the attachment has a secret of its own; the one in force is known by it")
 	Attached = wire.NewProcedure[AttachedRequest, AttachedResponse]("Ledger", "Attached", wire.ReadOnly, "confirmed by a majority of copies")
 	Ack      = wire.NewProcedure[AckRequest, Done]("Ledger", "Ack", wire.Monotonic, "the cursor left last stands, as long as the attachment is in force")
 	Trace    = wire.NewProcedure[TraceRequest, Traced]("Ledger", "Trace", wire.ReadOnly, "looks up a call's fate")
 	Usage    = wire.NewProcedure[UsageRequest, UsageResponse]("Ledger", "Usage", wire.ReadOnly, "counts")
-	Read     = wire.NewProcedure[leader.ReadRequest, leader.Reading]("Ledger", "Read", wire.ReadOnly, "committed entries behind a place")
+	Read     = wire.NewProcedure[leader.ReadRequest, leader.ReadResponse]("Ledger", "Read", wire.ReadOnly, "committed entries behind a place")
 	// Forgotten tells who has not read behind a mark yet.
-	Forgotten = wire.NewProcedure[ForgottenRequest, leader.Unheard]("Ledger", "Forgotten", wire.ReadOnly, "waits for readers, changes nothing")
+	Forgotten = wire.NewProcedure[ForgottenRequest, leader.PendingReaders]("Ledger", "Forgotten", wire.ReadOnly, "waits for readers, changes nothing")
 )
 
 // Owners finds the owner that runs here.
 type Owners interface {
-	Owner(p int) (*leader.Owner, error)
+	Owner(p int) (*leader.Leader, error)
 }
 
 // Desk is one node's.
@@ -128,12 +128,12 @@
 	lanes lanes
 }
 
-func (d *Desk) here(p int) (*leader.Owner, error) { return d.Owners.Owner(p) }
+func (d *Desk) here(p int) (*leader.Leader, error) { return d.Owners.Owner(p) }
 
-func (d *Desk) place(q *leader.Task) (int, error) {
+func (d *Desk) place(q *leader.Message) (int, error) {
 	x := d.Board.Index()
-	if x.Sequence < q.Description {
-		return 0, apierror.New(apierror.NotReady, "the call was let in under description %d, this node has %d", q.Description, x.Sequence)
+	if x.Sequence < q.Configuration {
+		return 0, apierror.New(apierror.NotReady, "the call was let in under description %d, this node has %d", q.Configuration, x.Sequence)
 	}
 	s, err := x.Find(q.Topic)
 	if err != nil {
@@ -142,7 +142,7 @@
 	return partition.Of(q.Topic, s.Urgent, d.Board.VoterSet().Layout), nil
 }
 
-func (d *Desk) submit(ctx context.Context, q *leader.Task) (*leader.Decision, error) {
+func (d *Desk) submit(ctx context.Context, q *leader.Message) (*leader.Decision, error) {
 	p, err := d.place(q)
 	if err != nil {
 		return nil, err
@@ -163,7 +163,7 @@
 	if err != nil {
 		return nil, err
 	}
-	_, k, err := o.Attached(ctx, q.Visitor)
+	_, k, err := o.Attachment(ctx, q.Visitor)
 	return &AttachResponse{Generation: g, Acked: k}, err
 }
 
@@ -172,7 +172,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t, k, err := o.Attached(ctx, q.Visitor)
+	t, k, err := o.Attachment(ctx, q.Visitor)
 	return &AttachedResponse{Attached: t, Acked: k}, err
 }
 
@@ -181,10 +181,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Done{}, o.Ack(ctx, q.Visitor, q.Generation, q.Cursor)
+	return &Done{}, o.SaveCursor(ctx, q.Visitor, q.Generation, q.Cursor)
 }
 
-func (d *Desk) read(ctx context.Context, q *leader.ReadRequest) (*leader.Reading, error) {
+func (d *Desk) read(ctx context.Context, q *leader.ReadRequest) (*leader.ReadResponse, error) {
 	o, err := d.here(q.Partition)
 	if err != nil {
 		return nil, err
@@ -193,12 +193,12 @@
 	return o.Read(ctx, q)
 }
 
-func (d *Desk) forgotten(ctx context.Context, q *ForgottenRequest) (*leader.Unheard, error) {
+func (d *Desk) forgotten(ctx context.Context, q *ForgottenRequest) (*leader.PendingReaders, error) {
 	o, err := d.here(q.Partition)
 	if err != nil {
 		return nil, err
 	}
-	return o.Forgotten(ctx, q.Offset, min(q.Hold, d.Bounds.LongPoll()))
+	return o.PendingReaders(ctx, q.Offset, min(q.Hold, d.Bounds.LongPoll()))
 }
 
 func (d *Desk) usage(_ context.Context, q *UsageRequest) (*UsageResponse, error) {
@@ -207,7 +207,7 @@
 		return nil, err
 	}
 	us, err := o.Usage()
-	return &UsageResponse{Uses: us, Marks: o.Marks()}, err
+	return &UsageResponse{Uses: us, Marks: o.Tombstones()}, err
 }
 
 func (d *Desk) trace(ctx context.Context, q *TraceRequest) (*Traced, error) {
@@ -220,7 +220,7 @@
 		return nil, err
 	}
 	a, at, kept, err := o.Trace(ctx, q.Visitor, q.Topic, q.Call)
-	t := &Traced{Partition: o.Rec.Partition, Owner: d.Self, Epoch: o.Rec.Epoch, Taken: kept, Last: a.Last, Forgotten: !kept && q.Call <= a.Floor}
+	t := &Traced{Partition: o.Record.Partition, Owner: d.Self, Epoch: o.Record.Epoch, Taken: kept, Last: a.Last, Forgotten: !kept && q.Call <= a.Floor}
 	if kept {
 		t.Offset = at.Offset
 	}
@@ -336,7 +336,7 @@
 }
 
 // Submit has a message decided by its partition's owner, wherever that is.
-func (d *Desk) Submit(ctx context.Context, p int, q *leader.Task) (*leader.Decision, error) {
+func (d *Desk) Submit(ctx context.Context, p int, q *leader.Message) (*leader.Decision, error) {
 	return handOver(ctx, d, p, Submit, d.submit, q)
 }
 
@@ -411,12 +411,12 @@
 }
 
 // Read reads committed entries of a partition, without what stands under keys.
-func (d *Desk) Read(ctx context.Context, p int, from uint64, hold time.Duration) (*leader.Reading, error) {
+func (d *Desk) Read(ctx context.Context, p int, from uint64, hold time.Duration) (*leader.ReadResponse, error) {
 	return d.ReadAs(ctx, &leader.ReadRequest{Partition: p, From: from, Hold: hold})
 }
 
 // ReadAs reads committed entries of a partition as a reader that may mind withdrawals.
-func (d *Desk) ReadAs(ctx context.Context, q *leader.ReadRequest) (*leader.Reading, error) {
+func (d *Desk) ReadAs(ctx context.Context, q *leader.ReadRequest) (*leader.ReadResponse, error) {
 	return handOver(ctx, d, q.Partition, Read, d.read, q)
 }
 
@@ -426,12 +426,12 @@
 }
 
 // Forgotten asks who has not read behind a mark of a partition yet, waiting up to hold until nobody is left.
-func (d *Desk) Forgotten(ctx context.Context, p int, offset uint64, hold time.Duration) (*leader.Unheard, error) {
+func (d *Desk) Forgotten(ctx context.Context, p int, offset uint64, hold time.Duration) (*leader.PendingReaders, error) {
 	return handOver(ctx, d, p, Forgotten, d.forgotten, &ForgottenRequest{Partition: p, Offset: offset, Hold: hold})
 }
 
 // Usage asks how a partition's topics were used.
-func (d *Desk) Usage(ctx context.Context, p int) ([]leader.Use, error) {
+func (d *Desk) Usage(ctx context.Context, p int) ([]leader.TopicUsage, error) {
 	a, err := handOver(ctx, d, p, Usage, d.usage, &UsageRequest{Partition: p})
 	if err != nil {
 		return nil, err
@@ -440,7 +440,7 @@
 }
 
 // Marks asks which withdrawals of a partition stand and who reads what has keys; nil where nothing does.
-func (d *Desk) Marks(ctx context.Context, p int) (*leader.MarksView, error) {
+func (d *Desk) Marks(ctx context.Context, p int) (*leader.TombstoneView, error) {
 	a, err := handOver(ctx, d, p, Usage, d.usage, &UsageRequest{Partition: p})
 	if err != nil {
 		return nil, err
--- a/internal/partitionlog/router/fan.go
+++ b/internal/partitionlog/router/fan.go
@@ -24,12 +24,12 @@
 
 // The calls of nodes that follow topics.
 var (
-	Follow    = wire.NewProcedure[leader.Want, leader.Told]("Ledger", "Follow", wire.Monotonic, "wishes of a feed are numbered; an old number changes nothing")
-	Poll      = wire.NewProcedure[leader.PollRequest, leader.Polled]("Ledger", "Poll", wire.ReadOnly, "committed entries behind a place; the place that it confirms only rises")
+	Follow    = wire.NewProcedure[leader.FollowRequest, leader.FollowResponse]("Ledger", "Follow", wire.Monotonic, "wishes of a feed are numbered; an old number changes nothing")
+	Poll      = wire.NewProcedure[leader.PollRequest, leader.PollResponse]("Ledger", "Poll", wire.ReadOnly, "committed entries behind a place; the place that it confirms only rises")
 	Listeners = wire.NewProcedure[ListenersRequest, ListenersResponse]("Ledger", "Listeners", wire.ReadOnly, "counts")
 )
 
-func (d *Desk) follow(ctx context.Context, q *leader.Want) (*leader.Told, error) {
+func (d *Desk) follow(ctx context.Context, q *leader.FollowRequest) (*leader.FollowResponse, error) {
 	o, err := d.here(q.Partition)
 	if err != nil {
 		return nil, err
@@ -37,7 +37,7 @@
 	return o.Follow(ctx, q)
 }
 
-func (d *Desk) poll(ctx context.Context, q *leader.PollRequest) (*leader.Polled, error) {
+func (d *Desk) poll(ctx context.Context, q *leader.PollRequest) (*leader.PollResponse, error) {
 	o, err := d.here(q.Partition)
 	if err != nil {
 		return nil, err
@@ -51,25 +51,25 @@
 	if err != nil {
 		return nil, err
 	}
-	n, err := o.Listeners(q.Topic)
+	n, err := o.Subscribers(q.Topic)
 	return &ListenersResponse{Count: n}, err
 }
 
 func (d *Desk) serveFans(m *http.ServeMux) {
-	Follow.Handle(m, packing(d.follow, func(q *leader.Want) bool { return q.Packs }))
-	Poll.Handle(m, packing(d.poll, func(q *leader.PollRequest) bool { return q.Packs }))
+	Follow.Handle(m, packing(d.follow, func(q *leader.FollowRequest) bool { return q.Compress }))
+	Poll.Handle(m, packing(d.poll, func(q *leader.PollRequest) bool { return q.Compress }))
 	Listeners.Handle(m, d.listeners)
 }
 
 // packing packs the bodies of what a peer is told, where it asks for that.
 func packing[Q, A any, P interface {
 	*A
-	Pack()
+	Compress()
 }](f func(context.Context, *Q) (P, error), asked func(*Q) bool) func(context.Context, *Q) (*A, error) {
 	return func(ctx context.Context, q *Q) (*A, error) {
 		a, err := f(ctx, q)
 		if err == nil && asked(q) {
-			a.Pack()
+			a.Compress()
 		}
 		return a, err
 	}
@@ -93,23 +93,23 @@
 }
 
 // Follow tells a partition's owner what this node follows, one time.
-func (d *Desk) Follow(ctx context.Context, r assignment.Record, q *leader.Want) (*leader.Told, error) {
-	q.Packs = d.Packs
+func (d *Desk) Follow(ctx context.Context, r assignment.Record, q *leader.FollowRequest) (*leader.FollowResponse, error) {
+	q.Compress = d.Packs
 	a, err := once(ctx, d, r, d.Bounds.CallTimeout(), Follow, d.follow, q)
 	if err != nil {
 		return nil, err
 	}
-	return a, a.Unpack()
+	return a, a.Decompress()
 }
 
 // Poll reads what this node follows from a partition's owner, one time.
-func (d *Desk) Poll(ctx context.Context, r assignment.Record, q *leader.PollRequest) (*leader.Polled, error) {
-	q.Packs = d.Packs
+func (d *Desk) Poll(ctx context.Context, r assignment.Record, q *leader.PollRequest) (*leader.PollResponse, error) {
+	q.Compress = d.Packs
 	a, err := once(ctx, d, r, q.Hold+d.Bounds.CallTimeout(), Poll, d.poll, q)
 	if err != nil {
 		return nil, err
 	}
-	return a, a.Unpack()
+	return a, a.Decompress()
 }
 
 // Listeners asks a partition's owner how many listen to a topic, one time.
--- a/internal/partitionlog/router/forgotten_test.go
+++ b/internal/partitionlog/router/forgotten_test.go
@@ -15,13 +15,13 @@
 
 type askers struct {
 	asked []ForgottenRequest
-	tell  func(n int) (*leader.Unheard, error)
+	tell  func(n int) (*leader.PendingReaders, error)
 }
 
 // Do carries a call to the stand-in.
 func (a *askers) Do(r *http.Request) (*http.Response, error) {
 	m := http.NewServeMux()
-	Forgotten.Handle(m, func(_ context.Context, q *ForgottenRequest) (*leader.Unheard, error) {
+	Forgotten.Handle(m, func(_ context.Context, q *ForgottenRequest) (*leader.PendingReaders, error) {
 		a.asked = append(a.asked, *q)
 		return a.tell(len(a.asked))
 	})
@@ -34,22 +34,22 @@
 func TestForgottenIsAskedAgain(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		moving := []apierror.Code{apierror.NotPartitionLeader, apierror.NotReady, apierror.ShuttingDown, apierror.StaleEpoch}
-		a := &askers{tell: func(n int) (*leader.Unheard, error) {
+		a := &askers{tell: func(n int) (*leader.PendingReaders, error) {
 			if n <= len(moving) {
 				return nil, apierror.New(moving[n-1], "moving")
 			}
-			return &leader.Unheard{Nodes: []string{"a2"}}, nil
+			return &leader.PendingReaders{Nodes: []string{"a2"}}, nil
 		}}
 		b := newBench(nil)
 		b.Net = a
 		b.owned("s1")
 		u, err := b.Forgotten(t.Context(), part, 7, time.Second)
 		assert.NilError(t, err)
-		assert.DeepEqual(t, u, &leader.Unheard{Nodes: []string{"a2"}})
+		assert.DeepEqual(t, u, &leader.PendingReaders{Nodes: []string{"a2"}})
 		assert.Equal(t, len(a.asked), len(moving)+1)
 		assert.DeepEqual(t, a.asked[0], ForgottenRequest{Partition: part, Offset: 7, Hold: time.Second})
 
-		a.tell = func(int) (*leader.Unheard, error) {
+		a.tell = func(int) (*leader.PendingReaders, error) {
 			return nil, apierror.New(apierror.NotPartitionLeader, "superseded")
 		}
 		u, err = b.Forgotten(t.Context(), part, 7, time.Second)
@@ -65,7 +65,7 @@
 			if n++; n == 1 {
 				return lost()
 			}
-			return &ManyResponse{Verdicts: []leader.Verdict{{Problem: apierror.New(apierror.KeyUnknown, "nothing")}}}, nil
+			return &ManyResponse{Verdicts: []leader.Outcome{{Err: apierror.New(apierror.KeyUnknown, "nothing")}}}, nil
 		})
 		b.owned("s1")
 		b.offer(1, time.Minute)
--- a/internal/partitionlog/router/offer.go
+++ b/internal/partitionlog/router/offer.go
@@ -16,13 +16,13 @@
 
 // ManyRequest is messages of one partition, decided in their order.
 type ManyRequest struct {
-	Partition int            `json:"p"`
-	Tasks     []*leader.Task `json:"t"`
+	Partition int               `json:"p"`
+	Tasks     []*leader.Message `json:"t"`
 }
 
 // ManyResponse gives a verdict for each message, in the same order.
 type ManyResponse struct {
-	Verdicts []leader.Verdict `json:"v"`
+	Verdicts []leader.Outcome `json:"v"`
 }
 
 // SubmitMany has a batch decided at the owner's node.
@@ -35,7 +35,7 @@
 
 type offer struct {
 	ctx   context.Context
-	q     *leader.Task
+	q     *leader.Message
 	since time.Time
 	until time.Time
 	done  func(*leader.Decision, error)
@@ -90,7 +90,7 @@
 // Offer has a message decided by its partition's owner and never waits: done hears the answer once, as soon as it is known and by until at the latest.
 // What one node offers for a partition reaches the owner in the order offered. done must not block; when the backlog is full it hears so before Offer
 // returns. no_owner and overloaded promise that the message never was and never will be taken by this offer; outcome_unknown promises nothing.
-func (d *Desk) Offer(ctx context.Context, p int, q *leader.Task, until time.Time, done func(*leader.Decision, error)) {
+func (d *Desk) Offer(ctx context.Context, p int, q *leader.Message, until time.Time, done func(*leader.Decision, error)) {
 	l := d.lanes.of(p)
 	o := &offer{ctx: ctx, q: q, since: d.Clock.Now(), until: until, done: done}
 	l.mu.Lock()
@@ -212,7 +212,7 @@
 
 // attempt hands a batch over once, and meanwhile tells those whose time is over. What may have left this node for another is in doubt from then on,
 // whatever comes back: an older copy of the batch may still be on its way.
-func (d *Desk) attempt(p int, l *lane, r assignment.Record, batch []*offer) ([]leader.Verdict, error) {
+func (d *Desk) attempt(p int, l *lane, r assignment.Record, batch []*offer) ([]leader.Outcome, error) {
 	type answer struct {
 		a   *ManyResponse
 		err error
@@ -274,14 +274,14 @@
 }
 
 // answer tells what was decided and gives up what nobody can decide; it gives the rest, in order, to be tried again.
-func (d *Desk) answer(p int, l *lane, r assignment.Record, batch []*offer, vs []leader.Verdict, begun time.Time, err error) []*offer {
+func (d *Desk) answer(p int, l *lane, r assignment.Record, batch []*offer, vs []leader.Outcome, begun time.Time, err error) []*offer {
 	now := d.Clock.Now()
 	var stay []*offer
 	var why []error
 	for i, o := range batch {
 		e := err
 		if err == nil {
-			if x := vs[i].Problem; x != nil {
+			if x := vs[i].Err; x != nil {
 				e = x.WithRetryAfter(time.Duration(x.RetryAfterMS) * time.Millisecond)
 			}
 		}
@@ -363,12 +363,12 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &ManyResponse{Verdicts: make([]leader.Verdict, len(q.Tasks))}
-	var ts []*leader.Task
+	a := &ManyResponse{Verdicts: make([]leader.Outcome, len(q.Tasks))}
+	var ts []*leader.Message
 	var at []int
 	for i, t := range q.Tasks {
 		if err := d.placed(t, q.Partition); err != nil {
-			a.Verdicts[i].Problem = apierror.From(err)
+			a.Verdicts[i].Err = apierror.From(err)
 			continue
 		}
 		ts, at = append(ts, t), append(at, i)
@@ -379,7 +379,7 @@
 	return a, nil
 }
 
-func (d *Desk) placed(q *leader.Task, p int) error {
+func (d *Desk) placed(q *leader.Message, p int) error {
 	at, err := d.place(q)
 	if err == nil && at != p {
 		err = apierror.New(apierror.NotPartitionLeader, "topic %s stands in partition %d, not %d", q.Topic, at, p)
--- a/internal/partitionlog/router/offer_test.go
+++ b/internal/partitionlog/router/offer_test.go
@@ -68,7 +68,7 @@
 
 type unready struct{}
 
-func (unready) Owner(int) (*leader.Owner, error) {
+func (unready) Owner(int) (*leader.Leader, error) {
 	return nil, apierror.New(apierror.NotReady, "taking over")
 }
 
@@ -92,7 +92,7 @@
 }
 
 func (b *bench) offer(call uint64, until time.Duration) {
-	b.Offer(context.Background(), part, &leader.Task{Visitor: "v", Topic: "t", Call: call, Body: []byte("1")}, time.Now().Add(until), func(d *leader.Decision, err error) {
+	b.Offer(context.Background(), part, &leader.Message{Client: "v", Topic: "t", CallSeq: call, Body: []byte("1")}, time.Now().Add(until), func(d *leader.Decision, err error) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		if _, ok := b.told[call]; ok {
@@ -124,14 +124,14 @@
 	defer b.mu.Unlock()
 	a := &ManyResponse{}
 	for _, t := range q.Tasks {
-		v := leader.Verdict{Decision: &leader.Decision{Offset: t.Call}}
+		v := leader.Outcome{Decision: &leader.Decision{Offset: t.CallSeq}}
 		switch {
-		case slices.Contains(b.got, t.Call):
-			v.Decision.Repeat = true
-		case len(b.got) > 0 && t.Call < b.got[len(b.got)-1]:
-			v = leader.Verdict{Problem: apierror.New(apierror.CallPassed, "%d", t.Call)}
+		case slices.Contains(b.got, t.CallSeq):
+			v.Decision.Duplicate = true
+		case len(b.got) > 0 && t.CallSeq < b.got[len(b.got)-1]:
+			v = leader.Outcome{Err: apierror.New(apierror.CallPassed, "%d", t.CallSeq)}
 		default:
-			b.got = append(b.got, t.Call)
+			b.got = append(b.got, t.CallSeq)
 		}
 		a.Verdicts = append(a.Verdicts, v)
 	}
@@ -216,16 +216,16 @@
 			if n == 1 {
 				return lost()
 			}
-			return &ManyResponse{Verdicts: []leader.Verdict{{Problem: apierror.New(apierror.Overloaded, "x")}}}, nil
+			return &ManyResponse{Verdicts: []leader.Outcome{{Err: apierror.New(apierror.Overloaded, "x")}}}, nil
 		}, apierror.OutcomeUnknown, 500 * time.Millisecond},
 		"one call lost, then passed": {"s1", func(_ *bench, n int, _ context.Context, q *ManyRequest) (*ManyResponse, error) {
 			if n == 1 {
 				return lost()
 			}
-			return &ManyResponse{Verdicts: []leader.Verdict{{Problem: apierror.New(apierror.CallPassed, "x")}}}, nil
+			return &ManyResponse{Verdicts: []leader.Outcome{{Err: apierror.New(apierror.CallPassed, "x")}}}, nil
 		}, apierror.CallPassed, 500 * time.Millisecond},
 		"no room": {"s1", func(*bench, int, context.Context, *ManyRequest) (*ManyResponse, error) {
-			return &ManyResponse{Verdicts: []leader.Verdict{{Problem: apierror.New(apierror.Overloaded, "x")}}}, nil
+			return &ManyResponse{Verdicts: []leader.Outcome{{Err: apierror.New(apierror.Overloaded, "x")}}}, nil
 		}, apierror.OutcomeUnknown, time.Millisecond},
 		"the owner hangs": {"s1", func(_ *bench, _ int, ctx context.Context, _ *ManyRequest) (*ManyResponse, error) {
 			<-ctx.Done()
@@ -317,7 +317,7 @@
 			n++
 			var cs []uint64
 			for _, x := range q.Tasks {
-				cs = append(cs, x.Call)
+				cs = append(cs, x.CallSeq)
 			}
 			seen = append(seen, cs)
 			time.Sleep(10 * time.Millisecond)
@@ -326,7 +326,7 @@
 			}
 			a := b.take(&ManyRequest{Tasks: q.Tasks[:1]})
 			for range q.Tasks[1:] {
-				a.Verdicts = append(a.Verdicts, leader.Verdict{Problem: apierror.New(apierror.OutcomeUnknown, "lost the partition")})
+				a.Verdicts = append(a.Verdicts, leader.Outcome{Err: apierror.New(apierror.OutcomeUnknown, "lost the partition")})
 			}
 			return a, nil
 		})
--- a/internal/testing/sim/answers_test.go
+++ b/internal/testing/sim/answers_test.go
@@ -51,7 +51,7 @@
 				if err == nil {
 					assert.Equal(t, a.Attached.Generation, second.Generation, "vouched for a superseded attachment")
 				}
-				_, err = stale.Visitors.Desk.Submit(ctx, p, &leader.Task{Visitor: who, Generation: second.Generation, Topic: topic, Call: 5, Body: []byte(`"later"`)})
+				_, err = stale.Visitors.Desk.Submit(ctx, p, &leader.Message{Client: who, Generation: second.Generation, Topic: topic, CallSeq: 5, Body: []byte(`"later"`)})
 				assert.Assert(t, !apierror.HasCode(err, apierror.CallPassed), "a final no from an owner that is none: %v", err)
 				stop()
 				assert.Assert(t, hits() > 0, "void: nothing was held")
--- a/internal/testing/sim/early_test.go
+++ b/internal/testing/sim/early_test.go
@@ -24,7 +24,7 @@
 		_, run := m.node()
 		_, err := router.Attached.Call(w.ctx, &endpoint{w, m, run}, "a1", w.Machines["s1"].Opts.PeerListen, &router.AttachedRequest{Visitor: "v"})
 		assert.Assert(t, apierror.HasCode(err, apierror.NotPartitionLeader), "%v", err)
-		_, err = router.Submit.Call(w.ctx, &endpoint{w, m, run}, "a1", w.Machines["s1"].Opts.PeerListen, &leader.Task{Visitor: "v", Topic: "kept/t0", Call: 1, Body: []byte("1"), Description: 1})
+		_, err = router.Submit.Call(w.ctx, &endpoint{w, m, run}, "a1", w.Machines["s1"].Opts.PeerListen, &leader.Message{Client: "v", Topic: "kept/t0", CallSeq: 1, Body: []byte("1"), Configuration: 1})
 		assert.Assert(t, apierror.HasCode(err, apierror.NotReady), "a store that lacks the description refused for good: %v", err)
 		_, err = w.Port("a1").Attach(w.ctx, "v")
 		assert.Assert(t, apierror.HasCode(err, apierror.NoLease), "%v", err)
--- a/internal/testing/sim/load_test.go
+++ b/internal/testing/sim/load_test.go
@@ -28,7 +28,7 @@
 		}
 		m[n] = 0
 		for _, v := range w.Machines[n].Node().Operators.Leaders() {
-			m[n] += v.Tally.Taken
+			m[n] += v.Counters.Accepted
 		}
 	}
 	return m
--- a/internal/testing/sim/measure_marks_test.go
+++ b/internal/testing/sim/measure_marks_test.go
@@ -47,7 +47,7 @@
 
 func marks(w *World) (n int) {
 	for _, v := range views(w) {
-		n += v.Marks
+		n += v.Tombstones
 	}
 	return n
 }
--- a/internal/testing/sim/measure_test.go
+++ b/internal/testing/sim/measure_test.go
@@ -49,7 +49,7 @@
 				time.Sleep(40 * time.Second)
 				var taken, batches, items uint64
 				for _, v := range views(w) {
-					taken, batches, items = taken+v.Tally.Taken, batches+v.Tally.Batches, items+v.Tally.Items
+					taken, batches, items = taken+v.Counters.Accepted, batches+v.Counters.Batches, items+v.Counters.Items
 				}
 				o := busiest(w)
 				w.Kill(o)
