--- a/internal/testing/sim/offer_test.go
+++ b/internal/testing/sim/offer_test.go
@@ -51,7 +51,7 @@
 	v.w.History.Send(m.Message, m.body, false, time.Now())
 	p := partition.Of(m.Topic, false, n.VoterSet().Layout)
 	v.wg.Add(1)
-	n.Visitors.Desk.Offer(v.w.ctx, p, &leader.Task{Visitor: v.name, Topic: m.Topic, Call: m.Call, Body: []byte(m.body)}, time.Now().Add(time.Second), func(d *leader.Decision, err error) {
+	n.Visitors.Desk.Offer(v.w.ctx, p, &leader.Message{Client: v.name, Topic: m.Topic, CallSeq: m.Call, Body: []byte(m.body)}, time.Now().Add(time.Second), func(d *leader.Decision, err error) {
 		defer v.wg.Done()
 		v.told(m, d, err)
 	})
@@ -62,7 +62,7 @@
 	defer v.mu.Unlock()
 	k := string(apierror.From(err).Code)
 	if err == nil {
-		k = map[bool]string{false: "taken", true: "repeat"}[d.Repeat]
+		k = map[bool]string{false: "taken", true: "repeat"}[d.Duplicate]
 		v.w.History.Take(m.Message, d.Partition, d.Offset, time.Now())
 		if _, ok := v.open[m.Call]; ok {
 			v.old = append(v.old, m)
--- a/internal/testing/sim/owner_test.go
+++ b/internal/testing/sim/owner_test.go
@@ -94,7 +94,7 @@
 		assert.NilError(t, err)
 		n := w.Machines["a1"].Node()
 		p := partition.Of("kept/t0", false, n.VoterSet().Layout)
-		_, err = n.Visitors.Desk.Submit(w.ctx, p, &leader.Task{Visitor: "v", Generation: old.Generation, Topic: "kept/t0", Call: 2, Body: []byte(`2`)})
+		_, err = n.Visitors.Desk.Submit(w.ctx, p, &leader.Message{Client: "v", Generation: old.Generation, Topic: "kept/t0", CallSeq: 2, Body: []byte(`2`)})
 		assert.Assert(t, apierror.HasCode(err, apierror.TokenFenced), "a send that was on its way: %v", err)
 	})
 }
--- a/internal/testing/sim/trim_test.go
+++ b/internal/testing/sim/trim_test.go
@@ -85,7 +85,7 @@
 			p, q := partition.Of(topic, false, n.VoterSet().Layout), partition.Of(quiet, false, n.VoterSet().Layout)
 			send := func(topic string, call uint64) (*leader.Decision, error) {
 				p := partition.Of(topic, false, n.VoterSet().Layout)
-				return n.Visitors.Desk.Submit(w.ctx, p, &leader.Task{Visitor: "v", Topic: topic, Call: call, Body: []byte("1")})
+				return n.Visitors.Desk.Submit(w.ctx, p, &leader.Message{Client: "v", Topic: topic, CallSeq: call, Body: []byte("1")})
 			}
 			must := func(topic string, call uint64) uint64 {
 				d, err := send(topic, call)
@@ -99,11 +99,11 @@
 			judge := func(when string) {
 				x, err := w.Machines[w.records()[p].Leader].Node().Visitors.Desk.Owners.Owner(p)
 				assert.NilError(t, err)
-				assert.Assert(t, x.Lacks(topic, 0) && x.Lacks(topic, first), "%s: what is gone", when)
-				assert.Assert(t, !x.Lacks(topic, second) && !x.Lacks(topic, third), "%s: what is held", when)
+				assert.Assert(t, x.Trimmed(topic, 0) && x.Trimmed(topic, first), "%s: what is gone", when)
+				assert.Assert(t, !x.Trimmed(topic, second) && !x.Trimmed(topic, third), "%s: what is held", when)
 				y, err := w.Machines[w.records()[q].Leader].Node().Visitors.Desk.Owners.Owner(q)
 				assert.NilError(t, err)
-				assert.Assert(t, !y.Lacks(quiet, 0) && !y.Lacks("kept/never", 0), "%s: a topic of which nothing is gone", when)
+				assert.Assert(t, !y.Trimmed(quiet, 0) && !y.Trimmed("kept/never", 0), "%s: a topic of which nothing is gone", when)
 				for _, c := range []uint64{10, 20, 15, 1} {
 					_, err = send(topic, c)
 					assert.Assert(t, apierror.HasCode(err, apierror.CallForgotten), "%s: %d may have been taken: %v", when, c, err)
@@ -113,7 +113,7 @@
 				_, err = send(quiet, 4)
 				assert.Assert(t, apierror.HasCode(err, apierror.CallPassed), "%s: %v", when, err)
 				d, err := send(topic, 30)
-				assert.Assert(t, err == nil && d.Repeat && d.Offset == third, "%s: %v", when, err)
+				assert.Assert(t, err == nil && d.Duplicate && d.Offset == third, "%s: %v", when, err)
 			}
 			time.Sleep(w.Site.Bounds.Keeping * 2 / 5)
 			judge("at the first owner")
--- a/internal/testing/sim/withdraw_test.go
+++ b/internal/testing/sim/withdraw_test.go
@@ -328,7 +328,7 @@
 
 func (s *scene) compactions() (n uint64) {
 	for _, v := range views(s.w) {
-		n += v.Tally.Compactions
+		n += v.Counters.Compactions
 	}
 	return n
 }
