--- a/internal/client/follow_test.go
+++ b/internal/client/follow_test.go
@@ -55,7 +55,7 @@
 // owners answer for an urgent partition, which gets one entry when asked for more; a routine one's owner says where it ends and nothing else.
 type owners struct{ urgent int }
 
-func (o owners) ReadAs(ctx context.Context, q *leader.ReadRequest) (*leader.ReadResponse, error) {
+func (o owners) ReadAsReader(ctx context.Context, q *leader.ReadRequest) (*leader.ReadResponse, error) {
 	first := q.From == ^uint64(0)
 	if q.Partition == o.urgent && !first && q.From < 8 {
 		return &leader.ReadResponse{To: 8, Epoch: 1, Entries: []log.Entry{{Offset: 8, Type: log.TypeMessage, Topic: "s/stop", Body: []byte("1")}}}, nil
--- a/internal/client/service.go
+++ b/internal/client/service.go
@@ -63,7 +63,7 @@
 	Bounds   settings.Timing
 	Body     int
 	Board    *gossip.Store
-	Desk     *router.Desk
+	Desk     *router.Router
 	Feeds    *stream.Feeds
 	Presence *presence.Presence
 	Gates    *admission.Gates
@@ -248,20 +248,20 @@
 }
 
 func (s *Service) identify(ctx context.Context, t *Task, k token.Token, urgent bool) error {
-	a, err := s.Desk.Attached(ctx, k.Visitor, k.Generation, urgent)
+	a, err := s.Desk.ReadAttachment(ctx, k.Visitor, k.Generation, urgent)
 	if err != nil {
 		if apierror.HasCode(err, apierror.OutcomeUnknown) {
 			err = apierror.New(apierror.NoPartitionLeader, "the attachment could not be checked: %v", err)
 		}
 		return err
 	}
-	switch g := a.Attached.Generation; {
+	switch g := a.Attachment.Generation; {
 	case g > k.Generation:
 		return apierror.New(apierror.TokenFenced, "attachment %d of %s is in force, the token is of %d", g, k.Visitor, k.Generation)
-	case g < k.Generation || !k.Matches(a.Attached.Secret):
+	case g < k.Generation || !k.Matches(a.Attachment.Secret):
 		return apierror.New(apierror.TokenForeign, "the token is not the one given to %s", k.Visitor)
 	}
-	t.who, t.Visitor, t.acked = k, k.Visitor, a.Acked.Cursor
+	t.who, t.Visitor, t.acked = k, k.Visitor, a.SavedCursor.Cursor
 	return nil
 }
 
@@ -270,11 +270,11 @@
 		return apierror.New(apierror.Malformed, "visitor must be 1 to 63 of letters, digits, ., _ and -, is %q", t.Visitor)
 	}
 	sec := token.Secret()
-	a, err := s.Desk.Attach(ctx, &router.AttachRequest{Visitor: t.Visitor, Secret: token.Digest(sec)})
+	a, err := s.Desk.Attach(ctx, &router.AttachRequest{Client: t.Visitor, Secret: token.Digest(sec)})
 	if err != nil {
 		return err
 	}
-	t.out = Attachment{Token: token.Token{Visitor: t.Visitor, Generation: a.Generation, Secret: sec}.Pack(), Visitor: t.Visitor, Generation: a.Generation, Cursor: a.Acked.Cursor}
+	t.out = Attachment{Token: token.Token{Visitor: t.Visitor, Generation: a.Generation, Secret: sec}.Pack(), Visitor: t.Visitor, Generation: a.Generation, Cursor: a.SavedCursor.Cursor}
 	return nil
 }
 
@@ -300,7 +300,7 @@
 		if err := log.CheckName("key", *t.Key); err != nil {
 			return nil, err
 		}
-		if err := s.Desk.Keys(); err != nil {
+		if err := s.Desk.CheckKeysSupported(); err != nil {
 			return nil, err
 		}
 		q.Key = *t.Key
@@ -316,7 +316,7 @@
 	if _, err := cursor.Unpack(r.Fleet, r.Layout.PartitionCount(), t.Cursor); err != nil {
 		return err
 	}
-	if err := s.Desk.Ack(ctx, &router.AckRequest{Visitor: t.Visitor, Generation: t.who.Generation, Cursor: t.Cursor}); err != nil {
+	if err := s.Desk.SaveCursor(ctx, &router.SaveCursorRequest{Client: t.Visitor, Generation: t.who.Generation, Cursor: t.Cursor}); err != nil {
 		return err
 	}
 	t.out = Left{Cursor: t.Cursor}
--- a/internal/client/session/house.go
+++ b/internal/client/session/house.go
@@ -19,11 +19,11 @@
 
 // Ledger has messages decided and listeners counted, wherever the owner is.
 type Ledger interface {
-	Offer(ctx context.Context, p int, q *leader.Message, until time.Time, done func(*leader.Decision, error))
-	Listeners(ctx context.Context, p int, topic string) (int, error)
-	Forgotten(ctx context.Context, p int, offset uint64, hold time.Duration) (*leader.PendingReaders, error)
-	// Keys gives a problem while some node's build knows no keys.
-	Keys() error
+	SubmitAsync(ctx context.Context, p int, q *leader.Message, until time.Time, done func(*leader.Decision, error))
+	Subscribers(ctx context.Context, p int, topic string) (int, error)
+	PendingReaders(ctx context.Context, p int, offset uint64, hold time.Duration) (*leader.PendingReaders, error)
+	// CheckKeysSupported gives a problem while some node's build knows no keys.
+	CheckKeysSupported() error
 }
 
 // House takes the visits of one node.
@@ -470,7 +470,7 @@
 		return apierror.New(apierror.Oversize, "the body has %d bytes, the limit is %d", len(t.Body), v.h.Body)
 	}
 	until := v.h.Clock.Now().Add(v.h.patience(sp))
-	v.h.Ledger.Offer(v.h.ctx, p, &leader.Message{
+	v.h.Ledger.SubmitAsync(v.h.ctx, p, &leader.Message{
 		Client: v.name, Topic: t.Topic, CallSeq: t.Call, Body: t.Body, Key: t.Key, Live: sp.Kind == configuration.KindLive, Configuration: v.h.Board.Index().Sequence,
 	}, until, func(_ *leader.Decision, err error) {
 		if err != nil {
@@ -502,7 +502,7 @@
 		return err
 	}
 	go func() {
-		n, err := v.h.Ledger.Listeners(v.h.ctx, p, t.Topic)
+		n, err := v.h.Ledger.Subscribers(v.h.ctx, p, t.Topic)
 		if err != nil {
 			v.turn(t, err)
 			return
--- a/internal/client/session/withdraw.go
+++ b/internal/client/session/withdraw.go
@@ -17,7 +17,7 @@
 	if !plainName(key, keyMost) {
 		return apierror.New(apierror.Malformed, "a key must be 1 to %d printable bytes without spaces", keyMost)
 	}
-	return h.Ledger.Keys()
+	return h.Ledger.CheckKeysSupported()
 }
 
 func (v *Visit) withdraw(t Task) error {
@@ -35,7 +35,7 @@
 		return err
 	}
 	until := v.h.Clock.Now().Add(v.h.patience(sp))
-	v.h.Ledger.Offer(v.h.ctx, p, &leader.Message{
+	v.h.Ledger.SubmitAsync(v.h.ctx, p, &leader.Message{
 		Client: v.name, Topic: t.Topic, CallSeq: t.Call, Key: t.Key, Withdraw: true, WithdrawSender: t.Of, WithdrawUpTo: t.Upto,
 		Live: sp.Kind == configuration.KindLive, Configuration: v.h.Board.Index().Sequence,
 	}, until, func(d *leader.Decision, err error) {
@@ -80,5 +80,5 @@
 	left := max(until.Sub(h.Clock.Now()), 0)
 	cx, stop := context.WithTimeout(h.ctx, left+h.Bounds.MaxBackoff())
 	defer stop()
-	return h.Ledger.Forgotten(cx, p, offset, min(left, h.Bounds.LongPoll()))
+	return h.Ledger.PendingReaders(cx, p, offset, min(left, h.Bounds.LongPoll()))
 }
--- a/internal/client/session/withdraw_test.go
+++ b/internal/client/session/withdraw_test.go
@@ -28,18 +28,18 @@
 	offers []*leader.Message
 }
 
-func (c *clerk) Offer(_ context.Context, _ int, q *leader.Message, _ time.Time, done func(*leader.Decision, error)) {
+func (c *clerk) SubmitAsync(_ context.Context, _ int, q *leader.Message, _ time.Time, done func(*leader.Decision, error)) {
 	c.mu.Lock()
 	c.offers = append(c.offers, q)
 	c.mu.Unlock()
 	done(c.decide(q))
 }
 
-func (*clerk) Listeners(context.Context, int, string) (int, error) { return 0, nil }
+func (*clerk) Subscribers(context.Context, int, string) (int, error) { return 0, nil }
 
-func (c *clerk) Keys() error { return c.keys }
+func (c *clerk) CheckKeysSupported() error { return c.keys }
 
-func (c *clerk) Forgotten(ctx context.Context, _ int, _ uint64, hold time.Duration) (*leader.PendingReaders, error) {
+func (c *clerk) PendingReaders(ctx context.Context, _ int, _ uint64, hold time.Duration) (*leader.PendingReaders, error) {
 	c.mu.Lock()
 	c.asked++
 	n := c.asked
--- a/internal/client/withdraw.go
+++ b/internal/client/withdraw.go
@@ -34,7 +34,7 @@
 	}
 	m := t.mark
 	given, err := s.awaited(ctx, m, func(ctx context.Context) (*leader.PendingReaders, error) {
-		return s.Desk.Forgotten(ctx, m.Partition, m.Offset, s.Bounds.LongPoll())
+		return s.Desk.PendingReaders(ctx, m.Partition, m.Offset, s.Bounds.LongPoll())
 	})
 	if err != nil {
 		return err
--- a/internal/client/withdraw_test.go
+++ b/internal/client/withdraw_test.go
@@ -25,7 +25,7 @@
 // pages are what the reads of a partition give, one after the other.
 type pages chan *leader.ReadResponse
 
-func (p pages) ReadAs(ctx context.Context, q *leader.ReadRequest) (*leader.ReadResponse, error) {
+func (p pages) ReadAsReader(ctx context.Context, q *leader.ReadRequest) (*leader.ReadResponse, error) {
 	if q.Finished || q.From == ^uint64(0) {
 		return &leader.ReadResponse{}, nil
 	}
@@ -116,7 +116,7 @@
 
 func TestNoKeysUntilEveryBuildKnowsThem(t *testing.T) {
 	v := membership.NewView()
-	s := &Service{Desk: &router.Desk{View: v}}
+	s := &Service{Desk: &router.Router{View: v}}
 	k := "k"
 	v.Set([]membership.Info{{Name: "a1", SupportsKeys: true}, {Name: "a2"}})
 	_, err := s.submit(t.Context(), &Task{Key: &k}, &leader.Message{})
--- a/internal/delivery/stream/feed.go
+++ b/internal/delivery/stream/feed.go
@@ -18,7 +18,7 @@
 
 // Source reads committed entries.
 type Source interface {
-	ReadAs(ctx context.Context, q *leader.ReadRequest) (*leader.ReadResponse, error)
+	ReadAsReader(ctx context.Context, q *leader.ReadRequest) (*leader.ReadResponse, error)
 }
 
 // Feeds holds a feed per partition that some stream here follows.
@@ -191,7 +191,7 @@
 	boot := d.boot
 	q.Partition, q.Node, q.BootID, q.ReaderToken, q.TracksTombstones = d.p, d.fs.node, d.boot, d.turn, true
 	d.mu.Unlock()
-	r, err := d.fs.src.ReadAs(ctx, q)
+	r, err := d.fs.src.ReadAsReader(ctx, q)
 	if err != nil {
 		return nil, err
 	}
@@ -249,7 +249,7 @@
 	d.anew(f.another())
 	for tries := range farewells {
 		cx, stop := context.WithTimeout(f.ctx, patience*f.bounds.MaxBackoff())
-		_, err := f.src.ReadAs(cx, q)
+		_, err := f.src.ReadAsReader(cx, q)
 		stop()
 		if err == nil || f.clk.Sleep(f.ctx, f.bounds.Backoff(tries)) != nil {
 			break
--- a/internal/delivery/stream/feed_test.go
+++ b/internal/delivery/stream/feed_test.go
@@ -29,7 +29,7 @@
 	news  chan struct{}
 }
 
-func (c *clerk) ReadAs(ctx context.Context, q *leader.ReadRequest) (*leader.ReadResponse, error) {
+func (c *clerk) ReadAsReader(ctx context.Context, q *leader.ReadRequest) (*leader.ReadResponse, error) {
 	for end := time.Now().Add(q.Hold); ; {
 		c.mu.Lock()
 		c.asked = append(c.asked, *q)
--- a/internal/node/leaders/owners.go
+++ b/internal/node/leaders/owners.go
@@ -42,8 +42,8 @@
 	loads  map[int]sample
 }
 
-// Owner finds the owner of a partition that runs here.
-func (k *Keeper) Owner(p int) (*leader.Leader, error) {
+// Leader finds the owner of a partition that runs here.
+func (k *Keeper) Leader(p int) (*leader.Leader, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if o, ok := k.m[p]; ok {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -87,7 +87,7 @@
 	confirm      *quorumread.Confirmer
 	client       *registerclient.Client
 	owners       *leaders.Keeper
-	desk         *router.Desk
+	desk         *router.Router
 	presence     *presence.Presence
 	gates        *admission.Gates
 	turned       rejections.Memory
@@ -281,7 +281,7 @@
 
 func (n *Node) heard(x gossip.Update) {
 	if n.desk != nil {
-		n.desk.News(x.Records)
+		n.desk.ApplyRecords(x.Records)
 	}
 	if x.Configuration != nil {
 		n.log.Say(event.DescriptionNews, "sequence", x.Configuration.Sequence, "spaces", len(x.Configuration.Spaces))
@@ -329,7 +329,7 @@
 		},
 		OnRecovered: n.owners.Settled, OnPromote: n.owners.Promote, Observer: (*ownerLog)(n), OnDecision: n.w.Witness,
 	}
-	n.desk = &router.Desk{Self: self, Net: net, Clock: clk, Bounds: b, Board: n.Board, View: n.View, Owners: n.owners, Backlog: func() int { return n.options().Backlog }, Packs: o.CompressStreams()}
+	n.desk = &router.Router{Self: self, Net: net, Clock: clk, Timing: b, Store: n.Board, View: n.View, Leaders: n.owners, Backlog: func() int { return n.options().Backlog }, CompressStreams: o.CompressStreams()}
 	n.presence = presence.New(self, net, b, n.View)
 	n.gates = admission.New(o.Backlog)
 	n.turned = rejections.New()
@@ -361,7 +361,7 @@
 			n.House.Away(to)
 		},
 	}
-	n.Operators = &operator.Service{Clock: n.w.Clock, Timing: b, Net: n.w.Net, Client: n.client, Store: n.Board, View: n.View, Info: n.Info, CheckLease: n.keeper.CheckLease, ControlNode: n.keeper.ControlNode, Leaders: n.owners.Views, TopicUsage: n.desk.Usage, Tombstones: n.desk.Marks, CountersByPart: n.tallies, Trace: n.desk.Trace, Rejections: n.askTurned, Log: n.log}
+	n.Operators = &operator.Service{Clock: n.w.Clock, Timing: b, Net: n.w.Net, Client: n.client, Store: n.Board, View: n.View, Info: n.Info, CheckLease: n.keeper.CheckLease, ControlNode: n.keeper.ControlNode, Leaders: n.owners.Views, TopicUsage: n.desk.Usage, Tombstones: n.desk.Tombstones, CountersByPart: n.tallies, Trace: n.desk.Trace, Rejections: n.askTurned, Log: n.log}
 }
 
 // deciders gives the addresses of the other machines that records name as owners.
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -43,7 +43,7 @@
 	TopicUsage     func(ctx context.Context, p int) ([]leader.TopicUsage, error)
 	Tombstones     func(ctx context.Context, p int) (*leader.TombstoneView, error)
 	CountersByPart func() map[string]any
-	Trace          func(ctx context.Context, p int, q *router.TraceRequest) (*router.Traced, error)
+	Trace          func(ctx context.Context, p int, q *router.TraceRequest) (*router.TraceResponse, error)
 	Rejections     func(ctx context.Context, i membership.Info, q rejections.Task) ([]rejections.Note, error)
 	Log            *event.Logger
 
--- a/internal/partitionlog/router/desk.go
+++ b/internal/partitionlog/router/desk.go
@@ -21,7 +21,7 @@
 
 // AttachRequest records an attachment.
 type AttachRequest struct {
-	Visitor    string `json:"v"`
+	Client     string `json:"v"`
 	Secret     string `json:"s"`
 	Generation uint64 `json:"g,omitempty"`
 	Urgent     bool   `json:"u,omitempty"`
@@ -29,32 +29,32 @@
 
 // AttachResponse gives the attachment's generation and the cursor that was left.
 type AttachResponse struct {
-	Generation uint64            `json:"g"`
-	Acked      state.SavedCursor `json:"k"`
+	Generation  uint64            `json:"g"`
+	SavedCursor state.SavedCursor `json:"k"`
 }
 
-// AttachedRequest asks which attachment is in force.
-type AttachedRequest struct {
-	Visitor string `json:"v"`
-	Urgent  bool   `json:"u,omitempty"`
+// ReadAttachmentRequest asks which attachment is in force.
+type ReadAttachmentRequest struct {
+	Client string `json:"v"`
+	Urgent bool   `json:"u,omitempty"`
 }
 
-// AttachedResponse says so.
-type AttachedResponse struct {
-	Attached state.Attachment  `json:"t"`
-	Acked    state.SavedCursor `json:"k"`
+// ReadAttachmentResponse says so.
+type ReadAttachmentResponse struct {
+	Attachment  state.Attachment  `json:"t"`
+	SavedCursor state.SavedCursor `json:"k"`
 }
 
-// AckRequest leaves a cursor.
-type AckRequest struct {
-	Visitor    string `json:"v"`
+// SaveCursorRequest leaves a cursor.
+type SaveCursorRequest struct {
+	Client     string `json:"v"`
 	Generation uint64 `json:"g"`
 	Cursor     string `json:"c"`
 	Urgent     bool   `json:"u,omitempty"`
 }
 
-// Done is an answer without contents.
-type Done struct{}
+// Empty is an answer without contents.
+type Empty struct{}
 
 // UsageRequest asks how a partition's topics were used.
 type UsageRequest struct {
@@ -63,30 +63,30 @@
 
 // UsageResponse says so.
 type UsageResponse struct {
-	Uses  []leader.TopicUsage   `json:"u"`
-	Marks *leader.TombstoneView `json:"m,omitempty"`
+	Topics     []leader.TopicUsage   `json:"u"`
+	Tombstones *leader.TombstoneView `json:"m,omitempty"`
 }
 
 // TraceRequest asks what the ledger knows of a call.
 type TraceRequest struct {
-	Visitor string `json:"v"`
+	Client  string `json:"v"`
 	Topic   string `json:"t"`
-	Call    uint64 `json:"c"`
+	CallSeq uint64 `json:"c"`
 }
 
-// Traced says so: whether the call was taken and where, who decided, and the last number taken. Forgotten is a call so old that it may have been taken.
-type Traced struct {
-	Partition int    `json:"partition"`
-	Owner     string `json:"owner"`
-	Epoch     uint64 `json:"epoch"`
-	Taken     bool   `json:"taken"`
-	Offset    uint64 `json:"offset,omitempty"`
-	Last      uint64 `json:"last_call_seq"`
-	Forgotten bool   `json:"forgotten,omitempty"`
+// TraceResponse says so: whether the call was taken and where, who decided, and the last number taken. Forgotten is a call so old that it may have been taken.
+type TraceResponse struct {
+	Partition   int    `json:"partition"`
+	Leader      string `json:"owner"`
+	Epoch       uint64 `json:"epoch"`
+	Accepted    bool   `json:"taken"`
+	Offset      uint64 `json:"offset,omitempty"`
+	LastCallSeq uint64 `json:"last_call_seq"`
+	Forgotten   bool   `json:"forgotten,omitempty"`
 }
 
-// ForgottenRequest asks whether all readers of a partition have read behind a mark, waiting up to Hold.
-type ForgottenRequest struct {
+// PendingReadersRequest asks whether all readers of a partition have read behind a mark, waiting up to Hold.
+type PendingReadersRequest struct {
 	Partition int           `json:"p"`
 	Offset    uint64        `json:"o"`
 	Hold      time.Duration `json:"h"`
@@ -94,44 +94,44 @@
 
 // The desk's calls.
 var (
-	Submit   = wire.NewProcedure[leader.Message, leader.Decision]("Ledger", "Submit", wire.Deduplicated, "the message has its number, which the owner remembers")
-	Attach   = wire.NewProcedure[AttachRequest, AttachResponse]("Ledger", "Attach", wire.Deduplicated, "the attachment has a secret of its own; the one in force is known by it")
-	Attached = wire.NewProcedure[AttachedRequest, AttachedResponse]("Ledger", "Attached", wire.ReadOnly, "confirmed by a majority of copies")
-	Ack      = wire.NewProcedure[AckRequest, Done]("Ledger", "Ack", wire.Monotonic, "the cursor left last stands, as long as the attachment is in force")
-	Trace    = wire.NewProcedure[TraceRequest, Traced]("Ledger", "Trace", wire.ReadOnly, "looks up a call's fate")
-	Usage    = wire.NewProcedure[UsageRequest, UsageResponse]("Ledger", "Usage", wire.ReadOnly, "counts")
-	Read     = wire.NewProcedure[leader.ReadRequest, leader.ReadResponse]("Ledger", "Read", wire.ReadOnly, "committed entries behind a place")
-	// Forgotten tells who has not read behind a mark yet.
-	Forgotten = wire.NewProcedure[ForgottenRequest, leader.PendingReaders]("Ledger", "Forgotten", wire.ReadOnly, "waits for readers, changes nothing")
+	Submit         = wire.NewProcedure[leader.Message, leader.Decision]("Ledger", "Submit", wire.Deduplicated, "the message has its number, which the owner remembers")
+	Attach         = wire.NewProcedure[AttachRequest, AttachResponse]("Ledger", "Attach", wire.Deduplicated, "the attachment has a secret of its own; the one in force is known by it")
+	ReadAttachment = wire.NewProcedure[ReadAttachmentRequest, ReadAttachmentResponse]("Ledger", "Attached", wire.ReadOnly, "confirmed by a majority of copies")
+	SaveCursor     = wire.NewProcedure[SaveCursorRequest, Empty]("Ledger", "Ack", wire.Monotonic, "the cursor left last stands, as long as the attachment is in force")
+	Trace          = wire.NewProcedure[TraceRequest, TraceResponse]("Ledger", "Trace", wire.ReadOnly, "looks up a call's fate")
+	Usage          = wire.NewProcedure[UsageRequest, UsageResponse]("Ledger", "Usage", wire.ReadOnly, "counts")
+	Read           = wire.NewProcedure[leader.ReadRequest, leader.ReadResponse]("Ledger", "Read", wire.ReadOnly, "committed entries behind a place")
+	// PendingReaders tells who has not read behind a mark yet.
+	PendingReaders = wire.NewProcedure[PendingReadersRequest, leader.PendingReaders]("Ledger", "Forgotten", wire.ReadOnly, "waits for readers, changes nothing")
 )
 
-// Owners finds the owner that runs here.
-type Owners interface {
-	Owner(p int) (*leader.Leader, error)
-}
-
-// Desk is one node's.
-type Desk struct {
-	Self   string
-	Net    wire.Network
-	Clock  clock.Clock
-	Bounds settings.Timing
-	Board  *gossip.Store
-	View   *membership.View
-	Owners Owners
-	reigns reigns
+// Leaders finds the owner that runs here.
+type Leaders interface {
+	Leader(p int) (*leader.Leader, error)
+}
+
+// Router is one node's.
+type Router struct {
+	Self    string
+	Net     wire.Network
+	Clock   clock.Clock
+	Timing  settings.Timing
+	Store   *gossip.Store
+	View    *membership.View
+	Leaders Leaders
+	reigns  reigns
 	// Backlog is how many messages may wait here for one partition; nil for any number.
 	Backlog func() int
-	// Packs has the messages of followed topics come with their bodies packed.
-	Packs bool
+	// CompressStreams has the messages of followed topics come with their bodies packed.
+	CompressStreams bool
 
 	lanes lanes
 }
 
-func (d *Desk) here(p int) (*leader.Leader, error) { return d.Owners.Owner(p) }
+func (d *Router) here(p int) (*leader.Leader, error) { return d.Leaders.Leader(p) }
 
-func (d *Desk) place(q *leader.Message) (int, error) {
-	x := d.Board.Index()
+func (d *Router) place(q *leader.Message) (int, error) {
+	x := d.Store.Index()
 	if x.Sequence < q.Configuration {
 		return 0, apierror.New(apierror.NotReady, "the call was let in under description %d, this node has %d", q.Configuration, x.Sequence)
 	}
@@ -139,10 +139,10 @@
 	if err != nil {
 		return 0, err
 	}
-	return partition.Of(q.Topic, s.Urgent, d.Board.VoterSet().Layout), nil
+	return partition.Of(q.Topic, s.Urgent, d.Store.VoterSet().Layout), nil
 }
 
-func (d *Desk) submit(ctx context.Context, q *leader.Message) (*leader.Decision, error) {
+func (d *Router) submit(ctx context.Context, q *leader.Message) (*leader.Decision, error) {
 	p, err := d.place(q)
 	if err != nil {
 		return nil, err
@@ -154,73 +154,73 @@
 	return o.Submit(ctx, q)
 }
 
-func (d *Desk) attach(ctx context.Context, q *AttachRequest) (*AttachResponse, error) {
-	o, err := d.here(d.home(q.Visitor, q.Urgent))
+func (d *Router) attach(ctx context.Context, q *AttachRequest) (*AttachResponse, error) {
+	o, err := d.here(d.home(q.Client, q.Urgent))
 	if err != nil {
 		return nil, err
 	}
-	g, err := o.Attach(ctx, q.Visitor, q.Secret, q.Generation)
+	g, err := o.Attach(ctx, q.Client, q.Secret, q.Generation)
 	if err != nil {
 		return nil, err
 	}
-	_, k, err := o.Attachment(ctx, q.Visitor)
-	return &AttachResponse{Generation: g, Acked: k}, err
+	_, k, err := o.Attachment(ctx, q.Client)
+	return &AttachResponse{Generation: g, SavedCursor: k}, err
 }
 
-func (d *Desk) attached(ctx context.Context, q *AttachedRequest) (*AttachedResponse, error) {
-	o, err := d.here(d.home(q.Visitor, q.Urgent))
+func (d *Router) attached(ctx context.Context, q *ReadAttachmentRequest) (*ReadAttachmentResponse, error) {
+	o, err := d.here(d.home(q.Client, q.Urgent))
 	if err != nil {
 		return nil, err
 	}
-	t, k, err := o.Attachment(ctx, q.Visitor)
-	return &AttachedResponse{Attached: t, Acked: k}, err
+	t, k, err := o.Attachment(ctx, q.Client)
+	return &ReadAttachmentResponse{Attachment: t, SavedCursor: k}, err
 }
 
-func (d *Desk) ack(ctx context.Context, q *AckRequest) (*Done, error) {
-	o, err := d.here(d.home(q.Visitor, q.Urgent))
+func (d *Router) ack(ctx context.Context, q *SaveCursorRequest) (*Empty, error) {
+	o, err := d.here(d.home(q.Client, q.Urgent))
 	if err != nil {
 		return nil, err
 	}
-	return &Done{}, o.SaveCursor(ctx, q.Visitor, q.Generation, q.Cursor)
+	return &Empty{}, o.SaveCursor(ctx, q.Client, q.Generation, q.Cursor)
 }
 
-func (d *Desk) read(ctx context.Context, q *leader.ReadRequest) (*leader.ReadResponse, error) {
+func (d *Router) read(ctx context.Context, q *leader.ReadRequest) (*leader.ReadResponse, error) {
 	o, err := d.here(q.Partition)
 	if err != nil {
 		return nil, err
 	}
-	q.Hold = min(q.Hold, d.Bounds.LongPoll())
+	q.Hold = min(q.Hold, d.Timing.LongPoll())
 	return o.Read(ctx, q)
 }
 
-func (d *Desk) forgotten(ctx context.Context, q *ForgottenRequest) (*leader.PendingReaders, error) {
+func (d *Router) forgotten(ctx context.Context, q *PendingReadersRequest) (*leader.PendingReaders, error) {
 	o, err := d.here(q.Partition)
 	if err != nil {
 		return nil, err
 	}
-	return o.PendingReaders(ctx, q.Offset, min(q.Hold, d.Bounds.LongPoll()))
+	return o.PendingReaders(ctx, q.Offset, min(q.Hold, d.Timing.LongPoll()))
 }
 
-func (d *Desk) usage(_ context.Context, q *UsageRequest) (*UsageResponse, error) {
+func (d *Router) usage(_ context.Context, q *UsageRequest) (*UsageResponse, error) {
 	o, err := d.here(q.Partition)
 	if err != nil {
 		return nil, err
 	}
 	us, err := o.Usage()
-	return &UsageResponse{Uses: us, Marks: o.Tombstones()}, err
+	return &UsageResponse{Topics: us, Tombstones: o.Tombstones()}, err
 }
 
-func (d *Desk) trace(ctx context.Context, q *TraceRequest) (*Traced, error) {
-	s, err := d.Board.Index().Find(q.Topic)
+func (d *Router) trace(ctx context.Context, q *TraceRequest) (*TraceResponse, error) {
+	s, err := d.Store.Index().Find(q.Topic)
 	if err != nil {
 		return nil, err
 	}
-	o, err := d.here(partition.Of(q.Topic, s.Urgent, d.Board.VoterSet().Layout))
+	o, err := d.here(partition.Of(q.Topic, s.Urgent, d.Store.VoterSet().Layout))
 	if err != nil {
 		return nil, err
 	}
-	a, at, kept, err := o.Trace(ctx, q.Visitor, q.Topic, q.Call)
-	t := &Traced{Partition: o.Record.Partition, Owner: d.Self, Epoch: o.Record.Epoch, Taken: kept, Last: a.Last, Forgotten: !kept && q.Call <= a.Floor}
+	a, at, kept, err := o.Trace(ctx, q.Client, q.Topic, q.CallSeq)
+	t := &TraceResponse{Partition: o.Record.Partition, Leader: d.Self, Epoch: o.Record.Epoch, Accepted: kept, LastCallSeq: a.Last, Forgotten: !kept && q.CallSeq <= a.Floor}
 	if kept {
 		t.Offset = at.Offset
 	}
@@ -228,15 +228,15 @@
 }
 
 // Serve adds the desk's calls.
-func (d *Desk) Serve(m *http.ServeMux) {
+func (d *Router) Serve(m *http.ServeMux) {
 	Submit.Handle(m, d.submit)
 	SubmitMany.Handle(m, d.submitMany)
 	Attach.Handle(m, d.attach)
-	Attached.Handle(m, d.attached)
-	Ack.Handle(m, d.ack)
+	ReadAttachment.Handle(m, d.attached)
+	SaveCursor.Handle(m, d.ack)
 	Read.Handle(m, d.read)
 	Usage.Handle(m, d.usage)
-	Forgotten.Handle(m, d.forgotten)
+	PendingReaders.Handle(m, d.forgotten)
 	Trace.Handle(m, d.trace)
 	d.serveFans(m)
 }
@@ -252,15 +252,15 @@
 
 // handOver has a task done by the partition's owner, wherever that is. It tries again while something may come of it: at once after news of the record,
 // and else for a call's time after the last such news. When the node knows that nobody can decide for now, it says so after one more look.
-func handOver[Q, A any](ctx context.Context, d *Desk, p int, c *wire.Procedure[Q, A], local func(context.Context, *Q) (*A, error), q *Q) (*A, error) {
-	doubt, hopes, short := false, 0, d.Bounds.MaxBackoff()/soonShare
+func handOver[Q, A any](ctx context.Context, d *Router, p int, c *wire.Procedure[Q, A], local func(context.Context, *Q) (*A, error), q *Q) (*A, error) {
+	doubt, hopes, short := false, 0, d.Timing.MaxBackoff()/soonShare
 	var seen uint64
 	since := d.Clock.Now()
 	for {
-		ch := d.Board.Changed()
-		r := d.Board.Record(p)
+		ch := d.Store.Changed()
+		r := d.Store.Record(p)
 		if r.Version != seen {
-			seen, since, hopes, short = r.Version, d.Clock.Now(), 0, d.Bounds.MaxBackoff()/soonShare
+			seen, since, hopes, short = r.Version, d.Clock.Now(), 0, d.Timing.MaxBackoff()/soonShare
 		}
 		begun := d.Clock.Now()
 		a, err := try(ctx, d, p, r, c, local, q)
@@ -279,11 +279,11 @@
 		if looks[k] > 0 {
 			hopes++
 		}
-		over := hopes >= looks[k] && looks[k] > 0 || now.Sub(since) >= d.Bounds.CallTimeout() || unclear[k] && now.Sub(begun) >= d.Bounds.CallTimeout()
-		if over && d.Board.Record(p).Version == seen {
+		over := hopes >= looks[k] && looks[k] > 0 || now.Sub(since) >= d.Timing.CallTimeout() || unclear[k] && now.Sub(begun) >= d.Timing.CallTimeout()
+		if over && d.Store.Record(p).Version == seen {
 			return nil, d.surrender(p, doubt, err)
 		}
-		pause := d.Bounds.MaxBackoff()
+		pause := d.Timing.MaxBackoff()
 		if soon[k] {
 			short = min(2*short, pause)
 			pause = short
@@ -309,20 +309,20 @@
 var looks = map[apierror.Code]int{apierror.NoPartitionLeader: 2, apierror.Unreachable: 3}
 
 // surrender is the answer to a call that this node has given up on, with the time to come back.
-func (d *Desk) surrender(p int, doubt bool, err error) error {
+func (d *Router) surrender(p int, doubt bool, err error) error {
 	k := apierror.NoPartitionLeader
 	if doubt {
 		k = apierror.OutcomeUnknown
 	}
 	x := apierror.New(k, "partition %d could not decide: %v", p, err)
-	return x.WithRetryAfter(clock.Jitter(2*d.Bounds.MaxBackoff(), 1, rand.Float64()).Round(time.Millisecond))
+	return x.WithRetryAfter(clock.Jitter(2*d.Timing.MaxBackoff(), 1, rand.Float64()).Round(time.Millisecond))
 }
 
-func try[Q, A any](ctx context.Context, d *Desk, p int, r assignment.Record, c *wire.Procedure[Q, A], local func(context.Context, *Q) (*A, error), q *Q) (*A, error) {
+func try[Q, A any](ctx context.Context, d *Router, p int, r assignment.Record, c *wire.Procedure[Q, A], local func(context.Context, *Q) (*A, error), q *Q) (*A, error) {
 	if r.Leader == "" {
 		return nil, apierror.New(apierror.NoPartitionLeader, "partition %d has no owner yet", p)
 	}
-	cx, stop := context.WithTimeout(ctx, d.Bounds.CallTimeout())
+	cx, stop := context.WithTimeout(ctx, d.Timing.CallTimeout())
 	defer stop()
 	if r.Leader == d.Self {
 		return local(cx, q)
@@ -331,31 +331,31 @@
 	if !ok {
 		return nil, apierror.New(apierror.NoPartitionLeader, "the owner %s of partition %d is gone", r.Leader, p)
 	}
-	defer context.AfterFunc(d.reigns.of(d.Board, r), stop)()
+	defer context.AfterFunc(d.reigns.of(d.Store, r), stop)()
 	return c.Call(cx, d.Net, d.Self, i.PeerAddr, q)
 }
 
 // Submit has a message decided by its partition's owner, wherever that is.
-func (d *Desk) Submit(ctx context.Context, p int, q *leader.Message) (*leader.Decision, error) {
+func (d *Router) Submit(ctx context.Context, p int, q *leader.Message) (*leader.Decision, error) {
 	return handOver(ctx, d, p, Submit, d.submit, q)
 }
 
-func (d *Desk) home(visitor string, urgent bool) int {
-	return partition.OfVisitor(visitor, urgent, d.Board.VoterSet().Layout)
+func (d *Router) home(visitor string, urgent bool) int {
+	return partition.OfVisitor(visitor, urgent, d.Store.VoterSet().Layout)
 }
 
-// TwoHomes tells whether attachments are kept in an urgent partition too: once every member's build does.
-func (d *Desk) TwoHomes() bool {
+// UsesTwoHomes tells whether attachments are kept in an urgent partition too: once every member's build does.
+func (d *Router) UsesTwoHomes() bool {
 	for _, i := range d.View.All() {
 		if !i.SupportsTwoHomes {
 			return false
 		}
 	}
-	return d.Board.VoterSet().Layout.UrgentPartitions > 0
+	return d.Store.VoterSet().Layout.UrgentPartitions > 0
 }
 
-// Keys gives a problem until every member's build knows keys and withdrawals.
-func (d *Desk) Keys() error {
+// CheckKeysSupported gives a problem until every member's build knows keys and withdrawals.
+func (d *Router) CheckKeysSupported() error {
 	for _, i := range d.View.All() {
 		if !i.SupportsKeys {
 			return apierror.New(apierror.NotReady, "the build of %s knows no keys", i.Name)
@@ -364,89 +364,89 @@
 	return nil
 }
 
-// Home gives the partition that vouches for a visitor's urgent or routine calls.
-func (d *Desk) Home(visitor string, urgent bool) int {
-	return d.home(visitor, urgent && d.TwoHomes())
+// HomePartition gives the partition that vouches for a visitor's urgent or routine calls.
+func (d *Router) HomePartition(visitor string, urgent bool) int {
+	return d.home(visitor, urgent && d.UsesTwoHomes())
 }
 
 // Attach has an attachment recorded: numbered in the visitor's routine home, then known in the urgent one.
-func (d *Desk) Attach(ctx context.Context, q *AttachRequest) (*AttachResponse, error) {
-	a, err := handOver(ctx, d, d.home(q.Visitor, false), Attach, d.attach, q)
-	if err != nil || !d.TwoHomes() {
+func (d *Router) Attach(ctx context.Context, q *AttachRequest) (*AttachResponse, error) {
+	a, err := handOver(ctx, d, d.home(q.Client, false), Attach, d.attach, q)
+	if err != nil || !d.UsesTwoHomes() {
 		return a, err
 	}
-	return a, d.carryOver(ctx, q.Visitor, q.Secret, a.Generation)
+	return a, d.carryOver(ctx, q.Client, q.Secret, a.Generation)
 }
 
-func (d *Desk) carryOver(ctx context.Context, visitor, secret string, generation uint64) error {
-	_, err := handOver(ctx, d, d.home(visitor, true), Attach, d.attach, &AttachRequest{Visitor: visitor, Secret: secret, Generation: generation, Urgent: true})
+func (d *Router) carryOver(ctx context.Context, visitor, secret string, generation uint64) error {
+	_, err := handOver(ctx, d, d.home(visitor, true), Attach, d.attach, &AttachRequest{Client: visitor, Secret: secret, Generation: generation, Urgent: true})
 	return err
 }
 
-// Attached asks which attachment is in force. An urgent home that does not know of this generation yet, since an older
+// ReadAttachment asks which attachment is in force. An urgent home that does not know of this generation yet, since an older
 // build or a call that broke off in between gave it out, learns of it from the routine home.
-func (d *Desk) Attached(ctx context.Context, v string, generation uint64, urgent bool) (*AttachedResponse, error) {
-	urgent = urgent && d.TwoHomes()
-	a, err := handOver(ctx, d, d.home(v, urgent), Attached, d.attached, &AttachedRequest{Visitor: v, Urgent: urgent})
-	if err != nil || !urgent || a.Attached.Generation >= generation {
+func (d *Router) ReadAttachment(ctx context.Context, v string, generation uint64, urgent bool) (*ReadAttachmentResponse, error) {
+	urgent = urgent && d.UsesTwoHomes()
+	a, err := handOver(ctx, d, d.home(v, urgent), ReadAttachment, d.attached, &ReadAttachmentRequest{Client: v, Urgent: urgent})
+	if err != nil || !urgent || a.Attachment.Generation >= generation {
 		return a, err
 	}
-	b, err := handOver(ctx, d, d.home(v, false), Attached, d.attached, &AttachedRequest{Visitor: v})
-	if err == nil && b.Attached.Generation == generation {
-		err = d.carryOver(ctx, v, b.Attached.Secret, generation)
+	b, err := handOver(ctx, d, d.home(v, false), ReadAttachment, d.attached, &ReadAttachmentRequest{Client: v})
+	if err == nil && b.Attachment.Generation == generation {
+		err = d.carryOver(ctx, v, b.Attachment.Secret, generation)
 	}
 	return b, err
 }
 
-// Ack leaves a cursor, in both homes.
-func (d *Desk) Ack(ctx context.Context, q *AckRequest) error {
-	_, err := handOver(ctx, d, d.home(q.Visitor, false), Ack, d.ack, q)
-	if err != nil || !d.TwoHomes() {
+// SaveCursor leaves a cursor, in both homes.
+func (d *Router) SaveCursor(ctx context.Context, q *SaveCursorRequest) error {
+	_, err := handOver(ctx, d, d.home(q.Client, false), SaveCursor, d.ack, q)
+	if err != nil || !d.UsesTwoHomes() {
 		return err
 	}
 	u := *q
 	u.Urgent = true
-	_, err = handOver(ctx, d, d.home(q.Visitor, true), Ack, d.ack, &u)
+	_, err = handOver(ctx, d, d.home(q.Client, true), SaveCursor, d.ack, &u)
 	return err
 }
 
 // Read reads committed entries of a partition, without what stands under keys.
-func (d *Desk) Read(ctx context.Context, p int, from uint64, hold time.Duration) (*leader.ReadResponse, error) {
-	return d.ReadAs(ctx, &leader.ReadRequest{Partition: p, From: from, Hold: hold})
+func (d *Router) Read(ctx context.Context, p int, from uint64, hold time.Duration) (*leader.ReadResponse, error) {
+	return d.ReadAsReader(ctx, &leader.ReadRequest{Partition: p, From: from, Hold: hold})
 }
 
-// ReadAs reads committed entries of a partition as a reader that may mind withdrawals.
-func (d *Desk) ReadAs(ctx context.Context, q *leader.ReadRequest) (*leader.ReadResponse, error) {
+// ReadAsReader reads committed entries of a partition as a reader that may mind withdrawals.
+func (d *Router) ReadAsReader(ctx context.Context, q *leader.ReadRequest) (*leader.ReadResponse, error) {
 	return handOver(ctx, d, q.Partition, Read, d.read, q)
 }
 
 // Trace asks what the ledger knows of a call.
-func (d *Desk) Trace(ctx context.Context, p int, q *TraceRequest) (*Traced, error) {
+func (d *Router) Trace(ctx context.Context, p int, q *TraceRequest) (*TraceResponse, error) {
 	return handOver(ctx, d, p, Trace, d.trace, q)
 }
 
-// Forgotten asks who has not read behind a mark of a partition yet, waiting up to hold until nobody is left.
-func (d *Desk) Forgotten(ctx context.Context, p int, offset uint64, hold time.Duration) (*leader.PendingReaders, error) {
-	return handOver(ctx, d, p, Forgotten, d.forgotten, &ForgottenRequest{Partition: p, Offset: offset, Hold: hold})
+// PendingReaders asks who has not read behind a mark of a partition yet, waiting up to hold until nobody is left.
+func (d *Router) PendingReaders(ctx context.Context, p int, offset uint64, hold time.Duration) (*leader.PendingReaders, error) {
+	return handOver(ctx, d, p, PendingReaders, d.forgotten, &PendingReadersRequest{Partition: p, Offset: offset, Hold: hold})
 }
 
 // Usage asks how a partition's topics were used.
-func (d *Desk) Usage(ctx context.Context, p int) ([]leader.TopicUsage, error) {
+func (d *Router) Usage(ctx context.Context, p int) ([]leader.TopicUsage, error) {
 	a, err := handOver(ctx, d, p, Usage, d.usage, &UsageRequest{Partition: p})
 	if err != nil {
 		return nil, err
 	}
-	return a.Uses, nil
+	return a.Topics, nil
 }
 
-// Marks asks which withdrawals of a partition stand and who reads what has keys; nil where nothing does.
-func (d *Desk) Marks(ctx context.Context, p int) (*leader.TombstoneView, error) {
+// Tombstones asks which withdrawals of a partition stand and who reads what has keys; nil where nothing does.
+func (d *Router) Tombstones(ctx context.Context, p int) (*leader.TombstoneView, error) {
 	a, err := handOver(ctx, d, p, Usage, d.usage, &UsageRequest{Partition: p})
 	if err != nil {
 		return nil, err
 	}
-	return a.Marks, nil
+	return a.Tombstones, nil
 }
 
 // Record gives the newest ownership record known here.
-func (d *Desk) Record(p int) assignment.Record { return d.Board.Record(p) }
+func (d *Router) Record(p int) assignment.Record { return d.Store.Record(p) }
--- a/internal/partitionlog/router/fan.go
+++ b/internal/partitionlog/router/fan.go
@@ -11,25 +11,25 @@
 	"postjunction/internal/wire"
 )
 
-// ListenersRequest asks how many listen to a topic.
-type ListenersRequest struct {
+// SubscribersRequest asks how many listen to a topic.
+type SubscribersRequest struct {
 	Partition int    `json:"p"`
 	Topic     string `json:"t"`
 }
 
-// ListenersResponse says so.
-type ListenersResponse struct {
+// SubscribersResponse says so.
+type SubscribersResponse struct {
 	Count int `json:"n"`
 }
 
 // The calls of nodes that follow topics.
 var (
-	Follow    = wire.NewProcedure[leader.FollowRequest, leader.FollowResponse]("Ledger", "Follow", wire.Monotonic, "wishes of a feed are numbered; an old number changes nothing")
-	Poll      = wire.NewProcedure[leader.PollRequest, leader.PollResponse]("Ledger", "Poll", wire.ReadOnly, "committed entries behind a place; the place that it confirms only rises")
-	Listeners = wire.NewProcedure[ListenersRequest, ListenersResponse]("Ledger", "Listeners", wire.ReadOnly, "counts")
+	Follow      = wire.NewProcedure[leader.FollowRequest, leader.FollowResponse]("Ledger", "Follow", wire.Monotonic, "wishes of a feed are numbered; an old number changes nothing")
+	Poll        = wire.NewProcedure[leader.PollRequest, leader.PollResponse]("Ledger", "Poll", wire.ReadOnly, "committed entries behind a place; the place that it confirms only rises")
+	Subscribers = wire.NewProcedure[SubscribersRequest, SubscribersResponse]("Ledger", "Listeners", wire.ReadOnly, "counts")
 )
 
-func (d *Desk) follow(ctx context.Context, q *leader.FollowRequest) (*leader.FollowResponse, error) {
+func (d *Router) follow(ctx context.Context, q *leader.FollowRequest) (*leader.FollowResponse, error) {
 	o, err := d.here(q.Partition)
 	if err != nil {
 		return nil, err
@@ -37,28 +37,28 @@
 	return o.Follow(ctx, q)
 }
 
-func (d *Desk) poll(ctx context.Context, q *leader.PollRequest) (*leader.PollResponse, error) {
+func (d *Router) poll(ctx context.Context, q *leader.PollRequest) (*leader.PollResponse, error) {
 	o, err := d.here(q.Partition)
 	if err != nil {
 		return nil, err
 	}
-	q.Hold = min(q.Hold, d.Bounds.Spread)
+	q.Hold = min(q.Hold, d.Timing.Spread)
 	return o.Poll(ctx, q)
 }
 
-func (d *Desk) listeners(_ context.Context, q *ListenersRequest) (*ListenersResponse, error) {
+func (d *Router) listeners(_ context.Context, q *SubscribersRequest) (*SubscribersResponse, error) {
 	o, err := d.here(q.Partition)
 	if err != nil {
 		return nil, err
 	}
 	n, err := o.Subscribers(q.Topic)
-	return &ListenersResponse{Count: n}, err
+	return &SubscribersResponse{Count: n}, err
 }
 
-func (d *Desk) serveFans(m *http.ServeMux) {
+func (d *Router) serveFans(m *http.ServeMux) {
 	Follow.Handle(m, packing(d.follow, func(q *leader.FollowRequest) bool { return q.Compress }))
 	Poll.Handle(m, packing(d.poll, func(q *leader.PollRequest) bool { return q.Compress }))
-	Listeners.Handle(m, d.listeners)
+	Subscribers.Handle(m, d.listeners)
 }
 
 // packing packs the bodies of what a peer is told, where it asks for that.
@@ -76,7 +76,7 @@
 }
 
 // once asks the owner that a record names, one time.
-func once[Q, A any](ctx context.Context, d *Desk, r assignment.Record, limit time.Duration, c *wire.Procedure[Q, A], local func(context.Context, *Q) (*A, error), q *Q) (*A, error) {
+func once[Q, A any](ctx context.Context, d *Router, r assignment.Record, limit time.Duration, c *wire.Procedure[Q, A], local func(context.Context, *Q) (*A, error), q *Q) (*A, error) {
 	if r.Leader == "" {
 		return nil, apierror.New(apierror.NoPartitionLeader, "partition %d has no owner yet", r.Partition)
 	}
@@ -93,9 +93,9 @@
 }
 
 // Follow tells a partition's owner what this node follows, one time.
-func (d *Desk) Follow(ctx context.Context, r assignment.Record, q *leader.FollowRequest) (*leader.FollowResponse, error) {
-	q.Compress = d.Packs
-	a, err := once(ctx, d, r, d.Bounds.CallTimeout(), Follow, d.follow, q)
+func (d *Router) Follow(ctx context.Context, r assignment.Record, q *leader.FollowRequest) (*leader.FollowResponse, error) {
+	q.Compress = d.CompressStreams
+	a, err := once(ctx, d, r, d.Timing.CallTimeout(), Follow, d.follow, q)
 	if err != nil {
 		return nil, err
 	}
@@ -103,18 +103,18 @@
 }
 
 // Poll reads what this node follows from a partition's owner, one time.
-func (d *Desk) Poll(ctx context.Context, r assignment.Record, q *leader.PollRequest) (*leader.PollResponse, error) {
-	q.Compress = d.Packs
-	a, err := once(ctx, d, r, q.Hold+d.Bounds.CallTimeout(), Poll, d.poll, q)
+func (d *Router) Poll(ctx context.Context, r assignment.Record, q *leader.PollRequest) (*leader.PollResponse, error) {
+	q.Compress = d.CompressStreams
+	a, err := once(ctx, d, r, q.Hold+d.Timing.CallTimeout(), Poll, d.poll, q)
 	if err != nil {
 		return nil, err
 	}
 	return a, a.Decompress()
 }
 
-// Listeners asks a partition's owner how many listen to a topic, one time.
-func (d *Desk) Listeners(ctx context.Context, p int, topic string) (int, error) {
-	a, err := once(ctx, d, d.Board.Record(p), d.Bounds.CallTimeout()/2, Listeners, d.listeners, &ListenersRequest{Partition: p, Topic: topic})
+// Subscribers asks a partition's owner how many listen to a topic, one time.
+func (d *Router) Subscribers(ctx context.Context, p int, topic string) (int, error) {
+	a, err := once(ctx, d, d.Store.Record(p), d.Timing.CallTimeout()/2, Subscribers, d.listeners, &SubscribersRequest{Partition: p, Topic: topic})
 	if err != nil {
 		return 0, err
 	}
--- a/internal/partitionlog/router/forgotten_test.go
+++ b/internal/partitionlog/router/forgotten_test.go
@@ -14,14 +14,14 @@
 )
 
 type askers struct {
-	asked []ForgottenRequest
+	asked []PendingReadersRequest
 	tell  func(n int) (*leader.PendingReaders, error)
 }
 
 // Do carries a call to the stand-in.
 func (a *askers) Do(r *http.Request) (*http.Response, error) {
 	m := http.NewServeMux()
-	Forgotten.Handle(m, func(_ context.Context, q *ForgottenRequest) (*leader.PendingReaders, error) {
+	PendingReaders.Handle(m, func(_ context.Context, q *PendingReadersRequest) (*leader.PendingReaders, error) {
 		a.asked = append(a.asked, *q)
 		return a.tell(len(a.asked))
 	})
@@ -43,16 +43,16 @@
 		b := newBench(nil)
 		b.Net = a
 		b.owned("s1")
-		u, err := b.Forgotten(t.Context(), part, 7, time.Second)
+		u, err := b.PendingReaders(t.Context(), part, 7, time.Second)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, u, &leader.PendingReaders{Nodes: []string{"a2"}})
 		assert.Equal(t, len(a.asked), len(moving)+1)
-		assert.DeepEqual(t, a.asked[0], ForgottenRequest{Partition: part, Offset: 7, Hold: time.Second})
+		assert.DeepEqual(t, a.asked[0], PendingReadersRequest{Partition: part, Offset: 7, Hold: time.Second})
 
 		a.tell = func(int) (*leader.PendingReaders, error) {
 			return nil, apierror.New(apierror.NotPartitionLeader, "superseded")
 		}
-		u, err = b.Forgotten(t.Context(), part, 7, time.Second)
+		u, err = b.PendingReaders(t.Context(), part, 7, time.Second)
 		assert.Assert(t, u == nil && apierror.HasCode(err, apierror.NoPartitionLeader), "%v", err)
 	})
 }
@@ -61,11 +61,11 @@
 func TestUnknownKeyIsFinal(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		n := 0
-		b := newBench(func(_ *bench, _ context.Context, _ string, q *ManyRequest) (*ManyResponse, error) {
+		b := newBench(func(_ *bench, _ context.Context, _ string, q *SubmitManyRequest) (*SubmitManyResponse, error) {
 			if n++; n == 1 {
 				return lost()
 			}
-			return &ManyResponse{Verdicts: []leader.Outcome{{Err: apierror.New(apierror.KeyUnknown, "nothing")}}}, nil
+			return &SubmitManyResponse{Outcomes: []leader.Outcome{{Err: apierror.New(apierror.KeyUnknown, "nothing")}}}, nil
 		})
 		b.owned("s1")
 		b.offer(1, time.Minute)
--- a/internal/partitionlog/router/offer.go
+++ b/internal/partitionlog/router/offer.go
@@ -14,19 +14,19 @@
 	"postjunction/internal/wire"
 )
 
-// ManyRequest is messages of one partition, decided in their order.
-type ManyRequest struct {
+// SubmitManyRequest is messages of one partition, decided in their order.
+type SubmitManyRequest struct {
 	Partition int               `json:"p"`
-	Tasks     []*leader.Message `json:"t"`
+	Messages  []*leader.Message `json:"t"`
 }
 
-// ManyResponse gives a verdict for each message, in the same order.
-type ManyResponse struct {
-	Verdicts []leader.Outcome `json:"v"`
+// SubmitManyResponse gives a verdict for each message, in the same order.
+type SubmitManyResponse struct {
+	Outcomes []leader.Outcome `json:"v"`
 }
 
 // SubmitMany has a batch decided at the owner's node.
-var SubmitMany = wire.NewProcedure[ManyRequest, ManyResponse]("Ledger", "SubmitMany", wire.Deduplicated, "each message has its number, which the owner remembers")
+var SubmitMany = wire.NewProcedure[SubmitManyRequest, SubmitManyResponse]("Ledger", "SubmitMany", wire.Deduplicated, "each message has its number, which the owner remembers")
 
 const (
 	batchMost  = 256
@@ -87,10 +87,10 @@
 	return l
 }
 
-// Offer has a message decided by its partition's owner and never waits: done hears the answer once, as soon as it is known and by until at the latest.
-// What one node offers for a partition reaches the owner in the order offered. done must not block; when the backlog is full it hears so before Offer
+// SubmitAsync has a message decided by its partition's owner and never waits: done hears the answer once, as soon as it is known and by until at the latest.
+// What one node offers for a partition reaches the owner in the order offered. done must not block; when the backlog is full it hears so before SubmitAsync
 // returns. no_owner and overloaded promise that the message never was and never will be taken by this offer; outcome_unknown promises nothing.
-func (d *Desk) Offer(ctx context.Context, p int, q *leader.Message, until time.Time, done func(*leader.Decision, error)) {
+func (d *Router) SubmitAsync(ctx context.Context, p int, q *leader.Message, until time.Time, done func(*leader.Decision, error)) {
 	l := d.lanes.of(p)
 	o := &offer{ctx: ctx, q: q, since: d.Clock.Now(), until: until, done: done}
 	l.mu.Lock()
@@ -177,7 +177,7 @@
 	l.held = 0
 }
 
-func (d *Desk) giveUp(p int, os []*offer, err error) {
+func (d *Router) giveUp(p int, os []*offer, err error) {
 	for _, o := range os {
 		o.tell(nil, d.surrender(p, o.doubt, err))
 	}
@@ -185,10 +185,10 @@
 
 var tooLate = apierror.New(apierror.NoPartitionLeader, "the time of the message is over")
 
-func (d *Desk) drive(p int, l *lane) {
+func (d *Router) drive(p int, l *lane) {
 	for {
-		ch := d.Board.Changed()
-		r := d.Board.Record(p)
+		ch := d.Store.Changed()
+		r := d.Store.Record(p)
 		begun := d.Clock.Now()
 		if r.Version != l.seen || l.news.IsZero() {
 			l.seen, l.news, l.hopes, l.tries = r.Version, begun, 0, 0
@@ -212,9 +212,9 @@
 
 // attempt hands a batch over once, and meanwhile tells those whose time is over. What may have left this node for another is in doubt from then on,
 // whatever comes back: an older copy of the batch may still be on its way.
-func (d *Desk) attempt(p int, l *lane, r assignment.Record, batch []*offer) ([]leader.Outcome, error) {
+func (d *Router) attempt(p int, l *lane, r assignment.Record, batch []*offer) ([]leader.Outcome, error) {
 	type answer struct {
-		a   *ManyResponse
+		a   *SubmitManyResponse
 		err error
 	}
 	i, known := d.View.Get(r.Leader)
@@ -224,13 +224,13 @@
 	case r.Leader != d.Self && !known:
 		return nil, apierror.New(apierror.NoPartitionLeader, "the owner %s of partition %d is gone", r.Leader, p)
 	}
-	ctx, stop := context.WithTimeout(context.Background(), d.Bounds.CallTimeout())
+	ctx, stop := context.WithTimeout(context.Background(), d.Timing.CallTimeout())
 	defer stop()
-	defer context.AfterFunc(d.reigns.of(d.Board, r), stop)()
-	q := &ManyRequest{Partition: p}
+	defer context.AfterFunc(d.reigns.of(d.Store, r), stop)()
+	q := &SubmitManyRequest{Partition: p}
 	doubts := make([]bool, len(batch))
 	for i, o := range batch {
-		q.Tasks = append(q.Tasks, o.q)
+		q.Messages = append(q.Messages, o.q)
 		doubts[i] = o.doubt
 		o.doubt = o.doubt || r.Leader != d.Self
 	}
@@ -259,13 +259,13 @@
 					o.doubt = doubts[i]
 				}
 			}
-			if x.err == nil && len(x.a.Verdicts) != len(batch) {
-				x.err = apierror.New(apierror.Unreachable, "%d verdicts on %d messages", len(x.a.Verdicts), len(batch))
+			if x.err == nil && len(x.a.Outcomes) != len(batch) {
+				x.err = apierror.New(apierror.Unreachable, "%d verdicts on %d messages", len(x.a.Outcomes), len(batch))
 			}
 			if x.err != nil {
 				return nil, x.err
 			}
-			return x.a.Verdicts, nil
+			return x.a.Outcomes, nil
 		case <-l.kick:
 		case <-cx.Done():
 		}
@@ -274,7 +274,7 @@
 }
 
 // answer tells what was decided and gives up what nobody can decide; it gives the rest, in order, to be tried again.
-func (d *Desk) answer(p int, l *lane, r assignment.Record, batch []*offer, vs []leader.Outcome, begun time.Time, err error) []*offer {
+func (d *Router) answer(p int, l *lane, r assignment.Record, batch []*offer, vs []leader.Outcome, begun time.Time, err error) []*offer {
 	now := d.Clock.Now()
 	var stay []*offer
 	var why []error
@@ -308,21 +308,21 @@
 		return nil
 	}
 	k := apierror.From(why[0]).Code
-	if looks[k] > 0 && (l.hopes == 0 || now.Sub(l.hoped) >= d.Bounds.MaxBackoff()) {
+	if looks[k] > 0 && (l.hopes == 0 || now.Sub(l.hoped) >= d.Timing.MaxBackoff()) {
 		l.hopes++
 		l.hoped = now
 	}
-	if d.Board.Record(p).Version != r.Version {
+	if d.Store.Record(p).Version != r.Version {
 		return stay
 	}
-	all := looks[k] > 0 && l.hopes >= looks[k] || unclear[k] && now.Sub(begun) >= d.Bounds.CallTimeout()
+	all := looks[k] > 0 && l.hopes >= looks[k] || unclear[k] && now.Sub(begun) >= d.Timing.CallTimeout()
 	var again []*offer
 	for i, o := range stay {
 		since := o.since
 		if l.news.After(since) {
 			since = l.news
 		}
-		if all || now.Sub(since) >= d.Bounds.CallTimeout() {
+		if all || now.Sub(since) >= d.Timing.CallTimeout() {
 			o.tell(nil, d.surrender(p, o.doubt, why[i]))
 		} else {
 			again = append(again, o)
@@ -332,9 +332,9 @@
 }
 
 // rest waits for news of the records or for the pause between two tries, and meanwhile tells those whose time is over.
-func (d *Desk) rest(p int, l *lane, ch <-chan struct{}) {
-	pause := d.Bounds.Backoff(l.tries)
-	if left := d.Bounds.MaxBackoff() - d.Clock.Now().Sub(l.hoped); l.hopes > 0 && left > 0 {
+func (d *Router) rest(p int, l *lane, ch <-chan struct{}) {
+	pause := d.Timing.Backoff(l.tries)
+	if left := d.Timing.MaxBackoff() - d.Clock.Now().Sub(l.hoped); l.hopes > 0 && left > 0 {
 		pause = min(pause, left)
 	}
 	l.tries++
@@ -358,28 +358,28 @@
 	}
 }
 
-func (d *Desk) submitMany(ctx context.Context, q *ManyRequest) (*ManyResponse, error) {
+func (d *Router) submitMany(ctx context.Context, q *SubmitManyRequest) (*SubmitManyResponse, error) {
 	o, err := d.here(q.Partition)
 	if err != nil {
 		return nil, err
 	}
-	a := &ManyResponse{Verdicts: make([]leader.Outcome, len(q.Tasks))}
+	a := &SubmitManyResponse{Outcomes: make([]leader.Outcome, len(q.Messages))}
 	var ts []*leader.Message
 	var at []int
-	for i, t := range q.Tasks {
+	for i, t := range q.Messages {
 		if err := d.placed(t, q.Partition); err != nil {
-			a.Verdicts[i].Err = apierror.From(err)
+			a.Outcomes[i].Err = apierror.From(err)
 			continue
 		}
 		ts, at = append(ts, t), append(at, i)
 	}
 	for i, v := range o.SubmitMany(ctx, ts) {
-		a.Verdicts[at[i]] = v
+		a.Outcomes[at[i]] = v
 	}
 	return a, nil
 }
 
-func (d *Desk) placed(q *leader.Message, p int) error {
+func (d *Router) placed(q *leader.Message, p int) error {
 	at, err := d.place(q)
 	if err == nil && at != p {
 		err = apierror.New(apierror.NotPartitionLeader, "topic %s stands in partition %d, not %d", q.Topic, at, p)
--- a/internal/partitionlog/router/offer_test.go
+++ b/internal/partitionlog/router/offer_test.go
@@ -27,9 +27,9 @@
 
 // bench is a desk with stand-in owners behind a network that may lose calls and answers.
 type bench struct {
-	*Desk
+	*Router
 	mu     sync.Mutex
-	path   func(ctx context.Context, to string, q *ManyRequest) (*ManyResponse, error)
+	path   func(ctx context.Context, to string, q *SubmitManyRequest) (*SubmitManyResponse, error)
 	got    []uint64
 	under  int
 	most   int
@@ -45,7 +45,7 @@
 		return nil, apierror.WithCause(apierror.Unreachable, syscall.ECONNREFUSED, "nobody listens")
 	}
 	m := http.NewServeMux()
-	SubmitMany.Handle(m, func(_ context.Context, q *ManyRequest) (*ManyResponse, error) {
+	SubmitMany.Handle(m, func(_ context.Context, q *SubmitManyRequest) (*SubmitManyResponse, error) {
 		b.mu.Lock()
 		b.under++
 		b.most = max(b.most, b.under)
@@ -68,31 +68,31 @@
 
 type unready struct{}
 
-func (unready) Owner(int) (*leader.Leader, error) {
+func (unready) Leader(int) (*leader.Leader, error) {
 	return nil, apierror.New(apierror.NotReady, "taking over")
 }
 
 // lost makes a call fail on its way, as seen by the caller.
-func lost() (*ManyResponse, error) { return nil, apierror.New(apierror.Unreachable, "lost") }
+func lost() (*SubmitManyResponse, error) { return nil, apierror.New(apierror.Unreachable, "lost") }
 
 func (b *bench) owned(who string) {
 	b.writes++
-	b.Board.Apply(gossip.Update{Records: []assignment.Record{{Partition: part, Leader: who, Epoch: b.writes, Version: b.writes}}})
+	b.Store.Apply(gossip.Update{Records: []assignment.Record{{Partition: part, Leader: who, Epoch: b.writes, Version: b.writes}}})
 }
 
-func newBench(path func(b *bench, ctx context.Context, to string, q *ManyRequest) (*ManyResponse, error)) *bench {
+func newBench(path func(b *bench, ctx context.Context, to string, q *SubmitManyRequest) (*SubmitManyResponse, error)) *bench {
 	b := &bench{told: map[uint64]error{}, times: map[uint64]time.Time{}}
-	b.path = func(ctx context.Context, to string, q *ManyRequest) (*ManyResponse, error) {
+	b.path = func(ctx context.Context, to string, q *SubmitManyRequest) (*SubmitManyResponse, error) {
 		return path(b, ctx, to, q)
 	}
 	v := membership.NewView()
 	v.Set([]membership.Info{{Name: "s1", PeerAddr: "s1"}, {Name: "s2", PeerAddr: "s2"}, {Name: "s0", PeerAddr: "s0"}})
-	b.Desk = &Desk{Self: "a1", Net: b, Clock: clock.Real{}, Bounds: settings.DefaultTiming, Board: gossip.NewStore(func(n gossip.Update) { b.News(n.Records) }), View: v, Owners: unready{}, Backlog: func() int { return 1000 }}
+	b.Router = &Router{Self: "a1", Net: b, Clock: clock.Real{}, Timing: settings.DefaultTiming, Store: gossip.NewStore(func(n gossip.Update) { b.ApplyRecords(n.Records) }), View: v, Leaders: unready{}, Backlog: func() int { return 1000 }}
 	return b
 }
 
 func (b *bench) offer(call uint64, until time.Duration) {
-	b.Offer(context.Background(), part, &leader.Message{Client: "v", Topic: "t", CallSeq: call, Body: []byte("1")}, time.Now().Add(until), func(d *leader.Decision, err error) {
+	b.SubmitAsync(context.Background(), part, &leader.Message{Client: "v", Topic: "t", CallSeq: call, Body: []byte("1")}, time.Now().Add(until), func(d *leader.Decision, err error) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		if _, ok := b.told[call]; ok {
@@ -119,11 +119,11 @@
 }
 
 // take decides as an owner does: a number above the last is taken.
-func (b *bench) take(q *ManyRequest) *ManyResponse {
+func (b *bench) take(q *SubmitManyRequest) *SubmitManyResponse {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	a := &ManyResponse{}
-	for _, t := range q.Tasks {
+	a := &SubmitManyResponse{}
+	for _, t := range q.Messages {
 		v := leader.Outcome{Decision: &leader.Decision{Offset: t.CallSeq}}
 		switch {
 		case slices.Contains(b.got, t.CallSeq):
@@ -133,7 +133,7 @@
 		default:
 			b.got = append(b.got, t.CallSeq)
 		}
-		a.Verdicts = append(a.Verdicts, v)
+		a.Outcomes = append(a.Outcomes, v)
 	}
 	return a
 }
@@ -154,7 +154,7 @@
 func TestOffersReachTheOwnerInOrder(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		n := 0
-		b := newBench(func(b *bench, _ context.Context, _ string, q *ManyRequest) (*ManyResponse, error) {
+		b := newBench(func(b *bench, _ context.Context, _ string, q *SubmitManyRequest) (*SubmitManyResponse, error) {
 			time.Sleep(3 * time.Millisecond)
 			b.mu.Lock()
 			n++
@@ -164,7 +164,7 @@
 			case 2:
 				return lost()
 			case 4:
-				b.take(&ManyRequest{Tasks: q.Tasks[:(len(q.Tasks)+1)/2]})
+				b.take(&SubmitManyRequest{Messages: q.Messages[:(len(q.Messages)+1)/2]})
 				return lost()
 			case 6:
 				return nil, apierror.New(apierror.NotReady, "taking over")
@@ -194,40 +194,40 @@
 func TestOffersAreGivenUpWithATruePromise(t *testing.T) {
 	cases := map[string]struct {
 		owner string
-		path  func(b *bench, n int, ctx context.Context, q *ManyRequest) (*ManyResponse, error)
+		path  func(b *bench, n int, ctx context.Context, q *SubmitManyRequest) (*SubmitManyResponse, error)
 		kind  apierror.Code
 		last  time.Duration
 	}{
 		"no owner":         {"", nil, apierror.NoPartitionLeader, 300 * time.Millisecond},
 		"the owner's gone": {"s9", nil, apierror.NoPartitionLeader, 300 * time.Millisecond},
-		"each call lost":   {"s1", func(*bench, int, context.Context, *ManyRequest) (*ManyResponse, error) { return lost() }, apierror.OutcomeUnknown, 500 * time.Millisecond},
-		"taking over, at length": {"s1", func(*bench, int, context.Context, *ManyRequest) (*ManyResponse, error) {
+		"each call lost":   {"s1", func(*bench, int, context.Context, *SubmitManyRequest) (*SubmitManyResponse, error) { return lost() }, apierror.OutcomeUnknown, 500 * time.Millisecond},
+		"taking over, at length": {"s1", func(*bench, int, context.Context, *SubmitManyRequest) (*SubmitManyResponse, error) {
 			return nil, apierror.New(apierror.NotReady, "x")
 		}, apierror.OutcomeUnknown, 2 * time.Second},
 		"taking over here, at length": {"a1", nil, apierror.NoPartitionLeader, 2 * time.Second},
 		"nobody listens":              {"s0", nil, apierror.NoPartitionLeader, 500 * time.Millisecond},
-		"one call lost, then taking over": {"s1", func(_ *bench, n int, _ context.Context, _ *ManyRequest) (*ManyResponse, error) {
+		"one call lost, then taking over": {"s1", func(_ *bench, n int, _ context.Context, _ *SubmitManyRequest) (*SubmitManyResponse, error) {
 			if n == 1 {
 				return lost()
 			}
 			return nil, apierror.New(apierror.NotReady, "x")
 		}, apierror.OutcomeUnknown, 2 * time.Second},
-		"one call lost, then no room": {"s1", func(_ *bench, n int, _ context.Context, q *ManyRequest) (*ManyResponse, error) {
+		"one call lost, then no room": {"s1", func(_ *bench, n int, _ context.Context, q *SubmitManyRequest) (*SubmitManyResponse, error) {
 			if n == 1 {
 				return lost()
 			}
-			return &ManyResponse{Verdicts: []leader.Outcome{{Err: apierror.New(apierror.Overloaded, "x")}}}, nil
+			return &SubmitManyResponse{Outcomes: []leader.Outcome{{Err: apierror.New(apierror.Overloaded, "x")}}}, nil
 		}, apierror.OutcomeUnknown, 500 * time.Millisecond},
-		"one call lost, then passed": {"s1", func(_ *bench, n int, _ context.Context, q *ManyRequest) (*ManyResponse, error) {
+		"one call lost, then passed": {"s1", func(_ *bench, n int, _ context.Context, q *SubmitManyRequest) (*SubmitManyResponse, error) {
 			if n == 1 {
 				return lost()
 			}
-			return &ManyResponse{Verdicts: []leader.Outcome{{Err: apierror.New(apierror.CallPassed, "x")}}}, nil
+			return &SubmitManyResponse{Outcomes: []leader.Outcome{{Err: apierror.New(apierror.CallPassed, "x")}}}, nil
 		}, apierror.CallPassed, 500 * time.Millisecond},
-		"no room": {"s1", func(*bench, int, context.Context, *ManyRequest) (*ManyResponse, error) {
-			return &ManyResponse{Verdicts: []leader.Outcome{{Err: apierror.New(apierror.Overloaded, "x")}}}, nil
+		"no room": {"s1", func(*bench, int, context.Context, *SubmitManyRequest) (*SubmitManyResponse, error) {
+			return &SubmitManyResponse{Outcomes: []leader.Outcome{{Err: apierror.New(apierror.Overloaded, "x")}}}, nil
 		}, apierror.OutcomeUnknown, time.Millisecond},
-		"the owner hangs": {"s1", func(_ *bench, _ int, ctx context.Context, _ *ManyRequest) (*ManyResponse, error) {
+		"the owner hangs": {"s1", func(_ *bench, _ int, ctx context.Context, _ *SubmitManyRequest) (*SubmitManyResponse, error) {
 			<-ctx.Done()
 			return lost()
 		}, apierror.OutcomeUnknown, 1500 * time.Millisecond},
@@ -236,7 +236,7 @@
 		t.Run(n, func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
 				k := 0
-				b := newBench(func(b *bench, ctx context.Context, _ string, q *ManyRequest) (*ManyResponse, error) {
+				b := newBench(func(b *bench, ctx context.Context, _ string, q *SubmitManyRequest) (*SubmitManyResponse, error) {
 					k++
 					return c.path(b, k, ctx, q)
 				})
@@ -254,7 +254,7 @@
 // A message whose time is over is told so on the instant: one that is under way may have been taken, one that waits behind was never sent.
 func TestOffersAreToldWhenTheirTimeIsOver(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		b := newBench(func(b *bench, ctx context.Context, _ string, q *ManyRequest) (*ManyResponse, error) {
+		b := newBench(func(b *bench, ctx context.Context, _ string, q *SubmitManyRequest) (*SubmitManyResponse, error) {
 			select {
 			case <-time.After(1200 * time.Millisecond):
 			case <-ctx.Done():
@@ -286,7 +286,7 @@
 // Past the backlog a message is turned away at once, and never reaches an owner.
 func TestOffersPastTheBacklogAreNeverHandedOver(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		b := newBench(func(b *bench, _ context.Context, _ string, q *ManyRequest) (*ManyResponse, error) {
+		b := newBench(func(b *bench, _ context.Context, _ string, q *SubmitManyRequest) (*SubmitManyResponse, error) {
 			time.Sleep(time.Second)
 			return b.take(q), nil
 		})
@@ -313,10 +313,10 @@
 	bubble(t, func(t *testing.T) {
 		n := 0
 		var seen [][]uint64
-		b := newBench(func(b *bench, _ context.Context, _ string, q *ManyRequest) (*ManyResponse, error) {
+		b := newBench(func(b *bench, _ context.Context, _ string, q *SubmitManyRequest) (*SubmitManyResponse, error) {
 			n++
 			var cs []uint64
-			for _, x := range q.Tasks {
+			for _, x := range q.Messages {
 				cs = append(cs, x.CallSeq)
 			}
 			seen = append(seen, cs)
@@ -324,9 +324,9 @@
 			if n != 2 {
 				return b.take(q), nil
 			}
-			a := b.take(&ManyRequest{Tasks: q.Tasks[:1]})
-			for range q.Tasks[1:] {
-				a.Verdicts = append(a.Verdicts, leader.Outcome{Err: apierror.New(apierror.OutcomeUnknown, "lost the partition")})
+			a := b.take(&SubmitManyRequest{Messages: q.Messages[:1]})
+			for range q.Messages[1:] {
+				a.Outcomes = append(a.Outcomes, leader.Outcome{Err: apierror.New(apierror.OutcomeUnknown, "lost the partition")})
 			}
 			return a, nil
 		})
@@ -351,7 +351,7 @@
 // A call that hangs at an owner that is one no more is left at the news of another, which is asked at once.
 func TestOffersFollowTheRecordAtOnce(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		b := newBench(func(b *bench, ctx context.Context, to string, q *ManyRequest) (*ManyResponse, error) {
+		b := newBench(func(b *bench, ctx context.Context, to string, q *SubmitManyRequest) (*SubmitManyResponse, error) {
 			if to == "s1" {
 				<-ctx.Done()
 				return lost()
--- a/internal/partitionlog/router/reign.go
+++ b/internal/partitionlog/router/reign.go
@@ -42,8 +42,8 @@
 	return x.ctx
 }
 
-// News ends the reigns that newer records put an end to.
-func (d *Desk) News(rs []assignment.Record) {
+// ApplyRecords ends the reigns that newer records put an end to.
+func (d *Router) ApplyRecords(rs []assignment.Record) {
 	d.reigns.mu.Lock()
 	defer d.reigns.mu.Unlock()
 	for _, r := range rs {
--- a/internal/testing/sim/early_test.go
+++ b/internal/testing/sim/early_test.go
@@ -22,7 +22,7 @@
 		time.Sleep(time.Second)
 		m := w.Machines["a1"]
 		_, run := m.node()
-		_, err := router.Attached.Call(w.ctx, &endpoint{w, m, run}, "a1", w.Machines["s1"].Opts.PeerListen, &router.AttachedRequest{Visitor: "v"})
+		_, err := router.ReadAttachment.Call(w.ctx, &endpoint{w, m, run}, "a1", w.Machines["s1"].Opts.PeerListen, &router.ReadAttachmentRequest{Client: "v"})
 		assert.Assert(t, apierror.HasCode(err, apierror.NotPartitionLeader), "%v", err)
 		_, err = router.Submit.Call(w.ctx, &endpoint{w, m, run}, "a1", w.Machines["s1"].Opts.PeerListen, &leader.Message{Client: "v", Topic: "kept/t0", CallSeq: 1, Body: []byte("1"), Configuration: 1})
 		assert.Assert(t, apierror.HasCode(err, apierror.NotReady), "a store that lacks the description refused for good: %v", err)
--- a/internal/testing/sim/offer_test.go
+++ b/internal/testing/sim/offer_test.go
@@ -51,7 +51,7 @@
 	v.w.History.Send(m.Message, m.body, false, time.Now())
 	p := partition.Of(m.Topic, false, n.VoterSet().Layout)
 	v.wg.Add(1)
-	n.Visitors.Desk.Offer(v.w.ctx, p, &leader.Message{Client: v.name, Topic: m.Topic, CallSeq: m.Call, Body: []byte(m.body)}, time.Now().Add(time.Second), func(d *leader.Decision, err error) {
+	n.Visitors.Desk.SubmitAsync(v.w.ctx, p, &leader.Message{Client: v.name, Topic: m.Topic, CallSeq: m.Call, Body: []byte(m.body)}, time.Now().Add(time.Second), func(d *leader.Decision, err error) {
 		defer v.wg.Done()
 		v.told(m, d, err)
 	})
--- a/internal/testing/sim/points_test.go
+++ b/internal/testing/sim/points_test.go
@@ -107,7 +107,7 @@
 	})},
 	"copy synced, not answered":   {at: serving(on(replica.Append.Path, Answering))},
 	"taken, not told":             {at: serving(on(router.Submit.Path, Answering))},
-	"vouched, not told":           {at: serving(on(router.Attached.Path, Answering))},
+	"vouched, not told":           {at: serving(on(router.ReadAttachment.Path, Answering))},
 	"attached, not told":          {arrive: true, at: serving(on(router.Attach.Path, Answering))},
 	"promised, not accepted":      {control: true, at: owning(on(acceptor.Accept.Path, Asking))},
 	"accepted, answers under way": {control: true, at: owning(on(acceptor.Accept.Path, Answering))},
--- a/internal/testing/sim/trim_test.go
+++ b/internal/testing/sim/trim_test.go
@@ -97,11 +97,11 @@
 			third := must(topic, 30)
 			must(quiet, 5)
 			judge := func(when string) {
-				x, err := w.Machines[w.records()[p].Leader].Node().Visitors.Desk.Owners.Owner(p)
+				x, err := w.Machines[w.records()[p].Leader].Node().Visitors.Desk.Leaders.Leader(p)
 				assert.NilError(t, err)
 				assert.Assert(t, x.Trimmed(topic, 0) && x.Trimmed(topic, first), "%s: what is gone", when)
 				assert.Assert(t, !x.Trimmed(topic, second) && !x.Trimmed(topic, third), "%s: what is held", when)
-				y, err := w.Machines[w.records()[q].Leader].Node().Visitors.Desk.Owners.Owner(q)
+				y, err := w.Machines[w.records()[q].Leader].Node().Visitors.Desk.Leaders.Leader(q)
 				assert.NilError(t, err)
 				assert.Assert(t, !y.Trimmed(quiet, 0) && !y.Trimmed("kept/never", 0), "%s: a topic of which nothing is gone", when)
 				for _, c := range []uint64{10, 20, 15, 1} {
