--- a/internal/client/session/house.go
+++ b/internal/client/session/house.go
@@ -58,7 +58,7 @@
 	out  Out
 	name string
 	mu   sync.Mutex
-	subs map[string]*fanout.Sub
+	subs map[string]*fanout.Subscription
 	held Holder
 	gone bool
 	away bool
@@ -74,7 +74,7 @@
 func (h *House) Open(ctx context.Context) *House {
 	h.ctx, h.m, h.held = ctx, map[*Visit]bool{}, map[Holder]bool{}
 	if h.Hub != nil {
-		h.Hub.Hold(h)
+		h.Hub.AddBuffer(h)
 	}
 	return h
 }
@@ -191,7 +191,7 @@
 
 // Enter begins a visit. Answers go to out, which must not block.
 func (h *House) Enter(out Out) *Visit {
-	v := &Visit{h: h, out: out, subs: map[string]*fanout.Sub{}}
+	v := &Visit{h: h, out: out, subs: map[string]*fanout.Subscription{}}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.m[v] = true
@@ -222,7 +222,7 @@
 }
 
 // Withdraw has all visits here let go of what withdrawals cover, also those that left the topic and those that ended.
-func (h *House) Withdraw(p int, covered fanout.Covered) {
+func (h *House) Withdraw(p int, covered fanout.WithdrawnFunc) {
 	for _, x := range h.holders() {
 		x.Withdraw(p, covered)
 	}
@@ -260,7 +260,7 @@
 	return ts
 }
 
-func (v *Visit) sub(t string) *fanout.Sub {
+func (v *Visit) sub(t string) *fanout.Subscription {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.subs[t]
@@ -275,7 +275,7 @@
 	if s == nil {
 		return
 	}
-	answered := v.h.Hub.Leave(s)
+	answered := v.h.Hub.Unsubscribe(s)
 	if v.held != nil {
 		v.held.Drop(t)
 	}
@@ -285,7 +285,7 @@
 }
 
 // broken sends the visitor away to come back here with its cursors, as a topic that it has joined can't go on.
-func (v *Visit) broken(s *fanout.Sub) {
+func (v *Visit) broken(s *fanout.Subscription) {
 	v.lost(s)
 	v.mu.Lock()
 	again := v.away
@@ -393,7 +393,7 @@
 		return err
 	}
 	fleet := v.h.Board.VoterSet().Fleet
-	s := v.h.Hub.Sub(p, t.Topic)
+	s := v.h.Hub.NewSubscription(p, t.Topic)
 	if t.Cursor != "" {
 		c, err := Unplace(fleet, t.Cursor)
 		if err != nil {
@@ -404,7 +404,7 @@
 		}
 		s.After = &c.Offset
 	}
-	s.Opened = func(at uint64, err error) {
+	s.OnOpen = func(at uint64, err error) {
 		if err != nil {
 			v.lost(s)
 			v.turn(t, err)
@@ -412,14 +412,14 @@
 		}
 		v.out(Answer{What: Joined, Topic: t.Topic, Cursor: Place{p, at}.Pack(fleet)})
 	}
-	s.Give = func(e log.Entry) {
+	s.OnEntry = func(e log.Entry) {
 		a := Answer{What: Message, Topic: e.Topic, Cursor: Place{p, e.Offset}.Pack(fleet), From: e.Client, Call: e.CallSeq, Body: e.Body, Key: e.Key, Partition: p, Offset: e.Offset}
 		if e.Type == log.TypeWithdrawal {
 			a.What, a.Body = Withdrawn, nil
 		}
 		v.out(a)
 	}
-	s.Broken = func() { v.broken(s) }
+	s.OnBroken = func() { v.broken(s) }
 	v.drop(t.Topic, apierror.New(apierror.Overloaded, "%s was asked for again", t.Topic))
 	v.mu.Lock()
 	if len(v.subs) >= v.h.topicsMost() {
@@ -432,14 +432,14 @@
 	}
 	v.subs[t.Topic] = s
 	v.mu.Unlock()
-	v.h.Hub.Join(s)
+	v.h.Hub.Subscribe(s)
 	return nil
 }
 
 func (h *House) topicsMost() int { return topicsMost }
 
 // lost forgets a subscription that the hub has ended.
-func (v *Visit) lost(s *fanout.Sub) {
+func (v *Visit) lost(s *fanout.Subscription) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.subs[s.Topic] == s {
--- a/internal/client/session/task.go
+++ b/internal/client/session/task.go
@@ -80,7 +80,7 @@
 // have keys of a topic, Release of those of a partition; it tells whether none is left. What is being written can only be let go of by ending the connection:
 // Withdraw does so, Release where it may cut.
 type Holder interface {
-	Withdraw(p int, covered fanout.Covered)
+	Withdraw(p int, covered fanout.WithdrawnFunc)
 	Drop(topic string)
 	Release(p int, cut bool) bool
 }
--- a/internal/client/session/withdraw_test.go
+++ b/internal/client/session/withdraw_test.go
@@ -219,7 +219,7 @@
 	return l
 }
 
-func (s *shelf) Withdraw(p int, covered fanout.Covered) {
+func (s *shelf) Withdraw(p int, covered fanout.WithdrawnFunc) {
 	s.note("withdraw %d %t %t", p, covered("kept/a", "k", 20), covered("kept/a", "k", 21))
 }
 
--- a/internal/delivery/fanout/bench_test.go
+++ b/internal/delivery/fanout/bench_test.go
@@ -8,10 +8,10 @@
 )
 
 func BenchmarkTakeWithoutKeys(b *testing.B) {
-	f := &feed{topics: map[string]map[*Sub]bool{"a": {}}}
+	f := &feed{topics: map[string]map[*Subscription]bool{"a": {}}}
 	n := 0
 	for range 20 {
-		s := &Sub{Topic: "a", open: true, told: true, Give: func(log.Entry) { n++ }}
+		s := &Subscription{Topic: "a", open: true, told: true, OnEntry: func(log.Entry) { n++ }}
 		f.topics["a"][s] = true
 	}
 	a := &leader.PollResponse{}
--- a/internal/delivery/fanout/deaf_test.go
+++ b/internal/delivery/fanout/deaf_test.go
@@ -32,11 +32,11 @@
 				s.then(once(tick, message(5, x.key)))
 				var y heard
 				broken := 0
-				a := s.h.Sub(0, "a")
-				a.Opened = func(uint64, error) {}
-				a.Give = func(e log.Entry) { y.got = append(y.got, e.Offset) }
-				a.Broken = func() { broken++ }
-				s.h.Join(a)
+				a := s.h.NewSubscription(0, "a")
+				a.OnOpen = func(uint64, error) {}
+				a.OnEntry = func(e log.Entry) { y.got = append(y.got, e.Offset) }
+				a.OnBroken = func() { broken++ }
+				s.h.Subscribe(a)
 				pass(2 * tick)
 				assert.DeepEqual(t, y.got, []uint64{5})
 				s.set(func(*leader.FollowRequest) (*leader.FollowResponse, time.Duration) { return nil, time.Hour })
--- a/internal/delivery/fanout/feed.go
+++ b/internal/delivery/fanout/feed.go
@@ -18,9 +18,9 @@
 	h       *Hub
 	p       int
 	mu      sync.Mutex
-	topics  map[string]map[*Sub]bool
+	topics  map[string]map[*Subscription]bool
 	dirty   map[string]bool
-	waiting []*Sub
+	waiting []*Subscription
 	seq     uint64
 	acked   uint64
 	known   bool
@@ -82,7 +82,7 @@
 	hasty = 2
 )
 
-func (f *feed) remove(s *Sub) {
+func (f *feed) remove(s *Subscription) {
 	s.left, s.held = true, nil
 	delete(f.topics[s.Topic], s)
 	if len(f.topics[s.Topic]) == 0 {
@@ -147,13 +147,13 @@
 }
 
 // want puts together what is to be told, nil when there is nothing.
-func (f *feed) want() (*leader.FollowRequest, []*Sub, []string) {
+func (f *feed) want() (*leader.FollowRequest, []*Subscription, []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.shut > 0 {
 		return nil, nil, nil
 	}
-	f.waiting = slices.DeleteFunc(f.waiting, func(s *Sub) bool { return s.left })
+	f.waiting = slices.DeleteFunc(f.waiting, func(s *Subscription) bool { return s.left })
 	if f.reader && len(f.topics) == 0 && !f.known {
 		clear(f.dirty)
 		f.due, f.lost, f.parted = false, false, true
@@ -287,7 +287,7 @@
 }
 
 // back has those wait again that were asked about, before those that came since. The list that was asked about stays as it is, since hasten may still go through it.
-func (f *feed) back(w []*Sub) { f.waiting = slices.Concat(w, f.waiting) }
+func (f *feed) back(w []*Subscription) { f.waiting = slices.Concat(w, f.waiting) }
 
 // limit is how long an answer is waited for: short while someone has not been told anything, since places are then found without an owner;
 // what is fetched for those that were told comes over links that may be slow.
@@ -299,7 +299,7 @@
 }
 
 // hasten opens those that need no owner for their place while its answer is under way.
-func (f *feed) hasten(ctx context.Context, w []*Sub) {
+func (f *feed) hasten(ctx context.Context, w []*Subscription) {
 	if f.h.clk.Sleep(ctx, f.h.bounds.MaxBackoff()/hasty) != nil {
 		return
 	}
@@ -343,7 +343,7 @@
 			s.held = nil
 			if s.told {
 				f.remove(s)
-				s.Broken()
+				s.OnBroken()
 			}
 		}
 	}
@@ -442,7 +442,7 @@
 }
 
 // begin opens the subscriptions that waited for an answer, each at its place. One that was given its place meanwhile is asked for from there.
-func (f *feed) begin(a *leader.FollowResponse, q *leader.FollowRequest, w []*Sub) {
+func (f *feed) begin(a *leader.FollowResponse, q *leader.FollowRequest, w []*Subscription) {
 	for _, s := range w {
 		if s.left {
 			continue
@@ -483,19 +483,19 @@
 }
 
 // end ends a subscription that can't go on after an offset, as what follows there is no longer held.
-func (f *feed) end(s *Sub, after uint64) {
+func (f *feed) end(s *Subscription, after uint64) {
 	f.remove(s)
 	if s.told {
-		s.Broken()
+		s.OnBroken()
 		return
 	}
 	s.answered = true
-	s.Opened(0, apierror.New(apierror.CursorExpired, "messages of %s after offset %d are no longer held", s.Topic, after))
+	s.OnOpen(0, apierror.New(apierror.CursorExpired, "messages of %s after offset %d are no longer held", s.Topic, after))
 }
 
 // bear opens subscriptions that have waited for an owner at places that need none: the cursor they came with, or what this node has seen.
 // It turns away those that have waited too long.
-func (f *feed) bear(w []*Sub) {
+func (f *feed) bear(w []*Subscription) {
 	now, unit := f.h.clk.Now(), f.h.bounds.MaxBackoff()
 	for _, s := range w {
 		age := now.Sub(s.asked)
@@ -512,28 +512,28 @@
 		case age > despair*unit:
 			f.remove(s)
 			s.answered = true
-			s.Opened(0, apierror.New(apierror.NoPartitionLeader, "partition %d could not be followed in time", f.p))
+			s.OnOpen(0, apierror.New(apierror.NoPartitionLeader, "partition %d could not be followed in time", f.p))
 		}
 	}
 }
 
-func (s *Sub) start(at uint64) {
+func (s *Subscription) start(at uint64) {
 	if s.told {
 		return
 	}
 	s.told, s.answered, s.pos = true, true, at
-	s.Opened(at, nil)
+	s.OnOpen(at, nil)
 }
 
-func (s *Sub) give(e log.Entry) {
+func (s *Subscription) give(e log.Entry) {
 	if s.left || e.Offset <= s.pos {
 		return
 	}
 	s.pos = e.Offset
-	s.Give(e)
+	s.OnEntry(e)
 }
 
-func (s *Sub) catch() {
+func (s *Subscription) catch() {
 	s.open = true
 	for _, e := range s.held {
 		s.give(e)
--- a/internal/delivery/fanout/forget_test.go
+++ b/internal/delivery/fanout/forget_test.go
@@ -258,7 +258,7 @@
 	return free
 }
 
-func (c *court) Withdraw(_ int, covered Covered) {
+func (c *court) Withdraw(_ int, covered WithdrawnFunc) {
 	c.take(true, func(e log.Entry) bool {
 		return e.Type == log.TypeMessage && e.Key != "" && covered(e.Topic, e.Key, e.Offset)
 	})
@@ -278,14 +278,14 @@
 			c.wires = append(c.wires, w)
 		}
 		w := w
-		s := h.Sub(0, []string{"a", "b"}[c.r.IntN(2)])
+		s := h.NewSubscription(0, []string{"a", "b"}[c.r.IntN(2)])
 		if n := len(c.es); c.r.IntN(3) > 0 && n > 0 {
 			s.After = after(uint64(n - c.r.IntN(min(n, 60))))
 		}
 		c.mu.Unlock()
 		var at uint64
-		s.Opened = func(o uint64, _ error) { at = o }
-		s.Give = func(e log.Entry) {
+		s.OnOpen = func(o uint64, _ error) { at = o }
+		s.OnEntry = func(e log.Entry) {
 			c.mu.Lock()
 			for _, x := range c.es[at : e.Offset-1] {
 				if x.Topic == s.Topic && x.Key == "" {
@@ -299,10 +299,10 @@
 			at = e.Offset
 			c.give(w, e)
 		}
-		s.Broken = func() {}
-		h.Join(s)
+		s.OnBroken = func() {}
+		h.Subscribe(s)
 		time.Sleep(time.Duration(c.roll(2000)) * time.Millisecond)
-		h.Leave(s)
+		h.Unsubscribe(s)
 		c.mu.Lock()
 		w.wait = slices.DeleteFunc(w.wait, func(e log.Entry) bool { return e.Key != "" && e.Topic == s.Topic })
 		c.mu.Unlock()
@@ -320,7 +320,7 @@
 			ctx, stop := context.WithCancel(t.Context())
 			c := &court{r: rand.New(rand.NewPCG(seed, 1)), marks: marks{}, yes: marks{}, readers: map[string]uint64{}}
 			h := New(ctx, "a1", "boot", c, gossip.NewStore(nil), clock.Real{}, settings.DefaultTiming)
-			h.Hold(c)
+			h.AddBuffer(c)
 			until := time.Now().Add(30 * time.Second)
 			for range 1 + seed%3 {
 				go c.visit(h, until)
--- a/internal/delivery/fanout/hasten_test.go
+++ b/internal/delivery/fanout/hasten_test.go
@@ -17,14 +17,14 @@
 	f := h.feed(0)
 	f.telling = true
 	opened := map[string]uint64{}
-	join := func(topic string, at uint64) *Sub {
-		s := h.Sub(0, topic)
+	join := func(topic string, at uint64) *Subscription {
+		s := h.NewSubscription(0, topic)
 		s.After = &at
-		s.Opened = func(at uint64, err error) {
+		s.OnOpen = func(at uint64, err error) {
 			assert.NilError(t, err)
 			opened[topic] = at
 		}
-		h.Join(s)
+		h.Subscribe(s)
 		s.asked = s.asked.Add(-time.Second)
 		return s
 	}
@@ -35,7 +35,7 @@
 	_, asked, _ := f.want()
 	assert.Equal(t, len(asked), 4)
 	f.back(asked)
-	h.Leave(gone)
+	h.Unsubscribe(gone)
 	_, again, _ := f.want()
 	assert.Equal(t, len(again), 3)
 	f.hasten(t.Context(), asked)
--- a/internal/delivery/fanout/hub.go
+++ b/internal/delivery/fanout/hub.go
@@ -15,8 +15,8 @@
 	"postjunction/internal/settings"
 )
 
-// Owners asks the owner that a record names, one time.
-type Owners interface {
+// Leaders asks the owner that a record names, one time.
+type Leaders interface {
 	Follow(ctx context.Context, r assignment.Record, q *leader.FollowRequest) (*leader.FollowResponse, error)
 	Poll(ctx context.Context, r assignment.Record, q *leader.PollRequest) (*leader.PollResponse, error)
 }
@@ -24,40 +24,40 @@
 // Hub holds what one node follows, by partition.
 type Hub struct {
 	self, boot string
-	src        Owners
+	src        Leaders
 	board      *gossip.Store
 	clk        clock.Clock
 	bounds     settings.Timing
 	ctx        context.Context
 	mu         sync.Mutex
 	m          map[int]*feed
-	holders    []Holder
+	holders    []Buffer
 }
 
-// Holder keeps messages that subscriptions were given until visitors have them. Withdraw lets go of those with keys that are covered.
+// Buffer keeps messages that subscriptions were given until visitors have them. Withdraw lets go of those with keys that are covered.
 // Release lets go of all that have keys in a partition; it tells whether none is left. What is being written to a visitor can only be let go of by ending its
 // connection: Withdraw does so, Release where it may cut. Nothing that was let go of is written after they return.
-type Holder interface {
-	Withdraw(p int, covered Covered)
+type Buffer interface {
+	Withdraw(p int, covered WithdrawnFunc)
 	Release(p int, cut bool) bool
 }
 
 // New makes a hub that lives as long as ctx; boot names this run of the node.
-func New(ctx context.Context, self, boot string, s Owners, g *gossip.Store, c clock.Clock, b settings.Timing) *Hub {
+func New(ctx context.Context, self, boot string, s Leaders, g *gossip.Store, c clock.Clock, b settings.Timing) *Hub {
 	return &Hub{self: self, boot: boot, src: s, board: g, clk: c, bounds: b, ctx: ctx, m: map[int]*feed{}}
 }
 
-// Covered tells whether a message of a topic that stands under a key at an offset was withdrawn.
-type Covered func(topic, key string, offset uint64) bool
+// WithdrawnFunc tells whether a message of a topic that stands under a key at an offset was withdrawn.
+type WithdrawnFunc func(topic, key string, offset uint64) bool
 
-// Hold has a holder told of what is to be let go of.
-func (h *Hub) Hold(x Holder) {
+// AddBuffer has a holder told of what is to be let go of.
+func (h *Hub) AddBuffer(x Buffer) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.holders = append(h.holders, x)
 }
 
-func (h *Hub) held() []Holder {
+func (h *Hub) held() []Buffer {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.holders
@@ -77,15 +77,15 @@
 	return all
 }
 
-// Sub is one visit's interest in one topic. Opened is told once where it begins, or why it can't; Give gets each message and withdrawal after that
+// Subscription is one visit's interest in one topic. Opened is told once where it begins, or why it can't; Give gets each message and withdrawal after that
 // place, once, in order. Broken ends a subscription that was opened, since something that was to be given is no longer held anywhere. All are called
 // one at a time and must not block or call the hub.
-type Sub struct {
-	Topic  string
-	After  *uint64
-	Opened func(at uint64, err error)
-	Give   func(e log.Entry)
-	Broken func()
+type Subscription struct {
+	Topic    string
+	After    *uint64
+	OnOpen   func(at uint64, err error)
+	OnEntry  func(e log.Entry)
+	OnBroken func()
 
 	feed     *feed
 	pos      uint64
@@ -102,17 +102,19 @@
 	defer h.mu.Unlock()
 	f, ok := h.m[p]
 	if !ok {
-		f = &feed{h: h, p: p, boot: h.boot, topics: map[string]map[*Sub]bool{}, dirty: map[string]bool{}, kick: make(chan struct{}, 1), ready: make(chan struct{})}
+		f = &feed{h: h, p: p, boot: h.boot, topics: map[string]map[*Subscription]bool{}, dirty: map[string]bool{}, kick: make(chan struct{}, 1), ready: make(chan struct{})}
 		h.m[p] = f
 	}
 	return f
 }
 
-// Sub makes a subscription that Join takes up.
-func (h *Hub) Sub(p int, topic string) *Sub { return &Sub{Topic: topic, feed: h.feed(p)} }
+// NewSubscription makes a subscription that Join takes up.
+func (h *Hub) NewSubscription(p int, topic string) *Subscription {
+	return &Subscription{Topic: topic, feed: h.feed(p)}
+}
 
-// Join takes a topic up. It never blocks.
-func (h *Hub) Join(s *Sub) {
+// Subscribe takes a topic up. It never blocks.
+func (h *Hub) Subscribe(s *Subscription) {
 	f := s.feed
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -124,7 +126,7 @@
 		f.heard = s.asked
 	}
 	if f.topics[s.Topic] == nil {
-		f.topics[s.Topic] = map[*Sub]bool{}
+		f.topics[s.Topic] = map[*Subscription]bool{}
 	}
 	f.topics[s.Topic][s] = true
 	f.dirty[s.Topic] = true
@@ -135,8 +137,8 @@
 	f.wake()
 }
 
-// Leave drops a topic; nothing is given after it returns. It tells whether Opened was called.
-func (h *Hub) Leave(s *Sub) bool {
+// Unsubscribe drops a topic; nothing is given after it returns. It tells whether Opened was called.
+func (h *Hub) Unsubscribe(s *Subscription) bool {
 	f := s.feed
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -162,4 +164,4 @@
 }
 
 // Partition is where the topic's line stands.
-func (s *Sub) Partition() int { return s.feed.p }
+func (s *Subscription) Partition() int { return s.feed.p }
--- a/internal/delivery/fanout/later_test.go
+++ b/internal/delivery/fanout/later_test.go
@@ -59,21 +59,21 @@
 		c := &clerk{topics: map[string]int{}}
 		h := New(ctx, "a1", "boot", c, gossip.NewStore(nil), clock.Real{}, b)
 		opened := 0
-		join := func(topic string) *Sub {
-			s := h.Sub(0, topic)
-			s.Opened = func(_ uint64, err error) {
+		join := func(topic string) *Subscription {
+			s := h.NewSubscription(0, topic)
+			s.OnOpen = func(_ uint64, err error) {
 				assert.NilError(t, err)
 				opened++
 			}
-			s.Give = func(log.Entry) {}
-			h.Join(s)
+			s.OnEntry = func(log.Entry) {}
+			h.Subscribe(s)
 			synctest.Wait()
 			return s
 		}
 		x, y := join("a"), join("b")
 		was, _ := c.read()
 		for range 5 {
-			h.Leave(x)
+			h.Unsubscribe(x)
 			time.Sleep(b.LongPoll() / 8)
 			x = join("a")
 		}
@@ -81,12 +81,12 @@
 		assert.Equal(t, is-was, 5)
 		assert.Equal(t, opened, 7)
 		assert.DeepEqual(t, topics, map[string]int{"a": 1, "b": 1})
-		h.Leave(x)
+		h.Unsubscribe(x)
 		time.Sleep(b.LongPoll())
 		synctest.Wait()
 		_, topics = c.read()
 		assert.DeepEqual(t, topics, map[string]int{"b": 1})
-		h.Leave(y)
+		h.Unsubscribe(y)
 		time.Sleep(b.LongPoll() + b.Spread)
 		synctest.Wait()
 		_, topics = c.read()
--- a/internal/delivery/fanout/marks_test.go
+++ b/internal/delivery/fanout/marks_test.go
@@ -81,7 +81,7 @@
 	return a, nil
 }
 
-func (s *scribe) Withdraw(p int, covered Covered) {
+func (s *scribe) Withdraw(p int, covered WithdrawnFunc) {
 	s.note("withdraw %d 4:%t 5:%t 6:%t j:%t", p, covered("a", "k", 4), covered("a", "k", 5), covered("a", "k", 6), covered("a", "j", 5))
 }
 
@@ -120,7 +120,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		s := &scribe{follow: tail(4)}
 		s.h = New(ctx, "a1", "boot", s, gossip.NewStore(nil), clock.Real{}, settings.DefaultTiming)
-		s.h.Hold(s)
+		s.h.AddBuffer(s)
 		f(t, s)
 		stop()
 		time.Sleep(time.Minute)
@@ -223,7 +223,7 @@
 		var x, y heard
 		a := x.sub(s.h, "a", nil)
 		synctest.Wait()
-		s.h.Leave(a)
+		s.h.Unsubscribe(a)
 		s.set(tail(8))
 		y.sub(s.h, "a", after(3))
 		pass(time.Second)
@@ -275,11 +275,11 @@
 				})
 				var x, y heard
 				broken := 0
-				a := s.h.Sub(0, "a")
-				a.Opened = func(uint64, error) {}
-				a.Give = func(e log.Entry) { x.got = append(x.got, e.Offset) }
-				a.Broken = func() { broken++ }
-				s.h.Join(a)
+				a := s.h.NewSubscription(0, "a")
+				a.OnOpen = func(uint64, error) {}
+				a.OnEntry = func(e log.Entry) { x.got = append(x.got, e.Offset) }
+				a.OnBroken = func() { broken++ }
+				s.h.Subscribe(a)
 				pass(later + tick)
 				assert.DeepEqual(t, x.got, []uint64{5})
 				s.said()
@@ -305,7 +305,7 @@
 		var x heard
 		a := x.sub(s.h, "a", nil)
 		pass(2 * tick)
-		s.h.Leave(a)
+		s.h.Unsubscribe(a)
 		pass(time.Minute)
 		assert.DeepEqual(t, s.said(), []string{
 			"follow boot full=true topics=1 marks=true", "poll boot 4 marks=true", "poll boot 5 marks=true", "follow boot full=false topics=1 marks=true",
@@ -323,7 +323,7 @@
 		a := x.sub(s.h, "a", nil)
 		pass(2 * tick)
 		s.said()
-		s.h.Leave(a)
+		s.h.Unsubscribe(a)
 		deaf := 2
 		s.set(func(q *leader.FollowRequest) (*leader.FollowResponse, time.Duration) {
 			if q.Finished && deaf > 0 {
@@ -360,7 +360,7 @@
 				var x heard
 				a := x.sub(s.h, "a", nil)
 				pass(2 * tick)
-				s.h.Leave(a)
+				s.h.Unsubscribe(a)
 				pass(time.Minute)
 				assert.Assert(t, slices.ContainsFunc(s.said(), func(l string) bool { return strings.HasPrefix(l, "done boot ") }))
 			})
@@ -378,13 +378,13 @@
 		var x, y, z heard
 		a := x.sub(s.h, "a", nil)
 		pass(2 * tick)
-		s.h.Leave(a)
+		s.h.Unsubscribe(a)
 		pass(b.Spread + b.LongPoll()/2)
 		s.said()
 		s.set(tail(30))
 		a = y.sub(s.h, "a", nil)
 		assert.DeepEqual(t, s.said(), []string{"follow boot full=false topics=1 marks=true", "poll boot 5 marks=true"})
-		s.h.Leave(a)
+		s.h.Unsubscribe(a)
 		s.set(func(q *leader.FollowRequest) (*leader.FollowResponse, time.Duration) {
 			if q.Finished {
 				return nil, time.Hour
@@ -408,7 +408,7 @@
 		var x, y heard
 		a := x.sub(s.h, "a", nil)
 		pass(2 * tick)
-		s.h.Leave(a)
+		s.h.Unsubscribe(a)
 		pass(settings.DefaultTiming.Spread + later/2)
 		s.said()
 		y.sub(s.h, "a", after(5))
@@ -430,7 +430,7 @@
 				var x heard
 				a := x.sub(s.h, "a", nil)
 				pass(tick)
-				s.h.Leave(a)
+				s.h.Unsubscribe(a)
 				pass(2 * settings.DefaultTiming.Spread)
 				l := s.said()
 				assert.Assert(t, slices.Contains(l, "done boot full=true topics=0 marks=true"), "%v", l)
@@ -453,7 +453,7 @@
 		var x heard
 		a := x.sub(s.h, "a", nil)
 		pass(tick)
-		s.h.Leave(a)
+		s.h.Unsubscribe(a)
 		pass(2 * settings.DefaultTiming.Spread)
 		l := s.said()
 		assert.Assert(t, slices.Contains(l, "done boot full=true topics=0 marks=true"), "%v", l)
--- a/internal/delivery/fanout/slow_test.go
+++ b/internal/delivery/fanout/slow_test.go
@@ -48,23 +48,23 @@
 		ctx, stop := context.WithCancel(t.Context())
 		s := &thin{takes: 3 * b.MaxBackoff(), back: []log.Entry{{Offset: 4, Type: log.TypeMessage, Topic: "a"}, {Offset: 7, Type: log.TypeMessage, Topic: "a"}}}
 		h := New(ctx, "a1", "boot", s, gossip.NewStore(nil), clock.Real{}, b)
-		x := h.Sub(0, "a")
+		x := h.NewSubscription(0, "a")
 		at := uint64(3)
 		x.After = &at
 		var opened, got []uint64
-		x.Opened = func(at uint64, err error) {
+		x.OnOpen = func(at uint64, err error) {
 			assert.NilError(t, err)
 			opened = append(opened, at)
 		}
-		x.Give = func(e log.Entry) { got = append(got, e.Offset) }
-		h.Join(x)
+		x.OnEntry = func(e log.Entry) { got = append(got, e.Offset) }
+		h.Subscribe(x)
 		time.Sleep(b.CallTimeout())
 		synctest.Wait()
 		assert.DeepEqual(t, opened, []uint64{3})
 		time.Sleep(2 * b.CallTimeout())
 		synctest.Wait()
 		assert.DeepEqual(t, got, []uint64{4, 7})
-		h.Leave(x)
+		h.Unsubscribe(x)
 		stop()
 		synctest.Wait()
 	})
--- a/internal/delivery/fanout/soon_test.go
+++ b/internal/delivery/fanout/soon_test.go
@@ -80,16 +80,16 @@
 	got    []uint64
 }
 
-func (x *heard) sub(h *Hub, topic string, after *uint64) *Sub {
-	s := h.Sub(0, topic)
+func (x *heard) sub(h *Hub, topic string, after *uint64) *Subscription {
+	s := h.NewSubscription(0, topic)
 	s.After = after
-	s.Opened = func(at uint64, err error) {
+	s.OnOpen = func(at uint64, err error) {
 		if err == nil {
 			x.opened, x.at = append(x.opened, at), time.Now()
 		}
 	}
-	s.Give = func(e log.Entry) { x.got = append(x.got, e.Offset) }
-	h.Join(s)
+	s.OnEntry = func(e log.Entry) { x.got = append(x.got, e.Offset) }
+	h.Subscribe(s)
 	return s
 }
 
--- a/internal/delivery/fanout/turn_test.go
+++ b/internal/delivery/fanout/turn_test.go
@@ -65,9 +65,9 @@
 		ctx, stop := context.WithCancel(t.Context())
 		u := &usher{turn: 7}
 		h := New(ctx, "a1", "boot", u, gossip.NewStore(nil), clock.Real{}, b)
-		x := h.Sub(0, "a")
-		x.Opened = func(uint64, error) {}
-		h.Join(x)
+		x := h.NewSubscription(0, "a")
+		x.OnOpen = func(uint64, error) {}
+		h.Subscribe(x)
 		time.Sleep(b.MaxBackoff())
 		synctest.Wait()
 		asked, polled := u.saw()
@@ -81,15 +81,15 @@
 		assert.DeepEqual(t, polled, []uint64{7, 9})
 
 		u.set(9, true)
-		y := h.Sub(0, "b")
-		y.Opened = func(uint64, error) {}
-		h.Join(y)
+		y := h.NewSubscription(0, "b")
+		y.OnOpen = func(uint64, error) {}
+		h.Subscribe(y)
 		time.Sleep(b.CallTimeout())
 		synctest.Wait()
 		asked, _ = u.saw()
 		assert.Assert(t, asked > 2 && asked < 20, "asked %d times in %s", asked, b.CallTimeout())
-		h.Leave(x)
-		h.Leave(y)
+		h.Unsubscribe(x)
+		h.Unsubscribe(y)
 		stop()
 		synctest.Wait()
 	})
--- a/internal/lineserver/hold.go
+++ b/internal/lineserver/hold.go
@@ -11,7 +11,7 @@
 }
 
 // Withdraw takes back messages of a partition that are covered. A write that is under way with one ends the connection.
-func (c *conn) Withdraw(p int, covered fanout.Covered) {
+func (c *conn) Withdraw(p int, covered fanout.WithdrawnFunc) {
 	c.take(true, func(s *span) bool { return s.p == p && covered(s.topic, s.key, s.offset) })
 }
 
--- a/internal/testing/sim/boot_test.go
+++ b/internal/testing/sim/boot_test.go
@@ -136,14 +136,14 @@
 						continue
 					}
 					f := from[topic]
-					s := x.House.Hub.Sub(partition.Of(topic, sp.Urgent, x.Board.VoterSet().Layout), topic)
+					s := x.House.Hub.NewSubscription(partition.Of(topic, sp.Urgent, x.Board.VoterSet().Layout), topic)
 					s.After = &f
 					opened, given, broken := make(chan error, 1), make(chan struct{}), make(chan struct{})
 					var once sync.Once
-					s.Opened = func(_ uint64, err error) { opened <- err }
-					s.Give = func(log.Entry) { once.Do(func() { close(given) }) }
-					s.Broken = func() { close(broken) }
-					x.House.Hub.Join(s)
+					s.OnOpen = func(_ uint64, err error) { opened <- err }
+					s.OnEntry = func(log.Entry) { once.Do(func() { close(given) }) }
+					s.OnBroken = func() { close(broken) }
+					x.House.Hub.Subscribe(s)
 					select {
 					case err = <-opened:
 					case <-cx.Done():
@@ -160,7 +160,7 @@
 					case <-broken:
 					case <-cx.Done():
 					}
-					x.House.Hub.Leave(s)
+					x.House.Hub.Unsubscribe(s)
 					return
 				}
 			})
