--- a/internal/client/follow.go
+++ b/internal/client/follow.go
@@ -440,11 +440,11 @@
 	if e.Offset <= st.pos[l.p] {
 		return false, nil
 	}
-	fate, end := stream.Due, func() {}
+	fate, end := stream.FateDeliver, func() {}
 	if st.want[e.Topic] {
 		fate, end = l.feed.Begin(l.left, e, st.cut)
 	}
-	if fate == stream.Stale {
+	if fate == stream.FateStale {
 		return true, nil
 	}
 	defer end()
@@ -452,7 +452,7 @@
 	if e.Type == log.TypeWithdrawal && st.want[e.Topic] {
 		return false, st.emit(Line{Topic: e.Topic, Withdrawn: e.Key, Partition: &l.p, Offset: e.Offset})
 	}
-	if e.Type != log.TypeMessage || !st.want[e.Topic] || fate == stream.Withdrawn || e.Key != "" && e.BodyDropped || e.Live && (e.BodyDropped || e.Offset <= l.live) {
+	if e.Type != log.TypeMessage || !st.want[e.Topic] || fate == stream.FateWithdrawn || e.Key != "" && e.BodyDropped || e.Live && (e.BodyDropped || e.Offset <= l.live) {
 		return false, nil
 	}
 	return false, st.emit(Line{Topic: e.Topic, From: e.Client, Key: e.Key, Call: e.CallSeq, Body: e.Body, Partition: &l.p, Offset: e.Offset})
--- a/internal/delivery/stream/feed.go
+++ b/internal/delivery/stream/feed.go
@@ -132,8 +132,8 @@
 	}
 }
 
-// Rest waits until every feed whose streams left has told its owner so, as long as ctx lasts.
-func (f *Feeds) Rest(ctx context.Context) {
+// WaitFinished waits until every feed whose streams left has told its owner so, as long as ctx lasts.
+func (f *Feeds) WaitFinished(ctx context.Context) {
 	f.mu.Lock()
 	ds := slices.Collect(maps.Keys(f.there))
 	f.mu.Unlock()
@@ -399,28 +399,28 @@
 
 // The fates: to be given, withdrawn and never to be given, or of a window that must be filled anew.
 const (
-	Due Fate = iota
-	Withdrawn
-	Stale
+	FateDeliver Fate = iota
+	FateWithdrawn
+	FateStale
 )
 
 // Begin comes right before an entry of a window is given to a visitor. Where it is due, the function returned says that the giving ended; if the entry is withdrawn
 // before that, cut is called from elsewhere: it must not wait, and has the giving end soon.
 func (d *Feed) Begin(w Window, e log.Entry, cut func()) (Fate, func()) {
 	if e.Key == "" || e.Type != log.TypeMessage {
-		return Due, func() {}
+		return FateDeliver, func() {}
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
 	case w.era != d.era:
-		return Stale, func() {}
+		return FateStale, func() {}
 	case e.Offset < d.marks[at(e)]:
-		return Withdrawn, func() {}
+		return FateWithdrawn, func() {}
 	}
 	x := &writing{e, cut, make(chan struct{})}
 	d.writes[x] = true
-	return Due, func() {
+	return FateDeliver, func() {
 		d.mu.Lock()
 		delete(d.writes, x)
 		d.mu.Unlock()
--- a/internal/delivery/stream/feed_test.go
+++ b/internal/delivery/stream/feed_test.go
@@ -105,7 +105,7 @@
 
 func (x *run) fate(w Window, i int) Fate {
 	f, end := x.d.Begin(w, w.Entries[i], func() {})
-	if f == Due {
+	if f == FateDeliver {
 		end()
 	}
 	return f
@@ -121,13 +121,13 @@
 			x.c.write(log.TypeWithdrawal, "k", "")
 			x.c.write(log.TypeMessage, "k", "new")
 			synctest.Wait()
-			assert.Equal(x, x.fate(w, 0), Withdrawn)
-			assert.Equal(x, x.fate(w, 1), Due)
+			assert.Equal(x, x.fate(w, 0), FateWithdrawn)
+			assert.Equal(x, x.fate(w, 1), FateDeliver)
 			n := x.held(0)
 			assert.Equal(x, fmt.Sprintf("%s %v", n.Entries[0].Body, n.Entries[0].BodyDropped), " true")
 			assert.Equal(x, string(n.Entries[1].Body)+string(n.Entries[3].Body), "othernew")
 			assert.Equal(x, string(w.Entries[0].Body), "old")
-			assert.Equal(x, x.fate(n, 3), Due)
+			assert.Equal(x, x.fate(n, 3), FateDeliver)
 			at, _ := x.c.read("b.1")
 			assert.Equal(x, at, uint64(4))
 		},
@@ -152,7 +152,7 @@
 			close(x.c.late)
 			w := <-got
 			assert.Equal(x, string(w.Entries[0].Body), "old")
-			assert.Equal(x, x.fate(w, 0), Withdrawn)
+			assert.Equal(x, x.fate(w, 0), FateWithdrawn)
 			at, _ := x.c.read("b.1")
 			assert.Equal(x, at, uint64(4))
 		},
@@ -192,8 +192,8 @@
 			n := len(x.d.marks)
 			x.d.mu.Unlock()
 			assert.Assert(x, n <= marksMost)
-			assert.Equal(x, x.fate(w, 0), Stale)
-			assert.Equal(x, x.fate(w, 1), Due)
+			assert.Equal(x, x.fate(w, 0), FateStale)
+			assert.Equal(x, x.fate(w, 1), FateDeliver)
 			assert.Assert(x, x.held(0).Entries[0].BodyDropped)
 		},
 		"marks that were passed over make windows stale and cut writes off": func(x *run) {
@@ -212,7 +212,7 @@
 			synctest.Wait()
 			assert.Equal(x, len(cut), 1)
 			end()
-			assert.Equal(x, x.fate(w, 0), Stale)
+			assert.Equal(x, x.fate(w, 0), FateStale)
 			synctest.Wait()
 			assert.Equal(x, string(x.held(6).Entries[0].Body), "far")
 		},
@@ -228,7 +228,7 @@
 			assert.Equal(x, len(cut), 1)
 			end()
 			synctest.Wait()
-			assert.Equal(x, x.fate(w, 0), Stale)
+			assert.Equal(x, x.fate(w, 0), FateStale)
 			_, ok := x.d.Held(0)
 			assert.Assert(x, !ok)
 			close(x.c.late)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -565,7 +565,7 @@
 	}
 	cx, rest := context.WithTimeout(ctx, b.TransferTimeout())
 	defer rest()
-	n.Visitors.Feeds.Rest(cx)
+	n.Visitors.Feeds.WaitFinished(cx)
 	n.log.Say(event.HandedOver, "partitions", k, "keys", h)
 	n.Kill()
 	n.log.Say(event.StoppedClean)
