--- a/internal/client/follow.go
+++ b/internal/client/follow.go
@@ -162,7 +162,7 @@
 		return nil
 	}
 	var err error
-	st.given, err = cursor.Unpack(st.fleet, partitions, from)
+	st.given, err = cursor.Decode(st.fleet, partitions, from)
 	return err
 }
 
@@ -284,7 +284,7 @@
 	for p, o := range st.pos {
 		c[p] = o
 	}
-	return cursor.Pack(st.fleet, c)
+	return cursor.Encode(st.fleet, c)
 }
 
 func (st *subscriptionStream) emit(l Line) error {
--- a/internal/client/service.go
+++ b/internal/client/service.go
@@ -313,7 +313,7 @@
 
 func (s *Service) ack(ctx context.Context, t *Task) error {
 	r := s.Board.VoterSet()
-	if _, err := cursor.Unpack(r.Fleet, r.Layout.PartitionCount(), t.Cursor); err != nil {
+	if _, err := cursor.Decode(r.Fleet, r.Layout.PartitionCount(), t.Cursor); err != nil {
 		return err
 	}
 	if err := s.Desk.SaveCursor(ctx, &router.SaveCursorRequest{Client: t.Visitor, Generation: t.who.Generation, Cursor: t.Cursor}); err != nil {
--- a/internal/delivery/cursor/cursor.go
+++ b/internal/delivery/cursor/cursor.go
@@ -21,8 +21,8 @@
 
 func seed(fleet string) uint32 { return crc32.ChecksumIEEE([]byte(fleet)) }
 
-// Pack writes a cursor for one fleet.
-func Pack(fleet string, c Cursor) string {
+// Encode writes a cursor for one fleet.
+func Encode(fleet string, c Cursor) string {
 	ps := make([]int, 0, len(c))
 	for p := range c {
 		ps = append(ps, p)
@@ -37,8 +37,8 @@
 	return prefix + base64.RawURLEncoding.EncodeToString(b)
 }
 
-// Unpack reads a cursor of one fleet with a number of partitions.
-func Unpack(fleet string, partitions int, s string) (Cursor, error) {
+// Decode reads a cursor of one fleet with a number of partitions.
+func Decode(fleet string, partitions int, s string) (Cursor, error) {
 	t, ok := strings.CutPrefix(s, prefix)
 	b, err := base64.RawURLEncoding.DecodeString(t)
 	if !ok || err != nil || len(b) < 4 {
