--- a/internal/client/follow.go
+++ b/internal/client/follow.go
@@ -119,7 +119,7 @@
 	if err := st.openAll(ctx, cx, urgent, routine); err != nil {
 		return err
 	}
-	defer s.Presence.Enter(t.Visitor, unique(t.Topics))()
+	defer s.Presence.Add(t.Visitor, unique(t.Topics))()
 	s.tally(1, 0)
 	defer s.tally(-1, 0)
 	stop()
--- a/internal/client/service.go
+++ b/internal/client/service.go
@@ -324,7 +324,7 @@
 }
 
 func (s *Service) count(ctx context.Context, t *Task) error {
-	n, whole := s.Presence.Others(ctx, t.Topics[0], t.Visitor)
+	n, whole := s.Presence.CountOthers(ctx, t.Topics[0], t.Visitor)
 	t.out = Headcount{Topic: t.Topics[0], Others: n, Whole: whole}
 	return nil
 }
--- a/internal/presence/presence.go
+++ b/internal/presence/presence.go
@@ -20,7 +20,7 @@
 
 // CountResponse names the listeners.
 type CountResponse struct {
-	Visitors []string `json:"v"`
+	Clients []string `json:"v"`
 }
 
 // Count is the presence call.
@@ -30,14 +30,14 @@
 type Presence struct {
 	Self   string
 	Net    wire.Network
-	Bounds settings.Timing
+	Timing settings.Timing
 	View   *membership.View
 	m      *keylock.Map[string, map[string]int]
 }
 
 // New makes an empty presence.
 func New(self string, n wire.Network, b settings.Timing, v *membership.View) *Presence {
-	return &Presence{Self: self, Net: n, Bounds: b, View: v, m: keylock.NewMap[string, map[string]int]()}
+	return &Presence{Self: self, Net: n, Timing: b, View: v, m: keylock.NewMap[string, map[string]int]()}
 }
 
 func (p *Presence) add(topic, visitor string, n int) {
@@ -52,8 +52,8 @@
 	})
 }
 
-// Enter notes a listener; the function takes it out again.
-func (p *Presence) Enter(visitor string, topics []string) func() {
+// Add notes a listener; the function takes it out again.
+func (p *Presence) Add(visitor string, topics []string) func() {
 	for _, t := range topics {
 		p.add(t, visitor, 1)
 	}
@@ -75,9 +75,9 @@
 	return s
 }
 
-// Others counts the other visitors that listen to a topic on any node; whole tells whether every node answered.
-func (p *Presence) Others(ctx context.Context, topic, visitor string) (n int, whole bool) {
-	cx, stop := context.WithTimeout(ctx, p.Bounds.CallTimeout()/2)
+// CountOthers counts the other visitors that listen to a topic on any node; whole tells whether every node answered.
+func (p *Presence) CountOthers(ctx context.Context, topic, visitor string) (n int, whole bool) {
+	cx, stop := context.WithTimeout(ctx, p.Timing.CallTimeout()/2)
 	defer stop()
 	fs := membership.Filter(p.View.All(), func(i membership.Info) bool { return i.Name != p.Self })
 	as := quorum.Gather(cx, fs, func(ctx context.Context, i membership.Info) (*CountResponse, error) {
@@ -85,7 +85,7 @@
 	}, nil)
 	all := p.here(topic)
 	for _, a := range quorum.Successes(as) {
-		all = append(all, a.Value.Visitors...)
+		all = append(all, a.Value.Clients...)
 	}
 	slices.Sort(all)
 	all = slices.DeleteFunc(slices.Compact(all), func(s string) bool { return s == visitor })
@@ -95,6 +95,6 @@
 // Serve adds the presence call.
 func (p *Presence) Serve(m *http.ServeMux) {
 	Count.Handle(m, func(_ context.Context, q *CountRequest) (*CountResponse, error) {
-		return &CountResponse{Visitors: p.here(q.Topic)}, nil
+		return &CountResponse{Clients: p.here(q.Topic)}, nil
 	})
 }
