--- a/internal/client/rejections/turned.go
+++ b/internal/client/rejections/turned.go
@@ -10,16 +10,16 @@
 	"postjunction/internal/wire"
 )
 
-// Note is one call that was turned away.
-type Note struct {
+// Rejection is one call that was turned away.
+type Rejection struct {
 	At      time.Time `json:"at"`
 	Node    string    `json:"node"`
 	Verb    string    `json:"verb"`
-	Visitor string    `json:"visitor,omitempty"`
+	Client  string    `json:"visitor,omitempty"`
 	Topic   string    `json:"topic,omitempty"`
-	Call    uint64    `json:"call_seq,omitempty"`
+	CallSeq uint64    `json:"call_seq,omitempty"`
 	Code    string    `json:"code"`
-	Say     string    `json:"say"`
+	Message string    `json:"say"`
 }
 
 // Ring keeps the newest values up to a number.
@@ -45,8 +45,8 @@
 	r.next = (r.next + 1) % r.most
 }
 
-// Where gives the values that f wants, oldest first.
-func (r *Ring[T]) Where(f func(T) bool) []T {
+// Filter gives the values that f wants, oldest first.
+func (r *Ring[T]) Filter(f func(T) bool) []T {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var vs []T
@@ -58,23 +58,23 @@
 	return vs
 }
 
-// Task asks a node what it turned away; an empty topic and a zero call stand for any.
-type Task struct {
-	Visitor string `json:"v"`
+// Request asks a node what it turned away; an empty topic and a zero call stand for any.
+type Request struct {
+	Client  string `json:"v"`
 	Topic   string `json:"t,omitempty"`
-	Call    uint64 `json:"c,omitempty"`
+	CallSeq uint64 `json:"c,omitempty"`
 }
 
-// Answer gives the notes.
-type Answer struct {
-	Notes []Note `json:"n,omitempty"`
+// Response gives the notes.
+type Response struct {
+	Rejections []Rejection `json:"n,omitempty"`
 }
 
-// Turned is the call that asks.
-var Turned = wire.NewProcedure[Task, Answer]("Visitor", "Turned", wire.ReadOnly, "notes of rejected calls")
+// List is the call that asks.
+var List = wire.NewProcedure[Request, Response]("Visitor", "Turned", wire.ReadOnly, "notes of rejected calls")
 
-// Memory is one node's.
-type Memory struct{ *Ring[Note] }
+// Recorder is one node's.
+type Recorder struct{ *Ring[Rejection] }
 
 const (
 	notesMost  = 4096
@@ -82,17 +82,17 @@
 )
 
 // New makes an empty memory.
-func New() Memory { return Memory{NewRing[Note](notesMost)} }
+func New() Recorder { return Recorder{NewRing[Rejection](notesMost)} }
 
 // Find gives the newest notes that fit a task.
-func (m Memory) Find(q Task) []Note {
-	ns := m.Where(func(n Note) bool {
-		return n.Visitor == q.Visitor && (q.Topic == "" || n.Topic == q.Topic) && (q.Call == 0 || n.Call == q.Call)
+func (m Recorder) Find(q Request) []Rejection {
+	ns := m.Filter(func(n Rejection) bool {
+		return n.Client == q.Client && (q.Topic == "" || n.Topic == q.Topic) && (q.CallSeq == 0 || n.CallSeq == q.CallSeq)
 	})
 	return ns[max(0, len(ns)-answerMost):]
 }
 
 // Serve adds the call.
-func (m Memory) Serve(x *http.ServeMux) {
-	Turned.Handle(x, func(_ context.Context, q *Task) (*Answer, error) { return &Answer{Notes: m.Find(*q)}, nil })
+func (m Recorder) Serve(x *http.ServeMux) {
+	List.Handle(x, func(_ context.Context, q *Request) (*Response, error) { return &Response{Rejections: m.Find(*q)}, nil })
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -90,7 +90,7 @@
 	desk         *router.Router
 	presence     *presence.Presence
 	gates        *admission.Gates
-	turned       rejections.Memory
+	turned       rejections.Recorder
 	founder      *bootstrap.Bootstrapper
 	leaves       *bootstrap.Granter
 	reconfigurer *reconfigurer.Reconfigurer
@@ -342,7 +342,7 @@
 			if len(t.Topics) > 0 {
 				topic = t.Topics[0]
 			}
-			n.turned.Add(rejections.Note{At: clk.Now().UTC(), Node: self, Verb: t.Verb, Visitor: t.Visitor, Topic: topic, Call: t.Call, Code: string(p.Code), Say: p.Message})
+			n.turned.Add(rejections.Rejection{At: clk.Now().UTC(), Node: self, Verb: t.Verb, Client: t.Visitor, Topic: topic, CallSeq: t.Call, Code: string(p.Code), Message: p.Message})
 		},
 	}
 	n.hub = fanout.New(ctx, self, n.boot, n.desk, n.Board, clk, b)
@@ -399,15 +399,15 @@
 	return gs
 }
 
-func (n *Node) askTurned(ctx context.Context, i membership.Info, q rejections.Task) ([]rejections.Note, error) {
+func (n *Node) askTurned(ctx context.Context, i membership.Info, q rejections.Request) ([]rejections.Rejection, error) {
 	if i.Name == n.opts.Name {
 		return n.turned.Find(q), nil
 	}
-	a, err := rejections.Turned.Call(ctx, n.w.Net, n.opts.Name, i.PeerAddr, &q)
+	a, err := rejections.List.Call(ctx, n.w.Net, n.opts.Name, i.PeerAddr, &q)
 	if err != nil {
 		return nil, err
 	}
-	return a.Notes, nil
+	return a.Rejections, nil
 }
 
 func (n *Node) run(ctx context.Context) {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -44,7 +44,7 @@
 	Tombstones     func(ctx context.Context, p int) (*leader.TombstoneView, error)
 	CountersByPart func() map[string]any
 	Trace          func(ctx context.Context, p int, q *router.TraceRequest) (*router.TraceResponse, error)
-	Rejections     func(ctx context.Context, i membership.Info, q rejections.Task) ([]rejections.Note, error)
+	Rejections     func(ctx context.Context, i membership.Info, q rejections.Request) ([]rejections.Rejection, error)
 	Log            *event.Logger
 
 	reader atomic.Pointer[Reader]
