--- a/internal/client/follow.go
+++ b/internal/client/follow.go
@@ -144,7 +144,7 @@
 
 // guard joins the feed that tells of newer attachments, and only then asks which attachment is in force, so that none falls between.
 func (st *subscriptionStream) guard(ctx context.Context, k token.Token, urgent bool) error {
-	f, leave, err := st.s.Feeds.Follow(ctx, st.s.Desk.HomePartition(k.Visitor, urgent), st.wake)
+	f, leave, err := st.s.Feeds.Follow(ctx, st.s.Desk.HomePartition(k.Client, urgent), st.wake)
 	if err != nil {
 		return err
 	}
@@ -535,7 +535,7 @@
 		err := error(apierror.New(apierror.NoPartitionLeader, "not asked yet"))
 		for err != nil && ctx.Err() == nil {
 			cx, stop := context.WithTimeout(ctx, callShare*st.s.Bounds.CallTimeout())
-			a, e := st.s.Desk.ReadAttachment(cx, who.Visitor, who.Generation, urgent)
+			a, e := st.s.Desk.ReadAttachment(cx, who.Client, who.Generation, urgent)
 			stop()
 			if err = e; err == nil && a.Attachment.Generation > who.Generation {
 				err = st.superseded(a.Attachment.Generation)
--- a/internal/client/service.go
+++ b/internal/client/service.go
@@ -240,15 +240,15 @@
 	if t.Token == "" {
 		return token.Token{}, apierror.New(apierror.TokenMissing, "the call has no bearer token")
 	}
-	k, err := token.Unpack(t.Token)
+	k, err := token.Decode(t.Token)
 	if err == nil {
-		t.Visitor = k.Visitor
+		t.Visitor = k.Client
 	}
 	return k, err
 }
 
 func (s *Service) identify(ctx context.Context, t *Task, k token.Token, urgent bool) error {
-	a, err := s.Desk.ReadAttachment(ctx, k.Visitor, k.Generation, urgent)
+	a, err := s.Desk.ReadAttachment(ctx, k.Client, k.Generation, urgent)
 	if err != nil {
 		if apierror.HasCode(err, apierror.OutcomeUnknown) {
 			err = apierror.New(apierror.NoPartitionLeader, "the attachment could not be checked: %v", err)
@@ -257,11 +257,11 @@
 	}
 	switch g := a.Attachment.Generation; {
 	case g > k.Generation:
-		return apierror.New(apierror.TokenFenced, "attachment %d of %s is in force, the token is of %d", g, k.Visitor, k.Generation)
+		return apierror.New(apierror.TokenFenced, "attachment %d of %s is in force, the token is of %d", g, k.Client, k.Generation)
 	case g < k.Generation || !k.Matches(a.Attachment.Secret):
-		return apierror.New(apierror.TokenForeign, "the token is not the one given to %s", k.Visitor)
+		return apierror.New(apierror.TokenForeign, "the token is not the one given to %s", k.Client)
 	}
-	t.who, t.Visitor, t.acked = k, k.Visitor, a.SavedCursor.Cursor
+	t.who, t.Visitor, t.acked = k, k.Client, a.SavedCursor.Cursor
 	return nil
 }
 
@@ -269,12 +269,12 @@
 	if !nameRule.MatchString(t.Visitor) {
 		return apierror.New(apierror.Malformed, "visitor must be 1 to 63 of letters, digits, ., _ and -, is %q", t.Visitor)
 	}
-	sec := token.Secret()
+	sec := token.NewSecret()
 	a, err := s.Desk.Attach(ctx, &router.AttachRequest{Client: t.Visitor, Secret: token.Digest(sec)})
 	if err != nil {
 		return err
 	}
-	t.out = Attachment{Token: token.Token{Visitor: t.Visitor, Generation: a.Generation, Secret: sec}.Pack(), Visitor: t.Visitor, Generation: a.Generation, Cursor: a.SavedCursor.Cursor}
+	t.out = Attachment{Token: token.Token{Client: t.Visitor, Generation: a.Generation, Secret: sec}.Encode(), Visitor: t.Visitor, Generation: a.Generation, Cursor: a.SavedCursor.Cursor}
 	return nil
 }
 
--- a/internal/client/token/token.go
+++ b/internal/client/token/token.go
@@ -15,7 +15,7 @@
 
 // Token names a visitor, the generation of the attachment, and its secret.
 type Token struct {
-	Visitor    string
+	Client     string
 	Generation uint64
 	Secret     string
 }
@@ -26,8 +26,8 @@
 	bearer      = "Bearer "
 )
 
-// Secret makes a new secret.
-func Secret() string {
+// NewSecret makes a new secret.
+func NewSecret() string {
 	var b [secretBytes]byte
 	_, _ = rand.Read(b[:])
 	return hex.EncodeToString(b[:])
@@ -39,13 +39,13 @@
 	return hex.EncodeToString(h[:])
 }
 
-// Pack writes a token.
-func (t Token) Pack() string {
-	return prefix + base64.RawURLEncoding.EncodeToString([]byte(t.Visitor+"|"+strconv.FormatUint(t.Generation, 10)+"|"+t.Secret))
+// Encode writes a token.
+func (t Token) Encode() string {
+	return prefix + base64.RawURLEncoding.EncodeToString([]byte(t.Client+"|"+strconv.FormatUint(t.Generation, 10)+"|"+t.Secret))
 }
 
-// Unpack reads a token.
-func Unpack(s string) (Token, error) {
+// Decode reads a token.
+func Decode(s string) (Token, error) {
 	foreign := apierror.New(apierror.TokenForeign, "the token is none of this service's")
 	w, ok := strings.CutPrefix(s, prefix)
 	b, err := base64.RawURLEncoding.DecodeString(w)
@@ -63,8 +63,8 @@
 	return Token{p[0], g, p[2]}, nil
 }
 
-// Bearer reads the token of an Authorization header.
-func Bearer(h string) (Token, error) {
+// ParseBearer reads the token of an Authorization header.
+func ParseBearer(h string) (Token, error) {
 	if h == "" {
 		return Token{}, apierror.New(apierror.TokenMissing, "the call has no Authorization header")
 	}
@@ -72,7 +72,7 @@
 	if !ok {
 		return Token{}, apierror.New(apierror.TokenMissing, "the Authorization header is no bearer token")
 	}
-	return Unpack(s)
+	return Decode(s)
 }
 
 // Matches compares a token with the digest kept.
--- a/internal/httpapi/door.go
+++ b/internal/httpapi/door.go
@@ -166,8 +166,8 @@
 }
 
 func bearer(r *http.Request) (string, error) {
-	t, err := token.Bearer(r.Header.Get("Authorization"))
-	return t.Pack(), err
+	t, err := token.ParseBearer(r.Header.Get("Authorization"))
+	return t.Encode(), err
 }
 
 func (d *Door) send(w http.ResponseWriter, r *http.Request) (any, error) {
