--- a/internal/client/admission/admission.go
+++ b/internal/client/admission/admission.go
@@ -26,8 +26,8 @@
 	UrgentStream Lane = "urgent_stream"
 )
 
-// Gates holds a bounded backlog per lane.
-type Gates struct {
+// Limiter holds a bounded backlog per lane.
+type Limiter struct {
 	mu    sync.Mutex
 	limit int
 	m     map[Lane]bulkhead.Bulkhead[any]
@@ -38,14 +38,14 @@
 const streamsPerPlace = 8
 
 // New makes gates of a size.
-func New(limit int) *Gates {
-	g := &Gates{taken: map[Lane]uint64{}, shed: map[Lane]uint64{}}
+func New(limit int) *Limiter {
+	g := &Limiter{taken: map[Lane]uint64{}, shed: map[Lane]uint64{}}
 	g.Resize(limit)
 	return g
 }
 
 // Resize changes the size; what is under way is not counted against the new one.
-func (g *Gates) Resize(limit int) {
+func (g *Limiter) Resize(limit int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if limit == g.limit {
@@ -62,8 +62,8 @@
 	}
 }
 
-// Enter takes a place in a lane, or turns away with a jittered hint when to come back.
-func (g *Gates) Enter(l Lane) (func(), error) {
+// Acquire takes a place in a lane, or turns away with a jittered hint when to come back.
+func (g *Limiter) Acquire(l Lane) (func(), error) {
 	g.mu.Lock()
 	b := g.m[l]
 	ok := b.TryAcquirePermit()
@@ -81,7 +81,7 @@
 }
 
 // Counts gives what was taken in and shed by lane.
-func (g *Gates) Counts() (taken, shed map[Lane]uint64) {
+func (g *Limiter) Counts() (taken, shed map[Lane]uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	taken, shed = map[Lane]uint64{}, map[Lane]uint64{}
--- a/internal/client/service.go
+++ b/internal/client/service.go
@@ -66,7 +66,7 @@
 	Desk     *router.Router
 	Feeds    *stream.Feeds
 	Presence *presence.Presence
-	Gates    *admission.Gates
+	Gates    *admission.Limiter
 	Licensed func() error
 	Leaving  <-chan struct{}
 	Heard    func(t *Task, err error)
@@ -209,7 +209,7 @@
 	if t.urgent() {
 		l = urgentLanes[t.Verb]
 	}
-	leave, err := s.Gates.Enter(l)
+	leave, err := s.Gates.Acquire(l)
 	if err != nil {
 		return err
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -89,7 +89,7 @@
 	owners       *leaders.Keeper
 	desk         *router.Router
 	presence     *presence.Presence
-	gates        *admission.Gates
+	gates        *admission.Limiter
 	turned       rejections.Recorder
 	founder      *bootstrap.Bootstrapper
 	leaves       *bootstrap.Granter
