--- a/internal/client/session/house.go
+++ b/internal/client/session/house.go
@@ -26,25 +26,25 @@
 	CheckKeysSupported() error
 }
 
-// House takes the visits of one node.
-type House struct {
-	Self     string
-	Clock    clock.Clock
-	Bounds   settings.Timing
-	Board    *gossip.Store
-	Hub      *fanout.Hub
-	Ledger   Ledger
-	Licensed func() error
-	Leaving  <-chan struct{}
-	Members  func() []membership.Info
-	Info     func() membership.Info
-	Body     int
+// Registry takes the visits of one node.
+type Registry struct {
+	Self       string
+	Clock      clock.Clock
+	Timing     settings.Timing
+	Store      *gossip.Store
+	Hub        *fanout.Hub
+	Ledger     Ledger
+	CheckLease func() error
+	Draining   <-chan struct{}
+	Members    func() []membership.Info
+	Info       func() membership.Info
+	BodyLimit  int
 
 	ctx context.Context
 	mu  sync.Mutex
-	m   map[*Visit]bool
+	m   map[*Session]bool
 	// held are the holders of answers, which outlast their visits.
-	held map[Holder]bool
+	held map[Buffer]bool
 	x    *configuration.Index
 	// refuge deals out the nodes that take this node's visitors, nil while they may stay.
 	refuge func() membership.Info
@@ -52,14 +52,14 @@
 	spread spread
 }
 
-// Visit is one visitor's stay on one connection. Its tasks are done one after another.
-type Visit struct {
-	h    *House
-	out  Out
+// Session is one visitor's stay on one connection. Its tasks are done one after another.
+type Session struct {
+	h    *Registry
+	out  Sink
 	name string
 	mu   sync.Mutex
 	subs map[string]*fanout.Subscription
-	held Holder
+	held Buffer
 	gone bool
 	away bool
 }
@@ -70,9 +70,9 @@
 	topicMost  = 256
 )
 
-// Open makes the house ready; what its visits ask goes on as long as ctx.
-func (h *House) Open(ctx context.Context) *House {
-	h.ctx, h.m, h.held = ctx, map[*Visit]bool{}, map[Holder]bool{}
+// Start makes the house ready; what its visits ask goes on as long as ctx.
+func (h *Registry) Start(ctx context.Context) *Registry {
+	h.ctx, h.m, h.held = ctx, map[*Session]bool{}, map[Buffer]bool{}
 	if h.Hub != nil {
 		h.Hub.AddBuffer(h)
 	}
@@ -80,13 +80,13 @@
 }
 
 // Run ends subscriptions whose space was removed, and moves visits on when the node leaves, until ctx ends.
-func (h *House) Run(ctx context.Context) {
+func (h *Registry) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		ch := h.Board.Changed()
+		ch := h.Store.Changed()
 		h.refresh()
 		select {
 		case <-ch:
-		case <-h.Leaving:
+		case <-h.Draining:
 			h.move()
 			return
 		case <-ctx.Done():
@@ -94,10 +94,10 @@
 	}
 }
 
-func (h *House) all() []*Visit {
+func (h *Registry) all() []*Session {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	vs := make([]*Visit, 0, len(h.m))
+	vs := make([]*Session, 0, len(h.m))
 	for v := range h.m {
 		vs = append(vs, v)
 	}
@@ -105,14 +105,14 @@
 }
 
 // Count is how many visits are here.
-func (h *House) Count() int {
+func (h *Registry) Count() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.m)
 }
 
-func (h *House) refresh() {
-	x := h.Board.Index()
+func (h *Registry) refresh() {
+	x := h.Store.Index()
 	h.mu.Lock()
 	same := x.AgreesWith(h.x)
 	h.x = x
@@ -123,7 +123,7 @@
 	for _, v := range h.all() {
 		for _, t := range v.topics() {
 			sp, err := x.Find(t)
-			if s := v.sub(t); s == nil || err == nil && partition.Of(t, sp.Urgent, h.Board.VoterSet().Layout) == s.Partition() {
+			if s := v.sub(t); s == nil || err == nil && partition.Of(t, sp.Urgent, h.Store.VoterSet().Layout) == s.Partition() {
 				continue
 			}
 			if err == nil {
@@ -135,7 +135,7 @@
 }
 
 // move tells every visitor another node of its zone, spread over those that serve by their processor, or of any zone when there is none.
-func (h *House) move() {
+func (h *Registry) move() {
 	me := h.Info()
 	all := membership.Filter(h.Members(), func(i membership.Info) bool {
 		return i.ClientAddr != "" && i.Name != me.Name && i.Stage == membership.Serving && !i.Deaf
@@ -148,18 +148,18 @@
 }
 
 // send tells all visitors to go to other nodes, spread over them.
-func (h *House) send(to []membership.Info) {
+func (h *Registry) send(to []membership.Info) {
 	if len(to) == 0 {
 		return
 	}
 	next := deal(to)
 	for _, v := range h.all() {
-		v.out(Answer{What: Moved, Address: next().ClientAddr})
+		v.out(Response{Type: Moved, Address: next().ClientAddr})
 	}
 }
 
-// Away sends all visitors, and those who come later, to other nodes until it is called with none.
-func (h *House) Away(to []membership.Info) {
+// Redirect sends all visitors, and those who come later, to other nodes until it is called with none.
+func (h *Registry) Redirect(to []membership.Info) {
 	h.mu.Lock()
 	h.refuge = nil
 	if len(to) > 0 {
@@ -170,7 +170,7 @@
 }
 
 // away gives the address of a node that takes this node's visitors, none while they may stay.
-func (h *House) away() string {
+func (h *Registry) away() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.refuge == nil {
@@ -179,8 +179,8 @@
 	return h.refuge().ClientAddr
 }
 
-// Stays tells whether visitors may stay here.
-func (h *House) Stays() error {
+// CheckServing tells whether visitors may stay here.
+func (h *Registry) CheckServing() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.refuge != nil {
@@ -189,17 +189,17 @@
 	return nil
 }
 
-// Enter begins a visit. Answers go to out, which must not block.
-func (h *House) Enter(out Out) *Visit {
-	v := &Visit{h: h, out: out, subs: map[string]*fanout.Subscription{}}
+// NewSession begins a visit. Answers go to out, which must not block.
+func (h *Registry) NewSession(out Sink) *Session {
+	v := &Session{h: h, out: out, subs: map[string]*fanout.Subscription{}}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.m[v] = true
 	return v
 }
 
-// Hold names what keeps the visit's answers; the function that it gives is called once nothing is kept there any more. It is called before the first task.
-func (v *Visit) Hold(x Holder) func() {
+// AttachBuffer names what keeps the visit's answers; the function that it gives is called once nothing is kept there any more. It is called before the first task.
+func (v *Session) AttachBuffer(x Buffer) func() {
 	v.held = x
 	v.h.mu.Lock()
 	defer v.h.mu.Unlock()
@@ -211,10 +211,10 @@
 	}
 }
 
-func (h *House) holders() []Holder {
+func (h *Registry) holders() []Buffer {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	xs := make([]Holder, 0, len(h.held))
+	xs := make([]Buffer, 0, len(h.held))
 	for x := range h.held {
 		xs = append(xs, x)
 	}
@@ -222,14 +222,14 @@
 }
 
 // Withdraw has all visits here let go of what withdrawals cover, also those that left the topic and those that ended.
-func (h *House) Withdraw(p int, covered fanout.WithdrawnFunc) {
+func (h *Registry) Withdraw(p int, covered fanout.WithdrawnFunc) {
 	for _, x := range h.holders() {
 		x.Withdraw(p, covered)
 	}
 }
 
 // Release has all visits here let go of messages of a partition that have keys.
-func (h *House) Release(p int, cut bool) bool {
+func (h *Registry) Release(p int, cut bool) bool {
 	all := true
 	for _, x := range h.holders() {
 		all = x.Release(p, cut) && all
@@ -238,7 +238,7 @@
 }
 
 // End ends the visit: its topics are dropped; what it sent is still decided.
-func (v *Visit) End() {
+func (v *Session) End() {
 	v.h.mu.Lock()
 	delete(v.h.m, v)
 	v.h.mu.Unlock()
@@ -250,7 +250,7 @@
 	}
 }
 
-func (v *Visit) topics() []string {
+func (v *Session) topics() []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	ts := make([]string, 0, len(v.subs))
@@ -260,14 +260,14 @@
 	return ts
 }
 
-func (v *Visit) sub(t string) *fanout.Subscription {
+func (v *Session) sub(t string) *fanout.Subscription {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.subs[t]
 }
 
 // drop ends a subscription. One that has no answer yet gets err for it, if there is one.
-func (v *Visit) drop(t string, err error) {
+func (v *Session) drop(t string, err error) {
 	v.mu.Lock()
 	s := v.subs[t]
 	delete(v.subs, t)
@@ -280,49 +280,49 @@
 		v.held.Drop(t)
 	}
 	if !answered && err != nil {
-		v.turn(Task{Verb: Join, Topic: t}, err)
+		v.turn(Request{Verb: Subscribe, Topic: t}, err)
 	}
 }
 
 // broken sends the visitor away to come back here with its cursors, as a topic that it has joined can't go on.
-func (v *Visit) broken(s *fanout.Subscription) {
+func (v *Session) broken(s *fanout.Subscription) {
 	v.lost(s)
 	v.mu.Lock()
 	again := v.away
 	v.away = true
 	v.mu.Unlock()
 	if !again {
-		v.out(Answer{What: Moved, Address: v.h.Info().ClientAddr})
+		v.out(Response{Type: Moved, Address: v.h.Info().ClientAddr})
 	}
 }
 
-var verbs = map[Verb]func(*Visit, Task) error{
-	Attach: (*Visit).attach,
-	Join:   (*Visit).join,
-	Leave:  (*Visit).leave,
-	Send:   (*Visit).send,
-	Count:  (*Visit).count,
+var verbs = map[Verb]func(*Session, Request) error{
+	Attach:      (*Session).attach,
+	Subscribe:   (*Session).join,
+	Unsubscribe: (*Session).leave,
+	Send:        (*Session).send,
+	Count:       (*Session).count,
 
-	Withdraw: (*Visit).withdraw,
-	Heartbeat: func(v *Visit, _ Task) error {
-		v.out(Answer{What: Alive})
+	Withdraw: (*Session).withdraw,
+	Heartbeat: func(v *Session, _ Request) error {
+		v.out(Response{Type: Alive})
 		return nil
 	},
 }
 
 // Do does a task. It never waits for other nodes; the answer follows through out, maybe before Do returns.
-func (v *Visit) Do(t Task) {
+func (v *Session) Do(t Request) {
 	f, ok := verbs[t.Verb]
 	if !ok {
-		f = func(*Visit, Task) error { return apierror.New(apierror.Malformed, "there is no verb %q", t.Verb) }
+		f = func(*Session, Request) error { return apierror.New(apierror.Malformed, "there is no verb %q", t.Verb) }
 	}
 	if err := f(v, t); err != nil {
 		v.turn(t, err)
 	}
 }
 
-func (v *Visit) turn(t Task, err error) {
-	v.out(Answer{What: Turned, Re: t.Verb, Topic: t.Topic, Call: t.Call, Err: err})
+func (v *Session) turn(t Request, err error) {
+	v.out(Response{Type: Rejected, InReplyTo: t.Verb, Topic: t.Topic, CallSeq: t.CallSeq, Err: err})
 }
 
 func plainName(s string, most int) bool {
@@ -337,65 +337,65 @@
 	return true
 }
 
-func (v *Visit) able() error {
+func (v *Session) able() error {
 	if v.name == "" {
 		return apierror.New(apierror.TokenMissing, "attach first")
 	}
 	return v.h.able()
 }
 
-func (h *House) able() error {
+func (h *Registry) able() error {
 	select {
-	case <-h.Leaving:
+	case <-h.Draining:
 		return apierror.New(apierror.ShuttingDown, "this node is stopping")
 	default:
 	}
-	return h.Licensed()
+	return h.CheckLease()
 }
 
-func (v *Visit) attach(t Task) error {
-	if !plainName(t.Visitor, nameMost) {
+func (v *Session) attach(t Request) error {
+	if !plainName(t.Client, nameMost) {
 		return apierror.New(apierror.Malformed, "a visitor's name must be 1 to %d printable bytes without spaces", nameMost)
 	}
 	if err := v.h.able(); err != nil {
 		return err
 	}
 	if a := v.h.elsewhere(); a != "" {
-		v.out(Answer{What: Moved, Address: a})
+		v.out(Response{Type: Moved, Address: a})
 		return nil
 	}
-	v.name = t.Visitor
-	v.out(Answer{What: Attached})
+	v.name = t.Client
+	v.out(Response{Type: Attached})
 	return nil
 }
 
-func (v *Visit) find(topic string) (configuration.Space, int, error) {
+func (v *Session) find(topic string) (configuration.Space, int, error) {
 	if err := v.able(); err != nil {
 		return configuration.Space{}, 0, err
 	}
 	if !plainName(topic, topicMost) {
 		return configuration.Space{}, 0, apierror.New(apierror.Malformed, "a topic must be 1 to %d printable bytes without spaces", topicMost)
 	}
-	sp, err := v.h.Board.Index().Find(topic)
+	sp, err := v.h.Store.Index().Find(topic)
 	if err != nil {
 		return sp, 0, err
 	}
-	p := partition.Of(topic, sp.Urgent, v.h.Board.VoterSet().Layout)
+	p := partition.Of(topic, sp.Urgent, v.h.Store.VoterSet().Layout)
 	if p == partition.None {
 		return sp, 0, apierror.New(apierror.NoPartitionLeader, "the fleet is not founded yet")
 	}
 	return sp, p, nil
 }
 
-func (v *Visit) join(t Task) error {
+func (v *Session) join(t Request) error {
 	_, p, err := v.find(t.Topic)
 	if err != nil {
 		return err
 	}
-	fleet := v.h.Board.VoterSet().Fleet
+	fleet := v.h.Store.VoterSet().Fleet
 	s := v.h.Hub.NewSubscription(p, t.Topic)
 	if t.Cursor != "" {
-		c, err := Unplace(fleet, t.Cursor)
+		c, err := DecodeCursor(fleet, t.Cursor)
 		if err != nil {
 			return err
 		}
@@ -410,12 +410,12 @@
 			v.turn(t, err)
 			return
 		}
-		v.out(Answer{What: Joined, Topic: t.Topic, Cursor: Place{p, at}.Pack(fleet)})
+		v.out(Response{Type: Subscribed, Topic: t.Topic, Cursor: Cursor{p, at}.Encode(fleet)})
 	}
 	s.OnEntry = func(e log.Entry) {
-		a := Answer{What: Message, Topic: e.Topic, Cursor: Place{p, e.Offset}.Pack(fleet), From: e.Client, Call: e.CallSeq, Body: e.Body, Key: e.Key, Partition: p, Offset: e.Offset}
+		a := Response{Type: Message, Topic: e.Topic, Cursor: Cursor{p, e.Offset}.Encode(fleet), From: e.Client, CallSeq: e.CallSeq, Body: e.Body, Key: e.Key, Partition: p, Offset: e.Offset}
 		if e.Type == log.TypeWithdrawal {
-			a.What, a.Body = Withdrawn, nil
+			a.Type, a.Body = Withdrawn, nil
 		}
 		v.out(a)
 	}
@@ -436,10 +436,10 @@
 	return nil
 }
 
-func (h *House) topicsMost() int { return topicsMost }
+func (h *Registry) topicsMost() int { return topicsMost }
 
 // lost forgets a subscription that the hub has ended.
-func (v *Visit) lost(s *fanout.Subscription) {
+func (v *Session) lost(s *fanout.Subscription) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.subs[s.Topic] == s {
@@ -447,18 +447,18 @@
 	}
 }
 
-func (v *Visit) leave(t Task) error {
+func (v *Session) leave(t Request) error {
 	v.drop(t.Topic, apierror.New(apierror.Overloaded, "%s was left before it could be taken up", t.Topic))
-	v.out(Answer{What: Left, Topic: t.Topic})
+	v.out(Response{Type: Unsubscribed, Topic: t.Topic})
 	return nil
 }
 
-func (v *Visit) send(t Task) error {
+func (v *Session) send(t Request) error {
 	sp, p, err := v.find(t.Topic)
 	if err != nil {
 		return err
 	}
-	if t.Call == 0 {
+	if t.CallSeq == 0 {
 		return apierror.New(apierror.Malformed, "call_seq must be above 0")
 	}
 	if t.Key != "" {
@@ -466,18 +466,18 @@
 			return err
 		}
 	}
-	if len(t.Body) > v.h.Body {
-		return apierror.New(apierror.Oversize, "the body has %d bytes, the limit is %d", len(t.Body), v.h.Body)
+	if len(t.Body) > v.h.BodyLimit {
+		return apierror.New(apierror.Oversize, "the body has %d bytes, the limit is %d", len(t.Body), v.h.BodyLimit)
 	}
 	until := v.h.Clock.Now().Add(v.h.patience(sp))
 	v.h.Ledger.SubmitAsync(v.h.ctx, p, &leader.Message{
-		Client: v.name, Topic: t.Topic, CallSeq: t.Call, Body: t.Body, Key: t.Key, Live: sp.Kind == configuration.KindLive, Configuration: v.h.Board.Index().Sequence,
+		Client: v.name, Topic: t.Topic, CallSeq: t.CallSeq, Body: t.Body, Key: t.Key, Live: sp.Kind == configuration.KindLive, Configuration: v.h.Store.Index().Sequence,
 	}, until, func(_ *leader.Decision, err error) {
 		if err != nil {
 			v.turn(t, err)
 			return
 		}
-		v.out(Answer{What: Taken, Topic: t.Topic, Call: t.Call})
+		v.out(Response{Type: Accepted, Topic: t.Topic, CallSeq: t.CallSeq})
 	})
 	return nil
 }
@@ -488,15 +488,15 @@
 )
 
 // patience is how long a message may wait for its decision: four fifths of its space's deadline.
-func (h *House) patience(sp configuration.Space) time.Duration {
-	d := h.Bounds.CallTimeout()
+func (h *Registry) patience(sp configuration.Space) time.Duration {
+	d := h.Timing.CallTimeout()
 	if sp.DeadlineMS > 0 {
 		d = min(d, time.Duration(sp.DeadlineMS)*time.Millisecond)
 	}
 	return d * patienceOf / patienceIn
 }
 
-func (v *Visit) count(t Task) error {
+func (v *Session) count(t Request) error {
 	_, p, err := v.find(t.Topic)
 	if err != nil {
 		return err
@@ -507,7 +507,7 @@
 			v.turn(t, err)
 			return
 		}
-		v.out(Answer{What: Counted, Topic: t.Topic, Count: n})
+		v.out(Response{Type: Counted, Topic: t.Topic, Count: n})
 	}()
 	return nil
 }
--- a/internal/client/session/house_test.go
+++ b/internal/client/session/house_test.go
@@ -64,7 +64,7 @@
 }
 
 type hall struct {
-	*House
+	*Registry
 	src   *source
 	board *gossip.Store
 	seq   uint64
@@ -78,18 +78,18 @@
 	synctest.Wait()
 }
 
-func (h *hall) hear(a Answer) {
+func (h *hall) hear(a Response) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s := string(a.What)
-	switch a.What {
+	s := string(a.Type)
+	switch a.Type {
 	case Message:
-		s += fmt.Sprintf(" %s %s/%d", a.Topic, a.From, a.Call)
-	case Turned:
-		s += fmt.Sprintf(" %s %s %s", a.Re, a.Topic, apierror.From(a.Err).Code)
+		s += fmt.Sprintf(" %s %s/%d", a.Topic, a.From, a.CallSeq)
+	case Rejected:
+		s += fmt.Sprintf(" %s %s %s", a.InReplyTo, a.Topic, apierror.From(a.Err).Code)
 	case Moved:
 		s += " " + a.Address
-	case Joined, Left:
+	case Subscribed, Unsubscribed:
 		s += " " + a.Topic
 	}
 	h.heard = append(h.heard, s)
@@ -113,7 +113,7 @@
 
 const here = "127.0.0.1:1"
 
-func enter(t *testing.T, script func(t *testing.T, h *hall, v *Visit)) {
+func enter(t *testing.T, script func(t *testing.T, h *hall, v *Session)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -121,15 +121,15 @@
 		b.Apply(gossip.Update{VoterSet: &voters.Set{Sequence: 1, Fleet: "fleet00", Layout: voters.Layout{RoutinePartitions: 1}}, Records: []assignment.Record{{Leader: "s1", Epoch: 1, Version: 1}}})
 		h := &hall{src: &source{follow: func(*leader.FollowRequest) *leader.FollowResponse { return nil }}, board: b}
 		hub := fanout.New(ctx, "a1", "boot", h.src, b, clock.Real{}, settings.DefaultTiming)
-		h.House = (&House{
-			Self: "a1", Clock: clock.Real{}, Bounds: settings.DefaultTiming, Board: b, Hub: hub, Licensed: func() error { return nil }, Leaving: make(chan struct{}),
-			Members: func() []membership.Info { return nil }, Info: func() membership.Info { return membership.Info{Name: "a1", ClientAddr: here} }, Body: 1 << 10,
-		}).Open(ctx)
+		h.Registry = (&Registry{
+			Self: "a1", Clock: clock.Real{}, Timing: settings.DefaultTiming, Store: b, Hub: hub, CheckLease: func() error { return nil }, Draining: make(chan struct{}),
+			Members: func() []membership.Info { return nil }, Info: func() membership.Info { return membership.Info{Name: "a1", ClientAddr: here} }, BodyLimit: 1 << 10,
+		}).Start(ctx)
 		go h.Run(ctx)
 		go hub.Run(ctx)
 		h.describe(kept, live)
-		v := h.Enter(h.hear)
-		v.Do(Task{Verb: Attach, Visitor: "v"})
+		v := h.NewSession(h.hear)
+		v.Do(Request{Verb: Attach, Client: "v"})
 		assert.DeepEqual(t, h.said(), []string{"attached"})
 		script(t, h, v)
 		stop()
@@ -143,26 +143,26 @@
 	}
 }
 
-func cursor(o uint64) string { return Place{0, o}.Pack("fleet00") }
+func cursor(o uint64) string { return Cursor{0, o}.Encode("fleet00") }
 
 // A visitor that joins waits for an answer, whatever becomes of the topic meanwhile.
 func TestEveryJoinIsAnswered(t *testing.T) {
-	enter(t, func(t *testing.T, h *hall, v *Visit) {
-		v.Do(Task{Verb: Join, Topic: "kept/a"})
+	enter(t, func(t *testing.T, h *hall, v *Session) {
+		v.Do(Request{Verb: Subscribe, Topic: "kept/a"})
 		h.describe(other)
 		assert.DeepEqual(t, h.said(), []string{"turned join kept/a unknown_space"})
 	})
-	enter(t, func(t *testing.T, h *hall, v *Visit) {
-		v.Do(Task{Verb: Join, Topic: "kept/a"})
-		v.Do(Task{Verb: Leave, Topic: "kept/a"})
+	enter(t, func(t *testing.T, h *hall, v *Session) {
+		v.Do(Request{Verb: Subscribe, Topic: "kept/a"})
+		v.Do(Request{Verb: Unsubscribe, Topic: "kept/a"})
 		assert.DeepEqual(t, h.said(), []string{"turned join kept/a overloaded", "left kept/a"})
-		v.Do(Task{Verb: Join, Topic: "kept/a"})
-		v.Do(Task{Verb: Join, Topic: "kept/a"})
+		v.Do(Request{Verb: Subscribe, Topic: "kept/a"})
+		v.Do(Request{Verb: Subscribe, Topic: "kept/a"})
 		time.Sleep(2 * time.Second)
 		assert.DeepEqual(t, h.said(), []string{"turned join kept/a overloaded", "turned join kept/a no_owner"})
-		v.Do(Task{Verb: Leave, Topic: "kept/a"})
+		v.Do(Request{Verb: Unsubscribe, Topic: "kept/a"})
 		assert.DeepEqual(t, h.said(), []string{"left kept/a"})
-		v.Do(Task{Verb: Join, Topic: "kept/b"})
+		v.Do(Request{Verb: Subscribe, Topic: "kept/b"})
 		v.End()
 		time.Sleep(2 * time.Second)
 		assert.Equal(t, len(h.said()), 0)
@@ -171,19 +171,19 @@
 
 // Only the cursors that lack something are too old, however old another's is.
 func TestCursorsOfOneTopicExpireApart(t *testing.T) {
-	enter(t, func(t *testing.T, h *hall, v *Visit) {
+	enter(t, func(t *testing.T, h *hall, v *Session) {
 		h.src.follow = func(q *leader.FollowRequest) *leader.FollowResponse {
 			time.Sleep(settings.DefaultTiming.MaxBackoff() / 4)
 			return at(40, map[string]uint64{"kept/a": 15})(q)
 		}
-		w := h.Enter(h.hear)
-		w.Do(Task{Verb: Attach, Visitor: "w"})
-		x := h.Enter(h.hear)
-		x.Do(Task{Verb: Attach, Visitor: "x"})
-		x.Do(Task{Verb: Join, Topic: "kept/b"})
+		w := h.NewSession(h.hear)
+		w.Do(Request{Verb: Attach, Client: "w"})
+		x := h.NewSession(h.hear)
+		x.Do(Request{Verb: Attach, Client: "x"})
+		x.Do(Request{Verb: Subscribe, Topic: "kept/b"})
 		h.said()
-		v.Do(Task{Verb: Join, Topic: "kept/a", Cursor: cursor(10)})
-		w.Do(Task{Verb: Join, Topic: "kept/a", Cursor: cursor(20)})
+		v.Do(Request{Verb: Subscribe, Topic: "kept/a", Cursor: cursor(10)})
+		w.Do(Request{Verb: Subscribe, Topic: "kept/a", Cursor: cursor(20)})
 		time.Sleep(300 * time.Millisecond)
 		s := h.said()
 		slices.Sort(s)
@@ -194,9 +194,9 @@
 // A subscription that was opened at its cursor before the owner was heard, and that lacks what is no longer held, is not taken up with a gap:
 // the visitor is sent away to come back with its cursors.
 func TestOpenedSubscriptionWithAGapIsBroken(t *testing.T) {
-	enter(t, func(t *testing.T, h *hall, v *Visit) {
-		v.Do(Task{Verb: Join, Topic: "kept/a", Cursor: cursor(10)})
-		v.Do(Task{Verb: Join, Topic: "kept/b", Cursor: cursor(10)})
+	enter(t, func(t *testing.T, h *hall, v *Session) {
+		v.Do(Request{Verb: Subscribe, Topic: "kept/a", Cursor: cursor(10)})
+		v.Do(Request{Verb: Subscribe, Topic: "kept/b", Cursor: cursor(10)})
 		time.Sleep(900 * time.Millisecond)
 		s := h.said()
 		slices.Sort(s)
@@ -211,14 +211,14 @@
 
 // A node that was away from an owner for longer than messages are held does not pass over those that are gone. Live messages may be passed over.
 func TestGapInWhatANodeFollowsBreaksItsSubscriptions(t *testing.T) {
-	enter(t, func(t *testing.T, h *hall, v *Visit) {
+	enter(t, func(t *testing.T, h *hall, v *Session) {
 		h.src.follow = at(20, nil)
-		w := h.Enter(h.hear)
-		w.Do(Task{Verb: Attach, Visitor: "w"})
-		v.Do(Task{Verb: Join, Topic: "kept/a"})
-		v.Do(Task{Verb: Join, Topic: "live/a"})
-		w.Do(Task{Verb: Join, Topic: "kept/b"})
-		w.Do(Task{Verb: Join, Topic: "live/a"})
+		w := h.NewSession(h.hear)
+		w.Do(Request{Verb: Attach, Client: "w"})
+		v.Do(Request{Verb: Subscribe, Topic: "kept/a"})
+		v.Do(Request{Verb: Subscribe, Topic: "live/a"})
+		w.Do(Request{Verb: Subscribe, Topic: "kept/b"})
+		w.Do(Request{Verb: Subscribe, Topic: "live/a"})
 		time.Sleep(100 * time.Millisecond)
 		h.said()
 		given := false
@@ -238,23 +238,23 @@
 		s := h.said()
 		slices.Sort(s)
 		assert.DeepEqual(t, s, []string{"message kept/b x/42", "message live/a x/43", "message live/a x/43", "moved " + here})
-		v.Do(Task{Verb: Leave, Topic: "kept/a"})
+		v.Do(Request{Verb: Unsubscribe, Topic: "kept/a"})
 		assert.DeepEqual(t, h.said(), []string{"left kept/a"})
 	})
 }
 
 // Topics are left while the description changes under them.
 func TestLeavingWhileSpacesChange(t *testing.T) {
-	enter(t, func(_ *testing.T, h *hall, v *Visit) {
+	enter(t, func(_ *testing.T, h *hall, v *Session) {
 		h.src.follow = at(1, nil)
 		for i := range 400 {
-			v.Do(Task{Verb: Join, Topic: "kept/a"})
-			v.Do(Task{Verb: Join, Topic: "kept/b"})
+			v.Do(Request{Verb: Subscribe, Topic: "kept/a"})
+			v.Do(Request{Verb: Subscribe, Topic: "kept/b"})
 			h.seq++
 			sp := []configuration.Space{kept, other}[i%2]
 			go h.board.Apply(gossip.Update{Configuration: &configuration.Config{Sequence: h.seq, Base: h.seq - 1, Spaces: []configuration.Space{sp, kept}[i%2 : 2]}})
-			v.Do(Task{Verb: Leave, Topic: "kept/a"})
-			v.Do(Task{Verb: Leave, Topic: "kept/b"})
+			v.Do(Request{Verb: Unsubscribe, Topic: "kept/a"})
+			v.Do(Request{Verb: Unsubscribe, Topic: "kept/b"})
 		}
 		synctest.Wait()
 	})
@@ -262,7 +262,7 @@
 
 // What a returning visitor missed comes in several parts, while newer messages come already: all are given, in order.
 func TestMissedMessagesComeInPartsBeforeNewerOnes(t *testing.T) {
-	enter(t, func(t *testing.T, h *hall, v *Visit) {
+	enter(t, func(t *testing.T, h *hall, v *Session) {
 		entry := func(o uint64) log.Entry {
 			return log.Entry{Type: log.TypeMessage, Topic: "kept/a", Client: "x", CallSeq: o, Offset: o}
 		}
@@ -285,10 +285,10 @@
 			polled++
 			return &leader.PollResponse{Epoch: 1, To: polled, Entries: []log.Entry{entry(polled)}}
 		}
-		w := h.Enter(func(Answer) {})
-		w.Do(Task{Verb: Attach, Visitor: "w"})
-		w.Do(Task{Verb: Join, Topic: "kept/b"})
-		v.Do(Task{Verb: Join, Topic: "kept/a", Cursor: cursor(5)})
+		w := h.NewSession(func(Response) {})
+		w.Do(Request{Verb: Attach, Client: "w"})
+		w.Do(Request{Verb: Subscribe, Topic: "kept/b"})
+		v.Do(Request{Verb: Subscribe, Topic: "kept/a", Cursor: cursor(5)})
 		time.Sleep(time.Second)
 		want := []string{"joined kept/a"}
 		for o := 6; o <= 60; o++ {
--- a/internal/client/session/place.go
+++ b/internal/client/session/place.go
@@ -9,14 +9,14 @@
 
 const fleetMost = 6
 
-// Place is a cursor of one topic: the offset in its partition behind which the visitor goes on.
-type Place struct {
+// Cursor is a cursor of one topic: the offset in its partition behind which the visitor goes on.
+type Cursor struct {
 	Partition int
 	Offset    uint64
 }
 
-// Pack writes a cursor of at most 30 printable bytes, which holds for any visitor of a fleet.
-func (p Place) Pack(fleet string) string {
+// Encode writes a cursor of at most 30 printable bytes, which holds for any visitor of a fleet.
+func (p Cursor) Encode(fleet string) string {
 	b := make([]byte, 0, 24)
 	b = append(b, fleet[:min(fleetMost, len(fleet))]...)
 	b = append(b, '.')
@@ -25,20 +25,20 @@
 	return string(strconv.AppendUint(b, p.Offset, 36))
 }
 
-// Unplace reads a cursor of a fleet.
-func Unplace(fleet, s string) (Place, error) {
+// DecodeCursor reads a cursor of a fleet.
+func DecodeCursor(fleet, s string) (Cursor, error) {
 	bad := apierror.New(apierror.CursorMalformed, "%.64q is no cursor of this fleet", s)
 	w := strings.Split(s, ".")
 	if len(w) != 3 || w[0] != fleet[:min(fleetMost, len(fleet))] {
-		return Place{}, bad
+		return Cursor{}, bad
 	}
 	p, err := strconv.ParseUint(w[1], 36, 31)
 	if err != nil {
-		return Place{}, bad
+		return Cursor{}, bad
 	}
 	o, err := strconv.ParseUint(w[2], 36, 64)
 	if err != nil {
-		return Place{}, bad
+		return Cursor{}, bad
 	}
-	return Place{int(p), o}, nil
+	return Cursor{int(p), o}, nil
 }
--- a/internal/client/session/spread.go
+++ b/internal/client/session/spread.go
@@ -67,14 +67,14 @@
 
 // elsewhere gives the address where a newcomer is better off, or none. Among nodes with plenty it is drawn anew for one that comes back, since the
 // node it was sent to may be gone without its peers having noticed yet.
-func (h *House) elsewhere() string {
+func (h *Registry) elsewhere() string {
 	if a := h.away(); a != "" {
 		return a
 	}
 	h.spread.mu.Lock()
 	defer h.spread.mu.Unlock()
 	s, now := &h.spread, h.Clock.Now()
-	if s.from.IsZero() || now.Sub(s.from) >= h.Bounds.HeartbeatInterval() {
+	if s.from.IsZero() || now.Sub(s.from) >= h.Timing.HeartbeatInterval() {
 		s.from = now
 		s.keep, s.to = plan(h.Info(), h.Members())
 	}
--- a/internal/client/session/spread_test.go
+++ b/internal/client/session/spread_test.go
@@ -66,17 +66,17 @@
 
 // A newcomer that is sent on hears so in the place of its attachment, and nothing is taken up for it here.
 func TestANewcomerIsSentOnBeforeItAttaches(t *testing.T) {
-	enter(t, func(t *testing.T, h *hall, v *Visit) {
+	enter(t, func(t *testing.T, h *hall, v *Session) {
 		all := zone(1, 9)
 		me := all[3]
 		h.Info, h.Members = func() membership.Info { return me }, func() []membership.Info { return all }
-		time.Sleep(h.Bounds.HeartbeatInterval())
-		v.Do(Task{Verb: Leave, Topic: "a"})
+		time.Sleep(h.Timing.HeartbeatInterval())
+		v.Do(Request{Verb: Unsubscribe, Topic: "a"})
 		assert.DeepEqual(t, h.said(), []string{"left a"})
 		kept, sent := 0, 0
 		for range 1000 {
-			x := h.Enter(h.hear)
-			x.Do(Task{Verb: Attach, Visitor: "w"})
+			x := h.NewSession(h.hear)
+			x.Do(Request{Verb: Attach, Client: "w"})
 			switch s := h.said()[0]; s {
 			case "attached":
 				kept++
@@ -86,7 +86,7 @@
 			default:
 				t.Fatal(s)
 			}
-			x.Do(Task{Verb: Join, Topic: "a"})
+			x.Do(Request{Verb: Subscribe, Topic: "a"})
 			assert.Equal(t, len(h.said()), 1)
 			assert.Equal(t, len(x.topics()), 0)
 		}
--- a/internal/client/session/task.go
+++ b/internal/client/session/task.go
@@ -9,77 +9,77 @@
 
 // The verbs.
 const (
-	Attach    Verb = "attach"
-	Join      Verb = "join"
-	Leave     Verb = "leave"
-	Send      Verb = "send"
-	Count     Verb = "count"
-	Heartbeat Verb = "pulse"
+	Attach      Verb = "attach"
+	Subscribe   Verb = "join"
+	Unsubscribe Verb = "leave"
+	Send        Verb = "send"
+	Count       Verb = "count"
+	Heartbeat   Verb = "pulse"
 	// Withdraw withdraws what stands under a key.
 	Withdraw Verb = "withdraw"
 )
 
-// Task is one thing that a visitor asks on its connection. Key is that of a message or a withdrawal; Of and Upto name a sender and its highest number that is
+// Request is one thing that a visitor asks on its connection. Key is that of a message or a withdrawal; Of and Upto name a sender and its highest number that is
 // withdrawn too, though it may not have come yet.
-type Task struct {
-	Verb    Verb
-	Visitor string
-	Topic   string
-	Cursor  string
-	Call    uint64
-	Body    []byte
-	Key     string
-	Of      string
-	Upto    uint64
+type Request struct {
+	Verb           Verb
+	Client         string
+	Topic          string
+	Cursor         string
+	CallSeq        uint64
+	Body           []byte
+	Key            string
+	WithdrawSender string
+	WithdrawUpTo   uint64
 }
 
-// What an answer is.
-type What string
+// ResponseType an answer is.
+type ResponseType string
 
 // Kinds of answers: those to each verb, messages, problems, and the advice to move to another node.
 const (
-	Attached What = "attached"
-	Joined   What = "joined"
-	Left     What = "left"
-	Taken    What = "taken"
-	Counted  What = "counted"
-	Alive    What = "alive"
-	Message  What = "message"
-	Turned   What = "turned"
-	Moved    What = "moved"
+	Attached     ResponseType = "attached"
+	Subscribed   ResponseType = "joined"
+	Unsubscribed ResponseType = "left"
+	Accepted     ResponseType = "taken"
+	Counted      ResponseType = "counted"
+	Alive        ResponseType = "alive"
+	Message      ResponseType = "message"
+	Rejected     ResponseType = "turned"
+	Moved        ResponseType = "moved"
 	// Withdrawn tells a follower that what it was given under a key no longer stands; Forgotten tells who withdrew that no node will show it again.
-	Withdrawn What = "withdrawn"
-	Forgotten What = "forgotten"
+	Withdrawn          ResponseType = "withdrawn"
+	WithdrawalComplete ResponseType = "forgotten"
 )
 
-// Answer is one thing that a visitor is told. Re names the verb that a problem answers; From is the sender of a message; Address
+// Response is one thing that a visitor is told. Re names the verb that a problem answers; From is the sender of a message; Address
 // is where a moved visitor is expected. Already tells that what is withdrawn had been before; GivenUp names nodes that were not heard for so long that they no longer count.
-type Answer struct {
-	What    What
-	Re      Verb
-	Topic   string
-	Cursor  string
-	From    string
-	Call    uint64
-	Count   int
-	Body    []byte
-	Address string
-	Err     error
-	Key     string
-	Already bool
-	GivenUp []string
+type Response struct {
+	Type             ResponseType
+	InReplyTo        Verb
+	Topic            string
+	Cursor           string
+	From             string
+	CallSeq          uint64
+	Count            int
+	Body             []byte
+	Address          string
+	Err              error
+	Key              string
+	AlreadyWithdrawn bool
+	GivenUp          []string
 	// Offset and Partition are the place of a message or of a mark, for those who hold answers until they are written.
 	Partition int
 	Offset    uint64
 }
 
-// Out takes an answer for the visitor. It never blocks; a visitor that does not read is ended by its connection.
-type Out func(Answer)
+// Sink takes an answer for the visitor. It never blocks; a visitor that does not read is ended by its connection.
+type Sink func(Response)
 
-// Holder keeps answers until they are through to the visitor. Withdraw lets go of messages with keys of a partition that are covered, Drop of all that
+// Buffer keeps answers until they are through to the visitor. Withdraw lets go of messages with keys of a partition that are covered, Drop of all that
 // have keys of a topic, Release of those of a partition; it tells whether none is left. What is being written can only be let go of by ending the connection:
 // Withdraw does so, Release where it may cut.
-type Holder interface {
+type Buffer interface {
 	Withdraw(p int, covered fanout.WithdrawnFunc)
 	Drop(topic string)
 	Release(p int, cut bool) bool
--- a/internal/client/session/withdraw_test.go
+++ b/internal/client/session/withdraw_test.go
@@ -58,21 +58,21 @@
 func none(int) (*leader.PendingReaders, error) { return &leader.PendingReaders{}, nil }
 
 // told gives what a visitor was told, with the time it took.
-func (h *hall) told(v *Visit) func() []string {
+func (h *hall) told(v *Session) func() []string {
 	begun := time.Now()
 	var mu sync.Mutex
 	var l []string
-	v.out = func(a Answer) {
+	v.out = func(a Response) {
 		mu.Lock()
 		defer mu.Unlock()
-		s := fmt.Sprintf("%d: %s %s", time.Since(begun).Milliseconds(), a.What, a.Topic)
-		if a.Call > 0 {
-			s += fmt.Sprintf(" %d", a.Call)
+		s := fmt.Sprintf("%d: %s %s", time.Since(begun).Milliseconds(), a.Type, a.Topic)
+		if a.CallSeq > 0 {
+			s += fmt.Sprintf(" %d", a.CallSeq)
 		}
 		if a.Key != "" {
 			s += " " + a.Key
 		}
-		if a.Already {
+		if a.AlreadyWithdrawn {
 			s += " already"
 		}
 		if len(a.GivenUp) > 0 {
@@ -80,7 +80,7 @@
 		}
 		if a.Err != nil {
 			p := apierror.From(a.Err)
-			s += fmt.Sprintf(" %s %s (%s)", a.Re, p.Code, p.Message)
+			s += fmt.Sprintf(" %s %s (%s)", a.InReplyTo, p.Code, p.Message)
 		}
 		l = append(l, s)
 	}
@@ -93,14 +93,14 @@
 }
 
 func TestWithdrawalsAreAnswered(t *testing.T) {
-	ask := Task{Verb: Withdraw, Topic: "kept/a", Key: "k", Call: 7}
+	ask := Request{Verb: Withdraw, Topic: "kept/a", Key: "k", CallSeq: 7}
 	cases := map[string]struct {
 		c    *clerk
-		do   Task
+		do   Request
 		want []string
 	}{
 		"nobody reads": {&clerk{decide: taken, ask: none}, ask, []string{"0: forgotten kept/a 7 k"}},
-		"again":        {&clerk{decide: taken, ask: none}, Task{Verb: Withdraw, Topic: "kept/a", Key: "k", Call: 8}, []string{"0: forgotten kept/a 8 k already"}},
+		"again":        {&clerk{decide: taken, ask: none}, Request{Verb: Withdraw, Topic: "kept/a", Key: "k", CallSeq: 8}, []string{"0: forgotten kept/a 8 k already"}},
 		"later": {&clerk{decide: taken, ask: func(n int) (*leader.PendingReaders, error) {
 			if n == 1 {
 				return &leader.PendingReaders{Nodes: []string{"a2"}}, nil
@@ -130,39 +130,39 @@
 			[]string{"0: turned kept/a 7 withdraw not_ready (a2 knows no keys)"},
 		},
 		"a send to an older build": {
-			&clerk{keys: apierror.New(apierror.NotReady, "a2 knows no keys")}, Task{Verb: Send, Topic: "kept/a", Call: 7, Key: "k"},
+			&clerk{keys: apierror.New(apierror.NotReady, "a2 knows no keys")}, Request{Verb: Send, Topic: "kept/a", CallSeq: 7, Key: "k"},
 			[]string{"0: turned kept/a 7 send not_ready (a2 knows no keys)"},
 		},
 		"a send without a key to an older build": {
-			&clerk{keys: apierror.New(apierror.NotReady, "a2 knows no keys"), decide: taken}, Task{Verb: Send, Topic: "kept/a", Call: 7}, []string{"0: taken kept/a 7"},
+			&clerk{keys: apierror.New(apierror.NotReady, "a2 knows no keys"), decide: taken}, Request{Verb: Send, Topic: "kept/a", CallSeq: 7}, []string{"0: taken kept/a 7"},
 		},
 		"a key with a space": {
-			&clerk{}, Task{Verb: Send, Topic: "kept/a", Call: 7, Key: "k k"},
+			&clerk{}, Request{Verb: Send, Topic: "kept/a", CallSeq: 7, Key: "k k"},
 			[]string{"0: turned kept/a 7 send malformed (a key must be 1 to 128 printable bytes without spaces)"},
 		},
 		"a long key": {
-			&clerk{}, Task{Verb: Withdraw, Topic: "kept/a", Call: 7, Key: strings.Repeat("k", 129)},
+			&clerk{}, Request{Verb: Withdraw, Topic: "kept/a", CallSeq: 7, Key: strings.Repeat("k", 129)},
 			[]string{"0: turned kept/a 7 withdraw malformed (a key must be 1 to 128 printable bytes without spaces)"},
 		},
 		"no key": {
-			&clerk{}, Task{Verb: Withdraw, Topic: "kept/a", Call: 7},
+			&clerk{}, Request{Verb: Withdraw, Topic: "kept/a", CallSeq: 7},
 			[]string{"0: turned kept/a 7 withdraw malformed (a key must be 1 to 128 printable bytes without spaces)"},
 		},
 		"no number": {
-			&clerk{}, Task{Verb: Withdraw, Topic: "kept/a", Key: "k"}, []string{"0: turned kept/a withdraw malformed (call_seq must be above 0)"},
+			&clerk{}, Request{Verb: Withdraw, Topic: "kept/a", Key: "k"}, []string{"0: turned kept/a withdraw malformed (call_seq must be above 0)"},
 		},
 		"a sender without a number": {
-			&clerk{}, Task{Verb: Withdraw, Topic: "kept/a", Key: "k", Call: 7, Of: "w"},
+			&clerk{}, Request{Verb: Withdraw, Topic: "kept/a", Key: "k", CallSeq: 7, WithdrawSender: "w"},
 			[]string{"0: turned kept/a 7 withdraw malformed (a sender (of) and its highest number (upto, above 0) go together)"},
 		},
 		"a number without a sender": {
-			&clerk{}, Task{Verb: Withdraw, Topic: "kept/a", Key: "k", Call: 7, Upto: 3},
+			&clerk{}, Request{Verb: Withdraw, Topic: "kept/a", Key: "k", CallSeq: 7, WithdrawUpTo: 3},
 			[]string{"0: turned kept/a 7 withdraw malformed (a sender (of) and its highest number (upto, above 0) go together)"},
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			enter(t, func(t *testing.T, h *hall, v *Visit) {
+			enter(t, func(t *testing.T, h *hall, v *Session) {
 				h.Ledger = c.c
 				told := h.told(v)
 				v.Do(c.do)
@@ -175,7 +175,7 @@
 
 // What is offered names the key, the sender and its number; nothing that follows waits for a withdrawal.
 func TestWithdrawalsHoldNothingBack(t *testing.T) {
-	enter(t, func(t *testing.T, h *hall, v *Visit) {
+	enter(t, func(t *testing.T, h *hall, v *Session) {
 		c := &clerk{decide: taken, ask: func(n int) (*leader.PendingReaders, error) {
 			if n < 2 {
 				return &leader.PendingReaders{Nodes: []string{"a2"}}, nil
@@ -184,13 +184,13 @@
 		}}
 		h.Ledger = c
 		told := h.told(v)
-		v.Do(Task{Verb: Withdraw, Topic: "live/a", Key: "k", Call: 7, Of: "w", Upto: 3})
-		v.Do(Task{Verb: Send, Topic: "live/a", Key: "k", Call: 8, Body: []byte("x")})
-		v.Do(Task{Verb: Heartbeat})
+		v.Do(Request{Verb: Withdraw, Topic: "live/a", Key: "k", CallSeq: 7, WithdrawSender: "w", WithdrawUpTo: 3})
+		v.Do(Request{Verb: Send, Topic: "live/a", Key: "k", CallSeq: 8, Body: []byte("x")})
+		v.Do(Request{Verb: Heartbeat})
 		assert.DeepEqual(t, told(), []string{"0: taken live/a 8", "0: alive "})
 		time.Sleep(settings.DefaultTiming.CallTimeout())
 		assert.DeepEqual(t, told()[2:], []string{"1025: forgotten live/a 7 k"})
-		seq := h.Board.Index().Sequence
+		seq := h.Store.Index().Sequence
 		assert.DeepEqual(t, c.offers, []*leader.Message{
 			{Client: "v", Topic: "live/a", CallSeq: 7, Live: true, Configuration: seq, Key: "k", Withdraw: true, WithdrawSender: "w", WithdrawUpTo: 3},
 			{Client: "v", Topic: "live/a", CallSeq: 8, Live: true, Configuration: seq, Key: "k", Body: []byte("x")},
@@ -232,21 +232,21 @@
 
 // Followers learn of a withdrawal, and so does whatever keeps answers, also of those who left the topic or ended their visits.
 func TestWithdrawalsReachAllThatWaits(t *testing.T) {
-	enter(t, func(t *testing.T, h *hall, v *Visit) {
+	enter(t, func(t *testing.T, h *hall, v *Session) {
 		h.src.follow = at(20, nil)
 		told := h.told(v)
-		v.Do(Task{Verb: Join, Topic: "kept/a"})
+		v.Do(Request{Verb: Subscribe, Topic: "kept/a"})
 		left, over := &shelf{}, &shelf{}
-		w, x := h.Enter(func(Answer) {}), h.Enter(func(Answer) {})
-		w.Hold(left)
-		free := x.Hold(over)
-		for _, v := range []*Visit{w, x} {
-			v.Do(Task{Verb: Attach, Visitor: "w"})
-			v.Do(Task{Verb: Join, Topic: "kept/a"})
+		w, x := h.NewSession(func(Response) {}), h.NewSession(func(Response) {})
+		w.AttachBuffer(left)
+		free := x.AttachBuffer(over)
+		for _, v := range []*Session{w, x} {
+			v.Do(Request{Verb: Attach, Client: "w"})
+			v.Do(Request{Verb: Subscribe, Topic: "kept/a"})
 		}
 		time.Sleep(100 * time.Millisecond)
-		w.Do(Task{Verb: Leave, Topic: "kept/a"})
-		w.Do(Task{Verb: Leave, Topic: "kept/b"})
+		w.Do(Request{Verb: Unsubscribe, Topic: "kept/a"})
+		w.Do(Request{Verb: Unsubscribe, Topic: "kept/b"})
 		x.End()
 		assert.DeepEqual(t, left.said(), []string{"drop kept/a"})
 		assert.DeepEqual(t, over.said(), []string{"drop kept/a"})
@@ -263,7 +263,7 @@
 		assert.DeepEqual(t, left.said(), []string{"withdraw 0 true false", "withdraw 0 true true"})
 		assert.DeepEqual(t, over.said(), []string{"withdraw 0 true false", "withdraw 0 true true"})
 		free()
-		v.Do(Task{Verb: Leave, Topic: "kept/a"})
+		v.Do(Request{Verb: Unsubscribe, Topic: "kept/a"})
 		time.Sleep(2 * settings.DefaultTiming.Spread)
 		assert.DeepEqual(t, left.said(), []string{"release 0 cut=false"})
 		assert.Equal(t, len(over.said()), 0)
--- a/internal/command/cli/visit.go
+++ b/internal/command/cli/visit.go
@@ -74,7 +74,7 @@
 			return apierror.Wrap(apierror.Unreachable, err, "the connection broke off")
 		}
 		var l struct {
-			What session.What `json:"what"`
+			What session.ResponseType `json:"what"`
 		}
 		if json.Unmarshal(b, &l) == nil && l.What == session.Alive {
 			continue
--- a/internal/command/serve/visits.go
+++ b/internal/command/serve/visits.go
@@ -17,10 +17,10 @@
 )
 
 // house lets a node's house be a host of lines.
-type house struct{ *session.House }
+type house struct{ *session.Registry }
 
 // Enter begins a visit.
-func (h house) Enter(out session.Out) lineserver.Guest { return h.House.Enter(out) }
+func (h house) Enter(out session.Sink) lineserver.Guest { return h.Registry.NewSession(out) }
 
 // visits makes the server of line sessions. Of a bounded number of descriptors, a quarter stays for peers and files.
 func visits(n *node.Node, o settings.Options, words lineserver.Codec) Server {
--- a/internal/lineserver/bench_test.go
+++ b/internal/lineserver/bench_test.go
@@ -14,11 +14,11 @@
 
 type short struct{ Codec }
 
-func (short) Append(b []byte, a session.Answer) []byte { return append(b, a.Body...) }
+func (short) Append(b []byte, a session.Response) []byte { return append(b, a.Body...) }
 
 func BenchmarkAnswersWithoutKeys(b *testing.B) {
 	c := &conn{v: &Server{s: Settings{Codec: short{}}}, n: deaf{}}
-	a := session.Answer{What: session.Message, Topic: "a", Cursor: "c", From: "v", Call: 7, Body: bytes.Repeat([]byte("1"), 100)}
+	a := session.Response{Type: session.Message, Topic: "a", Cursor: "c", From: "v", CallSeq: 7, Body: bytes.Repeat([]byte("1"), 100)}
 	b.ReportAllocs()
 	for b.Loop() {
 		c.writing = true
--- a/internal/lineserver/hold_test.go
+++ b/internal/lineserver/hold_test.go
@@ -18,7 +18,7 @@
 // keeper is a host that minds where answers wait.
 type keeper struct {
 	hall
-	held  []session.Holder
+	held  []session.Buffer
 	freed int
 }
 
@@ -27,9 +27,9 @@
 	k *keeper
 }
 
-func (k *keeper) Enter(out session.Out) lineserver.Guest { return keeping{k.hall.Enter(out), k} }
+func (k *keeper) Enter(out session.Sink) lineserver.Guest { return keeping{k.hall.Enter(out), k} }
 
-func (g keeping) Hold(x session.Holder) func() {
+func (g keeping) AttachBuffer(x session.Buffer) func() {
 	g.k.mu.Lock()
 	defer g.k.mu.Unlock()
 	g.k.held = append(g.k.held, x)
@@ -51,45 +51,45 @@
 	assert.Equal(t, k.freed, 1, "what waits is forgotten once")
 }
 
-func at(p int, topic, key string, offset uint64) session.Answer {
-	return session.Answer{What: session.Message, Topic: topic, Key: key, Partition: p, Offset: offset, Call: offset, Body: []byte(fmt.Sprint(offset))}
+func at(p int, topic, key string, offset uint64) session.Response {
+	return session.Response{Type: session.Message, Topic: topic, Key: key, Partition: p, Offset: offset, CallSeq: offset, Body: []byte(fmt.Sprint(offset))}
 }
 
-func withdraw(x session.Holder, p int, topic, key string, before uint64) {
+func withdraw(x session.Buffer, p int, topic, key string, before uint64) {
 	x.Withdraw(p, func(t, k string, o uint64) bool { return t == topic && k == key && o < before })
 }
 
 // What waits behind a write is taken back, and the rest is written whole.
 func TestWithdrawnBytesAreNeverWritten(t *testing.T) {
 	cases := map[string]struct {
-		take func(x session.Holder)
+		take func(x session.Buffer)
 		want string
 	}{
-		"nothing":          {func(session.Holder) {}, "1 2 3 4 5 6 7 8"},
-		"under a key":      {func(x session.Holder) { withdraw(x, 0, "a", "k", 8) }, "2 3 4 5 7 8"},
-		"not newer":        {func(x session.Holder) { withdraw(x, 0, "a", "k", 6) }, "2 3 4 5 6 7 8"},
-		"one by one":       {func(x session.Holder) { withdraw(x, 0, "a", "k", 8); withdraw(x, 0, "a", "j", 9) }, "2 4 5 7"},
-		"the last first":   {func(x session.Holder) { withdraw(x, 0, "a", "j", 9); withdraw(x, 0, "a", "k", 8) }, "2 4 5 7"},
-		"another topic":    {func(x session.Holder) { withdraw(x, 0, "b", "k", 9) }, "1 2 3 5 6 7 8"},
-		"another place":    {func(x session.Holder) { withdraw(x, 1, "a", "k", 9) }, "1 2 3 4 6 7 8"},
-		"a topic":          {func(x session.Holder) { x.Drop("a") }, "2 4 7"},
-		"a partition":      {func(x session.Holder) { x.Release(0, false) }, "2 5 7"},
-		"all":              {func(x session.Holder) { x.Release(0, false); x.Release(1, false) }, "2 7"},
-		"an unknown topic": {func(x session.Holder) { x.Drop("c") }, "1 2 3 4 5 6 7 8"},
+		"nothing":          {func(session.Buffer) {}, "1 2 3 4 5 6 7 8"},
+		"under a key":      {func(x session.Buffer) { withdraw(x, 0, "a", "k", 8) }, "2 3 4 5 7 8"},
+		"not newer":        {func(x session.Buffer) { withdraw(x, 0, "a", "k", 6) }, "2 3 4 5 6 7 8"},
+		"one by one":       {func(x session.Buffer) { withdraw(x, 0, "a", "k", 8); withdraw(x, 0, "a", "j", 9) }, "2 4 5 7"},
+		"the last first":   {func(x session.Buffer) { withdraw(x, 0, "a", "j", 9); withdraw(x, 0, "a", "k", 8) }, "2 4 5 7"},
+		"another topic":    {func(x session.Buffer) { withdraw(x, 0, "b", "k", 9) }, "1 2 3 5 6 7 8"},
+		"another place":    {func(x session.Buffer) { withdraw(x, 1, "a", "k", 9) }, "1 2 3 4 6 7 8"},
+		"a topic":          {func(x session.Buffer) { x.Drop("a") }, "2 4 7"},
+		"a partition":      {func(x session.Buffer) { x.Release(0, false) }, "2 5 7"},
+		"all":              {func(x session.Buffer) { x.Release(0, false); x.Release(1, false) }, "2 7"},
+		"an unknown topic": {func(x session.Buffer) { x.Drop("c") }, "1 2 3 4 5 6 7 8"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			keep(t, func(t *testing.T, _ *lineserver.Server, n net.Conn, k *keeper) {
 				out := k.outs[0]
-				out(session.Answer{What: session.Alive})
+				out(session.Response{Type: session.Alive})
 				synctest.Wait()
-				for _, a := range []session.Answer{
-					at(0, "a", "k", 1), at(0, "a", "", 2), at(0, "a", "j", 3), at(0, "b", "k", 4), at(1, "a", "k", 5), at(0, "a", "k", 6), {What: session.Taken, Key: "k", Topic: "a", Call: 7}, at(0, "a", "j", 8),
+				for _, a := range []session.Response{
+					at(0, "a", "k", 1), at(0, "a", "", 2), at(0, "a", "j", 3), at(0, "b", "k", 4), at(1, "a", "k", 5), at(0, "a", "k", 6), {Type: session.Accepted, Key: "k", Topic: "a", CallSeq: 7}, at(0, "a", "j", 8),
 				} {
 					out(a)
 				}
 				c.take(k.held[0])
-				out(session.Answer{What: session.Left, Topic: "a"})
+				out(session.Response{Type: session.Unsubscribed, Topic: "a"})
 				r := bufio.NewReader(n)
 				var got []string
 				for {
@@ -107,7 +107,7 @@
 				synctest.Wait()
 				withdraw(k.held[0], 0, "a", "j", 9)
 				withdraw(k.held[0], 0, "a", "k", 9)
-				out(session.Answer{What: session.Alive})
+				out(session.Response{Type: session.Alive})
 				assert.Equal(t, hear(t, r), `{"what":"alive"}`, "what was written is shown and ends nothing")
 				assert.Assert(t, k.held[0].Release(0, false))
 				assert.NilError(t, n.Close())
@@ -119,17 +119,17 @@
 // A message in a write that the visitor has not taken may still get to it: the connection ends instead.
 func TestAWriteUnderWayIsCut(t *testing.T) {
 	cases := map[string]struct {
-		take func(x session.Holder) bool
+		take func(x session.Buffer) bool
 		cut  bool
 		free bool
 	}{
-		"withdrawn":     {func(x session.Holder) bool { withdraw(x, 0, "a", "k", 8); return true }, true, true},
-		"another key":   {func(x session.Holder) bool { withdraw(x, 0, "a", "j", 8); return true }, false, true},
-		"newer":         {func(x session.Holder) bool { withdraw(x, 0, "a", "k", 5); return true }, false, true},
-		"left":          {func(x session.Holder) bool { x.Drop("a"); return true }, false, true},
-		"asked for":     {func(x session.Holder) bool { return x.Release(0, false) }, false, false},
-		"to be let go":  {func(x session.Holder) bool { return x.Release(0, true) }, true, true},
-		"another place": {func(x session.Holder) bool { return x.Release(1, true) }, false, true},
+		"withdrawn":     {func(x session.Buffer) bool { withdraw(x, 0, "a", "k", 8); return true }, true, true},
+		"another key":   {func(x session.Buffer) bool { withdraw(x, 0, "a", "j", 8); return true }, false, true},
+		"newer":         {func(x session.Buffer) bool { withdraw(x, 0, "a", "k", 5); return true }, false, true},
+		"left":          {func(x session.Buffer) bool { x.Drop("a"); return true }, false, true},
+		"asked for":     {func(x session.Buffer) bool { return x.Release(0, false) }, false, false},
+		"to be let go":  {func(x session.Buffer) bool { return x.Release(0, true) }, true, true},
+		"another place": {func(x session.Buffer) bool { return x.Release(1, true) }, false, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -176,7 +176,7 @@
 		h := half{a, make(chan struct{})}
 		l.in <- h
 		synctest.Wait()
-		k.outs[0](session.Answer{What: session.Alive})
+		k.outs[0](session.Response{Type: session.Alive})
 		synctest.Wait()
 		k.outs[0](at(0, "a", "k", 5))
 		k.outs[0](at(0, "a", "", 6))
--- a/internal/lineserver/jsoncodec/plain.go
+++ b/internal/lineserver/jsoncodec/plain.go
@@ -29,23 +29,23 @@
 }
 
 type answer struct {
-	What    session.What    `json:"what"`
-	Re      session.Verb    `json:"re,omitempty"`
-	Topic   string          `json:"topic,omitempty"`
-	From    string          `json:"from,omitempty"`
-	Call    uint64          `json:"call_seq,omitempty"`
-	Cursor  string          `json:"cursor,omitempty"`
-	Key     string          `json:"key,omitempty"`
-	Count   *int            `json:"count,omitempty"`
-	Body    json.RawMessage `json:"body,omitempty"`
-	Address string          `json:"address,omitempty"`
-	Already bool            `json:"already,omitempty"`
-	GivenUp []string        `json:"given_up,omitempty"`
-	Code    apierror.Code   `json:"code,omitempty"`
-	Say     string          `json:"say,omitempty"`
-	Advice  string          `json:"advice,omitempty"`
-	Current *uint64         `json:"current,omitempty"`
-	RetryMS int64           `json:"retry_after_ms,omitempty"`
+	What    session.ResponseType `json:"what"`
+	Re      session.Verb         `json:"re,omitempty"`
+	Topic   string               `json:"topic,omitempty"`
+	From    string               `json:"from,omitempty"`
+	Call    uint64               `json:"call_seq,omitempty"`
+	Cursor  string               `json:"cursor,omitempty"`
+	Key     string               `json:"key,omitempty"`
+	Count   *int                 `json:"count,omitempty"`
+	Body    json.RawMessage      `json:"body,omitempty"`
+	Address string               `json:"address,omitempty"`
+	Already bool                 `json:"already,omitempty"`
+	GivenUp []string             `json:"given_up,omitempty"`
+	Code    apierror.Code        `json:"code,omitempty"`
+	Say     string               `json:"say,omitempty"`
+	Advice  string               `json:"advice,omitempty"`
+	Current *uint64              `json:"current,omitempty"`
+	RetryMS int64                `json:"retry_after_ms,omitempty"`
 }
 
 // roomBytes is what a line may have besides its body.
@@ -59,16 +59,16 @@
 		"key": text, "of": text, "upto": {Kind: strictjson.Count},
 	}
 	needs = map[session.Verb][]string{
-		session.Attach:    {"visitor"},
-		session.Join:      {"topic"},
-		session.Leave:     {"topic"},
-		session.Send:      {"topic", "call_seq", "body"},
-		session.Count:     {"topic"},
-		session.Heartbeat: nil,
+		session.Attach:      {"visitor"},
+		session.Subscribe:   {"topic"},
+		session.Unsubscribe: {"topic"},
+		session.Send:        {"topic", "call_seq", "body"},
+		session.Count:       {"topic"},
+		session.Heartbeat:   nil,
 
 		session.Withdraw: {"topic", "key", "call_seq"},
 	}
-	may    = map[session.Verb][]string{session.Join: {"cursor"}, session.Send: {"key"}, session.Withdraw: {"of", "upto"}}
+	may    = map[session.Verb][]string{session.Subscribe: {"cursor"}, session.Send: {"key"}, session.Withdraw: {"of", "upto"}}
 	shapes = func() map[session.Verb]strictjson.Shape {
 		m := map[session.Verb]strictjson.Shape{}
 		for v, fs := range needs {
@@ -83,22 +83,22 @@
 )
 
 // Read reads one line as a task.
-func (Codec) Read(r *bufio.Reader, body int) (session.Task, error) {
+func (Codec) Read(r *bufio.Reader, body int) (session.Request, error) {
 	b, err := lineserver.Line(r, body+roomBytes)
 	if err != nil {
-		return session.Task{}, err
+		return session.Request{}, err
 	}
 	var q task
 	if err := json.Unmarshal(b, &q); err != nil {
-		return session.Task{}, lineserver.Malformed(true, "the line is no JSON object of a task")
+		return session.Request{}, lineserver.Malformed(true, "the line is no JSON object of a task")
 	}
-	t := session.Task{Verb: q.Verb, Visitor: q.Visitor, Topic: q.Topic, Cursor: q.Cursor, Call: q.Call, Body: q.Body, Of: q.Of, Upto: q.Upto}
+	t := session.Request{Verb: q.Verb, Client: q.Visitor, Topic: q.Topic, Cursor: q.Cursor, CallSeq: q.Call, Body: q.Body, WithdrawSender: q.Of, WithdrawUpTo: q.Upto}
 	if q.Key != nil {
 		t.Key = *q.Key
 	}
 	s, ok := shapes[q.Verb]
 	if !ok {
-		return session.Task{}, lineserver.Malformed(true, "there is no verb %q", q.Verb)
+		return session.Request{}, lineserver.Malformed(true, "there is no verb %q", q.Verb)
 	}
 	f, err := strictjson.Check(b, s)
 	if err != nil {
@@ -118,9 +118,9 @@
 }
 
 // Append writes an answer as one line.
-func (Codec) Append(b []byte, a session.Answer) []byte {
-	x := answer{What: a.What, Re: a.Re, Topic: a.Topic, From: a.From, Call: a.Call, Cursor: a.Cursor, Key: a.Key, Address: a.Address, Already: a.Already, GivenUp: a.GivenUp}
-	if a.What == session.Counted {
+func (Codec) Append(b []byte, a session.Response) []byte {
+	x := answer{What: a.Type, Re: a.InReplyTo, Topic: a.Topic, From: a.From, Call: a.CallSeq, Cursor: a.Cursor, Key: a.Key, Address: a.Address, Already: a.AlreadyWithdrawn, GivenUp: a.GivenUp}
+	if a.Type == session.Counted {
 		x.Count = &a.Count
 	}
 	if a.Body != nil {
@@ -132,7 +132,7 @@
 	}
 	l, err := rawjson.Marshal(x)
 	if err != nil {
-		l, _ = rawjson.Marshal(answer{What: session.Turned, Re: a.Re, Topic: a.Topic, Call: a.Call, Code: apierror.Internal})
+		l, _ = rawjson.Marshal(answer{What: session.Rejected, Re: a.InReplyTo, Topic: a.Topic, Call: a.CallSeq, Code: apierror.Internal})
 	}
 	return append(append(b, l...), '\n')
 }
--- a/internal/lineserver/jsoncodec/plain_test.go
+++ b/internal/lineserver/jsoncodec/plain_test.go
@@ -18,23 +18,23 @@
 
 func TestAnswersAreApproved(t *testing.T) {
 	var b []byte
-	for _, a := range []session.Answer{
-		{What: session.Attached},
-		{What: session.Joined, Topic: "a/b", Cursor: "c1"},
-		{What: session.Message, Topic: "a/b", Cursor: "c2", From: "v1", Call: 7, Body: []byte(`{"x":"<&>"}`)},
-		{What: session.Message, Topic: "a/b", Cursor: "c3", From: "v1", Call: 8, Body: []byte("no json\nat all")},
-		{What: session.Taken, Topic: "a/b", Call: 7},
-		{What: session.Left, Topic: "a/b"},
-		{What: session.Counted, Topic: "a/b"},
-		{What: session.Alive},
-		{What: session.Turned, Re: session.Send, Topic: "a/b", Call: 9, Err: apierror.New(apierror.Overloaded, "64 wait")},
-		{What: session.Turned, Re: session.Join, Topic: "a/b", Err: io.EOF},
-		{What: session.Moved, Address: "127.0.0.1:7400"},
-		{What: session.Message, Topic: "a/b", Cursor: "c4", From: "v1", Call: 10, Body: []byte(`1`), Key: "k1", Partition: 3, Offset: 9},
-		{What: session.Withdrawn, Topic: "a/b", Cursor: "c5", From: "v1", Call: 11, Key: "k1", Partition: 3, Offset: 10},
-		{What: session.Forgotten, Topic: "a/b", Call: 11, Key: "k1"},
-		{What: session.Forgotten, Topic: "a/b", Call: 12, Key: "k1", Already: true, GivenUp: []string{"a3"}},
-		{What: session.Turned, Re: session.Withdraw, Topic: "a/b", Call: 13, Key: "k1", GivenUp: []string{"a3"}, Err: apierror.New(apierror.WithdrawalOpen, "a2")},
+	for _, a := range []session.Response{
+		{Type: session.Attached},
+		{Type: session.Subscribed, Topic: "a/b", Cursor: "c1"},
+		{Type: session.Message, Topic: "a/b", Cursor: "c2", From: "v1", CallSeq: 7, Body: []byte(`{"x":"<&>"}`)},
+		{Type: session.Message, Topic: "a/b", Cursor: "c3", From: "v1", CallSeq: 8, Body: []byte("no json\nat all")},
+		{Type: session.Accepted, Topic: "a/b", CallSeq: 7},
+		{Type: session.Unsubscribed, Topic: "a/b"},
+		{Type: session.Counted, Topic: "a/b"},
+		{Type: session.Alive},
+		{Type: session.Rejected, InReplyTo: session.Send, Topic: "a/b", CallSeq: 9, Err: apierror.New(apierror.Overloaded, "64 wait")},
+		{Type: session.Rejected, InReplyTo: session.Subscribe, Topic: "a/b", Err: io.EOF},
+		{Type: session.Moved, Address: "127.0.0.1:7400"},
+		{Type: session.Message, Topic: "a/b", Cursor: "c4", From: "v1", CallSeq: 10, Body: []byte(`1`), Key: "k1", Partition: 3, Offset: 9},
+		{Type: session.Withdrawn, Topic: "a/b", Cursor: "c5", From: "v1", CallSeq: 11, Key: "k1", Partition: 3, Offset: 10},
+		{Type: session.WithdrawalComplete, Topic: "a/b", CallSeq: 11, Key: "k1"},
+		{Type: session.WithdrawalComplete, Topic: "a/b", CallSeq: 12, Key: "k1", AlreadyWithdrawn: true, GivenUp: []string{"a3"}},
+		{Type: session.Rejected, InReplyTo: session.Withdraw, Topic: "a/b", CallSeq: 13, Key: "k1", GivenUp: []string{"a3"}, Err: apierror.New(apierror.WithdrawalOpen, "a2")},
 	} {
 		b = Codec{}.Append(b, a)
 	}
@@ -42,18 +42,18 @@
 }
 
 func TestTasksAreRead(t *testing.T) {
-	cases := map[string]session.Task{
-		`{"verb":"attach","visitor":"v1"}`:                          {Verb: session.Attach, Visitor: "v1"},
-		`{"verb":"join","topic":"a/b"}`:                             {Verb: session.Join, Topic: "a/b"},
-		`{"verb":"join","topic":"a/b","cursor":"c1"}`:               {Verb: session.Join, Topic: "a/b", Cursor: "c1"},
-		`{"verb":"leave","topic":"a/b"}`:                            {Verb: session.Leave, Topic: "a/b"},
-		`{"verb":"send","topic":"a/b","call_seq":7,"body":{"x":1}}`: {Verb: session.Send, Topic: "a/b", Call: 7, Body: []byte(`{"x":1}`)},
+	cases := map[string]session.Request{
+		`{"verb":"attach","visitor":"v1"}`:                          {Verb: session.Attach, Client: "v1"},
+		`{"verb":"join","topic":"a/b"}`:                             {Verb: session.Subscribe, Topic: "a/b"},
+		`{"verb":"join","topic":"a/b","cursor":"c1"}`:               {Verb: session.Subscribe, Topic: "a/b", Cursor: "c1"},
+		`{"verb":"leave","topic":"a/b"}`:                            {Verb: session.Unsubscribe, Topic: "a/b"},
+		`{"verb":"send","topic":"a/b","call_seq":7,"body":{"x":1}}`: {Verb: session.Send, Topic: "a/b", CallSeq: 7, Body: []byte(`{"x":1}`)},
 		`{"verb":"count","topic":"a/b"}`:                            {Verb: session.Count, Topic: "a/b"},
 		`{"verb":"pulse"}`:                                          {Verb: session.Heartbeat},
 
-		`{"verb":"send","topic":"a/b","call_seq":7,"body":1,"key":"k"}`:               {Verb: session.Send, Topic: "a/b", Call: 7, Body: []byte(`1`), Key: "k"},
-		`{"verb":"withdraw","topic":"a/b","key":"k","call_seq":8}`:                    {Verb: session.Withdraw, Topic: "a/b", Key: "k", Call: 8},
-		`{"verb":"withdraw","topic":"a/b","key":"k","call_seq":8,"of":"v2","upto":5}`: {Verb: session.Withdraw, Topic: "a/b", Key: "k", Call: 8, Of: "v2", Upto: 5},
+		`{"verb":"send","topic":"a/b","call_seq":7,"body":1,"key":"k"}`:               {Verb: session.Send, Topic: "a/b", CallSeq: 7, Body: []byte(`1`), Key: "k"},
+		`{"verb":"withdraw","topic":"a/b","key":"k","call_seq":8}`:                    {Verb: session.Withdraw, Topic: "a/b", Key: "k", CallSeq: 8},
+		`{"verb":"withdraw","topic":"a/b","key":"k","call_seq":8,"of":"v2","upto":5}`: {Verb: session.Withdraw, Topic: "a/b", Key: "k", CallSeq: 8, WithdrawSender: "v2", WithdrawUpTo: 5},
 	}
 	for s, want := range cases {
 		got, err := Codec{}.Read(bufio.NewReader(strings.NewReader(s+"\n")), 64)
--- a/internal/lineserver/lines.go
+++ b/internal/lineserver/lines.go
@@ -17,25 +17,25 @@
 
 // Guest is one visitor's stay. Do never blocks for long and keeps the order of calls; End ends the stay, once.
 type Guest interface {
-	Do(session.Task)
+	Do(session.Request)
 	End()
 }
 
 // Holding is a guest who minds where its answers wait, so that they can be taken back. The function that it gives is called once none waits there any more.
 type Holding interface {
-	Hold(x session.Holder) func()
+	AttachBuffer(x session.Buffer) func()
 }
 
 // Host takes visitors in. Answers come through out, from any goroutine.
 type Host interface {
-	Enter(out session.Out) Guest
+	Enter(out session.Sink) Guest
 }
 
 // Codec is the words of a kind of line. Read gives the next task; body is the largest body in bytes. A line that can't be taken is a
 // *Fault together with what is known of the task; any other error ends the connection. Append writes an answer.
 type Codec interface {
-	Read(r *bufio.Reader, body int) (session.Task, error)
-	Append(b []byte, a session.Answer) []byte
+	Read(r *bufio.Reader, body int) (session.Request, error)
+	Append(b []byte, a session.Response) []byte
 }
 
 // Settings of a server. Most bounds the connections, 0 for no bound; Retry is the pause after a failed accept.
@@ -208,7 +208,7 @@
 	defer c.v.drop(c)
 	g := c.v.s.Host.Enter(c.put)
 	if x, ok := g.(Holding); ok {
-		c.freed = x.Hold(c)
+		c.freed = x.AttachBuffer(c)
 	}
 	r := bufio.NewReaderSize(c.n, readBytes)
 	for c.next(r, g) {
@@ -229,12 +229,12 @@
 	if !errors.As(err, &f) {
 		return false
 	}
-	c.put(session.Answer{What: session.Turned, Re: t.Verb, Topic: t.Topic, Call: t.Call, Err: f.Problem})
+	c.put(session.Response{Type: session.Rejected, InReplyTo: t.Verb, Topic: t.Topic, CallSeq: t.CallSeq, Err: f.Problem})
 	return f.Sure
 }
 
 // put adds an answer to what waits to be written. A visitor that leaves too much unread is cut.
-func (c *conn) put(a session.Answer) {
+func (c *conn) put(a session.Response) {
 	c.mu.Lock()
 	if c.over || c.gone {
 		c.mu.Unlock()
@@ -245,7 +245,7 @@
 	}
 	n := len(c.out)
 	c.out = c.v.s.Codec.Append(c.out, a)
-	if a.Key != "" && a.What == session.Message {
+	if a.Key != "" && a.Type == session.Message {
 		c.kept = append(c.kept, span{a.Partition, a.Topic, a.Key, a.Offset, n, len(c.out)})
 	}
 	cut := len(c.out)+c.flying > backlogBytes
--- a/internal/lineserver/lines_test.go
+++ b/internal/lineserver/lines_test.go
@@ -54,25 +54,25 @@
 // hall is a host that answers as its function says and remembers what it heard.
 type hall struct {
 	mu    sync.Mutex
-	do    func(session.Task, session.Out)
-	heard []session.Task
-	outs  []session.Out
+	do    func(session.Request, session.Sink)
+	heard []session.Request
+	outs  []session.Sink
 	ended int
 }
 
 type guest struct {
 	h   *hall
-	out session.Out
+	out session.Sink
 }
 
-func (h *hall) Enter(out session.Out) lineserver.Guest {
+func (h *hall) Enter(out session.Sink) lineserver.Guest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.outs = append(h.outs, out)
 	return &guest{h, out}
 }
 
-func (g *guest) Do(t session.Task) {
+func (g *guest) Do(t session.Request) {
 	g.h.mu.Lock()
 	g.h.heard = append(g.h.heard, t)
 	g.h.mu.Unlock()
@@ -87,7 +87,9 @@
 	g.h.ended++
 }
 
-func echo(t session.Task, out session.Out) { out(session.Answer{What: session.Left, Topic: t.Topic}) }
+func echo(t session.Request, out session.Sink) {
+	out(session.Response{Type: session.Unsubscribed, Topic: t.Topic})
+}
 
 const keepalive = 2 * time.Second
 
@@ -162,10 +164,10 @@
 		c := l.dial()
 		synctest.Wait()
 		out := h.outs[0]
-		out(session.Answer{What: session.Alive})
+		out(session.Response{Type: session.Alive})
 		synctest.Wait()
 		for range 100 {
-			out(session.Answer{What: session.Alive})
+			out(session.Response{Type: session.Alive})
 		}
 		b := make([]byte, 64<<10)
 		n, err := c.Read(b)
@@ -182,7 +184,7 @@
 	play(t, 0, h, func(t *testing.T, s *lineserver.Server, l *pipes) {
 		_ = l.dial()
 		synctest.Wait()
-		m := session.Answer{What: session.Message, Topic: "a", Body: bytes.Repeat([]byte("x"), 16<<10)}
+		m := session.Response{Type: session.Message, Topic: "a", Body: bytes.Repeat([]byte("x"), 16<<10)}
 		for range 15 {
 			h.outs[0](m)
 		}
@@ -295,11 +297,11 @@
 }
 
 func TestNobodyTurnsAway(t *testing.T) {
-	var got []session.Answer
-	g := lineserver.Nobody{}.Enter(func(a session.Answer) { got = append(got, a) })
-	g.Do(session.Task{Verb: session.Heartbeat})
-	g.Do(session.Task{Verb: session.Join, Topic: "a"})
+	var got []session.Response
+	g := lineserver.Nobody{}.Enter(func(a session.Response) { got = append(got, a) })
+	g.Do(session.Request{Verb: session.Heartbeat})
+	g.Do(session.Request{Verb: session.Subscribe, Topic: "a"})
 	g.End()
-	assert.Equal(t, got[0].What, session.Alive)
-	assert.Equal(t, got[1].Re, session.Join)
+	assert.Equal(t, got[0].Type, session.Alive)
+	assert.Equal(t, got[1].InReplyTo, session.Subscribe)
 }
--- a/internal/lineserver/nobody.go
+++ b/internal/lineserver/nobody.go
@@ -8,18 +8,18 @@
 // Nobody is a host with nothing behind it: it gives signs of life and turns all else away.
 type Nobody struct{}
 
-type alone struct{ out session.Out }
+type alone struct{ out session.Sink }
 
 // Enter takes a visitor in.
-func (Nobody) Enter(out session.Out) Guest { return alone{out} }
+func (Nobody) Enter(out session.Sink) Guest { return alone{out} }
 
 // Do turns a task away.
-func (a alone) Do(t session.Task) {
+func (a alone) Do(t session.Request) {
 	if t.Verb == session.Heartbeat {
-		a.out(session.Answer{What: session.Alive})
+		a.out(session.Response{Type: session.Alive})
 		return
 	}
-	a.out(session.Answer{What: session.Turned, Re: t.Verb, Topic: t.Topic, Call: t.Call, Err: apierror.New(apierror.NotReady, "nobody serves visits here")})
+	a.out(session.Response{Type: session.Rejected, InReplyTo: t.Verb, Topic: t.Topic, CallSeq: t.CallSeq, Err: apierror.New(apierror.NotReady, "nobody serves visits here")})
 }
 
 // End does nothing.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -102,7 +102,7 @@
 	Visitors  *client.Service
 	Operators *operator.Service
 	// House takes visits on line sessions.
-	House *session.House
+	House *session.Registry
 	hub   *fanout.Hub
 
 	leaving chan struct{}
@@ -346,10 +346,10 @@
 		},
 	}
 	n.hub = fanout.New(ctx, self, n.boot, n.desk, n.Board, clk, b)
-	n.House = (&session.House{
-		Self: self, Clock: clk, Bounds: b, Board: n.Board, Hub: n.hub, Ledger: n.desk, Licensed: n.keeper.CheckLease,
-		Leaving: n.leaving, Members: n.View.All, Info: n.Info, Body: o.BodyLimit,
-	}).Open(ctx)
+	n.House = (&session.Registry{
+		Self: self, Clock: clk, Timing: b, Store: n.Board, Hub: n.hub, Ledger: n.desk, CheckLease: n.keeper.CheckLease,
+		Draining: n.leaving, Members: n.View.All, Info: n.Info, BodyLimit: o.BodyLimit,
+	}).Start(ctx)
 	n.touch = &reachability.Monitor{
 		Self: self, Clock: clk, Timing: b, Net: net, LastHeard: n.keeper.LastHeard, UsualLatency: n.keeper.UsualLatency, LeaderAddrs: n.deciders, Peers: n.nearest, CheckServing: n.Ready,
 		OnRedirect: func(to []membership.Info) {
@@ -358,7 +358,7 @@
 			} else {
 				n.log.Say(event.VisitorsStay)
 			}
-			n.House.Away(to)
+			n.House.Redirect(to)
 		},
 	}
 	n.Operators = &operator.Service{Clock: n.w.Clock, Timing: b, Net: n.w.Net, Client: n.client, Store: n.Board, View: n.View, Info: n.Info, CheckLease: n.keeper.CheckLease, ControlNode: n.keeper.ControlNode, Leaders: n.owners.Views, TopicUsage: n.desk.Usage, Tombstones: n.desk.Tombstones, CountersByPart: n.tallies, Trace: n.desk.Trace, Rejections: n.askTurned, Log: n.log}
@@ -519,7 +519,7 @@
 		return apierror.New(apierror.ShuttingDown, "this node is stopping")
 	default:
 	}
-	if err := n.House.Stays(); err != nil {
+	if err := n.House.CheckServing(); err != nil {
 		return err
 	}
 	return n.keeper.CheckLease()
--- a/internal/testing/fleet/visits.go
+++ b/internal/testing/fleet/visits.go
@@ -46,22 +46,22 @@
 }
 
 type told struct {
-	What    session.What  `json:"what"`
-	Re      session.Verb  `json:"re"`
-	Topic   string        `json:"topic"`
-	From    string        `json:"from"`
-	Call    uint64        `json:"call_seq"`
-	Cursor  string        `json:"cursor"`
-	Key     string        `json:"key"`
-	Count   int           `json:"count"`
-	Body    string        `json:"body"`
-	Address string        `json:"address"`
-	Code    apierror.Code `json:"code"`
-	Say     string        `json:"say"`
+	What    session.ResponseType `json:"what"`
+	Re      session.Verb         `json:"re"`
+	Topic   string               `json:"topic"`
+	From    string               `json:"from"`
+	Call    uint64               `json:"call_seq"`
+	Cursor  string               `json:"cursor"`
+	Key     string               `json:"key"`
+	Count   int                  `json:"count"`
+	Body    string               `json:"body"`
+	Address string               `json:"address"`
+	Code    apierror.Code        `json:"code"`
+	Say     string               `json:"say"`
 }
 
-func (a told) answer() session.Answer {
-	x := session.Answer{What: a.What, Re: a.Re, Topic: a.Topic, From: a.From, Call: a.Call, Cursor: a.Cursor, Key: a.Key, Count: a.Count, Body: []byte(a.Body), Address: a.Address}
+func (a told) answer() session.Response {
+	x := session.Response{Type: a.What, InReplyTo: a.Re, Topic: a.Topic, From: a.From, CallSeq: a.Call, Cursor: a.Cursor, Key: a.Key, Count: a.Count, Body: []byte(a.Body), Address: a.Address}
 	if a.Code != "" {
 		x.Err = &apierror.Error{Code: a.Code, Message: a.Say}
 	}
@@ -79,8 +79,8 @@
 }
 
 // Do sends a task.
-func (l *wired) Do(t session.Task) {
-	q := asked{Verb: t.Verb, Visitor: t.Visitor, Topic: t.Topic, Cursor: t.Cursor, Call: t.Call, Key: t.Key, Of: t.Of, Upto: t.Upto}
+func (l *wired) Do(t session.Request) {
+	q := asked{Verb: t.Verb, Visitor: t.Client, Topic: t.Topic, Cursor: t.Cursor, Call: t.CallSeq, Key: t.Key, Of: t.WithdrawSender, Upto: t.WithdrawUpTo}
 	if t.Verb == session.Send {
 		s := string(t.Body)
 		q.Body = &s
@@ -123,7 +123,7 @@
 	}
 }
 
-func (l *wired) read(hear func(session.Answer, time.Time), broken func()) {
+func (l *wired) read(hear func(session.Response, time.Time), broken func()) {
 	defer l.End()
 	defer broken()
 	r := bufio.NewReader(l.c)
@@ -135,7 +135,7 @@
 		}
 		var a told
 		if err := json.Unmarshal(b, &a); err != nil {
-			hear(session.Answer{What: session.What(fmt.Sprintf("%.200s: %v", b, err))}, now)
+			hear(session.Response{Type: session.ResponseType(fmt.Sprintf("%.200s: %v", b, err))}, now)
 			return
 		}
 		if a.What == session.Message {
@@ -164,7 +164,7 @@
 }
 
 func (v *Visits) door(p *Process) simclient.Door {
-	return simclient.Door{Address: p.Opts.ClientListen, Enter: func(hear func(session.Answer, time.Time), broken func()) simclient.Line {
+	return simclient.Door{Address: p.Opts.ClientListen, Enter: func(hear func(session.Response, time.Time), broken func()) simclient.Line {
 		c, err := (&net.Dialer{Timeout: time.Second}).DialContext(v.ctx, "tcp", p.Opts.ClientListen)
 		if err != nil {
 			return nil
--- a/internal/testing/sim/astray_test.go
+++ b/internal/testing/sim/astray_test.go
@@ -87,7 +87,7 @@
 				time.Sleep(100 * time.Millisecond)
 				for _, n := range w.Names {
 					if n[0] == 'a' {
-						assert.NilError(t, w.Machines[n].Node().House.Stays(), "%s: %s sends its visitors away", name, n)
+						assert.NilError(t, w.Machines[n].Node().House.CheckServing(), "%s: %s sends its visitors away", name, n)
 					}
 				}
 			}
@@ -122,7 +122,7 @@
 				}
 				call++
 				a, ok := h.Send(ground, "", call)
-				assert.Assert(t, ok && a.What == session.Taken, "after %s: %s %v", time.Since(cut), a.What, a.Err)
+				assert.Assert(t, ok && a.Type == session.Accepted, "after %s: %s %v", time.Since(cut), a.Type, a.Err)
 				time.Sleep(50 * time.Millisecond)
 			}
 			h.End()
--- a/internal/testing/sim/hand.go
+++ b/internal/testing/sim/hand.go
@@ -29,7 +29,7 @@
 
 // Seen is an answer, and when the connection took its last byte.
 type Seen struct {
-	session.Answer
+	session.Response
 	Shown time.Time
 }
 
@@ -42,8 +42,8 @@
 	if h.line == nil {
 		return nil
 	}
-	h.line.Do(session.Task{Verb: session.Attach, Visitor: name})
-	if a, ok := h.Wait(0, handLimit, func(a session.Answer) bool { return a.What == session.Attached || a.Re == session.Attach }); !ok || a.What != session.Attached {
+	h.line.Do(session.Request{Verb: session.Attach, Client: name})
+	if a, ok := h.Wait(0, handLimit, func(a session.Response) bool { return a.Type == session.Attached || a.InReplyTo == session.Attach }); !ok || a.Type != session.Attached {
 		h.line.End()
 		return nil
 	}
@@ -57,7 +57,7 @@
 	for !h.Ended() {
 		select {
 		case <-t.C:
-			h.line.Do(session.Task{Verb: session.Heartbeat})
+			h.line.Do(session.Request{Verb: session.Heartbeat})
 		case <-h.g.w.ctx.Done():
 			h.line.End()
 			return
@@ -99,7 +99,7 @@
 // Still has the hand not read for a while.
 func (h *Hand) Still(d time.Duration) { h.line.Still(d) }
 
-func (h *Hand) hear(a session.Answer, shown time.Time) {
+func (h *Hand) hear(a session.Response, shown time.Time) {
 	h.mu.Lock()
 	if h.ended {
 		h.mu.Unlock()
@@ -109,18 +109,18 @@
 	s := h.stays[a.Topic]
 	h.mu.Unlock()
 	now, b := time.Now(), h.g.Book
-	switch a.What {
-	case session.Joined:
+	switch a.Type {
+	case session.Subscribed:
 		s.Joined(now)
 	case session.Message:
-		s.Got(deliverycheck.Message{Topic: a.Topic, From: a.From, Call: a.Call}, string(a.Body), deliverycheck.Place{Partition: a.Partition, Offset: a.Offset}, shown)
-	case session.Taken:
-		b.Taken(deliverycheck.Message{Topic: a.Topic, From: h.Name, Call: a.Call}, now)
+		s.Got(deliverycheck.Message{Topic: a.Topic, From: a.From, Call: a.CallSeq}, string(a.Body), deliverycheck.Place{Partition: a.Partition, Offset: a.Offset}, shown)
+	case session.Accepted:
+		b.Taken(deliverycheck.Message{Topic: a.Topic, From: h.Name, Call: a.CallSeq}, now)
 	case session.Withdrawn:
 		b.Told(h.Name, a.Topic, a.Key, now)
-	case session.Turned:
-		if a.Re == session.Send && simclient.Promises[apierror.From(a.Err).Code] {
-			b.Turned(deliverycheck.Message{Topic: a.Topic, From: h.Name, Call: a.Call})
+	case session.Rejected:
+		if a.InReplyTo == session.Send && simclient.Promises[apierror.From(a.Err).Code] {
+			b.Turned(deliverycheck.Message{Topic: a.Topic, From: h.Name, Call: a.CallSeq})
 		}
 	}
 	ring(h.bell)
@@ -141,13 +141,13 @@
 }
 
 // Wait waits for an answer behind a mark.
-func (h *Hand) Wait(from int, limit time.Duration, ok func(session.Answer) bool) (Seen, bool) {
+func (h *Hand) Wait(from int, limit time.Duration, ok func(session.Response) bool) (Seen, bool) {
 	end := time.NewTimer(limit)
 	defer end.Stop()
 	for {
 		h.mu.Lock()
 		for ; from < len(h.seen); from++ {
-			if ok(h.seen[from].Answer) {
+			if ok(h.seen[from].Response) {
 				s := h.seen[from]
 				h.mu.Unlock()
 				return s, true
@@ -174,11 +174,11 @@
 	}
 	n := len(h.seen)
 	h.mu.Unlock()
-	h.line.Do(session.Task{Verb: session.Join, Topic: topic, Cursor: cursor})
-	s, ok := h.Wait(n, handLimit, func(a session.Answer) bool {
-		return a.Topic == topic && (a.What == session.Joined || a.Re == session.Join)
+	h.line.Do(session.Request{Verb: session.Subscribe, Topic: topic, Cursor: cursor})
+	s, ok := h.Wait(n, handLimit, func(a session.Response) bool {
+		return a.Topic == topic && (a.Type == session.Subscribed || a.InReplyTo == session.Subscribe)
 	})
-	return s, ok && s.What == session.Joined
+	return s, ok && s.Type == session.Subscribed
 }
 
 // Resume goes on where another hand of the same name has ended, on the stay of that.
@@ -209,15 +209,15 @@
 // Post sends without waiting.
 func (h *Hand) Post(topic, key string, call uint64) {
 	h.g.Book.Try(deliverycheck.Message{Topic: topic, From: h.Name, Call: call}, key, h.Body(call), time.Now())
-	h.line.Do(session.Task{Verb: session.Send, Topic: topic, Key: key, Call: call, Body: []byte(h.Body(call))})
+	h.line.Do(session.Request{Verb: session.Send, Topic: topic, Key: key, CallSeq: call, Body: []byte(h.Body(call))})
 }
 
 // Send sends and gives the answer.
 func (h *Hand) Send(topic, key string, call uint64) (Seen, bool) {
 	n := h.Mark()
 	h.Post(topic, key, call)
-	return h.Wait(n, handLimit, func(a session.Answer) bool {
-		return a.Topic == topic && a.Call == call && (a.What == session.Taken || a.Re == session.Send)
+	return h.Wait(n, handLimit, func(a session.Response) bool {
+		return a.Topic == topic && a.CallSeq == call && (a.Type == session.Accepted || a.InReplyTo == session.Send)
 	})
 }
 
@@ -225,7 +225,7 @@
 func (h *Hand) Sent(topic, key string, call uint64) bool {
 	for range 20 {
 		s, ok := h.Send(topic, key, call)
-		if ok && s.What == session.Taken {
+		if ok && s.Type == session.Accepted {
 			return true
 		}
 		if ok && simclient.Promises[apierror.From(s.Err).Code] {
@@ -241,13 +241,13 @@
 	w.By = h.Name
 	x := h.g.Book.Withdraw(w, time.Now())
 	n := h.Mark()
-	h.line.Do(session.Task{Verb: session.Withdraw, Topic: w.Topic, Key: w.Key, Call: w.Call, Of: w.Of, Upto: w.Upto})
-	s, ok := h.Wait(n, handLimit, func(a session.Answer) bool {
-		return a.Topic == w.Topic && a.Call == w.Call && (a.What == session.Forgotten || a.Re == session.Withdraw)
+	h.line.Do(session.Request{Verb: session.Withdraw, Topic: w.Topic, Key: w.Key, CallSeq: w.Call, WithdrawSender: w.Of, WithdrawUpTo: w.Upto})
+	s, ok := h.Wait(n, handLimit, func(a session.Response) bool {
+		return a.Topic == w.Topic && a.CallSeq == w.Call && (a.Type == session.WithdrawalComplete || a.InReplyTo == session.Withdraw)
 	})
 	switch {
 	case !ok:
-	case s.What == session.Forgotten:
+	case s.Type == session.WithdrawalComplete:
 		x.Forgotten(deliverycheck.Place{Partition: s.Partition, Offset: s.Offset}, s.Shown)
 	case apierror.HasCode(s.Err, apierror.WithdrawalOpen):
 		x.Stands(time.Now())
--- a/internal/testing/sim/socket.go
+++ b/internal/testing/sim/socket.go
@@ -155,7 +155,7 @@
 type words struct{}
 
 type worded struct {
-	session.Answer
+	session.Response
 	Err     *apierror.Error
 	Failure string
 }
@@ -163,7 +163,7 @@
 const wordsMost = 64 << 10
 
 // Read reads one line as a task.
-func (words) Read(r *bufio.Reader, _ int) (t session.Task, err error) {
+func (words) Read(r *bufio.Reader, _ int) (t session.Request, err error) {
 	b, err := lineserver.Line(r, wordsMost)
 	if err != nil {
 		return t, err
@@ -172,8 +172,8 @@
 }
 
 // Append writes an answer as one line.
-func (words) Append(b []byte, a session.Answer) []byte {
-	w := worded{Answer: a}
+func (words) Append(b []byte, a session.Response) []byte {
+	w := worded{Response: a}
 	if a.Err != nil {
 		w.Err = apierror.From(a.Err)
 		w.Failure = a.Err.Error()
@@ -185,12 +185,12 @@
 	return append(append(b, l...), '\n')
 }
 
-func unworded(l []byte) session.Answer {
+func unworded(l []byte) session.Response {
 	var w worded
 	if err := json.Unmarshal(l, &w); err != nil {
 		panic(err)
 	}
-	a := w.Answer
+	a := w.Response
 	if w.Err != nil {
 		w.Err.Cause = errors.New(w.Failure)
 		a.Err = w.Err
@@ -234,10 +234,10 @@
 	}
 }
 
-type house struct{ *session.House }
+type house struct{ *session.Registry }
 
 // Enter begins a visit.
-func (h house) Enter(out session.Out) lineserver.Guest { return h.House.Enter(out) }
+func (h house) Enter(out session.Sink) lineserver.Guest { return h.Registry.NewSession(out) }
 
 // porch is what serves visits on a machine's process.
 type porch struct {
--- a/internal/testing/sim/visits.go
+++ b/internal/testing/sim/visits.go
@@ -45,7 +45,7 @@
 	m    *Machine
 	run  int
 	c    *socket
-	hear func(session.Answer, time.Time)
+	hear func(session.Response, time.Time)
 	over func()
 	once sync.Once
 	dead chan struct{}
@@ -67,7 +67,7 @@
 }
 
 // Do sends a task.
-func (s *lineSession) Do(t session.Task) {
+func (s *lineSession) Do(t session.Request) {
 	b, err := json.Marshal(t)
 	if err != nil {
 		panic(err)
@@ -183,7 +183,7 @@
 }
 
 func (g *Guests) door(m *Machine) simclient.Door {
-	return simclient.Door{Address: m.Opts.ClientListen, Enter: func(hear func(session.Answer, time.Time), broken func()) simclient.Line {
+	return simclient.Door{Address: m.Opts.ClientListen, Enter: func(hear func(session.Response, time.Time), broken func()) simclient.Line {
 		if s := g.connect(m, false, hear, broken); s != nil {
 			return s
 		}
@@ -192,7 +192,7 @@
 }
 
 // connect opens a connection to a machine, nil where nobody takes it. A scripted one is never drawn to rest, from its first moment on.
-func (g *Guests) connect(m *Machine, scripted bool, hear func(session.Answer, time.Time), broken func()) *lineSession {
+func (g *Guests) connect(m *Machine, scripted bool, hear func(session.Response, time.Time), broken func()) *lineSession {
 	sv := m.services()
 	p, run := m.visits()
 	if p == nil || sv == nil {
--- a/internal/testing/sim/withdraw_test.go
+++ b/internal/testing/sim/withdraw_test.go
@@ -88,8 +88,8 @@
 // wait lets a hand get a message.
 func (s *scene) wait(h *Hand, call uint64) {
 	s.t.Helper()
-	_, ok := h.Wait(0, handLimit, func(a session.Answer) bool {
-		return a.What == session.Message && a.From == s.lead.Name && a.Call == call
+	_, ok := h.Wait(0, handLimit, func(a session.Response) bool {
+		return a.Type == session.Message && a.From == s.lead.Name && a.CallSeq == call
 	})
 	assert.Assert(s.t, ok, "%s never got %d", h.Name, call)
 }
@@ -107,7 +107,7 @@
 	begun := time.Now()
 	a, ok := s.lead.Withdraw(w)
 	took := time.Since(begun)
-	assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.WithdrawalOpen), "was told %s %v after %s", a.What, a.Err, took)
+	assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.WithdrawalOpen), "was told %s %v after %s", a.Type, a.Err, took)
 	assert.Assert(s.t, strings.Contains(a.Err.Error(), node), "%v does not name %s", a.Err, node)
 	assert.Assert(s.t, took <= s.w.Site.Bounds.CallTimeout(), "the answer took %s", took)
 }
@@ -118,10 +118,10 @@
 	end := time.Now().Add(limit)
 	for {
 		a, ok := s.lead.Withdraw(w)
-		if ok && a.What == session.Forgotten {
+		if ok && a.Type == session.WithdrawalComplete {
 			return a
 		}
-		assert.Assert(s.t, time.Now().Before(end), "no yes within %s: %v %s %v", limit, ok, a.What, a.Err)
+		assert.Assert(s.t, time.Now().Before(end), "no yes within %s: %v %s %v", limit, ok, a.Type, a.Err)
 		time.Sleep(s.w.Site.Bounds.MaxBackoff())
 	}
 }
@@ -153,7 +153,7 @@
 // got tells whether a hand was shown a call of the lead after a moment.
 func (s *scene) got(h *Hand, call uint64, after time.Time) bool {
 	return slices.ContainsFunc(h.All(), func(x Seen) bool {
-		return x.What == session.Message && x.Topic == ground && x.From == s.lead.Name && x.Call == call && x.Shown.After(after)
+		return x.Type == session.Message && x.Topic == ground && x.From == s.lead.Name && x.CallSeq == call && x.Shown.After(after)
 	})
 }
 
@@ -251,8 +251,8 @@
 		if _, ok := h.Resume(was, ground); !ok {
 			return false
 		}
-		_, ok := h.Wait(0, time.Second, func(a session.Answer) bool {
-			return a.What == session.Message && a.From == s.lead.Name && a.Call == last
+		_, ok := h.Wait(0, time.Second, func(a session.Response) bool {
+			return a.Type == session.Message && a.From == s.lead.Name && a.CallSeq == last
 		})
 		return ok
 	})
@@ -419,11 +419,11 @@
 			_, ok := s.lead.Withdraw(deliverycheck.Withdrawal{Topic: ground, Key: "race", Call: d, Of: "lead", Upto: m})
 			assert.Assert(s.t, ok)
 			<-sent
-			a, ok := twin.Wait(0, handLimit, func(a session.Answer) bool {
-				return a.Call == m && (a.What == session.Taken || a.Re == session.Send && simclient.Promises[apierror.From(a.Err).Code])
+			a, ok := twin.Wait(0, handLimit, func(a session.Response) bool {
+				return a.CallSeq == m && (a.Type == session.Accepted || a.InReplyTo == session.Send && simclient.Promises[apierror.From(a.Err).Code])
 			})
 			assert.Assert(s.t, ok, "no answer to %d", m)
-			if a.What == session.Taken {
+			if a.Type == session.Accepted {
 				taken++
 			} else {
 				assert.Assert(s.t, apierror.HasCode(a.Err, apierror.CallPassed), "%v", a.Err)
@@ -436,9 +436,9 @@
 		for i := range 5 {
 			n := uint64(10 * (i + 1))
 			a, ok := s.lead.Withdraw(deliverycheck.Withdrawal{Topic: ground, Key: "foe", Call: s.next(), Of: "foe", Upto: n})
-			assert.Assert(s.t, ok && a.What == session.Forgotten, "%v", a.Err)
+			assert.Assert(s.t, ok && a.Type == session.WithdrawalComplete, "%v", a.Err)
 			a, ok = foe.Send(ground, "foe", n-1)
-			assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.CallPassed), "%s %v", a.What, a.Err)
+			assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.CallPassed), "%s %v", a.Type, a.Err)
 			assert.Assert(s.t, foe.Sent(ground, "foe", n+1))
 		}
 		twin.End()
@@ -451,7 +451,7 @@
 	t.Parallel()
 	staged(t, 940, 1, func(s *scene) {
 		a, ok := s.lead.Withdraw(deliverycheck.Withdrawal{Topic: ground, Key: "nothing", Call: s.next()})
-		assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.KeyUnknown), "%s %v", a.What, a.Err)
+		assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.KeyUnknown), "%s %v", a.Type, a.Err)
 		s.write("turn", 1)
 		x := deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}
 		first := s.yes(x, time.Second)
@@ -461,7 +461,7 @@
 		other := s.again("a3", "other")
 		s.write("turn", 1)
 		a, ok = other.Withdraw(deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: 1})
-		assert.Assert(s.t, ok && a.What == session.Forgotten, "%s %v", a.What, a.Err)
+		assert.Assert(s.t, ok && a.Type == session.WithdrawalComplete, "%s %v", a.Type, a.Err)
 		s.write("turn", 1)
 		s.wait(s.far, s.call)
 		s.wait(s.reader, s.call)
@@ -480,18 +480,18 @@
 		x := s.open("turn", "a1")
 		y := deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: 1}
 		a, ok := other.Withdraw(y)
-		assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.WithdrawalOpen), "%s %v", a.What, a.Err)
+		assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.WithdrawalOpen), "%s %v", a.Type, a.Err)
 		s.write("turn", 1)
 		anew := s.call
 		a, ok = other.Withdraw(y)
-		assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.WithdrawalOpen), "%s %v", a.What, a.Err)
+		assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.WithdrawalOpen), "%s %v", a.Type, a.Err)
 		assert.Assert(s.t, other.Sent(ground, "", 2))
 		a, ok = other.Withdraw(y)
-		assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.WithdrawalOpen), "%s %v", a.What, a.Err)
+		assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.WithdrawalOpen), "%s %v", a.Type, a.Err)
 		s.w.Heal()
 		s.yes(x, s.w.Site.Bounds.Recovery)
 		a, ok = other.Withdraw(y)
-		assert.Assert(s.t, ok && a.What == session.Forgotten, "%s %v", a.What, a.Err)
+		assert.Assert(s.t, ok && a.Type == session.WithdrawalComplete, "%s %v", a.Type, a.Err)
 		s.resumed()
 		s.wait(s.reader, anew)
 		other.End()
@@ -605,8 +605,8 @@
 		if _, ok := s.reader.Follow(ground, ""); !ok || !s.lead.Sent(ground, "turn", s.next()) {
 			return false
 		}
-		_, ok := s.reader.Wait(0, time.Second, func(a session.Answer) bool {
-			return a.What == session.Message && a.From == s.lead.Name && a.Call == s.call
+		_, ok := s.reader.Wait(0, time.Second, func(a session.Response) bool {
+			return a.Type == session.Message && a.From == s.lead.Name && a.CallSeq == s.call
 		})
 		return ok
 	})
--- a/internal/testing/simclient/guest.go
+++ b/internal/testing/simclient/guest.go
@@ -19,7 +19,7 @@
 
 // Line is one connection to a node. End is its closing by the visitor.
 type Line interface {
-	Do(t session.Task)
+	Do(t session.Request)
 	End()
 }
 
@@ -27,7 +27,7 @@
 // the connection took its last byte, broken the end of the connection, if the visitor did not end it itself.
 type Door struct {
 	Address string
-	Enter   func(hear func(a session.Answer, shown time.Time), broken func()) Line
+	Enter   func(hear func(a session.Response, shown time.Time), broken func()) Line
 }
 
 // Topic is something that a guest follows, from a cursor that another was given with a message, if there is one.
@@ -103,7 +103,7 @@
 
 type heard struct {
 	serial int
-	a      session.Answer
+	a      session.Response
 	shown  time.Time
 	broken bool
 }
@@ -239,10 +239,10 @@
 				continue
 			}
 			g.heardAt, g.shown = now, h.shown
-			if f, ok := takes[h.a.What]; ok {
+			if f, ok := takes[h.a.Type]; ok {
 				f(g, now, h.a)
 			} else {
-				g.Book.Breach(deliverycheck.Mixed, "%s got an answer %q", g.Name, h.a.What)
+				g.Book.Breach(deliverycheck.Mixed, "%s got an answer %q", g.Name, h.a.Type)
 			}
 		}
 		g.step(now)
@@ -293,16 +293,16 @@
 	g.serial++
 	n := g.serial
 	g.mu.Unlock()
-	g.line = d.Enter(func(a session.Answer, shown time.Time) { g.hear(heard{serial: n, a: a, shown: shown}) }, func() { g.hear(heard{serial: n, broken: true}) })
+	g.line = d.Enter(func(a session.Response, shown time.Time) { g.hear(heard{serial: n, a: a, shown: shown}) }, func() { g.hear(heard{serial: n, broken: true}) })
 	if g.line == nil {
 		g.back = now.Add(g.span(g.Habits.Keepalive / 2))
 		return
 	}
 	g.begun, g.heardAt, g.up = now, now, false
-	g.say(now, session.Task{Verb: session.Attach, Visitor: g.Name})
+	g.say(now, session.Request{Verb: session.Attach, Client: g.Name})
 }
 
-func (g *Guest) say(now time.Time, t session.Task) {
+func (g *Guest) say(now time.Time, t session.Request) {
 	g.saidAt = now
 	g.line.Do(t)
 }
@@ -344,7 +344,7 @@
 		t := g.subs[g.Rand.IntN(len(g.subs))].Name
 		if _, ok := g.counted[t]; !ok {
 			g.counted[t] = now
-			g.say(now, session.Task{Verb: session.Count, Topic: t})
+			g.say(now, session.Request{Verb: session.Count, Topic: t})
 		}
 	}
 	for _, s := range g.subs {
@@ -358,7 +358,7 @@
 		}
 	}
 	if now.Sub(g.saidAt) > h.Keepalive {
-		g.say(now, session.Task{Verb: session.Heartbeat})
+		g.say(now, session.Request{Verb: session.Heartbeat})
 	}
 }
 
@@ -376,13 +376,13 @@
 		}
 		s.state, s.since = asked, now
 		s.here = g.Book.Here(s.Name, now)
-		g.say(now, session.Task{Verb: session.Join, Topic: s.Name, Cursor: s.cursor})
+		g.say(now, session.Request{Verb: session.Subscribe, Topic: s.Name, Cursor: s.cursor})
 	case !s.want && s.state == joined:
 		s.stay.Ended(now)
 		s.here.Gone(now)
 		s.here = nil
 		s.state, s.since = dropping, now
-		g.say(now, session.Task{Verb: session.Leave, Topic: s.Name})
+		g.say(now, session.Request{Verb: session.Unsubscribe, Topic: s.Name})
 	case !s.want && s.state == idle && s.stay != nil:
 		s.stay.Ended(now)
 		s.stay = nil
@@ -429,7 +429,7 @@
 		}
 		m.out, m.asked = true, now
 		if w := m.draw; w != nil {
-			g.say(now, session.Task{Verb: session.Withdraw, Topic: l.Topic, Call: m.call, Key: w.Key, Of: w.Of, Upto: w.Upto})
+			g.say(now, session.Request{Verb: session.Withdraw, Topic: l.Topic, CallSeq: m.call, Key: w.Key, WithdrawSender: w.Of, WithdrawUpTo: w.Upto})
 			continue
 		}
 		if m.call == 0 {
@@ -440,7 +440,7 @@
 			}
 		}
 		g.Book.Try(deliverycheck.Message{Topic: l.Topic, From: g.Name, Call: m.call}, m.key, m.body, now)
-		g.say(now, session.Task{Verb: session.Send, Topic: l.Topic, Call: m.call, Key: m.key, Body: []byte(m.body)})
+		g.say(now, session.Request{Verb: session.Send, Topic: l.Topic, CallSeq: m.call, Key: m.key, Body: []byte(m.body)})
 	}
 	return true
 }
@@ -477,10 +477,10 @@
 	return nil, nil
 }
 
-var takes = map[session.What]func(g *Guest, now time.Time, a session.Answer){
-	session.Attached: func(g *Guest, _ time.Time, _ session.Answer) { g.up = true },
-	session.Alive:    func(*Guest, time.Time, session.Answer) {},
-	session.Joined: func(g *Guest, now time.Time, a session.Answer) {
+var takes = map[session.ResponseType]func(g *Guest, now time.Time, a session.Response){
+	session.Attached: func(g *Guest, _ time.Time, _ session.Response) { g.up = true },
+	session.Alive:    func(*Guest, time.Time, session.Response) {},
+	session.Subscribed: func(g *Guest, now time.Time, a session.Response) {
 		s := g.sub(a.Topic)
 		if s == nil || s.state != asked {
 			g.Book.Breach(deliverycheck.Mixed, "%s was told that it joined %s, which it did not ask", g.Name, a.Topic)
@@ -494,7 +494,7 @@
 		}
 		s.cursor = a.Cursor
 	},
-	session.Left: func(g *Guest, now time.Time, a session.Answer) {
+	session.Unsubscribed: func(g *Guest, now time.Time, a session.Response) {
 		s := g.sub(a.Topic)
 		if s == nil || s.state != dropping {
 			g.Book.Breach(deliverycheck.Mixed, "%s was told that it left %s, which it did not ask", g.Name, a.Topic)
@@ -502,8 +502,8 @@
 		}
 		s.state, s.stay, s.cursor, s.retry = dropped, nil, "", now
 	},
-	session.Message: func(g *Guest, now time.Time, a session.Answer) {
-		m := deliverycheck.Message{Topic: a.Topic, From: a.From, Call: a.Call}
+	session.Message: func(g *Guest, now time.Time, a session.Response) {
+		m := deliverycheck.Message{Topic: a.Topic, From: a.From, Call: a.CallSeq}
 		s := g.sub(a.Topic)
 		if s == nil || s.state == idle || s.state == dropped {
 			g.Book.Stray(g.Name, m, now)
@@ -519,26 +519,26 @@
 			g.Saved(Topic{Name: s.Name, Kept: true, Cursor: a.Cursor, Place: m, Given: now})
 		}
 	},
-	session.Taken: func(g *Guest, now time.Time, a session.Answer) {
-		g.Book.Taken(deliverycheck.Message{Topic: a.Topic, From: g.Name, Call: a.Call}, now)
-		if l, m := g.message(a.Topic, a.Call); m != nil {
+	session.Accepted: func(g *Guest, now time.Time, a session.Response) {
+		g.Book.Taken(deliverycheck.Message{Topic: a.Topic, From: g.Name, Call: a.CallSeq}, now)
+		if l, m := g.message(a.Topic, a.CallSeq); m != nil {
 			l.ms = slices.DeleteFunc(l.ms, func(x *message) bool { return x == m })
 		}
 	},
-	session.Forgotten: func(g *Guest, now time.Time, a session.Answer) {
-		l, m := g.message(a.Topic, a.Call)
+	session.WithdrawalComplete: func(g *Guest, now time.Time, a session.Response) {
+		l, m := g.message(a.Topic, a.CallSeq)
 		if m == nil {
 			return
 		}
 		if m.draw == nil || m.draw.Key != a.Key {
-			g.Book.Breach(deliverycheck.Mixed, "%s was told that %s of %s, %d, is forgotten, which it did not ask", g.Name, a.Key, a.Topic, a.Call)
+			g.Book.Breach(deliverycheck.Mixed, "%s was told that %s of %s, %d, is forgotten, which it did not ask", g.Name, a.Key, a.Topic, a.CallSeq)
 			return
 		}
 		m.draw.Forgotten(deliverycheck.Place{Partition: a.Partition, Offset: a.Offset}, g.shown)
 		l.ms = slices.DeleteFunc(l.ms, func(x *message) bool { return x == m })
 	},
-	session.Withdrawn: func(g *Guest, now time.Time, a session.Answer) { g.Book.Told(g.Name, a.Topic, a.Key, now) },
-	session.Counted: func(g *Guest, now time.Time, a session.Answer) {
+	session.Withdrawn: func(g *Guest, now time.Time, a session.Response) { g.Book.Told(g.Name, a.Topic, a.Key, now) },
+	session.Counted: func(g *Guest, now time.Time, a session.Response) {
 		at, ok := g.counted[a.Topic]
 		if !ok {
 			g.Book.Breach(deliverycheck.Mixed, "%s was told a count of %s, which it did not ask", g.Name, a.Topic)
@@ -547,25 +547,25 @@
 		delete(g.counted, a.Topic)
 		g.Book.Count(a.Topic, a.Count, at, now, g.Calm())
 	},
-	session.Turned: func(g *Guest, now time.Time, a session.Answer) {
-		f, ok := turns[a.Re]
+	session.Rejected: func(g *Guest, now time.Time, a session.Response) {
+		f, ok := turns[a.InReplyTo]
 		if !ok || a.Err == nil {
-			g.Book.Breach(deliverycheck.Mixed, "%s was turned away with %q: %v", g.Name, a.Re, a.Err)
+			g.Book.Breach(deliverycheck.Mixed, "%s was turned away with %q: %v", g.Name, a.InReplyTo, a.Err)
 			return
 		}
 		f(g, now, a)
 	},
-	session.Moved: func(g *Guest, now time.Time, a session.Answer) {
+	session.Moved: func(g *Guest, now time.Time, a session.Response) {
 		g.close(now, g.Habits.Keepalive/tickOf, false)
 		g.to = a.Address
 	},
 }
 
-var turns = map[session.Verb]func(g *Guest, now time.Time, a session.Answer){
-	session.Attach: func(g *Guest, now time.Time, _ session.Answer) { g.close(now, g.Habits.Keepalive/2, false) },
-	session.Count:  func(g *Guest, _ time.Time, a session.Answer) { delete(g.counted, a.Topic) },
-	session.Leave:  func(g *Guest, now time.Time, _ session.Answer) { g.close(now, g.Habits.Keepalive/2, false) },
-	session.Join: func(g *Guest, now time.Time, a session.Answer) {
+var turns = map[session.Verb]func(g *Guest, now time.Time, a session.Response){
+	session.Attach:      func(g *Guest, now time.Time, _ session.Response) { g.close(now, g.Habits.Keepalive/2, false) },
+	session.Count:       func(g *Guest, _ time.Time, a session.Response) { delete(g.counted, a.Topic) },
+	session.Unsubscribe: func(g *Guest, now time.Time, _ session.Response) { g.close(now, g.Habits.Keepalive/2, false) },
+	session.Subscribe: func(g *Guest, now time.Time, a session.Response) {
 		s := g.sub(a.Topic)
 		if s == nil || s.state != asked {
 			g.Book.Breach(deliverycheck.Mixed, "%s was turned away from %s, which it did not ask: %v", g.Name, a.Topic, a.Err)
@@ -582,8 +582,8 @@
 			g.Book.Breach(deliverycheck.Mixed, "%s was told that its cursor %q of %s is bad: %v", g.Name, s.cursor, s.Name, a.Err)
 		}
 	},
-	session.Withdraw: func(g *Guest, now time.Time, a session.Answer) {
-		l, m := g.message(a.Topic, a.Call)
+	session.Withdraw: func(g *Guest, now time.Time, a session.Response) {
+		l, m := g.message(a.Topic, a.CallSeq)
 		if m == nil || m.draw == nil {
 			return
 		}
@@ -596,12 +596,12 @@
 			l.ms = slices.DeleteFunc(l.ms, func(x *message) bool { return x == m })
 		}
 	},
-	session.Send: func(g *Guest, now time.Time, a session.Answer) {
+	session.Send: func(g *Guest, now time.Time, a session.Response) {
 		k := apierror.From(a.Err).Code
 		if Promises[k] {
-			g.Book.Turned(deliverycheck.Message{Topic: a.Topic, From: g.Name, Call: a.Call})
+			g.Book.Turned(deliverycheck.Message{Topic: a.Topic, From: g.Name, Call: a.CallSeq})
 		}
-		l, m := g.message(a.Topic, a.Call)
+		l, m := g.message(a.Topic, a.CallSeq)
 		if m == nil {
 			return
 		}
