--- a/internal/client/follow.go
+++ b/internal/client/follow.go
@@ -14,31 +14,31 @@
 	"postjunction/internal/rawjson"
 )
 
-// Line is one line of a stream: a message, a withdrawal, a greeting, a change of what is followed, a sign of life, or the end with its reason.
-type Line struct {
-	Topic     string          `json:"topic,omitempty"`
-	From      string          `json:"from,omitempty"`
-	Key       string          `json:"key,omitempty"`
-	Withdrawn string          `json:"withdrawn,omitempty"`
-	Call      uint64          `json:"call_seq,omitempty"`
-	Body      json.RawMessage `json:"body,omitempty"`
-	Partition *int            `json:"partition,omitempty"`
-	Offset    uint64          `json:"offset,omitempty"`
-	Attached  uint64          `json:"attached,omitempty"`
-	Waiting   []string        `json:"waiting,omitempty"`
-	Joined    []string        `json:"joined,omitempty"`
-	Dropped   []string        `json:"dropped,omitempty"`
-	Idle      bool            `json:"idle,omitempty"`
-	End       *End            `json:"end,omitempty"`
-	Cursor    string          `json:"cursor"`
+// Event is one line of a stream: a message, a withdrawal, a greeting, a change of what is followed, a sign of life, or the end with its reason.
+type Event struct {
+	Topic        string          `json:"topic,omitempty"`
+	From         string          `json:"from,omitempty"`
+	Key          string          `json:"key,omitempty"`
+	Withdrawn    string          `json:"withdrawn,omitempty"`
+	CallSeq      uint64          `json:"call_seq,omitempty"`
+	Body         json.RawMessage `json:"body,omitempty"`
+	Partition    *int            `json:"partition,omitempty"`
+	Offset       uint64          `json:"offset,omitempty"`
+	Attached     uint64          `json:"attached,omitempty"`
+	Waiting      []string        `json:"waiting,omitempty"`
+	Subscribed   []string        `json:"joined,omitempty"`
+	Unsubscribed []string        `json:"dropped,omitempty"`
+	Idle         bool            `json:"idle,omitempty"`
+	End          *End            `json:"end,omitempty"`
+	Cursor       string          `json:"cursor"`
 }
 
 // End says why a stream ended and what to do.
 type End struct {
-	Code    string `json:"code"`
-	Say     string `json:"say"`
-	Advice  string `json:"advice"`
-	RetryMS int64  `json:"retry_after_ms,omitempty"`
+	Code         string `json:"code"`
+	Message      string `json:"say"`
+	Advice       string `json:"advice"`
+	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 }
 
 type pulled struct {
@@ -65,7 +65,7 @@
 
 type subscriptionStream struct {
 	s       *Service
-	t       *Task
+	t       *Request
 	fleet   string
 	want    map[string]bool
 	urgent  map[string]bool
@@ -89,15 +89,15 @@
 	idleShare   = 2
 )
 
-func (s *Service) follow(ctx context.Context, t *Task) error {
+func (s *Service) follow(ctx context.Context, t *Request) error {
 	k, err := s.unpack(t)
 	if err != nil {
 		return err
 	}
-	r := s.Board.VoterSet()
+	r := s.Store.VoterSet()
 	st := &subscriptionStream{
 		s: s, t: t, fleet: r.Fleet, want: map[string]bool{}, urgent: map[string]bool{}, parts: map[string]int{}, pos: cursor.Cursor{}, given: cursor.Cursor{},
-		wake: make(chan struct{}, 1), checked: make(chan error, 1), index: s.Board.Index().Sequence,
+		wake: make(chan struct{}, 1), checked: make(chan error, 1), index: s.Store.Index().Sequence,
 	}
 	urgent, routine := st.plan(r.Layout.RoutinePartitions)
 	st.joins = make(chan opened, len(urgent)+len(routine))
@@ -108,7 +108,7 @@
 			f()
 		}
 	}()
-	cx, stop := context.WithTimeout(ctx, callShare*s.Bounds.CallTimeout())
+	cx, stop := context.WithTimeout(ctx, callShare*s.Timing.CallTimeout())
 	defer stop()
 	if err := st.guard(cx, k, len(urgent) > 0); err != nil {
 		return err
@@ -119,7 +119,7 @@
 	if err := st.openAll(ctx, cx, urgent, routine); err != nil {
 		return err
 	}
-	defer s.Presence.Add(t.Visitor, unique(t.Topics))()
+	defer s.Presence.Add(t.Client, unique(t.Topics))()
 	s.tally(1, 0)
 	defer s.tally(-1, 0)
 	stop()
@@ -127,7 +127,7 @@
 }
 
 func (st *subscriptionStream) plan(routineCount int) (urgent, routine []int) {
-	l := st.s.Board.VoterSet().Layout
+	l := st.s.Store.VoterSet().Layout
 	for i, n := range st.t.Topics {
 		p := partition.Of(n, st.t.spaces[i].Urgent, l)
 		st.want[n], st.urgent[n], st.parts[n] = true, st.t.spaces[i].Urgent, p
@@ -144,7 +144,7 @@
 
 // guard joins the feed that tells of newer attachments, and only then asks which attachment is in force, so that none falls between.
 func (st *subscriptionStream) guard(ctx context.Context, k token.Token, urgent bool) error {
-	f, leave, err := st.s.Feeds.Follow(ctx, st.s.Desk.HomePartition(k.Client, urgent), st.wake)
+	f, leave, err := st.s.Feeds.Follow(ctx, st.s.Router.HomePartition(k.Client, urgent), st.wake)
 	if err != nil {
 		return err
 	}
@@ -178,7 +178,7 @@
 		at = tail
 	}
 	if at > tail {
-		r, err := st.s.Desk.Read(ctx, p, ^uint64(0), 0)
+		r, err := st.s.Router.Read(ctx, p, ^uint64(0), 0)
 		if err == nil && at > r.To {
 			err = apierror.New(apierror.CursorMalformed, "the cursor is at offset %d of partition %d, which ends at %d", at, p, r.To)
 		}
@@ -215,13 +215,13 @@
 					st.nudge()
 					return
 				}
-				_ = st.s.Clock.Sleep(ctx, st.s.Bounds.MaxBackoff())
+				_ = st.s.Clock.Sleep(ctx, st.s.Timing.MaxBackoff())
 			}
 		}()
 	}
 	soon := make(chan struct{})
 	go func() {
-		_ = st.s.Clock.Sleep(ctx, st.s.Bounds.MaxBackoff())
+		_ = st.s.Clock.Sleep(ctx, st.s.Timing.MaxBackoff())
 		close(soon)
 	}()
 	for left, n := firm, len(urgent)+len(routine); n > 0; n-- {
@@ -287,7 +287,7 @@
 	return cursor.Encode(st.fleet, c)
 }
 
-func (st *subscriptionStream) emit(l Line) error {
+func (st *subscriptionStream) emit(l Event) error {
 	l.Cursor = st.cursor()
 	b, err := rawjson.Marshal(l)
 	if err != nil {
@@ -306,18 +306,18 @@
 		return nil
 	}
 	p := apierror.From(err)
-	_ = st.emit(Line{End: &End{Code: string(p.Code), Say: p.Message, Advice: p.Advice(), RetryMS: p.RetryAfterMS}})
+	_ = st.emit(Event{End: &End{Code: string(p.Code), Message: p.Message, Advice: p.Advice(), RetryAfterMS: p.RetryAfterMS}})
 	return nil
 }
 
 func (st *subscriptionStream) run(ctx context.Context) error {
 	s := st.s
-	if err := st.emit(Line{Attached: st.t.who.Generation, Waiting: st.waiting()}); err != nil {
+	if err := st.emit(Event{Attached: st.t.who.Generation, Waiting: st.waiting()}); err != nil {
 		return err
 	}
 	idle := make(chan struct{}, 1)
 	go func() {
-		for s.Clock.Sleep(ctx, s.Bounds.Spread/idleShare) == nil {
+		for s.Clock.Sleep(ctx, s.Timing.Spread/idleShare) == nil {
 			select {
 			case idle <- struct{}{}:
 			default:
@@ -326,15 +326,15 @@
 	}()
 	wrote := true
 	for {
-		if err := s.Licensed(); err != nil {
+		if err := s.CheckLease(); err != nil {
 			return st.end(err)
 		}
 		select {
-		case <-s.Leaving:
+		case <-s.Draining:
 			return st.end(apierror.New(apierror.ShuttingDown, "this node is stopping"))
 		default:
 		}
-		news := s.Board.Changed()
+		news := s.Store.Changed()
 		more, err := st.round(ctx)
 		if err != nil {
 			return st.end(err)
@@ -349,19 +349,19 @@
 				return st.end(o.err)
 			}
 			st.join(o)
-			if err := st.emit(Line{Joined: st.topics(func(p int) bool { return p == o.p })}); err != nil {
+			if err := st.emit(Event{Subscribed: st.topics(func(p int) bool { return p == o.p })}); err != nil {
 				return err
 			}
 		case <-st.wake:
 		case <-news:
 		case <-idle:
 			if !wrote {
-				if err := st.emit(Line{Idle: true}); err != nil {
+				if err := st.emit(Event{Idle: true}); err != nil {
 					return err
 				}
 			}
 			wrote = false
-		case <-s.Leaving:
+		case <-s.Draining:
 		case <-ctx.Done():
 			return nil
 		}
@@ -427,7 +427,7 @@
 	go func() {
 		w, err := f.After(ctx, at)
 		if err != nil && !apierror.HasCode(err, apierror.CursorExpired) {
-			_ = st.s.Clock.Sleep(ctx, st.s.Bounds.MaxBackoff())
+			_ = st.s.Clock.Sleep(ctx, st.s.Timing.MaxBackoff())
 		}
 		got <- pulled{w, err}
 		st.nudge()
@@ -450,24 +450,24 @@
 	defer end()
 	st.pos[l.p] = e.Offset
 	if e.Type == log.TypeWithdrawal && st.want[e.Topic] {
-		return false, st.emit(Line{Topic: e.Topic, Withdrawn: e.Key, Partition: &l.p, Offset: e.Offset})
+		return false, st.emit(Event{Topic: e.Topic, Withdrawn: e.Key, Partition: &l.p, Offset: e.Offset})
 	}
 	if e.Type != log.TypeMessage || !st.want[e.Topic] || fate == stream.FateWithdrawn || e.Key != "" && e.BodyDropped || e.Live && (e.BodyDropped || e.Offset <= l.live) {
 		return false, nil
 	}
-	return false, st.emit(Line{Topic: e.Topic, From: e.Client, Key: e.Key, Call: e.CallSeq, Body: e.Body, Partition: &l.p, Offset: e.Offset})
+	return false, st.emit(Event{Topic: e.Topic, From: e.Client, Key: e.Key, CallSeq: e.CallSeq, Body: e.Body, Partition: &l.p, Offset: e.Offset})
 }
 
 // cut ends the write that is under way.
 func (st *subscriptionStream) cut() {
-	if st.t.Cut != nil {
-		st.t.Cut()
+	if st.t.Abort != nil {
+		st.t.Abort()
 	}
 }
 
 // refresh drops topics that the current description no longer has, or has with another urgency, and ends a stream without topics.
 func (st *subscriptionStream) refresh() error {
-	x := st.s.Board.Index()
+	x := st.s.Store.Index()
 	if x.Sequence == st.index {
 		return nil
 	}
@@ -493,7 +493,7 @@
 		return why
 	}
 	slices.Sort(gone)
-	return st.emit(Line{Dropped: gone})
+	return st.emit(Event{Unsubscribed: gone})
 }
 
 func (st *subscriptionStream) fenced(ctx context.Context) error {
@@ -519,7 +519,7 @@
 		}
 		for _, e := range w.Entries {
 			st.seen = max(st.seen, e.Offset)
-			if e.Type == log.TypeAttach && e.Client == st.t.Visitor && e.Generation > st.t.who.Generation {
+			if e.Type == log.TypeAttach && e.Client == st.t.Client && e.Generation > st.t.who.Generation {
 				return st.superseded(e.Generation)
 			}
 		}
@@ -534,15 +534,15 @@
 	go func() {
 		err := error(apierror.New(apierror.NoPartitionLeader, "not asked yet"))
 		for err != nil && ctx.Err() == nil {
-			cx, stop := context.WithTimeout(ctx, callShare*st.s.Bounds.CallTimeout())
-			a, e := st.s.Desk.ReadAttachment(cx, who.Client, who.Generation, urgent)
+			cx, stop := context.WithTimeout(ctx, callShare*st.s.Timing.CallTimeout())
+			a, e := st.s.Router.ReadAttachment(cx, who.Client, who.Generation, urgent)
 			stop()
 			if err = e; err == nil && a.Attachment.Generation > who.Generation {
 				err = st.superseded(a.Attachment.Generation)
 				break
 			}
 			if err != nil {
-				_ = st.s.Clock.Sleep(ctx, st.s.Bounds.MaxBackoff())
+				_ = st.s.Clock.Sleep(ctx, st.s.Timing.MaxBackoff())
 			}
 		}
 		st.checked <- err
@@ -551,5 +551,5 @@
 }
 
 func (st *subscriptionStream) superseded(g uint64) error {
-	return apierror.New(apierror.TokenFenced, "attachment %d of %s took over", g, st.t.Visitor)
+	return apierror.New(apierror.TokenFenced, "attachment %d of %s took over", g, st.t.Client)
 }
--- a/internal/client/follow_test.go
+++ b/internal/client/follow_test.go
@@ -27,10 +27,10 @@
 	}
 	describe(1, configuration.Space{Name: "s", Kind: "kept", Topics: []string{"a", "b", "gone"}})
 	var got []string
-	st := &subscriptionStream{s: &Service{Board: b}, t: &Task{Emit: func(l []byte) error {
-		var x Line
+	st := &subscriptionStream{s: &Service{Store: b}, t: &Request{Emit: func(l []byte) error {
+		var x Event
 		assert.NilError(t, json.Unmarshal(l, &x))
-		got = append(got, x.Topic+strings.Join(x.Dropped, "-"))
+		got = append(got, x.Topic+strings.Join(x.Unsubscribed, "-"))
 		return nil
 	}}, want: map[string]bool{"s/a": true, "s/gone": true}, urgent: map[string]bool{}, pos: cursor.Cursor{}, index: 1}
 	give := func(o uint64, topic string) {
@@ -75,8 +75,8 @@
 		fs := stream.New(ctx, "a1", "1", owners{urgent}, clock.Real{}, settings.DefaultTiming)
 		b := gossip.NewStore(nil)
 		var got []string
-		st := &subscriptionStream{s: &Service{Board: b, Clock: clock.Real{}, Bounds: settings.DefaultTiming}, t: &Task{Emit: func(l []byte) error {
-			var x Line
+		st := &subscriptionStream{s: &Service{Store: b, Clock: clock.Real{}, Timing: settings.DefaultTiming}, t: &Request{Emit: func(l []byte) error {
+			var x Event
 			assert.NilError(t, json.Unmarshal(l, &x))
 			got = append(got, x.Topic)
 			return nil
--- a/internal/client/service.go
+++ b/internal/client/service.go
@@ -26,22 +26,22 @@
 	"postjunction/internal/settings"
 )
 
-// Task is one call on its way through the process.
-type Task struct {
+// Request is one call on its way through the process.
+type Request struct {
 	Verb    string
 	Token   string
-	Visitor string
+	Client  string
 	Topics  []string
-	Call    uint64
+	CallSeq uint64
 	Body    json.RawMessage
 	Cursor  string
 	Emit    Emit
-	// Cut makes the line that Emit is writing fail, and all after it; it does not wait.
-	Cut func()
+	// Abort makes the line that Emit is writing fail, and all after it; it does not wait.
+	Abort func()
 	// Key is what a message stands under, or what a withdrawal withdraws; Of and Upto name a sender and its highest number that is withdrawn too.
-	Key  *string
-	Of   string
-	Upto uint64
+	Key            *string
+	WithdrawSender string
+	WithdrawUpTo   uint64
 
 	who    token.Token
 	spaces []configuration.Space
@@ -50,7 +50,7 @@
 	out    any
 }
 
-func (t *Task) urgent() bool {
+func (t *Request) urgent() bool {
 	return (t.Verb == VerbSend || t.Verb == VerbWithdraw || t.Verb == VerbFollow) && slices.ContainsFunc(t.spaces, func(s configuration.Space) bool { return s.Urgent })
 }
 
@@ -59,20 +59,20 @@
 
 // Service serves the callers of one node.
 type Service struct {
-	Clock    clock.Clock
-	Bounds   settings.Timing
-	Body     int
-	Board    *gossip.Store
-	Desk     *router.Router
-	Feeds    *stream.Feeds
-	Presence *presence.Presence
-	Gates    *admission.Limiter
-	Licensed func() error
-	Leaving  <-chan struct{}
-	Heard    func(t *Task, err error)
+	Clock      clock.Clock
+	Timing     settings.Timing
+	BodyLimit  int
+	Store      *gossip.Store
+	Router     *router.Router
+	Feeds      *stream.Feeds
+	Presence   *presence.Presence
+	Limiter    *admission.Limiter
+	CheckLease func() error
+	Draining   <-chan struct{}
+	OnResult   func(t *Request, err error)
 
 	mu      sync.Mutex
-	ways    map[string]callpolicy.Next[*Task]
+	ways    map[string]callpolicy.Next[*Request]
 	streams int
 	lines   uint64
 }
@@ -91,7 +91,7 @@
 // Attachment is the answer to attach.
 type Attachment struct {
 	Token      string `json:"token"`
-	Visitor    string `json:"visitor"`
+	Client     string `json:"visitor"`
 	Generation uint64 `json:"generation"`
 	Cursor     string `json:"cursor,omitempty"`
 }
@@ -99,35 +99,35 @@
 // Receipt is the answer to send: the decision of the ledger.
 type Receipt struct {
 	Topic     string `json:"topic"`
-	Call      uint64 `json:"call_seq"`
+	CallSeq   uint64 `json:"call_seq"`
 	Partition int    `json:"partition"`
 	Offset    uint64 `json:"offset"`
-	Repeat    bool   `json:"repeat"`
+	Duplicate bool   `json:"repeat"`
 }
 
 // Withdrawal is the answer to withdraw: where its mark stands, and that no node shows what it covers. GivenUp names nodes that were not heard for so
 // long that they have turned their visitors away.
 type Withdrawal struct {
-	Topic     string   `json:"topic"`
-	Key       string   `json:"key"`
-	Call      uint64   `json:"call_seq"`
-	Partition int      `json:"partition"`
-	Offset    uint64   `json:"offset"`
-	Repeat    bool     `json:"repeat"`
-	Already   bool     `json:"already"`
-	Forgotten bool     `json:"forgotten"`
-	GivenUp   []string `json:"given_up"`
+	Topic            string   `json:"topic"`
+	Key              string   `json:"key"`
+	CallSeq          uint64   `json:"call_seq"`
+	Partition        int      `json:"partition"`
+	Offset           uint64   `json:"offset"`
+	Duplicate        bool     `json:"repeat"`
+	AlreadyWithdrawn bool     `json:"already"`
+	Complete         bool     `json:"forgotten"`
+	GivenUp          []string `json:"given_up"`
 }
 
-// Headcount is the answer to count.
-type Headcount struct {
-	Topic  string `json:"topic"`
-	Others int    `json:"others"`
-	Whole  bool   `json:"whole"`
+// PresenceCount is the answer to count.
+type PresenceCount struct {
+	Topic    string `json:"topic"`
+	Others   int    `json:"others"`
+	Complete bool   `json:"whole"`
 }
 
-// Left is the answer to ack.
-type Left struct {
+// CursorSaved is the answer to ack.
+type CursorSaved struct {
 	Cursor string `json:"cursor"`
 }
 
@@ -138,56 +138,56 @@
 
 var nameRule = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-func (s *Service) way(verb string) callpolicy.Next[*Task] {
+func (s *Service) way(verb string) callpolicy.Next[*Request] {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ways == nil {
-		stage, lease := callpolicy.Func[*Task](s.stage), callpolicy.Func[*Task](s.lease)
-		interest, gate, identity := callpolicy.Func[*Task](s.interest), callpolicy.Func[*Task](s.gate), callpolicy.Func[*Task](s.identity)
-		limit := callpolicy.Func[*Task](s.limit)
-		s.ways = map[string]callpolicy.Next[*Task]{
-			VerbAttach: callpolicy.Chain[*Task](s.attach, stage, lease, gate, limit),
-			VerbSend:   callpolicy.Chain[*Task](s.send, stage, lease, interest, gate, limit, identity),
-			VerbFollow: callpolicy.Chain[*Task](s.follow, stage, lease, interest, gate),
-			VerbAck:    callpolicy.Chain[*Task](s.ack, stage, lease, gate, limit, identity),
-			VerbCount:  callpolicy.Chain[*Task](s.count, stage, lease, interest, gate, limit, identity),
-
-			VerbWithdraw: callpolicy.Chain[*Task](s.withdraw, stage, lease, interest, callpolicy.Func[*Task](s.forget), gate, limit, identity),
+		stage, lease := callpolicy.Func[*Request](s.stage), callpolicy.Func[*Request](s.lease)
+		interest, gate, identity := callpolicy.Func[*Request](s.interest), callpolicy.Func[*Request](s.gate), callpolicy.Func[*Request](s.identity)
+		limit := callpolicy.Func[*Request](s.limit)
+		s.ways = map[string]callpolicy.Next[*Request]{
+			VerbAttach: callpolicy.Chain[*Request](s.attach, stage, lease, gate, limit),
+			VerbSend:   callpolicy.Chain[*Request](s.send, stage, lease, interest, gate, limit, identity),
+			VerbFollow: callpolicy.Chain[*Request](s.follow, stage, lease, interest, gate),
+			VerbAck:    callpolicy.Chain[*Request](s.ack, stage, lease, gate, limit, identity),
+			VerbCount:  callpolicy.Chain[*Request](s.count, stage, lease, interest, gate, limit, identity),
+
+			VerbWithdraw: callpolicy.Chain[*Request](s.withdraw, stage, lease, interest, callpolicy.Func[*Request](s.forget), gate, limit, identity),
 		}
 	}
 	return s.ways[verb]
 }
 
 // Do takes a task its way and gives its answer.
-func (s *Service) Do(ctx context.Context, t *Task) (any, error) {
+func (s *Service) Do(ctx context.Context, t *Request) (any, error) {
 	err := s.way(t.Verb)(ctx, t)
-	if err != nil && s.Heard != nil {
-		s.Heard(t, err)
+	if err != nil && s.OnResult != nil {
+		s.OnResult(t, err)
 	}
 	return t.out, err
 }
 
-func (s *Service) stage(ctx context.Context, t *Task, next callpolicy.Next[*Task]) error {
+func (s *Service) stage(ctx context.Context, t *Request, next callpolicy.Next[*Request]) error {
 	select {
-	case <-s.Leaving:
+	case <-s.Draining:
 		return apierror.New(apierror.ShuttingDown, "this node is stopping")
 	default:
 		return next(ctx, t)
 	}
 }
 
-func (s *Service) lease(ctx context.Context, t *Task, next callpolicy.Next[*Task]) error {
-	if err := s.Licensed(); err != nil {
+func (s *Service) lease(ctx context.Context, t *Request, next callpolicy.Next[*Request]) error {
+	if err := s.CheckLease(); err != nil {
 		return err
 	}
 	return next(ctx, t)
 }
 
-func (s *Service) interest(ctx context.Context, t *Task, next callpolicy.Next[*Task]) error {
+func (s *Service) interest(ctx context.Context, t *Request, next callpolicy.Next[*Request]) error {
 	if len(t.Topics) == 0 || len(t.Topics) > topicsMost {
 		return apierror.New(apierror.Malformed, "the call must name 1 to %d topics, names %d", topicsMost, len(t.Topics))
 	}
-	x := s.Board.Index()
+	x := s.Store.Index()
 	for _, n := range t.Topics {
 		sp, err := x.Find(n)
 		if err != nil {
@@ -204,12 +204,12 @@
 
 var urgentLanes = map[string]admission.Lane{VerbFollow: admission.UrgentStream, VerbSend: admission.Urgent, VerbWithdraw: admission.Urgent}
 
-func (s *Service) gate(ctx context.Context, t *Task, next callpolicy.Next[*Task]) error {
+func (s *Service) gate(ctx context.Context, t *Request, next callpolicy.Next[*Request]) error {
 	l := lanes[t.Verb]
 	if t.urgent() {
 		l = urgentLanes[t.Verb]
 	}
-	leave, err := s.Gates.Acquire(l)
+	leave, err := s.Limiter.Acquire(l)
 	if err != nil {
 		return err
 	}
@@ -217,18 +217,18 @@
 	return next(ctx, t)
 }
 
-func (s *Service) limit(ctx context.Context, t *Task, next callpolicy.Next[*Task]) error {
-	cx, stop := context.WithTimeout(ctx, callShare*s.Bounds.CallTimeout())
+func (s *Service) limit(ctx context.Context, t *Request, next callpolicy.Next[*Request]) error {
+	cx, stop := context.WithTimeout(ctx, callShare*s.Timing.CallTimeout())
 	defer stop()
 	return next(cx, t)
 }
 
-func (s *Service) identity(ctx context.Context, t *Task, next callpolicy.Next[*Task]) error {
+func (s *Service) identity(ctx context.Context, t *Request, next callpolicy.Next[*Request]) error {
 	k, err := s.unpack(t)
 	if err != nil {
 		return err
 	}
-	cx, stop := context.WithTimeout(ctx, callShare*s.Bounds.CallTimeout())
+	cx, stop := context.WithTimeout(ctx, callShare*s.Timing.CallTimeout())
 	defer stop()
 	if err := s.identify(cx, t, k, t.urgent()); err != nil {
 		return err
@@ -236,19 +236,19 @@
 	return next(ctx, t)
 }
 
-func (s *Service) unpack(t *Task) (token.Token, error) {
+func (s *Service) unpack(t *Request) (token.Token, error) {
 	if t.Token == "" {
 		return token.Token{}, apierror.New(apierror.TokenMissing, "the call has no bearer token")
 	}
 	k, err := token.Decode(t.Token)
 	if err == nil {
-		t.Visitor = k.Client
+		t.Client = k.Client
 	}
 	return k, err
 }
 
-func (s *Service) identify(ctx context.Context, t *Task, k token.Token, urgent bool) error {
-	a, err := s.Desk.ReadAttachment(ctx, k.Client, k.Generation, urgent)
+func (s *Service) identify(ctx context.Context, t *Request, k token.Token, urgent bool) error {
+	a, err := s.Router.ReadAttachment(ctx, k.Client, k.Generation, urgent)
 	if err != nil {
 		if apierror.HasCode(err, apierror.OutcomeUnknown) {
 			err = apierror.New(apierror.NoPartitionLeader, "the attachment could not be checked: %v", err)
@@ -261,71 +261,71 @@
 	case g < k.Generation || !k.Matches(a.Attachment.Secret):
 		return apierror.New(apierror.TokenForeign, "the token is not the one given to %s", k.Client)
 	}
-	t.who, t.Visitor, t.acked = k, k.Client, a.SavedCursor.Cursor
+	t.who, t.Client, t.acked = k, k.Client, a.SavedCursor.Cursor
 	return nil
 }
 
-func (s *Service) attach(ctx context.Context, t *Task) error {
-	if !nameRule.MatchString(t.Visitor) {
-		return apierror.New(apierror.Malformed, "visitor must be 1 to 63 of letters, digits, ., _ and -, is %q", t.Visitor)
+func (s *Service) attach(ctx context.Context, t *Request) error {
+	if !nameRule.MatchString(t.Client) {
+		return apierror.New(apierror.Malformed, "visitor must be 1 to 63 of letters, digits, ., _ and -, is %q", t.Client)
 	}
 	sec := token.NewSecret()
-	a, err := s.Desk.Attach(ctx, &router.AttachRequest{Client: t.Visitor, Secret: token.Digest(sec)})
+	a, err := s.Router.Attach(ctx, &router.AttachRequest{Client: t.Client, Secret: token.Digest(sec)})
 	if err != nil {
 		return err
 	}
-	t.out = Attachment{Token: token.Token{Client: t.Visitor, Generation: a.Generation, Secret: sec}.Encode(), Visitor: t.Visitor, Generation: a.Generation, Cursor: a.SavedCursor.Cursor}
+	t.out = Attachment{Token: token.Token{Client: t.Client, Generation: a.Generation, Secret: sec}.Encode(), Client: t.Client, Generation: a.Generation, Cursor: a.SavedCursor.Cursor}
 	return nil
 }
 
-func (s *Service) send(ctx context.Context, t *Task) error {
+func (s *Service) send(ctx context.Context, t *Request) error {
 	var b bytes.Buffer
 	if err := json.Compact(&b, t.Body); err != nil {
 		return apierror.Wrap(apierror.Malformed, err, "body is no JSON value")
 	}
-	if b.Len() > s.Body {
-		return apierror.New(apierror.Oversize, "the body has %d bytes, the limit is %d", b.Len(), s.Body)
+	if b.Len() > s.BodyLimit {
+		return apierror.New(apierror.Oversize, "the body has %d bytes, the limit is %d", b.Len(), s.BodyLimit)
 	}
 	d, err := s.submit(ctx, t, &leader.Message{Body: b.Bytes()})
 	if err != nil {
 		return err
 	}
-	t.out = Receipt{Topic: t.Topics[0], Call: t.Call, Partition: d.Partition, Offset: d.Offset, Repeat: d.Duplicate}
+	t.out = Receipt{Topic: t.Topics[0], CallSeq: t.CallSeq, Partition: d.Partition, Offset: d.Offset, Duplicate: d.Duplicate}
 	return nil
 }
 
 // submit has a message or a withdrawal decided.
-func (s *Service) submit(ctx context.Context, t *Task, q *leader.Message) (*leader.Decision, error) {
+func (s *Service) submit(ctx context.Context, t *Request, q *leader.Message) (*leader.Decision, error) {
 	if t.Key != nil {
 		if err := log.CheckName("key", *t.Key); err != nil {
 			return nil, err
 		}
-		if err := s.Desk.CheckKeysSupported(); err != nil {
+		if err := s.Router.CheckKeysSupported(); err != nil {
 			return nil, err
 		}
 		q.Key = *t.Key
 	}
 	sp := t.spaces[0]
-	q.Client, q.Generation, q.Topic, q.CallSeq = t.Visitor, t.who.Generation, t.Topics[0], t.Call
-	q.Live, q.Configuration = sp.Kind == configuration.KindLive, s.Board.Index().Sequence
-	return s.Desk.Submit(ctx, partition.Of(q.Topic, sp.Urgent, s.Board.VoterSet().Layout), q)
+	q.Client, q.Generation, q.Topic, q.CallSeq = t.Client, t.who.Generation, t.Topics[0], t.CallSeq
+	q.Live, q.Configuration = sp.Kind == configuration.KindLive, s.Store.Index().Sequence
+	return s.Router.Submit(ctx, partition.Of(q.Topic, sp.Urgent, s.Store.VoterSet().Layout), q)
 }
 
-func (s *Service) ack(ctx context.Context, t *Task) error {
-	r := s.Board.VoterSet()
+func (s *Service) ack(ctx context.Context, t *Request) error {
+	r := s.Store.VoterSet()
 	if _, err := cursor.Decode(r.Fleet, r.Layout.PartitionCount(), t.Cursor); err != nil {
 		return err
 	}
-	if err := s.Desk.SaveCursor(ctx, &router.SaveCursorRequest{Client: t.Visitor, Generation: t.who.Generation, Cursor: t.Cursor}); err != nil {
+	if err := s.Router.SaveCursor(ctx, &router.SaveCursorRequest{Client: t.Client, Generation: t.who.Generation, Cursor: t.Cursor}); err != nil {
 		return err
 	}
-	t.out = Left{Cursor: t.Cursor}
+	t.out = CursorSaved{Cursor: t.Cursor}
 	return nil
 }
 
-func (s *Service) count(ctx context.Context, t *Task) error {
-	n, whole := s.Presence.CountOthers(ctx, t.Topics[0], t.Visitor)
-	t.out = Headcount{Topic: t.Topics[0], Others: n, Whole: whole}
+func (s *Service) count(ctx context.Context, t *Request) error {
+	n, whole := s.Presence.CountOthers(ctx, t.Topics[0], t.Client)
+	t.out = PresenceCount{Topic: t.Topics[0], Others: n, Complete: whole}
 	return nil
 }
 
--- a/internal/client/withdraw.go
+++ b/internal/client/withdraw.go
@@ -10,16 +10,16 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-func (s *Service) withdraw(ctx context.Context, t *Task) error {
-	if (t.Of == "") != (t.Upto == 0) {
+func (s *Service) withdraw(ctx context.Context, t *Request) error {
+	if (t.WithdrawSender == "") != (t.WithdrawUpTo == 0) {
 		return apierror.New(apierror.Malformed, "of, a sender's name, and upto, its number from 1, go together")
 	}
-	if t.Of != "" {
-		if err := log.CheckName("of", t.Of); err != nil {
+	if t.WithdrawSender != "" {
+		if err := log.CheckName("of", t.WithdrawSender); err != nil {
 			return err
 		}
 	}
-	d, err := s.submit(ctx, t, &leader.Message{Withdraw: true, WithdrawSender: t.Of, WithdrawUpTo: t.Upto})
+	d, err := s.submit(ctx, t, &leader.Message{Withdraw: true, WithdrawSender: t.WithdrawSender, WithdrawUpTo: t.WithdrawUpTo})
 	if err != nil {
 		return err
 	}
@@ -28,24 +28,24 @@
 }
 
 // forget waits for every reader of the partition, apart from the places of calls under way, and for a call's time at most.
-func (s *Service) forget(ctx context.Context, t *Task, next callpolicy.Next[*Task]) error {
+func (s *Service) forget(ctx context.Context, t *Request, next callpolicy.Next[*Request]) error {
 	if err := next(ctx, t); err != nil {
 		return err
 	}
 	m := t.mark
 	given, err := s.awaited(ctx, m, func(ctx context.Context) (*leader.PendingReaders, error) {
-		return s.Desk.PendingReaders(ctx, m.Partition, m.Offset, s.Bounds.LongPoll())
+		return s.Router.PendingReaders(ctx, m.Partition, m.Offset, s.Timing.LongPoll())
 	})
 	if err != nil {
 		return err
 	}
-	t.out = Withdrawal{Topic: t.Topics[0], Key: *t.Key, Call: t.Call, Partition: m.Partition, Offset: m.Offset, Repeat: m.Duplicate, Already: m.AlreadyWithdrawn, Forgotten: true, GivenUp: given}
+	t.out = Withdrawal{Topic: t.Topics[0], Key: *t.Key, CallSeq: t.CallSeq, Partition: m.Partition, Offset: m.Offset, Duplicate: m.Duplicate, AlreadyWithdrawn: m.AlreadyWithdrawn, Complete: true, GivenUp: given}
 	return nil
 }
 
 // awaited asks who has not forgotten until nobody is left, and names them once the time is over.
 func (s *Service) awaited(ctx context.Context, m leader.Decision, ask func(context.Context) (*leader.PendingReaders, error)) ([]string, error) {
-	ctx, stop := context.WithTimeout(ctx, s.Bounds.CallTimeout())
+	ctx, stop := context.WithTimeout(ctx, s.Timing.CallTimeout())
 	defer stop()
 	var left []string
 	for {
@@ -56,7 +56,7 @@
 		if err == nil {
 			left = u.Nodes
 		}
-		if err != nil || s.Clock.Sleep(ctx, s.Bounds.InitialBackoff()) != nil {
+		if err != nil || s.Clock.Sleep(ctx, s.Timing.InitialBackoff()) != nil {
 			return nil, unheard(m, left, err)
 		}
 	}
--- a/internal/client/withdraw_test.go
+++ b/internal/client/withdraw_test.go
@@ -77,8 +77,8 @@
 				assert.NilError(t, err)
 				defer leave()
 				var got []string
-				st := &subscriptionStream{s: &Service{Board: gossip.NewStore(nil)}, t: &Task{Emit: func(b []byte) error {
-					var l Line
+				st := &subscriptionStream{s: &Service{Store: gossip.NewStore(nil)}, t: &Request{Emit: func(b []byte) error {
+					var l Event
 					assert.NilError(t, json.Unmarshal(b, &l))
 					switch {
 					case l.Withdrawn == "":
@@ -116,10 +116,10 @@
 
 func TestNoKeysUntilEveryBuildKnowsThem(t *testing.T) {
 	v := membership.NewView()
-	s := &Service{Desk: &router.Router{View: v}}
+	s := &Service{Router: &router.Router{View: v}}
 	k := "k"
 	v.Set([]membership.Info{{Name: "a1", SupportsKeys: true}, {Name: "a2"}})
-	_, err := s.submit(t.Context(), &Task{Key: &k}, &leader.Message{})
+	_, err := s.submit(t.Context(), &Request{Key: &k}, &leader.Message{})
 	assert.Assert(t, apierror.HasCode(err, apierror.NotReady), "%v", err)
 	assert.ErrorContains(t, err, "a2")
 }
@@ -140,7 +140,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &Service{Clock: clock.Real{}, Bounds: settings.DefaultTiming}
+				s := &Service{Clock: clock.Real{}, Timing: settings.DefaultTiming}
 				n := 0
 				begun := time.Now()
 				given, err := s.awaited(t.Context(), leader.Decision{Partition: 3, Offset: 7}, func(context.Context) (*leader.PendingReaders, error) {
@@ -151,7 +151,7 @@
 					}
 					return a.(*leader.PendingReaders), nil
 				})
-				assert.Assert(t, time.Since(begun) <= s.Bounds.CallTimeout())
+				assert.Assert(t, time.Since(begun) <= s.Timing.CallTimeout())
 				assert.DeepEqual(t, given, c.given)
 				if c.say == "" {
 					assert.NilError(t, err)
--- a/internal/httpapi/door.go
+++ b/internal/httpapi/door.go
@@ -162,7 +162,7 @@
 	if err := document(w, r, attachShape, &q); err != nil {
 		return nil, err
 	}
-	return d.Visitors.Do(r.Context(), &client.Task{Verb: client.VerbAttach, Visitor: q.Visitor})
+	return d.Visitors.Do(r.Context(), &client.Request{Verb: client.VerbAttach, Client: q.Visitor})
 }
 
 func bearer(r *http.Request) (string, error) {
@@ -184,7 +184,7 @@
 	if err := document(w, r, sendShape, &q); err != nil {
 		return nil, err
 	}
-	return d.Visitors.Do(r.Context(), &client.Task{Verb: client.VerbSend, Token: t, Topics: []string{q.Topic}, Call: q.Call, Key: q.Key, Body: q.Body})
+	return d.Visitors.Do(r.Context(), &client.Request{Verb: client.VerbSend, Token: t, Topics: []string{q.Topic}, CallSeq: q.Call, Key: q.Key, Body: q.Body})
 }
 
 func (d *Door) withdraw(w http.ResponseWriter, r *http.Request) (any, error) {
@@ -202,7 +202,7 @@
 	if err := document(w, r, withdrawShape, &q); err != nil {
 		return nil, err
 	}
-	return d.Visitors.Do(r.Context(), &client.Task{Verb: client.VerbWithdraw, Token: t, Topics: []string{q.Topic}, Call: q.Call, Key: q.Key, Of: q.Of, Upto: q.Upto})
+	return d.Visitors.Do(r.Context(), &client.Request{Verb: client.VerbWithdraw, Token: t, Topics: []string{q.Topic}, CallSeq: q.Call, Key: q.Key, WithdrawSender: q.Of, WithdrawUpTo: q.Upto})
 }
 
 func (d *Door) ack(w http.ResponseWriter, r *http.Request) (any, error) {
@@ -216,7 +216,7 @@
 	if err := document(w, r, ackShape, &q); err != nil {
 		return nil, err
 	}
-	return d.Visitors.Do(r.Context(), &client.Task{Verb: client.VerbAck, Token: t, Cursor: q.Cursor})
+	return d.Visitors.Do(r.Context(), &client.Request{Verb: client.VerbAck, Token: t, Cursor: q.Cursor})
 }
 
 func query(r *http.Request, known ...string) error {
@@ -240,7 +240,7 @@
 	if err := query(r, "topic"); err != nil {
 		return nil, err
 	}
-	return d.Visitors.Do(r.Context(), &client.Task{Verb: client.VerbCount, Token: t, Topics: r.URL.Query()["topic"]})
+	return d.Visitors.Do(r.Context(), &client.Request{Verb: client.VerbCount, Token: t, Topics: r.URL.Query()["topic"]})
 }
 
 func (d *Door) stream(w http.ResponseWriter, r *http.Request) (any, error) {
@@ -252,7 +252,7 @@
 		return nil, err
 	}
 	p := &paper{w: w, c: http.NewResponseController(w), most: d.Bounds.Recovery / writeShare}
-	_, err = d.Visitors.Do(r.Context(), &client.Task{Verb: client.VerbFollow, Token: t, Topics: r.URL.Query()["topic"], Cursor: r.URL.Query().Get("cursor"), Emit: p.emit, Cut: p.cut})
+	_, err = d.Visitors.Do(r.Context(), &client.Request{Verb: client.VerbFollow, Token: t, Topics: r.URL.Query()["topic"], Cursor: r.URL.Query().Get("cursor"), Emit: p.emit, Abort: p.cut})
 	if p.begun {
 		return nil, nil
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -334,15 +334,15 @@
 	n.gates = admission.New(o.Backlog)
 	n.turned = rejections.New()
 	n.Visitors = &client.Service{
-		Clock: clk, Bounds: b, Body: o.BodyLimit, Board: n.Board, Desk: n.desk, Presence: n.presence, Gates: n.gates,
-		Feeds: stream.New(ctx, self, n.boot, n.desk, clk, b), Licensed: n.keeper.CheckLease, Leaving: n.leaving,
-		Heard: func(t *client.Task, err error) {
-			n.log.Say(event.Turned, "verb", t.Verb, "visitor", t.Visitor, "problem", err)
+		Clock: clk, Timing: b, BodyLimit: o.BodyLimit, Store: n.Board, Router: n.desk, Presence: n.presence, Limiter: n.gates,
+		Feeds: stream.New(ctx, self, n.boot, n.desk, clk, b), CheckLease: n.keeper.CheckLease, Draining: n.leaving,
+		OnResult: func(t *client.Request, err error) {
+			n.log.Say(event.Turned, "verb", t.Verb, "visitor", t.Client, "problem", err)
 			p, topic := apierror.From(err), ""
 			if len(t.Topics) > 0 {
 				topic = t.Topics[0]
 			}
-			n.turned.Add(rejections.Rejection{At: clk.Now().UTC(), Node: self, Verb: t.Verb, Client: t.Visitor, Topic: topic, CallSeq: t.Call, Code: string(p.Code), Message: p.Message})
+			n.turned.Add(rejections.Rejection{At: clk.Now().UTC(), Node: self, Verb: t.Verb, Client: t.Client, Topic: topic, CallSeq: t.CallSeq, Code: string(p.Code), Message: p.Message})
 		},
 	}
 	n.hub = fanout.New(ctx, self, n.boot, n.desk, n.Board, clk, b)
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -21,7 +21,7 @@
 	patience = 15 * time.Second
 )
 
-func listen(ctx context.Context, p transport.Port, name string, topics []string, ready chan<- struct{}, f func(client.Line) error) error {
+func listen(ctx context.Context, p transport.Port, name string, topics []string, ready chan<- struct{}, f func(client.Event) error) error {
 	cursor, tok, told := "", "", false
 	for ctx.Err() == nil {
 		if tok == "" {
@@ -32,7 +32,7 @@
 			}
 			tok = a.Token
 		}
-		err := p.Follow(ctx, tok, topics, cursor, func(l client.Line) error {
+		err := p.Follow(ctx, tok, topics, cursor, func(l client.Event) error {
 			cursor = l.Cursor
 			if !told {
 				told = true
@@ -60,9 +60,9 @@
 	ctx, stop := context.WithTimeout(ctx, length)
 	defer stop()
 	begun, n := time.Now(), 0
-	err = listen(ctx, p, name, topics, make(chan struct{}), func(l client.Line) error {
+	err = listen(ctx, p, name, topics, make(chan struct{}), func(l client.Event) error {
 		n++
-		return r.Add(recording.Message{MS: time.Since(begun).Milliseconds(), Topic: l.Topic, From: l.From, Call: l.Call, Body: l.Body})
+		return r.Add(recording.Message{MS: time.Since(begun).Milliseconds(), Topic: l.Topic, From: l.From, Call: l.CallSeq, Body: l.Body})
 	})
 	if err != nil {
 		return n, err
@@ -86,12 +86,12 @@
 		byTopic[m.Topic] = append(byTopic[m.Topic], m)
 	}
 	var mu sync.Mutex
-	got := map[string][]client.Line{}
+	got := map[string][]client.Event{}
 	n := 0
 	all := make(chan struct{})
 	ready, failed := make(chan struct{}), make(chan error, 1)
 	go func() {
-		failed <- listen(ctx, p, "replay-"+run, h.Topics, ready, func(l client.Line) error {
+		failed <- listen(ctx, p, "replay-"+run, h.Topics, ready, func(l client.Event) error {
 			mu.Lock()
 			defer mu.Unlock()
 			got[l.Topic] = append(got[l.Topic], l)
@@ -146,7 +146,7 @@
 	return n[:min(len(n), 63)]
 }
 
-func differ(t, run string, want []recording.Message, got []client.Line) string {
+func differ(t, run string, want []recording.Message, got []client.Event) string {
 	for i, w := range want {
 		if i >= len(got) {
 			return fmt.Sprintf("%s: line %d of %d never came", t, i+1, len(want))
--- a/internal/testing/httpclient/caller.go
+++ b/internal/testing/httpclient/caller.go
@@ -121,7 +121,7 @@
 		t := c.current()
 		cx, alive := c.watch(ctx)
 		got := false
-		err := c.port().Follow(cx, t, c.Follows, c.cursor, func(l client.Line) error {
+		err := c.port().Follow(cx, t, c.Follows, c.cursor, func(l client.Event) error {
 			now := c.Clock.Now()
 			alive()
 			if !got && l.End == nil {
@@ -141,7 +141,7 @@
 				if l.Partition != nil {
 					p = *l.Partition
 				}
-				c.History.Receive(c.Name, history.Receipt{Message: history.Message{Topic: l.Topic, From: l.From, Call: l.Call}, Body: string(l.Body), Partition: p, Offset: l.Offset, At: now})
+				c.History.Receive(c.Name, history.Receipt{Message: history.Message{Topic: l.Topic, From: l.From, Call: l.CallSeq}, Body: string(l.Body), Partition: p, Offset: l.Offset, At: now})
 			}
 			return nil
 		})
@@ -162,7 +162,7 @@
 }
 
 // note tells the history from when on topics are followed: those that the first line does not name as waiting, and those that joined.
-func (c *Caller) note(l client.Line, now time.Time) {
+func (c *Caller) note(l client.Event, now time.Time) {
 	if l.Attached > 0 {
 		var ts []string
 		for _, t := range c.Follows {
@@ -172,7 +172,7 @@
 		}
 		c.History.Subscribe(c.Name, ts, c.Live, now)
 	}
-	c.History.Subscribe(c.Name, l.Joined, c.Live, now)
+	c.History.Subscribe(c.Name, l.Subscribed, c.Live, now)
 }
 
 const silence = 1.5
--- a/internal/testing/sim/effect_test.go
+++ b/internal/testing/sim/effect_test.go
@@ -36,10 +36,10 @@
 				a := attach(t, w, n, "on-"+n)
 				tokens[n] = a.Token
 				w.wg.Go(func() {
-					_ = w.Port(n).Follow(w.ctx, a.Token, []string{"kept/t0", "kept/t1"}, "", func(l client.Line) error {
+					_ = w.Port(n).Follow(w.ctx, a.Token, []string{"kept/t0", "kept/t1"}, "", func(l client.Event) error {
 						mu.Lock()
 						defer mu.Unlock()
-						if slices.Contains(l.Dropped, "kept/t1") {
+						if slices.Contains(l.Unsubscribed, "kept/t1") {
 							dropped[n] = time.Now()
 						}
 						heard[n] = heard[n] || l.Topic == "kept/t0"
--- a/internal/testing/sim/last.go
+++ b/internal/testing/sim/last.go
@@ -25,7 +25,7 @@
 
 var errEnough error = enough{}
 
-func (w *World) fresh(name string, topics []string, cursor string, through string, limit time.Duration, f func(client.Line) error) error {
+func (w *World) fresh(name string, topics []string, cursor string, through string, limit time.Duration, f func(client.Event) error) error {
 	end := time.Now().Add(limit)
 	err := error(apierror.New(apierror.Unreachable, "%s was not tried", through))
 	for time.Now().Before(end) {
@@ -54,7 +54,7 @@
 	if w.Machines[through].gone() {
 		through = "c3"
 	}
-	err := w.fresh("archivist", a.Topics, "", through, w.Site.Bounds.Recovery, func(x client.Line) error {
+	err := w.fresh("archivist", a.Topics, "", through, w.Site.Bounds.Recovery, func(x client.Event) error {
 		a.Cursor, a.Since = x.Cursor, time.Now()
 		return errEnough
 	})
@@ -77,7 +77,7 @@
 	var why error
 	cursor := a.Cursor
 	for begun := time.Now(); time.Since(begun) < w.Site.Bounds.Recovery+w.Site.Bounds.Spread; {
-		err := w.fresh(fmt.Sprintf("reader-%s-%d", through, len(r.Got)), a.Topics, cursor, through, w.Site.Bounds.Spread, func(l client.Line) error {
+		err := w.fresh(fmt.Sprintf("reader-%s-%d", through, len(r.Got)), a.Topics, cursor, through, w.Site.Bounds.Spread, func(l client.Event) error {
 			if l.Cursor != "" {
 				cursor = l.Cursor
 			}
@@ -88,7 +88,7 @@
 				return errEnough
 			}
 			quiet = time.Now()
-			r.Got = append(r.Got, history.Receipt{Message: history.Message{Topic: l.Topic, From: l.From, Call: l.Call}, Body: string(l.Body), Partition: *l.Partition, Offset: l.Offset, At: time.Now()})
+			r.Got = append(r.Got, history.Receipt{Message: history.Message{Topic: l.Topic, From: l.From, Call: l.CallSeq}, Body: string(l.Body), Partition: *l.Partition, Offset: l.Offset, At: time.Now()})
 			return nil
 		})
 		if errors.Is(err, errEnough) {
--- a/internal/testing/sim/owner_test.go
+++ b/internal/testing/sim/owner_test.go
@@ -94,7 +94,7 @@
 		assert.NilError(t, err)
 		n := w.Machines["a1"].Node()
 		p := partition.Of("kept/t0", false, n.VoterSet().Layout)
-		_, err = n.Visitors.Desk.Submit(w.ctx, p, &leader.Message{Client: "v", Generation: old.Generation, Topic: "kept/t0", CallSeq: 2, Body: []byte(`2`)})
+		_, err = n.Visitors.Router.Submit(w.ctx, p, &leader.Message{Client: "v", Generation: old.Generation, Topic: "kept/t0", CallSeq: 2, Body: []byte(`2`)})
 		assert.Assert(t, apierror.HasCode(err, apierror.TokenFenced), "a send that was on its way: %v", err)
 	})
 }
@@ -104,13 +104,13 @@
 	ctx, stop := context.WithTimeout(w.ctx, d)
 	defer stop()
 	last = cursor
-	err := w.Port(n).Follow(ctx, token, topics, cursor, func(l client.Line) error {
+	err := w.Port(n).Follow(ctx, token, topics, cursor, func(l client.Event) error {
 		last = l.Cursor
 		if l.Topic != "" {
-			calls = append(calls, l.Call)
+			calls = append(calls, l.CallSeq)
 		}
 		if l.End != nil {
-			end = apierror.New(apierror.Code(l.End.Code), "%s", l.End.Say)
+			end = apierror.New(apierror.Code(l.End.Code), "%s", l.End.Message)
 		}
 		return nil
 	})
--- a/internal/testing/sim/slow_test.go
+++ b/internal/testing/sim/slow_test.go
@@ -20,12 +20,12 @@
 		const n = 200
 		ctx, stop := context.WithCancel(w.ctx)
 		listen := func(token string, pause time.Duration, got *[]uint64, worst *time.Duration, sent []time.Time) {
-			_ = w.Port("a1").Follow(ctx, token, []string{"kept/t0"}, "", func(l client.Line) error {
+			_ = w.Port("a1").Follow(ctx, token, []string{"kept/t0"}, "", func(l client.Event) error {
 				if l.Topic == "" {
 					return nil
 				}
-				*got = append(*got, l.Call)
-				*worst = max(*worst, time.Since(sent[l.Call]))
+				*got = append(*got, l.CallSeq)
+				*worst = max(*worst, time.Since(sent[l.CallSeq]))
 				if len(*got) < 4 {
 					time.Sleep(pause)
 				}
--- a/internal/testing/sim/streams_forget_test.go
+++ b/internal/testing/sim/streams_forget_test.go
@@ -31,7 +31,7 @@
 	last  string
 }
 
-func (x *forgetting) do(n string, k *client.Task) (any, error) {
+func (x *forgetting) do(n string, k *client.Request) (any, error) {
 	c := make(chan any, 1)
 	err := x.ask(n, x.Site.Bounds.Recovery, func(ctx context.Context, m *node.Node) error {
 		a, err := m.Visitors.Do(ctx, k)
@@ -47,13 +47,13 @@
 func (x *forgetting) send(key, body string) uint64 {
 	x.t.Helper()
 	x.call++
-	_, err := x.do("c1", &client.Task{Verb: client.VerbSend, Token: x.sender, Topics: []string{"kept/t0"}, Key: &key, Call: x.call, Body: json.RawMessage(`"` + body + `"`)})
+	_, err := x.do("c1", &client.Request{Verb: client.VerbSend, Token: x.sender, Topics: []string{"kept/t0"}, Key: &key, CallSeq: x.call, Body: json.RawMessage(`"` + body + `"`)})
 	assert.NilError(x.t, err)
 	return x.call
 }
 
 func (x *forgetting) withdraw(key string, call uint64) (client.Withdrawal, error) {
-	a, err := x.do("c1", &client.Task{Verb: client.VerbWithdraw, Token: x.sender, Topics: []string{"kept/t0"}, Key: &key, Call: call})
+	a, err := x.do("c1", &client.Request{Verb: client.VerbWithdraw, Token: x.sender, Topics: []string{"kept/t0"}, Key: &key, CallSeq: call})
 	w, _ := a.(client.Withdrawal)
 	return w, err
 }
@@ -78,7 +78,7 @@
 	x.mu.Unlock()
 	x.wg.Go(func() {
 		for {
-			err := x.Port("a1").Follow(x.ctx, x.reader, []string{"kept/t0"}, from, func(l client.Line) error {
+			err := x.Port("a1").Follow(x.ctx, x.reader, []string{"kept/t0"}, from, func(l client.Event) error {
 				x.mu.Lock()
 				defer x.mu.Unlock()
 				x.last = l.Cursor
@@ -247,14 +247,14 @@
 		var emitted []string
 		x.wg.Go(func() {
 			defer close(ended)
-			_, _ = x.Machines["a1"].Node().Visitors.Do(x.ctx, &client.Task{Verb: client.VerbFollow, Token: a.Token, Topics: []string{"kept/t0"}, Emit: func(b []byte) error {
+			_, _ = x.Machines["a1"].Node().Visitors.Do(x.ctx, &client.Request{Verb: client.VerbFollow, Token: a.Token, Topics: []string{"kept/t0"}, Emit: func(b []byte) error {
 				if !strings.Contains(string(b), `"k"`) {
 					return nil
 				}
 				<-cut
 				emitted = append(emitted, string(b))
 				return apierror.New(apierror.SlowReader, "cut off")
-			}, Cut: func() { close(cut) }})
+			}, Abort: func() { close(cut) }})
 		})
 		time.Sleep(time.Second)
 		x.send("k", "stuck")
--- a/internal/testing/sim/urgent_test.go
+++ b/internal/testing/sim/urgent_test.go
@@ -54,11 +54,11 @@
 				got[name] = map[uint64]time.Time{}
 				mu.Unlock()
 				w.wg.Go(func() {
-					_ = w.Port(through).Follow(w.ctx, token, topics, cursor, func(l client.Line) error {
+					_ = w.Port(through).Follow(w.ctx, token, topics, cursor, func(l client.Event) error {
 						mu.Lock()
 						defer mu.Unlock()
 						if l.Topic == "stop/line" {
-							got[name][l.Call] = time.Now()
+							got[name][l.CallSeq] = time.Now()
 						}
 						return nil
 					})
--- a/internal/testing/transport/port.go
+++ b/internal/testing/transport/port.go
@@ -20,7 +20,7 @@
 type Port interface {
 	Attach(ctx context.Context, name string) (client.Attachment, error)
 	Send(ctx context.Context, token, topic string, call uint64, body []byte) (client.Receipt, error)
-	Follow(ctx context.Context, token string, topics []string, cursor string, f func(client.Line) error) error
+	Follow(ctx context.Context, token string, topics []string, cursor string, f func(client.Event) error) error
 	Put(ctx context.Context, doc []byte) (uint64, error)
 	Get(ctx context.Context) (uint64, error)
 	Shows(ctx context.Context) (seq uint64, ready bool, err error)
@@ -109,7 +109,7 @@
 const lineMost = 4 << 20
 
 // Follow reads a stream until it ends.
-func (p *HTTP) Follow(ctx context.Context, token string, topics []string, cursor string, f func(client.Line) error) error {
+func (p *HTTP) Follow(ctx context.Context, token string, topics []string, cursor string, f func(client.Event) error) error {
 	q := url.Values{"topic": topics}
 	if cursor != "" {
 		q.Set("cursor", cursor)
@@ -131,7 +131,7 @@
 	sc := bufio.NewScanner(a.Body)
 	sc.Buffer(nil, lineMost)
 	for sc.Scan() {
-		var l client.Line
+		var l client.Event
 		if err := json.Unmarshal(sc.Bytes(), &l); err != nil {
 			return apierror.Wrap(apierror.Malformed, err, "stream line")
 		}
@@ -185,33 +185,33 @@
 	}
 }
 
-func (p *Direct) do(ctx context.Context, t *client.Task) (any, error) {
+func (p *Direct) do(ctx context.Context, t *client.Request) (any, error) {
 	return p.run(ctx, func(n *Services) (any, error) { return n.Visitors.Do(ctx, t) })
 }
 
 // Attach attaches.
 func (p *Direct) Attach(ctx context.Context, name string) (client.Attachment, error) {
-	a, err := p.do(ctx, &client.Task{Verb: client.VerbAttach, Visitor: name})
+	a, err := p.do(ctx, &client.Request{Verb: client.VerbAttach, Client: name})
 	x, _ := a.(client.Attachment)
 	return x, err
 }
 
 // Send sends.
 func (p *Direct) Send(ctx context.Context, token, topic string, call uint64, body []byte) (client.Receipt, error) {
-	a, err := p.do(ctx, &client.Task{Verb: client.VerbSend, Token: token, Topics: []string{topic}, Call: call, Body: body})
+	a, err := p.do(ctx, &client.Request{Verb: client.VerbSend, Token: token, Topics: []string{topic}, CallSeq: call, Body: body})
 	x, _ := a.(client.Receipt)
 	return x, err
 }
 
 // Follow follows.
-func (p *Direct) Follow(ctx context.Context, token string, topics []string, cursor string, f func(client.Line) error) error {
+func (p *Direct) Follow(ctx context.Context, token string, topics []string, cursor string, f func(client.Event) error) error {
 	cx, stop := context.WithCancel(ctx)
 	defer stop()
-	lines := make(chan client.Line)
+	lines := make(chan client.Event)
 	done := make(chan error, 1)
 	go func() {
-		_, err := p.do(cx, &client.Task{Verb: client.VerbFollow, Token: token, Topics: topics, Cursor: cursor, Emit: func(b []byte) error {
-			var l client.Line
+		_, err := p.do(cx, &client.Request{Verb: client.VerbFollow, Token: token, Topics: topics, Cursor: cursor, Emit: func(b []byte) error {
+			var l client.Event
 			if err := json.Unmarshal(b, &l); err != nil {
 				return apierror.Wrap(apierror.Malformed, err, "stream line")
 			}
