--- a/internal/command/serve/serve.go
+++ b/internal/command/serve/serve.go
@@ -145,7 +145,7 @@
 	}
 	doors := append([]Door{
 		{Field: "fellow_listen", Address: o.PeerListen, Open: func(n *node.Node) Server { return wire.Server(n.Peers(), o.Timing()) }},
-		{Field: "listen", Address: o.Listen, Open: func(n *node.Node) Server { return httpapi.Server(callers(n), o.Timing()) }},
+		{Field: "listen", Address: o.Listen, Open: func(n *node.Node) Server { return httpapi.NewHTTPServer(callers(n), o.Timing()) }},
 	}, t.Doors...)
 	if o.ClientListen != "" {
 		doors = append(doors, Door{Field: "visit_listen", Address: o.ClientListen, Swept: true, Open: func(n *node.Node) Server { return visits(n, o, t.Words) }})
--- a/internal/httpapi/door.go
+++ b/internal/httpapi/door.go
@@ -19,11 +19,11 @@
 	"postjunction/internal/settings"
 )
 
-// Door serves one node's callers and operators.
-type Door struct {
-	Visitors  *client.Service
+// API serves one node's callers and operators.
+type API struct {
+	Clients   *client.Service
 	Operators *operator.Service
-	Bounds    settings.Timing
+	Timing    settings.Timing
 	Ready     func() error
 	mux       *http.ServeMux
 }
@@ -37,7 +37,7 @@
 type call func(w http.ResponseWriter, r *http.Request) (any, error)
 
 // Handler gives the HTTP handler.
-func (d *Door) Handler() http.Handler {
+func (d *API) Handler() http.Handler {
 	d.mux = http.NewServeMux()
 	d.add("/ready", map[string]call{"GET": d.ready})
 	d.add("/live", map[string]call{"GET": func(http.ResponseWriter, *http.Request) (any, error) { return map[string]bool{"live": true}, nil }})
@@ -57,24 +57,24 @@
 	d.add("/v1/partition", map[string]call{"GET": d.partition})
 	d.add("/v1/why", map[string]call{"GET": d.why})
 	d.mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		Turn(w, apierror.New(apierror.UnknownPath, "there is no %s", r.URL.Path))
+		WriteError(w, apierror.New(apierror.UnknownPath, "there is no %s", r.URL.Path))
 	})
 	return d.mux
 }
 
-func (d *Door) add(path string, m map[string]call) {
+func (d *API) add(path string, m map[string]call) {
 	d.mux.HandleFunc(path, func(w http.ResponseWriter, r *http.Request) {
 		f, ok := m[r.Method]
 		if !ok {
 			for k := range m {
 				w.Header().Add("Allow", k)
 			}
-			Turn(w, apierror.New(apierror.WrongMethod, "%s is not a method of %s", r.Method, path))
+			WriteError(w, apierror.New(apierror.WrongMethod, "%s is not a method of %s", r.Method, path))
 			return
 		}
 		a, err := f(w, r)
 		if err != nil {
-			Turn(w, err)
+			WriteError(w, err)
 			return
 		}
 		if a != nil {
@@ -99,8 +99,8 @@
 	RetryMS int64            `json:"retry_after_ms,omitempty"`
 }
 
-// Turn writes a problem as the answer.
-func Turn(w http.ResponseWriter, err error) {
+// WriteError writes a problem as the answer.
+func WriteError(w http.ResponseWriter, err error) {
 	p := apierror.From(err)
 	if p.RetryAfterMS > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(float64(p.RetryAfterMS)/1000))))
@@ -148,21 +148,21 @@
 	drainShape    = object([]string{"node"}, map[string]string{"node": strictjson.Text})
 )
 
-func (d *Door) ready(http.ResponseWriter, *http.Request) (any, error) {
+func (d *API) ready(http.ResponseWriter, *http.Request) (any, error) {
 	if err := d.Ready(); err != nil {
 		return nil, err
 	}
 	return map[string]bool{"ready": true}, nil
 }
 
-func (d *Door) attach(w http.ResponseWriter, r *http.Request) (any, error) {
+func (d *API) attach(w http.ResponseWriter, r *http.Request) (any, error) {
 	var q struct {
 		Visitor string `json:"visitor"`
 	}
 	if err := document(w, r, attachShape, &q); err != nil {
 		return nil, err
 	}
-	return d.Visitors.Do(r.Context(), &client.Request{Verb: client.VerbAttach, Client: q.Visitor})
+	return d.Clients.Do(r.Context(), &client.Request{Verb: client.VerbAttach, Client: q.Visitor})
 }
 
 func bearer(r *http.Request) (string, error) {
@@ -170,7 +170,7 @@
 	return t.Encode(), err
 }
 
-func (d *Door) send(w http.ResponseWriter, r *http.Request) (any, error) {
+func (d *API) send(w http.ResponseWriter, r *http.Request) (any, error) {
 	var q struct {
 		Topic string          `json:"topic"`
 		Call  uint64          `json:"call_seq"`
@@ -184,10 +184,10 @@
 	if err := document(w, r, sendShape, &q); err != nil {
 		return nil, err
 	}
-	return d.Visitors.Do(r.Context(), &client.Request{Verb: client.VerbSend, Token: t, Topics: []string{q.Topic}, CallSeq: q.Call, Key: q.Key, Body: q.Body})
+	return d.Clients.Do(r.Context(), &client.Request{Verb: client.VerbSend, Token: t, Topics: []string{q.Topic}, CallSeq: q.Call, Key: q.Key, Body: q.Body})
 }
 
-func (d *Door) withdraw(w http.ResponseWriter, r *http.Request) (any, error) {
+func (d *API) withdraw(w http.ResponseWriter, r *http.Request) (any, error) {
 	var q struct {
 		Topic string  `json:"topic"`
 		Key   *string `json:"key"`
@@ -202,10 +202,10 @@
 	if err := document(w, r, withdrawShape, &q); err != nil {
 		return nil, err
 	}
-	return d.Visitors.Do(r.Context(), &client.Request{Verb: client.VerbWithdraw, Token: t, Topics: []string{q.Topic}, CallSeq: q.Call, Key: q.Key, WithdrawSender: q.Of, WithdrawUpTo: q.Upto})
+	return d.Clients.Do(r.Context(), &client.Request{Verb: client.VerbWithdraw, Token: t, Topics: []string{q.Topic}, CallSeq: q.Call, Key: q.Key, WithdrawSender: q.Of, WithdrawUpTo: q.Upto})
 }
 
-func (d *Door) ack(w http.ResponseWriter, r *http.Request) (any, error) {
+func (d *API) ack(w http.ResponseWriter, r *http.Request) (any, error) {
 	var q struct {
 		Cursor string `json:"cursor"`
 	}
@@ -216,7 +216,7 @@
 	if err := document(w, r, ackShape, &q); err != nil {
 		return nil, err
 	}
-	return d.Visitors.Do(r.Context(), &client.Request{Verb: client.VerbAck, Token: t, Cursor: q.Cursor})
+	return d.Clients.Do(r.Context(), &client.Request{Verb: client.VerbAck, Token: t, Cursor: q.Cursor})
 }
 
 func query(r *http.Request, known ...string) error {
@@ -232,7 +232,7 @@
 	return nil
 }
 
-func (d *Door) count(_ http.ResponseWriter, r *http.Request) (any, error) {
+func (d *API) count(_ http.ResponseWriter, r *http.Request) (any, error) {
 	t, err := bearer(r)
 	if err != nil {
 		return nil, err
@@ -240,10 +240,10 @@
 	if err := query(r, "topic"); err != nil {
 		return nil, err
 	}
-	return d.Visitors.Do(r.Context(), &client.Request{Verb: client.VerbCount, Token: t, Topics: r.URL.Query()["topic"]})
+	return d.Clients.Do(r.Context(), &client.Request{Verb: client.VerbCount, Token: t, Topics: r.URL.Query()["topic"]})
 }
 
-func (d *Door) stream(w http.ResponseWriter, r *http.Request) (any, error) {
+func (d *API) stream(w http.ResponseWriter, r *http.Request) (any, error) {
 	t, err := bearer(r)
 	if err != nil {
 		return nil, err
@@ -251,19 +251,19 @@
 	if err := query(r, "topic", "cursor"); err != nil {
 		return nil, err
 	}
-	p := &paper{w: w, c: http.NewResponseController(w), most: d.Bounds.Recovery / writeShare}
-	_, err = d.Visitors.Do(r.Context(), &client.Request{Verb: client.VerbFollow, Token: t, Topics: r.URL.Query()["topic"], Cursor: r.URL.Query().Get("cursor"), Emit: p.emit, Abort: p.cut})
+	p := &paper{w: w, c: http.NewResponseController(w), most: d.Timing.Recovery / writeShare}
+	_, err = d.Clients.Do(r.Context(), &client.Request{Verb: client.VerbFollow, Token: t, Topics: r.URL.Query()["topic"], Cursor: r.URL.Query().Get("cursor"), Emit: p.emit, Abort: p.cut})
 	if p.begun {
 		return nil, nil
 	}
 	return nil, err
 }
 
-func (d *Door) readDescription(_ http.ResponseWriter, r *http.Request) (any, error) {
+func (d *API) readDescription(_ http.ResponseWriter, r *http.Request) (any, error) {
 	return d.Operators.ReadConfiguration(r.Context())
 }
 
-func (d *Door) putDescription(w http.ResponseWriter, r *http.Request) (any, error) {
+func (d *API) putDescription(w http.ResponseWriter, r *http.Request) (any, error) {
 	b, err := body(w, r, configuration.MaxBytes)
 	if err != nil {
 		return nil, err
@@ -271,7 +271,7 @@
 	return d.Operators.Put(r.Context(), b)
 }
 
-func (d *Door) drain(w http.ResponseWriter, r *http.Request) (any, error) {
+func (d *API) drain(w http.ResponseWriter, r *http.Request) (any, error) {
 	var q struct {
 		Node string `json:"node"`
 	}
@@ -281,14 +281,14 @@
 	return d.Operators.Decommission(r.Context(), q.Node)
 }
 
-func (d *Door) partition(_ http.ResponseWriter, r *http.Request) (any, error) {
+func (d *API) partition(_ http.ResponseWriter, r *http.Request) (any, error) {
 	if err := query(r, "n", "topic"); err != nil {
 		return nil, err
 	}
 	return d.Operators.Partition(r.Context(), r.URL.Query().Get("n"), r.URL.Query().Get("topic"))
 }
 
-func (d *Door) why(_ http.ResponseWriter, r *http.Request) (any, error) {
+func (d *API) why(_ http.ResponseWriter, r *http.Request) (any, error) {
 	if err := query(r, "visitor", "topic", "call_seq"); err != nil {
 		return nil, err
 	}
@@ -300,8 +300,8 @@
 	return d.Operators.Explain(r.Context(), q.Get("visitor"), q.Get("topic"), n)
 }
 
-// Server makes the HTTP server of a door.
-func Server(h http.Handler, b settings.Timing) *http.Server {
+// NewHTTPServer makes the HTTP server of a door.
+func NewHTTPServer(h http.Handler, b settings.Timing) *http.Server {
 	return &http.Server{
 		Handler:           h,
 		ReadHeaderTimeout: b.Recovery / readShare,
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -508,8 +508,8 @@
 }
 
 // Door gives the side towards callers and operators.
-func (n *Node) Door() *httpapi.Door {
-	return &httpapi.Door{Visitors: n.Visitors, Operators: n.Operators, Bounds: n.bounds(), Ready: n.Ready}
+func (n *Node) Door() *httpapi.API {
+	return &httpapi.API{Clients: n.Visitors, Operators: n.Operators, Timing: n.bounds(), Ready: n.Ready}
 }
 
 // Ready tells whether new callers should come here.
--- a/internal/testing/transport/port.go
+++ b/internal/testing/transport/port.go
@@ -151,7 +151,7 @@
 // Services are what a node offers.
 type Services struct {
 	Visitors *client.Service
-	Door     *httpapi.Door
+	Door     *httpapi.API
 	// Gone is closed when the process ends, as its connections would be.
 	Gone chan struct{}
 }
