--- a/internal/command/serve/visits.go
+++ b/internal/command/serve/visits.go
@@ -19,18 +19,18 @@
 // house lets a node's house be a host of lines.
 type house struct{ *session.Registry }
 
-// Enter begins a visit.
-func (h house) Enter(out session.Sink) lineserver.Guest { return h.Registry.NewSession(out) }
+// NewSession begins a visit.
+func (h house) NewSession(out session.Sink) lineserver.Session { return h.Registry.NewSession(out) }
 
 // visits makes the server of line sessions. Of a bounded number of descriptors, a quarter stays for peers and files.
 func visits(n *node.Node, o settings.Options, words lineserver.Codec) Server {
 	if words == nil {
 		words = jsoncodec.Codec{}
 	}
-	return lineserver.New(lineserver.Settings{
-		Host: house{n.House}, Codec: words, Clock: clock.Real{},
+	return lineserver.New(lineserver.Options{
+		Sessions: house{n.House}, Codec: words, Clock: clock.Real{},
 		Keepalive: time.Duration(o.Keepalive), Retry: o.Timing().MaxBackoff(),
-		Body: func() int { return body(o.BodyLimit, n.Board.Configuration().Limits.Body) }, Most: o.Descriptors * visitParts / descriptorParts,
+		BodyLimit: func() int { return body(o.BodyLimit, n.Board.Configuration().Limits.Body) }, MaxConnections: o.Descriptors * visitParts / descriptorParts,
 	})
 }
 
--- a/internal/lineserver/hold_test.go
+++ b/internal/lineserver/hold_test.go
@@ -23,11 +23,13 @@
 }
 
 type keeping struct {
-	lineserver.Guest
+	lineserver.Session
 	k *keeper
 }
 
-func (k *keeper) Enter(out session.Sink) lineserver.Guest { return keeping{k.hall.Enter(out), k} }
+func (k *keeper) NewSession(out session.Sink) lineserver.Session {
+	return keeping{k.hall.NewSession(out), k}
+}
 
 func (g keeping) AttachBuffer(x session.Buffer) func() {
 	g.k.mu.Lock()
--- a/internal/lineserver/jsoncodec/plain.go
+++ b/internal/lineserver/jsoncodec/plain.go
@@ -82,9 +82,9 @@
 	}()
 )
 
-// Read reads one line as a task.
-func (Codec) Read(r *bufio.Reader, body int) (session.Request, error) {
-	b, err := lineserver.Line(r, body+roomBytes)
+// ReadRequest reads one line as a task.
+func (Codec) ReadRequest(r *bufio.Reader, body int) (session.Request, error) {
+	b, err := lineserver.ReadLine(r, body+roomBytes)
 	if err != nil {
 		return session.Request{}, err
 	}
@@ -102,23 +102,23 @@
 	}
 	f, err := strictjson.Check(b, s)
 	if err != nil {
-		return t, &lineserver.Fault{Problem: err, Sure: true}
+		return t, &lineserver.Fault{Err: err, Resynced: true}
 	}
 	if len(f) > 0 {
-		return t, &lineserver.Fault{Problem: apierror.New(apierror.Malformed, "%s: %s", f[0].Path, f[0].Message).WithFaults(f), Sure: true}
+		return t, &lineserver.Fault{Err: apierror.New(apierror.Malformed, "%s: %s", f[0].Path, f[0].Message).WithFaults(f), Resynced: true}
 	}
 	if q.Key != nil && t.Key == "" {
 		return t, lineserver.Malformed(true, "$.key: is empty")
 	}
 	if len(q.Body) > body {
 		t.Body = nil
-		return t, &lineserver.Fault{Problem: apierror.New(apierror.Oversize, "the body has %d bytes, the limit is %d", len(q.Body), body), Sure: true}
+		return t, &lineserver.Fault{Err: apierror.New(apierror.Oversize, "the body has %d bytes, the limit is %d", len(q.Body), body), Resynced: true}
 	}
 	return t, nil
 }
 
-// Append writes an answer as one line.
-func (Codec) Append(b []byte, a session.Response) []byte {
+// AppendResponse writes an answer as one line.
+func (Codec) AppendResponse(b []byte, a session.Response) []byte {
 	x := answer{What: a.Type, Re: a.InReplyTo, Topic: a.Topic, From: a.From, Call: a.CallSeq, Cursor: a.Cursor, Key: a.Key, Address: a.Address, Already: a.AlreadyWithdrawn, GivenUp: a.GivenUp}
 	if a.Type == session.Counted {
 		x.Count = &a.Count
--- a/internal/lineserver/jsoncodec/plain_test.go
+++ b/internal/lineserver/jsoncodec/plain_test.go
@@ -36,7 +36,7 @@
 		{Type: session.WithdrawalComplete, Topic: "a/b", CallSeq: 12, Key: "k1", AlreadyWithdrawn: true, GivenUp: []string{"a3"}},
 		{Type: session.Rejected, InReplyTo: session.Withdraw, Topic: "a/b", CallSeq: 13, Key: "k1", GivenUp: []string{"a3"}, Err: apierror.New(apierror.WithdrawalOpen, "a2")},
 	} {
-		b = Codec{}.Append(b, a)
+		b = Codec{}.AppendResponse(b, a)
 	}
 	golden.Assert(t, string(b), "answers.jsonl")
 }
@@ -56,7 +56,7 @@
 		`{"verb":"withdraw","topic":"a/b","key":"k","call_seq":8,"of":"v2","upto":5}`: {Verb: session.Withdraw, Topic: "a/b", Key: "k", CallSeq: 8, WithdrawSender: "v2", WithdrawUpTo: 5},
 	}
 	for s, want := range cases {
-		got, err := Codec{}.Read(bufio.NewReader(strings.NewReader(s+"\n")), 64)
+		got, err := Codec{}.ReadRequest(bufio.NewReader(strings.NewReader(s+"\n")), 64)
 		assert.NilError(t, err, s)
 		assert.DeepEqual(t, got, want)
 	}
@@ -85,11 +85,11 @@
 	}
 	for s, want := range cases {
 		r := bufio.NewReader(strings.NewReader(s + "\n" + `{"verb":"pulse"}` + "\n"))
-		_, err := Codec{}.Read(r, 5)
+		_, err := Codec{}.ReadRequest(r, 5)
 		assert.Error(t, err, want, s)
 		var f *lineserver.Fault
-		assert.Assert(t, errors.As(err, &f) && f.Sure, s)
-		next, err := Codec{}.Read(r, 5)
+		assert.Assert(t, errors.As(err, &f) && f.Resynced, s)
+		next, err := Codec{}.ReadRequest(r, 5)
 		assert.NilError(t, err)
 		assert.Equal(t, next.Verb, session.Heartbeat)
 	}
@@ -103,7 +103,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r := bufio.NewReaderSize(bytes.NewReader(b), 64)
 		for n := 0; ; n++ {
-			q, err := Codec{}.Read(r, 32)
+			q, err := Codec{}.ReadRequest(r, 32)
 			assert.Assert(t, len(q.Body) <= 32)
 			var x *lineserver.Fault
 			if err != nil && !errors.As(err, &x) {
--- a/internal/lineserver/lines.go
+++ b/internal/lineserver/lines.go
@@ -15,38 +15,38 @@
 	"postjunction/internal/clock"
 )
 
-// Guest is one visitor's stay. Do never blocks for long and keeps the order of calls; End ends the stay, once.
-type Guest interface {
+// Session is one visitor's stay. Do never blocks for long and keeps the order of calls; End ends the stay, once.
+type Session interface {
 	Do(session.Request)
 	End()
 }
 
-// Holding is a guest who minds where its answers wait, so that they can be taken back. The function that it gives is called once none waits there any more.
-type Holding interface {
+// Buffered is a guest who minds where its answers wait, so that they can be taken back. The function that it gives is called once none waits there any more.
+type Buffered interface {
 	AttachBuffer(x session.Buffer) func()
 }
 
-// Host takes visitors in. Answers come through out, from any goroutine.
-type Host interface {
-	Enter(out session.Sink) Guest
+// Sessions takes visitors in. Answers come through out, from any goroutine.
+type Sessions interface {
+	NewSession(out session.Sink) Session
 }
 
 // Codec is the words of a kind of line. Read gives the next task; body is the largest body in bytes. A line that can't be taken is a
 // *Fault together with what is known of the task; any other error ends the connection. Append writes an answer.
 type Codec interface {
-	Read(r *bufio.Reader, body int) (session.Request, error)
-	Append(b []byte, a session.Response) []byte
+	ReadRequest(r *bufio.Reader, body int) (session.Request, error)
+	AppendResponse(b []byte, a session.Response) []byte
 }
 
-// Settings of a server. Most bounds the connections, 0 for no bound; Retry is the pause after a failed accept.
-type Settings struct {
-	Host      Host
-	Codec     Codec
-	Clock     clock.Clock
-	Keepalive time.Duration
-	Retry     time.Duration
-	Body      func() int
-	Most      int
+// Options of a server. Most bounds the connections, 0 for no bound; Retry is the pause after a failed accept.
+type Options struct {
+	Sessions       Sessions
+	Codec          Codec
+	Clock          clock.Clock
+	Keepalive      time.Duration
+	Retry          time.Duration
+	BodyLimit      func() int
+	MaxConnections int
 }
 
 const (
@@ -60,7 +60,7 @@
 
 // Server serves visits.
 type Server struct {
-	s      Settings
+	s      Options
 	tick   atomic.Int64
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -73,7 +73,7 @@
 }
 
 // New makes a server.
-func New(s Settings) *Server {
+func New(s Options) *Server {
 	v := &Server{s: s, ls: map[net.Listener]struct{}{}, conns: map[*conn]struct{}{}}
 	v.ctx, v.cancel = context.WithCancel(context.Background())
 	v.wg.Go(v.sweep)
@@ -106,7 +106,7 @@
 	c := &conn{v: v, n: n}
 	c.seen.Store(v.tick.Load())
 	v.mu.Lock()
-	ok := !v.closed && (v.s.Most == 0 || len(v.conns) < v.s.Most)
+	ok := !v.closed && (v.s.MaxConnections == 0 || len(v.conns) < v.s.MaxConnections)
 	if ok {
 		v.conns[c] = struct{}{}
 		v.wg.Add(1)
@@ -206,8 +206,8 @@
 
 func (c *conn) serve() {
 	defer c.v.drop(c)
-	g := c.v.s.Host.Enter(c.put)
-	if x, ok := g.(Holding); ok {
+	g := c.v.s.Sessions.NewSession(c.put)
+	if x, ok := g.(Buffered); ok {
 		c.freed = x.AttachBuffer(c)
 	}
 	r := bufio.NewReaderSize(c.n, readBytes)
@@ -218,8 +218,8 @@
 	c.finish()
 }
 
-func (c *conn) next(r *bufio.Reader, g Guest) bool {
-	t, err := c.v.s.Codec.Read(r, c.v.s.Body())
+func (c *conn) next(r *bufio.Reader, g Session) bool {
+	t, err := c.v.s.Codec.ReadRequest(r, c.v.s.BodyLimit())
 	c.seen.Store(c.v.tick.Load())
 	if err == nil {
 		g.Do(t)
@@ -229,8 +229,8 @@
 	if !errors.As(err, &f) {
 		return false
 	}
-	c.put(session.Response{Type: session.Rejected, InReplyTo: t.Verb, Topic: t.Topic, CallSeq: t.CallSeq, Err: f.Problem})
-	return f.Sure
+	c.put(session.Response{Type: session.Rejected, InReplyTo: t.Verb, Topic: t.Topic, CallSeq: t.CallSeq, Err: f.Err})
+	return f.Resynced
 }
 
 // put adds an answer to what waits to be written. A visitor that leaves too much unread is cut.
@@ -244,7 +244,7 @@
 		c.out = *buffers.Get().(*[]byte)
 	}
 	n := len(c.out)
-	c.out = c.v.s.Codec.Append(c.out, a)
+	c.out = c.v.s.Codec.AppendResponse(c.out, a)
 	if a.Key != "" && a.Type == session.Message {
 		c.kept = append(c.kept, span{a.Partition, a.Topic, a.Key, a.Offset, n, len(c.out)})
 	}
@@ -335,17 +335,17 @@
 
 // Fault is a line that could not be taken. Sure tells that the next line surely begins where reading goes on.
 type Fault struct {
-	Problem error
-	Sure    bool
+	Err      error
+	Resynced bool
 }
 
 // Error gives the problem's sentence.
-func (f *Fault) Error() string { return f.Problem.Error() }
+func (f *Fault) Error() string { return f.Err.Error() }
 
 // Unwrap gives the problem.
-func (f *Fault) Unwrap() error { return f.Problem }
+func (f *Fault) Unwrap() error { return f.Err }
 
 // Malformed is a fault of a line that can't be read.
 func Malformed(sure bool, say string, a ...any) *Fault {
-	return &Fault{Problem: apierror.New(apierror.Malformed, say, a...), Sure: sure}
+	return &Fault{Err: apierror.New(apierror.Malformed, say, a...), Resynced: sure}
 }
--- a/internal/lineserver/lines_test.go
+++ b/internal/lineserver/lines_test.go
@@ -65,7 +65,7 @@
 	out session.Sink
 }
 
-func (h *hall) Enter(out session.Sink) lineserver.Guest {
+func (h *hall) NewSession(out session.Sink) lineserver.Session {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.outs = append(h.outs, out)
@@ -97,11 +97,11 @@
 	playWith(t, most, h, h, f)
 }
 
-func playWith(t *testing.T, most int, h *hall, x lineserver.Host, f func(t *testing.T, s *lineserver.Server, l *pipes)) {
+func playWith(t *testing.T, most int, h *hall, x lineserver.Sessions, f func(t *testing.T, s *lineserver.Server, l *pipes)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := lineserver.New(lineserver.Settings{
-			Host: x, Codec: jsoncodec.Codec{}, Clock: clock.Real{}, Keepalive: keepalive, Retry: 200 * time.Millisecond,
-			Body: func() int { return 64 }, Most: most,
+		s := lineserver.New(lineserver.Options{
+			Sessions: x, Codec: jsoncodec.Codec{}, Clock: clock.Real{}, Keepalive: keepalive, Retry: 200 * time.Millisecond,
+			BodyLimit: func() int { return 64 }, MaxConnections: most,
 		})
 		l := listen()
 		done := make(chan error, 1)
@@ -280,7 +280,7 @@
 // Whoever ends its side still gets what was answered.
 func TestLastAnswersAreWritten(t *testing.T) {
 	h := &hall{do: echo}
-	s := lineserver.New(lineserver.Settings{Host: h, Codec: jsoncodec.Codec{}, Clock: clock.Real{}, Keepalive: keepalive, Retry: keepalive, Body: func() int { return 64 }})
+	s := lineserver.New(lineserver.Options{Sessions: h, Codec: jsoncodec.Codec{}, Clock: clock.Real{}, Keepalive: keepalive, Retry: keepalive, BodyLimit: func() int { return 64 }})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	done := make(chan error)
@@ -298,7 +298,7 @@
 
 func TestNobodyTurnsAway(t *testing.T) {
 	var got []session.Response
-	g := lineserver.Nobody{}.Enter(func(a session.Response) { got = append(got, a) })
+	g := lineserver.Unavailable{}.NewSession(func(a session.Response) { got = append(got, a) })
 	g.Do(session.Request{Verb: session.Heartbeat})
 	g.Do(session.Request{Verb: session.Subscribe, Topic: "a"})
 	g.End()
--- a/internal/lineserver/nobody.go
+++ b/internal/lineserver/nobody.go
@@ -5,13 +5,13 @@
 	"postjunction/internal/client/session"
 )
 
-// Nobody is a host with nothing behind it: it gives signs of life and turns all else away.
-type Nobody struct{}
+// Unavailable is a host with nothing behind it: it gives signs of life and turns all else away.
+type Unavailable struct{}
 
 type alone struct{ out session.Sink }
 
-// Enter takes a visitor in.
-func (Nobody) Enter(out session.Sink) Guest { return alone{out} }
+// NewSession takes a visitor in.
+func (Unavailable) NewSession(out session.Sink) Session { return alone{out} }
 
 // Do turns a task away.
 func (a alone) Do(t session.Request) {
--- a/internal/lineserver/read.go
+++ b/internal/lineserver/read.go
@@ -9,9 +9,9 @@
 	"postjunction/internal/apierror"
 )
 
-// Line reads one line of at most most bytes without its end, LF or CRLF. It is valid until the next read. A longer line is skipped and is
+// ReadLine reads one line of at most most bytes without its end, LF or CRLF. It is valid until the next read. A longer line is skipped and is
 // a fault; a line without its end is dropped.
-func Line(r *bufio.Reader, most int) ([]byte, error) {
+func ReadLine(r *bufio.Reader, most int) ([]byte, error) {
 	b, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
 		var all []byte
@@ -31,7 +31,7 @@
 	}
 	b = bytes.TrimSuffix(b[:len(b)-1], []byte("\r"))
 	if len(b) > most {
-		return nil, &Fault{Problem: apierror.New(apierror.Oversize, "the line is longer than %d bytes", most), Sure: true}
+		return nil, &Fault{Err: apierror.New(apierror.Oversize, "the line is longer than %d bytes", most), Resynced: true}
 	}
 	return b, nil
 }
@@ -39,12 +39,12 @@
 // skipShare is how many times the limit a body may have to be skipped; after a longer one the connection ends.
 const skipShare = 64
 
-// Body reads n bytes and the line's end after them, CRLF. A body longer than most is skipped and is a fault.
-func Body(r *bufio.Reader, n, most int) ([]byte, error) {
+// ReadBody reads n bytes and the line's end after them, CRLF. A body longer than most is skipped and is a fault.
+func ReadBody(r *bufio.Reader, n, most int) ([]byte, error) {
 	if n > most {
-		long := &Fault{Problem: apierror.New(apierror.Oversize, "the body has %d bytes, the limit is %d", n, most), Sure: true}
+		long := &Fault{Err: apierror.New(apierror.Oversize, "the body has %d bytes, the limit is %d", n, most), Resynced: true}
 		if n/skipShare > most {
-			long.Sure = false
+			long.Resynced = false
 			return nil, long
 		}
 		if _, err := r.Discard(n); err != nil {
@@ -73,11 +73,11 @@
 	return nil
 }
 
-// Last makes a fault one after which the connection ends.
-func Last(err error) error {
+// Fatal makes a fault one after which the connection ends.
+func Fatal(err error) error {
 	var f *Fault
 	if errors.As(err, &f) {
-		return &Fault{Problem: f.Problem}
+		return &Fault{Err: f.Err}
 	}
 	return err
 }
--- a/internal/testing/sim/socket.go
+++ b/internal/testing/sim/socket.go
@@ -162,17 +162,17 @@
 
 const wordsMost = 64 << 10
 
-// Read reads one line as a task.
-func (words) Read(r *bufio.Reader, _ int) (t session.Request, err error) {
-	b, err := lineserver.Line(r, wordsMost)
+// ReadRequest reads one line as a task.
+func (words) ReadRequest(r *bufio.Reader, _ int) (t session.Request, err error) {
+	b, err := lineserver.ReadLine(r, wordsMost)
 	if err != nil {
 		return t, err
 	}
 	return t, json.Unmarshal(b, &t)
 }
 
-// Append writes an answer as one line.
-func (words) Append(b []byte, a session.Response) []byte {
+// AppendResponse writes an answer as one line.
+func (words) AppendResponse(b []byte, a session.Response) []byte {
 	w := worded{Response: a}
 	if a.Err != nil {
 		w.Err = apierror.From(a.Err)
@@ -236,8 +236,8 @@
 
 type house struct{ *session.Registry }
 
-// Enter begins a visit.
-func (h house) Enter(out session.Sink) lineserver.Guest { return h.Registry.NewSession(out) }
+// NewSession begins a visit.
+func (h house) NewSession(out session.Sink) lineserver.Session { return h.Registry.NewSession(out) }
 
 // porch is what serves visits on a machine's process.
 type porch struct {
@@ -249,8 +249,8 @@
 
 func (m *Machine) opened(n *node.Node) *porch {
 	p := &porch{l: &calls{c: make(chan net.Conn), done: make(chan struct{})}}
-	p.s = lineserver.New(lineserver.Settings{
-		Host: house{n.House}, Codec: words{}, Clock: machineClock{m}, Keepalive: Habits().Keepalive, Retry: m.w.Site.Bounds.MaxBackoff(), Body: func() int { return bodyMost },
+	p.s = lineserver.New(lineserver.Options{
+		Sessions: house{n.House}, Codec: words{}, Clock: machineClock{m}, Keepalive: Habits().Keepalive, Retry: m.w.Site.Bounds.MaxBackoff(), BodyLimit: func() int { return bodyMost },
 	})
 	go func() { _ = p.s.Serve(p.l) }()
 	return p
