--- a/internal/partitionlog/leader/marks_test.go
+++ b/internal/partitionlog/leader/marks_test.go
@@ -727,7 +727,7 @@
 		r.polls("a1", "b", at)
 		r.st.DropTombstone(state.Key("t", "k"))
 		cl := r.tracks[log.KindChangelog]
-		for _, e := range append(changelog.Pack(r.st.Input, r.st.TakeChanges(), false), changelog.PackCommit(changelog.Commit{Input: r.st.Input})) {
+		for _, e := range append(changelog.EncodeBatch(r.st.Input, r.st.TakeChanges(), false), changelog.EncodeCommit(changelog.Commit{Input: r.st.Input})) {
 			cl.push(e, 1)
 		}
 		cl.line.Append(time.Now(), cl.pending...)
--- a/internal/partitionlog/leader/takeover.go
+++ b/internal/partitionlog/leader/takeover.go
@@ -368,7 +368,7 @@
 	o.tally.Batches++
 	o.tally.Items += uint64(len(items))
 	o.mu.Unlock()
-	at, err := o.push(log.KindChangelog, changelog.Pack(input, items, whole)...)
+	at, err := o.push(log.KindChangelog, changelog.EncodeBatch(input, items, whole)...)
 	if err == nil && len(items) > 0 {
 		err = o.await(ctx, log.KindChangelog, at)
 	}
@@ -379,7 +379,7 @@
 	if whole {
 		c.Base = before
 	}
-	if at, err = o.push(log.KindChangelog, changelog.PackCommit(c)); err != nil {
+	if at, err = o.push(log.KindChangelog, changelog.EncodeCommit(c)); err != nil {
 		return err
 	}
 	if err := o.await(ctx, log.KindChangelog, at); err != nil {
--- a/internal/samza/changelog/changelog.go
+++ b/internal/samza/changelog/changelog.go
@@ -11,11 +11,11 @@
 
 // Batch is a part of the latest values of changed keys, as of an input offset.
 type Batch struct {
-	Input uint64       `json:"i"`
-	Part  int          `json:"p"`
-	Parts int          `json:"n"`
-	Whole bool         `json:"w,omitempty"`
-	Items []state.Item `json:"s"`
+	Input    uint64       `json:"i"`
+	Part     int          `json:"p"`
+	Parts    int          `json:"n"`
+	Complete bool         `json:"w,omitempty"`
+	Items    []state.Item `json:"s"`
 }
 
 // Commit says that the state up to an input offset is durable; Base is where a compacted changelog starts.
@@ -26,20 +26,20 @@
 
 const itemsPerPart = 256
 
-// Pack makes the entries of one batch; whole marks a compaction.
-func Pack(input uint64, items []state.Item, whole bool) []log.Entry {
+// EncodeBatch makes the entries of one batch; whole marks a compaction.
+func EncodeBatch(input uint64, items []state.Item, whole bool) []log.Entry {
 	n := (len(items) + itemsPerPart - 1) / itemsPerPart
 	var es []log.Entry
 	for i := range n {
 		to := min((i+1)*itemsPerPart, len(items))
-		b, _ := json.Marshal(Batch{Input: input, Part: i, Parts: n, Whole: whole, Items: items[i*itemsPerPart : to]})
+		b, _ := json.Marshal(Batch{Input: input, Part: i, Parts: n, Complete: whole, Items: items[i*itemsPerPart : to]})
 		es = append(es, log.Entry{Type: log.TypeBatch, Body: b})
 	}
 	return es
 }
 
-// PackCommit makes the entry that commits an input offset.
-func PackCommit(c Commit) log.Entry {
+// EncodeCommit makes the entry that commits an input offset.
+func EncodeCommit(c Commit) log.Entry {
 	b, _ := json.Marshal(c)
 	return log.Entry{Type: log.TypeOffset, Body: b}
 }
--- a/internal/samza/changelog/changelog_test.go
+++ b/internal/samza/changelog/changelog_test.go
@@ -32,7 +32,7 @@
 	whole := apply(state.New(), es)
 	for _, cut := range []int{0, 1, 2500, 5001, 5002} {
 		s := apply(state.New(), es[:cut])
-		changes := append(Pack(s.Input, s.TakeChanges(), false), PackCommit(Commit{Input: s.Input}))
+		changes := append(EncodeBatch(s.Input, s.TakeChanges(), false), EncodeCommit(Commit{Input: s.Input}))
 		got := state.New()
 		in, err := Replay(got, 0, changes)
 		assert.NilError(t, err)
@@ -49,7 +49,7 @@
 
 func TestBatchIsAppliedOnlyWhole(t *testing.T) {
 	s := apply(state.New(), ledger(5000))
-	changes := Pack(s.Input, s.TakeChanges(), false)
+	changes := EncodeBatch(s.Input, s.TakeChanges(), false)
 	assert.Assert(t, len(changes) > 2)
 	got := state.New()
 	in, err := Replay(got, 0, changes[:len(changes)-1])
@@ -67,9 +67,9 @@
 func TestBatchWithoutItsRecordKnowsItsAnswers(t *testing.T) {
 	es := ledger(5000)
 	s := apply(state.New(), es[:2000])
-	changes := append(Pack(s.Input, s.TakeChanges(), false), PackCommit(Commit{Input: s.Input}))
+	changes := append(EncodeBatch(s.Input, s.TakeChanges(), false), EncodeCommit(Commit{Input: s.Input}))
 	apply(s, es[2000:])
-	changes = append(changes, Pack(s.Input, s.TakeChanges(), false)...)
+	changes = append(changes, EncodeBatch(s.Input, s.TakeChanges(), false)...)
 	got := state.New()
 	in, err := Replay(got, 0, changes)
 	assert.NilError(t, err)
--- a/internal/samza/changelog/marks_test.go
+++ b/internal/samza/changelog/marks_test.go
@@ -24,18 +24,18 @@
 	for cut := range len(es) + 1 {
 		for _, whole := range []bool{false, true} {
 			s := apply(state.New(), es[:cut])
-			changes := append(Pack(s.Input, s.TakeChanges(), false), PackCommit(Commit{Input: s.Input}))
+			changes := append(EncodeBatch(s.Input, s.TakeChanges(), false), EncodeCommit(Commit{Input: s.Input}))
 			apply(s, es[cut:])
 			s.DropTombstone(state.Key("t", "k"))
 			if whole {
 				s.MarkAllChanged()
 			}
-			changes = append(changes, Pack(s.Input, s.TakeChanges(), whole)...)
-			in, err := Replay(state.New(), 0, append(changes[:len(changes):len(changes)], PackCommit(Commit{Input: s.Input})))
+			changes = append(changes, EncodeBatch(s.Input, s.TakeChanges(), whole)...)
+			in, err := Replay(state.New(), 0, append(changes[:len(changes):len(changes)], EncodeCommit(Commit{Input: s.Input})))
 			assert.NilError(t, err)
 			assert.Equal(t, in, uint64(len(es)))
 			got := state.New()
-			_, err = Replay(got, 0, append(changes, PackCommit(Commit{Input: s.Input})))
+			_, err = Replay(got, 0, append(changes, EncodeCommit(Commit{Input: s.Input})))
 			assert.NilError(t, err)
 			for _, x := range []*state.State{got, unpacked(t, got)} {
 				assert.DeepEqual(t, x.Tombstones, map[string]state.Tombstone{state.Key("t", "l"): {Offset: 6, Client: "w", CallSeq: 1}})
