--- a/internal/control/acceptor/voter.go
+++ b/internal/control/acceptor/voter.go
@@ -51,7 +51,7 @@
 }
 
 // Restore takes back a record.
-func (v *Acceptor) Restore(r journal.Rec) error {
+func (v *Acceptor) Restore(r journal.Record) error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if r.Kind == recordtype.Slot {
@@ -84,21 +84,21 @@
 }
 
 // Slices gives the live records: the roster clears the slots that stand before them, so that they are one slice.
-func (v *Acceptor) Slices() []journal.Slice { return journal.Whole(v.dump) }
+func (v *Acceptor) Slices() []journal.Slice { return journal.EncodeAll(v.dump) }
 
-func (v *Acceptor) dump() []journal.Rec {
+func (v *Acceptor) dump() []journal.Record {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	rs := []journal.Rec{rec(recordtype.Roster, rosterRec{Roster: v.roster, Founding: v.founding, Clear: true})}
+	rs := []journal.Record{rec(recordtype.Roster, rosterRec{Roster: v.roster, Founding: v.founding, Clear: true})}
 	for k, s := range v.slots {
 		rs = append(rs, rec(recordtype.Slot, slotRec{Key: k, Slot: s}))
 	}
 	return rs
 }
 
-func rec(k uint16, x any) journal.Rec {
+func rec(k uint16, x any) journal.Record {
 	b, _ := json.Marshal(x)
-	return journal.Rec{Kind: k, Body: b}
+	return journal.Record{Kind: k, Body: b}
 }
 
 // VoterSet gives the roster that this voter is under; its sequence is 0 before founding.
@@ -283,7 +283,7 @@
 		return nil, apierror.New(apierror.DiskForeign, "this disk is of fleet %s", cur.Fleet)
 	}
 	slots := make(map[string]Slot, len(q.Slots))
-	rs := []journal.Rec{rec(recordtype.Roster, rosterRec{Roster: q.VoterSet, Clear: true})}
+	rs := []journal.Record{rec(recordtype.Roster, rosterRec{Roster: q.VoterSet, Clear: true})}
 	for k, s := range q.Slots {
 		if k == VoterSetKey {
 			continue
--- a/internal/disk/frame/frame.go
+++ b/internal/disk/frame/frame.go
@@ -18,24 +18,24 @@
 
 // Frame is one record: its kind, its place in its line, the last index synced when it was written, and its body.
 type Frame struct {
-	Kind   uint16
-	Index  uint64
-	Mark   uint64
-	Epoch  uint64
-	Offset uint64
-	Body   []byte
+	Kind        uint16
+	Index       uint64
+	SyncedIndex uint64
+	Epoch       uint64
+	Offset      uint64
+	Body        []byte
 }
 
 var table = crc32.MakeTable(crc32.Castagnoli)
 
-// Pack gives the bytes of a frame.
-func Pack(f Frame) []byte {
+// Encode gives the bytes of a frame.
+func Encode(f Frame) []byte {
 	b := make([]byte, Size+len(f.Body))
 	binary.LittleEndian.PutUint16(b[4:], magic)
 	b[6] = Format
 	b[7] = byte(f.Kind)
 	binary.LittleEndian.PutUint64(b[8:], f.Index)
-	binary.LittleEndian.PutUint64(b[16:], f.Mark)
+	binary.LittleEndian.PutUint64(b[16:], f.SyncedIndex)
 	binary.LittleEndian.PutUint64(b[24:], f.Epoch)
 	binary.LittleEndian.PutUint64(b[32:], f.Offset)
 	copy(b[Size:], f.Body)
@@ -48,8 +48,8 @@
 	return b
 }
 
-// Unpack reads a frame and checks its sum, its format and its index.
-func Unpack(i uint64, b []byte) (Frame, error) {
+// Decode reads a frame and checks its sum, its format and its index.
+func Decode(i uint64, b []byte) (Frame, error) {
 	if len(b) < Size {
 		return Frame{}, apierror.New(apierror.DiskDamaged, "record %d has %d bytes, fewer than its header", i, len(b))
 	}
@@ -63,12 +63,12 @@
 		return Frame{}, apierror.New(apierror.DiskNewer, "record %d has format %d, this build knows %d", i, b[6], Format)
 	}
 	f := Frame{
-		Kind:   uint16(b[7]),
-		Index:  binary.LittleEndian.Uint64(b[8:]),
-		Mark:   binary.LittleEndian.Uint64(b[16:]),
-		Epoch:  binary.LittleEndian.Uint64(b[24:]),
-		Offset: binary.LittleEndian.Uint64(b[32:]),
-		Body:   b[Size:],
+		Kind:        uint16(b[7]),
+		Index:       binary.LittleEndian.Uint64(b[8:]),
+		SyncedIndex: binary.LittleEndian.Uint64(b[16:]),
+		Epoch:       binary.LittleEndian.Uint64(b[24:]),
+		Offset:      binary.LittleEndian.Uint64(b[32:]),
+		Body:        b[Size:],
 	}
 	if f.Index != i {
 		return Frame{}, apierror.New(apierror.DiskDamaged, "record %d says that it is %d", i, f.Index)
--- a/internal/disk/identity/identity.go
+++ b/internal/disk/identity/identity.go
@@ -27,15 +27,15 @@
 }
 
 // Restore takes back the record.
-func (p *Part) Restore(r journal.Rec) error {
+func (p *Part) Restore(r journal.Record) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return apierror.Wrap(apierror.DiskDamaged, json.Unmarshal(r.Body, &p.id), "read the identity of the disk")
 }
 
-func (p *Part) rec(i Identity) journal.Rec {
+func (p *Part) rec(i Identity) journal.Record {
 	b, _ := json.Marshal(i)
-	return journal.Rec{Kind: recordtype.Identity, Body: b}
+	return journal.Record{Kind: recordtype.Identity, Body: b}
 }
 
 // LiveSize counts the record.
@@ -43,7 +43,7 @@
 
 // Slices gives the record.
 func (p *Part) Slices() []journal.Slice {
-	return journal.Whole(func() []journal.Rec { return []journal.Rec{p.rec(p.Get())} })
+	return journal.EncodeAll(func() []journal.Record { return []journal.Record{p.rec(p.Get())} })
 }
 
 // Get gives the identity.
--- a/internal/disk/journal/anew.go
+++ b/internal/disk/journal/anew.go
@@ -10,11 +10,11 @@
 
 // Slice gives some of a part's live records as they are now, and whether more are to come. Restored after all that the log held when it was
 // taken, a slice changes nothing; restored after only what the log got since the writing anew began, all slices make the part whole.
-type Slice func() (recs []Rec, more bool)
+type Slice func() (recs []Record, more bool)
 
-// Whole makes one slice of all records.
-func Whole(dump func() []Rec) []Slice {
-	return []Slice{func() ([]Rec, bool) { return dump(), false }}
+// EncodeAll makes one slice of all records.
+func EncodeAll(dump func() []Record) []Slice {
+	return []Slice{func() ([]Record, bool) { return dump(), false }}
 }
 
 // anew is a writing anew under way: one slice at a time, along with what others put. The front is cut once all are written.
@@ -55,21 +55,21 @@
 	return true
 }
 
-func (j *Journal) slice() []Rec {
+func (j *Journal) slice() []Record {
 	for a := j.anew; a != nil && len(a.slices) > 0; {
 		rs, more := a.slices[0]()
 		if !more {
 			a.slices = a.slices[1:]
 		}
 		if len(rs) > 0 {
-			return append(append([]Rec{{Kind: recordtype.AnewBegins}}, rs...), Rec{Kind: recordtype.AnewEnds})
+			return append(append([]Record{{Kind: recordtype.AnewBegins}}, rs...), Record{Kind: recordtype.AnewEnds})
 		}
 	}
 	return nil
 }
 
 // along gives a slice to be written with what others put: it costs no sync of its own. Urgent puts go alone, but not for ever.
-func (j *Journal) along(urgent bool) []Rec {
+func (j *Journal) along(urgent bool) []Record {
 	if j.passed++; urgent && j.passed < passMost {
 		return nil
 	}
@@ -188,7 +188,7 @@
 	for end := min(c.next+scrubSlice, c.last+1); c.next < end; c.next++ {
 		b, err := j.log.Read(c.next)
 		if err == nil {
-			_, err = frame.Unpack(c.next, b)
+			_, err = frame.Decode(c.next, b)
 		}
 		if err != nil {
 			c.rotten++
--- a/internal/disk/journal/journal.go
+++ b/internal/disk/journal/journal.go
@@ -12,8 +12,8 @@
 	"postjunction/internal/recordtype"
 )
 
-// Rec is a record to be written.
-type Rec struct {
+// Record is a record to be written.
+type Record struct {
 	Kind   uint16
 	Epoch  uint64
 	Offset uint64
@@ -23,13 +23,13 @@
 // Part is a holder of state in the journal: it takes back records at open, tells how many of them live and, at most, how many bytes their
 // bodies have, and gives the live ones in slices when the log is written anew. What puts change is seen only by the journal's own steps.
 type Part interface {
-	Restore(r Rec) error
+	Restore(r Record) error
 	LiveSize() (records int, bytes int64)
 	Slices() []Slice
 }
 
-// Tally counts the journal's work.
-type Tally struct {
+// Counters counts the journal's work.
+type Counters struct {
 	Records     uint64 `json:"Records"`
 	Batches     uint64 `json:"Batches"`
 	Compactions uint64 `json:"Compactions"`
@@ -45,7 +45,7 @@
 }
 
 type put struct {
-	recs  []Rec
+	recs  []Record
 	apply func()
 	after func()
 	done  chan error
@@ -72,7 +72,7 @@
 	base   uint64
 	live   uint64
 	closed bool
-	tally  Tally
+	tally  Counters
 	fault  error
 	doubt  bool
 	room   room
@@ -111,7 +111,7 @@
 		b, err := j.log.Read(i)
 		var f frame.Frame
 		if err == nil {
-			f, err = frame.Unpack(i, b)
+			f, err = frame.Decode(i, b)
 		}
 		if err != nil {
 			if apierror.HasCode(err, apierror.DiskNewer) || apierror.HasCode(err, apierror.DiskForeign) {
@@ -122,7 +122,7 @@
 			}
 			continue
 		}
-		mark = max(mark, f.Mark)
+		mark = max(mark, f.SyncedIndex)
 		if bad == 0 {
 			fs = append(fs, f)
 		}
@@ -183,7 +183,7 @@
 		if !ok {
 			continue
 		}
-		if err := p.Restore(Rec{Kind: f.Kind, Epoch: f.Epoch, Offset: f.Offset, Body: append([]byte(nil), f.Body...)}); err != nil {
+		if err := p.Restore(Record{Kind: f.Kind, Epoch: f.Epoch, Offset: f.Offset, Body: append([]byte(nil), f.Body...)}); err != nil {
 			return r, err
 		}
 	}
@@ -335,7 +335,7 @@
 		if err != nil {
 			return err
 		}
-		if _, err := frame.Unpack(i, b); err != nil {
+		if _, err := frame.Decode(i, b); err != nil {
 			return err
 		}
 	}
@@ -346,10 +346,10 @@
 	return nil
 }
 
-func (j *Journal) commit(rs []Rec) error {
+func (j *Journal) commit(rs []Record) error {
 	bs := make([][]byte, len(rs))
 	for i, r := range rs {
-		bs[i] = frame.Pack(frame.Frame{Kind: r.Kind, Index: j.next + uint64(i), Mark: j.mark, Epoch: r.Epoch, Offset: r.Offset, Body: r.Body})
+		bs[i] = frame.Encode(frame.Frame{Kind: r.Kind, Index: j.next + uint64(i), SyncedIndex: j.mark, Epoch: r.Epoch, Offset: r.Offset, Body: r.Body})
 	}
 	if len(bs) > 0 {
 		if err := j.log.Write(j.next, bs); err != nil {
@@ -377,13 +377,13 @@
 }
 
 // Put makes records durable, then runs apply in the order of the log, then returns. When ctx ends first, the records may still come to stand.
-func (j *Journal) Put(ctx context.Context, urgent bool, apply func(), recs ...Rec) error {
+func (j *Journal) Put(ctx context.Context, urgent bool, apply func(), recs ...Record) error {
 	return j.put(ctx, put{recs: recs, apply: apply, done: make(chan error, 1)}, lane[urgent])
 }
 
 // PutIn is Put in a turn in which the records were made from what stands. The turn is kept until it is settled whether they stand, also where
 // ctx ends before that: whoever has the next turn must not go by what stood before them.
-func (j *Journal) PutIn(ctx context.Context, t *keylock.Shared, urgent bool, apply func(), recs ...Rec) error {
+func (j *Journal) PutIn(ctx context.Context, t *keylock.Shared, urgent bool, apply func(), recs ...Record) error {
 	return j.put(ctx, put{recs: recs, apply: apply, after: t.Retain(), done: make(chan error, 1)}, lane[urgent])
 }
 
@@ -414,15 +414,15 @@
 	}
 }
 
-// Tally gives the counts so far.
-func (j *Journal) Tally() Tally {
+// Counters gives the counts so far.
+func (j *Journal) Counters() Counters {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.tally
 }
 
-// Fault gives the last failure of the disk, nil once it works again.
-func (j *Journal) Fault() error {
+// Failure gives the last failure of the disk, nil once it works again.
+func (j *Journal) Failure() error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.fault
@@ -434,5 +434,5 @@
 func (j *Journal) Probe(ctx context.Context, limit time.Duration) error {
 	ctx, stop := context.WithTimeout(ctx, limit)
 	defer stop()
-	return j.Put(ctx, true, nil, Rec{Kind: recordtype.Probe, Body: make([]byte, probeBytes)})
+	return j.Put(ctx, true, nil, Record{Kind: recordtype.Probe, Body: make([]byte, probeBytes)})
 }
--- a/internal/disk/journal/journal_test.go
+++ b/internal/disk/journal/journal_test.go
@@ -53,7 +53,7 @@
 	return j
 }
 
-func rec(s string) journal.Rec { return journal.Rec{Kind: 1, Body: []byte(s)} }
+func rec(s string) journal.Record { return journal.Record{Kind: 1, Body: []byte(s)} }
 
 // Urgent records share neither a write nor a sync with the routine ones that came before them.
 func TestUrgentRecordsAreWrittenAloneAndNext(t *testing.T) {
@@ -88,7 +88,7 @@
 		j := boot(t, l)
 		const many = 3000
 		for range many / 100 {
-			var rs []journal.Rec
+			var rs []journal.Record
 			for range 100 {
 				rs = append(rs, rec("r"))
 			}
@@ -126,7 +126,7 @@
 		go j.Run(ctx)
 		put := func(n int) {
 			for range n / 100 {
-				var rs []journal.Rec
+				var rs []journal.Record
 				for range 100 {
 					rs = append(rs, rec("r"))
 				}
@@ -138,11 +138,11 @@
 			}
 		}
 		put(most)
-		assert.Equal(t, j.Tally().Compactions, uint64(0), "all of %d records live", most)
+		assert.Equal(t, j.Counters().Compactions, uint64(0), "all of %d records live", most)
 		put(2 * most)
-		assert.Equal(t, j.Tally().Compactions, uint64(0), "a third of the records lives")
+		assert.Equal(t, j.Counters().Compactions, uint64(0), "a third of the records lives")
 		put(2 * most)
 		synctest.Wait()
-		assert.Equal(t, j.Tally().Compactions, uint64(1))
+		assert.Equal(t, j.Counters().Compactions, uint64(1))
 	})
 }
--- a/internal/disk/journal/readback_test.go
+++ b/internal/disk/journal/readback_test.go
@@ -19,9 +19,9 @@
 	recsAtOnce = 256
 )
 
-type kept struct{ recs []journal.Rec }
+type kept struct{ recs []journal.Record }
 
-func (k *kept) Restore(r journal.Rec) error {
+func (k *kept) Restore(r journal.Record) error {
 	k.recs = append(k.recs, r)
 	return nil
 }
@@ -29,7 +29,7 @@
 func (k *kept) LiveSize() (int, int64) { return len(k.recs), int64(len(k.recs)) * recBytes }
 
 func (k *kept) Slices() []journal.Slice {
-	return journal.Whole(func() []journal.Rec { return k.recs })
+	return journal.EncodeAll(func() []journal.Record { return k.recs })
 }
 
 // processorTime is what this process has spent on the processor so far.
@@ -55,9 +55,9 @@
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); j.Run(ctx) }()
-	var rs []journal.Rec
+	var rs []journal.Record
 	for range recsAtOnce {
-		rs = append(rs, journal.Rec{Kind: 1, Body: make([]byte, recBytes)})
+		rs = append(rs, journal.Record{Kind: 1, Body: make([]byte, recBytes)})
 	}
 	before := processorTime(b)
 	for n := 0; n < diskBytes; n += recsAtOnce * recBytes {
--- a/internal/disk/journal/room.go
+++ b/internal/disk/journal/room.go
@@ -31,12 +31,12 @@
 	lengthBefore = 3
 )
 
-// Limit bounds the bytes that the journal takes on its disk, before Run; pace is the least pause between two tries to make place.
-func (j *Journal) Limit(most int64, pace time.Duration) { j.room.most, j.room.pace = most, pace }
+// SetCapacity bounds the bytes that the journal takes on its disk, before Run; pace is the least pause between two tries to make place.
+func (j *Journal) SetCapacity(most int64, pace time.Duration) { j.room.most, j.room.pace = most, pace }
 
 func size(body int) int64 { return int64(body) + frame.Size + lengthBefore }
 
-func total(rs []Rec) int64 {
+func total(rs []Record) int64 {
 	n := int64(0)
 	for _, r := range rs {
 		n += size(len(r.Body))
@@ -55,7 +55,9 @@
 
 var keeps = map[uint16]bool{recordtype.Entry: true, recordtype.Directory: true}
 
-func brings(rs []Rec) bool { return slices.ContainsFunc(rs, func(r Rec) bool { return keeps[r.Kind] }) }
+func brings(rs []Record) bool {
+	return slices.ContainsFunc(rs, func(r Record) bool { return keeps[r.Kind] })
+}
 
 // admit turns away what has no room, and tries to make place then.
 func (j *Journal) admit(ps []put) []put {
--- a/internal/disk/journal/room_test.go
+++ b/internal/disk/journal/room_test.go
@@ -21,11 +21,11 @@
 type shelf struct {
 	mu   sync.Mutex
 	most int
-	recs []journal.Rec
+	recs []journal.Record
 }
 
 // Restore takes a record back.
-func (s *shelf) Restore(r journal.Rec) error {
+func (s *shelf) Restore(r journal.Record) error {
 	s.add(r)
 	return nil
 }
@@ -42,15 +42,15 @@
 }
 
 // Slices gives the live records.
-func (s *shelf) Slices() []journal.Slice { return journal.Whole(s.dump) }
+func (s *shelf) Slices() []journal.Slice { return journal.EncodeAll(s.dump) }
 
-func (s *shelf) dump() []journal.Rec {
+func (s *shelf) dump() []journal.Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]journal.Rec(nil), s.recs...)
+	return append([]journal.Record(nil), s.recs...)
 }
 
-func (s *shelf) add(r journal.Rec) {
+func (s *shelf) add(r journal.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.recs = append(s.recs, r)
@@ -100,14 +100,14 @@
 		open := func() (*journal.Journal, func()) {
 			j, _, err := journal.Open(d, clock.Real{}, map[uint16]journal.Part{1: s}, []journal.Part{s})
 			assert.NilError(t, err)
-			j.Limit(room, time.Second)
+			j.SetCapacity(room, time.Second)
 			ctx, stop := context.WithCancel(t.Context())
 			go j.Run(ctx)
 			return j, stop
 		}
 		j, stop := open()
 		put := func(n int) error {
-			r := journal.Rec{Kind: 1, Body: make([]byte, n)}
+			r := journal.Record{Kind: 1, Body: make([]byte, n)}
 			err := j.Put(t.Context(), false, func() { s.add(r) }, r)
 			assert.Assert(t, d.peak.Load() <= room, "%d bytes were on the disk", d.peak.Load())
 			return err
@@ -115,7 +115,7 @@
 		for range 1000 {
 			assert.NilError(t, put(body))
 		}
-		assert.Assert(t, j.Tally().Compactions > 10)
+		assert.Assert(t, j.Counters().Compactions > 10)
 		s.keep(1 << 20)
 		var err error
 		for k := 0; err == nil; k++ {
@@ -123,9 +123,9 @@
 			err = put(body)
 		}
 		assert.Assert(t, apierror.HasCode(err, apierror.DiskFull), "%v", err)
-		assert.Assert(t, apierror.HasCode(j.Fault(), apierror.DiskFull), "a full disk that is not told of")
+		assert.Assert(t, apierror.HasCode(j.Failure(), apierror.DiskFull), "a full disk that is not told of")
 		assert.NilError(t, put(100))
-		assert.Assert(t, apierror.HasCode(j.Fault(), apierror.DiskFull), "a small record that went in does not make it well")
+		assert.Assert(t, apierror.HasCode(j.Failure(), apierror.DiskFull), "a small record that went in does not make it well")
 		assert.Assert(t, apierror.HasCode(j.Probe(t.Context(), time.Second), apierror.DiskFull))
 		stop()
 		synctest.Wait()
@@ -141,7 +141,7 @@
 		time.Sleep(2 * time.Second)
 		_ = j.Probe(t.Context(), time.Second)
 		assert.NilError(t, j.Probe(t.Context(), time.Second))
-		assert.NilError(t, j.Fault())
+		assert.NilError(t, j.Failure())
 		for range 1000 {
 			assert.NilError(t, put(body))
 			s.keep(20)
@@ -156,27 +156,27 @@
 		s := &shelf{most: 1 << 20}
 		j, _, err := journal.Open(memlog.New(), clock.Real{}, map[uint16]journal.Part{recordtype.Entry: s}, []journal.Part{s})
 		assert.NilError(t, err)
-		j.Limit(room, time.Second)
+		j.SetCapacity(room, time.Second)
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go j.Run(ctx)
 		put := func() error {
-			r := journal.Rec{Kind: recordtype.Entry, Body: make([]byte, 300)}
+			r := journal.Record{Kind: recordtype.Entry, Body: make([]byte, 300)}
 			return j.Put(t.Context(), false, func() { s.add(r) }, r)
 		}
 		for err = nil; err == nil; {
 			err = put()
 		}
 		assert.Assert(t, apierror.HasCode(err, apierror.DiskFull), "%v", err)
-		assert.Assert(t, apierror.HasCode(j.Fault(), apierror.DiskFull))
+		assert.Assert(t, apierror.HasCode(j.Failure(), apierror.DiskFull))
 		for range 500 {
-			assert.NilError(t, j.Put(t.Context(), false, nil, journal.Rec{Kind: recordtype.Forget, Body: make([]byte, 100)}))
+			assert.NilError(t, j.Put(t.Context(), false, nil, journal.Record{Kind: recordtype.Forget, Body: make([]byte, 100)}))
 		}
 		s.keep(0)
 		time.Sleep(2 * time.Second)
 		_ = put()
 		assert.NilError(t, put())
-		assert.NilError(t, j.Fault())
+		assert.NilError(t, j.Failure())
 	})
 }
 
@@ -187,12 +187,12 @@
 		s := &shelf{most: 1 << 20}
 		j, _, err := journal.Open(memlog.New(), clock.Real{}, map[uint16]journal.Part{1: s}, []journal.Part{s})
 		assert.NilError(t, err)
-		j.Limit(room, time.Second)
+		j.SetCapacity(room, time.Second)
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go j.Run(ctx)
 		put := func(k uint16) error {
-			r := journal.Rec{Kind: k, Body: make([]byte, 400)}
+			r := journal.Record{Kind: k, Body: make([]byte, 400)}
 			return j.Put(t.Context(), false, func() { s.add(r) }, r)
 		}
 		for _, k := range []uint16{recordtype.Entry, recordtype.Directory} {
@@ -210,6 +210,6 @@
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, apierror.HasCode(put(recordtype.Entry), apierror.DiskFull), "it is told of until a writing anew made place")
 		assert.NilError(t, put(recordtype.Entry))
-		assert.NilError(t, j.Fault())
+		assert.NilError(t, j.Failure())
 	})
 }
--- a/internal/disk/walog/walog_test.go
+++ b/internal/disk/walog/walog_test.go
@@ -20,19 +20,19 @@
 
 type part struct{ got []string }
 
-func (p *part) Restore(r journal.Rec) error {
+func (p *part) Restore(r journal.Record) error {
 	p.got = append(p.got, string(r.Body))
 	return nil
 }
 
 func (p *part) LiveSize() (int, int64) { return len(p.got), 0 }
 
-func (p *part) Slices() []journal.Slice { return journal.Whole(p.dump) }
+func (p *part) Slices() []journal.Slice { return journal.EncodeAll(p.dump) }
 
-func (p *part) dump() []journal.Rec {
-	var rs []journal.Rec
+func (p *part) dump() []journal.Record {
+	var rs []journal.Record
 	for _, s := range p.got {
-		rs = append(rs, journal.Rec{Kind: kind, Body: []byte(s)})
+		rs = append(rs, journal.Record{Kind: kind, Body: []byte(s)})
 	}
 	return rs
 }
@@ -69,7 +69,7 @@
 
 func (r *rig) put(ss ...string) {
 	for _, s := range ss {
-		assert.NilError(r.t, r.j.Put(context.Background(), false, func() { r.p.got = append(r.p.got, s) }, journal.Rec{Kind: kind, Body: []byte(s)}))
+		assert.NilError(r.t, r.j.Put(context.Background(), false, func() { r.p.got = append(r.p.got, s) }, journal.Record{Kind: kind, Body: []byte(s)}))
 	}
 }
 
@@ -97,7 +97,7 @@
 			edit(t, r.file(), func(b []byte) []byte { return append(b, 60, 1, 2, 3) })
 		}, []string{"a", "b", "c"}, false, false},
 		"a torn record after the last sync is cut": {func(t *testing.T, r *rig) {
-			f := frame.Pack(frame.Frame{Kind: kind, Index: 4, Mark: 3, Body: []byte("d")})
+			f := frame.Encode(frame.Frame{Kind: kind, Index: 4, SyncedIndex: 3, Body: []byte("d")})
 			f[len(f)-1] ^= 1
 			edit(t, r.file(), func(b []byte) []byte { return append(append(b, byte(len(f))), f...) })
 		}, []string{"a", "b", "c"}, true, false},
@@ -143,7 +143,7 @@
 	defer stop()
 	go j.Run(ctx)
 	for _, s := range []string{"a", "b", "c"} {
-		assert.NilError(t, j.Put(ctx, false, func() { p.got = append(p.got, s) }, journal.Rec{Kind: kind, Body: []byte(s)}))
+		assert.NilError(t, j.Put(ctx, false, func() { p.got = append(p.got, s) }, journal.Record{Kind: kind, Body: []byte(s)}))
 	}
 	n, bad, err := j.Scrub(ctx)
 	assert.NilError(t, err)
@@ -171,15 +171,15 @@
 	defer stop()
 	go j.Run(ctx)
 	put := func(s string) error {
-		return j.Put(ctx, false, func() { p.got = append(p.got, s) }, journal.Rec{Kind: kind, Body: []byte(s)})
+		return j.Put(ctx, false, func() { p.got = append(p.got, s) }, journal.Record{Kind: kind, Body: []byte(s)})
 	}
 	assert.NilError(t, put("a"))
 	d.Fill(true)
 	assert.Assert(t, apierror.HasCode(put("b"), apierror.DiskFull))
-	assert.Assert(t, apierror.HasCode(j.Fault(), apierror.DiskFull))
+	assert.Assert(t, apierror.HasCode(j.Failure(), apierror.DiskFull))
 	d.Fill(false)
 	assert.NilError(t, put("c"))
-	assert.NilError(t, j.Fault())
+	assert.NilError(t, j.Failure())
 	assert.DeepEqual(t, p.got, []string{"a", "c"})
 	q := &part{}
 	_, _, err = journal.Open(d, clock.Real{}, map[uint16]journal.Part{kind: q}, []journal.Part{q})
@@ -191,7 +191,7 @@
 	dir := t.TempDir()
 	l, err := Open(dir)
 	assert.NilError(t, err)
-	f := frame.Pack(frame.Frame{Kind: kind, Index: 1, Body: []byte("x")})
+	f := frame.Encode(frame.Frame{Kind: kind, Index: 1, Body: []byte("x")})
 	f[6] = frame.Format + 1
 	assert.NilError(t, l.Write(1, [][]byte{frame.Seal(f)}))
 	assert.NilError(t, l.Sync())
@@ -203,7 +203,7 @@
 	assert.NilError(t, l.Close())
 
 	p := &identity.Part{}
-	assert.NilError(t, p.Restore(journal.Rec{Body: []byte(`{"node":"s1","incarnation":"i","fleet":"f"}`)}))
+	assert.NilError(t, p.Restore(journal.Record{Body: []byte(`{"node":"s1","incarnation":"i","fleet":"f"}`)}))
 	assert.NilError(t, p.Check("s1"))
 	assert.Assert(t, apierror.HasCode(p.Check("s2"), apierror.DiskForeign))
 	assert.Assert(t, apierror.HasCode(p.Join(context.Background(), nil, "g"), apierror.DiskForeign))
@@ -222,9 +222,9 @@
 	assert.Equal(t, len(r.p.got), 12)
 	r.p.got = r.p.got[11:]
 	for range 5000 {
-		assert.NilError(t, r.j.Put(context.Background(), true, nil, journal.Rec{Kind: kind + 1, Body: []byte("dead")}))
+		assert.NilError(t, r.j.Put(context.Background(), true, nil, journal.Record{Kind: kind + 1, Body: []byte("dead")}))
 	}
-	assert.Assert(t, r.j.Tally().Compactions > 0)
+	assert.Assert(t, r.j.Counters().Compactions > 0)
 	r.stop()
 	r = open(t, dir)
 	assert.Equal(t, len(r.p.got), 1)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -140,7 +140,7 @@
 	if err != nil {
 		return err
 	}
-	j.Limit(int64(n.opts.DiskMB)<<20, n.bounds().ReconcileInterval())
+	j.SetCapacity(int64(n.opts.DiskMB)<<20, n.bounds().ReconcileInterval())
 	n.journal = j
 	n.log.Say(event.DiskOpened, "records", r.Records)
 	if r.Torn > 0 {
@@ -455,7 +455,7 @@
 			dropped = n.w.Clock.Now()
 			n.owners.Orphans(ctx)
 		}
-		err := n.journal.Fault()
+		err := n.journal.Failure()
 		if err != nil {
 			err = n.journal.Probe(ctx, b.CallTimeout())
 		}
@@ -638,7 +638,7 @@
 		"gossip_exchanges": sent, "gossip_mended": mended, "owners": n.owners.Views(),
 	}
 	if n.journal != nil {
-		m["journal"] = n.journal.Tally()
+		m["journal"] = n.journal.Counters()
 		m["epochs_turned_away"] = n.replica.Rejected()
 	}
 	if n.holder != nil {
--- a/internal/partitionlog/replica/replica.go
+++ b/internal/partitionlog/replica/replica.go
@@ -125,9 +125,9 @@
 	Cut uint64 `json:"cut"`
 }
 
-func rec(k uint16, e, o uint64, x any) journal.Rec {
+func rec(k uint16, e, o uint64, x any) journal.Record {
 	b, _ := wire.Marshal(x)
-	return journal.Rec{Kind: k, Epoch: e, Offset: o, Body: b}
+	return journal.Record{Kind: k, Epoch: e, Offset: o, Body: b}
 }
 
 // read takes a body of this format, or of the first one, which was JSON.
@@ -193,7 +193,7 @@
 }
 
 // Restore takes back a record.
-func (r *Replica) Restore(x journal.Rec) error {
+func (r *Replica) Restore(x journal.Record) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return apierror.Wrap(apierror.DiskDamaged, restore[x.Kind](r, x.Body), "read a record of kind %d", x.Kind)
@@ -232,7 +232,7 @@
 func (r *Replica) Slices() []journal.Slice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	ss := journal.Whole(r.dumpSeals)
+	ss := journal.EncodeAll(r.dumpSeals)
 	ids := make([]log.ID, 0, len(r.lines))
 	for id := range r.lines {
 		ids = append(ids, id)
@@ -245,36 +245,36 @@
 		ss = append(ss, r.slice(id))
 	}
 	for p := range r.states {
-		ss = append(ss, journal.Whole(func() []journal.Rec { return r.dumpDirectory(p) })...)
+		ss = append(ss, journal.EncodeAll(func() []journal.Record { return r.dumpDirectory(p) })...)
 	}
 	return ss
 }
 
-func (r *Replica) dumpSeals() []journal.Rec {
+func (r *Replica) dumpSeals() []journal.Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var rs []journal.Rec
+	var rs []journal.Record
 	for p, e := range r.seals {
 		rs = append(rs, rec(recordtype.Seal, e, 0, sealRec{p, e}))
 	}
 	return rs
 }
 
-func (r *Replica) dumpDirectory(p int) []journal.Rec {
+func (r *Replica) dumpDirectory(p int) []journal.Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	d, ok := r.states[p]
 	if !ok {
 		return nil
 	}
-	return []journal.Rec{rec(recordtype.Directory, d.At.Epoch, d.At.Offset, d)}
+	return []journal.Record{rec(recordtype.Directory, d.At.Epoch, d.At.Offset, d)}
 }
 
 // slice goes through a line from its base to its end. What is put meanwhile at or before the place reached counts by itself when the log is
 // read from where the writing anew began; what is put after it is passed over there, and comes with a later slice.
 func (r *Replica) slice(id log.ID) journal.Slice {
 	next := uint64(0)
-	return func() ([]journal.Rec, bool) {
+	return func() ([]journal.Record, bool) {
 		r.mu.Lock()
 		l, ok := r.lines[id]
 		r.mu.Unlock()
@@ -282,7 +282,7 @@
 			return nil, false
 		}
 		b := l.Base()
-		rs := []journal.Rec{rec(recordtype.Base, b.Epoch, b.Offset, baseRec{ID: id, Base: b, Anew: true})}
+		rs := []journal.Record{rec(recordtype.Base, b.Epoch, b.Offset, baseRec{ID: id, Base: b, Anew: true})}
 		next = max(next, b.Offset+1)
 		for _, e := range l.Slice(next, ^uint64(0), anewMost, anewBytes) {
 			rs = append(rs, rec(recordtype.Entry, e.Epoch, e.Offset, entryRec{id, e}))
@@ -364,7 +364,7 @@
 			return &AppendResponse{Tail: r.tail(q.Partition, q.Kind)}, nil
 		}
 	}
-	var rs []journal.Rec
+	var rs []journal.Record
 	if r.Sealed(q.Partition) < q.Epoch {
 		rs = append(rs, rec(recordtype.Seal, q.Epoch, 0, sealRec{q.Partition, q.Epoch}))
 	}
--- a/internal/partitionlog/replica/replica_test.go
+++ b/internal/partitionlog/replica/replica_test.go
@@ -162,7 +162,7 @@
 	for _, e := range es {
 		b, err := json.Marshal(entryRec{log.ID{Partition: 1, Kind: log.KindLedger}, e})
 		assert.NilError(t, err)
-		f := frame.Pack(frame.Frame{Kind: recordtype.Entry, Index: e.Offset, Epoch: 1, Offset: e.Offset, Body: b})
+		f := frame.Encode(frame.Frame{Kind: recordtype.Entry, Index: e.Offset, Epoch: 1, Offset: e.Offset, Body: b})
 		f[6] = 1
 		rs = append(rs, frame.Seal(f))
 	}
--- a/internal/testing/crash/crash_test.go
+++ b/internal/testing/crash/crash_test.go
@@ -236,13 +236,13 @@
 		do(i, f)
 	}
 	// A writing anew goes on along with what is put, a slice each: some more is put until one has come to its end.
-	for e := uint64(1); s.j.Tally().Compactions == 0 && e < anewMost; e++ {
+	for e := uint64(1); s.j.Counters().Compactions == 0 && e < anewMost; e++ {
 		do(len(ts)+int(e), func(s *store) error {
 			_, err := s.r.Seal(t.Context(), &replica.SealRequest{Target: replica.Target{Partition: 7, Incarnation: "i", Epoch: e}})
 			return err
 		})
 	}
-	tally := s.j.Tally()
+	tally := s.j.Counters()
 	stop()
 	assert.Assert(t, tally.Compactions > 0, "void: the journal was never written anew")
 	cases, cuts := 0, map[string]int{}
--- a/internal/testing/crash/slices_test.go
+++ b/internal/testing/crash/slices_test.go
@@ -29,7 +29,7 @@
 // Write opens the gate.
 func (g *gated) Write(first uint64, recs [][]byte) error {
 	for i, r := range recs {
-		if f, err := frame.Unpack(first+uint64(i), r); err == nil && f.Kind == recordtype.AnewBegins {
+		if f, err := frame.Decode(first+uint64(i), r); err == nil && f.Kind == recordtype.AnewBegins {
 			g.count++
 			g.slice()
 			break
@@ -150,7 +150,7 @@
 				default:
 				}
 			}
-			before, idle := len(l.Moments()), make([]journal.Rec, 10000)
+			before, idle := len(l.Moments()), make([]journal.Record, 10000)
 			for i := range idle {
 				idle[i].Kind = recordtype.Probe
 			}
@@ -170,7 +170,7 @@
 			time.Sleep(time.Second)
 			close(halt)
 			<-over
-			anews += int(s.j.Tally().Compactions)
+			anews += int(s.j.Counters().Compactions)
 			slices += g.count
 			want := s.picture(t)
 			stop()
