--- a/internal/command/serve/patience.go
+++ b/internal/command/serve/patience.go
@@ -81,7 +81,7 @@
 		}
 		if t := err.Error(); t != said {
 			said = t
-			p.log.Say(event.StartWaits, "problem", err)
+			p.log.Log(event.StartWaits, "problem", err)
 		}
 		clock.Wait(context.Background(), p.clk, p.bounds.MaxBackoff(), p.stop, nil)
 		select {
@@ -124,7 +124,7 @@
 		if err == nil || errors.Is(err, http.ErrServerClosed) || p.over() {
 			return
 		}
-		p.log.Say(event.ServeFailed, "problem", apierror.Wrap(apierror.Internal, err, "serve on %s", d.Address))
+		p.log.Log(event.ServeFailed, "problem", apierror.Wrap(apierror.Internal, err, "serve on %s", d.Address))
 		_ = l.Close()
 		for {
 			_ = p.clk.Sleep(context.Background(), p.bounds.MaxBackoff())
--- a/internal/command/serve/process_test.go
+++ b/internal/command/serve/process_test.go
@@ -88,11 +88,11 @@
 	go func() { done <- Run([]string{"-options", f}, l) }()
 	l.await(t, event.Listening, 1)
 	assert.NilError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
-	l.await(t, event.OptionsTaken, 1)
+	l.await(t, event.SettingsReloaded, 1)
 	assert.NilError(t, syscall.Kill(os.Getpid(), syscall.SIGPIPE))
 	assert.NilError(t, os.WriteFile(f, []byte(`{"name":"other"}`), 0o600))
 	assert.NilError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
-	l.await(t, event.OptionsTurned, 1)
+	l.await(t, event.SettingsRejected, 1)
 	select {
 	case err := <-done:
 		t.Fatalf("the process ended: %v", err)
--- a/internal/command/serve/serve.go
+++ b/internal/command/serve/serve.go
@@ -128,7 +128,7 @@
 		g, err := patient(p, func() (*walog.Log, error) {
 			g, err := walog.Open(o.DataDir)
 			if apierror.HasCode(err, apierror.DiskDamaged) {
-				log.Say(event.DiskDamaged, "problem", err)
+				log.Log(event.DiskDamaged, "problem", err)
 				err = g.SetAside()
 			}
 			return g, err
@@ -175,7 +175,7 @@
 		ss = append(ss, s)
 		go p.serve(d, s, ls[i])
 	}
-	log.Say(event.Listening, "callers", o.Listen, "fellows", o.PeerListen)
+	log.Log(event.Listening, "callers", o.Listen, "fellows", o.PeerListen)
 	watch, unwatch := context.WithCancel(context.Background())
 	defer unwatch()
 	if t.File != "" {
@@ -223,10 +223,10 @@
 			err = n.Apply(o)
 		}
 		if err != nil {
-			log.Say(event.OptionsTurned, "file", t.File, "problem", err)
+			log.Log(event.SettingsRejected, "file", t.File, "problem", err)
 			continue
 		}
-		log.Say(event.OptionsTaken, "file", t.File)
+		log.Log(event.SettingsReloaded, "file", t.File)
 	}
 }
 
--- a/internal/control/reconfigurer/steward.go
+++ b/internal/control/reconfigurer/steward.go
@@ -82,13 +82,13 @@
 func (s *Reconfigurer) found(ctx context.Context) {
 	r, err := s.Bootstrapper.Try(ctx)
 	if err == nil {
-		s.Log.Say(event.Founded, "fleet", r.Fleet, "voters", len(r.Voters))
+		s.Log.Log(event.Bootstrapped, "fleet", r.Fleet, "voters", len(r.Voters))
 		s.Store.Apply(gossip.Update{VoterSet: &r})
 		return
 	}
 	if t := err.Error(); t != s.said {
 		s.said = t
-		s.Log.Say(event.FoundingWaits, "problem", err)
+		s.Log.Log(event.BootstrapWaits, "problem", err)
 	}
 }
 
@@ -160,7 +160,7 @@
 	quorum.Gather(ctx, late, func(ctx context.Context, x voters.Voter) (bool, error) {
 		err := s.Executor.CatchUp(ctx, r, x)
 		if err != nil {
-			s.Log.Say(event.RosterTrouble, "problem", err)
+			s.Log.Log(event.VoterSetChangeFailed, "problem", err)
 		}
 		return err == nil, err
 	}, nil)
@@ -264,7 +264,7 @@
 	}
 	s.swept = now
 	if n := s.Repairer.Repair(ctx, r); n > 0 {
-		s.Log.Say(event.RepairFound, "keys", n)
+		s.Log.Log(event.RepairFound, "keys", n)
 	}
 }
 
@@ -273,11 +273,11 @@
 }
 
 func (s *Reconfigurer) change(ctx context.Context, r, want voters.Set, why string) {
-	s.Log.Say(event.RosterChange, "from", r.Sequence, "reason", why)
+	s.Log.Log(event.VoterSetChange, "from", r.Sequence, "reason", why)
 	n, err := s.Executor.Change(ctx, r, want)
 	if err != nil {
 		if !apierror.HasCode(err, apierror.StaleVoterSet) {
-			s.Log.Say(event.RosterTrouble, "problem", err)
+			s.Log.Log(event.VoterSetChangeFailed, "problem", err)
 		}
 		return
 	}
--- a/internal/node/leaders/heir.go
+++ b/internal/node/leaders/heir.go
@@ -72,12 +72,12 @@
 	v, err := k.Client.Change(cx, assignment.Key(r.Partition), r.Version, registerclient.NewChangeID(), n.Marshal())
 	if err == nil {
 		n.Version = v.Version
-		k.Log.Say(event.Inherited, "partition", r.Partition, "epoch", n.Epoch, "from", r.Leader, "reason", why)
+		k.Log.Log(event.Inherited, "partition", r.Partition, "epoch", n.Epoch, "from", r.Leader, "reason", why)
 		k.Tell(ctx, n)
 		return
 	}
 	if !apierror.HasCode(err, apierror.StaleBase) {
-		k.Log.Say(event.PlaceTrouble, "partition", r.Partition, "problem", err)
+		k.Log.Log(event.PlacementFailed, "partition", r.Partition, "problem", err)
 		_ = k.Clock.Sleep(ctx, clock.Jitter(k.Bounds.PingInterval(), 1, rand.Float64()))
 	}
 	_, _ = k.read(cx, r.Partition)
--- a/internal/node/leaders/owners.go
+++ b/internal/node/leaders/owners.go
@@ -149,7 +149,7 @@
 			if o != nil {
 				o.Resign(apierror.New(apierror.StaleEpoch, "epoch %d came", r.Epoch))
 			}
-			k.Log.Say(event.OwnerTakes, "partition", p, "epoch", r.Epoch)
+			k.Log.Log(event.LeaderRecovering, "partition", p, "epoch", r.Epoch)
 			go k.serve(ctx, n)
 		default:
 			if o != nil && r.Epoch > o.Record.Epoch {
@@ -255,7 +255,7 @@
 
 // Renew asks for a new epoch, and tells whether it got one, since this disk used the record's in an earlier run.
 func (k *Keeper) Renew(ctx context.Context, r assignment.Record) bool {
-	k.Log.Say(event.OwnerRenew, "partition", r.Partition, "epoch", r.Epoch)
+	k.Log.Log(event.LeaderRenewed, "partition", r.Partition, "epoch", r.Epoch)
 	return k.Change(ctx, r.Partition, r.Epoch, func(x assignment.Record) (assignment.Record, bool) {
 		return x.Next(k.Self, x.Replicas, "the owner came back on its machine", k.Clock.Now()), x.Leader == k.Self
 	})
@@ -313,7 +313,7 @@
 			continue
 		}
 		if _, err := k.Replica.Drop(ctx, &replica.DropRequest{Target: replica.Target{Partition: p, Incarnation: k.Replica.Incarnation(), Epoch: r.Epoch}}); err == nil {
-			k.Log.Say(event.Orphan, "partition", p, "epoch", r.Epoch)
+			k.Log.Log(event.OrphanPartition, "partition", p, "epoch", r.Epoch)
 		}
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -125,7 +125,7 @@
 	}
 	n.build(ctx)
 	n.run(ctx)
-	l.Say(event.Started, "name", o.Name, "zone", o.Zone, "disk", o.Disk, "build", Build, "boot", n.boot)
+	l.Log(event.Started, "name", o.Name, "zone", o.Zone, "disk", o.Disk, "build", Build, "boot", n.boot)
 	return n, nil
 }
 
@@ -142,12 +142,12 @@
 	}
 	j.SetCapacity(int64(n.opts.DiskMB)<<20, n.bounds().ReconcileInterval())
 	n.journal = j
-	n.log.Say(event.DiskOpened, "records", r.Records)
+	n.log.Log(event.DiskOpened, "records", r.Records)
 	if r.Torn > 0 {
-		n.log.Say(event.DiskTorn, "records", r.Torn)
+		n.log.Log(event.DiskTorn, "records", r.Torn)
 	}
 	if r.Damaged {
-		n.log.Say(event.DiskDamaged, "problem", r.Cause)
+		n.log.Log(event.DiskDamaged, "problem", r.Cause)
 	}
 	if err := n.id.Check(n.opts.Name); err != nil {
 		return err
@@ -159,7 +159,7 @@
 	}
 	inc := n.id.Get().Incarnation
 	if fresh {
-		n.log.Say(event.DiskNew, "incarnation", inc)
+		n.log.Log(event.DiskNew, "incarnation", inc)
 	}
 	n.replica.Start(inc, j)
 	n.voter.Start(inc, j, n.agree, func(r voters.Set) { n.Board.Apply(gossip.Update{VoterSet: &r}) })
@@ -284,10 +284,10 @@
 		n.desk.ApplyRecords(x.Records)
 	}
 	if x.Configuration != nil {
-		n.log.Say(event.DescriptionNews, "sequence", x.Configuration.Sequence, "spaces", len(x.Configuration.Spaces))
+		n.log.Log(event.ConfigurationUpdated, "sequence", x.Configuration.Sequence, "spaces", len(x.Configuration.Spaces))
 	}
 	if x.VoterSet != nil {
-		n.log.Say(event.RosterOpened, "sequence", x.VoterSet.Sequence, "fleet", x.VoterSet.Fleet, "seats", len(x.VoterSet.Voters))
+		n.log.Log(event.VoterSetActivated, "sequence", x.VoterSet.Sequence, "fleet", x.VoterSet.Fleet, "seats", len(x.VoterSet.Voters))
 	}
 }
 
@@ -337,7 +337,7 @@
 		Clock: clk, Timing: b, BodyLimit: o.BodyLimit, Store: n.Board, Router: n.desk, Presence: n.presence, Limiter: n.gates,
 		Feeds: stream.New(ctx, self, n.boot, n.desk, clk, b), CheckLease: n.keeper.CheckLease, Draining: n.leaving,
 		OnResult: func(t *client.Request, err error) {
-			n.log.Say(event.Turned, "verb", t.Verb, "visitor", t.Client, "problem", err)
+			n.log.Log(event.CallRejected, "verb", t.Verb, "visitor", t.Client, "problem", err)
 			p, topic := apierror.From(err), ""
 			if len(t.Topics) > 0 {
 				topic = t.Topics[0]
@@ -354,9 +354,9 @@
 		Self: self, Clock: clk, Timing: b, Net: net, LastHeard: n.keeper.LastHeard, UsualLatency: n.keeper.UsualLatency, LeaderAddrs: n.deciders, Peers: n.nearest, CheckServing: n.Ready,
 		OnRedirect: func(to []membership.Info) {
 			if len(to) > 0 {
-				n.log.Say(event.VisitorsSent, "visitors", n.House.Count(), "fellows", len(to))
+				n.log.Log(event.ClientsRedirected, "visitors", n.House.Count(), "fellows", len(to))
 			} else {
-				n.log.Say(event.VisitorsStay)
+				n.log.Log(event.ClientsStay)
 			}
 			n.House.Redirect(to)
 		},
@@ -446,7 +446,7 @@
 		if f := n.Board.VoterSet().Fleet; f != "" {
 			if err := n.id.Join(ctx, n.journal, f); apierror.HasCode(err, apierror.DiskForeign) {
 				if n.setFitness(string(apierror.DiskForeign)) {
-					n.log.Say(event.DiskTrouble, "problem", err)
+					n.log.Log(event.DiskFailed, "problem", err)
 				}
 				continue
 			}
@@ -461,12 +461,12 @@
 		}
 		if err != nil && ctx.Err() == nil {
 			if n.setFitness(string(apierror.From(err).Code)) {
-				n.log.Say(event.DiskTrouble, "problem", err)
+				n.log.Log(event.DiskFailed, "problem", err)
 			}
 			continue
 		}
 		if n.setFitness("") {
-			n.log.Say(event.DiskHealed)
+			n.log.Log(event.DiskHealed)
 		}
 		if n.w.Clock.Now().Sub(swept) > b.SweepInterval() {
 			swept = n.w.Clock.Now()
@@ -478,9 +478,9 @@
 func (n *Node) scrub(ctx context.Context) {
 	k, bad, err := n.journal.Scrub(ctx)
 	if bad > 0 {
-		n.log.Say(event.ScrubBad, "records", k, "damaged", bad, "problem", err)
+		n.log.Log(event.ScrubBad, "records", k, "damaged", bad, "problem", err)
 	} else {
-		n.log.Say(event.RepairSwept, "records", k)
+		n.log.Log(event.RepairSwept, "records", k)
 	}
 }
 
@@ -534,7 +534,7 @@
 // Stop leaves in good order: unready at once, duties handed over, streams ended with a hint.
 func (n *Node) Stop() {
 	b := n.bounds()
-	n.log.Say(event.Stopping)
+	n.log.Log(event.Stopping)
 	n.mu.Lock()
 	if n.stage == membership.Draining {
 		n.mu.Unlock()
@@ -566,9 +566,9 @@
 	cx, rest := context.WithTimeout(ctx, b.TransferTimeout())
 	defer rest()
 	n.Visitors.Feeds.WaitFinished(cx)
-	n.log.Say(event.HandedOver, "partitions", k, "keys", h)
+	n.log.Log(event.LeadershipTransferred, "partitions", k, "keys", h)
 	n.Kill()
-	n.log.Say(event.StoppedClean)
+	n.log.Log(event.StoppedClean)
 }
 
 // Kill ends all parts at once.
@@ -599,34 +599,34 @@
 
 // DiskFailed logs a failed write of an owner.
 func (l *ownerLog) DiskFailed(p int, err error) {
-	l.log.Say(event.OwnerDisk, "partition", p, "problem", err)
+	l.log.Log(event.LeaderDiskFailed, "partition", p, "problem", err)
 }
 
 // LeadershipLost logs the end of an ownership.
 func (l *ownerLog) LeadershipLost(p int, e uint64, err error) {
-	l.log.Say(event.OwnerLost, "partition", p, "epoch", e, "problem", err)
+	l.log.Log(event.LeaderLost, "partition", p, "epoch", e, "problem", err)
 }
 
 // Opened logs a finished take-over.
 func (l *ownerLog) Opened(p int, e uint64, h leader.Recovery) {
-	l.log.Say(event.OwnerOpen, "partition", p, "epoch", e, "tails", h.Tails, "directory", h.Directory, "replayed", h.Replayed, "fetched", h.Fetched, "reprocessed", h.Reprocessed, "keys", h.Keys, "took", h.Duration.String())
+	l.log.Log(event.LeaderOpen, "partition", p, "epoch", e, "tails", h.Tails, "directory", h.Directory, "replayed", h.Replayed, "fetched", h.Fetched, "reprocessed", h.Reprocessed, "keys", h.Keys, "took", h.Duration.String())
 }
 
 // StepFailed logs a step that is tried again.
 func (l *ownerLog) StepFailed(p int, e uint64, step string, err error) {
-	l.log.Say(event.OwnerTrouble, "partition", p, "epoch", e, "step", step, "problem", err)
+	l.log.Log(event.LeaderStepFailed, "partition", p, "epoch", e, "step", step, "problem", err)
 }
 
 var readers = map[bool]event.Event{false: event.ReaderNoted, true: event.ReaderGivenUp}
 
 // ReaderChanged logs that a node reads what has keys, or was given up as one that does.
 func (l *ownerLog) ReaderChanged(p int, e uint64, node, boot string, givenUp bool) {
-	l.log.Say(readers[givenUp], "partition", p, "epoch", e, "node", node, "boot", boot)
+	l.log.Log(readers[givenUp], "partition", p, "epoch", e, "node", node, "boot", boot)
 }
 
 // TombstonesFull logs that no more withdrawals are taken.
 func (l *ownerLog) TombstonesFull(p int, e uint64, marks int) {
-	l.log.Say(event.MarksFull, "partition", p, "epoch", e, "marks", marks)
+	l.log.Log(event.TombstonesFull, "partition", p, "epoch", e, "marks", marks)
 }
 
 func (n *Node) tallies() map[string]any {
--- a/internal/nodelease/session.go
+++ b/internal/nodelease/session.go
@@ -504,7 +504,7 @@
 				continue
 			}
 			worked = false
-			k.Log.Say(event.Joined, "control", with.Name)
+			k.Log.Log(event.Joined, "control", with.Name)
 			k.mu.Lock()
 			k.with = with
 			k.mu.Unlock()
@@ -523,7 +523,7 @@
 		}
 		k.watch()
 		if bad >= missesMost {
-			k.Log.Say(event.SessionMoved, "control", with.Name)
+			k.Log.Log(event.SessionMoved, "control", with.Name)
 			not, bad, with = with.Name, 0, membership.Info{}
 			continue
 		}
@@ -657,9 +657,9 @@
 	k.live = ok
 	k.mu.Unlock()
 	if ok && !was {
-		k.Log.Say(event.LeaseBack)
+		k.Log.Log(event.LeaseRegained)
 	}
 	if !ok && was {
-		k.Log.Say(event.LeaseLost)
+		k.Log.Log(event.LeaseLost)
 	}
 }
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -83,7 +83,7 @@
 		}
 		_, err = s.Client.Change(ctx, decommission.Key, c.value.writes, registerclient.NewChangeID(), c.value.list.Marshal())
 		if err == nil {
-			s.Log.Say(event.DrainAsked, "node", node, "partitions", x.RemainingRecords)
+			s.Log.Log(event.DecommissionRequested, "node", node, "partitions", x.RemainingRecords)
 			return x, nil
 		}
 		again := apierror.HasCode(err, apierror.StaleBase) || apierror.HasCode(err, apierror.StaleVoterSet) && s.Clock.Sleep(ctx, s.Timing.MaxBackoff()) == nil
--- a/internal/operator/replace.go
+++ b/internal/operator/replace.go
@@ -49,7 +49,7 @@
 func (s *Service) Put(ctx context.Context, b []byte) (any, error) {
 	d, err := configuration.Parse(b)
 	if err != nil {
-		s.Log.Say(event.DescriptionFault, "problem", err)
+		s.Log.Log(event.ConfigurationFault, "problem", err)
 		return nil, err
 	}
 	ctx, stop := s.limit(ctx)
@@ -72,12 +72,12 @@
 // report logs the outcome of an order.
 func (s *Service) report(a *Acceptance, err error) (*Acceptance, error) {
 	if err != nil {
-		s.Log.Say(event.DescriptionFault, "problem", err)
+		s.Log.Log(event.ConfigurationFault, "problem", err)
 		return nil, err
 	}
-	s.Log.Say(event.DescriptionPut, "sequence", a.Sequence)
+	s.Log.Log(event.ConfigurationAccepted, "sequence", a.Sequence)
 	if n := len(a.KeptLanes); n > 0 {
-		s.Log.Say(event.LanesKept, "sequence", a.Sequence, "prefixes", n, "first", a.KeptLanes[0].Prefix, "urgent", a.KeptLanes[0].Urgent)
+		s.Log.Log(event.LanesKept, "sequence", a.Sequence, "prefixes", n, "first", a.KeptLanes[0].Prefix, "urgent", a.KeptLanes[0].Urgent)
 	}
 	return a, nil
 }
--- a/internal/placement/controller/drains.go
+++ b/internal/placement/controller/drains.go
@@ -31,7 +31,7 @@
 	}
 	v, list, err := d.readDrains(ctx)
 	if err != nil {
-		d.Log.Say(event.DrainTrouble, "problem", err)
+		d.Log.Log(event.DecommissionFailed, "problem", err)
 		return
 	}
 	was := maps.Clone(list)
@@ -43,15 +43,15 @@
 		return
 	}
 	if _, err := d.Client.Change(ctx, decommission.Key, v.Version, registerclient.NewChangeID(), list.Marshal()); err != nil {
-		d.Log.Say(event.DrainTrouble, "problem", err)
+		d.Log.Log(event.DecommissionFailed, "problem", err)
 		return
 	}
 	for n, x := range list {
 		if x.Done && !was[n].Done {
-			d.Log.Say(event.DrainDone, "node", n)
+			d.Log.Log(event.DecommissionDone, "node", n)
 		}
 		if x.Returned && !was[n].Returned {
-			d.Log.Say(event.DrainReturned, "node", n)
+			d.Log.Log(event.DecommissionReturned, "node", n)
 		}
 	}
 }
--- a/internal/placement/controller/duty.go
+++ b/internal/placement/controller/duty.go
@@ -91,7 +91,7 @@
 		cx, stop := context.WithTimeout(ctx, d.Timing.Recovery)
 		if !d.mine(cx) {
 			if d.held {
-				d.Log.Say(event.DutyLost)
+				d.Log.Log(event.ControllerStopped)
 			}
 			d.held = false
 			stop()
@@ -131,13 +131,13 @@
 	}
 	for _, a := range quorum.Gather(ctx, ps, d.fetch, nil) {
 		if a.Err != nil {
-			d.Log.Say(event.PlaceTrouble, "partition", a.Target, "problem", a.Err)
+			d.Log.Log(event.PlacementFailed, "partition", a.Target, "problem", a.Err)
 			return
 		}
 		d.keep(a.Value)
 	}
 	d.held, d.since, d.moved = true, d.Clock.Now(), d.Clock.Now()
-	d.Log.Say(event.DutyTaken, "partitions", len(d.recs))
+	d.Log.Log(event.ControllerStarted, "partitions", len(d.recs))
 }
 
 func (d *Controller) fetch(ctx context.Context, p int) (assignment.Record, error) {
@@ -185,7 +185,7 @@
 			return w.n, nil
 		}
 		if !apierror.HasCode(err, apierror.StaleBase) {
-			d.Log.Say(event.PlaceTrouble, "partition", w.n.Partition, "problem", err)
+			d.Log.Log(event.PlacementFailed, "partition", w.n.Partition, "problem", err)
 		}
 		return d.fetch(ctx, w.n.Partition)
 	}, nil) {
@@ -195,7 +195,7 @@
 		d.keep(a.Value)
 		if n := a.Target.n; a.Value.Epoch == n.Epoch && n.Epoch != a.Target.old.Epoch && a.Value.Leader == n.Leader {
 			h := n.History[len(n.History)-1]
-			d.Log.Say(event.Placed, "partition", n.Partition, "epoch", n.Epoch, "owner", n.Leader, "replicas", strings.Join(h.Replicas, ","), "reason", h.Reason)
+			d.Log.Log(event.PartitionPlaced, "partition", n.Partition, "epoch", n.Epoch, "owner", n.Leader, "replicas", strings.Join(h.Replicas, ","), "reason", h.Reason)
 		}
 	}
 }
--- a/internal/placement/controller/scene.go
+++ b/internal/placement/controller/scene.go
@@ -70,7 +70,7 @@
 	s := &scene{now: d.Clock.Now(), m: map[string]*machine{}, copies: d.Store.VoterSet().Layout.ReplicationFactor()}
 	_, list, err := d.readDrains(ctx)
 	if err != nil {
-		d.Log.Say(event.DrainTrouble, "problem", err)
+		d.Log.Log(event.DecommissionFailed, "problem", err)
 		return nil, err
 	}
 	s.drains = list
