--- a/cmd/postjunction/main.go
+++ b/cmd/postjunction/main.go
@@ -34,7 +34,7 @@
 	"platform": func(_ []string, s cli.Streams) error { return platform.Run(s.Err) },
 	"serve":    func(a []string, s cli.Streams) error { return serve.Run(a, s.Err) },
 	"check":    check,
-	"version":  func(_ []string, s cli.Streams) error { _, err := fmt.Fprintln(s.Out, node.Build); return err },
+	"version":  func(_ []string, s cli.Streams) error { _, err := fmt.Fprintln(s.Out, node.BuildVersion); return err },
 	"help":     func(_ []string, s cli.Streams) error { usage(s.Out); return nil },
 }
 
--- a/internal/command/serve/serve.go
+++ b/internal/command/serve/serve.go
@@ -114,7 +114,7 @@
 	h := hclog.New(&hclog.LoggerOptions{Name: "postjunction", Level: hclog.LevelFromString(o.LogLevel), Output: t.Errs, TimeFn: time.Now})
 	log := event.NewLogger(h.With("node", o.Name))
 	frugal(o.MemoryMB, o.MilliCores)
-	w := node.World{Clock: clock.Real{}, Net: wire.Real(o.Timing())}
+	w := node.Environment{Clock: clock.Real{}, Net: wire.Real(o.Timing())}
 	s := listen()
 	defer s.end()
 	p := &patience{clk: clock.Real{}, bounds: o.Timing(), log: log, stop: s.stop}
--- a/internal/command/serve/visits.go
+++ b/internal/command/serve/visits.go
@@ -28,9 +28,9 @@
 		words = jsoncodec.Codec{}
 	}
 	return lineserver.New(lineserver.Options{
-		Sessions: house{n.House}, Codec: words, Clock: clock.Real{},
+		Sessions: house{n.Sessions}, Codec: words, Clock: clock.Real{},
 		Keepalive: time.Duration(o.Keepalive), Retry: o.Timing().MaxBackoff(),
-		BodyLimit: func() int { return body(o.BodyLimit, n.Board.Configuration().Limits.Body) }, MaxConnections: o.Descriptors * visitParts / descriptorParts,
+		BodyLimit: func() int { return body(o.BodyLimit, n.Store.Configuration().Limits.Body) }, MaxConnections: o.Descriptors * visitParts / descriptorParts,
 	})
 }
 
--- a/internal/node/leaders/load.go
+++ b/internal/node/leaders/load.go
@@ -20,8 +20,8 @@
 
 // Loads gives what each partition owned here takes a second, in messages, with a kilobyte of bodies counted as one more. It is smoothed over the time
 // in which a lost copy is waited for, so that a burst moves nothing.
-func (k *Keeper) Loads() map[int]float64 {
-	now, tau := k.Clock.Now(), k.Bounds.ReplacementDelay()
+func (k *Manager) Loads() map[int]float64 {
+	now, tau := k.Clock.Now(), k.Timing.ReplacementDelay()
 	m := map[int]float64{}
 	for _, o := range k.all() {
 		n, b := o.AcceptedTotals()
--- a/internal/node/leaders/owners.go
+++ b/internal/node/leaders/owners.go
@@ -20,30 +20,30 @@
 	"postjunction/internal/settings"
 )
 
-// Keeper starts and ends owners as the records change.
-type Keeper struct {
-	Self    string
-	Clock   clock.Clock
-	Bounds  settings.Timing
-	Board   *gossip.Store
-	Client  *registerclient.Client
-	Replica *replica.Replica
-	Deps    leader.Options
-	Log     *event.Logger
-	// Able ranks a disk as the next owner by what is known of its machine: 0 first, below 0 for one that can't be.
-	Able  func(assignment.Replica) int
-	heirs heirs
-	// Tell has records that were written here known at once.
-	Tell   func(context.Context, ...assignment.Record)
-	mu     sync.Mutex
-	m      map[int]*leader.Leader
-	closed bool
-	epochs map[int]uint64
-	loads  map[int]sample
+// Manager starts and ends owners as the records change.
+type Manager struct {
+	Self          string
+	Clock         clock.Clock
+	Timing        settings.Timing
+	Store         *gossip.Store
+	Client        *registerclient.Client
+	Replica       *replica.Replica
+	LeaderOptions leader.Options
+	Log           *event.Logger
+	// CheckServing ranks a disk as the next owner by what is known of its machine: 0 first, below 0 for one that can't be.
+	CheckServing func(assignment.Replica) int
+	heirs        heirs
+	// Broadcast has records that were written here known at once.
+	Broadcast func(context.Context, ...assignment.Record)
+	mu        sync.Mutex
+	m         map[int]*leader.Leader
+	closed    bool
+	epochs    map[int]uint64
+	loads     map[int]sample
 }
 
 // Leader finds the owner of a partition that runs here.
-func (k *Keeper) Leader(p int) (*leader.Leader, error) {
+func (k *Manager) Leader(p int) (*leader.Leader, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if o, ok := k.m[p]; ok {
@@ -53,7 +53,7 @@
 }
 
 // Views gives the figures of all owners.
-func (k *Keeper) Views() []leader.View {
+func (k *Manager) Views() []leader.View {
 	vs := []leader.View{}
 	for _, o := range k.all() {
 		vs = append(vs, o.View())
@@ -62,9 +62,9 @@
 }
 
 // Count is how many owners run here.
-func (k *Keeper) Count() int { return len(k.all()) }
+func (k *Manager) Count() int { return len(k.all()) }
 
-func (k *Keeper) all() []*leader.Leader {
+func (k *Manager) all() []*leader.Leader {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	os := make([]*leader.Leader, 0, len(k.m))
@@ -75,15 +75,15 @@
 }
 
 // Run follows the records until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Manager) Run(ctx context.Context) {
 	go k.recall(ctx)
 	for ctx.Err() == nil {
-		ch := k.Board.Changed()
+		ch := k.Store.Changed()
 		k.look(ctx)
 		cx, stop := context.WithCancel(ctx)
 		due := make(chan struct{})
 		go func() {
-			_ = k.Clock.Sleep(cx, k.Bounds.ReconcileInterval())
+			_ = k.Clock.Sleep(cx, k.Timing.ReconcileInterval())
 			close(due)
 		}()
 		select {
@@ -95,30 +95,30 @@
 }
 
 // recall reads the records of what this disk holds, all at once, since after a restart of all nodes nobody else may know them.
-func (k *Keeper) recall(ctx context.Context) {
+func (k *Manager) recall(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, p := range k.Replica.Partitions() {
 		wg.Go(func() {
-			for try := 0; ctx.Err() == nil && k.Board.Record(p).Epoch == 0; try++ {
-				if k.Board.VoterSet().Sequence > 0 {
-					cx, stop := context.WithTimeout(ctx, k.Bounds.CallTimeout())
+			for try := 0; ctx.Err() == nil && k.Store.Record(p).Epoch == 0; try++ {
+				if k.Store.VoterSet().Sequence > 0 {
+					cx, stop := context.WithTimeout(ctx, k.Timing.CallTimeout())
 					_, err := k.read(cx, p)
 					stop()
 					if err == nil {
 						return
 					}
 				}
-				_ = k.Clock.Sleep(ctx, k.Bounds.Backoff(try))
+				_ = k.Clock.Sleep(ctx, k.Timing.Backoff(try))
 			}
 		})
 	}
 	wg.Wait()
 }
 
-func (k *Keeper) look(ctx context.Context) {
-	l := k.Board.VoterSet().Layout
+func (k *Manager) look(ctx context.Context) {
+	l := k.Store.VoterSet().Layout
 	for p := range l.PartitionCount() {
-		r := k.Board.Record(p)
+		r := k.Store.Record(p)
 		if r.Epoch == 0 {
 			continue
 		}
@@ -143,7 +143,7 @@
 				go k.revive(ctx, p)
 				continue
 			}
-			n := leader.New(k.Deps, r, partition.Urgent(p, l))
+			n := leader.New(k.LeaderOptions, r, partition.Urgent(p, l))
 			k.m[p] = n
 			k.mu.Unlock()
 			if o != nil {
@@ -163,7 +163,7 @@
 	}
 }
 
-func (k *Keeper) serve(ctx context.Context, o *leader.Leader) {
+func (k *Manager) serve(ctx context.Context, o *leader.Leader) {
 	o.Run(ctx)
 	k.mu.Lock()
 	alone := k.m[o.Record.Partition] == o && !k.closed
@@ -171,15 +171,15 @@
 		delete(k.m, o.Record.Partition)
 	}
 	k.mu.Unlock()
-	if alone && k.Clock.Sleep(ctx, k.Bounds.MaxBackoff()) == nil {
+	if alone && k.Clock.Sleep(ctx, k.Timing.MaxBackoff()) == nil {
 		k.revive(ctx, o.Record.Partition)
 	}
 }
 
 // revive asks for a new epoch of a partition that the record names this node for, under one that this disk used before.
-func (k *Keeper) revive(ctx context.Context, p int) {
+func (k *Manager) revive(ctx context.Context, p int) {
 	for try := 0; !k.reread(ctx, p); try++ {
-		if k.Clock.Sleep(ctx, k.Bounds.Backoff(try)) != nil {
+		if k.Clock.Sleep(ctx, k.Timing.Backoff(try)) != nil {
 			return
 		}
 	}
@@ -187,31 +187,31 @@
 
 // reread looks whether the record still names this node, though nobody decides here, and asks for a new epoch then. It tells whether it
 // came to an end: until the record was read, nobody else would notice.
-func (k *Keeper) reread(ctx context.Context, p int) bool {
-	cx, stop := context.WithTimeout(ctx, k.Bounds.TakeoverTimeout())
+func (k *Manager) reread(ctx context.Context, p int) bool {
+	cx, stop := context.WithTimeout(ctx, k.Timing.TakeoverTimeout())
 	defer stop()
 	r, err := k.read(cx, p)
 	if err != nil {
 		return false
 	}
-	if r.Leader != k.Self || k.Board.Record(p).Epoch > r.Epoch || !k.named(r) || !k.spent(p, r.Epoch) {
+	if r.Leader != k.Self || k.Store.Record(p).Epoch > r.Epoch || !k.named(r) || !k.spent(p, r.Epoch) {
 		return true
 	}
 	return k.Renew(cx, r)
 }
 
-func (k *Keeper) named(r assignment.Record) bool {
+func (k *Manager) named(r assignment.Record) bool {
 	p, ok := r.Replica(k.Self)
 	return ok && p.Incarnation == k.Replica.Incarnation()
 }
 
-func (k *Keeper) spent(p int, epoch uint64) bool {
+func (k *Manager) spent(p int, epoch uint64) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.m[p] == nil && k.epochs[p] >= epoch
 }
 
-func (k *Keeper) read(ctx context.Context, p int) (assignment.Record, error) {
+func (k *Manager) read(ctx context.Context, p int) (assignment.Record, error) {
 	v, err := k.Client.Read(ctx, assignment.Key(p))
 	if err != nil {
 		return assignment.Record{}, err
@@ -220,12 +220,12 @@
 	if err != nil {
 		return r, apierror.Wrap(apierror.Internal, err, "read the record of partition %d", p)
 	}
-	k.Board.Apply(gossip.Update{Records: []assignment.Record{r}})
+	k.Store.Apply(gossip.Update{Records: []assignment.Record{r}})
 	return r, nil
 }
 
 // Change rewrites a partition's record while it is still at the given epoch.
-func (k *Keeper) Change(ctx context.Context, p int, epoch uint64, f func(assignment.Record) (assignment.Record, bool)) bool {
+func (k *Manager) Change(ctx context.Context, p int, epoch uint64, f func(assignment.Record) (assignment.Record, bool)) bool {
 	for try := 0; ctx.Err() == nil; try++ {
 		r, err := k.read(ctx, p)
 		if err == nil {
@@ -236,17 +236,17 @@
 			v, e := k.Client.Change(ctx, assignment.Key(p), r.Version, registerclient.NewChangeID(), n.Marshal())
 			if e == nil {
 				n.Version = v.Version
-				k.Tell(ctx, n)
+				k.Broadcast(ctx, n)
 				return true
 			}
 		}
-		_ = k.Clock.Sleep(ctx, k.Bounds.Backoff(try))
+		_ = k.Clock.Sleep(ctx, k.Timing.Backoff(try))
 	}
 	return false
 }
 
-// Settled records that a take-over is finished, so that replicas may change.
-func (k *Keeper) Settled(ctx context.Context, r assignment.Record) {
+// OnRecovered records that a take-over is finished, so that replicas may change.
+func (k *Manager) OnRecovered(ctx context.Context, r assignment.Record) {
 	k.Change(ctx, r.Partition, r.Epoch, func(x assignment.Record) (assignment.Record, bool) {
 		x.Recovered = true
 		return x, true
@@ -254,7 +254,7 @@
 }
 
 // Renew asks for a new epoch, and tells whether it got one, since this disk used the record's in an earlier run.
-func (k *Keeper) Renew(ctx context.Context, r assignment.Record) bool {
+func (k *Manager) Renew(ctx context.Context, r assignment.Record) bool {
 	k.Log.Log(event.LeaderRenewed, "partition", r.Partition, "epoch", r.Epoch)
 	return k.Change(ctx, r.Partition, r.Epoch, func(x assignment.Record) (assignment.Record, bool) {
 		return x.Next(k.Self, x.Replicas, "the owner came back on its machine", k.Clock.Now()), x.Leader == k.Self
@@ -262,15 +262,15 @@
 }
 
 // Promote makes the learner, which has caught up, a replica: in the place of its machine's lost disk if the record names one, otherwise as one more.
-func (k *Keeper) Promote(ctx context.Context, r assignment.Record, l assignment.Replica) {
+func (k *Manager) Promote(ctx context.Context, r assignment.Record, l assignment.Replica) {
 	k.Change(ctx, r.Partition, r.Epoch, func(x assignment.Record) (assignment.Record, bool) {
 		ok := x.Learner != nil && *x.Learner == l && x.Leader == k.Self && x.Recovered
 		return x.Next(k.Self, x.WithReplica(l), l.Node+" has caught up and holds a copy", k.Clock.Now()), ok
 	})
 }
 
-// HandOver gives every owned partition to another replica, state flushed first.
-func (k *Keeper) HandOver(ctx context.Context, able func(assignment.Replica) bool, limit time.Duration) int {
+// TransferLeadership gives every owned partition to another replica, state flushed first.
+func (k *Manager) TransferLeadership(ctx context.Context, able func(assignment.Replica) bool, limit time.Duration) int {
 	k.mu.Lock()
 	k.closed = true
 	k.mu.Unlock()
@@ -303,9 +303,9 @@
 
 // Orphans drops partitions that a settled record at a higher epoch places elsewhere. The records that name this node, as far as it has heard, are not read
 // for that: news of one that no longer does come by themselves, and gaps are mended.
-func (k *Keeper) Orphans(ctx context.Context) {
+func (k *Manager) Orphans(ctx context.Context) {
 	for _, p := range k.Replica.Partitions() {
-		if k.Board.Record(p).Holds(k.Self) {
+		if k.Store.Record(p).Holds(k.Self) {
 			continue
 		}
 		r, err := k.read(ctx, p)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -49,21 +49,21 @@
 	"postjunction/internal/wire"
 )
 
-// Build is the name of the build, set at link time.
-var Build = "dev"
+// BuildVersion is the name of the build, set at link time.
+var BuildVersion = "dev"
 
-// World is what a node stands on: time, network and disk.
-type World struct {
+// Environment is what a node stands on: time, network and disk.
+type Environment struct {
 	Clock clock.Clock
 	Net   wire.Network
 	Disk  journal.Log
-	// Witness, if any, hears every verdict of the owners that run here; only proof uses it.
-	Witness leader.DecisionObserver
+	// OnDecision, if any, hears every verdict of the owners that run here; only proof uses it.
+	OnDecision leader.DecisionObserver
 }
 
 // Node is one process of the fleet.
 type Node struct {
-	w    World
+	w    Environment
 	log  *event.Logger
 	boot string
 
@@ -77,7 +77,7 @@
 	voter   *acceptor.Acceptor
 	replica *replica.Replica
 
-	Board        *gossip.Store
+	Store        *gossip.Store
 	View         *membership.View
 	keeper       *nodelease.Manager
 	host         *nodelease.Server
@@ -86,7 +86,7 @@
 	holder       *register.Proposer
 	confirm      *quorumread.Confirmer
 	client       *registerclient.Client
-	owners       *leaders.Keeper
+	owners       *leaders.Manager
 	desk         *router.Router
 	presence     *presence.Presence
 	gates        *admission.Limiter
@@ -98,12 +98,12 @@
 	watch        *failuredetector.Detector
 	touch        *reachability.Monitor
 
-	// Visitors and Operators are the services behind the door.
-	Visitors  *client.Service
+	// Clients and Operators are the services behind the door.
+	Clients   *client.Service
 	Operators *operator.Service
-	// House takes visits on line sessions.
-	House *session.Registry
-	hub   *fanout.Hub
+	// Sessions takes visits on line sessions.
+	Sessions *session.Registry
+	hub      *fanout.Hub
 
 	leaving chan struct{}
 	stop    context.CancelFunc
@@ -111,11 +111,11 @@
 }
 
 // Start opens the disk and runs all parts until Stop or Kill.
-func Start(ctx context.Context, o settings.Options, w World, l *event.Logger) (*Node, error) {
+func Start(ctx context.Context, o settings.Options, w Environment, l *event.Logger) (*Node, error) {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
 	n := &Node{w: w, log: l, opts: o, boot: hex.EncodeToString(b[:]), stage: membership.Serving, leaving: make(chan struct{}), View: membership.NewView()}
-	n.Board = gossip.NewStore(n.heard)
+	n.Store = gossip.NewStore(n.heard)
 	ctx, n.stop = context.WithCancel(ctx)
 	if o.Disk != settings.DiskNone {
 		if err := n.open(ctx); err != nil {
@@ -125,7 +125,7 @@
 	}
 	n.build(ctx)
 	n.run(ctx)
-	l.Log(event.Started, "name", o.Name, "zone", o.Zone, "disk", o.Disk, "build", Build, "boot", n.boot)
+	l.Log(event.Started, "name", o.Name, "zone", o.Zone, "disk", o.Disk, "build", BuildVersion, "boot", n.boot)
 	return n, nil
 }
 
@@ -162,7 +162,7 @@
 		n.log.Log(event.DiskNew, "incarnation", inc)
 	}
 	n.replica.Start(inc, j)
-	n.voter.Start(inc, j, n.agree, func(r voters.Set) { n.Board.Apply(gossip.Update{VoterSet: &r}) })
+	n.voter.Start(inc, j, n.agree, func(r voters.Set) { n.Store.Apply(gossip.Update{VoterSet: &r}) })
 	return nil
 }
 
@@ -187,7 +187,7 @@
 	n.mu.Lock()
 	o, st, fit := n.opts, n.stage, n.fitness
 	n.mu.Unlock()
-	i := membership.Info{Name: o.Name, Zone: o.Zone, ListenAddr: o.Listen, PeerAddr: o.DialAddress(), ClientAddr: o.ClientListen, Disk: o.Disk, BootID: n.boot, Stage: st, DiskHealth: fit, Configuration: n.Board.Configuration().Sequence, BuildVersion: Build, WireVersion: wire.FormatVersion, SupportsTwoHomes: true, SupportsKeys: true, MilliCores: o.ClientCapacity(), VoterSet: n.Board.VoterSet().Sequence}
+	i := membership.Info{Name: o.Name, Zone: o.Zone, ListenAddr: o.Listen, PeerAddr: o.DialAddress(), ClientAddr: o.ClientListen, Disk: o.Disk, BootID: n.boot, Stage: st, DiskHealth: fit, Configuration: n.Store.Configuration().Sequence, BuildVersion: BuildVersion, WireVersion: wire.FormatVersion, SupportsTwoHomes: true, SupportsKeys: true, MilliCores: o.ClientCapacity(), VoterSet: n.Store.VoterSet().Sequence}
 	if n.keeper != nil {
 		i.Deaf = !n.keeper.LeaseConfirmed()
 	}
@@ -207,7 +207,7 @@
 }
 
 // VoterSet gives the newest roster known here.
-func (n *Node) VoterSet() voters.Set { return n.Board.VoterSet() }
+func (n *Node) VoterSet() voters.Set { return n.Store.VoterSet() }
 
 // Live finds a control node that has a session.
 func (n *Node) Live(node string) (string, bool) {
@@ -269,12 +269,12 @@
 	if p, ok := assignment.Partition(k); ok && len(v.Body) > 0 {
 		if r, err := assignment.Parse(v.Body, v.Version); err == nil {
 			r.Partition = p
-			n.Board.Apply(gossip.Update{Records: []assignment.Record{r}})
+			n.Store.Apply(gossip.Update{Records: []assignment.Record{r}})
 		}
 	}
 	if k == quorumread.ConfigurationKey {
 		if d, err := quorumread.Parse(v); err == nil && d.Sequence > 0 {
-			n.Board.Apply(gossip.Update{Configuration: &d})
+			n.Store.Apply(gossip.Update{Configuration: &d})
 		}
 	}
 }
@@ -298,43 +298,43 @@
 		n.table = membership.NewTable(clk, b)
 		n.holder = register.New(self, net, clk, b, n, n.told)
 		mender := &repair.Repairer{Self: self, Net: net, Bounds: b}
-		n.confirm = &quorumread.Confirmer{Self: self, Net: net, Clock: clk, Timing: b, Store: n.Board, Proposer: n.holder, Repairer: mender}
-		n.host = &nodelease.Server{Self: self, Seeds: o.Seeds, Clock: clk, Timing: b, Net: net, Table: n.table, Store: n.Board, Info: n.Info, LatestConfirmation: n.confirm.Latest}
+		n.confirm = &quorumread.Confirmer{Self: self, Net: net, Clock: clk, Timing: b, Store: n.Store, Proposer: n.holder, Repairer: mender}
+		n.host = &nodelease.Server{Self: self, Seeds: o.Seeds, Clock: clk, Timing: b, Net: net, Table: n.table, Store: n.Store, Info: n.Info, LatestConfirmation: n.confirm.Latest}
 		n.founder = bootstrap.New(o, net, n.Info)
-		n.reconfigurer = &reconfigurer.Reconfigurer{Self: self, Clock: clk, Timing: b, Store: n.Board, Bootstrapper: n.founder, Executor: reconfig.New(self, net, b), Repairer: mender, Live: n.controls, Changed: n.table.Changed, Sealed: n.voter.Sealed, Sealing: n.voter.Sealing, Log: n.log}
+		n.reconfigurer = &reconfigurer.Reconfigurer{Self: self, Clock: clk, Timing: b, Store: n.Store, Bootstrapper: n.founder, Executor: reconfig.New(self, net, b), Repairer: mender, Live: n.controls, Changed: n.table.Changed, Sealed: n.voter.Sealed, Sealing: n.voter.Sealing, Log: n.log}
 		if r := n.voter.VoterSet(); r.Sequence > 0 {
-			n.Board.Apply(gossip.Update{VoterSet: &r})
+			n.Store.Apply(gossip.Update{VoterSet: &r})
 		}
 	}
-	n.leaves = bootstrap.NewGranter(o, func() uint64 { return n.Board.VoterSet().Sequence })
+	n.leaves = bootstrap.NewGranter(o, func() uint64 { return n.Store.VoterSet().Sequence })
 	n.client = registerclient.New(self, net, b, n.members, n.holder)
-	n.keeper = &nodelease.Manager{Settings: o, Clock: clk, Net: net, Store: n.Board, View: n.View, Info: n.Info, Local: n.host, Log: n.log}
-	n.gossip = &gossip.Gossiper{Self: self, Net: net, Clock: clk, Timing: b, Store: n.Board, View: n.View.All, Control: o.HasControlDisk(), Disk: o.Disk != settings.DiskNone}
+	n.keeper = &nodelease.Manager{Settings: o, Clock: clk, Net: net, Store: n.Store, View: n.View, Info: n.Info, Local: n.host, Log: n.log}
+	n.gossip = &gossip.Gossiper{Self: self, Net: net, Clock: clk, Timing: b, Store: n.Store, View: n.View.All, Control: o.HasControlDisk(), Disk: o.Disk != settings.DiskNone}
 	if o.HasControlDisk() {
-		n.duty = &controller.Controller{Self: self, Clock: clk, Timing: b, Proposer: n.holder, Client: n.client, Store: n.Board, Live: n.table.Live, Broadcast: n.gossip.Broadcast, Changed: n.table.Changed, Log: n.log}
+		n.duty = &controller.Controller{Self: self, Clock: clk, Timing: b, Proposer: n.holder, Client: n.client, Store: n.Store, Live: n.table.Live, Broadcast: n.gossip.Broadcast, Changed: n.table.Changed, Log: n.log}
 	}
-	n.owners = &leaders.Keeper{Self: self, Clock: clk, Bounds: b, Board: n.Board, Client: n.client, Replica: n.replica, Log: n.log, Able: n.able, Tell: n.gossip.Broadcast}
-	n.watch = &failuredetector.Detector{Self: self, BootID: n.boot, Clock: clk, Timing: b, Net: net, Store: n.Board, Addr: n.reach, OnFailure: n.owners.Inherit}
-	n.owners.Deps = leader.Options{
+	n.owners = &leaders.Manager{Self: self, Clock: clk, Timing: b, Store: n.Store, Client: n.client, Replica: n.replica, Log: n.log, CheckServing: n.able, Broadcast: n.gossip.Broadcast}
+	n.watch = &failuredetector.Detector{Self: self, BootID: n.boot, Clock: clk, Timing: b, Net: net, Store: n.Store, Addr: n.reach, OnFailure: n.owners.FailOver}
+	n.owners.LeaderOptions = leader.Options{
 		Self: self, Net: net, Clock: clk, Timing: b, Replica: n.replica, Idle: idle.New(ctx, self, net, clk, b), Addr: n.addr, CheckLease: n.keeper.CheckLease,
 		ChangelogInterval: func() time.Duration { return n.options().ChangelogInterval() },
 		Backlog:           func() int { return n.options().Backlog },
 		MaxTombstones:     func() int { return n.options().MaxTombstones },
 		LeaseExtension:    time.Duration(o.LeaseExtension),
 		LongestRetention: func() time.Duration {
-			if x := n.Board.Index(); x.Sequence > 0 {
+			if x := n.Store.Index(); x.Sequence > 0 {
 				return x.Longest
 			}
 			return b.MaxRetention()
 		},
-		OnRecovered: n.owners.Settled, OnPromote: n.owners.Promote, Observer: (*ownerLog)(n), OnDecision: n.w.Witness,
+		OnRecovered: n.owners.OnRecovered, OnPromote: n.owners.Promote, Observer: (*ownerLog)(n), OnDecision: n.w.OnDecision,
 	}
-	n.desk = &router.Router{Self: self, Net: net, Clock: clk, Timing: b, Store: n.Board, View: n.View, Leaders: n.owners, Backlog: func() int { return n.options().Backlog }, CompressStreams: o.CompressStreams()}
+	n.desk = &router.Router{Self: self, Net: net, Clock: clk, Timing: b, Store: n.Store, View: n.View, Leaders: n.owners, Backlog: func() int { return n.options().Backlog }, CompressStreams: o.CompressStreams()}
 	n.presence = presence.New(self, net, b, n.View)
 	n.gates = admission.New(o.Backlog)
 	n.turned = rejections.New()
-	n.Visitors = &client.Service{
-		Clock: clk, Timing: b, BodyLimit: o.BodyLimit, Store: n.Board, Router: n.desk, Presence: n.presence, Limiter: n.gates,
+	n.Clients = &client.Service{
+		Clock: clk, Timing: b, BodyLimit: o.BodyLimit, Store: n.Store, Router: n.desk, Presence: n.presence, Limiter: n.gates,
 		Feeds: stream.New(ctx, self, n.boot, n.desk, clk, b), CheckLease: n.keeper.CheckLease, Draining: n.leaving,
 		OnResult: func(t *client.Request, err error) {
 			n.log.Log(event.CallRejected, "verb", t.Verb, "visitor", t.Client, "problem", err)
@@ -345,23 +345,23 @@
 			n.turned.Add(rejections.Rejection{At: clk.Now().UTC(), Node: self, Verb: t.Verb, Client: t.Client, Topic: topic, CallSeq: t.CallSeq, Code: string(p.Code), Message: p.Message})
 		},
 	}
-	n.hub = fanout.New(ctx, self, n.boot, n.desk, n.Board, clk, b)
-	n.House = (&session.Registry{
-		Self: self, Clock: clk, Timing: b, Store: n.Board, Hub: n.hub, Ledger: n.desk, CheckLease: n.keeper.CheckLease,
+	n.hub = fanout.New(ctx, self, n.boot, n.desk, n.Store, clk, b)
+	n.Sessions = (&session.Registry{
+		Self: self, Clock: clk, Timing: b, Store: n.Store, Hub: n.hub, Ledger: n.desk, CheckLease: n.keeper.CheckLease,
 		Draining: n.leaving, Members: n.View.All, Info: n.Info, BodyLimit: o.BodyLimit,
 	}).Start(ctx)
 	n.touch = &reachability.Monitor{
 		Self: self, Clock: clk, Timing: b, Net: net, LastHeard: n.keeper.LastHeard, UsualLatency: n.keeper.UsualLatency, LeaderAddrs: n.deciders, Peers: n.nearest, CheckServing: n.Ready,
 		OnRedirect: func(to []membership.Info) {
 			if len(to) > 0 {
-				n.log.Log(event.ClientsRedirected, "visitors", n.House.Count(), "fellows", len(to))
+				n.log.Log(event.ClientsRedirected, "visitors", n.Sessions.Count(), "fellows", len(to))
 			} else {
 				n.log.Log(event.ClientsStay)
 			}
-			n.House.Redirect(to)
+			n.Sessions.Redirect(to)
 		},
 	}
-	n.Operators = &operator.Service{Clock: n.w.Clock, Timing: b, Net: n.w.Net, Client: n.client, Store: n.Board, View: n.View, Info: n.Info, CheckLease: n.keeper.CheckLease, ControlNode: n.keeper.ControlNode, Leaders: n.owners.Views, TopicUsage: n.desk.Usage, Tombstones: n.desk.Tombstones, CountersByPart: n.tallies, Trace: n.desk.Trace, Rejections: n.askTurned, Log: n.log}
+	n.Operators = &operator.Service{Clock: n.w.Clock, Timing: b, Net: n.w.Net, Client: n.client, Store: n.Store, View: n.View, Info: n.Info, CheckLease: n.keeper.CheckLease, ControlNode: n.keeper.ControlNode, Leaders: n.owners.Views, TopicUsage: n.desk.Usage, Tombstones: n.desk.Tombstones, CountersByPart: n.tallies, Trace: n.desk.Trace, Rejections: n.askTurned, Log: n.log}
 }
 
 // deciders gives the addresses of the other machines that records name as owners.
@@ -369,8 +369,8 @@
 	self := n.options().Name
 	by := map[string]bool{}
 	var as []string
-	for p := range n.Board.VoterSet().Layout.PartitionCount() {
-		o := n.Board.Record(p).Leader
+	for p := range n.Store.VoterSet().Layout.PartitionCount() {
+		o := n.Store.Record(p).Leader
 		if o == "" || o == self || by[o] {
 			continue
 		}
@@ -414,7 +414,7 @@
 	n.goes(func() { n.keeper.Run(ctx) })
 	n.goes(func() { n.gossip.Run(ctx) })
 	n.goes(func() { n.hub.Run(ctx) })
-	n.goes(func() { n.House.Run(ctx) })
+	n.goes(func() { n.Sessions.Run(ctx) })
 	if n.opts.ClientListen != "" {
 		n.goes(func() { n.touch.Run(ctx) })
 	}
@@ -443,7 +443,7 @@
 	b := n.bounds()
 	swept, dropped := n.w.Clock.Now(), n.w.Clock.Now()
 	for n.w.Clock.Sleep(ctx, b.ReconcileInterval()) == nil {
-		if f := n.Board.VoterSet().Fleet; f != "" {
+		if f := n.Store.VoterSet().Fleet; f != "" {
 			if err := n.id.Join(ctx, n.journal, f); apierror.HasCode(err, apierror.DiskForeign) {
 				if n.setFitness(string(apierror.DiskForeign)) {
 					n.log.Log(event.DiskFailed, "problem", err)
@@ -509,7 +509,7 @@
 
 // Door gives the side towards callers and operators.
 func (n *Node) Door() *httpapi.API {
-	return &httpapi.API{Clients: n.Visitors, Operators: n.Operators, Timing: n.bounds(), Ready: n.Ready}
+	return &httpapi.API{Clients: n.Clients, Operators: n.Operators, Timing: n.bounds(), Ready: n.Ready}
 }
 
 // Ready tells whether new callers should come here.
@@ -519,7 +519,7 @@
 		return apierror.New(apierror.ShuttingDown, "this node is stopping")
 	default:
 	}
-	if err := n.House.CheckServing(); err != nil {
+	if err := n.Sessions.CheckServing(); err != nil {
 		return err
 	}
 	return n.keeper.CheckLease()
@@ -551,7 +551,7 @@
 	}
 	k := 0
 	if n.replica != nil {
-		k = n.owners.HandOver(ctx, able, b.TransferTimeout())
+		k = n.owners.TransferLeadership(ctx, able, b.TransferTimeout())
 	}
 	h := 0
 	if n.holder != nil {
@@ -565,7 +565,7 @@
 	}
 	cx, rest := context.WithTimeout(ctx, b.TransferTimeout())
 	defer rest()
-	n.Visitors.Feeds.WaitFinished(cx)
+	n.Clients.Feeds.WaitFinished(cx)
 	n.log.Log(event.LeadershipTransferred, "partitions", k, "keys", h)
 	n.Kill()
 	n.log.Log(event.StoppedClean)
@@ -631,7 +631,7 @@
 
 func (n *Node) tallies() map[string]any {
 	taken, shed := n.gates.Counts()
-	streams, lines := n.Visitors.Streams()
+	streams, lines := n.Clients.Streams()
 	sent, mended := n.gossip.Counts()
 	m := map[string]any{
 		"streams": streams, "stream_lines": lines, "admitted": taken, "shed": shed,
--- a/internal/testing/sim/answers_test.go
+++ b/internal/testing/sim/answers_test.go
@@ -47,11 +47,11 @@
 				assert.NilError(t, w.Until(10*time.Second, "the old owner is licensed", func() bool { return w.Machines[old].Node().Ready() == nil }))
 				stale := w.Machines[old].Node()
 				ctx, stop := context.WithTimeout(w.ctx, w.Site.Bounds.Spread)
-				a, err := stale.Visitors.Router.ReadAttachment(ctx, who, 0, false)
+				a, err := stale.Clients.Router.ReadAttachment(ctx, who, 0, false)
 				if err == nil {
 					assert.Equal(t, a.Attachment.Generation, second.Generation, "vouched for a superseded attachment")
 				}
-				_, err = stale.Visitors.Router.Submit(ctx, p, &leader.Message{Client: who, Generation: second.Generation, Topic: topic, CallSeq: 5, Body: []byte(`"later"`)})
+				_, err = stale.Clients.Router.Submit(ctx, p, &leader.Message{Client: who, Generation: second.Generation, Topic: topic, CallSeq: 5, Body: []byte(`"later"`)})
 				assert.Assert(t, !apierror.HasCode(err, apierror.CallPassed), "a final no from an owner that is none: %v", err)
 				stop()
 				assert.Assert(t, hits() > 0, "void: nothing was held")
--- a/internal/testing/sim/astray_test.go
+++ b/internal/testing/sim/astray_test.go
@@ -12,7 +12,7 @@
 // pairs has two access nodes in each zone.
 var pairs = Site{Zones: 3, Control: 3, Access: 6, Stores: 3, Latency: 500 * time.Microsecond, Bounds: Armor.Bounds, Routine: 4, Urgent: 2}
 
-func (w *World) visits(n string) int { return w.Machines[n].Node().House.Count() }
+func (w *World) visits(n string) int { return w.Machines[n].Node().Sessions.Count() }
 
 // apart cuts a machine off from those with disks, both ways.
 func (w *World) apart(n string) {
@@ -87,7 +87,7 @@
 				time.Sleep(100 * time.Millisecond)
 				for _, n := range w.Names {
 					if n[0] == 'a' {
-						assert.NilError(t, w.Machines[n].Node().House.CheckServing(), "%s: %s sends its visitors away", name, n)
+						assert.NilError(t, w.Machines[n].Node().Sessions.CheckServing(), "%s: %s sends its visitors away", name, n)
 					}
 				}
 			}
--- a/internal/testing/sim/boot_test.go
+++ b/internal/testing/sim/boot_test.go
@@ -72,13 +72,13 @@
 		if x == nil || x.Ready() != nil {
 			return false
 		}
-		sp, err := x.Board.Index().Find(topic)
+		sp, err := x.Store.Index().Find(topic)
 		if err != nil {
 			return false
 		}
-		p := partition.Of(topic, sp.Urgent, x.Board.VoterSet().Layout)
+		p := partition.Of(topic, sp.Urgent, x.Store.VoterSet().Layout)
 		done := make(chan error, 1)
-		x.House.Ledger.SubmitAsync(w.ctx, p, &leader.Message{Client: who, Topic: topic, CallSeq: call, Body: []byte(`"b"`)}, time.Now().Add(w.Site.Bounds.CallTimeout()), func(d *leader.Decision, err error) {
+		x.Sessions.Ledger.SubmitAsync(w.ctx, p, &leader.Message{Client: who, Topic: topic, CallSeq: call, Body: []byte(`"b"`)}, time.Now().Add(w.Site.Bounds.CallTimeout()), func(d *leader.Decision, err error) {
 			if err == nil {
 				mu.Lock()
 				last[topic] = max(last[topic], d.Offset)
@@ -126,24 +126,24 @@
 			wg.Go(func() {
 				for cx.Err() == nil {
 					x := w.Machines[a].Node()
-					if x == nil || x.Ready() != nil || x.Board.VoterSet().Sequence == 0 {
+					if x == nil || x.Ready() != nil || x.Store.VoterSet().Sequence == 0 {
 						tick()
 						continue
 					}
-					sp, err := x.Board.Index().Find(topic)
+					sp, err := x.Store.Index().Find(topic)
 					if err != nil {
 						tick()
 						continue
 					}
 					f := from[topic]
-					s := x.House.Hub.NewSubscription(partition.Of(topic, sp.Urgent, x.Board.VoterSet().Layout), topic)
+					s := x.Sessions.Hub.NewSubscription(partition.Of(topic, sp.Urgent, x.Store.VoterSet().Layout), topic)
 					s.After = &f
 					opened, given, broken := make(chan error, 1), make(chan struct{}), make(chan struct{})
 					var once sync.Once
 					s.OnOpen = func(_ uint64, err error) { opened <- err }
 					s.OnEntry = func(log.Entry) { once.Do(func() { close(given) }) }
 					s.OnBroken = func() { close(broken) }
-					x.House.Hub.Subscribe(s)
+					x.Sessions.Hub.Subscribe(s)
 					select {
 					case err = <-opened:
 					case <-cx.Done():
@@ -160,7 +160,7 @@
 					case <-broken:
 					case <-cx.Done():
 					}
-					x.House.Hub.Unsubscribe(s)
+					x.Sessions.Hub.Unsubscribe(s)
 					return
 				}
 			})
--- a/internal/testing/sim/chaos_test.go
+++ b/internal/testing/sim/chaos_test.go
@@ -35,7 +35,7 @@
 		}
 	}
 	for p := range r.Layout.PartitionCount() {
-		x := ref.Board.Record(p)
+		x := ref.Store.Record(p)
 		if !x.Recovered || len(x.Replicas) != r.Layout.ReplicationFactor() || x.Learner != nil {
 			return false
 		}
--- a/internal/testing/sim/description_test.go
+++ b/internal/testing/sim/description_test.go
@@ -71,7 +71,7 @@
 			assert.Assert(t, won >= 0, "nobody won on base %d: %v", base, errs)
 			time.Sleep(w.Site.Bounds.Spread)
 			for _, n := range w.Names {
-				d := w.Machines[n].Node().Board.Configuration()
+				d := w.Machines[n].Node().Store.Configuration()
 				assert.Equal(t, d.Sequence, base+1)
 				assert.Equal(t, len(d.Spaces[0].Topics), won+1, "%s applied a description that lost", n)
 			}
@@ -116,7 +116,7 @@
 				bare := want
 				bare.Source = ""
 				for _, n := range w.Names {
-					assert.DeepEqual(t, w.Machines[n].Node().Board.Configuration(), bare)
+					assert.DeepEqual(t, w.Machines[n].Node().Store.Configuration(), bare)
 				}
 				got, err := w.Machines["a1"].Node().Operators.CurrentConfiguration(w.ctx)
 				assert.NilError(t, err)
@@ -198,7 +198,7 @@
 			}
 			for _, n := range w.Names {
 				for topic, kind := range map[string]string{"ka.a": "kept", "ka.bc": "live", "kb.x": "kept"} {
-					s, err := w.Machines[n].Node().Board.Index().Find(topic)
+					s, err := w.Machines[n].Node().Store.Index().Find(topic)
 					assert.NilError(t, err)
 					assert.Equal(t, s.Kind, kind)
 				}
--- a/internal/testing/sim/drain_test.go
+++ b/internal/testing/sim/drain_test.go
@@ -16,7 +16,7 @@
 	k := 0
 	ref := w.Machines["a1"].Node()
 	for p := range ref.VoterSet().Layout.PartitionCount() {
-		if ref.Board.Record(p).Holds(n) {
+		if ref.Store.Record(p).Holds(n) {
 			k++
 		}
 	}
@@ -80,7 +80,7 @@
 		assert.NilError(t, w.Until(60*time.Second, "s1 is empty", w.drained("s1")))
 		assert.Equal(t, w.registered(t, "s1"), 0)
 		for p := range w.Machines["a1"].Node().VoterSet().Layout.PartitionCount() {
-			assert.Equal(t, len(w.Machines["a1"].Node().Board.Record(p).Replicas), 3)
+			assert.Equal(t, len(w.Machines["a1"].Node().Store.Record(p).Replicas), 3)
 		}
 		assert.Assert(t, apierror.HasCode(w.askDrain("s1"), apierror.AlreadyEmpty))
 		w.Wipe("s1")
--- a/internal/testing/sim/gap_test.go
+++ b/internal/testing/sim/gap_test.go
@@ -51,7 +51,7 @@
 func (k *takers) send(ctx context.Context, n *node.Node, p int, topic string) {
 	for c := uint64(1); ctx.Err() == nil; {
 		cx, stop := context.WithTimeout(ctx, time.Second)
-		_, err := n.Visitors.Router.Submit(cx, p, &leader.Message{Client: "taker", Topic: topic, CallSeq: c, Body: []byte(`1`)})
+		_, err := n.Clients.Router.Submit(cx, p, &leader.Message{Client: "taker", Topic: topic, CallSeq: c, Body: []byte(`1`)})
 		stop()
 		if err == nil {
 			c++
--- a/internal/testing/sim/hundreds_test.go
+++ b/internal/testing/sim/hundreds_test.go
@@ -102,7 +102,7 @@
 		at := time.Now()
 		assert.NilError(t, w.Until(w.Site.Bounds.Spread, "all have the newest", func() bool {
 			for _, n := range w.There() {
-				if x := w.Machines[n].Node(); x == nil || x.Ready() != nil || x.Board.Configuration().Sequence != uint64(changes) {
+				if x := w.Machines[n].Node(); x == nil || x.Ready() != nil || x.Store.Configuration().Sequence != uint64(changes) {
 					return false
 				}
 			}
--- a/internal/testing/sim/machine.go
+++ b/internal/testing/sim/machine.go
@@ -193,7 +193,7 @@
 	m.run++
 	run := m.run
 	m.mu.Unlock()
-	w := node.World{Clock: machineClock{m}, Net: &endpoint{m.w, m, run}, Witness: func(p int, e uint64, what string, begun time.Time) {
+	w := node.Environment{Clock: machineClock{m}, Net: &endpoint{m.w, m, run}, OnDecision: func(p int, e uint64, what string, begun time.Time) {
 		m.w.History.Decide(history.Verdict{Node: m.Opts.Name, Partition: p, Epoch: e, What: what, Begun: begun, Told: time.Now()})
 	}}
 	if m.Opts.Disk != settings.DiskNone {
@@ -210,7 +210,7 @@
 		m.snap()
 	}
 	m.n = n
-	m.ports = &transport.Services{Visitors: n.Visitors, Door: n.Door(), Gone: make(chan struct{})}
+	m.ports = &transport.Services{Visitors: n.Clients, Door: n.Door(), Gone: make(chan struct{})}
 	m.w.serve(m.Opts.PeerListen, m, run, n.Peers())
 	m.w.History.Disturb("start", time.Now())
 	return nil
--- a/internal/testing/sim/offer_test.go
+++ b/internal/testing/sim/offer_test.go
@@ -51,7 +51,7 @@
 	v.w.History.Send(m.Message, m.body, false, time.Now())
 	p := partition.Of(m.Topic, false, n.VoterSet().Layout)
 	v.wg.Add(1)
-	n.Visitors.Router.SubmitAsync(v.w.ctx, p, &leader.Message{Client: v.name, Topic: m.Topic, CallSeq: m.Call, Body: []byte(m.body)}, time.Now().Add(time.Second), func(d *leader.Decision, err error) {
+	n.Clients.Router.SubmitAsync(v.w.ctx, p, &leader.Message{Client: v.name, Topic: m.Topic, CallSeq: m.Call, Body: []byte(m.body)}, time.Now().Add(time.Second), func(d *leader.Decision, err error) {
 		defer v.wg.Done()
 		v.told(m, d, err)
 	})
@@ -130,7 +130,7 @@
 	t.Helper()
 	var got []history.Receipt
 	for at := uint64(0); ; {
-		r, err := w.Machines["a1"].Node().Visitors.Router.Read(w.ctx, p, at, 0)
+		r, err := w.Machines["a1"].Node().Clients.Router.Read(w.ctx, p, at, 0)
 		assert.NilError(t, err)
 		if len(r.Entries) == 0 {
 			return got
--- a/internal/testing/sim/owner_test.go
+++ b/internal/testing/sim/owner_test.go
@@ -19,7 +19,7 @@
 )
 
 func (w *World) records() []assignment.Record {
-	b := w.Machines["a1"].Node().Board
+	b := w.Machines["a1"].Node().Store
 	var rs []assignment.Record
 	for p := range b.VoterSet().Layout.PartitionCount() {
 		rs = append(rs, w.storied(b.Record(p)))
@@ -34,7 +34,7 @@
 		if n == nil || m.Opts.Disk == settings.DiskNone {
 			continue
 		}
-		if x := n.Board.Record(r.Partition); x.Version == r.Version {
+		if x := n.Store.Record(r.Partition); x.Version == r.Version {
 			r.History = x.History
 		}
 	}
@@ -94,7 +94,7 @@
 		assert.NilError(t, err)
 		n := w.Machines["a1"].Node()
 		p := partition.Of("kept/t0", false, n.VoterSet().Layout)
-		_, err = n.Visitors.Router.Submit(w.ctx, p, &leader.Message{Client: "v", Generation: old.Generation, Topic: "kept/t0", CallSeq: 2, Body: []byte(`2`)})
+		_, err = n.Clients.Router.Submit(w.ctx, p, &leader.Message{Client: "v", Generation: old.Generation, Topic: "kept/t0", CallSeq: 2, Body: []byte(`2`)})
 		assert.Assert(t, apierror.HasCode(err, apierror.TokenFenced), "a send that was on its way: %v", err)
 	})
 }
--- a/internal/testing/sim/repair_test.go
+++ b/internal/testing/sim/repair_test.go
@@ -22,7 +22,7 @@
 	ref := w.Machines["a1"].Node()
 	l := ref.VoterSet().Layout
 	for p := range l.PartitionCount() {
-		x := ref.Board.Record(p)
+		x := ref.Store.Record(p)
 		if !x.Recovered || len(x.Replicas) != l.ReplicationFactor() || x.Learner != nil {
 			return false
 		}
--- a/internal/testing/sim/socket.go
+++ b/internal/testing/sim/socket.go
@@ -250,7 +250,7 @@
 func (m *Machine) opened(n *node.Node) *porch {
 	p := &porch{l: &calls{c: make(chan net.Conn), done: make(chan struct{})}}
 	p.s = lineserver.New(lineserver.Options{
-		Sessions: house{n.House}, Codec: words{}, Clock: machineClock{m}, Keepalive: Habits().Keepalive, Retry: m.w.Site.Bounds.MaxBackoff(), BodyLimit: func() int { return bodyMost },
+		Sessions: house{n.Sessions}, Codec: words{}, Clock: machineClock{m}, Keepalive: Habits().Keepalive, Retry: m.w.Site.Bounds.MaxBackoff(), BodyLimit: func() int { return bodyMost },
 	})
 	go func() { _ = p.s.Serve(p.l) }()
 	return p
--- a/internal/testing/sim/spread_test.go
+++ b/internal/testing/sim/spread_test.go
@@ -27,7 +27,7 @@
 				}
 			}
 			for p := range s.Routine + s.Urgent {
-				news += w.Machines["a1"].Node().Board.Record(p).Version
+				news += w.Machines["a1"].Node().Store.Record(p).Version
 			}
 			return n, news
 		}
@@ -36,7 +36,7 @@
 		rest, _ := seen()
 		rest -= was
 		was, _ = seen()
-		w.Kill(w.Machines["a1"].Node().Board.Record(0).Leader)
+		w.Kill(w.Machines["a1"].Node().Store.Record(0).Leader)
 		time.Sleep(s.Bounds.Spread)
 		is, news := seen()
 		each := float64(is-was-rest) / float64(s.Access)
@@ -57,16 +57,16 @@
 			assert.NilError(t, w.Start(w.Names...))
 			assert.NilError(t, w.Settle(20*time.Second))
 			time.Sleep(s.Bounds.Spread)
-			gone := w.Machines["a1"].Node().Board.Record(0).Leader
+			gone := w.Machines["a1"].Node().Store.Record(0).Leader
 			was := map[int]uint64{}
 			for _, m := range w.Machines {
 				for p := range s.Routine + s.Urgent {
-					was[p] = max(was[p], m.Node().Board.Record(p).Epoch)
+					was[p] = max(was[p], m.Node().Store.Record(p).Epoch)
 				}
 			}
 			lost := map[int]time.Time{}
 			for p := range was {
-				if w.Machines[gone].Node().Board.Record(p).Leader == gone {
+				if w.Machines[gone].Node().Store.Record(p).Leader == gone {
 					lost[p] = time.Time{}
 				}
 			}
@@ -80,7 +80,7 @@
 							continue
 						}
 						all++
-						if r := w.Machines[n].Node().Board.Record(p); r.Epoch > was[p] && r.Leader != "" {
+						if r := w.Machines[n].Node().Store.Record(p); r.Epoch > was[p] && r.Leader != "" {
 							know++
 						}
 					}
--- a/internal/testing/sim/storm_test.go
+++ b/internal/testing/sim/storm_test.go
@@ -44,7 +44,7 @@
 		assert.Assert(t, bytes < 44<<10, "%d bytes of copies", bytes)
 		time.Sleep(s.Bounds.Recovery)
 		for _, n := range w.Names {
-			assert.Equal(t, w.Machines[n].Node().Board.Configuration().Sequence, uint64(2), n)
+			assert.Equal(t, w.Machines[n].Node().Store.Configuration().Sequence, uint64(2), n)
 		}
 		assert.Assert(t, w.copied(), "the copies are alike at last")
 	})
--- a/internal/testing/sim/streams_forget_test.go
+++ b/internal/testing/sim/streams_forget_test.go
@@ -34,7 +34,7 @@
 func (x *forgetting) do(n string, k *client.Request) (any, error) {
 	c := make(chan any, 1)
 	err := x.ask(n, x.Site.Bounds.Recovery, func(ctx context.Context, m *node.Node) error {
-		a, err := m.Visitors.Do(ctx, k)
+		a, err := m.Clients.Do(ctx, k)
 		c <- a
 		return err
 	})
@@ -109,7 +109,7 @@
 
 func (x *forgetting) owner() string {
 	n := x.Machines["c1"].Node()
-	return n.Board.Record(partition.Of("kept/t0", false, n.VoterSet().Layout)).Leader
+	return n.Store.Record(partition.Of("kept/t0", false, n.VoterSet().Layout)).Leader
 }
 
 func (x *forgetting) open(err error, who string) {
@@ -247,7 +247,7 @@
 		var emitted []string
 		x.wg.Go(func() {
 			defer close(ended)
-			_, _ = x.Machines["a1"].Node().Visitors.Do(x.ctx, &client.Request{Verb: client.VerbFollow, Token: a.Token, Topics: []string{"kept/t0"}, Emit: func(b []byte) error {
+			_, _ = x.Machines["a1"].Node().Clients.Do(x.ctx, &client.Request{Verb: client.VerbFollow, Token: a.Token, Topics: []string{"kept/t0"}, Emit: func(b []byte) error {
 				if !strings.Contains(string(b), `"k"`) {
 					return nil
 				}
--- a/internal/testing/sim/trim_test.go
+++ b/internal/testing/sim/trim_test.go
@@ -85,7 +85,7 @@
 			p, q := partition.Of(topic, false, n.VoterSet().Layout), partition.Of(quiet, false, n.VoterSet().Layout)
 			send := func(topic string, call uint64) (*leader.Decision, error) {
 				p := partition.Of(topic, false, n.VoterSet().Layout)
-				return n.Visitors.Router.Submit(w.ctx, p, &leader.Message{Client: "v", Topic: topic, CallSeq: call, Body: []byte("1")})
+				return n.Clients.Router.Submit(w.ctx, p, &leader.Message{Client: "v", Topic: topic, CallSeq: call, Body: []byte("1")})
 			}
 			must := func(topic string, call uint64) uint64 {
 				d, err := send(topic, call)
@@ -97,11 +97,11 @@
 			third := must(topic, 30)
 			must(quiet, 5)
 			judge := func(when string) {
-				x, err := w.Machines[w.records()[p].Leader].Node().Visitors.Router.Leaders.Leader(p)
+				x, err := w.Machines[w.records()[p].Leader].Node().Clients.Router.Leaders.Leader(p)
 				assert.NilError(t, err)
 				assert.Assert(t, x.Trimmed(topic, 0) && x.Trimmed(topic, first), "%s: what is gone", when)
 				assert.Assert(t, !x.Trimmed(topic, second) && !x.Trimmed(topic, third), "%s: what is held", when)
-				y, err := w.Machines[w.records()[q].Leader].Node().Visitors.Router.Leaders.Leader(q)
+				y, err := w.Machines[w.records()[q].Leader].Node().Clients.Router.Leaders.Leader(q)
 				assert.NilError(t, err)
 				assert.Assert(t, !y.Trimmed(quiet, 0) && !y.Trimmed("kept/never", 0), "%s: a topic of which nothing is gone", when)
 				for _, c := range []uint64{10, 20, 15, 1} {
--- a/internal/testing/sim/withdraw_test.go
+++ b/internal/testing/sim/withdraw_test.go
@@ -262,7 +262,7 @@
 // seat gives the store that owns a topic's line.
 func (s *scene) seat() string {
 	x := s.w.Machines["c1"].Node()
-	return x.Board.Record(partition.Of(ground, false, x.VoterSet().Layout)).Leader
+	return x.Store.Record(partition.Of(ground, false, x.VoterSet().Layout)).Leader
 }
 
 // strikes come between a mark and its yes, while a router is away.
