--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -151,7 +151,7 @@
 	fmt.Printf("violations %d\n", len(r.Violations))
 	for i, v := range r.Violations {
 		if i < shown {
-			fmt.Printf("  %s: %s\n", v.Line, v.Say)
+			fmt.Printf("  %s: %s\n", v.Line, v.Message)
 		}
 	}
 	if len(r.Violations) > 0 {
--- a/cmd/replay/main.go
+++ b/cmd/replay/main.go
@@ -57,7 +57,7 @@
 	return verbs[args[0]](ctx, f, fs.Arg(0))
 }
 
-func node(f flags) transport.Port {
+func node(f flags) transport.Transport {
 	return &transport.HTTP{Base: "http://" + f.at, Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 }
 
--- a/internal/partition/partition.go
+++ b/internal/partition/partition.go
@@ -27,9 +27,9 @@
 	return pick(topic, 0, l.RoutinePartitions)
 }
 
-// OfVisitor gives the partition that keeps a visitor's attachment. There are two: a routine one, which numbers attachments,
+// OfClient gives the partition that keeps a visitor's attachment. There are two: a routine one, which numbers attachments,
 // and an urgent one, which urgent calls ask, so that they never meet a routine partition.
-func OfVisitor(name string, urgent bool, l voters.Layout) int {
+func OfClient(name string, urgent bool, l voters.Layout) int {
 	return Of("\x1fvisitors/"+name, urgent, l)
 }
 
--- a/internal/partitionlog/router/desk.go
+++ b/internal/partitionlog/router/desk.go
@@ -341,7 +341,7 @@
 }
 
 func (d *Router) home(visitor string, urgent bool) int {
-	return partition.OfVisitor(visitor, urgent, d.Store.VoterSet().Layout)
+	return partition.OfClient(visitor, urgent, d.Store.VoterSet().Layout)
 }
 
 // UsesTwoHomes tells whether attachments are kept in an urgent partition too: once every member's build does.
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -21,7 +21,7 @@
 	patience = 15 * time.Second
 )
 
-func listen(ctx context.Context, p transport.Port, name string, topics []string, ready chan<- struct{}, f func(client.Event) error) error {
+func listen(ctx context.Context, p transport.Transport, name string, topics []string, ready chan<- struct{}, f func(client.Event) error) error {
 	cursor, tok, told := "", "", false
 	for ctx.Err() == nil {
 		if tok == "" {
@@ -52,7 +52,7 @@
 }
 
 // Record follows topics for a time and writes what it gets.
-func Record(ctx context.Context, p transport.Port, name string, topics []string, length time.Duration, w io.Writer) (int, error) {
+func Record(ctx context.Context, p transport.Transport, name string, topics []string, length time.Duration, w io.Writer) (int, error) {
 	r, err := recording.NewWriter(w, topics)
 	if err != nil {
 		return 0, err
@@ -77,7 +77,7 @@
 }
 
 // Play sends a recording's messages in the recorded order of each topic, at a speed, and checks what a listener receives.
-func Play(ctx context.Context, p transport.Port, h recording.Header, ms []recording.Message, speed float64) (Report, error) {
+func Play(ctx context.Context, p transport.Transport, h recording.Header, ms []recording.Message, speed float64) (Report, error) {
 	run := registerclient.NewChangeID()[:8]
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -162,7 +162,7 @@
 }
 
 type sender struct {
-	p      transport.Port
+	p      transport.Transport
 	run    string
 	begun  time.Time
 	speed  float64
--- a/internal/testing/deliverycheck/book.go
+++ b/internal/testing/deliverycheck/book.go
@@ -40,14 +40,14 @@
 // Rules lists them.
 var Rules = []string{Twice, Order, Lost, Expired, Mixed, Refused, Count, Withdrawn}
 
-// Breach is a rule that was broken.
-type Breach struct {
-	Rule string
-	Say  string
+// Violation is a rule that was broken.
+type Violation struct {
+	Rule    string
+	Message string
 }
 
-// Book is shared by all guests of a run.
-type Book struct {
+// Checker is shared by all guests of a run.
+type Checker struct {
 	// Keeping is how long messages of kept topics are held.
 	Keeping time.Duration
 	// Window is how far back a count of listeners may look.
@@ -55,8 +55,8 @@
 
 	mu    sync.Mutex
 	sent  map[Message]*sent
-	stays []*Stay
-	bad   []Breach
+	stays []*Session
+	bad   []Violation
 	there map[string][]*Presence
 	drawn map[string][]*Withdrawal
 	tally Tally
@@ -69,13 +69,13 @@
 }
 
 // New makes an empty book.
-func New(keeping, window time.Duration) *Book {
-	return &Book{Keeping: keeping, Window: window, sent: map[Message]*sent{}, there: map[string][]*Presence{}, drawn: map[string][]*Withdrawal{}}
+func New(keeping, window time.Duration) *Checker {
+	return &Checker{Keeping: keeping, Window: window, sent: map[Message]*sent{}, there: map[string][]*Presence{}, drawn: map[string][]*Withdrawal{}}
 }
 
-// Stay is a subscription.
-type Stay struct {
-	b       *Book
+// Session is a subscription.
+type Session struct {
+	b       *Checker
 	visitor string
 	topic   string
 	kept    bool
@@ -98,19 +98,19 @@
 	since time.Time
 }
 
-func (b *Book) breach(rule, f string, a ...any) {
-	b.bad = append(b.bad, Breach{rule, fmt.Sprintf(f, a...)})
+func (b *Checker) breach(rule, f string, a ...any) {
+	b.bad = append(b.bad, Violation{rule, fmt.Sprintf(f, a...)})
 }
 
-// Breach notes a rule that a guest itself saw broken.
-func (b *Book) Breach(rule, f string, a ...any) {
+// Violation notes a rule that a guest itself saw broken.
+func (b *Checker) Violation(rule, f string, a ...any) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.breach(rule, f, a...)
 }
 
 // Try notes that a message is about to be sent, under a key if that is not empty; the first try gives its body and time.
-func (b *Book) Try(m Message, key, body string, now time.Time) {
+func (b *Checker) Try(m Message, key, body string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.sent[m]
@@ -122,14 +122,14 @@
 }
 
 // Turned notes that a try was turned away with the promise that it never will be done.
-func (b *Book) Turned(m Message) {
+func (b *Checker) Turned(m Message) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sent[m].turned++
 }
 
 // Taken notes that a message was acknowledged.
-func (b *Book) Taken(m Message, now time.Time) {
+func (b *Checker) Taken(m Message, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.sent[m]
@@ -143,16 +143,16 @@
 }
 
 // Open begins a stay that nothing is owed to before it was joined.
-func (b *Book) Open(visitor, topic string, kept bool) *Stay {
+func (b *Checker) Open(visitor, topic string, kept bool) *Session {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := &Stay{b: b, visitor: visitor, topic: topic, kept: kept, have: map[Message]int{}}
+	s := &Session{b: b, visitor: visitor, topic: topic, kept: kept, have: map[Message]int{}}
 	b.stays = append(b.stays, s)
 	return s
 }
 
 // OpenLate begins a stay at a cursor that another was given with a message at a time.
-func (b *Book) OpenLate(visitor string, m Message, given time.Time) *Stay {
+func (b *Checker) OpenLate(visitor string, m Message, given time.Time) *Session {
 	s := b.Open(visitor, m.Topic, true)
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -164,7 +164,7 @@
 }
 
 // Joined notes that the subscription was taken up, on a further connection unless it is the first.
-func (s *Stay) Joined(now time.Time) {
+func (s *Session) Joined(now time.Time) {
 	s.b.mu.Lock()
 	defer s.b.mu.Unlock()
 	s.conn++
@@ -178,7 +178,7 @@
 }
 
 // Ended notes that the visitor ends the subscription.
-func (s *Stay) Ended(now time.Time) {
+func (s *Session) Ended(now time.Time) {
 	s.b.mu.Lock()
 	defer s.b.mu.Unlock()
 	if s.end.IsZero() {
@@ -187,7 +187,7 @@
 }
 
 // Expired notes that the visitor is told that the subscription can't be taken up.
-func (s *Stay) Expired(now time.Time) {
+func (s *Session) Expired(now time.Time) {
 	s.b.mu.Lock()
 	defer s.b.mu.Unlock()
 	s.b.tally.Expired++
@@ -211,7 +211,7 @@
 }
 
 // Got notes a message that came on this stay's connection: its place in the line, where that is known, and when the connection took its last byte.
-func (s *Stay) Got(m Message, body string, at Place, shown time.Time) {
+func (s *Session) Got(m Message, body string, at Place, shown time.Time) {
 	s.b.mu.Lock()
 	defer s.b.mu.Unlock()
 	s.b.tally.Got++
@@ -226,7 +226,7 @@
 	}
 }
 
-func (b *Book) same(who string, m Message, body string) {
+func (b *Checker) same(who string, m Message, body string) {
 	x := b.sent[m]
 	switch {
 	case x == nil:
@@ -237,11 +237,11 @@
 }
 
 // Stray notes a message on a topic that the connection has left or never asked for.
-func (b *Book) Stray(visitor string, m Message, now time.Time) {
-	b.Breach(Mixed, "%s got %v at %s, a topic that its connection does not follow", visitor, m, now.Format("04:05.000"))
+func (b *Checker) Stray(visitor string, m Message, now time.Time) {
+	b.Violation(Mixed, "%s got %v at %s, a topic that its connection does not follow", visitor, m, now.Format("04:05.000"))
 }
 
-func (s *Stay) owed(m Message, x *sent) bool {
+func (s *Session) owed(m Message, x *sent) bool {
 	return m.Topic == s.topic && s.kept && !s.since.IsZero() && !x.taken.IsZero() && x.at.After(s.since) && (s.end.IsZero() || x.taken.Before(s.end)) && !s.b.spared(m, x)
 }
 
@@ -249,12 +249,12 @@
 
 // Presence is the time that a visitor listens to a topic on one connection.
 type Presence struct {
-	b                *Book
+	b                *Checker
 	asked, since, to time.Time
 }
 
 // Here notes that a visitor asks to listen.
-func (b *Book) Here(topic string, now time.Time) *Presence {
+func (b *Checker) Here(topic string, now time.Time) *Presence {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := &Presence{b: b, asked: now}
@@ -279,7 +279,7 @@
 }
 
 // Count notes a count of listeners that was asked for and told. A calm fleet counts all that were there all through the window.
-func (b *Book) Count(topic string, n int, asked, told time.Time, calm bool) {
+func (b *Checker) Count(topic string, n int, asked, told time.Time, calm bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tally.Counts++
@@ -302,7 +302,7 @@
 }
 
 // Judge judges all that was seen. What was acknowledged after the cut need not have arrived.
-func (b *Book) Judge(cut time.Time) (Tally, []Breach) {
+func (b *Checker) Judge(cut time.Time) (Tally, []Violation) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tally.Sent, b.tally.Stays = len(b.sent), len(b.stays)
@@ -336,7 +336,7 @@
 	return b.tally, b.bad
 }
 
-func (s *Stay) judge() {
+func (s *Session) judge() {
 	b := s.b
 	seen, last, conn := map[Message]bool{}, map[string]uint64{}, 0
 	owed := map[string][]Message{}
@@ -372,7 +372,7 @@
 	}
 }
 
-func (s *Stay) complete(cut time.Time) {
+func (s *Session) complete(cut time.Time) {
 	for m, x := range s.b.sent {
 		if s.owed(m, x) && s.have[m] == 0 && x.taken.Before(cut) && s.open(cut) && (!s.late || x.taken.After(cut.Add(-s.b.Keeping))) {
 			s.b.breach(Lost, "%s never got %v, sent at %s, acknowledged at %s (joined at %s, late: %v)", s.visitor, m, x.at.Format("04:05.000"), x.taken.Format("04:05.000"), s.since.Format("04:05.000"), s.late)
@@ -380,4 +380,4 @@
 	}
 }
 
-func (s *Stay) open(cut time.Time) bool { return !s.expired && (s.end.IsZero() || s.end.After(cut)) }
+func (s *Session) open(cut time.Time) bool { return !s.expired && (s.end.IsZero() || s.end.After(cut)) }
--- a/internal/testing/deliverycheck/plant_test.go
+++ b/internal/testing/deliverycheck/plant_test.go
@@ -18,8 +18,8 @@
 func body(n uint64) string { return fmt.Sprintf("body %d", n) }
 
 type day struct {
-	*Book
-	w, x *Stay
+	*Checker
+	w, x *Session
 }
 
 func (d day) send(n uint64, at float64) {
@@ -27,7 +27,7 @@
 	d.Taken(msg(n), sec(at+0.1))
 }
 
-func (d day) got(s *Stay, ns ...uint64) {
+func (d day) got(s *Session, ns ...uint64) {
 	for _, n := range ns {
 		s.Got(msg(n), body(n), Place{}, sec(float64(n)+0.2))
 	}
@@ -35,7 +35,7 @@
 
 // sound is a day with two visitors: one joins first, goes through two connections and leaves, the other stays.
 func sound() day {
-	d := day{Book: New(35*time.Second, 5*time.Second)}
+	d := day{Checker: New(35*time.Second, 5*time.Second)}
 	d.w, d.x = d.Open("w", "kept/a", true), d.Open("x", "kept/a", true)
 	d.w.Joined(sec(0.5))
 	d.x.Joined(sec(0.6))
@@ -64,7 +64,7 @@
 	_, bs := d.Judge(sec(20))
 	var s []string
 	for _, b := range bs {
-		s = append(s, b.Rule+": "+b.Say)
+		s = append(s, b.Rule+": "+b.Message)
 	}
 	return strings.Join(s, "\n")
 }
--- a/internal/testing/deliverycheck/withdrawn.go
+++ b/internal/testing/deliverycheck/withdrawn.go
@@ -18,7 +18,7 @@
 	Of             string
 	Upto           uint64
 
-	b     *Book
+	b     *Checker
 	asked time.Time
 	fixed time.Time
 	yes   time.Time
@@ -27,7 +27,7 @@
 }
 
 // Withdraw notes that a withdrawal is about to be asked for; the first time counts.
-func (b *Book) Withdraw(w Withdrawal, now time.Time) *Withdrawal {
+func (b *Checker) Withdraw(w Withdrawal, now time.Time) *Withdrawal {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, x := range b.drawn[w.Topic] {
@@ -76,7 +76,7 @@
 }
 
 // Told notes that a follower is told that what stood under a key no longer does.
-func (b *Book) Told(visitor, topic, key string, now time.Time) {
+func (b *Checker) Told(visitor, topic, key string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !slices.ContainsFunc(b.drawn[topic], func(w *Withdrawal) bool { return w.Key == key && !w.asked.After(now) }) {
@@ -123,12 +123,12 @@
 }
 
 // spared tells whether a message is owed to nobody, as it may have been withdrawn.
-func (b *Book) spared(m Message, x *sent) bool {
+func (b *Checker) spared(m Message, x *sent) bool {
 	return x.key != "" && slices.ContainsFunc(b.drawn[m.Topic], func(w *Withdrawal) bool { return w.may(m, x) })
 }
 
 // shown judges what was shown after a yes.
-func (b *Book) shown() {
+func (b *Checker) shown() {
 	for m, x := range b.sent {
 		if x.key != "" {
 			b.tally.Keyed++
@@ -155,7 +155,7 @@
 		}
 		if covered {
 			b.tally.Covered++
-			if !x.taken.IsZero() && !slices.ContainsFunc(b.stays, func(s *Stay) bool { return s.have[m] > 0 }) {
+			if !x.taken.IsZero() && !slices.ContainsFunc(b.stays, func(s *Session) bool { return s.have[m] > 0 }) {
 				b.tally.Spared++
 			}
 		}
@@ -163,7 +163,7 @@
 }
 
 // Marks gives how long each withdrawal that was asked for in a time took to its yes, and how many have none.
-func (b *Book) Marks(from, to time.Time) (ds []time.Duration, open int) {
+func (b *Checker) Marks(from, to time.Time) (ds []time.Duration, open int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, ws := range b.drawn {
@@ -183,7 +183,7 @@
 
 // Spread gives how long messages that were first sent in a time took to visitors who followed their topic then on the connection on which they came. Of a visitor
 // named in but, nothing counts.
-func (b *Book) Spread(from, to time.Time, but func(visitor string) bool) (ds []time.Duration) {
+func (b *Checker) Spread(from, to time.Time, but func(visitor string) bool) (ds []time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, s := range b.stays {
--- a/internal/testing/deliverycheck/withdrawn_test.go
+++ b/internal/testing/deliverycheck/withdrawn_test.go
@@ -18,7 +18,7 @@
 	return d.Withdraw(Withdrawal{Topic: "kept/a", Key: "k", By: by, Call: n}, sec(at))
 }
 
-func (d day) shows(m Message, at float64, ss ...*Stay) {
+func (d day) shows(m Message, at float64, ss ...*Session) {
 	for _, s := range ss {
 		s.Got(m, body(m.Call), Place{}, sec(at))
 	}
--- a/internal/testing/fleet/day.go
+++ b/internal/testing/fleet/day.go
@@ -220,7 +220,7 @@
 			f.callers.mu.Unlock()
 			c.Name = prefix + c.Name
 			c.Clock, c.History = clock.Real{}, h
-			c.Ports = func() []transport.Port { return f.Ports(f.callers.at(i)) }
+			c.Ports = func() []transport.Transport { return f.Ports(f.callers.at(i)) }
 			wg.Go(func() { c.Run(ctx, sends) })
 		}
 	}
--- a/internal/testing/fleet/fleet.go
+++ b/internal/testing/fleet/fleet.go
@@ -329,10 +329,10 @@
 }
 
 // Ports gives the access machines of a zone that are ready, or of any zone when none is.
-func (f *Fleet) Ports(zone string) []transport.Port {
+func (f *Fleet) Ports(zone string) []transport.Transport {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var near, far []transport.Port
+	var near, far []transport.Transport
 	for _, p := range f.Processes {
 		if !f.ready[p.Name] || strings.HasPrefix(p.Name, "s") {
 			continue
--- a/internal/testing/fleet/fleet_test.go
+++ b/internal/testing/fleet/fleet_test.go
@@ -47,7 +47,7 @@
 	r, err := d.Run(context.Background(), f)
 	assert.NilError(t, err)
 	for _, v := range r.Violations {
-		t.Errorf("%s: %s", v.Line, v.Say)
+		t.Errorf("%s: %s", v.Line, v.Message)
 	}
 	assert.Assert(t, r.Taken > 300, "taken %d", r.Taken)
 	t.Logf("taken %d receipts %d longest wait to be taken %s, longest wait %s (%s at %s from %s on), undisturbed %s, the machine stood still for %s", r.Taken, r.Receipts, max(r.Routine.Max, r.Urgent.Max),
--- a/internal/testing/fleet/visits.go
+++ b/internal/testing/fleet/visits.go
@@ -18,15 +18,15 @@
 	"postjunction/internal/testing/simclient"
 )
 
-// Visits are visitors on line sessions of a fleet, who carry keys and withdraw.
-type Visits struct {
-	Book  *deliverycheck.Book
-	f     *Fleet
-	ctx   context.Context
-	sends context.Context
-	stop  context.CancelFunc
-	quiet context.CancelFunc
-	wg    sync.WaitGroup
+// Sessions are visitors on line sessions of a fleet, who carry keys and withdraw.
+type Sessions struct {
+	Checker *deliverycheck.Checker
+	f       *Fleet
+	ctx     context.Context
+	sends   context.Context
+	stop    context.CancelFunc
+	quiet   context.CancelFunc
+	wg      sync.WaitGroup
 }
 
 // unread is how long bytes may lie between the node's socket and the visitor here, who can't see when the socket took them.
@@ -145,7 +145,7 @@
 	}
 }
 
-func (v *Visits) doors() (ds []simclient.Door) {
+func (v *Sessions) doors() (ds []simclient.Endpoint) {
 	for _, p := range v.f.Processes {
 		if p.Opts.ClientListen == "" || !v.f.isReady(p.Name) {
 			continue
@@ -163,8 +163,8 @@
 	return ds
 }
 
-func (v *Visits) door(p *Process) simclient.Door {
-	return simclient.Door{Address: p.Opts.ClientListen, Enter: func(hear func(session.Response, time.Time), broken func()) simclient.Line {
+func (v *Sessions) door(p *Process) simclient.Endpoint {
+	return simclient.Endpoint{Address: p.Opts.ClientListen, Connect: func(hear func(session.Response, time.Time), broken func()) simclient.Line {
 		c, err := (&net.Dialer{Timeout: time.Second}).DialContext(v.ctx, "tcp", p.Opts.ClientListen)
 		if err != nil {
 			return nil
@@ -178,14 +178,14 @@
 }
 
 // Enter lets n visitors in, who follow and send on topics of a load until Leave.
-func (f *Fleet) Enter(ctx context.Context, n int, l sim.Load, seed uint64) *Visits {
+func (f *Fleet) Enter(ctx context.Context, n int, l sim.Load, seed uint64) *Sessions {
 	b := settings.DefaultTiming
-	v := &Visits{Book: deliverycheck.New(b.Keeping, 3*b.Spread), f: f}
+	v := &Sessions{Checker: deliverycheck.New(b.Keeping, 3*b.Spread), f: f}
 	v.ctx, v.stop = context.WithCancel(ctx)
 	v.sends, v.quiet = context.WithCancel(v.ctx)
 	for i := range n {
 		r := rand.New(rand.NewPCG(seed, uint64(i)+1000))
-		x := &simclient.Guest{Name: fmt.Sprintf("g%d", i), Habits: sim.Habits(), Rand: r, Doors: v.doors, Book: v.Book, Calm: func() bool { return false }}
+		x := &simclient.Client{Name: fmt.Sprintf("g%d", i), Habits: sim.Habits(), Rand: r, Endpoints: v.doors, Checker: v.Checker, Calm: func() bool { return false }}
 		x.Habits.Withdraw = 3 * time.Second
 		for _, k := range r.Perm(l.Topics)[:min(l.Topics, 3+r.IntN(3))] {
 			x.Follow = append(x.Follow, simclient.Topic{Name: fmt.Sprintf("kept/t%d", k), Kept: true})
@@ -199,7 +199,7 @@
 }
 
 // Leave stops the senders, waits until visitors have caught up, has them leave, and judges what they saw.
-func (v *Visits) Leave(wait time.Duration) (deliverycheck.Tally, []deliverycheck.Breach) {
+func (v *Sessions) Leave(wait time.Duration) (deliverycheck.Tally, []deliverycheck.Violation) {
 	cut := time.Now()
 	v.quiet()
 	t := time.NewTimer(wait)
@@ -210,7 +210,7 @@
 	}
 	v.stop()
 	v.wg.Wait()
-	return v.Book.Judge(cut)
+	return v.Checker.Judge(cut)
 }
 
 func (f *Fleet) isReady(n string) bool {
--- a/internal/testing/history/history.go
+++ b/internal/testing/history/history.go
@@ -52,8 +52,8 @@
 
 // Violation is one breach of the never-list.
 type Violation struct {
-	Line string
-	Say  string
+	Line    string
+	Message string
 }
 
 // History is shared by all stand-in callers of a run.
--- a/internal/testing/history/plant_test.go
+++ b/internal/testing/history/plant_test.go
@@ -53,7 +53,7 @@
 func lines(h *History) string {
 	var s []string
 	for _, v := range h.Check(sec(10), sec(11)).Violations {
-		s = append(s, v.Line+": "+v.Say)
+		s = append(s, v.Line+": "+v.Message)
 	}
 	return strings.Join(s, "\n")
 }
--- a/internal/testing/httpclient/caller.go
+++ b/internal/testing/httpclient/caller.go
@@ -21,7 +21,7 @@
 type Caller struct {
 	Name    string
 	Clock   clock.Clock
-	Ports   func() []transport.Port
+	Ports   func() []transport.Transport
 	History *history.History
 	Follows []string
 	Sends   []string
@@ -53,7 +53,7 @@
 	bodyMore   = 300
 )
 
-func (c *Caller) port() transport.Port {
+func (c *Caller) port() transport.Transport {
 	ps := c.Ports()
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testing/sim/answers_test.go
+++ b/internal/testing/sim/answers_test.go
@@ -28,7 +28,7 @@
 				_, err := w.Port("a1").Send(w.ctx, first.Token, topic, n+1, []byte(`"before"`))
 				assert.NilError(t, err)
 			}
-			ps := []int{partition.Of(topic, false, l), partition.OfVisitor(who, false, l)}
+			ps := []int{partition.Of(topic, false, l), partition.OfClient(who, false, l)}
 			for _, p := range ps {
 				old := w.records()[p].Leader
 				data := func(x Point) bool {
--- a/internal/testing/sim/flood_test.go
+++ b/internal/testing/sim/flood_test.go
@@ -29,7 +29,7 @@
 		described(t, w)
 		l := w.Machines["a1"].Node().VoterSet().Layout
 		lead := attach(t, w, "a1", "lead")
-		urgent := []string{w.records()[partition.Of("stop/line", true, l)].Leader, w.records()[partition.OfVisitor("lead", true, l)].Leader}
+		urgent := []string{w.records()[partition.Of("stop/line", true, l)].Leader, w.records()[partition.OfClient("lead", true, l)].Leader}
 		n := uint64(0)
 		longest := func(d time.Duration) time.Duration {
 			var most time.Duration
--- a/internal/testing/sim/hand.go
+++ b/internal/testing/sim/hand.go
@@ -20,7 +20,7 @@
 	line  *lineSession
 	mu    sync.Mutex
 	seen  []Seen
-	stays map[string]*deliverycheck.Stay
+	stays map[string]*deliverycheck.Session
 	// cursor is what a topic was resumed with.
 	cursor map[string]string
 	ended  bool
@@ -37,7 +37,7 @@
 
 // Hand lets a scripted visitor in, nil where nobody answers.
 func (g *Guests) Hand(at, name string) *Hand {
-	h := &Hand{Name: name, At: at, g: g, stays: map[string]*deliverycheck.Stay{}, cursor: map[string]string{}, bell: make(chan struct{}, 1)}
+	h := &Hand{Name: name, At: at, g: g, stays: map[string]*deliverycheck.Session{}, cursor: map[string]string{}, bell: make(chan struct{}, 1)}
 	h.line = g.connect(g.w.Machines[at], true, h.hear, h.lose)
 	if h.line == nil {
 		return nil
--- a/internal/testing/sim/machine.go
+++ b/internal/testing/sim/machine.go
@@ -210,7 +210,7 @@
 		m.snap()
 	}
 	m.n = n
-	m.ports = &transport.Services{Visitors: n.Clients, Door: n.Door(), Gone: make(chan struct{})}
+	m.ports = &transport.Services{Clients: n.Clients, API: n.Door(), Gone: make(chan struct{})}
 	m.w.serve(m.Opts.PeerListen, m, run, n.Peers())
 	m.w.History.Disturb("start", time.Now())
 	return nil
--- a/internal/testing/sim/sim_test.go
+++ b/internal/testing/sim/sim_test.go
@@ -121,7 +121,7 @@
 	t.Logf("seed %d: sent %d taken %d unknown %d receipts %d longest wait %s (%s at %s), undisturbed %s, spread p50 %s p99 %s", w.Seed, r.Sent, r.Taken, r.Unknown, r.Receipts, r.Longest.Whole, r.Longest.Kind, r.Longest.Place, r.LongestUndisturbed.Undisturbed, r.Spread.P50, r.Spread.P99)
 	for i, v := range r.Violations {
 		if i < 10 {
-			t.Errorf("seed %d: %s: %s", w.Seed, v.Line, v.Say)
+			t.Errorf("seed %d: %s: %s", w.Seed, v.Line, v.Message)
 		}
 	}
 	assert.Assert(t, r.Taken > 50, "too little was sent to prove anything")
--- a/internal/testing/sim/visits.go
+++ b/internal/testing/sim/visits.go
@@ -22,7 +22,7 @@
 // Guests are the visitors of a world on line sessions.
 type Guests struct {
 	w    *World
-	Book *deliverycheck.Book
+	Book *deliverycheck.Checker
 	Load Load
 	Calm atomic.Bool
 	// Rested has no visitor stop reading for a while.
@@ -33,7 +33,7 @@
 	lines   map[*lineSession]bool
 	entered int
 	saved   []simclient.Topic
-	guests  []*simclient.Guest
+	guests  []*simclient.Client
 	sending context.Context
 	quiet   context.CancelFunc
 	wg      sync.WaitGroup
@@ -182,8 +182,8 @@
 	}
 }
 
-func (g *Guests) door(m *Machine) simclient.Door {
-	return simclient.Door{Address: m.Opts.ClientListen, Enter: func(hear func(session.Response, time.Time), broken func()) simclient.Line {
+func (g *Guests) door(m *Machine) simclient.Endpoint {
+	return simclient.Endpoint{Address: m.Opts.ClientListen, Connect: func(hear func(session.Response, time.Time), broken func()) simclient.Line {
 		if s := g.connect(m, false, hear, broken); s != nil {
 			return s
 		}
@@ -222,8 +222,8 @@
 }
 
 // Doors gives the access machines that the platform passes visitors to: those that are ready, all when none is.
-func (g *Guests) Doors() []simclient.Door {
-	var ready, all []simclient.Door
+func (g *Guests) Doors() []simclient.Endpoint {
+	var ready, all []simclient.Endpoint
 	for _, n := range g.w.Names {
 		m := g.w.Machines[n]
 		if m.Opts.ClientListen == "" {
@@ -233,7 +233,7 @@
 		s, froz := m.ports, m.frozen != nil
 		m.mu.Unlock()
 		all = append(all, g.door(m))
-		if s != nil && !froz && s.Door.Ready() == nil {
+		if s != nil && !froz && s.API.Ready() == nil {
 			ready = append(ready, g.door(m))
 		}
 	}
@@ -270,7 +270,7 @@
 	g.wg.Go(g.rest)
 	for i := range n {
 		r := rand.New(rand.NewPCG(w.Seed, uint64(i)+1000))
-		x := &simclient.Guest{Name: fmt.Sprintf("g%d", i), Habits: Habits(), Rand: r}
+		x := &simclient.Client{Name: fmt.Sprintf("g%d", i), Habits: Habits(), Rand: r}
 		if l.Habits != nil {
 			l.Habits(&x.Habits)
 		}
@@ -333,8 +333,8 @@
 	}
 }
 
-func (g *Guests) enter(x *simclient.Guest) {
-	x.Doors, x.Book, x.Calm = g.Doors, g.Book, g.Calm.Load
+func (g *Guests) enter(x *simclient.Client) {
+	x.Endpoints, x.Checker, x.Calm = g.Doors, g.Book, g.Calm.Load
 	g.guests = append(g.guests, x)
 	g.wg.Go(func() { x.Run(g.w.ctx, g.sending) })
 }
@@ -352,7 +352,7 @@
 	h := Habits()
 	h.Change, h.Away, h.Count = 0, 0, 0
 	for i := range n {
-		x := &simclient.Guest{Name: fmt.Sprintf("late%d", i), Habits: h, Rand: rand.New(rand.NewPCG(g.w.Seed, uint64(i)+5000))}
+		x := &simclient.Client{Name: fmt.Sprintf("late%d", i), Habits: h, Rand: rand.New(rand.NewPCG(g.w.Seed, uint64(i)+5000))}
 		seen := map[string]bool{}
 		for range 5 {
 			if len(ts) == 0 {
--- a/internal/testing/sim/visits_test.go
+++ b/internal/testing/sim/visits_test.go
@@ -50,12 +50,12 @@
 		time.Sleep(w.Site.Bounds.Recovery)
 		w.stop()
 		g.wg.Wait()
-		var bs []deliverycheck.Breach
+		var bs []deliverycheck.Violation
 		r, bs = g.Book.Judge(cut)
 		t.Logf("seed %d: %+v", seed, r)
 		for i, b := range bs {
 			if i < 10 {
-				t.Errorf("seed %d: %s: %s", seed, b.Rule, b.Say)
+				t.Errorf("seed %d: %s: %s", seed, b.Rule, b.Message)
 			}
 		}
 		assert.Assert(t, r.Taken > 50 && r.Got > 100 && r.Resumed > 0 && r.Late > 0, "too little was seen to prove anything")
--- a/internal/testing/sim/world.go
+++ b/internal/testing/sim/world.go
@@ -664,20 +664,20 @@
 }
 
 // Port gives a machine as callers see it.
-func (w *World) Port(n string) transport.Port {
+func (w *World) Port(n string) transport.Transport {
 	return &transport.Direct{Node: w.Machines[n].services, Gate: w.Machines[n].gate}
 }
 
 // Ports gives all machines whose process runs, as the platform's balancing would after asking for readiness.
-func (w *World) Ports() []transport.Port {
-	var ps []transport.Port
+func (w *World) Ports() []transport.Transport {
+	var ps []transport.Transport
 	for _, n := range w.Names {
 		m := w.Machines[n]
 		m.mu.Lock()
 		ok := m.ports != nil && m.frozen == nil
 		s := m.ports
 		m.mu.Unlock()
-		if ok && s.Door.Ready() == nil {
+		if ok && s.API.Ready() == nil {
 			ps = append(ps, w.Port(n))
 		}
 	}
@@ -773,7 +773,7 @@
 func (w *World) Settle(limit time.Duration) error {
 	return w.Until(limit, "the fleet serves", func() bool {
 		for _, m := range w.Machines {
-			if s := m.services(); !m.gone() && (s == nil || s.Door.Ready() != nil) {
+			if s := m.services(); !m.gone() && (s == nil || s.API.Ready() != nil) {
 				return false
 			}
 		}
@@ -828,14 +828,14 @@
 				if s == nil || froz {
 					continue
 				}
-				b := s.Door.Operators.Store
+				b := s.API.Operators.Store
 				for p := range b.VoterSet().Layout.PartitionCount() {
 					for _, x := range b.Record(p).History {
 						w.History.Own(p, x.Epoch, x.Leader)
 					}
 				}
-				if s.Door.Ready() == nil {
-					w.History.Show(fmt.Sprintf("%s#%d", n, run), s.Door.Operators.Store.Configuration().Sequence, time.Now(), w.Site.Bounds.Spread)
+				if s.API.Ready() == nil {
+					w.History.Show(fmt.Sprintf("%s#%d", n, run), s.API.Operators.Store.Configuration().Sequence, time.Now(), w.Site.Bounds.Spread)
 				}
 			}
 			_ = clock.Real{}.Sleep(w.ctx, w.Site.Bounds.HeartbeatInterval()/3)
--- a/internal/testing/simclient/guest.go
+++ b/internal/testing/simclient/guest.go
@@ -23,11 +23,11 @@
 	End()
 }
 
-// Door is a node that visitors can connect to. Enter gives nil when nobody answers there; hear gets all that comes with the moment at which
+// Endpoint is a node that visitors can connect to. Enter gives nil when nobody answers there; hear gets all that comes with the moment at which
 // the connection took its last byte, broken the end of the connection, if the visitor did not end it itself.
-type Door struct {
+type Endpoint struct {
 	Address string
-	Enter   func(hear func(a session.Response, shown time.Time), broken func()) Line
+	Connect func(hear func(a session.Response, shown time.Time), broken func()) Line
 }
 
 // Topic is something that a guest follows, from a cursor that another was given with a message, if there is one.
@@ -63,15 +63,15 @@
 	Withdraw, Forget time.Duration
 }
 
-// Guest is one visitor.
-type Guest struct {
-	Name   string
-	Doors  func() []Door
-	Book   *deliverycheck.Book
-	Follow []Topic
-	Lanes  []Lane
-	Habits Habits
-	Rand   *rand.Rand
+// Client is one visitor.
+type Client struct {
+	Name      string
+	Endpoints func() []Endpoint
+	Checker   *deliverycheck.Checker
+	Follow    []Topic
+	Lanes     []Lane
+	Habits    Habits
+	Rand      *rand.Rand
 	// Calm tells whether the fleet has been undisturbed for a while.
 	Calm func() bool
 	// Saved gets cursors that others may take up later.
@@ -125,7 +125,7 @@
 	since  time.Time
 	retry  time.Time
 	cursor string
-	stay   *deliverycheck.Stay
+	stay   *deliverycheck.Session
 	here   *deliverycheck.Presence
 }
 
@@ -170,18 +170,18 @@
 	ahead    = 4
 )
 
-func (g *Guest) span(d time.Duration) time.Duration {
+func (g *Client) span(d time.Duration) time.Duration {
 	return time.Duration(g.Rand.Float64() * float64(d))
 }
 
-func (g *Guest) later(now time.Time, d time.Duration) time.Time {
+func (g *Client) later(now time.Time, d time.Duration) time.Time {
 	if d <= 0 {
 		return now.Add(1 << 60)
 	}
 	return now.Add(d/2 + g.span(d))
 }
 
-func (g *Guest) hear(h heard) {
+func (g *Client) hear(h heard) {
 	g.mu.Lock()
 	g.inbox = append(g.inbox, h)
 	g.mu.Unlock()
@@ -192,7 +192,7 @@
 }
 
 // Move has the guest's connection broken, as a reset would.
-func (g *Guest) Move() {
+func (g *Client) Move() {
 	g.mu.Lock()
 	n := g.serial
 	g.mu.Unlock()
@@ -200,13 +200,13 @@
 }
 
 // Run goes on until ctx ends, and sends new messages until sends ends.
-func (g *Guest) Run(ctx, sends context.Context) {
+func (g *Client) Run(ctx, sends context.Context) {
 	now := time.Now()
 	g.bell, g.sending, g.counted, g.seen = make(chan struct{}, 1), sends, map[string]time.Time{}, map[string]deliverycheck.Message{}
 	for _, t := range g.Follow {
 		s := &sub{Topic: t, want: true}
 		if t.Cursor != "" {
-			s.stay, s.cursor = g.Book.OpenLate(g.Name, t.Place, t.Given), t.Cursor
+			s.stay, s.cursor = g.Checker.OpenLate(g.Name, t.Place, t.Given), t.Cursor
 		}
 		g.subs = append(g.subs, s)
 	}
@@ -242,7 +242,7 @@
 			if f, ok := takes[h.a.Type]; ok {
 				f(g, now, h.a)
 			} else {
-				g.Book.Breach(deliverycheck.Mixed, "%s got an answer %q", g.Name, h.a.Type)
+				g.Checker.Violation(deliverycheck.Mixed, "%s got an answer %q", g.Name, h.a.Type)
 			}
 		}
 		g.step(now)
@@ -250,7 +250,7 @@
 }
 
 // close ends the connection and comes back within a time. A silent leave keeps the old one open for a while.
-func (g *Guest) close(now time.Time, within time.Duration, silently bool) {
+func (g *Client) close(now time.Time, within time.Duration, silently bool) {
 	l := g.line
 	if l == nil {
 		return
@@ -282,10 +282,10 @@
 	clear(g.counted)
 }
 
-func (g *Guest) enter(now time.Time) {
-	ds := g.Doors()
+func (g *Client) enter(now time.Time) {
+	ds := g.Endpoints()
 	d := ds[g.Rand.IntN(len(ds))]
-	if i := slices.IndexFunc(ds, func(d Door) bool { return d.Address == g.to }); i >= 0 {
+	if i := slices.IndexFunc(ds, func(d Endpoint) bool { return d.Address == g.to }); i >= 0 {
 		d = ds[i]
 	}
 	g.to = ""
@@ -293,7 +293,7 @@
 	g.serial++
 	n := g.serial
 	g.mu.Unlock()
-	g.line = d.Enter(func(a session.Response, shown time.Time) { g.hear(heard{serial: n, a: a, shown: shown}) }, func() { g.hear(heard{serial: n, broken: true}) })
+	g.line = d.Connect(func(a session.Response, shown time.Time) { g.hear(heard{serial: n, a: a, shown: shown}) }, func() { g.hear(heard{serial: n, broken: true}) })
 	if g.line == nil {
 		g.back = now.Add(g.span(g.Habits.Keepalive / 2))
 		return
@@ -302,12 +302,12 @@
 	g.say(now, session.Request{Verb: session.Attach, Client: g.Name})
 }
 
-func (g *Guest) say(now time.Time, t session.Request) {
+func (g *Client) say(now time.Time, t session.Request) {
 	g.saidAt = now
 	g.line.Do(t)
 }
 
-func (g *Guest) step(now time.Time) {
+func (g *Client) step(now time.Time) {
 	if g.line == nil {
 		if now.Before(g.back) && (g.sending.Err() == nil || g.back.Sub(now) < g.Habits.Keepalive) {
 			return
@@ -363,7 +363,7 @@
 }
 
 // follow brings a topic to what is wanted of it; it tells whether the connection still stands.
-func (g *Guest) follow(now time.Time, s *sub) bool {
+func (g *Client) follow(now time.Time, s *sub) bool {
 	if (s.state == asked || s.state == dropping) && now.Sub(s.since) > g.Habits.Longest {
 		g.close(now, g.Habits.Keepalive/2, false)
 		return false
@@ -371,11 +371,11 @@
 	switch {
 	case s.want && (s.state == idle || s.state == dropped) && !now.Before(s.retry):
 		if s.stay == nil {
-			s.stay = g.Book.Open(g.Name, s.Name, s.Kept)
+			s.stay = g.Checker.Open(g.Name, s.Name, s.Kept)
 			s.cursor = ""
 		}
 		s.state, s.since = asked, now
-		s.here = g.Book.Here(s.Name, now)
+		s.here = g.Checker.Here(s.Name, now)
 		g.say(now, session.Request{Verb: session.Subscribe, Topic: s.Name, Cursor: s.cursor})
 	case !s.want && s.state == joined:
 		s.stay.Ended(now)
@@ -390,16 +390,16 @@
 	return true
 }
 
-func (g *Guest) body(topic string, n uint64) string {
+func (g *Client) body(topic string, n uint64) string {
 	return fmt.Sprintf("%s %s %d %s", g.Name, topic, n, strings.Repeat(string(rune('a'+n%26)), bodyLeas+g.Rand.IntN(bodyMore)))
 }
 
-func (g *Guest) number() uint64 {
+func (g *Client) number() uint64 {
 	g.last += 1 + uint64(g.Rand.IntN(3))
 	return g.last
 }
 
-func (g *Guest) publish(now time.Time, l *lane) bool {
+func (g *Client) publish(now time.Time, l *lane) bool {
 	l.ms = slices.DeleteFunc(l.ms, func(m *message) bool {
 		if m.draw != nil {
 			return now.Sub(m.first) > g.Habits.Forget
@@ -439,31 +439,31 @@
 				m.key = g.key()
 			}
 		}
-		g.Book.Try(deliverycheck.Message{Topic: l.Topic, From: g.Name, Call: m.call}, m.key, m.body, now)
+		g.Checker.Try(deliverycheck.Message{Topic: l.Topic, From: g.Name, Call: m.call}, m.key, m.body, now)
 		g.say(now, session.Request{Verb: session.Send, Topic: l.Topic, CallSeq: m.call, Key: m.key, Body: []byte(m.body)})
 	}
 	return true
 }
 
-func (g *Guest) key() string { return fmt.Sprintf("k%d", g.Rand.IntN(max(1, g.Habits.Keys))) }
+func (g *Client) key() string { return fmt.Sprintf("k%d", g.Rand.IntN(max(1, g.Habits.Keys))) }
 
 // withdrawal withdraws what stands under a key, at times with a sender that was seen on the topic and a number that it may not have reached.
-func (g *Guest) withdrawal(now time.Time, topic string) *message {
+func (g *Client) withdrawal(now time.Time, topic string) *message {
 	w := deliverycheck.Withdrawal{Topic: topic, Key: g.key(), By: g.Name, Call: g.number()}
 	if m, ok := g.seen[topic]; ok && m.From != g.Name && g.Rand.IntN(ofOthers) == 0 {
 		w.Of, w.Upto = m.From, m.Call+uint64(g.Rand.IntN(ahead))
 	}
-	return &message{call: w.Call, first: now, draw: g.Book.Withdraw(w, now)}
+	return &message{call: w.Call, first: now, draw: g.Checker.Withdraw(w, now)}
 }
 
-func (g *Guest) sub(topic string) *sub {
+func (g *Client) sub(topic string) *sub {
 	if i := slices.IndexFunc(g.subs, func(s *sub) bool { return s.Name == topic }); i >= 0 {
 		return g.subs[i]
 	}
 	return nil
 }
 
-func (g *Guest) message(topic string, call uint64) (*lane, *message) {
+func (g *Client) message(topic string, call uint64) (*lane, *message) {
 	for _, l := range g.lanes {
 		if l.Topic != topic {
 			continue
@@ -477,36 +477,36 @@
 	return nil, nil
 }
 
-var takes = map[session.ResponseType]func(g *Guest, now time.Time, a session.Response){
-	session.Attached: func(g *Guest, _ time.Time, _ session.Response) { g.up = true },
-	session.Alive:    func(*Guest, time.Time, session.Response) {},
-	session.Subscribed: func(g *Guest, now time.Time, a session.Response) {
+var takes = map[session.ResponseType]func(g *Client, now time.Time, a session.Response){
+	session.Attached: func(g *Client, _ time.Time, _ session.Response) { g.up = true },
+	session.Alive:    func(*Client, time.Time, session.Response) {},
+	session.Subscribed: func(g *Client, now time.Time, a session.Response) {
 		s := g.sub(a.Topic)
 		if s == nil || s.state != asked {
-			g.Book.Breach(deliverycheck.Mixed, "%s was told that it joined %s, which it did not ask", g.Name, a.Topic)
+			g.Checker.Violation(deliverycheck.Mixed, "%s was told that it joined %s, which it did not ask", g.Name, a.Topic)
 			return
 		}
 		s.state = joined
 		s.stay.Joined(now)
 		s.here.Joined(now)
 		if s.cursor != "" && s.cursor != a.Cursor && s.Kept {
-			g.Book.Breach(deliverycheck.Mixed, "%s joined %s with cursor %q and was told %q", g.Name, s.Name, s.cursor, a.Cursor)
+			g.Checker.Violation(deliverycheck.Mixed, "%s joined %s with cursor %q and was told %q", g.Name, s.Name, s.cursor, a.Cursor)
 		}
 		s.cursor = a.Cursor
 	},
-	session.Unsubscribed: func(g *Guest, now time.Time, a session.Response) {
+	session.Unsubscribed: func(g *Client, now time.Time, a session.Response) {
 		s := g.sub(a.Topic)
 		if s == nil || s.state != dropping {
-			g.Book.Breach(deliverycheck.Mixed, "%s was told that it left %s, which it did not ask", g.Name, a.Topic)
+			g.Checker.Violation(deliverycheck.Mixed, "%s was told that it left %s, which it did not ask", g.Name, a.Topic)
 			return
 		}
 		s.state, s.stay, s.cursor, s.retry = dropped, nil, "", now
 	},
-	session.Message: func(g *Guest, now time.Time, a session.Response) {
+	session.Message: func(g *Client, now time.Time, a session.Response) {
 		m := deliverycheck.Message{Topic: a.Topic, From: a.From, Call: a.CallSeq}
 		s := g.sub(a.Topic)
 		if s == nil || s.state == idle || s.state == dropped {
-			g.Book.Stray(g.Name, m, now)
+			g.Checker.Stray(g.Name, m, now)
 			return
 		}
 		if s.state == dropping {
@@ -519,56 +519,56 @@
 			g.Saved(Topic{Name: s.Name, Kept: true, Cursor: a.Cursor, Place: m, Given: now})
 		}
 	},
-	session.Accepted: func(g *Guest, now time.Time, a session.Response) {
-		g.Book.Taken(deliverycheck.Message{Topic: a.Topic, From: g.Name, Call: a.CallSeq}, now)
+	session.Accepted: func(g *Client, now time.Time, a session.Response) {
+		g.Checker.Taken(deliverycheck.Message{Topic: a.Topic, From: g.Name, Call: a.CallSeq}, now)
 		if l, m := g.message(a.Topic, a.CallSeq); m != nil {
 			l.ms = slices.DeleteFunc(l.ms, func(x *message) bool { return x == m })
 		}
 	},
-	session.WithdrawalComplete: func(g *Guest, now time.Time, a session.Response) {
+	session.WithdrawalComplete: func(g *Client, now time.Time, a session.Response) {
 		l, m := g.message(a.Topic, a.CallSeq)
 		if m == nil {
 			return
 		}
 		if m.draw == nil || m.draw.Key != a.Key {
-			g.Book.Breach(deliverycheck.Mixed, "%s was told that %s of %s, %d, is forgotten, which it did not ask", g.Name, a.Key, a.Topic, a.CallSeq)
+			g.Checker.Violation(deliverycheck.Mixed, "%s was told that %s of %s, %d, is forgotten, which it did not ask", g.Name, a.Key, a.Topic, a.CallSeq)
 			return
 		}
 		m.draw.Forgotten(deliverycheck.Place{Partition: a.Partition, Offset: a.Offset}, g.shown)
 		l.ms = slices.DeleteFunc(l.ms, func(x *message) bool { return x == m })
 	},
-	session.Withdrawn: func(g *Guest, now time.Time, a session.Response) { g.Book.Told(g.Name, a.Topic, a.Key, now) },
-	session.Counted: func(g *Guest, now time.Time, a session.Response) {
+	session.Withdrawn: func(g *Client, now time.Time, a session.Response) { g.Checker.Told(g.Name, a.Topic, a.Key, now) },
+	session.Counted: func(g *Client, now time.Time, a session.Response) {
 		at, ok := g.counted[a.Topic]
 		if !ok {
-			g.Book.Breach(deliverycheck.Mixed, "%s was told a count of %s, which it did not ask", g.Name, a.Topic)
+			g.Checker.Violation(deliverycheck.Mixed, "%s was told a count of %s, which it did not ask", g.Name, a.Topic)
 			return
 		}
 		delete(g.counted, a.Topic)
-		g.Book.Count(a.Topic, a.Count, at, now, g.Calm())
+		g.Checker.Count(a.Topic, a.Count, at, now, g.Calm())
 	},
-	session.Rejected: func(g *Guest, now time.Time, a session.Response) {
+	session.Rejected: func(g *Client, now time.Time, a session.Response) {
 		f, ok := turns[a.InReplyTo]
 		if !ok || a.Err == nil {
-			g.Book.Breach(deliverycheck.Mixed, "%s was turned away with %q: %v", g.Name, a.InReplyTo, a.Err)
+			g.Checker.Violation(deliverycheck.Mixed, "%s was turned away with %q: %v", g.Name, a.InReplyTo, a.Err)
 			return
 		}
 		f(g, now, a)
 	},
-	session.Moved: func(g *Guest, now time.Time, a session.Response) {
+	session.Moved: func(g *Client, now time.Time, a session.Response) {
 		g.close(now, g.Habits.Keepalive/tickOf, false)
 		g.to = a.Address
 	},
 }
 
-var turns = map[session.Verb]func(g *Guest, now time.Time, a session.Response){
-	session.Attach:      func(g *Guest, now time.Time, _ session.Response) { g.close(now, g.Habits.Keepalive/2, false) },
-	session.Count:       func(g *Guest, _ time.Time, a session.Response) { delete(g.counted, a.Topic) },
-	session.Unsubscribe: func(g *Guest, now time.Time, _ session.Response) { g.close(now, g.Habits.Keepalive/2, false) },
-	session.Subscribe: func(g *Guest, now time.Time, a session.Response) {
+var turns = map[session.Verb]func(g *Client, now time.Time, a session.Response){
+	session.Attach:      func(g *Client, now time.Time, _ session.Response) { g.close(now, g.Habits.Keepalive/2, false) },
+	session.Count:       func(g *Client, _ time.Time, a session.Response) { delete(g.counted, a.Topic) },
+	session.Unsubscribe: func(g *Client, now time.Time, _ session.Response) { g.close(now, g.Habits.Keepalive/2, false) },
+	session.Subscribe: func(g *Client, now time.Time, a session.Response) {
 		s := g.sub(a.Topic)
 		if s == nil || s.state != asked {
-			g.Book.Breach(deliverycheck.Mixed, "%s was turned away from %s, which it did not ask: %v", g.Name, a.Topic, a.Err)
+			g.Checker.Violation(deliverycheck.Mixed, "%s was turned away from %s, which it did not ask: %v", g.Name, a.Topic, a.Err)
 			return
 		}
 		s.here.Gone(now)
@@ -579,10 +579,10 @@
 			s.stay.Expired(now)
 			s.stay = nil
 		case apierror.HasCode(a.Err, apierror.CursorMalformed):
-			g.Book.Breach(deliverycheck.Mixed, "%s was told that its cursor %q of %s is bad: %v", g.Name, s.cursor, s.Name, a.Err)
+			g.Checker.Violation(deliverycheck.Mixed, "%s was told that its cursor %q of %s is bad: %v", g.Name, s.cursor, s.Name, a.Err)
 		}
 	},
-	session.Withdraw: func(g *Guest, now time.Time, a session.Response) {
+	session.Withdraw: func(g *Client, now time.Time, a session.Response) {
 		l, m := g.message(a.Topic, a.CallSeq)
 		if m == nil || m.draw == nil {
 			return
@@ -596,10 +596,10 @@
 			l.ms = slices.DeleteFunc(l.ms, func(x *message) bool { return x == m })
 		}
 	},
-	session.Send: func(g *Guest, now time.Time, a session.Response) {
+	session.Send: func(g *Client, now time.Time, a session.Response) {
 		k := apierror.From(a.Err).Code
 		if Promises[k] {
-			g.Book.Turned(deliverycheck.Message{Topic: a.Topic, From: g.Name, Call: a.CallSeq})
+			g.Checker.Turned(deliverycheck.Message{Topic: a.Topic, From: g.Name, Call: a.CallSeq})
 		}
 		l, m := g.message(a.Topic, a.CallSeq)
 		if m == nil {
--- a/internal/testing/transport/port.go
+++ b/internal/testing/transport/port.go
@@ -16,8 +16,8 @@
 	"postjunction/internal/rawjson"
 )
 
-// Port is one node as callers see it.
-type Port interface {
+// Transport is one node as callers see it.
+type Transport interface {
 	Attach(ctx context.Context, name string) (client.Attachment, error)
 	Send(ctx context.Context, token, topic string, call uint64, body []byte) (client.Receipt, error)
 	Follow(ctx context.Context, token string, topics []string, cursor string, f func(client.Event) error) error
@@ -150,8 +150,8 @@
 
 // Services are what a node offers.
 type Services struct {
-	Visitors *client.Service
-	Door     *httpapi.API
+	Clients *client.Service
+	API     *httpapi.API
 	// Gone is closed when the process ends, as its connections would be.
 	Gone chan struct{}
 }
@@ -186,7 +186,7 @@
 }
 
 func (p *Direct) do(ctx context.Context, t *client.Request) (any, error) {
-	return p.run(ctx, func(n *Services) (any, error) { return n.Visitors.Do(ctx, t) })
+	return p.run(ctx, func(n *Services) (any, error) { return n.Clients.Do(ctx, t) })
 }
 
 // Attach attaches.
@@ -249,12 +249,12 @@
 
 // Put puts a description.
 func (p *Direct) Put(ctx context.Context, doc []byte) (uint64, error) {
-	return p.sequence(ctx, func(n *Services) (any, error) { return n.Door.Operators.Put(ctx, doc) })
+	return p.sequence(ctx, func(n *Services) (any, error) { return n.API.Operators.Put(ctx, doc) })
 }
 
 // Get reads the description's sequence back.
 func (p *Direct) Get(ctx context.Context) (uint64, error) {
-	return p.sequence(ctx, func(n *Services) (any, error) { return n.Door.Operators.ReadConfiguration(ctx) })
+	return p.sequence(ctx, func(n *Services) (any, error) { return n.API.Operators.ReadConfiguration(ctx) })
 }
 
 // Shows gives the description that the node shows, and whether it serves.
@@ -263,6 +263,6 @@
 	if n == nil {
 		return 0, false, apierror.New(apierror.Unreachable, "the node is down")
 	}
-	ready := n.Door.Ready() == nil
-	return n.Door.Operators.Store.Configuration().Sequence, ready, nil
+	ready := n.API.Ready() == nil
+	return n.API.Operators.Store.Configuration().Sequence, ready, nil
 }
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -24,9 +24,9 @@
 
 // Field is one column of the schema.
 type Field struct {
-	Name string `json:"name"`
-	Type string `json:"type"`
-	Say  string `json:"description"`
+	Name        string `json:"name"`
+	Type        string `json:"type"`
+	Description string `json:"description"`
 }
 
 // Schema describes the columns, in order.
--- a/internal/wire/mux/lane_test.go
+++ b/internal/wire/mux/lane_test.go
@@ -21,9 +21,9 @@
 )
 
 var patient = Options{
-	Times:   Times{Dial: time.Minute, Silence: time.Hour, Unheard: time.Minute, Idle: time.Hour, Begin: time.Minute},
-	Headers: []string{"Content-Type", "X-Name"},
-	From:    "X-Name",
+	Timeouts: Timeouts{Dial: time.Minute, Silence: time.Hour, Unheard: time.Minute, Idle: time.Hour, Begin: time.Minute},
+	Headers:  []string{"Content-Type", "X-Name"},
+	From:     "X-Name",
 }
 
 type fixture struct {
--- a/internal/wire/mux/link.go
+++ b/internal/wire/mux/link.go
@@ -18,8 +18,8 @@
 	"postjunction/internal/apierror"
 )
 
-// Times are the bounds of a connection.
-type Times struct {
+// Timeouts are the bounds of a connection.
+type Timeouts struct {
 	Dial    time.Duration // of the longest attempt, the last; all others together take as long
 	Quiet   time.Duration // after which a connection is looked at before it is used again
 	Silence time.Duration // after which a peer that owes answers is asked for a sign of life; after as long again it is given up
@@ -30,7 +30,7 @@
 
 // Options say how calls are carried.
 type Options struct {
-	Times
+	Timeouts
 	Headers []string // that go with a task or an answer, besides the deadline
 	From    string   // the header with the caller's name
 }
@@ -120,7 +120,7 @@
 	}
 }
 
-func tune(fd uintptr, t Times) {
+func tune(fd uintptr, t Timeouts) {
 	_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(t.Unheard.Milliseconds()))
 	_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NOTSENT_LOWAT, unsentMost)
 }
--- a/internal/wire/mux/network.go
+++ b/internal/wire/mux/network.go
@@ -191,7 +191,7 @@
 func (p *peer) dial(d *dialling, from string) {
 	o := p.n.o
 	nd := net.Dialer{KeepAlive: -1, Control: func(_, _ string, rc syscall.RawConn) error {
-		return rc.Control(func(fd uintptr) { tune(fd, o.Times) })
+		return rc.Control(func(fd uintptr) { tune(fd, o.Timeouts) })
 	}}
 	var nc net.Conn
 	var err error
--- a/internal/wire/mux/server.go
+++ b/internal/wire/mux/server.go
@@ -139,7 +139,7 @@
 	c.sent = func(p *parcel) { delete(c.calls, p.id) }
 	if t, ok := nc.(*net.TCPConn); ok {
 		_ = t.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: s.o.Idle, Interval: s.o.Unheard, Count: probes})
-		_ = c.raw.Control(func(fd uintptr) { tune(fd, s.o.Times) })
+		_ = c.raw.Control(func(fd uintptr) { tune(fd, s.o.Timeouts) })
 	}
 	s.mu.Lock()
 	if s.closed {
--- a/internal/wire/real.go
+++ b/internal/wire/real.go
@@ -18,7 +18,7 @@
 
 func lanes(b settings.Timing) mux.Options {
 	return mux.Options{
-		Times: mux.Times{
+		Timeouts: mux.Timeouts{
 			Dial:    b.CallTimeout() / dialShare,
 			Quiet:   b.SessionTimeout() / quietShare,
 			Silence: max(b.SessionTimeout()/silenceShare, b.LongPoll()),
