--- a/internal/operator/final_test.go
+++ b/internal/operator/final_test.go
@@ -11,8 +11,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// finalKinds are the refusals that end an operator's call for good.
-var finalKinds = map[string]bool{"DescriptionRaced": true, "DescriptionNone": true, "UnknownNode": true, "DrainUnsafe": true, "AlreadyEmpty": true}
+// finalCodes are the error codes, by their names in package apierror, that end an operator's call for good.
+var finalCodes = map[string]bool{
+	"ConfigurationConflict": true, "ConfigurationMissing": true, "UnknownNode": true,
+	"DecommissionUnsafe": true, "AlreadyEmpty": true,
+}
 
 // Final refusals are made from confirmed values only, and confirmed values only where a majority has answered.
 func TestFinalAnswersRestOnAMajority(t *testing.T) {
@@ -34,9 +37,9 @@
 			ast.Inspect(fn, func(n ast.Node) bool {
 				switch x := n.(type) {
 				case *ast.CallExpr:
-					name := called(x)
-					if kind := firstKind(x); finalKinds[kind] && name != "Has" {
-						assert.Equal(t, name, "refuse", "%s: %s makes %s", path, fn.Name.Name, kind)
+					name := calledName(x)
+					if code := firstCode(x); finalCodes[code] && name != "HasCode" {
+						assert.Equal(t, name, "refuse", "%s: %s makes %s", path, fn.Name.Name, code)
 						refusals++
 					}
 				case *ast.CompositeLit:
@@ -53,7 +56,8 @@
 	assert.Assert(t, refusals >= 6, "%d refusals were seen", refusals)
 }
 
-func called(x *ast.CallExpr) string {
+// calledName returns the name of the function or method that is called, "" for any other expression.
+func calledName(x *ast.CallExpr) string {
 	switch f := x.Fun.(type) {
 	case *ast.SelectorExpr:
 		return f.Sel.Name
@@ -63,11 +67,11 @@
 	return ""
 }
 
-// firstKind gives the kind of problem that a call is given, "" for none.
-func firstKind(x *ast.CallExpr) string {
+// firstCode returns the first argument of a call that is a code of package apierror, "" for none.
+func firstCode(x *ast.CallExpr) string {
 	for _, a := range x.Args {
 		if s, ok := a.(*ast.SelectorExpr); ok {
-			if p, ok := s.X.(*ast.Ident); ok && p.Name == "problem" {
+			if p, ok := s.X.(*ast.Ident); ok && p.Name == "apierror" {
 				return s.Sel.Name
 			}
 		}
