--- /dev/null
+++ b/internal/nodelease/manager_discovery.go
@@ -0,0 +1,92 @@
+package nodelease
+
+import (
+	"context"
+	"math/rand/v2"
+	"slices"
+
+	"postjunction/internal/apierror"
+	"postjunction/internal/membership"
+	"postjunction/internal/quorum"
+	"postjunction/internal/settings"
+)
+
+// Identify returns who this node is and whom it knows, the control nodes that asked it lately
+// included.
+func (m *Manager) Identify(
+	_ context.Context, request *membership.IdentifyRequest,
+) (*membership.IdentifyResponse, error) {
+	response := &membership.IdentifyResponse{Info: m.Info(), Known: slices.Clone(m.View.All())}
+	now := m.Clock.Now()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.identified == nil {
+		m.identified = map[string]nodeInfo{}
+	}
+	if request.From != nil {
+		m.identified[request.From.Name] = nodeInfo{info: *request.From, at: now}
+	}
+	for name, node := range m.identified {
+		if now.Sub(node.at) > m.Settings.Timing().SessionTimeout() {
+			delete(m.identified, name)
+			continue
+		}
+		if _, ok := m.View.Get(name); !ok {
+			response.Known = append(response.Known, node.info)
+		}
+	}
+	return response, nil
+}
+
+// chooseControlNode returns a control node for the next session: this node itself if it is one,
+// after a session that worked one of the members known from it, and otherwise one found through the
+// seeds. With no control node to avoid, one in this node's zone is preferred. Fails with code
+// Unreachable.
+func (m *Manager) chooseControlNode(ctx context.Context, avoid string, worked bool) (membership.Info, error) {
+	if m.Local != nil && avoid == "" {
+		return m.Info(), nil
+	}
+	var candidates []membership.Info
+	if worked {
+		candidates = m.eligible(slices.Concat(m.View.All(), m.knownControlNodes), avoid)
+	}
+	if len(candidates) == 0 {
+		candidates = m.eligible(slices.Concat(m.askSeeds(ctx, avoid), m.View.All(), m.knownControlNodes), avoid)
+	}
+	if len(candidates) == 0 {
+		return membership.Info{}, apierror.New(apierror.Unreachable, "no control node was found through the seeds")
+	}
+	sameZone := membership.Filter(candidates, func(info membership.Info) bool { return info.Zone == m.Settings.Zone })
+	if len(sameZone) > 0 && avoid == "" {
+		candidates = sameZone
+	}
+	return candidates[rand.IntN(len(candidates))], nil
+}
+
+// askSeeds asks all seeds at once whom they know, and waits no longer than for the first that knows
+// an eligible control node.
+func (m *Manager) askSeeds(ctx context.Context, avoid string) []membership.Info {
+	callCtx, cancel := context.WithTimeout(ctx, m.Settings.Timing().CallTimeout()/2)
+	defer cancel()
+	var known []membership.Info
+	quorum.Gather(callCtx, otherAddresses(m.Settings.Seeds, m.Settings.DialAddress()),
+		func(ctx context.Context, seed string) (*membership.IdentifyResponse, error) {
+			return membership.Identify.Call(ctx, m.Net, m.Settings.Name, seed, &membership.IdentifyRequest{})
+		},
+		func(results []quorum.Result[string, *membership.IdentifyResponse]) bool {
+			if latest := results[len(results)-1]; latest.Err == nil {
+				known = append(append(known, latest.Value.Info), latest.Value.Known...)
+			}
+			return len(m.eligible(known, avoid)) > 0
+		})
+	return known
+}
+
+// eligible returns the control nodes among some nodes that serve, without this node and the one to
+// avoid.
+func (m *Manager) eligible(nodes []membership.Info, avoid string) []membership.Info {
+	return membership.Filter(nodes, func(info membership.Info) bool {
+		return info.Disk == settings.DiskControl && info.Stage == membership.Serving &&
+			info.Name != avoid && info.Name != m.Settings.Name
+	})
+}
--- /dev/null
+++ b/internal/nodelease/manager_heartbeat.go
@@ -0,0 +1,108 @@
+package nodelease
+
+import (
+	"context"
+	"slices"
+
+	"postjunction/internal/gossip"
+	"postjunction/internal/membership"
+	"postjunction/internal/settings"
+)
+
+// heartbeat sends a heartbeat, takes in what comes back and renews the lease by it. Without a voter
+// set there is nothing to confirm yet, and no lease.
+func (m *Manager) heartbeat(ctx context.Context, control membership.Info) error {
+	sentAt := m.Clock.Now()
+	response, err := m.exchange(ctx, control)
+	answeredAt := m.Clock.Now()
+	m.mu.Lock()
+	m.attemptLatencies.add(answeredAt.Sub(sentAt))
+	if err == nil {
+		m.lastHeardAt = answeredAt
+		m.answeredLatencies.add(answeredAt.Sub(sentAt))
+	}
+	m.mu.Unlock()
+	if err != nil {
+		return err
+	}
+	m.Store.Apply(gossip.Update{VoterSet: response.VoterSet, Configuration: response.Configuration,
+		Changes: response.Changes})
+	m.updateMembers(response)
+	if m.Store.VoterSet().Sequence == 0 {
+		return nil
+	}
+	return m.renewLease(control, sentAt, response)
+}
+
+// exchange sends the complete Info of this node, or a reference to it where nothing in it changed,
+// and again where the control node lacks what the reference or the change of the members builds on.
+func (m *Manager) exchange(ctx context.Context, control membership.Info) (*HeartbeatResponse, error) {
+	if m.exchangeWith != control.Name {
+		m.exchangeWith, m.members = control.Name, membership.ListReplica{}
+		m.sentInfo, m.sentInfoNumber = membership.Info{}, 0
+	}
+	for {
+		info, version := m.Info(), m.members.Version()
+		request := &HeartbeatRequest{Info: info, KnownVersion: &version, AcceptsChanges: m.Store.AcceptsChanges()}
+		if m.sentInfoNumber != 0 && info.EquivalentTo(m.sentInfo) {
+			request.Info = membership.Info{}
+			request.InfoReference = &InfoReference{Name: info.Name, BootID: info.BootID, InfoNumber: m.sentInfoNumber}
+		}
+		response, err := m.send(ctx, control, request)
+		if err != nil {
+			return nil, err
+		}
+		if request.InfoReference != nil && response.InfoNumber == 0 {
+			m.sentInfoNumber = 0
+			continue
+		}
+		if request.InfoReference == nil {
+			m.sentInfo, m.sentInfoNumber = info, response.InfoNumber
+		}
+		if response.Change != nil && !m.members.Apply(*response.Change) {
+			m.members = membership.ListReplica{}
+			continue
+		}
+		return response, nil
+	}
+}
+
+// send makes the call, directly where the session is with this node itself.
+func (m *Manager) send(
+	ctx context.Context, control membership.Info, request *HeartbeatRequest,
+) (*HeartbeatResponse, error) {
+	if m.Local != nil && control.Name == m.Settings.Name {
+		return m.Local.Heartbeat(ctx, request)
+	}
+	callCtx, cancel := context.WithTimeout(ctx, m.Settings.Timing().SessionTimeout()/3)
+	defer cancel()
+	return Heartbeat.Call(callCtx, m.Net, m.Settings.Name, control.PeerAddr, request)
+}
+
+// updateMembers takes in the members of a response, if they are other ones than before. A member
+// that is left out by a control node which began lately, or which no majority answers, may be there
+// all the same: an isolated control node loses sessions that others keep.
+func (m *Manager) updateMembers(response *HeartbeatResponse) {
+	uncertain := response.WarmingUp || response.Isolated || !response.Confirmed
+	members := response.Members
+	if response.Change != nil {
+		if response.Change.Empty() && uncertain == m.membersUncertain && response.WarmingUp == m.controlWarmingUp {
+			return
+		}
+		members = m.members.All()
+	}
+	m.membersUncertain = uncertain
+	m.mu.Lock()
+	m.controlWarmingUp = response.WarmingUp
+	m.mu.Unlock()
+	if uncertain {
+		m.View.Add(members)
+	} else {
+		m.View.Set(members)
+	}
+	controlNodes := membership.Filter(members,
+		func(info membership.Info) bool { return info.Disk == settings.DiskControl })
+	if len(controlNodes) > 0 {
+		m.knownControlNodes = slices.Clone(controlNodes)
+	}
+}
--- /dev/null
+++ b/internal/nodelease/statetransfer_test.go
@@ -0,0 +1,175 @@
+package nodelease
+
+import (
+	"context"
+	"net/http"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"postjunction/internal/gossip"
+	"postjunction/internal/membership"
+	"postjunction/internal/settings"
+)
+
+// Control nodes send each other what changed, and a session that stands stays known by the other.
+func TestExchangeSessions_SendsOnlyChanges(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		options := settings.Default()
+		servers := map[string]*Server{}
+		var asked *membership.SessionsRequest
+		start := func(name, other string) {
+			server := newServer(name, options.Timing(), gossip.NewStore(nil),
+				func() Confirmation { return Confirmation{} })
+			server.Net = &funcNetwork{func(r *http.Request) (*http.Response, error) {
+				mux := http.NewServeMux()
+				servers[other].Serve(mux)
+				return (&muxNetwork{mux}).Do(r)
+			}}
+			servers[name] = server
+		}
+		start("c1", "c2")
+		start("c2", "c1")
+		heartbeat := func(name, stage string) {
+			info := membership.Info{Name: name, Stage: stage}
+			request := &HeartbeatRequest{Info: info, KnownVersion: &membership.Version{}}
+			_, err := servers["c1"].Heartbeat(context.Background(), request)
+			assert.NilError(t, err)
+		}
+		round := func() {
+			time.Sleep(options.Timing().HeartbeatInterval())
+			asked = servers["c1"].sessionsRequest("c2")
+			servers["c1"].exchangeSessions(context.Background(), "c2")
+		}
+		stages := func() map[string]string {
+			s := map[string]string{}
+			for _, i := range servers["c2"].Table.Live() {
+				s[i.Name] = i.Stage
+			}
+			return s
+		}
+		heartbeat("a", membership.Serving)
+		round()
+		assert.DeepEqual(t, stages(), map[string]string{"a": membership.Serving})
+		heartbeat("b", membership.Serving)
+		round()
+		assert.DeepEqual(t, stages(), map[string]string{"a": membership.Serving, "b": membership.Serving})
+		for range 20 {
+			heartbeat("a", membership.Serving)
+			round()
+		}
+		assert.Assert(t, asked.Update != nil && asked.Update.Change.Empty())
+		assert.DeepEqual(t, stages(), map[string]string{"a": membership.Serving})
+		start("c2", "c1")
+		heartbeat("a", membership.Draining)
+		round()
+		assert.DeepEqual(t, stages(), map[string]string{"a": membership.Draining})
+		start("c1", "c2")
+		heartbeat("a", membership.Serving)
+		round()
+		assert.DeepEqual(t, stages(), map[string]string{"a": membership.Serving})
+	})
+}
+
+// A build from before lists were sent as changes gets and sends complete lists.
+func TestOlderBuilds_GetCompleteLists(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		options := settings.Default()
+		options.Name = "a1"
+		store := gossip.NewStore(nil)
+		server := newServer("c1", options.Timing(), store, confirmedNow)
+		mux := http.NewServeMux()
+		Heartbeat.Handle(mux, func(ctx context.Context, request *HeartbeatRequest) (*HeartbeatResponse, error) {
+			assert.Assert(t, request.InfoReference == nil)
+			return server.Heartbeat(ctx, &HeartbeatRequest{Info: request.Info, Leaving: request.Leaving})
+		})
+		var asked []*membership.SessionsRequest
+		membership.Sessions.Handle(mux,
+			func(_ context.Context, request *membership.SessionsRequest) (*membership.SessionsResponse, error) {
+				asked = append(asked, request)
+				sessions := []membership.Session{{Info: membership.Info{Name: "b"}}}
+				return &membership.SessionsResponse{Sessions: sessions}, nil
+			})
+		manager := newManager(options, store,
+			func() membership.Info { return membership.Info{Name: "a1", BootID: "1"} })
+		manager.Net = &muxNetwork{mux}
+		for range 4 {
+			time.Sleep(options.Timing().HeartbeatInterval())
+			assert.NilError(t, manager.heartbeat(context.Background(), controlNode))
+			_, ok := manager.View.Get("a1")
+			assert.Assert(t, ok)
+		}
+		server.Net = &muxNetwork{mux}
+		for range 4 {
+			time.Sleep(options.Timing().HeartbeatInterval())
+			server.exchangeSessions(context.Background(), "c2")
+		}
+		assert.Equal(t, len(asked), 4)
+		for _, request := range asked {
+			assert.Assert(t, request.Update == nil && len(request.Sessions) == 1)
+		}
+		assert.Equal(t, len(server.Table.Live()), 2)
+		other := http.NewServeMux()
+		server.Serve(other)
+		response,
+			err := membership.Sessions.Call(context.Background(), &muxNetwork{other}, "c2", "c1",
+			&membership.SessionsRequest{From: "c2"})
+		assert.NilError(t, err)
+		assert.Equal(t, len(response.Sessions), 1)
+		assert.Assert(t, response.Update == nil)
+	})
+}
+
+// A configuration that reaches every node changes no member: a member is reported only once it has
+// had an older one for longer than a lease, and once it has that no longer.
+func TestCurrentMembers_ReportsOnlyStaleConfigurations(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		timing := settings.DefaultTiming
+		sequence := uint64(7)
+		server := newServer("c1", timing, gossip.NewStore(nil), func() Confirmation {
+			return Confirmation{OK: true, Sequence: sequence, At: time.Now()}
+		})
+		has := map[string]uint64{"a1": 7, "a2": 7, "a3": 7}
+		var replica membership.ListReplica
+		changed := func(heartbeats int) (updates []membership.Info) {
+			for range heartbeats {
+				time.Sleep(timing.HeartbeatInterval())
+				for _, name := range []string{"a1", "a2", "a3"} {
+					version := replica.Version()
+					info := membership.Info{Name: name, BootID: "1", Stage: membership.Serving,
+						Configuration: has[name]}
+					response,
+						err := server.Heartbeat(context.Background(),
+						&HeartbeatRequest{Info: info, KnownVersion: &version})
+					assert.NilError(t, err)
+					assert.Equal(t, len(response.Change.ConfigurationOnly), 0)
+					if name == "a1" {
+						assert.Assert(t, replica.Apply(*response.Change))
+						updates = append(append(updates, response.Change.Updated...),
+							make([]membership.Info, len(response.Change.Removed))...)
+					}
+				}
+			}
+			return updates
+		}
+		lease := int(timing.LeaseDuration()/timing.HeartbeatInterval()) + 2
+		assert.Equal(t, len(changed(lease)), 3)
+		sequence, has["a1"], has["a2"] = 8, 8, 8
+		assert.Equal(t, len(changed(lease-3)), 0, "within a lease no node is behind")
+		late := changed(3)
+		assert.Assert(t, len(late) == 1 && late[0].Name == "a3", "%+v", late)
+		assert.Assert(t, late[0].ConfigurationStale && late[0].Configuration == 0, "%+v", late)
+		assert.Equal(t, len(changed(lease)), 0)
+		has["a3"] = 8
+		late = changed(2)
+		assert.Assert(t, len(late) == 1 && late[0].Name == "a3" && !late[0].ConfigurationStale, "%+v", late)
+		for range 5 {
+			sequence++
+			has = map[string]uint64{"a1": sequence, "a2": sequence, "a3": sequence}
+			assert.Equal(t, len(changed(1)), 0)
+		}
+		assert.Equal(t, len(replica.All()), 3)
+	})
+}
--- a/tools/mutations/nodelease.sh
+++ b/tools/mutations/nodelease.sh
@@ -1,4 +1,4 @@
 # Mutants of internal/nodelease.
-mutant apart-left internal/nodelease/session.go 's/if a\.Apart \{\n\t\treturn problem/if false \{\n\t\treturn problem/' $S 'ACutControlNode'
-mutant licence internal/nodelease/session.go 's/if now\.Before\(k\.until\) \|\| /if true || /' $S 'CutNode'
-mutant swift-is-swift internal/nodelease/session.go 's/return max\((slices\.Sorted\(slices\.Values\(k\.lags\)\)\[lagAt\]), .*\)\n/_ = options.SlowTimes\n\treturn $1\n/' ./internal/nodelease 'FarFromSlow'
+mutant apart-left internal/nodelease/lease.go 's/if response\.Isolated \{\n\t\treturn apierror/if false {\n\t\treturn apierror/' $S 'ACutControlNode'
+mutant licence internal/nodelease/lease.go 's/if now\.Before\(m\.leaseUntil\) \{/if true {/' $S 'CutNode'
+mutant swift-is-swift internal/nodelease/latency.go 's/return max\((latency), .*\)\n/_ = settings.SlowFactor\n\treturn $1\n/' ./internal/nodelease 'FarFromSlow'
