--- /dev/null
+++ b/internal/placement/controller/controller.go
@@ -0,0 +1,205 @@
+package controller
+
+import (
+	"context"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"postjunction/internal/clock"
+	"postjunction/internal/control/register"
+	"postjunction/internal/control/registerclient"
+	"postjunction/internal/control/voters"
+	"postjunction/internal/event"
+	"postjunction/internal/gossip"
+	"postjunction/internal/membership"
+	"postjunction/internal/placement/assignment"
+	"postjunction/internal/quorum"
+	"postjunction/internal/settings"
+)
+
+// Key is the control key whose leader runs the controller.
+const Key = "duty/placement"
+
+// roundPauseFraction is the divisor of the longest backoff that makes the least pause between
+// rounds.
+const roundPauseFraction = 4
+
+// Controller places partitions while this control node leads Key.
+type Controller struct {
+	Self     string
+	Clock    clock.Clock
+	Timing   settings.Timing
+	Proposer *register.Proposer
+	Client   *registerclient.Client
+	Store    *gossip.Store
+	Live     func() []membership.Info
+	// Changed returns a channel that is closed when the members change.
+	Changed func() <-chan struct{}
+	Log     *event.Logger
+	// Broadcast sends records that were written here to the other nodes at once.
+	Broadcast func(context.Context, ...assignment.Record)
+
+	// active reports whether this controller has read all records and decides, since activeSince.
+	active      bool
+	activeSince time.Time
+	records     map[int]assignment.Record
+	// pending are the changes that the round has decided on and not written yet.
+	pending []change
+	// balancedAt is when a leader was last moved for the sake of load.
+	balancedAt time.Time
+	observations
+
+	membersChanged, storeChanged <-chan struct{}
+}
+
+// observations hold since when something has been seen, by machine or by partition. They begin anew
+// when the controller becomes active.
+type observations struct {
+	goneSince map[string]time.Time
+	deafSince map[string]time.Time
+	slowSince map[string]time.Time
+	// emptySince are the storage machines that held nothing when they were first seen, until
+	// nothing is gone.
+	emptySince map[string]time.Time
+	// absentSince are decommissioned machines that are gone, newDiskSince those that are there with
+	// another disk.
+	absentSince  map[string]time.Time
+	newDiskSince map[string]time.Time
+	// epochs are the epochs of the partitions, epochSince when they were first seen.
+	epochs     map[int]uint64
+	epochSince map[int]time.Time
+}
+
+func newObservations() observations {
+	return observations{
+		goneSince:    map[string]time.Time{},
+		deafSince:    map[string]time.Time{},
+		slowSince:    map[string]time.Time{},
+		emptySince:   map[string]time.Time{},
+		absentSince:  map[string]time.Time{},
+		newDiskSince: map[string]time.Time{},
+		epochs:       map[int]uint64{},
+		epochSince:   map[int]time.Time{},
+	}
+}
+
+// Run places the partitions until ctx ends. It blocks.
+func (c *Controller) Run(ctx context.Context) {
+	for c.wait(ctx) == nil {
+		if c.Store.VoterSet().Sequence > 0 {
+			c.runOnce(ctx)
+		}
+	}
+}
+
+// wait waits for the next round: the active controller acts on changes, the others look at
+// intervals.
+func (c *Controller) wait(ctx context.Context) error {
+	interval := clock.Jitter(c.Timing.ReconcileInterval(), 0.2, rand.Float64())
+	if !c.active {
+		return c.Clock.Sleep(ctx, interval)
+	}
+	if err := c.Clock.Sleep(ctx, c.Timing.MaxBackoff()/roundPauseFraction); err != nil {
+		return err
+	}
+	clock.Wait(ctx, c.Clock, interval, c.membersChanged, c.storeChanged)
+	c.membersChanged, c.storeChanged = c.Changed(), c.Store.Changed()
+	return ctx.Err()
+}
+
+// runOnce runs a round if this control node leads Key.
+func (c *Controller) runOnce(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, c.Timing.Recovery)
+	defer cancel()
+	if !c.lead(ctx) {
+		if c.active {
+			c.Log.Log(event.ControllerStopped)
+		}
+		c.active = false
+		return
+	}
+	if !c.active {
+		c.start(ctx)
+	}
+	if c.active {
+		c.round(ctx)
+	}
+}
+
+// lead claims Key if this control node doesn't lead it, and reports whether a majority confirms
+// that it does.
+func (c *Controller) lead(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, c.Timing.CallTimeout())
+	defer cancel()
+	if !c.Proposer.Leads(Key) {
+		if err := c.Proposer.Claim(ctx, Key); err != nil {
+			return false
+		}
+	}
+	return c.Proposer.ConfirmLeadership(ctx, Key)
+}
+
+// start reads all records by quorum. The controller becomes active only if it has every one.
+func (c *Controller) start(ctx context.Context) {
+	c.records, c.observations = map[int]assignment.Record{}, newObservations()
+	var partitions []int
+	for partition := range c.Store.VoterSet().Layout.PartitionCount() {
+		partitions = append(partitions, partition)
+	}
+	for _, result := range quorum.Gather(ctx, partitions, c.fetchRecord, nil) {
+		if result.Err != nil {
+			c.Log.Log(event.PlacementFailed, "partition", result.Target, "problem", result.Err)
+			return
+		}
+		c.keepRecord(result.Value)
+	}
+	c.active, c.activeSince, c.balancedAt = true, c.Clock.Now(), c.Clock.Now()
+	c.Log.Log(event.ControllerStarted, "partitions", len(c.records))
+}
+
+// round decides on all partitions, urgent ones first, then on load and decommissionings.
+func (c *Controller) round(ctx context.Context) {
+	c.pending = nil
+	c.refreshRecords(ctx)
+	view, err := c.currentView(ctx)
+	if err != nil {
+		return
+	}
+	for _, partition := range byUrgency(c.records, c.Store.VoterSet().Layout) {
+		if ctx.Err() != nil {
+			return
+		}
+		record := c.records[partition]
+		if c.epochs[partition] != record.Epoch {
+			c.epochs[partition], c.epochSince[partition] = record.Epoch, view.now
+		}
+		if record.Epoch == 0 {
+			c.placeFirst(view, record)
+			continue
+		}
+		if c.replaceLeader(view, record) || !record.Recovered {
+			continue
+		}
+		c.adjustReplicas(view, record)
+	}
+	c.writePending(ctx)
+	c.balanceLoad(view)
+	c.writePending(ctx)
+	c.updateDecommissions(ctx, view)
+}
+
+// byUrgency returns the partitions, the urgent ones first, each kind by number.
+func byUrgency(records map[int]assignment.Record, layout voters.Layout) []int {
+	var partitions []int
+	for partition := range records {
+		partitions = append(partitions, partition)
+	}
+	slices.SortFunc(partitions, func(a, b int) int {
+		if (a >= layout.RoutinePartitions) != (b >= layout.RoutinePartitions) {
+			return b - a
+		}
+		return a - b
+	})
+	return partitions
+}
--- /dev/null
+++ b/internal/placement/controller/records.go
@@ -0,0 +1,110 @@
+package controller
+
+import (
+	"context"
+	"strings"
+
+	"postjunction/internal/apierror"
+	"postjunction/internal/control/registerclient"
+	"postjunction/internal/event"
+	"postjunction/internal/gossip"
+	"postjunction/internal/placement/assignment"
+	"postjunction/internal/quorum"
+)
+
+// change is a change of a record that a round has decided on.
+type change struct{ old, next assignment.Record }
+
+// propose notes a change. It is written with all others of the round.
+func (c *Controller) propose(old, next assignment.Record) {
+	c.pending = append(c.pending, change{old, next})
+}
+
+// writePending writes all changes that were noted, at once.
+func (c *Controller) writePending(ctx context.Context) {
+	changes := c.pending
+	c.pending = nil
+	for _, result := range quorum.Gather(ctx, changes, c.write, nil) {
+		if result.Err != nil {
+			continue
+		}
+		c.keepRecord(result.Value)
+		c.logPlaced(result.Target, result.Value)
+	}
+}
+
+// write writes a change on the version that it builds on, and returns the record that stands then:
+// the changed one, or, where the write failed, the one that is read back.
+func (c *Controller) write(ctx context.Context, proposed change) (assignment.Record, error) {
+	next := proposed.next
+	key := assignment.Key(next.Partition)
+	value, err := c.Client.Change(ctx, key, proposed.old.Version, registerclient.NewChangeID(), next.Marshal())
+	if err == nil {
+		next.Version = value.Version
+		c.Broadcast(context.WithoutCancel(ctx), next)
+		return next, nil
+	}
+	if !apierror.HasCode(err, apierror.StaleBase) {
+		c.Log.Log(event.PlacementFailed, "partition", next.Partition, "problem", err)
+	}
+	return c.fetchRecord(ctx, next.Partition)
+}
+
+// logPlaced logs a change that began an epoch, if it is the one that stands.
+func (c *Controller) logPlaced(proposed change, written assignment.Record) {
+	next := proposed.next
+	if written.Epoch != next.Epoch || next.Epoch == proposed.old.Epoch || written.Leader != next.Leader {
+		return
+	}
+	latest := next.History[len(next.History)-1]
+	c.Log.Log(event.PartitionPlaced, "partition", next.Partition, "epoch", next.Epoch, "owner", next.Leader,
+		"replicas", strings.Join(latest.Replicas, ","), "reason", latest.Reason)
+}
+
+// fetchRecord reads a record by quorum. One that was never written has epoch 0.
+func (c *Controller) fetchRecord(ctx context.Context, partition int) (assignment.Record, error) {
+	value, err := c.Client.Read(ctx, assignment.Key(partition))
+	if err != nil {
+		return assignment.Record{}, err
+	}
+	record := assignment.Record{Partition: partition}
+	if len(value.Body) > 0 {
+		if record, err = assignment.Parse(value.Body, value.Version); err != nil {
+			return record, apierror.Wrap(apierror.Internal, err, "read the record of partition %d", partition)
+		}
+	}
+	record.Version = value.Version
+	return record, nil
+}
+
+// keepRecord takes a record in, and has it spread to the other nodes.
+func (c *Controller) keepRecord(record assignment.Record) {
+	c.records[record.Partition] = record
+	if record.Version > 0 {
+		c.Store.Apply(gossip.Update{Records: []assignment.Record{record}})
+	}
+}
+
+// reloadRecord reads a record again. Where that fails the one that was known stands, and any change
+// of it that builds on a stale version is rejected.
+func (c *Controller) reloadRecord(ctx context.Context, partition int) {
+	if record, err := c.fetchRecord(ctx, partition); err == nil {
+		c.keepRecord(record)
+	}
+}
+
+// refreshRecords takes in newer records that other nodes wrote, and reads those again whose
+// recovery takes long, as word of its end may have been lost.
+func (c *Controller) refreshRecords(ctx context.Context) {
+	for partition, record := range c.records {
+		if stored := c.Store.Record(partition); stored.Version > record.Version {
+			c.records[partition] = stored
+		}
+	}
+	for partition, record := range c.records {
+		recovering := !record.Recovered && record.Epoch > 0
+		if recovering && c.Clock.Now().Sub(c.epochSince[partition]) > c.Timing.TakeoverTimeout() {
+			c.reloadRecord(ctx, partition)
+		}
+	}
+}
--- /dev/null
+++ b/internal/placement/controller/replicas.go
@@ -0,0 +1,236 @@
+package controller
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"postjunction/internal/placement/assignment"
+	"postjunction/internal/settings"
+)
+
+// maxLearners is how many partitions may be copied to a new machine at a time.
+const maxLearners = 32
+
+// placeFirst gives a partition its first replicas, on machines in as many zones as there are. A new
+// controller waits for storage machines that it may not have heard of yet.
+func (c *Controller) placeFirst(view *clusterView, record assignment.Record) {
+	if view.storageMachines < view.replicationFactor && c.isNew(view) {
+		return
+	}
+	var replicas []assignment.Replica
+	for len(replicas) < view.replicationFactor {
+		m := view.candidate(replicas)
+		if m == nil {
+			return
+		}
+		replicas = append(replicas, assignment.Replica{Node: m.Name, Incarnation: m.Incarnation})
+	}
+	leader := slices.MinFunc(replicas, func(a, b assignment.Replica) int {
+		return view.machines[a.Node].leads - view.machines[b.Node].leads
+	})
+	c.propose(record, record.Next(leader.Node, replicas, "first placement", view.now))
+	for _, replica := range replicas {
+		view.machines[replica.Node].replicas++
+	}
+	view.addLeader(leader.Node, idleLoad)
+}
+
+// candidate returns the machine that should hold a replica beside others, nil if there is none: a
+// storage machine first, then one in another zone, then the one with the fewest replicas.
+func (v *clusterView) candidate(others []assignment.Replica) *machine {
+	zones, names := map[string]int{}, map[string]bool{}
+	for _, replica := range others {
+		names[replica.Node] = true
+		if m, ok := v.machines[replica.Node]; ok {
+			zones[m.Zone]++
+		}
+	}
+	rank := func(m *machine) []int {
+		smallDisk := 0
+		if m.Disk != settings.DiskStorage {
+			smallDisk = 1
+		}
+		return []int{smallDisk, zones[m.Zone], m.replicas}
+	}
+	var best *machine
+	for _, m := range v.machines {
+		if names[m.Name] || !v.canReceive(m) {
+			continue
+		}
+		if best == nil {
+			best = m
+			continue
+		}
+		order := slices.Compare(rank(m), rank(best))
+		if order < 0 || order == 0 && m.Name < best.Name {
+			best = m
+		}
+	}
+	return best
+}
+
+// adjustReplicas takes one step towards the replicas that a partition should have: it drops a
+// learner that is of no use, removes a replica that is too many, or adds a learner to replace or
+// complete them.
+func (c *Controller) adjustReplicas(view *clusterView, record assignment.Record) {
+	worst, reason := c.worstReplica(view, record)
+	complete := worst < 0 && len(record.Replicas) >= view.replicationFactor
+	switch {
+	case record.Learner != nil:
+		if complete || !view.canLearn(*record.Learner) {
+			next := record
+			next.Learner = nil
+			c.propose(record, next)
+		}
+	case len(record.Replicas) > view.replicationFactor:
+		if worst < 0 {
+			worst, reason = view.surplusReplica(record), "one copy more than needed"
+		}
+		c.removeReplica(view, record, worst, reason)
+	case !complete && view.learners < maxLearners:
+		c.addLearner(view, record, worst)
+	}
+}
+
+// canLearn reports whether a learner can still become a replica.
+func (v *clusterView) canLearn(learner assignment.Replica) bool {
+	return v.isUsable(learner) && !v.machines[learner.Node].excluded
+}
+
+// worstReplica returns the index of the replica to be replaced and why, -1 if all are good. One
+// that isn't usable comes before one that is.
+func (c *Controller) worstReplica(view *clusterView, record assignment.Record) (worst int, reason string) {
+	worst = -1
+	for i, replica := range record.Replicas {
+		fault := c.replicaFault(view, record, replica)
+		if fault != "" && (worst < 0 || !view.isUsable(replica)) {
+			worst, reason = i, fault
+		}
+	}
+	return worst, reason
+}
+
+// replicaFault returns why a replica is to be replaced, "" for a good one.
+func (c *Controller) replicaFault(view *clusterView, record assignment.Record, replica assignment.Replica) string {
+	m, ok := view.machines[replica.Node]
+	switch {
+	case !ok && view.decommissions.Excludes(replica.Node):
+		return "it is being emptied and gone"
+	case !ok:
+		wait := c.replacementWait(view, record, replica)
+		if view.now.Sub(c.goneSince[replica.Node]) > wait {
+			return "gone for longer than " + wait.String()
+		}
+		return ""
+	case m.Incarnation != replica.Incarnation:
+		return "its disk is another one"
+	case m.excluded:
+		return "it is being emptied"
+	case m.DiskHealth != "":
+		return "its disk fails"
+	case m.Disk != settings.DiskStorage && view.storageMachines >= view.replicationFactor:
+		return "storage machines suffice again"
+	}
+	return ""
+}
+
+// replacementWait returns how long a replica on a machine that is gone is waited for. The wait is
+//   - short, where an empty storage machine came to take its place;
+//   - half a session more, within which most restarts are over, where one was there empty before;
+//   - as long as service may take to be back, where a storage machine with other replicas is there;
+//   - long, where a small disk would have to take its place.
+func (c *Controller) replacementWait(
+	view *clusterView, record assignment.Record, replica assignment.Replica,
+) time.Duration {
+	wait := c.Timing.ReplacementDelay()
+	for name, m := range view.machines {
+		if _, ok := record.Replica(name); ok || m.Disk != settings.DiskStorage || !view.canReceive(m) {
+			continue
+		}
+		switch emptySince, ok := c.emptySince[name]; {
+		case !ok:
+			wait = min(wait, c.Timing.Recovery)
+		case emptySince.Before(c.goneSince[replica.Node].Add(-c.Timing.SessionTimeout())):
+			wait = min(wait, c.Timing.SessionTimeout()/2)
+		default:
+			wait = min(wait, c.absenceWait(view))
+		}
+	}
+	return wait
+}
+
+// absenceWait returns how long a machine must be gone before anything is done: longer while the
+// controller is new and may not have heard of it.
+func (c *Controller) absenceWait(view *clusterView) time.Duration {
+	if c.isNew(view) {
+		return c.Timing.SessionTimeout() / 2
+	}
+	return c.Timing.PreviousLeaderWait()
+}
+
+// isNew reports whether the controller became active less than a session time-out ago, so that live
+// machines may be missing from its view.
+func (c *Controller) isNew(view *clusterView) bool {
+	return view.now.Sub(c.activeSince) < c.Timing.SessionTimeout()
+}
+
+// removeReplica proposes the record without a replica, under another leader if that replica leads.
+func (c *Controller) removeReplica(view *clusterView, record assignment.Record, index int, reason string) {
+	removed := record.Replicas[index]
+	leader := record.Leader
+	if removed.Node == leader {
+		successor, ok := view.bestLeader(record, leader)
+		if !ok {
+			return
+		}
+		leader = successor.Node
+	}
+	remaining := slices.Delete(slices.Clone(record.Replicas), index, index+1)
+	c.propose(record, record.Next(leader, remaining, fmt.Sprintf("removed %s: %s", removed.Node, reason), view.now))
+}
+
+// addLearner proposes a learner that is to replace a replica, or to be one more if replaced is -1.
+// A machine whose disk was replaced gets its replica back.
+func (c *Controller) addLearner(view *clusterView, record assignment.Record, replaced int) {
+	others := slices.Clone(record.Replicas)
+	var m *machine
+	if replaced >= 0 {
+		others = slices.Delete(others, replaced, replaced+1)
+		old := record.Replicas[replaced]
+		if same := view.machines[old.Node]; view.canReceive(same) && same.Incarnation != old.Incarnation {
+			m = same
+		}
+	}
+	if m == nil {
+		m = view.candidate(others)
+	}
+	if m == nil {
+		return
+	}
+	next := record
+	next.Learner = &assignment.Replica{Node: m.Name, Incarnation: m.Incarnation}
+	c.propose(record, next)
+	m.replicas++
+	view.learners++
+}
+
+// surplusReplica returns the index of the replica to remove where all are good: one whose machine
+// isn't there, or else the one on the machine with the most replicas that doesn't lead.
+func (v *clusterView) surplusReplica(record assignment.Record) int {
+	gone := func(replica assignment.Replica) bool { return v.machines[replica.Node] == nil }
+	if index := slices.IndexFunc(record.Replicas, gone); index >= 0 {
+		return index
+	}
+	surplus := 0
+	for i, replica := range record.Replicas {
+		if replica.Node == record.Leader {
+			continue
+		}
+		chosen := record.Replicas[surplus].Node
+		if chosen == record.Leader || v.machines[replica.Node].replicas > v.machines[chosen].replicas {
+			surplus = i
+		}
+	}
+	return surplus
+}
