--- a/internal/partition/partition.go
+++ b/internal/partition/partition.go
@@ -1,4 +1,8 @@
-// Package partition maps topics and visitors to partitions by one hash.
+// Package partition maps topics and clients to partitions by one hash.
+//
+// Every node must come to the same partition for the same name, so the hash and the prefix of client
+// names never change. Routine partitions are numbered from 0, urgent ones after them. The functions are
+// pure.
 package partition
 
 import (
@@ -10,28 +14,30 @@
 // None is the partition of everything before the layout is known.
 const None = -1
 
-func pick(s string, from, n int) int {
-	if n <= 0 {
-		return None
-	}
-	h := fnv.New32a()
-	_, _ = h.Write([]byte(s))
-	return from + int(h.Sum32()%uint32(n))
-}
-
-// Of gives the partition of a topic.
-func Of(topic string, urgent bool, l voters.Layout) int {
+// Of returns the partition of a topic, None before the layout is known.
+func Of(topic string, urgent bool, layout voters.Layout) int {
 	if urgent {
-		return pick(topic, l.RoutinePartitions, l.UrgentPartitions)
+		return choose(topic, layout.RoutinePartitions, layout.UrgentPartitions)
 	}
-	return pick(topic, 0, l.RoutinePartitions)
+	return choose(topic, 0, layout.RoutinePartitions)
 }
 
-// OfClient gives the partition that keeps a visitor's attachment. There are two: a routine one, which numbers attachments,
-// and an urgent one, which urgent calls ask, so that they never meet a routine partition.
-func OfClient(name string, urgent bool, l voters.Layout) int {
-	return Of("\x1fvisitors/"+name, urgent, l)
+// OfClient returns the partition that keeps a client's attachment. There are two: a routine one, which
+// numbers attachments, and an urgent one, which urgent calls ask, so that they never meet a routine
+// partition.
+func OfClient(name string, urgent bool, layout voters.Layout) int {
+	return Of("\x1fvisitors/"+name, urgent, layout)
 }
 
-// Urgent tells whether a partition is one of the urgent ones.
-func Urgent(p int, l voters.Layout) bool { return p >= l.RoutinePartitions }
+// Urgent reports whether a partition is one of the urgent ones.
+func Urgent(partition int, layout voters.Layout) bool { return partition >= layout.RoutinePartitions }
+
+// choose returns one of count partitions from the first on.
+func choose(name string, first, count int) int {
+	if count <= 0 {
+		return None
+	}
+	hash := fnv.New32a()
+	_, _ = hash.Write([]byte(name)) // never fails
+	return first + int(hash.Sum32()%uint32(count))
+}
--- a/internal/placement/assignment/record.go
+++ b/internal/placement/assignment/record.go
@@ -1,4 +1,10 @@
-// Package assignment is the ownership record of a partition.
+// Package assignment defines the assignment record of a partition: which node leads it, under which
+// epoch, and which disks hold its replicas.
+//
+// A record stands in a control register, and its Version is that of the register: a change builds on a
+// version and is rejected where another one came first. Invariants: the epoch only grows, and grows with
+// each change of the leader or the replicas; under one epoch there is one leader. A record is a value.
+// Its methods return changed copies, do no I/O and hold no locks.
 package assignment
 
 import (
@@ -10,6 +16,12 @@
 	"time"
 )
 
+const (
+	keyPrefix = "partition/"
+	// maxHistory is how many changes a record remembers.
+	maxHistory = 24
+)
+
 // Replica is one disk that holds a partition.
 type Replica struct {
 	Node        string `json:"node"`
@@ -25,124 +37,127 @@
 	At       time.Time `json:"at"`
 }
 
-// Record says who decides for a partition, which disks hold it, and why.
+// Record names the leader of a partition, the disks that hold it, and why.
 type Record struct {
-	Partition int            `json:"partition"`
-	Epoch     uint64         `json:"epoch"`
-	Leader    string         `json:"owner"`
-	Replicas  []Replica      `json:"replicas"`
-	Learner   *Replica       `json:"learner,omitempty"`
-	Recovered bool           `json:"settled"`
-	Version   uint64         `json:"writes"`
-	History   []HistoryEntry `json:"history,omitempty"`
+	Partition int       `json:"partition"`
+	Epoch     uint64    `json:"epoch"`
+	Leader    string    `json:"owner"`
+	Replicas  []Replica `json:"replicas"`
+	// Learner is a disk that the partition is being copied to. It doesn't count for a majority.
+	Learner *Replica `json:"learner,omitempty"`
+	// Recovered reports whether the leader has finished its failover, after which replicas may change.
+	Recovered bool `json:"settled"`
+	// Version is how many times the register was written.
+	Version uint64         `json:"writes"`
+	History []HistoryEntry `json:"history,omitempty"`
 }
 
-const (
-	prefix  = "partition/"
-	history = 24
-)
-
-// Key is the control key of a partition's record.
-func Key(p int) string { return fmt.Sprintf("%s%03d", prefix, p) }
+// Key returns the control key of a partition's record.
+func Key(partition int) string { return fmt.Sprintf("%s%03d", keyPrefix, partition) }
 
-// Partition gives the partition of a control key.
-func Partition(k string) (int, bool) {
-	s, ok := strings.CutPrefix(k, prefix)
+// Partition returns the partition of a control key, and false for a key of something else.
+func Partition(key string) (int, bool) {
+	number, ok := strings.CutPrefix(key, keyPrefix)
 	if !ok {
 		return 0, false
 	}
-	n, err := strconv.Atoi(s)
-	return n, err == nil
+	partition, err := strconv.Atoi(number)
+	return partition, err == nil
 }
 
-// Parse reads a record as it was written the given number of times.
-func Parse(b []byte, writes uint64) (Record, error) {
-	var r Record
-	err := json.Unmarshal(b, &r)
-	r.Version = writes
-	return r, err
+// Parse reads a record that a register holds at a version.
+func Parse(data []byte, version uint64) (Record, error) {
+	var record Record
+	err := json.Unmarshal(data, &record)
+	record.Version = version
+	return record, err
 }
 
-// Marshal writes a record.
+// Marshal returns the record as JSON, which Parse reads.
 func (r Record) Marshal() []byte {
-	b, _ := json.Marshal(r)
-	return b
+	data, _ := json.Marshal(r) // fails only on times past the year 9999
+	return data
 }
 
-// Replica finds a node's place.
+// Replica returns the replica on a node, and false where it has none.
 func (r Record) Replica(node string) (Replica, bool) {
-	for _, p := range r.Replicas {
-		if p.Node == node {
-			return p, true
+	for _, replica := range r.Replicas {
+		if replica.Node == node {
+			return replica, true
 		}
 	}
 	return Replica{}, false
 }
 
-// WithReplica gives the places with one more, or with it in the place of its node's other disk.
-func (r Record) WithReplica(l Replica) []Replica {
-	ps := slices.Clone(r.Replicas)
-	if i := slices.IndexFunc(ps, func(p Replica) bool { return p.Node == l.Node }); i >= 0 {
-		ps[i] = l
-		return ps
+// WithReplica returns the replicas with one more, or with it instead of its node's other disk.
+func (r Record) WithReplica(added Replica) []Replica {
+	replicas := slices.Clone(r.Replicas)
+	onNode := func(replica Replica) bool { return replica.Node == added.Node }
+	if i := slices.IndexFunc(replicas, onNode); i >= 0 {
+		replicas[i] = added
+		return replicas
 	}
-	return append(ps, l)
+	return append(replicas, added)
 }
 
-// Majority is how many places decide.
+// Majority returns how many replicas make a majority.
 func (r Record) Majority() int { return len(r.Replicas)/2 + 1 }
 
-// Nodes lists the places' nodes.
+// Nodes returns the nodes of the replicas.
 func (r Record) Nodes() []string {
-	var s []string
-	for _, p := range r.Replicas {
-		s = append(s, p.Node)
+	var nodes []string
+	for _, replica := range r.Replicas {
+		nodes = append(nodes, replica.Node)
 	}
-	return s
+	return nodes
 }
 
-// Next gives the record under the next epoch, with the reason for the change.
-func (r Record) Next(owner string, places []Replica, reason string, now time.Time) Record {
-	n := r
-	n.Epoch++
-	n.Leader, n.Replicas, n.Recovered, n.Learner = owner, slices.Clone(places), false, nil
-	n.History = append(slices.Clone(r.History), HistoryEntry{Epoch: n.Epoch, Leader: owner, Replicas: n.Nodes(), Reason: reason, At: now.UTC()})
-	if k := len(n.History) - history; k > 0 {
-		n.History = n.History[k:]
+// Next returns the record under the next epoch, not recovered and without a learner, with the reason for
+// the change in its history.
+func (r Record) Next(leader string, replicas []Replica, reason string, now time.Time) Record {
+	next := r
+	next.Epoch++
+	next.Leader, next.Replicas, next.Recovered, next.Learner = leader, slices.Clone(replicas), false, nil
+	entry := HistoryEntry{Epoch: next.Epoch, Leader: leader, Replicas: next.Nodes(), Reason: reason, At: now.UTC()}
+	next.History = append(slices.Clone(r.History), entry)
+	if surplus := len(next.History) - maxHistory; surplus > 0 {
+		next.History = next.History[surplus:]
 	}
-	return n
+	return next
 }
 
-// WithoutHistory gives the record without its history, for nodes that only need to know who decides.
+// WithoutHistory returns the record without its history, for nodes that only need to know the leader.
 func (r Record) WithoutHistory() Record {
 	r.History = nil
 	return r
 }
 
-// Holds tells whether the record places the partition on a node, as replica or learner.
+// Holds reports whether the record places the partition on a node, as replica or learner.
 func (r Record) Holds(node string) bool {
 	_, ok := r.Replica(node)
 	return ok || r.Learner != nil && r.Learner.Node == node
 }
 
-// Successors are the places that may take a partition over when its owner is gone, in the order in which they do.
+// Successors are the replicas that may take a partition over when its leader is gone, in the order in
+// which they do.
 type Successors []Replica
 
-// Successors names who follows the owner. The order starts at another place for each partition, so that one machine's partitions go to several;
-// rank says how late a place comes, below 0 for one that can't take over.
+// Successors returns the replicas that follow the leader. The order starts at another replica for each
+// partition, so that the partitions of one machine go to several; rank returns how late a replica comes,
+// below 0 for one that can't lead.
 func (r Record) Successors(rank func(Replica) int) Successors {
-	var h Successors
+	var successors Successors
 	for i := range r.Replicas {
-		p := r.Replicas[(i+r.Partition)%len(r.Replicas)]
-		if p.Node != r.Leader && rank(p) >= 0 {
-			h = append(h, p)
+		replica := r.Replicas[(i+r.Partition)%len(r.Replicas)]
+		if replica.Node != r.Leader && rank(replica) >= 0 {
+			successors = append(successors, replica)
 		}
 	}
-	slices.SortStableFunc(h, func(a, b Replica) int { return rank(a) - rank(b) })
-	return h
+	slices.SortStableFunc(successors, func(a, b Replica) int { return rank(a) - rank(b) })
+	return successors
 }
 
-// Rank gives a node's place in the order, -1 if it has none.
-func (h Successors) Rank(node string) int {
-	return slices.IndexFunc(h, func(p Replica) bool { return p.Node == node })
+// Rank returns a node's index in the order, -1 if it isn't in it.
+func (s Successors) Rank(node string) int {
+	return slices.IndexFunc(s, func(replica Replica) bool { return replica.Node == node })
 }
