--- a/internal/placement/decommission/order_test.go
+++ b/internal/placement/decommission/order_test.go
@@ -10,38 +10,38 @@
 	"postjunction/internal/apierror"
 )
 
-func TestAListThatCantBeReadIsNoEmptyList(t *testing.T) {
+func TestParse_OrdersThatCantBeReadAreAnError(t *testing.T) {
 	none, err := Parse(nil)
 	assert.NilError(t, err)
 	assert.Equal(t, len(none), 0)
 	_, err = Parse([]byte(`{"s1":{"node":`))
 	assert.Assert(t, apierror.HasCode(err, apierror.DiskDamaged), "%v", err)
-	l := Orders{"s1": {Node: "s1", Disk: "d", Done: true}}
-	again, err := Parse(l.Marshal())
+	orders := Orders{"s1": {Node: "s1", Disk: "d", Done: true}}
+	again, err := Parse(orders.Marshal())
 	assert.NilError(t, err)
-	assert.DeepEqual(t, again, l)
+	assert.DeepEqual(t, again, orders)
 }
 
-// An order of a build that knew only processes stands like any other.
-func TestAnOlderListIsRead(t *testing.T) {
-	l, err := Parse([]byte(`{"s1":{"node":"s1","boot":"b","asked":"2026-01-01T00:00:00Z","done":true,"left":0}}`))
+// An order of a build that went by processes only stands like any other.
+func TestParse_OrdersOfOlderBuilds(t *testing.T) {
+	orders, err := Parse([]byte(`{"s1":{"node":"s1","boot":"b","asked":"2026-01-01T00:00:00Z","done":true,"left":0}}`))
 	assert.NilError(t, err)
-	assert.Assert(t, l.Excludes("s1") && l["s1"].Done && l["s1"].Disk == "")
+	assert.Assert(t, orders.Excludes("s1") && orders["s1"].Done && orders["s1"].Disk == "")
 }
 
-func TestAListIsBounded(t *testing.T) {
-	l := Orders{}
-	for n := range MaxOrders {
-		assert.Assert(t, l.Add(Order{Node: fmt.Sprint("s", n), RequestedAt: time.Unix(int64(n), 0)}))
+func TestAdd_KeepsAtMostMaxOrders(t *testing.T) {
+	orders := Orders{}
+	for i := range MaxOrders {
+		assert.Assert(t, orders.Add(Order{Node: fmt.Sprint("s", i), RequestedAt: time.Unix(int64(i), 0)}))
 	}
-	assert.Assert(t, !l.Add(Order{Node: "one too many"}), "orders that are under way are never forgotten")
-	assert.Equal(t, len(l), MaxOrders)
-	for _, n := range []int{7, 5} {
-		d := l[fmt.Sprint("s", n)]
-		d.Done, d.WentAway = true, true
-		l[d.Node] = d
+	assert.Assert(t, !orders.Add(Order{Node: "one too many"}), "orders that are under way are never forgotten")
+	assert.Equal(t, len(orders), MaxOrders)
+	for _, i := range []int{7, 5} {
+		order := orders[fmt.Sprint("s", i)]
+		order.Done, order.WentAway = true, true
+		orders[order.Node] = order
 	}
-	assert.Assert(t, l.Add(Order{Node: "one more"}))
-	assert.Equal(t, len(l), MaxOrders)
-	assert.Assert(t, !l.Excludes("s5") && l.Excludes("s7"), "the oldest is forgotten first")
+	assert.Assert(t, orders.Add(Order{Node: "one more"}))
+	assert.Equal(t, len(orders), MaxOrders)
+	assert.Assert(t, !orders.Excludes("s5") && orders.Excludes("s7"), "the oldest is forgotten first")
 }
