--- /dev/null
+++ b/internal/control/acceptor/acceptor.go
@@ -0,0 +1,233 @@
+package acceptor
+
+import (
+	"context"
+	"net/http"
+	"sync"
+
+	"postjunction/internal/apierror"
+	"postjunction/internal/control/voters"
+	"postjunction/internal/disk/journal"
+	"postjunction/internal/keylock"
+	"postjunction/internal/recordtype"
+)
+
+// VoterSetKey is the register that names the next voter set; accepting it seals the present one.
+const VoterSetKey = "roster"
+
+const lockShards = 8
+
+// Acceptor promises and accepts on one disk.
+type Acceptor struct {
+	incarnation    string
+	journal        *journal.Journal
+	checkBootstrap func(voters.Set) error
+	onActivate     func(voters.Set)
+	// locks has requests for one key follow each other, from reading its slot until the new one is synced.
+	locks *keylock.Locks
+
+	// mu guards the fields below; it is never held over a write to the journal.
+	mu       sync.Mutex
+	slots    map[string]Slot
+	voterSet voters.Set
+	// agreedBootstrap is the first voter set that this disk agreed to, until one is activated.
+	agreedBootstrap *voters.Set
+	// sealing is closed, and made anew, when the voter set is sealed here.
+	sealing chan struct{}
+}
+
+// New returns an acceptor that has promised nothing.
+func New() *Acceptor {
+	return &Acceptor{
+		slots:   map[string]Slot{},
+		locks:   keylock.New(lockShards),
+		sealing: make(chan struct{}),
+	}
+}
+
+// Start sets the disk's name and journal, the check that a bootstrap must pass, and what is called with a voter set
+// once it is activated. It comes after the journal was restored and before the first call.
+func (a *Acceptor) Start(
+	incarnation string,
+	j *journal.Journal,
+	checkBootstrap func(voters.Set) error,
+	onActivate func(voters.Set),
+) {
+	a.incarnation, a.journal, a.checkBootstrap, a.onActivate = incarnation, j, checkBootstrap, onActivate
+}
+
+// VoterSet returns the voter set that this voter is under; its Sequence is 0 before the bootstrap.
+func (a *Acceptor) VoterSet() voters.Set {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.voterSet
+}
+
+// Sealed returns the sequence of the voter set that is sealed here until the next one is activated, 0 when none is.
+func (a *Acceptor) Sealed() uint64 {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if !a.isSealed() {
+		return 0
+	}
+	return a.voterSet.Sequence
+}
+
+// Sealing returns a channel that is closed when a voter set is sealed here.
+func (a *Acceptor) Sealing() <-chan struct{} {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.sealing
+}
+
+// isSealed is called with mu held.
+func (a *Acceptor) isSealed() bool {
+	return !a.slots[VoterSetKey].Accepted.IsZero()
+}
+
+func (a *Acceptor) checkDisk(incarnation string) error {
+	if incarnation != a.incarnation {
+		return apierror.New(apierror.WrongDisk, "this disk is %s, not %s", a.incarnation, incarnation)
+	}
+	return nil
+}
+
+// slot returns the slot of a target, if the target is this disk under its voter set.
+func (a *Acceptor) slot(target Target) (Slot, error) {
+	if err := a.checkDisk(target.Incarnation); err != nil {
+		return Slot{}, err
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	current := a.voterSet.Sequence
+	if current != target.VoterSet || target.VoterSet == 0 {
+		return Slot{}, apierror.New(apierror.StaleVoterSet,
+			"the request is under voter set %d, this voter under %d", target.VoterSet, current).WithCurrent(current)
+	}
+	if a.isSealed() && target.Key != VoterSetKey {
+		return Slot{}, apierror.New(apierror.StaleVoterSet, "voter set %d is sealed", current).WithCurrent(current)
+	}
+	return a.slots[target.Key], nil
+}
+
+// lockSlot locks the key of a target, all keys for VoterSetKey, and returns its slot.
+func (a *Acceptor) lockSlot(ctx context.Context, target Target) (Slot, *keylock.Shared, error) {
+	var unlock func()
+	var err error
+	if target.Key == VoterSetKey {
+		unlock, err = a.locks.LockAll(ctx)
+	} else {
+		unlock, err = a.locks.Lock(ctx, target.Key)
+	}
+	if err != nil {
+		return Slot{}, nil, err
+	}
+	slot, err := a.slot(target)
+	if err != nil {
+		unlock()
+		return slot, nil, err
+	}
+	return slot, keylock.Share(unlock), nil
+}
+
+// lockAll checks the name of the disk and locks all keys.
+func (a *Acceptor) lockAll(ctx context.Context, incarnation string) (*keylock.Shared, error) {
+	if err := a.checkDisk(incarnation); err != nil {
+		return nil, err
+	}
+	unlock, err := a.locks.LockAll(ctx)
+	if err != nil {
+		return nil, err
+	}
+	return keylock.Share(unlock), nil
+}
+
+// store returns once the slot is synced. lock stays locked until it is, also when ctx ends first.
+func (a *Acceptor) store(ctx context.Context, lock *keylock.Shared, key string, slot Slot) error {
+	apply := func() {
+		a.mu.Lock()
+		defer a.mu.Unlock()
+		a.slots[key] = slot
+		if key == VoterSetKey && a.isSealed() {
+			close(a.sealing)
+			a.sealing = make(chan struct{})
+		}
+	}
+	return a.journal.PutIn(ctx, lock, true, apply, encode(recordtype.Slot, slotRecord{Key: key, Slot: slot}))
+}
+
+// Promise serves a prepare request; it returns once the promise is synced.
+func (a *Acceptor) Promise(ctx context.Context, request *PromiseRequest) (*SlotResponse, error) {
+	slot, lock, err := a.lockSlot(ctx, request.Target)
+	if err != nil {
+		return nil, err
+	}
+	defer lock.Release()
+	next, granted := slot.Promise(request.Epoch)
+	if !granted || next.Promised == slot.Promised {
+		return &SlotResponse{Granted: granted, Slot: slot}, nil
+	}
+	if err := a.store(ctx, lock, request.Key, next); err != nil {
+		return nil, err
+	}
+	return &SlotResponse{Granted: true, Slot: next}, nil
+}
+
+// Accept serves an accept request; it returns once the value is synced.
+func (a *Acceptor) Accept(ctx context.Context, request *AcceptRequest) (*SlotResponse, error) {
+	slot, lock, err := a.lockSlot(ctx, request.Target)
+	if err != nil {
+		return nil, err
+	}
+	defer lock.Release()
+	next, granted := slot.Accept(request.Epoch, request.Value)
+	if !granted {
+		return &SlotResponse{Slot: slot}, nil
+	}
+	if err := a.store(ctx, lock, request.Key, next); err != nil {
+		return nil, err
+	}
+	return &SlotResponse{Granted: true, Slot: next}, nil
+}
+
+// Peek returns slots as they are, without a promise.
+func (a *Acceptor) Peek(_ context.Context, request *PeekRequest) (*PeekResponse, error) {
+	if err := a.checkDisk(request.Incarnation); err != nil {
+		return nil, err
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	current := a.voterSet.Sequence
+	if current != request.VoterSet || request.VoterSet == 0 || a.isSealed() && !request.Sealed {
+		return nil, apierror.New(apierror.StaleVoterSet,
+			"the peek is under voter set %d, this voter under %d", request.VoterSet, current).WithCurrent(current)
+	}
+	if request.Sealed && !a.isSealed() {
+		return nil, apierror.New(apierror.StaleVoterSet, "voter set %d is not sealed here", current)
+	}
+	response := &PeekResponse{Slots: map[string]Slot{}}
+	add := func(key string, slot Slot) {
+		if request.Brief {
+			slot.Value.Body, slot.Value.Metadata = nil, nil
+		}
+		response.Slots[key] = slot
+	}
+	for _, key := range request.Keys {
+		add(key, a.slots[key])
+	}
+	if len(request.Keys) == 0 {
+		for key, slot := range a.slots {
+			add(key, slot)
+		}
+	}
+	return response, nil
+}
+
+// Serve registers the voter's calls.
+func (a *Acceptor) Serve(mux *http.ServeMux) {
+	Promise.Handle(mux, a.Promise)
+	Accept.Handle(mux, a.Accept)
+	Peek.Handle(mux, a.Peek)
+	Activate.Handle(mux, a.Activate)
+	Bootstrap.Handle(mux, a.Bootstrap)
+}
--- /dev/null
+++ b/internal/control/acceptor/cancel_test.go
@@ -0,0 +1,85 @@
+package acceptor
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+
+	"gotest.tools/v3/assert"
+
+	"postjunction/internal/disk/memlog"
+)
+
+// slowDisk ends no sync while it is blocked.
+type slowDisk struct {
+	*memlog.Disk
+	blocked chan chan struct{}
+}
+
+func (d *slowDisk) Sync() error {
+	select {
+	case released := <-d.blocked:
+		<-released
+	default:
+	}
+	return d.Disk.Sync()
+}
+
+// block stops the disk at its next sync, until the function is called.
+func (d *slowDisk) block() (release func()) {
+	released := make(chan struct{})
+	d.blocked <- released
+	return func() { close(released) }
+}
+
+// A caller may stop waiting for a voter's disk. What the voter was asked to store comes to stand all the same, and what
+// it promises next must go by that: it went by what stood before, and wrote that over an accepted value.
+func TestCallerThatGivesUpLeavesNoStaleSlot(t *testing.T) {
+	for name, next := range map[string]func(*Acceptor) (*SlotResponse, error){
+		"a promise comes next": func(a *Acceptor) (*SlotResponse, error) {
+			return a.Promise(ctx, &PromiseRequest{Target: targetOf("k"), Epoch: epochOf(2, "c2")})
+		},
+		"the same write comes again": func(a *Acceptor) (*SlotResponse, error) {
+			value := Value{Version: 1, Body: []byte("a")}
+			return a.Accept(ctx, &AcceptRequest{Target: targetOf("k"), Epoch: epochOf(1, "c1"), Value: value})
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) { checkNoStaleSlot(t, next) })
+		})
+	}
+}
+
+func checkNoStaleSlot(t *testing.T, next func(*Acceptor) (*SlotResponse, error)) {
+	t.Helper()
+	disk := &slowDisk{memlog.New(), make(chan chan struct{}, 1)}
+	a := startActivated(t, disk)
+	promise(t, a, epochOf(1, "c1"))
+	accept(t, a, epochOf(1, "c1"), 1, "a")
+	release := disk.block()
+	callCtx, giveUp := context.WithCancel(ctx)
+	gaveUp := make(chan error, 1)
+	go func() {
+		value := Value{Version: 2, Body: []byte("b")}
+		_, err := a.Accept(callCtx, &AcceptRequest{Target: targetOf("k"), Epoch: epochOf(1, "c1"), Value: value})
+		gaveUp <- err
+	}()
+	synctest.Wait()
+	giveUp()
+	assert.Assert(t, <-gaveUp != nil)
+	var response *SlotResponse
+	done := make(chan error, 1)
+	go func() {
+		var err error
+		response, err = next(a)
+		done <- err
+	}()
+	synctest.Wait()
+	release()
+	assert.NilError(t, <-done)
+	assert.Equal(t, response.Slot.Value.Version, uint64(2))
+	stored, err := a.Peek(ctx, &PeekRequest{VoterSet: 1, Incarnation: "i1", Keys: []string{"k"}})
+	assert.NilError(t, err)
+	assert.Equal(t, stored.Slots["k"].Value.Version, uint64(2))
+	assert.Equal(t, string(stored.Slots["k"].Value.Body), "b")
+}
--- /dev/null
+++ b/internal/control/acceptor/remote.go
@@ -0,0 +1,35 @@
+package acceptor
+
+import (
+	"context"
+
+	"postjunction/internal/control/voters"
+	"postjunction/internal/wire"
+)
+
+// Remote is one voter under a voter set, as the node Self calls it.
+type Remote struct {
+	Network  wire.Network
+	Self     string
+	VoterSet uint64
+	Voter    voters.Voter
+}
+
+// ReadFullSlot reads a slot with its value after a brief peek; it is not ok when another acceptance stands there by now.
+func (r Remote) ReadFullSlot(ctx context.Context, key string, brief Slot) (Slot, bool) {
+	response, err := Peek.Call(ctx, r.Network, r.Self, r.Voter.Addr, &PeekRequest{
+		VoterSet:    r.VoterSet,
+		Incarnation: r.Voter.Incarnation,
+		Keys:        []string{key},
+	})
+	if err != nil {
+		return Slot{}, false
+	}
+	full := response.Slots[key]
+	return full, full.Accepted == brief.Accepted && full.Value.Version == brief.Value.Version
+}
+
+// ReadFullSlot reads the slot that a voter told briefly, with its value; it is not ok when another one stands there by now.
+func ReadFullSlot(ctx context.Context, n wire.Network, self string, r voters.Set, s voters.Voter, k string, told Slot) (Slot, bool) {
+	return Remote{Network: n, Self: self, VoterSet: r.Sequence, Voter: s}.ReadFullSlot(ctx, k, told)
+}
