--- a/internal/control/acceptor/remote.go
+++ b/internal/control/acceptor/remote.go
@@ -28,8 +28,3 @@
 	full := response.Slots[key]
 	return full, full.Accepted == brief.Accepted && full.Value.Version == brief.Value.Version
 }
-
-// ReadFullSlot reads the slot that a voter told briefly, with its value; it is not ok when another one stands there by now.
-func ReadFullSlot(ctx context.Context, n wire.Network, self string, r voters.Set, s voters.Voter, k string, told Slot) (Slot, bool) {
-	return Remote{Network: n, Self: self, VoterSet: r.Sequence, Voter: s}.ReadFullSlot(ctx, k, told)
-}
