--- /dev/null
+++ b/internal/control/quorumread/confirmer_test.go
@@ -0,0 +1,120 @@
+package quorumread
+
+import (
+	"context"
+	"net/http"
+	"net/http/httptest"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"postjunction/internal/apierror"
+	"postjunction/internal/clock"
+	"postjunction/internal/control/acceptor"
+	"postjunction/internal/control/register"
+	"postjunction/internal/control/voters"
+	"postjunction/internal/gossip"
+	"postjunction/internal/settings"
+)
+
+// scriptedVoters answer a peek with the code set for their address; Unreachable is no answer at
+// all.
+type scriptedVoters struct {
+	// mu guards codes.
+	mu    sync.Mutex
+	codes map[string]apierror.Code
+}
+
+func (v *scriptedVoters) set(addr string, code apierror.Code) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.codes[addr] = code
+}
+
+func (v *scriptedVoters) Do(request *http.Request) (*http.Response, error) {
+	v.mu.Lock()
+	code := v.codes[request.URL.Host]
+	v.mu.Unlock()
+	if code == apierror.Unreachable {
+		<-request.Context().Done()
+		return nil, request.Context().Err()
+	}
+	mux := http.NewServeMux()
+	acceptor.Peek.Handle(mux, func(context.Context, *acceptor.PeekRequest) (*acceptor.PeekResponse, error) {
+		if code != "" {
+			return nil, apierror.New(code, "as scripted")
+		}
+		return &acceptor.PeekResponse{Slots: map[string]acceptor.Slot{ConfigurationKey: {}}}, nil
+	})
+	recorder := httptest.NewRecorder()
+	mux.ServeHTTP(recorder, request)
+	return recorder.Result(), nil
+}
+
+// livePeers are all live, under the voter set of a store.
+type livePeers struct{ store *gossip.Store }
+
+func (p livePeers) VoterSet() voters.Set          { return p.store.VoterSet() }
+func (livePeers) Live(node string) (string, bool) { return node, true }
+
+// newConfirmer returns a confirmer on c1 under the voters c1, c2 and c3.
+func newConfirmer(network *scriptedVoters, timing settings.Timing) *Confirmer {
+	store := gossip.NewStore(nil)
+	voterSet := voters.NewSet([]voters.Voter{
+		{Node: "c1", Addr: "c1"}, {Node: "c2", Addr: "c2"}, {Node: "c3", Addr: "c3"},
+	}, voters.Layout{RoutinePartitions: 1})
+	store.Apply(gossip.Update{VoterSet: &voterSet})
+	proposer := register.New(register.Options{
+		Self: "c1", Network: network, Clock: clock.Real{}, Timing: timing, Peers: livePeers{store},
+		OnCommit: func(string, acceptor.Value) {},
+	})
+	return &Confirmer{
+		Self: "c1", Net: network, Clock: clock.Real{}, Timing: timing, Store: store, Proposer: proposer,
+	}
+}
+
+// A control node is isolated once no majority has answered for an isolation timeout, and no longer
+// when one does. Voters that reject the question, as while the voter set changes, have answered,
+// though they confirm nothing.
+func TestControlNodeIsIsolatedWhileNoMajorityAnswers(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, stop := context.WithCancel(t.Context())
+		timing := settings.DefaultTiming
+		network := &scriptedVoters{codes: map[string]apierror.Code{}}
+		confirmer := newConfirmer(network, timing)
+		assert.Assert(t, !confirmer.Latest().Isolated)
+		go confirmer.Run(ctx)
+		const silent, changing = apierror.Unreachable, apierror.StaleVoterSet
+		for _, test := range []struct {
+			name     string
+			codes    map[string]apierror.Code
+			isolated bool
+		}{
+			{"all answer", nil, false},
+			{"one is silent", map[string]apierror.Code{"c3": silent}, false},
+			{"two are silent", map[string]apierror.Code{"c2": silent, "c3": silent}, true},
+			{"all are back", nil, false},
+			{"the voter set changes", map[string]apierror.Code{"c1": changing, "c2": changing, "c3": changing}, false},
+			{"it changes and two are silent", map[string]apierror.Code{"c1": changing, "c2": silent, "c3": silent}, true},
+		} {
+			for _, node := range []string{"c1", "c2", "c3"} {
+				network.set(node, test.codes[node])
+			}
+			time.Sleep(timing.IsolationTimeout() + timing.CallTimeout() + 2*timing.HeartbeatInterval())
+			assert.Equal(t, confirmer.Latest().Isolated, test.isolated, test.name)
+		}
+		network.set("c2", "")
+		time.Sleep(timing.CallTimeout() + 2*timing.HeartbeatInterval())
+		assert.Assert(t, !confirmer.Latest().Isolated)
+		network.set("c2", apierror.Unreachable)
+		time.Sleep(timing.IsolationTimeout())
+		assert.Assert(t, !confirmer.Latest().Isolated, "too soon")
+		time.Sleep(2 * timing.HeartbeatInterval())
+		assert.Assert(t, confirmer.Latest().Isolated, "too late")
+		stop()
+		synctest.Wait()
+	})
+}
--- a/tools/mutations/control-quorumread.sh
+++ b/tools/mutations/control-quorumread.sh
@@ -1,3 +1,3 @@
 # Mutants of internal/control/quorumread.
-mutant apart-told internal/control/quorumread/confirm.go 's/c\.Apart = f\.reached != none && /c.Apart = false \&\& /' $S 'ACutControlNode'
-mutant left-alone internal/control/quorumread/confirm.go 's/if !f\.settle\(r, same\)/if false/' $S 'LeftAlone'
+mutant apart-told internal/control/quorumread/confirmer.go 's/latest\.Isolated = !c\.majorityAnswered\.IsZero\(\) && /latest.Isolated = false \&\& /' $S 'ACutControlNode'
+mutant left-alone internal/control/quorumread/confirmer.go 's/if !c\.mayRead\(voterSet, identical\)/if false/' $S 'LeftAlone'
