--- a/tools/mutations/control-voters.sh
+++ b/tools/mutations/control-voters.sh
@@ -1,2 +1,2 @@
 # Mutants of internal/control/voters.
-mutant intact internal/control/voters/roster.go 's/return len\(r\.Seats\) - r\.Majority\(\) \+ 1/return len(r.Seats) - r.Majority()/' $M 'SmallBounds'
+mutant intact internal/control/voters/set.go 's/return len\(s\.Voters\) - s\.Majority\(\) \+ 1/return len(s.Voters) - s.Majority()/' $M 'SmallBounds'
