--- a/internal/control/acceptor/acceptor.go
+++ b/internal/control/acceptor/acceptor.go
@@ -23,7 +23,8 @@
 	journal        *journal.Journal
 	checkBootstrap func(voters.Set) error
 	onActivate     func(voters.Set)
-	// locks has requests for one key follow each other, from reading its slot until the new one is synced.
+	// locks has requests for one key follow each other, from reading its slot until the new one is
+	// synced.
 	locks *keylock.Locks
 
 	// mu guards the fields below; it is never held over a write to the journal.
@@ -45,8 +46,9 @@
 	}
 }
 
-// Start sets the disk's name and journal, the check that a bootstrap must pass, and what is called with a voter set
-// once it is activated. It comes after the journal was restored and before the first call.
+// Start sets the disk's name and journal, the check that a bootstrap must pass, and what is called
+// with a voter set once it is activated. It comes after the journal was restored and before the
+// first call.
 func (a *Acceptor) Start(
 	incarnation string,
 	j *journal.Journal,
@@ -63,7 +65,8 @@
 	return a.voterSet
 }
 
-// Sealed returns the sequence of the voter set that is sealed here until the next one is activated, 0 when none is.
+// Sealed returns the sequence of the voter set that is sealed here until the next one is activated,
+// 0 when none is.
 func (a *Acceptor) Sealed() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/control/acceptor/activate.go
+++ b/internal/control/acceptor/activate.go
@@ -9,8 +9,8 @@
 	"postjunction/internal/recordtype"
 )
 
-// Activate brings the voter under a higher voter set; the slots of the old one are replaced by the copies in the
-// request. A voter set that is in force already, or below, changes nothing.
+// Activate brings the voter under a higher voter set; the slots of the old one are replaced by the
+// copies in the request. A voter set that is in force already, or below, changes nothing.
 func (a *Acceptor) Activate(ctx context.Context, request *ActivateRequest) (*Empty, error) {
 	lock, err := a.lockAll(ctx, request.Incarnation)
 	if err != nil {
@@ -47,8 +47,8 @@
 	return &Empty{}, nil
 }
 
-// checkActivation returns DiskForeign for a voter set of another fleet, and StaleVoterSet for a bootstrap other than
-// the one that was agreed to last.
+// checkActivation returns DiskForeign for a voter set of another fleet, and StaleVoterSet for a
+// bootstrap other than the one that was agreed to last.
 func checkActivation(current voters.Set, agreed *voters.Set, request *ActivateRequest) error {
 	next := request.VoterSet
 	foreign := apierror.New(apierror.DiskForeign, "this disk is of fleet %s", current.Fleet)
@@ -67,7 +67,8 @@
 	return nil
 }
 
-// Bootstrap agrees to the first voter set of a fleet while the disk is under none. The last agreement counts.
+// Bootstrap agrees to the first voter set of a fleet while the disk is under none. The last
+// agreement counts.
 func (a *Acceptor) Bootstrap(ctx context.Context, request *BootstrapRequest) (*Empty, error) {
 	lock, err := a.lockAll(ctx, request.Incarnation)
 	if err != nil {
--- a/internal/control/acceptor/calls.go
+++ b/internal/control/acceptor/calls.go
@@ -13,7 +13,8 @@
 	Key         string `json:"key"`
 }
 
-// PromiseRequest asks for a promise to accept nothing below an epoch (prepare, in the terms of Paxos).
+// PromiseRequest asks for a promise to accept nothing below an epoch (prepare, in the terms of
+// Paxos).
 type PromiseRequest struct {
 	Target
 	Epoch epoch.Epoch `json:"epoch"`
@@ -26,14 +27,15 @@
 	Value Value       `json:"value"`
 }
 
-// SlotResponse is the slot after the request; Granted says whether the promise or acceptance was given.
+// SlotResponse is the slot after the request; Granted says whether the promise or acceptance was
+// given.
 type SlotResponse struct {
 	Granted bool `json:"ok"`
 	Slot    Slot `json:"slot"`
 }
 
-// PeekRequest reads the slots of the named keys, all slots when none are named. Sealed slots are read only when Sealed
-// is set, and then only those; Brief leaves out body and metadata.
+// PeekRequest reads the slots of the named keys, all slots when none are named. Sealed slots are
+// read only when Sealed is set, and then only those; Brief leaves out body and metadata.
 type PeekRequest struct {
 	VoterSet    uint64   `json:"roster"`
 	Incarnation string   `json:"incarnation"`
@@ -47,8 +49,8 @@
 	Slots map[string]Slot `json:"slots"`
 }
 
-// ActivateRequest brings a voter under a voter set, with the slots copied from the one before. Bootstrap marks the
-// first voter set of a fleet.
+// ActivateRequest brings a voter under a voter set, with the slots copied from the one before.
+// Bootstrap marks the first voter set of a fleet.
 type ActivateRequest struct {
 	Incarnation string          `json:"incarnation"`
 	VoterSet    voters.Set      `json:"roster"`
--- a/internal/control/acceptor/cancel_test.go
+++ b/internal/control/acceptor/cancel_test.go
@@ -32,8 +32,9 @@
 	return func() { close(released) }
 }
 
-// A caller may stop waiting for a voter's disk. What the voter was asked to store comes to stand all the same, and what
-// it promises next must go by that: it went by what stood before, and wrote that over an accepted value.
+// A caller may stop waiting for a voter's disk. What the voter was asked to store comes to stand
+// all the same, and what it promises next must go by that: it went by what stood before, and wrote
+// that over an accepted value.
 func TestCallerThatGivesUpLeavesNoStaleSlot(t *testing.T) {
 	for name, next := range map[string]func(*Acceptor) (*SlotResponse, error){
 		"a promise comes next": func(a *Acceptor) (*SlotResponse, error) {
--- a/internal/control/acceptor/records.go
+++ b/internal/control/acceptor/records.go
@@ -59,7 +59,8 @@
 	return len(records), bytes
 }
 
-// Slices returns the live records as one slice: the voter set clears the slots that stand before it.
+// Slices returns the live records as one slice: the voter set clears the slots that stand before
+// it.
 func (a *Acceptor) Slices() []journal.Slice { return journal.EncodeAll(a.liveRecords) }
 
 func (a *Acceptor) liveRecords() []journal.Record {
--- a/internal/control/acceptor/remote.go
+++ b/internal/control/acceptor/remote.go
@@ -15,7 +15,8 @@
 	Voter    voters.Voter
 }
 
-// ReadFullSlot reads a slot with its value after a brief peek; it is not ok when another acceptance stands there by now.
+// ReadFullSlot reads a slot with its value after a brief peek; it is not ok when another acceptance
+// stands there by now.
 func (r Remote) ReadFullSlot(ctx context.Context, key string, brief Slot) (Slot, bool) {
 	response, err := Peek.Call(ctx, r.Network, r.Self, r.Voter.Addr, &PeekRequest{
 		VoterSet:    r.VoterSet,
--- a/internal/control/repair/repair.go
+++ b/internal/control/repair/repair.go
@@ -1,9 +1,11 @@
-// Package repair brings outdated copies of control keys up to date (anti-entropy): a quorum read that sees copies differ
-// repairs its key, and a sweep of internal/control/reconfigurer finds the rest.
+// Package repair brings outdated copies of control keys up to date (anti-entropy): a quorum read
+// that sees copies differ repairs its key, and a sweep of internal/control/reconfigurer finds the
+// rest.
 //
-// A repair proposes nothing: it sends an acceptance that one voter has, under the epoch it was accepted under, to voters
-// that lag. They judge it as they judge any accept request, so that it can't undo a later promise. A Repairer has no
-// state; calls run in the goroutine of the caller and block for a call timeout per voter at most.
+// A repair proposes nothing: it sends an acceptance that one voter has, under the epoch it was
+// accepted under, to voters that lag. They judge it as they judge any accept request, so that it
+// can't undo a later promise. A Repairer has no state; calls run in the goroutine of the caller and
+// block for a call timeout per voter at most.
 package repair
 
 import (
@@ -31,8 +33,9 @@
 	voter voters.Voter
 }
 
-// Repair compares the copies of the named keys, of all keys when none are named, and brings outdated ones up to date. It
-// returns how many it repaired. Values are read only where some copy is outdated, and then from one voter.
+// Repair compares the copies of the named keys, of all keys when none are named, and brings
+// outdated ones up to date. It returns how many it repaired. Values are read only where some copy
+// is outdated, and then from one voter.
 func (r *Repairer) Repair(ctx context.Context, voterSet voters.Set, keys ...string) int {
 	gatherCtx, stop := context.WithTimeout(ctx, r.Timing.CallTimeout())
 	defer stop()
@@ -81,7 +84,8 @@
 	return outdated
 }
 
-// resend has voters accept a slot that another one accepted, one after the other, and returns how many did.
+// resend has voters accept a slot that another one accepted, one after the other, and returns how
+// many did.
 func (r *Repairer) resend(
 	ctx context.Context, voterSet voters.Set, outdated []voters.Voter, key string, slot acceptor.Slot,
 ) int {
