--- a/tools/mutations/control-reconfigurer.sh
+++ b/tools/mutations/control-reconfigurer.sh
@@ -1,5 +1,5 @@
 # Mutants of internal/control/reconfigurer.
-mutant dead-seat-taken internal/control/reconfigurer/steward.go 's/ins, gone, whys = append\(ins, seat\(i\)\), append\(gone, out\)/ins, gone, whys = append(ins, seat(i)), append(gone, "")/; s/!ok \|\| len\(gone\) >= r\.Spare\(\)/true || !ok/' $S 'ReplacedVoter'
-mutant dead-seat-given-up internal/control/reconfigurer/steward.go 's/!ok \|\| len\(gone\) >= r\.Spare\(\)/true || !ok/' $S 'ReplacedVoter'
-mutant back-without-a-seat internal/control/reconfigurer/steward.go 's/i\.Roster < r\.Sequence && i\.Stage/i.Roster == 0 \&\& i.Stage/' $S 'SeatsOf'
-mutant change-finished internal/control/reconfigurer/steward.go 's/s\.finish\(ctx, r, live, first\)/_ = first/' $S 'ChangeOfVotersOutlives'
+mutant dead-seat-taken internal/control/reconfigurer/plan.go 's/append\(change\.removed, replaced\)/append(change.removed, "")/; s/!isAbsent \|\| len\(givenUp\) >= next\.SpareVoters\(\)/true || !isAbsent/' $S 'ReplacedVoter'
+mutant dead-seat-given-up internal/control/reconfigurer/plan.go 's/!isAbsent \|\| len\(givenUp\) >= next\.SpareVoters\(\)/true || !isAbsent/' $S 'ReplacedVoter'
+mutant back-without-a-seat internal/control/reconfigurer/plan.go 's/node\.VoterSet < current\.Sequence && node\.Stage/node.VoterSet == 0 \&\& node.Stage/' $S 'SeatsOf'
+mutant change-finished internal/control/reconfigurer/reconfigurer.go 's/return r\.finishStalledChange\(ctx, current, live, coordinator\)/_ = coordinator; return false/' $S 'ChangeOfVotersOutlives'
