--- a/internal/control/bootstrap/bootstrapper.go
+++ b/internal/control/bootstrap/bootstrapper.go
@@ -1,4 +1,13 @@
-// Package bootstrap makes the first roster: all founding disks agree, then it is opened on each.
+// Package bootstrap makes the first voter set of a fleet: all founding control disks agree on it,
+// then it is activated on each of them.
+//
+// A fleet is bootstrapped once. Who the founders are follows from the settings of each node and
+// from what the nodes at those addresses say; a founder accepts only the voter set that it would
+// have planned itself. Where no seed has a control disk, one disk bootstraps alone, with a grant
+// from every seed (Granter), so that two never do.
+//
+// A Bootstrapper has no state of its own and may be used by several goroutines. Its calls block for
+// at most the call time-out each.
 package bootstrap
 
 import (
@@ -15,135 +24,201 @@
 	"postjunction/internal/wire"
 )
 
-// Bootstrapper works out who founds from the settings and the answers at those addresses.
+// Bootstrapper plans and activates the first voter set on behalf of one control node.
 type Bootstrapper struct {
-	opts settings.Options
-	net  wire.Network
-	self func() membership.Info
+	options settings.Options
+	network wire.Network
+	self    func() membership.Info
 }
 
-// New makes a founder.
-func New(o settings.Options, n wire.Network, self func() membership.Info) *Bootstrapper {
-	return &Bootstrapper{opts: o, net: n, self: self}
+// New returns a bootstrapper with the settings of its node; self returns what that node says of
+// itself.
+func New(options settings.Options, network wire.Network, self func() membership.Info) *Bootstrapper {
+	return &Bootstrapper{options: options, network: network, self: self}
 }
 
-// Plan gives the founding roster, once every node that may take part has answered.
-// A fleet that stands already, seen at any of them, ends the plan.
-func (f *Bootstrapper) Plan(ctx context.Context) (voters.Set, error) {
-	if f.opts.BootstrapBy == settings.BootstrapNever {
-		return voters.Set{}, apierror.New(apierror.NotBootstrapped, "this disk came back empty: it founds nothing and waits for a seat")
-	}
-	addrs := f.opts.Founders
-	named := len(addrs) > 0
-	seeds := !named && f.opts.BootstrapBy == settings.BootstrapSeeds
-	if seeds {
-		addrs = f.opts.Seeds
-	} else if !named {
-		addrs = append([]string{f.opts.DialAddress()}, f.opts.Seeds...)
-	}
-	slices.Sort(addrs)
-	addrs = slices.Compact(slices.Clone(addrs))
-	as := quorum.Gather(ctx, addrs, func(ctx context.Context, a string) (membership.Info, error) {
-		if a == f.opts.DialAddress() {
-			return f.self(), nil
+// Plan returns the first voter set, once every node that may take part has answered. It returns
+// NotBootstrapped while some haven't or the settings keep this node from it, and StaleVoterSet when
+// one of them belongs to a fleet already.
+func (b *Bootstrapper) Plan(ctx context.Context) (voters.Set, error) {
+	if b.options.BootstrapBy == settings.BootstrapNever {
+		return voters.Set{}, apierror.New(apierror.NotBootstrapped,
+			"this disk came back empty: it bootstraps nothing and waits to become a voter")
+	}
+	nodes, err := b.identify(ctx, b.founderAddresses())
+	if err != nil {
+		return voters.Set{}, err
+	}
+	founders, err := b.founders(nodes)
+	if err != nil {
+		return voters.Set{}, err
+	}
+	return voters.NewSet(founders, voters.Layout{
+		RoutinePartitions: b.options.RoutinePartitions,
+		UrgentPartitions:  b.options.UrgentPartitions,
+		ToleratedLosses:   b.options.ToleratedLosses,
+	}), nil
+}
+
+func (b *Bootstrapper) hasNamedFounders() bool { return len(b.options.Founders) > 0 }
+
+// isBySeeds reports whether the seeds alone found the fleet.
+func (b *Bootstrapper) isBySeeds() bool {
+	return !b.hasNamedFounders() && b.options.BootstrapBy == settings.BootstrapSeeds
+}
+
+// founderAddresses returns the addresses of the nodes that may be founders, sorted, each once.
+func (b *Bootstrapper) founderAddresses() []string {
+	var addresses []string
+	switch {
+	case b.hasNamedFounders():
+		addresses = slices.Clone(b.options.Founders)
+	case b.isBySeeds():
+		addresses = slices.Clone(b.options.Seeds)
+	default:
+		addresses = append([]string{b.options.DialAddress()}, b.options.Seeds...)
+	}
+	slices.Sort(addresses)
+	return slices.Compact(addresses)
+}
+
+// identify asks the nodes at these addresses who they are. It returns NotBootstrapped when one
+// doesn't answer.
+func (b *Bootstrapper) identify(
+	ctx context.Context, addresses []string,
+) ([]quorum.Result[string, membership.Info], error) {
+	results := quorum.Gather(ctx, addresses, func(ctx context.Context, address string) (membership.Info, error) {
+		if address == b.options.DialAddress() {
+			return b.self(), nil
 		}
-		cx, stop := context.WithTimeout(ctx, f.opts.Timing().CallTimeout())
-		defer stop()
-		h, err := membership.Identify.Call(cx, f.net, f.opts.Name, a, &membership.IdentifyRequest{})
+		callCtx, cancel := context.WithTimeout(ctx, b.options.Timing().CallTimeout())
+		defer cancel()
+		request := &membership.IdentifyRequest{}
+		response, err := membership.Identify.Call(callCtx, b.network, b.options.Name, address, request)
 		if err != nil {
 			return membership.Info{}, err
 		}
-		return h.Info, nil
+		return response.Info, nil
 	}, nil)
-	if err := quorum.FirstError(as); err != nil || len(as) < len(addrs) {
-		return voters.Set{}, apierror.WithCause(apierror.NotBootstrapped, err, "%d of %d founding addresses answered", len(quorum.Successes(as)), len(addrs))
+	if err := quorum.FirstError(results); err != nil || len(results) < len(addresses) {
+		return nil, apierror.WithCause(apierror.NotBootstrapped, err,
+			"%d of %d founding addresses answered", len(quorum.Successes(results)), len(addresses))
 	}
-	var seats []voters.Voter
-	for _, a := range as {
-		if a.Value.VoterSet > 0 {
-			return voters.Set{}, apierror.New(apierror.StaleVoterSet, "%s is under roster %d already", a.Value.Name, a.Value.VoterSet).WithCurrent(a.Value.VoterSet)
-		}
-		if a.Value.Disk == settings.DiskControl {
-			seats = append(seats, voters.Voter{Node: a.Value.Name, Addr: a.Value.PeerAddr, Incarnation: a.Value.Incarnation})
-		} else if named {
-			return voters.Set{}, apierror.New(apierror.NotBootstrapped, "founder %s at %s has no control disk", a.Value.Name, a.Target)
+	return results, nil
+}
+
+// founders returns those of the nodes that found the fleet: the ones with a control disk, or this
+// node alone where only seeds may found and none has such a disk.
+func (b *Bootstrapper) founders(nodes []quorum.Result[string, membership.Info]) ([]voters.Voter, error) {
+	var founders []voters.Voter
+	for _, result := range nodes {
+		node := result.Value
+		switch {
+		case node.VoterSet > 0:
+			return nil, apierror.New(apierror.StaleVoterSet, "%s is under voter set %d already", node.Name, node.VoterSet).
+				WithCurrent(node.VoterSet)
+		case node.Disk == settings.DiskControl:
+			founders = append(founders, voterOf(node))
+		case b.hasNamedFounders():
+			return nil, apierror.New(apierror.NotBootstrapped,
+				"founder %s at %s has no control disk", node.Name, result.Target)
 		}
 	}
-	if len(seats) == 0 && seeds {
-		i := f.self()
-		seats = []voters.Voter{{Node: i.Name, Addr: i.PeerAddr, Incarnation: i.Incarnation}}
+	if len(founders) == 0 && b.isBySeeds() {
+		return []voters.Voter{voterOf(b.self())}, nil
 	}
-	if len(seats) == 0 {
-		return voters.Set{}, apierror.New(apierror.NotBootstrapped, "no founding address has a control disk")
+	if len(founders) == 0 {
+		return nil, apierror.New(apierror.NotBootstrapped, "no founding address has a control disk")
 	}
-	return voters.NewSet(seats, voters.Layout{RoutinePartitions: f.opts.RoutinePartitions, UrgentPartitions: f.opts.UrgentPartitions, ToleratedLosses: f.opts.ToleratedLosses}), nil
+	return founders, nil
+}
+
+func voterOf(node membership.Info) voters.Voter {
+	return voters.Voter{Node: node.Name, Addr: node.PeerAddr, Incarnation: node.Incarnation}
 }
 
-// Agree checks a proposed founding against this node's own plan.
-func (f *Bootstrapper) Agree(ctx context.Context, r voters.Set) error {
-	p, err := f.Plan(ctx)
+// Agree checks a first voter set that another node proposes against this node's own plan. It
+// returns the errors of Plan, and NotBootstrapped when the two differ.
+func (b *Bootstrapper) Agree(ctx context.Context, proposed voters.Set) error {
+	planned, err := b.Plan(ctx)
 	if err != nil {
 		return err
 	}
-	if p.Fleet != r.Fleet || p.Layout != r.Layout {
-		return apierror.New(apierror.NotBootstrapped, "this node would found with %s, not %s; check seeds, founders and partitions", names(p), names(r))
+	if planned.Fleet != proposed.Fleet || planned.Layout != proposed.Layout {
+		return apierror.New(apierror.NotBootstrapped,
+			"this node would bootstrap with %s, not %s; check seeds, founders and partitions",
+			nodeNames(planned), nodeNames(proposed))
 	}
 	return nil
 }
 
-func names(r voters.Set) string {
-	var s []string
-	for _, x := range r.Voters {
-		s = append(s, x.Node)
+func nodeNames(set voters.Set) string {
+	var names []string
+	for _, voter := range set.Voters {
+		names = append(names, voter.Node)
 	}
-	return strings.Join(s, ",")
+	return strings.Join(names, ",")
 }
 
-// leave gets the leave to found alone from every seed, one after the other, so that of several voters at most one gets them all.
-func (f *Bootstrapper) leave(ctx context.Context, r voters.Set) error {
-	addrs := slices.Sorted(slices.Values(f.opts.Seeds))
-	for _, a := range slices.Compact(addrs) {
-		cx, stop := context.WithTimeout(ctx, f.opts.Timing().CallTimeout())
-		_, err := Grant.Call(cx, f.net, f.opts.Name, a, &GrantRequest{Node: f.opts.Name, Incarnation: r.Voters[0].Incarnation})
-		stop()
-		if err != nil {
-			return apierror.WithCause(apierror.NotBootstrapped, err, "no seed has a control disk, and %s gave no leave to found alone", a)
-		}
-	}
-	return nil
-}
-
-// Try founds the fleet if this node is the first of the founders.
-func (f *Bootstrapper) Try(ctx context.Context) (voters.Set, error) {
-	r, err := f.Plan(ctx)
+// Try bootstraps the fleet if this node is the first of the founders, and returns the first voter
+// set. It returns the errors of Plan, and NotBootstrapped when that is another node's task or when
+// a founder doesn't agree; it may be called again after any of them.
+func (b *Bootstrapper) Try(ctx context.Context) (voters.Set, error) {
+	planned, err := b.Plan(ctx)
 	if err != nil {
-		return r, err
-	}
-	if r.Voters[0].Node != f.opts.Name {
-		return r, apierror.New(apierror.NotBootstrapped, "%s founds the fleet", r.Voters[0].Node)
+		return planned, err
 	}
-	if f.opts.BootstrapBy == settings.BootstrapSeeds && len(f.opts.Founders) == 0 && !slices.Contains(f.opts.Seeds, f.opts.DialAddress()) {
-		if err := f.leave(ctx, r); err != nil {
-			return r, err
-		}
+	if planned.Voters[0].Node != b.options.Name {
+		return planned, apierror.New(apierror.NotBootstrapped, "%s bootstraps the fleet", planned.Voters[0].Node)
 	}
-	ask := func(do func(context.Context, voters.Voter) (*acceptor.Empty, error)) error {
-		as := quorum.Gather(ctx, r.Voters, func(ctx context.Context, s voters.Voter) (*acceptor.Empty, error) {
-			cx, stop := context.WithTimeout(ctx, f.opts.Timing().CallTimeout())
-			defer stop()
-			return do(cx, s)
-		}, nil)
-		if err := quorum.FirstError(as); err != nil || len(as) < len(r.Voters) {
-			return apierror.WithCause(apierror.NotBootstrapped, err, "%d of %d founding disks agreed", len(quorum.Successes(as)), len(r.Voters))
+	if b.isBySeeds() && !slices.Contains(b.options.Seeds, b.options.DialAddress()) {
+		if err := b.collectGrants(ctx, planned); err != nil {
+			return planned, err
 		}
-		return nil
 	}
-	if err := ask(func(ctx context.Context, s voters.Voter) (*acceptor.Empty, error) {
-		return acceptor.Bootstrap.Call(ctx, f.net, f.opts.Name, s.Addr, &acceptor.BootstrapRequest{Incarnation: s.Incarnation, VoterSet: r})
+	if err := b.askFounders(ctx, planned, func(ctx context.Context, voter voters.Voter) error {
+		request := &acceptor.BootstrapRequest{Incarnation: voter.Incarnation, VoterSet: planned}
+		_, err := acceptor.Bootstrap.Call(ctx, b.network, b.options.Name, voter.Addr, request)
+		return err
 	}); err != nil {
-		return r, err
+		return planned, err
 	}
-	return r, ask(func(ctx context.Context, s voters.Voter) (*acceptor.Empty, error) {
-		return acceptor.Activate.Call(ctx, f.net, f.opts.Name, s.Addr, &acceptor.ActivateRequest{Incarnation: s.Incarnation, VoterSet: r, Bootstrap: true})
+	return planned, b.askFounders(ctx, planned, func(ctx context.Context, voter voters.Voter) error {
+		request := &acceptor.ActivateRequest{Incarnation: voter.Incarnation, VoterSet: planned, Bootstrap: true}
+		_, err := acceptor.Activate.Call(ctx, b.network, b.options.Name, voter.Addr, request)
+		return err
 	})
 }
+
+// askFounders makes a call to every founder at once and returns NotBootstrapped unless all succeed.
+func (b *Bootstrapper) askFounders(
+	ctx context.Context, planned voters.Set, call func(context.Context, voters.Voter) error,
+) error {
+	results := quorum.Gather(ctx, planned.Voters, func(ctx context.Context, voter voters.Voter) (struct{}, error) {
+		callCtx, cancel := context.WithTimeout(ctx, b.options.Timing().CallTimeout())
+		defer cancel()
+		return struct{}{}, call(callCtx, voter)
+	}, nil)
+	if err := quorum.FirstError(results); err != nil || len(results) < len(planned.Voters) {
+		return apierror.WithCause(apierror.NotBootstrapped, err,
+			"%d of %d founding disks agreed", len(quorum.Successes(results)), len(planned.Voters))
+	}
+	return nil
+}
+
+// collectGrants gets the grant to bootstrap alone from every seed, one after the other in the order
+// of their addresses, so that of several control nodes at most one gets them all.
+func (b *Bootstrapper) collectGrants(ctx context.Context, planned voters.Set) error {
+	seeds := slices.Sorted(slices.Values(b.options.Seeds))
+	request := &GrantRequest{Node: b.options.Name, Incarnation: planned.Voters[0].Incarnation}
+	for _, seed := range slices.Compact(seeds) {
+		callCtx, cancel := context.WithTimeout(ctx, b.options.Timing().CallTimeout())
+		_, err := Grant.Call(callCtx, b.network, b.options.Name, seed, request)
+		cancel()
+		if err != nil {
+			return apierror.WithCause(apierror.NotBootstrapped, err,
+				"no seed has a control disk, and %s did not grant a bootstrap alone", seed)
+		}
+	}
+	return nil
+}
