--- a/internal/control/reconfig/executor.go
+++ b/internal/control/reconfig/executor.go
@@ -1,9 +1,9 @@
-// Package reconfig changes the voter set of the control keys: it seals the current set on a majority
-// of its voters, copies all keys, and activates the next set.
+// Package reconfig changes the voter set of the control keys: it seals the current set on a
+// majority of its voters, copies all keys, and activates the next set.
 //
 // What follows a voter set is itself decided by its voters, under the key acceptor.VoterSetKey: a
-// majority that accepted the successor is sealed and decides nothing else. So one set at most follows
-// another, and a change that one executor began is ended by any other.
+// majority that accepted the successor is sealed and decides nothing else. So one set at most
+// follows another, and a change that one executor began is ended by any other.
 //
 // An Executor keeps no lock: it is for one goroutine. Its calls block for at most the call time-out
 // each, and for as many rounds as a change has (four).
@@ -39,10 +39,10 @@
 	return context.WithTimeout(ctx, e.timing.CallTimeout())
 }
 
-// Change decides which voter set follows current, and activates it: wanted, unless another change was
-// begun before. It returns the set that came into force. Errors are NoMajority, when too few voters
-// answered or another executor was ahead, StaleVoterSet, when current is no longer in force, and
-// DiskDamaged, when the successor that was decided can't be read.
+// Change decides which voter set follows current, and activates it: wanted, unless another change
+// was begun before. It returns the set that came into force. Errors are NoMajority, when too few
+// voters answered or another executor was ahead, StaleVoterSet, when current is no longer in force,
+// and DiskDamaged, when the successor that was decided can't be read.
 func (e *Executor) Change(ctx context.Context, current, wanted voters.Set) (voters.Set, error) {
 	next, err := e.decideSuccessor(ctx, current, wanted)
 	if err != nil {
--- a/internal/control/reconfig/successor.go
+++ b/internal/control/reconfig/successor.go
@@ -76,9 +76,9 @@
 	return next, nil
 }
 
-// askMajority calls every voter of current at once and returns what was answered when a majority has
-// granted it. Else it returns StaleVoterSet when some voter says so, and NoMajority when none does;
-// verb is for its text.
+// askMajority calls every voter of current at once and returns what was answered when a majority
+// has granted it. Else it returns StaleVoterSet when some voter says so, and NoMajority when none
+// does; verb is for its text.
 func (e *Executor) askMajority(
 	ctx context.Context, current voters.Set, verb string,
 	call func(context.Context, voters.Voter) (*acceptor.SlotResponse, error),
--- a/internal/control/reconfigurer/plan.go
+++ b/internal/control/reconfigurer/plan.go
@@ -84,8 +84,8 @@
 	return found
 }
 
-// planCandidates has each candidate replace a voter that is gone, so that dead voters don't wear the
-// majority down, or come in beside the others where none is.
+// planCandidates has each candidate replace a voter that is gone, so that dead voters don't wear
+// the majority down, or come in beside the others where none is.
 func (r *Reconfigurer) planCandidates(change *plannedChange, candidates []membership.Info, now time.Time) {
 	replacements := r.absent.pair(candidates)
 	for _, candidate := range candidates {
--- a/internal/control/reconfigurer/reconfigurer.go
+++ b/internal/control/reconfigurer/reconfigurer.go
@@ -6,8 +6,8 @@
 // end. Safety never rests on there being one coordinator: package reconfig decides each change by a
 // majority of the voters, and two that act at once meet there.
 //
-// A Reconfigurer has no lock: all its state belongs to the goroutine that calls Run, which blocks on
-// calls to other voters for at most the recovery time in each round.
+// A Reconfigurer has no lock: all its state belongs to the goroutine that calls Run, which blocks
+// on calls to other voters for at most the recovery time in each round.
 package reconfigurer
 
 import (
@@ -58,10 +58,11 @@
 }
 
 const (
-	// joinPauseDivisor of the longest backoff is the pause in which control disks that join together
-	// are gathered into one change.
+	// joinPauseDivisor of the longest backoff is the pause in which control disks that join
+	// together are gathered into one change.
 	joinPauseDivisor = 2
-	// spareVotersDivisor shortens the pause between rounds where voters that are gone can be given up.
+	// spareVotersDivisor shortens the pause between rounds where voters that are gone can be given
+	// up.
 	spareVotersDivisor = 2
 )
 
@@ -152,10 +153,10 @@
 	return ""
 }
 
-// finishStalledChange ends a change of the voter set that another voter began, when the set has been
-// sealed here for longer than a change takes: the voter that began it may be lost, and nothing is
-// decided until it ended. The voters step in one after the other; where two do, epochs decide. It
-// reports whether such a change is open.
+// finishStalledChange ends a change of the voter set that another voter began, when the set has
+// been sealed here for longer than a change takes: the voter that began it may be lost, and nothing
+// is decided until it ended. The voters step in one after the other; where two do, epochs decide.
+// It reports whether such a change is open.
 func (r *Reconfigurer) finishStalledChange(
 	ctx context.Context, current voters.Set, live map[string]membership.Info, coordinator string,
 ) (waiting bool) {
