--- a/internal/configuration/change.go
+++ b/internal/configuration/change.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// Change makes the next description of the one numbered From. Its spaces are put together of Parts, in their order; Lanes is nil
-// where the table of lanes stays, and Sum is the sum of the whole that has to come out.
+// Change makes the next configuration of the one numbered From. Its spaces are put together of
+// Parts, in their order; Lanes is nil where the table of lanes stays, and Checksum is that of the
+// configuration that has to come out.
 type Change struct {
 	From          uint64 `json:"f"`
 	Sequence      uint64 `json:"s"`
@@ -15,126 +16,111 @@
 	Checksum      uint64 `json:"m"`
 }
 
-// Part is Count spaces of the old description, from place At on, and then the spaces of Put.
+// Part is Count spaces of the old configuration, from index At on, and then the spaces of Insert.
 type Part struct {
 	At     int     `json:"a,omitempty"`
 	Count  int     `json:"c,omitempty"`
 	Insert []Space `json:"p,omitempty"`
 }
 
-// Size is how many spaces the change holds itself.
+// Size returns how many spaces the change carries itself.
 func (c Change) Size() int {
-	n := 0
-	for _, p := range c.Parts {
-		n += len(p.Insert)
+	size := 0
+	for _, part := range c.Parts {
+		size += len(part.Insert)
 	}
-	return n
+	return size
 }
 
-func (s Space) same(o Space) bool {
-	return s.Name == o.Name && s.Kind == o.Kind && s.Urgent == o.Urgent && s.Prefix == o.Prefix && s.All == o.All && s.RetentionMS == o.RetentionMS &&
-		s.DeadlineMS == o.DeadlineMS && s.TargetLatencyMS == o.TargetLatencyMS && s.Order == o.Order && s.Weight == o.Weight && slices.Equal(s.Topics, o.Topics)
+func (s Space) equal(other Space) bool {
+	return s.Name == other.Name && s.Kind == other.Kind && s.Urgent == other.Urgent &&
+		s.Prefix == other.Prefix && s.All == other.All &&
+		s.RetentionMS == other.RetentionMS && s.DeadlineMS == other.DeadlineMS &&
+		s.TargetLatencyMS == other.TargetLatencyMS &&
+		s.Order == other.Order && s.Weight == other.Weight && slices.Equal(s.Topics, other.Topics)
 }
 
-func (l Lanes) same(o Lanes) bool {
-	return slices.Equal(l.Urgent, o.Urgent) && slices.Equal(l.Routine, o.Routine)
+func (l Lanes) equal(other Lanes) bool {
+	return slices.Equal(l.Urgent, other.Urgent) && slices.Equal(l.Routine, other.Routine)
 }
 
-// Change gives what makes another description of this one, sources left out.
-func (d Config) Change(to Config) Change {
-	c := Change{From: d.Sequence, Sequence: to.Sequence, Base: to.Base, Limits: to.Limits, StandingLanes: to.StandingLanes, Checksum: to.Checksum()}
-	if !d.Lanes.same(to.Lanes) {
-		c.Lanes = &to.Lanes
+func samePath(a, b Space) bool { return a.path() == b.path() }
+
+// Change returns what makes next of this configuration, sources left out.
+func (c Config) Change(next Config) Change {
+	change := Change{
+		From:          c.Sequence,
+		Sequence:      next.Sequence,
+		Base:          next.Base,
+		Limits:        next.Limits,
+		StandingLanes: next.StandingLanes,
+		Parts:         parts(c.Spaces, next.Spaces),
+		Checksum:      next.Checksum(),
+	}
+	if !c.Lanes.equal(next.Lanes) {
+		change.Lanes = &next.Lanes
 	}
-	was := map[string]int{}
-	if len(d.Spaces) != len(to.Spaces) || !slices.EqualFunc(d.Spaces, to.Spaces, func(a, b Space) bool { return a.path() == b.path() }) {
-		for i, s := range d.Spaces {
-			was[s.path()] = i
+	return change
+}
+
+// parts puts next together of runs of unchanged spaces of the old ones and of what differs.
+func parts(old, next []Space) []Part {
+	var result []Part
+	indexes := map[string]int{} // of the old spaces by path; empty where the paths are the same, index by index
+	if !slices.EqualFunc(old, next, samePath) {
+		for i, space := range old {
+			indexes[space.path()] = i
 		}
 	}
-	for i, s := range to.Spaces {
-		at, ok := i, len(was) == 0 && i < len(d.Spaces)
-		if !ok {
-			at, ok = was[s.path()]
+	for i, space := range next {
+		at, known := i, len(indexes) == 0 && i < len(old)
+		if !known {
+			at, known = indexes[space.path()]
 		}
-		last := len(c.Parts) - 1
+		last := len(result) - 1
 		switch {
-		case !ok || !d.Spaces[at].same(s):
+		case !known || !old[at].equal(space):
 			if last < 0 {
-				c.Parts, last = append(c.Parts, Part{}), 0
+				result, last = append(result, Part{}), 0
 			}
-			c.Parts[last].Insert = append(c.Parts[last].Insert, s)
-		case last >= 0 && len(c.Parts[last].Insert) == 0 && c.Parts[last].At+c.Parts[last].Count == at:
-			c.Parts[last].Count++
+			result[last].Insert = append(result[last].Insert, space)
+		case last >= 0 && len(result[last].Insert) == 0 && result[last].At+result[last].Count == at:
+			result[last].Count++
 		default:
-			c.Parts = append(c.Parts, Part{At: at, Count: 1})
+			result = append(result, Part{At: at, Count: 1})
 		}
 	}
-	return c
+	return result
 }
 
-// Apply makes the next description, and tells whether it came out as it has to.
-func (d Config) Apply(c Change) (Config, bool) {
-	n := Config{Sequence: c.Sequence, Base: c.Base, Limits: c.Limits, StandingLanes: c.StandingLanes, Lanes: d.Lanes}
-	if c.Lanes != nil {
-		n.Lanes = *c.Lanes
-	}
-	n.Spaces = make([]Space, 0, min(MaxSpaces, len(d.Spaces)+c.Size()))
-	for _, p := range c.Parts {
-		if p.At < 0 || p.Count < 0 || p.At > len(d.Spaces) || p.Count > len(d.Spaces)-p.At || len(n.Spaces)+p.Count+len(p.Insert) > MaxSpaces {
-			return d, false
-		}
-		n.Spaces = append(append(n.Spaces, d.Spaces[p.At:p.At+p.Count]...), p.Insert...)
+// Apply returns the next configuration and true, or c itself and false where the change does not
+// build on c or does not come out as its checksum says.
+func (c Config) Apply(change Change) (Config, bool) {
+	next := Config{
+		Sequence:      change.Sequence,
+		Base:          change.Base,
+		Limits:        change.Limits,
+		StandingLanes: change.StandingLanes,
+		Lanes:         c.Lanes,
 	}
-	if c.From != d.Sequence || c.Sequence <= c.From || n.Checksum() != c.Checksum {
-		return d, false
+	if change.Lanes != nil {
+		next.Lanes = *change.Lanes
 	}
-	return n, true
-}
-
-// Checksum is a number that tells a description from another, sources left out.
-func (d Config) Checksum() uint64 {
-	s := sum(14695981039346656037)
-	s.number(d.Sequence, d.Base, uint64(d.Limits.Topics), uint64(d.Limits.Body), flag(d.StandingLanes), uint64(len(d.Spaces)))
-	for _, x := range d.Spaces {
-		s.text(x.Name, x.Kind, x.Prefix, x.Order)
-		s.number(flag(x.Urgent)|flag(x.All)<<1, x.RetentionMS, x.DeadlineMS, x.TargetLatencyMS, uint64(x.Weight))
-		s.list(x.Topics)
-	}
-	s.list(d.Lanes.Urgent)
-	s.list(d.Lanes.Routine)
-	return uint64(s)
-}
-
-type sum uint64
-
-func flag(b bool) uint64 {
-	if b {
-		return 1
-	}
-	return 0
-}
-
-func (s *sum) number(ns ...uint64) {
-	for _, n := range ns {
-		x := (uint64(*s) ^ n) * 0x9E3779B97F4A7C15
-		*s = sum(x ^ x>>29)
-	}
-}
-
-func (s *sum) text(ts ...string) {
-	h := uint64(*s)
-	for _, t := range ts {
-		for i := range len(t) {
-			h = (h ^ uint64(t[i])) * 1099511628211
+	next.Spaces = make([]Space, 0, min(MaxSpaces, len(c.Spaces)+change.Size()))
+	for _, part := range change.Parts {
+		if !part.fits(len(c.Spaces)) || len(next.Spaces)+part.Count+len(part.Insert) > MaxSpaces {
+			return c, false
 		}
-		h = (h ^ uint64(len(t))) * 0x9E3779B97F4A7C15
-		h ^= h >> 29
+		next.Spaces = append(next.Spaces, c.Spaces[part.At:part.At+part.Count]...)
+		next.Spaces = append(next.Spaces, part.Insert...)
+	}
+	if change.From != c.Sequence || change.Sequence <= change.From || next.Checksum() != change.Checksum {
+		return c, false
 	}
-	*s = sum(h)
+	return next, true
 }
 
-func (s *sum) list(ts []string) {
-	s.number(uint64(len(ts)))
-	s.text(ts...)
+// fits reports whether the part refers to spaces that exist among that many.
+func (p Part) fits(spaces int) bool {
+	return p.At >= 0 && p.Count >= 0 && p.At <= spaces && p.Count <= spaces-p.At
 }
--- a/internal/configuration/change_test.go
+++ b/internal/configuration/change_test.go
@@ -9,18 +9,26 @@
 	"gotest.tools/v3/assert"
 )
 
-func many(n int) Config {
-	d := Config{Sequence: 1, StandingLanes: true}
+func manySpaces(n int) Config {
+	config := Config{Sequence: 1, StandingLanes: true}
 	for i := range n {
-		d.Spaces = append(d.Spaces, Space{Name: fmt.Sprintf("pick-line/aisle-%04d/", i), Prefix: fmt.Sprintf("pick-line/aisle-%04d/", i), Kind: KindRetained, Order: OrderPerSender, Urgent: i%4 == 0, RetentionMS: 35000, DeadlineMS: 1500, TargetLatencyMS: 150, Weight: 1})
+		config.Spaces = append(
+			config.Spaces,
+			Space{
+				Name:   fmt.Sprintf("pick-line/aisle-%04d/", i),
+				Prefix: fmt.Sprintf("pick-line/aisle-%04d/", i), Kind: KindRetained,
+				Order: OrderPerSender, Urgent: i%4 == 0, RetentionMS: 35000, DeadlineMS: 1500,
+				TargetLatencyMS: 150, Weight: 1,
+			},
+		)
 	}
-	return d.WithLanes(Config{}, RemovedSpaces{})
+	return config.WithLanes(Config{}, RemovedSpaces{})
 }
 
-func next(r *rand.Rand, d Config) Config {
-	n := d
-	n.Base, n.Sequence = d.Sequence, d.Sequence+1+r.Uint64N(3)
-	n.Spaces = slices.Clone(d.Spaces)
+func randomNext(r *rand.Rand, config Config) Config {
+	n := config
+	n.Base, n.Sequence = config.Sequence, config.Sequence+1+r.Uint64N(3)
+	n.Spaces = slices.Clone(config.Spaces)
 	n.Limits.Topics = r.IntN(3)
 	for range r.IntN(4) {
 		i := r.IntN(len(n.Spaces) + 1)
@@ -41,57 +49,57 @@
 			n.Spaces[i], n.Spaces[j] = n.Spaces[j], n.Spaces[i]
 		}
 	}
-	return n.WithLanes(d, RemovedSpaces{})
+	return n.WithLanes(config, RemovedSpaces{})
 }
 
-func TestChangesMakeTheNextDescription(t *testing.T) {
+func TestChange_MakesTheNextConfiguration(t *testing.T) {
 	for seed := range uint64(40) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		d := many(1 + r.IntN(40))
-		x := NewIndex(d)
+		config := manySpaces(1 + r.IntN(40))
+		index := NewIndex(config)
 		for range 30 {
-			to := next(r, d)
-			got, ok := d.Apply(d.Change(to))
+			next := randomNext(r, config)
+			got, ok := config.Apply(config.Change(next))
 			assert.Assert(t, ok, "seed %d", seed)
-			assert.DeepEqual(t, got, to)
-			nx, fresh := x.Next(d, to), NewIndex(to)
-			for _, s := range append(d.Spaces, to.Spaces...) {
+			assert.DeepEqual(t, got, next)
+			nextIndex, fresh := index.Next(config, next), NewIndex(next)
+			for _, s := range append(config.Spaces, next.Spaces...) {
 				for _, topic := range []string{s.path() + "a", s.path()} {
-					a, ea := nx.Find(topic)
+					a, ea := nextIndex.Find(topic)
 					b, eb := fresh.Find(topic)
 					assert.DeepEqual(t, a, b)
 					assert.Equal(t, ea == nil, eb == nil)
 				}
 			}
-			assert.Equal(t, nx.Longest, fresh.Longest)
-			assert.Equal(t, nx.Limits, fresh.Limits)
-			assert.Equal(t, nx.Sequence, fresh.Sequence)
-			d, x = to, nx
+			assert.Equal(t, nextIndex.Longest, fresh.Longest)
+			assert.Equal(t, nextIndex.Limits, fresh.Limits)
+			assert.Equal(t, nextIndex.Sequence, fresh.Sequence)
+			config, index = next, nextIndex
 		}
 	}
 }
 
-func TestAChangeOfOneSpaceHoldsOneSpace(t *testing.T) {
-	d := many(514)
-	to := d
-	to.Base, to.Sequence, to.Spaces = 1, 2, slices.Clone(d.Spaces)
-	to.Spaces[200].DeadlineMS++
-	c := d.Change(to)
+func TestChange_OfOneSpaceCarriesOneSpace(t *testing.T) {
+	config := manySpaces(514)
+	next := config
+	next.Base, next.Sequence, next.Spaces = 1, 2, slices.Clone(config.Spaces)
+	next.Spaces[200].DeadlineMS++
+	c := config.Change(next)
 	assert.Equal(t, c.Size(), 1)
 	assert.Equal(t, len(c.Parts), 2)
 	assert.Assert(t, c.Lanes == nil)
-	x := NewIndex(d)
-	assert.Assert(t, x.Next(d, to).AgreesWith(x))
-	to.Spaces = slices.Delete(slices.Clone(d.Spaces), 200, 201)
-	assert.Equal(t, d.Change(to).Size(), 0)
-	assert.Assert(t, !x.Next(d, to).AgreesWith(x))
+	index := NewIndex(config)
+	assert.Assert(t, index.Next(config, next).AgreesWith(index))
+	next.Spaces = slices.Delete(slices.Clone(config.Spaces), 200, 201)
+	assert.Equal(t, config.Change(next).Size(), 0)
+	assert.Assert(t, !index.Next(config, next).AgreesWith(index))
 }
 
-func TestAChangeThatDoesNotComeOutIsNotTaken(t *testing.T) {
-	d := many(9)
-	to := next(rand.New(rand.NewPCG(5, 5)), d)
-	to.Spaces[0].Weight = 7
-	good := d.Change(to)
+func TestApply_RejectsAChangeThatDoesNotComeOut(t *testing.T) {
+	config := manySpaces(9)
+	next := randomNext(rand.New(rand.NewPCG(5, 5)), config)
+	next.Spaces[0].Weight = 7
+	good := config.Change(next)
 	for name, spoil := range map[string]func(*Change){
 		"another base":     func(c *Change) { c.From++ },
 		"back":             func(c *Change) { c.Sequence = 1 },
@@ -109,37 +117,37 @@
 		c := good
 		c.Parts = slices.Clone(good.Parts)
 		spoil(&c)
-		got, ok := d.Apply(c)
+		got, ok := config.Apply(c)
 		assert.Assert(t, !ok, name)
-		assert.DeepEqual(t, got, d)
+		assert.DeepEqual(t, got, config)
 	}
-	_, ok := d.Apply(good)
+	_, ok := config.Apply(good)
 	assert.Assert(t, ok)
 }
 
 func BenchmarkChange(b *testing.B) {
-	d := many(514)
-	to := d
-	to.Base, to.Sequence, to.Spaces = 1, 2, slices.Clone(d.Spaces)
-	to.Spaces[200].DeadlineMS++
-	c, x := d.Change(to), NewIndex(d)
+	config := manySpaces(514)
+	next := config
+	next.Base, next.Sequence, next.Spaces = 1, 2, slices.Clone(config.Spaces)
+	next.Spaces[200].DeadlineMS++
+	c, index := config.Change(next), NewIndex(config)
 	b.Run("make", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			d.Change(to)
+			config.Change(next)
 		}
 	})
-	b.Run("take", func(b *testing.B) {
+	b.Run("apply", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			n, _ := d.Apply(c)
-			x.Next(d, n)
+			n, _ := config.Apply(c)
+			index.Next(config, n)
 		}
 	})
 	b.Run("index", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			NewIndex(d)
+			NewIndex(config)
 		}
 	})
 }
--- /dev/null
+++ b/internal/configuration/checksum.go
@@ -0,0 +1,59 @@
+package configuration
+
+// Factors of the checksum: FNV-1a for bytes, a multiplicative mix with a shift for whole words.
+const (
+	fnvOffset = 14695981039346656037
+	fnvPrime  = 1099511628211
+	mixFactor = 0x9E3779B97F4A7C15
+	mixShift  = 29
+)
+
+// Checksum tells configurations apart, sources left out. Nodes of different builds compare it: it
+// never changes.
+func (c Config) Checksum() uint64 {
+	h := checksum(fnvOffset)
+	h.addNumbers(c.Sequence, c.Base, uint64(c.Limits.Topics), uint64(c.Limits.Body), bit(c.StandingLanes),
+		uint64(len(c.Spaces)))
+	for _, space := range c.Spaces {
+		h.addStrings(space.Name, space.Kind, space.Prefix, space.Order)
+		h.addNumbers(bit(space.Urgent)|bit(space.All)<<1, space.RetentionMS, space.DeadlineMS, space.TargetLatencyMS,
+			uint64(space.Weight))
+		h.addList(space.Topics)
+	}
+	h.addList(c.Lanes.Urgent)
+	h.addList(c.Lanes.Routine)
+	return uint64(h)
+}
+
+type checksum uint64
+
+func bit(b bool) uint64 {
+	if b {
+		return 1
+	}
+	return 0
+}
+
+func (h *checksum) addNumbers(numbers ...uint64) {
+	for _, number := range numbers {
+		mixed := (uint64(*h) ^ number) * mixFactor
+		*h = checksum(mixed ^ mixed>>mixShift)
+	}
+}
+
+func (h *checksum) addStrings(texts ...string) {
+	sum := uint64(*h)
+	for _, text := range texts {
+		for i := range len(text) {
+			sum = (sum ^ uint64(text[i])) * fnvPrime
+		}
+		sum = (sum ^ uint64(len(text))) * mixFactor
+		sum ^= sum >> mixShift
+	}
+	*h = checksum(sum)
+}
+
+func (h *checksum) addList(texts []string) {
+	h.addNumbers(uint64(len(texts)))
+	h.addStrings(texts...)
+}
--- a/internal/configuration/index.go
+++ b/internal/configuration/index.go
@@ -8,114 +8,133 @@
 	"postjunction/internal/apierror"
 )
 
-// Index finds topics by name. Longest is the longest time that any space asks to keep for, 0 when none asks.
+// Index finds topics by name. Longest is the longest retention that any space asks for, 0 when none
+// asks.
 type Index struct {
 	Sequence uint64
 	Limits   Limits
 	Longest  time.Duration
-	spaces   []Space
-	*form
+	spaces   []Space // without their topics, with the urgency of their lanes
+	*layout
 }
 
-// form is what says which space a topic is in and where its line stands; indexes of descriptions that agree on that share it.
-type form struct {
-	topics map[string]int32
-	names  map[string]bool
-	open   prefixes[int32]
-	lanes  prefixes[bool]
-	parted []bool
+// layout says which space a topic is in and in which lane it stands; indexes of configurations that
+// agree on that share it.
+type layout struct {
+	topics    map[string]int32 // listed topics, to the index of their space
+	names     map[string]bool  // of the spaces with listed topics
+	prefixes  prefixMap[int32]
+	lanes     prefixMap[bool]
+	splitLane []bool // by space: some of its topics stand in the other lane
 }
 
-// NewIndex makes the index of a description.
-func NewIndex(d Config) *Index {
-	x := &Index{Sequence: d.Sequence, Limits: d.Limits, spaces: make([]Space, len(d.Spaces)), form: &form{topics: map[string]int32{}, names: map[string]bool{}}}
-	x.open.by = make(map[string]int32, len(d.Spaces))
-	for i, s := range d.Spaces {
-		x.spaces[i] = s
+// NewIndex makes the index of a configuration.
+func NewIndex(c Config) *Index {
+	x := &Index{
+		Sequence: c.Sequence,
+		Limits:   c.Limits,
+		spaces:   make([]Space, len(c.Spaces)),
+		layout:   &layout{topics: map[string]int32{}, names: map[string]bool{}},
+	}
+	x.prefixes.values = make(map[string]int32, len(c.Spaces))
+	for i, space := range c.Spaces {
+		x.spaces[i] = space
 		x.spaces[i].Topics = nil
-		x.Longest = max(x.Longest, time.Duration(s.RetentionMS)*time.Millisecond)
-		if s.ByPrefix() {
-			x.open.add(s.Prefix, int32(i))
+		x.Longest = max(x.Longest, space.retention())
+		if space.ByPrefix() {
+			x.prefixes.add(space.Prefix, int32(i))
 			continue
 		}
-		x.names[s.Name] = true
-		for _, t := range s.Topics {
-			x.topics[s.Name+"/"+t] = int32(i)
+		x.names[space.Name] = true
+		for _, topic := range space.Topics {
+			x.topics[space.Name+"/"+topic] = int32(i)
 		}
 	}
-	x.stand(d.Lanes)
+	x.assignLanes(c.Lanes)
 	return x
 }
 
-// Next makes the index of the description that takes the place of was, which this index was made of, at little cost where all topics stay in their spaces.
-func (x *Index) Next(was, d Config) *Index {
-	if len(was.Spaces) != len(d.Spaces) || !was.Lanes.same(d.Lanes) {
-		return NewIndex(d)
+func (s Space) retention() time.Duration { return time.Duration(s.RetentionMS) * time.Millisecond }
+
+// Next makes the index of next, the configuration that replaces current, which x was made of. It
+// costs little where all topics stay in their spaces.
+func (x *Index) Next(current, next Config) *Index {
+	if len(current.Spaces) != len(next.Spaces) || !current.Lanes.equal(next.Lanes) {
+		return NewIndex(next)
 	}
-	n := &Index{Sequence: d.Sequence, Limits: d.Limits, spaces: slices.Clone(x.spaces), form: x.form}
-	for i, s := range d.Spaces {
-		o := was.Spaces[i]
-		if o.ByPrefix() != s.ByPrefix() || o.Urgent != s.Urgent || o.path() != s.path() || !slices.Equal(o.Topics, s.Topics) {
-			return NewIndex(d)
+	index := &Index{Sequence: next.Sequence, Limits: next.Limits, spaces: slices.Clone(x.spaces), layout: x.layout}
+	for i, space := range next.Spaces {
+		if !space.sameTopics(current.Spaces[i]) {
+			return NewIndex(next)
 		}
-		s.Topics, s.Urgent = nil, x.spaces[i].Urgent
-		n.spaces[i] = s
-		n.Longest = max(n.Longest, time.Duration(s.RetentionMS)*time.Millisecond)
+		space.Topics, space.Urgent = nil, x.spaces[i].Urgent
+		index.spaces[i] = space
+		index.Longest = max(index.Longest, space.retention())
 	}
-	return n
+	return index
+}
+
+// sameTopics reports whether two spaces hold the same topics in the same lane.
+func (s Space) sameTopics(other Space) bool {
+	return s.ByPrefix() == other.ByPrefix() && s.Urgent == other.Urgent && s.path() == other.path() &&
+		slices.Equal(s.Topics, other.Topics)
 }
 
-// AgreesWith tells whether every topic surely is in the same space, and in the same lane, as in another index.
-func (x *Index) AgreesWith(o *Index) bool { return o != nil && x.form == o.form }
+// AgreesWith reports whether every topic surely is in the same space, and in the same lane, as in
+// another index.
+func (x *Index) AgreesWith(other *Index) bool { return other != nil && x.layout == other.layout }
 
-// stand gives every space the lane where its lines stand, and finds the spaces of which a part stands in another.
-func (x *Index) stand(l Lanes) {
-	x.lanes, x.parted = l.table(), make([]bool, len(x.spaces))
-	if !l.IsDefined() {
+// assignLanes gives every space the lane that its topics stand in, and finds the spaces some of
+// whose topics stand in the other one.
+func (x *Index) assignLanes(lanes Lanes) {
+	x.lanes, x.splitLane = lanes.table(), make([]bool, len(x.spaces))
+	if !lanes.IsDefined() {
 		return
 	}
-	var paths prefixes[[]int]
-	for i, s := range x.spaces {
-		p := s.path()
-		paths.add(p, append(paths.by[p], i))
-		if u, ok := x.lanes.longest(p); ok {
-			x.spaces[i].Urgent = u
+	var spacesByPath prefixMap[[]int]
+	for i, space := range x.spaces {
+		path := space.path()
+		spacesByPath.add(path, append(spacesByPath.values[path], i))
+		if urgent, ok := x.lanes.longest(path); ok {
+			x.spaces[i].Urgent = urgent
 		}
 	}
-	for e, u := range x.lanes.by {
-		paths.each(e, func(p string, is []int) bool {
-			for _, i := range is {
-				x.parted[i] = x.parted[i] || p != e && x.spaces[i].Urgent != u
+	for prefix, urgent := range x.lanes.values {
+		spacesByPath.each(prefix, func(path string, spaces []int) bool {
+			for _, i := range spaces {
+				x.splitLane[i] = x.splitLane[i] || path != prefix && x.spaces[i].Urgent != urgent
 			}
 			return true
 		})
 	}
 }
 
-func (x *Index) space(i int32, topic string) Space {
-	s := x.spaces[i]
-	if x.parted[i] {
-		s.Urgent, _ = x.lanes.longest(topic)
+func (x *Index) spaceOf(topic string, i int32) Space {
+	space := x.spaces[i]
+	if x.splitLane[i] {
+		space.Urgent, _ = x.lanes.longest(topic)
 	}
-	return s
+	return space
 }
 
-// Find gives the space of a topic, without its list: the one that lists it as space/topic, else the one with the longest prefix that begins it.
-// Its urgency is the one where the topic's line stands.
+// Find returns the space of a topic, without its list: the one that lists it as space/topic, else
+// the one with the longest prefix that begins it. Its urgency is the one in which the topic stands.
+// The error is apierror.UnknownTopic where the space is known by name, else apierror.UnknownSpace.
 func (x *Index) Find(topic string) (Space, error) {
 	if i, ok := x.topics[topic]; ok {
-		return x.space(i, topic), nil
+		return x.spaceOf(topic, i), nil
 	}
-	if i, ok := x.open.longest(topic); ok {
-		return x.space(i, topic), nil
+	if i, ok := x.prefixes.longest(topic); ok {
+		return x.spaceOf(topic, i), nil
 	}
-	n, _, ok := strings.Cut(topic, "/")
-	if ok && x.names[n] {
-		return Space{}, apierror.New(apierror.UnknownTopic, "description %d has no topic %q", x.Sequence, topic).WithCurrent(x.Sequence)
+	name, _, ok := strings.Cut(topic, "/")
+	if ok && x.names[name] {
+		return Space{}, apierror.New(apierror.UnknownTopic, "description %d has no topic %q", x.Sequence, topic).
+			WithCurrent(x.Sequence)
 	}
-	say := "description %d has no space for %q; topics are written space/topic"
-	if len(x.open.by) > 0 {
-		say = "description %d has no space for %q; topics are written space/topic or begin with the prefix of a space"
+	format := "description %d has no space for %q; topics are written space/topic"
+	if len(x.prefixes.values) > 0 {
+		format += " or begin with the prefix of a space"
 	}
-	return Space{}, apierror.New(apierror.UnknownSpace, say, x.Sequence, topic).WithCurrent(x.Sequence)
+	return Space{}, apierror.New(apierror.UnknownSpace, format, x.Sequence, topic).WithCurrent(x.Sequence)
 }
--- a/internal/configuration/lanes.go
+++ b/internal/configuration/lanes.go
@@ -12,113 +12,134 @@
 // MaxLanes is how many lanes are kept one by one.
 const MaxLanes = 4096
 
-// Lane tells where the lines of the topics that begin with a prefix stand.
+// Lane says in which lane the topics that begin with a prefix stand.
 type Lane struct {
 	Prefix string `json:"prefix"`
 	Urgent bool   `json:"urgent"`
 
-	space int
+	space int // index of the space that asks for the other lane
 }
 
-func (l Lanes) table() prefixes[bool] {
-	var t prefixes[bool]
-	for _, p := range l.Routine {
-		t.add(p, false)
+// table returns the lanes by prefix: true for urgent.
+func (l Lanes) table() prefixMap[bool] {
+	var table prefixMap[bool]
+	for _, prefix := range l.Routine {
+		table.add(prefix, false)
 	}
-	for _, p := range l.Urgent {
-		t.add(p, true)
+	for _, prefix := range l.Urgent {
+		table.add(prefix, true)
 	}
-	return t
+	return table
 }
 
-// thin leaves out what stands where a shorter prefix has it stand anyway. Nothing can come between the two: what is new under the shorter one takes over its lane.
-func thin(t prefixes[bool]) (Lanes, int) {
-	var l Lanes
-	var out prefixes[bool]
-	for _, p := range slices.SortedFunc(maps.Keys(t.by), func(a, b string) int { return cmp.Or(len(a)-len(b), cmp.Compare(a, b)) }) {
-		u := t.by[p]
-		if o, ok := out.longest(p); ok && o == u {
+// compactLanes leaves out each prefix that a shorter one assigns the same lane, and returns how
+// many are left. Nothing can come between the two: what is new under the shorter one takes over its
+// lane.
+func compactLanes(table prefixMap[bool]) (Lanes, int) {
+	shortestFirst := func(a, b string) int { return cmp.Or(len(a)-len(b), cmp.Compare(a, b)) }
+	var lanes Lanes
+	var kept prefixMap[bool]
+	for _, prefix := range slices.SortedFunc(maps.Keys(table.values), shortestFirst) {
+		urgent := table.values[prefix]
+		if outer, ok := kept.longest(prefix); ok && outer == urgent {
 			continue
 		}
-		out.add(p, u)
-		if u {
-			l.Urgent = append(l.Urgent, p)
+		kept.add(prefix, urgent)
+		if urgent {
+			lanes.Urgent = append(lanes.Urgent, prefix)
 		} else {
-			l.Routine = append(l.Routine, p)
+			lanes.Routine = append(lanes.Routine, prefix)
 		}
 	}
-	return l, len(out.by)
+	return lanes, len(kept.values)
 }
 
-// WithLanes gives the description with the table of lanes, made of the one of the description before it or, where that has none, of its spaces and the removed ones.
-// A prefix under one that stands takes over its lane; any other gets the lane that its space asks for. So a name that could ever be a topic's never changes lanes.
-// Where they become too many, every name that stands nowhere yet is routine from then on.
-func (d Config) WithLanes(cur Config, r RemovedSpaces) Config {
-	t := cur.Lanes.table()
-	if !cur.Lanes.IsDefined() {
-		if r.has(leftOut) {
-			t.add("", false)
-		}
-		for k, u := range r {
-			if k != leftOut {
-				t.add(retiredPath(k), u)
-			}
-		}
-		for _, s := range cur.Spaces {
-			t.add(s.path(), s.Urgent)
-		}
+// WithLanes returns the configuration with its table of lanes, made of that of the current one or,
+// where it has none, of the current spaces and the removed ones. A prefix under one that has a lane
+// takes it over; any other gets the lane that its space asks for. So a name that could ever be a
+// topic's never changes lanes. Where the lanes become more than MaxLanes, every name that has none
+// yet is routine from then on.
+func (c Config) WithLanes(current Config, removed RemovedSpaces) Config {
+	table := current.Lanes.table()
+	if !current.Lanes.IsDefined() {
+		table = firstTable(current, removed)
 	}
-	fresh := map[string]bool{}
-	for _, s := range d.Spaces {
-		p := s.path()
-		if _, ok := t.longest(p); !ok {
-			fresh[p] = fresh[p] || s.Urgent
+	asked := map[string]bool{}
+	for _, space := range c.Spaces {
+		path := space.path()
+		if _, ok := table.longest(path); !ok {
+			asked[path] = asked[path] || space.Urgent
 		}
 	}
-	for p, u := range fresh {
-		t.add(p, u)
+	for path, urgent := range asked {
+		table.add(path, urgent)
 	}
-	l, n := thin(t)
-	if _, ok := t.by[""]; !ok && n > MaxLanes {
-		t.add("", false)
-		l, _ = thin(t)
+	lanes, count := compactLanes(table)
+	if _, ok := table.values[""]; !ok && count > MaxLanes {
+		table.add("", false)
+		lanes, _ = compactLanes(table)
 	}
-	d.Lanes = l
-	return d
+	c.Lanes = lanes
+	return c
 }
 
-// KeptLanes gives the prefixes whose lines stand elsewhere than the space asks for.
-func (d Config) KeptLanes() []Lane {
-	var kept []Lane
-	if !d.Lanes.IsDefined() {
-		return kept
+// firstTable returns the lanes that a configuration without a table implies.
+func firstTable(current Config, removed RemovedSpaces) prefixMap[bool] {
+	var table prefixMap[bool]
+	if removed.has(routineDropped) {
+		table.add("", false)
+	}
+	for key, urgent := range removed {
+		if key != routineDropped {
+			table.add(removedPath(key), urgent)
+		}
 	}
-	t := d.Lanes.table()
-	var spaces prefixes[int]
-	for i, s := range d.Spaces {
-		p := s.path()
-		spaces.add(p, i)
-		if u, ok := t.longest(p); ok && u != s.Urgent {
-			kept = append(kept, Lane{p, u, i})
+	for _, space := range current.Spaces {
+		table.add(space.path(), space.Urgent)
+	}
+	return table
+}
+
+// KeptLanes returns the prefixes whose topics stand in another lane than their space asks for,
+// sorted.
+func (c Config) KeptLanes() []Lane {
+	if !c.Lanes.IsDefined() {
+		return nil
+	}
+	var kept []Lane
+	table := c.Lanes.table()
+	var spaces prefixMap[int]
+	for i, space := range c.Spaces {
+		path := space.path()
+		spaces.add(path, i)
+		if urgent, ok := table.longest(path); ok && urgent != space.Urgent {
+			kept = append(kept, Lane{path, urgent, i})
 		}
 	}
-	for e, u := range t.by {
-		if i, ok := spaces.longest(e); ok && d.Spaces[i].Urgent != u && d.Spaces[i].path() != e {
-			kept = append(kept, Lane{e, u, i})
+	for prefix, urgent := range table.values {
+		i, ok := spaces.longest(prefix)
+		if ok && c.Spaces[i].Urgent != urgent && c.Spaces[i].path() != prefix {
+			kept = append(kept, Lane{prefix, urgent, i})
 		}
 	}
 	slices.SortFunc(kept, func(a, b Lane) int { return cmp.Or(cmp.Compare(a.Prefix, b.Prefix), a.space-b.space) })
 	return slices.CompactFunc(kept, func(a, b Lane) bool { return a.Prefix == b.Prefix })
 }
 
-// CheckLanes checks that every line stands where its space asks for, unless the description takes lanes as they stand.
-func (d Config) CheckLanes() error {
-	if d.StandingLanes {
+// CheckLanes checks that every topic stands in the lane that its space asks for, unless the
+// configuration takes lanes as they stand. The error is apierror.ConfigurationInvalid with every
+// fault.
+func (c Config) CheckLanes() error {
+	if c.StandingLanes {
 		return nil
 	}
-	var f []apierror.Fault
-	for _, l := range d.KeptLanes() {
-		f = append(f, apierror.Fault{Path: fmt.Sprintf("$.spaces[%d].urgent", l.space), Message: fmt.Sprintf("must be %v, where the lines of %q stand, or standing_lanes be true", l.Urgent, l.Prefix)})
+	var faults []apierror.Fault
+	for _, lane := range c.KeptLanes() {
+		faults = append(faults, apierror.Fault{
+			Path: fmt.Sprintf("$.spaces[%d].urgent", lane.space),
+			Message: fmt.Sprintf("must be %v, where the lines of %q stand, or standing_lanes be true",
+				lane.Urgent, lane.Prefix),
+		})
 	}
-	return FaultsError(f)
+	return FaultsError(faults)
 }
--- a/internal/configuration/lanes_test.go
+++ b/internal/configuration/lanes_test.go
@@ -12,189 +12,301 @@
 	"gotest.tools/v3/assert"
 )
 
-func standing(ss ...Space) Config {
-	d := described(ss...)
-	d.StandingLanes = true
-	return d
+func newStandingConfig(spaces ...Space) Config {
+	config := newConfig(spaces...)
+	config.StandingLanes = true
+	return config
 }
 
-func lanesOf(d Config) string {
-	named := func(ps []string) string {
-		var ns []string
-		for _, p := range ps {
-			ns = append(ns, cmp.Or(p, "(all)"))
+func lanesOf(config Config) string {
+	named := func(prefixes []string) string {
+		var names []string
+		for _, prefix := range prefixes {
+			names = append(names, cmp.Or(prefix, "(all)"))
 		}
-		return strings.Join(ns, ",")
+		return strings.Join(names, ",")
 	}
-	return named(d.Lanes.Routine) + "|" + named(d.Lanes.Urgent)
+	return named(config.Lanes.Routine) + "|" + named(config.Lanes.Urgent)
 }
 
 func TestLanesTable(t *testing.T) {
 	line := func(urgent bool) Space {
 		return Space{Name: "line", Kind: KindRetained, Urgent: urgent, Topics: []string{"a"}}
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		say   string
 		steps []Config
 		old   RemovedSpaces
 		lanes string
 		kept  string
 	}{
-		{"inner later", []Config{standing(open("k", false)), standing(open("k", false), open("ka.", true))}, nil, "k|", "ka. false"},
-		{"outer later", []Config{standing(open("ka.", true)), standing(open("ka.", true), open("k", false))}, nil, "k|ka.", ""},
-		{"both at once", []Config{standing(open("ka.", true), open("k", false))}, nil, "k|ka.", ""},
-		{"inner removed", []Config{standing(open("ka.", true), open("k", false)), standing(open("k", false))}, nil, "k|ka.", "ka. true"},
-		{"back with another", []Config{standing(open("ka.", true)), standing(), standing(open("ka.", false))}, nil, "|ka.", "ka. true"},
-		{"both gone, outer back with another", []Config{standing(open("ka.", true), open("k", false)), standing(), standing(open("k", true))}, nil, "k|ka.", "k false"},
-		{"changed while it stands", []Config{standing(open("k", true)), standing(open("k", false))}, nil, "|k", "k true"},
-		{"all later", []Config{standing(open("k", true)), standing(open("", false))}, nil, "(all)|k", "k true"},
-		{"under all", []Config{standing(open("", false)), standing(open("", false), open("k", true))}, nil, "(all)|", "k false"},
-		{"same", []Config{standing(open("ka.", true)), standing(open("k", true))}, nil, "|k", ""},
-		{"a list", []Config{standing(line(true)), standing(line(false)), standing(open("l", false))}, nil, "l|line/", "line/ true"},
-		{"from removed spaces", []Config{standing(open("k", false), open("lx", false))}, RemovedSpaces{"=k": true, "line": false}, "lx,line/|k", "k true"},
-		{"from too many removed", []Config{standing(open("k", false), open("x", true))}, RemovedSpaces{"=k": true, leftOut: false}, "(all)|k", "k true,x false"},
-		{"turned on later", []Config{described(open("k", true)), standing(open("k", true), open("ka", false))}, nil, "|k", "ka true"},
-		{"turned off later", []Config{standing(open("k", true)), described(open("k", true), open("l", false))}, nil, "l|k", ""},
+		{
+			"inner later",
+			[]Config{
+				newStandingConfig(byPrefix("k", false)),
+				newStandingConfig(byPrefix("k", false), byPrefix("ka.", true)),
+			},
+			nil, "k|", "ka. false",
+		},
+		{
+			"outer later",
+			[]Config{
+				newStandingConfig(byPrefix("ka.", true)),
+				newStandingConfig(byPrefix("ka.", true), byPrefix("k", false)),
+			},
+			nil, "k|ka.", "",
+		},
+		{"both at once", []Config{newStandingConfig(byPrefix("ka.", true), byPrefix("k", false))}, nil, "k|ka.", ""},
+		{
+			"inner removed",
+			[]Config{
+				newStandingConfig(byPrefix("ka.", true), byPrefix("k", false)),
+				newStandingConfig(byPrefix("k", false)),
+			},
+			nil, "k|ka.", "ka. true",
+		},
+		{
+			"back with another",
+			[]Config{
+				newStandingConfig(byPrefix("ka.", true)), newStandingConfig(),
+				newStandingConfig(byPrefix("ka.", false)),
+			},
+			nil, "|ka.", "ka. true",
+		},
+		{
+			"both gone, outer back with another",
+			[]Config{
+				newStandingConfig(byPrefix("ka.", true), byPrefix("k", false)), newStandingConfig(),
+				newStandingConfig(byPrefix("k", true)),
+			},
+			nil, "k|ka.", "k false",
+		},
+		{
+			"changed while it stands",
+			[]Config{newStandingConfig(byPrefix("k", true)), newStandingConfig(byPrefix("k", false))},
+			nil, "|k", "k true",
+		},
+		{
+			"all later",
+			[]Config{newStandingConfig(byPrefix("k", true)), newStandingConfig(byPrefix("", false))},
+			nil, "(all)|k", "k true",
+		},
+		{
+			"under all",
+			[]Config{
+				newStandingConfig(byPrefix("", false)),
+				newStandingConfig(byPrefix("", false), byPrefix("k", true)),
+			},
+			nil, "(all)|", "k false",
+		},
+		{
+			"same",
+			[]Config{newStandingConfig(byPrefix("ka.", true)), newStandingConfig(byPrefix("k", true))},
+			nil, "|k", "",
+		},
+		{
+			"a list",
+			[]Config{
+				newStandingConfig(line(true)), newStandingConfig(line(false)),
+				newStandingConfig(byPrefix("l", false)),
+			},
+			nil, "l|line/", "line/ true",
+		},
+		{
+			"from removed spaces",
+			[]Config{newStandingConfig(byPrefix("k", false), byPrefix("lx", false))},
+			RemovedSpaces{"=k": true, "line": false}, "lx,line/|k", "k true",
+		},
+		{
+			"from too many removed",
+			[]Config{newStandingConfig(byPrefix("k", false), byPrefix("x", true))},
+			RemovedSpaces{"=k": true, routineDropped: false}, "(all)|k", "k true,x false",
+		},
+		{
+			"turned on later",
+			[]Config{newConfig(byPrefix("k", true)), newStandingConfig(byPrefix("k", true), byPrefix("ka", false))},
+			nil, "|k", "ka true",
+		},
+		{
+			"turned off later",
+			[]Config{newStandingConfig(byPrefix("k", true)), newConfig(byPrefix("k", true), byPrefix("l", false))},
+			nil, "l|k", "",
+		},
 	} {
-		var cur Config
-		for _, d := range c.steps {
-			if d.StandingLanes || cur.Lanes.IsDefined() {
-				d = d.WithLanes(cur, c.old)
-				assert.NilError(t, d.CheckLanes(), c.say)
+		var current Config
+		for _, config := range test.steps {
+			if config.StandingLanes || current.Lanes.IsDefined() {
+				config = config.WithLanes(current, test.old)
+				assert.NilError(t, config.CheckLanes(), test.say)
 			}
-			cur = d
+			current = config
 		}
 		var kept []string
-		for _, l := range cur.KeptLanes() {
-			kept = append(kept, fmt.Sprint(l.Prefix, " ", l.Urgent))
+		for _, lane := range current.KeptLanes() {
+			kept = append(kept, fmt.Sprint(lane.Prefix, " ", lane.Urgent))
 		}
-		assert.Equal(t, lanesOf(cur), c.lanes, c.say)
-		assert.Equal(t, strings.Join(kept, ","), c.kept, c.say)
+		assert.Equal(t, lanesOf(current), test.lanes, test.say)
+		assert.Equal(t, strings.Join(kept, ","), test.kept, test.say)
 	}
-	d := described(open("k", false)).WithLanes(standing(open("k", true)).WithLanes(Config{}, nil), nil)
-	assert.ErrorContains(t, d.CheckLanes(), `$.spaces[0].urgent: must be true, where the lines of "k" stand, or standing_lanes be true`)
+	config := newConfig(byPrefix("k", false)).WithLanes(
+		newStandingConfig(byPrefix("k", true)).WithLanes(Config{}, nil), nil,
+	)
+	assert.ErrorContains(
+		t, config.CheckLanes(),
+		`$.spaces[0].urgent: must be true, where the lines of "k" stand, or standing_lanes be true`,
+	)
 }
 
-// Whatever valid descriptions come one after another, a name that a space once held stays in its lane: under the spaces that hold it then, and in the table.
+// Whatever valid configurations come one after another, a name that a space once held stays in its
+// lane: under the spaces that hold it then, and in the table.
 func TestNoTopicEverChangesItsLane(t *testing.T) {
 	letters := "kal"
 	var names []string
-	for _, n := range []int{1, 2, 3, 4, 5} {
-		for i := range pow(len(letters), n) {
-			s := ""
-			for range n {
-				s, i = s+letters[i%len(letters):][:1], i/len(letters)
+	for _, length := range []int{1, 2, 3, 4, 5} {
+		for i := range pow(len(letters), length) {
+			name := ""
+			for range length {
+				name, i = name+letters[i%len(letters):][:1], i/len(letters)
 			}
-			names = append(names, s)
+			names = append(names, name)
 		}
 	}
 	names = append(names, "ka/a", "ka/b", "k/a", "k/al", "ka/ab")
 	for seed := range uint64(150) {
 		r := rand.New(rand.NewPCG(seed, 7))
-		most := []int{1, 3, 12}[seed%3]
-		cur, old, first, lane := described(), RemovedSpaces{}, map[string]uint64{}, map[string]bool{}
+		maxSpaces := []int{1, 3, 12}[seed%3]
+		current, removed, first, lane := newConfig(), RemovedSpaces{}, map[string]uint64{}, map[string]bool{}
 		began := r.IntN(4) == 0
 		for step := range 30 {
-			d := standing()
-			d.Base, d.Sequence, d.StandingLanes = cur.Sequence, cur.Sequence+1, !began && (seed%5 > 0 || r.IntN(2) > 0)
+			config := newStandingConfig()
+			config.Base, config.Sequence = current.Sequence, current.Sequence+1
+			config.StandingLanes = !began && (seed%5 > 0 || r.IntN(2) > 0)
 			paths := map[string]bool{}
-			for range 1 + r.IntN(most) {
-				s := open(names[r.IntN(60)], r.IntN(2) > 0)
+			for range 1 + r.IntN(maxSpaces) {
+				space := byPrefix(names[r.IntN(60)], r.IntN(2) > 0)
 				switch r.IntN(8) {
 				case 0:
-					s = open("", s.Urgent)
+					space = byPrefix("", space.Urgent)
 				case 1:
-					s = Space{Name: []string{"k", "ka"}[r.IntN(2)], Kind: KindRetained, Urgent: s.Urgent, Topics: []string{"a", "b"}}
+					space = Space{
+						Name: []string{"k", "ka"}[r.IntN(2)], Kind: KindRetained,
+						Urgent: space.Urgent, Topics: []string{"a", "b"},
+					}
 				case 2:
-					s = open("ka/", s.Urgent)
+					space = byPrefix("ka/", space.Urgent)
 				}
-				if !paths[s.retired()] {
-					paths[s.retired()] = true
-					d.Spaces = append(d.Spaces, s)
+				if !paths[space.removedKey()] {
+					paths[space.removedKey()] = true
+					config.Spaces = append(config.Spaces, space)
 				}
 			}
 			began = began && step < 6
-			if len(d.Faults()) > 0 {
+			if len(config.Faults()) > 0 {
 				continue
 			}
 			var err error
 			switch {
-			case d.StandingLanes || cur.Lanes.IsDefined():
-				d = d.WithLanes(cur, old)
-				err = d.CheckLanes()
-				if d.StandingLanes {
+			case config.StandingLanes || current.Lanes.IsDefined():
+				config = config.WithLanes(current, removed)
+				err = config.CheckLanes()
+				if config.StandingLanes {
 					assert.NilError(t, err)
 				}
-			case d.CheckSuccession(cur) != nil:
+			case config.CheckSuccession(current) != nil:
 				continue
 			default:
-				_, err = maps.Clone(old).Check(d, cur)
+				_, err = maps.Clone(removed).Check(config, current)
 				if err == nil {
-					_, _ = old.Check(d, cur)
+					_, _ = removed.Check(config, current)
 				}
 			}
 			if err != nil {
 				continue
 			}
-			cur = d
-			back, err := parsed(d)
+			current = config
+			back, err := unmarshal(config)
 			assert.NilError(t, err)
-			x := NewIndex(back)
-			for _, n := range names {
-				s, err := x.Find(n)
+			index := NewIndex(back)
+			for _, name := range names {
+				space, err := index.Find(name)
 				if err != nil {
 					continue
 				}
-				u, known := lane[n]
+				urgent, known := lane[name]
 				if !known {
-					lane[n], first[n] = s.Urgent, d.Sequence
+					lane[name], first[name] = space.Urgent, config.Sequence
 					continue
 				}
-				assert.Equal(t, s.Urgent, u, "seed %d: %q stood from %d on, %v at %d", seed, n, first[n], cur, d.Sequence)
+				assert.Equal(
+					t, space.Urgent, urgent, "seed %d: %q stood from %d on, %v at %d", seed, name,
+					first[name], current, config.Sequence,
+				)
 			}
 		}
 	}
 }
 
-func pow(b, n int) int {
-	x := 1
-	for range n {
-		x *= b
+func pow(base, exponent int) int {
+	result := 1
+	for range exponent {
+		result *= base
 	}
-	return x
+	return result
 }
 
-func parsed(d Config) (x Config, err error) { return x, x.UnmarshalJSON(d.Marshal()) }
+func unmarshal(config Config) (read Config, err error) {
+	return read, read.UnmarshalJSON(config.Marshal())
+}
 
 func TestTooManyLanes(t *testing.T) {
-	cur := standing()
+	current := newStandingConfig()
 	for i := range 3 {
-		d := standing()
+		config := newStandingConfig()
 		for k := range MaxSpaces / 2 {
-			d.Spaces = append(d.Spaces, open(fmt.Sprintf("p%d-%d.", i, k), k%4 == 0))
+			config.Spaces = append(config.Spaces, byPrefix(fmt.Sprintf("p%d-%d.", i, k), k%4 == 0))
 		}
-		cur = d.WithLanes(cur, nil)
-		assert.Equal(t, len(cur.KeptLanes()), 0)
+		current = config.WithLanes(current, nil)
+		assert.Equal(t, len(current.KeptLanes()), 0)
 	}
-	assert.DeepEqual(t, cur.Lanes.Routine, []string{""})
-	assert.Equal(t, len(cur.Lanes.Urgent), 3*MaxSpaces/8)
-	assert.Assert(t, slices.Contains(cur.Lanes.Urgent, "p0-4."))
-	d := standing(open("new", true), open("p0-4.", true), open("p0-5.", true)).WithLanes(cur, nil)
-	assert.Equal(t, len(d.Lanes.Urgent), 3*MaxSpaces/8)
+	assert.DeepEqual(t, current.Lanes.Routine, []string{""})
+	assert.Equal(t, len(current.Lanes.Urgent), 3*MaxSpaces/8)
+	assert.Assert(t, slices.Contains(current.Lanes.Urgent, "p0-4."))
+	config := newStandingConfig(
+		byPrefix("new", true), byPrefix("p0-4.", true), byPrefix("p0-5.", true),
+	).WithLanes(current, nil)
+	assert.Equal(t, len(config.Lanes.Urgent), 3*MaxSpaces/8)
 	var kept []string
-	for _, l := range d.KeptLanes() {
+	for _, l := range config.KeptLanes() {
 		kept = append(kept, l.Prefix)
 	}
 	assert.DeepEqual(t, kept, []string{"new", "p0-5."})
 }
 
-// The table is the fleet's: an operator can't write it, and the same description again is the same with it.
+// The table is the fleet's: an operator can't write it, and the same configuration again is the
+// same with it.
 func TestLanesAreNoPartOfWhatOperatorsWrite(t *testing.T) {
 	assert.Equal(t, faults(t, `{"base":4,"spaces":[],"lanes":{}}`), "$.lanes is not a field of this document")
-	assert.Equal(t, faults(t, `{"base":4,"spaces":[],"standing_lanes":1}`), "$.standing_lanes must be true or false, is 1")
-	assert.Equal(t, faults(t, `{"base":4,"standing_lanes":true,"spaces":[{"name":"a","kind":"kept","prefix":"k"},{"name":"b","kind":"kept","prefix":"ka","urgent":true}]}`), "")
-	assert.Equal(t, faults(t, `{"base":4,"spaces":[{"name":"","kind":"kept","all":true},{"name":"all","kind":"kept","prefix":"all"}]}`), "")
-	d := standing(open("k", true))
-	assert.Assert(t, d.WithLanes(Config{}, nil).Equal(d))
-	assert.Assert(t, !d.Equal(described(open("k", true))))
+	assert.Equal(
+		t, faults(t, `{"base":4,"spaces":[],"standing_lanes":1}`),
+		"$.standing_lanes must be true or false, is 1",
+	)
+	assert.Equal(
+		t,
+		faults(
+			t,
+			`{"base":4,"standing_lanes":true,"spaces":[{"name":"a","kind":"kept","prefix":"k"},{"name":"b","kind":"kept","prefix":"ka","urgent":true}]}`,
+		),
+		"",
+	)
+	assert.Equal(
+		t,
+		faults(
+			t,
+			`{"base":4,"spaces":[{"name":"","kind":"kept","all":true},{"name":"all","kind":"kept","prefix":"all"}]}`,
+		),
+		"",
+	)
+	config := newStandingConfig(byPrefix("k", true))
+	assert.Assert(t, config.WithLanes(Config{}, nil).Equal(config))
+	assert.Assert(t, !config.Equal(newConfig(byPrefix("k", true))))
 }
--- a/internal/configuration/prefixes.go
+++ b/internal/configuration/prefixes.go
@@ -2,41 +2,46 @@
 
 import "slices"
 
-// prefixes finds entries by the beginnings of a name: one look for each length that any prefix has, longest first.
-type prefixes[V any] struct {
-	by      map[string]V
-	lengths []int
+// prefixMap finds values by the prefixes of a name: one look-up for each length that any prefix
+// has, longest first. The zero value is empty and ready to use.
+type prefixMap[V any] struct {
+	values  map[string]V
+	lengths []int // of the prefixes, each once, descending
 }
 
-func (p *prefixes[V]) add(prefix string, v V) {
-	if p.by == nil {
-		p.by = map[string]V{}
+func (m *prefixMap[V]) add(prefix string, value V) {
+	if m.values == nil {
+		m.values = map[string]V{}
 	}
-	p.by[prefix] = v
-	if i, ok := slices.BinarySearchFunc(p.lengths, len(prefix), func(a, b int) int { return b - a }); !ok {
-		p.lengths = slices.Insert(p.lengths, i, len(prefix))
+	m.values[prefix] = value
+	descending := func(a, b int) int { return b - a }
+	if i, ok := slices.BinarySearchFunc(m.lengths, len(prefix), descending); !ok {
+		m.lengths = slices.Insert(m.lengths, i, len(prefix))
 	}
 }
 
-// each visits the entries whose prefix begins the name, longest first, until the visit says no.
-func (p *prefixes[V]) each(name string, visit func(prefix string, v V) bool) {
-	for _, n := range p.lengths {
-		if n > len(name) {
+// each visits the values whose prefix begins the name, longest prefix first, until visit returns
+// false.
+func (m *prefixMap[V]) each(name string, visit func(prefix string, value V) bool) {
+	for _, length := range m.lengths {
+		if length > len(name) {
 			continue
 		}
-		if v, ok := p.by[name[:n]]; ok && !visit(name[:n], v) {
+		if value, ok := m.values[name[:length]]; ok && !visit(name[:length], value) {
 			return
 		}
 	}
 }
 
-func (p *prefixes[V]) longest(name string) (v V, ok bool) {
-	for _, n := range p.lengths {
-		if n <= len(name) {
-			if v, ok = p.by[name[:n]]; ok {
-				return v, true
-			}
+// longest returns the value of the longest prefix that begins the name.
+func (m *prefixMap[V]) longest(name string) (value V, ok bool) {
+	for _, length := range m.lengths {
+		if length > len(name) {
+			continue
+		}
+		if value, ok = m.values[name[:length]]; ok {
+			return value, true
 		}
 	}
-	return v, false
+	return value, false
 }
--- /dev/null
+++ b/internal/configuration/removed.go
@@ -0,0 +1,152 @@
+package configuration
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"strings"
+
+	"postjunction/internal/apierror"
+)
+
+// MaxRemovedSpaces is how many removed spaces are kept one by one.
+const MaxRemovedSpaces = 4096
+
+// RemovedSpaces holds the urgency of spaces that were removed: those of listed topics by name,
+// those by prefix by "=" and the prefix. Where they became too many, those that were not urgent are
+// left out, and "*" says so.
+type RemovedSpaces map[string]bool
+
+const (
+	prefixMarker   = "="
+	routineDropped = "*"
+)
+
+// removedKey returns the space's key in RemovedSpaces.
+func (s Space) removedKey() string {
+	if s.ByPrefix() {
+		return prefixMarker + s.Prefix
+	}
+	return s.Name
+}
+
+// removedPath returns the path of the space with that key.
+func removedPath(key string) string {
+	if prefix, ok := strings.CutPrefix(key, prefixMarker); ok {
+		return prefix
+	}
+	return key + "/"
+}
+
+// ParseRemovedSpaces reads the removed spaces; none are in an empty text.
+func ParseRemovedSpaces(b []byte) (RemovedSpaces, error) {
+	r := RemovedSpaces{}
+	if len(b) == 0 {
+		return r, nil
+	}
+	return r, apierror.Wrap(apierror.Internal, json.Unmarshal(b, &r), "read the removed spaces")
+}
+
+// Marshal writes the removed spaces as JSON.
+func (r RemovedSpaces) Marshal() []byte {
+	b, _ := json.Marshal(r) // a map of booleans: it can't fail
+	return b
+}
+
+type spaceUrgency struct {
+	key    string
+	urgent bool
+}
+
+// Check checks a configuration against the current one and all removed spaces, and adds to r those
+// that it removes; it reports whether there were any. A space that comes back, or that shares
+// topics with one that was there before, needs the urgency that these had. The error is
+// apierror.ConfigurationInvalid with every fault.
+func (r RemovedSpaces) Check(next, current Config) (bool, error) {
+	messages := r.conflicts(next, current)
+	var faults []apierror.Fault
+	for i, space := range next.Spaces {
+		if message, ok := messages[space.path()]; ok {
+			faults = append(faults, apierror.Fault{Path: fmt.Sprintf("$.spaces[%d].urgent", i), Message: message})
+		}
+	}
+	return r.add(next, current), FaultsError(append(faults, r.tooMany()...))
+}
+
+// conflicts returns what is wrong with the urgency of the next spaces, by their path.
+func (r RemovedSpaces) conflicts(next, current Config) map[string]string {
+	var before, after prefixMap[spaceUrgency]
+	for key, urgent := range r {
+		if key != routineDropped {
+			before.add(removedPath(key), spaceUrgency{key, urgent})
+		}
+	}
+	for _, space := range current.Spaces {
+		before.add(space.path(), spaceUrgency{space.removedKey(), space.Urgent})
+	}
+	for _, space := range next.Spaces {
+		after.add(space.path(), spaceUrgency{space.removedKey(), space.Urgent})
+	}
+	messages := map[string]string{}
+	compare := func(path string, old spaceUrgency, urgent bool) {
+		if old.urgent != urgent {
+			messages[path] = fmt.Sprintf(
+				"of %q was %v before it was removed, and its lines stand there; make a new space",
+				strings.TrimPrefix(old.key, prefixMarker), old.urgent)
+		}
+	}
+	for path, space := range after.values {
+		known := false
+		before.each(path, func(_ string, old spaceUrgency) bool {
+			known = true
+			compare(path, old, space.urgent)
+			return true
+		})
+		if !known && space.urgent && r.has(routineDropped) {
+			messages[path] = "can't be true in a new space: too many spaces were removed to tell which were not urgent"
+		}
+	}
+	for oldPath, old := range before.values {
+		after.each(oldPath, func(path string, space spaceUrgency) bool {
+			compare(path, old, space.urgent)
+			return true
+		})
+	}
+	return messages
+}
+
+func (r RemovedSpaces) has(key string) bool {
+	_, ok := r[key]
+	return ok
+}
+
+// add adds the spaces that next removes from current, and reports whether there were any.
+func (r RemovedSpaces) add(next, current Config) bool {
+	stays, added := map[string]bool{}, false
+	for _, space := range next.Spaces {
+		stays[space.path()] = true
+	}
+	for _, space := range current.Spaces {
+		key := space.removedKey()
+		if r.has(key) || stays[space.path()] || !space.Urgent && r.has(routineDropped) {
+			continue
+		}
+		r[key], added = space.Urgent, true
+	}
+	if len(r) > MaxRemovedSpaces && !r.has(routineDropped) {
+		maps.DeleteFunc(r, func(_ string, urgent bool) bool { return !urgent })
+		r[routineDropped] = false
+	}
+	return added
+}
+
+func (r RemovedSpaces) tooMany() []apierror.Fault {
+	if len(r) <= MaxRemovedSpaces {
+		return nil
+	}
+	return []apierror.Fault{{
+		Path: "$.spaces",
+		Message: fmt.Sprintf("would make %d removed urgent spaces, %d can be kept; keep some or bring some back",
+			len(r)-1, MaxRemovedSpaces-1),
+	}}
+}
--- a/internal/configuration/strictjson/strict.go
+++ b/internal/configuration/strictjson/strict.go
@@ -1,4 +1,5 @@
-// Package strictjson walks a JSON document and finds every unknown, doubled, missing or mistyped field with its place.
+// Package strictjson walks a JSON document and finds every unknown, doubled, missing or mistyped
+// field with its path. It keeps no state between calls.
 package strictjson
 
 import (
@@ -10,7 +11,8 @@
 	"postjunction/internal/apierror"
 )
 
-// Shape says what a value must be.
+// Shape says what a value must be: its kind, the fields of an object and which of them must be
+// there, the items of an array.
 type Shape struct {
 	Kind   string
 	Fields map[string]Shape
@@ -18,7 +20,7 @@
 	Items  *Shape
 }
 
-// Kinds of value.
+// Kinds of value, as they stand in messages.
 const (
 	Object = "an object"
 	Array  = "an array"
@@ -29,125 +31,130 @@
 	Any    = ""
 )
 
+// maxFaults bounds how many faults of a document are listed.
+const maxFaults = 100
+
 type walker struct {
-	d *json.Decoder
-	f []apierror.Fault
+	decoder *json.Decoder
+	faults  []apierror.Fault
 }
 
-const faultsMost = 100
-
-// Check gives every fault of a document against a shape; an error means that it is no JSON at all.
-func Check(b []byte, s Shape) ([]apierror.Fault, error) {
-	w := &walker{d: json.NewDecoder(bytes.NewReader(b))}
-	w.d.UseNumber()
-	if err := w.value("$", &s); err != nil {
-		return nil, apierror.Wrap(apierror.Malformed, err, "the document breaks off or is no JSON at byte %d", w.d.InputOffset())
+// Check returns every fault of a document against a shape, at most 100; an error,
+// apierror.Malformed, means that it is no JSON at all.
+func Check(document []byte, shape Shape) ([]apierror.Fault, error) {
+	w := &walker{decoder: json.NewDecoder(bytes.NewReader(document))}
+	w.decoder.UseNumber()
+	if err := w.value("$", &shape); err != nil {
+		return nil, apierror.Wrap(apierror.Malformed, err, "the document breaks off or is no JSON at byte %d",
+			w.decoder.InputOffset())
 	}
-	if _, err := w.d.Token(); err != io.EOF {
+	if _, err := w.decoder.Token(); err != io.EOF {
 		w.add("$", "something follows the document")
 	}
-	return w.f, nil
+	return w.faults, nil
 }
 
-func (w *walker) add(place, say string, a ...any) {
-	if len(w.f) < faultsMost {
-		w.f = append(w.f, apierror.Fault{Path: place, Message: fmt.Sprintf(say, a...)})
+func (w *walker) add(path, format string, args ...any) {
+	if len(w.faults) < maxFaults {
+		w.faults = append(w.faults, apierror.Fault{Path: path, Message: fmt.Sprintf(format, args...)})
 	}
 }
 
-var scalar = map[string]func(json.Token) bool{
-	Text:   func(t json.Token) bool { _, ok := t.(string); return ok },
-	Flag:   func(t json.Token) bool { _, ok := t.(bool); return ok },
-	Count:  func(t json.Token) bool { return whole(t, 0) },
-	Above:  func(t json.Token) bool { return whole(t, 1) },
+// isKind says of each kind whether a token that begins neither an object nor an array is of it.
+var isKind = map[string]func(json.Token) bool{
+	Text:   func(token json.Token) bool { _, ok := token.(string); return ok },
+	Flag:   func(token json.Token) bool { _, ok := token.(bool); return ok },
+	Count:  func(token json.Token) bool { return isWhole(token, 0) },
+	Above:  func(token json.Token) bool { return isWhole(token, 1) },
 	Object: func(json.Token) bool { return false },
 	Array:  func(json.Token) bool { return false },
 }
 
-func whole(t json.Token, least int64) bool {
-	n, ok := t.(json.Number)
+func isWhole(token json.Token, least int64) bool {
+	number, ok := token.(json.Number)
 	if !ok {
 		return false
 	}
-	i, err := n.Int64()
+	i, err := number.Int64()
 	return err == nil && i >= least
 }
 
-func (w *walker) value(place string, s *Shape) error {
-	t, err := w.d.Token()
+// value walks one value; a nil shape, or one of kind Any, allows everything.
+func (w *walker) value(path string, shape *Shape) error {
+	token, err := w.decoder.Token()
 	if err != nil {
 		return err
 	}
-	if s != nil && s.Kind == Any {
-		s = nil
+	if shape != nil && shape.Kind == Any {
+		shape = nil
 	}
-	switch t {
+	switch token {
 	case json.Delim('{'):
-		if s != nil && s.Kind != Object {
-			w.add(place, "must be %s, is an object", s.Kind)
-			s = nil
+		if shape != nil && shape.Kind != Object {
+			w.add(path, "must be %s, is an object", shape.Kind)
+			shape = nil
 		}
-		return w.object(place, s)
+		return w.object(path, shape)
 	case json.Delim('['):
-		if s != nil && s.Kind != Array {
-			w.add(place, "must be %s, is an array", s.Kind)
-			s = nil
+		if shape != nil && shape.Kind != Array {
+			w.add(path, "must be %s, is an array", shape.Kind)
+			shape = nil
 		}
-		return w.array(place, s)
+		return w.array(path, shape)
 	}
-	if s != nil && !scalar[s.Kind](t) {
-		b, _ := json.Marshal(t)
-		w.add(place, "must be %s, is %s", s.Kind, b)
+	if shape != nil && !isKind[shape.Kind](token) {
+		b, _ := json.Marshal(token) // it was just decoded
+		w.add(path, "must be %s, is %s", shape.Kind, b)
 	}
 	return nil
 }
 
-func (w *walker) object(place string, s *Shape) error {
+func (w *walker) object(path string, shape *Shape) error {
 	seen := map[string]bool{}
-	for w.d.More() {
-		t, err := w.d.Token()
+	for w.decoder.More() {
+		token, err := w.decoder.Token()
 		if err != nil {
 			return err
 		}
-		n, _ := t.(string)
-		at := place + "." + n
-		if seen[n] {
-			w.add(at, "stands twice")
+		name, _ := token.(string)
+		fieldPath := path + "." + name
+		if seen[name] {
+			w.add(fieldPath, "stands twice")
 		}
-		seen[n] = true
-		var in *Shape
-		if s != nil {
-			if f, ok := s.Fields[n]; ok {
-				in = &f
+		seen[name] = true
+		var fieldShape *Shape
+		if shape != nil {
+			if field, ok := shape.Fields[name]; ok {
+				fieldShape = &field
 			} else {
-				w.add(at, "is not a field of this document")
+				w.add(fieldPath, "is not a field of this document")
 			}
 		}
-		if err := w.value(at, in); err != nil {
+		if err := w.value(fieldPath, fieldShape); err != nil {
 			return err
 		}
 	}
-	if s != nil {
-		for _, n := range s.Needed {
-			if !seen[n] {
-				w.add(place+"."+n, "is missing")
+	if shape != nil {
+		for _, name := range shape.Needed {
+			if !seen[name] {
+				w.add(path+"."+name, "is missing")
 			}
 		}
 	}
-	_, err := w.d.Token()
+	_, err := w.decoder.Token()
 	return err
 }
 
-func (w *walker) array(place string, s *Shape) error {
-	var in *Shape
-	if s != nil {
-		in = s.Items
+func (w *walker) array(path string, shape *Shape) error {
+	var itemShape *Shape
+	if shape != nil {
+		itemShape = shape.Items
 	}
-	for i := 0; w.d.More(); i++ {
-		if err := w.value(fmt.Sprintf("%s[%d]", place, i), in); err != nil {
+	for i := 0; w.decoder.More(); i++ {
+		if err := w.value(fmt.Sprintf("%s[%d]", path, i), itemShape); err != nil {
 			return err
 		}
 	}
-	_, err := w.d.Token()
+	_, err := w.decoder.Token()
 	return err
 }
--- a/internal/configuration/types_easyjson.go
+++ b/internal/configuration/types_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson6601e8cdDecodePostjunctionInternalDescription(in *jlexer.Lexer, out *Space) {
+func easyjson6601e8cdDecodePostjunctionInternalConfiguration(in *jlexer.Lexer, out *Space) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -132,7 +132,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodePostjunctionInternalDescription(out *jwriter.Writer, in Space) {
+func easyjson6601e8cdEncodePostjunctionInternalConfiguration(out *jwriter.Writer, in Space) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -206,27 +206,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Space) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson6601e8cdEncodePostjunctionInternalDescription(&w, v)
+	easyjson6601e8cdEncodePostjunctionInternalConfiguration(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Space) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson6601e8cdEncodePostjunctionInternalDescription(w, v)
+	easyjson6601e8cdEncodePostjunctionInternalConfiguration(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Space) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson6601e8cdDecodePostjunctionInternalDescription(&r, v)
+	easyjson6601e8cdDecodePostjunctionInternalConfiguration(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Space) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson6601e8cdDecodePostjunctionInternalDescription(l, v)
+	easyjson6601e8cdDecodePostjunctionInternalConfiguration(l, v)
 }
-func easyjson6601e8cdDecodePostjunctionInternalDescription1(in *jlexer.Lexer, out *Limits) {
+func easyjson6601e8cdDecodePostjunctionInternalConfiguration1(in *jlexer.Lexer, out *Limits) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -266,7 +266,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodePostjunctionInternalDescription1(out *jwriter.Writer, in Limits) {
+func easyjson6601e8cdEncodePostjunctionInternalConfiguration1(out *jwriter.Writer, in Limits) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -292,27 +292,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Limits) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson6601e8cdEncodePostjunctionInternalDescription1(&w, v)
+	easyjson6601e8cdEncodePostjunctionInternalConfiguration1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Limits) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson6601e8cdEncodePostjunctionInternalDescription1(w, v)
+	easyjson6601e8cdEncodePostjunctionInternalConfiguration1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Limits) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson6601e8cdDecodePostjunctionInternalDescription1(&r, v)
+	easyjson6601e8cdDecodePostjunctionInternalConfiguration1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Limits) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson6601e8cdDecodePostjunctionInternalDescription1(l, v)
+	easyjson6601e8cdDecodePostjunctionInternalConfiguration1(l, v)
 }
-func easyjson6601e8cdDecodePostjunctionInternalDescription2(in *jlexer.Lexer, out *Lanes) {
+func easyjson6601e8cdDecodePostjunctionInternalConfiguration2(in *jlexer.Lexer, out *Lanes) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -394,7 +394,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodePostjunctionInternalDescription2(out *jwriter.Writer, in Lanes) {
+func easyjson6601e8cdEncodePostjunctionInternalConfiguration2(out *jwriter.Writer, in Lanes) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -438,27 +438,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Lanes) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson6601e8cdEncodePostjunctionInternalDescription2(&w, v)
+	easyjson6601e8cdEncodePostjunctionInternalConfiguration2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Lanes) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson6601e8cdEncodePostjunctionInternalDescription2(w, v)
+	easyjson6601e8cdEncodePostjunctionInternalConfiguration2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Lanes) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson6601e8cdDecodePostjunctionInternalDescription2(&r, v)
+	easyjson6601e8cdDecodePostjunctionInternalConfiguration2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Lanes) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson6601e8cdDecodePostjunctionInternalDescription2(l, v)
+	easyjson6601e8cdDecodePostjunctionInternalConfiguration2(l, v)
 }
-func easyjson6601e8cdDecodePostjunctionInternalDescription3(in *jlexer.Lexer, out *Config) {
+func easyjson6601e8cdDecodePostjunctionInternalConfiguration3(in *jlexer.Lexer, out *Config) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -549,7 +549,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodePostjunctionInternalDescription3(out *jwriter.Writer, in Config) {
+func easyjson6601e8cdEncodePostjunctionInternalConfiguration3(out *jwriter.Writer, in Config) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -611,23 +611,23 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Config) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson6601e8cdEncodePostjunctionInternalDescription3(&w, v)
+	easyjson6601e8cdEncodePostjunctionInternalConfiguration3(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Config) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson6601e8cdEncodePostjunctionInternalDescription3(w, v)
+	easyjson6601e8cdEncodePostjunctionInternalConfiguration3(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Config) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson6601e8cdDecodePostjunctionInternalDescription3(&r, v)
+	easyjson6601e8cdDecodePostjunctionInternalConfiguration3(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Config) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson6601e8cdDecodePostjunctionInternalDescription3(l, v)
+	easyjson6601e8cdDecodePostjunctionInternalConfiguration3(l, v)
 }
