--- a/internal/partitionlog/leader/attach_test.go
+++ b/internal/partitionlog/leader/attach_test.go
@@ -9,39 +9,39 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-// An attachment whose answer was lost is asked for again: it is the same one, while it is being written and afterwards.
-// Another one under the same name takes over as before.
-func TestARepeatedAttachmentIsTheSameOne(t *testing.T) {
-	owning(t, 1, func(t *testing.T, r *rig) {
+// A retry of an attachment, whose answer was lost, returns the same generation, while the first is
+// being written and afterwards. One with another secret takes over.
+func TestAttach_RetryReturnsTheSameGeneration(t *testing.T) {
+	withLeader(t, 1, func(t *testing.T, r *rig) {
 		type answer struct {
 			generation uint64
 			err        error
 		}
 		answers := make(chan answer, 2)
 		attach := func(secret string) {
-			g, err := r.Attach(t.Context(), "v", secret, 0)
-			answers <- answer{g, err}
+			generation, err := r.Attach(t.Context(), "v", secret, 0)
+			answers <- answer{generation, err}
 		}
 		expect := func(want uint64) {
 			t.Helper()
-			a := <-answers
-			assert.NilError(t, a.err)
-			assert.Equal(t, a.generation, want)
+			got := <-answers
+			assert.NilError(t, got.err)
+			assert.Equal(t, got.generation, want)
 		}
 		go attach("one")
 		synctest.Wait()
 		go attach("one")
 		synctest.Wait()
-		r.lands()
+		r.commitAll()
 		expect(1)
 		expect(1)
 		go attach("one")
 		synctest.Wait()
 		expect(1)
-		r.locked(func() { assert.Equal(t, r.tracks[log.KindLedger].last.Offset, uint64(1), "entries that were written") })
+		r.locked(func() { assert.Equal(t, r.logs[log.KindLedger].last.Offset, uint64(1), "entries that were written") })
 		go attach("two")
 		synctest.Wait()
-		r.lands()
+		r.commitAll()
 		expect(2)
 	})
 }
--- /dev/null
+++ b/internal/partitionlog/leader/calls.go
@@ -0,0 +1,120 @@
+package leader
+
+import (
+	"time"
+
+	"postjunction/internal/partitionlog/log"
+)
+
+// FollowRequest says what a node follows of a partition: how many subscribers it has for each
+// topic, 0 for a topic that it drops. It changes what the node followed as of BaseSequence, unless
+// it is Full.
+type FollowRequest struct {
+	Partition    int            `json:"p"`
+	Node         string         `json:"n"`
+	BootID       string         `json:"b"`
+	BaseSequence uint64         `json:"f,omitempty"`
+	Sequence     uint64         `json:"q"`
+	Full         bool           `json:"u,omitempty"`
+	FirstOnly    bool           `json:"s,omitempty"` // at most one message of the backlog, as someone waits for it
+	Topics       map[string]int `json:"t,omitempty"`
+	// After asks for the backlog of topics behind an offset each.
+	After    map[string]uint64 `json:"a,omitempty"`
+	Compress bool              `json:"z,omitempty"`
+	// TracksTombstones says that the node forgets what is withdrawn: only such a node is given
+	// messages with keys.
+	TracksTombstones bool `json:"m,omitempty"`
+	// Finished says that the node follows nothing here any more, and has forgotten all that it was
+	// given.
+	Finished bool `json:"d,omitempty"`
+	// ReaderToken is that of the last response to this boot ID: without it no node becomes a
+	// reader, or replaces another run, as a request may come late from a run that is over.
+	ReaderToken uint64 `json:"v,omitempty"`
+}
+
+// FollowResponse answers a FollowRequest. Messages of the topics after CommittedEnd come by Poll;
+// Backlog has those asked for up to BacklogEnd.
+type FollowResponse struct {
+	Epoch        uint64 `json:"e"`
+	Base         uint64 `json:"b"`
+	CommittedEnd uint64 `json:"t"`
+	BacklogEnd   uint64 `json:"u"`
+	// UnknownFollower says that the leader doesn't know what the request changes: a full one is
+	// needed.
+	UnknownFollower bool `json:"l,omitempty"`
+	// MustReset says that the node was given up as a reader: it must forget all that it has of the
+	// partition and follow under another boot ID.
+	MustReset bool `json:"c,omitempty"`
+	// IsReader says that the node is a reader now, though it may have been given nothing with a
+	// key.
+	IsReader    bool        `json:"r,omitempty"`
+	ReaderToken uint64      `json:"v,omitempty"`
+	Backlog     []log.Entry `json:"n,omitempty"`
+	// Trimmed has, of topics whose backlog is no longer complete, the offset of the last message
+	// that was trimmed.
+	Trimmed    map[string]uint64 `json:"g,omitempty"`
+	Compressed *CompressedBodies `json:"z,omitempty"`
+}
+
+// PollRequest asks for committed messages of the followed topics after an offset, waiting for some
+// up to Hold. The fields that FollowRequest has too mean the same.
+type PollRequest struct {
+	Partition        int           `json:"p"`
+	Node             string        `json:"n"`
+	BootID           string        `json:"b"`
+	Sequence         uint64        `json:"q"`
+	From             uint64        `json:"f"`
+	Hold             time.Duration `json:"h"`
+	Compress         bool          `json:"z,omitempty"`
+	TracksTombstones bool          `json:"m,omitempty"`
+	ReaderToken      uint64        `json:"v,omitempty"`
+}
+
+// PollResponse has the messages after PollRequest.From, up to To, and all withdrawals of the
+// partition where the node tracks tombstones. The fields that FollowResponse has too mean the same.
+type PollResponse struct {
+	Epoch           uint64            `json:"e"`
+	Base            uint64            `json:"b"`
+	To              uint64            `json:"t"`
+	UnknownFollower bool              `json:"l,omitempty"`
+	MustReset       bool              `json:"c,omitempty"`
+	IsReader        bool              `json:"r,omitempty"`
+	ReaderToken     uint64            `json:"v,omitempty"`
+	Entries         []log.Entry       `json:"n,omitempty"`
+	Trimmed         map[string]uint64 `json:"g,omitempty"`
+	Compressed      *CompressedBodies `json:"z,omitempty"`
+}
+
+// endOfLedger as ReadRequest.From asks only where the committed ledger ends.
+const endOfLedger = ^uint64(0)
+
+// ReadRequest asks for committed entries after an offset, waiting for some up to Hold; From
+// ^uint64(0) asks only where the committed ledger ends. With TracksTombstones, the node is the
+// reader Node under BootID, which has forgotten all that is withdrawn up to From, unless it reads
+// Beside.
+type ReadRequest struct {
+	Partition        int           `json:"p"`
+	From             uint64        `json:"f"`
+	Hold             time.Duration `json:"h"`
+	Node             string        `json:"n,omitempty"`
+	BootID           string        `json:"b,omitempty"`
+	TracksTombstones bool          `json:"m,omitempty"`
+	Beside           bool          `json:"s,omitempty"`
+	// Finished says that the reader has forgotten all and reads no further under this boot ID.
+	Finished bool `json:"d,omitempty"`
+	// ReaderToken is that of an earlier response: without it no node becomes a reader, as a request
+	// may come late from a run that is over.
+	ReaderToken uint64 `json:"u,omitempty"`
+}
+
+// ReadResponse is a part of the committed ledger: the entries after ReadRequest.From, up to To.
+// Bodies that were withdrawn are dropped, and so are those of messages with keys where the request
+// doesn't track tombstones. MustReset is that of FollowResponse.
+type ReadResponse struct {
+	Base        uint64      `json:"base"`
+	To          uint64      `json:"to"`
+	Epoch       uint64      `json:"epoch"`
+	MustReset   bool        `json:"c,omitempty"`
+	ReaderToken uint64      `json:"u,omitempty"`
+	Entries     []log.Entry `json:"n,omitempty"`
+}
--- /dev/null
+++ b/internal/partitionlog/leader/filter.go
@@ -0,0 +1,94 @@
+package leader
+
+import "postjunction/internal/partitionlog/log"
+
+// entryFilter is what a follower wants of the ledger.
+type entryFilter struct {
+	isWanted func(log.Entry) bool
+	// withKeys adds messages with keys, and the withdrawals on topics that are wanted;
+	// allWithdrawals adds all withdrawals.
+	withKeys, allWithdrawals bool
+	// isReader tells that it is committed that the follower is a reader.
+	isReader bool
+}
+
+// collect returns the committed entries after an offset that pass a filter, until they have more
+// than limit bytes, and the offset up to which it came. It stops before a message with a key if the
+// follower is no reader, and reports that. The lock is held.
+func (l *Leader) collect(
+	after uint64, limit int, filter entryFilter,
+) (entries []log.Entry, to uint64, stoppedAtKey bool) {
+	ledger := l.logs[log.KindLedger]
+	size := 0
+	for after < ledger.commit {
+		next := ledger.entriesAfter(after)
+		if len(next) == 0 {
+			break
+		}
+		for _, entry := range next {
+			if entry.Offset > ledger.commit || size > limit {
+				return entries, after, false
+			}
+			if l.passes(entry, filter) {
+				if entry.Key != "" && entry.Type == log.TypeMessage && !filter.isReader {
+					return entries, after, true
+				}
+				entries = append(entries, withoutReplicaFields(entry))
+				size += len(entry.Body) + len(entry.Topic) + len(entry.Client) + len(entry.Key)
+			}
+			after = entry.Offset
+		}
+	}
+	return entries, after, false
+}
+
+func (l *Leader) passes(entry log.Entry, filter entryFilter) bool {
+	switch entry.Type {
+	case log.TypeMessage:
+		isGiven := entry.Key == "" || filter.withKeys && !l.state.Covers(entry)
+		return !entry.BodyDropped && filter.isWanted(entry) && isGiven
+	case log.TypeWithdrawal:
+		return filter.withKeys && (filter.allWithdrawals || filter.isWanted(entry))
+	}
+	return false
+}
+
+// withoutReplicaFields returns an entry without what only replicas need.
+func withoutReplicaFields(entry log.Entry) log.Entry {
+	entry.Generation, entry.Configuration, entry.Digest, entry.Chain = 0, 0, "", 0
+	if entry.Type == log.TypeWithdrawal {
+		entry.Body = nil
+	}
+	return entry
+}
+
+// Trimmed reports whether a message of a topic after an offset is no longer in the ledger. What is
+// about to be trimmed counts as trimmed.
+func (l *Leader) Trimmed(topic string, after uint64) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.trimmedUpTo(topic) > after
+}
+
+// trimmedUpTo returns the offset of the last message of a topic that was trimmed, 0 for none. The
+// lock is held.
+func (l *Leader) trimmedUpTo(topic string) uint64 {
+	if l.state == nil {
+		return 0
+	}
+	return l.state.Progress[topic].Trimmed
+}
+
+// addTrimmed adds a topic to trimmed, which may be nil, if a message of it after an offset was
+// trimmed.
+func (l *Leader) addTrimmed(trimmed map[string]uint64, topic string, after uint64) map[string]uint64 {
+	offset := l.trimmedUpTo(topic)
+	if offset <= after {
+		return trimmed
+	}
+	if trimmed == nil {
+		trimmed = map[string]uint64{}
+	}
+	trimmed[topic] = offset
+	return trimmed
+}
--- /dev/null
+++ b/internal/partitionlog/leader/followers_test.go
@@ -0,0 +1,86 @@
+package leader
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"postjunction/internal/clock"
+	"postjunction/internal/partitionlog/log"
+	"postjunction/internal/placement/assignment"
+	"postjunction/internal/samza/state"
+	"postjunction/internal/settings"
+)
+
+func withSingleReplica(t *testing.T, script func(t *testing.T, leader *Leader)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		leader := New(Options{Clock: clock.Real{}, Timing: settings.DefaultTiming}, assignment.Record{Epoch: 1, Replicas: []assignment.Replica{{Node: "s1"}}}, false)
+		leader.stage = StageOpen
+		leader.logs[log.KindLedger] = newLogProgress(log.KindLedger, log.New())
+		leader.state = state.New()
+		script(t, leader)
+	})
+}
+
+func (l *Leader) startPoll(ctx context.Context, sequence uint64) chan error {
+	result := make(chan error, 1)
+	go func() {
+		_, err := l.Poll(ctx, &PollRequest{Node: "a1", BootID: "b", Sequence: sequence, Hold: l.options.Timing.Spread})
+		result <- err
+	}()
+	synctest.Wait()
+	return result
+}
+
+// A poll may be known to have broken off only when its node polls again already: that node's
+// subscribers go on counting.
+func TestPoll_BrokenOffDoesNotEndTheNextOne(t *testing.T) {
+	withSingleReplica(t, func(t *testing.T, leader *Leader) {
+		_, err := leader.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "b", Sequence: 1, Full: true, Topics: map[string]int{"t": 3}})
+		assert.NilError(t, err)
+		ctx, stop := context.WithCancel(t.Context())
+		first := leader.startPoll(ctx, 1)
+		second := leader.startPoll(t.Context(), 1)
+		stop()
+		assert.Assert(t, <-first != nil)
+		time.Sleep(time.Second)
+		subscribers, err := leader.Subscribers("t")
+		assert.NilError(t, err)
+		assert.Equal(t, subscribers, 3)
+		assert.NilError(t, <-second)
+		ctx, stop = context.WithCancel(t.Context())
+		third := leader.startPoll(ctx, 1)
+		stop()
+		assert.Assert(t, <-third != nil)
+		time.Sleep(time.Second)
+		subscribers, err = leader.Subscribers("t")
+		assert.NilError(t, err)
+		assert.Equal(t, subscribers, 0, "those of a node whose only poll broke off count no longer")
+	})
+}
+
+// A backlog comes in parts: one message with FirstOnly, as much as a slow link carries otherwise.
+func TestFollow_FirstOnlyReturnsOneMessage(t *testing.T) {
+	withSingleReplica(t, func(t *testing.T, leader *Leader) {
+		ledger := leader.logs[log.KindLedger]
+		for range 4 {
+			ledger.appendEntry(log.Entry{Type: log.TypeMessage, Topic: "t", Body: make([]byte, 600)}, 1)
+			ledger.appendEntry(log.Entry{Type: log.TypeMessage, Topic: "other"}, 1)
+		}
+		ledger.log.Append(time.Now(), ledger.pending...)
+		ledger.pending, ledger.durable, ledger.commit = nil, ledger.last.Offset, ledger.last.Offset
+		response, err := leader.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "b", Sequence: 1, Full: true, FirstOnly: true, Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 1}})
+		assert.NilError(t, err)
+		assert.Equal(t, len(response.Backlog), 1)
+		assert.Equal(t, response.Backlog[0].Offset, uint64(3))
+		assert.Assert(t, response.BacklogEnd >= 3 && response.BacklogEnd < 5, "the next one is at 5, told up to %d", response.BacklogEnd)
+		response, err = leader.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "b", BaseSequence: 1, Sequence: 2, After: map[string]uint64{"t": response.BacklogEnd}})
+		assert.NilError(t, err)
+		assert.Equal(t, len(response.Backlog), 2)
+		assert.Equal(t, response.BacklogEnd, response.CommittedEnd)
+	})
+}
--- /dev/null
+++ b/internal/partitionlog/leader/leader.go
@@ -0,0 +1,279 @@
+// Package leader decides for one partition under one epoch: it seals a majority of the replicas,
+// adopts the longest log, orders messages, replicates them and commits what a majority holds.
+//
+// What must stay true:
+//   - An entry counts as committed only once a majority of the record's replicas holds it and it,
+//     or one behind it, was written under the leader's own epoch.
+//   - A final answer (accepted, duplicate, rejected for good) leaves only when all that it rests on
+//     is committed, and a duplicate or rejection only after a majority confirmed the epoch since
+//     the call began.
+//   - A node is given an entry under a key only once it is committed that this node is a reader, so
+//     that no tombstone is dropped before every reader has read behind it.
+//   - The ledger is trimmed only up to what the committed changelog covers.
+//
+// A Leader owns the state of its partition. Run drives it: it recovers, then writes changelog
+// batches until ctx ends or the leadership is lost. Beside it run, for each of the two logs, one
+// goroutine that writes to the own disk and one for each other replica, and on demand one that asks
+// a majority whether the epoch still stands; all of them end with Run's ctx. Leader.mu guards the
+// state and is never held over disk or network. Calls of Submit, Attach, Follow, Poll and Read
+// block until a majority has what they rest on, their hold is over, ctx ends, or the leadership is
+// lost.
+package leader
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"postjunction/internal/apierror"
+	"postjunction/internal/clock"
+	"postjunction/internal/partitionlog/idle"
+	"postjunction/internal/partitionlog/log"
+	"postjunction/internal/partitionlog/replica"
+	"postjunction/internal/placement/assignment"
+	"postjunction/internal/samza/state"
+	"postjunction/internal/settings"
+	"postjunction/internal/wire"
+)
+
+// Observer is notified of what happens to leaders. Its methods may be called under the leader's
+// lock: they must not block and must not call the leader.
+type Observer interface {
+	DiskFailed(partition int, err error)
+	LeadershipLost(partition int, epoch uint64, err error)
+	Opened(partition int, epoch uint64, how Recovery)
+	StepFailed(partition int, epoch uint64, step string, err error)
+	ReaderChanged(partition int, epoch uint64, node, boot string, givenUp bool)
+	TombstonesFull(partition int, epoch uint64, marks int)
+}
+
+// Options are what a leader works with. Idle, MaxTombstones and OnDecision may be nil.
+type Options struct {
+	Self              string
+	Net               wire.Network
+	Clock             clock.Clock
+	Timing            settings.Timing
+	ChangelogInterval func() time.Duration
+	// Backlog returns how many uncommitted ledger entries there may be before calls are rejected.
+	Backlog func() int
+	Replica *replica.Replica
+	// Idle confirms logs that have no new entries; without it, each is confirmed by an append
+	// without entries.
+	Idle *idle.Confirmer
+	// Addr returns the address of a member, false for a node that is none.
+	Addr func(node string) (string, bool)
+	// LongestRetention returns the longest retention that a namespace asks for, as far as this node
+	// knows.
+	LongestRetention func() time.Duration
+	// CheckLease returns an error while this node has no lease to serve.
+	CheckLease func() error
+	// MaxTombstones returns how many tombstones a partition may have.
+	MaxTombstones func() int
+	// LeaseExtension is what a node's lease may last longer than its duration.
+	LeaseExtension time.Duration
+	OnRecovered    func(ctx context.Context, r assignment.Record)
+	OnPromote      func(ctx context.Context, r assignment.Record, l assignment.Replica)
+	Observer       Observer
+	OnDecision     DecisionObserver
+}
+
+// DecisionObserver is notified of every decision that a leader answers with: what it was, and when
+// its call came in. Only tests use it.
+type DecisionObserver func(partition int, epoch uint64, what string, begun time.Time)
+
+// Stages of a leader.
+const (
+	StageRecovering = "taking over"
+	StageOpen       = "open"
+	StageClosing    = "closing"
+	StageLost       = "lost"
+)
+
+// Recovery describes how the state was recovered.
+type Recovery struct {
+	Tails       string        `json:"tails"`
+	Directory   bool          `json:"directory"`
+	Replayed    int           `json:"replayed"`
+	Fetched     int           `json:"fetched"`
+	Reprocessed int           `json:"reprocessed"`
+	Keys        int           `json:"keys"`
+	Duration    time.Duration `json:"took"`
+}
+
+// Counters counts a leader's work.
+type Counters struct {
+	Accepted    uint64 `json:"Taken"`
+	Bytes       uint64 `json:"Bytes"`
+	Duplicates  uint64 `json:"Repeats"`
+	Batches     uint64 `json:"Batches"`
+	Items       uint64 `json:"Items"`
+	Compactions uint64 `json:"Compactions"`
+	// QuorumChecks counts the questions to a majority whether this epoch still stands.
+	QuorumChecks uint64 `json:"Rounds"`
+	// Forgotten counts the answers to calls that were dropped once the ledger no longer held their
+	// messages.
+	Forgotten uint64 `json:"Forgotten"`
+	// Withdrawals counts accepted withdrawals, TombstonesDropped tombstones and ReadersGivenUp
+	// readers that were let go.
+	Withdrawals       uint64 `json:"Withdrawals"`
+	TombstonesDropped uint64 `json:"Unmarked"`
+	ReadersGivenUp    uint64 `json:"GivenUp"`
+}
+
+// Leader decides for one partition until its leadership is lost.
+type Leader struct {
+	Record  assignment.Record
+	Urgent  bool
+	options Options
+	// lost is closed once the leadership is lost; lostCause says why.
+	lost          chan struct{}
+	flushRequests chan chan struct{}
+	// trimRequests wakes the writer of a log when trimTo moved.
+	trimRequests map[log.Kind]chan struct{}
+
+	// mu guards all fields below, and all fields of the logs' progress.
+	mu        sync.Mutex
+	stage     string
+	ctx       context.Context
+	cancel    context.CancelFunc
+	lostCause error
+	recovery  Recovery
+	counters  Counters
+	logs      map[log.Kind]*logProgress
+	// trimTo is where each log is to begin, on the replicas too.
+	trimTo map[log.Kind]log.Position
+
+	// state is what the committed ledger adds up to. The changelog on a majority covers it up to
+	// savedInput, and calls up to prunedTo are dropped from it.
+	state      *state.State
+	savedInput uint64
+	prunedTo   uint64
+	// uncommitted (by client and topic) and uncommittedKeys (by topic and key) run ahead of state.
+	uncommitted     map[string]*uncommittedCalls
+	uncommittedKeys map[string]keyOffsets
+
+	followers          map[string]*follower
+	uncommittedReaders map[string]uncommittedReader
+	readerProgress     map[string]readerProgress
+	readerTokens       map[string]readerToken
+	lastReaderToken    uint64
+	// readersChanged is closed and replaced when a reader has read further or changed; nil while
+	// nobody waits.
+	readersChanged chan struct{}
+	// tombstonesFull is set from the first withdrawal rejected for their number until one is
+	// accepted again.
+	tombstonesFull bool
+
+	// nextCheck is the leadership check that calls can still join; checking is set while a
+	// goroutine runs checks.
+	nextCheck *leadershipCheck
+	checking  bool
+
+	learner     assignment.Replica
+	stopLearner context.CancelFunc
+}
+
+// New makes a leader for a record that names this node.
+func New(d Options, r assignment.Record, urgent bool) *Leader {
+	return &Leader{
+		Record:        r,
+		Urgent:        urgent,
+		options:       d,
+		lost:          make(chan struct{}),
+		flushRequests: make(chan chan struct{}),
+		trimRequests: map[log.Kind]chan struct{}{
+			log.KindLedger:    make(chan struct{}, 1),
+			log.KindChangelog: make(chan struct{}, 1),
+		},
+		stage:              StageRecovering,
+		logs:               map[log.Kind]*logProgress{},
+		trimTo:             map[log.Kind]log.Position{},
+		uncommitted:        map[string]*uncommittedCalls{},
+		uncommittedKeys:    map[string]keyOffsets{},
+		followers:          map[string]*follower{},
+		uncommittedReaders: map[string]uncommittedReader{},
+		readerProgress:     map[string]readerProgress{},
+		readerTokens:       map[string]readerToken{},
+	}
+}
+
+// Run recovers the partition and serves it until ctx ends or the leadership is lost.
+func (l *Leader) Run(ctx context.Context) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	l.mu.Lock()
+	l.cancel, l.ctx = cancel, ctx
+	isLost := l.stage == StageLost
+	l.mu.Unlock()
+	if isLost {
+		return
+	}
+	if err := l.recoverPartition(ctx); err != nil {
+		l.lose(err)
+		return
+	}
+	l.maintain(ctx)
+	l.lose(apierror.New(apierror.Stopped, "the leader was stopped"))
+}
+
+// Close rejects new calls; those in flight are finished.
+func (l *Leader) Close() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.stage == StageOpen {
+		l.stage = StageClosing
+	}
+}
+
+// Resign gives the leadership up; calls that wait are answered at once.
+func (l *Leader) Resign(err error) { l.lose(err) }
+
+// Done is closed once the leadership is lost.
+func (l *Leader) Done() <-chan struct{} { return l.lost }
+
+func (l *Leader) lose(err error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.stage == StageLost {
+		return
+	}
+	l.stage, l.lostCause = StageLost, err
+	close(l.lost)
+	if l.cancel != nil {
+		l.cancel()
+	}
+	l.options.Observer.LeadershipLost(l.Record.Partition, l.Record.Epoch, err)
+}
+
+// isFenced reports whether a replica rejected a request because it has seen a higher epoch.
+func isFenced(err error) bool { return apierror.HasCode(err, apierror.StaleEpoch) }
+
+func (l *Leader) errLost() error {
+	return apierror.New(apierror.NotPartitionLeader, "partition %d was lost", l.Record.Partition)
+}
+
+// target addresses a replica of the partition under the leader's epoch.
+func (l *Leader) target(to assignment.Replica) replica.Target {
+	return replica.Target{Partition: l.Record.Partition, Incarnation: to.Incarnation, Epoch: l.Record.Epoch}
+}
+
+// ownTarget addresses the replica on this node.
+func (l *Leader) ownTarget() replica.Target {
+	own, _ := l.Record.Replica(l.options.Self)
+	return l.target(own)
+}
+
+// address returns the address of a node, or an error if it is no member.
+func (l *Leader) address(node string) (string, error) {
+	address, ok := l.options.Addr(node)
+	if !ok {
+		return "", apierror.New(apierror.Unreachable, "%s is not a member", node)
+	}
+	return address, nil
+}
+
+func (l *Leader) observeDecision(what string, begun time.Time) {
+	if l.options.OnDecision != nil {
+		l.options.OnDecision(l.Record.Partition, l.Record.Epoch, what, begun)
+	}
+}
--- /dev/null
+++ b/internal/partitionlog/leader/leadership.go
@@ -0,0 +1,111 @@
+package leader
+
+import (
+	"context"
+
+	"postjunction/internal/apierror"
+	"postjunction/internal/partitionlog/log"
+	"postjunction/internal/partitionlog/replica"
+	"postjunction/internal/placement/assignment"
+	"postjunction/internal/quorum"
+)
+
+// leadershipCheck is one question to a majority, shared by all calls that came before it began.
+type leadershipCheck struct {
+	done chan struct{}
+	err  error
+}
+
+// checkLeadership returns nil once a majority of the replicas, asked after the call began, accepted
+// the leader's epoch: whatever was decided before the call was decided while no other leader could
+// decide. Calls that wait share a check.
+func (l *Leader) checkLeadership(ctx context.Context) error {
+	l.mu.Lock()
+	check := l.nextCheck
+	if check == nil {
+		check = &leadershipCheck{done: make(chan struct{})}
+		l.nextCheck = check
+		if !l.checking {
+			l.checking = true
+			go l.runLeadershipChecks()
+		}
+	}
+	l.mu.Unlock()
+	select {
+	case <-check.done:
+		return check.err
+	case <-ctx.Done():
+		return apierror.WithCause(apierror.NotPartitionLeader, ctx.Err(),
+			"no majority confirmed epoch %d of partition %d in time", l.Record.Epoch, l.Record.Partition)
+	case <-l.lost:
+		return l.errLost()
+	}
+}
+
+// runLeadershipChecks runs checks one after another until no call waits for one.
+func (l *Leader) runLeadershipChecks() {
+	for {
+		l.mu.Lock()
+		check := l.nextCheck
+		l.nextCheck = nil
+		if check == nil {
+			l.checking = false
+			l.mu.Unlock()
+			return
+		}
+		l.counters.QuorumChecks++
+		ctx := l.ctx
+		l.mu.Unlock()
+		check.err = l.confirmEpoch(ctx)
+		close(check.done)
+	}
+}
+
+// confirmEpoch asks the replicas to accept the epoch; one that has seen a higher epoch ends the
+// leadership.
+func (l *Leader) confirmEpoch(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, l.options.Timing.CallTimeout())
+	defer cancel()
+	isMajority := func(results []quorum.Result[assignment.Replica, bool]) bool {
+		return len(quorum.Successes(results)) >= l.Record.Majority()
+	}
+	results := quorum.Gather(ctx, l.Record.Replicas, l.confirmEpochAt, isMajority)
+	for _, result := range results {
+		if isFenced(result.Err) {
+			l.lose(result.Err)
+		}
+	}
+	if confirmed := len(quorum.Successes(results)); confirmed < l.Record.Majority() {
+		return apierror.WithCause(apierror.NotPartitionLeader, quorum.FirstError(results),
+			"%d of %d replicas confirmed epoch %d of partition %d",
+			confirmed, len(l.Record.Replicas), l.Record.Epoch, l.Record.Partition)
+	}
+	return nil
+}
+
+func (l *Leader) confirmEpochAt(ctx context.Context, to assignment.Replica) (bool, error) {
+	if to.Node == l.options.Self {
+		return true, l.options.Replica.CheckEpoch(l.target(to))
+	}
+	address, err := l.address(to.Node)
+	if err != nil {
+		return false, err
+	}
+	request := &replica.AppendRequest{Target: l.target(to), Kind: log.KindLedger, Urgent: l.Urgent}
+	_, err = replica.Append.Call(ctx, l.options.Net, l.options.Self, address, request)
+	return err == nil, err
+}
+
+// confirmCommitted waits until the ledger is committed up to an offset that an answer rests on, and
+// confirms then that no other leader can have decided since.
+func (l *Leader) confirmCommitted(ctx context.Context, offset uint64) error {
+	if err := l.awaitCommit(ctx, log.KindLedger, offset); err != nil {
+		return l.errBasisUncommitted(offset)
+	}
+	return l.checkLeadership(ctx)
+}
+
+func (l *Leader) errBasisUncommitted(offset uint64) error {
+	return apierror.New(apierror.NotPartitionLeader,
+		"an answer of partition %d rests on offset %d, which is not on a majority", l.Record.Partition, offset)
+}
--- a/internal/partitionlog/leader/learner.go
+++ b/internal/partitionlog/leader/learner.go
@@ -8,59 +8,61 @@
 	"postjunction/internal/placement/assignment"
 )
 
-// Update takes news of the record under the same epoch: a learner to bring up.
-func (o *Leader) Update(ctx context.Context, r assignment.Record) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.stage != StageOpen || r.Epoch != o.Record.Epoch {
+// promoteChecksPerBackoff is how often within the longest backoff a learner's progress is checked.
+const promoteChecksPerBackoff = 8
+
+// Update takes a newer record of the same epoch, which may name a learner to bring up to date.
+func (l *Leader) Update(ctx context.Context, r assignment.Record) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.stage != StageOpen || r.Epoch != l.Record.Epoch {
 		return
 	}
-	var l assignment.Replica
+	var learner assignment.Replica
 	if r.Learner != nil {
-		l = *r.Learner
+		learner = *r.Learner
 	}
-	if l == o.learner {
+	if learner == l.learner {
 		return
 	}
-	if o.leave != nil {
-		o.leave()
-		o.leave = nil
+	if l.stopLearner != nil {
+		l.stopLearner()
+		l.stopLearner = nil
 	}
-	o.learner = l
-	if l.Node == "" {
+	l.learner = learner
+	if learner.Node == "" {
 		return
 	}
-	cx, stop := context.WithCancel(o.ctx)
-	o.leave = stop
-	for _, k := range log.Kinds {
-		delete(o.tracks[k].match, l.Incarnation)
-		go o.replicate(cx, o.tracks[k], l, replica.Tail{}, false)
+	learnerCtx, stop := context.WithCancel(l.ctx)
+	l.stopLearner = stop
+	for _, kind := range log.Kinds {
+		delete(l.logs[kind].match, learner.Incarnation)
+		go l.replicate(learnerCtx, l.logs[kind], learner, replica.Tail{}, false)
 	}
-	go o.raise(cx, l)
+	go l.promoteWhenCaughtUp(learnerCtx, learner)
 }
 
-// caughtUp tells whether a learner holds all that is committed, and all that a lost disk of the same machine was known to hold: it takes that one's place.
-func (t *track) caughtUp(r assignment.Record, l assignment.Replica) bool {
-	m := t.match[l.Incarnation]
-	old, _ := r.Replica(l.Node)
-	return m > 0 && m >= t.commit && m >= t.match[old.Incarnation]
+// isCaughtUp reports whether a learner holds all that is committed, and all that a lost disk of the
+// same machine, whose place it takes, was known to hold.
+func (p *logProgress) isCaughtUp(r assignment.Record, learner assignment.Replica) bool {
+	match := p.match[learner.Incarnation]
+	replaced, _ := r.Replica(learner.Node)
+	return match > 0 && match >= p.commit && match >= p.match[replaced.Incarnation]
 }
 
-func (o *Leader) raise(ctx context.Context, l assignment.Replica) {
-	for o.d.Clock.Sleep(ctx, o.d.Timing.MaxBackoff()/raiseShare) == nil {
-		o.mu.Lock()
-		up := true
-		for _, t := range o.tracks {
-			up = up && t.caughtUp(o.Record, l)
+// promoteWhenCaughtUp proposes the learner as a replica whenever it is caught up, until ctx ends.
+func (l *Leader) promoteWhenCaughtUp(ctx context.Context, learner assignment.Replica) {
+	for l.options.Clock.Sleep(ctx, l.options.Timing.MaxBackoff()/promoteChecksPerBackoff) == nil {
+		l.mu.Lock()
+		caughtUp := true
+		for _, progress := range l.logs {
+			caughtUp = caughtUp && progress.isCaughtUp(l.Record, learner)
 		}
-		rec := o.Record
-		o.mu.Unlock()
-		if up {
-			o.d.OnPromote(ctx, rec, l)
-			_ = o.d.Clock.Sleep(ctx, o.d.Timing.ReconcileInterval())
+		record := l.Record
+		l.mu.Unlock()
+		if caughtUp {
+			l.options.OnPromote(ctx, record, learner)
+			_ = l.options.Clock.Sleep(ctx, l.options.Timing.ReconcileInterval())
 		}
 	}
 }
-
-// raiseShare makes the pace at which a learner is looked at.
-const raiseShare = 8
--- /dev/null
+++ b/internal/partitionlog/leader/progress.go
@@ -0,0 +1,170 @@
+package leader
+
+import (
+	"context"
+	"slices"
+
+	"postjunction/internal/apierror"
+	"postjunction/internal/partitionlog/log"
+	"postjunction/internal/partitionlog/replica"
+	"postjunction/internal/placement/assignment"
+)
+
+// Bounds of one append request.
+const (
+	maxBatchEntries = 256
+	maxBatchBytes   = 512 << 10
+)
+
+// logProgress is how far one log of the partition is written, replicated and committed. The
+// leader's lock guards it; the log itself has a lock of its own.
+type logProgress struct {
+	kind log.Kind
+	log  *log.Log
+	// pending are the entries behind durable, the last offset on the own disk; last is the position
+	// of the last one.
+	pending []log.Entry
+	last    log.Position
+	durable uint64
+	// match is how far each other disk is known to hold the log, by its incarnation: a machine's
+	// new disk counts for nothing where the record names its lost one.
+	match  map[string]uint64
+	commit uint64
+	// committed and appended are closed and replaced when commit moved, or entries were appended.
+	committed chan struct{}
+	appended  chan struct{}
+}
+
+func newLogProgress(kind log.Kind, own *log.Log) *logProgress {
+	last := own.Last()
+	return &logProgress{
+		kind:      kind,
+		log:       own,
+		last:      last,
+		durable:   last.Offset,
+		match:     map[string]uint64{},
+		committed: make(chan struct{}),
+		appended:  make(chan struct{}),
+	}
+}
+
+// appendEntry appends an entry under the next offset and returns it as it will be written.
+func (p *logProgress) appendEntry(entry log.Entry, epoch uint64) log.Entry {
+	entry.Offset, entry.Epoch = p.last.Offset+1, epoch
+	if entry.Digest == "" {
+		entry.Digest = log.Digest(entry.Body)
+	}
+	entry.Chain = log.NextChain(p.last.Chain, entry)
+	p.pending = append(p.pending, entry)
+	p.last = entry.Position()
+	close(p.appended)
+	p.appended = make(chan struct{})
+	return entry
+}
+
+// position returns the position of an entry, pending or on the own disk.
+func (p *logProgress) position(offset uint64) (log.Position, bool) {
+	if i := int(offset) - int(p.durable) - 1; i >= 0 && i < len(p.pending) {
+		return p.pending[i].Position(), true
+	}
+	return p.log.Position(offset)
+}
+
+// entriesAfter returns entries after an offset, first those on the own disk, as many as one append
+// request may hold.
+func (p *logProgress) entriesAfter(offset uint64) []log.Entry {
+	entries := p.log.Slice(offset+1, p.durable, maxBatchEntries, maxBatchBytes)
+	if offset+uint64(len(entries)) < p.durable || len(entries) == maxBatchEntries {
+		return entries
+	}
+	skip := 0
+	if offset > p.durable {
+		skip = int(offset - p.durable)
+	}
+	if skip < len(p.pending) {
+		rest := p.pending[skip:]
+		entries = append(entries, rest[:min(len(rest), maxBatchEntries)]...)
+	}
+	return entries
+}
+
+// advanceCommit commits what a majority of the record's replicas holds, if its last entry is of the
+// record's epoch, and reports whether that moved the commit.
+func (p *logProgress) advanceCommit(r assignment.Record, self string) bool {
+	var offsets []uint64
+	for _, to := range r.Replicas {
+		if to.Node == self {
+			offsets = append(offsets, p.durable)
+		} else {
+			offsets = append(offsets, p.match[to.Incarnation])
+		}
+	}
+	slices.Sort(offsets)
+	slices.Reverse(offsets)
+	offset := offsets[r.Majority()-1]
+	if position, ok := p.position(offset); offset <= p.commit || !ok || position.Epoch != r.Epoch {
+		return false
+	}
+	p.commit = offset
+	p.log.SetCommit(offset)
+	close(p.committed)
+	p.committed = make(chan struct{})
+	return true
+}
+
+// writeLocally writes a log's pending entries to the own disk and trims it there, until ctx ends or
+// the own replica rejects that, which ends the leadership. While the disk is full it only trims.
+func (l *Leader) writeLocally(ctx context.Context, progress *logProgress) {
+	diskFull := false
+	for ctx.Err() == nil {
+		l.mu.Lock()
+		after, _ := progress.position(progress.durable)
+		entries := append([]log.Entry(nil), progress.pending[:min(len(progress.pending), maxBatchEntries)]...)
+		appended := progress.appended
+		base := l.trimTo[progress.kind]
+		l.mu.Unlock()
+		trims := base.Offset > progress.log.Base().Offset
+		if diskFull && trims {
+			entries = nil
+		}
+		if len(entries) == 0 && !trims {
+			select {
+			case <-appended:
+			case <-l.trimRequests[progress.kind]:
+			case <-ctx.Done():
+			}
+			continue
+		}
+		err := l.appendLocally(ctx, &replica.AppendRequest{
+			Target: l.ownTarget(), Kind: progress.kind, After: after, Entries: entries, Base: base, Urgent: l.Urgent,
+		})
+		if isFenced(err) || apierror.HasCode(err, apierror.LogMismatch) {
+			l.lose(err)
+			return
+		}
+		if err != nil {
+			l.options.Observer.DiskFailed(l.Record.Partition, err)
+			diskFull = apierror.HasCode(err, apierror.DiskFull)
+			_ = l.options.Clock.Sleep(ctx, l.options.Timing.MaxBackoff())
+			continue
+		}
+		diskFull = false
+		l.mu.Lock()
+		progress.pending = progress.pending[len(entries):]
+		progress.durable += uint64(len(entries))
+		l.advanceCommit(progress)
+		l.mu.Unlock()
+	}
+}
+
+// appendLocally appends to the own replica; LogMismatch if the own log doesn't end where it should.
+func (l *Leader) appendLocally(ctx context.Context, request *replica.AppendRequest) error {
+	response, err := l.options.Replica.Append(ctx, request)
+	if err != nil {
+		return err
+	}
+	if !response.Matched {
+		return apierror.New(apierror.LogMismatch, "the own line ends at %d", response.Tail.Last.Offset)
+	}
+	return nil
+}
--- a/internal/partitionlog/leader/read.go
+++ b/internal/partitionlog/leader/read.go
@@ -2,160 +2,123 @@
 
 import (
 	"context"
-	"time"
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/samza/state"
 )
 
-// ReadRequest asks for committed entries after an offset, waiting for news up to Hold. From ^0 asks only where the committed ledger ends.
-// Marks says that the node minds withdrawals as the reader Node under Boot, which has forgotten all that is withdrawn up to From, unless
-// it reads Beside. Done says that the reader under this boot holds nothing any more and reads no further. Turn is what an earlier answer gave: nobody
-// becomes a reader without it, as a task may come late from a run that is over.
-type ReadRequest struct {
-	Partition        int           `json:"p"`
-	From             uint64        `json:"f"`
-	Hold             time.Duration `json:"h"`
-	Node             string        `json:"n,omitempty"`
-	BootID           string        `json:"b,omitempty"`
-	TracksTombstones bool          `json:"m,omitempty"`
-	Beside           bool          `json:"s,omitempty"`
-	Finished         bool          `json:"d,omitempty"`
-	ReaderToken      uint64        `json:"u,omitempty"`
-}
-
-// ReadResponse is a part of the committed ledger: entries after From, up to To. What was withdrawn is left out of its entry, and so is what stands under
-// a key where the task has no Marks. Clean is that of Told.
-type ReadResponse struct {
-	Base        uint64      `json:"base"`
-	To          uint64      `json:"to"`
-	Epoch       uint64      `json:"epoch"`
-	MustReset   bool        `json:"c,omitempty"`
-	ReaderToken uint64      `json:"u,omitempty"`
-	Entries     []log.Entry `json:"n,omitempty"`
-}
-
 const (
-	readMost  = 512
-	readBytes = 1 << 20
+	maxReadEntries = 512
+	maxReadBytes   = 1 << 20
 )
 
-// turn is the number that a reader's run has to tell, of the run that asked last. Over says that this run reads no further.
-type turn struct {
-	boot string
-	n    uint64
-	over bool
-}
-
-// turnsOf keeps numbers of one epoch apart from those of others, as a task may come late from a run that another owner gave a number.
-const turnsOf = 1 << 20
-
-// turned gives the number that a run has to tell and whether it did: then it was there after all other runs of the node that were heard here.
-func (o *Leader) turned(node, boot string, told uint64) (uint64, bool) {
-	t := o.turns[node]
-	if t.boot != boot {
-		o.turn = max(o.turn, o.Record.Epoch*turnsOf) + 1
-		t = turn{boot: boot, n: o.turn}
-		o.turns[node] = t
-	}
-	return t.n, t.n == told && !t.over
-}
-
-// Read answers a ReadRequest.
-func (o *Leader) Read(ctx context.Context, q *ReadRequest) (*ReadResponse, error) {
-	if q.Finished {
-		return o.readOver(ctx, q)
+// Read returns committed entries as the request asks. It returns NotReady unless the leader is open
+// or closing, Unreachable when ctx ends, and NotPartitionLeader when the leadership is lost.
+func (l *Leader) Read(ctx context.Context, request *ReadRequest) (*ReadResponse, error) {
+	if request.Finished {
+		return l.finishReader(ctx, request)
 	}
-	cx, stop := context.WithTimeout(ctx, q.Hold)
+	holdCtx, stop := context.WithTimeout(ctx, request.Hold)
 	defer stop()
 	for {
-		o.mu.Lock()
-		if err := o.following(); err != nil {
-			o.mu.Unlock()
+		l.mu.Lock()
+		if err := l.checkReadable(); err != nil {
+			l.mu.Unlock()
 			return nil, err
 		}
-		moved := o.tracks[log.KindLedger].moved
-		r, wait := o.reading(q)
-		o.mu.Unlock()
-		if q.From == ^uint64(0) {
-			return r, o.assure(ctx)
+		committed := l.logs[log.KindLedger].committed
+		response, isEmpty := l.tryRead(request)
+		l.mu.Unlock()
+		if request.From == endOfLedger {
+			return response, l.checkLeadership(ctx)
 		}
-		if !wait {
-			return r, nil
+		if !isEmpty {
+			return response, nil
 		}
 		select {
-		case <-moved:
-		case <-o.lost:
-			return nil, apierror.New(apierror.NotPartitionLeader, "partition %d was lost", o.Record.Partition)
-		case <-cx.Done():
+		case <-committed:
+		case <-l.lost:
+			return nil, l.errLost()
+		case <-holdCtx.Done():
 			if ctx.Err() != nil {
-				return nil, apierror.WithCause(apierror.Unreachable, ctx.Err(), "reading partition %d", o.Record.Partition)
+				return nil, apierror.WithCause(apierror.Unreachable, ctx.Err(), "reading partition %d", l.Record.Partition)
 			}
-			return r, nil
+			return response, nil
 		}
 	}
 }
 
-// reading gives the answer of now, and whether news are worth waiting for.
-func (o *Leader) reading(q *ReadRequest) (*ReadResponse, bool) {
-	t := o.tracks[log.KindLedger]
-	r := &ReadResponse{Base: t.line.Base().Offset, To: t.commit, Epoch: o.Record.Epoch}
-	reads, turned := false, true
-	if q.TracksTombstones {
-		reads, r.MustReset = o.reads(q.Node, q.BootID)
-		r.ReaderToken, turned = o.turned(q.Node, q.BootID, q.ReaderToken)
+// tryRead returns the response of now, and whether it is worth waiting for entries. The lock is
+// held.
+func (l *Leader) tryRead(request *ReadRequest) (response *ReadResponse, isEmpty bool) {
+	ledger := l.logs[log.KindLedger]
+	response = &ReadResponse{Base: ledger.log.Base().Offset, To: ledger.commit, Epoch: l.Record.Epoch}
+	isReader, isTokenValid := false, true
+	if request.TracksTombstones {
+		isReader, response.MustReset = l.readerStatus(request.Node, request.BootID)
+		response.ReaderToken, isTokenValid = l.readerTokenOf(request.Node, request.BootID, request.ReaderToken)
 	}
-	if q.From == ^uint64(0) || r.MustReset {
-		return r, false
+	if request.From == endOfLedger || response.MustReset {
+		return response, false
 	}
-	r.To = max(q.From, r.Base)
-	if !turned {
-		return r, false
+	response.To = max(request.From, response.Base)
+	if !isTokenValid {
+		return response, false
 	}
-	if q.TracksTombstones {
-		if !q.Beside {
-			o.hear(q.Node, q.BootID, q.From)
+	if request.TracksTombstones {
+		if !request.Beside {
+			l.noteRead(request.Node, request.BootID, request.From)
 		}
-		o.meet(q.Node, q.BootID)
+		l.replaceReader(request.Node, request.BootID)
 	}
-	es := t.line.Slice(q.From+1, t.commit, readMost, readBytes)
-	if len(es) == 0 {
-		es = t.after(q.From)
+	l.readEntries(response, request, isReader)
+	return response, len(response.Entries) == 0
+}
+
+// readEntries adds entries to a response. It stops before a message with a key if the node is no
+// reader yet, and makes it one. The lock is held.
+func (l *Leader) readEntries(response *ReadResponse, request *ReadRequest, isReader bool) {
+	ledger := l.logs[log.KindLedger]
+	entries := ledger.log.Slice(request.From+1, ledger.commit, maxReadEntries, maxReadBytes)
+	if len(entries) == 0 {
+		entries = ledger.entriesAfter(request.From)
 	}
-	for _, e := range es {
-		if e.Offset > t.commit {
-			break
+	for _, entry := range entries {
+		if entry.Offset > ledger.commit {
+			return
 		}
-		if e.Key != "" && e.Type == log.TypeMessage && !e.BodyDropped {
-			if !q.TracksTombstones || o.st.Covers(e) {
-				e.Body, e.Digest, e.BodyDropped = nil, "", true
-			} else if !reads {
-				o.enlist(q.Node, q.BootID)
-				break
+		if entry.Key != "" && entry.Type == log.TypeMessage && !entry.BodyDropped {
+			if !request.TracksTombstones || l.state.Covers(entry) {
+				entry.Body, entry.Digest, entry.BodyDropped = nil, "", true
+			} else if !isReader {
+				l.addReader(request.Node, request.BootID)
+				return
 			}
 		}
-		r.Entries, r.To = append(r.Entries, e), e.Offset
+		response.Entries, response.To = append(response.Entries, entry), entry.Offset
 	}
-	return r, len(r.Entries) == 0
 }
 
-// readOver has a reader that holds nothing any more be gone, once that is on a majority.
-func (o *Leader) readOver(ctx context.Context, q *ReadRequest) (*ReadResponse, error) {
-	o.mu.Lock()
-	if err := o.following(); err != nil {
-		o.mu.Unlock()
+// finishReader removes a reader that has forgotten all, and answers once that is committed.
+func (l *Leader) finishReader(ctx context.Context, request *ReadRequest) (*ReadResponse, error) {
+	l.mu.Lock()
+	if err := l.checkReadable(); err != nil {
+		l.mu.Unlock()
 		return nil, err
 	}
-	o.dismiss(q.Node, q.BootID)
-	if r := o.st.Readers[q.Node]; r.GivenUp && r.BootID == q.BootID && o.entered[q.Node].at == 0 {
-		o.enter(q.Node, state.ReaderEntry{BootID: q.BootID, Gone: true})
+	node, bootID := request.Node, request.BootID
+	l.removeReader(node, bootID)
+	reader := l.state.Readers[node]
+	if reader.GivenUp && reader.BootID == bootID && l.uncommittedReaders[node].offset == 0 {
+		l.writeReader(node, state.ReaderEntry{BootID: bootID, Gone: true})
 	}
-	at := o.entered[q.Node].at
-	r := &ReadResponse{Base: o.tracks[log.KindLedger].line.Base().Offset, To: o.tracks[log.KindLedger].commit, Epoch: o.Record.Epoch}
-	o.mu.Unlock()
-	if err := o.await(ctx, log.KindLedger, at); err != nil {
+	offset := l.uncommittedReaders[node].offset
+	ledger := l.logs[log.KindLedger]
+	response := &ReadResponse{Base: ledger.log.Base().Offset, To: ledger.commit, Epoch: l.Record.Epoch}
+	l.mu.Unlock()
+	if err := l.awaitCommit(ctx, log.KindLedger, offset); err != nil {
 		return nil, err
 	}
-	return r, o.assure(ctx)
+	return response, l.checkLeadership(ctx)
 }
--- a/internal/partitionlog/leader/read_test.go
+++ b/internal/partitionlog/leader/read_test.go
@@ -14,229 +14,229 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-// feed is a reader of the whole partition.
-type feed struct {
+// partitionReader is a reader of the whole partition.
+type partitionReader struct {
 	*rig
-	boot string
-	mu   sync.Mutex
-	turn uint64
+	bootID string
+	mu     sync.Mutex
+	token  uint64
 }
 
-func (f *feed) asks(q ReadRequest) chan *ReadResponse {
+func (f *partitionReader) ask(request ReadRequest) chan *ReadResponse {
 	f.mu.Lock()
-	q.Node, q.BootID, q.ReaderToken, q.TracksTombstones, q.Hold = "a1/streams", f.boot, f.turn, true, f.d.Timing.LongPoll()
+	request.Node, request.BootID, request.ReaderToken, request.TracksTombstones, request.Hold = "a1/streams", f.bootID, f.token, true, f.options.Timing.LongPoll()
 	f.mu.Unlock()
-	c := make(chan *ReadResponse, 1)
+	responses := make(chan *ReadResponse, 1)
 	go func() {
-		r, err := f.Leader.Read(f.t.Context(), &q)
+		response, err := f.Leader.Read(f.t.Context(), &request)
 		assert.Check(f.t, err == nil || f.t.Context().Err() != nil, "%v", err)
-		if r != nil && r.ReaderToken > 0 {
+		if response != nil && response.ReaderToken > 0 {
 			f.mu.Lock()
-			f.turn = r.ReaderToken
+			f.token = response.ReaderToken
 			f.mu.Unlock()
 		}
-		c <- r
+		responses <- response
 	}()
 	synctest.Wait()
-	return c
+	return responses
 }
 
-func shown(es []log.Entry) string {
-	var s []string
-	for _, e := range es {
-		if e.Type == log.TypeMessage {
-			s = append(s, fmt.Sprintf("%d%s%s", e.Offset, e.Body, map[bool]string{true: "-"}[e.BodyDropped]))
+func describe(entries []log.Entry) string {
+	var described []string
+	for _, entry := range entries {
+		if entry.Type == log.TypeMessage {
+			described = append(described, fmt.Sprintf("%d%s%s", entry.Offset, entry.Body, map[bool]string{true: "-"}[entry.BodyDropped]))
 		} else {
-			s = append(s, fmt.Sprintf("%d%s", e.Offset, e.Type))
+			described = append(described, fmt.Sprintf("%d%s", entry.Offset, entry.Type))
 		}
 	}
-	return strings.Join(s, " ")
+	return strings.Join(described, " ")
 }
 
-// opens has the reader told its turn.
-func (f *feed) opens() *feed {
+// obtainToken has the reader get its token.
+func (f *partitionReader) obtainToken() *partitionReader {
 	f.t.Helper()
-	r := <-f.asks(ReadRequest{From: ^uint64(0)})
-	assert.Equal(f.t, r.ReaderToken, f.turn)
-	assert.Assert(f.t, f.turn > 0)
+	response := <-f.ask(ReadRequest{From: ^uint64(0)})
+	assert.Equal(f.t, response.ReaderToken, f.token)
+	assert.Assert(f.t, f.token > 0)
 	return f
 }
 
-// begins makes the reader one that was given keys.
-func (f *feed) begins(from uint64) *feed {
+// start makes the reader one that was given messages with keys.
+func (f *partitionReader) start(from uint64) *partitionReader {
 	f.t.Helper()
-	f.opens()
-	c := f.asks(ReadRequest{From: from})
-	f.lands()
-	assert.Assert(f.t, len((<-c).Entries) > 0)
-	assert.Equal(f.t, f.st.Readers["a1/streams"].BootID, f.boot)
+	f.obtainToken()
+	responses := f.ask(ReadRequest{From: from})
+	f.commitAll()
+	assert.Assert(f.t, len((<-responses).Entries) > 0)
+	assert.Equal(f.t, f.state.Readers["a1/streams"].BootID, f.bootID)
 	return f
 }
 
-func (f *feed) left(at uint64) []string {
+func (f *partitionReader) pendingAt(offset uint64) []string {
 	f.t.Helper()
-	u, err := f.forgotten(at)
+	pending, err := f.pendingReadersAt(offset)
 	assert.NilError(f.t, err)
-	return u.Nodes
+	return pending.Nodes
 }
 
-var reads = map[string]func(t *testing.T, r *rig){
-	"what is withdrawn is left out, and offsets go on without a gap": func(t *testing.T, r *rig) {
-		r.takes(says("v", 1, "t", "k"), says("v", 2, "t", "l"), says("v", 3, "t", ""))
-		f := (&feed{rig: r, boot: "b.1"}).begins(0)
-		r.takes(withdraws("v", 4, "t", "k"))
-		r.takes(says("v", 5, "t", "k"))
-		assert.Equal(t, shown((<-f.asks(ReadRequest{From: 0})).Entries), "1- 2b 3b 4reader 5withdraw 6b")
+var readTests = map[string]func(t *testing.T, r *rig){
+	"withdrawn bodies are left out, and offsets have no gap": func(t *testing.T, r *rig) {
+		r.submitAccepted(message("v", 1, "t", "k"), message("v", 2, "t", "l"), message("v", 3, "t", ""))
+		reader := (&partitionReader{rig: r, bootID: "b.1"}).start(0)
+		r.submitAccepted(withdrawal("v", 4, "t", "k"))
+		r.submitAccepted(message("v", 5, "t", "k"))
+		assert.Equal(t, describe((<-reader.ask(ReadRequest{From: 0})).Entries), "1- 2b 3b 4reader 5withdraw 6b")
 	},
-	"a node that does not mind withdrawals is given nothing with a key": func(t *testing.T, r *rig) {
-		r.takes(says("v", 1, "t", "k"), says("v", 2, "t", ""))
-		a, err := r.Leader.Read(t.Context(), &ReadRequest{})
+	"a node that tracks no tombstones is given nothing with a key": func(t *testing.T, r *rig) {
+		r.submitAccepted(message("v", 1, "t", "k"), message("v", 2, "t", ""))
+		response, err := r.Leader.Read(t.Context(), &ReadRequest{})
 		assert.NilError(t, err)
-		assert.Equal(t, shown(a.Entries), "1- 2b")
-		assert.Equal(t, len(r.st.Readers), 0)
+		assert.Equal(t, describe(response.Entries), "1- 2b")
+		assert.Equal(t, len(r.state.Readers), 0)
 	},
-	"it is on a majority that a node reads before it is given a key": func(t *testing.T, r *rig) {
-		r.takes(says("v", 1, "t", ""), says("v", 2, "t", "k"))
-		f := (&feed{rig: r, boot: "b.1"}).opens()
-		a := <-f.asks(ReadRequest{From: 0})
-		assert.Equal(t, shown(a.Entries), "1b")
-		assert.Equal(t, a.To, uint64(1))
-		c := f.asks(ReadRequest{From: 1})
-		assert.Equal(t, len(c), 0)
-		r.lands()
-		assert.Equal(t, shown((<-c).Entries), "2b 3reader")
-		assert.Equal(t, r.tracks[log.KindLedger].last.Offset, uint64(3))
+	"it is committed that a node is a reader before it is given a key": func(t *testing.T, r *rig) {
+		r.submitAccepted(message("v", 1, "t", ""), message("v", 2, "t", "k"))
+		reader := (&partitionReader{rig: r, bootID: "b.1"}).obtainToken()
+		response := <-reader.ask(ReadRequest{From: 0})
+		assert.Equal(t, describe(response.Entries), "1b")
+		assert.Equal(t, response.To, uint64(1))
+		responses := reader.ask(ReadRequest{From: 1})
+		assert.Equal(t, len(responses), 0)
+		r.commitAll()
+		assert.Equal(t, describe((<-responses).Entries), "2b 3reader")
+		assert.Equal(t, r.logs[log.KindLedger].last.Offset, uint64(3))
 	},
-	"the run of a feed says by its place what it forgot, what it reads beside does not": func(t *testing.T, r *rig) {
-		r.takes(says("v", 1, "t", "k"))
-		f := (&feed{rig: r, boot: "b.1"}).begins(0)
-		at := r.takes(withdraws("v", 2, "t", "k"))
-		assert.DeepEqual(t, f.left(at), []string{"a1/streams"})
-		f.asks(ReadRequest{From: at, Beside: true})
-		f.asks(ReadRequest{From: ^uint64(0)})
-		f.asks(ReadRequest{From: at - 1})
-		assert.DeepEqual(t, f.left(at), []string{"a1/streams"})
-		f.asks(ReadRequest{From: at})
-		assert.Equal(t, len(f.left(at)), 0)
+	"a reader says by its offset what it forgot, what it reads beside does not": func(t *testing.T, r *rig) {
+		r.submitAccepted(message("v", 1, "t", "k"))
+		reader := (&partitionReader{rig: r, bootID: "b.1"}).start(0)
+		offset := r.submitAccepted(withdrawal("v", 2, "t", "k"))
+		assert.DeepEqual(t, reader.pendingAt(offset), []string{"a1/streams"})
+		reader.ask(ReadRequest{From: offset, Beside: true})
+		reader.ask(ReadRequest{From: ^uint64(0)})
+		reader.ask(ReadRequest{From: offset - 1})
+		assert.DeepEqual(t, reader.pendingAt(offset), []string{"a1/streams"})
+		reader.ask(ReadRequest{From: offset})
+		assert.Equal(t, len(reader.pendingAt(offset)), 0)
 	},
 	"a withdrawal comes at once": func(t *testing.T, r *rig) {
-		r.takes(says("v", 1, "t", "k"))
-		f := (&feed{rig: r, boot: "b.1"}).begins(0)
-		c, begun := f.asks(ReadRequest{From: 2}), time.Now()
-		r.takes(withdraws("v", 2, "t", "k"))
-		assert.Equal(t, shown((<-c).Entries), "3withdraw")
+		r.submitAccepted(message("v", 1, "t", "k"))
+		reader := (&partitionReader{rig: r, bootID: "b.1"}).start(0)
+		responses, begun := reader.ask(ReadRequest{From: 2}), time.Now()
+		r.submitAccepted(withdrawal("v", 2, "t", "k"))
+		assert.Equal(t, describe((<-responses).Entries), "3withdraw")
 		assert.Equal(t, time.Since(begun), time.Duration(0))
 	},
-	"a question that comes late, from a run that is over, makes nobody a reader": func(t *testing.T, r *rig) {
-		r.takes(says("v", 1, "t", "k"))
-		old := (&feed{rig: r, boot: "b.1"}).begins(0)
-		now := (&feed{rig: r, boot: "b.2"}).begins(0)
-		stranger := &feed{rig: r, boot: "gone.1"}
-		for _, f := range []*feed{old, stranger} {
-			a := <-f.asks(ReadRequest{From: 0})
-			assert.Equal(t, len(a.Entries), 0)
-			r.lands()
-			assert.Equal(t, r.st.Readers["a1/streams"].BootID, "b.2")
+	"a late request of an earlier run makes no reader": func(t *testing.T, r *rig) {
+		r.submitAccepted(message("v", 1, "t", "k"))
+		old := (&partitionReader{rig: r, bootID: "b.1"}).start(0)
+		current := (&partitionReader{rig: r, bootID: "b.2"}).start(0)
+		stranger := &partitionReader{rig: r, bootID: "gone.1"}
+		for _, reader := range []*partitionReader{old, stranger} {
+			response := <-reader.ask(ReadRequest{From: 0})
+			assert.Equal(t, len(response.Entries), 0)
+			r.commitAll()
+			assert.Equal(t, r.state.Readers["a1/streams"].BootID, "b.2")
 		}
-		assert.Equal(t, len((<-now.asks(ReadRequest{From: 0})).Entries), 0, "the turn is another's meanwhile")
-		assert.Equal(t, shown((<-now.asks(ReadRequest{From: 0})).Entries), "1b 2reader 3reader")
+		assert.Equal(t, len((<-current.ask(ReadRequest{From: 0})).Entries), 0, "another run has the token meanwhile")
+		assert.Equal(t, describe((<-current.ask(ReadRequest{From: 0})).Entries), "1b 2reader 3reader")
 	},
-	"a reader that let go of all is gone once that is on a majority, and its late questions bring it not back": func(t *testing.T, r *rig) {
-		r.takes(says("v", 1, "t", "k"))
-		f := (&feed{rig: r, boot: "b.1"}).begins(0)
-		c := f.asks(ReadRequest{From: ^uint64(0), Finished: true})
-		assert.Equal(t, len(c), 0)
-		r.lands()
-		<-c
-		assert.Equal(t, len(r.st.Readers), 0)
+	"a reader that finished is removed once that is committed, and its late requests do not bring it back": func(t *testing.T, r *rig) {
+		r.submitAccepted(message("v", 1, "t", "k"))
+		reader := (&partitionReader{rig: r, bootID: "b.1"}).start(0)
+		responses := reader.ask(ReadRequest{From: ^uint64(0), Finished: true})
+		assert.Equal(t, len(responses), 0)
+		r.commitAll()
+		<-responses
+		assert.Equal(t, len(r.state.Readers), 0)
 		for range 2 {
-			assert.Equal(t, len((<-f.asks(ReadRequest{From: 0})).Entries), 0)
-			r.lands()
-			assert.Equal(t, len(r.st.Readers), 0)
-			f.turn = 0
+			assert.Equal(t, len((<-reader.ask(ReadRequest{From: 0})).Entries), 0)
+			r.commitAll()
+			assert.Equal(t, len(r.state.Readers), 0)
+			reader.token = 0
 		}
-		assert.Equal(t, len(f.left(r.takes(withdraws("v", 2, "t", "k")))), 0)
+		assert.Equal(t, len(reader.pendingAt(r.submitAccepted(withdrawal("v", 2, "t", "k")))), 0)
 	},
-	"one that was not noted as a reader is done as well": func(t *testing.T, r *rig) {
-		f := &feed{rig: r, boot: "b.1"}
-		<-f.asks(ReadRequest{From: ^uint64(0), Finished: true})
-		assert.Equal(t, r.tracks[log.KindLedger].last.Offset, uint64(0))
+	"a node that is no reader can finish too": func(t *testing.T, r *rig) {
+		reader := &partitionReader{rig: r, bootID: "b.1"}
+		<-reader.ask(ReadRequest{From: ^uint64(0), Finished: true})
+		assert.Equal(t, r.logs[log.KindLedger].last.Offset, uint64(0))
 	},
-	"a run that is done does not end the one after it": func(t *testing.T, r *rig) {
-		r.takes(says("v", 1, "t", "k"))
-		old := (&feed{rig: r, boot: "b.1"}).begins(0)
-		now := (&feed{rig: r, boot: "b.2"}).begins(0)
-		<-old.asks(ReadRequest{From: ^uint64(0), Finished: true})
-		r.lands()
-		assert.Equal(t, r.st.Readers["a1/streams"].BootID, "b.2")
-		assert.Assert(t, len((<-now.asks(ReadRequest{From: 0})).Entries) > 0)
+	"a run that finished does not end the one after it": func(t *testing.T, r *rig) {
+		r.submitAccepted(message("v", 1, "t", "k"))
+		old := (&partitionReader{rig: r, bootID: "b.1"}).start(0)
+		current := (&partitionReader{rig: r, bootID: "b.2"}).start(0)
+		<-old.ask(ReadRequest{From: ^uint64(0), Finished: true})
+		r.commitAll()
+		assert.Equal(t, r.state.Readers["a1/streams"].BootID, "b.2")
+		assert.Assert(t, len((<-current.ask(ReadRequest{From: 0})).Entries) > 0)
 	},
-	"one that was given up is told so, and is one again under another boot or gone for good": func(t *testing.T, r *rig) {
-		r.takes(says("v", 1, "t", "k"))
-		f := (&feed{rig: r, boot: "b.1"}).begins(0)
-		at := r.takes(withdraws("v", 2, "t", "k"))
+	"a reader that was given up learns it, and is one again under another boot ID or removed for good": func(t *testing.T, r *rig) {
+		r.submitAccepted(message("v", 1, "t", "k"))
+		reader := (&partitionReader{rig: r, bootID: "b.1"}).start(0)
+		offset := r.submitAccepted(withdrawal("v", 2, "t", "k"))
 		delete(r.members, "a1")
-		r.abandon()
-		time.Sleep(r.patience() + time.Second)
-		r.abandon()
-		r.lands()
-		u, err := r.forgotten(at)
+		r.giveUpReaders()
+		time.Sleep(r.readerTimeout() + time.Second)
+		r.giveUpReaders()
+		r.commitAll()
+		pending, err := r.pendingReadersAt(offset)
 		assert.NilError(t, err)
-		assert.DeepEqual(t, u.GivenUp, []string{"a1/streams"})
-		for _, q := range []ReadRequest{{From: 0}, {From: at}, {From: ^uint64(0)}, {From: 0, Beside: true}} {
-			a := <-f.asks(q)
-			assert.Assert(t, a.MustReset)
-			assert.Equal(t, len(a.Entries), 0)
+		assert.DeepEqual(t, pending.GivenUp, []string{"a1/streams"})
+		for _, request := range []ReadRequest{{From: 0}, {From: offset}, {From: ^uint64(0)}, {From: 0, Beside: true}} {
+			response := <-reader.ask(request)
+			assert.Assert(t, response.MustReset)
+			assert.Equal(t, len(response.Entries), 0)
 		}
-		r.takes(says("v", 3, "t", "k"))
-		c := f.asks(ReadRequest{From: ^uint64(0), Finished: true})
-		r.lands()
-		<-c
-		assert.Equal(t, len(r.st.Readers), 0)
-		(&feed{rig: r, boot: "b.2"}).begins(at)
-		u, err = r.forgotten(0)
+		r.submitAccepted(message("v", 3, "t", "k"))
+		responses := reader.ask(ReadRequest{From: ^uint64(0), Finished: true})
+		r.commitAll()
+		<-responses
+		assert.Equal(t, len(r.state.Readers), 0)
+		(&partitionReader{rig: r, bootID: "b.2"}).start(offset)
+		pending, err = r.pendingReadersAt(0)
 		assert.NilError(t, err)
-		assert.Equal(t, len(u.GivenUp), 0)
+		assert.Equal(t, len(pending.GivenUp), 0)
 	},
-	"a node that is a member is waited for, however its streams are silent, until it is in another run": func(t *testing.T, r *rig) {
-		r.takes(says("v", 1, "t", "k"))
-		f := (&feed{rig: r, boot: "b.1"}).begins(0)
-		at := r.takes(withdraws("v", 2, "t", "k"))
-		r.runs["at-a1"] = "b"
+	"a member is waited for, however long it is silent, until it is in another run": func(t *testing.T, r *rig) {
+		r.submitAccepted(message("v", 1, "t", "k"))
+		reader := (&partitionReader{rig: r, bootID: "b.1"}).start(0)
+		offset := r.submitAccepted(withdrawal("v", 2, "t", "k"))
+		r.bootIDs["at-a1"] = "b"
 		for range 3 {
-			time.Sleep(r.patience())
-			r.abandon()
+			time.Sleep(r.readerTimeout())
+			r.giveUpReaders()
 			synctest.Wait()
-			r.lands()
+			r.commitAll()
 		}
-		assert.DeepEqual(t, f.left(at), []string{"a1/streams"})
-		r.runs["at-a1"] = "c"
-		r.abandon()
+		assert.DeepEqual(t, reader.pendingAt(offset), []string{"a1/streams"})
+		r.bootIDs["at-a1"] = "c"
+		r.giveUpReaders()
 		synctest.Wait()
-		r.lands()
-		assert.Equal(t, len(f.left(at)), 0)
+		r.commitAll()
+		assert.Equal(t, len(reader.pendingAt(offset)), 0)
 	},
 }
 
-func TestReadersOfAWholePartition(t *testing.T) {
-	for name, f := range reads {
-		t.Run(name, func(t *testing.T) { owning(t, 1, f) })
+func TestRead_WholePartition(t *testing.T) {
+	for name, script := range readTests {
+		t.Run(name, func(t *testing.T) { withLeader(t, 1, script) })
 	}
 }
 
-// An owner whose entries come on no majority gives no key to one that it can't note.
-func TestSupersededOwnerGivesStreamsNoKey(t *testing.T) {
-	owning(t, 3, func(t *testing.T, r *rig) {
-		r.submitsTo(says("v", 1, "t", "k"))
+// A leader that can't commit gives no message with a key to a node that is no reader.
+func TestRead_SupersededLeaderGivesNoKeys(t *testing.T) {
+	withLeader(t, 3, func(t *testing.T, r *rig) {
+		r.submitOnce(message("v", 1, "t", "k"))
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		q := &ReadRequest{Node: "a1/streams", BootID: "b.1", TracksTombstones: true, Hold: time.Second}
+		request := &ReadRequest{Node: "a1/streams", BootID: "b.1", TracksTombstones: true, Hold: time.Second}
 		for range 2 {
-			a, err := r.Leader.Read(ctx, q)
+			response, err := r.Leader.Read(ctx, request)
 			assert.NilError(t, err)
-			assert.Equal(t, len(a.Entries), 0)
-			q.ReaderToken = a.ReaderToken
+			assert.Equal(t, len(response.Entries), 0)
+			request.ReaderToken = response.ReaderToken
 		}
-		assert.Equal(t, len(r.st.Readers), 0)
+		assert.Equal(t, len(r.state.Readers), 0)
 	})
 }
--- /dev/null
+++ b/internal/partitionlog/leader/readers_test.go
@@ -0,0 +1,405 @@
+package leader
+
+import (
+	"context"
+	"slices"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"postjunction/internal/apierror"
+	"postjunction/internal/partitionlog/log"
+	"postjunction/internal/samza/state"
+)
+
+// A message that was withdrawn is skipped, one written anew under its key is not, and an
+// uncommitted withdrawal withdraws nothing yet.
+func TestPoll_WithdrawnMessagesAreSkipped(t *testing.T) {
+	withLeader(t, 1, func(t *testing.T, r *rig) {
+		r.submitAccepted(message("v", 1, "t", "k"), message("v", 2, "t", "other"), message("v", 1, "u", "k"))
+		r.follow("a1", "b", "t", "u")
+		r.becomeReader("a1", "b", 0)
+		go r.SubmitMany(t.Context(), []*Message{withdrawal("v", 3, "t", "k")})
+		synctest.Wait()
+		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "b", 0)), []uint64{1, 2, 3})
+		r.commitAll()
+		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "b", 0)), []uint64{2, 3, 5})
+		r.submitAccepted(message("v", 4, "t", "k"))
+		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "b", 0)), []uint64{2, 3, 5, 6})
+		response, err := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "b", BaseSequence: 1, Sequence: 2, TracksTombstones: true, After: map[string]uint64{"t": 0}})
+		assert.NilError(t, err)
+		assert.DeepEqual(t, offsets(response.Backlog), []uint64{2, 5, 6})
+		withdrawn := response.Backlog[1]
+		assert.Equal(t, [...]string{withdrawn.Type, withdrawn.Topic, withdrawn.Key, withdrawn.Client}, [...]string{log.TypeWithdrawal, "t", "k", "v"})
+	})
+}
+
+// A withdrawal comes at once to a node that follows other topics, and to none that tracks no
+// tombstones.
+func TestPoll_WithdrawalWakesEveryFollower(t *testing.T) {
+	withLeader(t, 1, func(t *testing.T, r *rig) {
+		r.submitAccepted(message("v", 1, "t", "k"))
+		r.follow("a1", "b", "u")
+		results := r.poll("a1", "b", 1)
+		_, err := r.Follow(t.Context(), &FollowRequest{Node: "a2", BootID: "b", Sequence: 1, Full: true, Topics: map[string]int{"t": 1}})
+		assert.NilError(t, err)
+		old := r.startPoll(t.Context(), 1)
+		begun := time.Now()
+		assert.Equal(t, r.submitAccepted(withdrawal("w", 1, "t", "k")), uint64(2))
+		polled := <-results
+		assert.NilError(t, polled.err)
+		assert.DeepEqual(t, offsets(polled.response.Entries), []uint64{2})
+		assert.Assert(t, time.Since(begun) == 0, "woken after %s", time.Since(begun))
+		assert.Equal(t, polled.response.Entries[0].Client, "w")
+		assert.NilError(t, <-old)
+		response, err := r.Poll(t.Context(), &PollRequest{Node: "a2", BootID: "b", Sequence: 1})
+		assert.NilError(t, err)
+		assert.Equal(t, len(response.Entries), 0, "a node that minds no withdrawals is given nothing with a key")
+		r.submitAccepted(message("v", 2, "t", "k"))
+		response, err = r.Poll(t.Context(), &PollRequest{Node: "a2", BootID: "b", Sequence: 1})
+		assert.NilError(t, err)
+		assert.Equal(t, len(response.Entries), 0)
+		assert.Equal(t, response.To, uint64(3), "it is held up by nothing with a key")
+		assert.Equal(t, len(r.state.Readers), 0, "nobody was given anything with a key")
+	})
+}
+
+// No node is given its first message with a key before it is committed that this run of it is a
+// reader; what comes before that message is not held up.
+func TestReader_CommittedBeforeItIsGivenAKey(t *testing.T) {
+	withLeader(t, 1, func(t *testing.T, r *rig) {
+		r.submitAccepted(message("v", 1, "t", ""), message("v", 2, "t", "k"), message("v", 3, "t", ""))
+		r.follow("a1", "b", "t")
+		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "b", 0)), []uint64{1})
+		results := r.poll("a1", "b", 1)
+		assert.Equal(t, len(r.state.Readers), 0)
+		assert.Equal(t, len(results), 0)
+		r.commitAll()
+		assert.DeepEqual(t, r.entriesOf(results), []uint64{2, 3})
+		assert.Equal(t, r.state.Readers["a1"], state.Reader{BootID: "b", Offset: 4})
+		assert.DeepEqual(t, r.observed, []string{"a1 b"})
+		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "b", 1)), []uint64{2, 3})
+		assert.Equal(t, r.logs[log.KindLedger].last.Offset, uint64(4), "a run is noted once")
+
+		answers := make(chan *FollowResponse, 1)
+		go func() {
+			response, _ := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "c", Sequence: 1, Full: true, TracksTombstones: true, Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 1}, ReaderToken: r.readerToken("a1", "c")})
+			answers <- response
+		}()
+		synctest.Wait()
+		assert.Equal(t, len(answers), 0)
+		r.commitAll()
+		assert.DeepEqual(t, offsets((<-answers).Backlog), []uint64{2, 3})
+		assert.Equal(t, r.state.Readers["a1"], state.Reader{BootID: "c", Offset: 5, ReplacedBootID: "b"})
+		results = r.poll("a1", "b", 9)
+		assert.Assert(t, (<-results).response.UnknownFollower, "the run before is none any more")
+	})
+}
+
+// A node that became a reader learns so, though the message it became one for was withdrawn before
+// it was given.
+func TestReader_LearnsThatItIsOne(t *testing.T) {
+	withLeader(t, 1, func(t *testing.T, r *rig) {
+		r.submitAccepted(message("v", 1, "t", "k"))
+		r.follow("a1", "b", "t")
+		results := r.poll("a1", "b", 0)
+		r.submitAccepted(withdrawal("v", 2, "t", "k"))
+		polled := <-results
+		assert.NilError(t, polled.err)
+		assert.Assert(t, !slices.ContainsFunc(polled.response.Entries, func(entry log.Entry) bool { return entry.Type == log.TypeMessage }))
+		assert.Equal(t, r.state.Readers["a1"].BootID, "b")
+		assert.Assert(t, polled.response.IsReader)
+		response, err := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "b", BaseSequence: 1, Sequence: 2, TracksTombstones: true, Topics: map[string]int{"t": 0}})
+		assert.NilError(t, err)
+		assert.Assert(t, response.IsReader)
+		r.follow("a2", "b", "t")
+		assert.Assert(t, !r.isReader("a2", "b"))
+	})
+}
+
+// A late call of a run that another one replaced doesn't make it a reader again, nor does it finish
+// the other one.
+func TestReader_LateCallOfReplacedRunIsRejected(t *testing.T) {
+	withLeader(t, 1, func(t *testing.T, r *rig) {
+		r.submitAccepted(message("v", 1, "t", "k"))
+		r.follow("a1", "b", "t")
+		r.becomeReader("a1", "b", 0)
+		r.follow("a1", "c", "t")
+		r.commitAll()
+		r.becomeReader("a1", "c", 0)
+		for _, finished := range []bool{false, true} {
+			response, err := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "b", Sequence: 9, Full: true, Finished: finished, TracksTombstones: true, Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 0}})
+			assert.NilError(t, err)
+			assert.Assert(t, response.UnknownFollower)
+			r.commitAll()
+			assert.Equal(t, r.state.Readers["a1"].BootID, "c")
+		}
+		polled := <-r.poll("a1", "b", 0)
+		assert.NilError(t, polled.err)
+		assert.Assert(t, polled.response.UnknownFollower)
+	})
+}
+
+// Late calls of runs before the last one replace nothing either, and the present run goes on being
+// answered. The same holds for a leader that knows none of the runs, and after the last run
+// finished.
+func TestReader_LateCallOfAnyEarlierRunIsRejected(t *testing.T) {
+	withLeader(t, 1, func(t *testing.T, r *rig) {
+		r.submitAccepted(message("v", 1, "t", "k"))
+		for _, bootID := range []string{"b", "c", "d"} {
+			r.follow("a1", bootID, "t")
+			r.commitAll()
+			r.becomeReader("a1", bootID, 0)
+		}
+		late := func(bootID string, token uint64) {
+			t.Helper()
+			for _, sent := range []uint64{0, token} {
+				response, err := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: bootID, Sequence: 90 + sent, Full: true, TracksTombstones: true, Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 0}, ReaderToken: sent})
+				assert.NilError(t, err)
+				assert.Assert(t, response.UnknownFollower && len(response.Backlog) == 0)
+				polled, err := r.Poll(t.Context(), &PollRequest{Node: "a1", BootID: bootID, Sequence: 1, TracksTombstones: true, ReaderToken: sent})
+				assert.NilError(t, err)
+				assert.Equal(t, len(polled.Entries), 0)
+				r.commitAll()
+			}
+		}
+		late("b", 1)
+		assert.Equal(t, r.state.Readers["a1"].BootID, "d")
+		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "d", 0)), []uint64{1})
+
+		given := r.readerToken("a1", "d")
+		r.locked(func() {
+			r.followers, r.Leader.readerTokens, r.lastReaderToken, r.Record.Epoch = map[string]*follower{}, map[string]readerToken{}, 0, r.Record.Epoch+1
+		})
+		late("b", given)
+		late("c", given)
+		assert.Equal(t, r.state.Readers["a1"].BootID, "d")
+		r.follow("a1", "d", "t")
+		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "d", 0)), []uint64{1})
+
+		given = r.readerToken("a1", "d")
+		response, err := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "d", Sequence: 99, Full: true, TracksTombstones: true, Finished: true})
+		assert.NilError(t, err)
+		assert.Assert(t, !response.UnknownFollower)
+		r.commitAll()
+		r.locked(func() { r.followers = map[string]*follower{} })
+		late("d", given)
+		late("b", given)
+		late("d", given)
+		assert.Equal(t, len(r.state.Readers), 0)
+	})
+}
+
+// A leader that can't commit any more makes no node a reader.
+func TestReader_SupersededLeaderAddsNone(t *testing.T) {
+	withLeader(t, 3, func(t *testing.T, r *rig) {
+		r.submitOnce(message("v", 1, "t", "k"))
+		r.follow("a1", "b", "t")
+		results := r.poll("a1", "b", 0)
+		r.commitAll()
+		assert.DeepEqual(t, r.entriesOf(results), []uint64{})
+		ctx, stop := context.WithTimeout(t.Context(), time.Second)
+		defer stop()
+		_, err := r.Follow(ctx, &FollowRequest{Node: "a2", BootID: "b", Sequence: 1, Full: true, TracksTombstones: true, After: map[string]uint64{"t": 0}, ReaderToken: r.readerToken("a2", "b")})
+		assert.Assert(t, apierror.HasCode(err, apierror.Unreachable), "%v", err)
+		assert.Equal(t, len(r.state.Readers), 0)
+	})
+}
+
+// None is pending once every reader read behind the tombstone, under its boot ID; until then they
+// are named.
+func TestPendingReaders_WaitsForAllReaders(t *testing.T) {
+	withLeader(t, 1, func(t *testing.T, r *rig) {
+		r.submitAccepted(message("v", 1, "t", "k"))
+		r.follow("a1", "b", "t")
+		r.follow("a2", "b", "t")
+		r.becomeReader("a1", "b", 0)
+		r.becomeReader("a2", "b", 0)
+		offset := r.submitAccepted(withdrawal("v", 2, "t", "k"))
+		begun := time.Now()
+		pending, err := r.pendingReadersAt(offset)
+		assert.NilError(t, err)
+		assert.DeepEqual(t, pending.Nodes, []string{"a1", "a2"})
+		assert.Equal(t, time.Since(begun), r.options.Timing.LongPoll())
+		r.poll("a1", "b", offset-1)
+		r.poll("a2", "b", offset)
+		r.poll("a1", "c", offset)
+		pending, err = r.pendingReadersAt(offset)
+		assert.NilError(t, err)
+		assert.DeepEqual(t, pending.Nodes, []string{"a1"})
+		answered := make(chan *PendingReaders, 1)
+		go func() {
+			pending, _ := r.pendingReadersAt(offset)
+			answered <- pending
+		}()
+		synctest.Wait()
+		begun = time.Now()
+		assert.Equal(t, r.submitAccepted(message("v", 3, "t", "k")), offset+1, "nothing is held up meanwhile")
+		r.poll("a1", "b", offset)
+		assert.DeepEqual(t, <-answered, &PendingReaders{})
+		assert.Equal(t, time.Since(begun), time.Duration(0))
+	})
+}
+
+// A leader that may have been superseded never answers that none is pending, as another one may
+// have added a reader.
+func TestPendingReaders_NoneOnlyWithLeadershipConfirmed(t *testing.T) {
+	withLeader(t, 3, func(t *testing.T, r *rig) {
+		r.submitOnce(message("v", 1, "t", "k"))
+		_, err := r.pendingReadersAt(1)
+		assert.Assert(t, apierror.HasCode(err, apierror.NotPartitionLeader), "%v", err)
+	})
+	withLeader(t, 1, func(t *testing.T, r *rig) {
+		_, err := r.pendingReadersAt(1)
+		assert.Assert(t, apierror.HasCode(err, apierror.NotReady), "%v", err)
+		pending, err := r.pendingReadersAt(0)
+		assert.NilError(t, err)
+		assert.DeepEqual(t, pending, &PendingReaders{})
+		assert.Equal(t, r.counters.QuorumChecks, uint64(1))
+	})
+}
+
+// A reader that was silent and no member for long is given up, where it keeps a tombstone. It
+// learns so when it comes back, and may read under another boot ID.
+func TestReader_GivenUpWhenSilentAndNoMember(t *testing.T) {
+	withLeader(t, 1, func(t *testing.T, r *rig) {
+		r.submitAccepted(message("v", 1, "t", "k"))
+		r.follow("a1", "b", "t")
+		r.becomeReader("a1", "b", 0)
+		maintain := func(duration time.Duration) {
+			for range duration / (2 * time.Second) {
+				time.Sleep(2 * time.Second)
+				r.locked(r.giveUpReaders)
+				r.commitAll()
+			}
+		}
+		delete(r.members, "a1")
+		maintain(2 * r.readerTimeout())
+		assert.Assert(t, !r.state.Readers["a1"].GivenUp, "it keeps no mark")
+		offset := r.submitAccepted(withdrawal("v", 2, "t", "k"))
+		r.members["a1"] = "at-a1"
+		maintain(2 * r.readerTimeout())
+		assert.Assert(t, !r.state.Readers["a1"].GivenUp, "it is a member")
+		delete(r.members, "a1")
+		maintain(r.readerTimeout() - 4*time.Second)
+		assert.Assert(t, !r.state.Readers["a1"].GivenUp, "that was not long")
+		maintain(8 * time.Second)
+		assert.Assert(t, r.state.Readers["a1"].GivenUp)
+		assert.DeepEqual(t, r.observed, []string{"a1 b", "a1 b given up"})
+		assert.Equal(t, r.counters.ReadersGivenUp, uint64(1))
+		pending, err := r.pendingReadersAt(offset)
+		assert.NilError(t, err)
+		assert.DeepEqual(t, pending, &PendingReaders{GivenUp: []string{"a1"}})
+
+		polled := <-r.poll("a1", "b", 0)
+		assert.Assert(t, polled.response.MustReset && polled.response.UnknownFollower && len(polled.response.Entries) == 0)
+		response, err := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "b", Sequence: 7, Full: true, TracksTombstones: true, Topics: map[string]int{"t": 1}})
+		assert.NilError(t, err)
+		assert.Assert(t, response.MustReset && response.UnknownFollower)
+		r.follow("a1", "b+1", "t")
+		r.commitAll()
+		assert.DeepEqual(t, r.state.Readers["a1"].BootID, "b+1")
+		assert.Assert(t, !(<-r.poll("a1", "b+1", 0)).response.MustReset)
+	})
+	withLeader(t, 1, func(t *testing.T, r *rig) {
+		r.submitAccepted(message("v", 1, "t", "k"))
+		r.follow("a1", "b", "t")
+		r.becomeReader("a1", "b", 0)
+		r.submitAccepted(withdrawal("v", 2, "t", "k"))
+		r.locked(func() { r.writeReader("a1", state.ReaderEntry{BootID: "b", GivenUp: true}) })
+		r.commitAll()
+		response, err := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "b", BaseSequence: 1, Sequence: 2, TracksTombstones: true, Finished: true})
+		assert.NilError(t, err)
+		assert.Assert(t, !response.MustReset)
+		r.commitAll()
+		assert.Equal(t, len(r.state.Readers), 0, "one that let go of all is none")
+	})
+}
+
+// A reader that finished is none from then on, whatever calls of it come late; its next run may be
+// one again.
+func TestReader_FinishedIsRemoved(t *testing.T) {
+	withLeader(t, 1, func(t *testing.T, r *rig) {
+		r.submitAccepted(message("v", 1, "t", "k"))
+		r.follow("a1", "b", "t")
+		r.becomeReader("a1", "b", 0)
+		late := r.poll("a1", "b", 3)
+		response, err := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "b", BaseSequence: 1, Sequence: 2, TracksTombstones: true, Finished: true})
+		assert.NilError(t, err)
+		assert.Assert(t, !response.UnknownFollower)
+		assert.Equal(t, len(r.state.Readers), 1, "not on a majority yet")
+		again := &FollowRequest{Node: "a1", BootID: "b", BaseSequence: 2, Sequence: 3, TracksTombstones: true, Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 0}, ReaderToken: r.readerToken("a1", "b")}
+		response, err = r.Follow(t.Context(), again)
+		assert.NilError(t, err)
+		assert.Assert(t, response.UnknownFollower, "a run that is done goes on under another boot")
+		responses := make(chan *FollowResponse, 1)
+		go func() {
+			response, _ := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "c", Sequence: 1, Full: true, TracksTombstones: true, Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 0}, ReaderToken: r.readerToken("a1", "c")})
+			responses <- response
+		}()
+		synctest.Wait()
+		assert.Equal(t, len(responses), 0, "its going is under way, so it is given nothing")
+		r.submitAccepted(message("v", 2, "t", "k"))
+		r.commitAll()
+		r.commitAll()
+		assert.DeepEqual(t, offsets((<-responses).Backlog), []uint64{1, 4})
+		assert.Equal(t, r.state.Readers["a1"].Offset, uint64(5))
+		polled := <-late
+		assert.Assert(t, polled.response.UnknownFollower, "a poll of before its end is none")
+		_, err = r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "c", Sequence: 4, Full: true, Finished: true})
+		assert.NilError(t, err)
+		r.commitAll()
+		assert.Equal(t, len(r.state.Readers), 0)
+		response, err = r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "c", Sequence: 2, Full: true, TracksTombstones: true, Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 0}, ReaderToken: r.readerToken("a1", "c")})
+		assert.NilError(t, err)
+		assert.Assert(t, response.UnknownFollower, "a question of before its end is none")
+	})
+}
+
+// A silent reader whose node answers with another boot ID is removed.
+func TestReader_OfAnEarlierRunIsRemoved(t *testing.T) {
+	withLeader(t, 1, func(t *testing.T, r *rig) {
+		r.submitAccepted(message("v", 1, "t", "k"))
+		r.follow("a1", "b", "t")
+		r.becomeReader("a1", "b", 0)
+		r.follow("a2/streams", "b.1", "t")
+		r.becomeReader("a2/streams", "b.1", 0)
+		offset := r.submitAccepted(withdrawal("v", 2, "t", "k"))
+		r.locked(func() { r.writeReader("a2/streams", state.ReaderEntry{BootID: "b.1", GivenUp: true}) })
+		r.commitAll()
+		maintain := func() {
+			time.Sleep(r.options.Timing.SessionTimeout() + time.Second)
+			r.locked(r.giveUpReaders)
+			synctest.Wait()
+			r.commitAll()
+		}
+		r.bootIDs["at-a1"], r.bootIDs["at-a2"] = "b", "b"
+		maintain()
+		assert.Equal(t, len(r.state.Readers), 2, "they are in the run that read")
+		r.bootIDs["at-a1"] = "c"
+		maintain()
+		assert.Equal(t, len(r.state.Readers), 1)
+		r.bootIDs["at-a2"] = "c"
+		maintain()
+		assert.Equal(t, len(r.state.Readers), 0)
+		pending, err := r.pendingReadersAt(offset)
+		assert.NilError(t, err)
+		assert.DeepEqual(t, pending, &PendingReaders{})
+	})
+}
+
+// A token of another epoch is invalid.
+func TestReaderToken_OfAnotherEpochIsInvalid(t *testing.T) {
+	withLeader(t, 1, func(t *testing.T, r *rig) {
+		token := r.readerToken("a1", "b")
+		r.locked(func() {
+			r.Leader.readerTokens, r.lastReaderToken, r.Record.Epoch = map[string]readerToken{}, 0, r.Record.Epoch+1
+		})
+		r.locked(func() {
+			_, ok := r.readerTokenOf("a1", "b", token)
+			assert.Assert(t, !ok)
+		})
+	})
+}
--- /dev/null
+++ b/internal/partitionlog/leader/recovery_test.go
@@ -0,0 +1,42 @@
+package leader
+
+import (
+	"context"
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"postjunction/internal/apierror"
+	"postjunction/internal/clock"
+	"postjunction/internal/disk/journal"
+	"postjunction/internal/disk/memlog"
+	"postjunction/internal/partitionlog/replica"
+	"postjunction/internal/placement/assignment"
+	"postjunction/internal/settings"
+)
+
+// A new run never decides under an epoch that its disk has sealed, whoever asks for it.
+func TestRecover_SealedEpochIsNeverUsedAgain(t *testing.T) {
+	ctx := t.Context()
+	memory := memlog.New()
+	own := replica.New(clock.Real{})
+	parts := map[uint16]journal.Part{}
+	for _, recordType := range replica.RecordTypes() {
+		parts[recordType] = own
+	}
+	opened, _, err := journal.Open(memory, clock.Real{}, parts, []journal.Part{own})
+	assert.NilError(t, err)
+	runCtx, stop := context.WithCancel(ctx)
+	done := make(chan struct{})
+	go func() { defer close(done); opened.Run(runCtx) }()
+	defer func() { stop(); <-done }()
+	own.Start("i", opened)
+	target := replica.Target{Partition: 3, Incarnation: "i", Epoch: 5}
+	_, err = own.Seal(ctx, &replica.SealRequest{Target: target})
+	assert.NilError(t, err)
+	leader := New(Options{Self: "s1", Clock: clock.Real{}, Timing: settings.DefaultTiming, Replica: own}, assignment.Record{Partition: 3, Epoch: 5, Leader: "s1", Replicas: []assignment.Replica{{Node: "s1", Incarnation: "i"}}}, false)
+	endedCtx, end := context.WithCancel(ctx)
+	end()
+	assert.Assert(t, apierror.HasCode(leader.recoverPartition(endedCtx), apierror.StaleEpoch))
+	assert.Equal(t, own.Sealed(3), uint64(5))
+}
