--- /dev/null
+++ b/internal/client/session/balance_test.go
@@ -0,0 +1,148 @@
+package session
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"postjunction/internal/membership"
+)
+
+func zoneMembers(big, small int) []membership.Info {
+	var all []membership.Info
+	for i := range big + small {
+		member := membership.Info{
+			Name:       fmt.Sprintf("a%d", i),
+			Zone:       "z",
+			ClientAddr: fmt.Sprintf("10.0.0.%d:1", i),
+			Stage:      membership.Serving,
+			MilliCores: 32,
+		}
+		if i < big {
+			member.MilliCores = 352
+		}
+		all = append(all, member)
+	}
+	return append(all, membership.Info{
+		Name:       "far",
+		Zone:       "y",
+		ClientAddr: "10.1.0.1:1",
+		Stage:      membership.Serving,
+		MilliCores: 4000,
+	},
+		membership.Info{Name: "store", Zone: "z", Stage: membership.Serving, MilliCores: 480})
+}
+
+// All nodes of a zone get equally many new clients; once the nodes with scarce processor have
+// redirected their surplus, each node has sessions in proportion to its processor.
+func TestClientsAreBalancedByProcessor(t *testing.T) {
+	all := zoneMembers(2, 17)
+	got, sum := map[string]float64{}, 0
+	for _, self := range all[:19] {
+		sum += self.MilliCores
+		keepFraction, targets := computeBalance(self, all)
+		got[self.ClientAddr] += keepFraction
+		lower := 0.0
+		for _, target := range targets {
+			got[target.address] += (1 - keepFraction) * (target.upperBound - lower)
+			lower = target.upperBound
+		}
+		if len(targets) > 0 {
+			assert.Equal(t, lower, 1.0)
+		}
+	}
+	for _, member := range all[:19] {
+		share, want := got[member.ClientAddr]/19, float64(member.MilliCores)/float64(sum)
+		assert.Assert(
+			t, share > 0.99*want && share < 1.01*want, "%s has %.3f of the clients and %.3f of the processor",
+			member.Name, share, want,
+		)
+	}
+}
+
+func TestComputeBalance_KeepsAllClients(t *testing.T) {
+	all := zoneMembers(2, 17)
+	for name, change := range map[string]func(self *membership.Info, all []membership.Info){
+		"plenty": func(self *membership.Info, _ []membership.Info) {
+			self.MilliCores = scarceMilliCores
+		},
+		"not known":           func(self *membership.Info, _ []membership.Info) { self.MilliCores = 0 },
+		"no peer in the zone": func(self *membership.Info, _ []membership.Info) { self.Zone = "x" },
+		"the others drain": func(_ *membership.Info, all []membership.Info) {
+			all[0].Stage, all[1].Stage = "leaving", "leaving"
+		},
+		"the others are isolated": func(_ *membership.Info, all []membership.Info) {
+			all[0].Deaf, all[1].Deaf = true, true
+		},
+		"the others have as much": func(_ *membership.Info, all []membership.Info) {
+			all[0].MilliCores, all[1].MilliCores = 32, 32
+		},
+	} {
+		members := append([]membership.Info(nil), all...)
+		self := members[5]
+		change(&self, members)
+		keepFraction, targets := computeBalance(self, members)
+		assert.Assert(t, keepFraction == 1 && len(targets) == 0, "%s: keeps %f, %v", name, keepFraction, targets)
+	}
+}
+
+// A client that is redirected is told so in place of its attachment, and no subscription is opened
+// for it here.
+func TestNewClientIsRedirectedBeforeItAttaches(t *testing.T) {
+	withSession(t, func(t *testing.T, fixture *fixture, session *Session) {
+		all := zoneMembers(1, 9)
+		self := all[3]
+		fixture.Info, fixture.Members = func() membership.Info { return self }, func() []membership.Info { return all }
+		time.Sleep(fixture.Timing.HeartbeatInterval())
+		session.Do(Request{Verb: Unsubscribe, Topic: "a"})
+		assert.DeepEqual(t, fixture.takeResponses(), []string{"left a"})
+		kept, redirected := 0, 0
+		for range 1000 {
+			newcomer := fixture.NewSession(fixture.record)
+			newcomer.Do(Request{Verb: Attach, Client: "w"})
+			switch response := fixture.takeResponses()[0]; response {
+			case "attached":
+				kept++
+				continue
+			case "moved " + all[0].ClientAddr:
+				redirected++
+			default:
+				t.Fatal(response)
+			}
+			newcomer.Do(Request{Verb: Subscribe, Topic: "a"})
+			assert.Equal(t, len(fixture.takeResponses()), 1)
+			assert.Equal(t, len(newcomer.topics()), 0)
+		}
+		t.Logf("%d kept, %d redirected", kept, redirected)
+		assert.Assert(t, kept > 400 && kept < 600, "%d kept of 1000; the mean is 64, and there are 32", kept)
+	})
+}
+
+// The sessions of a draining node are spread over its peers by their processor, and evenly where
+// none states it.
+func TestWeightedRoundRobin_FollowsProcessor(t *testing.T) {
+	count := func(members []membership.Info, calls int) map[string]int {
+		got, next := map[string]int{}, weightedRoundRobin(members)
+		for range calls {
+			got[next().ClientAddr]++
+		}
+		return got
+	}
+	members := zoneMembers(2, 3)[:5]
+	got := count(members, 800)
+	for _, member := range members {
+		want := 800 * member.MilliCores / (2*352 + 3*32)
+		assert.Assert(
+			t, got[member.ClientAddr] >= want-1 && got[member.ClientAddr] <= want+1, "%s got %d, not %d",
+			member.Name, got[member.ClientAddr], want,
+		)
+	}
+	for member := range members {
+		members[member].MilliCores = 0
+	}
+	for address, calls := range count(members, 100) {
+		assert.Assert(t, calls >= 19 && calls <= 21, "%s got %d of 100 among five", address, calls)
+	}
+}
--- /dev/null
+++ b/internal/client/session/protocol.go
@@ -0,0 +1,108 @@
+// Package session serves one client on one connection: it attaches, subscribes and unsubscribes,
+// sends, withdraws, counts and sends heartbeats, and is answered in any order.
+//
+// What must stay true: every Subscribe, Send, Count and Withdraw gets one response, unless the
+// session ends first; the messages of a subscription are passed on in the order of the log and
+// without gaps, and where that is impossible the client is told to reconnect with its cursors.
+//
+// A Registry owns the sessions of a node. Its Run is driven by one goroutine of the node; the
+// requests of a session are driven by its connection. Nothing here blocks a connection: responses
+// go to a Sink that never blocks, and Count and Withdraw wait in goroutines of their own that end
+// with the context given to Start. Locks are held for map access only, never over calls to the hub,
+// the ledger or a sink.
+package session
+
+import "postjunction/internal/delivery/fanout"
+
+// Verb is what a request asks for.
+type Verb string
+
+// The verbs.
+const (
+	Attach      Verb = "attach"
+	Subscribe   Verb = "join"
+	Unsubscribe Verb = "leave"
+	Send        Verb = "send"
+	Count       Verb = "count"
+	Heartbeat   Verb = "pulse"
+	// Withdraw withdraws the messages under a key.
+	Withdraw Verb = "withdraw"
+)
+
+// Request is one request of a client on its connection.
+type Request struct {
+	Verb    Verb
+	Client  string
+	Topic   string
+	Cursor  string
+	CallSeq uint64
+	Body    []byte
+	// Key is that of a message or a withdrawal.
+	Key string
+	// WithdrawSender and WithdrawUpTo name a sender and its highest CallSeq that a withdrawal
+	// covers too, though that message may not have come yet.
+	WithdrawSender string
+	WithdrawUpTo   uint64
+}
+
+// ResponseType says what a response is.
+type ResponseType string
+
+// Types of responses: those to each verb, messages, errors, and the advice to move to another node.
+const (
+	Attached     ResponseType = "attached"
+	Subscribed   ResponseType = "joined"
+	Unsubscribed ResponseType = "left"
+	Accepted     ResponseType = "taken"
+	Counted      ResponseType = "counted"
+	Alive        ResponseType = "alive"
+	Message      ResponseType = "message"
+	Rejected     ResponseType = "turned"
+	Moved        ResponseType = "moved"
+	// Withdrawn informs a subscriber that a message which it got under a key is withdrawn.
+	Withdrawn ResponseType = "withdrawn"
+	// WithdrawalComplete informs the client that withdrew that no node will show the message again.
+	WithdrawalComplete ResponseType = "forgotten"
+)
+
+// Response is one thing that a client is sent.
+type Response struct {
+	Type ResponseType
+	// InReplyTo is the verb that was rejected.
+	InReplyTo Verb
+	Topic     string
+	Cursor    string
+	// From is the sender of a message.
+	From    string
+	CallSeq uint64
+	Count   int
+	Body    []byte
+	// Address is the node that a moved client is to connect to.
+	Address string
+	Err     error
+	Key     string
+	// AlreadyWithdrawn is set when an earlier withdrawal covered the same messages.
+	AlreadyWithdrawn bool
+	// GivenUp are nodes that were not heard from for so long that they no longer count.
+	GivenUp []string
+	// Partition and Offset locate a message or a tombstone in its log, for buffers.
+	Partition int
+	Offset    uint64
+}
+
+// Sink accepts a response for the client. It never blocks; a client that does not read is
+// disconnected.
+type Sink func(Response)
+
+// Buffer holds responses until they are written to the client. What is being written can be dropped
+// only by closing the connection.
+type Buffer interface {
+	// Withdraw drops the messages of a partition that are covered; it closes the connection if it
+	// must.
+	Withdraw(partition int, covered fanout.WithdrawnFunc)
+	// Drop drops the messages of a topic that have keys.
+	Drop(topic string)
+	// Release drops the messages of a partition that have keys and reports whether none is left. It
+	// closes the connection only if cut is set.
+	Release(partition int, cut bool) bool
+}
--- /dev/null
+++ b/internal/client/session/publish.go
@@ -0,0 +1,61 @@
+package session
+
+import (
+	"time"
+
+	"postjunction/internal/apierror"
+	"postjunction/internal/configuration"
+	"postjunction/internal/partitionlog/leader"
+)
+
+func (s *Session) send(request Request) error {
+	space, partition, err := s.find(request.Topic)
+	if err != nil {
+		return err
+	}
+	if request.CallSeq == 0 {
+		return apierror.New(apierror.Malformed, "call_seq must be above 0")
+	}
+	if request.Key != "" {
+		if err := s.registry.checkKey(request.Key); err != nil {
+			return err
+		}
+	}
+	if limit := s.registry.BodyLimit; len(request.Body) > limit {
+		return apierror.New(apierror.Oversize, "the body has %d bytes, the limit is %d", len(request.Body), limit)
+	}
+	message := &leader.Message{
+		Client:        s.name,
+		Topic:         request.Topic,
+		CallSeq:       request.CallSeq,
+		Body:          request.Body,
+		Key:           request.Key,
+		Live:          space.Kind == configuration.KindLive,
+		Configuration: s.registry.Store.Index().Sequence,
+	}
+	done := func(_ *leader.Decision, err error) {
+		if err != nil {
+			s.reject(request, err)
+			return
+		}
+		s.out(Response{Type: Accepted, Topic: request.Topic, CallSeq: request.CallSeq})
+	}
+	s.registry.Ledger.SubmitAsync(s.registry.ctx, partition, message, s.registry.decisionDeadline(space), done)
+	return nil
+}
+
+// A message may wait for its decision for 4/5 of the deadline of its space; the rest is for the way
+// back.
+const (
+	decisionNumerator   = 4
+	decisionDenominator = 5
+)
+
+// decisionDeadline returns until when a message that is sent now may wait for its decision.
+func (r *Registry) decisionDeadline(space configuration.Space) time.Time {
+	limit := r.Timing.CallTimeout()
+	if space.DeadlineMS > 0 {
+		limit = min(limit, time.Duration(space.DeadlineMS)*time.Millisecond)
+	}
+	return r.Clock.Now().Add(limit * decisionNumerator / decisionDenominator)
+}
--- a/internal/client/session/withdraw.go
+++ b/internal/client/session/withdraw.go
@@ -10,75 +10,107 @@
 	"postjunction/internal/partitionlog/leader"
 )
 
-const keyMost = 128
+const maxKeyBytes = 128
 
-// keyed tells why a key can't be taken.
-func (h *Registry) keyed(key string) error {
-	if !plainName(key, keyMost) {
-		return apierror.New(apierror.Malformed, "a key must be 1 to %d printable bytes without spaces", keyMost)
+// checkKey returns why a message key can't be accepted.
+func (r *Registry) checkKey(key string) error {
+	if !isPrintable(key, maxKeyBytes) {
+		return apierror.New(apierror.Malformed, "a key must be 1 to %d printable bytes without spaces", maxKeyBytes)
 	}
-	return h.Ledger.CheckKeysSupported()
+	return r.Ledger.CheckKeysSupported()
 }
 
-func (v *Session) withdraw(t Request) error {
-	sp, p, err := v.find(t.Topic)
+func (s *Session) withdraw(request Request) error {
+	space, partition, err := s.find(request.Topic)
 	if err != nil {
 		return err
 	}
-	if t.CallSeq == 0 {
+	if request.CallSeq == 0 {
 		return apierror.New(apierror.Malformed, "call_seq must be above 0")
 	}
-	if (t.WithdrawSender != "") != (t.WithdrawUpTo > 0) || t.WithdrawSender != "" && !plainName(t.WithdrawSender, nameMost) {
+	if !hasValidSender(request) {
 		return apierror.New(apierror.Malformed, "a sender (of) and its highest number (upto, above 0) go together")
 	}
-	if err := v.h.keyed(t.Key); err != nil {
+	if err := s.registry.checkKey(request.Key); err != nil {
 		return err
 	}
-	until := v.h.Clock.Now().Add(v.h.patience(sp))
-	v.h.Ledger.SubmitAsync(v.h.ctx, p, &leader.Message{
-		Client: v.name, Topic: t.Topic, CallSeq: t.CallSeq, Key: t.Key, Withdraw: true, WithdrawSender: t.WithdrawSender, WithdrawUpTo: t.WithdrawUpTo,
-		Live: sp.Kind == configuration.KindLive, Configuration: v.h.Store.Index().Sequence,
-	}, until, func(d *leader.Decision, err error) {
+	until := s.registry.decisionDeadline(space)
+	message := &leader.Message{
+		Client:         s.name,
+		Topic:          request.Topic,
+		CallSeq:        request.CallSeq,
+		Key:            request.Key,
+		Withdraw:       true,
+		WithdrawSender: request.WithdrawSender,
+		WithdrawUpTo:   request.WithdrawUpTo,
+		Live:           space.Kind == configuration.KindLive,
+		Configuration:  s.registry.Store.Index().Sequence,
+	}
+	done := func(decision *leader.Decision, err error) {
 		if err != nil {
-			v.turn(t, err)
+			s.reject(request, err)
 			return
 		}
-		go v.forgotten(t, p, d, until)
-	})
+		go s.awaitReaders(request, partition, decision, until)
+	}
+	s.registry.Ledger.SubmitAsync(s.registry.ctx, partition, message, until, done)
 	return nil
 }
 
-// forgotten answers a withdrawal that stands once all who read messages with keys have read behind its mark, or says who has not when its time is over.
-func (v *Session) forgotten(t Request, p int, d *leader.Decision, until time.Time) {
-	a := Response{Type: WithdrawalComplete, Topic: t.Topic, CallSeq: t.CallSeq, Key: t.Key, AlreadyWithdrawn: d.AlreadyWithdrawn}
-	for tries := 0; ; tries++ {
-		u, err := v.h.unheard(p, d.Offset, until)
+// hasValidSender reports whether a withdrawal names both a sender and its highest number, or
+// neither.
+func hasValidSender(request Request) bool {
+	if request.WithdrawSender == "" {
+		return request.WithdrawUpTo == 0
+	}
+	return request.WithdrawUpTo > 0 && isPrintable(request.WithdrawSender, maxNameBytes)
+}
+
+// awaitReaders answers a committed withdrawal once every node that reads the partition has read
+// past its tombstone, or names the nodes that have not when the time is over.
+func (s *Session) awaitReaders(request Request, partition int, decision *leader.Decision, until time.Time) {
+	r := s.registry
+	response := Response{
+		Type:             WithdrawalComplete,
+		Topic:            request.Topic,
+		CallSeq:          request.CallSeq,
+		Key:              request.Key,
+		AlreadyWithdrawn: decision.AlreadyWithdrawn,
+	}
+	for retries := 0; ; retries++ {
+		pending, err := r.pendingReaders(partition, decision.Offset, until)
 		if err == nil {
-			a.GivenUp = u.GivenUp
-			if len(u.Nodes) == 0 {
-				v.out(a)
+			response.GivenUp = pending.GivenUp
+			if len(pending.Nodes) == 0 {
+				s.out(response)
 				return
 			}
 		}
-		left := until.Sub(v.h.Clock.Now())
-		if left > 0 && v.h.Clock.Sleep(v.h.ctx, min(left, v.h.Timing.Backoff(tries))) == nil {
+		left := until.Sub(r.Clock.Now())
+		if left > 0 && r.Clock.Sleep(r.ctx, min(left, r.Timing.Backoff(retries))) == nil {
 			continue
 		}
-		a.Type, a.InReplyTo, a.AlreadyWithdrawn = Rejected, t.Verb, false
-		if err != nil {
-			a.Err = apierror.WithCause(apierror.WithdrawalOpen, err, "what stood under %s was withdrawn; who has forgotten it could not be learnt", t.Key)
-		} else {
-			a.Err = apierror.New(apierror.WithdrawalOpen, "what stood under %s was withdrawn; %s did not say that it is forgotten", t.Key, strings.Join(u.Nodes, ", "))
-		}
-		v.out(a)
+		response.Type, response.InReplyTo, response.AlreadyWithdrawn = Rejected, request.Verb, false
+		response.Err = errWithdrawalOpen(request.Key, pending, err)
+		s.out(response)
 		return
 	}
 }
 
-// unheard asks once who has not read behind a mark, for as long as there is time, and a retry longer for the answer.
-func (h *Registry) unheard(p int, offset uint64, until time.Time) (*leader.PendingReaders, error) {
-	left := max(until.Sub(h.Clock.Now()), 0)
-	cx, stop := context.WithTimeout(h.ctx, left+h.Timing.MaxBackoff())
-	defer stop()
-	return h.Ledger.PendingReaders(cx, p, offset, min(left, h.Timing.LongPoll()))
+func errWithdrawalOpen(key string, pending *leader.PendingReaders, cause error) error {
+	if cause != nil {
+		return apierror.WithCause(apierror.WithdrawalOpen, cause,
+			"what stood under %s was withdrawn; who has forgotten it could not be learnt", key)
+	}
+	return apierror.New(apierror.WithdrawalOpen,
+		"what stood under %s was withdrawn; %s did not say that it is forgotten", key, strings.Join(pending.Nodes, ", "))
+}
+
+// pendingReaders asks once which nodes have not read past an offset. The leader may wait for them
+// while there is time; its answer may take one backoff longer.
+func (r *Registry) pendingReaders(partition int, offset uint64, until time.Time) (*leader.PendingReaders, error) {
+	left := max(until.Sub(r.Clock.Now()), 0)
+	ctx, cancel := context.WithTimeout(r.ctx, left+r.Timing.MaxBackoff())
+	defer cancel()
+	return r.Ledger.PendingReaders(ctx, partition, offset, min(left, r.Timing.LongPoll()))
 }
