--- a/internal/delivery/fanout/bench_test.go
+++ b/internal/delivery/fanout/bench_test.go
@@ -7,23 +7,25 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-func BenchmarkTakeWithoutKeys(b *testing.B) {
-	f := &feed{topics: map[string]map[*Subscription]bool{"a": {}}}
-	n := 0
+func BenchmarkHandlePoll_WithoutKeys(timing *testing.B) {
+	target := &feed{subscriptions: map[string]map[*Subscription]bool{"a": {}}}
+	delivered := 0
 	for range 20 {
-		s := &Subscription{Topic: "a", open: true, told: true, OnEntry: func(log.Entry) { n++ }}
-		f.topics["a"][s] = true
+		subscription := &Subscription{Topic: "a", caughtUp: true, opened: true, OnEntry: func(log.Entry) {
+			delivered++
+		}}
+		target.subscriptions["a"][subscription] = true
 	}
-	a := &leader.PollResponse{}
+	response := &leader.PollResponse{}
 	for range 100 {
-		a.Entries = append(a.Entries, log.Entry{Type: log.TypeMessage, Topic: "a"})
+		response.Entries = append(response.Entries, log.Entry{Type: log.TypeMessage, Topic: "a"})
 	}
-	b.ReportAllocs()
-	for b.Loop() {
-		for i := range a.Entries {
-			a.To++
-			a.Entries[i].Offset = a.To
+	timing.ReportAllocs()
+	for timing.Loop() {
+		for i := range response.Entries {
+			response.To++
+			response.Entries[i].Offset = response.To
 		}
-		f.take(a, f.gen)
+		target.handlePoll(response, target.generation)
 	}
 }
--- a/internal/delivery/fanout/hub.go
+++ b/internal/delivery/fanout/hub.go
@@ -1,167 +1,177 @@
-// Package fanout carries the messages of followed topics from their owners to the visits of one node: it tells each owner which topics are
-// followed here, and gets only these.
+// Package fanout delivers the messages of subscribed topics from the partition leaders to the
+// sessions of one node.
+//
+// A Hub has a feed for each partition that is or was subscribed to here. A feed registers its
+// topics with the partition's leader (Follow), polls the committed entries of these topics (Poll),
+// and passes each to the subscriptions of its topic.
+//
+// What must stay true: a subscription gets each entry of its topic after its start, once and in the
+// order of the log, or it is broken; what a withdrawal covers is dropped from all buffers before
+// the leader is polled past it; a node that the leader may count as a reader (it may have got a
+// message with a key) stays registered until nothing with a key is left in its buffers, and then
+// reports that it is finished.
+//
+// A feed is driven by up to three goroutines, started as needed and ended by the hub's context:
+// followLoop (follow.go), pollLoop (poll.go) and releaseAll (finish.go). Its state is guarded by
+// its mutex, which is not held over calls to a leader or a buffer. The callbacks of subscriptions
+// run under that mutex. Lock order: Hub.mu before feed.mu.
 package fanout
 
 import (
 	"context"
 	"sync"
-	"time"
 
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
 	"postjunction/internal/partitionlog/leader"
-	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
 
-// Leaders asks the owner that a record names, one time.
+// Leaders calls the leader that a record names, once.
 type Leaders interface {
-	Follow(ctx context.Context, r assignment.Record, q *leader.FollowRequest) (*leader.FollowResponse, error)
-	Poll(ctx context.Context, r assignment.Record, q *leader.PollRequest) (*leader.PollResponse, error)
+	Follow(ctx context.Context, record assignment.Record, request *leader.FollowRequest) (*leader.FollowResponse, error)
+	Poll(ctx context.Context, record assignment.Record, request *leader.PollRequest) (*leader.PollResponse, error)
 }
 
-// Hub holds what one node follows, by partition.
-type Hub struct {
-	self, boot string
-	src        Leaders
-	board      *gossip.Store
-	clk        clock.Clock
-	bounds     settings.Timing
-	ctx        context.Context
-	mu         sync.Mutex
-	m          map[int]*feed
-	holders    []Buffer
-}
-
-// Buffer keeps messages that subscriptions were given until visitors have them. Withdraw lets go of those with keys that are covered.
-// Release lets go of all that have keys in a partition; it tells whether none is left. What is being written to a visitor can only be let go of by ending its
-// connection: Withdraw does so, Release where it may cut. Nothing that was let go of is written after they return.
+// Buffer holds messages that subscriptions delivered until clients have them. What is being written
+// to a client can be dropped only by closing its connection. Nothing that was dropped is written
+// after Withdraw or Release returned.
 type Buffer interface {
-	Withdraw(p int, covered WithdrawnFunc)
-	Release(p int, cut bool) bool
+	// Withdraw drops the messages of a partition that are covered; it closes connections if it
+	// must.
+	Withdraw(partition int, covered WithdrawnFunc)
+	// Release drops the messages of a partition that have keys and reports whether none is left. It
+	// closes connections only if cut is set.
+	Release(partition int, cut bool) bool
 }
 
-// New makes a hub that lives as long as ctx; boot names this run of the node.
-func New(ctx context.Context, self, boot string, s Leaders, g *gossip.Store, c clock.Clock, b settings.Timing) *Hub {
-	return &Hub{self: self, boot: boot, src: s, board: g, clk: c, bounds: b, ctx: ctx, m: map[int]*feed{}}
-}
-
-// WithdrawnFunc tells whether a message of a topic that stands under a key at an offset was withdrawn.
+// WithdrawnFunc reports whether the message of a topic under a key at an offset was withdrawn.
 type WithdrawnFunc func(topic, key string, offset uint64) bool
 
-// AddBuffer has a holder told of what is to be let go of.
-func (h *Hub) AddBuffer(x Buffer) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.holders = append(h.holders, x)
-}
-
-func (h *Hub) held() []Buffer {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.holders
+// Hub holds the feeds of one node.
+type Hub struct {
+	self    string
+	bootID  string
+	leaders Leaders
+	store   *gossip.Store
+	clock   clock.Clock
+	timing  settings.Timing
+	ctx     context.Context
+
+	// mu guards the fields below.
+	mu      sync.Mutex
+	feeds   map[int]*feed
+	buffers []Buffer
 }
 
-func (h *Hub) withdraw(p int, m marks) {
-	for _, x := range h.held() {
-		x.Withdraw(p, m.cover)
+// New returns a hub whose goroutines end with ctx; bootID names this run of the node.
+func New(
+	ctx context.Context, self, bootID string, leaders Leaders, store *gossip.Store, clk clock.Clock,
+	timing settings.Timing,
+) *Hub {
+	return &Hub{
+		self:    self,
+		bootID:  bootID,
+		leaders: leaders,
+		store:   store,
+		clock:   clk,
+		timing:  timing,
+		ctx:     ctx,
+		feeds:   map[int]*feed{},
 	}
 }
 
-func (h *Hub) release(p int, cut bool) bool {
-	all := true
-	for _, x := range h.held() {
-		all = x.Release(p, cut) && all
+// Run has feeds poll a new leader as soon as the assignment record names one, until ctx ends.
+func (h *Hub) Run(ctx context.Context) {
+	for ctx.Err() == nil {
+		changed := h.store.Changed()
+		h.mu.Lock()
+		for partition, feed := range h.feeds {
+			feed.recordChanged(h.store.Record(partition))
+		}
+		h.mu.Unlock()
+		select {
+		case <-changed:
+		case <-ctx.Done():
+		}
 	}
-	return all
 }
 
-// Subscription is one visit's interest in one topic. Opened is told once where it begins, or why it can't; Give gets each message and withdrawal after that
-// place, once, in order. Broken ends a subscription that was opened, since something that was to be given is no longer held anywhere. All are called
-// one at a time and must not block or call the hub.
-type Subscription struct {
-	Topic    string
-	After    *uint64
-	OnOpen   func(at uint64, err error)
-	OnEntry  func(e log.Entry)
-	OnBroken func()
-
-	feed     *feed
-	pos      uint64
-	asked    time.Time
-	told     bool
-	answered bool
-	open     bool
-	left     bool
-	held     []log.Entry
-}
-
-func (h *Hub) feed(p int) *feed {
+// AddBuffer adds a buffer that withdrawn messages are dropped from.
+func (h *Hub) AddBuffer(buffer Buffer) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	f, ok := h.m[p]
-	if !ok {
-		f = &feed{h: h, p: p, boot: h.boot, topics: map[string]map[*Subscription]bool{}, dirty: map[string]bool{}, kick: make(chan struct{}, 1), ready: make(chan struct{})}
-		h.m[p] = f
-	}
-	return f
+	h.buffers = append(h.buffers, buffer)
 }
 
-// NewSubscription makes a subscription that Join takes up.
-func (h *Hub) NewSubscription(p int, topic string) *Subscription {
-	return &Subscription{Topic: topic, feed: h.feed(p)}
+// NewSubscription returns a subscription for Subscribe.
+func (h *Hub) NewSubscription(partition int, topic string) *Subscription {
+	return &Subscription{Topic: topic, feed: h.feed(partition)}
 }
 
-// Subscribe takes a topic up. It never blocks.
+// Subscribe starts a subscription. It never blocks.
 func (h *Hub) Subscribe(s *Subscription) {
 	f := s.feed
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if s.left {
+	if s.removed {
 		return
 	}
-	s.asked = h.clk.Now()
-	if len(f.topics) == 0 {
-		f.heard = s.asked
+	s.requestedAt = h.clock.Now()
+	if len(f.subscriptions) == 0 {
+		f.lastHeard = s.requestedAt
 	}
-	if f.topics[s.Topic] == nil {
-		f.topics[s.Topic] = map[*Subscription]bool{}
+	if f.subscriptions[s.Topic] == nil {
+		f.subscriptions[s.Topic] = map[*Subscription]bool{}
 	}
-	f.topics[s.Topic][s] = true
-	f.dirty[s.Topic] = true
-	f.waiting = append(f.waiting, s)
-	if f.quit != nil {
-		f.quit()
+	f.subscriptions[s.Topic][s] = true
+	f.changed[s.Topic] = true
+	f.pending = append(f.pending, s)
+	if f.cancelFinish != nil {
+		f.cancelFinish()
 	}
 	f.wake()
 }
 
-// Unsubscribe drops a topic; nothing is given after it returns. It tells whether Opened was called.
+// Unsubscribe ends a subscription; none of its callbacks runs after it returns. It reports whether
+// OnOpen was called.
 func (h *Hub) Unsubscribe(s *Subscription) bool {
 	f := s.feed
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.remove(s)
-	f.later()
+	f.reportDropsLater()
 	return s.answered
 }
 
-// Run turns feeds to new owners at once until ctx ends.
-func (h *Hub) Run(ctx context.Context) {
-	for ctx.Err() == nil {
-		ch := h.board.Changed()
-		h.mu.Lock()
-		for p, f := range h.m {
-			f.turn(h.board.Record(p))
-		}
-		h.mu.Unlock()
-		select {
-		case <-ch:
-		case <-ctx.Done():
-		}
+func (h *Hub) feed(partition int) *feed {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	f, ok := h.feeds[partition]
+	if !ok {
+		f = newFeed(h, partition)
+		h.feeds[partition] = f
 	}
+	return f
+}
+
+func (h *Hub) allBuffers() []Buffer {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.buffers
 }
 
-// Partition is where the topic's line stands.
-func (s *Subscription) Partition() int { return s.feed.p }
+func (h *Hub) withdraw(partition int, withdrawn tombstones) {
+	for _, buffer := range h.allBuffers() {
+		buffer.Withdraw(partition, withdrawn.covers)
+	}
+}
+
+func (h *Hub) release(partition int, cut bool) bool {
+	released := true
+	for _, buffer := range h.allBuffers() {
+		released = buffer.Release(partition, cut) && released
+	}
+	return released
+}
--- /dev/null
+++ b/internal/delivery/fanout/open_test.go
@@ -0,0 +1,156 @@
+package fanout
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"postjunction/internal/clock"
+	"postjunction/internal/gossip"
+	"postjunction/internal/partitionlog/leader"
+	"postjunction/internal/partitionlog/log"
+	"postjunction/internal/placement/assignment"
+	"postjunction/internal/settings"
+)
+
+// distantLeader has a log and takes a time for each way.
+type distantLeader struct {
+	mu        sync.Mutex
+	delay     time.Duration
+	entries   []log.Entry
+	topics    map[string]bool
+	firstOnly []bool
+}
+
+func (s *distantLeader) add(topics ...string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, topic := range topics {
+		s.entries = append(
+			s.entries, log.Entry{Offset: uint64(len(s.entries) + 1), Type: log.TypeMessage, Topic: topic},
+		)
+	}
+}
+
+func (s *distantLeader) Follow(
+	ctx context.Context, _ assignment.Record, request *leader.FollowRequest,
+) (*leader.FollowResponse, error) {
+	if err := (clock.Real{}).Sleep(ctx, s.delay); err != nil {
+		return nil, err
+	}
+	s.mu.Lock()
+	for topic := range request.Topics {
+		s.topics[topic] = true
+	}
+	s.firstOnly = append(s.firstOnly, request.FirstOnly)
+	response := &leader.FollowResponse{
+		Epoch:        1,
+		CommittedEnd: uint64(len(s.entries)),
+		BacklogEnd:   uint64(len(s.entries)),
+	}
+	for _, entry := range s.entries {
+		if offset, ok := request.After[entry.Topic]; !ok || entry.Offset <= offset {
+			continue
+		}
+		if request.FirstOnly && len(response.Backlog) > 0 {
+			response.BacklogEnd = entry.Offset - 1
+			break
+		}
+		response.Backlog = append(response.Backlog, entry)
+	}
+	s.mu.Unlock()
+	return response, clock.Real{}.Sleep(ctx, s.delay)
+}
+
+func (s *distantLeader) Poll(
+	ctx context.Context, _ assignment.Record, request *leader.PollRequest,
+) (*leader.PollResponse, error) {
+	if err := (clock.Real{}).Sleep(ctx, time.Millisecond); err != nil {
+		return nil, err
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	response := &leader.PollResponse{Epoch: 1, To: uint64(len(s.entries))}
+	for _, entry := range s.entries {
+		if entry.Offset > request.From && s.topics[entry.Topic] {
+			response.Entries = append(response.Entries, entry)
+		}
+	}
+	return response, nil
+}
+
+type recorder struct {
+	opened   []uint64
+	openedAt time.Time
+	got      []uint64
+}
+
+func (first *recorder) subscribe(hub *Hub, topic string, after *uint64) *Subscription {
+	subscription := hub.NewSubscription(0, topic)
+	subscription.After = after
+	subscription.OnOpen = func(offset uint64, err error) {
+		if err == nil {
+			first.opened, first.openedAt = append(first.opened, offset), time.Now()
+		}
+	}
+	subscription.OnEntry = func(entry log.Entry) { first.got = append(first.got, entry.Offset) }
+	hub.Subscribe(subscription)
+	return subscription
+}
+
+// A client that comes back with a cursor is subscribed before the leader answers, and gets all that
+// it missed, once.
+func TestOpen_WithoutLeaderIsEarly(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		timing := settings.DefaultTiming
+		ctx, stop := context.WithCancel(t.Context())
+		distant := &distantLeader{delay: timing.MaxBackoff() * 3 / 4, topics: map[string]bool{}}
+		hub := New(ctx, "a1", "boot", distant, gossip.NewStore(nil), clock.Real{}, timing)
+		distant.add("a", "b", "a", "a", "b", "a")
+		start, offset := time.Now(), uint64(1)
+		var first recorder
+		first.subscribe(hub, "a", &offset)
+		time.Sleep(timing.CallTimeout())
+		distant.add("a")
+		time.Sleep(10 * timing.CallTimeout())
+		synctest.Wait()
+		assert.DeepEqual(t, first.opened, []uint64{1})
+		assert.Assert(t, first.openedAt.Sub(start) < timing.MaxBackoff(), "opened after %s", first.openedAt.Sub(start))
+		assert.DeepEqual(t, first.got, []uint64{3, 4, 6, 7})
+		assert.Assert(t, slices.Equal(distant.firstOnly, []bool{true, false}), "%v", distant.firstOnly)
+		stop()
+		synctest.Wait()
+	})
+}
+
+// A client that comes without a cursor while the leader's response is under way starts at the
+// offset that this node has read to, and nothing after it is skipped.
+func TestEntriesBetweenOpenAndResponseAreDelivered(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		timing := settings.DefaultTiming
+		ctx, stop := context.WithCancel(t.Context())
+		distant := &distantLeader{delay: timing.MaxBackoff() * 3 / 4, topics: map[string]bool{}}
+		hub := New(ctx, "a1", "boot", distant, gossip.NewStore(nil), clock.Real{}, timing)
+		distant.add("a", "a")
+		var first, second recorder
+		first.subscribe(hub, "a", nil)
+		time.Sleep(10 * timing.CallTimeout())
+		second.subscribe(hub, "b", nil)
+		time.Sleep(timing.MaxBackoff() * 5 / 8)
+		distant.add("b", "a")
+		time.Sleep(10 * timing.CallTimeout())
+		distant.add("b")
+		time.Sleep(10 * timing.CallTimeout())
+		synctest.Wait()
+		assert.DeepEqual(t, second.opened, []uint64{2})
+		assert.DeepEqual(t, second.got, []uint64{3, 5})
+		assert.DeepEqual(t, first.got, []uint64{4})
+		stop()
+		synctest.Wait()
+	})
+}
