--- a/internal/command/serve/serve.go
+++ b/internal/command/serve/serve.go
@@ -139,12 +139,12 @@
 		defer func() { _ = g.Close() }()
 		w.Disk = g
 	}
-	callers := func(n *node.Node) http.Handler { return n.Door().Handler() }
+	callers := func(n *node.Node) http.Handler { return n.API().Handler() }
 	if t.Callers != nil {
-		callers = func(n *node.Node) http.Handler { return t.Callers(n, n.Door().Handler()) }
+		callers = func(n *node.Node) http.Handler { return t.Callers(n, n.API().Handler()) }
 	}
 	doors := append([]Door{
-		{Field: "fellow_listen", Address: o.PeerListen, Open: func(n *node.Node) Server { return wire.Server(n.Peers(), o.Timing()) }},
+		{Field: "fellow_listen", Address: o.PeerListen, Open: func(n *node.Node) Server { return wire.Server(n.PeerHandler(), o.Timing()) }},
 		{Field: "listen", Address: o.Listen, Open: func(n *node.Node) Server { return httpapi.NewHTTPServer(callers(n), o.Timing()) }},
 	}, t.Doors...)
 	if o.ClientListen != "" {
--- /dev/null
+++ b/internal/node/disk.go
@@ -0,0 +1,143 @@
+package node
+
+import (
+	"context"
+	"time"
+
+	"postjunction/internal/apierror"
+	"postjunction/internal/control/acceptor"
+	"postjunction/internal/control/voters"
+	"postjunction/internal/disk/identity"
+	"postjunction/internal/disk/journal"
+	"postjunction/internal/event"
+	"postjunction/internal/gossip"
+	"postjunction/internal/partitionlog/replica"
+	"postjunction/internal/recordtype"
+)
+
+// openDisk reads the journal into the parts that persist state, claims the disk for this node and
+// starts the parts.
+func (n *Node) openDisk(ctx context.Context) error {
+	if err := n.openJournal(); err != nil {
+		return err
+	}
+	if err := n.identity.Check(n.opts.Name); err != nil {
+		return err
+	}
+	n.wg.Go(func() { n.journal.Run(ctx) })
+	isNew, err := n.identity.Claim(ctx, n.journal, n.opts.Name)
+	if err != nil {
+		return err
+	}
+	incarnation := n.identity.Get().Incarnation
+	if isNew {
+		n.log.Log(event.DiskNew, "incarnation", incarnation)
+	}
+	n.replica.Start(incarnation, n.journal)
+	n.acceptor.Start(incarnation, n.journal, n.confirmBootstrap, func(set voters.Set) {
+		n.Store.Apply(gossip.Update{VoterSet: &set})
+	})
+	return nil
+}
+
+func (n *Node) openJournal() error {
+	n.identity, n.acceptor, n.replica = &identity.Part{}, acceptor.New(), replica.New(n.env.Clock)
+	parts := map[uint16]journal.Part{
+		recordtype.Identity: n.identity,
+		recordtype.Slot:     n.acceptor,
+		recordtype.Roster:   n.acceptor,
+	}
+	for _, recordType := range replica.RecordTypes() {
+		parts[recordType] = n.replica
+	}
+	order := []journal.Part{n.identity, n.acceptor, n.replica}
+	opened, report, err := journal.Open(n.env.Disk, n.env.Clock, parts, order)
+	if err != nil {
+		return err
+	}
+	opened.SetCapacity(int64(n.opts.DiskMB)<<20, n.timing().ReconcileInterval())
+	n.journal = opened
+	n.log.Log(event.DiskOpened, "records", report.Records)
+	if report.Torn > 0 {
+		n.log.Log(event.DiskTorn, "records", report.Torn)
+	}
+	if report.Damaged {
+		n.log.Log(event.DiskDamaged, "problem", report.Cause)
+	}
+	return nil
+}
+
+// confirmBootstrap asks the seeds whether they agree to a first voter set.
+func (n *Node) confirmBootstrap(set voters.Set) error {
+	ctx, stop := context.WithTimeout(context.Background(), n.timing().CallTimeout())
+	defer stop()
+	return n.bootstrapper.Agree(ctx, set)
+}
+
+// superviseDisk checks the disk every reconcile interval until ctx ends: it binds it to the fleet,
+// drops replicas that were moved elsewhere, notes whether it takes writes, and scrubs its records.
+func (n *Node) superviseDisk(ctx context.Context) {
+	timing, clk := n.timing(), n.env.Clock
+	lastScrub, lastDrop := clk.Now(), clk.Now()
+	for clk.Sleep(ctx, timing.ReconcileInterval()) == nil {
+		if err := n.joinFleet(ctx); apierror.HasCode(err, apierror.DiskForeign) {
+			if n.setDiskHealth(string(apierror.DiskForeign)) {
+				n.log.Log(event.DiskFailed, "problem", err)
+			}
+			continue
+		}
+		if clk.Now().Sub(lastDrop) > timing.SweepInterval() {
+			lastDrop = clk.Now()
+			n.leaders.Orphans(ctx)
+		}
+		if err := n.probeDisk(ctx, timing.CallTimeout()); err != nil && ctx.Err() == nil {
+			if n.setDiskHealth(string(apierror.From(err).Code)) {
+				n.log.Log(event.DiskFailed, "problem", err)
+			}
+			continue
+		}
+		if n.setDiskHealth("") {
+			n.log.Log(event.DiskHealed)
+		}
+		if clk.Now().Sub(lastScrub) > timing.SweepInterval() {
+			lastScrub = clk.Now()
+			n.scrub(ctx)
+		}
+	}
+}
+
+// joinFleet binds the disk to the fleet, once this node knows its name. It returns DiskForeign for
+// a disk of another.
+func (n *Node) joinFleet(ctx context.Context) error {
+	fleet := n.Store.VoterSet().Fleet
+	if fleet == "" {
+		return nil
+	}
+	return n.identity.Join(ctx, n.journal, fleet)
+}
+
+// probeDisk returns why the disk takes no writes, nil if it does.
+func (n *Node) probeDisk(ctx context.Context, timeout time.Duration) error {
+	if err := n.journal.Failure(); err != nil {
+		return err
+	}
+	return n.journal.Probe(ctx, timeout)
+}
+
+// setDiskHealth reports whether the health was another one before.
+func (n *Node) setDiskHealth(health string) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	previous := n.diskHealth
+	n.diskHealth = health
+	return previous != health
+}
+
+func (n *Node) scrub(ctx context.Context) {
+	records, damaged, err := n.journal.Scrub(ctx)
+	if damaged > 0 {
+		n.log.Log(event.ScrubBad, "records", records, "damaged", damaged, "problem", err)
+	} else {
+		n.log.Log(event.RepairSwept, "records", records)
+	}
+}
--- a/internal/testing/sim/drain_test.go
+++ b/internal/testing/sim/drain_test.go
@@ -70,7 +70,7 @@
 		time.Sleep(700 * time.Millisecond)
 		for i := range 3 {
 			c := fmt.Sprintf("c%d", i+1)
-			if w.Machines[c].Node().HoldsDuty() {
+			if w.Machines[c].Node().IsPlacementController() {
 				w.Kill(c)
 				time.Sleep(5 * time.Second)
 				assert.NilError(t, w.Start(c))
--- a/internal/testing/sim/gap_test.go
+++ b/internal/testing/sim/gap_test.go
@@ -99,7 +99,7 @@
 
 func holder(w *World) string {
 	for _, n := range w.Names {
-		if x := w.Machines[n].Node(); x != nil && x.HoldsDuty() {
+		if x := w.Machines[n].Node(); x != nil && x.IsPlacementController() {
 			return n
 		}
 	}
--- a/internal/testing/sim/machine.go
+++ b/internal/testing/sim/machine.go
@@ -210,8 +210,8 @@
 		m.snap()
 	}
 	m.n = n
-	m.ports = &transport.Services{Clients: n.Clients, API: n.Door(), Gone: make(chan struct{})}
-	m.w.serve(m.Opts.PeerListen, m, run, n.Peers())
+	m.ports = &transport.Services{Clients: n.Clients, API: n.API(), Gone: make(chan struct{})}
+	m.w.serve(m.Opts.PeerListen, m, run, n.PeerHandler())
 	m.w.History.Disturb("start", time.Now())
 	return nil
 }
--- a/internal/testing/sim/points_test.go
+++ b/internal/testing/sim/points_test.go
@@ -23,7 +23,7 @@
 
 func (w *World) holderOf(key string) string {
 	for _, n := range w.Names {
-		if x := w.Machines[n].Node(); x != nil && x.Holds(key) {
+		if x := w.Machines[n].Node(); x != nil && x.LeadsKey(key) {
 			return n
 		}
 	}
@@ -37,10 +37,10 @@
 	assert.NilError(t, w.Until(30*time.Second, "void: one control node holds the description", func() bool {
 		for _, n := range w.Names {
 			x := w.Machines[n].Node()
-			if x == nil || !x.Holds(quorumread.ConfigurationKey) {
+			if x == nil || !x.LeadsKey(quorumread.ConfigurationKey) {
 				continue
 			}
-			if at, err := w.current(n); err == nil && x.Holds(quorumread.ConfigurationKey) {
+			if at, err := w.current(n); err == nil && x.LeadsKey(quorumread.ConfigurationKey) {
 				who, seq = n, at
 				return true
 			}
--- a/internal/testing/sim/restart_test.go
+++ b/internal/testing/sim/restart_test.go
@@ -26,7 +26,7 @@
 			described(t, w)
 			for i := range w.Site.Control {
 				c := fmt.Sprintf("c%d", i+1)
-				if m := w.Machines[c]; !m.Node().HoldsDuty() && w.Int(2) == 0 {
+				if m := w.Machines[c]; !m.Node().IsPlacementController() && w.Int(2) == 0 {
 					w.promiseAlone(t, c, controller.Key, epoch.Epoch{Number: 50 + uint64(i), Node: c})
 				}
 			}
@@ -85,7 +85,7 @@
 			holders := map[string]bool{}
 			for range 150 {
 				for _, n := range w.Names {
-					if w.Machines[n].Node().HoldsDuty() {
+					if w.Machines[n].Node().IsPlacementController() {
 						holders[n] = true
 					}
 				}
--- a/internal/testing/transcript/transcript_test.go
+++ b/internal/testing/transcript/transcript_test.go
@@ -27,7 +27,7 @@
 }
 
 func (x *exchange) handler(node string) http.Handler {
-	return x.w.Machines[node].Node().Door().Handler()
+	return x.w.Machines[node].Node().API().Handler()
 }
 
 var masks = []struct {
--- a/tools/mutations/node.sh
+++ b/tools/mutations/node.sh
@@ -1,4 +1,4 @@
 # Mutants of internal/node.
-mutant astray internal/node/node.go 's/n\.goes\(func\(\) \{ n\.touch\.Run\(ctx\) \}\)/_ = n.touch.Run/' $S 'FellowThatReaches'
-mutant no-disk-no-time internal/node/node.go 's/if n\.keeper != nil && o\.Disk != options\.DiskNone \{/if n.keeper != nil {/' $S 'TellHowLong'
-mutant streams-let-go internal/node/node.go 's/n\.Visitors\.Feeds\.Rest\(cx\)/_ = cx/' $S 'StreamsForget'
+mutant astray internal/node/lifecycle.go 's/n\.wg\.Go\(func\(\) \{ n\.reachability\.Run\(ctx\) \}\)/_ = n.reachability.Run/' $S 'FellowThatReaches'
+mutant no-disk-no-time internal/node/views.go 's/if n\.leaseManager != nil && opts\.Disk != settings\.DiskNone \{/if n.leaseManager != nil {/' $S 'TellHowLong'
+mutant streams-let-go internal/node/lifecycle.go 's/n\.Clients\.Feeds\.WaitFinished\(streamsCtx\)/_ = streamsCtx/' $S 'StreamsForget'
