--- a/cmd/postjunction/main.go
+++ b/cmd/postjunction/main.go
@@ -39,7 +39,7 @@
 }
 
 func check(a []string, s cli.Streams) error {
-	_, _, err := serve.Read(a, s.Err)
+	_, _, err := serve.ReadSettings(a, s.Err)
 	if err == nil {
 		_, err = fmt.Fprintln(s.Out, "the settings are sound")
 	}
--- /dev/null
+++ b/internal/command/serve/lines.go
@@ -0,0 +1,48 @@
+package serve
+
+import (
+	"time"
+
+	"postjunction/internal/client/session"
+	"postjunction/internal/clock"
+	"postjunction/internal/lineserver"
+	"postjunction/internal/lineserver/jsoncodec"
+	"postjunction/internal/node"
+	"postjunction/internal/settings"
+)
+
+// Line connections may use three quarters of the descriptors; a quarter stays for peers and files.
+const (
+	lineDescriptorsNum   = 3
+	lineDescriptorsDenom = 4
+)
+
+// sessionRegistry lets a node's sessions be used by the line server.
+type sessionRegistry struct{ *session.Registry }
+
+// NewSession begins a session of a line connection.
+func (r sessionRegistry) NewSession(out session.Sink) lineserver.Session {
+	return r.Registry.NewSession(out)
+}
+
+// newLineServer makes the server of line connections; a nil codec is the product's own.
+func newLineServer(n *node.Node, opts settings.Options, codec lineserver.Codec) Server {
+	if codec == nil {
+		codec = jsoncodec.Codec{}
+	}
+	return lineserver.New(lineserver.Options{
+		Sessions: sessionRegistry{n.Sessions}, Codec: codec, Clock: clock.Real{},
+		Keepalive: time.Duration(opts.Keepalive), Retry: opts.Timing().MaxBackoff(),
+		BodyLimit:      func() int { return bodyLimit(opts.BodyLimit, n.Store.Configuration().Limits.Body) },
+		MaxConnections: opts.Descriptors * lineDescriptorsNum / lineDescriptorsDenom,
+	})
+}
+
+// bodyLimit returns the largest body in bytes: that of the settings, or less if the configuration
+// has a lower one.
+func bodyLimit(fromSettings, fromConfiguration int) int {
+	if fromConfiguration > 0 {
+		return min(fromSettings, fromConfiguration)
+	}
+	return fromSettings
+}
--- /dev/null
+++ b/internal/command/serve/listener_test.go
@@ -0,0 +1,82 @@
+package serve
+
+import (
+	"io"
+	"net"
+	"syscall"
+	"testing"
+
+	"gotest.tools/v3/assert"
+)
+
+// A listener with as many connections as it may have closes further ones at once, and takes others
+// once one ends.
+func TestLimitConnections(t *testing.T) {
+	in, err := net.Listen("tcp", "127.0.0.1:0")
+	assert.NilError(t, err)
+	l := limitConnections(in, 2)
+	t.Cleanup(func() { _ = l.Close() })
+	accepted := make(chan net.Conn)
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			accepted <- c
+		}
+	}()
+	dial := func() net.Conn {
+		c, err := net.Dial("tcp", l.Addr().String())
+		assert.NilError(t, err)
+		return c
+	}
+	a, b := dial(), dial()
+	first := <-accepted
+	<-accepted
+	c := dial()
+	_, err = c.Read(make([]byte, 1))
+	assert.Assert(t, err != nil, "a third connection stayed open")
+	assert.NilError(t, first.Close())
+	assert.Assert(t, first.Close() != nil, "a connection that is closed twice frees one slot")
+	d := dial()
+	last := <-accepted
+	go func() { _, _ = last.Write([]byte("x")) }()
+	_, err = io.ReadFull(d, make([]byte, 1))
+	assert.NilError(t, err)
+	for _, x := range []net.Conn{a, b, c, d} {
+		_ = x.Close()
+	}
+}
+
+// Where the server closes idle connections itself, accepting one costs four system calls less.
+func TestListener_ReapsIdleTurnsKernelKeepaliveOff(t *testing.T) {
+	for _, reapsIdle := range []bool{true, false} {
+		l, err := Listener{Address: "127.0.0.1:0", ReapsIdle: reapsIdle}.open()
+		assert.NilError(t, err)
+		c, err := net.Dial("tcp", l.Addr().String())
+		assert.NilError(t, err)
+		accepted, err := l.Accept()
+		assert.NilError(t, err)
+		raw, err := accepted.(*net.TCPConn).SyscallConn()
+		assert.NilError(t, err)
+		var keepalive int
+		assert.NilError(t, raw.Control(func(fd uintptr) {
+			keepalive, err = syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_KEEPALIVE)
+		}))
+		assert.NilError(t, err)
+		assert.Equal(t, keepalive == 0, reapsIdle)
+		_, _, _ = accepted.Close(), c.Close(), l.Close()
+	}
+}
+
+func TestConnectionLimit(t *testing.T) {
+	for want, listener := range map[int]Listener{
+		0:   {Setting: "fellow_listen"},
+		256: {Setting: "listen"},
+		7:   {Setting: "other", MaxConnections: 7},
+	} {
+		assert.Equal(t, listener.connectionLimit(4300), want)
+	}
+	assert.Equal(t, Listener{Setting: "listen"}.connectionLimit(0), 0)
+}
--- /dev/null
+++ b/internal/command/serve/process.go
@@ -0,0 +1,156 @@
+package serve
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"os"
+	"runtime"
+	"sync"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+
+	"postjunction/internal/clock"
+	"postjunction/internal/event"
+	"postjunction/internal/httpapi"
+	"postjunction/internal/node"
+	"postjunction/internal/settings"
+	"postjunction/internal/wire"
+)
+
+// Process runs a node until a signal asks to stop. It returns why the node could not be started.
+func Process(opts Options) error {
+	nodeSettings, timing := opts.Settings, opts.Settings.Timing()
+	log := newLogger(opts)
+	limitMemory(nodeSettings.MemoryMB, nodeSettings.MilliCores)
+	runtime.GOMAXPROCS(threads(nodeSettings.Disk, runtime.GOMAXPROCS(0)))
+	signals := catchSignals()
+	defer signals.end()
+	start := &retrier{clock: clock.Real{}, timing: timing, log: log, stop: signals.stop}
+
+	env := node.Environment{Clock: clock.Real{}, Net: wire.Real(timing)}
+	if nodeSettings.Disk != settings.DiskNone {
+		disk, closeDisk, err := openDisk(start, nodeSettings.DataDir, log)
+		if err != nil {
+			return err
+		}
+		defer closeDisk()
+		env.Disk = disk
+	}
+	listeners := opts.allListeners()
+	opened, err := openListeners(start, listeners, nodeSettings.Descriptors)
+	defer closeListeners(opened)
+	if err != nil {
+		return err
+	}
+	n, err := startNode(start, nodeSettings, env, log)
+	if err != nil {
+		return err
+	}
+	sup := &supervisor{clock: clock.Real{}, timing: timing, log: log}
+	var servers []Server
+	for i, listener := range listeners {
+		server := listener.NewServer(n)
+		servers = append(servers, server)
+		go sup.serve(listener, server, opened[i])
+	}
+	log.Log(event.Listening, "clients", nodeSettings.Listen, "peers", nodeSettings.PeerListen)
+
+	watchCtx, stopWatching := context.WithCancel(context.Background())
+	defer stopWatching()
+	if opts.SettingsFile != "" {
+		go watchSettings(watchCtx, opts, signals.reload, n, log)
+	}
+	<-signals.stop
+	sup.end()
+	shutDown(n, servers, timing.ShutdownTimeout())
+	return nil
+}
+
+func newLogger(opts Options) *event.Logger {
+	logger := hclog.New(&hclog.LoggerOptions{
+		Name: "postjunction", Level: hclog.LevelFromString(opts.Settings.LogLevel),
+		Output: opts.LogOutput, TimeFn: time.Now,
+	})
+	return event.NewLogger(logger.With("node", opts.Settings.Name))
+}
+
+// allListeners returns those of the settings and those that the main added, the peers' first.
+func (opts Options) allListeners() []Listener {
+	nodeSettings, timing := opts.Settings, opts.Settings.Timing()
+	api := func(n *node.Node) http.Handler {
+		handler := n.API().Handler()
+		if opts.WrapAPI != nil {
+			return opts.WrapAPI(n, handler)
+		}
+		return handler
+	}
+	listeners := append([]Listener{
+		{
+			Setting: "fellow_listen", Address: nodeSettings.PeerListen,
+			NewServer: func(n *node.Node) Server { return wire.Server(n.PeerHandler(), timing) },
+		},
+		{
+			Setting: "listen", Address: nodeSettings.Listen,
+			NewServer: func(n *node.Node) Server { return httpapi.NewHTTPServer(api(n), timing) },
+		},
+	}, opts.Listeners...)
+	if nodeSettings.ClientListen != "" {
+		listeners = append(listeners, Listener{
+			Setting: "visit_listen", Address: nodeSettings.ClientListen, ReapsIdle: true,
+			NewServer: func(n *node.Node) Server { return newLineServer(n, nodeSettings, opts.Codec) },
+		})
+	}
+	return listeners
+}
+
+// openListeners opens all ports before the node starts. It returns those that it opened, with an
+// error too.
+func openListeners(start *retrier, listeners []Listener, descriptors int) ([]net.Listener, error) {
+	var opened []net.Listener
+	for _, listener := range listeners {
+		port, err := retry(start, listener.open)
+		if err != nil {
+			return opened, err
+		}
+		opened = append(opened, limitConnections(port, listener.connectionLimit(descriptors)))
+	}
+	return opened, nil
+}
+
+func closeListeners(listeners []net.Listener) {
+	for _, l := range listeners {
+		_ = l.Close()
+	}
+}
+
+func startNode(
+	start *retrier, nodeSettings settings.Options, env node.Environment, log *event.Logger,
+) (*node.Node, error) {
+	return retry(start, func() (*node.Node, error) {
+		n, err := node.Start(context.Background(), nodeSettings, env, log)
+		if err != nil && env.Disk != nil {
+			_ = env.Disk.Reopen()
+		}
+		return n, err
+	})
+}
+
+// shutDown stops the node, then its servers, and ends the process should that take longer than the
+// timeout. The peers' server, the first, is closed without waiting for its calls.
+func shutDown(n *node.Node, servers []Server, timeout time.Duration) {
+	forced := time.AfterFunc(timeout, func() { os.Exit(0) })
+	defer forced.Stop()
+	n.Stop()
+	ctx, stop := context.WithTimeout(context.Background(), timeout/8)
+	defer stop()
+	var wg sync.WaitGroup
+	for _, server := range servers[1:] {
+		wg.Go(func() { _ = server.Shutdown(ctx) })
+	}
+	wg.Wait()
+	for _, server := range servers {
+		_ = server.Close()
+	}
+}
--- a/internal/command/serve/process_test.go
+++ b/internal/command/serve/process_test.go
@@ -23,17 +23,18 @@
 	"postjunction/internal/settings"
 )
 
-// paper is a log that can be waited on.
-type paper struct {
+// logBuffer is a log that can be waited on.
+type logBuffer struct {
+	// mu guards text.
 	mu   sync.Mutex
 	text bytes.Buffer
 	more chan struct{}
 }
 
-func newRecord() *paper { return &paper{more: make(chan struct{}, 1)} }
+func newLogBuffer() *logBuffer { return &logBuffer{more: make(chan struct{}, 1)} }
 
 // Write takes log lines.
-func (l *paper) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.text.Write(b)
@@ -44,13 +45,13 @@
 	return len(b), nil
 }
 
-func (l *paper) count(e event.Event) int {
+func (l *logBuffer) count(e event.Event) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.text.String(), fmt.Sprintf("event=%d", e.Number))
 }
 
-func (l *paper) await(t *testing.T, e event.Event, n int) {
+func (l *logBuffer) await(t *testing.T, e event.Event, n int) {
 	t.Helper()
 	for l.count(e) < n {
 		select {
@@ -79,11 +80,12 @@
 	return f
 }
 
-// A hang-up once ended the process. It has the settings read again, at once and changed or not; a broken pipe does nothing.
-func TestHangUpReadsTheSettingsAgain(t *testing.T) {
+// A SIGHUP once ended the process. It has the settings read again, at once and changed or not; a
+// broken pipe does nothing.
+func TestSIGHUPReloadsSettings(t *testing.T) {
 	as := ports(t, 5)
 	f := testSettings(t, as, "")
-	l := newRecord()
+	l := newLogBuffer()
 	done := make(chan error, 1)
 	go func() { done <- Run([]string{"-options", f}, l) }()
 	l.await(t, event.Listening, 1)
@@ -102,35 +104,36 @@
 	assert.NilError(t, <-done)
 }
 
-// The previous process still holds the port: the start waits until it lets go.
+// The previous process still holds the port: the start waits until that one closes it.
 func TestStartWaitsForItsPort(t *testing.T) {
 	as := ports(t, 5)
-	held, err := net.Listen("tcp", as[0])
+	other, err := net.Listen("tcp", as[0])
 	assert.NilError(t, err)
-	l := newRecord()
+	l := newLogBuffer()
 	done := make(chan error, 1)
 	go func() { done <- Run([]string{"-options", testSettings(t, as, "")}, l) }()
 	l.await(t, event.StartWaits, 1)
-	assert.NilError(t, held.Close())
+	assert.NilError(t, other.Close())
 	l.await(t, event.Listening, 1)
 	assert.NilError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
 	assert.NilError(t, <-done)
 }
 
-// A port that stays held ends the start after the recovery bound; a disk that takes no writes never does; what can't pass does at once.
-func TestPatience(t *testing.T) {
-	for k, want := range map[apierror.Code]time.Duration{
+// A port that stays held ends the start after the recovery bound; a disk that takes no writes never
+// does; what can't pass does at once.
+func TestRetry(t *testing.T) {
+	for code, want := range map[apierror.Code]time.Duration{
 		apierror.StillHeld: settings.DefaultTiming.Recovery, apierror.DiskFull: time.Hour, apierror.DiskFailed: time.Hour, apierror.SettingsInvalid: 0, apierror.DiskForeign: 0,
 	} {
-		t.Run(string(k), func(t *testing.T) {
+		t.Run(string(code), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				stop := make(chan struct{})
-				p := &patience{clk: clock.Real{}, bounds: settings.DefaultTiming, log: event.NewLogger(hclog.NewNullLogger()), stop: stop}
+				start := &retrier{clock: clock.Real{}, timing: settings.DefaultTiming, log: event.NewLogger(hclog.NewNullLogger()), stop: stop}
 				end := time.AfterFunc(time.Hour, func() { close(stop) })
 				defer end.Stop()
 				at := time.Now()
-				_, err := patient(p, func() (int, error) { return 0, apierror.New(k, "not now") })
-				assert.Assert(t, apierror.HasCode(err, k))
+				_, err := retry(start, func() (int, error) { return 0, apierror.New(code, "not now") })
+				assert.Assert(t, apierror.HasCode(err, code))
 				got := time.Since(at)
 				assert.Assert(t, got >= want && got <= want+settings.DefaultTiming.MaxBackoff(), "%s", got)
 			})
@@ -138,35 +141,35 @@
 	}
 }
 
-type breaking struct {
+type breakingServer struct {
 	served chan net.Listener
 	fail   chan error
 }
 
-// Serve gives up when told to.
-func (b *breaking) Serve(l net.Listener) error {
-	b.served <- l
-	return <-b.fail
+// Serve fails when fail has an error.
+func (s *breakingServer) Serve(l net.Listener) error {
+	s.served <- l
+	return <-s.fail
 }
 
 // Shutdown does nothing.
-func (b *breaking) Shutdown(context.Context) error { return nil }
+func (s *breakingServer) Shutdown(context.Context) error { return nil }
 
 // Close does nothing.
-func (b *breaking) Close() error { return nil }
+func (s *breakingServer) Close() error { return nil }
 
 // A listener that breaks is opened again; it once ended the process.
 func TestBrokenListenerIsOpenedAgain(t *testing.T) {
 	a := ports(t, 1)[0]
-	l := newRecord()
-	p := &patience{clk: clock.Real{}, bounds: settings.DefaultTiming, log: event.NewLogger(hclog.New(&hclog.LoggerOptions{Output: l}))}
-	d := Door{Field: "listen", Address: a}
-	first, err := d.listen()
+	l := newLogBuffer()
+	sup := &supervisor{clock: clock.Real{}, timing: settings.DefaultTiming, log: event.NewLogger(hclog.New(&hclog.LoggerOptions{Output: l}))}
+	listener := Listener{Setting: "listen", Address: a}
+	first, err := listener.open()
 	assert.NilError(t, err)
-	b := &breaking{served: make(chan net.Listener), fail: make(chan error)}
+	b := &breakingServer{served: make(chan net.Listener), fail: make(chan error)}
 	done := make(chan struct{})
 	go func() {
-		p.serve(d, b, first)
+		sup.serve(listener, b, first)
 		close(done)
 	}()
 	<-b.served
@@ -174,7 +177,7 @@
 	second := <-b.served
 	assert.Equal(t, second.Addr().String(), a)
 	assert.Equal(t, l.count(event.ServeFailed), 1)
-	p.end()
+	sup.end()
 	b.fail <- apierror.New(apierror.Internal, "broken")
 	<-done
 	assert.NilError(t, second.Close())
--- a/internal/command/serve/threads_test.go
+++ b/internal/command/serve/resources_test.go
@@ -11,7 +11,14 @@
 	"postjunction/internal/settings"
 )
 
-func TestOneThreadIsToSpareBesideADisk(t *testing.T) {
+// A machine with next to no processor collects rarely, one with plenty keeps its memory low.
+func TestHeapGrowth(t *testing.T) {
+	for milliCores, want := range map[int]int{0: 50, 32: 200, 99: 200, 100: 50, 480: 50, 4000: 50} {
+		assert.Equal(t, heapGrowth(milliCores), want, "%d thousandths of a core", milliCores)
+	}
+}
+
+func TestThreads_OneSpareBesideADisk(t *testing.T) {
 	assert.Equal(t, threads(settings.DiskStorage, 1), 2)
 	assert.Equal(t, threads(settings.DiskControl, 1), 2)
 	assert.Equal(t, threads(settings.DiskNone, 1), 1)
