--- a/cmd/replay/main.go
+++ b/cmd/replay/main.go
@@ -26,80 +26,86 @@
 	}
 }
 
-type flags struct {
-	at, topics, visitor string
-	length              time.Duration
-	speed               float64
+// options are the values of the flags.
+type options struct {
+	at, topics, client string
+	length             time.Duration
+	speed              float64
 }
 
-var verbs = map[string]func(ctx context.Context, f flags, file string) error{"record": record, "play": play, "check": check}
+var verbs = map[string]func(ctx context.Context, opts options, file string) error{
+	"record": record,
+	"play":   play,
+	"check":  check,
+}
 
 func run(ctx context.Context, args []string) error {
 	if len(args) == 0 || verbs[args[0]] == nil {
 		return apierror.New(apierror.Usage, "usage: replay record|play|check [flags] FILE; replay play -h lists the flags")
 	}
-	var f flags
-	fs := flag.NewFlagSet("replay "+args[0], flag.ContinueOnError)
-	fs.StringVar(&f.at, "at", "127.0.0.1:7400", "`address` of any node")
-	fs.StringVar(&f.topics, "topics", "", "`topics` to record, with commas between")
-	fs.StringVar(&f.visitor, "visitor", "recorder", "`name` to attach under for recording")
-	fs.DurationVar(&f.length, "length", time.Minute, "`time` to record")
-	fs.Float64Var(&f.speed, "speed", 1, "`times` as fast as recorded")
-	if err := fs.Parse(args[1:]); err != nil {
+	var opts options
+	flags := flag.NewFlagSet("replay "+args[0], flag.ContinueOnError)
+	flags.StringVar(&opts.at, "at", "127.0.0.1:7400", "`address` of any node")
+	flags.StringVar(&opts.topics, "topics", "", "`topics` to record, with commas between")
+	flags.StringVar(&opts.client, "visitor", "recorder", "`name` to attach under for recording")
+	flags.DurationVar(&opts.length, "length", time.Minute, "`time` to record")
+	flags.Float64Var(&opts.speed, "speed", 1, "`times` as fast as recorded")
+	if err := flags.Parse(args[1:]); err != nil {
 		return apierror.Wrap(apierror.Usage, err, "replay")
 	}
-	if fs.NArg() != 1 {
+	if flags.NArg() != 1 {
 		return apierror.New(apierror.Usage, "one file is needed; flags go first")
 	}
-	if f.speed <= 0 {
-		return apierror.New(apierror.Usage, "speed must be above 0, is %g", f.speed)
+	if opts.speed <= 0 {
+		return apierror.New(apierror.Usage, "speed must be above 0, is %g", opts.speed)
 	}
-	return verbs[args[0]](ctx, f, fs.Arg(0))
+	return verbs[args[0]](ctx, opts, flags.Arg(0))
 }
 
-func node(f flags) transport.Transport {
-	return &transport.HTTP{Base: "http://" + f.at, Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
+func nodeAt(addr string) transport.Transport {
+	pool := &http.Transport{MaxIdleConnsPerHost: 64}
+	return &transport.HTTP{Base: "http://" + addr, Client: &http.Client{Transport: pool}}
 }
 
-func record(ctx context.Context, f flags, file string) error {
-	if f.topics == "" {
+func record(ctx context.Context, opts options, file string) error {
+	if opts.topics == "" {
 		return apierror.New(apierror.Usage, "topics are needed")
 	}
-	o, err := os.OpenFile(file, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o640)
+	out, err := os.OpenFile(file, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o640)
 	if err != nil {
 		return apierror.Wrap(apierror.Usage, err, "recording %s", file)
 	}
-	n, err := replay.Record(ctx, node(f), f.visitor, strings.Split(f.topics, ","), f.length, o)
+	messages, err := replay.Record(ctx, nodeAt(opts.at), opts.client, strings.Split(opts.topics, ","), opts.length, out)
 	if err == nil {
-		err = apierror.Wrap(apierror.Usage, o.Close(), "recording %s", file)
+		err = apierror.Wrap(apierror.Usage, out.Close(), "recording %s", file)
 	}
-	fmt.Printf("recorded %d messages\n", n)
+	fmt.Printf("recorded %d messages\n", messages)
 	return err
 }
 
-func read(file string) (recording.Header, []recording.Message, error) {
-	o, err := os.Open(file)
+func readRecording(file string) (recording.Header, []recording.Message, error) {
+	in, err := os.Open(file)
 	if err != nil {
 		return recording.Header{}, nil, apierror.Wrap(apierror.Usage, err, "recording %s", file)
 	}
-	defer func() { _ = o.Close() }()
-	return recording.Read(o)
+	defer func() { _ = in.Close() }()
+	return recording.Read(in)
 }
 
-func check(_ context.Context, _ flags, file string) error {
-	h, ms, err := read(file)
+func check(_ context.Context, _ options, file string) error {
+	header, messages, err := readRecording(file)
 	if err == nil {
-		fmt.Printf("%d messages on %d topics\n", len(ms), len(h.Topics))
+		fmt.Printf("%d messages on %d topics\n", len(messages), len(header.Topics))
 	}
 	return err
 }
 
-func play(ctx context.Context, f flags, file string) error {
-	h, ms, err := read(file)
+func play(ctx context.Context, opts options, file string) error {
+	header, messages, err := readRecording(file)
 	if err != nil {
 		return err
 	}
-	r, err := replay.Play(ctx, node(f), h, ms, f.speed)
-	fmt.Printf("sent %d received %d\n", r.Sent, r.Received)
+	report, err := replay.Play(ctx, nodeAt(opts.at), header, messages, opts.speed)
+	fmt.Printf("sent %d received %d\n", report.Sent, report.Received)
 	return err
 }
--- a/internal/replay/recording/recording.go
+++ b/internal/replay/recording/recording.go
@@ -1,4 +1,9 @@
-// Package recording is the file of a recorded day: a header, a line per message, and an end, under a running checksum.
+// Package recording reads and writes the file of a recorded day: a header, a line per message, and
+// an end, all JSON.
+//
+// Invariant: each line has the checksum of all lines before it, and the end has their number, so
+// that a file that was altered or broken off is never read as a recording. The package keeps no
+// state and starts no goroutines.
 package recording
 
 import (
@@ -13,8 +18,14 @@
 	"postjunction/internal/rawjson"
 )
 
-// Format is the sequence number of the file format.
-const Format = 1
+const (
+	// Format is the sequence number of the file format.
+	Format = 1
+	// maxLineBytes is the longest line that is read.
+	maxLineBytes = 4 << 20
+	// sumBytes is how much of a checksum is kept.
+	sumBytes = 12
+)
 
 // Header begins a recording.
 type Header struct {
@@ -22,14 +33,16 @@
 	Topics []string `json:"topics"`
 }
 
-// Message is one recorded line.
+// Message is one recorded message.
 type Message struct {
+	// MS is when it was received, in milliseconds from the beginning.
 	MS    int64           `json:"ms"`
 	Topic string          `json:"topic"`
 	From  string          `json:"from"`
 	Call  uint64          `json:"call_seq"`
 	Body  json.RawMessage `json:"body"`
-	Sum   string          `json:"sum"`
+	// Sum is the checksum of all lines before.
+	Sum string `json:"sum"`
 }
 
 type end struct {
@@ -37,84 +50,90 @@
 	Sum      string `json:"sum"`
 }
 
-// Writer writes a recording.
+// Writer writes a recording. It is not safe for concurrent use.
 type Writer struct {
-	w   io.Writer
-	sum string
-	n   int
+	w        io.Writer
+	sum      string
+	messages int
 }
 
-func next(sum string, b []byte) string {
-	h := sha256.New()
-	_, _ = h.Write([]byte(sum))
-	_, _ = h.Write(b)
-	return hex.EncodeToString(h.Sum(nil)[:12])
+// NewWriter writes the header. It returns RecordingInvalid if w fails.
+func NewWriter(w io.Writer, topics []string) (*Writer, error) {
+	writer := &Writer{w: w}
+	return writer, writer.writeLine(Header{Format: Format, Topics: topics})
 }
 
-// NewWriter writes the header.
-func NewWriter(w io.Writer, topics []string) (*Writer, error) {
-	r := &Writer{w: w}
-	return r, r.line(Header{Format: Format, Topics: topics})
+// Add writes a message; its Sum is set here.
+func (w *Writer) Add(message Message) error {
+	w.messages++
+	message.Sum = w.sum
+	return w.writeLine(message)
 }
 
-func (w *Writer) line(v any) error {
-	b, err := rawjson.Marshal(v)
+// Close writes the end. It leaves the underlying writer open.
+func (w *Writer) Close() error { return w.writeLine(end{Messages: w.messages, Sum: w.sum}) }
+
+func (w *Writer) writeLine(value any) error {
+	line, err := rawjson.Marshal(value)
 	if err != nil {
 		return apierror.Wrap(apierror.RecordingInvalid, err, "write a line")
 	}
-	w.sum = next(w.sum, b)
-	_, err = w.w.Write(append(b, '\n'))
+	w.sum = nextSum(w.sum, line)
+	_, err = w.w.Write(append(line, '\n'))
 	return apierror.Wrap(apierror.RecordingInvalid, err, "write a line")
 }
 
-// Add writes a message.
-func (w *Writer) Add(m Message) error {
-	w.n++
-	m.Sum = w.sum
-	return w.line(m)
-}
-
-// Close writes the end.
-func (w *Writer) Close() error { return w.line(end{Messages: w.n, Sum: w.sum}) }
-
-const lineMost = 4 << 20
-
-func strict(b []byte, v any) error {
-	d := json.NewDecoder(bytes.NewReader(b))
-	d.DisallowUnknownFields()
-	return d.Decode(v)
+// nextSum returns the checksum of all lines up to this one, from that of the lines before.
+func nextSum(sum string, line []byte) string {
+	hash := sha256.New()
+	_, _ = hash.Write([]byte(sum))
+	_, _ = hash.Write(line)
+	return hex.EncodeToString(hash.Sum(nil)[:sumBytes])
 }
 
-// Read reads a whole recording and turns away foreign, newer, corrupt and truncated ones.
+// Read reads a complete recording. It returns RecordingInvalid for foreign, newer, altered and
+// truncated ones.
 func Read(r io.Reader) (Header, []Message, error) {
-	sc := bufio.NewScanner(r)
-	sc.Buffer(nil, lineMost)
-	var h Header
-	if !sc.Scan() || strict(sc.Bytes(), &h) != nil || h.Format == 0 {
-		return h, nil, apierror.New(apierror.RecordingInvalid, "the file is no recording")
+	lines := bufio.NewScanner(r)
+	lines.Buffer(nil, maxLineBytes)
+	var header Header
+	if !lines.Scan() || unmarshalStrict(lines.Bytes(), &header) != nil || header.Format == 0 {
+		return header, nil, apierror.New(apierror.RecordingInvalid, "the file is no recording")
 	}
-	if h.Format > Format {
-		return h, nil, apierror.New(apierror.RecordingInvalid, "the recording has format %d, this build knows %d", h.Format, Format)
+	if header.Format > Format {
+		return header, nil, apierror.New(apierror.RecordingInvalid,
+			"the recording has format %d, this build knows %d", header.Format, Format)
 	}
-	sum := next("", sc.Bytes())
-	var ms []Message
-	for sc.Scan() {
-		var e end
-		if strict(sc.Bytes(), &e) == nil {
-			if e.Sum != sum || e.Messages != len(ms) {
-				return h, nil, apierror.New(apierror.RecordingInvalid, "the recording is corrupt before its end")
+	sum := nextSum("", lines.Bytes())
+	var messages []Message
+	for lines.Scan() {
+		var last end
+		if unmarshalStrict(lines.Bytes(), &last) == nil {
+			if last.Sum != sum || last.Messages != len(messages) {
+				return header, nil, apierror.New(apierror.RecordingInvalid,
+					"the recording is corrupt before its end")
 			}
-			if sc.Scan() {
-				return h, nil, apierror.New(apierror.RecordingInvalid, "something follows the recording's end")
+			if lines.Scan() {
+				return header, nil, apierror.New(apierror.RecordingInvalid,
+					"something follows the recording's end")
 			}
-			return h, ms, nil
+			return header, messages, nil
 		}
-		var m Message
-		if err := strict(sc.Bytes(), &m); err != nil || m.Sum != sum {
-			return h, nil, apierror.New(apierror.RecordingInvalid, "the recording is corrupt at line %d", len(ms)+2)
+		var message Message
+		if err := unmarshalStrict(lines.Bytes(), &message); err != nil || message.Sum != sum {
+			return header, nil, apierror.New(apierror.RecordingInvalid,
+				"the recording is corrupt at line %d", len(messages)+2)
 		}
-		sum = next(sum, sc.Bytes())
-		ms = append(ms, m)
+		sum = nextSum(sum, lines.Bytes())
+		messages = append(messages, message)
 	}
-	return h, nil, apierror.New(apierror.RecordingInvalid, "the recording breaks off after %d messages", len(ms))
+	return header, nil, apierror.New(apierror.RecordingInvalid,
+		"the recording breaks off after %d messages", len(messages))
+}
+
+// unmarshalStrict takes no fields that the type doesn't have.
+func unmarshalStrict(line []byte, value any) error {
+	decoder := json.NewDecoder(bytes.NewReader(line))
+	decoder.DisallowUnknownFields()
+	return decoder.Decode(value)
 }
--- a/internal/replay/recording/recording_test.go
+++ b/internal/replay/recording/recording_test.go
@@ -9,7 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-func sample(t *testing.T) string {
+func sampleRecording(t *testing.T) string {
+	t.Helper()
 	var b bytes.Buffer
 	w, err := NewWriter(&b, []string{"s/a"})
 	assert.NilError(t, err)
@@ -20,8 +21,8 @@
 	return b.String()
 }
 
-func TestRecordings(t *testing.T) {
-	s := sample(t)
+func TestRead(t *testing.T) {
+	s := sampleRecording(t)
 	_, ms, err := Read(strings.NewReader(s))
 	assert.NilError(t, err)
 	assert.Equal(t, len(ms), 3)
