--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -1,4 +1,5 @@
-// Command fleet runs deployments as real processes on loopback: for trying postjunction out, and for proof under failure.
+// Command fleet runs deployments as real processes on loopback: for trying postjunction out, and
+// for tests under faults.
 package main
 
 import (
@@ -27,76 +28,42 @@
 	}
 }
 
-var verbs = map[string]func(ctx context.Context, f *fleet.Fleet, d *fleet.Day) error{
+var verbs = map[string]func(ctx context.Context, deployment *fleet.Fleet, day *fleet.Day) error{
 	"up":  up,
-	"run": day,
+	"run": runDay,
+}
+
+// options are the flags that are not of the day itself.
+type options struct {
+	bin, dir, site, faults string
+	basePort, backlog      int
+	direct                 bool
 }
 
 func run(args []string) error {
 	if len(args) == 0 || verbs[args[0]] == nil {
 		return apierror.New(apierror.Usage, "usage: fleet up|run [flags]; fleet up -h lists the flags")
 	}
-	fs := flag.NewFlagSet("fleet "+args[0], flag.ContinueOnError)
-	bin := fs.String("bin", "", "postjunction `program`; without it one is built")
-	dir := fs.String("dir", "", "`folder` for settings, data and logs; without it a new one")
-	site := fs.String("site", "small", "`site`: small, armor or traductores")
-	base := fs.Int("base", 7400, "first callers' `port` less one; 0 for free ones")
-	direct := fs.Bool("direct", false, "no relay between the machines: no delays, cuts or losses, and settings that builds before the relay can read")
-	d := &fleet.Day{Out: os.Stdout}
-	fs.BoolVar(&d.Pairs, "pairs", false, "two faults at a time")
-	fs.Uint64Var(&d.Seed, "seed", 1, "`seed` of callers and faults")
-	fs.DurationVar(&d.Length, "length", 2*time.Minute, "`time` under load")
-	fs.DurationVar(&d.Interval, "interval", 15*time.Second, "`time` between faults")
-	fs.StringVar(&d.Next, "next", "", "`program` of another build, that the fault upgrade restarts machines with")
-	fs.IntVar(&d.Load.Flood, "flood", 0, "`number` of routine senders that send as fast as they can")
-	backlog := fs.Int("backlog", 0, "`tasks` that may wait in a lane of a node, 0 for the default")
-	list := fs.String("faults", "kill", "`faults`, with commas between: "+strings.Join(fleet.FaultNames(), ", ")+"; empty for none")
-	d.Load = fleet.FullLoad
-	fs.IntVar(&d.Load.Callers, "callers", d.Load.Callers, "`number` of callers")
-	fs.IntVar(&d.Load.Topics, "topics", d.Load.Topics, "`number` of kept topics")
-	fs.IntVar(&d.Load.LiveTopics, "live", d.Load.LiveTopics, "`number` of live topics")
-	fs.DurationVar(&d.Load.Every, "every", d.Load.Every, "`time` between a caller's messages")
-	if err := fs.Parse(args[1:]); err != nil {
-		return apierror.Wrap(apierror.Usage, err, "fleet")
-	}
-	s, ok := fleet.Sites[*site]
-	if !ok {
-		return apierror.New(apierror.Usage, "there is no site %q; there are small, armor and traductores", *site)
-	}
-	for _, n := range strings.Split(*list, ",") {
-		if n != "" && !slices.Contains(fleet.FaultNames(), n) {
-			return apierror.New(apierror.Usage, "there is no fault %q; there are %s", n, strings.Join(fleet.FaultNames(), ", "))
-		}
-		if n != "" {
-			d.Faults = append(d.Faults, n)
-		}
-	}
-	if d.Length < time.Second || d.Interval < 100*time.Millisecond || d.Load.Callers < 1 || d.Load.Topics < 1 || d.Load.LiveTopics < 0 || d.Load.Flood < 0 || d.Load.Every < time.Millisecond {
-		return apierror.New(apierror.Usage, "length is at least 1s, interval 100ms, every 1ms, callers and topics 1, live and flood 0")
+	opts, day, err := parseFlags(args)
+	if err != nil {
+		return err
 	}
-	if *dir == "" {
-		t, err := os.MkdirTemp("", "postjunction-")
-		if err != nil {
-			return apierror.Wrap(apierror.Usage, err, "folder")
-		}
-		*dir = t
+	site, ok := fleet.Sites[opts.site]
+	if !ok {
+		return apierror.New(apierror.Usage, "there is no site %q; there are small, armor and traductores", opts.site)
 	}
-	full, err := filepath.Abs(*dir)
-	if err != nil {
-		return apierror.Wrap(apierror.Usage, err, "folder %s", *dir)
+	if day.Faults, err = parseFaults(opts.faults); err != nil {
+		return err
 	}
-	if err := os.MkdirAll(full, 0o750); err != nil {
-		return apierror.Wrap(apierror.Usage, err, "folder %s", full)
+	if err := checkDay(day); err != nil {
+		return err
 	}
-	if *bin == "" {
-		*bin = filepath.Join(full, "postjunction")
-		if out, err := exec.Command("go", "build", "-o", *bin, "./cmd/postjunction").CombinedOutput(); err != nil {
-			return apierror.Wrap(apierror.Usage, err, "build: %s", out)
-		}
+	if err := opts.prepare(); err != nil {
+		return err
 	}
-	f, err := fleet.New(*bin, full, s, *base, *direct, func(o *settings.Options) {
-		if *backlog > 0 {
-			o.Backlog = *backlog
+	deployment, err := fleet.New(opts.bin, opts.dir, site, opts.basePort, opts.direct, func(o *settings.Options) {
+		if opts.backlog > 0 {
+			o.Backlog = opts.backlog
 		}
 	})
 	if err != nil {
@@ -104,15 +71,97 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	if err := f.Start(); err != nil {
+	if err := deployment.Start(); err != nil {
 		return err
 	}
-	defer f.Stop()
-	fmt.Printf("%d machines, files under %s\n", len(f.Processes), full)
-	for _, p := range f.Processes {
+	defer deployment.Stop()
+	fmt.Printf("%d machines, files under %s\n", len(deployment.Processes), opts.dir)
+	for _, p := range deployment.Processes {
 		fmt.Printf("  %-4s %-4s %-8s callers %s\n", p.Name, p.Opts.Zone, p.Opts.Disk, p.Opts.Listen)
 	}
-	return verbs[args[0]](ctx, f, d)
+	return verbs[args[0]](ctx, deployment, day)
+}
+
+func parseFlags(args []string) (*options, *fleet.Day, error) {
+	opts, day := &options{}, &fleet.Day{Out: os.Stdout, Load: fleet.FullLoad}
+	flags := flag.NewFlagSet("fleet "+args[0], flag.ContinueOnError)
+	flags.StringVar(&opts.bin, "bin", "", "postjunction `program`; without it one is built")
+	flags.StringVar(&opts.dir, "dir", "", "`folder` for settings, data and logs; without it a new one")
+	flags.StringVar(&opts.site, "site", "small", "`site`: small, armor or traductores")
+	flags.IntVar(&opts.basePort, "base", 7400, "first callers' `port` less one; 0 for free ones")
+	flags.BoolVar(&opts.direct, "direct", false,
+		"no relay between the machines: no delays, cuts or losses, and settings that builds before the relay can read")
+	flags.BoolVar(&day.Pairs, "pairs", false, "two faults at a time")
+	flags.Uint64Var(&day.Seed, "seed", 1, "`seed` of callers and faults")
+	flags.DurationVar(&day.Length, "length", 2*time.Minute, "`time` under load")
+	flags.DurationVar(&day.Interval, "interval", 15*time.Second, "`time` between faults")
+	flags.StringVar(&day.Next, "next", "",
+		"`program` of another build, that the fault upgrade restarts machines with")
+	flags.IntVar(&opts.backlog, "backlog", 0, "`tasks` that may wait in a lane of a node, 0 for the default")
+	flags.StringVar(&opts.faults, "faults", "kill",
+		"`faults`, with commas between: "+strings.Join(fleet.FaultNames(), ", ")+"; empty for none")
+	load := &day.Load
+	flags.IntVar(&load.Flood, "flood", 0, "`number` of routine senders that send as fast as they can")
+	flags.IntVar(&load.Callers, "callers", load.Callers, "`number` of callers")
+	flags.IntVar(&load.Topics, "topics", load.Topics, "`number` of kept topics")
+	flags.IntVar(&load.LiveTopics, "live", load.LiveTopics, "`number` of live topics")
+	flags.DurationVar(&load.Every, "every", load.Every, "`time` between a caller's messages")
+	if err := flags.Parse(args[1:]); err != nil {
+		return nil, nil, apierror.Wrap(apierror.Usage, err, "fleet")
+	}
+	return opts, day, nil
+}
+
+func parseFaults(list string) ([]string, error) {
+	var names []string
+	for _, name := range strings.Split(list, ",") {
+		if name == "" {
+			continue
+		}
+		if !slices.Contains(fleet.FaultNames(), name) {
+			return nil, apierror.New(apierror.Usage,
+				"there is no fault %q; there are %s", name, strings.Join(fleet.FaultNames(), ", "))
+		}
+		names = append(names, name)
+	}
+	return names, nil
+}
+
+func checkDay(day *fleet.Day) error {
+	load := day.Load
+	if day.Length < time.Second || day.Interval < 100*time.Millisecond || load.Every < time.Millisecond ||
+		load.Callers < 1 || load.Topics < 1 || load.LiveTopics < 0 || load.Flood < 0 {
+		return apierror.New(apierror.Usage,
+			"length is at least 1s, interval 100ms, every 1ms, callers and topics 1, live and flood 0")
+	}
+	return nil
+}
+
+// prepare makes the folder, and builds the program if none is named.
+func (o *options) prepare() error {
+	if o.dir == "" {
+		dir, err := os.MkdirTemp("", "postjunction-")
+		if err != nil {
+			return apierror.Wrap(apierror.Usage, err, "folder")
+		}
+		o.dir = dir
+	}
+	full, err := filepath.Abs(o.dir)
+	if err != nil {
+		return apierror.Wrap(apierror.Usage, err, "folder %s", o.dir)
+	}
+	o.dir = full
+	if err := os.MkdirAll(o.dir, 0o750); err != nil {
+		return apierror.Wrap(apierror.Usage, err, "folder %s", o.dir)
+	}
+	if o.bin != "" {
+		return nil
+	}
+	o.bin = filepath.Join(o.dir, "postjunction")
+	if out, err := exec.Command("go", "build", "-o", o.bin, "./cmd/postjunction").CombinedOutput(); err != nil {
+		return apierror.Wrap(apierror.Usage, err, "build: %s", out)
+	}
+	return nil
 }
 
 func up(ctx context.Context, _ *fleet.Fleet, _ *fleet.Day) error {
@@ -120,42 +169,48 @@
 	return nil
 }
 
-const shown = 20
+// maxShownViolations is how many violations are printed.
+const maxShownViolations = 20
 
-func day(ctx context.Context, f *fleet.Fleet, d *fleet.Day) error {
-	r, err := d.Run(ctx, f)
+func runDay(ctx context.Context, deployment *fleet.Fleet, day *fleet.Day) error {
+	report, err := day.Run(ctx, deployment)
 	if err != nil {
 		return err
 	}
-	spans := func(n string, s history.Spans) {
-		fmt.Printf("%-22s count %d p50 %s p95 %s p99 %s max %s\n", n, s.Count, s.P50, s.P95, s.P99, s.Max)
-	}
-	fmt.Printf("sent %d taken %d unknown %d receipts %d subscribers %d descriptions %d\n", r.Sent, r.Taken, r.Unknown, r.Receipts, r.Subscribers, r.Descriptions)
-	spans("send to receive", r.Spread)
-	spans("send to taken, urgent", r.Urgent)
-	spans("send to taken, routine", r.Routine)
-	for k, s := range r.Waits {
-		spans(k, s)
-	}
-	for k, s := range r.Told {
-		spans("told "+k, s)
-	}
-	fmt.Printf("longest wait %s (%s at %s), undisturbed %s\n", r.Longest.Whole, r.Longest.Kind, r.Longest.Place, r.LongestUndisturbed.Undisturbed)
-	fmt.Printf("faults %v\n", r.Covered)
-	pieces, cut, lost := f.Relay.Counts()
-	fmt.Printf("between machines: %d pieces one way, %d held by a cut, %d late\n", pieces, cut, lost)
-	t, err := fleet.Totals(f)
-	if err == nil {
-		fmt.Println(t)
-	}
-	fmt.Printf("violations %d\n", len(r.Violations))
-	for i, v := range r.Violations {
-		if i < shown {
-			fmt.Printf("  %s: %s\n", v.Line, v.Message)
+	printReport(report, deployment)
+	fmt.Printf("violations %d\n", len(report.Violations))
+	for i, violation := range report.Violations {
+		if i < maxShownViolations {
+			fmt.Printf("  %s: %s\n", violation.Line, violation.Message)
 		}
 	}
-	if len(r.Violations) > 0 {
-		return apierror.New(apierror.Internal, "%d violations of the never-list", len(r.Violations))
+	if len(report.Violations) > 0 {
+		return apierror.New(apierror.Internal, "%d violations of the never-list", len(report.Violations))
 	}
 	return nil
 }
+
+func printReport(report history.Report, deployment *fleet.Fleet) {
+	spans := func(name string, s history.Spans) {
+		fmt.Printf("%-22s count %d p50 %s p95 %s p99 %s max %s\n", name, s.Count, s.P50, s.P95, s.P99, s.Max)
+	}
+	fmt.Printf("sent %d taken %d unknown %d receipts %d subscribers %d descriptions %d\n",
+		report.Sent, report.Taken, report.Unknown, report.Receipts, report.Subscribers, report.Descriptions)
+	spans("send to receive", report.Spread)
+	spans("send to taken, urgent", report.Urgent)
+	spans("send to taken, routine", report.Routine)
+	for name, s := range report.Waits {
+		spans(name, s)
+	}
+	for name, s := range report.Told {
+		spans("told "+name, s)
+	}
+	fmt.Printf("longest wait %s (%s at %s), undisturbed %s\n",
+		report.Longest.Whole, report.Longest.Kind, report.Longest.Place, report.LongestUndisturbed.Undisturbed)
+	fmt.Printf("faults %v\n", report.Covered)
+	pieces, held, late := deployment.Relay.Counts()
+	fmt.Printf("between machines: %d pieces one way, %d held by a cut, %d late\n", pieces, held, late)
+	if totals, err := fleet.Totals(deployment); err == nil {
+		fmt.Println(totals)
+	}
+}
