--- a/internal/control/acceptor/acceptor.go
+++ b/internal/control/acceptor/acceptor.go
@@ -203,7 +203,7 @@
 	current := a.voterSet.Sequence
 	if current != request.VoterSet || request.VoterSet == 0 || a.isSealed() && !request.Sealed {
 		return nil, apierror.New(apierror.StaleVoterSet,
-			"the peek is under voter set %d, this voter under %d", request.VoterSet, current).WithCurrent(current)
+			"the peek is under roster %d, this voter under %d", request.VoterSet, current).WithCurrent(current)
 	}
 	if request.Sealed && !a.isSealed() {
 		return nil, apierror.New(apierror.StaleVoterSet, "voter set %d is not sealed here", current)
--- a/internal/testing/sim/storm_test.go
+++ b/internal/testing/sim/storm_test.go
@@ -52,7 +52,7 @@
 				assert.NilError(t, err)
 				time.Sleep(s.Bounds.Spread)
 				keyLeader := w.holderOf(quorumread.ConfigurationKey)
-				assert.Assert(t, w.Machines[keyLeader].Node().Holds(quorumread.ConfigurationKey))
+				assert.Assert(t, w.Machines[keyLeader].Node().LeadsKey(quorumread.ConfigurationKey))
 				var mu sync.Mutex
 				slotsAsked, fullSlots := map[string]int{}, 0
 				end := w.Meddle(func(p Point) Meddle {
