--- a/internal/control/registerclient/client.go
+++ b/internal/control/registerclient/client.go
@@ -1,11 +1,19 @@
-// Package registerclient hands control calls over to a control node.
+// Package registerclient reads and changes control keys from any node: on the node's own proposer
+// where it has one, else on the control nodes, one after the other until one answers.
+//
+// What must stay true: a change that may have been made is never reported as refused. Its ChangeID
+// lets every control node know it again, so that it may be sent to several; a stale base after a
+// response whose outcome was unknown is an unknown outcome itself (NoMajority).
+//
+// A Client remembers only which control node last answered. Calls run in the goroutine of the
+// caller and block for its context at most; the goroutines of hedged calls end with the call.
 package registerclient
 
 import (
 	"context"
 	"crypto/rand"
 	"encoding/hex"
-	mrand "math/rand/v2"
+	mathrand "math/rand/v2"
 	"slices"
 	"sync"
 
@@ -17,176 +25,165 @@
 	"postjunction/internal/wire"
 )
 
-// Client reaches the holders of control keys from any node.
+// Client reaches the leaders of control keys from any node.
 type Client struct {
-	self   string
-	net    wire.Network
-	bounds settings.Timing
-	view   func() []membership.Info
-	local  *register.Proposer
-	mu     sync.Mutex
-	good   string
+	self    string
+	network wire.Network
+	timing  settings.Timing
+	members func() []membership.Info
+	local   *register.Proposer
+
+	// mu guards lastGood, the control node that last answered.
+	mu       sync.Mutex
+	lastGood string
 }
 
-// New makes a client; local is the node's own holder, nil without a control disk.
-func New(self string, n wire.Network, b settings.Timing, view func() []membership.Info, local *register.Proposer) *Client {
-	return &Client{self: self, net: n, bounds: b, view: view, local: local}
+// New returns a client; members returns the nodes that are known, and local is the node's own
+// proposer, nil without a control disk.
+func New(
+	self string,
+	network wire.Network,
+	timing settings.Timing,
+	members func() []membership.Info,
+	local *register.Proposer,
+) *Client {
+	return &Client{self: self, network: network, timing: timing, members: members, local: local}
 }
 
-func (c *Client) nodes() []membership.Info {
-	is := membership.Filter(c.view(), func(i membership.Info) bool {
-		return i.Disk == settings.DiskControl && i.Stage == membership.Serving && i.Name != c.self
+// controlNodes returns the other control nodes that serve, beginning with the one that last
+// answered.
+func (c *Client) controlNodes() []membership.Info {
+	nodes := membership.Filter(c.members(), func(node membership.Info) bool {
+		return node.Disk == settings.DiskControl && node.Stage == membership.Serving && node.Name != c.self
 	})
 	c.mu.Lock()
-	good := c.good
+	lastGood := c.lastGood
 	c.mu.Unlock()
-	if k := slices.IndexFunc(is, func(i membership.Info) bool { return i.Name == good }); k > 0 {
-		is = append(slices.Clone(is[k:]), is[:k]...)
+	i := slices.IndexFunc(nodes, func(node membership.Info) bool { return node.Name == lastGood })
+	if i > 0 {
+		nodes = append(slices.Clone(nodes[i:]), nodes[:i]...)
 	}
-	return is
-}
-
-const openMost = 3
-
-type answer[A any] struct {
-	a    A
-	err  error
-	from string
+	return nodes
 }
 
-// race asks control nodes until one says yes or see ends it: the next one at once after a problem, and also when the last one asked is
-// silent for a while. see hears each problem, and how many other calls are open.
-func race[A any](ctx context.Context, c *Client, f func(ctx context.Context, addr string) (A, error), see func(err error, open int) bool) (a A, ok bool) {
-	ns := c.nodes()
-	cx, stop := context.WithCancel(ctx)
-	defer stop()
-	ch := make(chan answer[A], len(ns))
-	next, open := 0, 0
-	ask := func() {
-		if next == len(ns) || open == openMost {
-			return
-		}
-		i := ns[next]
-		next++
-		open++
-		go func() {
-			cx, stop := context.WithTimeout(cx, c.bounds.CallTimeout())
-			defer stop()
-			a, err := f(cx, i.PeerAddr)
-			ch <- answer[A]{a, err, i.Name}
-		}()
-	}
-	ask()
-	for open > 0 {
-		hx, halt := context.WithTimeout(cx, c.bounds.HedgeDelay())
-		select {
-		case g := <-ch:
-			halt()
-			open--
-			if g.err == nil {
-				c.mu.Lock()
-				c.good = g.from
-				c.mu.Unlock()
-				return g.a, true
-			}
-			if see(g.err, open) {
-				return a, false
-			}
-			ask()
-		case <-hx.Done():
-			halt()
-			if ctx.Err() != nil {
-				see(apierror.WithCause(apierror.Unreachable, ctx.Err(), "no control node answered in time"), open)
-				return a, false
-			}
-			ask()
-		}
-	}
-	return a, false
+func (c *Client) noteGood(node string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.lastGood = node
 }
 
-// ForwardOnce has one control node do what a node without a control disk would else do itself. sent tells that it may have heard of it.
-func ForwardOnce[Q, A any](ctx context.Context, c *Client, p *wire.Procedure[Q, A], q *Q) (sent bool, err error) {
-	ns := c.nodes()
-	if c.local != nil || len(ns) == 0 {
-		return false, apierror.New(apierror.Unreachable, "no control node to hand it to")
+// ForwardOnce has one control node, any, do what a node without a control disk can't do itself.
+// sent reports whether it may have heard of it.
+func ForwardOnce[Request, Response any](
+	ctx context.Context, c *Client, procedure *wire.Procedure[Request, Response], request *Request,
+) (sent bool, err error) {
+	nodes := c.controlNodes()
+	if c.local != nil || len(nodes) == 0 {
+		return false, apierror.New(apierror.Unreachable, "no control node to forward it to")
 	}
-	cx, stop := context.WithTimeout(ctx, c.bounds.CallTimeout())
+	ctx, stop := context.WithTimeout(ctx, c.timing.CallTimeout())
 	defer stop()
-	_, err = p.Call(cx, c.net, c.self, ns[mrand.IntN(len(ns))].PeerAddr, q)
+	_, err = procedure.Call(ctx, c.network, c.self, nodes[mathrand.IntN(len(nodes))].PeerAddr, request)
 	return true, err
 }
 
-// NewChangeID makes a fresh name for a change.
+// NewChangeID returns a fresh name for a change.
 func NewChangeID() string {
-	var b [12]byte
-	_, _ = rand.Read(b[:])
-	return hex.EncodeToString(b[:])
+	var id [12]byte
+	_, _ = rand.Read(id[:]) // crypto/rand never fails
+	return hex.EncodeToString(id[:])
 }
 
-// Read gives a key's current value.
+func errNoControlNode() error {
+	return apierror.New(apierror.NotBootstrapped, "no control node is known")
+}
+
+// Read returns a key's current value.
 func (c *Client) Read(ctx context.Context, key string) (acceptor.Value, error) {
-	err := error(apierror.New(apierror.NotBootstrapped, "no control node is known"))
+	lastErr := errNoControlNode()
 	if c.local != nil {
-		var v *acceptor.Value
-		if v, err = c.local.Read(ctx, &register.ReadRequest{Key: key}); err == nil {
-			return *v, nil
+		value, err := c.local.Read(ctx, &register.ReadRequest{Key: key})
+		if err == nil {
+			return *value, nil
 		}
+		lastErr = err
+	}
+	read := func(ctx context.Context, addr string) (*acceptor.Value, error) {
+		return register.Read.Call(ctx, c.network, c.self, addr, &register.ReadRequest{Key: key})
 	}
-	v, ok := race(ctx, c, func(ctx context.Context, addr string) (*acceptor.Value, error) {
-		return register.Read.Call(ctx, c.net, c.self, addr, &register.ReadRequest{Key: key})
-	}, func(e error, _ int) bool {
-		err = e
+	value, ok := hedge(ctx, c, read, func(err error, _ int) bool {
+		lastErr = err
 		return ctx.Err() != nil
 	})
-	if ok {
-		return *v, nil
+	if !ok {
+		return acceptor.Value{}, lastErr
 	}
-	return acceptor.Value{}, err
+	return *value, nil
 }
 
-var settled = map[apierror.Code]bool{apierror.StaleBase: true}
-
-// Change writes a key on its base. After an unclear answer the same change is asked of the next
-// control node, which knows it by name; a stale base after an unclear answer stays unclear.
-func (c *Client) Change(ctx context.Context, key string, base uint64, by string, body []byte) (acceptor.Value, error) {
-	return c.Write(ctx, &register.ChangeRequest{Key: key, BaseVersion: base, ChangeID: by, Body: body})
+// Change writes a key whose version is base. The change is named changeID and can be made again
+// under that name. Errors are those of Write.
+func (c *Client) Change(
+	ctx context.Context, key string, base uint64, changeID string, body []byte,
+) (acceptor.Value, error) {
+	return c.Write(ctx, &register.ChangeRequest{Key: key, BaseVersion: base, ChangeID: changeID, Body: body})
 }
 
-// Write makes a change as Change does.
-func (c *Client) Write(ctx context.Context, q *register.ChangeRequest) (acceptor.Value, error) {
-	err := error(apierror.New(apierror.NotBootstrapped, "no control node is known"))
-	doubt := false
-	see := func(e error, open int) bool {
-		err = e
-		p := apierror.From(e)
-		doubt = doubt || open > 0
-		if settled[p.Code] {
-			if doubt {
-				err = apierror.New(apierror.NoMajority, "%s changed after an unclear answer", q.Key)
-			}
-			return true
-		}
-		doubt = doubt || p.Code == apierror.NoMajority || p.Code == apierror.Unreachable
-		return ctx.Err() != nil
-	}
+// Write makes a change and returns the value that was written. StaleBase says that it was certainly
+// not made, NoMajority that its outcome is unknown.
+func (c *Client) Write(ctx context.Context, request *register.ChangeRequest) (acceptor.Value, error) {
+	outcome := writeOutcome{key: request.Key, err: errNoControlNode()}
 	if c.local != nil {
-		v, e := c.local.Change(ctx, q)
-		if e == nil {
-			return *v, nil
+		value, err := c.local.Change(ctx, request)
+		if err == nil {
+			return *value, nil
 		}
-		if see(e, 0) {
-			return acceptor.Value{}, err
+		if outcome.note(err, 0) || ctx.Err() != nil {
+			return acceptor.Value{}, outcome.err
 		}
 	}
-	v, ok := race(ctx, c, func(ctx context.Context, addr string) (*acceptor.Value, error) {
-		return register.Change.Call(ctx, c.net, c.self, addr, q)
-	}, see)
+	change := func(ctx context.Context, addr string) (*acceptor.Value, error) {
+		return register.Change.Call(ctx, c.network, c.self, addr, request)
+	}
+	value, ok := hedge(ctx, c, change, func(err error, pending int) bool {
+		return outcome.note(err, pending) || ctx.Err() != nil
+	})
 	if ok {
-		return *v, nil
+		return *value, nil
+	}
+	return acceptor.Value{}, outcome.final()
+}
+
+// writeOutcome is what is known of a change after the errors so far.
+type writeOutcome struct {
+	key string
+	err error
+	// uncertain says that some call may have made the change.
+	uncertain bool
+}
+
+// note takes in the error of a call while others were pending, and reports whether no further call
+// can help.
+func (o *writeOutcome) note(err error, pending int) (isFinal bool) {
+	o.err = err
+	o.uncertain = o.uncertain || pending > 0
+	switch apierror.From(err).Code {
+	case apierror.StaleBase:
+		if o.uncertain {
+			o.err = apierror.New(apierror.NoMajority, "%s changed after a response whose outcome is unknown", o.key)
+		}
+		return true
+	case apierror.NoMajority, apierror.Unreachable:
+		o.uncertain = true
 	}
-	if doubt && !apierror.HasCode(err, apierror.NoMajority) {
-		err = apierror.Wrap(apierror.NoMajority, apierror.New(apierror.NoMajority, "%v", err), "the outcome of writing %s is not known", q.Key)
+	return false
+}
+
+// final returns the error of a change that no node made for sure.
+func (o *writeOutcome) final() error {
+	if !o.uncertain || apierror.HasCode(o.err, apierror.NoMajority) {
+		return o.err
 	}
-	return acceptor.Value{}, err
+	cause := apierror.New(apierror.NoMajority, "%v", o.err)
+	return apierror.Wrap(apierror.NoMajority, cause, "the outcome of writing %s is not known", o.key)
 }
