--- /dev/null
+++ b/internal/control/model/state_test.go
@@ -0,0 +1,111 @@
+package model
+
+import (
+	"math/bits"
+	"slices"
+
+	"postjunction/internal/control/acceptor"
+	"postjunction/internal/control/epoch"
+	"postjunction/internal/control/voters"
+)
+
+const (
+	voterCount   = 4 // 0 to 2 are the first voter set; 3 replaces 2
+	attemptCount = 3
+	// reconfigurerCount is how many nodes copy slots to the next voter set at the same time.
+	reconfigurerCount = 2
+	wipedVoter        = 2
+	maxVersion        = attemptCount + 1
+)
+
+// members are the voters of each voter set as bits; voter set 0 is none.
+var members = [3]uint8{0, 0b0111, 0b1011}
+
+// sizes has the product's own rules compute majority and seal quorum.
+var sizes = voters.Set{Voters: make([]voters.Voter, 3)}
+
+func isMajority(voterBits uint8) bool { return bits.OnesCount8(voterBits) >= sizes.Majority() }
+
+func contains(voterBits uint8, voter int) bool { return voterBits>>voter&1 == 1 }
+
+// slot is an acceptor.Slot in numbers: epochs and values are those of the attempt with that number,
+// counted from 1.
+type slot struct{ promised, accepted, version, value int8 }
+
+func (s slot) expand() acceptor.Slot {
+	return acceptor.Slot{
+		Promised: epochOf(s.promised),
+		Accepted: epochOf(s.accepted),
+		Value:    acceptor.Value{Version: uint64(s.version), ChangeID: changeIDs[s.value]},
+	}
+}
+
+func compact(s acceptor.Slot) slot {
+	value := slices.Index(changeIDs[:], s.Value.ChangeID)
+	return slot{int8(s.Promised.Number), int8(s.Accepted.Number), int8(s.Value.Version), int8(value)}
+}
+
+func epochOf(attempt int8) epoch.Epoch { return epoch.Epoch{Number: uint64(attempt)} }
+
+var changeIDs = [attemptCount + 1]string{"", "first", "second", "third"}
+
+type disk struct {
+	voterSet int8
+	sealed   bool
+	wiped    bool
+	slot     slot
+}
+
+// phase is how far an attempt to claim and change a key is.
+type phase int8
+
+const (
+	idle phase = iota
+	preparing
+	reaccepting
+	changing
+)
+
+// attempt is one claim of a key with one change after it. Its messages stay in flight for ever.
+type attempt struct {
+	phase    phase
+	voterSet int8
+	promises uint8
+	adopted  slot
+	// Voters that accepted, as bits; the proposer hears of it sometime, or never.
+	reaccepted     uint8
+	changeAccepted uint8
+	reacceptSent   bool
+	changeSent     bool
+	// decidedBefore is the highest decided version when the attempt began.
+	decidedBefore int8
+}
+
+// reader is one quorum read without a claim.
+type reader struct {
+	began         bool
+	ended         bool
+	voterSet      int8
+	answered      uint8
+	slots         [voterCount]slot
+	decidedBefore int8
+}
+
+// state is all that a run has come to. It is comparable, so that each is explored once.
+type state struct {
+	disks    [voterCount]disk
+	attempts [attemptCount]attempt
+	reader   reader
+	// copied says which reconfigurers have read the sealed slots, and copies what they read.
+	copied [reconfigurerCount]bool
+	copies [reconfigurerCount]slot
+	sealed uint8
+	// decided is the value decided under each version, and maxDecided the highest such version.
+	decided    [maxVersion + 1]int8
+	maxDecided int8
+}
+
+func (s *state) serves(voter int, voterSet int8) bool {
+	d := s.disks[voter]
+	return d.voterSet == voterSet && !d.sealed && !d.wiped && contains(members[voterSet], voter)
+}
