--- a/internal/operator/final_test.go
+++ b/internal/operator/confirmed_test.go
@@ -11,41 +11,44 @@
 	"gotest.tools/v3/assert"
 )
 
-// finalCodes are the error codes, by their names in package apierror, that end an operator's call for good.
+// finalCodes are the error codes, by their names in package apierror, that end an operator's call
+// for good.
 var finalCodes = map[string]bool{
 	"ConfigurationConflict": true, "ConfigurationMissing": true, "UnknownNode": true,
 	"DecommissionUnsafe": true, "AlreadyEmpty": true,
 }
 
-// Final refusals are made from confirmed values only, and confirmed values only where a majority has answered.
+// Final refusals are made from confirmed values only, and confirmed values only where a majority
+// has answered.
 func TestFinalAnswersRestOnAMajority(t *testing.T) {
 	paths, err := filepath.Glob("*.go")
 	assert.NilError(t, err)
-	makers := map[string]bool{"readAs": true, "with": true, "askMajority": true}
+	constructors := map[string]bool{"readAs": true, "derive": true, "askMajority": true}
 	refusals := 0
 	for _, path := range paths {
 		if strings.HasSuffix(path, "_test.go") {
 			continue
 		}
-		f, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
 		assert.NilError(t, err)
-		for _, d := range f.Decls {
-			fn, ok := d.(*ast.FuncDecl)
+		for _, declaration := range file.Decls {
+			function, ok := declaration.(*ast.FuncDecl)
 			if !ok {
 				continue
 			}
-			ast.Inspect(fn, func(n ast.Node) bool {
+			ast.Inspect(function, func(n ast.Node) bool {
 				switch x := n.(type) {
 				case *ast.CallExpr:
 					name := calledName(x)
 					if code := firstCode(x); finalCodes[code] && name != "HasCode" {
-						assert.Equal(t, name, "refuse", "%s: %s makes %s", path, fn.Name.Name, code)
+						assert.Equal(t, name, "refuse", "%s: %s makes %s", path, function.Name.Name, code)
 						refusals++
 					}
 				case *ast.CompositeLit:
 					if ix, ok := x.Type.(*ast.IndexExpr); ok {
 						if id, ok := ix.X.(*ast.Ident); ok && id.Name == "confirmed" {
-							assert.Assert(t, makers[fn.Name.Name], "%s: %s makes a confirmed value", path, fn.Name.Name)
+							assert.Assert(t, constructors[function.Name.Name], "%s: %s makes a confirmed value",
+								path, function.Name.Name)
 						}
 					}
 				}
@@ -56,7 +59,8 @@
 	assert.Assert(t, refusals >= 6, "%d refusals were seen", refusals)
 }
 
-// calledName returns the name of the function or method that is called, "" for any other expression.
+// calledName returns the name of the function or method that is called, "" for any other
+// expression.
 func calledName(x *ast.CallExpr) string {
 	switch f := x.Fun.(type) {
 	case *ast.SelectorExpr:
--- /dev/null
+++ b/internal/operator/explain.go
@@ -0,0 +1,75 @@
+package operator
+
+import (
+	"context"
+	"slices"
+
+	"postjunction/internal/apierror"
+	"postjunction/internal/client/rejections"
+	"postjunction/internal/membership"
+	"postjunction/internal/partition"
+	"postjunction/internal/partitionlog/router"
+	"postjunction/internal/quorum"
+)
+
+// Explanation is what the fleet knows of a client's call: what the partition's log decided, and
+// which nodes rejected it and why.
+type Explanation struct {
+	Client string                `json:"visitor"`
+	Topic  string                `json:"topic"`
+	Call   uint64                `json:"call_seq"`
+	Ledger *router.TraceResponse `json:"ledger,omitempty"`
+	// Problem is why there is no Ledger.
+	Problem    *apierror.Error        `json:"ledger_problem,omitempty"`
+	Rejections []rejections.Rejection `json:"turned_away"`
+	// Complete reports whether all live nodes answered.
+	Complete bool `json:"whole"`
+}
+
+// Explain returns the *Explanation of a call after the fact. It fails with code UnknownCall where
+// no node and no log remembers the call, though all answered.
+func (s *Service) Explain(ctx context.Context, client, topic string, call uint64) (any, error) {
+	if client == "" || topic == "" || call == 0 {
+		return nil, apierror.New(apierror.Malformed, "name the visitor, the topic and the call_seq, which begins at 1")
+	}
+	ctx, cancel := s.limit(ctx)
+	defer cancel()
+	explanation := &Explanation{
+		Client: client, Topic: topic, Call: call, Complete: true, Rejections: []rejections.Rejection{},
+	}
+	var err error
+	if explanation.Ledger, err = s.trace(ctx, client, topic, call); err != nil {
+		explanation.Problem = apierror.From(err)
+	}
+	request := rejections.Request{Client: client, Topic: topic, CallSeq: call}
+	ask := func(ctx context.Context, node membership.Info) ([]rejections.Rejection, error) {
+		return s.Rejections(ctx, node, request)
+	}
+	for _, result := range quorum.Gather(ctx, s.View.All(), ask, nil) {
+		explanation.Complete = explanation.Complete && result.Err == nil
+		explanation.Rejections = append(explanation.Rejections, result.Value...)
+	}
+	slices.SortFunc(explanation.Rejections, func(a, b rejections.Rejection) int { return a.At.Compare(b.At) })
+	if explanation.isUnknown() {
+		last := explanation.Ledger.LastCallSeq
+		return nil, apierror.New(apierror.UnknownCall,
+			"no node remembers call %d of %s on %s, and the ledger has taken up to %d", call, client, topic,
+			last).WithCurrent(last)
+	}
+	return explanation, nil
+}
+
+// trace asks the leader of the topic's partition what its log decided on a call.
+func (s *Service) trace(ctx context.Context, client, topic string, call uint64) (*router.TraceResponse, error) {
+	space, err := s.Store.Index().Find(topic)
+	if err != nil {
+		return nil, err
+	}
+	id := partition.Of(topic, space.Urgent, s.Store.VoterSet().Layout)
+	return s.Trace(ctx, id, &router.TraceRequest{Client: client, Topic: topic, CallSeq: call})
+}
+
+// isUnknown reports whether all answered, and no node rejected the call nor has the log come to it.
+func (e *Explanation) isUnknown() bool {
+	return len(e.Rejections) == 0 && e.Complete && e.Ledger != nil && e.Ledger.LastCallSeq < e.Call
+}
--- /dev/null
+++ b/internal/operator/status.go
@@ -0,0 +1,102 @@
+package operator
+
+import (
+	"context"
+	"strconv"
+
+	"postjunction/internal/apierror"
+	"postjunction/internal/control/acceptor"
+	"postjunction/internal/control/voters"
+	"postjunction/internal/membership"
+	"postjunction/internal/partition"
+	"postjunction/internal/partitionlog/leader"
+	"postjunction/internal/placement/assignment"
+)
+
+// Status is what a node knows of the fleet.
+type Status struct {
+	Node          membership.Info     `json:"node"`
+	Control       string              `json:"session_with"`
+	HoldsLease    bool                `json:"licensed"`
+	Fleet         string              `json:"fleet"`
+	Configuration uint64              `json:"description"`
+	VoterSet      voters.Set          `json:"roster"`
+	Members       []membership.Info   `json:"members"`
+	Partitions    []assignment.Record `json:"partitions"`
+	Leading       []leader.View       `json:"owned"`
+}
+
+// PartitionDetail is one partition's record with its history, and which withdrawals stand there, as
+// far as its leader answers.
+type PartitionDetail struct {
+	Topic  string            `json:"topic,omitempty"`
+	Urgent bool              `json:"urgent"`
+	Record assignment.Record `json:"record"`
+	// Withdrawn is nil where nothing has keys.
+	Withdrawn *leader.TombstoneView `json:"withdrawn,omitempty"`
+}
+
+// Status returns what this node knows of the fleet, a Status, without asking others.
+func (s *Service) Status(context.Context) (any, error) {
+	voterSet := s.Store.VoterSet()
+	status := Status{
+		Node:          s.Info(),
+		Control:       s.ControlNode(),
+		HoldsLease:    s.CheckLease() == nil,
+		Fleet:         voterSet.Fleet,
+		Configuration: s.Store.Configuration().Sequence,
+		VoterSet:      voterSet,
+		Members:       s.View.All(),
+		Leading:       s.Leaders(),
+	}
+	for partition := range voterSet.Layout.PartitionCount() {
+		record := s.Store.Record(partition).WithoutHistory()
+		record.Partition = partition
+		status.Partitions = append(status.Partitions, record)
+	}
+	return status, nil
+}
+
+// Counters returns this node's counters.
+func (s *Service) Counters() any { return s.CountersByPart() }
+
+// Partition returns the detail of one partition, a PartitionDetail, named by number or by a topic
+// of it. A number that is none of a partition fails with code Malformed.
+func (s *Service) Partition(ctx context.Context, number, topic string) (any, error) {
+	layout := s.Store.VoterSet().Layout
+	id, err := strconv.Atoi(number)
+	if topic != "" {
+		space, findErr := s.Store.Index().Find(topic)
+		if findErr != nil {
+			return nil, findErr
+		}
+		id, err = partition.Of(topic, space.Urgent, layout), nil
+	}
+	if err != nil || id < 0 || id >= layout.PartitionCount() {
+		return nil, apierror.New(apierror.Malformed, "n must be from 0 to %d, is %q", layout.PartitionCount()-1, number)
+	}
+	ctx, cancel := s.limit(ctx)
+	defer cancel()
+	record, err := readAs(ctx, s, assignment.Key(id), func(value acceptor.Value) (assignment.Record, error) {
+		return parseRecord(id, value)
+	})
+	if err != nil {
+		return nil, err
+	}
+	detail := PartitionDetail{Topic: topic, Urgent: partition.Urgent(id, layout), Record: record.value}
+	callCtx, cancelCall := context.WithTimeout(ctx, s.Timing.CallTimeout())
+	defer cancelCall()
+	// A leader that doesn't answer leaves Withdrawn out; the record is worth returning all the
+	// same.
+	detail.Withdrawn, _ = s.Tombstones(callCtx, id)
+	return detail, nil
+}
+
+// parseRecord reads a partition's record; one that was never written names no machine.
+func parseRecord(partition int, value acceptor.Value) (assignment.Record, error) {
+	if len(value.Body) == 0 {
+		return assignment.Record{Partition: partition}, nil
+	}
+	record, err := assignment.Parse(value.Body, value.Version)
+	return record, apierror.Wrap(apierror.Internal, err, "read the record of partition %d", partition)
+}
--- a/internal/operator/submit.go
+++ b/internal/operator/submit.go
@@ -13,11 +13,16 @@
 	"postjunction/internal/wire"
 )
 
-// Reader reads an operator's own document as a description that builds on base.
-type Reader = func(doc []byte, base uint64) (configuration.Config, error)
+// Submit is the call that forwards a document to a control node.
+var Submit = wire.NewProcedure[SubmitRequest, SubmitResponse]("Operator", "Submit", wire.Deduplicated,
+	"the order names its base and has a digest; the register remembers accepted orders")
 
-// SubmitRequest hands an operator's own document over to a control node, deflated. By is the change's name for older
-// builds, which take a change without one for a repeat; in this build the name follows from the order itself.
+// Reader reads an operator's own document as a configuration that builds on base.
+type Reader = func(document []byte, base uint64) (configuration.Config, error)
+
+// SubmitRequest forwards an operator's own document, deflated. ChangeID is the change's ID for
+// older builds, which take a change without one for a repeat; in this build the ID follows from the
+// order.
 type SubmitRequest struct {
 	Base     uint64 `json:"b"`
 	ChangeID string `json:"n"`
@@ -27,86 +32,102 @@
 // SubmitResponse is the answer to an accepted document.
 type SubmitResponse struct{}
 
-// Submit is the call that hands a document over.
-var Submit = wire.NewProcedure[SubmitRequest, SubmitResponse]("Operator", "Submit", wire.Deduplicated, "the order names its base and has a digest; the register remembers accepted orders")
-
-// Read sets how this node reads the documents that other nodes hand over.
-func (s *Service) Read(r Reader) { s.reader.Store(&r) }
+// Read sets how this node reads the documents that other nodes forward.
+func (s *Service) Read(reader Reader) { s.reader.Store(&reader) }
 
-// Submit takes an operator's own document, read with the Reader, and goes on for the time of a call when the asker has gone, since a
-// description half taken helps nobody. A node without a control disk has a control node do it, as it takes a hundred times the work of a
-// message and several times the document's bytes; where that doesn't answer it goes on itself: the change has the same name wherever it is
-// made, so it is made once.
-func (s *Service) Submit(ctx context.Context, doc []byte, base uint64, read Reader) error {
-	ctx, stop := s.limit(context.WithoutCancel(ctx))
-	defer stop()
-	doubt, err := s.forward(ctx, doc, base)
-	if err == nil || final[apierror.From(err).Code] {
+// Submit replaces the configuration with an operator's own document, read with the Reader. It goes
+// on for the time of an operator's call when ctx has ended, since a configuration half accepted
+// helps no one. A node without a control disk has a control node do it, as it takes a hundred times
+// the work of a message and several times the document's bytes. Where that doesn't answer it goes
+// on itself: the change has the same ID wherever it is made, so it is made once. Fails like
+// Replace.
+func (s *Service) Submit(ctx context.Context, document []byte, base uint64, read Reader) error {
+	ctx, cancel := s.limit(context.WithoutCancel(ctx))
+	defer cancel()
+	uncertain, err := s.forward(ctx, document, base)
+	if err == nil || rejectedCodes[apierror.From(err).Code] {
 		return err
 	}
-	return s.take(ctx, doc, base, doubt, read)
+	return s.readAndReplace(ctx, document, base, uncertain, read)
 }
 
-// final problems are those after which a control node surely did nothing, nor will, and no other would.
-var final = map[apierror.Code]bool{apierror.ConfigurationConflict: true, apierror.ConfigurationInvalid: true, apierror.Malformed: true, apierror.Oversize: true}
+// rejectedCodes are those after which a control node surely changed nothing, nor will, and no other
+// would.
+var rejectedCodes = map[apierror.Code]bool{
+	apierror.ConfigurationConflict: true,
+	apierror.ConfigurationInvalid:  true,
+	apierror.Malformed:             true,
+	apierror.Oversize:              true,
+}
 
-func (s *Service) forward(ctx context.Context, doc []byte, base uint64) (doubt bool, err error) {
-	b, err := deflate(doc)
+// forward has a control node accept a document. uncertain reports that it may have done so although
+// no answer came.
+func (s *Service) forward(ctx context.Context, document []byte, base uint64) (uncertain bool, err error) {
+	deflated, err := deflate(document)
 	if err != nil {
 		return false, err
 	}
-	sent, err := registerclient.ForwardOnce(ctx, s.Client, Submit, &SubmitRequest{Base: base, ChangeID: registerclient.NewChangeID(), Doc: b})
+	request := &SubmitRequest{Base: base, ChangeID: registerclient.NewChangeID(), Doc: deflated}
+	sent, err := registerclient.ForwardOnce(ctx, s.Client, Submit, request)
 	return sent && !apierror.HasCode(err, apierror.NotReady), err
 }
 
-func (s *Service) take(ctx context.Context, doc []byte, base uint64, doubt bool, read Reader) error {
-	d, err := read(doc, base)
+func (s *Service) readAndReplace(
+	ctx context.Context, document []byte, base uint64, uncertain bool, read Reader,
+) error {
+	config, err := read(document, base)
 	if err != nil {
 		return err
 	}
-	_, err = s.report(s.replace(ctx, d.Normalized(), doubt))
+	_, err = s.logOutcome(s.replace(ctx, config.Normalized(), uncertain))
 	return err
 }
 
-// Serve adds the call that hands a document over.
-func (s *Service) Serve(m *http.ServeMux) {
-	Submit.Handle(m, func(ctx context.Context, q *SubmitRequest) (*SubmitResponse, error) {
-		read := s.reader.Load()
-		if read == nil {
-			return nil, apierror.New(apierror.NotReady, "this node reads no documents")
-		}
-		doc, err := inflate(q.Doc)
-		if err != nil {
-			return nil, err
-		}
-		ctx, stop := s.limit(context.WithoutCancel(ctx))
-		defer stop()
-		if err := s.take(ctx, doc, q.Base, false, *read); err != nil {
-			return nil, err
-		}
-		return &SubmitResponse{}, nil
-	})
+// Serve adds the Submit call to mux.
+func (s *Service) Serve(mux *http.ServeMux) {
+	Submit.Handle(mux, s.submitted)
+}
+
+// submitted accepts a document that another node forwarded.
+func (s *Service) submitted(ctx context.Context, request *SubmitRequest) (*SubmitResponse, error) {
+	read := s.reader.Load()
+	if read == nil {
+		return nil, apierror.New(apierror.NotReady, "this node reads no documents")
+	}
+	document, err := inflate(request.Doc)
+	if err != nil {
+		return nil, err
+	}
+	ctx, cancel := s.limit(context.WithoutCancel(ctx))
+	defer cancel()
+	if err := s.readAndReplace(ctx, document, request.Base, false, *read); err != nil {
+		return nil, err
+	}
+	return &SubmitResponse{}, nil
 }
 
-func deflate(b []byte) ([]byte, error) {
-	var w bytes.Buffer
-	f, err := flate.NewWriter(&w, flate.BestSpeed)
+func deflate(document []byte) ([]byte, error) {
+	var deflated bytes.Buffer
+	writer, err := flate.NewWriter(&deflated, flate.BestSpeed)
 	if err != nil {
 		return nil, apierror.Wrap(apierror.Internal, err, "pack a document")
 	}
-	if _, err = f.Write(b); err == nil {
-		err = f.Close()
+	if _, err = writer.Write(document); err == nil {
+		err = writer.Close()
 	}
-	return w.Bytes(), apierror.Wrap(apierror.Internal, err, "pack a document")
+	return deflated.Bytes(), apierror.Wrap(apierror.Internal, err, "pack a document")
 }
 
-func inflate(b []byte) ([]byte, error) {
-	doc, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(b)), configuration.MaxBytes+1))
+// inflate fails with code Malformed, or with Oversize where the document would be larger than any
+// can be.
+func inflate(deflated []byte) ([]byte, error) {
+	reader := flate.NewReader(bytes.NewReader(deflated))
+	document, err := io.ReadAll(io.LimitReader(reader, configuration.MaxBytes+1))
 	switch {
 	case err != nil:
 		return nil, apierror.WithCause(apierror.Malformed, err, "the document can't be unpacked")
-	case len(doc) > configuration.MaxBytes:
+	case len(document) > configuration.MaxBytes:
 		return nil, apierror.New(apierror.Oversize, "the document has more than %d bytes", configuration.MaxBytes)
 	}
-	return doc, nil
+	return document, nil
 }
