--- a/internal/operator/orderlog/model_test.go
+++ b/internal/operator/orderlog/model_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever orders come, a log holds just the newest ones, knows of all above the last that it forgot, and is read back as
-// it was written at each step.
-func TestALogAgainstAPlainList(t *testing.T) {
+// Whatever orders come, a log contains just the newest ones, knows of all above the last that it
+// forgot, and is read back as it was written at each step.
+func TestLog_AgainstAPlainList(t *testing.T) {
 	var full Log
 	for n := range uint64(MaxOrders - 5) {
 		full.Orders = append(full.Orders, Order{Base: n, Sequence: n + 1, Digest: Digest{byte(n), byte(n >> 8)}})
@@ -28,9 +28,9 @@
 					base = all[len(all)-1].Sequence
 				}
 				rise := rapid.Uint64Range(1, 1<<40).Draw(t, "rise")
-				o := order(base, base+rise, fmt.Sprint("accepted ", len(all)))
-				all = append(all, o)
-				log = log.Append(o)
+				accepted := newOrder(base, base+rise, fmt.Sprint("accepted ", len(all)))
+				all = append(all, accepted)
+				log = log.Append(accepted)
 			},
 			"": func(t *rapid.T) {
 				read, err := Parse(log.Marshal())
@@ -42,16 +42,17 @@
 				}
 				kept := all[max(0, len(all)-MaxOrders):]
 				if len(log.Orders) != len(kept) {
-					t.Fatalf("%d orders are held, want %d", len(log.Orders), len(kept))
+					t.Fatalf("%d orders are contained, want %d", len(log.Orders), len(kept))
 				}
-				gone := len(all) - len(kept)
-				for _, i := range []int{0, gone - 1, gone, len(all) - 1} {
+				forgotten := len(all) - len(kept)
+				for _, i := range []int{0, forgotten - 1, forgotten, len(all) - 1} {
 					if i < 0 || i >= len(all) {
 						continue
 					}
-					held := i >= gone
-					if log.Contains(all[i]) != held || log.Covers(all[i]) != held {
-						t.Fatalf("order %d of %d: held %v, known %v", i, len(all), log.Contains(all[i]), log.Covers(all[i]))
+					contained := i >= forgotten
+					if log.Contains(all[i]) != contained || log.Covers(all[i]) != contained {
+						t.Fatalf("order %d of %d: contained %v, covered %v",
+							i, len(all), log.Contains(all[i]), log.Covers(all[i]))
 					}
 				}
 			},
