--- a/tools/mutations/node-leaders.sh
+++ b/tools/mutations/node-leaders.sh
@@ -1,4 +1,4 @@
 # Mutants of internal/node/leaders.
-mutant renew-named-disk internal/node/leaders/owners.go 's/ \|\| !k\.named\(r\)//' $S 'WipedStoreAsks'
-mutant reread-again internal/node/leaders/owners.go 's/for try := 0; !k\.reread\(ctx, p\); try\+\+ \{/for try := 0; !k.reread(ctx, p) \&\& try < 0; try++ {/' $S 'KeepsAsking'
-mutant records-unread internal/node/leaders/owners.go 's/if k\.Board\.Record\(p\)\.Holds\(k\.Self\) \{/if false {/' $S TestRecordsAreNotReadAtRest
+mutant renew-named-disk internal/node/leaders/manager.go 's/ \|\| !m\.isNamed\(record\)//' $S 'WipedStoreAsks'
+mutant reread-again internal/node/leaders/manager.go 's/for attempt := 0; !m\.tryRenewEpoch\(ctx, id\); attempt\+\+ \{/for attempt := 0; !m.tryRenewEpoch(ctx, id) \&\& attempt < 0; attempt++ {/' $S 'KeepsAsking'
+mutant records-unread internal/node/leaders/records.go 's/if m\.Store\.Record\(partition\)\.Holds\(m\.Self\) \{/if false {/' $S TestRecordsAreNotReadAtRest
