--- a/internal/disk/journal/anew.go
+++ b/internal/disk/journal/anew.go
@@ -62,7 +62,7 @@
 			a.slices = a.slices[1:]
 		}
 		if len(rs) > 0 {
-			return append(append([]Record{{Kind: recordtype.AnewBegins}}, rs...), Record{Kind: recordtype.AnewEnds})
+			return append(append([]Record{{Kind: recordtype.CompactionBegins}}, rs...), Record{Kind: recordtype.CompactionEnds})
 		}
 	}
 	return nil
--- a/internal/disk/journal/journal.go
+++ b/internal/disk/journal/journal.go
@@ -141,9 +141,9 @@
 	at := len(fs)
 	for i, f := range fs {
 		switch f.Kind {
-		case recordtype.AnewBegins:
+		case recordtype.CompactionBegins:
 			at = i
-		case recordtype.AnewEnds:
+		case recordtype.CompactionEnds:
 			at = len(fs)
 		}
 	}
--- a/internal/disk/journal/room.go
+++ b/internal/disk/journal/room.go
@@ -53,7 +53,7 @@
 
 func (r *room) fits(anew int64) bool { return !r.over(r.used+anew, lastPercent) }
 
-var keeps = map[uint16]bool{recordtype.Entry: true, recordtype.Directory: true}
+var keeps = map[uint16]bool{recordtype.Entry: true, recordtype.Snapshot: true}
 
 func brings(rs []Record) bool {
 	return slices.ContainsFunc(rs, func(r Record) bool { return keeps[r.Kind] })
--- a/internal/disk/journal/room_test.go
+++ b/internal/disk/journal/room_test.go
@@ -195,7 +195,7 @@
 			r := journal.Record{Kind: k, Body: make([]byte, 400)}
 			return j.Put(t.Context(), false, func() { s.add(r) }, r)
 		}
-		for _, k := range []uint16{recordtype.Entry, recordtype.Directory} {
+		for _, k := range []uint16{recordtype.Entry, recordtype.Snapshot} {
 			for n := 0; err == nil; n++ {
 				assert.Assert(t, n < room/400, "nothing was turned away")
 				err = put(k)
--- a/internal/partitionlog/replica/replica.go
+++ b/internal/partitionlog/replica/replica.go
@@ -163,13 +163,13 @@
 		r.line(s.ID).TrimTo(s.Base)
 		return err
 	},
-	recordtype.Cut: func(r *Replica, b []byte) error {
+	recordtype.Truncation: func(r *Replica, b []byte) error {
 		var s cutRec
 		err := read(b, &s)
 		r.line(s.ID).TruncateAfter(s.Cut)
 		return err
 	},
-	recordtype.Directory: func(r *Replica, b []byte) error {
+	recordtype.Snapshot: func(r *Replica, b []byte) error {
 		var s Snapshot
 		err := read(b, &s)
 		r.states[s.Partition] = s
@@ -267,7 +267,7 @@
 	if !ok {
 		return nil
 	}
-	return []journal.Record{rec(recordtype.Directory, d.At.Epoch, d.At.Offset, d)}
+	return []journal.Record{rec(recordtype.Snapshot, d.At.Epoch, d.At.Offset, d)}
 }
 
 // slice goes through a line from its base to its end. What is put meanwhile at or before the place reached counts by itself when the log is
@@ -421,7 +421,7 @@
 	}
 	defer in.Release()
 	id := log.ID{Partition: t.Partition, Kind: k}
-	return r.journal.PutIn(ctx, in, urgent, func() { r.Log(t.Partition, k).TruncateAfter(o) }, rec(recordtype.Cut, t.Epoch, o, cutRec{id, o}))
+	return r.journal.PutIn(ctx, in, urgent, func() { r.Log(t.Partition, k).TruncateAfter(o) }, rec(recordtype.Truncation, t.Epoch, o, cutRec{id, o}))
 }
 
 // Fetch reads entries.
@@ -459,7 +459,7 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.states[d.Partition] = d
-	}, rec(recordtype.Directory, d.At.Epoch, d.At.Offset, d))
+	}, rec(recordtype.Snapshot, d.At.Epoch, d.At.Offset, d))
 }
 
 // Snapshot gives the state directory of a partition if its point is on the changelog held.
--- a/internal/testing/crash/slices_test.go
+++ b/internal/testing/crash/slices_test.go
@@ -29,7 +29,7 @@
 // Write opens the gate.
 func (g *gated) Write(first uint64, recs [][]byte) error {
 	for i, r := range recs {
-		if f, err := frame.Decode(first+uint64(i), r); err == nil && f.Kind == recordtype.AnewBegins {
+		if f, err := frame.Decode(first+uint64(i), r); err == nil && f.Kind == recordtype.CompactionBegins {
 			g.count++
 			g.slice()
 			break
