--- a/internal/client/follow.go
+++ b/internal/client/follow.go
@@ -149,7 +149,7 @@
 		return err
 	}
 	st.leaves = append(st.leaves, leave)
-	st.fence, st.seen = f, f.To()
+	st.fence, st.seen = f, f.CommittedEnd()
 	return st.s.identify(ctx, st.t, k, urgent)
 }
 
@@ -172,7 +172,7 @@
 	if o.err != nil {
 		return o
 	}
-	tail := o.feed.To()
+	tail := o.feed.CommittedEnd()
 	at, ok := st.given[p]
 	if !ok {
 		at = tail
@@ -418,14 +418,14 @@
 		}
 	}
 	at := st.pos[l.p]
-	if w, ok := l.feed.Held(at); ok {
+	if w, ok := l.feed.Cached(at); ok {
 		l.left = w
 		return w.Entries, nil
 	}
 	l.busy = true
 	f, got := l.feed, l.got
 	go func() {
-		w, err := f.After(ctx, at)
+		w, err := f.Fetch(ctx, at)
 		if err != nil && !apierror.HasCode(err, apierror.CursorExpired) {
 			_ = st.s.Clock.Sleep(ctx, st.s.Timing.MaxBackoff())
 		}
@@ -509,7 +509,7 @@
 		}
 	}
 	for {
-		w, ok := st.fence.Held(st.seen)
+		w, ok := st.fence.Cached(st.seen)
 		if !ok {
 			st.recheck(ctx)
 			return nil
@@ -529,7 +529,7 @@
 // recheck asks which attachment is in force, after the feed passed over entries that this stream had not seen.
 func (st *subscriptionStream) recheck(ctx context.Context) {
 	st.asking = true
-	st.seen = st.fence.To()
+	st.seen = st.fence.CommittedEnd()
 	who, urgent := st.t.who, slices.ContainsFunc(st.lanes, func(l lane) bool { return l.urgent })
 	go func() {
 		err := error(apierror.New(apierror.NoPartitionLeader, "not asked yet"))
--- /dev/null
+++ b/internal/delivery/stream/feeds_test.go
@@ -0,0 +1,302 @@
+package stream
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"postjunction/internal/clock"
+	"postjunction/internal/partitionlog/leader"
+	"postjunction/internal/partitionlog/log"
+	"postjunction/internal/settings"
+)
+
+// fakeLeader is a leader whose log a test writes.
+type fakeLeader struct {
+	mu          sync.Mutex
+	entries     []log.Entry
+	base        uint64
+	epoch       uint64
+	requests    []leader.ReadRequest
+	readerToken uint64
+	resets      map[string]bool
+	block       chan struct{}
+	written     chan struct{}
+}
+
+func (c *fakeLeader) ReadAsReader(ctx context.Context, request *leader.ReadRequest) (*leader.ReadResponse, error) {
+	for end := time.Now().Add(request.Hold); ; {
+		c.mu.Lock()
+		c.requests = append(c.requests, *request)
+		response := &leader.ReadResponse{
+			Base:        c.base,
+			To:          uint64(len(c.entries)),
+			Epoch:       c.epoch,
+			ReaderToken: c.readerToken,
+		}
+		late, news := c.block, c.written
+		switch {
+		case c.resets[request.BootID]:
+			response.MustReset = true
+		case request.From < response.To:
+			response.Entries = append(response.Entries, c.entries[max(request.From, c.base):]...)
+		}
+		c.mu.Unlock()
+		if (request.Beside || request.From == ^uint64(0)) && late != nil {
+			<-late
+		}
+		left := time.Until(end)
+		if response.MustReset || len(response.Entries) > 0 || left <= 0 || request.From == ^uint64(0) {
+			return response, nil
+		}
+		waitCtx, stop := context.WithTimeout(ctx, left)
+		select {
+		case <-news:
+		case <-waitCtx.Done():
+		}
+		stop()
+		if ctx.Err() != nil {
+			return nil, ctx.Err()
+		}
+	}
+}
+
+func (c *fakeLeader) write(entryType, key, body string) uint64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.entries = append(
+		c.entries,
+		log.Entry{Offset: uint64(len(c.entries)) + 1, Type: entryType, Topic: "t", Key: key, Body: []byte(body)},
+	)
+	close(c.written)
+	c.written = make(chan struct{})
+	return uint64(len(c.entries))
+}
+
+func (c *fakeLeader) set(change func()) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	change()
+}
+
+// readPosition returns up to where the reader of a boot ID has confirmed what it read, and whether
+// it is finished.
+func (c *fakeLeader) readPosition(bootID string) (offset uint64, finished bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, request := range c.requests {
+		if request.BootID == bootID && !request.Beside && !request.Finished && request.From != ^uint64(0) {
+			offset = max(offset, request.From)
+		}
+		finished = finished || request.BootID == bootID && request.Finished
+	}
+	return offset, finished
+}
+
+type fixture struct {
+	*testing.T
+	leader *fakeLeader
+	feeds  *Feeds
+	feed   *Feed
+	leave  func()
+}
+
+func (x *fixture) cached(offset uint64) Window {
+	window, ok := x.feed.Cached(offset)
+	assert.Assert(x, ok)
+	return window
+}
+
+func (x *fixture) fate(window Window, index int) Fate {
+	fate, end := x.feed.Begin(window, window.Entries[index], func() {})
+	if fate == FateDeliver {
+		end()
+	}
+	return fate
+}
+
+func TestFeeds(t *testing.T) {
+	for name, test := range map[string]func(x *fixture){
+		"a withdrawal reaches the cache and the windows filled before, and what follows under its key is new": func(x *fixture) {
+			x.leader.write(log.TypeMessage, "k", "old")
+			x.leader.write(log.TypeMessage, "l", "other")
+			synctest.Wait()
+			window := x.cached(0)
+			x.leader.write(log.TypeWithdrawal, "k", "")
+			x.leader.write(log.TypeMessage, "k", "new")
+			synctest.Wait()
+			assert.Equal(x, x.fate(window, 0), FateWithdrawn)
+			assert.Equal(x, x.fate(window, 1), FateDeliver)
+			now := x.cached(0)
+			assert.Equal(x, fmt.Sprintf("%s %v", now.Entries[0].Body, now.Entries[0].BodyDropped), " true")
+			assert.Equal(x, string(now.Entries[1].Body)+string(now.Entries[3].Body), "othernew")
+			assert.Equal(x, string(window.Entries[0].Body), "old")
+			assert.Equal(x, x.fate(now, 3), FateDeliver)
+			at, _ := x.leader.readPosition("b.1")
+			assert.Equal(x, at, uint64(4))
+		},
+		"a response to an earlier call is withdrawn when it comes late": func(x *fixture) {
+			for range 3 {
+				x.leader.write(log.TypeMessage, "k", "old")
+			}
+			synctest.Wait()
+			x.feed.mu.Lock()
+			x.feed.entries, x.feed.receivedAt, x.feed.base = nil, nil, x.feed.end
+			x.feed.mu.Unlock()
+			x.leader.set(func() { x.leader.block = make(chan struct{}) })
+			got := make(chan Window, 1)
+			go func() {
+				window, err := x.feed.Fetch(x.Context(), 1)
+				assert.Check(x, err)
+				got <- window
+			}()
+			synctest.Wait()
+			x.leader.write(log.TypeWithdrawal, "k", "")
+			synctest.Wait()
+			close(x.leader.block)
+			window := <-got
+			assert.Equal(x, string(window.Entries[0].Body), "old")
+			assert.Equal(x, x.fate(window, 0), FateWithdrawn)
+			at, _ := x.leader.readPosition("b.1")
+			assert.Equal(x, at, uint64(4))
+		},
+		"a write in flight is aborted and has ended before anything after the tombstone is read": func(x *fixture) {
+			x.leader.write(log.TypeMessage, "k", "old")
+			x.leader.write(log.TypeMessage, "l", "other")
+			synctest.Wait()
+			window := x.cached(0)
+			cut := make(chan bool, 3)
+			_, end := x.feed.Begin(window, window.Entries[0], func() { cut <- true })
+			_, spared := x.feed.Begin(window, window.Entries[1], func() { cut <- false })
+			x.leader.write(log.TypeWithdrawal, "k", "")
+			synctest.Wait()
+			assert.Equal(x, len(cut), 1)
+			assert.Assert(x, <-cut)
+			time.Sleep(10 * time.Second)
+			at, _ := x.leader.readPosition("b.1")
+			assert.Equal(x, at, uint64(2))
+			assert.Equal(x, len(x.cached(2).Entries), 1)
+			end()
+			synctest.Wait()
+			at, _ = x.leader.readPosition("b.1")
+			assert.Equal(x, at, uint64(3))
+			spared()
+		},
+		"with too many tombstones windows are filled again": func(x *fixture) {
+			x.leader.write(log.TypeMessage, "k", "old")
+			x.leader.write(log.TypeMessage, "", "without")
+			synctest.Wait()
+			window := x.cached(0)
+			x.leader.write(log.TypeWithdrawal, "k", "")
+			for i := range maxTombstones {
+				x.leader.write(log.TypeWithdrawal, fmt.Sprint(i), "")
+			}
+			synctest.Wait()
+			x.feed.mu.Lock()
+			now := len(x.feed.tombstones)
+			x.feed.mu.Unlock()
+			assert.Assert(x, now <= maxTombstones)
+			assert.Equal(x, x.fate(window, 0), FateStale)
+			assert.Equal(x, x.fate(window, 1), FateDeliver)
+			assert.Assert(x, x.cached(0).Entries[0].BodyDropped)
+		},
+		"skipped tombstones make windows stale and abort writes": func(x *fixture) {
+			x.leader.write(log.TypeMessage, "k", "old")
+			synctest.Wait()
+			window := x.cached(0)
+			cut := make(chan bool, 1)
+			_, end := x.feed.Begin(window, window.Entries[0], func() { cut <- true })
+			x.leader.set(func() {
+				for range 5 {
+					x.leader.entries = append(x.leader.entries, log.Entry{})
+				}
+				x.leader.base = 6
+			})
+			x.leader.write(log.TypeMessage, "m", "far")
+			synctest.Wait()
+			assert.Equal(x, len(cut), 1)
+			end()
+			assert.Equal(x, x.fate(window, 0), FateStale)
+			synctest.Wait()
+			assert.Equal(x, string(x.cached(6).Entries[0].Body), "far")
+		},
+		"a reader that was given up is reset and continues under another boot ID": func(x *fixture) {
+			x.leader.write(log.TypeMessage, "k", "old")
+			synctest.Wait()
+			window := x.cached(0)
+			cut := make(chan bool, 1)
+			_, end := x.feed.Begin(window, window.Entries[0], func() { cut <- true })
+			x.leader.set(func() { x.leader.resets, x.leader.block = map[string]bool{"b.1": true}, make(chan struct{}) })
+			x.leader.write(log.TypeMessage, "l", "other")
+			synctest.Wait()
+			assert.Equal(x, len(cut), 1)
+			end()
+			synctest.Wait()
+			assert.Equal(x, x.fate(window, 0), FateStale)
+			_, ok := x.feed.Cached(0)
+			assert.Assert(x, !ok)
+			close(x.leader.block)
+			synctest.Wait()
+			assert.Equal(x, x.feed.CommittedEnd(), uint64(2))
+			x.leader.write(log.TypeMessage, "m", "new")
+			synctest.Wait()
+			assert.Equal(x, string(x.cached(2).Entries[0].Body), "new")
+			x.leader.set(func() {
+				request := x.leader.requests[len(x.leader.requests)-1]
+				assert.Check(x, request.BootID != "b.1" && request.From == 3, "%+v", request)
+			})
+		},
+		"nothing is accepted from a leader that is known to be superseded": func(x *fixture) {
+			x.leader.set(func() { x.leader.epoch = 7 })
+			x.leader.write(log.TypeMessage, "k", "old")
+			synctest.Wait()
+			x.leader.set(func() { x.leader.epoch = 6 })
+			x.leader.write(log.TypeMessage, "k", "older leader's")
+			time.Sleep(time.Second)
+			assert.Equal(x, x.feed.CommittedEnd(), uint64(1))
+			x.leader.set(func() { x.leader.epoch = 8 })
+			time.Sleep(time.Second)
+			assert.Equal(x, x.feed.CommittedEnd(), uint64(2))
+		},
+		"the last stream that leaves finishes the reader, and the next one is another": func(x *fixture) {
+			_, again, err := x.feeds.Follow(x.Context(), 0, make(chan struct{}, 1))
+			assert.NilError(x, err)
+			x.leave()
+			synctest.Wait()
+			_, done := x.leader.readPosition("b.1")
+			assert.Assert(x, !done)
+			again()
+			synctest.Wait()
+			_, done = x.leader.readPosition("b.1")
+			assert.Assert(x, done)
+			feed, leave, err := x.feeds.Follow(x.Context(), 0, make(chan struct{}, 1))
+			assert.NilError(x, err)
+			defer leave()
+			assert.Assert(x, feed.bootID != "b.1")
+		},
+		"a reader token is sent with the next call": func(x *fixture) {
+			x.leader.set(func() { x.leader.readerToken = 9 })
+			x.leader.write(log.TypeMessage, "k", "old")
+			synctest.Wait()
+			x.leader.set(func() { assert.Check(x, x.leader.requests[len(x.leader.requests)-1].ReaderToken == 9) })
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				ctx, stop := context.WithCancel(t.Context())
+				leader := &fakeLeader{written: make(chan struct{})}
+				feeds := New(ctx, "a1", "b", leader, clock.Real{}, settings.DefaultTiming)
+				feed, leave, err := feeds.Follow(ctx, 0, make(chan struct{}, 1))
+				assert.NilError(t, err)
+				test(&fixture{t, leader, feeds, feed, leave})
+				stop()
+				synctest.Wait()
+			})
+		})
+	}
+}
