--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -195,18 +195,18 @@
 		fmt.Printf("%-22s count %d p50 %s p95 %s p99 %s max %s\n", name, s.Count, s.P50, s.P95, s.P99, s.Max)
 	}
 	fmt.Printf("sent %d taken %d unknown %d receipts %d subscribers %d descriptions %d\n",
-		report.Sent, report.Taken, report.Unknown, report.Receipts, report.Subscribers, report.Descriptions)
+		report.Sent, report.Accepted, report.Unknown, report.Receipts, report.Subscribers, report.Descriptions)
 	spans("send to receive", report.Spread)
 	spans("send to taken, urgent", report.Urgent)
 	spans("send to taken, routine", report.Routine)
 	for name, s := range report.Waits {
 		spans(name, s)
 	}
-	for name, s := range report.Told {
+	for name, s := range report.Acknowledged {
 		spans("told "+name, s)
 	}
 	fmt.Printf("longest wait %s (%s at %s), undisturbed %s\n",
-		report.Longest.Whole, report.Longest.Kind, report.Longest.Place, report.LongestUndisturbed.Undisturbed)
+		report.Longest.Total, report.Longest.Kind, report.Longest.Place, report.LongestUndisturbed.Undisturbed)
 	fmt.Printf("faults %v\n", report.Covered)
 	pieces, held, late := deployment.Relay.Counts()
 	fmt.Printf("between machines: %d pieces one way, %d held by a cut, %d late\n", pieces, held, late)
--- a/internal/testing/crash/crash.go
+++ b/internal/testing/crash/crash.go
@@ -1,4 +1,5 @@
-// Package crash cuts a disk's power after each of its writes and holds what comes back against what had been promised.
+// Package crash cuts a disk's power after each of its writes and holds what comes back against what
+// had been promised.
 package crash
 
 import (
@@ -7,7 +8,8 @@
 	"postjunction/internal/disk/memlog"
 )
 
-// Moment is a disk as it was after one of its operations, with the number of tasks that had been answered by then.
+// Moment is a disk as it was after one of its operations, with the number of tasks that had been
+// answered by then.
 type Moment struct {
 	Op       string
 	Disk     *memlog.Disk
--- a/internal/testing/crash/crash_test.go
+++ b/internal/testing/crash/crash_test.go
@@ -99,7 +99,8 @@
 	return p
 }
 
-// between tells whether a picture lies between the one answered last and the one of the task under way.
+// between tells whether a picture lies between the one answered last and the one of the task under
+// way.
 func between(got, last, next picture) error {
 	for n, e := range got.seals {
 		if e < last.seals[n] {
@@ -131,8 +132,9 @@
 	return nil
 }
 
-// tasks are a disk's whole life in small: founding, promises, appends of two epochs, a replaced tail, trims, a fresh start, directories, a drop,
-// a new roster, and so many records that the journal is written anew in between.
+// tasks are a disk's whole life in small: founding, promises, appends of two epochs, a replaced
+// tail, trims, a fresh start, directories, a drop, a new roster, and so many records that the
+// journal is written anew in between.
 func tasks() []func(s *store) error {
 	ctx := context.Background()
 	to := func(p int, e uint64) replica.Target { return replica.Target{Partition: p, Incarnation: "i", Epoch: e} }
@@ -221,7 +223,8 @@
 
 const anewMost = 64
 
-// The power goes after every operation of the disk, with each number of unsynced records kept and the next one torn or not.
+// The power goes after every operation of the disk, with each number of unsynced records kept and
+// the next one torn or not.
 func TestPowerLostAfterEveryWrite(t *testing.T) {
 	l := New()
 	s, _, stop := boot(t, l)
@@ -235,7 +238,8 @@
 	for i, f := range ts {
 		do(i, f)
 	}
-	// A writing anew goes on along with what is put, a slice each: some more is put until one has come to its end.
+	// A writing anew goes on along with what is put, a slice each: some more is put until one has
+	// come to its end.
 	for e := uint64(1); s.j.Counters().Compactions == 0 && e < anewMost; e++ {
 		do(len(ts)+int(e), func(s *store) error {
 			_, err := s.r.Seal(t.Context(), &replica.SealRequest{Target: replica.Target{Partition: 7, Incarnation: "i", Epoch: e}})
--- a/internal/testing/crash/slices_test.go
+++ b/internal/testing/crash/slices_test.go
@@ -38,8 +38,8 @@
 	return g.Log.Write(first, recs)
 }
 
-// meddling is all that may happen to lines between two slices: appends, other tails, trims behind and ahead of the place reached, fresh starts,
-// drops, cuts, directories, seals, promises.
+// meddling is all that may happen to lines between two slices: appends, other tails, trims behind
+// and ahead of the place reached, fresh starts, drops, cuts, directories, seals, promises.
 func meddling(r *rand.Rand, e *uint64) func(s *store) error {
 	ctx := context.Background()
 	p, k := r.IntN(partitions), log.Kinds[r.IntN(2)]
@@ -113,7 +113,8 @@
 	return nil
 }
 
-// The journal is written anew in slices, and between each two of them something happens to what is written. The power goes after every operation.
+// The journal is written anew in slices, and between each two of them something happens to what is
+// written. The power goes after every operation.
 func TestPowerLostBetweenSlices(t *testing.T) {
 	seeds, cases, slices, anews := 16, 0, 0, 0
 	if raced {
--- a/internal/testing/deliverycheck/book.go
+++ b/internal/testing/deliverycheck/checker.go
@@ -1,5 +1,6 @@
-// Package deliverycheck records what stand-in guests on line sessions saw and judges it: each stay is one subscription of one visitor to one
-// topic, from its first joined answer to its end, across connections.
+// Package deliverycheck records what stand-in guests on line sessions saw and judges it: each stay
+// is one subscription of one visitor to one topic, from its first joined answer to its end, across
+// connections.
 package deliverycheck
 
 import (
@@ -10,19 +11,19 @@
 
 // Message names one numbered message of a sender on a topic.
 type Message struct {
-	Topic string
-	From  string
-	Call  uint64
+	Topic   string
+	From    string
+	CallSeq uint64
 }
 
 type sent struct {
-	body   string
-	key    string
-	place  Place
-	at     time.Time
-	taken  time.Time
-	tries  int
-	turned int
+	body     string
+	key      string
+	place    Place
+	at       time.Time
+	accepted time.Time
+	tries    int
+	rejected int
 }
 
 // The rules that are judged.
@@ -53,30 +54,30 @@
 	// Window is how far back a count of listeners may look.
 	Window time.Duration
 
-	mu    sync.Mutex
-	sent  map[Message]*sent
-	stays []*Session
-	bad   []Violation
-	there map[string][]*Presence
-	drawn map[string][]*Withdrawal
-	tally Tally
+	mu         sync.Mutex
+	sent       map[Message]*sent
+	sessions   []*Session
+	violations []Violation
+	presences  map[string][]*Presence
+	drawn      map[string][]*Withdrawal
+	tally      Tally
 }
 
 // Tally says how much there was to judge.
 type Tally struct {
-	Sent, Taken, Tries, Turned, Got, Stays, Resumed, Expired, Counts, Late int
-	Keyed, Withdrawals, Forgotten, Open, Void, Covered, Spared             int
+	Sent, Accepted, Tries, Rejected, Got, Sessions, Resumed, Expired, Counts, Late int
+	Keyed, Withdrawals, Forgotten, Open, Void, Covered, Spared                     int
 }
 
 // New makes an empty book.
 func New(keeping, window time.Duration) *Checker {
-	return &Checker{Keeping: keeping, Window: window, sent: map[Message]*sent{}, there: map[string][]*Presence{}, drawn: map[string][]*Withdrawal{}}
+	return &Checker{Keeping: keeping, Window: window, sent: map[Message]*sent{}, presences: map[string][]*Presence{}, drawn: map[string][]*Withdrawal{}}
 }
 
 // Session is a subscription.
 type Session struct {
-	b       *Checker
-	visitor string
+	checker *Checker
+	client  string
 	topic   string
 	kept    bool
 	late    bool
@@ -91,25 +92,26 @@
 }
 
 type receipt struct {
-	m    Message
-	conn int
-	at   time.Time
+	message Message
+	conn    int
+	at      time.Time
 	// since is when the connection took the subscription up.
 	since time.Time
 }
 
-func (b *Checker) breach(rule, f string, a ...any) {
-	b.bad = append(b.bad, Violation{rule, fmt.Sprintf(f, a...)})
+func (b *Checker) addViolation(rule, f string, a ...any) {
+	b.violations = append(b.violations, Violation{rule, fmt.Sprintf(f, a...)})
 }
 
 // Violation notes a rule that a guest itself saw broken.
 func (b *Checker) Violation(rule, f string, a ...any) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.breach(rule, f, a...)
+	b.addViolation(rule, f, a...)
 }
 
-// Try notes that a message is about to be sent, under a key if that is not empty; the first try gives its body and time.
+// Try notes that a message is about to be sent, under a key if that is not empty; the first try
+// gives its body and time.
 func (b *Checker) Try(m Message, key, body string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -121,24 +123,24 @@
 	s.tries++
 }
 
-// Turned notes that a try was turned away with the promise that it never will be done.
-func (b *Checker) Turned(m Message) {
+// Rejected notes that a try was turned away with the promise that it never will be done.
+func (b *Checker) Rejected(m Message) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.sent[m].turned++
+	b.sent[m].rejected++
 }
 
-// Taken notes that a message was acknowledged.
-func (b *Checker) Taken(m Message, now time.Time) {
+// Accepted notes that a message was acknowledged.
+func (b *Checker) Accepted(m Message, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.sent[m]
 	if s == nil {
-		b.breach(Mixed, "%v was acknowledged and never sent", m)
+		b.addViolation(Mixed, "%v was acknowledged and never sent", m)
 		return
 	}
-	if s.taken.IsZero() {
-		s.taken = now
+	if s.accepted.IsZero() {
+		s.accepted = now
 	}
 }
 
@@ -146,8 +148,8 @@
 func (b *Checker) Open(visitor, topic string, kept bool) *Session {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := &Session{b: b, visitor: visitor, topic: topic, kept: kept, have: map[Message]int{}}
-	b.stays = append(b.stays, s)
+	s := &Session{checker: b, client: visitor, topic: topic, kept: kept, have: map[Message]int{}}
+	b.sessions = append(b.sessions, s)
 	return s
 }
 
@@ -165,22 +167,22 @@
 
 // Joined notes that the subscription was taken up, on a further connection unless it is the first.
 func (s *Session) Joined(now time.Time) {
-	s.b.mu.Lock()
-	defer s.b.mu.Unlock()
+	s.checker.mu.Lock()
+	defer s.checker.mu.Unlock()
 	s.conn++
 	s.taken = now
 	if s.since.IsZero() {
 		s.since = now
 	}
 	if s.conn > 1 {
-		s.b.tally.Resumed++
+		s.checker.tally.Resumed++
 	}
 }
 
 // Ended notes that the visitor ends the subscription.
 func (s *Session) Ended(now time.Time) {
-	s.b.mu.Lock()
-	defer s.b.mu.Unlock()
+	s.checker.mu.Lock()
+	defer s.checker.mu.Unlock()
 	if s.end.IsZero() {
 		s.end = now
 	}
@@ -188,9 +190,9 @@
 
 // Expired notes that the visitor is told that the subscription can't be taken up.
 func (s *Session) Expired(now time.Time) {
-	s.b.mu.Lock()
-	defer s.b.mu.Unlock()
-	s.b.tally.Expired++
+	s.checker.mu.Lock()
+	defer s.checker.mu.Unlock()
+	s.checker.tally.Expired++
 	if !s.end.IsZero() {
 		return
 	}
@@ -202,27 +204,28 @@
 	if s.late {
 		from = s.place
 	}
-	for m, x := range s.b.sent {
-		if m.Topic == s.topic && !x.taken.IsZero() && x.at.After(from) && s.have[m] == 0 && now.Sub(x.at) > s.b.Keeping {
+	for m, x := range s.checker.sent {
+		if m.Topic == s.topic && !x.accepted.IsZero() && x.at.After(from) && s.have[m] == 0 && now.Sub(x.at) > s.checker.Keeping {
 			return
 		}
 	}
-	s.b.breach(Expired, "%s was told at %s that %s can't be taken up, and lacks nothing older than %s", s.visitor, now.Format("04:05.000"), s.topic, s.b.Keeping)
+	s.checker.addViolation(Expired, "%s was told at %s that %s can't be taken up, and lacks nothing older than %s", s.client, now.Format("04:05.000"), s.topic, s.checker.Keeping)
 }
 
-// Got notes a message that came on this stay's connection: its place in the line, where that is known, and when the connection took its last byte.
+// Got notes a message that came on this stay's connection: its place in the line, where that is
+// known, and when the connection took its last byte.
 func (s *Session) Got(m Message, body string, at Place, shown time.Time) {
-	s.b.mu.Lock()
-	defer s.b.mu.Unlock()
-	s.b.tally.Got++
+	s.checker.mu.Lock()
+	defer s.checker.mu.Unlock()
+	s.checker.tally.Got++
 	s.got = append(s.got, receipt{m, s.conn, shown, s.taken})
 	s.have[m]++
-	s.b.same(s.visitor, m, body)
-	if x := s.b.sent[m]; x != nil && at != (Place{}) {
+	s.checker.same(s.client, m, body)
+	if x := s.checker.sent[m]; x != nil && at != (Place{}) {
 		x.place = at
 	}
 	if m.Topic != s.topic {
-		s.b.breach(Mixed, "%s got %v on %s", s.visitor, m, s.topic)
+		s.checker.addViolation(Mixed, "%s got %v on %s", s.client, m, s.topic)
 	}
 }
 
@@ -230,9 +233,9 @@
 	x := b.sent[m]
 	switch {
 	case x == nil:
-		b.breach(Mixed, "%s got %v, which nobody sent", who, m)
+		b.addViolation(Mixed, "%s got %v, which nobody sent", who, m)
 	case x.body != body:
-		b.breach(Mixed, "%s got %v with another body", who, m)
+		b.addViolation(Mixed, "%s got %v with another body", who, m)
 	}
 }
 
@@ -242,14 +245,14 @@
 }
 
 func (s *Session) owed(m Message, x *sent) bool {
-	return m.Topic == s.topic && s.kept && !s.since.IsZero() && !x.taken.IsZero() && x.at.After(s.since) && (s.end.IsZero() || x.taken.Before(s.end)) && !s.b.spared(m, x)
+	return m.Topic == s.topic && s.kept && !s.since.IsZero() && !x.accepted.IsZero() && x.at.After(s.since) && (s.end.IsZero() || x.accepted.Before(s.end)) && !s.checker.spared(m, x)
 }
 
 const slack = 2
 
 // Presence is the time that a visitor listens to a topic on one connection.
 type Presence struct {
-	b                *Checker
+	checker          *Checker
 	asked, since, to time.Time
 }
 
@@ -257,35 +260,36 @@
 func (b *Checker) Here(topic string, now time.Time) *Presence {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p := &Presence{b: b, asked: now}
-	b.there[topic] = append(b.there[topic], p)
+	p := &Presence{checker: b, asked: now}
+	b.presences[topic] = append(b.presences[topic], p)
 	return p
 }
 
 // Joined notes that it does.
 func (p *Presence) Joined(now time.Time) {
-	p.b.mu.Lock()
-	defer p.b.mu.Unlock()
+	p.checker.mu.Lock()
+	defer p.checker.mu.Unlock()
 	p.since = now
 }
 
 // Gone notes that it does no longer.
 func (p *Presence) Gone(now time.Time) {
-	p.b.mu.Lock()
-	defer p.b.mu.Unlock()
+	p.checker.mu.Lock()
+	defer p.checker.mu.Unlock()
 	if p.to.IsZero() {
 		p.to = now
 	}
 }
 
-// Count notes a count of listeners that was asked for and told. A calm fleet counts all that were there all through the window.
+// Count notes a count of listeners that was asked for and told. A calm fleet counts all that were
+// there all through the window.
 func (b *Checker) Count(topic string, n int, asked, told time.Time, calm bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tally.Counts++
 	least, most := 0, 0
 	from := asked.Add(-b.Window)
-	for _, p := range b.there[topic] {
+	for _, p := range b.presences[topic] {
 		if (p.to.IsZero() || p.to.After(from)) && p.asked.Before(told) {
 			most++
 		}
@@ -294,10 +298,10 @@
 		}
 	}
 	if n > most+slack {
-		b.breach(Count, "%d were counted on %s at %s, %d were there at some moment, and %d more are let pass", n, topic, told.Format("04:05.000"), most, slack)
+		b.addViolation(Count, "%d were counted on %s at %s, %d were there at some moment, and %d more are let pass", n, topic, told.Format("04:05.000"), most, slack)
 	}
 	if calm && n < least {
-		b.breach(Count, "%d were counted on %s at %s, %d were there all the time", n, topic, told.Format("04:05.000"), least)
+		b.addViolation(Count, "%d were counted on %s at %s, %d were there all the time", n, topic, told.Format("04:05.000"), least)
 	}
 }
 
@@ -305,17 +309,17 @@
 func (b *Checker) Judge(cut time.Time) (Tally, []Violation) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tally.Sent, b.tally.Stays = len(b.sent), len(b.stays)
+	b.tally.Sent, b.tally.Sessions = len(b.sent), len(b.sessions)
 	for _, x := range b.sent {
 		b.tally.Tries += x.tries
-		b.tally.Turned += x.turned
-		if !x.taken.IsZero() {
-			b.tally.Taken++
+		b.tally.Rejected += x.rejected
+		if !x.accepted.IsZero() {
+			b.tally.Accepted++
 		}
 	}
 	b.shown()
 	lines := map[string]*order{}
-	for _, s := range b.stays {
+	for _, s := range b.sessions {
 		if s.late {
 			b.tally.Late++
 		}
@@ -330,14 +334,14 @@
 	}
 	for t, l := range lines {
 		if m, ok := l.knot(); ok {
-			b.breach(Order, "two visitors got %v and others on %s in differing orders", m, t)
+			b.addViolation(Order, "two visitors got %v and others on %s in differing orders", m, t)
 		}
 	}
-	return b.tally, b.bad
+	return b.tally, b.violations
 }
 
 func (s *Session) judge() {
-	b := s.b
+	b := s.checker
 	seen, last, conn := map[Message]bool{}, map[string]uint64{}, 0
 	owed := map[string][]Message{}
 	for m, x := range b.sent {
@@ -351,31 +355,31 @@
 			clear(last)
 			conn = g.conn
 		}
-		if seen[g.m] {
-			b.breach(Twice, "%s got %v twice, again at %s", s.visitor, g.m, g.at.Format("04:05.000"))
+		if seen[g.message] {
+			b.addViolation(Twice, "%s got %v twice, again at %s", s.client, g.message, g.at.Format("04:05.000"))
 			continue
 		}
-		seen[g.m] = true
-		if l := last[g.m.From]; g.m.Call <= l {
-			b.breach(Order, "%s got %v after call %d at %s", s.visitor, g.m, l, g.at.Format("04:05.000"))
+		seen[g.message] = true
+		if l := last[g.message.From]; g.message.CallSeq <= l {
+			b.addViolation(Order, "%s got %v after call %d at %s", s.client, g.message, l, g.at.Format("04:05.000"))
 		}
-		last[g.m.From] = max(last[g.m.From], g.m.Call)
-		for _, m := range owed[g.m.From] {
-			if m.Call < g.m.Call && !seen[m] {
-				b.breach(Order, "%s got %v at %s, which passed over call %d, owed since %s", s.visitor, g.m, g.at.Format("04:05.000"), m.Call, b.sent[m].taken.Format("04:05.000"))
+		last[g.message.From] = max(last[g.message.From], g.message.CallSeq)
+		for _, m := range owed[g.message.From] {
+			if m.CallSeq < g.message.CallSeq && !seen[m] {
+				b.addViolation(Order, "%s got %v at %s, which passed over call %d, owed since %s", s.client, g.message, g.at.Format("04:05.000"), m.CallSeq, b.sent[m].accepted.Format("04:05.000"))
 				seen[m] = true
 			}
 		}
-		if x := b.sent[g.m]; x != nil && x.tries > 0 && x.turned >= x.tries {
-			b.breach(Refused, "%s got %v, each of whose %d tries was turned away", s.visitor, g.m, x.tries)
+		if x := b.sent[g.message]; x != nil && x.tries > 0 && x.rejected >= x.tries {
+			b.addViolation(Refused, "%s got %v, each of whose %d tries was turned away", s.client, g.message, x.tries)
 		}
 	}
 }
 
 func (s *Session) complete(cut time.Time) {
-	for m, x := range s.b.sent {
-		if s.owed(m, x) && s.have[m] == 0 && x.taken.Before(cut) && s.open(cut) && (!s.late || x.taken.After(cut.Add(-s.b.Keeping))) {
-			s.b.breach(Lost, "%s never got %v, sent at %s, acknowledged at %s (joined at %s, late: %v)", s.visitor, m, x.at.Format("04:05.000"), x.taken.Format("04:05.000"), s.since.Format("04:05.000"), s.late)
+	for m, x := range s.checker.sent {
+		if s.owed(m, x) && s.have[m] == 0 && x.accepted.Before(cut) && s.open(cut) && (!s.late || x.accepted.After(cut.Add(-s.checker.Keeping))) {
+			s.checker.addViolation(Lost, "%s never got %v, sent at %s, acknowledged at %s (joined at %s, late: %v)", s.client, m, x.at.Format("04:05.000"), x.accepted.Format("04:05.000"), s.since.Format("04:05.000"), s.late)
 		}
 	}
 }
--- a/internal/testing/deliverycheck/order.go
+++ b/internal/testing/deliverycheck/order.go
@@ -7,11 +7,11 @@
 
 func (o *order) add(gs []receipt) {
 	for i, g := range gs {
-		if o.next[g.m] == nil {
-			o.next[g.m] = map[Message]bool{}
+		if o.next[g.message] == nil {
+			o.next[g.message] = map[Message]bool{}
 		}
-		if i > 0 && gs[i-1].m != g.m {
-			o.next[gs[i-1].m][g.m] = true
+		if i > 0 && gs[i-1].message != g.message {
+			o.next[gs[i-1].message][g.message] = true
 		}
 	}
 }
--- a/internal/testing/deliverycheck/plant_test.go
+++ b/internal/testing/deliverycheck/plant_test.go
@@ -24,7 +24,7 @@
 
 func (d day) send(n uint64, at float64) {
 	d.Try(msg(n), "", body(n), sec(at))
-	d.Taken(msg(n), sec(at+0.1))
+	d.Accepted(msg(n), sec(at+0.1))
 }
 
 func (d day) got(s *Session, ns ...uint64) {
@@ -33,7 +33,8 @@
 	}
 }
 
-// sound is a day with two visitors: one joins first, goes through two connections and leaves, the other stays.
+// sound is a day with two visitors: one joins first, goes through two connections and leaves, the
+// other stays.
 func sound() day {
 	d := day{Checker: New(35*time.Second, 5*time.Second)}
 	d.w, d.x = d.Open("w", "kept/a", true), d.Open("x", "kept/a", true)
@@ -49,7 +50,7 @@
 	d.got(d.w, 4, 7)
 	d.got(d.x, 1, 3, 4, 7)
 	d.Try(msg(8), "", body(8), sec(8))
-	d.Turned(msg(8))
+	d.Rejected(msg(8))
 	d.Try(msg(8), "", body(8), sec(8.5))
 	d.got(d.x, 8)
 	d.got(d.w, 8)
@@ -105,8 +106,8 @@
 		"a message names another sender":                 {Mixed, func(d day) { d.x.Got(Message{"kept/a", "u", 10}, body(10), Place{}, sec(11)) }},
 		"a message names another topic":                  {Mixed, func(d day) { d.x.Got(Message{"kept/b", "v", 10}, body(10), Place{}, sec(11)) }},
 		"a message comes on a topic that was left":       {Mixed, func(d day) { d.Stray("w", msg(10), sec(11)) }},
-		"an answer comes to what was never sent":         {Mixed, func(d day) { d.Taken(msg(30), sec(11)) }},
-		"a message comes whose tries were turned away":   {Refused, func(d day) { d.Turned(msg(8)) }},
+		"an answer comes to what was never sent":         {Mixed, func(d day) { d.Accepted(msg(30), sec(11)) }},
+		"a message comes whose tries were turned away":   {Refused, func(d day) { d.Rejected(msg(8)) }},
 		"more are counted than ever were there":          {Count, func(d day) { d.Count("kept/a", 5, sec(8), sec(8), false) }},
 		"fewer are counted than were there all the time": {Count, func(d day) { d.Count("kept/a", 1, sec(8), sec(8), true) }},
 	}
--- a/internal/testing/deliverycheck/withdrawn.go
+++ b/internal/testing/deliverycheck/withdrawn.go
@@ -11,19 +11,20 @@
 	Offset    uint64
 }
 
-// Withdrawal is the withdrawal of what stands under a key, under a call number of its visitor, which may name a sender and its highest number that is withdrawn too.
+// Withdrawal is the withdrawal of what stands under a key, under a call number of its visitor,
+// which may name a sender and its highest number that is withdrawn too.
 type Withdrawal struct {
 	Topic, Key, By string
 	Call           uint64
 	Of             string
 	Upto           uint64
 
-	b     *Checker
-	asked time.Time
-	fixed time.Time
-	yes   time.Time
-	void  bool
-	mark  Place
+	checker   *Checker
+	asked     time.Time
+	fixed     time.Time
+	confirmed time.Time
+	void      bool
+	tombstone Place
 }
 
 // Withdraw notes that a withdrawal is about to be asked for; the first time counts.
@@ -35,7 +36,7 @@
 			return x
 		}
 	}
-	w.b, w.asked = b, now
+	w.checker, w.asked = b, now
 	b.drawn[w.Topic] = append(b.drawn[w.Topic], &w)
 	b.tally.Withdrawals++
 	return &w
@@ -43,9 +44,9 @@
 
 // Stands notes that the mark stands, though not all have forgotten.
 func (w *Withdrawal) Stands(now time.Time) {
-	w.b.mu.Lock()
-	defer w.b.mu.Unlock()
-	w.b.tally.Open++
+	w.checker.mu.Lock()
+	defer w.checker.mu.Unlock()
+	w.checker.tally.Open++
 	if w.fixed.IsZero() {
 		w.fixed = now
 	}
@@ -53,34 +54,35 @@
 
 // Void notes that nothing was withdrawn and never will be under this number.
 func (w *Withdrawal) Void() {
-	w.b.mu.Lock()
-	defer w.b.mu.Unlock()
-	w.b.tally.Void++
+	w.checker.mu.Lock()
+	defer w.checker.mu.Unlock()
+	w.checker.tally.Void++
 	w.void = true
 	if !w.fixed.IsZero() {
-		w.b.breach(Withdrawn, "the withdrawal %d of %s by %s was told to stand, and then to be void", w.Call, w.Topic, w.By)
+		w.checker.addViolation(Withdrawn, "the withdrawal %d of %s by %s was told to stand, and then to be void", w.Call, w.Topic, w.By)
 	}
 }
 
-// Forgotten notes the yes, the place of its mark where that is known, and when the connection took its last byte.
+// Forgotten notes the yes, the place of its mark where that is known, and when the connection took
+// its last byte.
 func (w *Withdrawal) Forgotten(mark Place, now time.Time) {
-	w.b.mu.Lock()
-	defer w.b.mu.Unlock()
+	w.checker.mu.Lock()
+	defer w.checker.mu.Unlock()
 	if w.fixed.IsZero() {
 		w.fixed = now
 	}
-	if w.yes.IsZero() {
-		w.yes, w.mark = now, mark
-		w.b.tally.Forgotten++
+	if w.confirmed.IsZero() {
+		w.confirmed, w.tombstone = now, mark
+		w.checker.tally.Forgotten++
 	}
 }
 
-// Told notes that a follower is told that what stood under a key no longer does.
-func (b *Checker) Told(visitor, topic, key string, now time.Time) {
+// Shown notes that a follower is told that what stood under a key no longer does.
+func (b *Checker) Shown(visitor, topic, key string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !slices.ContainsFunc(b.drawn[topic], func(w *Withdrawal) bool { return w.Key == key && !w.asked.After(now) }) {
-		b.breach(Mixed, "%s was told at %s that %s of %s was withdrawn, which nobody asked", visitor, now.Format("04:05.000"), key, topic)
+		b.addViolation(Mixed, "%s was told at %s that %s of %s was withdrawn, which nobody asked", visitor, now.Format("04:05.000"), key, topic)
 	}
 }
 
@@ -94,30 +96,30 @@
 	if w.void {
 		return false
 	}
-	if m.From == w.Of && m.Call <= w.Upto && !w.yes.IsZero() && x.at.After(w.yes) {
+	if m.From == w.Of && m.CallSeq <= w.Upto && !w.confirmed.IsZero() && x.at.After(w.confirmed) {
 		return true
 	}
 	if x.key != w.Key {
 		return false
 	}
-	if before, ok := placed(x.place, w.mark); ok {
+	if before, ok := placed(x.place, w.tombstone); ok {
 		return before
 	}
 	if m.From == w.By {
-		return m.Call < w.Call
+		return m.CallSeq < w.Call
 	}
-	return m.From == w.Of && m.Call <= w.Upto || !x.taken.IsZero() && x.taken.Before(w.asked)
+	return m.From == w.Of && m.CallSeq <= w.Upto || !x.accepted.IsZero() && x.accepted.Before(w.asked)
 }
 
 // may tells whether a message may stand before the mark, or may never be taken because of it.
 func (w *Withdrawal) may(m Message, x *sent) bool {
-	switch before, ok := placed(x.place, w.mark); {
+	switch before, ok := placed(x.place, w.tombstone); {
 	case w.void || x.key != w.Key:
 		return false
 	case ok:
 		return before
 	case m.From == w.By:
-		return m.Call < w.Call
+		return m.CallSeq < w.Call
 	}
 	return w.fixed.IsZero() || !x.at.After(w.fixed)
 }
@@ -139,30 +141,31 @@
 				continue
 			}
 			covered = true
-			if w.yes.IsZero() {
+			if w.confirmed.IsZero() {
 				continue
 			}
-			if m.From == w.Of && m.Call <= w.Upto && x.at.After(w.yes) && !x.taken.IsZero() {
-				b.breach(Withdrawn, "%v was taken at %s, which %s passed over before it came", m, x.taken.Format("04:05.000"), w.By)
+			if m.From == w.Of && m.CallSeq <= w.Upto && x.at.After(w.confirmed) && !x.accepted.IsZero() {
+				b.addViolation(Withdrawn, "%v was taken at %s, which %s passed over before it came", m, x.accepted.Format("04:05.000"), w.By)
 			}
-			for _, s := range b.stays {
+			for _, s := range b.sessions {
 				for _, g := range s.got {
-					if g.m == m && g.at.After(w.yes) {
-						b.breach(Withdrawn, "%s was shown %v under %s at %s, withdrawn by %s as %d, which was told to be forgotten at %s", s.visitor, m, w.Key, g.at.Format("04:05.000000"), w.By, w.Call, w.yes.Format("04:05.000000"))
+					if g.message == m && g.at.After(w.confirmed) {
+						b.addViolation(Withdrawn, "%s was shown %v under %s at %s, withdrawn by %s as %d, which was told to be forgotten at %s", s.client, m, w.Key, g.at.Format("04:05.000000"), w.By, w.Call, w.confirmed.Format("04:05.000000"))
 					}
 				}
 			}
 		}
 		if covered {
 			b.tally.Covered++
-			if !x.taken.IsZero() && !slices.ContainsFunc(b.stays, func(s *Session) bool { return s.have[m] > 0 }) {
+			if !x.accepted.IsZero() && !slices.ContainsFunc(b.sessions, func(s *Session) bool { return s.have[m] > 0 }) {
 				b.tally.Spared++
 			}
 		}
 	}
 }
 
-// Marks gives how long each withdrawal that was asked for in a time took to its yes, and how many have none.
+// Marks gives how long each withdrawal that was asked for in a time took to its yes, and how many
+// have none.
 func (b *Checker) Marks(from, to time.Time) (ds []time.Duration, open int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -170,10 +173,10 @@
 		for _, w := range ws {
 			switch {
 			case w.void || w.asked.Before(from) || !w.asked.Before(to):
-			case w.yes.IsZero():
+			case w.confirmed.IsZero():
 				open++
 			default:
-				ds = append(ds, w.yes.Sub(w.asked))
+				ds = append(ds, w.confirmed.Sub(w.asked))
 			}
 		}
 	}
@@ -181,18 +184,18 @@
 	return ds, open
 }
 
-// Spread gives how long messages that were first sent in a time took to visitors who followed their topic then on the connection on which they came. Of a visitor
-// named in but, nothing counts.
+// Spread gives how long messages that were first sent in a time took to visitors who followed their
+// topic then on the connection on which they came. Of a visitor named in but, nothing counts.
 func (b *Checker) Spread(from, to time.Time, but func(visitor string) bool) (ds []time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, s := range b.stays {
-		if but != nil && but(s.visitor) {
+	for _, s := range b.sessions {
+		if but != nil && but(s.client) {
 			continue
 		}
 		for _, g := range s.got {
-			x := b.sent[g.m]
-			if x == nil || x.at.Before(from) || !x.at.Before(to) || x.at.Before(g.since) || but != nil && but(g.m.From) {
+			x := b.sent[g.message]
+			if x == nil || x.at.Before(from) || !x.at.Before(to) || x.at.Before(g.since) || but != nil && but(g.message.From) {
 				continue
 			}
 			ds = append(ds, g.at.Sub(x.at))
--- a/internal/testing/deliverycheck/withdrawn_test.go
+++ b/internal/testing/deliverycheck/withdrawn_test.go
@@ -10,7 +10,7 @@
 func (d day) keyed(from string, n uint64, at float64) Message {
 	m := Message{"kept/a", from, n}
 	d.Try(m, "k", body(n), sec(at))
-	d.Taken(m, sec(at+0.1))
+	d.Accepted(m, sec(at+0.1))
 	return m
 }
 
@@ -20,11 +20,12 @@
 
 func (d day) shows(m Message, at float64, ss ...*Session) {
 	for _, s := range ss {
-		s.Got(m, body(m.Call), Place{}, sec(at))
+		s.Got(m, body(m.CallSeq), Place{}, sec(at))
 	}
 }
 
-// drawn plants a message under a key and its withdrawal in a sound day, which is shown to some before the yes and to nobody after.
+// drawn plants a message under a key and its withdrawal in a sound day, which is shown to some
+// before the yes and to nobody after.
 func drawn(d day) (Message, *Withdrawal) {
 	m := d.keyed("u", 1, 11)
 	w := d.withdraw("w", 1, 12)
@@ -85,7 +86,7 @@
 	"a live update of another key is lost": {Lost, func(d day) {
 		drawn(d)
 		d.Try(Message{"kept/a", "u", 2}, "l", body(2), sec(12.5))
-		d.Taken(Message{"kept/a", "u", 2}, sec(12.6))
+		d.Accepted(Message{"kept/a", "u", 2}, sec(12.6))
 	}},
 	"a message is lost whose withdrawal was void": {Lost, func(d day) {
 		d.keyed("u", 1, 11)
@@ -105,7 +106,7 @@
 		_, w := drawn(d)
 		w.Void()
 	}},
-	"a follower is told of a withdrawal that nobody asked": {Mixed, func(d day) { d.Told("w", "kept/a", "k", sec(5)) }},
+	"a follower is told of a withdrawal that nobody asked": {Mixed, func(d day) { d.Shown("w", "kept/a", "k", sec(5)) }},
 }
 
 func TestSoundWithdrawalsHaveNoBreach(t *testing.T) {
@@ -139,13 +140,13 @@
 			s := d.Open("y", "kept/b", true)
 			s.Joined(sec(10))
 			d.Try(m, "k", body(1), sec(11))
-			d.Taken(m, sec(11.1))
+			d.Accepted(m, sec(11.1))
 			d.withdraw("w", 1, 11.5).Forgotten(Place{}, sec(12))
 			s.Got(m, body(1), Place{}, sec(13))
 		},
 		"told": func(d day) {
 			drawn(d)
-			d.Told("x", "kept/a", "k", sec(12.6))
+			d.Shown("x", "kept/a", "k", sec(12.6))
 		},
 	}
 	for n, f := range days {
--- a/internal/testing/fleet/fleet.go
+++ b/internal/testing/fleet/fleet.go
@@ -1,4 +1,5 @@
-// Package fleet runs deployments as real processes on loopback, for tests only; no node starts a process.
+// Package fleet runs deployments as real processes on loopback, for tests only; no node starts a
+// process.
 package fleet
 
 import (
@@ -25,15 +26,15 @@
 // Site is a deployment.
 type Site struct {
 	Zones, Control, Access, Stores int
-	// Apart is how far two zones are from each other, there and back.
-	Apart time.Duration
+	// RoundTrip is how far two zones are from each other, there and back.
+	RoundTrip time.Duration
 }
 
 // Sites are the deployments of the brief, and a small one.
 var Sites = map[string]Site{
-	"small":       {Zones: 3, Control: 3, Access: 2, Stores: 3, Apart: 500 * time.Microsecond},
-	"armor":       {Zones: 3, Control: 3, Access: 7, Stores: 3, Apart: 500 * time.Microsecond},
-	"traductores": {Zones: 4, Control: 4, Access: 6, Stores: 4, Apart: 1500 * time.Microsecond},
+	"small":       {Zones: 3, Control: 3, Access: 2, Stores: 3, RoundTrip: 500 * time.Microsecond},
+	"armor":       {Zones: 3, Control: 3, Access: 7, Stores: 3, RoundTrip: 500 * time.Microsecond},
+	"traductores": {Zones: 4, Control: 4, Access: 6, Stores: 4, RoundTrip: 1500 * time.Microsecond},
 }
 
 // Process is one machine of the fleet.
@@ -51,14 +52,14 @@
 
 // Fleet is a deployment on this machine.
 type Fleet struct {
-	Processes []*Process
-	byName    map[string]*Process
-	Relay     *Relay
-	callers   *callers
-	arrive    func(l sim.Load, seed uint64, prefix string)
-	busy      map[string]bool
-	mu        sync.Mutex
-	ready     map[string]bool
+	Processes  []*Process
+	byName     map[string]*Process
+	Relay      *Relay
+	callers    *callers
+	addCallers func(l sim.Load, seed uint64, prefix string)
+	busy       map[string]bool
+	mu         sync.Mutex
+	ready      map[string]bool
 }
 
 const (
@@ -71,9 +72,10 @@
 	n int
 }{n: portsFrom + rand.IntN(portsTo-portsFrom)}
 
-// free finds a port that nobody listens on, below those that the system gives to connections and to listeners without a wish: one of
-// those could be taken by the time the process that it is meant for starts.
-func free() (string, error) {
+// freePort finds a port that nobody listens on, below those that the system gives to connections
+// and to listeners without a wish: one of those could be taken by the time the process that it is
+// meant for starts.
+func freePort() (string, error) {
 	nextPort.Lock()
 	defer nextPort.Unlock()
 	for range portsTo - portsFrom {
@@ -88,10 +90,11 @@
 	return "", apierror.New(apierror.Internal, "no port from %d to %d is free", portsFrom, portsTo)
 }
 
-// New writes the settings of a site's machines under dir. With base 0 the ports are free ones,
-// else callers' ports count up from base and peers' ports from base+100. Unless direct, a relay stands between the machines.
+// New writes the settings of a site's machines under dir. With base 0 the ports are free ones, else
+// callers' ports count up from base and peers' ports from base+100. Unless direct, a relay stands
+// between the machines.
 func New(bin, dir string, s Site, base int, direct bool, edit func(*settings.Options)) (*Fleet, error) {
-	f := &Fleet{byName: map[string]*Process{}, ready: map[string]bool{}, Relay: newRelay(s.Apart)}
+	f := &Fleet{byName: map[string]*Process{}, ready: map[string]bool{}, Relay: newRelay(s.RoundTrip)}
 	var seeds []string
 	k := 0
 	add := func(kind, disk string, n int) error {
@@ -102,10 +105,10 @@
 			o.Listen, o.PeerListen = fmt.Sprintf("127.0.0.1:%d", base+k), fmt.Sprintf("127.0.0.1:%d", base+100+k)
 			if base == 0 {
 				var err error
-				if o.Listen, err = free(); err != nil {
+				if o.Listen, err = freePort(); err != nil {
 					return err
 				}
-				if o.PeerListen, err = free(); err != nil {
+				if o.PeerListen, err = freePort(); err != nil {
 					return err
 				}
 			}
@@ -183,7 +186,8 @@
 	return nil
 }
 
-// Signal sends a signal; after one that ends the process it waits for the end and says how long that took.
+// Signal sends a signal; after one that ends the process it waits for the end and says how long
+// that took.
 func (p *Process) Signal(s syscall.Signal, ends bool) time.Duration {
 	p.mu.Lock()
 	c, done := p.cmd, p.done
@@ -237,8 +241,8 @@
 	f.Relay.close()
 }
 
-// hit takes a machine for a fault, unless another one has it.
-func (f *Fleet) hit(n string) bool {
+// reserve takes a machine for a fault, unless another one has it.
+func (f *Fleet) reserve(n string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.busy == nil {
@@ -251,7 +255,7 @@
 	return true
 }
 
-func (f *Fleet) free(n string) {
+func (f *Fleet) release(n string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.busy, n)
@@ -313,17 +317,17 @@
 	s := ""
 	for _, p := range f.Processes {
 		if !f.ready[p.Name] {
-			b := p.logged()
-			s += fmt.Sprintf("\n%s: %s", p.Name, b[max(0, len(b)-logEnd):])
+			b := p.logContents()
+			s += fmt.Sprintf("\n%s: %s", p.Name, b[max(0, len(b)-logTailBytes):])
 		}
 	}
 	return s
 }
 
-const logEnd = 600
+const logTailBytes = 600
 
-// logged gives what a machine has logged in all its runs.
-func (p *Process) logged() []byte {
+// logContents gives what a machine has logged in all its runs.
+func (p *Process) logContents() []byte {
 	b, _ := os.ReadFile(filepath.Join(p.dir, p.Name+".log"))
 	return b
 }
--- a/internal/testing/fleet/fleet_test.go
+++ b/internal/testing/fleet/fleet_test.go
@@ -33,7 +33,7 @@
 		for _, p := range f.Processes {
 			p.Kill()
 			if t.Failed() {
-				t.Logf("%s:\n%s", p.Name, p.logged())
+				t.Logf("%s:\n%s", p.Name, p.logContents())
 			}
 		}
 	})
@@ -49,12 +49,13 @@
 	for _, v := range r.Violations {
 		t.Errorf("%s: %s", v.Line, v.Message)
 	}
-	assert.Assert(t, r.Taken > 300, "taken %d", r.Taken)
-	t.Logf("taken %d receipts %d longest wait to be taken %s, longest wait %s (%s at %s from %s on), undisturbed %s, the machine stood still for %s", r.Taken, r.Receipts, max(r.Routine.Max, r.Urgent.Max),
-		r.Longest.Whole, r.Longest.Kind, r.Longest.Place, r.Longest.From.Format("04:05.000"), r.LongestUndisturbed.Undisturbed, d.Still)
+	assert.Assert(t, r.Accepted > 300, "taken %d", r.Accepted)
+	t.Logf("taken %d receipts %d longest wait to be taken %s, longest wait %s (%s at %s from %s on), undisturbed %s, the machine stood still for %s", r.Accepted, r.Receipts, max(r.Routine.Max, r.Urgent.Max),
+		r.Longest.Total, r.Longest.Kind, r.Longest.Place, r.Longest.From.Format("04:05.000"), r.LongestUndisturbed.Undisturbed, d.Stalled)
 	assert.Assert(t, r.LongestUndisturbed.Undisturbed < settings.DefaultTiming.Recovery, "%s at %s waited %s with nothing new going wrong", r.LongestUndisturbed.Kind, r.LongestUndisturbed.Place, r.LongestUndisturbed.Undisturbed)
-	// Where the machine under the fleet stood still by itself, the wait as a whole says nothing of the fleet.
-	assert.Assert(t, d.Still > 0 || max(r.Routine.Max, r.Urgent.Max) < settings.DefaultTiming.Recovery, "a caller waited %s", max(r.Routine.Max, r.Urgent.Max))
+	// Where the machine under the fleet stood still by itself, the wait as a whole says nothing of
+	// the fleet.
+	assert.Assert(t, d.Stalled > 0 || max(r.Routine.Max, r.Urgent.Max) < settings.DefaultTiming.Recovery, "a caller waited %s", max(r.Routine.Max, r.Urgent.Max))
 }
 
 type testWriter struct{ t *testing.T }
@@ -90,12 +91,12 @@
 	poll.WaitOn(t, logged(p, "unexpected EOF"), poll.WithTimeout(10*time.Second))
 }
 
-// Ports came from the range that the system gives out by itself; a relay or a connection could take one before its process started, and the
-// fleet was never ready.
+// Ports came from the range that the system gives out by itself; a relay or a connection could take
+// one before its process started, and the fleet was never ready.
 func TestPortsLieBelowThoseTheSystemGivesOut(t *testing.T) {
 	seen := map[string]bool{}
 	for range 200 {
-		a, err := free()
+		a, err := freePort()
 		assert.NilError(t, err)
 		assert.Assert(t, !seen[a], "%s was given twice", a)
 		seen[a] = true
--- a/internal/testing/fleet/links.go
+++ b/internal/testing/fleet/links.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// full makes a process's files as large as they may be: every further write fails as on a full disk.
+// full makes a process's files as large as they may be: every further write fails as on a full
+// disk.
 func (p *Process) full(on bool) error {
 	p.mu.Lock()
 	c := p.cmd
@@ -72,7 +73,7 @@
 
 func init() {
 	faults["cut"] = func(ctx context.Context, _ *Day, f *Fleet, p *Process, rng *rand.Rand) error {
-		after(ctx, down(rng), f.Relay.Cut(p.Name, all), f.Relay.Cut(all, p.Name))
+		after(ctx, downtime(rng), f.Relay.Cut(p.Name, all), f.Relay.Cut(all, p.Name))
 		return nil
 	}
 	faults["oneway"] = func(ctx context.Context, _ *Day, f *Fleet, p *Process, rng *rand.Rand) error {
@@ -84,7 +85,7 @@
 				undo = append(undo, f.Relay.Cut(p.Name, q.Name))
 			}
 		}
-		after(ctx, down(rng), undo...)
+		after(ctx, downtime(rng), undo...)
 		return nil
 	}
 	faults["zone"] = func(ctx context.Context, _ *Day, f *Fleet, p *Process, rng *rand.Rand) error {
@@ -95,17 +96,17 @@
 				undo = append(undo, f.Relay.Cut(a, b), f.Relay.Cut(b, a))
 			}
 		}
-		after(ctx, down(rng), undo...)
+		after(ctx, downtime(rng), undo...)
 		return nil
 	}
 	faults["loss"] = func(ctx context.Context, _ *Day, f *Fleet, _ *Process, rng *rand.Rand) error {
-		after(ctx, down(rng), f.Relay.Lose(0.05+0.1*rng.Float64()))
+		after(ctx, downtime(rng), f.Relay.Lose(0.05+0.1*rng.Float64()))
 		return nil
 	}
 	faults["connections"] = func(ctx context.Context, d *Day, f *Fleet, _ *Process, _ *rand.Rand) error {
 		n := f.Relay.Reset(0.8)
 		f.callers.move(0.8)
-		d.say("%d connections between machines and most callers' were reset", n)
+		d.logf("%d connections between machines and most callers' were reset", n)
 		return nil
 	}
 	faults["move"] = func(ctx context.Context, _ *Day, f *Fleet, p *Process, _ *rand.Rand) error {
@@ -115,7 +116,7 @@
 	faults["arrive"] = func(ctx context.Context, d *Day, f *Fleet, p *Process, rng *rand.Rand) error {
 		l := d.Load
 		l.Callers = max(1, l.Callers/6)
-		f.arrive(l, rng.Uint64(), fmt.Sprintf("late%d-", rng.IntN(1e9)))
+		f.addCallers(l, rng.Uint64(), fmt.Sprintf("late%d-", rng.IntN(1e9)))
 		return nil
 	}
 	faults["full"] = func(ctx context.Context, _ *Day, f *Fleet, p *Process, rng *rand.Rand) error {
@@ -125,14 +126,14 @@
 		if err := p.full(true); err != nil {
 			return err
 		}
-		wait(ctx, down(rng))
+		wait(ctx, downtime(rng))
 		return p.full(false)
 	}
 	faults["drain"] = func(ctx context.Context, d *Day, f *Fleet, _ *Process, rng *rand.Rand) error {
 		p := f.choose(rng, 1, func(q *Process) bool { return q.Opts.HasStorageDisk() })[0]
 		a, err := f.ask(ctx, http.MethodPost, "/v1/drain", `{"node":"`+p.Name+`"}`)
 		if err != nil {
-			d.say("emptying of %s was not asked for: %v", p.Name, err)
+			d.logf("emptying of %s was not asked for: %v", p.Name, err)
 			return nil
 		}
 		done := false
@@ -140,12 +141,12 @@
 			a, err = f.ask(ctx, http.MethodGet, "/v1/drain", "")
 			done = err == nil && drained(a, p.Name)
 		}
-		d.say("emptying of %s done %v: %.120s", p.Name, done, a)
+		d.logf("emptying of %s done %v: %.120s", p.Name, done, a)
 		if !done {
 			return nil
 		}
 		p.Signal(syscall.SIGTERM, true)
-		wait(ctx, down(rng))
+		wait(ctx, downtime(rng))
 		if rng.IntN(2) == 0 {
 			if err := p.Wipe(); err != nil {
 				return apierror.Wrap(apierror.Internal, err, "wipe %s", p.Name)
@@ -178,7 +179,7 @@
 
 func (c *callers) move(share float64) {
 	c.mu.Lock()
-	cs := c.cs
+	cs := c.clients
 	c.mu.Unlock()
 	for _, x := range cs {
 		if rand.Float64() < share {
@@ -189,7 +190,7 @@
 
 func (c *callers) to(share float64, zone string) {
 	c.mu.Lock()
-	cs := c.cs
+	cs := c.clients
 	var moved []int
 	for i := range cs {
 		if rand.Float64() < share {
--- a/internal/testing/fleet/relay.go
+++ b/internal/testing/fleet/relay.go
@@ -18,18 +18,19 @@
 	retransmit = 200 * time.Millisecond
 	all        = "*"
 	pieceBytes = 32 << 10
-	mostPieces = 64
+	maxPieces  = 64
 )
 
-// Relay stands between the processes of a fleet: it makes zones stand apart and links go wrong, without touching a process.
+// Relay stands between the processes of a fleet: it makes zones stand apart and links go wrong,
+// without touching a process.
 type Relay struct {
-	apart     time.Duration
+	roundTrip time.Duration
 	mu        sync.Mutex
 	zones     map[string]string
 	cuts      map[[2]string]bool
 	loss      float64
 	conns     map[string]map[net.Conn]bool
-	mended    chan struct{}
+	healed    chan struct{}
 	listeners []net.Listener
 	ctx       context.Context
 	stop      func()
@@ -38,7 +39,7 @@
 
 func newRelay(apart time.Duration) *Relay {
 	ctx, stop := context.WithCancel(context.Background())
-	return &Relay{ctx: ctx, stop: stop, mended: make(chan struct{}), apart: apart, zones: map[string]string{}, cuts: map[[2]string]bool{}, conns: map[string]map[net.Conn]bool{}, moved: map[string]uint64{}}
+	return &Relay{ctx: ctx, stop: stop, healed: make(chan struct{}), roundTrip: apart, zones: map[string]string{}, cuts: map[[2]string]bool{}, conns: map[string]map[net.Conn]bool{}, moved: map[string]uint64{}}
 }
 
 // serve opens the address under which the others reach a machine.
@@ -74,7 +75,7 @@
 	r.Reset(1)
 }
 
-func (r *Relay) hold(name string, c net.Conn, on bool) {
+func (r *Relay) track(name string, c net.Conn, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if on {
@@ -86,8 +87,8 @@
 
 // carry carries a connection to a machine; who opened it stands at its beginning.
 func (r *Relay) carry(name, to string, a net.Conn) {
-	r.hold(name, a, true)
-	defer r.hold(name, a, false)
+	r.track(name, a, true)
+	defer r.track(name, a, false)
 	in := bufio.NewReader(a)
 	from, err := mux.Preface(in)
 	if err != nil || r.open(from, name) != nil {
@@ -119,7 +120,7 @@
 	r.moved["pieces"]++
 	d := time.Duration(0)
 	if r.zones[from] != r.zones[to] {
-		d = r.apart / 2
+		d = r.roundTrip / 2
 	}
 	for k := retransmit; rand.Float64() < r.loss; k *= 2 {
 		r.moved["lost"]++
@@ -132,7 +133,7 @@
 func (r *Relay) open(from, to string) error {
 	for first := true; ; first = false {
 		r.mu.Lock()
-		cut, c := r.cuts[[2]string{from, to}] || r.cuts[[2]string{from, all}] || r.cuts[[2]string{all, to}], r.mended
+		cut, c := r.cuts[[2]string{from, to}] || r.cuts[[2]string{from, all}] || r.cuts[[2]string{all, to}], r.healed
 		if cut && first {
 			r.moved["cut"]++
 		}
@@ -153,10 +154,10 @@
 	due time.Time
 }
 
-// way is one direction of a connection: pieces take their time, keep their order, and stand still while the link is cut. When one side
-// breaks off, what is still under way is lost.
+// way is one direction of a connection: pieces take their time, keep their order, and stand still
+// while the link is cut. When one side breaks off, what is still under way is lost.
 func (r *Relay) way(in io.Reader, out net.Conn, from, to string) {
-	c := make(chan piece, mostPieces)
+	c := make(chan piece, maxPieces)
 	broke := make(chan struct{})
 	go func() {
 		defer close(c)
@@ -222,8 +223,8 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		delete(r.cuts, k)
-		close(r.mended)
-		r.mended = make(chan struct{})
+		close(r.healed)
+		r.healed = make(chan struct{})
 	}
 }
 
--- a/internal/testing/fleet/visits.go
+++ b/internal/testing/fleet/sessions.go
@@ -21,7 +21,7 @@
 // Sessions are visitors on line sessions of a fleet, who carry keys and withdraw.
 type Sessions struct {
 	Checker *deliverycheck.Checker
-	f       *Fleet
+	fleet   *Fleet
 	ctx     context.Context
 	sends   context.Context
 	stop    context.CancelFunc
@@ -29,11 +29,12 @@
 	wg      sync.WaitGroup
 }
 
-// unread is how long bytes may lie between the node's socket and the visitor here, who can't see when the socket took them.
+// unread is how long bytes may lie between the node's socket and the visitor here, who can't see
+// when the socket took them.
 const unread = 500 * time.Millisecond
 
-// asked is a task and told an answer as they stand on a line.
-type asked struct {
+// lineRequest is a task and told an answer as they stand on a line.
+type lineRequest struct {
 	Verb    session.Verb `json:"verb"`
 	Visitor string       `json:"visitor,omitempty"`
 	Topic   string       `json:"topic,omitempty"`
@@ -45,7 +46,7 @@
 	Upto    uint64       `json:"upto,omitempty"`
 }
 
-type told struct {
+type lineResponse struct {
 	What    session.ResponseType `json:"what"`
 	Re      session.Verb         `json:"re"`
 	Topic   string               `json:"topic"`
@@ -60,7 +61,7 @@
 	Say     string               `json:"say"`
 }
 
-func (a told) answer() session.Response {
+func (a lineResponse) answer() session.Response {
 	x := session.Response{Type: a.What, InReplyTo: a.Re, Topic: a.Topic, From: a.From, CallSeq: a.Call, Cursor: a.Cursor, Key: a.Key, Count: a.Count, Body: []byte(a.Body), Address: a.Address}
 	if a.Code != "" {
 		x.Err = &apierror.Error{Code: a.Code, Message: a.Say}
@@ -68,8 +69,8 @@
 	return x
 }
 
-// wired is a connection to a node. Tasks wait until they are written.
-type wired struct {
+// lineConn is a connection to a node. Tasks wait until they are written.
+type lineConn struct {
 	c     net.Conn
 	mu    sync.Mutex
 	out   []byte
@@ -79,8 +80,8 @@
 }
 
 // Do sends a task.
-func (l *wired) Do(t session.Request) {
-	q := asked{Verb: t.Verb, Visitor: t.Client, Topic: t.Topic, Cursor: t.Cursor, Call: t.CallSeq, Key: t.Key, Of: t.WithdrawSender, Upto: t.WithdrawUpTo}
+func (l *lineConn) Do(t session.Request) {
+	q := lineRequest{Verb: t.Verb, Visitor: t.Client, Topic: t.Topic, Cursor: t.Cursor, Call: t.CallSeq, Key: t.Key, Of: t.WithdrawSender, Upto: t.WithdrawUpTo}
 	if t.Verb == session.Send {
 		s := string(t.Body)
 		q.Body = &s
@@ -99,14 +100,14 @@
 }
 
 // End closes the connection.
-func (l *wired) End() {
+func (l *lineConn) End() {
 	l.once.Do(func() {
 		close(l.ended)
 		_ = l.c.Close()
 	})
 }
 
-func (l *wired) write() {
+func (l *lineConn) write() {
 	for {
 		select {
 		case <-l.more:
@@ -123,7 +124,7 @@
 	}
 }
 
-func (l *wired) read(hear func(session.Response, time.Time), broken func()) {
+func (l *lineConn) read(hear func(session.Response, time.Time), broken func()) {
 	defer l.End()
 	defer broken()
 	r := bufio.NewReader(l.c)
@@ -133,7 +134,7 @@
 		if err != nil {
 			return
 		}
-		var a told
+		var a lineResponse
 		if err := json.Unmarshal(b, &a); err != nil {
 			hear(session.Response{Type: session.ResponseType(fmt.Sprintf("%.200s: %v", b, err))}, now)
 			return
@@ -145,31 +146,31 @@
 	}
 }
 
-func (v *Sessions) doors() (ds []simclient.Endpoint) {
-	for _, p := range v.f.Processes {
-		if p.Opts.ClientListen == "" || !v.f.isReady(p.Name) {
+func (v *Sessions) endpoints() (ds []simclient.Endpoint) {
+	for _, p := range v.fleet.Processes {
+		if p.Opts.ClientListen == "" || !v.fleet.isReady(p.Name) {
 			continue
 		}
-		ds = append(ds, v.door(p))
+		ds = append(ds, v.endpoint(p))
 	}
 	if len(ds) > 0 {
 		return ds
 	}
-	for _, p := range v.f.Processes {
+	for _, p := range v.fleet.Processes {
 		if p.Opts.ClientListen != "" {
-			ds = append(ds, v.door(p))
+			ds = append(ds, v.endpoint(p))
 		}
 	}
 	return ds
 }
 
-func (v *Sessions) door(p *Process) simclient.Endpoint {
+func (v *Sessions) endpoint(p *Process) simclient.Endpoint {
 	return simclient.Endpoint{Address: p.Opts.ClientListen, Connect: func(hear func(session.Response, time.Time), broken func()) simclient.Line {
 		c, err := (&net.Dialer{Timeout: time.Second}).DialContext(v.ctx, "tcp", p.Opts.ClientListen)
 		if err != nil {
 			return nil
 		}
-		l := &wired{c: c, more: make(chan struct{}, 1), ended: make(chan struct{})}
+		l := &lineConn{c: c, more: make(chan struct{}, 1), ended: make(chan struct{})}
 		v.wg.Go(l.write)
 		v.wg.Go(func() { l.read(hear, broken) })
 		context.AfterFunc(v.ctx, l.End)
@@ -177,29 +178,30 @@
 	}}
 }
 
-// Enter lets n visitors in, who follow and send on topics of a load until Leave.
-func (f *Fleet) Enter(ctx context.Context, n int, l sim.Load, seed uint64) *Sessions {
+// StartSessions lets n visitors in, who follow and send on topics of a load until Leave.
+func (f *Fleet) StartSessions(ctx context.Context, n int, l sim.Load, seed uint64) *Sessions {
 	b := settings.DefaultTiming
-	v := &Sessions{Checker: deliverycheck.New(b.Keeping, 3*b.Spread), f: f}
+	v := &Sessions{Checker: deliverycheck.New(b.Keeping, 3*b.Spread), fleet: f}
 	v.ctx, v.stop = context.WithCancel(ctx)
 	v.sends, v.quiet = context.WithCancel(v.ctx)
 	for i := range n {
 		r := rand.New(rand.NewPCG(seed, uint64(i)+1000))
-		x := &simclient.Client{Name: fmt.Sprintf("g%d", i), Habits: sim.Habits(), Rand: r, Endpoints: v.doors, Checker: v.Checker, Calm: func() bool { return false }}
-		x.Habits.Withdraw = 3 * time.Second
+		x := &simclient.Client{Name: fmt.Sprintf("g%d", i), Habits: sim.Habits(), Rand: r, Endpoints: v.endpoints, Checker: v.Checker, Calm: func() bool { return false }}
+		x.Habits.WithdrawInterval = 3 * time.Second
 		for _, k := range r.Perm(l.Topics)[:min(l.Topics, 3+r.IntN(3))] {
 			x.Follow = append(x.Follow, simclient.Topic{Name: fmt.Sprintf("kept/t%d", k), Kept: true})
 		}
 		for k := range 2 {
-			x.Lanes = append(x.Lanes, simclient.Lane{Topic: fmt.Sprintf("kept/t%d", (i+7*k)%l.Topics), Width: 1 + 3*(i%2), Every: l.Every / time.Duration(1+3*(i%2))})
+			x.Lanes = append(x.Lanes, simclient.Lane{Topic: fmt.Sprintf("kept/t%d", (i+7*k)%l.Topics), Window: 1 + 3*(i%2), Interval: l.Every / time.Duration(1+3*(i%2))})
 		}
 		v.wg.Go(func() { x.Run(v.ctx, v.sends) })
 	}
 	return v
 }
 
-// Leave stops the senders, waits until visitors have caught up, has them leave, and judges what they saw.
-func (v *Sessions) Leave(wait time.Duration) (deliverycheck.Tally, []deliverycheck.Violation) {
+// Stop stops the senders, waits until visitors have caught up, has them leave, and judges what they
+// saw.
+func (v *Sessions) Stop(wait time.Duration) (deliverycheck.Tally, []deliverycheck.Violation) {
 	cut := time.Now()
 	v.quiet()
 	t := time.NewTimer(wait)
--- a/internal/testing/fleet/visits_test.go
+++ b/internal/testing/fleet/sessions_test.go
@@ -12,12 +12,13 @@
 	"postjunction/internal/testing/sim"
 )
 
-// Real processes: visitors carry keys and withdraw while a router is cut off with its visitors still connected and comes back, and then is paused and goes on. Nothing
-// withdrawn is shown after its yes, nothing else is lost.
+// Real processes: visitors carry keys and withdraw while a router is cut off with its visitors
+// still connected and comes back, and then is paused and goes on. Nothing withdrawn is shown after
+// its yes, nothing else is lost.
 func TestWithdrawalsWhileARouterIsCutOffAndComesBack(t *testing.T) {
 	f, err := New(build(t), t.ArtifactDir(), Sites["small"], 0, false, func(o *settings.Options) {
 		if o.Disk == settings.DiskNone {
-			a, err := free()
+			a, err := freePort()
 			assert.NilError(t, err)
 			o.ClientListen = a
 		}
@@ -30,7 +31,7 @@
 		for _, p := range f.Processes {
 			p.Kill()
 			if t.Failed() {
-				t.Logf("%s:\n%s", p.Name, p.logged())
+				t.Logf("%s:\n%s", p.Name, p.logContents())
 			}
 		}
 	})
@@ -43,7 +44,7 @@
 	_, err = d.begin(ctx, f)
 	assert.NilError(t, err)
 	wait(ctx, b.Spread)
-	v := f.Enter(ctx, 16, d.Load, 7)
+	v := f.StartSessions(ctx, 16, d.Load, 7)
 	wait(ctx, 2*time.Second)
 	calm := time.Now()
 	wait(ctx, 5*time.Second)
@@ -58,7 +59,7 @@
 	wait(ctx, 3*time.Second)
 	f.Get("a2").Signal(syscall.SIGCONT, false)
 	wait(ctx, 2*time.Second)
-	r, bs := v.Leave(2 * b.Recovery / 3)
+	r, bs := v.Stop(2 * b.Recovery / 3)
 	for _, x := range bs {
 		t.Errorf("%s: %s", x.Rule, x.Message)
 	}
@@ -67,7 +68,7 @@
 		t.Logf("%s: %d withdrawals told to be forgotten, p50 %s p99 %s, %d not", n, len(ds), quantile(ds, 0.5), quantile(ds, 0.99), open)
 	}
 	t.Logf("%+v", r)
-	assert.Assert(t, r.Taken > 100 && r.Got > 300 && r.Forgotten > 10 && r.Covered > 10, "too little was seen to prove anything")
+	assert.Assert(t, r.Accepted > 100 && r.Got > 300 && r.Forgotten > 10 && r.Covered > 10, "too little was seen to prove anything")
 	_, held, _ := f.Relay.Counts()
 	assert.Assert(t, held > 0, "void: nothing was cut")
 }
--- a/internal/testing/history/history.go
+++ b/internal/testing/history/history.go
@@ -12,9 +12,9 @@
 
 // Outcomes of a call.
 const (
-	Taken   = "taken"
-	Refused = "refused"
-	Unknown = "unknown"
+	Accepted = "taken"
+	Refused  = "refused"
+	Unknown  = "unknown"
 )
 
 // Message names one numbered message.
@@ -58,40 +58,40 @@
 
 // History is shared by all stand-in callers of a run.
 type History struct {
-	mu       sync.Mutex
-	sent     map[Message]*sent
-	refused  map[Message]map[string]bool
-	subs     map[string]*sub
-	seen     map[string]uint64
-	accepted map[uint64]time.Time
-	bases    map[uint64]yes
-	bad      []Violation
-	spread   []time.Duration
-	urgent   []time.Duration
-	routine  []time.Duration
+	mu         sync.Mutex
+	sent       map[Message]*sent
+	refused    map[Message]map[string]bool
+	subs       map[string]*sub
+	seen       map[string]uint64
+	accepted   map[uint64]time.Time
+	bases      map[uint64]acceptedConfiguration
+	violations []Violation
+	spread     []time.Duration
+	urgent     []time.Duration
+	routine    []time.Duration
 
 	// Bound is how long a wait may last after the last thing that went wrong; 0 for no bound.
-	Bound    time.Duration
-	serial   uint64
-	open     map[uint64]pending
-	waits    []Wait
-	blows    []time.Time
-	covered  map[string]int
-	told     map[string][]time.Duration
-	verdicts []Verdict
-	owners   map[term]string
-	vowed    map[string]vow
-	vows     int
-	reread   []Reading
-	passed   map[Message]bool
-	tries    map[Message]tries
+	Bound        time.Duration
+	serial       uint64
+	open         map[uint64]pending
+	waits        []Wait
+	faults       []time.Time
+	covered      map[string]int
+	acknowledged map[string][]time.Duration
+	verdicts     []Decision
+	leaders      map[term]string
+	promised     map[string]promise
+	promises     int
+	readBacks    []Reading
+	passed       map[Message]bool
+	tries        map[Message]tries
 }
 
 // New makes an empty history.
 func New() *History {
 	return &History{
-		sent: map[Message]*sent{}, refused: map[Message]map[string]bool{}, subs: map[string]*sub{}, seen: map[string]uint64{}, accepted: map[uint64]time.Time{}, bases: map[uint64]yes{},
-		open: map[uint64]pending{}, covered: map[string]int{}, told: map[string][]time.Duration{}, owners: map[term]string{}, vowed: map[string]vow{},
+		sent: map[Message]*sent{}, refused: map[Message]map[string]bool{}, subs: map[string]*sub{}, seen: map[string]uint64{}, accepted: map[uint64]time.Time{}, bases: map[uint64]acceptedConfiguration{},
+		open: map[uint64]pending{}, covered: map[string]int{}, acknowledged: map[string][]time.Duration{}, leaders: map[term]string{}, promised: map[string]promise{},
 		passed: map[Message]bool{}, tries: map[Message]tries{},
 	}
 }
@@ -116,7 +116,7 @@
 var Lines = []string{Twice, Order, Lost, Missed, Fenced, Disk, Foreign, Spread, Invalid, Readback, Recovery, Behind}
 
 func (h *History) violate(l, f string, a ...any) {
-	h.bad = append(h.bad, Violation{l, fmt.Sprintf(f, a...)})
+	h.violations = append(h.violations, Violation{l, fmt.Sprintf(f, a...)})
 }
 
 // Violate notes a breach that a driver saw itself.
@@ -135,15 +135,15 @@
 	}
 }
 
-// Take notes that a message was told to be taken, and where.
-func (h *History) Take(m Message, p int, o uint64, now time.Time) {
+// AcceptMessage notes that a message was told to be taken, and where.
+func (h *History) AcceptMessage(m Message, p int, o uint64, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s := h.sent[m]
-	if s.outcome == Taken && (s.partition != p || s.offset != o) {
+	if s.outcome == Accepted && (s.partition != p || s.offset != o) {
 		h.violate(Order, "%v was first answered with %d/%d, then with %d/%d", m, s.partition, s.offset, p, o)
 	}
-	if s.outcome != Taken {
+	if s.outcome != Accepted {
 		d := now.Sub(s.at)
 		if s.urgent {
 			h.urgent = append(h.urgent, d)
@@ -151,7 +151,7 @@
 			h.routine = append(h.routine, d)
 		}
 	}
-	s.outcome, s.partition, s.offset, s.done = Taken, p, o, now
+	s.outcome, s.partition, s.offset, s.done = Accepted, p, o, now
 }
 
 // Refuse notes that a message with this body was told to be refused for good.
@@ -164,7 +164,8 @@
 	h.refused[m][body] = true
 }
 
-// Subscribe notes that a visitor follows topics from now on, those not followed before; live ones need not be complete.
+// Subscribe notes that a visitor follows topics from now on, those not followed before; live ones
+// need not be complete.
 func (h *History) Subscribe(visitor string, topics []string, live map[string]bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -197,14 +198,15 @@
 	}
 }
 
-type yes struct {
+type acceptedConfiguration struct {
 	seq uint64
 	doc string
 	at  time.Time
 }
 
-// Accept notes that an operator was told yes for a sequence, built on a base. The very same document may get it again.
-func (h *History) Accept(base, seq uint64, doc string, now time.Time) {
+// AcceptConfiguration notes that an operator was told yes for a sequence, built on a base. The very
+// same document may get it again.
+func (h *History) AcceptConfiguration(base, seq uint64, doc string, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	was, ok := h.bases[base]
@@ -215,7 +217,7 @@
 		h.violate(Invalid, "description %d was accepted on two bases, the second is %d, at %s", seq, base, now)
 	}
 	if !ok {
-		h.bases[base], h.accepted[seq] = yes{seq, doc, now}, now
+		h.bases[base], h.accepted[seq] = acceptedConfiguration{seq, doc, now}, now
 	}
 }
 
@@ -226,7 +228,8 @@
 	return slices.Sorted(maps.Keys(h.accepted))
 }
 
-// Show notes which description a serving node showed at some moment after asked, in one run of the node.
+// Show notes which description a serving node showed at some moment after asked, in one run of the
+// node.
 func (h *History) Show(node string, seq uint64, asked time.Time, bound time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -241,7 +244,8 @@
 	}
 }
 
-// Effect notes that a node did, on a call begun at asked, what a description accepted since forbids; seq is the newest one that allows it.
+// Effect notes that a node did, on a call begun at asked, what a description accepted since
+// forbids; seq is the newest one that allows it.
 func (h *History) Effect(node string, seq uint64, asked time.Time, bound time.Duration, what string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -260,14 +264,16 @@
 	}
 }
 
-// Overtaken notes how long an urgent call took beside routine work that was held still, and how long it may take.
+// Overtaken notes how long an urgent call took beside routine work that was held still, and how
+// long it may take.
 func (h *History) Overtaken(place, beside string, took, limit time.Duration) {
 	if took > limit {
 		h.Violate(Behind, "an urgent call on %s took %s beside %s, %s are allowed", place, took, beside, limit)
 	}
 }
 
-// ReadBack judges a description that was read back: asked when the read began, and seq is what it gave.
+// ReadBack judges a description that was read back: asked when the read began, and seq is what it
+// gave.
 func (h *History) ReadBack(seq uint64, asked time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -278,19 +284,20 @@
 	}
 }
 
-// Report is the result of a run. Longest is of the waits that began before the cut, LongestUndisturbed of all.
+// Report is the result of a run. Longest is of the waits that began before the cut,
+// LongestUndisturbed of all.
 type Report struct {
-	Sent, Taken, Unknown, Refused int
-	Receipts, Subscribers         int
-	Descriptions                  int
-	Violations                    []Violation
-	Spread, Urgent, Routine       Spans
-	Waits, Told                   map[string]Spans
-	Longest                       Wait
-	LongestUndisturbed            Wait
-	Verdicts                      map[string]int
-	Vows                          int
-	Covered                       map[string]int
+	Sent, Accepted, Unknown, Refused int
+	Receipts, Subscribers            int
+	Descriptions                     int
+	Violations                       []Violation
+	Spread, Urgent, Routine          Spans
+	Waits, Acknowledged              map[string]Spans
+	Longest                          Wait
+	LongestUndisturbed               Wait
+	Decisions                        map[string]int
+	Promises                         int
+	Covered                          map[string]int
 	// Judged tells which lines had something to be judged by in this run.
 	Judged map[string]bool
 }
@@ -310,7 +317,8 @@
 	return Spans{len(d), at(0.5), at(0.95), at(0.99), d[len(d)-1]}
 }
 
-// Check judges the whole history as of now; cut is the time up to which taken messages must have arrived.
+// Check judges the whole history as of now; cut is the time up to which taken messages must have
+// arrived.
 func (h *History) Check(cut, now time.Time) Report {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -318,8 +326,8 @@
 	places := newPlaces(h)
 	for m, s := range h.sent {
 		switch s.outcome {
-		case Taken:
-			r.Taken++
+		case Accepted:
+			r.Accepted++
 			places.note(m, s.partition, s.offset, "told to the sender")
 		case Unknown:
 			r.Unknown++
@@ -339,10 +347,10 @@
 	h.judgeVerdicts(&r)
 	h.judgeDelivery()
 	h.judgeWaits(cut, now, &r)
-	r.Vows, r.Covered = h.vows, h.covered
+	r.Promises, r.Covered = h.promises, h.covered
 	h.judged(&r)
 	r.Spread, r.Urgent, r.Routine = spans(h.spread), spans(h.urgent), spans(h.routine)
-	r.Violations = h.bad
+	r.Violations = h.violations
 	return r
 }
 
@@ -380,7 +388,7 @@
 		if w.body != g.Body {
 			h.violate(Foreign, "%s got %v with another body", v, g.Message)
 		}
-		if h.refused[g.Message][g.Body] && w.outcome != Taken {
+		if h.refused[g.Message][g.Body] && w.outcome != Accepted {
 			h.violate(Foreign, "%s got %v, which was refused", v, g.Message)
 		}
 	}
@@ -397,7 +405,7 @@
 		}
 		for m, x := range h.sent {
 			since, ok := s.since[m.Topic]
-			if !ok || s.live[m.Topic] || x.outcome != Taken || !x.at.After(since) || x.done.After(cut) {
+			if !ok || s.live[m.Topic] || x.outcome != Accepted || !x.at.After(since) || x.done.After(cut) {
 				continue
 			}
 			if !have[m] {
@@ -411,7 +419,7 @@
 	for v, s := range h.subs {
 		for _, g := range s.got {
 			x := h.sent[g.Message]
-			if x == nil || x.outcome != Taken || s.live[g.Topic] || !x.at.After(s.since[g.Topic]) || s.excuse {
+			if x == nil || x.outcome != Accepted || s.live[g.Topic] || !x.at.After(s.since[g.Topic]) || s.excuse {
 				continue
 			}
 			from := x.done
--- a/internal/testing/history/places.go
+++ b/internal/testing/history/places.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-type tries struct{ all, turned int }
+type tries struct{ all, rejected int }
 
 // Try notes that a message is about to be tried once more.
 func (h *History) Try(m Message) {
@@ -17,16 +17,17 @@
 	h.tries[m] = t
 }
 
-// Turn notes that a try was answered with a promise: not taken by it, and never will be.
-func (h *History) Turn(m Message) {
+// Reject notes that a try was answered with a promise: not taken by it, and never will be.
+func (h *History) Reject(m Message) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	t := h.tries[m]
-	t.turned++
+	t.rejected++
 	h.tries[m] = t
 }
 
-// Pass notes that a number was told to be passed over for good, under whatever body and through whatever node.
+// Pass notes that a number was told to be passed over for good, under whatever body and through
+// whatever node.
 func (h *History) Pass(m Message) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -81,7 +82,7 @@
 			x.note(g.Message, g.Partition, g.Offset, "given to "+v)
 		}
 	}
-	for _, r := range x.h.reread {
+	for _, r := range x.h.readBacks {
 		for _, g := range r.Got {
 			x.note(g.Message, g.Partition, g.Offset, "read back through "+r.Through)
 		}
@@ -116,7 +117,7 @@
 		if h.passed[m] {
 			h.violate(Foreign, "%v stands at %s, though it was passed over for good", m, p)
 		}
-		if t := h.tries[m]; t.all > 0 && t.all == t.turned {
+		if t := h.tries[m]; t.all > 0 && t.all == t.rejected {
 			h.violate(Foreign, "%v stands at %s, though each of its %d tries was turned away", m, p, t.all)
 		}
 	}
--- a/internal/testing/history/trace.go
+++ b/internal/testing/history/trace.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// Verdict is one decision that a node answered for a partition: what it was, under which epoch, and when it was begun and told.
-type Verdict struct {
-	Node      string
-	Partition int
-	Epoch     uint64
-	What      string
-	Begun     time.Time
-	Told      time.Time
+// Decision is one decision that a node answered for a partition: what it was, under which epoch,
+// and when it was begun and told.
+type Decision struct {
+	Node         string
+	Partition    int
+	Epoch        uint64
+	What         string
+	Begun        time.Time
+	Acknowledged time.Time
 }
 
-// VerdictOpen is the verdict by which an owner opens its partition under a new epoch.
-const VerdictOpen = "open"
+// DecisionOpen is the verdict by which an owner opens its partition under a new epoch.
+const DecisionOpen = "open"
 
 type term struct {
 	partition int
@@ -24,46 +25,46 @@
 }
 
 // Decide notes a verdict.
-func (h *History) Decide(v Verdict) {
+func (h *History) Decide(v Decision) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.verdicts = append(h.verdicts, v)
 }
 
-// Own notes who an ownership record names for an epoch.
-func (h *History) Own(partition int, epoch uint64, owner string) {
+// Lead notes who an ownership record names for an epoch.
+func (h *History) Lead(partition int, epoch uint64, owner string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	t := term{partition, epoch}
-	if o, ok := h.owners[t]; ok && o != owner {
+	if o, ok := h.leaders[t]; ok && o != owner {
 		h.violate(Fenced, "partition %d has two owners under epoch %d: %s and %s", partition, epoch, o, owner)
 	}
-	h.owners[t] = owner
+	h.leaders[t] = owner
 }
 
 // Terms gives how many epochs of all partitions were seen.
 func (h *History) Terms() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return len(h.owners)
+	return len(h.leaders)
 }
 
 func (h *History) judgeVerdicts(r *Report) {
-	opened := map[int][]Verdict{}
+	opened := map[int][]Decision{}
 	for _, v := range h.verdicts {
-		if v.What == VerdictOpen {
+		if v.What == DecisionOpen {
 			opened[v.Partition] = append(opened[v.Partition], v)
 		}
 	}
-	r.Verdicts = map[string]int{}
+	r.Decisions = map[string]int{}
 	for _, v := range h.verdicts {
-		r.Verdicts[v.What]++
-		if o, ok := h.owners[term{v.Partition, v.Epoch}]; ok && o != v.Node {
+		r.Decisions[v.What]++
+		if o, ok := h.leaders[term{v.Partition, v.Epoch}]; ok && o != v.Node {
 			h.violate(Fenced, "%s said %q for partition %d under epoch %d, which is %s's", v.Node, v.What, v.Partition, v.Epoch, o)
 		}
 		for _, o := range opened[v.Partition] {
-			if o.Epoch > v.Epoch && v.Begun.After(o.Told) {
-				h.violate(Fenced, "%s said %q for partition %d under epoch %d, asked at %s, after %s had opened it under epoch %d at %s", v.Node, v.What, v.Partition, v.Epoch, v.Begun.Format("04:05.000000"), o.Node, o.Epoch, o.Told.Format("04:05.000000"))
+			if o.Epoch > v.Epoch && v.Begun.After(o.Acknowledged) {
+				h.violate(Fenced, "%s said %q for partition %d under epoch %d, asked at %s, after %s had opened it under epoch %d at %s", v.Node, v.What, v.Partition, v.Epoch, v.Begun.Format("04:05.000000"), o.Node, o.Epoch, o.Acknowledged.Format("04:05.000000"))
 			}
 		}
 	}
@@ -79,24 +80,25 @@
 	return r.Number < o.Number || r.Number == o.Number && r.Node < o.Node
 }
 
-type vow struct {
+type promise struct {
 	rank Rank
 	at   time.Time
 	more bool
 }
 
-// Vow notes that a disk, under its random name, answered yes to something under a rank; what names the register or partition.
-// A yes to a lower rank, asked after a yes to a higher one was told, shows a disk that forgot and was trusted all the same.
-func (h *History) Vow(disk, what string, r Rank, begun, told time.Time) {
+// Promise notes that a disk, under its random name, answered yes to something under a rank; what
+// names the register or partition. A yes to a lower rank, asked after a yes to a higher one was
+// told, shows a disk that forgot and was trusted all the same.
+func (h *History) Promise(disk, what string, r Rank, begun, told time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	k := disk + " " + what
-	h.vows++
-	if v, ok := h.vowed[k]; ok && r.less(v.rank) && begun.After(v.at) {
+	h.promises++
+	if v, ok := h.promised[k]; ok && r.less(v.rank) && begun.After(v.at) {
 		h.violate(Disk, "disk %s said yes to %s under %v at %s, after yes under %v at %s", disk, what, r, told.Format("04:05.000000"), v.rank, v.at.Format("04:05.000000"))
 	}
-	if v, ok := h.vowed[k]; !ok || v.rank.less(r) {
-		h.vowed[k] = vow{r, told, ok}
+	if v, ok := h.promised[k]; !ok || v.rank.less(r) {
+		h.promised[k] = promise{r, told, ok}
 	}
 }
 
@@ -108,15 +110,16 @@
 	Got     []Receipt
 }
 
-// Reread notes what a fresh subscriber read back through a node, resuming from a cursor taken at Since.
+// Reread notes what a fresh subscriber read back through a node, resuming from a cursor taken at
+// Since.
 func (h *History) Reread(r Reading) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.reread = append(h.reread, r)
+	h.readBacks = append(h.readBacks, r)
 }
 
 func (h *History) judgeRereads(cut time.Time) {
-	for _, x := range h.reread {
+	for _, x := range h.readBacks {
 		at, last := map[Message]string{}, map[int]uint64{}
 		for _, g := range x.Got {
 			if g.Offset <= last[g.Partition] {
@@ -132,7 +135,7 @@
 			}
 		}
 		for m, s := range h.sent {
-			if !x.Topics[m.Topic] || s.outcome != Taken || s.done.After(cut) {
+			if !x.Topics[m.Topic] || s.outcome != Accepted || s.done.After(cut) {
 				continue
 			}
 			p, ok := at[m]
--- a/internal/testing/history/waits.go
+++ b/internal/testing/history/waits.go
@@ -7,7 +7,7 @@
 
 // Kinds of waits that callers and operators have.
 const (
-	WaitTake    = "taking a message"
+	WaitAccept  = "taking a message"
 	WaitDeliver = "delivering a message"
 	WaitAttach  = "attaching"
 	WaitOpen    = "opening a stream"
@@ -23,7 +23,7 @@
 type Wait struct {
 	Kind, Place string
 	From        time.Time
-	Whole       time.Duration
+	Total       time.Duration
 	Undisturbed time.Duration
 	Open        bool
 }
@@ -46,37 +46,37 @@
 	}
 }
 
-// Told notes how long a call took that was told to come back, by the kind of problem.
-func (h *History) Told(kind string, d time.Duration) {
+// Acknowledged notes how long a call took that was told to come back, by the kind of problem.
+func (h *History) Acknowledged(kind string, d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.told[kind] = append(h.told[kind], d)
+	h.acknowledged[kind] = append(h.acknowledged[kind], d)
 }
 
 func (h *History) waited(p pending, end time.Time, open bool) {
-	h.waits = append(h.waits, Wait{Kind: p.kind, Place: p.place, From: p.at, Whole: end.Sub(p.at), Open: open})
+	h.waits = append(h.waits, Wait{Kind: p.kind, Place: p.place, From: p.at, Total: end.Sub(p.at), Open: open})
 }
 
 // Disturb notes that something went wrong, or was put right, at a moment.
 func (h *History) Disturb(what string, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.blows = append(h.blows, now)
+	h.faults = append(h.faults, now)
 	h.covered[what]++
 }
 
 func (h *History) undisturbed(from, end time.Time) time.Duration {
 	most := time.Duration(0)
-	k := sort.Search(len(h.blows), func(i int) bool { return h.blows[i].After(from) })
-	for ; k < len(h.blows) && h.blows[k].Before(end); k++ {
-		most = max(most, h.blows[k].Sub(from))
-		from = h.blows[k]
+	k := sort.Search(len(h.faults), func(i int) bool { return h.faults[i].After(from) })
+	for ; k < len(h.faults) && h.faults[k].Before(end); k++ {
+		most = max(most, h.faults[k].Sub(from))
+		from = h.faults[k]
 	}
 	return max(most, end.Sub(from))
 }
 
 func (h *History) judgeWaits(cut, now time.Time, r *Report) {
-	sort.Slice(h.blows, func(i, k int) bool { return h.blows[i].Before(h.blows[k]) })
+	sort.Slice(h.faults, func(i, k int) bool { return h.faults[i].Before(h.faults[k]) })
 	for _, p := range h.open {
 		h.waited(p, now, true)
 	}
@@ -84,21 +84,21 @@
 	by := map[string][]time.Duration{}
 	for i := range h.waits {
 		w := &h.waits[i]
-		w.Undisturbed = h.undisturbed(w.From, w.From.Add(w.Whole))
-		by[w.Kind] = append(by[w.Kind], w.Whole)
-		if w.Whole > r.Longest.Whole && w.From.Before(cut) {
+		w.Undisturbed = h.undisturbed(w.From, w.From.Add(w.Total))
+		by[w.Kind] = append(by[w.Kind], w.Total)
+		if w.Total > r.Longest.Total && w.From.Before(cut) {
 			r.Longest = *w
 		}
 		if w.Undisturbed > r.LongestUndisturbed.Undisturbed {
 			r.LongestUndisturbed = *w
 		}
 		if h.Bound > 0 && w.Undisturbed > h.Bound {
-			h.violate(Recovery, "%s at %s took %s from %s on, %s of it with nothing new going wrong (still open: %v)", w.Kind, w.Place, w.Whole, w.From.Format("04:05.000"), w.Undisturbed, w.Open)
+			h.violate(Recovery, "%s at %s took %s from %s on, %s of it with nothing new going wrong (still open: %v)", w.Kind, w.Place, w.Total, w.From.Format("04:05.000"), w.Undisturbed, w.Open)
 		}
 	}
-	r.Told = map[string]Spans{}
-	for k, ds := range h.told {
-		r.Told[k] = spans(ds)
+	r.Acknowledged = map[string]Spans{}
+	for k, ds := range h.acknowledged {
+		r.Acknowledged[k] = spans(ds)
 	}
 	for k, ds := range by {
 		r.Waits[k] = spans(ds)
--- a/internal/testing/httpclient/caller.go
+++ b/internal/testing/httpclient/caller.go
@@ -1,4 +1,5 @@
-// Package httpclient is a seeded stand-in for handsets and desk clients: it sends, listens, resumes and notes all it sees.
+// Package httpclient is a seeded stand-in for handsets and desk clients: it sends, listens, resumes
+// and notes all it sees.
 package httpclient
 
 import (
@@ -161,7 +162,8 @@
 	}
 }
 
-// note tells the history from when on topics are followed: those that the first line does not name as waiting, and those that joined.
+// note tells the history from when on topics are followed: those that the first line does not name
+// as waiting, and those that joined.
 func (c *Caller) note(l client.Event, now time.Time) {
 	if l.Attached > 0 {
 		var ts []string
@@ -177,7 +179,8 @@
 
 const silence = 1.5
 
-// watch gives a context that ends once a stream shows no sign of life for longer than the time between two of them.
+// watch gives a context that ends once a stream shows no sign of life for longer than the time
+// between two of them.
 func (c *Caller) watch(ctx context.Context) (context.Context, func()) {
 	cx, stop := context.WithCancel(ctx)
 	c.mu.Lock()
@@ -222,7 +225,7 @@
 		b := c.body(topic, n)
 		m := history.Message{Topic: topic, From: c.Name, Call: n}
 		c.History.Send(m, b, c.Urgent[topic], c.Clock.Now())
-		end := c.History.Begin(history.WaitTake, topic, c.Clock.Now())
+		end := c.History.Begin(history.WaitAccept, topic, c.Clock.Now())
 		for ctx.Err() == nil {
 			t := c.current()
 			asked := c.Clock.Now()
@@ -230,7 +233,7 @@
 			r, err := c.port().Send(cx, t, topic, n, []byte(b))
 			stop()
 			if err == nil {
-				c.History.Take(m, r.Partition, r.Offset, c.Clock.Now())
+				c.History.AcceptMessage(m, r.Partition, r.Offset, c.Clock.Now())
 				end(c.Clock.Now())
 				break
 			}
@@ -248,7 +251,7 @@
 				c.History.Violate(history.Lost, "%s was told %s for %v, which it sends in order: %v", c.Name, p.Code, m, err)
 				return
 			}
-			c.History.Told(string(p.Code), c.Clock.Now().Sub(asked))
+			c.History.Acknowledged(string(p.Code), c.Clock.Now().Sub(asked))
 			c.pause(ctx, max(c.Spread/30, time.Duration(p.RetryAfterMS)*time.Millisecond/2))
 		}
 		end(c.Clock.Now())
--- a/internal/testing/orders/orders.go
+++ b/internal/testing/orders/orders.go
@@ -1,8 +1,10 @@
-// Package orders records what operators were answered about their configurations and judges it by linearizability.
+// Package orders records what operators were answered about their configurations and judges it by
+// linearizability.
 //
-// An operator sends an order (a whole configuration on a base version) again until it has a clear answer. The judged
-// object is one register that takes an order if and only if its base is the current version, acknowledges again
-// whatever it took before, refuses the rest, and is read back whole. For tests only.
+// An operator sends an order (a whole configuration on a base version) again until it has a clear
+// answer. The judged object is one register that takes an order if and only if its base is the
+// current version, acknowledges again whatever it took before, refuses the rest, and is read back
+// whole. For tests only.
 package orders
 
 import (
@@ -78,8 +80,8 @@
 	return n
 }
 
-// Linearizable tells whether some order of the operations, each at one moment between its call and its end, explains
-// all answers.
+// Linearizable tells whether some order of the operations, each at one moment between its call and
+// its end, explains all answers.
 func (h *History) Linearizable() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -95,9 +97,9 @@
 	return porcupine.CheckOperations(model.ToModel(), ops)
 }
 
-// merged makes one operation of the unclear tries of an order, which may take effect at any time after the first of
-// them. Where the order was acknowledged later, the first acknowledgement covers them, as taking an order twice is
-// taking it once.
+// merged makes one operation of the unclear tries of an order, which may take effect at any time
+// after the first of them. Where the order was acknowledged later, the first acknowledgement covers
+// them, as taking an order twice is taking it once.
 func merged(ops []operation) []operation {
 	var out []operation
 	first := map[Order]time.Time{}
@@ -126,7 +128,8 @@
 	return out
 }
 
-// state is the register: the current order and all that were taken, in the order in which they were.
+// state is the register: the current order and all that were taken, in the order in which they
+// were.
 type state struct{ taken []Order }
 
 func (s state) current() Order {
--- a/internal/testing/sim/answers_test.go
+++ b/internal/testing/sim/answers_test.go
@@ -13,9 +13,9 @@
 	"postjunction/internal/partitionlog/leader"
 )
 
-// An owner whose data links are cut keeps its lease and its belief that it decides. While others decide, it must neither vouch for an
-// attachment that was superseded nor give a final no or yes.
-func TestCutOffOwnerGivesNoFinalAnswer(t *testing.T) {
+// An owner whose data links are cut keeps its lease and its belief that it decides. While others
+// decide, it must neither vouch for an attachment that was superseded nor give a final no or yes.
+func TestCutOffLeaderGivesNoFinalAnswer(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(4)) {
 		stand(t, Armor, 40+seed, func(t *testing.T, w *World) {
@@ -34,9 +34,9 @@
 				data := func(x Point) bool {
 					return (x.From == old || x.To == old) && (strings.Contains(x.Path, "Ledger") || strings.Contains(x.Path, "Gossip"))
 				}
-				release, hits := w.Hold(data)
+				release, hits := w.PauseCalls(data)
 				w.Freeze(old)
-				assert.NilError(t, w.Until(15*time.Second, "another owner", func() bool {
+				assert.NilError(t, w.WaitUntil(15*time.Second, "another owner", func() bool {
 					r := w.records()[p]
 					return r.Leader != old && r.Recovered
 				}))
@@ -44,9 +44,9 @@
 				second := attach(t, w, "a1", who)
 				_, err := w.Port("a1").Send(w.ctx, second.Token, topic, 4, []byte(`"after"`))
 				assert.Assert(t, err == nil || apierror.HasCode(err, apierror.CallAltered), "%v", err)
-				assert.NilError(t, w.Until(10*time.Second, "the old owner is licensed", func() bool { return w.Machines[old].Node().Ready() == nil }))
+				assert.NilError(t, w.WaitUntil(10*time.Second, "the old owner is licensed", func() bool { return w.Machines[old].Node().Ready() == nil }))
 				stale := w.Machines[old].Node()
-				ctx, stop := context.WithTimeout(w.ctx, w.Site.Bounds.Spread)
+				ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Spread)
 				a, err := stale.Clients.Router.ReadAttachment(ctx, who, 0, false)
 				if err == nil {
 					assert.Equal(t, a.Attachment.Generation, second.Generation, "vouched for a superseded attachment")
--- a/internal/testing/sim/astray_test.go
+++ b/internal/testing/sim/astray_test.go
@@ -10,7 +10,7 @@
 )
 
 // pairs has two access nodes in each zone.
-var pairs = Site{Zones: 3, Control: 3, Access: 6, Stores: 3, Latency: 500 * time.Microsecond, Bounds: Armor.Bounds, Routine: 4, Urgent: 2}
+var pairs = Site{Zones: 3, Control: 3, Access: 6, Stores: 3, Latency: 500 * time.Microsecond, Timing: Armor.Timing, Routine: 4, Urgent: 2}
 
 func (w *World) visits(n string) int { return w.Machines[n].Node().Sessions.Count() }
 
@@ -33,16 +33,17 @@
 	return n
 }
 
-// A node that is cut off from all who decide keeps no visitors while a peer of its zone reaches them: they are sent there within a twelfth of the
-// recovery time, and none is told to come to it until it reaches those who decide again.
-func TestVisitorsAreSentToAFellowThatReachesThoseWhoDecide(t *testing.T) {
+// A node that is cut off from all who decide keeps no visitors while a peer of its zone reaches
+// them: they are sent there within a twelfth of the recovery time, and none is told to come to it
+// until it reaches those who decide again.
+func TestClientsAreRedirectedToAPeerThatReachesTheLeaders(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 2; seed++ {
-		entertain(t, pairs, seed, awake, 24, func(t *testing.T, w *World, _ *Guests) {
+		entertain(t, pairs, seed, awake, 24, func(t *testing.T, w *World, _ *LineClients) {
 			n := w.busiestDoor()
 			assert.Assert(t, w.visits(n) > 2)
 			w.apart(n)
-			time.Sleep(w.Site.Bounds.Recovery / 12)
+			time.Sleep(w.Site.Timing.Recovery / 12)
 			assert.Equal(t, w.visits(n), 0, "visitors stayed on %s", n)
 			assert.Assert(t, w.Machines[n].Node().Ready() != nil)
 			time.Sleep(4 * time.Second)
@@ -54,9 +55,9 @@
 	}
 }
 
-// Nobody is sent away where that helps nobody: when all nodes are cut off from those who decide, when packets are lost, when a machine is
-// slow, when the core alone or one store is out of reach.
-func TestNobodyIsSentAwayInVain(t *testing.T) {
+// Nobody is sent away where that helps nobody: when all nodes are cut off from those who decide,
+// when packets are lost, when a machine is slow, when the core alone or one store is out of reach.
+func TestNoClientIsRedirectedInVain(t *testing.T) {
 	t.Parallel()
 	blows := map[string]func(w *World){
 		"all access nodes cut off": func(w *World) {
@@ -81,7 +82,7 @@
 		"packets lost":   func(w *World) { w.Lose(0.05) },
 	}
 	for name, blow := range blows {
-		entertain(t, pairs, 5, awake, 12, func(t *testing.T, w *World, _ *Guests) {
+		entertain(t, pairs, 5, awake, 12, func(t *testing.T, w *World, _ *LineClients) {
 			blow(w)
 			for range 30 {
 				time.Sleep(100 * time.Millisecond)
@@ -95,11 +96,12 @@
 	}
 }
 
-// A control node that is cut off from all who decide loses the sessions of stores that others keep. Nodes whose session is with it don't take them for gone.
-func TestACutControlNodeTakesNobodysOwnersAway(t *testing.T) {
+// A control node that is cut off from all who decide loses the sessions of stores that others keep.
+// Nodes whose session is with it don't take them for gone.
+func TestAnIsolatedControlNodeDeposesNoLeaders(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 2; seed++ {
-		entertain(t, pairs, seed, awake, 12, func(t *testing.T, w *World, g *Guests) {
+		entertain(t, pairs, seed, awake, 12, func(t *testing.T, w *World, g *LineClients) {
 			by, core := map[string][]string{}, ""
 			for _, n := range w.Names {
 				if c := w.Machines[n].Node().Operators.ControlNode(); n[0] == 'a' {
@@ -109,11 +111,11 @@
 				}
 			}
 			under := by[core]
-			h := g.Hand(under[0], "lead")
+			h := g.Scripted(under[0], "lead")
 			assert.Assert(t, h != nil)
 			w.apart(core)
 			cut, call := time.Now(), uint64(0)
-			for time.Since(cut) < w.Site.Bounds.Recovery/2 {
+			for time.Since(cut) < w.Site.Timing.Recovery/2 {
 				for _, n := range under {
 					for _, s := range []string{"s1", "s2", "s3"} {
 						_, ok := w.Machines[n].Node().View.Get(s)
--- a/internal/testing/sim/boot_test.go
+++ b/internal/testing/sim/boot_test.go
@@ -51,10 +51,12 @@
 
 var bootLoad = Load{Callers: 1, Topics: 40, LiveTopics: 4, Leads: 1}
 
-// service is how long after the start of the processes each access node opens a topic, has a message of it taken, and delivers one.
+// service is how long after the start of the processes each access node opens a topic, has a
+// message of it taken, and delivers one.
 type service struct{ open, take, give []time.Duration }
 
-// boot has a fleet go and come back, and asks for every topic through every access node all the time.
+// boot has a fleet go and come back, and asks for every topic through every access node all the
+// time.
 func boot(t *testing.T, w *World, down func(*World) []string, away time.Duration) service {
 	t.Helper()
 	var topics []string
@@ -64,7 +66,7 @@
 	topics = append(topics, "stop/line")
 	_, err := w.Put("c1", bootLoad.Describe(0))
 	assert.NilError(t, err)
-	time.Sleep(w.Site.Bounds.Spread)
+	time.Sleep(w.Site.Timing.Spread)
 	var mu sync.Mutex
 	last := map[string]uint64{}
 	send := func(a, topic, who string, call uint64) bool {
@@ -78,7 +80,7 @@
 		}
 		p := partition.Of(topic, sp.Urgent, x.Store.VoterSet().Layout)
 		done := make(chan error, 1)
-		x.Sessions.Ledger.SubmitAsync(w.ctx, p, &leader.Message{Client: who, Topic: topic, CallSeq: call, Body: []byte(`"b"`)}, time.Now().Add(w.Site.Bounds.CallTimeout()), func(d *leader.Decision, err error) {
+		x.Sessions.Ledger.SubmitAsync(w.ctx, p, &leader.Message{Client: who, Topic: topic, CallSeq: call, Body: []byte(`"b"`)}, time.Now().Add(w.Site.Timing.CallTimeout()), func(d *leader.Decision, err error) {
 			if err == nil {
 				mu.Lock()
 				last[topic] = max(last[topic], d.Offset)
@@ -89,12 +91,12 @@
 		select {
 		case err := <-done:
 			return err == nil
-		case <-time.After(w.Site.Bounds.Recovery):
+		case <-time.After(w.Site.Timing.Recovery):
 			return false
 		}
 	}
 	for _, p := range topics {
-		assert.NilError(t, w.Until(20*time.Second, p+" is taken", func() bool { return send("a1", p, "warm", 1) }))
+		assert.NilError(t, w.WaitUntil(20*time.Second, p+" is taken", func() bool { return send("a1", p, "warm", 1) }))
 	}
 	from := map[string]uint64{}
 	for k, v := range last {
@@ -106,7 +108,7 @@
 	assert.NilError(t, w.Start(names...))
 	var b service
 	var wg sync.WaitGroup
-	cx, stop := context.WithTimeout(w.ctx, w.Site.Bounds.Recovery)
+	cx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Recovery)
 	defer stop()
 	note := func(l *[]time.Duration) {
 		mu.Lock()
@@ -203,8 +205,9 @@
 	}
 }
 
-// After a restart of all nodes every topic once took more than a second: the records came by gossip after the duty had read them, owners tried
-// an epoch that their disk had used, and every step that failed was tried again after the longest pause.
+// After a restart of all nodes every topic once took more than a second: the records came by gossip
+// after the duty had read them, owners tried an epoch that their disk had used, and every step that
+// failed was tried again after the longest pause.
 func TestServiceIsBackSoonAfterProcessesStart(t *testing.T) {
 	t.Parallel()
 	long(t)
@@ -213,7 +216,7 @@
 			stand(t, bootSite(seed), 300+seed, func(t *testing.T, w *World) {
 				b := boot(t, w, way.down, way.away(w))
 				last := max(at(b.open, 1), at(b.take, 1), at(b.give, 1))
-				assert.Assert(t, last < w.Site.Bounds.ReconcileInterval(), "seed %d: %s: everything only after %s", seed, way.name, last)
+				assert.Assert(t, last < w.Site.Timing.ReconcileInterval(), "seed %d: %s: everything only after %s", seed, way.name, last)
 			})
 		}
 	}
--- a/internal/testing/sim/chaos_test.go
+++ b/internal/testing/sim/chaos_test.go
@@ -48,20 +48,21 @@
 	return true
 }
 
-// live lives through a day's steps. A disk is wiped only when every copy and seat is in place before, as one loss at a time is borne.
+// live lives through a day's steps. A disk is wiped only when every copy and seat is in place
+// before, as one loss at a time is borne.
 func (w *World) live(t *testing.T, steps []Step) {
 	rng := func(s uint64) *rand.Rand { return rand.New(rand.NewPCG(s, 7)) }
 	for i, s := range steps {
 		if s.A == "wipe" {
-			assert.NilError(t, w.Until(90*time.Second, "every copy and seat is in place", w.whole), "seed %d, step %d", w.Seed, i)
+			assert.NilError(t, w.WaitUntil(90*time.Second, "every copy and seat is in place", w.whole), "seed %d, step %d", w.Seed, i)
 		}
 		t.Logf("seed %d: %s: step %d: %s", w.Seed, time.Now().Format("04:05.000"), i, s)
-		undo, also := Blows[s.A](w, rng(s.SeedA)), nothing
+		undo, also := Faults[s.A](w, rng(s.SeedA)), nothing
 		time.Sleep(s.Between)
 		if s.B != "" {
-			also = Blows[s.B](w, rng(s.SeedB))
+			also = Faults[s.B](w, rng(s.SeedB))
 		}
-		time.Sleep(s.Hold)
+		time.Sleep(s.Duration)
 		undo()
 		time.Sleep(s.Gap)
 		also()
@@ -69,18 +70,18 @@
 			w.Heal()
 			for _, n := range w.Names {
 				w.Thaw(n)
-				w.Hang(n, false)
+				w.HangDisk(n, false)
 				w.Machines[n].Disk.Fill(false)
 			}
 			assert.NilError(t, w.Start(w.Names...))
-			assert.NilError(t, w.Until(90*time.Second, "the wiped disk is repaired", w.whole), "seed %d, step %d", w.Seed, i)
+			assert.NilError(t, w.WaitUntil(90*time.Second, "the wiped disk is repaired", w.whole), "seed %d, step %d", w.Seed, i)
 		}
 		time.Sleep(s.Rest)
 	}
 }
 
-// operate reads the description back through one node and puts the next one through another, time and again; without a clear answer
-// it puts the same again through a third.
+// operate reads the description back through one node and puts the next one through another, time
+// and again; without a clear answer it puts the same again through a third.
 func (w *World) operate(ctx context.Context) {
 	r := rand.New(rand.NewPCG(w.Seed, 11))
 	for {
@@ -89,7 +90,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		cx, stop := context.WithTimeout(ctx, w.Site.Bounds.Recovery)
+		cx, stop := context.WithTimeout(ctx, w.Site.Timing.Recovery)
 		asked := time.Now()
 		cur, err := w.Port(from).Get(cx)
 		stop()
@@ -109,7 +110,8 @@
 	}
 }
 
-// coverage counts, for each fault and line, the runs in which the line had something to be judged by.
+// coverage counts, for each fault and line, the runs in which the line had something to be judged
+// by.
 type coverage struct {
 	mu    sync.Mutex
 	runs  [2]int
@@ -158,14 +160,14 @@
 	at := func(q float64) time.Duration {
 		return c.waits[int(q*float64(len(c.waits)-1))].Round(10 * time.Millisecond)
 	}
-	k := len(BlowNames())
+	k := len(FaultNames())
 	s := fmt.Sprintf("%d runs at armor, %d at traductores, %d of %d pairs of different faults; longest wait after the last thing that went wrong: median %s, p95 %s, most %s\n\n| fault |", c.runs[0], c.runs[1], len(c.pairs), k*(k-1)/2+k, at(0.5), at(0.95), at(1))
 	for _, l := range history.Lines {
 		n, _, _ := strings.Cut(l, " ")
 		s += " " + strings.TrimPrefix(n, "never-") + " |"
 	}
 	s += "\n|---|" + strings.Repeat("---|", len(history.Lines)) + "\n"
-	for _, b := range BlowNames() {
+	for _, b := range FaultNames() {
 		s += "| " + b + " |"
 		for _, l := range history.Lines {
 			s += fmt.Sprintf(" %d |", c.by[b][l])
@@ -208,8 +210,9 @@
 	}
 }
 
-// TestReduce, with PJ_REDUCE=seed, leaves steps and second faults of a failing seed out as long as it still fails, and prints what is left.
-// The order of things within one instant is not fixed by a seed, so each try is made three times.
+// TestReduce, with PJ_REDUCE=seed, leaves steps and second faults of a failing seed out as long as
+// it still fails, and prints what is left. The order of things within one instant is not fixed by a
+// seed, so each try is made three times.
 func TestReduce(t *testing.T) {
 	v := os.Getenv("PJ_REDUCE")
 	if v == "" {
--- a/internal/testing/sim/cut_test.go
+++ b/internal/testing/sim/cut_test.go
@@ -23,7 +23,8 @@
 
 func heal(w *World, _ string) { w.Heal() }
 
-// cutApart cuts machines from one another where both ways are chosen, n being the one that is cut off.
+// cutApart cuts machines from one another where both ways are chosen, n being the one that is cut
+// off.
 func cutApart(w *World, n string, out, in bool, from func(k string) bool) {
 	for _, k := range w.Names {
 		if k == n || !from(k) {
@@ -110,9 +111,10 @@
 	contact = 4 * time.Second
 )
 
-// A control node is cut off for twenty seconds while operators send orders and read at it and at others, every tenth of a
-// second. What they are told is that of one register: nothing older is shown, nothing is refused or confirmed wrongly, and
-// the machine is of use again within the contact time.
+// A control node is cut off for twenty seconds while operators send orders and read at it and at
+// others, every tenth of a second. What they are told is that of one register: nothing older is
+// shown, nothing is refused or confirmed wrongly, and the machine is of use again within the
+// contact time.
 func TestAControlNodeCutOffForTwentySeconds(t *testing.T) {
 	t.Parallel()
 	long(t)
@@ -133,7 +135,7 @@
 		w := New(s, seed, Logger())
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
-		assert.NilError(t, w.Settle(20*time.Second))
+		assert.NilError(t, w.WaitReady(20*time.Second))
 		h = orders.New(time.Now())
 		cut := "c1"
 		ctx, stop := context.WithCancel(w.ctx)
@@ -149,7 +151,7 @@
 		x.end(w, cut)
 		probe := &simulatedOperator{w: w, rng: rand.New(rand.NewPCG(seed, 9)), history: h, only: []string{cut}}
 		healed := time.Now()
-		assert.NilError(t, w.Until(contact, "the machine that was cut off is of use", func() bool {
+		assert.NilError(t, w.WaitUntil(contact, "the machine that was cut off is of use", func() bool {
 			_, ok := probe.read()
 			return ok
 		}), "%s after the end of the cut", time.Since(healed))
@@ -162,7 +164,8 @@
 	assert.Assert(t, h.Linearizable(), "%v", n)
 }
 
-// press sends an order and reads, each tenth of a second. Orders without a clear answer are sent a few times.
+// press sends an order and reads, each tenth of a second. Orders without a clear answer are sent a
+// few times.
 func (o *simulatedOperator) press(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
 		if x, ok := o.read(); ok {
--- a/internal/testing/sim/description_test.go
+++ b/internal/testing/sim/description_test.go
@@ -28,7 +28,7 @@
 	t.Helper()
 	_, err := w.Put("c1", load.Describe(0))
 	assert.NilError(t, err)
-	time.Sleep(w.Site.Bounds.Spread)
+	time.Sleep(w.Site.Timing.Spread)
 }
 
 // stand runs a script on a fleet that serves, without callers.
@@ -38,7 +38,7 @@
 		w := New(s, seed, Logger())
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
-		assert.NilError(t, w.Settle(20*time.Second))
+		assert.NilError(t, w.WaitReady(20*time.Second))
 		script(t, w)
 		for _, v := range w.History.Check(time.Now(), time.Now()).Violations {
 			t.Errorf("seed %d: %s: %s", seed, v.Line, v.Message)
@@ -69,7 +69,7 @@
 				assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationConflict), "%v", err)
 			}
 			assert.Assert(t, won >= 0, "nobody won on base %d: %v", base, errs)
-			time.Sleep(w.Site.Bounds.Spread)
+			time.Sleep(w.Site.Timing.Spread)
 			for _, n := range w.Names {
 				d := w.Machines[n].Node().Store.Configuration()
 				assert.Equal(t, d.Sequence, base+1)
@@ -79,7 +79,8 @@
 	})
 }
 
-// Operators number by themselves, in uneven steps. A loser's number may be above or below the winner's, or the very same.
+// Operators number by themselves, in uneven steps. A loser's number may be above or below the
+// winner's, or the very same.
 func TestOperatorsWithNumbersOfTheirOwn(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(3)) {
@@ -112,7 +113,7 @@
 					assert.Equal(t, err == nil, i == won, "the same again: %v", err)
 					assert.Assert(t, err == nil || apierror.HasCode(err, apierror.ConfigurationConflict), "%v", err)
 				}
-				time.Sleep(w.Site.Bounds.Spread)
+				time.Sleep(w.Site.Timing.Spread)
 				bare := want
 				bare.Source = ""
 				for _, n := range w.Names {
@@ -127,9 +128,9 @@
 	}
 }
 
-// The very same description is a yes through any node while it is current: after a lost answer, a full restart, and through a node that
-// has not heard of it, and once a later one is current.
-func TestTheSameDescriptionAgainIsAYes(t *testing.T) {
+// The very same description is a yes through any node while it is current: after a lost answer, a
+// full restart, and through a node that has not heard of it, and once a later one is current.
+func TestTheSameConfigurationAgainIsAcknowledged(t *testing.T) {
 	t.Parallel()
 	stand(t, Armor, 320, func(t *testing.T, w *World) {
 		w.Watch()
@@ -139,7 +140,7 @@
 			assert.NilError(t, err)
 			assert.Equal(t, seq, uint64(7))
 		}
-		time.Sleep(w.Site.Bounds.Spread)
+		time.Sleep(w.Site.Timing.Spread)
 		w.Kill("a1")
 		w.LosePower("c1", false)
 		seq, err := w.Put("c3", second)
@@ -147,7 +148,7 @@
 		assert.Equal(t, seq, uint64(9))
 		w.Wipe("c3")
 		assert.NilError(t, w.Start("a1", "c1", "c3"))
-		assert.NilError(t, w.Settle(20*time.Second))
+		assert.NilError(t, w.WaitReady(20*time.Second))
 		seq, err = w.Put("a1", second)
 		assert.NilError(t, err)
 		assert.Equal(t, seq, uint64(9))
@@ -164,7 +165,8 @@
 	})
 }
 
-// Spaces by prefix come, go and come back: each topic goes where its longest prefix says, everywhere within the spread, and goes on where it was.
+// Spaces by prefix come, go and come back: each topic goes where its longest prefix says,
+// everywhere within the spread, and goes on where it was.
 func TestSpacesByPrefixComeAndGo(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(2)) {
@@ -176,7 +178,7 @@
 				seq, err := w.Put(to, []byte(fmt.Sprintf(`{"base":%d,"sequence":%d,"spaces":[%s]}`, base, base+1+uint64(w.Int(5)), spaces)))
 				if err == nil {
 					base = seq
-					time.Sleep(w.Site.Bounds.Spread)
+					time.Sleep(w.Site.Timing.Spread)
 				}
 				return err
 			}
@@ -230,7 +232,8 @@
 	}
 }
 
-// With standing lanes every nested prefix is taken, whatever its urgency, and every topic goes on in its line: under a part that comes, goes and comes back, and under a new whole.
+// With standing lanes every nested prefix is taken, whatever its urgency, and every topic goes on
+// in its line: under a part that comes, goes and comes back, and under a new whole.
 func TestStandingLanesTakeNestedPrefixes(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(2)) {
@@ -249,7 +252,7 @@
 				a, err := w.Machines["a1"].Node().Operators.Replace(w.ctx, d)
 				assert.NilError(t, err, "the same again")
 				assert.Equal(t, len(a.KeptLanes), kept, "%v", a.KeptLanes)
-				time.Sleep(w.Site.Bounds.Spread)
+				time.Sleep(w.Site.Timing.Spread)
 			}
 			const k, ka, kab, all = `{"name":"k","kind":"kept","prefix":"k"}`, `{"name":"ka","kind":"kept","urgent":true,"prefix":"ka."}`, `{"name":"kab","kind":"kept","prefix":"ka.b"}`, `{"name":"","kind":"kept","urgent":true,"all":true}`
 			put(0, ka)
@@ -275,7 +278,7 @@
 			}
 			w.Kill("c1")
 			assert.NilError(t, w.Start("c1"))
-			assert.NilError(t, w.Settle(20*time.Second))
+			assert.NilError(t, w.WaitReady(20*time.Second))
 			send()
 			for _, n := range topics {
 				calls, _, _ := follow(w, "c2", attach(t, w, "c2", "w"+n).Token, cursor, []string{n}, 2*time.Second)
@@ -292,13 +295,13 @@
 func TestKeepingAsLongAsASpaceAsks(t *testing.T) {
 	t.Parallel()
 	stand(t, Armor, 360, func(t *testing.T, w *World) {
-		most := w.Site.Bounds.MaxRetention().Milliseconds()
+		most := w.Site.Timing.MaxRetention().Milliseconds()
 		_, err := w.Put("c1", []byte(fmt.Sprintf(`{"base":0,"spaces":[{"name":"k","kind":"kept","prefix":"k","keep_ms":%d}]}`, most+1)))
 		assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationInvalid), "%v", err)
-		asked := 2 * w.Site.Bounds.Keeping
+		asked := 2 * w.Site.Timing.Keeping
 		_, err = w.Put("c1", []byte(fmt.Sprintf(`{"base":0,"spaces":[{"name":"k","kind":"kept","prefix":"k","keep_ms":%d},{"name":"l","kind":"kept","prefix":"l"}]}`, asked.Milliseconds())))
 		assert.NilError(t, err)
-		time.Sleep(w.Site.Bounds.Spread)
+		time.Sleep(w.Site.Timing.Spread)
 		tok := attach(t, w, "a1", "v").Token
 		_, cursor, _ := follow(w, "a1", tok, "", []string{"k1"}, time.Second)
 		_, err = w.Port("a1").Send(w.ctx, tok, "k1", 1, []byte("1"))
@@ -306,7 +309,7 @@
 		time.Sleep(asked)
 		calls, _, _ := follow(w, "c1", attach(t, w, "c1", "w").Token, cursor, []string{"k1"}, 2*time.Second)
 		assert.DeepEqual(t, calls, []uint64{1})
-		time.Sleep(w.Site.Bounds.RetentionFor(asked) - asked + 10*time.Second)
+		time.Sleep(w.Site.Timing.RetentionFor(asked) - asked + 10*time.Second)
 		_, err = w.Port("a1").Send(w.ctx, tok, "k1", 2, []byte("2"))
 		assert.NilError(t, err)
 		time.Sleep(5 * time.Second)
@@ -315,8 +318,9 @@
 	})
 }
 
-// A description at its limits is taken, stands everywhere within the spread, and reads back to the byte.
-func TestLargeDescriptions(t *testing.T) {
+// A description at its limits is taken, stands everywhere within the spread, and reads back to the
+// byte.
+func TestLargeConfigurations(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ spaces, source int }{{514, 100 << 10}, {configuration.MaxSpaces, configuration.MaxBytes}} {
 		t.Run(fmt.Sprint(c.spaces), func(t *testing.T) {
@@ -329,17 +333,17 @@
 				for i := range c.spaces {
 					d.Spaces = append(d.Spaces, configuration.Space{Name: fmt.Sprintf("r-%d", i), Kind: "kept", Prefix: fmt.Sprintf("k%d.", i), DeadlineMS: 1500, TargetLatencyMS: 120, RetentionMS: 35000})
 				}
-				ctx, stop := context.WithTimeout(w.ctx, w.Site.Bounds.Recovery)
+				ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Recovery)
 				defer stop()
 				_, err := w.Machines["a1"].Node().Operators.Replace(ctx, d)
 				assert.NilError(t, err)
-				time.Sleep(w.Site.Bounds.Spread)
+				time.Sleep(w.Site.Timing.Spread)
 				for _, n := range w.Names {
 					assert.Equal(t, shown(w, n), uint64(5))
 				}
 				w.LosePower("c1", false)
 				assert.NilError(t, w.Start("c1"))
-				assert.NilError(t, w.Settle(20*time.Second))
+				assert.NilError(t, w.WaitReady(20*time.Second))
 				got, err := w.Machines["c2"].Node().Operators.CurrentConfiguration(w.ctx)
 				assert.NilError(t, err)
 				assert.Assert(t, got.Equal(d))
@@ -348,7 +352,7 @@
 	}
 }
 
-func TestInvalidDescriptionIsNeverApplied(t *testing.T) {
+func TestInvalidConfigurationIsNeverApplied(t *testing.T) {
 	t.Parallel()
 	stand(t, Armor, 4, func(t *testing.T, w *World) {
 		_, err := w.Put("c1", load.Describe(0))
@@ -379,14 +383,14 @@
 			_, err := w.Machines["c2"].Node().Operators.Replace(w.ctx, d)
 			assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationInvalid), "%v: %v", d, err)
 		}
-		time.Sleep(w.Site.Bounds.Spread)
+		time.Sleep(w.Site.Timing.Spread)
 		for _, n := range w.Names {
 			assert.Equal(t, shown(w, n), uint64(1))
 		}
 	})
 }
 
-func TestCutNodeStopsServingBeforeANewDescriptionIsDue(t *testing.T) {
+func TestCutNodeStopsServingBeforeANewConfigurationIsDue(t *testing.T) {
 	t.Parallel()
 	stand(t, Armor, 5, func(t *testing.T, w *World) {
 		w.Watch()
@@ -396,19 +400,19 @@
 			w.Isolate("s1")
 			_, err := w.Put("c2", load.Describe(base))
 			assert.NilError(t, err)
-			time.Sleep(w.Site.Bounds.Spread + time.Millisecond)
+			time.Sleep(w.Site.Timing.Spread + time.Millisecond)
 			for _, n := range []string{"a1", "s1"} {
 				_, ready, _ := w.Port(n).Shows(w.ctx)
-				assert.Assert(t, !ready, "%s serves, cut off, %s after description %d", n, w.Site.Bounds.Spread, base+1)
+				assert.Assert(t, !ready, "%s serves, cut off, %s after description %d", n, w.Site.Timing.Spread, base+1)
 			}
 			w.Heal()
-			assert.NilError(t, w.Settle(10*time.Second))
+			assert.NilError(t, w.WaitReady(10*time.Second))
 			assert.Equal(t, shown(w, "a1"), base+1)
 		}
 	})
 }
 
-func TestDescriptionSurvivesAnySingleLossAndReadsBack(t *testing.T) {
+func TestConfigurationSurvivesAnySingleLossAndReadsBack(t *testing.T) {
 	t.Parallel()
 	for _, s := range []Site{Armor, Traductores} {
 		t.Run(fmt.Sprint(s.Control), func(t *testing.T) {
@@ -421,13 +425,13 @@
 					seq, err = w.Put(c, load.Describe(seq))
 					assert.NilError(t, err)
 					w.Wipe(c)
-					ctx, stop := context.WithTimeout(w.ctx, w.Site.Bounds.Recovery)
+					ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Recovery)
 					got, err := w.Port("a1").Get(ctx)
 					stop()
 					assert.NilError(t, err)
 					assert.Equal(t, got, seq)
 					assert.NilError(t, w.Start(c))
-					assert.NilError(t, w.Until(30*time.Second, "the wiped disk has a seat", func() bool {
+					assert.NilError(t, w.WaitUntil(30*time.Second, "the wiped disk has a seat", func() bool {
 						n := w.Machines[c].Node()
 						x, ok := w.Machines["a1"].Node().VoterSet().Voter(c)
 						return ok && x.Incarnation == n.Info().Incarnation && n.Info().VoterSet == w.Machines["a1"].Node().VoterSet().Sequence
@@ -443,7 +447,7 @@
 	}
 }
 
-func TestOutcomeOfALostDescriptionAnswerCanBeReadBack(t *testing.T) {
+func TestOutcomeOfALostConfigurationResponseCanBeReadBack(t *testing.T) {
 	t.Parallel()
 	stand(t, Armor, 8, func(t *testing.T, w *World) {
 		w.Watch()
@@ -454,7 +458,7 @@
 			var put uint64
 			var err error
 			wg.Go(func() {
-				ctx, stop := context.WithTimeout(w.ctx, w.Site.Bounds.Recovery)
+				ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Recovery)
 				defer stop()
 				put, err = w.Port("a1").Put(ctx, load.Describe(seq))
 			})
@@ -469,7 +473,7 @@
 			assert.NilError(t, e)
 			if err == nil {
 				assert.Equal(t, got, put)
-				w.History.Accept(seq, put, string(load.Describe(seq)), time.Now())
+				w.History.AcceptConfiguration(seq, put, string(load.Describe(seq)), time.Now())
 			} else {
 				assert.Assert(t, got == seq || got == seq+1, "read back %d after %d and %v", got, seq, err)
 				if !apierror.HasCode(err, apierror.OutcomeUnknown) {
--- a/internal/testing/sim/disk_test.go
+++ b/internal/testing/sim/disk_test.go
@@ -7,7 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// The seeds' faults of disks bite: a change waits for as long as a majority's disks take to sync, and gets no yes while they hang.
+// The seeds' faults of disks bite: a change waits for as long as a majority's disks take to sync,
+// and gets no yes while they hang.
 func TestDisksThatAreSlowOrHangHoldDecisionsUp(t *testing.T) {
 	t.Parallel()
 	stand(t, Armor, 57, func(t *testing.T, w *World) {
@@ -19,19 +20,19 @@
 		}
 		fast, err := put(1)
 		assert.NilError(t, err)
-		w.Drag("c1", 40)
-		w.Drag("c2", 40)
+		w.SlowDisk("c1", 40)
+		w.SlowDisk("c2", 40)
 		slow, err := put(2)
 		assert.NilError(t, err)
-		assert.Assert(t, slow >= fast+30*syncTakes, "%s with slow disks, %s before", slow, fast)
-		w.Drag("c1", 0)
-		w.Drag("c2", 0)
-		w.Hang("c1", true)
-		w.Hang("c2", true)
+		assert.Assert(t, slow >= fast+30*syncDuration, "%s with slow disks, %s before", slow, fast)
+		w.SlowDisk("c1", 0)
+		w.SlowDisk("c2", 0)
+		w.HangDisk("c1", true)
+		w.HangDisk("c2", true)
 		_, err = put(3)
 		assert.ErrorContains(t, err, "outcome_unknown")
-		w.Hang("c1", false)
-		w.Hang("c2", false)
+		w.HangDisk("c1", false)
+		w.HangDisk("c2", false)
 		assert.NilError(t, w.readBack("c3", time.Now()))
 	})
 }
--- a/internal/testing/sim/drain_test.go
+++ b/internal/testing/sim/drain_test.go
@@ -23,7 +23,8 @@
 	return k
 }
 
-// registered counts the records that name a node, as a majority of the voters has them: news of them may come to a node later.
+// registered counts the records that name a node, as a majority of the voters has them: news of
+// them may come to a node later.
 func (w *World) registered(t *testing.T, n string) int {
 	t.Helper()
 	k := 0
@@ -56,12 +57,13 @@
 	}
 }
 
-// At a site of three stores one is emptied under load; small disks fill in, the holder of the duty dies on
-// the way, a second machine with a disk is lost right after, and the emptied one returns without its disk.
-func TestDrain(t *testing.T) {
+// At a site of three stores one is emptied under load; small disks fill in, the holder of the duty
+// dies on the way, a second machine with a disk is lost right after, and the emptied one returns
+// without its disk.
+func TestDecommission(t *testing.T) {
 	t.Parallel()
 	long(t)
-	play(t, Armor, 11, Armor.Bounds.Recovery, func(t *testing.T, w *World) {
+	play(t, Armor, 11, Armor.Timing.Recovery, func(t *testing.T, w *World) {
 		assert.Assert(t, apierror.HasCode(w.askDrain("nobody"), apierror.UnknownNode))
 		assert.Assert(t, apierror.HasCode(w.askDrain("a1"), apierror.UnknownNode))
 		assert.Assert(t, apierror.HasCode(w.askDrain("c1"), apierror.AlreadyEmpty))
@@ -77,7 +79,7 @@
 				break
 			}
 		}
-		assert.NilError(t, w.Until(60*time.Second, "s1 is empty", w.drained("s1")))
+		assert.NilError(t, w.WaitUntil(60*time.Second, "s1 is empty", w.drained("s1")))
 		assert.Equal(t, w.registered(t, "s1"), 0)
 		for p := range w.Machines["a1"].Node().VoterSet().Layout.PartitionCount() {
 			assert.Equal(t, len(w.Machines["a1"].Node().Store.Record(p).Replicas), 3)
@@ -89,7 +91,7 @@
 		time.Sleep(14 * time.Second)
 		assert.NilError(t, w.Start("s2"))
 		assert.NilError(t, w.Start("s1"))
-		assert.NilError(t, w.Until(120*time.Second, "the stores hold everything again", func() bool {
+		assert.NilError(t, w.WaitUntil(120*time.Second, "the stores hold everything again", func() bool {
 			return w.whole() && w.holdings("s1") == w.Site.Routine+w.Site.Urgent && w.holdings("s2") == w.Site.Routine+w.Site.Urgent
 		}))
 	})
--- a/internal/testing/sim/early_test.go
+++ b/internal/testing/sim/early_test.go
@@ -12,8 +12,9 @@
 	"postjunction/internal/partitionlog/router"
 )
 
-// A node that knows no roster yet was once asked for an attachment and divided by its zero partitions.
-func TestCallsBeforeTheRosterIsKnown(t *testing.T) {
+// A node that knows no roster yet was once asked for an attachment and divided by its zero
+// partitions.
+func TestCallsBeforeTheVoterSetIsKnown(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		w := New(Armor, 1, Logger())
--- a/internal/testing/sim/effect_test.go
+++ b/internal/testing/sim/effect_test.go
@@ -14,8 +14,9 @@
 	"postjunction/internal/client"
 )
 
-// A description takes effect on every node within the spread: on sends, on new streams, and on streams that stand open while nothing is sent.
-func TestDescriptionTakesEffectEverywhere(t *testing.T) {
+// A description takes effect on every node within the spread: on sends, on new streams, and on
+// streams that stand open while nothing is sent.
+func TestConfigurationTakesEffectEverywhere(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(4)) {
 		stand(t, siteOf(seed), 240+seed, func(t *testing.T, w *World) {
@@ -25,7 +26,7 @@
 			}
 			_, err := w.Put("c1", doc(0, `"t0","t1"`, "live"))
 			assert.NilError(t, err)
-			time.Sleep(w.Site.Bounds.Spread)
+			time.Sleep(w.Site.Timing.Spread)
 			if seed >= 2 {
 				w.Lose(0.05)
 			}
@@ -51,13 +52,13 @@
 			seq, err := w.Put(w.Names[int(seed)%len(w.Names)], doc(1, `"t0","t9"`, "kept"))
 			assert.NilError(t, err)
 			at := time.Now()
-			time.Sleep(w.Site.Bounds.Spread)
+			time.Sleep(w.Site.Timing.Spread)
 			asked := time.Now()
 			for i, n := range w.Names {
-				ctx, stop := context.WithTimeout(w.ctx, w.Site.Bounds.Recovery)
+				ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Recovery)
 				_, err := w.Port(n).Send(ctx, tokens[n], "kept/t1", 1, []byte(`1`))
 				if err == nil {
-					w.History.Effect(n, seq-1, asked, w.Site.Bounds.Spread-time.Millisecond, "took a message on a removed topic")
+					w.History.Effect(n, seq-1, asked, w.Site.Timing.Spread-time.Millisecond, "took a message on a removed topic")
 				}
 				assert.Assert(t, apierror.HasCode(err, apierror.UnknownTopic), "%s: %v", n, err)
 				_, _, err = follow(w, n, tokens[n], "", []string{"kept/t1"}, time.Second)
@@ -80,15 +81,16 @@
 			mu.Lock()
 			defer mu.Unlock()
 			for _, n := range w.Names {
-				assert.Assert(t, !dropped[n].IsZero() && dropped[n].Sub(at) <= w.Site.Bounds.Spread, "%s never dropped the removed topic from an open stream, or after %s", n, dropped[n].Sub(at))
+				assert.Assert(t, !dropped[n].IsZero() && dropped[n].Sub(at) <= w.Site.Timing.Spread, "%s never dropped the removed topic from an open stream, or after %s", n, dropped[n].Sub(at))
 				assert.Assert(t, heard[n], "%s: the other topic of the stream fell silent", n)
 			}
 		})
 	}
 }
 
-// A space that was removed and comes back goes on where it was: call numbers, lines and cursors neither repeat nor skip. It can't come back with
-// another urgency, since its lines stand in the partitions of the old one.
+// A space that was removed and comes back goes on where it was: call numbers, lines and cursors
+// neither repeat nor skip. It can't come back with another urgency, since its lines stand in the
+// partitions of the old one.
 func TestSpaceThatComesBackGoesOnWhereItWas(t *testing.T) {
 	t.Parallel()
 	long(t)
@@ -99,7 +101,7 @@
 				seq, err := w.Put(w.Names[w.Int(len(w.Names))], []byte(fmt.Sprintf(`{"base":%d,"spaces":[{"name":"other","kind":"kept","topics":["x"]}%s]}`, base, spaces)))
 				if err == nil {
 					base = seq
-					time.Sleep(w.Site.Bounds.Spread)
+					time.Sleep(w.Site.Timing.Spread)
 				}
 				return err
 			}
@@ -121,7 +123,7 @@
 			w.Kill(o)
 			time.Sleep(6 * time.Second)
 			assert.NilError(t, w.Start(o))
-			time.Sleep(w.Site.Bounds.Spread)
+			time.Sleep(w.Site.Timing.Spread)
 			assert.NilError(t, put(live))
 			assert.NilError(t, send(3))
 			assert.NilError(t, put(""))
--- a/internal/testing/sim/blows.go
+++ b/internal/testing/sim/faults.go
@@ -14,8 +14,8 @@
 	"postjunction/internal/testing/history"
 )
 
-// Blow is a fault of a random day; the function that it gives puts right what can be put right.
-type Blow func(w *World, r *rand.Rand) (undo func())
+// Fault is a fault of a random day; the function that it gives puts right what can be put right.
+type Fault func(w *World, r *rand.Rand) (undo func())
 
 func (w *World) pick(r *rand.Rand, kind string) string {
 	var ns []string
@@ -47,8 +47,8 @@
 
 func nothing() {}
 
-// Blows are all faults that a random day may bring.
-var Blows = map[string]Blow{
+// Faults are all faults that a random day may bring.
+var Faults = map[string]Fault{
 	"kill": func(w *World, r *rand.Rand) func() {
 		n := w.pick(r, "")
 		w.Kill(n)
@@ -150,18 +150,18 @@
 	},
 	"slow disk": func(w *World, r *rand.Rand) func() {
 		n := w.pick(r, disky(r))
-		w.Drag(n, 20+r.IntN(41))
-		return func() { w.Drag(n, 0) }
+		w.SlowDisk(n, 20+r.IntN(41))
+		return func() { w.SlowDisk(n, 0) }
 	},
 	"disk hangs": func(w *World, r *rand.Rand) func() {
 		n := w.pick(r, disky(r))
-		w.Hang(n, true)
-		return func() { w.Hang(n, false) }
+		w.HangDisk(n, true)
+		return func() { w.HangDisk(n, false) }
 	},
 	"drain": func(w *World, r *rand.Rand) func() {
 		n, lost := w.pick(r, "s"), r.IntN(2) == 0
 		w.note("drain")
-		asked := w.ask(w.pick(r, "c"), w.Site.Bounds.Recovery, func(ctx context.Context, x *node.Node) error {
+		asked := w.ask(w.pick(r, "c"), w.Site.Timing.Recovery, func(ctx context.Context, x *node.Node) error {
 			_, err := x.Operators.Decommission(ctx, n)
 			return err
 		}) == nil
@@ -169,8 +169,8 @@
 			if !asked {
 				return
 			}
-			_ = w.Until(40*time.Second, n+" is empty", w.emptied(n))
-			if !w.emptied(n)() {
+			_ = w.WaitUntil(40*time.Second, n+" is empty", w.isDecommissioned(n))
+			if !w.isDecommissioned(n)() {
 				return
 			}
 			w.Terminate(n)
@@ -198,7 +198,7 @@
 	},
 	"operators": func(w *World, r *rand.Rand) func() {
 		w.note("operators")
-		ctx, stop := context.WithTimeout(w.ctx, w.Site.Bounds.Recovery)
+		ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Recovery)
 		defer stop()
 		cur, err := w.Port(w.pick(r, "")).Get(ctx)
 		if err != nil {
@@ -226,10 +226,10 @@
 	},
 }
 
-// BlowNames lists the faults in order.
-func BlowNames() []string {
+// FaultNames lists the faults in order.
+func FaultNames() []string {
 	var s []string
-	for n := range Blows {
+	for n := range Faults {
 		s = append(s, n)
 	}
 	slices.Sort(s)
@@ -238,9 +238,9 @@
 
 // Step is one moment of a random day: a fault, maybe a second one, and when what happens.
 type Step struct {
-	A, B                     string
-	SeedA, SeedB             uint64
-	Between, Hold, Gap, Rest time.Duration
+	A, B                         string
+	SeedA, SeedB                 uint64
+	Between, Duration, Gap, Rest time.Duration
 }
 
 // String names a step's faults.
@@ -254,13 +254,13 @@
 // PlanDay draws the steps of a day from its seed alone.
 func PlanDay(seed uint64) []Step {
 	r := rand.New(rand.NewPCG(seed, 3))
-	ns := BlowNames()
+	ns := FaultNames()
 	span := func(lo, hi int) time.Duration {
 		return time.Duration(lo+r.IntN(hi-lo))*100*time.Millisecond + time.Duration(r.IntN(100_000))*time.Microsecond
 	}
 	var ss []Step
 	for range 3 + r.IntN(3) {
-		s := Step{A: ns[r.IntN(len(ns))], B: ns[r.IntN(len(ns))], SeedA: r.Uint64(), SeedB: r.Uint64(), Between: span(0, 30), Hold: span(5, 90), Gap: span(0, 20), Rest: span(10, 60)}
+		s := Step{A: ns[r.IntN(len(ns))], B: ns[r.IntN(len(ns))], SeedA: r.Uint64(), SeedB: r.Uint64(), Between: span(0, 30), Duration: span(5, 90), Gap: span(0, 20), Rest: span(10, 60)}
 		if r.IntN(3) == 0 || s.A == "wipe" && s.B == "wipe" {
 			s.B = ""
 		}
--- a/internal/testing/sim/faults_test.go
+++ b/internal/testing/sim/faults_test.go
@@ -82,7 +82,7 @@
 			time.Sleep(time.Second)
 			_ = w.Start(c)
 			_, _ = w.Put("a1", load.Describe(uint64(i+1)))
-			assert.NilError(t, w.Until(30*time.Second, "the wiped disk has a seat", func() bool {
+			assert.NilError(t, w.WaitUntil(30*time.Second, "the wiped disk has a seat", func() bool {
 				r := w.Machines["a1"].Node().VoterSet()
 				s, ok := r.Voter(c)
 				return ok && s.Incarnation == w.Machines[c].Node().Info().Incarnation && w.Machines[c].Node().Info().VoterSet == r.Sequence
@@ -139,7 +139,8 @@
 	}},
 }
 
-// hits tells what a script must have brought about for its run to show anything: owners that changed, or disks that came back as others.
+// hits tells what a script must have brought about for its run to show anything: owners that
+// changed, or disks that came back as others.
 var hits = map[string]func(r history.Report, fresh int) bool{
 	"owner killed mid-append and mid-batch":     ownersChanged,
 	"owner paused past its licence and resumed": ownersChanged,
@@ -177,7 +178,7 @@
 				t.Skip("runs without the race detector, which slows simulated fleets too much")
 			}
 			fresh := 0
-			r := play(t, s.site, 7, s.site.Bounds.Recovery, func(t *testing.T, w *World) {
+			r := play(t, s.site, 7, s.site.Timing.Recovery, func(t *testing.T, w *World) {
 				was := w.incarnations()
 				s.script(t, w)
 				for i := range w.incarnations() {
--- a/internal/testing/sim/flood_test.go
+++ b/internal/testing/sim/flood_test.go
@@ -14,8 +14,9 @@
 	"postjunction/internal/partition"
 )
 
-// Routine callers flood every node and every owner at once; then a store is lost beside the flood, and comes back with an empty disk, so that
-// take-overs and repair of routine partitions run beside it too. Urgent calls keep their time.
+// Routine callers flood every node and every owner at once; then a store is lost beside the flood,
+// and comes back with an empty disk, so that take-overs and repair of routine partitions run beside
+// it too. Urgent calls keep their time.
 func TestUrgentUnderFlood(t *testing.T) {
 	t.Parallel()
 	long(t)
@@ -56,7 +57,7 @@
 			through := w.Names[i%len(w.Names)]
 			wg.Go(func() {
 				for c := uint64(1); ctx.Err() == nil; {
-					cx, done := context.WithTimeout(ctx, s.Bounds.Spread)
+					cx, done := context.WithTimeout(ctx, s.Timing.Spread)
 					_, err := w.Port(through).Send(cx, tok, fmt.Sprintf("kept/t%d", i%load.Topics), c, []byte(`1`))
 					done()
 					mu.Lock()
@@ -96,7 +97,7 @@
 		repaired := longest(time.Second)
 		limit := 3*calm + 2*time.Millisecond
 		if epochs() != was {
-			limit = 2 * s.Bounds.MaxBackoff()
+			limit = 2 * s.Timing.MaxBackoff()
 			t.Logf("a copy of an urgent partition was replaced too, and its owner opened it anew")
 		}
 		stop()
--- a/internal/testing/sim/founding_test.go
+++ b/internal/testing/sim/founding_test.go
@@ -14,11 +14,12 @@
 
 func seedSite(control, known int) Site {
 	s := Armor
-	s.Control, s.Access, s.Founding, s.Known = control, 3, settings.BootstrapSeeds, known
+	s.Control, s.Access, s.BootstrapBy, s.ControlSeeds = control, 3, settings.BootstrapSeeds, known
 	return s
 }
 
-// fullRoster tells whether every control node that runs has a seat with its present disk, and is under the newest roster.
+// fullRoster tells whether every control node that runs has a seat with its present disk, and is
+// under the newest roster.
 func (w *World) fullRoster() bool {
 	var top uint64
 	for _, n := range w.Names {
@@ -41,8 +42,9 @@
 	return true
 }
 
-// At several sites only some voters, or none, are among the three seeds that all nodes get. The fleet is founded once, and all voters are seated soon.
-func TestFoundingThroughSeeds(t *testing.T) {
+// At several sites only some voters, or none, are among the three seeds that all nodes get. The
+// fleet is founded once, and all voters are seated soon.
+func TestBootstrapThroughSeeds(t *testing.T) {
 	t.Parallel()
 	for _, control := range []int{3, 4, 8} {
 		for known := range 4 {
@@ -52,9 +54,9 @@
 					defer w.Close()
 					assert.NilError(t, w.Start(w.Names...))
 					at := time.Now()
-					assert.NilError(t, w.Until(3*time.Second, "all voters are seated", w.fullRoster))
+					assert.NilError(t, w.WaitUntil(3*time.Second, "all voters are seated", w.fullRoster))
 					t.Logf("all voters are seated after %s under roster %d", time.Since(at), w.Machines["c1"].Node().VoterSet().Sequence)
-					assert.NilError(t, w.Settle(3*time.Second))
+					assert.NilError(t, w.WaitReady(3*time.Second))
 					fleets := map[string]bool{}
 					for _, n := range w.Names {
 						fleets[w.Machines[n].Node().VoterSet().Fleet] = true
@@ -68,7 +70,7 @@
 }
 
 // A seed that does not answer leaves the fleet unfounded; a second founding never comes about.
-func TestFoundingWaitsForAllSeeds(t *testing.T) {
+func TestBootstrapWaitsForAllSeeds(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		w := New(seedSite(4, 1), 5, Logger())
@@ -77,18 +79,19 @@
 		time.Sleep(10 * time.Second)
 		assert.Equal(t, w.Machines["c1"].Node().VoterSet().Sequence, uint64(0))
 		assert.NilError(t, w.Start(w.Names...))
-		assert.NilError(t, w.Until(3*time.Second, "all voters are seated", w.fullRoster))
+		assert.NilError(t, w.WaitUntil(3*time.Second, "all voters are seated", w.fullRoster))
 	})
 }
 
-// The only founder loses its disk once the others are seated. It comes back as told not to found, and is seated again by them, though it is still the only seed with a disk.
-func TestLoneFounderReturnsEmpty(t *testing.T) {
+// The only founder loses its disk once the others are seated. It comes back as told not to found,
+// and is seated again by them, though it is still the only seed with a disk.
+func TestLoneBootstrapperReturnsEmpty(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		w := New(seedSite(4, 1), 6, Logger())
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
-		assert.NilError(t, w.Until(3*time.Second, "all voters are seated", w.fullRoster))
+		assert.NilError(t, w.WaitUntil(3*time.Second, "all voters are seated", w.fullRoster))
 		described(t, w)
 		fleet := w.Machines["c2"].Node().VoterSet().Fleet
 		w.Wipe("c1")
@@ -96,18 +99,18 @@
 		w.Machines["c1"].Opts.BootstrapBy = settings.BootstrapNever
 		assert.NilError(t, w.Start("c1"))
 		at := time.Now()
-		assert.NilError(t, w.Until(2*time.Second, "all voters are seated again", w.fullRoster))
+		assert.NilError(t, w.WaitUntil(2*time.Second, "all voters are seated again", w.fullRoster))
 		t.Logf("seated again after %s", time.Since(at))
 		assert.Equal(t, w.Machines["c1"].Node().VoterSet().Fleet, fleet)
 	})
 }
 
 // Disks that came back empty everywhere found nothing.
-func TestNoFoundingOnEmptiedDisks(t *testing.T) {
+func TestNoBootstrapOnEmptiedDisks(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := Armor
-		s.Founding = settings.BootstrapNever
+		s.BootstrapBy = settings.BootstrapNever
 		w := New(s, 7, Logger())
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
@@ -127,14 +130,14 @@
 		w := New(seedSite(4, 1), 8, Logger())
 		defer w.Close()
 		assert.NilError(t, w.Start("c1", "c2", "c3", "c4", "s1", "s2", "s3", "a1", "a2"))
-		assert.NilError(t, w.Until(3*time.Second, "all voters are seated", w.fullRoster))
+		assert.NilError(t, w.WaitUntil(3*time.Second, "all voters are seated", w.fullRoster))
 		w.Isolate("c1")
 		w.Isolate("a1")
 		w.Machines["a3"].Opts.Seeds = []string{w.Machines["c1"].Opts.PeerListen, w.Machines["a1"].Opts.PeerListen, w.Machines["a2"].Opts.PeerListen}
 		time.Sleep(5 * time.Second)
 		assert.NilError(t, w.Start("a3"))
 		at := time.Now()
-		assert.NilError(t, w.Until(time.Second, "a3 has a session", func() bool { return w.Machines["a3"].Node().Operators.ControlNode() != "" }))
+		assert.NilError(t, w.WaitUntil(time.Second, "a3 has a session", func() bool { return w.Machines["a3"].Node().Operators.ControlNode() != "" }))
 		t.Logf("a session after %s", time.Since(at))
 	})
 }
--- a/internal/testing/sim/gap_test.go
+++ b/internal/testing/sim/gap_test.go
@@ -19,7 +19,8 @@
 
 var wide = Load{Callers: 4, Topics: 40, LiveTopics: 2, Leads: 1, Every: 500 * time.Millisecond}
 
-// takers sends a message into each partition through a1, one after the other, and gives the longest time between two takings.
+// takers sends a message into each partition through a1, one after the other, and gives the longest
+// time between two takings.
 type takers struct {
 	mu   sync.Mutex
 	last map[int]time.Time
@@ -168,8 +169,8 @@
 func standing(t *testing.T, s Site, seed uint64) *World {
 	w := New(s, seed, Logger())
 	assert.NilError(t, w.Start(w.Names...))
-	assert.NilError(t, w.Settle(20*time.Second))
-	assert.NilError(t, w.Until(20*time.Second, "described", func() bool {
+	assert.NilError(t, w.WaitReady(20*time.Second))
+	assert.NilError(t, w.WaitUntil(20*time.Second, "described", func() bool {
 		_, err := w.Put("a1", wide.Describe(0))
 		return err == nil
 	}))
--- a/internal/testing/sim/hand_test.go
+++ b/internal/testing/sim/hand_test.go
@@ -8,15 +8,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestAScriptedVisitorIsNeverDrawnToRest draws who is to rest again and again while scripted visitors come in.
-func TestAScriptedVisitorIsNeverDrawnToRest(t *testing.T) {
-	entertain(t, hall, 950, few, 10, func(t *testing.T, w *World, _ *Guests) {
+// TestAScriptedClientIsNeverPaused draws who is to rest again and again while scripted visitors
+// come in.
+func TestAScriptedClientIsNeverPaused(t *testing.T) {
+	entertain(t, hall, 950, few, 10, func(t *testing.T, w *World, _ *LineClients) {
 		const hands = 64
-		g := w.Guests(0, few)
+		g := w.StartLineClients(0, few)
 		var wg sync.WaitGroup
 		for range hands {
 			wg.Go(func() {
-				h := g.Hand("a1", "scripted")
+				h := g.Scripted("a1", "scripted")
 				if assert.Check(t, h != nil, "not let in") {
 					h.End()
 				}
--- a/internal/testing/sim/hundreds_test.go
+++ b/internal/testing/sim/hundreds_test.go
@@ -17,7 +17,8 @@
 	smallDiskMB = 64
 )
 
-// routes writes a configuration of many spaces by prefix; every seventh changes its deadline with each version.
+// routes writes a configuration of many spaces by prefix; every seventh changes its deadline with
+// each version.
 func routes(base, sequence uint64) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"base":%d,"sequence":%d,"standing_lanes":true,"source":%q,"spaces":[`, base, sequence, strings.Repeat("x", sourceBytes))
@@ -54,8 +55,9 @@
 	return bytes
 }
 
-// Hundreds of changes of many routes, in quick succession, while a voter and two access nodes are away from the tenth on, another voter stands
-// still, and a third is replaced. Disks of 64 MiB have room for it, and all catch up within the spread of their return.
+// Hundreds of changes of many routes, in quick succession, while a voter and two access nodes are
+// away from the tenth on, another voter stands still, and a third is replaced. Disks of 64 MiB have
+// room for it, and all catch up within the spread of their return.
 func TestHundredsOfChangesWhileMembersAreAway(t *testing.T) {
 	t.Parallel()
 	long(t)
@@ -65,9 +67,9 @@
 	}
 	s := spared(Traductores, "c2")
 	s.Access = 3
-	s.Room = map[string]int{}
+	s.DiskMB = map[string]int{}
 	for n := range s.Control {
-		s.Room[fmt.Sprint("c", n+1)] = smallDiskMB
+		s.DiskMB[fmt.Sprint("c", n+1)] = smallDiskMB
 	}
 	stand(t, s, 420, func(t *testing.T, w *World) {
 		w.Watch()
@@ -86,7 +88,7 @@
 				w.Remove("c2", false)
 				time.Sleep(2 * time.Second)
 				assert.NilError(t, w.Add("c2b"))
-				time.Sleep(w.Site.Bounds.Recovery)
+				time.Sleep(w.Site.Timing.Recovery)
 				w.Kill("c4")
 			case 120:
 				w.Freeze("c3")
@@ -100,8 +102,8 @@
 			assert.NilError(t, w.Start(k))
 		}
 		at := time.Now()
-		assert.NilError(t, w.Until(w.Site.Bounds.Spread, "all have the newest", func() bool {
-			for _, n := range w.There() {
+		assert.NilError(t, w.WaitUntil(w.Site.Timing.Spread, "all have the newest", func() bool {
+			for _, n := range w.Present() {
 				if x := w.Machines[n].Node(); x == nil || x.Ready() != nil || x.Store.Configuration().Sequence != uint64(changes) {
 					return false
 				}
--- a/internal/testing/sim/lag_test.go
+++ b/internal/testing/sim/lag_test.go
@@ -10,9 +10,9 @@
 	"postjunction/internal/partition"
 )
 
-// All that a store sends takes 300 ms longer, for 40 s. Its partitions are decided elsewhere before callers of other nodes feel it long; one pause of the same
-// length moves nothing.
-func TestSlowStoreLosesItsDuties(t *testing.T) {
+// All that a store sends takes 300 ms longer, for 40 s. Its partitions are decided elsewhere before
+// callers of other nodes feel it long; one pause of the same length moves nothing.
+func TestSlowStoreLosesItsLeaderships(t *testing.T) {
 	t.Parallel()
 	long(t)
 	for seed := range uint64(seeds(2)) {
@@ -36,7 +36,7 @@
 				at := time.Now()
 				_, err := w.Port("a1").Send(w.ctx, tok, topic, n, []byte(`1`))
 				for ; err != nil; _, err = w.Port("a1").Send(w.ctx, tok, topic, n, []byte(`1`)) {
-					time.Sleep(w.Site.Bounds.MaxBackoff() / 2)
+					time.Sleep(w.Site.Timing.MaxBackoff() / 2)
 				}
 				calls++
 				if d := time.Since(at); d > 150*time.Millisecond {
@@ -54,14 +54,14 @@
 }
 
 // How long heartbeats take is told by nodes whose duties can move for it, and by no others.
-func TestOnlyNodesWithADiskTellHowLongPulsesTake(t *testing.T) {
+func TestOnlyNodesWithADiskReportHeartbeatLatency(t *testing.T) {
 	t.Parallel()
 	stand(t, Armor, 380, func(t *testing.T, w *World) {
-		slow := w.Site.Bounds.SlowThreshold()
+		slow := w.Site.Timing.SlowThreshold()
 		for _, n := range []string{"a1", "s1"} {
 			w.Slow(n, 2*slow)
 		}
-		time.Sleep(w.Site.Bounds.Spread)
+		time.Sleep(w.Site.Timing.Spread)
 		assert.Equal(t, w.Machines["a1"].Node().Info().LatencyMicros, int64(0))
 		assert.Assert(t, w.Machines["s1"].Node().Info().LatencyMicros > slow.Microseconds())
 	})
--- a/internal/testing/sim/visits.go
+++ b/internal/testing/sim/lineclients.go
@@ -19,12 +19,12 @@
 	"postjunction/internal/testing/simclient"
 )
 
-// Guests are the visitors of a world on line sessions.
-type Guests struct {
-	w    *World
-	Book *deliverycheck.Checker
-	Load Load
-	Calm atomic.Bool
+// LineClients are the visitors of a world on line sessions.
+type LineClients struct {
+	world   *World
+	Checker *deliverycheck.Checker
+	Load    Load
+	Calm    atomic.Bool
 	// Rested has no visitor stop reading for a while.
 	Rested bool
 	// Ever has late visitors take cursors of any age.
@@ -33,7 +33,7 @@
 	lines   map[*lineSession]bool
 	entered int
 	saved   []simclient.Topic
-	guests  []*simclient.Client
+	clients []*simclient.Client
 	sending context.Context
 	quiet   context.CancelFunc
 	wg      sync.WaitGroup
@@ -41,22 +41,22 @@
 
 // lineSession is a visitor's end of a connection to a machine, with what is under way on it.
 type lineSession struct {
-	g    *Guests
-	m    *Machine
-	run  int
-	c    *socket
-	hear func(session.Response, time.Time)
-	over func()
-	once sync.Once
-	dead chan struct{}
-	mu   sync.Mutex
-	in   []byte
-	more chan struct{}
+	clients *LineClients
+	m       *Machine
+	run     int
+	c       *socket
+	receive func(session.Response, time.Time)
+	over    func()
+	once    sync.Once
+	dead    chan struct{}
+	mu      sync.Mutex
+	in      []byte
+	more    chan struct{}
 	// n counts sessions, so that one can be drawn; a scripted one rests only as it is told.
 	n        int
 	scripted bool
-	// still is until when the visitor does not read.
-	still time.Time
+	// pausedUntil is until when the visitor does not read.
+	pausedUntil time.Time
 }
 
 func ring(c chan struct{}) {
@@ -84,33 +84,33 @@
 func (s *lineSession) cut() {
 	s.once.Do(func() {
 		close(s.dead)
-		s.g.mu.Lock()
-		delete(s.g.lines, s)
-		s.g.mu.Unlock()
+		s.clients.mu.Lock()
+		delete(s.clients.lines, s)
+		s.clients.mu.Unlock()
 	})
 }
 
-// Still has the visitor not read for a while.
-func (s *lineSession) Still(d time.Duration) {
+// Pause has the visitor not read for a while.
+func (s *lineSession) Pause(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.still = time.Now().Add(d)
+	s.pausedUntil = time.Now().Add(d)
 }
 
-func (s *lineSession) rests() time.Duration {
+func (s *lineSession) pausesFor() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Until(s.still)
+	return time.Until(s.pausedUntil)
 }
 
-func (s *lineSession) here() bool {
+func (s *lineSession) isConnected() bool {
 	s.m.gate()
 	_, run := s.m.node()
 	return run == s.run
 }
 
 func (s *lineSession) way() {
-	d := s.g.w.Site.Latency / 2
+	d := s.clients.world.Site.Latency / 2
 	s.m.mu.Lock()
 	d += s.m.slow
 	s.m.mu.Unlock()
@@ -124,13 +124,13 @@
 		case <-s.more:
 		case <-s.dead:
 			s.way()
-			if s.here() {
+			if s.isConnected() {
 				s.c.hang()
 			}
 			return
 		}
 		s.way()
-		if !s.here() {
+		if !s.isConnected() {
 			return
 		}
 		s.mu.Lock()
@@ -150,7 +150,7 @@
 		case <-s.dead:
 			return
 		}
-		for d := s.rests(); d > 0; d = s.rests() {
+		for d := s.pausesFor(); d > 0; d = s.pausesFor() {
 			select {
 			case <-time.After(d):
 			case <-s.dead:
@@ -158,7 +158,7 @@
 			}
 		}
 		s.way()
-		if !s.here() {
+		if !s.isConnected() {
 			return
 		}
 		ps, more := s.c.take()
@@ -170,7 +170,7 @@
 					return
 				default:
 				}
-				s.hear(unworded(part[:i]), p.at)
+				s.receive(parseResponse(part[:i]), p.at)
 				part = part[i+1:]
 			}
 		}
@@ -182,7 +182,7 @@
 	}
 }
 
-func (g *Guests) door(m *Machine) simclient.Endpoint {
+func (g *LineClients) endpoint(m *Machine) simclient.Endpoint {
 	return simclient.Endpoint{Address: m.Opts.ClientListen, Connect: func(hear func(session.Response, time.Time), broken func()) simclient.Line {
 		if s := g.connect(m, false, hear, broken); s != nil {
 			return s
@@ -191,10 +191,11 @@
 	}}
 }
 
-// connect opens a connection to a machine, nil where nobody takes it. A scripted one is never drawn to rest, from its first moment on.
-func (g *Guests) connect(m *Machine, scripted bool, hear func(session.Response, time.Time), broken func()) *lineSession {
+// connect opens a connection to a machine, nil where nobody takes it. A scripted one is never drawn
+// to rest, from its first moment on.
+func (g *LineClients) connect(m *Machine, scripted bool, hear func(session.Response, time.Time), broken func()) *lineSession {
 	sv := m.services()
-	p, run := m.visits()
+	p, run := m.lines()
 	if p == nil || sv == nil {
 		return nil
 	}
@@ -202,7 +203,7 @@
 	if c == nil {
 		return nil
 	}
-	s := &lineSession{g: g, m: m, run: run, c: c, hear: hear, over: broken, dead: make(chan struct{}), more: make(chan struct{}, 1), scripted: scripted}
+	s := &lineSession{clients: g, m: m, run: run, c: c, receive: hear, over: broken, dead: make(chan struct{}), more: make(chan struct{}, 1), scripted: scripted}
 	g.mu.Lock()
 	g.entered++
 	s.n = g.entered
@@ -221,20 +222,21 @@
 	return s
 }
 
-// Doors gives the access machines that the platform passes visitors to: those that are ready, all when none is.
-func (g *Guests) Doors() []simclient.Endpoint {
+// Endpoints gives the access machines that the platform passes visitors to: those that are ready,
+// all when none is.
+func (g *LineClients) Endpoints() []simclient.Endpoint {
 	var ready, all []simclient.Endpoint
-	for _, n := range g.w.Names {
-		m := g.w.Machines[n]
+	for _, n := range g.world.Names {
+		m := g.world.Machines[n]
 		if m.Opts.ClientListen == "" {
 			continue
 		}
 		m.mu.Lock()
 		s, froz := m.ports, m.frozen != nil
 		m.mu.Unlock()
-		all = append(all, g.door(m))
+		all = append(all, g.endpoint(m))
 		if s != nil && !froz && s.API.Ready() == nil {
-			ready = append(ready, g.door(m))
+			ready = append(ready, g.endpoint(m))
 		}
 	}
 	if len(ready) == 0 {
@@ -244,10 +246,10 @@
 }
 
 // Reset breaks a share of all visitors' connections.
-func (g *Guests) Reset(share float64) {
-	g.w.note("visits reset")
-	for _, x := range g.guests {
-		if g.w.float() < share {
+func (g *LineClients) Reset(share float64) {
+	g.world.note("visits reset")
+	for _, x := range g.clients {
+		if g.world.float() < share {
 			x.Move()
 		}
 	}
@@ -256,18 +258,18 @@
 // Habits are those of the platform's clients.
 func Habits() simclient.Habits {
 	return simclient.Habits{
-		Keepalive: 2 * time.Second, Answer: 1500 * time.Millisecond, Longest: 2 * time.Second, Deadline: 6 * time.Second,
-		Change: 20 * time.Second, Away: 30 * time.Second, Count: 10 * time.Second, Absence: 10 * time.Second,
-		Keyed: 0.2, Keys: 2, Withdraw: 10 * time.Second, Forget: 20 * time.Second,
+		Keepalive: 2 * time.Second, ResponseTimeout: 1500 * time.Millisecond, SubscribeTimeout: 2 * time.Second, Deadline: 6 * time.Second,
+		ChangeInterval: 20 * time.Second, AwayInterval: 30 * time.Second, CountInterval: 10 * time.Second, MaxAbsence: 10 * time.Second,
+		KeyedFraction: 0.2, Keys: 2, WithdrawInterval: 10 * time.Second, WithdrawTimeout: 20 * time.Second,
 	}
 }
 
-// Guests lets n visitors in, who follow some of the load's topics each and send on two.
-func (w *World) Guests(n int, l Load) *Guests {
-	g := &Guests{w: w, Book: deliverycheck.New(w.Site.Bounds.Keeping, 3*w.Site.Bounds.Spread), Load: l, lines: map[*lineSession]bool{}}
+// StartLineClients lets n visitors in, who follow some of the load's topics each and send on two.
+func (w *World) StartLineClients(n int, l Load) *LineClients {
+	g := &LineClients{world: w, Checker: deliverycheck.New(w.Site.Timing.Keeping, 3*w.Site.Timing.Spread), Load: l, lines: map[*lineSession]bool{}}
 	g.sending, g.quiet = context.WithCancel(w.ctx)
 	g.Rested = l.Rested
-	g.wg.Go(g.rest)
+	g.wg.Go(g.pause)
 	for i := range n {
 		r := rand.New(rand.NewPCG(w.Seed, uint64(i)+1000))
 		x := &simclient.Client{Name: fmt.Sprintf("g%d", i), Habits: Habits(), Rand: r}
@@ -280,14 +282,14 @@
 		if l.LiveTopics > 0 && i%2 == 0 {
 			t := fmt.Sprintf("live/l%d", r.IntN(l.LiveTopics))
 			x.Follow = append(x.Follow, simclient.Topic{Name: t})
-			x.Lanes = append(x.Lanes, simclient.Lane{Topic: t, Width: 1, Every: 2 * l.Every})
+			x.Lanes = append(x.Lanes, simclient.Lane{Topic: t, Window: 1, Interval: 2 * l.Every})
 		}
 		for k := range 2 {
 			width := 1
 			if i%4 == 0 && k == 0 {
 				width = 8
 			}
-			x.Lanes = append(x.Lanes, simclient.Lane{Topic: fmt.Sprintf("kept/t%d", (i+k*7)%max(1, l.Topics)), Width: width, Every: l.Every / time.Duration(width)})
+			x.Lanes = append(x.Lanes, simclient.Lane{Topic: fmt.Sprintf("kept/t%d", (i+k*7)%max(1, l.Topics)), Window: width, Interval: l.Every / time.Duration(width)})
 		}
 		x.Saved = func(t simclient.Topic) {
 			g.mu.Lock()
@@ -300,25 +302,25 @@
 }
 
 const (
-	restEvery = 500 * time.Millisecond
-	restMost  = 4 * time.Second
+	pauseInterval = 500 * time.Millisecond
+	maxPause      = 4 * time.Second
 )
 
-// rest has one visitor after the other not read for a while, so that bytes wait for them.
-func (g *Guests) rest() {
-	r := rand.New(rand.NewPCG(g.w.Seed, 31))
-	for (clock.Real{}).Sleep(g.sending, restEvery) == nil && !g.rested() {
+// pause has one visitor after the other not read for a while, so that bytes wait for them.
+func (g *LineClients) pause() {
+	r := rand.New(rand.NewPCG(g.world.Seed, 31))
+	for (clock.Real{}).Sleep(g.sending, pauseInterval) == nil && !g.isPaused() {
 		g.draw(r)
 	}
 }
 
-func (g *Guests) rested() bool {
+func (g *LineClients) isPaused() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.Rested
 }
 
-func (g *Guests) draw(r *rand.Rand) {
+func (g *LineClients) draw(r *rand.Rand) {
 	g.mu.Lock()
 	var ss []*lineSession
 	for s := range g.lines {
@@ -329,18 +331,18 @@
 	g.mu.Unlock()
 	slices.SortFunc(ss, func(a, b *lineSession) int { return cmp.Compare(a.n, b.n) })
 	if len(ss) > 0 {
-		ss[r.IntN(len(ss))].Still(time.Duration(r.Int64N(int64(restMost))))
+		ss[r.IntN(len(ss))].Pause(time.Duration(r.Int64N(int64(maxPause))))
 	}
 }
 
-func (g *Guests) enter(x *simclient.Client) {
-	x.Endpoints, x.Checker, x.Calm = g.Doors, g.Book, g.Calm.Load
-	g.guests = append(g.guests, x)
-	g.wg.Go(func() { x.Run(g.w.ctx, g.sending) })
+func (g *LineClients) enter(x *simclient.Client) {
+	x.Endpoints, x.Checker, x.Calm = g.Endpoints, g.Checker, g.Calm.Load
+	g.clients = append(g.clients, x)
+	g.wg.Go(func() { x.Run(g.world.ctx, g.sending) })
 }
 
 // Late lets visitors in who take up cursors given to others since a moment.
-func (g *Guests) Late(n int, since time.Time) {
+func (g *LineClients) Late(n int, since time.Time) {
 	g.mu.Lock()
 	var ts []simclient.Topic
 	for _, t := range g.saved {
@@ -350,9 +352,9 @@
 	}
 	g.mu.Unlock()
 	h := Habits()
-	h.Change, h.Away, h.Count = 0, 0, 0
+	h.ChangeInterval, h.AwayInterval, h.CountInterval = 0, 0, 0
 	for i := range n {
-		x := &simclient.Client{Name: fmt.Sprintf("late%d", i), Habits: h, Rand: rand.New(rand.NewPCG(g.w.Seed, uint64(i)+5000))}
+		x := &simclient.Client{Name: fmt.Sprintf("late%d", i), Habits: h, Rand: rand.New(rand.NewPCG(g.world.Seed, uint64(i)+5000))}
 		seen := map[string]bool{}
 		for range 5 {
 			if len(ts) == 0 {
@@ -369,26 +371,26 @@
 	}
 }
 
-// Meddler draws what happens to each message of the exchange by which nodes follow topics.
-func Meddler(seed uint64, share float64) func(Point) Meddle {
+// RandomCallFaults draws what happens to each message of the exchange by which nodes follow topics.
+func RandomCallFaults(seed uint64, share float64) func(Point) CallFault {
 	var mu sync.Mutex
 	r := rand.New(rand.NewPCG(seed, 77))
-	return func(p Point) Meddle {
+	return func(p Point) CallFault {
 		if p.Path != router.Follow.Path && p.Path != router.Poll.Path {
-			return Meddle{}
+			return CallFault{}
 		}
 		mu.Lock()
 		defer mu.Unlock()
 		if r.Float64() > share {
-			return Meddle{}
+			return CallFault{}
 		}
 		switch r.IntN(3) {
 		case 0:
-			return Meddle{Lose: true}
+			return CallFault{Lose: true}
 		case 1:
-			return Meddle{Again: time.Duration(1 + r.IntN(int(6*time.Second)))}
+			return CallFault{Duplicate: time.Duration(1 + r.IntN(int(6*time.Second)))}
 		default:
-			return Meddle{Late: time.Duration(r.IntN(int(time.Second)))}
+			return CallFault{Delay: time.Duration(r.IntN(int(time.Second)))}
 		}
 	}
 }
--- a/internal/testing/sim/load_test.go
+++ b/internal/testing/sim/load_test.go
@@ -48,7 +48,8 @@
 	return most * 3 / all
 }
 
-// All the load falls on the partitions of one store. It is spread by a few moves, and then nothing moves any more.
+// All the load falls on the partitions of one store. It is spread by a few moves, and then nothing
+// moves any more.
 func TestSkewedLoadIsSpreadWithoutFlapping(t *testing.T) {
 	t.Parallel()
 	long(t)
@@ -59,7 +60,7 @@
 			l := Load{Topics: 60, LiveTopics: 1}
 			_, err := w.Put("c1", l.Describe(0))
 			assert.NilError(t, err)
-			time.Sleep(w.Site.Bounds.Spread)
+			time.Sleep(w.Site.Timing.Spread)
 			hot := busiest(w)
 			layout := w.Machines["a1"].Node().VoterSet().Layout
 			var topics []string
--- a/internal/testing/sim/losses_test.go
+++ b/internal/testing/sim/losses_test.go
@@ -11,15 +11,16 @@
 // Wide is a site that bears two losses at once.
 var broad = func() Site {
 	s := Armor
-	s.Control, s.Stores, s.Losses = 5, 5, 2
+	s.Control, s.Stores, s.ToleratedLosses = 5, 5, 2
 	return s
 }()
 
-// Where two machines with a disk may be lost at once, five disks hold each partition, spread over the zones. Two stores and two control nodes are wiped at the same moment.
+// Where two machines with a disk may be lost at once, five disks hold each partition, spread over
+// the zones. Two stores and two control nodes are wiped at the same moment.
 func TestTwoLossesAtOnce(t *testing.T) {
 	t.Parallel()
 	long(t)
-	play(t, broad, 31, broad.Bounds.Recovery, func(t *testing.T, w *World) {
+	play(t, broad, 31, broad.Timing.Recovery, func(t *testing.T, w *World) {
 		for _, r := range w.records() {
 			assert.Equal(t, len(r.Replicas), 5)
 		}
@@ -31,18 +32,19 @@
 			wg.Wait()
 			time.Sleep(2 * time.Second)
 			assert.NilError(t, w.Start(two...))
-			assert.NilError(t, w.Until(30*time.Second, "all is whole", w.whole))
+			assert.NilError(t, w.WaitUntil(30*time.Second, "all is whole", w.whole))
 		}
 	})
 }
 
-// At a site of three stores that is to bear two losses, the small disks hold the rest of the five copies, no zone more than two.
+// At a site of three stores that is to bear two losses, the small disks hold the rest of the five
+// copies, no zone more than two.
 func TestSmallDisksFillIn(t *testing.T) {
 	t.Parallel()
 	s := Armor
-	s.Losses = 2
+	s.ToleratedLosses = 2
 	stand(t, s, 32, func(t *testing.T, w *World) {
-		assert.NilError(t, w.Until(10*time.Second, "every partition has its copies", w.whole))
+		assert.NilError(t, w.WaitUntil(10*time.Second, "every partition has its copies", w.whole))
 		for p, r := range w.records() {
 			zones, stores := map[string]int{}, 0
 			for _, x := range r.Replicas {
--- a/internal/testing/sim/machine.go
+++ b/internal/testing/sim/machine.go
@@ -1,4 +1,5 @@
-// Package sim runs whole fleets of the real code in one process under simulated time, network and disks.
+// Package sim runs whole fleets of the real code in one process under simulated time, network and
+// disks.
 package sim
 
 import (
@@ -15,33 +16,34 @@
 	"postjunction/internal/testing/transport"
 )
 
-// Machine is one simulated machine: a disk that outlives its processes, and a process that may run on it.
+// Machine is one simulated machine: a disk that outlives its processes, and a process that may run
+// on it.
 type Machine struct {
 	w    *World
 	Opts settings.Options
 	Disk *memlog.Disk
 
-	mu     sync.Mutex
-	n      *node.Node
-	ports  *transport.Services
-	porch  *porch
-	run    int
-	frozen chan struct{}
-	slow   time.Duration
-	drag   int
-	hung   bool
-	broken chan struct{}
-	dark   bool
-	away   bool
-}
-
-func (m *Machine) leave(away bool) {
+	mu           sync.Mutex
+	n            *node.Node
+	ports        *transport.Services
+	lineServer   *lineServer
+	run          int
+	frozen       chan struct{}
+	slow         time.Duration
+	diskSlowdown int
+	diskHangs    bool
+	broken       chan struct{}
+	dark         bool
+	away         bool
+}
+
+func (m *Machine) setAway(away bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.away = away
 }
 
-func (m *Machine) gone() bool {
+func (m *Machine) isGone() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.away
@@ -53,13 +55,13 @@
 	return m.broken
 }
 
-func (m *Machine) silent() bool {
+func (m *Machine) isSilent() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.dark
 }
 
-func (m *Machine) darken() {
+func (m *Machine) losePower() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.dark = true
@@ -134,10 +136,10 @@
 
 // take waits as long as a sync takes, and while the disk hangs.
 func (d gatedDisk) take() {
-	drag, hung := d.m.dragged()
-	time.Sleep(max(syncTakes, d.m.w.Site.Sync) * time.Duration(max(1, drag)))
-	for ; hung && !d.stale(); _, hung = d.m.dragged() {
-		time.Sleep(hangLook)
+	drag, hung := d.m.diskDelay()
+	time.Sleep(max(syncDuration, d.m.w.Site.Sync) * time.Duration(max(1, drag)))
+	for ; hung && !d.stale(); _, hung = d.m.diskDelay() {
+		time.Sleep(hangPollInterval)
 	}
 }
 
@@ -150,14 +152,14 @@
 }
 
 const (
-	syncTakes = 400 * time.Microsecond
-	hangLook  = 10 * time.Millisecond
+	syncDuration     = 400 * time.Microsecond
+	hangPollInterval = 10 * time.Millisecond
 )
 
-func (m *Machine) dragged() (int, bool) {
+func (m *Machine) diskDelay() (int, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.drag, m.hung
+	return m.diskSlowdown, m.diskHangs
 }
 
 func (m *Machine) node() (*node.Node, int) {
@@ -194,7 +196,7 @@
 	run := m.run
 	m.mu.Unlock()
 	w := node.Environment{Clock: machineClock{m}, Net: &endpoint{m.w, m, run}, OnDecision: func(p int, e uint64, what string, begun time.Time) {
-		m.w.History.Decide(history.Verdict{Node: m.Opts.Name, Partition: p, Epoch: e, What: what, Begun: begun, Told: time.Now()})
+		m.w.History.Decide(history.Decision{Node: m.Opts.Name, Partition: p, Epoch: e, What: what, Begun: begun, Acknowledged: time.Now()})
 	}}
 	if m.Opts.Disk != settings.DiskNone {
 		w.Disk = gatedDisk{m.Disk, m, run}
@@ -222,8 +224,8 @@
 	if m.ports != nil {
 		close(m.ports.Gone)
 	}
-	x := m.porch
-	m.n, m.ports, m.porch = nil, nil, nil
+	x := m.lineServer
+	m.n, m.ports, m.lineServer = nil, nil, nil
 	m.run++
 	if n != nil && !m.dark {
 		m.snap()
@@ -242,12 +244,12 @@
 	}
 }
 
-// visits gives what serves visits here, nil when no process runs.
-func (m *Machine) visits() (*porch, int) {
+// lines gives what serves visits here, nil when no process runs.
+func (m *Machine) lines() (*lineServer, int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.porch == nil && m.n != nil {
-		m.porch = m.opened(m.n)
+	if m.lineServer == nil && m.n != nil {
+		m.lineServer = m.opened(m.n)
 	}
-	return m.porch, m.run
+	return m.lineServer, m.run
 }
--- a/internal/testing/sim/measure_marks_test.go
+++ b/internal/testing/sim/measure_marks_test.go
@@ -16,23 +16,24 @@
 	"postjunction/internal/testing/simclient"
 )
 
-// marked runs visitors for a time in a fleet and gives the world, its guests and the time that was measured.
-func marked(t *testing.T, s Site, seed uint64, n int, habits func(h *simclient.Habits), during func(w *World), f func(w *World, g *Guests, from, to time.Time)) {
+// marked runs visitors for a time in a fleet and gives the world, its guests and the time that was
+// measured.
+func marked(t *testing.T, s Site, seed uint64, n int, habits func(h *simclient.Habits), during func(w *World), f func(w *World, g *LineClients, from, to time.Time)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := New(s, seed, nil)
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
-		assert.NilError(t, w.Settle(20*time.Second))
+		assert.NilError(t, w.WaitReady(20*time.Second))
 		l := Load{Topics: 24, LiveTopics: 4, Every: time.Second, Rested: true, Habits: func(h *simclient.Habits) {
-			h.Change, h.Away, h.Count = 0, 0, 0
+			h.ChangeInterval, h.AwayInterval, h.CountInterval = 0, 0, 0
 			habits(h)
 		}}
 		w.load = l
 		_, err := w.Put("c1", l.Describe(0))
 		assert.NilError(t, err)
-		time.Sleep(w.Site.Bounds.Spread)
-		g := w.Guests(n, l)
+		time.Sleep(w.Site.Timing.Spread)
+		g := w.StartLineClients(n, l)
 		time.Sleep(8 * time.Second)
 		from := time.Now()
 		during(w)
@@ -52,20 +53,21 @@
 	return n
 }
 
-// TestMeasureForgetting measures the time from a withdrawal to its yes, and what live updates cost beside.
+// TestMeasureForgetting measures the time from a withdrawal to its yes, and what live updates cost
+// beside.
 func TestMeasureForgetting(t *testing.T) {
 	measuring(t)
 	for name, s := range halls {
 		var yes, with, without []time.Duration
 		for seed := range uint64(2) {
 			calm := func(*World) { time.Sleep(20 * time.Second) }
-			marked(t, s, seed, 30, func(h *simclient.Habits) { h.Withdraw = 3 * time.Second }, calm, func(_ *World, g *Guests, from, to time.Time) {
-				ds, open := g.Book.Marks(from, to.Add(-5*time.Second))
+			marked(t, s, seed, 30, func(h *simclient.Habits) { h.WithdrawInterval = 3 * time.Second }, calm, func(_ *World, g *LineClients, from, to time.Time) {
+				ds, open := g.Checker.Marks(from, to.Add(-5*time.Second))
 				assert.Equal(t, open, 0)
-				yes, with = append(yes, ds...), append(with, g.Book.Spread(from, to, nil)...)
+				yes, with = append(yes, ds...), append(with, g.Checker.Spread(from, to, nil)...)
 			})
-			marked(t, s, seed, 30, func(h *simclient.Habits) { h.Withdraw, h.Keyed = 0, 0 }, calm, func(_ *World, g *Guests, from, to time.Time) {
-				without = append(without, g.Book.Spread(from, to, nil)...)
+			marked(t, s, seed, 30, func(h *simclient.Habits) { h.WithdrawInterval, h.KeyedFraction = 0, 0 }, calm, func(_ *World, g *LineClients, from, to time.Time) {
+				without = append(without, g.Checker.Spread(from, to, nil)...)
 			})
 		}
 		for _, ds := range [][]time.Duration{yes, with, without} {
@@ -76,12 +78,13 @@
 	}
 }
 
-// TestMeasureMarks counts the marks that stand under churn, with one router away and when it is given up.
-func TestMeasureMarks(t *testing.T) {
+// TestMeasureTombstones counts the marks that stand under churn, with one router away and when it
+// is given up.
+func TestMeasureTombstones(t *testing.T) {
 	measuring(t)
 	for name, s := range halls {
 		var say string
-		marked(t, s, 1, 10, func(h *simclient.Habits) { h.Withdraw, h.Keys = 2*time.Second, 50 }, func(w *World) {
+		marked(t, s, 1, 10, func(h *simclient.Habits) { h.WithdrawInterval, h.Keys = 2*time.Second, 50 }, func(w *World) {
 			for i := range 12 {
 				if i == 2 {
 					w.Isolate("a1")
@@ -92,15 +95,16 @@
 				say += fmt.Sprintf(" %d", marks(w))
 				time.Sleep(10 * time.Second)
 			}
-		}, func(_ *World, g *Guests, from, to time.Time) {
-			ds, open := g.Book.Marks(from, to)
+		}, func(_ *World, g *LineClients, from, to time.Time) {
+			ds, open := g.Checker.Marks(from, to)
 			t.Logf("%s: marks every 10 s, a router away from 20 s to 80 s:%s; %d yes, %d open", name, say, len(ds), open)
 		})
 	}
 }
 
-// TestMeasureMarkBytes counts what a mark and a reader take in an owner's memory, in its changelog and in its ledger.
-func TestMeasureMarkBytes(t *testing.T) {
+// TestMeasureTombstoneBytes counts what a mark and a reader take in an owner's memory, in its
+// changelog and in its ledger.
+func TestMeasureTombstoneBytes(t *testing.T) {
 	measuring(t)
 	const n = 10_000
 	for what, entry := range map[string]func(i int) log.Entry{
--- a/internal/testing/sim/measure_test.go
+++ b/internal/testing/sim/measure_test.go
@@ -31,7 +31,8 @@
 	return vs
 }
 
-// TestMeasureChangelogInterval counts what batches cost and what a loss makes be reprocessed, by interval.
+// TestMeasureChangelogInterval counts what batches cost and what a loss makes be reprocessed, by
+// interval.
 func TestMeasureChangelogInterval(t *testing.T) {
 	measuring(t)
 	for _, every := range []time.Duration{500 * time.Millisecond, 2 * time.Second, 8 * time.Second} {
@@ -43,7 +44,7 @@
 					m.Opts.Changelog = settings.Duration(every)
 				}
 				assert.NilError(t, w.Start(w.Names...))
-				assert.NilError(t, w.Settle(20*time.Second))
+				assert.NilError(t, w.WaitReady(20*time.Second))
 				described(t, w)
 				w.Callers(load)
 				time.Sleep(40 * time.Second)
@@ -67,7 +68,8 @@
 	}
 }
 
-// TestMeasureRollOut measures the time from an operator's yes to the last node showing the description, by nodes.
+// TestMeasureRollOut measures the time from an operator's yes to the last node showing the
+// description, by nodes.
 func TestMeasureRollOut(t *testing.T) {
 	measuring(t)
 	for _, access := range []int{1, 7, 20} {
@@ -78,7 +80,7 @@
 				w := New(s, 1, nil)
 				defer w.Close()
 				assert.NilError(t, w.Start(w.Names...))
-				assert.NilError(t, w.Settle(20*time.Second))
+				assert.NilError(t, w.WaitReady(20*time.Second))
 				w.Lose(loss)
 				var ds []time.Duration
 				for base := range uint64(20) {
@@ -94,7 +96,7 @@
 					time.Sleep(time.Second)
 				}
 				slices.Sort(ds)
-				t.Logf("%d nodes, packet loss %.0f%%: last node after p50 %s, max %s (share of the spread: %.2f)", len(w.Names), 100*loss, ds[len(ds)/2], ds[len(ds)-1], float64(ds[len(ds)-1])/float64(s.Bounds.Spread))
+				t.Logf("%d nodes, packet loss %.0f%%: last node after p50 %s, max %s (share of the spread: %.2f)", len(w.Names), 100*loss, ds[len(ds)/2], ds[len(ds)-1], float64(ds[len(ds)-1])/float64(s.Timing.Spread))
 			})
 		}
 	}
@@ -126,7 +128,7 @@
 				w := New(Armor, seed, nil)
 				defer w.Close()
 				assert.NilError(t, w.Start(w.Names...))
-				assert.NilError(t, w.Settle(20*time.Second))
+				assert.NilError(t, w.WaitReady(20*time.Second))
 				described(t, w)
 				w.Callers(load)
 				time.Sleep(8 * time.Second)
@@ -150,7 +152,7 @@
 			w := New(s, 1, nil)
 			defer w.Close()
 			assert.NilError(t, w.Start(w.Names...))
-			assert.NilError(t, w.Settle(20*time.Second))
+			assert.NilError(t, w.WaitReady(20*time.Second))
 			time.Sleep(8 * time.Second)
 			before := w.Calls()
 			time.Sleep(10 * time.Second)
@@ -169,7 +171,7 @@
 			w := New(s, 1, nil)
 			defer w.Close()
 			assert.NilError(t, w.Start(w.Names...))
-			assert.NilError(t, w.Settle(20*time.Second))
+			assert.NilError(t, w.WaitReady(20*time.Second))
 			described(t, w)
 			time.Sleep(5 * time.Second)
 			was, secs := w.Flows(), 10
@@ -193,8 +195,9 @@
 
 const heartbeatPath = "/postjunction.Member/Pulse"
 
-// TestMeasureWordOfDescriptions measures what a description that everybody gets adds to the bodies of heartbeats, for each node, by nodes.
-func TestMeasureWordOfDescriptions(t *testing.T) {
+// TestMeasureConfigurationUpdates measures what a description that everybody gets adds to the
+// bodies of heartbeats, for each node, by nodes.
+func TestMeasureConfigurationUpdates(t *testing.T) {
 	measuring(t)
 	for _, access := range []int{7, 20, 60} {
 		synctest.Test(t, func(t *testing.T) {
@@ -203,7 +206,7 @@
 			w := New(s, 1, nil)
 			defer w.Close()
 			assert.NilError(t, w.Start(w.Names...))
-			assert.NilError(t, w.Settle(20*time.Second))
+			assert.NilError(t, w.WaitReady(20*time.Second))
 			time.Sleep(time.Minute)
 			const puts = 20
 			during := func(f func(i uint64)) float64 {
--- a/internal/testing/sim/offer_test.go
+++ b/internal/testing/sim/offer_test.go
@@ -27,8 +27,8 @@
 	at   time.Time
 }
 
-// offerer stands in for a visitor that counts once for all its topics, keeps up to 8 calls open, sends unclear ones again, now and then an old one too, and
-// moves between nodes with what is open.
+// offerer stands in for a visitor that counts once for all its topics, keeps up to 8 calls open,
+// sends unclear ones again, now and then an old one too, and moves between nodes with what is open.
 type offerer struct {
 	w      *World
 	name   string
@@ -63,7 +63,7 @@
 	k := string(apierror.From(err).Code)
 	if err == nil {
 		k = map[bool]string{false: "taken", true: "repeat"}[d.Duplicate]
-		v.w.History.Take(m.Message, d.Partition, d.Offset, time.Now())
+		v.w.History.AcceptMessage(m.Message, d.Partition, d.Offset, time.Now())
 		if _, ok := v.open[m.Call]; ok {
 			v.old = append(v.old, m)
 		}
@@ -71,7 +71,7 @@
 	}
 	v.tally[k]++
 	if err != nil && promises[apierror.From(err).Code] {
-		v.w.History.Turn(m.Message)
+		v.w.History.Reject(m.Message)
 		delete(v.open, m.Call)
 	}
 	if apierror.HasCode(err, apierror.CallPassed) {
@@ -144,9 +144,10 @@
 	}
 }
 
-// Several nodes offer numbered messages of the same visitors, the same number through two of them too, while batches and answers are lost, held up or late
-// beyond their caller's patience, and owners change. The ledger's order rises, what was told to be taken stands where it was told, and nothing that was
-// turned away for good, or at every try, stands anywhere.
+// Several nodes offer numbered messages of the same visitors, the same number through two of them
+// too, while batches and answers are lost, held up or late beyond their caller's patience, and
+// owners change. The ledger's order rises, what was told to be taken stands where it was told, and
+// nothing that was turned away for good, or at every try, stands anywhere.
 func TestOfferedInOrder(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(4)) {
@@ -180,17 +181,17 @@
 				o := w.records()[partition.Of(topics[w.Int(len(topics))], false, w.Machines["a1"].Node().VoterSet().Layout)].Leader
 				switch plan[i%len(plan)] {
 				case 0:
-					end := w.Meddle(func(x Point) Meddle {
+					end := w.InterceptCalls(func(x Point) CallFault {
 						if !many(x) || x.Stage != Asking || w.Int(3) > 0 {
-							return Meddle{}
+							return CallFault{}
 						}
 						lates.Add(1)
-						return []Meddle{{Lose: true}, {Late: time.Duration(w.Int(2000)) * time.Millisecond}, {Again: time.Duration(1+w.Int(4000)) * time.Millisecond}}[w.Int(3)]
+						return []CallFault{{Lose: true}, {Delay: time.Duration(w.Int(2000)) * time.Millisecond}, {Duplicate: time.Duration(1+w.Int(4000)) * time.Millisecond}}[w.Int(3)]
 					})
 					time.Sleep(2 * time.Second)
 					end()
 				case 1:
-					release, hits := w.Hold(func(x Point) bool { return many(x) && x.Stage == Answering && w.Int(2) == 0 })
+					release, hits := w.PauseCalls(func(x Point) bool { return many(x) && x.Stage == Answering && w.Int(2) == 0 })
 					time.Sleep(time.Duration(200+w.Int(1800)) * time.Millisecond)
 					release()
 					holds += hits()
@@ -201,7 +202,7 @@
 				case 3:
 					if o != "" && w.Machines[o].Up() {
 						w.Kill(o)
-						assert.NilError(t, w.Until(8*time.Second, "another owner", func() bool {
+						assert.NilError(t, w.WaitUntil(8*time.Second, "another owner", func() bool {
 							for _, r := range w.records() {
 								if r.Leader == o {
 									return false
@@ -229,7 +230,7 @@
 			stop()
 			wg.Wait()
 			open.Wait()
-			assert.NilError(t, w.Settle(20*time.Second))
+			assert.NilError(t, w.WaitReady(20*time.Second))
 			book := history.Reading{Through: "the owners", Topics: here, Since: begun}
 			for p := range parts {
 				book.Got = append(book.Got, whole(t, w, p, here)...)
--- a/internal/testing/sim/orders_test.go
+++ b/internal/testing/sim/orders_test.go
@@ -19,8 +19,8 @@
 	"postjunction/internal/testing/orders"
 )
 
-// An accepted order is acknowledged again through any node, also after others were accepted on top of it; one that was
-// refused stays refused.
+// An accepted order is acknowledged again through any node, also after others were accepted on top
+// of it; one that was refused stays refused.
 func TestAnAcceptedOrderIsAcknowledgedAgain(t *testing.T) {
 	t.Parallel()
 	stand(t, Armor, 321, func(t *testing.T, w *World) {
@@ -45,7 +45,8 @@
 	})
 }
 
-// What orders were accepted outlives every voter: each is replaced by an empty one, then all lose power.
+// What orders were accepted outlives every voter: each is replaced by an empty one, then all lose
+// power.
 func TestAcceptedOrdersOutliveEveryVoter(t *testing.T) {
 	t.Parallel()
 	stand(t, spared(Armor, "c1", "c2", "c3"), 322, func(t *testing.T, w *World) {
@@ -59,21 +60,21 @@
 			time.Sleep(time.Second)
 			w.Machines[n+"b"].Opts.Seeds = []string{w.Machines["s1"].Opts.PeerListen}
 			assert.NilError(t, w.Add(n+"b"))
-			assert.NilError(t, w.Until(60*time.Second, n+"b has a seat", func() bool {
+			assert.NilError(t, w.WaitUntil(60*time.Second, n+"b has a seat", func() bool {
 				x := w.Machines["a1"].Node().VoterSet()
 				_, ok := x.Voter(n + "b")
 				_, old := x.Voter(n)
 				return ok && !old
 			}))
-			time.Sleep(w.Site.Bounds.Recovery)
+			time.Sleep(w.Site.Timing.Recovery)
 		}
-		for _, n := range w.There() {
+		for _, n := range w.Present() {
 			w.LosePower(n, w.Int(2) == 0)
 			w.Machines[n].Opts.Seeds = []string{w.Machines["c1b"].Opts.PeerListen, w.Machines["c3b"].Opts.PeerListen}
 		}
-		assert.NilError(t, w.Start(w.There()...))
-		assert.NilError(t, w.Settle(30*time.Second))
-		for _, n := range w.There() {
+		assert.NilError(t, w.Start(w.Present()...))
+		assert.NilError(t, w.WaitReady(30*time.Second))
+		for _, n := range w.Present() {
 			seq, err := w.Put(n, first)
 			assert.NilError(t, err, "through %s", n)
 			assert.Equal(t, seq, uint64(3))
@@ -83,7 +84,8 @@
 	})
 }
 
-// simulatedOperator sends orders as the users' operators do: on what it read, again to other nodes until it has a clear answer.
+// simulatedOperator sends orders as the users' operators do: on what it read, again to other nodes
+// until it has a clear answer.
 type simulatedOperator struct {
 	w       *World
 	rng     *rand.Rand
@@ -224,8 +226,8 @@
 	}},
 }
 
-// Three operators send orders with most answers lost, while the key's holder and other control nodes are killed, frozen,
-// cut off and wiped. What they were answered is linearizable.
+// Three operators send orders with most answers lost, while the key's holder and other control
+// nodes are killed, frozen, cut off and wiped. What they were answered is linearizable.
 func TestOperatorsAreAnsweredAsByOneRegister(t *testing.T) {
 	t.Parallel()
 	long(t)
@@ -247,7 +249,7 @@
 		w := New(s, seed, Logger())
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
-		assert.NilError(t, w.Settle(20*time.Second))
+		assert.NilError(t, w.WaitReady(20*time.Second))
 		h = orders.New(time.Now())
 		ctx, stop := context.WithTimeout(w.ctx, span)
 		defer stop()
@@ -264,7 +266,7 @@
 
 // troubleControl brings troubles about at control nodes, one at a time, until ctx ends.
 func (w *World) troubleControl(ctx context.Context, rng *rand.Rand) {
-	control := slices.DeleteFunc(w.There(), func(n string) bool { return n[0] != 'c' })
+	control := slices.DeleteFunc(w.Present(), func(n string) bool { return n[0] != 'c' })
 	for ctx.Err() == nil {
 		x := controlTroubles[rng.IntN(len(controlTroubles))]
 		end := x.begin(w, control[rng.IntN(len(control))])
@@ -274,8 +276,8 @@
 	}
 }
 
-// A register that an older build wrote remembers nothing but its current description: orders from before it have no
-// clear answer, and are not refused.
+// A register that an older build wrote remembers nothing but its current description: orders from
+// before it have no clear answer, and are not refused.
 func TestOrdersFromBeforeTheLogHaveNoClearAnswer(t *testing.T) {
 	t.Parallel()
 	stand(t, Armor, 323, func(t *testing.T, w *World) {
--- a/internal/testing/sim/owner_test.go
+++ b/internal/testing/sim/owner_test.go
@@ -27,7 +27,8 @@
 	return rs
 }
 
-// storied gives a record as a node without a disk has it the history that those with one know of the very same writing.
+// storied gives a record as a node without a disk has it the history that those with one know of
+// the very same writing.
 func (w *World) storied(r assignment.Record) assignment.Record {
 	for _, m := range w.Machines {
 		n := m.Node()
@@ -41,14 +42,15 @@
 	return r
 }
 
-// A store that is back before its peers find its port closed twice keeps its partitions; one that stays away longer loses them to the
-// heirs that the record names, each partition once. Either way no epoch is used again, and what it did not own stays as it is.
-func TestUsedEpochIsNeverUsedAgainAndHeirsTakeOverInOrder(t *testing.T) {
+// A store that is back before its peers find its port closed twice keeps its partitions; one that
+// stays away longer loses them to the heirs that the record names, each partition once. Either way
+// no epoch is used again, and what it did not own stays as it is.
+func TestUsedEpochIsNeverUsedAgainAndSuccessorsTakeOverInOrder(t *testing.T) {
 	t.Parallel()
 	for away, kept := range map[time.Duration]bool{30 * time.Millisecond: true, 600 * time.Millisecond: false} {
 		t.Run(away.String(), func(t *testing.T) {
 			t.Parallel()
-			play(t, Armor, 21, Armor.Bounds.Recovery/2, func(t *testing.T, w *World) {
+			play(t, Armor, 21, Armor.Timing.Recovery/2, func(t *testing.T, w *World) {
 				o := busiest(w)
 				before := w.records()
 				w.Kill(o)
@@ -145,7 +147,7 @@
 		assert.Equal(t, len(calls), 34, "%v", calls)
 		again, _, _ := follow(w, "a1", v.Token, cursor, topics, 2*time.Second)
 		assert.Equal(t, len(again), 0, "%v twice", again)
-		time.Sleep(w.Site.Bounds.Retention() + 10*time.Second)
+		time.Sleep(w.Site.Timing.Retention() + 10*time.Second)
 		for n < 40 {
 			n++
 			_, err := w.Port("c2").Send(w.ctx, s.Token, "kept/t0", n, []byte(fmt.Sprint(n)))
@@ -157,11 +159,12 @@
 	})
 }
 
-// An owner cut off with a store that follows it goes on writing to both lines; none of it may count.
-func TestFencedOwnerAndFollowerDecideNothing(t *testing.T) {
+// An owner cut off with a store that follows it goes on writing to both lines; none of it may
+// count.
+func TestFencedLeaderAndFollowerDecideNothing(t *testing.T) {
 	t.Parallel()
 	long(t)
-	play(t, Traductores, 24, Traductores.Bounds.Recovery, func(_ *testing.T, w *World) {
+	play(t, Traductores, 24, Traductores.Timing.Recovery, func(_ *testing.T, w *World) {
 		for range 2 {
 			o := busiest(w)
 			for _, n := range w.Names {
--- a/internal/testing/sim/points_test.go
+++ b/internal/testing/sim/points_test.go
@@ -30,11 +30,12 @@
 	return "c1"
 }
 
-// decider gives the control node that holds the description's key, as a majority says, and the description that stands. Where nobody holds it, as
-// after the voters changed, a description that is put makes a holder.
+// decider gives the control node that holds the description's key, as a majority says, and the
+// description that stands. Where nobody holds it, as after the voters changed, a description that
+// is put makes a holder.
 func decider(t *testing.T, w *World) (who string, seq uint64) {
 	t.Helper()
-	assert.NilError(t, w.Until(30*time.Second, "void: one control node holds the description", func() bool {
+	assert.NilError(t, w.WaitUntil(30*time.Second, "void: one control node holds the description", func() bool {
 		for _, n := range w.Names {
 			x := w.Machines[n].Node()
 			if x == nil || !x.LeadsKey(quorumread.ConfigurationKey) {
@@ -54,7 +55,7 @@
 }
 
 func (w *World) current(n string) (uint64, error) {
-	ctx, stop := context.WithTimeout(w.ctx, w.Site.Bounds.Recovery)
+	ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Recovery)
 	defer stop()
 	return w.Port(n).Get(ctx)
 }
@@ -89,7 +90,8 @@
 	return ok && q.Kind == log.KindChangelog
 }
 
-// points are the places in a decision's way at which whoever decides is held up while its sessions lapse and others go on.
+// points are the places in a decision's way at which whoever decides is held up while its sessions
+// lapse and others go on.
 var points = map[string]struct {
 	restart bool
 	arrive  bool
@@ -116,7 +118,7 @@
 	})},
 }
 
-func TestHeldUpAtEachPointOfADecision(t *testing.T) {
+func TestPausedAtEachPointOfADecision(t *testing.T) {
 	for name, p := range points {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -133,7 +135,7 @@
 							w.Kill(who)
 							time.Sleep(30 * time.Millisecond)
 						}
-						release, hits := w.Hold(func(x Point) bool {
+						release, hits := w.PauseCalls(func(x Point) bool {
 							if !p.at(who, x) {
 								return false
 							}
@@ -144,9 +146,9 @@
 						})
 						if p.restart {
 							assert.NilError(t, w.Start(who))
-							assert.NilError(t, w.Until(10*time.Second, "void: nothing was held at "+name, func() bool { return hits() > 0 }))
+							assert.NilError(t, w.WaitUntil(10*time.Second, "void: nothing was held at "+name, func() bool { return hits() > 0 }))
 						}
-						lapse, _ := w.Hold(func(x Point) bool {
+						lapse, _ := w.PauseCalls(func(x Point) bool {
 							return x.From == who && strings.Contains(x.Path, "Member/Pulse") || x.From == who && strings.Contains(x.Path, "Member/Sessions") || x.To == who && strings.Contains(x.Path, "Member/Sessions")
 						})
 						if p.arrive {
@@ -170,7 +172,8 @@
 	}
 }
 
-// A disk is wiped just after it promised: with the answer still under way, or told. It comes back empty under its old machine's name.
+// A disk is wiped just after it promised: with the answer still under way, or told. It comes back
+// empty under its old machine's name.
 func TestDiskWipedJustAfterEachKindOfPromise(t *testing.T) {
 	kinds := map[string]string{"sealed": replica.Seal.Path, "appended": replica.Append.Path, "promised": acceptor.Promise.Path, "accepted": acceptor.Accept.Path}
 	for name, path := range kinds {
@@ -180,9 +183,9 @@
 				long(t)
 				for seed := range uint64(seeds(2)) {
 					play(t, siteOf(seed), 220+seed, time.Hour, func(t *testing.T, w *World) {
-						assert.NilError(t, w.Until(30*time.Second, "every copy and seat is in place", w.whole))
+						assert.NilError(t, w.WaitUntil(30*time.Second, "every copy and seat is in place", w.whole))
 						found := make(chan string, 1)
-						release, _ := w.Hold(func(x Point) bool {
+						release, _ := w.PauseCalls(func(x Point) bool {
 							if x.Path != path || x.Stage != Answering || x.From == x.To {
 								return false
 							}
@@ -219,7 +222,7 @@
 						}
 						assert.Assert(t, slices.Contains(down, x))
 						assert.NilError(t, w.Start(down...))
-						assert.NilError(t, w.Until(90*time.Second, "the wiped disk is repaired", w.whole))
+						assert.NilError(t, w.WaitUntil(90*time.Second, "the wiped disk is repaired", w.whole))
 					})
 				}
 			})
--- a/internal/testing/sim/last.go
+++ b/internal/testing/sim/readback.go
@@ -18,14 +18,14 @@
 	Topics []string
 }
 
-type enough struct{}
+type enoughRead struct{}
 
 // Error says that a reader has all that it wanted.
-func (enough) Error() string { return "enough was read" }
+func (enoughRead) Error() string { return "enough was read" }
 
-var errEnough error = enough{}
+var errEnough error = enoughRead{}
 
-func (w *World) fresh(name string, topics []string, cursor string, through string, limit time.Duration, f func(client.Event) error) error {
+func (w *World) followAsNew(name string, topics []string, cursor string, through string, limit time.Duration, f func(client.Event) error) error {
 	end := time.Now().Add(limit)
 	err := error(apierror.New(apierror.Unreachable, "%s was not tried", through))
 	for time.Now().Before(end) {
@@ -38,7 +38,7 @@
 		if err == nil || errors.Is(err, errEnough) {
 			return err
 		}
-		time.Sleep(w.Site.Bounds.MaxBackoff())
+		time.Sleep(w.Site.Timing.MaxBackoff())
 	}
 	return err
 }
@@ -51,10 +51,10 @@
 	}
 	a.Topics = append(a.Topics, "stop/line")
 	through := "c2"
-	if w.Machines[through].gone() {
+	if w.Machines[through].isGone() {
 		through = "c3"
 	}
-	err := w.fresh("archivist", a.Topics, "", through, w.Site.Bounds.Recovery, func(x client.Event) error {
+	err := w.followAsNew("archivist", a.Topics, "", through, w.Site.Timing.Recovery, func(x client.Event) error {
 		a.Cursor, a.Since = x.Cursor, time.Now()
 		return errEnough
 	})
@@ -67,8 +67,9 @@
 	return a, err
 }
 
-// Reread reads everything after the archive's cursor back through a node, as a subscriber that was never here.
-func (w *World) Reread(a Archive, through string) error {
+// ReadBack reads everything after the archive's cursor back through a node, as a subscriber that
+// was never here.
+func (w *World) ReadBack(a Archive, through string) error {
 	r := history.Reading{Through: through, Topics: map[string]bool{}, Since: a.Since}
 	for _, t := range a.Topics {
 		r.Topics[t] = true
@@ -76,13 +77,13 @@
 	quiet := time.Now()
 	var why error
 	cursor := a.Cursor
-	for begun := time.Now(); time.Since(begun) < w.Site.Bounds.Recovery+w.Site.Bounds.Spread; {
-		err := w.fresh(fmt.Sprintf("reader-%s-%d", through, len(r.Got)), a.Topics, cursor, through, w.Site.Bounds.Spread, func(l client.Event) error {
+	for begun := time.Now(); time.Since(begun) < w.Site.Timing.Recovery+w.Site.Timing.Spread; {
+		err := w.followAsNew(fmt.Sprintf("reader-%s-%d", through, len(r.Got)), a.Topics, cursor, through, w.Site.Timing.Spread, func(l client.Event) error {
 			if l.Cursor != "" {
 				cursor = l.Cursor
 			}
 			if l.Topic == "" {
-				if l.End != nil || time.Since(quiet) < w.Site.Bounds.Spread {
+				if l.End != nil || time.Since(quiet) < w.Site.Timing.Spread {
 					return nil
 				}
 				return errEnough
--- a/internal/testing/sim/restart_test.go
+++ b/internal/testing/sim/restart_test.go
@@ -15,8 +15,8 @@
 	"postjunction/internal/placement/controller"
 )
 
-// The whole fleet loses power in one instant and comes back. Control nodes that each took another for the holder of the
-// placement duty once waited for each other until a sweep, 8.75 s later.
+// The whole fleet loses power in one instant and comes back. Control nodes that each took another
+// for the holder of the placement duty once waited for each other until a sweep, 8.75 s later.
 func TestWholeFleetIsBackWellInsideTheBound(t *testing.T) {
 	t.Parallel()
 	long(t)
@@ -39,23 +39,24 @@
 			for i := range load.Topics {
 				var r client.Receipt
 				err := error(nil)
-				for ok := false; !ok && time.Since(at) < w.Site.Bounds.Recovery; ok = err == nil {
-					ctx, stop := context.WithTimeout(w.ctx, w.Site.Bounds.Spread)
+				for ok := false; !ok && time.Since(at) < w.Site.Timing.Recovery; ok = err == nil {
+					ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Spread)
 					r, err = w.Port("a1").Send(ctx, tok, fmt.Sprintf("kept/t%d", i), 1, []byte(`"back"`))
 					stop()
-					time.Sleep(w.Site.Bounds.HeartbeatInterval() / 3)
+					time.Sleep(w.Site.Timing.HeartbeatInterval() / 3)
 				}
 				assert.NilError(t, err, "seed %d: topic %d", seed, i)
 				_ = r
 			}
 			most = max(most, time.Since(at))
-			assert.Assert(t, time.Since(at) < w.Site.Bounds.Recovery*2/5, "seed %d: back after %s", seed, time.Since(at))
+			assert.Assert(t, time.Since(at) < w.Site.Timing.Recovery*2/5, "seed %d: back after %s", seed, time.Since(at))
 		})
 	}
 	t.Logf("back after at most %s", most)
 }
 
-// promiseAlone leaves a control node's promise to itself on its own disk only, as a claim does that found nobody else.
+// promiseAlone leaves a control node's promise to itself on its own disk only, as a claim does that
+// found nobody else.
 func (w *World) promiseAlone(t *testing.T, c, key string, e epoch.Epoch) {
 	t.Helper()
 	m := w.Machines[c]
@@ -70,9 +71,9 @@
 	return time.Duration(lo+w.Int(hi-lo)) * 100 * time.Millisecond
 }
 
-// Control nodes that asked whomever they took for the holder to take the duty once passed it to and fro, twice a second and for good,
-// so that no loss was waited out by anyone.
-func TestPlacementDutyStaysWhereItIs(t *testing.T) {
+// Control nodes that asked whomever they took for the holder to take the duty once passed it to and
+// fro, twice a second and for good, so that no loss was waited out by anyone.
+func TestPlacementControllerStaysWhereItIs(t *testing.T) {
 	t.Parallel()
 	long(t)
 	for seed := range uint64(seeds(16)) {
--- a/internal/testing/sim/retire_test.go
+++ b/internal/testing/sim/retire_test.go
@@ -19,7 +19,7 @@
 // emptying asks a node how far the emptying of a machine is.
 func (w *World) emptying(at, n string) (decommission.Order, error) {
 	var x decommission.Order
-	err := w.ask(at, w.Site.Bounds.CallTimeout(), func(ctx context.Context, k *node.Node) error {
+	err := w.ask(at, w.Site.Timing.CallTimeout(), func(ctx context.Context, k *node.Node) error {
 		var e error
 		x, e = k.Operators.DecommissionStatus(ctx, n)
 		return e
@@ -30,19 +30,20 @@
 	return x, nil
 }
 
-// An emptied machine is restarted again and again before it is taken away: its order stays done wherever it is asked, and
-// nothing moves back to it. Then it is taken away, another store loses its disk and all others their power.
-func TestARestartDoesNotEndAnEmptying(t *testing.T) {
+// An emptied machine is restarted again and again before it is taken away: its order stays done
+// wherever it is asked, and nothing moves back to it. Then it is taken away, another store loses
+// its disk and all others their power.
+func TestARestartDoesNotEndADecommissioning(t *testing.T) {
 	t.Parallel()
 	long(t)
 	for seed := range uint64(seeds(4)) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			s := siteOf(seed)
-			play(t, s, 390+seed, s.Bounds.Recovery, func(t *testing.T, w *World) {
+			play(t, s, 390+seed, s.Timing.Recovery, func(t *testing.T, w *World) {
 				o := busiest(w)
 				assert.NilError(t, w.askDrain(o))
-				assert.NilError(t, w.Until(60*time.Second, o+" is empty", w.drained(o)))
+				assert.NilError(t, w.WaitUntil(60*time.Second, o+" is empty", w.drained(o)))
 				for k := range 4 {
 					if k == 1 {
 						w.Wipe(o)
@@ -60,8 +61,8 @@
 					assert.Equal(t, w.registered(t, o), 0, "something moved back to %s", o)
 				}
 				w.Remove(o, false)
-				wipedWhileAllLosePower(t, w, busiestOf(w, w.There()))
-				time.Sleep(s.Bounds.Recovery)
+				wipedWhileAllLosePower(t, w, busiestOf(w, w.Present()))
+				time.Sleep(s.Timing.Recovery)
 			})
 		})
 	}
@@ -74,15 +75,16 @@
 	})
 }
 
-// A machine is killed, or loses its disk, while it is being emptied: the order stands, and is carried out.
-func TestAnEmptyingOutlivesItsMachinesProcessAndDisk(t *testing.T) {
+// A machine is killed, or loses its disk, while it is being emptied: the order stands, and is
+// carried out.
+func TestADecommissioningOutlivesItsMachinesProcessAndDisk(t *testing.T) {
 	t.Parallel()
 	long(t)
 	for seed := range uint64(seeds(6)) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			s := siteOf(seed)
-			play(t, s, 396+seed, s.Bounds.Recovery, func(t *testing.T, w *World) {
+			play(t, s, 396+seed, s.Timing.Recovery, func(t *testing.T, w *World) {
 				o := busiest(w)
 				assert.NilError(t, w.askDrain(o))
 				time.Sleep(w.span(0, 2))
@@ -93,7 +95,7 @@
 				}
 				time.Sleep(w.span(0, 3))
 				assert.NilError(t, w.Start(o))
-				assert.NilError(t, w.Until(60*time.Second, o+" is empty", w.drained(o)))
+				assert.NilError(t, w.WaitUntil(60*time.Second, o+" is empty", w.drained(o)))
 				assert.Equal(t, w.registered(t, o), 0)
 				time.Sleep(w.span(1, 8))
 				assert.Equal(t, w.registered(t, o), 0)
@@ -102,9 +104,9 @@
 	}
 }
 
-// A change of a record that a former holder of the placement duty decided on before an order to empty a machine is refused
-// once the order is done, also where the record never named the machine.
-func TestAnEmptyingFencesWhatWasDecidedBefore(t *testing.T) {
+// A change of a record that a former holder of the placement duty decided on before an order to
+// empty a machine is refused once the order is done, also where the record never named the machine.
+func TestADecommissioningFencesWhatWasDecidedBefore(t *testing.T) {
 	t.Parallel()
 	stand(t, Traductores, 400, func(t *testing.T, w *World) {
 		described(t, w)
@@ -122,7 +124,7 @@
 		}
 		o := busiest(w)
 		assert.NilError(t, w.askDrain(o))
-		assert.NilError(t, w.Until(60*time.Second, o+" is empty", w.drained(o)))
+		assert.NilError(t, w.WaitUntil(60*time.Second, o+" is empty", w.drained(o)))
 		others := 0
 		for p, r := range before {
 			if !r.Holds(o) {
@@ -137,8 +139,8 @@
 	})
 }
 
-// A node that is cut off, as an operator reaches it, gives no final answer: neither 404 nor 409 for a machine, nor that one
-// is empty, nor which configuration is current.
+// A node that is cut off, as an operator reaches it, gives no final answer: neither 404 nor 409 for
+// a machine, nor that one is empty, nor which configuration is current.
 func TestACutNodeGivesNoFinalAnswers(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(4)) {
@@ -153,7 +155,7 @@
 				for _, n := range []string{"nobody", "s1", "c1", "a1"} {
 					_, err := w.emptying(cut, n)
 					assert.Assert(t, unclear(err), "the emptying of %s: %v", n, err)
-					err = w.ask(cut, 2*w.Site.Bounds.CallTimeout(), func(ctx context.Context, k *node.Node) error {
+					err = w.ask(cut, 2*w.Site.Timing.CallTimeout(), func(ctx context.Context, k *node.Node) error {
 						_, err := k.Operators.Decommission(ctx, n)
 						return err
 					})
@@ -161,7 +163,7 @@
 				}
 				_, err := w.Put(cut, load.Describe(1))
 				assert.Assert(t, unclear(err), "an order: %v", err)
-				err = w.ask(cut, 2*w.Site.Bounds.CallTimeout(), func(ctx context.Context, k *node.Node) error {
+				err = w.ask(cut, 2*w.Site.Timing.CallTimeout(), func(ctx context.Context, k *node.Node) error {
 					_, err := k.Operators.CurrentConfiguration(ctx)
 					return err
 				})
@@ -170,7 +172,7 @@
 			_, err = w.emptying(other, "nobody")
 			assert.Assert(t, apierror.HasCode(err, apierror.UnknownNode), "%v", err)
 			w.Heal()
-			time.Sleep(w.Site.Bounds.SessionTimeout())
+			time.Sleep(w.Site.Timing.SessionTimeout())
 			for _, n := range w.Names {
 				_, err := w.emptying(n, "s1")
 				assert.Assert(t, apierror.HasCode(err, apierror.UnknownNode), "%v", err)
@@ -186,16 +188,17 @@
 	return err != nil && !slices.ContainsFunc(final, func(k apierror.Code) bool { return apierror.HasCode(err, k) })
 }
 
-// A machine that joined a moment ago is known through every node, also one that has not heard of it.
+// A machine that joined a moment ago is known through every node, also one that has not heard of
+// it.
 func TestANewMachineIsKnownThroughEveryNode(t *testing.T) {
 	t.Parallel()
 	stand(t, spared(Armor, "s2"), 410, func(t *testing.T, w *World) {
 		assert.NilError(t, w.Add("s2b"))
-		assert.NilError(t, w.Until(20*time.Second, "a control node has heard of s2b", func() bool {
+		assert.NilError(t, w.WaitUntil(20*time.Second, "a control node has heard of s2b", func() bool {
 			_, ok := w.Machines["c1"].Node().View.Get("s2b")
 			return ok
 		}))
-		for _, n := range w.There() {
+		for _, n := range w.Present() {
 			if n == "s2b" {
 				continue
 			}
--- a/internal/testing/sim/room_test.go
+++ b/internal/testing/sim/room_test.go
@@ -9,32 +9,33 @@
 	"postjunction/internal/apierror"
 )
 
-// One store's disk is far smaller than what the partitions need. It says that it is full, gives its duties away, and takes part again once there is less to keep; nothing is lost and
-// no process ends.
-func TestSmallDiskGivesItsDutiesAway(t *testing.T) {
+// One store's disk is far smaller than what the partitions need. It says that it is full, gives its
+// duties away, and takes part again once there is less to keep; nothing is lost and no process
+// ends.
+func TestSmallDiskGivesItsLeadershipsAway(t *testing.T) {
 	t.Parallel()
 	long(t)
 	synctestRoom(t, 1, func(t *testing.T, w *World) {
 		x := w.Machines["s1"].Node()
-		assert.NilError(t, w.Until(60*time.Second, "s1 is full", func() bool { return x.Info().DiskHealth == string(apierror.DiskFull) }))
+		assert.NilError(t, w.WaitUntil(60*time.Second, "s1 is full", func() bool { return x.Info().DiskHealth == string(apierror.DiskFull) }))
 		full := time.Now()
-		assert.NilError(t, w.Until(20*time.Second, "s1 decides for nothing", func() bool { return x.Info().Partitions == 0 }))
+		assert.NilError(t, w.WaitUntil(20*time.Second, "s1 decides for nothing", func() bool { return x.Info().Partitions == 0 }))
 		t.Logf("duties away after %s", time.Since(full))
-		assert.NilError(t, w.Until(20*time.Second, "s1 holds nothing", func() bool { return w.holdings("s1") == 0 }))
+		assert.NilError(t, w.WaitUntil(20*time.Second, "s1 holds nothing", func() bool { return w.holdings("s1") == 0 }))
 		t.Logf("copies away after %s", time.Since(full))
-		w.Quiet(w.Site.Bounds.Retention())
-		assert.NilError(t, w.Until(60*time.Second, "s1 is well and holds copies", func() bool { return x.Info().DiskHealth == "" && w.copied() && w.holdings("s1") > 0 }))
+		w.Quiet(w.Site.Timing.Retention())
+		assert.NilError(t, w.WaitUntil(60*time.Second, "s1 is well and holds copies", func() bool { return x.Info().DiskHealth == "" && w.copied() && w.holdings("s1") > 0 }))
 		assert.Assert(t, w.Machines["s1"].Node() == x, "its process ended")
 	})
 }
 
 func synctestRoom(t *testing.T, mb int, script func(t *testing.T, w *World)) {
 	s := busy
-	s.Room = map[string]int{"s1": mb}
+	s.DiskMB = map[string]int{"s1": mb}
 	stand(t, s, 60, func(t *testing.T, w *World) {
 		_, err := w.Put("c1", busyLoad.Describe(0))
 		assert.NilError(t, err)
-		time.Sleep(w.Site.Bounds.Spread)
+		time.Sleep(w.Site.Timing.Spread)
 		w.Callers(busyLoad)
 		script(t, w)
 	})
