--- a/internal/testing/sim/hand.go
+++ b/internal/testing/sim/scripted.go
@@ -12,38 +12,39 @@
 	"postjunction/internal/testing/simclient"
 )
 
-// Hand is a visitor that does what a script says, on one connection to a named machine; what it sees goes into the guests' book.
-type Hand struct {
+// ScriptedClient is a visitor that does what a script says, on one connection to a named machine;
+// what it sees goes into the guests' book.
+type ScriptedClient struct {
 	Name, At string
 
-	g     *Guests
-	line  *lineSession
-	mu    sync.Mutex
-	seen  []Seen
-	stays map[string]*deliverycheck.Session
+	clients  *LineClients
+	line     *lineSession
+	mu       sync.Mutex
+	seen     []TimedResponse
+	sessions map[string]*deliverycheck.Session
 	// cursor is what a topic was resumed with.
 	cursor map[string]string
 	ended  bool
-	bell   chan struct{}
+	notify chan struct{}
 }
 
-// Seen is an answer, and when the connection took its last byte.
-type Seen struct {
+// TimedResponse is an answer, and when the connection took its last byte.
+type TimedResponse struct {
 	session.Response
 	Shown time.Time
 }
 
-const handLimit = 3 * time.Second
+const scriptedTimeout = 3 * time.Second
 
-// Hand lets a scripted visitor in, nil where nobody answers.
-func (g *Guests) Hand(at, name string) *Hand {
-	h := &Hand{Name: name, At: at, g: g, stays: map[string]*deliverycheck.Session{}, cursor: map[string]string{}, bell: make(chan struct{}, 1)}
-	h.line = g.connect(g.w.Machines[at], true, h.hear, h.lose)
+// Scripted lets a scripted visitor in, nil where nobody answers.
+func (g *LineClients) Scripted(at, name string) *ScriptedClient {
+	h := &ScriptedClient{Name: name, At: at, clients: g, sessions: map[string]*deliverycheck.Session{}, cursor: map[string]string{}, notify: make(chan struct{}, 1)}
+	h.line = g.connect(g.world.Machines[at], true, h.receive, h.onBroken)
 	if h.line == nil {
 		return nil
 	}
 	h.line.Do(session.Request{Verb: session.Attach, Client: name})
-	if a, ok := h.Wait(0, handLimit, func(a session.Response) bool { return a.Type == session.Attached || a.InReplyTo == session.Attach }); !ok || a.Type != session.Attached {
+	if a, ok := h.Wait(0, scriptedTimeout, func(a session.Response) bool { return a.Type == session.Attached || a.InReplyTo == session.Attach }); !ok || a.Type != session.Attached {
 		h.line.End()
 		return nil
 	}
@@ -51,97 +52,97 @@
 	return h
 }
 
-func (h *Hand) heartbeat() {
+func (h *ScriptedClient) heartbeat() {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
 	for !h.Ended() {
 		select {
 		case <-t.C:
 			h.line.Do(session.Request{Verb: session.Heartbeat})
-		case <-h.g.w.ctx.Done():
+		case <-h.clients.world.ctx.Done():
 			h.line.End()
 			return
 		}
 	}
 }
 
-func (h *Hand) lose() {
+func (h *ScriptedClient) onBroken() {
 	h.mu.Lock()
 	h.ended = true
 	h.mu.Unlock()
-	ring(h.bell)
+	ring(h.notify)
 }
 
 // Ended tells whether the connection broke or was closed.
-func (h *Hand) Ended() bool {
+func (h *ScriptedClient) Ended() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.ended
 }
 
 // End goes.
-func (h *Hand) End() {
+func (h *ScriptedClient) End() {
 	h.mu.Lock()
-	for _, s := range h.stays {
+	for _, s := range h.sessions {
 		s.Ended(time.Now())
 	}
 	h.mu.Unlock()
-	h.lose()
+	h.onBroken()
 	h.line.End()
 }
 
 // Break loses the connection; the subscriptions may be resumed.
-func (h *Hand) Break() {
-	h.lose()
+func (h *ScriptedClient) Break() {
+	h.onBroken()
 	h.line.End()
 }
 
-// Still has the hand not read for a while.
-func (h *Hand) Still(d time.Duration) { h.line.Still(d) }
+// Pause has the hand not read for a while.
+func (h *ScriptedClient) Pause(d time.Duration) { h.line.Pause(d) }
 
-func (h *Hand) hear(a session.Response, shown time.Time) {
+func (h *ScriptedClient) receive(a session.Response, shown time.Time) {
 	h.mu.Lock()
 	if h.ended {
 		h.mu.Unlock()
 		return
 	}
-	h.seen = append(h.seen, Seen{a, shown})
-	s := h.stays[a.Topic]
+	h.seen = append(h.seen, TimedResponse{a, shown})
+	s := h.sessions[a.Topic]
 	h.mu.Unlock()
-	now, b := time.Now(), h.g.Book
+	now, b := time.Now(), h.clients.Checker
 	switch a.Type {
 	case session.Subscribed:
 		s.Joined(now)
 	case session.Message:
-		s.Got(deliverycheck.Message{Topic: a.Topic, From: a.From, Call: a.CallSeq}, string(a.Body), deliverycheck.Place{Partition: a.Partition, Offset: a.Offset}, shown)
+		s.Got(deliverycheck.Message{Topic: a.Topic, From: a.From, CallSeq: a.CallSeq}, string(a.Body), deliverycheck.Place{Partition: a.Partition, Offset: a.Offset}, shown)
 	case session.Accepted:
-		b.Taken(deliverycheck.Message{Topic: a.Topic, From: h.Name, Call: a.CallSeq}, now)
+		b.Accepted(deliverycheck.Message{Topic: a.Topic, From: h.Name, CallSeq: a.CallSeq}, now)
 	case session.Withdrawn:
-		b.Told(h.Name, a.Topic, a.Key, now)
+		b.Shown(h.Name, a.Topic, a.Key, now)
 	case session.Rejected:
 		if a.InReplyTo == session.Send && simclient.Promises[apierror.From(a.Err).Code] {
-			b.Turned(deliverycheck.Message{Topic: a.Topic, From: h.Name, Call: a.CallSeq})
+			b.Rejected(deliverycheck.Message{Topic: a.Topic, From: h.Name, CallSeq: a.CallSeq})
 		}
 	}
-	ring(h.bell)
+	ring(h.notify)
 }
 
-// Mark tells how much the hand has heard.
-func (h *Hand) Mark() int {
+// ResponseCount tells how much the hand has heard.
+func (h *ScriptedClient) ResponseCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.seen)
 }
 
 // All gives what it has heard.
-func (h *Hand) All() []Seen {
+func (h *ScriptedClient) All() []TimedResponse {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.seen[:len(h.seen):len(h.seen)]
 }
 
 // Wait waits for an answer behind a mark.
-func (h *Hand) Wait(from int, limit time.Duration, ok func(session.Response) bool) (Seen, bool) {
+func (h *ScriptedClient) Wait(from int, limit time.Duration, ok func(session.Response) bool) (TimedResponse, bool) {
 	end := time.NewTimer(limit)
 	defer end.Stop()
 	for {
@@ -156,33 +157,33 @@
 		gone := h.ended
 		h.mu.Unlock()
 		if gone {
-			return Seen{}, false
+			return TimedResponse{}, false
 		}
 		select {
-		case <-h.bell:
+		case <-h.notify:
 		case <-end.C:
-			return Seen{}, false
+			return TimedResponse{}, false
 		}
 	}
 }
 
 // Follow joins a topic, from a cursor if there is one, and tells whether it was taken up.
-func (h *Hand) Follow(topic, cursor string) (Seen, bool) {
+func (h *ScriptedClient) Follow(topic, cursor string) (TimedResponse, bool) {
 	h.mu.Lock()
-	if h.stays[topic] == nil {
-		h.stays[topic] = h.g.Book.Open(h.Name, topic, strings.HasPrefix(topic, "kept/"))
+	if h.sessions[topic] == nil {
+		h.sessions[topic] = h.clients.Checker.Open(h.Name, topic, strings.HasPrefix(topic, "kept/"))
 	}
 	n := len(h.seen)
 	h.mu.Unlock()
 	h.line.Do(session.Request{Verb: session.Subscribe, Topic: topic, Cursor: cursor})
-	s, ok := h.Wait(n, handLimit, func(a session.Response) bool {
+	s, ok := h.Wait(n, scriptedTimeout, func(a session.Response) bool {
 		return a.Topic == topic && (a.Type == session.Subscribed || a.InReplyTo == session.Subscribe)
 	})
 	return s, ok && s.Type == session.Subscribed
 }
 
 // Resume goes on where another hand of the same name has ended, on the stay of that.
-func (h *Hand) Resume(was *Hand, topic string) (Seen, bool) {
+func (h *ScriptedClient) Resume(was *ScriptedClient, topic string) (TimedResponse, bool) {
 	was.mu.Lock()
 	cursor := was.cursor[topic]
 	for _, s := range was.seen {
@@ -190,39 +191,39 @@
 			cursor = s.Cursor
 		}
 	}
-	stay, seen := was.stays[topic], was.seen
+	stay, seen := was.sessions[topic], was.seen
 	was.mu.Unlock()
 	h.mu.Lock()
 	h.seen = append(seen[:len(seen):len(seen)], h.seen...)
-	h.stays[topic], h.cursor[topic] = stay, cursor
+	h.sessions[topic], h.cursor[topic] = stay, cursor
 	h.mu.Unlock()
 	return h.Follow(topic, cursor)
 }
 
 // Body is what a hand sends under a number.
-func (h *Hand) Body(call uint64) string {
-	return fmt.Sprintf("%s %d %s", h.Name, call, strings.Repeat("x", handBody))
+func (h *ScriptedClient) Body(call uint64) string {
+	return fmt.Sprintf("%s %d %s", h.Name, call, strings.Repeat("x", scriptedBodyBytes))
 }
 
-const handBody = 300
+const scriptedBodyBytes = 300
 
-// Post sends without waiting.
-func (h *Hand) Post(topic, key string, call uint64) {
-	h.g.Book.Try(deliverycheck.Message{Topic: topic, From: h.Name, Call: call}, key, h.Body(call), time.Now())
+// SendAsync sends without waiting.
+func (h *ScriptedClient) SendAsync(topic, key string, call uint64) {
+	h.clients.Checker.Try(deliverycheck.Message{Topic: topic, From: h.Name, CallSeq: call}, key, h.Body(call), time.Now())
 	h.line.Do(session.Request{Verb: session.Send, Topic: topic, Key: key, CallSeq: call, Body: []byte(h.Body(call))})
 }
 
 // Send sends and gives the answer.
-func (h *Hand) Send(topic, key string, call uint64) (Seen, bool) {
-	n := h.Mark()
-	h.Post(topic, key, call)
-	return h.Wait(n, handLimit, func(a session.Response) bool {
+func (h *ScriptedClient) Send(topic, key string, call uint64) (TimedResponse, bool) {
+	n := h.ResponseCount()
+	h.SendAsync(topic, key, call)
+	return h.Wait(n, scriptedTimeout, func(a session.Response) bool {
 		return a.Topic == topic && a.CallSeq == call && (a.Type == session.Accepted || a.InReplyTo == session.Send)
 	})
 }
 
-// Sent sends until the message is taken or never will be, and tells whether it was.
-func (h *Hand) Sent(topic, key string, call uint64) bool {
+// SendAccepted sends until the message is taken or never will be, and tells whether it was.
+func (h *ScriptedClient) SendAccepted(topic, key string, call uint64) bool {
 	for range 20 {
 		s, ok := h.Send(topic, key, call)
 		if ok && s.Type == session.Accepted {
@@ -231,18 +232,18 @@
 		if ok && simclient.Promises[apierror.From(s.Err).Code] {
 			return false
 		}
-		time.Sleep(h.g.w.Site.Bounds.MaxBackoff())
+		time.Sleep(h.clients.world.Site.Timing.MaxBackoff())
 	}
 	return false
 }
 
 // Withdraw asks for a withdrawal once and notes the answer.
-func (h *Hand) Withdraw(w deliverycheck.Withdrawal) (Seen, bool) {
+func (h *ScriptedClient) Withdraw(w deliverycheck.Withdrawal) (TimedResponse, bool) {
 	w.By = h.Name
-	x := h.g.Book.Withdraw(w, time.Now())
-	n := h.Mark()
+	x := h.clients.Checker.Withdraw(w, time.Now())
+	n := h.ResponseCount()
 	h.line.Do(session.Request{Verb: session.Withdraw, Topic: w.Topic, Key: w.Key, CallSeq: w.Call, WithdrawSender: w.Of, WithdrawUpTo: w.Upto})
-	s, ok := h.Wait(n, handLimit, func(a session.Response) bool {
+	s, ok := h.Wait(n, scriptedTimeout, func(a session.Response) bool {
 		return a.Topic == w.Topic && a.CallSeq == w.Call && (a.Type == session.WithdrawalComplete || a.InReplyTo == session.Withdraw)
 	})
 	switch {
--- a/internal/testing/sim/sealed_test.go
+++ b/internal/testing/sim/sealed_test.go
@@ -11,8 +11,9 @@
 	"postjunction/internal/wire"
 )
 
-// The node that changes the voters is lost after the old roster is sealed and before the new one is open anywhere. Another one finishes the
-// change, and an operator's calls that began in between ride through it.
+// The node that changes the voters is lost after the old roster is sealed and before the new one is
+// open anywhere. Another one finishes the change, and an operator's calls that began in between
+// ride through it.
 func TestAChangeOfVotersOutlivesWhoBeganIt(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -24,7 +25,7 @@
 			assert.NilError(t, err)
 			var mu sync.Mutex
 			who := ""
-			release, hits := w.Hold(func(x Point) bool {
+			release, hits := w.PauseCalls(func(x Point) bool {
 				var q acceptor.ActivateRequest
 				if x.Path != acceptor.Activate.Path || x.Stage != Asking || wire.Unmarshal(x.Body, &q) != nil {
 					return false
@@ -37,7 +38,7 @@
 				return x.From == who
 			})
 			assert.NilError(t, w.Add("c2b"))
-			assert.NilError(t, w.Until(10*time.Second, "a change of the voters is sealed", func() bool { return hits() > 0 }))
+			assert.NilError(t, w.WaitUntil(10*time.Second, "a change of the voters is sealed", func() bool { return hits() > 0 }))
 			mu.Lock()
 			begun := who
 			mu.Unlock()
--- a/internal/testing/sim/silent_test.go
+++ b/internal/testing/sim/silent_test.go
@@ -9,7 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A store that falls silent is made good before messages are given up: in a twelfth of the recovery time.
+// A store that falls silent is made good before messages are given up: in a twelfth of the recovery
+// time.
 func TestASilentStoreIsMadeGoodWithinASecond(t *testing.T) {
 	t.Parallel()
 	for _, x := range losses {
@@ -38,13 +39,13 @@
 				was := changes(w)
 				for range 4 {
 					o := busiest(w)
-					w.Slow(o, w.Site.Bounds.PingInterval()*2/3)
-					time.Sleep(4 * w.Site.Bounds.PingInterval())
+					w.Slow(o, w.Site.Timing.PingInterval()*2/3)
+					time.Sleep(4 * w.Site.Timing.PingInterval())
 					w.Freeze(o)
-					time.Sleep(w.Site.Bounds.FailureTimeout() + w.Site.Bounds.PingInterval()/2)
+					time.Sleep(w.Site.Timing.FailureTimeout() + w.Site.Timing.PingInterval()/2)
 					w.Thaw(o)
 					w.Slow(o, 0)
-					time.Sleep(w.Site.Bounds.Spread)
+					time.Sleep(w.Site.Timing.Spread)
 				}
 				assert.Equal(t, changes(w), was, "partitions changed hands")
 			})
--- a/internal/testing/sim/sim_test.go
+++ b/internal/testing/sim/sim_test.go
@@ -24,7 +24,7 @@
 		w := New(s, seed, Logger())
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
-		assert.NilError(t, w.Settle(20*time.Second))
+		assert.NilError(t, w.WaitReady(20*time.Second))
 		described(t, w)
 		w.Watch()
 		w.Callers(load)
@@ -34,8 +34,8 @@
 		for _, n := range w.Names {
 			w.Thaw(n)
 			w.Slow(n, 0)
-			w.Drag(n, 0)
-			w.Hang(n, false)
+			w.SlowDisk(n, 0)
+			w.HangDisk(n, false)
 			w.Machines[n].Disk.Fill(false)
 			assert.NilError(t, w.Start(n))
 		}
@@ -67,12 +67,12 @@
 
 var lastNames = []string{"killed", "frozen", "cut off", "without power, torn", "wiped", "without power, as all others"}
 
-// last ends every run with one fault, after which the description and every message of the keeping time are read back
-// by subscribers that were never there, through several nodes.
+// last ends every run with one fault, after which the description and every message of the keeping
+// time are read back by subscribers that were never there, through several nodes.
 func last(t *testing.T, w *World, book Archive) {
 	t.Helper()
 	r := rand.New(rand.NewPCG(w.Seed, 9))
-	there := w.There()
+	there := w.Present()
 	how, n := lastNames[r.IntN(len(lastNames))], there[r.IntN(len(there))]
 	if v := os.Getenv("PJ_LAST"); v != "" {
 		how, n, _ = strings.Cut(v, "@")
@@ -80,7 +80,7 @@
 	}
 	lasts[how](w, n)
 	t.Logf("seed %d: at the end %s is %s", w.Seed, n, how)
-	time.Sleep(w.Site.Bounds.Recovery / 2)
+	time.Sleep(w.Site.Timing.Recovery / 2)
 	var ok []string
 	for _, k := range there {
 		if k != n {
@@ -93,13 +93,13 @@
 	}
 	var wg sync.WaitGroup
 	for _, i := range []int{0, len(ok) / 2, len(ok) - 1} {
-		wg.Go(func() { assert.Check(t, w.Reread(book, ok[i]), "seed %d", w.Seed) })
+		wg.Go(func() { assert.Check(t, w.ReadBack(book, ok[i]), "seed %d", w.Seed) })
 	}
 	wg.Wait()
 }
 
 func (w *World) readBack(n string, at time.Time) error {
-	end := time.Now().Add(w.Site.Bounds.Recovery / 2)
+	end := time.Now().Add(w.Site.Timing.Recovery / 2)
 	for {
 		ctx, stop := context.WithDeadline(w.ctx, end)
 		seq, err := w.Port(n).Get(ctx)
@@ -111,22 +111,22 @@
 		if time.Now().After(end) {
 			return err
 		}
-		time.Sleep(w.Site.Bounds.MaxBackoff())
+		time.Sleep(w.Site.Timing.MaxBackoff())
 	}
 }
 
 func report(t *testing.T, w *World, cut time.Time, bound time.Duration) history.Report {
 	t.Helper()
 	r := w.History.Check(cut, time.Now())
-	t.Logf("seed %d: sent %d taken %d unknown %d receipts %d longest wait %s (%s at %s), undisturbed %s, spread p50 %s p99 %s", w.Seed, r.Sent, r.Taken, r.Unknown, r.Receipts, r.Longest.Whole, r.Longest.Kind, r.Longest.Place, r.LongestUndisturbed.Undisturbed, r.Spread.P50, r.Spread.P99)
+	t.Logf("seed %d: sent %d taken %d unknown %d receipts %d longest wait %s (%s at %s), undisturbed %s, spread p50 %s p99 %s", w.Seed, r.Sent, r.Accepted, r.Unknown, r.Receipts, r.Longest.Total, r.Longest.Kind, r.Longest.Place, r.LongestUndisturbed.Undisturbed, r.Spread.P50, r.Spread.P99)
 	for i, v := range r.Violations {
 		if i < 10 {
 			t.Errorf("seed %d: %s: %s", w.Seed, v.Line, v.Message)
 		}
 	}
-	assert.Assert(t, r.Taken > 50, "too little was sent to prove anything")
-	assert.Assert(t, r.Longest.Whole < bound, "%s at %s waited %s (still open: %v)", r.Longest.Kind, r.Longest.Place, r.Longest.Whole, r.Longest.Open)
-	assert.Assert(t, r.Vows > 0 && r.Verdicts["taken"] > 0 && r.Verdicts["vouched"] > 0, "the traces are empty")
+	assert.Assert(t, r.Accepted > 50, "too little was sent to prove anything")
+	assert.Assert(t, r.Longest.Total < bound, "%s at %s waited %s (still open: %v)", r.Longest.Kind, r.Longest.Place, r.Longest.Total, r.Longest.Open)
+	assert.Assert(t, r.Promises > 0 && r.Decisions["taken"] > 0 && r.Decisions["vouched"] > 0, "the traces are empty")
 	return r
 }
 
--- a/internal/testing/sim/slow_test.go
+++ b/internal/testing/sim/slow_test.go
@@ -11,8 +11,9 @@
 	"postjunction/internal/client"
 )
 
-// A reader that takes a line every five seconds holds nobody up, and still gets every line in order once it reads on.
-func TestSlowReaderHoldsNobodyUp(t *testing.T) {
+// A reader that takes a line every five seconds holds nobody up, and still gets every line in order
+// once it reads on.
+func TestSlowReaderDelaysNoOthers(t *testing.T) {
 	t.Parallel()
 	stand(t, Armor, 41, func(t *testing.T, w *World) {
 		described(t, w)
--- a/internal/testing/sim/socket.go
+++ b/internal/testing/sim/socket.go
@@ -25,7 +25,8 @@
 	at time.Time
 }
 
-// socket is the machine's end of a visitor's connection: a write waits while the visitor has not read what was written before.
+// socket is the machine's end of a visitor's connection: a write waits while the visitor has not
+// read what was written before.
 type socket struct {
 	m    *Machine
 	run  int
@@ -151,20 +152,20 @@
 // SetWriteDeadline does nothing.
 func (s *socket) SetWriteDeadline(time.Time) error { return nil }
 
-// words are tasks and answers as they are, one JSON value a line.
-type words struct{}
+// lineCodec are tasks and answers as they are, one JSON value a line.
+type lineCodec struct{}
 
-type worded struct {
+type lineResponse struct {
 	session.Response
 	Err     *apierror.Error
 	Failure string
 }
 
-const wordsMost = 64 << 10
+const maxLineBytes = 64 << 10
 
 // ReadRequest reads one line as a task.
-func (words) ReadRequest(r *bufio.Reader, _ int) (t session.Request, err error) {
-	b, err := lineserver.ReadLine(r, wordsMost)
+func (lineCodec) ReadRequest(r *bufio.Reader, _ int) (t session.Request, err error) {
+	b, err := lineserver.ReadLine(r, maxLineBytes)
 	if err != nil {
 		return t, err
 	}
@@ -172,8 +173,8 @@
 }
 
 // AppendResponse writes an answer as one line.
-func (words) AppendResponse(b []byte, a session.Response) []byte {
-	w := worded{Response: a}
+func (lineCodec) AppendResponse(b []byte, a session.Response) []byte {
+	w := lineResponse{Response: a}
 	if a.Err != nil {
 		w.Err = apierror.From(a.Err)
 		w.Failure = a.Err.Error()
@@ -185,8 +186,8 @@
 	return append(append(b, l...), '\n')
 }
 
-func unworded(l []byte) session.Response {
-	var w worded
+func parseResponse(l []byte) session.Response {
+	var w lineResponse
 	if err := json.Unmarshal(l, &w); err != nil {
 		panic(err)
 	}
@@ -198,15 +199,15 @@
 	return a
 }
 
-// calls is a listener whose connections are handed to it.
-type calls struct {
+// connListener is a listener whose connections are handed to it.
+type connListener struct {
 	c    chan net.Conn
 	done chan struct{}
 	once sync.Once
 }
 
 // Accept waits for the next connection.
-func (l *calls) Accept() (net.Conn, error) {
+func (l *connListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.c:
 		return c, nil
@@ -216,16 +217,16 @@
 }
 
 // Close ends the listening.
-func (l *calls) Close() error {
+func (l *connListener) Close() error {
 	l.once.Do(func() { close(l.done) })
 	return nil
 }
 
 // Addr is nowhere.
-func (l *calls) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *connListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // dial gives a connection to the server, nil once it listens no more.
-func (l *calls) dial(s *socket) *socket {
+func (l *connListener) dial(s *socket) *socket {
 	select {
 	case l.c <- s:
 		return s
@@ -234,23 +235,25 @@
 	}
 }
 
-type house struct{ *session.Registry }
+type sessionRegistry struct{ *session.Registry }
 
 // NewSession begins a visit.
-func (h house) NewSession(out session.Sink) lineserver.Session { return h.Registry.NewSession(out) }
+func (h sessionRegistry) NewSession(out session.Sink) lineserver.Session {
+	return h.Registry.NewSession(out)
+}
 
-// porch is what serves visits on a machine's process.
-type porch struct {
+// lineServer is what serves visits on a machine's process.
+type lineServer struct {
 	s *lineserver.Server
-	l *calls
+	l *connListener
 }
 
-const bodyMost = 64 << 10
+const maxBodyBytes = 64 << 10
 
-func (m *Machine) opened(n *node.Node) *porch {
-	p := &porch{l: &calls{c: make(chan net.Conn), done: make(chan struct{})}}
+func (m *Machine) opened(n *node.Node) *lineServer {
+	p := &lineServer{l: &connListener{c: make(chan net.Conn), done: make(chan struct{})}}
 	p.s = lineserver.New(lineserver.Options{
-		Sessions: house{n.Sessions}, Codec: words{}, Clock: machineClock{m}, Keepalive: Habits().Keepalive, Retry: m.w.Site.Bounds.MaxBackoff(), BodyLimit: func() int { return bodyMost },
+		Sessions: sessionRegistry{n.Sessions}, Codec: lineCodec{}, Clock: machineClock{m}, Keepalive: Habits().Keepalive, Retry: m.w.Site.Timing.MaxBackoff(), BodyLimit: func() int { return maxBodyBytes },
 	})
 	go func() { _ = p.s.Serve(p.l) }()
 	return p
--- a/internal/testing/sim/spread_test.go
+++ b/internal/testing/sim/spread_test.go
@@ -10,16 +10,17 @@
 	"postjunction/internal/gossip"
 )
 
-// News of who decides costs a machine without a disk little: nodes with a disk pass it on, and it is asked now and then besides.
-func TestNewsOfOwnersIsCheapWithoutADisk(t *testing.T) {
+// News of who decides costs a machine without a disk little: nodes with a disk pass it on, and it
+// is asked now and then besides.
+func TestLeaderUpdatesAreCheapWithoutADisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := Armor
 		s.Access = 72
 		w := New(s, 1, nil)
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
-		assert.NilError(t, w.Settle(20*time.Second))
-		time.Sleep(s.Bounds.Spread)
+		assert.NilError(t, w.WaitReady(20*time.Second))
+		time.Sleep(s.Timing.Spread)
 		seen := func() (n int, news uint64) {
 			for _, m := range w.Names {
 				if m[0] == 'a' {
@@ -32,12 +33,12 @@
 			return n, news
 		}
 		was, old := seen()
-		time.Sleep(s.Bounds.Spread)
+		time.Sleep(s.Timing.Spread)
 		rest, _ := seen()
 		rest -= was
 		was, _ = seen()
 		w.Kill(w.Machines["a1"].Node().Store.Record(0).Leader)
-		time.Sleep(s.Bounds.Spread)
+		time.Sleep(s.Timing.Spread)
 		is, news := seen()
 		each := float64(is-was-rest) / float64(s.Access)
 		t.Logf("%d records written; %.1f exchanges a node besides the %.1f of a quiet time", news-old, each, float64(rest)/float64(s.Access))
@@ -46,7 +47,8 @@
 	})
 }
 
-// In a fleet of 78 nodes all of them know within a tenth of the spread who decides for the partitions of a machine that is lost, counted from the first that knows.
+// In a fleet of 78 nodes all of them know within a tenth of the spread who decides for the
+// partitions of a machine that is lost, counted from the first that knows.
 func TestRecordsReachManyNodesAtOnce(t *testing.T) {
 	for seed := range uint64(2) {
 		synctest.Test(t, func(t *testing.T) {
@@ -55,8 +57,8 @@
 			w := New(s, seed, nil)
 			defer w.Close()
 			assert.NilError(t, w.Start(w.Names...))
-			assert.NilError(t, w.Settle(20*time.Second))
-			time.Sleep(s.Bounds.Spread)
+			assert.NilError(t, w.WaitReady(20*time.Second))
+			time.Sleep(s.Timing.Spread)
 			gone := w.Machines["a1"].Node().Store.Record(0).Leader
 			was := map[int]uint64{}
 			for _, m := range w.Machines {
@@ -91,7 +93,7 @@
 					if know == all {
 						d := time.Since(first)
 						t.Logf("seed %d: the new owner of partition %d was known to all %d after %s", seed, p, all, d)
-						assert.Assert(t, d < s.Bounds.HeartbeatInterval(), "partition %d: %s", p, d)
+						assert.Assert(t, d < s.Timing.HeartbeatInterval(), "partition %d: %s", p, d)
 						delete(lost, p)
 					}
 				}
--- a/internal/testing/sim/still_test.go
+++ b/internal/testing/sim/still_test.go
@@ -11,17 +11,18 @@
 	"postjunction/internal/partitionlog/replica"
 )
 
-// What it costs to keep the copies of silent partitions in step grows with pairs of machines, not with partitions; a copy whose disk is gone is noticed all the same.
-func TestSilentLinesAreConfirmedTogether(t *testing.T) {
+// What it costs to keep the copies of silent partitions in step grows with pairs of machines, not
+// with partitions; a copy whose disk is gone is noticed all the same.
+func TestIdleLogsAreConfirmedTogether(t *testing.T) {
 	t.Parallel()
 	s := Armor
 	s.Routine, s.Urgent = 20, 4
 	stand(t, s, 460, func(t *testing.T, w *World) {
 		described(t, w)
-		time.Sleep(s.Bounds.Recovery)
+		time.Sleep(s.Timing.Recovery)
 		const sessions = 10
 		was := w.Flows()
-		time.Sleep(sessions * s.Bounds.SessionTimeout())
+		time.Sleep(sessions * s.Timing.SessionTimeout())
 		is := w.Flows()
 		pairs := s.Stores * (s.Stores - 1)
 		stills, appends := is[replica.CompareIdle.Path], is[replica.Append.Path].Calls-was[replica.Append.Path].Calls
@@ -33,7 +34,7 @@
 
 		w.Wipe("s2")
 		assert.NilError(t, w.Start("s2"))
-		assert.NilError(t, w.Until(s.Bounds.Keeping, "the wiped disk is repaired", w.whole))
+		assert.NilError(t, w.WaitUntil(s.Timing.Keeping, "the wiped disk is repaired", w.whole))
 	})
 }
 
@@ -44,10 +45,10 @@
 	s.Routine, s.Urgent = 20, 4
 	stand(t, s, 461, func(t *testing.T, w *World) {
 		described(t, w)
-		time.Sleep(s.Bounds.Recovery)
+		time.Sleep(s.Timing.Recovery)
 		was := w.Flows()
 		const sweeps = 4
-		time.Sleep(sweeps * s.Bounds.SweepInterval())
+		time.Sleep(sweeps * s.Timing.SweepInterval())
 		is := w.Flows()
 		for _, p := range []string{keys.Read.Path, acceptor.Peek.Path} {
 			t.Logf("%s: %d calls, %d bytes in %d sweeps of %d partitions", p, is[p].Calls-was[p].Calls, is[p].Bytes-was[p].Bytes, sweeps, s.Routine+s.Urgent)
--- a/internal/testing/sim/streams_forget_test.go
+++ b/internal/testing/sim/streams_forget_test.go
@@ -33,7 +33,7 @@
 
 func (x *forgetting) do(n string, k *client.Request) (any, error) {
 	c := make(chan any, 1)
-	err := x.ask(n, x.Site.Bounds.Recovery, func(ctx context.Context, m *node.Node) error {
+	err := x.ask(n, x.Site.Timing.Recovery, func(ctx context.Context, m *node.Node) error {
 		a, err := m.Clients.Do(ctx, k)
 		c <- a
 		return err
@@ -63,15 +63,15 @@
 	x.t.Helper()
 	var a client.Withdrawal
 	var err error
-	assert.NilError(x.t, x.Until(limit, "withdrawn", func() bool {
+	assert.NilError(x.t, x.WaitUntil(limit, "withdrawn", func() bool {
 		a, err = x.withdraw(key, call)
 		return err == nil
 	}), "%v", err)
 	return a
 }
 
-// listen opens a stream through a1 behind all that was shown so far; it goes on until it ends. A node that has just come back may have no lease yet,
-// and says so: its visitor asks again.
+// listen opens a stream through a1 behind all that was shown so far; it goes on until it ends. A
+// node that has just come back may have no lease yet, and says so: its visitor asks again.
 func (x *forgetting) listen() {
 	x.mu.Lock()
 	from := x.last
@@ -93,7 +93,7 @@
 			if !apierror.HasCode(err, apierror.NoLease) {
 				return
 			}
-			time.Sleep(x.Site.Bounds.MaxBackoff() / 4)
+			time.Sleep(x.Site.Timing.MaxBackoff() / 4)
 		}
 	})
 	time.Sleep(time.Second)
@@ -126,7 +126,7 @@
 		x.call++
 		_, err := x.withdraw("k", x.call)
 		x.open(err, "a1/streams")
-		assert.Assert(x.t, time.Since(begun) <= 2*x.Site.Bounds.CallTimeout(), "held for %s", time.Since(begun))
+		assert.Assert(x.t, time.Since(begun) <= 2*x.Site.Timing.CallTimeout(), "held for %s", time.Since(begun))
 		_, err = x.withdraw("k", x.call)
 		x.open(err, "a1/streams")
 		x.send("k", "anew")
@@ -183,7 +183,7 @@
 		at := x.call
 		_, err := x.withdraw("k", at)
 		x.open(err, "a1/streams")
-		time.Sleep(x.Site.Bounds.Keeping)
+		time.Sleep(x.Site.Timing.Keeping)
 		_, err = x.withdraw("k", at)
 		x.open(err, "a1/streams")
 		assert.DeepEqual(x.t, x.forgotten("k", at, 30*time.Second).GivenUp, []string{"a1/streams"})
@@ -211,14 +211,14 @@
 		_, err := x.withdraw("k", x.call)
 		x.open(err, "a1/streams")
 		x.Kill(x.owner())
-		assert.NilError(x.t, x.Until(15*time.Second, "taken over", func() bool {
+		assert.NilError(x.t, x.WaitUntil(15*time.Second, "taken over", func() bool {
 			_, err := x.withdraw("k", x.call)
 			return apierror.HasCode(err, apierror.WithdrawalOpen) && len(apierror.From(err).Faults) > 0
 		}))
 		x.Heal()
 		x.forgotten("k", x.call, 10*time.Second)
 		x.listen()
-		assert.NilError(x.t, x.Until(10*time.Second, "told", func() bool {
+		assert.NilError(x.t, x.WaitUntil(10*time.Second, "told", func() bool {
 			x.mu.Lock()
 			defer x.mu.Unlock()
 			return slices.Contains(x.shown, "-k")
@@ -231,10 +231,10 @@
 		x.call++
 		_, err := x.withdraw("k", x.call)
 		x.open(err, "a1/streams")
-		assert.Equal(x.t, len(x.forgotten("k", x.call, 2*x.Site.Bounds.Recovery).GivenUp), 0)
+		assert.Equal(x.t, len(x.forgotten("k", x.call, 2*x.Site.Timing.Recovery).GivenUp), 0)
 		x.send("k", "anew")
 		x.Heal()
-		assert.NilError(x.t, x.Until(10*time.Second, "told", func() bool {
+		assert.NilError(x.t, x.WaitUntil(10*time.Second, "told", func() bool {
 			x.mu.Lock()
 			defer x.mu.Unlock()
 			return slices.Contains(x.shown, "k:anew")
@@ -263,13 +263,14 @@
 		x.call++
 		_, err := x.withdraw("k", x.call)
 		assert.NilError(x.t, err)
-		assert.Assert(x.t, time.Since(begun) < x.Site.Bounds.CallTimeout())
+		assert.Assert(x.t, time.Since(begun) < x.Site.Timing.CallTimeout())
 		<-ended
 		assert.Equal(x.t, len(emitted), 1)
 	},
 }
 
-// A withdrawal's yes comes once no stream shows what is withdrawn, whatever happens to the node that carries the streams; until then the answer names it.
+// A withdrawal's yes comes once no stream shows what is withdrawn, whatever happens to the node
+// that carries the streams; until then the answer names it.
 func TestStreamsForget(t *testing.T) {
 	t.Parallel()
 	for name, f := range forgets {
@@ -287,7 +288,8 @@
 	}
 }
 
-// Streams that come and go leave nobody to wait for, and what a node without streams holds is nothing.
+// Streams that come and go leave nobody to wait for, and what a node without streams holds is
+// nothing.
 func TestStreamsThatEndAreNotWaitedFor(t *testing.T) {
 	t.Parallel()
 	stand(t, Armor, 411, func(t *testing.T, w *World) {
--- a/internal/testing/sim/stretch_test.go
+++ b/internal/testing/sim/stretch_test.go
@@ -20,8 +20,8 @@
 			m.Opts.LeaseExtension = settings.Duration(stretched)
 		}
 		assert.NilError(t, w.Start(w.Names...))
-		assert.NilError(t, w.Settle(20*time.Second))
-		assert.NilError(t, w.Until(20*time.Second, "described", func() bool {
+		assert.NilError(t, w.WaitReady(20*time.Second))
+		assert.NilError(t, w.WaitUntil(20*time.Second, "described", func() bool {
 			_, err := w.Put("a1", wide.Describe(0))
 			return err == nil
 		}))
@@ -40,8 +40,9 @@
 	}
 }
 
-// With the core gone, nodes and owners go on for the stretch, and no longer; one that starts meanwhile has no lease.
-func TestLicenceIsStretchedWhileNoControlNodeConfirms(t *testing.T) {
+// With the core gone, nodes and owners go on for the stretch, and no longer; one that starts
+// meanwhile has no lease.
+func TestLeaseIsExtendedWhileNoControlNodeConfirms(t *testing.T) {
 	t.Parallel()
 	stretching(t, func(t *testing.T, w *World) {
 		k := w.takers("a1")
@@ -56,7 +57,7 @@
 		assert.NilError(t, w.Start("a1"))
 		time.Sleep(time.Second)
 		assert.Assert(t, !licensed(w, "a1"), "a node that starts without a core must not serve")
-		time.Sleep(w.Site.Bounds.Spread)
+		time.Sleep(w.Site.Timing.Spread)
 		assert.Assert(t, !licensed(w, "s1"), "the stretch ends")
 	})
 }
--- a/internal/testing/sim/submit_test.go
+++ b/internal/testing/sim/submit_test.go
@@ -13,8 +13,9 @@
 	return configuration.Parse(doc)
 }
 
-// A document is handed over to a control node; where none reads documents, the node that was asked goes on itself. Either way it is taken once.
-func TestADocumentIsHandedOver(t *testing.T) {
+// A document is handed over to a control node; where none reads documents, the node that was asked
+// goes on itself. Either way it is taken once.
+func TestADocumentIsForwarded(t *testing.T) {
 	t.Parallel()
 	for _, handed := range []bool{true, false} {
 		stand(t, Armor, 77, func(t *testing.T, w *World) {
--- a/internal/testing/sim/told_test.go
+++ b/internal/testing/sim/told_test.go
@@ -11,9 +11,9 @@
 	"postjunction/internal/apierror"
 )
 
-// Two of three stores are gone for good, so most partitions can't decide. Each call is told so at once, with a time to come back, and not
-// near its deadline; none is told a final no.
-func TestCallsThatNobodyCanDecideAreToldAtOnce(t *testing.T) {
+// Two of three stores are gone for good, so most partitions can't decide. Each call is told so at
+// once, with a time to come back, and not near its deadline; none is told a final no.
+func TestCallsThatNoLeaderCanDecideAreRejectedAtOnce(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(3)) {
 		stand(t, Armor, 160+seed, func(t *testing.T, w *World) {
@@ -21,13 +21,13 @@
 			tok := attach(t, w, "a1", "v").Token
 			w.Kill("s1")
 			w.Kill(fmt.Sprintf("s%d", 2+seed%2))
-			time.Sleep(w.Site.Bounds.Recovery * 3 / 4)
+			time.Sleep(w.Site.Timing.Recovery * 3 / 4)
 			var most time.Duration
 			turned := 0
 			for i := range 3 * load.Topics {
 				for _, n := range []string{"a1", "c2"} {
 					at := time.Now()
-					ctx, stop := context.WithTimeout(w.ctx, w.Site.Bounds.Recovery)
+					ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Recovery)
 					_, err := w.Port(n).Send(ctx, tok, fmt.Sprintf("kept/t%d", i%load.Topics), 1, []byte(`1`))
 					stop()
 					if err == nil {
@@ -42,7 +42,7 @@
 			}
 			assert.Assert(t, turned > 10, "void: %d calls were told to come back", turned)
 			t.Logf("%d calls told to come back, the last after %s", turned, most)
-			assert.Assert(t, most < 2*w.Site.Bounds.MaxBackoff()+w.Site.Bounds.MaxBackoff()/2, "told after %s", most)
+			assert.Assert(t, most < 2*w.Site.Timing.MaxBackoff()+w.Site.Timing.MaxBackoff()/2, "told after %s", most)
 		})
 	}
 }
--- a/internal/testing/sim/trim_test.go
+++ b/internal/testing/sim/trim_test.go
@@ -12,8 +12,9 @@
 	"postjunction/internal/partitionlog/leader"
 )
 
-// The changelog of a partition stands still for longer than entries are kept, while its ledger goes on. Once the late batch is through, the
-// ledger may be trimmed only as far as that batch reached: what the state still has to be made of must stay. Then the owner is lost.
+// The changelog of a partition stands still for longer than entries are kept, while its ledger goes
+// on. Once the late batch is through, the ledger may be trimmed only as far as that batch reached:
+// what the state still has to be made of must stay. Then the owner is lost.
 func TestTrimmingWaitsForTheInputOffset(t *testing.T) {
 	t.Parallel()
 	long(t)
@@ -24,12 +25,12 @@
 			p := partition.Of(topic, false, w.Machines["a1"].Node().VoterSet().Layout)
 			tok, early := attach(t, w, "c1", "v").Token, attach(t, w, "c1", "early").Token
 			o := w.records()[p].Leader
-			release, hits := w.Hold(func(x Point) bool {
+			release, hits := w.PauseCalls(func(x Point) bool {
 				q, _ := appending(x)
 				return x.From == o && x.Stage == Asking && late(x) && q.Partition == p
 			})
 			n := uint64(0)
-			for begun := time.Now(); time.Since(begun) < w.Site.Bounds.Retention()+20*time.Second; {
+			for begun := time.Now(); time.Since(begun) < w.Site.Timing.Retention()+20*time.Second; {
 				n++
 				_, err := w.Port("c1").Send(w.ctx, tok, topic, n, []byte(fmt.Sprint(n)))
 				assert.NilError(t, err)
@@ -51,13 +52,13 @@
 				return 0
 			}
 			was := late()
-			assert.NilError(t, w.Until(5*time.Second, "the late batch is through", func() bool { return late() > was }))
+			assert.NilError(t, w.WaitUntil(5*time.Second, "the late batch is through", func() bool { return late() > was }))
 			n++
 			_, err := w.Port("c1").Send(w.ctx, tok, topic, n, []byte(fmt.Sprint(n)))
 			assert.NilError(t, err, "the message that a trim goes along with")
-			time.Sleep(w.Site.Bounds.ChangelogInterval() / 2)
+			time.Sleep(w.Site.Timing.ChangelogInterval() / 2)
 			w.Kill(o)
-			assert.NilError(t, w.Until(10*time.Second, "another owner is open", func() bool {
+			assert.NilError(t, w.WaitUntil(10*time.Second, "another owner is open", func() bool {
 				r := w.records()[p]
 				return r.Leader != o && r.Recovered
 			}))
@@ -73,7 +74,8 @@
 	}
 }
 
-// What the ledger dropped is known per topic and per sender, and by the next owner too: written down before it is dropped.
+// What the ledger dropped is known per topic and per sender, and by the next owner too: written
+// down before it is dropped.
 func TestWhatIsGoneIsKnown(t *testing.T) {
 	t.Parallel()
 	long(t)
@@ -93,7 +95,7 @@
 				return d.Offset
 			}
 			first, second := must(topic, 10), must(topic, 20)
-			time.Sleep(w.Site.Bounds.Keeping)
+			time.Sleep(w.Site.Timing.Keeping)
 			third := must(topic, 30)
 			must(quiet, 5)
 			judge := func(when string) {
@@ -115,11 +117,11 @@
 				d, err := send(topic, 30)
 				assert.Assert(t, err == nil && d.Duplicate && d.Offset == third, "%s: %v", when, err)
 			}
-			time.Sleep(w.Site.Bounds.Keeping * 2 / 5)
+			time.Sleep(w.Site.Timing.Keeping * 2 / 5)
 			judge("at the first owner")
 			old := w.records()[p].Leader
 			w.Kill(old)
-			assert.NilError(t, w.Until(10*time.Second, "another owner is open", func() bool {
+			assert.NilError(t, w.WaitUntil(10*time.Second, "another owner is open", func() bool {
 				for _, r := range w.records() {
 					if r.Leader == old || !r.Recovered {
 						return false
@@ -132,8 +134,9 @@
 	}
 }
 
-// A store that is heard but hears nothing stays so for longer than the recovery bound; its partitions are not left waiting for it.
-func TestDeafOwnerIsPassedOver(t *testing.T) {
+// A store that is heard but hears nothing stays so for longer than the recovery bound; its
+// partitions are not left waiting for it.
+func TestDeafLeaderIsPassedOver(t *testing.T) {
 	t.Parallel()
 	long(t)
 	for seed := range uint64(seeds(2)) {
@@ -144,11 +147,11 @@
 					w.Cut(n, o)
 				}
 			}
-			time.Sleep(w.Site.Bounds.Recovery)
+			time.Sleep(w.Site.Timing.Recovery)
 			for p, r := range w.records() {
 				assert.Assert(t, r.Leader != o, "partition %d still waits for %s", p, o)
 			}
-			time.Sleep(w.Site.Bounds.Recovery)
+			time.Sleep(w.Site.Timing.Recovery)
 			w.Heal()
 			settle(w)
 		})
--- a/internal/testing/sim/urgent_test.go
+++ b/internal/testing/sim/urgent_test.go
@@ -38,8 +38,9 @@
 	return !q.Urgent
 }
 
-// All routine partitions stand still: nothing is appended, read, handed over or taken over in them. Urgent calls of attached
-// callers, their streams, old and new, shared with routine topics or not, go on as if nothing had happened.
+// All routine partitions stand still: nothing is appended, read, handed over or taken over in them.
+// Urgent calls of attached callers, their streams, old and new, shared with routine topics or not,
+// go on as if nothing had happened.
 func TestUrgentGoesThroughWhileRoutineWorkStandsStill(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(3)) {
@@ -69,7 +70,7 @@
 				for range k {
 					n++
 					at := time.Now()
-					ctx, stop := context.WithTimeout(w.ctx, w.Site.Bounds.Recovery)
+					ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Recovery)
 					_, err := w.Port("a1").Send(ctx, lead.Token, "stop/line", n, []byte(`"stop"`))
 					stop()
 					assert.NilError(t, err)
@@ -88,18 +89,18 @@
 			listen("old, shared", "a1", desk.Token, "", "stop/line", "kept/t0", "kept/t1", "kept/t2")
 			time.Sleep(time.Second)
 			calm := send(20)
-			release, hits := w.Hold(w.routineWork)
-			time.Sleep(w.Site.Bounds.MaxBackoff())
+			release, hits := w.PauseCalls(w.routineWork)
+			time.Sleep(w.Site.Timing.MaxBackoff())
 			for i := range 30 {
 				w.wg.Go(func() {
-					ctx, stop := context.WithTimeout(w.ctx, w.Site.Bounds.Spread)
+					ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Spread)
 					defer stop()
 					_, _ = w.Port("a1").Send(ctx, desk.Token, fmt.Sprintf("kept/t%d", i%load.Topics), 1, []byte(`1`))
 				})
 			}
 			listen("behind, shared", "c3", late.Token, cursor, "stop/line", "kept/t0")
 			listen("new, shared", "c2", early.Token, "", "stop/line", "kept/t3", "kept/t4")
-			opened := w.Site.Bounds.MaxBackoff() * 3 / 2
+			opened := w.Site.Timing.MaxBackoff() * 3 / 2
 			time.Sleep(opened)
 			first := n + 1
 			busy := send(20)
--- a/internal/testing/sim/visits_gap_test.go
+++ b/internal/testing/sim/visits_gap_test.go
@@ -9,16 +9,19 @@
 	"postjunction/internal/testing/simclient"
 )
 
-// A node is cut off from all others for longer than messages are held, while its visitors stay; others are away that long, and some come at the
-// end with cursors of any age. Nobody is led past what is gone, and nobody is told that a cursor is too old which lacks nothing that is.
-func TestVisitsPastTheKeepingTime(t *testing.T) {
+// A node is cut off from all others for longer than messages are held, while its visitors stay;
+// others are away that long, and some come at the end with cursors of any age. Nobody is led past
+// what is gone, and nobody is told that a cursor is too old which lacks nothing that is.
+func TestSessionsPastTheKeepingTime(t *testing.T) {
 	t.Parallel()
 	long(t)
 	for seed := range uint64(seeds(1)) {
-		r := entertain(t, hall, 700+seed, Load{Topics: 24, LiveTopics: 2, Every: 6 * time.Second, Habits: func(h *simclient.Habits) { h.Away, h.Absence, h.Change = time.Minute, 80*time.Second, 0 }}, 24, func(_ *testing.T, w *World, g *Guests) {
+		r := entertain(t, hall, 700+seed, Load{Topics: 24, LiveTopics: 2, Every: 6 * time.Second, Habits: func(h *simclient.Habits) {
+			h.AwayInterval, h.MaxAbsence, h.ChangeInterval = time.Minute, 80*time.Second, 0
+		}}, 24, func(_ *testing.T, w *World, g *LineClients) {
 			time.Sleep(5 * time.Second)
 			w.Isolate("a1")
-			time.Sleep(w.Site.Bounds.Retention() + w.Site.Bounds.Recovery)
+			time.Sleep(w.Site.Timing.Retention() + w.Site.Timing.Recovery)
 			w.Heal()
 			time.Sleep(5 * time.Second)
 			g.Ever = true
--- a/internal/testing/sim/visits_test.go
+++ b/internal/testing/sim/visits_test.go
@@ -15,25 +15,25 @@
 )
 
 var (
-	hall  = Site{Zones: 3, Control: 3, Access: 3, Stores: 3, Latency: 500 * time.Microsecond, Bounds: Armor.Bounds, Routine: 4, Urgent: 2}
+	hall  = Site{Zones: 3, Control: 3, Access: 3, Stores: 3, Latency: 500 * time.Microsecond, Timing: Armor.Timing, Routine: 4, Urgent: 2}
 	crowd = Load{Topics: 24, LiveTopics: 4, Every: 2 * time.Second}
 	// awake are visitors who always read, and so hear at once where to go.
 	awake = Load{Topics: 24, LiveTopics: 4, Every: 2 * time.Second, Rested: true}
 )
 
 // entertain runs a fleet with visitors on line sessions through a script and judges what they saw.
-func entertain(t *testing.T, s Site, seed uint64, l Load, n int, script func(t *testing.T, w *World, g *Guests)) (r deliverycheck.Tally) {
+func entertain(t *testing.T, s Site, seed uint64, l Load, n int, script func(t *testing.T, w *World, g *LineClients)) (r deliverycheck.Tally) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := New(s, seed, Logger())
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
-		assert.NilError(t, w.Settle(20*time.Second))
+		assert.NilError(t, w.WaitReady(20*time.Second))
 		w.load = l
 		_, err := w.Put("c1", l.Describe(0))
 		assert.NilError(t, err)
-		time.Sleep(w.Site.Bounds.Spread)
-		g := w.Guests(n, l)
+		time.Sleep(w.Site.Timing.Spread)
+		g := w.StartLineClients(n, l)
 		time.Sleep(5 * time.Second)
 		script(t, w, g)
 		w.Heal()
@@ -42,30 +42,30 @@
 			w.Slow(n, 0)
 			assert.NilError(t, w.Start(n))
 		}
-		time.Sleep(w.Site.Bounds.Recovery)
+		time.Sleep(w.Site.Timing.Recovery)
 		cut := time.Now()
 		g.quiet()
-		time.Sleep(w.Site.Bounds.Spread)
-		g.Late(20, cut.Add(-w.Site.Bounds.Keeping/2))
-		time.Sleep(w.Site.Bounds.Recovery)
+		time.Sleep(w.Site.Timing.Spread)
+		g.Late(20, cut.Add(-w.Site.Timing.Keeping/2))
+		time.Sleep(w.Site.Timing.Recovery)
 		w.stop()
 		g.wg.Wait()
 		var bs []deliverycheck.Violation
-		r, bs = g.Book.Judge(cut)
+		r, bs = g.Checker.Judge(cut)
 		t.Logf("seed %d: %+v", seed, r)
 		for i, b := range bs {
 			if i < 10 {
 				t.Errorf("seed %d: %s: %s", seed, b.Rule, b.Message)
 			}
 		}
-		assert.Assert(t, r.Taken > 50 && r.Got > 100 && r.Resumed > 0 && r.Late > 0, "too little was seen to prove anything")
+		assert.Assert(t, r.Accepted > 50 && r.Got > 100 && r.Resumed > 0 && r.Late > 0, "too little was seen to prove anything")
 	})
 	return r
 }
 
-func TestQuietVisits(t *testing.T) {
+func TestQuietSessions(t *testing.T) {
 	t.Parallel()
-	entertain(t, hall, 1, crowd, 16, func(_ *testing.T, _ *World, g *Guests) {
+	entertain(t, hall, 1, crowd, 16, func(_ *testing.T, _ *World, g *LineClients) {
 		time.Sleep(15 * time.Second)
 		g.Calm.Store(true)
 		time.Sleep(15 * time.Second)
@@ -73,12 +73,12 @@
 }
 
 // visitDay draws faults that meet visits, alone and in pairs.
-func visitDay(t *testing.T, w *World, g *Guests) {
+func visitDay(t *testing.T, w *World, g *LineClients) {
 	r := rand.New(rand.NewPCG(w.Seed, 21))
 	names := []string{"kill", "kill many", "stop", "freeze", "isolate", "cut one way", "zone cut", "lose packets", "reset", "power", "control power", "wipe", "slow", "visits reset", "owner killed", "owner frozen", "owner stopped", "owner cut", "control killed", "all power lost", "access stopped"}
 	stop := func() {}
 	if r.IntN(2) == 0 {
-		stop = w.Meddle(Meddler(w.Seed, 0.02+0.3*r.Float64()))
+		stop = w.InterceptCalls(RandomCallFaults(w.Seed, 0.02+0.3*r.Float64()))
 	}
 	for range 3 + r.IntN(2) {
 		a, b := names[r.IntN(len(names))], names[r.IntN(len(names))]
@@ -86,7 +86,7 @@
 			a, b = b, a
 		}
 		if a == "wipe" {
-			assert.NilError(t, w.Until(90*time.Second, "every copy and seat is in place", w.whole))
+			assert.NilError(t, w.WaitUntil(90*time.Second, "every copy and seat is in place", w.whole))
 		}
 		t.Logf("seed %d: %s: %s and %s", w.Seed, time.Now().Format("04:05.000"), a, b)
 		undo := strike(w, g, r, a)
@@ -101,15 +101,15 @@
 		if a == "wipe" {
 			w.Heal()
 			assert.NilError(t, w.Start(w.Names...))
-			assert.NilError(t, w.Until(90*time.Second, "the wiped disk is repaired", w.whole))
+			assert.NilError(t, w.WaitUntil(90*time.Second, "the wiped disk is repaired", w.whole))
 		}
 		time.Sleep(time.Duration(r.IntN(int(8 * time.Second))))
 	}
 	stop()
 }
 
-func strike(w *World, g *Guests, r *rand.Rand, name string) func() {
-	if f, ok := Blows[name]; ok {
+func strike(w *World, g *LineClients, r *rand.Rand, name string) func() {
+	if f, ok := Faults[name]; ok {
 		return f(w, r)
 	}
 	o := busiest(w)
@@ -146,8 +146,8 @@
 	}[name]()
 }
 
-// TestVisits lives through days of faults by seed. PJ_SEEDS=from:to searches further.
-func TestVisits(t *testing.T) {
+// TestSessions lives through days of faults by seed. PJ_SEEDS=from:to searches further.
+func TestSessions(t *testing.T) {
 	from, to := uint64(500), uint64(503)
 	if v := os.Getenv("PJ_SEEDS"); v != "" {
 		n, err := fmt.Sscanf(v, "%d:%d", &from, &to)
@@ -159,20 +159,23 @@
 	for s := from; s < to; s++ {
 		t.Run(fmt.Sprint(s), func(t *testing.T) {
 			t.Parallel()
-			entertain(t, hall, s, crowd, 40, func(t *testing.T, w *World, g *Guests) { visitDay(t, w, g) })
+			entertain(t, hall, s, crowd, 40, func(t *testing.T, w *World, g *LineClients) { visitDay(t, w, g) })
 		})
 	}
 }
 
-// TestVisitsThatComeAndGo has few visitors drop and take up few topics all the time, so that nodes begin and cease to follow partitions, while the
-// messages by which they do are lost, late or come twice, and owners change.
-func TestVisitsThatComeAndGo(t *testing.T) {
+// TestSessionsThatComeAndGo has few visitors drop and take up few topics all the time, so that
+// nodes begin and cease to follow partitions, while the messages by which they do are lost, late or
+// come twice, and owners change.
+func TestSessionsThatComeAndGo(t *testing.T) {
 	t.Parallel()
 	long(t)
 	for seed := range uint64(seeds(2)) {
-		l := Load{Topics: 5, LiveTopics: 1, Every: time.Second, Habits: func(h *simclient.Habits) { h.Change, h.Away, h.Absence = time.Second, 6*time.Second, 3*time.Second }}
-		entertain(t, hall, 800+seed, l, 7, func(_ *testing.T, w *World, g *Guests) {
-			stop := w.Meddle(Meddler(w.Seed, 0.1+0.5*w.float()))
+		l := Load{Topics: 5, LiveTopics: 1, Every: time.Second, Habits: func(h *simclient.Habits) {
+			h.ChangeInterval, h.AwayInterval, h.MaxAbsence = time.Second, 6*time.Second, 3*time.Second
+		}}
+		entertain(t, hall, 800+seed, l, 7, func(_ *testing.T, w *World, g *LineClients) {
+			stop := w.InterceptCalls(RandomCallFaults(w.Seed, 0.1+0.5*w.float()))
 			for range 5 {
 				undo := strike(w, g, rand.New(rand.NewPCG(w.Seed, 23)), []string{"owner killed", "owner frozen", "owner cut", "owner stopped"}[w.Int(4)])
 				time.Sleep(w.span(10, 60))
--- a/internal/testing/sim/whole_test.go
+++ b/internal/testing/sim/whole_test.go
@@ -19,7 +19,8 @@
 	syncTime time.Duration
 }
 
-// layouts are those of the users' six deployments; the small ones and those with control troubles have the same machines.
+// layouts are those of the users' six deployments; the small ones and those with control troubles
+// have the same machines.
 var layouts = []layout{
 	{"three zones", Armor, 4100 * time.Millisecond},
 	{"four zones", Traductores, 4 * time.Second},
@@ -28,19 +29,21 @@
 }
 
 func grown(s Site, zones, control, stores int) Site {
-	s.Zones, s.Control, s.Stores, s.Losses, s.Routine, s.Urgent = zones, control, stores, 2, 16, 4
+	s.Zones, s.Control, s.Stores, s.ToleratedLosses, s.Routine, s.Urgent = zones, control, stores, 2, 16, 4
 	return s
 }
 
-// In every fullEvery-th run the stores hold all that they keep; in the others the callers have just begun.
+// In every fullEvery-th run the stores hold all that they keep; in the others the callers have just
+// begun.
 const (
 	measuredSeeds = 200
 	fullEvery     = 20
 )
 
-// A machine that comes back with an empty disk has all its copies, and its seat, before it no longer counts as lost: as a
-// distribution over many seeds when measured (PJ_MEASURE), over a few otherwise.
-func TestAnEmptyReturnIsWholeBeforeTheNextLoss(t *testing.T) {
+// A machine that comes back with an empty disk has all its copies, and its seat, before it no
+// longer counts as lost: as a distribution over many seeds when measured (PJ_MEASURE), over a few
+// otherwise.
+func TestAnEmptyReturnIsCompleteBeforeTheNextLoss(t *testing.T) {
 	t.Parallel()
 	long(t)
 	n := 1
@@ -73,15 +76,15 @@
 // untilWhole has a store or a control node come back empty, under load.
 func untilWhole(t *testing.T, l layout, seed uint64) (took time.Duration) {
 	t.Helper()
-	warm := l.Bounds.Recovery / 2
+	warm := l.Timing.Recovery / 2
 	if seed%fullEvery == 0 {
-		warm = l.Bounds.Keeping
+		warm = l.Timing.Keeping
 	}
 	synctest.Test(t, func(t *testing.T) {
 		w := New(l.Site, seed, Logger())
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
-		assert.NilError(t, w.Settle(20*time.Second))
+		assert.NilError(t, w.WaitReady(20*time.Second))
 		_, err := w.Put("c1", busyLoad.Describe(0))
 		assert.NilError(t, err)
 		w.Callers(busyLoad)
@@ -97,8 +100,8 @@
 		time.Sleep(200*time.Millisecond + w.span(0, 6))
 		assert.NilError(t, w.Start(n))
 		at := time.Now()
-		assert.NilError(t, w.Until(20*time.Second, "all copies are whole", w.copied))
-		assert.NilError(t, w.Until(20*time.Second, "all seats are taken", w.fullRoster))
+		assert.NilError(t, w.WaitUntil(20*time.Second, "all copies are whole", w.copied))
+		assert.NilError(t, w.WaitUntil(20*time.Second, "all seats are taken", w.fullRoster))
 		took = time.Since(at)
 		w.Quiet(time.Second)
 	})
--- a/internal/testing/sim/wiped_test.go
+++ b/internal/testing/sim/wiped_test.go
@@ -8,8 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// A store that comes back at once with an empty disk is named in records with its lost one. It once gave itself new epochs without
-// end, five a second, and the placement duty lost every race against it. In every second run the duty is held up, as it is first by far now.
+// A store that comes back at once with an empty disk is named in records with its lost one. It once
+// gave itself new epochs without end, five a second, and the placement duty lost every race against
+// it. In every second run the duty is held up, as it is first by far now.
 func TestWipedStoreAsksForNoEpochs(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(4)) {
@@ -21,12 +22,12 @@
 			release := func() {}
 			if seed%2 == 0 {
 				var hits func() int
-				release, hits = w.Hold(func(x Point) bool { return x.From != o && strings.Contains(x.Path, "/postjunction.Control/Change") })
+				release, hits = w.PauseCalls(func(x Point) bool { return x.From != o && strings.Contains(x.Path, "/postjunction.Control/Change") })
 				defer func() { assert.Check(t, hits() > 0, "void: the placement duty was not held up") }()
 			}
 			time.Sleep(time.Duration(seed) * 100 * time.Millisecond)
 			assert.NilError(t, w.Start(o))
-			time.Sleep(w.Site.Bounds.TakeoverTimeout())
+			time.Sleep(w.Site.Timing.TakeoverTimeout())
 			release()
 			time.Sleep(10 * time.Second)
 			for p, r := range w.records() {
@@ -40,21 +41,22 @@
 	}
 }
 
-// A store restarts and can't reach the control keys for a while, though its sessions stand. It once asked for its record a single time: the placement duty saw a
-// live owner, and the partition stayed closed for good.
-func TestRestartedOwnerKeepsAskingForItsRecord(t *testing.T) {
+// A store restarts and can't reach the control keys for a while, though its sessions stand. It once
+// asked for its record a single time: the placement duty saw a live owner, and the partition stayed
+// closed for good.
+func TestRestartedLeaderKeepsAskingForItsRecord(t *testing.T) {
 	t.Parallel()
 	long(t)
 	for seed := range uint64(seeds(2)) {
 		play(t, siteOf(seed), 420+seed, time.Hour, func(t *testing.T, w *World) {
 			o := busiest(w)
 			w.Kill(o)
-			release, hits := w.Hold(func(x Point) bool { return x.From == o && strings.Contains(x.Path, "/postjunction.Control/") })
+			release, hits := w.PauseCalls(func(x Point) bool { return x.From == o && strings.Contains(x.Path, "/postjunction.Control/") })
 			assert.NilError(t, w.Start(o))
-			time.Sleep(w.Site.Bounds.TakeoverTimeout() * 3)
+			time.Sleep(w.Site.Timing.TakeoverTimeout() * 3)
 			assert.Assert(t, hits() > 0, "void: nothing was held")
 			release()
-			time.Sleep(w.Site.Bounds.TakeoverTimeout())
+			time.Sleep(w.Site.Timing.TakeoverTimeout())
 			for p, r := range w.records() {
 				assert.Assert(t, r.Leader != o || r.Epoch > 1, "partition %d is closed: its owner %s never asked again", p, o)
 			}
--- a/internal/testing/sim/withdraw_test.go
+++ b/internal/testing/sim/withdraw_test.go
@@ -18,7 +18,7 @@
 )
 
 // fourth is traductores with three access machines.
-var fourth = Site{Zones: 4, Control: 4, Access: 3, Stores: 4, Latency: 1500 * time.Microsecond, Bounds: Traductores.Bounds, Routine: 4, Urgent: 2}
+var fourth = Site{Zones: 4, Control: 4, Access: 3, Stores: 4, Latency: 1500 * time.Microsecond, Timing: Traductores.Timing, Routine: 4, Urgent: 2}
 
 var halls = map[string]Site{"armor": hall, "traductores": fourth}
 
@@ -27,13 +27,14 @@
 
 const ground = "kept/t0"
 
-// scene is a topic with a reader on the router a1, one on a3, and a lead on a2 who writes and withdraws.
+// scene is a topic with a reader on the router a1, one on a3, and a lead on a2 who writes and
+// withdraws.
 type scene struct {
 	t           *testing.T
 	w           *World
-	g           *Guests
-	reader, far *Hand
-	lead        *Hand
+	g           *LineClients
+	reader, far *ScriptedClient
+	lead        *ScriptedClient
 	call        uint64
 }
 
@@ -49,15 +50,15 @@
 		for i := range uint64(seeds(n)) {
 			t.Run(fmt.Sprintf("%s/%d", name, seed+i), func(t *testing.T) {
 				t.Parallel()
-				entertain(t, site, seed+i, few, 10, func(t *testing.T, w *World, g *Guests) {
-					s := &scene{t: t, w: w, g: g, reader: g.Hand("a1", "reader"), far: g.Hand("a3", "far"), lead: g.Hand("a2", "lead")}
+				entertain(t, site, seed+i, few, 10, func(t *testing.T, w *World, g *LineClients) {
+					s := &scene{t: t, w: w, g: g, reader: g.Scripted("a1", "reader"), far: g.Scripted("a3", "far"), lead: g.Scripted("a2", "lead")}
 					assert.Assert(t, s.reader != nil && s.far != nil && s.lead != nil)
-					for _, h := range []*Hand{s.reader, s.far} {
+					for _, h := range []*ScriptedClient{s.reader, s.far} {
 						_, ok := h.Follow(ground, "")
 						assert.Assert(t, ok, "%s can't follow", h.Name)
 					}
 					script(s)
-					for _, h := range []*Hand{s.reader, s.far, s.lead} {
+					for _, h := range []*ScriptedClient{s.reader, s.far, s.lead} {
 						h.End()
 					}
 				})
@@ -78,7 +79,7 @@
 func (s *scene) put(key string) {
 	s.t.Helper()
 	for range 4 {
-		if s.lead.Sent(ground, key, s.next()) {
+		if s.lead.SendAccepted(ground, key, s.next()) {
 			return
 		}
 	}
@@ -86,15 +87,16 @@
 }
 
 // wait lets a hand get a message.
-func (s *scene) wait(h *Hand, call uint64) {
+func (s *scene) wait(h *ScriptedClient, call uint64) {
 	s.t.Helper()
-	_, ok := h.Wait(0, handLimit, func(a session.Response) bool {
+	_, ok := h.Wait(0, scriptedTimeout, func(a session.Response) bool {
 		return a.Type == session.Message && a.From == s.lead.Name && a.CallSeq == call
 	})
 	assert.Assert(s.t, ok, "%s never got %d", h.Name, call)
 }
 
-// open withdraws what stands under a key and expects that a router is named which has not forgotten, within a call's time.
+// open withdraws what stands under a key and expects that a router is named which has not
+// forgotten, within a call's time.
 func (s *scene) open(key, node string) deliverycheck.Withdrawal {
 	s.t.Helper()
 	w := deliverycheck.Withdrawal{Topic: ground, Key: key, Call: s.next()}
@@ -109,11 +111,11 @@
 	took := time.Since(begun)
 	assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.WithdrawalOpen), "was told %s %v after %s", a.Type, a.Err, took)
 	assert.Assert(s.t, strings.Contains(a.Err.Error(), node), "%v does not name %s", a.Err, node)
-	assert.Assert(s.t, took <= s.w.Site.Bounds.CallTimeout(), "the answer took %s", took)
+	assert.Assert(s.t, took <= s.w.Site.Timing.CallTimeout(), "the answer took %s", took)
 }
 
 // yes asks again until the yes comes.
-func (s *scene) yes(w deliverycheck.Withdrawal, limit time.Duration) Seen {
+func (s *scene) yes(w deliverycheck.Withdrawal, limit time.Duration) TimedResponse {
 	s.t.Helper()
 	end := time.Now().Add(limit)
 	for {
@@ -122,11 +124,12 @@
 			return a
 		}
 		assert.Assert(s.t, time.Now().Before(end), "no yes within %s: %v %s %v", limit, ok, a.Type, a.Err)
-		time.Sleep(s.w.Site.Bounds.MaxBackoff())
+		time.Sleep(s.w.Site.Timing.MaxBackoff())
 	}
 }
 
-// flow has the lead write updates for a while, every other one anew under a key, and gives how long they took to the far reader.
+// flow has the lead write updates for a while, every other one anew under a key, and gives how long
+// they took to the far reader.
 func (s *scene) flow(key string, d time.Duration) []time.Duration {
 	s.t.Helper()
 	begun := time.Now()
@@ -140,7 +143,7 @@
 	}
 	s.wait(s.far, s.call)
 	other := func(v string) bool { return v != "far" && v != "lead" }
-	return s.g.Book.Spread(begun, time.Now(), other)
+	return s.g.Checker.Spread(begun, time.Now(), other)
 }
 
 func quantile(ds []time.Duration, q float64) time.Duration {
@@ -151,13 +154,14 @@
 }
 
 // got tells whether a hand was shown a call of the lead after a moment.
-func (s *scene) got(h *Hand, call uint64, after time.Time) bool {
-	return slices.ContainsFunc(h.All(), func(x Seen) bool {
+func (s *scene) got(h *ScriptedClient, call uint64, after time.Time) bool {
+	return slices.ContainsFunc(h.All(), func(x TimedResponse) bool {
 		return x.Type == session.Message && x.Topic == ground && x.From == s.lead.Name && x.CallSeq == call && x.Shown.After(after)
 	})
 }
 
-// aways are the ways in which a router drops out with its visitors still connected, and how it comes back.
+// aways are the ways in which a router drops out with its visitors still connected, and how it
+// comes back.
 var aways = map[string]func(w *World) (back func()){
 	"cut off": func(w *World) func() {
 		w.Isolate("a1")
@@ -177,8 +181,10 @@
 	},
 }
 
-// A router drops out with visitors who are behind with their reading, a key is withdrawn meanwhile, and it rejoins with what it held: the withdrawal is open at once,
-// which names the router, its yes comes after the return, nothing withdrawn is shown then, and all others get live updates as fast as before.
+// A router drops out with visitors who are behind with their reading, a key is withdrawn meanwhile,
+// and it rejoins with what it held: the withdrawal is open at once, which names the router, its yes
+// comes after the return, nothing withdrawn is shown then, and all others get live updates as fast
+// as before.
 func TestRouterDropsOutWhileOthersWithdraw(t *testing.T) {
 	t.Parallel()
 	for how, away := range aways {
@@ -186,7 +192,7 @@
 			t.Parallel()
 			staged(t, 900, 1, func(s *scene) {
 				calm := s.flow("live", 3*time.Second)
-				s.reader.Still(7 * time.Second)
+				s.reader.Pause(7 * time.Second)
 				time.Sleep(10 * time.Millisecond)
 				s.write("turn", 20)
 				last := s.call
@@ -196,7 +202,7 @@
 				now := s.flow("turn", 2*time.Second)
 				s.still(x, "a1")
 				back()
-				a := s.yes(x, s.w.Site.Bounds.Recovery)
+				a := s.yes(x, s.w.Site.Timing.Recovery)
 				time.Sleep(6 * time.Second)
 				assert.Assert(s.t, !s.got(s.reader, last, a.Shown), "shown after the yes")
 				s.t.Logf("live updates: calm p50 %s p99 %s, with a router away p50 %s p99 %s", quantile(calm, 0.5), quantile(calm, 0.99), quantile(now, 0.5), quantile(now, 0.99))
@@ -207,8 +213,8 @@
 	}
 }
 
-// A router that is heard and hears nothing, of anybody or of the topic's owner alone, holds no withdrawal open for longer than service may rest: it lets go of all and
-// says so, which is heard.
+// A router that is heard and hears nothing, of anybody or of the topic's owner alone, holds no
+// withdrawal open for longer than service may rest: it lets go of all and says so, which is heard.
 func TestADeafRouterLetsGo(t *testing.T) {
 	t.Parallel()
 	long(t)
@@ -223,9 +229,9 @@
 				last := s.call
 				s.wait(s.far, last)
 				cut(s)
-				s.reader.Still(3 * time.Second)
+				s.reader.Pause(3 * time.Second)
 				x := s.open("turn", "a1")
-				a := s.yes(x, s.w.Site.Bounds.Recovery+s.w.Site.Bounds.CallTimeout())
+				a := s.yes(x, s.w.Site.Timing.Recovery+s.w.Site.Timing.CallTimeout())
 				s.flow("turn", time.Second)
 				assert.Assert(s.t, !s.got(s.reader, last, a.Shown), "shown after the yes")
 				s.w.Heal()
@@ -235,15 +241,16 @@
 	}
 }
 
-// resumed has the reader come back on its router with its cursor, until it is given what is written then; the book judges what it is shown.
+// resumed has the reader come back on its router with its cursor, until it is given what is written
+// then; the book judges what it is shown.
 func (s *scene) resumed() {
 	s.t.Helper()
 	s.write("", 1)
 	last := s.call
-	err := s.w.Until(s.w.Site.Bounds.Recovery, "the reader comes back and is given what it lacks", func() bool {
+	err := s.w.WaitUntil(s.w.Site.Timing.Recovery, "the reader comes back and is given what it lacks", func() bool {
 		was := s.reader
 		was.Break()
-		h := s.g.Hand("a1", "reader")
+		h := s.g.Scripted("a1", "reader")
 		if h == nil {
 			return false
 		}
@@ -295,7 +302,7 @@
 		was := s.compactions()
 		for range 90 {
 			s.write("", 1)
-			time.Sleep(s.w.Site.Bounds.MaxBackoff())
+			time.Sleep(s.w.Site.Timing.MaxBackoff())
 		}
 		assert.Assert(s.t, s.compactions() > was, "void: no changelog was compacted")
 		o := s.seat()
@@ -316,14 +323,14 @@
 
 func (s *scene) moved(from string) {
 	s.t.Helper()
-	assert.NilError(s.t, s.w.Until(s.w.Site.Bounds.Recovery, "the line moves", func() bool { return s.seat() != from }))
+	assert.NilError(s.t, s.w.WaitUntil(s.w.Site.Timing.Recovery, "the line moves", func() bool { return s.seat() != from }))
 }
 
 // reopened waits until the topic's line takes messages, and some more for those who are told of it.
 func (s *scene) reopened(key string) {
 	s.t.Helper()
-	assert.NilError(s.t, s.w.Until(s.w.Site.Bounds.Recovery, "the line is open again", func() bool { return s.lead.Sent(ground, key, s.next()) }))
-	time.Sleep(s.w.Site.Bounds.SessionTimeout())
+	assert.NilError(s.t, s.w.WaitUntil(s.w.Site.Timing.Recovery, "the line is open again", func() bool { return s.lead.SendAccepted(ground, key, s.next()) }))
+	time.Sleep(s.w.Site.Timing.SessionTimeout())
 }
 
 func (s *scene) compactions() (n uint64) {
@@ -333,7 +340,8 @@
 	return n
 }
 
-// A mark and its readers outlive what befalls their line: while a router that holds the message is away the yes does not come, whoever owns the line.
+// A mark and its readers outlive what befalls their line: while a router that holds the message is
+// away the yes does not come, whoever owns the line.
 func TestYesWaitsForTheRouterOverTakeOvers(t *testing.T) {
 	t.Parallel()
 	long(t)
@@ -357,7 +365,7 @@
 				s.reopened("turn")
 				s.still(x, "a1")
 				s.w.Heal()
-				a := s.yes(x, s.w.Site.Bounds.Recovery)
+				a := s.yes(x, s.w.Site.Timing.Recovery)
 				s.resumed()
 				assert.Assert(s.t, !s.got(s.reader, last, a.Shown), "shown to one who came back")
 			})
@@ -365,7 +373,8 @@
 	}
 }
 
-// All lose their power between the mark and its yes: the routers come back under other boots, hold nothing, and the yes comes without the old ones.
+// All lose their power between the mark and its yes: the routers come back under other boots, hold
+// nothing, and the yes comes without the old ones.
 func TestYesComesAfterAllRestart(t *testing.T) {
 	t.Parallel()
 	staged(t, 920, 1, func(s *scene) {
@@ -379,9 +388,9 @@
 		s.w.Heal()
 		time.Sleep(time.Second)
 		assert.NilError(s.t, s.w.Start(s.w.Names...))
-		assert.NilError(s.t, s.w.Settle(s.w.Site.Bounds.Recovery))
+		assert.NilError(s.t, s.w.WaitReady(s.w.Site.Timing.Recovery))
 		s.lead = s.again("a2", "lead")
-		a := s.yes(x, s.w.Site.Bounds.Recovery)
+		a := s.yes(x, s.w.Site.Timing.Recovery)
 		s.resumed()
 		assert.Assert(s.t, !s.got(s.reader, x.Call-1, a.Shown), "shown to one who came back")
 		s.far.End()
@@ -389,21 +398,22 @@
 	})
 }
 
-func (s *scene) again(at, name string) (h *Hand) {
+func (s *scene) again(at, name string) (h *ScriptedClient) {
 	s.t.Helper()
-	assert.NilError(s.t, s.w.Until(s.w.Site.Bounds.Recovery, name+" comes back", func() bool {
-		h = s.g.Hand(at, name)
+	assert.NilError(s.t, s.w.WaitUntil(s.w.Site.Timing.Recovery, name+" comes back", func() bool {
+		h = s.g.Scripted(at, name)
 		return h != nil
 	}))
 	return h
 }
 
-// A withdrawal and its own message are offered at two nodes at once, or it names what has not come: in whichever order they are decided, nothing withdrawn is shown after
-// the yes, and a number that was passed over never arrives.
+// A withdrawal and its own message are offered at two nodes at once, or it names what has not come:
+// in whichever order they are decided, nothing withdrawn is shown after the yes, and a number that
+// was passed over never arrives.
 func TestWithdrawalRacesItsOwnMessage(t *testing.T) {
 	t.Parallel()
 	staged(t, 930, 2, func(s *scene) {
-		twin := s.g.Hand("a3", "lead")
+		twin := s.g.Scripted("a3", "lead")
 		assert.Assert(s.t, twin != nil)
 		passed, taken := 0, 0
 		for i := range 30 {
@@ -412,14 +422,14 @@
 			sent := make(chan struct{})
 			go func() {
 				time.Sleep(-ahead)
-				twin.Post(ground, "race", m)
+				twin.SendAsync(ground, "race", m)
 				close(sent)
 			}()
 			time.Sleep(ahead)
 			_, ok := s.lead.Withdraw(deliverycheck.Withdrawal{Topic: ground, Key: "race", Call: d, Of: "lead", Upto: m})
 			assert.Assert(s.t, ok)
 			<-sent
-			a, ok := twin.Wait(0, handLimit, func(a session.Response) bool {
+			a, ok := twin.Wait(0, scriptedTimeout, func(a session.Response) bool {
 				return a.CallSeq == m && (a.Type == session.Accepted || a.InReplyTo == session.Send && simclient.Promises[apierror.From(a.Err).Code])
 			})
 			assert.Assert(s.t, ok, "no answer to %d", m)
@@ -439,7 +449,7 @@
 			assert.Assert(s.t, ok && a.Type == session.WithdrawalComplete, "%v", a.Err)
 			a, ok = foe.Send(ground, "foe", n-1)
 			assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.CallPassed), "%s %v", a.Type, a.Err)
-			assert.Assert(s.t, foe.Sent(ground, "foe", n+1))
+			assert.Assert(s.t, foe.SendAccepted(ground, "foe", n+1))
 		}
 		twin.End()
 		foe.End()
@@ -469,7 +479,8 @@
 	})
 }
 
-// A withdrawal of what was withdrawn before is answered by the mark that stands, also when it is asked for again after the key was written anew: what was written then stays.
+// A withdrawal of what was withdrawn before is answered by the mark that stands, also when it is
+// asked for again after the key was written anew: what was written then stays.
 func TestWithdrawnTwiceLeavesWhatIsWrittenThen(t *testing.T) {
 	t.Parallel()
 	staged(t, 945, 1, func(s *scene) {
@@ -485,11 +496,11 @@
 		anew := s.call
 		a, ok = other.Withdraw(y)
 		assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.WithdrawalOpen), "%s %v", a.Type, a.Err)
-		assert.Assert(s.t, other.Sent(ground, "", 2))
+		assert.Assert(s.t, other.SendAccepted(ground, "", 2))
 		a, ok = other.Withdraw(y)
 		assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.WithdrawalOpen), "%s %v", a.Type, a.Err)
 		s.w.Heal()
-		s.yes(x, s.w.Site.Bounds.Recovery)
+		s.yes(x, s.w.Site.Timing.Recovery)
 		a, ok = other.Withdraw(y)
 		assert.Assert(s.t, ok && a.Type == session.WithdrawalComplete, "%s %v", a.Type, a.Err)
 		s.resumed()
@@ -498,7 +509,8 @@
 	})
 }
 
-// The routers can't reach one another, in one way or both, and all reach the stores: nothing waits, as no router asks another.
+// The routers can't reach one another, in one way or both, and all reach the stores: nothing waits,
+// as no router asks another.
 func TestRoutersCutFromEachOtherWithdraw(t *testing.T) {
 	t.Parallel()
 	for how, back := range map[string]bool{"one way": false, "both ways": true} {
@@ -513,7 +525,7 @@
 				}
 				for range 10 {
 					s.write("turn", 2)
-					s.yes(deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}, s.w.Site.Bounds.CallTimeout())
+					s.yes(deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}, s.w.Site.Timing.CallTimeout())
 				}
 				s.write("turn", 1)
 				s.wait(s.reader, s.call)
@@ -522,8 +534,9 @@
 	}
 }
 
-// An owner that was superseded still answers the router that nobody else reaches, with the message that its successor's line has withdrawn. The yes waits for that router.
-func TestSupersededOwnerStillAnswers(t *testing.T) {
+// An owner that was superseded still answers the router that nobody else reaches, with the message
+// that its successor's line has withdrawn. The yes waits for that router.
+func TestSupersededLeaderStillAnswers(t *testing.T) {
 	t.Parallel()
 	long(t)
 	staged(t, 960, 1, func(s *scene) {
@@ -543,7 +556,7 @@
 		s.moved(o)
 		s.reopened("")
 		x := s.open("turn", "a1")
-		h := s.g.Hand("a1", "other")
+		h := s.g.Scripted("a1", "other")
 		if h != nil {
 			_, _ = h.Follow(ground, "")
 		}
@@ -551,7 +564,7 @@
 		s.still(x, "a1")
 		assert.Assert(s.t, s.w.Parts("a1", router.Poll.Path) > answered, "void: the old owner was not asked")
 		s.w.Heal()
-		s.yes(x, s.w.Site.Bounds.Recovery)
+		s.yes(x, s.w.Site.Timing.Recovery)
 		s.resumed()
 		if h != nil {
 			h.End()
@@ -559,8 +572,9 @@
 	})
 }
 
-// A router is away for longer than the keeping time and the lease: it is given up, which the yes says, marks go, and when it is back it starts clean.
-// One that is heard and hears nothing is not given up, as it may be licensed by others.
+// A router is away for longer than the keeping time and the lease: it is given up, which the yes
+// says, marks go, and when it is back it starts clean. One that is heard and hears nothing is not
+// given up, as it may be licensed by others.
 func TestRouterAwayForLongIsGivenUp(t *testing.T) {
 	t.Parallel()
 	long(t)
@@ -577,14 +591,14 @@
 				back := away(s.w)
 				x := s.open("turn", "a1")
 				begun := time.Now()
-				a := s.yes(x, s.w.Site.Bounds.Retention()+2*s.w.Site.Bounds.Recovery)
+				a := s.yes(x, s.w.Site.Timing.Retention()+2*s.w.Site.Timing.Recovery)
 				assert.Assert(s.t, slices.Contains(a.GivenUp, "a1"), "the yes names %v", a.GivenUp)
 				took := time.Since(begun)
 				s.t.Logf("given up after %s", took)
-				assert.Assert(s.t, took >= s.w.Site.Bounds.Keeping, "given up after %s", took)
+				assert.Assert(s.t, took >= s.w.Site.Timing.Keeping, "given up after %s", took)
 				for range 5 {
 					s.write("turn", 1)
-					s.yes(deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}, s.w.Site.Bounds.CallTimeout())
+					s.yes(deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}, s.w.Site.Timing.CallTimeout())
 				}
 				back()
 				s.anew()
@@ -593,16 +607,17 @@
 	}
 }
 
-// anew has the reader come back on its router without a cursor, until it is given what is written under a key.
+// anew has the reader come back on its router without a cursor, until it is given what is written
+// under a key.
 func (s *scene) anew() {
 	s.t.Helper()
-	err := s.w.Until(2*s.w.Site.Bounds.Recovery, "the reader follows", func() bool {
+	err := s.w.WaitUntil(2*s.w.Site.Timing.Recovery, "the reader follows", func() bool {
 		s.reader.End()
-		if s.reader = s.g.Hand("a1", "reader"); s.reader == nil {
+		if s.reader = s.g.Scripted("a1", "reader"); s.reader == nil {
 			s.reader = s.far
 			return false
 		}
-		if _, ok := s.reader.Follow(ground, ""); !ok || !s.lead.Sent(ground, "turn", s.next()) {
+		if _, ok := s.reader.Follow(ground, ""); !ok || !s.lead.SendAccepted(ground, "turn", s.next()) {
 			return false
 		}
 		_, ok := s.reader.Wait(0, time.Second, func(a session.Response) bool {
@@ -611,5 +626,5 @@
 		return ok
 	})
 	assert.NilError(s.t, err)
-	s.yes(deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}, s.w.Site.Bounds.CallTimeout())
+	s.yes(deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}, s.w.Site.Timing.CallTimeout())
 }
--- a/internal/testing/sim/woken_test.go
+++ b/internal/testing/sim/woken_test.go
@@ -12,9 +12,10 @@
 	keys "postjunction/internal/control/register"
 )
 
-// Many control nodes that lose power right after a description was accepted, and come back one after another, are licensed soon, and do not send
-// whole descriptions to all others to compare them.
-func TestDescriptionsAreNotSentAroundAfterALossOfPower(t *testing.T) {
+// Many control nodes that lose power right after a description was accepted, and come back one
+// after another, are licensed soon, and do not send whole descriptions to all others to compare
+// them.
+func TestConfigurationsAreNotSentAroundAfterALossOfPower(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
 		t.Run("", func(t *testing.T) {
@@ -25,16 +26,16 @@
 				w := New(s, 40+seed, Logger())
 				defer w.Close()
 				assert.NilError(t, w.Start(w.Names...))
-				assert.NilError(t, w.Settle(20*time.Second))
+				assert.NilError(t, w.WaitReady(20*time.Second))
 				_, err := w.Put("c1", big.Describe(0))
 				assert.NilError(t, err)
-				time.Sleep(s.Bounds.Recovery)
+				time.Sleep(s.Timing.Recovery)
 				_, err = w.Put("a1", big.Describe(1))
 				assert.NilError(t, err)
 				for _, n := range w.Names {
 					w.LosePower(n, w.Int(2) == 0)
 				}
-				time.Sleep(s.Bounds.FailureTimeout())
+				time.Sleep(s.Timing.FailureTimeout())
 				ns := slices.Clone(w.Names)
 				for i := range ns {
 					k := w.Int(i + 1)
@@ -45,7 +46,7 @@
 					assert.NilError(t, w.Start(n))
 					time.Sleep(time.Duration(w.Int(60)) * time.Millisecond)
 				}
-				assert.NilError(t, w.Until(s.Bounds.ReconcileInterval(), "all are ready", func() bool {
+				assert.NilError(t, w.WaitUntil(s.Timing.ReconcileInterval(), "all are ready", func() bool {
 					return !slices.ContainsFunc(ns, func(n string) bool { return w.Machines[n].Node().Ready() != nil })
 				}))
 				is, bytes := w.Flows(), 0
--- a/internal/testing/simclient/guest.go
+++ b/internal/testing/simclient/client.go
@@ -1,5 +1,5 @@
-// Package simclient is a seeded stand-in for visitors on line sessions: it joins its topics with its cursors, sends, goes away and returns,
-// and notes all it sees.
+// Package simclient is a seeded stand-in for visitors on line sessions: it joins its topics with
+// its cursors, sends, goes away and returns, and notes all it sees.
 package simclient
 
 import (
@@ -23,44 +23,49 @@
 	End()
 }
 
-// Endpoint is a node that visitors can connect to. Enter gives nil when nobody answers there; hear gets all that comes with the moment at which
-// the connection took its last byte, broken the end of the connection, if the visitor did not end it itself.
+// Endpoint is a node that visitors can connect to. Enter gives nil when nobody answers there; hear
+// gets all that comes with the moment at which the connection took its last byte, broken the end of
+// the connection, if the visitor did not end it itself.
 type Endpoint struct {
 	Address string
 	Connect func(hear func(a session.Response, shown time.Time), broken func()) Line
 }
 
-// Topic is something that a guest follows, from a cursor that another was given with a message, if there is one.
+// Topic is something that a guest follows, from a cursor that another was given with a message, if
+// there is one.
 type Topic struct {
-	Name   string
-	Kept   bool
-	Cursor string
-	Place  deliverycheck.Message
-	Given  time.Time
+	Name        string
+	Kept        bool
+	Cursor      string
+	LastMessage deliverycheck.Message
+	Given       time.Time
 }
 
 // Lane is a topic that a guest sends on, with so many messages under way at once.
 type Lane struct {
-	Topic string
-	Width int
-	Every time.Duration
+	Topic    string
+	Window   int
+	Interval time.Duration
 }
 
 // Habits are the times of a guest.
 type Habits struct {
 	// Keepalive is how long it is silent before it gives a sign of life.
 	Keepalive time.Duration
-	// Answer is how long it waits for an answer to a send, Longest for one to a join, and Deadline for the decision on a message.
-	Answer, Longest, Deadline time.Duration
-	// Change is how often it drops or takes up a topic, Away how often it leaves, Count how often it counts; 0 for never.
-	Change, Away, Count time.Duration
-	// Absence is the longest that it stays away.
-	Absence time.Duration
-	// Keyed is the share of messages that stand under a key, one of Keys on a topic; Withdraw is how often a guest withdraws on a lane, 0 for never, and Forget how long it
-	// asks for the yes.
-	Keyed            float64
-	Keys             int
-	Withdraw, Forget time.Duration
+	// ResponseTimeout is how long it waits for an answer to a send, SubscribeTimeout for one to a
+	// join, and Deadline for the decision on a message.
+	ResponseTimeout, SubscribeTimeout, Deadline time.Duration
+	// ChangeInterval is how often it drops or takes up a topic, AwayInterval how often it leaves,
+	// CountInterval how often it counts; 0 for never.
+	ChangeInterval, AwayInterval, CountInterval time.Duration
+	// MaxAbsence is the longest that it stays away.
+	MaxAbsence time.Duration
+	// KeyedFraction is the share of messages that stand under a key, one of Keys on a topic;
+	// Withdraw is how often a guest withdraws on a lane, 0 for never, and Forget how long it asks
+	// for the yes.
+	KeyedFraction                     float64
+	Keys                              int
+	WithdrawInterval, WithdrawTimeout time.Duration
 }
 
 // Client is one visitor.
@@ -77,56 +82,56 @@
 	// Saved gets cursors that others may take up later.
 	Saved func(t Topic)
 
-	mu    sync.Mutex
-	inbox []heard
-	bell  chan struct{}
-
-	line    Line
-	serial  int
-	up      bool
-	begun   time.Time
-	heardAt time.Time
-	shown   time.Time
-	saidAt  time.Time
-	back    time.Time
-	to      string
-	subs    []*sub
-	lanes   []*lane
-	last    uint64
-	shift   time.Time
-	leave   time.Time
-	tell    time.Time
-	counted map[string]time.Time
-	seen    map[string]deliverycheck.Message
-	sending context.Context
+	mu     sync.Mutex
+	inbox  []lineEvent
+	notify chan struct{}
+
+	line       Line
+	serial     int
+	up         bool
+	begun      time.Time
+	receivedAt time.Time
+	shown      time.Time
+	sentAt     time.Time
+	back       time.Time
+	to         string
+	subs       []*subscription
+	lanes      []*lane
+	last       uint64
+	shift      time.Time
+	leave      time.Time
+	tell       time.Time
+	counted    map[string]time.Time
+	seen       map[string]deliverycheck.Message
+	sending    context.Context
 }
 
-type heard struct {
-	serial int
-	a      session.Response
-	shown  time.Time
-	broken bool
+type lineEvent struct {
+	serial   int
+	response session.Response
+	shown    time.Time
+	broken   bool
 }
 
 type state int
 
 const (
 	idle state = iota
-	asked
-	joined
-	dropping
-	dropped
+	subscribing
+	subscribed
+	unsubscribing
+	unsubscribed
 )
 
-type sub struct {
+type subscription struct {
 	Topic
-	want   bool
-	state  state
-	since  time.Time
-	retry  time.Time
-	cursor string
-	stay   *deliverycheck.Session
-	here   *deliverycheck.Presence
+	wanted   bool
+	state    state
+	since    time.Time
+	retry    time.Time
+	cursor   string
+	session  *deliverycheck.Session
+	presence *deliverycheck.Presence
 }
 
 type lane struct {
@@ -181,12 +186,12 @@
 	return now.Add(d/2 + g.span(d))
 }
 
-func (g *Client) hear(h heard) {
+func (g *Client) receive(h lineEvent) {
 	g.mu.Lock()
 	g.inbox = append(g.inbox, h)
 	g.mu.Unlock()
 	select {
-	case g.bell <- struct{}{}:
+	case g.notify <- struct{}{}:
 	default:
 	}
 }
@@ -196,30 +201,30 @@
 	g.mu.Lock()
 	n := g.serial
 	g.mu.Unlock()
-	g.hear(heard{serial: n, broken: true})
+	g.receive(lineEvent{serial: n, broken: true})
 }
 
 // Run goes on until ctx ends, and sends new messages until sends ends.
 func (g *Client) Run(ctx, sends context.Context) {
 	now := time.Now()
-	g.bell, g.sending, g.counted, g.seen = make(chan struct{}, 1), sends, map[string]time.Time{}, map[string]deliverycheck.Message{}
+	g.notify, g.sending, g.counted, g.seen = make(chan struct{}, 1), sends, map[string]time.Time{}, map[string]deliverycheck.Message{}
 	for _, t := range g.Follow {
-		s := &sub{Topic: t, want: true}
+		s := &subscription{Topic: t, wanted: true}
 		if t.Cursor != "" {
-			s.stay, s.cursor = g.Checker.OpenLate(g.Name, t.Place, t.Given), t.Cursor
+			s.session, s.cursor = g.Checker.OpenLate(g.Name, t.LastMessage, t.Given), t.Cursor
 		}
 		g.subs = append(g.subs, s)
 	}
 	for _, l := range g.Lanes {
-		g.lanes = append(g.lanes, &lane{Lane: l, next: g.later(now, l.Every), draw: g.later(now, g.Habits.Withdraw)})
+		g.lanes = append(g.lanes, &lane{Lane: l, next: g.later(now, l.Interval), draw: g.later(now, g.Habits.WithdrawInterval)})
 	}
 	g.back = now.Add(g.span(g.Habits.Keepalive / 2))
-	g.shift, g.leave, g.tell = g.later(now, g.Habits.Change), g.later(now, g.Habits.Away), g.later(now, g.Habits.Count)
+	g.shift, g.leave, g.tell = g.later(now, g.Habits.ChangeInterval), g.later(now, g.Habits.AwayInterval), g.later(now, g.Habits.CountInterval)
 	tick := time.NewTicker(g.Habits.Keepalive / tickOf)
 	defer tick.Stop()
 	for {
 		select {
-		case <-g.bell:
+		case <-g.notify:
 		case <-tick.C:
 		case <-ctx.Done():
 			g.close(time.Now(), 0, false)
@@ -238,18 +243,19 @@
 				g.close(now, g.Habits.Keepalive/2, false)
 				continue
 			}
-			g.heardAt, g.shown = now, h.shown
-			if f, ok := takes[h.a.Type]; ok {
-				f(g, now, h.a)
+			g.receivedAt, g.shown = now, h.shown
+			if f, ok := takes[h.response.Type]; ok {
+				f(g, now, h.response)
 			} else {
-				g.Checker.Violation(deliverycheck.Mixed, "%s got an answer %q", g.Name, h.a.Type)
+				g.Checker.Violation(deliverycheck.Mixed, "%s got an answer %q", g.Name, h.response.Type)
 			}
 		}
 		g.step(now)
 	}
 }
 
-// close ends the connection and comes back within a time. A silent leave keeps the old one open for a while.
+// close ends the connection and comes back within a time. A silent leave keeps the old one open for
+// a while.
 func (g *Client) close(now time.Time, within time.Duration, silently bool) {
 	l := g.line
 	if l == nil {
@@ -267,9 +273,9 @@
 	}
 	g.back = now.Add(g.span(within))
 	for _, s := range g.subs {
-		if s.here != nil {
-			s.here.Gone(now)
-			s.here = nil
+		if s.presence != nil {
+			s.presence.Gone(now)
+			s.presence = nil
 		}
 		s.state = idle
 		s.retry = time.Time{}
@@ -293,17 +299,17 @@
 	g.serial++
 	n := g.serial
 	g.mu.Unlock()
-	g.line = d.Connect(func(a session.Response, shown time.Time) { g.hear(heard{serial: n, a: a, shown: shown}) }, func() { g.hear(heard{serial: n, broken: true}) })
+	g.line = d.Connect(func(a session.Response, shown time.Time) { g.receive(lineEvent{serial: n, response: a, shown: shown}) }, func() { g.receive(lineEvent{serial: n, broken: true}) })
 	if g.line == nil {
 		g.back = now.Add(g.span(g.Habits.Keepalive / 2))
 		return
 	}
-	g.begun, g.heardAt, g.up = now, now, false
-	g.say(now, session.Request{Verb: session.Attach, Client: g.Name})
+	g.begun, g.receivedAt, g.up = now, now, false
+	g.send(now, session.Request{Verb: session.Attach, Client: g.Name})
 }
 
-func (g *Client) say(now time.Time, t session.Request) {
-	g.saidAt = now
+func (g *Client) send(now time.Time, t session.Request) {
+	g.sentAt = now
 	g.line.Do(t)
 }
 
@@ -323,28 +329,28 @@
 		}
 		return
 	}
-	if now.Sub(g.heardAt) > time.Duration(silent*float64(h.Keepalive)) {
+	if now.Sub(g.receivedAt) > time.Duration(silent*float64(h.Keepalive)) {
 		g.close(now, h.Keepalive/2, false)
 		return
 	}
 	stays := g.sending.Err() != nil
 	if now.After(g.leave) && !stays {
-		g.leave = g.later(now, h.Away)
+		g.leave = g.later(now, h.AwayInterval)
 		g.close(now, 0, g.Rand.IntN(2) == 0)
-		g.back = now.Add(g.span(h.Absence))
+		g.back = now.Add(g.span(h.MaxAbsence))
 		return
 	}
 	if now.After(g.shift) && !stays {
-		g.shift = g.later(now, h.Change)
+		g.shift = g.later(now, h.ChangeInterval)
 		s := g.subs[g.Rand.IntN(len(g.subs))]
-		s.want = !s.want
+		s.wanted = !s.wanted
 	}
 	if now.After(g.tell) {
-		g.tell = g.later(now, h.Count)
+		g.tell = g.later(now, h.CountInterval)
 		t := g.subs[g.Rand.IntN(len(g.subs))].Name
 		if _, ok := g.counted[t]; !ok {
 			g.counted[t] = now
-			g.say(now, session.Request{Verb: session.Count, Topic: t})
+			g.send(now, session.Request{Verb: session.Count, Topic: t})
 		}
 	}
 	for _, s := range g.subs {
@@ -357,35 +363,35 @@
 			return
 		}
 	}
-	if now.Sub(g.saidAt) > h.Keepalive {
-		g.say(now, session.Request{Verb: session.Heartbeat})
+	if now.Sub(g.sentAt) > h.Keepalive {
+		g.send(now, session.Request{Verb: session.Heartbeat})
 	}
 }
 
 // follow brings a topic to what is wanted of it; it tells whether the connection still stands.
-func (g *Client) follow(now time.Time, s *sub) bool {
-	if (s.state == asked || s.state == dropping) && now.Sub(s.since) > g.Habits.Longest {
+func (g *Client) follow(now time.Time, s *subscription) bool {
+	if (s.state == subscribing || s.state == unsubscribing) && now.Sub(s.since) > g.Habits.SubscribeTimeout {
 		g.close(now, g.Habits.Keepalive/2, false)
 		return false
 	}
 	switch {
-	case s.want && (s.state == idle || s.state == dropped) && !now.Before(s.retry):
-		if s.stay == nil {
-			s.stay = g.Checker.Open(g.Name, s.Name, s.Kept)
+	case s.wanted && (s.state == idle || s.state == unsubscribed) && !now.Before(s.retry):
+		if s.session == nil {
+			s.session = g.Checker.Open(g.Name, s.Name, s.Kept)
 			s.cursor = ""
 		}
-		s.state, s.since = asked, now
-		s.here = g.Checker.Here(s.Name, now)
-		g.say(now, session.Request{Verb: session.Subscribe, Topic: s.Name, Cursor: s.cursor})
-	case !s.want && s.state == joined:
-		s.stay.Ended(now)
-		s.here.Gone(now)
-		s.here = nil
-		s.state, s.since = dropping, now
-		g.say(now, session.Request{Verb: session.Unsubscribe, Topic: s.Name})
-	case !s.want && s.state == idle && s.stay != nil:
-		s.stay.Ended(now)
-		s.stay = nil
+		s.state, s.since = subscribing, now
+		s.presence = g.Checker.Here(s.Name, now)
+		g.send(now, session.Request{Verb: session.Subscribe, Topic: s.Name, Cursor: s.cursor})
+	case !s.wanted && s.state == subscribed:
+		s.session.Ended(now)
+		s.presence.Gone(now)
+		s.presence = nil
+		s.state, s.since = unsubscribing, now
+		g.send(now, session.Request{Verb: session.Unsubscribe, Topic: s.Name})
+	case !s.wanted && s.state == idle && s.session != nil:
+		s.session.Ended(now)
+		s.session = nil
 	}
 	return true
 }
@@ -402,23 +408,23 @@
 func (g *Client) publish(now time.Time, l *lane) bool {
 	l.ms = slices.DeleteFunc(l.ms, func(m *message) bool {
 		if m.draw != nil {
-			return now.Sub(m.first) > g.Habits.Forget
+			return now.Sub(m.first) > g.Habits.WithdrawTimeout
 		}
 		return now.Sub(m.first) > g.Habits.Deadline
 	})
 	drawing := slices.IndexFunc(l.ms, func(m *message) bool { return m.draw != nil })
-	if n := len(l.ms) - 1; (drawing < 0 && n+1 < l.Width || drawing >= 0 && n < l.Width) && now.After(l.next) && g.sending.Err() == nil {
-		l.next = g.later(now, l.Every)
+	if n := len(l.ms) - 1; (drawing < 0 && n+1 < l.Window || drawing >= 0 && n < l.Window) && now.After(l.next) && g.sending.Err() == nil {
+		l.next = g.later(now, l.Interval)
 		l.ms = append(l.ms, &message{first: now})
 	}
 	if drawing < 0 && now.After(l.draw) && g.sending.Err() == nil {
-		l.draw = g.later(now, g.Habits.Withdraw)
+		l.draw = g.later(now, g.Habits.WithdrawInterval)
 		l.ms = append(l.ms, g.withdrawal(now, l.Topic))
 	}
 	slices.SortStableFunc(l.ms, func(a, b *message) int { return cmp.Compare(a.call-1, b.call-1) })
 	for _, m := range l.ms {
 		if m.out {
-			if now.Sub(m.asked) > g.Habits.Answer {
+			if now.Sub(m.asked) > g.Habits.ResponseTimeout {
 				g.close(now, g.Habits.Keepalive/2, false)
 				return false
 			}
@@ -429,35 +435,36 @@
 		}
 		m.out, m.asked = true, now
 		if w := m.draw; w != nil {
-			g.say(now, session.Request{Verb: session.Withdraw, Topic: l.Topic, CallSeq: m.call, Key: w.Key, WithdrawSender: w.Of, WithdrawUpTo: w.Upto})
+			g.send(now, session.Request{Verb: session.Withdraw, Topic: l.Topic, CallSeq: m.call, Key: w.Key, WithdrawSender: w.Of, WithdrawUpTo: w.Upto})
 			continue
 		}
 		if m.call == 0 {
 			m.call = g.number()
 			m.body = g.body(l.Topic, m.call)
-			if g.Habits.Keyed > 0 && g.Rand.Float64() < g.Habits.Keyed {
+			if g.Habits.KeyedFraction > 0 && g.Rand.Float64() < g.Habits.KeyedFraction {
 				m.key = g.key()
 			}
 		}
-		g.Checker.Try(deliverycheck.Message{Topic: l.Topic, From: g.Name, Call: m.call}, m.key, m.body, now)
-		g.say(now, session.Request{Verb: session.Send, Topic: l.Topic, CallSeq: m.call, Key: m.key, Body: []byte(m.body)})
+		g.Checker.Try(deliverycheck.Message{Topic: l.Topic, From: g.Name, CallSeq: m.call}, m.key, m.body, now)
+		g.send(now, session.Request{Verb: session.Send, Topic: l.Topic, CallSeq: m.call, Key: m.key, Body: []byte(m.body)})
 	}
 	return true
 }
 
 func (g *Client) key() string { return fmt.Sprintf("k%d", g.Rand.IntN(max(1, g.Habits.Keys))) }
 
-// withdrawal withdraws what stands under a key, at times with a sender that was seen on the topic and a number that it may not have reached.
+// withdrawal withdraws what stands under a key, at times with a sender that was seen on the topic
+// and a number that it may not have reached.
 func (g *Client) withdrawal(now time.Time, topic string) *message {
 	w := deliverycheck.Withdrawal{Topic: topic, Key: g.key(), By: g.Name, Call: g.number()}
 	if m, ok := g.seen[topic]; ok && m.From != g.Name && g.Rand.IntN(ofOthers) == 0 {
-		w.Of, w.Upto = m.From, m.Call+uint64(g.Rand.IntN(ahead))
+		w.Of, w.Upto = m.From, m.CallSeq+uint64(g.Rand.IntN(ahead))
 	}
 	return &message{call: w.Call, first: now, draw: g.Checker.Withdraw(w, now)}
 }
 
-func (g *Client) sub(topic string) *sub {
-	if i := slices.IndexFunc(g.subs, func(s *sub) bool { return s.Name == topic }); i >= 0 {
+func (g *Client) sub(topic string) *subscription {
+	if i := slices.IndexFunc(g.subs, func(s *subscription) bool { return s.Name == topic }); i >= 0 {
 		return g.subs[i]
 	}
 	return nil
@@ -482,13 +489,13 @@
 	session.Alive:    func(*Client, time.Time, session.Response) {},
 	session.Subscribed: func(g *Client, now time.Time, a session.Response) {
 		s := g.sub(a.Topic)
-		if s == nil || s.state != asked {
+		if s == nil || s.state != subscribing {
 			g.Checker.Violation(deliverycheck.Mixed, "%s was told that it joined %s, which it did not ask", g.Name, a.Topic)
 			return
 		}
-		s.state = joined
-		s.stay.Joined(now)
-		s.here.Joined(now)
+		s.state = subscribed
+		s.session.Joined(now)
+		s.presence.Joined(now)
 		if s.cursor != "" && s.cursor != a.Cursor && s.Kept {
 			g.Checker.Violation(deliverycheck.Mixed, "%s joined %s with cursor %q and was told %q", g.Name, s.Name, s.cursor, a.Cursor)
 		}
@@ -496,31 +503,31 @@
 	},
 	session.Unsubscribed: func(g *Client, now time.Time, a session.Response) {
 		s := g.sub(a.Topic)
-		if s == nil || s.state != dropping {
+		if s == nil || s.state != unsubscribing {
 			g.Checker.Violation(deliverycheck.Mixed, "%s was told that it left %s, which it did not ask", g.Name, a.Topic)
 			return
 		}
-		s.state, s.stay, s.cursor, s.retry = dropped, nil, "", now
+		s.state, s.session, s.cursor, s.retry = unsubscribed, nil, "", now
 	},
 	session.Message: func(g *Client, now time.Time, a session.Response) {
-		m := deliverycheck.Message{Topic: a.Topic, From: a.From, Call: a.CallSeq}
+		m := deliverycheck.Message{Topic: a.Topic, From: a.From, CallSeq: a.CallSeq}
 		s := g.sub(a.Topic)
-		if s == nil || s.state == idle || s.state == dropped {
+		if s == nil || s.state == idle || s.state == unsubscribed {
 			g.Checker.Stray(g.Name, m, now)
 			return
 		}
-		if s.state == dropping {
+		if s.state == unsubscribing {
 			return
 		}
-		s.stay.Got(m, string(a.Body), deliverycheck.Place{Partition: a.Partition, Offset: a.Offset}, g.shown)
+		s.session.Got(m, string(a.Body), deliverycheck.Place{Partition: a.Partition, Offset: a.Offset}, g.shown)
 		g.seen[a.Topic] = m
 		s.cursor = a.Cursor
 		if g.Saved != nil && s.Kept && g.Rand.IntN(savedOf) == 0 {
-			g.Saved(Topic{Name: s.Name, Kept: true, Cursor: a.Cursor, Place: m, Given: now})
+			g.Saved(Topic{Name: s.Name, Kept: true, Cursor: a.Cursor, LastMessage: m, Given: now})
 		}
 	},
 	session.Accepted: func(g *Client, now time.Time, a session.Response) {
-		g.Checker.Taken(deliverycheck.Message{Topic: a.Topic, From: g.Name, Call: a.CallSeq}, now)
+		g.Checker.Accepted(deliverycheck.Message{Topic: a.Topic, From: g.Name, CallSeq: a.CallSeq}, now)
 		if l, m := g.message(a.Topic, a.CallSeq); m != nil {
 			l.ms = slices.DeleteFunc(l.ms, func(x *message) bool { return x == m })
 		}
@@ -537,7 +544,7 @@
 		m.draw.Forgotten(deliverycheck.Place{Partition: a.Partition, Offset: a.Offset}, g.shown)
 		l.ms = slices.DeleteFunc(l.ms, func(x *message) bool { return x == m })
 	},
-	session.Withdrawn: func(g *Client, now time.Time, a session.Response) { g.Checker.Told(g.Name, a.Topic, a.Key, now) },
+	session.Withdrawn: func(g *Client, now time.Time, a session.Response) { g.Checker.Shown(g.Name, a.Topic, a.Key, now) },
 	session.Counted: func(g *Client, now time.Time, a session.Response) {
 		at, ok := g.counted[a.Topic]
 		if !ok {
@@ -567,17 +574,17 @@
 	session.Unsubscribe: func(g *Client, now time.Time, _ session.Response) { g.close(now, g.Habits.Keepalive/2, false) },
 	session.Subscribe: func(g *Client, now time.Time, a session.Response) {
 		s := g.sub(a.Topic)
-		if s == nil || s.state != asked {
+		if s == nil || s.state != subscribing {
 			g.Checker.Violation(deliverycheck.Mixed, "%s was turned away from %s, which it did not ask: %v", g.Name, a.Topic, a.Err)
 			return
 		}
-		s.here.Gone(now)
-		s.here = nil
+		s.presence.Gone(now)
+		s.presence = nil
 		s.state, s.retry = idle, now.Add(g.span(g.Habits.Keepalive/2))
 		switch {
 		case apierror.HasCode(a.Err, apierror.CursorExpired):
-			s.stay.Expired(now)
-			s.stay = nil
+			s.session.Expired(now)
+			s.session = nil
 		case apierror.HasCode(a.Err, apierror.CursorMalformed):
 			g.Checker.Violation(deliverycheck.Mixed, "%s was told that its cursor %q of %s is bad: %v", g.Name, s.cursor, s.Name, a.Err)
 		}
@@ -599,7 +606,7 @@
 	session.Send: func(g *Client, now time.Time, a session.Response) {
 		k := apierror.From(a.Err).Code
 		if Promises[k] {
-			g.Checker.Turned(deliverycheck.Message{Topic: a.Topic, From: g.Name, Call: a.CallSeq})
+			g.Checker.Rejected(deliverycheck.Message{Topic: a.Topic, From: g.Name, CallSeq: a.CallSeq})
 		}
 		l, m := g.message(a.Topic, a.CallSeq)
 		if m == nil {
--- a/internal/testing/transcript/transcript_test.go
+++ b/internal/testing/transcript/transcript_test.go
@@ -91,7 +91,7 @@
 		w := sim.New(sim.Armor, 1, sim.Logger())
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
-		assert.NilError(t, w.Settle(20*time.Second))
+		assert.NilError(t, w.WaitReady(20*time.Second))
 		time.Sleep(5 * time.Second)
 		x := &exchange{t: t, w: w}
 		f(x)
--- a/tools/mutations/partitionlog-leader.sh
+++ b/tools/mutations/partitionlog-leader.sh
@@ -8,7 +8,7 @@
 mutant passed internal/partitionlog/leader/submit.go 's/if q.Call <= last \{/if _, ok := a.Find(q.Call); ok {/' ./internal/testing/transcript 'BadInput'
 mutant gone-before-trim internal/partitionlog/leader/takeover.go 's/ && !o\.st\.Changed\(\)//' $S 'WhatIsGone'
 mutant recall internal/partitionlog/leader/takeover.go 's/st\.Recall\(e\)/_ = st/' $S 'OfferedInOrder'
-mutant assure internal/partitionlog/leader/assure.go 's/r\.err = o\.ask\(ctx\)/_ = ctx/' $S 'CutOffOwner'
+mutant assure internal/partitionlog/leader/assure.go 's/r\.err = o\.ask\(ctx\)/_ = ctx/' $S 'CutOffLeader'
 mutant generation internal/partitionlog/leader/submit.go 's/if q.Generation > 0 && q.Generation < gen \{/if false \&\& q.Generation < gen {/' $S 'OldAttachment'
 mutant reprocess internal/partitionlog/leader/takeover.go 's/todo := led.line.Slice\(input\+1, led.commit/todo := led.line.Slice(led.commit+1, led.commit/' $S 'Faults|Reprocess'
 mutant attach-once internal/partitionlog/leader/submit.go 's/if given == 0 && o\.isRepeated\(visitor, f, secret\) \{/if false {/' ./internal/partitionlog/leader 'RepeatedAttachment'
@@ -50,4 +50,4 @@
 mutant turn-told internal/partitionlog/leader/read.go 's/return t\.n, t\.n == told && !t\.over/return t.n, true || told > 0/' ./internal/partitionlog/leader TestARunOfLongAgo
 mutant turn-of-epoch internal/partitionlog/leader/read.go 's/max\(o\.turn, o\.Rec\.Epoch\*turnsOf\)/o.turn/' ./internal/partitionlog/leader TestTurnsOfEpochs
 mutant turn-over internal/partitionlog/leader/marks.go 's/over: true/over: false/' ./internal/partitionlog/leader 'ReaderThatIsDone'
-mutant still-asked internal/partitionlog/leader/track.go 's/ok \&\& o\.d\.Still != nil \&\& /false \&\& ok \&\& /' $S TestSilentLinesAre
+mutant still-asked internal/partitionlog/leader/track.go 's/ok \&\& o\.d\.Still != nil \&\& /false \&\& ok \&\& /' $S TestIdleLogsAre
--- a/tools/mutations/partitionlog-router.sh
+++ b/tools/mutations/partitionlog-router.sh
@@ -3,4 +3,4 @@
 mutant offers-in-order internal/partitionlog/router/offer.go 's/l\.wait = append\(os, l\.wait\.\.\.\)/l.wait = append(l.wait, os...)/' ./internal/partitionlog/router 'Order'
 mutant offer-doubt internal/partitionlog/router/offer.go 's/o\.doubt = o\.doubt \|\| r\.Owner != d\.Self/o.doubt = o.doubt \&\& doubts[i]/' ./internal/partitionlog/router 'Promise'
 mutant urgent-home internal/partitionlog/router/desk.go 's/urgent = urgent && d\.TwoHomes\(\)/urgent = false/' $S 'UrgentGoes'
-mutant told-at-once internal/partitionlog/router/desk.go 's/if over && d\.Board/if false \&\& over \&\& d.Board/' $S 'ToldAtOnce'
+mutant told-at-once internal/partitionlog/router/desk.go 's/if over && d\.Board/if false \&\& over \&\& d.Board/' $S 'RejectedAtOnce'
