--- a/internal/control/acceptor/acceptor_test.go
+++ b/internal/control/acceptor/acceptor_test.go
@@ -21,7 +21,7 @@
 func start(t *testing.T, disk journal.Log, incarnation string) *Acceptor {
 	t.Helper()
 	a := New()
-	parts := map[uint16]journal.Part{recordtype.Slot: a, recordtype.Roster: a}
+	parts := map[uint16]journal.Part{recordtype.Slot: a, recordtype.VoterSet: a}
 	j, _, err := journal.Open(disk, clock.Real{}, parts, []journal.Part{a})
 	assert.NilError(t, err)
 	runCtx, stop := context.WithCancel(ctx)
--- a/internal/control/acceptor/activate.go
+++ b/internal/control/acceptor/activate.go
@@ -27,7 +27,7 @@
 		return &Empty{}, nil
 	}
 	slots := make(map[string]Slot, len(request.Slots))
-	records := []journal.Record{encode(recordtype.Roster, voterSetRecord{VoterSet: request.VoterSet, Clear: true})}
+	records := []journal.Record{encode(recordtype.VoterSet, voterSetRecord{VoterSet: request.VoterSet, Clear: true})}
 	for key, slot := range request.Slots {
 		if key == VoterSetKey {
 			continue
@@ -88,6 +88,6 @@
 		defer a.mu.Unlock()
 		a.agreedBootstrap = &agreed
 	}
-	record := encode(recordtype.Roster, voterSetRecord{AgreedBootstrap: &agreed})
+	record := encode(recordtype.VoterSet, voterSetRecord{AgreedBootstrap: &agreed})
 	return &Empty{}, a.journal.PutIn(ctx, lock, true, apply, record)
 }
--- a/internal/control/acceptor/records.go
+++ b/internal/control/acceptor/records.go
@@ -67,7 +67,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	voterSet := voterSetRecord{VoterSet: a.voterSet, AgreedBootstrap: a.agreedBootstrap, Clear: true}
-	records := []journal.Record{encode(recordtype.Roster, voterSet)}
+	records := []journal.Record{encode(recordtype.VoterSet, voterSet)}
 	for key, slot := range a.slots {
 		records = append(records, encode(recordtype.Slot, slotRecord{Key: key, Slot: slot}))
 	}
--- a/internal/golden/fleet_test.go
+++ b/internal/golden/fleet_test.go
@@ -62,12 +62,12 @@
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
 		var err error
-		assert.NilError(t, w.Until(limit, "a description is put", func() bool {
+		assert.NilError(t, w.WaitUntil(limit, "a description is put", func() bool {
 			_, err = w.Put("c1", load.Describe(0))
 			return err == nil
 		}))
-		assert.NilError(t, w.Settle(limit))
-		time.Sleep(w.Site.Bounds.Recovery)
+		assert.NilError(t, w.WaitReady(limit))
+		time.Sleep(w.Site.Timing.Recovery)
 		p := w.Port("a1")
 		a, err := p.Attach(t.Context(), "picker-7")
 		assert.NilError(t, err)
@@ -78,7 +78,7 @@
 			assert.NilError(t, err)
 			k.Bodies = append(k.Bodies, b)
 		}
-		time.Sleep(w.Site.Bounds.Recovery)
+		time.Sleep(w.Site.Timing.Recovery)
 	})
 	for n, m := range w.Machines {
 		if m.Opts.DataDir == "" || m.Opts.Disk == "none" {
@@ -149,8 +149,8 @@
 			w.Machines[n].Disk = d
 		}
 		assert.NilError(t, w.Start(w.Names...))
-		assert.NilError(t, w.Settle(limit))
-		time.Sleep(w.Site.Bounds.Recovery)
+		assert.NilError(t, w.WaitReady(limit))
+		time.Sleep(w.Site.Timing.Recovery)
 		p := w.Port("a1")
 		seq, err := p.Get(t.Context())
 		assert.NilError(t, err)
--- a/internal/golden/life_test.go
+++ b/internal/golden/life_test.go
@@ -45,15 +45,15 @@
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
 		put := func(what string, doc []byte) {
-			assert.NilError(t, w.Until(limit, what, func() bool {
+			assert.NilError(t, w.WaitUntil(limit, what, func() bool {
 				_, err := w.Put("c1", doc)
 				return err == nil
 			}))
 		}
 		put("a description is put", load.Describe(0))
-		assert.NilError(t, w.Settle(limit))
+		assert.NilError(t, w.WaitReady(limit))
 		put("its spaces are removed", []byte(`{"base":1,"spaces":[]}`))
-		time.Sleep(w.Site.Bounds.Recovery)
+		time.Sleep(w.Site.Timing.Recovery)
 		for _, n := range []string{"c1", "s1", "a1"} {
 			b, err := json.Marshal(w.Machines[n].Node().Operators.Counters())
 			assert.NilError(t, err)
--- a/internal/golden/records_test.go
+++ b/internal/golden/records_test.go
@@ -51,7 +51,7 @@
 func open(t *testing.T, l journal.Log) *machine {
 	t.Helper()
 	m := &machine{id: &identity.Part{}, voter: acceptor.New(), replica: replica.New(clock.Real{})}
-	parts := map[uint16]journal.Part{recordtype.Identity: m.id, recordtype.Slot: m.voter, recordtype.Roster: m.voter}
+	parts := map[uint16]journal.Part{recordtype.Identity: m.id, recordtype.Slot: m.voter, recordtype.VoterSet: m.voter}
 	for _, k := range replica.RecordTypes() {
 		parts[k] = m.replica
 	}
@@ -235,8 +235,8 @@
 	f := frame.Frame{Kind: 3, Index: 4, SyncedIndex: 5, Epoch: 6, Offset: 7, Body: []byte("body")}
 	fmt.Fprintf(&out, "format %d, header %d\nframe %x\n", frame.Format, frame.Size, frame.Encode(f))
 	fmt.Fprintf(&out, "kinds %d\n", []uint16{
-		recordtype.Identity, recordtype.Roster, recordtype.Slot, recordtype.Seal, recordtype.Entry, recordtype.Cut, recordtype.Base,
-		recordtype.Forget, recordtype.Directory, recordtype.AnewBegins, recordtype.AnewEnds, recordtype.Probe,
+		recordtype.Identity, recordtype.VoterSet, recordtype.Slot, recordtype.Seal, recordtype.Entry, recordtype.Truncation, recordtype.Base,
+		recordtype.Forget, recordtype.Snapshot, recordtype.CompactionBegins, recordtype.CompactionEnds, recordtype.Probe,
 	})
 	for _, d := range disks {
 		l := memlog.New()
--- a/internal/node/disk.go
+++ b/internal/node/disk.go
@@ -45,7 +45,7 @@
 	parts := map[uint16]journal.Part{
 		recordtype.Identity: n.identity,
 		recordtype.Slot:     n.acceptor,
-		recordtype.Roster:   n.acceptor,
+		recordtype.VoterSet:   n.acceptor,
 	}
 	for _, recordType := range replica.RecordTypes() {
 		parts[recordType] = n.replica
--- a/internal/recordtype/recordtype.go
+++ b/internal/recordtype/recordtype.go
@@ -5,7 +5,7 @@
 // The types of record.
 const (
 	Identity         uint16 = 1 + iota // whose disk it is
-	Roster                             // the voter set of a control disk
+	VoterSet                           // the voter set of a control disk
 	Slot                               // a register of a control disk
 	Seal                               // the epoch below which a partition rejects leaders
 	Entry                              // an entry of a log
--- a/internal/testing/sim/storm_test.go
+++ b/internal/testing/sim/storm_test.go
@@ -42,35 +42,35 @@
 				w := New(s, 3, nil)
 				defer w.Close()
 				assert.NilError(t, w.Start(w.Names...))
-				assert.NilError(t, w.Settle(20*time.Second))
-				assert.NilError(t, w.Until(20*time.Second, "all control disks are voters", func() bool {
+				assert.NilError(t, w.WaitReady(20*time.Second))
+				assert.NilError(t, w.WaitUntil(20*time.Second, "all control disks are voters", func() bool {
 					return !slices.ContainsFunc(w.Names, func(n string) bool {
 						return len(w.Machines[n].Node().VoterSet().Voters) < s.Control
 					})
 				}))
 				_, err := w.Put("c1", bootLoad.Describe(0))
 				assert.NilError(t, err)
-				time.Sleep(s.Bounds.Spread)
+				time.Sleep(s.Timing.Spread)
 				keyLeader := w.holderOf(quorumread.ConfigurationKey)
 				assert.Assert(t, w.Machines[keyLeader].Node().LeadsKey(quorumread.ConfigurationKey))
 				var mu sync.Mutex
 				slotsAsked, fullSlots := map[string]int{}, 0
-				end := w.Meddle(func(p Point) Meddle {
+				end := w.InterceptCalls(func(p Point) CallFault {
 					if p.Path != acceptor.Peek.Path {
-						return Meddle{}
+						return CallFault{}
 					}
 					if p.Stage == Answering {
 						if strings.Contains(tc.delayed, p.To) {
-							return Meddle{Late: 10 * time.Millisecond}
+							return CallFault{Delay: 10 * time.Millisecond}
 						}
-						return Meddle{}
+						return CallFault{}
 					}
 					var request acceptor.PeekRequest
 					if wire.Unmarshal(p.Body, &request) != nil {
-						return Meddle{}
+						return CallFault{}
 					}
 					if len(request.Keys) > 0 && !slices.Contains(request.Keys, quorumread.ConfigurationKey) {
-						return Meddle{}
+						return CallFault{}
 					}
 					mu.Lock()
 					defer mu.Unlock()
@@ -78,15 +78,15 @@
 					if !request.Brief {
 						fullSlots++
 					}
-					return Meddle{}
+					return CallFault{}
 				})
-				release, hits := w.Hold(func(p Point) bool {
+				release, hits := w.PauseCalls(func(p Point) bool {
 					return p.Path == acceptor.Accept.Path && (p.To == "c6" || p.To == "c7" || p.To == "c8")
 				})
 				was := w.Flows()
 				_, err = w.Put("a1", bootLoad.Describe(1))
 				assert.NilError(t, err)
-				time.Sleep(s.Bounds.LeaseDuration() / 3)
+				time.Sleep(s.Timing.LeaseDuration() / 3)
 				is := w.Flows()
 				end()
 				release()
@@ -104,7 +104,7 @@
 				assert.Assert(t, fullSlots <= tc.fullSlots, "%d full slots", fullSlots)
 				assert.Equal(t, claims, 0)
 				assert.Equal(t, accepts, s.Control, "the change, once to each voter")
-				heartbeats := int(s.Bounds.LeaseDuration()/3/s.Bounds.HeartbeatInterval()) + 1
+				heartbeats := int(s.Timing.LeaseDuration()/3/s.Timing.HeartbeatInterval()) + 1
 				for node, count := range slotsAsked {
 					limit := (heartbeats + tc.majorityReads) * s.Control
 					if node == keyLeader {
@@ -115,7 +115,7 @@
 					}
 					assert.Assert(t, count <= limit, "%s asked for %d slots, %d at most", node, count, limit)
 				}
-				time.Sleep(s.Bounds.Recovery)
+				time.Sleep(s.Timing.Recovery)
 				for _, n := range w.Names {
 					assert.Equal(t, w.Machines[n].Node().Store.Configuration().Sequence, uint64(2), n)
 				}
--- a/tools/mutations/partitionlog-leader.sh
+++ b/tools/mutations/partitionlog-leader.sh
@@ -9,7 +9,7 @@
 mutant passed $L/submit.go 's/if message.CallSeq <= calls.last \{/if _, ok := calls.committed.Find(message.CallSeq); ok {/' ./internal/testing/transcript 'BadInput'
 mutant gone-before-trim $L/maintain.go 's/ && !l\.state\.Changed\(\)//' $S 'WhatIsGone'
 mutant recall $L/recovery.go 's/restored\.RestoreAnswer\(entry\)/_ = restored/' $S 'OfferedInOrder'
-mutant assure $L/leadership.go 's/check\.err = l\.confirmEpoch\(ctx\)/_ = ctx/' $S 'CutOffOwner'
+mutant assure $L/leadership.go 's/check\.err = l\.confirmEpoch\(ctx\)/_ = ctx/' $S 'CutOffLeader'
 mutant generation $L/submit.go 's/if message.Generation > 0 && message.Generation < calls.generation \{/if false \&\& message.Generation < calls.generation {/' $S 'OldAttachment'
 mutant reprocess $L/recovery.go 's/rest := ledger.log.Slice\(input\+1, ledger.commit/rest := ledger.log.Slice(ledger.commit+1, ledger.commit/' $S 'Faults|Reprocess'
 mutant attach-once $L/attach.go 's/if given == 0 && l\.isRepeatedAttach\(client, calls, secret\) \{/if false {/' ./$L 'Attach_Retry'
@@ -51,4 +51,4 @@
 mutant turn-told $L/readertoken.go 's/return token\.number, token\.number == sent && !token\.finished/return token.number, true || sent > 0/' ./$L TestReader_LateCallOfAnyEarlierRun
 mutant turn-of-epoch $L/readertoken.go 's/max\(l\.lastReaderToken, l\.Record\.Epoch\*tokensPerEpoch\)/l.lastReaderToken/' ./$L TestReaderToken_OfAnotherEpoch
 mutant turn-over $L/readers.go 's/finished: true/finished: false/' ./$L 'FinishedIsRemoved'
-mutant still-asked $L/replicate.go 's/isMember \&\& l\.options\.Idle != nil \&\& /false \&\& isMember \&\& /' $S TestSilentLinesAre
+mutant still-asked $L/replicate.go 's/isMember \&\& l\.options\.Idle != nil \&\& /false \&\& isMember \&\& /' $S TestIdleLogsAre
