--- a/internal/control/quorumread/confirmer_test.go
+++ b/internal/control/quorumread/confirmer_test.go
@@ -97,8 +97,10 @@
 			{"one is silent", map[string]apierror.Code{"c3": silent}, false},
 			{"two are silent", map[string]apierror.Code{"c2": silent, "c3": silent}, true},
 			{"all are back", nil, false},
-			{"the voter set changes", map[string]apierror.Code{"c1": changing, "c2": changing, "c3": changing}, false},
-			{"it changes and two are silent", map[string]apierror.Code{"c1": changing, "c2": silent, "c3": silent}, true},
+			{"the voter set changes",
+				map[string]apierror.Code{"c1": changing, "c2": changing, "c3": changing}, false},
+			{"it changes and two are silent",
+				map[string]apierror.Code{"c1": changing, "c2": silent, "c3": silent}, true},
 		} {
 			for _, node := range []string{"c1", "c2", "c3"} {
 				network.set(node, test.codes[node])
