--- /dev/null
+++ b/internal/membership/reachability/probe.go
@@ -0,0 +1,95 @@
+package reachability
+
+import (
+	"context"
+	"math/rand/v2"
+	"net/http"
+
+	"postjunction/internal/membership"
+	"postjunction/internal/membership/failuredetector"
+	"postjunction/internal/quorum"
+	"postjunction/internal/wire"
+)
+
+// ProbeRequest asks a peer whether it reaches the leaders.
+type ProbeRequest struct{}
+
+// ProbeResponse says so.
+type ProbeResponse struct {
+	Reachable bool `json:"w"`
+}
+
+// Probe is the call that asks for it.
+var Probe = wire.NewProcedure[ProbeRequest, ProbeResponse]("Touch", "Reach", wire.ReadOnly,
+	"the receiver looks whom it reaches")
+
+const (
+	// maxPeersAsked is how many peers of a group are asked.
+	maxPeersAsked = 8
+	// One in enoughForSelf of the leaders, so a single one, is enough for a node to keep its
+	// clients; one in enoughForPeer, so half of them, for a peer to be given more.
+	enoughForSelf = 1 << 10
+	enoughForPeer = 2
+)
+
+// Serve adds the call to mux.
+func (m *Monitor) Serve(mux *http.ServeMux) { Probe.Handle(mux, m.serveProbe) }
+
+func (m *Monitor) serveProbe(ctx context.Context, _ *ProbeRequest) (*ProbeResponse, error) {
+	if err := m.CheckServing(); err != nil {
+		return nil, err
+	}
+	answered, all := m.callLeaders(ctx, enoughForPeer)
+	return &ProbeResponse{Reachable: enoughForPeer*answered >= all}, nil
+}
+
+// callLeaders calls all leaders at once, and returns how many of how many answered, as soon as one
+// in oneIn of them did.
+func (m *Monitor) callLeaders(ctx context.Context, oneIn int) (answered, all int) {
+	ctx, cancel := context.WithTimeout(ctx, m.Timing.HedgeDelay()+m.slack())
+	defer cancel()
+	addrs := m.LeaderAddrs()
+	enough := max(1, (len(addrs)+oneIn-1)/oneIn)
+	ping := func(ctx context.Context, addr string) (*failuredetector.PingResponse, error) {
+		return failuredetector.Ping.Call(ctx, m.Net, m.Self, addr, &failuredetector.PingRequest{})
+	}
+	isEnough := func(results []quorum.Result[string, *failuredetector.PingResponse]) bool {
+		return len(quorum.Successes(results)) >= enough
+	}
+	return len(quorum.Successes(quorum.Gather(ctx, addrs, ping, isEnough))), len(addrs)
+}
+
+// reachablePeers returns the peers of the nearest group in which some say that they reach the
+// leaders: those that say so soon after the first.
+func (m *Monitor) reachablePeers(ctx context.Context) []membership.Info {
+	for _, group := range m.Peers() {
+		rand.Shuffle(len(group), func(i, j int) { group[i], group[j] = group[j], group[i] })
+		if reachable := m.probe(ctx, group[:min(len(group), maxPeersAsked)]); len(reachable) > 0 {
+			return reachable
+		}
+	}
+	return nil
+}
+
+// probe asks these peers at once, and returns those that say that they reach the leaders.
+func (m *Monitor) probe(ctx context.Context, peers []membership.Info) []membership.Info {
+	callCtx, cancel := context.WithTimeout(ctx, 2*m.Timing.HedgeDelay())
+	defer cancel()
+	results := quorum.Gather(callCtx, peers, func(ctx context.Context, peer membership.Info) (*ProbeResponse, error) {
+		response, err := Probe.Call(ctx, m.Net, m.Self, peer.PeerAddr, &ProbeRequest{})
+		if err == nil && response.Reachable {
+			go func() {
+				_ = m.Clock.Sleep(callCtx, m.Timing.InitialBackoff())
+				cancel()
+			}()
+		}
+		return response, err
+	}, nil)
+	var reachable []membership.Info
+	for _, result := range quorum.Successes(results) {
+		if result.Value.Reachable {
+			reachable = append(reachable, result.Target)
+		}
+	}
+	return reachable
+}
--- a/tools/mutations/membership-reachability.sh
+++ b/tools/mutations/membership-reachability.sh
@@ -1,2 +1,2 @@
 # Mutants of internal/membership/reachability.
-mutant sent-in-vain internal/membership/reachability/touch.go 's/if a\.A\.Well \{/if true {/' $S 'SentAwayInVain'
+mutant sent-in-vain internal/membership/reachability/probe.go 's/if result\.Value\.Reachable \{/if true {/' $S 'SentAwayInVain'
