--- a/internal/gossip/relay.go
+++ b/internal/gossip/relay.go
@@ -56,7 +56,7 @@
 }
 
 // isRelayFor reports whether self is among the few relays that serve a node: those with the highest
-// weights for it, which all nodes compute alike from the names (rendezvous hashing).
+// weights for it, which all nodes compute equally from the names (rendezvous hashing).
 func isRelayFor(self string, relays []membership.Info, node string) bool {
 	own, ahead := rendezvousWeight(self, node), 0
 	for _, relay := range relays {
