--- a/internal/placement/controller/controller.go
+++ b/internal/placement/controller/controller.go
@@ -59,7 +59,7 @@
 	goneSince map[string]time.Time
 	deafSince map[string]time.Time
 	slowSince map[string]time.Time
-	// emptySince are the storage machines that held nothing when they were first seen, until
+	// emptySince are the storage machines that were empty when they were first seen, until
 	// nothing is gone.
 	emptySince map[string]time.Time
 	// absentSince are decommissioned machines that are gone, newDiskSince those that are there with
--- a/internal/placement/controller/records.go
+++ b/internal/placement/controller/records.go
@@ -94,7 +94,7 @@
 }
 
 // refreshRecords takes in newer records that other nodes wrote, and reads those again whose
-// recovery takes long, as word of its end may have been lost.
+// recovery takes long, as the update at its end may have been lost.
 func (c *Controller) refreshRecords(ctx context.Context) {
 	for partition, record := range c.records {
 		if stored := c.Store.Record(partition); stored.Version > record.Version {
