--- a/internal/disk/journal/journal.go
+++ b/internal/disk/journal/journal.go
@@ -1,3 +1,18 @@
+// Package journal groups records from many writers into few syncs on one log, and compacts that log
+// from the state of the parts that the records are about.
+//
+// What must stay true:
+//   - Put returns nil only after its records were synced, and apply functions run in the order of
+//     the log.
+//   - Nothing that was synced is lost: a torn tail is cut only past the last synced record, a
+//     damaged log is set aside whole, and the front of the log is cut only after a compaction was
+//     synced to its end.
+//   - Urgent puts never share a write with routine ones.
+//
+// The journal owns the log; parts own their state. One goroutine, Run, does all writes, syncs and
+// compactions and calls the parts. Put, PutIn, Probe and Scrub may be called by any goroutine and
+// block until it answers or their context ends; the lock is held for short steps only, never over
+// I/O.
 package journal
 
 import (
@@ -7,12 +22,17 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
-	"postjunction/internal/disk/frame"
 	"postjunction/internal/keylock"
 	"postjunction/internal/recordtype"
 )
 
-// Record is a record to be written.
+const (
+	groupBytes = 1 << 20 // of records in one write
+	probeBytes = 4096
+)
+
+// Record is a record to be written: its type, the epoch and offset that it is about, and its
+// encoded body.
 type Record struct {
 	Kind   uint16
 	Epoch  uint64
@@ -20,15 +40,17 @@
 	Body   []byte
 }
 
-// Part is a holder of state in the journal: it takes back records at open, tells how many of them live and, at most, how many bytes their
-// bodies have, and gives the live ones in slices when the log is written anew. What puts change is seen only by the journal's own steps.
+// Part is a component whose state the journal keeps. It restores records at open, reports how many
+// of them live and, at most, how many bytes their bodies have, and returns the live ones in slices
+// when the log is compacted. The journal calls it from Open and from the goroutine of Run; what
+// puts change it learns from their apply functions.
 type Part interface {
 	Restore(r Record) error
 	LiveSize() (records int, bytes int64)
 	Slices() []Slice
 }
 
-// Counters counts the journal's work.
+// Counters counts the work of a journal since it was opened.
 type Counters struct {
 	Records     uint64 `json:"Records"`
 	Batches     uint64 `json:"Batches"`
@@ -36,7 +58,8 @@
 	Failures    uint64 `json:"Failures"`
 }
 
-// Report says what was found when the journal was opened.
+// Report says what was found when the journal was opened: how many records, how many torn ones were
+// cut off, and whether the log was set aside as damaged, and why.
 type Report struct {
 	Records uint64
 	Torn    uint64
@@ -44,158 +67,64 @@
 	Cause   error
 }
 
+// put is records of one writer. apply runs once they are durable, after whatever came of them.
 type put struct {
-	recs  []Record
-	apply func()
-	after func()
-	done  chan error
+	records []Record
+	apply   func()
+	after   func()
+	done    chan error
 }
 
-func (p put) end(err error) {
+// finish ends the put: its turn is over, then its writer learns the result.
+func (p put) finish(err error) {
 	if p.after != nil {
 		p.after()
 	}
 	p.done <- err
 }
 
-// Journal is one log with one writer; urgent puts go first.
+// Journal is one log with one writer, the goroutine of Run. Fields without a lock are used by Open
+// and that goroutine only.
 type Journal struct {
-	log    Log
-	clk    clock.Clock
-	parts  map[uint16]Part
-	order  []Part
-	mu     sync.Mutex
-	lanes  [2][]put
-	wake   chan struct{}
-	next   uint64
-	mark   uint64
-	base   uint64
-	live   uint64
-	closed bool
-	tally  Counters
-	fault  error
-	doubt  bool
-	room   room
-	anew   *anew
-	scrubs []*scrub
-	passed int
-}
-
-const (
-	groupBytes  = 1 << 20
-	minLive     = 4096
-	growth      = 4
-	frameBefore = 1
-)
-
-// Open reads the log back into its parts. A torn tail past the last synced point is cut;
-// damage before it sets the whole journal aside, so that the node comes back as a new disk.
-func Open(log Log, clk clock.Clock, kinds map[uint16]Part, order []Part) (*Journal, Report, error) {
-	j := &Journal{log: log, clk: clk, parts: kinds, order: order, wake: make(chan struct{}, 1)}
-	r, err := j.load()
-	if err != nil {
-		return nil, r, err
-	}
-	return j, r, nil
-}
-
-func (j *Journal) scan() ([]frame.Frame, uint64, uint64, error) {
-	first, last, err := j.log.Bounds()
-	if err != nil {
-		return nil, 0, 0, err
-	}
-	mark, bad := j.log.Synced(), uint64(0)
-	var cause error
-	var fs []frame.Frame
-	for i := first; i <= last; i++ {
-		b, err := j.log.Read(i)
-		var f frame.Frame
-		if err == nil {
-			f, err = frame.Decode(i, b)
-		}
-		if err != nil {
-			if apierror.HasCode(err, apierror.DiskNewer) || apierror.HasCode(err, apierror.DiskForeign) {
-				return nil, 0, 0, err
-			}
-			if bad == 0 {
-				bad, cause = i, err
-			}
-			continue
-		}
-		mark = max(mark, f.SyncedIndex)
-		if bad == 0 {
-			fs = append(fs, f)
-		}
-	}
-	if bad != 0 && bad <= mark {
-		return nil, bad, mark, apierror.Wrap(apierror.DiskDamaged, cause, "record %d is damaged though synced up to %d", bad, mark)
-	}
-	if bad == 0 && last < mark {
-		return nil, last + 1, mark, apierror.New(apierror.DiskDamaged, "the log ends at %d though synced up to %d", last, mark)
-	}
-	return fs, bad, last, nil
-}
-
-// unfinished gives where a writing anew began that did not come to its end: power was lost in it, and what it replaces still stands before it.
-func unfinished(fs []frame.Frame) int {
-	at := len(fs)
-	for i, f := range fs {
-		switch f.Kind {
-		case recordtype.CompactionBegins:
-			at = i
-		case recordtype.CompactionEnds:
-			at = len(fs)
-		}
-	}
-	return at
-}
-
-func (j *Journal) load() (Report, error) {
-	fs, bad, last, err := j.scan()
-	if apierror.HasCode(err, apierror.DiskDamaged) {
-		r := Report{Damaged: true, Cause: err}
-		if err := j.log.SetAside(); err != nil {
-			return r, err
-		}
-		_, last, err := j.log.Bounds()
-		j.next, j.mark, j.base = last+1, last, last
-		return r, err
-	}
+	log         Log
+	clock       clock.Clock
+	partsByType map[uint16]Part
+	parts       []Part
+	wake        chan struct{} // has room for one signal
+
+	nextIndex   uint64 // of the next record
+	synced      uint64 // the last index that is durable
+	compactedTo uint64 // the last index before what the last compaction left
+	liveRecords uint64 // at the last count
+	space       space
+	compaction  *compaction // nil when none is under way
+	skipped     int         // urgent writes in a row without a slice of the compaction
+
+	// mu guards the fields below; it is never held over a call to the log or to a part.
+	mu          sync.Mutex
+	queues      [2][]put // urgent, routine
+	scrubs      []*scrub
+	counters    Counters
+	failure     error
+	needsRepair bool
+	closed      bool
+}
+
+// Open reads the log back into its parts, by the types of record they keep. A torn tail past the
+// last synced record is cut; damage before it sets the whole log aside, so that the node comes back
+// as a new disk. Errors are apierror.DiskNewer and DiskForeign for logs of others, and those of the
+// log and the parts.
+func Open(log Log, clk clock.Clock, partsByType map[uint16]Part, parts []Part) (*Journal, Report, error) {
+	j := &Journal{log: log, clock: clk, partsByType: partsByType, parts: parts, wake: make(chan struct{}, 1)}
+	report, err := j.restore()
 	if err != nil {
-		return Report{Cause: err}, err
-	}
-	if k := unfinished(fs); k < len(fs) {
-		bad, fs = fs[k].Index, fs[:k]
-	}
-	r := Report{Records: uint64(len(fs))}
-	if bad != 0 {
-		r.Torn = last - bad + 1
-		if err := j.log.CutBack(bad - 1); err != nil {
-			return r, err
-		}
-		last = bad - 1
-	}
-	if err := j.log.Sync(); err != nil {
-		return r, err
-	}
-	for _, f := range fs {
-		p, ok := j.parts[f.Kind]
-		if !ok {
-			continue
-		}
-		if err := p.Restore(Record{Kind: f.Kind, Epoch: f.Epoch, Offset: f.Offset, Body: append([]byte(nil), f.Body...)}); err != nil {
-			return r, err
-		}
-	}
-	j.next, j.mark = last+1, last
-	j.base = last - uint64(len(fs))
-	for _, f := range fs {
-		j.room.used += size(len(f.Body))
+		return nil, report, err
 	}
-	return r, nil
+	return j, report, nil
 }
 
-// Run writes until ctx ends.
+// Run writes until ctx ends, and then rejects what is pending. It is called once, and is the only
+// writer of the log.
 func (j *Journal) Run(ctx context.Context) {
 	for {
 		select {
@@ -204,201 +133,58 @@
 			return
 		case <-j.wake:
 		}
-		for j.round(ctx) {
+		for j.writeRound(ctx) {
 		}
 	}
 }
 
+// stop rejects all that is pending.
 func (j *Journal) stop() {
 	j.mu.Lock()
 	j.closed = true
-	ls := j.lanes
-	j.lanes = [2][]put{}
+	queues := j.queues
+	j.queues = [2][]put{}
 	j.mu.Unlock()
 	gone := apierror.New(apierror.Stopped, "the journal was stopped")
-	for _, l := range ls {
+	for _, l := range queues {
 		for _, p := range l {
-			p.end(gone)
+			p.finish(gone)
 		}
 	}
-	j.drop(gone)
-	j.quit(gone)
+	j.endCompaction(gone)
+	j.failScrubs(gone)
 }
 
-func (j *Journal) take() ([]put, bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	var ps []put
-	n, urgent := 0, false
-	for k := range j.lanes {
-		if len(ps) > 0 {
-			break
-		}
-		for len(j.lanes[k]) > 0 && n < groupBytes {
-			p := j.lanes[k][0]
-			j.lanes[k] = j.lanes[k][1:]
-			for _, r := range p.recs {
-				n += len(r.Body) + frame.Size
-			}
-			ps = append(ps, p)
-			urgent = k == 0
-		}
-	}
-	return ps, urgent
+// Put makes records durable, then runs apply in the order of the log, then returns. When ctx ends
+// first, the records may still become durable; the error is apierror.DiskFailed then,
+// apierror.Stopped after Run ended, apierror.DiskFull where there is no space, else that of the
+// log.
+func (j *Journal) Put(ctx context.Context, urgent bool, apply func(), records ...Record) error {
+	return j.enqueue(ctx, put{records: records, apply: apply, done: make(chan error, 1)}, queueOf[urgent])
 }
 
-func (j *Journal) round(ctx context.Context) bool {
-	ps, urgent := j.take()
-	if len(ps) == 0 {
-		return j.aside() && ctx.Err() == nil
-	}
-	if ps = j.admit(ps); len(ps) == 0 {
-		return ctx.Err() == nil
-	}
-	err := j.mend()
-	if err == nil {
-		rs := j.along(urgent)
-		for _, p := range ps {
-			rs = append(rs, p.recs...)
-		}
-		err = j.commit(rs)
-	}
-	for _, p := range ps {
-		if err == nil && p.apply != nil {
-			p.apply()
-		}
-		p.end(err)
-	}
-	if err == nil {
-		j.end()
-	}
-	if err == nil && j.anew == nil && j.pays() {
-		j.begin(nil)
-	}
-	return ctx.Err() == nil
-}
-
-// pays tells whether writing anew is worth it: what lives is counted only when it looks so.
-func (j *Journal) pays() bool {
-	if !j.ripe() {
-		return false
-	}
-	j.count()
-	return j.ripe()
-}
-
-func (j *Journal) count() {
-	n, b := 0, int64(0)
-	for _, p := range j.order {
-		k, s := p.LiveSize()
-		n, b = n+k, b+s
-	}
-	j.live, j.room.live = uint64(n), b+int64(n)*size(0)
-}
-
-func (j *Journal) ripe() bool {
-	return j.next-j.base > max(minLive, growth*j.live) || j.room.grown()
+// PutIn is Put under a lock under which the records were made from the present state. The lock is
+// kept until it is known whether they stand, also where ctx ends before that: whoever has it next
+// must not go by the state before them.
+func (j *Journal) PutIn(ctx context.Context, t *keylock.Shared, urgent bool, apply func(), records ...Record) error {
+	return j.enqueue(
+		ctx, put{records: records, apply: apply, after: t.Retain(), done: make(chan error, 1)},
+		queueOf[urgent],
+	)
 }
 
-func (j *Journal) spoil(err error) {
-	j.mu.Lock()
-	j.doubt, j.fault = true, err
-	j.tally.Failures++
-	j.mu.Unlock()
-	j.drop(err)
-}
+var queueOf = map[bool]int{true: 0, false: 1}
 
-func (j *Journal) mend() error {
-	j.mu.Lock()
-	d := j.doubt
-	j.mu.Unlock()
-	if !d {
-		return nil
-	}
-	if err := j.log.Reopen(); err != nil {
-		return err
-	}
-	_, last, err := j.log.Bounds()
-	if err != nil {
-		return err
-	}
-	if last < j.mark {
-		return apierror.New(apierror.DiskDamaged, "the log ends at %d though synced up to %d", last, j.mark)
-	}
-	if last > j.mark {
-		if err := j.log.CutBack(j.mark); err != nil {
-			return err
-		}
-	}
-	for i := j.mark; i > 0 && i+frameBefore > j.mark; i-- {
-		b, err := j.log.Read(i)
-		if err != nil {
-			return err
-		}
-		if _, err := frame.Decode(i, b); err != nil {
-			return err
-		}
-	}
-	j.next = j.mark + 1
-	j.mu.Lock()
-	j.doubt = false
-	j.mu.Unlock()
-	return nil
-}
-
-func (j *Journal) commit(rs []Record) error {
-	bs := make([][]byte, len(rs))
-	for i, r := range rs {
-		bs[i] = frame.Encode(frame.Frame{Kind: r.Kind, Index: j.next + uint64(i), SyncedIndex: j.mark, Epoch: r.Epoch, Offset: r.Offset, Body: r.Body})
-	}
-	if len(bs) > 0 {
-		if err := j.log.Write(j.next, bs); err != nil {
-			j.spoil(err)
-			return err
-		}
-	}
-	if err := j.log.Sync(); err != nil {
-		j.spoil(err)
-		return err
-	}
-	j.next += uint64(len(bs))
-	j.mark = j.next - 1
-	for _, b := range bs {
-		j.room.used += size(len(b) - frame.Size)
-	}
-	j.mu.Lock()
-	if !j.room.tight {
-		j.fault = nil
-	}
-	j.tally.Records += uint64(len(bs))
-	j.tally.Batches++
-	j.mu.Unlock()
-	return nil
-}
-
-// Put makes records durable, then runs apply in the order of the log, then returns. When ctx ends first, the records may still come to stand.
-func (j *Journal) Put(ctx context.Context, urgent bool, apply func(), recs ...Record) error {
-	return j.put(ctx, put{recs: recs, apply: apply, done: make(chan error, 1)}, lane[urgent])
-}
-
-// PutIn is Put in a turn in which the records were made from what stands. The turn is kept until it is settled whether they stand, also where
-// ctx ends before that: whoever has the next turn must not go by what stood before them.
-func (j *Journal) PutIn(ctx context.Context, t *keylock.Shared, urgent bool, apply func(), recs ...Record) error {
-	return j.put(ctx, put{recs: recs, apply: apply, after: t.Retain(), done: make(chan error, 1)}, lane[urgent])
-}
-
-var lane = map[bool]int{true: 0, false: 1}
-
-func (j *Journal) put(ctx context.Context, p put, k int) error {
+func (j *Journal) enqueue(ctx context.Context, p put, queue int) error {
 	j.mu.Lock()
 	if j.closed {
 		j.mu.Unlock()
-		p.end(nil)
+		p.finish(nil)
 		return apierror.New(apierror.Stopped, "the journal was stopped")
 	}
-	j.lanes[k] = append(j.lanes[k], p)
+	j.queues[queue] = append(j.queues[queue], p)
 	j.mu.Unlock()
-	j.rouse()
+	j.signal()
 	select {
 	case err := <-p.done:
 		return err
@@ -407,30 +193,30 @@
 	}
 }
 
-func (j *Journal) rouse() {
+// signal wakes Run.
+func (j *Journal) signal() {
 	select {
 	case j.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Counters gives the counts so far.
+// Counters returns the counts so far.
 func (j *Journal) Counters() Counters {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.tally
+	return j.counters
 }
 
-// Failure gives the last failure of the disk, nil once it works again.
+// Failure returns the last failure of the disk, nil once it works again.
 func (j *Journal) Failure() error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.fault
+	return j.failure
 }
 
-const probeBytes = 4096
-
-// Probe checks that the disk takes a write and a sync; a sync alone goes through on a full disk.
+// Probe checks within limit that the disk takes a write and a sync; a sync alone succeeds on a full
+// disk.
 func (j *Journal) Probe(ctx context.Context, limit time.Duration) error {
 	ctx, stop := context.WithTimeout(ctx, limit)
 	defer stop()
--- a/internal/disk/journal/journal_test.go
+++ b/internal/disk/journal/journal_test.go
@@ -13,6 +13,7 @@
 	"postjunction/internal/disk/memlog"
 )
 
+// slowLog is a disk whose writes wait for step, and whose reads are counted.
 type slowLog struct {
 	*memlog.Disk
 	mu     sync.Mutex
@@ -22,18 +23,18 @@
 	onRead func(n int)
 }
 
-func (l *slowLog) Write(first uint64, recs [][]byte) error {
+func (l *slowLog) Write(first uint64, records [][]byte) error {
 	if l.step != nil {
 		<-l.step
 	}
 	var s []string
-	for _, r := range recs {
+	for _, r := range records {
 		s = append(s, string(r[len(r)-1:]))
 	}
 	l.mu.Lock()
 	l.writes = append(l.writes, s)
 	l.mu.Unlock()
-	return l.Disk.Write(first, recs)
+	return l.Disk.Write(first, records)
 }
 
 func (l *slowLog) Read(i uint64) ([]byte, error) {
@@ -44,7 +45,8 @@
 	return l.Disk.Read(i)
 }
 
-func boot(t *testing.T, l *slowLog) *journal.Journal {
+func start(t *testing.T, l *slowLog) *journal.Journal {
+	t.Helper()
 	j, _, err := journal.Open(l, clock.Real{}, nil, nil)
 	assert.NilError(t, err)
 	ctx, stop := context.WithCancel(context.Background())
@@ -53,16 +55,16 @@
 	return j
 }
 
-func rec(s string) journal.Record { return journal.Record{Kind: 1, Body: []byte(s)} }
+func record(s string) journal.Record { return journal.Record{Kind: 1, Body: []byte(s)} }
 
 // Urgent records share neither a write nor a sync with the routine ones that came before them.
 func TestUrgentRecordsAreWrittenAloneAndNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &slowLog{Disk: memlog.New(), step: make(chan struct{})}
-		j := boot(t, l)
+		j := start(t, l)
 		var wg sync.WaitGroup
 		put := func(urgent bool, s string) {
-			wg.Go(func() { assert.Check(t, j.Put(t.Context(), urgent, nil, rec(s))) })
+			wg.Go(func() { assert.Check(t, j.Put(t.Context(), urgent, nil, record(s))) })
 		}
 		put(false, "a")
 		synctest.Wait()
@@ -85,14 +87,14 @@
 func TestScrubLetsWritesThrough(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &slowLog{Disk: memlog.New()}
-		j := boot(t, l)
+		j := start(t, l)
 		const many = 3000
 		for range many / 100 {
-			var rs []journal.Record
+			var records []journal.Record
 			for range 100 {
-				rs = append(rs, rec("r"))
+				records = append(records, record("r"))
 			}
-			assert.NilError(t, j.Put(t.Context(), false, nil, rs...))
+			assert.NilError(t, j.Put(t.Context(), false, nil, records...))
 		}
 		at, done := 0, make(chan struct{})
 		l.onRead = func(n int) {
@@ -100,7 +102,7 @@
 				return
 			}
 			go func() {
-				_ = j.Put(t.Context(), true, func() { at = l.reads }, rec("u"))
+				_ = j.Put(t.Context(), true, func() { at = l.reads }, record("u"))
 				close(done)
 			}()
 			synctest.Wait()
@@ -114,34 +116,35 @@
 	})
 }
 
-// Before its first writing anew a journal took every record for dead: it wrote all of them again, though none could go.
-func TestWritingAnewWaitsUntilItPays(t *testing.T) {
+// Before its first compaction a journal took every record for dead: it wrote all of them again,
+// though none could go.
+func TestCompaction_WaitsUntilItPays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const most = 6000
-		s := &shelf{most: most}
-		j, _, err := journal.Open(memlog.New(), clock.Real{}, map[uint16]journal.Part{1: s}, []journal.Part{s})
+		const live = 6000
+		part := &latest{limit: live}
+		j, _, err := journal.Open(memlog.New(), clock.Real{}, map[uint16]journal.Part{1: part}, []journal.Part{part})
 		assert.NilError(t, err)
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go j.Run(ctx)
 		put := func(n int) {
 			for range n / 100 {
-				var rs []journal.Record
+				var records []journal.Record
 				for range 100 {
-					rs = append(rs, rec("r"))
+					records = append(records, record("r"))
 				}
 				assert.NilError(t, j.Put(t.Context(), false, func() {
-					for _, r := range rs {
-						s.add(r)
+					for _, r := range records {
+						part.add(r)
 					}
-				}, rs...))
+				}, records...))
 			}
 		}
-		put(most)
-		assert.Equal(t, j.Counters().Compactions, uint64(0), "all of %d records live", most)
-		put(2 * most)
+		put(live)
+		assert.Equal(t, j.Counters().Compactions, uint64(0), "all of %d records live", live)
+		put(2 * live)
 		assert.Equal(t, j.Counters().Compactions, uint64(0), "a third of the records lives")
-		put(2 * most)
+		put(2 * live)
 		synctest.Wait()
 		assert.Equal(t, j.Counters().Compactions, uint64(1))
 	})
--- a/internal/disk/journal/log.go
+++ b/internal/disk/journal/log.go
@@ -1,17 +1,27 @@
-// Package journal groups records from many writers into few syncs on one log.
 package journal
 
-// Log is the small interface behind which a disk stands.
-// Indexes are consecutive; nothing is durable before Sync returns.
+// Log is the storage of a journal: records of consecutive indexes. Nothing is durable before Sync
+// returns. One goroutine uses it at a time. Errors are those of package apierror, DiskFull,
+// DiskFailed or DiskDamaged.
 type Log interface {
-	Write(first uint64, recs [][]byte) error
+	// Write appends records from index first on.
+	Write(first uint64, records [][]byte) error
+	// Sync makes all that was written durable.
 	Sync() error
-	Read(i uint64) ([]byte, error)
+	// Read returns the record at an index.
+	Read(index uint64) ([]byte, error)
+	// Bounds returns the first and the last index; last is first-1 when the log is empty.
 	Bounds() (first, last uint64, err error)
-	CutFront(i uint64) error
-	CutBack(i uint64) error
+	// CutFront drops all records before index.
+	CutFront(index uint64) error
+	// CutBack drops all records after index.
+	CutBack(index uint64) error
+	// Synced returns the last index that is known to be synced, which may be lower than what is.
 	Synced() uint64
+	// Reopen opens the log anew after a failure.
 	Reopen() error
+	// SetAside moves a damaged log away and starts an empty one.
 	SetAside() error
+	// Close releases the files.
 	Close() error
 }
--- a/internal/disk/journal/readback_test.go
+++ b/internal/disk/journal/readback_test.go
@@ -19,16 +19,16 @@
 	recsAtOnce = 256
 )
 
-type kept struct{ recs []journal.Record }
+type allRecords struct{ recs []journal.Record }
 
-func (k *kept) Restore(r journal.Record) error {
+func (k *allRecords) Restore(r journal.Record) error {
 	k.recs = append(k.recs, r)
 	return nil
 }
 
-func (k *kept) LiveSize() (int, int64) { return len(k.recs), int64(len(k.recs)) * recBytes }
+func (k *allRecords) LiveSize() (int, int64) { return len(k.recs), int64(len(k.recs)) * recBytes }
 
-func (k *kept) Slices() []journal.Slice {
+func (k *allRecords) Slices() []journal.Slice {
 	return journal.EncodeAll(func() []journal.Record { return k.recs })
 }
 
@@ -40,13 +40,14 @@
 	return time.Duration(use.Utime.Nano() + use.Stime.Nano())
 }
 
-// BenchmarkReadBack opens a journal of 64 MiB in records of 1 KiB, as a restarted machine does; processor time a byte is what to read off.
+// BenchmarkReadBack opens a journal of 64 MiB in records of 1 KiB, as a restarted machine does;
+// processor time a byte is what to read off.
 func BenchmarkReadBack(b *testing.B) {
 	dir := b.TempDir()
-	open := func() (*walog.Log, *journal.Journal, *kept) {
+	open := func() (*walog.Log, *journal.Journal, *allRecords) {
 		l, err := walog.Open(dir)
 		assert.NilError(b, err)
-		k := &kept{}
+		k := &allRecords{}
 		j, _, err := journal.Open(l, clock.Real{}, map[uint16]journal.Part{1: k}, []journal.Part{k})
 		assert.NilError(b, err)
 		return l, j, k
@@ -55,13 +56,13 @@
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); j.Run(ctx) }()
-	var rs []journal.Record
+	var records []journal.Record
 	for range recsAtOnce {
-		rs = append(rs, journal.Record{Kind: 1, Body: make([]byte, recBytes)})
+		records = append(records, journal.Record{Kind: 1, Body: make([]byte, recBytes)})
 	}
 	before := processorTime(b)
 	for n := 0; n < diskBytes; n += recsAtOnce * recBytes {
-		assert.NilError(b, j.Put(ctx, false, func() { k.recs = append(k.recs, rs...) }, rs...))
+		assert.NilError(b, j.Put(ctx, false, func() { k.recs = append(k.recs, records...) }, records...))
 	}
 	after := processorTime(b)
 	wrote := (after - before).Seconds() * (1 << 30) / diskBytes
--- a/internal/disk/journal/room_test.go
+++ b/internal/disk/journal/space_test.go
@@ -17,21 +17,21 @@
 	"postjunction/internal/recordtype"
 )
 
-// shelf keeps the newest bodies, as many as it is told.
-type shelf struct {
-	mu   sync.Mutex
-	most int
-	recs []journal.Record
+// latest is a part that keeps the newest records, at most limit.
+type latest struct {
+	mu    sync.Mutex
+	limit int
+	recs  []journal.Record
 }
 
-// Restore takes a record back.
-func (s *shelf) Restore(r journal.Record) error {
+// Restore restores a record.
+func (s *latest) Restore(r journal.Record) error {
 	s.add(r)
 	return nil
 }
 
 // LiveSize counts the live records.
-func (s *shelf) LiveSize() (int, int64) {
+func (s *latest) LiveSize() (int, int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := int64(0)
@@ -41,38 +41,38 @@
 	return len(s.recs), n
 }
 
-// Slices gives the live records.
-func (s *shelf) Slices() []journal.Slice { return journal.EncodeAll(s.dump) }
+// Slices returns the live records.
+func (s *latest) Slices() []journal.Slice { return journal.EncodeAll(s.dump) }
 
-func (s *shelf) dump() []journal.Record {
+func (s *latest) dump() []journal.Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]journal.Record(nil), s.recs...)
 }
 
-func (s *shelf) add(r journal.Record) {
+func (s *latest) add(r journal.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.recs = append(s.recs, r)
-	s.recs = s.recs[max(0, len(s.recs)-s.most):]
+	s.recs = s.recs[max(0, len(s.recs)-s.limit):]
 }
 
-func (s *shelf) keep(n int) {
+func (s *latest) keep(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.most = n
+	s.limit = n
 	s.recs = s.recs[max(0, len(s.recs)-n):]
 }
 
-// gauged is a disk that knows how much was on it at most.
-type gauged struct {
+// peakDisk is a disk that knows the most bytes that were on it.
+type peakDisk struct {
 	*memlog.Disk
 	peak atomic.Int64
 }
 
 // Write notes how much is on the disk after it.
-func (g *gauged) Write(first uint64, recs [][]byte) error {
-	if err := g.Disk.Write(first, recs); err != nil {
+func (g *peakDisk) Write(first uint64, records [][]byte) error {
+	if err := g.Disk.Write(first, records); err != nil {
 		return err
 	}
 	f, l, err := g.Bounds()
@@ -91,16 +91,17 @@
 	return nil
 }
 
-// The journal stays inside its room, whatever is put: it writes anew long before, turns large records away when what lives takes too much, still takes small ones, and takes
-// all again by itself once less lives, across a restart too.
-func TestJournalStaysInsideItsRoom(t *testing.T) {
+// The journal stays inside its capacity, whatever is put: it compacts long before, rejects large
+// records away when what lives takes too much, still takes small ones, and takes all again by
+// itself once less lives, across a restart too.
+func TestSetCapacity_BoundsTheBytesOnDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const room, body = 1 << 20, 8 << 10
-		d, s := &gauged{Disk: memlog.New()}, &shelf{most: 10}
+		const capacity, body = 1 << 20, 8 << 10
+		d, s := &peakDisk{Disk: memlog.New()}, &latest{limit: 10}
 		open := func() (*journal.Journal, func()) {
 			j, _, err := journal.Open(d, clock.Real{}, map[uint16]journal.Part{1: s}, []journal.Part{s})
 			assert.NilError(t, err)
-			j.SetCapacity(room, time.Second)
+			j.SetCapacity(capacity, time.Second)
 			ctx, stop := context.WithCancel(t.Context())
 			go j.Run(ctx)
 			return j, stop
@@ -109,7 +110,7 @@
 		put := func(n int) error {
 			r := journal.Record{Kind: 1, Body: make([]byte, n)}
 			err := j.Put(t.Context(), false, func() { s.add(r) }, r)
-			assert.Assert(t, d.peak.Load() <= room, "%d bytes were on the disk", d.peak.Load())
+			assert.Assert(t, d.peak.Load() <= capacity, "%d bytes were on the disk", d.peak.Load())
 			return err
 		}
 		for range 1000 {
@@ -119,13 +120,16 @@
 		s.keep(1 << 20)
 		var err error
 		for k := 0; err == nil; k++ {
-			assert.Assert(t, k < room/body, "nothing was turned away")
+			assert.Assert(t, k < capacity/body, "nothing was rejected")
 			err = put(body)
 		}
 		assert.Assert(t, apierror.HasCode(err, apierror.DiskFull), "%v", err)
 		assert.Assert(t, apierror.HasCode(j.Failure(), apierror.DiskFull), "a full disk that is not told of")
 		assert.NilError(t, put(100))
-		assert.Assert(t, apierror.HasCode(j.Failure(), apierror.DiskFull), "a small record that went in does not make it well")
+		assert.Assert(
+			t, apierror.HasCode(j.Failure(), apierror.DiskFull),
+			"a small record that went in does not make it well",
+		)
 		assert.Assert(t, apierror.HasCode(j.Probe(t.Context(), time.Second), apierror.DiskFull))
 		stop()
 		synctest.Wait()
@@ -149,14 +153,18 @@
 	})
 }
 
-// Entries in small puts once filled the disk up to its last share, so that not even a partition that had left could be forgotten.
-func TestSmallEntriesLeaveRoomToForget(t *testing.T) {
+// Entries in small puts once filled the disk up to its last percents, so that not even a partition
+// that had left could be forgotten.
+func TestSetCapacity_SmallEntriesLeaveSpaceToForget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const room = 1 << 20
-		s := &shelf{most: 1 << 20}
-		j, _, err := journal.Open(memlog.New(), clock.Real{}, map[uint16]journal.Part{recordtype.Entry: s}, []journal.Part{s})
+		const capacity = 1 << 20
+		s := &latest{limit: 1 << 20}
+		j, _, err := journal.Open(
+			memlog.New(), clock.Real{}, map[uint16]journal.Part{recordtype.Entry: s},
+			[]journal.Part{s},
+		)
 		assert.NilError(t, err)
-		j.SetCapacity(room, time.Second)
+		j.SetCapacity(capacity, time.Second)
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go j.Run(ctx)
@@ -170,7 +178,10 @@
 		assert.Assert(t, apierror.HasCode(err, apierror.DiskFull), "%v", err)
 		assert.Assert(t, apierror.HasCode(j.Failure(), apierror.DiskFull))
 		for range 500 {
-			assert.NilError(t, j.Put(t.Context(), false, nil, journal.Record{Kind: recordtype.Forget, Body: make([]byte, 100)}))
+			assert.NilError(
+				t,
+				j.Put(t.Context(), false, nil, journal.Record{Kind: recordtype.Forget, Body: make([]byte, 100)}),
+			)
 		}
 		s.keep(0)
 		time.Sleep(2 * time.Second)
@@ -180,14 +191,15 @@
 	})
 }
 
-// Entries of a few bytes once went on until the disk was full, and then the record that forgets them had no room either: the disk stayed full for good.
-func TestSmallEntriesLeaveRoomForWhatForgetsThem(t *testing.T) {
+// Entries of a few bytes once went on until the disk was full, and then the record that forgets
+// them had no space either: the disk stayed full for good.
+func TestSetCapacity_TinyEntriesLeaveSpaceForForgetRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const room = 1 << 20
-		s := &shelf{most: 1 << 20}
+		const capacity = 1 << 20
+		s := &latest{limit: 1 << 20}
 		j, _, err := journal.Open(memlog.New(), clock.Real{}, map[uint16]journal.Part{1: s}, []journal.Part{s})
 		assert.NilError(t, err)
-		j.SetCapacity(room, time.Second)
+		j.SetCapacity(capacity, time.Second)
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go j.Run(ctx)
@@ -197,7 +209,7 @@
 		}
 		for _, k := range []uint16{recordtype.Entry, recordtype.Snapshot} {
 			for n := 0; err == nil; n++ {
-				assert.Assert(t, n < room/400, "nothing was turned away")
+				assert.Assert(t, n < capacity/400, "nothing was rejected")
 				err = put(k)
 			}
 			assert.Assert(t, apierror.HasCode(err, apierror.DiskFull), "%v", err)
@@ -208,7 +220,10 @@
 		}
 		s.keep(10)
 		time.Sleep(2 * time.Second)
-		assert.Assert(t, apierror.HasCode(put(recordtype.Entry), apierror.DiskFull), "it is told of until a writing anew made place")
+		assert.Assert(
+			t, apierror.HasCode(put(recordtype.Entry), apierror.DiskFull),
+			"it is told of until a compaction made place",
+		)
 		assert.NilError(t, put(recordtype.Entry))
 		assert.NilError(t, j.Failure())
 	})
--- a/internal/recordtype/recordtype.go
+++ b/internal/recordtype/recordtype.go
@@ -1,5 +1,5 @@
-// Package recordtype numbers the types of record on disk, across all packages that keep state in a journal. A number is
-// never reused or changed: data folders of older builds hold them.
+// Package recordtype numbers the types of record on disk, across all packages that keep state in a
+// journal. A number is never reused or changed: data folders of older builds hold them.
 package recordtype
 
 // The types of record.
