--- a/internal/disk/frame/frame.go
+++ b/internal/disk/frame/frame.go
@@ -8,7 +8,8 @@
 	"postjunction/internal/apierror"
 )
 
-// Format is the sequence number of the disk format: 1 had bodies in JSON, 2 has the ledger's in CBOR, and writes it anew in slices.
+// Format is the sequence number of the disk format: 1 had bodies in JSON, 2 has the ledger's in
+// CBOR, and writes it anew in slices.
 const Format = 2
 
 // Size is the length of the header.
@@ -16,7 +17,8 @@
 
 const magic = 0x706a
 
-// Frame is one record: its kind, its place in its line, the last index synced when it was written, and its body.
+// Frame is one record: its kind, its place in its line, the last index synced when it was written,
+// and its body.
 type Frame struct {
 	Kind        uint16
 	Index       uint64
@@ -26,43 +28,43 @@
 	Body        []byte
 }
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Encode gives the bytes of a frame.
-func Encode(f Frame) []byte {
-	b := make([]byte, Size+len(f.Body))
+// Encode returns the bytes of a frame.
+func Encode(frame Frame) []byte {
+	b := make([]byte, Size+len(frame.Body))
 	binary.LittleEndian.PutUint16(b[4:], magic)
 	b[6] = Format
-	b[7] = byte(f.Kind)
-	binary.LittleEndian.PutUint64(b[8:], f.Index)
-	binary.LittleEndian.PutUint64(b[16:], f.SyncedIndex)
-	binary.LittleEndian.PutUint64(b[24:], f.Epoch)
-	binary.LittleEndian.PutUint64(b[32:], f.Offset)
-	copy(b[Size:], f.Body)
+	b[7] = byte(frame.Kind)
+	binary.LittleEndian.PutUint64(b[8:], frame.Index)
+	binary.LittleEndian.PutUint64(b[16:], frame.SyncedIndex)
+	binary.LittleEndian.PutUint64(b[24:], frame.Epoch)
+	binary.LittleEndian.PutUint64(b[32:], frame.Offset)
+	copy(b[Size:], frame.Body)
 	return Seal(b)
 }
 
 // Seal writes the checksum of a packed frame.
 func Seal(b []byte) []byte {
-	binary.LittleEndian.PutUint32(b, crc32.Checksum(b[4:], table))
+	binary.LittleEndian.PutUint32(b, crc32.Checksum(b[4:], castagnoli))
 	return b
 }
 
 // Decode reads a frame and checks its sum, its format and its index.
-func Decode(i uint64, b []byte) (Frame, error) {
+func Decode(index uint64, b []byte) (Frame, error) {
 	if len(b) < Size {
-		return Frame{}, apierror.New(apierror.DiskDamaged, "record %d has %d bytes, fewer than its header", i, len(b))
+		return Frame{}, apierror.New(apierror.DiskDamaged, "record %d has %d bytes, fewer than its header", index, len(b))
 	}
-	if binary.LittleEndian.Uint32(b) != crc32.Checksum(b[4:], table) {
-		return Frame{}, apierror.New(apierror.DiskDamaged, "record %d fails its checksum", i)
+	if binary.LittleEndian.Uint32(b) != crc32.Checksum(b[4:], castagnoli) {
+		return Frame{}, apierror.New(apierror.DiskDamaged, "record %d fails its checksum", index)
 	}
 	if binary.LittleEndian.Uint16(b[4:]) != magic {
-		return Frame{}, apierror.New(apierror.DiskForeign, "record %d is not one of postjunction's", i)
+		return Frame{}, apierror.New(apierror.DiskForeign, "record %d is not one of postjunction's", index)
 	}
 	if b[6] > Format {
-		return Frame{}, apierror.New(apierror.DiskNewer, "record %d has format %d, this build knows %d", i, b[6], Format)
+		return Frame{}, apierror.New(apierror.DiskNewer, "record %d has format %d, this build knows %d", index, b[6], Format)
 	}
-	f := Frame{
+	frame := Frame{
 		Kind:        uint16(b[7]),
 		Index:       binary.LittleEndian.Uint64(b[8:]),
 		SyncedIndex: binary.LittleEndian.Uint64(b[16:]),
@@ -70,8 +72,8 @@
 		Offset:      binary.LittleEndian.Uint64(b[32:]),
 		Body:        b[Size:],
 	}
-	if f.Index != i {
-		return Frame{}, apierror.New(apierror.DiskDamaged, "record %d says that it is %d", i, f.Index)
+	if frame.Index != index {
+		return Frame{}, apierror.New(apierror.DiskDamaged, "record %d says that it is %d", index, frame.Index)
 	}
-	return f, nil
+	return frame, nil
 }
--- a/internal/disk/identity/identity.go
+++ b/internal/disk/identity/identity.go
@@ -1,4 +1,5 @@
-// Package identity is the first record of a disk: whose it is, and the random name of this incarnation.
+// Package identity is the first record of a disk: whose it is, and the random name of this
+// incarnation.
 package identity
 
 import (
@@ -22,73 +23,73 @@
 
 // Part keeps the identity in the journal.
 type Part struct {
-	mu sync.Mutex
+	mu sync.Mutex // guards id
 	id Identity
 }
 
-// Restore takes back the record.
+// Restore restores the record.
 func (p *Part) Restore(r journal.Record) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return apierror.Wrap(apierror.DiskDamaged, json.Unmarshal(r.Body, &p.id), "read the identity of the disk")
 }
 
-func (p *Part) rec(i Identity) journal.Record {
-	b, _ := json.Marshal(i)
+func (p *Part) record(id Identity) journal.Record {
+	b, _ := json.Marshal(id)
 	return journal.Record{Kind: recordtype.Identity, Body: b}
 }
 
 // LiveSize counts the record.
-func (p *Part) LiveSize() (int, int64) { return 1, int64(len(p.rec(p.Get()).Body)) }
+func (p *Part) LiveSize() (int, int64) { return 1, int64(len(p.record(p.Get()).Body)) }
 
-// Slices gives the record.
+// Slices returns the record.
 func (p *Part) Slices() []journal.Slice {
-	return journal.EncodeAll(func() []journal.Record { return []journal.Record{p.rec(p.Get())} })
+	return journal.EncodeAll(func() []journal.Record { return []journal.Record{p.record(p.Get())} })
 }
 
-// Get gives the identity.
+// Get returns the identity.
 func (p *Part) Get() Identity {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.id
 }
 
-// Check turns a disk away that belongs to another node.
+// Check rejects a disk that belongs to another node.
 func (p *Part) Check(node string) error {
-	if i := p.Get(); i.Node != "" && i.Node != node {
-		return apierror.New(apierror.DiskForeign, "the data folder is node %s's, the settings name %s", i.Node, node)
+	if id := p.Get(); id.Node != "" && id.Node != node {
+		return apierror.New(apierror.DiskForeign, "the data folder is node %s's, the settings name %s", id.Node, node)
 	}
 	return nil
 }
 
-const nameBytes = 8
+const incarnationBytes = 8
 
-// Claim names a new disk; it tells whether the disk was new.
+// Claim names a new disk; it reports whether the disk was new.
 func (p *Part) Claim(ctx context.Context, j *journal.Journal, node string) (bool, error) {
 	if p.Get().Incarnation != "" {
 		return false, nil
 	}
-	var b [nameBytes]byte
+	var b [incarnationBytes]byte
 	_, _ = rand.Read(b[:])
-	i := Identity{Node: node, Incarnation: hex.EncodeToString(b[:])}
-	return true, j.Put(ctx, true, func() { p.set(i) }, p.rec(i))
+	id := Identity{Node: node, Incarnation: hex.EncodeToString(b[:])}
+	return true, j.Put(ctx, true, func() { p.set(id) }, p.record(id))
 }
 
-func (p *Part) set(i Identity) {
+func (p *Part) set(id Identity) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.id = i
+	p.id = id
 }
 
-// Join notes the fleet that the disk is of; a disk of another fleet is turned away.
+// Join notes the fleet that the disk is of; a disk of another fleet is rejected.
 func (p *Part) Join(ctx context.Context, j *journal.Journal, fleet string) error {
-	i := p.Get()
-	if i.Fleet == fleet {
+	id := p.Get()
+	if id.Fleet == fleet {
 		return nil
 	}
-	if i.Fleet != "" {
-		return apierror.New(apierror.DiskForeign, "the data folder is of fleet %s, this fleet is %s", i.Fleet, fleet)
+	if id.Fleet != "" {
+		return apierror.New(apierror.DiskForeign, "the data folder is of fleet %s, this fleet is %s", id.Fleet, fleet)
 	}
-	i.Fleet = fleet
-	return j.Put(ctx, true, func() { p.set(i) }, p.rec(i))
+	id.Fleet = fleet
+	return j.Put(ctx, true, func() { p.set(id) }, p.record(id))
 }
--- a/internal/disk/journal/compact.go
+++ b/internal/disk/journal/compact.go
@@ -11,7 +11,7 @@
 )
 
 // Slice returns some of a part's live records as they are now, and whether more are to come.
-// Restored after all that the log held when it was taken, a slice changes nothing; restored after
+// Restored after all that the log held when it was accepted, a slice changes nothing; restored after
 // only what the log got since the compaction began, all slices make the part complete.
 type Slice func() (records []Record, more bool)
 
--- a/internal/disk/memlog/memlog.go
+++ b/internal/disk/memlog/memlog.go
@@ -1,4 +1,5 @@
-// Package memlog is a disk of the simulator: it forgets what was not synced, tears tails, fills up, rots and is wiped.
+// Package memlog is a disk of the simulator: it forgets what was not synced, tears tails, fills up,
+// rots and is wiped.
 package memlog
 
 import (
@@ -9,14 +10,14 @@
 
 // Disk outlives the logs that are opened on it.
 type Disk struct {
-	mu    sync.Mutex
-	first uint64
-	recs  [][]byte
-	sync  uint64
-	full  bool
-	syncs uint64
-	wrote uint64
-	aside int
+	mu       sync.Mutex
+	first    uint64
+	records  [][]byte
+	synced   uint64
+	full     bool
+	syncs    uint64
+	writes   uint64
+	setAside int
 }
 
 // New makes an empty disk.
@@ -33,38 +34,39 @@
 func (d *Disk) LosePower(torn bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	k := int(d.sync + 1 - d.first)
-	if k < 0 || k >= len(d.recs) {
+	unsynced := int(d.synced + 1 - d.first)
+	if unsynced < 0 || unsynced >= len(d.records) {
 		return
 	}
-	half := append([]byte(nil), d.recs[k]...)
-	d.recs = d.recs[:k]
+	half := append([]byte(nil), d.records[unsynced]...)
+	d.records = d.records[:unsynced]
 	if torn {
 		for i := len(half) / 2; i < len(half); i++ {
 			half[i] = 0
 		}
-		d.recs = append(d.recs, half)
+		d.records = append(d.records, half)
 	}
 }
 
-// Copy gives a disk with the same contents.
+// Copy returns a disk with the same contents.
 func (d *Disk) Copy() *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return &Disk{first: d.first, recs: append([][]byte(nil), d.recs...), sync: d.sync}
+	return &Disk{first: d.first, records: append([][]byte(nil), d.records...), synced: d.synced}
 }
 
-// Unsynced gives how many records are written but not synced.
+// Unsynced returns how many records are written but not synced.
 func (d *Disk) Unsynced() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return max(0, len(d.recs)-int(d.sync+1-d.first))
+	return max(0, len(d.records)-int(d.synced+1-d.first))
 }
 
-// LosePowerAfter drops what was not synced but for the first keep records; torn leaves the next one half written.
+// LosePowerAfter drops what was not synced but for the first keep records; torn leaves the next one
+// half written.
 func (d *Disk) LosePowerAfter(keep int, torn bool) {
 	d.mu.Lock()
-	d.sync += uint64(keep)
+	d.synced += uint64(keep)
 	d.mu.Unlock()
 	d.LosePower(torn)
 }
@@ -73,47 +75,47 @@
 func (d *Disk) Wipe() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.first, d.recs, d.sync = 1, nil, 0
+	d.first, d.records, d.synced = 1, nil, 0
 }
 
 // Rot flips one bit in a record, counted from the last one back.
 func (d *Disk) Rot(back int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	k := len(d.recs) - 1 - back
-	if k < 0 {
+	at := len(d.records) - 1 - back
+	if at < 0 {
 		return false
 	}
-	b := append([]byte(nil), d.recs[k]...)
+	b := append([]byte(nil), d.records[at]...)
 	b[len(b)/2] ^= 1
-	d.recs[k] = b
+	d.records[at] = b
 	return true
 }
 
-// Counts gives how many records were written and how many syncs were made.
+// Counts returns how many records were written and how many syncs were made.
 func (d *Disk) Counts() (wrote, syncs, aside uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.wrote, d.syncs, uint64(d.aside)
+	return d.writes, d.syncs, uint64(d.setAside)
 }
 
 // Write appends records.
-func (d *Disk) Write(first uint64, recs [][]byte) error {
+func (d *Disk) Write(first uint64, records [][]byte) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.full {
-		if first == d.first+uint64(len(d.recs)) && len(recs) > 0 {
-			d.recs = append(d.recs, recs[0][:len(recs[0])/2])
+		if first == d.first+uint64(len(d.records)) && len(records) > 0 {
+			d.records = append(d.records, records[0][:len(records[0])/2])
 		}
 		return apierror.New(apierror.DiskFull, "no space is left on the simulated disk")
 	}
-	if first != d.first+uint64(len(d.recs)) {
-		return apierror.New(apierror.DiskFailed, "index %d does not follow %d", first, d.first+uint64(len(d.recs))-1)
+	if first != d.first+uint64(len(d.records)) {
+		return apierror.New(apierror.DiskFailed, "index %d does not follow %d", first, d.first+uint64(len(d.records))-1)
 	}
-	for _, r := range recs {
-		d.recs = append(d.recs, append([]byte(nil), r...))
+	for _, record := range records {
+		d.records = append(d.records, append([]byte(nil), record...))
 	}
-	d.wrote += uint64(len(recs))
+	d.writes += uint64(len(records))
 	return nil
 }
 
@@ -121,55 +123,55 @@
 func (d *Disk) Sync() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.sync = d.first + uint64(len(d.recs)) - 1
+	d.synced = d.first + uint64(len(d.records)) - 1
 	d.syncs++
 	return nil
 }
 
-// Read gives a record.
-func (d *Disk) Read(i uint64) ([]byte, error) {
+// Read returns a record.
+func (d *Disk) Read(index uint64) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if i < d.first || i >= d.first+uint64(len(d.recs)) {
-		return nil, apierror.New(apierror.OutOfRange, "record %d is not on the disk", i)
+	if index < d.first || index >= d.first+uint64(len(d.records)) {
+		return nil, apierror.New(apierror.OutOfRange, "record %d is not on the disk", index)
 	}
-	return d.recs[i-d.first], nil
+	return d.records[index-d.first], nil
 }
 
-// Bounds gives the first and last index.
+// Bounds returns the first and last index.
 func (d *Disk) Bounds() (uint64, uint64, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.first, d.first + uint64(len(d.recs)) - 1, nil
+	return d.first, d.first + uint64(len(d.records)) - 1, nil
 }
 
 // CutFront drops all records before i.
-func (d *Disk) CutFront(i uint64) error {
+func (d *Disk) CutFront(index uint64) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if i > d.first {
-		d.recs = append([][]byte(nil), d.recs[i-d.first:]...)
-		d.first = i
+	if index > d.first {
+		d.records = append([][]byte(nil), d.records[index-d.first:]...)
+		d.first = index
 	}
 	return nil
 }
 
 // CutBack drops all records after i.
-func (d *Disk) CutBack(i uint64) error {
+func (d *Disk) CutBack(index uint64) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.recs = d.recs[:i+1-d.first]
-	if d.sync > i {
-		d.sync = i
+	d.records = d.records[:index+1-d.first]
+	if d.synced > index {
+		d.synced = index
 	}
 	return nil
 }
 
-// Synced gives the last synced index.
+// Synced returns the last synced index.
 func (d *Disk) Synced() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.sync
+	return d.synced
 }
 
 // Reopen changes nothing.
@@ -180,7 +182,7 @@
 	d.Wipe()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.aside++
+	d.setAside++
 	return nil
 }
 
--- a/internal/disk/walog/walog.go
+++ b/internal/disk/walog/walog.go
@@ -1,4 +1,8 @@
-// Package walog keeps a journal's log on disk with tidwall/wal.
+// Package walog keeps the log of a journal on disk with tidwall/wal.
+//
+// What must stay true: nothing counts as synced, in the side file too, before its segment and the
+// folders that list it were synced; a short last record is cut off, any other damage is reported. A
+// Log is used by one goroutine at a time.
 package walog
 
 import (
@@ -18,32 +22,33 @@
 
 // Log is one tidwall/wal folder with a side file that notes the last synced index.
 type Log struct {
-	dir  string
-	log  *wal.Log
-	note *os.File
-	mark uint64
-	held int
-	// tail is the most that the last segment can hold: a new one may have begun once it reaches a segment.
-	tail int
+	dir          string
+	log          *wal.Log
+	syncedFile   *os.File
+	synced       uint64
+	segmentCount int
+	// maxTail is the most that the last segment can hold: a new one may have begun once it reaches
+	// a segment.
+	maxTail int
 }
 
 const (
-	notePlaces = 24
-	segment    = 1 << 20
-	prefix     = binary.MaxVarintLen64
+	syncedFileBytes = 24
+	segmentBytes    = 1 << 20
+	lengthBytes     = binary.MaxVarintLen64
 )
 
-var byErrno = map[syscall.Errno]apierror.Code{
+var codeByErrno = map[syscall.Errno]apierror.Code{
 	syscall.ENOSPC: apierror.DiskFull,
 	syscall.EDQUOT: apierror.DiskFull,
 	syscall.EFBIG:  apierror.DiskFull,
 }
 
-func kindOf(err error) apierror.Code {
-	var n syscall.Errno
-	if errors.As(err, &n) {
-		if k, ok := byErrno[n]; ok {
-			return k
+func codeOf(err error) apierror.Code {
+	var errno syscall.Errno
+	if errors.As(err, &errno) {
+		if code, ok := codeByErrno[errno]; ok {
+			return code
 		}
 	}
 	if errors.Is(err, wal.ErrCorrupt) {
@@ -52,7 +57,7 @@
 	return apierror.DiskFailed
 }
 
-func wrap(err error, say string) error { return apierror.Wrap(kindOf(err), err, "%s", say) }
+func wrap(err error, action string) error { return apierror.Wrap(codeOf(err), err, "%s", action) }
 
 // Open opens or makes the log in dir, cutting a short last record.
 func Open(dir string) (*Log, error) {
@@ -71,24 +76,24 @@
 	if err := cutShortTail(l.path()); err != nil {
 		return wrap(err, "look for a short last record")
 	}
-	g, err := wal.Open(l.path(), &wal.Options{NoSync: true, SegmentSize: segment, SegmentCacheSize: 1, AllowEmpty: true, DirPerms: 0o750, FilePerms: 0o640})
+	opened, err := wal.Open(l.path(), &wal.Options{NoSync: true, SegmentSize: segmentBytes, SegmentCacheSize: 1, AllowEmpty: true, DirPerms: 0o750, FilePerms: 0o640})
 	if err != nil {
 		return wrap(err, "open the journal")
 	}
-	l.log, l.held, l.tail = g, 0, segment
-	n, err := os.OpenFile(filepath.Join(l.dir, "synced"), os.O_CREATE|os.O_RDWR, 0o640)
+	l.log, l.segmentCount, l.maxTail = opened, 0, segmentBytes
+	file, err := os.OpenFile(filepath.Join(l.dir, "synced"), os.O_CREATE|os.O_RDWR, 0o640)
 	if err != nil {
 		return wrap(err, "open the note of the last sync")
 	}
-	l.note = n
-	b := make([]byte, notePlaces)
-	if k, _ := n.ReadAt(b, 0); k > 0 {
-		l.mark, _ = strconv.ParseUint(string(trim(b[:k])), 10, 64)
+	l.syncedFile = file
+	b := make([]byte, syncedFileBytes)
+	if length, _ := file.ReadAt(b, 0); length > 0 {
+		l.synced, _ = strconv.ParseUint(string(leadingDigits(b[:length])), 10, 64)
 	}
 	return l.syncFolders()
 }
 
-func trim(b []byte) []byte {
+func leadingDigits(b []byte) []byte {
 	for i, c := range b {
 		if c < '0' || c > '9' {
 			return b[:i]
@@ -98,13 +103,13 @@
 }
 
 func (l *Log) syncFolders() error {
-	for _, d := range []string{l.path(), l.dir} {
-		f, err := os.Open(d)
+	for _, folder := range []string{l.path(), l.dir} {
+		file, err := os.Open(folder)
 		if err != nil {
 			return wrap(err, "open a folder to sync it")
 		}
-		err = f.Sync()
-		_ = f.Close()
+		err = file.Sync()
+		_ = file.Close()
 		if err != nil {
 			return wrap(err, "sync a folder")
 		}
@@ -113,52 +118,52 @@
 }
 
 func segments(dir string) ([]string, error) {
-	es, err := os.ReadDir(dir)
+	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, err
 	}
-	var s []string
-	for _, e := range es {
-		if len(e.Name()) == 20 {
-			s = append(s, filepath.Join(dir, e.Name()))
+	var paths []string
+	for _, entry := range entries {
+		if len(entry.Name()) == 20 {
+			paths = append(paths, filepath.Join(dir, entry.Name()))
 		}
 	}
-	sort.Strings(s)
-	return s, nil
+	sort.Strings(paths)
+	return paths, nil
 }
 
 func cutShortTail(dir string) error {
-	s, err := segments(dir)
-	if err != nil || len(s) == 0 {
+	paths, err := segments(dir)
+	if err != nil || len(paths) == 0 {
 		return err
 	}
-	p := s[len(s)-1]
-	b, err := os.ReadFile(p)
+	path := paths[len(paths)-1]
+	b, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	at := 0
-	for at < len(b) {
-		n, k := binary.Uvarint(b[at:])
-		if k <= 0 || n > uint64(len(b)-at-k) {
-			return os.Truncate(p, int64(at))
+	offset := 0
+	for offset < len(b) {
+		length, prefix := binary.Uvarint(b[offset:])
+		if prefix <= 0 || length > uint64(len(b)-offset-prefix) {
+			return os.Truncate(path, int64(offset))
 		}
-		at += k + int(n)
+		offset += prefix + int(length)
 	}
 	return nil
 }
 
 // Write appends records from index first on; they are not durable yet.
-func (l *Log) Write(first uint64, recs [][]byte) error {
+func (l *Log) Write(first uint64, records [][]byte) error {
 	if l.log == nil {
 		return apierror.New(apierror.DiskFailed, "the journal is closed")
 	}
-	var b wal.Batch
-	for i, r := range recs {
-		b.Write(first+uint64(i), r)
-		l.tail += len(r) + prefix
+	var batch wal.Batch
+	for i, record := range records {
+		batch.Write(first+uint64(i), record)
+		l.maxTail += len(record) + lengthBytes
 	}
-	return wrap(l.log.WriteBatch(&b), "write to the journal")
+	return wrap(l.log.WriteBatch(&batch), "write to the journal")
 }
 
 // Sync makes all that was written durable, folder entries of new segments included.
@@ -169,78 +174,78 @@
 	if err := l.log.Sync(); err != nil {
 		return wrap(err, "sync the journal")
 	}
-	if err := l.syncNew(); err != nil {
+	if err := l.syncNewSegments(); err != nil {
 		return err
 	}
 	_, last, err := l.Bounds()
 	if err != nil {
 		return err
 	}
-	l.mark = last
-	_, _ = l.note.WriteAt([]byte(fmt.Sprintf("%020d\n", last)), 0)
+	l.synced = last
+	_, _ = l.syncedFile.WriteAt([]byte(fmt.Sprintf("%020d\n", last)), 0)
 	return nil
 }
 
-func (l *Log) syncNew() error {
-	if l.tail < segment {
+func (l *Log) syncNewSegments() error {
+	if l.maxTail < segmentBytes {
 		return nil
 	}
-	s, err := segments(l.path())
+	paths, err := segments(l.path())
 	if err != nil {
 		return wrap(err, "list the segments")
 	}
-	if len(s) != l.held {
+	if len(paths) != l.segmentCount {
 		if err := l.syncFolders(); err != nil {
 			return err
 		}
 	}
-	l.held, l.tail = len(s), 0
-	if len(s) > 0 {
-		i, err := os.Stat(s[len(s)-1])
+	l.segmentCount, l.maxTail = len(paths), 0
+	if len(paths) > 0 {
+		info, err := os.Stat(paths[len(paths)-1])
 		if err != nil {
 			return wrap(err, "look at the last segment")
 		}
-		l.tail = int(i.Size())
+		l.maxTail = int(info.Size())
 	}
 	return nil
 }
 
-// Read gives the record at an index.
-func (l *Log) Read(i uint64) ([]byte, error) {
-	b, err := l.log.Read(i)
+// Read returns the record at an index.
+func (l *Log) Read(index uint64) ([]byte, error) {
+	b, err := l.log.Read(index)
 	return b, wrap(err, "read from the journal")
 }
 
-// Bounds gives the first and last index; last is first-1 when the log is empty.
+// Bounds returns the first and last index; last is first-1 when the log is empty.
 func (l *Log) Bounds() (uint64, uint64, error) {
-	f, err := l.log.FirstIndex()
+	first, err := l.log.FirstIndex()
 	if err != nil {
 		return 0, 0, wrap(err, "read the first index")
 	}
-	n, err := l.log.LastIndex()
-	return f, n, wrap(err, "read the last index")
+	last, err := l.log.LastIndex()
+	return first, last, wrap(err, "read the last index")
 }
 
 // CutFront drops all records before i.
-func (l *Log) CutFront(i uint64) error {
-	if err := l.log.TruncateFront(i); err != nil {
+func (l *Log) CutFront(index uint64) error {
+	if err := l.log.TruncateFront(index); err != nil {
 		return wrap(err, "cut the front of the journal")
 	}
-	l.tail = segment
+	l.maxTail = segmentBytes
 	return l.syncFolders()
 }
 
 // CutBack drops all records after i.
-func (l *Log) CutBack(i uint64) error {
-	if err := l.log.TruncateBack(i); err != nil {
+func (l *Log) CutBack(index uint64) error {
+	if err := l.log.TruncateBack(index); err != nil {
 		return wrap(err, "cut the back of the journal")
 	}
-	l.tail = segment
+	l.maxTail = segmentBytes
 	return l.syncFolders()
 }
 
-// Synced gives the last index that was noted as synced.
-func (l *Log) Synced() uint64 { return l.mark }
+// Synced returns the last index that was noted as synced.
+func (l *Log) Synced() uint64 { return l.synced }
 
 // SetAside moves a damaged journal away and starts an empty one.
 func (l *Log) SetAside() error {
@@ -256,20 +261,20 @@
 		break
 	}
 	_ = os.Remove(filepath.Join(l.dir, "synced"))
-	l.mark = 0
+	l.synced = 0
 	return l.Reopen()
 }
 
-// Close lets go of the files.
+// Close releases the files.
 func (l *Log) Close() error {
 	var err error
 	if l.log != nil {
 		err = l.log.Close()
 		l.log = nil
 	}
-	if l.note != nil {
-		_ = l.note.Close()
-		l.note = nil
+	if l.syncedFile != nil {
+		_ = l.syncedFile.Close()
+		l.syncedFile = nil
 	}
 	return wrap(err, "close the journal")
 }
