--- a/internal/partitionlog/log/entry.go
+++ b/internal/partitionlog/log/entry.go
@@ -7,10 +7,10 @@
 	"encoding/hex"
 )
 
-// Kind names the two lines of a partition.
+// Kind names the two logs of a partition.
 type Kind string
 
-// The lines: the ledger is the partition's input, the changelog that of its state.
+// The logs: the ledger is the partition's input, the changelog that of its state.
 const (
 	KindLedger    Kind = "ledger"
 	KindChangelog Kind = "changelog"
@@ -19,7 +19,7 @@
 // Kinds lists both.
 var Kinds = []Kind{KindLedger, KindChangelog}
 
-// ID names a line.
+// ID names a log.
 type ID struct {
 	Partition int  `json:"p"`
 	Kind      Kind `json:"k"`
@@ -37,7 +37,8 @@
 	TypeOffset     = "offset"
 )
 
-// Entry is one decision: what was taken from whom, where it stands, and under which epoch and description.
+// Entry is one decision: what was accepted from whom, at which offset, and under which epoch and
+// configuration.
 type Entry struct {
 	Offset        uint64 `json:"o"`
 	Epoch         uint64 `json:"e"`
@@ -55,32 +56,32 @@
 	Body          []byte `json:"b,omitempty"`
 }
 
-// Digest gives the name of a body.
+// Digest returns the name of a body.
 func Digest(b []byte) string {
-	h := sha256.Sum256(b)
-	return hex.EncodeToString(h[:12])
+	sum := sha256.Sum256(b)
+	return hex.EncodeToString(sum[:12])
 }
 
-// NextChain gives the running checksum of a line after e, from the one before it.
-func NextChain(before uint64, e Entry) uint64 {
-	var room [linkRoom]byte
-	b := room[:0]
-	for _, x := range [...]uint64{before, e.Offset, e.Epoch, e.CallSeq, e.Generation, e.Configuration, uint64(len(e.Topic)), uint64(len(e.Client))} {
-		b = binary.LittleEndian.AppendUint64(b, x)
+// NextChain returns the running checksum of a log after e, from the one before it.
+func NextChain(before uint64, entry Entry) uint64 {
+	var buffer [chainBytes]byte
+	b := buffer[:0]
+	for _, number := range [...]uint64{before, entry.Offset, entry.Epoch, entry.CallSeq, entry.Generation, entry.Configuration, uint64(len(entry.Topic)), uint64(len(entry.Client))} {
+		b = binary.LittleEndian.AppendUint64(b, number)
 	}
-	for _, s := range [...]string{e.Type, "\x00", e.Topic, e.Client, e.Digest} {
-		b = append(b, s...)
+	for _, text := range [...]string{entry.Type, "\x00", entry.Topic, entry.Client, entry.Digest} {
+		b = append(b, text...)
 	}
-	if e.Key != "" {
-		b = append(append(b, 0), e.Key...)
+	if entry.Key != "" {
+		b = append(append(b, 0), entry.Key...)
 	}
-	h := sha256.Sum256(b)
-	return binary.LittleEndian.Uint64(h[:])
+	sum := sha256.Sum256(b)
+	return binary.LittleEndian.Uint64(sum[:])
 }
 
-const linkRoom = 256
+const chainBytes = 256
 
-// Position is a place in a line; equal points have equal lines up to them.
+// Position is a place in a log; logs that have the same position are the same up to it.
 type Position struct {
 	Offset uint64 `json:"o"`
 	Epoch  uint64 `json:"e"`
@@ -88,17 +89,17 @@
 }
 
 // Less orders tails: the higher epoch of the last entry, then the higher offset.
-func (p Position) Less(q Position) bool {
-	if p.Epoch != q.Epoch {
-		return p.Epoch < q.Epoch
+func (p Position) Less(other Position) bool {
+	if p.Epoch != other.Epoch {
+		return p.Epoch < other.Epoch
 	}
-	return p.Offset < q.Offset
+	return p.Offset < other.Offset
 }
 
-// Position gives the point of an entry.
+// Position returns the position of an entry.
 func (e Entry) Position() Position { return Position{e.Offset, e.Epoch, e.Chain} }
 
-// Valid tells whether an entry's body and chain are what they say, after a point.
+// Valid reports whether an entry's body and chain are what they say, after a position.
 func (e Entry) Valid(after Position) bool {
 	if !e.BodyDropped && e.Digest != Digest(e.Body) {
 		return false
--- a/internal/partitionlog/log/log.go
+++ b/internal/partitionlog/log/log.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Log holds the synced entries after a base.
+// Log holds the synced entries after a base. mu guards all its fields.
 type Log struct {
-	mu     sync.Mutex
-	base   Position
-	es     []Entry
-	at     []time.Time
-	commit uint64
+	mu      sync.Mutex
+	base    Position
+	entries []Entry
+	arrived []time.Time
+	commit  uint64
 }
 
-// New makes an empty line.
+// New makes an empty log.
 func New() *Log { return &Log{} }
 
-// Base gives the point before the first entry held.
+// Base returns the position before the first entry held.
 func (l *Log) Base() Position {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.base
 }
 
-// Last gives the point of the last entry.
+// Last returns the position of the last entry.
 func (l *Log) Last() Position {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -32,156 +32,157 @@
 }
 
 func (l *Log) last() Position {
-	if len(l.es) == 0 {
+	if len(l.entries) == 0 {
 		return l.base
 	}
-	return l.es[len(l.es)-1].Position()
+	return l.entries[len(l.entries)-1].Position()
 }
 
-// Position gives the point at an offset, if held.
-func (l *Log) Position(o uint64) (Position, bool) {
+// Position returns the position at an offset, if it is held.
+func (l *Log) Position(offset uint64) (Position, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if o == l.base.Offset {
+	if offset == l.base.Offset {
 		return l.base, true
 	}
-	if o < l.base.Offset || o > l.last().Offset {
+	if offset < l.base.Offset || offset > l.last().Offset {
 		return Position{}, false
 	}
-	return l.es[o-l.base.Offset-1].Position(), true
+	return l.entries[offset-l.base.Offset-1].Position(), true
 }
 
-// Slice gives entries from an offset on, bounded by a number and by bytes.
-func (l *Log) Slice(from, to uint64, most, bytes int) []Entry {
+// Slice returns entries from an offset on, bounded by a number and by bytes.
+func (l *Log) Slice(from, to uint64, limit, bytes int) []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if from <= l.base.Offset {
 		from = l.base.Offset + 1
 	}
 	to = min(to, l.last().Offset)
-	var r []Entry
-	for o := from; o <= to && len(r) < most && bytes > 0; o++ {
-		e := l.es[o-l.base.Offset-1]
-		bytes -= len(e.Body) + entryCost
-		r = append(r, e)
+	var result []Entry
+	for offset := from; offset <= to && len(result) < limit && bytes > 0; offset++ {
+		entry := l.entries[offset-l.base.Offset-1]
+		bytes -= len(entry.Body) + entryOverhead
+		result = append(result, entry)
 	}
-	return r
+	return result
 }
 
-const entryCost = 128
+const entryOverhead = 128
 
-// Append adds entries after the last one; those at offsets held already replace the line from there.
-func (l *Log) Append(now time.Time, es ...Entry) {
+// Append adds entries after the last one; those at offsets held already replace the log from there.
+func (l *Log) Append(now time.Time, entries ...Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, e := range es {
-		if e.Offset <= l.base.Offset {
+	for _, entry := range entries {
+		if entry.Offset <= l.base.Offset {
 			continue
 		}
-		k := int(e.Offset - l.base.Offset - 1)
-		if k < len(l.es) {
-			if l.es[k].Chain == e.Chain {
+		index := int(entry.Offset - l.base.Offset - 1)
+		if index < len(l.entries) {
+			if l.entries[index].Chain == entry.Chain {
 				continue
 			}
-			l.es, l.at = l.es[:k], l.at[:k]
+			l.entries, l.arrived = l.entries[:index], l.arrived[:index]
 		}
-		if k > len(l.es) {
+		if index > len(l.entries) {
 			return
 		}
-		l.es, l.at = append(l.es, e), append(l.at, now)
+		l.entries, l.arrived = append(l.entries, entry), append(l.arrived, now)
 	}
 }
 
 // TruncateAfter drops entries after an offset.
-func (l *Log) TruncateAfter(o uint64) {
+func (l *Log) TruncateAfter(offset uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if o < l.base.Offset {
+	if offset < l.base.Offset {
 		return
 	}
-	if k := int(o - l.base.Offset); k < len(l.es) {
-		l.es, l.at = l.es[:k], l.at[:k]
+	if count := int(offset - l.base.Offset); count < len(l.entries) {
+		l.entries, l.arrived = l.entries[:count], l.arrived[:count]
 	}
-	l.commit = min(l.commit, o)
+	l.commit = min(l.commit, offset)
 }
 
-// TrimTo drops entries up to p, or begins an empty line there. A base never goes back, and a line that
-// does not hold p stays as it is.
-func (l *Log) TrimTo(p Position) {
+// TrimTo drops entries up to a position, or begins an empty log there. A base never goes back, and
+// a log that does not hold it stays as it is.
+func (l *Log) TrimTo(position Position) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.es) == 0 && l.base == (Position{}) {
-		l.base = p
+	if len(l.entries) == 0 && l.base == (Position{}) {
+		l.base = position
 		return
 	}
-	if p.Offset <= l.base.Offset || p.Offset > l.last().Offset {
+	if position.Offset <= l.base.Offset || position.Offset > l.last().Offset {
 		return
 	}
-	k := int(p.Offset - l.base.Offset)
-	if l.es[k-1].Position() == p {
-		l.es = append([]Entry(nil), l.es[k:]...)
-		l.at = append([]time.Time(nil), l.at[k:]...)
-		l.base = p
+	count := int(position.Offset - l.base.Offset)
+	if l.entries[count-1].Position() == position {
+		l.entries = append([]Entry(nil), l.entries[count:]...)
+		l.arrived = append([]time.Time(nil), l.arrived[count:]...)
+		l.base = position
 	}
 }
 
-// Commit gives the last offset known to be on a majority.
+// Commit returns the last offset known to be on a majority.
 func (l *Log) Commit() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return min(l.commit, l.last().Offset)
 }
 
-// SetCommit raises the commit mark.
-func (l *Log) SetCommit(o uint64) {
+// SetCommit raises the commit offset.
+func (l *Log) SetCommit(offset uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.commit = max(l.commit, o)
+	l.commit = max(l.commit, offset)
 }
 
-// LastBefore gives the last offset that came before t.
+// LastBefore returns the last offset that arrived before t.
 func (l *Log) LastBefore(t time.Time) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	o := l.base.Offset
-	for _, a := range l.at {
-		if !a.Before(t) {
+	offset := l.base.Offset
+	for _, arrived := range l.arrived {
+		if !arrived.Before(t) {
 			break
 		}
-		o++
+		offset++
 	}
-	return o
+	return offset
 }
 
-// DropLiveBodies drops the bodies of live entries that came before t.
+// DropLiveBodies drops the bodies of live entries that arrived before t.
 func (l *Log) DropLiveBodies(t time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for i, a := range l.at {
-		if !a.Before(t) {
+	for i, arrived := range l.arrived {
+		if !arrived.Before(t) {
 			return
 		}
-		if e := &l.es[i]; e.Live && !e.BodyDropped {
-			e.Body, e.BodyDropped = nil, true
+		if entry := &l.entries[i]; entry.Live && !entry.BodyDropped {
+			entry.Body, entry.BodyDropped = nil, true
 		}
 	}
 }
 
-// Len gives the number of entries held.
+// Len returns the number of entries held.
 func (l *Log) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.es)
+	return len(l.entries)
 }
 
-// Size gives the number of entries held and the bytes that they bring along: bodies, topics and visitors.
+// Size returns the number of entries held and the bytes that they bring along: bodies, topics and
+// client names.
 func (l *Log) Size() (int, int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	n := 0
-	for i := range l.es {
-		e := &l.es[i]
-		n += len(e.Body) + len(e.Topic) + len(e.Client)
+	bytes := 0
+	for i := range l.entries {
+		entry := &l.entries[i]
+		bytes += len(entry.Body) + len(entry.Topic) + len(entry.Client)
 	}
-	return len(l.es), int64(n)
+	return len(l.entries), int64(bytes)
 }
--- a/tools/mutations/partitionlog-log.sh
+++ b/tools/mutations/partitionlog-log.sh
@@ -1,2 +1,2 @@
 # Mutants of internal/partitionlog/log.
-mutant base-not-back internal/partitionlog/log/line.go 's/if p.Offset <= l.base.Offset \|\| p.Offset > l.last\(\).Offset \{\n\t\treturn/if p.Offset <= l.base.Offset || p.Offset > l.last().Offset {\n\t\tl.base, l.es, l.at = p, nil, nil\n\t\treturn/' ./internal/partitionlog/log 'Base'
+mutant base-not-back internal/partitionlog/log/log.go 's/if position.Offset <= l.base.Offset \|\| position.Offset > l.last\(\).Offset \{\n\t\treturn/if position.Offset <= l.base.Offset || position.Offset > l.last().Offset {\n\t\tl.base, l.entries, l.arrived = position, nil, nil\n\t\treturn/' ./internal/partitionlog/log 'Base'
