--- a/internal/partitionlog/replica/calls.go
+++ b/internal/partitionlog/replica/calls.go
@@ -1,4 +1,8 @@
-// Package replica holds the lines of all partitions on one disk and refuses lower epochs durably.
+// Package replica holds the logs of all partitions on one disk and rejects lower epochs durably.
+//
+// What must stay true: once a seal or an append under an epoch was answered, calls under lower ones
+// are rejected, across restarts too; entries are answered only once they are synced; what a caller
+// does not see as done may still be done.
 package replica
 
 import (
@@ -13,25 +17,25 @@
 	Epoch       uint64 `json:"e"`
 }
 
-// SealRequest asks a replica to turn away all epochs below.
+// SealRequest asks a replica to reject all epochs below.
 type SealRequest struct {
 	Target
 	Urgent bool `json:"u,omitempty"`
 }
 
-// Tail says what a replica holds of one line.
+// Tail says what a replica holds of one log.
 type Tail struct {
 	Base   log.Position `json:"base"`
 	Last   log.Position `json:"last"`
 	Commit uint64       `json:"commit"`
 }
 
-// SealResponse gives the tails of both lines.
+// SealResponse holds the tails of both logs.
 type SealResponse struct {
 	Tails map[log.Kind]Tail `json:"tails"`
 }
 
-// AppendRequest extends a line after a point; with Reset the replica starts anew there.
+// AppendRequest extends a log after a position; with Reset the replica starts an empty one there.
 type AppendRequest struct {
 	Target
 	Kind    log.Kind     `json:"k"`
@@ -43,13 +47,14 @@
 	Urgent  bool         `json:"u,omitempty"`
 }
 
-// AppendResponse gives the replica's last point; OK tells whether the lines matched.
+// AppendResponse holds the replica's tail; Matched reports whether the logs matched.
 type AppendResponse struct {
 	Matched bool `json:"ok"`
 	Tail    Tail `json:"tail"`
 }
 
-// IdleLog is a line that its owner has nothing new for: the epoch that it was told under, and where it ends.
+// IdleLog is a log that its leader has nothing new for: the epoch that it was appended under, and
+// where it ends.
 type IdleLog struct {
 	Partition int
 	Kind      log.Kind
@@ -57,19 +62,20 @@
 	Last      log.Position
 }
 
-// CompareIdleRequest asks whether lines of one disk stand as their owners have told them: the partitions by the kind of line, each in rising order, and the sum of all.
+// CompareIdleRequest asks whether logs of one disk end as their leaders say: the partitions by the
+// kind of log, each in rising order, and the checksum of all.
 type CompareIdleRequest struct {
 	Incarnation string             `json:"i"`
 	Partitions  map[log.Kind][]int `json:"l"`
 	Checksum    uint64             `json:"s"`
 }
 
-// CompareIdleResponse tells whether all do.
+// CompareIdleResponse reports whether all do.
 type CompareIdleResponse struct {
 	Identical bool `json:"a,omitempty"`
 }
 
-// FetchRequest reads entries of a line, committed or not.
+// FetchRequest reads entries of a log, committed or not.
 type FetchRequest struct {
 	Partition   int      `json:"p"`
 	Incarnation string   `json:"i"`
@@ -78,14 +84,14 @@
 	Limit       int      `json:"m"`
 }
 
-// FetchResponse gives entries with the tail they were read at.
+// FetchResponse holds entries with the tail they were read at.
 type FetchResponse struct {
 	Tail    Tail         `json:"tail"`
 	Before  log.Position `json:"before"`
 	Entries []log.Entry  `json:"n,omitempty"`
 }
 
-// DropRequest tells a replica that the ownership record no longer names it.
+// DropRequest tells a replica that the assignment no longer names it.
 type DropRequest struct {
 	Target
 }
--- a/internal/partitionlog/replica/giveup_test.go
+++ b/internal/partitionlog/replica/giveup_test.go
@@ -28,8 +28,9 @@
 	return d.Disk.Sync()
 }
 
-// An owner that begins a line anew and stops waiting for the disk leaves a line that is replaced later. What comes next goes into the line
-// that stands then, not into the one that stood before: that would be said to be held, and nobody would have it.
+// An owner that begins a line anew and stops waiting for the disk leaves a line that is replaced
+// later. What comes next goes into the line that stands then, not into the one that stood before:
+// that would be said to be held, and nobody would have it.
 func TestAnOwnerThatGivesUpLeavesNoStaleLine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := &slowDisk{memlog.New(), make(chan chan struct{}, 1)}
--- a/internal/partitionlog/replica/idle.go
+++ b/internal/partitionlog/replica/idle.go
@@ -11,11 +11,12 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-// IdleChecksum is the sum of lines in the order of their kinds and partitions. It only tells what to look at: no promise rests on it.
-func IdleChecksum(ss []IdleLog) uint64 {
+// IdleChecksum returns the checksum of logs in the order of their kinds and partitions. It only
+// says what to look at: no promise rests on it.
+func IdleChecksum(logs []IdleLog) uint64 {
 	h := fnv.New64a()
 	var b []byte
-	for _, s := range ss {
+	for _, s := range logs {
 		b = binary.AppendUvarint(append(b[:0], s.Kind...), uint64(s.Partition))
 		for _, n := range []uint64{s.Epoch, s.Last.Epoch, s.Last.Offset, s.Last.Chain} {
 			b = binary.LittleEndian.AppendUint64(b, n)
@@ -25,23 +26,24 @@
 	return h.Sum64()
 }
 
-// CompareIdle tells whether lines end here as their owners have told them, and nobody else has sealed their partitions since. It writes nothing and waits for nobody.
-func (r *Replica) CompareIdle(_ context.Context, q *CompareIdleRequest) (*CompareIdleResponse, error) {
-	if q.Incarnation != r.incarnation {
-		return nil, apierror.New(apierror.WrongDisk, "this disk is %s, not %s", r.incarnation, q.Incarnation)
+// CompareIdle reports whether logs end here as their leaders say, and nobody else has sealed their
+// partitions since. It writes nothing and blocks on nothing.
+func (r *Replica) CompareIdle(_ context.Context, request *CompareIdleRequest) (*CompareIdleResponse, error) {
+	if request.Incarnation != r.incarnation {
+		return nil, apierror.New(apierror.WrongDisk, "this disk is %s, not %s", r.incarnation, request.Incarnation)
 	}
-	var ss []IdleLog
-	for _, k := range slices.Sorted(maps.Keys(q.Partitions)) {
-		for _, p := range q.Partitions[k] {
-			ss = append(ss, r.silent(p, k))
+	var logs []IdleLog
+	for _, kind := range slices.Sorted(maps.Keys(request.Partitions)) {
+		for _, partition := range request.Partitions[kind] {
+			logs = append(logs, r.idleLog(partition, kind))
 		}
 	}
-	return &CompareIdleResponse{Identical: IdleChecksum(ss) == q.Checksum}, nil
+	return &CompareIdleResponse{Identical: IdleChecksum(logs) == request.Checksum}, nil
 }
 
-func (r *Replica) silent(p int, k log.Kind) IdleLog {
+func (r *Replica) idleLog(partition int, kind log.Kind) IdleLog {
 	r.mu.Lock()
-	s, l := IdleLog{Partition: p, Kind: k, Epoch: r.seals[p]}, r.lines[log.ID{Partition: p, Kind: k}]
+	s, l := IdleLog{Partition: partition, Kind: kind, Epoch: r.seals[partition]}, r.logs[log.ID{Partition: partition, Kind: kind}]
 	r.mu.Unlock()
 	if l != nil {
 		s.Last = l.Last()
--- a/internal/partitionlog/replica/replica.go
+++ b/internal/partitionlog/replica/replica.go
@@ -16,20 +16,22 @@
 	"postjunction/internal/wire"
 )
 
-// Replica is the store of one disk.
+// Replica is the store of one disk. mu guards the fields below it; it is held for look-ups only,
+// never over the journal. Changes of a partition are made one after another, under its lock of
+// locks, and become visible once they are durable.
 type Replica struct {
 	incarnation string
 	journal     *journal.Journal
-	clk         clock.Clock
-	turns       *keylock.Locks
+	clock       clock.Clock
+	locks       *keylock.Locks
 	mu          sync.Mutex
-	lines       map[log.ID]*log.Log
+	logs        map[log.ID]*log.Log
 	seals       map[int]uint64
-	states      map[int]Snapshot
-	turned      uint64
+	snapshots   map[int]Snapshot
+	rejected    uint64
 }
 
-// Snapshot is a partition's state directory: the materialised state at a point of the changelog.
+// Snapshot is the state of a partition: materialised state at a point of the changelog.
 type Snapshot struct {
 	Partition int             `json:"p"`
 	At        log.Position    `json:"at"`
@@ -38,146 +40,148 @@
 }
 
 const (
-	turnShards = 512
-	sliceBytes = 1 << 20
-	sliceMost  = 4096
+	lockShards      = 512
+	fetchBytes      = 1 << 20
+	maxFetchEntries = 4096
 )
 
 // New makes an empty store.
 func New(c clock.Clock) *Replica {
-	return &Replica{clk: c, turns: keylock.New(turnShards), lines: map[log.ID]*log.Log{}, seals: map[int]uint64{}, states: map[int]Snapshot{}}
+	return &Replica{clock: c, locks: keylock.New(lockShards), logs: map[log.ID]*log.Log{}, seals: map[int]uint64{}, snapshots: map[int]Snapshot{}}
 }
 
 // Start gives the store its disk.
-func (r *Replica) Start(inc string, j *journal.Journal) { r.incarnation, r.journal = inc, j }
+func (r *Replica) Start(incarnation string, j *journal.Journal) {
+	r.incarnation, r.journal = incarnation, j
+}
 
 // Incarnation is the random name of the disk.
 func (r *Replica) Incarnation() string { return r.incarnation }
 
-// Log gives a line, made empty if need be.
-func (r *Replica) Log(p int, k log.Kind) *log.Log {
+// Log returns a log, made empty if there is none.
+func (r *Replica) Log(partition int, kind log.Kind) *log.Log {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.line(log.ID{Partition: p, Kind: k})
+	return r.logOf(log.ID{Partition: partition, Kind: kind})
 }
 
-func (r *Replica) line(id log.ID) *log.Log {
-	l, ok := r.lines[id]
+func (r *Replica) logOf(id log.ID) *log.Log {
+	l, ok := r.logs[id]
 	if !ok {
 		l = log.New()
-		r.lines[id] = l
+		r.logs[id] = l
 	}
 	return l
 }
 
-// Sealed gives the epoch below which a partition turns owners away.
-func (r *Replica) Sealed(p int) uint64 {
+// Sealed returns the epoch below which a partition rejects leaders.
+func (r *Replica) Sealed(partition int) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.seals[p]
+	return r.seals[partition]
 }
 
-// Partitions lists those of which something is held.
+// Partitions returns those that have entries here, sorted.
 func (r *Replica) Partitions() []int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := map[int]bool{}
-	for id, l := range r.lines {
+	for id, l := range r.logs {
 		if l.Last().Offset > 0 {
 			m[id.Partition] = true
 		}
 	}
 	var ps []int
-	for p := range m {
-		ps = append(ps, p)
+	for partition := range m {
+		ps = append(ps, partition)
 	}
 	sort.Ints(ps)
 	return ps
 }
 
-// Rejected counts appends and seals that were turned away for a lower epoch.
+// Rejected returns how many calls were rejected for a lower epoch.
 func (r *Replica) Rejected() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.turned
+	return r.rejected
 }
 
-type sealRec struct {
+type sealRecord struct {
 	Partition int    `json:"p"`
 	Epoch     uint64 `json:"e"`
 }
 
-type entryRec struct {
+type entryRecord struct {
 	ID log.ID `json:"id"`
 	log.Entry
 }
 
-type baseRec struct {
+type baseRecord struct {
 	ID    log.ID       `json:"id"`
 	Base  log.Position `json:"base"`
 	Fresh bool         `json:"fresh,omitempty"`
-	// Anew comes before a slice of the line: one that does not hold the base is begun there.
-	Anew bool `json:"anew,omitempty"`
+	// Compacted comes before a slice of the log: one that does not hold the base is begun there.
+	Compacted bool `json:"anew,omitempty"`
 }
 
-type cutRec struct {
-	ID  log.ID `json:"id"`
-	Cut uint64 `json:"cut"`
+type truncationRecord struct {
+	ID    log.ID `json:"id"`
+	After uint64 `json:"cut"`
 }
 
-func rec(k uint16, e, o uint64, x any) journal.Record {
-	b, _ := wire.Marshal(x)
-	return journal.Record{Kind: k, Epoch: e, Offset: o, Body: b}
+func newRecord(recordType uint16, epoch, offset uint64, body any) journal.Record {
+	b, _ := wire.Marshal(body)
+	return journal.Record{Kind: recordType, Epoch: epoch, Offset: offset, Body: b}
 }
 
-// read takes a body of this format, or of the first one, which was JSON.
-func read(b []byte, x any) error {
+// decodeBody takes a body of this format, or of the first one, which was JSON.
+func decodeBody(b []byte, into any) error {
 	if len(b) > 0 && b[0] == '{' {
-		return json.Unmarshal(b, x)
+		return json.Unmarshal(b, into)
 	}
-	return wire.Unmarshal(b, x)
+	return wire.Unmarshal(b, into)
 }
 
 var restore = map[uint16]func(*Replica, []byte) error{
 	recordtype.Seal: func(r *Replica, b []byte) error {
-		var s sealRec
-		err := read(b, &s)
+		var s sealRecord
+		err := decodeBody(b, &s)
 		r.seals[s.Partition] = max(s.Epoch, r.seals[s.Partition])
 		return err
 	},
 	recordtype.Entry: func(r *Replica, b []byte) error {
-		var s entryRec
-		err := read(b, &s)
-		r.line(s.ID).Append(r.clk.Now(), s.Entry)
+		var s entryRecord
+		err := decodeBody(b, &s)
+		r.logOf(s.ID).Append(r.clock.Now(), s.Entry)
 		return err
 	},
 	recordtype.Base: func(r *Replica, b []byte) error {
-		var s baseRec
-		err := read(b, &s)
+		var s baseRecord
+		err := decodeBody(b, &s)
 		if s.Fresh {
-			r.lines[s.ID] = log.New()
+			r.logs[s.ID] = log.New()
 		}
-		if p, ok := r.line(s.ID).Position(s.Base.Offset); s.Anew && (!ok || p != s.Base) {
-			r.lines[s.ID] = log.New()
+		if p, ok := r.logOf(s.ID).Position(s.Base.Offset); s.Compacted && (!ok || p != s.Base) {
+			r.logs[s.ID] = log.New()
 		}
-		r.line(s.ID).TrimTo(s.Base)
+		r.logOf(s.ID).TrimTo(s.Base)
 		return err
 	},
 	recordtype.Truncation: func(r *Replica, b []byte) error {
-		var s cutRec
-		err := read(b, &s)
-		r.line(s.ID).TruncateAfter(s.Cut)
+		var s truncationRecord
+		err := decodeBody(b, &s)
+		r.logOf(s.ID).TruncateAfter(s.After)
 		return err
 	},
 	recordtype.Snapshot: func(r *Replica, b []byte) error {
 		var s Snapshot
-		err := read(b, &s)
-		r.states[s.Partition] = s
+		err := decodeBody(b, &s)
+		r.snapshots[s.Partition] = s
 		return err
 	},
 	recordtype.Forget: func(r *Replica, b []byte) error {
-		var s sealRec
-		err := read(b, &s)
+		var s sealRecord
+		err := decodeBody(b, &s)
 		r.forget(s.Partition)
 		return err
 	},
@@ -192,60 +196,60 @@
 	return ks
 }
 
-// Restore takes back a record.
+// Restore restores a record.
 func (r *Replica) Restore(x journal.Record) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return apierror.Wrap(apierror.DiskDamaged, restore[x.Kind](r, x.Body), "read a record of kind %d", x.Kind)
 }
 
-func (r *Replica) forget(p int) {
-	for _, k := range log.Kinds {
-		delete(r.lines, log.ID{Partition: p, Kind: k})
+func (r *Replica) forget(partition int) {
+	for _, kind := range log.Kinds {
+		delete(r.logs, log.ID{Partition: partition, Kind: kind})
 	}
-	delete(r.states, p)
+	delete(r.snapshots, partition)
 }
 
-const recordCost = 160
+const recordOverhead = 160
 
 // LiveSize counts the live records; their bytes are put high.
 func (r *Replica) LiveSize() (int, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n, b := len(r.seals)+len(r.lines)+len(r.states), int64(0)
-	for _, l := range r.lines {
-		k, s := l.Size()
-		n, b = n+k, b+s
+	n, b := len(r.seals)+len(r.logs)+len(r.snapshots), int64(0)
+	for _, l := range r.logs {
+		kind, s := l.Size()
+		n, b = n+kind, b+s
 	}
-	for _, d := range r.states {
+	for _, d := range r.snapshots {
 		b += int64(len(d.State))
 	}
-	return n, b + int64(n)*recordCost
+	return n, b + int64(n)*recordOverhead
 }
 
 const (
-	anewMost  = 64
-	anewBytes = 64 << 10
+	sliceEntries = 64
+	sliceBytes   = 64 << 10
 )
 
-// Slices gives the live records: the seals, each line in slices of its own, and each directory.
+// Slices returns the live records: the seals, each log in slices of its own, and each snapshot.
 func (r *Replica) Slices() []journal.Slice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ss := journal.EncodeAll(r.dumpSeals)
-	ids := make([]log.ID, 0, len(r.lines))
-	for id := range r.lines {
+	ids := make([]log.ID, 0, len(r.logs))
+	for id := range r.logs {
 		ids = append(ids, id)
 	}
-	sort.Slice(ids, func(i, k int) bool {
-		a, b := ids[i], ids[k]
+	sort.Slice(ids, func(i, kind int) bool {
+		a, b := ids[i], ids[kind]
 		return a.Partition < b.Partition || a.Partition == b.Partition && a.Kind < b.Kind
 	})
 	for _, id := range ids {
-		ss = append(ss, r.slice(id))
+		ss = append(ss, r.logSlice(id))
 	}
-	for p := range r.states {
-		ss = append(ss, journal.EncodeAll(func() []journal.Record { return r.dumpDirectory(p) })...)
+	for partition := range r.snapshots {
+		ss = append(ss, journal.EncodeAll(func() []journal.Record { return r.dumpSnapshot(partition) })...)
 	}
 	return ss
 }
@@ -253,194 +257,197 @@
 func (r *Replica) dumpSeals() []journal.Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var rs []journal.Record
-	for p, e := range r.seals {
-		rs = append(rs, rec(recordtype.Seal, e, 0, sealRec{p, e}))
+	var records []journal.Record
+	for partition, e := range r.seals {
+		records = append(records, newRecord(recordtype.Seal, e, 0, sealRecord{partition, e}))
 	}
-	return rs
+	return records
 }
 
-func (r *Replica) dumpDirectory(p int) []journal.Record {
+func (r *Replica) dumpSnapshot(partition int) []journal.Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	d, ok := r.states[p]
+	d, ok := r.snapshots[partition]
 	if !ok {
 		return nil
 	}
-	return []journal.Record{rec(recordtype.Snapshot, d.At.Epoch, d.At.Offset, d)}
+	return []journal.Record{newRecord(recordtype.Snapshot, d.At.Epoch, d.At.Offset, d)}
 }
 
-// slice goes through a line from its base to its end. What is put meanwhile at or before the place reached counts by itself when the log is
-// read from where the writing anew began; what is put after it is passed over there, and comes with a later slice.
-func (r *Replica) slice(id log.ID) journal.Slice {
+// logSlice goes through a line from its base to its end. What is put meanwhile at or before the
+// place reached counts by itself when the log is read from where the writing anew began; what is
+// put after it is passed over there, and comes with a later slice.
+func (r *Replica) logSlice(id log.ID) journal.Slice {
 	next := uint64(0)
 	return func() ([]journal.Record, bool) {
 		r.mu.Lock()
-		l, ok := r.lines[id]
+		l, ok := r.logs[id]
 		r.mu.Unlock()
 		if !ok || l.Last() == (log.Position{}) {
 			return nil, false
 		}
 		b := l.Base()
-		rs := []journal.Record{rec(recordtype.Base, b.Epoch, b.Offset, baseRec{ID: id, Base: b, Anew: true})}
+		records := []journal.Record{newRecord(recordtype.Base, b.Epoch, b.Offset, baseRecord{ID: id, Base: b, Compacted: true})}
 		next = max(next, b.Offset+1)
-		for _, e := range l.Slice(next, ^uint64(0), anewMost, anewBytes) {
-			rs = append(rs, rec(recordtype.Entry, e.Epoch, e.Offset, entryRec{id, e}))
+		for _, e := range l.Slice(next, ^uint64(0), sliceEntries, sliceBytes) {
+			records = append(records, newRecord(recordtype.Entry, e.Epoch, e.Offset, entryRecord{id, e}))
 			next = e.Offset + 1
 		}
-		return rs, next <= l.Last().Offset
+		return records, next <= l.Last().Offset
 	}
 }
 
-func (r *Replica) tail(p int, k log.Kind) Tail {
-	l := r.Log(p, k)
+func (r *Replica) tail(partition int, kind log.Kind) Tail {
+	l := r.Log(partition, kind)
 	return Tail{Base: l.Base(), Last: l.Last(), Commit: l.Commit()}
 }
 
-func (r *Replica) fence(t Target) error {
+func (r *Replica) checkEpoch(t Target) error {
 	if t.Incarnation != r.incarnation {
 		return apierror.New(apierror.WrongDisk, "this disk is %s, not %s", r.incarnation, t.Incarnation)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if s := r.seals[t.Partition]; t.Epoch < s {
-		r.turned++
+		r.rejected++
 		return apierror.New(apierror.StaleEpoch, "partition %d is sealed at epoch %d, the call is under %d", t.Partition, s, t.Epoch).WithCurrent(s)
 	}
 	return nil
 }
 
-// CheckEpoch tells whether a target's epoch is still the highest on this disk, under its own name.
-func (r *Replica) CheckEpoch(t Target) error { return r.fence(t) }
+// CheckEpoch checks whether a target's epoch is still the highest on this disk, under its own name.
+func (r *Replica) CheckEpoch(t Target) error { return r.checkEpoch(t) }
 
-func (r *Replica) enter(ctx context.Context, t Target) (*keylock.Shared, error) {
-	back, err := r.turns.LockNumber(ctx, t.Partition)
+func (r *Replica) lockPartition(ctx context.Context, t Target) (*keylock.Shared, error) {
+	back, err := r.locks.LockNumber(ctx, t.Partition)
 	if err != nil {
 		return nil, err
 	}
-	if err := r.fence(t); err != nil {
+	if err := r.checkEpoch(t); err != nil {
 		back()
 		return nil, err
 	}
 	return keylock.Share(back), nil
 }
 
-// Seal turns lower epochs away from now on; it answers once that is synced.
-func (r *Replica) Seal(ctx context.Context, q *SealRequest) (*SealResponse, error) {
-	in, err := r.enter(ctx, q.Target)
+// Seal rejects lower epochs from now on; it answers once that is synced.
+func (r *Replica) Seal(ctx context.Context, request *SealRequest) (*SealResponse, error) {
+	in, err := r.lockPartition(ctx, request.Target)
 	if err != nil {
 		return nil, err
 	}
 	defer in.Release()
-	if r.Sealed(q.Partition) < q.Epoch {
-		if err := r.journal.PutIn(ctx, in, q.Urgent, func() { r.setSeal(q.Partition, q.Epoch) }, rec(recordtype.Seal, q.Epoch, 0, sealRec{q.Partition, q.Epoch})); err != nil {
+	if r.Sealed(request.Partition) < request.Epoch {
+		if err := r.journal.PutIn(ctx, in, request.Urgent, func() { r.setSeal(request.Partition, request.Epoch) }, newRecord(recordtype.Seal, request.Epoch, 0, sealRecord{request.Partition, request.Epoch})); err != nil {
 			return nil, err
 		}
 	}
 	a := &SealResponse{Tails: map[log.Kind]Tail{}}
-	for _, k := range log.Kinds {
-		a.Tails[k] = r.tail(q.Partition, k)
+	for _, kind := range log.Kinds {
+		a.Tails[kind] = r.tail(request.Partition, kind)
 	}
 	return a, nil
 }
 
-func (r *Replica) setSeal(p int, e uint64) {
+func (r *Replica) setSeal(partition int, e uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.seals[p] = max(r.seals[p], e)
+	r.seals[partition] = max(r.seals[partition], e)
 }
 
-// Append extends a line once it is synced, after checking the epoch, the disk and the place.
-func (r *Replica) Append(ctx context.Context, q *AppendRequest) (*AppendResponse, error) {
-	in, err := r.enter(ctx, q.Target)
+// Append extends a log and answers once that is synced, after checking the epoch, the disk and the
+// position.
+func (r *Replica) Append(ctx context.Context, request *AppendRequest) (*AppendResponse, error) {
+	in, err := r.lockPartition(ctx, request.Target)
 	if err != nil {
 		return nil, err
 	}
 	defer in.Release()
-	id := log.ID{Partition: q.Partition, Kind: q.Kind}
-	l := r.Log(q.Partition, q.Kind)
-	if !q.Reset {
-		if p, ok := l.Position(q.After.Offset); !ok || p != q.After {
-			return &AppendResponse{Tail: r.tail(q.Partition, q.Kind)}, nil
+	id := log.ID{Partition: request.Partition, Kind: request.Kind}
+	l := r.Log(request.Partition, request.Kind)
+	if !request.Reset {
+		if partition, ok := l.Position(request.After.Offset); !ok || partition != request.After {
+			return &AppendResponse{Tail: r.tail(request.Partition, request.Kind)}, nil
 		}
 	}
-	var rs []journal.Record
-	if r.Sealed(q.Partition) < q.Epoch {
-		rs = append(rs, rec(recordtype.Seal, q.Epoch, 0, sealRec{q.Partition, q.Epoch}))
+	var records []journal.Record
+	if r.Sealed(request.Partition) < request.Epoch {
+		records = append(records, newRecord(recordtype.Seal, request.Epoch, 0, sealRecord{request.Partition, request.Epoch}))
 	}
-	if q.Reset {
-		rs = append(rs, rec(recordtype.Base, q.After.Epoch, q.After.Offset, baseRec{ID: id, Base: q.After, Fresh: true}))
+	if request.Reset {
+		records = append(records, newRecord(recordtype.Base, request.After.Epoch, request.After.Offset, baseRecord{ID: id, Base: request.After, Fresh: true}))
 	}
-	at := q.After
+	at := request.After
 	var fresh []log.Entry
-	for _, e := range q.Entries {
+	for _, e := range request.Entries {
 		if !e.Valid(at) {
 			return nil, apierror.New(apierror.LogMismatch, "entry %d does not follow %d soundly", e.Offset, at.Offset)
 		}
 		at = e.Position()
-		if p, ok := l.Position(e.Offset); !q.Reset && ok && p == at {
+		if partition, ok := l.Position(e.Offset); !request.Reset && ok && partition == at {
 			continue
 		}
 		fresh = append(fresh, e)
-		rs = append(rs, rec(recordtype.Entry, e.Epoch, e.Offset, entryRec{id, e}))
+		records = append(records, newRecord(recordtype.Entry, e.Epoch, e.Offset, entryRecord{id, e}))
 	}
 	trim := log.Position{}
-	if p, ok := l.Position(q.Base.Offset); ok && p == q.Base && q.Base.Offset > l.Base().Offset {
-		trim = q.Base
-		rs = append(rs, rec(recordtype.Base, trim.Epoch, trim.Offset, baseRec{ID: id, Base: trim}))
-	}
-	if len(rs) > 0 {
-		err := r.journal.PutIn(ctx, in, q.Urgent, func() {
-			r.setSeal(q.Partition, q.Epoch)
-			if q.Reset {
+	if partition, ok := l.Position(request.Base.Offset); ok && partition == request.Base && request.Base.Offset > l.Base().Offset {
+		trim = request.Base
+		records = append(records, newRecord(recordtype.Base, trim.Epoch, trim.Offset, baseRecord{ID: id, Base: trim}))
+	}
+	if len(records) > 0 {
+		err := r.journal.PutIn(ctx, in, request.Urgent, func() {
+			r.setSeal(request.Partition, request.Epoch)
+			if request.Reset {
 				n := log.New()
-				n.TrimTo(q.After)
+				n.TrimTo(request.After)
 				r.mu.Lock()
-				r.lines[id] = n
+				r.logs[id] = n
 				r.mu.Unlock()
 				l = n
 			}
-			l.Append(r.clk.Now(), fresh...)
+			l.Append(r.clock.Now(), fresh...)
 			if trim.Offset > 0 {
 				l.TrimTo(trim)
 			}
-		}, rs...)
+		}, records...)
 		if err != nil {
 			return nil, err
 		}
 	}
-	l.SetCommit(min(q.Commit, at.Offset))
+	l.SetCommit(min(request.Commit, at.Offset))
 	return &AppendResponse{Matched: true, Tail: Tail{Base: l.Base(), Last: at, Commit: l.Commit()}}, nil
 }
 
 // TruncateAfter drops what follows an offset, when a tail adopted under the target's epoch differs.
-func (r *Replica) TruncateAfter(ctx context.Context, t Target, k log.Kind, o uint64, urgent bool) error {
-	in, err := r.enter(ctx, t)
+func (r *Replica) TruncateAfter(ctx context.Context, t Target, kind log.Kind, o uint64, urgent bool) error {
+	in, err := r.lockPartition(ctx, t)
 	if err != nil {
 		return err
 	}
 	defer in.Release()
-	id := log.ID{Partition: t.Partition, Kind: k}
-	return r.journal.PutIn(ctx, in, urgent, func() { r.Log(t.Partition, k).TruncateAfter(o) }, rec(recordtype.Truncation, t.Epoch, o, cutRec{id, o}))
+	id := log.ID{Partition: t.Partition, Kind: kind}
+	return r.journal.PutIn(ctx, in, urgent, func() { r.Log(t.Partition, kind).TruncateAfter(o) }, newRecord(recordtype.Truncation, t.Epoch, o, truncationRecord{id, o}))
 }
 
 // Fetch reads entries.
-func (r *Replica) Fetch(_ context.Context, q *FetchRequest) (*FetchResponse, error) {
-	if q.Incarnation != r.incarnation {
-		return nil, apierror.New(apierror.WrongDisk, "this disk is %s, not %s", r.incarnation, q.Incarnation)
+func (r *Replica) Fetch(_ context.Context, request *FetchRequest) (*FetchResponse, error) {
+	if request.Incarnation != r.incarnation {
+		return nil, apierror.New(apierror.WrongDisk, "this disk is %s, not %s", r.incarnation, request.Incarnation)
 	}
-	l := r.Log(q.Partition, q.Kind)
-	a := &FetchResponse{Tail: r.tail(q.Partition, q.Kind)}
-	if q.From > 0 {
-		a.Before, _ = l.Position(q.From - 1)
+	l := r.Log(request.Partition, request.Kind)
+	a := &FetchResponse{Tail: r.tail(request.Partition, request.Kind)}
+	if request.From > 0 {
+		a.Before, _ = l.Position(request.From - 1)
 	}
-	a.Entries = l.Slice(q.From, ^uint64(0), min(q.Limit, sliceMost), sliceBytes)
+	a.Entries = l.Slice(request.From, ^uint64(0), min(request.Limit, maxFetchEntries), fetchBytes)
 	return a, nil
 }
 
-// Drop forgets a partition that the record, at an epoch above the sealed one, no longer places here.
-func (r *Replica) Drop(ctx context.Context, q *DropRequest) (*Empty, error) {
-	in, err := r.enter(ctx, q.Target)
+// Drop forgets a partition that the record, at an epoch above the sealed one, no longer places
+// here.
+func (r *Replica) Drop(ctx context.Context, request *DropRequest) (*Empty, error) {
+	in, err := r.lockPartition(ctx, request.Target)
 	if err != nil {
 		return nil, err
 	}
@@ -448,29 +455,30 @@
 	return &Empty{}, r.journal.PutIn(ctx, in, false, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.seals[q.Partition] = max(r.seals[q.Partition], q.Epoch)
-		r.forget(q.Partition)
-	}, rec(recordtype.Seal, q.Epoch, 0, sealRec{q.Partition, q.Epoch}), rec(recordtype.Forget, q.Epoch, 0, sealRec{q.Partition, q.Epoch}))
+		r.seals[request.Partition] = max(r.seals[request.Partition], request.Epoch)
+		r.forget(request.Partition)
+	}, newRecord(recordtype.Seal, request.Epoch, 0, sealRecord{request.Partition, request.Epoch}), newRecord(recordtype.Forget, request.Epoch, 0, sealRecord{request.Partition, request.Epoch}))
 }
 
-// SaveSnapshot saves a state directory.
+// SaveSnapshot saves the state of a partition.
 func (r *Replica) SaveSnapshot(ctx context.Context, d Snapshot) error {
 	return r.journal.Put(ctx, false, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.states[d.Partition] = d
-	}, rec(recordtype.Snapshot, d.At.Epoch, d.At.Offset, d))
+		r.snapshots[d.Partition] = d
+	}, newRecord(recordtype.Snapshot, d.At.Epoch, d.At.Offset, d))
 }
 
-// Snapshot gives the state directory of a partition if its point is on the changelog held.
-func (r *Replica) Snapshot(p int) (Snapshot, bool) {
+// Snapshot returns the saved state of a partition, and whether there is one whose position is on
+// the changelog here.
+func (r *Replica) Snapshot(partition int) (Snapshot, bool) {
 	r.mu.Lock()
-	d, ok := r.states[p]
+	d, ok := r.snapshots[partition]
 	r.mu.Unlock()
 	if !ok {
 		return d, false
 	}
-	at, ok := r.Log(p, log.KindChangelog).Position(d.At.Offset)
+	at, ok := r.Log(partition, log.KindChangelog).Position(d.At.Offset)
 	return d, ok && at == d.At
 }
 
--- a/internal/partitionlog/replica/replica_test.go
+++ b/internal/partitionlog/replica/replica_test.go
@@ -122,7 +122,8 @@
 	assert.Equal(t, len(boot(t, d, "i").Partitions()), 0, "a dropped partition comes back")
 }
 
-// A state directory of an older day counts while its point is on the changelog, and not once another owner replaced that part of it.
+// A state directory of an older day counts while its point is on the changelog, and not once
+// another owner replaced that part of it.
 func TestDirectoryOfAnOlderDay(t *testing.T) {
 	r := boot(t, memlog.New(), "i")
 	p := put(t, r, log.KindChangelog, 1, log.Position{}, "a", "b")
@@ -138,7 +139,8 @@
 	assert.Assert(t, q != r.Log(1, log.KindChangelog).Last())
 }
 
-// An owner held up between sealing and adopting once cut what a later owner had put on the disk since.
+// An owner held up between sealing and adopting once cut what a later owner had put on the disk
+// since.
 func TestFencedOwnerCutsNothing(t *testing.T) {
 	r := boot(t, memlog.New(), "i")
 	p := put(t, r, log.KindLedger, 1, log.Position{}, "a", "b")
@@ -160,7 +162,7 @@
 	es := chain(log.Position{}, 1, "a", "b")
 	var rs [][]byte
 	for _, e := range es {
-		b, err := json.Marshal(entryRec{log.ID{Partition: 1, Kind: log.KindLedger}, e})
+		b, err := json.Marshal(entryRecord{log.ID{Partition: 1, Kind: log.KindLedger}, e})
 		assert.NilError(t, err)
 		f := frame.Encode(frame.Frame{Kind: recordtype.Entry, Index: e.Offset, Epoch: 1, Offset: e.Offset, Body: b})
 		f[6] = 1
@@ -176,7 +178,8 @@
 	}
 }
 
-// A copy tells that a line stands as it was told only while it ends there and nobody has sealed its partition under a higher epoch since.
+// A copy tells that a line stands as it was told only while it ends there and nobody has sealed its
+// partition under a higher epoch since.
 func TestStillStands(t *testing.T) {
 	still := func(r *Replica, inc string, ss ...IdleLog) (bool, error) {
 		q := &CompareIdleRequest{Incarnation: inc, Partitions: map[log.Kind][]int{}, Checksum: IdleChecksum(ss)}
@@ -189,14 +192,14 @@
 	r := boot(t, memlog.New(), "i")
 	e := put(t, r, log.KindLedger, 3, log.Position{}, "a")
 	one, none := IdleLog{Partition: 1, Kind: log.KindLedger, Epoch: 3, Last: e}, IdleLog{Partition: 1, Kind: log.KindChangelog, Epoch: 3}
-	lines := len(r.lines)
+	lines := len(r.logs)
 	ok, err := still(r, "i", none, one)
 	assert.Assert(t, ok && err == nil)
 	for _, bad := range []IdleLog{{1, log.KindLedger, 3, log.Position{}}, {1, log.KindLedger, 2, e}, {2, log.KindLedger, 3, e}} {
 		ok, err = still(r, "i", none, bad)
 		assert.Assert(t, !ok && err == nil, "%+v", bad)
 	}
-	assert.Equal(t, len(r.lines), lines, "asking makes no lines")
+	assert.Equal(t, len(r.logs), lines, "asking makes no lines")
 	_, err = still(r, "another", one)
 	assert.Assert(t, apierror.HasCode(err, apierror.WrongDisk))
 	_, err = r.Seal(t.Context(), &SealRequest{Target: to(4)})
