--- a/internal/partitionlog/idle/idle.go
+++ b/internal/partitionlog/idle/idle.go
@@ -1,4 +1,9 @@
-// Package idle confirms silent lines to the machines that hold copies of them: all of a disk in one call, instead of an empty append for each.
+// Package idle confirms logs without new entries to the disks that hold their replicas: all logs of
+// a disk in one call, instead of an empty append for each.
+//
+// What must stay true: Identical is reported only where the replica's log ended like the leader's,
+// under its epoch, when it was asked. A disk that has logs waiting has one goroutine, which ends
+// when none is left or the Confirmer's context is over.
 package idle
 
 import (
@@ -15,145 +20,148 @@
 	"postjunction/internal/wire"
 )
 
-// Disk is one disk at a machine's address.
+// Disk is one disk at a node's address.
 type Disk struct{ Addr, Incarnation string }
 
-// Outcome is what became of a wait.
+// Outcome is the result of a wait.
 type Outcome int
 
-// Superseded came before the line was confirmed; Identical says that the copy ends as the line does, under its epoch; Uncertain that it may not, or did not answer.
+// Superseded came before the log was confirmed; Identical says that the replica ends as the log
+// does, under its epoch; Uncertain that it may not, or did not answer.
 const (
 	Superseded Outcome = iota
 	Identical
 	Uncertain
 )
 
-// fewLines are not looked through further where their sums differ.
-const fewLines = 4
+// maxUnsplit is how many logs are not split further where their checksums differ.
+const maxUnsplit = 4
 
-type waiting struct {
-	line replica.IdleLog
-	due  time.Time
-	said chan Outcome
+type waiter struct {
+	log     replica.IdleLog
+	due     time.Time
+	outcome chan Outcome
 }
 
-// group is what waits for a disk; wake ends the pause until the first of it is due.
+// group are the logs that wait for a disk; wake ends the pause until the first of it is due.
 type group struct {
-	ws   map[*waiting]bool
-	due  time.Time
-	wake context.CancelFunc
+	waiting map[*waiter]bool
+	due     time.Time
+	wake    context.CancelFunc
 }
 
-// Confirmer are the silent lines of a machine's owners, by the disks of their copies.
+// Confirmer holds the idle logs of a node's leaders, by the disks of their replicas.
 type Confirmer struct {
 	self   string
 	net    wire.Network
-	clk    clock.Clock
-	bounds settings.Timing
+	clock  clock.Clock
+	timing settings.Timing
 	ctx    context.Context
-	mu     sync.Mutex
-	m      map[Disk]*group
+	mu     sync.Mutex // guards groups and all that they hold
+	groups map[Disk]*group
 }
 
-// New makes an empty set that lives as long as ctx.
-func New(ctx context.Context, self string, n wire.Network, c clock.Clock, b settings.Timing) *Confirmer {
-	return &Confirmer{self: self, net: n, clk: c, bounds: b, ctx: ctx, m: map[Disk]*group{}}
+// New makes an empty Confirmer that lives as long as ctx.
+func New(ctx context.Context, self string, network wire.Network, c clock.Clock, timing settings.Timing) *Confirmer {
+	return &Confirmer{self: self, net: network, clock: c, timing: timing, ctx: ctx, groups: map[Disk]*group{}}
 }
 
-// Wait has a line confirmed to a disk once it is due, or before with another one of that disk, and waits for that or for news of it.
-func (l *Confirmer) Wait(ctx context.Context, d Disk, s replica.IdleLog, due time.Time, grown, moved <-chan struct{}) Outcome {
-	w := &waiting{line: s, due: due, said: make(chan Outcome, 1)}
+// Wait has a log confirmed to a disk once it is due, or earlier with another one of that disk, and
+// blocks until that is done; Superseded when grown or moved is closed or ctx ends first.
+func (l *Confirmer) Wait(ctx context.Context, disk Disk, idleLog replica.IdleLog, due time.Time, grown, moved <-chan struct{}) Outcome {
+	w := &waiter{log: idleLog, due: due, outcome: make(chan Outcome, 1)}
 	l.mu.Lock()
-	g, runs := l.m[d]
+	queue, runs := l.groups[disk]
 	if !runs {
-		g = &group{ws: map[*waiting]bool{}}
-		l.m[d] = g
+		queue = &group{waiting: map[*waiter]bool{}}
+		l.groups[disk] = queue
 	}
-	g.ws[w] = true
+	queue.waiting[w] = true
 	switch {
 	case !runs:
-		go l.run(d, g)
-	case g.wake != nil && due.Before(g.due):
-		g.wake()
+		go l.run(disk, queue)
+	case queue.wake != nil && due.Before(queue.due):
+		queue.wake()
 	}
 	l.mu.Unlock()
 	select {
-	case said := <-w.said:
-		return said
+	case outcome := <-w.outcome:
+		return outcome
 	case <-grown:
 	case <-moved:
 	case <-ctx.Done():
 	}
 	l.mu.Lock()
-	delete(g.ws, w)
+	delete(queue.waiting, w)
 	l.mu.Unlock()
 	return Superseded
 }
 
 // run confirms what waits for a disk, until nothing does.
-func (l *Confirmer) run(d Disk, g *group) {
+func (l *Confirmer) run(disk Disk, queue *group) {
 	for {
 		l.mu.Lock()
-		g.wake = nil
-		if len(g.ws) == 0 || l.ctx.Err() != nil {
-			for w := range g.ws {
-				w.said <- Uncertain
+		queue.wake = nil
+		if len(queue.waiting) == 0 || l.ctx.Err() != nil {
+			for w := range queue.waiting {
+				w.outcome <- Uncertain
 			}
-			delete(l.m, d)
+			delete(l.groups, disk)
 			l.mu.Unlock()
 			return
 		}
 		due := time.Time{}
-		for w := range g.ws {
+		for w := range queue.waiting {
 			if due.IsZero() || w.due.Before(due) {
 				due = w.due
 			}
 		}
-		if left := due.Sub(l.clk.Now()); left > 0 {
-			cx, wake := context.WithCancel(l.ctx)
-			g.due, g.wake = due, wake
+		if left := due.Sub(l.clock.Now()); left > 0 {
+			ctx, wake := context.WithCancel(l.ctx)
+			queue.due, queue.wake = due, wake
 			l.mu.Unlock()
-			_ = l.clk.Sleep(cx, left)
+			_ = l.clock.Sleep(ctx, left)
 			wake()
 			continue
 		}
-		all := make([]*waiting, 0, len(g.ws))
-		for w := range g.ws {
+		all := make([]*waiter, 0, len(queue.waiting))
+		for w := range queue.waiting {
 			all = append(all, w)
 		}
-		clear(g.ws)
+		clear(queue.waiting)
 		l.mu.Unlock()
-		slices.SortFunc(all, func(a, b *waiting) int {
-			return cmp.Or(cmp.Compare(a.line.Kind, b.line.Kind), cmp.Compare(a.line.Partition, b.line.Partition))
+		slices.SortFunc(all, func(a, b *waiter) int {
+			return cmp.Or(cmp.Compare(a.log.Kind, b.log.Kind), cmp.Compare(a.log.Partition, b.log.Partition))
 		})
-		l.ask(d, all)
+		l.compare(disk, all)
 	}
 }
 
-// ask tells what became of lines that were silent, in their order. Where the sums of many differ, those of their halves tell which.
-func (l *Confirmer) ask(d Disk, all []*waiting) {
-	q := &replica.CompareIdleRequest{Incarnation: d.Incarnation, Partitions: map[log.Kind][]int{}}
-	ss := make([]replica.IdleLog, len(all))
+// compare asks for logs, in the order of their kinds and partitions, and hands out the outcomes.
+// Where the checksums of many differ, those of their halves say which.
+func (l *Confirmer) compare(disk Disk, all []*waiter) {
+	request := &replica.CompareIdleRequest{Incarnation: disk.Incarnation, Partitions: map[log.Kind][]int{}}
+	logs := make([]replica.IdleLog, len(all))
 	for i, w := range all {
-		ss[i] = w.line
-		q.Partitions[w.line.Kind] = append(q.Partitions[w.line.Kind], w.line.Partition)
+		logs[i] = w.log
+		request.Partitions[w.log.Kind] = append(request.Partitions[w.log.Kind], w.log.Partition)
 	}
-	q.Checksum = replica.IdleChecksum(ss)
-	cx, stop := context.WithTimeout(l.ctx, l.bounds.CallTimeout())
-	a, err := replica.CompareIdle.Call(cx, l.net, l.self, d.Addr, q)
+	request.Checksum = replica.IdleChecksum(logs)
+	ctx, stop := context.WithTimeout(l.ctx, l.timing.CallTimeout())
+	response, err := replica.CompareIdle.Call(ctx, l.net, l.self, disk.Addr, request)
 	stop()
-	said := Identical
+	outcome := Identical
 	switch {
 	case err != nil:
-		said = Uncertain
-	case !a.Identical && len(all) > fewLines:
-		l.ask(d, all[:len(all)/2])
-		l.ask(d, all[len(all)/2:])
+		outcome = Uncertain
+	case !response.Identical && len(all) > maxUnsplit:
+		l.compare(disk, all[:len(all)/2])
+		l.compare(disk, all[len(all)/2:])
 		return
-	case !a.Identical:
-		said = Uncertain
+	case !response.Identical:
+		outcome = Uncertain
 	}
 	for _, w := range all {
-		w.said <- said
+		w.outcome <- outcome
 	}
 }
--- a/internal/partitionlog/idle/idle_test.go
+++ b/internal/partitionlog/idle/idle_test.go
@@ -82,7 +82,7 @@
 		synctest.Wait()
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		assert.Equal(t, len(l.m), 0)
+		assert.Equal(t, len(l.groups), 0)
 	})
 }
 
@@ -125,7 +125,8 @@
 	})
 }
 
-// Where a copy differs its owner is told so, and of others no more than stand beside it; the sums of halves find it.
+// Where a copy differs its owner is told so, and of others no more than stand beside it; the sums
+// of halves find it.
 func TestWhatDiffersIsFound(t *testing.T) {
 	c := &copies{off: map[int]bool{37: true}}
 	c.keep(t, 100, func(_ *Confirmer, said []chan Outcome, _ chan struct{}) {
@@ -135,12 +136,13 @@
 			n[v]++
 			assert.Assert(t, v == Uncertain || p != 37)
 		}
-		assert.Assert(t, n[Uncertain] <= fewLines && n[Identical] == 100-n[Uncertain], "%v", n)
+		assert.Assert(t, n[Uncertain] <= maxUnsplit && n[Identical] == 100-n[Uncertain], "%v", n)
 		assert.Assert(t, len(c.asked) <= 12, "%v", c.asked)
 	})
 }
 
-// A line with news leaves at once, also while the others are asked about; a disk that is another one, or gives no answer, leaves all in doubt.
+// A line with news leaves at once, also while the others are asked about; a disk that is another
+// one, or gives no answer, leaves all in doubt.
 func TestNewsAndSilence(t *testing.T) {
 	c := &copies{takes: 500 * time.Millisecond}
 	c.keep(t, 10, func(_ *Confirmer, said []chan Outcome, news chan struct{}) {
