--- a/internal/samza/changelog/changelog.go
+++ b/internal/samza/changelog/changelog.go
@@ -18,7 +18,8 @@
 	Items    []state.Item `json:"s"`
 }
 
-// Commit says that the state up to an input offset is durable; Base is where a compacted changelog starts.
+// Commit says that the state up to an input offset is durable; Base is where a compacted changelog
+// starts.
 type Commit struct {
 	Input uint64 `json:"i"`
 	Base  uint64 `json:"b,omitempty"`
@@ -26,59 +27,59 @@
 
 const itemsPerPart = 256
 
-// EncodeBatch makes the entries of one batch; whole marks a compaction.
-func EncodeBatch(input uint64, items []state.Item, whole bool) []log.Entry {
-	n := (len(items) + itemsPerPart - 1) / itemsPerPart
-	var es []log.Entry
-	for i := range n {
+// EncodeBatch makes the entries of one batch; complete marks a compaction.
+func EncodeBatch(input uint64, items []state.Item, complete bool) []log.Entry {
+	parts := (len(items) + itemsPerPart - 1) / itemsPerPart
+	var entries []log.Entry
+	for i := range parts {
 		to := min((i+1)*itemsPerPart, len(items))
-		b, _ := json.Marshal(Batch{Input: input, Part: i, Parts: n, Complete: whole, Items: items[i*itemsPerPart : to]})
-		es = append(es, log.Entry{Type: log.TypeBatch, Body: b})
+		b, _ := json.Marshal(Batch{Input: input, Part: i, Parts: parts, Complete: complete, Items: items[i*itemsPerPart : to]})
+		entries = append(entries, log.Entry{Type: log.TypeBatch, Body: b})
 	}
-	return es
+	return entries
 }
 
 // EncodeCommit makes the entry that commits an input offset.
-func EncodeCommit(c Commit) log.Entry {
-	b, _ := json.Marshal(c)
+func EncodeCommit(commit Commit) log.Entry {
+	b, _ := json.Marshal(commit)
 	return log.Entry{Type: log.TypeOffset, Body: b}
 }
 
-// Replay applies changelog entries to a state: batches only when whole, the input offset only by its record.
-// It gives the committed input offset.
-func Replay(s *state.State, input uint64, es []log.Entry) (uint64, error) {
+// Replay applies changelog entries to a state: batches only when complete, the input offset only by
+// its record. It returns the committed input offset.
+func Replay(s *state.State, input uint64, entries []log.Entry) (uint64, error) {
 	var parts []Batch
-	for _, e := range es {
-		switch e.Type {
+	for _, entry := range entries {
+		switch entry.Type {
 		case log.TypeBatch:
-			var b Batch
-			if err := json.Unmarshal(e.Body, &b); err != nil {
-				return 0, apierror.Wrap(apierror.DiskDamaged, err, "read changelog entry %d", e.Offset)
+			var batch Batch
+			if err := json.Unmarshal(entry.Body, &batch); err != nil {
+				return 0, apierror.Wrap(apierror.DiskDamaged, err, "read changelog entry %d", entry.Offset)
 			}
-			if b.Part == 0 {
+			if batch.Part == 0 {
 				parts = nil
 			}
-			if b.Part != len(parts) || b.Part > 0 && parts[0].Input != b.Input {
+			if batch.Part != len(parts) || batch.Part > 0 && parts[0].Input != batch.Input {
 				parts = nil
 				continue
 			}
-			if parts = append(parts, b); len(parts) < b.Parts {
+			if parts = append(parts, batch); len(parts) < batch.Parts {
 				continue
 			}
-			for _, p := range parts {
-				for _, i := range p.Items {
-					if err := s.Set(i); err != nil {
-						return 0, apierror.Wrap(apierror.DiskDamaged, err, "read changelog key %q", i.Key)
+			for _, part := range parts {
+				for _, item := range part.Items {
+					if err := s.Set(item); err != nil {
+						return 0, apierror.Wrap(apierror.DiskDamaged, err, "read changelog key %q", item.Key)
 					}
 				}
 			}
 			parts = nil
 		case log.TypeOffset:
-			var c Commit
-			if err := json.Unmarshal(e.Body, &c); err != nil {
-				return 0, apierror.Wrap(apierror.DiskDamaged, err, "read changelog entry %d", e.Offset)
+			var commit Commit
+			if err := json.Unmarshal(entry.Body, &commit); err != nil {
+				return 0, apierror.Wrap(apierror.DiskDamaged, err, "read changelog entry %d", entry.Offset)
 			}
-			input = max(input, c.Input)
+			input = max(input, commit.Input)
 		}
 	}
 	return input, nil
--- a/internal/samza/changelog/changelog_test.go
+++ b/internal/samza/changelog/changelog_test.go
@@ -62,8 +62,9 @@
 	assert.Equal(t, got.Size(), s.Size())
 }
 
-// A batch stood in the changelog, and its owner was lost before the record that commits it: the state is ahead of the input offset. What is processed again
-// changes nothing, but the answers to it must be known, or a repeat of a taken call would be told that it never was.
+// A batch stood in the changelog, and its owner was lost before the record that commits it: the
+// state is ahead of the input offset. What is processed again changes nothing, but the answers to
+// it must be known, or a repeat of a taken call would be told that it never was.
 func TestBatchWithoutItsRecordKnowsItsAnswers(t *testing.T) {
 	es := ledger(5000)
 	s := apply(state.New(), es[:2000])
--- a/internal/samza/changelog/tombstones_test.go
+++ b/internal/samza/changelog/tombstones_test.go
@@ -18,7 +18,8 @@
 	}
 }
 
-// Marks and readers outlive their owner wherever its batches were cut, and so does that one of them was let go.
+// Marks and readers outlive their owner wherever its batches were cut, and so does that one of them
+// was let go.
 func TestMarksSurviveReplay(t *testing.T) {
 	es := marked()
 	for cut := range len(es) + 1 {
--- a/internal/samza/state/state.go
+++ b/internal/samza/state/state.go
@@ -1,5 +1,5 @@
-// Package state is what a partition's deliveries depend on: a function of its ledger.
-// It holds each visitor's accepted call numbers, the ordering progress of each topic, cursors and attachments.
+// Package state is what a partition's deliveries depend on: a function of its ledger. It holds each
+// client's accepted call numbers, the ordering progress of each topic, cursors and attachments.
 package state
 
 import (
@@ -11,16 +11,18 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-// AcceptedCall is one accepted call: its number, its place and the name of its body.
+// AcceptedCall is one accepted call: its number, its offset and the digest of its body.
 type AcceptedCall struct {
 	CallSeq uint64
 	Offset  uint64
 	Digest  string
 }
 
-// Accepted is how far a visitor's calls on a topic have come. Recent holds the answers to those whose messages the ledger still holds, rising by call
-// and offset; it is not written down, since the ledger itself tells them (Recall). Floor is the highest call whose answer was let go: what is at or below
-// it may have been taken, what stands between it and Last and is not in Recent never was.
+// Accepted is how far a client's calls on a topic have come. Recent holds the answers to those
+// whose messages the ledger still holds, rising by call and offset; it is not written down, since
+// the ledger itself tells them (RestoreAnswer). Floor is the highest call whose answer was dropped:
+// what is at or below it may have been accepted, what stands between it and Last and is not in
+// Recent never was.
 type Accepted struct {
 	Last       uint64
 	Generation uint64
@@ -28,7 +30,7 @@
 	Recent     []AcceptedCall
 }
 
-type written struct {
+type storedAccepted struct {
 	Last       uint64  `json:"l"`
 	Generation uint64  `json:"g"`
 	Floor      *uint64 `json:"f"`
@@ -36,12 +38,13 @@
 
 // MarshalJSON writes what the ledger can't tell again.
 func (a Accepted) MarshalJSON() ([]byte, error) {
-	return json.Marshal(written{a.Last, a.Generation, &a.Floor})
+	return json.Marshal(storedAccepted{a.Last, a.Generation, &a.Floor})
 }
 
-// UnmarshalJSON reads it. A value of an older build has no floor: all up to its last call may have been taken.
+// UnmarshalJSON reads it. A value of an older build has no floor: all up to its last call may have
+// been accepted.
 func (a *Accepted) UnmarshalJSON(b []byte) error {
-	var w written
+	var w storedAccepted
 	err := json.Unmarshal(b, &w)
 	*a = Accepted{Last: w.Last, Generation: w.Generation, Floor: w.Last}
 	if w.Floor != nil {
@@ -50,40 +53,43 @@
 	return err
 }
 
-// Progress is where a topic's line stands: the offset of its newest message, how many there were, and the offset of the last one that is no longer held.
+// Progress is how far a topic's log has come: the offset of its newest message, how many there
+// were, and the offset of the last one that is no longer held.
 type Progress struct {
 	Offset  uint64 `json:"o"`
 	Count   uint64 `json:"n"`
 	Trimmed uint64 `json:"x,omitempty"`
 }
 
-// Attachment is the attachment of a visitor that is in force.
+// Attachment is the attachment of a client that is in force.
 type Attachment struct {
 	Generation uint64 `json:"g"`
 	Secret     string `json:"s"`
 	Offset     uint64 `json:"o"`
 }
 
-// SavedCursor is the cursor that a visitor left.
+// SavedCursor is the cursor that a client left.
 type SavedCursor struct {
 	Cursor string `json:"c"`
 	Offset uint64 `json:"o"`
 }
 
-// Tombstone is a withdrawal that stands: what came before its offset under its key is withdrawn, by whom and under which number.
+// Tombstone is a withdrawal that stands: what came before its offset under its key is withdrawn, by
+// whom and under which number.
 type Tombstone struct {
 	Offset  uint64 `json:"o"`
 	Client  string `json:"v"`
 	CallSeq uint64 `json:"c"`
 }
 
-// WrittenBy tells whether it is the mark of a visitor's call.
+// WrittenBy reports whether it is the tombstone of a client's call.
 func (m Tombstone) WrittenBy(visitor string, call uint64) bool {
 	return m.Client == visitor && m.CallSeq == call
 }
 
-// Reader is a node that may have been given messages under keys, under which boot, and the offset of the entry that says so. GivenUp is one that was not
-// heard for so long that nobody waits for it. Before is the boot whose place it took: of that run nothing is left but what comes late.
+// Reader is a node that may have been given messages under keys, under which boot, and the offset
+// of the entry that says so. GivenUp is one that was not heard for so long that nobody waits for
+// it. Before is the boot whose place it took: of that run nothing is left but what comes late.
 type Reader struct {
 	BootID         string `json:"b"`
 	Offset         uint64 `json:"o"`
@@ -91,20 +97,22 @@
 	ReplacedBootID string `json:"f,omitempty"`
 }
 
-// ReaderEntry is what the entry of a reader says: that the node reads under a boot, that it is given up, or that it is gone.
+// ReaderEntry is what the entry of a reader says: that the node reads under a boot, that it is
+// given up, or that it is gone.
 type ReaderEntry struct {
 	BootID  string `json:"b"`
 	GivenUp bool   `json:"x,omitempty"`
 	Gone    bool   `json:"g,omitempty"`
 }
 
-// SenderWithdrawal is what the entry of a withdrawal says when it names a sender: that one's numbers on the topic are passed up to one of them.
+// SenderWithdrawal is what the entry of a withdrawal says when it names a sender: that one's
+// numbers on the topic are passed up to one of them.
 type SenderWithdrawal struct {
 	Sender string `json:"o"`
 	UpTo   uint64 `json:"u"`
 }
 
-// EncodePart gives a part of an entry as it stands in its body.
+// EncodePart returns a part of an entry as it stands in its body.
 func EncodePart[T any](v T) []byte {
 	b, _ := json.Marshal(v)
 	return b
@@ -117,7 +125,8 @@
 	return v
 }
 
-// CallDigest gives the name under which a call is known: that of its body, and where it has a key also of that and of what it asked.
+// CallDigest returns the name under which a call is known: that of its body, and where it has a key
+// also of that and of what it asked.
 func CallDigest(what, key, digest string) string {
 	if key == "" {
 		return digest
@@ -125,10 +134,10 @@
 	return digest + "\x1f" + what + "\x1f" + key
 }
 
-// MaxAnswers is the most answers that are kept per visitor and topic, whatever the ledger holds.
+// MaxAnswers is the most answers that are kept per client and topic, whatever the ledger holds.
 const MaxAnswers = 4096
 
-// State is one partition's; it is used under its owner's turn.
+// State is one partition's; it is used under its leader's lock.
 type State struct {
 	Accepted     map[string]Accepted    `json:"a"`
 	Progress     map[string]Progress    `json:"p"`
@@ -137,7 +146,8 @@
 	Tombstones   map[string]Tombstone   `json:"m,omitempty"`
 	Readers      map[string]Reader      `json:"r,omitempty"`
 	Input        uint64                 `json:"i"`
-	// LastKeyed is the offset of the last message under a key that the ledger holds; the ledger itself tells it (Recall).
+	// LastKeyed is the offset of the last message under a key that the ledger holds; the ledger
+	// itself tells it (RestoreAnswer).
 	LastKeyed map[string]uint64 `json:"-"`
 	dirty     map[string]bool
 }
@@ -147,20 +157,20 @@
 	return &State{Accepted: map[string]Accepted{}, Progress: map[string]Progress{}, Attachments: map[string]Attachment{}, SavedCursors: map[string]SavedCursor{}, Tombstones: map[string]Tombstone{}, Readers: map[string]Reader{}, LastKeyed: map[string]uint64{}, dirty: map[string]bool{}}
 }
 
-// Key names a visitor's calls on a topic, or with the topic first what stands under a key of it.
+// Key names a client's calls on a topic, or with the topic first what stands under a key of it.
 func Key(visitor, topic string) string { return visitor + "\x1f" + topic }
 
-// Find gives the answer kept for a call number.
-func (a Accepted) Find(c uint64) (AcceptedCall, bool) {
-	i, ok := slices.BinarySearchFunc(a.Recent, c, func(t AcceptedCall, c uint64) int { return cmp.Compare(t.CallSeq, c) })
+// Find returns the answer kept for a call number.
+func (a Accepted) Find(callSeq uint64) (AcceptedCall, bool) {
+	i, ok := slices.BinarySearchFunc(a.Recent, callSeq, func(t AcceptedCall, callSeq uint64) int { return cmp.Compare(t.CallSeq, callSeq) })
 	if !ok {
 		return AcceptedCall{}, false
 	}
 	return a.Recent[i], true
 }
 
-func (a *Accepted) keep(t AcceptedCall) {
-	a.Recent = append(a.Recent, t)
+func (a *Accepted) addRecent(call AcceptedCall) {
+	a.Recent = append(a.Recent, call)
 	if n := len(a.Recent) - MaxAnswers; n > 0 {
 		a.Floor = max(a.Floor, a.Recent[n-1].CallSeq)
 		a.Recent = a.Recent[n:]
@@ -168,19 +178,19 @@
 }
 
 const (
-	accepted = "a:"
-	progress = "p:"
-	attached = "t:"
-	acked    = "k:"
-	marks    = "m:"
-	readers  = "r:"
+	accepted    = "a:"
+	progress    = "p:"
+	attachments = "t:"
+	cursors     = "k:"
+	tombstones  = "m:"
+	readers     = "r:"
 )
 
 var apply = map[string]func(*State, log.Entry){
-	log.TypeMessage: func(s *State, e log.Entry) { s.take(e, 1) },
+	log.TypeMessage: func(s *State, e log.Entry) { s.accept(e, 1) },
 	log.TypeWithdrawal: func(s *State, e log.Entry) {
-		s.take(e, 0)
-		s.mark(e)
+		s.accept(e, 0)
+		s.addTombstone(e)
 		if p := DecodePart[SenderWithdrawal](e); p.Sender != "" {
 			k := Key(p.Sender, e.Topic)
 			if a := s.Accepted[k]; p.UpTo > a.Last {
@@ -208,72 +218,72 @@
 	log.TypeAttach: func(s *State, e log.Entry) {
 		if e.Generation > s.Attachments[e.Client].Generation {
 			s.Attachments[e.Client] = Attachment{e.Generation, string(e.Body), e.Offset}
-			s.dirty[attached+e.Client] = true
+			s.dirty[attachments+e.Client] = true
 		}
 	},
 	log.TypeCursor: func(s *State, e log.Entry) {
 		if e.Offset > s.SavedCursors[e.Client].Offset {
 			s.SavedCursors[e.Client] = SavedCursor{string(e.Body), e.Offset}
-			s.dirty[acked+e.Client] = true
+			s.dirty[cursors+e.Client] = true
 		}
 	},
 }
 
-func (s *State) take(e log.Entry, n uint64) {
-	k := Key(e.Client, e.Topic)
-	a := s.Accepted[k]
-	if e.CallSeq <= a.Last {
-		s.RestoreAnswer(e)
+func (s *State) accept(entry log.Entry, messages uint64) {
+	key := Key(entry.Client, entry.Topic)
+	a := s.Accepted[key]
+	if entry.CallSeq <= a.Last {
+		s.RestoreAnswer(entry)
 		return
 	}
-	s.hold(e)
-	a.Last, a.Generation = e.CallSeq, max(a.Generation, e.Generation)
-	a.keep(AcceptedCall{e.CallSeq, e.Offset, CallDigest(e.Type, e.Key, e.Digest)})
-	s.Accepted[k] = a
-	s.dirty[accepted+k] = true
-	if p := s.Progress[e.Topic]; e.Offset > p.Offset {
-		s.Progress[e.Topic] = Progress{e.Offset, p.Count + n, p.Trimmed}
-		s.dirty[progress+e.Topic] = true
+	s.noteKeyed(entry)
+	a.Last, a.Generation = entry.CallSeq, max(a.Generation, entry.Generation)
+	a.addRecent(AcceptedCall{entry.CallSeq, entry.Offset, CallDigest(entry.Type, entry.Key, entry.Digest)})
+	s.Accepted[key] = a
+	s.dirty[accepted+key] = true
+	if p := s.Progress[entry.Topic]; entry.Offset > p.Offset {
+		s.Progress[entry.Topic] = Progress{entry.Offset, p.Count + messages, p.Trimmed}
+		s.dirty[progress+entry.Topic] = true
 	}
 }
 
-func (s *State) hold(e log.Entry) {
-	if e.Type == log.TypeMessage && e.Key != "" {
-		k := Key(e.Topic, e.Key)
-		s.LastKeyed[k] = max(s.LastKeyed[k], e.Offset)
+func (s *State) noteKeyed(entry log.Entry) {
+	if entry.Type == log.TypeMessage && entry.Key != "" {
+		key := Key(entry.Topic, entry.Key)
+		s.LastKeyed[key] = max(s.LastKeyed[key], entry.Offset)
 	}
 }
 
-func (s *State) drop(e log.Entry) {
-	if k := Key(e.Topic, e.Key); s.LastKeyed[k] <= e.Offset {
-		delete(s.LastKeyed, k)
+func (s *State) forgetKeyed(entry log.Entry) {
+	if key := Key(entry.Topic, entry.Key); s.LastKeyed[key] <= entry.Offset {
+		delete(s.LastKeyed, key)
 	}
 }
 
-func (s *State) mark(e log.Entry) {
-	if k := Key(e.Topic, e.Key); e.Offset > s.Tombstones[k].Offset {
-		s.Tombstones[k] = Tombstone{e.Offset, e.Client, e.CallSeq}
-		s.dirty[marks+k] = true
+func (s *State) addTombstone(entry log.Entry) {
+	if key := Key(entry.Topic, entry.Key); entry.Offset > s.Tombstones[key].Offset {
+		s.Tombstones[key] = Tombstone{entry.Offset, entry.Client, entry.CallSeq}
+		s.dirty[tombstones+key] = true
 	}
 }
 
-// Covers tells whether a message stands under a key that was withdrawn behind it.
-func (s *State) Covers(e log.Entry) bool {
-	return e.Key != "" && s.Tombstones[Key(e.Topic, e.Key)].Offset > e.Offset
+// Covers reports whether a message stands under a key that was withdrawn behind it.
+func (s *State) Covers(entry log.Entry) bool {
+	return entry.Key != "" && s.Tombstones[Key(entry.Topic, entry.Key)].Offset > entry.Offset
 }
 
-// DropTombstone lets go of a mark.
-func (s *State) DropTombstone(k string) {
-	delete(s.Tombstones, k)
-	s.dirty[marks+k] = true
+// DropTombstone drops a tombstone.
+func (s *State) DropTombstone(key string) {
+	delete(s.Tombstones, key)
+	s.dirty[tombstones+key] = true
 }
 
 // Apply takes one committed entry; applying it again changes nothing.
-func (s *State) Apply(e log.Entry) {
-	if f, ok := apply[e.Type]; ok {
-		f(s, e)
+func (s *State) Apply(entry log.Entry) {
+	if f, ok := apply[entry.Type]; ok {
+		f(s, entry)
 	}
-	s.Input = max(s.Input, e.Offset)
+	s.Input = max(s.Input, entry.Offset)
 }
 
 // Item is the latest value of one key.
@@ -282,102 +292,104 @@
 	Value json.RawMessage `json:"v"`
 }
 
-var get = map[string]func(*State, string) any{
-	accepted: func(s *State, n string) any { return s.Accepted[n] },
-	progress: func(s *State, n string) any { return s.Progress[n] },
-	attached: func(s *State, n string) any { return s.Attachments[n] },
-	acked:    func(s *State, n string) any { return s.SavedCursors[n] },
-	marks:    func(s *State, n string) any { return left(s.Tombstones, n) },
-	readers:  func(s *State, n string) any { return left(s.Readers, n) },
+var getters = map[string]func(*State, string) any{
+	accepted:    func(s *State, n string) any { return s.Accepted[n] },
+	progress:    func(s *State, n string) any { return s.Progress[n] },
+	attachments: func(s *State, n string) any { return s.Attachments[n] },
+	cursors:     func(s *State, n string) any { return s.SavedCursors[n] },
+	tombstones:  func(s *State, n string) any { return valueOrNil(s.Tombstones, n) },
+	readers:     func(s *State, n string) any { return valueOrNil(s.Readers, n) },
 }
 
-// left gives what a map holds, and nothing where it lets go of that.
-func left[T any](m map[string]T, n string) any {
-	if v, ok := m[n]; ok {
+// valueOrNil returns what a map holds, and nothing where it lets go of that.
+func valueOrNil[T any](m map[string]T, name string) any {
+	if v, ok := m[name]; ok {
 		return v
 	}
 	return nil
 }
 
-func (s *State) item(k string) Item {
-	v := get[k[:len(accepted)]](s, k[len(accepted):])
+func (s *State) item(key string) Item {
+	v := getters[key[:len(accepted)]](s, key[len(accepted):])
 	b, _ := json.Marshal(v)
-	return Item{k, b}
+	return Item{key, b}
 }
 
-// TakeChanges gives the latest value of each key changed since the last call.
+// TakeChanges returns the latest value of each key changed since the last call.
 func (s *State) TakeChanges() []Item {
-	ks := make([]string, 0, len(s.dirty))
-	for k := range s.dirty {
-		ks = append(ks, k)
+	keys := make([]string, 0, len(s.dirty))
+	for key := range s.dirty {
+		keys = append(keys, key)
 	}
-	slices.Sort(ks)
+	slices.Sort(keys)
 	clear(s.dirty)
-	is := make([]Item, len(ks))
-	for i, k := range ks {
-		is[i] = s.item(k)
+	items := make([]Item, len(keys))
+	for i, key := range keys {
+		items[i] = s.item(key)
 	}
-	return is
+	return items
 }
 
 // MarkAllChanged marks every key as changed, for a compaction of the changelog.
 func (s *State) MarkAllChanged() {
-	for k := range s.Accepted {
-		s.dirty[accepted+k] = true
+	for key := range s.Accepted {
+		s.dirty[accepted+key] = true
 	}
-	for k := range s.Progress {
-		s.dirty[progress+k] = true
+	for key := range s.Progress {
+		s.dirty[progress+key] = true
 	}
-	for k := range s.Attachments {
-		s.dirty[attached+k] = true
+	for key := range s.Attachments {
+		s.dirty[attachments+key] = true
 	}
-	for k := range s.SavedCursors {
-		s.dirty[acked+k] = true
+	for key := range s.SavedCursors {
+		s.dirty[cursors+key] = true
 	}
-	for k := range s.Tombstones {
-		s.dirty[marks+k] = true
+	for key := range s.Tombstones {
+		s.dirty[tombstones+key] = true
 	}
-	for k := range s.Readers {
-		s.dirty[readers+k] = true
+	for key := range s.Readers {
+		s.dirty[readers+key] = true
 	}
 }
 
-// RestoreAnswer takes an entry of the ledger that the state was written down with, so that its answer is known again. Entries come in the order of the ledger.
-// A mark stands again with its entry: one that was let go elsewhere covers what this ledger still holds.
-func (s *State) RestoreAnswer(e log.Entry) {
-	if !numbered[e.Type] {
+// RestoreAnswer takes an entry of the ledger that the state was written down with, so that its
+// answer is known again. Entries come in the order of the ledger. A mark stands again with its
+// entry: one that was let go elsewhere covers what this ledger still holds.
+func (s *State) RestoreAnswer(entry log.Entry) {
+	if !numbered[entry.Type] {
 		return
 	}
-	s.hold(e)
-	if e.Type == log.TypeWithdrawal {
-		s.mark(e)
+	s.noteKeyed(entry)
+	if entry.Type == log.TypeWithdrawal {
+		s.addTombstone(entry)
 	}
-	k := Key(e.Client, e.Topic)
-	a, ok := s.Accepted[k]
-	if n := len(a.Recent); !ok || e.CallSeq > a.Last || n > 0 && a.Recent[n-1].CallSeq >= e.CallSeq {
+	key := Key(entry.Client, entry.Topic)
+	a, ok := s.Accepted[key]
+	if n := len(a.Recent); !ok || entry.CallSeq > a.Last || n > 0 && a.Recent[n-1].CallSeq >= entry.CallSeq {
 		return
 	}
-	a.keep(AcceptedCall{e.CallSeq, e.Offset, CallDigest(e.Type, e.Key, e.Digest)})
-	s.Accepted[k] = a
+	a.addRecent(AcceptedCall{entry.CallSeq, entry.Offset, CallDigest(entry.Type, entry.Key, entry.Digest)})
+	s.Accepted[key] = a
 }
 
-// numbered are the entries that a visitor's call numbers name.
+// numbered are the entries that a client's call numbers name.
 var numbered = map[string]bool{log.TypeMessage: true, log.TypeWithdrawal: true}
 
-// Prune lets go of the answers to entries that the ledger is about to drop, in the order of their offsets, and notes per topic what is gone; how far the
-// calls have come stays for good, so nothing is ever taken twice. It gives how many answers were let go.
-func (s *State) Prune(es ...log.Entry) int {
-	n := 0
-	for _, e := range es {
-		if !numbered[e.Type] {
+// Prune drops the answers to entries that the ledger is about to drop, in the order of their
+// offsets, and notes per topic what is gone; how far the calls have come stays for good, so nothing
+// is ever accepted twice. It returns how many answers were dropped.
+func (s *State) Prune(entries ...log.Entry) int {
+	pruned := 0
+	for _, entry := range entries {
+		if !numbered[entry.Type] {
 			continue
 		}
-		if e.Key != "" {
-			s.drop(e)
+		if entry.Key != "" {
+			s.forgetKeyed(entry)
 		}
-		k := Key(e.Client, e.Topic)
-		a, i := s.Accepted[k], 0
-		for i < len(a.Recent) && a.Recent[i].Offset <= e.Offset {
+		key := Key(entry.Client, entry.Topic)
+		a, i := s.Accepted[key], 0
+		for i < len(a.Recent) && a.Recent[i].Offset <= entry.Offset {
 			i++
 		}
 		if i > 0 {
@@ -386,20 +398,20 @@
 			if len(a.Recent) == 0 {
 				a.Recent = nil
 			}
-			s.Accepted[k] = a
-			s.dirty[accepted+k] = true
-			n += i
+			s.Accepted[key] = a
+			s.dirty[accepted+key] = true
+			pruned += i
 		}
-		if p := s.Progress[e.Topic]; e.Offset > p.Trimmed {
-			p.Trimmed = e.Offset
-			s.Progress[e.Topic] = p
-			s.dirty[progress+e.Topic] = true
+		if p := s.Progress[entry.Topic]; entry.Offset > p.Trimmed {
+			p.Trimmed = entry.Offset
+			s.Progress[entry.Topic] = p
+			s.dirty[progress+entry.Topic] = true
 		}
 	}
-	return n
+	return pruned
 }
 
-// Changed tells whether a key changed since the last call of Dirty.
+// Changed reports whether any key changed since the last call of TakeChanges.
 func (s *State) Changed() bool { return len(s.dirty) > 0 }
 
 // Size is the number of keys.
@@ -407,24 +419,24 @@
 	return len(s.Accepted) + len(s.Progress) + len(s.Attachments) + len(s.SavedCursors) + len(s.Tombstones) + len(s.Readers)
 }
 
-func put[T any](m map[string]T, n string, b []byte) error {
+func put[T any](m map[string]T, name string, b []byte) error {
 	if len(b) == 0 || string(b) == "null" {
-		delete(m, n)
+		delete(m, name)
 		return nil
 	}
-	var v T
-	err := json.Unmarshal(b, &v)
-	m[n] = v
+	var value T
+	err := json.Unmarshal(b, &value)
+	m[name] = value
 	return err
 }
 
-var set = map[string]func(*State, string, []byte) error{
-	accepted: func(s *State, n string, b []byte) error { return put(s.Accepted, n, b) },
-	progress: func(s *State, n string, b []byte) error { return put(s.Progress, n, b) },
-	attached: func(s *State, n string, b []byte) error { return put(s.Attachments, n, b) },
-	acked:    func(s *State, n string, b []byte) error { return put(s.SavedCursors, n, b) },
-	marks:    func(s *State, n string, b []byte) error { return put(s.Tombstones, n, b) },
-	readers:  func(s *State, n string, b []byte) error { return put(s.Readers, n, b) },
+var setters = map[string]func(*State, string, []byte) error{
+	accepted:    func(s *State, n string, b []byte) error { return put(s.Accepted, n, b) },
+	progress:    func(s *State, n string, b []byte) error { return put(s.Progress, n, b) },
+	attachments: func(s *State, n string, b []byte) error { return put(s.Attachments, n, b) },
+	cursors:     func(s *State, n string, b []byte) error { return put(s.SavedCursors, n, b) },
+	tombstones:  func(s *State, n string, b []byte) error { return put(s.Tombstones, n, b) },
+	readers:     func(s *State, n string, b []byte) error { return put(s.Readers, n, b) },
 }
 
 // Set takes the latest value of a key from the changelog.
@@ -432,21 +444,21 @@
 	if len(i.Key) < len(accepted) {
 		return nil
 	}
-	f, ok := set[i.Key[:len(accepted)]]
+	f, ok := setters[i.Key[:len(accepted)]]
 	if !ok {
 		return nil
 	}
 	return f(s, i.Key[len(accepted):], i.Value)
 }
 
-// Senders counts the visitors that sent on each topic.
+// Senders counts the clients that sent on each topic.
 func (s *State) Senders() map[string]int {
-	m := map[string]int{}
-	for k := range s.Accepted {
-		_, t, _ := strings.Cut(k, "\x1f")
-		m[t]++
+	senders := map[string]int{}
+	for key := range s.Accepted {
+		_, topic, _ := strings.Cut(key, "\x1f")
+		senders[topic]++
 	}
-	return m
+	return senders
 }
 
 // Marshal writes the whole state.
--- a/internal/samza/state/state_test.go
+++ b/internal/samza/state/state_test.go
@@ -28,7 +28,8 @@
 	return s
 }
 
-// What the ledger no longer holds is forgotten but for how far it went: repeats are then told so by type and never taken again.
+// What the ledger no longer holds is forgotten but for how far it went: repeats are then told so by
+// type and never taken again.
 func TestPruningKeepsHowFarCallsHaveCome(t *testing.T) {
 	s := filled(3, 40)
 	s.TakeChanges()
@@ -48,7 +49,8 @@
 	assert.Assert(t, !s.Changed(), "dropping the same again changes nothing")
 }
 
-// The answers are told by the ledger again, so they cost nothing to write down; the floor says what they can't tell.
+// The answers are told by the ledger again, so they cost nothing to write down; the floor says what
+// they can't tell.
 func TestAnswersComeBackFromTheLedger(t *testing.T) {
 	es := entries(3, 40)
 	for _, gone := range []int{0, 1, 50, 119, 120} {
@@ -78,7 +80,8 @@
 	}
 }
 
-// A value written by a build that had no floor says nothing about what was let go: all up to its last call may have been taken.
+// A value written by a build that had no floor says nothing about what was let go: all up to its
+// last call may have been taken.
 func TestAnOlderBuildsAnswersMayHaveBeenTaken(t *testing.T) {
 	s := New()
 	assert.NilError(t, s.Set(Item{Key: "a:" + Key("v", "s/a"), Value: []byte(`{"l":9,"g":2,"r":[{"c":9,"o":4,"s":"d"}]}`)}))
@@ -94,7 +97,8 @@
 	assert.Equal(t, a.Floor, uint64(20))
 }
 
-// What a batch costs that follows a busy interval: a visitor with hundreds of answers kept is written as one with none.
+// What a batch costs that follows a busy interval: a visitor with hundreds of answers kept is
+// written as one with none.
 func TestAnswersAreNotWrittenDown(t *testing.T) {
 	s := filled(200, 1200)
 	n := 0
--- a/internal/samza/state/tombstones_test.go
+++ b/internal/samza/state/tombstones_test.go
@@ -38,7 +38,8 @@
 
 var known = Key("s/a", "k")
 
-// A withdrawal is a call of its visitor, a mark, and where it names a sender the end of that one's lower numbers.
+// A withdrawal is a call of its visitor, a mark, and where it names a sender the end of that one's
+// lower numbers.
 func TestWithdrawalsAndReadersAreState(t *testing.T) {
 	s := all(keyed()...)
 	for range 2 {
@@ -61,7 +62,8 @@
 	}
 }
 
-// What a call was taken with is its body, its key, and what it asked; a message without a key is known as ever.
+// What a call was taken with is its body, its key, and what it asked; a message without a key is
+// known as ever.
 func TestCallsAreKnownByKeyAndBody(t *testing.T) {
 	seen := map[string]bool{}
 	for _, n := range []string{CallDigest(log.TypeMessage, "", "d"), CallDigest(log.TypeMessage, "k", "d"), CallDigest(log.TypeWithdrawal, "k", "d"), CallDigest(log.TypeMessage, "l", "d"), CallDigest(log.TypeMessage, "k", "e")} {
@@ -71,7 +73,8 @@
 	assert.Equal(t, CallDigest(log.TypeMessage, "", "d"), "d")
 }
 
-// What is held, and the marks of what is held, come back from the ledger, also a mark that was let go by an owner whose ledger was cut further.
+// What is held, and the marks of what is held, come back from the ledger, also a mark that was let
+// go by an owner whose ledger was cut further.
 func TestMarksComeBackFromTheLedger(t *testing.T) {
 	es := keyed()
 	s := all(es...)
@@ -94,7 +97,8 @@
 	assert.Assert(t, ok && x.Offset == 5)
 }
 
-// A withdrawal that the ledger drops counts as gone of its topic, so that a cursor before it is no cursor any more.
+// A withdrawal that the ledger drops counts as gone of its topic, so that a cursor before it is no
+// cursor any more.
 func TestDroppedWithdrawalsCountAsGone(t *testing.T) {
 	es := keyed()
 	s := all(es...)
