--- /dev/null
+++ b/internal/partitionlog/router/epochs.go
@@ -0,0 +1,56 @@
+package router
+
+import (
+	"context"
+	"sync"
+
+	"postjunction/internal/gossip"
+	"postjunction/internal/placement/assignment"
+)
+
+type leaderEpoch struct {
+	epoch  uint64
+	ctx    context.Context
+	cancel context.CancelFunc
+}
+
+// leaderEpochs holds, for each partition, a context that ends once a higher epoch is known: what
+// waits for the leader of the old one need not wait on.
+type leaderEpochs struct {
+	mu          sync.Mutex
+	byPartition map[int]leaderEpoch
+}
+
+func (s *leaderEpochs) contextOf(store *gossip.Store, record assignment.Record) context.Context {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.byPartition == nil {
+		s.byPartition = map[int]leaderEpoch{}
+	}
+	current, ok := s.byPartition[record.Partition]
+	if ok && current.epoch >= record.Epoch {
+		return current.ctx
+	}
+	if ok {
+		current.cancel()
+	}
+	current.epoch = record.Epoch
+	current.ctx, current.cancel = context.WithCancel(context.Background())
+	s.byPartition[record.Partition] = current
+	if store.Record(record.Partition).Epoch > record.Epoch {
+		current.cancel()
+	}
+	return current.ctx
+}
+
+// ApplyRecords ends the contexts of epochs that newer records ended.
+func (r *Router) ApplyRecords(records []assignment.Record) {
+	r.epochs.mu.Lock()
+	defer r.epochs.mu.Unlock()
+	for _, record := range records {
+		if current, ok := r.epochs.byPartition[record.Partition]; ok && record.Epoch > current.epoch {
+			current.cancel()
+			delete(r.epochs.byPartition, record.Partition)
+		}
+	}
+}
--- /dev/null
+++ b/internal/partitionlog/router/followers.go
@@ -0,0 +1,135 @@
+package router
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"postjunction/internal/apierror"
+	"postjunction/internal/partitionlog/leader"
+	"postjunction/internal/placement/assignment"
+	"postjunction/internal/wire"
+)
+
+// SubscribersRequest asks how many subscribers a topic has.
+type SubscribersRequest struct {
+	Partition int    `json:"p"`
+	Topic     string `json:"t"`
+}
+
+// SubscribersResponse has that number.
+type SubscribersResponse struct {
+	Count int `json:"n"`
+}
+
+// The calls of nodes that follow topics.
+var (
+	Follow = wire.NewProcedure[leader.FollowRequest, leader.FollowResponse]("Ledger", "Follow", wire.Monotonic,
+		"wishes of a feed are numbered; an old number changes nothing")
+	Poll = wire.NewProcedure[leader.PollRequest, leader.PollResponse]("Ledger", "Poll", wire.ReadOnly,
+		"committed entries behind a place; the place that it confirms only rises")
+	Subscribers = wire.NewProcedure[SubscribersRequest, SubscribersResponse]("Ledger", "Listeners", wire.ReadOnly,
+		"counts")
+)
+
+func (r *Router) follow(ctx context.Context, request *leader.FollowRequest) (*leader.FollowResponse, error) {
+	running, err := r.leaderOf(request.Partition)
+	if err != nil {
+		return nil, err
+	}
+	return running.Follow(ctx, request)
+}
+
+func (r *Router) poll(ctx context.Context, request *leader.PollRequest) (*leader.PollResponse, error) {
+	running, err := r.leaderOf(request.Partition)
+	if err != nil {
+		return nil, err
+	}
+	request.Hold = min(request.Hold, r.Timing.Spread)
+	return running.Poll(ctx, request)
+}
+
+func (r *Router) subscribers(_ context.Context, request *SubscribersRequest) (*SubscribersResponse, error) {
+	running, err := r.leaderOf(request.Partition)
+	if err != nil {
+		return nil, err
+	}
+	count, err := running.Subscribers(request.Topic)
+	return &SubscribersResponse{Count: count}, err
+}
+
+func (r *Router) serveFollowers(mux *http.ServeMux) {
+	Follow.Handle(mux, compressing(r.follow, func(request *leader.FollowRequest) bool { return request.Compress }))
+	Poll.Handle(mux, compressing(r.poll, func(request *leader.PollRequest) bool { return request.Compress }))
+	Subscribers.Handle(mux, r.subscribers)
+}
+
+// compressing wraps a handler: the bodies of its response are compressed where the request asks for
+// that.
+func compressing[Q, A any, P interface {
+	*A
+	Compress()
+}](handler func(context.Context, *Q) (P, error), wantsCompression func(*Q) bool) func(context.Context, *Q) (*A, error) {
+	return func(ctx context.Context, request *Q) (*A, error) {
+		response, err := handler(ctx, request)
+		if err == nil && wantsCompression(request) {
+			response.Compress()
+		}
+		return response, err
+	}
+}
+
+// callOnce makes one attempt at the leader that a record names.
+func callOnce[Q, A any](
+	ctx context.Context, router *Router, record assignment.Record, limit time.Duration, procedure *wire.Procedure[Q, A], local func(context.Context, *Q) (*A, error), request *Q,
+) (*A, error) {
+	if record.Leader == "" {
+		return nil, apierror.New(apierror.NoPartitionLeader, "partition %d has no leader yet", record.Partition)
+	}
+	callCtx, stop := context.WithTimeout(ctx, limit)
+	defer stop()
+	if record.Leader == router.Self {
+		return local(callCtx, request)
+	}
+	peer, ok := router.View.Get(record.Leader)
+	if !ok {
+		return nil, apierror.New(apierror.NoPartitionLeader, "the leader %s of partition %d is gone",
+			record.Leader, record.Partition)
+	}
+	return procedure.Call(callCtx, router.Net, router.Self, peer.PeerAddr, request)
+}
+
+// Follow tells a partition's leader what this node follows, in one attempt.
+func (r *Router) Follow(
+	ctx context.Context, record assignment.Record, request *leader.FollowRequest,
+) (*leader.FollowResponse, error) {
+	request.Compress = r.CompressStreams
+	response, err := callOnce(ctx, r, record, r.Timing.CallTimeout(), Follow, r.follow, request)
+	if err != nil {
+		return nil, err
+	}
+	return response, response.Decompress()
+}
+
+// Poll polls a partition's leader for what this node follows, in one attempt.
+func (r *Router) Poll(
+	ctx context.Context, record assignment.Record, request *leader.PollRequest,
+) (*leader.PollResponse, error) {
+	request.Compress = r.CompressStreams
+	response, err := callOnce(ctx, r, record, request.Hold+r.Timing.CallTimeout(), Poll, r.poll, request)
+	if err != nil {
+		return nil, err
+	}
+	return response, response.Decompress()
+}
+
+// Subscribers returns how many subscribers a topic has on all nodes, in one attempt.
+func (r *Router) Subscribers(ctx context.Context, partitionID int, topic string) (int, error) {
+	request := &SubscribersRequest{Partition: partitionID, Topic: topic}
+	record, limit := r.Store.Record(partitionID), r.Timing.CallTimeout()/2
+	response, err := callOnce(ctx, r, record, limit, Subscribers, r.subscribers, request)
+	if err != nil {
+		return 0, err
+	}
+	return response.Count, nil
+}
--- a/internal/partitionlog/router/forgotten_test.go
+++ b/internal/partitionlog/router/forward_test.go
@@ -19,11 +19,11 @@
 }
 
 // Do carries a call to the stand-in.
-func (a *askers) Do(r *http.Request) (*http.Response, error) {
+func (response *askers) Do(r *http.Request) (*http.Response, error) {
 	m := http.NewServeMux()
-	PendingReaders.Handle(m, func(_ context.Context, q *PendingReadersRequest) (*leader.PendingReaders, error) {
-		a.asked = append(a.asked, *q)
-		return a.tell(len(a.asked))
+	PendingReaders.Handle(m, func(_ context.Context, request *PendingReadersRequest) (*leader.PendingReaders, error) {
+		response.asked = append(response.asked, *request)
+		return response.tell(len(response.asked))
 	})
 	w := httptest.NewRecorder()
 	m.ServeHTTP(w, r)
@@ -31,25 +31,25 @@
 }
 
 // Who is asked for readers while a partition moves is asked again until somebody decides; where nobody does, that is no yes.
-func TestForgottenIsAskedAgain(t *testing.T) {
+func TestPendingReaders_IsRetried(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		moving := []apierror.Code{apierror.NotPartitionLeader, apierror.NotReady, apierror.ShuttingDown, apierror.StaleEpoch}
-		a := &askers{tell: func(n int) (*leader.PendingReaders, error) {
+		response := &askers{tell: func(n int) (*leader.PendingReaders, error) {
 			if n <= len(moving) {
 				return nil, apierror.New(moving[n-1], "moving")
 			}
 			return &leader.PendingReaders{Nodes: []string{"a2"}}, nil
 		}}
 		b := newBench(nil)
-		b.Net = a
+		b.Net = response
 		b.owned("s1")
 		u, err := b.PendingReaders(t.Context(), part, 7, time.Second)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, u, &leader.PendingReaders{Nodes: []string{"a2"}})
-		assert.Equal(t, len(a.asked), len(moving)+1)
-		assert.DeepEqual(t, a.asked[0], PendingReadersRequest{Partition: part, Offset: 7, Hold: time.Second})
+		assert.Equal(t, len(response.asked), len(moving)+1)
+		assert.DeepEqual(t, response.asked[0], PendingReadersRequest{Partition: part, Offset: 7, Hold: time.Second})
 
-		a.tell = func(int) (*leader.PendingReaders, error) {
+		response.tell = func(int) (*leader.PendingReaders, error) {
 			return nil, apierror.New(apierror.NotPartitionLeader, "superseded")
 		}
 		u, err = b.PendingReaders(t.Context(), part, 7, time.Second)
@@ -61,7 +61,7 @@
 func TestUnknownKeyIsFinal(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		n := 0
-		b := newBench(func(_ *bench, _ context.Context, _ string, q *SubmitManyRequest) (*SubmitManyResponse, error) {
+		b := newBench(func(_ *bench, _ context.Context, _ string, request *SubmitManyRequest) (*SubmitManyResponse, error) {
 			if n++; n == 1 {
 				return lost()
 			}
--- /dev/null
+++ b/internal/partitionlog/router/handlers.go
@@ -0,0 +1,133 @@
+package router
+
+import (
+	"context"
+	"net/http"
+
+	"postjunction/internal/apierror"
+	"postjunction/internal/partition"
+	"postjunction/internal/partitionlog/leader"
+)
+
+func (r *Router) leaderOf(partitionID int) (*leader.Leader, error) {
+	return r.Leaders.Leader(partitionID)
+}
+
+func (r *Router) partitionOf(message *leader.Message) (int, error) {
+	index := r.Store.Index()
+	if index.Sequence < message.Configuration {
+		return 0, apierror.New(apierror.NotReady, "the call was let in under description %d, this node has %d",
+			message.Configuration, index.Sequence)
+	}
+	namespace, err := index.Find(message.Topic)
+	if err != nil {
+		return 0, err
+	}
+	return partition.Of(message.Topic, namespace.Urgent, r.Store.VoterSet().Layout), nil
+}
+
+func (r *Router) submit(ctx context.Context, message *leader.Message) (*leader.Decision, error) {
+	partitionID, err := r.partitionOf(message)
+	if err != nil {
+		return nil, err
+	}
+	running, err := r.leaderOf(partitionID)
+	if err != nil {
+		return nil, err
+	}
+	return running.Submit(ctx, message)
+}
+
+func (r *Router) attach(ctx context.Context, request *AttachRequest) (*AttachResponse, error) {
+	running, err := r.leaderOf(r.homeOf(request.Client, request.Urgent))
+	if err != nil {
+		return nil, err
+	}
+	generation, err := running.Attach(ctx, request.Client, request.Secret, request.Generation)
+	if err != nil {
+		return nil, err
+	}
+	_, cursor, err := running.Attachment(ctx, request.Client)
+	return &AttachResponse{Generation: generation, SavedCursor: cursor}, err
+}
+
+func (r *Router) readAttachment(ctx context.Context, request *ReadAttachmentRequest) (*ReadAttachmentResponse, error) {
+	running, err := r.leaderOf(r.homeOf(request.Client, request.Urgent))
+	if err != nil {
+		return nil, err
+	}
+	attachment, cursor, err := running.Attachment(ctx, request.Client)
+	return &ReadAttachmentResponse{Attachment: attachment, SavedCursor: cursor}, err
+}
+
+func (r *Router) saveCursor(ctx context.Context, request *SaveCursorRequest) (*Empty, error) {
+	running, err := r.leaderOf(r.homeOf(request.Client, request.Urgent))
+	if err != nil {
+		return nil, err
+	}
+	return &Empty{}, running.SaveCursor(ctx, request.Client, request.Generation, request.Cursor)
+}
+
+func (r *Router) read(ctx context.Context, request *leader.ReadRequest) (*leader.ReadResponse, error) {
+	running, err := r.leaderOf(request.Partition)
+	if err != nil {
+		return nil, err
+	}
+	request.Hold = min(request.Hold, r.Timing.LongPoll())
+	return running.Read(ctx, request)
+}
+
+func (r *Router) pendingReaders(ctx context.Context, request *PendingReadersRequest) (*leader.PendingReaders, error) {
+	running, err := r.leaderOf(request.Partition)
+	if err != nil {
+		return nil, err
+	}
+	return running.PendingReaders(ctx, request.Offset, min(request.Hold, r.Timing.LongPoll()))
+}
+
+func (r *Router) usage(_ context.Context, request *UsageRequest) (*UsageResponse, error) {
+	running, err := r.leaderOf(request.Partition)
+	if err != nil {
+		return nil, err
+	}
+	usages, err := running.Usage()
+	return &UsageResponse{Topics: usages, Tombstones: running.Tombstones()}, err
+}
+
+func (r *Router) trace(ctx context.Context, request *TraceRequest) (*TraceResponse, error) {
+	namespace, err := r.Store.Index().Find(request.Topic)
+	if err != nil {
+		return nil, err
+	}
+	running, err := r.leaderOf(partition.Of(request.Topic, namespace.Urgent, r.Store.VoterSet().Layout))
+	if err != nil {
+		return nil, err
+	}
+	calls, call, kept, err := running.Trace(ctx, request.Client, request.Topic, request.CallSeq)
+	response := &TraceResponse{
+		Partition:   running.Record.Partition,
+		Leader:      r.Self,
+		Epoch:       running.Record.Epoch,
+		Accepted:    kept,
+		LastCallSeq: calls.Last,
+		Forgotten:   !kept && request.CallSeq <= calls.Floor,
+	}
+	if kept {
+		response.Offset = call.Offset
+	}
+	return response, err
+}
+
+// Serve adds the handlers of the calls that this node answers as a leader's node.
+func (r *Router) Serve(mux *http.ServeMux) {
+	Submit.Handle(mux, r.submit)
+	SubmitMany.Handle(mux, r.submitMany)
+	Attach.Handle(mux, r.attach)
+	ReadAttachment.Handle(mux, r.readAttachment)
+	SaveCursor.Handle(mux, r.saveCursor)
+	Read.Handle(mux, r.read)
+	Usage.Handle(mux, r.usage)
+	PendingReaders.Handle(mux, r.pendingReaders)
+	Trace.Handle(mux, r.trace)
+	r.serveFollowers(mux)
+}
--- /dev/null
+++ b/internal/partitionlog/router/router.go
@@ -0,0 +1,183 @@
+// Package router submits work on partitions from any node: it finds the partition and its leader in
+// the records that gossip spreads, runs the call here or forwards it, and retries until the leader
+// decided or nothing can come of it.
+//
+// What must stay true: messages that one node submits for a partition reach the leader in that
+// order; each is answered once, by its deadline at the latest; no_owner and overloaded promise that
+// the message never was and never will be accepted by this call.
+//
+// A Router has no goroutines of its own but one for each partition that messages wait for; its
+// queues and epochs have locks of their own, none of which is held over a call. Submit and the
+// other calls block until they are answered or ctx ends; SubmitAsync never blocks.
+package router
+
+import (
+	"context"
+	"time"
+
+	"postjunction/internal/apierror"
+	"postjunction/internal/clock"
+	"postjunction/internal/gossip"
+	"postjunction/internal/membership"
+	"postjunction/internal/partition"
+	"postjunction/internal/partitionlog/leader"
+	"postjunction/internal/placement/assignment"
+	"postjunction/internal/settings"
+	"postjunction/internal/wire"
+)
+
+// Leaders finds the leader of a partition on this node; NotPartitionLeader if there is none.
+type Leaders interface {
+	Leader(partitionID int) (*leader.Leader, error)
+}
+
+// Router submits a node's work on partitions. Its exported fields are set before use.
+type Router struct {
+	Self    string
+	Net     wire.Network
+	Clock   clock.Clock
+	Timing  settings.Timing
+	Store   *gossip.Store
+	View    *membership.View
+	Leaders Leaders
+	epochs  leaderEpochs
+	// Backlog is how many messages may wait here for one partition; nil for any number.
+	Backlog func() int
+	// CompressStreams asks leaders to compress the bodies of followed topics' messages.
+	CompressStreams bool
+
+	queues submitQueues
+}
+
+// Submit has a message decided by its partition's leader and returns once that is committed.
+func (r *Router) Submit(ctx context.Context, partitionID int, message *leader.Message) (*leader.Decision, error) {
+	return forward(ctx, r, partitionID, Submit, r.submit, message)
+}
+
+// homeOf returns a client's urgent or routine home.
+func (r *Router) homeOf(client string, urgent bool) int {
+	return partition.OfClient(client, urgent, r.Store.VoterSet().Layout)
+}
+
+// UsesTwoHomes reports whether attachments are kept in an urgent partition too: once every member's
+// build does.
+func (r *Router) UsesTwoHomes() bool {
+	for _, member := range r.View.All() {
+		if !member.SupportsTwoHomes {
+			return false
+		}
+	}
+	return r.Store.VoterSet().Layout.UrgentPartitions > 0
+}
+
+// CheckKeysSupported returns NotReady until every member's build knows keys and withdrawals.
+func (r *Router) CheckKeysSupported() error {
+	for _, member := range r.View.All() {
+		if !member.SupportsKeys {
+			return apierror.New(apierror.NotReady, "the build of %s knows no keys", member.Name)
+		}
+	}
+	return nil
+}
+
+// HomePartition returns the partition that has a client's attachment for its urgent or routine
+// calls.
+func (r *Router) HomePartition(client string, urgent bool) int {
+	return r.homeOf(client, urgent && r.UsesTwoHomes())
+}
+
+// Attach has an attachment recorded: it gets its generation in the client's routine home,
+// then the urgent one learns it.
+func (r *Router) Attach(ctx context.Context, request *AttachRequest) (*AttachResponse, error) {
+	response, err := forward(ctx, r, r.homeOf(request.Client, false), Attach, r.attach, request)
+	if err != nil || !r.UsesTwoHomes() {
+		return response, err
+	}
+	return response, r.attachUrgentHome(ctx, request.Client, request.Secret, response.Generation)
+}
+
+// attachUrgentHome has the urgent home learn of an attachment.
+func (r *Router) attachUrgentHome(ctx context.Context, client, secret string, generation uint64) error {
+	request := &AttachRequest{Client: client, Secret: secret, Generation: generation, Urgent: true}
+	_, err := forward(ctx, r, r.homeOf(client, true), Attach, r.attach, request)
+	return err
+}
+
+// ReadAttachment returns the attachment in force. An urgent home that does not know of this
+// generation yet, since an older build or a call that broke off in between gave it out, learns of
+// it from the routine home.
+func (r *Router) ReadAttachment(
+	ctx context.Context, client string, generation uint64, urgent bool,
+) (*ReadAttachmentResponse, error) {
+	urgent = urgent && r.UsesTwoHomes()
+	request := &ReadAttachmentRequest{Client: client, Urgent: urgent}
+	response, err := forward(ctx, r, r.homeOf(client, urgent), ReadAttachment, r.readAttachment, request)
+	if err != nil || !urgent || response.Attachment.Generation >= generation {
+		return response, err
+	}
+	request = &ReadAttachmentRequest{Client: client}
+	routine, err := forward(ctx, r, r.homeOf(client, false), ReadAttachment, r.readAttachment, request)
+	if err == nil && routine.Attachment.Generation == generation {
+		err = r.attachUrgentHome(ctx, client, routine.Attachment.Secret, generation)
+	}
+	return routine, err
+}
+
+// SaveCursor saves a client's cursor, in both homes.
+func (r *Router) SaveCursor(ctx context.Context, request *SaveCursorRequest) error {
+	_, err := forward(ctx, r, r.homeOf(request.Client, false), SaveCursor, r.saveCursor, request)
+	if err != nil || !r.UsesTwoHomes() {
+		return err
+	}
+	urgent := *request
+	urgent.Urgent = true
+	_, err = forward(ctx, r, r.homeOf(request.Client, true), SaveCursor, r.saveCursor, &urgent)
+	return err
+}
+
+// Read returns committed entries of a partition, without the bodies of messages with keys.
+func (r *Router) Read(
+	ctx context.Context, partitionID int, from uint64, hold time.Duration,
+) (*leader.ReadResponse, error) {
+	return r.ReadAsReader(ctx, &leader.ReadRequest{Partition: partitionID, From: from, Hold: hold})
+}
+
+// ReadAsReader returns committed entries of a partition to a reader that may track tombstones.
+func (r *Router) ReadAsReader(ctx context.Context, request *leader.ReadRequest) (*leader.ReadResponse, error) {
+	return forward(ctx, r, request.Partition, Read, r.read, request)
+}
+
+// Trace returns what the ledger knows of a call.
+func (r *Router) Trace(ctx context.Context, partitionID int, request *TraceRequest) (*TraceResponse, error) {
+	return forward(ctx, r, partitionID, Trace, r.trace, request)
+}
+
+// PendingReaders returns which readers have not read behind a tombstone of a partition, waiting up
+// to hold until there is none.
+func (r *Router) PendingReaders(
+	ctx context.Context, partitionID int, offset uint64, hold time.Duration,
+) (*leader.PendingReaders, error) {
+	request := &PendingReadersRequest{Partition: partitionID, Offset: offset, Hold: hold}
+	return forward(ctx, r, partitionID, PendingReaders, r.pendingReaders, request)
+}
+
+// Usage returns how a partition's topics were used.
+func (r *Router) Usage(ctx context.Context, partitionID int) ([]leader.TopicUsage, error) {
+	response, err := forward(ctx, r, partitionID, Usage, r.usage, &UsageRequest{Partition: partitionID})
+	if err != nil {
+		return nil, err
+	}
+	return response.Topics, nil
+}
+
+// Tombstones returns the status of a partition's tombstones and readers, nil where there are none.
+func (r *Router) Tombstones(ctx context.Context, partitionID int) (*leader.TombstoneView, error) {
+	response, err := forward(ctx, r, partitionID, Usage, r.usage, &UsageRequest{Partition: partitionID})
+	if err != nil {
+		return nil, err
+	}
+	return response.Tombstones, nil
+}
+
+// Record returns the newest record of a partition that is known here.
+func (r *Router) Record(partitionID int) assignment.Record { return r.Store.Record(partitionID) }
--- a/internal/partitionlog/router/offer_test.go
+++ b/internal/partitionlog/router/submitqueue_test.go
@@ -29,7 +29,7 @@
 type bench struct {
 	*Router
 	mu     sync.Mutex
-	path   func(ctx context.Context, to string, q *SubmitManyRequest) (*SubmitManyResponse, error)
+	path   func(ctx context.Context, to string, request *SubmitManyRequest) (*SubmitManyResponse, error)
 	got    []uint64
 	under  int
 	most   int
@@ -45,7 +45,7 @@
 		return nil, apierror.WithCause(apierror.Unreachable, syscall.ECONNREFUSED, "nobody listens")
 	}
 	m := http.NewServeMux()
-	SubmitMany.Handle(m, func(_ context.Context, q *SubmitManyRequest) (*SubmitManyResponse, error) {
+	SubmitMany.Handle(m, func(_ context.Context, request *SubmitManyRequest) (*SubmitManyResponse, error) {
 		b.mu.Lock()
 		b.under++
 		b.most = max(b.most, b.under)
@@ -55,15 +55,15 @@
 			b.under--
 			b.mu.Unlock()
 		}()
-		return b.path(r.Context(), r.URL.Host, q)
+		return b.path(r.Context(), r.URL.Host, request)
 	})
 	rec := httptest.NewRecorder()
 	m.ServeHTTP(rec, r)
-	a := rec.Result()
+	response := rec.Result()
 	if err := r.Context().Err(); err != nil {
 		return nil, apierror.WithCause(apierror.Unreachable, err, "no answer")
 	}
-	return a, nil
+	return response, nil
 }
 
 type unready struct{}
@@ -80,10 +80,10 @@
 	b.Store.Apply(gossip.Update{Records: []assignment.Record{{Partition: part, Leader: who, Epoch: b.writes, Version: b.writes}}})
 }
 
-func newBench(path func(b *bench, ctx context.Context, to string, q *SubmitManyRequest) (*SubmitManyResponse, error)) *bench {
+func newBench(path func(b *bench, ctx context.Context, to string, request *SubmitManyRequest) (*SubmitManyResponse, error)) *bench {
 	b := &bench{told: map[uint64]error{}, times: map[uint64]time.Time{}}
-	b.path = func(ctx context.Context, to string, q *SubmitManyRequest) (*SubmitManyResponse, error) {
-		return path(b, ctx, to, q)
+	b.path = func(ctx context.Context, to string, request *SubmitManyRequest) (*SubmitManyResponse, error) {
+		return path(b, ctx, to, request)
 	}
 	v := membership.NewView()
 	v.Set([]membership.Info{{Name: "s1", PeerAddr: "s1"}, {Name: "s2", PeerAddr: "s2"}, {Name: "s0", PeerAddr: "s0"}})
@@ -119,11 +119,11 @@
 }
 
 // take decides as an owner does: a number above the last is taken.
-func (b *bench) take(q *SubmitManyRequest) *SubmitManyResponse {
+func (b *bench) take(request *SubmitManyRequest) *SubmitManyResponse {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	a := &SubmitManyResponse{}
-	for _, t := range q.Messages {
+	response := &SubmitManyResponse{}
+	for _, t := range request.Messages {
 		v := leader.Outcome{Decision: &leader.Decision{Offset: t.CallSeq}}
 		switch {
 		case slices.Contains(b.got, t.CallSeq):
@@ -133,9 +133,9 @@
 		default:
 			b.got = append(b.got, t.CallSeq)
 		}
-		a.Outcomes = append(a.Outcomes, v)
+		response.Outcomes = append(response.Outcomes, v)
 	}
-	return a
+	return response
 }
 
 func wait(d time.Duration) {
@@ -151,25 +151,25 @@
 	})
 }
 
-func TestOffersReachTheOwnerInOrder(t *testing.T) {
+func TestSubmitAsync_ReachesTheLeaderInOrder(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		n := 0
-		b := newBench(func(b *bench, _ context.Context, _ string, q *SubmitManyRequest) (*SubmitManyResponse, error) {
+		b := newBench(func(b *bench, _ context.Context, _ string, request *SubmitManyRequest) (*SubmitManyResponse, error) {
 			time.Sleep(3 * time.Millisecond)
 			b.mu.Lock()
 			n++
-			k := n
+			code := n
 			b.mu.Unlock()
-			switch k % 7 {
+			switch code % 7 {
 			case 2:
 				return lost()
 			case 4:
-				b.take(&SubmitManyRequest{Messages: q.Messages[:(len(q.Messages)+1)/2]})
+				b.take(&SubmitManyRequest{Messages: request.Messages[:(len(request.Messages)+1)/2]})
 				return lost()
 			case 6:
 				return nil, apierror.New(apierror.NotReady, "taking over")
 			}
-			return b.take(q), nil
+			return b.take(request), nil
 		})
 		b.owned("s1")
 		for c := range uint64(600) {
@@ -191,10 +191,10 @@
 }
 
 // What was surely never taken is told so, and nothing else is.
-func TestOffersAreGivenUpWithATruePromise(t *testing.T) {
+func TestSubmitAsync_GivesUpWithATruePromise(t *testing.T) {
 	cases := map[string]struct {
 		owner string
-		path  func(b *bench, n int, ctx context.Context, q *SubmitManyRequest) (*SubmitManyResponse, error)
+		path  func(b *bench, n int, ctx context.Context, request *SubmitManyRequest) (*SubmitManyResponse, error)
 		kind  apierror.Code
 		last  time.Duration
 	}{
@@ -212,13 +212,13 @@
 			}
 			return nil, apierror.New(apierror.NotReady, "x")
 		}, apierror.OutcomeUnknown, 2 * time.Second},
-		"one call lost, then no room": {"s1", func(_ *bench, n int, _ context.Context, q *SubmitManyRequest) (*SubmitManyResponse, error) {
+		"one call lost, then no room": {"s1", func(_ *bench, n int, _ context.Context, request *SubmitManyRequest) (*SubmitManyResponse, error) {
 			if n == 1 {
 				return lost()
 			}
 			return &SubmitManyResponse{Outcomes: []leader.Outcome{{Err: apierror.New(apierror.Overloaded, "x")}}}, nil
 		}, apierror.OutcomeUnknown, 500 * time.Millisecond},
-		"one call lost, then passed": {"s1", func(_ *bench, n int, _ context.Context, q *SubmitManyRequest) (*SubmitManyResponse, error) {
+		"one call lost, then passed": {"s1", func(_ *bench, n int, _ context.Context, request *SubmitManyRequest) (*SubmitManyResponse, error) {
 			if n == 1 {
 				return lost()
 			}
@@ -235,10 +235,10 @@
 	for n, c := range cases {
 		t.Run(n, func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
-				k := 0
-				b := newBench(func(b *bench, ctx context.Context, _ string, q *SubmitManyRequest) (*SubmitManyResponse, error) {
-					k++
-					return c.path(b, k, ctx, q)
+				code := 0
+				b := newBench(func(b *bench, ctx context.Context, _ string, request *SubmitManyRequest) (*SubmitManyResponse, error) {
+					code++
+					return c.path(b, code, ctx, request)
 				})
 				b.owned(c.owner)
 				begun := time.Now()
@@ -252,15 +252,15 @@
 }
 
 // A message whose time is over is told so on the instant: one that is under way may have been taken, one that waits behind was never sent.
-func TestOffersAreToldWhenTheirTimeIsOver(t *testing.T) {
+func TestSubmitAsync_AnsweredAtItsDeadline(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		b := newBench(func(b *bench, ctx context.Context, _ string, q *SubmitManyRequest) (*SubmitManyResponse, error) {
+		b := newBench(func(b *bench, ctx context.Context, _ string, request *SubmitManyRequest) (*SubmitManyResponse, error) {
 			select {
 			case <-time.After(1200 * time.Millisecond):
 			case <-ctx.Done():
 				return lost()
 			}
-			return b.take(q), nil
+			return b.take(request), nil
 		})
 		b.owned("s1")
 		begun := time.Now()
@@ -284,11 +284,11 @@
 }
 
 // Past the backlog a message is turned away at once, and never reaches an owner.
-func TestOffersPastTheBacklogAreNeverHandedOver(t *testing.T) {
+func TestSubmitAsync_PastTheBacklogIsNeverForwarded(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		b := newBench(func(b *bench, _ context.Context, _ string, q *SubmitManyRequest) (*SubmitManyResponse, error) {
+		b := newBench(func(b *bench, _ context.Context, _ string, request *SubmitManyRequest) (*SubmitManyResponse, error) {
 			time.Sleep(time.Second)
-			return b.take(q), nil
+			return b.take(request), nil
 		})
 		b.Backlog = func() int { return 3 }
 		b.owned("s1")
@@ -309,26 +309,26 @@
 }
 
 // Of a batch, what is decided is told; the rest is tried again, before all that came later.
-func TestOffersThatAreDecidedAreToldBesideOthers(t *testing.T) {
+func TestSubmitAsync_DecidedMessagesAreAnsweredBesideOthers(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		n := 0
 		var seen [][]uint64
-		b := newBench(func(b *bench, _ context.Context, _ string, q *SubmitManyRequest) (*SubmitManyResponse, error) {
+		b := newBench(func(b *bench, _ context.Context, _ string, request *SubmitManyRequest) (*SubmitManyResponse, error) {
 			n++
 			var cs []uint64
-			for _, x := range q.Messages {
+			for _, x := range request.Messages {
 				cs = append(cs, x.CallSeq)
 			}
 			seen = append(seen, cs)
 			time.Sleep(10 * time.Millisecond)
 			if n != 2 {
-				return b.take(q), nil
+				return b.take(request), nil
 			}
-			a := b.take(&SubmitManyRequest{Messages: q.Messages[:1]})
-			for range q.Messages[1:] {
-				a.Outcomes = append(a.Outcomes, leader.Outcome{Err: apierror.New(apierror.OutcomeUnknown, "lost the partition")})
+			response := b.take(&SubmitManyRequest{Messages: request.Messages[:1]})
+			for range request.Messages[1:] {
+				response.Outcomes = append(response.Outcomes, leader.Outcome{Err: apierror.New(apierror.OutcomeUnknown, "lost the partition")})
 			}
-			return a, nil
+			return response, nil
 		})
 		b.owned("s1")
 		for c := range uint64(4) {
@@ -349,14 +349,14 @@
 }
 
 // A call that hangs at an owner that is one no more is left at the news of another, which is asked at once.
-func TestOffersFollowTheRecordAtOnce(t *testing.T) {
+func TestSubmitAsync_FollowsTheRecordAtOnce(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		b := newBench(func(b *bench, ctx context.Context, to string, q *SubmitManyRequest) (*SubmitManyResponse, error) {
+		b := newBench(func(b *bench, ctx context.Context, to string, request *SubmitManyRequest) (*SubmitManyResponse, error) {
 			if to == "s1" {
 				<-ctx.Done()
 				return lost()
 			}
-			return b.take(q), nil
+			return b.take(request), nil
 		})
 		b.owned("s1")
 		begun := time.Now()
