--- a/internal/partitionlog/router/followers.go
+++ b/internal/partitionlog/router/followers.go
@@ -81,7 +81,8 @@
 
 // callOnce makes one attempt at the leader that a record names.
 func callOnce[Q, A any](
-	ctx context.Context, router *Router, record assignment.Record, limit time.Duration, procedure *wire.Procedure[Q, A], local func(context.Context, *Q) (*A, error), request *Q,
+	ctx context.Context, router *Router, record assignment.Record, limit time.Duration,
+	procedure *wire.Procedure[Q, A], local func(context.Context, *Q) (*A, error), request *Q,
 ) (*A, error) {
 	if record.Leader == "" {
 		return nil, apierror.New(apierror.NoPartitionLeader, "partition %d has no leader yet", record.Partition)
--- a/internal/partitionlog/router/submitqueue.go
+++ b/internal/partitionlog/router/submitqueue.go
@@ -261,9 +261,9 @@
 	defer context.AfterFunc(r.epochs.contextOf(r.Store, record), stop)()
 	request := &SubmitManyRequest{Partition: partitionID}
 	wereUncertain := make([]bool, len(batch))
-	for peer, submit := range batch {
+	for i, submit := range batch {
 		request.Messages = append(request.Messages, submit.message)
-		wereUncertain[peer] = submit.isUncertain
+		wereUncertain[i] = submit.isUncertain
 		submit.isUncertain = submit.isUncertain || record.Leader != r.Self
 	}
 	answers := make(chan answer, 1)
@@ -287,8 +287,8 @@
 		case got := <-answers:
 			end()
 			if errors.Is(got.err, syscall.ECONNREFUSED) {
-				for peer, submit := range batch {
-					submit.isUncertain = wereUncertain[peer]
+				for i, submit := range batch {
+					submit.isUncertain = wereUncertain[i]
 				}
 			}
 			if got.err == nil && len(got.a.Outcomes) != len(batch) {
@@ -308,7 +308,8 @@
 // answerBatch answers what was decided and gives up what no leader can decide now; it returns the
 // rest, in order, to be submitted again.
 func (r *Router) answerBatch(
-	partitionID int, queue *submitQueue, record assignment.Record, batch []*pendingSubmit, outcomes []leader.Outcome, begun time.Time, err error,
+	partitionID int, queue *submitQueue, record assignment.Record,
+	batch []*pendingSubmit, outcomes []leader.Outcome, begun time.Time, err error,
 ) []*pendingSubmit {
 	var remaining []*pendingSubmit
 	var why []error
@@ -348,7 +349,8 @@
 // met too many failures or that waited for a call's time-out since the last newer record. It
 // returns the others.
 func (r *Router) giveUpOrKeep(
-	partitionID int, queue *submitQueue, record assignment.Record, remaining []*pendingSubmit, why []error, begun time.Time,
+	partitionID int, queue *submitQueue, record assignment.Record,
+	remaining []*pendingSubmit, why []error, begun time.Time,
 ) []*pendingSubmit {
 	now := r.Clock.Now()
 	code := apierror.From(why[0]).Code
