--- /dev/null
+++ b/internal/client/request.go
@@ -0,0 +1,105 @@
+package client
+
+import (
+	"encoding/json"
+	"slices"
+
+	"postjunction/internal/client/token"
+	"postjunction/internal/configuration"
+	"postjunction/internal/partitionlog/leader"
+)
+
+// The verbs.
+const (
+	VerbAttach = "attach"
+	VerbSend   = "send"
+	VerbFollow = "follow"
+	VerbAck    = "ack"
+	VerbCount  = "count"
+	// VerbWithdraw withdraws what stands under a key.
+	VerbWithdraw = "withdraw"
+)
+
+// Request is one call of a client.
+type Request struct {
+	Verb    string
+	Token   string
+	Client  string
+	Topics  []string
+	CallSeq uint64
+	Body    json.RawMessage
+	Cursor  string
+	Emit    Emit
+	// Abort makes the write that Emit is doing fail, and all after it; it does not block.
+	Abort func()
+	// Key is that of a message, or what a withdrawal withdraws.
+	Key *string
+	// WithdrawSender and WithdrawUpTo name a sender and its highest CallSeq that a withdrawal
+	// covers too.
+	WithdrawSender string
+	WithdrawUpTo   uint64
+
+	// What the policies of the call found out, and its outcome.
+	identity    token.Token
+	spaces      []configuration.Space
+	savedCursor string
+	decision    leader.Decision
+	response    any
+}
+
+// Emit writes one line of a stream.
+type Emit func(line []byte) error
+
+// isUrgent reports whether the call passes through the urgent lanes.
+func (r *Request) isUrgent() bool {
+	switch r.Verb {
+	case VerbSend, VerbWithdraw, VerbFollow:
+		return slices.ContainsFunc(r.spaces, func(space configuration.Space) bool { return space.Urgent })
+	default:
+		return false
+	}
+}
+
+// Attachment is the response to attach.
+type Attachment struct {
+	Token      string `json:"token"`
+	Client     string `json:"visitor"`
+	Generation uint64 `json:"generation"`
+	Cursor     string `json:"cursor,omitempty"`
+}
+
+// Receipt is the response to send: what the partition's leader decided.
+type Receipt struct {
+	Topic     string `json:"topic"`
+	CallSeq   uint64 `json:"call_seq"`
+	Partition int    `json:"partition"`
+	Offset    uint64 `json:"offset"`
+	Duplicate bool   `json:"repeat"`
+}
+
+// Withdrawal is the response to withdraw: where its tombstone is, and that no node shows what it
+// covers. GivenUp names nodes that were not heard from for so long that they have disconnected
+// their clients.
+type Withdrawal struct {
+	Topic            string   `json:"topic"`
+	Key              string   `json:"key"`
+	CallSeq          uint64   `json:"call_seq"`
+	Partition        int      `json:"partition"`
+	Offset           uint64   `json:"offset"`
+	Duplicate        bool     `json:"repeat"`
+	AlreadyWithdrawn bool     `json:"already"`
+	Complete         bool     `json:"forgotten"`
+	GivenUp          []string `json:"given_up"`
+}
+
+// PresenceCount is the response to count. Complete reports whether all nodes answered.
+type PresenceCount struct {
+	Topic    string `json:"topic"`
+	Others   int    `json:"others"`
+	Complete bool   `json:"whole"`
+}
+
+// CursorSaved is the response to ack.
+type CursorSaved struct {
+	Cursor string `json:"cursor"`
+}
--- /dev/null
+++ b/internal/client/stream_test.go
@@ -0,0 +1,120 @@
+package client
+
+import (
+	"context"
+	"encoding/json"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"postjunction/internal/clock"
+	"postjunction/internal/configuration"
+	"postjunction/internal/delivery/cursor"
+	"postjunction/internal/delivery/stream"
+	"postjunction/internal/gossip"
+	"postjunction/internal/partitionlog/leader"
+	"postjunction/internal/partitionlog/log"
+	"postjunction/internal/settings"
+)
+
+func TestStream_SkipsDeliveredEntriesAndOtherTopics(t *testing.T) {
+	b := gossip.NewStore(nil)
+	describe := func(seq uint64, ss ...configuration.Space) {
+		b.Apply(gossip.Update{Configuration: &configuration.Config{Sequence: seq, Spaces: ss}})
+	}
+	describe(1, configuration.Space{Name: "s", Kind: "kept", Topics: []string{"a", "b", "gone"}})
+	var got []string
+	st := &subscriptionStream{service: &Service{Store: b}, request: &Request{Emit: func(l []byte) error {
+		var x Event
+		assert.NilError(t, json.Unmarshal(l, &x))
+		got = append(got, x.Topic+strings.Join(x.Unsubscribed, "-"))
+		return nil
+	}}, topics: map[string]bool{"s/a": true, "s/gone": true}, urgentTopics: map[string]bool{},
+		positions: cursor.Cursor{}, configuration: 1}
+	give := func(opened uint64, topic string) {
+		stale, err := st.deliver(
+			reader{}, log.Entry{Offset: opened, Type: log.TypeMessage, Topic: topic, Body: []byte("1")},
+		)
+		assert.NilError(t, err)
+		assert.Assert(t, !stale)
+	}
+	give(1, "s/a")
+	give(1, "s/a")
+	give(2, "s/b")
+	give(3, "s/gone")
+	give(2, "s/a")
+	describe(2, configuration.Space{Name: "s", Kind: "kept", Topics: []string{"a", "b"}})
+	assert.NilError(t, st.dropRemovedTopics())
+	give(4, "s/gone")
+	give(5, "s/a")
+	assert.DeepEqual(t, got, []string{"s/a", "s/gone", "s/gone", "s/a"})
+	describe(3, configuration.Space{Name: "s", Kind: "kept", Urgent: true, Topics: []string{"a"}})
+	assert.ErrorContains(t, st.dropRemovedTopics(), "unknown_topic")
+}
+
+// fakeLeaders answers for an urgent partition, which gets one entry when it is read; a routine
+// one's leader returns its end and nothing else.
+type fakeLeaders struct{ urgent int }
+
+func (opened fakeLeaders) ReadAsReader(ctx context.Context, request *leader.ReadRequest) (*leader.ReadResponse, error) {
+	first := request.From == ^uint64(0)
+	if request.Partition == opened.urgent && !first && request.From < 8 {
+		return &leader.ReadResponse{
+			To:      8,
+			Epoch:   1,
+			Entries: []log.Entry{{Offset: 8, Type: log.TypeMessage, Topic: "s/stop", Body: []byte("1")}},
+		}, nil
+	}
+	if first {
+		return &leader.ReadResponse{To: 7, Epoch: 1}, nil
+	}
+	<-ctx.Done()
+	return nil, ctx.Err()
+}
+
+// A stream whose routine partition is no longer cached fetches it in another goroutine: its round
+// does not wait for the leader, and urgent entries are delivered.
+func TestDeliverRound_WaitsForNoLeader(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, stop := context.WithCancel(t.Context())
+		const routine, urgent = 0, 5
+		fs := stream.New(ctx, "a1", "1", fakeLeaders{urgent}, clock.Real{}, settings.DefaultTiming)
+		b := gossip.NewStore(nil)
+		var got []string
+		st := &subscriptionStream{service: &Service{
+			Store:  b,
+			Clock:  clock.Real{},
+			Timing: settings.DefaultTiming,
+		}, request: &Request{Emit: func(l []byte) error {
+			var x Event
+			assert.NilError(t, json.Unmarshal(l, &x))
+			got = append(got, x.Topic)
+			return nil
+		}}, topics: map[string]bool{"s/stop": true, "s/kept": true}, urgentTopics: map[string]bool{},
+			positions: cursor.Cursor{}, attachChecks: make(chan error, 1), wake: make(chan struct{}, 1)}
+		for _, opened := range []openResult{
+			{reader: reader{partition: routine}, offset: 3},
+			{reader: reader{partition: urgent, isUrgent: true}, offset: 7},
+		} {
+			f, leave, err := fs.Follow(ctx, opened.partition, st.wake)
+			assert.NilError(t, err)
+			opened.feed, opened.leave, opened.fetched = f, leave, make(chan fetchResult, 1)
+			st.addReader(opened)
+		}
+		st.attachFeed = st.readers[0].feed
+		st.attachOffset = 8
+		begun := time.Now()
+		for range 4 {
+			_, err := st.deliverRound(ctx)
+			assert.NilError(t, err)
+			synctest.Wait()
+		}
+		assert.Equal(t, time.Since(begun), time.Duration(0), "rounds waited")
+		assert.DeepEqual(t, got, []string{"s/stop"})
+		stop()
+		synctest.Wait()
+	})
+}
--- a/internal/client/withdraw.go
+++ b/internal/client/withdraw.go
@@ -10,65 +10,86 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-func (s *Service) withdraw(ctx context.Context, t *Request) error {
-	if (t.WithdrawSender == "") != (t.WithdrawUpTo == 0) {
+func (s *Service) withdraw(ctx context.Context, request *Request) error {
+	if (request.WithdrawSender == "") != (request.WithdrawUpTo == 0) {
 		return apierror.New(apierror.Malformed, "of, a sender's name, and upto, its number from 1, go together")
 	}
-	if t.WithdrawSender != "" {
-		if err := log.CheckName("of", t.WithdrawSender); err != nil {
+	if request.WithdrawSender != "" {
+		if err := log.CheckName("of", request.WithdrawSender); err != nil {
 			return err
 		}
 	}
-	d, err := s.submit(ctx, t, &leader.Message{Withdraw: true, WithdrawSender: t.WithdrawSender, WithdrawUpTo: t.WithdrawUpTo})
+	decision, err := s.submit(
+		ctx, request,
+		&leader.Message{Withdraw: true, WithdrawSender: request.WithdrawSender, WithdrawUpTo: request.WithdrawUpTo},
+	)
 	if err != nil {
 		return err
 	}
-	t.mark = *d
+	request.decision = *decision
 	return nil
 }
 
-// forget waits for every reader of the partition, apart from the places of calls under way, and for a call's time at most.
-func (s *Service) forget(ctx context.Context, t *Request, next callpolicy.Next[*Request]) error {
-	if err := next(ctx, t); err != nil {
+// awaitForgotten waits until every reader of the partition has read past the withdrawal, outside of
+// the admission limit and for one call time-out at most.
+func (s *Service) awaitForgotten(ctx context.Context, request *Request, next callpolicy.Next[*Request]) error {
+	if err := next(ctx, request); err != nil {
 		return err
 	}
-	m := t.mark
-	given, err := s.awaited(ctx, m, func(ctx context.Context) (*leader.PendingReaders, error) {
-		return s.Router.PendingReaders(ctx, m.Partition, m.Offset, s.Timing.LongPoll())
+	decision := request.decision
+	givenUp, err := s.awaitReaders(ctx, decision, func(ctx context.Context) (*leader.PendingReaders, error) {
+		return s.Router.PendingReaders(ctx, decision.Partition, decision.Offset, s.Timing.LongPoll())
 	})
 	if err != nil {
 		return err
 	}
-	t.out = Withdrawal{Topic: t.Topics[0], Key: *t.Key, CallSeq: t.CallSeq, Partition: m.Partition, Offset: m.Offset, Duplicate: m.Duplicate, AlreadyWithdrawn: m.AlreadyWithdrawn, Complete: true, GivenUp: given}
+	request.response = Withdrawal{
+		Topic:            request.Topics[0],
+		Key:              *request.Key,
+		CallSeq:          request.CallSeq,
+		Partition:        decision.Partition,
+		Offset:           decision.Offset,
+		Duplicate:        decision.Duplicate,
+		AlreadyWithdrawn: decision.AlreadyWithdrawn,
+		Complete:         true,
+		GivenUp:          givenUp,
+	}
 	return nil
 }
 
-// awaited asks who has not forgotten until nobody is left, and names them once the time is over.
-func (s *Service) awaited(ctx context.Context, m leader.Decision, ask func(context.Context) (*leader.PendingReaders, error)) ([]string, error) {
-	ctx, stop := context.WithTimeout(ctx, s.Timing.CallTimeout())
-	defer stop()
-	var left []string
+// awaitReaders asks for the pending readers until there are none, and returns the nodes that were
+// given up; once the time is over its error names those that are pending.
+func (s *Service) awaitReaders(
+	ctx context.Context, decision leader.Decision, ask func(context.Context) (*leader.PendingReaders, error),
+) ([]string, error) {
+	ctx, cancel := context.WithTimeout(ctx, s.Timing.CallTimeout())
+	defer cancel()
+	var pending []string
 	for {
-		u, err := ask(ctx)
-		if err == nil && len(u.Nodes) == 0 {
-			return append([]string{}, u.GivenUp...), nil
+		readers, err := ask(ctx)
+		if err == nil && len(readers.Nodes) == 0 {
+			return append([]string{}, readers.GivenUp...), nil
 		}
 		if err == nil {
-			left = u.Nodes
+			pending = readers.Nodes
 		}
 		if err != nil || s.Clock.Sleep(ctx, s.Timing.InitialBackoff()) != nil {
-			return nil, unheard(m, left, err)
+			return nil, errWithdrawalOpen(decision, pending, err)
 		}
 	}
 }
 
-func unheard(m leader.Decision, left []string, err error) error {
-	if len(left) == 0 {
-		return apierror.New(apierror.WithdrawalOpen, "the mark stands at offset %d of partition %d; who has to forget could not be asked: %v", m.Offset, m.Partition, err)
+func errWithdrawalOpen(decision leader.Decision, pending []string, err error) error {
+	if len(pending) == 0 {
+		return apierror.New(apierror.WithdrawalOpen,
+			"the mark stands at offset %d of partition %d; who has to forget could not be asked: %v",
+			decision.Offset, decision.Partition, err)
 	}
-	var fs []apierror.Fault
-	for _, n := range left {
-		fs = append(fs, apierror.Fault{Path: n, Message: "has not read behind the mark"})
+	var faults []apierror.Fault
+	for _, node := range pending {
+		faults = append(faults, apierror.Fault{Path: node, Message: "has not read behind the mark"})
 	}
-	return apierror.New(apierror.WithdrawalOpen, "the mark stands at offset %d of partition %d; not heard: %s", m.Offset, m.Partition, strings.Join(left, ", ")).WithFaults(fs)
+	open := apierror.New(apierror.WithdrawalOpen, "the mark stands at offset %d of partition %d; not heard: %s",
+		decision.Offset, decision.Partition, strings.Join(pending, ", "))
+	return open.WithFaults(faults)
 }
--- a/internal/client/withdraw_test.go
+++ b/internal/client/withdraw_test.go
@@ -22,11 +22,11 @@
 	"postjunction/internal/settings"
 )
 
-// pages are what the reads of a partition give, one after the other.
-type pages chan *leader.ReadResponse
+// scriptedReads are what the reads of a partition return, one after the other.
+type scriptedReads chan *leader.ReadResponse
 
-func (p pages) ReadAsReader(ctx context.Context, q *leader.ReadRequest) (*leader.ReadResponse, error) {
-	if q.Finished || q.From == ^uint64(0) {
+func (p scriptedReads) ReadAsReader(ctx context.Context, request *leader.ReadRequest) (*leader.ReadResponse, error) {
+	if request.Finished || request.From == ^uint64(0) {
 		return &leader.ReadResponse{}, nil
 	}
 	select {
@@ -37,47 +37,60 @@
 	}
 }
 
-func (p pages) tell(es ...log.Entry) {
-	p <- &leader.ReadResponse{Entries: es, To: es[len(es)-1].Offset}
+func (p scriptedReads) send(entries ...log.Entry) {
+	p <- &leader.ReadResponse{Entries: entries, To: entries[len(entries)-1].Offset}
 	synctest.Wait()
 }
 
-func keyed(o uint64, what, key, body string) log.Entry {
-	return log.Entry{Offset: o, Type: what, Topic: "s/a", Key: key, Body: []byte(body), BodyDropped: what == log.TypeMessage && body == ""}
+func keyedEntry(opened uint64, what, key, body string) log.Entry {
+	return log.Entry{
+		Offset:      opened,
+		Type:        what,
+		Topic:       "s/a",
+		Key:         key,
+		Body:        []byte(body),
+		BodyDropped: what == log.TypeMessage && body == "",
+	}
 }
 
-// A stream's window is older than a mark: what it covers is never given, the rest is, and the withdrawal is told.
-func TestStreamGivesNothingThatWasWithdrawnMeanwhile(t *testing.T) {
+// A stream's window is older than a tombstone: what it covers is never delivered, the rest is, and
+// so is the withdrawal.
+func TestStream_SkipsWithdrawnEntries(t *testing.T) {
 	for name, c := range map[string]struct {
 		held, then []log.Entry
 		want       []string
 	}{
 		"withdrawn while it waits in the window": {
-			[]log.Entry{keyed(1, log.TypeMessage, "k", `1`), keyed(2, log.TypeMessage, "l", `2`), keyed(3, log.TypeMessage, "", `3`)},
-			[]log.Entry{keyed(4, log.TypeWithdrawal, "k", ""), keyed(5, log.TypeMessage, "k", `5`)},
+			[]log.Entry{
+				keyedEntry(1, log.TypeMessage, "k", `1`), keyedEntry(2, log.TypeMessage, "l", `2`),
+				keyedEntry(3, log.TypeMessage, "", `3`),
+			},
+			[]log.Entry{keyedEntry(4, log.TypeWithdrawal, "k", ""), keyedEntry(5, log.TypeMessage, "k", `5`)},
 			[]string{"2 l", "3 ", "-k", "5 k"},
 		},
-		"left out by the owner": {
-			[]log.Entry{keyed(1, log.TypeMessage, "k", ""), keyed(2, log.TypeMessage, "l", `2`)},
-			[]log.Entry{keyed(3, log.TypeMessage, "l", `3`)},
+		"left out by the leader": {
+			[]log.Entry{keyedEntry(1, log.TypeMessage, "k", ""), keyedEntry(2, log.TypeMessage, "l", `2`)},
+			[]log.Entry{keyedEntry(3, log.TypeMessage, "l", `3`)},
 			[]string{"2 l", "3 l"},
 		},
-		"a window that is stale is filled anew": {
-			[]log.Entry{keyed(1, log.TypeMessage, "k", `1`), keyed(2, log.TypeMessage, "l", `2`)},
-			append(many(3, 1100), keyed(1103, log.TypeWithdrawal, "k", "")),
+		"a stale window is filled again": {
+			[]log.Entry{keyedEntry(1, log.TypeMessage, "k", `1`), keyedEntry(2, log.TypeMessage, "l", `2`)},
+			append(withdrawals(3, 1100), keyedEntry(1103, log.TypeWithdrawal, "k", "")),
 			[]string{"2 l", "-k"},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, stop := context.WithCancel(t.Context())
-				p := make(pages)
+				p := make(scriptedReads)
 				wake := make(chan struct{}, 1)
-				f, leave, err := stream.New(ctx, "a1", "b", p, clock.Real{}, settings.DefaultTiming).Follow(ctx, 0, wake)
+				f, leave, err := stream.New(
+					ctx, "a1", "b", p, clock.Real{}, settings.DefaultTiming,
+				).Follow(ctx, 0, wake)
 				assert.NilError(t, err)
 				defer leave()
 				var got []string
-				st := &subscriptionStream{s: &Service{Store: gossip.NewStore(nil)}, t: &Request{Emit: func(b []byte) error {
+				st := &subscriptionStream{service: &Service{Store: gossip.NewStore(nil)}, request: &Request{Emit: func(b []byte) error {
 					var l Event
 					assert.NilError(t, json.Unmarshal(b, &l))
 					switch {
@@ -87,14 +100,15 @@
 						got = append(got, "-"+l.Withdrawn)
 					}
 					return nil
-				}}, want: map[string]bool{"s/a": true}, urgent: map[string]bool{}, pos: cursor.Cursor{}, fence: f, seen: ^uint64(0)}
-				st.lanes = []lane{{feed: f, got: make(chan pulled, 1)}}
-				p.tell(c.held...)
-				_, err = st.pull(ctx, &st.lanes[0])
+				}}, topics: map[string]bool{"s/a": true}, urgentTopics: map[string]bool{},
+					positions: cursor.Cursor{}, attachFeed: f, attachOffset: ^uint64(0)}
+				st.readers = []reader{{feed: f, fetched: make(chan fetchResult, 1)}}
+				p.send(c.held...)
+				_, err = st.nextEntries(ctx, &st.readers[0])
 				assert.NilError(t, err)
-				p.tell(c.then...)
+				p.send(c.then...)
 				for more := true; more; {
-					more, err = st.round(ctx)
+					more, err = st.deliverRound(ctx)
 					assert.NilError(t, err)
 				}
 				assert.DeepEqual(t, got, c.want)
@@ -105,36 +119,47 @@
 	}
 }
 
-// many gives withdrawals of other keys, each with the number that no stream was given.
-func many(from uint64, n int) []log.Entry {
-	var es []log.Entry
+// withdrawals returns withdrawals of other keys at consecutive offsets.
+func withdrawals(from uint64, n int) []log.Entry {
+	var entries []log.Entry
 	for i := range uint64(n) {
-		es = append(es, keyed(from+i, log.TypeWithdrawal, "other"+string(rune('a'+i%26))+string(rune('a'+i/26%26))+string(rune('a'+i/676)), ""))
+		entries = append(
+			entries,
+			keyedEntry(
+				from+i, log.TypeWithdrawal,
+				"other"+string(rune('a'+i%26))+string(rune('a'+i/26%26))+string(rune('a'+i/676)), "",
+			),
+		)
 	}
-	return es
+	return entries
 }
 
-func TestNoKeysUntilEveryBuildKnowsThem(t *testing.T) {
+func TestSubmit_RejectsKeysUntilEveryBuildSupportsThem(t *testing.T) {
 	v := membership.NewView()
 	s := &Service{Router: &router.Router{View: v}}
-	k := "k"
+	identity := "k"
 	v.Set([]membership.Info{{Name: "a1", SupportsKeys: true}, {Name: "a2"}})
-	_, err := s.submit(t.Context(), &Request{Key: &k}, &leader.Message{})
+	_, err := s.submit(t.Context(), &Request{Key: &identity}, &leader.Message{})
 	assert.Assert(t, apierror.HasCode(err, apierror.NotReady), "%v", err)
 	assert.ErrorContains(t, err, "a2")
 }
 
-// Who has not forgotten is named, with what was heard last, however the asking goes on.
-func TestOpenWithdrawalsNameWhoWasNotHeard(t *testing.T) {
+// The nodes that are pending are named as of the last response, however later calls end.
+func TestAwaitReaders_NamesPendingNodes(t *testing.T) {
 	late := apierror.New(apierror.Unreachable, "no answer")
 	for name, c := range map[string]struct {
 		answers []any
 		say     string
 		given   []string
 	}{
-		"all at once":              {[]any{&leader.PendingReaders{}}, "", []string{}},
-		"one later, one given up":  {[]any{&leader.PendingReaders{Nodes: []string{"a1"}}, &leader.PendingReaders{GivenUp: []string{"a2"}}}, "", []string{"a2"}},
-		"never":                    {[]any{&leader.PendingReaders{Nodes: []string{"a1", "a2/streams"}}}, "a1, a2/streams", nil},
+		"all at once": {[]any{&leader.PendingReaders{}}, "", []string{}},
+		"one later, one given up": {
+			[]any{&leader.PendingReaders{Nodes: []string{"a1"}}, &leader.PendingReaders{GivenUp: []string{"a2"}}},
+			"", []string{"a2"},
+		},
+		"never": {
+			[]any{&leader.PendingReaders{Nodes: []string{"a1", "a2/streams"}}}, "a1, a2/streams", nil,
+		},
 		"not to be asked":          {[]any{late}, "could not be asked: unreachable", nil},
 		"not to be asked any more": {[]any{&leader.PendingReaders{Nodes: []string{"a1"}}, late}, "a1", nil},
 	} {
@@ -143,11 +168,11 @@
 				s := &Service{Clock: clock.Real{}, Timing: settings.DefaultTiming}
 				n := 0
 				begun := time.Now()
-				given, err := s.awaited(t.Context(), leader.Decision{Partition: 3, Offset: 7}, func(context.Context) (*leader.PendingReaders, error) {
+				given, err := s.awaitReaders(t.Context(), leader.Decision{Partition: 3, Offset: 7}, func(context.Context) (*leader.PendingReaders, error) {
 					a := c.answers[min(n, len(c.answers)-1)]
 					n++
-					if e, ok := a.(error); ok {
-						return nil, e
+					if entry, ok := a.(error); ok {
+						return nil, entry
 					}
 					return a.(*leader.PendingReaders), nil
 				})
