--- a/internal/quorum/gather.go
+++ b/internal/quorum/gather.go
@@ -1,4 +1,6 @@
-// Package quorum asks many at once and stops when enough have answered.
+// Package quorum calls many nodes at once and stops when enough have answered. Each call runs in a
+// goroutine of its own, which ends with the call; Gather blocks until it has enough results, all of
+// them, or ctx ends.
 package quorum
 
 import (
@@ -7,57 +9,61 @@
 	"postjunction/internal/apierror"
 )
 
-// Result is what one of those asked said.
+// Result is what the call to one target returned.
 type Result[W, A any] struct {
 	Target W
 	Value  A
 	Err    error
 }
 
-// Gather calls f on all of ws at once and gives the answers so far when enough says so, or all of them.
-// When ctx ends, those that have not answered count as errors, so that there is one answer for each asked.
-func Gather[W, A any](ctx context.Context, ws []W, f func(context.Context, W) (A, error), enough func([]Result[W, A]) bool) []Result[W, A] {
-	c := make(chan Result[W, A], len(ws))
-	for _, w := range ws {
+// Gather calls all targets at once and returns the results so far when isEnough, which may be nil,
+// says so, or all of them. When ctx ends, calls without a result count as Unreachable, so that
+// there is one result for each target.
+func Gather[W, A any](
+	ctx context.Context, targets []W, call func(context.Context, W) (A, error), isEnough func([]Result[W, A]) bool,
+) []Result[W, A] {
+	returned := make(chan Result[W, A], len(targets))
+	for _, target := range targets {
 		go func() {
-			a, err := f(ctx, w)
-			c <- Result[W, A]{w, a, err}
+			value, err := call(ctx, target)
+			returned <- Result[W, A]{target, value, err}
 		}()
 	}
-	var as []Result[W, A]
-	for range ws {
+	var results []Result[W, A]
+	for range targets {
 		select {
-		case a := <-c:
-			as = append(as, a)
+		case result := <-returned:
+			results = append(results, result)
 		case <-ctx.Done():
-			for range len(ws) - len(as) {
-				as = append(as, Result[W, A]{Err: apierror.WithCause(apierror.Unreachable, ctx.Err(), "no answer in time")})
+			for range len(targets) - len(results) {
+				err := apierror.WithCause(apierror.Unreachable, ctx.Err(), "no answer in time")
+				results = append(results, Result[W, A]{Err: err})
 			}
-			return as
+			return results
 		}
-		if enough != nil && enough(as) {
-			return as
+		if isEnough != nil && isEnough(results) {
+			return results
 		}
 	}
-	return as
+	return results
 }
 
-// Successes gives the answers without an error.
-func Successes[W, A any](as []Result[W, A]) []Result[W, A] {
-	var g []Result[W, A]
-	for _, a := range as {
-		if a.Err == nil {
-			g = append(g, a)
+// Successes returns the results without an error.
+func Successes[W, A any](results []Result[W, A]) []Result[W, A] {
+	var successes []Result[W, A]
+	for _, result := range results {
+		if result.Err == nil {
+			successes = append(successes, result)
 		}
 	}
-	return g
+	return successes
 }
 
-// FirstError gives the first error.
-func FirstError[W, A any](as []Result[W, A]) error {
-	for _, a := range as {
-		if a.Err != nil {
-			return a.Err
+// FirstError returns the first error among the results, nil if there is none.
+func FirstError[W, A any](results []Result[W, A]) error {
+	for _, result := range results {
+		if result.Err != nil {
+			return result.Err
 		}
 	}
 	return nil
--- a/internal/quorum/gather_test.go
+++ b/internal/quorum/gather_test.go
@@ -9,11 +9,12 @@
 	"postjunction/internal/apierror"
 )
 
-// A seal that nobody answered in time once came back as no answers and no error, and passed for a majority.
-func TestThoseWhoDoNotAnswerInTimeAreErrors(t *testing.T) {
+// A seal that no replica answered in time once came back as no results and no error, and passed for
+// a majority.
+func TestGather_TargetsThatDoNotAnswerAreErrors(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
-	as := Gather(ctx, []int{1, 2, 3}, func(ctx context.Context, w int) (string, error) {
-		if w == 2 {
+	results := Gather(ctx, []int{1, 2, 3}, func(ctx context.Context, target int) (string, error) {
+		if target == 2 {
 			stop()
 			return "two", nil
 		}
@@ -21,9 +22,9 @@
 		<-make(chan int)
 		return "", nil
 	}, nil)
-	assert.Equal(t, len(as), 3)
-	assert.Assert(t, len(Successes(as)) <= 1)
-	assert.Assert(t, FirstError(as) != nil)
+	assert.Equal(t, len(results), 3)
+	assert.Assert(t, len(Successes(results)) <= 1)
+	assert.Assert(t, FirstError(results) != nil)
 	assert.Assert(t, apierror.WithCause(apierror.NoMajority, nil, "x") != nil)
 	assert.NilError(t, apierror.Wrap(apierror.NoMajority, nil, "x"))
 }
