--- a/internal/keylock/locks.go
+++ b/internal/keylock/locks.go
@@ -1,4 +1,7 @@
-// Package keylock hands out turns: one worker at a time per shard, waiting in a channel and not on a lock.
+// Package keylock serializes work by key: a fixed number of locks that are waited for with a
+// context, a lock with several holders, and a map with a lock for each shard. Keys may share a
+// lock. It starts no goroutines; who takes a lock owns it until it calls the function that releases
+// it.
 package keylock
 
 import (
@@ -8,65 +11,64 @@
 	"postjunction/internal/apierror"
 )
 
-// Locks is a row of shards.
-type Locks struct{ s []chan struct{} }
+// Locks is a row of locks; each is a channel with room for its holder.
+type Locks struct{ locks []chan struct{} }
 
-// New makes n shards.
+// New makes n locks.
 func New(n int) *Locks {
-	t := &Locks{s: make([]chan struct{}, n)}
-	for i := range t.s {
-		t.s[i] = make(chan struct{}, 1)
+	l := &Locks{locks: make([]chan struct{}, n)}
+	for i := range l.locks {
+		l.locks[i] = make(chan struct{}, 1)
 	}
-	return t
+	return l
 }
 
-// LockNumber waits for the turn of a number; numbers that differ by less than the count of shards never share one.
-func (t *Locks) LockNumber(ctx context.Context, n int) (func(), error) {
-	i := n % len(t.s)
-	if err := t.take(ctx, i); err != nil {
-		return nil, err
-	}
-	return func() { <-t.s[i] }, nil
+// LockNumber takes the lock of a number and returns the function that releases it; numbers that
+// differ by less than the count of locks never share one. It returns Unreachable when ctx ends
+// before.
+func (l *Locks) LockNumber(ctx context.Context, number int) (func(), error) {
+	return l.lock(ctx, number%len(l.locks))
 }
 
-func (t *Locks) at(k string) int {
-	h := fnv.New32a()
-	_, _ = h.Write([]byte(k))
-	return int(h.Sum32() % uint32(len(t.s)))
+// Lock takes the lock of a key and returns the function that releases it; Unreachable when ctx ends
+// before.
+func (l *Locks) Lock(ctx context.Context, key string) (func(), error) {
+	hash := fnv.New32a()
+	_, _ = hash.Write([]byte(key)) // never fails
+	return l.lock(ctx, int(hash.Sum32()%uint32(len(l.locks))))
+}
+
+func (l *Locks) lock(ctx context.Context, i int) (func(), error) {
+	if err := l.take(ctx, i); err != nil {
+		return nil, err
+	}
+	return func() { <-l.locks[i] }, nil
 }
 
-func (t *Locks) take(ctx context.Context, i int) error {
+func (l *Locks) take(ctx context.Context, i int) error {
 	select {
-	case t.s[i] <- struct{}{}:
+	case l.locks[i] <- struct{}{}:
 		return nil
 	case <-ctx.Done():
 		return apierror.WithCause(apierror.Unreachable, ctx.Err(), "waiting for a turn")
 	}
 }
 
-// Lock waits for the turn of a key; the function gives it back.
-func (t *Locks) Lock(ctx context.Context, k string) (func(), error) {
-	i := t.at(k)
-	if err := t.take(ctx, i); err != nil {
-		return nil, err
-	}
-	return func() { <-t.s[i] }, nil
-}
-
-// LockAll waits for every shard.
-func (t *Locks) LockAll(ctx context.Context) (func(), error) {
-	n := 0
-	back := func() {
-		for i := range n {
-			<-t.s[i]
+// LockAll takes every lock and returns the function that releases them; Unreachable when ctx ends
+// before.
+func (l *Locks) LockAll(ctx context.Context) (func(), error) {
+	taken := 0
+	release := func() {
+		for i := range taken {
+			<-l.locks[i]
 		}
 	}
-	for i := range t.s {
-		if err := t.take(ctx, i); err != nil {
-			back()
+	for i := range l.locks {
+		if err := l.take(ctx, i); err != nil {
+			release()
 			return nil, err
 		}
-		n++
+		taken++
 	}
-	return back, nil
+	return release, nil
 }
--- a/internal/keylock/map.go
+++ b/internal/keylock/map.go
@@ -7,65 +7,67 @@
 
 const shardCount = 16
 
-// Map keeps state in shards, each under its own short lock.
+// Map is a map in shards, each under a lock of its own that is held only for the access.
 type Map[K comparable, V any] struct {
 	seed   maphash.Seed
 	shards [shardCount]shard[K, V]
 }
 
+// shard is a part of the map. mu guards values.
 type shard[K comparable, V any] struct {
-	mu sync.Mutex
-	m  map[K]V
+	mu     sync.Mutex
+	values map[K]V
 }
 
 // NewMap makes an empty map.
 func NewMap[K comparable, V any]() *Map[K, V] {
 	m := &Map[K, V]{seed: maphash.MakeSeed()}
 	for i := range m.shards {
-		m.shards[i].m = map[K]V{}
+		m.shards[i].values = map[K]V{}
 	}
 	return m
 }
 
-func (m *Map[K, V]) at(k K) *shard[K, V] {
-	return &m.shards[maphash.Comparable(m.seed, k)%shardCount]
+func (m *Map[K, V]) shardOf(key K) *shard[K, V] {
+	return &m.shards[maphash.Comparable(m.seed, key)%shardCount]
 }
 
-// Update runs f on the value of k under the shard's lock; f tells whether the value stays.
-func (m *Map[K, V]) Update(k K, f func(v V, ok bool) (V, bool)) {
-	s := m.at(k)
+// Update runs update on the value of a key under the shard's lock; update returns the new value,
+// and whether to keep it.
+func (m *Map[K, V]) Update(key K, update func(value V, ok bool) (V, bool)) {
+	s := m.shardOf(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v, ok := s.m[k]
-	if v, ok = f(v, ok); ok {
-		s.m[k] = v
+	value, ok := s.values[key]
+	if value, ok = update(value, ok); ok {
+		s.values[key] = value
 	} else {
-		delete(s.m, k)
+		delete(s.values, key)
 	}
 }
 
-// Get gives the value of k.
-func (m *Map[K, V]) Get(k K) (V, bool) {
-	s := m.at(k)
+// Get returns the value of a key, false if there is none.
+func (m *Map[K, V]) Get(key K) (V, bool) {
+	s := m.shardOf(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v, ok := s.m[k]
-	return v, ok
+	value, ok := s.values[key]
+	return value, ok
 }
 
-// Range runs f on a copy of every pair.
-func (m *Map[K, V]) Range(f func(K, V)) {
+// Range runs visit on a copy of every pair, without a lock.
+func (m *Map[K, V]) Range(visit func(K, V)) {
 	for i := range m.shards {
 		s := &m.shards[i]
 		s.mu.Lock()
-		ks := make([]K, 0, len(s.m))
-		vs := make([]V, 0, len(s.m))
-		for k, v := range s.m {
-			ks, vs = append(ks, k), append(vs, v)
+		keys := make([]K, 0, len(s.values))
+		values := make([]V, 0, len(s.values))
+		for key, value := range s.values {
+			keys, values = append(keys, key), append(values, value)
 		}
 		s.mu.Unlock()
-		for n := range ks {
-			f(ks[n], vs[n])
+		for n := range keys {
+			visit(keys[n], values[n])
 		}
 	}
 }
--- a/internal/keylock/shared.go
+++ b/internal/keylock/shared.go
@@ -2,28 +2,28 @@
 
 import "sync/atomic"
 
-// Shared is a turn that several may need: it is given back once all of them have done so.
+// Shared is a lock that several holders need: it is released once all of them have released it.
 type Shared struct {
-	n    atomic.Int32
-	back func()
+	holders atomic.Int32
+	release func()
 }
 
-// Share makes a turn that was taken one that several may need; whoever made it gives it back with Back.
-func Share(back func()) *Shared {
-	h := &Shared{back: back}
-	h.n.Store(1)
-	return h
+// Share makes a taken lock, which release releases, a shared one with the caller as its holder.
+func Share(release func()) *Shared {
+	s := &Shared{release: release}
+	s.holders.Store(1)
+	return s
 }
 
-// Retain keeps the turn for one more; the function gives that one's part back.
-func (h *Shared) Retain() func() {
-	h.n.Add(1)
-	return h.Release
+// Retain adds a holder and returns the function that releases for it.
+func (s *Shared) Retain() func() {
+	s.holders.Add(1)
+	return s.Release
 }
 
-// Release gives one part back.
-func (h *Shared) Release() {
-	if h.n.Add(-1) == 0 {
-		h.back()
+// Release releases for one holder.
+func (s *Shared) Release() {
+	if s.holders.Add(-1) == 0 {
+		s.release()
 	}
 }
