--- a/internal/delivery/cursor/cursor.go
+++ b/internal/delivery/cursor/cursor.go
@@ -1,64 +1,70 @@
-// Package cursor writes a visitor's place in each partition as one opaque word.
+// Package cursor encodes a client's position in each partition as one opaque string, with a
+// checksum over the fleet's name. It has no state.
 package cursor
 
 import (
 	"encoding/base64"
 	"encoding/binary"
 	"hash/crc32"
+	"maps"
 	"slices"
 	"strings"
 
 	"postjunction/internal/apierror"
 )
 
-// Cursor is the last offset seen, by partition.
+// Cursor is the last offset that a client has seen, by partition.
 type Cursor map[int]uint64
 
 const (
-	prefix     = "c1."
-	placesMost = 512
+	prefix        = "c1."
+	checksumBytes = 4
+	// entryBytes is the usual length of a partition with its offset, for allocation only.
+	entryBytes    = 6
+	maxPartitions = 512
 )
 
-func seed(fleet string) uint32 { return crc32.ChecksumIEEE([]byte(fleet)) }
+func checksum(fleet string, entries []byte) uint32 {
+	return crc32.Update(crc32.ChecksumIEEE([]byte(fleet)), crc32.IEEETable, entries)
+}
 
-// Encode writes a cursor for one fleet.
-func Encode(fleet string, c Cursor) string {
-	ps := make([]int, 0, len(c))
-	for p := range c {
-		ps = append(ps, p)
-	}
-	slices.Sort(ps)
-	b := make([]byte, 4, 4+len(ps)*6)
-	for _, p := range ps {
-		b = binary.AppendUvarint(b, uint64(p))
-		b = binary.AppendUvarint(b, c[p])
+// Encode returns a cursor of a fleet as a string.
+func Encode(fleet string, cursor Cursor) string {
+	partitions := slices.Sorted(maps.Keys(cursor))
+	data := make([]byte, checksumBytes, checksumBytes+len(partitions)*entryBytes)
+	for _, partition := range partitions {
+		data = binary.AppendUvarint(data, uint64(partition))
+		data = binary.AppendUvarint(data, cursor[partition])
 	}
-	binary.BigEndian.PutUint32(b, crc32.Update(seed(fleet), crc32.IEEETable, b[4:]))
-	return prefix + base64.RawURLEncoding.EncodeToString(b)
+	binary.BigEndian.PutUint32(data, checksum(fleet, data[checksumBytes:]))
+	return prefix + base64.RawURLEncoding.EncodeToString(data)
 }
 
-// Decode reads a cursor of one fleet with a number of partitions.
-func Decode(fleet string, partitions int, s string) (Cursor, error) {
-	t, ok := strings.CutPrefix(s, prefix)
-	b, err := base64.RawURLEncoding.DecodeString(t)
-	if !ok || err != nil || len(b) < 4 {
-		return nil, apierror.New(apierror.CursorMalformed, "%.40q is no cursor", s)
+// Decode parses a cursor of a fleet that has a number of partitions. Its errors have the code
+// CursorMalformed.
+func Decode(fleet string, partitions int, text string) (Cursor, error) {
+	encoded, ok := strings.CutPrefix(text, prefix)
+	data, err := base64.RawURLEncoding.DecodeString(encoded)
+	if !ok || err != nil || len(data) < checksumBytes {
+		return nil, apierror.New(apierror.CursorMalformed, "%.40q is no cursor", text)
 	}
-	if binary.BigEndian.Uint32(b) != crc32.Update(seed(fleet), crc32.IEEETable, b[4:]) {
-		return nil, apierror.New(apierror.CursorMalformed, "%.40q was altered or is of another fleet", s)
+	entries := data[checksumBytes:]
+	if binary.BigEndian.Uint32(data) != checksum(fleet, entries) {
+		return nil, apierror.New(apierror.CursorMalformed, "%.40q was altered or is of another fleet", text)
 	}
-	c := Cursor{}
-	for b = b[4:]; len(b) > 0; {
-		p, n := binary.Uvarint(b)
-		if n <= 0 || p >= uint64(partitions) || len(c) >= placesMost {
-			return nil, apierror.New(apierror.CursorMalformed, "%.40q names a partition that there is not", s)
+	cursor := Cursor{}
+	for len(entries) > 0 {
+		partition, length := binary.Uvarint(entries)
+		if length <= 0 || partition >= uint64(partitions) || len(cursor) >= maxPartitions {
+			return nil, apierror.New(apierror.CursorMalformed, "%.40q names a partition that there is not", text)
 		}
-		o, m := binary.Uvarint(b[n:])
-		if m <= 0 {
-			return nil, apierror.New(apierror.CursorMalformed, "%.40q breaks off", s)
+		entries = entries[length:]
+		offset, length := binary.Uvarint(entries)
+		if length <= 0 {
+			return nil, apierror.New(apierror.CursorMalformed, "%.40q breaks off", text)
 		}
-		c[int(p)] = o
-		b = b[n+m:]
+		cursor[int(partition)] = offset
+		entries = entries[length:]
 	}
-	return c, nil
+	return cursor, nil
 }
