--- a/internal/presence/presence.go
+++ b/internal/presence/presence.go
@@ -1,4 +1,6 @@
-// Package presence counts who listens.
+// Package presence counts the clients that are subscribed to a topic on all nodes. Each node has
+// its own subscribers in memory, in a sharded map; counting calls all other nodes and waits for
+// half of a call's time-out at most.
 package presence
 
 import (
@@ -13,88 +15,97 @@
 	"postjunction/internal/wire"
 )
 
-// CountRequest asks a node who listens to a topic on it.
+// CountRequest asks a node for the subscribers of a topic on it.
 type CountRequest struct {
 	Topic string `json:"t"`
 }
 
-// CountResponse names the listeners.
+// CountResponse has the names of the subscribed clients.
 type CountResponse struct {
 	Clients []string `json:"v"`
 }
 
-// Count is the presence call.
+// Count is the call between nodes.
 var Count = wire.NewProcedure[CountRequest, CountResponse]("Carrier", "Count", wire.ReadOnly, "counts")
 
-// Presence holds the listeners of one node by topic.
+// Presence has the subscribers of one node. The exported fields are not changed after New.
 type Presence struct {
 	Self   string
 	Net    wire.Network
 	Timing settings.Timing
 	View   *membership.View
-	m      *keylock.Map[string, map[string]int]
+	// subscribers counts the subscriptions of a topic by client.
+	subscribers *keylock.Map[string, map[string]int]
 }
 
-// New makes an empty presence.
-func New(self string, n wire.Network, b settings.Timing, v *membership.View) *Presence {
-	return &Presence{Self: self, Net: n, Timing: b, View: v, m: keylock.NewMap[string, map[string]int]()}
+// New returns a Presence without subscribers.
+func New(self string, network wire.Network, timing settings.Timing, view *membership.View) *Presence {
+	return &Presence{
+		Self:        self,
+		Net:         network,
+		Timing:      timing,
+		View:        view,
+		subscribers: keylock.NewMap[string, map[string]int](),
+	}
 }
 
-func (p *Presence) add(topic, visitor string, n int) {
-	p.m.Update(topic, func(m map[string]int, ok bool) (map[string]int, bool) {
+func (p *Presence) add(topic, client string, change int) {
+	p.subscribers.Update(topic, func(counts map[string]int, ok bool) (map[string]int, bool) {
 		if !ok {
-			m = map[string]int{}
+			counts = map[string]int{}
 		}
-		if m[visitor] += n; m[visitor] <= 0 {
-			delete(m, visitor)
+		if counts[client] += change; counts[client] <= 0 {
+			delete(counts, client)
 		}
-		return m, len(m) > 0
+		return counts, len(counts) > 0
 	})
 }
 
-// Add notes a listener; the function takes it out again.
-func (p *Presence) Add(visitor string, topics []string) func() {
-	for _, t := range topics {
-		p.add(t, visitor, 1)
+// Add adds a subscriber; the returned function removes it again.
+func (p *Presence) Add(client string, topics []string) func() {
+	for _, topic := range topics {
+		p.add(topic, client, 1)
 	}
 	return func() {
-		for _, t := range topics {
-			p.add(t, visitor, -1)
+		for _, topic := range topics {
+			p.add(topic, client, -1)
 		}
 	}
 }
 
-func (p *Presence) here(topic string) []string {
-	var s []string
-	p.m.Update(topic, func(m map[string]int, ok bool) (map[string]int, bool) {
-		for v := range m {
-			s = append(s, v)
+func (p *Presence) local(topic string) []string {
+	var clients []string
+	p.subscribers.Update(topic, func(counts map[string]int, ok bool) (map[string]int, bool) {
+		for client := range counts {
+			clients = append(clients, client)
 		}
-		return m, ok
+		return counts, ok
 	})
-	return s
+	return clients
 }
 
-// CountOthers counts the other visitors that listen to a topic on any node; whole tells whether every node answered.
-func (p *Presence) CountOthers(ctx context.Context, topic, visitor string) (n int, whole bool) {
-	cx, stop := context.WithTimeout(ctx, p.Timing.CallTimeout()/2)
-	defer stop()
-	fs := membership.Filter(p.View.All(), func(i membership.Info) bool { return i.Name != p.Self })
-	as := quorum.Gather(cx, fs, func(ctx context.Context, i membership.Info) (*CountResponse, error) {
-		return Count.Call(ctx, p.Net, p.Self, i.PeerAddr, &CountRequest{Topic: topic})
+// CountOthers returns how many other clients are subscribed to a topic on any node, and whether
+// every node answered.
+func (p *Presence) CountOthers(ctx context.Context, topic, client string) (count int, isComplete bool) {
+	callCtx, cancel := context.WithTimeout(ctx, p.Timing.CallTimeout()/2)
+	defer cancel()
+	peers := membership.Filter(p.View.All(), func(member membership.Info) bool { return member.Name != p.Self })
+	answers := quorum.Gather(callCtx, peers, func(ctx context.Context, peer membership.Info) (*CountResponse, error) {
+		return Count.Call(ctx, p.Net, p.Self, peer.PeerAddr, &CountRequest{Topic: topic})
 	}, nil)
-	all := p.here(topic)
-	for _, a := range quorum.Successes(as) {
-		all = append(all, a.Value.Clients...)
+	successes := quorum.Successes(answers)
+	clients := p.local(topic)
+	for _, answer := range successes {
+		clients = append(clients, answer.Value.Clients...)
 	}
-	slices.Sort(all)
-	all = slices.DeleteFunc(slices.Compact(all), func(s string) bool { return s == visitor })
-	return len(all), len(quorum.Successes(as)) == len(fs)
+	slices.Sort(clients)
+	others := slices.DeleteFunc(slices.Compact(clients), func(name string) bool { return name == client })
+	return len(others), len(successes) == len(peers)
 }
 
-// Serve adds the presence call.
-func (p *Presence) Serve(m *http.ServeMux) {
-	Count.Handle(m, func(_ context.Context, q *CountRequest) (*CountResponse, error) {
-		return &CountResponse{Clients: p.here(q.Topic)}, nil
+// Serve registers the call.
+func (p *Presence) Serve(mux *http.ServeMux) {
+	Count.Handle(mux, func(_ context.Context, request *CountRequest) (*CountResponse, error) {
+		return &CountResponse{Clients: p.local(request.Topic)}, nil
 	})
 }
