--- a/internal/client/rejections/rejections.go
+++ b/internal/client/rejections/rejections.go
@@ -1,4 +1,5 @@
-// Package rejections remembers, within bounds, which calls a node turned away and why.
+// Package rejections remembers the newest calls that a node rejected, and why. A Recorder is shared
+// by all goroutines of the node and never blocks.
 package rejections
 
 import (
@@ -10,7 +11,7 @@
 	"postjunction/internal/wire"
 )
 
-// Rejection is one call that was turned away.
+// Rejection is one call that was rejected.
 type Rejection struct {
 	At      time.Time `json:"at"`
 	Node    string    `json:"node"`
@@ -24,75 +25,81 @@
 
 // Ring keeps the newest values up to a number.
 type Ring[T any] struct {
-	mu   sync.Mutex
-	vs   []T
-	next int
-	most int
+	// mu guards the fields below. Once the ring is full, next is the index of the oldest value.
+	mu     sync.Mutex
+	values []T
+	next   int
+	limit  int
 }
 
-// NewRing makes a ring of a size.
-func NewRing[T any](most int) *Ring[T] { return &Ring[T]{most: most} }
+// NewRing returns a ring for up to limit values.
+func NewRing[T any](limit int) *Ring[T] { return &Ring[T]{limit: limit} }
 
-// Add puts a value in, over the oldest when there is no room.
-func (r *Ring[T]) Add(v T) {
+// Add adds a value; it replaces the oldest one when the ring is full.
+func (r *Ring[T]) Add(value T) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.vs) < r.most {
-		r.vs = append(r.vs, v)
+	if len(r.values) < r.limit {
+		r.values = append(r.values, value)
 		return
 	}
-	r.vs[r.next] = v
-	r.next = (r.next + 1) % r.most
+	r.values[r.next] = value
+	r.next = (r.next + 1) % r.limit
 }
 
-// Filter gives the values that f wants, oldest first.
-func (r *Ring[T]) Filter(f func(T) bool) []T {
+// Filter returns the values for which matches returns true, oldest first.
+func (r *Ring[T]) Filter(matches func(T) bool) []T {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var vs []T
-	for i := range r.vs {
-		if v := r.vs[(r.next+i)%len(r.vs)]; f(v) {
-			vs = append(vs, v)
+	var found []T
+	for i := range r.values {
+		if value := r.values[(r.next+i)%len(r.values)]; matches(value) {
+			found = append(found, value)
 		}
 	}
-	return vs
+	return found
 }
 
-// Request asks a node what it turned away; an empty topic and a zero call stand for any.
+// Request asks a node for the rejected calls of a client; an empty topic and a zero CallSeq match
+// any.
 type Request struct {
 	Client  string `json:"v"`
 	Topic   string `json:"t,omitempty"`
 	CallSeq uint64 `json:"c,omitempty"`
 }
 
-// Response gives the notes.
+// Response has the newest rejections, oldest first.
 type Response struct {
 	Rejections []Rejection `json:"n,omitempty"`
 }
 
-// List is the call that asks.
+// List is the call between nodes.
 var List = wire.NewProcedure[Request, Response]("Visitor", "Turned", wire.ReadOnly, "notes of rejected calls")
 
-// Recorder is one node's.
+// Recorder has the rejections of one node.
 type Recorder struct{ *Ring[Rejection] }
 
 const (
-	notesMost  = 4096
-	answerMost = 64
+	maxRejections = 4096
+	maxListed     = 64
 )
 
-// New makes an empty memory.
-func New() Recorder { return Recorder{NewRing[Rejection](notesMost)} }
+// New returns an empty recorder.
+func New() Recorder { return Recorder{NewRing[Rejection](maxRejections)} }
 
-// Find gives the newest notes that fit a task.
-func (m Recorder) Find(q Request) []Rejection {
-	ns := m.Filter(func(n Rejection) bool {
-		return n.Client == q.Client && (q.Topic == "" || n.Topic == q.Topic) && (q.CallSeq == 0 || n.CallSeq == q.CallSeq)
+// Find returns the newest rejections that a request matches, oldest first.
+func (r Recorder) Find(request Request) []Rejection {
+	found := r.Filter(func(rejection Rejection) bool {
+		return rejection.Client == request.Client &&
+			(request.Topic == "" || rejection.Topic == request.Topic) &&
+			(request.CallSeq == 0 || rejection.CallSeq == request.CallSeq)
 	})
-	return ns[max(0, len(ns)-answerMost):]
+	return found[max(0, len(found)-maxListed):]
 }
 
-// Serve adds the call.
-func (m Recorder) Serve(x *http.ServeMux) {
-	List.Handle(x, func(_ context.Context, q *Request) (*Response, error) { return &Response{Rejections: m.Find(*q)}, nil })
+// Serve registers the call.
+func (r Recorder) Serve(mux *http.ServeMux) {
+	List.Handle(mux, func(_ context.Context, request *Request) (*Response, error) {
+		return &Response{Rejections: r.Find(*request)}, nil
+	})
 }
