--- a/internal/client/token/token.go
+++ b/internal/client/token/token.go
@@ -1,4 +1,5 @@
-// Package token makes and reads the unguessable word that an attachment gives.
+// Package token creates and parses the bearer tokens that clients get when they attach. It has no
+// state.
 package token
 
 import (
@@ -13,7 +14,7 @@
 	"postjunction/internal/apierror"
 )
 
-// Token names a visitor, the generation of the attachment, and its secret.
+// Token names a client, the generation of its attachment, and the attachment's secret.
 type Token struct {
 	Client     string
 	Generation uint64
@@ -23,59 +24,62 @@
 const (
 	prefix      = "pj1."
 	secretBytes = 24
+	separator   = "|"
 	bearer      = "Bearer "
 )
 
-// NewSecret makes a new secret.
+// NewSecret returns a random secret.
 func NewSecret() string {
-	var b [secretBytes]byte
-	_, _ = rand.Read(b[:])
-	return hex.EncodeToString(b[:])
+	var secret [secretBytes]byte
+	_, _ = rand.Read(secret[:])
+	return hex.EncodeToString(secret[:])
 }
 
-// Digest is what the ledger keeps of a secret.
-func Digest(s string) string {
-	h := sha256.Sum256([]byte(s))
-	return hex.EncodeToString(h[:])
+// Digest returns what the partition log stores of a secret.
+func Digest(secret string) string {
+	sum := sha256.Sum256([]byte(secret))
+	return hex.EncodeToString(sum[:])
 }
 
-// Encode writes a token.
+// Encode returns the token as a string.
 func (t Token) Encode() string {
-	return prefix + base64.RawURLEncoding.EncodeToString([]byte(t.Client+"|"+strconv.FormatUint(t.Generation, 10)+"|"+t.Secret))
+	fields := []string{t.Client, strconv.FormatUint(t.Generation, 10), t.Secret}
+	return prefix + base64.RawURLEncoding.EncodeToString([]byte(strings.Join(fields, separator)))
 }
 
-// Decode reads a token.
-func Decode(s string) (Token, error) {
+// Decode parses a token. Its error has the code TokenForeign.
+func Decode(text string) (Token, error) {
 	foreign := apierror.New(apierror.TokenForeign, "the token is none of this service's")
-	w, ok := strings.CutPrefix(s, prefix)
-	b, err := base64.RawURLEncoding.DecodeString(w)
+	encoded, ok := strings.CutPrefix(text, prefix)
+	decoded, err := base64.RawURLEncoding.DecodeString(encoded)
 	if !ok || err != nil {
 		return Token{}, foreign
 	}
-	p := strings.Split(string(b), "|")
-	if len(p) != 3 {
+	fields := strings.Split(string(decoded), separator)
+	if len(fields) != 3 {
 		return Token{}, foreign
 	}
-	g, err := strconv.ParseUint(p[1], 10, 64)
+	generation, err := strconv.ParseUint(fields[1], 10, 64)
 	if err != nil {
 		return Token{}, foreign
 	}
-	return Token{p[0], g, p[2]}, nil
+	return Token{fields[0], generation, fields[2]}, nil
 }
 
-// ParseBearer reads the token of an Authorization header.
-func ParseBearer(h string) (Token, error) {
-	if h == "" {
+// ParseBearer parses the token of an Authorization header. Its errors have the codes TokenMissing
+// and TokenForeign.
+func ParseBearer(header string) (Token, error) {
+	if header == "" {
 		return Token{}, apierror.New(apierror.TokenMissing, "the call has no Authorization header")
 	}
-	s, ok := strings.CutPrefix(h, bearer)
+	text, ok := strings.CutPrefix(header, bearer)
 	if !ok {
 		return Token{}, apierror.New(apierror.TokenMissing, "the Authorization header is no bearer token")
 	}
-	return Decode(s)
+	return Decode(text)
 }
 
-// Matches compares a token with the digest kept.
+// Matches reports, in constant time, whether the token's secret has a digest.
 func (t Token) Matches(digest string) bool {
 	return subtle.ConstantTimeCompare([]byte(Digest(t.Secret)), []byte(digest)) == 1
 }
