--- a/internal/client/admission/admission.go
+++ b/internal/client/admission/admission.go
@@ -1,4 +1,6 @@
-// Package admission bounds what waits in a node, by lane; the urgent lane is never behind the routine one.
+// Package admission limits how many calls and streams a node serves at a time, by lane. Lanes have
+// separate limits, so that urgent calls never wait behind routine ones. A call that exceeds its
+// limit is rejected at once, never queued.
 package admission
 
 import (
@@ -12,7 +14,7 @@
 	"postjunction/internal/clock"
 )
 
-// Lane names a backlog.
+// Lane is a class of calls with a limit of its own.
 type Lane string
 
 // The lanes.
@@ -26,67 +28,72 @@
 	UrgentStream Lane = "urgent_stream"
 )
 
-// Limiter holds a bounded backlog per lane.
+// Limiter counts the calls in each lane. It is safe for concurrent use and never blocks.
 type Limiter struct {
-	mu    sync.Mutex
-	limit int
-	m     map[Lane]bulkhead.Bulkhead[any]
-	taken map[Lane]uint64
-	shed  map[Lane]uint64
+	// mu guards the fields below.
+	mu        sync.Mutex
+	limit     int
+	bulkheads map[Lane]bulkhead.Bulkhead[any]
+	admitted  map[Lane]uint64
+	shed      map[Lane]uint64
 }
 
-const streamsPerPlace = 8
+// streamsPerCall is how many streams are admitted for each call that is, since an idle stream costs
+// little.
+const streamsPerCall = 8
 
-// New makes gates of a size.
+// New returns a limiter that admits up to limit calls in each lane.
 func New(limit int) *Limiter {
-	g := &Limiter{taken: map[Lane]uint64{}, shed: map[Lane]uint64{}}
-	g.Resize(limit)
-	return g
+	l := &Limiter{admitted: map[Lane]uint64{}, shed: map[Lane]uint64{}}
+	l.Resize(limit)
+	return l
 }
 
-// Resize changes the size; what is under way is not counted against the new one.
-func (g *Limiter) Resize(limit int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if limit == g.limit {
+// Resize changes the limit. Calls in flight are not counted against the new one.
+func (l *Limiter) Resize(limit int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if limit == l.limit {
 		return
 	}
-	g.limit = limit
-	g.m = map[Lane]bulkhead.Bulkhead[any]{
+	l.limit = limit
+	l.bulkheads = map[Lane]bulkhead.Bulkhead[any]{
 		Urgent:  bulkhead.New[any](uint(limit)),
 		Routine: bulkhead.New[any](uint(limit)),
 		Attach:  bulkhead.New[any](uint(limit)),
-		Stream:  bulkhead.New[any](uint(limit * streamsPerPlace)),
+		Stream:  bulkhead.New[any](uint(limit * streamsPerCall)),
 
-		UrgentStream: bulkhead.New[any](uint(limit * streamsPerPlace)),
+		UrgentStream: bulkhead.New[any](uint(limit * streamsPerCall)),
 	}
 }
 
-// Acquire takes a place in a lane, or turns away with a jittered hint when to come back.
-func (g *Limiter) Acquire(l Lane) (func(), error) {
-	g.mu.Lock()
-	b := g.m[l]
-	ok := b.TryAcquirePermit()
+// Acquire admits a call to a lane; the returned function is called at its end. Its error has the
+// code Overloaded and a jittered time after which to retry.
+func (l *Limiter) Acquire(lane Lane) (func(), error) {
+	l.mu.Lock()
+	permits := l.bulkheads[lane]
+	ok := permits.TryAcquirePermit()
 	if ok {
-		g.taken[l]++
+		l.admitted[lane]++
 	} else {
-		g.shed[l]++
+		l.shed[lane]++
 	}
-	g.mu.Unlock()
+	l.mu.Unlock()
 	if !ok {
-		p := apierror.New(apierror.Overloaded, "the %s lane of this node is full", l)
-		return nil, p.WithRetryAfter(clock.Jitter(p.RetryAfter, 2, rand.Float64()).Round(time.Millisecond))
+		overloaded := apierror.New(apierror.Overloaded, "the %s lane of this node is full", lane)
+		retryAfter := clock.Jitter(overloaded.RetryAfter, 2, rand.Float64())
+		return nil, overloaded.WithRetryAfter(retryAfter.Round(time.Millisecond))
 	}
-	return b.ReleasePermit, nil
+	return permits.ReleasePermit, nil
 }
 
-// Counts gives what was taken in and shed by lane.
-func (g *Limiter) Counts() (taken, shed map[Lane]uint64) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	taken, shed = map[Lane]uint64{}, map[Lane]uint64{}
-	for l := range g.m {
-		taken[l], shed[l] = g.taken[l], g.shed[l]
+// Counts returns how many calls were admitted and shed since the start, by lane.
+func (l *Limiter) Counts() (admitted, shed map[Lane]uint64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	admitted, shed = map[Lane]uint64{}, map[Lane]uint64{}
+	for lane := range l.bulkheads {
+		admitted[lane], shed[lane] = l.admitted[lane], l.shed[lane]
 	}
-	return taken, shed
+	return admitted, shed
 }
