--- /dev/null
+++ b/internal/lineserver/jsoncodec/codec.go
@@ -0,0 +1,190 @@
+// Package jsoncodec is the service's own codec for package lineserver: one JSON object a line, each
+// way. It has no state. A line is accepted only if it has exactly the fields of its verb, each at
+// most once.
+package jsoncodec
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+
+	"postjunction/internal/apierror"
+	"postjunction/internal/client/session"
+	"postjunction/internal/configuration/strictjson"
+	"postjunction/internal/lineserver"
+	"postjunction/internal/rawjson"
+)
+
+// Codec reads and writes JSON lines. It implements lineserver.Codec.
+type Codec struct{}
+
+type request struct {
+	Verb           session.Verb    `json:"verb"`
+	Client         string          `json:"visitor,omitempty"`
+	Topic          string          `json:"topic,omitempty"`
+	Cursor         string          `json:"cursor,omitempty"`
+	CallSeq        uint64          `json:"call_seq,omitempty"`
+	Body           json.RawMessage `json:"body,omitempty"`
+	Key            *string         `json:"key,omitempty"`
+	WithdrawSender string          `json:"of,omitempty"`
+	WithdrawUpTo   uint64          `json:"upto,omitempty"`
+}
+
+type response struct {
+	Type             session.ResponseType `json:"what"`
+	InReplyTo        session.Verb         `json:"re,omitempty"`
+	Topic            string               `json:"topic,omitempty"`
+	From             string               `json:"from,omitempty"`
+	CallSeq          uint64               `json:"call_seq,omitempty"`
+	Cursor           string               `json:"cursor,omitempty"`
+	Key              string               `json:"key,omitempty"`
+	Count            *int                 `json:"count,omitempty"`
+	Body             json.RawMessage      `json:"body,omitempty"`
+	Address          string               `json:"address,omitempty"`
+	AlreadyWithdrawn bool                 `json:"already,omitempty"`
+	GivenUp          []string             `json:"given_up,omitempty"`
+	Code             apierror.Code        `json:"code,omitempty"`
+	Message          string               `json:"say,omitempty"`
+	Advice           string               `json:"advice,omitempty"`
+	Current          *uint64              `json:"current,omitempty"`
+	RetryAfterMS     int64                `json:"retry_after_ms,omitempty"`
+}
+
+// envelopeBytes is how many bytes a line may have besides its body.
+const envelopeBytes = 2 << 10
+
+var (
+	text   = strictjson.Shape{Kind: strictjson.Text}
+	fields = map[string]strictjson.Shape{
+		"visitor": text, "topic": text, "cursor": text,
+		"call_seq": {Kind: strictjson.Count}, "body": {Kind: strictjson.Any},
+		"key": text, "of": text, "upto": {Kind: strictjson.Count},
+	}
+	required = map[session.Verb][]string{
+		session.Attach:      {"visitor"},
+		session.Subscribe:   {"topic"},
+		session.Unsubscribe: {"topic"},
+		session.Send:        {"topic", "call_seq", "body"},
+		session.Count:       {"topic"},
+		session.Heartbeat:   nil,
+
+		session.Withdraw: {"topic", "key", "call_seq"},
+	}
+	optional = map[session.Verb][]string{
+		session.Subscribe: {"cursor"}, session.Send: {"key"}, session.Withdraw: {"of", "upto"},
+	}
+	shapes = func() map[session.Verb]strictjson.Shape {
+		m := map[session.Verb]strictjson.Shape{}
+		for v, fs := range required {
+			s := strictjson.Shape{
+				Kind:   strictjson.Object,
+				Needed: append([]string{"verb"}, fs...),
+				Fields: map[string]strictjson.Shape{"verb": text},
+			}
+			for _, f := range append(optional[v], fs...) {
+				s.Fields[f] = fields[f]
+			}
+			m[v] = s
+		}
+		return m
+	}()
+)
+
+// ReadRequest reads one line as a request whose body has at most maxBody bytes. A line that is
+// rejected is a *lineserver.Fault, returned together with what is known of the request.
+func (Codec) ReadRequest(r *bufio.Reader, maxBody int) (session.Request, error) {
+	line, err := lineserver.ReadLine(r, maxBody+envelopeBytes)
+	if err != nil {
+		return session.Request{}, err
+	}
+	var decoded request
+	if err := json.Unmarshal(line, &decoded); err != nil {
+		return session.Request{}, lineserver.Malformed(true, "the line is no JSON object of a task")
+	}
+	parsed := session.Request{
+		Verb:           decoded.Verb,
+		Client:         decoded.Client,
+		Topic:          decoded.Topic,
+		Cursor:         decoded.Cursor,
+		CallSeq:        decoded.CallSeq,
+		Body:           decoded.Body,
+		WithdrawSender: decoded.WithdrawSender,
+		WithdrawUpTo:   decoded.WithdrawUpTo,
+	}
+	if decoded.Key != nil {
+		parsed.Key = *decoded.Key
+	}
+	shape, ok := shapes[decoded.Verb]
+	if !ok {
+		return session.Request{}, lineserver.Malformed(true, "there is no verb %q", decoded.Verb)
+	}
+	faults, err := strictjson.Check(line, shape)
+	if err != nil {
+		return parsed, &lineserver.Fault{Err: err, Resynced: true}
+	}
+	if len(faults) > 0 {
+		return parsed, &lineserver.Fault{
+			Err:      apierror.New(apierror.Malformed, "%s: %s", faults[0].Path, faults[0].Message).WithFaults(faults),
+			Resynced: true,
+		}
+	}
+	if decoded.Key != nil && parsed.Key == "" {
+		return parsed, lineserver.Malformed(true, "$.key: is empty")
+	}
+	if len(decoded.Body) > maxBody {
+		parsed.Body = nil
+		return parsed, &lineserver.Fault{
+			Err:      apierror.New(apierror.Oversize, "the body has %d bytes, the limit is %d", len(decoded.Body), maxBody),
+			Resynced: true,
+		}
+	}
+	return parsed, nil
+}
+
+// AppendResponse appends a response as one line.
+func (Codec) AppendResponse(b []byte, answer session.Response) []byte {
+	encoded := response{
+		Type:             answer.Type,
+		InReplyTo:        answer.InReplyTo,
+		Topic:            answer.Topic,
+		From:             answer.From,
+		CallSeq:          answer.CallSeq,
+		Cursor:           answer.Cursor,
+		Key:              answer.Key,
+		Address:          answer.Address,
+		AlreadyWithdrawn: answer.AlreadyWithdrawn,
+		GivenUp:          answer.GivenUp,
+	}
+	if answer.Type == session.Counted {
+		encoded.Count = &answer.Count
+	}
+	if answer.Body != nil {
+		encoded.Body = jsonBody(answer.Body)
+	}
+	if answer.Err != nil {
+		problem := apierror.From(answer.Err)
+		encoded.Code, encoded.Message, encoded.Advice, encoded.Current, encoded.RetryAfterMS = problem.Code, problem.Message, problem.Advice(), problem.Current, problem.RetryAfterMS
+	}
+	line, err := rawjson.Marshal(encoded)
+	if err != nil {
+		line, _ = rawjson.Marshal(
+			response{
+				Type:      session.Rejected,
+				InReplyTo: answer.InReplyTo,
+				Topic:     answer.Topic,
+				CallSeq:   answer.CallSeq,
+				Code:      apierror.Internal,
+			},
+		)
+	}
+	return append(append(b, line...), '\n')
+}
+
+// jsonBody returns a body that is one line of JSON as it is, and any other as a string.
+func jsonBody(body []byte) json.RawMessage {
+	if json.Valid(body) && !bytes.ContainsAny(body, "\r\n") {
+		return body
+	}
+	text, _ := json.Marshal(string(body))
+	return text
+}
