--- a/internal/testing/crash/crash_test.go
+++ b/internal/testing/crash/crash_test.go
@@ -121,7 +121,7 @@
 		}
 	}
 	if got.rost < last.rost {
-		return fmt.Errorf("roster %d came back as %d", last.rost, got.rost)
+		return fmt.Errorf("voter set %d came back as %d", last.rost, got.rost)
 	}
 	for k, s := range last.slots {
 		g := got.slots[k]
@@ -133,7 +133,7 @@
 }
 
 // tasks are a disk's whole life in small: founding, promises, appends of two epochs, a replaced
-// tail, trims, a fresh start, directories, a drop, a new roster, and so many records that the
+// tail, trims, a fresh start, directories, a drop, a new voter set, and so many records that the
 // journal is written anew in between.
 func tasks() []func(s *store) error {
 	ctx := context.Background()
--- a/internal/testing/crash/slices_test.go
+++ b/internal/testing/crash/slices_test.go
@@ -38,9 +38,9 @@
 	return g.Log.Write(first, recs)
 }
 
-// meddling is all that may happen to lines between two slices: appends, other tails, trims behind
+// mutations is all that may happen to lines between two slices: appends, other tails, trims behind
 // and ahead of the place reached, fresh starts, drops, cuts, directories, seals, promises.
-func meddling(r *rand.Rand, e *uint64) func(s *store) error {
+func mutations(r *rand.Rand, e *uint64) func(s *store) error {
 	ctx := context.Background()
 	p, k := r.IntN(partitions), log.Kinds[r.IntN(2)]
 	to := func(e uint64) replica.Target { return replica.Target{Partition: p, Incarnation: "i", Epoch: e} }
@@ -160,7 +160,7 @@
 				for {
 					select {
 					case <-gate:
-						run(meddling(r, &e))
+						run(mutations(r, &e))
 					case <-halt:
 						return
 					}
--- a/internal/testing/deliverycheck/checker.go
+++ b/internal/testing/deliverycheck/checker.go
@@ -1,4 +1,4 @@
-// Package deliverycheck records what stand-in guests on line sessions saw and judges it: each stay
+// Package deliverycheck records what stand-in clients on line sessions saw and judges it: each stay
 // is one subscription of one visitor to one topic, from its first joined answer to its end, across
 // connections.
 package deliverycheck
@@ -47,7 +47,7 @@
 	Message string
 }
 
-// Checker is shared by all guests of a run.
+// Checker is shared by all clients of a run.
 type Checker struct {
 	// Keeping is how long messages of kept topics are held.
 	Keeping time.Duration
@@ -103,7 +103,7 @@
 	b.violations = append(b.violations, Violation{rule, fmt.Sprintf(f, a...)})
 }
 
-// Violation notes a rule that a guest itself saw broken.
+// Violation notes a rule that a client itself saw broken.
 func (b *Checker) Violation(rule, f string, a ...any) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/testing/history/plant_test.go
+++ b/internal/testing/history/plant_test.go
@@ -127,7 +127,7 @@
 		"an older description is read back":              {Readback, func(h *History) { h.ReadBack(1, sec(7)) }},
 		"a wait outlasts the bound":                      {Recovery, func(h *History) { h.Begin(WaitAccept, "kept/a", sec(-3))(sec(9.5)) }},
 		"a call is never answered":                       {Recovery, func(h *History) { h.Begin(WaitAttach, "w", sec(-2)) }},
-		"a wait outlasts the bound after the last blow":  {Recovery, func(h *History) { h.Disturb("kill", sec(-5)); h.Begin(WaitOpen, "w", sec(-8))(sec(8)) }},
+		"a wait outlasts the bound after the last fault": {Recovery, func(h *History) { h.Disturb("kill", sec(-5)); h.Begin(WaitOpen, "w", sec(-8))(sec(8)) }},
 		"an urgent call waits for routine work":          {Behind, func(h *History) { h.Overtaken("stop/line", "a routine turn", 2*time.Second, time.Second) }},
 	}
 	hit := map[string]bool{}
@@ -158,5 +158,5 @@
 	h = day()
 	h.Disturb("kill", sec(1))
 	h.Begin(WaitOpen, "w", sec(-8))(sec(8))
-	assert.Equal(t, lines(h), "", "a wait with a blow in its middle is judged from the blow on")
+	assert.Equal(t, lines(h), "", "a wait with a fault in its middle is judged from the fault on")
 }
--- a/internal/testing/sim/astray_test.go
+++ b/internal/testing/sim/astray_test.go
@@ -59,7 +59,7 @@
 // when packets are lost, when a machine is slow, when the core alone or one store is out of reach.
 func TestNoClientIsRedirectedInVain(t *testing.T) {
 	t.Parallel()
-	blows := map[string]func(w *World){
+	faults := map[string]func(w *World){
 		"all access nodes cut off": func(w *World) {
 			for _, n := range w.Names {
 				if n[0] == 'a' {
@@ -81,9 +81,9 @@
 		"a slow machine": func(w *World) { w.Slow(w.busiestDoor(), 300*time.Millisecond) },
 		"packets lost":   func(w *World) { w.Lose(0.05) },
 	}
-	for name, blow := range blows {
+	for name, fault := range faults {
 		entertain(t, pairs, 5, awake, 12, func(t *testing.T, w *World, _ *LineClients) {
-			blow(w)
+			fault(w)
 			for range 30 {
 				time.Sleep(100 * time.Millisecond)
 				for _, n := range w.Names {
--- a/internal/testing/sim/early_test.go
+++ b/internal/testing/sim/early_test.go
@@ -12,7 +12,7 @@
 	"postjunction/internal/partitionlog/router"
 )
 
-// A node that knows no roster yet was once asked for an attachment and divided by its zero
+// A node that knows no voter set yet was once asked for an attachment and divided by its zero
 // partitions.
 func TestCallsBeforeTheVoterSetIsKnown(t *testing.T) {
 	t.Parallel()
--- a/internal/testing/sim/founding_test.go
+++ b/internal/testing/sim/founding_test.go
@@ -19,7 +19,7 @@
 }
 
 // fullRoster tells whether every control node that runs has a seat with its present disk, and is
-// under the newest roster.
+// under the newest voter set.
 func (w *World) fullRoster() bool {
 	var top uint64
 	for _, n := range w.Names {
@@ -55,7 +55,7 @@
 					assert.NilError(t, w.Start(w.Names...))
 					at := time.Now()
 					assert.NilError(t, w.WaitUntil(3*time.Second, "all voters are seated", w.fullRoster))
-					t.Logf("all voters are seated after %s under roster %d", time.Since(at), w.Machines["c1"].Node().VoterSet().Sequence)
+					t.Logf("all voters are voting after %s under voter set %d", time.Since(at), w.Machines["c1"].Node().VoterSet().Sequence)
 					assert.NilError(t, w.WaitReady(3*time.Second))
 					fleets := map[string]bool{}
 					for _, n := range w.Names {
--- a/internal/testing/sim/intercept.go
+++ b/internal/testing/sim/intercept.go
@@ -87,19 +87,19 @@
 // InterceptCalls has a function decide what happens to each call at each of its stages, until the
 // function that it gives is called.
 func (w *World) InterceptCalls(f func(Point) CallFault) (stop func()) {
-	w.note("meddle")
+	w.note("call faults")
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.intercept = f
 	return func() {
-		w.note("meddle no more")
+		w.note("end of call faults")
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.intercept = nil
 	}
 }
 
-// applyCallFault holds a call up as it is meddled with, for good when it is lost; it gives how late
+// applyCallFault delays a call by its fault, for good when it is lost; it returns how late
 // it comes again, 0 for not at all.
 func (w *World) applyCallFault(ctx context.Context, p Point) time.Duration {
 	w.mu.Lock()
--- a/internal/testing/sim/load.go
+++ b/internal/testing/sim/load.go
@@ -42,9 +42,9 @@
 	// Flood is how many topics nobody follows there are for floods.
 	Flood int
 	Every time.Duration
-	// Rested has no guest stop reading for a while.
+	// Rested has no client stop reading for a while.
 	Rested bool
-	// Habits changes those of guests; nil for none.
+	// Habits changes those of clients; nil for none.
 	Habits func(h *simclient.Habits)
 }
 
--- a/internal/testing/sim/measure_marks_test.go
+++ b/internal/testing/sim/measure_marks_test.go
@@ -16,8 +16,8 @@
 	"postjunction/internal/testing/simclient"
 )
 
-// marked runs visitors for a time in a fleet and gives the world, its guests and the time that was
-// measured.
+// marked runs clients for a time in a fleet and returns the world, its line clients and the time
+// that was measured.
 func marked(t *testing.T, s Site, seed uint64, n int, habits func(h *simclient.Habits), during func(w *World), f func(w *World, g *LineClients, from, to time.Time)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/testing/sim/measure_test.go
+++ b/internal/testing/sim/measure_test.go
@@ -222,7 +222,7 @@
 				_, err := w.Put(w.Names[w.Int(len(w.Names))], load.Describe(base))
 				assert.NilError(t, err)
 			})
-			t.Logf("%d nodes: a description adds %.0f bytes to the pulses of each node", len(w.Names), (busy-calm)/puts/float64(len(w.Names)))
+			t.Logf("%d nodes: a description adds %.0f bytes to the heartbeats of each node", len(w.Names), (busy-calm)/puts/float64(len(w.Names)))
 		})
 	}
 }
--- a/internal/testing/sim/owner_test.go
+++ b/internal/testing/sim/owner_test.go
@@ -43,8 +43,8 @@
 }
 
 // A store that is back before its peers find its port closed twice keeps its partitions; one that
-// stays away longer loses them to the heirs that the record names, each partition once. Either way
-// no epoch is used again, and what it did not own stays as it is.
+// stays away longer loses them to the successors that the record names, each partition once. Either
+// way no epoch is used again, and what it did not own stays as it is.
 func TestUsedEpochIsNeverUsedAgainAndSuccessorsTakeOverInOrder(t *testing.T) {
 	t.Parallel()
 	for away, kept := range map[time.Duration]bool{30 * time.Millisecond: true, 600 * time.Millisecond: false} {
@@ -64,11 +64,11 @@
 						continue
 					}
 					assert.Equal(t, r.Epoch, before[p].Epoch+1)
-					heir, why := o, "came back"
+					successor, why := o, "came back"
 					if !kept {
-						heir, why = before[p].Successors(func(assignment.Replica) int { return 0 })[0].Node, "the owner is gone: "+failuredetector.Refused
+						successor, why = before[p].Successors(func(assignment.Replica) int { return 0 })[0].Node, "the owner is gone: "+failuredetector.Refused
 					}
-					assert.Equal(t, r.Leader, heir, "partition %d", p)
+					assert.Equal(t, r.Leader, successor, "partition %d", p)
 					last := r.History[len(r.History)-1]
 					assert.Assert(t, strings.Contains(last.Reason, why), last.Reason)
 				}
--- a/internal/testing/sim/promises.go
+++ b/internal/testing/sim/promises.go
@@ -44,7 +44,7 @@
 func readVoterPromise(w *World, q, a []byte, asked time.Time) {
 	var t acceptor.PromiseRequest
 	if wire.Unmarshal(q, &t) == nil && isAccepted(a) {
-		w.History.Promise(t.Incarnation, "key "+t.Key+" under roster "+string(rune('0'+t.VoterSet)), history.Rank{Number: t.Epoch.Number, Node: t.Epoch.Node}, asked, time.Now())
+		w.History.Promise(t.Incarnation, "key "+t.Key+" under voter set "+string(rune('0'+t.VoterSet)), history.Rank{Number: t.Epoch.Number, Node: t.Epoch.Node}, asked, time.Now())
 	}
 }
 
--- a/internal/testing/sim/scripted.go
+++ b/internal/testing/sim/scripted.go
@@ -13,7 +13,7 @@
 )
 
 // ScriptedClient is a visitor that does what a script says, on one connection to a named machine;
-// what it sees goes into the guests' book.
+// what it sees goes to the checker.
 type ScriptedClient struct {
 	Name, At string
 
--- a/internal/testing/sim/sealed_test.go
+++ b/internal/testing/sim/sealed_test.go
@@ -11,8 +11,8 @@
 	"postjunction/internal/wire"
 )
 
-// The node that changes the voters is lost after the old roster is sealed and before the new one is
-// open anywhere. Another one finishes the change, and an operator's calls that began in between
+// The node that changes the voters is lost after the old voter set is sealed and before the new one
+// is open anywhere. Another one finishes the change, and an operator's calls that began in between
 // ride through it.
 func TestAChangeOfVotersOutlivesWhoBeganIt(t *testing.T) {
 	t.Parallel()
