--- a/internal/client/session/session_test.go
+++ b/internal/client/session/session_test.go
@@ -14,7 +14,6 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/configuration"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/delivery/fanout"
 	"postjunction/internal/gossip"
 	"postjunction/internal/membership"
@@ -22,6 +21,7 @@
 	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
+	"postjunction/internal/voters"
 )
 
 // fakeLeaders stands in for the leader of the only partition. A nil response is never returned.
--- a/internal/control/acceptor/acceptor.go
+++ b/internal/control/acceptor/acceptor.go
@@ -6,10 +6,10 @@
 	"sync"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/keylock"
 	"postjunction/internal/recordtype"
+	"postjunction/internal/voters"
 )
 
 // VoterSetKey is the register that names the next voter set; accepting it seals the present one.
--- a/internal/control/acceptor/acceptor_test.go
+++ b/internal/control/acceptor/acceptor_test.go
@@ -9,10 +9,10 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/control/epoch"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/disk/memlog"
 	"postjunction/internal/recordtype"
+	"postjunction/internal/voters"
 )
 
 var ctx = context.Background()
--- a/internal/control/acceptor/activate.go
+++ b/internal/control/acceptor/activate.go
@@ -4,9 +4,9 @@
 	"context"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/recordtype"
+	"postjunction/internal/voters"
 )
 
 // Activate brings the voter under a higher voter set; the slots of the old one are replaced by the
--- a/internal/control/acceptor/calls.go
+++ b/internal/control/acceptor/calls.go
@@ -2,7 +2,7 @@
 
 import (
 	"postjunction/internal/control/epoch"
-	"postjunction/internal/control/voters"
+	"postjunction/internal/voters"
 	"postjunction/internal/wire"
 )
 
--- a/internal/control/acceptor/records.go
+++ b/internal/control/acceptor/records.go
@@ -4,9 +4,9 @@
 	"encoding/json"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/recordtype"
+	"postjunction/internal/voters"
 )
 
 // slotRecord is the slot of one key in the journal.
--- a/internal/control/acceptor/remote.go
+++ b/internal/control/acceptor/remote.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"postjunction/internal/control/voters"
+	"postjunction/internal/voters"
 	"postjunction/internal/wire"
 )
 
--- a/internal/control/bootstrap/bootstrapper.go
+++ b/internal/control/bootstrap/bootstrapper.go
@@ -17,10 +17,10 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/control/acceptor"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/membership"
 	"postjunction/internal/quorum"
 	"postjunction/internal/settings"
+	"postjunction/internal/voters"
 	"postjunction/internal/wire"
 )
 
--- a/internal/control/model/state_test.go
+++ b/internal/control/model/state_test.go
@@ -6,7 +6,7 @@
 
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/epoch"
-	"postjunction/internal/control/voters"
+	"postjunction/internal/voters"
 )
 
 const (
--- a/internal/control/quorumread/confirmer.go
+++ b/internal/control/quorumread/confirmer.go
@@ -23,11 +23,11 @@
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/register"
 	"postjunction/internal/control/repair"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/gossip"
 	"postjunction/internal/nodelease"
 	"postjunction/internal/quorum"
 	"postjunction/internal/settings"
+	"postjunction/internal/voters"
 	"postjunction/internal/wire"
 
 	"github.com/mailru/easyjson"
--- a/internal/control/quorumread/confirmer_test.go
+++ b/internal/control/quorumread/confirmer_test.go
@@ -15,9 +15,9 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/register"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/gossip"
 	"postjunction/internal/settings"
+	"postjunction/internal/voters"
 )
 
 // scriptedVoters answer a peek with the code set for their address; Unreachable is no answer at
--- a/internal/control/reconfig/executor.go
+++ b/internal/control/reconfig/executor.go
@@ -15,9 +15,9 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/epoch"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/quorum"
 	"postjunction/internal/settings"
+	"postjunction/internal/voters"
 	"postjunction/internal/wire"
 )
 
--- a/internal/control/reconfig/successor.go
+++ b/internal/control/reconfig/successor.go
@@ -7,8 +7,8 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/epoch"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/quorum"
+	"postjunction/internal/voters"
 )
 
 // slotResult is what one voter answered to a promise or an acceptance that was asked of it.
--- a/internal/control/reconfigurer/absences.go
+++ b/internal/control/reconfigurer/absences.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"postjunction/internal/control/voters"
 	"postjunction/internal/membership"
+	"postjunction/internal/voters"
 )
 
 // absences remembers, by node, which voters are not live.
--- a/internal/control/reconfigurer/plan.go
+++ b/internal/control/reconfigurer/plan.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"postjunction/internal/control/voters"
 	"postjunction/internal/membership"
+	"postjunction/internal/voters"
 )
 
 // plannedChange says how the voter set is to change, and why.
--- a/internal/control/reconfigurer/reconfigurer.go
+++ b/internal/control/reconfigurer/reconfigurer.go
@@ -21,12 +21,12 @@
 	"postjunction/internal/control/bootstrap"
 	"postjunction/internal/control/reconfig"
 	"postjunction/internal/control/repair"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/event"
 	"postjunction/internal/gossip"
 	"postjunction/internal/membership"
 	"postjunction/internal/quorum"
 	"postjunction/internal/settings"
+	"postjunction/internal/voters"
 )
 
 // Reconfigurer runs beside a voter. All exported fields are set before Run.
--- a/internal/control/register/accept.go
+++ b/internal/control/register/accept.go
@@ -5,8 +5,8 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/control/acceptor"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/quorum"
+	"postjunction/internal/voters"
 )
 
 // accept has a majority accept a value under the epoch of state. When ctx ends first, the round
--- a/internal/control/register/decision.go
+++ b/internal/control/register/decision.go
@@ -4,8 +4,8 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/epoch"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/quorum"
+	"postjunction/internal/voters"
 )
 
 // This file is what a proposer concludes from the responses of the voters. It does no I/O.
--- a/internal/control/register/decision_test.go
+++ b/internal/control/register/decision_test.go
@@ -7,8 +7,8 @@
 
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/epoch"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/quorum"
+	"postjunction/internal/voters"
 )
 
 // A higher copy on one disk may or may not be decided, and what lies below it says nothing.
--- a/internal/control/register/prepare.go
+++ b/internal/control/register/prepare.go
@@ -7,8 +7,8 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/clock"
 	"postjunction/internal/control/acceptor"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/quorum"
+	"postjunction/internal/voters"
 )
 
 // acquire returns the state of a key that this node leads, and claims it first where it doesn't.
--- a/internal/control/register/proposer.go
+++ b/internal/control/register/proposer.go
@@ -6,9 +6,9 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/epoch"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/keylock"
 	"postjunction/internal/settings"
+	"postjunction/internal/voters"
 	"postjunction/internal/wire"
 )
 
--- a/internal/control/register/proposer_test.go
+++ b/internal/control/register/proposer_test.go
@@ -14,8 +14,8 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/epoch"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/settings"
+	"postjunction/internal/voters"
 )
 
 // threeVoters are the control nodes c1 to c3, all live; c4 is gone.
--- a/internal/control/register/read.go
+++ b/internal/control/register/read.go
@@ -5,8 +5,8 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/control/acceptor"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/quorum"
+	"postjunction/internal/voters"
 )
 
 // Read returns the value that was current at some moment after the call began.
--- a/internal/control/repair/repair.go
+++ b/internal/control/repair/repair.go
@@ -12,9 +12,9 @@
 	"context"
 
 	"postjunction/internal/control/acceptor"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/quorum"
 	"postjunction/internal/settings"
+	"postjunction/internal/voters"
 	"postjunction/internal/wire"
 )
 
--- a/internal/golden/records_test.go
+++ b/internal/golden/records_test.go
@@ -20,7 +20,6 @@
 	"postjunction/internal/configuration"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/epoch"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/delivery/cursor"
 	"postjunction/internal/disk/frame"
 	"postjunction/internal/disk/identity"
@@ -35,6 +34,7 @@
 	"postjunction/internal/recordtype"
 	"postjunction/internal/samza/changelog"
 	"postjunction/internal/samza/state"
+	"postjunction/internal/voters"
 )
 
 const disk = "1111222233334444"
--- a/internal/gossip/store.go
+++ b/internal/gossip/store.go
@@ -6,8 +6,8 @@
 	"sync"
 
 	"postjunction/internal/configuration"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/placement/assignment"
+	"postjunction/internal/voters"
 )
 
 // Store holds the newest voter set, configuration and partition records that a node knows. Nothing
--- a/internal/gossip/store_test.go
+++ b/internal/gossip/store_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/configuration"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/placement/assignment"
+	"postjunction/internal/voters"
 	"postjunction/internal/wire"
 )
 
--- a/internal/gossip/update.go
+++ b/internal/gossip/update.go
@@ -4,8 +4,8 @@
 	"slices"
 
 	"postjunction/internal/configuration"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/placement/assignment"
+	"postjunction/internal/voters"
 )
 
 // Digest says how new the state of a node is, by the number of each part.
--- a/internal/node/disk.go
+++ b/internal/node/disk.go
@@ -6,13 +6,13 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/control/acceptor"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/disk/identity"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/event"
 	"postjunction/internal/gossip"
 	"postjunction/internal/partitionlog/replica"
 	"postjunction/internal/recordtype"
+	"postjunction/internal/voters"
 )
 
 // openDisk reads the journal into the parts that persist state, claims the disk for this node and
@@ -45,7 +45,7 @@
 	parts := map[uint16]journal.Part{
 		recordtype.Identity: n.identity,
 		recordtype.Slot:     n.acceptor,
-		recordtype.VoterSet:   n.acceptor,
+		recordtype.VoterSet: n.acceptor,
 	}
 	for _, recordType := range replica.RecordTypes() {
 		parts[recordType] = n.replica
--- a/internal/node/views.go
+++ b/internal/node/views.go
@@ -4,13 +4,13 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/quorumread"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/event"
 	"postjunction/internal/gossip"
 	"postjunction/internal/membership"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/placement/controller"
 	"postjunction/internal/settings"
+	"postjunction/internal/voters"
 	"postjunction/internal/wire"
 )
 
--- a/internal/nodelease/lease_test.go
+++ b/internal/nodelease/lease_test.go
@@ -8,10 +8,10 @@
 
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/control/voters"
 	"postjunction/internal/gossip"
 	"postjunction/internal/membership"
 	"postjunction/internal/settings"
+	"postjunction/internal/voters"
 )
 
 // A node that heard of a newer configuration which has not arrived has the plain lease; one that no
--- a/internal/nodelease/manager_test.go
+++ b/internal/nodelease/manager_test.go
@@ -11,11 +11,11 @@
 	"github.com/hashicorp/go-hclog"
 	"gotest.tools/v3/assert"
 
-	"postjunction/internal/control/voters"
 	"postjunction/internal/event"
 	"postjunction/internal/gossip"
 	"postjunction/internal/membership"
 	"postjunction/internal/settings"
+	"postjunction/internal/voters"
 )
 
 // A control node that is warming up and has not confirmed yet is asked again soon; the session
--- a/internal/nodelease/messages.go
+++ b/internal/nodelease/messages.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"postjunction/internal/configuration"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/membership"
+	"postjunction/internal/voters"
 	"postjunction/internal/wire"
 )
 
--- a/internal/operator/confirmed.go
+++ b/internal/operator/confirmed.go
@@ -5,9 +5,9 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/control/acceptor"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/membership"
 	"postjunction/internal/quorum"
+	"postjunction/internal/voters"
 )
 
 // confirmed is a value that a majority of voters confirmed after the operator's call began. Only
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -6,11 +6,11 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/control/acceptor"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/membership"
 	"postjunction/internal/partition"
 	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/placement/assignment"
+	"postjunction/internal/voters"
 )
 
 // Status is what a node knows of the fleet.
--- a/internal/partition/partition.go
+++ b/internal/partition/partition.go
@@ -8,7 +8,7 @@
 import (
 	"hash/fnv"
 
-	"postjunction/internal/control/voters"
+	"postjunction/internal/voters"
 )
 
 // None is the partition of everything before the layout is known.
--- a/internal/placement/controller/controller.go
+++ b/internal/placement/controller/controller.go
@@ -9,13 +9,13 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/control/register"
 	"postjunction/internal/control/registerclient"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/event"
 	"postjunction/internal/gossip"
 	"postjunction/internal/membership"
 	"postjunction/internal/placement/assignment"
 	"postjunction/internal/quorum"
 	"postjunction/internal/settings"
+	"postjunction/internal/voters"
 )
 
 // Key is the control key whose leader runs the controller.
--- a/internal/testing/crash/crash_test.go
+++ b/internal/testing/crash/crash_test.go
@@ -10,11 +10,11 @@
 	"postjunction/internal/clock"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/epoch"
-	"postjunction/internal/control/voters"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/partitionlog/replica"
 	"postjunction/internal/recordtype"
+	"postjunction/internal/voters"
 )
 
 type store struct {
