--- a/internal/client/session/session_test.go
+++ b/internal/client/session/session_test.go
@@ -12,6 +12,7 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/assignment"
 	"postjunction/internal/clock"
 	"postjunction/internal/configuration"
 	"postjunction/internal/delivery/fanout"
@@ -19,7 +20,6 @@
 	"postjunction/internal/membership"
 	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/partitionlog/log"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 	"postjunction/internal/voters"
 )
--- a/internal/delivery/fanout/feed.go
+++ b/internal/delivery/fanout/feed.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
+	"postjunction/internal/assignment"
 	"postjunction/internal/configuration"
-	"postjunction/internal/placement/assignment"
 )
 
 // feed holds what one node follows of one partition.
--- a/internal/delivery/fanout/hub.go
+++ b/internal/delivery/fanout/hub.go
@@ -21,10 +21,10 @@
 	"context"
 	"sync"
 
+	"postjunction/internal/assignment"
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
 	"postjunction/internal/partitionlog/leader"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
 
--- a/internal/delivery/fanout/open_test.go
+++ b/internal/delivery/fanout/open_test.go
@@ -10,11 +10,11 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/assignment"
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
 	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/partitionlog/log"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
 
--- a/internal/delivery/fanout/poll.go
+++ b/internal/delivery/fanout/poll.go
@@ -3,9 +3,9 @@
 import (
 	"context"
 
+	"postjunction/internal/assignment"
 	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/partitionlog/log"
-	"postjunction/internal/placement/assignment"
 )
 
 // pollCall is a Poll on its way.
--- a/internal/delivery/fanout/reader_token_test.go
+++ b/internal/delivery/fanout/reader_token_test.go
@@ -9,10 +9,10 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/assignment"
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
 	"postjunction/internal/partitionlog/leader"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
 
--- a/internal/delivery/fanout/slow_link_test.go
+++ b/internal/delivery/fanout/slow_link_test.go
@@ -9,11 +9,11 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/assignment"
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
 	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/partitionlog/log"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
 
--- a/internal/golden/life_test.go
+++ b/internal/golden/life_test.go
@@ -13,8 +13,8 @@
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/golden"
 
+	"postjunction/internal/assignment"
 	"postjunction/internal/control/acceptor"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/placement/decommission"
 	"postjunction/internal/testing/sim"
 )
--- a/internal/golden/records_test.go
+++ b/internal/golden/records_test.go
@@ -15,6 +15,7 @@
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/golden"
 
+	"postjunction/internal/assignment"
 	"postjunction/internal/client/token"
 	"postjunction/internal/clock"
 	"postjunction/internal/configuration"
@@ -29,7 +30,6 @@
 	"postjunction/internal/operator/orderlog"
 	ledger "postjunction/internal/partitionlog/log"
 	"postjunction/internal/partitionlog/replica"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/placement/decommission"
 	"postjunction/internal/recordtype"
 	"postjunction/internal/samza/changelog"
--- a/internal/gossip/exchange_test.go
+++ b/internal/gossip/exchange_test.go
@@ -7,9 +7,9 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/assignment"
 	"postjunction/internal/clock"
 	"postjunction/internal/configuration"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
--- a/internal/gossip/gossiper.go
+++ b/internal/gossip/gossiper.go
@@ -19,9 +19,9 @@
 	"sync"
 	"time"
 
+	"postjunction/internal/assignment"
 	"postjunction/internal/clock"
 	"postjunction/internal/membership"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
--- a/internal/gossip/relay.go
+++ b/internal/gossip/relay.go
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 	"slices"
 
+	"postjunction/internal/assignment"
 	"postjunction/internal/membership"
-	"postjunction/internal/placement/assignment"
 )
 
 const (
--- a/internal/gossip/store.go
+++ b/internal/gossip/store.go
@@ -5,8 +5,8 @@
 	"hash/fnv"
 	"sync"
 
+	"postjunction/internal/assignment"
 	"postjunction/internal/configuration"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/voters"
 )
 
--- a/internal/gossip/store_test.go
+++ b/internal/gossip/store_test.go
@@ -7,8 +7,8 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/assignment"
 	"postjunction/internal/configuration"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/voters"
 	"postjunction/internal/wire"
 )
--- a/internal/gossip/update.go
+++ b/internal/gossip/update.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
+	"postjunction/internal/assignment"
 	"postjunction/internal/configuration"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/voters"
 )
 
--- a/internal/membership/failuredetector/detector.go
+++ b/internal/membership/failuredetector/detector.go
@@ -19,9 +19,9 @@
 	"time"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/assignment"
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
--- a/internal/node/leaders/failover.go
+++ b/internal/node/leaders/failover.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/assignment"
 	"postjunction/internal/clock"
 	"postjunction/internal/control/registerclient"
 	"postjunction/internal/event"
-	"postjunction/internal/placement/assignment"
 )
 
 // maxClaims is how many partitions this machine claims at a time.
--- a/internal/node/leaders/manager.go
+++ b/internal/node/leaders/manager.go
@@ -22,6 +22,7 @@
 	"sync"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/assignment"
 	"postjunction/internal/clock"
 	"postjunction/internal/control/registerclient"
 	"postjunction/internal/event"
@@ -29,7 +30,6 @@
 	"postjunction/internal/partition"
 	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/partitionlog/replica"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
 
--- a/internal/node/leaders/records.go
+++ b/internal/node/leaders/records.go
@@ -5,11 +5,11 @@
 	"sync"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/assignment"
 	"postjunction/internal/control/registerclient"
 	"postjunction/internal/event"
 	"postjunction/internal/gossip"
 	"postjunction/internal/partitionlog/replica"
-	"postjunction/internal/placement/assignment"
 )
 
 // Change rewrites a partition's record while it is still at the given epoch, and reports whether it
--- a/internal/node/leaders/transfer.go
+++ b/internal/node/leaders/transfer.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/assignment"
 	"postjunction/internal/partitionlog/leader"
-	"postjunction/internal/placement/assignment"
 )
 
 // TransferLeadership gives every partition that is led here to another replica that can lead, for a
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -6,10 +6,10 @@
 	"encoding/hex"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/assignment"
 	"postjunction/internal/event"
 	"postjunction/internal/gossip"
 	"postjunction/internal/membership"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
 
--- a/internal/node/views.go
+++ b/internal/node/views.go
@@ -2,12 +2,12 @@
 
 import (
 	"postjunction/internal/apierror"
+	"postjunction/internal/assignment"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/quorumread"
 	"postjunction/internal/event"
 	"postjunction/internal/gossip"
 	"postjunction/internal/membership"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/placement/controller"
 	"postjunction/internal/settings"
 	"postjunction/internal/voters"
--- a/internal/operator/decommission.go
+++ b/internal/operator/decommission.go
@@ -5,11 +5,11 @@
 	"time"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/assignment"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/registerclient"
 	"postjunction/internal/event"
 	"postjunction/internal/membership"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/placement/decommission"
 	"postjunction/internal/quorum"
 	"postjunction/internal/settings"
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -5,11 +5,11 @@
 	"strconv"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/assignment"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/membership"
 	"postjunction/internal/partition"
 	"postjunction/internal/partitionlog/leader"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/voters"
 )
 
--- a/internal/partitionlog/leader/followers_test.go
+++ b/internal/partitionlog/leader/followers_test.go
@@ -8,9 +8,9 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/assignment"
 	"postjunction/internal/clock"
 	"postjunction/internal/partitionlog/log"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/samza/state"
 	"postjunction/internal/settings"
 )
--- a/internal/partitionlog/leader/leader.go
+++ b/internal/partitionlog/leader/leader.go
@@ -26,11 +26,11 @@
 	"time"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/assignment"
 	"postjunction/internal/clock"
 	"postjunction/internal/partitionlog/idle"
 	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/partitionlog/replica"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/samza/state"
 	"postjunction/internal/settings"
 	"postjunction/internal/wire"
--- a/internal/partitionlog/leader/leadership.go
+++ b/internal/partitionlog/leader/leadership.go
@@ -4,9 +4,9 @@
 	"context"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/assignment"
 	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/partitionlog/replica"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/quorum"
 )
 
--- a/internal/partitionlog/leader/learner.go
+++ b/internal/partitionlog/leader/learner.go
@@ -3,9 +3,9 @@
 import (
 	"context"
 
+	"postjunction/internal/assignment"
 	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/partitionlog/replica"
-	"postjunction/internal/placement/assignment"
 )
 
 // promoteChecksPerBackoff is how often within the longest backoff a learner's progress is checked.
--- a/internal/partitionlog/leader/progress.go
+++ b/internal/partitionlog/leader/progress.go
@@ -5,9 +5,9 @@
 	"slices"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/assignment"
 	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/partitionlog/replica"
-	"postjunction/internal/placement/assignment"
 )
 
 // Bounds of one append request.
--- a/internal/partitionlog/leader/progress_test.go
+++ b/internal/partitionlog/leader/progress_test.go
@@ -6,8 +6,8 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/assignment"
 	"postjunction/internal/partitionlog/log"
-	"postjunction/internal/placement/assignment"
 )
 
 // Entries of an earlier epoch that a majority holds are committed only with the start of this one.
--- a/internal/partitionlog/leader/recovery.go
+++ b/internal/partitionlog/leader/recovery.go
@@ -5,9 +5,9 @@
 	"fmt"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/assignment"
 	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/partitionlog/replica"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/quorum"
 	"postjunction/internal/samza/changelog"
 	"postjunction/internal/samza/state"
--- a/internal/partitionlog/leader/recovery_test.go
+++ b/internal/partitionlog/leader/recovery_test.go
@@ -7,11 +7,11 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/assignment"
 	"postjunction/internal/clock"
 	"postjunction/internal/disk/journal"
 	"postjunction/internal/disk/memlog"
 	"postjunction/internal/partitionlog/replica"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
 
--- a/internal/partitionlog/leader/replicate.go
+++ b/internal/partitionlog/leader/replicate.go
@@ -5,11 +5,11 @@
 	"time"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/assignment"
 	"postjunction/internal/clock"
 	"postjunction/internal/partitionlog/idle"
 	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/partitionlog/replica"
-	"postjunction/internal/placement/assignment"
 )
 
 // replicator keeps one log of one other replica up to date. One goroutine runs it and owns its
--- a/internal/partitionlog/leader/rig_test.go
+++ b/internal/partitionlog/leader/rig_test.go
@@ -12,11 +12,11 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/assignment"
 	"postjunction/internal/clock"
 	"postjunction/internal/membership"
 	"postjunction/internal/partitionlog/log"
 	"postjunction/internal/partitionlog/replica"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/samza/state"
 	"postjunction/internal/settings"
 )
--- a/internal/partitionlog/router/epochs.go
+++ b/internal/partitionlog/router/epochs.go
@@ -4,8 +4,8 @@
 	"context"
 	"sync"
 
+	"postjunction/internal/assignment"
 	"postjunction/internal/gossip"
-	"postjunction/internal/placement/assignment"
 )
 
 type leaderEpoch struct {
--- a/internal/partitionlog/router/router.go
+++ b/internal/partitionlog/router/router.go
@@ -16,12 +16,12 @@
 	"time"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/assignment"
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
 	"postjunction/internal/membership"
 	"postjunction/internal/partition"
 	"postjunction/internal/partitionlog/leader"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
--- a/internal/partitionlog/router/submitqueue.go
+++ b/internal/partitionlog/router/submitqueue.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/assignment"
 	"postjunction/internal/partitionlog/leader"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/wire"
 )
 
--- a/internal/partitionlog/router/submitqueue_test.go
+++ b/internal/partitionlog/router/submitqueue_test.go
@@ -15,11 +15,11 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/assignment"
 	"postjunction/internal/clock"
 	"postjunction/internal/gossip"
 	"postjunction/internal/membership"
 	"postjunction/internal/partitionlog/leader"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
 
--- a/internal/placement/controller/balance.go
+++ b/internal/placement/controller/balance.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"postjunction/internal/placement/assignment"
+	"postjunction/internal/assignment"
 	"postjunction/internal/settings"
 )
 
--- a/internal/placement/controller/clusterview.go
+++ b/internal/placement/controller/clusterview.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
+	"postjunction/internal/assignment"
 	"postjunction/internal/event"
 	"postjunction/internal/membership"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/placement/decommission"
 	"postjunction/internal/settings"
 )
--- a/internal/placement/controller/decommission.go
+++ b/internal/placement/controller/decommission.go
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
+	"postjunction/internal/assignment"
 	"postjunction/internal/control/acceptor"
 	"postjunction/internal/control/registerclient"
 	"postjunction/internal/event"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/placement/decommission"
 	"postjunction/internal/quorum"
 )
--- a/internal/placement/controller/fixture_test.go
+++ b/internal/placement/controller/fixture_test.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"postjunction/internal/assignment"
 	"postjunction/internal/membership"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/placement/decommission"
 	"postjunction/internal/settings"
 )
--- a/internal/placement/controller/leadership.go
+++ b/internal/placement/controller/leadership.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
+	"postjunction/internal/assignment"
 	"postjunction/internal/membership"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
 
--- a/internal/placement/controller/leadership_test.go
+++ b/internal/placement/controller/leadership_test.go
@@ -7,8 +7,8 @@
 
 	"gotest.tools/v3/assert"
 
+	"postjunction/internal/assignment"
 	"postjunction/internal/membership"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
 
--- a/internal/placement/controller/records.go
+++ b/internal/placement/controller/records.go
@@ -5,10 +5,10 @@
 	"strings"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/assignment"
 	"postjunction/internal/control/registerclient"
 	"postjunction/internal/event"
 	"postjunction/internal/gossip"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/quorum"
 )
 
--- a/internal/placement/controller/replicas.go
+++ b/internal/placement/controller/replicas.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"postjunction/internal/placement/assignment"
+	"postjunction/internal/assignment"
 	"postjunction/internal/settings"
 )
 
--- a/internal/testing/sim/drain_test.go
+++ b/internal/testing/sim/drain_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/apierror"
-	"postjunction/internal/placement/assignment"
+	"postjunction/internal/assignment"
 	"postjunction/internal/placement/decommission"
 )
 
--- a/internal/testing/sim/owner_test.go
+++ b/internal/testing/sim/owner_test.go
@@ -10,11 +10,11 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/assignment"
 	"postjunction/internal/client"
 	"postjunction/internal/membership/failuredetector"
 	"postjunction/internal/partition"
 	"postjunction/internal/partitionlog/leader"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/settings"
 )
 
--- a/internal/testing/sim/retire_test.go
+++ b/internal/testing/sim/retire_test.go
@@ -10,9 +10,9 @@
 	"gotest.tools/v3/assert"
 
 	"postjunction/internal/apierror"
+	"postjunction/internal/assignment"
 	"postjunction/internal/control/registerclient"
 	"postjunction/internal/node"
-	"postjunction/internal/placement/assignment"
 	"postjunction/internal/placement/decommission"
 )
 
