--- a/internal/membership/reachability/probe.go
+++ b/internal/membership/reachability/probe.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 	"net/http"
 
+	"postjunction/internal/failuredetector"
 	"postjunction/internal/membership"
-	"postjunction/internal/membership/failuredetector"
 	"postjunction/internal/quorum"
 	"postjunction/internal/wire"
 )
--- a/internal/node/wiring.go
+++ b/internal/node/wiring.go
@@ -19,9 +19,9 @@
 	"postjunction/internal/delivery/fanout"
 	"postjunction/internal/delivery/stream"
 	"postjunction/internal/event"
+	"postjunction/internal/failuredetector"
 	"postjunction/internal/gossip"
 	"postjunction/internal/membership"
-	"postjunction/internal/membership/failuredetector"
 	"postjunction/internal/membership/reachability"
 	"postjunction/internal/node/leaders"
 	"postjunction/internal/nodelease"
@@ -56,8 +56,8 @@
 	self, net, clk := opts.Name, n.env.Net, n.env.Clock
 	n.memberTable = membership.NewTable(clk, timing)
 	n.proposer = register.New(register.Options{
-			Self: self, Network: net, Clock: clk, Timing: timing, Peers: n, OnCommit: n.onRegisterChange,
-		})
+		Self: self, Network: net, Clock: clk, Timing: timing, Peers: n, OnCommit: n.onRegisterChange,
+	})
 	repairer := &repair.Repairer{Self: self, Net: net, Timing: timing}
 	n.confirmer = &quorumread.Confirmer{
 		Self: self, Net: net, Clock: clk, Timing: timing,
--- a/internal/testing/sim/owner_test.go
+++ b/internal/testing/sim/owner_test.go
@@ -12,7 +12,7 @@
 	"postjunction/internal/apierror"
 	"postjunction/internal/assignment"
 	"postjunction/internal/client"
-	"postjunction/internal/membership/failuredetector"
+	"postjunction/internal/failuredetector"
 	"postjunction/internal/partition"
 	"postjunction/internal/partitionlog/leader"
 	"postjunction/internal/settings"
