--- a/internal/node/wiring.go
+++ b/internal/node/wiring.go
@@ -22,7 +22,6 @@
 	"postjunction/internal/failuredetector"
 	"postjunction/internal/gossip"
 	"postjunction/internal/membership"
-	"postjunction/internal/membership/reachability"
 	"postjunction/internal/node/leaders"
 	"postjunction/internal/nodelease"
 	"postjunction/internal/operator"
@@ -31,6 +30,7 @@
 	"postjunction/internal/partitionlog/router"
 	"postjunction/internal/placement/controller"
 	"postjunction/internal/presence"
+	"postjunction/internal/reachability"
 	"postjunction/internal/settings"
 )
 
--- a/tools/mutations/membership-reachability.sh
+++ b/tools/mutations/membership-reachability.sh
@@ -1,2 +1,2 @@
-# Mutants of internal/membership/reachability.
-mutant sent-in-vain internal/membership/reachability/touch.go 's/if a\.A\.Well \{/if true {/' $S 'RedirectedInVain'
+# Mutants of internal/reachability.
+mutant sent-in-vain internal/reachability/touch.go 's/if a\.A\.Well \{/if true {/' $S 'RedirectedInVain'
