--- a/internal/disk/frame/frame.go
+++ b/internal/disk/frame/frame.go
@@ -53,7 +53,9 @@
 // Decode reads a frame and checks its sum, its format and its index.
 func Decode(index uint64, b []byte) (Frame, error) {
 	if len(b) < Size {
-		return Frame{}, apierror.New(apierror.DiskDamaged, "record %d has %d bytes, fewer than its header", index, len(b))
+		return Frame{}, apierror.New(
+			apierror.DiskDamaged, "record %d has %d bytes, fewer than its header", index, len(b),
+		)
 	}
 	if binary.LittleEndian.Uint32(b) != crc32.Checksum(b[4:], castagnoli) {
 		return Frame{}, apierror.New(apierror.DiskDamaged, "record %d fails its checksum", index)
@@ -62,7 +64,9 @@
 		return Frame{}, apierror.New(apierror.DiskForeign, "record %d is not one of postjunction's", index)
 	}
 	if b[6] > Format {
-		return Frame{}, apierror.New(apierror.DiskNewer, "record %d has format %d, this build knows %d", index, b[6], Format)
+		return Frame{}, apierror.New(
+			apierror.DiskNewer, "record %d has format %d, this build knows %d", index, b[6], Format,
+		)
 	}
 	frame := Frame{
 		Kind:        uint16(b[7]),
--- a/internal/disk/walog/walog.go
+++ b/internal/disk/walog/walog.go
@@ -76,7 +76,13 @@
 	if err := cutShortTail(l.path()); err != nil {
 		return wrap(err, "look for a short last record")
 	}
-	opened, err := wal.Open(l.path(), &wal.Options{NoSync: true, SegmentSize: segmentBytes, SegmentCacheSize: 1, AllowEmpty: true, DirPerms: 0o750, FilePerms: 0o640})
+	opened, err := wal.Open(
+		l.path(),
+		&wal.Options{
+			NoSync: true, SegmentSize: segmentBytes, SegmentCacheSize: 1, AllowEmpty: true,
+			DirPerms: 0o750, FilePerms: 0o640,
+		},
+	)
 	if err != nil {
 		return wrap(err, "open the journal")
 	}
--- a/internal/partitionlog/idle/idle.go
+++ b/internal/partitionlog/idle/idle.go
@@ -68,7 +68,10 @@
 
 // Wait has a log confirmed to a disk once it is due, or earlier with another one of that disk, and
 // blocks until that is done; Superseded when grown or moved is closed or ctx ends first.
-func (l *Confirmer) Wait(ctx context.Context, disk Disk, idleLog replica.IdleLog, due time.Time, grown, moved <-chan struct{}) Outcome {
+func (l *Confirmer) Wait(
+	ctx context.Context, disk Disk, idleLog replica.IdleLog, due time.Time, grown,
+	moved <-chan struct{},
+) Outcome {
 	w := &waiter{log: idleLog, due: due, outcome: make(chan Outcome, 1)}
 	l.mu.Lock()
 	queue, runs := l.groups[disk]
--- a/internal/partitionlog/log/entry.go
+++ b/internal/partitionlog/log/entry.go
@@ -66,7 +66,10 @@
 func NextChain(before uint64, entry Entry) uint64 {
 	var buffer [chainBytes]byte
 	b := buffer[:0]
-	for _, number := range [...]uint64{before, entry.Offset, entry.Epoch, entry.CallSeq, entry.Generation, entry.Configuration, uint64(len(entry.Topic)), uint64(len(entry.Client))} {
+	for _, number := range [...]uint64{
+		before, entry.Offset, entry.Epoch, entry.CallSeq, entry.Generation, entry.Configuration,
+		uint64(len(entry.Topic)), uint64(len(entry.Client)),
+	} {
 		b = binary.LittleEndian.AppendUint64(b, number)
 	}
 	for _, text := range [...]string{entry.Type, "\x00", entry.Topic, entry.Client, entry.Digest} {
--- a/internal/partitionlog/log/name.go
+++ b/internal/partitionlog/log/name.go
@@ -11,7 +11,10 @@
 		ok = ok && name[i] > ' ' && name[i] <= '~'
 	}
 	if !ok {
-		return apierror.New(apierror.Malformed, "%s must be 1 to %d printable bytes without spaces", field, maxNameBytes)
+		return apierror.New(
+			apierror.Malformed, "%s must be 1 to %d printable bytes without spaces", field,
+			maxNameBytes,
+		)
 	}
 	return nil
 }
--- a/internal/partitionlog/replica/idle.go
+++ b/internal/partitionlog/replica/idle.go
@@ -43,7 +43,9 @@
 
 func (r *Replica) idleLog(partition int, kind log.Kind) IdleLog {
 	r.mu.Lock()
-	s, l := IdleLog{Partition: partition, Kind: kind, Epoch: r.seals[partition]}, r.logs[log.ID{Partition: partition, Kind: kind}]
+	s, l := IdleLog{
+		Partition: partition, Kind: kind, Epoch: r.seals[partition],
+	}, r.logs[log.ID{Partition: partition, Kind: kind}]
 	r.mu.Unlock()
 	if l != nil {
 		s.Last = l.Last()
--- a/internal/partitionlog/replica/replica.go
+++ b/internal/partitionlog/replica/replica.go
@@ -47,7 +47,10 @@
 
 // New makes an empty store.
 func New(c clock.Clock) *Replica {
-	return &Replica{clock: c, locks: keylock.New(lockShards), logs: map[log.ID]*log.Log{}, seals: map[int]uint64{}, snapshots: map[int]Snapshot{}}
+	return &Replica{
+		clock: c, locks: keylock.New(lockShards), logs: map[log.ID]*log.Log{},
+		seals: map[int]uint64{}, snapshots: map[int]Snapshot{},
+	}
 }
 
 // Start gives the store its disk.
@@ -218,8 +221,8 @@
 	defer r.mu.Unlock()
 	n, b := len(r.seals)+len(r.logs)+len(r.snapshots), int64(0)
 	for _, l := range r.logs {
-		kind, s := l.Size()
-		n, b = n+kind, b+s
+		entries, bytes := l.Size()
+		n, b = n+entries, b+bytes
 	}
 	for _, d := range r.snapshots {
 		b += int64(len(d.State))
@@ -241,8 +244,8 @@
 	for id := range r.logs {
 		ids = append(ids, id)
 	}
-	sort.Slice(ids, func(i, kind int) bool {
-		a, b := ids[i], ids[kind]
+	sort.Slice(ids, func(i, k int) bool {
+		a, b := ids[i], ids[k]
 		return a.Partition < b.Partition || a.Partition == b.Partition && a.Kind < b.Kind
 	})
 	for _, id := range ids {
@@ -287,7 +290,9 @@
 			return nil, false
 		}
 		b := l.Base()
-		records := []journal.Record{newRecord(recordtype.Base, b.Epoch, b.Offset, baseRecord{ID: id, Base: b, Compacted: true})}
+		records := []journal.Record{
+			newRecord(recordtype.Base, b.Epoch, b.Offset, baseRecord{ID: id, Base: b, Compacted: true}),
+		}
 		next = max(next, b.Offset+1)
 		for _, e := range l.Slice(next, ^uint64(0), sliceEntries, sliceBytes) {
 			records = append(records, newRecord(recordtype.Entry, e.Epoch, e.Offset, entryRecord{id, e}))
@@ -310,7 +315,10 @@
 	defer r.mu.Unlock()
 	if s := r.seals[t.Partition]; t.Epoch < s {
 		r.rejected++
-		return apierror.New(apierror.StaleEpoch, "partition %d is sealed at epoch %d, the call is under %d", t.Partition, s, t.Epoch).WithCurrent(s)
+		return apierror.New(
+			apierror.StaleEpoch, "partition %d is sealed at epoch %d, the call is under %d",
+			t.Partition, s, t.Epoch,
+		).WithCurrent(s)
 	}
 	return nil
 }
@@ -338,7 +346,10 @@
 	}
 	defer in.Release()
 	if r.Sealed(request.Partition) < request.Epoch {
-		if err := r.journal.PutIn(ctx, in, request.Urgent, func() { r.setSeal(request.Partition, request.Epoch) }, newRecord(recordtype.Seal, request.Epoch, 0, sealRecord{request.Partition, request.Epoch})); err != nil {
+		if err := r.journal.PutIn(
+			ctx, in, request.Urgent, func() { r.setSeal(request.Partition, request.Epoch) },
+			newRecord(recordtype.Seal, request.Epoch, 0, sealRecord{request.Partition, request.Epoch}),
+		); err != nil {
 			return nil, err
 		}
 	}
@@ -366,16 +377,25 @@
 	id := log.ID{Partition: request.Partition, Kind: request.Kind}
 	l := r.Log(request.Partition, request.Kind)
 	if !request.Reset {
-		if partition, ok := l.Position(request.After.Offset); !ok || partition != request.After {
+		if position, ok := l.Position(request.After.Offset); !ok || position != request.After {
 			return &AppendResponse{Tail: r.tail(request.Partition, request.Kind)}, nil
 		}
 	}
 	var records []journal.Record
 	if r.Sealed(request.Partition) < request.Epoch {
-		records = append(records, newRecord(recordtype.Seal, request.Epoch, 0, sealRecord{request.Partition, request.Epoch}))
+		records = append(
+			records,
+			newRecord(recordtype.Seal, request.Epoch, 0, sealRecord{request.Partition, request.Epoch}),
+		)
 	}
 	if request.Reset {
-		records = append(records, newRecord(recordtype.Base, request.After.Epoch, request.After.Offset, baseRecord{ID: id, Base: request.After, Fresh: true}))
+		records = append(
+			records,
+			newRecord(
+				recordtype.Base, request.After.Epoch, request.After.Offset,
+				baseRecord{ID: id, Base: request.After, Fresh: true},
+			),
+		)
 	}
 	at := request.After
 	var fresh []log.Entry
@@ -384,14 +404,15 @@
 			return nil, apierror.New(apierror.LogMismatch, "entry %d does not follow %d soundly", e.Offset, at.Offset)
 		}
 		at = e.Position()
-		if partition, ok := l.Position(e.Offset); !request.Reset && ok && partition == at {
+		if position, ok := l.Position(e.Offset); !request.Reset && ok && position == at {
 			continue
 		}
 		fresh = append(fresh, e)
 		records = append(records, newRecord(recordtype.Entry, e.Epoch, e.Offset, entryRecord{id, e}))
 	}
 	trim := log.Position{}
-	if partition, ok := l.Position(request.Base.Offset); ok && partition == request.Base && request.Base.Offset > l.Base().Offset {
+	if position, ok := l.Position(request.Base.Offset); ok && position == request.Base &&
+		request.Base.Offset > l.Base().Offset {
 		trim = request.Base
 		records = append(records, newRecord(recordtype.Base, trim.Epoch, trim.Offset, baseRecord{ID: id, Base: trim}))
 	}
@@ -427,7 +448,10 @@
 	}
 	defer in.Release()
 	id := log.ID{Partition: t.Partition, Kind: kind}
-	return r.journal.PutIn(ctx, in, urgent, func() { r.Log(t.Partition, kind).TruncateAfter(o) }, newRecord(recordtype.Truncation, t.Epoch, o, truncationRecord{id, o}))
+	return r.journal.PutIn(
+		ctx, in, urgent, func() { r.Log(t.Partition, kind).TruncateAfter(o) },
+		newRecord(recordtype.Truncation, t.Epoch, o, truncationRecord{id, o}),
+	)
 }
 
 // Fetch reads entries.
@@ -457,7 +481,9 @@
 		defer r.mu.Unlock()
 		r.seals[request.Partition] = max(r.seals[request.Partition], request.Epoch)
 		r.forget(request.Partition)
-	}, newRecord(recordtype.Seal, request.Epoch, 0, sealRecord{request.Partition, request.Epoch}), newRecord(recordtype.Forget, request.Epoch, 0, sealRecord{request.Partition, request.Epoch}))
+	}, newRecord(recordtype.Seal, request.Epoch, 0, sealRecord{request.Partition, request.Epoch}), newRecord(
+		recordtype.Forget, request.Epoch, 0, sealRecord{request.Partition, request.Epoch},
+	))
 }
 
 // SaveSnapshot saves the state of a partition.
--- a/internal/samza/changelog/changelog.go
+++ b/internal/samza/changelog/changelog.go
@@ -33,7 +33,10 @@
 	var entries []log.Entry
 	for i := range parts {
 		to := min((i+1)*itemsPerPart, len(items))
-		b, _ := json.Marshal(Batch{Input: input, Part: i, Parts: parts, Complete: complete, Items: items[i*itemsPerPart : to]})
+		b, _ := json.Marshal(Batch{
+			Input: input, Part: i, Parts: parts, Complete: complete,
+			Items: items[i*itemsPerPart : to],
+		})
 		entries = append(entries, log.Entry{Type: log.TypeBatch, Body: b})
 	}
 	return entries
--- a/internal/samza/state/state.go
+++ b/internal/samza/state/state.go
@@ -154,7 +154,12 @@
 
 // New makes an empty state.
 func New() *State {
-	return &State{Accepted: map[string]Accepted{}, Progress: map[string]Progress{}, Attachments: map[string]Attachment{}, SavedCursors: map[string]SavedCursor{}, Tombstones: map[string]Tombstone{}, Readers: map[string]Reader{}, LastKeyed: map[string]uint64{}, dirty: map[string]bool{}}
+	return &State{
+		Accepted: map[string]Accepted{}, Progress: map[string]Progress{},
+		Attachments: map[string]Attachment{}, SavedCursors: map[string]SavedCursor{},
+		Tombstones: map[string]Tombstone{}, Readers: map[string]Reader{},
+		LastKeyed: map[string]uint64{}, dirty: map[string]bool{},
+	}
 }
 
 // Key names a client's calls on a topic, or with the topic first what stands under a key of it.
@@ -162,7 +167,10 @@
 
 // Find returns the answer kept for a call number.
 func (a Accepted) Find(callSeq uint64) (AcceptedCall, bool) {
-	i, ok := slices.BinarySearchFunc(a.Recent, callSeq, func(t AcceptedCall, callSeq uint64) int { return cmp.Compare(t.CallSeq, callSeq) })
+	i, ok := slices.BinarySearchFunc(
+		a.Recent, callSeq,
+		func(t AcceptedCall, callSeq uint64) int { return cmp.Compare(t.CallSeq, callSeq) },
+	)
 	if !ok {
 		return AcceptedCall{}, false
 	}
@@ -416,7 +424,8 @@
 
 // Size is the number of keys.
 func (s *State) Size() int {
-	return len(s.Accepted) + len(s.Progress) + len(s.Attachments) + len(s.SavedCursors) + len(s.Tombstones) + len(s.Readers)
+	return len(s.Accepted) + len(s.Progress) + len(s.Attachments) + len(s.SavedCursors) +
+		len(s.Tombstones) + len(s.Readers)
 }
 
 func put[T any](m map[string]T, name string, b []byte) error {
