--- a/internal/partitionlog/replica/idle.go
+++ b/internal/partitionlog/replica/idle.go
@@ -43,12 +43,11 @@
 
 func (r *Replica) idleLog(partition int, kind log.Kind) IdleLog {
 	r.mu.Lock()
-	s, l := IdleLog{
-		Partition: partition, Kind: kind, Epoch: r.seals[partition],
-	}, r.logs[log.ID{Partition: partition, Kind: kind}]
+	idle := IdleLog{Partition: partition, Kind: kind, Epoch: r.seals[partition]}
+	l := r.logs[log.ID{Partition: partition, Kind: kind}]
 	r.mu.Unlock()
 	if l != nil {
-		s.Last = l.Last()
+		idle.Last = l.Last()
 	}
-	return s
+	return idle
 }
