--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,5 @@
-// Package clock is the small interface behind which time stands, so that a simulated machine can be frozen.
+// Package clock is the interface through which nodes read and wait for time, so that a simulated
+// machine can be frozen.
 package clock
 
 import (
@@ -6,7 +7,7 @@
 	"time"
 )
 
-// Clock tells and waits for time.
+// Clock reads and waits for time. Sleep returns the error of ctx if that ends first.
 type Clock interface {
 	Now() time.Time
 	Sleep(ctx context.Context, d time.Duration) error
@@ -15,49 +16,49 @@
 // Real is the machine's own clock; Now carries a monotonic reading.
 type Real struct{}
 
-// Now tells the time.
+// Now returns the time.
 func (Real) Now() time.Time { return time.Now() }
 
 // Sleep waits for d or the end of ctx.
 func (Real) Sleep(ctx context.Context, d time.Duration) error {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// Jitter spreads d by up to a share of itself, with x from [0,1).
-func Jitter(d time.Duration, share, x float64) time.Duration {
-	return d + time.Duration(float64(d)*share*x)
+// Jitter lengthens d by up to a fraction of itself, with random drawn from [0,1).
+func Jitter(d time.Duration, fraction, random float64) time.Duration {
+	return d + time.Duration(float64(d)*fraction*random)
 }
 
-// Wait waits for d, the end of ctx, or until news or other news, which may be nil, comes.
-func Wait(ctx context.Context, c Clock, d time.Duration, news, other <-chan struct{}) {
+// Wait waits for d, the end of ctx, or until one of two channels, which may be nil, is closed.
+func Wait(ctx context.Context, c Clock, d time.Duration, first, second <-chan struct{}) {
 	if _, ok := c.(Real); ok {
-		t := time.NewTimer(d)
-		defer t.Stop()
+		timer := time.NewTimer(d)
+		defer timer.Stop()
 		select {
-		case <-news:
-		case <-other:
-		case <-t.C:
+		case <-first:
+		case <-second:
+		case <-timer.C:
 		case <-ctx.Done():
 		}
 		return
 	}
-	cx, stop := context.WithCancel(ctx)
+	sleepCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	due := make(chan struct{})
+	elapsed := make(chan struct{})
 	go func() {
-		_ = c.Sleep(cx, d)
-		close(due)
+		_ = c.Sleep(sleepCtx, d)
+		close(elapsed)
 	}()
 	select {
-	case <-news:
-	case <-other:
-	case <-due:
+	case <-first:
+	case <-second:
+	case <-elapsed:
 	}
 }
