--- a/internal/rawjson/rawjson.go
+++ b/internal/rawjson/rawjson.go
@@ -6,13 +6,14 @@
 	"encoding/json"
 )
 
-// Marshal gives the Marshal of v on one line, without its newline.
+// Marshal returns v as JSON on one line, without a newline. Unlike json.Marshal it doesn't escape
+// <, > and &.
 func Marshal(v any) ([]byte, error) {
-	var b bytes.Buffer
-	e := json.NewEncoder(&b)
-	e.SetEscapeHTML(false)
-	if err := e.Encode(v); err != nil {
+	var buffer bytes.Buffer
+	encoder := json.NewEncoder(&buffer)
+	encoder.SetEscapeHTML(false)
+	if err := encoder.Encode(v); err != nil {
 		return nil, err
 	}
-	return bytes.TrimSuffix(b.Bytes(), []byte("\n")), nil
+	return bytes.TrimSuffix(buffer.Bytes(), []byte("\n")), nil
 }
