--- a/internal/callpolicy/policy.go
+++ b/internal/callpolicy/policy.go
@@ -1,28 +1,34 @@
-// Package callpolicy is the way of a task through a process: policies as plug-ins behind one interface.
+// Package callpolicy chains policies that a call passes before it is handled. A policy runs in the
+// call's goroutine and owns its own state.
 package callpolicy
 
-import "context"
+import (
+	"context"
+	"slices"
+)
 
-// Next is the rest of the way.
-type Next[T any] func(ctx context.Context, t T) error
+// Next is the rest of the chain: the policies behind, and the handler.
+type Next[T any] func(ctx context.Context, call T) error
 
-// Policy lets a task pass, changes it, or turns it away.
+// Policy passes a call on to next, changes it before, or rejects it with an error.
 type Policy[T any] interface {
-	Apply(ctx context.Context, t T, next Next[T]) error
+	Apply(ctx context.Context, call T, next Next[T]) error
 }
 
-// Func is a policy made of a function.
-type Func[T any] func(ctx context.Context, t T, next Next[T]) error
+// Func is a function as a policy.
+type Func[T any] func(ctx context.Context, call T, next Next[T]) error
 
-// Apply runs the function.
-func (f Func[T]) Apply(ctx context.Context, t T, next Next[T]) error { return f(ctx, t, next) }
+// Apply calls the function.
+func (f Func[T]) Apply(ctx context.Context, call T, next Next[T]) error {
+	return f(ctx, call, next)
+}
 
-// Chain joins policies before an end.
-func Chain[T any](end Next[T], ps ...Policy[T]) Next[T] {
-	n := end
-	for i := len(ps) - 1; i >= 0; i-- {
-		p, rest := ps[i], n
-		n = func(ctx context.Context, t T) error { return p.Apply(ctx, t, rest) }
+// Chain puts policies, the first one outermost, before a handler.
+func Chain[T any](handler Next[T], policies ...Policy[T]) Next[T] {
+	chained := handler
+	for _, policy := range slices.Backward(policies) {
+		next := chained
+		chained = func(ctx context.Context, call T) error { return policy.Apply(ctx, call, next) }
 	}
-	return n
+	return chained
 }
