--- a/internal/apierror/catalogue.go
+++ b/internal/apierror/catalogue.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// The kinds, by the part that raises them.
+// The codes, by the part that raises them.
 const (
 	Malformed         Code = "malformed"
 	DocumentFaulty    Code = "document_faulty"
@@ -64,6 +64,8 @@
 	Internal           Code = "internal"
 )
 
+// spec is what a code means to a client: the HTTP status, the retry time, 0 for none, and the
+// advice.
 type spec struct {
 	status int
 	retry  time.Duration
