--- a/internal/lineserver/jsoncodec/codec.go
+++ b/internal/lineserver/jsoncodec/codec.go
@@ -163,7 +163,8 @@
 	}
 	if answer.Err != nil {
 		problem := apierror.From(answer.Err)
-		encoded.Code, encoded.Message, encoded.Advice, encoded.Current, encoded.RetryAfterMS = problem.Code, problem.Message, problem.Advice(), problem.Current, problem.RetryAfterMS
+		encoded.Code, encoded.Message, encoded.Advice = problem.Code, problem.Message, problem.Advice()
+		encoded.Current, encoded.RetryAfterMS = problem.Current, problem.RetryAfterMS
 	}
 	line, err := rawjson.Marshal(encoded)
 	if err != nil {
