--- a/internal/httpapi/stream_writer.go
+++ b/internal/httpapi/stream_writer.go
@@ -8,34 +8,35 @@
 	"postjunction/internal/apierror"
 )
 
-// paper takes the lines of a stream. Once it is cut nothing goes to the visitor any more, and a write under way ends.
-type paper struct {
-	w     http.ResponseWriter
-	c     *http.ResponseController
-	most  time.Duration
-	begun bool
-	gone  atomic.Bool
+// streamWriter writes the lines of a stream. Once it is aborted nothing more is written, and a
+// write in flight ends.
+type streamWriter struct {
+	response     http.ResponseWriter
+	controller   *http.ResponseController
+	writeTimeout time.Duration
+	started      bool
+	aborted      atomic.Bool
 }
 
-func (p *paper) emit(b []byte) error {
-	if !p.begun {
-		p.begun = true
-		p.w.Header().Set("Content-Type", "application/x-ndjson")
-		p.w.Header().Set("Cache-Control", "no-store")
-		p.w.WriteHeader(http.StatusOK)
+func (p *streamWriter) emit(b []byte) error {
+	if !p.started {
+		p.started = true
+		p.response.Header().Set("Content-Type", "application/x-ndjson")
+		p.response.Header().Set("Cache-Control", "no-store")
+		p.response.WriteHeader(http.StatusOK)
 	}
-	_ = p.c.SetWriteDeadline(time.Now().Add(p.most))
-	if p.gone.Load() {
-		p.cut()
+	_ = p.controller.SetWriteDeadline(time.Now().Add(p.writeTimeout))
+	if p.aborted.Load() {
+		p.abort()
 		return apierror.New(apierror.SlowReader, "the stream was cut off")
 	}
-	if _, err := p.w.Write(b); err != nil {
+	if _, err := p.response.Write(b); err != nil {
 		return apierror.Wrap(apierror.SlowReader, err, "write a line")
 	}
-	return apierror.Wrap(apierror.SlowReader, p.c.Flush(), "flush a line")
+	return apierror.Wrap(apierror.SlowReader, p.controller.Flush(), "flush a line")
 }
 
-func (p *paper) cut() {
-	p.gone.Store(true)
-	_ = p.c.SetWriteDeadline(time.Unix(1, 0))
+func (p *streamWriter) abort() {
+	p.aborted.Store(true)
+	_ = p.controller.SetWriteDeadline(time.Unix(1, 0))
 }
--- a/internal/httpapi/stream_writer_test.go
+++ b/internal/httpapi/stream_writer_test.go
@@ -30,24 +30,25 @@
 func (l *one) Close() error   { close(l.done); return nil }
 func (l *one) Addr() net.Addr { return &net.TCPAddr{} }
 
-// A line that its visitor does not take ends at once when the stream is cut, also where the cut comes right before it, and nothing follows it.
+// A line that its client does not read ends at once when the stream is aborted, also where that
+// comes right before it, and nothing follows it.
 func TestCutStreamsWriteNothingMore(t *testing.T) {
-	for name, script := range map[string]func(t *testing.T, p *paper, emitted chan error){
-		"under way": func(t *testing.T, p *paper, emitted chan error) {
+	for name, script := range map[string]func(t *testing.T, p *streamWriter, emitted chan error){
+		"under way": func(t *testing.T, p *streamWriter, emitted chan error) {
 			synctest.Wait()
 			assert.Equal(t, len(emitted), 0)
-			p.cut()
+			p.abort()
 		},
-		"about to begin": func(t *testing.T, p *paper, emitted chan error) {
-			p.cut()
+		"about to begin": func(t *testing.T, p *streamWriter, emitted chan error) {
+			p.abort()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				begun, emitted, over := make(chan *paper), make(chan error, 2), make(chan struct{})
+				begun, emitted, over := make(chan *streamWriter), make(chan error, 2), make(chan struct{})
 				l := &one{make(chan net.Conn, 1), make(chan struct{})}
 				h := func(w http.ResponseWriter, r *http.Request) {
-					p := &paper{w: w, c: http.NewResponseController(w), most: time.Hour}
+					p := &streamWriter{response: w, controller: http.NewResponseController(w), writeTimeout: time.Hour}
 					assert.Check(t, p.emit([]byte("first\n")))
 					begun <- p
 					begun <- p
