--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -105,7 +105,7 @@
 	for _, path := range mutations {
 		mutants.WriteString(read(t, strings.TrimPrefix(path, "../../")))
 	}
-	tests, names := regexp.MustCompile("`(Test[A-Za-z0-9]+)`"), regexp.MustCompile("mutants?:? ((?:`[a-z-]+`(?:, )?)+)")
+	tests, names := regexp.MustCompile("`(Test[A-Za-z0-9_]+)`"), regexp.MustCompile("mutants?:? ((?:`[a-z-]+`(?:, )?)+)")
 	for _, page := range []string{"docs/brief.md", "docs/never.md", "docs/incidents.md", "docs/design/hardening.md"} {
 		s := read(t, page)
 		found := tests.FindAllStringSubmatch(s, -1)
