--- a/internal/lineserver/lines_test.go
+++ b/internal/lineserver/lines_test.go
@@ -60,7 +60,7 @@
 	ended int
 }
 
-type guest struct {
+type fakeSession struct {
 	h   *hall
 	out session.Sink
 }
@@ -69,10 +69,10 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.outs = append(h.outs, out)
-	return &guest{h, out}
+	return &fakeSession{h, out}
 }
 
-func (g *guest) Do(t session.Request) {
+func (g *fakeSession) Do(t session.Request) {
 	g.h.mu.Lock()
 	g.h.heard = append(g.h.heard, t)
 	g.h.mu.Unlock()
@@ -81,7 +81,7 @@
 	}
 }
 
-func (g *guest) End() {
+func (g *fakeSession) End() {
 	g.h.mu.Lock()
 	defer g.h.mu.Unlock()
 	g.h.ended++
@@ -129,7 +129,7 @@
 	return strings.TrimSuffix(s, "\n")
 }
 
-func TestTasksKeepTheirOrderAndTurnsAreTold(t *testing.T) {
+func TestRequests_KeepTheirOrderAndRejectionsAreSent(t *testing.T) {
 	h := &hall{do: echo}
 	play(t, 0, h, func(t *testing.T, _ *lineserver.Server, l *pipes) {
 		c := l.dial()
@@ -179,7 +179,7 @@
 	})
 }
 
-func TestVisitorThatDoesNotReadIsCut(t *testing.T) {
+func TestClientThatDoesNotRead_IsDisconnected(t *testing.T) {
 	h := &hall{}
 	play(t, 0, h, func(t *testing.T, s *lineserver.Server, l *pipes) {
 		_ = l.dial()
@@ -216,7 +216,7 @@
 	})
 }
 
-func TestSilentVisitorIsDropped(t *testing.T) {
+func TestSilentClient_IsDisconnected(t *testing.T) {
 	h := &hall{}
 	play(t, 0, h, func(t *testing.T, s *lineserver.Server, l *pipes) {
 		_, talks := l.dial(), l.dial()
@@ -257,7 +257,7 @@
 	})
 }
 
-func TestShutdownWaitsForVisitorsToGo(t *testing.T) {
+func TestShutdown_WaitsForClientsToLeave(t *testing.T) {
 	h := &hall{}
 	play(t, 0, h, func(t *testing.T, s *lineserver.Server, l *pipes) {
 		a, _ := l.dial(), l.dial()
@@ -296,7 +296,7 @@
 	assert.NilError(t, <-done)
 }
 
-func TestNobodyTurnsAway(t *testing.T) {
+func TestUnavailable_RejectsAllButHeartbeats(t *testing.T) {
 	var got []session.Response
 	g := lineserver.Unavailable{}.NewSession(func(a session.Response) { got = append(got, a) })
 	g.Do(session.Request{Verb: session.Heartbeat})
--- a/internal/partitionlog/router/submitqueue_test.go
+++ b/internal/partitionlog/router/submitqueue_test.go
@@ -28,15 +28,15 @@
 // bench is a desk with stand-in owners behind a network that may lose calls and answers.
 type bench struct {
 	*Router
-	mu     sync.Mutex
-	path   func(ctx context.Context, to string, request *SubmitManyRequest) (*SubmitManyResponse, error)
-	got    []uint64
-	under  int
-	most   int
-	told   map[uint64]error
-	times  map[uint64]time.Time
-	again  []uint64
-	writes uint64
+	mu      sync.Mutex
+	path    func(ctx context.Context, to string, request *SubmitManyRequest) (*SubmitManyResponse, error)
+	got     []uint64
+	under   int
+	most    int
+	results map[uint64]error
+	times   map[uint64]time.Time
+	again   []uint64
+	writes  uint64
 }
 
 // Do carries a call to the stand-in.
@@ -81,7 +81,7 @@
 }
 
 func newBench(path func(b *bench, ctx context.Context, to string, request *SubmitManyRequest) (*SubmitManyResponse, error)) *bench {
-	b := &bench{told: map[uint64]error{}, times: map[uint64]time.Time{}}
+	b := &bench{results: map[uint64]error{}, times: map[uint64]time.Time{}}
 	b.path = func(ctx context.Context, to string, request *SubmitManyRequest) (*SubmitManyResponse, error) {
 		return path(b, ctx, to, request)
 	}
@@ -95,10 +95,10 @@
 	b.SubmitAsync(context.Background(), part, &leader.Message{Client: "v", Topic: "t", CallSeq: call, Body: []byte("1")}, time.Now().Add(until), func(d *leader.Decision, err error) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		if _, ok := b.told[call]; ok {
+		if _, ok := b.results[call]; ok {
 			b.again = append(b.again, call)
 		}
-		b.told[call], b.times[call] = err, time.Now()
+		b.results[call], b.times[call] = err, time.Now()
 		if err == nil && d.Offset != call {
 			b.again = append(b.again, call)
 		}
@@ -108,7 +108,7 @@
 func (b *bench) kind(call uint64) apierror.Code {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	err, ok := b.told[call]
+	err, ok := b.results[call]
 	switch {
 	case !ok:
 		return "not told"
@@ -179,7 +179,7 @@
 			}
 		}
 		wait(20 * time.Second)
-		assert.Equal(t, len(b.told), 600)
+		assert.Equal(t, len(b.results), 600)
 		assert.Equal(t, len(b.again), 0, "told twice, or of another's place: %v", b.again)
 		for c := range uint64(600) {
 			assert.Equal(t, b.kind(c+1), apierror.Code("taken"), "call %d", c+1)
@@ -244,7 +244,7 @@
 				begun := time.Now()
 				b.offer(1, 5*time.Second)
 				wait(6 * time.Second)
-				assert.Equal(t, b.kind(1), c.kind, "%v", b.told[1])
+				assert.Equal(t, b.kind(1), c.kind, "%v", b.results[1])
 				assert.Assert(t, b.times[1].Sub(begun) <= c.last, "told after %s", b.times[1].Sub(begun))
 			})
 		})
--- a/internal/samza/state/state.go
+++ b/internal/samza/state/state.go
@@ -83,8 +83,8 @@
 }
 
 // WrittenBy reports whether it is the tombstone of a client's call.
-func (m Tombstone) WrittenBy(visitor string, call uint64) bool {
-	return m.Client == visitor && m.CallSeq == call
+func (m Tombstone) WrittenBy(client string, call uint64) bool {
+	return m.Client == client && m.CallSeq == call
 }
 
 // Reader is a node that may have been given messages under keys, under which boot, and the offset
@@ -163,7 +163,7 @@
 }
 
 // Key names a client's calls on a topic, or with the topic first what stands under a key of it.
-func Key(visitor, topic string) string { return visitor + "\x1f" + topic }
+func Key(client, topic string) string { return client + "\x1f" + topic }
 
 // Find returns the answer kept for a call number.
 func (a Accepted) Find(callSeq uint64) (AcceptedCall, bool) {
--- a/internal/samza/state/state_test.go
+++ b/internal/samza/state/state_test.go
@@ -10,19 +10,19 @@
 )
 
 // entries are calls with gaps: every second number.
-func entries(visitors, calls int) []log.Entry {
+func entries(clients, calls int) []log.Entry {
 	var es []log.Entry
 	for c := range calls {
-		for v := range visitors {
+		for v := range clients {
 			es = append(es, log.Entry{Offset: uint64(len(es) + 1), Type: log.TypeMessage, Topic: "s/a", Client: fmt.Sprintf("v%d", v), CallSeq: 2 * uint64(c+1), Generation: 1, Digest: log.Digest([]byte{byte(c), byte(v)})})
 		}
 	}
 	return es
 }
 
-func filled(visitors, calls int) *State {
+func filled(clients, calls int) *State {
 	s := New()
-	for _, e := range entries(visitors, calls) {
+	for _, e := range entries(clients, calls) {
 		s.Apply(e)
 	}
 	return s
--- a/internal/samza/state/tombstones_test.go
+++ b/internal/samza/state/tombstones_test.go
@@ -8,12 +8,12 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-func message(o uint64, visitor string, call uint64, key string) log.Entry {
-	return log.Entry{Offset: o, Type: log.TypeMessage, Topic: "s/a", Client: visitor, CallSeq: call, Key: key, Digest: "d"}
+func message(o uint64, client string, call uint64, key string) log.Entry {
+	return log.Entry{Offset: o, Type: log.TypeMessage, Topic: "s/a", Client: client, CallSeq: call, Key: key, Digest: "d"}
 }
 
-func withdrawal(o uint64, visitor string, call uint64, key string, p SenderWithdrawal) log.Entry {
-	return log.Entry{Offset: o, Type: log.TypeWithdrawal, Topic: "s/a", Client: visitor, CallSeq: call, Key: key, Body: EncodePart(p), Digest: "w"}
+func withdrawal(o uint64, client string, call uint64, key string, p SenderWithdrawal) log.Entry {
+	return log.Entry{Offset: o, Type: log.TypeWithdrawal, Topic: "s/a", Client: client, CallSeq: call, Key: key, Body: EncodePart(p), Digest: "w"}
 }
 
 func reader(o uint64, node string, r ReaderEntry) log.Entry {
--- a/internal/testing/deliverycheck/checker.go
+++ b/internal/testing/deliverycheck/checker.go
@@ -145,17 +145,17 @@
 }
 
 // Open begins a stay that nothing is owed to before it was joined.
-func (b *Checker) Open(visitor, topic string, kept bool) *Session {
+func (b *Checker) Open(client, topic string, kept bool) *Session {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := &Session{checker: b, client: visitor, topic: topic, kept: kept, have: map[Message]int{}}
+	s := &Session{checker: b, client: client, topic: topic, kept: kept, have: map[Message]int{}}
 	b.sessions = append(b.sessions, s)
 	return s
 }
 
 // OpenLate begins a stay at a cursor that another was given with a message at a time.
-func (b *Checker) OpenLate(visitor string, m Message, given time.Time) *Session {
-	s := b.Open(visitor, m.Topic, true)
+func (b *Checker) OpenLate(client string, m Message, given time.Time) *Session {
+	s := b.Open(client, m.Topic, true)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s.late, s.since, s.place = true, given, given
@@ -240,8 +240,8 @@
 }
 
 // Stray notes a message on a topic that the connection has left or never asked for.
-func (b *Checker) Stray(visitor string, m Message, now time.Time) {
-	b.Violation(Mixed, "%s got %v at %s, a topic that its connection does not follow", visitor, m, now.Format("04:05.000"))
+func (b *Checker) Stray(client string, m Message, now time.Time) {
+	b.Violation(Mixed, "%s got %v at %s, a topic that its connection does not follow", client, m, now.Format("04:05.000"))
 }
 
 func (s *Session) owed(m Message, x *sent) bool {
@@ -283,14 +283,14 @@
 
 // Count notes a count of listeners that was asked for and told. A calm fleet counts all that were
 // there all through the window.
-func (b *Checker) Count(topic string, n int, asked, told time.Time, calm bool) {
+func (b *Checker) Count(topic string, n int, asked, answered time.Time, calm bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tally.Counts++
 	least, most := 0, 0
 	from := asked.Add(-b.Window)
 	for _, p := range b.presences[topic] {
-		if (p.to.IsZero() || p.to.After(from)) && p.asked.Before(told) {
+		if (p.to.IsZero() || p.to.After(from)) && p.asked.Before(answered) {
 			most++
 		}
 		if p.to.IsZero() && !p.since.IsZero() && p.since.Before(from) {
@@ -298,10 +298,10 @@
 		}
 	}
 	if n > most+slack {
-		b.addViolation(Count, "%d were counted on %s at %s, %d were there at some moment, and %d more are let pass", n, topic, told.Format("04:05.000"), most, slack)
+		b.addViolation(Count, "%d were counted on %s at %s, %d were there at some moment, and %d more are let pass", n, topic, answered.Format("04:05.000"), most, slack)
 	}
 	if calm && n < least {
-		b.addViolation(Count, "%d were counted on %s at %s, %d were there all the time", n, topic, told.Format("04:05.000"), least)
+		b.addViolation(Count, "%d were counted on %s at %s, %d were there all the time", n, topic, answered.Format("04:05.000"), least)
 	}
 }
 
--- a/internal/testing/deliverycheck/withdrawn.go
+++ b/internal/testing/deliverycheck/withdrawn.go
@@ -78,11 +78,11 @@
 }
 
 // Shown notes that a follower is told that what stood under a key no longer does.
-func (b *Checker) Shown(visitor, topic, key string, now time.Time) {
+func (b *Checker) Shown(client, topic, key string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !slices.ContainsFunc(b.drawn[topic], func(w *Withdrawal) bool { return w.Key == key && !w.asked.After(now) }) {
-		b.addViolation(Mixed, "%s was told at %s that %s of %s was withdrawn, which nobody asked", visitor, now.Format("04:05.000"), key, topic)
+		b.addViolation(Mixed, "%s was told at %s that %s of %s was withdrawn, which nobody asked", client, now.Format("04:05.000"), key, topic)
 	}
 }
 
@@ -186,7 +186,7 @@
 
 // Spread gives how long messages that were first sent in a time took to visitors who followed their
 // topic then on the connection on which they came. Of a visitor named in but, nothing counts.
-func (b *Checker) Spread(from, to time.Time, but func(visitor string) bool) (ds []time.Duration) {
+func (b *Checker) Spread(from, to time.Time, but func(client string) bool) (ds []time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, s := range b.sessions {
--- a/internal/testing/fleet/sessions.go
+++ b/internal/testing/fleet/sessions.go
@@ -35,15 +35,15 @@
 
 // lineRequest is a task and told an answer as they stand on a line.
 type lineRequest struct {
-	Verb    session.Verb `json:"verb"`
-	Visitor string       `json:"visitor,omitempty"`
-	Topic   string       `json:"topic,omitempty"`
-	Cursor  string       `json:"cursor,omitempty"`
-	Call    uint64       `json:"call_seq,omitempty"`
-	Body    *string      `json:"body,omitempty"`
-	Key     string       `json:"key,omitempty"`
-	Of      string       `json:"of,omitempty"`
-	Upto    uint64       `json:"upto,omitempty"`
+	Verb   session.Verb `json:"verb"`
+	Client string       `json:"visitor,omitempty"`
+	Topic  string       `json:"topic,omitempty"`
+	Cursor string       `json:"cursor,omitempty"`
+	Call   uint64       `json:"call_seq,omitempty"`
+	Body   *string      `json:"body,omitempty"`
+	Key    string       `json:"key,omitempty"`
+	Of     string       `json:"of,omitempty"`
+	Upto   uint64       `json:"upto,omitempty"`
 }
 
 type lineResponse struct {
@@ -81,7 +81,7 @@
 
 // Do sends a task.
 func (l *lineConn) Do(t session.Request) {
-	q := lineRequest{Verb: t.Verb, Visitor: t.Client, Topic: t.Topic, Cursor: t.Cursor, Call: t.CallSeq, Key: t.Key, Of: t.WithdrawSender, Upto: t.WithdrawUpTo}
+	q := lineRequest{Verb: t.Verb, Client: t.Client, Topic: t.Topic, Cursor: t.Cursor, Call: t.CallSeq, Key: t.Key, Of: t.WithdrawSender, Upto: t.WithdrawUpTo}
 	if t.Verb == session.Send {
 		s := string(t.Body)
 		q.Body = &s
--- a/internal/testing/history/history.go
+++ b/internal/testing/history/history.go
@@ -166,13 +166,13 @@
 
 // Subscribe notes that a visitor follows topics from now on, those not followed before; live ones
 // need not be complete.
-func (h *History) Subscribe(visitor string, topics []string, live map[string]bool, now time.Time) {
+func (h *History) Subscribe(client string, topics []string, live map[string]bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s, ok := h.subs[visitor]
+	s, ok := h.subs[client]
 	if !ok {
 		s = &sub{since: map[string]time.Time{}, live: live}
-		h.subs[visitor] = s
+		h.subs[client] = s
 	}
 	for _, t := range topics {
 		if _, ok := s.since[t]; !ok {
@@ -182,17 +182,17 @@
 }
 
 // Excuse notes that a visitor was away for longer than the keeping time.
-func (h *History) Excuse(visitor string) {
+func (h *History) Excuse(client string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.subs[visitor].excuse = true
+	h.subs[client].excuse = true
 }
 
 // Receive notes a line.
-func (h *History) Receive(visitor string, r Receipt) {
+func (h *History) Receive(client string, r Receipt) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.subs[visitor].got = append(h.subs[visitor].got, r)
+	h.subs[client].got = append(h.subs[client].got, r)
 	if s := h.sent[r.Message]; s != nil {
 		h.spread = append(h.spread, r.At.Sub(s.at))
 	}
--- a/internal/testing/history/trace.go
+++ b/internal/testing/history/trace.go
@@ -89,16 +89,16 @@
 // Promise notes that a disk, under its random name, answered yes to something under a rank; what
 // names the register or partition. A yes to a lower rank, asked after a yes to a higher one was
 // told, shows a disk that forgot and was trusted all the same.
-func (h *History) Promise(disk, what string, r Rank, begun, told time.Time) {
+func (h *History) Promise(disk, what string, r Rank, begun, answered time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	k := disk + " " + what
 	h.promises++
 	if v, ok := h.promised[k]; ok && r.less(v.rank) && begun.After(v.at) {
-		h.violate(Disk, "disk %s said yes to %s under %v at %s, after yes under %v at %s", disk, what, r, told.Format("04:05.000000"), v.rank, v.at.Format("04:05.000000"))
+		h.violate(Disk, "disk %s said yes to %s under %v at %s, after yes under %v at %s", disk, what, r, answered.Format("04:05.000000"), v.rank, v.at.Format("04:05.000000"))
 	}
 	if v, ok := h.promised[k]; !ok || v.rank.less(r) {
-		h.promised[k] = promise{r, told, ok}
+		h.promised[k] = promise{r, answered, ok}
 	}
 }
 
--- a/internal/testing/sim/founding_test.go
+++ b/internal/testing/sim/founding_test.go
@@ -18,9 +18,9 @@
 	return s
 }
 
-// fullRoster tells whether every control node that runs has a seat with its present disk, and is
+// allNodesAreVoters tells whether every control node that runs has a seat with its present disk, and is
 // under the newest voter set.
-func (w *World) fullRoster() bool {
+func (w *World) allNodesAreVoters() bool {
 	var top uint64
 	for _, n := range w.Names {
 		if x := w.Machines[n].Node(); x != nil {
@@ -54,7 +54,7 @@
 					defer w.Close()
 					assert.NilError(t, w.Start(w.Names...))
 					at := time.Now()
-					assert.NilError(t, w.WaitUntil(3*time.Second, "all voters are seated", w.fullRoster))
+					assert.NilError(t, w.WaitUntil(3*time.Second, "all voters are seated", w.allNodesAreVoters))
 					t.Logf("all voters are voting after %s under voter set %d", time.Since(at), w.Machines["c1"].Node().VoterSet().Sequence)
 					assert.NilError(t, w.WaitReady(3*time.Second))
 					fleets := map[string]bool{}
@@ -79,7 +79,7 @@
 		time.Sleep(10 * time.Second)
 		assert.Equal(t, w.Machines["c1"].Node().VoterSet().Sequence, uint64(0))
 		assert.NilError(t, w.Start(w.Names...))
-		assert.NilError(t, w.WaitUntil(3*time.Second, "all voters are seated", w.fullRoster))
+		assert.NilError(t, w.WaitUntil(3*time.Second, "all voters are seated", w.allNodesAreVoters))
 	})
 }
 
@@ -91,7 +91,7 @@
 		w := New(seedSite(4, 1), 6, Logger())
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
-		assert.NilError(t, w.WaitUntil(3*time.Second, "all voters are seated", w.fullRoster))
+		assert.NilError(t, w.WaitUntil(3*time.Second, "all voters are seated", w.allNodesAreVoters))
 		described(t, w)
 		fleet := w.Machines["c2"].Node().VoterSet().Fleet
 		w.Wipe("c1")
@@ -99,7 +99,7 @@
 		w.Machines["c1"].Opts.BootstrapBy = settings.BootstrapNever
 		assert.NilError(t, w.Start("c1"))
 		at := time.Now()
-		assert.NilError(t, w.WaitUntil(2*time.Second, "all voters are seated again", w.fullRoster))
+		assert.NilError(t, w.WaitUntil(2*time.Second, "all voters are seated again", w.allNodesAreVoters))
 		t.Logf("seated again after %s", time.Since(at))
 		assert.Equal(t, w.Machines["c1"].Node().VoterSet().Fleet, fleet)
 	})
@@ -130,7 +130,7 @@
 		w := New(seedSite(4, 1), 8, Logger())
 		defer w.Close()
 		assert.NilError(t, w.Start("c1", "c2", "c3", "c4", "s1", "s2", "s3", "a1", "a2"))
-		assert.NilError(t, w.WaitUntil(3*time.Second, "all voters are seated", w.fullRoster))
+		assert.NilError(t, w.WaitUntil(3*time.Second, "all voters are seated", w.allNodesAreVoters))
 		w.Isolate("c1")
 		w.Isolate("a1")
 		w.Machines["a3"].Opts.Seeds = []string{w.Machines["c1"].Opts.PeerListen, w.Machines["a1"].Opts.PeerListen, w.Machines["a2"].Opts.PeerListen}
--- a/internal/testing/sim/gap_test.go
+++ b/internal/testing/sim/gap_test.go
@@ -98,7 +98,7 @@
 	return w
 }
 
-func holder(w *World) string {
+func controllerNode(w *World) string {
 	for _, n := range w.Names {
 		if x := w.Machines[n].Node(); x != nil && x.IsPlacementController() {
 			return n
@@ -127,14 +127,14 @@
 	{"store killed, back after 300 ms", time.Second, back(300 * time.Millisecond)},
 	{"store killed, back after 800 ms", time.Second, back(800 * time.Millisecond)},
 	{"store asked to stop", 200 * time.Millisecond, func(w *World) { w.Terminate(busiest(w)) }},
-	{"duty holder killed", 200 * time.Millisecond, func(w *World) { w.Kill(holder(w)) }},
+	{"duty holder killed", 200 * time.Millisecond, func(w *World) { w.Kill(controllerNode(w)) }},
 	{"duty holder and store killed", time.Second, func(w *World) {
-		h := holder(w)
+		h := controllerNode(w)
 		w.Kill(busiest(w))
 		w.Kill(h)
 	}},
 	{"duty holder and store without power", 2 * time.Second, func(w *World) {
-		h := holder(w)
+		h := controllerNode(w)
 		w.LosePower(busiest(w), false)
 		w.LosePower(h, false)
 	}},
--- a/internal/testing/sim/offer_test.go
+++ b/internal/testing/sim/offer_test.go
@@ -53,11 +53,11 @@
 	v.wg.Add(1)
 	n.Clients.Router.SubmitAsync(v.w.ctx, p, &leader.Message{Client: v.name, Topic: m.Topic, CallSeq: m.Call, Body: []byte(m.body)}, time.Now().Add(time.Second), func(d *leader.Decision, err error) {
 		defer v.wg.Done()
-		v.told(m, d, err)
+		v.complete(m, d, err)
 	})
 }
 
-func (v *offerer) told(m offered, d *leader.Decision, err error) {
+func (v *offerer) complete(m offered, d *leader.Decision, err error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	k := string(apierror.From(err).Code)
--- a/internal/testing/sim/points_test.go
+++ b/internal/testing/sim/points_test.go
@@ -21,7 +21,7 @@
 	"postjunction/internal/wire"
 )
 
-func (w *World) holderOf(key string) string {
+func (w *World) leaderOf(key string) string {
 	for _, n := range w.Names {
 		if x := w.Machines[n].Node(); x != nil && x.LeadsKey(key) {
 			return n
@@ -78,7 +78,7 @@
 	return func(who string, x Point) bool { return x.To == who && f(x) }
 }
 
-var isDuty = []byte(controller.Key)
+var placementKey = []byte(controller.Key)
 
 func appending(x Point) (replica.AppendRequest, bool) {
 	var q replica.AppendRequest
@@ -114,7 +114,7 @@
 	"promised, not accepted":      {control: true, at: owning(on(acceptor.Accept.Path, Asking))},
 	"accepted, answers under way": {control: true, at: owning(on(acceptor.Accept.Path, Answering))},
 	"voter synced, not answered": {control: true, at: serving(func(x Point) bool {
-		return x.Stage == Answering && (x.Path == acceptor.Accept.Path || x.Path == acceptor.Promise.Path) && !bytes.Contains(x.Body, isDuty)
+		return x.Stage == Answering && (x.Path == acceptor.Accept.Path || x.Path == acceptor.Promise.Path) && !bytes.Contains(x.Body, placementKey)
 	})},
 }
 
@@ -177,8 +177,8 @@
 func TestDiskWipedJustAfterEachKindOfPromise(t *testing.T) {
 	kinds := map[string]string{"sealed": replica.Seal.Path, "appended": replica.Append.Path, "promised": acceptor.Promise.Path, "accepted": acceptor.Accept.Path}
 	for name, path := range kinds {
-		for _, told := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%s, told %v", name, told), func(t *testing.T) {
+		for _, delivered := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%s, told %v", name, delivered), func(t *testing.T) {
 				t.Parallel()
 				long(t)
 				for seed := range uint64(seeds(2)) {
@@ -191,7 +191,7 @@
 							}
 							select {
 							case found <- x.To:
-								return !told
+								return !delivered
 							default:
 								return false
 							}
@@ -201,7 +201,7 @@
 							w.Terminate("s1")
 							w.History.Disturb("stop", time.Now())
 						case "promised":
-							w.Terminate(w.holderOf(controller.Key))
+							w.Terminate(w.leaderOf(controller.Key))
 						case "accepted":
 							go func() { _, _ = w.Put("a1", load.Describe(1)) }()
 						}
--- a/internal/testing/sim/repair_test.go
+++ b/internal/testing/sim/repair_test.go
@@ -57,7 +57,7 @@
 					at := time.Now()
 					assert.NilError(t, w.WaitUntil(10*time.Second, "all copies are whole", w.copied))
 					copies := time.Since(at)
-					assert.NilError(t, w.WaitUntil(10*time.Second, "all seats are taken", w.fullRoster))
+					assert.NilError(t, w.WaitUntil(10*time.Second, "all seats are taken", w.allNodesAreVoters))
 					t.Logf("%s: copies whole %s after its return, seats after %s", n, copies, time.Since(at))
 					assert.Check(t, time.Since(at) < 2500*time.Millisecond, n)
 					time.Sleep(4 * time.Second)
--- a/internal/testing/sim/restart_test.go
+++ b/internal/testing/sim/restart_test.go
@@ -83,16 +83,16 @@
 			w.Lose(0.08)
 			assert.NilError(t, w.Start(w.Names...))
 			time.Sleep(8 * time.Second)
-			holders := map[string]bool{}
+			leaders := map[string]bool{}
 			for range 150 {
 				for _, n := range w.Names {
 					if w.Machines[n].Node().IsPlacementController() {
-						holders[n] = true
+						leaders[n] = true
 					}
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
-			assert.Assert(t, len(holders) == 1, "seed %d: %d nodes held the duty in 15 s", seed, len(holders))
+			assert.Assert(t, len(leaders) == 1, "seed %d: %d nodes held the duty in 15 s", seed, len(leaders))
 		})
 	}
 }
--- a/internal/testing/sim/stretch_test.go
+++ b/internal/testing/sim/stretch_test.go
@@ -30,7 +30,7 @@
 	})
 }
 
-func licensed(w *World, n string) bool { return w.Machines[n].Node().Ready() == nil }
+func leased(w *World, n string) bool { return w.Machines[n].Node().Ready() == nil }
 
 func (w *World) coreGone() {
 	for _, n := range w.Names {
@@ -51,13 +51,13 @@
 		d := k.worst()
 		assert.Assert(t, d < 500*time.Millisecond, "owners paused for %s", d)
 		for _, n := range []string{"a1", "s1", "s2", "s3"} {
-			assert.Assert(t, licensed(w, n), n)
+			assert.Assert(t, leased(w, n), n)
 		}
 		w.Kill("a1")
 		assert.NilError(t, w.Start("a1"))
 		time.Sleep(time.Second)
-		assert.Assert(t, !licensed(w, "a1"), "a node that starts without a core must not serve")
+		assert.Assert(t, !leased(w, "a1"), "a node that starts without a core must not serve")
 		time.Sleep(w.Site.Timing.Spread)
-		assert.Assert(t, !licensed(w, "s1"), "the stretch ends")
+		assert.Assert(t, !leased(w, "s1"), "the stretch ends")
 	})
 }
--- a/internal/testing/sim/urgent_test.go
+++ b/internal/testing/sim/urgent_test.go
@@ -24,7 +24,7 @@
 		Incarnation string
 		Topic       string `json:"t"`
 		Urgent      bool   `json:"u"`
-		Visitor     string `json:"v"`
+		Client      string `json:"v"`
 	}
 	if wire.Unmarshal(x.Body, &q) != nil {
 		return false
@@ -46,7 +46,7 @@
 	for seed := range uint64(seeds(3)) {
 		stand(t, siteOf(seed), 120+seed, func(t *testing.T, w *World) {
 			described(t, w)
-			lead, desk, late, early := attach(t, w, "a1", "lead"), attach(t, w, "c2", "desk"), attach(t, w, "c1", "late"), attach(t, w, "c2", "early")
+			lead, router, late, early := attach(t, w, "a1", "lead"), attach(t, w, "c2", "desk"), attach(t, w, "c1", "late"), attach(t, w, "c2", "early")
 			n := uint64(0)
 			var mu sync.Mutex
 			got := map[string]map[uint64]time.Time{}
@@ -81,12 +81,12 @@
 			}
 			_, cursor, _ := follow(w, "c1", late.Token, "", []string{"stop/line", "kept/t0"}, time.Second)
 			for c := range uint64(5) {
-				_, err := w.Port("a1").Send(w.ctx, desk.Token, "kept/t0", c+1, []byte(`"missed"`))
+				_, err := w.Port("a1").Send(w.ctx, router.Token, "kept/t0", c+1, []byte(`"missed"`))
 				assert.NilError(t, err)
 			}
 			back := attach(t, w, "c3", "back")
 			listen("beside", "c3", back.Token, "", "stop/line", "kept/t0")
-			listen("old, shared", "a1", desk.Token, "", "stop/line", "kept/t0", "kept/t1", "kept/t2")
+			listen("old, shared", "a1", router.Token, "", "stop/line", "kept/t0", "kept/t1", "kept/t2")
 			time.Sleep(time.Second)
 			calm := send(20)
 			release, hits := w.PauseCalls(w.routineWork)
@@ -95,7 +95,7 @@
 				w.wg.Go(func() {
 					ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Spread)
 					defer stop()
-					_, _ = w.Port("a1").Send(ctx, desk.Token, fmt.Sprintf("kept/t%d", i%load.Topics), 1, []byte(`1`))
+					_, _ = w.Port("a1").Send(ctx, router.Token, fmt.Sprintf("kept/t%d", i%load.Topics), 1, []byte(`1`))
 				})
 			}
 			listen("behind, shared", "c3", late.Token, cursor, "stop/line", "kept/t0")
--- a/internal/testing/sim/whole_test.go
+++ b/internal/testing/sim/whole_test.go
@@ -101,7 +101,7 @@
 		assert.NilError(t, w.Start(n))
 		at := time.Now()
 		assert.NilError(t, w.WaitUntil(20*time.Second, "all copies are whole", w.copied))
-		assert.NilError(t, w.WaitUntil(20*time.Second, "all seats are taken", w.fullRoster))
+		assert.NilError(t, w.WaitUntil(20*time.Second, "all seats are taken", w.allNodesAreVoters))
 		took = time.Since(at)
 		w.Quiet(time.Second)
 	})
--- a/internal/testing/transport/http.go
+++ b/internal/testing/transport/http.go
@@ -100,10 +100,10 @@
 func (p *HTTP) Shows(ctx context.Context) (uint64, bool, error) {
 	var a struct {
 		Description uint64 `json:"description"`
-		Licensed    bool   `json:"licensed"`
+		Leased      bool   `json:"licensed"`
 	}
 	err := p.call(ctx, http.MethodGet, "/v1/status", "", nil, &a)
-	return a.Description, a.Licensed, err
+	return a.Description, a.Leased, err
 }
 
 const maxLineBytes = 4 << 20
--- a/internal/wire/mux/lane_test.go
+++ b/internal/wire/mux/lane_test.go
@@ -225,7 +225,7 @@
 	assert.Assert(t, time.Since(begun) < 900*time.Millisecond, "reached after %s", time.Since(begun))
 }
 
-func TestCallsFailAtOnceWhenTheFellowGoes(t *testing.T) {
+func TestCalls_FailAtOnceWhenThePeerGoes(t *testing.T) {
 	in := make(chan bool)
 	var done atomic.Int64
 	f := stand(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -248,7 +248,7 @@
 	}
 }
 
-func TestRestartedFellowIsReachedByTheFirstCall(t *testing.T) {
+func TestCalls_ReachARestartedPeerAtOnce(t *testing.T) {
 	f := stand(t, echo)
 	for k := range 200 {
 		_, err := f.ask("/x", nil)
@@ -333,7 +333,7 @@
 	}
 }
 
-func TestSilentFellowIsGivenUp(t *testing.T) {
+func TestSilentPeer_IsGivenUp(t *testing.T) {
 	n, addr := New(patient), mute(t)
 	defer n.Close()
 	res := make(chan error)
@@ -355,7 +355,7 @@
 	}
 }
 
-func TestSlowAnswerOfALivingFellowIsWaitedFor(t *testing.T) {
+func TestSlowResponse_OfALivingPeerIsAwaited(t *testing.T) {
 	in, out := make(chan bool), make(chan bool)
 	f := stand(t, func(w http.ResponseWriter, r *http.Request) {
 		in <- true
@@ -385,7 +385,7 @@
 	assert.NilError(t, <-res)
 }
 
-func TestFellowThatDoesNotReadIsBounded(t *testing.T) {
+func TestPeerThatDoesNotRead_IsBounded(t *testing.T) {
 	n, addr := New(patient), mute(t)
 	defer n.Close()
 	ctx, stop := context.WithCancel(context.Background())
