--- a/internal/node/disk.go
+++ b/internal/node/disk.go
@@ -116,10 +116,11 @@
 	return n.identity.Join(ctx, n.journal, fleet)
 }
 
-// probeDisk returns why the disk takes no writes, nil if it does.
+// probeDisk returns why the disk takes no writes, nil if it does. Only a disk that failed is
+// probed: a healthy one gets no writes from here.
 func (n *Node) probeDisk(ctx context.Context, timeout time.Duration) error {
-	if err := n.journal.Failure(); err != nil {
-		return err
+	if n.journal.Failure() == nil {
+		return nil
 	}
 	return n.journal.Probe(ctx, timeout)
 }
