--- a/test.sh
+++ b/test.sh
@@ -1,12 +1,19 @@
 #!/bin/bash
+# Formats, vets, lints and tests the tree. Needs Go and its modules, nothing else.
 set -euo pipefail
 cd "$(dirname "$0")"
-bad=$(gofmt -l $(git ls-files '*.go' 2>/dev/null || find . -name '*.go'))
+files=$(git ls-files '*.go' 2>/dev/null || find . -name '*.go')
+bad=$(gofmt -l $files)
 if [ -n "$bad" ]; then echo "gofmt: $bad"; exit 1; fi
 go vet ./...
 # The linters are pinned in a module of their own; the product's go.mod keeps only what it runs on.
-go tool -modfile=tools/lint/go.mod staticcheck ./...
-go tool -modfile=tools/lint/go.mod revive -config tools/lint/revive.toml -exclude internal/configuration/types_easyjson.go ./...
+lint() { go tool -modfile=tools/lint/go.mod "$@"; }
+bad=$(lint goimports -local postjunction -l $(grep -v easyjson <<<"$files"))
+if [ -n "$bad" ]; then echo "goimports: $bad"; exit 1; fi
+# All checks of staticcheck; package comments and receiver names are revive's.
+lint staticcheck -checks all,-ST1000,-ST1016 ./...
+lint errcheck ./...
+lint revive -config tools/lint/revive.toml -exclude internal/configuration/types_easyjson.go ./...
 # Tests of KNOWN-RED.txt, if it is there (a line each: test, package, cause, issue), run by themselves; their verdict is printed and passed over.
 skip=()
 if [ -s KNOWN-RED.txt ]; then skip=(-skip "^($(cut -d' ' -f1 KNOWN-RED.txt | paste -sd'|'))\$"); fi
