--- a/tools/days/site.go
+++ b/tools/days/site.go
@@ -70,15 +70,14 @@
 	if d.closing != nil {
 		fields["closing"] = *d.closing
 	}
-	f, err := os.Create(path)
+	file, err := os.Create(path)
 	if err != nil {
 		return fmt.Errorf("write a day: %w", err)
 	}
-	defer f.Close()
-	if err := toml.NewEncoder(f).Encode(fields); err != nil {
+	if err := errors.Join(toml.NewEncoder(file).Encode(fields), file.Close()); err != nil {
 		return fmt.Errorf("write a day: %w", err)
 	}
-	return f.Close()
+	return nil
 }
 
 func splitKinds(list string) []string {
