--- a/internal/lineserver/bench_test.go
+++ b/internal/lineserver/bench_test.go
@@ -18,7 +18,8 @@
 
 func BenchmarkAnswersWithoutKeys(b *testing.B) {
 	c := &conn{v: &Server{s: Options{Codec: short{}}}, n: deaf{}}
-	a := session.Response{Type: session.Message, Topic: "a", Cursor: "c", From: "v", CallSeq: 7, Body: bytes.Repeat([]byte("1"), 100)}
+	a := session.Response{Type: session.Message, Topic: "a", Cursor: "c", From: "v", CallSeq: 7,
+		Body: bytes.Repeat([]byte("1"), 100)}
 	b.ReportAllocs()
 	for b.Loop() {
 		c.writing = true
--- a/internal/lineserver/hold_test.go
+++ b/internal/lineserver/hold_test.go
@@ -54,7 +54,8 @@
 }
 
 func at(p int, topic, key string, offset uint64) session.Response {
-	return session.Response{Type: session.Message, Topic: topic, Key: key, Partition: p, Offset: offset, CallSeq: offset, Body: []byte(fmt.Sprint(offset))}
+	return session.Response{Type: session.Message, Topic: topic, Key: key, Partition: p, Offset: offset,
+		CallSeq: offset, Body: []byte(fmt.Sprint(offset))}
 }
 
 func withdraw(x session.Buffer, p int, topic, key string, before uint64) {
@@ -86,7 +87,8 @@
 				out(session.Response{Type: session.Alive})
 				synctest.Wait()
 				for _, a := range []session.Response{
-					at(0, "a", "k", 1), at(0, "a", "", 2), at(0, "a", "j", 3), at(0, "b", "k", 4), at(1, "a", "k", 5), at(0, "a", "k", 6), {Type: session.Accepted, Key: "k", Topic: "a", CallSeq: 7}, at(0, "a", "j", 8),
+					at(0, "a", "k", 1), at(0, "a", "", 2), at(0, "a", "j", 3), at(0, "b", "k", 4), at(1, "a", "k", 5),
+					at(0, "a", "k", 6), {Type: session.Accepted, Key: "k", Topic: "a", CallSeq: 7}, at(0, "a", "j", 8),
 				} {
 					out(a)
 				}
--- a/internal/lineserver/jsoncodec/codec_test.go
+++ b/internal/lineserver/jsoncodec/codec_test.go
@@ -141,13 +141,16 @@
 		`{"verb":"send","topic":"a","body":1}`:                   "malformed: $.call_seq: is missing",
 		`{"verb":"send","topic":"a","call_seq":1,"body":123456}`: "oversize: the body has 6 bytes, the limit is 5",
 
-		`{"verb":"send","topic":"a","call_seq":1,"body":1,"key":""}`:               "malformed: $.key: is empty",
-		`{"verb":"send","topic":"a","call_seq":1,"body":1,"key":"k","key":"k"}`:    "malformed: $.key: stands twice",
-		`{"verb":"send","topic":"a","call_seq":1,"body":1,"of":"v"}`:               "malformed: $.of: is not a field of this document",
-		`{"verb":"join","topic":"a","key":"k"}`:                                    "malformed: $.key: is not a field of this document",
-		`{"verb":"withdraw","topic":"a","call_seq":1}`:                             "malformed: $.key: is missing",
-		`{"verb":"withdraw","topic":"a","key":"k"}`:                                "malformed: $.call_seq: is missing",
-		`{"verb":"withdraw","topic":"a","key":"k","call_seq":1,"body":1}`:          "malformed: $.body: is not a field of this document",
+		`{"verb":"send","topic":"a","call_seq":1,"body":1,"key":""}`:            "malformed: $.key: is empty",
+		`{"verb":"send","topic":"a","call_seq":1,"body":1,"key":"k","key":"k"}`: "malformed: $.key: stands twice",
+		`{"verb":"send","topic":"a","call_seq":1,"body":1,"of":"v"}`: "malformed: $.of: " +
+			"is not a field of this document",
+		`{"verb":"join","topic":"a","key":"k"}`: "malformed: $.key: " +
+			"is not a field of this document",
+		`{"verb":"withdraw","topic":"a","call_seq":1}`: "malformed: $.key: is missing",
+		`{"verb":"withdraw","topic":"a","key":"k"}`:    "malformed: $.call_seq: is missing",
+		`{"verb":"withdraw","topic":"a","key":"k","call_seq":1,"body":1}`: "malformed: $.body: " +
+			"is not a field of this document",
 		`{"verb":"withdraw","topic":"a","key":"k","call_seq":1,"upto":1,"upto":2}`: "malformed: $.upto: stands twice",
 	}
 	for line, want := range cases {
--- a/internal/lineserver/lines.go
+++ b/internal/lineserver/lines.go
@@ -21,7 +21,8 @@
 	End()
 }
 
-// Buffered is a guest who minds where its answers wait, so that they can be taken back. The function that it gives is called once none waits there any more.
+// Buffered is a guest who minds where its answers wait, so that they can be taken back. The
+// function that it gives is called once none waits there any more.
 type Buffered interface {
 	AttachBuffer(x session.Buffer) func()
 }
@@ -31,8 +32,9 @@
 	NewSession(out session.Sink) Session
 }
 
-// Codec is the words of a kind of line. Read gives the next task; body is the largest body in bytes. A line that can't be taken is a
-// *Fault together with what is known of the task; any other error ends the connection. Append writes an answer.
+// Codec is the words of a kind of line. Read gives the next task; body is the largest body in
+// bytes. A line that can't be taken is a *Fault together with what is known of the task; any other
+// error ends the connection. Append writes an answer.
 type Codec interface {
 	ReadRequest(r *bufio.Reader, body int) (session.Request, error)
 	AppendResponse(b []byte, a session.Response) []byte
--- a/internal/lineserver/lines_test.go
+++ b/internal/lineserver/lines_test.go
@@ -97,7 +97,8 @@
 	playWith(t, most, h, h, f)
 }
 
-func playWith(t *testing.T, most int, h *hall, x lineserver.Sessions, f func(t *testing.T, s *lineserver.Server, l *pipes)) {
+func playWith(t *testing.T, most int, h *hall, x lineserver.Sessions,
+	f func(t *testing.T, s *lineserver.Server, l *pipes)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := lineserver.New(lineserver.Options{
 			Sessions: x, Codec: jsoncodec.Codec{}, Clock: clock.Real{}, Keepalive: keepalive, Retry: 200 * time.Millisecond,
@@ -138,10 +139,18 @@
 			`{"verb":"send","topic":"a","call_seq":7,"body":"`+strings.Repeat("x", 64)+`"}`+"\n"+
 			strings.Repeat("y", 5000)+"\n"+`{"verb":"leave","topic":"b"}`+"\n")
 		assert.Equal(t, hear(t, r), `{"what":"left","topic":"a"}`)
-		assert.Equal(t, hear(t, r), `{"what":"turned","code":"malformed","say":"there is no verb \"dance\"","advice":"Send one well-formed JSON document with the fields of this call."}`)
-		assert.Equal(t, hear(t, r), `{"what":"turned","re":"leave","code":"malformed","say":"$.topic: is missing","advice":"Send one well-formed JSON document with the fields of this call."}`)
-		assert.Equal(t, hear(t, r), `{"what":"turned","re":"send","topic":"a","call_seq":7,"code":"oversize","say":"the body has 66 bytes, the limit is 64","advice":"Send a smaller body; the limit is named in the sentence."}`)
-		assert.Equal(t, hear(t, r), `{"what":"turned","code":"oversize","say":"the line is longer than 2112 bytes","advice":"Send a smaller body; the limit is named in the sentence."}`)
+		assert.Equal(t, hear(t, r),
+			`{"what":"turned","code":"malformed","say":"there is no verb \"dance\"","advice":"Send one `+
+				`well-formed JSON document with the fields of this call."}`)
+		assert.Equal(t, hear(t, r),
+			`{"what":"turned","re":"leave","code":"malformed","say":"$.topic: is missing","advice":"Send one `+
+				`well-formed JSON document with the fields of this call."}`)
+		assert.Equal(t, hear(t, r),
+			`{"what":"turned","re":"send","topic":"a","call_seq":7,"code":"oversize","say":"the body has 66 `+
+				`bytes, the limit is 64","advice":"Send a smaller body; the limit is named in the sentence."}`)
+		assert.Equal(t, hear(t, r),
+			`{"what":"turned","code":"oversize","say":"the line is longer than 2112 bytes","advice":"Send a `+
+				`smaller body; the limit is named in the sentence."}`)
 		assert.Equal(t, hear(t, r), `{"what":"left","topic":"b"}`)
 	})
 }
@@ -280,7 +289,8 @@
 // Whoever ends its side still gets what was answered.
 func TestLastAnswersAreWritten(t *testing.T) {
 	h := &hall{do: echo}
-	s := lineserver.New(lineserver.Options{Sessions: h, Codec: jsoncodec.Codec{}, Clock: clock.Real{}, Keepalive: keepalive, Retry: keepalive, BodyLimit: func() int { return 64 }})
+	s := lineserver.New(lineserver.Options{Sessions: h, Codec: jsoncodec.Codec{}, Clock: clock.Real{},
+		Keepalive: keepalive, Retry: keepalive, BodyLimit: func() int { return 64 }})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	done := make(chan error)
--- a/internal/lineserver/nobody.go
+++ b/internal/lineserver/nobody.go
@@ -19,7 +19,8 @@
 		a.out(session.Response{Type: session.Alive})
 		return
 	}
-	a.out(session.Response{Type: session.Rejected, InReplyTo: t.Verb, Topic: t.Topic, CallSeq: t.CallSeq, Err: apierror.New(apierror.NotReady, "nobody serves visits here")})
+	a.out(session.Response{Type: session.Rejected, InReplyTo: t.Verb, Topic: t.Topic, CallSeq: t.CallSeq,
+		Err: apierror.New(apierror.NotReady, "nobody serves visits here")})
 }
 
 // End does nothing.
--- a/internal/lineserver/read.go
+++ b/internal/lineserver/read.go
@@ -9,8 +9,8 @@
 	"postjunction/internal/apierror"
 )
 
-// ReadLine reads one line of at most most bytes without its end, LF or CRLF. It is valid until the next read. A longer line is skipped and is
-// a fault; a line without its end is dropped.
+// ReadLine reads one line of at most most bytes without its end, LF or CRLF. It is valid until the
+// next read. A longer line is skipped and is a fault; a line without its end is dropped.
 func ReadLine(r *bufio.Reader, most int) ([]byte, error) {
 	b, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -42,7 +42,8 @@
 // ReadBody reads n bytes and the line's end after them, CRLF. A body longer than most is skipped and is a fault.
 func ReadBody(r *bufio.Reader, n, most int) ([]byte, error) {
 	if n > most {
-		long := &Fault{Err: apierror.New(apierror.Oversize, "the body has %d bytes, the limit is %d", n, most), Resynced: true}
+		long := &Fault{Err: apierror.New(apierror.Oversize, "the body has %d bytes, the limit is %d", n, most),
+			Resynced: true}
 		if n/skipShare > most {
 			long.Resynced = false
 			return nil, long
--- a/internal/wire/codec_test.go
+++ b/internal/wire/codec_test.go
@@ -115,7 +115,8 @@
 	for _, s := range ss {
 		assert.Assert(t, !seen[s.Path], "%s twice", s.Path)
 		seen[s.Path] = true
-		assert.Assert(t, s.Idempotency == wire.ReadOnly || s.Idempotency == wire.Monotonic || s.Idempotency == wire.Deduplicated, "%s does not say why it may be repeated", s.Path)
+		assert.Assert(t, s.Idempotency == wire.ReadOnly || s.Idempotency == wire.Monotonic ||
+			s.Idempotency == wire.Deduplicated, "%s does not say why it may be repeated", s.Path)
 		assert.Assert(t, s.Reason != "", "%s does not say what its repetition rests on", s.Path)
 		for _, x := range []reflect.Type{s.Request, s.Response} {
 			t.Run(strings.TrimPrefix(s.Path, "/postjunction.")+" "+x.Name(), func(t *testing.T) {
@@ -134,8 +135,11 @@
 
 func TestReplyKeepsTheProblem(t *testing.T) {
 	n := uint64(0)
-	p := &apierror.Error{Code: apierror.Overloaded, Message: "full \xff\xfe", Faults: []apierror.Fault{{Path: "a.b", Message: "c"}}, Current: &n, RetryAfter: time.Second, RetryAfterMS: 1000, Cause: apierror.New(apierror.Internal, "x")}
-	got := trip(t, reflect.ValueOf(&wire.Envelope[gossip.ExchangeResponse]{Problem: p})).(*wire.Envelope[gossip.ExchangeResponse])
+	p := &apierror.Error{Code: apierror.Overloaded, Message: "full \xff\xfe",
+		Faults: []apierror.Fault{{Path: "a.b", Message: "c"}}, Current: &n, RetryAfter: time.Second,
+		RetryAfterMS: 1000, Cause: apierror.New(apierror.Internal, "x")}
+	sent := reflect.ValueOf(&wire.Envelope[gossip.ExchangeResponse]{Problem: p})
+	got := trip(t, sent).(*wire.Envelope[gossip.ExchangeResponse])
 	assert.Assert(t, got.Body == nil)
 	want := *p
 	want.Cause, want.RetryAfter = nil, 0
@@ -155,16 +159,23 @@
 func samples() map[string]any {
 	ms := make([]membership.Info, 13)
 	for i := range ms {
-		ms[i] = membership.Info{Name: fmt.Sprintf("store-%d", i), Zone: "zone-a", ListenAddr: "127.0.0.1:7000", PeerAddr: "127.0.0.1:8000", Disk: "own", Incarnation: "0123456789abcdef", BootID: "fedcba9876543210", Stage: "serving", Configuration: 17, VoterSet: 3, Partitions: 4, Loads: map[int]float64{1: 0.25, 7: 3.5}, BuildVersion: "1.0", WireVersion: 2, LatencyMicros: 900, SupportsTwoHomes: true}
+		ms[i] = membership.Info{Name: fmt.Sprintf("store-%d", i), Zone: "zone-a", ListenAddr: "127.0.0.1:7000",
+			PeerAddr: "127.0.0.1:8000", Disk: "own", Incarnation: "0123456789abcdef", BootID: "fedcba9876543210",
+			Stage: "serving", Configuration: 17, VoterSet: 3, Partitions: 4, Loads: map[int]float64{1: 0.25, 7: 3.5},
+			BuildVersion: "1.0", WireVersion: 2, LatencyMicros: 900, SupportsTwoHomes: true}
 	}
 	es := make([]log.Entry, 4)
 	for i := range es {
-		es[i] = log.Entry{Offset: uint64(1e6 + i), Epoch: 4, Type: "message", Topic: "armor/alerts", Client: "visitor-17", CallSeq: 99, Generation: 3, Configuration: 17, Digest: "0123456789abcdef", Chain: 0xfedcba9876543210, Body: make([]byte, 200)}
+		es[i] = log.Entry{Offset: uint64(1e6 + i), Epoch: 4, Type: "message", Topic: "armor/alerts",
+			Client: "visitor-17", CallSeq: 99, Generation: 3, Configuration: 17, Digest: "0123456789abcdef",
+			Chain: 0xfedcba9876543210, Body: make([]byte, 200)}
 	}
 	return map[string]any{
-		"digest": &gossip.ExchangeRequest{Digest: gossip.Digest{VoterSet: 3, Configuration: 17, Records: []uint64{4, 5, 6, 7, 8, 9}}},
-		"pulse":  &nodelease.HeartbeatResponse{Members: ms, Confirmed: true, Sequence: 17, Age: time.Millisecond},
-		"append": &replica.AppendRequest{After: log.Position{Offset: 1e6 - 1, Epoch: 4, Chain: 0xfedcba9876543210}, Entries: es, Commit: 1e6 - 1},
+		"digest": &gossip.ExchangeRequest{Digest: gossip.Digest{VoterSet: 3, Configuration: 17,
+			Records: []uint64{4, 5, 6, 7, 8, 9}}},
+		"pulse": &nodelease.HeartbeatResponse{Members: ms, Confirmed: true, Sequence: 17, Age: time.Millisecond},
+		"append": &replica.AppendRequest{After: log.Position{Offset: 1e6 - 1, Epoch: 4, Chain: 0xfedcba9876543210},
+			Entries: es, Commit: 1e6 - 1},
 	}
 }
 
@@ -175,7 +186,8 @@
 		in   func([]byte, any) error
 	}
 	for name, v := range samples() {
-		for _, f := range []form{{"json", json.Marshal, json.Unmarshal}, {"cbor", wire.Codec{}.Marshal, wire.Codec{}.Unmarshal}} {
+		for _, f := range []form{{"json", json.Marshal, json.Unmarshal},
+			{"cbor", wire.Codec{}.Marshal, wire.Codec{}.Unmarshal}} {
 			b.Run(name+"/"+f.name, func(b *testing.B) {
 				b.ReportAllocs()
 				n := 0
--- a/internal/wire/lane_bench_test.go
+++ b/internal/wire/lane_bench_test.go
@@ -36,9 +36,10 @@
 // before is the way that calls went until wire sequence 1: JSON over the HTTP of the standard library.
 func before(b *testing.B) func(*asked) error {
 	m := http.NewServeMux()
-	m.Handle(poll.Path, connect.NewUnaryHandler(poll.Path, func(_ context.Context, r *connect.Request[asked]) (*connect.Response[wire.Envelope[asked]], error) {
-		return connect.NewResponse(&wire.Envelope[asked]{Body: r.Msg}), nil
-	}, connect.WithCodec(plainCodec{}), connect.WithCompression("gzip", nil, nil)))
+	m.Handle(poll.Path, connect.NewUnaryHandler(poll.Path,
+		func(_ context.Context, r *connect.Request[asked]) (*connect.Response[wire.Envelope[asked]], error) {
+			return connect.NewResponse(&wire.Envelope[asked]{Body: r.Msg}), nil
+		}, connect.WithCodec(plainCodec{}), connect.WithCompression("gzip", nil, nil)))
 	l := hear(b)
 	s := &http.Server{Handler: m, ReadHeaderTimeout: time.Minute}
 	go func() { _ = s.Serve(l) }()
@@ -47,7 +48,9 @@
 		t.CloseIdleConnections()
 		_ = s.Close()
 	})
-	c := connect.NewClient[asked, wire.Envelope[asked]](&http.Client{Transport: t}, "http://"+l.Addr().String()+poll.Path, connect.WithCodec(plainCodec{}), connect.WithAcceptCompression("gzip", nil, nil))
+	c := connect.NewClient[asked, wire.Envelope[asked]](&http.Client{Transport: t},
+		"http://"+l.Addr().String()+poll.Path, connect.WithCodec(plainCodec{}),
+		connect.WithAcceptCompression("gzip", nil, nil))
 	return func(q *asked) error {
 		r := connect.NewRequest(q)
 		r.Header().Set("Postjunction-Wire", "1")
@@ -137,7 +140,8 @@
 					wg.Wait()
 					b.StopTimer()
 					is := used(b)
-					for k, unit := range map[string]string{"wchar": "wirebytes/op", "syscw": "writes/op", "syscr": "reads/op", "cpu": "cpu-ns/op"} {
+					for k, unit := range map[string]string{"wchar": "wirebytes/op", "syscw": "writes/op", "syscr": "reads/op",
+						"cpu": "cpu-ns/op"} {
 						b.ReportMetric((is[k]-was[k])/float64(b.N), unit)
 					}
 				})
--- a/internal/wire/mux/cut_test.go
+++ b/internal/wire/mux/cut_test.go
@@ -120,7 +120,8 @@
 	c.close()
 	mu.Lock()
 	defer mu.Unlock()
-	assert.Assert(t, done[string(body)] <= 1, "%s, cut after %d and %d bytes: done %d times", name, ask, answer, done[string(body)])
+	assert.Assert(t, done[string(body)] <= 1, "%s, cut after %d and %d bytes: done %d times", name, ask, answer,
+		done[string(body)])
 	assert.Assert(t, err != nil || done[string(body)] == 1, "%s: answered and not done", name)
 	assert.Assert(t, done[string(next)] <= 1, "%s: the next one was done %d times", name, done[string(next)])
 }
--- a/internal/wire/mux/frame.go
+++ b/internal/wire/mux/frame.go
@@ -8,7 +8,8 @@
 	"postjunction/internal/apierror"
 )
 
-// Kinds of frame. A frame is its kind, a number, a length and that many bytes; the number is that of the call, of the head that is named, or nothing.
+// Kinds of frame. A frame is its kind, a number, a length and that many bytes; the number is that
+// of the call, of the head that is named, or nothing.
 const (
 	kindHead      = 1
 	kindOpen      = 2
@@ -32,7 +33,8 @@
 	mostRoom   = 1 << 20
 )
 
-// magic begins a connection and holds the sequence of the frame format; its line end makes a server of HTTP turn it away at once.
+// magic begins a connection and holds the sequence of the frame format; its line end makes a server
+// of HTTP turn it away at once.
 const magic = "PJL\x01\r\n"
 
 type frame struct {
--- a/internal/wire/mux/lane_test.go
+++ b/internal/wire/mux/lane_test.go
@@ -187,7 +187,8 @@
 	assert.NilError(t, err)
 }
 
-// A machine that hears nothing yet is reached soon after it does: an attempt of a dial that was not heard is not waited out.
+// A machine that hears nothing yet is reached soon after it does: an attempt of a dial that was not
+// heard is not waited out.
 func TestMachineThatBeginsToHearIsReachedSoon(t *testing.T) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	assert.NilError(t, err)
@@ -533,7 +534,8 @@
 
 func TestForeignersAreTurnedAway(t *testing.T) {
 	f := stand(t, echo)
-	for _, s := range []string{"POST / HTTP/1.1\r\n\r\n", "PJL\x02\r\n\x00", magic + "\xff\xff\x7f", magic + "\x00\x09\x00\x00", magic + "\x00\x02\x01\x02\x05\x00"} {
+	for _, s := range []string{"POST / HTTP/1.1\r\n\r\n", "PJL\x02\r\n\x00", magic + "\xff\xff\x7f",
+		magic + "\x00\x09\x00\x00", magic + "\x00\x02\x01\x02\x05\x00"} {
 		c, err := net.Dial("tcp", f.addr)
 		assert.NilError(t, err)
 		_, err = io.WriteString(c, s)
--- a/internal/wire/mux/link.go
+++ b/internal/wire/mux/link.go
@@ -1,5 +1,6 @@
-// Package mux carries many calls at a time over one TCP connection for each pair of nodes and direction: short frames, heads sent once,
-// answers in any order, long bodies in pieces between which short ones go through.
+// Package mux carries many calls at a time over one TCP connection for each pair of nodes and
+// direction: short frames, heads sent once, answers in any order, long bodies in pieces between
+// which short ones go through.
 package mux
 
 import (
@@ -20,9 +21,11 @@
 
 // Timeouts are the bounds of a connection.
 type Timeouts struct {
-	Dial    time.Duration // of the longest attempt, the last; all others together take as long
-	Quiet   time.Duration // after which a connection is looked at before it is used again
-	Silence time.Duration // after which a peer that owes answers is asked for a sign of life; after as long again it is given up
+	Dial  time.Duration // of the longest attempt, the last; all others together take as long
+	Quiet time.Duration // after which a connection is looked at before it is used again
+	// Silence is the time after which a peer that owes answers is asked for a sign of life; after as
+	// long again it is given up.
+	Silence time.Duration
 	Unheard time.Duration // the longest that sent bytes stay without a receipt of the peer's machine
 	Idle    time.Duration // after which an unused connection is closed
 	Begin   time.Duration // in which a connection must say who it is
@@ -199,7 +202,8 @@
 	return append(append(append(b, o...), inline...), body...)
 }
 
-// take gives what is to be written next, nil for nothing: all that is short, and one piece of what is long. The lock is held.
+// take gives what is to be written next, nil for nothing: all that is short, and one piece of what
+// is long. The lock is held.
 func (l *link) take() *buf {
 	if l.err != nil || l.small == nil && len(l.big) == 0 {
 		return nil
@@ -242,8 +246,9 @@
 	return b
 }
 
-// kick sees to it that what waits is written, and gives the lock back. One goroutine writes at a time: whoever comes first tries once
-// without waiting, for all that came meanwhile too; what is left then is another goroutine's.
+// kick sees to it that what waits is written, and gives the lock back. One goroutine writes at a
+// time: whoever comes first tries once without waiting, for all that came meanwhile too; what is
+// left then is another goroutine's.
 func (l *link) kick() {
 	if l.busy || l.err != nil {
 		l.mu.Unlock()
--- a/internal/wire/mux/network.go
+++ b/internal/wire/mux/network.go
@@ -138,8 +138,8 @@
 	d    *dialling
 }
 
-// dialShares make the times of the attempts of a dial: short ones first, since a machine that was just switched on hears nothing of what was
-// sent before, and this machine's own repeats come late.
+// dialShares make the times of the attempts of a dial: short ones first, since a machine that was
+// just switched on hears nothing of what was sent before, and this machine's own repeats come late.
 var dialShares = []time.Duration{10, 10, 10, 10, 10, 2, 1}
 
 type dialling struct {
@@ -443,7 +443,8 @@
 	return ctx.Err()
 }
 
-// Do carries a task to the peer whose address the URL has, and its answer back. Failures are of kind Unreachable or those of the context.
+// Do carries a task to the peer whose address the URL has, and its answer back. Failures are of
+// kind Unreachable or those of the context.
 func (n *Network) Do(r *http.Request) (*http.Response, error) {
 	ctx := r.Context()
 	if err := ctx.Err(); err != nil {
--- a/internal/wire/mux/server.go
+++ b/internal/wire/mux/server.go
@@ -83,8 +83,8 @@
 // Shutdown is Close: calls between nodes are not waited for.
 func (s *Server) Shutdown(context.Context) error { return s.Close() }
 
-// Close closes the listener and all connections; the contexts of calls under way end, each after its connection, so that what a handler
-// says of its end is no answer.
+// Close closes the listener and all connections; the contexts of calls under way end, each after
+// its connection, so that what a handler says of its end is no answer.
 func (s *Server) Close() error {
 	defer s.stop()
 	s.mu.Lock()
@@ -370,7 +370,8 @@
 	}
 }
 
-// send queues an answer, or waits for room as long as the call has time; it tells whether nothing of the answer is held any more.
+// send queues an answer, or waits for room as long as the call has time; it tells whether nothing
+// of the answer is held any more.
 func (c *served) send(x *serving) bool {
 	var late <-chan time.Time
 	for {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -39,25 +39,27 @@
 	client sync.Map
 }
 
-// Idempotency says why a call may be made again when the outcome of the first one is not known. There is no kind for calls
-// that may not: a new call has to be one of these.
+// Idempotency says why a call may be made again when the outcome of the first one is not known.
+// There is no kind for calls that may not: a new call has to be one of these.
 type Idempotency string
 
 // The kinds of Repeat.
 const (
 	// ReadOnly is of calls that change nothing.
 	ReadOnly Idempotency = "reads"
-	// Monotonic is of calls whose task has an epoch, a number or a place that only rises: done again, or late, it changes nothing
-	// that is newer.
+	// Monotonic is of calls whose task has an epoch, a number or a place that only rises: done again,
+	// or late, it changes nothing that is newer.
 	Monotonic Idempotency = "ordered"
-	// Deduplicated is of calls whose task has a name or number of its own that the receiver remembers, so that it is done once.
+	// Deduplicated is of calls whose task has a name or number of its own that the receiver remembers,
+	// so that it is done once.
 	Deduplicated Idempotency = "numbered"
 )
 
 // NewProcedure makes a procedure. It may be repeated for the given kind of reason; how says what that rests on.
 func NewProcedure[Q, A any](part, verb string, repeat Idempotency, how string) *Procedure[Q, A] {
 	p := &Procedure[Q, A]{Path: "/postjunction." + part + "/" + verb}
-	shapes = append(shapes, ProcedureInfo{Path: p.Path, Request: reflect.TypeFor[Q](), Response: reflect.TypeFor[A](), Idempotency: repeat, Reason: how})
+	shapes = append(shapes, ProcedureInfo{Path: p.Path, Request: reflect.TypeFor[Q](),
+		Response: reflect.TypeFor[A](), Idempotency: repeat, Reason: how})
 	return p
 }
 
@@ -84,7 +86,8 @@
 	k := key{n, addr}
 	v, ok := p.client.Load(k)
 	if !ok {
-		v, _ = p.client.LoadOrStore(k, connect.NewClient[Q, Envelope[A]](n, "http://"+addr+p.Path, connect.WithCodec(codec{}), connect.WithAcceptCompression("gzip", nil, nil)))
+		v, _ = p.client.LoadOrStore(k, connect.NewClient[Q, Envelope[A]](n, "http://"+addr+p.Path,
+			connect.WithCodec(codec{}), connect.WithAcceptCompression("gzip", nil, nil)))
 	}
 	r := connect.NewRequest(q)
 	r.Header().Set(sequenceHeader, strconv.Itoa(FormatVersion))
@@ -104,18 +107,20 @@
 
 // Handle serves a procedure.
 func (p *Procedure[Q, A]) Handle(m *http.ServeMux, f func(context.Context, *Q) (*A, error)) {
-	m.Handle(p.Path, connect.NewUnaryHandler(p.Path, func(ctx context.Context, r *connect.Request[Q]) (*connect.Response[Envelope[A]], error) {
-		if n, err := strconv.Atoi(r.Header().Get(sequenceHeader)); err != nil || n > FormatVersion {
-			return connect.NewResponse(&Envelope[A]{Problem: apierror.New(apierror.WireNewer, "wire sequence %q, this build knows %d", r.Header().Get(sequenceHeader), FormatVersion)}), nil
-		}
-		a, err := f(ctx, r.Msg)
-		if err != nil {
-			q := apierror.From(err)
-			if q.Code == apierror.Internal && (errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)) {
-				q = apierror.New(apierror.Unreachable, "the call ended before its answer")
+	m.Handle(p.Path, connect.NewUnaryHandler(p.Path,
+		func(ctx context.Context, r *connect.Request[Q]) (*connect.Response[Envelope[A]], error) {
+			if n, err := strconv.Atoi(r.Header().Get(sequenceHeader)); err != nil || n > FormatVersion {
+				return connect.NewResponse(&Envelope[A]{Problem: apierror.New(apierror.WireNewer,
+					"wire sequence %q, this build knows %d", r.Header().Get(sequenceHeader), FormatVersion)}), nil
 			}
-			return connect.NewResponse(&Envelope[A]{Problem: q}), nil
-		}
-		return connect.NewResponse(&Envelope[A]{Body: a}), nil
-	}, connect.WithCodec(codec{}), connect.WithCompression("gzip", nil, nil)))
+			a, err := f(ctx, r.Msg)
+			if err != nil {
+				q := apierror.From(err)
+				if q.Code == apierror.Internal && (errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)) {
+					q = apierror.New(apierror.Unreachable, "the call ended before its answer")
+				}
+				return connect.NewResponse(&Envelope[A]{Problem: q}), nil
+			}
+			return connect.NewResponse(&Envelope[A]{Body: a}), nil
+		}, connect.WithCodec(codec{}), connect.WithCompression("gzip", nil, nil)))
 }
