--- a/internal/command/serve/process_test.go
+++ b/internal/command/serve/process_test.go
@@ -75,7 +75,8 @@
 
 func testSettings(t *testing.T, a []string, more string) string {
 	f := filepath.Join(t.TempDir(), "o.json")
-	s := fmt.Sprintf(`{"name":"a1","zone":"z1","listen":%q,"fellow_listen":%q,"seeds":[%q,%q,%q]%s}`, a[0], a[1], a[2], a[3], a[4], more)
+	s := fmt.Sprintf(`{"name":"a1","zone":"z1","listen":%q,"fellow_listen":%q,"seeds":[%q,%q,%q]%s}`, a[0], a[1],
+		a[2], a[3], a[4], more)
 	assert.NilError(t, os.WriteFile(f, []byte(s), 0o600))
 	return f
 }
@@ -123,12 +124,14 @@
 // does; what can't pass does at once.
 func TestRetry(t *testing.T) {
 	for code, want := range map[apierror.Code]time.Duration{
-		apierror.StillHeld: settings.DefaultTiming.Recovery, apierror.DiskFull: time.Hour, apierror.DiskFailed: time.Hour, apierror.SettingsInvalid: 0, apierror.DiskForeign: 0,
+		apierror.StillHeld: settings.DefaultTiming.Recovery, apierror.DiskFull: time.Hour,
+		apierror.DiskFailed: time.Hour, apierror.SettingsInvalid: 0, apierror.DiskForeign: 0,
 	} {
 		t.Run(string(code), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				stop := make(chan struct{})
-				start := &retrier{clock: clock.Real{}, timing: settings.DefaultTiming, log: event.NewLogger(hclog.NewNullLogger()), stop: stop}
+				start := &retrier{clock: clock.Real{}, timing: settings.DefaultTiming,
+					log: event.NewLogger(hclog.NewNullLogger()), stop: stop}
 				end := time.AfterFunc(time.Hour, func() { close(stop) })
 				defer end.Stop()
 				at := time.Now()
@@ -162,7 +165,8 @@
 func TestBrokenListenerIsOpenedAgain(t *testing.T) {
 	a := ports(t, 1)[0]
 	l := newLogBuffer()
-	sup := &supervisor{clock: clock.Real{}, timing: settings.DefaultTiming, log: event.NewLogger(hclog.New(&hclog.LoggerOptions{Output: l}))}
+	sup := &supervisor{clock: clock.Real{}, timing: settings.DefaultTiming,
+		log: event.NewLogger(hclog.New(&hclog.LoggerOptions{Output: l}))}
 	listener := Listener{Setting: "listen", Address: a}
 	first, err := listener.open()
 	assert.NilError(t, err)
--- a/tools/days/days_test.go
+++ b/tools/days/days_test.go
@@ -6,7 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-var testSite = site{Name: "small", LengthS: 34, Days: []map[string]any{{"name": "quiet-1", "seed": int64(3), "traffic": "kept", "faults": "dropped"}}}
+var testSite = site{Name: "small", LengthS: 34,
+	Days: []map[string]any{{"name": "quiet-1", "seed": int64(3), "traffic": "kept", "faults": "dropped"}}}
 
 func TestADayIsGivenByItsNumber(t *testing.T) {
 	a, b, other := draw(testSite, 7, nil), draw(testSite, 7, nil), draw(testSite, 8, nil)
--- a/tools/days/draw.go
+++ b/tools/days/draw.go
@@ -27,11 +27,13 @@
 // variants lists every kind that the bench plays on these deployments.
 var variants = []variant{
 	{kind: "node_kill", classes: anyClass, counts: []int{1}, forS: [2]float64{0.5, 6},
-		hows: []string{"", "power", "leader", "power leader", "leader race", "power race hard", "turn", "reader", "seed", "meet", "power meet hard"}},
+		hows: []string{"", "power", "leader", "power leader", "leader race", "power race hard", "turn", "reader",
+			"seed", "meet", "power meet hard"}},
 	{kind: "node_freeze", classes: anyClass, counts: []int{1}, forS: [2]float64{0.5, 20},
 		hows: []string{"", "leader", "meet", "leader race", "hard"}},
 	{kind: "node_slow", classes: anyClass, counts: []int{1}, x: []float64{3, 5, 10}, forS: [2]float64{2, 12}},
-	{kind: "roll_term", planned: true, classes: anyClass, counts: []int{2, 3}, gapS: [2]float64{0.3, 2}, hows: []string{"", "busy"}},
+	{kind: "roll_term", planned: true, classes: anyClass, counts: []int{2, 3}, gapS: [2]float64{0.3, 2},
+		hows: []string{"", "busy"}},
 	{kind: "add_nodes", planned: true, classes: []string{"store", "front"}, counts: []int{1, 2}},
 	{kind: "replace_core", classes: []string{"", "store"}, x: []float64{0.5, 1, 2.5, 5},
 		hows: []string{"", "oldest", "planned", "leader"}},
@@ -40,7 +42,8 @@
 	{kind: "after_ack_wipe", classes: []string{"", "store"}, counts: []int{1}, forS: [2]float64{0.3, 4},
 		hows: []string{"", "oldest"}},
 	{kind: "disk_stall", classes: []string{"core", "store"}, counts: []int{1}, forS: [2]float64{0.5, 5}},
-	{kind: "disk_slow", classes: []string{"core", "store"}, counts: []int{1}, x: []float64{10, 30}, forS: [2]float64{2, 8}},
+	{kind: "disk_slow", classes: []string{"core", "store"}, counts: []int{1}, x: []float64{10, 30},
+		forS: [2]float64{2, 8}},
 	{kind: "disk_full", classes: []string{"core", "store"}, counts: []int{1}, forS: [2]float64{2, 8}},
 	{kind: "clock_step", shares: []float64{0.3, 0.6, 1}, x: []float64{500, 2000, 8000}, forS: [2]float64{2, 10},
 		hows: []string{"", "back", "ahead"}},
@@ -49,7 +52,8 @@
 		hows: []string{"", "one_way", "near", "all", "behind", "split", "lure", "relieve", "both", "seeds", "oldest",
 			"leader", "leader race", "leader one_way race hard", "reset meet", "refuse", "meet"}},
 	{kind: "node_cut", classes: anyClass, shares: []float64{0.1, 0.2}, forS: [2]float64{2, 8}, hows: []string{"", "all"}},
-	{kind: "herd_kill", shares: []float64{0.3, 0.6, 1}, hows: []string{"", "power", "taken", "taken all"}, forS: [2]float64{0.5, 3}},
+	{kind: "herd_kill", shares: []float64{0.3, 0.6, 1}, hows: []string{"", "power", "taken", "taken all"},
+		forS: [2]float64{0.5, 3}},
 	{kind: "herd_kill", classes: []string{"core"}, hows: []string{"", "off"}, forS: [2]float64{0.5, 3}},
 	{kind: "seed_turnover"},
 	{kind: "hup", shares: []float64{0.3, 1}, gapS: [2]float64{0.1, 1}},
@@ -67,13 +71,15 @@
 
 // controlKinds are the kinds that bear on the control keys or on the placement of copies.
 var controlKinds = []string{
-	"core_cut", "config_race", "config_storm", "replace_core", "retire", "ack_lost", "after_ack_kill", "after_ack_wipe", "clock_step", "herd_kill", "node_freeze", "add_nodes",
+	"core_cut", "config_race", "config_storm", "replace_core", "retire", "ack_lost", "after_ack_kill",
+	"after_ack_wipe", "clock_step", "herd_kill", "node_freeze", "add_nodes",
 }
 
 var closings = []variant{
 	{kind: "power_off_all", hows: []string{"", "all"}},
 	{kind: "kill_all", hows: []string{"", "all"}},
-	{kind: "wipe_after_ack", hows: []string{"", "all", "oldest", "oldest all", "timed all", "taken all", "timed", "taken"}},
+	{kind: "wipe_after_ack", hows: []string{"", "all", "oldest", "oldest all", "timed all", "taken all", "timed",
+		"taken"}},
 }
 
 const (
