--- a/internal/testing/crash/crash_test.go
+++ b/internal/testing/crash/crash_test.go
@@ -48,7 +48,8 @@
 }
 
 func founding() voters.Set {
-	return voters.NewSet([]voters.Voter{{Node: "c1", Incarnation: "i1"}, {Node: "c2", Incarnation: "i2"}, {Node: "c3", Incarnation: "i3"}}, voters.Layout{RoutinePartitions: 2, UrgentPartitions: 1})
+	return voters.NewSet([]voters.Voter{{Node: "c1", Incarnation: "i1"}, {Node: "c2", Incarnation: "i2"},
+		{Node: "c3", Incarnation: "i3"}}, voters.Layout{RoutinePartitions: 2, UrgentPartitions: 1})
 }
 
 func entries(after log.Position, e uint64, n int) []log.Entry {
@@ -74,7 +75,8 @@
 
 func (s *store) picture(t *testing.T) picture {
 	t.Helper()
-	p := picture{seals: map[int]uint64{}, lines: map[log.ID]map[uint64]log.Position{}, slots: map[string]acceptor.Slot{}, rost: s.v.VoterSet().Sequence}
+	p := picture{seals: map[int]uint64{}, lines: map[log.ID]map[uint64]log.Position{},
+		slots: map[string]acceptor.Slot{}, rost: s.v.VoterSet().Sequence}
 	for n := range partitions {
 		p.seals[n] = s.r.Sealed(n)
 		for _, k := range log.Kinds {
@@ -91,7 +93,8 @@
 	}
 	if p.rost > 0 {
 		for _, sealed := range []bool{false, true} {
-			if a, err := s.v.Peek(context.Background(), &acceptor.PeekRequest{VoterSet: p.rost, Incarnation: "i1", Sealed: sealed}); err == nil {
+			if a, err := s.v.Peek(context.Background(), &acceptor.PeekRequest{VoterSet: p.rost, Incarnation: "i1",
+				Sealed: sealed}); err == nil {
 				p.slots = a.Slots
 			}
 		}
@@ -126,7 +129,8 @@
 	for k, s := range last.slots {
 		g := got.slots[k]
 		if got.rost == last.rost && (g.Promised.Less(s.Promised) || s.NewerThan(g)) {
-			return fmt.Errorf("key %s: promised %v and accepted %v, came back as %v and %v", k, s.Promised, s.Accepted, g.Promised, g.Accepted)
+			return fmt.Errorf("key %s: promised %v and accepted %v, came back as %v and %v", k, s.Promised, s.Accepted,
+				g.Promised, g.Accepted)
 		}
 	}
 	return nil
@@ -141,7 +145,8 @@
 	put := func(p int, k log.Kind, e uint64, after func(l *log.Log) log.Position, n int, reset bool) func(*store) error {
 		return func(s *store) error {
 			a := after(s.r.Log(p, k))
-			x, err := s.r.Append(ctx, &replica.AppendRequest{Target: to(p, e), Kind: k, After: a, Entries: entries(a, e, n), Reset: reset})
+			x, err := s.r.Append(ctx, &replica.AppendRequest{Target: to(p, e), Kind: k, After: a,
+				Entries: entries(a, e, n), Reset: reset})
 			if err == nil && !x.Matched {
 				err = fmt.Errorf("the lines did not match")
 			}
@@ -171,7 +176,8 @@
 	}
 	keep := func(p int) func(*store) error {
 		return func(s *store) error {
-			return s.r.SaveSnapshot(ctx, replica.Snapshot{Partition: p, At: s.r.Log(p, log.KindChangelog).Last(), Input: 1, State: []byte(`{}`)})
+			return s.r.SaveSnapshot(ctx, replica.Snapshot{Partition: p, At: s.r.Log(p, log.KindChangelog).Last(),
+				Input: 1, State: []byte(`{}`)})
 		}
 	}
 	ballot := func(k string, seq uint64) acceptor.Target {
@@ -179,13 +185,15 @@
 	}
 	promise := func(k string, n uint64) func(*store) error {
 		return func(s *store) error {
-			_, err := s.v.Promise(ctx, &acceptor.PromiseRequest{Target: ballot(k, s.v.VoterSet().Sequence), Epoch: epoch.Epoch{Number: n, Node: "c1"}})
+			_, err := s.v.Promise(ctx, &acceptor.PromiseRequest{Target: ballot(k, s.v.VoterSet().Sequence),
+				Epoch: epoch.Epoch{Number: n, Node: "c1"}})
 			return err
 		}
 	}
 	accept := func(k string, n, w uint64) func(*store) error {
 		return func(s *store) error {
-			_, err := s.v.Accept(ctx, &acceptor.AcceptRequest{Target: ballot(k, s.v.VoterSet().Sequence), Epoch: epoch.Epoch{Number: n, Node: "c1"}, Value: acceptor.Value{Version: w, Body: []byte(k)}})
+			_, err := s.v.Accept(ctx, &acceptor.AcceptRequest{Target: ballot(k, s.v.VoterSet().Sequence),
+				Epoch: epoch.Epoch{Number: n, Node: "c1"}, Value: acceptor.Value{Version: w, Body: []byte(k)}})
 			return err
 		}
 	}
@@ -198,11 +206,16 @@
 			_, err := s.v.Activate(ctx, &acceptor.ActivateRequest{Incarnation: "i1", VoterSet: founding(), Bootstrap: true})
 			return err
 		},
-		promise("description", 1), accept("description", 1, 1), promise("description", 3), accept("description", 3, 2), promise("partition/000", 2),
-		seal(0, 1), put(0, log.KindLedger, 1, end, 5, false), put(0, log.KindChangelog, 1, end, 3, false), keep(0), seal(0, 2),
-		put(0, log.KindLedger, 2, back(2), 4, false), trim(0, log.KindLedger, 2, 3), put(0, log.KindChangelog, 2, end, 2, false), keep(0), trim(0, log.KindChangelog, 2, 2),
+		promise("description", 1), accept("description", 1, 1), promise("description", 3),
+		accept("description", 3, 2), promise("partition/000", 2),
+		seal(0, 1), put(0, log.KindLedger, 1, end, 5, false), put(0, log.KindChangelog, 1, end, 3, false), keep(0),
+		seal(0, 2),
+		put(0, log.KindLedger, 2, back(2), 4, false), trim(0, log.KindLedger, 2, 3),
+		put(0, log.KindChangelog, 2, end, 2, false), keep(0), trim(0, log.KindChangelog, 2, 2),
 		seal(1, 4), put(1, log.KindLedger, 4, end, 6, false),
-		put(1, log.KindLedger, 5, func(*log.Log) log.Position { return log.Position{Epoch: 4, Offset: 20, Chain: 7} }, 3, true),
+		put(1, log.KindLedger, 5, func(*log.Log) log.Position {
+			return log.Position{Epoch: 4, Offset: 20, Chain: 7}
+		}, 3, true),
 		func(s *store) error { return s.r.TruncateAfter(ctx, to(1, 5), log.KindLedger, 22, false) },
 		seal(2, 1), put(2, log.KindLedger, 1, end, 4, false),
 		func(s *store) error { _, err := s.r.Drop(ctx, &replica.DropRequest{Target: to(2, 9)}); return err },
@@ -210,7 +223,9 @@
 		func(s *store) error {
 			n := s.v.VoterSet()
 			n.Sequence++
-			_, err := s.v.Activate(ctx, &acceptor.ActivateRequest{Incarnation: "i1", VoterSet: n, Slots: map[string]acceptor.Slot{"description": {Accepted: epoch.Epoch{Number: 3, Node: "c1"}, Value: acceptor.Value{Version: 2}}}})
+			_, err := s.v.Activate(ctx, &acceptor.ActivateRequest{Incarnation: "i1", VoterSet: n,
+				Slots: map[string]acceptor.Slot{"description": {Accepted: epoch.Epoch{Number: 3, Node: "c1"},
+					Value: acceptor.Value{Version: 2}}}})
 			return err
 		},
 		promise("description", 7),
@@ -242,7 +257,8 @@
 	// come to its end.
 	for e := uint64(1); s.j.Counters().Compactions == 0 && e < anewMost; e++ {
 		do(len(ts)+int(e), func(s *store) error {
-			_, err := s.r.Seal(t.Context(), &replica.SealRequest{Target: replica.Target{Partition: 7, Incarnation: "i", Epoch: e}})
+			_, err := s.r.Seal(t.Context(), &replica.SealRequest{
+				Target: replica.Target{Partition: 7, Incarnation: "i", Epoch: e}})
 			return err
 		})
 	}
@@ -265,7 +281,8 @@
 				cases++
 				cuts[m.Op]++
 				assert.Assert(t, !rep.Damaged, "moment %d (%s), %d of %d kept, torn %v: %v", at, m.Op, k, n, torn, rep.Cause)
-				assert.NilError(t, between(p, pics[m.Answered], pics[min(m.Answered+1, len(pics)-1)]), "moment %d (%s), %d of %d unsynced kept, torn %v", at, m.Op, k, n, torn)
+				assert.NilError(t, between(p, pics[m.Answered], pics[min(m.Answered+1, len(pics)-1)]),
+					"moment %d (%s), %d of %d unsynced kept, torn %v", at, m.Op, k, n, torn)
 			}
 		}
 	}
--- a/internal/testing/crash/slices_test.go
+++ b/internal/testing/crash/slices_test.go
@@ -52,7 +52,8 @@
 	put := func(after func(l *log.Log) log.Position, n int, reset bool) func(*store) error {
 		return func(s *store) error {
 			a := after(s.r.Log(p, k))
-			x, err := s.r.Append(ctx, &replica.AppendRequest{Target: to(*e), Kind: k, After: a, Entries: entries(a, *e, n), Reset: reset})
+			x, err := s.r.Append(ctx, &replica.AppendRequest{Target: to(*e), Kind: k, After: a,
+				Entries: entries(a, *e, n), Reset: reset})
 			if err == nil && !x.Matched {
 				err = fmt.Errorf("the lines did not match")
 			}
@@ -78,10 +79,13 @@
 			_, err := s.r.Append(ctx, &replica.AppendRequest{Target: to(*e), Kind: k, After: l.Last(), Base: some(l)})
 			return err
 		},
-		seal(put(func(*log.Log) log.Position { return log.Position{Offset: uint64(r.IntN(200)), Epoch: *e - 1, Chain: 7} }, 1+r.IntN(90), true)),
+		seal(put(func(*log.Log) log.Position {
+			return log.Position{Offset: uint64(r.IntN(200)), Epoch: *e - 1, Chain: 7}
+		}, 1+r.IntN(90), true)),
 		seal(func(s *store) error { _, err := s.r.Drop(ctx, &replica.DropRequest{Target: to(*e)}); return err }),
 		func(s *store) error {
-			return s.r.SaveSnapshot(ctx, replica.Snapshot{Partition: p, At: s.r.Log(p, log.KindChangelog).Last(), Input: 1, State: []byte(`{}`)})
+			return s.r.SaveSnapshot(ctx, replica.Snapshot{Partition: p, At: s.r.Log(p, log.KindChangelog).Last(),
+				Input: 1, State: []byte(`{}`)})
 		},
 		func(s *store) error {
 			b := acceptor.Target{VoterSet: s.v.VoterSet().Sequence, Incarnation: "i1", Key: "description"}
@@ -138,7 +142,9 @@
 			for p := range partitions {
 				for _, k := range log.Kinds {
 					run(func(s *store) error {
-						_, err := s.r.Append(t.Context(), &replica.AppendRequest{Target: replica.Target{Partition: p, Incarnation: "i", Epoch: 1}, Kind: k, Entries: entries(log.Position{}, 1, 100+r.IntN(200))})
+						_, err := s.r.Append(t.Context(), &replica.AppendRequest{
+							Target: replica.Target{Partition: p, Incarnation: "i", Epoch: 1}, Kind: k,
+							Entries: entries(log.Position{}, 1, 100+r.IntN(200))})
 						return err
 					})
 				}
@@ -191,7 +197,8 @@
 						stop()
 						cases++
 						assert.Assert(t, !rep.Damaged, "seed %d, moment %d (%s): %v", seed, at, m.Op, rep.Cause)
-						assert.NilError(t, between(p, pics[m.Answered], pics[min(m.Answered+1, len(pics)-1)]), "seed %d, moment %d of %d (%s), %d of %d unsynced kept, torn %v", seed, at, len(ms)-before, m.Op, k, n, torn)
+						assert.NilError(t, between(p, pics[m.Answered], pics[min(m.Answered+1, len(pics)-1)]),
+							"seed %d, moment %d of %d (%s), %d of %d unsynced kept, torn %v", seed, at, len(ms)-before, m.Op, k, n, torn)
 						if m.Op == "end" {
 							assert.NilError(t, same(p, want), "seed %d", seed)
 						}
--- a/internal/testing/deliverycheck/checker.go
+++ b/internal/testing/deliverycheck/checker.go
@@ -71,7 +71,8 @@
 
 // New makes an empty book.
 func New(keeping, window time.Duration) *Checker {
-	return &Checker{Keeping: keeping, Window: window, sent: map[Message]*sent{}, presences: map[string][]*Presence{}, drawn: map[string][]*Withdrawal{}}
+	return &Checker{Keeping: keeping, Window: window, sent: map[Message]*sent{},
+		presences: map[string][]*Presence{}, drawn: map[string][]*Withdrawal{}}
 }
 
 // Session is a subscription.
@@ -205,11 +206,13 @@
 		from = s.place
 	}
 	for m, x := range s.checker.sent {
-		if m.Topic == s.topic && !x.accepted.IsZero() && x.at.After(from) && s.have[m] == 0 && now.Sub(x.at) > s.checker.Keeping {
+		if m.Topic == s.topic && !x.accepted.IsZero() && x.at.After(from) && s.have[m] == 0 &&
+			now.Sub(x.at) > s.checker.Keeping {
 			return
 		}
 	}
-	s.checker.addViolation(Expired, "%s was told at %s that %s can't be taken up, and lacks nothing older than %s", s.client, now.Format("04:05.000"), s.topic, s.checker.Keeping)
+	s.checker.addViolation(Expired, "%s was told at %s that %s can't be taken up, and lacks nothing older than %s",
+		s.client, now.Format("04:05.000"), s.topic, s.checker.Keeping)
 }
 
 // Got notes a message that came on this stay's connection: its place in the line, where that is
@@ -245,7 +248,8 @@
 }
 
 func (s *Session) owed(m Message, x *sent) bool {
-	return m.Topic == s.topic && s.kept && !s.since.IsZero() && !x.accepted.IsZero() && x.at.After(s.since) && (s.end.IsZero() || x.accepted.Before(s.end)) && !s.checker.spared(m, x)
+	return m.Topic == s.topic && s.kept && !s.since.IsZero() && !x.accepted.IsZero() && x.at.After(s.since) &&
+		(s.end.IsZero() || x.accepted.Before(s.end)) && !s.checker.spared(m, x)
 }
 
 const slack = 2
@@ -298,10 +302,12 @@
 		}
 	}
 	if n > most+slack {
-		b.addViolation(Count, "%d were counted on %s at %s, %d were there at some moment, and %d more are let pass", n, topic, answered.Format("04:05.000"), most, slack)
+		b.addViolation(Count, "%d were counted on %s at %s, %d were there at some moment, and %d more are let pass",
+			n, topic, answered.Format("04:05.000"), most, slack)
 	}
 	if calm && n < least {
-		b.addViolation(Count, "%d were counted on %s at %s, %d were there all the time", n, topic, answered.Format("04:05.000"), least)
+		b.addViolation(Count, "%d were counted on %s at %s, %d were there all the time", n, topic,
+			answered.Format("04:05.000"), least)
 	}
 }
 
@@ -366,7 +372,8 @@
 		last[g.message.From] = max(last[g.message.From], g.message.CallSeq)
 		for _, m := range owed[g.message.From] {
 			if m.CallSeq < g.message.CallSeq && !seen[m] {
-				b.addViolation(Order, "%s got %v at %s, which passed over call %d, owed since %s", s.client, g.message, g.at.Format("04:05.000"), m.CallSeq, b.sent[m].accepted.Format("04:05.000"))
+				b.addViolation(Order, "%s got %v at %s, which passed over call %d, owed since %s", s.client, g.message,
+					g.at.Format("04:05.000"), m.CallSeq, b.sent[m].accepted.Format("04:05.000"))
 				seen[m] = true
 			}
 		}
@@ -378,8 +385,10 @@
 
 func (s *Session) complete(cut time.Time) {
 	for m, x := range s.checker.sent {
-		if s.owed(m, x) && s.have[m] == 0 && x.accepted.Before(cut) && s.open(cut) && (!s.late || x.accepted.After(cut.Add(-s.checker.Keeping))) {
-			s.checker.addViolation(Lost, "%s never got %v, sent at %s, acknowledged at %s (joined at %s, late: %v)", s.client, m, x.at.Format("04:05.000"), x.accepted.Format("04:05.000"), s.since.Format("04:05.000"), s.late)
+		if s.owed(m, x) && s.have[m] == 0 && x.accepted.Before(cut) && s.open(cut) &&
+			(!s.late || x.accepted.After(cut.Add(-s.checker.Keeping))) {
+			s.checker.addViolation(Lost, "%s never got %v, sent at %s, acknowledged at %s (joined at %s, late: %v)",
+				s.client, m, x.at.Format("04:05.000"), x.accepted.Format("04:05.000"), s.since.Format("04:05.000"), s.late)
 		}
 	}
 }
--- a/internal/testing/deliverycheck/plant_test.go
+++ b/internal/testing/deliverycheck/plant_test.go
@@ -93,22 +93,39 @@
 		rule  string
 		plant func(d day)
 	}{
-		"a message comes twice":                          {Twice, func(d day) { d.got(d.x, 10) }},
-		"a message comes again on a later connection":    {Twice, func(d day) { d.w.Joined(sec(9)); d.got(d.w, 1) }},
-		"a message comes after a later one":              {Order, func(d day) { d.x.got[1], d.x.got[2] = d.x.got[2], d.x.got[1] }},
-		"an owed message is passed over":                 {Order, func(d day) { d.x.got = append(d.x.got[:1], d.x.got[2:]...) }},
-		"visitors see two lines":                         {Order, func(d day) { two(d) }},
-		"an owed message is missing at the end":          {Lost, func(d day) { d.x.got = d.x.got[:5]; delete(d.x.have, msg(10)) }},
-		"a late visitor misses a message":                {Lost, func(d day) { s := d.OpenLate("l", msg(1), sec(2)); s.Joined(sec(19)); d.got(s, 4, 7, 8, 10) }},
-		"a cursor is called too old too early":           {Expired, func(d day) { d.x.Expired(sec(12)) }},
-		"a message has another body":                     {Mixed, func(d day) { d.x.Got(msg(10), "x", Place{}, sec(11)) }},
-		"a message was never sent":                       {Mixed, func(d day) { d.got(d.x, 11) }},
-		"a message names another sender":                 {Mixed, func(d day) { d.x.Got(Message{"kept/a", "u", 10}, body(10), Place{}, sec(11)) }},
-		"a message names another topic":                  {Mixed, func(d day) { d.x.Got(Message{"kept/b", "v", 10}, body(10), Place{}, sec(11)) }},
-		"a message comes on a topic that was left":       {Mixed, func(d day) { d.Stray("w", msg(10), sec(11)) }},
-		"an answer comes to what was never sent":         {Mixed, func(d day) { d.Accepted(msg(30), sec(11)) }},
-		"a message comes whose tries were turned away":   {Refused, func(d day) { d.Rejected(msg(8)) }},
-		"more are counted than ever were there":          {Count, func(d day) { d.Count("kept/a", 5, sec(8), sec(8), false) }},
+		"a message comes twice":                       {Twice, func(d day) { d.got(d.x, 10) }},
+		"a message comes again on a later connection": {Twice, func(d day) { d.w.Joined(sec(9)); d.got(d.w, 1) }},
+		"a message comes after a later one": {Order, func(d day) {
+			d.x.got[1], d.x.got[2] = d.x.got[2], d.x.got[1]
+		}},
+		"an owed message is passed over": {Order, func(d day) {
+			d.x.got = append(d.x.got[:1], d.x.got[2:]...)
+		}},
+		"visitors see two lines": {Order, func(d day) { two(d) }},
+		"an owed message is missing at the end": {Lost, func(d day) {
+			d.x.got = d.x.got[:5]
+			delete(d.x.have, msg(10))
+		}},
+		"a late visitor misses a message": {Lost, func(d day) {
+			s := d.OpenLate("l", msg(1), sec(2))
+			s.Joined(sec(19))
+			d.got(s, 4, 7, 8, 10)
+		}},
+		"a cursor is called too old too early": {Expired, func(d day) { d.x.Expired(sec(12)) }},
+		"a message has another body":           {Mixed, func(d day) { d.x.Got(msg(10), "x", Place{}, sec(11)) }},
+		"a message was never sent":             {Mixed, func(d day) { d.got(d.x, 11) }},
+		"a message names another sender": {Mixed, func(d day) {
+			d.x.Got(Message{"kept/a", "u", 10}, body(10), Place{}, sec(11))
+		}},
+		"a message names another topic": {Mixed, func(d day) {
+			d.x.Got(Message{"kept/b", "v", 10}, body(10), Place{}, sec(11))
+		}},
+		"a message comes on a topic that was left":     {Mixed, func(d day) { d.Stray("w", msg(10), sec(11)) }},
+		"an answer comes to what was never sent":       {Mixed, func(d day) { d.Accepted(msg(30), sec(11)) }},
+		"a message comes whose tries were turned away": {Refused, func(d day) { d.Rejected(msg(8)) }},
+		"more are counted than ever were there": {Count, func(d day) {
+			d.Count("kept/a", 5, sec(8), sec(8), false)
+		}},
 		"fewer are counted than were there all the time": {Count, func(d day) { d.Count("kept/a", 1, sec(8), sec(8), true) }},
 	}
 	for n, f := range withdrawals {
--- a/internal/testing/deliverycheck/withdrawn.go
+++ b/internal/testing/deliverycheck/withdrawn.go
@@ -59,7 +59,8 @@
 	w.checker.tally.Void++
 	w.void = true
 	if !w.fixed.IsZero() {
-		w.checker.addViolation(Withdrawn, "the withdrawal %d of %s by %s was told to stand, and then to be void", w.Call, w.Topic, w.By)
+		w.checker.addViolation(Withdrawn, "the withdrawal %d of %s by %s was told to stand, and then to be void",
+			w.Call, w.Topic, w.By)
 	}
 }
 
@@ -82,7 +83,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !slices.ContainsFunc(b.drawn[topic], func(w *Withdrawal) bool { return w.Key == key && !w.asked.After(now) }) {
-		b.addViolation(Mixed, "%s was told at %s that %s of %s was withdrawn, which nobody asked", client, now.Format("04:05.000"), key, topic)
+		b.addViolation(Mixed, "%s was told at %s that %s of %s was withdrawn, which nobody asked", client,
+			now.Format("04:05.000"), key, topic)
 	}
 }
 
@@ -145,12 +147,15 @@
 				continue
 			}
 			if m.From == w.Of && m.CallSeq <= w.Upto && x.at.After(w.confirmed) && !x.accepted.IsZero() {
-				b.addViolation(Withdrawn, "%v was taken at %s, which %s passed over before it came", m, x.accepted.Format("04:05.000"), w.By)
+				b.addViolation(Withdrawn, "%v was taken at %s, which %s passed over before it came", m,
+					x.accepted.Format("04:05.000"), w.By)
 			}
 			for _, s := range b.sessions {
 				for _, g := range s.got {
 					if g.message == m && g.at.After(w.confirmed) {
-						b.addViolation(Withdrawn, "%s was shown %v under %s at %s, withdrawn by %s as %d, which was told to be forgotten at %s", s.client, m, w.Key, g.at.Format("04:05.000000"), w.By, w.Call, w.confirmed.Format("04:05.000000"))
+						b.addViolation(Withdrawn,
+							"%s was shown %v under %s at %s, withdrawn by %s as %d, which was told to be forgotten at %s", s.client,
+							m, w.Key, g.at.Format("04:05.000000"), w.By, w.Call, w.confirmed.Format("04:05.000000"))
 					}
 				}
 			}
--- a/internal/testing/deliverycheck/withdrawn_test.go
+++ b/internal/testing/deliverycheck/withdrawn_test.go
@@ -93,7 +93,8 @@
 		d.withdraw("w", 1, 12).Void()
 	}},
 	"a number that was passed over is taken": {Withdrawn, func(d day) {
-		d.Withdraw(Withdrawal{Topic: "kept/a", Key: "k", By: "w", Call: 1, Of: "u", Upto: 5}, sec(11)).Forgotten(Place{}, sec(12))
+		d.Withdraw(Withdrawal{Topic: "kept/a", Key: "k", By: "w", Call: 1, Of: "u", Upto: 5},
+			sec(11)).Forgotten(Place{}, sec(12))
 		d.shows(d.keyed("u", 5, 13), 13.2, d.x)
 	}},
 	"a message of the named sender is shown after the yes": {Withdrawn, func(d day) {
--- a/internal/testing/fleet/faults.go
+++ b/internal/testing/fleet/faults.go
@@ -86,7 +86,9 @@
 		return killAll(ctx, f.choose(rng, 3+rng.IntN(3), func(*Process) bool { return true }), downtime(rng)/2)
 	}
 	faults["reset"] = func(ctx context.Context, d *Day, f *Fleet, _ *Process, rng *rand.Rand) error {
-		return killAll(ctx, f.choose(rng, len(f.Processes), func(p *Process) bool { return p.Opts.Disk == settings.DiskNone }), time.Second)
+		return killAll(ctx, f.choose(rng, len(f.Processes), func(p *Process) bool {
+			return p.Opts.Disk == settings.DiskNone
+		}), time.Second)
 	}
 	faults["fleet"] = func(ctx context.Context, d *Day, f *Fleet, _ *Process, rng *rand.Rand) error {
 		return killAll(ctx, f.Processes, time.Second)
--- a/internal/testing/fleet/fleet.go
+++ b/internal/testing/fleet/fleet.go
@@ -128,7 +128,8 @@
 				edit(&o)
 			}
 			t := &http.Transport{MaxIdleConnsPerHost: 256, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
-			p := &Process{Name: o.Name, Opts: o, bin: bin, dir: dir, file: filepath.Join(dir, o.Name+".json"), port: &transport.HTTP{Base: "http://" + o.Listen, Client: &http.Client{Transport: t}}}
+			p := &Process{Name: o.Name, Opts: o, bin: bin, dir: dir, file: filepath.Join(dir, o.Name+".json"),
+				port: &transport.HTTP{Base: "http://" + o.Listen, Client: &http.Client{Transport: t}}}
 			f.Processes = append(f.Processes, p)
 			f.byName[o.Name] = p
 		}
--- a/internal/testing/fleet/fleet_test.go
+++ b/internal/testing/fleet/fleet_test.go
@@ -43,19 +43,26 @@
 // A day of real processes with one machine of each kind killed.
 func TestDayWithKills(t *testing.T) {
 	f := start(t, build(t))
-	d := &Day{Load: sim.Load{Callers: 40, Topics: 30, LiveTopics: 4, Leads: 2, Every: time.Second}, Seed: 5, Length: 24 * time.Second, Interval: 4 * time.Second, Faults: []string{"kill", "stop"}, Out: testWriter{t}}
+	d := &Day{Load: sim.Load{Callers: 40, Topics: 30, LiveTopics: 4, Leads: 2, Every: time.Second}, Seed: 5,
+		Length: 24 * time.Second, Interval: 4 * time.Second, Faults: []string{"kill", "stop"}, Out: testWriter{t}}
 	r, err := d.Run(context.Background(), f)
 	assert.NilError(t, err)
 	for _, v := range r.Violations {
 		t.Errorf("%s: %s", v.Line, v.Message)
 	}
 	assert.Assert(t, r.Accepted > 300, "taken %d", r.Accepted)
-	t.Logf("taken %d receipts %d longest wait to be taken %s, longest wait %s (%s at %s from %s on), undisturbed %s, the machine stood still for %s", r.Accepted, r.Receipts, max(r.Routine.Max, r.Urgent.Max),
-		r.Longest.Total, r.Longest.Kind, r.Longest.Place, r.Longest.From.Format("04:05.000"), r.LongestUndisturbed.Undisturbed, d.Stalled)
-	assert.Assert(t, r.LongestUndisturbed.Undisturbed < settings.DefaultTiming.Recovery, "%s at %s waited %s with nothing new going wrong", r.LongestUndisturbed.Kind, r.LongestUndisturbed.Place, r.LongestUndisturbed.Undisturbed)
+	t.Logf("taken %d receipts %d longest wait to be taken %s, longest wait %s (%s at %s from %s on), "+
+		"undisturbed %s, the machine stood still for %s",
+		r.Accepted, r.Receipts, max(r.Routine.Max, r.Urgent.Max),
+		r.Longest.Total, r.Longest.Kind, r.Longest.Place, r.Longest.From.Format("04:05.000"),
+		r.LongestUndisturbed.Undisturbed, d.Stalled)
+	assert.Assert(t, r.LongestUndisturbed.Undisturbed < settings.DefaultTiming.Recovery,
+		"%s at %s waited %s with nothing new going wrong", r.LongestUndisturbed.Kind, r.LongestUndisturbed.Place,
+		r.LongestUndisturbed.Undisturbed)
 	// Where the machine under the fleet stood still by itself, the wait as a whole says nothing of
 	// the fleet.
-	assert.Assert(t, d.Stalled > 0 || max(r.Routine.Max, r.Urgent.Max) < settings.DefaultTiming.Recovery, "a caller waited %s", max(r.Routine.Max, r.Urgent.Max))
+	assert.Assert(t, d.Stalled > 0 || max(r.Routine.Max, r.Urgent.Max) < settings.DefaultTiming.Recovery,
+		"a caller waited %s", max(r.Routine.Max, r.Urgent.Max))
 }
 
 type testWriter struct{ t *testing.T }
--- a/internal/testing/fleet/links.go
+++ b/internal/testing/fleet/links.go
@@ -41,7 +41,8 @@
 	if on {
 		most = 1
 	}
-	return apierror.Wrap(apierror.Internal, unix.Prlimit(c.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: most, Max: math.MaxUint64}, nil), "limit the files of %s", p.Name)
+	return apierror.Wrap(apierror.Internal, unix.Prlimit(c.Process.Pid, unix.RLIMIT_FSIZE,
+		&unix.Rlimit{Cur: most, Max: math.MaxUint64}, nil), "limit the files of %s", p.Name)
 }
 
 func (f *Fleet) ask(ctx context.Context, method, path, doc string) (string, error) {
--- a/internal/testing/fleet/relay.go
+++ b/internal/testing/fleet/relay.go
@@ -39,7 +39,8 @@
 
 func newRelay(apart time.Duration) *Relay {
 	ctx, stop := context.WithCancel(context.Background())
-	return &Relay{ctx: ctx, stop: stop, healed: make(chan struct{}), roundTrip: apart, zones: map[string]string{}, cuts: map[[2]string]bool{}, conns: map[string]map[net.Conn]bool{}, moved: map[string]uint64{}}
+	return &Relay{ctx: ctx, stop: stop, healed: make(chan struct{}), roundTrip: apart, zones: map[string]string{},
+		cuts: map[[2]string]bool{}, conns: map[string]map[net.Conn]bool{}, moved: map[string]uint64{}}
 }
 
 // serve opens the address under which the others reach a machine.
--- a/internal/testing/fleet/relay_test.go
+++ b/internal/testing/fleet/relay_test.go
@@ -65,7 +65,8 @@
 }
 
 func TestRelayHoldsWhatIsCutUntilItIsMended(t *testing.T) {
-	for name, cut := range map[string][2]string{"there": {"a", "b"}, "back": {"b", "a"}, "all to": {all, "b"}, "all from": {"a", all}} {
+	for name, cut := range map[string][2]string{"there": {"a", "b"}, "back": {"b", "a"}, "all to": {all, "b"},
+		"all from": {"a", all}} {
 		t.Run(name, func(t *testing.T) {
 			came := make(chan bool, 1)
 			r, call := between(t, 0, func(s string) { came <- s == "held" })
--- a/internal/testing/fleet/sessions.go
+++ b/internal/testing/fleet/sessions.go
@@ -62,7 +62,8 @@
 }
 
 func (a lineResponse) answer() session.Response {
-	x := session.Response{Type: a.What, InReplyTo: a.Re, Topic: a.Topic, From: a.From, CallSeq: a.Call, Cursor: a.Cursor, Key: a.Key, Count: a.Count, Body: []byte(a.Body), Address: a.Address}
+	x := session.Response{Type: a.What, InReplyTo: a.Re, Topic: a.Topic, From: a.From, CallSeq: a.Call,
+		Cursor: a.Cursor, Key: a.Key, Count: a.Count, Body: []byte(a.Body), Address: a.Address}
 	if a.Code != "" {
 		x.Err = &apierror.Error{Code: a.Code, Message: a.Say}
 	}
@@ -81,7 +82,8 @@
 
 // Do sends a task.
 func (l *lineConn) Do(t session.Request) {
-	q := lineRequest{Verb: t.Verb, Client: t.Client, Topic: t.Topic, Cursor: t.Cursor, Call: t.CallSeq, Key: t.Key, Of: t.WithdrawSender, Upto: t.WithdrawUpTo}
+	q := lineRequest{Verb: t.Verb, Client: t.Client, Topic: t.Topic, Cursor: t.Cursor, Call: t.CallSeq, Key: t.Key,
+		Of: t.WithdrawSender, Upto: t.WithdrawUpTo}
 	if t.Verb == session.Send {
 		s := string(t.Body)
 		q.Body = &s
@@ -165,17 +167,18 @@
 }
 
 func (v *Sessions) endpoint(p *Process) simclient.Endpoint {
-	return simclient.Endpoint{Address: p.Opts.ClientListen, Connect: func(hear func(session.Response, time.Time), broken func()) simclient.Line {
-		c, err := (&net.Dialer{Timeout: time.Second}).DialContext(v.ctx, "tcp", p.Opts.ClientListen)
-		if err != nil {
-			return nil
-		}
-		l := &lineConn{c: c, more: make(chan struct{}, 1), ended: make(chan struct{})}
-		v.wg.Go(l.write)
-		v.wg.Go(func() { l.read(hear, broken) })
-		context.AfterFunc(v.ctx, l.End)
-		return l
-	}}
+	return simclient.Endpoint{Address: p.Opts.ClientListen,
+		Connect: func(hear func(session.Response, time.Time), broken func()) simclient.Line {
+			c, err := (&net.Dialer{Timeout: time.Second}).DialContext(v.ctx, "tcp", p.Opts.ClientListen)
+			if err != nil {
+				return nil
+			}
+			l := &lineConn{c: c, more: make(chan struct{}, 1), ended: make(chan struct{})}
+			v.wg.Go(l.write)
+			v.wg.Go(func() { l.read(hear, broken) })
+			context.AfterFunc(v.ctx, l.End)
+			return l
+		}}
 }
 
 // StartSessions lets n visitors in, who follow and send on topics of a load until Leave.
@@ -186,13 +189,15 @@
 	v.sends, v.quiet = context.WithCancel(v.ctx)
 	for i := range n {
 		r := rand.New(rand.NewPCG(seed, uint64(i)+1000))
-		x := &simclient.Client{Name: fmt.Sprintf("g%d", i), Habits: sim.Habits(), Rand: r, Endpoints: v.endpoints, Checker: v.Checker, Calm: func() bool { return false }}
+		x := &simclient.Client{Name: fmt.Sprintf("g%d", i), Habits: sim.Habits(), Rand: r, Endpoints: v.endpoints,
+			Checker: v.Checker, Calm: func() bool { return false }}
 		x.Habits.WithdrawInterval = 3 * time.Second
 		for _, k := range r.Perm(l.Topics)[:min(l.Topics, 3+r.IntN(3))] {
 			x.Follow = append(x.Follow, simclient.Topic{Name: fmt.Sprintf("kept/t%d", k), Kept: true})
 		}
 		for k := range 2 {
-			x.Lanes = append(x.Lanes, simclient.Lane{Topic: fmt.Sprintf("kept/t%d", (i+7*k)%l.Topics), Window: 1 + 3*(i%2), Interval: l.Every / time.Duration(1+3*(i%2))})
+			x.Lanes = append(x.Lanes, simclient.Lane{Topic: fmt.Sprintf("kept/t%d", (i+7*k)%l.Topics),
+				Window: 1 + 3*(i%2), Interval: l.Every / time.Duration(1+3*(i%2))})
 		}
 		v.wg.Go(func() { x.Run(v.ctx, v.sends) })
 	}
--- a/internal/testing/fleet/sessions_test.go
+++ b/internal/testing/fleet/sessions_test.go
@@ -65,10 +65,12 @@
 	}
 	for n, s := range map[string][2]time.Time{"calm": {calm, cut}, "with a router cut off": {cut, mended}} {
 		ds, open := v.Checker.Marks(s[0], s[1])
-		t.Logf("%s: %d withdrawals told to be forgotten, p50 %s p99 %s, %d not", n, len(ds), quantile(ds, 0.5), quantile(ds, 0.99), open)
+		t.Logf("%s: %d withdrawals told to be forgotten, p50 %s p99 %s, %d not", n, len(ds), quantile(ds, 0.5),
+			quantile(ds, 0.99), open)
 	}
 	t.Logf("%+v", r)
-	assert.Assert(t, r.Accepted > 100 && r.Got > 300 && r.Forgotten > 10 && r.Covered > 10, "too little was seen to prove anything")
+	assert.Assert(t, r.Accepted > 100 && r.Got > 300 && r.Forgotten > 10 && r.Covered > 10,
+		"too little was seen to prove anything")
 	_, held, _ := f.Relay.Counts()
 	assert.Assert(t, held > 0, "void: nothing was cut")
 }
--- a/internal/testing/fleet/totals.go
+++ b/internal/testing/fleet/totals.go
@@ -21,8 +21,11 @@
 		}
 		return float64(a) / float64(b)
 	}
-	return fmt.Sprintf("counters since each start: records %d syncs %d taken %d, syncs per message %.2f, records per sync %.2f, changelog batches %d, items per message %.2f, streams %d",
-		s.Records, s.Batches, s.Taken, ratio(s.Batches, s.Taken), ratio(s.Records, s.Batches), s.ChangelogBatches, ratio(s.ChangelogItems, s.Taken), s.Streams)
+	return fmt.Sprintf(
+		"counters since each start: records %d syncs %d taken %d, syncs per message %.2f, records per sync "+
+			"%.2f, changelog batches %d, items per message %.2f, streams %d",
+		s.Records, s.Batches, s.Taken, ratio(s.Batches, s.Taken), ratio(s.Records, s.Batches), s.ChangelogBatches,
+		ratio(s.ChangelogItems, s.Taken), s.Streams)
 }
 
 // Totals adds the counters of all machines up.
@@ -54,7 +57,8 @@
 		}
 		s.Records, s.Batches, s.Streams = s.Records+c.Journal.Records, s.Batches+c.Journal.Batches, s.Streams+c.Streams
 		for _, o := range c.Owners {
-			s.Taken, s.ChangelogBatches, s.ChangelogItems = s.Taken+o.Tally.Taken, s.ChangelogBatches+o.Tally.Batches, s.ChangelogItems+o.Tally.Items
+			s.Taken, s.ChangelogBatches, s.ChangelogItems = s.Taken+o.Tally.Taken, s.ChangelogBatches+o.Tally.Batches,
+				s.ChangelogItems+o.Tally.Items
 		}
 	}
 	return s, nil
--- a/internal/testing/history/history.go
+++ b/internal/testing/history/history.go
@@ -90,8 +90,10 @@
 // New makes an empty history.
 func New() *History {
 	return &History{
-		sent: map[Message]*sent{}, refused: map[Message]map[string]bool{}, subs: map[string]*sub{}, seen: map[string]uint64{}, accepted: map[uint64]time.Time{}, bases: map[uint64]acceptedConfiguration{},
-		open: map[uint64]pending{}, covered: map[string]int{}, acknowledged: map[string][]time.Duration{}, leaders: map[term]string{}, promised: map[string]promise{},
+		sent: map[Message]*sent{}, refused: map[Message]map[string]bool{}, subs: map[string]*sub{},
+		seen: map[string]uint64{}, accepted: map[uint64]time.Time{}, bases: map[uint64]acceptedConfiguration{},
+		open: map[uint64]pending{}, covered: map[string]int{}, acknowledged: map[string][]time.Duration{},
+		leaders: map[term]string{}, promised: map[string]promise{},
 		passed: map[Message]bool{}, tries: map[Message]tries{},
 	}
 }
@@ -211,7 +213,8 @@
 	defer h.mu.Unlock()
 	was, ok := h.bases[base]
 	if ok && (was.seq != seq || was.doc != doc) {
-		h.violate(Invalid, "two descriptions on base %d were accepted: %d at %s and %d at %s", base, was.seq, was.at, seq, now)
+		h.violate(Invalid, "two descriptions on base %d were accepted: %d at %s and %d at %s", base, was.seq, was.at,
+			seq, now)
 	}
 	if _, twice := h.accepted[seq]; twice && !ok {
 		h.violate(Invalid, "description %d was accepted on two bases, the second is %d, at %s", seq, base, now)
@@ -409,7 +412,8 @@
 				continue
 			}
 			if !have[m] {
-				h.violate(Lost, "%s never got %v, told taken at %d/%d on %s", v, m, x.partition, x.offset, x.done.Format("15:04:05.000"))
+				h.violate(Lost, "%s never got %v, told taken at %d/%d on %s", v, m, x.partition, x.offset,
+					x.done.Format("15:04:05.000"))
 			}
 		}
 	}
--- a/internal/testing/history/places.go
+++ b/internal/testing/history/places.go
@@ -109,7 +109,8 @@
 	for s, l := range x.line {
 		for i := 1; i < len(l); i++ {
 			if l[i].call <= l[i-1].call {
-				h.violate(Order, "the ledger holds call %d of %s on %s at %s, after call %d at %s", l[i].call, s.from, s.topic, l[i].place, l[i-1].call, l[i-1].place)
+				h.violate(Order, "the ledger holds call %d of %s on %s at %s, after call %d at %s", l[i].call, s.from,
+					s.topic, l[i].place, l[i-1].call, l[i-1].place)
 			}
 		}
 	}
--- a/internal/testing/history/plant_test.go
+++ b/internal/testing/history/plant_test.go
@@ -47,7 +47,8 @@
 	h.Show("a1#1", 1, sec(4), 3*time.Second)
 	h.Show("a1#1", 2, sec(5), 3*time.Second)
 	h.ReadBack(2, sec(6))
-	h.Reread(Reading{Through: "a1", Topics: map[string]bool{"kept/a": true}, Since: sec(0.5), Got: []Receipt{got(1), got(2), got(3)}})
+	h.Reread(Reading{Through: "a1", Topics: map[string]bool{"kept/a": true}, Since: sec(0.5),
+		Got: []Receipt{got(1), got(2), got(3)}})
 	return h
 }
 
@@ -82,19 +83,32 @@
 		line  string
 		plant func(h *History)
 	}{
-		"a subscriber gets a message twice":            {Twice, func(h *History) { h.Receive("w", got(2)) }},
-		"a fresh subscriber gets a message twice":      {Twice, reread(got(1), got(2), got(2), got(3))},
-		"a message comes after a later one":            {Order, func(h *History) { h.subs["w"].got[0], h.subs["w"].got[1] = got(2), got(1) }},
-		"a message is answered with two places":        {Order, func(h *History) { h.AcceptMessage(msg(1), 1, 99, sec(5)) }},
-		"a message is read back at another place":      {Order, reread(got(1), got(2), moved)},
-		"a taken message never arrives":                {Lost, func(h *History) { h.subs["w"].got = h.subs["w"].got[:2] }},
-		"a taken message can't be read back":           {Lost, reread(got(1), got(2))},
-		"a returning subscriber misses a message":      {Missed, func(h *History) { h.subs["w"].got = append(h.subs["w"].got[:1], h.subs["w"].got[2]) }},
-		"an old owner says yes after a new one opened": {Fenced, func(h *History) { h.Decide(Decision{"s1", 1, 1, "taken", sec(2.5), sec(2.6)}) }},
-		"an old owner says a final no after that":      {Fenced, func(h *History) { h.Decide(Decision{"s1", 1, 1, "no: call_passed", sec(2.5), sec(2.6)}) }},
-		"an old owner vouches after that":              {Fenced, func(h *History) { h.Decide(Decision{"s1", 1, 1, "vouched", sec(2.5), sec(2.6)}) }},
-		"a message stands at two places":               {Twice, func(h *History) { other(h, elsewhere) }},
-		"calls stand in the ledger out of their order": {Order, func(h *History) { h.Send(msg(4), body(4), false, sec(4)); h.AcceptMessage(msg(4), 1, 10, sec(4.1)) }},
+		"a subscriber gets a message twice":       {Twice, func(h *History) { h.Receive("w", got(2)) }},
+		"a fresh subscriber gets a message twice": {Twice, reread(got(1), got(2), got(2), got(3))},
+		"a message comes after a later one": {Order, func(h *History) {
+			h.subs["w"].got[0], h.subs["w"].got[1] = got(2), got(1)
+		}},
+		"a message is answered with two places":   {Order, func(h *History) { h.AcceptMessage(msg(1), 1, 99, sec(5)) }},
+		"a message is read back at another place": {Order, reread(got(1), got(2), moved)},
+		"a taken message never arrives":           {Lost, func(h *History) { h.subs["w"].got = h.subs["w"].got[:2] }},
+		"a taken message can't be read back":      {Lost, reread(got(1), got(2))},
+		"a returning subscriber misses a message": {Missed, func(h *History) {
+			h.subs["w"].got = append(h.subs["w"].got[:1], h.subs["w"].got[2])
+		}},
+		"an old owner says yes after a new one opened": {Fenced, func(h *History) {
+			h.Decide(Decision{"s1", 1, 1, "taken", sec(2.5), sec(2.6)})
+		}},
+		"an old owner says a final no after that": {Fenced, func(h *History) {
+			h.Decide(Decision{"s1", 1, 1, "no: call_passed", sec(2.5), sec(2.6)})
+		}},
+		"an old owner vouches after that": {Fenced, func(h *History) {
+			h.Decide(Decision{"s1", 1, 1, "vouched", sec(2.5), sec(2.6)})
+		}},
+		"a message stands at two places": {Twice, func(h *History) { other(h, elsewhere) }},
+		"calls stand in the ledger out of their order": {Order, func(h *History) {
+			h.Send(msg(4), body(4), false, sec(4))
+			h.AcceptMessage(msg(4), 1, 10, sec(4.1))
+		}},
 		"a subscriber misses what only another got": {Missed, func(h *History) {
 			h.Send(msg(4), body(4), false, sec(4))
 			h.Send(msg(6), body(6), false, sec(6))
@@ -107,28 +121,67 @@
 			h.Send(msg(4), body(4), false, sec(4))
 			h.AcceptMessage(msg(4), 1, 14, sec(4.1))
 		}},
-		"a message arrives, its every try turned away":   {Foreign, func(h *History) { h.Try(msg(2)); h.Try(msg(2)); h.Reject(msg(2)); h.Reject(msg(2)) }},
-		"a message with gaps is given out behind itself": {Order, func(h *History) { h.Send(msg(9), body(9), false, sec(4)); other(h, got(9), got(3)) }},
-		"a node decides under another's epoch":           {Fenced, func(h *History) { h.Decide(Decision{"s3", 1, 2, "taken", sec(3), sec(3.1)}) }},
-		"an epoch has two owners":                        {Fenced, func(h *History) { h.Lead(1, 2, "s3") }},
-		"one place holds two messages":                   {Fenced, func(h *History) { h.Send(msg(4), body(4), false, sec(4)); h.AcceptMessage(msg(4), 1, 13, sec(4.1)) }},
-		"a disk says yes below what it said yes to":      {Disk, func(h *History) { h.Promise("disk", "partition 1", Rank{Number: 1}, sec(3), sec(3.1)) }},
-		"a message arrives with another body":            {Foreign, func(h *History) { h.subs["w"].got[1].Body = `"x"` }},
-		"a message arrives that nobody sent":             {Foreign, func(h *History) { h.subs["w"].got[2].From = "x" }},
-		"a message arrives on a topic not asked for":     {Foreign, func(h *History) { h.subs["w"].got[2].Topic = "kept/b" }},
-		"a refused message arrives":                      {Foreign, func(h *History) { h.sent[msg(3)].outcome = Refused; h.Refuse(msg(3), body(3)) }},
-		"a node shows an old description too long":       {Spread, func(h *History) { h.Show("a2#1", 1, sec(5.1), 3*time.Second) }},
-		"a node's description slips back":                {Spread, func(h *History) { h.Show("a1#1", 1, sec(4.5), 3*time.Second) }},
-		"a removed topic is served too long":             {Spread, func(h *History) { h.Effect("a1", 1, sec(5.1), 3*time.Second, "took a message on a removed topic") }},
-		"one base is accepted twice":                     {Invalid, func(h *History) { h.AcceptConfiguration(1, 2, "other", sec(7)) }},
-		"one base is accepted under two numbers":         {Invalid, func(h *History) { h.AcceptConfiguration(1, 3, "two", sec(7)) }},
-		"one number is accepted on two bases":            {Invalid, func(h *History) { h.AcceptConfiguration(3, 2, "two", sec(7)) }},
-		"an invalid description is applied":              {Invalid, func(h *History) { h.Apply("a1", 2, "spaces of the loser", "spaces of the winner") }},
-		"an older description is read back":              {Readback, func(h *History) { h.ReadBack(1, sec(7)) }},
-		"a wait outlasts the bound":                      {Recovery, func(h *History) { h.Begin(WaitAccept, "kept/a", sec(-3))(sec(9.5)) }},
-		"a call is never answered":                       {Recovery, func(h *History) { h.Begin(WaitAttach, "w", sec(-2)) }},
-		"a wait outlasts the bound after the last fault": {Recovery, func(h *History) { h.Disturb("kill", sec(-5)); h.Begin(WaitOpen, "w", sec(-8))(sec(8)) }},
-		"an urgent call waits for routine work":          {Behind, func(h *History) { h.Overtaken("stop/line", "a routine turn", 2*time.Second, time.Second) }},
+		"a message arrives, its every try turned away": {Foreign, func(h *History) {
+			h.Try(msg(2))
+			h.Try(msg(2))
+			h.Reject(msg(2))
+			h.Reject(msg(2))
+		}},
+		"a message with gaps is given out behind itself": {Order, func(h *History) {
+			h.Send(msg(9), body(9), false, sec(4))
+			other(h, got(9), got(3))
+		}},
+		"a node decides under another's epoch": {Fenced, func(h *History) {
+			h.Decide(Decision{"s3", 1, 2, "taken", sec(3), sec(3.1)})
+		}},
+		"an epoch has two owners": {Fenced, func(h *History) { h.Lead(1, 2, "s3") }},
+		"one place holds two messages": {Fenced, func(h *History) {
+			h.Send(msg(4), body(4), false, sec(4))
+			h.AcceptMessage(msg(4), 1, 13, sec(4.1))
+		}},
+		"a disk says yes below what it said yes to": {Disk, func(h *History) {
+			h.Promise("disk", "partition 1", Rank{Number: 1}, sec(3), sec(3.1))
+		}},
+		"a message arrives with another body":        {Foreign, func(h *History) { h.subs["w"].got[1].Body = `"x"` }},
+		"a message arrives that nobody sent":         {Foreign, func(h *History) { h.subs["w"].got[2].From = "x" }},
+		"a message arrives on a topic not asked for": {Foreign, func(h *History) { h.subs["w"].got[2].Topic = "kept/b" }},
+		"a refused message arrives": {Foreign, func(h *History) {
+			h.sent[msg(3)].outcome = Refused
+			h.Refuse(msg(3), body(3))
+		}},
+		"a node shows an old description too long": {Spread, func(h *History) {
+			h.Show("a2#1", 1, sec(5.1), 3*time.Second)
+		}},
+		"a node's description slips back": {Spread, func(h *History) {
+			h.Show("a1#1", 1, sec(4.5), 3*time.Second)
+		}},
+		"a removed topic is served too long": {Spread, func(h *History) {
+			h.Effect("a1", 1, sec(5.1), 3*time.Second, "took a message on a removed topic")
+		}},
+		"one base is accepted twice": {Invalid, func(h *History) {
+			h.AcceptConfiguration(1, 2, "other", sec(7))
+		}},
+		"one base is accepted under two numbers": {Invalid, func(h *History) {
+			h.AcceptConfiguration(1, 3, "two", sec(7))
+		}},
+		"one number is accepted on two bases": {Invalid, func(h *History) {
+			h.AcceptConfiguration(3, 2, "two", sec(7))
+		}},
+		"an invalid description is applied": {Invalid, func(h *History) {
+			h.Apply("a1", 2, "spaces of the loser", "spaces of the winner")
+		}},
+		"an older description is read back": {Readback, func(h *History) { h.ReadBack(1, sec(7)) }},
+		"a wait outlasts the bound": {Recovery, func(h *History) {
+			h.Begin(WaitAccept, "kept/a", sec(-3))(sec(9.5))
+		}},
+		"a call is never answered": {Recovery, func(h *History) { h.Begin(WaitAttach, "w", sec(-2)) }},
+		"a wait outlasts the bound after the last fault": {Recovery, func(h *History) {
+			h.Disturb("kill", sec(-5))
+			h.Begin(WaitOpen, "w", sec(-8))(sec(8))
+		}},
+		"an urgent call waits for routine work": {Behind, func(h *History) {
+			h.Overtaken("stop/line", "a routine turn", 2*time.Second, time.Second)
+		}},
 	}
 	hit := map[string]bool{}
 	for n, p := range planted {
--- a/internal/testing/history/trace.go
+++ b/internal/testing/history/trace.go
@@ -60,11 +60,15 @@
 	for _, v := range h.verdicts {
 		r.Decisions[v.What]++
 		if o, ok := h.leaders[term{v.Partition, v.Epoch}]; ok && o != v.Node {
-			h.violate(Fenced, "%s said %q for partition %d under epoch %d, which is %s's", v.Node, v.What, v.Partition, v.Epoch, o)
+			h.violate(Fenced, "%s said %q for partition %d under epoch %d, which is %s's", v.Node, v.What, v.Partition,
+				v.Epoch, o)
 		}
 		for _, o := range opened[v.Partition] {
 			if o.Epoch > v.Epoch && v.Begun.After(o.Acknowledged) {
-				h.violate(Fenced, "%s said %q for partition %d under epoch %d, asked at %s, after %s had opened it under epoch %d at %s", v.Node, v.What, v.Partition, v.Epoch, v.Begun.Format("04:05.000000"), o.Node, o.Epoch, o.Acknowledged.Format("04:05.000000"))
+				h.violate(Fenced,
+					"%s said %q for partition %d under epoch %d, asked at %s, after %s had opened it under epoch %d at %s",
+					v.Node, v.What, v.Partition, v.Epoch, v.Begun.Format("04:05.000000"), o.Node, o.Epoch,
+					o.Acknowledged.Format("04:05.000000"))
 			}
 		}
 	}
@@ -95,7 +99,8 @@
 	k := disk + " " + what
 	h.promises++
 	if v, ok := h.promised[k]; ok && r.less(v.rank) && begun.After(v.at) {
-		h.violate(Disk, "disk %s said yes to %s under %v at %s, after yes under %v at %s", disk, what, r, answered.Format("04:05.000000"), v.rank, v.at.Format("04:05.000000"))
+		h.violate(Disk, "disk %s said yes to %s under %v at %s, after yes under %v at %s", disk, what, r,
+			answered.Format("04:05.000000"), v.rank, v.at.Format("04:05.000000"))
 	}
 	if v, ok := h.promised[k]; !ok || v.rank.less(r) {
 		h.promised[k] = promise{r, answered, ok}
@@ -123,7 +128,8 @@
 		at, last := map[Message]string{}, map[int]uint64{}
 		for _, g := range x.Got {
 			if g.Offset <= last[g.Partition] {
-				h.violate(Order, "through %s, %v was read back at %d/%d after offset %d", x.Through, g.Message, g.Partition, g.Offset, last[g.Partition])
+				h.violate(Order, "through %s, %v was read back at %d/%d after offset %d", x.Through, g.Message, g.Partition,
+					g.Offset, last[g.Partition])
 			}
 			last[g.Partition] = g.Offset
 			if _, ok := at[g.Message]; ok {
@@ -140,7 +146,8 @@
 			}
 			p, ok := at[m]
 			if !ok && s.at.After(x.Since) {
-				h.violate(Lost, "through %s, %v was not read back, told taken at %d/%d on %s", x.Through, m, s.partition, s.offset, s.done.Format("04:05.000"))
+				h.violate(Lost, "through %s, %v was not read back, told taken at %d/%d on %s", x.Through, m, s.partition,
+					s.offset, s.done.Format("04:05.000"))
 			}
 			if ok && p != fmt.Sprintf("%d/%d", s.partition, s.offset) {
 				h.violate(Order, "through %s, %v was read back at %s, told taken at %d/%d", x.Through, m, p, s.partition, s.offset)
--- a/internal/testing/history/waits.go
+++ b/internal/testing/history/waits.go
@@ -93,7 +93,8 @@
 			r.LongestUndisturbed = *w
 		}
 		if h.Bound > 0 && w.Undisturbed > h.Bound {
-			h.violate(Recovery, "%s at %s took %s from %s on, %s of it with nothing new going wrong (still open: %v)", w.Kind, w.Place, w.Total, w.From.Format("04:05.000"), w.Undisturbed, w.Open)
+			h.violate(Recovery, "%s at %s took %s from %s on, %s of it with nothing new going wrong (still open: %v)",
+				w.Kind, w.Place, w.Total, w.From.Format("04:05.000"), w.Undisturbed, w.Open)
 		}
 	}
 	r.Acknowledged = map[string]Spans{}
--- a/internal/testing/httpclient/caller.go
+++ b/internal/testing/httpclient/caller.go
@@ -142,7 +142,8 @@
 				if l.Partition != nil {
 					p = *l.Partition
 				}
-				c.History.Receive(c.Name, history.Receipt{Message: history.Message{Topic: l.Topic, From: l.From, Call: l.CallSeq}, Body: string(l.Body), Partition: p, Offset: l.Offset, At: now})
+				c.History.Receive(c.Name, history.Receipt{Message: history.Message{Topic: l.Topic, From: l.From,
+					Call: l.CallSeq}, Body: string(l.Body), Partition: p, Offset: l.Offset, At: now})
 			}
 			return nil
 		})
@@ -215,8 +216,10 @@
 }
 
 var definite = map[apierror.Code]bool{
-	apierror.CallPassed: true, apierror.CallAltered: true, apierror.CallForgotten: true, apierror.UnknownTopic: true, apierror.UnknownSpace: true,
-	apierror.TokenFenced: true, apierror.TokenForeign: true, apierror.TokenMissing: true, apierror.Malformed: true, apierror.Oversize: true,
+	apierror.CallPassed: true, apierror.CallAltered: true, apierror.CallForgotten: true,
+	apierror.UnknownTopic: true, apierror.UnknownSpace: true,
+	apierror.TokenFenced: true, apierror.TokenForeign: true, apierror.TokenMissing: true, apierror.Malformed: true,
+	apierror.Oversize: true,
 }
 
 func (c *Caller) send(ctx context.Context, topic string, lane int) {
--- a/internal/testing/orders/orders.go
+++ b/internal/testing/orders/orders.go
@@ -91,7 +91,8 @@
 		if !o.end.IsZero() {
 			end = o.end.Sub(h.began).Nanoseconds()
 		}
-		ops = append(ops, porcupine.Operation{ClientId: i, Input: o, Output: o.outcome, Call: o.call.Sub(h.began).Nanoseconds(), Return: end})
+		ops = append(ops, porcupine.Operation{ClientId: i, Input: o, Output: o.outcome,
+			Call: o.call.Sub(h.began).Nanoseconds(), Return: end})
 	}
 	model := model()
 	return porcupine.CheckOperations(model.ToModel(), ops)
--- a/internal/testing/orders/orders_test.go
+++ b/internal/testing/orders/orders_test.go
@@ -37,7 +37,8 @@
 }
 
 func TestWhatOperatorsMayBeAnswered(t *testing.T) {
-	a, b, c := try{order: orderA, outcome: Acknowledged, from: 0, to: 1}, try{order: orderB, outcome: Acknowledged, from: 2, to: 3}, try{order: orderC, outcome: Refused, from: 4, to: 5}
+	a, b, c := try{order: orderA, outcome: Acknowledged, from: 0, to: 1},
+		try{order: orderB, outcome: Acknowledged, from: 2, to: 3}, try{order: orderC, outcome: Refused, from: 4, to: 5}
 	readA, readB := try{read: true, order: orderA, from: 6, to: 7}, try{read: true, order: orderB, from: 6, to: 7}
 	againA := try{order: orderA, outcome: Acknowledged, from: 4, to: 5}
 	lostA := try{order: orderA, outcome: Unclear, from: 0, to: 1}
@@ -45,13 +46,18 @@
 	assert.Assert(t, judged(a, b, againA, readB), "an accepted order is acknowledged again, and changes nothing")
 	assert.Assert(t, judged(lostA, b, readB), "an order without a clear answer was taken")
 	assert.Assert(t, judged(lostA, try{read: true, from: 6, to: 7}), "an order without a clear answer was not taken")
-	assert.Assert(t, judged(lostA, try{order: orderA, outcome: Acknowledged, from: 8, to: 9}, try{read: true, order: orderA, from: 2, to: 3}), "the first try was taken, a later one acknowledged")
+	assert.Assert(t, judged(lostA, try{order: orderA, outcome: Acknowledged, from: 8, to: 9},
+		try{read: true, order: orderA, from: 2, to: 3}), "the first try was taken, a later one acknowledged")
 
 	assert.Assert(t, !judged(a, b, readA), "an older configuration was read")
-	assert.Assert(t, !judged(a, b, try{order: orderC, outcome: Acknowledged, from: 4, to: 5}), "two orders on one base were acknowledged")
-	assert.Assert(t, !judged(a, b, try{order: orderA, outcome: Refused, from: 4, to: 5}), "an accepted order was refused when it was sent again")
+	assert.Assert(t, !judged(a, b, try{order: orderC, outcome: Acknowledged, from: 4, to: 5}),
+		"two orders on one base were acknowledged")
+	assert.Assert(t, !judged(a, b, try{order: orderA, outcome: Refused, from: 4, to: 5}),
+		"an accepted order was refused when it was sent again")
 	assert.Assert(t, !judged(a, c, try{read: true, order: orderC, from: 6, to: 7}), "a refused order is in force")
-	assert.Assert(t, !judged(a, try{order: orderC, outcome: Refused, from: 2, to: 3}, try{order: orderC, outcome: Acknowledged, from: 4, to: 5}), "a refused order was taken later")
-	assert.Assert(t, !judged(lostA, try{order: orderA, outcome: Refused, from: 2, to: 3}, readA), "a refused order came into force through a slow first try")
+	assert.Assert(t, !judged(a, try{order: orderC, outcome: Refused, from: 2, to: 3},
+		try{order: orderC, outcome: Acknowledged, from: 4, to: 5}), "a refused order was taken later")
+	assert.Assert(t, !judged(lostA, try{order: orderA, outcome: Refused, from: 2, to: 3}, readA),
+		"a refused order came into force through a slow first try")
 	assert.Assert(t, !judged(a, try{read: true, from: 6, to: 7}), "an acknowledged order is gone")
 }
--- a/internal/testing/sim/faults.go
+++ b/internal/testing/sim/faults.go
@@ -260,7 +260,8 @@
 	}
 	var ss []Step
 	for range 3 + r.IntN(3) {
-		s := Step{A: ns[r.IntN(len(ns))], B: ns[r.IntN(len(ns))], SeedA: r.Uint64(), SeedB: r.Uint64(), Between: span(0, 30), Duration: span(5, 90), Gap: span(0, 20), Rest: span(10, 60)}
+		s := Step{A: ns[r.IntN(len(ns))], B: ns[r.IntN(len(ns))], SeedA: r.Uint64(), SeedB: r.Uint64(),
+			Between: span(0, 30), Duration: span(5, 90), Gap: span(0, 20), Rest: span(10, 60)}
 		if r.IntN(3) == 0 || s.A == "wipe" && s.B == "wipe" {
 			s.B = ""
 		}
--- a/internal/testing/sim/lineclients.go
+++ b/internal/testing/sim/lineclients.go
@@ -183,17 +183,19 @@
 }
 
 func (g *LineClients) endpoint(m *Machine) simclient.Endpoint {
-	return simclient.Endpoint{Address: m.Opts.ClientListen, Connect: func(hear func(session.Response, time.Time), broken func()) simclient.Line {
-		if s := g.connect(m, false, hear, broken); s != nil {
-			return s
-		}
-		return nil
-	}}
+	return simclient.Endpoint{Address: m.Opts.ClientListen,
+		Connect: func(hear func(session.Response, time.Time), broken func()) simclient.Line {
+			if s := g.connect(m, false, hear, broken); s != nil {
+				return s
+			}
+			return nil
+		}}
 }
 
 // connect opens a connection to a machine, nil where nobody takes it. A scripted one is never drawn
 // to rest, from its first moment on.
-func (g *LineClients) connect(m *Machine, scripted bool, hear func(session.Response, time.Time), broken func()) *lineSession {
+func (g *LineClients) connect(m *Machine, scripted bool, hear func(session.Response, time.Time),
+	broken func()) *lineSession {
 	sv := m.services()
 	p, run := m.lines()
 	if p == nil || sv == nil {
@@ -203,7 +205,8 @@
 	if c == nil {
 		return nil
 	}
-	s := &lineSession{clients: g, m: m, run: run, c: c, receive: hear, over: broken, dead: make(chan struct{}), more: make(chan struct{}, 1), scripted: scripted}
+	s := &lineSession{clients: g, m: m, run: run, c: c, receive: hear, over: broken, dead: make(chan struct{}),
+		more: make(chan struct{}, 1), scripted: scripted}
 	g.mu.Lock()
 	g.entered++
 	s.n = g.entered
@@ -258,15 +261,18 @@
 // Habits are those of the platform's clients.
 func Habits() simclient.Habits {
 	return simclient.Habits{
-		Keepalive: 2 * time.Second, ResponseTimeout: 1500 * time.Millisecond, SubscribeTimeout: 2 * time.Second, Deadline: 6 * time.Second,
-		ChangeInterval: 20 * time.Second, AwayInterval: 30 * time.Second, CountInterval: 10 * time.Second, MaxAbsence: 10 * time.Second,
+		Keepalive: 2 * time.Second, ResponseTimeout: 1500 * time.Millisecond, SubscribeTimeout: 2 * time.Second,
+		Deadline:       6 * time.Second,
+		ChangeInterval: 20 * time.Second, AwayInterval: 30 * time.Second, CountInterval: 10 * time.Second,
+		MaxAbsence:    10 * time.Second,
 		KeyedFraction: 0.2, Keys: 2, WithdrawInterval: 10 * time.Second, WithdrawTimeout: 20 * time.Second,
 	}
 }
 
 // StartLineClients lets n visitors in, who follow some of the load's topics each and send on two.
 func (w *World) StartLineClients(n int, l Load) *LineClients {
-	g := &LineClients{world: w, Checker: deliverycheck.New(w.Site.Timing.Keeping, 3*w.Site.Timing.Spread), Load: l, lines: map[*lineSession]bool{}}
+	g := &LineClients{world: w, Checker: deliverycheck.New(w.Site.Timing.Keeping, 3*w.Site.Timing.Spread), Load: l,
+		lines: map[*lineSession]bool{}}
 	g.sending, g.quiet = context.WithCancel(w.ctx)
 	g.Rested = l.Rested
 	g.wg.Go(g.pause)
@@ -289,7 +295,8 @@
 			if i%4 == 0 && k == 0 {
 				width = 8
 			}
-			x.Lanes = append(x.Lanes, simclient.Lane{Topic: fmt.Sprintf("kept/t%d", (i+k*7)%max(1, l.Topics)), Window: width, Interval: l.Every / time.Duration(width)})
+			x.Lanes = append(x.Lanes, simclient.Lane{Topic: fmt.Sprintf("kept/t%d", (i+k*7)%max(1, l.Topics)),
+				Window: width, Interval: l.Every / time.Duration(width)})
 		}
 		x.Saved = func(t simclient.Topic) {
 			g.mu.Lock()
@@ -354,7 +361,8 @@
 	h := Habits()
 	h.ChangeInterval, h.AwayInterval, h.CountInterval = 0, 0, 0
 	for i := range n {
-		x := &simclient.Client{Name: fmt.Sprintf("late%d", i), Habits: h, Rand: rand.New(rand.NewPCG(g.world.Seed, uint64(i)+5000))}
+		x := &simclient.Client{Name: fmt.Sprintf("late%d", i), Habits: h,
+			Rand: rand.New(rand.NewPCG(g.world.Seed, uint64(i)+5000))}
 		seen := map[string]bool{}
 		for range 5 {
 			if len(ts) == 0 {
--- a/internal/testing/sim/load.go
+++ b/internal/testing/sim/load.go
@@ -64,7 +64,10 @@
 	if l.Flood > 0 {
 		flood = fmt.Sprintf(`,{"name":"flood","kind":"kept","topics":[%s]}`, list("f", l.Flood))
 	}
-	return []byte(fmt.Sprintf(`{"base":%d,"spaces":[{"name":"kept","kind":"kept","topics":[%s]},{"name":"stop","kind":"kept","urgent":true,"topics":["line"]},{"name":"live","kind":"live","topics":[%s]}%s]}`, base, list("t", l.Topics), list("l", l.LiveTopics), flood))
+	return []byte(fmt.Sprintf(
+		`{"base":%d,"spaces":[{"name":"kept","kind":"kept","topics":[%s]},{"name":"stop","kind":"kept",`+
+			`"urgent":true,"topics":["line"]},{"name":"live","kind":"live","topics":[%s]}%s]}`,
+		base, list("t", l.Topics), list("l", l.LiveTopics), flood))
 }
 
 // Numbered makes the description under a number of its operator's own, with its source.
@@ -95,7 +98,8 @@
 	rng := rand.New(rand.NewPCG(seed, 2))
 	var cs []*httpclient.Caller
 	for i := range l.Callers {
-		c := &httpclient.Caller{Name: fmt.Sprintf("v%d", i), Every: l.Every, Rand: rand.New(rand.NewPCG(seed, uint64(i)+10)), Spread: spread, Urgent: map[string]bool{}, Live: map[string]bool{}}
+		c := &httpclient.Caller{Name: fmt.Sprintf("v%d", i), Every: l.Every,
+			Rand: rand.New(rand.NewPCG(seed, uint64(i)+10)), Spread: spread, Urgent: map[string]bool{}, Live: map[string]bool{}}
 		a := i % l.Topics
 		c.Follows = []string{fmt.Sprintf("kept/t%d", a), fmt.Sprintf("kept/t%d", (a+1+rng.IntN(max(1, l.Topics-1)))%l.Topics)}
 		c.Sends = []string{fmt.Sprintf("kept/t%d", a)}
--- a/internal/testing/sim/machine.go
+++ b/internal/testing/sim/machine.go
@@ -195,9 +195,11 @@
 	m.run++
 	run := m.run
 	m.mu.Unlock()
-	w := node.Environment{Clock: machineClock{m}, Net: &endpoint{m.w, m, run}, OnDecision: func(p int, e uint64, what string, begun time.Time) {
-		m.w.History.Decide(history.Decision{Node: m.Opts.Name, Partition: p, Epoch: e, What: what, Begun: begun, Acknowledged: time.Now()})
-	}}
+	w := node.Environment{Clock: machineClock{m}, Net: &endpoint{m.w, m, run},
+		OnDecision: func(p int, e uint64, what string, begun time.Time) {
+			m.w.History.Decide(history.Decision{Node: m.Opts.Name, Partition: p, Epoch: e, What: what, Begun: begun,
+				Acknowledged: time.Now()})
+		}}
 	if m.Opts.Disk != settings.DiskNone {
 		w.Disk = gatedDisk{m.Disk, m, run}
 	}
--- a/internal/testing/sim/network.go
+++ b/internal/testing/sim/network.go
@@ -173,7 +173,8 @@
 	case <-e.m.reset():
 		return nil, apierror.New(apierror.Unreachable, "the connections of %s were reset", e.m.Opts.Name)
 	case <-broken:
-		return nil, apierror.WithCause(apierror.Unreachable, syscall.ECONNRESET, "the connections of %s were reset", s.m.Opts.Name)
+		return nil, apierror.WithCause(apierror.Unreachable, syscall.ECONNRESET, "the connections of %s were reset",
+			s.m.Opts.Name)
 	case a := <-c:
 		e.m.gate()
 		if !e.alive() {
--- a/internal/testing/sim/observe.go
+++ b/internal/testing/sim/observe.go
@@ -151,7 +151,8 @@
 					}
 				}
 				if s.API.Ready() == nil {
-					w.History.Show(fmt.Sprintf("%s#%d", n, run), s.API.Operators.Store.Configuration().Sequence, time.Now(), w.Site.Timing.Spread)
+					w.History.Show(fmt.Sprintf("%s#%d", n, run), s.API.Operators.Store.Configuration().Sequence, time.Now(),
+						w.Site.Timing.Spread)
 				}
 			}
 			_ = clock.Real{}.Sleep(w.ctx, w.Site.Timing.HeartbeatInterval()/3)
--- a/internal/testing/sim/promises.go
+++ b/internal/testing/sim/promises.go
@@ -37,14 +37,16 @@
 func readReplicaPromise(w *World, q, a []byte, asked time.Time) {
 	var t replica.Target
 	if wire.Unmarshal(q, &t) == nil && isAccepted(a) {
-		w.History.Promise(t.Incarnation, "partition "+string(rune('0'+t.Partition)), history.Rank{Number: t.Epoch}, asked, time.Now())
+		w.History.Promise(t.Incarnation, "partition "+string(rune('0'+t.Partition)), history.Rank{Number: t.Epoch},
+			asked, time.Now())
 	}
 }
 
 func readVoterPromise(w *World, q, a []byte, asked time.Time) {
 	var t acceptor.PromiseRequest
 	if wire.Unmarshal(q, &t) == nil && isAccepted(a) {
-		w.History.Promise(t.Incarnation, "key "+t.Key+" under voter set "+string(rune('0'+t.VoterSet)), history.Rank{Number: t.Epoch.Number, Node: t.Epoch.Node}, asked, time.Now())
+		w.History.Promise(t.Incarnation, "key "+t.Key+" under voter set "+string(rune('0'+t.VoterSet)),
+			history.Rank{Number: t.Epoch.Number, Node: t.Epoch.Node}, asked, time.Now())
 	}
 }
 
--- a/internal/testing/sim/readback.go
+++ b/internal/testing/sim/readback.go
@@ -25,7 +25,8 @@
 
 var errEnough error = enoughRead{}
 
-func (w *World) followAsNew(name string, topics []string, cursor string, through string, limit time.Duration, f func(client.Event) error) error {
+func (w *World) followAsNew(name string, topics []string, cursor string, through string, limit time.Duration,
+	f func(client.Event) error) error {
 	end := time.Now().Add(limit)
 	err := error(apierror.New(apierror.Unreachable, "%s was not tried", through))
 	for time.Now().Before(end) {
@@ -78,20 +79,22 @@
 	var why error
 	cursor := a.Cursor
 	for begun := time.Now(); time.Since(begun) < w.Site.Timing.Recovery+w.Site.Timing.Spread; {
-		err := w.followAsNew(fmt.Sprintf("reader-%s-%d", through, len(r.Got)), a.Topics, cursor, through, w.Site.Timing.Spread, func(l client.Event) error {
-			if l.Cursor != "" {
-				cursor = l.Cursor
-			}
-			if l.Topic == "" {
-				if l.End != nil || time.Since(quiet) < w.Site.Timing.Spread {
-					return nil
+		err := w.followAsNew(fmt.Sprintf("reader-%s-%d", through, len(r.Got)), a.Topics, cursor, through,
+			w.Site.Timing.Spread, func(l client.Event) error {
+				if l.Cursor != "" {
+					cursor = l.Cursor
 				}
-				return errEnough
-			}
-			quiet = time.Now()
-			r.Got = append(r.Got, history.Receipt{Message: history.Message{Topic: l.Topic, From: l.From, Call: l.CallSeq}, Body: string(l.Body), Partition: *l.Partition, Offset: l.Offset, At: time.Now()})
-			return nil
-		})
+				if l.Topic == "" {
+					if l.End != nil || time.Since(quiet) < w.Site.Timing.Spread {
+						return nil
+					}
+					return errEnough
+				}
+				quiet = time.Now()
+				r.Got = append(r.Got, history.Receipt{Message: history.Message{Topic: l.Topic, From: l.From,
+					Call: l.CallSeq}, Body: string(l.Body), Partition: *l.Partition, Offset: l.Offset, At: time.Now()})
+				return nil
+			})
 		if errors.Is(err, errEnough) {
 			break
 		}
--- a/internal/testing/sim/scripted.go
+++ b/internal/testing/sim/scripted.go
@@ -38,13 +38,16 @@
 
 // Scripted lets a scripted visitor in, nil where nobody answers.
 func (g *LineClients) Scripted(at, name string) *ScriptedClient {
-	h := &ScriptedClient{Name: name, At: at, clients: g, sessions: map[string]*deliverycheck.Session{}, cursor: map[string]string{}, notify: make(chan struct{}, 1)}
+	h := &ScriptedClient{Name: name, At: at, clients: g, sessions: map[string]*deliverycheck.Session{},
+		cursor: map[string]string{}, notify: make(chan struct{}, 1)}
 	h.line = g.connect(g.world.Machines[at], true, h.receive, h.onBroken)
 	if h.line == nil {
 		return nil
 	}
 	h.line.Do(session.Request{Verb: session.Attach, Client: name})
-	if a, ok := h.Wait(0, scriptedTimeout, func(a session.Response) bool { return a.Type == session.Attached || a.InReplyTo == session.Attach }); !ok || a.Type != session.Attached {
+	if a, ok := h.Wait(0, scriptedTimeout, func(a session.Response) bool {
+		return a.Type == session.Attached || a.InReplyTo == session.Attach
+	}); !ok || a.Type != session.Attached {
 		h.line.End()
 		return nil
 	}
@@ -114,7 +117,8 @@
 	case session.Subscribed:
 		s.Joined(now)
 	case session.Message:
-		s.Got(deliverycheck.Message{Topic: a.Topic, From: a.From, CallSeq: a.CallSeq}, string(a.Body), deliverycheck.Place{Partition: a.Partition, Offset: a.Offset}, shown)
+		s.Got(deliverycheck.Message{Topic: a.Topic, From: a.From, CallSeq: a.CallSeq}, string(a.Body),
+			deliverycheck.Place{Partition: a.Partition, Offset: a.Offset}, shown)
 	case session.Accepted:
 		b.Accepted(deliverycheck.Message{Topic: a.Topic, From: h.Name, CallSeq: a.CallSeq}, now)
 	case session.Withdrawn:
@@ -242,9 +246,11 @@
 	w.By = h.Name
 	x := h.clients.Checker.Withdraw(w, time.Now())
 	n := h.ResponseCount()
-	h.line.Do(session.Request{Verb: session.Withdraw, Topic: w.Topic, Key: w.Key, CallSeq: w.Call, WithdrawSender: w.Of, WithdrawUpTo: w.Upto})
+	h.line.Do(session.Request{Verb: session.Withdraw, Topic: w.Topic, Key: w.Key, CallSeq: w.Call,
+		WithdrawSender: w.Of, WithdrawUpTo: w.Upto})
 	s, ok := h.Wait(n, scriptedTimeout, func(a session.Response) bool {
-		return a.Topic == w.Topic && a.CallSeq == w.Call && (a.Type == session.WithdrawalComplete || a.InReplyTo == session.Withdraw)
+		return a.Topic == w.Topic && a.CallSeq == w.Call &&
+			(a.Type == session.WithdrawalComplete || a.InReplyTo == session.Withdraw)
 	})
 	switch {
 	case !ok:
--- a/internal/testing/sim/socket.go
+++ b/internal/testing/sim/socket.go
@@ -44,7 +44,8 @@
 }
 
 func newSocket(m *Machine, run int) *socket {
-	return &socket{m: m, run: run, more: make(chan struct{}, 1), room: make(chan struct{}, 1), come: make(chan struct{}, 1), dead: make(chan struct{})}
+	return &socket{m: m, run: run, more: make(chan struct{}, 1), room: make(chan struct{}, 1),
+		come: make(chan struct{}, 1), dead: make(chan struct{})}
 }
 
 // Read gives what the visitor has said.
@@ -253,7 +254,8 @@
 func (m *Machine) opened(n *node.Node) *lineServer {
 	p := &lineServer{l: &connListener{c: make(chan net.Conn), done: make(chan struct{})}}
 	p.s = lineserver.New(lineserver.Options{
-		Sessions: sessionRegistry{n.Sessions}, Codec: lineCodec{}, Clock: machineClock{m}, Keepalive: Habits().Keepalive, Retry: m.w.Site.Timing.MaxBackoff(), BodyLimit: func() int { return maxBodyBytes },
+		Sessions: sessionRegistry{n.Sessions}, Codec: lineCodec{}, Clock: machineClock{m},
+		Keepalive: Habits().Keepalive, Retry: m.w.Site.Timing.MaxBackoff(), BodyLimit: func() int { return maxBodyBytes },
 	})
 	go func() { _ = p.s.Serve(p.l) }()
 	return p
--- a/internal/testing/sim/world.go
+++ b/internal/testing/sim/world.go
@@ -41,8 +41,10 @@
 
 // Armor and Traductores are the two deployments with fewer access machines.
 var (
-	Armor       = Site{Zones: 3, Control: 3, Access: 1, Stores: 3, Latency: 500 * time.Microsecond, Timing: settings.DefaultTiming, Routine: 4, Urgent: 2}
-	Traductores = Site{Zones: 4, Control: 4, Access: 1, Stores: 4, Latency: 1500 * time.Microsecond, Timing: settings.DefaultTiming, Routine: 4, Urgent: 2}
+	Armor = Site{Zones: 3, Control: 3, Access: 1, Stores: 3, Latency: 500 * time.Microsecond,
+		Timing: settings.DefaultTiming, Routine: 4, Urgent: 2}
+	Traductores = Site{Zones: 4, Control: 4, Access: 1, Stores: 4, Latency: 1500 * time.Microsecond,
+		Timing: settings.DefaultTiming, Routine: 4, Urgent: 2}
 )
 
 // World is a simulated fleet with its callers.
@@ -76,7 +78,9 @@
 
 // New makes a world; it must run inside a bubble.
 func New(s Site, seed uint64, log io.Writer) *World {
-	w := &World{Site: s, Seed: seed, History: history.New(), Machines: map[string]*Machine{}, addrs: map[string]served{}, cuts: map[[2]string]bool{}, calls: map[string]int{}, flows: map[string]Flow{}, parts: map[[2]string]int{}, hops: map[[2]string]uint64{}, rng: rand.New(rand.NewPCG(seed, 1))}
+	w := &World{Site: s, Seed: seed, History: history.New(), Machines: map[string]*Machine{},
+		addrs: map[string]served{}, cuts: map[[2]string]bool{}, calls: map[string]int{}, flows: map[string]Flow{},
+		parts: map[[2]string]int{}, hops: map[[2]string]uint64{}, rng: rand.New(rand.NewPCG(seed, 1))}
 	w.History.Bound = s.Timing.Recovery
 	w.ctx, w.stop = context.WithCancel(context.Background())
 	lv := hclog.Off
@@ -91,7 +95,8 @@
 		for i := range n {
 			o := w.newSettings(fmt.Sprintf("%s%d", kind, i+1), fmt.Sprintf("z%d", i%s.Zones+1), disk)
 			name := o.Name
-			if disk == settings.DiskControl && (s.BootstrapBy != settings.BootstrapSeeds || i < s.ControlSeeds) && len(seeds) < 3 || s.BootstrapBy == settings.BootstrapSeeds && disk == settings.DiskNone && len(seeds) < 3 {
+			if disk == settings.DiskControl && (s.BootstrapBy != settings.BootstrapSeeds || i < s.ControlSeeds) &&
+				len(seeds) < 3 || s.BootstrapBy == settings.BootstrapSeeds && disk == settings.DiskNone && len(seeds) < 3 {
 				seeds = append(seeds, o.PeerListen)
 			}
 			w.Machines[name] = &Machine{w: w, Opts: o, Disk: memlog.New(), broken: make(chan struct{})}
@@ -115,7 +120,8 @@
 	o := settings.Default()
 	o.Name, o.Zone, o.Disk, o.DataDir = name, zone, disk, "data"
 	o.Listen, o.PeerListen = fmt.Sprintf("127.0.0.1:%d", 20000+k), fmt.Sprintf("127.0.0.1:%d", 30000+k)
-	o.Keeping, o.Spread, o.Recovery = settings.Duration(s.Timing.Keeping), settings.Duration(s.Timing.Spread), settings.Duration(s.Timing.Recovery)
+	o.Keeping, o.Spread, o.Recovery = settings.Duration(s.Timing.Keeping), settings.Duration(s.Timing.Spread),
+		settings.Duration(s.Timing.Recovery)
 	o.RoutinePartitions, o.UrgentPartitions = s.Routine, s.Urgent
 	if s.BootstrapBy != "" {
 		o.BootstrapBy = s.BootstrapBy
--- a/internal/testing/simclient/client.go
+++ b/internal/testing/simclient/client.go
@@ -194,7 +194,8 @@
 // Run goes on until ctx ends, and sends new messages until sends ends.
 func (client *Client) Run(ctx, sends context.Context) {
 	now := time.Now()
-	client.notify, client.sending, client.counted, client.seen = make(chan struct{}, 1), sends, map[string]time.Time{}, map[string]deliverycheck.Message{}
+	client.notify, client.sending, client.counted, client.seen = make(chan struct{}, 1), sends,
+		map[string]time.Time{}, map[string]deliverycheck.Message{}
 	for _, t := range client.Follow {
 		s := &subscription{Topic: t, wanted: true}
 		if t.Cursor != "" {
@@ -203,10 +204,12 @@
 		client.subs = append(client.subs, s)
 	}
 	for _, l := range client.Lanes {
-		client.lanes = append(client.lanes, &lane{Lane: l, next: client.later(now, l.Interval), nextWithdrawal: client.later(now, client.Habits.WithdrawInterval)})
+		client.lanes = append(client.lanes, &lane{Lane: l, next: client.later(now, l.Interval),
+			nextWithdrawal: client.later(now, client.Habits.WithdrawInterval)})
 	}
 	client.returnAt = now.Add(client.span(client.Habits.Keepalive / 2))
-	client.nextChange, client.nextAbsence, client.nextCount = client.later(now, client.Habits.ChangeInterval), client.later(now, client.Habits.AwayInterval), client.later(now, client.Habits.CountInterval)
+	client.nextChange, client.nextAbsence, client.nextCount = client.later(now, client.Habits.ChangeInterval),
+		client.later(now, client.Habits.AwayInterval), client.later(now, client.Habits.CountInterval)
 	tick := time.NewTicker(client.Habits.Keepalive / ticksPerKeepalive)
 	defer tick.Stop()
 	for {
@@ -278,7 +281,9 @@
 func (client *Client) enter(now time.Time) {
 	endpoints := client.Endpoints()
 	endpoint := endpoints[client.Rand.IntN(len(endpoints))]
-	if i := slices.IndexFunc(endpoints, func(endpoint Endpoint) bool { return endpoint.Address == client.redirect }); i >= 0 {
+	if i := slices.IndexFunc(endpoints, func(endpoint Endpoint) bool {
+		return endpoint.Address == client.redirect
+	}); i >= 0 {
 		endpoint = endpoints[i]
 	}
 	client.redirect = ""
@@ -299,7 +304,8 @@
 
 func (client *Client) step(now time.Time) {
 	if client.line == nil {
-		if now.Before(client.returnAt) && (client.sending.Err() == nil || client.returnAt.Sub(now) < client.Habits.Keepalive) {
+		if now.Before(client.returnAt) && (client.sending.Err() == nil ||
+			client.returnAt.Sub(now) < client.Habits.Keepalive) {
 			return
 		}
 		if client.enter(now); client.line == nil {
--- a/internal/testing/simclient/requests.go
+++ b/internal/testing/simclient/requests.go
@@ -45,7 +45,8 @@
 }
 
 func (client *Client) body(topic string, call uint64) string {
-	return fmt.Sprintf("%s %s %d %s", client.Name, topic, call, strings.Repeat(string(rune('a'+call%26)), minBodyBytes+client.Rand.IntN(extraBodyBytes)))
+	return fmt.Sprintf("%s %s %d %s", client.Name, topic, call,
+		strings.Repeat(string(rune('a'+call%26)), minBodyBytes+client.Rand.IntN(extraBodyBytes)))
 }
 
 func (client *Client) number() uint64 {
@@ -61,7 +62,8 @@
 		return now.Sub(m.first) > client.Habits.Deadline
 	})
 	withdrawing := slices.IndexFunc(l.messages, func(m *message) bool { return m.withdrawal != nil })
-	if n := len(l.messages) - 1; (withdrawing < 0 && n+1 < l.Window || withdrawing >= 0 && n < l.Window) && now.After(l.next) && client.sending.Err() == nil {
+	if n := len(l.messages) - 1; (withdrawing < 0 && n+1 < l.Window || withdrawing >= 0 && n < l.Window) &&
+		now.After(l.next) && client.sending.Err() == nil {
 		l.next = client.later(now, l.Interval)
 		l.messages = append(l.messages, &message{first: now})
 	}
@@ -83,7 +85,8 @@
 		}
 		m.inFlight, m.asked = true, now
 		if w := m.withdrawal; w != nil {
-			client.send(now, session.Request{Verb: session.Withdraw, Topic: l.Topic, CallSeq: m.call, Key: w.Key, WithdrawSender: w.Of, WithdrawUpTo: w.Upto})
+			client.send(now, session.Request{Verb: session.Withdraw, Topic: l.Topic, CallSeq: m.call, Key: w.Key,
+				WithdrawSender: w.Of, WithdrawUpTo: w.Upto})
 			continue
 		}
 		if m.call == 0 {
@@ -94,7 +97,8 @@
 			}
 		}
 		client.Checker.Try(deliverycheck.Message{Topic: l.Topic, From: client.Name, CallSeq: m.call}, m.key, m.body, now)
-		client.send(now, session.Request{Verb: session.Send, Topic: l.Topic, CallSeq: m.call, Key: m.key, Body: []byte(m.body)})
+		client.send(now, session.Request{Verb: session.Send, Topic: l.Topic, CallSeq: m.call, Key: m.key,
+			Body: []byte(m.body)})
 	}
 	return true
 }
--- a/internal/testing/simclient/responses.go
+++ b/internal/testing/simclient/responses.go
@@ -45,21 +45,24 @@
 	session.Subscribed: func(client *Client, now time.Time, response session.Response) {
 		sub := client.sub(response.Topic)
 		if sub == nil || sub.state != subscribing {
-			client.Checker.Violation(deliverycheck.Mixed, "%s was told that it joined %s, which it did not ask", client.Name, response.Topic)
+			client.Checker.Violation(deliverycheck.Mixed, "%s was told that it joined %s, which it did not ask",
+				client.Name, response.Topic)
 			return
 		}
 		sub.state = subscribed
 		sub.session.Joined(now)
 		sub.presence.Joined(now)
 		if sub.cursor != "" && sub.cursor != response.Cursor && sub.Kept {
-			client.Checker.Violation(deliverycheck.Mixed, "%s joined %s with cursor %q and was told %q", client.Name, sub.Name, sub.cursor, response.Cursor)
+			client.Checker.Violation(deliverycheck.Mixed, "%s joined %s with cursor %q and was told %q", client.Name,
+				sub.Name, sub.cursor, response.Cursor)
 		}
 		sub.cursor = response.Cursor
 	},
 	session.Unsubscribed: func(client *Client, now time.Time, response session.Response) {
 		sub := client.sub(response.Topic)
 		if sub == nil || sub.state != unsubscribing {
-			client.Checker.Violation(deliverycheck.Mixed, "%s was told that it left %s, which it did not ask", client.Name, response.Topic)
+			client.Checker.Violation(deliverycheck.Mixed, "%s was told that it left %s, which it did not ask",
+				client.Name, response.Topic)
 			return
 		}
 		sub.state, sub.session, sub.cursor, sub.retry = unsubscribed, nil, "", now
@@ -74,7 +77,8 @@
 		if sub.state == unsubscribing {
 			return
 		}
-		sub.session.Got(m, string(response.Body), deliverycheck.Place{Partition: response.Partition, Offset: response.Offset}, client.shown)
+		sub.session.Got(m, string(response.Body), deliverycheck.Place{Partition: response.Partition,
+			Offset: response.Offset}, client.shown)
 		client.seen[response.Topic] = m
 		sub.cursor = response.Cursor
 		if client.Saved != nil && sub.Kept && client.Rand.IntN(savedOneIn) == 0 {
@@ -82,7 +86,8 @@
 		}
 	},
 	session.Accepted: func(client *Client, now time.Time, response session.Response) {
-		client.Checker.Accepted(deliverycheck.Message{Topic: response.Topic, From: client.Name, CallSeq: response.CallSeq}, now)
+		client.Checker.Accepted(deliverycheck.Message{Topic: response.Topic, From: client.Name,
+			CallSeq: response.CallSeq}, now)
 		if in, sent := client.message(response.Topic, response.CallSeq); sent != nil {
 			in.messages = slices.DeleteFunc(in.messages, func(x *message) bool { return x == sent })
 		}
@@ -93,7 +98,9 @@
 			return
 		}
 		if sent.withdrawal == nil || sent.withdrawal.Key != response.Key {
-			client.Checker.Violation(deliverycheck.Mixed, "%s was told that %s of %s, %d, is forgotten, which it did not ask", client.Name, response.Key, response.Topic, response.CallSeq)
+			client.Checker.Violation(deliverycheck.Mixed,
+				"%s was told that %s of %s, %d, is forgotten, which it did not ask", client.Name, response.Key,
+				response.Topic, response.CallSeq)
 			return
 		}
 		sent.withdrawal.Forgotten(deliverycheck.Place{Partition: response.Partition, Offset: response.Offset}, client.shown)
@@ -105,7 +112,8 @@
 	session.Counted: func(client *Client, now time.Time, response session.Response) {
 		at, ok := client.counted[response.Topic]
 		if !ok {
-			client.Checker.Violation(deliverycheck.Mixed, "%s was told a count of %s, which it did not ask", client.Name, response.Topic)
+			client.Checker.Violation(deliverycheck.Mixed, "%s was told a count of %s, which it did not ask", client.Name,
+				response.Topic)
 			return
 		}
 		delete(client.counted, response.Topic)
@@ -114,7 +122,8 @@
 	session.Rejected: func(client *Client, now time.Time, response session.Response) {
 		f, ok := rejectionHandlers[response.InReplyTo]
 		if !ok || response.Err == nil {
-			client.Checker.Violation(deliverycheck.Mixed, "%s was turned away with %q: %v", client.Name, response.InReplyTo, response.Err)
+			client.Checker.Violation(deliverycheck.Mixed, "%s was turned away with %q: %v", client.Name,
+				response.InReplyTo, response.Err)
 			return
 		}
 		f(client, now, response)
@@ -136,7 +145,8 @@
 	session.Subscribe: func(client *Client, now time.Time, response session.Response) {
 		sub := client.sub(response.Topic)
 		if sub == nil || sub.state != subscribing {
-			client.Checker.Violation(deliverycheck.Mixed, "%s was turned away from %s, which it did not ask: %v", client.Name, response.Topic, response.Err)
+			client.Checker.Violation(deliverycheck.Mixed, "%s was turned away from %s, which it did not ask: %v",
+				client.Name, response.Topic, response.Err)
 			return
 		}
 		sub.presence.Gone(now)
@@ -147,7 +157,8 @@
 			sub.session.Expired(now)
 			sub.session = nil
 		case apierror.HasCode(response.Err, apierror.CursorMalformed):
-			client.Checker.Violation(deliverycheck.Mixed, "%s was told that its cursor %q of %s is bad: %v", client.Name, sub.cursor, sub.Name, response.Err)
+			client.Checker.Violation(deliverycheck.Mixed, "%s was told that its cursor %q of %s is bad: %v", client.Name,
+				sub.cursor, sub.Name, response.Err)
 		}
 	},
 	session.Withdraw: func(client *Client, now time.Time, response session.Response) {
--- a/internal/testing/transcript/transcript_test.go
+++ b/internal/testing/transcript/transcript_test.go
@@ -56,8 +56,10 @@
 	if len(doc) > 200 {
 		doc = doc[:60] + fmt.Sprintf("... (%d bytes)", len(doc))
 	}
-	fmt.Fprintf(&x.out, "%s %s %s %s\n  %d %s\n", node, method, mask(path), mask(doc), w.Code, mask(strings.TrimSpace(w.Body.String())))
-	assert.Assert(x.t, w.Code < 500 || strings.Contains(w.Body.String(), "retry_after_ms"), "%s %s: %d %s", method, path, w.Code, w.Body)
+	fmt.Fprintf(&x.out, "%s %s %s %s\n  %d %s\n", node, method, mask(path), mask(doc), w.Code,
+		mask(strings.TrimSpace(w.Body.String())))
+	assert.Assert(x.t, w.Code < 500 || strings.Contains(w.Body.String(), "retry_after_ms"), "%s %s: %d %s", method,
+		path, w.Code, w.Body)
 	var m map[string]any
 	_ = json.Unmarshal(w.Body.Bytes(), &m)
 	return m
@@ -99,7 +101,8 @@
 	})
 }
 
-const spaces = `"spaces":[{"name":"aisles","kind":"kept","topics":["a1","a2"]},{"name":"stop-line","kind":"kept","urgent":true,"topics":["line"]},{"name":"pings","kind":"live","topics":["floor"]}]`
+const spaces = `"spaces":[{"name":"aisles","kind":"kept","topics":["a1","a2"]},{"name":"stop-line",` +
+	`"kind":"kept","urgent":true,"topics":["line"]},{"name":"pings","kind":"live","topics":["floor"]}]`
 
 func TestDayOfAPicker(t *testing.T) {
 	run(t, "picker.txt", func(x *exchange) {
@@ -125,7 +128,8 @@
 		var l struct{ Cursor string }
 		assert.NilError(t, json.Unmarshal([]byte(ls[len(ls)-1]), &l))
 		x.do("s1", "POST", "/v1/ack", lead, `{"cursor":"`+l.Cursor+`"}`)
-		x.stream("a1", "/v1/stream?topic=aisles/a1&topic=stop-line/line&topic=pings/floor&cursor="+l.Cursor, lead, func() {}, time.Second)
+		x.stream("a1", "/v1/stream?topic=aisles/a1&topic=stop-line/line&topic=pings/floor&cursor="+l.Cursor, lead,
+			func() {}, time.Second)
 		fmt.Fprintf(&x.out, "-- a newer attachment fences the older, stream and all\n")
 		x.stream("a1", "/v1/stream?topic=aisles/a1", lead, func() {
 			x.do("c3", "POST", "/v1/attach", "", `{"visitor":"lead-1"}`)
@@ -177,9 +181,12 @@
 		withdraw(tok, `{"topic":"aisles/a1","key":"turn/14","call_seq":0}`)
 		withdraw("", `{"topic":"aisles/a1","key":"turn/14","call_seq":10}`)
 		for _, d := range []string{
-			`{"topic":"aisles/a1","call_seq":10}`, `{"topic":"aisles/a1","key":7,"call_seq":10}`, `{"topic":"aisles/a1","key":"","call_seq":10}`, `{"topic":"aisles/a1","key":"a b","call_seq":10}`,
-			`{"topic":"aisles/a1","key":"k","call_seq":10,"body":1}`, `{"topic":"aisles/a1","key":"k","call_seq":10,"of":"v"}`, `{"topic":"aisles/a1","key":"k","call_seq":10,"upto":3}`,
-			`{"topic":"aisles/a1","key":"k","call_seq":10,"of":"v","upto":0}`, `{"topic":"aisles/a1","key":"k","call_seq":10,"of":"v w","upto":1}`,
+			`{"topic":"aisles/a1","call_seq":10}`, `{"topic":"aisles/a1","key":7,"call_seq":10}`,
+			`{"topic":"aisles/a1","key":"","call_seq":10}`, `{"topic":"aisles/a1","key":"a b","call_seq":10}`,
+			`{"topic":"aisles/a1","key":"k","call_seq":10,"body":1}`,
+			`{"topic":"aisles/a1","key":"k","call_seq":10,"of":"v"}`, `{"topic":"aisles/a1","key":"k","call_seq":10,"upto":3}`,
+			`{"topic":"aisles/a1","key":"k","call_seq":10,"of":"v","upto":0}`,
+			`{"topic":"aisles/a1","key":"k","call_seq":10,"of":"v w","upto":1}`,
 		} {
 			withdraw(tok, d)
 		}
@@ -197,7 +204,8 @@
 		send := func(doc string) { x.do("a1", "POST", "/v1/send", tok, doc) }
 		x.do("a1", "GET", "/nowhere", "", "")
 		x.do("a1", "DELETE", "/v1/send", "", "")
-		for _, d := range []string{``, `{`, `[]`, `{"visitor":7}`, `{"visitor":"a b"}`, `{"visitor":"v","visitor":"w"}`, `{"visitor":"v","more":1}`, `{"visitor":"v"} 1`} {
+		for _, d := range []string{``, `{`, `[]`, `{"visitor":7}`, `{"visitor":"a b"}`,
+			`{"visitor":"v","visitor":"w"}`, `{"visitor":"v","more":1}`, `{"visitor":"v"} 1`} {
 			x.do("a1", "POST", "/v1/attach", "", d)
 		}
 		x.do("a1", "POST", "/v1/send", "", `{"topic":"aisles/a1","call_seq":1,"body":1}`)
@@ -230,7 +238,8 @@
 		send(`{"topic":"aisles/a1","call_seq":39,"body":39}`)
 		send(`{"topic":"aisles/a1","call_seq":50,"body":50}`)
 		send(`{"topic":"aisles/a1","call_seq":45,"body":45}`)
-		for _, q := range []string{"", "?topic=nowhere/x", "?topic=aisles/a1&since=3", "?topic=aisles/a1&cursor=x", "?topic=aisles/a1&cursor=c1.AAAAAAA", "?topic=aisles/a1&cursor=c1.%21%21"} {
+		for _, q := range []string{"", "?topic=nowhere/x", "?topic=aisles/a1&since=3", "?topic=aisles/a1&cursor=x",
+			"?topic=aisles/a1&cursor=c1.AAAAAAA", "?topic=aisles/a1&cursor=c1.%21%21"} {
 			x.do("a1", "GET", "/v1/stream"+q, tok, "")
 		}
 		x.do("a1", "POST", "/v1/ack", tok, `{"cursor":"x"}`)
@@ -239,8 +248,12 @@
 		x.do("a1", "GET", "/v1/partition?n=x", "", "")
 		x.do("a1", "POST", "/v1/drain", "", `{"node":"nobody"}`)
 		x.do("a1", "POST", "/v1/drain", "", `{"node":"a1"}`)
-		x.do("a1", "PUT", "/v1/description", "", `{"base":1,"spaces":[{"name":"aisles","kind":"kept","topics":["a1","a1","?"],"colour":1},{"name":"Aisles","kind":"lost","topics":[]}]}`)
-		x.do("a1", "PUT", "/v1/description", "", `{"base":1,"spaces":[{"name":"stop-line","kind":"kept","topics":["line"]},{"name":"x","kind":"lost","topics":["a","a"]}]}`)
+		x.do("a1", "PUT", "/v1/description", "",
+			`{"base":1,"spaces":[{"name":"aisles","kind":"kept","topics":["a1","a1","?"],"colour":1},`+
+				`{"name":"Aisles","kind":"lost","topics":[]}]}`)
+		x.do("a1", "PUT", "/v1/description", "",
+			`{"base":1,"spaces":[{"name":"stop-line","kind":"kept","topics":["line"]},{"name":"x","kind":"lost",`+
+				`"topics":["a","a"]}]}`)
 		x.do("a1", "PUT", "/v1/description", "", `{"base":1,"spaces":[{"name":"stop-line","kind":"kept","topics":["line"]}]}`)
 		x.do("a1", "PUT", "/v1/description", "", `{"base":0,`+spaces+`}`)
 		x.do("c2", "PUT", "/v1/description", "", `{"base":0,"sequence":1,`+spaces+`}`)
@@ -248,9 +261,14 @@
 		x.do("a1", "PUT", "/v1/description", "", `{"base":0,"spaces":[]}`)
 		x.do("a1", "PUT", "/v1/description", "", `{"base":4,"sequence":9,`+spaces+`}`)
 		x.do("a1", "PUT", "/v1/description", "", `{"base":1,"sequence":1,`+spaces+`}`)
-		x.do("a1", "PUT", "/v1/description", "", `{"base":1,"spaces":[{"name":"a","kind":"kept","prefix":"ka.","keep_ms":350001},{"name":"b","kind":"kept","prefix":"ka.","deadline_ms":0}]}`)
-		x.do("a1", "PUT", "/v1/description", "", `{"base":1,"spaces":[{"name":"a","kind":"kept","prefix":"ka.","keep_ms":350001}]}`)
-		x.do("a1", "PUT", "/v1/description", "", `{"base":1,"spaces":[{"name":"a","kind":"kept","urgent":true,"prefix":"ka."},{"name":"b","kind":"live","prefix":"ka.b"}]}`)
+		x.do("a1", "PUT", "/v1/description", "",
+			`{"base":1,"spaces":[{"name":"a","kind":"kept","prefix":"ka.","keep_ms":350001},{"name":"b",`+
+				`"kind":"kept","prefix":"ka.","deadline_ms":0}]}`)
+		x.do("a1", "PUT", "/v1/description", "",
+			`{"base":1,"spaces":[{"name":"a","kind":"kept","prefix":"ka.","keep_ms":350001}]}`)
+		x.do("a1", "PUT", "/v1/description", "",
+			`{"base":1,"spaces":[{"name":"a","kind":"kept","urgent":true,"prefix":"ka."},{"name":"b",`+
+				`"kind":"live","prefix":"ka.b"}]}`)
 		x.do("a1", "PUT", "/v1/description", "", `{"base":1,"spaces":[{"name":"a","kind":"kept","all":true}]}`)
 		x.do("a1", "GET", "/v1/description", "", "")
 	})
--- a/internal/testing/transport/direct.go
+++ b/internal/testing/transport/direct.go
@@ -66,30 +66,33 @@
 
 // Send sends.
 func (p *Direct) Send(ctx context.Context, token, topic string, call uint64, body []byte) (client.Receipt, error) {
-	a, err := p.do(ctx, &client.Request{Verb: client.VerbSend, Token: token, Topics: []string{topic}, CallSeq: call, Body: body})
+	a, err := p.do(ctx, &client.Request{Verb: client.VerbSend, Token: token, Topics: []string{topic},
+		CallSeq: call, Body: body})
 	x, _ := a.(client.Receipt)
 	return x, err
 }
 
 // Follow follows.
-func (p *Direct) Follow(ctx context.Context, token string, topics []string, cursor string, f func(client.Event) error) error {
+func (p *Direct) Follow(ctx context.Context, token string, topics []string, cursor string,
+	f func(client.Event) error) error {
 	cx, stop := context.WithCancel(ctx)
 	defer stop()
 	lines := make(chan client.Event)
 	done := make(chan error, 1)
 	go func() {
-		_, err := p.do(cx, &client.Request{Verb: client.VerbFollow, Token: token, Topics: topics, Cursor: cursor, Emit: func(b []byte) error {
-			var l client.Event
-			if err := json.Unmarshal(b, &l); err != nil {
-				return apierror.Wrap(apierror.Malformed, err, "stream line")
-			}
-			select {
-			case lines <- l:
-				return nil
-			case <-cx.Done():
-				return apierror.New(apierror.Unreachable, "the reader is gone")
-			}
-		}})
+		_, err := p.do(cx, &client.Request{Verb: client.VerbFollow, Token: token, Topics: topics, Cursor: cursor,
+			Emit: func(b []byte) error {
+				var l client.Event
+				if err := json.Unmarshal(b, &l); err != nil {
+					return apierror.Wrap(apierror.Malformed, err, "stream line")
+				}
+				select {
+				case lines <- l:
+					return nil
+				case <-cx.Done():
+					return apierror.New(apierror.Unreachable, "the reader is gone")
+				}
+			}})
 		done <- err
 	}()
 	for {
--- a/internal/testing/transport/http.go
+++ b/internal/testing/transport/http.go
@@ -75,7 +75,8 @@
 
 // Send sends.
 func (p *HTTP) Send(ctx context.Context, token, topic string, call uint64, body []byte) (r client.Receipt, err error) {
-	return r, p.call(ctx, http.MethodPost, "/v1/send", token, marshal(map[string]any{"topic": topic, "call_seq": call, "body": json.RawMessage(body)}), &r)
+	return r, p.call(ctx, http.MethodPost, "/v1/send", token,
+		marshal(map[string]any{"topic": topic, "call_seq": call, "body": json.RawMessage(body)}), &r)
 }
 
 // Put puts a description.
@@ -109,7 +110,8 @@
 const maxLineBytes = 4 << 20
 
 // Follow reads a stream until it ends.
-func (p *HTTP) Follow(ctx context.Context, token string, topics []string, cursor string, f func(client.Event) error) error {
+func (p *HTTP) Follow(ctx context.Context, token string, topics []string, cursor string,
+	f func(client.Event) error) error {
 	q := url.Values{"topic": topics}
 	if cursor != "" {
 		q.Set("cursor", cursor)
