--- a/cmd/postjunction/main_test.go
+++ b/cmd/postjunction/main_test.go
@@ -15,6 +15,7 @@
 	"gotest.tools/v3/golden"
 
 	"postjunction/internal/command/cli"
+	"postjunction/platform"
 )
 
 const asCommand = "POSTJUNCTION_TEST_AS_COMMAND"
@@ -46,7 +47,7 @@
 		var say, errs bytes.Buffer
 		c.Stdout, c.Stderr = &say, &errs
 		c.Env = []string{
-			asCommand + "=1", "POSTJUNCTION_CONFIG=no-such-file", "GORACE=atexit_sleep_ms=0",
+			asCommand + "=1", platform.SettingsVariable + "=no-such-file", "GORACE=atexit_sleep_ms=0",
 		}
 		code := 0
 		var bad *exec.ExitError
--- a/internal/client/session/session_test.go
+++ b/internal/client/session/session_test.go
@@ -118,9 +118,9 @@
 }
 
 var (
-	retained = configuration.Space{Name: "kept", Kind: configuration.KindRetained, Topics: []string{"a", "b"}}
-	other    = configuration.Space{Name: "other", Kind: configuration.KindRetained, Topics: []string{"a"}}
-	live     = configuration.Space{Name: "live", Kind: configuration.KindLive, Topics: []string{"a"}}
+	keptSpace = configuration.Space{Name: "kept", Kind: configuration.KindRetained, Topics: []string{"a", "b"}}
+	other     = configuration.Space{Name: "other", Kind: configuration.KindRetained, Topics: []string{"a"}}
+	live      = configuration.Space{Name: "live", Kind: configuration.KindLive, Topics: []string{"a"}}
 )
 
 const selfAddress = "127.0.0.1:1"
@@ -152,7 +152,7 @@
 		}).Start(ctx)
 		go fixture.Run(ctx)
 		go hub.Run(ctx)
-		fixture.configure(retained, live)
+		fixture.configure(keptSpace, live)
 		session := fixture.NewSession(fixture.record)
 		session.Do(Request{Verb: Attach, Client: "v"})
 		assert.DeepEqual(t, fixture.takeResponses(), []string{"attached"})
@@ -220,7 +220,7 @@
 }
 
 // A subscription that was opened at its cursor before the leader answered, and that lacks what is
-// no longer retained, doesn't continue with a gap: the client is told to reconnect with its
+// no longer kept, doesn't continue with a gap: the client is told to reconnect with its
 // cursors.
 func TestOpenedSubscriptionWithAGapIsBroken(t *testing.T) {
 	withSession(t, func(t *testing.T, fixture *fixture, session *Session) {
@@ -238,7 +238,7 @@
 	})
 }
 
-// A node that did not reach a leader for longer than messages are retained does not skip those that
+// A node that did not reach a leader for longer than messages are kept does not skip those that
 // are gone. Live messages may be skipped.
 func TestGapInWhatANodeFollowsBreaksItsSubscriptions(t *testing.T) {
 	withSession(t, func(t *testing.T, fixture *fixture, session *Session) {
@@ -290,13 +290,13 @@
 			session.Do(Request{Verb: Subscribe, Topic: "kept/a"})
 			session.Do(Request{Verb: Subscribe, Topic: "kept/b"})
 			fixture.sequence++
-			space := []configuration.Space{retained, other}[i%2]
+			space := []configuration.Space{keptSpace, other}[i%2]
 			go fixture.store.Apply(
 				gossip.Update{
 					Configuration: &configuration.Config{
 						Sequence: fixture.sequence,
 						Base:     fixture.sequence - 1,
-						Spaces:   []configuration.Space{space, retained}[i%2 : 2],
+						Spaces:   []configuration.Space{space, keptSpace}[i%2 : 2],
 					},
 				},
 			)
--- a/internal/configuration/types.go
+++ b/internal/configuration/types.go
@@ -17,7 +17,7 @@
 
 // Space is a family of topics: those listed, written name/topic, or all whose names begin with
 // Prefix, or simply All. Among the spaces by prefix that begin a topic's name the longest prefix
-// wins; a listed topic goes before any prefix. RetentionMS is how long a retained space keeps
+// wins; a listed topic goes before any prefix. RetentionMS is how long a kept space keeps
 // messages, 0 for the fleet's retention. DeadlineMS and TargetLatencyMS, in milliseconds, say until
 // when a message is worth anything and by when it should arrive; 0 says nothing. Order is
 // OrderPerSender, also when empty, or OrderPerTopic. Weight is the operators' own measure of
--- a/internal/delivery/fanout/feed.go
+++ b/internal/delivery/fanout/feed.go
@@ -154,7 +154,7 @@
 	f.signal()
 }
 
-// isRetained reports whether the messages of a topic are retained for clients that come back.
+// isRetained reports whether the messages of a topic are kept for clients that come back.
 func (f *feed) isRetained(topic string) bool {
 	space, err := f.hub.store.Index().Find(topic)
 	return err == nil && space.Kind != configuration.KindLive
--- a/internal/delivery/fanout/open.go
+++ b/internal/delivery/fanout/open.go
@@ -95,7 +95,7 @@
 }
 
 // expire ends a subscription that can't continue after an offset, as what follows there is no
-// longer retained.
+// longer kept.
 func (f *feed) expire(s *Subscription, after uint64) {
 	f.remove(s)
 	if s.opened {
--- a/internal/delivery/fanout/subscription.go
+++ b/internal/delivery/fanout/subscription.go
@@ -18,7 +18,7 @@
 	// OnEntry is called for each message and withdrawal after the start, once and in order.
 	OnEntry func(entry log.Entry)
 	// OnBroken ends a subscription that was opened, since something that it lacks is no longer
-	// retained anywhere.
+	// kept anywhere.
 	OnBroken func()
 
 	feed *feed
--- a/internal/delivery/fanout/withdrawal_model_test.go
+++ b/internal/delivery/fanout/withdrawal_model_test.go
@@ -31,7 +31,7 @@
 	entries         []log.Entry
 	tombstones      tombstones
 	openWithdrawals []log.Entry
-	completed       tombstones
+	finished        tombstones
 	bootID          string
 	sequence        uint64
 	topics          map[string]int
@@ -73,7 +73,7 @@
 				return false
 			}
 		}
-		c.completed.add(entry)
+		c.finished.add(entry)
 		return true
 	})
 }
@@ -252,10 +252,10 @@
 		time.Sleep(duration)
 		c.mu.Lock()
 		for _, entry := range client.inFlight {
-			if entry.Type == log.TypeMessage && entry.Key != "" && c.completed.covers(
+			if entry.Type == log.TypeMessage && entry.Key != "" && c.finished.covers(
 				entry.Topic, entry.Key, entry.Offset,
 			) {
-				c.fail("%s %s at %d was delivered after its withdrawal completed", entry.Topic, entry.Key, entry.Offset)
+				c.fail("%s %s at %d was delivered after its withdrawal finished", entry.Topic, entry.Key, entry.Offset)
 			}
 			c.delivered++
 		}
@@ -338,7 +338,7 @@
 }
 
 // However requests, responses and writes race with withdrawals, nothing is delivered after the
-// withdrawal that covers it completed, each withdrawal completes, and nothing else is skipped.
+// withdrawal that covers it finished, each withdrawal completes, and nothing else is skipped.
 func TestNothingIsDeliveredAfterWithdrawalCompletes(t *testing.T) {
 	delivered, cuts, finishes := 0, 0, 0
 	for seed := range uint64(60) {
@@ -347,7 +347,7 @@
 			model := &modelLeader{
 				random:     rand.New(rand.NewPCG(seed, 1)),
 				tombstones: tombstones{},
-				completed:  tombstones{},
+				finished:   tombstones{},
 				readers:    map[string]uint64{},
 			}
 			hub := New(ctx, "a1", "boot", model, gossip.NewStore(nil), clock.Real{}, settings.DefaultTiming)
@@ -365,7 +365,7 @@
 			model.mu.Lock()
 			assert.Equal(t, len(model.faults), 0, "seed %d: %v", seed, model.faults)
 			assert.Equal(
-				t, len(model.openWithdrawals), 0, "seed %d: withdrawals not completed, readers %v", seed,
+				t, len(model.openWithdrawals), 0, "seed %d: withdrawals not finished, readers %v", seed,
 				model.readers,
 			)
 			delivered, cuts, finishes = delivered+model.delivered, cuts+model.cuts, finishes+model.finishes
--- a/internal/golden/callers_test.go
+++ b/internal/golden/callers_test.go
@@ -7,6 +7,7 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
+	"os"
 	"reflect"
 	"slices"
 	"strings"
@@ -118,6 +119,18 @@
 	golden.Assert(t, out.String(), "paths.golden")
 }
 
+// platformRequests returns requests in the platform's words, which no Go file outside it holds.
+func platformRequests(t *testing.T) []string {
+	t.Helper()
+	content, err := os.ReadFile("testdata/platform_requests.txt")
+	assert.NilError(t, err)
+	lines := strings.Split(strings.TrimSuffix(string(content), "\n"), "\n")
+	for i, line := range lines {
+		lines[i] = strings.ReplaceAll(line, `\r\n`, "\r\n")
+	}
+	return lines
+}
+
 // The words of a connection's lines: what tasks are read as, field by field, and how each answer
 // and each problem is told.
 func TestLines(t *testing.T) {
@@ -131,10 +144,7 @@
 			`{"verb":"withdraw","topic":"t","key":"k","call_seq":8,"of":"w","upto":5}`,
 			`{"verb":"dance"}`, `{"verb":"join","x":1}`,
 		},
-		platform.Codec{}: {
-			"ATTACH v k", "SUBSCRIBE t c", "SUBSCRIBE t", "UNSUBSCR t", "PUBLISH t 7 3\r\nabc",
-			"HOWMANY t", "PROBE", "DANCE", "PUBLISH t",
-		},
+		platform.Codec{}: platformRequests(t),
 	}
 	whats := []string{
 		"attached", "joined", "left", "taken", "counted", "alive", "message", "turned", "moved",
