--- a/internal/partitionlog/idle/idle_test.go
+++ b/internal/partitionlog/idle/idle_test.go
@@ -28,7 +28,9 @@
 }
 
 func at(p int) replica.IdleLog {
-	return replica.IdleLog{Partition: p, Kind: log.KindLedger, Epoch: 2, Last: log.Position{Offset: uint64(p), Epoch: 1}}
+	return replica.IdleLog{
+		Partition: p, Kind: log.KindLedger, Epoch: 2, Last: log.Position{Offset: uint64(p), Epoch: 1},
+	}
 }
 
 func (c *copies) still(_ context.Context, q *replica.CompareIdleRequest) (*replica.CompareIdleResponse, error) {
@@ -73,7 +75,10 @@
 				mine = nil
 			}
 			go func() {
-				said[p] <- l.Wait(ctx, Disk{"at-s2", "disk"}, at(p), begun.Add(time.Second+time.Duration(p)*time.Millisecond), mine, nil)
+				said[p] <- l.Wait(
+					ctx, Disk{"at-s2", "disk"}, at(p),
+					begun.Add(time.Second+time.Duration(p)*time.Millisecond), mine, nil,
+				)
 			}()
 		}
 		synctest.Wait()
--- a/internal/partitionlog/leader/commit.go
+++ b/internal/partitionlog/leader/commit.go
@@ -13,7 +13,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.stage == StageLost {
-		return 0, apierror.New(apierror.NotPartitionLeader, "partition %d was lost: %v", l.Record.Partition, l.lostCause)
+		return 0, apierror.New(
+			apierror.NotPartitionLeader, "partition %d was lost: %v", l.Record.Partition, l.lostCause,
+		)
 	}
 	var offset uint64
 	for _, entry := range entries {
--- a/internal/partitionlog/leader/compress_test.go
+++ b/internal/partitionlog/leader/compress_test.go
@@ -25,7 +25,9 @@
 	for _, sizes := range [][]int{{700}, {20, 0, 4000, 333}, {900, 900, 900}} {
 		response := &PollResponse{}
 		for i, size := range sizes {
-			response.Entries = append(response.Entries, log.Entry{Offset: uint64(i + 1), Topic: "t", Body: compressibleBytes(r, size)})
+			response.Entries = append(response.Entries, log.Entry{
+				Offset: uint64(i + 1), Topic: "t", Body: compressibleBytes(r, size),
+			})
 		}
 		var want [][]byte
 		size := 0
@@ -66,13 +68,17 @@
 		"cut short": func(response *FollowResponse) {
 			response.Compressed.Bytes = response.Compressed.Bytes[:len(response.Compressed.Bytes)/2]
 		},
-		"a size too many": func(response *FollowResponse) { response.Compressed.Sizes = append(response.Compressed.Sizes, 1) },
-		"a smaller size":  func(response *FollowResponse) { response.Compressed.Sizes[0]-- },
-		"a larger size":   func(response *FollowResponse) { response.Compressed.Sizes[0]++ },
-		"a huge size":     func(response *FollowResponse) { response.Compressed.Sizes[0] = 1 << 40 },
-		"below nothing":   func(response *FollowResponse) { response.Compressed.Sizes[0] = -1 },
+		"a size too many": func(response *FollowResponse) {
+			response.Compressed.Sizes = append(response.Compressed.Sizes, 1)
+		},
+		"a smaller size": func(response *FollowResponse) { response.Compressed.Sizes[0]-- },
+		"a larger size":  func(response *FollowResponse) { response.Compressed.Sizes[0]++ },
+		"a huge size":    func(response *FollowResponse) { response.Compressed.Sizes[0] = 1 << 40 },
+		"below nothing":  func(response *FollowResponse) { response.Compressed.Sizes[0] = -1 },
 	} {
-		response := &FollowResponse{Backlog: []log.Entry{{Body: compressibleBytes(r, 700)}, {Body: compressibleBytes(r, 700)}}}
+		response := &FollowResponse{
+			Backlog: []log.Entry{{Body: compressibleBytes(r, 700)}, {Body: compressibleBytes(r, 700)}},
+		}
 		response.Compress()
 		assert.Assert(t, response.Compressed != nil)
 		damage(response)
--- a/internal/partitionlog/leader/followers.go
+++ b/internal/partitionlog/leader/followers.go
@@ -53,7 +53,9 @@
 		case <-l.lost:
 			return nil, l.errLost()
 		case <-ctx.Done():
-			return nil, apierror.WithCause(apierror.Unreachable, ctx.Err(), "following partition %d", l.Record.Partition)
+			return nil, apierror.WithCause(
+				apierror.Unreachable, ctx.Err(), "following partition %d", l.Record.Partition,
+			)
 		}
 	}
 }
@@ -180,7 +182,9 @@
 		case <-committed:
 		case <-due:
 			if ctx.Err() != nil {
-				return nil, apierror.WithCause(apierror.Unreachable, ctx.Err(), "following partition %d", l.Record.Partition)
+				return nil, apierror.WithCause(
+					apierror.Unreachable, ctx.Err(), "following partition %d", l.Record.Partition,
+				)
 			}
 			return response, nil
 		case <-l.lost:
--- a/internal/partitionlog/leader/followers_test.go
+++ b/internal/partitionlog/leader/followers_test.go
@@ -18,7 +18,10 @@
 func withSingleReplica(t *testing.T, script func(t *testing.T, leader *Leader)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		leader := New(Options{Clock: clock.Real{}, Timing: settings.DefaultTiming}, assignment.Record{Epoch: 1, Replicas: []assignment.Replica{{Node: "s1"}}}, false)
+		leader := New(
+			Options{Clock: clock.Real{}, Timing: settings.DefaultTiming},
+			assignment.Record{Epoch: 1, Replicas: []assignment.Replica{{Node: "s1"}}}, false,
+		)
 		leader.stage = StageOpen
 		leader.logs[log.KindLedger] = newLogProgress(log.KindLedger, log.New())
 		leader.state = state.New()
@@ -40,7 +43,9 @@
 // subscribers go on counting.
 func TestPoll_BrokenOffDoesNotEndTheNextOne(t *testing.T) {
 	withSingleReplica(t, func(t *testing.T, leader *Leader) {
-		_, err := leader.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "b", Sequence: 1, Full: true, Topics: map[string]int{"t": 3}})
+		_, err := leader.Follow(t.Context(), &FollowRequest{
+			Node: "a1", BootID: "b", Sequence: 1, Full: true, Topics: map[string]int{"t": 3},
+		})
 		assert.NilError(t, err)
 		ctx, stop := context.WithCancel(t.Context())
 		first := leader.startPoll(ctx, 1)
@@ -73,12 +78,21 @@
 		}
 		ledger.log.Append(time.Now(), ledger.pending...)
 		ledger.pending, ledger.durable, ledger.commit = nil, ledger.last.Offset, ledger.last.Offset
-		response, err := leader.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "b", Sequence: 1, Full: true, FirstOnly: true, Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 1}})
+		response, err := leader.Follow(t.Context(), &FollowRequest{
+			Node: "a1", BootID: "b", Sequence: 1, Full: true, FirstOnly: true, Topics: map[string]int{"t": 1},
+			After: map[string]uint64{"t": 1},
+		})
 		assert.NilError(t, err)
 		assert.Equal(t, len(response.Backlog), 1)
 		assert.Equal(t, response.Backlog[0].Offset, uint64(3))
-		assert.Assert(t, response.BacklogEnd >= 3 && response.BacklogEnd < 5, "the next one is at 5, told up to %d", response.BacklogEnd)
-		response, err = leader.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "b", BaseSequence: 1, Sequence: 2, After: map[string]uint64{"t": response.BacklogEnd}})
+		assert.Assert(
+			t, response.BacklogEnd >= 3 && response.BacklogEnd < 5, "the next one is at 5, told up to %d",
+			response.BacklogEnd,
+		)
+		response, err = leader.Follow(t.Context(), &FollowRequest{
+			Node: "a1", BootID: "b", BaseSequence: 1, Sequence: 2,
+			After: map[string]uint64{"t": response.BacklogEnd},
+		})
 		assert.NilError(t, err)
 		assert.Equal(t, len(response.Backlog), 2)
 		assert.Equal(t, response.BacklogEnd, response.CommittedEnd)
--- a/internal/partitionlog/leader/progress_test.go
+++ b/internal/partitionlog/leader/progress_test.go
@@ -17,7 +17,12 @@
 	progress.appendEntry(log.Entry{Type: log.TypeMessage, Body: []byte("old")}, 1)
 	ledger.Append(time.Now(), progress.pending...)
 	progress.pending, progress.durable = nil, 1
-	record := assignment.Record{Epoch: 2, Replicas: []assignment.Replica{{Node: "s1", Incarnation: "i1"}, {Node: "s2", Incarnation: "i2"}, {Node: "s3", Incarnation: "i3"}}}
+	record := assignment.Record{
+		Epoch: 2,
+		Replicas: []assignment.Replica{
+			{Node: "s1", Incarnation: "i1"}, {Node: "s2", Incarnation: "i2"}, {Node: "s3", Incarnation: "i3"},
+		},
+	}
 	progress.match["i2"], progress.match["i3"] = 1, 1
 	assert.Assert(t, !progress.advanceCommit(record, "s1"))
 	assert.Equal(t, progress.commit, uint64(0))
@@ -37,14 +42,22 @@
 	progress.appendEntry(log.Entry{Type: log.TypeEpochStart}, 2)
 	ledger.Append(time.Now(), progress.pending...)
 	progress.pending, progress.durable = nil, 1
-	record := assignment.Record{Epoch: 2, Replicas: []assignment.Replica{{Node: "s1", Incarnation: "i1"}, {Node: "s2", Incarnation: "i2"}, {Node: "s3", Incarnation: "i3"}}}
+	record := assignment.Record{
+		Epoch: 2,
+		Replicas: []assignment.Replica{
+			{Node: "s1", Incarnation: "i1"}, {Node: "s2", Incarnation: "i2"}, {Node: "s3", Incarnation: "i3"},
+		},
+	}
 	progress.match["new"] = 1
 	assert.Assert(t, !progress.advanceCommit(record, "s1"), "a learner was counted")
 	progress.match["i2"] = 1
 	assert.Assert(t, progress.advanceCommit(record, "s1"))
 
 	progress.match["i3"], progress.match["new"] = 9, 8
-	assert.Assert(t, !progress.isCaughtUp(record, assignment.Replica{Node: "s3", Incarnation: "new"}), "the lost disk held more, on which a commit may still rest")
+	assert.Assert(
+		t, !progress.isCaughtUp(record, assignment.Replica{Node: "s3", Incarnation: "new"}),
+		"the lost disk held more, on which a commit may still rest",
+	)
 	progress.match["new"] = 9
 	assert.Assert(t, progress.isCaughtUp(record, assignment.Replica{Node: "s3", Incarnation: "new"}))
 }
--- a/internal/partitionlog/leader/read.go
+++ b/internal/partitionlog/leader/read.go
@@ -42,7 +42,9 @@
 			return nil, l.errLost()
 		case <-holdCtx.Done():
 			if ctx.Err() != nil {
-				return nil, apierror.WithCause(apierror.Unreachable, ctx.Err(), "reading partition %d", l.Record.Partition)
+				return nil, apierror.WithCause(
+					apierror.Unreachable, ctx.Err(), "reading partition %d", l.Record.Partition,
+				)
 			}
 			return response, nil
 		}
--- a/internal/partitionlog/leader/read_test.go
+++ b/internal/partitionlog/leader/read_test.go
@@ -45,7 +45,10 @@
 	var described []string
 	for _, entry := range entries {
 		if entry.Type == log.TypeMessage {
-			described = append(described, fmt.Sprintf("%d%s%s", entry.Offset, entry.Body, map[bool]string{true: "-"}[entry.BodyDropped]))
+			described = append(
+				described,
+				fmt.Sprintf("%d%s%s", entry.Offset, entry.Body, map[bool]string{true: "-"}[entry.BodyDropped]),
+			)
 		} else {
 			described = append(described, fmt.Sprintf("%d%s", entry.Offset, entry.Type))
 		}
@@ -141,7 +144,9 @@
 		assert.Equal(t, len((<-current.ask(ReadRequest{From: 0})).Entries), 0, "another run has the token meanwhile")
 		assert.Equal(t, describe((<-current.ask(ReadRequest{From: 0})).Entries), "1b 2reader 3reader")
 	},
-	"a reader that finished is removed once that is committed, and its late requests do not bring it back": func(t *testing.T, r *rig) {
+	"a reader that finished is removed once that is committed, and its late requests do not bring it back": func(
+		t *testing.T, r *rig,
+	) {
 		r.submitAccepted(message("v", 1, "t", "k"))
 		reader := (&partitionReader{rig: r, bootID: "b.1"}).start(0)
 		responses := reader.ask(ReadRequest{From: ^uint64(0), Finished: true})
@@ -171,7 +176,9 @@
 		assert.Equal(t, r.state.Readers["a1/streams"].BootID, "b.2")
 		assert.Assert(t, len((<-current.ask(ReadRequest{From: 0})).Entries) > 0)
 	},
-	"a reader that was given up learns it, and is one again under another boot ID or removed for good": func(t *testing.T, r *rig) {
+	"a reader that was given up learns it, and is one again under another boot ID or removed for good": func(
+		t *testing.T, r *rig,
+	) {
 		r.submitAccepted(message("v", 1, "t", "k"))
 		reader := (&partitionReader{rig: r, bootID: "b.1"}).start(0)
 		offset := r.submitAccepted(withdrawal("v", 2, "t", "k"))
--- a/internal/partitionlog/leader/readers.go
+++ b/internal/partitionlog/leader/readers.go
@@ -294,7 +294,9 @@
 func (l *Leader) probeReader(ctx context.Context, name, address, bootID string) {
 	ctx, cancel := context.WithTimeout(ctx, l.options.Timing.CallTimeout())
 	defer cancel()
-	response, err := membership.Identify.Call(ctx, l.options.Net, l.options.Self, address, &membership.IdentifyRequest{})
+	response, err := membership.Identify.Call(
+		ctx, l.options.Net, l.options.Self, address, &membership.IdentifyRequest{},
+	)
 	if err != nil || response.Info.Name != readerNode(name) || response.Info.BootID == "" ||
 		strings.HasPrefix(bootID, response.Info.BootID) {
 		return
--- a/internal/partitionlog/leader/readers_test.go
+++ b/internal/partitionlog/leader/readers_test.go
@@ -28,11 +28,17 @@
 		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "b", 0)), []uint64{2, 3, 5})
 		r.submitAccepted(message("v", 4, "t", "k"))
 		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "b", 0)), []uint64{2, 3, 5, 6})
-		response, err := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "b", BaseSequence: 1, Sequence: 2, TracksTombstones: true, After: map[string]uint64{"t": 0}})
+		response, err := r.Follow(t.Context(), &FollowRequest{
+			Node: "a1", BootID: "b", BaseSequence: 1, Sequence: 2, TracksTombstones: true,
+			After: map[string]uint64{"t": 0},
+		})
 		assert.NilError(t, err)
 		assert.DeepEqual(t, offsets(response.Backlog), []uint64{2, 5, 6})
 		withdrawn := response.Backlog[1]
-		assert.Equal(t, [...]string{withdrawn.Type, withdrawn.Topic, withdrawn.Key, withdrawn.Client}, [...]string{log.TypeWithdrawal, "t", "k", "v"})
+		assert.Equal(
+			t, [...]string{withdrawn.Type, withdrawn.Topic, withdrawn.Key, withdrawn.Client},
+			[...]string{log.TypeWithdrawal, "t", "k", "v"},
+		)
 	})
 }
 
@@ -43,7 +49,9 @@
 		r.submitAccepted(message("v", 1, "t", "k"))
 		r.follow("a1", "b", "u")
 		results := r.poll("a1", "b", 1)
-		_, err := r.Follow(t.Context(), &FollowRequest{Node: "a2", BootID: "b", Sequence: 1, Full: true, Topics: map[string]int{"t": 1}})
+		_, err := r.Follow(t.Context(), &FollowRequest{
+			Node: "a2", BootID: "b", Sequence: 1, Full: true, Topics: map[string]int{"t": 1},
+		})
 		assert.NilError(t, err)
 		old := r.startPoll(t.Context(), 1)
 		begun := time.Now()
@@ -85,7 +93,11 @@
 
 		answers := make(chan *FollowResponse, 1)
 		go func() {
-			response, _ := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "c", Sequence: 1, Full: true, TracksTombstones: true, Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 1}, ReaderToken: r.readerToken("a1", "c")})
+			response, _ := r.Follow(t.Context(), &FollowRequest{
+				Node: "a1", BootID: "c", Sequence: 1, Full: true, TracksTombstones: true,
+				Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 1},
+				ReaderToken: r.readerToken("a1", "c"),
+			})
 			answers <- response
 		}()
 		synctest.Wait()
@@ -108,10 +120,18 @@
 		r.submitAccepted(withdrawal("v", 2, "t", "k"))
 		polled := <-results
 		assert.NilError(t, polled.err)
-		assert.Assert(t, !slices.ContainsFunc(polled.response.Entries, func(entry log.Entry) bool { return entry.Type == log.TypeMessage }))
+		assert.Assert(
+			t,
+			!slices.ContainsFunc(polled.response.Entries, func(entry log.Entry) bool {
+				return entry.Type == log.TypeMessage
+			}),
+		)
 		assert.Equal(t, r.state.Readers["a1"].BootID, "b")
 		assert.Assert(t, polled.response.IsReader)
-		response, err := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "b", BaseSequence: 1, Sequence: 2, TracksTombstones: true, Topics: map[string]int{"t": 0}})
+		response, err := r.Follow(t.Context(), &FollowRequest{
+			Node: "a1", BootID: "b", BaseSequence: 1, Sequence: 2, TracksTombstones: true,
+			Topics: map[string]int{"t": 0},
+		})
 		assert.NilError(t, err)
 		assert.Assert(t, response.IsReader)
 		r.follow("a2", "b", "t")
@@ -130,7 +150,10 @@
 		r.commitAll()
 		r.becomeReader("a1", "c", 0)
 		for _, finished := range []bool{false, true} {
-			response, err := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "b", Sequence: 9, Full: true, Finished: finished, TracksTombstones: true, Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 0}})
+			response, err := r.Follow(t.Context(), &FollowRequest{
+				Node: "a1", BootID: "b", Sequence: 9, Full: true, Finished: finished, TracksTombstones: true,
+				Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 0},
+			})
 			assert.NilError(t, err)
 			assert.Assert(t, response.UnknownFollower)
 			r.commitAll()
@@ -156,10 +179,15 @@
 		late := func(bootID string, token uint64) {
 			t.Helper()
 			for _, sent := range []uint64{0, token} {
-				response, err := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: bootID, Sequence: 90 + sent, Full: true, TracksTombstones: true, Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 0}, ReaderToken: sent})
+				response, err := r.Follow(t.Context(), &FollowRequest{
+					Node: "a1", BootID: bootID, Sequence: 90 + sent, Full: true, TracksTombstones: true,
+					Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 0}, ReaderToken: sent,
+				})
 				assert.NilError(t, err)
 				assert.Assert(t, response.UnknownFollower && len(response.Backlog) == 0)
-				polled, err := r.Poll(t.Context(), &PollRequest{Node: "a1", BootID: bootID, Sequence: 1, TracksTombstones: true, ReaderToken: sent})
+				polled, err := r.Poll(t.Context(), &PollRequest{
+					Node: "a1", BootID: bootID, Sequence: 1, TracksTombstones: true, ReaderToken: sent,
+				})
 				assert.NilError(t, err)
 				assert.Equal(t, len(polled.Entries), 0)
 				r.commitAll()
@@ -180,7 +208,9 @@
 		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "d", 0)), []uint64{1})
 
 		given = r.readerToken("a1", "d")
-		response, err := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "d", Sequence: 99, Full: true, TracksTombstones: true, Finished: true})
+		response, err := r.Follow(t.Context(), &FollowRequest{
+			Node: "a1", BootID: "d", Sequence: 99, Full: true, TracksTombstones: true, Finished: true,
+		})
 		assert.NilError(t, err)
 		assert.Assert(t, !response.UnknownFollower)
 		r.commitAll()
@@ -202,7 +232,10 @@
 		assert.DeepEqual(t, r.entriesOf(results), []uint64{})
 		ctx, stop := context.WithTimeout(t.Context(), time.Second)
 		defer stop()
-		_, err := r.Follow(ctx, &FollowRequest{Node: "a2", BootID: "b", Sequence: 1, Full: true, TracksTombstones: true, After: map[string]uint64{"t": 0}, ReaderToken: r.readerToken("a2", "b")})
+		_, err := r.Follow(ctx, &FollowRequest{
+			Node: "a2", BootID: "b", Sequence: 1, Full: true, TracksTombstones: true,
+			After: map[string]uint64{"t": 0}, ReaderToken: r.readerToken("a2", "b"),
+		})
 		assert.Assert(t, apierror.HasCode(err, apierror.Unreachable), "%v", err)
 		assert.Equal(t, len(r.state.Readers), 0)
 	})
@@ -294,8 +327,14 @@
 		assert.DeepEqual(t, pending, &PendingReaders{GivenUp: []string{"a1"}})
 
 		polled := <-r.poll("a1", "b", 0)
-		assert.Assert(t, polled.response.MustReset && polled.response.UnknownFollower && len(polled.response.Entries) == 0)
-		response, err := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "b", Sequence: 7, Full: true, TracksTombstones: true, Topics: map[string]int{"t": 1}})
+		assert.Assert(
+			t,
+			polled.response.MustReset && polled.response.UnknownFollower && len(polled.response.Entries) == 0,
+		)
+		response, err := r.Follow(t.Context(), &FollowRequest{
+			Node: "a1", BootID: "b", Sequence: 7, Full: true, TracksTombstones: true,
+			Topics: map[string]int{"t": 1},
+		})
 		assert.NilError(t, err)
 		assert.Assert(t, response.MustReset && response.UnknownFollower)
 		r.follow("a1", "b+1", "t")
@@ -310,7 +349,9 @@
 		r.submitAccepted(withdrawal("v", 2, "t", "k"))
 		r.locked(func() { r.writeReader("a1", state.ReaderEntry{BootID: "b", GivenUp: true}) })
 		r.commitAll()
-		response, err := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "b", BaseSequence: 1, Sequence: 2, TracksTombstones: true, Finished: true})
+		response, err := r.Follow(t.Context(), &FollowRequest{
+			Node: "a1", BootID: "b", BaseSequence: 1, Sequence: 2, TracksTombstones: true, Finished: true,
+		})
 		assert.NilError(t, err)
 		assert.Assert(t, !response.MustReset)
 		r.commitAll()
@@ -326,17 +367,27 @@
 		r.follow("a1", "b", "t")
 		r.becomeReader("a1", "b", 0)
 		late := r.poll("a1", "b", 3)
-		response, err := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "b", BaseSequence: 1, Sequence: 2, TracksTombstones: true, Finished: true})
+		response, err := r.Follow(t.Context(), &FollowRequest{
+			Node: "a1", BootID: "b", BaseSequence: 1, Sequence: 2, TracksTombstones: true, Finished: true,
+		})
 		assert.NilError(t, err)
 		assert.Assert(t, !response.UnknownFollower)
 		assert.Equal(t, len(r.state.Readers), 1, "not on a majority yet")
-		again := &FollowRequest{Node: "a1", BootID: "b", BaseSequence: 2, Sequence: 3, TracksTombstones: true, Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 0}, ReaderToken: r.readerToken("a1", "b")}
+		again := &FollowRequest{
+			Node: "a1", BootID: "b", BaseSequence: 2, Sequence: 3, TracksTombstones: true,
+			Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 0},
+			ReaderToken: r.readerToken("a1", "b"),
+		}
 		response, err = r.Follow(t.Context(), again)
 		assert.NilError(t, err)
 		assert.Assert(t, response.UnknownFollower, "a run that is done goes on under another boot")
 		responses := make(chan *FollowResponse, 1)
 		go func() {
-			response, _ := r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "c", Sequence: 1, Full: true, TracksTombstones: true, Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 0}, ReaderToken: r.readerToken("a1", "c")})
+			response, _ := r.Follow(t.Context(), &FollowRequest{
+				Node: "a1", BootID: "c", Sequence: 1, Full: true, TracksTombstones: true,
+				Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 0},
+				ReaderToken: r.readerToken("a1", "c"),
+			})
 			responses <- response
 		}()
 		synctest.Wait()
@@ -352,7 +403,11 @@
 		assert.NilError(t, err)
 		r.commitAll()
 		assert.Equal(t, len(r.state.Readers), 0)
-		response, err = r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "c", Sequence: 2, Full: true, TracksTombstones: true, Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 0}, ReaderToken: r.readerToken("a1", "c")})
+		response, err = r.Follow(t.Context(), &FollowRequest{
+			Node: "a1", BootID: "c", Sequence: 2, Full: true, TracksTombstones: true,
+			Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 0},
+			ReaderToken: r.readerToken("a1", "c"),
+		})
 		assert.NilError(t, err)
 		assert.Assert(t, response.UnknownFollower, "a question of before its end is none")
 	})
--- a/internal/partitionlog/leader/recovery.go
+++ b/internal/partitionlog/leader/recovery.go
@@ -206,7 +206,10 @@
 			return err
 		}
 		if len(fetched.Entries) == 0 || fetched.Tail.Last.Less(end) {
-			return apierror.New(apierror.LogMismatch, "%s ends at %d, short of %d", from, fetched.Tail.Last.Offset, end.Offset)
+			return apierror.New(
+				apierror.LogMismatch, "%s ends at %d, short of %d", from, fetched.Tail.Last.Offset,
+				end.Offset,
+			)
 		}
 		appended, err := l.options.Replica.Append(ctx, &replica.AppendRequest{
 			Target: l.ownTarget(), Kind: kind, After: after, Entries: fetched.Entries, Reset: reset, Urgent: l.Urgent,
--- a/internal/partitionlog/leader/recovery_test.go
+++ b/internal/partitionlog/leader/recovery_test.go
@@ -34,7 +34,14 @@
 	target := replica.Target{Partition: 3, Incarnation: "i", Epoch: 5}
 	_, err = own.Seal(ctx, &replica.SealRequest{Target: target})
 	assert.NilError(t, err)
-	leader := New(Options{Self: "s1", Clock: clock.Real{}, Timing: settings.DefaultTiming, Replica: own}, assignment.Record{Partition: 3, Epoch: 5, Leader: "s1", Replicas: []assignment.Replica{{Node: "s1", Incarnation: "i"}}}, false)
+	leader := New(
+		Options{Self: "s1", Clock: clock.Real{}, Timing: settings.DefaultTiming, Replica: own},
+		assignment.Record{
+			Partition: 3, Epoch: 5, Leader: "s1",
+			Replicas: []assignment.Replica{{Node: "s1", Incarnation: "i"}},
+		},
+		false,
+	)
 	endedCtx, end := context.WithCancel(ctx)
 	end()
 	assert.Assert(t, apierror.HasCode(leader.recoverPartition(endedCtx), apierror.StaleEpoch))
--- a/internal/partitionlog/leader/replicate.go
+++ b/internal/partitionlog/leader/replicate.go
@@ -105,7 +105,9 @@
 	due := r.sentAt.Add(interval)
 	if isMember && l.options.Idle != nil && work.commit == r.sharedCommit && work.base == r.sharedBase {
 		disk := idle.Disk{Addr: address, Incarnation: r.to.Incarnation}
-		idleLog := replica.IdleLog{Partition: l.Record.Partition, Kind: r.progress.kind, Epoch: l.Record.Epoch, Last: r.next}
+		idleLog := replica.IdleLog{
+			Partition: l.Record.Partition, Kind: r.progress.kind, Epoch: l.Record.Epoch, Last: r.next,
+		}
 		result := l.options.Idle.Wait(ctx, disk, idleLog, due, work.appended, committed)
 		if result == idle.Identical {
 			r.sentAt = l.options.Clock.Now()
--- a/internal/partitionlog/leader/rig_test.go
+++ b/internal/partitionlog/leader/rig_test.go
@@ -48,8 +48,12 @@
 		return nil, apierror.New(apierror.Unreachable, "nobody at %s", request.URL.Host)
 	}
 	mux := http.NewServeMux()
-	membership.Identify.Handle(mux, func(context.Context, *membership.IdentifyRequest) (*membership.IdentifyResponse, error) {
-		return &membership.IdentifyResponse{Info: membership.Info{Name: strings.TrimPrefix(request.URL.Host, "at-"), BootID: bootID}}, nil
+	membership.Identify.Handle(mux, func(
+		context.Context, *membership.IdentifyRequest,
+	) (*membership.IdentifyResponse, error) {
+		return &membership.IdentifyResponse{
+			Info: membership.Info{Name: strings.TrimPrefix(request.URL.Host, "at-"), BootID: bootID},
+		}, nil
 	})
 	w := httptest.NewRecorder()
 	mux.ServeHTTP(w, request)
@@ -61,7 +65,10 @@
 func withLeader(t *testing.T, copies int, script func(t *testing.T, r *rig)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		r := &rig{t: t, members: map[string]string{"s1": "at-s1", "a1": "at-a1", "a2": "at-a2"}, bootIDs: map[string]string{}}
+		r := &rig{
+			t: t, members: map[string]string{"s1": "at-s1", "a1": "at-a1", "a2": "at-a2"},
+			bootIDs: map[string]string{},
+		}
 		record := assignment.Record{Epoch: 1, Leader: "s1"}
 		for _, node := range []string{"s1", "s2", "s3"}[:copies] {
 			record.Replicas = append(record.Replicas, assignment.Replica{Node: node})
@@ -69,11 +76,15 @@
 		}
 		r.Leader = New(Options{
 			Self: "s1", Net: r, Clock: clock.Real{}, Timing: settings.DefaultTiming, Replica: replica.New(clock.Real{}), Observer: r,
-			Backlog: func() int { return 64 }, CheckLease: func() error { return nil }, LongestRetention: func() time.Duration { return 0 }, LeaseExtension: time.Second,
+			Backlog: func() int { return 64 }, CheckLease: func() error {
+				return nil
+			}, LongestRetention: func() time.Duration { return 0 }, LeaseExtension: time.Second,
 			Addr: func(node string) (string, bool) { address, ok := r.members[node]; return address, ok },
 		}, record, false)
 		r.stage, r.state, r.ctx = StageOpen, state.New(), t.Context()
-		r.logs[log.KindLedger], r.logs[log.KindChangelog] = newLogProgress(log.KindLedger, log.New()), newLogProgress(log.KindChangelog, log.New())
+		r.logs[log.KindLedger], r.logs[log.KindChangelog] = newLogProgress(log.KindLedger, log.New()), newLogProgress(
+			log.KindChangelog, log.New(),
+		)
 		script(t, r)
 	})
 }
@@ -133,7 +144,9 @@
 // follow follows topics under a boot ID, as a node that tracks tombstones.
 func (r *rig) follow(node, bootID string, topics ...string) {
 	r.t.Helper()
-	request := &FollowRequest{Node: node, BootID: bootID, Sequence: 1, Full: true, TracksTombstones: true, Topics: map[string]int{}}
+	request := &FollowRequest{
+		Node: node, BootID: bootID, Sequence: 1, Full: true, TracksTombstones: true, Topics: map[string]int{},
+	}
 	for _, topic := range topics {
 		request.Topics[topic] = 1
 	}
@@ -164,7 +177,10 @@
 	results := make(chan pollResult, 1)
 	token := r.readerToken(node, bootID)
 	go func() {
-		response, err := r.Poll(r.t.Context(), &PollRequest{Node: node, BootID: bootID, Sequence: 1, From: from, Hold: r.options.Timing.Spread, TracksTombstones: true, ReaderToken: token})
+		response, err := r.Poll(r.t.Context(), &PollRequest{
+			Node: node, BootID: bootID, Sequence: 1, From: from, Hold: r.options.Timing.Spread,
+			TracksTombstones: true, ReaderToken: token,
+		})
 		results <- pollResult{response, err}
 	}()
 	synctest.Wait()
--- a/internal/partitionlog/leader/tombstones_test.go
+++ b/internal/partitionlog/leader/tombstones_test.go
@@ -17,7 +17,10 @@
 	withLeader(t, 1, func(t *testing.T, r *rig) {
 		r.options.MaxTombstones = func() int { return 2 }
 		r.submitAccepted(message("v", 1, "t", "a"), message("v", 2, "t", "b"), message("v", 3, "t", "c"))
-		outcomes := r.submit(withdrawal("v", 4, "t", "a"), withdrawal("v", 5, "t", "b"), withdrawal("v", 6, "t", "c"), message("v", 7, "t", "c"))
+		outcomes := r.submit(
+			withdrawal("v", 4, "t", "a"), withdrawal("v", 5, "t", "b"), withdrawal("v", 6, "t", "c"),
+			message("v", 7, "t", "c"),
+		)
 		assert.Equal(t, outcomes[2].Err.Code, apierror.Overloaded)
 		assert.Assert(t, outcomes[3].Err == nil, "messages go on")
 		r.expectRejected(withdrawal("v", 8, "t", "c"), apierror.Overloaded)
@@ -36,7 +39,10 @@
 	position, ok := ledger.Position(to)
 	assert.Assert(r.t, ok)
 	r.locked(r.dropTombstones)
-	assert.Assert(r.t, len(r.state.Tombstones) > 0 || ledger.Base().Offset == to, "the line still holds what the mark covers")
+	assert.Assert(
+		r.t, len(r.state.Tombstones) > 0 || ledger.Base().Offset == to,
+		"the line still holds what the mark covers",
+	)
 	ledger.TrimTo(position)
 	r.locked(r.dropTombstones)
 }
@@ -50,7 +56,9 @@
 		r.becomeReader("a1", "b", 0)
 		offset := r.submitAccepted(withdrawal("v", 2, "t", "k"))
 		r.submitAccepted(message("v", 3, "t", ""))
-		assert.DeepEqual(t, r.View().TombstoneView, TombstoneView{Tombstones: 1, OldestAge: 1, Readers: []ReaderView{{Node: "a1"}}})
+		assert.DeepEqual(t, r.View().TombstoneView, TombstoneView{
+			Tombstones: 1, OldestAge: 1, Readers: []ReaderView{{Node: "a1"}},
+		})
 		r.trimLedger(offset)
 		assert.Equal(t, len(r.state.Tombstones), 1, "a reader may still hold it")
 		r.poll("a1", "b", offset)
@@ -82,7 +90,10 @@
 		r.poll("a1", "b", offset)
 		r.state.DropTombstone(state.Key("t", "k"))
 		changes := r.logs[log.KindChangelog]
-		for _, entry := range append(changelog.EncodeBatch(r.state.Input, r.state.TakeChanges(), false), changelog.EncodeCommit(changelog.Commit{Input: r.state.Input})) {
+		for _, entry := range append(
+			changelog.EncodeBatch(r.state.Input, r.state.TakeChanges(), false),
+			changelog.EncodeCommit(changelog.Commit{Input: r.state.Input}),
+		) {
 			changes.appendEntry(entry, 1)
 		}
 		changes.log.Append(time.Now(), changes.pending...)
--- a/internal/partitionlog/leader/withdrawals_test.go
+++ b/internal/partitionlog/leader/withdrawals_test.go
@@ -20,20 +20,40 @@
 		r.submitAccepted(message("v", 1, "t", "k"))
 		r.expectRejected(withdrawal("v", 2, "t", "other"), apierror.KeyUnknown)
 		r.expectRejected(withdrawal("v", 2, "u", "k"), apierror.KeyUnknown)
-		assert.Equal(t, r.counters.QuorumChecks, uint64(2), "that nothing is held is said once a majority confirmed the epoch")
+		assert.Equal(
+			t, r.counters.QuorumChecks, uint64(2),
+			"that nothing is held is said once a majority confirmed the epoch",
+		)
 		assert.Equal(t, r.submitAccepted(withdrawal("v", 2, "t", "k")), uint64(2))
 		outcome := r.submit(withdrawal("v", 2, "t", "k"))[0]
 		assert.DeepEqual(t, outcome.Decision, &Decision{Epoch: 1, Offset: 2, Duplicate: true})
-		for _, rejected := range []*Message{withdrawal("v", 2, "t", "l"), message("v", 2, "t", "k"), message("v", 2, "t", ""), {Client: "v", CallSeq: 2, Topic: "t", Key: "k", Withdraw: true, WithdrawSender: "w", WithdrawUpTo: 3}, message("v", 1, "t", "l"), message("v", 1, "t", "")} {
+		for _, rejected := range []*Message{
+			withdrawal("v", 2, "t", "l"), message("v", 2, "t", "k"), message("v", 2, "t", ""),
+			{Client: "v", CallSeq: 2, Topic: "t", Key: "k", Withdraw: true, WithdrawSender: "w", WithdrawUpTo: 3},
+			message("v", 1, "t", "l"), message("v", 1, "t", ""),
+		} {
 			r.expectRejected(rejected, apierror.CallAltered)
 		}
 		outcome = r.submit(withdrawal("w", 1, "t", "k"))[0]
 		assert.DeepEqual(t, outcome.Decision, &Decision{Epoch: 1, Offset: 3, AlreadyWithdrawn: true})
-		assert.DeepEqual(t, r.submit(message("w", 2, "t", "k"), withdrawal("w", 3, "t", "k"), withdrawal("x", 1, "t", "k"))[2].Decision, &Decision{Epoch: 1, Offset: 6, AlreadyWithdrawn: true})
-		assert.DeepEqual(t, r.submit(message("w", 4, "t", "k"), withdrawal("x", 1, "t", "k"))[1].Decision, &Decision{Epoch: 1, Offset: 6, Duplicate: true})
+		assert.DeepEqual(
+			t,
+			r.submit(message("w", 2, "t", "k"), withdrawal("w", 3, "t", "k"), withdrawal("x", 1, "t", "k"))[2].Decision,
+			&Decision{Epoch: 1, Offset: 6, AlreadyWithdrawn: true},
+		)
+		assert.DeepEqual(
+			t, r.submit(message("w", 4, "t", "k"), withdrawal("x", 1, "t", "k"))[1].Decision,
+			&Decision{Epoch: 1, Offset: 6, Duplicate: true},
+		)
 		assert.Assert(t, !r.state.Covers(log.Entry{Topic: "t", Key: "k", Offset: 7}))
 		r.expectRejected(message("v", 1, "t", ""), apierror.CallAltered)
-		for _, rejected := range []*Message{withdrawal("v", 9, "t", ""), message("v", 9, "t", "a\x1fb"), message("v", 9, "t", strings.Repeat("k", 129)), {Client: "v", CallSeq: 9, Topic: "t", WithdrawSender: "w", WithdrawUpTo: 1}, {Client: "v", CallSeq: 9, Topic: "t", Key: "k", Withdraw: true, WithdrawSender: "w"}, {Client: "v", CallSeq: 9, Topic: "t", Key: "k", Withdraw: true, Body: []byte("b")}} {
+		for _, rejected := range []*Message{
+			withdrawal("v", 9, "t", ""), message("v", 9, "t", "a\x1fb"),
+			message("v", 9, "t", strings.Repeat("k", 129)),
+			{Client: "v", CallSeq: 9, Topic: "t", WithdrawSender: "w", WithdrawUpTo: 1},
+			{Client: "v", CallSeq: 9, Topic: "t", Key: "k", Withdraw: true, WithdrawSender: "w"},
+			{Client: "v", CallSeq: 9, Topic: "t", Key: "k", Withdraw: true, Body: []byte("b")},
+		} {
 			r.expectRejected(rejected, apierror.Malformed)
 		}
 		r.submitAccepted(message("v", 9, "t", strings.Repeat("k", 128)))
@@ -72,7 +92,10 @@
 	withLeader(t, 1, func(t *testing.T, r *rig) {
 		withdrawn := withdrawal("w", 1, "t", "k")
 		withdrawn.WithdrawSender, withdrawn.WithdrawUpTo = "v", 5
-		outcomes := r.submit(message("v", 2, "t", "k"), withdrawn, message("v", 4, "t", "k"), message("v", 2, "t", "k"), message("v", 6, "t", "k"), message("v", 5, "u", "k"))
+		outcomes := r.submit(
+			message("v", 2, "t", "k"), withdrawn, message("v", 4, "t", "k"), message("v", 2, "t", "k"),
+			message("v", 6, "t", "k"), message("v", 5, "u", "k"),
+		)
 		assert.Equal(t, outcomes[2].Err.Code, apierror.CallPassed)
 		assert.Assert(t, outcomes[3].Decision.Duplicate)
 		assert.Assert(t, outcomes[4].Err == nil && outcomes[5].Err == nil)
@@ -91,7 +114,10 @@
 		ledger.log.Append(time.Now(), ledger.pending[0])
 		ledger.pending, ledger.durable = ledger.pending[1:], 2
 		r.advanceCommit(ledger)
-		assert.Assert(t, apierror.HasCode(r.evaluate(message("v", 4, "t", "k")).err, apierror.CallPassed), "the message in flight landed, the withdrawal did not yet")
+		assert.Assert(
+			t, apierror.HasCode(r.evaluate(message("v", 4, "t", "k")).err, apierror.CallPassed),
+			"the message in flight landed, the withdrawal did not yet",
+		)
 		r.commitAll()
 		assert.Equal(t, len(r.uncommitted), 0)
 		assert.Equal(t, len(r.uncommittedKeys), 0)
--- a/internal/partitionlog/log/log_test.go
+++ b/internal/partitionlog/log/log_test.go
@@ -42,7 +42,10 @@
 
 func BenchmarkSound(b *testing.B) {
 	body := make([]byte, 250)
-	e := Entry{Offset: 1, Epoch: 1, Type: TypeMessage, Topic: "space/topic-of-some-length", Client: "space/visitor-17", CallSeq: 4, Body: body, Digest: Digest(body)}
+	e := Entry{
+		Offset: 1, Epoch: 1, Type: TypeMessage, Topic: "space/topic-of-some-length",
+		Client: "space/visitor-17", CallSeq: 4, Body: body, Digest: Digest(body),
+	}
 	e.Chain = NextChain(0, e)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -54,6 +57,9 @@
 
 // Lines on disks and copies of other builds hold this value.
 func TestLinkStaysWhatItWas(t *testing.T) {
-	e := Entry{Offset: 7, Epoch: 3, Type: TypeMessage, Topic: "a/b", Client: "a/v", CallSeq: 9, Generation: 2, Configuration: 5, Digest: Digest([]byte("x"))}
+	e := Entry{
+		Offset: 7, Epoch: 3, Type: TypeMessage, Topic: "a/b", Client: "a/v", CallSeq: 9, Generation: 2,
+		Configuration: 5, Digest: Digest([]byte("x")),
+	}
 	assert.Equal(t, NextChain(11, e), uint64(17144078788975667344))
 }
--- a/internal/partitionlog/replica/calls.go
+++ b/internal/partitionlog/replica/calls.go
@@ -101,9 +101,18 @@
 
 // The replica's calls.
 var (
-	Seal        = wire.NewProcedure[SealRequest, SealResponse]("Ledger", "Seal", wire.Monotonic, "epochs only rise on a disk")
-	Append      = wire.NewProcedure[AppendRequest, AppendResponse]("Ledger", "Append", wire.Monotonic, "entries have their epoch and place; a copy that has them answers the same, and lower epochs are refused")
-	CompareIdle = wire.NewProcedure[CompareIdleRequest, CompareIdleResponse]("Ledger", "Still", wire.ReadOnly, "compares sums, changes nothing on disk")
-	Fetch       = wire.NewProcedure[FetchRequest, FetchResponse]("Ledger", "Fetch", wire.ReadOnly, "entries of a copy")
-	Drop        = wire.NewProcedure[DropRequest, Empty]("Ledger", "Drop", wire.Monotonic, "names the epoch of the record that no longer places the copy here")
+	Seal = wire.NewProcedure[SealRequest, SealResponse](
+		"Ledger", "Seal", wire.Monotonic, "epochs only rise on a disk",
+	)
+	Append = wire.NewProcedure[AppendRequest, AppendResponse](
+		"Ledger", "Append", wire.Monotonic,
+		"entries have their epoch and place; a copy that has them answers the same, and lower epochs are refused",
+	)
+	CompareIdle = wire.NewProcedure[CompareIdleRequest, CompareIdleResponse](
+		"Ledger", "Still", wire.ReadOnly, "compares sums, changes nothing on disk",
+	)
+	Fetch = wire.NewProcedure[FetchRequest, FetchResponse]("Ledger", "Fetch", wire.ReadOnly, "entries of a copy")
+	Drop  = wire.NewProcedure[DropRequest, Empty](
+		"Ledger", "Drop", wire.Monotonic, "names the epoch of the record that no longer places the copy here",
+	)
 )
--- a/internal/partitionlog/replica/giveup_test.go
+++ b/internal/partitionlog/replica/giveup_test.go
@@ -59,7 +59,9 @@
 		assert.Assert(t, <-gone != nil)
 		done := make(chan *AppendResponse, 1)
 		go func() {
-			a, err := r.Append(ctx, &AppendRequest{Target: to(1), Kind: log.KindLedger, After: p, Entries: chain(p, 1, "c")})
+			a, err := r.Append(ctx, &AppendRequest{
+				Target: to(1), Kind: log.KindLedger, After: p, Entries: chain(p, 1, "c"),
+			})
 			assert.Check(t, err)
 			done <- a
 		}()
--- a/internal/partitionlog/replica/replica_test.go
+++ b/internal/partitionlog/replica/replica_test.go
@@ -36,7 +36,10 @@
 func chain(after log.Position, epoch uint64, bodies ...string) []log.Entry {
 	var es []log.Entry
 	for _, b := range bodies {
-		e := log.Entry{Offset: after.Offset + 1, Epoch: epoch, Type: log.TypeMessage, Body: []byte(b), Digest: log.Digest([]byte(b))}
+		e := log.Entry{
+			Offset: after.Offset + 1, Epoch: epoch, Type: log.TypeMessage, Body: []byte(b),
+			Digest: log.Digest([]byte(b)),
+		}
 		e.Chain = log.NextChain(after.Chain, e)
 		es, after = append(es, e), e.Position()
 	}
@@ -63,7 +66,9 @@
 	d.LosePower(true)
 	r = boot(t, d, "i")
 	for _, k := range log.Kinds {
-		_, err = r.Append(ctx, &AppendRequest{Target: to(2), Kind: k, After: r.Log(1, k).Last(), Entries: chain(r.Log(1, k).Last(), 2, "late")})
+		_, err = r.Append(ctx, &AppendRequest{
+			Target: to(2), Kind: k, After: r.Log(1, k).Last(), Entries: chain(r.Log(1, k).Last(), 2, "late"),
+		})
 		assert.Assert(t, apierror.HasCode(err, apierror.StaleEpoch), "%s: %v", k, err)
 	}
 	_, err = r.Seal(ctx, &SealRequest{Target: to(2)})
@@ -88,7 +93,9 @@
 	r := boot(t, d, "i")
 	p := put(t, r, log.KindLedger, 1, log.Position{}, "a")
 	put(t, r, log.KindLedger, 1, p, "lost", "lost too")
-	a, err := r.Append(ctx, &AppendRequest{Target: to(2), Kind: log.KindLedger, After: log.Position{Offset: 2, Epoch: 1, Chain: 5}})
+	a, err := r.Append(ctx, &AppendRequest{
+		Target: to(2), Kind: log.KindLedger, After: log.Position{Offset: 2, Epoch: 1, Chain: 5},
+	})
 	assert.NilError(t, err)
 	assert.Assert(t, !a.Matched, "another line at the same place")
 	bad := chain(p, 2, "x")
@@ -191,11 +198,15 @@
 	}
 	r := boot(t, memlog.New(), "i")
 	e := put(t, r, log.KindLedger, 3, log.Position{}, "a")
-	one, none := IdleLog{Partition: 1, Kind: log.KindLedger, Epoch: 3, Last: e}, IdleLog{Partition: 1, Kind: log.KindChangelog, Epoch: 3}
+	one, none := IdleLog{
+		Partition: 1, Kind: log.KindLedger, Epoch: 3, Last: e,
+	}, IdleLog{Partition: 1, Kind: log.KindChangelog, Epoch: 3}
 	lines := len(r.logs)
 	ok, err := still(r, "i", none, one)
 	assert.Assert(t, ok && err == nil)
-	for _, bad := range []IdleLog{{1, log.KindLedger, 3, log.Position{}}, {1, log.KindLedger, 2, e}, {2, log.KindLedger, 3, e}} {
+	for _, bad := range []IdleLog{
+		{1, log.KindLedger, 3, log.Position{}}, {1, log.KindLedger, 2, e}, {2, log.KindLedger, 3, e},
+	} {
 		ok, err = still(r, "i", none, bad)
 		assert.Assert(t, !ok && err == nil, "%+v", bad)
 	}
--- a/internal/partitionlog/router/forward_test.go
+++ b/internal/partitionlog/router/forward_test.go
@@ -30,10 +30,13 @@
 	return w.Result(), nil
 }
 
-// Who is asked for readers while a partition moves is asked again until somebody decides; where nobody does, that is no yes.
+// Who is asked for readers while a partition moves is asked again until somebody decides; where
+// nobody does, that is no yes.
 func TestPendingReaders_IsRetried(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		moving := []apierror.Code{apierror.NotPartitionLeader, apierror.NotReady, apierror.ShuttingDown, apierror.StaleEpoch}
+		moving := []apierror.Code{
+			apierror.NotPartitionLeader, apierror.NotReady, apierror.ShuttingDown, apierror.StaleEpoch,
+		}
 		response := &askers{tell: func(n int) (*leader.PendingReaders, error) {
 			if n <= len(moving) {
 				return nil, apierror.New(moving[n-1], "moving")
@@ -61,11 +64,15 @@
 func TestUnknownKeyIsFinal(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		n := 0
-		b := newBench(func(_ *bench, _ context.Context, _ string, request *SubmitManyRequest) (*SubmitManyResponse, error) {
+		b := newBench(func(
+			_ *bench, _ context.Context, _ string, request *SubmitManyRequest,
+		) (*SubmitManyResponse, error) {
 			if n++; n == 1 {
 				return lost()
 			}
-			return &SubmitManyResponse{Outcomes: []leader.Outcome{{Err: apierror.New(apierror.KeyUnknown, "nothing")}}}, nil
+			return &SubmitManyResponse{
+				Outcomes: []leader.Outcome{{Err: apierror.New(apierror.KeyUnknown, "nothing")}},
+			}, nil
 		})
 		b.owned("s1")
 		b.offer(1, time.Minute)
--- a/internal/partitionlog/router/submitqueue_test.go
+++ b/internal/partitionlog/router/submitqueue_test.go
@@ -77,22 +77,32 @@
 
 func (b *bench) owned(who string) {
 	b.writes++
-	b.Store.Apply(gossip.Update{Records: []assignment.Record{{Partition: part, Leader: who, Epoch: b.writes, Version: b.writes}}})
+	b.Store.Apply(gossip.Update{
+		Records: []assignment.Record{{Partition: part, Leader: who, Epoch: b.writes, Version: b.writes}},
+	})
 }
 
-func newBench(path func(b *bench, ctx context.Context, to string, request *SubmitManyRequest) (*SubmitManyResponse, error)) *bench {
+func newBench(path func(b *bench, ctx context.Context, to string, request *SubmitManyRequest) (
+	*SubmitManyResponse, error,
+)) *bench {
 	b := &bench{results: map[uint64]error{}, times: map[uint64]time.Time{}}
 	b.path = func(ctx context.Context, to string, request *SubmitManyRequest) (*SubmitManyResponse, error) {
 		return path(b, ctx, to, request)
 	}
 	v := membership.NewView()
 	v.Set([]membership.Info{{Name: "s1", PeerAddr: "s1"}, {Name: "s2", PeerAddr: "s2"}, {Name: "s0", PeerAddr: "s0"}})
-	b.Router = &Router{Self: "a1", Net: b, Clock: clock.Real{}, Timing: settings.DefaultTiming, Store: gossip.NewStore(func(n gossip.Update) { b.ApplyRecords(n.Records) }), View: v, Leaders: unready{}, Backlog: func() int { return 1000 }}
+	b.Router = &Router{
+		Self: "a1", Net: b, Clock: clock.Real{}, Timing: settings.DefaultTiming,
+		Store: gossip.NewStore(func(n gossip.Update) { b.ApplyRecords(n.Records) }), View: v,
+		Leaders: unready{}, Backlog: func() int { return 1000 },
+	}
 	return b
 }
 
 func (b *bench) offer(call uint64, until time.Duration) {
-	b.SubmitAsync(context.Background(), part, &leader.Message{Client: "v", Topic: "t", CallSeq: call, Body: []byte("1")}, time.Now().Add(until), func(d *leader.Decision, err error) {
+	b.SubmitAsync(context.Background(), part, &leader.Message{
+		Client: "v", Topic: "t", CallSeq: call, Body: []byte("1"),
+	}, time.Now().Add(until), func(d *leader.Decision, err error) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		if _, ok := b.results[call]; ok {
@@ -154,7 +164,9 @@
 func TestSubmitAsync_ReachesTheLeaderInOrder(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		n := 0
-		b := newBench(func(b *bench, _ context.Context, _ string, request *SubmitManyRequest) (*SubmitManyResponse, error) {
+		b := newBench(func(
+			b *bench, _ context.Context, _ string, request *SubmitManyRequest,
+		) (*SubmitManyResponse, error) {
 			time.Sleep(3 * time.Millisecond)
 			b.mu.Lock()
 			n++
@@ -200,25 +212,37 @@
 	}{
 		"no owner":         {"", nil, apierror.NoPartitionLeader, 300 * time.Millisecond},
 		"the owner's gone": {"s9", nil, apierror.NoPartitionLeader, 300 * time.Millisecond},
-		"each call lost":   {"s1", func(*bench, int, context.Context, *SubmitManyRequest) (*SubmitManyResponse, error) { return lost() }, apierror.OutcomeUnknown, 500 * time.Millisecond},
-		"taking over, at length": {"s1", func(*bench, int, context.Context, *SubmitManyRequest) (*SubmitManyResponse, error) {
+		"each call lost": {
+			"s1",
+			func(*bench, int, context.Context, *SubmitManyRequest) (*SubmitManyResponse, error) { return lost() },
+			apierror.OutcomeUnknown, 500 * time.Millisecond,
+		},
+		"taking over, at length": {"s1", func(
+			*bench, int, context.Context, *SubmitManyRequest,
+		) (*SubmitManyResponse, error) {
 			return nil, apierror.New(apierror.NotReady, "x")
 		}, apierror.OutcomeUnknown, 2 * time.Second},
 		"taking over here, at length": {"a1", nil, apierror.NoPartitionLeader, 2 * time.Second},
 		"nobody listens":              {"s0", nil, apierror.NoPartitionLeader, 500 * time.Millisecond},
-		"one call lost, then taking over": {"s1", func(_ *bench, n int, _ context.Context, _ *SubmitManyRequest) (*SubmitManyResponse, error) {
+		"one call lost, then taking over": {"s1", func(
+			_ *bench, n int, _ context.Context, _ *SubmitManyRequest,
+		) (*SubmitManyResponse, error) {
 			if n == 1 {
 				return lost()
 			}
 			return nil, apierror.New(apierror.NotReady, "x")
 		}, apierror.OutcomeUnknown, 2 * time.Second},
-		"one call lost, then no room": {"s1", func(_ *bench, n int, _ context.Context, request *SubmitManyRequest) (*SubmitManyResponse, error) {
+		"one call lost, then no room": {"s1", func(
+			_ *bench, n int, _ context.Context, request *SubmitManyRequest,
+		) (*SubmitManyResponse, error) {
 			if n == 1 {
 				return lost()
 			}
 			return &SubmitManyResponse{Outcomes: []leader.Outcome{{Err: apierror.New(apierror.Overloaded, "x")}}}, nil
 		}, apierror.OutcomeUnknown, 500 * time.Millisecond},
-		"one call lost, then passed": {"s1", func(_ *bench, n int, _ context.Context, request *SubmitManyRequest) (*SubmitManyResponse, error) {
+		"one call lost, then passed": {"s1", func(
+			_ *bench, n int, _ context.Context, request *SubmitManyRequest,
+		) (*SubmitManyResponse, error) {
 			if n == 1 {
 				return lost()
 			}
@@ -227,7 +251,9 @@
 		"no room": {"s1", func(*bench, int, context.Context, *SubmitManyRequest) (*SubmitManyResponse, error) {
 			return &SubmitManyResponse{Outcomes: []leader.Outcome{{Err: apierror.New(apierror.Overloaded, "x")}}}, nil
 		}, apierror.OutcomeUnknown, time.Millisecond},
-		"the owner hangs": {"s1", func(_ *bench, _ int, ctx context.Context, _ *SubmitManyRequest) (*SubmitManyResponse, error) {
+		"the owner hangs": {"s1", func(
+			_ *bench, _ int, ctx context.Context, _ *SubmitManyRequest,
+		) (*SubmitManyResponse, error) {
 			<-ctx.Done()
 			return lost()
 		}, apierror.OutcomeUnknown, 1500 * time.Millisecond},
@@ -236,7 +262,9 @@
 		t.Run(n, func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
 				code := 0
-				b := newBench(func(b *bench, ctx context.Context, _ string, request *SubmitManyRequest) (*SubmitManyResponse, error) {
+				b := newBench(func(
+					b *bench, ctx context.Context, _ string, request *SubmitManyRequest,
+				) (*SubmitManyResponse, error) {
 					code++
 					return c.path(b, code, ctx, request)
 				})
@@ -251,10 +279,13 @@
 	}
 }
 
-// A message whose time is over is told so on the instant: one that is under way may have been taken, one that waits behind was never sent.
+// A message whose time is over is told so on the instant: one that is under way may have been
+// taken, one that waits behind was never sent.
 func TestSubmitAsync_AnsweredAtItsDeadline(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		b := newBench(func(b *bench, ctx context.Context, _ string, request *SubmitManyRequest) (*SubmitManyResponse, error) {
+		b := newBench(func(
+			b *bench, ctx context.Context, _ string, request *SubmitManyRequest,
+		) (*SubmitManyResponse, error) {
 			select {
 			case <-time.After(1200 * time.Millisecond):
 			case <-ctx.Done():
@@ -286,7 +317,9 @@
 // Past the backlog a message is turned away at once, and never reaches an owner.
 func TestSubmitAsync_PastTheBacklogIsNeverForwarded(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		b := newBench(func(b *bench, _ context.Context, _ string, request *SubmitManyRequest) (*SubmitManyResponse, error) {
+		b := newBench(func(
+			b *bench, _ context.Context, _ string, request *SubmitManyRequest,
+		) (*SubmitManyResponse, error) {
 			time.Sleep(time.Second)
 			return b.take(request), nil
 		})
@@ -313,7 +346,9 @@
 	bubble(t, func(t *testing.T) {
 		n := 0
 		var seen [][]uint64
-		b := newBench(func(b *bench, _ context.Context, _ string, request *SubmitManyRequest) (*SubmitManyResponse, error) {
+		b := newBench(func(
+			b *bench, _ context.Context, _ string, request *SubmitManyRequest,
+		) (*SubmitManyResponse, error) {
 			n++
 			var cs []uint64
 			for _, x := range request.Messages {
@@ -326,7 +361,9 @@
 			}
 			response := b.take(&SubmitManyRequest{Messages: request.Messages[:1]})
 			for range request.Messages[1:] {
-				response.Outcomes = append(response.Outcomes, leader.Outcome{Err: apierror.New(apierror.OutcomeUnknown, "lost the partition")})
+				response.Outcomes = append(response.Outcomes, leader.Outcome{
+					Err: apierror.New(apierror.OutcomeUnknown, "lost the partition"),
+				})
 			}
 			return response, nil
 		})
@@ -351,7 +388,9 @@
 // A call that hangs at an owner that is one no more is left at the news of another, which is asked at once.
 func TestSubmitAsync_FollowsTheRecordAtOnce(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		b := newBench(func(b *bench, ctx context.Context, to string, request *SubmitManyRequest) (*SubmitManyResponse, error) {
+		b := newBench(func(
+			b *bench, ctx context.Context, to string, request *SubmitManyRequest,
+		) (*SubmitManyResponse, error) {
 			if to == "s1" {
 				<-ctx.Done()
 				return lost()
