--- a/internal/samza/changelog/bench_test.go
+++ b/internal/samza/changelog/bench_test.go
@@ -17,7 +17,10 @@
 		for i := range keys / 4 {
 			o++
 			k := (b*keys/4 + i) % keys
-			s.Apply(log.Entry{Offset: o, Type: log.TypeMessage, Client: fmt.Sprintf("v%d", k), Topic: fmt.Sprintf("t%d", k%50), CallSeq: uint64(b) + 1, Digest: "0123456789abcdef01234567"})
+			s.Apply(log.Entry{
+				Offset: o, Type: log.TypeMessage, Client: fmt.Sprintf("v%d", k),
+				Topic: fmt.Sprintf("t%d", k%50), CallSeq: uint64(b) + 1, Digest: "0123456789abcdef01234567",
+			})
 		}
 		changes = append(changes, EncodeBatch(s.Input, s.TakeChanges(), false)...)
 		changes = append(changes, EncodeCommit(Commit{Input: s.Input}))
--- a/internal/samza/changelog/changelog_test.go
+++ b/internal/samza/changelog/changelog_test.go
@@ -14,9 +14,16 @@
 	var es []log.Entry
 	for i := range n {
 		v, t := fmt.Sprintf("v%d", i%700), fmt.Sprintf("t%d", i%3)
-		es = append(es, log.Entry{Offset: uint64(i + 1), Type: log.TypeMessage, Client: v, Topic: t, CallSeq: uint64(i/2100) + 1, Digest: "d"})
+		es = append(es, log.Entry{
+			Offset: uint64(i + 1), Type: log.TypeMessage, Client: v, Topic: t, CallSeq: uint64(i/2100) + 1,
+			Digest: "d",
+		})
 	}
-	es = append(es, log.Entry{Offset: uint64(n + 1), Type: log.TypeAttach, Client: "v1", Generation: 2, Body: []byte("s")}, log.Entry{Offset: uint64(n + 2), Type: log.TypeCursor, Client: "v1", Body: []byte("c")})
+	es = append(
+		es,
+		log.Entry{Offset: uint64(n + 1), Type: log.TypeAttach, Client: "v1", Generation: 2, Body: []byte("s")},
+		log.Entry{Offset: uint64(n + 2), Type: log.TypeCursor, Client: "v1", Body: []byte("c")},
+	)
 	return es
 }
 
--- a/internal/samza/changelog/tombstones_test.go
+++ b/internal/samza/changelog/tombstones_test.go
@@ -11,10 +11,24 @@
 
 func marked() []log.Entry {
 	return []log.Entry{
-		{Offset: 1, Type: log.TypeMessage, Topic: "t", Client: "v", CallSeq: 1, Key: "k"}, {Offset: 2, Type: log.TypeMessage, Topic: "t", Client: "v", CallSeq: 2, Key: "l"},
-		{Offset: 3, Type: log.TypeReader, Client: "a1", Body: state.EncodePart(state.ReaderEntry{BootID: "b"})}, {Offset: 4, Type: log.TypeReader, Client: "a2", Body: state.EncodePart(state.ReaderEntry{BootID: "b"})},
-		{Offset: 5, Type: log.TypeWithdrawal, Topic: "t", Client: "v", CallSeq: 3, Key: "k"}, {Offset: 6, Type: log.TypeWithdrawal, Topic: "t", Client: "w", CallSeq: 1, Key: "l", Body: state.EncodePart(state.SenderWithdrawal{Sender: "v", UpTo: 9})},
-		{Offset: 7, Type: log.TypeReader, Client: "a2", Body: state.EncodePart(state.ReaderEntry{BootID: "b", Gone: true})}, {Offset: 8, Type: log.TypeReader, Client: "a1", Body: state.EncodePart(state.ReaderEntry{BootID: "b", GivenUp: true})},
+		{
+			Offset: 1, Type: log.TypeMessage, Topic: "t", Client: "v", CallSeq: 1, Key: "k",
+		}, {Offset: 2, Type: log.TypeMessage, Topic: "t", Client: "v", CallSeq: 2, Key: "l"},
+		{
+			Offset: 3, Type: log.TypeReader, Client: "a1",
+			Body: state.EncodePart(state.ReaderEntry{BootID: "b"}),
+		}, {Offset: 4, Type: log.TypeReader, Client: "a2", Body: state.EncodePart(state.ReaderEntry{BootID: "b"})},
+		{Offset: 5, Type: log.TypeWithdrawal, Topic: "t", Client: "v", CallSeq: 3, Key: "k"}, {
+			Offset: 6, Type: log.TypeWithdrawal, Topic: "t", Client: "w", CallSeq: 1, Key: "l",
+			Body: state.EncodePart(state.SenderWithdrawal{Sender: "v", UpTo: 9}),
+		},
+		{
+			Offset: 7, Type: log.TypeReader, Client: "a2",
+			Body: state.EncodePart(state.ReaderEntry{BootID: "b", Gone: true}),
+		}, {
+			Offset: 8, Type: log.TypeReader, Client: "a1",
+			Body: state.EncodePart(state.ReaderEntry{BootID: "b", GivenUp: true}),
+		},
 	}
 }
 
@@ -32,14 +46,19 @@
 				s.MarkAllChanged()
 			}
 			changes = append(changes, EncodeBatch(s.Input, s.TakeChanges(), whole)...)
-			in, err := Replay(state.New(), 0, append(changes[:len(changes):len(changes)], EncodeCommit(Commit{Input: s.Input})))
+			in, err := Replay(
+				state.New(), 0,
+				append(changes[:len(changes):len(changes)], EncodeCommit(Commit{Input: s.Input})),
+			)
 			assert.NilError(t, err)
 			assert.Equal(t, in, uint64(len(es)))
 			got := state.New()
 			_, err = Replay(got, 0, append(changes, EncodeCommit(Commit{Input: s.Input})))
 			assert.NilError(t, err)
 			for _, x := range []*state.State{got, unpacked(t, got)} {
-				assert.DeepEqual(t, x.Tombstones, map[string]state.Tombstone{state.Key("t", "l"): {Offset: 6, Client: "w", CallSeq: 1}})
+				assert.DeepEqual(t, x.Tombstones, map[string]state.Tombstone{
+					state.Key("t", "l"): {Offset: 6, Client: "w", CallSeq: 1},
+				})
 				assert.DeepEqual(t, x.Readers, map[string]state.Reader{"a1": {BootID: "b", Offset: 8, GivenUp: true}})
 				assert.Equal(t, x.Accepted[state.Key("v", "t")].Last, uint64(9))
 			}
--- a/internal/samza/state/state_test.go
+++ b/internal/samza/state/state_test.go
@@ -14,7 +14,11 @@
 	var es []log.Entry
 	for c := range calls {
 		for v := range clients {
-			es = append(es, log.Entry{Offset: uint64(len(es) + 1), Type: log.TypeMessage, Topic: "s/a", Client: fmt.Sprintf("v%d", v), CallSeq: 2 * uint64(c+1), Generation: 1, Digest: log.Digest([]byte{byte(c), byte(v)})})
+			es = append(es, log.Entry{
+				Offset: uint64(len(es) + 1), Type: log.TypeMessage, Topic: "s/a",
+				Client: fmt.Sprintf("v%d", v), CallSeq: 2 * uint64(c+1), Generation: 1,
+				Digest: log.Digest([]byte{byte(c), byte(v)}),
+			})
 		}
 	}
 	return es
@@ -105,7 +109,10 @@
 	for _, i := range s.TakeChanges() {
 		n += len(i.Key) + len(i.Value)
 	}
-	t.Logf("200 visitors of a topic with 1200 answers kept each: %d bytes each in a batch, %d packed", n/200, len(s.Marshal())/200)
+	t.Logf(
+		"200 visitors of a topic with 1200 answers kept each: %d bytes each in a batch, %d packed", n/200,
+		len(s.Marshal())/200,
+	)
 	assert.Assert(t, n/200 < 64)
 }
 
--- a/internal/samza/state/tombstones_test.go
+++ b/internal/samza/state/tombstones_test.go
@@ -9,11 +9,16 @@
 )
 
 func message(o uint64, client string, call uint64, key string) log.Entry {
-	return log.Entry{Offset: o, Type: log.TypeMessage, Topic: "s/a", Client: client, CallSeq: call, Key: key, Digest: "d"}
+	return log.Entry{
+		Offset: o, Type: log.TypeMessage, Topic: "s/a", Client: client, CallSeq: call, Key: key, Digest: "d",
+	}
 }
 
 func withdrawal(o uint64, client string, call uint64, key string, p SenderWithdrawal) log.Entry {
-	return log.Entry{Offset: o, Type: log.TypeWithdrawal, Topic: "s/a", Client: client, CallSeq: call, Key: key, Body: EncodePart(p), Digest: "w"}
+	return log.Entry{
+		Offset: o, Type: log.TypeWithdrawal, Topic: "s/a", Client: client, CallSeq: call, Key: key,
+		Body: EncodePart(p), Digest: "w",
+	}
 }
 
 func reader(o uint64, node string, r ReaderEntry) log.Entry {
@@ -22,8 +27,14 @@
 
 func keyed() []log.Entry {
 	return []log.Entry{
-		message(1, "v", 1, "k"), message(2, "v", 2, "l"), reader(3, "a1", ReaderEntry{BootID: "b"}), reader(4, "a2", ReaderEntry{BootID: "b"}),
-		withdrawal(5, "w", 3, "k", SenderWithdrawal{"v", 7}), message(6, "u", 1, "k"), reader(7, "a1", ReaderEntry{BootID: "c"}), reader(8, "a2", ReaderEntry{BootID: "b", GivenUp: true}),
+		message(1, "v", 1, "k"), message(2, "v", 2, "l"), reader(
+			3, "a1", ReaderEntry{BootID: "b"},
+		), reader(4, "a2", ReaderEntry{BootID: "b"}),
+		withdrawal(
+			5, "w", 3, "k", SenderWithdrawal{"v", 7},
+		), message(6, "u", 1, "k"), reader(7, "a1", ReaderEntry{BootID: "c"}), reader(
+			8, "a2", ReaderEntry{BootID: "b", GivenUp: true},
+		),
 		reader(9, "a3", ReaderEntry{BootID: "b"}), reader(10, "a3", ReaderEntry{BootID: "b", Gone: true}),
 	}
 }
@@ -46,7 +57,9 @@
 		assert.DeepEqual(t, s.Tombstones, map[string]Tombstone{known: {5, "w", 3}})
 		assert.DeepEqual(t, s.Readers, map[string]Reader{"a1": {"c", 7, false, "b"}, "a2": {"b", 8, true, ""}})
 		assert.DeepEqual(t, s.LastKeyed, map[string]uint64{known: 6, Key("s/a", "l"): 2})
-		assert.DeepEqual(t, s.Accepted[Key("w", "s/a")].Recent, []AcceptedCall{{3, 5, CallDigest(log.TypeWithdrawal, "k", "w")}})
+		assert.DeepEqual(t, s.Accepted[Key("w", "s/a")].Recent, []AcceptedCall{
+			{3, 5, CallDigest(log.TypeWithdrawal, "k", "w")},
+		})
 		v := s.Accepted[Key("v", "s/a")]
 		assert.Equal(t, v.Last, uint64(7))
 		assert.Equal(t, v.Floor, uint64(0))
@@ -66,7 +79,11 @@
 // known as ever.
 func TestCallsAreKnownByKeyAndBody(t *testing.T) {
 	seen := map[string]bool{}
-	for _, n := range []string{CallDigest(log.TypeMessage, "", "d"), CallDigest(log.TypeMessage, "k", "d"), CallDigest(log.TypeWithdrawal, "k", "d"), CallDigest(log.TypeMessage, "l", "d"), CallDigest(log.TypeMessage, "k", "e")} {
+	for _, n := range []string{
+		CallDigest(log.TypeMessage, "", "d"), CallDigest(log.TypeMessage, "k", "d"),
+		CallDigest(log.TypeWithdrawal, "k", "d"), CallDigest(log.TypeMessage, "l", "d"),
+		CallDigest(log.TypeMessage, "k", "e"),
+	} {
 		assert.Assert(t, !seen[n], n)
 		seen[n] = true
 	}
