--- a/cmd/postjunction/main.go
+++ b/cmd/postjunction/main.go
@@ -62,7 +62,10 @@
 }
 
 func usage(w io.Writer) {
-	_, _ = fmt.Fprint(w, "usage: postjunction VERB [flags] [argument]\n\n  serve      run a node\n  platform   run a node by the platform's settings file\n  check      check settings without running\n  version    print the build\n  help       print this\n")
+	_, _ = fmt.Fprint(
+		w,
+		"usage: postjunction VERB [flags] [argument]\n\n  serve      run a node\n  platform   run a node by the platform's settings file\n  check      check settings without running\n  version    print the build\n  help       print this\n",
+	)
 	var ns []string
 	for n := range cli.Verbs {
 		ns = append(ns, n)
--- a/cmd/replay/main.go
+++ b/cmd/replay/main.go
@@ -41,7 +41,9 @@
 
 func run(ctx context.Context, args []string) error {
 	if len(args) == 0 || verbs[args[0]] == nil {
-		return apierror.New(apierror.Usage, "usage: replay record|play|check [flags] FILE; replay play -h lists the flags")
+		return apierror.New(
+			apierror.Usage, "usage: replay record|play|check [flags] FILE; replay play -h lists the flags",
+		)
 	}
 	var opts options
 	flags := flag.NewFlagSet("replay "+args[0], flag.ContinueOnError)
--- a/internal/client/session/withdraw.go
+++ b/internal/client/session/withdraw.go
@@ -103,7 +103,8 @@
 			"what stood under %s was withdrawn; who has forgotten it could not be learnt", key)
 	}
 	return apierror.New(apierror.WithdrawalOpen,
-		"what stood under %s was withdrawn; %s did not say that it is forgotten", key, strings.Join(pending.Nodes, ", "))
+		"what stood under %s was withdrawn; %s did not say that it is forgotten",
+		key, strings.Join(pending.Nodes, ", "))
 }
 
 // pendingReaders asks once which nodes have not read past an offset. The leader may wait for them
--- a/internal/client/session/withdraw_test.go
+++ b/internal/client/session/withdraw_test.go
@@ -39,16 +39,16 @@
 
 func (*fakeLedger) Subscribers(context.Context, int, string) (int, error) { return 0, nil }
 
-func (c *fakeLedger) CheckKeysSupported() error { return c.keysErr }
+func (ledger *fakeLedger) CheckKeysSupported() error { return ledger.keysErr }
 
-func (c *fakeLedger) PendingReaders(
+func (ledger *fakeLedger) PendingReaders(
 	ctx context.Context, _ int, _ uint64, hold time.Duration,
 ) (*leader.PendingReaders, error) {
-	c.mu.Lock()
-	c.calls++
-	call := c.calls
-	c.mu.Unlock()
-	readers, err := c.pending(call)
+	ledger.mu.Lock()
+	ledger.calls++
+	call := ledger.calls
+	ledger.mu.Unlock()
+	readers, err := ledger.pending(call)
 	if err != nil || len(readers.Nodes) > 0 {
 		_ = failAfter(ctx, hold)
 	}
--- a/internal/client/withdraw_test.go
+++ b/internal/client/withdraw_test.go
@@ -168,7 +168,9 @@
 				s := &Service{Clock: clock.Real{}, Timing: settings.DefaultTiming}
 				n := 0
 				begun := time.Now()
-				given, err := s.awaitReaders(t.Context(), leader.Decision{Partition: 3, Offset: 7}, func(context.Context) (*leader.PendingReaders, error) {
+				given, err := s.awaitReaders(t.Context(), leader.Decision{
+					Partition: 3, Offset: 7,
+				}, func(context.Context) (*leader.PendingReaders, error) {
 					a := c.answers[min(n, len(c.answers)-1)]
 					n++
 					if entry, ok := a.(error); ok {
--- a/internal/disk/walog/walog_test.go
+++ b/internal/disk/walog/walog_test.go
@@ -69,7 +69,13 @@
 
 func (r *rig) put(ss ...string) {
 	for _, s := range ss {
-		assert.NilError(r.t, r.j.Put(context.Background(), false, func() { r.p.got = append(r.p.got, s) }, journal.Record{Kind: kind, Body: []byte(s)}))
+		assert.NilError(
+			r.t,
+			r.j.Put(
+				context.Background(), false, func() { r.p.got = append(r.p.got, s) },
+				journal.Record{Kind: kind, Body: []byte(s)},
+			),
+		)
 	}
 }
 
@@ -143,7 +149,10 @@
 	defer stop()
 	go j.Run(ctx)
 	for _, s := range []string{"a", "b", "c"} {
-		assert.NilError(t, j.Put(ctx, false, func() { p.got = append(p.got, s) }, journal.Record{Kind: kind, Body: []byte(s)}))
+		assert.NilError(
+			t,
+			j.Put(ctx, false, func() { p.got = append(p.got, s) }, journal.Record{Kind: kind, Body: []byte(s)}),
+		)
 	}
 	n, bad, err := j.Scrub(ctx)
 	assert.NilError(t, err)
@@ -222,7 +231,9 @@
 	assert.Equal(t, len(r.p.got), 12)
 	r.p.got = r.p.got[11:]
 	for range 5000 {
-		assert.NilError(t, r.j.Put(context.Background(), true, nil, journal.Record{Kind: kind + 1, Body: []byte("dead")}))
+		assert.NilError(
+			t, r.j.Put(context.Background(), true, nil, journal.Record{Kind: kind + 1, Body: []byte("dead")}),
+		)
 	}
 	assert.Assert(t, r.j.Counters().Compactions > 0)
 	r.stop()
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -90,7 +90,8 @@
 	return string(b)
 }
 
-// Every test and mutant that the map of the brief, the never-list, the incidents and the note on hardening name must be there.
+// Every test and mutant that the map of the brief, the never-list, the incidents and the note on
+// hardening name must be there.
 func TestChecksNamedInTheMapExist(t *testing.T) {
 	var code strings.Builder
 	assert.NilError(t, filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
@@ -111,7 +112,10 @@
 		found := tests.FindAllStringSubmatch(s, -1)
 		assert.Assert(t, len(found) > 10, "%s names %d tests", page, len(found))
 		for _, m := range found {
-			assert.Assert(t, strings.Contains(code.String(), "func "+m[1]+"("), "%s names %s, which is not there", page, m[1])
+			assert.Assert(
+				t, strings.Contains(code.String(), "func "+m[1]+"("), "%s names %s, which is not there", page,
+				m[1],
+			)
 		}
 		for _, m := range names.FindAllStringSubmatch(s, -1) {
 			for _, g := range strings.Split(m[1], ", ") {
--- a/internal/docs/words_test.go
+++ b/internal/docs/words_test.go
@@ -45,7 +45,10 @@
 	})
 	for directory, names := range found {
 		if _, unfinished := unfinishedPackages[directory]; !unfinished {
-			t.Errorf("%s has %d identifiers with withdrawn words:\n%s", directory, len(names), strings.Join(names, "\n"))
+			t.Errorf(
+				"%s has %d identifiers with withdrawn words:\n%s", directory, len(names),
+				strings.Join(names, "\n"),
+			)
 		}
 	}
 	for directory := range unfinishedPackages {
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -35,16 +35,21 @@
 	DiskNew     = entry(200, hclog.Info, "disk has a new incarnation")
 	DiskOpened  = entry(201, hclog.Info, "journal opened")
 	DiskTorn    = entry(202, hclog.Warn, "journal ended in a torn tail, cut past the last synced point")
-	DiskDamaged = entry(203, hclog.Error, "journal was damaged before its last synced point; set aside, the disk joins as a new one")
-	DiskFailed  = entry(204, hclog.Warn, "disk did not take a write")
-	DiskHealed  = entry(205, hclog.Info, "disk takes writes again")
-	ScrubBad    = entry(206, hclog.Error, "a record on disk was damaged; the journal was rewritten from memory")
-
-	Joined               = entry(300, hclog.Info, "session opened with a control node")
-	SessionMoved         = entry(301, hclog.Warn, "session lost, looking for another control node")
-	LeaseLost            = entry(302, hclog.Warn, "licence lapsed; serving stops")
-	LeaseRegained        = entry(303, hclog.Info, "licence live; serving")
-	ClientsRedirected    = entry(304, hclog.Warn, "those who decide are not reached; visitors are sent to fellows that reach them")
+	DiskDamaged = entry(
+		203, hclog.Error,
+		"journal was damaged before its last synced point; set aside, the disk joins as a new one",
+	)
+	DiskFailed = entry(204, hclog.Warn, "disk did not take a write")
+	DiskHealed = entry(205, hclog.Info, "disk takes writes again")
+	ScrubBad   = entry(206, hclog.Error, "a record on disk was damaged; the journal was rewritten from memory")
+
+	Joined            = entry(300, hclog.Info, "session opened with a control node")
+	SessionMoved      = entry(301, hclog.Warn, "session lost, looking for another control node")
+	LeaseLost         = entry(302, hclog.Warn, "licence lapsed; serving stops")
+	LeaseRegained     = entry(303, hclog.Info, "licence live; serving")
+	ClientsRedirected = entry(
+		304, hclog.Warn, "those who decide are not reached; visitors are sent to fellows that reach them",
+	)
 	ClientsStay          = entry(305, hclog.Info, "those who decide are reached again; visitors may stay")
 	Bootstrapped         = entry(310, hclog.Info, "fleet founded")
 	BootstrapWaits       = entry(311, hclog.Info, "fleet not founded yet")
@@ -55,7 +60,9 @@
 	ConfigurationUpdated  = entry(400, hclog.Info, "description taken up")
 	ConfigurationAccepted = entry(401, hclog.Info, "description accepted from an operator")
 	ConfigurationFault    = entry(402, hclog.Warn, "description turned away")
-	LanesKept             = entry(403, hclog.Info, "topics stand in the lane where their lines were, not in the one asked for")
+	LanesKept             = entry(
+		403, hclog.Info, "topics stand in the lane where their lines were, not in the one asked for",
+	)
 
 	LeaderRecovering = entry(500, hclog.Info, "taking a partition over")
 	LeaderOpen       = entry(501, hclog.Info, "partition open")
--- a/internal/nodelease/latency_test.go
+++ b/internal/nodelease/latency_test.go
@@ -58,7 +58,9 @@
 			}
 		}
 		assert.Equal(t, reported, 0)
-		for _, takes := range []time.Duration{options.Timing().SlowThreshold() / 2, 2 * options.Timing().SlowThreshold()} {
+		for _, takes := range []time.Duration{
+			options.Timing().SlowThreshold() / 2, 2 * options.Timing().SlowThreshold(),
+		} {
 			assert.Assert(t, fullInfos(takes) > 0)
 			infos := server.Table.Live()
 			assert.Equal(t, len(infos), 1)
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -40,7 +40,10 @@
 }
 
 func (r Row) cells() []string {
-	return []string{r.Space, r.Topic, strconv.Itoa(int(r.Partition)), strconv.FormatInt(r.Messages, 10), strconv.Itoa(int(r.Senders)), strconv.FormatInt(r.LastOffset, 10)}
+	return []string{
+		r.Space, r.Topic, strconv.Itoa(int(r.Partition)), strconv.FormatInt(r.Messages, 10),
+		strconv.Itoa(int(r.Senders)), strconv.FormatInt(r.LastOffset, 10),
+	}
 }
 
 func writeCSV(w io.Writer, rows []Row) error {
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -14,7 +14,10 @@
 func TestExports(t *testing.T) {
 	var b bytes.Buffer
 	assert.NilError(t, Write(&b, "csv", rows))
-	assert.Equal(t, b.String(), "space,topic,partition,messages,senders,last_offset\naisles,a1,3,12,2,40\nstop-line,\"line, left\",12,1,1,2\n")
+	assert.Equal(
+		t, b.String(),
+		"space,topic,partition,messages,senders,last_offset\naisles,a1,3,12,2,40\nstop-line,\"line, left\",12,1,1,2\n",
+	)
 	b.Reset()
 	assert.NilError(t, Write(&b, "parquet", rows))
 	got, err := parquet.Read[Row](bytes.NewReader(b.Bytes()), int64(b.Len()))
