--- a/tools/mutations/samza-state.sh
+++ b/tools/mutations/samza-state.sh
@@ -3,7 +3,7 @@
 mutant prune-keeps-last internal/samza/state/state.go 's/(a\.Floor = max\(a\.Floor, a\.Recent\[i-1\]\.CallSeq\)\n\t+)a\.Recent = a\.Recent\[i:\]/$1a.Recent, a.Last = a.Recent[i:], 0/' ./internal/samza/state 'Pruning'
 mutant floor internal/samza/state/state.go 's/a\.Floor = max\(a\.Floor, a\.Recent\[i-1\]\.CallSeq\)/a.Floor += 0/' ./internal/testing/transcript 'BadInput'
 mutant recall-again internal/samza/state/state.go 's/s\.RestoreAnswer\(entry\)\n/_ = entry\n/' ./internal/samza/changelog 'WithoutItsRecord'
-mutant mark-stands-again internal/samza/state/state.go 's/if entry\.Type == log\.TypeWithdrawal \{\n\t\ts\.addTombstone\(entry\)\n\t\}//' ./internal/partitionlog/leader 'AtATakeOver'
+mutant mark-stands-again internal/samza/state/state.go 's/if entry\.Type == log\.TypeWithdrawal \{\n\t\ts\.addTombstone\(entry\)\n\t\}//' ./internal/partitionlog/leader 'StandAgainAfterRecovery'
 mutant mark-let-go-for-good internal/samza/state/state.go 's/if len\(b\) == 0 \|\| string\(b\) == \"null\" \{/if len(b) == 0 {/' ./internal/samza/changelog 'MarksSurvive'
 mutant sender-passed internal/samza/state/state.go 's/a\.Last = p\.UpTo/a.Last += 0/' ./internal/partitionlog/leader 'NamedSender'
 mutant fleet-readers-kept internal/samza/state/state.go 's/readers:     func\(s \*State, n string, b \[\]byte\) error \{ return put\(s\.Readers, n, b\) \}/readers: func(*State, string, []byte) error { return nil }/' $S 'YesWaits'
