--- a/internal/control/acceptor/acceptor.go
+++ b/internal/control/acceptor/acceptor.go
@@ -202,6 +202,7 @@
 	defer a.mu.Unlock()
 	current := a.voterSet.Sequence
 	if current != request.VoterSet || request.VoterSet == 0 || a.isSealed() && !request.Sealed {
+		// internal/golden holds this sentence in the bytes of a whole call, as it was first written.
 		return nil, apierror.New(apierror.StaleVoterSet,
 			"the peek is under roster %d, this voter under %d", request.VoterSet, current).WithCurrent(current)
 	}
