--- a/internal/delivery/fanout/drops_test.go
+++ b/internal/delivery/fanout/drops_test.go
@@ -46,7 +46,7 @@
 func (c *countingLeader) Poll(
 	ctx context.Context, _ assignment.Record, request *leader.PollRequest,
 ) (*leader.PollResponse, error) {
-	return &leader.PollResponse{Epoch: 1, To: request.From}, clock.Real{}.Sleep(ctx, request.Hold)
+	return &leader.PollResponse{Epoch: 1, To: request.From}, clock.Real{}.Sleep(ctx, request.MaxWait)
 }
 
 func (c *countingLeader) counts() (int, map[string]int) {
--- a/internal/delivery/fanout/poll.go
+++ b/internal/delivery/fanout/poll.go
@@ -61,7 +61,7 @@
 		BootID:           f.bootID,
 		Sequence:         f.ackedSequence,
 		From:             f.readTo,
-		Hold:             f.hub.timing.Spread,
+		MaxWait:          f.hub.timing.Spread,
 		TracksTombstones: true,
 		ReaderToken:      f.readerToken,
 	}
--- a/internal/delivery/fanout/reader_token_test.go
+++ b/internal/delivery/fanout/reader_token_test.go
@@ -47,7 +47,7 @@
 	token, isStale := u.token, request.ReaderToken != u.token
 	u.mu.Unlock()
 	if !isStale {
-		_ = clock.Real{}.Sleep(ctx, request.Hold)
+		_ = clock.Real{}.Sleep(ctx, request.MaxWait)
 	}
 	return &leader.PollResponse{Epoch: 1, To: request.From, ReaderToken: token}, nil
 }
--- a/internal/delivery/fanout/script_test.go
+++ b/internal/delivery/fanout/script_test.go
@@ -70,7 +70,7 @@
 ) (*leader.PollResponse, error) {
 	s.record("poll %s %d tombstones=%t", request.BootID, request.From, request.TracksTombstones)
 	s.mu.Lock()
-	response, delay := &leader.PollResponse{Epoch: 1, To: request.From}, request.Hold
+	response, delay := &leader.PollResponse{Epoch: 1, To: request.From}, request.MaxWait
 	if len(s.polls) > 0 {
 		response, delay = s.polls[0](request)
 		s.polls = s.polls[1:]
--- a/internal/delivery/fanout/slow_link_test.go
+++ b/internal/delivery/fanout/slow_link_test.go
@@ -43,7 +43,7 @@
 func (s *slowLeader) Poll(
 	ctx context.Context, _ assignment.Record, request *leader.PollRequest,
 ) (*leader.PollResponse, error) {
-	_ = clock.Real{}.Sleep(ctx, request.Hold)
+	_ = clock.Real{}.Sleep(ctx, request.MaxWait)
 	return &leader.PollResponse{Epoch: 1, To: request.From}, nil
 }
 
--- a/internal/delivery/fanout/withdrawal_model_test.go
+++ b/internal/delivery/fanout/withdrawal_model_test.go
@@ -169,7 +169,7 @@
 			return entry.Type == log.TypeWithdrawal || follows(entry)
 		})
 	}
-	if len(response.Entries) == 0 && request.Hold > 0 {
+	if len(response.Entries) == 0 && request.MaxWait > 0 {
 		return nil
 	}
 	return response
@@ -203,13 +203,13 @@
 func (c *modelLeader) Poll(
 	ctx context.Context, _ assignment.Record, request *leader.PollRequest,
 ) (*leader.PollResponse, error) {
-	callCtx, stop := context.WithTimeout(ctx, request.Hold+settings.DefaultTiming.CallTimeout())
+	callCtx, stop := context.WithTimeout(ctx, request.MaxWait+settings.DefaultTiming.CallTimeout())
 	defer stop()
-	until := time.Now().Add(request.Hold)
+	until := time.Now().Add(request.MaxWait)
 	return callLossy(callCtx, c, func() *leader.PollResponse {
 		for {
 			if time.Now().After(until) {
-				request.Hold = 0
+				request.MaxWait = 0
 			}
 			if response := c.handlePoll(request); response != nil {
 				return response
--- a/internal/delivery/stream/feed.go
+++ b/internal/delivery/stream/feed.go
@@ -113,7 +113,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, f.feeds.timing.Recovery)
 	defer cancel()
-	return f.call(ctx, &leader.ReadRequest{From: from, Hold: f.feeds.timing.LongPoll()})
+	return f.call(ctx, &leader.ReadRequest{From: from, MaxWait: f.feeds.timing.LongPoll()})
 }
 
 // call reads as the feed's reader, and rejects the response of a leader that is known to be
--- a/internal/delivery/stream/feeds_test.go
+++ b/internal/delivery/stream/feeds_test.go
@@ -30,7 +30,7 @@
 }
 
 func (c *fakeLeader) ReadAsReader(ctx context.Context, request *leader.ReadRequest) (*leader.ReadResponse, error) {
-	for end := time.Now().Add(request.Hold); ; {
+	for end := time.Now().Add(request.MaxWait); ; {
 		c.mu.Lock()
 		c.requests = append(c.requests, *request)
 		response := &leader.ReadResponse{
@@ -47,7 +47,7 @@
 			response.Entries = append(response.Entries, c.entries[max(request.From, c.base):]...)
 		}
 		c.mu.Unlock()
-		if (request.Beside || request.From == ^uint64(0)) && late != nil {
+		if (request.IgnoreProgress || request.From == ^uint64(0)) && late != nil {
 			<-late
 		}
 		left := time.Until(end)
@@ -90,7 +90,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, request := range c.requests {
-		if request.BootID == bootID && !request.Beside && !request.Finished && request.From != ^uint64(0) {
+		if request.BootID == bootID && !request.IgnoreProgress && !request.Finished && request.From != ^uint64(0) {
 			offset = max(offset, request.From)
 		}
 		finished = finished || request.BootID == bootID && request.Finished
--- a/internal/delivery/stream/window.go
+++ b/internal/delivery/stream/window.go
@@ -50,7 +50,7 @@
 	f.mu.Lock()
 	generation := f.generation
 	f.mu.Unlock()
-	response, err := f.call(ctx, &leader.ReadRequest{From: offset, Beside: true})
+	response, err := f.call(ctx, &leader.ReadRequest{From: offset, IgnoreProgress: true})
 	if err != nil {
 		return Window{}, err
 	}
--- a/internal/node/leaderlog.go
+++ b/internal/node/leaderlog.go
@@ -21,7 +21,7 @@
 // Opened logs a finished recovery.
 func (l leaderLog) Opened(partition int, epoch uint64, recovery leader.Recovery) {
 	l.log.Log(event.LeaderOpen, "partition", partition, "epoch", epoch,
-		"tails", recovery.Tails, "directory", recovery.Directory, "replayed", recovery.Replayed,
+		"tails", recovery.Tails, "directory", recovery.SnapshotUsed, "replayed", recovery.Replayed,
 		"fetched", recovery.Fetched, "reprocessed", recovery.Reprocessed, "keys", recovery.Keys,
 		"took", recovery.Duration.String())
 }
--- a/internal/partitionlog/leader/attach.go
+++ b/internal/partitionlog/leader/attach.go
@@ -128,7 +128,7 @@
 
 // Trace returns how far a client's calls on a topic have come, and one of them if its answer is
 // still kept.
-func (l *Leader) Trace(
+func (l *Leader) CallStatus(
 	ctx context.Context, client, topic string, callSeq uint64,
 ) (calls state.Accepted, call state.AcceptedCall, kept bool, err error) {
 	l.mu.Lock()
--- a/internal/partitionlog/leader/calls.go
+++ b/internal/partitionlog/leader/calls.go
@@ -56,15 +56,15 @@
 	Compressed *CompressedBodies `json:"z,omitempty"`
 }
 
-// PollRequest asks for committed messages of the followed topics after an offset, waiting for some
-// up to Hold. The fields that FollowRequest has too mean the same.
+// PollRequest asks for committed messages of the followed topics after an offset, waiting up to
+// MaxWait for some. The fields that FollowRequest has too mean the same.
 type PollRequest struct {
 	Partition        int           `json:"p"`
 	Node             string        `json:"n"`
 	BootID           string        `json:"b"`
 	Sequence         uint64        `json:"q"`
 	From             uint64        `json:"f"`
-	Hold             time.Duration `json:"h"`
+	MaxWait          time.Duration `json:"h"`
 	Compress         bool          `json:"z,omitempty"`
 	TracksTombstones bool          `json:"m,omitempty"`
 	ReaderToken      uint64        `json:"v,omitempty"`
@@ -88,18 +88,18 @@
 // endOfLedger as ReadRequest.From asks only where the committed ledger ends.
 const endOfLedger = ^uint64(0)
 
-// ReadRequest asks for committed entries after an offset, waiting for some up to Hold; From
-// ^uint64(0) asks only where the committed ledger ends. With TracksTombstones, the node is the
-// reader Node under BootID, which has forgotten all that is withdrawn up to From, unless it reads
-// Beside.
+// ReadRequest asks for committed entries after an offset, waiting up to MaxWait for some. From
+// ^uint64(0) asks only where the committed partition log ends. With TracksTombstones, the node is
+// the reader Node under BootID. Unless IgnoreProgress is set, it has dropped everything that is
+// withdrawn up to From.
 type ReadRequest struct {
 	Partition        int           `json:"p"`
 	From             uint64        `json:"f"`
-	Hold             time.Duration `json:"h"`
+	MaxWait          time.Duration `json:"h"`
 	Node             string        `json:"n,omitempty"`
 	BootID           string        `json:"b,omitempty"`
 	TracksTombstones bool          `json:"m,omitempty"`
-	Beside           bool          `json:"s,omitempty"`
+	IgnoreProgress   bool          `json:"s,omitempty"`
 	// Finished says that the reader has forgotten all and reads no further under this boot ID.
 	Finished bool `json:"d,omitempty"`
 	// ReaderToken is that of an earlier response: without it no node becomes a reader, as a request
--- a/internal/partitionlog/leader/followers.go
+++ b/internal/partitionlog/leader/followers.go
@@ -176,7 +176,7 @@
 		if due == nil {
 			timerCtx, stop := context.WithCancel(ctx)
 			defer stop()
-			due = l.after(timerCtx, request.Hold)
+			due = l.after(timerCtx, request.MaxWait)
 		}
 		select {
 		case <-committed:
--- a/internal/partitionlog/leader/followers_test.go
+++ b/internal/partitionlog/leader/followers_test.go
@@ -32,7 +32,7 @@
 func (l *Leader) startPoll(ctx context.Context, sequence uint64) chan error {
 	result := make(chan error, 1)
 	go func() {
-		_, err := l.Poll(ctx, &PollRequest{Node: "a1", BootID: "b", Sequence: sequence, Hold: l.options.Timing.Spread})
+		_, err := l.Poll(ctx, &PollRequest{Node: "a1", BootID: "b", Sequence: sequence, MaxWait: l.options.Timing.Spread})
 		result <- err
 	}()
 	synctest.Wait()
--- a/internal/partitionlog/leader/leader.go
+++ b/internal/partitionlog/leader/leader.go
@@ -91,13 +91,13 @@
 
 // Recovery describes how the state was recovered.
 type Recovery struct {
-	Tails       string        `json:"tails"`
-	Directory   bool          `json:"directory"`
-	Replayed    int           `json:"replayed"`
-	Fetched     int           `json:"fetched"`
-	Reprocessed int           `json:"reprocessed"`
-	Keys        int           `json:"keys"`
-	Duration    time.Duration `json:"took"`
+	Tails        string        `json:"tails"`
+	SnapshotUsed bool          `json:"directory"`
+	Replayed     int           `json:"replayed"`
+	Fetched      int           `json:"fetched"`
+	Reprocessed  int           `json:"reprocessed"`
+	Keys         int           `json:"keys"`
+	Duration     time.Duration `json:"took"`
 }
 
 // Counters counts a leader's work.
@@ -112,7 +112,7 @@
 	QuorumChecks uint64 `json:"Rounds"`
 	// Forgotten counts the answers to calls that were dropped once the ledger no longer held their
 	// messages.
-	Forgotten uint64 `json:"Forgotten"`
+	AnswersDropped uint64 `json:"Forgotten"`
 	// Withdrawals counts accepted withdrawals, TombstonesDropped tombstones and ReadersGivenUp
 	// readers that were let go.
 	Withdrawals       uint64 `json:"Withdrawals"`
--- a/internal/partitionlog/leader/maintain.go
+++ b/internal/partitionlog/leader/maintain.go
@@ -76,7 +76,7 @@
 		if len(entries) == 0 {
 			break
 		}
-		l.counters.Forgotten += uint64(l.state.Prune(entries...))
+		l.counters.AnswersDropped += uint64(l.state.Prune(entries...))
 		l.prunedTo = entries[len(entries)-1].Offset
 	}
 	l.dropTombstones()
--- a/internal/partitionlog/leader/read.go
+++ b/internal/partitionlog/leader/read.go
@@ -19,7 +19,7 @@
 	if request.Finished {
 		return l.finishReader(ctx, request)
 	}
-	holdCtx, stop := context.WithTimeout(ctx, request.Hold)
+	holdCtx, stop := context.WithTimeout(ctx, request.MaxWait)
 	defer stop()
 	for {
 		l.mu.Lock()
@@ -69,7 +69,7 @@
 		return response, false
 	}
 	if request.TracksTombstones {
-		if !request.Beside {
+		if !request.IgnoreProgress {
 			l.noteRead(request.Node, request.BootID, request.From)
 		}
 		l.replaceReader(request.Node, request.BootID)
--- a/internal/partitionlog/leader/read_test.go
+++ b/internal/partitionlog/leader/read_test.go
@@ -24,7 +24,7 @@
 
 func (f *partitionReader) ask(request ReadRequest) chan *ReadResponse {
 	f.mu.Lock()
-	request.Node, request.BootID, request.ReaderToken, request.TracksTombstones, request.Hold = "a1/streams", f.bootID, f.token, true, f.options.Timing.LongPoll()
+	request.Node, request.BootID, request.ReaderToken, request.TracksTombstones, request.MaxWait = "a1/streams", f.bootID, f.token, true, f.options.Timing.LongPoll()
 	f.mu.Unlock()
 	responses := make(chan *ReadResponse, 1)
 	go func() {
@@ -115,7 +115,7 @@
 		reader := (&partitionReader{rig: r, bootID: "b.1"}).start(0)
 		offset := r.submitAccepted(withdrawal("v", 2, "t", "k"))
 		assert.DeepEqual(t, reader.pendingAt(offset), []string{"a1/streams"})
-		reader.ask(ReadRequest{From: offset, Beside: true})
+		reader.ask(ReadRequest{From: offset, IgnoreProgress: true})
 		reader.ask(ReadRequest{From: ^uint64(0)})
 		reader.ask(ReadRequest{From: offset - 1})
 		assert.DeepEqual(t, reader.pendingAt(offset), []string{"a1/streams"})
@@ -190,7 +190,7 @@
 		pending, err := r.pendingReadersAt(offset)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, pending.GivenUp, []string{"a1/streams"})
-		for _, request := range []ReadRequest{{From: 0}, {From: offset}, {From: ^uint64(0)}, {From: 0, Beside: true}} {
+		for _, request := range []ReadRequest{{From: 0}, {From: offset}, {From: ^uint64(0)}, {From: 0, IgnoreProgress: true}} {
 			response := <-reader.ask(request)
 			assert.Assert(t, response.MustReset)
 			assert.Equal(t, len(response.Entries), 0)
@@ -237,7 +237,7 @@
 		r.submitOnce(message("v", 1, "t", "k"))
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		request := &ReadRequest{Node: "a1/streams", BootID: "b.1", TracksTombstones: true, Hold: time.Second}
+		request := &ReadRequest{Node: "a1/streams", BootID: "b.1", TracksTombstones: true, MaxWait: time.Second}
 		for range 2 {
 			response, err := r.Leader.Read(ctx, request)
 			assert.NilError(t, err)
--- a/internal/partitionlog/leader/readers.go
+++ b/internal/partitionlog/leader/readers.go
@@ -36,7 +36,7 @@
 // and who the readers are.
 type TombstoneView struct {
 	Tombstones int          `json:"marks"`
-	OldestAge  uint64       `json:"oldest_mark_age"`
+	OldestLag  uint64       `json:"oldest_mark_age"`
 	Readers    []ReaderView `json:"readers,omitempty"`
 }
 
@@ -327,7 +327,7 @@
 	for _, tombstone := range l.state.Tombstones {
 		oldest = min(oldest, tombstone.Offset)
 	}
-	view.OldestAge = commit - oldest
+	view.OldestLag = commit - oldest
 	for node, reader := range l.state.Readers {
 		read := l.readOffset(node, reader)
 		view.Readers = append(view.Readers, ReaderView{Node: node, Read: read, GivenUp: reader.GivenUp})
--- a/internal/partitionlog/leader/recovery.go
+++ b/internal/partitionlog/leader/recovery.go
@@ -330,7 +330,7 @@
 		// A snapshot only saves time: the changelog has all of one that can't be read.
 		if unmarshaled, err := state.Unmarshal(snapshot.State); err == nil {
 			restored, input, after = unmarshaled, snapshot.Input, snapshot.At.Offset
-			l.recovery.Directory = true
+			l.recovery.SnapshotUsed = true
 		}
 	}
 	replayed := changes.log.Slice(after+1, changes.commit, allEntries, allEntries)
--- a/internal/partitionlog/leader/rig_test.go
+++ b/internal/partitionlog/leader/rig_test.go
@@ -178,7 +178,7 @@
 	token := r.readerToken(node, bootID)
 	go func() {
 		response, err := r.Poll(r.t.Context(), &PollRequest{
-			Node: node, BootID: bootID, Sequence: 1, From: from, Hold: r.options.Timing.Spread,
+			Node: node, BootID: bootID, Sequence: 1, From: from, MaxWait: r.options.Timing.Spread,
 			TracksTombstones: true, ReaderToken: token,
 		})
 		results <- pollResult{response, err}
--- a/internal/partitionlog/leader/tombstones_test.go
+++ b/internal/partitionlog/leader/tombstones_test.go
@@ -57,7 +57,7 @@
 		offset := r.submitAccepted(withdrawal("v", 2, "t", "k"))
 		r.submitAccepted(message("v", 3, "t", ""))
 		assert.DeepEqual(t, r.View().TombstoneView, TombstoneView{
-			Tombstones: 1, OldestAge: 1, Readers: []ReaderView{{Node: "a1"}},
+			Tombstones: 1, OldestLag: 1, Readers: []ReaderView{{Node: "a1"}},
 		})
 		r.trimLedger(offset)
 		assert.Equal(t, len(r.state.Tombstones), 1, "a reader may still hold it")
--- a/internal/partitionlog/leader/view.go
+++ b/internal/partitionlog/leader/view.go
@@ -7,17 +7,17 @@
 
 // View is a leader's status.
 type View struct {
-	Partition int      `json:"partition"`
-	Epoch     uint64   `json:"epoch"`
-	Stage     string   `json:"stage"`
-	Commit    uint64   `json:"commit"`
-	Last      uint64   `json:"last"`
-	Input     uint64   `json:"input_offset"`
-	Changelog int      `json:"changelog_entries"`
-	Ledger    int      `json:"ledger_entries"`
-	Keys      int      `json:"state_keys"`
-	Recovery  Recovery `json:"recovery"`
-	Counters  Counters `json:"tally"`
+	Partition        int      `json:"partition"`
+	Epoch            uint64   `json:"epoch"`
+	Stage            string   `json:"stage"`
+	Commit           uint64   `json:"commit"`
+	Last             uint64   `json:"last"`
+	Input            uint64   `json:"input_offset"`
+	ChangelogEntries int      `json:"changelog_entries"`
+	LogEntries       int      `json:"ledger_entries"`
+	Keys             int      `json:"state_keys"`
+	Recovery         Recovery `json:"recovery"`
+	Counters         Counters `json:"tally"`
 	TombstoneView
 }
 
@@ -34,8 +34,8 @@
 		Counters:  l.counters,
 	}
 	if ledger := l.logs[log.KindLedger]; ledger != nil {
-		view.Commit, view.Last, view.Ledger = ledger.commit, ledger.last.Offset, ledger.log.Len()
-		view.Changelog = l.logs[log.KindChangelog].log.Len()
+		view.Commit, view.Last, view.LogEntries = ledger.commit, ledger.last.Offset, ledger.log.Len()
+		view.ChangelogEntries = l.logs[log.KindChangelog].log.Len()
 	}
 	if l.state != nil {
 		view.Keys = l.state.Size()
--- a/internal/partitionlog/router/followers.go
+++ b/internal/partitionlog/router/followers.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return nil, err
 	}
-	request.Hold = min(request.Hold, r.Timing.Spread)
+	request.MaxWait = min(request.MaxWait, r.Timing.Spread)
 	return running.Poll(ctx, request)
 }
 
@@ -112,7 +112,7 @@
 	ctx context.Context, record assignment.Record, request *leader.PollRequest,
 ) (*leader.PollResponse, error) {
 	request.Compress = r.CompressStreams
-	response, err := callOnce(ctx, r, record, request.Hold+r.Timing.CallTimeout(), Poll, r.poll, request)
+	response, err := callOnce(ctx, r, record, request.MaxWait+r.Timing.CallTimeout(), Poll, r.poll, request)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/partitionlog/router/handlers.go
+++ b/internal/partitionlog/router/handlers.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		return nil, err
 	}
-	request.Hold = min(request.Hold, r.Timing.LongPoll())
+	request.MaxWait = min(request.MaxWait, r.Timing.LongPoll())
 	return running.Read(ctx, request)
 }
 
@@ -103,7 +103,7 @@
 	if err != nil {
 		return nil, err
 	}
-	calls, call, kept, err := running.Trace(ctx, request.Client, request.Topic, request.CallSeq)
+	calls, call, kept, err := running.CallStatus(ctx, request.Client, request.Topic, request.CallSeq)
 	response := &TraceResponse{
 		Partition:   running.Record.Partition,
 		Leader:      r.Self,
--- a/internal/partitionlog/router/router.go
+++ b/internal/partitionlog/router/router.go
@@ -140,7 +140,7 @@
 func (r *Router) Read(
 	ctx context.Context, partitionID int, from uint64, hold time.Duration,
 ) (*leader.ReadResponse, error) {
-	return r.ReadAsReader(ctx, &leader.ReadRequest{Partition: partitionID, From: from, Hold: hold})
+	return r.ReadAsReader(ctx, &leader.ReadRequest{Partition: partitionID, From: from, MaxWait: hold})
 }
 
 // ReadAsReader returns committed entries of a partition to a reader that may track tombstones.
--- a/tools/mutations/partitionlog-leader.sh
+++ b/tools/mutations/partitionlog-leader.sh
@@ -36,7 +36,7 @@
 mutant read-covered $L/read.go 's/!request\.TracksTombstones \|\| l\.state\.Covers\(entry\)/!request.TracksTombstones/' ./$L 'WholePartition'
 mutant read-without-marks $L/read.go 's/!request\.TracksTombstones \|\| l\.state\.Covers\(entry\)/l.state.Covers(entry)/' ./$L 'WholePartition'
 mutant read-noted $L/read.go 's/\} else if !isReader \{/} else if false \&\& !isReader {/' ./$L 'WholePartition|GivesNoKeys'
-mutant read-beside $L/read.go 's/if !request\.Beside \{/if true {/' ./$L 'WholePartition'
+mutant read-beside $L/read.go 's/if !request\.IgnoreProgress \{/if true {/' ./$L 'WholePartition'
 mutant read-turn $L/readertoken.go 's/token\.number == sent && !token\.finished/sent < ^uint64(0) \&\& !token.finished/' ./$L 'WholePartition'
 mutant read-over $L/readertoken.go 's/token\.number == sent && !token\.finished/token.number == sent/' ./$L 'WholePartition|FinishedIsRemoved'
 mutant read-clean $L/read.go 's/isReader, response\.MustReset = l\.readerStatus/isReader, _ = l.readerStatus/' ./$L 'WholePartition'
