--- a/internal/partitionlog/leader/attach.go
+++ b/internal/partitionlog/leader/attach.go
@@ -8,12 +8,12 @@
 	"postjunction/internal/samza/state"
 )
 
-// Attach records an attachment of a client and returns its generation, which fences all before. A
-// call with the same secret as the last one is a retry and gets the same generation. With given
-// above 0, that is the generation, drawn in the partition of the client's other home; TokenFenced
-// if a higher one is in force here.
-func (l *Leader) Attach(ctx context.Context, client, secret string, given uint64) (uint64, error) {
-	begun := l.options.Clock.Now()
+// Attach records an attachment of a client and returns its generation, which fences all earlier
+// attachments. A call with the secret of the last attachment is a retry and gets the same
+// generation. If assigned is above 0, it is the generation, which was assigned in the partition of
+// the client's other home. Attach returns TokenFenced if a higher generation is in force here.
+func (l *Leader) Attach(ctx context.Context, client, secret string, assigned uint64) (uint64, error) {
+	startedAt := l.options.Clock.Now()
 	l.mu.Lock()
 	if err := l.checkWritable(); err != nil {
 		l.mu.Unlock()
@@ -22,20 +22,20 @@
 	key := state.Key(client, "")
 	calls := l.uncommittedCallsOf(key)
 	last := max(l.state.Attachments[client].Generation, calls.generation)
-	if given == 0 && l.isRepeatedAttach(client, calls, secret) {
-		given = last
+	if assigned == 0 && l.isAttachRetry(client, calls, secret) {
+		assigned = last
 	}
-	if given > 0 && given <= last {
-		basis := l.basisOffset(key)
+	if assigned > 0 && assigned <= last {
+		dependency := l.dependencyOffset(key)
 		l.mu.Unlock()
-		return l.confirmAttach(ctx, client, given, last, basis)
+		return l.confirmAttach(ctx, client, assigned, last, dependency)
 	}
 	generation := last + 1
-	if given > 0 {
-		generation = given
+	if assigned > 0 {
+		generation = assigned
 	}
 	calls.generation, calls.secret = generation, secret
-	entry := l.appendToLedger(log.Entry{
+	entry := l.appendToPartitionLog(log.Entry{
 		Type: log.TypeAttach, Client: client, Generation: generation, Body: []byte(secret),
 	})
 	calls.offset = entry.Offset
@@ -43,7 +43,7 @@
 	if err := l.awaitCommit(ctx, log.KindLedger, entry.Offset); err != nil {
 		return 0, err
 	}
-	l.observeDecision("attached", begun)
+	l.observeDecision("attached", startedAt)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.state.Attachments[client].Generation >= calls.generation && l.uncommitted[key] == calls {
@@ -52,9 +52,9 @@
 	return generation, nil
 }
 
-// isRepeatedAttach reports whether the last attachment has the secret of this one: each attachment
-// draws a secret of its own, so it is a retry. The lock is held.
-func (l *Leader) isRepeatedAttach(client string, calls *uncommittedCalls, secret string) bool {
+// isAttachRetry reports whether the last attachment has the same secret as this one. Each
+// attachment draws its own secret, so the same secret means a retry. l.mu must be held.
+func (l *Leader) isAttachRetry(client string, calls *uncommittedCalls, secret string) bool {
 	attachment := l.state.Attachments[client]
 	if calls.generation > attachment.Generation {
 		return calls.secret == secret
@@ -62,22 +62,22 @@
 	return attachment.Generation > 0 && attachment.Secret == secret
 }
 
-// confirmAttach answers an attachment whose generation is not above the last one, once that one is
-// known to stand.
-func (l *Leader) confirmAttach(ctx context.Context, client string, given, last, basis uint64) (uint64, error) {
-	if err := l.confirmCommitted(ctx, basis); err != nil {
+// confirmAttach answers an attachment whose generation is not above the last one, once the last one
+// is committed and the leadership is confirmed.
+func (l *Leader) confirmAttach(ctx context.Context, client string, assigned, last, dependency uint64) (uint64, error) {
+	if err := l.confirmCommitted(ctx, dependency); err != nil {
 		return 0, err
 	}
-	if given < last {
-		return 0, apierror.New(apierror.TokenFenced, "attachment %d of %s took over from %d", last, client, given)
+	if assigned < last {
+		return 0, apierror.New(apierror.TokenFenced, "attachment %d of %s replaced %d", last, client, assigned)
 	}
-	return given, nil
+	return assigned, nil
 }
 
-// Attachment returns the attachment in force and the cursor that the client saved, once a majority
+// Attachment returns the attachment in force and the client's saved cursor, once a majority has
 // confirmed the epoch.
 func (l *Leader) Attachment(ctx context.Context, client string) (state.Attachment, state.SavedCursor, error) {
-	begun := l.options.Clock.Now()
+	startedAt := l.options.Clock.Now()
 	attachment, cursor, err := l.currentAttachment(client)
 	if err == nil {
 		err = l.checkLeadership(ctx)
@@ -85,7 +85,7 @@
 	if err != nil {
 		return state.Attachment{}, state.SavedCursor{}, err
 	}
-	l.observeDecision("vouched", begun)
+	l.observeDecision("vouched", startedAt)
 	return attachment, cursor, nil
 }
 
@@ -104,7 +104,7 @@
 	return l.state.Attachments[client], l.state.SavedCursors[client], nil
 }
 
-// SaveCursor records the cursor that a client leaves; TokenFenced if an attachment of a higher
+// SaveCursor records the cursor of a client. It returns TokenFenced if an attachment of a higher
 // generation is in force.
 func (l *Leader) SaveCursor(ctx context.Context, client string, generation uint64, cursor string) error {
 	l.mu.Lock()
@@ -119,18 +119,18 @@
 		}
 		return apierror.New(apierror.TokenFenced, "attachment %d of %s is in force", current, client)
 	}
-	entry := l.appendToLedger(log.Entry{
+	entry := l.appendToPartitionLog(log.Entry{
 		Type: log.TypeCursor, Client: client, Generation: generation, Body: []byte(cursor),
 	})
 	l.mu.Unlock()
 	return l.awaitCommit(ctx, log.KindLedger, entry.Offset)
 }
 
-// Trace returns how far a client's calls on a topic have come, and one of them if its answer is
-// still kept.
+// CallStatus returns how far a client's calls on a topic have come, and the call with the given
+// number if its answer is still retained.
 func (l *Leader) CallStatus(
 	ctx context.Context, client, topic string, callSeq uint64,
-) (calls state.Accepted, call state.AcceptedCall, kept bool, err error) {
+) (calls state.Accepted, call state.AcceptedCall, found bool, err error) {
 	l.mu.Lock()
 	if err := l.checkReadable(); err != nil {
 		l.mu.Unlock()
@@ -138,6 +138,6 @@
 	}
 	calls = l.state.Accepted[state.Key(client, topic)]
 	l.mu.Unlock()
-	call, kept = calls.Find(callSeq)
-	return calls, call, kept, l.checkLeadership(ctx)
+	call, found = calls.Find(callSeq)
+	return calls, call, found, l.checkLeadership(ctx)
 }
--- a/internal/partitionlog/leader/attach_test.go
+++ b/internal/partitionlog/leader/attach_test.go
@@ -9,8 +9,9 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-// A retry of an attachment, whose answer was lost, returns the same generation, while the first is
-// being written and afterwards. One with another secret takes over.
+// A retry of an attachment whose answer was lost returns the same generation, both while the first
+// attachment is being written and afterwards. An attachment with another secret gets a new
+// generation.
 func TestAttach_RetryReturnsTheSameGeneration(t *testing.T) {
 	withLeader(t, 1, func(t *testing.T, r *rig) {
 		type answer struct {
--- a/internal/partitionlog/leader/batch.go
+++ b/internal/partitionlog/leader/batch.go
@@ -15,18 +15,19 @@
 	Err      *apierror.Error `json:"p,omitempty"`
 }
 
-// evaluation is what a message was found to be, before that is known to stand.
+// evaluation is the result of evaluating a message, before that result is known to be final.
 type evaluation struct {
 	accepted  state.AcceptedCall
 	duplicate bool
-	// alreadyWithdrawn tells that the tombstone which a withdrawal asks for stood before.
+	// alreadyWithdrawn is set if the tombstone that a withdrawal asks for existed before.
 	alreadyWithdrawn bool
 	err              error
-	// basis is the offset that a rejection, or alreadyWithdrawn, rests on.
-	basis uint64
+	// dependency is the offset that a rejection, or alreadyWithdrawn, depends on.
+	dependency uint64
 }
 
-// finalCodes are those of rejections for good, which a retry with the same number meets again.
+// finalCodes are the codes of final rejections. A retry with the same number gets the same
+// rejection.
 var finalCodes = map[apierror.Code]bool{
 	apierror.CallAltered:   true,
 	apierror.CallPassed:    true,
@@ -35,13 +36,13 @@
 	apierror.KeyUnknown:    true,
 }
 
-func (e evaluation) isRejectedForGood() bool {
+func (e evaluation) isFinalRejection() bool {
 	return e.err != nil && finalCodes[apierror.From(e.err).Code]
 }
 
-// needsLeadership reports whether the answer is final only once a majority confirmed the epoch.
+// needsLeadership reports whether the answer is final only once a majority has confirmed the epoch.
 func (e evaluation) needsLeadership() bool {
-	return e.duplicate || e.alreadyWithdrawn || e.isRejectedForGood()
+	return e.duplicate || e.alreadyWithdrawn || e.isFinalRejection()
 }
 
 // requiredOffset returns the offset that must be committed before the answer is given.
@@ -49,8 +50,8 @@
 	if e.err == nil && !e.alreadyWithdrawn {
 		return e.accepted.Offset
 	}
-	if e.alreadyWithdrawn || e.isRejectedForGood() {
-		return e.basis
+	if e.alreadyWithdrawn || e.isFinalRejection() {
+		return e.dependency
 	}
 	return 0
 }
@@ -66,11 +67,11 @@
 	return "taken"
 }
 
-// SubmitMany decides on messages in their order and answers each, in that order, once all decisions
-// are committed or failed. Duplicates and rejections for good share one leadership check, which
-// runs while the new messages are written.
+// SubmitMany evaluates messages in order and returns their outcomes in the same order, once each
+// decision is committed or has failed. Duplicates and final rejections share one leadership check,
+// which runs while the new messages are written.
 func (l *Leader) SubmitMany(ctx context.Context, messages []*Message) []Outcome {
-	begun := l.options.Clock.Now()
+	startedAt := l.options.Clock.Now()
 	outcomes := make([]Outcome, len(messages))
 	evaluations, err := l.evaluateAll(messages)
 	if err != nil {
@@ -91,12 +92,12 @@
 	}
 	checkErr := <-checked
 	for i, evaluation := range evaluations {
-		outcomes[i] = l.outcome(evaluation, commitErrs[i], checkErr, begun)
+		outcomes[i] = l.outcome(evaluation, commitErrs[i], checkErr, startedAt)
 	}
 	return outcomes
 }
 
-// evaluateAll decides on messages in their order; the error is why none can be decided on.
+// evaluateAll evaluates messages in order. Its error says why none of them can be evaluated.
 func (l *Leader) evaluateAll(messages []*Message) ([]evaluation, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -106,7 +107,7 @@
 	evaluations := make([]evaluation, len(messages))
 	for i, message := range messages {
 		evaluation := l.evaluate(message)
-		evaluation.basis = max(evaluation.basis, l.basisOffset(state.Key(message.Client, message.Topic)))
+		evaluation.dependency = max(evaluation.dependency, l.dependencyOffset(state.Key(message.Client, message.Topic)))
 		if evaluation.duplicate {
 			l.counters.Duplicates++
 		}
@@ -124,32 +125,32 @@
 	return false
 }
 
-// outcome turns an evaluation into an answer, given whether what it rests on was committed, and the
-// leadership confirmed.
-func (l *Leader) outcome(e evaluation, commitErr, checkErr error, begun time.Time) Outcome {
+// outcome turns an evaluation into an answer. commitErr is set if what the evaluation depends on
+// was not committed, checkErr if the leadership was not confirmed.
+func (l *Leader) outcome(result evaluation, commitErr, checkErr error, startedAt time.Time) Outcome {
 	switch {
-	case e.err != nil && !e.isRejectedForGood():
-		return Outcome{Err: apierror.From(e.err)}
-	case e.err != nil && commitErr != nil:
-		return Outcome{Err: apierror.From(l.errBasisUncommitted(e.requiredOffset()))}
-	case e.err != nil && checkErr != nil:
+	case result.err != nil && !result.isFinalRejection():
+		return Outcome{Err: apierror.From(result.err)}
+	case result.err != nil && commitErr != nil:
+		return Outcome{Err: apierror.From(l.errDependencyUncommitted(result.requiredOffset()))}
+	case result.err != nil && checkErr != nil:
 		return Outcome{Err: apierror.From(checkErr)}
-	case e.err != nil:
-		l.observeDecision("no: "+string(apierror.From(e.err).Code), begun)
-		return Outcome{Err: apierror.From(e.err)}
+	case result.err != nil:
+		l.observeDecision("no: "+string(apierror.From(result.err).Code), startedAt)
+		return Outcome{Err: apierror.From(result.err)}
 	case commitErr != nil:
 		return Outcome{Err: apierror.From(commitErr)}
-	case (e.duplicate || e.alreadyWithdrawn) && checkErr != nil:
+	case (result.duplicate || result.alreadyWithdrawn) && checkErr != nil:
 		return Outcome{Err: apierror.New(apierror.OutcomeUnknown,
-			"call_seq %d was taken before at offset %d, and nobody confirmed it: %v",
-			e.accepted.CallSeq, e.accepted.Offset, checkErr)}
+			"call_seq %d was accepted before at offset %d, but the epoch was not confirmed: %v",
+			result.accepted.CallSeq, result.accepted.Offset, checkErr)}
 	}
-	l.observeDecision(e.label(), begun)
+	l.observeDecision(result.label(), startedAt)
 	return Outcome{Decision: &Decision{
 		Partition:        l.Record.Partition,
 		Epoch:            l.Record.Epoch,
-		Offset:           e.accepted.Offset,
-		Duplicate:        e.duplicate,
-		AlreadyWithdrawn: e.alreadyWithdrawn,
+		Offset:           result.accepted.Offset,
+		Duplicate:        result.duplicate,
+		AlreadyWithdrawn: result.alreadyWithdrawn,
 	}}
 }
--- a/internal/partitionlog/leader/calls.go
+++ b/internal/partitionlog/leader/calls.go
@@ -6,52 +6,53 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-// FollowRequest says what a node follows of a partition: how many subscribers it has for each
-// topic, 0 for a topic that it drops. It changes what the node followed as of BaseSequence, unless
-// it is Full.
+// FollowRequest says which topics of a partition a node follows: Topics has the number of its
+// subscribers to each topic, 0 for a topic that it drops. It changes what the node followed as of
+// BaseSequence, unless it is Full.
 type FollowRequest struct {
-	Partition    int            `json:"p"`
-	Node         string         `json:"n"`
-	BootID       string         `json:"b"`
-	BaseSequence uint64         `json:"f,omitempty"`
-	Sequence     uint64         `json:"q"`
-	Full         bool           `json:"u,omitempty"`
-	FirstOnly    bool           `json:"s,omitempty"` // at most one message of the backlog, as someone waits for it
-	Topics       map[string]int `json:"t,omitempty"`
-	// After asks for the backlog of topics behind an offset each.
+	Partition    int    `json:"p"`
+	Node         string `json:"n"`
+	BootID       string `json:"b"`
+	BaseSequence uint64 `json:"f,omitempty"`
+	Sequence     uint64 `json:"q"`
+	Full         bool   `json:"u,omitempty"`
+	// FirstOnly asks for at most one message of the backlog, as a subscriber waits for it.
+	FirstOnly bool           `json:"s,omitempty"`
+	Topics    map[string]int `json:"t,omitempty"`
+	// After asks for the backlog of topics, of each after an offset.
 	After    map[string]uint64 `json:"a,omitempty"`
 	Compress bool              `json:"z,omitempty"`
-	// TracksTombstones says that the node forgets what is withdrawn: only such a node is given
+	// TracksTombstones says that the node drops what is withdrawn. Only such a node is sent
 	// messages with keys.
 	TracksTombstones bool `json:"m,omitempty"`
-	// Finished says that the node follows nothing here any more, and has forgotten all that it was
-	// given.
+	// Finished says that the node no longer follows the partition, and has dropped everything that
+	// it was sent.
 	Finished bool `json:"d,omitempty"`
-	// ReaderToken is that of the last response to this boot ID: without it no node becomes a
-	// reader, or replaces another run, as a request may come late from a run that is over.
+	// ReaderToken is that of the last response to this boot ID. Without it no node becomes a reader
+	// or replaces another run, because a late request may come from a run that has ended.
 	ReaderToken uint64 `json:"v,omitempty"`
 }
 
-// FollowResponse answers a FollowRequest. Messages of the topics after CommittedEnd come by Poll;
-// Backlog has those asked for up to BacklogEnd.
+// FollowResponse answers a FollowRequest. Messages of the topics after CommittedEnd are returned by
+// Poll. Backlog has those that were requested, up to BacklogEnd.
 type FollowResponse struct {
 	Epoch        uint64 `json:"e"`
 	Base         uint64 `json:"b"`
 	CommittedEnd uint64 `json:"t"`
 	BacklogEnd   uint64 `json:"u"`
-	// UnknownFollower says that the leader doesn't know what the request changes: a full one is
-	// needed.
+	// UnknownFollower says that the leader doesn't know the state that the request changes. A full
+	// request is needed.
 	UnknownFollower bool `json:"l,omitempty"`
-	// MustReset says that the node was given up as a reader: it must forget all that it has of the
-	// partition and follow under another boot ID.
+	// MustReset says that the node was given up as a reader. It must drop everything that it has of
+	// the partition and follow under another boot ID.
 	MustReset bool `json:"c,omitempty"`
-	// IsReader says that the node is a reader now, though it may have been given nothing with a
-	// key.
+	// IsReader says that the node is a reader now, though it may not have been sent any message
+	// with a key.
 	IsReader    bool        `json:"r,omitempty"`
 	ReaderToken uint64      `json:"v,omitempty"`
 	Backlog     []log.Entry `json:"n,omitempty"`
-	// Trimmed has, of topics whose backlog is no longer complete, the offset of the last message
-	// that was trimmed.
+	// Trimmed has the offset of the last trimmed message for each topic whose backlog is no longer
+	// complete.
 	Trimmed    map[string]uint64 `json:"g,omitempty"`
 	Compressed *CompressedBodies `json:"z,omitempty"`
 }
@@ -71,7 +72,7 @@
 }
 
 // PollResponse has the messages after PollRequest.From, up to To, and all withdrawals of the
-// partition where the node tracks tombstones. The fields that FollowResponse has too mean the same.
+// partition if the node tracks tombstones. The fields that FollowResponse has too mean the same.
 type PollResponse struct {
 	Epoch           uint64            `json:"e"`
 	Base            uint64            `json:"b"`
@@ -85,8 +86,8 @@
 	Compressed      *CompressedBodies `json:"z,omitempty"`
 }
 
-// endOfLedger as ReadRequest.From asks only where the committed ledger ends.
-const endOfLedger = ^uint64(0)
+// endOfLog as ReadRequest.From asks only where the committed partition log ends.
+const endOfLog = ^uint64(0)
 
 // ReadRequest asks for committed entries after an offset, waiting up to MaxWait for some. From
 // ^uint64(0) asks only where the committed partition log ends. With TracksTombstones, the node is
@@ -100,16 +101,16 @@
 	BootID           string        `json:"b,omitempty"`
 	TracksTombstones bool          `json:"m,omitempty"`
 	IgnoreProgress   bool          `json:"s,omitempty"`
-	// Finished says that the reader has forgotten all and reads no further under this boot ID.
+	// Finished says that the reader has dropped everything and reads no further under this boot ID.
 	Finished bool `json:"d,omitempty"`
-	// ReaderToken is that of an earlier response: without it no node becomes a reader, as a request
-	// may come late from a run that is over.
+	// ReaderToken is that of an earlier response. Without it no node becomes a reader, because a
+	// late request may come from a run that has ended.
 	ReaderToken uint64 `json:"u,omitempty"`
 }
 
-// ReadResponse is a part of the committed ledger: the entries after ReadRequest.From, up to To.
-// Bodies that were withdrawn are dropped, and so are those of messages with keys where the request
-// doesn't track tombstones. MustReset is that of FollowResponse.
+// ReadResponse is a part of the committed partition log: the entries after ReadRequest.From, up to
+// To. Withdrawn bodies are dropped, and so are those of messages with keys if the request doesn't
+// track tombstones. MustReset means the same as in FollowResponse.
 type ReadResponse struct {
 	Base        uint64      `json:"base"`
 	To          uint64      `json:"to"`
--- a/internal/partitionlog/leader/commit.go
+++ b/internal/partitionlog/leader/commit.go
@@ -7,14 +7,14 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-// appendEntries appends entries to a log and returns the offset of the last one. They are written
-// and replicated by the log's goroutines; awaitCommit waits for that.
+// appendEntries appends entries to a log and returns the offset of the last one. The goroutines of
+// the log write and replicate them; awaitCommit waits for that.
 func (l *Leader) appendEntries(kind log.Kind, entries ...log.Entry) (uint64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.stage == StageLost {
 		return 0, apierror.New(
-			apierror.NotPartitionLeader, "partition %d was lost: %v", l.Record.Partition, l.lostCause,
+			apierror.NotPartitionLeader, "the leadership of partition %d was lost: %v", l.Record.Partition, l.lostCause,
 		)
 	}
 	var offset uint64
@@ -24,13 +24,13 @@
 	return offset, nil
 }
 
-// appendToLedger appends an entry to the ledger. The lock is held.
-func (l *Leader) appendToLedger(entry log.Entry) log.Entry {
+// appendToPartitionLog appends an entry to the partition log. l.mu must be held.
+func (l *Leader) appendToPartitionLog(entry log.Entry) log.Entry {
 	return l.logs[log.KindLedger].appendEntry(entry, l.Record.Epoch)
 }
 
-// awaitCommit waits until a log is committed up to an offset. Its error is OutcomeUnknown when the
-// leadership is lost or ctx ends before.
+// awaitCommit waits until a log is committed up to an offset. Its error is OutcomeUnknown if the
+// leadership is lost or ctx ends first.
 func (l *Leader) awaitCommit(ctx context.Context, kind log.Kind, offset uint64) error {
 	for {
 		l.mu.Lock()
@@ -44,15 +44,16 @@
 		case <-committed:
 		case <-l.lost:
 			return apierror.New(apierror.OutcomeUnknown,
-				"the leader of partition %d lost it before offset %d was on a majority", l.Record.Partition, offset)
+				"the leadership of partition %d was lost before offset %d was committed", l.Record.Partition, offset)
 		case <-ctx.Done():
 			return apierror.New(apierror.OutcomeUnknown,
-				"offset %d of partition %d was not on a majority in time", offset, l.Record.Partition)
+				"offset %d of partition %d was not committed in time", offset, l.Record.Partition)
 		}
 	}
 }
 
-// advanceCommit commits what a majority holds by now and applies it to the state. The lock is held.
+// advanceCommit commits the entries that a majority of the replicas has by now, and applies them to
+// the state. l.mu must be held.
 func (l *Leader) advanceCommit(progress *logProgress) {
 	from := progress.commit
 	if !progress.advanceCommit(l.Record, l.options.Self) || progress.kind != log.KindLedger || l.state == nil {
@@ -61,11 +62,11 @@
 	l.apply(progress, from, progress.commit)
 }
 
-// apply applies the ledger's entries after one offset, up to another, to the state. The lock is
-// held.
-func (l *Leader) apply(ledger *logProgress, from, to uint64) {
+// apply applies the entries of the partition log after offset from, up to offset to, to the state.
+// l.mu must be held.
+func (l *Leader) apply(partitionLog *logProgress, from, to uint64) {
 	for offset := from; offset < to; {
-		entries := ledger.entriesAfter(offset)
+		entries := partitionLog.entriesAfter(offset)
 		if len(entries) == 0 {
 			return
 		}
@@ -80,8 +81,8 @@
 	}
 }
 
-// requestTrim has a log begin behind an offset, here and on the replicas, if it is committed and
-// the log begins before.
+// requestTrim has a log trimmed up to an offset, at most up to its commit, here and on the
+// replicas. It does nothing if the log is already trimmed that far.
 func (l *Leader) requestTrim(kind log.Kind, to uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/partitionlog/leader/compress.go
+++ b/internal/partitionlog/leader/compress.go
@@ -18,8 +18,8 @@
 }
 
 const (
-	// minCompressBytes is from how many bytes of bodies on compression is tried; the result is used
-	// if it has at most maxCompressedEighths eighths of them.
+	// minCompressBytes is the total size of bodies from which on compression is tried. The result
+	// is used if it has at most maxCompressedEighths eighths of that size.
 	minCompressBytes     = 256
 	maxCompressedEighths = 7
 	// maxBodiesBytes bounds the bodies of one response.
@@ -31,8 +31,9 @@
 	return w
 }}
 
-// compressBodies takes the bodies out of entries, or returns nil where that saves too little. It
-// changes the entries in place, but not the bytes that their bodies point to.
+// compressBodies removes the bodies from entries and returns them compressed, or returns nil if
+// that saves too little. It changes the entries in place, but not the bytes that their bodies point
+// to.
 func compressBodies(entries []log.Entry) *CompressedBodies {
 	size := 0
 	for _, entry := range entries {
@@ -48,7 +49,7 @@
 	sizes := make([]int, len(entries))
 	for i, entry := range entries {
 		sizes[i] = len(entry.Body)
-		_, _ = w.Write(entry.Body) // a bytes.Buffer takes all
+		_, _ = w.Write(entry.Body) // a bytes.Buffer returns no error
 	}
 	_ = w.Close()
 	if buffer.Len() > size/8*maxCompressedEighths {
@@ -60,7 +61,8 @@
 	return &CompressedBodies{Sizes: sizes, Bytes: buffer.Bytes()}
 }
 
-// decompressInto gives the entries their bodies back; Unreachable where the two don't fit together.
+// decompressInto restores the bodies of the entries. It returns Unreachable if the bodies don't
+// match the entries.
 func (c *CompressedBodies) decompressInto(entries []log.Entry) error {
 	if c == nil {
 		return nil
@@ -68,20 +70,20 @@
 	total := 0
 	for _, size := range c.Sizes {
 		if size < 0 || size > maxBodiesBytes-total {
-			return apierror.New(apierror.Unreachable, "packed bodies of impossible sizes")
+			return apierror.New(apierror.Unreachable, "compressed bodies have invalid sizes")
 		}
 		total += size
 	}
 	if len(c.Sizes) != len(entries) {
-		return apierror.New(apierror.Unreachable, "%d packed bodies for %d entries", len(c.Sizes), len(entries))
+		return apierror.New(apierror.Unreachable, "%d compressed bodies for %d entries", len(c.Sizes), len(entries))
 	}
 	bodies := make([]byte, total)
 	r := flate.NewReader(bytes.NewReader(c.Bytes))
 	if _, err := io.ReadFull(r, bodies); err != nil {
-		return apierror.WithCause(apierror.Unreachable, err, "packed bodies that break off")
+		return apierror.WithCause(apierror.Unreachable, err, "compressed bodies are truncated")
 	}
 	if n, err := r.Read(make([]byte, 1)); n > 0 || err != io.EOF {
-		return apierror.New(apierror.Unreachable, "more packed bodies than entries")
+		return apierror.New(apierror.Unreachable, "compressed bodies are longer than their sizes")
 	}
 	for i, size := range c.Sizes {
 		entries[i].Body, bodies = bodies[:size:size], bodies[size:]
@@ -89,14 +91,14 @@
 	return nil
 }
 
-// Compress compresses the bodies of the response's entries where that saves enough.
+// Compress compresses the bodies of the response's entries if that saves enough.
 func (r *FollowResponse) Compress() { r.Compressed = compressBodies(r.Backlog) }
 
-// Decompress gives the response's entries their bodies back.
+// Decompress restores the bodies of the response's entries.
 func (r *FollowResponse) Decompress() error { return r.Compressed.decompressInto(r.Backlog) }
 
-// Compress compresses the bodies of the response's entries where that saves enough.
+// Compress compresses the bodies of the response's entries if that saves enough.
 func (r *PollResponse) Compress() { r.Compressed = compressBodies(r.Entries) }
 
-// Decompress gives the response's entries their bodies back.
+// Decompress restores the bodies of the response's entries.
 func (r *PollResponse) Decompress() error { return r.Compressed.decompressInto(r.Entries) }
--- a/internal/partitionlog/leader/compress_test.go
+++ b/internal/partitionlog/leader/compress_test.go
@@ -19,7 +19,7 @@
 	return b
 }
 
-// Bodies of text take little more than half the bytes compressed, and come out as they went in.
+// Compressed bodies of text have little more than half the bytes, and are restored unchanged.
 func TestCompressedBodies_RoundTrip(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for _, sizes := range [][]int{{700}, {20, 0, 4000, 333}, {900, 900, 900}} {
@@ -71,10 +71,10 @@
 		"a size too many": func(response *FollowResponse) {
 			response.Compressed.Sizes = append(response.Compressed.Sizes, 1)
 		},
-		"a smaller size": func(response *FollowResponse) { response.Compressed.Sizes[0]-- },
-		"a larger size":  func(response *FollowResponse) { response.Compressed.Sizes[0]++ },
-		"a huge size":    func(response *FollowResponse) { response.Compressed.Sizes[0] = 1 << 40 },
-		"below nothing":  func(response *FollowResponse) { response.Compressed.Sizes[0] = -1 },
+		"a smaller size":  func(response *FollowResponse) { response.Compressed.Sizes[0]-- },
+		"a larger size":   func(response *FollowResponse) { response.Compressed.Sizes[0]++ },
+		"a huge size":     func(response *FollowResponse) { response.Compressed.Sizes[0] = 1 << 40 },
+		"a negative size": func(response *FollowResponse) { response.Compressed.Sizes[0] = -1 },
 	} {
 		response := &FollowResponse{
 			Backlog: []log.Entry{{Body: compressibleBytes(r, 700)}, {Body: compressibleBytes(r, 700)}},
--- a/internal/partitionlog/leader/filter.go
+++ b/internal/partitionlog/leader/filter.go
@@ -2,31 +2,31 @@
 
 import "postjunction/internal/partitionlog/log"
 
-// entryFilter is what a follower wants of the ledger.
+// entryFilter selects the entries of the partition log that a follower wants.
 type entryFilter struct {
 	isWanted func(log.Entry) bool
-	// withKeys adds messages with keys, and the withdrawals on topics that are wanted;
-	// allWithdrawals adds all withdrawals.
+	// withKeys adds messages with keys, and the withdrawals on wanted topics. allWithdrawals adds
+	// all withdrawals.
 	withKeys, allWithdrawals bool
-	// isReader tells that it is committed that the follower is a reader.
+	// isReader is set if an entry that makes the follower a reader is committed.
 	isReader bool
 }
 
 // collect returns the committed entries after an offset that pass a filter, until they have more
-// than limit bytes, and the offset up to which it came. It stops before a message with a key if the
-// follower is no reader, and reports that. The lock is held.
+// than limit bytes, and the offset up to which it has read. If the follower is not a reader, it
+// stops before a message with a key and reports that. l.mu must be held.
 func (l *Leader) collect(
 	after uint64, limit int, filter entryFilter,
 ) (entries []log.Entry, to uint64, stoppedAtKey bool) {
-	ledger := l.logs[log.KindLedger]
+	partitionLog := l.logs[log.KindLedger]
 	size := 0
-	for after < ledger.commit {
-		next := ledger.entriesAfter(after)
+	for after < partitionLog.commit {
+		next := partitionLog.entriesAfter(after)
 		if len(next) == 0 {
 			break
 		}
 		for _, entry := range next {
-			if entry.Offset > ledger.commit || size > limit {
+			if entry.Offset > partitionLog.commit || size > limit {
 				return entries, after, false
 			}
 			if l.passes(entry, filter) {
@@ -45,15 +45,15 @@
 func (l *Leader) passes(entry log.Entry, filter entryFilter) bool {
 	switch entry.Type {
 	case log.TypeMessage:
-		isGiven := entry.Key == "" || filter.withKeys && !l.state.Covers(entry)
-		return !entry.BodyDropped && filter.isWanted(entry) && isGiven
+		isIncluded := entry.Key == "" || filter.withKeys && !l.state.Covers(entry)
+		return !entry.BodyDropped && filter.isWanted(entry) && isIncluded
 	case log.TypeWithdrawal:
 		return filter.withKeys && (filter.allWithdrawals || filter.isWanted(entry))
 	}
 	return false
 }
 
-// withoutReplicaFields returns an entry without what only replicas need.
+// withoutReplicaFields returns an entry without the fields that only replicas need.
 func withoutReplicaFields(entry log.Entry) log.Entry {
 	entry.Generation, entry.Configuration, entry.Digest, entry.Chain = 0, 0, "", 0
 	if entry.Type == log.TypeWithdrawal {
@@ -62,16 +62,16 @@
 	return entry
 }
 
-// Trimmed reports whether a message of a topic after an offset is no longer in the ledger. What is
-// about to be trimmed counts as trimmed.
+// Trimmed reports whether a message of a topic after an offset is no longer in the partition log.
+// What is about to be trimmed counts as trimmed.
 func (l *Leader) Trimmed(topic string, after uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.trimmedUpTo(topic) > after
 }
 
-// trimmedUpTo returns the offset of the last message of a topic that was trimmed, 0 for none. The
-// lock is held.
+// trimmedUpTo returns the offset of the last trimmed message of a topic, 0 if there is none. l.mu
+// must be held.
 func (l *Leader) trimmedUpTo(topic string) uint64 {
 	if l.state == nil {
 		return 0
--- a/internal/partitionlog/leader/followers.go
+++ b/internal/partitionlog/leader/followers.go
@@ -14,34 +14,34 @@
 	sequence uint64
 	// topics has the number of the node's subscribers to each topic.
 	topics map[string]int
-	// expires is when the subscribers no longer count; each call of the node puts that off.
+	// expires is when the subscribers no longer count. Each call of the node extends it.
 	expires time.Time
-	// activePolls is how many calls of Poll the node has in flight here.
+	// activePolls is the number of Poll calls that the node has in flight here.
 	activePolls int
-	// isFinished tells that the node follows nothing any more: its polls come late.
+	// isFinished is set once the node follows nothing any more. Its later polls are stale.
 	isFinished bool
 }
 
 const (
 	maxFollowBytes = 8 << 10
 	maxPollBytes   = 64 << 10
-	// maxPollLag is how many offsets a poll may pass over without answering.
+	// maxPollLag is the number of offsets that a poll may skip without answering.
 	maxPollLag = 1024
 )
 
-// renewFollower returns a node's follower under a boot ID, nil if there is none, and puts its end
-// off. The lock is held.
+// renewFollower returns a node's follower under a boot ID and extends its expiry. It returns nil if
+// there is none. l.mu must be held.
 func (l *Leader) renewFollower(node, bootID string) *follower {
-	known := l.followers[node]
-	if known == nil || known.bootID != bootID {
+	current := l.followers[node]
+	if current == nil || current.bootID != bootID {
 		return nil
 	}
-	known.expires = l.options.Clock.Now().Add(l.options.Timing.Spread + l.options.Timing.SessionTimeout())
-	return known
+	current.expires = l.options.Clock.Now().Add(l.options.Timing.Spread + l.options.Timing.SessionTimeout())
+	return current
 }
 
-// Follow records what a node follows and returns the backlog it asks for. Where that begins with a
-// message with a key, it waits until it is committed that the node is a reader.
+// Follow records what a node follows and returns the backlog that it asks for. If that backlog
+// begins with a message with a key, Follow waits until it is committed that the node is a reader.
 func (l *Leader) Follow(ctx context.Context, request *FollowRequest) (*FollowResponse, error) {
 	for {
 		response, committed, err := l.tryFollow(request)
@@ -68,20 +68,20 @@
 		return nil, nil, err
 	}
 	node, bootID := request.Node, request.BootID
-	l.noteRead(node, bootID, 0)
-	known := l.renewFollower(node, bootID)
+	l.updateReaderProgress(node, bootID, 0)
+	current := l.renewFollower(node, bootID)
 	isReader, givenUp := l.readerStatus(node, bootID)
 	token, isTokenValid := l.readerTokenOf(node, bootID, request.ReaderToken)
 	unknown := &FollowResponse{Epoch: l.Record.Epoch, UnknownFollower: true, MustReset: givenUp, ReaderToken: token}
 	isLate := !isTokenValid && !request.Finished && l.isOtherReader(node, bootID)
-	if givenUp && !request.Finished || isLate || l.wasReplaced(node, bootID) || !request.follows(known) {
+	if givenUp && !request.Finished || isLate || l.wasReplaced(node, bootID) || !request.follows(current) {
 		return unknown, nil, nil
 	}
 	if !request.Finished {
 		l.replaceReader(node, bootID)
 	}
-	ledger := l.logs[log.KindLedger]
-	base, end := ledger.log.Base().Offset, ledger.commit
+	partitionLog := l.logs[log.KindLedger]
+	base, end := partitionLog.log.Base().Offset, partitionLog.commit
 	response := &FollowResponse{
 		Epoch: l.Record.Epoch, Base: base, CommittedEnd: end, BacklogEnd: end,
 		IsReader: l.isReader(node, bootID), ReaderToken: token,
@@ -98,24 +98,24 @@
 			response.IsReader = true
 		}
 		if stoppedAtKey && len(response.Backlog) == 0 {
-			return nil, ledger.committed, nil
+			return nil, partitionLog.committed, nil
 		}
 	}
-	l.recordFollower(request, known)
+	l.recordFollower(request, current)
 	return response, nil, nil
 }
 
-// follows reports whether a request comes behind what is known of its node, nil for nothing, and
-// changes just that.
-func (r *FollowRequest) follows(known *follower) bool {
-	if known != nil && r.Sequence <= known.sequence {
+// follows reports whether a request is newer than the current follower of its node, nil if there is
+// none, and applies to exactly that state.
+func (r *FollowRequest) follows(current *follower) bool {
+	if current != nil && r.Sequence <= current.sequence {
 		return false
 	}
-	return r.Full || r.Finished || known != nil && known.sequence == r.BaseSequence
+	return r.Full || r.Finished || current != nil && current.sequence == r.BaseSequence
 }
 
-// fillBacklog adds the backlog that a request asks for to its response, and reports whether that
-// stopped before a message with a key, as the node is no reader. The lock is held.
+// fillBacklog adds the requested backlog to a response. It reports whether it stopped before a
+// message with a key because the node is not a reader. l.mu must be held.
 func (l *Leader) fillBacklog(response *FollowResponse, request *FollowRequest, isReader bool) (stoppedAtKey bool) {
 	from := response.CommittedEnd
 	for topic, after := range request.After {
@@ -135,35 +135,35 @@
 	return stoppedAtKey
 }
 
-// recordFollower records what a node follows. The lock is held.
-func (l *Leader) recordFollower(request *FollowRequest, known *follower) {
-	if known == nil {
+// recordFollower records what a node follows. l.mu must be held.
+func (l *Leader) recordFollower(request *FollowRequest, current *follower) {
+	if current == nil {
 		l.followers[request.Node] = &follower{bootID: request.BootID}
-		known = l.renewFollower(request.Node, request.BootID)
+		current = l.renewFollower(request.Node, request.BootID)
 	}
 	if request.Full || request.Finished {
-		known.topics = map[string]int{}
+		current.topics = map[string]int{}
 	}
-	known.sequence, known.isFinished = request.Sequence, request.Finished
+	current.sequence, current.isFinished = request.Sequence, request.Finished
 	for topic, subscribers := range request.Topics {
 		if subscribers > 0 && !request.Finished {
-			known.topics[topic] = subscribers
+			current.topics[topic] = subscribers
 		} else {
-			delete(known.topics, topic)
+			delete(current.topics, topic)
 		}
 	}
 }
 
-// pollCall is a call of Poll in flight: its follower, once that was found, and the offset up to
-// which it looked.
+// pollCall is a call of Poll in flight: its follower, once that is found, and the offset up to
+// which it has read.
 type pollCall struct {
 	request  *PollRequest
 	follower *follower
 	offset   uint64
 }
 
-// Poll returns committed messages of the topics that a node follows, waiting for some up to the
-// request's hold.
+// Poll returns committed messages of the topics that a node follows, waiting up to the request's
+// MaxWait for some.
 func (l *Leader) Poll(ctx context.Context, request *PollRequest) (*PollResponse, error) {
 	call := &pollCall{request: request, offset: request.From}
 	defer func() { l.endPoll(ctx, call.follower) }()
@@ -193,8 +193,8 @@
 	}
 }
 
-// tryPoll returns the response of now, with a channel to wait for if it holds nothing worth
-// answering.
+// tryPoll returns the response as of now, with a channel to wait for if the response has nothing
+// worth sending.
 func (l *Leader) tryPoll(call *pollCall) (*PollResponse, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -203,18 +203,19 @@
 	}
 	request := call.request
 	node, bootID := request.Node, request.BootID
-	l.noteRead(node, bootID, request.From)
+	l.updateReaderProgress(node, bootID, request.From)
 	isReader, givenUp := l.readerStatus(node, bootID)
-	known := l.renewFollower(node, bootID)
-	if known != nil && call.follower == nil {
-		call.follower = known
-		known.activePolls++
+	current := l.renewFollower(node, bootID)
+	if current != nil && call.follower == nil {
+		call.follower = current
+		current.activePolls++
 	}
-	if givenUp || l.wasReplaced(node, bootID) || known == nil || known.isFinished || known.sequence < request.Sequence {
+	if givenUp || l.wasReplaced(node, bootID) ||
+		current == nil || current.isFinished || current.sequence < request.Sequence {
 		return &PollResponse{Epoch: l.Record.Epoch, UnknownFollower: true, MustReset: givenUp}, nil, nil
 	}
-	ledger := l.logs[log.KindLedger]
-	base := ledger.log.Base().Offset
+	partitionLog := l.logs[log.KindLedger]
+	base := partitionLog.log.Base().Offset
 	token, isTokenValid := l.readerTokenOf(node, bootID, request.ReaderToken)
 	if !isTokenValid && l.isOtherReader(node, bootID) {
 		return &PollResponse{Epoch: l.Record.Epoch, Base: base, To: request.From, ReaderToken: token}, nil, nil
@@ -222,7 +223,7 @@
 	l.replaceReader(node, bootID)
 	response := &PollResponse{Epoch: l.Record.Epoch, Base: base, IsReader: l.isReader(node, bootID), ReaderToken: token}
 	filter := entryFilter{
-		isWanted:       func(entry log.Entry) bool { return known.topics[entry.Topic] > 0 },
+		isWanted:       func(entry log.Entry) bool { return current.topics[entry.Topic] > 0 },
 		withKeys:       request.TracksTombstones,
 		allWithdrawals: true,
 		isReader:       isReader,
@@ -235,7 +236,7 @@
 		response.IsReader = true
 	}
 	if request.From < base {
-		for topic := range known.topics {
+		for topic := range current.topics {
 			response.Trimmed = l.addTrimmed(response.Trimmed, topic, request.From)
 		}
 	}
@@ -243,25 +244,25 @@
 		call.offset > request.From+maxPollLag || stoppedAtKey && !isTokenValid {
 		return response, nil, nil
 	}
-	return response, ledger.committed, nil
+	return response, partitionLog.committed, nil
 }
 
-// endPoll ends a poll. One that broke off has its follower expire soon, unless that polls again or
-// does so already.
-func (l *Leader) endPoll(ctx context.Context, known *follower) {
-	if known == nil {
+// endPoll ends a poll. If the poll was canceled, its follower expires soon, unless that node polls
+// again or has another poll in flight.
+func (l *Leader) endPoll(ctx context.Context, current *follower) {
+	if current == nil {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known.activePolls--
-	if ctx.Err() != nil && known.activePolls == 0 {
-		known.expires = l.options.Clock.Now().Add(2 * l.options.Timing.MaxBackoff())
+	current.activePolls--
+	if ctx.Err() != nil && current.activePolls == 0 {
+		current.expires = l.options.Clock.Now().Add(2 * l.options.Timing.MaxBackoff())
 	}
 }
 
-// Subscribers returns how many subscribers a topic has on all nodes; NotReady unless the leader is
-// open or closing.
+// Subscribers returns how many subscribers a topic has on all nodes. It returns NotReady unless the
+// leader is open or closing.
 func (l *Leader) Subscribers(topic string) (int, error) {
 	now := l.options.Clock.Now()
 	l.mu.Lock()
@@ -270,12 +271,12 @@
 		return 0, err
 	}
 	subscribers := 0
-	for node, known := range l.followers {
-		if now.After(known.expires) {
+	for node, current := range l.followers {
+		if now.After(current.expires) {
 			delete(l.followers, node)
 			continue
 		}
-		subscribers += known.topics[topic]
+		subscribers += current.topics[topic]
 	}
 	return subscribers, nil
 }
--- a/internal/partitionlog/leader/followers_test.go
+++ b/internal/partitionlog/leader/followers_test.go
@@ -15,7 +15,7 @@
 	"postjunction/internal/settings"
 )
 
-func withSingleReplica(t *testing.T, script func(t *testing.T, leader *Leader)) {
+func withSingleReplica(t *testing.T, run func(t *testing.T, leader *Leader)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		leader := New(
@@ -25,7 +25,7 @@
 		leader.stage = StageOpen
 		leader.logs[log.KindLedger] = newLogProgress(log.KindLedger, log.New())
 		leader.state = state.New()
-		script(t, leader)
+		run(t, leader)
 	})
 }
 
@@ -39,8 +39,8 @@
 	return result
 }
 
-// A poll may be known to have broken off only when its node polls again already: that node's
-// subscribers go on counting.
+// A node may poll again before the leader notices that its previous poll was canceled. The end of
+// the canceled poll must not expire that node's subscribers.
 func TestPoll_BrokenOffDoesNotEndTheNextOne(t *testing.T) {
 	withSingleReplica(t, func(t *testing.T, leader *Leader) {
 		_, err := leader.Follow(t.Context(), &FollowRequest{
@@ -64,20 +64,22 @@
 		time.Sleep(time.Second)
 		subscribers, err = leader.Subscribers("t")
 		assert.NilError(t, err)
-		assert.Equal(t, subscribers, 0, "those of a node whose only poll broke off count no longer")
+		assert.Equal(t, subscribers, 0, "subscribers of a node whose only poll was canceled")
 	})
 }
 
-// A backlog comes in parts: one message with FirstOnly, as much as a slow link carries otherwise.
+// A backlog is returned in parts: one message with FirstOnly, otherwise as much as a slow link
+// carries.
 func TestFollow_FirstOnlyReturnsOneMessage(t *testing.T) {
 	withSingleReplica(t, func(t *testing.T, leader *Leader) {
-		ledger := leader.logs[log.KindLedger]
+		partitionLog := leader.logs[log.KindLedger]
 		for range 4 {
-			ledger.appendEntry(log.Entry{Type: log.TypeMessage, Topic: "t", Body: make([]byte, 600)}, 1)
-			ledger.appendEntry(log.Entry{Type: log.TypeMessage, Topic: "other"}, 1)
+			partitionLog.appendEntry(log.Entry{Type: log.TypeMessage, Topic: "t", Body: make([]byte, 600)}, 1)
+			partitionLog.appendEntry(log.Entry{Type: log.TypeMessage, Topic: "other"}, 1)
 		}
-		ledger.log.Append(time.Now(), ledger.pending...)
-		ledger.pending, ledger.durable, ledger.commit = nil, ledger.last.Offset, ledger.last.Offset
+		partitionLog.log.Append(time.Now(), partitionLog.pending...)
+		partitionLog.pending, partitionLog.durable, partitionLog.commit = nil,
+			partitionLog.last.Offset, partitionLog.last.Offset
 		response, err := leader.Follow(t.Context(), &FollowRequest{
 			Node: "a1", BootID: "b", Sequence: 1, Full: true, FirstOnly: true, Topics: map[string]int{"t": 1},
 			After: map[string]uint64{"t": 1},
@@ -86,7 +88,7 @@
 		assert.Equal(t, len(response.Backlog), 1)
 		assert.Equal(t, response.Backlog[0].Offset, uint64(3))
 		assert.Assert(
-			t, response.BacklogEnd >= 3 && response.BacklogEnd < 5, "the next one is at 5, told up to %d",
+			t, response.BacklogEnd >= 3 && response.BacklogEnd < 5, "the next one is at 5, the backlog ends at %d",
 			response.BacklogEnd,
 		)
 		response, err = leader.Follow(t.Context(), &FollowRequest{
--- a/internal/partitionlog/leader/leader.go
+++ b/internal/partitionlog/leader/leader.go
@@ -1,23 +1,24 @@
-// Package leader decides for one partition under one epoch: it seals a majority of the replicas,
-// adopts the longest log, orders messages, replicates them and commits what a majority holds.
+// Package leader implements the leader of one partition under one epoch. It seals a majority of the
+// replicas, adopts the longest log, orders messages, replicates them and commits what a majority
+// has.
 //
-// What must stay true:
-//   - An entry counts as committed only once a majority of the record's replicas holds it and it,
-//     or one behind it, was written under the leader's own epoch.
-//   - A final answer (accepted, duplicate, rejected for good) leaves only when all that it rests on
-//     is committed, and a duplicate or rejection only after a majority confirmed the epoch since
-//     the call began.
-//   - A node is given an entry under a key only once it is committed that this node is a reader, so
-//     that no tombstone is dropped before every reader has read behind it.
-//   - The ledger is trimmed only up to what the committed changelog covers.
+// Invariants:
+//   - An entry counts as committed only once a majority of the record's replicas has it and it, or
+//     a later entry, was written under the leader's own epoch.
+//   - A final answer (accepted, duplicate, final rejection) is sent only when everything it depends
+//     on is committed. A duplicate or rejection also needs a majority to have confirmed the epoch
+//     since the call began.
+//   - A node is sent an entry with a key only once it is committed that this node is a reader.
+//     Otherwise a tombstone could be dropped before every reader has read past it.
+//   - The partition log is trimmed only up to what the committed changelog covers.
 //
 // A Leader owns the state of its partition. Run drives it: it recovers, then writes changelog
-// batches until ctx ends or the leadership is lost. Beside it run, for each of the two logs, one
-// goroutine that writes to the own disk and one for each other replica, and on demand one that asks
-// a majority whether the epoch still stands; all of them end with Run's ctx. Leader.mu guards the
-// state and is never held over disk or network. Calls of Submit, Attach, Follow, Poll and Read
-// block until a majority has what they rest on, their hold is over, ctx ends, or the leadership is
-// lost.
+// batches until ctx ends or the leadership is lost. For each of the two logs, one goroutine writes
+// to the local disk and one goroutine replicates to each other replica. On demand, one more
+// goroutine asks a majority to confirm the epoch. All of them end with Run's ctx. Leader.mu guards
+// the state and is never held during disk or network I/O. Calls of Submit, Attach, Follow, Poll and
+// Read block until a majority has what they depend on, their maximum wait is over, ctx ends, or the
+// leadership is lost.
 package leader
 
 import (
@@ -43,24 +44,26 @@
 	LeadershipLost(partition int, epoch uint64, err error)
 	Opened(partition int, epoch uint64, how Recovery)
 	StepFailed(partition int, epoch uint64, step string, err error)
-	ReaderChanged(partition int, epoch uint64, node, boot string, givenUp bool)
-	TombstonesFull(partition int, epoch uint64, marks int)
+	ReaderChanged(partition int, epoch uint64, node, bootID string, givenUp bool)
+	TombstonesFull(partition int, epoch uint64, tombstones int)
 }
 
-// Options are what a leader works with. Idle, MaxTombstones and OnDecision may be nil.
+// Options are the settings and dependencies of a leader. Idle, MaxTombstones and OnDecision may be
+// nil.
 type Options struct {
 	Self              string
 	Net               wire.Network
 	Clock             clock.Clock
 	Timing            settings.Timing
 	ChangelogInterval func() time.Duration
-	// Backlog returns how many uncommitted ledger entries there may be before calls are rejected.
+	// Backlog returns how many entries of the partition log may be uncommitted before calls are
+	// rejected.
 	Backlog func() int
 	Replica *replica.Replica
-	// Idle confirms logs that have no new entries; without it, each is confirmed by an append
+	// Idle confirms logs that have no new entries. Without it, each log is confirmed by an append
 	// without entries.
 	Idle *idle.Confirmer
-	// Addr returns the address of a member, false for a node that is none.
+	// Addr returns the address of a member, false for a node that is not a member.
 	Addr func(node string) (string, bool)
 	// LongestRetention returns the longest retention that a namespace asks for, as far as this node
 	// knows.
@@ -69,17 +72,17 @@
 	CheckLease func() error
 	// MaxTombstones returns how many tombstones a partition may have.
 	MaxTombstones func() int
-	// LeaseExtension is what a node's lease may last longer than its duration.
+	// LeaseExtension is by how much a node's lease may outlast its duration.
 	LeaseExtension time.Duration
-	OnRecovered    func(ctx context.Context, r assignment.Record)
-	OnPromote      func(ctx context.Context, r assignment.Record, l assignment.Replica)
+	OnRecovered    func(ctx context.Context, record assignment.Record)
+	OnPromote      func(ctx context.Context, record assignment.Record, learner assignment.Replica)
 	Observer       Observer
 	OnDecision     DecisionObserver
 }
 
-// DecisionObserver is notified of every decision that a leader answers with: what it was, and when
-// its call came in. Only tests use it.
-type DecisionObserver func(partition int, epoch uint64, what string, begun time.Time)
+// DecisionObserver is notified of every decision that a leader answers with, and of when its call
+// began. Only tests use it.
+type DecisionObserver func(partition int, epoch uint64, decision string, startedAt time.Time)
 
 // Stages of a leader.
 const (
@@ -108,27 +111,27 @@
 	Batches     uint64 `json:"Batches"`
 	Items       uint64 `json:"Items"`
 	Compactions uint64 `json:"Compactions"`
-	// QuorumChecks counts the questions to a majority whether this epoch still stands.
+	// QuorumChecks counts the requests to a majority to confirm this epoch.
 	QuorumChecks uint64 `json:"Rounds"`
-	// Forgotten counts the answers to calls that were dropped once the ledger no longer held their
-	// messages.
+	// AnswersDropped counts the answers to calls that were dropped once the partition log no longer
+	// had their messages.
 	AnswersDropped uint64 `json:"Forgotten"`
-	// Withdrawals counts accepted withdrawals, TombstonesDropped tombstones and ReadersGivenUp
-	// readers that were let go.
+	// Withdrawals counts accepted withdrawals, TombstonesDropped dropped tombstones and
+	// ReadersGivenUp readers that were given up.
 	Withdrawals       uint64 `json:"Withdrawals"`
 	TombstonesDropped uint64 `json:"Unmarked"`
 	ReadersGivenUp    uint64 `json:"GivenUp"`
 }
 
-// Leader decides for one partition until its leadership is lost.
+// Leader serves one partition until its leadership is lost.
 type Leader struct {
 	Record  assignment.Record
 	Urgent  bool
 	options Options
-	// lost is closed once the leadership is lost; lostCause says why.
+	// lost is closed once the leadership is lost. lostCause is the reason.
 	lost          chan struct{}
 	flushRequests chan chan struct{}
-	// trimRequests wakes the writer of a log when trimTo moved.
+	// trimRequests wakes the writer of a log when trimTo has moved.
 	trimRequests map[log.Kind]chan struct{}
 
 	// mu guards all fields below, and all fields of the logs' progress.
@@ -140,15 +143,16 @@
 	recovery  Recovery
 	counters  Counters
 	logs      map[log.Kind]*logProgress
-	// trimTo is where each log is to begin, on the replicas too.
+	// trimTo is the base that each log is to have, on the replicas too.
 	trimTo map[log.Kind]log.Position
 
-	// state is what the committed ledger adds up to. The changelog on a majority covers it up to
-	// savedInput, and calls up to prunedTo are dropped from it.
+	// state is the result of the committed partition log. The changelog on a majority covers it up
+	// to savedInput, and calls up to prunedTo are dropped from it.
 	state      *state.State
 	savedInput uint64
 	prunedTo   uint64
-	// uncommitted (by client and topic) and uncommittedKeys (by topic and key) run ahead of state.
+	// uncommitted (by client and topic) and uncommittedKeys (by topic and key) have the changes
+	// that are not committed yet and so are not in state.
 	uncommitted     map[string]*uncommittedCalls
 	uncommittedKeys map[string]keyOffsets
 
@@ -157,14 +161,14 @@
 	readerProgress     map[string]readerProgress
 	readerTokens       map[string]readerToken
 	lastReaderToken    uint64
-	// readersChanged is closed and replaced when a reader has read further or changed; nil while
-	// nobody waits.
+	// readersChanged is closed and replaced when a reader has read further or changed. It is nil
+	// while no call waits for that.
 	readersChanged chan struct{}
-	// tombstonesFull is set from the first withdrawal rejected for their number until one is
-	// accepted again.
+	// tombstonesFull is set from the first withdrawal that was rejected because of the number of
+	// tombstones until one is accepted again.
 	tombstonesFull bool
 
-	// nextCheck is the leadership check that calls can still join; checking is set while a
+	// nextCheck is the leadership check that calls can still join. checking is set while a
 	// goroutine runs checks.
 	nextCheck *leadershipCheck
 	checking  bool
@@ -173,12 +177,12 @@
 	stopLearner context.CancelFunc
 }
 
-// New makes a leader for a record that names this node.
-func New(d Options, r assignment.Record, urgent bool) *Leader {
+// New returns a leader for a record that names this node.
+func New(options Options, record assignment.Record, urgent bool) *Leader {
 	return &Leader{
-		Record:        r,
+		Record:        record,
 		Urgent:        urgent,
-		options:       d,
+		options:       options,
 		lost:          make(chan struct{}),
 		flushRequests: make(chan chan struct{}),
 		trimRequests: map[log.Kind]chan struct{}{
@@ -209,14 +213,14 @@
 		return
 	}
 	if err := l.recoverPartition(ctx); err != nil {
-		l.lose(err)
+		l.loseLeadership(err)
 		return
 	}
 	l.maintain(ctx)
-	l.lose(apierror.New(apierror.Stopped, "the leader was stopped"))
+	l.loseLeadership(apierror.New(apierror.Stopped, "the leader was stopped"))
 }
 
-// Close rejects new calls; those in flight are finished.
+// Close rejects new calls. Those in flight are finished.
 func (l *Leader) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -225,13 +229,13 @@
 	}
 }
 
-// Resign gives the leadership up; calls that wait are answered at once.
-func (l *Leader) Resign(err error) { l.lose(err) }
+// Resign ends the leadership. Waiting calls are answered at once.
+func (l *Leader) Resign(err error) { l.loseLeadership(err) }
 
 // Done is closed once the leadership is lost.
 func (l *Leader) Done() <-chan struct{} { return l.lost }
 
-func (l *Leader) lose(err error) {
+func (l *Leader) loseLeadership(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.stage == StageLost {
@@ -249,7 +253,7 @@
 func isFenced(err error) bool { return apierror.HasCode(err, apierror.StaleEpoch) }
 
 func (l *Leader) errLost() error {
-	return apierror.New(apierror.NotPartitionLeader, "partition %d was lost", l.Record.Partition)
+	return apierror.New(apierror.NotPartitionLeader, "the leadership of partition %d was lost", l.Record.Partition)
 }
 
 // target addresses a replica of the partition under the leader's epoch.
@@ -258,12 +262,12 @@
 }
 
 // ownTarget addresses the replica on this node.
-func (l *Leader) ownTarget() replica.Target {
-	own, _ := l.Record.Replica(l.options.Self)
-	return l.target(own)
+func (l *Leader) localTarget() replica.Target {
+	local, _ := l.Record.Replica(l.options.Self)
+	return l.target(local)
 }
 
-// address returns the address of a node, or an error if it is no member.
+// address returns the address of a node, or an error if it is not a member.
 func (l *Leader) address(node string) (string, error) {
 	address, ok := l.options.Addr(node)
 	if !ok {
@@ -272,8 +276,8 @@
 	return address, nil
 }
 
-func (l *Leader) observeDecision(what string, begun time.Time) {
+func (l *Leader) observeDecision(decision string, startedAt time.Time) {
 	if l.options.OnDecision != nil {
-		l.options.OnDecision(l.Record.Partition, l.Record.Epoch, what, begun)
+		l.options.OnDecision(l.Record.Partition, l.Record.Epoch, decision, startedAt)
 	}
 }
--- a/internal/partitionlog/leader/leadership.go
+++ b/internal/partitionlog/leader/leadership.go
@@ -10,15 +10,16 @@
 	"postjunction/internal/quorum"
 )
 
-// leadershipCheck is one question to a majority, shared by all calls that came before it began.
+// leadershipCheck is one request to a majority to confirm the epoch, shared by all calls that came
+// before it began.
 type leadershipCheck struct {
 	done chan struct{}
 	err  error
 }
 
-// checkLeadership returns nil once a majority of the replicas, asked after the call began, accepted
-// the leader's epoch: whatever was decided before the call was decided while no other leader could
-// decide. Calls that wait share a check.
+// checkLeadership returns nil once a majority of the replicas, asked after the call began, has
+// accepted the leader's epoch. Whatever was decided before the call was then decided while no other
+// leader could decide. Waiting calls share a check.
 func (l *Leader) checkLeadership(ctx context.Context) error {
 	l.mu.Lock()
 	check := l.nextCheck
@@ -61,8 +62,8 @@
 	}
 }
 
-// confirmEpoch asks the replicas to accept the epoch; one that has seen a higher epoch ends the
-// leadership.
+// confirmEpoch asks the replicas to accept the epoch. A replica that has seen a higher epoch ends
+// the leadership.
 func (l *Leader) confirmEpoch(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, l.options.Timing.CallTimeout())
 	defer cancel()
@@ -72,7 +73,7 @@
 	results := quorum.Gather(ctx, l.Record.Replicas, l.confirmEpochAt, isMajority)
 	for _, result := range results {
 		if isFenced(result.Err) {
-			l.lose(result.Err)
+			l.loseLeadership(result.Err)
 		}
 	}
 	if confirmed := len(quorum.Successes(results)); confirmed < l.Record.Majority() {
@@ -96,16 +97,16 @@
 	return err == nil, err
 }
 
-// confirmCommitted waits until the ledger is committed up to an offset that an answer rests on, and
-// confirms then that no other leader can have decided since.
+// confirmCommitted waits until the partition log is committed up to an offset that an answer
+// depends on. It then confirms that no other leader can have decided since.
 func (l *Leader) confirmCommitted(ctx context.Context, offset uint64) error {
 	if err := l.awaitCommit(ctx, log.KindLedger, offset); err != nil {
-		return l.errBasisUncommitted(offset)
+		return l.errDependencyUncommitted(offset)
 	}
 	return l.checkLeadership(ctx)
 }
 
-func (l *Leader) errBasisUncommitted(offset uint64) error {
+func (l *Leader) errDependencyUncommitted(offset uint64) error {
 	return apierror.New(apierror.NotPartitionLeader,
-		"an answer of partition %d rests on offset %d, which is not on a majority", l.Record.Partition, offset)
+		"an answer of partition %d depends on offset %d, which is not committed", l.Record.Partition, offset)
 }
--- a/internal/partitionlog/leader/learner.go
+++ b/internal/partitionlog/leader/learner.go
@@ -11,16 +11,16 @@
 // promoteChecksPerBackoff is how often within the longest backoff a learner's progress is checked.
 const promoteChecksPerBackoff = 8
 
-// Update takes a newer record of the same epoch, which may name a learner to bring up to date.
-func (l *Leader) Update(ctx context.Context, r assignment.Record) {
+// Update applies a newer record of the same epoch, which may name a learner to bring up to date.
+func (l *Leader) Update(ctx context.Context, record assignment.Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.stage != StageOpen || r.Epoch != l.Record.Epoch {
+	if l.stage != StageOpen || record.Epoch != l.Record.Epoch {
 		return
 	}
 	var learner assignment.Replica
-	if r.Learner != nil {
-		learner = *r.Learner
+	if record.Learner != nil {
+		learner = *record.Learner
 	}
 	if learner == l.learner {
 		return
@@ -42,11 +42,11 @@
 	go l.promoteWhenCaughtUp(learnerCtx, learner)
 }
 
-// isCaughtUp reports whether a learner holds all that is committed, and all that a lost disk of the
-// same machine, whose place it takes, was known to hold.
-func (p *logProgress) isCaughtUp(r assignment.Record, learner assignment.Replica) bool {
+// isCaughtUp reports whether a learner has everything that is committed. If it replaces a lost disk
+// of the same machine, it must also have everything that this disk was known to have.
+func (p *logProgress) isCaughtUp(record assignment.Record, learner assignment.Replica) bool {
 	match := p.match[learner.Incarnation]
-	replaced, _ := r.Replica(learner.Node)
+	replaced, _ := record.Replica(learner.Node)
 	return match > 0 && match >= p.commit && match >= p.match[replaced.Incarnation]
 }
 
--- a/internal/partitionlog/leader/maintain.go
+++ b/internal/partitionlog/leader/maintain.go
@@ -10,15 +10,15 @@
 	"postjunction/internal/samza/state"
 )
 
-// The changelog is compacted once it has more than compactMinEntries, and more than compactFactor
-// times as many as the state has blocks of compactMinEntries keys.
+// The changelog is compacted once it has more than compactMinEntries entries, and more than
+// compactFactor times as many as the state has blocks of compactMinEntries keys.
 const (
 	compactMinEntries = 64
 	compactFactor     = 4
 )
 
-// maintain writes a changelog batch every interval, or when Flush asks for one, and trims the
-// ledger behind it.
+// maintain writes a changelog batch every interval, or when Flush asks for one, and then trims the
+// partition log.
 func (l *Leader) maintain(ctx context.Context) {
 	for {
 		flushed, ok := l.awaitMaintenance(ctx)
@@ -39,8 +39,8 @@
 	}
 }
 
-// awaitMaintenance waits until a batch is due, or asked for: then it returns the channel to close
-// when it is written. It returns false once ctx ended.
+// awaitMaintenance waits until a batch is due or requested. For a request, it returns the channel
+// to close once the batch is written. It returns false once ctx has ended.
 func (l *Leader) awaitMaintenance(ctx context.Context) (flushed chan struct{}, ok bool) {
 	timerCtx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -52,27 +52,27 @@
 	return flushed, ctx.Err() == nil
 }
 
-// after returns a channel that is closed after a time, or once ctx ends.
-func (l *Leader) after(ctx context.Context, d time.Duration) <-chan struct{} {
+// after returns a channel that is closed after a duration, or once ctx ends.
+func (l *Leader) after(ctx context.Context, duration time.Duration) <-chan struct{} {
 	elapsed := make(chan struct{})
 	go func() {
-		_ = l.options.Clock.Sleep(ctx, d)
+		_ = l.options.Clock.Sleep(ctx, duration)
 		close(elapsed)
 	}()
 	return elapsed
 }
 
-// prune drops from the state what has outlived its retention, up to the offset that it returns: the
-// ledger is trimmed up to there once the changelog says so.
+// prune drops from the state what has outlived its retention, up to the offset that it returns. The
+// partition log is trimmed up to that offset once the changelog covers it.
 func (l *Leader) prune() uint64 {
 	now := l.options.Clock.Now()
-	ledger := l.logs[log.KindLedger].log
-	ledger.DropLiveBodies(now.Add(-l.options.Timing.Spread))
-	expired := ledger.LastBefore(now.Add(-l.options.Timing.RetentionFor(l.options.LongestRetention())))
+	partitionLog := l.logs[log.KindLedger].log
+	partitionLog.DropLiveBodies(now.Add(-l.options.Timing.Spread))
+	expired := partitionLog.LastBefore(now.Add(-l.options.Timing.RetentionFor(l.options.LongestRetention())))
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for to := min(expired, l.savedInput); l.prunedTo < to; {
-		entries := ledger.Slice(l.prunedTo+1, to, maxBatchEntries, maxBatchBytes)
+		entries := partitionLog.Slice(l.prunedTo+1, to, maxBatchEntries, maxBatchBytes)
 		if len(entries) == 0 {
 			break
 		}
@@ -84,19 +84,19 @@
 	return l.prunedTo
 }
 
-// changelogBatch is what changed in the state since the batch before.
+// changelogBatch is what has changed in the state since the previous batch.
 type changelogBatch struct {
 	input uint64
 	items []state.Item
-	// isCompaction tells that items are the whole state; before is the last changelog offset that
-	// it replaces.
+	// isCompaction is set if items are the whole state. lastReplaced is the last changelog offset
+	// that the batch replaces.
 	isCompaction bool
-	before       uint64
-	// snapshot is the whole state, nil where none is to be saved.
+	lastReplaced uint64
+	// snapshot is the whole state, nil if no snapshot is to be saved.
 	snapshot []byte
 }
 
-// writeChangelogBatch writes what changed in the state, if anything did, to the changelog; with
+// writeChangelogBatch writes what has changed in the state, if anything has, to the changelog. With
 // flush, or when the changelog is due for compaction, it saves a snapshot too.
 func (l *Leader) writeChangelogBatch(ctx context.Context, flush bool) error {
 	batch, ok := l.takeChanges(flush)
@@ -115,23 +115,24 @@
 	position, _ := l.logs[log.KindChangelog].position(committed)
 	l.mu.Unlock()
 	if batch.snapshot != nil {
-		// The changelog has it all: without the snapshot the next recovery only takes longer.
+		// The changelog has everything. Without the snapshot the next recovery is only slower.
 		_ = l.options.Replica.SaveSnapshot(ctx, replica.Snapshot{
 			Partition: l.Record.Partition, At: position, Input: batch.input, State: batch.snapshot,
 		})
 	}
 	if batch.isCompaction {
-		l.requestTrim(log.KindChangelog, batch.before)
+		l.requestTrim(log.KindChangelog, batch.lastReplaced)
 	}
 	return nil
 }
 
-// takeChanges takes the changes out of the state, false if there is nothing to write.
+// takeChanges removes the pending changes from the state and returns them as a batch. It returns
+// false if there is nothing to write.
 func (l *Leader) takeChanges(flush bool) (changelogBatch, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	changes := l.logs[log.KindChangelog]
-	batch := changelogBatch{input: l.state.Input, before: changes.last.Offset}
+	batch := changelogBatch{input: l.state.Input, lastReplaced: changes.last.Offset}
 	length := changes.log.Len()
 	batch.isCompaction = length > compactMinEntries && length > compactFactor*(1+l.state.Size()/compactMinEntries)
 	if batch.isCompaction {
@@ -162,7 +163,7 @@
 	}
 	commit := changelog.Commit{Input: batch.input}
 	if batch.isCompaction {
-		commit.Base = batch.before
+		commit.Base = batch.lastReplaced
 	}
 	if offset, err = l.appendEntries(log.KindChangelog, changelog.EncodeCommit(commit)); err != nil {
 		return 0, err
@@ -170,8 +171,8 @@
 	return offset, l.awaitCommit(ctx, log.KindChangelog, offset)
 }
 
-// Flush writes a changelog batch and a snapshot now, and waits for that until limit is over: before
-// the partition moves to another leader, which then recovers faster.
+// Flush writes a changelog batch and a snapshot now, and waits up to limit for that. It is called
+// before the partition moves to another leader, which then recovers faster.
 func (l *Leader) Flush(ctx context.Context, limit time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
--- a/internal/partitionlog/leader/progress.go
+++ b/internal/partitionlog/leader/progress.go
@@ -16,30 +16,31 @@
 	maxBatchBytes   = 512 << 10
 )
 
-// logProgress is how far one log of the partition is written, replicated and committed. The
-// leader's lock guards it; the log itself has a lock of its own.
+// logProgress is how far one log of the partition is written, replicated and committed. Leader.mu
+// guards its fields; the log itself has its own lock.
 type logProgress struct {
 	kind log.Kind
 	log  *log.Log
-	// pending are the entries behind durable, the last offset on the own disk; last is the position
-	// of the last one.
+	// pending are the entries after durable, the last offset on the local disk. last is the
+	// position of the last entry.
 	pending []log.Entry
 	last    log.Position
 	durable uint64
-	// match is how far each other disk is known to hold the log, by its incarnation: a machine's
-	// new disk counts for nothing where the record names its lost one.
+	// match is the last offset that each other disk is known to have, by its incarnation. A
+	// machine's new disk doesn't count while the record names its lost one.
 	match  map[string]uint64
 	commit uint64
-	// committed and appended are closed and replaced when commit moved, or entries were appended.
+	// committed and appended are closed and replaced when commit has moved, or entries were
+	// appended.
 	committed chan struct{}
 	appended  chan struct{}
 }
 
-func newLogProgress(kind log.Kind, own *log.Log) *logProgress {
-	last := own.Last()
+func newLogProgress(kind log.Kind, local *log.Log) *logProgress {
+	last := local.Last()
 	return &logProgress{
 		kind:      kind,
-		log:       own,
+		log:       local,
 		last:      last,
 		durable:   last.Offset,
 		match:     map[string]uint64{},
@@ -48,7 +49,7 @@
 	}
 }
 
-// appendEntry appends an entry under the next offset and returns it as it will be written.
+// appendEntry appends an entry at the next offset and returns it as it will be written.
 func (p *logProgress) appendEntry(entry log.Entry, epoch uint64) log.Entry {
 	entry.Offset, entry.Epoch = p.last.Offset+1, epoch
 	if entry.Digest == "" {
@@ -62,7 +63,7 @@
 	return entry
 }
 
-// position returns the position of an entry, pending or on the own disk.
+// position returns the position of an entry that is pending or on the local disk.
 func (p *logProgress) position(offset uint64) (log.Position, bool) {
 	if i := int(offset) - int(p.durable) - 1; i >= 0 && i < len(p.pending) {
 		return p.pending[i].Position(), true
@@ -70,8 +71,8 @@
 	return p.log.Position(offset)
 }
 
-// entriesAfter returns entries after an offset, first those on the own disk, as many as one append
-// request may hold.
+// entriesAfter returns entries after an offset, those on the local disk first, up to the limits of
+// one append request.
 func (p *logProgress) entriesAfter(offset uint64) []log.Entry {
 	entries := p.log.Slice(offset+1, p.durable, maxBatchEntries, maxBatchBytes)
 	if offset+uint64(len(entries)) < p.durable || len(entries) == maxBatchEntries {
@@ -88,11 +89,11 @@
 	return entries
 }
 
-// advanceCommit commits what a majority of the record's replicas holds, if its last entry is of the
-// record's epoch, and reports whether that moved the commit.
-func (p *logProgress) advanceCommit(r assignment.Record, self string) bool {
+// advanceCommit commits what a majority of the record's replicas has, if the last of these entries
+// is of the record's epoch. It reports whether the commit moved.
+func (p *logProgress) advanceCommit(record assignment.Record, self string) bool {
 	var offsets []uint64
-	for _, to := range r.Replicas {
+	for _, to := range record.Replicas {
 		if to.Node == self {
 			offsets = append(offsets, p.durable)
 		} else {
@@ -101,8 +102,8 @@
 	}
 	slices.Sort(offsets)
 	slices.Reverse(offsets)
-	offset := offsets[r.Majority()-1]
-	if position, ok := p.position(offset); offset <= p.commit || !ok || position.Epoch != r.Epoch {
+	offset := offsets[record.Majority()-1]
+	if position, ok := p.position(offset); offset <= p.commit || !ok || position.Epoch != record.Epoch {
 		return false
 	}
 	p.commit = offset
@@ -112,8 +113,9 @@
 	return true
 }
 
-// writeLocally writes a log's pending entries to the own disk and trims it there, until ctx ends or
-// the own replica rejects that, which ends the leadership. While the disk is full it only trims.
+// writeLocally writes a log's pending entries to the local disk and trims the log there. It runs
+// until ctx ends or the local replica rejects a request, which ends the leadership. While the disk
+// is full it only trims.
 func (l *Leader) writeLocally(ctx context.Context, progress *logProgress) {
 	diskFull := false
 	for ctx.Err() == nil {
@@ -136,10 +138,10 @@
 			continue
 		}
 		err := l.appendLocally(ctx, &replica.AppendRequest{
-			Target: l.ownTarget(), Kind: progress.kind, After: after, Entries: entries, Base: base, Urgent: l.Urgent,
+			Target: l.localTarget(), Kind: progress.kind, After: after, Entries: entries, Base: base, Urgent: l.Urgent,
 		})
 		if isFenced(err) || apierror.HasCode(err, apierror.LogMismatch) {
-			l.lose(err)
+			l.loseLeadership(err)
 			return
 		}
 		if err != nil {
@@ -157,14 +159,15 @@
 	}
 }
 
-// appendLocally appends to the own replica; LogMismatch if the own log doesn't end where it should.
+// appendLocally appends to the local replica. It returns LogMismatch if the local log doesn't end
+// at the expected position.
 func (l *Leader) appendLocally(ctx context.Context, request *replica.AppendRequest) error {
 	response, err := l.options.Replica.Append(ctx, request)
 	if err != nil {
 		return err
 	}
 	if !response.Matched {
-		return apierror.New(apierror.LogMismatch, "the own line ends at %d", response.Tail.Last.Offset)
+		return apierror.New(apierror.LogMismatch, "the local log ends at %d", response.Tail.Last.Offset)
 	}
 	return nil
 }
--- a/internal/partitionlog/leader/progress_test.go
+++ b/internal/partitionlog/leader/progress_test.go
@@ -10,12 +10,12 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-// Entries of an earlier epoch that a majority holds are committed only with the start of this one.
+// Entries of an earlier epoch that a majority has are committed only with the start of this epoch.
 func TestCommit_EarlierEntriesWaitForTheEpochStart(t *testing.T) {
-	ledger := log.New()
-	progress := newLogProgress(log.KindLedger, ledger)
+	partitionLog := log.New()
+	progress := newLogProgress(log.KindLedger, partitionLog)
 	progress.appendEntry(log.Entry{Type: log.TypeMessage, Body: []byte("old")}, 1)
-	ledger.Append(time.Now(), progress.pending...)
+	partitionLog.Append(time.Now(), progress.pending...)
 	progress.pending, progress.durable = nil, 1
 	record := assignment.Record{
 		Epoch: 2,
@@ -28,19 +28,19 @@
 	assert.Equal(t, progress.commit, uint64(0))
 	progress.appendEntry(log.Entry{Type: log.TypeEpochStart}, 2)
 	progress.match["i2"] = 2
-	assert.Assert(t, !progress.advanceCommit(record, "s1"), "one copy of the start is not a majority")
+	assert.Assert(t, !progress.advanceCommit(record, "s1"), "one replica with the start is not a majority")
 	progress.match["i3"] = 2
-	assert.Assert(t, progress.advanceCommit(record, "s1"), "a majority without the own disk")
+	assert.Assert(t, progress.advanceCommit(record, "s1"), "a majority without the local disk")
 	assert.Equal(t, progress.commit, uint64(2))
 }
 
-// The new disk of a machine whose lost one the record still names is brought up as a learner; it
-// counts for no majority yet.
+// The new disk of a machine whose lost disk the record still names is brought up to date as a
+// learner. It doesn't count for a majority yet.
 func TestCommit_NewDiskDoesNotCountForTheLostOne(t *testing.T) {
-	ledger := log.New()
-	progress := newLogProgress(log.KindLedger, ledger)
+	partitionLog := log.New()
+	progress := newLogProgress(log.KindLedger, partitionLog)
 	progress.appendEntry(log.Entry{Type: log.TypeEpochStart}, 2)
-	ledger.Append(time.Now(), progress.pending...)
+	partitionLog.Append(time.Now(), progress.pending...)
 	progress.pending, progress.durable = nil, 1
 	record := assignment.Record{
 		Epoch: 2,
@@ -56,7 +56,7 @@
 	progress.match["i3"], progress.match["new"] = 9, 8
 	assert.Assert(
 		t, !progress.isCaughtUp(record, assignment.Replica{Node: "s3", Incarnation: "new"}),
-		"the lost disk held more, on which a commit may still rest",
+		"the lost disk had more, and a commit may still depend on it",
 	)
 	progress.match["new"] = 9
 	assert.Assert(t, progress.isCaughtUp(record, assignment.Replica{Node: "s3", Incarnation: "new"}))
--- a/internal/partitionlog/leader/read.go
+++ b/internal/partitionlog/leader/read.go
@@ -13,13 +13,13 @@
 	maxReadBytes   = 1 << 20
 )
 
-// Read returns committed entries as the request asks. It returns NotReady unless the leader is open
-// or closing, Unreachable when ctx ends, and NotPartitionLeader when the leadership is lost.
+// Read returns committed entries as requested. It returns NotReady unless the leader is open or
+// closing, Unreachable if ctx ends, and NotPartitionLeader if the leadership is lost.
 func (l *Leader) Read(ctx context.Context, request *ReadRequest) (*ReadResponse, error) {
 	if request.Finished {
 		return l.finishReader(ctx, request)
 	}
-	holdCtx, stop := context.WithTimeout(ctx, request.MaxWait)
+	waitCtx, stop := context.WithTimeout(ctx, request.MaxWait)
 	defer stop()
 	for {
 		l.mu.Lock()
@@ -30,7 +30,7 @@
 		committed := l.logs[log.KindLedger].committed
 		response, isEmpty := l.tryRead(request)
 		l.mu.Unlock()
-		if request.From == endOfLedger {
+		if request.From == endOfLog {
 			return response, l.checkLeadership(ctx)
 		}
 		if !isEmpty {
@@ -40,7 +40,7 @@
 		case <-committed:
 		case <-l.lost:
 			return nil, l.errLost()
-		case <-holdCtx.Done():
+		case <-waitCtx.Done():
 			if ctx.Err() != nil {
 				return nil, apierror.WithCause(
 					apierror.Unreachable, ctx.Err(), "reading partition %d", l.Record.Partition,
@@ -51,17 +51,17 @@
 	}
 }
 
-// tryRead returns the response of now, and whether it is worth waiting for entries. The lock is
-// held.
+// tryRead returns the response as of now, and whether it is empty, so that the call should wait for
+// entries. l.mu must be held.
 func (l *Leader) tryRead(request *ReadRequest) (response *ReadResponse, isEmpty bool) {
-	ledger := l.logs[log.KindLedger]
-	response = &ReadResponse{Base: ledger.log.Base().Offset, To: ledger.commit, Epoch: l.Record.Epoch}
+	partitionLog := l.logs[log.KindLedger]
+	response = &ReadResponse{Base: partitionLog.log.Base().Offset, To: partitionLog.commit, Epoch: l.Record.Epoch}
 	isReader, isTokenValid := false, true
 	if request.TracksTombstones {
 		isReader, response.MustReset = l.readerStatus(request.Node, request.BootID)
 		response.ReaderToken, isTokenValid = l.readerTokenOf(request.Node, request.BootID, request.ReaderToken)
 	}
-	if request.From == endOfLedger || response.MustReset {
+	if request.From == endOfLog || response.MustReset {
 		return response, false
 	}
 	response.To = max(request.From, response.Base)
@@ -70,7 +70,7 @@
 	}
 	if request.TracksTombstones {
 		if !request.IgnoreProgress {
-			l.noteRead(request.Node, request.BootID, request.From)
+			l.updateReaderProgress(request.Node, request.BootID, request.From)
 		}
 		l.replaceReader(request.Node, request.BootID)
 	}
@@ -78,16 +78,16 @@
 	return response, len(response.Entries) == 0
 }
 
-// readEntries adds entries to a response. It stops before a message with a key if the node is no
-// reader yet, and makes it one. The lock is held.
+// readEntries adds entries to a response. If the node is not a reader yet, it stops before a
+// message with a key and makes the node a reader. l.mu must be held.
 func (l *Leader) readEntries(response *ReadResponse, request *ReadRequest, isReader bool) {
-	ledger := l.logs[log.KindLedger]
-	entries := ledger.log.Slice(request.From+1, ledger.commit, maxReadEntries, maxReadBytes)
+	partitionLog := l.logs[log.KindLedger]
+	entries := partitionLog.log.Slice(request.From+1, partitionLog.commit, maxReadEntries, maxReadBytes)
 	if len(entries) == 0 {
-		entries = ledger.entriesAfter(request.From)
+		entries = partitionLog.entriesAfter(request.From)
 	}
 	for _, entry := range entries {
-		if entry.Offset > ledger.commit {
+		if entry.Offset > partitionLog.commit {
 			return
 		}
 		if entry.Key != "" && entry.Type == log.TypeMessage && !entry.BodyDropped {
@@ -102,7 +102,7 @@
 	}
 }
 
-// finishReader removes a reader that has forgotten all, and answers once that is committed.
+// finishReader removes a reader that has dropped everything, and answers once that is committed.
 func (l *Leader) finishReader(ctx context.Context, request *ReadRequest) (*ReadResponse, error) {
 	l.mu.Lock()
 	if err := l.checkReadable(); err != nil {
@@ -116,8 +116,8 @@
 		l.writeReader(node, state.ReaderEntry{BootID: bootID, Gone: true})
 	}
 	offset := l.uncommittedReaders[node].offset
-	ledger := l.logs[log.KindLedger]
-	response := &ReadResponse{Base: ledger.log.Base().Offset, To: ledger.commit, Epoch: l.Record.Epoch}
+	partitionLog := l.logs[log.KindLedger]
+	response := &ReadResponse{Base: partitionLog.log.Base().Offset, To: partitionLog.commit, Epoch: l.Record.Epoch}
 	l.mu.Unlock()
 	if err := l.awaitCommit(ctx, log.KindLedger, offset); err != nil {
 		return nil, err
--- a/internal/partitionlog/leader/read_test.go
+++ b/internal/partitionlog/leader/read_test.go
@@ -14,7 +14,7 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-// partitionReader is a reader of the whole partition.
+// partitionReader is a reader of the whole partition. mu guards token.
 type partitionReader struct {
 	*rig
 	bootID string
@@ -56,7 +56,7 @@
 	return strings.Join(described, " ")
 }
 
-// obtainToken has the reader get its token.
+// obtainToken makes the reader request its token.
 func (f *partitionReader) obtainToken() *partitionReader {
 	f.t.Helper()
 	response := <-f.ask(ReadRequest{From: ^uint64(0)})
@@ -65,7 +65,7 @@
 	return f
 }
 
-// start makes the reader one that was given messages with keys.
+// start makes the node a reader that was sent messages with keys.
 func (f *partitionReader) start(from uint64) *partitionReader {
 	f.t.Helper()
 	f.obtainToken()
@@ -84,21 +84,21 @@
 }
 
 var readTests = map[string]func(t *testing.T, r *rig){
-	"withdrawn bodies are left out, and offsets have no gap": func(t *testing.T, r *rig) {
+	"withdrawn bodies are dropped, and offsets have no gap": func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", "k"), message("v", 2, "t", "l"), message("v", 3, "t", ""))
 		reader := (&partitionReader{rig: r, bootID: "b.1"}).start(0)
 		r.submitAccepted(withdrawal("v", 4, "t", "k"))
 		r.submitAccepted(message("v", 5, "t", "k"))
 		assert.Equal(t, describe((<-reader.ask(ReadRequest{From: 0})).Entries), "1- 2b 3b 4reader 5withdraw 6b")
 	},
-	"a node that tracks no tombstones is given nothing with a key": func(t *testing.T, r *rig) {
+	"a node that tracks no tombstones is sent nothing with a key": func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", "k"), message("v", 2, "t", ""))
 		response, err := r.Leader.Read(t.Context(), &ReadRequest{})
 		assert.NilError(t, err)
 		assert.Equal(t, describe(response.Entries), "1- 2b")
 		assert.Equal(t, len(r.state.Readers), 0)
 	},
-	"it is committed that a node is a reader before it is given a key": func(t *testing.T, r *rig) {
+	"it is committed that a node is a reader before it is sent a message with a key": func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", ""), message("v", 2, "t", "k"))
 		reader := (&partitionReader{rig: r, bootID: "b.1"}).obtainToken()
 		response := <-reader.ask(ReadRequest{From: 0})
@@ -110,7 +110,7 @@
 		assert.Equal(t, describe((<-responses).Entries), "2b 3reader")
 		assert.Equal(t, r.logs[log.KindLedger].last.Offset, uint64(3))
 	},
-	"a reader says by its offset what it forgot, what it reads beside does not": func(t *testing.T, r *rig) {
+	"only a request without IgnoreProgress reports what a reader has dropped": func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", "k"))
 		reader := (&partitionReader{rig: r, bootID: "b.1"}).start(0)
 		offset := r.submitAccepted(withdrawal("v", 2, "t", "k"))
@@ -122,29 +122,29 @@
 		reader.ask(ReadRequest{From: offset})
 		assert.Equal(t, len(reader.pendingAt(offset)), 0)
 	},
-	"a withdrawal comes at once": func(t *testing.T, r *rig) {
+	"a withdrawal is returned at once": func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", "k"))
 		reader := (&partitionReader{rig: r, bootID: "b.1"}).start(0)
-		responses, begun := reader.ask(ReadRequest{From: 2}), time.Now()
+		responses, startedAt := reader.ask(ReadRequest{From: 2}), time.Now()
 		r.submitAccepted(withdrawal("v", 2, "t", "k"))
 		assert.Equal(t, describe((<-responses).Entries), "3withdraw")
-		assert.Equal(t, time.Since(begun), time.Duration(0))
+		assert.Equal(t, time.Since(startedAt), time.Duration(0))
 	},
-	"a late request of an earlier run makes no reader": func(t *testing.T, r *rig) {
+	"a late request of an earlier run adds no reader": func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", "k"))
 		old := (&partitionReader{rig: r, bootID: "b.1"}).start(0)
 		current := (&partitionReader{rig: r, bootID: "b.2"}).start(0)
-		stranger := &partitionReader{rig: r, bootID: "gone.1"}
-		for _, reader := range []*partitionReader{old, stranger} {
+		unknownRun := &partitionReader{rig: r, bootID: "unknown.1"}
+		for _, reader := range []*partitionReader{old, unknownRun} {
 			response := <-reader.ask(ReadRequest{From: 0})
 			assert.Equal(t, len(response.Entries), 0)
 			r.commitAll()
 			assert.Equal(t, r.state.Readers["a1/streams"].BootID, "b.2")
 		}
-		assert.Equal(t, len((<-current.ask(ReadRequest{From: 0})).Entries), 0, "another run has the token meanwhile")
+		assert.Equal(t, len((<-current.ask(ReadRequest{From: 0})).Entries), 0, "another run has obtained the token")
 		assert.Equal(t, describe((<-current.ask(ReadRequest{From: 0})).Entries), "1b 2reader 3reader")
 	},
-	"a reader that finished is removed once that is committed, and its late requests do not bring it back": func(
+	"a reader that finished is removed once that is committed, and late requests do not add it again": func(
 		t *testing.T, r *rig,
 	) {
 		r.submitAccepted(message("v", 1, "t", "k"))
@@ -162,12 +162,12 @@
 		}
 		assert.Equal(t, len(reader.pendingAt(r.submitAccepted(withdrawal("v", 2, "t", "k")))), 0)
 	},
-	"a node that is no reader can finish too": func(t *testing.T, r *rig) {
+	"a node that is not a reader can finish too": func(t *testing.T, r *rig) {
 		reader := &partitionReader{rig: r, bootID: "b.1"}
 		<-reader.ask(ReadRequest{From: ^uint64(0), Finished: true})
 		assert.Equal(t, r.logs[log.KindLedger].last.Offset, uint64(0))
 	},
-	"a run that finished does not end the one after it": func(t *testing.T, r *rig) {
+	"a run that finishes does not remove the run after it": func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", "k"))
 		old := (&partitionReader{rig: r, bootID: "b.1"}).start(0)
 		current := (&partitionReader{rig: r, bootID: "b.2"}).start(0)
@@ -176,7 +176,7 @@
 		assert.Equal(t, r.state.Readers["a1/streams"].BootID, "b.2")
 		assert.Assert(t, len((<-current.ask(ReadRequest{From: 0})).Entries) > 0)
 	},
-	"a reader that was given up learns it, and is one again under another boot ID or removed for good": func(
+	"a reader that was given up must reset, and is added under another boot ID or removed for good": func(
 		t *testing.T, r *rig,
 	) {
 		r.submitAccepted(message("v", 1, "t", "k"))
@@ -205,7 +205,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, len(pending.GivenUp), 0)
 	},
-	"a member is waited for, however long it is silent, until it is in another run": func(t *testing.T, r *rig) {
+	"a silent member stays a reader until its node runs under another boot ID": func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", "k"))
 		reader := (&partitionReader{rig: r, bootID: "b.1"}).start(0)
 		offset := r.submitAccepted(withdrawal("v", 2, "t", "k"))
@@ -231,7 +231,7 @@
 	}
 }
 
-// A leader that can't commit gives no message with a key to a node that is no reader.
+// A leader that can't commit sends no message with a key to a node that is not a reader.
 func TestRead_SupersededLeaderGivesNoKeys(t *testing.T) {
 	withLeader(t, 3, func(t *testing.T, r *rig) {
 		r.submitOnce(message("v", 1, "t", "k"))
--- a/internal/partitionlog/leader/readers.go
+++ b/internal/partitionlog/leader/readers.go
@@ -13,27 +13,27 @@
 	"postjunction/internal/samza/state"
 )
 
-// A reader is a node, or a part of one, that was given entries under keys and must forget them when
-// they are withdrawn. The ledger says who is one, under which boot ID, so that every leader knows;
-// tombstones wait until all of them have read them.
+// A reader is a node, or a part of one, that was sent entries with keys and must drop them when
+// they are withdrawn. The partition log records the readers and their boot IDs, so that every
+// leader knows them. A tombstone is retained until all readers have read it.
 
-// PendingReaders names the readers that have not read behind a tombstone yet, and those given up,
-// as they were not heard of for long.
+// PendingReaders names the readers that have not read past a tombstone yet, and those that were
+// given up because they were silent for too long.
 type PendingReaders struct {
 	Nodes   []string `json:"n,omitempty"`
 	GivenUp []string `json:"g,omitempty"`
 }
 
-// ReaderView is a reader's status: up to which offset it has read, as far as this leader knows, and
-// whether it was given up.
+// ReaderView is a reader's status: the offset up to which it has read, as far as this leader knows,
+// and whether it was given up.
 type ReaderView struct {
 	Node    string `json:"node"`
 	Read    uint64 `json:"read"`
 	GivenUp bool   `json:"given_up,omitempty"`
 }
 
-// TombstoneView is how many tombstones there are, how many offsets behind the commit the oldest is,
-// and who the readers are.
+// TombstoneView is the number of tombstones, the number of offsets from the oldest to the commit,
+// and the status of the readers.
 type TombstoneView struct {
 	Tombstones int          `json:"marks"`
 	OldestLag  uint64       `json:"oldest_mark_age"`
@@ -46,7 +46,7 @@
 	offset uint64
 }
 
-// readerProgress is how far a reader is known to have read, when it was last heard, and when it was
+// readerProgress is how far a reader is known to have read, when it last called, and when it was
 // last seen as a member.
 type readerProgress struct {
 	bootID                string
@@ -54,7 +54,7 @@
 	lastHeard, lastMember time.Time
 }
 
-// applyReader takes a committed entry about a reader in. The lock is held.
+// applyReader applies a committed entry about a reader. l.mu must be held.
 func (l *Leader) applyReader(entry log.Entry) {
 	node := entry.Client
 	if l.uncommittedReaders[node].offset <= entry.Offset {
@@ -76,7 +76,7 @@
 	l.wakeReaderWaiters()
 }
 
-// wakeReaderWaiters has calls that wait for readers look again. The lock is held.
+// wakeReaderWaiters wakes the calls that wait for readers. l.mu must be held.
 func (l *Leader) wakeReaderWaiters() {
 	if l.readersChanged != nil {
 		close(l.readersChanged)
@@ -84,22 +84,22 @@
 	}
 }
 
-// writeReader appends an entry about a reader. The lock is held.
+// writeReader appends an entry about a reader. l.mu must be held.
 func (l *Leader) writeReader(node string, reader state.ReaderEntry) {
-	entry := l.appendToLedger(log.Entry{Type: log.TypeReader, Client: node, Body: state.EncodePart(reader)})
+	entry := l.appendToPartitionLog(log.Entry{Type: log.TypeReader, Client: node, Body: state.EncodePart(reader)})
 	l.uncommittedReaders[node] = uncommittedReader{reader.BootID, entry.Offset}
 }
 
-// addReader makes a node a reader under a boot ID, unless an entry about it is uncommitted. The
-// lock is held.
+// addReader makes a node a reader under a boot ID, unless an entry about that node is uncommitted.
+// l.mu must be held.
 func (l *Leader) addReader(node, bootID string) {
 	if _, ok := l.uncommittedReaders[node]; !ok && l.stage == StageOpen {
 		l.writeReader(node, state.ReaderEntry{BootID: bootID})
 	}
 }
 
-// replaceReader makes a node that is a reader under another boot ID one under this boot ID: nothing
-// is left of the earlier run. The lock is held.
+// replaceReader replaces a node's reader under another boot ID by one under this boot ID. Nothing
+// that the earlier run was sent is left in the node. l.mu must be held.
 func (l *Leader) replaceReader(node, bootID string) {
 	if l.isOtherReader(node, bootID) {
 		l.addReader(node, bootID)
@@ -112,15 +112,15 @@
 	return ok && reader.BootID != bootID
 }
 
-// wasReplaced reports whether a boot ID is the one that a reader had before its present one: a call
-// from it comes late.
+// wasReplaced reports whether a boot ID is the one that a reader had before its present one. A call
+// from such a run is late.
 func (l *Leader) wasReplaced(node, bootID string) bool {
 	reader, ok := l.state.Readers[node]
 	return ok && reader.ReplacedBootID == bootID && bootID != ""
 }
 
-// removeReader writes that a node is no reader any more, if it is one under this boot ID; it
-// doesn't become one again under it. The lock is held.
+// removeReader writes that a node is no longer a reader, if it is one under this boot ID. The node
+// can't become a reader again under this boot ID. l.mu must be held.
 func (l *Leader) removeReader(node, bootID string) {
 	if token := l.readerTokens[node]; token.bootID == bootID || token.bootID == "" {
 		l.readerTokens[node] = readerToken{bootID: bootID, finished: true}
@@ -133,7 +133,7 @@
 }
 
 // readerStatus reports whether it is committed that a node is a reader under a boot ID, and whether
-// that reader was given up. The lock is held.
+// that reader was given up. l.mu must be held.
 func (l *Leader) readerStatus(node, bootID string) (isReader, givenUp bool) {
 	reader, ok := l.state.Readers[node]
 	if !ok || reader.BootID != bootID {
@@ -143,15 +143,15 @@
 	return !isChanging && !reader.GivenUp, reader.GivenUp
 }
 
-// isReader reports whether a node is a reader under a boot ID, committed or not. The lock is held.
+// isReader reports whether a node is a reader under a boot ID, committed or not. l.mu must be held.
 func (l *Leader) isReader(node, bootID string) bool {
 	reader, ok := l.state.Readers[node]
 	uncommitted, isUncommitted := l.uncommittedReaders[node]
 	return ok && reader.BootID == bootID || isUncommitted && uncommitted.bootID == bootID
 }
 
-// noteRead notes that a node called, having read up to an offset. The lock is held.
-func (l *Leader) noteRead(node, bootID string, offset uint64) {
+// updateReaderProgress records that a node called and has read up to an offset. l.mu must be held.
+func (l *Leader) updateReaderProgress(node, bootID string, offset uint64) {
 	reader, ok := l.state.Readers[node]
 	if !ok || reader.BootID != bootID || reader.GivenUp {
 		return
@@ -165,7 +165,7 @@
 	l.readerProgress[node] = progress
 }
 
-// readOffset returns up to which offset a reader is known to have read. The lock is held.
+// readOffset returns the offset up to which a reader is known to have read. l.mu must be held.
 func (l *Leader) readOffset(node string, reader state.Reader) uint64 {
 	if progress := l.readerProgress[node]; progress.bootID == reader.BootID {
 		return progress.offset
@@ -173,7 +173,7 @@
 	return 0
 }
 
-// pendingReaders returns the readers that have not read up to an offset. The lock is held.
+// pendingReaders returns the readers that have not read up to an offset. l.mu must be held.
 func (l *Leader) pendingReaders(offset uint64) *PendingReaders {
 	pending := &PendingReaders{}
 	for node, reader := range l.state.Readers {
@@ -189,12 +189,12 @@
 	return pending
 }
 
-// PendingReaders returns which readers have not read behind a tombstone at an offset, waiting up to
-// hold until there is none. It returns none only after a majority confirmed that no other leader
-// could have added one. It returns NotReady if the offset was not committed in that time,
-// Unreachable when ctx ends, and NotPartitionLeader when the leadership is lost.
-func (l *Leader) PendingReaders(ctx context.Context, offset uint64, hold time.Duration) (*PendingReaders, error) {
-	begun := l.options.Clock.Now()
+// PendingReaders returns the readers that have not read past a tombstone at an offset, waiting up
+// to maxWait until there is none. It returns none only after a majority has confirmed that no other
+// leader could have added one. It returns NotReady if the offset was not committed in that time,
+// Unreachable if ctx ends, and NotPartitionLeader if the leadership is lost.
+func (l *Leader) PendingReaders(ctx context.Context, offset uint64, maxWait time.Duration) (*PendingReaders, error) {
+	startedAt := l.options.Clock.Now()
 	var due <-chan struct{}
 	for {
 		l.mu.Lock()
@@ -202,12 +202,12 @@
 			l.mu.Unlock()
 			return nil, err
 		}
-		ledger := l.logs[log.KindLedger]
-		pending, committed := l.pendingReaders(offset), ledger.committed
+		partitionLog := l.logs[log.KindLedger]
+		pending, committed := l.pendingReaders(offset), partitionLog.committed
 		if l.readersChanged == nil {
 			l.readersChanged = make(chan struct{})
 		}
-		readersChanged, isCommitted := l.readersChanged, ledger.commit >= offset
+		readersChanged, isCommitted := l.readersChanged, partitionLog.commit >= offset
 		l.mu.Unlock()
 		if isCommitted {
 			committed = nil
@@ -216,20 +216,20 @@
 			if err := l.checkLeadership(ctx); err != nil {
 				return nil, err
 			}
-			l.observeDecision("forgotten", begun)
+			l.observeDecision("forgotten", startedAt)
 			return pending, nil
 		}
 		if due == nil {
 			timerCtx, stop := context.WithCancel(ctx)
 			defer stop()
-			due = l.after(timerCtx, hold)
+			due = l.after(timerCtx, maxWait)
 		}
 		select {
 		case <-readersChanged:
 		case <-committed:
 		case <-due:
 			if !isCommitted {
-				return nil, apierror.New(apierror.NotReady, "offset %d of partition %d is not on a majority",
+				return nil, apierror.New(apierror.NotReady, "offset %d of partition %d is not committed",
 					offset, l.Record.Partition)
 			}
 			if ctx.Err() != nil {
@@ -243,14 +243,15 @@
 	}
 }
 
-// readerTimeout is how long a reader must be neither heard nor a member before it is given up.
+// readerTimeout is how long a reader must neither call nor be a member before it is given up.
 func (l *Leader) readerTimeout() time.Duration {
 	timing := l.options.Timing
 	return timing.RetentionFor(l.options.LongestRetention()) + timing.LeaseDuration() + l.options.LeaseExtension
 }
 
-// giveUpReaders gives up the readers that keep tombstones and were neither heard nor members for
-// long, and probes those that are members but silent. The lock is held.
+// giveUpReaders gives up the readers that delay the removal of tombstones and neither called nor
+// were members for the reader timeout. It probes those that are members but silent. l.mu must be
+// held.
 func (l *Leader) giveUpReaders() {
 	newest := uint64(0)
 	for _, tombstone := range l.state.Tombstones {
@@ -281,16 +282,16 @@
 	}
 }
 
-// readerNode returns the node of a reader: one node may read in several parts, which are named
-// behind a slash.
+// readerNode returns the node of a reader. One node may have several readers, which are named after
+// a slash.
 func readerNode(reader string) string {
 	node, _, _ := strings.Cut(reader, "/")
 	return node
 }
 
-// probeReader asks the node of a silent reader for its boot ID, and removes the reader if it is of
-// an earlier run: nothing is left of what that one was given. A reader's boot ID begins with that
-// of its node's run.
+// probeReader asks the node of a silent reader for its boot ID. If the reader belongs to an earlier
+// run, it removes the reader, because the node has nothing left of what that run was sent. A
+// reader's boot ID begins with that of its node's run.
 func (l *Leader) probeReader(ctx context.Context, name, address, bootID string) {
 	ctx, cancel := context.WithTimeout(ctx, l.options.Timing.CallTimeout())
 	defer cancel()
@@ -309,7 +310,7 @@
 	}
 }
 
-// Tombstones returns the status of tombstones and readers, nil where there are none.
+// Tombstones returns the status of tombstones and readers, nil if there are none.
 func (l *Leader) Tombstones() *TombstoneView {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -320,7 +321,7 @@
 	return &view
 }
 
-// tombstoneView returns the status of tombstones and readers. The lock is held.
+// tombstoneView returns the status of tombstones and readers. l.mu must be held.
 func (l *Leader) tombstoneView(commit uint64) TombstoneView {
 	view := TombstoneView{Tombstones: len(l.state.Tombstones)}
 	oldest := commit
--- a/internal/partitionlog/leader/readers_removed_test.go
+++ b/internal/partitionlog/leader/readers_removed_test.go
@@ -10,8 +10,8 @@
 	"postjunction/internal/samza/state"
 )
 
-// A reader that was silent and no member for long is given up, where it keeps a tombstone. It
-// learns so when it comes back, and may read under another boot ID.
+// A reader that is silent and not a member for the reader timeout is given up, if it delays the
+// removal of a tombstone. It learns this when it calls again, and may read under another boot ID.
 func TestReader_GivenUpWhenSilentAndNoMember(t *testing.T) {
 	withLeader(t, 1, func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", "k"))
@@ -26,14 +26,14 @@
 		}
 		delete(r.members, "a1")
 		maintain(2 * r.readerTimeout())
-		assert.Assert(t, !r.state.Readers["a1"].GivenUp, "it keeps no mark")
+		assert.Assert(t, !r.state.Readers["a1"].GivenUp, "it delays no tombstone")
 		offset := r.submitAccepted(withdrawal("v", 2, "t", "k"))
 		r.members["a1"] = "at-a1"
 		maintain(2 * r.readerTimeout())
 		assert.Assert(t, !r.state.Readers["a1"].GivenUp, "it is a member")
 		delete(r.members, "a1")
 		maintain(r.readerTimeout() - 4*time.Second)
-		assert.Assert(t, !r.state.Readers["a1"].GivenUp, "that was not long")
+		assert.Assert(t, !r.state.Readers["a1"].GivenUp, "the timeout has not passed")
 		maintain(8 * time.Second)
 		assert.Assert(t, r.state.Readers["a1"].GivenUp)
 		assert.DeepEqual(t, r.observed, []string{"a1 b", "a1 b given up"})
@@ -71,12 +71,12 @@
 		assert.NilError(t, err)
 		assert.Assert(t, !response.MustReset)
 		r.commitAll()
-		assert.Equal(t, len(r.state.Readers), 0, "one that let go of all is none")
+		assert.Equal(t, len(r.state.Readers), 0, "a run that dropped everything is no reader")
 	})
 }
 
-// A reader that finished is none from then on, whatever calls of it come late; its next run may be
-// one again.
+// A reader that finished is removed, and late calls of it don't add it again. Its next run may be a
+// reader again.
 func TestReader_FinishedIsRemoved(t *testing.T) {
 	withLeader(t, 1, func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", "k"))
@@ -88,7 +88,7 @@
 		})
 		assert.NilError(t, err)
 		assert.Assert(t, !response.UnknownFollower)
-		assert.Equal(t, len(r.state.Readers), 1, "not on a majority yet")
+		assert.Equal(t, len(r.state.Readers), 1, "not committed yet")
 		again := &FollowRequest{
 			Node: "a1", BootID: "b", BaseSequence: 2, Sequence: 3, TracksTombstones: true,
 			Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 0},
@@ -96,7 +96,7 @@
 		}
 		response, err = r.Follow(t.Context(), again)
 		assert.NilError(t, err)
-		assert.Assert(t, response.UnknownFollower, "a run that is done goes on under another boot")
+		assert.Assert(t, response.UnknownFollower, "a finished run must continue under another boot ID")
 		responses := make(chan *FollowResponse, 1)
 		go func() {
 			response, _ := r.Follow(t.Context(), &FollowRequest{
@@ -107,14 +107,14 @@
 			responses <- response
 		}()
 		synctest.Wait()
-		assert.Equal(t, len(responses), 0, "its going is under way, so it is given nothing")
+		assert.Equal(t, len(responses), 0, "the removal is uncommitted, so it is sent nothing")
 		r.submitAccepted(message("v", 2, "t", "k"))
 		r.commitAll()
 		r.commitAll()
 		assert.DeepEqual(t, offsets((<-responses).Backlog), []uint64{1, 4})
 		assert.Equal(t, r.state.Readers["a1"].Offset, uint64(5))
 		polled := <-late
-		assert.Assert(t, polled.response.UnknownFollower, "a poll of before its end is none")
+		assert.Assert(t, polled.response.UnknownFollower, "a poll from before it finished is not answered")
 		_, err = r.Follow(t.Context(), &FollowRequest{Node: "a1", BootID: "c", Sequence: 4, Full: true, Finished: true})
 		assert.NilError(t, err)
 		r.commitAll()
@@ -125,7 +125,7 @@
 			ReaderToken: r.readerToken("a1", "c"),
 		})
 		assert.NilError(t, err)
-		assert.Assert(t, response.UnknownFollower, "a question of before its end is none")
+		assert.Assert(t, response.UnknownFollower, "a request from before it finished is not answered")
 	})
 }
 
@@ -148,7 +148,7 @@
 		}
 		r.bootIDs["at-a1"], r.bootIDs["at-a2"] = "b", "b"
 		maintain()
-		assert.Equal(t, len(r.state.Readers), 2, "they are in the run that read")
+		assert.Equal(t, len(r.state.Readers), 2, "their nodes still run under the same boot IDs")
 		r.bootIDs["at-a1"] = "c"
 		maintain()
 		assert.Equal(t, len(r.state.Readers), 1)
--- a/internal/partitionlog/leader/readers_test.go
+++ b/internal/partitionlog/leader/readers_test.go
@@ -14,8 +14,8 @@
 	"postjunction/internal/samza/state"
 )
 
-// A message that was withdrawn is skipped, one written anew under its key is not, and an
-// uncommitted withdrawal withdraws nothing yet.
+// A withdrawn message is skipped. A message written later under the same key is not. An uncommitted
+// withdrawal has no effect yet.
 func TestPoll_WithdrawnMessagesAreSkipped(t *testing.T) {
 	withLeader(t, 1, func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", "k"), message("v", 2, "t", "other"), message("v", 1, "u", "k"))
@@ -42,8 +42,8 @@
 	})
 }
 
-// A withdrawal comes at once to a node that follows other topics, and to none that tracks no
-// tombstones.
+// A withdrawal is sent at once to a node that follows other topics. It is not sent to a node that
+// tracks no tombstones.
 func TestPoll_WithdrawalWakesEveryFollower(t *testing.T) {
 	withLeader(t, 1, func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", "k"))
@@ -54,28 +54,28 @@
 		})
 		assert.NilError(t, err)
 		old := r.startPoll(t.Context(), 1)
-		begun := time.Now()
+		startedAt := time.Now()
 		assert.Equal(t, r.submitAccepted(withdrawal("w", 1, "t", "k")), uint64(2))
 		polled := <-results
 		assert.NilError(t, polled.err)
 		assert.DeepEqual(t, offsets(polled.response.Entries), []uint64{2})
-		assert.Assert(t, time.Since(begun) == 0, "woken after %s", time.Since(begun))
+		assert.Assert(t, time.Since(startedAt) == 0, "woken after %s", time.Since(startedAt))
 		assert.Equal(t, polled.response.Entries[0].Client, "w")
 		assert.NilError(t, <-old)
 		response, err := r.Poll(t.Context(), &PollRequest{Node: "a2", BootID: "b", Sequence: 1})
 		assert.NilError(t, err)
-		assert.Equal(t, len(response.Entries), 0, "a node that minds no withdrawals is given nothing with a key")
+		assert.Equal(t, len(response.Entries), 0, "a node that tracks no tombstones is sent nothing with a key")
 		r.submitAccepted(message("v", 2, "t", "k"))
 		response, err = r.Poll(t.Context(), &PollRequest{Node: "a2", BootID: "b", Sequence: 1})
 		assert.NilError(t, err)
 		assert.Equal(t, len(response.Entries), 0)
-		assert.Equal(t, response.To, uint64(3), "it is held up by nothing with a key")
-		assert.Equal(t, len(r.state.Readers), 0, "nobody was given anything with a key")
+		assert.Equal(t, response.To, uint64(3), "messages with keys don't delay it")
+		assert.Equal(t, len(r.state.Readers), 0, "no node was sent a message with a key")
 	})
 }
 
-// No node is given its first message with a key before it is committed that this run of it is a
-// reader; what comes before that message is not held up.
+// No node is sent its first message with a key before it is committed that this run of it is a
+// reader. Messages before that one are not delayed.
 func TestReader_CommittedBeforeItIsGivenAKey(t *testing.T) {
 	withLeader(t, 1, func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", ""), message("v", 2, "t", "k"), message("v", 3, "t", ""))
@@ -89,7 +89,7 @@
 		assert.Equal(t, r.state.Readers["a1"], state.Reader{BootID: "b", Offset: 4})
 		assert.DeepEqual(t, r.observed, []string{"a1 b"})
 		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "b", 1)), []uint64{2, 3})
-		assert.Equal(t, r.logs[log.KindLedger].last.Offset, uint64(4), "a run is noted once")
+		assert.Equal(t, r.logs[log.KindLedger].last.Offset, uint64(4), "a run is recorded once")
 
 		answers := make(chan *FollowResponse, 1)
 		go func() {
@@ -106,12 +106,12 @@
 		assert.DeepEqual(t, offsets((<-answers).Backlog), []uint64{2, 3})
 		assert.Equal(t, r.state.Readers["a1"], state.Reader{BootID: "c", Offset: 5, ReplacedBootID: "b"})
 		results = r.poll("a1", "b", 9)
-		assert.Assert(t, (<-results).response.UnknownFollower, "the run before is none any more")
+		assert.Assert(t, (<-results).response.UnknownFollower, "the earlier run is no reader any more")
 	})
 }
 
-// A node that became a reader learns so, though the message it became one for was withdrawn before
-// it was given.
+// A node that became a reader is notified of that, even if the message that made it a reader was
+// withdrawn before it was sent.
 func TestReader_LearnsThatItIsOne(t *testing.T) {
 	withLeader(t, 1, func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", "k"))
@@ -139,8 +139,8 @@
 	})
 }
 
-// A late call of a run that another one replaced doesn't make it a reader again, nor does it finish
-// the other one.
+// A late call of a run that was replaced by another run neither makes the earlier run a reader
+// again nor finishes the other run.
 func TestReader_LateCallOfReplacedRunIsRejected(t *testing.T) {
 	withLeader(t, 1, func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", "k"))
@@ -165,8 +165,8 @@
 	})
 }
 
-// Late calls of runs before the last one replace nothing either, and the present run goes on being
-// answered. The same holds for a leader that knows none of the runs, and after the last run
+// Late calls of runs before the last one replace nothing, and calls of the present run are still
+// answered. The same applies to a leader that knows none of the runs, and after the last run has
 // finished.
 func TestReader_LateCallOfAnyEarlierRunIsRejected(t *testing.T) {
 	withLeader(t, 1, func(t *testing.T, r *rig) {
@@ -241,8 +241,8 @@
 	})
 }
 
-// None is pending once every reader read behind the tombstone, under its boot ID; until then they
-// are named.
+// No reader is pending once every reader has read past the tombstone, under its boot ID. Until then
+// the pending ones are named.
 func TestPendingReaders_WaitsForAllReaders(t *testing.T) {
 	withLeader(t, 1, func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", "k"))
@@ -251,11 +251,11 @@
 		r.becomeReader("a1", "b", 0)
 		r.becomeReader("a2", "b", 0)
 		offset := r.submitAccepted(withdrawal("v", 2, "t", "k"))
-		begun := time.Now()
+		startedAt := time.Now()
 		pending, err := r.pendingReadersAt(offset)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, pending.Nodes, []string{"a1", "a2"})
-		assert.Equal(t, time.Since(begun), r.options.Timing.LongPoll())
+		assert.Equal(t, time.Since(startedAt), r.options.Timing.LongPoll())
 		r.poll("a1", "b", offset-1)
 		r.poll("a2", "b", offset)
 		r.poll("a1", "c", offset)
@@ -268,16 +268,16 @@
 			answered <- pending
 		}()
 		synctest.Wait()
-		begun = time.Now()
-		assert.Equal(t, r.submitAccepted(message("v", 3, "t", "k")), offset+1, "nothing is held up meanwhile")
+		startedAt = time.Now()
+		assert.Equal(t, r.submitAccepted(message("v", 3, "t", "k")), offset+1, "other messages are not delayed meanwhile")
 		r.poll("a1", "b", offset)
 		assert.DeepEqual(t, <-answered, &PendingReaders{})
-		assert.Equal(t, time.Since(begun), time.Duration(0))
+		assert.Equal(t, time.Since(startedAt), time.Duration(0))
 	})
 }
 
-// A leader that may have been superseded never answers that none is pending, as another one may
-// have added a reader.
+// A leader that may have been superseded never answers that no reader is pending, because another
+// leader may have added one.
 func TestPendingReaders_NoneOnlyWithLeadershipConfirmed(t *testing.T) {
 	withLeader(t, 3, func(t *testing.T, r *rig) {
 		r.submitOnce(message("v", 1, "t", "k"))
--- a/internal/partitionlog/leader/readertoken.go
+++ b/internal/partitionlog/leader/readertoken.go
@@ -1,19 +1,21 @@
 package leader
 
-// readerToken is the number that a reader's run must send with its requests, of the run that asked
-// last. It shows that the run was there after all other runs of its node that this leader heard of.
+// readerToken is the number that a reader's run must send with its requests. The leader gives it to
+// the run that called last. It shows that this run was there after all other runs of its node that
+// this leader knows of.
 type readerToken struct {
 	bootID string
 	number uint64
-	// finished tells that this run reads no further.
+	// finished is set once this run reads no further.
 	finished bool
 }
 
-// tokensPerEpoch keeps the numbers of one epoch apart from those of others, as a request may come
-// late from a run that an earlier leader gave a number.
+// tokensPerEpoch keeps the numbers of one epoch apart from those of other epochs, because a late
+// request may come from a run that got its number from an earlier leader.
 const tokensPerEpoch = 1 << 20
 
-// readerTokenOf returns the number that a run must send, and whether sent is it. The lock is held.
+// readerTokenOf returns the number that a run must send, and whether sent is that number. l.mu must
+// be held.
 func (l *Leader) readerTokenOf(node, bootID string, sent uint64) (number uint64, isValid bool) {
 	token := l.readerTokens[node]
 	if token.bootID != bootID {
--- a/internal/partitionlog/leader/recovery.go
+++ b/internal/partitionlog/leader/recovery.go
@@ -13,17 +13,17 @@
 	"postjunction/internal/samza/state"
 )
 
-// allEntries as the limits of a slice of a log means no limit.
+// allEntries as a limit of a log's slice means no limit.
 const allEntries = 1 << 30
 
 type sealResult = quorum.Result[assignment.Replica, *replica.SealResponse]
 
 // recoverPartition seals a majority of the replicas at the leader's epoch, adopts the longest of
-// their logs, commits the start of the epoch on both logs, and rebuilds the state. Then the leader
-// is open.
+// their logs, commits the start of the epoch on both logs, and rebuilds the state. The leader is
+// then open.
 func (l *Leader) recoverPartition(ctx context.Context) error {
-	begun := l.options.Clock.Now()
-	if err := l.checkOwnReplica(); err != nil {
+	startedAt := l.options.Clock.Now()
+	if err := l.checkLocalReplica(); err != nil {
 		return err
 	}
 	sealed, err := l.sealAndAdopt(ctx)
@@ -40,22 +40,22 @@
 	if l.stage == StageRecovering {
 		l.stage = StageOpen
 	}
-	l.recovery.Duration = l.options.Clock.Now().Sub(begun)
+	l.recovery.Duration = l.options.Clock.Now().Sub(startedAt)
 	recovery := l.recovery
 	l.mu.Unlock()
 	l.options.Observer.Opened(l.Record.Partition, l.Record.Epoch, recovery)
-	l.observeDecision("open", begun)
+	l.observeDecision("open", startedAt)
 	go l.options.OnRecovered(ctx, l.Record)
 	return nil
 }
 
-// checkOwnReplica returns an error unless the record names this node's disk, and the disk has not
-// sealed the epoch yet: an earlier run of this node may have decided under it.
-func (l *Leader) checkOwnReplica() error {
-	own, ok := l.Record.Replica(l.options.Self)
-	if !ok || own.Incarnation != l.options.Replica.Incarnation() {
+// checkLocalReplica returns an error if the record doesn't name this node's disk, or if the disk
+// has sealed the epoch already. An earlier run of this node may then have decided under that epoch.
+func (l *Leader) checkLocalReplica() error {
+	local, ok := l.Record.Replica(l.options.Self)
+	if !ok || local.Incarnation != l.options.Replica.Incarnation() {
 		return apierror.New(apierror.WrongDisk, "the record of partition %d names disk %q of this node",
-			l.Record.Partition, own.Incarnation)
+			l.Record.Partition, local.Incarnation)
 	}
 	if sealed := l.options.Replica.Sealed(l.Record.Partition); sealed >= l.Record.Epoch {
 		return apierror.New(apierror.StaleEpoch, "epoch %d was used before on this disk, sealed at %d",
@@ -64,12 +64,12 @@
 	return nil
 }
 
-// sealAndAdopt seals a majority of the replicas, the own one first, and brings the own logs to the
-// longest of theirs.
+// sealAndAdopt seals a majority of the replicas, the local one first, and brings the local logs up
+// to the longest of theirs.
 func (l *Leader) sealAndAdopt(ctx context.Context) ([]sealResult, error) {
 	var sealed []sealResult
 	err := l.retryStep(ctx, "seal", func() error {
-		request := &replica.SealRequest{Target: l.ownTarget(), Urgent: l.Urgent}
+		request := &replica.SealRequest{Target: l.localTarget(), Urgent: l.Urgent}
 		_, err := l.options.Replica.Seal(ctx, request)
 		if err != nil {
 			return err
@@ -89,7 +89,7 @@
 	return sealed, nil
 }
 
-// retryStep runs a step of the recovery until it succeeds, a replica has seen a higher epoch, or
+// retryStep retries a step of the recovery until it succeeds, a replica has seen a higher epoch, or
 // ctx ends.
 func (l *Leader) retryStep(ctx context.Context, step string, run func() error) error {
 	for failures := 0; ; failures++ {
@@ -98,14 +98,14 @@
 			return err
 		}
 		if ctx.Err() != nil {
-			return apierror.WithCause(apierror.Stopped, ctx.Err(), "taking over partition %d", l.Record.Partition)
+			return apierror.WithCause(apierror.Stopped, ctx.Err(), "recovering partition %d", l.Record.Partition)
 		}
 		l.options.Observer.StepFailed(l.Record.Partition, l.Record.Epoch, step, err)
 		_ = l.options.Clock.Sleep(ctx, l.options.Timing.Backoff(failures))
 	}
 }
 
-// sealMajority returns the results of those replicas that reject lower epochs from now on;
+// sealMajority returns the results of the replicas that reject lower epochs from now on. It returns
 // NoMajority if they are too few.
 func (l *Leader) sealMajority(ctx context.Context) ([]sealResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.options.Timing.CallTimeout())
@@ -156,39 +156,39 @@
 	})
 }
 
-// adoptLongest brings one own log to that of the sealed replica whose log ends latest, by epoch and
-// then by offset.
+// adoptLongest makes one local log equal to that of the sealed replica whose log ends last, by
+// epoch and then by offset.
 func (l *Leader) adoptLongest(ctx context.Context, kind log.Kind, sealed []sealResult) error {
-	best := l.options.Self
-	own := l.options.Replica.Log(l.Record.Partition, kind)
-	end := own.Last()
+	longest := l.options.Self
+	local := l.options.Replica.Log(l.Record.Partition, kind)
+	end := local.Last()
 	for _, result := range sealed {
 		if last := result.Value.Tails[kind].Last; end.Less(last) {
-			best, end = result.Target.Node, last
+			longest, end = result.Target.Node, last
 		}
 	}
-	l.noteTails(kind, best, sealed)
-	if best == l.options.Self {
+	l.recordTails(kind, longest, sealed)
+	if longest == l.options.Self {
 		return nil
 	}
-	after, reset, err := l.lastCommonPosition(ctx, best, kind, own)
+	after, reset, err := l.lastCommonPosition(ctx, longest, kind, local)
 	if err != nil {
 		return err
 	}
-	if err := l.copyEntries(ctx, best, kind, after, end, reset); err != nil {
+	if err := l.copyEntries(ctx, longest, kind, after, end, reset); err != nil {
 		return err
 	}
-	if own := l.options.Replica.Log(l.Record.Partition, kind); own.Last().Offset > end.Offset {
-		return l.options.Replica.TruncateAfter(ctx, l.ownTarget(), kind, end.Offset, l.Urgent)
+	if local := l.options.Replica.Log(l.Record.Partition, kind); local.Last().Offset > end.Offset {
+		return l.options.Replica.TruncateAfter(ctx, l.localTarget(), kind, end.Offset, l.Urgent)
 	}
 	return nil
 }
 
-// noteTails notes in the recovery's description where the logs ended, and which one was adopted.
-func (l *Leader) noteTails(kind log.Kind, best string, sealed []sealResult) {
+// recordTails records in the recovery's status where the logs ended, and which one was adopted.
+func (l *Leader) recordTails(kind log.Kind, longest string, sealed []sealResult) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.recovery.Tails += fmt.Sprintf("%s from %s:", kind, best)
+	l.recovery.Tails += fmt.Sprintf("%s from %s:", kind, longest)
 	for _, result := range sealed {
 		last := result.Value.Tails[kind].Last
 		l.recovery.Tails += fmt.Sprintf(" %s %d/%d", result.Target.Node, last.Epoch, last.Offset)
@@ -196,7 +196,7 @@
 	l.recovery.Tails += "; "
 }
 
-// copyEntries copies another replica's entries after one position, up to another, into the own log.
+// copyEntries copies another replica's entries after one position, up to another, to the local log.
 func (l *Leader) copyEntries(
 	ctx context.Context, from string, kind log.Kind, after, end log.Position, reset bool,
 ) error {
@@ -207,18 +207,18 @@
 		}
 		if len(fetched.Entries) == 0 || fetched.Tail.Last.Less(end) {
 			return apierror.New(
-				apierror.LogMismatch, "%s ends at %d, short of %d", from, fetched.Tail.Last.Offset,
+				apierror.LogMismatch, "the log of %s ends at %d, before %d", from, fetched.Tail.Last.Offset,
 				end.Offset,
 			)
 		}
 		appended, err := l.options.Replica.Append(ctx, &replica.AppendRequest{
-			Target: l.ownTarget(), Kind: kind, After: after, Entries: fetched.Entries, Reset: reset, Urgent: l.Urgent,
+			Target: l.localTarget(), Kind: kind, After: after, Entries: fetched.Entries, Reset: reset, Urgent: l.Urgent,
 		})
 		if err != nil {
 			return err
 		}
 		if !appended.Matched {
-			return apierror.New(apierror.LogMismatch, "the own line does not hold %d", after.Offset)
+			return apierror.New(apierror.LogMismatch, "the local log does not contain offset %d", after.Offset)
 		}
 		l.mu.Lock()
 		l.recovery.Fetched += len(fetched.Entries)
@@ -228,18 +228,18 @@
 	return nil
 }
 
-// lastCommonPosition finds, by bisection, the last position that the own log has in common with
-// another replica's. With none it returns that one's base, and true: the own log is to be reset
-// there.
+// lastCommonPosition finds, by bisection, the last position that the local log has in common with
+// that of another replica. If there is none, it returns the base of the other log, and true: the
+// local log must be reset there.
 func (l *Leader) lastCommonPosition(
-	ctx context.Context, node string, kind log.Kind, own *log.Log,
+	ctx context.Context, node string, kind log.Kind, local *log.Log,
 ) (position log.Position, reset bool, err error) {
-	fetched, err := l.fetch(ctx, node, kind, own.Last().Offset+1, 1)
+	fetched, err := l.fetch(ctx, node, kind, local.Last().Offset+1, 1)
 	if err != nil {
 		return log.Position{}, false, err
 	}
 	isCommon := func(offset uint64) (bool, error) {
-		position, ok := own.Position(offset)
+		position, ok := local.Position(offset)
 		if !ok {
 			return false, nil
 		}
@@ -249,8 +249,8 @@
 		}
 		return next.Before == position, nil
 	}
-	low := max(own.Base().Offset, fetched.Tail.Base.Offset)
-	high := min(own.Last().Offset, fetched.Tail.Last.Offset)
+	low := max(local.Base().Offset, fetched.Tail.Base.Offset)
+	high := min(local.Last().Offset, fetched.Tail.Last.Offset)
 	if low > high {
 		return fetched.Tail.Base, true, nil
 	}
@@ -272,12 +272,12 @@
 			high = middle - 1
 		}
 	}
-	position, _ = own.Position(low)
+	position, _ = local.Position(low)
 	return position, false, nil
 }
 
 // startEpoch appends the start of the epoch to both logs, starts their replication, and waits until
-// it is committed: only with it may entries of earlier epochs count as committed.
+// the start is committed. Only then may entries of earlier epochs count as committed.
 func (l *Leader) startEpoch(ctx context.Context, sealed []sealResult) error {
 	l.mu.Lock()
 	for _, kind := range log.Kinds {
@@ -301,7 +301,8 @@
 	return nil
 }
 
-// startReplication starts the goroutines that write a log here and to the other replicas.
+// startReplication starts the goroutines that write a log to the local disk and to the other
+// replicas.
 func (l *Leader) startReplication(ctx context.Context, progress *logProgress, sealed []sealResult) {
 	go l.writeLocally(ctx, progress)
 	for _, to := range l.Record.Replicas {
@@ -319,15 +320,15 @@
 	}
 }
 
-// rebuildState brings the state back: from the snapshot on disk, if there is one that can be read,
-// the changelog behind it, and the ledger behind that.
+// rebuildState rebuilds the state from the snapshot on disk, if there is one that can be read, the
+// changelog after it, and the partition log after that.
 func (l *Leader) rebuildState() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	changes, ledger := l.logs[log.KindChangelog], l.logs[log.KindLedger]
+	changes, partitionLog := l.logs[log.KindChangelog], l.logs[log.KindLedger]
 	restored, input, after := state.New(), uint64(0), changes.log.Base().Offset
 	if snapshot, ok := l.options.Replica.Snapshot(l.Record.Partition); ok && snapshot.At.Offset <= changes.commit {
-		// A snapshot only saves time: the changelog has all of one that can't be read.
+		// A snapshot only saves time. If it can't be read, the changelog has all of its content.
 		if unmarshaled, err := state.Unmarshal(snapshot.State); err == nil {
 			restored, input, after = unmarshaled, snapshot.Input, snapshot.At.Offset
 			l.recovery.SnapshotUsed = true
@@ -339,15 +340,16 @@
 		return err
 	}
 	l.recovery.Replayed = len(replayed)
-	base := ledger.log.Base().Offset
+	base := partitionLog.log.Base().Offset
 	if input < base && base > 0 {
 		return apierror.New(apierror.DiskDamaged,
-			"the changelog of partition %d ends at input offset %d, the ledger begins after %d", l.Record.Partition, input, base)
+			"the changelog of partition %d ends at input offset %d, the partition log begins after %d",
+			l.Record.Partition, input, base)
 	}
 	restored.Input = input
 	l.prunedTo = base
-	restoreAnswers(restored, ledger.log, base, input)
-	rest := ledger.log.Slice(input+1, ledger.commit, allEntries, allEntries)
+	restoreAnswers(restored, partitionLog.log, base, input)
+	rest := partitionLog.log.Slice(input+1, partitionLog.commit, allEntries, allEntries)
 	for _, entry := range rest {
 		restored.Apply(entry)
 	}
@@ -360,11 +362,11 @@
 	return nil
 }
 
-// restoreAnswers restores what the changelog doesn't carry: the answers to calls in the ledger
-// after one offset, up to another.
-func restoreAnswers(restored *state.State, ledger *log.Log, after, to uint64) {
+// restoreAnswers restores what the changelog doesn't have: the answers to calls in the partition
+// log after one offset, up to another.
+func restoreAnswers(restored *state.State, partitionLog *log.Log, after, to uint64) {
 	for after < to {
-		entries := ledger.Slice(after+1, to, maxBatchEntries, maxBatchBytes)
+		entries := partitionLog.Slice(after+1, to, maxBatchEntries, maxBatchBytes)
 		if len(entries) == 0 {
 			return
 		}
--- a/internal/partitionlog/leader/recovery_test.go
+++ b/internal/partitionlog/leader/recovery_test.go
@@ -15,27 +15,27 @@
 	"postjunction/internal/settings"
 )
 
-// A new run never decides under an epoch that its disk has sealed, whoever asks for it.
+// A new run never decides under an epoch that its disk has already sealed.
 func TestRecover_SealedEpochIsNeverUsedAgain(t *testing.T) {
 	ctx := t.Context()
 	memory := memlog.New()
-	own := replica.New(clock.Real{})
+	local := replica.New(clock.Real{})
 	parts := map[uint16]journal.Part{}
 	for _, recordType := range replica.RecordTypes() {
-		parts[recordType] = own
+		parts[recordType] = local
 	}
-	opened, _, err := journal.Open(memory, clock.Real{}, parts, []journal.Part{own})
+	opened, _, err := journal.Open(memory, clock.Real{}, parts, []journal.Part{local})
 	assert.NilError(t, err)
 	runCtx, stop := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() { defer close(done); opened.Run(runCtx) }()
 	defer func() { stop(); <-done }()
-	own.Start("i", opened)
+	local.Start("i", opened)
 	target := replica.Target{Partition: 3, Incarnation: "i", Epoch: 5}
-	_, err = own.Seal(ctx, &replica.SealRequest{Target: target})
+	_, err = local.Seal(ctx, &replica.SealRequest{Target: target})
 	assert.NilError(t, err)
 	leader := New(
-		Options{Self: "s1", Clock: clock.Real{}, Timing: settings.DefaultTiming, Replica: own},
+		Options{Self: "s1", Clock: clock.Real{}, Timing: settings.DefaultTiming, Replica: local},
 		assignment.Record{
 			Partition: 3, Epoch: 5, Leader: "s1",
 			Replicas: []assignment.Replica{{Node: "s1", Incarnation: "i"}},
@@ -45,5 +45,5 @@
 	endedCtx, end := context.WithCancel(ctx)
 	end()
 	assert.Assert(t, apierror.HasCode(leader.recoverPartition(endedCtx), apierror.StaleEpoch))
-	assert.Equal(t, own.Sealed(3), uint64(5))
+	assert.Equal(t, local.Sealed(3), uint64(5))
 }
--- a/internal/partitionlog/leader/replicate.go
+++ b/internal/partitionlog/leader/replicate.go
@@ -18,39 +18,41 @@
 	leader   *Leader
 	progress *logProgress
 	to       assignment.Replica
-	// next is the position behind which entries are sent; reset asks the replica to begin its log
-	// there, and step is how far the last search for a common position went back.
-	next  log.Position
-	reset bool
-	step  uint64
-	// diskFull is set while the replica's disk has no space: it is asked to trim, without entries.
+	// next is the position after which entries are sent. reset asks the replica to begin its log
+	// there. searchStep is how far the last search for a common position went back.
+	next       log.Position
+	reset      bool
+	searchStep uint64
+	// diskFull is set while the replica's disk has no space. The replica is then asked to trim,
+	// without entries.
 	diskFull bool
-	// isMatched is set once the replica accepted a request, with the commit and the base of the
-	// last one.
-	isMatched    bool
-	sharedCommit uint64
-	sharedBase   log.Position
-	sentAt       time.Time
-	failures     int
+	// isMatched is set once the replica has accepted a request. sentCommit and sentBase are the
+	// commit and the base of the last accepted request.
+	isMatched  bool
+	sentCommit uint64
+	sentBase   log.Position
+	sentAt     time.Time
+	failures   int
 }
 
 // replicate keeps a log of another replica up to date until ctx ends or that replica has seen a
-// higher epoch, which ends the leadership. With known, tail is where the replica's log ends.
+// higher epoch, which ends the leadership. If isTailKnown is set, tail is where the replica's log
+// ends.
 func (l *Leader) replicate(
-	ctx context.Context, progress *logProgress, to assignment.Replica, tail replica.Tail, known bool,
+	ctx context.Context, progress *logProgress, to assignment.Replica, tail replica.Tail, isTailKnown bool,
 ) {
 	r := &replicator{leader: l, progress: progress, to: to}
 	l.mu.Lock()
 	r.next = progress.last
 	l.mu.Unlock()
-	if known {
+	if isTailKnown {
 		r.rewind(tail)
 	}
 	r.sentAt = l.options.Clock.Now()
 	for ctx.Err() == nil {
-		work := r.collect()
+		work := r.nextWork()
 		address, isMember := l.options.Addr(to.Node)
-		if len(work.entries) == 0 && r.isMatched && !r.diskFull && r.waited(ctx, work, address, isMember) {
+		if len(work.entries) == 0 && r.isMatched && !r.diskFull && r.awaitWork(ctx, work, address, isMember) {
 			continue
 		}
 		if !isMember {
@@ -58,13 +60,14 @@
 			continue
 		}
 		if err := r.send(ctx, work, address); isFenced(err) {
-			l.lose(err)
+			l.loseLeadership(err)
 			return
 		}
 	}
 }
 
-// replicationWork is what there is to send to a replica, and what is closed when there is more.
+// replicationWork is what there is to send to a replica, and the channels that are closed when
+// there is more.
 type replicationWork struct {
 	entries   []log.Entry
 	commit    uint64
@@ -73,7 +76,7 @@
 	committed <-chan struct{}
 }
 
-func (r *replicator) collect() replicationWork {
+func (r *replicator) nextWork() replicationWork {
 	l, progress := r.leader, r.progress
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,20 +93,20 @@
 	return work
 }
 
-// waited waits until there is something new for the replica or a confirmation is due. It reports
-// whether to look again before sending: a replica that the idle confirmer found to hold the same
-// log needs no append of its own.
-func (r *replicator) waited(ctx context.Context, work replicationWork, address string, isMember bool) bool {
+// awaitWork waits until there is something new for the replica or a confirmation is due. It reports
+// whether to look again before sending: if the idle confirmer found the same log on the replica, no
+// append is needed.
+func (r *replicator) awaitWork(ctx context.Context, work replicationWork, address string, isMember bool) bool {
 	l := r.leader
 	interval, committed := l.options.Timing.SessionTimeout(), work.committed
-	if work.commit > r.sharedCommit && r.progress.kind == log.KindLedger {
+	if work.commit > r.sentCommit && r.progress.kind == log.KindLedger {
 		interval, committed = l.options.Timing.HeartbeatInterval(), nil
 	}
-	if work.base != r.sharedBase {
+	if work.base != r.sentBase {
 		interval = l.options.Timing.HeartbeatInterval()
 	}
 	due := r.sentAt.Add(interval)
-	if isMember && l.options.Idle != nil && work.commit == r.sharedCommit && work.base == r.sharedBase {
+	if isMember && l.options.Idle != nil && work.commit == r.sentCommit && work.base == r.sentBase {
 		disk := idle.Disk{Addr: address, Incarnation: r.to.Incarnation}
 		idleLog := replica.IdleLog{
 			Partition: l.Record.Partition, Kind: r.progress.kind, Epoch: l.Record.Epoch, Last: r.next,
@@ -114,16 +117,16 @@
 		}
 		return result != idle.Uncertain
 	}
-	left := due.Sub(l.options.Clock.Now())
-	if left <= 0 {
+	remaining := due.Sub(l.options.Clock.Now())
+	if remaining <= 0 {
 		return false
 	}
-	clock.Wait(ctx, l.options.Clock, left, work.appended, committed)
+	clock.Wait(ctx, l.options.Clock, remaining, work.appended, committed)
 	return true
 }
 
-// send sends one append request and takes its response in; after a failure it backs off. Its error
-// is the replica's.
+// send sends one append request and applies its response. After a failure it backs off. Its error
+// is that of the replica.
 func (r *replicator) send(ctx context.Context, work replicationWork, address string) error {
 	l := r.leader
 	callCtx, cancel := context.WithTimeout(ctx, l.options.Timing.CallTimeout())
@@ -158,13 +161,13 @@
 	return nil
 }
 
-// advance notes that the replica holds what was sent, and commits what a majority holds now.
+// advance records that the replica has what was sent, and commits what a majority has now.
 func (r *replicator) advance(work replicationWork) {
 	if work.base.Offset <= r.next.Offset {
-		r.sharedBase = work.base
+		r.sentBase = work.base
 	}
-	r.isMatched, r.sharedCommit = true, work.commit
-	r.reset, r.step, r.diskFull, r.failures = false, 0, false, 0
+	r.isMatched, r.sentCommit = true, work.commit
+	r.reset, r.searchStep, r.diskFull, r.failures = false, 0, false, 0
 	if sent := len(work.entries); sent > 0 {
 		r.next = work.entries[sent-1].Position()
 	}
@@ -181,9 +184,9 @@
 	r.failures++
 }
 
-// rewind picks the next position to try with a replica whose log has the given tail: its end if
-// this log has the same entry there, else further and further back; the base of this log, with a
-// reset, where the two can't have one in common.
+// rewind picks the next position to try with a replica whose log has the given tail. That is its
+// end if this log has the same entry there, otherwise a position further and further back. If the
+// two logs can't have an entry in common, it is the base of this log, with a reset.
 func (r *replicator) rewind(tail replica.Tail) {
 	r.leader.mu.Lock()
 	defer r.leader.mu.Unlock()
@@ -193,14 +196,14 @@
 		return
 	}
 	floor := max(base.Offset, tail.Base.Offset)
-	if tail.Last.Offset < base.Offset || r.step > 0 && r.next.Offset <= floor {
+	if tail.Last.Offset < base.Offset || r.searchStep > 0 && r.next.Offset <= floor {
 		r.next, r.reset = base, true
 		return
 	}
-	r.step = max(1, r.step*2)
+	r.searchStep = max(1, r.searchStep*2)
 	to := min(tail.Last.Offset, r.next.Offset)
-	if to > floor+r.step {
-		to -= r.step
+	if to > floor+r.searchStep {
+		to -= r.searchStep
 	} else {
 		to = floor
 	}
--- a/internal/partitionlog/leader/rig_test.go
+++ b/internal/partitionlog/leader/rig_test.go
@@ -21,7 +21,8 @@
 	"postjunction/internal/settings"
 )
 
-// rig is a leader whose disk writes when the test says so, and the fleet around it.
+// rig is a leader whose disk writes only when the test calls for it, and the other nodes that it
+// knows.
 type rig struct {
 	*Leader
 	t        *testing.T
@@ -45,7 +46,7 @@
 func (r *rig) Do(request *http.Request) (*http.Response, error) {
 	bootID, ok := r.bootIDs[request.URL.Host]
 	if !ok {
-		return nil, apierror.New(apierror.Unreachable, "nobody at %s", request.URL.Host)
+		return nil, apierror.New(apierror.Unreachable, "no node at %s", request.URL.Host)
 	}
 	mux := http.NewServeMux()
 	membership.Identify.Handle(mux, func(
@@ -60,9 +61,9 @@
 	return w.Result(), nil
 }
 
-// withLeader runs a script with a leader; with more than one replica, nothing is committed by
-// itself.
-func withLeader(t *testing.T, copies int, script func(t *testing.T, r *rig)) {
+// withLeader runs a test with a leader. With more than one replica, nothing is committed by writing
+// to the local disk alone.
+func withLeader(t *testing.T, replicas int, run func(t *testing.T, r *rig)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		r := &rig{
@@ -70,7 +71,7 @@
 			bootIDs: map[string]string{},
 		}
 		record := assignment.Record{Epoch: 1, Leader: "s1"}
-		for _, node := range []string{"s1", "s2", "s3"}[:copies] {
+		for _, node := range []string{"s1", "s2", "s3"}[:replicas] {
 			record.Replicas = append(record.Replicas, assignment.Replica{Node: node})
 			r.members[node] = "at-" + node
 		}
@@ -85,18 +86,18 @@
 		r.logs[log.KindLedger], r.logs[log.KindChangelog] = newLogProgress(log.KindLedger, log.New()), newLogProgress(
 			log.KindChangelog, log.New(),
 		)
-		script(t, r)
+		run(t, r)
 	})
 }
 
-// commitAll writes all pending entries to the own disk, which commits them if it is the only
+// commitAll writes all pending entries to the local disk, which commits them if it is the only
 // replica.
 func (r *rig) commitAll() {
 	r.mu.Lock()
-	ledger := r.logs[log.KindLedger]
-	ledger.log.Append(time.Now(), ledger.pending...)
-	ledger.pending, ledger.durable = nil, ledger.last.Offset
-	r.advanceCommit(ledger)
+	partitionLog := r.logs[log.KindLedger]
+	partitionLog.log.Append(time.Now(), partitionLog.pending...)
+	partitionLog.pending, partitionLog.durable = nil, partitionLog.last.Offset
+	r.advanceCommit(partitionLog)
 	r.mu.Unlock()
 	synctest.Wait()
 }
@@ -107,7 +108,7 @@
 	run()
 }
 
-// submit returns the outcomes of messages that are submitted together, and commits what they wrote.
+// submit submits messages together, commits what they appended and returns their outcomes.
 func (r *rig) submit(messages ...*Message) []Outcome {
 	outcomes := make(chan []Outcome, 1)
 	go func() { outcomes <- r.SubmitMany(r.t.Context(), messages) }()
@@ -203,7 +204,7 @@
 	return offsets
 }
 
-// becomeReader makes a node a reader that was given the entries after an offset.
+// becomeReader makes a node a reader that was sent the entries after an offset.
 func (r *rig) becomeReader(node, bootID string, from uint64) {
 	r.t.Helper()
 	results := r.poll(node, bootID, from)
@@ -216,7 +217,8 @@
 	return r.PendingReaders(r.t.Context(), offset, r.options.Timing.LongPoll())
 }
 
-// submitOnce commits a message by the match of other replicas, which stays there.
+// submitOnce commits a message by the match of other replicas. That match doesn't change
+// afterwards.
 func (r *rig) submitOnce(message *Message) {
 	r.evaluate(message)
 	r.logs[log.KindLedger].match[""] = 1
--- a/internal/partitionlog/leader/submit.go
+++ b/internal/partitionlog/leader/submit.go
@@ -9,9 +9,9 @@
 	"postjunction/internal/samza/state"
 )
 
-// Message is a client's numbered message, which may have a key, or with Withdraw the withdrawal of
-// what is under that key. WithdrawSender and WithdrawUpTo name a sender and its highest number on
-// the topic that is withdrawn too, though it may not have come yet.
+// Message is a client's numbered message, which may have a key. With Withdraw, it is the withdrawal
+// of what is under that key. WithdrawSender and WithdrawUpTo name a sender and the highest of its
+// numbers on the topic that is withdrawn too, even if that message has not arrived yet.
 type Message struct {
 	Client         string `json:"v"`
 	Generation     uint64 `json:"g"`
@@ -26,8 +26,8 @@
 	WithdrawUpTo   uint64 `json:"u,omitempty"`
 }
 
-// Decision is the answer to an accepted message. That to a withdrawal has the offset of its
-// tombstone, and AlreadyWithdrawn if the tombstone of an earlier one stood.
+// Decision is the answer to an accepted message. For a withdrawal, Offset is that of its tombstone,
+// and AlreadyWithdrawn is set if the tombstone of an earlier withdrawal existed.
 type Decision struct {
 	Partition        int    `json:"p"`
 	Epoch            uint64 `json:"e"`
@@ -37,8 +37,8 @@
 }
 
 // uncommittedCalls is what a client did on a topic that is not committed yet: its highest number,
-// its generation with the secret of the attachment, the accepted calls in their order, and the
-// offset of the last entry that all this rests on.
+// its generation with the secret of the attachment, the accepted calls in order, and the offset of
+// the last entry that all of this depends on.
 type uncommittedCalls struct {
 	lastCallSeq uint64
 	generation  uint64
@@ -54,7 +54,7 @@
 	last, generation uint64
 }
 
-// callsOf returns what a client did on a topic, by state.Key. The lock is held.
+// callsOf returns what a client did on a topic, by state.Key. l.mu must be held.
 func (l *Leader) callsOf(key string) clientCalls {
 	committed := l.state.Accepted[key]
 	calls := clientCalls{committed: committed, last: committed.Last, generation: committed.Generation}
@@ -66,7 +66,7 @@
 	return calls
 }
 
-// find returns an accepted call whose answer is still kept.
+// find returns an accepted call whose answer is still retained.
 func (c clientCalls) find(callSeq uint64) (state.AcceptedCall, bool) {
 	if call, ok := c.committed.Find(callSeq); ok {
 		return call, true
@@ -74,7 +74,7 @@
 	return state.Accepted{Recent: c.uncommitted}.Find(callSeq)
 }
 
-// entry returns the message as an entry of the ledger, without a position.
+// entry returns the message as an entry of the partition log, without a position.
 func (m *Message) entry() log.Entry {
 	entry := log.Entry{
 		Type:          log.TypeMessage,
@@ -97,7 +97,7 @@
 	return entry
 }
 
-// Submit decides on a message and answers once the decision is committed.
+// Submit evaluates a message and answers once the decision is committed.
 func (l *Leader) Submit(ctx context.Context, message *Message) (*Decision, error) {
 	outcome := l.SubmitMany(ctx, []*Message{message})[0]
 	if outcome.Err != nil {
@@ -106,8 +106,8 @@
 	return outcome.Decision, nil
 }
 
-// evaluate decides on a message. If it is new and can be accepted, it is appended to the ledger.
-// The lock is held.
+// evaluate decides on a message. A new message that can be accepted is appended to the partition
+// log. l.mu must be held.
 func (l *Leader) evaluate(message *Message) evaluation {
 	if err := message.validate(); err != nil {
 		return evaluation{err: err}
@@ -119,11 +119,11 @@
 		return evaluation{err: apierror.New(apierror.TokenFenced, "attachment %d of %s sent on %s after %d",
 			calls.generation, message.Client, message.Topic, message.Generation)}
 	}
-	standing := l.standingTombstone(message)
+	existing := l.findTombstone(message)
 	if message.CallSeq <= calls.last {
-		return l.evaluatePassed(message, entry, digest, calls, standing)
+		return l.evaluatePassed(message, entry, digest, calls, existing)
 	}
-	if message.Withdraw && !standing.exists {
+	if message.Withdraw && !existing.exists {
 		if err := l.checkWithdrawal(message); err != nil {
 			return evaluation{err: err}
 		}
@@ -131,35 +131,35 @@
 	if err := l.checkBacklog(); err != nil {
 		return evaluation{err: err}
 	}
-	return evaluation{accepted: l.accept(message, entry, digest), alreadyWithdrawn: standing.exists}
+	return evaluation{accepted: l.accept(message, entry, digest), alreadyWithdrawn: existing.exists}
 }
 
 // alteredPart names what differs from an accepted call, by whether the bodies are the same.
 var alteredPart = map[bool]string{false: "body", true: "key"}
 
-// evaluatePassed decides on a message whose number is not above the client's last one on the topic:
-// a retry of an accepted call is a duplicate, all else is rejected. The lock is held.
+// evaluatePassed decides on a message whose number is not above the client's last one on the topic.
+// A retry of an accepted call is a duplicate. Everything else is rejected. l.mu must be held.
 func (l *Leader) evaluatePassed(
-	message *Message, entry log.Entry, digest string, calls clientCalls, standing standingTombstone,
+	message *Message, entry log.Entry, digest string, calls clientCalls, existing existingTombstone,
 ) evaluation {
 	reject := func(code apierror.Code, format string, args ...any) evaluation {
 		return evaluation{err: apierror.New(code, format, args...).WithCurrent(calls.last)}
 	}
-	known, ok := calls.find(message.CallSeq)
+	previous, ok := calls.find(message.CallSeq)
 	tombstone := l.state.Tombstones[state.Key(message.Topic, message.Key)]
 	floor := calls.committed.Floor
 	switch {
-	case ok && known.Digest != digest:
+	case ok && previous.Digest != digest:
 		return reject(apierror.CallAltered, "call_seq %d was taken with another %s",
-			message.CallSeq, alteredPart[strings.HasPrefix(known.Digest, entry.Digest)])
+			message.CallSeq, alteredPart[strings.HasPrefix(previous.Digest, entry.Digest)])
 	case ok:
-		return evaluation{accepted: known, duplicate: true}
+		return evaluation{accepted: previous, duplicate: true}
 	case message.Withdraw && tombstone.WrittenBy(message.Client, message.CallSeq):
 		accepted := state.AcceptedCall{CallSeq: message.CallSeq, Offset: tombstone.Offset, Digest: digest}
 		return evaluation{accepted: accepted, duplicate: true}
-	case standing.exists && message.CallSeq <= floor:
-		accepted := state.AcceptedCall{CallSeq: message.CallSeq, Offset: standing.offset}
-		return evaluation{accepted: accepted, alreadyWithdrawn: true, basis: standing.basis}
+	case existing.exists && message.CallSeq <= floor:
+		accepted := state.AcceptedCall{CallSeq: message.CallSeq, Offset: existing.offset}
+		return evaluation{accepted: accepted, alreadyWithdrawn: true, dependency: existing.dependency}
 	case message.CallSeq <= floor:
 		return reject(apierror.CallForgotten,
 			"call_seq %d may have been taken, the ledger no longer holds what %s sent up to %d",
@@ -169,22 +169,23 @@
 	}
 }
 
-// accept appends a message to the ledger and notes what rests on that until it is committed. The
-// lock is held.
+// accept appends a message to the partition log and records what depends on it until it is
+// committed. l.mu must be held.
 func (l *Leader) accept(message *Message, entry log.Entry, digest string) state.AcceptedCall {
-	entry = l.appendToLedger(entry)
+	entry = l.appendToPartitionLog(entry)
 	accepted := state.AcceptedCall{CallSeq: message.CallSeq, Offset: entry.Offset, Digest: digest}
-	calls := l.noteUncommitted(state.Key(message.Client, message.Topic), message.CallSeq, entry.Offset)
+	calls := l.trackUncommitted(state.Key(message.Client, message.Topic), message.CallSeq, entry.Offset)
 	calls.generation = max(calls.generation, message.Generation)
 	calls.accepted = append(calls.accepted, accepted)
 	if message.WithdrawSender != "" {
-		l.noteUncommitted(state.Key(message.WithdrawSender, message.Topic), message.WithdrawUpTo, entry.Offset)
+		l.trackUncommitted(state.Key(message.WithdrawSender, message.Topic), message.WithdrawUpTo, entry.Offset)
 	}
-	l.noteUncommittedKey(entry)
+	l.trackUncommittedKey(entry)
 	return accepted
 }
 
-// uncommittedCallsOf returns what is noted of a client on a topic, for changing. The lock is held.
+// uncommittedCallsOf returns the uncommitted calls of a client on a topic, to be changed in place.
+// l.mu must be held.
 func (l *Leader) uncommittedCallsOf(key string) *uncommittedCalls {
 	calls := l.uncommitted[key]
 	if calls == nil {
@@ -194,16 +195,16 @@
 	return calls
 }
 
-// noteUncommitted notes that a client's calls on a topic came up to a number by an uncommitted
-// entry. The lock is held.
-func (l *Leader) noteUncommitted(key string, callSeq, offset uint64) *uncommittedCalls {
+// trackUncommitted records that an uncommitted entry raises a client's calls on a topic to a
+// number. l.mu must be held.
+func (l *Leader) trackUncommitted(key string, callSeq, offset uint64) *uncommittedCalls {
 	calls := l.uncommittedCallsOf(key)
 	calls.lastCallSeq, calls.offset = max(calls.lastCallSeq, callSeq), offset
 	return calls
 }
 
-// onCommitted counts a committed entry and drops what was noted until it would be. The lock is
-// held.
+// onCommitted counts a committed entry and drops what was tracked while it was uncommitted. l.mu
+// must be held.
 func (l *Leader) onCommitted(entry log.Entry) {
 	switch entry.Type {
 	case log.TypeMessage:
@@ -221,7 +222,7 @@
 	l.clearUncommittedKey(entry)
 }
 
-// clearUncommitted drops what was noted of a client until an entry would be committed. The lock is
+// clearUncommitted drops what was tracked of a client while an entry was uncommitted. l.mu must be
 // held.
 func (l *Leader) clearUncommitted(client string, entry log.Entry) {
 	key := state.Key(client, entry.Topic)
@@ -237,9 +238,9 @@
 	}
 }
 
-// basisOffset returns the offset up to which the ledger must be committed for what is known of a
-// client on a topic to stand. The lock is held.
-func (l *Leader) basisOffset(key string) uint64 {
+// dependencyOffset returns the offset up to which the partition log must be committed before an
+// answer may use what is known of a client on a topic. l.mu must be held.
+func (l *Leader) dependencyOffset(key string) uint64 {
 	offset := l.logs[log.KindLedger].commit
 	if calls := l.uncommitted[key]; calls != nil {
 		offset = max(offset, calls.offset)
--- a/internal/partitionlog/leader/tombstones.go
+++ b/internal/partitionlog/leader/tombstones.go
@@ -28,8 +28,8 @@
 }
 
 var malformedRules = []struct {
-	isBroken func(*Message) bool
-	detail   string
+	isViolated func(*Message) bool
+	detail     string
 }{
 	{
 		func(m *Message) bool { return m.CallSeq == 0 },
@@ -59,14 +59,14 @@
 
 func (m *Message) validate() error {
 	for _, rule := range malformedRules {
-		if rule.isBroken(m) {
+		if rule.isViolated(m) {
 			return apierror.New(apierror.Malformed, "%s", rule.detail)
 		}
 	}
 	return nil
 }
 
-// latestForKey returns the last message and withdrawal under a key, committed or not. The lock is
+// latestForKey returns the last message and withdrawal under a key, committed or not. l.mu must be
 // held.
 func (l *Leader) latestForKey(key string) keyOffsets {
 	uncommitted := l.uncommittedKeys[key]
@@ -76,35 +76,35 @@
 	}
 }
 
-// standingTombstone is the tombstone that a withdrawal asks for, if it exists already, and the
-// offset that this rests on.
-type standingTombstone struct {
-	exists        bool
-	offset, basis uint64
+// existingTombstone is the tombstone that a withdrawal asks for, if it exists already, and the
+// offset that this depends on.
+type existingTombstone struct {
+	exists             bool
+	offset, dependency uint64
 }
 
-// standingTombstone returns the tombstone that a withdrawal asks for, if there is one and no
-// message came behind it. Such a withdrawal becomes an entry all the same, as the answer to its
-// number must still be known when it is retried after the key was written anew. The lock is held.
-func (l *Leader) standingTombstone(message *Message) standingTombstone {
+// findTombstone returns the tombstone that a withdrawal asks for, if there is one and no message
+// was accepted after it. The withdrawal still becomes an entry: the answer to its number must still
+// be known if it is retried after another message was accepted under the key. l.mu must be held.
+func (l *Leader) findTombstone(message *Message) existingTombstone {
 	if !message.Withdraw {
-		return standingTombstone{}
+		return existingTombstone{}
 	}
 	latest := l.latestForKey(state.Key(message.Topic, message.Key))
 	if latest.withdrawal <= latest.message {
-		return standingTombstone{}
+		return existingTombstone{}
 	}
-	standing := standingTombstone{exists: true, offset: latest.withdrawal, basis: latest.withdrawal}
+	existing := existingTombstone{exists: true, offset: latest.withdrawal, dependency: latest.withdrawal}
 	if message.WithdrawSender != "" {
 		sender := state.Key(message.WithdrawSender, message.Topic)
-		standing.basis = max(standing.basis, l.basisOffset(sender))
-		standing.exists = l.callsOf(sender).last >= message.WithdrawUpTo
+		existing.dependency = max(existing.dependency, l.dependencyOffset(sender))
+		existing.exists = l.callsOf(sender).last >= message.WithdrawUpTo
 	}
-	return standing
+	return existing
 }
 
-// checkWithdrawal returns why a withdrawal can't be accepted: nothing is under its key, or there
-// are too many tombstones.
+// checkWithdrawal returns why a withdrawal can't be accepted: there is nothing under its key, or
+// there are too many tombstones.
 func (l *Leader) checkWithdrawal(message *Message) error {
 	latest := l.latestForKey(state.Key(message.Topic, message.Key))
 	if latest.message <= latest.withdrawal && message.WithdrawSender == "" {
@@ -131,11 +131,12 @@
 		l.tombstonesFull = true
 		l.options.Observer.TombstonesFull(l.Record.Partition, l.Record.Epoch, count)
 	}
-	return apierror.New(apierror.Overloaded, "%d withdrawals of partition %d stand", count, l.Record.Partition)
+	return apierror.New(apierror.Overloaded,
+		"%d tombstones of partition %d are not dropped yet", count, l.Record.Partition)
 }
 
-// noteUncommittedKey notes an entry that was appended, if it has a key. The lock is held.
-func (l *Leader) noteUncommittedKey(entry log.Entry) {
+// trackUncommittedKey records the offset of an appended entry, if it has a key. l.mu must be held.
+func (l *Leader) trackUncommittedKey(entry log.Entry) {
 	if entry.Key == "" {
 		return
 	}
@@ -149,8 +150,8 @@
 	l.uncommittedKeys[key] = offsets
 }
 
-// clearUncommittedKey drops what was noted of a key once the last entry under it is committed. The
-// lock is held.
+// clearUncommittedKey drops what was tracked of a key once the last entry under it is committed.
+// l.mu must be held.
 func (l *Leader) clearUncommittedKey(entry log.Entry) {
 	if entry.Key == "" {
 		return
@@ -161,8 +162,8 @@
 	}
 }
 
-// dropTombstones drops the tombstones that all readers have read behind and that cover nothing the
-// ledger still holds. The lock is held.
+// dropTombstones drops the tombstones that all readers have read past and that cover nothing that
+// is still in the partition log. l.mu must be held.
 func (l *Leader) dropTombstones() {
 	readByAll := l.logs[log.KindLedger].log.Base().Offset
 	for node, reader := range l.state.Readers {
--- a/internal/partitionlog/leader/tombstones_test.go
+++ b/internal/partitionlog/leader/tombstones_test.go
@@ -12,7 +12,8 @@
 	"postjunction/internal/samza/state"
 )
 
-// Tombstones are bounded, but that is no bound to withdrawing a key again.
+// The number of tombstones is bounded, but that doesn't keep a key that has one from being
+// withdrawn again.
 func TestTombstones_AreBounded(t *testing.T) {
 	withLeader(t, 1, func(t *testing.T, r *rig) {
 		r.options.MaxTombstones = func() int { return 2 }
@@ -22,7 +23,7 @@
 			message("v", 7, "t", "c"),
 		)
 		assert.Equal(t, outcomes[2].Err.Code, apierror.Overloaded)
-		assert.Assert(t, outcomes[3].Err == nil, "messages go on")
+		assert.Assert(t, outcomes[3].Err == nil, "messages are still accepted")
 		r.expectRejected(withdrawal("v", 8, "t", "c"), apierror.Overloaded)
 		assert.DeepEqual(t, r.observed, []string{"full"})
 		r.submitAccepted(message("v", 8, "t", "a"))
@@ -30,26 +31,26 @@
 	})
 }
 
-// trimLedger trims the ledger up to an offset.
-func (r *rig) trimLedger(to uint64) {
+// trimPartitionLog trims the partition log up to an offset.
+func (r *rig) trimPartitionLog(to uint64) {
 	r.t.Helper()
-	ledger := r.logs[log.KindLedger].log
-	r.state.Prune(ledger.Slice(r.prunedTo+1, to, 1<<20, 1<<30)...)
+	partitionLog := r.logs[log.KindLedger].log
+	r.state.Prune(partitionLog.Slice(r.prunedTo+1, to, 1<<20, 1<<30)...)
 	r.prunedTo, r.savedInput = to, to
-	position, ok := ledger.Position(to)
+	position, ok := partitionLog.Position(to)
 	assert.Assert(r.t, ok)
 	r.locked(r.dropTombstones)
 	assert.Assert(
-		r.t, len(r.state.Tombstones) > 0 || ledger.Base().Offset == to,
-		"the line still holds what the mark covers",
+		r.t, len(r.state.Tombstones) > 0 || partitionLog.Base().Offset == to,
+		"the partition log still has what the tombstone covers",
 	)
-	ledger.TrimTo(position)
+	partitionLog.TrimTo(position)
 	r.locked(r.dropTombstones)
 }
 
-// A tombstone is dropped when all readers have read behind it and the ledger has nothing that it
-// covers.
-func TestTombstones_KeptUntilRead(t *testing.T) {
+// A tombstone is dropped when all readers have read past it and the partition log has nothing that
+// it covers.
+func TestTombstones_RetainedUntilRead(t *testing.T) {
 	withLeader(t, 1, func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", "k"))
 		r.follow("a1", "b", "t")
@@ -59,8 +60,8 @@
 		assert.DeepEqual(t, r.View().TombstoneView, TombstoneView{
 			Tombstones: 1, OldestLag: 1, Readers: []ReaderView{{Node: "a1"}},
 		})
-		r.trimLedger(offset)
-		assert.Equal(t, len(r.state.Tombstones), 1, "a reader may still hold it")
+		r.trimPartitionLog(offset)
+		assert.Equal(t, len(r.state.Tombstones), 1, "a reader may still have the message")
 		r.poll("a1", "b", offset)
 		assert.DeepEqual(t, r.View().Readers, []ReaderView{{Node: "a1", Read: offset}})
 		r.locked(r.dropTombstones)
@@ -72,15 +73,15 @@
 		r.submitAccepted(message("v", 1, "t", "k"))
 		r.submitAccepted(withdrawal("v", 2, "t", "k"))
 		r.locked(r.dropTombstones)
-		assert.Equal(t, len(r.state.Tombstones), 1, "the ledger still holds what it covers")
-		r.trimLedger(2)
+		assert.Equal(t, len(r.state.Tombstones), 1, "the partition log still has what it covers")
+		r.trimPartitionLog(2)
 		assert.Equal(t, len(r.state.Tombstones), 0)
 	})
 }
 
-// A new leader whose ledger begins before a tombstone that was dropped skips what it covers, and
-// waits for all readers anew.
-func TestTombstones_StandAgainAfterRecovery(t *testing.T) {
+// A tombstone that was dropped is restored by a new leader whose partition log begins before it.
+// The new leader skips what the tombstone covers, and waits for all readers again.
+func TestTombstones_RestoredAfterRecovery(t *testing.T) {
 	withLeader(t, 1, func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", "k"), message("v", 2, "t", ""))
 		r.follow("a1", "b", "t")
@@ -122,17 +123,17 @@
 	})
 }
 
-// What a tombstone covers is skipped until the ledger is trimmed, though the state counts it as
-// trimmed before.
-func TestTombstones_KeptUntilTheLedgerIsTrimmed(t *testing.T) {
+// What a tombstone covers is skipped until the partition log is trimmed, even if the state already
+// counts it as trimmed.
+func TestTombstones_RetainedUntilTheLogIsTrimmed(t *testing.T) {
 	withLeader(t, 1, func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", "k"))
 		r.follow("a1", "b", "t")
 		r.becomeReader("a1", "b", 0)
 		offset := r.submitAccepted(withdrawal("v", 2, "t", "k"))
 		r.poll("a1", "b", offset)
-		ledger := r.logs[log.KindLedger].log
-		r.state.Prune(ledger.Slice(1, offset, 9, 1<<20)...)
+		partitionLog := r.logs[log.KindLedger].log
+		r.state.Prune(partitionLog.Slice(1, offset, 9, 1<<20)...)
 		r.prunedTo = offset
 		r.locked(r.dropTombstones)
 		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "b", 0)), []uint64{offset})
--- a/internal/partitionlog/leader/view.go
+++ b/internal/partitionlog/leader/view.go
@@ -33,8 +33,8 @@
 		Recovery:  l.recovery,
 		Counters:  l.counters,
 	}
-	if ledger := l.logs[log.KindLedger]; ledger != nil {
-		view.Commit, view.Last, view.LogEntries = ledger.commit, ledger.last.Offset, ledger.log.Len()
+	if partitionLog := l.logs[log.KindLedger]; partitionLog != nil {
+		view.Commit, view.Last, view.LogEntries = partitionLog.commit, partitionLog.last.Offset, partitionLog.log.Len()
 		view.ChangelogEntries = l.logs[log.KindChangelog].log.Len()
 	}
 	if l.state != nil {
@@ -51,14 +51,15 @@
 	return l.stage
 }
 
-// AcceptedTotals returns how many messages were accepted so far, and the bytes of their bodies.
+// AcceptedTotals returns how many messages were accepted so far, and the total size of their
+// bodies.
 func (l *Leader) AcceptedTotals() (messages, bytes uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.counters.Accepted, l.counters.Bytes
 }
 
-// TopicUsage is how a topic was used.
+// TopicUsage is the usage of a topic.
 type TopicUsage struct {
 	Topic    string `json:"t"`
 	Messages uint64 `json:"m"`
@@ -66,8 +67,8 @@
 	Offset   uint64 `json:"o"`
 }
 
-// Usage returns how the partition's topics were used, in no order; NotReady unless the leader is
-// open or closing.
+// Usage returns the usage of the partition's topics, in no order. It returns NotReady unless the
+// leader is open or closing.
 func (l *Leader) Usage() ([]TopicUsage, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,7 +88,7 @@
 	return usages, nil
 }
 
-// checkReadable returns an error unless the state is recovered and the leadership not lost.
+// checkReadable returns an error unless the state is recovered and the leadership is not lost.
 func (l *Leader) checkReadable() error {
 	if l.stage != StageOpen && l.stage != StageClosing {
 		return apierror.New(apierror.NotReady, "partition %d is %s", l.Record.Partition, l.stage)
@@ -101,13 +102,13 @@
 		return l.errLost()
 	}
 	if l.stage == StageClosing {
-		return apierror.New(apierror.ShuttingDown, "partition %d is being handed over", l.Record.Partition)
+		return apierror.New(apierror.ShuttingDown, "partition %d is being transferred", l.Record.Partition)
 	}
 	if err := l.checkMajorityOfMembers(); err != nil {
 		return err
 	}
 	if l.stage != StageOpen {
-		return apierror.New(apierror.NotReady, "partition %d is being taken over at epoch %d",
+		return apierror.New(apierror.NotReady, "partition %d is being recovered at epoch %d",
 			l.Record.Partition, l.Record.Epoch)
 	}
 	return l.options.CheckLease()
@@ -123,18 +124,18 @@
 		}
 	}
 	if members < l.Record.Majority() {
-		return apierror.New(apierror.NoPartitionLeader, "%d of %d copies of partition %d are members",
+		return apierror.New(apierror.NoPartitionLeader, "%d of %d replicas of partition %d are on members",
 			members, len(l.Record.Replicas), l.Record.Partition)
 	}
 	return nil
 }
 
-// checkBacklog returns Overloaded while too many entries of the ledger are uncommitted.
+// checkBacklog returns Overloaded while too many entries of the partition log are uncommitted.
 func (l *Leader) checkBacklog() error {
-	ledger := l.logs[log.KindLedger]
-	if waiting := ledger.last.Offset - ledger.commit; waiting >= uint64(l.options.Backlog()) {
-		return apierror.New(apierror.Overloaded, "%d entries of partition %d wait for a majority",
-			waiting, l.Record.Partition)
+	partitionLog := l.logs[log.KindLedger]
+	if uncommitted := partitionLog.last.Offset - partitionLog.commit; uncommitted >= uint64(l.options.Backlog()) {
+		return apierror.New(apierror.Overloaded, "%d entries of partition %d are uncommitted",
+			uncommitted, l.Record.Partition)
 	}
 	return nil
 }
--- a/internal/partitionlog/leader/withdrawals_test.go
+++ b/internal/partitionlog/leader/withdrawals_test.go
@@ -13,8 +13,8 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-// A retried withdrawal gets the same answer, another message under its number is rejected as
-// altered, and nothing is withdrawn that is not there.
+// A retried withdrawal gets the same answer. Another message under its number is rejected as
+// altered. A withdrawal of a key without a message is rejected.
 func TestWithdrawal_Answers(t *testing.T) {
 	withLeader(t, 1, func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", "k"))
@@ -22,7 +22,7 @@
 		r.expectRejected(withdrawal("v", 2, "u", "k"), apierror.KeyUnknown)
 		assert.Equal(
 			t, r.counters.QuorumChecks, uint64(2),
-			"that nothing is held is said once a majority confirmed the epoch",
+			"key_unknown is answered only after a majority has confirmed the epoch",
 		)
 		assert.Equal(t, r.submitAccepted(withdrawal("v", 2, "t", "k")), uint64(2))
 		outcome := r.submit(withdrawal("v", 2, "t", "k"))[0]
@@ -62,8 +62,8 @@
 	})
 }
 
-// That a tombstone stood already is answered once that is committed and no other leader can have
-// decided since.
+// The answer that a tombstone existed already is given only once that tombstone is committed and no
+// other leader can have decided since.
 func TestWithdrawal_AlreadyWithdrawnWaitsForTheTombstone(t *testing.T) {
 	withLeader(t, 1, func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", "k"))
@@ -86,8 +86,8 @@
 	})
 }
 
-// The numbers of a sender that a withdrawal names are passed for good, from the withdrawal on;
-// those accepted before stay accepted.
+// The numbers of a sender that a withdrawal names are passed for good from the withdrawal on. Those
+// accepted before stay accepted.
 func TestWithdrawal_PassesTheNamedSendersNumbers(t *testing.T) {
 	withLeader(t, 1, func(t *testing.T, r *rig) {
 		withdrawn := withdrawal("w", 1, "t", "k")
@@ -106,17 +106,17 @@
 	withLeader(t, 1, func(t *testing.T, r *rig) {
 		r.evaluate(message("v", 2, "t", "k"))
 		r.commitAll()
-		withdrawn := withdrawal("w", 1, "t", "nothing of it came yet")
+		withdrawn := withdrawal("w", 1, "t", "no message yet")
 		withdrawn.WithdrawSender, withdrawn.WithdrawUpTo = "v", 5
 		r.evaluate(message("v", 3, "t", "k"))
 		r.evaluate(withdrawn)
-		ledger := r.logs[log.KindLedger]
-		ledger.log.Append(time.Now(), ledger.pending[0])
-		ledger.pending, ledger.durable = ledger.pending[1:], 2
-		r.advanceCommit(ledger)
+		partitionLog := r.logs[log.KindLedger]
+		partitionLog.log.Append(time.Now(), partitionLog.pending[0])
+		partitionLog.pending, partitionLog.durable = partitionLog.pending[1:], 2
+		r.advanceCommit(partitionLog)
 		assert.Assert(
 			t, apierror.HasCode(r.evaluate(message("v", 4, "t", "k")).err, apierror.CallPassed),
-			"the message in flight landed, the withdrawal did not yet",
+			"the message in flight is committed, the withdrawal is not yet",
 		)
 		r.commitAll()
 		assert.Equal(t, len(r.uncommitted), 0)
@@ -126,6 +126,6 @@
 		again.WithdrawSender, again.WithdrawUpTo = "v", 4
 		assert.Assert(t, r.evaluate(again).alreadyWithdrawn)
 		again.CallSeq, again.WithdrawUpTo = 3, 6
-		assert.Assert(t, !r.evaluate(again).alreadyWithdrawn, "a higher number is not passed by the mark that stands")
+		assert.Assert(t, !r.evaluate(again).alreadyWithdrawn, "the existing tombstone does not pass a higher number")
 	})
 }
--- a/tools/mutations/samza-state.sh
+++ b/tools/mutations/samza-state.sh
@@ -3,7 +3,7 @@
 mutant prune-keeps-last internal/samza/state/accepted.go 's/(calls\.Floor = max\(calls\.Floor, calls\.Recent\[pruned-1\]\.CallSeq\)\n\t+)calls\.Recent = calls\.Recent\[pruned:\]/$1calls.Recent, calls.Last = calls.Recent[pruned:], 0/' ./internal/samza/state 'Pruning'
 mutant floor internal/samza/state/accepted.go 's/calls\.Floor = max\(calls\.Floor, calls\.Recent\[pruned-1\]\.CallSeq\)/calls.Floor += 0/' ./internal/testing/transcript 'BadInput'
 mutant recall-again internal/samza/state/apply.go 's/s\.RestoreAnswer\(entry\)\n/_ = entry\n/' ./internal/samza/changelog 'WithoutItsRecord'
-mutant mark-stands-again internal/samza/state/accepted.go 's/if entry\.Type == log\.TypeWithdrawal \{\n\t\ts\.addTombstone\(entry\)\n\t\}//' ./internal/partitionlog/leader 'StandAgainAfterRecovery'
+mutant mark-stands-again internal/samza/state/accepted.go 's/if entry\.Type == log\.TypeWithdrawal \{\n\t\ts\.addTombstone\(entry\)\n\t\}//' ./internal/partitionlog/leader 'RestoredAfterRecovery'
 mutant mark-let-go-for-good internal/samza/state/items.go 's/if len\(encoded\) == 0 \|\| string\(encoded\) == \"null\" \{/if len(encoded) == 0 {/' ./internal/samza/changelog 'MarksSurvive'
 mutant sender-passed internal/samza/state/apply.go 's/calls\.Last = withdrawal\.UpTo/calls.Last += 0/' ./internal/partitionlog/leader 'NamedSender'
 mutant fleet-readers-kept internal/samza/state/items.go 's/readers:     func\(s \*State, name string, value \[\]byte\) error \{ return put\(s\.Readers, name, value\) \}/readers: func(*State, string, []byte) error { return nil }/' $S 'YesWaits'
