--- a/internal/command/serve/lines.go
+++ b/internal/command/serve/lines.go
@@ -32,7 +32,7 @@
 	}
 	return lineserver.New(lineserver.Options{
 		Sessions: sessionRegistry{n.Sessions}, Codec: codec, Clock: clock.Real{},
-		Keepalive: time.Duration(opts.Keepalive), Retry: opts.Timing().MaxBackoff(),
+		Keepalive: time.Duration(opts.Keepalive), AcceptRetryDelay: opts.Timing().MaxBackoff(),
 		BodyLimit:      func() int { return bodyLimit(opts.BodyLimit, n.Store.Configuration().Limits.Body) },
 		MaxConnections: opts.Descriptors * lineDescriptorsNum / lineDescriptorsDenom,
 	})
--- a/internal/lineserver/lines.go
+++ b/internal/lineserver/lines.go
@@ -21,9 +21,9 @@
 	End()
 }
 
-// Buffered is a guest who minds where its answers wait, so that they can be taken back. The
-// function that it gives is called once none waits there any more.
-type Buffered interface {
+// BufferedSession is a session whose pending responses can be dropped before they are written. The
+// function that AttachBuffer returns is called once no response is pending for good.
+type BufferedSession interface {
 	AttachBuffer(x session.Buffer) func()
 }
 
@@ -40,15 +40,16 @@
 	AppendResponse(b []byte, a session.Response) []byte
 }
 
-// Options of a server. Most bounds the connections, 0 for no bound; Retry is the pause after a failed accept.
+// Options of a server. MaxConnections bounds the connections, 0 for no bound; AcceptRetryDelay is
+// the pause after a failed accept.
 type Options struct {
-	Sessions       Sessions
-	Codec          Codec
-	Clock          clock.Clock
-	Keepalive      time.Duration
-	Retry          time.Duration
-	BodyLimit      func() int
-	MaxConnections int
+	Sessions         Sessions
+	Codec            Codec
+	Clock            clock.Clock
+	Keepalive        time.Duration
+	AcceptRetryDelay time.Duration
+	BodyLimit        func() int
+	MaxConnections   int
 }
 
 const (
@@ -99,7 +100,7 @@
 		case errors.Is(err, net.ErrClosed) || v.ctx.Err() != nil:
 			return nil
 		default:
-			_ = v.s.Clock.Sleep(v.ctx, v.s.Retry)
+			_ = v.s.Clock.Sleep(v.ctx, v.s.AcceptRetryDelay)
 		}
 	}
 }
@@ -209,7 +210,7 @@
 func (c *conn) serve() {
 	defer c.v.drop(c)
 	g := c.v.s.Sessions.NewSession(c.put)
-	if x, ok := g.(Buffered); ok {
+	if x, ok := g.(BufferedSession); ok {
 		c.freed = x.AttachBuffer(c)
 	}
 	r := bufio.NewReaderSize(c.n, readBytes)
--- a/internal/lineserver/lines_test.go
+++ b/internal/lineserver/lines_test.go
@@ -101,7 +101,7 @@
 	f func(t *testing.T, s *lineserver.Server, l *pipes)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := lineserver.New(lineserver.Options{
-			Sessions: x, Codec: jsoncodec.Codec{}, Clock: clock.Real{}, Keepalive: keepalive, Retry: 200 * time.Millisecond,
+			Sessions: x, Codec: jsoncodec.Codec{}, Clock: clock.Real{}, Keepalive: keepalive, AcceptRetryDelay: 200 * time.Millisecond,
 			BodyLimit: func() int { return 64 }, MaxConnections: most,
 		})
 		l := listen()
@@ -290,7 +290,7 @@
 func TestLastAnswersAreWritten(t *testing.T) {
 	h := &hall{do: echo}
 	s := lineserver.New(lineserver.Options{Sessions: h, Codec: jsoncodec.Codec{}, Clock: clock.Real{},
-		Keepalive: keepalive, Retry: keepalive, BodyLimit: func() int { return 64 }})
+		Keepalive: keepalive, AcceptRetryDelay: keepalive, BodyLimit: func() int { return 64 }})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	done := make(chan error)
--- a/internal/testing/sim/socket.go
+++ b/internal/testing/sim/socket.go
@@ -255,7 +255,7 @@
 	p := &lineServer{l: &connListener{c: make(chan net.Conn), done: make(chan struct{})}}
 	p.s = lineserver.New(lineserver.Options{
 		Sessions: sessionRegistry{n.Sessions}, Codec: lineCodec{}, Clock: machineClock{m},
-		Keepalive: Habits().Keepalive, Retry: m.w.Site.Timing.MaxBackoff(), BodyLimit: func() int { return maxBodyBytes },
+		Keepalive: Habits().Keepalive, AcceptRetryDelay: m.w.Site.Timing.MaxBackoff(), BodyLimit: func() int { return maxBodyBytes },
 	})
 	go func() { _ = p.s.Serve(p.l) }()
 	return p
