--- a/internal/client/session/protocol.go
+++ b/internal/client/session/protocol.go
@@ -9,7 +9,7 @@
 // requests of a session are driven by its connection. Nothing here blocks a connection: responses
 // go to a Sink that never blocks, and Count and Withdraw wait in goroutines of their own that end
 // with the context given to Start. Locks are held for map access only, never over calls to the hub,
-// the ledger or a sink.
+// the partition log or a sink.
 package session
 
 import "postjunction/internal/delivery/fanout"
--- a/internal/client/session/publish.go
+++ b/internal/client/session/publish.go
@@ -40,7 +40,7 @@
 		}
 		s.out(Response{Type: Accepted, Topic: request.Topic, CallSeq: request.CallSeq})
 	}
-	s.registry.Ledger.SubmitAsync(s.registry.ctx, partition, message, s.registry.decisionDeadline(space), done)
+	s.registry.PartitionLog.SubmitAsync(s.registry.ctx, partition, message, s.registry.decisionDeadline(space), done)
 	return nil
 }
 
--- a/internal/client/session/publish_test.go
+++ b/internal/client/session/publish_test.go
@@ -17,7 +17,7 @@
 func TestSend_RejectedAttemptPromisesNothingOfItsNumber(t *testing.T) {
 	rejectAll := func(code apierror.Code) func(*fixture) {
 		return func(fixture *fixture) {
-			fixture.Ledger = &fakeLedger{decide: func(*leader.Message) (*leader.Decision, error) {
+			fixture.PartitionLog = &fakeLedger{decide: func(*leader.Message) (*leader.Decision, error) {
 				return nil, apierror.New(code, "so")
 			}}
 		}
@@ -46,7 +46,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			withSession(t, func(t *testing.T, fixture *fixture, session *Session) {
-				fixture.Ledger = &fakeLedger{}
+				fixture.PartitionLog = &fakeLedger{}
 				c.reject(fixture)
 				session.Do(Request{Verb: Send, Topic: "kept/a", CallSeq: 7, Body: []byte("x")})
 				session.Do(Request{Verb: Withdraw, Topic: "kept/a", CallSeq: 8, Key: "k"})
--- a/internal/client/session/registry.go
+++ b/internal/client/session/registry.go
@@ -16,8 +16,8 @@
 	"postjunction/internal/settings"
 )
 
-// Ledger is the partition log as sessions use it, wherever the partition's leader runs.
-type Ledger interface {
+// PartitionLog is the partition log as sessions use it, wherever the partition's leader runs.
+type PartitionLog interface {
 	// SubmitAsync has a message decided before until and calls done once with the outcome; it
 	// doesn't block.
 	SubmitAsync(ctx context.Context, partition int, message *leader.Message, until time.Time,
@@ -36,17 +36,17 @@
 // Registry keeps the sessions of one node. The exported fields are set before Start and not changed
 // after it.
 type Registry struct {
-	Self       string
-	Clock      clock.Clock
-	Timing     settings.Timing
-	Store      *gossip.Store
-	Hub        *fanout.Hub
-	Ledger     Ledger
-	CheckLease func() error
-	Draining   <-chan struct{}
-	Members    func() []membership.Info
-	Info       func() membership.Info
-	BodyLimit  int
+	Self         string
+	Clock        clock.Clock
+	Timing       settings.Timing
+	Store        *gossip.Store
+	Hub          *fanout.Hub
+	PartitionLog PartitionLog
+	CheckLease   func() error
+	Draining     <-chan struct{}
+	Members      func() []membership.Info
+	Info         func() membership.Info
+	BodyLimit    int
 
 	ctx context.Context
 
--- a/internal/client/session/session.go
+++ b/internal/client/session/session.go
@@ -204,7 +204,7 @@
 		return err
 	}
 	go func() {
-		count, err := s.registry.Ledger.Subscribers(s.registry.ctx, partition, request.Topic)
+		count, err := s.registry.PartitionLog.Subscribers(s.registry.ctx, partition, request.Topic)
 		if err != nil {
 			s.reject(request, err)
 			return
--- a/internal/client/session/withdraw.go
+++ b/internal/client/session/withdraw.go
@@ -17,7 +17,7 @@
 	if !isPrintable(key, maxKeyBytes) {
 		return apierror.New(apierror.Malformed, "a key must be 1 to %d printable bytes without spaces", maxKeyBytes)
 	}
-	return r.Ledger.CheckKeysSupported()
+	return r.PartitionLog.CheckKeysSupported()
 }
 
 func (s *Session) withdraw(request Request) error {
@@ -53,7 +53,7 @@
 		}
 		go s.awaitReaders(request, partition, decision, until)
 	}
-	s.registry.Ledger.SubmitAsync(s.registry.ctx, partition, message, until, done)
+	s.registry.PartitionLog.SubmitAsync(s.registry.ctx, partition, message, until, done)
 	return nil
 }
 
@@ -113,5 +113,5 @@
 	left := max(until.Sub(r.Clock.Now()), 0)
 	ctx, cancel := context.WithTimeout(r.ctx, left+r.Timing.MaxBackoff())
 	defer cancel()
-	return r.Ledger.PendingReaders(ctx, partition, offset, min(left, r.Timing.LongPoll()))
+	return r.PartitionLog.PendingReaders(ctx, partition, offset, min(left, r.Timing.LongPoll()))
 }
--- a/internal/client/session/withdraw_test.go
+++ b/internal/client/session/withdraw_test.go
@@ -183,7 +183,7 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			withSession(t, func(t *testing.T, fixture *fixture, session *Session) {
-				fixture.Ledger = test.c
+				fixture.PartitionLog = test.c
 				responses := fixture.recordTimed(session)
 				session.Do(test.do)
 				time.Sleep(2 * settings.DefaultTiming.CallTimeout())
@@ -203,7 +203,7 @@
 			}
 			return noPendingReaders(call)
 		}}
-		fixture.Ledger = ledger
+		fixture.PartitionLog = ledger
 		responses := fixture.recordTimed(session)
 		session.Do(Request{Verb: Withdraw, Topic: "live/a", Key: "k", CallSeq: 7, WithdrawSender: "w", WithdrawUpTo: 3})
 		session.Do(Request{Verb: Send, Topic: "live/a", Key: "k", CallSeq: 8, Body: []byte("x")})
--- a/internal/node/wiring.go
+++ b/internal/node/wiring.go
@@ -159,7 +159,7 @@
 	n.hub = fanout.New(ctx, self, n.bootID, n.router, n.Store, clk, timing)
 	n.Sessions = (&session.Registry{
 		Self: self, Clock: clk, Timing: timing, BodyLimit: opts.BodyLimit,
-		Store: n.Store, Hub: n.hub, Ledger: n.router,
+		Store: n.Store, Hub: n.hub, PartitionLog: n.router,
 		CheckLease: n.leaseManager.CheckLease, Draining: n.draining, Members: n.View.All, Info: n.Info,
 	}).Start(ctx)
 }
--- a/internal/testing/sim/boot_test.go
+++ b/internal/testing/sim/boot_test.go
@@ -80,7 +80,7 @@
 		}
 		p := partition.Of(topic, sp.Urgent, x.Store.VoterSet().Layout)
 		done := make(chan error, 1)
-		x.Sessions.Ledger.SubmitAsync(w.ctx, p, &leader.Message{Client: who, Topic: topic, CallSeq: call, Body: []byte(`"b"`)}, time.Now().Add(w.Site.Timing.CallTimeout()), func(d *leader.Decision, err error) {
+		x.Sessions.PartitionLog.SubmitAsync(w.ctx, p, &leader.Message{Client: who, Topic: topic, CallSeq: call, Body: []byte(`"b"`)}, time.Now().Add(w.Site.Timing.CallTimeout()), func(d *leader.Decision, err error) {
 			if err == nil {
 				mu.Lock()
 				last[topic] = max(last[topic], d.Offset)
