--- a/internal/lineserver/bench_test.go
+++ b/internal/lineserver/bench_test.go
@@ -8,24 +8,26 @@
 	"postjunction/internal/client/session"
 )
 
-type deaf struct{ net.Conn }
+type discardConn struct{ net.Conn }
 
-func (deaf) Write(b []byte) (int, error) { return len(b), nil }
+func (discardConn) Write(b []byte) (int, error) { return len(b), nil }
 
-type short struct{ Codec }
+type bodyCodec struct{ Codec }
 
-func (short) AppendResponse(b []byte, a session.Response) []byte { return append(b, a.Body...) }
+func (bodyCodec) AppendResponse(b []byte, response session.Response) []byte {
+	return append(b, response.Body...)
+}
 
 func BenchmarkAnswersWithoutKeys(b *testing.B) {
-	c := &conn{v: &Server{s: Options{Codec: short{}}}, n: deaf{}}
-	a := session.Response{Type: session.Message, Topic: "a", Cursor: "c", From: "v", CallSeq: 7,
+	connection := &conn{server: &Server{options: Options{Codec: bodyCodec{}}}, netConn: discardConn{}}
+	response := session.Response{Type: session.Message, Topic: "a", Cursor: "c", From: "v", CallSeq: 7,
 		Body: bytes.Repeat([]byte("1"), 100)}
 	b.ReportAllocs()
 	for b.Loop() {
-		c.writing = true
+		connection.isWriting = true
 		for range 16 {
-			c.put(a)
+			connection.enqueue(response)
 		}
-		c.flush()
+		connection.flush()
 	}
 }
--- a/internal/lineserver/jsoncodec/codec.go
+++ b/internal/lineserver/jsoncodec/codec.go
@@ -18,7 +18,7 @@
 // Codec reads and writes JSON lines. It implements lineserver.Codec.
 type Codec struct{}
 
-type request struct {
+type encodedRequest struct {
 	Verb           session.Verb    `json:"verb"`
 	Client         string          `json:"visitor,omitempty"`
 	Topic          string          `json:"topic,omitempty"`
@@ -30,7 +30,7 @@
 	WithdrawUpTo   uint64          `json:"upto,omitempty"`
 }
 
-type response struct {
+type encodedResponse struct {
 	Type             session.ResponseType `json:"what"`
 	InReplyTo        session.Verb         `json:"re,omitempty"`
 	Topic            string               `json:"topic,omitempty"`
@@ -74,19 +74,19 @@
 		session.Subscribe: {"cursor"}, session.Send: {"key"}, session.Withdraw: {"of", "upto"},
 	}
 	shapes = func() map[session.Verb]strictjson.Shape {
-		m := map[session.Verb]strictjson.Shape{}
-		for v, fs := range required {
-			s := strictjson.Shape{
+		byVerb := map[session.Verb]strictjson.Shape{}
+		for verb, names := range required {
+			shape := strictjson.Shape{
 				Kind:   strictjson.Object,
-				Needed: append([]string{"verb"}, fs...),
+				Needed: append([]string{"verb"}, names...),
 				Fields: map[string]strictjson.Shape{"verb": text},
 			}
-			for _, f := range append(optional[v], fs...) {
-				s.Fields[f] = fields[f]
+			for _, name := range append(optional[verb], names...) {
+				shape.Fields[name] = fields[name]
 			}
-			m[v] = s
+			byVerb[verb] = shape
 		}
-		return m
+		return byVerb
 	}()
 )
 
@@ -97,9 +97,9 @@
 	if err != nil {
 		return session.Request{}, err
 	}
-	var decoded request
+	var decoded encodedRequest
 	if err := json.Unmarshal(line, &decoded); err != nil {
-		return session.Request{}, lineserver.Malformed(true, "the line is no JSON object of a task")
+		return session.Request{}, lineserver.Malformed(true, "the line is not a JSON request object")
 	}
 	parsed := session.Request{
 		Verb:           decoded.Verb,
@@ -134,7 +134,9 @@
 	if len(decoded.Body) > maxBody {
 		parsed.Body = nil
 		return parsed, &lineserver.Fault{
-			Err:      apierror.New(apierror.Oversize, "the body has %d bytes, the limit is %d", len(decoded.Body), maxBody),
+			Err: apierror.New(
+				apierror.Oversize, "the body has %d bytes, the limit is %d", len(decoded.Body), maxBody,
+			),
 			Resynced: true,
 		}
 	}
@@ -142,38 +144,38 @@
 }
 
 // AppendResponse appends a response as one line.
-func (Codec) AppendResponse(b []byte, answer session.Response) []byte {
-	encoded := response{
-		Type:             answer.Type,
-		InReplyTo:        answer.InReplyTo,
-		Topic:            answer.Topic,
-		From:             answer.From,
-		CallSeq:          answer.CallSeq,
-		Cursor:           answer.Cursor,
-		Key:              answer.Key,
-		Address:          answer.Address,
-		AlreadyWithdrawn: answer.AlreadyWithdrawn,
-		GivenUp:          answer.GivenUp,
-	}
-	if answer.Type == session.Counted {
-		encoded.Count = &answer.Count
-	}
-	if answer.Body != nil {
-		encoded.Body = jsonBody(answer.Body)
-	}
-	if answer.Err != nil {
-		problem := apierror.From(answer.Err)
+func (Codec) AppendResponse(b []byte, response session.Response) []byte {
+	encoded := encodedResponse{
+		Type:             response.Type,
+		InReplyTo:        response.InReplyTo,
+		Topic:            response.Topic,
+		From:             response.From,
+		CallSeq:          response.CallSeq,
+		Cursor:           response.Cursor,
+		Key:              response.Key,
+		Address:          response.Address,
+		AlreadyWithdrawn: response.AlreadyWithdrawn,
+		GivenUp:          response.GivenUp,
+	}
+	if response.Type == session.Counted {
+		encoded.Count = &response.Count
+	}
+	if response.Body != nil {
+		encoded.Body = jsonBody(response.Body)
+	}
+	if response.Err != nil {
+		problem := apierror.From(response.Err)
 		encoded.Code, encoded.Message, encoded.Advice = problem.Code, problem.Message, problem.Advice()
 		encoded.Current, encoded.RetryAfterMS = problem.Current, problem.RetryAfterMS
 	}
 	line, err := rawjson.Marshal(encoded)
 	if err != nil {
 		line, _ = rawjson.Marshal(
-			response{
+			encodedResponse{
 				Type:      session.Rejected,
-				InReplyTo: answer.InReplyTo,
-				Topic:     answer.Topic,
-				CallSeq:   answer.CallSeq,
+				InReplyTo: response.InReplyTo,
+				Topic:     response.Topic,
+				CallSeq:   response.CallSeq,
 				Code:      apierror.Internal,
 			},
 		)
--- a/internal/lineserver/jsoncodec/codec_test.go
+++ b/internal/lineserver/jsoncodec/codec_test.go
@@ -131,13 +131,13 @@
 
 func TestReadRequest_RejectsFaultyLines(t *testing.T) {
 	cases := map[string]string{
-		``:                             "malformed: the line is no JSON object of a task",
-		`[]`:                           "malformed: the line is no JSON object of a task",
-		`{"verb":"join"} 1`:            "malformed: the line is no JSON object of a task",
+		``:                             "malformed: the line is not a JSON request object",
+		`[]`:                           "malformed: the line is not a JSON request object",
+		`{"verb":"join"} 1`:            "malformed: the line is not a JSON request object",
 		`{"verb":"Join","topic":"a"}`:  `malformed: there is no verb "Join"`,
 		`{"verb":"pulse","topic":"a"}`: "malformed: $.topic: is not a field of this document",
 		`{"verb":"join","topic":"a","topic":"b"}`:                "malformed: $.topic: stands twice",
-		`{"verb":"send","topic":"a","call_seq":-1,"body":1}`:     "malformed: the line is no JSON object of a task",
+		`{"verb":"send","topic":"a","call_seq":-1,"body":1}`:     "malformed: the line is not a JSON request object",
 		`{"verb":"send","topic":"a","body":1}`:                   "malformed: $.call_seq: is missing",
 		`{"verb":"send","topic":"a","call_seq":1,"body":123456}`: "oversize: the body has 6 bytes, the limit is 5",
 
@@ -175,15 +175,15 @@
 	} {
 		f.Add([]byte(seed))
 	}
-	f.Fuzz(func(t *testing.T, b []byte) {
-		r := bufio.NewReaderSize(bytes.NewReader(b), 64)
+	f.Fuzz(func(t *testing.T, input []byte) {
+		r := bufio.NewReaderSize(bytes.NewReader(input), 64)
 		for n := 0; ; n++ {
 			request, err := Codec{}.ReadRequest(r, 32)
 			assert.Assert(t, len(request.Body) <= 32)
 			var fault *lineserver.Fault
 			if err != nil && !errors.As(err, &fault) {
 				assert.ErrorIs(t, err, io.EOF)
-				assert.Assert(t, n <= bytes.Count(b, []byte("\n")))
+				assert.Assert(t, n <= bytes.Count(input, []byte("\n")))
 				return
 			}
 		}
--- a/internal/lineserver/read.go
+++ b/internal/lineserver/read.go
@@ -9,76 +9,82 @@
 	"postjunction/internal/apierror"
 )
 
-// ReadLine reads one line of at most most bytes without its end, LF or CRLF. It is valid until the
-// next read. A longer line is skipped and is a fault; a line without its end is dropped.
-func ReadLine(r *bufio.Reader, most int) ([]byte, error) {
-	b, err := r.ReadSlice('\n')
+// ReadLine reads one line of at most maxBytes bytes and returns it without its end, LF or CRLF. It
+// is valid until the next read. A longer line is skipped and is a fault. A line without an end is
+// dropped.
+func ReadLine(r *bufio.Reader, maxBytes int) ([]byte, error) {
+	line, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		var all []byte
+		var joined []byte
 		for errors.Is(err, bufio.ErrBufferFull) {
-			if len(all) <= most {
-				all = append(all, b...)
+			if len(joined) <= maxBytes {
+				joined = append(joined, line...)
 			}
-			b, err = r.ReadSlice('\n')
+			line, err = r.ReadSlice('\n')
 		}
-		if len(all) <= most {
-			all = append(all, b...)
+		if len(joined) <= maxBytes {
+			joined = append(joined, line...)
 		}
-		b = all
+		line = joined
 	}
 	if err != nil {
 		return nil, err
 	}
-	b = bytes.TrimSuffix(b[:len(b)-1], []byte("\r"))
-	if len(b) > most {
-		return nil, &Fault{Err: apierror.New(apierror.Oversize, "the line is longer than %d bytes", most), Resynced: true}
+	line = bytes.TrimSuffix(line[:len(line)-1], []byte("\r"))
+	if len(line) > maxBytes {
+		return nil, &Fault{Err: apierror.New(apierror.Oversize, "the line is longer than %d bytes", maxBytes),
+			Resynced: true}
 	}
-	return b, nil
+	return line, nil
 }
 
-// skipShare is how many times the limit a body may have to be skipped; after a longer one the connection ends.
-const skipShare = 64
+// maxSkipFactor bounds the bodies that are skipped: up to this many times the limit. A longer body
+// closes the connection.
+const maxSkipFactor = 64
 
-// ReadBody reads n bytes and the line's end after them, CRLF. A body longer than most is skipped and is a fault.
-func ReadBody(r *bufio.Reader, n, most int) ([]byte, error) {
-	if n > most {
-		long := &Fault{Err: apierror.New(apierror.Oversize, "the body has %d bytes, the limit is %d", n, most),
-			Resynced: true}
-		if n/skipShare > most {
-			long.Resynced = false
-			return nil, long
+// ReadBody reads a body of length bytes and the CRLF after it. A body longer than maxBytes is
+// skipped and is a fault.
+func ReadBody(r *bufio.Reader, length, maxBytes int) ([]byte, error) {
+	if length > maxBytes {
+		tooLong := &Fault{
+			Err:      apierror.New(apierror.Oversize, "the body has %d bytes, the limit is %d", length, maxBytes),
+			Resynced: true,
+		}
+		if length/maxSkipFactor > maxBytes {
+			tooLong.Resynced = false
+			return nil, tooLong
 		}
-		if _, err := r.Discard(n); err != nil {
+		if _, err := r.Discard(length); err != nil {
 			return nil, err
 		}
-		if err := end(r); err != nil {
+		if err := readCRLF(r); err != nil {
 			return nil, err
 		}
-		return nil, long
+		return nil, tooLong
 	}
-	b := make([]byte, n)
-	if _, err := io.ReadFull(r, b); err != nil {
+	body := make([]byte, length)
+	if _, err := io.ReadFull(r, body); err != nil {
 		return nil, err
 	}
-	return b, end(r)
+	return body, readCRLF(r)
 }
 
-func end(r *bufio.Reader) error {
-	var b [2]byte
-	if _, err := io.ReadFull(r, b[:]); err != nil {
+func readCRLF(r *bufio.Reader) error {
+	var terminator [2]byte
+	if _, err := io.ReadFull(r, terminator[:]); err != nil {
 		return err
 	}
-	if b != [2]byte{'\r', '\n'} {
+	if terminator != [2]byte{'\r', '\n'} {
 		return Malformed(false, "the body is not followed by CRLF")
 	}
 	return nil
 }
 
-// Fatal makes a fault one after which the connection ends.
+// Fatal returns a fault as one that closes the connection, and any other error as it is.
 func Fatal(err error) error {
-	var f *Fault
-	if errors.As(err, &f) {
-		return &Fault{Err: f.Err}
+	var fault *Fault
+	if errors.As(err, &fault) {
+		return &Fault{Err: fault.Err}
 	}
 	return err
 }
