--- a/internal/lineserver/buffer_test.go
+++ b/internal/lineserver/buffer_test.go
@@ -200,7 +200,9 @@
 // withdrawn meanwhile.
 func TestPendingResponses_OutlastTheSession(t *testing.T) {
 	sessions := &bufferedSessions{}
-	test := func(t *testing.T, _ *lineserver.Server, listener *pipeListener) {
+	withServerOf(t, 0, &sessions.fakeSessions, sessions, func(
+		t *testing.T, _ *lineserver.Server, listener *pipeListener,
+	) {
 		serverSide, client := net.Pipe()
 		conn := halfClosedConn{serverSide, make(chan struct{})}
 		listener.accepted <- conn
@@ -220,6 +222,5 @@
 		assert.Assert(t, strings.Contains(string(rest), `"call_seq":6`))
 		synctest.Wait()
 		assert.Equal(t, sessions.drained, 1)
-	}
-	withServerOf(t, 0, &sessions.fakeSessions, sessions, test)
+	})
 }
--- a/internal/lineserver/server.go
+++ b/internal/lineserver/server.go
@@ -182,7 +182,8 @@
 	}
 }
 
-// Shutdown accepts no more connections, waits for the open ones until ctx ends, and closes the rest.
+// Shutdown accepts no more connections, waits for the open ones until ctx ends, and closes the
+// rest.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.stopAccepting()
 	for s.Count() > 0 && s.options.Clock.Sleep(ctx, s.options.Keepalive/shutdownPollDivisor) == nil {
