--- a/internal/client/calls.go
+++ b/internal/client/calls.go
@@ -42,7 +42,7 @@
 func (s *Service) send(ctx context.Context, request *Request) error {
 	var body bytes.Buffer
 	if err := json.Compact(&body, request.Body); err != nil {
-		return apierror.Wrap(apierror.Malformed, err, "body is no JSON value")
+		return apierror.Wrap(apierror.Malformed, err, "body is not a JSON value")
 	}
 	if body.Len() > s.BodyLimit {
 		return apierror.New(apierror.Oversize, "the body has %d bytes, the limit is %d", body.Len(), s.BodyLimit)
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// submit has a message or a withdrawal decided by the partition's leader.
+// submit sends a message or a withdrawal to the partition's leader and returns the decision.
 func (s *Service) submit(ctx context.Context, request *Request, message *leader.Message) (*leader.Decision, error) {
 	if request.Key != nil {
 		if err := log.CheckName("key", *request.Key); err != nil {
--- a/internal/client/event.go
+++ b/internal/client/event.go
@@ -4,8 +4,8 @@
 	"encoding/json"
 )
 
-// Event is one line of a stream: a message, a withdrawal, the greeting, a change of what is
-// followed, a sign of life, or the end with its reason.
+// Event is one line of a stream: the opening, a message, a withdrawal, a change of the followed
+// topics, a keepalive, or the end with its reason.
 type Event struct {
 	Topic        string          `json:"topic,omitempty"`
 	From         string          `json:"from,omitempty"`
--- a/internal/client/policies.go
+++ b/internal/client/policies.go
@@ -92,8 +92,8 @@
 	return next(ctx, request)
 }
 
-// rejectCallNumber has a call that was admitted rejected by what is known of its number. What keeps
-// calls out before that is said of the node and the moment.
+// rejectCallNumber rejects an admitted call by what is known of its number. The rejections of the
+// policies before it depend only on the node and its current state.
 func (s *Service) rejectCallNumber(ctx context.Context, request *Request, next callpolicy.Next[*Request]) error {
 	return router.RejectCallNumber(next(ctx, request))
 }
--- a/internal/client/policies_test.go
+++ b/internal/client/policies_test.go
@@ -40,16 +40,19 @@
 	}
 }
 
-// Guards against a message delivered twice: no_owner says that a call was surely not accepted,
-// which no node knows of a number that may have been sent before.
+// Guards against a message delivered twice: no_owner promises that a call was not accepted. No node
+// can promise that for a number that may have been sent before.
 func TestDo_AdmittedCallNumberIsNeverPromisedAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		service, key := serviceWithoutLeader(), "k"
 		bearer := token.Token{Client: "v", Generation: 1, Secret: token.NewSecret()}.Encode()
 		for verb, code := range map[string]apierror.Code{
-			VerbSend: apierror.OutcomeUnknown, VerbWithdraw: apierror.OutcomeUnknown, VerbAck: apierror.NoPartitionLeader,
+			VerbSend: apierror.OutcomeUnknown, VerbWithdraw: apierror.OutcomeUnknown,
+			VerbAck: apierror.NoPartitionLeader,
 		} {
-			request := &Request{Verb: verb, Token: bearer, Topics: []string{"kept/a"}, CallSeq: 1, Body: []byte("1"), Key: &key}
+			request := &Request{
+				Verb: verb, Token: bearer, Topics: []string{"kept/a"}, CallSeq: 1, Body: []byte("1"), Key: &key,
+			}
 			_, err := service.Do(t.Context(), request)
 			assert.Equal(t, apierror.From(err).Code, code, "%s: %v", verb, err)
 			assert.Assert(t, apierror.From(err).RetryAfter > 0, "%s: %v", verb, err)
@@ -58,8 +61,8 @@
 	})
 }
 
-// A node that takes no calls at all says so, with the codes that send clients to another node.
-func TestDo_NodeThatTakesNoCallsSaysSo(t *testing.T) {
+// A node that rejects all calls returns the codes that send clients to another node.
+func TestDo_NodeWithoutLeaseRejectsCalls(t *testing.T) {
 	service := serviceWithoutLeader()
 	service.CheckLease = func() error { return apierror.New(apierror.NoLease, "so") }
 	_, err := service.Do(t.Context(), &Request{Verb: VerbSend, Topics: []string{"kept/a"}, CallSeq: 1})
--- a/internal/client/rejections/rejections.go
+++ b/internal/client/rejections/rejections.go
@@ -1,4 +1,4 @@
-// Package rejections remembers the newest calls that a node rejected, and why. A Recorder is shared
+// Package rejections records the newest calls that a node rejected, and why. A Recorder is shared
 // by all goroutines of the node and never blocks.
 package rejections
 
@@ -23,7 +23,7 @@
 	Message string    `json:"say"`
 }
 
-// Ring keeps the newest values up to a number.
+// Ring retains the newest values, up to a limit.
 type Ring[T any] struct {
 	// mu guards the fields below. Once the ring is full, next is the index of the oldest value.
 	mu     sync.Mutex
@@ -73,7 +73,7 @@
 	Rejections []Rejection `json:"n,omitempty"`
 }
 
-// List is the call between nodes.
+// List is the procedure by which a node reads the rejections of another.
 var List = wire.NewProcedure[Request, Response]("Visitor", "Turned", wire.ReadOnly, "notes of rejected calls")
 
 // Recorder has the rejections of one node.
@@ -97,7 +97,7 @@
 	return found[max(0, len(found)-maxListed):]
 }
 
-// Serve registers the call.
+// Serve registers the procedure.
 func (r Recorder) Serve(mux *http.ServeMux) {
 	List.Handle(mux, func(_ context.Context, request *Request) (*Response, error) {
 		return &Response{Rejections: r.Find(*request)}, nil
--- a/internal/client/request.go
+++ b/internal/client/request.go
@@ -16,7 +16,7 @@
 	VerbFollow = "follow"
 	VerbAck    = "ack"
 	VerbCount  = "count"
-	// VerbWithdraw withdraws what stands under a key.
+	// VerbWithdraw withdraws the messages under a key.
 	VerbWithdraw = "withdraw"
 )
 
@@ -30,16 +30,16 @@
 	Body    json.RawMessage
 	Cursor  string
 	Emit    Emit
-	// Abort makes the write that Emit is doing fail, and all after it; it does not block.
+	// Abort makes the write in flight of Emit fail, and all later ones. It doesn't block.
 	Abort func()
-	// Key is that of a message, or what a withdrawal withdraws.
+	// Key is the key of a message, or the key under which a withdrawal withdraws.
 	Key *string
 	// WithdrawSender and WithdrawUpTo name a sender and its highest CallSeq that a withdrawal
 	// covers too.
 	WithdrawSender string
 	WithdrawUpTo   uint64
 
-	// What the policies of the call found out, and its outcome.
+	// The fields below are set by the policies and the handler of the call.
 	identity    token.Token
 	spaces      []configuration.Space
 	savedCursor string
@@ -77,9 +77,9 @@
 	Duplicate bool   `json:"repeat"`
 }
 
-// Withdrawal is the response to withdraw: where its tombstone is, and that no node shows what it
-// covers. GivenUp names nodes that were not heard from for so long that they have disconnected
-// their clients.
+// Withdrawal is the response to withdraw: the offset of its tombstone, and that no node delivers
+// the messages that it covers any more. GivenUp names nodes that sent nothing for so long that they
+// have disconnected their clients.
 type Withdrawal struct {
 	Topic            string   `json:"topic"`
 	Key              string   `json:"key"`
--- a/internal/client/service.go
+++ b/internal/client/service.go
@@ -1,12 +1,12 @@
 // Package client serves the calls of clients: attach, send, withdraw, follow, ack and count.
 //
-// Each call passes a chain of policies (policies.go) to its handler. What must stay true: nothing
-// is served without a lease; a client's call is served only under its newest attachment; a stream
-// delivers each message of its topics once, in the order of its partition, and nothing that is
-// known to be withdrawn; urgent calls and streams wait for no routine ones.
+// Each call passes a chain of policies (policies.go) to its handler. Invariants: nothing is served
+// without a lease; a client's call is served only under its newest attachment; a stream delivers
+// each message of its topics once, in the order of its partition, and nothing that is known to be
+// withdrawn; urgent calls and streams never wait for routine ones.
 //
-// A Service holds only counters of its own. Calls run in their callers' goroutines and block up to
-// the call's time-out; Follow blocks as long as its stream.
+// A Service has no state of its own but counters. Calls run in their callers' goroutines and block
+// up to the call's time-out; Follow blocks as long as its stream.
 package client
 
 import (
@@ -70,14 +70,14 @@
 	chain := callpolicy.Chain[*Request]
 	draining, lease, spaces := policy(s.checkDraining), policy(s.checkLease), policy(s.findSpaces)
 	admit, limit, identity := policy(s.admit), policy(s.limitTime), policy(s.checkIdentity)
-	forgotten, number := policy(s.awaitForgotten), policy(s.rejectCallNumber)
+	completion, number := policy(s.awaitCompletion), policy(s.rejectCallNumber)
 	return map[string]callpolicy.Next[*Request]{
 		VerbAttach:   chain(s.attach, draining, lease, admit, limit),
 		VerbSend:     chain(s.send, draining, lease, spaces, admit, limit, number, identity),
 		VerbFollow:   chain(s.follow, draining, lease, spaces, admit),
 		VerbAck:      chain(s.ack, draining, lease, admit, limit, identity),
 		VerbCount:    chain(s.count, draining, lease, spaces, admit, limit, identity),
-		VerbWithdraw: chain(s.withdraw, draining, lease, spaces, forgotten, admit, limit, number, identity),
+		VerbWithdraw: chain(s.withdraw, draining, lease, spaces, completion, admit, limit, number, identity),
 	}
 }
 
--- a/internal/client/session/balance.go
+++ b/internal/client/session/balance.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// scarceMilliCores is the limit of processor below which a node keeps only its part of the
-	// clients that come to it.
+	// scarceMilliCores is the limit of processor below which a node serves only a fraction of the
+	// clients that connect to it.
 	scarceMilliCores = 100
 	// controlNodeDivisor: a control node has this fraction of its processor for clients, since the
 	// whole fleet waits for the rest of its work.
@@ -36,8 +36,9 @@
 	upperBound float64
 }
 
-// computeBalance returns the fraction of its new clients that a node keeps and the nodes that the
-// others are sent to. It supposes that the nodes of a zone get equally many new clients.
+// computeBalance returns the fraction of its new clients that a node serves itself and the nodes
+// that the others are redirected to. It assumes that the nodes of a zone get equally many new
+// clients.
 func computeBalance(self membership.Info, members []membership.Info) (keepFraction float64, targets []target) {
 	if self.MilliCores == 0 || self.MilliCores >= scarceMilliCores {
 		return 1, nil
@@ -75,8 +76,8 @@
 	return member.MilliCores
 }
 
-// drawTarget returns the address of the node that a new client is sent to, or "" if it stays. draw
-// is from 0 to 1.
+// drawTarget returns the address of the node that a new client is redirected to, or "" if it is
+// served here. draw is from 0 to 1.
 func drawTarget(keepFraction float64, targets []target, draw float64) string {
 	if draw < keepFraction {
 		return ""
--- a/internal/client/session/balance_test.go
+++ b/internal/client/session/balance_test.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// A client that is redirected is told so in place of its attachment, and no subscription is opened
-// for it here.
+// A redirected client gets the address of another node in place of its attachment, and no
+// subscription is opened for it here.
 func TestNewClientIsRedirectedBeforeItAttaches(t *testing.T) {
 	withSession(t, func(t *testing.T, fixture *fixture, session *Session) {
 		all := zoneMembers(1, 9)
@@ -98,13 +98,13 @@
 		time.Sleep(fixture.Timing.HeartbeatInterval())
 		session.Do(Request{Verb: Unsubscribe, Topic: "a"})
 		assert.DeepEqual(t, fixture.takeResponses(), []string{"left a"})
-		kept, redirected := 0, 0
+		served, redirected := 0, 0
 		for range 1000 {
 			newcomer := fixture.NewSession(fixture.record)
 			newcomer.Do(Request{Verb: Attach, Client: "w"})
 			switch response := fixture.takeResponses()[0]; response {
 			case "attached":
-				kept++
+				served++
 				continue
 			case "moved " + all[0].ClientAddr:
 				redirected++
@@ -115,8 +115,10 @@
 			assert.Equal(t, len(fixture.takeResponses()), 1)
 			assert.Equal(t, len(newcomer.topics()), 0)
 		}
-		t.Logf("%d kept, %d redirected", kept, redirected)
-		assert.Assert(t, kept > 400 && kept < 600, "%d kept of 1000; the mean is 64, and there are 32", kept)
+		t.Logf("%d served here, %d redirected", served, redirected)
+		assert.Assert(
+			t, served > 400 && served < 600, "%d of 1000 served here; the mean is 64, and there are 32", served,
+		)
 	})
 }
 
--- a/internal/client/session/cursor.go
+++ b/internal/client/session/cursor.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// fleetPrefixBytes of the fleet's name stand in a cursor.
+	// fleetPrefixBytes is the length of the prefix of the fleet's name in a cursor.
 	fleetPrefixBytes = 6
 	// usualCursorBytes is the length of the usual cursor, for allocation only.
 	usualCursorBytes = 24
@@ -34,7 +34,7 @@
 
 // DecodeCursor parses a cursor of a fleet. Its error has the code CursorMalformed.
 func DecodeCursor(fleet, text string) (Cursor, error) {
-	malformed := apierror.New(apierror.CursorMalformed, "%.64q is no cursor of this fleet", text)
+	malformed := apierror.New(apierror.CursorMalformed, "%.64q is not a cursor of this fleet", text)
 	fields := strings.Split(text, cursorSeparator)
 	if len(fields) != 3 || fields[0] != fleetPrefix(fleet) {
 		return Cursor{}, malformed
--- a/internal/client/session/protocol.go
+++ b/internal/client/session/protocol.go
@@ -1,9 +1,9 @@
 // Package session serves one client on one connection: it attaches, subscribes and unsubscribes,
-// sends, withdraws, counts and sends heartbeats, and is answered in any order.
+// sends, withdraws, counts and sends heartbeats. Responses come in any order.
 //
-// What must stay true: every Subscribe, Send, Count and Withdraw gets one response, unless the
-// session ends first; the messages of a subscription are passed on in the order of the log and
-// without gaps, and where that is impossible the client is told to reconnect with its cursors.
+// Invariants: every Subscribe, Send, Count and Withdraw gets one response, unless the session ends
+// first; the messages of a subscription are delivered in the order of the log and without gaps, and
+// where that is impossible the client is asked to reconnect with its cursors.
 //
 // A Registry owns the sessions of a node. Its Run is driven by one goroutine of the node; the
 // requests of a session are driven by its connection. Nothing here blocks a connection: responses
@@ -37,15 +37,15 @@
 	Cursor  string
 	CallSeq uint64
 	Body    []byte
-	// Key is that of a message or a withdrawal.
+	// Key is the key of a message or a withdrawal.
 	Key string
 	// WithdrawSender and WithdrawUpTo name a sender and its highest CallSeq that a withdrawal
-	// covers too, though that message may not have come yet.
+	// covers too, even if that message has not arrived yet.
 	WithdrawSender string
 	WithdrawUpTo   uint64
 }
 
-// ResponseType says what a response is.
+// ResponseType is the kind of a response.
 type ResponseType string
 
 // Types of responses: those to each verb, messages, errors, and the advice to move to another node.
@@ -83,7 +83,7 @@
 	Key     string
 	// AlreadyWithdrawn is set when an earlier withdrawal covered the same messages.
 	AlreadyWithdrawn bool
-	// GivenUp are nodes that were not heard from for so long that they no longer count.
+	// GivenUp are nodes that sent nothing for so long that the withdrawal no longer waits for them.
 	GivenUp []string
 	// Partition and Offset locate a message or a tombstone in its log, for buffers.
 	Partition int
--- a/internal/client/session/publish.go
+++ b/internal/client/session/publish.go
@@ -38,7 +38,7 @@
 			s.reject(request, err)
 			return
 		}
-		s.out(Response{Type: Accepted, Topic: request.Topic, CallSeq: request.CallSeq})
+		s.sink(Response{Type: Accepted, Topic: request.Topic, CallSeq: request.CallSeq})
 	}
 	s.registry.PartitionLog.SubmitAsync(s.registry.ctx, partition, message, s.registry.decisionDeadline(space), done)
 	return nil
--- a/internal/client/session/publish_test.go
+++ b/internal/client/session/publish_test.go
@@ -11,13 +11,13 @@
 	"postjunction/internal/voters"
 )
 
-// A node that can't have a number decided does not know what earlier attempts under it have left.
-// Guards against a message delivered twice, since the client was promised that its number never
-// will be accepted and sent the message under a new one.
+// A node that gets no decision on a number doesn't know whether an earlier attempt under it was
+// accepted. Guards against a message delivered twice: a client that is promised that its number
+// will never be accepted sends the message under a new one.
 func TestSend_RejectedAttemptPromisesNothingOfItsNumber(t *testing.T) {
 	rejectAll := func(code apierror.Code) func(*fixture) {
 		return func(fixture *fixture) {
-			fixture.PartitionLog = &fakeLedger{decide: func(*leader.Message) (*leader.Decision, error) {
+			fixture.PartitionLog = &fakePartitionLog{decide: func(*leader.Message) (*leader.Decision, error) {
 				return nil, apierror.New(code, "so")
 			}}
 		}
@@ -43,15 +43,15 @@
 		"a higher number": {rejectAll(apierror.CallPassed), apierror.CallPassed},
 		"another body":    {rejectAll(apierror.CallAltered), apierror.CallAltered},
 	}
-	for name, c := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			withSession(t, func(t *testing.T, fixture *fixture, session *Session) {
-				fixture.PartitionLog = &fakeLedger{}
-				c.reject(fixture)
+				fixture.PartitionLog = &fakePartitionLog{}
+				test.reject(fixture)
 				session.Do(Request{Verb: Send, Topic: "kept/a", CallSeq: 7, Body: []byte("x")})
 				session.Do(Request{Verb: Withdraw, Topic: "kept/a", CallSeq: 8, Key: "k"})
 				assert.DeepEqual(t, fixture.takeResponses(), []string{
-					"turned send kept/a " + string(c.code), "turned withdraw kept/a " + string(c.code),
+					"turned send kept/a " + string(test.code), "turned withdraw kept/a " + string(test.code),
 				})
 			})
 		})
--- a/internal/client/session/redirect.go
+++ b/internal/client/session/redirect.go
@@ -7,8 +7,8 @@
 	"postjunction/internal/membership"
 )
 
-// Redirect sends all clients, and those that attach later, to other nodes until it is called with
-// none.
+// Redirect redirects all clients, and those that attach later, to other nodes until it is called
+// with none.
 func (r *Registry) Redirect(nodes []membership.Info) {
 	r.mu.Lock()
 	r.nextTarget = nil
@@ -24,7 +24,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.nextTarget != nil {
-		return apierror.New(apierror.NotReady, "this node does not reach those who decide, other nodes do")
+		return apierror.New(apierror.NotReady, "this node does not reach a quorum, other nodes do")
 	}
 	return nil
 }
@@ -44,20 +44,20 @@
 	r.sendAll(serving)
 }
 
-// sendAll tells all clients to go to other nodes, spread over them by their processor.
+// sendAll asks all clients to move to other nodes, spread over them by their processor.
 func (r *Registry) sendAll(nodes []membership.Info) {
 	if len(nodes) == 0 {
 		return
 	}
 	next := weightedRoundRobin(nodes)
 	for _, session := range r.allSessions() {
-		session.out(Response{Type: Moved, Address: next().ClientAddr})
+		session.sink(Response{Type: Moved, Address: next().ClientAddr})
 	}
 }
 
-// redirectAddress returns the address of the node that a new client is sent to, or "" if it may
-// stay. Among nodes with plenty of processor it is drawn anew for a client that comes back, since
-// the node that it was sent to may be gone without its peers having noticed yet.
+// redirectAddress returns the address of the node that a new client is redirected to, or "" if it
+// is served here. Among nodes with plenty of processor it is drawn anew for a client that comes
+// back, since the node that it was sent to may have failed without its peers having noticed yet.
 func (r *Registry) redirectAddress() string {
 	if address := r.nextTargetAddress(); address != "" {
 		return address
--- a/internal/client/session/registry.go
+++ b/internal/client/session/registry.go
@@ -18,22 +18,22 @@
 
 // PartitionLog is the partition log as sessions use it, wherever the partition's leader runs.
 type PartitionLog interface {
-	// SubmitAsync has a message decided before until and calls done once with the outcome; it
-	// doesn't block.
-	SubmitAsync(ctx context.Context, partition int, message *leader.Message, until time.Time,
+	// SubmitAsync submits a message for a decision before deadline and calls done once with the
+	// outcome; it doesn't block.
+	SubmitAsync(ctx context.Context, partition int, message *leader.Message, deadline time.Time,
 		done func(*leader.Decision, error))
 	// Subscribers returns how many clients are subscribed to a topic.
 	Subscribers(ctx context.Context, partition int, topic string) (int, error)
-	// PendingReaders returns the nodes that have not read past offset; it waits up to hold for
-	// there to be none.
+	// PendingReaders returns the nodes that have not read past offset. It blocks until there
+	// are none, for wait at most.
 	PendingReaders(
-		ctx context.Context, partition int, offset uint64, hold time.Duration,
+		ctx context.Context, partition int, offset uint64, wait time.Duration,
 	) (*leader.PendingReaders, error)
 	// CheckKeysSupported returns an error while some node runs a build without message keys.
 	CheckKeysSupported() error
 }
 
-// Registry keeps the sessions of one node. The exported fields are set before Start and not changed
+// Registry has the sessions of one node. The exported fields are set before Start and not changed
 // after it.
 type Registry struct {
 	Self         string
@@ -53,17 +53,17 @@
 	// mu guards the fields below, up to balance.
 	mu       sync.Mutex
 	sessions map[*Session]bool
-	// buffers hold responses until they are written; a buffer outlasts its session.
+	// buffers have responses that are not written yet; a buffer outlasts its session.
 	buffers map[Buffer]bool
 	index   *configuration.Index
-	// nextTarget returns in turn the nodes that this node's clients are redirected to; nil while
-	// clients may stay.
+	// nextTarget returns in turn the nodes that this node's clients are redirected to; it is nil
+	// while this node serves them.
 	nextTarget func() membership.Info
 
 	balance balance
 }
 
-// Start makes the registry ready. What sessions have asked for continues until ctx ends.
+// Start makes the registry ready. Requests in progress continue until ctx ends.
 func (r *Registry) Start(ctx context.Context) *Registry {
 	r.ctx, r.sessions, r.buffers = ctx, map[*Session]bool{}, map[Buffer]bool{}
 	if r.Hub != nil {
@@ -89,8 +89,8 @@
 }
 
 // NewSession opens a session. Its responses go to out, which must not block.
-func (r *Registry) NewSession(out Sink) *Session {
-	session := &Session{registry: r, out: out, subscriptions: map[string]*fanout.Subscription{}}
+func (r *Registry) NewSession(sink Sink) *Session {
+	session := &Session{registry: r, sink: sink, subscriptions: map[string]*fanout.Subscription{}}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sessions[session] = true
@@ -122,8 +122,8 @@
 	return released
 }
 
-// refresh ends the subscriptions whose topic is gone or in another partition by the current
-// configuration.
+// refresh ends the subscriptions whose topic is removed from the current configuration or is in
+// another partition.
 func (r *Registry) refresh() {
 	index := r.Store.Index()
 	r.mu.Lock()
@@ -150,7 +150,7 @@
 		if partition.Of(topic, space.Urgent, s.registry.Store.VoterSet().Layout) == subscription.Partition() {
 			return
 		}
-		err = apierror.New(apierror.UnknownTopic, "%s is another topic now", topic)
+		err = apierror.New(apierror.UnknownTopic, "%s is in another partition now", topic)
 	}
 	s.drop(topic, err)
 }
--- a/internal/client/session/session.go
+++ b/internal/client/session/session.go
@@ -21,7 +21,7 @@
 // order; responses come from any.
 type Session struct {
 	registry *Registry
-	out      Sink
+	sink     Sink
 	// name is the client's, empty until it has attached.
 	name   string
 	buffer Buffer
@@ -33,9 +33,9 @@
 	redirected    bool
 }
 
-// AttachBuffer sets the buffer that holds the session's responses until they are written. It is
-// called before the first request. The returned function is called once nothing is left in the
-// buffer for good.
+// AttachBuffer sets the buffer that contains the session's responses until they are written. It is
+// called before the first request. The returned function is called once the buffer is empty for
+// good.
 func (s *Session) AttachBuffer(buffer Buffer) func() {
 	s.buffer = buffer
 	r := s.registry
@@ -49,7 +49,7 @@
 	}
 }
 
-// End ends the session and its subscriptions; what it sent is still decided.
+// End ends the session and its subscriptions. Messages that it sent are still decided.
 func (s *Session) End() {
 	s.registry.mu.Lock()
 	delete(s.registry.sessions, s)
@@ -89,7 +89,7 @@
 	if request.Verb == Send || request.Verb == Withdraw {
 		err = router.RejectCallNumber(err)
 	}
-	s.out(Response{
+	s.sink(Response{
 		Type:      Rejected,
 		InReplyTo: request.Verb,
 		Topic:     request.Topic,
@@ -99,24 +99,24 @@
 }
 
 func (s *Session) heartbeat(Request) error {
-	s.out(Response{Type: Alive})
+	s.sink(Response{Type: Alive})
 	return nil
 }
 
 func (s *Session) attach(request Request) error {
 	if !isPrintable(request.Client, maxNameBytes) {
-		return apierror.New(apierror.Malformed, "a visitor's name must be 1 to %d printable bytes without spaces",
+		return apierror.New(apierror.Malformed, "a client's name must be 1 to %d printable bytes without spaces",
 			maxNameBytes)
 	}
 	if err := s.registry.checkAvailable(); err != nil {
 		return err
 	}
 	if address := s.registry.redirectAddress(); address != "" {
-		s.out(Response{Type: Moved, Address: address})
+		s.sink(Response{Type: Moved, Address: address})
 		return nil
 	}
 	s.name = request.Client
-	s.out(Response{Type: Attached})
+	s.sink(Response{Type: Attached})
 	return nil
 }
 
@@ -133,13 +133,13 @@
 		}
 		if cursor.Partition != partition {
 			return apierror.New(
-				apierror.CursorMalformed, "the cursor %.64q is not of %s", request.Cursor, request.Topic,
+				apierror.CursorMalformed, "the cursor %.64q does not belong to %s", request.Cursor, request.Topic,
 			)
 		}
 		subscription.After = &cursor.Offset
 	}
 	s.setCallbacks(subscription, request)
-	s.drop(request.Topic, apierror.New(apierror.Overloaded, "%s was asked for again", request.Topic))
+	s.drop(request.Topic, apierror.New(apierror.Overloaded, "%s was subscribed to again", request.Topic))
 	if added, err := s.add(subscription); err != nil || !added {
 		return err
 	}
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// setCallbacks has the events of a subscription sent as responses.
+// setCallbacks makes the events of a subscription responses of the session.
 func (s *Session) setCallbacks(subscription *fanout.Subscription, request Request) {
 	fleet, partition := s.registry.Store.VoterSet().Fleet, subscription.Partition()
 	subscription.OnOpen = func(offset uint64, err error) {
@@ -156,7 +156,7 @@
 			s.reject(request, err)
 			return
 		}
-		s.out(Response{Type: Subscribed, Topic: request.Topic, Cursor: Cursor{partition, offset}.Encode(fleet)})
+		s.sink(Response{Type: Subscribed, Topic: request.Topic, Cursor: Cursor{partition, offset}.Encode(fleet)})
 	}
 	subscription.OnEntry = func(entry log.Entry) {
 		response := Response{
@@ -173,17 +173,17 @@
 		if entry.Type == log.TypeWithdrawal {
 			response.Type, response.Body = Withdrawn, nil
 		}
-		s.out(response)
+		s.sink(response)
 	}
-	subscription.OnBroken = func() { s.redirectHere(subscription) }
+	subscription.OnBroken = func() { s.reconnectHere(subscription) }
 }
 
-// add records a subscription before the hub knows it; it reports false when the session has ended.
+// add records a subscription before the hub has it. It reports false when the session has ended.
 func (s *Session) add(subscription *fanout.Subscription) (bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.subscriptions) >= maxTopics {
-		return false, apierror.New(apierror.Overloaded, "a visit takes up at most %d topics", maxTopics)
+		return false, apierror.New(apierror.Overloaded, "a session subscribes to at most %d topics", maxTopics)
 	}
 	if s.ended {
 		return false, nil
@@ -193,8 +193,8 @@
 }
 
 func (s *Session) unsubscribe(request Request) error {
-	s.drop(request.Topic, apierror.New(apierror.Overloaded, "%s was left before it could be taken up", request.Topic))
-	s.out(Response{Type: Unsubscribed, Topic: request.Topic})
+	s.drop(request.Topic, apierror.New(apierror.Overloaded, "%s was unsubscribed before it was open", request.Topic))
+	s.sink(Response{Type: Unsubscribed, Topic: request.Topic})
 	return nil
 }
 
@@ -209,7 +209,7 @@
 			s.reject(request, err)
 			return
 		}
-		s.out(Response{Type: Counted, Topic: request.Topic, Count: count})
+		s.sink(Response{Type: Counted, Topic: request.Topic, Count: count})
 	}()
 	return nil
 }
@@ -232,7 +232,7 @@
 	}
 	number := partition.Of(topic, space.Urgent, s.registry.Store.VoterSet().Layout)
 	if number == partition.None {
-		return space, 0, apierror.New(apierror.NoPartitionLeader, "the fleet is not founded yet")
+		return space, 0, apierror.New(apierror.NoPartitionLeader, "the fleet is not bootstrapped yet")
 	}
 	return space, number, nil
 }
@@ -281,16 +281,16 @@
 	}
 }
 
-// redirectHere tells the client, once, to reconnect to this node with its cursors, because an open
+// reconnectHere asks the client, once, to reconnect to this node with its cursors, because an open
 // subscription has a gap and can't continue.
-func (s *Session) redirectHere(subscription *fanout.Subscription) {
+func (s *Session) reconnectHere(subscription *fanout.Subscription) {
 	s.forget(subscription)
 	s.mu.Lock()
-	already := s.redirected
+	wasRedirected := s.redirected
 	s.redirected = true
 	s.mu.Unlock()
-	if !already {
-		s.out(Response{Type: Moved, Address: s.registry.Info().ClientAddr})
+	if !wasRedirected {
+		s.sink(Response{Type: Moved, Address: s.registry.Info().ClientAddr})
 	}
 }
 
--- a/internal/client/session/session_test.go
+++ b/internal/client/session/session_test.go
@@ -112,15 +112,15 @@
 	synctest.Wait()
 	fixture.mu.Lock()
 	defer fixture.mu.Unlock()
-	taken := fixture.responses
+	recorded := fixture.responses
 	fixture.responses = nil
-	return taken
+	return recorded
 }
 
 var (
-	keptSpace = configuration.Space{Name: "kept", Kind: configuration.KindRetained, Topics: []string{"a", "b"}}
-	other     = configuration.Space{Name: "other", Kind: configuration.KindRetained, Topics: []string{"a"}}
-	live      = configuration.Space{Name: "live", Kind: configuration.KindLive, Topics: []string{"a"}}
+	retainedSpace = configuration.Space{Name: "kept", Kind: configuration.KindRetained, Topics: []string{"a", "b"}}
+	otherSpace    = configuration.Space{Name: "other", Kind: configuration.KindRetained, Topics: []string{"a"}}
+	liveSpace     = configuration.Space{Name: "live", Kind: configuration.KindLive, Topics: []string{"a"}}
 )
 
 const selfAddress = "127.0.0.1:1"
@@ -141,9 +141,8 @@
 		}}, store: store}
 		hub := fanout.New(ctx, "a1", "boot", fixture.leaders, store, clock.Real{}, settings.DefaultTiming)
 		fixture.Registry = (&Registry{
-			Self: "a1", Clock: clock.Real{}, Timing: settings.DefaultTiming, Store: store, Hub: hub, CheckLease: func() error {
-				return nil
-			}, Draining: make(chan struct{}),
+			Self: "a1", Clock: clock.Real{}, Timing: settings.DefaultTiming, Store: store, Hub: hub,
+			CheckLease: func() error { return nil }, Draining: make(chan struct{}),
 			Members: func() []membership.Info {
 				return nil
 			}, Info: func() membership.Info {
@@ -152,7 +151,7 @@
 		}).Start(ctx)
 		go fixture.Run(ctx)
 		go hub.Run(ctx)
-		fixture.configure(keptSpace, live)
+		fixture.configure(retainedSpace, liveSpace)
 		session := fixture.NewSession(fixture.record)
 		session.Do(Request{Verb: Attach, Client: "v"})
 		assert.DeepEqual(t, fixture.takeResponses(), []string{"attached"})
@@ -170,11 +169,11 @@
 
 func cursorAt(offset uint64) string { return Cursor{0, offset}.Encode("fleet00") }
 
-// Each Subscribe gets a response, whatever becomes of the topic meanwhile.
+// Each Subscribe gets a response, whatever happens to the topic meanwhile.
 func TestSubscribe_IsAlwaysAnswered(t *testing.T) {
 	withSession(t, func(t *testing.T, fixture *fixture, session *Session) {
 		session.Do(Request{Verb: Subscribe, Topic: "kept/a"})
-		fixture.configure(other)
+		fixture.configure(otherSpace)
 		assert.DeepEqual(t, fixture.takeResponses(), []string{"turned join kept/a unknown_space"})
 	})
 	withSession(t, func(t *testing.T, fixture *fixture, session *Session) {
@@ -197,7 +196,8 @@
 	})
 }
 
-// Only the cursors that lack something have expired, however old another's is.
+// Only cursors after which messages of their topic were trimmed have expired, however old the
+// cursors of other topics are.
 func TestCursorsOfOneTopicExpireSeparately(t *testing.T) {
 	withSession(t, func(t *testing.T, fixture *fixture, session *Session) {
 		fixture.leaders.onFollow = func(request *leader.FollowRequest) *leader.FollowResponse {
@@ -219,8 +219,8 @@
 	})
 }
 
-// A subscription that was opened at its cursor before the leader answered, and that lacks what is
-// no longer kept, doesn't continue with a gap: the client is told to reconnect with its
+// A subscription that was opened at its cursor before the leader answered doesn't continue with a
+// gap if messages after the cursor are already trimmed: the client is asked to reconnect with its
 // cursors.
 func TestOpenedSubscriptionWithAGapIsBroken(t *testing.T) {
 	withSession(t, func(t *testing.T, fixture *fixture, session *Session) {
@@ -238,8 +238,8 @@
 	})
 }
 
-// A node that did not reach a leader for longer than messages are kept does not skip those that
-// are gone. Live messages may be skipped.
+// A node that did not reach a leader for longer than the retention time does not skip the messages
+// that were trimmed meanwhile. Live messages may be skipped.
 func TestGapInWhatANodeFollowsBreaksItsSubscriptions(t *testing.T) {
 	withSession(t, func(t *testing.T, fixture *fixture, session *Session) {
 		fixture.leaders.onFollow = answerAt(20, nil)
@@ -290,13 +290,13 @@
 			session.Do(Request{Verb: Subscribe, Topic: "kept/a"})
 			session.Do(Request{Verb: Subscribe, Topic: "kept/b"})
 			fixture.sequence++
-			space := []configuration.Space{keptSpace, other}[i%2]
+			space := []configuration.Space{retainedSpace, otherSpace}[i%2]
 			go fixture.store.Apply(
 				gossip.Update{
 					Configuration: &configuration.Config{
 						Sequence: fixture.sequence,
 						Base:     fixture.sequence - 1,
-						Spaces:   []configuration.Space{space, keptSpace}[i%2 : 2],
+						Spaces:   []configuration.Space{space, retainedSpace}[i%2 : 2],
 					},
 				},
 			)
@@ -307,8 +307,8 @@
 	})
 }
 
-// What a returning client missed comes in several parts, while newer messages come already: all are
-// delivered, in order.
+// The backlog of a returning client comes in several parts, while newer messages come already: all
+// are delivered, in order.
 func TestBacklogInPartsIsDeliveredBeforeNewerMessages(t *testing.T) {
 	withSession(t, func(t *testing.T, fixture *fixture, session *Session) {
 		entry := func(offset uint64) log.Entry {
--- a/internal/client/session/withdraw.go
+++ b/internal/client/session/withdraw.go
@@ -12,7 +12,7 @@
 
 const maxKeyBytes = 128
 
-// checkKey returns why a message key can't be accepted.
+// checkKey returns an error if a message key can't be accepted.
 func (r *Registry) checkKey(key string) error {
 	if !isPrintable(key, maxKeyBytes) {
 		return apierror.New(apierror.Malformed, "a key must be 1 to %d printable bytes without spaces", maxKeyBytes)
@@ -34,7 +34,7 @@
 	if err := s.registry.checkKey(request.Key); err != nil {
 		return err
 	}
-	until := s.registry.decisionDeadline(space)
+	deadline := s.registry.decisionDeadline(space)
 	message := &leader.Message{
 		Client:         s.name,
 		Topic:          request.Topic,
@@ -51,9 +51,9 @@
 			s.reject(request, err)
 			return
 		}
-		go s.awaitReaders(request, partition, decision, until)
+		go s.awaitReaders(request, partition, decision, deadline)
 	}
-	s.registry.PartitionLog.SubmitAsync(s.registry.ctx, partition, message, until, done)
+	s.registry.PartitionLog.SubmitAsync(s.registry.ctx, partition, message, deadline, done)
 	return nil
 }
 
@@ -67,8 +67,8 @@
 }
 
 // awaitReaders answers a committed withdrawal once every node that reads the partition has read
-// past its tombstone, or names the nodes that have not when the time is over.
-func (s *Session) awaitReaders(request Request, partition int, decision *leader.Decision, until time.Time) {
+// past its tombstone. At the deadline it answers with an error that names the nodes that have not.
+func (s *Session) awaitReaders(request Request, partition int, decision *leader.Decision, deadline time.Time) {
 	r := s.registry
 	response := Response{
 		Type:             WithdrawalComplete,
@@ -78,21 +78,21 @@
 		AlreadyWithdrawn: decision.AlreadyWithdrawn,
 	}
 	for retries := 0; ; retries++ {
-		pending, err := r.pendingReaders(partition, decision.Offset, until)
+		pending, err := r.pendingReaders(partition, decision.Offset, deadline)
 		if err == nil {
 			response.GivenUp = pending.GivenUp
 			if len(pending.Nodes) == 0 {
-				s.out(response)
+				s.sink(response)
 				return
 			}
 		}
-		left := until.Sub(r.Clock.Now())
-		if left > 0 && r.Clock.Sleep(r.ctx, min(left, r.Timing.Backoff(retries))) == nil {
+		remaining := deadline.Sub(r.Clock.Now())
+		if remaining > 0 && r.Clock.Sleep(r.ctx, min(remaining, r.Timing.Backoff(retries))) == nil {
 			continue
 		}
 		response.Type, response.InReplyTo, response.AlreadyWithdrawn = Rejected, request.Verb, false
 		response.Err = errWithdrawalOpen(request.Key, pending, err)
-		s.out(response)
+		s.sink(response)
 		return
 	}
 }
@@ -100,18 +100,18 @@
 func errWithdrawalOpen(key string, pending *leader.PendingReaders, cause error) error {
 	if cause != nil {
 		return apierror.WithCause(apierror.WithdrawalOpen, cause,
-			"what stood under %s was withdrawn; who has forgotten it could not be learnt", key)
+			"the messages under %s were withdrawn; the pending readers could not be queried", key)
 	}
 	return apierror.New(apierror.WithdrawalOpen,
-		"what stood under %s was withdrawn; %s did not say that it is forgotten",
+		"the messages under %s were withdrawn; %s did not confirm having read past it",
 		key, strings.Join(pending.Nodes, ", "))
 }
 
-// pendingReaders asks once which nodes have not read past an offset. The leader may wait for them
-// while there is time; its answer may take one backoff longer.
-func (r *Registry) pendingReaders(partition int, offset uint64, until time.Time) (*leader.PendingReaders, error) {
-	left := max(until.Sub(r.Clock.Now()), 0)
-	ctx, cancel := context.WithTimeout(r.ctx, left+r.Timing.MaxBackoff())
+// pendingReaders queries once which nodes have not read past an offset. The leader may wait for
+// them until the deadline; its response may take one backoff longer.
+func (r *Registry) pendingReaders(partition int, offset uint64, deadline time.Time) (*leader.PendingReaders, error) {
+	remaining := max(deadline.Sub(r.Clock.Now()), 0)
+	ctx, cancel := context.WithTimeout(r.ctx, remaining+r.Timing.MaxBackoff())
 	defer cancel()
-	return r.PartitionLog.PendingReaders(ctx, partition, offset, min(left, r.Timing.LongPoll()))
+	return r.PartitionLog.PendingReaders(ctx, partition, offset, min(remaining, r.Timing.LongPoll()))
 }
--- a/internal/client/session/withdraw_test.go
+++ b/internal/client/session/withdraw_test.go
@@ -18,8 +18,8 @@
 	"postjunction/internal/settings"
 )
 
-// fakeLedger stands in for the partition log.
-type fakeLedger struct {
+// fakePartitionLog implements PartitionLog with functions.
+type fakePartitionLog struct {
 	keysErr   error
 	decide    func(request *leader.Message) (*leader.Decision, error)
 	pending   func(n int) (*leader.PendingReaders, error)
@@ -28,29 +28,29 @@
 	submitted []*leader.Message
 }
 
-func (ledger *fakeLedger) SubmitAsync(
+func (partitionLog *fakePartitionLog) SubmitAsync(
 	_ context.Context, _ int, request *leader.Message, _ time.Time, done func(*leader.Decision, error),
 ) {
-	ledger.mu.Lock()
-	ledger.submitted = append(ledger.submitted, request)
-	ledger.mu.Unlock()
-	done(ledger.decide(request))
+	partitionLog.mu.Lock()
+	partitionLog.submitted = append(partitionLog.submitted, request)
+	partitionLog.mu.Unlock()
+	done(partitionLog.decide(request))
 }
 
-func (*fakeLedger) Subscribers(context.Context, int, string) (int, error) { return 0, nil }
+func (*fakePartitionLog) Subscribers(context.Context, int, string) (int, error) { return 0, nil }
 
-func (ledger *fakeLedger) CheckKeysSupported() error { return ledger.keysErr }
+func (partitionLog *fakePartitionLog) CheckKeysSupported() error { return partitionLog.keysErr }
 
-func (ledger *fakeLedger) PendingReaders(
-	ctx context.Context, _ int, _ uint64, hold time.Duration,
+func (partitionLog *fakePartitionLog) PendingReaders(
+	ctx context.Context, _ int, _ uint64, wait time.Duration,
 ) (*leader.PendingReaders, error) {
-	ledger.mu.Lock()
-	ledger.calls++
-	call := ledger.calls
-	ledger.mu.Unlock()
-	readers, err := ledger.pending(call)
+	partitionLog.mu.Lock()
+	partitionLog.calls++
+	call := partitionLog.calls
+	partitionLog.mu.Unlock()
+	readers, err := partitionLog.pending(call)
 	if err != nil || len(readers.Nodes) > 0 {
-		_ = failAfter(ctx, hold)
+		_ = failAfter(ctx, wait)
 	}
 	return readers, err
 }
@@ -66,7 +66,7 @@
 	start := time.Now()
 	var mu sync.Mutex
 	var lines []string
-	session.out = func(response Response) {
+	session.sink = func(response Response) {
 		mu.Lock()
 		defer mu.Unlock()
 		line := fmt.Sprintf("%d: %s %s", time.Since(start).Milliseconds(), response.Type, response.Topic)
@@ -99,93 +99,97 @@
 func TestWithdrawalsAreAnswered(t *testing.T) {
 	ask := Request{Verb: Withdraw, Topic: "kept/a", Key: "k", CallSeq: 7}
 	cases := map[string]struct {
-		c    *fakeLedger
-		do   Request
-		want []string
+		partitionLog *fakePartitionLog
+		request      Request
+		want         []string
 	}{
-		"no reader": {&fakeLedger{decide: accept, pending: noPendingReaders}, ask, []string{"0: forgotten kept/a 7 k"}},
+		"no reader": {
+			&fakePartitionLog{decide: accept, pending: noPendingReaders}, ask, []string{"0: forgotten kept/a 7 k"},
+		},
 		"again": {
-			&fakeLedger{decide: accept, pending: noPendingReaders},
+			&fakePartitionLog{decide: accept, pending: noPendingReaders},
 			Request{Verb: Withdraw, Topic: "kept/a", Key: "k", CallSeq: 8},
 			[]string{"0: forgotten kept/a 8 k already"},
 		},
-		"later": {&fakeLedger{decide: accept, pending: func(call int) (*leader.PendingReaders, error) {
+		"later": {&fakePartitionLog{decide: accept, pending: func(call int) (*leader.PendingReaders, error) {
 			if call == 1 {
 				return &leader.PendingReaders{Nodes: []string{"a2"}}, nil
 			}
 			return &leader.PendingReaders{GivenUp: []string{"a3"}}, nil
 		}}, ask, []string{"1025: forgotten kept/a 7 k without a3"}},
 		"never": {
-			&fakeLedger{decide: accept, pending: func(int) (*leader.PendingReaders, error) {
+			&fakePartitionLog{decide: accept, pending: func(int) (*leader.PendingReaders, error) {
 				return &leader.PendingReaders{Nodes: []string{"a2", "a4"}, GivenUp: []string{"a3"}}, nil
 			}}, ask,
 			[]string{"1200: turned kept/a 7 k without a3 withdraw withdrawal_open " +
-				"(what stood under k was withdrawn; a2, a4 did not say that it is forgotten)"},
+				"(the messages under k were withdrawn; a2, a4 did not confirm having read past it)"},
 		},
 		"no answer": {
-			&fakeLedger{decide: accept, pending: func(int) (*leader.PendingReaders, error) {
-				return nil, apierror.New(apierror.NoPartitionLeader, "gone")
+			&fakePartitionLog{decide: accept, pending: func(int) (*leader.PendingReaders, error) {
+				return nil, apierror.New(apierror.NoPartitionLeader, "no leader")
 			}}, ask,
 			[]string{"1200: turned kept/a 7 k withdraw withdrawal_open " +
-				"(what stood under k was withdrawn; who has forgotten it could not be learnt)"},
+				"(the messages under k were withdrawn; the pending readers could not be queried)"},
 		},
 		"not accepted": {
-			&fakeLedger{decide: func(*leader.Message) (*leader.Decision, error) {
+			&fakePartitionLog{decide: func(*leader.Message) (*leader.Decision, error) {
 				return nil, apierror.New(apierror.KeyUnknown, "nothing there")
 			}}, ask,
 			[]string{"0: turned kept/a 7 withdraw key_unknown (nothing there)"},
 		},
 		"an older build": {
-			&fakeLedger{keysErr: apierror.New(apierror.NotReady, "a2 knows no keys")}, ask,
+			&fakePartitionLog{keysErr: apierror.New(apierror.NotReady, "a2 knows no keys")}, ask,
 			[]string{"0: turned kept/a 7 withdraw not_ready (a2 knows no keys)"},
 		},
 		"a send to an older build": {
-			&fakeLedger{
+			&fakePartitionLog{
 				keysErr: apierror.New(apierror.NotReady, "a2 knows no keys"),
 			}, Request{Verb: Send, Topic: "kept/a", CallSeq: 7, Key: "k"},
 			[]string{"0: turned kept/a 7 send not_ready (a2 knows no keys)"},
 		},
 		"a send without a key to an older build": {
-			&fakeLedger{
+			&fakePartitionLog{
 				keysErr: apierror.New(apierror.NotReady, "a2 knows no keys"), decide: accept,
 			}, Request{Verb: Send, Topic: "kept/a", CallSeq: 7}, []string{"0: taken kept/a 7"},
 		},
 		"a key with a space": {
-			&fakeLedger{}, Request{Verb: Send, Topic: "kept/a", CallSeq: 7, Key: "k k"},
+			&fakePartitionLog{}, Request{Verb: Send, Topic: "kept/a", CallSeq: 7, Key: "k k"},
 			[]string{"0: turned kept/a 7 send malformed (a key must be 1 to 128 printable bytes without spaces)"},
 		},
 		"a long key": {
-			&fakeLedger{}, Request{Verb: Withdraw, Topic: "kept/a", CallSeq: 7, Key: strings.Repeat("k", 129)},
+			&fakePartitionLog{}, Request{Verb: Withdraw, Topic: "kept/a", CallSeq: 7, Key: strings.Repeat("k", 129)},
 			[]string{"0: turned kept/a 7 withdraw malformed (a key must be 1 to 128 printable bytes without spaces)"},
 		},
 		"no key": {
-			&fakeLedger{}, Request{Verb: Withdraw, Topic: "kept/a", CallSeq: 7},
+			&fakePartitionLog{}, Request{Verb: Withdraw, Topic: "kept/a", CallSeq: 7},
 			[]string{"0: turned kept/a 7 withdraw malformed (a key must be 1 to 128 printable bytes without spaces)"},
 		},
 		"no number": {
-			&fakeLedger{}, Request{Verb: Withdraw, Topic: "kept/a", Key: "k"}, []string{
+			&fakePartitionLog{}, Request{Verb: Withdraw, Topic: "kept/a", Key: "k"}, []string{
 				"0: turned kept/a withdraw malformed (call_seq must be above 0)",
 			},
 		},
 		"a sender without a number": {
-			&fakeLedger{}, Request{Verb: Withdraw, Topic: "kept/a", Key: "k", CallSeq: 7, WithdrawSender: "w"},
+			&fakePartitionLog{}, Request{Verb: Withdraw, Topic: "kept/a", Key: "k", CallSeq: 7, WithdrawSender: "w"},
 			[]string{
-				"0: turned kept/a 7 withdraw malformed (a sender (of) and its highest number (upto, above 0) go together)",
+				"0: turned kept/a 7 withdraw malformed " +
+					"(a sender (of) and its highest number (upto, above 0) go together)",
 			},
 		},
 		"a number without a sender": {
-			&fakeLedger{}, Request{Verb: Withdraw, Topic: "kept/a", Key: "k", CallSeq: 7, WithdrawUpTo: 3},
+			&fakePartitionLog{}, Request{Verb: Withdraw, Topic: "kept/a", Key: "k", CallSeq: 7, WithdrawUpTo: 3},
 			[]string{
-				"0: turned kept/a 7 withdraw malformed (a sender (of) and its highest number (upto, above 0) go together)",
+				"0: turned kept/a 7 withdraw malformed " +
+					"(a sender (of) and its highest number (upto, above 0) go together)",
 			},
 		},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			withSession(t, func(t *testing.T, fixture *fixture, session *Session) {
-				fixture.PartitionLog = test.c
+				fixture.PartitionLog = test.partitionLog
 				responses := fixture.recordTimed(session)
-				session.Do(test.do)
+				session.Do(test.request)
 				time.Sleep(2 * settings.DefaultTiming.CallTimeout())
 				assert.DeepEqual(t, responses(), test.want)
 			})
@@ -193,17 +197,16 @@
 	}
 }
 
-// What is submitted names the key, the sender and its number; no later request waits for a
-// withdrawal.
+// A submitted withdrawal has the key, the sender and its number. No later request waits for it.
 func TestWithdrawalDelaysNoOtherRequest(t *testing.T) {
 	withSession(t, func(t *testing.T, fixture *fixture, session *Session) {
-		ledger := &fakeLedger{decide: accept, pending: func(call int) (*leader.PendingReaders, error) {
+		partitionLog := &fakePartitionLog{decide: accept, pending: func(call int) (*leader.PendingReaders, error) {
 			if call < 2 {
 				return &leader.PendingReaders{Nodes: []string{"a2"}}, nil
 			}
 			return noPendingReaders(call)
 		}}
-		fixture.PartitionLog = ledger
+		fixture.PartitionLog = partitionLog
 		responses := fixture.recordTimed(session)
 		session.Do(Request{Verb: Withdraw, Topic: "live/a", Key: "k", CallSeq: 7, WithdrawSender: "w", WithdrawUpTo: 3})
 		session.Do(Request{Verb: Send, Topic: "live/a", Key: "k", CallSeq: 8, Body: []byte("x")})
@@ -211,53 +214,56 @@
 		assert.DeepEqual(t, responses(), []string{"0: taken live/a 8", "0: alive "})
 		time.Sleep(settings.DefaultTiming.CallTimeout())
 		assert.DeepEqual(t, responses()[2:], []string{"1025: forgotten live/a 7 k"})
-		seq := fixture.Store.Index().Sequence
-		assert.DeepEqual(t, ledger.submitted, []*leader.Message{
+		sequence := fixture.Store.Index().Sequence
+		assert.DeepEqual(t, partitionLog.submitted, []*leader.Message{
 			{
 				Client:         "v",
 				Topic:          "live/a",
 				CallSeq:        7,
 				Live:           true,
-				Configuration:  seq,
+				Configuration:  sequence,
 				Key:            "k",
 				Withdraw:       true,
 				WithdrawSender: "w",
 				WithdrawUpTo:   3,
 			},
-			{Client: "v", Topic: "live/a", CallSeq: 8, Live: true, Configuration: seq, Key: "k", Body: []byte("x")},
+			{
+				Client: "v", Topic: "live/a", CallSeq: 8, Live: true, Configuration: sequence, Key: "k",
+				Body: []byte("x"),
+			},
 		})
 	})
 }
 
 // fakeBuffer records the calls that a Buffer gets.
 type fakeBuffer struct {
-	mu      sync.Mutex
-	entries []string
+	mu    sync.Mutex
+	calls []string
 }
 
-func (s *fakeBuffer) add(format string, args ...any) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.entries = append(s.entries, fmt.Sprintf(format, args...))
+func (b *fakeBuffer) add(format string, args ...any) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.calls = append(b.calls, fmt.Sprintf(format, args...))
 }
 
-func (s *fakeBuffer) takeEntries() []string {
+func (b *fakeBuffer) takeCalls() []string {
 	synctest.Wait()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	taken := s.entries
-	s.entries = nil
-	return taken
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	recorded := b.calls
+	b.calls = nil
+	return recorded
 }
 
-func (s *fakeBuffer) Withdraw(partition int, covered fanout.WithdrawnFunc) {
-	s.add("withdraw %d %t %t", partition, covered("kept/a", "k", 20), covered("kept/a", "k", 21))
+func (b *fakeBuffer) Withdraw(partition int, covered fanout.WithdrawnFunc) {
+	b.add("withdraw %d %t %t", partition, covered("kept/a", "k", 20), covered("kept/a", "k", 21))
 }
 
-func (s *fakeBuffer) Drop(topic string) { s.add("drop %s", topic) }
+func (b *fakeBuffer) Drop(topic string) { b.add("drop %s", topic) }
 
-func (s *fakeBuffer) Release(partition int, cut bool) bool {
-	s.add("release %d cut=%t", partition, cut)
+func (b *fakeBuffer) Release(partition int, cut bool) bool {
+	b.add("release %d cut=%t", partition, cut)
 	return true
 }
 
@@ -280,8 +286,8 @@
 		first.Do(Request{Verb: Unsubscribe, Topic: "kept/a"})
 		first.Do(Request{Verb: Unsubscribe, Topic: "kept/b"})
 		second.End()
-		assert.DeepEqual(t, unsubscribed.takeEntries(), []string{"drop kept/a"})
-		assert.DeepEqual(t, ended.takeEntries(), []string{"drop kept/a"})
+		assert.DeepEqual(t, unsubscribed.takeCalls(), []string{"drop kept/a"})
+		assert.DeepEqual(t, ended.takeCalls(), []string{"drop kept/a"})
 		next := uint64(20)
 		fixture.leaders.mu.Lock()
 		fixture.leaders.onPoll = func(*leader.PollRequest) *leader.PollResponse {
@@ -298,13 +304,13 @@
 		}
 		fixture.leaders.mu.Unlock()
 		time.Sleep(settings.DefaultTiming.Spread)
-		assert.DeepEqual(t, unsubscribed.takeEntries(), []string{"withdraw 0 true false", "withdraw 0 true true"})
-		assert.DeepEqual(t, ended.takeEntries(), []string{"withdraw 0 true false", "withdraw 0 true true"})
+		assert.DeepEqual(t, unsubscribed.takeCalls(), []string{"withdraw 0 true false", "withdraw 0 true true"})
+		assert.DeepEqual(t, ended.takeCalls(), []string{"withdraw 0 true false", "withdraw 0 true true"})
 		release()
 		session.Do(Request{Verb: Unsubscribe, Topic: "kept/a"})
 		time.Sleep(2 * settings.DefaultTiming.Spread)
-		assert.DeepEqual(t, unsubscribed.takeEntries(), []string{"release 0 cut=false"})
-		assert.Equal(t, len(ended.takeEntries()), 0)
+		assert.DeepEqual(t, unsubscribed.takeCalls(), []string{"release 0 cut=false"})
+		assert.Equal(t, len(ended.takeCalls()), 0)
 		lines := responses()
 		for i, line := range lines {
 			_, lines[i], _ = strings.Cut(line, ": ")
--- a/internal/client/stream.go
+++ b/internal/client/stream.go
@@ -10,8 +10,8 @@
 	"postjunction/internal/rawjson"
 )
 
-// idleDivisor: a stream that wrote nothing for the spread interval divided by this writes a sign of
-// life.
+// idleDivisor: a stream that wrote nothing for the spread interval divided by this writes a
+// keepalive.
 const idleDivisor = 2
 
 // fetchResult is the outcome of a fetch for a reader.
@@ -41,26 +41,27 @@
 	err    error
 }
 
-// subscriptionStream is one stream. One goroutine, the caller of follow, drives it; the goroutines
-// that open, fetch and check for it answer over its channels and end with its context.
+// subscriptionStream is one stream. The goroutine that calls follow runs it. Its goroutines that
+// open partitions, fetch entries and check the attachment return results over its channels and end
+// with its context.
 type subscriptionStream struct {
 	service *Service
 	request *Request
 	fleet   string
-	// topics are those that are followed, urgentTopics whether each is urgent, partitions where
-	// each is.
+	// topics are the followed topics, urgentTopics whether each is urgent, partitions the partition
+	// of each.
 	topics       map[string]bool
 	urgentTopics map[string]bool
 	partitions   map[string]int
-	// resumeFrom is the cursor that the client came with, positions the offsets that were delivered
-	// since.
+	// resumeFrom is the cursor at which the stream resumes, positions the offsets that it has
+	// delivered since.
 	resumeFrom cursor.Cursor
 	positions  cursor.Cursor
 	// readers are the open partitions, urgent ones first; opened brings more.
-	readers []reader
-	opened  chan openResult
-	leaves  []func()
-	// attachFeed has the client's attachments, attachOffset is up to where they were checked.
+	readers    []reader
+	opened     chan openResult
+	leaveFuncs []func()
+	// attachFeed has the client's attachments; they are checked up to attachOffset.
 	attachFeed   *stream.Feed
 	attachOffset uint64
 	attachChecks chan error
@@ -83,7 +84,7 @@
 	ctx, end := context.WithCancel(ctx)
 	defer func() {
 		end()
-		for _, leave := range st.leaves {
+		for _, leave := range st.leaveFuncs {
 			leave()
 		}
 	}()
@@ -123,8 +124,8 @@
 	}
 }
 
-// run delivers until the stream ends. Why it ended is its last line; an error is returned only if
-// that can't be written.
+// run delivers until the stream ends. The reason is written as the last line; run returns an error
+// only if that line can't be written.
 func (st *subscriptionStream) run(ctx context.Context) error {
 	if err := st.emit(Event{Attached: st.request.identity.Generation, Waiting: st.waitingTopics()}); err != nil {
 		return err
@@ -236,7 +237,7 @@
 	event.Cursor = st.cursor()
 	line, err := rawjson.Marshal(event)
 	if err != nil {
-		return apierror.Wrap(apierror.Internal, err, "write a stream line")
+		return apierror.Wrap(apierror.Internal, err, "encode a stream event")
 	}
 	if err := st.request.Emit(append(line, '\n')); err != nil {
 		st.writeErr = err
--- a/internal/client/stream_deliver.go
+++ b/internal/client/stream_deliver.go
@@ -9,11 +9,12 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-// maxRoutineEntries limits a round, so that urgent entries come soon.
+// maxRoutineEntries limits the routine entries of a round, so that urgent entries are not delayed.
 const maxRoutineEntries = 16
 
-// deliverRound delivers what is at hand, urgent partitions first, and reports whether there may be
-// more. It never waits: what a feed no longer caches is fetched by another goroutine.
+// deliverRound delivers the entries that are in memory, urgent partitions first, and reports
+// whether there may be more. It never waits: entries that a feed no longer caches are fetched by
+// another goroutine.
 func (st *subscriptionStream) deliverRound(ctx context.Context) (bool, error) {
 	if err := st.checkAttachment(ctx); err != nil {
 		return false, err
@@ -46,8 +47,8 @@
 	return false, nil
 }
 
-// nextEntries returns what is at hand of a partition. If that takes a call, it starts one and
-// returns nothing.
+// nextEntries returns the entries of a partition that are in memory. If they have to be fetched, it
+// starts that and returns nothing.
 func (st *subscriptionStream) nextEntries(ctx context.Context, reader *reader) ([]log.Entry, error) {
 	if len(reader.window.Entries) > 0 {
 		return reader.window.Entries, nil
@@ -139,7 +140,7 @@
 		space, err := index.Find(topic)
 		if err == nil && space.Urgent != st.urgentTopics[topic] {
 			err = apierror.New(
-				apierror.UnknownTopic, "%s stands in a space of another urgency since description %d", topic,
+				apierror.UnknownTopic, "%s is in a space of another urgency since configuration %d", topic,
 				index.Sequence,
 			)
 		}
--- a/internal/client/stream_fencing.go
+++ b/internal/client/stream_fencing.go
@@ -9,19 +9,19 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-// watchAttachment joins the feed that has newer attachments, and only then asks which attachment is
-// in force, so that none is missed in between.
+// watchAttachment follows the feed that gets newer attachments, and only then reads the current
+// attachment, so that none is missed in between.
 func (st *subscriptionStream) watchAttachment(ctx context.Context, identity token.Token, urgent bool) error {
 	feed, leave, err := st.service.Feeds.Follow(ctx, st.service.Router.HomePartition(identity.Client, urgent), st.wake)
 	if err != nil {
 		return err
 	}
-	st.leaves = append(st.leaves, leave)
+	st.leaveFuncs = append(st.leaveFuncs, leave)
 	st.attachFeed, st.attachOffset = feed, feed.CommittedEnd()
 	return st.service.identify(ctx, st.request, identity, urgent)
 }
 
-// checkAttachment returns an error once a newer attachment of the client is in force.
+// checkAttachment returns an error once the client has a newer attachment.
 func (st *subscriptionStream) checkAttachment(ctx context.Context) error {
 	if st.isChecking {
 		select {
@@ -53,15 +53,15 @@
 	}
 }
 
-// recheckAttachment asks which attachment is in force, after the feed dropped entries that this
-// stream had not seen.
+// recheckAttachment reads the current attachment in another goroutine, after the feed dropped
+// entries that this stream had not read.
 func (st *subscriptionStream) recheckAttachment(ctx context.Context) {
 	st.isChecking = true
 	st.attachOffset = st.attachFeed.CommittedEnd()
 	identity := st.request.identity
 	urgent := slices.ContainsFunc(st.readers, func(reader reader) bool { return reader.isUrgent })
 	go func() {
-		err := error(apierror.New(apierror.NoPartitionLeader, "not asked yet"))
+		err := error(apierror.New(apierror.NoPartitionLeader, "the attachment was not read yet"))
 		for err != nil && ctx.Err() == nil {
 			callCtx, cancel := context.WithTimeout(ctx, callTimeouts*st.service.Timing.CallTimeout())
 			attachment, callErr := st.service.Router.ReadAttachment(
--- a/internal/client/stream_open.go
+++ b/internal/client/stream_open.go
@@ -29,15 +29,15 @@
 
 // loadCursor reads the cursor to resume from: the request's, or else the one that was saved.
 func (st *subscriptionStream) loadCursor(partitions int) error {
-	from := st.request.Cursor
-	if from == "" {
-		from = st.request.savedCursor
+	resumeCursor := st.request.Cursor
+	if resumeCursor == "" {
+		resumeCursor = st.request.savedCursor
 	}
-	if from == "" {
+	if resumeCursor == "" {
 		return nil
 	}
 	var err error
-	st.resumeFrom, err = cursor.Decode(st.fleet, partitions, from)
+	st.resumeFrom, err = cursor.Decode(st.fleet, partitions, resumeCursor)
 	return err
 }
 
@@ -129,7 +129,7 @@
 }
 
 func (st *subscriptionStream) addReader(opened openResult) {
-	st.leaves = append(st.leaves, opened.leave)
+	st.leaveFuncs = append(st.leaveFuncs, opened.leave)
 	st.positions[opened.partition] = opened.offset
 	st.readers = append(st.readers, opened.reader)
 	slices.SortFunc(st.readers, func(first, second reader) int { return second.partition - first.partition })
--- a/internal/client/stream_test.go
+++ b/internal/client/stream_test.go
@@ -21,47 +21,49 @@
 )
 
 func TestStream_SkipsDeliveredEntriesAndOtherTopics(t *testing.T) {
-	b := gossip.NewStore(nil)
-	describe := func(seq uint64, ss ...configuration.Space) {
-		b.Apply(gossip.Update{Configuration: &configuration.Config{Sequence: seq, Spaces: ss}})
+	store := gossip.NewStore(nil)
+	configure := func(sequence uint64, spaces ...configuration.Space) {
+		store.Apply(gossip.Update{Configuration: &configuration.Config{Sequence: sequence, Spaces: spaces}})
 	}
-	describe(1, configuration.Space{Name: "s", Kind: "kept", Topics: []string{"a", "b", "gone"}})
+	configure(1, configuration.Space{Name: "s", Kind: "kept", Topics: []string{"a", "b", "gone"}})
 	var got []string
-	st := &subscriptionStream{service: &Service{Store: b}, request: &Request{Emit: func(l []byte) error {
-		var x Event
-		assert.NilError(t, json.Unmarshal(l, &x))
-		got = append(got, x.Topic+strings.Join(x.Unsubscribed, "-"))
+	st := &subscriptionStream{service: &Service{Store: store}, request: &Request{Emit: func(line []byte) error {
+		var event Event
+		assert.NilError(t, json.Unmarshal(line, &event))
+		got = append(got, event.Topic+strings.Join(event.Unsubscribed, "-"))
 		return nil
 	}}, topics: map[string]bool{"s/a": true, "s/gone": true}, urgentTopics: map[string]bool{},
 		positions: cursor.Cursor{}, configuration: 1}
-	give := func(opened uint64, topic string) {
+	deliver := func(offset uint64, topic string) {
 		stale, err := st.deliver(
-			reader{}, log.Entry{Offset: opened, Type: log.TypeMessage, Topic: topic, Body: []byte("1")},
+			reader{}, log.Entry{Offset: offset, Type: log.TypeMessage, Topic: topic, Body: []byte("1")},
 		)
 		assert.NilError(t, err)
 		assert.Assert(t, !stale)
 	}
-	give(1, "s/a")
-	give(1, "s/a")
-	give(2, "s/b")
-	give(3, "s/gone")
-	give(2, "s/a")
-	describe(2, configuration.Space{Name: "s", Kind: "kept", Topics: []string{"a", "b"}})
+	deliver(1, "s/a")
+	deliver(1, "s/a")
+	deliver(2, "s/b")
+	deliver(3, "s/gone")
+	deliver(2, "s/a")
+	configure(2, configuration.Space{Name: "s", Kind: "kept", Topics: []string{"a", "b"}})
 	assert.NilError(t, st.dropRemovedTopics())
-	give(4, "s/gone")
-	give(5, "s/a")
+	deliver(4, "s/gone")
+	deliver(5, "s/a")
 	assert.DeepEqual(t, got, []string{"s/a", "s/gone", "s/gone", "s/a"})
-	describe(3, configuration.Space{Name: "s", Kind: "kept", Urgent: true, Topics: []string{"a"}})
+	configure(3, configuration.Space{Name: "s", Kind: "kept", Urgent: true, Topics: []string{"a"}})
 	assert.ErrorContains(t, st.dropRemovedTopics(), "unknown_topic")
 }
 
-// fakeLeaders answers for an urgent partition, which gets one entry when it is read; a routine
-// one's leader returns its end and nothing else.
+// fakeLeaders are the leaders of two partitions. The urgent one gets one entry when it is read; the
+// routine one returns its end and then blocks.
 type fakeLeaders struct{ urgent int }
 
-func (opened fakeLeaders) ReadAsReader(ctx context.Context, request *leader.ReadRequest) (*leader.ReadResponse, error) {
+func (leaders fakeLeaders) ReadAsReader(
+	ctx context.Context, request *leader.ReadRequest,
+) (*leader.ReadResponse, error) {
 	first := request.From == ^uint64(0)
-	if request.Partition == opened.urgent && !first && request.From < 8 {
+	if request.Partition == leaders.urgent && !first && request.From < 8 {
 		return &leader.ReadResponse{
 			To:      8,
 			Epoch:   1,
@@ -81,17 +83,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		const routine, urgent = 0, 5
-		fs := stream.New(ctx, "a1", "1", fakeLeaders{urgent}, clock.Real{}, settings.DefaultTiming)
-		b := gossip.NewStore(nil)
+		feeds := stream.New(ctx, "a1", "1", fakeLeaders{urgent}, clock.Real{}, settings.DefaultTiming)
+		store := gossip.NewStore(nil)
 		var got []string
 		st := &subscriptionStream{service: &Service{
-			Store:  b,
+			Store:  store,
 			Clock:  clock.Real{},
 			Timing: settings.DefaultTiming,
-		}, request: &Request{Emit: func(l []byte) error {
-			var x Event
-			assert.NilError(t, json.Unmarshal(l, &x))
-			got = append(got, x.Topic)
+		}, request: &Request{Emit: func(line []byte) error {
+			var event Event
+			assert.NilError(t, json.Unmarshal(line, &event))
+			got = append(got, event.Topic)
 			return nil
 		}}, topics: map[string]bool{"s/stop": true, "s/kept": true}, urgentTopics: map[string]bool{},
 			positions: cursor.Cursor{}, attachChecks: make(chan error, 1), wake: make(chan struct{}, 1)}
@@ -99,9 +101,9 @@
 			{reader: reader{partition: routine}, offset: 3},
 			{reader: reader{partition: urgent, isUrgent: true}, offset: 7},
 		} {
-			f, leave, err := fs.Follow(ctx, opened.partition, st.wake)
+			feed, leave, err := feeds.Follow(ctx, opened.partition, st.wake)
 			assert.NilError(t, err)
-			opened.feed, opened.leave, opened.fetched = f, leave, make(chan fetchResult, 1)
+			opened.feed, opened.leave, opened.fetched = feed, leave, make(chan fetchResult, 1)
 			st.addReader(opened)
 		}
 		st.attachFeed = st.readers[0].feed
--- a/internal/client/token/token.go
+++ b/internal/client/token/token.go
@@ -74,7 +74,7 @@
 	}
 	text, ok := strings.CutPrefix(header, bearer)
 	if !ok {
-		return Token{}, apierror.New(apierror.TokenMissing, "the Authorization header is no bearer token")
+		return Token{}, apierror.New(apierror.TokenMissing, "the Authorization header is not a bearer token")
 	}
 	return Decode(text)
 }
--- a/internal/client/withdraw.go
+++ b/internal/client/withdraw.go
@@ -30,9 +30,9 @@
 	return nil
 }
 
-// awaitForgotten waits until every reader of the partition has read past the withdrawal, outside of
-// the admission limit and for one call time-out at most.
-func (s *Service) awaitForgotten(ctx context.Context, request *Request, next callpolicy.Next[*Request]) error {
+// awaitCompletion waits until every reader of the partition has read past the withdrawal, outside
+// of the admission limit and for one call time-out at most.
+func (s *Service) awaitCompletion(ctx context.Context, request *Request, next callpolicy.Next[*Request]) error {
 	if err := next(ctx, request); err != nil {
 		return err
 	}
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// awaitReaders asks for the pending readers until there are none, and returns the nodes that were
-// given up; once the time is over its error names those that are pending.
+// awaitReaders polls the pending readers until there are none, and returns the nodes that were
+// given up. At the deadline it returns an error that names the pending nodes.
 func (s *Service) awaitReaders(
 	ctx context.Context, decision leader.Decision, ask func(context.Context) (*leader.PendingReaders, error),
 ) ([]string, error) {
@@ -82,14 +82,14 @@
 func errWithdrawalOpen(decision leader.Decision, pending []string, err error) error {
 	if len(pending) == 0 {
 		return apierror.New(apierror.WithdrawalOpen,
-			"the mark stands at offset %d of partition %d; who has to forget could not be asked: %v",
+			"the tombstone is at offset %d of partition %d; the pending readers could not be queried: %v",
 			decision.Offset, decision.Partition, err)
 	}
 	var faults []apierror.Fault
 	for _, node := range pending {
-		faults = append(faults, apierror.Fault{Path: node, Message: "has not read behind the mark"})
+		faults = append(faults, apierror.Fault{Path: node, Message: "has not read past the tombstone"})
 	}
-	open := apierror.New(apierror.WithdrawalOpen, "the mark stands at offset %d of partition %d; not heard: %s",
+	open := apierror.New(apierror.WithdrawalOpen, "the tombstone is at offset %d of partition %d; pending: %s",
 		decision.Offset, decision.Partition, strings.Join(pending, ", "))
 	return open.WithFaults(faults)
 }
--- a/internal/client/withdraw_test.go
+++ b/internal/client/withdraw_test.go
@@ -25,40 +25,42 @@
 // scriptedReads are what the reads of a partition return, one after the other.
 type scriptedReads chan *leader.ReadResponse
 
-func (p scriptedReads) ReadAsReader(ctx context.Context, request *leader.ReadRequest) (*leader.ReadResponse, error) {
+func (reads scriptedReads) ReadAsReader(
+	ctx context.Context, request *leader.ReadRequest,
+) (*leader.ReadResponse, error) {
 	if request.Finished || request.From == ^uint64(0) {
 		return &leader.ReadResponse{}, nil
 	}
 	select {
-	case r := <-p:
-		return r, nil
+	case response := <-reads:
+		return response, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-func (p scriptedReads) send(entries ...log.Entry) {
-	p <- &leader.ReadResponse{Entries: entries, To: entries[len(entries)-1].Offset}
+func (reads scriptedReads) send(entries ...log.Entry) {
+	reads <- &leader.ReadResponse{Entries: entries, To: entries[len(entries)-1].Offset}
 	synctest.Wait()
 }
 
-func keyedEntry(opened uint64, what, key, body string) log.Entry {
+func keyedEntry(offset uint64, entryType, key, body string) log.Entry {
 	return log.Entry{
-		Offset:      opened,
-		Type:        what,
+		Offset:      offset,
+		Type:        entryType,
 		Topic:       "s/a",
 		Key:         key,
 		Body:        []byte(body),
-		BodyDropped: what == log.TypeMessage && body == "",
+		BodyDropped: entryType == log.TypeMessage && body == "",
 	}
 }
 
 // A stream's window is older than a tombstone: what it covers is never delivered, the rest is, and
 // so is the withdrawal.
 func TestStream_SkipsWithdrawnEntries(t *testing.T) {
-	for name, c := range map[string]struct {
-		held, then []log.Entry
-		want       []string
+	for name, test := range map[string]struct {
+		cached, later []log.Entry
+		want          []string
 	}{
 		"withdrawn while it waits in the window": {
 			[]log.Entry{
@@ -82,36 +84,37 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, stop := context.WithCancel(t.Context())
-				p := make(scriptedReads)
+				reads := make(scriptedReads)
 				wake := make(chan struct{}, 1)
-				f, leave, err := stream.New(
-					ctx, "a1", "b", p, clock.Real{}, settings.DefaultTiming,
+				feed, leave, err := stream.New(
+					ctx, "a1", "b", reads, clock.Real{}, settings.DefaultTiming,
 				).Follow(ctx, 0, wake)
 				assert.NilError(t, err)
 				defer leave()
 				var got []string
-				st := &subscriptionStream{service: &Service{Store: gossip.NewStore(nil)}, request: &Request{Emit: func(b []byte) error {
-					var l Event
-					assert.NilError(t, json.Unmarshal(b, &l))
-					switch {
-					case l.Withdrawn == "":
-						got = append(got, string(l.Body)+" "+l.Key)
-					case !strings.HasPrefix(l.Withdrawn, "other"):
-						got = append(got, "-"+l.Withdrawn)
-					}
-					return nil
-				}}, topics: map[string]bool{"s/a": true}, urgentTopics: map[string]bool{},
-					positions: cursor.Cursor{}, attachFeed: f, attachOffset: ^uint64(0)}
-				st.readers = []reader{{feed: f, fetched: make(chan fetchResult, 1)}}
-				p.send(c.held...)
+				st := &subscriptionStream{
+					service: &Service{Store: gossip.NewStore(nil)}, request: &Request{Emit: func(line []byte) error {
+						var event Event
+						assert.NilError(t, json.Unmarshal(line, &event))
+						switch {
+						case event.Withdrawn == "":
+							got = append(got, string(event.Body)+" "+event.Key)
+						case !strings.HasPrefix(event.Withdrawn, "other"):
+							got = append(got, "-"+event.Withdrawn)
+						}
+						return nil
+					}}, topics: map[string]bool{"s/a": true}, urgentTopics: map[string]bool{},
+					positions: cursor.Cursor{}, attachFeed: feed, attachOffset: ^uint64(0)}
+				st.readers = []reader{{feed: feed, fetched: make(chan fetchResult, 1)}}
+				reads.send(test.cached...)
 				_, err = st.nextEntries(ctx, &st.readers[0])
 				assert.NilError(t, err)
-				p.send(c.then...)
+				reads.send(test.later...)
 				for more := true; more; {
 					more, err = st.deliverRound(ctx)
 					assert.NilError(t, err)
 				}
-				assert.DeepEqual(t, got, c.want)
+				assert.DeepEqual(t, got, test.want)
 				stop()
 				synctest.Wait()
 			})
@@ -120,9 +123,9 @@
 }
 
 // withdrawals returns withdrawals of other keys at consecutive offsets.
-func withdrawals(from uint64, n int) []log.Entry {
+func withdrawals(from uint64, count int) []log.Entry {
 	var entries []log.Entry
-	for i := range uint64(n) {
+	for i := range uint64(count) {
 		entries = append(
 			entries,
 			keyedEntry(
@@ -135,11 +138,11 @@
 }
 
 func TestSubmit_RejectsKeysUntilEveryBuildSupportsThem(t *testing.T) {
-	v := membership.NewView()
-	s := &Service{Router: &router.Router{View: v}}
-	identity := "k"
-	v.Set([]membership.Info{{Name: "a1", SupportsKeys: true}, {Name: "a2"}})
-	_, err := s.submit(t.Context(), &Request{Key: &identity}, &leader.Message{})
+	view := membership.NewView()
+	service := &Service{Router: &router.Router{View: view}}
+	key := "k"
+	view.Set([]membership.Info{{Name: "a1", SupportsKeys: true}, {Name: "a2"}})
+	_, err := service.submit(t.Context(), &Request{Key: &key}, &leader.Message{})
 	assert.Assert(t, apierror.HasCode(err, apierror.NotReady), "%v", err)
 	assert.ErrorContains(t, err, "a2")
 }
@@ -147,10 +150,10 @@
 // The nodes that are pending are named as of the last response, however later calls end.
 func TestAwaitReaders_NamesPendingNodes(t *testing.T) {
 	late := apierror.New(apierror.Unreachable, "no answer")
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		answers []any
-		say     string
-		given   []string
+		message string
+		givenUp []string
 	}{
 		"all at once": {[]any{&leader.PendingReaders{}}, "", []string{}},
 		"one later, one given up": {
@@ -160,33 +163,33 @@
 		"never": {
 			[]any{&leader.PendingReaders{Nodes: []string{"a1", "a2/streams"}}}, "a1, a2/streams", nil,
 		},
-		"not to be asked":          {[]any{late}, "could not be asked: unreachable", nil},
-		"not to be asked any more": {[]any{&leader.PendingReaders{Nodes: []string{"a1"}}, late}, "a1", nil},
+		"query fails":        {[]any{late}, "could not be queried: unreachable", nil},
+		"later queries fail": {[]any{&leader.PendingReaders{Nodes: []string{"a1"}}, late}, "a1", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &Service{Clock: clock.Real{}, Timing: settings.DefaultTiming}
-				n := 0
+				service := &Service{Clock: clock.Real{}, Timing: settings.DefaultTiming}
+				calls := 0
 				begun := time.Now()
-				given, err := s.awaitReaders(t.Context(), leader.Decision{
+				givenUp, err := service.awaitReaders(t.Context(), leader.Decision{
 					Partition: 3, Offset: 7,
 				}, func(context.Context) (*leader.PendingReaders, error) {
-					a := c.answers[min(n, len(c.answers)-1)]
-					n++
-					if entry, ok := a.(error); ok {
-						return nil, entry
+					answer := test.answers[min(calls, len(test.answers)-1)]
+					calls++
+					if failure, ok := answer.(error); ok {
+						return nil, failure
 					}
-					return a.(*leader.PendingReaders), nil
+					return answer.(*leader.PendingReaders), nil
 				})
-				assert.Assert(t, time.Since(begun) <= s.Timing.CallTimeout())
-				assert.DeepEqual(t, given, c.given)
-				if c.say == "" {
+				assert.Assert(t, time.Since(begun) <= service.Timing.CallTimeout())
+				assert.DeepEqual(t, givenUp, test.givenUp)
+				if test.message == "" {
 					assert.NilError(t, err)
 					return
 				}
 				assert.Assert(t, apierror.HasCode(err, apierror.WithdrawalOpen), "%v", err)
 				assert.ErrorContains(t, err, "offset 7 of partition 3")
-				assert.ErrorContains(t, err, c.say)
+				assert.ErrorContains(t, err, test.message)
 			})
 		})
 	}
