--- a/internal/httpapi/api.go
+++ b/internal/httpapi/api.go
@@ -1,5 +1,5 @@
-// Package httpapi serves clients and operators over HTTP: JSON in, JSON or lines out, every error
-// typed.
+// Package httpapi serves clients and operators over HTTP. Requests are JSON, responses are JSON or
+// a stream of JSON lines, and every error has a code.
 package httpapi
 
 import (
@@ -39,41 +39,41 @@
 type handler func(w http.ResponseWriter, r *http.Request) (any, error)
 
 // Handler returns the HTTP handler.
-func (d *API) Handler() http.Handler {
-	d.mux = http.NewServeMux()
-	d.add("/ready", map[string]handler{"GET": d.ready})
-	d.add("/live", map[string]handler{"GET": func(http.ResponseWriter, *http.Request) (any, error) {
+func (a *API) Handler() http.Handler {
+	a.mux = http.NewServeMux()
+	a.add("/ready", map[string]handler{"GET": a.ready})
+	a.add("/live", map[string]handler{"GET": func(http.ResponseWriter, *http.Request) (any, error) {
 		return map[string]bool{"live": true}, nil
 	}})
-	d.add("/v1/attach", map[string]handler{"POST": d.attach})
-	d.add("/v1/send", map[string]handler{"POST": d.send})
-	d.add("/v1/withdraw", map[string]handler{"POST": d.withdraw})
-	d.add("/v1/stream", map[string]handler{"GET": d.stream})
-	d.add("/v1/ack", map[string]handler{"POST": d.ack})
-	d.add("/v1/count", map[string]handler{"GET": d.count})
-	d.add("/v1/description", map[string]handler{"GET": d.readConfiguration, "PUT": d.putConfiguration})
-	d.add("/v1/status", map[string]handler{"GET": func(_ http.ResponseWriter, r *http.Request) (any, error) {
-		return d.Operators.Status(r.Context())
+	a.add("/v1/attach", map[string]handler{"POST": a.attach})
+	a.add("/v1/send", map[string]handler{"POST": a.send})
+	a.add("/v1/withdraw", map[string]handler{"POST": a.withdraw})
+	a.add("/v1/stream", map[string]handler{"GET": a.stream})
+	a.add("/v1/ack", map[string]handler{"POST": a.ack})
+	a.add("/v1/count", map[string]handler{"GET": a.count})
+	a.add("/v1/description", map[string]handler{"GET": a.readConfiguration, "PUT": a.putConfiguration})
+	a.add("/v1/status", map[string]handler{"GET": func(_ http.ResponseWriter, r *http.Request) (any, error) {
+		return a.Operators.Status(r.Context())
 	}})
-	d.add("/v1/counters", map[string]handler{"GET": func(_ http.ResponseWriter, r *http.Request) (any, error) {
-		return d.Operators.Counters(), nil
+	a.add("/v1/counters", map[string]handler{"GET": func(_ http.ResponseWriter, r *http.Request) (any, error) {
+		return a.Operators.Counters(), nil
 	}})
-	d.add("/v1/usage", map[string]handler{"GET": func(_ http.ResponseWriter, r *http.Request) (any, error) {
-		return d.Operators.Usage(r.Context())
+	a.add("/v1/usage", map[string]handler{"GET": func(_ http.ResponseWriter, r *http.Request) (any, error) {
+		return a.Operators.Usage(r.Context())
 	}})
-	d.add("/v1/drain", map[string]handler{"GET": func(_ http.ResponseWriter, r *http.Request) (any, error) {
-		return d.Operators.ListDecommissions(r.Context())
-	}, "POST": d.decommission})
-	d.add("/v1/partition", map[string]handler{"GET": d.partition})
-	d.add("/v1/why", map[string]handler{"GET": d.explain})
-	d.mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
+	a.add("/v1/drain", map[string]handler{"GET": func(_ http.ResponseWriter, r *http.Request) (any, error) {
+		return a.Operators.ListDecommissions(r.Context())
+	}, "POST": a.decommission})
+	a.add("/v1/partition", map[string]handler{"GET": a.partition})
+	a.add("/v1/why", map[string]handler{"GET": a.explain})
+	a.mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
 		WriteError(w, apierror.New(apierror.UnknownPath, "there is no %s", r.URL.Path))
 	})
-	return d.mux
+	return a.mux
 }
 
-func (d *API) add(path string, handlers map[string]handler) {
-	d.mux.HandleFunc(path, func(w http.ResponseWriter, r *http.Request) {
+func (a *API) add(path string, handlers map[string]handler) {
+	a.mux.HandleFunc(path, func(w http.ResponseWriter, r *http.Request) {
 		handle, ok := handlers[r.Method]
 		if !ok {
 			for method := range handlers {
@@ -178,34 +178,34 @@
 	drainShape = objectShape([]string{"node"}, map[string]string{"node": strictjson.Text})
 )
 
-func (d *API) ready(http.ResponseWriter, *http.Request) (any, error) {
-	if err := d.Ready(); err != nil {
+func (a *API) ready(http.ResponseWriter, *http.Request) (any, error) {
+	if err := a.Ready(); err != nil {
 		return nil, err
 	}
 	return map[string]bool{"ready": true}, nil
 }
 
-func (d *API) attach(w http.ResponseWriter, r *http.Request) (any, error) {
+func (a *API) attach(w http.ResponseWriter, r *http.Request) (any, error) {
 	var input struct {
-		Visitor string `json:"visitor"`
+		Client string `json:"visitor"`
 	}
 	if err := readDocument(w, r, attachShape, &input); err != nil {
 		return nil, err
 	}
-	return d.Clients.Do(r.Context(), &client.Request{Verb: client.VerbAttach, Client: input.Visitor})
+	return a.Clients.Do(r.Context(), &client.Request{Verb: client.VerbAttach, Client: input.Client})
 }
 
 func bearerToken(r *http.Request) (string, error) {
-	t, err := token.ParseBearer(r.Header.Get("Authorization"))
-	return t.Encode(), err
+	parsed, err := token.ParseBearer(r.Header.Get("Authorization"))
+	return parsed.Encode(), err
 }
 
-func (d *API) send(w http.ResponseWriter, r *http.Request) (any, error) {
+func (a *API) send(w http.ResponseWriter, r *http.Request) (any, error) {
 	var input struct {
-		Topic string          `json:"topic"`
-		Call  uint64          `json:"call_seq"`
-		Key   *string         `json:"key"`
-		Body  json.RawMessage `json:"body"`
+		Topic   string          `json:"topic"`
+		CallSeq uint64          `json:"call_seq"`
+		Key     *string         `json:"key"`
+		Body    json.RawMessage `json:"body"`
 	}
 	bearer, err := bearerToken(r)
 	if err != nil {
@@ -214,26 +214,26 @@
 	if err := readDocument(w, r, sendShape, &input); err != nil {
 		return nil, err
 	}
-	return d.Clients.Do(
+	return a.Clients.Do(
 		r.Context(),
 		&client.Request{
 			Verb:    client.VerbSend,
 			Token:   bearer,
 			Topics:  []string{input.Topic},
-			CallSeq: input.Call,
+			CallSeq: input.CallSeq,
 			Key:     input.Key,
 			Body:    input.Body,
 		},
 	)
 }
 
-func (d *API) withdraw(w http.ResponseWriter, r *http.Request) (any, error) {
+func (a *API) withdraw(w http.ResponseWriter, r *http.Request) (any, error) {
 	var input struct {
-		Topic string  `json:"topic"`
-		Key   *string `json:"key"`
-		Call  uint64  `json:"call_seq"`
-		Of    string  `json:"of"`
-		Upto  uint64  `json:"upto"`
+		Topic          string  `json:"topic"`
+		Key            *string `json:"key"`
+		CallSeq        uint64  `json:"call_seq"`
+		WithdrawSender string  `json:"of"`
+		WithdrawUpTo   uint64  `json:"upto"`
 	}
 	bearer, err := bearerToken(r)
 	if err != nil {
@@ -242,21 +242,21 @@
 	if err := readDocument(w, r, withdrawShape, &input); err != nil {
 		return nil, err
 	}
-	return d.Clients.Do(
+	return a.Clients.Do(
 		r.Context(),
 		&client.Request{
 			Verb:           client.VerbWithdraw,
 			Token:          bearer,
 			Topics:         []string{input.Topic},
-			CallSeq:        input.Call,
+			CallSeq:        input.CallSeq,
 			Key:            input.Key,
-			WithdrawSender: input.Of,
-			WithdrawUpTo:   input.Upto,
+			WithdrawSender: input.WithdrawSender,
+			WithdrawUpTo:   input.WithdrawUpTo,
 		},
 	)
 }
 
-func (d *API) ack(w http.ResponseWriter, r *http.Request) (any, error) {
+func (a *API) ack(w http.ResponseWriter, r *http.Request) (any, error) {
 	var input struct {
 		Cursor string `json:"cursor"`
 	}
@@ -267,7 +267,7 @@
 	if err := readDocument(w, r, ackShape, &input); err != nil {
 		return nil, err
 	}
-	return d.Clients.Do(r.Context(), &client.Request{Verb: client.VerbAck, Token: bearer, Cursor: input.Cursor})
+	return a.Clients.Do(r.Context(), &client.Request{Verb: client.VerbAck, Token: bearer, Cursor: input.Cursor})
 }
 
 func checkQuery(r *http.Request, known ...string) error {
@@ -283,7 +283,7 @@
 	return nil
 }
 
-func (d *API) count(_ http.ResponseWriter, r *http.Request) (any, error) {
+func (a *API) count(_ http.ResponseWriter, r *http.Request) (any, error) {
 	bearer, err := bearerToken(r)
 	if err != nil {
 		return nil, err
@@ -291,12 +291,12 @@
 	if err := checkQuery(r, "topic"); err != nil {
 		return nil, err
 	}
-	return d.Clients.Do(
+	return a.Clients.Do(
 		r.Context(), &client.Request{Verb: client.VerbCount, Token: bearer, Topics: r.URL.Query()["topic"]},
 	)
 }
 
-func (d *API) stream(w http.ResponseWriter, r *http.Request) (any, error) {
+func (a *API) stream(w http.ResponseWriter, r *http.Request) (any, error) {
 	bearer, err := bearerToken(r)
 	if err != nil {
 		return nil, err
@@ -307,9 +307,9 @@
 	writer := &streamWriter{
 		response:     w,
 		controller:   http.NewResponseController(w),
-		writeTimeout: d.Timing.Recovery / writeTimeoutDivisor,
+		writeTimeout: a.Timing.Recovery / writeTimeoutDivisor,
 	}
-	_, err = d.Clients.Do(
+	_, err = a.Clients.Do(
 		r.Context(),
 		&client.Request{
 			Verb:   client.VerbFollow,
@@ -326,36 +326,36 @@
 	return nil, err
 }
 
-func (d *API) readConfiguration(_ http.ResponseWriter, r *http.Request) (any, error) {
-	return d.Operators.ReadConfiguration(r.Context())
+func (a *API) readConfiguration(_ http.ResponseWriter, r *http.Request) (any, error) {
+	return a.Operators.ReadConfiguration(r.Context())
 }
 
-func (d *API) putConfiguration(w http.ResponseWriter, r *http.Request) (any, error) {
+func (a *API) putConfiguration(w http.ResponseWriter, r *http.Request) (any, error) {
 	document, err := readBody(w, r, configuration.MaxBytes)
 	if err != nil {
 		return nil, err
 	}
-	return d.Operators.Put(r.Context(), document)
+	return a.Operators.Put(r.Context(), document)
 }
 
-func (d *API) decommission(w http.ResponseWriter, r *http.Request) (any, error) {
+func (a *API) decommission(w http.ResponseWriter, r *http.Request) (any, error) {
 	var input struct {
 		Node string `json:"node"`
 	}
 	if err := readDocument(w, r, drainShape, &input); err != nil {
 		return nil, err
 	}
-	return d.Operators.Decommission(r.Context(), input.Node)
+	return a.Operators.Decommission(r.Context(), input.Node)
 }
 
-func (d *API) partition(_ http.ResponseWriter, r *http.Request) (any, error) {
+func (a *API) partition(_ http.ResponseWriter, r *http.Request) (any, error) {
 	if err := checkQuery(r, "n", "topic"); err != nil {
 		return nil, err
 	}
-	return d.Operators.Partition(r.Context(), r.URL.Query().Get("n"), r.URL.Query().Get("topic"))
+	return a.Operators.Partition(r.Context(), r.URL.Query().Get("n"), r.URL.Query().Get("topic"))
 }
 
-func (d *API) explain(_ http.ResponseWriter, r *http.Request) (any, error) {
+func (a *API) explain(_ http.ResponseWriter, r *http.Request) (any, error) {
 	if err := checkQuery(r, "visitor", "topic", "call_seq"); err != nil {
 		return nil, err
 	}
@@ -364,13 +364,13 @@
 	if err != nil {
 		return nil, apierror.New(apierror.Malformed, "call_seq must be a number from 1, is %q", query.Get("call_seq"))
 	}
-	return d.Operators.Explain(r.Context(), query.Get("visitor"), query.Get("topic"), callSeq)
+	return a.Operators.Explain(r.Context(), query.Get("visitor"), query.Get("topic"), callSeq)
 }
 
 // NewHTTPServer returns a server for a handler.
-func NewHTTPServer(h http.Handler, timing settings.Timing) *http.Server {
+func NewHTTPServer(handler http.Handler, timing settings.Timing) *http.Server {
 	return &http.Server{
-		Handler:           h,
+		Handler:           handler,
 		ReadHeaderTimeout: timing.Recovery / readTimeoutDivisor,
 		IdleTimeout:       timing.Keeping,
 	}
--- a/internal/httpapi/stream_writer.go
+++ b/internal/httpapi/stream_writer.go
@@ -18,25 +18,25 @@
 	aborted      atomic.Bool
 }
 
-func (p *streamWriter) emit(b []byte) error {
-	if !p.started {
-		p.started = true
-		p.response.Header().Set("Content-Type", "application/x-ndjson")
-		p.response.Header().Set("Cache-Control", "no-store")
-		p.response.WriteHeader(http.StatusOK)
+func (s *streamWriter) emit(line []byte) error {
+	if !s.started {
+		s.started = true
+		s.response.Header().Set("Content-Type", "application/x-ndjson")
+		s.response.Header().Set("Cache-Control", "no-store")
+		s.response.WriteHeader(http.StatusOK)
 	}
-	_ = p.controller.SetWriteDeadline(time.Now().Add(p.writeTimeout))
-	if p.aborted.Load() {
-		p.abort()
-		return apierror.New(apierror.SlowReader, "the stream was cut off")
+	_ = s.controller.SetWriteDeadline(time.Now().Add(s.writeTimeout))
+	if s.aborted.Load() {
+		s.abort()
+		return apierror.New(apierror.SlowReader, "the stream was aborted")
 	}
-	if _, err := p.response.Write(b); err != nil {
+	if _, err := s.response.Write(line); err != nil {
 		return apierror.Wrap(apierror.SlowReader, err, "write a line")
 	}
-	return apierror.Wrap(apierror.SlowReader, p.controller.Flush(), "flush a line")
+	return apierror.Wrap(apierror.SlowReader, s.controller.Flush(), "flush a line")
 }
 
-func (p *streamWriter) abort() {
-	p.aborted.Store(true)
-	_ = p.controller.SetWriteDeadline(time.Unix(1, 0))
+func (s *streamWriter) abort() {
+	s.aborted.Store(true)
+	_ = s.controller.SetWriteDeadline(time.Unix(1, 0))
 }
--- a/internal/httpapi/stream_writer_test.go
+++ b/internal/httpapi/stream_writer_test.go
@@ -13,81 +13,83 @@
 	"gotest.tools/v3/assert"
 )
 
-type one struct {
-	c    chan net.Conn
-	done chan struct{}
+type oneConnListener struct {
+	conns  chan net.Conn
+	closed chan struct{}
 }
 
-func (l *one) Accept() (net.Conn, error) {
+func (l *oneConnListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.c:
-		return c, nil
-	case <-l.done:
+	case conn := <-l.conns:
+		return conn, nil
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (l *one) Close() error   { close(l.done); return nil }
-func (l *one) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *oneConnListener) Close() error   { close(l.closed); return nil }
+func (l *oneConnListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// A line that its client does not read ends at once when the stream is aborted, also where that
-// comes right before it, and nothing follows it.
+// When a stream is aborted, the write of a line that the client doesn't read ends at once, also if
+// the abort comes right before the write. Nothing is written after it.
 func TestCutStreamsWriteNothingMore(t *testing.T) {
-	for name, script := range map[string]func(t *testing.T, p *streamWriter, emitted chan error){
-		"under way": func(t *testing.T, p *streamWriter, emitted chan error) {
+	for name, abort := range map[string]func(t *testing.T, writer *streamWriter, emitted chan error){
+		"under way": func(t *testing.T, writer *streamWriter, emitted chan error) {
 			synctest.Wait()
 			assert.Equal(t, len(emitted), 0)
-			p.abort()
+			writer.abort()
 		},
-		"about to begin": func(t *testing.T, p *streamWriter, emitted chan error) {
-			p.abort()
+		"about to begin": func(t *testing.T, writer *streamWriter, emitted chan error) {
+			writer.abort()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				begun, emitted, over := make(chan *streamWriter), make(chan error, 2), make(chan struct{})
-				l := &one{make(chan net.Conn, 1), make(chan struct{})}
-				h := func(w http.ResponseWriter, r *http.Request) {
-					p := &streamWriter{response: w, controller: http.NewResponseController(w), writeTimeout: time.Hour}
-					assert.Check(t, p.emit([]byte("first\n")))
-					begun <- p
-					begun <- p
-					emitted <- p.emit([]byte(strings.Repeat("x", 1<<16) + "\n"))
-					emitted <- p.emit([]byte("third\n"))
-					close(over)
+				writers, emitted, finished := make(chan *streamWriter), make(chan error, 2), make(chan struct{})
+				listener := &oneConnListener{make(chan net.Conn, 1), make(chan struct{})}
+				handler := func(w http.ResponseWriter, r *http.Request) {
+					writer := &streamWriter{
+						response: w, controller: http.NewResponseController(w), writeTimeout: time.Hour,
+					}
+					assert.Check(t, writer.emit([]byte("first\n")))
+					writers <- writer
+					writers <- writer
+					emitted <- writer.emit([]byte(strings.Repeat("x", 1<<16) + "\n"))
+					emitted <- writer.emit([]byte("third\n"))
+					close(finished)
 				}
-				s := &http.Server{Handler: http.HandlerFunc(h)}
-				go func() { _ = s.Serve(l) }()
-				near, far := net.Pipe()
-				l.c <- far
-				go func() { _, _ = near.Write([]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n")) }()
-				in := bufio.NewReaderSize(near, 16)
+				server := &http.Server{Handler: http.HandlerFunc(handler)}
+				go func() { _ = server.Serve(listener) }()
+				client, serverSide := net.Pipe()
+				listener.conns <- serverSide
+				go func() { _, _ = client.Write([]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n")) }()
+				reader := bufio.NewReaderSize(client, 16)
 				var got bytes.Buffer
 				for !strings.HasSuffix(got.String(), "first\n\r\n") {
-					b, err := in.ReadByte()
+					next, err := reader.ReadByte()
 					assert.NilError(t, err)
-					got.WriteByte(b)
+					got.WriteByte(next)
 				}
-				p := <-begun
+				writer := <-writers
 				if name == "under way" {
-					<-begun
+					<-writers
 				}
-				began := time.Now()
-				script(t, p, emitted)
+				start := time.Now()
+				abort(t, writer, emitted)
 				if name != "under way" {
-					<-begun
+					<-writers
 				}
 				assert.ErrorContains(t, <-emitted, "slow_reader")
 				assert.ErrorContains(t, <-emitted, "slow_reader")
-				<-over
-				assert.Equal(t, time.Since(began), time.Duration(0))
+				<-finished
+				assert.Equal(t, time.Since(start), time.Duration(0))
 				var rest bytes.Buffer
-				_, _ = rest.ReadFrom(in)
+				_, _ = rest.ReadFrom(reader)
 				assert.Assert(t, !strings.Contains(rest.String(), "third"))
 				if name != "under way" {
 					assert.Assert(t, !strings.Contains(rest.String(), "x"))
 				}
-				assert.NilError(t, s.Close())
+				assert.NilError(t, server.Close())
 			})
 		})
 	}
