--- a/internal/presence/presence.go
+++ b/internal/presence/presence.go
@@ -25,7 +25,7 @@
 	Clients []string `json:"v"`
 }
 
-// Count is the call between nodes.
+// Count is the procedure by which a node reads the subscribers of another.
 var Count = wire.NewProcedure[CountRequest, CountResponse]("Carrier", "Count", wire.ReadOnly, "counts")
 
 // Presence has the subscribers of one node. The exported fields are not changed after New.
@@ -73,7 +73,7 @@
 	}
 }
 
-func (p *Presence) local(topic string) []string {
+func (p *Presence) localClients(topic string) []string {
 	var clients []string
 	p.subscribers.Update(topic, func(counts map[string]int, ok bool) (map[string]int, bool) {
 		for client := range counts {
@@ -86,7 +86,7 @@
 
 // CountOthers returns how many other clients are subscribed to a topic on any node, and whether
 // every node answered.
-func (p *Presence) CountOthers(ctx context.Context, topic, client string) (count int, isComplete bool) {
+func (p *Presence) CountOthers(ctx context.Context, topic, client string) (count int, complete bool) {
 	callCtx, cancel := context.WithTimeout(ctx, p.Timing.CallTimeout()/2)
 	defer cancel()
 	peers := membership.Filter(p.View.All(), func(member membership.Info) bool { return member.Name != p.Self })
@@ -94,7 +94,7 @@
 		return Count.Call(ctx, p.Net, p.Self, peer.PeerAddr, &CountRequest{Topic: topic})
 	}, nil)
 	successes := quorum.Successes(answers)
-	clients := p.local(topic)
+	clients := p.localClients(topic)
 	for _, answer := range successes {
 		clients = append(clients, answer.Value.Clients...)
 	}
@@ -103,9 +103,9 @@
 	return len(others), len(successes) == len(peers)
 }
 
-// Serve registers the call.
+// Serve registers the procedure.
 func (p *Presence) Serve(mux *http.ServeMux) {
 	Count.Handle(mux, func(_ context.Context, request *CountRequest) (*CountResponse, error) {
-		return &CountResponse{Clients: p.local(request.Topic)}, nil
+		return &CountResponse{Clients: p.localClients(request.Topic)}, nil
 	})
 }
