--- a/internal/client/session/protocol.go
+++ b/internal/client/session/protocol.go
@@ -14,7 +14,7 @@
 
 import "postjunction/internal/delivery/fanout"
 
-// Verb is what a request asks for.
+// Verb is the kind of a request.
 type Verb string
 
 // The verbs.
@@ -65,7 +65,7 @@
 	WithdrawalComplete ResponseType = "forgotten"
 )
 
-// Response is one thing that a client is sent.
+// Response is what a client is sent: the response to a request, a message, or a notice.
 type Response struct {
 	Type ResponseType
 	// InReplyTo is the verb that was rejected.
--- a/internal/client/session/redirect.go
+++ b/internal/client/session/redirect.go
@@ -16,7 +16,7 @@
 		r.nextTarget = weightedRoundRobin(nodes)
 	}
 	r.mu.Unlock()
-	r.sendAll(nodes)
+	r.redirectTo(nodes)
 }
 
 // CheckServing returns an error while clients are redirected to other nodes.
@@ -29,23 +29,23 @@
 	return nil
 }
 
-// moveAll sends all clients to the serving nodes of this node's zone, or of any zone when it has
-// none.
-func (r *Registry) moveAll() {
+// redirectToServing redirects all clients to the serving nodes of this node's zone, or of any zone
+// when it has none.
+func (r *Registry) redirectToServing() {
 	self := r.Info()
 	serving := membership.Filter(r.Members(), func(member membership.Info) bool {
 		return member.ClientAddr != "" && member.Name != self.Name && member.Stage == membership.Serving && !member.Deaf
 	})
 	sameZone := membership.Filter(serving, func(member membership.Info) bool { return member.Zone == self.Zone })
 	if len(sameZone) > 0 {
-		r.sendAll(sameZone)
+		r.redirectTo(sameZone)
 		return
 	}
-	r.sendAll(serving)
+	r.redirectTo(serving)
 }
 
-// sendAll asks all clients to move to other nodes, spread over them by their processor.
-func (r *Registry) sendAll(nodes []membership.Info) {
+// redirectTo asks all clients to move to other nodes, spread over them by their processor.
+func (r *Registry) redirectTo(nodes []membership.Info) {
 	if len(nodes) == 0 {
 		return
 	}
--- a/internal/client/session/registry.go
+++ b/internal/client/session/registry.go
@@ -81,7 +81,7 @@
 		select {
 		case <-changed:
 		case <-r.Draining:
-			r.moveAll()
+			r.redirectToServing()
 			return
 		case <-ctx.Done():
 		}
--- a/internal/client/session/session.go
+++ b/internal/client/session/session.go
@@ -34,8 +34,8 @@
 }
 
 // AttachBuffer sets the buffer that contains the session's responses until they are written. It is
-// called before the first request. The returned function is called once the buffer is empty for
-// good.
+// called before the first request. The returned function is called when the session has ended and
+// the buffer is empty.
 func (s *Session) AttachBuffer(buffer Buffer) func() {
 	s.buffer = buffer
 	r := s.registry
--- a/internal/client/stream.go
+++ b/internal/client/stream.go
@@ -57,7 +57,7 @@
 	// delivered since.
 	resumeFrom cursor.Cursor
 	positions  cursor.Cursor
-	// readers are the open partitions, urgent ones first; opened brings more.
+	// readers are the open partitions, urgent ones first. Those that open later come over opened.
 	readers    []reader
 	opened     chan openResult
 	leaveFuncs []func()
--- a/internal/lineserver/jsoncodec/codec.go
+++ b/internal/lineserver/jsoncodec/codec.go
@@ -50,7 +50,7 @@
 	RetryAfterMS     int64                `json:"retry_after_ms,omitempty"`
 }
 
-// envelopeBytes is how many bytes a line may have besides its body.
+// envelopeBytes bounds the bytes of a line besides its body.
 const envelopeBytes = 2 << 10
 
 var (
--- a/internal/lineserver/jsoncodec/codec_test.go
+++ b/internal/lineserver/jsoncodec/codec_test.go
@@ -165,7 +165,7 @@
 	}
 }
 
-// Whatever the input, reading ends, keeps its limits, and continues at the next line.
+// Whatever the input, reading ends, respects its limits, and continues at the next line.
 func FuzzReadRequest(f *testing.F) {
 	for _, seed := range []string{
 		"", "\n", "{}\n", `{"verb":"pulse"}` + "\r\n",
--- a/internal/lineserver/server.go
+++ b/internal/lineserver/server.go
@@ -28,7 +28,8 @@
 }
 
 // BufferedSession is a session whose pending responses can be dropped before they are written. The
-// function that AttachBuffer returns is called once no response is pending for good.
+// function that AttachBuffer returns is called once, when the session has ended and no response is
+// pending.
 type BufferedSession interface {
 	AttachBuffer(buffer session.Buffer) func()
 }
@@ -203,6 +204,8 @@
 	return nil
 }
 
+// conn is one connection. Its own goroutine reads requests; flush runs in another one while
+// responses are pending.
 type conn struct {
 	server  *Server
 	netConn net.Conn
@@ -223,7 +226,7 @@
 	// are being written.
 	pendingSpans  []messageSpan
 	inFlightSpans []messageSpan
-	// onDrained, if set, is called once the session has ended and no response is pending for good.
+	// onDrained, if set, is called when the session has ended and no response is pending.
 	onDrained func()
 }
 
