--- a/internal/client/session/redirect.go
+++ b/internal/client/session/redirect.go
@@ -7,8 +7,8 @@
 	"postjunction/internal/membership"
 )
 
-// Redirect sends all clients, and those that attach later, to other nodes until it is called with
-// none.
+// Redirect redirects all clients, and those that attach later, to other nodes until it is called
+// with none.
 func (r *Registry) Redirect(nodes []membership.Info) {
 	r.mu.Lock()
 	r.nextTarget = nil
@@ -16,7 +16,7 @@
 		r.nextTarget = weightedRoundRobin(nodes)
 	}
 	r.mu.Unlock()
-	r.sendAll(nodes)
+	r.redirectTo(nodes)
 }
 
 // CheckServing returns an error while clients are redirected to other nodes.
@@ -24,40 +24,40 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.nextTarget != nil {
-		return apierror.New(apierror.NotReady, "this node does not reach those who decide, other nodes do")
+		return apierror.New(apierror.NotReady, "this node does not reach a quorum, other nodes do")
 	}
 	return nil
 }
 
-// moveAll sends all clients to the serving nodes of this node's zone, or of any zone when it has
-// none.
-func (r *Registry) moveAll() {
+// redirectToServing redirects all clients to the serving nodes of this node's zone, or of any zone
+// when it has none.
+func (r *Registry) redirectToServing() {
 	self := r.Info()
 	serving := membership.Filter(r.Members(), func(member membership.Info) bool {
 		return member.ClientAddr != "" && member.Name != self.Name && member.Stage == membership.Serving && !member.Deaf
 	})
 	sameZone := membership.Filter(serving, func(member membership.Info) bool { return member.Zone == self.Zone })
 	if len(sameZone) > 0 {
-		r.sendAll(sameZone)
+		r.redirectTo(sameZone)
 		return
 	}
-	r.sendAll(serving)
+	r.redirectTo(serving)
 }
 
-// sendAll tells all clients to go to other nodes, spread over them by their processor.
-func (r *Registry) sendAll(nodes []membership.Info) {
+// redirectTo asks all clients to move to other nodes, spread over them by their processor.
+func (r *Registry) redirectTo(nodes []membership.Info) {
 	if len(nodes) == 0 {
 		return
 	}
 	next := weightedRoundRobin(nodes)
 	for _, session := range r.allSessions() {
-		session.out(Response{Type: Moved, Address: next().ClientAddr})
+		session.sink(Response{Type: Moved, Address: next().ClientAddr})
 	}
 }
 
-// redirectAddress returns the address of the node that a new client is sent to, or "" if it may
-// stay. Among nodes with plenty of processor it is drawn anew for a client that comes back, since
-// the node that it was sent to may be gone without its peers having noticed yet.
+// redirectAddress returns the address of the node that a new client is redirected to, or "" if it
+// is served here. Among nodes with plenty of processor it is drawn anew for a client that comes
+// back, since the node that it was sent to may have failed without its peers having noticed yet.
 func (r *Registry) redirectAddress() string {
 	if address := r.nextTargetAddress(); address != "" {
 		return address
