--- a/internal/assignment/record.go
+++ b/internal/assignment/record.go
@@ -132,8 +132,8 @@
 	return r
 }
 
-// Holds reports whether the record places the partition on a node, as replica or learner.
-func (r Record) Holds(node string) bool {
+// Includes reports whether a node has a replica of the partition or its learner.
+func (r Record) Includes(node string) bool {
 	_, ok := r.Replica(node)
 	return ok || r.Learner != nil && r.Learner.Node == node
 }
--- a/internal/golden/records_test.go
+++ b/internal/golden/records_test.go
@@ -150,11 +150,11 @@
 		},
 		{
 			Type: "reader", Client: "machine-2",
-			Body: state.EncodePart(state.ReaderEntry{BootID: "boot-1", GivenUp: true}),
+			Body: state.EncodeBody(state.ReaderEntry{BootID: "boot-1", GivenUp: true}),
 		},
 		{
 			Type: "withdraw", Topic: "aisles/a1", Client: "picker-7", Key: "k1", CallSeq: 4, Generation: 2,
-			Configuration: 9, Body: state.EncodePart(state.SenderWithdrawal{Sender: "picker-8", UpTo: 6}),
+			Configuration: 9, Body: state.EncodeBody(state.SenderWithdrawal{Sender: "picker-8", UpTo: 6}),
 		},
 		{
 			Type: "message", Topic: "aisles/a2", Client: "picker-8", CallSeq: 1, Generation: 1,
@@ -189,9 +189,9 @@
 	_, err := m.replica.Seal(ctx, &replica.SealRequest{Target: to(1, 3)})
 	assert.NilError(t, err)
 	es := follow(ledger.Position{}, 4, said()...)
-	put(&replica.AppendRequest{Target: to(1, 4), Kind: ledger.KindLedger, Entries: es, Commit: 6})
+	put(&replica.AppendRequest{Target: to(1, 4), Kind: ledger.KindInput, Entries: es, Commit: 6})
 	put(&replica.AppendRequest{
-		Target: to(1, 4), Kind: ledger.KindLedger, After: es[6].Position(), Base: es[1].Position(), Commit: 7,
+		Target: to(1, 4), Kind: ledger.KindInput, After: es[6].Position(), Base: es[1].Position(), Commit: 7,
 	})
 	log := changelog.EncodeBatch(7, materialised().TakeChanges(), true)
 	log = append(log, changelog.EncodeCommit(changelog.Commit{Input: 7, Base: 1}))
@@ -205,12 +205,12 @@
 	from := ledger.Position{Offset: 40, Epoch: 2, Chain: 77}
 	two := follow(from, 5, said()[:3]...)
 	put(&replica.AppendRequest{
-		Target: to(2, 5), Kind: ledger.KindLedger, After: from, Entries: two, Reset: true, Commit: 41,
+		Target: to(2, 5), Kind: ledger.KindInput, After: from, Entries: two, Reset: true, Commit: 41,
 	})
-	assert.NilError(t, m.replica.TruncateAfter(ctx, to(2, 5), ledger.KindLedger, 42, true))
+	assert.NilError(t, m.replica.TruncateAfter(ctx, to(2, 5), ledger.KindInput, 42, true))
 
 	three := follow(ledger.Position{}, 6, said()...)
-	put(&replica.AppendRequest{Target: to(3, 6), Kind: ledger.KindLedger, Entries: three})
+	put(&replica.AppendRequest{Target: to(3, 6), Kind: ledger.KindInput, Entries: three})
 	_, err = m.replica.Drop(ctx, &replica.DropRequest{Target: to(3, 7)})
 	assert.NilError(t, err)
 }
@@ -424,9 +424,9 @@
 	_, err := m.replica.Seal(t.Context(), &replica.SealRequest{Target: to})
 	assert.ErrorContains(t, err, "stale_epoch")
 	to.Epoch = 8
-	last := m.replica.Log(1, ledger.KindLedger).Last()
+	last := m.replica.Log(1, ledger.KindInput).Last()
 	es := follow(last, 8, ledger.Entry{Type: "start"})
-	q := &replica.AppendRequest{Target: to, Kind: ledger.KindLedger, After: last, Entries: es}
+	q := &replica.AppendRequest{Target: to, Kind: ledger.KindInput, After: last, Entries: es}
 	a, err := m.replica.Append(t.Context(), q)
 	assert.NilError(t, err)
 	assert.Assert(t, a.Matched)
--- a/internal/node/leaders/records.go
+++ b/internal/node/leaders/records.go
@@ -73,11 +73,11 @@
 // does come by themselves, and gaps are repaired by gossip.
 func (m *Manager) Orphans(ctx context.Context) {
 	for _, partition := range m.Replica.Partitions() {
-		if m.Store.Record(partition).Holds(m.Self) {
+		if m.Store.Record(partition).Includes(m.Self) {
 			continue
 		}
 		record, err := m.readRecord(ctx, partition)
-		if err != nil || !record.Recovered || record.Holds(m.Self) {
+		if err != nil || !record.Recovered || record.Includes(m.Self) {
 			continue
 		}
 		target := replica.Target{Partition: partition, Incarnation: m.Replica.Incarnation(), Epoch: record.Epoch}
--- a/internal/operator/decommission.go
+++ b/internal/operator/decommission.go
@@ -156,7 +156,7 @@
 	results := quorum.Gather(ctx, s.partitions(), func(ctx context.Context, partition int) (confirmed[bool], error) {
 		return readAs(ctx, s, assignment.Key(partition), func(value acceptor.Value) (bool, error) {
 			record, err := parseRecord(partition, value)
-			return record.Holds(node), err
+			return record.Includes(node), err
 		})
 	}, nil)
 	for _, result := range results {
--- a/internal/partitionlog/idle/idle_test.go
+++ b/internal/partitionlog/idle/idle_test.go
@@ -29,7 +29,7 @@
 
 func at(p int) replica.IdleLog {
 	return replica.IdleLog{
-		Partition: p, Kind: log.KindLedger, Epoch: 2, Last: log.Position{Offset: uint64(p), Epoch: 1},
+		Partition: p, Kind: log.KindInput, Epoch: 2, Last: log.Position{Offset: uint64(p), Epoch: 1},
 	}
 }
 
@@ -37,12 +37,12 @@
 	time.Sleep(c.takes)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asked = append(c.asked, len(q.Partitions[log.KindLedger]))
+	c.asked = append(c.asked, len(q.Partitions[log.KindInput]))
 	if c.deaf {
 		return nil, apierror.New(apierror.WrongDisk, "another disk")
 	}
 	var ss []replica.IdleLog
-	for _, p := range q.Partitions[log.KindLedger] {
+	for _, p := range q.Partitions[log.KindInput] {
 		s := at(p)
 		if c.off[p] {
 			s.Epoch++
--- a/internal/partitionlog/leader/attach.go
+++ b/internal/partitionlog/leader/attach.go
@@ -40,7 +40,7 @@
 	})
 	calls.offset = entry.Offset
 	l.mu.Unlock()
-	if err := l.awaitCommit(ctx, log.KindLedger, entry.Offset); err != nil {
+	if err := l.awaitCommit(ctx, log.KindInput, entry.Offset); err != nil {
 		return 0, err
 	}
 	l.observeDecision("attached", begun)
@@ -123,14 +123,14 @@
 		Type: log.TypeCursor, Client: client, Generation: generation, Body: []byte(cursor),
 	})
 	l.mu.Unlock()
-	return l.awaitCommit(ctx, log.KindLedger, entry.Offset)
+	return l.awaitCommit(ctx, log.KindInput, entry.Offset)
 }
 
 // Trace returns how far a client's calls on a topic have come, and one of them if its answer is
 // still kept.
 func (l *Leader) Trace(
 	ctx context.Context, client, topic string, callSeq uint64,
-) (calls state.Accepted, call state.AcceptedCall, kept bool, err error) {
+) (calls state.AcceptedCalls, call state.AcceptedCall, kept bool, err error) {
 	l.mu.Lock()
 	if err := l.checkReadable(); err != nil {
 		l.mu.Unlock()
--- a/internal/partitionlog/leader/attach_test.go
+++ b/internal/partitionlog/leader/attach_test.go
@@ -38,7 +38,7 @@
 		go attach("one")
 		synctest.Wait()
 		expect(1)
-		r.locked(func() { assert.Equal(t, r.logs[log.KindLedger].last.Offset, uint64(1), "entries that were written") })
+		r.locked(func() { assert.Equal(t, r.logs[log.KindInput].last.Offset, uint64(1), "entries that were written") })
 		go attach("two")
 		synctest.Wait()
 		r.commitAll()
--- a/internal/partitionlog/leader/batch.go
+++ b/internal/partitionlog/leader/batch.go
@@ -87,7 +87,7 @@
 	}
 	commitErrs := make([]error, len(evaluations))
 	for i := range evaluations {
-		commitErrs[i] = l.awaitCommit(ctx, log.KindLedger, evaluations[i].requiredOffset())
+		commitErrs[i] = l.awaitCommit(ctx, log.KindInput, evaluations[i].requiredOffset())
 	}
 	checkErr := <-checked
 	for i, evaluation := range evaluations {
--- a/internal/partitionlog/leader/commit.go
+++ b/internal/partitionlog/leader/commit.go
@@ -26,7 +26,7 @@
 
 // appendToLedger appends an entry to the ledger. The lock is held.
 func (l *Leader) appendToLedger(entry log.Entry) log.Entry {
-	return l.logs[log.KindLedger].appendEntry(entry, l.Record.Epoch)
+	return l.logs[log.KindInput].appendEntry(entry, l.Record.Epoch)
 }
 
 // awaitCommit waits until a log is committed up to an offset. Its error is OutcomeUnknown when the
@@ -55,7 +55,7 @@
 // advanceCommit commits what a majority holds by now and applies it to the state. The lock is held.
 func (l *Leader) advanceCommit(progress *logProgress) {
 	from := progress.commit
-	if !progress.advanceCommit(l.Record, l.options.Self) || progress.kind != log.KindLedger || l.state == nil {
+	if !progress.advanceCommit(l.Record, l.options.Self) || progress.kind != log.KindInput || l.state == nil {
 		return
 	}
 	l.apply(progress, from, progress.commit)
--- a/internal/partitionlog/leader/filter.go
+++ b/internal/partitionlog/leader/filter.go
@@ -18,7 +18,7 @@
 func (l *Leader) collect(
 	after uint64, limit int, filter entryFilter,
 ) (entries []log.Entry, to uint64, stoppedAtKey bool) {
-	ledger := l.logs[log.KindLedger]
+	ledger := l.logs[log.KindInput]
 	size := 0
 	for after < ledger.commit {
 		next := ledger.entriesAfter(after)
@@ -45,7 +45,7 @@
 func (l *Leader) passes(entry log.Entry, filter entryFilter) bool {
 	switch entry.Type {
 	case log.TypeMessage:
-		isGiven := entry.Key == "" || filter.withKeys && !l.state.Covers(entry)
+		isGiven := entry.Key == "" || filter.withKeys && !l.state.IsWithdrawn(entry)
 		return !entry.BodyDropped && filter.isWanted(entry) && isGiven
 	case log.TypeWithdrawal:
 		return filter.withKeys && (filter.allWithdrawals || filter.isWanted(entry))
--- a/internal/partitionlog/leader/followers.go
+++ b/internal/partitionlog/leader/followers.go
@@ -80,7 +80,7 @@
 	if !request.Finished {
 		l.replaceReader(node, bootID)
 	}
-	ledger := l.logs[log.KindLedger]
+	ledger := l.logs[log.KindInput]
 	base, end := ledger.log.Base().Offset, ledger.commit
 	response := &FollowResponse{
 		Epoch: l.Record.Epoch, Base: base, CommittedEnd: end, BacklogEnd: end,
@@ -213,7 +213,7 @@
 	if givenUp || l.wasReplaced(node, bootID) || known == nil || known.isFinished || known.sequence < request.Sequence {
 		return &PollResponse{Epoch: l.Record.Epoch, UnknownFollower: true, MustReset: givenUp}, nil, nil
 	}
-	ledger := l.logs[log.KindLedger]
+	ledger := l.logs[log.KindInput]
 	base := ledger.log.Base().Offset
 	token, isTokenValid := l.readerTokenOf(node, bootID, request.ReaderToken)
 	if !isTokenValid && l.isOtherReader(node, bootID) {
--- a/internal/partitionlog/leader/followers_test.go
+++ b/internal/partitionlog/leader/followers_test.go
@@ -23,7 +23,7 @@
 			assignment.Record{Epoch: 1, Replicas: []assignment.Replica{{Node: "s1"}}}, false,
 		)
 		leader.stage = StageOpen
-		leader.logs[log.KindLedger] = newLogProgress(log.KindLedger, log.New())
+		leader.logs[log.KindInput] = newLogProgress(log.KindInput, log.New())
 		leader.state = state.New()
 		script(t, leader)
 	})
@@ -71,7 +71,7 @@
 // A backlog comes in parts: one message with FirstOnly, as much as a slow link carries otherwise.
 func TestFollow_FirstOnlyReturnsOneMessage(t *testing.T) {
 	withSingleReplica(t, func(t *testing.T, leader *Leader) {
-		ledger := leader.logs[log.KindLedger]
+		ledger := leader.logs[log.KindInput]
 		for range 4 {
 			ledger.appendEntry(log.Entry{Type: log.TypeMessage, Topic: "t", Body: make([]byte, 600)}, 1)
 			ledger.appendEntry(log.Entry{Type: log.TypeMessage, Topic: "other"}, 1)
--- a/internal/partitionlog/leader/leader.go
+++ b/internal/partitionlog/leader/leader.go
@@ -182,7 +182,7 @@
 		lost:          make(chan struct{}),
 		flushRequests: make(chan chan struct{}),
 		trimRequests: map[log.Kind]chan struct{}{
-			log.KindLedger:    make(chan struct{}, 1),
+			log.KindInput:     make(chan struct{}, 1),
 			log.KindChangelog: make(chan struct{}, 1),
 		},
 		stage:              StageRecovering,
--- a/internal/partitionlog/leader/leadership.go
+++ b/internal/partitionlog/leader/leadership.go
@@ -91,7 +91,7 @@
 	if err != nil {
 		return false, err
 	}
-	request := &replica.AppendRequest{Target: l.target(to), Kind: log.KindLedger, Urgent: l.Urgent}
+	request := &replica.AppendRequest{Target: l.target(to), Kind: log.KindInput, Urgent: l.Urgent}
 	_, err = replica.Append.Call(ctx, l.options.Net, l.options.Self, address, request)
 	return err == nil, err
 }
@@ -99,7 +99,7 @@
 // confirmCommitted waits until the ledger is committed up to an offset that an answer rests on, and
 // confirms then that no other leader can have decided since.
 func (l *Leader) confirmCommitted(ctx context.Context, offset uint64) error {
-	if err := l.awaitCommit(ctx, log.KindLedger, offset); err != nil {
+	if err := l.awaitCommit(ctx, log.KindInput, offset); err != nil {
 		return l.errBasisUncommitted(offset)
 	}
 	return l.checkLeadership(ctx)
--- a/internal/partitionlog/leader/maintain.go
+++ b/internal/partitionlog/leader/maintain.go
@@ -34,7 +34,7 @@
 			close(flushed)
 		}
 		if err == nil {
-			l.requestTrim(log.KindLedger, to)
+			l.requestTrim(log.KindInput, to)
 		}
 	}
 }
@@ -66,7 +66,7 @@
 // ledger is trimmed up to there once the changelog says so.
 func (l *Leader) prune() uint64 {
 	now := l.options.Clock.Now()
-	ledger := l.logs[log.KindLedger].log
+	ledger := l.logs[log.KindInput].log
 	ledger.DropLiveBodies(now.Add(-l.options.Timing.Spread))
 	expired := ledger.LastBefore(now.Add(-l.options.Timing.RetentionFor(l.options.LongestRetention())))
 	l.mu.Lock()
--- a/internal/partitionlog/leader/progress_test.go
+++ b/internal/partitionlog/leader/progress_test.go
@@ -13,7 +13,7 @@
 // Entries of an earlier epoch that a majority holds are committed only with the start of this one.
 func TestCommit_EarlierEntriesWaitForTheEpochStart(t *testing.T) {
 	ledger := log.New()
-	progress := newLogProgress(log.KindLedger, ledger)
+	progress := newLogProgress(log.KindInput, ledger)
 	progress.appendEntry(log.Entry{Type: log.TypeMessage, Body: []byte("old")}, 1)
 	ledger.Append(time.Now(), progress.pending...)
 	progress.pending, progress.durable = nil, 1
@@ -38,7 +38,7 @@
 // counts for no majority yet.
 func TestCommit_NewDiskDoesNotCountForTheLostOne(t *testing.T) {
 	ledger := log.New()
-	progress := newLogProgress(log.KindLedger, ledger)
+	progress := newLogProgress(log.KindInput, ledger)
 	progress.appendEntry(log.Entry{Type: log.TypeEpochStart}, 2)
 	ledger.Append(time.Now(), progress.pending...)
 	progress.pending, progress.durable = nil, 1
--- a/internal/partitionlog/leader/read.go
+++ b/internal/partitionlog/leader/read.go
@@ -27,7 +27,7 @@
 			l.mu.Unlock()
 			return nil, err
 		}
-		committed := l.logs[log.KindLedger].committed
+		committed := l.logs[log.KindInput].committed
 		response, isEmpty := l.tryRead(request)
 		l.mu.Unlock()
 		if request.From == endOfLedger {
@@ -54,7 +54,7 @@
 // tryRead returns the response of now, and whether it is worth waiting for entries. The lock is
 // held.
 func (l *Leader) tryRead(request *ReadRequest) (response *ReadResponse, isEmpty bool) {
-	ledger := l.logs[log.KindLedger]
+	ledger := l.logs[log.KindInput]
 	response = &ReadResponse{Base: ledger.log.Base().Offset, To: ledger.commit, Epoch: l.Record.Epoch}
 	isReader, isTokenValid := false, true
 	if request.TracksTombstones {
@@ -81,7 +81,7 @@
 // readEntries adds entries to a response. It stops before a message with a key if the node is no
 // reader yet, and makes it one. The lock is held.
 func (l *Leader) readEntries(response *ReadResponse, request *ReadRequest, isReader bool) {
-	ledger := l.logs[log.KindLedger]
+	ledger := l.logs[log.KindInput]
 	entries := ledger.log.Slice(request.From+1, ledger.commit, maxReadEntries, maxReadBytes)
 	if len(entries) == 0 {
 		entries = ledger.entriesAfter(request.From)
@@ -91,7 +91,7 @@
 			return
 		}
 		if entry.Key != "" && entry.Type == log.TypeMessage && !entry.BodyDropped {
-			if !request.TracksTombstones || l.state.Covers(entry) {
+			if !request.TracksTombstones || l.state.IsWithdrawn(entry) {
 				entry.Body, entry.Digest, entry.BodyDropped = nil, "", true
 			} else if !isReader {
 				l.addReader(request.Node, request.BootID)
@@ -113,13 +113,13 @@
 	l.removeReader(node, bootID)
 	reader := l.state.Readers[node]
 	if reader.GivenUp && reader.BootID == bootID && l.uncommittedReaders[node].offset == 0 {
-		l.writeReader(node, state.ReaderEntry{BootID: bootID, Gone: true})
+		l.writeReader(node, state.ReaderEntry{BootID: bootID, Removed: true})
 	}
 	offset := l.uncommittedReaders[node].offset
-	ledger := l.logs[log.KindLedger]
+	ledger := l.logs[log.KindInput]
 	response := &ReadResponse{Base: ledger.log.Base().Offset, To: ledger.commit, Epoch: l.Record.Epoch}
 	l.mu.Unlock()
-	if err := l.awaitCommit(ctx, log.KindLedger, offset); err != nil {
+	if err := l.awaitCommit(ctx, log.KindInput, offset); err != nil {
 		return nil, err
 	}
 	return response, l.checkLeadership(ctx)
--- a/internal/partitionlog/leader/read_test.go
+++ b/internal/partitionlog/leader/read_test.go
@@ -108,7 +108,7 @@
 		assert.Equal(t, len(responses), 0)
 		r.commitAll()
 		assert.Equal(t, describe((<-responses).Entries), "2b 3reader")
-		assert.Equal(t, r.logs[log.KindLedger].last.Offset, uint64(3))
+		assert.Equal(t, r.logs[log.KindInput].last.Offset, uint64(3))
 	},
 	"a reader says by its offset what it forgot, what it reads beside does not": func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", "k"))
@@ -165,7 +165,7 @@
 	"a node that is no reader can finish too": func(t *testing.T, r *rig) {
 		reader := &partitionReader{rig: r, bootID: "b.1"}
 		<-reader.ask(ReadRequest{From: ^uint64(0), Finished: true})
-		assert.Equal(t, r.logs[log.KindLedger].last.Offset, uint64(0))
+		assert.Equal(t, r.logs[log.KindInput].last.Offset, uint64(0))
 	},
 	"a run that finished does not end the one after it": func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", "k"))
--- a/internal/partitionlog/leader/readers.go
+++ b/internal/partitionlog/leader/readers.go
@@ -86,7 +86,7 @@
 
 // writeReader appends an entry about a reader. The lock is held.
 func (l *Leader) writeReader(node string, reader state.ReaderEntry) {
-	entry := l.appendToLedger(log.Entry{Type: log.TypeReader, Client: node, Body: state.EncodePart(reader)})
+	entry := l.appendToLedger(log.Entry{Type: log.TypeReader, Client: node, Body: state.EncodeBody(reader)})
 	l.uncommittedReaders[node] = uncommittedReader{reader.BootID, entry.Offset}
 }
 
@@ -128,7 +128,7 @@
 	reader, ok := l.state.Readers[node]
 	uncommitted, isUncommitted := l.uncommittedReaders[node]
 	if isUncommitted && uncommitted.bootID == bootID || ok && reader.BootID == bootID {
-		l.writeReader(node, state.ReaderEntry{BootID: bootID, Gone: true})
+		l.writeReader(node, state.ReaderEntry{BootID: bootID, Removed: true})
 	}
 }
 
@@ -202,7 +202,7 @@
 			l.mu.Unlock()
 			return nil, err
 		}
-		ledger := l.logs[log.KindLedger]
+		ledger := l.logs[log.KindInput]
 		pending, committed := l.pendingReaders(offset), ledger.committed
 		if l.readersChanged == nil {
 			l.readersChanged = make(chan struct{})
@@ -316,7 +316,7 @@
 	if l.state == nil || len(l.state.Tombstones)+len(l.state.Readers) == 0 {
 		return nil
 	}
-	view := l.tombstoneView(l.logs[log.KindLedger].commit)
+	view := l.tombstoneView(l.logs[log.KindInput].commit)
 	return &view
 }
 
--- a/internal/partitionlog/leader/readers_test.go
+++ b/internal/partitionlog/leader/readers_test.go
@@ -89,7 +89,7 @@
 		assert.Equal(t, r.state.Readers["a1"], state.Reader{BootID: "b", Offset: 4})
 		assert.DeepEqual(t, r.observed, []string{"a1 b"})
 		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "b", 1)), []uint64{2, 3})
-		assert.Equal(t, r.logs[log.KindLedger].last.Offset, uint64(4), "a run is noted once")
+		assert.Equal(t, r.logs[log.KindInput].last.Offset, uint64(4), "a run is noted once")
 
 		answers := make(chan *FollowResponse, 1)
 		go func() {
--- a/internal/partitionlog/leader/recovery.go
+++ b/internal/partitionlog/leader/recovery.go
@@ -324,7 +324,7 @@
 func (l *Leader) rebuildState() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	changes, ledger := l.logs[log.KindChangelog], l.logs[log.KindLedger]
+	changes, ledger := l.logs[log.KindChangelog], l.logs[log.KindInput]
 	restored, input, after := state.New(), uint64(0), changes.log.Base().Offset
 	if snapshot, ok := l.options.Replica.Snapshot(l.Record.Partition); ok && snapshot.At.Offset <= changes.commit {
 		// A snapshot only saves time: the changelog has all of one that can't be read.
--- a/internal/partitionlog/leader/replicate.go
+++ b/internal/partitionlog/leader/replicate.go
@@ -96,7 +96,7 @@
 func (r *replicator) waited(ctx context.Context, work replicationWork, address string, isMember bool) bool {
 	l := r.leader
 	interval, committed := l.options.Timing.SessionTimeout(), work.committed
-	if work.commit > r.sharedCommit && r.progress.kind == log.KindLedger {
+	if work.commit > r.sharedCommit && r.progress.kind == log.KindInput {
 		interval, committed = l.options.Timing.HeartbeatInterval(), nil
 	}
 	if work.base != r.sharedBase {
--- a/internal/partitionlog/leader/rig_test.go
+++ b/internal/partitionlog/leader/rig_test.go
@@ -82,7 +82,7 @@
 			Addr: func(node string) (string, bool) { address, ok := r.members[node]; return address, ok },
 		}, record, false)
 		r.stage, r.state, r.ctx = StageOpen, state.New(), t.Context()
-		r.logs[log.KindLedger], r.logs[log.KindChangelog] = newLogProgress(log.KindLedger, log.New()), newLogProgress(
+		r.logs[log.KindInput], r.logs[log.KindChangelog] = newLogProgress(log.KindInput, log.New()), newLogProgress(
 			log.KindChangelog, log.New(),
 		)
 		script(t, r)
@@ -93,7 +93,7 @@
 // replica.
 func (r *rig) commitAll() {
 	r.mu.Lock()
-	ledger := r.logs[log.KindLedger]
+	ledger := r.logs[log.KindInput]
 	ledger.log.Append(time.Now(), ledger.pending...)
 	ledger.pending, ledger.durable = nil, ledger.last.Offset
 	r.advanceCommit(ledger)
@@ -219,7 +219,7 @@
 // submitOnce commits a message by the match of other replicas, which stays there.
 func (r *rig) submitOnce(message *Message) {
 	r.evaluate(message)
-	r.logs[log.KindLedger].match[""] = 1
+	r.logs[log.KindInput].match[""] = 1
 	r.commitAll()
-	assert.Equal(r.t, r.logs[log.KindLedger].commit, uint64(1))
+	assert.Equal(r.t, r.logs[log.KindInput].commit, uint64(1))
 }
--- a/internal/partitionlog/leader/submit.go
+++ b/internal/partitionlog/leader/submit.go
@@ -49,7 +49,7 @@
 
 // clientCalls is what a client did on a topic, committed or not.
 type clientCalls struct {
-	committed        state.Accepted
+	committed        state.AcceptedCalls
 	uncommitted      []state.AcceptedCall
 	last, generation uint64
 }
@@ -71,7 +71,7 @@
 	if call, ok := c.committed.Find(callSeq); ok {
 		return call, true
 	}
-	return state.Accepted{Recent: c.uncommitted}.Find(callSeq)
+	return state.AcceptedCalls{Recent: c.uncommitted}.Find(callSeq)
 }
 
 // entry returns the message as an entry of the ledger, without a position.
@@ -90,7 +90,7 @@
 	if m.Withdraw {
 		entry.Type, entry.Live = log.TypeWithdrawal, false
 		if m.WithdrawSender != "" {
-			entry.Body = state.EncodePart(state.SenderWithdrawal{Sender: m.WithdrawSender, UpTo: m.WithdrawUpTo})
+			entry.Body = state.EncodeBody(state.SenderWithdrawal{Sender: m.WithdrawSender, UpTo: m.WithdrawUpTo})
 		}
 	}
 	entry.Digest = log.Digest(entry.Body)
@@ -213,7 +213,7 @@
 	case log.TypeWithdrawal:
 		l.counters.Withdrawals++
 		l.clearUncommitted(entry.Client, entry)
-		l.clearUncommitted(state.DecodePart[state.SenderWithdrawal](entry).Sender, entry)
+		l.clearUncommitted(state.DecodeBody[state.SenderWithdrawal](entry).Sender, entry)
 	case log.TypeReader:
 		l.applyReader(entry)
 		return
@@ -240,7 +240,7 @@
 // basisOffset returns the offset up to which the ledger must be committed for what is known of a
 // client on a topic to stand. The lock is held.
 func (l *Leader) basisOffset(key string) uint64 {
-	offset := l.logs[log.KindLedger].commit
+	offset := l.logs[log.KindInput].commit
 	if calls := l.uncommitted[key]; calls != nil {
 		offset = max(offset, calls.offset)
 	}
--- a/internal/partitionlog/leader/tombstones.go
+++ b/internal/partitionlog/leader/tombstones.go
@@ -164,7 +164,7 @@
 // dropTombstones drops the tombstones that all readers have read behind and that cover nothing the
 // ledger still holds. The lock is held.
 func (l *Leader) dropTombstones() {
-	readByAll := l.logs[log.KindLedger].log.Base().Offset
+	readByAll := l.logs[log.KindInput].log.Base().Offset
 	for node, reader := range l.state.Readers {
 		if !reader.GivenUp {
 			readByAll = min(readByAll, l.readOffset(node, reader))
--- a/internal/partitionlog/leader/tombstones_test.go
+++ b/internal/partitionlog/leader/tombstones_test.go
@@ -33,7 +33,7 @@
 // trimLedger trims the ledger up to an offset.
 func (r *rig) trimLedger(to uint64) {
 	r.t.Helper()
-	ledger := r.logs[log.KindLedger].log
+	ledger := r.logs[log.KindInput].log
 	r.state.Prune(ledger.Slice(r.prunedTo+1, to, 1<<20, 1<<30)...)
 	r.prunedTo, r.savedInput = to, to
 	position, ok := ledger.Position(to)
@@ -131,7 +131,7 @@
 		r.becomeReader("a1", "b", 0)
 		offset := r.submitAccepted(withdrawal("v", 2, "t", "k"))
 		r.poll("a1", "b", offset)
-		ledger := r.logs[log.KindLedger].log
+		ledger := r.logs[log.KindInput].log
 		r.state.Prune(ledger.Slice(1, offset, 9, 1<<20)...)
 		r.prunedTo = offset
 		r.locked(r.dropTombstones)
--- a/internal/partitionlog/leader/view.go
+++ b/internal/partitionlog/leader/view.go
@@ -33,7 +33,7 @@
 		Recovery:  l.recovery,
 		Counters:  l.counters,
 	}
-	if ledger := l.logs[log.KindLedger]; ledger != nil {
+	if ledger := l.logs[log.KindInput]; ledger != nil {
 		view.Commit, view.Last, view.Ledger = ledger.commit, ledger.last.Offset, ledger.log.Len()
 		view.Changelog = l.logs[log.KindChangelog].log.Len()
 	}
@@ -131,7 +131,7 @@
 
 // checkBacklog returns Overloaded while too many entries of the ledger are uncommitted.
 func (l *Leader) checkBacklog() error {
-	ledger := l.logs[log.KindLedger]
+	ledger := l.logs[log.KindInput]
 	if waiting := ledger.last.Offset - ledger.commit; waiting >= uint64(l.options.Backlog()) {
 		return apierror.New(apierror.Overloaded, "%d entries of partition %d wait for a majority",
 			waiting, l.Record.Partition)
--- a/internal/partitionlog/leader/withdrawals_test.go
+++ b/internal/partitionlog/leader/withdrawals_test.go
@@ -45,7 +45,7 @@
 			t, r.submit(message("w", 4, "t", "k"), withdrawal("x", 1, "t", "k"))[1].Decision,
 			&Decision{Epoch: 1, Offset: 6, Duplicate: true},
 		)
-		assert.Assert(t, !r.state.Covers(log.Entry{Topic: "t", Key: "k", Offset: 7}))
+		assert.Assert(t, !r.state.IsWithdrawn(log.Entry{Topic: "t", Key: "k", Offset: 7}))
 		r.expectRejected(message("v", 1, "t", ""), apierror.CallAltered)
 		for _, rejected := range []*Message{
 			withdrawal("v", 9, "t", ""), message("v", 9, "t", "a\x1fb"),
@@ -110,7 +110,7 @@
 		withdrawn.WithdrawSender, withdrawn.WithdrawUpTo = "v", 5
 		r.evaluate(message("v", 3, "t", "k"))
 		r.evaluate(withdrawn)
-		ledger := r.logs[log.KindLedger]
+		ledger := r.logs[log.KindInput]
 		ledger.log.Append(time.Now(), ledger.pending[0])
 		ledger.pending, ledger.durable = ledger.pending[1:], 2
 		r.advanceCommit(ledger)
--- a/internal/partitionlog/log/entry.go
+++ b/internal/partitionlog/log/entry.go
@@ -12,12 +12,12 @@
 
 // The logs: the ledger is the partition's input, the changelog that of its state.
 const (
-	KindLedger    Kind = "ledger"
+	KindInput     Kind = "ledger"
 	KindChangelog Kind = "changelog"
 )
 
 // Kinds lists both.
-var Kinds = []Kind{KindLedger, KindChangelog}
+var Kinds = []Kind{KindInput, KindChangelog}
 
 // ID names a log.
 type ID struct {
--- a/internal/partitionlog/replica/giveup_test.go
+++ b/internal/partitionlog/replica/giveup_test.go
@@ -45,13 +45,13 @@
 		defer end()
 		go j.Run(run)
 		r.Start("i", j)
-		p := put(t, r, log.KindLedger, 1, log.Position{}, "a", "b")
+		p := put(t, r, log.KindInput, 1, log.Position{}, "a", "b")
 		release := make(chan struct{})
 		d.held <- release
 		cx, leave := context.WithCancel(ctx)
 		gone := make(chan error, 1)
 		go func() {
-			_, err := r.Append(cx, &AppendRequest{Target: to(1), Kind: log.KindLedger, After: p, Reset: true})
+			_, err := r.Append(cx, &AppendRequest{Target: to(1), Kind: log.KindInput, After: p, Reset: true})
 			gone <- err
 		}()
 		synctest.Wait()
@@ -60,7 +60,7 @@
 		done := make(chan *AppendResponse, 1)
 		go func() {
 			a, err := r.Append(ctx, &AppendRequest{
-				Target: to(1), Kind: log.KindLedger, After: p, Entries: chain(p, 1, "c"),
+				Target: to(1), Kind: log.KindInput, After: p, Entries: chain(p, 1, "c"),
 			})
 			assert.Check(t, err)
 			done <- a
@@ -69,6 +69,6 @@
 		close(release)
 		a := <-done
 		assert.Assert(t, a.Matched)
-		assert.Equal(t, r.Log(1, log.KindLedger).Last(), a.Tail.Last)
+		assert.Equal(t, r.Log(1, log.KindInput).Last(), a.Tail.Last)
 	})
 }
--- a/internal/partitionlog/replica/replica_test.go
+++ b/internal/partitionlog/replica/replica_test.go
@@ -59,10 +59,10 @@
 func TestFencedEpochsStayFencedAcrossPowerLoss(t *testing.T) {
 	d := memlog.New()
 	r := boot(t, d, "i")
-	p := put(t, r, log.KindLedger, 1, log.Position{}, "a", "b")
+	p := put(t, r, log.KindInput, 1, log.Position{}, "a", "b")
 	s, err := r.Seal(ctx, &SealRequest{Target: to(3)})
 	assert.NilError(t, err)
-	assert.Equal(t, s.Tails[log.KindLedger].Last, p)
+	assert.Equal(t, s.Tails[log.KindInput].Last, p)
 	d.LosePower(true)
 	r = boot(t, d, "i")
 	for _, k := range log.Kinds {
@@ -75,38 +75,38 @@
 	assert.Assert(t, apierror.HasCode(err, apierror.StaleEpoch), "%v", err)
 	_, err = r.Drop(ctx, &DropRequest{to(2)})
 	assert.Assert(t, apierror.HasCode(err, apierror.StaleEpoch), "%v", err)
-	assert.Equal(t, r.Log(1, log.KindLedger).Last(), p)
+	assert.Equal(t, r.Log(1, log.KindInput).Last(), p)
 }
 
 func TestAnotherIncarnationIsTurnedAway(t *testing.T) {
 	r := boot(t, memlog.New(), "j")
 	_, err := r.Seal(ctx, &SealRequest{Target: to(1)})
 	assert.Assert(t, apierror.HasCode(err, apierror.WrongDisk), "%v", err)
-	_, err = r.Append(ctx, &AppendRequest{Target: to(1), Kind: log.KindLedger})
+	_, err = r.Append(ctx, &AppendRequest{Target: to(1), Kind: log.KindInput})
 	assert.Assert(t, apierror.HasCode(err, apierror.WrongDisk), "%v", err)
-	_, err = r.Fetch(ctx, &FetchRequest{Partition: 1, Incarnation: "i", Kind: log.KindLedger})
+	_, err = r.Fetch(ctx, &FetchRequest{Partition: 1, Incarnation: "i", Kind: log.KindInput})
 	assert.Assert(t, apierror.HasCode(err, apierror.WrongDisk), "%v", err)
 }
 
 func TestTailThatDiffersIsReplacedAndAlteredEntriesAreNot(t *testing.T) {
 	d := memlog.New()
 	r := boot(t, d, "i")
-	p := put(t, r, log.KindLedger, 1, log.Position{}, "a")
-	put(t, r, log.KindLedger, 1, p, "lost", "lost too")
+	p := put(t, r, log.KindInput, 1, log.Position{}, "a")
+	put(t, r, log.KindInput, 1, p, "lost", "lost too")
 	a, err := r.Append(ctx, &AppendRequest{
-		Target: to(2), Kind: log.KindLedger, After: log.Position{Offset: 2, Epoch: 1, Chain: 5},
+		Target: to(2), Kind: log.KindInput, After: log.Position{Offset: 2, Epoch: 1, Chain: 5},
 	})
 	assert.NilError(t, err)
 	assert.Assert(t, !a.Matched, "another line at the same place")
 	bad := chain(p, 2, "x")
 	bad[0].Body = []byte("altered")
-	_, err = r.Append(ctx, &AppendRequest{Target: to(2), Kind: log.KindLedger, After: p, Entries: bad})
+	_, err = r.Append(ctx, &AppendRequest{Target: to(2), Kind: log.KindInput, After: p, Entries: bad})
 	assert.Assert(t, apierror.HasCode(err, apierror.LogMismatch), "%v", err)
-	q := put(t, r, log.KindLedger, 2, p, "kept")
+	q := put(t, r, log.KindInput, 2, p, "kept")
 	d.LosePower(false)
 	r = boot(t, d, "i")
-	assert.Equal(t, r.Log(1, log.KindLedger).Last(), q)
-	assert.Equal(t, string(r.Log(1, log.KindLedger).Slice(2, 2, 1, 1)[0].Body), "kept")
+	assert.Equal(t, r.Log(1, log.KindInput).Last(), q)
+	assert.Equal(t, string(r.Log(1, log.KindInput).Slice(2, 2, 1, 1)[0].Body), "kept")
 }
 
 func TestDirectoryIsUsedOnlyWhereItsPointIsOnTheChangelog(t *testing.T) {
@@ -150,17 +150,17 @@
 // since.
 func TestFencedOwnerCutsNothing(t *testing.T) {
 	r := boot(t, memlog.New(), "i")
-	p := put(t, r, log.KindLedger, 1, log.Position{}, "a", "b")
+	p := put(t, r, log.KindInput, 1, log.Position{}, "a", "b")
 	_, err := r.Seal(ctx, &SealRequest{Target: to(2)})
 	assert.NilError(t, err)
 	_, err = r.Seal(ctx, &SealRequest{Target: to(3)})
 	assert.NilError(t, err)
-	q := put(t, r, log.KindLedger, 3, p, "told to be taken")
-	err = r.TruncateAfter(ctx, to(2), log.KindLedger, 1, false)
+	q := put(t, r, log.KindInput, 3, p, "told to be taken")
+	err = r.TruncateAfter(ctx, to(2), log.KindInput, 1, false)
 	assert.Assert(t, apierror.HasCode(err, apierror.StaleEpoch), "%v", err)
-	assert.Equal(t, r.Log(1, log.KindLedger).Last(), q)
-	assert.NilError(t, r.TruncateAfter(ctx, to(3), log.KindLedger, p.Offset, false))
-	assert.Equal(t, r.Log(1, log.KindLedger).Last(), p)
+	assert.Equal(t, r.Log(1, log.KindInput).Last(), q)
+	assert.NilError(t, r.TruncateAfter(ctx, to(3), log.KindInput, p.Offset, false))
+	assert.Equal(t, r.Log(1, log.KindInput).Last(), p)
 }
 
 // Folders of the first format had bodies in JSON.
@@ -169,7 +169,7 @@
 	es := chain(log.Position{}, 1, "a", "b")
 	var rs [][]byte
 	for _, e := range es {
-		b, err := json.Marshal(entryRecord{log.ID{Partition: 1, Kind: log.KindLedger}, e})
+		b, err := json.Marshal(entryRecord{log.ID{Partition: 1, Kind: log.KindInput}, e})
 		assert.NilError(t, err)
 		f := frame.Encode(frame.Frame{Kind: recordtype.Entry, Index: e.Offset, Epoch: 1, Offset: e.Offset, Body: b})
 		f[6] = 1
@@ -179,9 +179,9 @@
 	assert.NilError(t, d.Sync())
 	for range 2 {
 		r := boot(t, d, "i")
-		assert.DeepEqual(t, r.Log(1, log.KindLedger).Slice(0, ^uint64(0), 9, 1<<20), es)
+		assert.DeepEqual(t, r.Log(1, log.KindInput).Slice(0, ^uint64(0), 9, 1<<20), es)
 		es = append(es, chain(es[len(es)-1].Position(), 2, "c")...)
-		put(t, r, log.KindLedger, 2, es[len(es)-2].Position(), "c")
+		put(t, r, log.KindInput, 2, es[len(es)-2].Position(), "c")
 	}
 }
 
@@ -197,15 +197,15 @@
 		return err == nil && a.Identical, err
 	}
 	r := boot(t, memlog.New(), "i")
-	e := put(t, r, log.KindLedger, 3, log.Position{}, "a")
+	e := put(t, r, log.KindInput, 3, log.Position{}, "a")
 	one, none := IdleLog{
-		Partition: 1, Kind: log.KindLedger, Epoch: 3, Last: e,
+		Partition: 1, Kind: log.KindInput, Epoch: 3, Last: e,
 	}, IdleLog{Partition: 1, Kind: log.KindChangelog, Epoch: 3}
 	lines := len(r.logs)
 	ok, err := still(r, "i", none, one)
 	assert.Assert(t, ok && err == nil)
 	for _, bad := range []IdleLog{
-		{1, log.KindLedger, 3, log.Position{}}, {1, log.KindLedger, 2, e}, {2, log.KindLedger, 3, e},
+		{1, log.KindInput, 3, log.Position{}}, {1, log.KindInput, 2, e}, {2, log.KindInput, 3, e},
 	} {
 		ok, err = still(r, "i", none, bad)
 		assert.Assert(t, !ok && err == nil, "%+v", bad)
--- a/internal/partitionlog/router/calls.go
+++ b/internal/partitionlog/router/calls.go
@@ -77,11 +77,11 @@
 }
 
 // PendingReadersRequest asks whether all readers of a partition have read behind a tombstone,
-// waiting up to Hold.
+// waiting up to MaxWait.
 type PendingReadersRequest struct {
 	Partition int           `json:"p"`
 	Offset    uint64        `json:"o"`
-	Hold      time.Duration `json:"h"`
+	MaxWait   time.Duration `json:"h"`
 }
 
 // SubmitManyRequest is messages of one partition, decided in their order.
--- a/internal/partitionlog/router/forward_test.go
+++ b/internal/partitionlog/router/forward_test.go
@@ -50,7 +50,7 @@
 		assert.NilError(t, err)
 		assert.DeepEqual(t, u, &leader.PendingReaders{Nodes: []string{"a2"}})
 		assert.Equal(t, len(response.asked), len(moving)+1)
-		assert.DeepEqual(t, response.asked[0], PendingReadersRequest{Partition: part, Offset: 7, Hold: time.Second})
+		assert.DeepEqual(t, response.asked[0], PendingReadersRequest{Partition: part, Offset: 7, MaxWait: time.Second})
 
 		response.tell = func(int) (*leader.PendingReaders, error) {
 			return nil, apierror.New(apierror.NotPartitionLeader, "superseded")
--- a/internal/partitionlog/router/handlers.go
+++ b/internal/partitionlog/router/handlers.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return running.PendingReaders(ctx, request.Offset, min(request.Hold, r.Timing.LongPoll()))
+	return running.PendingReaders(ctx, request.Offset, min(request.MaxWait, r.Timing.LongPoll()))
 }
 
 func (r *Router) usage(_ context.Context, request *UsageRequest) (*UsageResponse, error) {
--- a/internal/partitionlog/router/router.go
+++ b/internal/partitionlog/router/router.go
@@ -158,7 +158,7 @@
 func (r *Router) PendingReaders(
 	ctx context.Context, partitionID int, offset uint64, hold time.Duration,
 ) (*leader.PendingReaders, error) {
-	request := &PendingReadersRequest{Partition: partitionID, Offset: offset, Hold: hold}
+	request := &PendingReadersRequest{Partition: partitionID, Offset: offset, MaxWait: hold}
 	return forward(ctx, r, partitionID, PendingReaders, r.pendingReaders, request)
 }
 
--- a/internal/placement/controller/decommission.go
+++ b/internal/placement/controller/decommission.go
@@ -82,7 +82,7 @@
 func (c *Controller) countRecordsOn(node string) int {
 	count := 0
 	for _, record := range c.records {
-		if record.Holds(node) {
+		if record.Includes(node) {
 			count++
 		}
 	}
--- a/internal/placement/controller/fixture_test.go
+++ b/internal/placement/controller/fixture_test.go
@@ -32,7 +32,7 @@
 			Stage: membership.Serving,
 		}}
 		view.storageMachines++
-		if record.Holds(name) {
+		if record.Includes(name) {
 			view.machines[name].replicas = 1
 		}
 	}
--- a/internal/placement/controller/leadership_test.go
+++ b/internal/placement/controller/leadership_test.go
@@ -104,7 +104,7 @@
 			latest := next.History[len(next.History)-1]
 			assert.Assert(t, strings.HasPrefix(latest.Reason, test.reason), latest.Reason)
 			assert.Assert(t, next.Epoch == record.Epoch+1 && !next.Recovered, "%+v", next)
-			assert.Assert(t, next.Leader != "s1" && record.Holds(next.Leader), "%+v", next)
+			assert.Assert(t, next.Leader != "s1" && record.Includes(next.Leader), "%+v", next)
 		})
 	}
 }
--- a/internal/samza/state/accepted.go
+++ b/internal/samza/state/accepted.go
@@ -18,12 +18,12 @@
 // MaxAnswers is the most answers that are kept per client and topic, whatever the ledger holds.
 const MaxAnswers = 4096
 
-// Accepted is how far a client's calls on a topic have come. Recent holds the answers to those
+// AcceptedCalls is how far a client's calls on a topic have come. Recent holds the answers to those
 // whose messages the ledger still holds, rising by call and offset; it is not written down, since
 // the ledger itself tells them (RestoreAnswer). Floor is the highest call whose answer was dropped:
 // what is at or below it may have been accepted, what stands between it and Last and is not in
 // Recent never was.
-type Accepted struct {
+type AcceptedCalls struct {
 	Last       uint64
 	Generation uint64
 	Floor      uint64
@@ -37,16 +37,16 @@
 }
 
 // MarshalJSON writes what the ledger can't tell again.
-func (a Accepted) MarshalJSON() ([]byte, error) {
+func (a AcceptedCalls) MarshalJSON() ([]byte, error) {
 	return json.Marshal(storedAccepted{a.Last, a.Generation, &a.Floor})
 }
 
 // UnmarshalJSON reads it. A value of an older build has no floor: all up to its last call may have
 // been accepted.
-func (a *Accepted) UnmarshalJSON(b []byte) error {
+func (a *AcceptedCalls) UnmarshalJSON(b []byte) error {
 	var stored storedAccepted
 	err := json.Unmarshal(b, &stored)
-	*a = Accepted{Last: stored.Last, Generation: stored.Generation, Floor: stored.Last}
+	*a = AcceptedCalls{Last: stored.Last, Generation: stored.Generation, Floor: stored.Last}
 	if stored.Floor != nil {
 		a.Floor = *stored.Floor
 	}
@@ -54,7 +54,7 @@
 }
 
 // Find returns the answer kept for a call number.
-func (a Accepted) Find(callSeq uint64) (AcceptedCall, bool) {
+func (a AcceptedCalls) Find(callSeq uint64) (AcceptedCall, bool) {
 	i, ok := slices.BinarySearchFunc(
 		a.Recent, callSeq,
 		func(t AcceptedCall, callSeq uint64) int { return cmp.Compare(t.CallSeq, callSeq) },
@@ -65,7 +65,7 @@
 	return a.Recent[i], true
 }
 
-func (a *Accepted) addRecent(call AcceptedCall) {
+func (a *AcceptedCalls) addRecent(call AcceptedCall) {
 	a.Recent = append(a.Recent, call)
 	if n := len(a.Recent) - MaxAnswers; n > 0 {
 		a.Floor = max(a.Floor, a.Recent[n-1].CallSeq)
--- a/internal/samza/state/apply.go
+++ b/internal/samza/state/apply.go
@@ -22,7 +22,7 @@
 func (s *State) applyWithdrawal(entry log.Entry) {
 	s.accept(entry, 0)
 	s.addTombstone(entry)
-	withdrawal := DecodePart[SenderWithdrawal](entry)
+	withdrawal := DecodeBody[SenderWithdrawal](entry)
 	if withdrawal.Sender == "" {
 		return
 	}
@@ -39,13 +39,13 @@
 	if entry.Offset <= reader.Offset {
 		return
 	}
-	said := DecodePart[ReaderEntry](entry)
+	said := DecodeBody[ReaderEntry](entry)
 	if reader.BootID != said.BootID {
 		reader.ReplacedBootID = reader.BootID
 	}
 	reader.BootID, reader.Offset, reader.GivenUp = said.BootID, entry.Offset, said.GivenUp
 	s.Readers[entry.Client] = reader
-	if said.Gone {
+	if said.Removed {
 		delete(s.Readers, entry.Client)
 	}
 	s.dirty[readers+entry.Client] = true
--- a/internal/samza/state/state.go
+++ b/internal/samza/state/state.go
@@ -30,13 +30,13 @@
 
 // State is one partition's; it is used under its leader's lock.
 type State struct {
-	Accepted     map[string]Accepted    `json:"a"`
-	Progress     map[string]Progress    `json:"p"`
-	Attachments  map[string]Attachment  `json:"t"`
-	SavedCursors map[string]SavedCursor `json:"k"`
-	Tombstones   map[string]Tombstone   `json:"m,omitempty"`
-	Readers      map[string]Reader      `json:"r,omitempty"`
-	Input        uint64                 `json:"i"`
+	Accepted     map[string]AcceptedCalls `json:"a"`
+	Progress     map[string]Progress      `json:"p"`
+	Attachments  map[string]Attachment    `json:"t"`
+	SavedCursors map[string]SavedCursor   `json:"k"`
+	Tombstones   map[string]Tombstone     `json:"m,omitempty"`
+	Readers      map[string]Reader        `json:"r,omitempty"`
+	Input        uint64                   `json:"i"`
 	// LastKeyed is the offset of the last message under a key that the ledger holds; the ledger
 	// itself tells it (RestoreAnswer).
 	LastKeyed map[string]uint64 `json:"-"`
@@ -46,7 +46,7 @@
 // New makes an empty state.
 func New() *State {
 	return &State{
-		Accepted: map[string]Accepted{}, Progress: map[string]Progress{},
+		Accepted: map[string]AcceptedCalls{}, Progress: map[string]Progress{},
 		Attachments: map[string]Attachment{}, SavedCursors: map[string]SavedCursor{},
 		Tombstones: map[string]Tombstone{}, Readers: map[string]Reader{},
 		LastKeyed: map[string]uint64{}, dirty: map[string]bool{},
--- a/internal/samza/state/tombstone.go
+++ b/internal/samza/state/tombstone.go
@@ -34,7 +34,7 @@
 type ReaderEntry struct {
 	BootID  string `json:"b"`
 	GivenUp bool   `json:"x,omitempty"`
-	Gone    bool   `json:"g,omitempty"`
+	Removed bool   `json:"g,omitempty"`
 }
 
 // SenderWithdrawal is what the entry of a withdrawal says when it names a sender: that one's
@@ -44,21 +44,21 @@
 	UpTo   uint64 `json:"u"`
 }
 
-// EncodePart returns a part of an entry as it stands in its body.
-func EncodePart[T any](v T) []byte {
+// EncodeBody encodes the body of an entry.
+func EncodeBody[T any](v T) []byte {
 	b, _ := json.Marshal(v)
 	return b
 }
 
-// DecodePart reads a part of an entry from its body; that of an empty body is empty.
-func DecodePart[T any](e log.Entry) T {
+// DecodeBody decodes the body of an entry. An empty body gives the zero value.
+func DecodeBody[T any](e log.Entry) T {
 	var v T
 	_ = json.Unmarshal(e.Body, &v)
 	return v
 }
 
-// Covers reports whether a message stands under a key that was withdrawn behind it.
-func (s *State) Covers(entry log.Entry) bool {
+// IsWithdrawn reports whether a later withdrawal covers a message's key.
+func (s *State) IsWithdrawn(entry log.Entry) bool {
 	return entry.Key != "" && s.Tombstones[Key(entry.Topic, entry.Key)].Offset > entry.Offset
 }
 
--- a/internal/samza/state/tombstones_test.go
+++ b/internal/samza/state/tombstones_test.go
@@ -17,12 +17,12 @@
 func withdrawal(o uint64, client string, call uint64, key string, p SenderWithdrawal) log.Entry {
 	return log.Entry{
 		Offset: o, Type: log.TypeWithdrawal, Topic: "s/a", Client: client, CallSeq: call, Key: key,
-		Body: EncodePart(p), Digest: "w",
+		Body: EncodeBody(p), Digest: "w",
 	}
 }
 
 func reader(o uint64, node string, r ReaderEntry) log.Entry {
-	return log.Entry{Offset: o, Type: log.TypeReader, Client: node, Body: EncodePart(r)}
+	return log.Entry{Offset: o, Type: log.TypeReader, Client: node, Body: EncodeBody(r)}
 }
 
 func keyed() []log.Entry {
@@ -35,7 +35,7 @@
 		), message(6, "u", 1, "k"), reader(7, "a1", ReaderEntry{BootID: "c"}), reader(
 			8, "a2", ReaderEntry{BootID: "b", GivenUp: true},
 		),
-		reader(9, "a3", ReaderEntry{BootID: "b"}), reader(10, "a3", ReaderEntry{BootID: "b", Gone: true}),
+		reader(9, "a3", ReaderEntry{BootID: "b"}), reader(10, "a3", ReaderEntry{BootID: "b", Removed: true}),
 	}
 }
 
@@ -66,7 +66,7 @@
 		_, ok := v.Find(2)
 		assert.Assert(t, ok, "what was taken stays taken")
 		assert.Equal(t, s.Progress["s/a"], Progress{Offset: 6, Count: 3})
-		assert.Assert(t, s.Covers(keyed()[0]) && !s.Covers(keyed()[1]) && !s.Covers(keyed()[5]))
+		assert.Assert(t, s.IsWithdrawn(keyed()[0]) && !s.IsWithdrawn(keyed()[1]) && !s.IsWithdrawn(keyed()[5]))
 		before := string(s.Marshal())
 		for _, e := range keyed() {
 			s.Apply(e)
@@ -101,13 +101,13 @@
 	s.DropTombstone(known)
 	got, err := Unmarshal(s.Marshal())
 	assert.NilError(t, err)
-	assert.Assert(t, !got.Covers(es[0]))
+	assert.Assert(t, !got.IsWithdrawn(es[0]))
 	for range 2 {
 		for _, e := range es {
 			got.RestoreAnswer(e)
 		}
 	}
-	assert.Assert(t, got.Covers(es[0]) && !got.Covers(es[5]))
+	assert.Assert(t, got.IsWithdrawn(es[0]) && !got.IsWithdrawn(es[5]))
 	assert.Equal(t, got.LastKeyed[known], uint64(6))
 	assert.DeepEqual(t, got.Readers, s.Readers)
 	x, ok := got.Accepted[Key("w", "s/a")].Find(3)
--- a/internal/testing/crash/crash_test.go
+++ b/internal/testing/crash/crash_test.go
@@ -208,16 +208,16 @@
 		},
 		promise("description", 1), accept("description", 1, 1), promise("description", 3),
 		accept("description", 3, 2), promise("partition/000", 2),
-		seal(0, 1), put(0, log.KindLedger, 1, end, 5, false), put(0, log.KindChangelog, 1, end, 3, false), keep(0),
+		seal(0, 1), put(0, log.KindInput, 1, end, 5, false), put(0, log.KindChangelog, 1, end, 3, false), keep(0),
 		seal(0, 2),
-		put(0, log.KindLedger, 2, back(2), 4, false), trim(0, log.KindLedger, 2, 3),
+		put(0, log.KindInput, 2, back(2), 4, false), trim(0, log.KindInput, 2, 3),
 		put(0, log.KindChangelog, 2, end, 2, false), keep(0), trim(0, log.KindChangelog, 2, 2),
-		seal(1, 4), put(1, log.KindLedger, 4, end, 6, false),
-		put(1, log.KindLedger, 5, func(*log.Log) log.Position {
+		seal(1, 4), put(1, log.KindInput, 4, end, 6, false),
+		put(1, log.KindInput, 5, func(*log.Log) log.Position {
 			return log.Position{Epoch: 4, Offset: 20, Chain: 7}
 		}, 3, true),
-		func(s *store) error { return s.r.TruncateAfter(ctx, to(1, 5), log.KindLedger, 22, false) },
-		seal(2, 1), put(2, log.KindLedger, 1, end, 4, false),
+		func(s *store) error { return s.r.TruncateAfter(ctx, to(1, 5), log.KindInput, 22, false) },
+		seal(2, 1), put(2, log.KindInput, 1, end, 4, false),
 		func(s *store) error { _, err := s.r.Drop(ctx, &replica.DropRequest{Target: to(2, 9)}); return err },
 		accept(acceptor.VoterSetKey, 1, 1),
 		func(s *store) error {
@@ -231,9 +231,9 @@
 		promise("description", 7),
 	}
 	for range 9 {
-		ts = append(ts, put(0, log.KindLedger, 2, end, 500, false), trim(0, log.KindLedger, 2, 40))
+		ts = append(ts, put(0, log.KindInput, 2, end, 500, false), trim(0, log.KindInput, 2, 40))
 	}
-	return append(ts, seal(0, 8), accept("description", 7, 3), put(0, log.KindLedger, 8, end, 2, false))
+	return append(ts, seal(0, 8), accept("description", 7, 3), put(0, log.KindInput, 8, end, 2, false))
 }
 
 const anewMost = 64
--- a/internal/testing/sim/drain_test.go
+++ b/internal/testing/sim/drain_test.go
@@ -16,7 +16,7 @@
 	k := 0
 	ref := w.Machines["a1"].Node()
 	for p := range ref.VoterSet().Layout.PartitionCount() {
-		if ref.Store.Record(p).Holds(n) {
+		if ref.Store.Record(p).Includes(n) {
 			k++
 		}
 	}
@@ -34,7 +34,7 @@
 		assert.NilError(t, err)
 		r, err := assignment.Parse(v.Body, v.Version)
 		assert.NilError(t, err)
-		if r.Holds(n) {
+		if r.Includes(n) {
 			k++
 		}
 	}
--- a/internal/testing/sim/measure_marks_test.go
+++ b/internal/testing/sim/measure_marks_test.go
@@ -112,7 +112,7 @@
 			return log.Entry{Type: log.TypeWithdrawal, Offset: uint64(i + 1), Topic: "station/zone-b/seat-3", Key: fmt.Sprintf("turn-%08d", i), Client: "coordinator-17", CallSeq: uint64(i + 1)}
 		},
 		"reader": func(i int) log.Entry {
-			return log.Entry{Type: log.TypeReader, Offset: uint64(i + 1), Client: fmt.Sprintf("access-%05d", i), Body: state.EncodePart(state.ReaderEntry{BootID: "7daa68ab16870a7c"})}
+			return log.Entry{Type: log.TypeReader, Offset: uint64(i + 1), Client: fmt.Sprintf("access-%05d", i), Body: state.EncodeBody(state.ReaderEntry{BootID: "7daa68ab16870a7c"})}
 		},
 	} {
 		var a, b runtime.MemStats
--- a/internal/testing/sim/replace_test.go
+++ b/internal/testing/sim/replace_test.go
@@ -51,13 +51,13 @@
 						}
 						time.Sleep(2 * time.Second)
 						for p, r := range w.records() {
-							if !r.Holds("s2b") || r.Holds("s2") {
+							if !r.Includes("s2b") || r.Includes("s2") {
 								t.Logf("partition %d is not whole 2 s after the newcomer's start: %v", p, r.Replicas)
 							}
 						}
 						time.Sleep(2 * time.Second)
 						for p, r := range w.records() {
-							assert.Assert(t, !r.Holds("s2"), "partition %d still names what is gone: %v", p, r.Replicas)
+							assert.Assert(t, !r.Includes("s2"), "partition %d still names what is gone: %v", p, r.Replicas)
 						}
 						wipedWhileAllLosePower(t, w, "s1")
 						time.Sleep(s.Timing.Recovery)
@@ -82,7 +82,7 @@
 			assert.NilError(t, w.Start("s3"))
 			time.Sleep(Armor.Timing.Recovery / 2)
 			for p, r := range w.records() {
-				assert.Assert(t, r.Holds("s3") && !r.Holds("s2b"), "partition %d moved to %v", p, r.Replicas)
+				assert.Assert(t, r.Includes("s3") && !r.Includes("s2b"), "partition %d moved to %v", p, r.Replicas)
 			}
 		})
 	}
@@ -102,7 +102,7 @@
 			time.Sleep(s.Timing.Recovery / 2)
 			for p, r := range w.records() {
 				for _, x := range before[p].Replicas {
-					assert.Assert(t, r.Holds(x.Node), "partition %d moved from %v to %v", p, before[p].Replicas, r.Replicas)
+					assert.Assert(t, r.Includes(x.Node), "partition %d moved from %v to %v", p, before[p].Replicas, r.Replicas)
 				}
 			}
 		})
--- a/internal/testing/sim/retire_test.go
+++ b/internal/testing/sim/retire_test.go
@@ -127,13 +127,13 @@
 		assert.NilError(t, w.WaitUntil(60*time.Second, o+" is empty", w.drained(o)))
 		others := 0
 		for p, r := range before {
-			if !r.Holds(o) {
+			if !r.Includes(o) {
 				others++
 			}
 			r.Learner = &assignment.Replica{Node: o, Incarnation: w.Machines[o].Node().Info().Incarnation}
 			_, err := op.Client.Change(w.ctx, assignment.Key(p), r.Version, registerclient.NewChangeID(), r.Marshal())
 			assert.Assert(t, apierror.HasCode(err, apierror.StaleBase), "partition %d: %v", p, err)
-			assert.Assert(t, !read(p).Holds(o))
+			assert.Assert(t, !read(p).Includes(o))
 		}
 		assert.Assert(t, others > 0, "void: %s held everything", o)
 	})
