--- a/internal/partitionlog/router/callnumber_test.go
+++ b/internal/partitionlog/router/callnumber_test.go
@@ -11,9 +11,10 @@
 	"postjunction/internal/apierror"
 )
 
-// A rejected attempt says nothing of its call number, whatever the reason; a leader's decision does.
+// A rejected attempt leaves the outcome of its call number unknown, whatever the reason. Only a
+// leader's decision on the number is final.
 func TestRejectCallNumber_OnlyALeaderDecidesOnANumber(t *testing.T) {
-	ofAnAttempt := map[apierror.Code]bool{
+	attemptOnly := map[apierror.Code]bool{
 		apierror.NoPartitionLeader: true,
 		apierror.Overloaded:        true,
 		apierror.NoLease:           true,
@@ -21,7 +22,7 @@
 	}
 	for code := range apierror.Codes() {
 		want := code
-		if ofAnAttempt[code] {
+		if attemptOnly[code] {
 			want = apierror.OutcomeUnknown
 		}
 		rejected := RejectCallNumber(apierror.Wrap(code, apierror.New(code, "cause"), "outside"))
@@ -31,7 +32,7 @@
 	assert.Assert(t, errors.Is(RejectCallNumber(io.EOF), io.EOF))
 }
 
-// The client is still told when to come back.
+// The client still gets the time after which to retry.
 func TestRejectCallNumber_KeepsTheTimeToRetryAfter(t *testing.T) {
 	overloaded := apierror.New(apierror.Overloaded, "64 wait").WithRetryAfter(70 * time.Millisecond)
 	rejected := apierror.From(RejectCallNumber(overloaded))
--- a/internal/partitionlog/router/calls.go
+++ b/internal/partitionlog/router/calls.go
@@ -57,15 +57,16 @@
 	Tombstones *leader.TombstoneView `json:"m,omitempty"`
 }
 
-// TraceRequest asks what the ledger knows of a call.
+// TraceRequest asks whether the partition log has a call.
 type TraceRequest struct {
 	Client  string `json:"v"`
 	Topic   string `json:"t"`
 	CallSeq uint64 `json:"c"`
 }
 
-// TraceResponse says whether a call was accepted and where, who leads the partition, and the
-// client's last accepted number. Forgotten is a call so old that it may have been accepted.
+// TraceResponse says whether a call was accepted and at which offset, which node leads the
+// partition, and the client's last accepted call number. Forgotten reports a call so old that it is
+// unknown whether it was accepted.
 type TraceResponse struct {
 	Partition   int    `json:"partition"`
 	Leader      string `json:"owner"`
@@ -76,15 +77,15 @@
 	Forgotten   bool   `json:"forgotten,omitempty"`
 }
 
-// PendingReadersRequest asks whether all readers of a partition have read behind a tombstone,
-// waiting up to MaxWait.
+// PendingReadersRequest asks which readers of a partition have not read past a tombstone yet, and
+// waits up to MaxWait until there are none.
 type PendingReadersRequest struct {
 	Partition int           `json:"p"`
 	Offset    uint64        `json:"o"`
 	MaxWait   time.Duration `json:"h"`
 }
 
-// SubmitManyRequest is messages of one partition, decided in their order.
+// SubmitManyRequest carries messages of one partition. They are decided in their order.
 type SubmitManyRequest struct {
 	Partition int               `json:"p"`
 	Messages  []*leader.Message `json:"t"`
@@ -95,7 +96,7 @@
 	Outcomes []leader.Outcome `json:"v"`
 }
 
-// The calls that a leader's node answers.
+// The procedures that a partition leader's node serves.
 var (
 	Submit = wire.NewProcedure[leader.Message, leader.Decision]("Ledger", "Submit", wire.Deduplicated,
 		"the message has its number, which the owner remembers")
@@ -110,10 +111,10 @@
 	Usage = wire.NewProcedure[UsageRequest, UsageResponse]("Ledger", "Usage", wire.ReadOnly, "counts")
 	Read  = wire.NewProcedure[leader.ReadRequest, leader.ReadResponse]("Ledger", "Read", wire.ReadOnly,
 		"committed entries behind a place")
-	// PendingReaders returns which readers have not read behind a tombstone yet.
+	// PendingReaders returns which readers have not read past a tombstone yet.
 	PendingReaders = wire.NewProcedure[PendingReadersRequest, leader.PendingReaders](
 		"Ledger", "Forgotten", wire.ReadOnly, "waits for readers, changes nothing")
-	// SubmitMany has a batch decided.
+	// SubmitMany has a batch of messages decided.
 	SubmitMany = wire.NewProcedure[SubmitManyRequest, SubmitManyResponse](
 		"Ledger", "SubmitMany", wire.Deduplicated, "each message has its number, which the owner remembers")
 )
--- a/internal/partitionlog/router/epochs.go
+++ b/internal/partitionlog/router/epochs.go
@@ -14,8 +14,8 @@
 	cancel context.CancelFunc
 }
 
-// leaderEpochs holds, for each partition, a context that ends once a higher epoch is known: what
-// waits for the leader of the old one need not wait on.
+// leaderEpochs holds a context for each partition. It is canceled once a higher epoch is known, so
+// that calls to the leader of the old epoch end. mu guards byPartition.
 type leaderEpochs struct {
 	mu          sync.Mutex
 	byPartition map[int]leaderEpoch
@@ -43,7 +43,7 @@
 	return current.ctx
 }
 
-// ApplyRecords ends the contexts of epochs that newer records ended.
+// ApplyRecords cancels the contexts of epochs that newer records supersede.
 func (r *Router) ApplyRecords(records []assignment.Record) {
 	r.epochs.mu.Lock()
 	defer r.epochs.mu.Unlock()
--- a/internal/partitionlog/router/followers.go
+++ b/internal/partitionlog/router/followers.go
@@ -16,12 +16,12 @@
 	Topic     string `json:"t"`
 }
 
-// SubscribersResponse has that number.
+// SubscribersResponse holds the number of subscribers.
 type SubscribersResponse struct {
 	Count int `json:"n"`
 }
 
-// The calls of nodes that follow topics.
+// The procedures for nodes that follow topics.
 var (
 	Follow = wire.NewProcedure[leader.FollowRequest, leader.FollowResponse]("Ledger", "Follow", wire.Monotonic,
 		"wishes of a feed are numbered; an old number changes nothing")
@@ -32,28 +32,28 @@
 )
 
 func (r *Router) follow(ctx context.Context, request *leader.FollowRequest) (*leader.FollowResponse, error) {
-	running, err := r.leaderOf(request.Partition)
+	partitionLeader, err := r.leaderOf(request.Partition)
 	if err != nil {
 		return nil, err
 	}
-	return running.Follow(ctx, request)
+	return partitionLeader.Follow(ctx, request)
 }
 
 func (r *Router) poll(ctx context.Context, request *leader.PollRequest) (*leader.PollResponse, error) {
-	running, err := r.leaderOf(request.Partition)
+	partitionLeader, err := r.leaderOf(request.Partition)
 	if err != nil {
 		return nil, err
 	}
 	request.Hold = min(request.Hold, r.Timing.Spread)
-	return running.Poll(ctx, request)
+	return partitionLeader.Poll(ctx, request)
 }
 
 func (r *Router) subscribers(_ context.Context, request *SubscribersRequest) (*SubscribersResponse, error) {
-	running, err := r.leaderOf(request.Partition)
+	partitionLeader, err := r.leaderOf(request.Partition)
 	if err != nil {
 		return nil, err
 	}
-	count, err := running.Subscribers(request.Topic)
+	count, err := partitionLeader.Subscribers(request.Topic)
 	return &SubscribersResponse{Count: count}, err
 }
 
@@ -63,7 +63,7 @@
 	Subscribers.Handle(mux, r.subscribers)
 }
 
-// compressing wraps a handler: the bodies of its response are compressed where the request asks for
+// compressing wraps a handler. It compresses the bodies of the response where the request asks for
 // that.
 func compressing[Q, A any, P interface {
 	*A
@@ -78,7 +78,7 @@
 	}
 }
 
-// callOnce makes one attempt at the leader that a record names.
+// callOnce calls the leader that a record names, in one attempt.
 func callOnce[Q, A any](
 	ctx context.Context, router *Router, record assignment.Record, limit time.Duration,
 	procedure *wire.Procedure[Q, A], local func(context.Context, *Q) (*A, error), request *Q,
@@ -95,7 +95,7 @@
 	return procedure.Call(callCtx, router.Net, router.Self, address, request)
 }
 
-// Follow tells a partition's leader what this node follows, in one attempt.
+// Follow informs a partition's leader of what this node follows, in one attempt.
 func (r *Router) Follow(
 	ctx context.Context, record assignment.Record, request *leader.FollowRequest,
 ) (*leader.FollowResponse, error) {
--- a/internal/partitionlog/router/forward.go
+++ b/internal/partitionlog/router/forward.go
@@ -11,8 +11,8 @@
 	"postjunction/internal/wire"
 )
 
-// retryableCodes are those of errors after which another attempt, perhaps at another leader, may
-// succeed.
+// retryableCodes are the codes of errors after which another attempt, perhaps at another leader,
+// may succeed.
 var retryableCodes = map[apierror.Code]bool{
 	apierror.NotPartitionLeader: true,
 	apierror.NotReady:           true,
@@ -24,15 +24,15 @@
 	apierror.Stopped:            true,
 }
 
-// uncertainCodes are those of errors after which the call may have been decided all the same.
+// uncertainCodes are the codes of errors after which the call may have been decided nevertheless.
 var uncertainCodes = map[apierror.Code]bool{
 	apierror.Unreachable:    true,
 	apierror.OutcomeUnknown: true,
 	apierror.Internal:       true,
 }
 
-// finalCodes are those of a leader's rejections for good, which hold whatever became of earlier
-// attempts.
+// finalCodes are the codes of a leader's permanent rejections. They apply whatever the outcome of
+// earlier attempts was.
 var finalCodes = map[apierror.Code]bool{
 	apierror.CallAltered:   true,
 	apierror.CallPassed:    true,
@@ -42,8 +42,8 @@
 	apierror.KeyUnknown:    true,
 }
 
-// briefCodes are those of a partition that moves from one leader to another, which takes
-// milliseconds: pauses begin short.
+// briefCodes are the codes of errors while a partition moves from one leader to another. That takes
+// milliseconds, so the first pauses are short.
 var briefCodes = map[apierror.Code]bool{
 	apierror.NotPartitionLeader: true,
 	apierror.NotReady:           true,
@@ -51,19 +51,20 @@
 	apierror.StaleEpoch:         true,
 }
 
-// briefPauseDivisor makes the shortest pause from the longest backoff.
+// briefPauseDivisor divides the longest backoff. The result is doubled with each pause after one of
+// briefCodes.
 const briefPauseDivisor = 32
 
-// failureLimits is how often an error is met, without a newer record in between, before a call is
-// given up.
+// failureLimits is how often an error may occur, without a newer record in between, before a call
+// is given up.
 var failureLimits = map[apierror.Code]int{apierror.NoPartitionLeader: 2, apierror.Unreachable: 3}
 
-// retryState is what a forwarded call has met so far. It begins anew, but for isUncertain, with
-// each newer record.
+// retryState holds the failures of a forwarded call. Each newer record resets it, but not
+// isUncertain.
 type retryState struct {
 	router      *Router
 	partitionID int
-	// isUncertain tells that an attempt may have been decided.
+	// isUncertain reports whether an attempt may have been decided.
 	isUncertain bool
 	version     uint64
 	since       time.Time
@@ -83,9 +84,9 @@
 	s.briefPause = s.router.Timing.MaxBackoff() / briefPauseDivisor
 }
 
-// failed takes the error of an attempt in. It returns how long to pause before the next one, or the
+// handleError records the error of an attempt. It returns the pause before the next attempt, or the
 // error to answer with.
-func (s *retryState) failed(err error, begun time.Time) (time.Duration, error) {
+func (s *retryState) handleError(err error, startedAt time.Time) (time.Duration, error) {
 	code := apierror.From(err).Code
 	s.isUncertain = s.isUncertain || uncertainCodes[code]
 	if !retryableCodes[code] && code != apierror.NoPartitionLeader {
@@ -100,7 +101,7 @@
 		s.failures++
 	}
 	isOver := limit > 0 && s.failures >= limit || now.Sub(s.since) >= timeout ||
-		uncertainCodes[code] && now.Sub(begun) >= timeout
+		uncertainCodes[code] && now.Sub(startedAt) >= timeout
 	if isOver && s.router.Store.Record(s.partitionID).Version == s.version {
 		return 0, s.givenUp(err)
 	}
@@ -116,9 +117,10 @@
 	return s.router.errGivenUp(s.partitionID, s.isUncertain, err)
 }
 
-// forward has a request answered by the partition's leader, here or on another node. It retries
-// while that may help: at once after a newer record, and else until a call's time-out after the
-// last one. It gives up when the record says for the second time that there is no leader.
+// forward has a request answered by the partition's leader, on this node or another one. It retries
+// while another attempt may succeed: at once after a newer record, and otherwise until a call's
+// timeout has passed since the last newer record. It gives up when the record names no leader for
+// the second time.
 func forward[Q, A any](
 	ctx context.Context, router *Router, partitionID int, procedure *wire.Procedure[Q, A],
 	local func(context.Context, *Q) (*A, error), request *Q,
@@ -129,14 +131,14 @@
 		changed := router.Store.Changed()
 		record := router.Store.Record(partitionID)
 		retry.observe(record.Version)
-		begun := router.Clock.Now()
+		startedAt := router.Clock.Now()
 		response, err := callLeader(ctx, router, partitionID, record, procedure, local, request)
 		if err == nil {
 			return response, nil
 		}
-		pause, endErr := retry.failed(err, begun)
-		if endErr != nil {
-			return nil, endErr
+		pause, finalErr := retry.handleError(err, startedAt)
+		if finalErr != nil {
+			return nil, finalErr
 		}
 		pauseCtx, stop := context.WithTimeout(ctx, pause)
 		select {
@@ -150,15 +152,15 @@
 	}
 }
 
-// errUncertain is the answer to a call that may have been decided by an attempt before the one that
-// ended in err.
+// errUncertain returns the error for a call that ended in err, but that an earlier attempt may have
+// had decided.
 func errUncertain(partitionID int, err error) error {
 	return apierror.Wrap(apierror.OutcomeUnknown, apierror.New(apierror.OutcomeUnknown, "%v",
 		err), "partition %d", partitionID)
 }
 
-// errGivenUp is the answer to a call that this node gave up on, with the time after which to call
-// again.
+// errGivenUp returns the error for a call that this node gave up, with the time after which to
+// retry.
 func (r *Router) errGivenUp(partitionID int, isUncertain bool, err error) error {
 	code := apierror.NoPartitionLeader
 	if isUncertain {
@@ -168,7 +170,7 @@
 	return givenUp.WithRetryAfter(clock.Jitter(2*r.Timing.MaxBackoff(), 1, rand.Float64()).Round(time.Millisecond))
 }
 
-// callLeader makes one attempt at the leader that a record names. A call to another node ends when
+// callLeader calls the leader that a record names, in one attempt. A call to another node ends when
 // a higher epoch is known.
 func callLeader[Q, A any](
 	ctx context.Context, router *Router, partitionID int, record assignment.Record, procedure *wire.Procedure[Q, A],
@@ -187,7 +189,7 @@
 	return procedure.Call(callCtx, router.Net, router.Self, address, request)
 }
 
-// leaderAddress returns where the leader that a record names is reached, "" for this node.
+// leaderAddress returns the address of the leader that a record names, "" for this node.
 func (r *Router) leaderAddress(partitionID int, record assignment.Record) (string, error) {
 	switch record.Leader {
 	case "":
@@ -197,7 +199,7 @@
 	}
 	peer, known := r.View.Get(record.Leader)
 	if !known {
-		return "", apierror.New(apierror.NoPartitionLeader, "the leader %s of partition %d is gone",
+		return "", apierror.New(apierror.NoPartitionLeader, "the leader %s of partition %d is no longer a member",
 			record.Leader, partitionID)
 	}
 	return peer.PeerAddr, nil
--- a/internal/partitionlog/router/forward_test.go
+++ b/internal/partitionlog/router/forward_test.go
@@ -13,71 +13,73 @@
 	"postjunction/internal/partitionlog/leader"
 )
 
-type askers struct {
-	asked []PendingReadersRequest
-	tell  func(n int) (*leader.PendingReaders, error)
+// fakeLeader answers PendingReaders by respond and records the requests.
+type fakeLeader struct {
+	requests []PendingReadersRequest
+	respond  func(attempt int) (*leader.PendingReaders, error)
 }
 
-// Do carries a call to the stand-in.
-func (response *askers) Do(r *http.Request) (*http.Response, error) {
-	m := http.NewServeMux()
-	PendingReaders.Handle(m, func(_ context.Context, request *PendingReadersRequest) (*leader.PendingReaders, error) {
-		response.asked = append(response.asked, *request)
-		return response.tell(len(response.asked))
+// Do delivers a call to the fake leader.
+func (l *fakeLeader) Do(r *http.Request) (*http.Response, error) {
+	mux := http.NewServeMux()
+	PendingReaders.Handle(mux, func(_ context.Context, request *PendingReadersRequest) (*leader.PendingReaders, error) {
+		l.requests = append(l.requests, *request)
+		return l.respond(len(l.requests))
 	})
 	w := httptest.NewRecorder()
-	m.ServeHTTP(w, r)
+	mux.ServeHTTP(w, r)
 	return w.Result(), nil
 }
 
-// Who is asked for readers while a partition moves is asked again until somebody decides; where
-// nobody does, that is no yes.
+// A question for pending readers is retried while the partition moves between leaders. Where no
+// leader answers, the result is an error, which must not read as "none pending".
 func TestPendingReaders_IsRetried(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		moving := []apierror.Code{
+		movingCodes := []apierror.Code{
 			apierror.NotPartitionLeader, apierror.NotReady, apierror.ShuttingDown, apierror.StaleEpoch,
 		}
-		response := &askers{tell: func(n int) (*leader.PendingReaders, error) {
-			if n <= len(moving) {
-				return nil, apierror.New(moving[n-1], "moving")
+		fake := &fakeLeader{respond: func(attempt int) (*leader.PendingReaders, error) {
+			if attempt <= len(movingCodes) {
+				return nil, apierror.New(movingCodes[attempt-1], "moving")
 			}
 			return &leader.PendingReaders{Nodes: []string{"a2"}}, nil
 		}}
-		b := newBench(nil)
-		b.Net = response
-		b.owned("s1")
-		u, err := b.PendingReaders(t.Context(), part, 7, time.Second)
+		f := newFixture(nil)
+		f.Net = fake
+		f.setLeader("s1")
+		pending, err := f.PendingReaders(t.Context(), testPartition, 7, time.Second)
 		assert.NilError(t, err)
-		assert.DeepEqual(t, u, &leader.PendingReaders{Nodes: []string{"a2"}})
-		assert.Equal(t, len(response.asked), len(moving)+1)
-		assert.DeepEqual(t, response.asked[0], PendingReadersRequest{Partition: part, Offset: 7, MaxWait: time.Second})
+		assert.DeepEqual(t, pending, &leader.PendingReaders{Nodes: []string{"a2"}})
+		assert.Equal(t, len(fake.requests), len(movingCodes)+1)
+		assert.DeepEqual(t, fake.requests[0],
+			PendingReadersRequest{Partition: testPartition, Offset: 7, MaxWait: time.Second})
 
-		response.tell = func(int) (*leader.PendingReaders, error) {
+		fake.respond = func(int) (*leader.PendingReaders, error) {
 			return nil, apierror.New(apierror.NotPartitionLeader, "superseded")
 		}
-		u, err = b.PendingReaders(t.Context(), part, 7, time.Second)
-		assert.Assert(t, u == nil && apierror.HasCode(err, apierror.NoPartitionLeader), "%v", err)
+		pending, err = f.PendingReaders(t.Context(), testPartition, 7, time.Second)
+		assert.Assert(t, pending == nil && apierror.HasCode(err, apierror.NoPartitionLeader), "%v", err)
 	})
 }
 
-// That a key is unknown is an answer of the owner, and none to ask again for.
+// KeyUnknown is a decision of the leader, which is not retried.
 func TestUnknownKeyIsFinal(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		n := 0
-		b := newBench(func(
-			_ *bench, _ context.Context, _ string, request *SubmitManyRequest,
+		attempts := 0
+		f := newFixture(func(
+			_ *fixture, _ context.Context, _ string, request *SubmitManyRequest,
 		) (*SubmitManyResponse, error) {
-			if n++; n == 1 {
-				return lost()
+			if attempts++; attempts == 1 {
+				return lostCall()
 			}
 			return &SubmitManyResponse{
 				Outcomes: []leader.Outcome{{Err: apierror.New(apierror.KeyUnknown, "nothing")}},
 			}, nil
 		})
-		b.owned("s1")
-		b.offer(1, time.Minute)
-		wait(time.Second)
-		assert.Equal(t, b.kind(1), apierror.KeyUnknown)
-		assert.Equal(t, n, 2)
+		f.setLeader("s1")
+		f.submitCall(1, time.Minute)
+		advance(time.Second)
+		assert.Equal(t, f.outcome(1), apierror.KeyUnknown)
+		assert.Equal(t, attempts, 2)
 	})
 }
--- a/internal/partitionlog/router/handlers.go
+++ b/internal/partitionlog/router/handlers.go
@@ -16,7 +16,7 @@
 func (r *Router) partitionOf(message *leader.Message) (int, error) {
 	index := r.Store.Index()
 	if index.Sequence < message.Configuration {
-		return 0, apierror.New(apierror.NotReady, "the call was let in under description %d, this node has %d",
+		return 0, apierror.New(apierror.NotReady, "the call was admitted under configuration %d, this node has %d",
 			message.Configuration, index.Sequence)
 	}
 	namespace, err := index.Find(message.Topic)
@@ -31,67 +31,67 @@
 	if err != nil {
 		return nil, err
 	}
-	running, err := r.leaderOf(partitionID)
+	partitionLeader, err := r.leaderOf(partitionID)
 	if err != nil {
 		return nil, err
 	}
-	return running.Submit(ctx, message)
+	return partitionLeader.Submit(ctx, message)
 }
 
 func (r *Router) attach(ctx context.Context, request *AttachRequest) (*AttachResponse, error) {
-	running, err := r.leaderOf(r.homeOf(request.Client, request.Urgent))
+	partitionLeader, err := r.leaderOf(r.homeOf(request.Client, request.Urgent))
 	if err != nil {
 		return nil, err
 	}
-	generation, err := running.Attach(ctx, request.Client, request.Secret, request.Generation)
+	generation, err := partitionLeader.Attach(ctx, request.Client, request.Secret, request.Generation)
 	if err != nil {
 		return nil, err
 	}
-	_, cursor, err := running.Attachment(ctx, request.Client)
+	_, cursor, err := partitionLeader.Attachment(ctx, request.Client)
 	return &AttachResponse{Generation: generation, SavedCursor: cursor}, err
 }
 
 func (r *Router) readAttachment(ctx context.Context, request *ReadAttachmentRequest) (*ReadAttachmentResponse, error) {
-	running, err := r.leaderOf(r.homeOf(request.Client, request.Urgent))
+	partitionLeader, err := r.leaderOf(r.homeOf(request.Client, request.Urgent))
 	if err != nil {
 		return nil, err
 	}
-	attachment, cursor, err := running.Attachment(ctx, request.Client)
+	attachment, cursor, err := partitionLeader.Attachment(ctx, request.Client)
 	return &ReadAttachmentResponse{Attachment: attachment, SavedCursor: cursor}, err
 }
 
 func (r *Router) saveCursor(ctx context.Context, request *SaveCursorRequest) (*Empty, error) {
-	running, err := r.leaderOf(r.homeOf(request.Client, request.Urgent))
+	partitionLeader, err := r.leaderOf(r.homeOf(request.Client, request.Urgent))
 	if err != nil {
 		return nil, err
 	}
-	return &Empty{}, running.SaveCursor(ctx, request.Client, request.Generation, request.Cursor)
+	return &Empty{}, partitionLeader.SaveCursor(ctx, request.Client, request.Generation, request.Cursor)
 }
 
 func (r *Router) read(ctx context.Context, request *leader.ReadRequest) (*leader.ReadResponse, error) {
-	running, err := r.leaderOf(request.Partition)
+	partitionLeader, err := r.leaderOf(request.Partition)
 	if err != nil {
 		return nil, err
 	}
 	request.Hold = min(request.Hold, r.Timing.LongPoll())
-	return running.Read(ctx, request)
+	return partitionLeader.Read(ctx, request)
 }
 
 func (r *Router) pendingReaders(ctx context.Context, request *PendingReadersRequest) (*leader.PendingReaders, error) {
-	running, err := r.leaderOf(request.Partition)
+	partitionLeader, err := r.leaderOf(request.Partition)
 	if err != nil {
 		return nil, err
 	}
-	return running.PendingReaders(ctx, request.Offset, min(request.MaxWait, r.Timing.LongPoll()))
+	return partitionLeader.PendingReaders(ctx, request.Offset, min(request.MaxWait, r.Timing.LongPoll()))
 }
 
 func (r *Router) usage(_ context.Context, request *UsageRequest) (*UsageResponse, error) {
-	running, err := r.leaderOf(request.Partition)
+	partitionLeader, err := r.leaderOf(request.Partition)
 	if err != nil {
 		return nil, err
 	}
-	usages, err := running.Usage()
-	return &UsageResponse{Topics: usages, Tombstones: running.Tombstones()}, err
+	usages, err := partitionLeader.Usage()
+	return &UsageResponse{Topics: usages, Tombstones: partitionLeader.Tombstones()}, err
 }
 
 func (r *Router) trace(ctx context.Context, request *TraceRequest) (*TraceResponse, error) {
@@ -99,26 +99,26 @@
 	if err != nil {
 		return nil, err
 	}
-	running, err := r.leaderOf(partition.Of(request.Topic, namespace.Urgent, r.Store.VoterSet().Layout))
+	partitionLeader, err := r.leaderOf(partition.Of(request.Topic, namespace.Urgent, r.Store.VoterSet().Layout))
 	if err != nil {
 		return nil, err
 	}
-	calls, call, kept, err := running.Trace(ctx, request.Client, request.Topic, request.CallSeq)
+	calls, call, found, err := partitionLeader.Trace(ctx, request.Client, request.Topic, request.CallSeq)
 	response := &TraceResponse{
-		Partition:   running.Record.Partition,
+		Partition:   partitionLeader.Record.Partition,
 		Leader:      r.Self,
-		Epoch:       running.Record.Epoch,
-		Accepted:    kept,
+		Epoch:       partitionLeader.Record.Epoch,
+		Accepted:    found,
 		LastCallSeq: calls.Last,
-		Forgotten:   !kept && request.CallSeq <= calls.Floor,
+		Forgotten:   !found && request.CallSeq <= calls.Floor,
 	}
-	if kept {
+	if found {
 		response.Offset = call.Offset
 	}
 	return response, err
 }
 
-// Serve adds the handlers of the calls that this node answers as a leader's node.
+// Serve adds the handlers of the calls that this node answers for the partitions that it leads.
 func (r *Router) Serve(mux *http.ServeMux) {
 	Submit.Handle(mux, r.submit)
 	SubmitMany.Handle(mux, r.submitMany)
@@ -133,7 +133,7 @@
 }
 
 func (r *Router) submitMany(ctx context.Context, request *SubmitManyRequest) (*SubmitManyResponse, error) {
-	running, err := r.leaderOf(request.Partition)
+	partitionLeader, err := r.leaderOf(request.Partition)
 	if err != nil {
 		return nil, err
 	}
@@ -147,7 +147,7 @@
 		}
 		messages, indexes = append(messages, message), append(indexes, i)
 	}
-	for i, outcome := range running.SubmitMany(ctx, messages) {
+	for i, outcome := range partitionLeader.SubmitMany(ctx, messages) {
 		response.Outcomes[indexes[i]] = outcome
 	}
 	return response, nil
@@ -156,7 +156,7 @@
 func (r *Router) checkPartition(message *leader.Message, partitionID int) error {
 	actual, err := r.partitionOf(message)
 	if err == nil && actual != partitionID {
-		err = apierror.New(apierror.NotPartitionLeader, "topic %s stands in partition %d, not %d",
+		err = apierror.New(apierror.NotPartitionLeader, "topic %s is in partition %d, not %d",
 			message.Topic, actual, partitionID)
 	}
 	return err
--- a/internal/partitionlog/router/router.go
+++ b/internal/partitionlog/router/router.go
@@ -1,15 +1,15 @@
-// Package router submits work on partitions from any node: it finds the partition and its leader in
-// the records that gossip spreads, runs the call here or forwards it, and retries until the leader
-// decided or nothing can come of it.
+// Package router submits work on partitions from any node. It finds the partition and its leader in
+// the records that gossip spreads. It runs the call on this node or forwards it, and retries until
+// the leader decided or another attempt can't succeed.
 //
-// What must stay true: messages that one node submits for a partition reach the leader in that
-// order; each is answered once, by its deadline at the latest; no_owner and overloaded promise that
-// the message never was and never will be accepted by this call. A client is told what is known of its
-// call number (RejectCallNumber).
+// Invariants: messages that one node submits for a partition reach the leader in that order. Each
+// is answered once, by its deadline at the latest. The errors no_owner and overloaded promise that
+// the message never was and never will be accepted by this call. A client gets only what is known
+// of its call number (RejectCallNumber).
 //
-// A Router has no goroutines of its own but one for each partition that messages wait for; its
-// queues and epochs have locks of their own, none of which is held over a call. Submit and the
-// other calls block until they are answered or ctx ends; SubmitAsync never blocks.
+// A Router runs one goroutine for each partition that messages wait for, and one for its batch in
+// flight. Its queues and epochs have locks of their own, none of which is held over a call. Submit
+// and the other calls block until they are answered or ctx ends. SubmitAsync never blocks.
 package router
 
 import (
@@ -27,7 +27,8 @@
 	"postjunction/internal/wire"
 )
 
-// Leaders finds the leader of a partition on this node; NotPartitionLeader if there is none.
+// Leaders finds the partition leaders on this node. Leader returns NotPartitionLeader where this
+// node does not lead the partition.
 type Leaders interface {
 	Leader(partitionID int) (*leader.Leader, error)
 }
@@ -42,7 +43,8 @@
 	View    *membership.View
 	Leaders Leaders
 	epochs  leaderEpochs
-	// Backlog is how many messages may wait here for one partition; nil for any number.
+	// Backlog returns how many messages may wait here for one partition. With nil there is no
+	// bound.
 	Backlog func() int
 	// CompressStreams asks leaders to compress the bodies of followed topics' messages.
 	CompressStreams bool
@@ -55,13 +57,13 @@
 	return forward(ctx, r, partitionID, Submit, r.submit, message)
 }
 
-// homeOf returns a client's urgent or routine home.
+// homeOf returns a client's urgent or routine home: the partition that records its attachment.
 func (r *Router) homeOf(client string, urgent bool) int {
 	return partition.OfClient(client, urgent, r.Store.VoterSet().Layout)
 }
 
-// UsesTwoHomes reports whether attachments are kept in an urgent partition too: once every member's
-// build does.
+// UsesTwoHomes reports whether attachments are recorded in an urgent partition too. They are once
+// the build of every member supports that.
 func (r *Router) UsesTwoHomes() bool {
 	for _, member := range r.View.All() {
 		if !member.SupportsTwoHomes {
@@ -71,11 +73,12 @@
 	return r.Store.VoterSet().Layout.UrgentPartitions > 0
 }
 
-// CheckKeysSupported returns NotReady until every member's build knows keys and withdrawals.
+// CheckKeysSupported returns NotReady until the build of every member supports keys and
+// withdrawals.
 func (r *Router) CheckKeysSupported() error {
 	for _, member := range r.View.All() {
 		if !member.SupportsKeys {
-			return apierror.New(apierror.NotReady, "the build of %s knows no keys", member.Name)
+			return apierror.New(apierror.NotReady, "the build of %s does not support keys", member.Name)
 		}
 	}
 	return nil
@@ -87,8 +90,8 @@
 	return r.homeOf(client, urgent && r.UsesTwoHomes())
 }
 
-// Attach has an attachment recorded: it gets its generation in the client's routine home,
-// then the urgent one learns it.
+// Attach has an attachment recorded. The client's routine home assigns its generation, then the
+// urgent home records it too.
 func (r *Router) Attach(ctx context.Context, request *AttachRequest) (*AttachResponse, error) {
 	response, err := forward(ctx, r, r.homeOf(request.Client, false), Attach, r.attach, request)
 	if err != nil || !r.UsesTwoHomes() {
@@ -97,15 +100,15 @@
 	return response, r.attachUrgentHome(ctx, request.Client, request.Secret, response.Generation)
 }
 
-// attachUrgentHome has the urgent home learn of an attachment.
+// attachUrgentHome records an attachment in the urgent home.
 func (r *Router) attachUrgentHome(ctx context.Context, client, secret string, generation uint64) error {
 	request := &AttachRequest{Client: client, Secret: secret, Generation: generation, Urgent: true}
 	_, err := forward(ctx, r, r.homeOf(client, true), Attach, r.attach, request)
 	return err
 }
 
-// ReadAttachment returns the attachment in force. An urgent home that does not know of this
-// generation yet, since an older build or a call that broke off in between gave it out, learns of
+// ReadAttachment returns the attachment in force. An urgent home does not have this generation yet
+// where an older build assigned it, or where a call broke off in between. Then the urgent home gets
 // it from the routine home.
 func (r *Router) ReadAttachment(
 	ctx context.Context, client string, generation uint64, urgent bool,
@@ -138,9 +141,9 @@
 
 // Read returns committed entries of a partition, without the bodies of messages with keys.
 func (r *Router) Read(
-	ctx context.Context, partitionID int, from uint64, hold time.Duration,
+	ctx context.Context, partitionID int, from uint64, maxWait time.Duration,
 ) (*leader.ReadResponse, error) {
-	return r.ReadAsReader(ctx, &leader.ReadRequest{Partition: partitionID, From: from, Hold: hold})
+	return r.ReadAsReader(ctx, &leader.ReadRequest{Partition: partitionID, From: from, Hold: maxWait})
 }
 
 // ReadAsReader returns committed entries of a partition to a reader that may track tombstones.
@@ -148,17 +151,17 @@
 	return forward(ctx, r, request.Partition, Read, r.read, request)
 }
 
-// Trace returns what the ledger knows of a call.
+// Trace returns whether the partition log has a call, and where.
 func (r *Router) Trace(ctx context.Context, partitionID int, request *TraceRequest) (*TraceResponse, error) {
 	return forward(ctx, r, partitionID, Trace, r.trace, request)
 }
 
-// PendingReaders returns which readers have not read behind a tombstone of a partition, waiting up
-// to hold until there is none.
+// PendingReaders returns which readers have not read past a tombstone of a partition. It waits up
+// to maxWait until there are none.
 func (r *Router) PendingReaders(
-	ctx context.Context, partitionID int, offset uint64, hold time.Duration,
+	ctx context.Context, partitionID int, offset uint64, maxWait time.Duration,
 ) (*leader.PendingReaders, error) {
-	request := &PendingReadersRequest{Partition: partitionID, Offset: offset, MaxWait: hold}
+	request := &PendingReadersRequest{Partition: partitionID, Offset: offset, MaxWait: maxWait}
 	return forward(ctx, r, partitionID, PendingReaders, r.pendingReaders, request)
 }
 
--- a/internal/partitionlog/router/submit.go
+++ b/internal/partitionlog/router/submit.go
@@ -11,17 +11,19 @@
 	"postjunction/internal/partitionlog/leader"
 )
 
-// SubmitAsync has a message decided by its partition's leader and never blocks: done is called once
-// with the answer, as soon as that is known and by until at the latest. What one node submits for a
-// partition reaches the leader in the order submitted. done must not block; when the backlog is
-// full it is called with Overloaded before SubmitAsync returns. The errors no_owner and overloaded
-// promise that the message never was and never will be accepted by this call, but nothing of earlier
-// calls under its number (RejectCallNumber); outcome_unknown promises nothing.
+// SubmitAsync has a message decided by its partition's leader and never blocks. done is called once
+// with the answer, as soon as that is known and by the deadline at the latest. What one node
+// submits for a partition reaches the leader in the order submitted. done must not block. When the
+// backlog is full it is called with Overloaded before SubmitAsync returns. The errors no_owner and
+// overloaded promise that the message never was and never will be accepted by this call. They
+// promise nothing of earlier calls under its number (RejectCallNumber). outcome_unknown promises
+// nothing.
 func (r *Router) SubmitAsync(
-	ctx context.Context, partitionID int, message *leader.Message, until time.Time, done func(*leader.Decision, error),
+	ctx context.Context, partitionID int, message *leader.Message, deadline time.Time,
+	done func(*leader.Decision, error),
 ) {
 	queue := r.queues.of(partitionID)
-	submit := &pendingSubmit{ctx: ctx, message: message, submittedAt: r.Clock.Now(), deadline: until, done: done}
+	submit := &pendingSubmit{ctx: ctx, message: message, submittedAt: r.Clock.Now(), deadline: deadline, done: done}
 	queue.mu.Lock()
 	if waiting := len(queue.waiting) + queue.inFlight; r.Backlog != nil && waiting >= r.Backlog() {
 		queue.mu.Unlock()
@@ -30,7 +32,7 @@
 		return
 	}
 	queue.waiting = append(queue.waiting, submit)
-	start, early := !queue.running, queue.nextDeadline.IsZero() || until.Before(queue.nextDeadline)
+	start, early := !queue.running, queue.nextDeadline.IsZero() || deadline.Before(queue.nextDeadline)
 	queue.running = true
 	queue.mu.Unlock()
 	if start {
@@ -49,43 +51,43 @@
 	}
 }
 
-var errExpired = apierror.New(apierror.NoPartitionLeader, "the time of the message is over")
+var errExpired = apierror.New(apierror.NoPartitionLeader, "the deadline of the message has passed")
 
-// runQueue submits what waits in a queue, batch by batch, until nothing waits.
+// runQueue submits the messages that wait in a queue, batch by batch, until none waits.
 func (r *Router) runQueue(partitionID int, queue *submitQueue) {
 	for {
 		changed := r.Store.Changed()
 		record := r.Store.Record(partitionID)
-		begun := r.Clock.Now()
+		startedAt := r.Clock.Now()
 		if record.Version != queue.recordVersion || queue.recordSince.IsZero() {
-			queue.recordVersion, queue.recordSince, queue.failures, queue.attempts = record.Version, begun, 0, 0
+			queue.recordVersion, queue.recordSince, queue.failures, queue.attempts = record.Version, startedAt, 0, 0
 		}
-		batch, late := queue.nextBatch(begun)
-		r.rejectAll(partitionID, late, errExpired)
+		batch, expired := queue.nextBatch(startedAt)
+		r.rejectAll(partitionID, expired, errExpired)
 		if len(batch) == 0 {
-			if len(late) == 0 {
+			if len(expired) == 0 {
 				return
 			}
 			continue
 		}
 		outcomes, err := r.submitBatch(partitionID, queue, record, batch)
-		remaining := r.answerBatch(partitionID, queue, record, batch, outcomes, begun, err)
-		queue.putBack(remaining)
+		remaining := r.answerBatch(partitionID, queue, record, batch, outcomes, startedAt, err)
+		queue.requeue(remaining)
 		if len(remaining) > 0 {
 			r.pause(partitionID, queue, changed)
 		}
 	}
 }
 
-// batchResult is what an attempt with a batch came to: an outcome for each message, or an error.
+// batchResult is the result of an attempt with a batch: an outcome for each message, or an error.
 type batchResult struct {
 	outcomes []leader.Outcome
 	err      error
 }
 
-// submitBatch makes one attempt with a batch, and meanwhile answers messages past their deadline.
-// What may have left this node for another is uncertain from then on, whatever comes back: an older
-// copy of the batch may still be on its way.
+// submitBatch makes one attempt with a batch. Meanwhile it answers messages past their deadline.
+// Once a message may have left this node for another one its outcome is uncertain, whatever the
+// response: an older copy of the batch may still be in flight.
 func (r *Router) submitBatch(
 	partitionID int, queue *submitQueue, record assignment.Record, batch []*pendingSubmit,
 ) ([]leader.Outcome, error) {
@@ -113,13 +115,13 @@
 		return nil, result.err
 	}
 	if len(result.outcomes) != len(batch) {
-		return nil, apierror.New(apierror.Unreachable, "%d verdicts on %d messages", len(result.outcomes), len(batch))
+		return nil, apierror.New(apierror.Unreachable, "%d outcomes for %d messages", len(result.outcomes), len(batch))
 	}
 	return result.outcomes, nil
 }
 
 // startBatch has a batch decided by the leader at an address, or on this node if the record names
-// it. The result comes once, when the call has ended.
+// it. One result is sent, when the call has ended.
 func (r *Router) startBatch(
 	ctx context.Context, record assignment.Record, address string, request *SubmitManyRequest,
 ) <-chan batchResult {
@@ -141,37 +143,37 @@
 	return results
 }
 
-// awaitBatch waits for the result of a batch and meanwhile rejects messages past their deadline, of
+// awaitBatch waits for the result of a batch. Meanwhile it rejects messages past their deadline, in
 // the batch and behind it.
 func (r *Router) awaitBatch(
 	partitionID int, queue *submitQueue, batch []*pendingSubmit, results <-chan batchResult,
 ) batchResult {
 	for {
-		late, due := queue.checkDeadlines(r.Clock.Now(), batch)
-		r.rejectAll(partitionID, late, errExpired)
-		waitCtx, end := context.Background(), func() {}
+		expired, due := queue.checkDeadlines(r.Clock.Now(), batch)
+		r.rejectAll(partitionID, expired, errExpired)
+		waitCtx, cancel := context.Background(), func() {}
 		if !due.IsZero() {
-			waitCtx, end = context.WithTimeout(waitCtx, due.Sub(r.Clock.Now()))
+			waitCtx, cancel = context.WithTimeout(waitCtx, due.Sub(r.Clock.Now()))
 		}
 		select {
 		case result := <-results:
-			end()
+			cancel()
 			return result
 		case <-queue.wake:
 		case <-waitCtx.Done():
 		}
-		end()
+		cancel()
 	}
 }
 
-// answerBatch answers what was decided and gives up what no leader can decide now; it returns the
-// rest, in order, to be submitted again.
+// answerBatch answers the messages that were decided and gives up those that no leader can decide
+// now. It returns the rest, in order, to be submitted again.
 func (r *Router) answerBatch(
 	partitionID int, queue *submitQueue, record assignment.Record,
-	batch []*pendingSubmit, outcomes []leader.Outcome, begun time.Time, err error,
+	batch []*pendingSubmit, outcomes []leader.Outcome, startedAt time.Time, err error,
 ) []*pendingSubmit {
 	var remaining []*pendingSubmit
-	var why []error
+	var causes []error
 	for i, submit := range batch {
 		itemErr := err
 		if err == nil {
@@ -180,17 +182,17 @@
 			}
 		}
 		code := apierror.From(itemErr).Code
-		open := retryableCodes[code] || code == apierror.NoPartitionLeader
-		if err == nil && !open {
+		isUndecided := retryableCodes[code] || code == apierror.NoPartitionLeader
+		if err == nil && !isUndecided {
 			queue.failures, queue.attempts = 0, 0
 		}
 		switch {
 		case itemErr == nil:
 			submit.answer(outcomes[i].Decision, nil)
-		case open:
+		case isUndecided:
 			submit.isUncertain = submit.isUncertain || uncertainCodes[code] && !errors.Is(itemErr, syscall.ECONNREFUSED)
 			if !submit.isAnswered {
-				remaining, why = append(remaining, submit), append(why, itemErr)
+				remaining, causes = append(remaining, submit), append(causes, itemErr)
 			}
 		case submit.isUncertain && !finalCodes[code]:
 			submit.answer(nil, errUncertain(partitionID, itemErr))
@@ -201,18 +203,18 @@
 	if len(remaining) == 0 {
 		return nil
 	}
-	return r.giveUpOrKeep(partitionID, queue, record, remaining, why, begun)
+	return r.giveUpExhausted(partitionID, queue, record, remaining, causes, startedAt)
 }
 
-// giveUpOrKeep gives up those of a batch's undecided messages, each with its error, for which it
-// met too many failures or that waited for a call's time-out since the last newer record. It
-// returns the others.
-func (r *Router) giveUpOrKeep(
+// giveUpExhausted gives up undecided messages of a batch, each with its error: all of them after
+// too many failures or after an uncertain attempt of a call's timeout, and each that has waited for
+// a call's timeout since the last newer record. It returns the others.
+func (r *Router) giveUpExhausted(
 	partitionID int, queue *submitQueue, record assignment.Record,
-	remaining []*pendingSubmit, why []error, begun time.Time,
+	remaining []*pendingSubmit, causes []error, startedAt time.Time,
 ) []*pendingSubmit {
 	now := r.Clock.Now()
-	code := apierror.From(why[0]).Code
+	code := apierror.From(causes[0]).Code
 	if failureLimits[code] > 0 && (queue.failures == 0 || now.Sub(queue.lastFailure) >= r.Timing.MaxBackoff()) {
 		queue.failures++
 		queue.lastFailure = now
@@ -221,23 +223,23 @@
 		return remaining
 	}
 	limit, timeout := failureLimits[code], r.Timing.CallTimeout()
-	all := limit > 0 && queue.failures >= limit || uncertainCodes[code] && now.Sub(begun) >= timeout
-	var again []*pendingSubmit
+	giveUpAll := limit > 0 && queue.failures >= limit || uncertainCodes[code] && now.Sub(startedAt) >= timeout
+	var retained []*pendingSubmit
 	for i, submit := range remaining {
 		since := submit.submittedAt
 		if queue.recordSince.After(since) {
 			since = queue.recordSince
 		}
-		if all || now.Sub(since) >= timeout {
-			submit.answer(nil, r.errGivenUp(partitionID, submit.isUncertain, why[i]))
+		if giveUpAll || now.Sub(since) >= timeout {
+			submit.answer(nil, r.errGivenUp(partitionID, submit.isUncertain, causes[i]))
 		} else {
-			again = append(again, submit)
+			retained = append(retained, submit)
 		}
 	}
-	return again
+	return retained
 }
 
-// pause waits for the backoff before the next attempt, or for a newer record, and meanwhile answers
+// pause waits for the backoff before the next attempt, or for a newer record. Meanwhile it answers
 // messages past their deadline.
 func (r *Router) pause(partitionID int, queue *submitQueue, changed <-chan struct{}) {
 	pause := r.Timing.Backoff(queue.attempts)
@@ -248,19 +250,19 @@
 	ctx, stop := context.WithTimeout(context.Background(), pause)
 	defer stop()
 	for ctx.Err() == nil {
-		late, due := queue.checkDeadlines(r.Clock.Now(), nil)
-		r.rejectAll(partitionID, late, errExpired)
+		expired, due := queue.checkDeadlines(r.Clock.Now(), nil)
+		r.rejectAll(partitionID, expired, errExpired)
 		if due.IsZero() {
 			return
 		}
-		waitCtx, end := context.WithTimeout(ctx, due.Sub(r.Clock.Now()))
+		waitCtx, cancel := context.WithTimeout(ctx, due.Sub(r.Clock.Now()))
 		select {
 		case <-changed:
-			end()
+			cancel()
 			return
 		case <-queue.wake:
 		case <-waitCtx.Done():
 		}
-		end()
+		cancel()
 	}
 }
--- a/internal/partitionlog/router/submitqueue.go
+++ b/internal/partitionlog/router/submitqueue.go
@@ -21,7 +21,7 @@
 	submittedAt time.Time
 	deadline    time.Time
 	done        func(*leader.Decision, error)
-	// isUncertain tells that an attempt may have been decided, though no answer came.
+	// isUncertain reports whether an attempt may have been decided although no answer came.
 	isUncertain bool
 	isAnswered  bool
 }
@@ -37,23 +37,23 @@
 	return !s.deadline.After(now) || s.ctx.Err() != nil
 }
 
-// submitQueue holds what one node submits to one partition: one batch at a time, in the order
-// submitted.
+// submitQueue holds the messages that one node submits to one partition. They are sent one batch at
+// a time, in the order submitted.
 type submitQueue struct {
-	// wake has the queue's goroutine look again, when a message comes with a deadline before
-	// nextDeadline.
+	// wake makes the queue's goroutine check its deadlines again, when a message comes with a
+	// deadline before nextDeadline.
 	wake chan struct{}
 
-	// mu guards the fields up to nextDeadline.
+	// mu guards waiting, inFlight, running and nextDeadline.
 	mu           sync.Mutex
 	waiting      []*pendingSubmit
 	inFlight     int
 	running      bool
 	nextDeadline time.Time
 
-	// The fields below belong to the queue's goroutine, runQueue: the record's version with the
-	// time it was first seen, and since then the errors of failureLimits with the time of the last
-	// one, and the attempts for the backoff.
+	// Only the queue's goroutine, runQueue, uses the fields below: the record's version and the
+	// time when it was first seen. Since then: the number of errors of failureLimits, the time of
+	// the last one, and the number of attempts for the backoff.
 	recordVersion uint64
 	recordSince   time.Time
 	failures      int
@@ -81,12 +81,12 @@
 	return queue
 }
 
-// nextBatch takes out what is past its deadline, and the next batch. With neither, it ends the
-// queue's goroutine.
-func (q *submitQueue) nextBatch(now time.Time) (batch, late []*pendingSubmit) {
+// nextBatch removes and returns the messages past their deadline and the next batch. Where there
+// are neither, the queue's goroutine ends.
+func (q *submitQueue) nextBatch(now time.Time) (batch, expired []*pendingSubmit) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	late = q.takeExpired(now)
+	expired = q.removeExpired(now)
 	count, size := 0, 0
 	for count < len(q.waiting) && count < maxBatchMessages {
 		body := len(q.waiting[count].message.Body)
@@ -101,30 +101,30 @@
 		q.waiting = nil
 	}
 	q.inFlight = count
-	if count == 0 && len(late) == 0 {
+	if count == 0 && len(expired) == 0 {
 		q.running = false
 	}
-	return batch, late
+	return batch, expired
 }
 
-// takeExpired takes out what is past its deadline. The lock is held.
-func (q *submitQueue) takeExpired(now time.Time) []*pendingSubmit {
-	var late []*pendingSubmit
+// removeExpired removes and returns the messages past their deadline. The caller holds mu.
+func (q *submitQueue) removeExpired(now time.Time) []*pendingSubmit {
+	var expired []*pendingSubmit
 	q.waiting = slices.DeleteFunc(q.waiting, func(submit *pendingSubmit) bool {
 		if submit.isExpired(now) {
-			late = append(late, submit)
+			expired = append(expired, submit)
 		}
 		return submit.isExpired(now)
 	})
-	return late
+	return expired
 }
 
-// checkDeadlines returns what is past its deadline, of the batch in flight and behind it, and the
-// next deadline.
-func (q *submitQueue) checkDeadlines(now time.Time, batch []*pendingSubmit) (late []*pendingSubmit, due time.Time) {
+// checkDeadlines returns the messages past their deadline, in the batch in flight and behind it,
+// and the next deadline.
+func (q *submitQueue) checkDeadlines(now time.Time, batch []*pendingSubmit) (expired []*pendingSubmit, due time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	late = q.takeExpired(now)
+	expired = q.removeExpired(now)
 	for _, submit := range q.waiting {
 		if due.IsZero() || submit.deadline.Before(due) {
 			due = submit.deadline
@@ -136,17 +136,17 @@
 		}
 		if submit.isExpired(now) {
 			submit.isUncertain = true
-			late = append(late, submit)
+			expired = append(expired, submit)
 		} else if due.IsZero() || submit.deadline.Before(due) {
 			due = submit.deadline
 		}
 	}
 	q.nextDeadline = due
-	return late, due
+	return expired, due
 }
 
-// putBack puts what is left of a batch before what waits.
-func (q *submitQueue) putBack(submits []*pendingSubmit) {
+// requeue puts the rest of a batch before the messages that wait.
+func (q *submitQueue) requeue(submits []*pendingSubmit) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.waiting = append(submits, q.waiting...)
