--- a/internal/partitionlog/idle/idle.go
+++ b/internal/partitionlog/idle/idle.go
@@ -1,9 +1,9 @@
-// Package idle confirms logs without new entries to the disks that hold their replicas: all logs of
-// a disk in one call, instead of an empty append for each.
+// Package idle confirms logs without new entries to the disks that store their replicas: all logs
+// of a disk in one call, instead of an empty append for each.
 //
-// What must stay true: Identical is reported only where the replica's log ended like the leader's,
-// under its epoch, when it was asked. A disk that has logs waiting has one goroutine, which ends
-// when none is left or the Confirmer's context is over.
+// Invariants: Identical is reported only where the replica's log ended like the leader's, under its
+// epoch, when it was compared. A disk with waiting logs has one goroutine. It ends when no log
+// waits any more or the Confirmer's context has ended.
 package idle
 
 import (
@@ -26,15 +26,17 @@
 // Outcome is the result of a wait.
 type Outcome int
 
-// Superseded came before the log was confirmed; Identical says that the replica ends as the log
-// does, under its epoch; Uncertain that it may not, or did not answer.
+// Superseded: the log changed, or the wait was canceled, before the log was confirmed. Identical:
+// the replica ends as the log does, under its epoch. Uncertain: the replica may not, or it did not
+// answer.
 const (
 	Superseded Outcome = iota
 	Identical
 	Uncertain
 )
 
-// maxUnsplit is how many logs are not split further where their checksums differ.
+// maxUnsplit is the number of logs up to which a group is not split further where the checksums
+// differ.
 const maxUnsplit = 4
 
 type waiter struct {
@@ -43,8 +45,9 @@
 	outcome chan Outcome
 }
 
-// group are the logs that wait for a disk; wake ends the pause until the first of it is due.
-type group struct {
+// diskQueue holds the logs that wait for a disk. wake ends the pause until due, when the first of
+// them is due.
+type diskQueue struct {
 	waiting map[*waiter]bool
 	due     time.Time
 	wake    context.CancelFunc
@@ -57,31 +60,31 @@
 	clock  clock.Clock
 	timing settings.Timing
 	ctx    context.Context
-	mu     sync.Mutex // guards groups and all that they hold
-	groups map[Disk]*group
+	mu     sync.Mutex // guards queues and all that they contain
+	queues map[Disk]*diskQueue
 }
 
-// New makes an empty Confirmer that lives as long as ctx.
+// New returns an empty Confirmer that runs until ctx ends.
 func New(ctx context.Context, self string, network wire.Network, c clock.Clock, timing settings.Timing) *Confirmer {
-	return &Confirmer{self: self, net: network, clock: c, timing: timing, ctx: ctx, groups: map[Disk]*group{}}
+	return &Confirmer{self: self, net: network, clock: c, timing: timing, ctx: ctx, queues: map[Disk]*diskQueue{}}
 }
 
-// Wait has a log confirmed to a disk once it is due, or earlier with another one of that disk, and
-// blocks until that is done; Superseded when grown or moved is closed or ctx ends first.
+// Wait has a log confirmed to a disk once it is due, or earlier together with another log of that
+// disk. It blocks until that is done. It returns Superseded when appended or committed is closed or
+// ctx ends first.
 func (l *Confirmer) Wait(
-	ctx context.Context, disk Disk, idleLog replica.IdleLog, due time.Time, grown,
-	moved <-chan struct{},
+	ctx context.Context, disk Disk, idleLog replica.IdleLog, due time.Time, appended, committed <-chan struct{},
 ) Outcome {
 	w := &waiter{log: idleLog, due: due, outcome: make(chan Outcome, 1)}
 	l.mu.Lock()
-	queue, runs := l.groups[disk]
-	if !runs {
-		queue = &group{waiting: map[*waiter]bool{}}
-		l.groups[disk] = queue
+	queue, isRunning := l.queues[disk]
+	if !isRunning {
+		queue = &diskQueue{waiting: map[*waiter]bool{}}
+		l.queues[disk] = queue
 	}
 	queue.waiting[w] = true
 	switch {
-	case !runs:
+	case !isRunning:
 		go l.run(disk, queue)
 	case queue.wake != nil && due.Before(queue.due):
 		queue.wake()
@@ -90,8 +93,8 @@
 	select {
 	case outcome := <-w.outcome:
 		return outcome
-	case <-grown:
-	case <-moved:
+	case <-appended:
+	case <-committed:
 	case <-ctx.Done():
 	}
 	l.mu.Lock()
@@ -100,8 +103,8 @@
 	return Superseded
 }
 
-// run confirms what waits for a disk, until nothing does.
-func (l *Confirmer) run(disk Disk, queue *group) {
+// run confirms the logs that wait for a disk, until none waits.
+func (l *Confirmer) run(disk Disk, queue *diskQueue) {
 	for {
 		l.mu.Lock()
 		queue.wake = nil
@@ -109,7 +112,7 @@
 			for w := range queue.waiting {
 				w.outcome <- Uncertain
 			}
-			delete(l.groups, disk)
+			delete(l.queues, disk)
 			l.mu.Unlock()
 			return
 		}
@@ -127,25 +130,26 @@
 			wake()
 			continue
 		}
-		all := make([]*waiter, 0, len(queue.waiting))
+		waiters := make([]*waiter, 0, len(queue.waiting))
 		for w := range queue.waiting {
-			all = append(all, w)
+			waiters = append(waiters, w)
 		}
 		clear(queue.waiting)
 		l.mu.Unlock()
-		slices.SortFunc(all, func(a, b *waiter) int {
+		slices.SortFunc(waiters, func(a, b *waiter) int {
 			return cmp.Or(cmp.Compare(a.log.Kind, b.log.Kind), cmp.Compare(a.log.Partition, b.log.Partition))
 		})
-		l.compare(disk, all)
+		l.compare(disk, waiters)
 	}
 }
 
-// compare asks for logs, in the order of their kinds and partitions, and hands out the outcomes.
-// Where the checksums of many differ, those of their halves say which.
-func (l *Confirmer) compare(disk Disk, all []*waiter) {
+// compare has the disk's node compare logs, in the order of their kinds and partitions, and passes
+// on the outcomes. Where the checksum of many logs differs, comparing each half narrows down which
+// logs differ.
+func (l *Confirmer) compare(disk Disk, waiters []*waiter) {
 	request := &replica.CompareIdleRequest{Incarnation: disk.Incarnation, Partitions: map[log.Kind][]int{}}
-	logs := make([]replica.IdleLog, len(all))
-	for i, w := range all {
+	logs := make([]replica.IdleLog, len(waiters))
+	for i, w := range waiters {
 		logs[i] = w.log
 		request.Partitions[w.log.Kind] = append(request.Partitions[w.log.Kind], w.log.Partition)
 	}
@@ -157,14 +161,14 @@
 	switch {
 	case err != nil:
 		outcome = Uncertain
-	case !response.Identical && len(all) > maxUnsplit:
-		l.compare(disk, all[:len(all)/2])
-		l.compare(disk, all[len(all)/2:])
+	case !response.Identical && len(waiters) > maxUnsplit:
+		l.compare(disk, waiters[:len(waiters)/2])
+		l.compare(disk, waiters[len(waiters)/2:])
 		return
 	case !response.Identical:
 		outcome = Uncertain
 	}
-	for _, w := range all {
+	for _, w := range waiters {
 		w.outcome <- outcome
 	}
 }
--- a/internal/partitionlog/idle/idle_test.go
+++ b/internal/partitionlog/idle/idle_test.go
@@ -18,148 +18,156 @@
 	"postjunction/internal/settings"
 )
 
-// copies is a machine that holds lines as they were told, but for some.
-type copies struct {
-	mu    sync.Mutex
-	asked []int
-	off   map[int]bool
-	deaf  bool
-	takes time.Duration
+// fakeDisk answers for the replicas of a disk. All but those in differing end where their leaders
+// expect.
+type fakeDisk struct {
+	mu        sync.Mutex
+	requested []int
+	differing map[int]bool
+	isFailing bool
+	delay     time.Duration
 }
 
-func at(p int) replica.IdleLog {
+func testLog(partition int) replica.IdleLog {
 	return replica.IdleLog{
-		Partition: p, Kind: log.KindInput, Epoch: 2, Last: log.Position{Offset: uint64(p), Epoch: 1},
+		Partition: partition, Kind: log.KindInput, Epoch: 2, Last: log.Position{Offset: uint64(partition), Epoch: 1},
 	}
 }
 
-func (c *copies) still(_ context.Context, q *replica.CompareIdleRequest) (*replica.CompareIdleResponse, error) {
-	time.Sleep(c.takes)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.asked = append(c.asked, len(q.Partitions[log.KindInput]))
-	if c.deaf {
+func (d *fakeDisk) compareIdle(
+	_ context.Context, request *replica.CompareIdleRequest,
+) (*replica.CompareIdleResponse, error) {
+	time.Sleep(d.delay)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.requested = append(d.requested, len(request.Partitions[log.KindInput]))
+	if d.isFailing {
 		return nil, apierror.New(apierror.WrongDisk, "another disk")
 	}
-	var ss []replica.IdleLog
-	for _, p := range q.Partitions[log.KindInput] {
-		s := at(p)
-		if c.off[p] {
-			s.Epoch++
+	var logs []replica.IdleLog
+	for _, partition := range request.Partitions[log.KindInput] {
+		idleLog := testLog(partition)
+		if d.differing[partition] {
+			idleLog.Epoch++
 		}
-		ss = append(ss, s)
+		logs = append(logs, idleLog)
 	}
-	return &replica.CompareIdleResponse{Identical: replica.IdleChecksum(ss) == q.Checksum}, nil
+	return &replica.CompareIdleResponse{Identical: replica.IdleChecksum(logs) == request.Checksum}, nil
 }
 
-func (c *copies) Do(q *http.Request) (*http.Response, error) {
-	m := http.NewServeMux()
-	replica.CompareIdle.Handle(m, c.still)
+func (d *fakeDisk) Do(request *http.Request) (*http.Response, error) {
+	mux := http.NewServeMux()
+	replica.CompareIdle.Handle(mux, d.compareIdle)
 	w := httptest.NewRecorder()
-	m.ServeHTTP(w, q)
+	mux.ServeHTTP(w, request)
 	return w.Result(), nil
 }
 
-// keep has lines of a disk be silent from now on, each due a little later than the one before.
-func (c *copies) keep(t *testing.T, n int, script func(l *Confirmer, said []chan Outcome, news chan struct{})) {
+// waitForLogs has idle logs of a disk wait, each due a little later than the one before, and runs
+// script. Closing appended supersedes the first log.
+func (d *fakeDisk) waitForLogs(
+	t *testing.T, count int, script func(confirmer *Confirmer, outcomes []chan Outcome, appended chan struct{}),
+) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		l := New(ctx, "s1", c, clock.Real{}, settings.DefaultTiming)
-		said, news := make([]chan Outcome, n), make(chan struct{})
-		begun := time.Now()
-		for p := range n {
-			said[p] = make(chan Outcome, 1)
-			mine := news
-			if p > 0 {
-				mine = nil
+		confirmer := New(ctx, "s1", d, clock.Real{}, settings.DefaultTiming)
+		outcomes, appended := make([]chan Outcome, count), make(chan struct{})
+		start := time.Now()
+		for partition := range count {
+			outcomes[partition] = make(chan Outcome, 1)
+			ownAppended := appended
+			if partition > 0 {
+				ownAppended = nil
 			}
 			go func() {
-				said[p] <- l.Wait(
-					ctx, Disk{"at-s2", "disk"}, at(p),
-					begun.Add(time.Second+time.Duration(p)*time.Millisecond), mine, nil,
+				outcomes[partition] <- confirmer.Wait(
+					ctx, Disk{"at-s2", "disk"}, testLog(partition),
+					start.Add(time.Second+time.Duration(partition)*time.Millisecond), ownAppended, nil,
 				)
 			}()
 		}
 		synctest.Wait()
-		script(l, said, news)
+		script(confirmer, outcomes, appended)
 		stop()
 		synctest.Wait()
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		assert.Equal(t, len(l.groups), 0)
+		confirmer.mu.Lock()
+		defer confirmer.mu.Unlock()
+		assert.Equal(t, len(confirmer.queues), 0)
 	})
 }
 
-func count(said []chan Outcome) map[Outcome]int {
-	n := map[Outcome]int{}
-	for _, c := range said {
-		n[<-c]++
+func countOutcomes(outcomes []chan Outcome) map[Outcome]int {
+	counts := map[Outcome]int{}
+	for _, outcome := range outcomes {
+		counts[<-outcome]++
 	}
-	return n
+	return counts
 }
 
-// All silent lines of a disk are confirmed in one call, once the first is due.
-func TestSilentLinesGoTogether(t *testing.T) {
-	c := &copies{}
-	c.keep(t, 100, func(_ *Confirmer, said []chan Outcome, _ chan struct{}) {
+// All idle logs of a disk are confirmed in one call, once the first is due.
+func TestIdleLogsAreConfirmedInOneCall(t *testing.T) {
+	disk := &fakeDisk{}
+	disk.waitForLogs(t, 100, func(_ *Confirmer, outcomes []chan Outcome, _ chan struct{}) {
 		time.Sleep(time.Second)
 		synctest.Wait()
-		assert.DeepEqual(t, c.asked, []int{100})
-		assert.DeepEqual(t, count(said), map[Outcome]int{Identical: 100})
+		assert.DeepEqual(t, disk.requested, []int{100})
+		assert.DeepEqual(t, countOutcomes(outcomes), map[Outcome]int{Identical: 100})
 	})
 }
 
-// A line that is due before all that wait is confirmed when it is due, and they with it.
-func TestALineThatIsDueSoonerIsNotHeldUp(t *testing.T) {
+// A log that is due before all that wait is confirmed when it is due, and the others with it.
+func TestALogThatIsDueSoonerIsNotDelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		c := &copies{}
-		l := New(ctx, "s1", c, clock.Real{}, settings.DefaultTiming)
-		begun, said := time.Now(), make(chan Outcome, 2)
-		for p, due := range []time.Duration{2 * time.Second, time.Second} {
-			go func() { said <- l.Wait(ctx, Disk{"at-s2", "disk"}, at(p), begun.Add(due), nil, nil) }()
+		disk := &fakeDisk{}
+		confirmer := New(ctx, "s1", disk, clock.Real{}, settings.DefaultTiming)
+		start, outcomes := time.Now(), make(chan Outcome, 2)
+		for partition, due := range []time.Duration{2 * time.Second, time.Second} {
+			go func() {
+				outcomes <- confirmer.Wait(ctx, Disk{"at-s2", "disk"}, testLog(partition), start.Add(due), nil, nil)
+			}()
 			synctest.Wait()
 		}
 		for range 2 {
-			assert.Equal(t, <-said, Identical)
+			assert.Equal(t, <-outcomes, Identical)
 		}
-		assert.Equal(t, time.Since(begun), time.Second)
-		assert.DeepEqual(t, c.asked, []int{2})
+		assert.Equal(t, time.Since(start), time.Second)
+		assert.DeepEqual(t, disk.requested, []int{2})
 	})
 }
 
-// Where a copy differs its owner is told so, and of others no more than stand beside it; the sums
-// of halves find it.
-func TestWhatDiffersIsFound(t *testing.T) {
-	c := &copies{off: map[int]bool{37: true}}
-	c.keep(t, 100, func(_ *Confirmer, said []chan Outcome, _ chan struct{}) {
-		n := map[Outcome]int{}
-		for p, s := range said {
-			v := <-s
-			n[v]++
-			assert.Assert(t, v == Uncertain || p != 37)
+// Where a replica differs its leader gets Uncertain, and of the other logs at most those that are
+// compared with it do. The checksums of halves find it.
+func TestALogThatDiffersIsFound(t *testing.T) {
+	disk := &fakeDisk{differing: map[int]bool{37: true}}
+	disk.waitForLogs(t, 100, func(_ *Confirmer, outcomes []chan Outcome, _ chan struct{}) {
+		counts := map[Outcome]int{}
+		for partition, outcome := range outcomes {
+			got := <-outcome
+			counts[got]++
+			assert.Assert(t, got == Uncertain || partition != 37)
 		}
-		assert.Assert(t, n[Uncertain] <= maxUnsplit && n[Identical] == 100-n[Uncertain], "%v", n)
-		assert.Assert(t, len(c.asked) <= 12, "%v", c.asked)
+		assert.Assert(t, counts[Uncertain] <= maxUnsplit && counts[Identical] == 100-counts[Uncertain], "%v", counts)
+		assert.Assert(t, len(disk.requested) <= 12, "%v", disk.requested)
 	})
 }
 
-// A line with news leaves at once, also while the others are asked about; a disk that is another
-// one, or gives no answer, leaves all in doubt.
-func TestNewsAndSilence(t *testing.T) {
-	c := &copies{takes: 500 * time.Millisecond}
-	c.keep(t, 10, func(_ *Confirmer, said []chan Outcome, news chan struct{}) {
+// A log with new entries stops waiting at once, also while the others are compared. A disk that is
+// another one, or that does not answer, leaves all logs uncertain.
+func TestAppendedLogsAndFailedRequests(t *testing.T) {
+	disk := &fakeDisk{delay: 500 * time.Millisecond}
+	disk.waitForLogs(t, 10, func(_ *Confirmer, outcomes []chan Outcome, appended chan struct{}) {
 		time.Sleep(1200 * time.Millisecond)
-		close(news)
+		close(appended)
 		synctest.Wait()
-		assert.Equal(t, len(said[0]), 1)
-		assert.DeepEqual(t, count(said), map[Outcome]int{Superseded: 1, Identical: 9})
+		assert.Equal(t, len(outcomes[0]), 1)
+		assert.DeepEqual(t, countOutcomes(outcomes), map[Outcome]int{Superseded: 1, Identical: 9})
 	})
-	c = &copies{deaf: true}
-	c.keep(t, 10, func(_ *Confirmer, said []chan Outcome, _ chan struct{}) {
-		assert.DeepEqual(t, count(said), map[Outcome]int{Uncertain: 10})
-		assert.DeepEqual(t, c.asked, []int{10})
+	disk = &fakeDisk{isFailing: true}
+	disk.waitForLogs(t, 10, func(_ *Confirmer, outcomes []chan Outcome, _ chan struct{}) {
+		assert.DeepEqual(t, countOutcomes(outcomes), map[Outcome]int{Uncertain: 10})
+		assert.DeepEqual(t, disk.requested, []int{10})
 	})
 }
--- a/internal/partitionlog/log/entry.go
+++ b/internal/partitionlog/log/entry.go
@@ -1,4 +1,5 @@
-// Package log is one append-only, ordered, replayable log of a partition, as one replica holds it.
+// Package log implements an append-only, ordered, replayable log of a partition, as one replica
+// stores it.
 package log
 
 import (
@@ -7,10 +8,12 @@
 	"encoding/hex"
 )
 
-// Kind names the two logs of a partition.
+// Kind is one of the two logs of a partition.
 type Kind string
 
-// The logs: the ledger is the partition's input, the changelog that of its state.
+// The two logs of a partition. The input log is the partition log proper: it has the accepted
+// messages and the other decisions. The changelog has the changes of the state that derives from
+// the input log.
 const (
 	KindInput     Kind = "ledger"
 	KindChangelog Kind = "changelog"
@@ -19,13 +22,13 @@
 // Kinds lists both.
 var Kinds = []Kind{KindInput, KindChangelog}
 
-// ID names a log.
+// ID identifies a log.
 type ID struct {
 	Partition int  `json:"p"`
 	Kind      Kind `json:"k"`
 }
 
-// What an entry records.
+// Types of entries.
 const (
 	TypeEpochStart = "start"
 	TypeMessage    = "message"
@@ -56,13 +59,13 @@
 	Body          []byte `json:"b,omitempty"`
 }
 
-// Digest returns the name of a body.
-func Digest(b []byte) string {
-	sum := sha256.Sum256(b)
+// Digest returns the digest of a body.
+func Digest(body []byte) string {
+	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:12])
 }
 
-// NextChain returns the running checksum of a log after e, from the one before it.
+// NextChain returns the running checksum of a log after an entry, from the one before it.
 func NextChain(before uint64, entry Entry) uint64 {
 	var buffer [chainBytes]byte
 	b := buffer[:0]
@@ -84,14 +87,14 @@
 
 const chainBytes = 256
 
-// Position is a place in a log; logs that have the same position are the same up to it.
+// Position identifies an entry of a log. Logs that have the same position are the same up to it.
 type Position struct {
 	Offset uint64 `json:"o"`
 	Epoch  uint64 `json:"e"`
 	Chain  uint64 `json:"x"`
 }
 
-// Less orders tails: the higher epoch of the last entry, then the higher offset.
+// Less orders tails by the epoch of the last entry, then by its offset.
 func (p Position) Less(other Position) bool {
 	if p.Epoch != other.Epoch {
 		return p.Epoch < other.Epoch
@@ -102,7 +105,8 @@
 // Position returns the position of an entry.
 func (e Entry) Position() Position { return Position{e.Offset, e.Epoch, e.Chain} }
 
-// Valid reports whether an entry's body and chain are what they say, after a position.
+// Valid reports whether an entry follows a position, and whether its digest and its chain are
+// correct. The digest of a dropped body is not checked.
 func (e Entry) Valid(after Position) bool {
 	if !e.BodyDropped && e.Digest != Digest(e.Body) {
 		return false
--- a/internal/partitionlog/log/log.go
+++ b/internal/partitionlog/log/log.go
@@ -14,10 +14,10 @@
 	commit  uint64
 }
 
-// New makes an empty log.
+// New returns an empty log.
 func New() *Log { return &Log{} }
 
-// Base returns the position before the first entry held.
+// Base returns the position before the first entry.
 func (l *Log) Base() Position {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -38,7 +38,7 @@
 	return l.entries[len(l.entries)-1].Position()
 }
 
-// Position returns the position at an offset, if it is held.
+// Position returns the position at an offset, if the log has it.
 func (l *Log) Position(offset uint64) (Position, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,7 +70,8 @@
 
 const entryOverhead = 128
 
-// Append adds entries after the last one; those at offsets held already replace the log from there.
+// Append adds entries after the last one. An entry that differs from the one at its offset replaces
+// the log from there on.
 func (l *Log) Append(now time.Time, entries ...Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,8 +106,8 @@
 	l.commit = min(l.commit, offset)
 }
 
-// TrimTo drops entries up to a position, or begins an empty log there. A base never goes back, and
-// a log that does not hold it stays as it is.
+// TrimTo drops entries up to a position, or starts an empty log there. The base never moves back,
+// and a log that does not have the position stays as it is.
 func (l *Log) TrimTo(position Position) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -139,13 +140,13 @@
 	l.commit = max(l.commit, offset)
 }
 
-// LastBefore returns the last offset that arrived before t.
-func (l *Log) LastBefore(t time.Time) uint64 {
+// LastBefore returns the last offset that arrived before cutoff.
+func (l *Log) LastBefore(cutoff time.Time) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	offset := l.base.Offset
 	for _, arrived := range l.arrived {
-		if !arrived.Before(t) {
+		if !arrived.Before(cutoff) {
 			break
 		}
 		offset++
@@ -153,12 +154,12 @@
 	return offset
 }
 
-// DropLiveBodies drops the bodies of live entries that arrived before t.
-func (l *Log) DropLiveBodies(t time.Time) {
+// DropLiveBodies drops the bodies of live entries that arrived before cutoff.
+func (l *Log) DropLiveBodies(cutoff time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i, arrived := range l.arrived {
-		if !arrived.Before(t) {
+		if !arrived.Before(cutoff) {
 			return
 		}
 		if entry := &l.entries[i]; entry.Live && !entry.BodyDropped {
@@ -167,15 +168,14 @@
 	}
 }
 
-// Len returns the number of entries held.
+// Len returns the number of entries.
 func (l *Log) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.entries)
 }
 
-// Size returns the number of entries held and the bytes that they bring along: bodies, topics and
-// client names.
+// Size returns the number of entries and the bytes of their bodies, topics and client names.
 func (l *Log) Size() (int, int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/partitionlog/log/log_test.go
+++ b/internal/partitionlog/log/log_test.go
@@ -7,59 +7,59 @@
 	"gotest.tools/v3/assert"
 )
 
-func filled(n int) *Log {
-	l := New()
-	p := Position{}
-	for range n {
-		e := Entry{Offset: p.Offset + 1, Epoch: 1, Type: TypeMessage, Digest: Digest(nil)}
-		e.Chain = NextChain(p.Chain, e)
-		l.Append(time.Now(), e)
-		p = e.Position()
+func filled(count int) *Log {
+	filledLog := New()
+	last := Position{}
+	for range count {
+		entry := Entry{Offset: last.Offset + 1, Epoch: 1, Type: TypeMessage, Digest: Digest(nil)}
+		entry.Chain = NextChain(last.Chain, entry)
+		filledLog.Append(time.Now(), entry)
+		last = entry.Position()
 	}
-	return l
+	return filledLog
 }
 
-// A trim that was overtaken by a later one once emptied the line.
+// Guards against a trim that arrives after a later one and empties the log.
 func TestBaseNeverGoesBack(t *testing.T) {
-	l := filled(10)
-	at := func(o uint64) Position {
-		p, ok := l.Position(o)
+	filledLog := filled(10)
+	positionAt := func(offset uint64) Position {
+		position, ok := filledLog.Position(offset)
 		assert.Assert(t, ok)
-		return p
+		return position
 	}
-	early, late := at(3), at(6)
-	l.TrimTo(late)
-	l.TrimTo(early)
-	l.TrimTo(Position{Offset: 8, Epoch: 1, Chain: 1})
-	l.TrimTo(Position{Offset: 99, Epoch: 9, Chain: 1})
-	assert.Equal(t, l.Base(), late)
-	assert.Equal(t, l.Last().Offset, uint64(10))
-	assert.Equal(t, l.Len(), 4)
-	n := New()
-	n.TrimTo(early)
-	assert.Equal(t, n.Base(), early)
+	early, late := positionAt(3), positionAt(6)
+	filledLog.TrimTo(late)
+	filledLog.TrimTo(early)
+	filledLog.TrimTo(Position{Offset: 8, Epoch: 1, Chain: 1})
+	filledLog.TrimTo(Position{Offset: 99, Epoch: 9, Chain: 1})
+	assert.Equal(t, filledLog.Base(), late)
+	assert.Equal(t, filledLog.Last().Offset, uint64(10))
+	assert.Equal(t, filledLog.Len(), 4)
+	emptyLog := New()
+	emptyLog.TrimTo(early)
+	assert.Equal(t, emptyLog.Base(), early)
 }
 
-func BenchmarkSound(b *testing.B) {
+func BenchmarkValid(b *testing.B) {
 	body := make([]byte, 250)
-	e := Entry{
+	entry := Entry{
 		Offset: 1, Epoch: 1, Type: TypeMessage, Topic: "space/topic-of-some-length",
 		Client: "space/visitor-17", CallSeq: 4, Body: body, Digest: Digest(body),
 	}
-	e.Chain = NextChain(0, e)
+	entry.Chain = NextChain(0, entry)
 	b.ReportAllocs()
 	for b.Loop() {
-		if !e.Valid(Position{}) {
-			b.Fatal("not sound")
+		if !entry.Valid(Position{}) {
+			b.Fatal("the entry is not valid")
 		}
 	}
 }
 
-// Lines on disks and copies of other builds hold this value.
-func TestLinkStaysWhatItWas(t *testing.T) {
-	e := Entry{
+// Logs on disks and on replicas of other builds have this value.
+func TestChainChecksumIsUnchanged(t *testing.T) {
+	entry := Entry{
 		Offset: 7, Epoch: 3, Type: TypeMessage, Topic: "a/b", Client: "a/v", CallSeq: 9, Generation: 2,
 		Configuration: 5, Digest: Digest([]byte("x")),
 	}
-	assert.Equal(t, NextChain(11, e), uint64(17144078788975667344))
+	assert.Equal(t, NextChain(11, entry), uint64(17144078788975667344))
 }
--- a/internal/partitionlog/replica/append.go
+++ b/internal/partitionlog/replica/append.go
@@ -13,35 +13,36 @@
 type appendPlan struct {
 	id      log.ID
 	records []journal.Record
-	// entries are those of the request that the log does not hold yet.
+	// entries are those of the request that the log does not have yet.
 	entries []log.Entry
 	// last is the position of the request's last entry.
 	last log.Position
-	// trimTo is the position up to which the log is trimmed, the zero one for not at all.
+	// trimTo is the position up to which the log is trimmed. With the zero position it is not
+	// trimmed.
 	trimTo log.Position
 }
 
-// Append extends a log and answers once that is synced, after checking the epoch, the disk and the
-// position.
+// Append checks the epoch, the disk and the position, extends the log, and answers once that is
+// synced.
 func (r *Replica) Append(ctx context.Context, request *AppendRequest) (*AppendResponse, error) {
-	in, err := r.lockPartition(ctx, request.Target)
+	lock, err := r.lockPartition(ctx, request.Target)
 	if err != nil {
 		return nil, err
 	}
-	defer in.Release()
-	held := r.Log(request.Partition, request.Kind)
+	defer lock.Release()
+	current := r.Log(request.Partition, request.Kind)
 	if !request.Reset {
-		if position, ok := held.Position(request.After.Offset); !ok || position != request.After {
+		if position, ok := current.Position(request.After.Offset); !ok || position != request.After {
 			return &AppendResponse{Tail: r.tail(request.Partition, request.Kind)}, nil
 		}
 	}
-	plan, err := r.planAppend(request, held)
+	plan, err := r.planAppend(request, current)
 	if err != nil {
 		return nil, err
 	}
 	if len(plan.records) > 0 {
 		apply := func() { r.applyAppend(request, plan) }
-		if err := r.journal.PutIn(ctx, in, request.Urgent, apply, plan.records...); err != nil {
+		if err := r.journal.PutIn(ctx, lock, request.Urgent, apply, plan.records...); err != nil {
 			return nil, err
 		}
 	}
@@ -51,8 +52,8 @@
 	return &AppendResponse{Matched: true, Tail: tail}, nil
 }
 
-// planAppend returns what a request writes to the log that is held. It changes nothing.
-func (r *Replica) planAppend(request *AppendRequest, held *log.Log) (*appendPlan, error) {
+// planAppend returns what a request writes to the current log. It changes nothing.
+func (r *Replica) planAppend(request *AppendRequest, current *log.Log) (*appendPlan, error) {
 	plan := &appendPlan{id: log.ID{Partition: request.Partition, Kind: request.Kind}}
 	if r.Sealed(request.Partition) < request.Epoch {
 		seal := sealRecord{request.Partition, request.Epoch}
@@ -61,11 +62,11 @@
 	if request.Reset {
 		plan.addBase(baseRecord{ID: plan.id, Base: request.After, Fresh: true})
 	}
-	if err := plan.addEntries(request, held); err != nil {
+	if err := plan.addEntries(request, current); err != nil {
 		return nil, err
 	}
-	base, ok := held.Position(request.Base.Offset)
-	if ok && base == request.Base && base.Offset > held.Base().Offset {
+	base, ok := current.Position(request.Base.Offset)
+	if ok && base == request.Base && base.Offset > current.Base().Offset {
 		plan.trimTo = base
 		plan.addBase(baseRecord{ID: plan.id, Base: base})
 	}
@@ -76,17 +77,18 @@
 	p.records = append(p.records, newRecord(recordtype.Base, base.Base.Epoch, base.Base.Offset, base))
 }
 
-// addEntries adds the request's entries that are not held. Each must follow the one before it.
-func (p *appendPlan) addEntries(request *AppendRequest, held *log.Log) error {
+// addEntries adds the entries of the request that the log does not have. Each must follow the one
+// before it.
+func (p *appendPlan) addEntries(request *AppendRequest, current *log.Log) error {
 	p.last = request.After
 	for _, entry := range request.Entries {
 		if !entry.Valid(p.last) {
 			return apierror.New(
-				apierror.LogMismatch, "entry %d does not follow %d soundly", entry.Offset, p.last.Offset,
+				apierror.LogMismatch, "entry %d is not a valid successor of entry %d", entry.Offset, p.last.Offset,
 			)
 		}
 		p.last = entry.Position()
-		if position, ok := held.Position(entry.Offset); !request.Reset && ok && position == p.last {
+		if position, ok := current.Position(entry.Offset); !request.Reset && ok && position == p.last {
 			continue
 		}
 		p.entries = append(p.entries, entry)
@@ -96,7 +98,7 @@
 	return nil
 }
 
-// applyAppend makes visible what is durable.
+// applyAppend makes an append visible once it is durable.
 func (r *Replica) applyAppend(request *AppendRequest, plan *appendPlan) {
 	r.setSeal(request.Partition, request.Epoch)
 	if request.Reset {
@@ -109,7 +111,7 @@
 	}
 }
 
-// beginLog replaces a log by an empty one that begins after a position.
+// beginLog replaces a log by an empty one that starts after a position.
 func (r *Replica) beginLog(id log.ID, after log.Position) {
 	fresh := log.New()
 	fresh.TrimTo(after)
--- a/internal/partitionlog/replica/calls.go
+++ b/internal/partitionlog/replica/calls.go
@@ -1,8 +1,8 @@
-// Package replica holds the logs of all partitions on one disk and rejects lower epochs durably.
+// Package replica stores the logs of all partitions on one disk and durably rejects lower epochs.
 //
-// What must stay true: once a seal or an append under an epoch was answered, calls under lower ones
-// are rejected, across restarts too; entries are answered only once they are synced; what a caller
-// does not see as done may still be done.
+// Invariants: once a seal or an append under an epoch was answered, calls under lower epochs are
+// rejected, also after a restart. Entries are acknowledged only once they are synced. A call that
+// failed for its caller may still take effect.
 package replica
 
 import (
@@ -17,13 +17,13 @@
 	Epoch       uint64 `json:"e"`
 }
 
-// SealRequest asks a replica to reject all epochs below.
+// SealRequest asks a replica to reject all lower epochs.
 type SealRequest struct {
 	Target
 	Urgent bool `json:"u,omitempty"`
 }
 
-// Tail says what a replica holds of one log.
+// Tail is the range of one log that a replica has, and how far it is committed.
 type Tail struct {
 	Base   log.Position `json:"base"`
 	Last   log.Position `json:"last"`
@@ -35,7 +35,7 @@
 	Tails map[log.Kind]Tail `json:"tails"`
 }
 
-// AppendRequest extends a log after a position; with Reset the replica starts an empty one there.
+// AppendRequest extends a log after a position. With Reset the replica starts an empty log there.
 type AppendRequest struct {
 	Target
 	Kind    log.Kind     `json:"k"`
@@ -47,14 +47,15 @@
 	Urgent  bool         `json:"u,omitempty"`
 }
 
-// AppendResponse holds the replica's tail; Matched reports whether the logs matched.
+// AppendResponse holds the replica's tail. Matched reports whether the replica's log had the
+// position to append after.
 type AppendResponse struct {
 	Matched bool `json:"ok"`
 	Tail    Tail `json:"tail"`
 }
 
-// IdleLog is a log that its leader has nothing new for: the epoch that it was appended under, and
-// where it ends.
+// IdleLog is a log for which its leader has no new entries: the epoch under which it was appended
+// to, and its last position.
 type IdleLog struct {
 	Partition int
 	Kind      log.Kind
@@ -62,15 +63,15 @@
 	Last      log.Position
 }
 
-// CompareIdleRequest asks whether logs of one disk end as their leaders say: the partitions by the
-// kind of log, each in rising order, and the checksum of all.
+// CompareIdleRequest asks whether logs on one disk end where their leaders expect. Partitions has
+// the partitions by kind of log, each list in ascending order. Checksum is that of all logs.
 type CompareIdleRequest struct {
 	Incarnation string             `json:"i"`
 	Partitions  map[log.Kind][]int `json:"l"`
 	Checksum    uint64             `json:"s"`
 }
 
-// CompareIdleResponse reports whether all do.
+// CompareIdleResponse reports whether all logs do.
 type CompareIdleResponse struct {
 	Identical bool `json:"a,omitempty"`
 }
@@ -84,22 +85,22 @@
 	Limit       int      `json:"m"`
 }
 
-// FetchResponse holds entries with the tail they were read at.
+// FetchResponse holds entries, the tail at which they were read, and the position before the first.
 type FetchResponse struct {
 	Tail    Tail         `json:"tail"`
 	Before  log.Position `json:"before"`
 	Entries []log.Entry  `json:"n,omitempty"`
 }
 
-// DropRequest tells a replica that the assignment no longer names it.
+// DropRequest informs a replica that the assignment no longer names it.
 type DropRequest struct {
 	Target
 }
 
-// Empty is an answer without contents.
+// Empty is a response without contents.
 type Empty struct{}
 
-// The replica's calls.
+// The procedures of a replica.
 var (
 	Seal = wire.NewProcedure[SealRequest, SealResponse](
 		"Ledger", "Seal", wire.Monotonic, "epochs only rise on a disk",
--- a/internal/partitionlog/replica/giveup_test.go
+++ b/internal/partitionlog/replica/giveup_test.go
@@ -13,62 +13,64 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-// slowDisk takes no sync to its end while it is held.
+// slowDisk blocks a sync until the channel that blocked has is closed.
 type slowDisk struct {
 	*memlog.Disk
-	held chan chan struct{}
+	blocked chan chan struct{}
 }
 
 func (d *slowDisk) Sync() error {
 	select {
-	case c := <-d.held:
-		<-c
+	case release := <-d.blocked:
+		<-release
 	default:
 	}
 	return d.Disk.Sync()
 }
 
-// An owner that begins a line anew and stops waiting for the disk leaves a line that is replaced
-// later. What comes next goes into the line that stands then, not into the one that stood before:
-// that would be said to be held, and nobody would have it.
-func TestAnOwnerThatGivesUpLeavesNoStaleLine(t *testing.T) {
+// A leader resets a log and then stops waiting for the disk, so the log is replaced later. The next
+// append must go into the log that is current at that time. In the replaced log its entries would
+// be acknowledged, but no replica would have them.
+func TestALeaderThatGivesUpLeavesNoStaleLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := &slowDisk{memlog.New(), make(chan chan struct{}, 1)}
+		disk := &slowDisk{memlog.New(), make(chan chan struct{}, 1)}
 		r := New(clock.Real{})
 		parts := map[uint16]journal.Part{}
-		for _, k := range RecordTypes() {
-			parts[k] = r
+		for _, recordType := range RecordTypes() {
+			parts[recordType] = r
 		}
-		j, _, err := journal.Open(d, clock.Real{}, parts, []journal.Part{r})
+		opened, _, err := journal.Open(disk, clock.Real{}, parts, []journal.Part{r})
 		assert.NilError(t, err)
-		run, end := context.WithCancel(ctx)
-		defer end()
-		go j.Run(run)
-		r.Start("i", j)
-		p := put(t, r, log.KindInput, 1, log.Position{}, "a", "b")
+		runCtx, stop := context.WithCancel(ctx)
+		defer stop()
+		go opened.Run(runCtx)
+		r.Start("i", opened)
+		last := appendEntries(t, r, log.KindInput, 1, log.Position{}, "a", "b")
 		release := make(chan struct{})
-		d.held <- release
-		cx, leave := context.WithCancel(ctx)
-		gone := make(chan error, 1)
+		disk.blocked <- release
+		callCtx, cancel := context.WithCancel(ctx)
+		abandoned := make(chan error, 1)
 		go func() {
-			_, err := r.Append(cx, &AppendRequest{Target: to(1), Kind: log.KindInput, After: p, Reset: true})
-			gone <- err
+			_, err := r.Append(callCtx, &AppendRequest{
+				Target: targetAt(1), Kind: log.KindInput, After: last, Reset: true,
+			})
+			abandoned <- err
 		}()
 		synctest.Wait()
-		leave()
-		assert.Assert(t, <-gone != nil)
+		cancel()
+		assert.Assert(t, <-abandoned != nil)
 		done := make(chan *AppendResponse, 1)
 		go func() {
-			a, err := r.Append(ctx, &AppendRequest{
-				Target: to(1), Kind: log.KindInput, After: p, Entries: chain(p, 1, "c"),
+			response, err := r.Append(ctx, &AppendRequest{
+				Target: targetAt(1), Kind: log.KindInput, After: last, Entries: chain(last, 1, "c"),
 			})
 			assert.Check(t, err)
-			done <- a
+			done <- response
 		}()
 		synctest.Wait()
 		close(release)
-		a := <-done
-		assert.Assert(t, a.Matched)
-		assert.Equal(t, r.Log(1, log.KindInput).Last(), a.Tail.Last)
+		response := <-done
+		assert.Assert(t, response.Matched)
+		assert.Equal(t, r.Log(1, log.KindInput).Last(), response.Tail.Last)
 	})
 }
--- a/internal/partitionlog/replica/handlers.go
+++ b/internal/partitionlog/replica/handlers.go
@@ -10,25 +10,25 @@
 	"postjunction/internal/recordtype"
 )
 
-// Serve adds the store's calls.
-func (r *Replica) Serve(m *http.ServeMux) {
-	Seal.Handle(m, r.Seal)
-	Append.Handle(m, r.Append)
-	CompareIdle.Handle(m, r.CompareIdle)
-	Fetch.Handle(m, r.Fetch)
-	Drop.Handle(m, r.Drop)
+// Serve adds the handlers of the replica's calls.
+func (r *Replica) Serve(mux *http.ServeMux) {
+	Seal.Handle(mux, r.Seal)
+	Append.Handle(mux, r.Append)
+	CompareIdle.Handle(mux, r.CompareIdle)
+	Fetch.Handle(mux, r.Fetch)
+	Drop.Handle(mux, r.Drop)
 }
 
-// Seal rejects lower epochs from now on; it answers once that is synced.
+// Seal rejects lower epochs from now on. It answers once that is synced.
 func (r *Replica) Seal(ctx context.Context, request *SealRequest) (*SealResponse, error) {
-	in, err := r.lockPartition(ctx, request.Target)
+	lock, err := r.lockPartition(ctx, request.Target)
 	if err != nil {
 		return nil, err
 	}
-	defer in.Release()
+	defer lock.Release()
 	if r.Sealed(request.Partition) < request.Epoch {
 		if err := r.journal.PutIn(
-			ctx, in, request.Urgent, func() { r.setSeal(request.Partition, request.Epoch) },
+			ctx, lock, request.Urgent, func() { r.setSeal(request.Partition, request.Epoch) },
 			newRecord(recordtype.Seal, request.Epoch, 0, sealRecord{request.Partition, request.Epoch}),
 		); err != nil {
 			return nil, err
@@ -47,16 +47,17 @@
 	r.seals[partition] = max(r.seals[partition], epoch)
 }
 
-// TruncateAfter drops what follows an offset, when a tail adopted under the target's epoch differs.
+// TruncateAfter drops the entries after an offset, where they differ from a tail that was adopted
+// under the target's epoch.
 func (r *Replica) TruncateAfter(ctx context.Context, target Target, kind log.Kind, offset uint64, urgent bool) error {
-	in, err := r.lockPartition(ctx, target)
+	lock, err := r.lockPartition(ctx, target)
 	if err != nil {
 		return err
 	}
-	defer in.Release()
+	defer lock.Release()
 	id := log.ID{Partition: target.Partition, Kind: kind}
 	return r.journal.PutIn(
-		ctx, in, urgent, func() { r.Log(target.Partition, kind).TruncateAfter(offset) },
+		ctx, lock, urgent, func() { r.Log(target.Partition, kind).TruncateAfter(offset) },
 		newRecord(recordtype.Truncation, target.Epoch, offset, truncationRecord{id, offset}),
 	)
 }
@@ -66,39 +67,39 @@
 	if request.Incarnation != r.incarnation {
 		return nil, apierror.New(apierror.WrongDisk, "this disk is %s, not %s", r.incarnation, request.Incarnation)
 	}
-	held := r.Log(request.Partition, request.Kind)
+	current := r.Log(request.Partition, request.Kind)
 	response := &FetchResponse{Tail: r.tail(request.Partition, request.Kind)}
 	if request.From > 0 {
-		response.Before, _ = held.Position(request.From - 1)
+		response.Before, _ = current.Position(request.From - 1)
 	}
-	response.Entries = held.Slice(request.From, ^uint64(0), min(request.Limit, maxFetchEntries), maxFetchBytes)
+	response.Entries = current.Slice(request.From, ^uint64(0), min(request.Limit, maxFetchEntries), maxFetchBytes)
 	return response, nil
 }
 
-// Drop forgets a partition that the record, at an epoch above the sealed one, no longer places
-// here.
+// Drop deletes a partition whose assignment record no longer places it here. The request has the
+// epoch of that record, which must not be below the sealed one.
 func (r *Replica) Drop(ctx context.Context, request *DropRequest) (*Empty, error) {
-	in, err := r.lockPartition(ctx, request.Target)
+	lock, err := r.lockPartition(ctx, request.Target)
 	if err != nil {
 		return nil, err
 	}
-	defer in.Release()
+	defer lock.Release()
 	apply := func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.seals[request.Partition] = max(r.seals[request.Partition], request.Epoch)
 		r.forget(request.Partition)
 	}
-	dropped := sealRecord{request.Partition, request.Epoch}
+	seal := sealRecord{request.Partition, request.Epoch}
 	return &Empty{}, r.journal.PutIn(
-		ctx, in, false, apply,
-		newRecord(recordtype.Seal, request.Epoch, 0, dropped), newRecord(recordtype.Forget, request.Epoch, 0, dropped),
+		ctx, lock, false, apply,
+		newRecord(recordtype.Seal, request.Epoch, 0, seal), newRecord(recordtype.Forget, request.Epoch, 0, seal),
 	)
 }
 
 func (r *Replica) tail(partition int, kind log.Kind) Tail {
-	held := r.Log(partition, kind)
-	return Tail{Base: held.Base(), Last: held.Last(), Commit: held.Commit()}
+	current := r.Log(partition, kind)
+	return Tail{Base: current.Base(), Last: current.Last(), Commit: current.Commit()}
 }
 
 // lockPartition locks a target's partition for a change, once its epoch is checked.
@@ -114,7 +115,8 @@
 	return keylock.Share(unlock), nil
 }
 
-// CheckEpoch checks whether a target's epoch is still the highest on this disk, under its own name.
+// CheckEpoch returns an error for a target on another disk, and for one whose epoch is below the
+// sealed one.
 func (r *Replica) CheckEpoch(target Target) error {
 	if target.Incarnation != r.incarnation {
 		return apierror.New(apierror.WrongDisk, "this disk is %s, not %s", r.incarnation, target.Incarnation)
--- a/internal/partitionlog/replica/idle.go
+++ b/internal/partitionlog/replica/idle.go
@@ -12,22 +12,22 @@
 )
 
 // IdleChecksum returns the checksum of logs in the order of their kinds and partitions. It only
-// says what to look at: no promise rests on it.
+// selects the logs to look at. No guarantee depends on it.
 func IdleChecksum(logs []IdleLog) uint64 {
-	h := fnv.New64a()
-	var b []byte
-	for _, s := range logs {
-		b = binary.AppendUvarint(append(b[:0], s.Kind...), uint64(s.Partition))
-		for _, n := range []uint64{s.Epoch, s.Last.Epoch, s.Last.Offset, s.Last.Chain} {
-			b = binary.LittleEndian.AppendUint64(b, n)
+	hash := fnv.New64a()
+	var buffer []byte
+	for _, idleLog := range logs {
+		buffer = binary.AppendUvarint(append(buffer[:0], idleLog.Kind...), uint64(idleLog.Partition))
+		for _, number := range []uint64{idleLog.Epoch, idleLog.Last.Epoch, idleLog.Last.Offset, idleLog.Last.Chain} {
+			buffer = binary.LittleEndian.AppendUint64(buffer, number)
 		}
-		_, _ = h.Write(b)
+		_, _ = hash.Write(buffer)
 	}
-	return h.Sum64()
+	return hash.Sum64()
 }
 
-// CompareIdle reports whether logs end here as their leaders say, and nobody else has sealed their
-// partitions since. It writes nothing and blocks on nothing.
+// CompareIdle reports whether logs end here where their leaders expect, with no other leader having
+// sealed their partitions since. It writes nothing and does not block.
 func (r *Replica) CompareIdle(_ context.Context, request *CompareIdleRequest) (*CompareIdleResponse, error) {
 	if request.Incarnation != r.incarnation {
 		return nil, apierror.New(apierror.WrongDisk, "this disk is %s, not %s", r.incarnation, request.Incarnation)
@@ -44,10 +44,10 @@
 func (r *Replica) idleLog(partition int, kind log.Kind) IdleLog {
 	r.mu.Lock()
 	idle := IdleLog{Partition: partition, Kind: kind, Epoch: r.seals[partition]}
-	l := r.logs[log.ID{Partition: partition, Kind: kind}]
+	partitionLog := r.logs[log.ID{Partition: partition, Kind: kind}]
 	r.mu.Unlock()
-	if l != nil {
-		idle.Last = l.Last()
+	if partitionLog != nil {
+		idle.Last = partitionLog.Last()
 	}
 	return idle
 }
--- a/internal/partitionlog/replica/records.go
+++ b/internal/partitionlog/replica/records.go
@@ -24,7 +24,8 @@
 	ID    log.ID       `json:"id"`
 	Base  log.Position `json:"base"`
 	Fresh bool         `json:"fresh,omitempty"`
-	// Compacted comes before a slice of the log: one that does not hold the base is begun there.
+	// Compacted is set in the base record before a slice of the log. A log that does not have the
+	// base is started there.
 	Compacted bool `json:"anew,omitempty"`
 }
 
@@ -38,7 +39,7 @@
 	return journal.Record{Kind: recordType, Epoch: epoch, Offset: offset, Body: encoded}
 }
 
-// decodeBody takes a body of this format, or of the first one, which was JSON.
+// decodeBody decodes a body of this format, or of the first one, which was JSON.
 func decodeBody(body []byte, into any) error {
 	if len(body) > 0 && body[0] == '{' {
 		return json.Unmarshal(body, into)
@@ -46,7 +47,7 @@
 	return wire.Unmarshal(body, into)
 }
 
-// restorers take a record's body back from the disk. The lock is held.
+// restorers restore a record's body from the disk, by the record's type. The caller holds mu.
 var restorers = map[uint16]func(*Replica, []byte) error{
 	recordtype.Seal:       (*Replica).restoreSeal,
 	recordtype.Entry:      (*Replica).restoreEntry,
@@ -105,7 +106,7 @@
 	return err
 }
 
-// RecordTypes lists the records that the store keeps.
+// RecordTypes lists the types of the records that a Replica stores.
 func RecordTypes() []uint16 {
 	var types []uint16
 	for recordType := range restorers {
@@ -114,7 +115,7 @@
 	return types
 }
 
-// Restore restores a record.
+// Restore restores a record that was read from the disk.
 func (r *Replica) Restore(record journal.Record) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/partitionlog/replica/replica.go
+++ b/internal/partitionlog/replica/replica.go
@@ -11,15 +11,17 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-// Replica is the store of one disk. Changes of a partition are made one after another, under its
-// lock of locks, and become visible once they are durable.
+// Replica stores the logs, seals and snapshots of all partitions on one disk. Changes of a
+// partition are made one after another, under its lock in locks, and become visible once they are
+// durable.
 type Replica struct {
 	incarnation string
 	journal     *journal.Journal
 	clock       clock.Clock
 	locks       *keylock.Locks
 
-	// mu guards the fields below. It is held for look-ups only, never over the journal.
+	// mu guards logs, seals, snapshots and rejected. It is locked for look-ups only, never while
+	// the journal is written.
 	mu        sync.Mutex
 	logs      map[log.ID]*log.Log
 	seals     map[int]uint64
@@ -27,14 +29,15 @@
 	rejected  uint64
 }
 
-// lockShards is how many locks the partitions share; the rest is what a Fetch returns at most.
+// lockShards is how many locks the partitions share. The other constants bound what a Fetch
+// returns.
 const (
 	lockShards      = 512
 	maxFetchBytes   = 1 << 20
 	maxFetchEntries = 4096
 )
 
-// New makes an empty store.
+// New returns a Replica without contents.
 func New(c clock.Clock) *Replica {
 	return &Replica{
 		clock: c, locks: keylock.New(lockShards), logs: map[log.ID]*log.Log{},
@@ -42,7 +45,7 @@
 	}
 }
 
-// Start gives the store its disk.
+// Start sets the disk's incarnation and its journal.
 func (r *Replica) Start(incarnation string, j *journal.Journal) {
 	r.incarnation, r.journal = incarnation, j
 }
@@ -50,21 +53,21 @@
 // Incarnation is the random name of the disk.
 func (r *Replica) Incarnation() string { return r.incarnation }
 
-// Log returns a log, made empty if there is none.
+// Log returns a log. It creates an empty one if there is none.
 func (r *Replica) Log(partition int, kind log.Kind) *log.Log {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.logOf(log.ID{Partition: partition, Kind: kind})
 }
 
-// logOf returns a log, made empty if there is none. The lock is held.
+// logOf returns a log. It creates an empty one if there is none. The caller holds mu.
 func (r *Replica) logOf(id log.ID) *log.Log {
-	held, ok := r.logs[id]
+	partitionLog, ok := r.logs[id]
 	if !ok {
-		held = log.New()
-		r.logs[id] = held
+		partitionLog = log.New()
+		r.logs[id] = partitionLog
 	}
-	return held
+	return partitionLog
 }
 
 // Sealed returns the epoch below which a partition rejects leaders.
@@ -74,17 +77,17 @@
 	return r.seals[partition]
 }
 
-// Partitions returns those that have entries here, sorted.
+// Partitions returns the partitions that have entries here, sorted.
 func (r *Replica) Partitions() []int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	held := map[int]bool{}
+	partitions := map[int]bool{}
 	for id, partitionLog := range r.logs {
 		if partitionLog.Last().Offset > 0 {
-			held[id.Partition] = true
+			partitions[id.Partition] = true
 		}
 	}
-	return slices.Sorted(maps.Keys(held))
+	return slices.Sorted(maps.Keys(partitions))
 }
 
 // Rejected returns how many calls were rejected for a lower epoch.
@@ -94,7 +97,7 @@
 	return r.rejected
 }
 
-// forget drops the logs and the snapshot of a partition. The lock is held.
+// forget drops the logs and the snapshot of a partition. The caller holds mu.
 func (r *Replica) forget(partition int) {
 	for _, kind := range log.Kinds {
 		delete(r.logs, log.ID{Partition: partition, Kind: kind})
--- a/internal/partitionlog/replica/replica_test.go
+++ b/internal/partitionlog/replica/replica_test.go
@@ -18,203 +18,210 @@
 
 var ctx = context.Background()
 
-func boot(t *testing.T, d *memlog.Disk, inc string) *Replica {
+func boot(t *testing.T, disk *memlog.Disk, incarnation string) *Replica {
 	r := New(clock.Real{})
 	parts := map[uint16]journal.Part{}
-	for _, k := range RecordTypes() {
-		parts[k] = r
+	for _, recordType := range RecordTypes() {
+		parts[recordType] = r
 	}
-	j, _, err := journal.Open(d, clock.Real{}, parts, []journal.Part{r})
+	opened, _, err := journal.Open(disk, clock.Real{}, parts, []journal.Part{r})
 	assert.NilError(t, err)
-	cx, stop := context.WithCancel(ctx)
+	runCtx, stop := context.WithCancel(ctx)
 	t.Cleanup(stop)
-	go j.Run(cx)
-	r.Start(inc, j)
+	go opened.Run(runCtx)
+	r.Start(incarnation, opened)
 	return r
 }
 
 func chain(after log.Position, epoch uint64, bodies ...string) []log.Entry {
-	var es []log.Entry
-	for _, b := range bodies {
-		e := log.Entry{
-			Offset: after.Offset + 1, Epoch: epoch, Type: log.TypeMessage, Body: []byte(b),
-			Digest: log.Digest([]byte(b)),
+	var entries []log.Entry
+	for _, body := range bodies {
+		entry := log.Entry{
+			Offset: after.Offset + 1, Epoch: epoch, Type: log.TypeMessage, Body: []byte(body),
+			Digest: log.Digest([]byte(body)),
 		}
-		e.Chain = log.NextChain(after.Chain, e)
-		es, after = append(es, e), e.Position()
+		entry.Chain = log.NextChain(after.Chain, entry)
+		entries, after = append(entries, entry), entry.Position()
 	}
-	return es
+	return entries
 }
 
-func to(epoch uint64) Target { return Target{Partition: 1, Incarnation: "i", Epoch: epoch} }
+func targetAt(epoch uint64) Target { return Target{Partition: 1, Incarnation: "i", Epoch: epoch} }
 
-func put(t *testing.T, r *Replica, k log.Kind, epoch uint64, after log.Position, bodies ...string) log.Position {
-	es := chain(after, epoch, bodies...)
-	a, err := r.Append(ctx, &AppendRequest{Target: to(epoch), Kind: k, After: after, Entries: es})
+func appendEntries(
+	t *testing.T, r *Replica, kind log.Kind, epoch uint64, after log.Position, bodies ...string,
+) log.Position {
+	entries := chain(after, epoch, bodies...)
+	response, err := r.Append(ctx, &AppendRequest{Target: targetAt(epoch), Kind: kind, After: after, Entries: entries})
 	assert.NilError(t, err)
-	assert.Assert(t, a.Matched)
-	return es[len(es)-1].Position()
+	assert.Assert(t, response.Matched)
+	return entries[len(entries)-1].Position()
 }
 
 func TestFencedEpochsStayFencedAcrossPowerLoss(t *testing.T) {
-	d := memlog.New()
-	r := boot(t, d, "i")
-	p := put(t, r, log.KindInput, 1, log.Position{}, "a", "b")
-	s, err := r.Seal(ctx, &SealRequest{Target: to(3)})
+	disk := memlog.New()
+	r := boot(t, disk, "i")
+	last := appendEntries(t, r, log.KindInput, 1, log.Position{}, "a", "b")
+	response, err := r.Seal(ctx, &SealRequest{Target: targetAt(3)})
 	assert.NilError(t, err)
-	assert.Equal(t, s.Tails[log.KindInput].Last, p)
-	d.LosePower(true)
-	r = boot(t, d, "i")
-	for _, k := range log.Kinds {
+	assert.Equal(t, response.Tails[log.KindInput].Last, last)
+	disk.LosePower(true)
+	r = boot(t, disk, "i")
+	for _, kind := range log.Kinds {
 		_, err = r.Append(ctx, &AppendRequest{
-			Target: to(2), Kind: k, After: r.Log(1, k).Last(), Entries: chain(r.Log(1, k).Last(), 2, "late"),
+			Target: targetAt(2), Kind: kind, After: r.Log(1, kind).Last(),
+			Entries: chain(r.Log(1, kind).Last(), 2, "late"),
 		})
-		assert.Assert(t, apierror.HasCode(err, apierror.StaleEpoch), "%s: %v", k, err)
+		assert.Assert(t, apierror.HasCode(err, apierror.StaleEpoch), "%s: %v", kind, err)
 	}
-	_, err = r.Seal(ctx, &SealRequest{Target: to(2)})
+	_, err = r.Seal(ctx, &SealRequest{Target: targetAt(2)})
 	assert.Assert(t, apierror.HasCode(err, apierror.StaleEpoch), "%v", err)
-	_, err = r.Drop(ctx, &DropRequest{to(2)})
+	_, err = r.Drop(ctx, &DropRequest{targetAt(2)})
 	assert.Assert(t, apierror.HasCode(err, apierror.StaleEpoch), "%v", err)
-	assert.Equal(t, r.Log(1, log.KindInput).Last(), p)
+	assert.Equal(t, r.Log(1, log.KindInput).Last(), last)
 }
 
-func TestAnotherIncarnationIsTurnedAway(t *testing.T) {
+func TestAnotherIncarnationIsRejected(t *testing.T) {
 	r := boot(t, memlog.New(), "j")
-	_, err := r.Seal(ctx, &SealRequest{Target: to(1)})
+	_, err := r.Seal(ctx, &SealRequest{Target: targetAt(1)})
 	assert.Assert(t, apierror.HasCode(err, apierror.WrongDisk), "%v", err)
-	_, err = r.Append(ctx, &AppendRequest{Target: to(1), Kind: log.KindInput})
+	_, err = r.Append(ctx, &AppendRequest{Target: targetAt(1), Kind: log.KindInput})
 	assert.Assert(t, apierror.HasCode(err, apierror.WrongDisk), "%v", err)
 	_, err = r.Fetch(ctx, &FetchRequest{Partition: 1, Incarnation: "i", Kind: log.KindInput})
 	assert.Assert(t, apierror.HasCode(err, apierror.WrongDisk), "%v", err)
 }
 
 func TestTailThatDiffersIsReplacedAndAlteredEntriesAreNot(t *testing.T) {
-	d := memlog.New()
-	r := boot(t, d, "i")
-	p := put(t, r, log.KindInput, 1, log.Position{}, "a")
-	put(t, r, log.KindInput, 1, p, "lost", "lost too")
-	a, err := r.Append(ctx, &AppendRequest{
-		Target: to(2), Kind: log.KindInput, After: log.Position{Offset: 2, Epoch: 1, Chain: 5},
+	disk := memlog.New()
+	r := boot(t, disk, "i")
+	common := appendEntries(t, r, log.KindInput, 1, log.Position{}, "a")
+	appendEntries(t, r, log.KindInput, 1, common, "lost", "lost too")
+	response, err := r.Append(ctx, &AppendRequest{
+		Target: targetAt(2), Kind: log.KindInput, After: log.Position{Offset: 2, Epoch: 1, Chain: 5},
 	})
 	assert.NilError(t, err)
-	assert.Assert(t, !a.Matched, "another line at the same place")
-	bad := chain(p, 2, "x")
-	bad[0].Body = []byte("altered")
-	_, err = r.Append(ctx, &AppendRequest{Target: to(2), Kind: log.KindInput, After: p, Entries: bad})
+	assert.Assert(t, !response.Matched, "another log at the same offset")
+	altered := chain(common, 2, "x")
+	altered[0].Body = []byte("altered")
+	_, err = r.Append(ctx, &AppendRequest{Target: targetAt(2), Kind: log.KindInput, After: common, Entries: altered})
 	assert.Assert(t, apierror.HasCode(err, apierror.LogMismatch), "%v", err)
-	q := put(t, r, log.KindInput, 2, p, "kept")
-	d.LosePower(false)
-	r = boot(t, d, "i")
-	assert.Equal(t, r.Log(1, log.KindInput).Last(), q)
-	assert.Equal(t, string(r.Log(1, log.KindInput).Slice(2, 2, 1, 1)[0].Body), "kept")
+	last := appendEntries(t, r, log.KindInput, 2, common, "new")
+	disk.LosePower(false)
+	r = boot(t, disk, "i")
+	assert.Equal(t, r.Log(1, log.KindInput).Last(), last)
+	assert.Equal(t, string(r.Log(1, log.KindInput).Slice(2, 2, 1, 1)[0].Body), "new")
 }
 
-func TestDirectoryIsUsedOnlyWhereItsPointIsOnTheChangelog(t *testing.T) {
-	d := memlog.New()
-	r := boot(t, d, "i")
-	p := put(t, r, log.KindChangelog, 1, log.Position{}, "one")
-	q := put(t, r, log.KindChangelog, 1, p, "two")
-	assert.NilError(t, r.SaveSnapshot(ctx, Snapshot{Partition: 1, At: q, Input: 9, State: []byte(`{}`)}))
-	r = boot(t, d, "i")
-	got, ok := r.Snapshot(1)
+func TestSnapshotIsUsedOnlyWhereItsPositionIsOnTheChangelog(t *testing.T) {
+	disk := memlog.New()
+	r := boot(t, disk, "i")
+	first := appendEntries(t, r, log.KindChangelog, 1, log.Position{}, "one")
+	second := appendEntries(t, r, log.KindChangelog, 1, first, "two")
+	assert.NilError(t, r.SaveSnapshot(ctx, Snapshot{Partition: 1, At: second, Input: 9, State: []byte(`{}`)}))
+	r = boot(t, disk, "i")
+	snapshot, ok := r.Snapshot(1)
 	assert.Assert(t, ok)
-	assert.Equal(t, got.Input, uint64(9))
-	put(t, r, log.KindChangelog, 2, p, "another two")
+	assert.Equal(t, snapshot.Input, uint64(9))
+	appendEntries(t, r, log.KindChangelog, 2, first, "another two")
 	_, ok = r.Snapshot(1)
-	assert.Assert(t, !ok, "the directory is of a tail that was cut")
-	_, err := r.Drop(ctx, &DropRequest{to(3)})
+	assert.Assert(t, !ok, "the snapshot is of a tail that was truncated")
+	_, err := r.Drop(ctx, &DropRequest{targetAt(3)})
 	assert.NilError(t, err)
 	_, ok = r.Snapshot(1)
 	assert.Assert(t, !ok)
-	assert.Equal(t, len(boot(t, d, "i").Partitions()), 0, "a dropped partition comes back")
+	assert.Equal(t, len(boot(t, disk, "i").Partitions()), 0, "a dropped partition has entries after a restart")
 }
 
-// A state directory of an older day counts while its point is on the changelog, and not once
-// another owner replaced that part of it.
-func TestDirectoryOfAnOlderDay(t *testing.T) {
+// A snapshot before the end of the changelog is used while its position is on the changelog, and
+// not once another leader replaced that part of it.
+func TestSnapshotBehindTheEndOfTheChangelog(t *testing.T) {
 	r := boot(t, memlog.New(), "i")
-	p := put(t, r, log.KindChangelog, 1, log.Position{}, "a", "b")
-	assert.NilError(t, r.SaveSnapshot(ctx, Snapshot{Partition: 1, At: p, Input: 7, State: []byte(`{}`)}))
-	q := put(t, r, log.KindChangelog, 1, p, "c", "d")
+	snapshotAt := appendEntries(t, r, log.KindChangelog, 1, log.Position{}, "a", "b")
+	assert.NilError(t, r.SaveSnapshot(ctx, Snapshot{Partition: 1, At: snapshotAt, Input: 7, State: []byte(`{}`)}))
+	replacedLast := appendEntries(t, r, log.KindChangelog, 1, snapshotAt, "c", "d")
 	_, ok := r.Snapshot(1)
-	assert.Assert(t, ok, "the changelog went on, the directory's point is still on it")
-	assert.NilError(t, r.TruncateAfter(ctx, to(1), log.KindChangelog, 1, false))
+	assert.Assert(t, ok, "the changelog grew, and the snapshot's position is on it")
+	assert.NilError(t, r.TruncateAfter(ctx, targetAt(1), log.KindChangelog, 1, false))
 	first, _ := r.Log(1, log.KindChangelog).Position(1)
-	put(t, r, log.KindChangelog, 2, first, "B", "C", "D")
+	appendEntries(t, r, log.KindChangelog, 2, first, "B", "C", "D")
 	_, ok = r.Snapshot(1)
-	assert.Assert(t, !ok, "the directory stands on a tail that was replaced")
-	assert.Assert(t, q != r.Log(1, log.KindChangelog).Last())
+	assert.Assert(t, !ok, "the snapshot's position is on a tail that was replaced")
+	assert.Assert(t, replacedLast != r.Log(1, log.KindChangelog).Last())
 }
 
-// An owner held up between sealing and adopting once cut what a later owner had put on the disk
-// since.
-func TestFencedOwnerCutsNothing(t *testing.T) {
+// Guards against a leader that was delayed between sealing and adopting, and then truncated what a
+// later leader had written to the disk since.
+func TestFencedLeaderTruncatesNothing(t *testing.T) {
 	r := boot(t, memlog.New(), "i")
-	p := put(t, r, log.KindInput, 1, log.Position{}, "a", "b")
-	_, err := r.Seal(ctx, &SealRequest{Target: to(2)})
+	common := appendEntries(t, r, log.KindInput, 1, log.Position{}, "a", "b")
+	_, err := r.Seal(ctx, &SealRequest{Target: targetAt(2)})
 	assert.NilError(t, err)
-	_, err = r.Seal(ctx, &SealRequest{Target: to(3)})
+	_, err = r.Seal(ctx, &SealRequest{Target: targetAt(3)})
 	assert.NilError(t, err)
-	q := put(t, r, log.KindInput, 3, p, "told to be taken")
-	err = r.TruncateAfter(ctx, to(2), log.KindInput, 1, false)
+	last := appendEntries(t, r, log.KindInput, 3, common, "acknowledged")
+	err = r.TruncateAfter(ctx, targetAt(2), log.KindInput, 1, false)
 	assert.Assert(t, apierror.HasCode(err, apierror.StaleEpoch), "%v", err)
-	assert.Equal(t, r.Log(1, log.KindInput).Last(), q)
-	assert.NilError(t, r.TruncateAfter(ctx, to(3), log.KindInput, p.Offset, false))
-	assert.Equal(t, r.Log(1, log.KindInput).Last(), p)
+	assert.Equal(t, r.Log(1, log.KindInput).Last(), last)
+	assert.NilError(t, r.TruncateAfter(ctx, targetAt(3), log.KindInput, common.Offset, false))
+	assert.Equal(t, r.Log(1, log.KindInput).Last(), common)
 }
 
-// Folders of the first format had bodies in JSON.
+// Data directories of the first format have bodies in JSON.
 func TestFoldersOfTheFirstFormatAreRead(t *testing.T) {
-	d := memlog.New()
-	es := chain(log.Position{}, 1, "a", "b")
-	var rs [][]byte
-	for _, e := range es {
-		b, err := json.Marshal(entryRecord{log.ID{Partition: 1, Kind: log.KindInput}, e})
+	disk := memlog.New()
+	entries := chain(log.Position{}, 1, "a", "b")
+	var records [][]byte
+	for _, entry := range entries {
+		body, err := json.Marshal(entryRecord{log.ID{Partition: 1, Kind: log.KindInput}, entry})
 		assert.NilError(t, err)
-		f := frame.Encode(frame.Frame{Kind: recordtype.Entry, Index: e.Offset, Epoch: 1, Offset: e.Offset, Body: b})
-		f[6] = 1
-		rs = append(rs, frame.Seal(f))
+		encoded := frame.Encode(frame.Frame{
+			Kind: recordtype.Entry, Index: entry.Offset, Epoch: 1, Offset: entry.Offset, Body: body,
+		})
+		encoded[6] = 1
+		records = append(records, frame.Seal(encoded))
 	}
-	assert.NilError(t, d.Write(1, rs))
-	assert.NilError(t, d.Sync())
+	assert.NilError(t, disk.Write(1, records))
+	assert.NilError(t, disk.Sync())
 	for range 2 {
-		r := boot(t, d, "i")
-		assert.DeepEqual(t, r.Log(1, log.KindInput).Slice(0, ^uint64(0), 9, 1<<20), es)
-		es = append(es, chain(es[len(es)-1].Position(), 2, "c")...)
-		put(t, r, log.KindInput, 2, es[len(es)-2].Position(), "c")
+		r := boot(t, disk, "i")
+		assert.DeepEqual(t, r.Log(1, log.KindInput).Slice(0, ^uint64(0), 9, 1<<20), entries)
+		entries = append(entries, chain(entries[len(entries)-1].Position(), 2, "c")...)
+		appendEntries(t, r, log.KindInput, 2, entries[len(entries)-2].Position(), "c")
 	}
 }
 
-// A copy tells that a line stands as it was told only while it ends there and nobody has sealed its
-// partition under a higher epoch since.
-func TestStillStands(t *testing.T) {
-	still := func(r *Replica, inc string, ss ...IdleLog) (bool, error) {
-		q := &CompareIdleRequest{Incarnation: inc, Partitions: map[log.Kind][]int{}, Checksum: IdleChecksum(ss)}
-		for _, s := range ss {
-			q.Partitions[s.Kind] = append(q.Partitions[s.Kind], s.Partition)
+// A replica reports a log as identical only while the log ends where its leader expects and the
+// partition has not been sealed under a higher epoch since.
+func TestCompareIdle_IdenticalUntilSealedOrDifferent(t *testing.T) {
+	compare := func(r *Replica, incarnation string, logs ...IdleLog) (bool, error) {
+		request := &CompareIdleRequest{
+			Incarnation: incarnation, Partitions: map[log.Kind][]int{}, Checksum: IdleChecksum(logs),
+		}
+		for _, idleLog := range logs {
+			request.Partitions[idleLog.Kind] = append(request.Partitions[idleLog.Kind], idleLog.Partition)
 		}
-		a, err := r.CompareIdle(t.Context(), q)
-		return err == nil && a.Identical, err
+		response, err := r.CompareIdle(t.Context(), request)
+		return err == nil && response.Identical, err
 	}
 	r := boot(t, memlog.New(), "i")
-	e := put(t, r, log.KindInput, 3, log.Position{}, "a")
-	one, none := IdleLog{
-		Partition: 1, Kind: log.KindInput, Epoch: 3, Last: e,
+	last := appendEntries(t, r, log.KindInput, 3, log.Position{}, "a")
+	oneEntry, noEntries := IdleLog{
+		Partition: 1, Kind: log.KindInput, Epoch: 3, Last: last,
 	}, IdleLog{Partition: 1, Kind: log.KindChangelog, Epoch: 3}
-	lines := len(r.logs)
-	ok, err := still(r, "i", none, one)
+	logCount := len(r.logs)
+	ok, err := compare(r, "i", noEntries, oneEntry)
 	assert.Assert(t, ok && err == nil)
-	for _, bad := range []IdleLog{
-		{1, log.KindInput, 3, log.Position{}}, {1, log.KindInput, 2, e}, {2, log.KindInput, 3, e},
+	for _, different := range []IdleLog{
+		{1, log.KindInput, 3, log.Position{}}, {1, log.KindInput, 2, last}, {2, log.KindInput, 3, last},
 	} {
-		ok, err = still(r, "i", none, bad)
-		assert.Assert(t, !ok && err == nil, "%+v", bad)
+		ok, err = compare(r, "i", noEntries, different)
+		assert.Assert(t, !ok && err == nil, "%+v", different)
 	}
-	assert.Equal(t, len(r.logs), lines, "asking makes no lines")
-	_, err = still(r, "another", one)
+	assert.Equal(t, len(r.logs), logCount, "a comparison creates no logs")
+	_, err = compare(r, "another", oneEntry)
 	assert.Assert(t, apierror.HasCode(err, apierror.WrongDisk))
-	_, err = r.Seal(t.Context(), &SealRequest{Target: to(4)})
+	_, err = r.Seal(t.Context(), &SealRequest{Target: targetAt(4)})
 	assert.NilError(t, err)
-	ok, err = still(r, "i", none, one)
+	ok, err = compare(r, "i", noEntries, oneEntry)
 	assert.Assert(t, !ok && err == nil)
 }
--- a/internal/partitionlog/replica/slices.go
+++ b/internal/partitionlog/replica/slices.go
@@ -16,8 +16,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	records, bytes := len(r.seals)+len(r.logs)+len(r.snapshots), int64(0)
-	for _, held := range r.logs {
-		entries, size := held.Size()
+	for _, partitionLog := range r.logs {
+		entries, size := partitionLog.Size()
 		records, bytes = records+entries, bytes+size
 	}
 	for _, snapshot := range r.snapshots {
@@ -26,7 +26,7 @@
 	return records, bytes + int64(records)*recordOverhead
 }
 
-// What a slice of a log holds at most.
+// Bounds of one slice of a log.
 const (
 	maxSliceEntries = 64
 	maxSliceBytes   = 64 << 10
@@ -41,8 +41,8 @@
 	for id := range r.logs {
 		ids = append(ids, id)
 	}
-	sort.Slice(ids, func(i, k int) bool {
-		a, b := ids[i], ids[k]
+	sort.Slice(ids, func(i, j int) bool {
+		a, b := ids[i], ids[j]
 		return a.Partition < b.Partition || a.Partition == b.Partition && a.Kind < b.Kind
 	})
 	for _, id := range ids {
@@ -74,27 +74,27 @@
 	return []journal.Record{newRecord(recordtype.Snapshot, snapshot.At.Epoch, snapshot.At.Offset, snapshot)}
 }
 
-// logSlice returns a log in parts, from its base to its end. What is written meanwhile at or before
-// the offset reached stands in the journal by itself, behind the start of its compaction; what is
-// written after that offset comes with a later part.
+// logSlice returns a log in parts, from its base to its end. Entries that are written meanwhile at
+// or before the offset reached are in the journal already, after the start of the compaction.
+// Entries that are written after that offset come with a later part.
 func (r *Replica) logSlice(id log.ID) journal.Slice {
 	next := uint64(0)
 	return func() ([]journal.Record, bool) {
 		r.mu.Lock()
-		held, ok := r.logs[id]
+		current, ok := r.logs[id]
 		r.mu.Unlock()
-		if !ok || held.Last() == (log.Position{}) {
+		if !ok || current.Last() == (log.Position{}) {
 			return nil, false
 		}
-		base := held.Base()
+		base := current.Base()
 		records := []journal.Record{
 			newRecord(recordtype.Base, base.Epoch, base.Offset, baseRecord{ID: id, Base: base, Compacted: true}),
 		}
 		next = max(next, base.Offset+1)
-		for _, entry := range held.Slice(next, ^uint64(0), maxSliceEntries, maxSliceBytes) {
+		for _, entry := range current.Slice(next, ^uint64(0), maxSliceEntries, maxSliceBytes) {
 			records = append(records, newRecord(recordtype.Entry, entry.Epoch, entry.Offset, entryRecord{id, entry}))
 			next = entry.Offset + 1
 		}
-		return records, next <= held.Last().Offset
+		return records, next <= current.Last().Offset
 	}
 }
--- a/internal/partitionlog/replica/snapshot.go
+++ b/internal/partitionlog/replica/snapshot.go
@@ -8,7 +8,7 @@
 	"postjunction/internal/recordtype"
 )
 
-// Snapshot is the state of a partition: materialised state at a point of the changelog.
+// Snapshot is the materialised state of a partition at a position of its changelog.
 type Snapshot struct {
 	Partition int             `json:"p"`
 	At        log.Position    `json:"at"`
@@ -34,6 +34,6 @@
 	if !ok {
 		return snapshot, false
 	}
-	at, ok := r.Log(partition, log.KindChangelog).Position(snapshot.At.Offset)
-	return snapshot, ok && at == snapshot.At
+	position, ok := r.Log(partition, log.KindChangelog).Position(snapshot.At.Offset)
+	return snapshot, ok && position == snapshot.At
 }
--- a/tools/mutations/partitionlog-replica.sh
+++ b/tools/mutations/partitionlog-replica.sh
@@ -1,7 +1,7 @@
 # Mutants of internal/partitionlog/replica.
 mutant fence-replica internal/partitionlog/replica/handlers.go 's/if sealed := r\.seals\[target\.Partition\]; target\.Epoch < sealed \{/if sealed := r.seals[target.Partition]; false \&\& target.Epoch < sealed {/' ./internal/partitionlog/replica 'Fenced'
-mutant fence-cut internal/partitionlog/replica/handlers.go 's/(func \(r \*Replica\) TruncateAfter.*?)in, err := r\.lockPartition\(ctx, target\)\n\tif err != nil \{\n\t\treturn err\n\t\}/$1back, err := r.locks.LockNumber(ctx, target.Partition)\n\tif err != nil {\n\t\treturn err\n\t}\n\tin := keylock.Share(back)/s' ./internal/partitionlog/replica 'CutsNothing'
-mutant directory-check internal/partitionlog/replica/snapshot.go 's/return snapshot, ok && at == snapshot\.At/return snapshot, ok \&\& at != log.Position{}/' ./internal/partitionlog/replica 'Directory'
+mutant fence-cut internal/partitionlog/replica/handlers.go 's/(func \(r \*Replica\) TruncateAfter.*?)lock, err := r\.lockPartition\(ctx, target\)\n\tif err != nil \{\n\t\treturn err\n\t\}/$1back, err := r.locks.LockNumber(ctx, target.Partition)\n\tif err != nil {\n\t\treturn err\n\t}\n\tlock := keylock.Share(back)/s' ./internal/partitionlog/replica 'TruncatesNothing'
+mutant directory-check internal/partitionlog/replica/snapshot.go 's/return snapshot, ok && position == snapshot\.At/return snapshot, ok \&\& position != log.Position{}/' ./internal/partitionlog/replica 'Snapshot'
 mutant disk-incarnation internal/partitionlog/replica/handlers.go 's/if target\.Incarnation != r\.incarnation \{/if false \&\& target.Incarnation != r.incarnation {/' ./internal/partitionlog/replica 'Incarnation'
-mutant still-sealed internal/partitionlog/replica/idle.go 's/Epoch: r\.seals\[partition\]\}/Epoch: 3}/' ./internal/partitionlog/replica TestStillStands
-mutant still-this-disk internal/partitionlog/replica/idle.go 's/request\.Incarnation != r\.incarnation/request.Incarnation == "?"/' ./internal/partitionlog/replica TestStillStands
+mutant idle-sealed internal/partitionlog/replica/idle.go 's/Epoch: r\.seals\[partition\]\}/Epoch: 3}/' ./internal/partitionlog/replica TestCompareIdle
+mutant idle-this-disk internal/partitionlog/replica/idle.go 's/request\.Incarnation != r\.incarnation/request.Incarnation == "?"/' ./internal/partitionlog/replica TestCompareIdle
