--- a/internal/assignment/record.go
+++ b/internal/assignment/record.go
@@ -1,10 +1,10 @@
 // Package assignment defines the assignment record of a partition: which node leads it, under which
 // epoch, and which disks hold its replicas.
 //
-// A record stands in a control register, and its Version is that of the register: a change builds on a
-// version and is rejected where another one came first. Invariants: the epoch only grows, and grows with
-// each change of the leader or the replicas; under one epoch there is one leader. A record is a value.
-// Its methods return changed copies, do no I/O and hold no locks.
+// A record is stored in a control register, and its Version is that of the register. A change is
+// based on a version and is rejected if another change was made first. Invariants: the epoch only
+// grows, and grows with each change of the leader or the replicas. Under one epoch there is one
+// leader. A record is a value. Its methods return changed copies, do no I/O and hold no locks.
 package assignment
 
 import (
@@ -18,7 +18,7 @@
 
 const (
 	keyPrefix = "partition/"
-	// maxHistory is how many changes a record remembers.
+	// maxHistory is the most changes that a record has in its history.
 	maxHistory = 24
 )
 
@@ -45,7 +45,8 @@
 	Replicas  []Replica `json:"replicas"`
 	// Learner is a disk that the partition is being copied to. It doesn't count for a majority.
 	Learner *Replica `json:"learner,omitempty"`
-	// Recovered reports whether the leader has finished its failover, after which replicas may change.
+	// Recovered reports whether the leader has finished its failover, after which replicas may
+	// change.
 	Recovered bool `json:"settled"`
 	// Version is how many times the register was written.
 	Version uint64         `json:"writes"`
@@ -112,8 +113,8 @@
 	return nodes
 }
 
-// Next returns the record under the next epoch, not recovered and without a learner, with the reason for
-// the change in its history.
+// Next returns the record under the next epoch, not recovered and without a learner, with the
+// reason for the change in its history.
 func (r Record) Next(leader string, replicas []Replica, reason string, now time.Time) Record {
 	next := r
 	next.Epoch++
@@ -126,7 +127,8 @@
 	return next
 }
 
-// WithoutHistory returns the record without its history, for nodes that only need to know the leader.
+// WithoutHistory returns the record without its history, for nodes that only need to know the
+// leader.
 func (r Record) WithoutHistory() Record {
 	r.History = nil
 	return r
@@ -138,13 +140,13 @@
 	return ok || r.Learner != nil && r.Learner.Node == node
 }
 
-// Successors are the replicas that may take a partition over when its leader is gone, in the order in
+// Successors are the replicas that may take over a partition whose leader failed, in the order in
 // which they do.
 type Successors []Replica
 
-// Successors returns the replicas that follow the leader. The order starts at another replica for each
-// partition, so that the partitions of one machine go to several; rank returns how late a replica comes,
-// below 0 for one that can't lead.
+// Successors returns the replicas that follow the leader. The order starts at another replica for
+// each partition, so that the partitions of one machine are spread over several. rank returns how
+// late a replica comes, below 0 for one that can't lead.
 func (r Record) Successors(rank func(Replica) int) Successors {
 	var successors Successors
 	for i := range r.Replicas {
--- a/internal/partition/partition.go
+++ b/internal/partition/partition.go
@@ -1,8 +1,8 @@
 // Package partition maps topics and clients to partitions by one hash.
 //
-// Every node must come to the same partition for the same name, so the hash and the prefix of client
-// names never change. Routine partitions are numbered from 0, urgent ones after them. The functions are
-// pure.
+// Every node must get the same partition for the same name, so the hash and the prefix of client
+// names never change. Routine partitions are numbered from 0, urgent ones after them. The functions
+// are pure.
 package partition
 
 import (
@@ -22,9 +22,9 @@
 	return choose(topic, 0, layout.RoutinePartitions)
 }
 
-// OfClient returns the partition that keeps a client's attachment. There are two: a routine one, which
-// numbers attachments, and an urgent one, which urgent calls ask, so that they never meet a routine
-// partition.
+// OfClient returns the partition that records a client's attachment. There are two: a routine one,
+// which numbers attachments, and an urgent one. Urgent calls ask the urgent one, so that they never
+// use a routine partition.
 func OfClient(name string, urgent bool, layout voters.Layout) int {
 	return Of("\x1fvisitors/"+name, urgent, layout)
 }
@@ -32,7 +32,7 @@
 // Urgent reports whether a partition is one of the urgent ones.
 func Urgent(partition int, layout voters.Layout) bool { return partition >= layout.RoutinePartitions }
 
-// choose returns one of count partitions from the first on.
+// choose returns one of count partitions, which are numbered from first.
 func choose(name string, first, count int) int {
 	if count <= 0 {
 		return None
--- a/internal/samza/changelog/changelog.go
+++ b/internal/samza/changelog/changelog.go
@@ -8,7 +8,7 @@
 	"postjunction/internal/samza/state"
 )
 
-// Batch is a part of the latest values of changed keys, as of an input offset.
+// Batch is one part of a batch of the latest values of changed keys, as of an input offset.
 type Batch struct {
 	Input    uint64       `json:"i"`
 	Part     int          `json:"p"`
@@ -17,8 +17,8 @@
 	Items    []state.Item `json:"s"`
 }
 
-// Commit says that the state up to an input offset is durable; Base is where a compacted changelog
-// starts.
+// Commit records that the state up to an input offset is durable. Base is where a compacted
+// changelog starts.
 type Commit struct {
 	Input uint64 `json:"i"`
 	Base  uint64 `json:"b,omitempty"`
@@ -26,23 +26,23 @@
 
 const itemsPerPart = 256
 
-// EncodeBatch makes the entries of one batch; complete marks a compaction.
+// EncodeBatch returns the entries of one batch. complete marks a compaction.
 func EncodeBatch(input uint64, items []state.Item, complete bool) []log.Entry {
 	parts := (len(items) + itemsPerPart - 1) / itemsPerPart
 	var entries []log.Entry
 	for i := range parts {
-		to := min((i+1)*itemsPerPart, len(items))
-		b, _ := json.Marshal(Batch{
+		end := min((i+1)*itemsPerPart, len(items))
+		body, _ := json.Marshal(Batch{
 			Input: input, Part: i, Parts: parts, Complete: complete,
-			Items: items[i*itemsPerPart : to],
+			Items: items[i*itemsPerPart : end],
 		})
-		entries = append(entries, log.Entry{Type: log.TypeBatch, Body: b})
+		entries = append(entries, log.Entry{Type: log.TypeBatch, Body: body})
 	}
 	return entries
 }
 
-// EncodeCommit makes the entry that commits an input offset.
+// EncodeCommit returns the entry that commits an input offset.
 func EncodeCommit(commit Commit) log.Entry {
-	b, _ := json.Marshal(commit)
-	return log.Entry{Type: log.TypeOffset, Body: b}
+	body, _ := json.Marshal(commit)
+	return log.Entry{Type: log.TypeOffset, Body: body}
 }
--- a/internal/samza/changelog/changelog_test.go
+++ b/internal/samza/changelog/changelog_test.go
@@ -10,85 +10,89 @@
 	"postjunction/internal/samza/state"
 )
 
-func ledger(n int) []log.Entry {
-	var es []log.Entry
-	for i := range n {
-		v, t := fmt.Sprintf("v%d", i%700), fmt.Sprintf("t%d", i%3)
-		es = append(es, log.Entry{
-			Offset: uint64(i + 1), Type: log.TypeMessage, Client: v, Topic: t, CallSeq: uint64(i/2100) + 1,
+func inputLog(count int) []log.Entry {
+	var entries []log.Entry
+	for i := range count {
+		client, topic := fmt.Sprintf("v%d", i%700), fmt.Sprintf("t%d", i%3)
+		entries = append(entries, log.Entry{
+			Offset: uint64(i + 1), Type: log.TypeMessage, Client: client, Topic: topic, CallSeq: uint64(i/2100) + 1,
 			Digest: "d",
 		})
 	}
-	es = append(
-		es,
-		log.Entry{Offset: uint64(n + 1), Type: log.TypeAttach, Client: "v1", Generation: 2, Body: []byte("s")},
-		log.Entry{Offset: uint64(n + 2), Type: log.TypeCursor, Client: "v1", Body: []byte("c")},
+	entries = append(
+		entries,
+		log.Entry{Offset: uint64(count + 1), Type: log.TypeAttach, Client: "v1", Generation: 2, Body: []byte("s")},
+		log.Entry{Offset: uint64(count + 2), Type: log.TypeCursor, Client: "v1", Body: []byte("c")},
 	)
-	return es
+	return entries
 }
 
-func apply(s *state.State, es []log.Entry) *state.State {
-	for _, e := range es {
-		s.Apply(e)
+func apply(target *state.State, entries []log.Entry) *state.State {
+	for _, entry := range entries {
+		target.Apply(entry)
 	}
-	return s
+	return target
 }
 
 func TestReplayAndReprocessingGiveTheSameState(t *testing.T) {
-	es := ledger(5000)
-	whole := apply(state.New(), es)
+	entries := inputLog(5000)
+	want := apply(state.New(), entries)
 	for _, cut := range []int{0, 1, 2500, 5001, 5002} {
-		s := apply(state.New(), es[:cut])
-		changes := append(EncodeBatch(s.Input, s.TakeChanges(), false), EncodeCommit(Commit{Input: s.Input}))
-		got := state.New()
-		in, err := Replay(got, 0, changes)
+		source := apply(state.New(), entries[:cut])
+		changes := append(
+			EncodeBatch(source.Input, source.TakeChanges(), false), EncodeCommit(Commit{Input: source.Input}),
+		)
+		replayed := state.New()
+		input, err := Replay(replayed, 0, changes)
 		assert.NilError(t, err)
-		assert.Equal(t, in, uint64(cut))
-		for _, e := range es[:in] {
-			got.RestoreAnswer(e)
+		assert.Equal(t, input, uint64(cut))
+		for _, entry := range entries[:input] {
+			replayed.RestoreAnswer(entry)
 		}
-		apply(got, es[in:])
-		apply(got, es[in/2:])
-		assert.Equal(t, string(got.Marshal()), string(whole.Marshal()), "cut at %d", cut)
-		assert.DeepEqual(t, got.Accepted, whole.Accepted)
+		apply(replayed, entries[input:])
+		apply(replayed, entries[input/2:])
+		assert.Equal(t, string(replayed.Marshal()), string(want.Marshal()), "cut at %d", cut)
+		assert.DeepEqual(t, replayed.Accepted, want.Accepted)
 	}
 }
 
 func TestBatchIsAppliedOnlyWhole(t *testing.T) {
-	s := apply(state.New(), ledger(5000))
-	changes := EncodeBatch(s.Input, s.TakeChanges(), false)
+	source := apply(state.New(), inputLog(5000))
+	changes := EncodeBatch(source.Input, source.TakeChanges(), false)
 	assert.Assert(t, len(changes) > 2)
-	got := state.New()
-	in, err := Replay(got, 0, changes[:len(changes)-1])
+	replayed := state.New()
+	input, err := Replay(replayed, 0, changes[:len(changes)-1])
 	assert.NilError(t, err)
-	assert.Equal(t, in, uint64(0))
-	assert.Equal(t, got.Size(), 0)
-	in, err = Replay(got, 0, append(append(changes[:1:1], log.Entry{Type: log.TypeEpochStart}), changes...))
+	assert.Equal(t, input, uint64(0))
+	assert.Equal(t, replayed.Size(), 0)
+	input, err = Replay(replayed, 0, append(append(changes[:1:1], log.Entry{Type: log.TypeEpochStart}), changes...))
 	assert.NilError(t, err)
-	assert.Equal(t, in, uint64(0), "the offset counts by its own record only")
-	assert.Equal(t, got.Size(), s.Size())
+	assert.Equal(t, input, uint64(0), "only a Commit raises the input offset")
+	assert.Equal(t, replayed.Size(), source.Size())
 }
 
-// A batch stood in the changelog, and its owner was lost before the record that commits it: the
-// state is ahead of the input offset. What is processed again changes nothing, but the answers to
-// it must be known, or a repeat of a taken call would be told that it never was.
+// A leader fails after it wrote a batch to the changelog, before the record that commits it: the
+// state is ahead of the input offset. Reprocessing changes nothing, but it must restore the
+// answers. Otherwise a repeat of an accepted call would be answered as one that never was.
 func TestBatchWithoutItsRecordKnowsItsAnswers(t *testing.T) {
-	es := ledger(5000)
-	s := apply(state.New(), es[:2000])
-	changes := append(EncodeBatch(s.Input, s.TakeChanges(), false), EncodeCommit(Commit{Input: s.Input}))
-	apply(s, es[2000:])
-	changes = append(changes, EncodeBatch(s.Input, s.TakeChanges(), false)...)
-	got := state.New()
-	in, err := Replay(got, 0, changes)
+	entries := inputLog(5000)
+	source := apply(state.New(), entries[:2000])
+	changes := append(EncodeBatch(source.Input, source.TakeChanges(), false), EncodeCommit(Commit{Input: source.Input}))
+	apply(source, entries[2000:])
+	changes = append(changes, EncodeBatch(source.Input, source.TakeChanges(), false)...)
+	replayed := state.New()
+	input, err := Replay(replayed, 0, changes)
 	assert.NilError(t, err)
-	assert.Equal(t, in, uint64(2000))
-	for _, e := range es[:in] {
-		got.RestoreAnswer(e)
+	assert.Equal(t, input, uint64(2000))
+	for _, entry := range entries[:input] {
+		replayed.RestoreAnswer(entry)
 	}
-	apply(got, es[in:])
-	assert.Equal(t, string(got.Marshal()), string(s.Marshal()))
-	for _, e := range es[:5000] {
-		x, ok := got.Accepted[state.Key(e.Client, e.Topic)].Find(e.CallSeq)
-		assert.Assert(t, ok && x.Offset == e.Offset, "call %d of %s on %s", e.CallSeq, e.Client, e.Topic)
+	apply(replayed, entries[input:])
+	assert.Equal(t, string(replayed.Marshal()), string(source.Marshal()))
+	for _, entry := range entries[:5000] {
+		call, ok := replayed.Accepted[state.Key(entry.Client, entry.Topic)].Find(entry.CallSeq)
+		assert.Assert(
+			t, ok && call.Offset == entry.Offset, "call %d of %s on %s", entry.CallSeq, entry.Client, entry.Topic,
+		)
 	}
 }
--- a/internal/samza/changelog/replay.go
+++ b/internal/samza/changelog/replay.go
@@ -8,9 +8,9 @@
 	"postjunction/internal/samza/state"
 )
 
-// Replay applies changelog entries to a state: batches only when complete, the input offset only by
-// its record. It returns the committed input offset.
-func Replay(s *state.State, input uint64, entries []log.Entry) (uint64, error) {
+// Replay applies changelog entries to a state. A batch is applied only when it is complete. Only a
+// Commit raises the input offset. Replay returns the committed input offset.
+func Replay(target *state.State, input uint64, entries []log.Entry) (uint64, error) {
 	var parts partialBatch
 	for _, entry := range entries {
 		switch entry.Type {
@@ -20,7 +20,7 @@
 				return 0, apierror.Wrap(apierror.DiskDamaged, err, "read changelog entry %d", entry.Offset)
 			}
 			for _, part := range parts.add(batch) {
-				if err := setItems(s, part.Items); err != nil {
+				if err := setItems(target, part.Items); err != nil {
 					return 0, err
 				}
 			}
@@ -35,11 +35,11 @@
 	return input, nil
 }
 
-// partialBatch is the parts of a batch that have been read, in order.
+// partialBatch holds the parts of a batch that have been read, in order.
 type partialBatch []Batch
 
-// add takes the next part in and returns all parts once the batch is complete. A part that does not
-// continue the batch drops it; a first part begins a new one.
+// add adds the next part and returns all parts once the batch is complete. A part that does not
+// continue the batch drops it. A first part starts a new one.
 func (p *partialBatch) add(part Batch) []Batch {
 	if part.Part == 0 {
 		*p = nil
@@ -56,9 +56,9 @@
 	return complete
 }
 
-func setItems(s *state.State, items []state.Item) error {
+func setItems(target *state.State, items []state.Item) error {
 	for _, item := range items {
-		if err := s.Set(item); err != nil {
+		if err := target.Set(item); err != nil {
 			return apierror.Wrap(apierror.DiskDamaged, err, "read changelog key %q", item.Key)
 		}
 	}
--- a/internal/samza/changelog/tombstones_test.go
+++ b/internal/samza/changelog/tombstones_test.go
@@ -9,7 +9,7 @@
 	"postjunction/internal/samza/state"
 )
 
-func marked() []log.Entry {
+func tombstoneEntries() []log.Entry {
 	return []log.Entry{
 		{
 			Offset: 1, Type: log.TypeMessage, Topic: "t", Client: "v", CallSeq: 1, Key: "k",
@@ -32,53 +32,57 @@
 	}
 }
 
-// Marks and readers outlive their owner wherever its batches were cut, and so does that one of them
-// was let go.
-func TestMarksSurviveReplay(t *testing.T) {
-	es := marked()
-	for cut := range len(es) + 1 {
-		for _, whole := range []bool{false, true} {
-			s := apply(state.New(), es[:cut])
-			changes := append(EncodeBatch(s.Input, s.TakeChanges(), false), EncodeCommit(Commit{Input: s.Input}))
-			apply(s, es[cut:])
-			s.DropTombstone(state.Key("t", "k"))
-			if whole {
-				s.MarkAllChanged()
+// Tombstones and readers survive a change of leaders wherever the batches end. So does the removal
+// of one of them.
+func TestTombstonesSurviveReplay(t *testing.T) {
+	entries := tombstoneEntries()
+	for cut := range len(entries) + 1 {
+		for _, compacted := range []bool{false, true} {
+			source := apply(state.New(), entries[:cut])
+			changes := append(
+				EncodeBatch(source.Input, source.TakeChanges(), false), EncodeCommit(Commit{Input: source.Input}),
+			)
+			apply(source, entries[cut:])
+			source.DropTombstone(state.Key("t", "k"))
+			if compacted {
+				source.MarkAllChanged()
 			}
-			changes = append(changes, EncodeBatch(s.Input, s.TakeChanges(), whole)...)
-			in, err := Replay(
+			changes = append(changes, EncodeBatch(source.Input, source.TakeChanges(), compacted)...)
+			input, err := Replay(
 				state.New(), 0,
-				append(changes[:len(changes):len(changes)], EncodeCommit(Commit{Input: s.Input})),
+				append(changes[:len(changes):len(changes)], EncodeCommit(Commit{Input: source.Input})),
 			)
 			assert.NilError(t, err)
-			assert.Equal(t, in, uint64(len(es)))
-			got := state.New()
-			_, err = Replay(got, 0, append(changes, EncodeCommit(Commit{Input: s.Input})))
+			assert.Equal(t, input, uint64(len(entries)))
+			replayed := state.New()
+			_, err = Replay(replayed, 0, append(changes, EncodeCommit(Commit{Input: source.Input})))
 			assert.NilError(t, err)
-			for _, x := range []*state.State{got, unpacked(t, got)} {
-				assert.DeepEqual(t, x.Tombstones, map[string]state.Tombstone{
+			for _, got := range []*state.State{replayed, reencoded(t, replayed)} {
+				assert.DeepEqual(t, got.Tombstones, map[string]state.Tombstone{
 					state.Key("t", "l"): {Offset: 6, Client: "w", CallSeq: 1},
 				})
-				assert.DeepEqual(t, x.Readers, map[string]state.Reader{"a1": {BootID: "b", Offset: 8, GivenUp: true}})
-				assert.Equal(t, x.Accepted[state.Key("v", "t")].Last, uint64(9))
+				assert.DeepEqual(t, got.Readers, map[string]state.Reader{
+					"a1": {BootID: "b", Offset: 8, GivenUp: true},
+				})
+				assert.Equal(t, got.Accepted[state.Key("v", "t")].Last, uint64(9))
 			}
-			got = state.New()
-			in, err = Replay(got, 0, changes)
+			replayed = state.New()
+			input, err = Replay(replayed, 0, changes)
 			assert.NilError(t, err)
-			for _, e := range es[:in] {
-				got.RestoreAnswer(e)
+			for _, entry := range entries[:input] {
+				replayed.RestoreAnswer(entry)
 			}
-			apply(got, es[in:])
-			assert.DeepEqual(t, got.Readers, s.Readers)
-			assert.DeepEqual(t, got.LastKeyed, s.LastKeyed)
-			assert.Equal(t, len(got.Tombstones), 2, "what the ledger still tells stands")
+			apply(replayed, entries[input:])
+			assert.DeepEqual(t, replayed.Readers, source.Readers)
+			assert.DeepEqual(t, replayed.LastKeyed, source.LastKeyed)
+			assert.Equal(t, len(replayed.Tombstones), 2, "tombstones are restored from the partition log")
 		}
 	}
 }
 
-func unpacked(t *testing.T, s *state.State) *state.State {
+func reencoded(t *testing.T, source *state.State) *state.State {
 	t.Helper()
-	got, err := state.Unmarshal(s.Marshal())
+	decoded, err := state.Unmarshal(source.Marshal())
 	assert.NilError(t, err)
-	return got
+	return decoded
 }
--- a/internal/samza/state/accepted.go
+++ b/internal/samza/state/accepted.go
@@ -15,14 +15,16 @@
 	Digest  string
 }
 
-// MaxAnswers is the most answers that are kept per client and topic, whatever the ledger holds.
+// MaxAnswers is the most answers that are retained per client and topic, however many messages the
+// partition log has.
 const MaxAnswers = 4096
 
-// AcceptedCalls is how far a client's calls on a topic have come. Recent holds the answers to those
-// whose messages the ledger still holds, rising by call and offset; it is not written down, since
-// the ledger itself tells them (RestoreAnswer). Floor is the highest call whose answer was dropped:
-// what is at or below it may have been accepted, what stands between it and Last and is not in
-// Recent never was.
+// AcceptedCalls are the accepted calls of a client on a topic. Last is the highest call number that
+// was accepted, or that a withdrawal passed. Recent holds the answers to the calls whose messages
+// the partition log still has, in ascending order of call and offset. It is not encoded, since
+// RestoreAnswer rebuilds it from the log. Floor is the highest call whose answer was dropped. A
+// call at or below Floor may have been accepted. A call between Floor and Last that is not in
+// Recent was never accepted.
 type AcceptedCalls struct {
 	Last       uint64
 	Generation uint64
@@ -36,13 +38,13 @@
 	Floor      *uint64 `json:"f"`
 }
 
-// MarshalJSON writes what the ledger can't tell again.
+// MarshalJSON encodes what can not be rebuilt from the partition log: all but Recent.
 func (a AcceptedCalls) MarshalJSON() ([]byte, error) {
 	return json.Marshal(storedAccepted{a.Last, a.Generation, &a.Floor})
 }
 
-// UnmarshalJSON reads it. A value of an older build has no floor: all up to its last call may have
-// been accepted.
+// UnmarshalJSON decodes the result of MarshalJSON. A value of an older build has no floor: all
+// calls up to its last one may have been accepted.
 func (a *AcceptedCalls) UnmarshalJSON(b []byte) error {
 	var stored storedAccepted
 	err := json.Unmarshal(b, &stored)
@@ -53,11 +55,11 @@
 	return err
 }
 
-// Find returns the answer kept for a call number.
+// Find returns the answer that is retained for a call number.
 func (a AcceptedCalls) Find(callSeq uint64) (AcceptedCall, bool) {
 	i, ok := slices.BinarySearchFunc(
 		a.Recent, callSeq,
-		func(t AcceptedCall, callSeq uint64) int { return cmp.Compare(t.CallSeq, callSeq) },
+		func(call AcceptedCall, callSeq uint64) int { return cmp.Compare(call.CallSeq, callSeq) },
 	)
 	if !ok {
 		return AcceptedCall{}, false
@@ -67,26 +69,26 @@
 
 func (a *AcceptedCalls) addRecent(call AcceptedCall) {
 	a.Recent = append(a.Recent, call)
-	if n := len(a.Recent) - MaxAnswers; n > 0 {
-		a.Floor = max(a.Floor, a.Recent[n-1].CallSeq)
-		a.Recent = a.Recent[n:]
+	if surplus := len(a.Recent) - MaxAnswers; surplus > 0 {
+		a.Floor = max(a.Floor, a.Recent[surplus-1].CallSeq)
+		a.Recent = a.Recent[surplus:]
 	}
 }
 
-// CallDigest returns the name under which a call is known: that of its body, and where it has a key
-// also of that and of what it asked.
-func CallDigest(what, key, digest string) string {
+// CallDigest returns the digest that identifies what a call asked for: that of its body, and for a
+// call with a key also the type of its entry and the key.
+func CallDigest(entryType, key, digest string) string {
 	if key == "" {
 		return digest
 	}
-	return digest + "\x1f" + what + "\x1f" + key
+	return digest + "\x1f" + entryType + "\x1f" + key
 }
 
-// RestoreAnswer takes an entry of the ledger that the state was written down with, so that its
-// answer is known again. Entries come in the order of the ledger. A mark stands again with its
-// entry: one that was let go elsewhere covers what this ledger still holds.
+// RestoreAnswer restores the answer to an entry of the partition log that the encoded state already
+// includes. Entries come in the order of the log. The tombstone of a withdrawal is restored with
+// its entry: another leader may have dropped it, but it covers messages that this log still has.
 func (s *State) RestoreAnswer(entry log.Entry) {
-	if !numbered[entry.Type] {
+	if !hasCallNumber[entry.Type] {
 		return
 	}
 	s.noteKeyed(entry)
@@ -98,23 +100,23 @@
 	if !ok || entry.CallSeq > calls.Last {
 		return
 	}
-	if n := len(calls.Recent); n > 0 && calls.Recent[n-1].CallSeq >= entry.CallSeq {
+	if count := len(calls.Recent); count > 0 && calls.Recent[count-1].CallSeq >= entry.CallSeq {
 		return
 	}
 	calls.addRecent(AcceptedCall{entry.CallSeq, entry.Offset, CallDigest(entry.Type, entry.Key, entry.Digest)})
 	s.Accepted[key] = calls
 }
 
-// numbered are the entries that a client's call numbers name.
-var numbered = map[string]bool{log.TypeMessage: true, log.TypeWithdrawal: true}
+// hasCallNumber holds the types of the entries that have a client's call number.
+var hasCallNumber = map[string]bool{log.TypeMessage: true, log.TypeWithdrawal: true}
 
-// Prune drops the answers to entries that the ledger is about to drop, in the order of their
-// offsets, and notes per topic what is gone; how far the calls have come stays for good, so nothing
-// is ever accepted twice. It returns how many answers were dropped.
+// Prune drops the answers to entries that the partition log is about to drop, in the order of their
+// offsets, and records per topic what was trimmed. The last call number is retained forever, so
+// nothing is ever accepted twice. It returns how many answers were dropped.
 func (s *State) Prune(entries ...log.Entry) int {
 	pruned := 0
 	for _, entry := range entries {
-		if !numbered[entry.Type] {
+		if !hasCallNumber[entry.Type] {
 			continue
 		}
 		if entry.Key != "" {
@@ -141,15 +143,15 @@
 		calls.Recent = nil
 	}
 	s.Accepted[key] = calls
-	s.dirty[accepted+key] = true
+	s.dirty[acceptedPrefix+key] = true
 	return pruned
 }
 
-// noteTrimmed notes that an entry of a topic is no longer held.
+// noteTrimmed records that an entry of a topic is trimmed.
 func (s *State) noteTrimmed(entry log.Entry) {
 	if topic := s.Progress[entry.Topic]; entry.Offset > topic.Trimmed {
 		topic.Trimmed = entry.Offset
 		s.Progress[entry.Topic] = topic
-		s.dirty[progress+entry.Topic] = true
+		s.dirty[progressPrefix+entry.Topic] = true
 	}
 }
--- a/internal/samza/state/apply.go
+++ b/internal/samza/state/apply.go
@@ -11,7 +11,7 @@
 	log.TypeCursor:     (*State).applyCursor,
 }
 
-// Apply takes one committed entry; applying it again changes nothing.
+// Apply applies one committed entry. Applying it again changes nothing.
 func (s *State) Apply(entry log.Entry) {
 	if apply, ok := appliers[entry.Type]; ok {
 		apply(s, entry)
@@ -30,7 +30,7 @@
 	if calls := s.Accepted[key]; withdrawal.UpTo > calls.Last {
 		calls.Last = withdrawal.UpTo
 		s.Accepted[key] = calls
-		s.dirty[accepted+key] = true
+		s.dirty[acceptedPrefix+key] = true
 	}
 }
 
@@ -39,33 +39,33 @@
 	if entry.Offset <= reader.Offset {
 		return
 	}
-	said := DecodeBody[ReaderEntry](entry)
-	if reader.BootID != said.BootID {
+	body := DecodeBody[ReaderEntry](entry)
+	if reader.BootID != body.BootID {
 		reader.ReplacedBootID = reader.BootID
 	}
-	reader.BootID, reader.Offset, reader.GivenUp = said.BootID, entry.Offset, said.GivenUp
+	reader.BootID, reader.Offset, reader.GivenUp = body.BootID, entry.Offset, body.GivenUp
 	s.Readers[entry.Client] = reader
-	if said.Removed {
+	if body.Removed {
 		delete(s.Readers, entry.Client)
 	}
-	s.dirty[readers+entry.Client] = true
+	s.dirty[readerPrefix+entry.Client] = true
 }
 
 func (s *State) applyAttachment(entry log.Entry) {
 	if entry.Generation > s.Attachments[entry.Client].Generation {
 		s.Attachments[entry.Client] = Attachment{entry.Generation, string(entry.Body), entry.Offset}
-		s.dirty[attachments+entry.Client] = true
+		s.dirty[attachmentPrefix+entry.Client] = true
 	}
 }
 
 func (s *State) applyCursor(entry log.Entry) {
 	if entry.Offset > s.SavedCursors[entry.Client].Offset {
 		s.SavedCursors[entry.Client] = SavedCursor{string(entry.Body), entry.Offset}
-		s.dirty[cursors+entry.Client] = true
+		s.dirty[cursorPrefix+entry.Client] = true
 	}
 }
 
-// accept notes an accepted call, which adds so many messages to its topic.
+// accept records an accepted call and adds messages to its topic's count.
 func (s *State) accept(entry log.Entry, messages uint64) {
 	key := Key(entry.Client, entry.Topic)
 	calls := s.Accepted[key]
@@ -77,10 +77,10 @@
 	calls.Last, calls.Generation = entry.CallSeq, max(calls.Generation, entry.Generation)
 	calls.addRecent(AcceptedCall{entry.CallSeq, entry.Offset, CallDigest(entry.Type, entry.Key, entry.Digest)})
 	s.Accepted[key] = calls
-	s.dirty[accepted+key] = true
-	if p := s.Progress[entry.Topic]; entry.Offset > p.Offset {
-		s.Progress[entry.Topic] = Progress{entry.Offset, p.Count + messages, p.Trimmed}
-		s.dirty[progress+entry.Topic] = true
+	s.dirty[acceptedPrefix+key] = true
+	if topic := s.Progress[entry.Topic]; entry.Offset > topic.Offset {
+		s.Progress[entry.Topic] = Progress{entry.Offset, topic.Count + messages, topic.Trimmed}
+		s.dirty[progressPrefix+entry.Topic] = true
 	}
 }
 
@@ -100,6 +100,6 @@
 func (s *State) addTombstone(entry log.Entry) {
 	if key := Key(entry.Topic, entry.Key); entry.Offset > s.Tombstones[key].Offset {
 		s.Tombstones[key] = Tombstone{entry.Offset, entry.Client, entry.CallSeq}
-		s.dirty[tombstones+key] = true
+		s.dirty[tombstonePrefix+key] = true
 	}
 }
--- a/internal/samza/state/state.go
+++ b/internal/samza/state/state.go
@@ -1,5 +1,6 @@
-// Package state is what a partition's deliveries depend on: a function of its ledger. It holds each
-// client's accepted call numbers, the ordering progress of each topic, cursors and attachments.
+// Package state is the state that a partition's deliveries depend on. It is a function of the
+// partition log alone. It holds each client's accepted call numbers, the ordering progress of each
+// topic, cursors, attachments, tombstones and readers.
 package state
 
 import (
@@ -7,8 +8,8 @@
 	"strings"
 )
 
-// Progress is how far a topic's log has come: the offset of its newest message, how many there
-// were, and the offset of the last one that is no longer held.
+// Progress is the progress of a topic: the offset of its newest message, the number of its
+// messages, and the offset of its last entry that was trimmed.
 type Progress struct {
 	Offset  uint64 `json:"o"`
 	Count   uint64 `json:"n"`
@@ -22,13 +23,13 @@
 	Offset     uint64 `json:"o"`
 }
 
-// SavedCursor is the cursor that a client left.
+// SavedCursor is the cursor that a client saved last.
 type SavedCursor struct {
 	Cursor string `json:"c"`
 	Offset uint64 `json:"o"`
 }
 
-// State is one partition's; it is used under its leader's lock.
+// State is the state of one partition. Its leader's lock guards it.
 type State struct {
 	Accepted     map[string]AcceptedCalls `json:"a"`
 	Progress     map[string]Progress      `json:"p"`
@@ -37,13 +38,13 @@
 	Tombstones   map[string]Tombstone     `json:"m,omitempty"`
 	Readers      map[string]Reader        `json:"r,omitempty"`
 	Input        uint64                   `json:"i"`
-	// LastKeyed is the offset of the last message under a key that the ledger holds; the ledger
-	// itself tells it (RestoreAnswer).
+	// LastKeyed is the offset of the last message under each key that the partition log has. It is
+	// not encoded, since RestoreAnswer rebuilds it from the log.
 	LastKeyed map[string]uint64 `json:"-"`
 	dirty     map[string]bool
 }
 
-// New makes an empty state.
+// New returns an empty state.
 func New() *State {
 	return &State{
 		Accepted: map[string]AcceptedCalls{}, Progress: map[string]Progress{},
@@ -53,10 +54,11 @@
 	}
 }
 
-// Key names a client's calls on a topic, or with the topic first what stands under a key of it.
+// Key returns the map key for a client's calls on a topic. With the topic first it returns that for
+// a message key of the topic.
 func Key(client, topic string) string { return client + "\x1f" + topic }
 
-// Size is the number of keys.
+// Size returns the number of map keys.
 func (s *State) Size() int {
 	return len(s.Accepted) + len(s.Progress) + len(s.Attachments) + len(s.SavedCursors) +
 		len(s.Tombstones) + len(s.Readers)
@@ -72,13 +74,13 @@
 	return senders
 }
 
-// Marshal writes the whole state.
+// Marshal encodes the whole state.
 func (s *State) Marshal() json.RawMessage {
 	b, _ := json.Marshal(s)
 	return b
 }
 
-// Unmarshal reads a whole state.
+// Unmarshal decodes a whole state.
 func Unmarshal(b []byte) (*State, error) {
 	s := New()
 	err := json.Unmarshal(b, s)
--- a/internal/samza/state/state_test.go
+++ b/internal/samza/state/state_test.go
@@ -9,121 +9,123 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-// entries are calls with gaps: every second number.
+// entries returns messages of clients that use every second call number.
 func entries(clients, calls int) []log.Entry {
-	var es []log.Entry
-	for c := range calls {
-		for v := range clients {
-			es = append(es, log.Entry{
-				Offset: uint64(len(es) + 1), Type: log.TypeMessage, Topic: "s/a",
-				Client: fmt.Sprintf("v%d", v), CallSeq: 2 * uint64(c+1), Generation: 1,
-				Digest: log.Digest([]byte{byte(c), byte(v)}),
+	var list []log.Entry
+	for call := range calls {
+		for client := range clients {
+			list = append(list, log.Entry{
+				Offset: uint64(len(list) + 1), Type: log.TypeMessage, Topic: "s/a",
+				Client: fmt.Sprintf("v%d", client), CallSeq: 2 * uint64(call+1), Generation: 1,
+				Digest: log.Digest([]byte{byte(call), byte(client)}),
 			})
 		}
 	}
-	return es
+	return list
 }
 
 func filled(clients, calls int) *State {
-	s := New()
-	for _, e := range entries(clients, calls) {
-		s.Apply(e)
+	state := New()
+	for _, entry := range entries(clients, calls) {
+		state.Apply(entry)
 	}
-	return s
+	return state
 }
 
-// What the ledger no longer holds is forgotten but for how far it went: repeats are then told so by
-// type and never taken again.
-func TestPruningKeepsHowFarCallsHaveCome(t *testing.T) {
-	s := filled(3, 40)
-	s.TakeChanges()
-	assert.Equal(t, s.Prune(entries(3, 40)[:3*38]...), 3*38, "what the ledger drops is let go")
-	assert.Equal(t, len(s.TakeChanges()), 3+1, "how far it went is written down again, and what is gone of the topic")
-	assert.Equal(t, s.Progress["s/a"], Progress{Offset: 120, Count: 120, Trimmed: 3 * 38})
-	for v := range 3 {
-		k := Key(fmt.Sprintf("v%d", v), "s/a")
-		a := s.Accepted[k]
-		assert.Equal(t, a.Last, uint64(2*40))
-		assert.Equal(t, a.Floor, uint64(2*38))
-		assert.Equal(t, len(a.Recent), 2)
-		s.Apply(log.Entry{Offset: 500, Type: log.TypeMessage, Topic: "s/a", Client: fmt.Sprintf("v%d", v), CallSeq: 7})
-		assert.Equal(t, s.Accepted[k].Last, uint64(2*40))
+// The answers to trimmed entries are dropped, but the last call number is retained. A repeat then
+// gets an error code of its own and is never accepted again.
+func TestPruningRetainsTheLastCallNumber(t *testing.T) {
+	state := filled(3, 40)
+	state.TakeChanges()
+	assert.Equal(t, state.Prune(entries(3, 40)[:3*38]...), 3*38, "the answers to trimmed entries are dropped")
+	assert.Equal(t, len(state.TakeChanges()), 3+1, "each client's calls and the topic's progress are written again")
+	assert.Equal(t, state.Progress["s/a"], Progress{Offset: 120, Count: 120, Trimmed: 3 * 38})
+	for client := range 3 {
+		key := Key(fmt.Sprintf("v%d", client), "s/a")
+		calls := state.Accepted[key]
+		assert.Equal(t, calls.Last, uint64(2*40))
+		assert.Equal(t, calls.Floor, uint64(2*38))
+		assert.Equal(t, len(calls.Recent), 2)
+		state.Apply(log.Entry{
+			Offset: 500, Type: log.TypeMessage, Topic: "s/a", Client: fmt.Sprintf("v%d", client), CallSeq: 7,
+		})
+		assert.Equal(t, state.Accepted[key].Last, uint64(2*40))
 	}
-	assert.Equal(t, s.Prune(entries(3, 40)[:3*38]...), 0)
-	assert.Assert(t, !s.Changed(), "dropping the same again changes nothing")
+	assert.Equal(t, state.Prune(entries(3, 40)[:3*38]...), 0)
+	assert.Assert(t, !state.Changed(), "dropping the same again changes nothing")
 }
 
-// The answers are told by the ledger again, so they cost nothing to write down; the floor says what
-// they can't tell.
-func TestAnswersComeBackFromTheLedger(t *testing.T) {
-	es := entries(3, 40)
-	for _, gone := range []int{0, 1, 50, 119, 120} {
-		s := filled(3, 40)
-		s.Prune(es[:gone]...)
-		got, err := Unmarshal(s.Marshal())
+// Answers are rebuilt from the partition log, so they need not be stored. The floor covers the
+// answers that can not be rebuilt.
+func TestAnswersAreRestoredFromThePartitionLog(t *testing.T) {
+	logEntries := entries(3, 40)
+	for _, trimmed := range []int{0, 1, 50, 119, 120} {
+		state := filled(3, 40)
+		state.Prune(logEntries[:trimmed]...)
+		restored, err := Unmarshal(state.Marshal())
 		assert.NilError(t, err)
 		for range 2 {
-			for _, e := range es[gone:] {
-				got.RestoreAnswer(e)
+			for _, entry := range logEntries[trimmed:] {
+				restored.RestoreAnswer(entry)
 			}
 		}
-		for k, a := range s.Accepted {
-			b := got.Accepted[k]
-			assert.Equal(t, len(a.Recent), len(b.Recent))
-			for i := range a.Recent {
-				assert.Equal(t, a.Recent[i], b.Recent[i])
+		for key, want := range state.Accepted {
+			got := restored.Accepted[key]
+			assert.Equal(t, len(want.Recent), len(got.Recent))
+			for i := range want.Recent {
+				assert.Equal(t, want.Recent[i], got.Recent[i])
 			}
-			assert.Equal(t, a.Floor, b.Floor)
-			for _, t0 := range a.Recent {
-				x, ok := b.Find(t0.CallSeq)
-				assert.Assert(t, ok && x == t0)
+			assert.Equal(t, want.Floor, got.Floor)
+			for _, call := range want.Recent {
+				found, ok := got.Find(call.CallSeq)
+				assert.Assert(t, ok && found == call)
 			}
-			_, ok := b.Find(41)
+			_, ok := got.Find(41)
 			assert.Assert(t, !ok, "odd numbers were never used")
 		}
 	}
 }
 
-// A value written by a build that had no floor says nothing about what was let go: all up to its
-// last call may have been taken.
-func TestAnOlderBuildsAnswersMayHaveBeenTaken(t *testing.T) {
-	s := New()
+// A value of a build without a floor does not say which answers were dropped: all calls up to its
+// last one may have been accepted.
+func TestAnOlderBuildsAnswersMayHaveBeenAccepted(t *testing.T) {
+	state := New()
 	older := []byte(`{"l":9,"g":2,"r":[{"c":9,"o":4,"s":"d"}]}`)
-	assert.NilError(t, s.Set(Item{Key: "a:" + Key("v", "s/a"), Value: older}))
-	a := s.Accepted[Key("v", "s/a")]
-	assert.Equal(t, a.Last, uint64(9))
-	assert.Equal(t, a.Floor, uint64(9))
+	assert.NilError(t, state.Set(Item{Key: "a:" + Key("v", "s/a"), Value: older}))
+	calls := state.Accepted[Key("v", "s/a")]
+	assert.Equal(t, calls.Last, uint64(9))
+	assert.Equal(t, calls.Floor, uint64(9))
 }
 
 func TestAnswersAreBounded(t *testing.T) {
-	s := filled(1, MaxAnswers+10)
-	a := s.Accepted[Key("v0", "s/a")]
-	assert.Equal(t, len(a.Recent), MaxAnswers)
-	assert.Equal(t, a.Floor, uint64(20))
+	state := filled(1, MaxAnswers+10)
+	calls := state.Accepted[Key("v0", "s/a")]
+	assert.Equal(t, len(calls.Recent), MaxAnswers)
+	assert.Equal(t, calls.Floor, uint64(20))
 }
 
-// What a batch costs that follows a busy interval: a visitor with hundreds of answers kept is
+// Guards the size of a batch after a busy interval: a client with hundreds of retained answers is
 // written as one with none.
-func TestAnswersAreNotWrittenDown(t *testing.T) {
-	s := filled(200, 1200)
-	n := 0
-	for _, i := range s.TakeChanges() {
-		n += len(i.Key) + len(i.Value)
+func TestAnswersAreNotStored(t *testing.T) {
+	state := filled(200, 1200)
+	size := 0
+	for _, item := range state.TakeChanges() {
+		size += len(item.Key) + len(item.Value)
 	}
 	t.Logf(
-		"200 visitors of a topic with 1200 answers kept each: %d bytes each in a batch, %d packed", n/200,
-		len(s.Marshal())/200,
+		"200 clients of a topic with 1200 retained answers each: %d bytes each in a batch, %d in a snapshot", size/200,
+		len(state.Marshal())/200,
 	)
-	assert.Assert(t, n/200 < 64)
+	assert.Assert(t, size/200 < 64)
 }
 
 func BenchmarkApply(b *testing.B) {
-	es := entries(20, 1200)
+	logEntries := entries(20, 1200)
 	for b.Loop() {
-		s := New()
-		for _, e := range es {
-			s.Apply(e)
+		state := New()
+		for _, entry := range logEntries {
+			state.Apply(entry)
 		}
 	}
-	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*len(es)), "ns/message")
+	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*len(logEntries)), "ns/message")
 }
--- a/internal/samza/state/tombstone.go
+++ b/internal/samza/state/tombstone.go
@@ -6,8 +6,8 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-// Tombstone is a withdrawal that stands: what came before its offset under its key is withdrawn, by
-// whom and under which number.
+// Tombstone is a withdrawal in effect: messages under its key before its offset are withdrawn.
+// Client and CallSeq are those of the withdrawal.
 type Tombstone struct {
 	Offset  uint64 `json:"o"`
 	Client  string `json:"v"`
@@ -15,13 +15,14 @@
 }
 
 // WrittenBy reports whether it is the tombstone of a client's call.
-func (m Tombstone) WrittenBy(client string, call uint64) bool {
-	return m.Client == client && m.CallSeq == call
+func (t Tombstone) WrittenBy(client string, call uint64) bool {
+	return t.Client == client && t.CallSeq == call
 }
 
-// Reader is a node that may have been given messages under keys, under which boot, and the offset
-// of the entry that says so. GivenUp is one that was not heard for so long that nobody waits for
-// it. Before is the boot whose place it took: of that run nothing is left but what comes late.
+// Reader is a node that may have received messages with keys, under which boot, and the offset of
+// the entry that says so. GivenUp is set for a reader that was silent for so long that nothing
+// waits for it. ReplacedBootID is the boot that this one replaced: of that run only late messages
+// can still arrive.
 type Reader struct {
 	BootID         string `json:"b"`
 	Offset         uint64 `json:"o"`
@@ -29,35 +30,35 @@
 	ReplacedBootID string `json:"f,omitempty"`
 }
 
-// ReaderEntry is what the entry of a reader says: that the node reads under a boot, that it is
-// given up, or that it is gone.
+// ReaderEntry is the body of a reader's entry: the node reads under a boot, is given up, or is
+// removed.
 type ReaderEntry struct {
 	BootID  string `json:"b"`
 	GivenUp bool   `json:"x,omitempty"`
 	Removed bool   `json:"g,omitempty"`
 }
 
-// SenderWithdrawal is what the entry of a withdrawal says when it names a sender: that one's
-// numbers on the topic are passed up to one of them.
+// SenderWithdrawal is the body of a withdrawal's entry that names a sender: the sender's call
+// numbers on the topic are passed up to UpTo.
 type SenderWithdrawal struct {
 	Sender string `json:"o"`
 	UpTo   uint64 `json:"u"`
 }
 
 // EncodeBody encodes the body of an entry.
-func EncodeBody[T any](v T) []byte {
-	b, _ := json.Marshal(v)
+func EncodeBody[T any](value T) []byte {
+	b, _ := json.Marshal(value)
 	return b
 }
 
 // DecodeBody decodes the body of an entry. An empty body gives the zero value.
-func DecodeBody[T any](e log.Entry) T {
-	var v T
-	_ = json.Unmarshal(e.Body, &v)
-	return v
+func DecodeBody[T any](entry log.Entry) T {
+	var value T
+	_ = json.Unmarshal(entry.Body, &value)
+	return value
 }
 
-// IsWithdrawn reports whether a later withdrawal covers a message's key.
+// IsWithdrawn reports whether a message's key was withdrawn after the message.
 func (s *State) IsWithdrawn(entry log.Entry) bool {
 	return entry.Key != "" && s.Tombstones[Key(entry.Topic, entry.Key)].Offset > entry.Offset
 }
@@ -65,5 +66,5 @@
 // DropTombstone drops a tombstone.
 func (s *State) DropTombstone(key string) {
 	delete(s.Tombstones, key)
-	s.dirty[tombstones+key] = true
+	s.dirty[tombstonePrefix+key] = true
 }
--- a/internal/samza/state/tombstones_test.go
+++ b/internal/samza/state/tombstones_test.go
@@ -8,24 +8,24 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-func message(o uint64, client string, call uint64, key string) log.Entry {
+func message(offset uint64, client string, call uint64, key string) log.Entry {
 	return log.Entry{
-		Offset: o, Type: log.TypeMessage, Topic: "s/a", Client: client, CallSeq: call, Key: key, Digest: "d",
+		Offset: offset, Type: log.TypeMessage, Topic: "s/a", Client: client, CallSeq: call, Key: key, Digest: "d",
 	}
 }
 
-func withdrawal(o uint64, client string, call uint64, key string, p SenderWithdrawal) log.Entry {
+func withdrawal(offset uint64, client string, call uint64, key string, body SenderWithdrawal) log.Entry {
 	return log.Entry{
-		Offset: o, Type: log.TypeWithdrawal, Topic: "s/a", Client: client, CallSeq: call, Key: key,
-		Body: EncodeBody(p), Digest: "w",
+		Offset: offset, Type: log.TypeWithdrawal, Topic: "s/a", Client: client, CallSeq: call, Key: key,
+		Body: EncodeBody(body), Digest: "w",
 	}
 }
 
-func reader(o uint64, node string, r ReaderEntry) log.Entry {
-	return log.Entry{Offset: o, Type: log.TypeReader, Client: node, Body: EncodeBody(r)}
+func reader(offset uint64, node string, body ReaderEntry) log.Entry {
+	return log.Entry{Offset: offset, Type: log.TypeReader, Client: node, Body: EncodeBody(body)}
 }
 
-func keyed() []log.Entry {
+func keyedEntries() []log.Entry {
 	return []log.Entry{
 		message(1, "v", 1, "k"), message(2, "v", 2, "l"), reader(
 			3, "a1", ReaderEntry{BootID: "b"},
@@ -39,100 +39,101 @@
 	}
 }
 
-func all(es ...log.Entry) *State {
-	s := New()
-	for _, e := range es {
-		s.Apply(e)
+func applyAll(logEntries ...log.Entry) *State {
+	state := New()
+	for _, entry := range logEntries {
+		state.Apply(entry)
 	}
-	return s
+	return state
 }
 
-var known = Key("s/a", "k")
+var withdrawnKey = Key("s/a", "k")
 
-// A withdrawal is a call of its visitor, a mark, and where it names a sender the end of that one's
-// lower numbers.
+// A withdrawal is a call of its client and a tombstone. Where it names a sender, that sender's
+// lower call numbers are passed.
 func TestWithdrawalsAndReadersAreState(t *testing.T) {
-	s := all(keyed()...)
+	state := applyAll(keyedEntries()...)
 	for range 2 {
-		assert.DeepEqual(t, s.Tombstones, map[string]Tombstone{known: {5, "w", 3}})
-		assert.DeepEqual(t, s.Readers, map[string]Reader{"a1": {"c", 7, false, "b"}, "a2": {"b", 8, true, ""}})
-		assert.DeepEqual(t, s.LastKeyed, map[string]uint64{known: 6, Key("s/a", "l"): 2})
-		assert.DeepEqual(t, s.Accepted[Key("w", "s/a")].Recent, []AcceptedCall{
+		assert.DeepEqual(t, state.Tombstones, map[string]Tombstone{withdrawnKey: {5, "w", 3}})
+		assert.DeepEqual(t, state.Readers, map[string]Reader{"a1": {"c", 7, false, "b"}, "a2": {"b", 8, true, ""}})
+		assert.DeepEqual(t, state.LastKeyed, map[string]uint64{withdrawnKey: 6, Key("s/a", "l"): 2})
+		assert.DeepEqual(t, state.Accepted[Key("w", "s/a")].Recent, []AcceptedCall{
 			{3, 5, CallDigest(log.TypeWithdrawal, "k", "w")},
 		})
-		v := s.Accepted[Key("v", "s/a")]
-		assert.Equal(t, v.Last, uint64(7))
-		assert.Equal(t, v.Floor, uint64(0))
-		_, ok := v.Find(2)
-		assert.Assert(t, ok, "what was taken stays taken")
-		assert.Equal(t, s.Progress["s/a"], Progress{Offset: 6, Count: 3})
-		assert.Assert(t, s.IsWithdrawn(keyed()[0]) && !s.IsWithdrawn(keyed()[1]) && !s.IsWithdrawn(keyed()[5]))
-		before := string(s.Marshal())
-		for _, e := range keyed() {
-			s.Apply(e)
+		calls := state.Accepted[Key("v", "s/a")]
+		assert.Equal(t, calls.Last, uint64(7))
+		assert.Equal(t, calls.Floor, uint64(0))
+		_, ok := calls.Find(2)
+		assert.Assert(t, ok, "a call that was accepted remains accepted")
+		assert.Equal(t, state.Progress["s/a"], Progress{Offset: 6, Count: 3})
+		assert.Assert(t, state.IsWithdrawn(keyedEntries()[0]) &&
+			!state.IsWithdrawn(keyedEntries()[1]) && !state.IsWithdrawn(keyedEntries()[5]))
+		before := string(state.Marshal())
+		for _, entry := range keyedEntries() {
+			state.Apply(entry)
 		}
-		assert.Equal(t, string(s.Marshal()), before, "applied again, it changed something")
+		assert.Equal(t, string(state.Marshal()), before, "applying the entries again changed the state")
 	}
 }
 
-// What a call was taken with is its body, its key, and what it asked; a message without a key is
-// known as ever.
-func TestCallsAreKnownByKeyAndBody(t *testing.T) {
+// A call is identified by its body, its key and the type of its entry. A message without a key is
+// identified by its body alone, as before there were keys.
+func TestCallsAreIdentifiedByKeyAndBody(t *testing.T) {
 	seen := map[string]bool{}
-	for _, n := range []string{
+	for _, digest := range []string{
 		CallDigest(log.TypeMessage, "", "d"), CallDigest(log.TypeMessage, "k", "d"),
 		CallDigest(log.TypeWithdrawal, "k", "d"), CallDigest(log.TypeMessage, "l", "d"),
 		CallDigest(log.TypeMessage, "k", "e"),
 	} {
-		assert.Assert(t, !seen[n], n)
-		seen[n] = true
+		assert.Assert(t, !seen[digest], digest)
+		seen[digest] = true
 	}
 	assert.Equal(t, CallDigest(log.TypeMessage, "", "d"), "d")
 }
 
-// What is held, and the marks of what is held, come back from the ledger, also a mark that was let
-// go by an owner whose ledger was cut further.
-func TestMarksComeBackFromTheLedger(t *testing.T) {
-	es := keyed()
-	s := all(es...)
-	s.Prune(es...)
-	assert.Equal(t, len(s.LastKeyed), 0)
-	assert.Equal(t, s.Progress["s/a"].Trimmed, uint64(6))
-	s.DropTombstone(known)
-	got, err := Unmarshal(s.Marshal())
+// Answers and tombstones are restored from the partition log, also a tombstone that a leader
+// dropped whose log was trimmed further.
+func TestTombstonesAreRestoredFromThePartitionLog(t *testing.T) {
+	logEntries := keyedEntries()
+	state := applyAll(logEntries...)
+	state.Prune(logEntries...)
+	assert.Equal(t, len(state.LastKeyed), 0)
+	assert.Equal(t, state.Progress["s/a"].Trimmed, uint64(6))
+	state.DropTombstone(withdrawnKey)
+	restored, err := Unmarshal(state.Marshal())
 	assert.NilError(t, err)
-	assert.Assert(t, !got.IsWithdrawn(es[0]))
+	assert.Assert(t, !restored.IsWithdrawn(logEntries[0]))
 	for range 2 {
-		for _, e := range es {
-			got.RestoreAnswer(e)
+		for _, entry := range logEntries {
+			restored.RestoreAnswer(entry)
 		}
 	}
-	assert.Assert(t, got.IsWithdrawn(es[0]) && !got.IsWithdrawn(es[5]))
-	assert.Equal(t, got.LastKeyed[known], uint64(6))
-	assert.DeepEqual(t, got.Readers, s.Readers)
-	x, ok := got.Accepted[Key("w", "s/a")].Find(3)
-	assert.Assert(t, ok && x.Offset == 5)
+	assert.Assert(t, restored.IsWithdrawn(logEntries[0]) && !restored.IsWithdrawn(logEntries[5]))
+	assert.Equal(t, restored.LastKeyed[withdrawnKey], uint64(6))
+	assert.DeepEqual(t, restored.Readers, state.Readers)
+	call, ok := restored.Accepted[Key("w", "s/a")].Find(3)
+	assert.Assert(t, ok && call.Offset == 5)
 }
 
-// A withdrawal that the ledger drops counts as gone of its topic, so that a cursor before it is no
-// cursor any more.
-func TestDroppedWithdrawalsCountAsGone(t *testing.T) {
-	es := keyed()
-	s := all(es...)
-	s.Prune(es[:5]...)
-	assert.Equal(t, s.Progress["s/a"].Trimmed, uint64(5))
-	assert.DeepEqual(t, s.LastKeyed, map[string]uint64{known: 6})
-	assert.Equal(t, s.Accepted[Key("w", "s/a")].Floor, uint64(3))
+// A withdrawal that the partition log drops counts as trimmed from its topic, so that a cursor
+// before it is expired.
+func TestDroppedWithdrawalsCountAsTrimmed(t *testing.T) {
+	logEntries := keyedEntries()
+	state := applyAll(logEntries...)
+	state.Prune(logEntries[:5]...)
+	assert.Equal(t, state.Progress["s/a"].Trimmed, uint64(5))
+	assert.DeepEqual(t, state.LastKeyed, map[string]uint64{withdrawnKey: 6})
+	assert.Equal(t, state.Accepted[Key("w", "s/a")].Floor, uint64(3))
 }
 
-// A state of a build that knew no keys reads as one without any.
-func TestAnOlderStateHasNoMarks(t *testing.T) {
-	s, err := Unmarshal([]byte(`{"a":{},"p":{},"t":{},"k":{},"i":9}`))
+// A state of a build without keys decodes as one without tombstones and readers.
+func TestAnOlderStateHasNoTombstones(t *testing.T) {
+	state, err := Unmarshal([]byte(`{"a":{},"p":{},"t":{},"k":{},"i":9}`))
 	assert.NilError(t, err)
-	for _, e := range keyed() {
-		s.Apply(e)
+	for _, entry := range keyedEntries() {
+		state.Apply(entry)
 	}
-	assert.Equal(t, len(s.Tombstones), 1)
-	assert.Equal(t, len(s.Readers), 2)
+	assert.Equal(t, len(state.Tombstones), 1)
+	assert.Equal(t, len(state.Readers), 2)
 	assert.Equal(t, string(New().Marshal()), `{"a":{},"p":{},"t":{},"k":{},"i":0}`)
 }
