--- a/internal/partitionlog/idle/idle.go
+++ b/internal/partitionlog/idle/idle.go
@@ -26,9 +26,9 @@
 // Outcome is the result of a wait.
 type Outcome int
 
-// Superseded: the log changed, or the wait was canceled, before the log was confirmed. Identical:
-// the replica ends as the log does, under its epoch. Uncertain: the replica may not, or it did not
-// answer.
+// Outcomes of a wait. With Superseded the log changed, or the wait was canceled, before the log was
+// confirmed. With Identical the replica ends as the log does, under its epoch. With Uncertain the
+// replica may not, or it did not answer.
 const (
 	Superseded Outcome = iota
 	Identical
@@ -72,24 +72,24 @@
 // Wait has a log confirmed to a disk once it is due, or earlier together with another log of that
 // disk. It blocks until that is done. It returns Superseded when appended or committed is closed or
 // ctx ends first.
-func (l *Confirmer) Wait(
+func (c *Confirmer) Wait(
 	ctx context.Context, disk Disk, idleLog replica.IdleLog, due time.Time, appended, committed <-chan struct{},
 ) Outcome {
 	w := &waiter{log: idleLog, due: due, outcome: make(chan Outcome, 1)}
-	l.mu.Lock()
-	queue, isRunning := l.queues[disk]
+	c.mu.Lock()
+	queue, isRunning := c.queues[disk]
 	if !isRunning {
 		queue = &diskQueue{waiting: map[*waiter]bool{}}
-		l.queues[disk] = queue
+		c.queues[disk] = queue
 	}
 	queue.waiting[w] = true
 	switch {
 	case !isRunning:
-		go l.run(disk, queue)
+		go c.run(disk, queue)
 	case queue.wake != nil && due.Before(queue.due):
 		queue.wake()
 	}
-	l.mu.Unlock()
+	c.mu.Unlock()
 	select {
 	case outcome := <-w.outcome:
 		return outcome
@@ -97,23 +97,23 @@
 	case <-committed:
 	case <-ctx.Done():
 	}
-	l.mu.Lock()
+	c.mu.Lock()
 	delete(queue.waiting, w)
-	l.mu.Unlock()
+	c.mu.Unlock()
 	return Superseded
 }
 
 // run confirms the logs that wait for a disk, until none waits.
-func (l *Confirmer) run(disk Disk, queue *diskQueue) {
+func (c *Confirmer) run(disk Disk, queue *diskQueue) {
 	for {
-		l.mu.Lock()
+		c.mu.Lock()
 		queue.wake = nil
-		if len(queue.waiting) == 0 || l.ctx.Err() != nil {
+		if len(queue.waiting) == 0 || c.ctx.Err() != nil {
 			for w := range queue.waiting {
 				w.outcome <- Uncertain
 			}
-			delete(l.queues, disk)
-			l.mu.Unlock()
+			delete(c.queues, disk)
+			c.mu.Unlock()
 			return
 		}
 		due := time.Time{}
@@ -122,11 +122,11 @@
 				due = w.due
 			}
 		}
-		if left := due.Sub(l.clock.Now()); left > 0 {
-			ctx, wake := context.WithCancel(l.ctx)
+		if left := due.Sub(c.clock.Now()); left > 0 {
+			ctx, wake := context.WithCancel(c.ctx)
 			queue.due, queue.wake = due, wake
-			l.mu.Unlock()
-			_ = l.clock.Sleep(ctx, left)
+			c.mu.Unlock()
+			_ = c.clock.Sleep(ctx, left)
 			wake()
 			continue
 		}
@@ -135,18 +135,18 @@
 			waiters = append(waiters, w)
 		}
 		clear(queue.waiting)
-		l.mu.Unlock()
+		c.mu.Unlock()
 		slices.SortFunc(waiters, func(a, b *waiter) int {
 			return cmp.Or(cmp.Compare(a.log.Kind, b.log.Kind), cmp.Compare(a.log.Partition, b.log.Partition))
 		})
-		l.compare(disk, waiters)
+		c.compare(disk, waiters)
 	}
 }
 
 // compare has the disk's node compare logs, in the order of their kinds and partitions, and passes
 // on the outcomes. Where the checksum of many logs differs, comparing each half narrows down which
 // logs differ.
-func (l *Confirmer) compare(disk Disk, waiters []*waiter) {
+func (c *Confirmer) compare(disk Disk, waiters []*waiter) {
 	request := &replica.CompareIdleRequest{Incarnation: disk.Incarnation, Partitions: map[log.Kind][]int{}}
 	logs := make([]replica.IdleLog, len(waiters))
 	for i, w := range waiters {
@@ -154,16 +154,16 @@
 		request.Partitions[w.log.Kind] = append(request.Partitions[w.log.Kind], w.log.Partition)
 	}
 	request.Checksum = replica.IdleChecksum(logs)
-	ctx, stop := context.WithTimeout(l.ctx, l.timing.CallTimeout())
-	response, err := replica.CompareIdle.Call(ctx, l.net, l.self, disk.Addr, request)
+	ctx, stop := context.WithTimeout(c.ctx, c.timing.CallTimeout())
+	response, err := replica.CompareIdle.Call(ctx, c.net, c.self, disk.Addr, request)
 	stop()
 	outcome := Identical
 	switch {
 	case err != nil:
 		outcome = Uncertain
 	case !response.Identical && len(waiters) > maxUnsplit:
-		l.compare(disk, waiters[:len(waiters)/2])
-		l.compare(disk, waiters[len(waiters)/2:])
+		c.compare(disk, waiters[:len(waiters)/2])
+		c.compare(disk, waiters[len(waiters)/2:])
 		return
 	case !response.Identical:
 		outcome = Uncertain
--- a/internal/partitionlog/router/submitqueue_test.go
+++ b/internal/partitionlog/router/submitqueue_test.go
@@ -131,8 +131,9 @@
 				f.submitCall(1, 5*time.Second)
 				advance(6 * time.Second)
 				assert.Equal(t, f.outcome(1), test.wantCode, "%v", f.results[1])
-				elapsed := f.answeredAt[1].Sub(start)
-				assert.Assert(t, elapsed <= test.within, "answered after %s", elapsed)
+				assert.Assert(
+					t, f.answeredAt[1].Sub(start) <= test.within, "answered after %s", f.answeredAt[1].Sub(start),
+				)
 			})
 		})
 	}
