--- a/internal/partitionlog/leader/commit.go
+++ b/internal/partitionlog/leader/commit.go
@@ -26,7 +26,7 @@
 
 // appendToPartitionLog appends an entry to the partition log. l.mu must be held.
 func (l *Leader) appendToPartitionLog(entry log.Entry) log.Entry {
-	return l.logs[log.KindLedger].appendEntry(entry, l.Record.Epoch)
+	return l.logs[log.KindInput].appendEntry(entry, l.Record.Epoch)
 }
 
 // awaitCommit waits until a log is committed up to an offset. Its error is OutcomeUnknown if the
@@ -56,7 +56,7 @@
 // the state. l.mu must be held.
 func (l *Leader) advanceCommit(progress *logProgress) {
 	from := progress.commit
-	if !progress.advanceCommit(l.Record, l.options.Self) || progress.kind != log.KindLedger || l.state == nil {
+	if !progress.advanceCommit(l.Record, l.options.Self) || progress.kind != log.KindInput || l.state == nil {
 		return
 	}
 	l.apply(progress, from, progress.commit)
--- a/internal/partitionlog/leader/filter.go
+++ b/internal/partitionlog/leader/filter.go
@@ -18,7 +18,7 @@
 func (l *Leader) collect(
 	after uint64, limit int, filter entryFilter,
 ) (entries []log.Entry, to uint64, stoppedAtKey bool) {
-	partitionLog := l.logs[log.KindLedger]
+	partitionLog := l.logs[log.KindInput]
 	size := 0
 	for after < partitionLog.commit {
 		next := partitionLog.entriesAfter(after)
@@ -45,7 +45,7 @@
 func (l *Leader) passes(entry log.Entry, filter entryFilter) bool {
 	switch entry.Type {
 	case log.TypeMessage:
-		isIncluded := entry.Key == "" || filter.withKeys && !l.state.Covers(entry)
+		isIncluded := entry.Key == "" || filter.withKeys && !l.state.IsWithdrawn(entry)
 		return !entry.BodyDropped && filter.isWanted(entry) && isIncluded
 	case log.TypeWithdrawal:
 		return filter.withKeys && (filter.allWithdrawals || filter.isWanted(entry))
--- a/internal/partitionlog/leader/followers.go
+++ b/internal/partitionlog/leader/followers.go
@@ -80,7 +80,7 @@
 	if !request.Finished {
 		l.replaceReader(node, bootID)
 	}
-	partitionLog := l.logs[log.KindLedger]
+	partitionLog := l.logs[log.KindInput]
 	base, end := partitionLog.log.Base().Offset, partitionLog.commit
 	response := &FollowResponse{
 		Epoch: l.Record.Epoch, Base: base, CommittedEnd: end, BacklogEnd: end,
@@ -214,7 +214,7 @@
 		current == nil || current.isFinished || current.sequence < request.Sequence {
 		return &PollResponse{Epoch: l.Record.Epoch, UnknownFollower: true, MustReset: givenUp}, nil, nil
 	}
-	partitionLog := l.logs[log.KindLedger]
+	partitionLog := l.logs[log.KindInput]
 	base := partitionLog.log.Base().Offset
 	token, isTokenValid := l.readerTokenOf(node, bootID, request.ReaderToken)
 	if !isTokenValid && l.isOtherReader(node, bootID) {
--- a/internal/partitionlog/leader/followers_test.go
+++ b/internal/partitionlog/leader/followers_test.go
@@ -23,7 +23,7 @@
 			assignment.Record{Epoch: 1, Replicas: []assignment.Replica{{Node: "s1"}}}, false,
 		)
 		leader.stage = StageOpen
-		leader.logs[log.KindLedger] = newLogProgress(log.KindLedger, log.New())
+		leader.logs[log.KindInput] = newLogProgress(log.KindInput, log.New())
 		leader.state = state.New()
 		run(t, leader)
 	})
@@ -72,7 +72,7 @@
 // carries.
 func TestFollow_FirstOnlyReturnsOneMessage(t *testing.T) {
 	withSingleReplica(t, func(t *testing.T, leader *Leader) {
-		partitionLog := leader.logs[log.KindLedger]
+		partitionLog := leader.logs[log.KindInput]
 		for range 4 {
 			partitionLog.appendEntry(log.Entry{Type: log.TypeMessage, Topic: "t", Body: make([]byte, 600)}, 1)
 			partitionLog.appendEntry(log.Entry{Type: log.TypeMessage, Topic: "other"}, 1)
--- a/internal/partitionlog/leader/leadership.go
+++ b/internal/partitionlog/leader/leadership.go
@@ -92,7 +92,7 @@
 	if err != nil {
 		return false, err
 	}
-	request := &replica.AppendRequest{Target: l.target(to), Kind: log.KindLedger, Urgent: l.Urgent}
+	request := &replica.AppendRequest{Target: l.target(to), Kind: log.KindInput, Urgent: l.Urgent}
 	_, err = replica.Append.Call(ctx, l.options.Net, l.options.Self, address, request)
 	return err == nil, err
 }
@@ -100,7 +100,7 @@
 // confirmCommitted waits until the partition log is committed up to an offset that an answer
 // depends on. It then confirms that no other leader can have decided since.
 func (l *Leader) confirmCommitted(ctx context.Context, offset uint64) error {
-	if err := l.awaitCommit(ctx, log.KindLedger, offset); err != nil {
+	if err := l.awaitCommit(ctx, log.KindInput, offset); err != nil {
 		return l.errDependencyUncommitted(offset)
 	}
 	return l.checkLeadership(ctx)
--- a/internal/partitionlog/leader/maintain.go
+++ b/internal/partitionlog/leader/maintain.go
@@ -34,7 +34,7 @@
 			close(flushed)
 		}
 		if err == nil {
-			l.requestTrim(log.KindLedger, to)
+			l.requestTrim(log.KindInput, to)
 		}
 	}
 }
@@ -66,7 +66,7 @@
 // partition log is trimmed up to that offset once the changelog covers it.
 func (l *Leader) prune() uint64 {
 	now := l.options.Clock.Now()
-	partitionLog := l.logs[log.KindLedger].log
+	partitionLog := l.logs[log.KindInput].log
 	partitionLog.DropLiveBodies(now.Add(-l.options.Timing.Spread))
 	expired := partitionLog.LastBefore(now.Add(-l.options.Timing.RetentionFor(l.options.LongestRetention())))
 	l.mu.Lock()
--- a/internal/partitionlog/leader/progress_test.go
+++ b/internal/partitionlog/leader/progress_test.go
@@ -13,7 +13,7 @@
 // Entries of an earlier epoch that a majority has are committed only with the start of this epoch.
 func TestCommit_EarlierEntriesWaitForTheEpochStart(t *testing.T) {
 	partitionLog := log.New()
-	progress := newLogProgress(log.KindLedger, partitionLog)
+	progress := newLogProgress(log.KindInput, partitionLog)
 	progress.appendEntry(log.Entry{Type: log.TypeMessage, Body: []byte("old")}, 1)
 	partitionLog.Append(time.Now(), progress.pending...)
 	progress.pending, progress.durable = nil, 1
@@ -38,7 +38,7 @@
 // learner. It doesn't count for a majority yet.
 func TestCommit_NewDiskDoesNotCountForTheLostOne(t *testing.T) {
 	partitionLog := log.New()
-	progress := newLogProgress(log.KindLedger, partitionLog)
+	progress := newLogProgress(log.KindInput, partitionLog)
 	progress.appendEntry(log.Entry{Type: log.TypeEpochStart}, 2)
 	partitionLog.Append(time.Now(), progress.pending...)
 	progress.pending, progress.durable = nil, 1
--- a/internal/partitionlog/leader/read.go
+++ b/internal/partitionlog/leader/read.go
@@ -27,7 +27,7 @@
 			l.mu.Unlock()
 			return nil, err
 		}
-		committed := l.logs[log.KindLedger].committed
+		committed := l.logs[log.KindInput].committed
 		response, isEmpty := l.tryRead(request)
 		l.mu.Unlock()
 		if request.From == endOfLog {
@@ -54,7 +54,7 @@
 // tryRead returns the response as of now, and whether it is empty, so that the call should wait for
 // entries. l.mu must be held.
 func (l *Leader) tryRead(request *ReadRequest) (response *ReadResponse, isEmpty bool) {
-	partitionLog := l.logs[log.KindLedger]
+	partitionLog := l.logs[log.KindInput]
 	response = &ReadResponse{Base: partitionLog.log.Base().Offset, To: partitionLog.commit, Epoch: l.Record.Epoch}
 	isReader, isTokenValid := false, true
 	if request.TracksTombstones {
@@ -81,7 +81,7 @@
 // readEntries adds entries to a response. If the node is not a reader yet, it stops before a
 // message with a key and makes the node a reader. l.mu must be held.
 func (l *Leader) readEntries(response *ReadResponse, request *ReadRequest, isReader bool) {
-	partitionLog := l.logs[log.KindLedger]
+	partitionLog := l.logs[log.KindInput]
 	entries := partitionLog.log.Slice(request.From+1, partitionLog.commit, maxReadEntries, maxReadBytes)
 	if len(entries) == 0 {
 		entries = partitionLog.entriesAfter(request.From)
@@ -91,7 +91,7 @@
 			return
 		}
 		if entry.Key != "" && entry.Type == log.TypeMessage && !entry.BodyDropped {
-			if !request.TracksTombstones || l.state.Covers(entry) {
+			if !request.TracksTombstones || l.state.IsWithdrawn(entry) {
 				entry.Body, entry.Digest, entry.BodyDropped = nil, "", true
 			} else if !isReader {
 				l.addReader(request.Node, request.BootID)
@@ -113,13 +113,13 @@
 	l.removeReader(node, bootID)
 	reader := l.state.Readers[node]
 	if reader.GivenUp && reader.BootID == bootID && l.uncommittedReaders[node].offset == 0 {
-		l.writeReader(node, state.ReaderEntry{BootID: bootID, Gone: true})
+		l.writeReader(node, state.ReaderEntry{BootID: bootID, Removed: true})
 	}
 	offset := l.uncommittedReaders[node].offset
-	partitionLog := l.logs[log.KindLedger]
+	partitionLog := l.logs[log.KindInput]
 	response := &ReadResponse{Base: partitionLog.log.Base().Offset, To: partitionLog.commit, Epoch: l.Record.Epoch}
 	l.mu.Unlock()
-	if err := l.awaitCommit(ctx, log.KindLedger, offset); err != nil {
+	if err := l.awaitCommit(ctx, log.KindInput, offset); err != nil {
 		return nil, err
 	}
 	return response, l.checkLeadership(ctx)
--- a/internal/partitionlog/leader/readers.go
+++ b/internal/partitionlog/leader/readers.go
@@ -86,7 +86,7 @@
 
 // writeReader appends an entry about a reader. l.mu must be held.
 func (l *Leader) writeReader(node string, reader state.ReaderEntry) {
-	entry := l.appendToPartitionLog(log.Entry{Type: log.TypeReader, Client: node, Body: state.EncodePart(reader)})
+	entry := l.appendToPartitionLog(log.Entry{Type: log.TypeReader, Client: node, Body: state.EncodeBody(reader)})
 	l.uncommittedReaders[node] = uncommittedReader{reader.BootID, entry.Offset}
 }
 
@@ -128,7 +128,7 @@
 	reader, ok := l.state.Readers[node]
 	uncommitted, isUncommitted := l.uncommittedReaders[node]
 	if isUncommitted && uncommitted.bootID == bootID || ok && reader.BootID == bootID {
-		l.writeReader(node, state.ReaderEntry{BootID: bootID, Gone: true})
+		l.writeReader(node, state.ReaderEntry{BootID: bootID, Removed: true})
 	}
 }
 
@@ -202,7 +202,7 @@
 			l.mu.Unlock()
 			return nil, err
 		}
-		partitionLog := l.logs[log.KindLedger]
+		partitionLog := l.logs[log.KindInput]
 		pending, committed := l.pendingReaders(offset), partitionLog.committed
 		if l.readersChanged == nil {
 			l.readersChanged = make(chan struct{})
@@ -317,7 +317,7 @@
 	if l.state == nil || len(l.state.Tombstones)+len(l.state.Readers) == 0 {
 		return nil
 	}
-	view := l.tombstoneView(l.logs[log.KindLedger].commit)
+	view := l.tombstoneView(l.logs[log.KindInput].commit)
 	return &view
 }
 
--- a/internal/partitionlog/leader/replicate.go
+++ b/internal/partitionlog/leader/replicate.go
@@ -99,7 +99,7 @@
 func (r *replicator) awaitWork(ctx context.Context, work replicationWork, address string, isMember bool) bool {
 	l := r.leader
 	interval, committed := l.options.Timing.SessionTimeout(), work.committed
-	if work.commit > r.sentCommit && r.progress.kind == log.KindLedger {
+	if work.commit > r.sentCommit && r.progress.kind == log.KindInput {
 		interval, committed = l.options.Timing.HeartbeatInterval(), nil
 	}
 	if work.base != r.sentBase {
--- a/internal/partitionlog/leader/rig_test.go
+++ b/internal/partitionlog/leader/rig_test.go
@@ -83,7 +83,7 @@
 			Addr: func(node string) (string, bool) { address, ok := r.members[node]; return address, ok },
 		}, record, false)
 		r.stage, r.state, r.ctx = StageOpen, state.New(), t.Context()
-		r.logs[log.KindLedger], r.logs[log.KindChangelog] = newLogProgress(log.KindLedger, log.New()), newLogProgress(
+		r.logs[log.KindInput], r.logs[log.KindChangelog] = newLogProgress(log.KindInput, log.New()), newLogProgress(
 			log.KindChangelog, log.New(),
 		)
 		run(t, r)
@@ -94,7 +94,7 @@
 // replica.
 func (r *rig) commitAll() {
 	r.mu.Lock()
-	partitionLog := r.logs[log.KindLedger]
+	partitionLog := r.logs[log.KindInput]
 	partitionLog.log.Append(time.Now(), partitionLog.pending...)
 	partitionLog.pending, partitionLog.durable = nil, partitionLog.last.Offset
 	r.advanceCommit(partitionLog)
@@ -221,7 +221,7 @@
 // afterwards.
 func (r *rig) submitOnce(message *Message) {
 	r.evaluate(message)
-	r.logs[log.KindLedger].match[""] = 1
+	r.logs[log.KindInput].match[""] = 1
 	r.commitAll()
-	assert.Equal(r.t, r.logs[log.KindLedger].commit, uint64(1))
+	assert.Equal(r.t, r.logs[log.KindInput].commit, uint64(1))
 }
--- a/internal/partitionlog/leader/submit.go
+++ b/internal/partitionlog/leader/submit.go
@@ -49,7 +49,7 @@
 
 // clientCalls is what a client did on a topic, committed or not.
 type clientCalls struct {
-	committed        state.Accepted
+	committed        state.AcceptedCalls
 	uncommitted      []state.AcceptedCall
 	last, generation uint64
 }
@@ -71,7 +71,7 @@
 	if call, ok := c.committed.Find(callSeq); ok {
 		return call, true
 	}
-	return state.Accepted{Recent: c.uncommitted}.Find(callSeq)
+	return state.AcceptedCalls{Recent: c.uncommitted}.Find(callSeq)
 }
 
 // entry returns the message as an entry of the partition log, without a position.
@@ -90,7 +90,7 @@
 	if m.Withdraw {
 		entry.Type, entry.Live = log.TypeWithdrawal, false
 		if m.WithdrawSender != "" {
-			entry.Body = state.EncodePart(state.SenderWithdrawal{Sender: m.WithdrawSender, UpTo: m.WithdrawUpTo})
+			entry.Body = state.EncodeBody(state.SenderWithdrawal{Sender: m.WithdrawSender, UpTo: m.WithdrawUpTo})
 		}
 	}
 	entry.Digest = log.Digest(entry.Body)
@@ -214,7 +214,7 @@
 	case log.TypeWithdrawal:
 		l.counters.Withdrawals++
 		l.clearUncommitted(entry.Client, entry)
-		l.clearUncommitted(state.DecodePart[state.SenderWithdrawal](entry).Sender, entry)
+		l.clearUncommitted(state.DecodeBody[state.SenderWithdrawal](entry).Sender, entry)
 	case log.TypeReader:
 		l.applyReader(entry)
 		return
@@ -241,7 +241,7 @@
 // dependencyOffset returns the offset up to which the partition log must be committed before an
 // answer may use what is known of a client on a topic. l.mu must be held.
 func (l *Leader) dependencyOffset(key string) uint64 {
-	offset := l.logs[log.KindLedger].commit
+	offset := l.logs[log.KindInput].commit
 	if calls := l.uncommitted[key]; calls != nil {
 		offset = max(offset, calls.offset)
 	}
--- a/internal/partitionlog/leader/tombstones_test.go
+++ b/internal/partitionlog/leader/tombstones_test.go
@@ -34,7 +34,7 @@
 // trimPartitionLog trims the partition log up to an offset.
 func (r *rig) trimPartitionLog(to uint64) {
 	r.t.Helper()
-	partitionLog := r.logs[log.KindLedger].log
+	partitionLog := r.logs[log.KindInput].log
 	r.state.Prune(partitionLog.Slice(r.prunedTo+1, to, 1<<20, 1<<30)...)
 	r.prunedTo, r.savedInput = to, to
 	position, ok := partitionLog.Position(to)
@@ -132,7 +132,7 @@
 		r.becomeReader("a1", "b", 0)
 		offset := r.submitAccepted(withdrawal("v", 2, "t", "k"))
 		r.poll("a1", "b", offset)
-		partitionLog := r.logs[log.KindLedger].log
+		partitionLog := r.logs[log.KindInput].log
 		r.state.Prune(partitionLog.Slice(1, offset, 9, 1<<20)...)
 		r.prunedTo = offset
 		r.locked(r.dropTombstones)
--- a/internal/partitionlog/leader/view.go
+++ b/internal/partitionlog/leader/view.go
@@ -33,7 +33,7 @@
 		Recovery:  l.recovery,
 		Counters:  l.counters,
 	}
-	if partitionLog := l.logs[log.KindLedger]; partitionLog != nil {
+	if partitionLog := l.logs[log.KindInput]; partitionLog != nil {
 		view.Commit, view.Last, view.LogEntries = partitionLog.commit, partitionLog.last.Offset, partitionLog.log.Len()
 		view.ChangelogEntries = l.logs[log.KindChangelog].log.Len()
 	}
@@ -132,7 +132,7 @@
 
 // checkBacklog returns Overloaded while too many entries of the partition log are uncommitted.
 func (l *Leader) checkBacklog() error {
-	partitionLog := l.logs[log.KindLedger]
+	partitionLog := l.logs[log.KindInput]
 	if uncommitted := partitionLog.last.Offset - partitionLog.commit; uncommitted >= uint64(l.options.Backlog()) {
 		return apierror.New(apierror.Overloaded, "%d entries of partition %d are uncommitted",
 			uncommitted, l.Record.Partition)
