--- a/internal/control/acceptor/slot.go
+++ b/internal/control/acceptor/slot.go
@@ -82,10 +82,10 @@
 	return merged
 }
 
-// HoldingHighest returns the indexes of the slots with the highest acceptance among them. Where
+// HighestIndexes returns the indexes of the slots with the highest acceptance among them. Where
 // these are a majority, that value was decided, and none after it was when the slots were asked
 // for.
-func HoldingHighest(slots []Slot) []int {
+func HighestIndexes(slots []Slot) []int {
 	var indexes []int
 	highest := Highest(slots)
 	for i, slot := range slots {
--- a/internal/control/model/proposer_test.go
+++ b/internal/control/model/proposer_test.go
@@ -131,7 +131,7 @@
 			copies = append(copies, s.reader.slots[voter].expand())
 		}
 	}
-	if len(acceptor.HoldingHighest(copies)) < sizes.Majority() {
+	if len(acceptor.HighestIndexes(copies)) < sizes.Majority() {
 		return
 	}
 	highest := compact(acceptor.Highest(copies))
--- a/internal/control/register/decision.go
+++ b/internal/control/register/decision.go
@@ -100,7 +100,7 @@
 		slots = append(slots, response.Value.Slots[key])
 	}
 	var highest peekResponses
-	for _, i := range acceptor.HoldingHighest(slots) {
+	for _, i := range acceptor.HighestIndexes(slots) {
 		highest = append(highest, responses[i])
 	}
 	return highest
--- a/internal/placement/controller/decommission.go
+++ b/internal/placement/controller/decommission.go
@@ -132,12 +132,12 @@
 	}
 	switch {
 	case !awaited:
-	case live && order.WentAway:
+	case live && order.Departed:
 		order.Returned = true
 	case hasNewDisk && c.hasLasted(view, c.newDiskSince, order.Node):
 		order.Returned = true
 	case !live && c.hasLasted(view, c.absentSince, order.Node):
-		order.WentAway = true
+		order.Departed = true
 	}
 	return order
 }
--- a/internal/placement/decommission/order.go
+++ b/internal/placement/decommission/order.go
@@ -36,9 +36,9 @@
 	Done bool `json:"done"`
 	// RemainingRecords counts the records that name the machine.
 	RemainingRecords int `json:"left"`
-	// WentAway reports that the emptied machine was gone for the replacement delay, Returned that it
-	// came back afterwards and serves.
-	WentAway bool `json:"away,omitempty"`
+	// Departed reports that the emptied machine was absent for the replacement delay. Returned reports
+	// that it came back afterwards and serves.
+	Departed bool `json:"away,omitempty"`
 	Returned bool `json:"back,omitempty"`
 }
 
@@ -79,7 +79,7 @@
 	}
 	var unneeded []Order
 	for _, order := range o {
-		if order.Returned || order.WentAway {
+		if order.Returned || order.Departed {
 			unneeded = append(unneeded, order)
 		}
 	}
--- a/internal/placement/decommission/order_test.go
+++ b/internal/placement/decommission/order_test.go
@@ -38,7 +38,7 @@
 	assert.Equal(t, len(orders), MaxOrders)
 	for _, i := range []int{7, 5} {
 		order := orders[fmt.Sprint("s", i)]
-		order.Done, order.WentAway = true, true
+		order.Done, order.Departed = true, true
 		orders[order.Node] = order
 	}
 	assert.Assert(t, orders.Add(Order{Node: "one more"}))
