--- a/internal/control/acceptor/acceptor.go
+++ b/internal/control/acceptor/acceptor.go
@@ -51,11 +51,11 @@
 // first call.
 func (a *Acceptor) Start(
 	incarnation string,
-	j *journal.Journal,
+	diskJournal *journal.Journal,
 	checkBootstrap func(voters.Set) error,
 	onActivate func(voters.Set),
 ) {
-	a.incarnation, a.journal, a.checkBootstrap, a.onActivate = incarnation, j, checkBootstrap, onActivate
+	a.incarnation, a.journal, a.checkBootstrap, a.onActivate = incarnation, diskJournal, checkBootstrap, onActivate
 }
 
 // VoterSet returns the voter set that this voter is under; its Sequence is 0 before the bootstrap.
--- a/internal/control/acceptor/acceptor_test.go
+++ b/internal/control/acceptor/acceptor_test.go
@@ -22,12 +22,12 @@
 	t.Helper()
 	a := New()
 	parts := map[uint16]journal.Part{recordtype.Slot: a, recordtype.VoterSet: a}
-	j, _, err := journal.Open(disk, clock.Real{}, parts, []journal.Part{a})
+	diskJournal, _, err := journal.Open(disk, clock.Real{}, parts, []journal.Part{a})
 	assert.NilError(t, err)
 	runCtx, stop := context.WithCancel(ctx)
 	t.Cleanup(stop)
-	go j.Run(runCtx)
-	a.Start(incarnation, j, func(voters.Set) error { return nil }, func(voters.Set) {})
+	go diskJournal.Run(runCtx)
+	a.Start(incarnation, diskJournal, func(voters.Set) error { return nil }, func(voters.Set) {})
 	return a
 }
 
--- a/internal/control/acceptor/activate.go
+++ b/internal/control/acceptor/activate.go
@@ -51,10 +51,10 @@
 // bootstrap other than the one that was agreed to last.
 func checkActivation(current voters.Set, agreed *voters.Set, request *ActivateRequest) error {
 	next := request.VoterSet
-	foreign := apierror.New(apierror.DiskForeign, "this disk is of fleet %s", current.Fleet)
+	foreignErr := apierror.New(apierror.DiskForeign, "this disk is of fleet %s", current.Fleet)
 	if current.Sequence >= next.Sequence {
 		if current.Fleet != next.Fleet {
-			return foreign
+			return foreignErr
 		}
 		return nil
 	}
@@ -62,7 +62,7 @@
 		return apierror.New(apierror.StaleVoterSet, "another bootstrap was agreed to since")
 	}
 	if current.Sequence > 0 && current.Fleet != next.Fleet {
-		return foreign
+		return foreignErr
 	}
 	return nil
 }
--- a/internal/control/acceptor/cancel_test.go
+++ b/internal/control/acceptor/cancel_test.go
@@ -46,28 +46,28 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { checkNoStaleSlot(t, next) })
+			synctest.Test(t, func(t *testing.T) { checkSlotAfterCancel(t, next) })
 		})
 	}
 }
 
-func checkNoStaleSlot(t *testing.T, next func(*Acceptor) (*SlotResponse, error)) {
+func checkSlotAfterCancel(t *testing.T, next func(*Acceptor) (*SlotResponse, error)) {
 	t.Helper()
 	disk := &slowDisk{memlog.New(), make(chan chan struct{}, 1)}
 	a := startActivated(t, disk)
 	promise(t, a, epochOf(1, "c1"))
 	accept(t, a, epochOf(1, "c1"), 1, "a")
 	release := disk.block()
-	callCtx, giveUp := context.WithCancel(ctx)
-	gaveUp := make(chan error, 1)
+	callCtx, cancelCall := context.WithCancel(ctx)
+	callErr := make(chan error, 1)
 	go func() {
 		value := Value{Version: 2, Body: []byte("b")}
 		_, err := a.Accept(callCtx, &AcceptRequest{Target: targetOf("k"), Epoch: epochOf(1, "c1"), Value: value})
-		gaveUp <- err
+		callErr <- err
 	}()
 	synctest.Wait()
-	giveUp()
-	assert.Assert(t, <-gaveUp != nil)
+	cancelCall()
+	assert.Assert(t, <-callErr != nil)
 	var response *SlotResponse
 	done := make(chan error, 1)
 	go func() {
--- a/internal/control/bootstrap/bootstrapper.go
+++ b/internal/control/bootstrap/bootstrapper.go
@@ -63,7 +63,7 @@
 func (b *Bootstrapper) hasNamedFounders() bool { return len(b.options.Founders) > 0 }
 
 // isBySeeds reports whether the seeds alone found the fleet.
-func (b *Bootstrapper) isBySeeds() bool {
+func (b *Bootstrapper) seedsBootstrap() bool {
 	return !b.hasNamedFounders() && b.options.BootstrapBy == settings.BootstrapSeeds
 }
 
@@ -73,7 +73,7 @@
 	switch {
 	case b.hasNamedFounders():
 		addresses = slices.Clone(b.options.Founders)
-	case b.isBySeeds():
+	case b.seedsBootstrap():
 		addresses = slices.Clone(b.options.Seeds)
 	default:
 		addresses = append([]string{b.options.DialAddress()}, b.options.Seeds...)
@@ -124,7 +124,7 @@
 				"founder %s at %s has no control disk", node.Name, result.Target)
 		}
 	}
-	if len(founders) == 0 && b.isBySeeds() {
+	if len(founders) == 0 && b.seedsBootstrap() {
 		return []voters.Voter{voterOf(b.self())}, nil
 	}
 	if len(founders) == 0 {
@@ -171,7 +171,7 @@
 	if planned.Voters[0].Node != b.options.Name {
 		return planned, apierror.New(apierror.NotBootstrapped, "%s bootstraps the fleet", planned.Voters[0].Node)
 	}
-	if b.isBySeeds() && !slices.Contains(b.options.Seeds, b.options.DialAddress()) {
+	if b.seedsBootstrap() && !slices.Contains(b.options.Seeds, b.options.DialAddress()) {
 		if err := b.collectGrants(ctx, planned); err != nil {
 			return planned, err
 		}
--- a/internal/control/model/model_test.go
+++ b/internal/control/model/model_test.go
@@ -28,10 +28,10 @@
 	violation string
 }
 
-func (e *exploration) add(s state) {
-	if _, ok := e.seen[s]; !ok {
-		e.seen[s] = struct{}{}
-		e.pending = append(e.pending, s)
+func (e *exploration) add(added state) {
+	if _, ok := e.seen[added]; !ok {
+		e.seen[added] = struct{}{}
+		e.pending = append(e.pending, added)
 	}
 }
 
@@ -43,53 +43,53 @@
 
 // decide notes that a majority has accepted a value: no other value may ever be decided under the
 // same version.
-func (e *exploration) decide(s *state, version, value int8) {
-	if before := s.decided[version]; before != 0 && before != value {
+func (e *exploration) decide(next *state, version, value int8) {
+	if before := next.decided[version]; before != 0 && before != value {
 		e.violate("version %d was decided as %s and as %s", version, changeIDs[before], changeIDs[value])
 	}
-	s.decided[version] = value
-	s.maxDecided = max(s.maxDecided, version)
+	next.decided[version] = value
+	next.maxDecided = max(next.maxDecided, version)
 }
 
 // step adds all states that follow a state.
-func (e *exploration) step(s state) {
+func (e *exploration) step(current state) {
 	for i := range e.attempts {
-		e.propose(s, i)
+		e.propose(current, i)
 		for voter := range voterCount {
-			e.promise(s, i, voter)
-			e.reaccept(s, i, voter)
-			e.acceptChange(s, i, voter)
+			e.promise(current, i, voter)
+			e.reaccept(current, i, voter)
+			e.acceptChange(current, i, voter)
 		}
 	}
 	if e.read {
-		e.quorumRead(s)
+		e.quorumRead(current)
 	}
 	if e.replace {
-		e.reconfigure(s)
+		e.reconfigure(current)
 	}
 }
 
 // explore goes on until nothing new is seen, or a violation is.
-func explore(b bounds) *exploration {
-	e := &exploration{bounds: b, seen: map[state]struct{}{}}
+func explore(limits bounds) *exploration {
+	search := &exploration{bounds: limits, seen: map[state]struct{}{}}
 	var initial state
 	for voter := range voterCount {
 		if contains(members[1], voter) {
 			initial.disks[voter].voterSet = 1
 		}
 	}
-	e.add(initial)
-	for len(e.pending) > 0 && e.violation == "" {
-		last := len(e.pending) - 1
-		s := e.pending[last]
-		e.pending = e.pending[:last]
-		e.step(s)
+	search.add(initial)
+	for len(search.pending) > 0 && search.violation == "" {
+		last := len(search.pending) - 1
+		current := search.pending[last]
+		search.pending = search.pending[:last]
+		search.step(current)
 	}
-	return e
+	return search
 }
 
 func TestEveryRunWithinSmallBounds(t *testing.T) {
-	if raced {
+	if raceEnabled {
 		t.Skip("runs without the race detector: it has one goroutine an exploration, and millions of states")
 	}
 	for _, test := range []struct {
@@ -102,10 +102,10 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			e := explore(test.bounds)
-			t.Logf("%d states", len(e.seen))
-			assert.Equal(t, e.violation, "")
-			assert.Assert(t, len(e.seen) >= test.minStates, "void: %d states", len(e.seen))
+			search := explore(test.bounds)
+			t.Logf("%d states", len(search.seen))
+			assert.Equal(t, search.violation, "")
+			assert.Assert(t, len(search.seen) >= test.minStates, "void: %d states", len(search.seen))
 		})
 	}
 }
--- a/internal/control/model/race_off_test.go
+++ b/internal/control/model/race_off_test.go
@@ -2,4 +2,4 @@
 
 package model
 
-const raced = false
+const raceEnabled = false
--- a/internal/control/model/race_on_test.go
+++ b/internal/control/model/race_on_test.go
@@ -2,4 +2,4 @@
 
 package model
 
-const raced = true
+const raceEnabled = true
--- a/internal/control/model/state_test.go
+++ b/internal/control/model/state_test.go
@@ -22,9 +22,9 @@
 var members = [3]uint8{0, 0b0111, 0b1011}
 
 // sizes has the product's own rules compute majority and seal quorum.
-var sizes = voters.Set{Voters: make([]voters.Voter, 3)}
+var quorumSizes = voters.Set{Voters: make([]voters.Voter, 3)}
 
-func isMajority(voterBits uint8) bool { return bits.OnesCount8(voterBits) >= sizes.Majority() }
+func isMajority(voterBits uint8) bool { return bits.OnesCount8(voterBits) >= quorumSizes.Majority() }
 
 func contains(voterBits uint8, voter int) bool { return voterBits>>voter&1 == 1 }
 
@@ -40,9 +40,9 @@
 	}
 }
 
-func compact(s acceptor.Slot) slot {
-	value := slices.Index(changeIDs[:], s.Value.ChangeID)
-	return slot{int8(s.Promised.Number), int8(s.Accepted.Number), int8(s.Value.Version), int8(value)}
+func compact(expanded acceptor.Slot) slot {
+	value := slices.Index(changeIDs[:], expanded.Value.ChangeID)
+	return slot{int8(expanded.Promised.Number), int8(expanded.Accepted.Number), int8(expanded.Value.Version), int8(value)}
 }
 
 func epochOf(attempt int8) epoch.Epoch { return epoch.Epoch{Number: uint64(attempt)} }
@@ -106,6 +106,6 @@
 }
 
 func (s *state) serves(voter int, voterSet int8) bool {
-	d := s.disks[voter]
-	return d.voterSet == voterSet && !d.sealed && !d.wiped && contains(members[voterSet], voter)
+	voterDisk := s.disks[voter]
+	return voterDisk.voterSet == voterSet && !voterDisk.sealed && !voterDisk.wiped && contains(members[voterSet], voter)
 }
--- a/internal/control/quorumread/confirmer.go
+++ b/internal/control/quorumread/confirmer.go
@@ -38,9 +38,9 @@
 
 const (
 	// youngDivisor divides a lease: a confirmation is young for that part of it.
-	youngDivisor = 2
+	recentDivisor = 2
 	// readersOfDiffering is how many nodes read a key whose copies differ, on the average.
-	readersOfDiffering = 2
+	expectedReaders = 2
 )
 
 // Confirmer keeps the confirmation of one control node fresh. Its exported fields are set before
@@ -119,7 +119,7 @@
 	if voterSet.Sequence == 0 {
 		return
 	}
-	asked := c.Clock.Now()
+	askedAt := c.Clock.Now()
 	ctx, stop := context.WithTimeout(ctx, c.Timing.CallTimeout())
 	defer stop()
 	copies := c.gatherCopies(ctx, voterSet)
@@ -128,7 +128,7 @@
 	}
 	highest, identical := compareCopies(copies)
 	c.Proposer.ObserveEpoch(ConfigurationKey, highest.Promised, highest.Value.Successor)
-	if identical && c.renew(asked, highest.Value.Version) {
+	if identical && c.renew(askedAt, highest.Value.Version) {
 		return
 	}
 	if !c.mayRead(voterSet, identical) {
@@ -148,7 +148,7 @@
 	if !identical {
 		c.Repairer.Repair(ctx, voterSet, ConfigurationKey)
 	}
-	c.record(asked, config.Sequence, value.Version)
+	c.recordConfirmation(askedAt, config.Sequence, value.Version)
 }
 
 // gatherCopies peeks at the configuration's register until a majority has answered.
@@ -162,7 +162,7 @@
 		})
 	}
 	responses := quorum.Gather(ctx, voterSet.Voters, peek, func(responses peekResponses) bool {
-		c.noteAnswers(responses, voterSet.Majority())
+		c.recordAnswers(responses, voterSet.Majority())
 		return len(quorum.Successes(responses)) >= voterSet.Majority()
 	})
 	c.endRound()
@@ -198,7 +198,7 @@
 
 // noteAnswers notes whether a majority has answered. A voter that rejects the question, as while
 // the voter set changes, has answered.
-func (c *Confirmer) noteAnswers(responses peekResponses, majority int) {
+func (c *Confirmer) recordAnswers(responses peekResponses, majority int) {
 	answered := 0
 	for _, response := range responses {
 		if !apierror.HasCode(response.Err, apierror.Unreachable) {
@@ -231,26 +231,26 @@
 	if identical || c.confirmation.At.IsZero() {
 		return true
 	}
-	isYoung := c.Clock.Now().Sub(c.confirmation.At) < c.Timing.LeaseDuration()/youngDivisor
-	return !isYoung && rand.IntN(len(voterSet.Voters)) < readersOfDiffering
+	isRecent := c.Clock.Now().Sub(c.confirmation.At) < c.Timing.LeaseDuration()/recentDivisor
+	return !isRecent && rand.IntN(len(voterSet.Voters)) < expectedReaders
 }
 
 // renew confirms the sequence of the last confirmation again, if the register still has the same
 // version.
-func (c *Confirmer) renew(asked time.Time, version uint64) bool {
+func (c *Confirmer) renew(askedAt time.Time, version uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.confirmation.OK || version != c.version {
 		return false
 	}
-	c.confirmation.At = asked
+	c.confirmation.At = askedAt
 	return true
 }
 
-func (c *Confirmer) record(asked time.Time, sequence, version uint64) {
+func (c *Confirmer) recordConfirmation(askedAt time.Time, sequence, version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sequence = max(sequence, c.confirmation.Sequence)
-	c.confirmation = nodelease.Confirmation{OK: true, Sequence: sequence, At: asked}
+	c.confirmation = nodelease.Confirmation{OK: true, Sequence: sequence, At: askedAt}
 	c.version = version
 }
--- a/internal/control/reconfigurer/absences.go
+++ b/internal/control/reconfigurer/absences.go
@@ -21,7 +21,7 @@
 
 // update takes in which voters of the current set are live.
 func (a *absences) update(current voters.Set, live map[string]membership.Info, now time.Time) {
-	before := a.since
+	previous := a.since
 	a.since = map[string]time.Time{}
 	if a.zones == nil {
 		a.zones = map[string]string{}
@@ -32,7 +32,7 @@
 			continue
 		}
 		a.since[voter.Node] = now
-		if since, ok := before[voter.Node]; ok {
+		if since, ok := previous[voter.Node]; ok {
 			a.since[voter.Node] = since
 		}
 	}
--- a/internal/control/reconfigurer/plan.go
+++ b/internal/control/reconfigurer/plan.go
@@ -115,19 +115,19 @@
 // planSpareVoters gives up voters that are gone, as many as the next voter set has beyond what the
 // fleet was bootstrapped with: a new voter came in before they went.
 func (r *Reconfigurer) planSpareVoters(change *plannedChange, next voters.Set, now time.Time) {
-	var givenUp []string
+	var surplus []string
 	for _, voter := range next.Voters {
 		since, isAbsent := r.absent.since[voter.Node]
-		if !isAbsent || len(givenUp) >= next.SpareVoters() {
+		if !isAbsent || len(surplus) >= next.SpareVoters() {
 			continue
 		}
 		if now.Sub(since) < r.Timing.SessionTimeout()/2 {
 			change.waiting = true
 			continue
 		}
-		givenUp = append(givenUp, voter.Node)
+		surplus = append(surplus, voter.Node)
 	}
-	for _, name := range givenUp {
+	for _, name := range surplus {
 		change.removed = append(change.removed, name)
 		change.reasons = append(change.reasons, name+" is gone, and the voters suffice without it")
 	}
--- a/internal/control/reconfigurer/reconfigurer.go
+++ b/internal/control/reconfigurer/reconfigurer.go
@@ -71,7 +71,7 @@
 func (r *Reconfigurer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		membersChanged, sealing := r.Changed(), r.Sealing()
-		pause := r.round(ctx)
+		pause := r.runRound(ctx)
 		if r.Clock.Sleep(ctx, r.Timing.MaxBackoff()/joinPauseDivisor) != nil {
 			return
 		}
@@ -80,7 +80,7 @@
 }
 
 // round does what is due and returns the longest pause until the next round.
-func (r *Reconfigurer) round(ctx context.Context) time.Duration {
+func (r *Reconfigurer) runRound(ctx context.Context) time.Duration {
 	pause := clock.Jitter(r.Timing.ReconcileInterval(), 1, rand.Float64())
 	callCtx, cancel := context.WithTimeout(ctx, r.Timing.Recovery)
 	defer cancel()
--- a/internal/control/register/accept.go
+++ b/internal/control/register/accept.go
@@ -17,7 +17,7 @@
 	if voterSet.Sequence != state.voterSet {
 		return apierror.New(apierror.StaleVoterSet, "voter set %d came into force", voterSet.Sequence)
 	}
-	p.edit(key, func(current *keyState) { current.leading, current.epoch = false, state.epoch })
+	p.updateState(key, func(current *keyState) { current.leading, current.epoch = false, state.epoch })
 	p.accepts.Add(1)
 	roundCtx, stop := context.WithTimeout(context.WithoutCancel(ctx), p.timing.CallTimeout())
 	done := make(chan error, 1)
@@ -52,7 +52,7 @@
 		}
 		return apierror.New(apierror.NoMajority, "the outcome of writing %s is not known: %v", key, err)
 	}
-	p.edit(key, func(current *keyState) {
+	p.updateState(key, func(current *keyState) {
 		if current.epoch != state.epoch {
 			return
 		}
--- a/internal/control/register/change.go
+++ b/internal/control/register/change.go
@@ -45,7 +45,9 @@
 
 // askLeader calls the presumed leader for no longer than a leader may take: after that the key is
 // claimed.
-func askLeader[A any](ctx context.Context, p *Proposer, call func(context.Context) (A, error)) (A, error) {
+func askLeader[Response any](
+	ctx context.Context, p *Proposer, call func(context.Context) (Response, error),
+) (Response, error) {
 	ctx, stop := context.WithTimeout(ctx, p.timing.ForwardTimeout())
 	defer stop()
 	return call(ctx)
--- a/internal/control/register/decision.go
+++ b/internal/control/register/decision.go
@@ -53,7 +53,7 @@
 
 // verdict returns nil when a majority granted a round, else why it failed: NotKeyLeader after a
 // rejection, StaleVoterSet, or NoMajority.
-func verdict(key string, voterSet voters.Set, responses slotResponses) error {
+func roundError(key string, voterSet voters.Set, responses slotResponses) error {
 	if grantCount(responses) >= voterSet.Majority() {
 		return nil
 	}
@@ -94,7 +94,7 @@
 }
 
 // holdingHighest returns the responses that have the highest acceptance among them.
-func holdingHighest(responses peekResponses, key string) peekResponses {
+func highestCopies(responses peekResponses, key string) peekResponses {
 	var slots []acceptor.Slot
 	for _, response := range responses {
 		slots = append(slots, response.Value.Slots[key])
--- a/internal/control/register/decision_test.go
+++ b/internal/control/register/decision_test.go
@@ -12,7 +12,7 @@
 )
 
 // A higher copy on one disk may or may not be decided, and what lies below it says nothing.
-func TestHoldingHighestCountsOnlyHighestCopies(t *testing.T) {
+func TestHighestCopiesExcludesLowerCopies(t *testing.T) {
 	copyOf := func(number, version uint64) quorum.Result[voters.Voter, *acceptor.PeekResponse] {
 		slot := acceptor.Slot{
 			Accepted: epoch.Epoch{Number: number, Node: "c1"},
@@ -33,6 +33,6 @@
 		{"one disk lags", peekResponses{copyOf(1, 1), copyOf(2, 2), copyOf(2, 2)}, 2},
 		{"none", nil, 0},
 	} {
-		assert.Equal(t, len(holdingHighest(test.copies, "k")), test.want, test.name)
+		assert.Equal(t, len(highestCopies(test.copies, "k")), test.want, test.name)
 	}
 }
--- a/internal/control/register/prepare.go
+++ b/internal/control/register/prepare.go
@@ -15,7 +15,7 @@
 // With yield it gives up as soon as another live node is seen to lead the key. The caller has the
 // key's lock.
 func (p *Proposer) acquire(ctx context.Context, key string, yield bool) (keyState, error) {
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		voterSet := p.peers.VoterSet()
 		if voterSet.Sequence == 0 {
 			return keyState{}, apierror.New(apierror.NotBootstrapped, "no voter set is known")
@@ -27,7 +27,7 @@
 		if p.draining.Load() {
 			return keyState{}, apierror.New(apierror.ShuttingDown, "this control node is stopping")
 		}
-		begun := p.clock.Now()
+		startedAt := p.clock.Now()
 		state, err := p.prepare(ctx, key, voterSet)
 		if err == nil {
 			return state, nil
@@ -36,14 +36,14 @@
 		if _, ok := p.otherLeader(key); ok && yield && rejected {
 			return keyState{}, err
 		}
-		if try == maxClaimRetries || ctx.Err() != nil || apierror.HasCode(err, apierror.StaleVoterSet) {
+		if attempt == maxClaimRetries || ctx.Err() != nil || apierror.HasCode(err, apierror.StaleVoterSet) {
 			return keyState{}, err
 		}
-		pause := p.timing.Backoff(claimBackoffStep*try) / 2
+		pause := p.timing.Backoff(claimBackoffStep*attempt) / 2
 		if rejected {
 			// Whoever won gets as long as this round took, so that two claims do not overtake each
 			// other for ever.
-			pause = max(pause, min(p.clock.Now().Sub(begun), p.timing.ForwardTimeout()))
+			pause = max(pause, min(p.clock.Now().Sub(startedAt), p.timing.ForwardTimeout()))
 		}
 		if p.clock.Sleep(ctx, clock.Jitter(pause, 2, rand.Float64())) != nil {
 			return keyState{}, err
@@ -65,18 +65,18 @@
 // prepare claims a key under a new epoch: a majority promises it, and the highest acceptance that
 // they report is accepted again under it.
 func (p *Proposer) prepare(ctx context.Context, key string, voterSet voters.Set) (keyState, error) {
-	before := p.state(key)
-	highest := before.highestSeen
-	if highest.Less(before.epoch) {
-		highest = before.epoch
+	previous := p.state(key)
+	highest := previous.highestSeen
+	if highest.Less(previous.epoch) {
+		highest = previous.epoch
 	}
-	claimed := highest.Next(p.self)
-	p.edit(key, func(state *keyState) { state.leading, state.epoch = false, claimed })
+	proposed := highest.Next(p.self)
+	p.updateState(key, func(state *keyState) { state.leading, state.epoch = false, proposed })
 	p.claims.Add(1)
 	gatherCtx, stop := context.WithTimeout(ctx, p.timing.CallTimeout())
 	defer stop()
 	promise := func(ctx context.Context, voter voters.Voter) (*acceptor.SlotResponse, error) {
-		request := &acceptor.PromiseRequest{Target: target(voterSet, voter, key), Epoch: claimed}
+		request := &acceptor.PromiseRequest{Target: target(voterSet, voter, key), Epoch: proposed}
 		return acceptor.Promise.Call(ctx, p.network, p.self, voter.Addr, request)
 	}
 	responses := quorum.Gather(gatherCtx, voterSet.Voters, promise, func(responses slotResponses) bool {
@@ -87,15 +87,15 @@
 	}
 	adopted := highestAccepted(responses)
 	state := keyState{
-		epoch:       claimed,
+		epoch:       proposed,
 		voterSet:    voterSet.Sequence,
 		value:       adopted.Value,
-		highestSeen: claimed,
+		highestSeen: proposed,
 		leaderHint:  p.self,
 	}
 	if adopted.Accepted.IsZero() {
 		state.leading = true
-		p.edit(key, func(current *keyState) { *current = state })
+		p.updateState(key, func(current *keyState) { *current = state })
 		return state, nil
 	}
 	value := adopted.Value
@@ -108,7 +108,7 @@
 
 // finishRound returns the verdict on a round, and notes the epoch of whoever it was rejected for.
 func (p *Proposer) finishRound(key string, voterSet voters.Set, responses slotResponses) error {
-	err := verdict(key, voterSet, responses)
+	err := roundError(key, voterSet, responses)
 	if rejection := firstRejection(responses); err != nil && rejection != nil {
 		p.ObserveEpoch(key, rejection.Promised, rejection.Value.Successor)
 	}
--- a/internal/control/register/proposer.go
+++ b/internal/control/register/proposer.go
@@ -44,7 +44,7 @@
 	onCommit CommitHandler
 	// locks has who proposes for a key do so one at a time; keys locks itself.
 	locks    *keylock.Locks
-	keys     *keylock.Map[string, keyState]
+	states   *keylock.Map[string, keyState]
 	draining atomic.Bool
 	claims   atomic.Uint64
 	accepts  atomic.Uint64
@@ -91,28 +91,28 @@
 		peers:    options.Peers,
 		onCommit: options.OnCommit,
 		locks:    keylock.New(lockShards),
-		keys:     keylock.NewMap[string, keyState](),
+		states:   keylock.NewMap[string, keyState](),
 	}
 }
 
 func (p *Proposer) state(key string) keyState {
-	state, _ := p.keys.Get(key)
+	state, _ := p.states.Get(key)
 	return state
 }
 
-func (p *Proposer) edit(key string, change func(*keyState)) {
-	p.keys.Update(key, func(state keyState, _ bool) (keyState, bool) {
+func (p *Proposer) updateState(key string, change func(*keyState)) {
+	p.states.Update(key, func(state keyState, _ bool) (keyState, bool) {
 		change(&state)
 		return state, true
 	})
 }
 
 func (p *Proposer) stopLeading(key string) {
-	p.edit(key, func(state *keyState) { state.leading = false })
+	p.updateState(key, func(state *keyState) { state.leading = false })
 }
 
 func (p *Proposer) forgetLeader(key string) {
-	p.edit(key, func(state *keyState) { state.leaderHint = "" })
+	p.updateState(key, func(state *keyState) { state.leaderHint = "" })
 }
 
 // Leads reports whether this node leads a key as far as it knows. ConfirmLeadership asks a
@@ -132,7 +132,7 @@
 // ObserveEpoch notes an epoch seen elsewhere: its node, or the successor that it named, is presumed
 // to lead the key.
 func (p *Proposer) ObserveEpoch(key string, seen epoch.Epoch, successor string) {
-	p.edit(key, func(state *keyState) {
+	p.updateState(key, func(state *keyState) {
 		if seen.Less(state.highestSeen) {
 			return
 		}
--- a/internal/control/register/proposer_test.go
+++ b/internal/control/register/proposer_test.go
@@ -32,17 +32,17 @@
 // grantingVoters say who leads a key, an error when who is nil, and promise the key to anybody.
 type grantingVoters struct {
 	threeVoters
-	who      *LeaderResponse
+	response *LeaderResponse
 	promised atomic.Int32
 }
 
 func (v *grantingVoters) Do(request *http.Request) (*http.Response, error) {
 	mux := http.NewServeMux()
 	Leader.Handle(mux, func(context.Context, *LeaderRequest) (*LeaderResponse, error) {
-		if v.who == nil {
+		if v.response == nil {
 			return nil, apierror.New(apierror.Unreachable, "c2 does not answer")
 		}
-		return v.who, nil
+		return v.response, nil
 	})
 	promise := func(_ context.Context, request *acceptor.PromiseRequest) (*acceptor.SlotResponse, error) {
 		v.promised.Add(1)
@@ -58,10 +58,10 @@
 // follows a live one that is named, and goes on where the chain of names ends at itself or nowhere.
 func TestClaimAsksThePresumedLeader(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		who    *LeaderResponse
-		hint   string
-		claims bool
+		name     string
+		response *LeaderResponse
+		hint     string
+		claims   bool
 	}{
 		{"it leads the key", &LeaderResponse{Leads: true}, "c2", false},
 		{"it does not answer", nil, "c2", false},
@@ -73,7 +73,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				network := &grantingVoters{who: test.who}
+				network := &grantingVoters{response: test.response}
 				proposer := New(Options{
 					Self: "c1", Network: network, Clock: clock.Real{}, Timing: settings.DefaultTiming, Peers: network,
 					OnCommit: func(string, acceptor.Value) {},
@@ -113,14 +113,14 @@
 		proposer := New(Options{
 			Self: "c1", Network: network, Clock: clock.Real{}, Timing: settings.Default().Timing(), Peers: network,
 		})
-		claimed := epoch.Epoch{Number: 3, Node: "c1"}
-		proposer.edit("k", func(state *keyState) {
+		promised := epoch.Epoch{Number: 3, Node: "c1"}
+		proposer.updateState("k", func(state *keyState) {
 			*state = keyState{
-				epoch:       claimed,
+				epoch:       promised,
 				voterSet:    network.VoterSet().Sequence,
 				leading:     true,
 				value:       acceptor.Value{Version: 4},
-				highestSeen: claimed,
+				highestSeen: promised,
 				leaderHint:  "c1",
 			}
 		})
--- a/internal/control/register/read.go
+++ b/internal/control/register/read.go
@@ -75,7 +75,7 @@
 		slot := copied.Value.Slots[key]
 		p.ObserveEpoch(key, slot.Promised, slot.Value.Successor)
 	}
-	highest := holdingHighest(copies, key)
+	highest := highestCopies(copies, key)
 	if len(highest) < voterSet.Majority() {
 		return acceptor.Value{}, false
 	}
@@ -116,7 +116,7 @@
 				stop()
 			}()
 		}
-		return len(holdingHighest(copies, key)) >= voterSet.Majority()
+		return len(highestCopies(copies, key)) >= voterSet.Majority()
 	}
 	peek := func(ctx context.Context, voter voters.Voter) (*acceptor.PeekResponse, error) {
 		return acceptor.Peek.Call(ctx, p.network, p.self, voter.Addr, &acceptor.PeekRequest{
--- a/internal/control/register/transfer.go
+++ b/internal/control/register/transfer.go
@@ -22,10 +22,10 @@
 	if err != nil || response.Leads {
 		return apierror.WithCause(apierror.NotKeyLeader, err, "%s is led by %s", key, presumed)
 	}
-	named := response.Hint
-	if _, live := p.peers.Live(named); live && named != p.self && named != presumed {
-		p.edit(key, func(state *keyState) { state.leaderHint = named })
-		return apierror.New(apierror.NotKeyLeader, "%s does not lead %s and names %s", presumed, key, named)
+	hint := response.Hint
+	if _, live := p.peers.Live(hint); live && hint != p.self && hint != presumed {
+		p.updateState(key, func(state *keyState) { state.leaderHint = hint })
+		return apierror.New(apierror.NotKeyLeader, "%s does not lead %s and names %s", presumed, key, hint)
 	}
 	return p.lockAndAcquire(ctx, key, false)
 }
@@ -35,7 +35,7 @@
 func (p *Proposer) TransferLeadership(ctx context.Context, successors []string) int {
 	p.draining.Store(true)
 	var keys []string
-	p.keys.Range(func(key string, state keyState) {
+	p.states.Range(func(key string, state keyState) {
 		if state.leading {
 			keys = append(keys, key)
 		}
@@ -71,7 +71,7 @@
 			return err
 		}
 	}
-	p.edit(key, func(state *keyState) { state.leading, state.leaderHint = false, successor })
+	p.updateState(key, func(state *keyState) { state.leading, state.leaderHint = false, successor })
 	addr, ok := p.peers.Live(successor)
 	if !ok {
 		return apierror.New(apierror.Unreachable, "%s is gone", successor)
--- a/internal/control/registerclient/client.go
+++ b/internal/control/registerclient/client.go
@@ -34,8 +34,8 @@
 	local   *register.Proposer
 
 	// mu guards lastGood, the control node that last answered.
-	mu       sync.Mutex
-	lastGood string
+	mu            sync.Mutex
+	lastResponder string
 }
 
 // New returns a client; members returns the nodes that are known, and local is the node's own
@@ -57,19 +57,19 @@
 		return node.Disk == settings.DiskControl && node.Stage == membership.Serving && node.Name != c.self
 	})
 	c.mu.Lock()
-	lastGood := c.lastGood
+	lastResponder := c.lastResponder
 	c.mu.Unlock()
-	i := slices.IndexFunc(nodes, func(node membership.Info) bool { return node.Name == lastGood })
-	if i > 0 {
-		nodes = append(slices.Clone(nodes[i:]), nodes[:i]...)
+	first := slices.IndexFunc(nodes, func(node membership.Info) bool { return node.Name == lastResponder })
+	if first > 0 {
+		nodes = append(slices.Clone(nodes[first:]), nodes[:first]...)
 	}
 	return nodes
 }
 
-func (c *Client) noteGood(node string) {
+func (c *Client) setLastResponder(node string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lastGood = node
+	c.lastResponder = node
 }
 
 // ForwardOnce has one control node, any, do what a node without a control disk can't do itself.
@@ -138,7 +138,7 @@
 		if err == nil {
 			return *value, nil
 		}
-		if outcome.note(err, 0) || ctx.Err() != nil {
+		if outcome.addError(err, 0) || ctx.Err() != nil {
 			return acceptor.Value{}, outcome.err
 		}
 	}
@@ -146,7 +146,7 @@
 		return register.Change.Call(ctx, c.network, c.self, addr, request)
 	}
 	value, ok := hedge(ctx, c, change, func(err error, pending int) bool {
-		return outcome.note(err, pending) || ctx.Err() != nil
+		return outcome.addError(err, pending) || ctx.Err() != nil
 	})
 	if ok {
 		return *value, nil
@@ -164,7 +164,7 @@
 
 // note takes in the error of a call while others were pending, and reports whether no further call
 // can help.
-func (o *writeOutcome) note(err error, pending int) (isFinal bool) {
+func (o *writeOutcome) addError(err error, pending int) (isFinal bool) {
 	o.err = err
 	o.uncertain = o.uncertain || pending > 0
 	switch apierror.From(err).Code {
--- a/internal/control/registerclient/hedge.go
+++ b/internal/control/registerclient/hedge.go
@@ -51,7 +51,7 @@
 			stopDelay()
 			pending--
 			if answered.err == nil {
-				c.noteGood(answered.from)
+				c.setLastResponder(answered.from)
 				return answered.value, true
 			}
 			if onError(answered.err, pending) {
--- a/internal/keylock/locks.go
+++ b/internal/keylock/locks.go
@@ -15,8 +15,8 @@
 type Locks struct{ locks []chan struct{} }
 
 // New makes n locks.
-func New(n int) *Locks {
-	l := &Locks{locks: make([]chan struct{}, n)}
+func New(count int) *Locks {
+	l := &Locks{locks: make([]chan struct{}, count)}
 	for i := range l.locks {
 		l.locks[i] = make(chan struct{}, 1)
 	}
@@ -39,13 +39,13 @@
 }
 
 func (l *Locks) lock(ctx context.Context, i int) (func(), error) {
-	if err := l.take(ctx, i); err != nil {
+	if err := l.acquire(ctx, i); err != nil {
 		return nil, err
 	}
 	return func() { <-l.locks[i] }, nil
 }
 
-func (l *Locks) take(ctx context.Context, i int) error {
+func (l *Locks) acquire(ctx context.Context, i int) error {
 	select {
 	case l.locks[i] <- struct{}{}:
 		return nil
@@ -57,18 +57,18 @@
 // LockAll takes every lock and returns the function that releases them; Unreachable when ctx ends
 // before.
 func (l *Locks) LockAll(ctx context.Context) (func(), error) {
-	taken := 0
+	acquired := 0
 	release := func() {
-		for i := range taken {
+		for i := range acquired {
 			<-l.locks[i]
 		}
 	}
 	for i := range l.locks {
-		if err := l.take(ctx, i); err != nil {
+		if err := l.acquire(ctx, i); err != nil {
 			release()
 			return nil, err
 		}
-		taken++
+		acquired++
 	}
 	return release, nil
 }
--- a/internal/keylock/map.go
+++ b/internal/keylock/map.go
@@ -56,7 +56,7 @@
 }
 
 // Range runs visit on a copy of every pair, without a lock.
-func (m *Map[K, V]) Range(visit func(K, V)) {
+func (m *Map[K, V]) Range(each func(K, V)) {
 	for i := range m.shards {
 		s := &m.shards[i]
 		s.mu.Lock()
@@ -67,7 +67,7 @@
 		}
 		s.mu.Unlock()
 		for n := range keys {
-			visit(keys[n], values[n])
+			each(keys[n], values[n])
 		}
 	}
 }
--- a/internal/placement/controller/balance.go
+++ b/internal/placement/controller/balance.go
@@ -64,13 +64,13 @@
 		if !ok {
 			continue
 		}
-		m := view.machines[successor.Node]
-		if m.excluded || m.Disk != settings.DiskStorage {
+		host := view.machines[successor.Node]
+		if host.excluded || host.Disk != settings.DiskStorage {
 			continue
 		}
 		load := view.partitionLoad(record)
-		if after := max(source.load-load, m.load+load); after < highest {
-			best, target, highest = record, m, after
+		if after := max(source.load-load, host.load+load); after < highest {
+			best, target, highest = record, host, after
 		}
 	}
 	return best, target, highest
--- a/internal/placement/controller/clusterview.go
+++ b/internal/placement/controller/clusterview.go
@@ -42,7 +42,7 @@
 	learners      int
 	decommissions decommission.Orders
 	// usualLatency is the median of the machines' heartbeat latencies.
-	usualLatency time.Duration
+	medianLatency time.Duration
 }
 
 // currentView reads the decommissionings by quorum and makes the view of a round.
@@ -58,7 +58,7 @@
 	view.addMachines(c.Live())
 	view.addRecords(c.records)
 	c.observeSlow(view)
-	c.observeGone(view)
+	c.observeMissing(view)
 	c.observeEmpty(view)
 	return view, nil
 }
@@ -128,34 +128,34 @@
 }
 
 // canReceive reports whether a machine may be given a replica; nil can't.
-func (v *clusterView) canReceive(m *machine) bool {
-	if m == nil || m.excluded || m.DiskHealth != "" || m.Deaf || m.Stage != membership.Serving {
+func (v *clusterView) canReceive(target *machine) bool {
+	if target == nil || target.excluded || target.DiskHealth != "" || target.Deaf || target.Stage != membership.Serving {
 		return false
 	}
-	return m.Disk == settings.DiskStorage || v.storageMachines < v.replicationFactor
+	return target.Disk == settings.DiskStorage || v.storageMachines < v.replicationFactor
 }
 
 // observeGone notes since when machines that records name are gone, and since when live ones are
 // deaf.
-func (c *Controller) observeGone(view *clusterView) {
+func (c *Controller) observeMissing(view *clusterView) {
 	for name, m := range view.machines {
-		delete(c.goneSince, name)
+		delete(c.missingSince, name)
 		if !m.Deaf {
-			delete(c.deafSince, name)
-		} else if c.deafSince[name].IsZero() {
-			c.deafSince[name] = view.now
+			delete(c.withoutLeaseSince, name)
+		} else if c.withoutLeaseSince[name].IsZero() {
+			c.withoutLeaseSince[name] = view.now
 		}
 	}
 	for _, record := range c.records {
 		for _, replica := range record.Replicas {
-			if _, ok := view.machines[replica.Node]; !ok && c.goneSince[replica.Node].IsZero() {
-				c.goneSince[replica.Node] = view.now
+			if _, ok := view.machines[replica.Node]; !ok && c.missingSince[replica.Node].IsZero() {
+				c.missingSince[replica.Node] = view.now
 			}
 		}
 	}
-	for name := range c.goneSince {
+	for name := range c.missingSince {
 		if !c.isReplicaAnywhere(name) {
-			delete(c.goneSince, name)
+			delete(c.missingSince, name)
 		}
 	}
 }
@@ -173,7 +173,7 @@
 // with all its replicas. It rests on what observeGone noted.
 func (c *Controller) observeEmpty(view *clusterView) {
 	for name := range c.emptySince {
-		if m, ok := view.machines[name]; !ok || m.replicas > 0 && len(c.goneSince) == 0 {
+		if m, ok := view.machines[name]; !ok || m.replicas > 0 && len(c.missingSince) == 0 {
 			delete(c.emptySince, name)
 		}
 	}
@@ -197,8 +197,8 @@
 	if len(latencies) == 0 {
 		return
 	}
-	view.usualLatency = time.Duration(latencies[len(latencies)/2]) * time.Microsecond
-	threshold := max(settings.SlowFactor*view.usualLatency, c.Timing.SlowThreshold())
+	view.medianLatency = time.Duration(latencies[len(latencies)/2]) * time.Microsecond
+	threshold := max(settings.SlowFactor*view.medianLatency, c.Timing.SlowThreshold())
 	for name, m := range view.machines {
 		latency := time.Duration(m.LatencyMicros) * time.Microsecond
 		switch since := c.slowSince[name]; {
--- a/internal/placement/controller/controller.go
+++ b/internal/placement/controller/controller.go
@@ -23,7 +23,7 @@
 
 // roundPauseFraction is the divisor of the longest backoff that makes the least pause between
 // rounds.
-const roundPauseFraction = 4
+const roundPauseDivisor = 4
 
 // Controller places partitions while this control node leads Key.
 type Controller struct {
@@ -56,16 +56,16 @@
 // observations hold since when something has been seen, by machine or by partition. They begin anew
 // when the controller becomes active.
 type observations struct {
-	goneSince map[string]time.Time
-	deafSince map[string]time.Time
-	slowSince map[string]time.Time
+	missingSince      map[string]time.Time
+	withoutLeaseSince map[string]time.Time
+	slowSince         map[string]time.Time
 	// emptySince are the storage machines that were empty when they were first seen, until
 	// nothing is gone.
 	emptySince map[string]time.Time
 	// absentSince are decommissioned machines that are gone, newDiskSince those that are there with
 	// another disk.
-	absentSince  map[string]time.Time
-	newDiskSince map[string]time.Time
+	departedSince map[string]time.Time
+	newDiskSince  map[string]time.Time
 	// epochs are the epochs of the partitions, epochSince when they were first seen.
 	epochs     map[int]uint64
 	epochSince map[int]time.Time
@@ -73,14 +73,14 @@
 
 func newObservations() observations {
 	return observations{
-		goneSince:    map[string]time.Time{},
-		deafSince:    map[string]time.Time{},
-		slowSince:    map[string]time.Time{},
-		emptySince:   map[string]time.Time{},
-		absentSince:  map[string]time.Time{},
-		newDiskSince: map[string]time.Time{},
-		epochs:       map[int]uint64{},
-		epochSince:   map[int]time.Time{},
+		missingSince:      map[string]time.Time{},
+		withoutLeaseSince: map[string]time.Time{},
+		slowSince:         map[string]time.Time{},
+		emptySince:        map[string]time.Time{},
+		departedSince:     map[string]time.Time{},
+		newDiskSince:      map[string]time.Time{},
+		epochs:            map[int]uint64{},
+		epochSince:        map[int]time.Time{},
 	}
 }
 
@@ -100,7 +100,7 @@
 	if !c.active {
 		return c.Clock.Sleep(ctx, interval)
 	}
-	if err := c.Clock.Sleep(ctx, c.Timing.MaxBackoff()/roundPauseFraction); err != nil {
+	if err := c.Clock.Sleep(ctx, c.Timing.MaxBackoff()/roundPauseDivisor); err != nil {
 		return err
 	}
 	clock.Wait(ctx, c.Clock, interval, c.membersChanged, c.storeChanged)
@@ -112,7 +112,7 @@
 func (c *Controller) runOnce(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timing.Recovery)
 	defer cancel()
-	if !c.lead(ctx) {
+	if !c.ensureLeadership(ctx) {
 		if c.active {
 			c.Log.Log(event.ControllerStopped)
 		}
@@ -120,16 +120,16 @@
 		return
 	}
 	if !c.active {
-		c.start(ctx)
+		c.activate(ctx)
 	}
 	if c.active {
-		c.round(ctx)
+		c.runRound(ctx)
 	}
 }
 
 // lead claims Key if this control node doesn't lead it, and reports whether a majority confirms
 // that it does.
-func (c *Controller) lead(ctx context.Context) bool {
+func (c *Controller) ensureLeadership(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, c.Timing.CallTimeout())
 	defer cancel()
 	if !c.Proposer.Leads(Key) {
@@ -141,7 +141,7 @@
 }
 
 // start reads all records by quorum. The controller becomes active only if it has every one.
-func (c *Controller) start(ctx context.Context) {
+func (c *Controller) activate(ctx context.Context) {
 	c.records, c.observations = map[int]assignment.Record{}, newObservations()
 	var partitions []int
 	for partition := range c.Store.VoterSet().Layout.PartitionCount() {
@@ -152,14 +152,14 @@
 			c.Log.Log(event.PlacementFailed, "partition", result.Target, "problem", result.Err)
 			return
 		}
-		c.keepRecord(result.Value)
+		c.applyRecord(result.Value)
 	}
 	c.active, c.activeSince, c.balancedAt = true, c.Clock.Now(), c.Clock.Now()
 	c.Log.Log(event.ControllerStarted, "partitions", len(c.records))
 }
 
 // round decides on all partitions, urgent ones first, then on load and decommissionings.
-func (c *Controller) round(ctx context.Context) {
+func (c *Controller) runRound(ctx context.Context) {
 	c.pending = nil
 	c.refreshRecords(ctx)
 	view, err := c.currentView(ctx)
@@ -183,9 +183,9 @@
 		}
 		c.adjustReplicas(view, record)
 	}
-	c.writePending(ctx)
+	c.writeChanges(ctx)
 	c.balanceLoad(view)
-	c.writePending(ctx)
+	c.writeChanges(ctx)
 	c.updateDecommissions(ctx, view)
 }
 
--- a/internal/placement/controller/decommission.go
+++ b/internal/placement/controller/decommission.go
@@ -101,7 +101,7 @@
 			c.reloadRecord(ctx, result.Target.Partition)
 			continue
 		}
-		c.keepRecord(result.Value)
+		c.applyRecord(result.Value)
 	}
 	return complete
 }
@@ -121,22 +121,22 @@
 // serves again once it was away for the replacement delay, or has been there for as long with
 // another disk. One that only restarted is still to be taken away.
 func (c *Controller) updateReturned(view *clusterView, order decommission.Order) decommission.Order {
-	m, live := view.machines[order.Node]
-	awaited := order.Done && !order.Returned
-	if !awaited || live {
-		delete(c.absentSince, order.Node)
+	host, live := view.machines[order.Node]
+	awaitsReturn := order.Done && !order.Returned
+	if !awaitsReturn || live {
+		delete(c.departedSince, order.Node)
 	}
-	hasNewDisk := live && order.Done && order.Disk != "" && m.Incarnation != order.Disk
+	hasNewDisk := live && order.Done && order.Disk != "" && host.Incarnation != order.Disk
 	if !hasNewDisk {
 		delete(c.newDiskSince, order.Node)
 	}
 	switch {
-	case !awaited:
+	case !awaitsReturn:
 	case live && order.Departed:
 		order.Returned = true
 	case hasNewDisk && c.hasLasted(view, c.newDiskSince, order.Node):
 		order.Returned = true
-	case !live && c.hasLasted(view, c.absentSince, order.Node):
+	case !live && c.hasLasted(view, c.departedSince, order.Node):
 		order.Departed = true
 	}
 	return order
--- a/internal/placement/controller/leadership.go
+++ b/internal/placement/controller/leadership.go
@@ -40,28 +40,28 @@
 // recovered and where a better one is there.
 func (c *Controller) leaderFault(view *clusterView, record assignment.Record) (reason string, wait bool) {
 	replica, placed := record.Replica(record.Leader)
-	m := view.machines[record.Leader]
+	leader := view.machines[record.Leader]
 	halfSession := c.Timing.SessionTimeout() / 2
 	switch {
-	case !placed || m != nil && m.Incarnation != replica.Incarnation:
+	case !placed || leader != nil && leader.Incarnation != replica.Incarnation:
 		return "the owner's disk is another one", false
-	case m == nil && view.now.Sub(c.goneSince[record.Leader]) < c.absenceWait(view):
+	case leader == nil && view.now.Sub(c.missingSince[record.Leader]) < c.absenceWait(view):
 		return "", true
-	case m == nil:
+	case leader == nil:
 		return "the owner is gone", false
-	case m.DiskHealth != "":
-		return "the owner's disk fails: " + m.DiskHealth, false
-	case m.Stage != membership.Serving:
+	case leader.DiskHealth != "":
+		return "the owner's disk fails: " + leader.DiskHealth, false
+	case leader.Stage != membership.Serving:
 		return "the owner is stopping", false
-	case m.Deaf && view.now.Sub(c.deafSince[record.Leader]) >= halfSession:
+	case leader.Deaf && view.now.Sub(c.withoutLeaseSince[record.Leader]) >= halfSession:
 		return "the owner has no licence: it is heard but does not hear", false
-	case m.slow && m.slowFor >= halfSession:
+	case leader.slow && leader.slowFor >= halfSession:
 		if _, ok := view.bestLeader(record, record.Leader); !ok || !record.Recovered {
 			return "", false
 		}
-		latency := time.Duration(m.LatencyMicros) * time.Microsecond
-		return fmt.Sprintf("the owner is slow: its pulses take %s, %s are usual", latency, view.usualLatency), false
-	case m.excluded && len(record.Replicas) <= view.replicationFactor:
+		latency := time.Duration(leader.LatencyMicros) * time.Microsecond
+		return fmt.Sprintf("the owner is slow: its pulses take %s, %s are usual", latency, view.medianLatency), false
+	case leader.excluded && len(record.Replicas) <= view.replicationFactor:
 		successor, ok := view.bestLeader(record, record.Leader)
 		if !ok || view.machines[successor.Node].excluded || !record.Recovered {
 			return "", false
--- a/internal/placement/controller/leadership_test.go
+++ b/internal/placement/controller/leadership_test.go
@@ -36,16 +36,16 @@
 		}, "the owner's disk is another one", false},
 		{"gone for a moment", func(s *situation) {
 			delete(s.view.machines, "s1")
-			s.controller.goneSince["s1"] = s.view.now.Add(time.Millisecond - timing.PreviousLeaderWait())
+			s.controller.missingSince["s1"] = s.view.now.Add(time.Millisecond - timing.PreviousLeaderWait())
 		}, "", true},
 		{"gone", func(s *situation) {
 			delete(s.view.machines, "s1")
-			s.controller.goneSince["s1"] = s.view.now.Add(-timing.PreviousLeaderWait())
+			s.controller.missingSince["s1"] = s.view.now.Add(-timing.PreviousLeaderWait())
 		}, "the owner is gone", false},
 		{"gone, to a new controller", func(s *situation) {
 			delete(s.view.machines, "s1")
-			goneSince := s.view.now.Add(-timing.PreviousLeaderWait())
-			s.controller.activeSince, s.controller.goneSince["s1"] = goneSince, goneSince
+			missingSince := s.view.now.Add(-timing.PreviousLeaderWait())
+			s.controller.activeSince, s.controller.missingSince["s1"] = missingSince, missingSince
 		}, "", true},
 		{"a failing disk", func(s *situation) {
 			s.view.machines["s1"].DiskHealth = "disk_full"
@@ -54,10 +54,10 @@
 			s.view.machines["s1"].Stage = membership.Draining
 		}, "the owner is stopping", false},
 		{"deaf for a moment", func(s *situation) {
-			s.view.machines["s1"].Deaf, s.controller.deafSince["s1"] = true, s.view.now.Add(time.Millisecond-half)
+			s.view.machines["s1"].Deaf, s.controller.withoutLeaseSince["s1"] = true, s.view.now.Add(time.Millisecond-half)
 		}, "", false},
 		{"deaf", func(s *situation) {
-			s.view.machines["s1"].Deaf, s.controller.deafSince["s1"] = true, s.view.now.Add(-half)
+			s.view.machines["s1"].Deaf, s.controller.withoutLeaseSince["s1"] = true, s.view.now.Add(-half)
 		}, "the owner has no licence", false},
 		{"slow for a moment", func(s *situation) {
 			s.view.machines["s1"].slow, s.view.machines["s1"].slowFor = true, half-time.Millisecond
@@ -87,7 +87,7 @@
 		{"gone with another replica", func(s *situation) {
 			delete(s.view.machines, "s1")
 			delete(s.view.machines, "s2")
-			s.controller.goneSince["s1"] = s.view.now.Add(-timing.PreviousLeaderWait())
+			s.controller.missingSince["s1"] = s.view.now.Add(-timing.PreviousLeaderWait())
 		}, "", true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/placement/controller/records.go
+++ b/internal/placement/controller/records.go
@@ -21,14 +21,14 @@
 }
 
 // writePending writes all changes that were noted, at once.
-func (c *Controller) writePending(ctx context.Context) {
+func (c *Controller) writeChanges(ctx context.Context) {
 	changes := c.pending
 	c.pending = nil
 	for _, result := range quorum.Gather(ctx, changes, c.write, nil) {
 		if result.Err != nil {
 			continue
 		}
-		c.keepRecord(result.Value)
+		c.applyRecord(result.Value)
 		c.logPlaced(result.Target, result.Value)
 	}
 }
@@ -78,7 +78,7 @@
 }
 
 // keepRecord takes a record in, and has it spread to the other nodes.
-func (c *Controller) keepRecord(record assignment.Record) {
+func (c *Controller) applyRecord(record assignment.Record) {
 	c.records[record.Partition] = record
 	if record.Version > 0 {
 		c.Store.Apply(gossip.Update{Records: []assignment.Record{record}})
@@ -89,7 +89,7 @@
 // of it that builds on a stale version is rejected.
 func (c *Controller) reloadRecord(ctx context.Context, partition int) {
 	if record, err := c.fetchRecord(ctx, partition); err == nil {
-		c.keepRecord(record)
+		c.applyRecord(record)
 	}
 }
 
--- a/internal/placement/controller/replicas.go
+++ b/internal/placement/controller/replicas.go
@@ -113,23 +113,23 @@
 
 // replicaFault returns why a replica is to be replaced, "" for a good one.
 func (c *Controller) replicaFault(view *clusterView, record assignment.Record, replica assignment.Replica) string {
-	m, ok := view.machines[replica.Node]
+	host, ok := view.machines[replica.Node]
 	switch {
 	case !ok && view.decommissions.Excludes(replica.Node):
 		return "it is being emptied and gone"
 	case !ok:
 		wait := c.replacementWait(view, record, replica)
-		if view.now.Sub(c.goneSince[replica.Node]) > wait {
+		if view.now.Sub(c.missingSince[replica.Node]) > wait {
 			return "gone for longer than " + wait.String()
 		}
 		return ""
-	case m.Incarnation != replica.Incarnation:
+	case host.Incarnation != replica.Incarnation:
 		return "its disk is another one"
-	case m.excluded:
+	case host.excluded:
 		return "it is being emptied"
-	case m.DiskHealth != "":
+	case host.DiskHealth != "":
 		return "its disk fails"
-	case m.Disk != settings.DiskStorage && view.storageMachines >= view.replicationFactor:
+	case host.Disk != settings.DiskStorage && view.storageMachines >= view.replicationFactor:
 		return "storage machines suffice again"
 	}
 	return ""
@@ -151,7 +151,7 @@
 		switch emptySince, ok := c.emptySince[name]; {
 		case !ok:
 			wait = min(wait, c.Timing.Recovery)
-		case emptySince.Before(c.goneSince[replica.Node].Add(-c.Timing.SessionTimeout())):
+		case emptySince.Before(c.missingSince[replica.Node].Add(-c.Timing.SessionTimeout())):
 			wait = min(wait, c.Timing.SessionTimeout()/2)
 		default:
 			wait = min(wait, c.absenceWait(view))
@@ -194,32 +194,32 @@
 // A machine whose disk was replaced gets its replica back.
 func (c *Controller) addLearner(view *clusterView, record assignment.Record, replaced int) {
 	others := slices.Clone(record.Replicas)
-	var m *machine
+	var target *machine
 	if replaced >= 0 {
 		others = slices.Delete(others, replaced, replaced+1)
 		old := record.Replicas[replaced]
-		if same := view.machines[old.Node]; view.canReceive(same) && same.Incarnation != old.Incarnation {
-			m = same
+		if current := view.machines[old.Node]; view.canReceive(current) && current.Incarnation != old.Incarnation {
+			target = current
 		}
 	}
-	if m == nil {
-		m = view.candidate(others)
+	if target == nil {
+		target = view.candidate(others)
 	}
-	if m == nil {
+	if target == nil {
 		return
 	}
 	next := record
-	next.Learner = &assignment.Replica{Node: m.Name, Incarnation: m.Incarnation}
+	next.Learner = &assignment.Replica{Node: target.Name, Incarnation: target.Incarnation}
 	c.propose(record, next)
-	m.replicas++
+	target.replicas++
 	view.learners++
 }
 
 // surplusReplica returns the index of the replica to remove where all are good: one whose machine
 // isn't there, or else the one on the machine with the most replicas that doesn't lead.
 func (v *clusterView) surplusReplica(record assignment.Record) int {
-	gone := func(replica assignment.Replica) bool { return v.machines[replica.Node] == nil }
-	if index := slices.IndexFunc(record.Replicas, gone); index >= 0 {
+	isMissing := func(replica assignment.Replica) bool { return v.machines[replica.Node] == nil }
+	if index := slices.IndexFunc(record.Replicas, isMissing); index >= 0 {
 		return index
 	}
 	surplus := 0
--- a/internal/placement/controller/replicas_test.go
+++ b/internal/placement/controller/replicas_test.go
@@ -37,13 +37,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c, view, record := newFixture(test.machines...)
-			c.goneSince["s3"] = view.now
+			c.missingSince["s3"] = view.now
 			test.set(c, view)
 			replica, _ := record.Replica("s3")
 			assert.Equal(t, c.replacementWait(view, record, replica), test.want)
-			c.goneSince["s3"] = view.now.Add(-test.want)
+			c.missingSince["s3"] = view.now.Add(-test.want)
 			assert.Equal(t, c.replicaFault(view, record, replica), "")
-			c.goneSince["s3"] = view.now.Add(-test.want - 1)
+			c.missingSince["s3"] = view.now.Add(-test.want - 1)
 			assert.Equal(t, c.replicaFault(view, record, replica), "gone for longer than "+test.want.String())
 		})
 	}
--- a/internal/placement/decommission/order_test.go
+++ b/internal/placement/decommission/order_test.go
@@ -17,9 +17,9 @@
 	_, err = Parse([]byte(`{"s1":{"node":`))
 	assert.Assert(t, apierror.HasCode(err, apierror.DiskDamaged), "%v", err)
 	orders := Orders{"s1": {Node: "s1", Disk: "d", Done: true}}
-	again, err := Parse(orders.Marshal())
+	reparsed, err := Parse(orders.Marshal())
 	assert.NilError(t, err)
-	assert.DeepEqual(t, again, orders)
+	assert.DeepEqual(t, reparsed, orders)
 }
 
 // An order of a build that went by processes only stands like any other.
--- a/internal/quorum/gather.go
+++ b/internal/quorum/gather.go
@@ -10,26 +10,29 @@
 )
 
 // Result is what the call to one target returned.
-type Result[W, A any] struct {
-	Target W
-	Value  A
+type Result[Target, Value any] struct {
+	Target Target
+	Value  Value
 	Err    error
 }
 
 // Gather calls all targets at once and returns the results so far when isEnough, which may be nil,
 // says so, or all of them. When ctx ends, calls without a result count as Unreachable, so that
 // there is one result for each target.
-func Gather[W, A any](
-	ctx context.Context, targets []W, call func(context.Context, W) (A, error), isEnough func([]Result[W, A]) bool,
-) []Result[W, A] {
-	returned := make(chan Result[W, A], len(targets))
+func Gather[Target, Value any](
+	ctx context.Context,
+	targets []Target,
+	call func(context.Context, Target) (Value, error),
+	isEnough func([]Result[Target, Value]) bool,
+) []Result[Target, Value] {
+	returned := make(chan Result[Target, Value], len(targets))
 	for _, target := range targets {
 		go func() {
 			value, err := call(ctx, target)
-			returned <- Result[W, A]{target, value, err}
+			returned <- Result[Target, Value]{target, value, err}
 		}()
 	}
-	var results []Result[W, A]
+	var results []Result[Target, Value]
 	for range targets {
 		select {
 		case result := <-returned:
@@ -37,7 +40,7 @@
 		case <-ctx.Done():
 			for range len(targets) - len(results) {
 				err := apierror.WithCause(apierror.Unreachable, ctx.Err(), "no answer in time")
-				results = append(results, Result[W, A]{Err: err})
+				results = append(results, Result[Target, Value]{Err: err})
 			}
 			return results
 		}
@@ -49,8 +52,8 @@
 }
 
 // Successes returns the results without an error.
-func Successes[W, A any](results []Result[W, A]) []Result[W, A] {
-	var successes []Result[W, A]
+func Successes[Target, Value any](results []Result[Target, Value]) []Result[Target, Value] {
+	var successes []Result[Target, Value]
 	for _, result := range results {
 		if result.Err == nil {
 			successes = append(successes, result)
@@ -60,7 +63,7 @@
 }
 
 // FirstError returns the first error among the results, nil if there is none.
-func FirstError[W, A any](results []Result[W, A]) error {
+func FirstError[Target, Value any](results []Result[Target, Value]) error {
 	for _, result := range results {
 		if result.Err != nil {
 			return result.Err
--- a/internal/voters/set.go
+++ b/internal/voters/set.go
@@ -95,10 +95,10 @@
 func (s Set) Replace(added ...Voter) Set {
 	next := s
 	next.Sequence++
-	kept := slices.DeleteFunc(slices.Clone(s.Voters), func(voter Voter) bool {
-		return slices.ContainsFunc(added, func(a Voter) bool { return a.Node == voter.Node })
+	unchanged := slices.DeleteFunc(slices.Clone(s.Voters), func(voter Voter) bool {
+		return slices.ContainsFunc(added, func(addedVoter Voter) bool { return addedVoter.Node == voter.Node })
 	})
-	next.Voters = sortedByNode(append(kept, added...))
+	next.Voters = sortedByNode(append(unchanged, added...))
 	return next
 }
 
--- a/tools/mutations/control-acceptor.sh
+++ b/tools/mutations/control-acceptor.sh
@@ -1,7 +1,7 @@
 # Mutants of internal/control/acceptor.
-mutant highest-alike internal/control/acceptor/slot.go 's/\t\tif !highest\.NewerThan\(slot\) \{/\t\tif !highest.NewerThan(slot) || true {/' ./internal/control/register 'HighestCopies'
+mutant highest-copies-only internal/control/acceptor/slot.go 's/\t\tif !highest\.NewerThan\(slot\) \{/\t\tif !highest.NewerThan(slot) || true {/' ./internal/control/register 'HighestCopies'
 mutant voter-incarnation internal/control/acceptor/acceptor.go 's/if incarnation != a\.incarnation \{/if false \&\& incarnation != a.incarnation {/' ./internal/control/acceptor 'Wiped'
-mutant voter-roster internal/control/acceptor/acceptor.go 's/if current != target\.VoterSet \|\| target\.VoterSet == 0 \{/if target.VoterSet == 0 {/' ./internal/control/acceptor 'VoterSetSequence'
+mutant voter-set-sequence internal/control/acceptor/acceptor.go 's/if current != target\.VoterSet \|\| target\.VoterSet == 0 \{/if target.VoterSet == 0 {/' ./internal/control/acceptor 'VoterSetSequence'
 mutant voter-seal internal/control/acceptor/acceptor.go 's/if a\.isSealed\(\) && target\.Key != VoterSetKey \{/if false \&\& a.isSealed() \&\& target.Key != VoterSetKey {/' ./internal/control/acceptor 'Sealed'
 mutant promise internal/control/acceptor/slot.go 's/if requested\.Less\(s\.Promised\) \|\| s\.NewerThan\(next\) \{/if s.NewerThan(next) {/' ./internal/control/acceptor 'Promise'
 mutant slot-promise internal/control/acceptor/slot.go 's/if !s\.Promised\.Less\(requested\) \{/if s.Promised == requested {/' $M 'SmallBounds'
@@ -9,4 +9,4 @@
 mutant slot-accept-order internal/control/acceptor/slot.go 's/if requested\.Less\(s\.Promised\) \|\| s\.NewerThan\(next\) \{/if requested.Less(s.Promised) {/' $M 'SmallBounds'
 mutant slot-highest internal/control/acceptor/slot.go 's/\t\tif slot\.NewerThan\(highest\) \{/\t\tif highest.Accepted.IsZero() {/' $M 'SmallBounds'
 mutant slot-merge internal/control/acceptor/slot.go 's/merged := Highest\(copies\)/merged := copies[0]/' $M 'SmallBounds'
-mutant slot-alike internal/control/acceptor/slot.go 's/\t\tif !highest\.NewerThan\(slot\) \{/\t\tif !highest.NewerThan(slot) || true {/' $M 'SmallBounds'
+mutant slot-highest-only internal/control/acceptor/slot.go 's/\t\tif !highest\.NewerThan\(slot\) \{/\t\tif !highest.NewerThan(slot) || true {/' $M 'SmallBounds'
--- a/tools/mutations/control-register.sh
+++ b/tools/mutations/control-register.sh
@@ -4,4 +4,4 @@
 mutant compare-and-set internal/control/register/change.go 's/if isStale \{/if false \&\& isStale {/' $S 'TwoOperators|Outcome'
 mutant read-confirmed internal/control/register/read.go 's/\t\tif p\.confirmEpoch\(ctx, key, state\) \{/\t\tif p.confirmEpoch(ctx, key, state) || true {/' $S 'TwentySeconds|AnsweredAsByOne'
 mutant stale-base-asked internal/control/register/change.go 's/if isStale && !p\.confirmEpoch\(ctx, request\.Key, state\) \{/if false {/' ./internal/control/register 'StaleBase'
-mutant memory-kept internal/control/register/change.go 's/\n\t\tMetadata: request\.Metadata,//' $S 'AcceptedOrder'
+mutant metadata-written internal/control/register/change.go 's/\n\t\tMetadata: request\.Metadata,//' $S 'AcceptedOrder'
