--- a/internal/control/acceptor/acceptor.go
+++ b/internal/control/acceptor/acceptor.go
@@ -12,32 +12,34 @@
 	"postjunction/internal/voters"
 )
 
-// VoterSetKey is the register that names the next voter set; accepting it seals the present one.
+// VoterSetKey is the key of the register that contains the next voter set. A voter that accepts a
+// value of it has its current voter set sealed.
 const VoterSetKey = "roster"
 
 const lockShards = 8
 
-// Acceptor promises and accepts on one disk.
+// Acceptor is the Paxos acceptor on one disk.
 type Acceptor struct {
 	incarnation    string
 	journal        *journal.Journal
 	checkBootstrap func(voters.Set) error
 	onActivate     func(voters.Set)
-	// locks has requests for one key follow each other, from reading its slot until the new one is
-	// synced.
+	// locks serializes requests for one key, from reading its slot until the new slot is synced.
 	locks *keylock.Locks
 
-	// mu guards the fields below; it is never held over a write to the journal.
+	// mu guards slots, voterSet, agreedBootstrap and sealing. It is never held during a write to
+	// the journal.
 	mu       sync.Mutex
 	slots    map[string]Slot
 	voterSet voters.Set
-	// agreedBootstrap is the first voter set that this disk agreed to, until one is activated.
+	// agreedBootstrap is the proposed first voter set that this disk agreed to last. It is nil once
+	// a voter set is activated.
 	agreedBootstrap *voters.Set
-	// sealing is closed, and made anew, when the voter set is sealed here.
+	// sealing is closed and replaced when the voter set is sealed on this disk.
 	sealing chan struct{}
 }
 
-// New returns an acceptor that has promised nothing.
+// New returns an acceptor without promises. Start must be called before it is used.
 func New() *Acceptor {
 	return &Acceptor{
 		slots:   map[string]Slot{},
@@ -46,9 +48,9 @@
 	}
 }
 
-// Start sets the disk's name and journal, the check that a bootstrap must pass, and what is called
-// with a voter set once it is activated. It comes after the journal was restored and before the
-// first call.
+// Start sets the incarnation of the disk, its journal, the check that a bootstrap must pass, and
+// the function that is called with each activated voter set. It must be called after the journal
+// was restored and before the first request.
 func (a *Acceptor) Start(
 	incarnation string,
 	diskJournal *journal.Journal,
@@ -58,15 +60,16 @@
 	a.incarnation, a.journal, a.checkBootstrap, a.onActivate = incarnation, diskJournal, checkBootstrap, onActivate
 }
 
-// VoterSet returns the voter set that this voter is under; its Sequence is 0 before the bootstrap.
+// VoterSet returns the voter set that is active on this voter. Its Sequence is 0 before the
+// bootstrap.
 func (a *Acceptor) VoterSet() voters.Set {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.voterSet
 }
 
-// Sealed returns the sequence of the voter set that is sealed here until the next one is activated,
-// 0 when none is.
+// Sealed returns the sequence of the voter set that is sealed on this disk, 0 if none is. A voter
+// set remains sealed until the next one is activated.
 func (a *Acceptor) Sealed() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -76,14 +79,14 @@
 	return a.voterSet.Sequence
 }
 
-// Sealing returns a channel that is closed when a voter set is sealed here.
+// Sealing returns a channel that is closed when a voter set is sealed on this disk.
 func (a *Acceptor) Sealing() <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.sealing
 }
 
-// isSealed is called with mu held.
+// isSealed reports whether the current voter set is sealed. The caller must hold mu.
 func (a *Acceptor) isSealed() bool {
 	return !a.slots[VoterSetKey].Accepted.IsZero()
 }
@@ -95,7 +98,8 @@
 	return nil
 }
 
-// slot returns the slot of a target, if the target is this disk under its voter set.
+// slot returns the slot of a target. It returns WrongDisk if the target is another disk, and
+// StaleVoterSet if the target is under another voter set or the voter set is sealed.
 func (a *Acceptor) slot(target Target) (Slot, error) {
 	if err := a.checkDisk(target.Incarnation); err != nil {
 		return Slot{}, err
@@ -105,7 +109,7 @@
 	current := a.voterSet.Sequence
 	if current != target.VoterSet || target.VoterSet == 0 {
 		return Slot{}, apierror.New(apierror.StaleVoterSet,
-			"the request is under voter set %d, this voter under %d", target.VoterSet, current).WithCurrent(current)
+			"the request is for voter set %d, this voter is under %d", target.VoterSet, current).WithCurrent(current)
 	}
 	if a.isSealed() && target.Key != VoterSetKey {
 		return Slot{}, apierror.New(apierror.StaleVoterSet, "voter set %d is sealed", current).WithCurrent(current)
@@ -113,7 +117,7 @@
 	return a.slots[target.Key], nil
 }
 
-// lockSlot locks the key of a target, all keys for VoterSetKey, and returns its slot.
+// lockSlot locks the key of a target and returns its slot. For VoterSetKey it locks all keys.
 func (a *Acceptor) lockSlot(ctx context.Context, target Target) (Slot, *keylock.Shared, error) {
 	var unlock func()
 	var err error
@@ -133,7 +137,7 @@
 	return slot, keylock.Share(unlock), nil
 }
 
-// lockAll checks the name of the disk and locks all keys.
+// lockAll checks the incarnation of the disk and locks all keys.
 func (a *Acceptor) lockAll(ctx context.Context, incarnation string) (*keylock.Shared, error) {
 	if err := a.checkDisk(incarnation); err != nil {
 		return nil, err
@@ -145,7 +149,8 @@
 	return keylock.Share(unlock), nil
 }
 
-// store returns once the slot is synced. lock stays locked until it is, also when ctx ends first.
+// store writes a slot to the journal and returns once it is synced. lock stays locked until then,
+// also if ctx ends first.
 func (a *Acceptor) store(ctx context.Context, lock *keylock.Shared, key string, slot Slot) error {
 	apply := func() {
 		a.mu.Lock()
@@ -159,7 +164,7 @@
 	return a.journal.PutIn(ctx, lock, true, apply, encode(recordtype.Slot, slotRecord{Key: key, Slot: slot}))
 }
 
-// Promise serves a prepare request; it returns once the promise is synced.
+// Promise serves a prepare request. It returns once the promise is synced.
 func (a *Acceptor) Promise(ctx context.Context, request *PromiseRequest) (*SlotResponse, error) {
 	slot, lock, err := a.lockSlot(ctx, request.Target)
 	if err != nil {
@@ -176,7 +181,7 @@
 	return &SlotResponse{Granted: true, Slot: next}, nil
 }
 
-// Accept serves an accept request; it returns once the value is synced.
+// Accept serves an accept request. It returns once the value is synced.
 func (a *Acceptor) Accept(ctx context.Context, request *AcceptRequest) (*SlotResponse, error) {
 	slot, lock, err := a.lockSlot(ctx, request.Target)
 	if err != nil {
@@ -193,7 +198,7 @@
 	return &SlotResponse{Granted: true, Slot: next}, nil
 }
 
-// Peek returns slots as they are, without a promise.
+// Peek returns slots without making a promise.
 func (a *Acceptor) Peek(_ context.Context, request *PeekRequest) (*PeekResponse, error) {
 	if err := a.checkDisk(request.Incarnation); err != nil {
 		return nil, err
@@ -202,12 +207,12 @@
 	defer a.mu.Unlock()
 	current := a.voterSet.Sequence
 	if current != request.VoterSet || request.VoterSet == 0 || a.isSealed() && !request.Sealed {
-		// internal/golden holds this sentence in the bytes of a whole call, as it was first written.
+		// internal/golden compares the bytes of a whole call with this text, so it must not change.
 		return nil, apierror.New(apierror.StaleVoterSet,
 			"the peek is under roster %d, this voter under %d", request.VoterSet, current).WithCurrent(current)
 	}
 	if request.Sealed && !a.isSealed() {
-		return nil, apierror.New(apierror.StaleVoterSet, "voter set %d is not sealed here", current)
+		return nil, apierror.New(apierror.StaleVoterSet, "voter set %d is not sealed on this disk", current)
 	}
 	response := &PeekResponse{Slots: map[string]Slot{}}
 	add := func(key string, slot Slot) {
@@ -227,7 +232,7 @@
 	return response, nil
 }
 
-// Serve registers the voter's calls.
+// Serve registers the acceptor's procedures on mux.
 func (a *Acceptor) Serve(mux *http.ServeMux) {
 	Promise.Handle(mux, a.Promise)
 	Accept.Handle(mux, a.Accept)
--- a/internal/control/acceptor/acceptor_test.go
+++ b/internal/control/acceptor/acceptor_test.go
@@ -17,7 +17,7 @@
 
 var ctx = context.Background()
 
-// start runs an acceptor over what stands on a disk.
+// start runs an acceptor with the state restored from a disk.
 func start(t *testing.T, disk journal.Log, incarnation string) *Acceptor {
 	t.Helper()
 	a := New()
@@ -37,7 +37,7 @@
 	}, voters.Layout{RoutinePartitions: 2, UrgentPartitions: 1})
 }
 
-// startActivated runs an acceptor on a fresh disk i1, under the first voter set.
+// startActivated runs an acceptor on the fresh disk i1, with the first voter set activated.
 func startActivated(t *testing.T, disk journal.Log) *Acceptor {
 	t.Helper()
 	a := start(t, disk, "i1")
@@ -76,10 +76,10 @@
 	assert.Assert(t, !accept(t, a, epochOf(1, "c3"), 1, "old").Granted)
 	assert.Assert(t, accept(t, a, epochOf(2, "c1"), 1, "one").Granted)
 	assert.Assert(t, accept(t, a, epochOf(2, "c1"), 2, "two").Granted)
-	assert.Assert(t, !accept(t, a, epochOf(2, "c1"), 1, "one").Granted, "a late write of the same epoch")
+	assert.Assert(t, !accept(t, a, epochOf(2, "c1"), 1, "one").Granted, "a delayed write of the same epoch")
 	disk.LosePower(true)
 	a = start(t, disk, "i1")
-	assert.Assert(t, !promise(t, a, epochOf(2, "c0")).Granted, "the promise was lost")
+	assert.Assert(t, !promise(t, a, epochOf(2, "c0")).Granted, "the promise did not survive the power loss")
 	response := promise(t, a, epochOf(3, "c2"))
 	assert.Assert(t, response.Granted)
 	assert.Equal(t, string(response.Slot.Value.Body), "two")
@@ -111,10 +111,10 @@
 	assert.Assert(t, apierror.HasCode(err, apierror.StaleVoterSet), "%v", err)
 	response, err := a.Promise(ctx, &PromiseRequest{Target: next, Epoch: epochOf(4, "c1")})
 	assert.NilError(t, err)
-	assert.Assert(t, !response.Granted, "below what was accepted")
+	assert.Assert(t, !response.Granted, "an epoch below the accepted one")
 	_, err = a.Activate(ctx, &ActivateRequest{Incarnation: "i1", VoterSet: firstVoterSet()})
 	assert.NilError(t, err)
-	assert.Equal(t, a.VoterSet().Sequence, uint64(2), "a voter set never goes back")
+	assert.Equal(t, a.VoterSet().Sequence, uint64(2), "the voter set never changes to an older one")
 }
 
 func TestSealedVoterAnswersNothingOlder(t *testing.T) {
--- a/internal/control/acceptor/activate.go
+++ b/internal/control/acceptor/activate.go
@@ -9,8 +9,8 @@
 	"postjunction/internal/voters"
 )
 
-// Activate brings the voter under a higher voter set; the slots of the old one are replaced by the
-// copies in the request. A voter set that is in force already, or below, changes nothing.
+// Activate makes a voter set with a higher sequence the current one. The copies in the request
+// replace all slots. A request with the current voter set, or an older one, changes nothing.
 func (a *Acceptor) Activate(ctx context.Context, request *ActivateRequest) (*Empty, error) {
 	lock, err := a.lockAll(ctx, request.Incarnation)
 	if err != nil {
@@ -47,8 +47,8 @@
 	return &Empty{}, nil
 }
 
-// checkActivation returns DiskForeign for a voter set of another fleet, and StaleVoterSet for a
-// bootstrap other than the one that was agreed to last.
+// checkActivation returns DiskForeign for a voter set of another fleet. It returns StaleVoterSet
+// for a bootstrap other than the one that this disk agreed to last.
 func checkActivation(current voters.Set, agreed *voters.Set, request *ActivateRequest) error {
 	next := request.VoterSet
 	foreignErr := apierror.New(apierror.DiskForeign, "this disk is of fleet %s", current.Fleet)
@@ -59,7 +59,7 @@
 		return nil
 	}
 	if request.Bootstrap && (agreed == nil || agreed.Fleet != next.Fleet) {
-		return apierror.New(apierror.StaleVoterSet, "another bootstrap was agreed to since")
+		return apierror.New(apierror.StaleVoterSet, "this disk has agreed to another bootstrap or to none")
 	}
 	if current.Sequence > 0 && current.Fleet != next.Fleet {
 		return foreignErr
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// Bootstrap agrees to the first voter set of a fleet while the disk is under none. The last
-// agreement counts.
+// Bootstrap agrees to the first voter set of a fleet while the disk is under no voter set. Only the
+// last agreement counts.
 func (a *Acceptor) Bootstrap(ctx context.Context, request *BootstrapRequest) (*Empty, error) {
 	lock, err := a.lockAll(ctx, request.Incarnation)
 	if err != nil {
@@ -77,7 +77,7 @@
 	defer lock.Release()
 	if current := a.VoterSet().Sequence; current > 0 {
 		return nil, apierror.New(apierror.StaleVoterSet,
-			"this disk is under voter set %d already", current).WithCurrent(current)
+			"this disk is already under voter set %d", current).WithCurrent(current)
 	}
 	if err := a.checkBootstrap(request.VoterSet); err != nil {
 		return nil, err
--- a/internal/control/acceptor/calls.go
+++ b/internal/control/acceptor/calls.go
@@ -13,29 +13,30 @@
 	Key         string `json:"key"`
 }
 
-// PromiseRequest asks for a promise to accept nothing below an epoch (prepare, in the terms of
-// Paxos).
+// PromiseRequest is the prepare request of Paxos: it asks for a promise to accept nothing below an
+// epoch.
 type PromiseRequest struct {
 	Target
 	Epoch epoch.Epoch `json:"epoch"`
 }
 
-// AcceptRequest asks for the acceptance of a value under an epoch.
+// AcceptRequest is the accept request of Paxos: it asks a voter to accept a value under an epoch.
 type AcceptRequest struct {
 	Target
 	Epoch epoch.Epoch `json:"epoch"`
 	Value Value       `json:"value"`
 }
 
-// SlotResponse is the slot after the request; Granted says whether the promise or acceptance was
-// given.
+// SlotResponse is the slot after the request. Granted says whether the voter promised the epoch or
+// accepted the value.
 type SlotResponse struct {
 	Granted bool `json:"ok"`
 	Slot    Slot `json:"slot"`
 }
 
-// PeekRequest reads the slots of the named keys, all slots when none are named. Sealed slots are
-// read only when Sealed is set, and then only those; Brief leaves out body and metadata.
+// PeekRequest reads the slots of the named keys, or all slots if Keys is empty. With Sealed it
+// succeeds only if the voter set is sealed, without it only if the voter set is not. Brief omits
+// body and metadata.
 type PeekRequest struct {
 	VoterSet    uint64   `json:"roster"`
 	Incarnation string   `json:"incarnation"`
@@ -44,13 +45,13 @@
 	Brief       bool     `json:"brief,omitempty"`
 }
 
-// PeekResponse is slots by key.
+// PeekResponse has the slots by key.
 type PeekResponse struct {
 	Slots map[string]Slot `json:"slots"`
 }
 
-// ActivateRequest brings a voter under a voter set, with the slots copied from the one before.
-// Bootstrap marks the first voter set of a fleet.
+// ActivateRequest makes a voter set current on a voter, with the slots copied from the previous
+// voter set. Bootstrap is set for the first voter set of a fleet.
 type ActivateRequest struct {
 	Incarnation string          `json:"incarnation"`
 	VoterSet    voters.Set      `json:"roster"`
@@ -67,7 +68,7 @@
 // Empty is a response without contents.
 type Empty struct{}
 
-// The calls to a voter.
+// Procedures that an acceptor serves.
 var (
 	Promise = wire.NewProcedure[PromiseRequest, SlotResponse]("Control", "Promise", wire.Monotonic,
 		"epochs only rise; the same one is promised again")
--- a/internal/control/acceptor/cancel_test.go
+++ b/internal/control/acceptor/cancel_test.go
@@ -10,7 +10,7 @@
 	"postjunction/internal/disk/memlog"
 )
 
-// slowDisk ends no sync while it is blocked.
+// slowDisk completes no sync while it is blocked.
 type slowDisk struct {
 	*memlog.Disk
 	blocked chan chan struct{}
@@ -25,16 +25,16 @@
 	return d.Disk.Sync()
 }
 
-// block stops the disk at its next sync, until the function is called.
+// block blocks the disk at its next sync until release is called.
 func (d *slowDisk) block() (release func()) {
 	released := make(chan struct{})
 	d.blocked <- released
 	return func() { close(released) }
 }
 
-// A caller may stop waiting for a voter's disk. What the voter was asked to store comes to stand
-// all the same, and what it promises next must go by that: it went by what stood before, and wrote
-// that over an accepted value.
+// A caller may stop waiting for a voter's disk, and the voter's write still completes. The next
+// request must see the slot of that write. A voter that used the slot before it overwrote an
+// accepted value.
 func TestCallerThatGivesUpLeavesNoStaleSlot(t *testing.T) {
 	for name, next := range map[string]func(*Acceptor) (*SlotResponse, error){
 		"a promise comes next": func(a *Acceptor) (*SlotResponse, error) {
--- a/internal/control/acceptor/doc.go
+++ b/internal/control/acceptor/doc.go
@@ -1,19 +1,19 @@
-// Package acceptor is the voter of a control node: the Paxos acceptor of every control key. It
-// promises epochs and accepts values for proposers (internal/control/register), under the voter set
-// that its disk was activated for.
+// Package acceptor implements the voter of a control node: the Paxos acceptor of all control keys.
+// It promises epochs and accepts values for proposers (internal/control/register), under the voter
+// set that is active on its disk.
 //
-// What must stay true:
-//   - A promise or an acceptance is synced to disk before it is answered, also when the caller has
-//     given up by then.
-//   - Requests for another disk (WrongDisk) or another voter set (StaleVoterSet) change nothing: a
-//     wiped disk has no vote under its old name, and a voter set that was superseded decides
-//     nothing.
+// Invariants:
+//   - A promise or an acceptance is synced to disk before the response is sent. It is also synced
+//     if the caller has given up by then.
+//   - Requests for another disk (WrongDisk) or another voter set (StaleVoterSet) change nothing. A
+//     wiped disk has no vote under its old incarnation, and a superseded voter set decides nothing.
 //   - Once a value of VoterSetKey is accepted the voter set is sealed: no other key is promised or
-//     accepted under it until the next one is activated, whose number is higher.
+//     accepted under it until the next voter set is activated, which has a higher sequence.
 //
-// What may be promised and accepted is decided by the pure functions of slot.go. Acceptor owns the
-// slots and the voter set; the records of its journal are the same state on disk. Its methods run
-// in the goroutines of the callers and block for the sync, with the lock of their key held: it is
-// passed on to the journal, which releases it when the record stands, so that a caller that gives
-// up never leaves a stale slot behind for the next one.
+// The pure functions of slot.go decide what may be promised and accepted. Acceptor owns the slots
+// and the voter set. The records of its journal are the same state on disk.
+//
+// Concurrency: the methods run in the goroutines of their callers and block until the sync, with
+// the lock of their key held. The lock is shared with the journal, which releases it once the
+// record is written. So a caller that gives up never leaves a stale slot to the next caller.
 package acceptor
--- a/internal/control/acceptor/records.go
+++ b/internal/control/acceptor/records.go
@@ -15,7 +15,7 @@
 	Slot Slot   `json:"slot"`
 }
 
-// voterSetRecord is the voter set in the journal; Clear drops all slots that stand before it.
+// voterSetRecord is the voter set in the journal. Clear drops all slots of earlier records.
 type voterSetRecord struct {
 	VoterSet        voters.Set  `json:"roster"`
 	AgreedBootstrap *voters.Set `json:"founding,omitempty"`
@@ -27,7 +27,7 @@
 	return journal.Record{Kind: kind, Body: body}
 }
 
-// Restore applies a record of the journal; one that can't be read is DiskDamaged.
+// Restore applies a record of the journal. It returns DiskDamaged if the record can't be decoded.
 func (a *Acceptor) Restore(record journal.Record) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// LiveSize returns how many records the journal must keep, and their size in bytes.
+// LiveSize returns how many records the journal must retain, and their size in bytes.
 func (a *Acceptor) LiveSize() (count int, bytes int64) {
 	records := a.liveRecords()
 	for _, record := range records {
@@ -59,8 +59,8 @@
 	return len(records), bytes
 }
 
-// Slices returns the live records as one slice: the voter set clears the slots that stand before
-// it.
+// Slices returns the live records as one slice, because the record of the voter set clears the
+// slots before it.
 func (a *Acceptor) Slices() []journal.Slice { return journal.EncodeAll(a.liveRecords) }
 
 func (a *Acceptor) liveRecords() []journal.Record {
--- a/internal/control/acceptor/remote.go
+++ b/internal/control/acceptor/remote.go
@@ -7,7 +7,7 @@
 	"postjunction/internal/wire"
 )
 
-// Remote is one voter under a voter set, as the node Self calls it.
+// Remote calls one voter under a voter set on behalf of the node Self.
 type Remote struct {
 	Network  wire.Network
 	Self     string
@@ -15,8 +15,8 @@
 	Voter    voters.Voter
 }
 
-// ReadFullSlot reads a slot with its value after a brief peek; it is not ok when another acceptance
-// stands there by now.
+// ReadFullSlot reads a slot with its value after a brief peek. It is not ok if the voter has
+// another acceptance by now.
 func (r Remote) ReadFullSlot(ctx context.Context, key string, brief Slot) (Slot, bool) {
 	response, err := Peek.Call(ctx, r.Network, r.Self, r.Voter.Addr, &PeekRequest{
 		VoterSet:    r.VoterSet,
--- a/internal/control/acceptor/slot.go
+++ b/internal/control/acceptor/slot.go
@@ -2,13 +2,13 @@
 
 import "postjunction/internal/control/epoch"
 
-// This file is the pure core of the control registers: what one disk promises and accepts for a
-// key, what a proposer adopts, and what the voters of a new voter set begin with. It does no I/O; a
-// model test walks through all its runs within small bounds (internal/control/model).
+// This file is the pure core of the control registers. It decides what a voter promises and accepts
+// for a key, what a proposer adopts, and which slots a new voter set starts with. It does no I/O. A
+// model test explores all its runs within small bounds (internal/control/model).
 
-// Value is the contents of a register. ChangeID names the change that wrote it, and Successor the
-// node that the leader hands the key to. Body and Metadata are decided together; values that older
-// builds wrote have no Metadata.
+// Value is the contents of a register. ChangeID identifies the change that wrote it. Successor is
+// the node that the leader transfers the key to. Body and Metadata are decided together. Values
+// that older builds wrote have no Metadata.
 type Value struct {
 	// Version counts the writes of the key.
 	Version   uint64 `json:"writes"`
@@ -18,8 +18,8 @@
 	Metadata  []byte `json:"memory,omitempty"`
 }
 
-// Slot is what a voter keeps of one key: the epoch that it promised, and its latest acceptance.
-// Accepted is zero when nothing was accepted.
+// Slot is the state of one key on a voter: the epoch that it promised, and its latest acceptance.
+// Accepted is zero if nothing was accepted.
 type Slot struct {
 	Promised epoch.Epoch `json:"promised"`
 	Accepted epoch.Epoch `json:"accepted"`
@@ -34,8 +34,8 @@
 	return s.Value.Version > other.Value.Version
 }
 
-// Promise returns the slot after a prepare request, and whether the epoch is promised. An epoch is
-// promised again, but none below one that was promised.
+// Promise returns the slot after a prepare request, and whether the epoch is promised. The promised
+// epoch is granted again, and lower ones are rejected.
 func (s Slot) Promise(requested epoch.Epoch) (Slot, bool) {
 	if !s.Promised.Less(requested) {
 		return s, s.Promised == requested
@@ -44,8 +44,8 @@
 	return s, true
 }
 
-// Accept returns the slot after an accept request, and whether the value is accepted. Epochs below
-// the promised one are rejected, and versions below the accepted one of the same epoch.
+// Accept returns the slot after an accept request, and whether the value is accepted. It rejects
+// epochs below the promised one. It also rejects versions below the accepted one of the same epoch.
 func (s Slot) Accept(requested epoch.Epoch, value Value) (Slot, bool) {
 	next := Slot{Promised: requested, Accepted: requested, Value: value}
 	if requested.Less(s.Promised) || s.NewerThan(next) {
@@ -54,8 +54,8 @@
 	return next, true
 }
 
-// Highest returns the latest acceptance among slots, which a proposer that a majority has promised
-// must adopt.
+// Highest returns the latest acceptance among slots. A proposer must adopt it from the slots of the
+// majority that promised its epoch.
 func Highest(slots []Slot) Slot {
 	var highest Slot
 	for _, slot := range slots {
@@ -66,9 +66,10 @@
 	return highest
 }
 
-// Merge returns what the voters of the next voter set begin with for one key, from copies of sealed
-// voters of the one before: the highest acceptance, and the highest promise so that epochs go on
-// rising. Of voters.Set.SealQuorum sealed voters one has accepted every value that was decided.
+// Merge returns the slot of one key that the next voter set starts with, from the copies of sealed
+// voters of the previous one. It has the highest acceptance, and the highest promise so that epochs
+// keep rising. Every decided value was accepted by at least one of any voters.Set.SealQuorum sealed
+// voters.
 func Merge(copies []Slot) Slot {
 	merged := Highest(copies)
 	for _, copied := range copies {
@@ -82,9 +83,9 @@
 	return merged
 }
 
-// HighestIndexes returns the indexes of the slots with the highest acceptance among them. Where
-// these are a majority, that value was decided, and none after it was when the slots were asked
-// for.
+// HighestIndexes returns the indexes of the slots with the highest acceptance among them. If these
+// are a majority of the voters, that value was decided, and no later value was decided when the
+// slots were requested.
 func HighestIndexes(slots []Slot) []int {
 	var indexes []int
 	highest := Highest(slots)
--- a/internal/control/register/accept.go
+++ b/internal/control/register/accept.go
@@ -9,13 +9,13 @@
 	"postjunction/internal/voters"
 )
 
-// accept has a majority accept a value under the epoch of state. When ctx ends first, the round
-// goes on in the background for a call timeout at most, and the outcome is unknown to the caller.
-// The caller has the key's lock.
+// accept has a majority of the voters accept a value under the epoch of state. If ctx ends first,
+// the round continues in the background for at most a call timeout, and the outcome is unknown to
+// the caller. The caller must hold the key's lock.
 func (p *Proposer) accept(ctx context.Context, key string, state keyState, value acceptor.Value) error {
 	voterSet := p.peers.VoterSet()
 	if voterSet.Sequence != state.voterSet {
-		return apierror.New(apierror.StaleVoterSet, "voter set %d came into force", voterSet.Sequence)
+		return apierror.New(apierror.StaleVoterSet, "voter set %d is in effect now", voterSet.Sequence)
 	}
 	p.updateState(key, func(current *keyState) { current.leading, current.epoch = false, state.epoch })
 	p.accepts.Add(1)
@@ -29,11 +29,12 @@
 	case err := <-done:
 		return err
 	case <-ctx.Done():
-		return apierror.WithCause(apierror.NoMajority, ctx.Err(), "the outcome of writing %s is not known yet", key)
+		return apierror.WithCause(apierror.NoMajority, ctx.Err(), "the outcome of writing %s is unknown so far", key)
 	}
 }
 
-// acceptRound sends the value to all voters. Those that are not waited for get it all the same.
+// acceptRound sends the value to all voters and waits for a majority. The calls to the other voters
+// continue after it returns.
 func (p *Proposer) acceptRound(
 	ctx context.Context, key string, voterSet voters.Set, state keyState, value acceptor.Value,
 ) error {
@@ -50,7 +51,7 @@
 		if rejectionCount(responses) == len(voterSet.Voters) {
 			return err
 		}
-		return apierror.New(apierror.NoMajority, "the outcome of writing %s is not known: %v", key, err)
+		return apierror.New(apierror.NoMajority, "the outcome of writing %s is unknown: %v", key, err)
 	}
 	p.updateState(key, func(current *keyState) {
 		if current.epoch != state.epoch {
--- a/internal/control/register/calls.go
+++ b/internal/control/register/calls.go
@@ -5,9 +5,9 @@
 	"postjunction/internal/wire"
 )
 
-// ChangeRequest writes a key if its version is still BaseVersion. ChangeID is the name of the
-// change, by which a retry is known. Metadata is written with Body and read back with it. Forwards
-// counts how often the request was forwarded.
+// ChangeRequest writes a key if its version is still BaseVersion. ChangeID identifies the change,
+// so that a retry is recognized. Metadata is written and read together with Body. Forwards counts
+// how often the request was forwarded.
 type ChangeRequest struct {
 	Key         string `json:"key"`
 	BaseVersion uint64 `json:"base"`
@@ -17,13 +17,14 @@
 	Forwards    int    `json:"handed,omitempty"`
 }
 
-// ReadRequest reads a key; the response was current at some moment after the request was made.
+// ReadRequest reads a key. The value in the response was current at some moment after the request
+// was made.
 type ReadRequest struct {
 	Key      string `json:"key"`
 	Forwards int    `json:"handed,omitempty"`
 }
 
-// TakeOverRequest names the receiver as successor for a key.
+// TakeOverRequest asks the receiver, as the named successor, to claim a key.
 type TakeOverRequest struct {
 	Key string `json:"key"`
 }
@@ -33,14 +34,14 @@
 	Key string `json:"key"`
 }
 
-// LeaderResponse says whether the receiver leads the key; Hint is the node that it takes for the
-// leader.
+// LeaderResponse says whether the receiver leads the key. Hint is the node that the receiver
+// presumes to be the leader.
 type LeaderResponse struct {
 	Leads bool   `json:"holds"`
 	Hint  string `json:"hint,omitempty"`
 }
 
-// The calls to a proposer.
+// Procedures that a proposer serves.
 var (
 	Change = wire.NewProcedure[ChangeRequest, acceptor.Value]("Control", "Change", wire.Deduplicated,
 		"the change has a name and builds on a version; the register knows both")
--- a/internal/control/register/change.go
+++ b/internal/control/register/change.go
@@ -7,7 +7,8 @@
 	"postjunction/internal/control/acceptor"
 )
 
-// Codes of a forwarded request after which the node that forwarded it claims the key itself.
+// retryLocally has the error codes of a forwarded request after which the node that forwarded it
+// claims the key itself.
 var retryLocally = map[apierror.Code]bool{
 	apierror.Unreachable:     true,
 	apierror.NotKeyLeader:    true,
@@ -15,9 +16,10 @@
 	apierror.NotBootstrapped: true,
 }
 
-// Change writes a key and returns its new value once a majority has accepted it, also when an
-// earlier try of the same change did. Errors: StaleBase when the key has another version than the
-// change builds on, NoMajority when the outcome is unknown, and those of a claim.
+// Change writes a key and returns its new value once a majority has accepted it. It also returns
+// the value if an earlier attempt of the same change has written it. Errors are StaleBase if the
+// key has another version than the change builds on, NoMajority if the outcome is unknown, and
+// those of a claim.
 func (p *Proposer) Change(ctx context.Context, request *ChangeRequest) (*acceptor.Value, error) {
 	uncertain := false
 	for forwarded := *request; ; {
@@ -43,8 +45,8 @@
 	}
 }
 
-// askLeader calls the presumed leader for no longer than a leader may take: after that the key is
-// claimed.
+// askLeader calls the presumed leader with the forward timeout. After that timeout the caller
+// claims the key.
 func askLeader[Response any](
 	ctx context.Context, p *Proposer, call func(context.Context) (Response, error),
 ) (Response, error) {
@@ -53,11 +55,11 @@
 	return call(ctx)
 }
 
-// withUncertainty turns a stale base into an unknown outcome where an earlier try may have been
-// what changed the key.
+// withUncertainty turns a stale base into an unknown outcome if uncertain is set: an earlier
+// attempt of the same change may be what changed the key.
 func withUncertainty(err error, uncertain bool, key string) error {
 	if uncertain && apierror.HasCode(err, apierror.StaleBase) {
-		return apierror.New(apierror.NoMajority, "%s changed while its leader was lost; the outcome is not known", key)
+		return apierror.New(apierror.NoMajority, "%s changed while its leader was unreachable; the outcome is unknown", key)
 	}
 	return err
 }
@@ -81,7 +83,7 @@
 	isStale := current.Version != request.BaseVersion
 	if isStale && !p.confirmEpoch(ctx, request.Key, state) {
 		p.stopLeading(request.Key)
-		return nil, apierror.New(apierror.NotKeyLeader, "%s was claimed elsewhere", request.Key)
+		return nil, apierror.New(apierror.NotKeyLeader, "%s was claimed by another node", request.Key)
 	}
 	if isStale {
 		stale := apierror.New(apierror.StaleBase, "%s has version %d, the change builds on %d",
--- a/internal/control/register/decision.go
+++ b/internal/control/register/decision.go
@@ -8,7 +8,7 @@
 	"postjunction/internal/voters"
 )
 
-// This file is what a proposer concludes from the responses of the voters. It does no I/O.
+// This file evaluates the responses of the voters to a proposer. It does no I/O.
 
 type (
 	slotResponses = []quorum.Result[voters.Voter, *acceptor.SlotResponse]
@@ -26,7 +26,7 @@
 	return granted
 }
 
-// rejectionCount returns how many voters certainly did not do what they were asked.
+// rejectionCount returns how many voters have certainly not executed the request.
 func rejectionCount(responses slotResponses) int {
 	rejected := 0
 	for _, response := range responses {
@@ -40,8 +40,8 @@
 	return rejected
 }
 
-// firstRejection returns the slot of the first voter that has promised a higher epoch, nil when
-// none has.
+// firstRejection returns the slot of the first voter that rejected the request because it has
+// promised a higher epoch, nil if there is none.
 func firstRejection(responses slotResponses) *acceptor.Slot {
 	for _, response := range quorum.Successes(responses) {
 		if !response.Value.Granted {
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// verdict returns nil when a majority granted a round, else why it failed: NotKeyLeader after a
-// rejection, StaleVoterSet, or NoMajority.
+// roundError returns nil if a majority granted a round, and else why it failed: NotKeyLeader after
+// a rejection, StaleVoterSet, or NoMajority.
 func roundError(key string, voterSet voters.Set, responses slotResponses) error {
 	if grantCount(responses) >= voterSet.Majority() {
 		return nil
@@ -65,13 +65,14 @@
 			return response.Err
 		}
 	}
-	failure := apierror.New(apierror.NoMajority, "%d of %d control disks answered for %s, %d are needed",
+	failure := apierror.New(apierror.NoMajority, "%d of %d control disks granted a request for %s, %d are needed",
 		grantCount(responses), len(voterSet.Voters), key, voterSet.Majority())
 	failure.Cause = quorum.FirstError(responses)
 	return failure
 }
 
-// highestAccepted returns the latest acceptance that the voters of a granted prepare round report.
+// highestAccepted returns the latest acceptance among the slots of the voters that granted a
+// prepare request.
 func highestAccepted(responses slotResponses) acceptor.Slot {
 	var slots []acceptor.Slot
 	for _, response := range quorum.Successes(responses) {
@@ -82,7 +83,7 @@
 	return acceptor.Highest(slots)
 }
 
-// promisedCount returns how many voters still have exactly this epoch promised.
+// promisedCount returns how many voters have exactly this epoch as their promised one.
 func promisedCount(responses peekResponses, key string, promised epoch.Epoch) int {
 	count := 0
 	for _, response := range quorum.Successes(responses) {
@@ -93,7 +94,7 @@
 	return count
 }
 
-// holdingHighest returns the responses that have the highest acceptance among them.
+// highestCopies returns the responses that contain the highest acceptance among them.
 func highestCopies(responses peekResponses, key string) peekResponses {
 	var slots []acceptor.Slot
 	for _, response := range responses {
--- a/internal/control/register/decision_test.go
+++ b/internal/control/register/decision_test.go
@@ -11,7 +11,8 @@
 	"postjunction/internal/voters"
 )
 
-// A higher copy on one disk may or may not be decided, and what lies below it says nothing.
+// A higher copy on one disk may or may not be decided. Copies below it must not count towards a
+// majority, since a read would then return a value that may be outdated.
 func TestHighestCopiesExcludesLowerCopies(t *testing.T) {
 	copyOf := func(number, version uint64) quorum.Result[voters.Voter, *acceptor.PeekResponse] {
 		slot := acceptor.Slot{
--- a/internal/control/register/prepare.go
+++ b/internal/control/register/prepare.go
@@ -11,9 +11,9 @@
 	"postjunction/internal/voters"
 )
 
-// acquire returns the state of a key that this node leads, and claims it first where it doesn't.
-// With yield it gives up as soon as another live node is seen to lead the key. The caller has the
-// key's lock.
+// acquire returns the state of a key that this node leads. It claims the key first if this node
+// doesn't lead it. With yield it gives up as soon as it sees that another live node leads the key.
+// The caller must hold the key's lock.
 func (p *Proposer) acquire(ctx context.Context, key string, yield bool) (keyState, error) {
 	for attempt := 0; ; attempt++ {
 		voterSet := p.peers.VoterSet()
@@ -41,8 +41,8 @@
 		}
 		pause := p.timing.Backoff(claimBackoffStep*attempt) / 2
 		if rejected {
-			// Whoever won gets as long as this round took, so that two claims do not overtake each
-			// other for ever.
+			// Waits for at least the duration of this round, up to the forward timeout, so that the
+			// other claim can finish. Two claimants could otherwise overtake each other forever.
 			pause = max(pause, min(p.clock.Now().Sub(startedAt), p.timing.ForwardTimeout()))
 		}
 		if p.clock.Sleep(ctx, clock.Jitter(pause, 2, rand.Float64())) != nil {
@@ -51,7 +51,7 @@
 	}
 }
 
-// lockAndAcquire makes this node the leader of a key, as acquire does, under the key's lock.
+// lockAndAcquire calls acquire under the key's lock.
 func (p *Proposer) lockAndAcquire(ctx context.Context, key string, yield bool) error {
 	unlock, err := p.locks.Lock(ctx, key)
 	if err != nil {
@@ -62,8 +62,8 @@
 	return err
 }
 
-// prepare claims a key under a new epoch: a majority promises it, and the highest acceptance that
-// they report is accepted again under it.
+// prepare claims a key under a new epoch. It has a majority promise the epoch, and then has the
+// highest acceptance that these voters report accepted again under it.
 func (p *Proposer) prepare(ctx context.Context, key string, voterSet voters.Set) (keyState, error) {
 	previous := p.state(key)
 	highest := previous.highestSeen
@@ -106,7 +106,8 @@
 	return p.state(key), nil
 }
 
-// finishRound returns the verdict on a round, and notes the epoch of whoever it was rejected for.
+// finishRound returns the error of a round, nil if a majority granted it. It records the higher
+// epoch of the first rejection.
 func (p *Proposer) finishRound(key string, voterSet voters.Set, responses slotResponses) error {
 	err := roundError(key, voterSet, responses)
 	if rejection := firstRejection(responses); err != nil && rejection != nil {
--- a/internal/control/register/proposer.go
+++ b/internal/control/register/proposer.go
@@ -12,9 +12,9 @@
 	"postjunction/internal/wire"
 )
 
-// Peers is what a proposer knows of the other nodes.
+// Peers provides the voter set and the live nodes.
 type Peers interface {
-	// VoterSet returns the voter set in force; its Sequence is 0 before the bootstrap.
+	// VoterSet returns the voter set in effect. Its Sequence is 0 before the bootstrap.
 	VoterSet() voters.Set
 	// Live returns the address of a node, and whether it is live.
 	Live(node string) (addr string, ok bool)
@@ -23,14 +23,14 @@
 // CommitHandler is called with a key's value once a majority has accepted it.
 type CommitHandler func(key string, value acceptor.Value)
 
-// Options are what a Proposer works with.
+// Options are the dependencies of a Proposer.
 type Options struct {
 	Self    string
 	Network wire.Network
 	Clock   clock.Clock
 	Timing  settings.Timing
 	Peers   Peers
-	// OnCommit runs in the goroutine of the accept round, under the lock of the key.
+	// OnCommit runs in the goroutine of the accept round, under the key's lock.
 	OnCommit CommitHandler
 }
 
@@ -42,7 +42,7 @@
 	timing   settings.Timing
 	peers    Peers
 	onCommit CommitHandler
-	// locks has who proposes for a key do so one at a time; keys locks itself.
+	// locks serializes proposals for one key. states has locks of its own.
 	locks    *keylock.Locks
 	states   *keylock.Map[string, keyState]
 	draining atomic.Bool
@@ -50,18 +50,18 @@
 	accepts  atomic.Uint64
 }
 
-// keyState is what this node knows of one key.
+// keyState is what this node knows about one key.
 type keyState struct {
-	// epoch is that of this node's last claim, and voterSet the sequence of the voter set that it
-	// was made under.
+	// epoch is the epoch of this node's last claim. voterSet is the sequence of the voter set that
+	// the claim was made under.
 	epoch    epoch.Epoch
 	voterSet uint64
-	// leading says that this node leads the key, as far as it knows; value is then the committed
-	// one.
+	// leading says that this node leads the key, as far as it knows. value is then the committed
+	// value.
 	leading bool
 	value   acceptor.Value
-	// highestSeen is the highest epoch seen anywhere, and leaderHint the node presumed to lead the
-	// key.
+	// highestSeen is the highest epoch seen on any node. leaderHint is the node presumed to lead
+	// the key.
 	highestSeen epoch.Epoch
 	leaderHint  string
 }
@@ -70,14 +70,14 @@
 
 const (
 	lockShards = 64
-	// maxClaimRetries is how often a claim that failed is made again.
+	// maxClaimRetries is how often a failed claim is retried.
 	maxClaimRetries = 4
-	// maxForwards is how often a request is forwarded before the node that has it claims the key.
+	// maxForwards is how often a request is forwarded before its receiver claims the key.
 	maxForwards = 2
-	// claimBackoffStep is by how many steps the backoff grows from one claim to the next.
+	// claimBackoffStep is the number of steps by which the backoff grows with each retried claim.
 	claimBackoffStep = 2
-	// extraCopiesWait is how many initial backoffs a quorum read waits for more copies than a
-	// majority.
+	// extraCopiesWait is the number of initial backoffs for which a quorum read waits for more
+	// copies than a majority.
 	extraCopiesWait = 2
 )
 
@@ -115,13 +115,13 @@
 	p.updateState(key, func(state *keyState) { state.leaderHint = "" })
 }
 
-// Leads reports whether this node leads a key as far as it knows. ConfirmLeadership asks a
-// majority.
+// Leads reports whether this node leads a key as far as it knows, without asking other nodes. See
+// ConfirmLeadership for an answer that a majority confirms.
 func (p *Proposer) Leads(key string) bool {
 	return p.state(key).leadsUnder(p.peers.VoterSet().Sequence)
 }
 
-// LeaderOf returns the node presumed to lead a key, "" when none is known.
+// LeaderOf returns the node presumed to lead a key, "" if none is known.
 func (p *Proposer) LeaderOf(key string) string {
 	if p.Leads(key) {
 		return p.self
@@ -129,8 +129,8 @@
 	return p.state(key).leaderHint
 }
 
-// ObserveEpoch notes an epoch seen elsewhere: its node, or the successor that it named, is presumed
-// to lead the key.
+// ObserveEpoch records an epoch seen on another node. The node of the epoch, or the successor that
+// it named, is then presumed to lead the key.
 func (p *Proposer) ObserveEpoch(key string, seen epoch.Epoch, successor string) {
 	p.updateState(key, func(state *keyState) {
 		if seen.Less(state.highestSeen) {
@@ -143,8 +143,8 @@
 	})
 }
 
-// otherLeader returns the address of the live node, other than this one, that is presumed to lead a
-// key.
+// otherLeader returns the address of the node presumed to lead a key. It is not ok if that is this
+// node, or a node that is not live, or if none is known.
 func (p *Proposer) otherLeader(key string) (addr string, ok bool) {
 	state := p.state(key)
 	if state.leadsUnder(p.peers.VoterSet().Sequence) || state.leaderHint == "" || state.leaderHint == p.self {
@@ -153,7 +153,7 @@
 	return p.peers.Live(state.leaderHint)
 }
 
-// Counts returns how many claims and accept rounds were begun.
+// Counts returns how many claims and accept rounds were started.
 func (p *Proposer) Counts() (claims, accepts uint64) {
 	return p.claims.Load(), p.accepts.Load()
 }
--- a/internal/control/register/proposer_test.go
+++ b/internal/control/register/proposer_test.go
@@ -18,7 +18,7 @@
 	"postjunction/internal/voters"
 )
 
-// threeVoters are the control nodes c1 to c3, all live; c4 is gone.
+// threeVoters are the control nodes c1 to c3, which are all live. c4 is not live.
 type threeVoters struct{}
 
 func (threeVoters) VoterSet() voters.Set {
@@ -29,7 +29,8 @@
 
 func (threeVoters) Live(node string) (string, bool) { return node, node != "" && node != "c4" }
 
-// grantingVoters say who leads a key, an error when who is nil, and promise the key to anybody.
+// grantingVoters answer a LeaderRequest with response, or with an error if that is nil. They grant
+// every prepare request.
 type grantingVoters struct {
 	threeVoters
 	response *LeaderResponse
@@ -40,7 +41,7 @@
 	mux := http.NewServeMux()
 	Leader.Handle(mux, func(context.Context, *LeaderRequest) (*LeaderResponse, error) {
 		if v.response == nil {
-			return nil, apierror.New(apierror.Unreachable, "c2 does not answer")
+			return nil, apierror.New(apierror.Unreachable, "c2 does not respond")
 		}
 		return v.response, nil
 	})
@@ -54,8 +55,9 @@
 	return recorder.Result(), nil
 }
 
-// A claim asks the presumed leader: it leaves the key to one that leads it or doesn't answer,
-// follows a live one that is named, and goes on where the chain of names ends at itself or nowhere.
+// A claim asks the presumed leader first. It fails if that node leads the key or doesn't answer,
+// and if that node names another live node, which is then the presumed leader. It succeeds if the
+// named node is the asker, the asked node itself, a node that is not live, or none.
 func TestClaimAsksThePresumedLeader(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -66,7 +68,7 @@
 		{"it leads the key", &LeaderResponse{Leads: true}, "c2", false},
 		{"it does not answer", nil, "c2", false},
 		{"it names another one", &LeaderResponse{Hint: "c3"}, "c3", false},
-		{"it names one that is gone", &LeaderResponse{Hint: "c4"}, "c1", true},
+		{"it names one that is not live", &LeaderResponse{Hint: "c4"}, "c1", true},
 		{"it names the asker", &LeaderResponse{Hint: "c1"}, "c1", true},
 		{"it names itself", &LeaderResponse{Hint: "c2"}, "c1", true},
 		{"it names none", &LeaderResponse{}, "c1", true},
@@ -82,7 +84,7 @@
 				err := proposer.Claim(t.Context(), "k")
 				synctest.Wait()
 				assert.Equal(t, proposer.Leads("k"), test.claims, "%v", err)
-				assert.Equal(t, network.promised.Load() > 0, test.claims, "promises that were asked for")
+				assert.Equal(t, network.promised.Load() > 0, test.claims, "whether prepare requests were sent")
 				assert.Equal(t, apierror.HasCode(err, apierror.NotKeyLeader), !test.claims, "%v", err)
 				assert.Equal(t, proposer.LeaderOf("k"), test.hint)
 			})
@@ -90,7 +92,7 @@
 	}
 }
 
-// promisedToOther are three voters that promised the key to c2, after c1 had written it.
+// promisedToOther are three voters that have promised the key to c2 after c1 wrote it.
 type promisedToOther struct{ threeVoters }
 
 func (promisedToOther) Do(request *http.Request) (*http.Response, error) {
@@ -105,8 +107,8 @@
 	return recorder.Result(), nil
 }
 
-// A control node that lost a key without knowing it doesn't refuse a base as stale by the value
-// that it has: it asks a majority first.
+// A control node that has lost the leadership of a key without noticing must not reject a change as
+// stale by the value that it has. It asks a majority first.
 func TestChangeRefusesAStaleBaseOnlyAsConfirmedLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := promisedToOther{}
--- a/internal/control/register/read.go
+++ b/internal/control/register/read.go
@@ -9,7 +9,8 @@
 	"postjunction/internal/voters"
 )
 
-// Read returns the value that was current at some moment after the call began.
+// Read returns a value that was current at some moment after the call began. It forwards the
+// request to the presumed leader, and reads the key itself if that fails.
 func (p *Proposer) Read(ctx context.Context, request *ReadRequest) (*acceptor.Value, error) {
 	for forwards := request.Forwards; ; {
 		if addr, ok := p.otherLeader(request.Key); ok && forwards < maxForwards {
@@ -46,7 +47,7 @@
 		}
 		p.stopLeading(key)
 		if _, ok := p.otherLeader(key); ok && yield {
-			return nil, apierror.New(apierror.NotKeyLeader, "%s was claimed elsewhere", key)
+			return nil, apierror.New(apierror.NotKeyLeader, "%s was claimed by another node", key)
 		}
 	}
 	if value, ok := p.QuorumRead(ctx, key); ok {
@@ -59,10 +60,11 @@
 	return &state.value, nil
 }
 
-// QuorumRead reads a key without claiming it, whoever leads it: the copy that a majority has
-// accepted was decided, and nothing was decided after it before the read began. It waits a moment
-// for more copies than a majority where the first ones differ, and is not ok where they still do.
-// Only this node's own voter, or one voter more, sends the value itself.
+// QuorumRead reads a key without claiming it, whichever node leads it. The copy that a majority has
+// accepted was decided, and nothing was decided after it before the read began. If the first copies
+// differ, it waits a short time for more than a majority of them. It is not ok if no majority has
+// the highest copy then. Only one voter sends the value itself: the one on this node, or else
+// another.
 func (p *Proposer) QuorumRead(ctx context.Context, key string) (acceptor.Value, bool) {
 	voterSet := p.peers.VoterSet()
 	if voterSet.Sequence == 0 {
@@ -99,7 +101,8 @@
 }
 
 // gatherCopies peeks at all voters until a majority has the highest copy. Once a majority has
-// answered, the rest gets a moment more: stop, which ends ctx, is called after it.
+// answered, the others have extraCopiesWait initial backoffs left: after that it calls stop, which
+// ends ctx.
 func (p *Proposer) gatherCopies(
 	ctx context.Context, stop context.CancelFunc, voterSet voters.Set, key string,
 ) peekResponses {
@@ -129,7 +132,7 @@
 	return quorum.Successes(quorum.Gather(ctx, voterSet.Voters, peek, enough))
 }
 
-// ConfirmLeadership reports whether this node still leads a key, as a majority confirms.
+// ConfirmLeadership reports whether a majority confirms that this node still leads a key.
 func (p *Proposer) ConfirmLeadership(ctx context.Context, key string) bool {
 	unlock, err := p.locks.Lock(ctx, key)
 	if err != nil {
@@ -146,8 +149,8 @@
 	return false
 }
 
-// confirmEpoch asks the voters whether a majority still has the epoch of this node promised, and
-// notes what they say.
+// confirmEpoch reports whether the epoch of state is still the promised one on a majority of the
+// voters. It records the epochs that the voters report.
 func (p *Proposer) confirmEpoch(ctx context.Context, key string, state keyState) bool {
 	voterSet := p.peers.VoterSet()
 	ctx, stop := context.WithTimeout(ctx, p.timing.CallTimeout())
--- a/internal/control/register/serve.go
+++ b/internal/control/register/serve.go
@@ -7,7 +7,7 @@
 	"postjunction/internal/control/acceptor"
 )
 
-// Serve registers the proposer's calls.
+// Serve registers the proposer's procedures on mux.
 func (p *Proposer) Serve(mux *http.ServeMux) {
 	Change.Handle(mux, p.Change)
 	Read.Handle(mux, p.Read)
--- a/internal/control/register/transfer.go
+++ b/internal/control/register/transfer.go
@@ -7,9 +7,9 @@
 	"postjunction/internal/quorum"
 )
 
-// Claim makes this node the leader of a key unless a live node leads it, which NotKeyLeader says. A
-// live node that is only presumed to lead is asked, since two nodes that each took the other for
-// the leader would both wait.
+// Claim makes this node the leader of a key. It returns NotKeyLeader if another live node leads the
+// key. A live node that is presumed to lead is asked first: two nodes that each presume the other
+// to be the leader would otherwise both wait.
 func (p *Proposer) Claim(ctx context.Context, key string) error {
 	addr, ok := p.otherLeader(key)
 	if !ok {
@@ -30,8 +30,8 @@
 	return p.lockAndAcquire(ctx, key, false)
 }
 
-// TransferLeadership hands the keys that this node leads to successors, in turn, and claims none
-// from then on. It returns how many keys a successor has claimed.
+// TransferLeadership transfers the keys that this node leads to successors, assigned in rotation.
+// This node claims no key from then on. It returns how many keys a successor has claimed.
 func (p *Proposer) TransferLeadership(ctx context.Context, successors []string) int {
 	p.draining.Store(true)
 	var keys []string
@@ -54,8 +54,8 @@
 	return len(quorum.Successes(results))
 }
 
-// transfer writes the successor into the register, so that all who read it forward there, and has
-// it claim the key.
+// transfer writes the successor into the register, so that every node that reads it forwards to the
+// successor. Then it asks the successor to claim the key.
 func (p *Proposer) transfer(ctx context.Context, key, successor string) error {
 	unlock, err := p.locks.Lock(ctx, key)
 	if err != nil {
@@ -74,7 +74,7 @@
 	p.updateState(key, func(state *keyState) { state.leading, state.leaderHint = false, successor })
 	addr, ok := p.peers.Live(successor)
 	if !ok {
-		return apierror.New(apierror.Unreachable, "%s is gone", successor)
+		return apierror.New(apierror.Unreachable, "successor %s is not live", successor)
 	}
 	_, err = TakeOver.Call(ctx, p.network, p.self, addr, &TakeOverRequest{Key: key})
 	return err
