--- a/internal/control/bootstrap/bootstrapper.go
+++ b/internal/control/bootstrap/bootstrapper.go
@@ -1,13 +1,13 @@
-// Package bootstrap makes the first voter set of a fleet: all founding control disks agree on it,
-// then it is activated on each of them.
+// Package bootstrap creates the first voter set of a fleet. The control disks of all founders agree
+// to it, then it is activated on each of them.
 //
-// A fleet is bootstrapped once. Who the founders are follows from the settings of each node and
-// from what the nodes at those addresses say; a founder accepts only the voter set that it would
-// have planned itself. Where no seed has a control disk, one disk bootstraps alone, with a grant
-// from every seed (Granter), so that two never do.
+// A fleet is bootstrapped once. The founders follow from the settings of each node and from the
+// responses of the nodes at the addresses in them. A founder agrees only to the voter set that it
+// would have planned itself. If no seed has a control disk, one disk bootstraps alone. It needs a
+// grant from every seed (Granter), so that two disks never do.
 //
-// A Bootstrapper has no state of its own and may be used by several goroutines. Its calls block for
-// at most the call time-out each.
+// A Bootstrapper has no state of its own and may be used by several goroutines. Each of its calls
+// blocks for at most the call timeout.
 package bootstrap
 
 import (
@@ -24,26 +24,26 @@
 	"postjunction/internal/wire"
 )
 
-// Bootstrapper plans and activates the first voter set on behalf of one control node.
+// Bootstrapper plans and activates the first voter set for one control node.
 type Bootstrapper struct {
 	options settings.Options
 	network wire.Network
 	self    func() membership.Info
 }
 
-// New returns a bootstrapper with the settings of its node; self returns what that node says of
-// itself.
+// New returns a bootstrapper with the settings of its node. self returns the membership info of
+// that node.
 func New(options settings.Options, network wire.Network, self func() membership.Info) *Bootstrapper {
 	return &Bootstrapper{options: options, network: network, self: self}
 }
 
-// Plan returns the first voter set, once every node that may take part has answered. It returns
-// NotBootstrapped while some haven't or the settings keep this node from it, and StaleVoterSet when
-// one of them belongs to a fleet already.
+// Plan returns the first voter set once every possible founder has answered. It returns
+// NotBootstrapped while some have not, or if the settings forbid this node to bootstrap. It returns
+// StaleVoterSet if one of them belongs to a fleet already.
 func (b *Bootstrapper) Plan(ctx context.Context) (voters.Set, error) {
 	if b.options.BootstrapBy == settings.BootstrapNever {
 		return voters.Set{}, apierror.New(apierror.NotBootstrapped,
-			"this disk came back empty: it bootstraps nothing and waits to become a voter")
+			"the settings forbid this empty disk to bootstrap a fleet; it waits to become a voter")
 	}
 	nodes, err := b.identify(ctx, b.founderAddresses())
 	if err != nil {
@@ -62,12 +62,13 @@
 
 func (b *Bootstrapper) hasNamedFounders() bool { return len(b.options.Founders) > 0 }
 
-// isBySeeds reports whether the seeds alone found the fleet.
+// seedsBootstrap reports whether only seeds may be founders.
 func (b *Bootstrapper) seedsBootstrap() bool {
 	return !b.hasNamedFounders() && b.options.BootstrapBy == settings.BootstrapSeeds
 }
 
-// founderAddresses returns the addresses of the nodes that may be founders, sorted, each once.
+// founderAddresses returns the addresses of the nodes that may be founders, sorted and without
+// duplicates.
 func (b *Bootstrapper) founderAddresses() []string {
 	var addresses []string
 	switch {
@@ -82,8 +83,8 @@
 	return slices.Compact(addresses)
 }
 
-// identify asks the nodes at these addresses who they are. It returns NotBootstrapped when one
-// doesn't answer.
+// identify returns the membership infos of the nodes at these addresses. It returns NotBootstrapped
+// if one does not answer.
 func (b *Bootstrapper) identify(
 	ctx context.Context, addresses []string,
 ) ([]quorum.Result[string, membership.Info], error) {
@@ -102,20 +103,20 @@
 	}, nil)
 	if err := quorum.FirstError(results); err != nil || len(results) < len(addresses) {
 		return nil, apierror.WithCause(apierror.NotBootstrapped, err,
-			"%d of %d founding addresses answered", len(quorum.Successes(results)), len(addresses))
+			"%d of %d addresses of founders answered", len(quorum.Successes(results)), len(addresses))
 	}
 	return results, nil
 }
 
-// founders returns those of the nodes that found the fleet: the ones with a control disk, or this
-// node alone where only seeds may found and none has such a disk.
+// founders returns the founders among the nodes: those with a control disk. If only seeds may be
+// founders and none has a control disk, this node is the only founder.
 func (b *Bootstrapper) founders(nodes []quorum.Result[string, membership.Info]) ([]voters.Voter, error) {
 	var founders []voters.Voter
 	for _, result := range nodes {
 		node := result.Value
 		switch {
 		case node.VoterSet > 0:
-			return nil, apierror.New(apierror.StaleVoterSet, "%s is under voter set %d already", node.Name, node.VoterSet).
+			return nil, apierror.New(apierror.StaleVoterSet, "%s is already under voter set %d", node.Name, node.VoterSet).
 				WithCurrent(node.VoterSet)
 		case node.Disk == settings.DiskControl:
 			founders = append(founders, voterOf(node))
@@ -128,7 +129,7 @@
 		return []voters.Voter{voterOf(b.self())}, nil
 	}
 	if len(founders) == 0 {
-		return nil, apierror.New(apierror.NotBootstrapped, "no founding address has a control disk")
+		return nil, apierror.New(apierror.NotBootstrapped, "no node at the addresses of founders has a control disk")
 	}
 	return founders, nil
 }
@@ -137,8 +138,8 @@
 	return voters.Voter{Node: node.Name, Addr: node.PeerAddr, Incarnation: node.Incarnation}
 }
 
-// Agree checks a first voter set that another node proposes against this node's own plan. It
-// returns the errors of Plan, and NotBootstrapped when the two differ.
+// Agree compares a first voter set that another node proposes with this node's own plan. It returns
+// the errors of Plan, and NotBootstrapped if the two differ.
 func (b *Bootstrapper) Agree(ctx context.Context, proposed voters.Set) error {
 	planned, err := b.Plan(ctx)
 	if err != nil {
@@ -161,8 +162,8 @@
 }
 
 // Try bootstraps the fleet if this node is the first of the founders, and returns the first voter
-// set. It returns the errors of Plan, and NotBootstrapped when that is another node's task or when
-// a founder doesn't agree; it may be called again after any of them.
+// set. It returns the errors of Plan, and NotBootstrapped if another node is the first founder or a
+// founder does not agree. It may be called again after any of these errors.
 func (b *Bootstrapper) Try(ctx context.Context) (voters.Set, error) {
 	planned, err := b.Plan(ctx)
 	if err != nil {
@@ -190,7 +191,7 @@
 	})
 }
 
-// askFounders makes a call to every founder at once and returns NotBootstrapped unless all succeed.
+// askFounders calls every founder at once. It returns NotBootstrapped unless all calls succeed.
 func (b *Bootstrapper) askFounders(
 	ctx context.Context, planned voters.Set, call func(context.Context, voters.Voter) error,
 ) error {
@@ -201,13 +202,13 @@
 	}, nil)
 	if err := quorum.FirstError(results); err != nil || len(results) < len(planned.Voters) {
 		return apierror.WithCause(apierror.NotBootstrapped, err,
-			"%d of %d founding disks agreed", len(quorum.Successes(results)), len(planned.Voters))
+			"%d of %d disks of founders agreed", len(quorum.Successes(results)), len(planned.Voters))
 	}
 	return nil
 }
 
-// collectGrants gets the grant to bootstrap alone from every seed, one after the other in the order
-// of their addresses, so that of several control nodes at most one gets them all.
+// collectGrants requests the grant to bootstrap alone from every seed, one after the other in the
+// order of their addresses, so that at most one of several control nodes gets all grants.
 func (b *Bootstrapper) collectGrants(ctx context.Context, planned voters.Set) error {
 	seeds := slices.Sorted(slices.Values(b.options.Seeds))
 	request := &GrantRequest{Node: b.options.Name, Incarnation: planned.Voters[0].Incarnation}
--- a/internal/control/epoch/epoch.go
+++ b/internal/control/epoch/epoch.go
@@ -1,6 +1,7 @@
-// Package epoch orders the claims to a key: an epoch is a ballot number in the sense of Paxos, and
-// a fencing token for what is done under it. Epochs of different nodes never compare equal, and a
-// node claims above all epochs that it has seen. The package has only values, no state.
+// Package epoch orders the claims to a key. An epoch is a ballot number in the sense of Paxos, and
+// a fencing token for the operations under it. Epochs of different nodes never compare equal. A
+// node claims a key with an epoch above all that it has seen. The package has only values, no
+// state.
 package epoch
 
 import "fmt"
@@ -19,10 +20,10 @@
 	return e.Node < other.Node
 }
 
-// IsZero reports whether e is no claim.
+// IsZero reports whether e is the zero Epoch, which is that of no claim.
 func (e Epoch) IsZero() bool { return e.Number == 0 }
 
-// Next returns the epoch for a claim of a node above e.
+// Next returns the epoch above e for a claim of a node.
 func (e Epoch) Next(node string) Epoch { return Epoch{Number: e.Number + 1, Node: node} }
 
 // String returns the epoch as number/node.
--- a/internal/control/quorumread/confirmer.go
+++ b/internal/control/quorumread/confirmer.go
@@ -1,14 +1,15 @@
-// Package quorumread confirms on a control node, once every heartbeat, which configuration a
-// majority of the voters has. Leases of other nodes are given out on the last confirmation
-// (internal/nodelease).
+// Package quorumread confirms on a control node, once every heartbeat interval, which configuration
+// a majority of the voters has. Leases are granted to other nodes on the basis of the last
+// confirmation (internal/nodelease).
 //
-// What must stay true: a confirmation counts from before its question was sent, its sequence never
-// goes back, and it is OK for less than a lease. So a configuration that was superseded is served
-// for no longer than a lease.
+// Invariants: the time of a confirmation is taken before its requests are sent. Its sequence never
+// decreases. It is OK for less than the duration of a lease. So a superseded configuration is
+// served for no longer than a lease.
 //
-// Run is the one goroutine that asks and writes; Latest only reads, and never blocks on a call.
-// Peeks carry no values: the configuration itself is read, through internal/control/register, only
-// where copies differ or have another version than the one confirmed last.
+// Concurrency: Run is the only goroutine that calls the voters and writes. Latest only reads, and
+// never blocks on a call. Peeks carry no values. The configuration itself is read, through
+// internal/control/register, only if copies differ or have another version than the one confirmed
+// last.
 package quorumread
 
 import (
@@ -37,14 +38,14 @@
 const ConfigurationKey = "description"
 
 const (
-	// youngDivisor divides a lease: a confirmation is young for that part of it.
+	// recentDivisor is the part of a lease for which a confirmation counts as recent.
 	recentDivisor = 2
-	// readersOfDiffering is how many nodes read a key whose copies differ, on the average.
+	// expectedReaders is how many nodes read a key whose copies differ, on average.
 	expectedReaders = 2
 )
 
-// Confirmer keeps the confirmation of one control node fresh. Its exported fields are set before
-// Run and not changed.
+// Confirmer renews the confirmation of one control node. Its exported fields must be set before Run
+// and not be changed afterwards.
 type Confirmer struct {
 	Self     string
 	Net      wire.Network
@@ -54,21 +55,21 @@
 	Proposer *register.Proposer
 	Repairer *repair.Repairer
 
-	// mu guards the fields below.
+	// mu guards confirmation, version, majorityAnswered and roundAnswered.
 	mu           sync.Mutex
 	confirmation nodelease.Confirmation
-	// version is the configuration's version in the register as of the confirmation.
+	// version is the version of the register at the confirmation.
 	version uint64
-	// majorityAnswered is when a majority last answered, in whatever way; roundAnswered says that
-	// one has answered the round that is under way.
+	// majorityAnswered is when a majority last answered, with a response or a rejection.
+	// roundAnswered says that a majority has answered in the current round.
 	majorityAnswered time.Time
 	roundAnswered    bool
 }
 
 type peekResponses = []quorum.Result[voters.Voter, *acceptor.PeekResponse]
 
-// Latest returns the last confirmation; it is OK only for a lease. Isolated says that no majority
-// has answered for an isolation timeout.
+// Latest returns the last confirmation. It is OK only for the duration of a lease. Isolated says
+// that no majority has answered for an isolation timeout.
 func (c *Confirmer) Latest() nodelease.Confirmation {
 	now := c.Clock.Now()
 	c.mu.Lock()
@@ -80,7 +81,7 @@
 	return latest
 }
 
-// Parse returns the configuration in a register, the zero one when none was written yet.
+// Parse returns the configuration in a register, the zero Config if none was written yet.
 func Parse(value acceptor.Value) (configuration.Config, error) {
 	var config configuration.Config
 	if len(value.Body) == 0 {
@@ -90,8 +91,9 @@
 	return config, err
 }
 
-// Run confirms every heartbeat until ctx ends. Before the first confirmation it tries again soon,
-// and where no voter set is known as soon as gossip has changed.
+// Run confirms once every heartbeat interval until ctx ends. Before the first confirmation it
+// retries after an initial backoff. While no voter set is known it retries as soon as gossip
+// changes.
 func (c *Confirmer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := c.Store.Changed()
@@ -113,7 +115,7 @@
 	return !c.confirmation.At.IsZero()
 }
 
-// confirm asks the voters once. Errors leave the last confirmation to its age.
+// confirm calls the voters once. After an error the last confirmation remains and expires.
 func (c *Confirmer) confirm(ctx context.Context) {
 	voterSet := c.Store.VoterSet()
 	if voterSet.Sequence == 0 {
@@ -169,7 +171,7 @@
 	return quorum.Successes(responses)
 }
 
-// compareCopies returns the highest of one copy or more, and whether all are the same acceptance.
+// compareCopies returns the highest of one or more copies, and whether all are the same acceptance.
 func compareCopies(copies peekResponses) (highest acceptor.Slot, identical bool) {
 	highest, identical = copies[0].Value.Slots[ConfigurationKey], true
 	for _, response := range copies[1:] {
@@ -184,7 +186,7 @@
 	return highest, identical
 }
 
-// readValue reads the register, without a claim to the key where that can be done.
+// readValue reads the register. It claims the key only if a quorum read is not possible.
 func (c *Confirmer) readValue(ctx context.Context) (acceptor.Value, error) {
 	if value, ok := c.Proposer.QuorumRead(ctx, ConfigurationKey); ok {
 		return value, nil
@@ -196,8 +198,8 @@
 	return *value, nil
 }
 
-// noteAnswers notes whether a majority has answered. A voter that rejects the question, as while
-// the voter set changes, has answered.
+// recordAnswers records whether a majority has answered in this round. A rejection counts as an
+// answer: voters reject the request while the voter set changes.
 func (c *Confirmer) recordAnswers(responses peekResponses, majority int) {
 	answered := 0
 	for _, response := range responses {
@@ -221,10 +223,10 @@
 	}
 }
 
-// mayRead reports whether the configuration may be read now. Copies that differ mostly do so while
-// a change is under way, and to read a key whose copies differ may mean to claim it, which makes
-// them differ for all others. So that is left to later heartbeats, while the last confirmation is
-// young, and to a few nodes.
+// mayRead reports whether the configuration may be read now. Copies differ mostly while a change is
+// in progress. Reading a key whose copies differ may claim it, and then the copies differ for all
+// other nodes too. So nothing is read while the last confirmation is recent, and afterwards only a
+// few nodes read.
 func (c *Confirmer) mayRead(voterSet voters.Set, identical bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -235,7 +237,7 @@
 	return !isRecent && rand.IntN(len(voterSet.Voters)) < expectedReaders
 }
 
-// renew confirms the sequence of the last confirmation again, if the register still has the same
+// renew renews the last confirmation with the same sequence, if the register still has the same
 // version.
 func (c *Confirmer) renew(askedAt time.Time, version uint64) bool {
 	c.mu.Lock()
--- a/internal/control/quorumread/confirmer_test.go
+++ b/internal/control/quorumread/confirmer_test.go
@@ -20,8 +20,8 @@
 	"postjunction/internal/voters"
 )
 
-// scriptedVoters answer a peek with the code set for their address; Unreachable is no answer at
-// all.
+// scriptedVoters answer a peek with the error code set for their address. With Unreachable they
+// don't answer.
 type scriptedVoters struct {
 	// mu guards codes.
 	mu    sync.Mutex
@@ -54,13 +54,13 @@
 	return recorder.Result(), nil
 }
 
-// livePeers are all live, under the voter set of a store.
+// livePeers has all nodes live, and the voter set of a gossip store.
 type livePeers struct{ store *gossip.Store }
 
 func (p livePeers) VoterSet() voters.Set          { return p.store.VoterSet() }
 func (livePeers) Live(node string) (string, bool) { return node, true }
 
-// newConfirmer returns a confirmer on c1 under the voters c1, c2 and c3.
+// newConfirmer returns a confirmer on c1 with the voters c1, c2 and c3.
 func newConfirmer(network *scriptedVoters, timing settings.Timing) *Confirmer {
 	store := gossip.NewStore(nil)
 	voterSet := voters.NewSet([]voters.Voter{
@@ -76,9 +76,9 @@
 	}
 }
 
-// A control node is isolated once no majority has answered for an isolation timeout, and no longer
-// when one does. Voters that reject the question, as while the voter set changes, have answered,
-// though they confirm nothing.
+// A control node is isolated once no majority has answered for an isolation timeout, until one
+// answers again. Rejections count as answers, though they confirm nothing: voters reject the
+// request while the voter set changes.
 func TestControlNodeIsIsolatedWhileNoMajorityAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -94,12 +94,12 @@
 			isolated bool
 		}{
 			{"all answer", nil, false},
-			{"one is silent", map[string]apierror.Code{"c3": silent}, false},
-			{"two are silent", map[string]apierror.Code{"c2": silent, "c3": silent}, true},
-			{"all are back", nil, false},
+			{"one does not answer", map[string]apierror.Code{"c3": silent}, false},
+			{"two do not answer", map[string]apierror.Code{"c2": silent, "c3": silent}, true},
+			{"all answer again", nil, false},
 			{"the voter set changes",
 				map[string]apierror.Code{"c1": changing, "c2": changing, "c3": changing}, false},
-			{"it changes and two are silent",
+			{"it changes and two do not answer",
 				map[string]apierror.Code{"c1": changing, "c2": silent, "c3": silent}, true},
 		} {
 			for _, node := range []string{"c1", "c2", "c3"} {
@@ -113,9 +113,9 @@
 		assert.Assert(t, !confirmer.Latest().Isolated)
 		network.set("c2", apierror.Unreachable)
 		time.Sleep(timing.IsolationTimeout())
-		assert.Assert(t, !confirmer.Latest().Isolated, "too soon")
+		assert.Assert(t, !confirmer.Latest().Isolated, "isolated before the isolation timeout")
 		time.Sleep(2 * timing.HeartbeatInterval())
-		assert.Assert(t, confirmer.Latest().Isolated, "too late")
+		assert.Assert(t, confirmer.Latest().Isolated, "not isolated after the isolation timeout")
 		stop()
 		synctest.Wait()
 	})
--- a/internal/control/reconfig/executor.go
+++ b/internal/control/reconfig/executor.go
@@ -1,12 +1,12 @@
-// Package reconfig changes the voter set of the control keys: it seals the current set on a
+// Package reconfig changes the voter set of the control keys. It seals the current set on a
 // majority of its voters, copies all keys, and activates the next set.
 //
-// What follows a voter set is itself decided by its voters, under the key acceptor.VoterSetKey: a
-// majority that accepted the successor is sealed and decides nothing else. So one set at most
-// follows another, and a change that one executor began is ended by any other.
+// The voters of the current set decide the next set themselves, under the key acceptor.VoterSetKey.
+// A majority that accepted the next set is sealed and decides nothing else. So at most one set
+// follows another, and any executor can finish a change that another one started.
 //
-// An Executor keeps no lock: it is for one goroutine. Its calls block for at most the call time-out
-// each, and for as many rounds as a change has (four).
+// An Executor has no lock and is for use by one goroutine. A change blocks for at most one call
+// timeout in each of its rounds, of which there are four.
 package reconfig
 
 import (
@@ -26,11 +26,11 @@
 	self    string
 	network wire.Network
 	timing  settings.Timing
-	// highestSeen is the highest epoch that any voter promised, as far as known here.
+	// highestSeen is the highest known epoch that any voter has promised.
 	highestSeen epoch.Epoch
 }
 
-// New returns an executor that calls the voters as the node self.
+// New returns an executor that calls the voters on behalf of the node self.
 func New(self string, network wire.Network, timing settings.Timing) *Executor {
 	return &Executor{self: self, network: network, timing: timing}
 }
@@ -39,10 +39,10 @@
 	return context.WithTimeout(ctx, e.timing.CallTimeout())
 }
 
-// Change decides which voter set follows current, and activates it: wanted, unless another change
-// was begun before. It returns the set that came into force. Errors are NoMajority, when too few
-// voters answered or another executor was ahead, StaleVoterSet, when current is no longer in force,
-// and DiskDamaged, when the successor that was decided can't be read.
+// Change decides which voter set follows current, and activates it. That is wanted, unless another
+// change was started before. It returns the set that is in effect afterwards. Errors are NoMajority
+// if too few voters answered or another executor has a higher epoch, StaleVoterSet if current is no
+// longer in effect, and DiskDamaged if the decided successor can't be decoded.
 func (e *Executor) Change(ctx context.Context, current, wanted voters.Set) (voters.Set, error) {
 	next, err := e.decideSuccessor(ctx, current, wanted)
 	if err != nil {
@@ -58,7 +58,8 @@
 	return next, nil
 }
 
-// copySlots reads the slots of all keys from as many sealed voters as hold every decided value.
+// copySlots reads the slots of all keys from a seal quorum of current, which has every decided
+// value.
 func (e *Executor) copySlots(ctx context.Context, current voters.Set) (map[string]acceptor.Slot, error) {
 	needed := current.SealQuorum()
 	peek := func(ctx context.Context, voter voters.Voter) (*acceptor.PeekResponse, error) {
@@ -70,7 +71,7 @@
 	answered := quorum.Successes(results)
 	if len(answered) < needed {
 		return nil, apierror.WithCause(apierror.NoMajority, quorum.FirstError(results),
-			"%d of the %d sealed disks needed gave their keys", len(answered), needed)
+			"%d sealed disks returned their keys, %d are needed", len(answered), needed)
 	}
 	copies := map[string][]acceptor.Slot{}
 	for _, result := range answered {
@@ -87,8 +88,8 @@
 	return merged, nil
 }
 
-// activate puts the voter set next into force, with these slots, on a majority of its voters. The
-// calls to the others go on when a majority answered.
+// activate activates the voter set next, with these slots, on a majority of its voters. The calls
+// to the other voters continue after it returns.
 func (e *Executor) activate(ctx context.Context, next voters.Set, slots map[string]acceptor.Slot) error {
 	results := quorum.Gather(ctx, next.Voters, func(ctx context.Context, voter voters.Voter) (*acceptor.Empty, error) {
 		callCtx, cancel := e.withCallTimeout(context.WithoutCancel(ctx))
@@ -105,8 +106,8 @@
 	return nil
 }
 
-// CatchUp activates the voter set in force on a voter that missed it, with the slots of the first
-// other voter that gives them. It returns NoMajority when none does.
+// CatchUp activates the voter set in effect on a voter that missed its activation, with the slots
+// of the first other voter that returns them. It returns NoMajority if none does.
 func (e *Executor) CatchUp(ctx context.Context, current voters.Set, lagging voters.Voter) error {
 	for _, voter := range current.Voters {
 		if voter.Node == lagging.Node {
@@ -122,10 +123,11 @@
 		_, err = acceptor.Activate.Call(callCtx, e.network, e.self, lagging.Addr, request)
 		return err
 	}
-	return apierror.New(apierror.NoMajority, "no voter could give its keys to %s", lagging.Node)
+	return apierror.New(apierror.NoMajority, "no voter returned its keys to catch up %s", lagging.Node)
 }
 
-// peekAll reads the slots of all keys from one voter; with sealed, only if current is sealed there.
+// peekAll reads the slots of all keys from one voter. With sealed it succeeds only if current is
+// sealed on that voter.
 func (e *Executor) peekAll(
 	ctx context.Context, current voters.Set, voter voters.Voter, sealed bool,
 ) (*acceptor.PeekResponse, error) {
--- a/internal/control/reconfig/successor.go
+++ b/internal/control/reconfig/successor.go
@@ -11,12 +11,12 @@
 	"postjunction/internal/voters"
 )
 
-// slotResult is what one voter answered to a promise or an acceptance that was asked of it.
+// slotResult is the response of one voter to a prepare or accept request.
 type slotResult = quorum.Result[voters.Voter, *acceptor.SlotResponse]
 
 // decideSuccessor has the voters of current decide which set follows it, in two rounds: a majority
-// promises a new epoch, and accepts the successor under it. That is wanted, unless some voter that
-// promised has accepted another one already. Once it is decided, current is sealed.
+// promises a new epoch, and then accepts the successor under it. The successor is wanted, unless a
+// voter that promised has accepted another set already. Once it is decided, current is sealed.
 func (e *Executor) decideSuccessor(ctx context.Context, current, wanted voters.Set) (voters.Set, error) {
 	proposal := e.highestSeen.Next(e.self)
 	e.highestSeen = proposal
@@ -52,13 +52,13 @@
 	return err
 }
 
-// target addresses the slot of the successor on one voter.
+// target addresses the slot of VoterSetKey on one voter.
 func target(current voters.Set, voter voters.Voter) acceptor.Target {
 	return acceptor.Target{VoterSet: current.Sequence, Incarnation: voter.Incarnation, Key: acceptor.VoterSetKey}
 }
 
-// successorOf returns the set that was accepted last, as far as those that promised know, or wanted
-// if none was. It returns DiskDamaged when that can't be read.
+// successorOf returns the set with the latest acceptance among the voters that promised, or wanted
+// if none has accepted one. It returns DiskDamaged if that set can't be decoded.
 func successorOf(promises []slotResult, wanted voters.Set) (voters.Set, error) {
 	var latest acceptor.Slot
 	for _, result := range quorum.Successes(promises) {
@@ -71,14 +71,14 @@
 		return next, nil
 	}
 	if err := json.Unmarshal(latest.Value.Body, &next); err != nil {
-		return voters.Set{}, apierror.Wrap(apierror.DiskDamaged, err, "read the next voter set")
+		return voters.Set{}, apierror.Wrap(apierror.DiskDamaged, err, "decode the next voter set")
 	}
 	return next, nil
 }
 
-// askMajority calls every voter of current at once and returns what was answered when a majority
-// has granted it. Else it returns StaleVoterSet when some voter says so, and NoMajority when none
-// does; verb is for its text.
+// askMajority calls every voter of current at once and returns the responses once a majority has
+// granted the request. Else it returns StaleVoterSet if some voter returned that, and NoMajority if
+// none did. verb is part of the text of NoMajority.
 func (e *Executor) askMajority(
 	ctx context.Context, current voters.Set, verb string,
 	call func(context.Context, voters.Voter) (*acceptor.SlotResponse, error),
@@ -102,8 +102,8 @@
 		"%d of %d disks %s a change of voter set %d", e.countGranted(results), len(current.Voters), verb, current.Sequence)
 }
 
-// countGranted returns how many voters granted what was asked. It learns the epochs of those that
-// didn't, so that the next proposal is above them.
+// countGranted returns how many voters granted the request. It records the epochs of the voters
+// that rejected it, so that the next proposal is above them.
 func (e *Executor) countGranted(results []slotResult) int {
 	granted := 0
 	for _, result := range quorum.Successes(results) {
--- a/internal/control/reconfigurer/absences.go
+++ b/internal/control/reconfigurer/absences.go
@@ -11,15 +11,15 @@
 	"postjunction/internal/voters"
 )
 
-// absences remembers, by node, which voters are not live.
+// absences records by node which voters are not live.
 type absences struct {
-	// since has the voters that are not live, and when they were first found so.
+	// since has the time when a voter that is not live was first found absent.
 	since map[string]time.Time
-	// zones has the zone of each voter when it was last live.
+	// zones has the zone that each voter had when it was last live.
 	zones map[string]string
 }
 
-// update takes in which voters of the current set are live.
+// update records which voters of the current set are live.
 func (a *absences) update(current voters.Set, live map[string]membership.Info, now time.Time) {
 	previous := a.since
 	a.since = map[string]time.Time{}
@@ -38,8 +38,9 @@
 	}
 }
 
-// pair assigns absent voters to candidates, each to one at most: to a candidate of the same zone
-// first, then the voter that is gone for longest. It returns the voter for each candidate's name.
+// pair assigns each candidate at most one absent voter. Pairs of the same zone are assigned first,
+// and the voter that has been absent for longest comes before others. It returns the voter by the
+// candidate's name.
 func (a *absences) pair(candidates []membership.Info) map[string]string {
 	unpaired := a.longestFirst()
 	paired := map[string]string{}
--- a/internal/control/reconfigurer/plan.go
+++ b/internal/control/reconfigurer/plan.go
@@ -9,14 +9,14 @@
 	"postjunction/internal/voters"
 )
 
-// plannedChange says how the voter set is to change, and why.
+// plannedChange is a planned change of the voter set with its reasons.
 type plannedChange struct {
-	// added come in; one of a node that is a voter already takes the place of that.
+	// added are the new voters. One on the node of a current voter replaces that voter.
 	added []voters.Voter
-	// removed names the nodes that go.
+	// removed names the nodes whose voters are removed.
 	removed []string
 	reasons []string
-	// waiting says that a voter is gone, but not yet for long enough to be replaced or given up.
+	// waiting says that a voter is absent, but not yet for long enough to be replaced or removed.
 	waiting bool
 }
 
@@ -32,7 +32,7 @@
 	return current.Without(c.removed...).Replace(c.added...)
 }
 
-// plan decides how the current voter set is to change. It does no I/O.
+// plan decides how to change the current voter set. It does no I/O.
 func (r *Reconfigurer) plan(current voters.Set, live map[string]membership.Info, now time.Time) *plannedChange {
 	change := &plannedChange{}
 	planMovedVoters(change, current, live)
@@ -43,7 +43,7 @@
 	return change
 }
 
-// planMovedVoters has voters in again that came back with another disk or at another address.
+// planMovedVoters replaces voters whose node has another disk or another address now.
 func planMovedVoters(change *plannedChange, current voters.Set, live map[string]membership.Info) {
 	for _, voter := range current.Voters {
 		node, ok := live[voter.Node]
@@ -57,7 +57,8 @@
 	}
 }
 
-// laggingVoters returns the voters that are live but missed the change to the current voter set.
+// laggingVoters returns the voters that are live but have missed the activation of the current
+// voter set.
 func laggingVoters(current voters.Set, live map[string]membership.Info) []voters.Voter {
 	var lagging []voters.Voter
 	for _, voter := range current.Voters {
@@ -70,9 +71,9 @@
 	return lagging
 }
 
-// candidates returns the live control nodes, by name, that are no voters and may become ones. The
-// disk of a node that isn't a voter is under an older voter set or none; where it is under a newer
-// one, current is out of date.
+// candidates returns the live control nodes that are not voters and may become voters, sorted by
+// name. The disk of a candidate is under an older voter set than current, or under none. If a disk
+// is under a newer one, current is outdated and the node is no candidate.
 func candidates(current voters.Set, live map[string]membership.Info) []membership.Info {
 	var found []membership.Info
 	for _, name := range slices.Sorted(maps.Keys(live)) {
@@ -84,8 +85,8 @@
 	return found
 }
 
-// planCandidates has each candidate replace a voter that is gone, so that dead voters don't wear
-// the majority down, or come in beside the others where none is.
+// planCandidates has each candidate replace an absent voter, so that absent voters don't accumulate
+// until the majority is lost. If no voter is absent, the candidate becomes an additional voter.
 func (r *Reconfigurer) planCandidates(change *plannedChange, candidates []membership.Info, now time.Time) {
 	replacements := r.absent.pair(candidates)
 	for _, candidate := range candidates {
@@ -102,8 +103,8 @@
 	}
 }
 
-// canReplace reports whether a voter is gone for long enough to be replaced, which is longer for a
-// candidate of another zone.
+// canReplace reports whether a voter has been absent for long enough to be replaced. The delay is
+// longer for a candidate of another zone.
 func (r *Reconfigurer) canReplace(voter string, candidate membership.Info, now time.Time) bool {
 	delay := r.Timing.SessionTimeout()
 	if r.absent.zones[voter] == candidate.Zone {
@@ -112,8 +113,8 @@
 	return now.Sub(r.absent.since[voter]) >= delay
 }
 
-// planSpareVoters gives up voters that are gone, as many as the next voter set has beyond what the
-// fleet was bootstrapped with: a new voter came in before they went.
+// planSpareVoters removes absent voters, at most as many as the next voter set has spare ones: for
+// each of them a new voter was added before.
 func (r *Reconfigurer) planSpareVoters(change *plannedChange, next voters.Set, now time.Time) {
 	var surplus []string
 	for _, voter := range next.Voters {
--- a/internal/control/reconfigurer/reconfigurer.go
+++ b/internal/control/reconfigurer/reconfigurer.go
@@ -1,12 +1,12 @@
-// Package reconfigurer keeps the voter set of the control keys fit: it bootstraps the fleet, brings
-// new control disks in, replaces voters that are gone, and catches up voters that missed a change.
+// Package reconfigurer maintains the voter set of the control keys: it bootstraps the fleet, adds
+// new control disks, replaces absent voters, and catches up voters that missed a change.
 //
-// One Reconfigurer runs beside each voter. The first voter by name that is live and up to date, the
-// coordinator, changes the voter set; the others step in only when a change that was begun does not
-// end. Safety never rests on there being one coordinator: package reconfig decides each change by a
-// majority of the voters, and two that act at once meet there.
+// One Reconfigurer runs beside each voter. The first voter by name that is live and up to date is
+// the coordinator, which changes the voter set. The others act only if a change that was started
+// does not end. Safety does not depend on there being one coordinator: package reconfig decides
+// each change by a majority of the voters, also if two reconfigurers act at the same time.
 //
-// A Reconfigurer has no lock: all its state belongs to the goroutine that calls Run, which blocks
+// A Reconfigurer has no lock. All its state belongs to the goroutine that calls Run, which blocks
 // on calls to other voters for at most the recovery time in each round.
 package reconfigurer
 
@@ -29,7 +29,7 @@
 	"postjunction/internal/voters"
 )
 
-// Reconfigurer runs beside a voter. All exported fields are set before Run.
+// Reconfigurer runs beside a voter. All exported fields must be set before Run.
 type Reconfigurer struct {
 	Self         string
 	Clock        clock.Clock
@@ -43,31 +43,30 @@
 	Live func() []membership.Info
 	// Changed returns a channel that is closed at the next change of the membership.
 	Changed func() <-chan struct{}
-	// Sealed returns the sequence of the voter set that is sealed on this disk, 0 when none is.
+	// Sealed returns the sequence of the voter set that is sealed on this disk, 0 if none is.
 	Sealed func() uint64
 	// Sealing returns a channel that is closed when a voter set is sealed on this disk.
 	Sealing func() <-chan struct{}
 
 	absent absences
-	// lastBootstrapError is the last logged reason why the fleet isn't bootstrapped yet.
+	// lastBootstrapError is the last logged error of a bootstrap.
 	lastBootstrapError string
-	// sealedSince is when a change that another voter began was first seen here, or last taken up;
-	// zero while there is none.
+	// sealedSince is when a change that another voter started was first seen here, or when this
+	// voter last tried to finish it. It is zero while there is no such change.
 	sealedSince time.Time
 	lastSweep   time.Time
 }
 
 const (
-	// joinPauseDivisor of the longest backoff is the pause in which control disks that join
-	// together are gathered into one change.
+	// joinPauseDivisor divides the longest backoff. The result is the pause in which control disks
+	// that join at about the same time are collected into one change.
 	joinPauseDivisor = 2
-	// spareVotersDivisor shortens the pause between rounds where voters that are gone can be given
-	// up.
+	// spareVotersDivisor divides the pause between rounds while absent voters could be removed.
 	spareVotersDivisor = 2
 )
 
-// Run looks after the voter set until ctx ends: at once when the membership changes or a voter set
-// is sealed here, else about every reconcile interval.
+// Run maintains the voter set until ctx ends. It runs a round when the membership changes or a
+// voter set is sealed on this disk, and else about every reconcile interval.
 func (r *Reconfigurer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		membersChanged, sealing := r.Changed(), r.Sealing()
@@ -79,7 +78,8 @@
 	}
 }
 
-// round does what is due and returns the longest pause until the next round.
+// runRound bootstraps the fleet or reconciles the voter set. It returns the longest pause until the
+// next round.
 func (r *Reconfigurer) runRound(ctx context.Context) time.Duration {
 	pause := clock.Jitter(r.Timing.ReconcileInterval(), 1, rand.Float64())
 	callCtx, cancel := context.WithTimeout(ctx, r.Timing.Recovery)
@@ -111,8 +111,9 @@
 	}
 }
 
-// reconcile compares the current voter set with the live control nodes and does what this voter has
-// to. It reports whether something waits for a time-out shorter than the usual pause.
+// reconcile compares the current voter set with the live control nodes. The coordinator changes the
+// voter set and catches up other voters. Any other voter finishes a stalled change. It reports
+// whether something waits for a timeout that is shorter than the usual pause.
 func (r *Reconfigurer) reconcile(ctx context.Context, current voters.Set) (waiting bool) {
 	live := r.liveControlNodes()
 	r.absent.update(current, live, r.Clock.Now())
@@ -141,8 +142,8 @@
 	return live
 }
 
-// coordinatorOf returns the first voter, in the order of the set, that is live with the disk of the
-// set and up to date, or "".
+// coordinatorOf returns the first voter, in the order of the set, that is live with the disk that
+// the set names and up to date. It returns "" if there is none.
 func coordinatorOf(current voters.Set, live map[string]membership.Info) string {
 	for _, voter := range current.Voters {
 		node, ok := live[voter.Node]
@@ -153,10 +154,10 @@
 	return ""
 }
 
-// finishStalledChange ends a change of the voter set that another voter began, when the set has
-// been sealed here for longer than a change takes: the voter that began it may be lost, and nothing
-// is decided until it ended. The voters step in one after the other; where two do, epochs decide.
-// It reports whether such a change is open.
+// finishStalledChange finishes a change of the voter set that another voter started, if the set has
+// been sealed on this disk for longer than a change takes. The voter that started it may have
+// failed, and nothing is decided until the change ends. The voters step in one after the other. If
+// two do at the same time, their epochs decide. It reports whether such a change is unfinished.
 func (r *Reconfigurer) finishStalledChange(
 	ctx context.Context, current voters.Set, live map[string]membership.Info, coordinator string,
 ) (waiting bool) {
@@ -172,12 +173,12 @@
 		return true
 	}
 	r.sealedSince = now
-	r.changeVoterSet(ctx, current, current.Replace(), "the change that was begun does not end")
+	r.changeVoterSet(ctx, current, current.Replace(), "a change that was started does not finish")
 	return true
 }
 
-// stepInDelay returns how long a voter set has to be sealed before this voter steps in: longer for
-// each live voter that comes before this one.
+// stepInDelay returns how long a voter set must be sealed before this voter steps in. The delay
+// grows with each live voter before this one in the set, the coordinator excepted.
 func (r *Reconfigurer) stepInDelay(
 	current voters.Set, live map[string]membership.Info, coordinator string,
 ) time.Duration {
@@ -193,7 +194,7 @@
 	return delay
 }
 
-// sweep repairs control keys that are old on some disk, once in each sweep interval.
+// sweep repairs control keys whose copy on some disk is outdated, once in each sweep interval.
 func (r *Reconfigurer) sweep(ctx context.Context, current voters.Set) {
 	now := r.Clock.Now()
 	if now.Sub(r.lastSweep) < r.Timing.SweepInterval() {
@@ -217,7 +218,7 @@
 	r.Store.Apply(gossip.Update{VoterSet: &next})
 }
 
-// catchUp activates the current voter set on the voters that missed it, all at once.
+// catchUp activates the current voter set on the lagging voters, all at the same time.
 func (r *Reconfigurer) catchUp(ctx context.Context, current voters.Set, lagging []voters.Voter) {
 	quorum.Gather(ctx, lagging, func(ctx context.Context, voter voters.Voter) (bool, error) {
 		err := r.Executor.CatchUp(ctx, current, voter)
--- a/internal/control/registerclient/client.go
+++ b/internal/control/registerclient/client.go
@@ -1,12 +1,13 @@
-// Package registerclient reads and changes control keys from any node: on the node's own proposer
-// where it has one, else on the control nodes, one after the other until one answers.
+// Package registerclient reads and changes control keys from any node. It uses the node's own
+// proposer if there is one. It then calls the control nodes, one after the other until one answers.
 //
-// What must stay true: a change that may have been made is never reported as refused. Its ChangeID
-// lets every control node know it again, so that it may be sent to several; a stale base after a
-// response whose outcome was unknown is an unknown outcome itself (NoMajority).
+// Invariant: a change that may have been made is never reported as rejected. Its ChangeID lets
+// every control node recognize it, so that it may be sent to several. A stale base after a call
+// whose outcome is unknown is an unknown outcome itself (NoMajority).
 //
-// A Client remembers only which control node last answered. Calls run in the goroutine of the
-// caller and block for its context at most; the goroutines of hedged calls end with the call.
+// The only state of a Client is which control node last answered. Calls run in the goroutine of the
+// caller and block until its context ends at most. The goroutines of hedged calls end with the
+// call.
 package registerclient
 
 import (
@@ -25,7 +26,7 @@
 	"postjunction/internal/wire"
 )
 
-// Client reaches the leaders of control keys from any node.
+// Client calls the leaders of control keys from any node.
 type Client struct {
 	self    string
 	network wire.Network
@@ -33,13 +34,13 @@
 	members func() []membership.Info
 	local   *register.Proposer
 
-	// mu guards lastGood, the control node that last answered.
+	// mu guards lastResponder, the control node that last answered without an error.
 	mu            sync.Mutex
 	lastResponder string
 }
 
-// New returns a client; members returns the nodes that are known, and local is the node's own
-// proposer, nil without a control disk.
+// New returns a client. members returns the known nodes. local is the node's own proposer, nil on a
+// node without a control disk.
 func New(
 	self string,
 	network wire.Network,
@@ -50,7 +51,7 @@
 	return &Client{self: self, network: network, timing: timing, members: members, local: local}
 }
 
-// controlNodes returns the other control nodes that serve, beginning with the one that last
+// controlNodes returns the other control nodes that serve, starting with the one that last
 // answered.
 func (c *Client) controlNodes() []membership.Info {
 	nodes := membership.Filter(c.members(), func(node membership.Info) bool {
@@ -72,14 +73,14 @@
 	c.lastResponder = node
 }
 
-// ForwardOnce has one control node, any, do what a node without a control disk can't do itself.
-// sent reports whether it may have heard of it.
+// ForwardOnce sends a request to one control node, chosen at random, from a node without a control
+// disk. sent reports whether that control node may have received it.
 func ForwardOnce[Request, Response any](
 	ctx context.Context, c *Client, procedure *wire.Procedure[Request, Response], request *Request,
 ) (sent bool, err error) {
 	nodes := c.controlNodes()
 	if c.local != nil || len(nodes) == 0 {
-		return false, apierror.New(apierror.Unreachable, "no control node to forward it to")
+		return false, apierror.New(apierror.Unreachable, "no control node to forward the request to")
 	}
 	ctx, stop := context.WithTimeout(ctx, c.timing.CallTimeout())
 	defer stop()
@@ -87,7 +88,7 @@
 	return true, err
 }
 
-// NewChangeID returns a fresh name for a change.
+// NewChangeID returns a random ID for a change.
 func NewChangeID() string {
 	var id [12]byte
 	_, _ = rand.Read(id[:]) // crypto/rand never fails
@@ -98,7 +99,7 @@
 	return apierror.New(apierror.NotBootstrapped, "no control node is known")
 }
 
-// Read returns a key's current value.
+// Read returns the current value of a key.
 func (c *Client) Read(ctx context.Context, key string) (acceptor.Value, error) {
 	lastErr := errNoControlNode()
 	if c.local != nil {
@@ -121,16 +122,16 @@
 	return *value, nil
 }
 
-// Change writes a key whose version is base. The change is named changeID and can be made again
-// under that name. Errors are those of Write.
+// Change writes a key whose version is base. It can be retried with the same changeID. Errors are
+// those of Write.
 func (c *Client) Change(
 	ctx context.Context, key string, base uint64, changeID string, body []byte,
 ) (acceptor.Value, error) {
 	return c.Write(ctx, &register.ChangeRequest{Key: key, BaseVersion: base, ChangeID: changeID, Body: body})
 }
 
-// Write makes a change and returns the value that was written. StaleBase says that it was certainly
-// not made, NoMajority that its outcome is unknown.
+// Write makes a change and returns the written value. It returns StaleBase if the change was
+// certainly not made, and NoMajority if its outcome is unknown.
 func (c *Client) Write(ctx context.Context, request *register.ChangeRequest) (acceptor.Value, error) {
 	outcome := writeOutcome{key: request.Key, err: errNoControlNode()}
 	if c.local != nil {
@@ -154,23 +155,23 @@
 	return acceptor.Value{}, outcome.final()
 }
 
-// writeOutcome is what is known of a change after the errors so far.
+// writeOutcome is what is known about a change after the errors so far.
 type writeOutcome struct {
 	key string
 	err error
-	// uncertain says that some call may have made the change.
+	// uncertain says that a call may have made the change.
 	uncertain bool
 }
 
-// note takes in the error of a call while others were pending, and reports whether no further call
-// can help.
+// addError records the error of a call while other calls were pending. It reports whether the error
+// is final, so that no further call is of use.
 func (o *writeOutcome) addError(err error, pending int) (isFinal bool) {
 	o.err = err
 	o.uncertain = o.uncertain || pending > 0
 	switch apierror.From(err).Code {
 	case apierror.StaleBase:
 		if o.uncertain {
-			o.err = apierror.New(apierror.NoMajority, "%s changed after a response whose outcome is unknown", o.key)
+			o.err = apierror.New(apierror.NoMajority, "%s changed after a call whose outcome is unknown", o.key)
 		}
 		return true
 	case apierror.NoMajority, apierror.Unreachable:
@@ -179,11 +180,11 @@
 	return false
 }
 
-// final returns the error of a change that no node made for sure.
+// final returns the error of a change that no node has confirmed.
 func (o *writeOutcome) final() error {
 	if !o.uncertain || apierror.HasCode(o.err, apierror.NoMajority) {
 		return o.err
 	}
 	cause := apierror.New(apierror.NoMajority, "%v", o.err)
-	return apierror.Wrap(apierror.NoMajority, cause, "the outcome of writing %s is not known", o.key)
+	return apierror.Wrap(apierror.NoMajority, cause, "the outcome of writing %s is unknown", o.key)
 }
--- a/internal/control/registerclient/hedge.go
+++ b/internal/control/registerclient/hedge.go
@@ -6,7 +6,7 @@
 	"postjunction/internal/apierror"
 )
 
-// maxPending is how many control nodes are asked at the same time.
+// maxPending is the number of control nodes that are called at the same time.
 const maxPending = 3
 
 type response[Value any] struct {
@@ -15,9 +15,9 @@
 	from  string
 }
 
-// hedge asks control nodes until one succeeds or onError ends it. The next one is asked at once
-// after an error, and also when none of those asked has answered for a hedge delay. onError gets
-// each error, and how many other calls are pending.
+// hedge calls control nodes until one succeeds or onError returns true. The next node is called
+// immediately after an error, and also if no pending call has returned for a hedge delay. onError
+// is called with each error and the number of other pending calls.
 func hedge[Value any](
 	ctx context.Context,
 	c *Client,
--- a/internal/control/repair/repair.go
+++ b/internal/control/repair/repair.go
@@ -1,11 +1,11 @@
-// Package repair brings outdated copies of control keys up to date (anti-entropy): a quorum read
-// that sees copies differ repairs its key, and a sweep of internal/control/reconfigurer finds the
-// rest.
+// Package repair brings outdated copies of control keys up to date (anti-entropy). A quorum read
+// that finds copies to differ repairs its key, and a sweep of internal/control/reconfigurer repairs
+// all keys.
 //
-// A repair proposes nothing: it sends an acceptance that one voter has, under the epoch it was
-// accepted under, to voters that lag. They judge it as they judge any accept request, so that it
-// can't undo a later promise. A Repairer has no state; calls run in the goroutine of the caller and
-// block for a call timeout per voter at most.
+// A repair proposes no value. It sends the acceptance of one voter to voters with an older copy,
+// under the epoch of that acceptance. They treat it like any accept request, so it can't override a
+// later promise. A Repairer has no state. Calls run in the goroutine of the caller and block for at
+// most a call timeout per voter.
 package repair
 
 import (
@@ -27,15 +27,15 @@
 
 type peekResponses = []quorum.Result[voters.Voter, *acceptor.PeekResponse]
 
-// latestCopy is the latest acceptance of a key, and a voter that has it.
+// latestCopy is the latest acceptance of a key and a voter that has it.
 type latestCopy struct {
 	slot  acceptor.Slot
 	voter voters.Voter
 }
 
-// Repair compares the copies of the named keys, of all keys when none are named, and brings
-// outdated ones up to date. It returns how many it repaired. Values are read only where some copy
-// is outdated, and then from one voter.
+// Repair compares the copies of the named keys, or of all keys if none are named, and brings
+// outdated ones up to date. It returns how many copies it repaired. A value is read only if some
+// copy is outdated, and then from one voter.
 func (r *Repairer) Repair(ctx context.Context, voterSet voters.Set, keys ...string) int {
 	gatherCtx, stop := context.WithTimeout(ctx, r.Timing.CallTimeout())
 	defer stop()
@@ -84,8 +84,8 @@
 	return outdated
 }
 
-// resend has voters accept a slot that another one accepted, one after the other, and returns how
-// many did.
+// resend sends a slot that one voter accepted to outdated voters, one after the other. It returns
+// how many accepted it.
 func (r *Repairer) resend(
 	ctx context.Context, voterSet voters.Set, outdated []voters.Voter, key string, slot acceptor.Slot,
 ) int {
--- a/internal/quorum/gather.go
+++ b/internal/quorum/gather.go
@@ -1,6 +1,7 @@
-// Package quorum calls many nodes at once and stops when enough have answered. Each call runs in a
-// goroutine of its own, which ends with the call; Gather blocks until it has enough results, all of
-// them, or ctx ends.
+// Package quorum calls many nodes at once and stops when enough have answered.
+//
+// Each call runs in a goroutine of its own, which ends with the call. Gather blocks until it has
+// enough results, until it has all of them, or until ctx ends.
 package quorum
 
 import (
@@ -16,9 +17,9 @@
 	Err    error
 }
 
-// Gather calls all targets at once and returns the results so far when isEnough, which may be nil,
-// says so, or all of them. When ctx ends, calls without a result count as Unreachable, so that
-// there is one result for each target.
+// Gather calls all targets at once. It returns the results so far as soon as isEnough reports true
+// for them, and else all results. isEnough may be nil. If ctx ends, calls without a result count as
+// Unreachable, so that there is one result for each target.
 func Gather[Target, Value any](
 	ctx context.Context,
 	targets []Target,
@@ -62,7 +63,7 @@
 	return successes
 }
 
-// FirstError returns the first error among the results, nil if there is none.
+// FirstError returns the first error among the results, or nil if there is none.
 func FirstError[Target, Value any](results []Result[Target, Value]) error {
 	for _, result := range results {
 		if result.Err != nil {
--- a/internal/quorum/gather_test.go
+++ b/internal/quorum/gather_test.go
@@ -9,8 +9,8 @@
 	"postjunction/internal/apierror"
 )
 
-// A seal that no replica answered in time once came back as no results and no error, and passed for
-// a majority.
+// Targets that don't answer in time must be errors. A seal that no replica answered in time once
+// returned no results and no error, and counted as a majority.
 func TestGather_TargetsThatDoNotAnswerAreErrors(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	results := Gather(ctx, []int{1, 2, 3}, func(ctx context.Context, target int) (string, error) {
--- a/internal/voters/set.go
+++ b/internal/voters/set.go
@@ -1,9 +1,9 @@
-// Package voters has the voter set: the control nodes, by the names of their disks, whose majority
-// decides the control keys.
+// Package voters defines the voter set: the control nodes whose majority decides the control keys,
+// each identified by its disk.
 //
-// A Set is a value: what changes it returns another one, and its methods do no I/O. Its number only
-// rises, and every promise and acceptance is void under another number. A wiped disk comes back
-// under another incarnation, and is no voter until a later set names it.
+// A Set is a value: methods that change it return another one. Its methods do no I/O. Its sequence
+// only rises, and promises and acceptances under another sequence are void. A wiped disk has
+// another incarnation, and is no voter until a later set names it.
 package voters
 
 import (
@@ -14,7 +14,8 @@
 	"strings"
 )
 
-// Voter is a node, the address that its peers reach it at, and the random name of its disk.
+// Voter is a node, the address where its peers reach it, and the incarnation of its disk, which is
+// a random name.
 type Voter struct {
 	Node        string `json:"node"`
 	Addr        string `json:"addr"`
@@ -22,15 +23,15 @@
 }
 
 // Layout is the number of partitions of each class, and how many machines with a disk may be lost
-// at once. All are fixed at the bootstrap of the fleet.
+// at once. They are fixed at the bootstrap of the fleet.
 type Layout struct {
 	RoutinePartitions int `json:"routine"`
 	UrgentPartitions  int `json:"urgent"`
 	ToleratedLosses   int `json:"losses,omitempty"`
 }
 
-// ReplicationFactor returns how many disks hold a partition: a majority of them outlasts the
-// tolerated losses, of which there is one at least.
+// ReplicationFactor returns how many replicas a partition has. A majority of them survives the
+// tolerated losses, which are at least one.
 func (l Layout) ReplicationFactor() int { return 2*max(1, l.ToleratedLosses) + 1 }
 
 // PartitionCount returns the number of all partitions.
@@ -38,21 +39,21 @@
 
 // Set is a numbered voter set, its voters ordered by node.
 type Set struct {
-	// Sequence is 0 for no set, 1 for that of the bootstrap, and one more for each change.
+	// Sequence is 0 for no set and 1 for the set of the bootstrap. Each change adds 1.
 	Sequence uint64 `json:"sequence"`
-	// Fleet is the digest of the first voters, by which disks of another fleet are known.
+	// Fleet is the digest of the first voters. It identifies disks of another fleet.
 	Fleet  string  `json:"fleet"`
 	Voters []Voter `json:"seats"`
 	Layout Layout  `json:"layout"`
-	// InitialSize is how many voters the first set had.
+	// InitialSize is the number of voters in the first set.
 	InitialSize int `json:"founded,omitempty"`
 }
 
-// NewSet returns the first voter set of a fleet; equal voters make an equal fleet.
+// NewSet returns the first voter set of a fleet. Equal voters give an equal Fleet.
 func NewSet(initial []Voter, layout Layout) Set {
 	sorted := sortedByNode(slices.Clone(initial))
 	digest := sha256.New()
-	_ = json.NewEncoder(digest).Encode(sorted) // a hash takes every write
+	_ = json.NewEncoder(digest).Encode(sorted) // writing to a hash never fails
 	return Set{
 		Sequence:    1,
 		Fleet:       hex.EncodeToString(digest.Sum(nil))[:16],
@@ -67,17 +68,17 @@
 	return voters
 }
 
-// Majority returns how many voters decide.
+// Majority returns how many voters are a majority.
 func (s Set) Majority() int { return len(s.Voters)/2 + 1 }
 
-// SpareVoters returns how many voters there are beyond those of the bootstrap, and beyond what the
-// tolerated losses take. It is negative where there are too few.
+// SpareVoters returns how many voters there are beyond the number at the bootstrap, and beyond the
+// replication factor that the tolerated losses need. It is negative if there are too few.
 func (s Set) SpareVoters() int {
 	return len(s.Voters) - max(s.InitialSize, s.Layout.ReplicationFactor())
 }
 
-// SealQuorum returns how many sealed voters must be read so that one of them has any decided value:
-// with a majority Q of N voters, N-Q+1.
+// SealQuorum returns how many sealed voters must be read so that every decided value is on at least
+// one of them: with a majority of Q of N voters, N-Q+1.
 func (s Set) SealQuorum() int { return len(s.Voters) - s.Majority() + 1 }
 
 // Voter returns the voter on a node, and whether there is one.
@@ -90,8 +91,8 @@
 	return Voter{}, false
 }
 
-// Replace returns the next voter set, in which each of the given voters replaces the one of its
-// node or is added.
+// Replace returns the next voter set. Each of the given voters replaces the voter of the same node,
+// or is added if there is none.
 func (s Set) Replace(added ...Voter) Set {
 	next := s
 	next.Sequence++
@@ -102,7 +103,7 @@
 	return next
 }
 
-// Without returns the set without the voters of some nodes, under the same number.
+// Without returns the set without the voters of some nodes, with the same sequence.
 func (s Set) Without(nodes ...string) Set {
 	s.Voters = slices.DeleteFunc(slices.Clone(s.Voters), func(voter Voter) bool {
 		return slices.Contains(nodes, voter.Node)
