--- a/internal/control/model/model_test.go
+++ b/internal/control/model/model_test.go
@@ -1,10 +1,12 @@
-// Package model explores every run of the control registers' pure core (internal/control/acceptor,
-// slot.go) within small bounds: claims, changes, quorum reads, one replacement of a voter, one
-// wiped disk. Messages may be late, repeated, reordered or lost, and every response may be lost.
+// Package model is a model checker for the pure core of the control registers
+// (internal/control/acceptor, slot.go). It explores every run within small bounds: claims, changes,
+// quorum reads, one replacement of a voter, one wiped disk. Messages may be delayed, duplicated,
+// reordered or lost, and every response may be lost.
 //
-// What must hold in every state: a version has one decided value at most; a proposer that has
-// claimed the key, and a quorum read, has at least the version that was decided before it began. It
-// is a search over values in one goroutine, and holds all states that it has seen in memory.
+// Invariants in every state: a version has at most one decided value. A proposer that has claimed
+// the key has at least the version that was decided before it began, and so does a quorum read.
+//
+// The search runs in one goroutine and has all states that it has seen in memory.
 package model
 
 import (
@@ -14,7 +16,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// bounds say what may happen in an exploration.
+// bounds limits what may happen in an exploration.
 type bounds struct {
 	attempts int
 	replace  bool
@@ -41,8 +43,8 @@
 	}
 }
 
-// decide notes that a majority has accepted a value: no other value may ever be decided under the
-// same version.
+// decide records that a majority has accepted a value. It is a violation if another value was
+// decided under the same version.
 func (e *exploration) decide(next *state, version, value int8) {
 	if before := next.decided[version]; before != 0 && before != value {
 		e.violate("version %d was decided as %s and as %s", version, changeIDs[before], changeIDs[value])
@@ -51,7 +53,7 @@
 	next.maxDecided = max(next.maxDecided, version)
 }
 
-// step adds all states that follow a state.
+// step adds all states that follow current.
 func (e *exploration) step(current state) {
 	for i := range e.attempts {
 		e.propose(current, i)
@@ -69,7 +71,7 @@
 	}
 }
 
-// explore goes on until nothing new is seen, or a violation is.
+// explore searches until it finds no new state, or a violation.
 func explore(limits bounds) *exploration {
 	search := &exploration{bounds: limits, seen: map[state]struct{}{}}
 	var initial state
@@ -90,7 +92,7 @@
 
 func TestEveryRunWithinSmallBounds(t *testing.T) {
 	if raceEnabled {
-		t.Skip("runs without the race detector: it has one goroutine an exploration, and millions of states")
+		t.Skip("runs without the race detector: each exploration has one goroutine and millions of states")
 	}
 	for _, test := range []struct {
 		name string
--- a/internal/control/model/proposer_test.go
+++ b/internal/control/model/proposer_test.go
@@ -6,7 +6,7 @@
 	"postjunction/internal/control/acceptor"
 )
 
-// propose has the proposer of an attempt go on by itself.
+// propose adds the next steps that the proposer of an attempt can take without a message.
 func (e *exploration) propose(current state, i int) {
 	claim := current.attempts[i]
 	switch {
@@ -35,8 +35,8 @@
 	}
 }
 
-// lead has the proposer lead the key and change it: what it adopted must not be older than what was
-// decided before.
+// lead makes the proposer leader of the key, which then changes it. It is a violation if the
+// adopted version is older than the version that was decided before the attempt began.
 func (e *exploration) lead(next *state, i int) {
 	claim := &next.attempts[i]
 	if claim.adopted.version < claim.decidedBefore {
@@ -99,9 +99,9 @@
 	e.add(next)
 }
 
-// quorumRead has the reader ask one voter more; it ends where a majority holds the highest copy
-// among the answers. What it returns counts as decided: nothing else may be decided in its place,
-// and nobody may have less afterwards.
+// quorumRead has the reader ask one more voter. The read ends once a majority has the highest copy
+// among the answers. The returned value counts as decided: no other value may be decided under its
+// version, and no later claim or read may have a lower version.
 func (e *exploration) quorumRead(current state) {
 	if !current.reader.began {
 		next := current
--- a/internal/control/model/reconfigure_test.go
+++ b/internal/control/model/reconfigure_test.go
@@ -6,8 +6,9 @@
 	"postjunction/internal/control/acceptor"
 )
 
-// reconfigure replaces the wiped voter: a majority is sealed, slots are copied from enough sealed
-// voters, and the next voter set is activated, also from voters that have been activated already.
+// reconfigure replaces the wiped voter. A majority is sealed, slots are copied from a seal quorum,
+// and the next voter set is activated. It is also activated with the slots of voters that are
+// activated already.
 func (e *exploration) reconfigure(current state) {
 	if !current.disks[wipedVoter].wiped {
 		next := current
@@ -44,7 +45,7 @@
 	}
 }
 
-// copySlots has a reconfigurer read any set of sealed voters that is large enough.
+// copySlots has a reconfigurer read every possible seal quorum of sealed voters.
 func (e *exploration) copySlots(current state, reconfigurer int) {
 	for readFrom := range uint8(1 << voterCount) {
 		if bits.OnesCount8(readFrom) < quorumSizes.SealQuorum() {
@@ -60,7 +61,7 @@
 	}
 }
 
-// sealedSlots returns the slots of voters; it is not ok unless all of them are sealed.
+// sealedSlots returns the slots of voters. It is not ok unless all of them are sealed.
 func sealedSlots(current state, readFrom uint8) (slots []acceptor.Slot, ok bool) {
 	for voter := range voterCount {
 		if !contains(readFrom, voter) {
--- a/internal/control/model/state_test.go
+++ b/internal/control/model/state_test.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	voterCount   = 4 // 0 to 2 are the first voter set; 3 replaces 2
+	voterCount   = 4 // 0 to 2 are the first voter set, and 3 replaces 2
 	attemptCount = 3
-	// reconfigurerCount is how many nodes copy slots to the next voter set at the same time.
+	// reconfigurerCount is the number of nodes that copy slots to the next voter set concurrently.
 	reconfigurerCount = 2
 	wipedVoter        = 2
 	maxVersion        = attemptCount + 1
 )
 
-// members are the voters of each voter set as bits; voter set 0 is none.
+// members has the voters of each voter set as bits. Voter set 0 is none.
 var members = [3]uint8{0, 0b0111, 0b1011}
 
-// sizes has the product's own rules compute majority and seal quorum.
+// quorumSizes computes majority and seal quorum by the rules of package voters.
 var quorumSizes = voters.Set{Voters: make([]voters.Voter, 3)}
 
 func isMajority(voterBits uint8) bool { return bits.OnesCount8(voterBits) >= quorumSizes.Majority() }
 
 func contains(voterBits uint8, voter int) bool { return voterBits>>voter&1 == 1 }
 
-// slot is an acceptor.Slot in numbers: epochs and values are those of the attempt with that number,
-// counted from 1.
+// slot is a compact acceptor.Slot. Epochs and values are the numbers of the attempts that they are
+// of, counted from 1.
 type slot struct{ promised, accepted, version, value int8 }
 
 func (s slot) expand() acceptor.Slot {
@@ -56,7 +56,7 @@
 	slot     slot
 }
 
-// phase is how far an attempt to claim and change a key is.
+// phase is the progress of an attempt to claim and change a key.
 type phase int8
 
 const (
@@ -66,13 +66,14 @@
 	changing
 )
 
-// attempt is one claim of a key with one change after it. Its messages stay in flight for ever.
+// attempt is one claim of a key with one change after it. Its messages remain in flight forever.
 type attempt struct {
 	phase    phase
 	voterSet int8
 	promises uint8
 	adopted  slot
-	// Voters that accepted, as bits; the proposer hears of it sometime, or never.
+	// reaccepted and changeAccepted are the voters that accepted, as bits. The proposer may learn
+	// of it at any later time or never.
 	reaccepted     uint8
 	changeAccepted uint8
 	reacceptSent   bool
@@ -91,16 +92,16 @@
 	decidedBefore int8
 }
 
-// state is all that a run has come to. It is comparable, so that each is explored once.
+// state is the complete state of a run. It is comparable, so that each state is explored once.
 type state struct {
 	disks    [voterCount]disk
 	attempts [attemptCount]attempt
 	reader   reader
-	// copied says which reconfigurers have read the sealed slots, and copies what they read.
+	// copied says which reconfigurers have read the sealed slots, and copies has what they read.
 	copied [reconfigurerCount]bool
 	copies [reconfigurerCount]slot
 	sealed uint8
-	// decided is the value decided under each version, and maxDecided the highest such version.
+	// decided has the decided value of each version. maxDecided is the highest such version.
 	decided    [maxVersion + 1]int8
 	maxDecided int8
 }
--- a/internal/control/reconfigurer/reconfigurer.go
+++ b/internal/control/reconfigurer/reconfigurer.go
@@ -173,7 +173,7 @@
 		return true
 	}
 	r.sealedSince = now
-	r.changeVoterSet(ctx, current, current.Replace(), "a change that was started does not finish")
+	r.changeVoterSet(ctx, current, current.Replace(), "the change that was begun does not end")
 	return true
 }
 
--- a/internal/keylock/locks.go
+++ b/internal/keylock/locks.go
@@ -1,7 +1,7 @@
-// Package keylock serializes work by key: a fixed number of locks that are waited for with a
-// context, a lock with several holders, and a map with a lock for each shard. Keys may share a
-// lock. It starts no goroutines; who takes a lock owns it until it calls the function that releases
-// it.
+// Package keylock serializes work by key. It has a fixed number of striped locks that can be waited
+// for with a context (Locks), a reference-counted lock (Shared), and a sharded map with a lock per
+// shard (Map). Keys may share a lock. The package starts no goroutines. The caller that acquires a
+// lock owns it until it calls the function that releases it.
 package keylock
 
 import (
@@ -11,10 +11,11 @@
 	"postjunction/internal/apierror"
 )
 
-// Locks is a row of locks; each is a channel with room for its holder.
+// Locks is an array of locks. Each is a channel with capacity 1 that is full while the lock is
+// locked.
 type Locks struct{ locks []chan struct{} }
 
-// New makes n locks.
+// New returns count locks.
 func New(count int) *Locks {
 	l := &Locks{locks: make([]chan struct{}, count)}
 	for i := range l.locks {
@@ -23,15 +24,15 @@
 	return l
 }
 
-// LockNumber takes the lock of a number and returns the function that releases it; numbers that
-// differ by less than the count of locks never share one. It returns Unreachable when ctx ends
+// LockNumber acquires the lock of a number and returns the function that releases it. Numbers that
+// differ by less than the count of locks never share one. It returns Unreachable if ctx ends
 // before.
 func (l *Locks) LockNumber(ctx context.Context, number int) (func(), error) {
 	return l.lock(ctx, number%len(l.locks))
 }
 
-// Lock takes the lock of a key and returns the function that releases it; Unreachable when ctx ends
-// before.
+// Lock acquires the lock of a key and returns the function that releases it. It returns Unreachable
+// if ctx ends before.
 func (l *Locks) Lock(ctx context.Context, key string) (func(), error) {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(key)) // never fails
@@ -50,12 +51,12 @@
 	case l.locks[i] <- struct{}{}:
 		return nil
 	case <-ctx.Done():
-		return apierror.WithCause(apierror.Unreachable, ctx.Err(), "waiting for a turn")
+		return apierror.WithCause(apierror.Unreachable, ctx.Err(), "waiting for a lock")
 	}
 }
 
-// LockAll takes every lock and returns the function that releases them; Unreachable when ctx ends
-// before.
+// LockAll acquires every lock and returns the function that releases them. It returns Unreachable
+// if ctx ends before.
 func (l *Locks) LockAll(ctx context.Context) (func(), error) {
 	acquired := 0
 	release := func() {
--- a/internal/keylock/map.go
+++ b/internal/keylock/map.go
@@ -7,19 +7,19 @@
 
 const shardCount = 16
 
-// Map is a map in shards, each under a lock of its own that is held only for the access.
+// Map is a sharded map. Each shard has a lock of its own that is held only during an access.
 type Map[K comparable, V any] struct {
 	seed   maphash.Seed
 	shards [shardCount]shard[K, V]
 }
 
-// shard is a part of the map. mu guards values.
+// shard is one part of a Map. mu guards values.
 type shard[K comparable, V any] struct {
 	mu     sync.Mutex
 	values map[K]V
 }
 
-// NewMap makes an empty map.
+// NewMap returns an empty map.
 func NewMap[K comparable, V any]() *Map[K, V] {
 	m := &Map[K, V]{seed: maphash.MakeSeed()}
 	for i := range m.shards {
@@ -32,8 +32,8 @@
 	return &m.shards[maphash.Comparable(m.seed, key)%shardCount]
 }
 
-// Update runs update on the value of a key under the shard's lock; update returns the new value,
-// and whether to keep it.
+// Update calls update with the value of a key, under the shard's lock. update returns the new
+// value, and whether to store it. If it is not stored, the key is deleted.
 func (m *Map[K, V]) Update(key K, update func(value V, ok bool) (V, bool)) {
 	s := m.shardOf(key)
 	s.mu.Lock()
@@ -46,7 +46,7 @@
 	}
 }
 
-// Get returns the value of a key, false if there is none.
+// Get returns the value of a key, and whether there is one.
 func (m *Map[K, V]) Get(key K) (V, bool) {
 	s := m.shardOf(key)
 	s.mu.Lock()
@@ -55,7 +55,7 @@
 	return value, ok
 }
 
-// Range runs visit on a copy of every pair, without a lock.
+// Range calls each with a copy of every pair. No lock is held during the calls.
 func (m *Map[K, V]) Range(each func(K, V)) {
 	for i := range m.shards {
 		s := &m.shards[i]
--- a/internal/placement/controller/balance.go
+++ b/internal/placement/controller/balance.go
@@ -7,12 +7,12 @@
 	"postjunction/internal/settings"
 )
 
-// minGainPercent is how much of the highest load a move of a leader must take off to be worth the
-// failover.
+// minGainPercent is the percentage of the highest load by which moving a leader must reduce it to
+// be worth the failover.
 const minGainPercent = 15
 
-// balanceLoad moves the leader of one partition off the machine with the highest load, if that is
-// worth it and the last move is long enough ago.
+// balanceLoad moves the leader of one partition from the machine with the highest load to another
+// one, if the gain is large enough and the last move is at least half a replacement delay ago.
 func (c *Controller) balanceLoad(view *clusterView) {
 	if view.now.Sub(c.balancedAt) < c.Timing.ReplacementDelay()/2 {
 		return
@@ -31,7 +31,7 @@
 	c.propose(record, record.Next(target.Name, record.Replicas, reason, view.now))
 }
 
-// mostLoaded returns the machine with the highest load, nil if there are no machines.
+// mostLoaded returns the machine with the highest load, or nil if there are no machines.
 func (v *clusterView) mostLoaded() *machine {
 	var most *machine
 	for _, m := range v.machines {
@@ -42,10 +42,10 @@
 	return most
 }
 
-// bestMove returns the partition whose move to a target leaves the lowest load on the higher loaded
-// of source and target, and that load; the load of source where no move lowers it. Nothing is moved
-// while a replica of a partition that source leads is unfit to lead: the machines must be able to
-// move back.
+// bestMove returns the move of a partition from source to a target that results in the lowest load
+// on the more loaded of the two, and that load. It returns the load of source if no move lowers it.
+// Nothing is moved while any replica of a steady partition that source leads can't lead: it must be
+// possible to move the leader back.
 func (c *Controller) bestMove(
 	view *clusterView, source *machine,
 ) (best assignment.Record, target *machine, highest float64) {
@@ -76,7 +76,7 @@
 	return best, target, highest
 }
 
-// isSteady reports whether nothing is under way with a partition.
+// isSteady reports whether no recovery and no change of replicas is in progress for a partition.
 func isSteady(record assignment.Record, replicationFactor int) bool {
 	return record.Recovered && record.Learner == nil && len(record.Replicas) == replicationFactor
 }
--- a/internal/placement/controller/clusterview.go
+++ b/internal/placement/controller/clusterview.go
@@ -12,40 +12,40 @@
 	"postjunction/internal/settings"
 )
 
-// idleLoad is the load of a partition that accepts nothing, in messages a second: the cost of its
-// heartbeats.
+// idleLoad is the load of a partition that accepts no messages, in messages per second. It is the
+// cost of its heartbeats.
 const idleLoad = 1
 
-// machine is a live member with a disk, as a round sees it.
+// machine is a live member with a disk, in the view of one round.
 type machine struct {
 	membership.Info
-	// replicas counts the replicas and learners that records place on it, leads the partitions it
-	// leads.
+	// replicas counts the replicas and learners that records place on it. leads counts the
+	// partitions that it leads.
 	replicas, leads int
-	// load is that of the partitions it leads, in messages a second.
+	// load is the load of the partitions that it leads, in messages per second.
 	load float64
-	// excluded reports that it is to be emptied.
+	// excluded says that the machine is being decommissioned.
 	excluded bool
 	slow     bool
 	slowFor  time.Duration
 }
 
-// clusterView is what the decisions of one round rest on.
+// clusterView is the input of the decisions of one round.
 type clusterView struct {
 	now      time.Time
 	machines map[string]*machine
-	// storageMachines counts the machines with large disks that may hold replicas.
+	// storageMachines counts the storage machines that may have replicas.
 	storageMachines int
-	// replicationFactor is how many disks are to hold a partition.
+	// replicationFactor is the number of replicas that a partition should have.
 	replicationFactor int
 	// learners counts the records with a learner.
 	learners      int
 	decommissions decommission.Orders
-	// usualLatency is the median of the machines' heartbeat latencies.
+	// medianLatency is the median of the machines' heartbeat latencies.
 	medianLatency time.Duration
 }
 
-// currentView reads the decommissionings by quorum and makes the view of a round.
+// currentView reads the decommissioning orders by quorum and returns the view of a round.
 func (c *Controller) currentView(ctx context.Context) (*clusterView, error) {
 	now, replicationFactor := c.Clock.Now(), c.Store.VoterSet().Layout.ReplicationFactor()
 	_, orders, err := c.readDecommissions(ctx)
@@ -98,13 +98,13 @@
 	}
 }
 
-// addLeader counts a partition with some load to the machine that leads it.
+// addLeader adds a partition and its load to the machine that leads it.
 func (v *clusterView) addLeader(node string, load float64) {
 	v.machines[node].leads++
 	v.machines[node].load += load
 }
 
-// partitionLoad returns the load of a partition, in messages a second, as its leader reports it.
+// partitionLoad returns the load of a partition as its leader reports it, in messages per second.
 func (v *clusterView) partitionLoad(record assignment.Record) float64 {
 	if m, ok := v.machines[record.Leader]; ok {
 		return idleLoad + m.Loads[record.Partition]
@@ -112,7 +112,7 @@
 	return idleLoad
 }
 
-// isUsable reports whether the disk of a replica is there and healthy.
+// isUsable reports whether the disk of a replica is on a live machine and healthy.
 func (v *clusterView) isUsable(replica assignment.Replica) bool {
 	m, ok := v.machines[replica.Node]
 	return ok && m.Incarnation == replica.Incarnation && m.DiskHealth == ""
@@ -127,7 +127,7 @@
 	return m.Stage == membership.Serving && !m.Deaf && !m.slow
 }
 
-// canReceive reports whether a machine may be given a replica; nil can't.
+// canReceive reports whether a replica may be placed on a machine. It is false for nil.
 func (v *clusterView) canReceive(target *machine) bool {
 	if target == nil || target.excluded || target.DiskHealth != "" || target.Deaf || target.Stage != membership.Serving {
 		return false
@@ -135,8 +135,8 @@
 	return target.Disk == settings.DiskStorage || v.storageMachines < v.replicationFactor
 }
 
-// observeGone notes since when machines that records name are gone, and since when live ones are
-// deaf.
+// observeMissing records since when machines with replicas have been missing, and since when live
+// machines have been without a lease.
 func (c *Controller) observeMissing(view *clusterView) {
 	for name, m := range view.machines {
 		delete(c.missingSince, name)
@@ -169,8 +169,8 @@
 	return false
 }
 
-// observeEmpty notes the storage machines that hold nothing: they replace a machine that is gone,
-// with all its replicas. It rests on what observeGone noted.
+// observeEmpty records the storage machines without replicas, which can replace a missing machine
+// with all its replicas. It uses the result of observeMissing, which must be called before.
 func (c *Controller) observeEmpty(view *clusterView) {
 	for name := range c.emptySince {
 		if m, ok := view.machines[name]; !ok || m.replicas > 0 && len(c.missingSince) == 0 {
@@ -185,9 +185,9 @@
 	}
 }
 
-// observeSlow finds machines whose heartbeats take much longer than is usual among those with a
-// disk, and for how long. One that was slow stays so until it takes less than half of what makes it
-// slow.
+// observeSlow finds machines whose heartbeats take much longer than the median of the machines with
+// a disk, and records for how long. A slow machine remains slow until its latency is less than half
+// of the threshold.
 func (c *Controller) observeSlow(view *clusterView) {
 	var latencies []int64
 	for _, m := range view.machines {
--- a/internal/placement/controller/controller.go
+++ b/internal/placement/controller/controller.go
@@ -18,14 +18,14 @@
 	"postjunction/internal/voters"
 )
 
-// Key is the control key whose leader runs the controller.
+// Key is the control key whose leader runs the placement controller.
 const Key = "duty/placement"
 
-// roundPauseFraction is the divisor of the longest backoff that makes the least pause between
-// rounds.
+// roundPauseDivisor divides the longest backoff. The result is the shortest pause between rounds.
 const roundPauseDivisor = 4
 
-// Controller places partitions while this control node leads Key.
+// Controller places partitions while this control node leads Key. All exported fields must be set
+// before Run.
 type Controller struct {
 	Self     string
 	Clock    clock.Clock
@@ -34,39 +34,40 @@
 	Client   *registerclient.Client
 	Store    *gossip.Store
 	Live     func() []membership.Info
-	// Changed returns a channel that is closed when the members change.
+	// Changed returns a channel that is closed at the next change of the membership.
 	Changed func() <-chan struct{}
 	Log     *event.Logger
-	// Broadcast sends records that were written here to the other nodes at once.
+	// Broadcast sends records that this controller wrote to the other nodes immediately.
 	Broadcast func(context.Context, ...assignment.Record)
 
-	// active reports whether this controller has read all records and decides, since activeSince.
+	// active says that this controller has read all records and makes decisions. It has done so
+	// since activeSince.
 	active      bool
 	activeSince time.Time
 	records     map[int]assignment.Record
-	// pending are the changes that the round has decided on and not written yet.
+	// pending are the changes that the round has decided on and not yet written.
 	pending []change
-	// balancedAt is when a leader was last moved for the sake of load.
+	// balancedAt is when a leader was last moved to balance load.
 	balancedAt time.Time
 	observations
 
 	membersChanged, storeChanged <-chan struct{}
 }
 
-// observations hold since when something has been seen, by machine or by partition. They begin anew
-// when the controller becomes active.
+// observations are the times since when conditions have been observed, by machine or by partition.
+// They are reset when the controller becomes active.
 type observations struct {
 	missingSince      map[string]time.Time
 	withoutLeaseSince map[string]time.Time
 	slowSince         map[string]time.Time
-	// emptySince are the storage machines that were empty when they were first seen, until
-	// nothing is gone.
+	// emptySince has the storage machines that were empty when first seen. A machine that has
+	// received replicas remains in it until no machine is missing.
 	emptySince map[string]time.Time
-	// absentSince are decommissioned machines that are gone, newDiskSince those that are there with
-	// another disk.
+	// departedSince has the emptied machines that are absent. newDiskSince has those that are live
+	// with another disk.
 	departedSince map[string]time.Time
 	newDiskSince  map[string]time.Time
-	// epochs are the epochs of the partitions, epochSince when they were first seen.
+	// epochs has the epoch of each partition, and epochSince when it was first seen.
 	epochs     map[int]uint64
 	epochSince map[int]time.Time
 }
@@ -84,7 +85,7 @@
 	}
 }
 
-// Run places the partitions until ctx ends. It blocks.
+// Run places the partitions until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
 	for c.wait(ctx) == nil {
 		if c.Store.VoterSet().Sequence > 0 {
@@ -93,8 +94,8 @@
 	}
 }
 
-// wait waits for the next round: the active controller acts on changes, the others look at
-// intervals.
+// wait waits for the next round. The active controller also runs a round when the members or the
+// gossip store change, and the other controllers only at intervals.
 func (c *Controller) wait(ctx context.Context) error {
 	interval := clock.Jitter(c.Timing.ReconcileInterval(), 0.2, rand.Float64())
 	if !c.active {
@@ -108,7 +109,7 @@
 	return ctx.Err()
 }
 
-// runOnce runs a round if this control node leads Key.
+// runOnce runs a round if this control node leads Key, and becomes active or inactive as needed.
 func (c *Controller) runOnce(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timing.Recovery)
 	defer cancel()
@@ -127,8 +128,8 @@
 	}
 }
 
-// lead claims Key if this control node doesn't lead it, and reports whether a majority confirms
-// that it does.
+// ensureLeadership claims Key if this control node does not lead it. It reports whether a majority
+// confirms that this node leads Key.
 func (c *Controller) ensureLeadership(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, c.Timing.CallTimeout())
 	defer cancel()
@@ -140,7 +141,8 @@
 	return c.Proposer.ConfirmLeadership(ctx, Key)
 }
 
-// start reads all records by quorum. The controller becomes active only if it has every one.
+// activate reads all records by quorum. The controller becomes active only if it has read every
+// one.
 func (c *Controller) activate(ctx context.Context) {
 	c.records, c.observations = map[int]assignment.Record{}, newObservations()
 	var partitions []int
@@ -158,7 +160,8 @@
 	c.Log.Log(event.ControllerStarted, "partitions", len(c.records))
 }
 
-// round decides on all partitions, urgent ones first, then on load and decommissionings.
+// runRound makes decisions on all partitions, urgent ones first, and then on load and
+// decommissioning.
 func (c *Controller) runRound(ctx context.Context) {
 	c.pending = nil
 	c.refreshRecords(ctx)
@@ -189,7 +192,7 @@
 	c.updateDecommissions(ctx, view)
 }
 
-// byUrgency returns the partitions, the urgent ones first, each kind by number.
+// byUrgency returns the partitions, urgent ones first, and those of each class by number.
 func byUrgency(records map[int]assignment.Record, layout voters.Layout) []int {
 	var partitions []int
 	for partition := range records {
--- a/internal/placement/controller/decommission.go
+++ b/internal/placement/controller/decommission.go
@@ -24,7 +24,7 @@
 	return value, orders, err
 }
 
-// updateDecommissions records how far each order is, and which emptied machines serve again.
+// updateDecommissions records the progress of each order, and which emptied machines serve again.
 func (c *Controller) updateDecommissions(ctx context.Context, view *clusterView) {
 	if len(view.decommissions) == 0 {
 		return
@@ -89,9 +89,9 @@
 	return count
 }
 
-// fenceRecords writes every record again as it stands, and reports whether all were written. An
-// earlier controller that decided on a change before it could know of an order builds on versions
-// that are stale from then on, so its change is rejected.
+// fenceRecords writes every record again without a change, and reports whether all were written. An
+// earlier controller may have decided on a change before it could know of an order. That change
+// builds on a version that is stale now, so it is rejected.
 func (c *Controller) fenceRecords(ctx context.Context) bool {
 	records := slices.Collect(maps.Values(c.records))
 	complete := true
@@ -106,7 +106,7 @@
 	return complete
 }
 
-// rewrite writes a record as it stands and returns it with its new version.
+// rewrite writes a record without a change and returns it with its new version.
 func (c *Controller) rewrite(ctx context.Context, record assignment.Record) (assignment.Record, error) {
 	key := assignment.Key(record.Partition)
 	value, err := c.Client.Change(ctx, key, record.Version, registerclient.NewChangeID(), record.Marshal())
@@ -117,9 +117,10 @@
 	return record, nil
 }
 
-// updateReturned returns the order of a machine as it stands after this round. An emptied machine
-// serves again once it was away for the replacement delay, or has been there for as long with
-// another disk. One that only restarted is still to be taken away.
+// updateReturned returns the order of a machine after this round. An emptied machine serves again
+// if it comes back after it was absent for the replacement delay. It also serves again once it has
+// been live with another disk for the replacement delay. After a mere restart it remains
+// decommissioned.
 func (c *Controller) updateReturned(view *clusterView, order decommission.Order) decommission.Order {
 	host, live := view.machines[order.Node]
 	awaitsReturn := order.Done && !order.Returned
@@ -142,8 +143,8 @@
 	return order
 }
 
-// hasLasted reports whether something seen of a machine has lasted for the replacement delay. It
-// notes the time when it is seen first.
+// hasLasted reports whether a condition of a machine has lasted for the replacement delay. It
+// records in since when the condition is first observed.
 func (c *Controller) hasLasted(view *clusterView, since map[string]time.Time, node string) bool {
 	if since[node].IsZero() {
 		since[node] = view.now
--- a/internal/placement/controller/decommission_test.go
+++ b/internal/placement/controller/decommission_test.go
@@ -13,8 +13,8 @@
 	"postjunction/internal/settings"
 )
 
-// emptiedMachine is a machine that was emptied, as the controller sees it from round to round, and
-// since when it has been gone or has had another disk.
+// emptiedMachine is an emptied machine, as the controller sees it from round to round. The test
+// records since when it has been absent or has had another disk.
 type emptiedMachine struct {
 	controller *Controller
 	view       *clusterView
@@ -44,8 +44,8 @@
 	}
 }
 
-// look runs one round. What lasts is measured from one round to the next, as the controller knows
-// nothing in between.
+// runRound runs one round. Durations are measured from round to round, because the controller
+// observes nothing in between.
 func (e *emptiedMachine) runRound() {
 	e.updateView()
 	e.order = e.controller.updateReturned(e.view, e.order)
@@ -64,8 +64,9 @@
 	e.hadNewDiskLong = e.hadNewDiskLong || !e.newDiskSince.IsZero() && now.Sub(e.newDiskSince) >= delay
 }
 
-// However an emptied machine comes and goes, its order stays done, and it serves again only after
-// it was away, or was there with another disk, for the delay time without a break.
+// The order of an emptied machine remains done, in whatever sequence the machine leaves and
+// returns. The machine serves again only after it was absent for the whole replacement delay, or
+// after it was live with another disk for as long.
 func TestDecommissionedMachine_ReturnsOnlyAfterReplacementDelay(t *testing.T) {
 	returned := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -76,21 +77,21 @@
 				e.runRound()
 			},
 			"it restarts": func(*rapid.T) { e.runRound() },
-			"it loses its disk": func(*rapid.T) {
+			"it gets another disk": func(*rapid.T) {
 				e.disks++
 				e.present = true
 				e.controller.newDiskSince = map[string]time.Time{}
 				e.newDiskSince = time.Time{}
 				e.runRound()
 			},
-			"it goes":       func(*rapid.T) { e.present = false; e.runRound() },
+			"it leaves":     func(*rapid.T) { e.present = false; e.runRound() },
 			"it comes back": func(*rapid.T) { e.present = true; e.runRound() },
 			"": func(t *rapid.T) {
 				if !e.order.Done {
-					t.Fatal("done went back")
+					t.Fatal("the order is no longer done")
 				}
 				if e.order.Returned && !e.wasAbsentLong && !e.hadNewDiskLong {
-					t.Fatal("it serves again too soon")
+					t.Fatal("the machine serves again before the replacement delay")
 				}
 				if e.order.Returned {
 					returned++
--- a/internal/placement/controller/fixture_test.go
+++ b/internal/placement/controller/fixture_test.go
@@ -9,9 +9,9 @@
 	"postjunction/internal/settings"
 )
 
-// newFixture returns a controller that became active long ago and its view: the named machines are
-// there, three stores in three zones hold partition 1 under s1 as its leader, and s4 may hold
-// nothing.
+// newFixture returns a controller that became active an hour ago, its view and the record of
+// partition 1. The named machines are live, each in a zone of its own. The replicas of partition 1
+// are on s1, s2 and s3, and s1 is its leader. Other machines have no replica.
 func newFixture(names ...string) (*Controller, *clusterView, assignment.Record) {
 	now := time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 	longAgo := now.Add(-time.Hour)
--- a/internal/placement/controller/leadership.go
+++ b/internal/placement/controller/leadership.go
@@ -9,8 +9,8 @@
 	"postjunction/internal/settings"
 )
 
-// replaceLeader proposes another leader where the present one can't go on, or should not. It
-// reports whether the round is done with the partition.
+// replaceLeader proposes another leader if the current one can't or should not continue. It reports
+// whether nothing else is to be done for the partition in this round.
 func (c *Controller) replaceLeader(view *clusterView, record assignment.Record) bool {
 	reason, wait := c.leaderFault(view, record)
 	if reason == "" {
@@ -32,12 +32,12 @@
 	return true
 }
 
-// leaderFault returns why the leader of a partition is to be replaced, "" if it isn't. With no
-// reason, wait reports that the leader is gone for so short a time that nothing is done about the
-// partition.
+// leaderFault returns why the leader of a partition is to be replaced, or "" if it is not. Without
+// a reason, wait reports that the leader has been missing for so short a time that nothing is done
+// for the partition.
 //
-// A slow leader, or one that is to be emptied, still serves: it is replaced only once it has
-// recovered and where a better one is there.
+// A slow leader, or one that is being decommissioned, still serves. It is replaced only if it has
+// recovered and a better one is available.
 func (c *Controller) leaderFault(view *clusterView, record assignment.Record) (reason string, wait bool) {
 	replica, placed := record.Replica(record.Leader)
 	leader := view.machines[record.Leader]
@@ -73,7 +73,7 @@
 	return "", false
 }
 
-// bestLeader returns the replica, other than one on a node, that should lead a partition.
+// bestLeader returns the replica that should lead a partition, except the one on the node except.
 func (v *clusterView) bestLeader(record assignment.Record, except string) (best assignment.Replica, found bool) {
 	for _, replica := range record.Replicas {
 		if replica.Node == except || !v.canLead(replica) {
@@ -86,8 +86,9 @@
 	return best, found
 }
 
-// leadsBetterThan reports whether a machine should lead a partition rather than another one: one
-// that stays, then one with a large disk, then the one with less load and fewer partitions to lead.
+// leadsBetterThan reports whether a machine should lead a partition rather than another one. It
+// prefers a machine that is not being decommissioned, then a storage machine, then lower load, then
+// fewer led partitions, then the lower name.
 func (m *machine) leadsBetterThan(other *machine) bool {
 	if m.excluded != other.excluded {
 		return other.excluded
--- a/internal/placement/controller/leadership_test.go
+++ b/internal/placement/controller/leadership_test.go
@@ -12,14 +12,14 @@
 	"postjunction/internal/settings"
 )
 
-// situation is what the controller has observed, what it sees and the record that it decides on.
+// situation is a controller with its observations, its view, and the record that it decides on.
 type situation struct {
 	controller *Controller
 	view       *clusterView
 	record     *assignment.Record
 }
 
-// Each reason for which a leader is replaced, and what comes right before it and is none yet.
+// Tests each reason for replacing a leader, and the condition just before it that is no reason yet.
 func TestReplaceLeader_Reasons(t *testing.T) {
 	timing := settings.DefaultTiming
 	half := timing.SessionTimeout() / 2
@@ -27,22 +27,22 @@
 		name   string
 		set    func(*situation)
 		reason string
-		// waits reports that nothing else is done about the partition meanwhile.
+		// waits says that nothing else is done for the partition in the round.
 		waits bool
 	}{
-		{"all is well", func(*situation) {}, "", false},
+		{"no fault", func(*situation) {}, "", false},
 		{"another disk", func(s *situation) {
 			s.view.machines["s1"].Incarnation = "new"
 		}, "the owner's disk is another one", false},
-		{"gone for a moment", func(s *situation) {
+		{"missing for less than the wait", func(s *situation) {
 			delete(s.view.machines, "s1")
 			s.controller.missingSince["s1"] = s.view.now.Add(time.Millisecond - timing.PreviousLeaderWait())
 		}, "", true},
-		{"gone", func(s *situation) {
+		{"missing", func(s *situation) {
 			delete(s.view.machines, "s1")
 			s.controller.missingSince["s1"] = s.view.now.Add(-timing.PreviousLeaderWait())
 		}, "the owner is gone", false},
-		{"gone, to a new controller", func(s *situation) {
+		{"missing, with a new controller", func(s *situation) {
 			delete(s.view.machines, "s1")
 			missingSince := s.view.now.Add(-timing.PreviousLeaderWait())
 			s.controller.activeSince, s.controller.missingSince["s1"] = missingSince, missingSince
@@ -53,38 +53,38 @@
 		{"stopping", func(s *situation) {
 			s.view.machines["s1"].Stage = membership.Draining
 		}, "the owner is stopping", false},
-		{"deaf for a moment", func(s *situation) {
+		{"without a lease for less than half a session timeout", func(s *situation) {
 			s.view.machines["s1"].Deaf, s.controller.withoutLeaseSince["s1"] = true, s.view.now.Add(time.Millisecond-half)
 		}, "", false},
-		{"deaf", func(s *situation) {
+		{"without a lease", func(s *situation) {
 			s.view.machines["s1"].Deaf, s.controller.withoutLeaseSince["s1"] = true, s.view.now.Add(-half)
 		}, "the owner has no licence", false},
-		{"slow for a moment", func(s *situation) {
+		{"slow for less than half a session timeout", func(s *situation) {
 			s.view.machines["s1"].slow, s.view.machines["s1"].slowFor = true, half-time.Millisecond
 		}, "", false},
 		{"slow", func(s *situation) {
 			s.view.machines["s1"].slow, s.view.machines["s1"].slowFor = true, half
 		}, "the owner is slow", false},
-		{"slow as all others", func(s *situation) {
+		{"slow, as all others are", func(s *situation) {
 			for _, m := range s.view.machines {
 				m.slow, m.slowFor = true, half
 			}
 		}, "", false},
-		{"to be emptied", func(s *situation) {
+		{"being decommissioned", func(s *situation) {
 			s.view.machines["s1"].excluded = true
 		}, "the owner is being emptied", false},
-		{"to be emptied as all others", func(s *situation) {
+		{"being decommissioned, as all others are", func(s *situation) {
 			for _, m := range s.view.machines {
 				m.excluded = true
 			}
 		}, "", false},
-		{"a take-over under way", func(s *situation) {
+		{"a takeover in progress", func(s *situation) {
 			s.record.Recovered, s.controller.epochSince[1] = false, s.view.now.Add(-2*timing.TakeoverTimeout())
 		}, "", false},
-		{"a take-over without an end", func(s *situation) {
+		{"a takeover that does not finish", func(s *situation) {
 			s.record.Recovered, s.controller.epochSince[1] = false, s.view.now.Add(-2*timing.TakeoverTimeout()-1)
 		}, "the take-over did not finish", false},
-		{"gone with another replica", func(s *situation) {
+		{"missing together with another replica", func(s *situation) {
 			delete(s.view.machines, "s1")
 			delete(s.view.machines, "s2")
 			s.controller.missingSince["s1"] = s.view.now.Add(-timing.PreviousLeaderWait())
--- a/internal/placement/controller/records.go
+++ b/internal/placement/controller/records.go
@@ -15,12 +15,12 @@
 // change is a change of a record that a round has decided on.
 type change struct{ old, next assignment.Record }
 
-// propose notes a change. It is written with all others of the round.
+// propose adds a change to the pending ones of the round.
 func (c *Controller) propose(old, next assignment.Record) {
 	c.pending = append(c.pending, change{old, next})
 }
 
-// writePending writes all changes that were noted, at once.
+// writeChanges writes all pending changes at the same time.
 func (c *Controller) writeChanges(ctx context.Context) {
 	changes := c.pending
 	c.pending = nil
@@ -33,8 +33,8 @@
 	}
 }
 
-// write writes a change on the version that it builds on, and returns the record that stands then:
-// the changed one, or, where the write failed, the one that is read back.
+// write writes a change on the version that it builds on. It returns the changed record, or the
+// record that is read back if the write failed.
 func (c *Controller) write(ctx context.Context, proposed change) (assignment.Record, error) {
 	next := proposed.next
 	key := assignment.Key(next.Partition)
@@ -50,7 +50,7 @@
 	return c.fetchRecord(ctx, next.Partition)
 }
 
-// logPlaced logs a change that began an epoch, if it is the one that stands.
+// logPlaced logs a change that started an epoch, if the written record is the one of that change.
 func (c *Controller) logPlaced(proposed change, written assignment.Record) {
 	next := proposed.next
 	if written.Epoch != next.Epoch || next.Epoch == proposed.old.Epoch || written.Leader != next.Leader {
@@ -61,7 +61,7 @@
 		"replicas", strings.Join(latest.Replicas, ","), "reason", latest.Reason)
 }
 
-// fetchRecord reads a record by quorum. One that was never written has epoch 0.
+// fetchRecord reads a record by quorum. A record that was never written has epoch 0.
 func (c *Controller) fetchRecord(ctx context.Context, partition int) (assignment.Record, error) {
 	value, err := c.Client.Read(ctx, assignment.Key(partition))
 	if err != nil {
@@ -77,7 +77,7 @@
 	return record, nil
 }
 
-// keepRecord takes a record in, and has it spread to the other nodes.
+// applyRecord stores a record here and in the gossip store, which spreads it to the other nodes.
 func (c *Controller) applyRecord(record assignment.Record) {
 	c.records[record.Partition] = record
 	if record.Version > 0 {
@@ -85,16 +85,16 @@
 	}
 }
 
-// reloadRecord reads a record again. Where that fails the one that was known stands, and any change
-// of it that builds on a stale version is rejected.
+// reloadRecord reads a record again. If that fails, the known record remains. If it is outdated,
+// changes that build on its stale version are rejected.
 func (c *Controller) reloadRecord(ctx context.Context, partition int) {
 	if record, err := c.fetchRecord(ctx, partition); err == nil {
 		c.applyRecord(record)
 	}
 }
 
-// refreshRecords takes in newer records that other nodes wrote, and reads those again whose
-// recovery takes long, as the update at its end may have been lost.
+// refreshRecords applies newer records that other nodes wrote. It reads those records again whose
+// recovery takes long, because the update at its end may have been lost.
 func (c *Controller) refreshRecords(ctx context.Context) {
 	for partition, record := range c.records {
 		if stored := c.Store.Record(partition); stored.Version > record.Version {
--- a/internal/placement/controller/replicas.go
+++ b/internal/placement/controller/replicas.go
@@ -9,11 +9,11 @@
 	"postjunction/internal/settings"
 )
 
-// maxLearners is how many partitions may be copied to a new machine at a time.
+// maxLearners is how many partitions may have a learner at the same time.
 const maxLearners = 32
 
-// placeFirst gives a partition its first replicas, on machines in as many zones as there are. A new
-// controller waits for storage machines that it may not have heard of yet.
+// placeFirst proposes the first replicas of a partition, spread over as many zones as possible. A
+// new controller waits for storage machines that it may not know of yet.
 func (c *Controller) placeFirst(view *clusterView, record assignment.Record) {
 	if view.storageMachines < view.replicationFactor && c.isNew(view) {
 		return
@@ -36,8 +36,9 @@
 	view.addLeader(leader.Node, idleLoad)
 }
 
-// candidate returns the machine that should hold a replica beside others, nil if there is none: a
-// storage machine first, then one in another zone, then the one with the fewest replicas.
+// candidate returns the machine for a replica besides others, or nil if there is none. It prefers a
+// storage machine, then a zone with fewer of the others, then a machine with fewer replicas, then
+// the lower name.
 func (v *clusterView) candidate(others []assignment.Replica) *machine {
 	zones, names := map[string]int{}, map[string]bool{}
 	for _, replica := range others {
@@ -70,9 +71,9 @@
 	return best
 }
 
-// adjustReplicas takes one step towards the replicas that a partition should have: it drops a
-// learner that is of no use, removes a replica that is too many, or adds a learner to replace or
-// complete them.
+// adjustReplicas makes one step towards the replicas that a partition should have. It drops a
+// learner that is not needed or not usable, removes a surplus replica, or adds a learner that is to
+// replace a replica or to be an additional one.
 func (c *Controller) adjustReplicas(view *clusterView, record assignment.Record) {
 	worst, reason := c.worstReplica(view, record)
 	complete := worst < 0 && len(record.Replicas) >= view.replicationFactor
@@ -98,8 +99,8 @@
 	return v.isUsable(learner) && !v.machines[learner.Node].excluded
 }
 
-// worstReplica returns the index of the replica to be replaced and why, -1 if all are good. One
-// that isn't usable comes before one that is.
+// worstReplica returns the index of the replica to be replaced and the reason, or -1 if no replica
+// has a fault. A replica that is not usable is preferred to one that is.
 func (c *Controller) worstReplica(view *clusterView, record assignment.Record) (worst int, reason string) {
 	worst = -1
 	for i, replica := range record.Replicas {
@@ -111,7 +112,7 @@
 	return worst, reason
 }
 
-// replicaFault returns why a replica is to be replaced, "" for a good one.
+// replicaFault returns why a replica is to be replaced, or "" if it is not.
 func (c *Controller) replicaFault(view *clusterView, record assignment.Record, replica assignment.Replica) string {
 	host, ok := view.machines[replica.Node]
 	switch {
@@ -135,11 +136,14 @@
 	return ""
 }
 
-// replacementWait returns how long a replica on a machine that is gone is waited for. The wait is
-//   - short, where an empty storage machine came to take its place;
-//   - half a session more, within which most restarts are over, where one was there empty before;
-//   - as long as service may take to be back, where a storage machine with other replicas is there;
-//   - long, where a small disk would have to take its place.
+// replacementWait returns for how long a missing machine may be absent before its replica is
+// replaced. It is the shortest of the waits that apply:
+//   - the absence wait, if an empty storage machine has appeared since the machine went missing, or
+//     at most a session timeout before;
+//   - half a session timeout, within which most restarts are over, if an empty storage machine was
+//     there before that;
+//   - the recovery time, if a storage machine with other replicas can receive the replica;
+//   - the replacement delay, if only a small disk could replace it.
 func (c *Controller) replacementWait(
 	view *clusterView, record assignment.Record, replica assignment.Replica,
 ) time.Duration {
@@ -160,8 +164,8 @@
 	return wait
 }
 
-// absenceWait returns how long a machine must be gone before anything is done: longer while the
-// controller is new and may not have heard of it.
+// absenceWait returns how long a machine must be missing before any action is taken. It is longer
+// while the controller is new and may not know of the machine yet.
 func (c *Controller) absenceWait(view *clusterView) time.Duration {
 	if c.isNew(view) {
 		return c.Timing.SessionTimeout() / 2
@@ -169,13 +173,13 @@
 	return c.Timing.PreviousLeaderWait()
 }
 
-// isNew reports whether the controller became active less than a session time-out ago, so that live
-// machines may be missing from its view.
+// isNew reports whether the controller became active less than a session timeout ago. Live machines
+// may still be missing from its view then.
 func (c *Controller) isNew(view *clusterView) bool {
 	return view.now.Sub(c.activeSince) < c.Timing.SessionTimeout()
 }
 
-// removeReplica proposes the record without a replica, under another leader if that replica leads.
+// removeReplica proposes the record without a replica, with another leader if that replica leads.
 func (c *Controller) removeReplica(view *clusterView, record assignment.Record, index int, reason string) {
 	removed := record.Replicas[index]
 	leader := record.Leader
@@ -190,8 +194,8 @@
 	c.propose(record, record.Next(leader, remaining, fmt.Sprintf("removed %s: %s", removed.Node, reason), view.now))
 }
 
-// addLearner proposes a learner that is to replace a replica, or to be one more if replaced is -1.
-// A machine whose disk was replaced gets its replica back.
+// addLearner proposes a learner that is to replace a replica, or to be an additional replica if
+// replaced is -1. A machine whose disk was replaced gets its own replica again.
 func (c *Controller) addLearner(view *clusterView, record assignment.Record, replaced int) {
 	others := slices.Clone(record.Replicas)
 	var target *machine
@@ -215,8 +219,9 @@
 	view.learners++
 }
 
-// surplusReplica returns the index of the replica to remove where all are good: one whose machine
-// isn't there, or else the one on the machine with the most replicas that doesn't lead.
+// surplusReplica returns the index of the replica to remove if none has a fault. It prefers one
+// whose machine is missing. Else it is the one on the machine with the most replicas, the leader
+// excepted.
 func (v *clusterView) surplusReplica(record assignment.Record) int {
 	isMissing := func(replica assignment.Replica) bool { return v.machines[replica.Node] == nil }
 	if index := slices.IndexFunc(record.Replicas, isMissing); index >= 0 {
--- a/internal/placement/controller/replicas_test.go
+++ b/internal/placement/controller/replicas_test.go
@@ -9,8 +9,8 @@
 	"postjunction/internal/settings"
 )
 
-// How long a replica on a machine that is gone is waited for, by which machines could take its
-// place.
+// The wait before a replica on a missing machine is replaced depends on which machines could
+// replace it.
 func TestReplacementWait_ByAvailableMachines(t *testing.T) {
 	timing := settings.DefaultTiming
 	for _, test := range []struct {
@@ -20,17 +20,17 @@
 		want     time.Duration
 	}{
 		{"small disks only", []string{"s1", "s2"}, func(*Controller, *clusterView) {}, timing.ReplacementDelay()},
-		{"another store, which holds other replicas", []string{"s1", "s2", "s4"},
+		{"a storage machine with other replicas", []string{"s1", "s2", "s4"},
 			func(_ *Controller, view *clusterView) { view.machines["s4"].replicas = 1 }, timing.Recovery},
-		{"a store that came after it", []string{"s1", "s2", "s4"},
+		{"a storage machine that appeared afterwards", []string{"s1", "s2", "s4"},
 			func(c *Controller, view *clusterView) { c.emptySince["s4"] = view.now }, timing.PreviousLeaderWait()},
-		{"a store that held nothing long before", []string{"s1", "s2", "s4"},
+		{"a storage machine that was empty long before", []string{"s1", "s2", "s4"},
 			func(c *Controller, view *clusterView) { c.emptySince["s4"] = view.now.Add(-time.Minute) },
 			timing.SessionTimeout() / 2},
 		{"one of each", []string{"s1", "s2", "s4", "s5"}, func(c *Controller, view *clusterView) {
 			view.machines["s5"].replicas, c.emptySince["s4"] = 1, view.now
 		}, timing.PreviousLeaderWait()},
-		{"a store that came after it, to a new controller", []string{"s1", "s2", "s4"},
+		{"a storage machine that appeared afterwards, with a new controller", []string{"s1", "s2", "s4"},
 			func(c *Controller, view *clusterView) {
 				c.emptySince["s4"], c.activeSince = view.now, view.now
 			}, timing.SessionTimeout() / 2},
--- a/internal/placement/decommission/order.go
+++ b/internal/placement/decommission/order.go
@@ -1,9 +1,13 @@
-// Package decommission keeps the recorded orders to empty machines.
+// Package decommission defines the recorded orders to empty (decommission) machines.
 //
-// An order stands in a control register until its machine serves again, whatever process or disk the
-// machine comes back with meanwhile. Invariants: an order that is Done stays Done; while an order stands
-// and its machine has not Returned, no replica is placed on the machine. Orders are plain values without
-// locks; whoever reads them from the register owns them.
+// An order remains in effect until its machine serves again, with whatever process or disk the
+// machine returns in the meantime. All orders are in one control register.
+//
+// Invariants: an order that is Done remains Done. While a machine has an order and has not
+// Returned, no replica is placed on it.
+//
+// Orders are plain values without locks. The reader of the register owns the values that it has
+// read.
 package decommission
 
 import (
@@ -15,38 +19,39 @@
 	"postjunction/internal/apierror"
 )
 
-// Key is the control key of all orders.
+// Key is the control key of the register with all orders.
 const Key = "duty/drain"
 
-// MaxOrders is how many orders are kept. Past it, orders whose machines serve again or are away are
-// forgotten, oldest first.
+// MaxOrders is the maximum number of recorded orders. Beyond it, orders whose machines serve again
+// or have departed are removed, oldest first.
 const MaxOrders = 1024
 
 // Order is the order to empty one machine.
 type Order struct {
 	Node string `json:"node"`
-	// BootID is the process that the order last met; only older builds go by it.
+	// BootID is the process that was last seen on the machine before the order was done. Only older
+	// builds use it.
 	BootID string `json:"boot"`
-	// Disk is the disk that the machine had when it was last seen before it was empty; "" in orders of
-	// older builds.
+	// Disk is the incarnation of the disk that was last seen on the machine before the order was
+	// done. It is "" in orders of older builds.
 	Disk        string    `json:"disk,omitempty"`
 	RequestedAt time.Time `json:"asked"`
-	// Done reports that no record names the machine, nor will any because of what was decided before
-	// the order. It never goes back.
+	// Done says that no record names the machine, and that no decision made before the order can
+	// make one name it. It is never reset.
 	Done bool `json:"done"`
 	// RemainingRecords counts the records that name the machine.
 	RemainingRecords int `json:"left"`
-	// Departed reports that the emptied machine was absent for the replacement delay. Returned reports
-	// that it came back afterwards and serves.
+	// Departed says that the emptied machine was absent for the replacement delay. Returned says
+	// that the machine serves again, after it had departed or with another disk.
 	Departed bool `json:"away,omitempty"`
 	Returned bool `json:"back,omitempty"`
 }
 
-// Orders holds all orders by node.
+// Orders has all orders by node.
 type Orders map[string]Order
 
-// Parse reads the orders; a register that was never written holds none. Orders that can't be read are an
-// error with code DiskDamaged, never an empty set.
+// Parse decodes the orders. Empty data, of a register that was never written, has no orders. Parse
+// returns DiskDamaged for orders that can't be decoded, and never an empty set.
 func Parse(data []byte) (Orders, error) {
 	orders := Orders{}
 	if len(data) == 0 {
@@ -64,14 +69,15 @@
 	return data
 }
 
-// Excludes reports whether a machine is to be empty: nothing is placed on it, and it isn't waited for.
+// Excludes reports whether a machine is decommissioned: no replica is placed on it, and replicas on
+// it are replaced without a wait if it is missing.
 func (o Orders) Excludes(node string) bool {
 	order, ok := o[node]
 	return ok && !order.Returned
 }
 
-// Add records a new order. It returns false, and records nothing, where there are as many orders as are
-// kept and all of them are still needed.
+// Add records a new order. It returns false, and records nothing, if there are MaxOrders orders
+// already and all of them are still needed.
 func (o Orders) Add(added Order) bool {
 	o[added.Node] = added
 	if len(o) <= MaxOrders {
@@ -92,7 +98,7 @@
 	return true
 }
 
-// Sorted returns the orders by node.
+// Sorted returns the orders sorted by node.
 func (o Orders) Sorted() []Order {
 	orders := make([]Order, 0, len(o))
 	for _, order := range o {
--- a/internal/placement/decommission/order_test.go
+++ b/internal/placement/decommission/order_test.go
@@ -22,7 +22,8 @@
 	assert.DeepEqual(t, reparsed, orders)
 }
 
-// An order of a build that went by processes only stands like any other.
+// An order of an older build, which identified machines by their process only, is in effect like
+// any other.
 func TestParse_OrdersOfOlderBuilds(t *testing.T) {
 	orders, err := Parse([]byte(`{"s1":{"node":"s1","boot":"b","asked":"2026-01-01T00:00:00Z","done":true,"left":0}}`))
 	assert.NilError(t, err)
@@ -34,7 +35,7 @@
 	for i := range MaxOrders {
 		assert.Assert(t, orders.Add(Order{Node: fmt.Sprint("s", i), RequestedAt: time.Unix(int64(i), 0)}))
 	}
-	assert.Assert(t, !orders.Add(Order{Node: "one too many"}), "orders that are under way are never forgotten")
+	assert.Assert(t, !orders.Add(Order{Node: "one too many"}), "orders in progress are never removed")
 	assert.Equal(t, len(orders), MaxOrders)
 	for _, i := range []int{7, 5} {
 		order := orders[fmt.Sprint("s", i)]
@@ -43,5 +44,5 @@
 	}
 	assert.Assert(t, orders.Add(Order{Node: "one more"}))
 	assert.Equal(t, len(orders), MaxOrders)
-	assert.Assert(t, !orders.Excludes("s5") && orders.Excludes("s7"), "the oldest is forgotten first")
+	assert.Assert(t, !orders.Excludes("s5") && orders.Excludes("s7"), "the oldest is removed first")
 }
--- a/internal/quorum/gather.go
+++ b/internal/quorum/gather.go
@@ -11,29 +11,29 @@
 )
 
 // Result is what the call to one target returned.
-type Result[Target, Value any] struct {
-	Target Target
-	Value  Value
+type Result[T, V any] struct {
+	Target T
+	Value  V
 	Err    error
 }
 
 // Gather calls all targets at once. It returns the results so far as soon as isEnough reports true
 // for them, and else all results. isEnough may be nil. If ctx ends, calls without a result count as
 // Unreachable, so that there is one result for each target.
-func Gather[Target, Value any](
+func Gather[T, V any](
 	ctx context.Context,
-	targets []Target,
-	call func(context.Context, Target) (Value, error),
-	isEnough func([]Result[Target, Value]) bool,
-) []Result[Target, Value] {
-	returned := make(chan Result[Target, Value], len(targets))
+	targets []T,
+	call func(context.Context, T) (V, error),
+	isEnough func([]Result[T, V]) bool,
+) []Result[T, V] {
+	returned := make(chan Result[T, V], len(targets))
 	for _, target := range targets {
 		go func() {
 			value, err := call(ctx, target)
-			returned <- Result[Target, Value]{target, value, err}
+			returned <- Result[T, V]{target, value, err}
 		}()
 	}
-	var results []Result[Target, Value]
+	var results []Result[T, V]
 	for range targets {
 		select {
 		case result := <-returned:
@@ -41,7 +41,7 @@
 		case <-ctx.Done():
 			for range len(targets) - len(results) {
 				err := apierror.WithCause(apierror.Unreachable, ctx.Err(), "no answer in time")
-				results = append(results, Result[Target, Value]{Err: err})
+				results = append(results, Result[T, V]{Err: err})
 			}
 			return results
 		}
@@ -53,8 +53,8 @@
 }
 
 // Successes returns the results without an error.
-func Successes[Target, Value any](results []Result[Target, Value]) []Result[Target, Value] {
-	var successes []Result[Target, Value]
+func Successes[T, V any](results []Result[T, V]) []Result[T, V] {
+	var successes []Result[T, V]
 	for _, result := range results {
 		if result.Err == nil {
 			successes = append(successes, result)
@@ -64,7 +64,7 @@
 }
 
 // FirstError returns the first error among the results, or nil if there is none.
-func FirstError[Target, Value any](results []Result[Target, Value]) error {
+func FirstError[T, V any](results []Result[T, V]) error {
 	for _, result := range results {
 		if result.Err != nil {
 			return result.Err
