--- a/internal/control/model/state_test.go
+++ b/internal/control/model/state_test.go
@@ -40,9 +40,9 @@
 	}
 }
 
-func compact(expanded acceptor.Slot) slot {
-	value := slices.Index(changeIDs[:], expanded.Value.ChangeID)
-	return slot{int8(expanded.Promised.Number), int8(expanded.Accepted.Number), int8(expanded.Value.Version), int8(value)}
+func compact(full acceptor.Slot) slot {
+	value := slices.Index(changeIDs[:], full.Value.ChangeID)
+	return slot{int8(full.Promised.Number), int8(full.Accepted.Number), int8(full.Value.Version), int8(value)}
 }
 
 func epochOf(attempt int8) epoch.Epoch { return epoch.Epoch{Number: uint64(attempt)} }
--- a/internal/control/register/change.go
+++ b/internal/control/register/change.go
@@ -59,7 +59,8 @@
 // attempt of the same change may be what changed the key.
 func withUncertainty(err error, uncertain bool, key string) error {
 	if uncertain && apierror.HasCode(err, apierror.StaleBase) {
-		return apierror.New(apierror.NoMajority, "%s changed while its leader was unreachable; the outcome is unknown", key)
+		return apierror.New(apierror.NoMajority,
+			"%s changed while its leader was unreachable; the outcome is unknown", key)
 	}
 	return err
 }
--- a/internal/placement/controller/clusterview.go
+++ b/internal/placement/controller/clusterview.go
@@ -128,11 +128,11 @@
 }
 
 // canReceive reports whether a replica may be placed on a machine. It is false for nil.
-func (v *clusterView) canReceive(target *machine) bool {
-	if target == nil || target.excluded || target.DiskHealth != "" || target.Deaf || target.Stage != membership.Serving {
+func (v *clusterView) canReceive(host *machine) bool {
+	if host == nil || host.excluded || host.DiskHealth != "" || host.Deaf || host.Stage != membership.Serving {
 		return false
 	}
-	return target.Disk == settings.DiskStorage || v.storageMachines < v.replicationFactor
+	return host.Disk == settings.DiskStorage || v.storageMachines < v.replicationFactor
 }
 
 // observeMissing records since when machines with replicas have been missing, and since when live
@@ -141,9 +141,9 @@
 	for name, m := range view.machines {
 		delete(c.missingSince, name)
 		if !m.Deaf {
-			delete(c.withoutLeaseSince, name)
-		} else if c.withoutLeaseSince[name].IsZero() {
-			c.withoutLeaseSince[name] = view.now
+			delete(c.leaselessSince, name)
+		} else if c.leaselessSince[name].IsZero() {
+			c.leaselessSince[name] = view.now
 		}
 	}
 	for _, record := range c.records {
--- a/internal/placement/controller/controller.go
+++ b/internal/placement/controller/controller.go
@@ -57,9 +57,9 @@
 // observations are the times since when conditions have been observed, by machine or by partition.
 // They are reset when the controller becomes active.
 type observations struct {
-	missingSince      map[string]time.Time
-	withoutLeaseSince map[string]time.Time
-	slowSince         map[string]time.Time
+	missingSince   map[string]time.Time
+	leaselessSince map[string]time.Time
+	slowSince      map[string]time.Time
 	// emptySince has the storage machines that were empty when first seen. A machine that has
 	// received replicas remains in it until no machine is missing.
 	emptySince map[string]time.Time
@@ -74,14 +74,14 @@
 
 func newObservations() observations {
 	return observations{
-		missingSince:      map[string]time.Time{},
-		withoutLeaseSince: map[string]time.Time{},
-		slowSince:         map[string]time.Time{},
-		emptySince:        map[string]time.Time{},
-		departedSince:     map[string]time.Time{},
-		newDiskSince:      map[string]time.Time{},
-		epochs:            map[int]uint64{},
-		epochSince:        map[int]time.Time{},
+		missingSince:   map[string]time.Time{},
+		leaselessSince: map[string]time.Time{},
+		slowSince:      map[string]time.Time{},
+		emptySince:     map[string]time.Time{},
+		departedSince:  map[string]time.Time{},
+		newDiskSince:   map[string]time.Time{},
+		epochs:         map[int]uint64{},
+		epochSince:     map[int]time.Time{},
 	}
 }
 
--- a/internal/placement/controller/leadership.go
+++ b/internal/placement/controller/leadership.go
@@ -53,7 +53,7 @@
 		return "the owner's disk fails: " + leader.DiskHealth, false
 	case leader.Stage != membership.Serving:
 		return "the owner is stopping", false
-	case leader.Deaf && view.now.Sub(c.withoutLeaseSince[record.Leader]) >= halfSession:
+	case leader.Deaf && view.now.Sub(c.leaselessSince[record.Leader]) >= halfSession:
 		return "the owner has no licence: it is heard but does not hear", false
 	case leader.slow && leader.slowFor >= halfSession:
 		if _, ok := view.bestLeader(record, record.Leader); !ok || !record.Recovered {
--- a/internal/placement/controller/leadership_test.go
+++ b/internal/placement/controller/leadership_test.go
@@ -54,10 +54,10 @@
 			s.view.machines["s1"].Stage = membership.Draining
 		}, "the owner is stopping", false},
 		{"without a lease for less than half a session timeout", func(s *situation) {
-			s.view.machines["s1"].Deaf, s.controller.withoutLeaseSince["s1"] = true, s.view.now.Add(time.Millisecond-half)
+			s.view.machines["s1"].Deaf, s.controller.leaselessSince["s1"] = true, s.view.now.Add(time.Millisecond-half)
 		}, "", false},
 		{"without a lease", func(s *situation) {
-			s.view.machines["s1"].Deaf, s.controller.withoutLeaseSince["s1"] = true, s.view.now.Add(-half)
+			s.view.machines["s1"].Deaf, s.controller.leaselessSince["s1"] = true, s.view.now.Add(-half)
 		}, "the owner has no licence", false},
 		{"slow for less than half a session timeout", func(s *situation) {
 			s.view.machines["s1"].slow, s.view.machines["s1"].slowFor = true, half-time.Millisecond
--- a/internal/quorum/gather.go
+++ b/internal/quorum/gather.go
@@ -21,10 +21,7 @@
 // for them, and else all results. isEnough may be nil. If ctx ends, calls without a result count as
 // Unreachable, so that there is one result for each target.
 func Gather[T, V any](
-	ctx context.Context,
-	targets []T,
-	call func(context.Context, T) (V, error),
-	isEnough func([]Result[T, V]) bool,
+	ctx context.Context, targets []T, call func(context.Context, T) (V, error), isEnough func([]Result[T, V]) bool,
 ) []Result[T, V] {
 	returned := make(chan Result[T, V], len(targets))
 	for _, target := range targets {
