--- a/internal/control/acceptor/cancel_test.go
+++ b/internal/control/acceptor/cancel_test.go
@@ -10,7 +10,7 @@
 	"postjunction/internal/disk/memlog"
 )
 
-// slowDisk ends no sync while it is blocked.
+// slowDisk completes no sync while it is blocked.
 type slowDisk struct {
 	*memlog.Disk
 	blocked chan chan struct{}
@@ -25,16 +25,16 @@
 	return d.Disk.Sync()
 }
 
-// block stops the disk at its next sync, until the function is called.
+// block blocks the disk at its next sync until release is called.
 func (d *slowDisk) block() (release func()) {
 	released := make(chan struct{})
 	d.blocked <- released
 	return func() { close(released) }
 }
 
-// A caller may stop waiting for a voter's disk. What the voter was asked to store comes to stand
-// all the same, and what it promises next must go by that: it went by what stood before, and wrote
-// that over an accepted value.
+// A caller may stop waiting for a voter's disk, and the voter's write still completes. The next
+// request must see the slot of that write. A voter that used the slot before it overwrote an
+// accepted value.
 func TestCallerThatGivesUpLeavesNoStaleSlot(t *testing.T) {
 	for name, next := range map[string]func(*Acceptor) (*SlotResponse, error){
 		"a promise comes next": func(a *Acceptor) (*SlotResponse, error) {
@@ -46,28 +46,28 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { checkNoStaleSlot(t, next) })
+			synctest.Test(t, func(t *testing.T) { checkSlotAfterCancel(t, next) })
 		})
 	}
 }
 
-func checkNoStaleSlot(t *testing.T, next func(*Acceptor) (*SlotResponse, error)) {
+func checkSlotAfterCancel(t *testing.T, next func(*Acceptor) (*SlotResponse, error)) {
 	t.Helper()
 	disk := &slowDisk{memlog.New(), make(chan chan struct{}, 1)}
 	a := startActivated(t, disk)
 	promise(t, a, epochOf(1, "c1"))
 	accept(t, a, epochOf(1, "c1"), 1, "a")
 	release := disk.block()
-	callCtx, giveUp := context.WithCancel(ctx)
-	gaveUp := make(chan error, 1)
+	callCtx, cancelCall := context.WithCancel(ctx)
+	callErr := make(chan error, 1)
 	go func() {
 		value := Value{Version: 2, Body: []byte("b")}
 		_, err := a.Accept(callCtx, &AcceptRequest{Target: targetOf("k"), Epoch: epochOf(1, "c1"), Value: value})
-		gaveUp <- err
+		callErr <- err
 	}()
 	synctest.Wait()
-	giveUp()
-	assert.Assert(t, <-gaveUp != nil)
+	cancelCall()
+	assert.Assert(t, <-callErr != nil)
 	var response *SlotResponse
 	done := make(chan error, 1)
 	go func() {
--- a/internal/control/model/model_test.go
+++ b/internal/control/model/model_test.go
@@ -1,10 +1,12 @@
-// Package model explores every run of the control registers' pure core (internal/control/acceptor,
-// slot.go) within small bounds: claims, changes, quorum reads, one replacement of a voter, one
-// wiped disk. Messages may be late, repeated, reordered or lost, and every response may be lost.
+// Package model is a model checker for the pure core of the control registers
+// (internal/control/acceptor, slot.go). It explores every run within small bounds: claims, changes,
+// quorum reads, one replacement of a voter, one wiped disk. Messages may be delayed, duplicated,
+// reordered or lost, and every response may be lost.
 //
-// What must hold in every state: a version has one decided value at most; a proposer that has
-// claimed the key, and a quorum read, has at least the version that was decided before it began. It
-// is a search over values in one goroutine, and holds all states that it has seen in memory.
+// Invariants in every state: a version has at most one decided value. A proposer that has claimed
+// the key has at least the version that was decided before it began, and so does a quorum read.
+//
+// The search runs in one goroutine and has all states that it has seen in memory.
 package model
 
 import (
@@ -14,7 +16,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// bounds say what may happen in an exploration.
+// bounds limits what may happen in an exploration.
 type bounds struct {
 	attempts int
 	replace  bool
@@ -28,10 +30,10 @@
 	violation string
 }
 
-func (e *exploration) add(s state) {
-	if _, ok := e.seen[s]; !ok {
-		e.seen[s] = struct{}{}
-		e.pending = append(e.pending, s)
+func (e *exploration) add(added state) {
+	if _, ok := e.seen[added]; !ok {
+		e.seen[added] = struct{}{}
+		e.pending = append(e.pending, added)
 	}
 }
 
@@ -41,56 +43,56 @@
 	}
 }
 
-// decide notes that a majority has accepted a value: no other value may ever be decided under the
-// same version.
-func (e *exploration) decide(s *state, version, value int8) {
-	if before := s.decided[version]; before != 0 && before != value {
+// decide records that a majority has accepted a value. It is a violation if another value was
+// decided under the same version.
+func (e *exploration) decide(next *state, version, value int8) {
+	if before := next.decided[version]; before != 0 && before != value {
 		e.violate("version %d was decided as %s and as %s", version, changeIDs[before], changeIDs[value])
 	}
-	s.decided[version] = value
-	s.maxDecided = max(s.maxDecided, version)
+	next.decided[version] = value
+	next.maxDecided = max(next.maxDecided, version)
 }
 
-// step adds all states that follow a state.
-func (e *exploration) step(s state) {
+// step adds all states that follow current.
+func (e *exploration) step(current state) {
 	for i := range e.attempts {
-		e.propose(s, i)
+		e.propose(current, i)
 		for voter := range voterCount {
-			e.promise(s, i, voter)
-			e.reaccept(s, i, voter)
-			e.acceptChange(s, i, voter)
+			e.promise(current, i, voter)
+			e.reaccept(current, i, voter)
+			e.acceptChange(current, i, voter)
 		}
 	}
 	if e.read {
-		e.quorumRead(s)
+		e.quorumRead(current)
 	}
 	if e.replace {
-		e.reconfigure(s)
+		e.reconfigure(current)
 	}
 }
 
-// explore goes on until nothing new is seen, or a violation is.
-func explore(b bounds) *exploration {
-	e := &exploration{bounds: b, seen: map[state]struct{}{}}
+// explore searches until it finds no new state, or a violation.
+func explore(limits bounds) *exploration {
+	search := &exploration{bounds: limits, seen: map[state]struct{}{}}
 	var initial state
 	for voter := range voterCount {
 		if contains(members[1], voter) {
 			initial.disks[voter].voterSet = 1
 		}
 	}
-	e.add(initial)
-	for len(e.pending) > 0 && e.violation == "" {
-		last := len(e.pending) - 1
-		s := e.pending[last]
-		e.pending = e.pending[:last]
-		e.step(s)
+	search.add(initial)
+	for len(search.pending) > 0 && search.violation == "" {
+		last := len(search.pending) - 1
+		current := search.pending[last]
+		search.pending = search.pending[:last]
+		search.step(current)
 	}
-	return e
+	return search
 }
 
 func TestEveryRunWithinSmallBounds(t *testing.T) {
-	if raced {
-		t.Skip("runs without the race detector: it has one goroutine an exploration, and millions of states")
+	if raceEnabled {
+		t.Skip("runs without the race detector: each exploration has one goroutine and millions of states")
 	}
 	for _, test := range []struct {
 		name string
@@ -102,10 +104,10 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			e := explore(test.bounds)
-			t.Logf("%d states", len(e.seen))
-			assert.Equal(t, e.violation, "")
-			assert.Assert(t, len(e.seen) >= test.minStates, "void: %d states", len(e.seen))
+			search := explore(test.bounds)
+			t.Logf("%d states", len(search.seen))
+			assert.Equal(t, search.violation, "")
+			assert.Assert(t, len(search.seen) >= test.minStates, "void: %d states", len(search.seen))
 		})
 	}
 }
--- a/internal/placement/controller/clusterview.go
+++ b/internal/placement/controller/clusterview.go
@@ -12,40 +12,40 @@
 	"postjunction/internal/settings"
 )
 
-// idleLoad is the load of a partition that accepts nothing, in messages a second: the cost of its
-// heartbeats.
+// idleLoad is the load of a partition that accepts no messages, in messages per second. It is the
+// cost of its heartbeats.
 const idleLoad = 1
 
-// machine is a live member with a disk, as a round sees it.
+// machine is a live member with a disk, in the view of one round.
 type machine struct {
 	membership.Info
-	// replicas counts the replicas and learners that records place on it, leads the partitions it
-	// leads.
+	// replicas counts the replicas and learners that records place on it. leads counts the
+	// partitions that it leads.
 	replicas, leads int
-	// load is that of the partitions it leads, in messages a second.
+	// load is the load of the partitions that it leads, in messages per second.
 	load float64
-	// excluded reports that it is to be emptied.
+	// excluded says that the machine is being decommissioned.
 	excluded bool
 	slow     bool
 	slowFor  time.Duration
 }
 
-// clusterView is what the decisions of one round rest on.
+// clusterView is the input of the decisions of one round.
 type clusterView struct {
 	now      time.Time
 	machines map[string]*machine
-	// storageMachines counts the machines with large disks that may hold replicas.
+	// storageMachines counts the storage machines that may have replicas.
 	storageMachines int
-	// replicationFactor is how many disks are to hold a partition.
+	// replicationFactor is the number of replicas that a partition should have.
 	replicationFactor int
 	// learners counts the records with a learner.
 	learners      int
 	decommissions decommission.Orders
-	// usualLatency is the median of the machines' heartbeat latencies.
-	usualLatency time.Duration
+	// medianLatency is the median of the machines' heartbeat latencies.
+	medianLatency time.Duration
 }
 
-// currentView reads the decommissionings by quorum and makes the view of a round.
+// currentView reads the decommissioning orders by quorum and returns the view of a round.
 func (c *Controller) currentView(ctx context.Context) (*clusterView, error) {
 	now, replicationFactor := c.Clock.Now(), c.Store.VoterSet().Layout.ReplicationFactor()
 	_, orders, err := c.readDecommissions(ctx)
@@ -58,7 +58,7 @@
 	view.addMachines(c.Live())
 	view.addRecords(c.records)
 	c.observeSlow(view)
-	c.observeGone(view)
+	c.observeMissing(view)
 	c.observeEmpty(view)
 	return view, nil
 }
@@ -98,13 +98,13 @@
 	}
 }
 
-// addLeader counts a partition with some load to the machine that leads it.
+// addLeader adds a partition and its load to the machine that leads it.
 func (v *clusterView) addLeader(node string, load float64) {
 	v.machines[node].leads++
 	v.machines[node].load += load
 }
 
-// partitionLoad returns the load of a partition, in messages a second, as its leader reports it.
+// partitionLoad returns the load of a partition as its leader reports it, in messages per second.
 func (v *clusterView) partitionLoad(record assignment.Record) float64 {
 	if m, ok := v.machines[record.Leader]; ok {
 		return idleLoad + m.Loads[record.Partition]
@@ -112,7 +112,7 @@
 	return idleLoad
 }
 
-// isUsable reports whether the disk of a replica is there and healthy.
+// isUsable reports whether the disk of a replica is on a live machine and healthy.
 func (v *clusterView) isUsable(replica assignment.Replica) bool {
 	m, ok := v.machines[replica.Node]
 	return ok && m.Incarnation == replica.Incarnation && m.DiskHealth == ""
@@ -127,35 +127,35 @@
 	return m.Stage == membership.Serving && !m.Deaf && !m.slow
 }
 
-// canReceive reports whether a machine may be given a replica; nil can't.
-func (v *clusterView) canReceive(m *machine) bool {
-	if m == nil || m.excluded || m.DiskHealth != "" || m.Deaf || m.Stage != membership.Serving {
+// canReceive reports whether a replica may be placed on a machine. It is false for nil.
+func (v *clusterView) canReceive(host *machine) bool {
+	if host == nil || host.excluded || host.DiskHealth != "" || host.Deaf || host.Stage != membership.Serving {
 		return false
 	}
-	return m.Disk == settings.DiskStorage || v.storageMachines < v.replicationFactor
+	return host.Disk == settings.DiskStorage || v.storageMachines < v.replicationFactor
 }
 
-// observeGone notes since when machines that records name are gone, and since when live ones are
-// deaf.
-func (c *Controller) observeGone(view *clusterView) {
+// observeMissing records since when machines with replicas have been missing, and since when live
+// machines have been without a lease.
+func (c *Controller) observeMissing(view *clusterView) {
 	for name, m := range view.machines {
-		delete(c.goneSince, name)
+		delete(c.missingSince, name)
 		if !m.Deaf {
-			delete(c.deafSince, name)
-		} else if c.deafSince[name].IsZero() {
-			c.deafSince[name] = view.now
+			delete(c.leaselessSince, name)
+		} else if c.leaselessSince[name].IsZero() {
+			c.leaselessSince[name] = view.now
 		}
 	}
 	for _, record := range c.records {
 		for _, replica := range record.Replicas {
-			if _, ok := view.machines[replica.Node]; !ok && c.goneSince[replica.Node].IsZero() {
-				c.goneSince[replica.Node] = view.now
+			if _, ok := view.machines[replica.Node]; !ok && c.missingSince[replica.Node].IsZero() {
+				c.missingSince[replica.Node] = view.now
 			}
 		}
 	}
-	for name := range c.goneSince {
+	for name := range c.missingSince {
 		if !c.isReplicaAnywhere(name) {
-			delete(c.goneSince, name)
+			delete(c.missingSince, name)
 		}
 	}
 }
@@ -169,11 +169,11 @@
 	return false
 }
 
-// observeEmpty notes the storage machines that hold nothing: they replace a machine that is gone,
-// with all its replicas. It rests on what observeGone noted.
+// observeEmpty records the storage machines without replicas, which can replace a missing machine
+// with all its replicas. It uses the result of observeMissing, which must be called before.
 func (c *Controller) observeEmpty(view *clusterView) {
 	for name := range c.emptySince {
-		if m, ok := view.machines[name]; !ok || m.replicas > 0 && len(c.goneSince) == 0 {
+		if m, ok := view.machines[name]; !ok || m.replicas > 0 && len(c.missingSince) == 0 {
 			delete(c.emptySince, name)
 		}
 	}
@@ -185,9 +185,9 @@
 	}
 }
 
-// observeSlow finds machines whose heartbeats take much longer than is usual among those with a
-// disk, and for how long. One that was slow stays so until it takes less than half of what makes it
-// slow.
+// observeSlow finds machines whose heartbeats take much longer than the median of the machines with
+// a disk, and records for how long. A slow machine remains slow until its latency is less than half
+// of the threshold.
 func (c *Controller) observeSlow(view *clusterView) {
 	var latencies []int64
 	for _, m := range view.machines {
@@ -197,8 +197,8 @@
 	if len(latencies) == 0 {
 		return
 	}
-	view.usualLatency = time.Duration(latencies[len(latencies)/2]) * time.Microsecond
-	threshold := max(settings.SlowFactor*view.usualLatency, c.Timing.SlowThreshold())
+	view.medianLatency = time.Duration(latencies[len(latencies)/2]) * time.Microsecond
+	threshold := max(settings.SlowFactor*view.medianLatency, c.Timing.SlowThreshold())
 	for name, m := range view.machines {
 		latency := time.Duration(m.LatencyMicros) * time.Microsecond
 		switch since := c.slowSince[name]; {
--- a/internal/placement/controller/controller.go
+++ b/internal/placement/controller/controller.go
@@ -18,14 +18,14 @@
 	"postjunction/internal/voters"
 )
 
-// Key is the control key whose leader runs the controller.
+// Key is the control key whose leader runs the placement controller.
 const Key = "duty/placement"
 
-// roundPauseFraction is the divisor of the longest backoff that makes the least pause between
-// rounds.
-const roundPauseFraction = 4
+// roundPauseDivisor divides the longest backoff. The result is the shortest pause between rounds.
+const roundPauseDivisor = 4
 
-// Controller places partitions while this control node leads Key.
+// Controller places partitions while this control node leads Key. All exported fields must be set
+// before Run.
 type Controller struct {
 	Self     string
 	Clock    clock.Clock
@@ -34,57 +34,58 @@
 	Client   *registerclient.Client
 	Store    *gossip.Store
 	Live     func() []membership.Info
-	// Changed returns a channel that is closed when the members change.
+	// Changed returns a channel that is closed at the next change of the membership.
 	Changed func() <-chan struct{}
 	Log     *event.Logger
-	// Broadcast sends records that were written here to the other nodes at once.
+	// Broadcast sends records that this controller wrote to the other nodes immediately.
 	Broadcast func(context.Context, ...assignment.Record)
 
-	// active reports whether this controller has read all records and decides, since activeSince.
+	// active says that this controller has read all records and makes decisions. It has done so
+	// since activeSince.
 	active      bool
 	activeSince time.Time
 	records     map[int]assignment.Record
-	// pending are the changes that the round has decided on and not written yet.
+	// pending are the changes that the round has decided on and not yet written.
 	pending []change
-	// balancedAt is when a leader was last moved for the sake of load.
+	// balancedAt is when a leader was last moved to balance load.
 	balancedAt time.Time
 	observations
 
 	membersChanged, storeChanged <-chan struct{}
 }
 
-// observations hold since when something has been seen, by machine or by partition. They begin anew
-// when the controller becomes active.
+// observations are the times since when conditions have been observed, by machine or by partition.
+// They are reset when the controller becomes active.
 type observations struct {
-	goneSince map[string]time.Time
-	deafSince map[string]time.Time
-	slowSince map[string]time.Time
-	// emptySince are the storage machines that were empty when they were first seen, until
-	// nothing is gone.
+	missingSince   map[string]time.Time
+	leaselessSince map[string]time.Time
+	slowSince      map[string]time.Time
+	// emptySince has the storage machines that were empty when first seen. A machine that has
+	// received replicas remains in it until no machine is missing.
 	emptySince map[string]time.Time
-	// absentSince are decommissioned machines that are gone, newDiskSince those that are there with
-	// another disk.
-	absentSince  map[string]time.Time
-	newDiskSince map[string]time.Time
-	// epochs are the epochs of the partitions, epochSince when they were first seen.
+	// departedSince has the emptied machines that are absent. newDiskSince has those that are live
+	// with another disk.
+	departedSince map[string]time.Time
+	newDiskSince  map[string]time.Time
+	// epochs has the epoch of each partition, and epochSince when it was first seen.
 	epochs     map[int]uint64
 	epochSince map[int]time.Time
 }
 
 func newObservations() observations {
 	return observations{
-		goneSince:    map[string]time.Time{},
-		deafSince:    map[string]time.Time{},
-		slowSince:    map[string]time.Time{},
-		emptySince:   map[string]time.Time{},
-		absentSince:  map[string]time.Time{},
-		newDiskSince: map[string]time.Time{},
-		epochs:       map[int]uint64{},
-		epochSince:   map[int]time.Time{},
+		missingSince:   map[string]time.Time{},
+		leaselessSince: map[string]time.Time{},
+		slowSince:      map[string]time.Time{},
+		emptySince:     map[string]time.Time{},
+		departedSince:  map[string]time.Time{},
+		newDiskSince:   map[string]time.Time{},
+		epochs:         map[int]uint64{},
+		epochSince:     map[int]time.Time{},
 	}
 }
 
-// Run places the partitions until ctx ends. It blocks.
+// Run places the partitions until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
 	for c.wait(ctx) == nil {
 		if c.Store.VoterSet().Sequence > 0 {
@@ -93,14 +94,14 @@
 	}
 }
 
-// wait waits for the next round: the active controller acts on changes, the others look at
-// intervals.
+// wait waits for the next round. The active controller also runs a round when the members or the
+// gossip store change, and the other controllers only at intervals.
 func (c *Controller) wait(ctx context.Context) error {
 	interval := clock.Jitter(c.Timing.ReconcileInterval(), 0.2, rand.Float64())
 	if !c.active {
 		return c.Clock.Sleep(ctx, interval)
 	}
-	if err := c.Clock.Sleep(ctx, c.Timing.MaxBackoff()/roundPauseFraction); err != nil {
+	if err := c.Clock.Sleep(ctx, c.Timing.MaxBackoff()/roundPauseDivisor); err != nil {
 		return err
 	}
 	clock.Wait(ctx, c.Clock, interval, c.membersChanged, c.storeChanged)
@@ -108,11 +109,11 @@
 	return ctx.Err()
 }
 
-// runOnce runs a round if this control node leads Key.
+// runOnce runs a round if this control node leads Key, and becomes active or inactive as needed.
 func (c *Controller) runOnce(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timing.Recovery)
 	defer cancel()
-	if !c.lead(ctx) {
+	if !c.ensureLeadership(ctx) {
 		if c.active {
 			c.Log.Log(event.ControllerStopped)
 		}
@@ -120,16 +121,16 @@
 		return
 	}
 	if !c.active {
-		c.start(ctx)
+		c.activate(ctx)
 	}
 	if c.active {
-		c.round(ctx)
+		c.runRound(ctx)
 	}
 }
 
-// lead claims Key if this control node doesn't lead it, and reports whether a majority confirms
-// that it does.
-func (c *Controller) lead(ctx context.Context) bool {
+// ensureLeadership claims Key if this control node does not lead it. It reports whether a majority
+// confirms that this node leads Key.
+func (c *Controller) ensureLeadership(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, c.Timing.CallTimeout())
 	defer cancel()
 	if !c.Proposer.Leads(Key) {
@@ -140,8 +141,9 @@
 	return c.Proposer.ConfirmLeadership(ctx, Key)
 }
 
-// start reads all records by quorum. The controller becomes active only if it has every one.
-func (c *Controller) start(ctx context.Context) {
+// activate reads all records by quorum. The controller becomes active only if it has read every
+// one.
+func (c *Controller) activate(ctx context.Context) {
 	c.records, c.observations = map[int]assignment.Record{}, newObservations()
 	var partitions []int
 	for partition := range c.Store.VoterSet().Layout.PartitionCount() {
@@ -152,14 +154,15 @@
 			c.Log.Log(event.PlacementFailed, "partition", result.Target, "problem", result.Err)
 			return
 		}
-		c.keepRecord(result.Value)
+		c.applyRecord(result.Value)
 	}
 	c.active, c.activeSince, c.balancedAt = true, c.Clock.Now(), c.Clock.Now()
 	c.Log.Log(event.ControllerStarted, "partitions", len(c.records))
 }
 
-// round decides on all partitions, urgent ones first, then on load and decommissionings.
-func (c *Controller) round(ctx context.Context) {
+// runRound makes decisions on all partitions, urgent ones first, and then on load and
+// decommissioning.
+func (c *Controller) runRound(ctx context.Context) {
 	c.pending = nil
 	c.refreshRecords(ctx)
 	view, err := c.currentView(ctx)
@@ -183,13 +186,13 @@
 		}
 		c.adjustReplicas(view, record)
 	}
-	c.writePending(ctx)
+	c.writeChanges(ctx)
 	c.balanceLoad(view)
-	c.writePending(ctx)
+	c.writeChanges(ctx)
 	c.updateDecommissions(ctx, view)
 }
 
-// byUrgency returns the partitions, the urgent ones first, each kind by number.
+// byUrgency returns the partitions, urgent ones first, and those of each class by number.
 func byUrgency(records map[int]assignment.Record, layout voters.Layout) []int {
 	var partitions []int
 	for partition := range records {
--- a/internal/placement/controller/leadership.go
+++ b/internal/placement/controller/leadership.go
@@ -9,8 +9,8 @@
 	"postjunction/internal/settings"
 )
 
-// replaceLeader proposes another leader where the present one can't go on, or should not. It
-// reports whether the round is done with the partition.
+// replaceLeader proposes another leader if the current one can't or should not continue. It reports
+// whether nothing else is to be done for the partition in this round.
 func (c *Controller) replaceLeader(view *clusterView, record assignment.Record) bool {
 	reason, wait := c.leaderFault(view, record)
 	if reason == "" {
@@ -32,36 +32,36 @@
 	return true
 }
 
-// leaderFault returns why the leader of a partition is to be replaced, "" if it isn't. With no
-// reason, wait reports that the leader is gone for so short a time that nothing is done about the
-// partition.
+// leaderFault returns why the leader of a partition is to be replaced, or "" if it is not. Without
+// a reason, wait reports that the leader has been missing for so short a time that nothing is done
+// for the partition.
 //
-// A slow leader, or one that is to be emptied, still serves: it is replaced only once it has
-// recovered and where a better one is there.
+// A slow leader, or one that is being decommissioned, still serves. It is replaced only if it has
+// recovered and a better one is available.
 func (c *Controller) leaderFault(view *clusterView, record assignment.Record) (reason string, wait bool) {
 	replica, placed := record.Replica(record.Leader)
-	m := view.machines[record.Leader]
+	leader := view.machines[record.Leader]
 	halfSession := c.Timing.SessionTimeout() / 2
 	switch {
-	case !placed || m != nil && m.Incarnation != replica.Incarnation:
+	case !placed || leader != nil && leader.Incarnation != replica.Incarnation:
 		return "the owner's disk is another one", false
-	case m == nil && view.now.Sub(c.goneSince[record.Leader]) < c.absenceWait(view):
+	case leader == nil && view.now.Sub(c.missingSince[record.Leader]) < c.absenceWait(view):
 		return "", true
-	case m == nil:
+	case leader == nil:
 		return "the owner is gone", false
-	case m.DiskHealth != "":
-		return "the owner's disk fails: " + m.DiskHealth, false
-	case m.Stage != membership.Serving:
+	case leader.DiskHealth != "":
+		return "the owner's disk fails: " + leader.DiskHealth, false
+	case leader.Stage != membership.Serving:
 		return "the owner is stopping", false
-	case m.Deaf && view.now.Sub(c.deafSince[record.Leader]) >= halfSession:
+	case leader.Deaf && view.now.Sub(c.leaselessSince[record.Leader]) >= halfSession:
 		return "the owner has no licence: it is heard but does not hear", false
-	case m.slow && m.slowFor >= halfSession:
+	case leader.slow && leader.slowFor >= halfSession:
 		if _, ok := view.bestLeader(record, record.Leader); !ok || !record.Recovered {
 			return "", false
 		}
-		latency := time.Duration(m.LatencyMicros) * time.Microsecond
-		return fmt.Sprintf("the owner is slow: its pulses take %s, %s are usual", latency, view.usualLatency), false
-	case m.excluded && len(record.Replicas) <= view.replicationFactor:
+		latency := time.Duration(leader.LatencyMicros) * time.Microsecond
+		return fmt.Sprintf("the owner is slow: its pulses take %s, %s are usual", latency, view.medianLatency), false
+	case leader.excluded && len(record.Replicas) <= view.replicationFactor:
 		successor, ok := view.bestLeader(record, record.Leader)
 		if !ok || view.machines[successor.Node].excluded || !record.Recovered {
 			return "", false
@@ -73,7 +73,7 @@
 	return "", false
 }
 
-// bestLeader returns the replica, other than one on a node, that should lead a partition.
+// bestLeader returns the replica that should lead a partition, except the one on the node except.
 func (v *clusterView) bestLeader(record assignment.Record, except string) (best assignment.Replica, found bool) {
 	for _, replica := range record.Replicas {
 		if replica.Node == except || !v.canLead(replica) {
@@ -86,8 +86,9 @@
 	return best, found
 }
 
-// leadsBetterThan reports whether a machine should lead a partition rather than another one: one
-// that stays, then one with a large disk, then the one with less load and fewer partitions to lead.
+// leadsBetterThan reports whether a machine should lead a partition rather than another one. It
+// prefers a machine that is not being decommissioned, then a storage machine, then lower load, then
+// fewer led partitions, then the lower name.
 func (m *machine) leadsBetterThan(other *machine) bool {
 	if m.excluded != other.excluded {
 		return other.excluded
--- a/internal/quorum/gather.go
+++ b/internal/quorum/gather.go
@@ -1,6 +1,7 @@
-// Package quorum calls many nodes at once and stops when enough have answered. Each call runs in a
-// goroutine of its own, which ends with the call; Gather blocks until it has enough results, all of
-// them, or ctx ends.
+// Package quorum calls many nodes at once and stops when enough have answered.
+//
+// Each call runs in a goroutine of its own, which ends with the call. Gather blocks until it has
+// enough results, until it has all of them, or until ctx ends.
 package quorum
 
 import (
@@ -10,26 +11,26 @@
 )
 
 // Result is what the call to one target returned.
-type Result[W, A any] struct {
-	Target W
-	Value  A
+type Result[T, V any] struct {
+	Target T
+	Value  V
 	Err    error
 }
 
-// Gather calls all targets at once and returns the results so far when isEnough, which may be nil,
-// says so, or all of them. When ctx ends, calls without a result count as Unreachable, so that
-// there is one result for each target.
-func Gather[W, A any](
-	ctx context.Context, targets []W, call func(context.Context, W) (A, error), isEnough func([]Result[W, A]) bool,
-) []Result[W, A] {
-	returned := make(chan Result[W, A], len(targets))
+// Gather calls all targets at once. It returns the results so far as soon as isEnough reports true
+// for them, and else all results. isEnough may be nil. If ctx ends, calls without a result count as
+// Unreachable, so that there is one result for each target.
+func Gather[T, V any](
+	ctx context.Context, targets []T, call func(context.Context, T) (V, error), isEnough func([]Result[T, V]) bool,
+) []Result[T, V] {
+	returned := make(chan Result[T, V], len(targets))
 	for _, target := range targets {
 		go func() {
 			value, err := call(ctx, target)
-			returned <- Result[W, A]{target, value, err}
+			returned <- Result[T, V]{target, value, err}
 		}()
 	}
-	var results []Result[W, A]
+	var results []Result[T, V]
 	for range targets {
 		select {
 		case result := <-returned:
@@ -37,7 +38,7 @@
 		case <-ctx.Done():
 			for range len(targets) - len(results) {
 				err := apierror.WithCause(apierror.Unreachable, ctx.Err(), "no answer in time")
-				results = append(results, Result[W, A]{Err: err})
+				results = append(results, Result[T, V]{Err: err})
 			}
 			return results
 		}
@@ -49,8 +50,8 @@
 }
 
 // Successes returns the results without an error.
-func Successes[W, A any](results []Result[W, A]) []Result[W, A] {
-	var successes []Result[W, A]
+func Successes[T, V any](results []Result[T, V]) []Result[T, V] {
+	var successes []Result[T, V]
 	for _, result := range results {
 		if result.Err == nil {
 			successes = append(successes, result)
@@ -59,8 +60,8 @@
 	return successes
 }
 
-// FirstError returns the first error among the results, nil if there is none.
-func FirstError[W, A any](results []Result[W, A]) error {
+// FirstError returns the first error among the results, or nil if there is none.
+func FirstError[T, V any](results []Result[T, V]) error {
 	for _, result := range results {
 		if result.Err != nil {
 			return result.Err
