--- a/internal/client/session/balance.go
+++ b/internal/client/session/balance.go
@@ -44,7 +44,7 @@
 	}
 	zone := membership.Filter(members, func(member membership.Info) bool {
 		return member.Zone == self.Zone && member.ClientAddr != "" && member.MilliCores > 0 &&
-			(member.Name == self.Name || member.Stage == membership.Serving && !member.Deaf)
+			(member.Name == self.Name || member.Stage == membership.Serving && !member.Isolated)
 	})
 	sum := 0
 	for _, member := range zone {
--- a/internal/client/session/balance_test.go
+++ b/internal/client/session/balance_test.go
@@ -74,7 +74,7 @@
 			all[0].Stage, all[1].Stage = "leaving", "leaving"
 		},
 		"the others are isolated": func(_ *membership.Info, all []membership.Info) {
-			all[0].Deaf, all[1].Deaf = true, true
+			all[0].Isolated, all[1].Isolated = true, true
 		},
 		"the others have as much": func(_ *membership.Info, all []membership.Info) {
 			all[0].MilliCores, all[1].MilliCores = 32, 32
--- a/internal/membership/info.go
+++ b/internal/membership/info.go
@@ -47,7 +47,7 @@
 	// Loads is what each partition led here accepts a second.
 	Loads        map[int]float64 `json:"loads,omitempty"`
 	DiskHealth   string          `json:"fitness,omitempty"`
-	Deaf         bool            `json:"deaf,omitempty"`
+	Isolated     bool            `json:"deaf,omitempty"`
 	BuildVersion string          `json:"build,omitempty"`
 	WireVersion  int             `json:"wire"`
 	// LatencyMicros is how long this node's heartbeats take, in microseconds: the second shortest
@@ -77,7 +77,7 @@
 		i.Incarnation != other.Incarnation ||
 		i.Stage != other.Stage ||
 		i.DiskHealth != other.DiskHealth ||
-		i.Deaf != other.Deaf ||
+		i.Isolated != other.Isolated ||
 		i.PeerAddr != other.PeerAddr ||
 		i.VoterSet != other.VoterSet
 }
--- a/internal/node/views.go
+++ b/internal/node/views.go
@@ -38,7 +38,7 @@
 		VoterSet:         n.Store.VoterSet().Sequence,
 	}
 	if n.leaseManager != nil {
-		info.Deaf = !n.leaseManager.LeaseConfirmed()
+		info.Isolated = !n.leaseManager.LeaseConfirmed()
 	}
 	if n.leaseManager != nil && opts.Disk != settings.DiskNone {
 		info.LatencyMicros = n.leaseManager.ReportedLatency().Microseconds()
@@ -133,7 +133,7 @@
 	if !ok || info.Incarnation != r.Incarnation {
 		return -1
 	}
-	if info.DiskHealth != "" || info.Stage != membership.Serving || info.Deaf || n.detector.Failed(r.Node) {
+	if info.DiskHealth != "" || info.Stage != membership.Serving || info.Isolated || n.detector.Failed(r.Node) {
 		return -1
 	}
 	return successorRanks[info.Disk]
@@ -164,7 +164,7 @@
 	self := n.options()
 	var sameZone, otherZones []membership.Info
 	for _, info := range n.View.All() {
-		if info.ClientAddr == "" || info.Name == self.Name || info.Stage != membership.Serving || info.Deaf {
+		if info.ClientAddr == "" || info.Name == self.Name || info.Stage != membership.Serving || info.Isolated {
 			continue
 		}
 		if info.Zone == self.Zone {
--- a/internal/placement/controller/clusterview.go
+++ b/internal/placement/controller/clusterview.go
@@ -124,12 +124,12 @@
 		return false
 	}
 	m := v.machines[replica.Node]
-	return m.Stage == membership.Serving && !m.Deaf && !m.slow
+	return m.Stage == membership.Serving && !m.Isolated && !m.slow
 }
 
 // canReceive reports whether a machine may be given a replica; nil can't.
 func (v *clusterView) canReceive(m *machine) bool {
-	if m == nil || m.excluded || m.DiskHealth != "" || m.Deaf || m.Stage != membership.Serving {
+	if m == nil || m.excluded || m.DiskHealth != "" || m.Isolated || m.Stage != membership.Serving {
 		return false
 	}
 	return m.Disk == settings.DiskStorage || v.storageMachines < v.replicationFactor
@@ -140,7 +140,7 @@
 func (c *Controller) observeGone(view *clusterView) {
 	for name, m := range view.machines {
 		delete(c.goneSince, name)
-		if !m.Deaf {
+		if !m.Isolated {
 			delete(c.deafSince, name)
 		} else if c.deafSince[name].IsZero() {
 			c.deafSince[name] = view.now
--- a/internal/placement/controller/leadership.go
+++ b/internal/placement/controller/leadership.go
@@ -53,7 +53,7 @@
 		return "the owner's disk fails: " + m.DiskHealth, false
 	case m.Stage != membership.Serving:
 		return "the owner is stopping", false
-	case m.Deaf && view.now.Sub(c.deafSince[record.Leader]) >= halfSession:
+	case m.Isolated && view.now.Sub(c.deafSince[record.Leader]) >= halfSession:
 		return "the owner has no licence: it is heard but does not hear", false
 	case m.slow && m.slowFor >= halfSession:
 		if _, ok := view.bestLeader(record, record.Leader); !ok || !record.Recovered {
--- a/internal/placement/controller/leadership_test.go
+++ b/internal/placement/controller/leadership_test.go
@@ -54,10 +54,10 @@
 			s.view.machines["s1"].Stage = membership.Draining
 		}, "the owner is stopping", false},
 		{"deaf for a moment", func(s *situation) {
-			s.view.machines["s1"].Deaf, s.controller.deafSince["s1"] = true, s.view.now.Add(time.Millisecond-half)
+			s.view.machines["s1"].Isolated, s.controller.deafSince["s1"] = true, s.view.now.Add(time.Millisecond-half)
 		}, "", false},
 		{"deaf", func(s *situation) {
-			s.view.machines["s1"].Deaf, s.controller.deafSince["s1"] = true, s.view.now.Add(-half)
+			s.view.machines["s1"].Isolated, s.controller.deafSince["s1"] = true, s.view.now.Add(-half)
 		}, "the owner has no licence", false},
 		{"slow for a moment", func(s *situation) {
 			s.view.machines["s1"].slow, s.view.machines["s1"].slowFor = true, half-time.Millisecond
--- a/tools/mutations/placement-controller.sh
+++ b/tools/mutations/placement-controller.sh
@@ -1,6 +1,6 @@
 # Mutants of internal/placement/controller.
 mutant drain-fence internal/placement/controller/decommission.go 's/fenced = fenced \|\| c\.fenceRecords\(ctx\)/fenced = true/' $S 'FencesWhat'
-mutant deaf-passed-over internal/placement/controller/leadership.go 's/case m\.Deaf && view\.now/case false \&\& m.Deaf \&\& view.now/' ./internal/placement/controller ReplaceLeader_Reasons
+mutant deaf-passed-over internal/placement/controller/leadership.go 's/case m\.Isolated && view\.now/case false \&\& m.Isolated \&\& view.now/' ./internal/placement/controller ReplaceLeader_Reasons
 mutant slow-passed-over internal/placement/controller/leadership.go 's/case m\.slow && m\.slowFor/case false \&\& m.slow \&\& m.slowFor/' $S 'SlowStore'
 mutant load-counts internal/placement/controller/clusterview.go 's/return idleLoad \+ m\.Loads\[record\.Partition\]/_ = m\n\t\treturn idleLoad/' $S 'SkewedLoad'
 mutant newcomer-at-once internal/placement/controller/replicas.go 's/wait = min\(wait, c\.absenceWait\(view\)\)/_ = c.absenceWait(view)/' $S 'ReplacedStore'
