--- a/internal/client/stream_deliver.go
+++ b/internal/client/stream_deliver.go
@@ -88,11 +88,11 @@
 	if entry.Offset <= st.positions[reader.partition] {
 		return false, nil
 	}
-	fate, end := stream.FateDeliver, func() {}
+	fate, end := stream.EntryDeliverable, func() {}
 	if st.topics[entry.Topic] {
-		fate, end = reader.feed.Begin(reader.window, entry, st.abort)
+		fate, end = reader.feed.BeginWrite(reader.window, entry, st.abort)
 	}
-	if fate == stream.FateStale {
+	if fate == stream.EntryStale {
 		return true, nil
 	}
 	defer end()
@@ -102,7 +102,7 @@
 			Event{Topic: entry.Topic, Withdrawn: entry.Key, Partition: &reader.partition, Offset: entry.Offset},
 		)
 	}
-	if entry.Type != log.TypeMessage || !st.topics[entry.Topic] || fate == stream.FateWithdrawn ||
+	if entry.Type != log.TypeMessage || !st.topics[entry.Topic] || fate == stream.EntryWithdrawn ||
 		entry.Key != "" && entry.BodyDropped ||
 		entry.Live && (entry.BodyDropped || entry.Offset <= reader.liveFrom) {
 		return false, nil
--- a/internal/delivery/stream/feeds.go
+++ b/internal/delivery/stream/feeds.go
@@ -6,7 +6,7 @@
 //
 // What must stay true: the feed polls past a withdrawal, which confirms it to the leader, only when
 // the cache holds nothing that it covers, every window that was filled before is known to be
-// affected (Begin checks tombstones and the generation), and every write of what it covers has
+// affected (BeginWrite checks tombstones and the generation), and every write of what it covers has
 // ended. When the last stream has left, the feed reports to the leader that it is finished.
 //
 // Each feed has one goroutine, Feed.run, owned by Feeds; it ends after the last stream has left,
--- a/internal/delivery/stream/feeds_test.go
+++ b/internal/delivery/stream/feeds_test.go
@@ -112,9 +112,9 @@
 	return window
 }
 
-func (x *fixture) fate(window Window, index int) Fate {
-	fate, end := x.feed.Begin(window, window.Entries[index], func() {})
-	if fate == FateDeliver {
+func (x *fixture) fate(window Window, index int) EntryStatus {
+	fate, end := x.feed.BeginWrite(window, window.Entries[index], func() {})
+	if fate == EntryDeliverable {
 		end()
 	}
 	return fate
@@ -130,13 +130,13 @@
 			x.leader.write(log.TypeWithdrawal, "k", "")
 			x.leader.write(log.TypeMessage, "k", "new")
 			synctest.Wait()
-			assert.Equal(x, x.fate(window, 0), FateWithdrawn)
-			assert.Equal(x, x.fate(window, 1), FateDeliver)
+			assert.Equal(x, x.fate(window, 0), EntryWithdrawn)
+			assert.Equal(x, x.fate(window, 1), EntryDeliverable)
 			now := x.cached(0)
 			assert.Equal(x, fmt.Sprintf("%s %v", now.Entries[0].Body, now.Entries[0].BodyDropped), " true")
 			assert.Equal(x, string(now.Entries[1].Body)+string(now.Entries[3].Body), "othernew")
 			assert.Equal(x, string(window.Entries[0].Body), "old")
-			assert.Equal(x, x.fate(now, 3), FateDeliver)
+			assert.Equal(x, x.fate(now, 3), EntryDeliverable)
 			at, _ := x.leader.readPosition("b.1")
 			assert.Equal(x, at, uint64(4))
 		},
@@ -161,7 +161,7 @@
 			close(x.leader.block)
 			window := <-got
 			assert.Equal(x, string(window.Entries[0].Body), "old")
-			assert.Equal(x, x.fate(window, 0), FateWithdrawn)
+			assert.Equal(x, x.fate(window, 0), EntryWithdrawn)
 			at, _ := x.leader.readPosition("b.1")
 			assert.Equal(x, at, uint64(4))
 		},
@@ -171,8 +171,8 @@
 			synctest.Wait()
 			window := x.cached(0)
 			cut := make(chan bool, 3)
-			_, end := x.feed.Begin(window, window.Entries[0], func() { cut <- true })
-			_, spared := x.feed.Begin(window, window.Entries[1], func() { cut <- false })
+			_, end := x.feed.BeginWrite(window, window.Entries[0], func() { cut <- true })
+			_, spared := x.feed.BeginWrite(window, window.Entries[1], func() { cut <- false })
 			x.leader.write(log.TypeWithdrawal, "k", "")
 			synctest.Wait()
 			assert.Equal(x, len(cut), 1)
@@ -201,8 +201,8 @@
 			now := len(x.feed.tombstones)
 			x.feed.mu.Unlock()
 			assert.Assert(x, now <= maxTombstones)
-			assert.Equal(x, x.fate(window, 0), FateStale)
-			assert.Equal(x, x.fate(window, 1), FateDeliver)
+			assert.Equal(x, x.fate(window, 0), EntryStale)
+			assert.Equal(x, x.fate(window, 1), EntryDeliverable)
 			assert.Assert(x, x.cached(0).Entries[0].BodyDropped)
 		},
 		"skipped tombstones make windows stale and abort writes": func(x *fixture) {
@@ -210,7 +210,7 @@
 			synctest.Wait()
 			window := x.cached(0)
 			cut := make(chan bool, 1)
-			_, end := x.feed.Begin(window, window.Entries[0], func() { cut <- true })
+			_, end := x.feed.BeginWrite(window, window.Entries[0], func() { cut <- true })
 			x.leader.set(func() {
 				for range 5 {
 					x.leader.entries = append(x.leader.entries, log.Entry{})
@@ -221,7 +221,7 @@
 			synctest.Wait()
 			assert.Equal(x, len(cut), 1)
 			end()
-			assert.Equal(x, x.fate(window, 0), FateStale)
+			assert.Equal(x, x.fate(window, 0), EntryStale)
 			synctest.Wait()
 			assert.Equal(x, string(x.cached(6).Entries[0].Body), "far")
 		},
@@ -230,14 +230,14 @@
 			synctest.Wait()
 			window := x.cached(0)
 			cut := make(chan bool, 1)
-			_, end := x.feed.Begin(window, window.Entries[0], func() { cut <- true })
+			_, end := x.feed.BeginWrite(window, window.Entries[0], func() { cut <- true })
 			x.leader.set(func() { x.leader.resets, x.leader.block = map[string]bool{"b.1": true}, make(chan struct{}) })
 			x.leader.write(log.TypeMessage, "l", "other")
 			synctest.Wait()
 			assert.Equal(x, len(cut), 1)
 			end()
 			synctest.Wait()
-			assert.Equal(x, x.fate(window, 0), FateStale)
+			assert.Equal(x, x.fate(window, 0), EntryStale)
 			_, ok := x.feed.Cached(0)
 			assert.Assert(x, !ok)
 			close(x.leader.block)
--- a/internal/delivery/stream/window.go
+++ b/internal/delivery/stream/window.go
@@ -15,8 +15,8 @@
 	fetchTimeouts = 2
 )
 
-// Window is a part of the log that a stream holds. What it holds may be withdrawn meanwhile, see
-// Begin.
+// Window is a copy of a part of the log for one stream. Its messages may be withdrawn meanwhile, see
+// BeginWrite.
 type Window struct {
 	Entries    []log.Entry
 	generation uint64
@@ -64,15 +64,15 @@
 	return Window{response.Entries, generation}, nil
 }
 
-// Fate is what becomes of an entry of a window.
-type Fate int
+// EntryStatus says whether an entry of a window may be delivered.
+type EntryStatus int
 
-// The fates: to be delivered; withdrawn and never to be delivered; of a window that must be filled
-// again.
+// EntryDeliverable allows the delivery. EntryWithdrawn forbids it for good. EntryStale asks to read
+// the window again, since the feed can't tell whether the entry was withdrawn.
 const (
-	FateDeliver Fate = iota
-	FateWithdrawn
-	FateStale
+	EntryDeliverable EntryStatus = iota
+	EntryWithdrawn
+	EntryStale
 )
 
 // write is an entry that a stream is writing to its client right now.
@@ -83,25 +83,25 @@
 	done  chan struct{}
 }
 
-// Begin is called right before an entry of a window is written to a client. If it is to be
-// delivered, the returned function is called after the write. If the entry is withdrawn before
-// that, abort is called from another goroutine: it must not block, and must make the write end
-// soon.
-func (f *Feed) Begin(window Window, entry log.Entry, abort func()) (Fate, func()) {
+// BeginWrite is called right before an entry of a window is written to a client. If the entry is
+// deliverable, the caller must call the returned function after the write. If the entry is withdrawn
+// before that, abort is called from another goroutine. It must not block, and must make the write
+// end soon.
+func (f *Feed) BeginWrite(window Window, entry log.Entry, abort func()) (EntryStatus, func()) {
 	if entry.Key == "" || entry.Type != log.TypeMessage {
-		return FateDeliver, func() {}
+		return EntryDeliverable, func() {}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
 	case window.generation != f.generation:
-		return FateStale, func() {}
+		return EntryStale, func() {}
 	case entry.Offset < f.tombstones[keyOf(entry)]:
-		return FateWithdrawn, func() {}
+		return EntryWithdrawn, func() {}
 	}
 	w := &write{entry, abort, make(chan struct{})}
 	f.writes[w] = true
-	return FateDeliver, func() {
+	return EntryDeliverable, func() {
 		f.mu.Lock()
 		delete(f.writes, w)
 		f.mu.Unlock()
