--- a/internal/delivery/fanout/bench_test.go
+++ b/internal/delivery/fanout/bench_test.go
@@ -7,7 +7,7 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-func BenchmarkHandlePoll_WithoutKeys(timing *testing.B) {
+func BenchmarkHandlePoll_WithoutKeys(b *testing.B) {
 	target := &feed{subscriptions: map[string]map[*Subscription]bool{"a": {}}}
 	delivered := 0
 	for range 20 {
@@ -20,8 +20,8 @@
 	for range 100 {
 		response.Entries = append(response.Entries, log.Entry{Type: log.TypeMessage, Topic: "a"})
 	}
-	timing.ReportAllocs()
-	for timing.Loop() {
+	b.ReportAllocs()
+	for b.Loop() {
 		for i := range response.Entries {
 			response.To++
 			response.Entries[i].Offset = response.To
--- a/internal/delivery/fanout/drops_test.go
+++ b/internal/delivery/fanout/drops_test.go
@@ -18,45 +18,45 @@
 	"postjunction/internal/settings"
 )
 
-// countingLeader counts the Follow calls it gets.
+// countingLeader counts the Follow calls that it receives, and records the registered topics.
 type countingLeader struct {
 	mu     sync.Mutex
 	calls  int
 	topics map[string]int
 }
 
-func (c *countingLeader) Follow(
+func (l *countingLeader) Follow(
 	_ context.Context, _ assignment.Record, request *leader.FollowRequest,
 ) (*leader.FollowResponse, error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.calls++
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.calls++
 	if request.Full {
-		clear(c.topics)
+		clear(l.topics)
 	}
 	for topic, count := range request.Topics {
-		c.topics[topic] = count
+		l.topics[topic] = count
 		if count == 0 {
-			delete(c.topics, topic)
+			delete(l.topics, topic)
 		}
 	}
 	return &leader.FollowResponse{Epoch: 1}, nil
 }
 
-func (c *countingLeader) Poll(
+func (l *countingLeader) Poll(
 	ctx context.Context, _ assignment.Record, request *leader.PollRequest,
 ) (*leader.PollResponse, error) {
 	return &leader.PollResponse{Epoch: 1, To: request.From}, clock.Real{}.Sleep(ctx, request.Hold)
 }
 
-func (c *countingLeader) counts() (int, map[string]int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.calls, maps.Clone(c.topics)
+func (l *countingLeader) counts() (int, map[string]int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.calls, maps.Clone(l.topics)
 }
 
-// Clients that reconnect cost the leader one Follow, not two; the topics of those that stay away
-// are dropped in time.
+// A client that reconnects costs the leader one Follow, not two. The topics of clients that do not
+// reconnect are unregistered after a delay.
 func TestDroppedTopicsAreReportedWithNextFollow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		timing := settings.DefaultTiming
@@ -82,8 +82,8 @@
 			time.Sleep(timing.LongPoll() / 8)
 			first = subscribe("a")
 		}
-		now, topics := counting.counts()
-		assert.Equal(t, now-before, 5)
+		after, topics := counting.counts()
+		assert.Equal(t, after-before, 5)
 		assert.Equal(t, opened, 7)
 		assert.DeepEqual(t, topics, map[string]int{"a": 1, "b": 1})
 		hub.Unsubscribe(first)
--- a/internal/delivery/fanout/feed.go
+++ b/internal/delivery/fanout/feed.go
@@ -10,11 +10,11 @@
 	"postjunction/internal/configuration"
 )
 
-// feed holds what one node follows of one partition.
+// feed is the state of one node's subscriptions to one partition.
 type feed struct {
 	hub       *Hub
 	partition int
-	// wakeups ends the waits of followLoop.
+	// wakeups interrupts the waits of followLoop.
 	wakeups chan struct{}
 
 	// mu guards the fields below and the state of the feed's subscriptions.
@@ -23,56 +23,60 @@
 	// pending are subscriptions that wait for a response to Follow.
 	pending []*Subscription
 
-	// bootID names what this feed holds at the leader, by the count of its restarts; it changes
-	// after the leader told the feed to reset, and after the feed reported that it is finished.
+	// bootID identifies this feed's registration at the leader: the boot ID of the hub with the
+	// number of renewals. It changes after the leader asked for a reset, and after the feed
+	// reported that it is finished.
 	bootID    string
 	bootCount int
 	// readerToken was assigned to this boot ID by the leader.
 	readerToken uint64
-	// isReader: the leader may wait for this node to read withdrawals.
+	// isReader is set while the leader may wait for this node to read withdrawals.
 	isReader bool
 	// lastHeard is when a leader last answered.
 	lastHeard time.Time
-	// highestEpoch is the highest epoch that answered; lower ones are superseded.
+	// highestEpoch is the highest epoch of a leader that answered. Leaders of lower epochs are
+	// superseded.
 	highestEpoch uint64
 
-	// The registration with the leader (follow.go). changed are topics whose count of subscriptions
-	// the leader has not got yet. reportDue: it is to get them now; dropReportScheduled: it will
-	// after a while.
+	// The registration with the leader (follow.go). changed are the topics whose subscription
+	// counts the leader does not have yet. reportDue asks for a report now. dropReportScheduled is
+	// set while a delayed report is scheduled.
 	changed             map[string]bool
 	reportDue           bool
 	dropReportScheduled bool
-	// sequence is that of the newest Follow, ackedSequence that of the newest one that was
+	// sequence is the number of the newest Follow, ackedSequence that of the newest Follow that was
 	// acknowledged.
 	sequence      uint64
 	ackedSequence uint64
-	// mustResend: the leader does not have the registration, all topics are to be sent again.
+	// mustResend is set when the leader may lack the registration. All topics are then sent again.
 	mustResend  bool
 	isFollowing bool
-	// followInFlight: a Follow is under way, whose response may be older than tombstones, which
-	// were polled meanwhile.
+	// followInFlight is set while a Follow is in flight. Its response may be older than tombstones
+	// that were polled meanwhile.
 	followInFlight bool
 	tombstones     tombstones
 	// registered is closed, and replaced, with each acknowledged Follow.
 	registered chan struct{}
 
-	// The position in the log (poll.go). hasPosition: all entries of the topics up to readTo were
-	// read; base is the offset that the leader retains from.
+	// The position in the log (poll.go). If hasPosition is set, all entries of the topics up to
+	// readTo were read. The leader retains the entries after base.
 	hasPosition bool
 	readTo      uint64
 	base        uint64
-	// generation is that of polls whose responses count.
+	// generation is the current generation of polls. The entries of a response to an older one are
+	// ignored.
 	generation uint64
 	isPolling  bool
 	cancelPoll context.CancelFunc
-	// polledEpoch and recordVersion are those of the record that is polled.
+	// polledEpoch and recordVersion are the epoch and the version of the assignment record in use.
 	polledEpoch   uint64
 	recordVersion uint64
 
-	// The end of a reader (finish.go).
+	// The end of the registration as a reader (finish.go).
 	isReleasing bool
 	isFinished  bool
-	// suspensions count reasons not to call Follow: buffers are being released.
+	// suspensions counts the releases of buffers that are under way. Follow is not called
+	// meanwhile.
 	suspensions  int
 	cancelFinish context.CancelFunc
 }
@@ -101,8 +105,9 @@
 	}
 }
 
-// wake has the leader informed of all that changed.
-func (f *feed) wake() {
+// reportNow reports all changed topics to the leader as soon as possible. It starts followLoop if
+// that is not running.
+func (f *feed) reportNow() {
 	f.reportDue = true
 	if !f.isFollowing {
 		f.isFollowing = true
@@ -119,8 +124,8 @@
 	}
 }
 
-// reportDropsLater has the leader informed of dropped topics after a while, unless another report
-// takes them along: clients that drop a topic often come back.
+// reportDropsLater reports dropped topics to the leader after a delay, unless another report
+// includes them earlier. Clients that drop a topic often subscribe to it again.
 func (f *feed) reportDropsLater() {
 	if f.dropReportScheduled {
 		return
@@ -132,12 +137,12 @@
 		defer f.mu.Unlock()
 		f.dropReportScheduled = false
 		if len(f.changed) > 0 {
-			f.wake()
+			f.reportNow()
 		}
 	}()
 }
 
-// recordChanged ends a poll of a leader that the record no longer names.
+// recordChanged cancels the poll of a leader that the assignment record no longer names.
 func (f *feed) recordChanged(record assignment.Record) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -154,27 +159,27 @@
 	f.signal()
 }
 
-// isRetained reports whether the messages of a topic are kept for clients that come back.
+// isRetained reports whether the messages of a topic are retained for clients that reconnect.
 func (f *feed) isRetained(topic string) bool {
 	space, err := f.hub.store.Index().Find(topic)
 	return err == nil && space.Kind != configuration.KindLive
 }
 
-// isIsolated reports whether the leader may wait for this node as a reader though no leader has
-// answered for the recovery time.
+// isIsolated reports whether no leader has answered for the recovery time while the leader may wait
+// for this node as a reader.
 func (f *feed) isIsolated() bool {
 	return f.isReader && f.readerToken > 0 && f.hub.clock.Now().Sub(f.lastHeard) > f.hub.timing.Recovery
 }
 
-// nextBoot continues under another boot ID, which the leader knows nothing of.
-func (f *feed) nextBoot() {
+// renewBootID switches to a new boot ID, which the leader does not know.
+func (f *feed) renewBootID() {
 	f.bootCount++
 	f.bootID = f.hub.bootID + "+" + strconv.Itoa(f.bootCount)
 	f.readerToken = 0
 	f.isFinished = false
 }
 
-// backoff returns a channel that is closed after the pause of an attempt or at the end of ctx.
+// backoff returns a channel that is closed after the backoff of an attempt, or when ctx ends.
 func (f *feed) backoff(ctx context.Context, attempt int) <-chan struct{} {
 	elapsed := make(chan struct{})
 	go func() {
--- a/internal/delivery/fanout/finish.go
+++ b/internal/delivery/fanout/finish.go
@@ -6,12 +6,12 @@
 	"postjunction/internal/partitionlog/leader"
 )
 
-// maxFinishAttempts is how often a feed that abandons its state tells a leader that does not
-// answer.
+// maxFinishAttempts is how many times a feed that abandoned its state reports that to a leader that
+// does not answer.
 const maxFinishAttempts = 3
 
-// newFinishRequest returns the report that nothing is subscribed to and held under this boot ID any
-// more.
+// newFinishRequest returns a request that reports that this boot ID has no subscriptions and no
+// buffered messages any more.
 func (f *feed) newFinishRequest() *leader.FollowRequest {
 	f.sequence++
 	return &leader.FollowRequest{
@@ -26,7 +26,8 @@
 	}
 }
 
-// sendFinished reports to the leader that the feed is finished. A new subscription ends it.
+// sendFinished reports to the leader that the feed is finished. A new subscription cancels the
+// call.
 func (f *feed) sendFinished(ctx context.Context, request *leader.FollowRequest, attempt int) {
 	callCtx, cancel := context.WithTimeout(ctx, f.followTimeout(request))
 	defer cancel()
@@ -47,8 +48,8 @@
 	}
 }
 
-// reset drops the feed's state, as the leader no longer counts on what this node holds: open
-// subscriptions are broken. It is followed by finishReset or releaseAndFinish, outside the lock.
+// reset drops the feed's state and breaks the open subscriptions, since the leader no longer waits
+// for this node as a reader. finishReset or releaseAndFinish must follow, without the lock.
 func (f *feed) reset() {
 	for _, subscriptions := range f.subscriptions {
 		for s := range subscriptions {
@@ -60,7 +61,7 @@
 		}
 	}
 	clear(f.changed)
-	f.nextBoot()
+	f.renewBootID()
 	f.generation++
 	f.tombstones = nil
 	f.hasPosition, f.mustResend, f.isReader = false, false, false
@@ -70,15 +71,15 @@
 	f.suspensions++
 }
 
-// finishReset ends what reset began, once the buffers have dropped all that clients have not got
-// yet.
+// finishReset completes a reset. It has the buffers drop the messages that clients have not
+// received yet, and resumes the calls of Follow.
 func (f *feed) finishReset() {
 	f.hub.release(f.partition, true)
 	f.resume()
 }
 
-// abandon resets a feed whose leader does not answer, and reports that under the boot ID that it
-// had, as a leader that isn't heard may hear.
+// abandon resets a feed whose leader does not answer, and reports that under the old boot ID: the
+// leader may receive requests even where its responses are lost.
 func (f *feed) abandon() {
 	request := f.newFinishRequest()
 	f.reset()
@@ -102,19 +103,21 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.suspensions--
-	f.wake()
+	f.reportNow()
 }
 
-// releaseAll has the buffers drop all messages with keys, so that the leader can be told that this
-// node is finished. What a client has not read after a while closes its connection.
+// releaseAll has the buffers drop all messages with keys, so that this node can report to the
+// leader that it is finished. After a delay it closes the connections of clients that have not read
+// theirs.
 func (f *feed) releaseAll() {
-	for cut := false; !f.tryRelease(cut) && f.hub.ctx.Err() == nil; cut = true {
+	for closeConnections := false; !f.tryRelease(closeConnections) && f.hub.ctx.Err() == nil; closeConnections = true {
 		_ = f.hub.clock.Sleep(f.hub.ctx, f.hub.timing.LongPoll())
 	}
 }
 
-// tryRelease reports whether nothing is buffered any more, or there is a subscription again.
-func (f *feed) tryRelease(cut bool) bool {
+// tryRelease reports whether releaseAll is finished: nothing is buffered any more, or there is a
+// subscription again.
+func (f *feed) tryRelease(closeConnections bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.subscriptions) > 0 || f.isPolling || !f.hasPosition {
@@ -123,10 +126,10 @@
 	}
 	f.suspensions++
 	f.mu.Unlock()
-	ok := f.hub.release(f.partition, cut)
+	ok := f.hub.release(f.partition, closeConnections)
 	f.mu.Lock()
 	f.suspensions--
-	f.wake()
+	f.reportNow()
 	if ok {
 		f.isReleasing = false
 		f.hasPosition = f.hasPosition && (len(f.subscriptions) > 0 || f.isPolling)
--- a/internal/delivery/fanout/follow.go
+++ b/internal/delivery/fanout/follow.go
@@ -9,14 +9,14 @@
 	"postjunction/internal/partitionlog/leader"
 )
 
-// followTimeoutBackoffs is how many times the longest backoff a Follow may take while a
-// subscription is not open yet.
+// followTimeoutBackoffs is the time-out of a Follow, in longest backoffs, while a subscription is
+// not open yet.
 const followTimeoutBackoffs = 2
 
-// followCall is a Follow on its way.
+// followCall is a Follow in flight.
 type followCall struct {
 	request *leader.FollowRequest
-	// pending are the subscriptions that the request asks the backlog for, changed the topics that
+	// pending are the subscriptions whose backlog the request asks for. changed are the topics that
 	// it reports.
 	pending []*Subscription
 	changed []string
@@ -26,14 +26,14 @@
 
 const (
 	followAcknowledged followOutcome = iota
-	// followReset: the feed was reset and its buffers have to be released.
+	// followReset says that the feed was reset and its buffers have to be released.
 	followReset
-	// followRetryNow and followRetryLater: the call is to be repeated, at once or after a pause.
+	// followRetryNow asks to repeat the call at once, followRetryLater after a backoff.
 	followRetryNow
 	followRetryLater
 )
 
-// followLoop keeps the leader informed of the feed's topics until ctx ends.
+// followLoop reports the feed's topics to the leader until ctx ends.
 func (f *feed) followLoop(ctx context.Context) {
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		call := f.nextCall()
@@ -71,8 +71,8 @@
 	return call, response, err
 }
 
-// followTimeout is short while a subscription is not open yet, since those are then opened without
-// the leader. What is fetched for open ones comes over links that may be slow.
+// followTimeout returns a short time-out while a subscription is not open yet, since it is then
+// opened without the leader. The backlog of open subscriptions may come over a slow link.
 func (f *feed) followTimeout(request *leader.FollowRequest) time.Duration {
 	if request.FirstOnly {
 		return followTimeoutBackoffs * f.hub.timing.MaxBackoff()
@@ -80,7 +80,7 @@
 	return f.hub.timing.CallTimeout()
 }
 
-// nextCall returns what the leader is to be told, nil if there is nothing.
+// nextCall returns the next Follow, or nil if there is nothing to report or to request.
 func (f *feed) nextCall() *followCall {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -104,7 +104,7 @@
 		return nil
 	}
 	if f.isFinished {
-		f.nextBoot()
+		f.renewBootID()
 	}
 	f.followInFlight = true
 	call := &followCall{request: f.newFollowRequest(), pending: f.pending}
@@ -113,7 +113,7 @@
 	}
 	clear(f.changed)
 	f.pending = nil
-	askBacklog(call)
+	requestBacklog(call)
 	return call
 }
 
@@ -144,9 +144,9 @@
 	return request
 }
 
-// askBacklog has the request ask for the backlog of each topic from the lowest offset that a
-// subscription needs.
-func askBacklog(call *followCall) {
+// requestBacklog adds the backlog to the request: of each topic, after the lowest offset that a
+// pending subscription needs.
+func requestBacklog(call *followCall) {
 	request := call.request
 	for _, s := range call.pending {
 		request.FirstOnly = request.FirstOnly || !s.opened
@@ -167,8 +167,8 @@
 	defer f.mu.Unlock()
 	f.followInFlight = false
 	if err == nil && response.Epoch < f.highestEpoch {
-		err = apierror.New(apierror.StaleEpoch, "epoch %d of partition %d has answered, this is %d",
-			f.highestEpoch, f.partition, response.Epoch)
+		err = apierror.New(apierror.StaleEpoch, "partition %d answered with epoch %d after epoch %d",
+			f.partition, response.Epoch, f.highestEpoch)
 	}
 	if err != nil {
 		if f.isIsolated() {
@@ -201,7 +201,8 @@
 	return followAcknowledged
 }
 
-// resend has everything registered again, and opens what needs no leader.
+// resend requests a new registration of all topics, and opens the subscriptions that need no
+// leader.
 func (f *feed) resend(call *followCall) {
 	f.tombstones = nil
 	f.mustResend = true
@@ -212,8 +213,8 @@
 	f.openWithoutLeader(f.pending)
 }
 
-// requeue has subscriptions wait again, before those that came since. The list that was asked for
-// stays as it is, since openEarly may still go through it.
+// requeue puts subscriptions back at the head of pending. It does not change the list asked, since
+// openEarly may still iterate over it.
 func (f *feed) requeue(asked []*Subscription) { f.pending = slices.Concat(asked, f.pending) }
 
 func (f *feed) applyFollow(call *followCall, response *leader.FollowResponse) {
--- a/internal/delivery/fanout/hub.go
+++ b/internal/delivery/fanout/hub.go
@@ -1,19 +1,20 @@
 // Package fanout delivers the messages of subscribed topics from the partition leaders to the
-// sessions of one node.
+// client sessions of one node.
 //
-// A Hub has a feed for each partition that is or was subscribed to here. A feed registers its
-// topics with the partition's leader (Follow), polls the committed entries of these topics (Poll),
-// and passes each to the subscriptions of its topic.
+// A Hub has a feed for each partition that is or was subscribed to on this node. A feed registers
+// its topics with the partition's leader (Follow), polls the committed entries of these topics
+// (Poll), and passes each to the subscriptions of its topic.
 //
-// What must stay true: a subscription gets each entry of its topic after its start, once and in the
-// order of the log, or it is broken; what a withdrawal covers is dropped from all buffers before
-// the leader is polled past it; a node that the leader may count as a reader (it may have got a
-// message with a key) stays registered until nothing with a key is left in its buffers, and then
-// reports that it is finished.
+// Invariants:
+//   - A subscription gets each entry of its topic after its start, once and in the order of the log, or
+//     it is broken.
+//   - All buffers drop what a withdrawal covers before the leader is polled past it.
+//   - A node that the leader may count as a reader (it may have received a message with a key) stays
+//     registered until its buffers hold nothing with a key. Then it reports that it is finished.
 //
 // A feed is driven by up to three goroutines, started as needed and ended by the hub's context:
 // followLoop (follow.go), pollLoop (poll.go) and releaseAll (finish.go). Its state is guarded by
-// its mutex, which is not held over calls to a leader or a buffer. The callbacks of subscriptions
+// its mutex, which is not held during calls to a leader or a buffer. The callbacks of subscriptions
 // run under that mutex. Lock order: Hub.mu before feed.mu.
 package fanout
 
@@ -28,28 +29,28 @@
 	"postjunction/internal/settings"
 )
 
-// Leaders calls the leader that a record names, once.
+// Leaders calls the leader that an assignment record names, without retries.
 type Leaders interface {
 	Follow(ctx context.Context, record assignment.Record, request *leader.FollowRequest) (*leader.FollowResponse, error)
 	Poll(ctx context.Context, record assignment.Record, request *leader.PollRequest) (*leader.PollResponse, error)
 }
 
-// Buffer holds messages that subscriptions delivered until clients have them. What is being written
-// to a client can be dropped only by closing its connection. Nothing that was dropped is written
-// after Withdraw or Release returned.
+// Buffer holds delivered messages until they are written to clients. A message that is being
+// written can be dropped only by closing the client's connection. A dropped message must not be
+// written after Withdraw or Release returned.
 type Buffer interface {
-	// Withdraw drops the messages of a partition that are covered; it closes connections if it
-	// must.
+	// Withdraw drops the messages of a partition that a withdrawal covers. It closes connections
+	// where it has to.
 	Withdraw(partition int, covered WithdrawnFunc)
 	// Release drops the messages of a partition that have keys and reports whether none is left. It
-	// closes connections only if cut is set.
-	Release(partition int, cut bool) bool
+	// closes connections only if closeConnections is set.
+	Release(partition int, closeConnections bool) bool
 }
 
 // WithdrawnFunc reports whether the message of a topic under a key at an offset was withdrawn.
 type WithdrawnFunc func(topic, key string, offset uint64) bool
 
-// Hub holds the feeds of one node.
+// Hub manages the feeds of one node.
 type Hub struct {
 	self    string
 	bootID  string
@@ -65,7 +66,7 @@
 	buffers []Buffer
 }
 
-// New returns a hub whose goroutines end with ctx; bootID names this run of the node.
+// New returns a hub whose goroutines end with ctx. bootID identifies this run of the node.
 func New(
 	ctx context.Context, self, bootID string, leaders Leaders, store *gossip.Store, clk clock.Clock,
 	timing settings.Timing,
@@ -82,7 +83,7 @@
 	}
 }
 
-// Run has feeds poll a new leader as soon as the assignment record names one, until ctx ends.
+// Run makes feeds poll a new leader as soon as the assignment record names one, until ctx ends.
 func (h *Hub) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := h.store.Changed()
@@ -105,7 +106,8 @@
 	h.buffers = append(h.buffers, buffer)
 }
 
-// NewSubscription returns a subscription for Subscribe.
+// NewSubscription returns a subscription that the caller completes with callbacks and starts with
+// Subscribe.
 func (h *Hub) NewSubscription(partition int, topic string) *Subscription {
 	return &Subscription{Topic: topic, feed: h.feed(partition)}
 }
@@ -131,10 +133,10 @@
 	if f.cancelFinish != nil {
 		f.cancelFinish()
 	}
-	f.wake()
+	f.reportNow()
 }
 
-// Unsubscribe ends a subscription; none of its callbacks runs after it returns. It reports whether
+// Unsubscribe ends a subscription. None of its callbacks runs after it returns. It reports whether
 // OnOpen was called.
 func (h *Hub) Unsubscribe(s *Subscription) bool {
 	f := s.feed
@@ -168,10 +170,10 @@
 	}
 }
 
-func (h *Hub) release(partition int, cut bool) bool {
+func (h *Hub) release(partition int, closeConnections bool) bool {
 	released := true
 	for _, buffer := range h.allBuffers() {
-		released = buffer.Release(partition, cut) && released
+		released = buffer.Release(partition, closeConnections) && released
 	}
 	return released
 }
--- a/internal/delivery/fanout/isolated_test.go
+++ b/internal/delivery/fanout/isolated_test.go
@@ -11,10 +11,9 @@
 	"postjunction/internal/settings"
 )
 
-// A reader that no leader has answered for the recovery time has its buffers released before it
-// reports so under its boot ID, three times at most; what is subscribed to then continues under
-// another boot ID. Without a reader token, which no node has where nothing has a key, it continues
-// to poll.
+// A reader that no leader has answered for the recovery time releases its buffers first. Then it
+// reports the end of its boot ID, three times at most. Subscriptions continue under another boot
+// ID. A node without a reader token, which no node has where nothing has a key, continues to poll.
 func TestIsolatedReader_ReleasesAndReportsFinished(t *testing.T) {
 	timing := settings.DefaultTiming
 	for _, test := range []struct {
@@ -32,15 +31,15 @@
 					return &leader.FollowResponse{Epoch: 1, CommittedEnd: 4, BacklogEnd: 4, ReaderToken: test.token}, 0
 				})
 				script.onPolls(pollAnswer(tick, message(5, test.key)))
-				var second recorder
+				var first recorder
 				broken := 0
 				subscription := script.hub.NewSubscription(0, "a")
 				subscription.OnOpen = func(uint64, error) {}
-				subscription.OnEntry = func(entry log.Entry) { second.got = append(second.got, entry.Offset) }
+				subscription.OnEntry = func(entry log.Entry) { first.got = append(first.got, entry.Offset) }
 				subscription.OnBroken = func() { broken++ }
 				script.hub.Subscribe(subscription)
 				advance(2 * tick)
-				assert.DeepEqual(t, second.got, []uint64{5})
+				assert.DeepEqual(t, first.got, []uint64{5})
 				script.onFollow(func(*leader.FollowRequest) (*leader.FollowResponse, time.Duration) {
 					return nil, time.Hour
 				})
@@ -66,10 +65,10 @@
 				}
 				assert.Equal(t, broken, 1)
 				done := "finished boot full=true topics=0 tombstones=true"
-				assert.DeepEqual(t, lines, []string{"release 0 cut=true", done, done, done})
+				assert.DeepEqual(t, lines, []string{"release 0 close=true", done, done, done})
 				script.onFollow(followAnswer(9))
-				var third recorder
-				third.subscribe(script.hub, "a", offsetPointer(5))
+				var second recorder
+				second.subscribe(script.hub, "a", offsetPointer(5))
 				assert.DeepEqual(t, script.takeLog()[0], "follow boot+1 full=true topics=1 tombstones=true")
 			})
 		})
--- a/internal/delivery/fanout/open.go
+++ b/internal/delivery/fanout/open.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// earlyOpenDivisor: a subscription that needs no leader is opened without it after the longest
-	// backoff divided by this.
+	// earlyOpenDivisor divides the longest backoff. After that time a subscription that needs no
+	// leader is opened without it.
 	earlyOpenDivisor = 2
-	// giveUpBackoffs is how many times the longest backoff a subscription that needs the leader
-	// waits for it.
+	// giveUpBackoffs is how many longest backoffs a subscription that needs the leader waits for
+	// it.
 	giveUpBackoffs = 6
 )
 
-// openPending opens the subscriptions that waited for a response, each at its offset. One that was
-// opened meanwhile is asked for again, from where it is.
+// openPending opens the subscriptions that waited for a response, each at its offset. If one was
+// opened meanwhile, its backlog is requested again after its own offset.
 func (f *feed) openPending(call *followCall, response *leader.FollowResponse) {
 	for _, s := range call.pending {
 		if s.removed {
@@ -32,7 +32,7 @@
 }
 
 // openAt delivers the backlog to a subscription that the response covers. If the backlog is not
-// complete, the rest is asked for.
+// complete, the rest is requested.
 func (f *feed) openAt(s *Subscription, response *leader.FollowResponse) {
 	if s.After == nil {
 		s.open(response.CommittedEnd)
@@ -58,7 +58,7 @@
 	s.catchUp()
 }
 
-// openEarly opens subscriptions that need no leader while its response is awaited.
+// openEarly opens the subscriptions that need no leader while the response to Follow is pending.
 func (f *feed) openEarly(ctx context.Context, pending []*Subscription) {
 	if f.hub.clock.Sleep(ctx, f.hub.timing.MaxBackoff()/earlyOpenDivisor) != nil {
 		return
@@ -68,14 +68,14 @@
 	f.openWithoutLeader(pending)
 }
 
-// openWithoutLeader opens subscriptions that have waited for the leader at offsets that need none:
-// the cursor that they came with, or what this node has read to. It rejects those that have waited
-// too long.
+// openWithoutLeader opens the subscriptions that have waited for the leader but need none, because
+// their start is known: the offset of their cursor, or the offset that this node has read to. It
+// rejects those that have waited too long.
 func (f *feed) openWithoutLeader(pending []*Subscription) {
-	now, unit := f.hub.clock.Now(), f.hub.timing.MaxBackoff()
+	now, maxBackoff := f.hub.clock.Now(), f.hub.timing.MaxBackoff()
 	for _, s := range pending {
 		age := now.Sub(s.requestedAt)
-		if s.opened || s.removed || s.answered || age < unit/earlyOpenDivisor {
+		if s.opened || s.removed || s.answered || age < maxBackoff/earlyOpenDivisor {
 			continue
 		}
 		switch {
@@ -85,22 +85,24 @@
 			offset := f.readTo
 			s.After = &offset
 			s.open(offset)
-		case age > giveUpBackoffs*unit:
+		case age > giveUpBackoffs*maxBackoff:
 			f.remove(s)
 			s.reject(
-				apierror.New(apierror.NoPartitionLeader, "partition %d could not be followed in time", f.partition),
+				apierror.New(apierror.NoPartitionLeader, "partition %d did not answer in time", f.partition),
 			)
 		}
 	}
 }
 
-// expire ends a subscription that can't continue after an offset, as what follows there is no
-// longer kept.
+// expire ends a subscription that can't continue after an offset, since the entries that follow are
+// no longer retained.
 func (f *feed) expire(s *Subscription, after uint64) {
 	f.remove(s)
 	if s.opened {
 		s.OnBroken()
 		return
 	}
-	s.reject(apierror.New(apierror.CursorExpired, "messages of %s after offset %d are no longer held", s.Topic, after))
+	s.reject(
+		apierror.New(apierror.CursorExpired, "messages of %s after offset %d are no longer retained", s.Topic, after),
+	)
 }
--- a/internal/delivery/fanout/open_early_test.go
+++ b/internal/delivery/fanout/open_early_test.go
@@ -11,8 +11,8 @@
 	"postjunction/internal/settings"
 )
 
-// On a node with scarce processor openEarly runs only after the Follow failed, some subscriptions
-// were removed and the others were asked for again.
+// On a node that is short of processor time, openEarly may run only after the Follow failed, a
+// subscription was removed and the others were requested again.
 func TestOpenEarly_AfterRequeue(t *testing.T) {
 	hub := New(t.Context(), "a1", "boot", nil, gossip.NewStore(nil), clock.Real{}, settings.DefaultTiming)
 	feed := hub.feed(0)
@@ -32,7 +32,7 @@
 	for i, topic := range []string{"a", "b", "c"} {
 		subscribe(topic, uint64(i+1))
 	}
-	removed := subscribe("gone", 9)
+	removed := subscribe("d", 9)
 	asked := feed.nextCall().pending
 	assert.Equal(t, len(asked), 4)
 	feed.requeue(asked)
--- a/internal/delivery/fanout/open_test.go
+++ b/internal/delivery/fanout/open_test.go
@@ -18,7 +18,7 @@
 	"postjunction/internal/settings"
 )
 
-// distantLeader has a log and takes a time for each way.
+// distantLeader is a leader with a log, behind a link that delays each direction.
 type distantLeader struct {
 	mu        sync.Mutex
 	delay     time.Duration
@@ -27,33 +27,33 @@
 	firstOnly []bool
 }
 
-func (s *distantLeader) add(topics ...string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (l *distantLeader) add(topics ...string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for _, topic := range topics {
-		s.entries = append(
-			s.entries, log.Entry{Offset: uint64(len(s.entries) + 1), Type: log.TypeMessage, Topic: topic},
+		l.entries = append(
+			l.entries, log.Entry{Offset: uint64(len(l.entries) + 1), Type: log.TypeMessage, Topic: topic},
 		)
 	}
 }
 
-func (s *distantLeader) Follow(
+func (l *distantLeader) Follow(
 	ctx context.Context, _ assignment.Record, request *leader.FollowRequest,
 ) (*leader.FollowResponse, error) {
-	if err := (clock.Real{}).Sleep(ctx, s.delay); err != nil {
+	if err := (clock.Real{}).Sleep(ctx, l.delay); err != nil {
 		return nil, err
 	}
-	s.mu.Lock()
+	l.mu.Lock()
 	for topic := range request.Topics {
-		s.topics[topic] = true
+		l.topics[topic] = true
 	}
-	s.firstOnly = append(s.firstOnly, request.FirstOnly)
+	l.firstOnly = append(l.firstOnly, request.FirstOnly)
 	response := &leader.FollowResponse{
 		Epoch:        1,
-		CommittedEnd: uint64(len(s.entries)),
-		BacklogEnd:   uint64(len(s.entries)),
+		CommittedEnd: uint64(len(l.entries)),
+		BacklogEnd:   uint64(len(l.entries)),
 	}
-	for _, entry := range s.entries {
+	for _, entry := range l.entries {
 		if offset, ok := request.After[entry.Topic]; !ok || entry.Offset <= offset {
 			continue
 		}
@@ -63,21 +63,21 @@
 		}
 		response.Backlog = append(response.Backlog, entry)
 	}
-	s.mu.Unlock()
-	return response, clock.Real{}.Sleep(ctx, s.delay)
+	l.mu.Unlock()
+	return response, clock.Real{}.Sleep(ctx, l.delay)
 }
 
-func (s *distantLeader) Poll(
+func (l *distantLeader) Poll(
 	ctx context.Context, _ assignment.Record, request *leader.PollRequest,
 ) (*leader.PollResponse, error) {
 	if err := (clock.Real{}).Sleep(ctx, time.Millisecond); err != nil {
 		return nil, err
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	response := &leader.PollResponse{Epoch: 1, To: uint64(len(s.entries))}
-	for _, entry := range s.entries {
-		if entry.Offset > request.From && s.topics[entry.Topic] {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	response := &leader.PollResponse{Epoch: 1, To: uint64(len(l.entries))}
+	for _, entry := range l.entries {
+		if entry.Offset > request.From && l.topics[entry.Topic] {
 			response.Entries = append(response.Entries, entry)
 		}
 	}
@@ -90,21 +90,21 @@
 	got      []uint64
 }
 
-func (first *recorder) subscribe(hub *Hub, topic string, after *uint64) *Subscription {
+func (r *recorder) subscribe(hub *Hub, topic string, after *uint64) *Subscription {
 	subscription := hub.NewSubscription(0, topic)
 	subscription.After = after
 	subscription.OnOpen = func(offset uint64, err error) {
 		if err == nil {
-			first.opened, first.openedAt = append(first.opened, offset), time.Now()
+			r.opened, r.openedAt = append(r.opened, offset), time.Now()
 		}
 	}
-	subscription.OnEntry = func(entry log.Entry) { first.got = append(first.got, entry.Offset) }
+	subscription.OnEntry = func(entry log.Entry) { r.got = append(r.got, entry.Offset) }
 	hub.Subscribe(subscription)
 	return subscription
 }
 
-// A client that comes back with a cursor is subscribed before the leader answers, and gets all that
-// it missed, once.
+// A client that reconnects with a cursor is subscribed before the leader answers, and receives each
+// message that it missed once.
 func TestOpen_WithoutLeaderIsEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		timing := settings.DefaultTiming
@@ -128,8 +128,8 @@
 	})
 }
 
-// A client that comes without a cursor while the leader's response is under way starts at the
-// offset that this node has read to, and nothing after it is skipped.
+// A client that subscribes without a cursor while the leader's response is pending starts at the
+// offset that this node has read to. Nothing after it is skipped.
 func TestEntriesBetweenOpenAndResponseAreDelivered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		timing := settings.DefaultTiming
--- a/internal/delivery/fanout/poll.go
+++ b/internal/delivery/fanout/poll.go
@@ -8,7 +8,7 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-// pollCall is a Poll on its way.
+// pollCall is a Poll in flight.
 type pollCall struct {
 	record     assignment.Record
 	request    *leader.PollRequest
@@ -44,7 +44,7 @@
 	}
 }
 
-// nextPoll returns nil, and notes that polling ended, when there is nothing to poll.
+// nextPoll returns the next Poll. If there is nothing to poll, it stops polling and returns nil.
 func (f *feed) nextPoll(cancel context.CancelFunc) *pollCall {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -68,24 +68,26 @@
 	return &pollCall{record: record, request: request, registered: f.registered, generation: f.generation}
 }
 
-// stopPolling decides what follows the last poll: a registration, the end of a reader, or nothing.
+// stopPolling ends polling, and starts what has to follow: a registration, the release of a
+// reader's buffers, or nothing.
 func (f *feed) stopPolling() {
 	f.isPolling = false
 	switch {
 	case len(f.subscriptions) > 0:
 	case len(f.changed) > 0:
-		f.wake()
+		f.reportNow()
 	case !f.isReader:
 		f.hasPosition = false
 	case !f.hasPosition:
-		f.wake()
+		f.reportNow()
 	case !f.isReleasing:
 		f.isReleasing = true
 		go f.releaseAll()
 	}
 }
 
-// pollFailed notes that the leader may have sent a message with a key in a response that was lost.
+// pollFailed counts this node as a reader, since the lost response may have contained a message
+// with a key.
 func (f *feed) pollFailed() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,7 +101,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.mustResend = true
-	f.wake()
+	f.reportNow()
 }
 
 func (f *feed) waitBeforePoll(ctx context.Context, registered <-chan struct{}, attempt int) {
@@ -114,8 +116,8 @@
 	}
 }
 
-// handlePoll delivers what was polled, and has buffers drop what was withdrawn before the next poll
-// confirms to the leader that the withdrawal was read.
+// handlePoll delivers the polled entries. It has buffers drop withdrawn messages before the next
+// poll confirms to the leader that the withdrawal was read.
 func (f *feed) handlePoll(response *leader.PollResponse, generation uint64) {
 	withdrawn, mustReset := f.applyPoll(response, generation)
 	if mustReset {
@@ -126,7 +128,8 @@
 	}
 }
 
-// applyPoll ignores a response from before the feed had no topic at all for a time.
+// applyPoll applies a response. It ignores the entries of a poll that began before the feed was
+// reset or lost its last topic.
 func (f *feed) applyPoll(response *leader.PollResponse, generation uint64) (withdrawn tombstones, mustReset bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -162,7 +165,7 @@
 	return withdrawn, false
 }
 
-// expireGaps ends the subscriptions that lack an entry of their topic which is no longer kept.
+// expireGaps ends the subscriptions that miss an entry of their topic that is no longer retained.
 func (f *feed) expireGaps(trimmed map[string]uint64) {
 	for topic, offset := range trimmed {
 		for s := range f.subscriptions[topic] {
--- a/internal/delivery/fanout/reader_finish_test.go
+++ b/internal/delivery/fanout/reader_finish_test.go
@@ -13,8 +13,8 @@
 	"postjunction/internal/settings"
 )
 
-// A node that got nothing with a key, and missed no response, reports nothing when it has no topic
-// any more.
+// A node that received nothing with a key, and lost no response, sends no report when it has no
+// topic any more.
 func TestWithoutKeys_NoFinishReport(t *testing.T) {
 	withScript(t, func(t *testing.T, script *scriptedLeaders) {
 		script.onPolls(pollAnswer(tick, message(5, "")))
@@ -30,8 +30,8 @@
 	})
 }
 
-// The leader is told that this node is finished once its buffers hold nothing with a key, again
-// until it answers. A later subscription continues under another boot ID.
+// A node reports that it is finished once its buffers hold nothing with a key, and repeats the
+// report until the leader answers. A later subscription continues under another boot ID.
 func TestReader_ReportsFinished(t *testing.T) {
 	withScript(t, func(t *testing.T, script *scriptedLeaders) {
 		timing := settings.DefaultTiming
@@ -53,12 +53,12 @@
 		advance(timing.Spread + tick)
 		assert.DeepEqual(
 			t, script.takeLog(),
-			[]string{"follow boot full=false topics=1 tombstones=true", "release 0 cut=false"},
+			[]string{"follow boot full=false topics=1 tombstones=true", "release 0 close=false"},
 		)
 		advance(timing.LongPoll())
 		assert.DeepEqual(
 			t, script.takeLog(),
-			[]string{"release 0 cut=true", "finished boot full=true topics=0 tombstones=true"},
+			[]string{"release 0 close=true", "finished boot full=true topics=0 tombstones=true"},
 		)
 		advance(time.Minute)
 		assert.DeepEqual(
@@ -77,8 +77,8 @@
 	})
 }
 
-// A node that the leader counts as a reader reports that it is finished, though it got nothing with
-// a key.
+// A node that the leader counts as a reader reports that it is finished, even if it received
+// nothing with a key.
 func TestReaderWithoutKeys_ReportsFinished(t *testing.T) {
 	for name, byFollow := range map[string]bool{"by follow": true, "by poll": false} {
 		t.Run(name, func(t *testing.T) {
@@ -105,8 +105,8 @@
 }
 
 // A topic that is subscribed to before the buffers are released is read from the old offset, so
-// that no withdrawal is skipped; one that is subscribed to while the leader does not answer is not
-// delayed by that.
+// that no withdrawal is skipped. A subscription that starts while the leader does not answer the
+// report is not delayed by that.
 func TestSubscribe_BeforeReaderIsFinished(t *testing.T) {
 	withScript(t, func(t *testing.T, script *scriptedLeaders) {
 		timing := settings.DefaultTiming
@@ -140,8 +140,9 @@
 	})
 }
 
-// A subscription that begins while the buffers are being released gets nothing before that is over,
-// as it would be dropped too. Then it continues under another boot ID or from the old offset.
+// A subscription that starts while the buffers are being released receives nothing until that is
+// finished, since its messages would be dropped too. It then continues under another boot ID or
+// from the old offset.
 func TestSubscribe_WhileBuffersAreReleased(t *testing.T) {
 	withScript(t, func(t *testing.T, script *scriptedLeaders) {
 		script.releaseTime = longTick
@@ -157,15 +158,15 @@
 		assert.DeepEqual(
 			t, script.takeLog(),
 			[]string{
-				"release 0 cut=false", "follow boot full=false topics=1 tombstones=true",
+				"release 0 close=false", "follow boot full=false topics=1 tombstones=true",
 				"poll boot 5 tombstones=true",
 			},
 		)
 	})
 }
 
-// A node that the leader sent something with a key counts as a reader, also where that came too
-// late to be used.
+// A node that was sent something with a key counts as a reader, even if the response came too late
+// to be used.
 func TestIsReader_ByLatePollResponse(t *testing.T) {
 	answers := map[string]func(*leader.PollRequest) (*leader.PollResponse, time.Duration){
 		"late": pollAnswer(longTick, message(5, "k")),
@@ -191,7 +192,7 @@
 	}
 }
 
-// A Follow that got no response may have made the node a reader.
+// A Follow without a response may have made the node a reader.
 func TestIsReader_ByLostFollow(t *testing.T) {
 	withScript(t, func(t *testing.T, script *scriptedLeaders) {
 		lost := 1
--- a/internal/delivery/fanout/reader_token_test.go
+++ b/internal/delivery/fanout/reader_token_test.go
@@ -16,7 +16,7 @@
 	"postjunction/internal/settings"
 )
 
-// tokenLeader accepts only callers that send the reader token it assigned last.
+// tokenLeader accepts only nodes that send the reader token that it assigned last.
 type tokenLeader struct {
 	mu         sync.Mutex
 	token      uint64
@@ -25,49 +25,49 @@
 	rejects    bool
 }
 
-func (u *tokenLeader) Follow(
+func (l *tokenLeader) Follow(
 	_ context.Context, _ assignment.Record, request *leader.FollowRequest,
 ) (*leader.FollowResponse, error) {
 	time.Sleep(time.Millisecond)
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.follows++
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.follows++
 	return &leader.FollowResponse{
 		Epoch:           1,
-		UnknownFollower: u.rejects || request.ReaderToken != u.token,
-		ReaderToken:     u.token,
+		UnknownFollower: l.rejects || request.ReaderToken != l.token,
+		ReaderToken:     l.token,
 	}, nil
 }
 
-func (u *tokenLeader) Poll(
+func (l *tokenLeader) Poll(
 	ctx context.Context, _ assignment.Record, request *leader.PollRequest,
 ) (*leader.PollResponse, error) {
-	u.mu.Lock()
-	u.pollTokens = append(u.pollTokens, request.ReaderToken)
-	token, isStale := u.token, request.ReaderToken != u.token
-	u.mu.Unlock()
+	l.mu.Lock()
+	l.pollTokens = append(l.pollTokens, request.ReaderToken)
+	token, isStale := l.token, request.ReaderToken != l.token
+	l.mu.Unlock()
 	if !isStale {
 		_ = clock.Real{}.Sleep(ctx, request.Hold)
 	}
 	return &leader.PollResponse{Epoch: 1, To: request.From, ReaderToken: token}, nil
 }
 
-func (u *tokenLeader) configure(token uint64, rejects bool) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.token, u.rejects = token, rejects
+func (l *tokenLeader) configure(token uint64, rejects bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.token, l.rejects = token, rejects
 }
 
-func (u *tokenLeader) takeCounts() (int, []uint64) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	follows, pollTokens := u.follows, u.pollTokens
-	u.follows, u.pollTokens = 0, nil
+func (l *tokenLeader) takeCounts() (int, []uint64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	follows, pollTokens := l.follows, l.pollTokens
+	l.follows, l.pollTokens = 0, nil
 	return follows, pollTokens
 }
 
-// A leader's reader token is sent with the next call, at once; a leader that rejects it
-// nevertheless is not called without a pause.
+// A reader token is sent at once with the next call. A leader that rejects it nevertheless is
+// called again only after a backoff.
 func TestReaderTokenIsSentWithNextCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		timing := settings.DefaultTiming
@@ -96,7 +96,7 @@
 		time.Sleep(timing.CallTimeout())
 		synctest.Wait()
 		follows, _ = tokens.takeCounts()
-		assert.Assert(t, follows > 2 && follows < 20, "asked %d times in %s", follows, timing.CallTimeout())
+		assert.Assert(t, follows > 2 && follows < 20, "called %d times in %s", follows, timing.CallTimeout())
 		hub.Unsubscribe(first)
 		hub.Unsubscribe(second)
 		stop()
--- a/internal/delivery/fanout/script_test.go
+++ b/internal/delivery/fanout/script_test.go
@@ -17,8 +17,8 @@
 	"postjunction/internal/settings"
 )
 
-// scriptedLeaders is a leader that answers as a test says, and a buffer; it records the order of
-// all calls.
+// scriptedLeaders is a leader whose responses a test sets, and a buffer. It records all calls in
+// order.
 type scriptedLeaders struct {
 	mu          sync.Mutex
 	follow      func(request *leader.FollowRequest) (*leader.FollowResponse, time.Duration)
@@ -29,13 +29,13 @@
 	hub         *Hub
 }
 
-func (s *scriptedLeaders) record(format string, args ...any) {
+func (s *scriptedLeaders) recordCall(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.log = append(s.log, fmt.Sprintf(format, args...))
 }
 
-// takeLog returns what was recorded since the last call.
+// takeLog returns the calls that were recorded since its last use.
 func (s *scriptedLeaders) takeLog() []string {
 	synctest.Wait()
 	s.mu.Lock()
@@ -52,7 +52,7 @@
 	if request.Finished {
 		kind = "finished"
 	}
-	s.record(
+	s.recordCall(
 		"%s %s full=%t topics=%d tombstones=%t", kind, request.BootID, request.Full, len(request.Topics),
 		request.TracksTombstones,
 	)
@@ -68,7 +68,7 @@
 func (s *scriptedLeaders) Poll(
 	ctx context.Context, _ assignment.Record, request *leader.PollRequest,
 ) (*leader.PollResponse, error) {
-	s.record("poll %s %d tombstones=%t", request.BootID, request.From, request.TracksTombstones)
+	s.recordCall("poll %s %d tombstones=%t", request.BootID, request.From, request.TracksTombstones)
 	s.mu.Lock()
 	response, delay := &leader.PollResponse{Epoch: 1, To: request.From}, request.Hold
 	if len(s.polls) > 0 {
@@ -80,24 +80,24 @@
 		return nil, apierror.WithCause(apierror.Unreachable, err, "no answer in time")
 	}
 	if response == nil {
-		return nil, apierror.New(apierror.Unreachable, "the answer was lost")
+		return nil, apierror.New(apierror.Unreachable, "the response was lost")
 	}
 	return response, nil
 }
 
 func (s *scriptedLeaders) Withdraw(partition int, covered WithdrawnFunc) {
-	s.record(
+	s.recordCall(
 		"withdraw %d 4:%t 5:%t 6:%t j:%t", partition, covered("a", "k", 4), covered("a", "k", 5),
 		covered("a", "k", 6), covered("a", "j", 5),
 	)
 }
 
-func (s *scriptedLeaders) Release(partition int, cut bool) bool {
+func (s *scriptedLeaders) Release(partition int, closeConnections bool) bool {
 	time.Sleep(s.releaseTime)
-	s.record("release %d cut=%t", partition, cut)
+	s.recordCall("release %d close=%t", partition, closeConnections)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return cut || !s.blocked
+	return closeConnections || !s.blocked
 }
 
 // pollAnswer answers a poll with entries after a delay.
@@ -148,7 +148,7 @@
 	s.polls = append(s.polls, answers...)
 }
 
-// advance lets time pass, and what is due then be done.
+// advance lets time pass and waits until all goroutines are idle.
 func advance(duration time.Duration) {
 	time.Sleep(duration)
 	synctest.Wait()
--- a/internal/delivery/fanout/slow_link_test.go
+++ b/internal/delivery/fanout/slow_link_test.go
@@ -17,22 +17,22 @@
 	"postjunction/internal/settings"
 )
 
-// slowLeader is behind a link that takes longer for a response with messages than a new
+// slowLeader is a leader behind a slow link. A response with messages takes longer than a new
 // subscription waits.
 type slowLeader struct {
 	delay   time.Duration
 	backlog []log.Entry
 }
 
-func (s *slowLeader) Follow(
+func (l *slowLeader) Follow(
 	ctx context.Context, _ assignment.Record, request *leader.FollowRequest,
 ) (*leader.FollowResponse, error) {
-	if err := (clock.Real{}).Sleep(ctx, s.delay); err != nil {
+	if err := (clock.Real{}).Sleep(ctx, l.delay); err != nil {
 		return nil, apierror.WithCause(apierror.Unreachable, err, "no answer in time")
 	}
-	last := s.backlog[len(s.backlog)-1].Offset
+	last := l.backlog[len(l.backlog)-1].Offset
 	response := &leader.FollowResponse{Epoch: 1, CommittedEnd: last, BacklogEnd: last}
-	for _, entry := range s.backlog {
+	for _, entry := range l.backlog {
 		if offset, ok := request.After[entry.Topic]; ok && entry.Offset > offset {
 			response.Backlog = append(response.Backlog, entry)
 		}
@@ -40,7 +40,7 @@
 	return response, nil
 }
 
-func (s *slowLeader) Poll(
+func (l *slowLeader) Poll(
 	ctx context.Context, _ assignment.Record, request *leader.PollRequest,
 ) (*leader.PollResponse, error) {
 	_ = clock.Real{}.Sleep(ctx, request.Hold)
--- a/internal/delivery/fanout/subscription.go
+++ b/internal/delivery/fanout/subscription.go
@@ -6,19 +6,19 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-// Subscription is one session's subscription to one topic. Its callbacks are called one at a time;
-// they must not block or call the hub.
+// Subscription is one session's subscription to one topic. Its callbacks are called one at a time.
+// They must not block or call the hub.
 type Subscription struct {
 	Topic string
 	// After is the offset to continue after; nil starts at the end of the log.
 	After *uint64
-	// OnOpen is called once, with the offset after which the subscription starts, or with why it
-	// can't.
+	// OnOpen is called once, with the offset after which the subscription starts, or with the error
+	// that rejects it.
 	OnOpen func(offset uint64, err error)
 	// OnEntry is called for each message and withdrawal after the start, once and in order.
 	OnEntry func(entry log.Entry)
-	// OnBroken ends a subscription that was opened, since something that it lacks is no longer
-	// kept anywhere.
+	// OnBroken is called when an open subscription ends because entries that it misses can no
+	// longer be delivered.
 	OnBroken func()
 
 	feed *feed
@@ -28,10 +28,11 @@
 	// position is the offset of the last entry that was delivered, or the start.
 	position    uint64
 	requestedAt time.Time
-	// opened: OnOpen was called without an error; answered: it was called.
+	// opened is set once OnOpen was called without an error, answered once it was called.
 	opened   bool
 	answered bool
-	// caughtUp: polled entries are delivered at once. Before that they wait in queued.
+	// caughtUp is set when polled entries are delivered at once. Until then they are added to
+	// queued.
 	caughtUp bool
 	removed  bool
 	queued   []log.Entry
--- a/internal/delivery/fanout/tombstones.go
+++ b/internal/delivery/fanout/tombstones.go
@@ -6,10 +6,10 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-// messageKey is what a withdrawal names.
+// messageKey identifies the messages that a withdrawal covers.
 type messageKey struct{ topic, key string }
 
-// tombstones are the offsets of the newest withdrawals.
+// tombstones has the offsets of the newest withdrawals.
 type tombstones map[messageKey]uint64
 
 func (t tombstones) covers(topic, key string, offset uint64) bool {
@@ -28,7 +28,7 @@
 }
 
 // applyWithdrawal drops the queued messages that a withdrawal covers. While a Follow is in flight
-// it also keeps the tombstone, since the response may be older.
+// it also records the tombstone, since the response may be older than the withdrawal.
 func (f *feed) applyWithdrawal(withdrawal log.Entry) {
 	if f.followInFlight {
 		f.tombstones.add(withdrawal)
@@ -40,8 +40,8 @@
 	}
 }
 
-// isWithdrawn reports whether a withdrawal that was polled while the Follow was in flight covers a
-// message.
+// isWithdrawn reports whether a message is covered by a withdrawal that was polled while the Follow
+// was in flight.
 func (f *feed) isWithdrawn(entry log.Entry) bool {
 	return entry.Key != "" && entry.Type == log.TypeMessage &&
 		f.tombstones.covers(entry.Topic, entry.Key, entry.Offset)
--- a/internal/delivery/fanout/tombstones_test.go
+++ b/internal/delivery/fanout/tombstones_test.go
@@ -17,8 +17,8 @@
 	longTick = 200 * time.Millisecond
 )
 
-// What a withdrawal covers is dropped from the entries that are queued until a subscription has
-// caught up; what was sent again under the key, or under another, stays.
+// A withdrawal drops the messages that it covers from the queue of a subscription that has not
+// caught up yet. Later messages under its key, and messages under other keys, are delivered.
 func TestWithdrawal_DropsQueuedMessages(t *testing.T) {
 	withScript(t, func(t *testing.T, script *scriptedLeaders) {
 		script.onPolls(
@@ -38,8 +38,8 @@
 	})
 }
 
-// A response to Follow that is older than a tombstone which was polled meanwhile brings nothing
-// back. Withdrawals in it are delivered at their offsets.
+// A response to Follow that is older than a tombstone polled meanwhile delivers no withdrawn
+// message. Withdrawals in it are delivered at their offsets.
 func TestFollowResponseOlderThanTombstone(t *testing.T) {
 	withScript(t, func(t *testing.T, script *scriptedLeaders) {
 		script.onPolls(pollAnswer(longTick, withdrawal(9, "k"), message(10, "k")))
@@ -69,7 +69,7 @@
 		advance(time.Second)
 		assert.Assert(
 			t, slices.Equal(third.got, []uint64{8}),
-			"a tombstone is kept only while an older response may come",
+			"a tombstone is retained only while an older response may arrive",
 		)
 		script.hub.feed(0).mu.Lock()
 		defer script.hub.feed(0).mu.Unlock()
@@ -77,8 +77,8 @@
 	})
 }
 
-// Once a newer leader has answered, one that it superseded, and that lacks its tombstones, is not
-// believed.
+// Once a leader of a newer epoch has answered, the response of a superseded leader is ignored,
+// since it may lack tombstones.
 func TestFollow_IgnoresSupersededLeader(t *testing.T) {
 	withScript(t, func(t *testing.T, script *scriptedLeaders) {
 		script.onFollow(func(*leader.FollowRequest) (*leader.FollowResponse, time.Duration) {
@@ -110,8 +110,8 @@
 	})
 }
 
-// A poll that was under way when the last topic was unsubscribed brings nothing to later
-// subscriptions.
+// The response to a poll that was in flight when the last topic was unsubscribed delivers nothing
+// to later subscriptions.
 func TestPoll_FromBeforeLastUnsubscribeIsIgnored(t *testing.T) {
 	withScript(t, func(t *testing.T, script *scriptedLeaders) {
 		script.onPolls(pollAnswer(longTick, message(5, "k")), pollAnswer(tick, withdrawal(9, "k"), message(10, "k")))
@@ -127,7 +127,7 @@
 	})
 }
 
-// Buffers drop what is withdrawn before the leader is polled past the withdrawal.
+// Buffers drop withdrawn messages before the leader is polled past the withdrawal.
 func TestBuffersDropWithdrawnBeforeNextPoll(t *testing.T) {
 	withScript(t, func(t *testing.T, script *scriptedLeaders) {
 		script.onPolls(pollAnswer(tick, message(5, "k"), withdrawal(6, "k")))
@@ -144,8 +144,8 @@
 	})
 }
 
-// A node that was given up as a reader breaks its open subscriptions, has its buffers released, and
-// continues under another boot ID. A subscription that is not open yet is served.
+// A node that the leader gave up as a reader breaks its open subscriptions, releases its buffers,
+// and continues under another boot ID. A subscription that is not open yet is served.
 func TestReaderThatWasGivenUpIsReset(t *testing.T) {
 	cases := map[string]func(script *scriptedLeaders){
 		"by follow": func(script *scriptedLeaders) {
@@ -210,7 +210,7 @@
 				assert.DeepEqual(t, second.got, []uint64{15})
 				lines := script.takeLog()
 				assert.DeepEqual(t, lines[:4], []string{
-					"follow boot full=false topics=1 tombstones=true", "release 0 cut=true",
+					"follow boot full=false topics=1 tombstones=true", "release 0 close=true",
 					"follow boot+1 full=true topics=1 tombstones=true", "poll boot+1 20 tombstones=true",
 				})
 			})
--- a/internal/delivery/fanout/withdrawal_model_test.go
+++ b/internal/delivery/fanout/withdrawal_model_test.go
@@ -21,10 +21,10 @@
 	"postjunction/internal/settings"
 )
 
-// modelLeader is a leader by the design: it counts readers by boot ID, leaves out what is
-// withdrawn, and completes a withdrawal once all readers polled from past its tombstone. Its
-// responses are late or lost, and requests reach it after their callers have given up. It also is
-// the buffer of what clients have not got yet.
+// modelLeader models a leader: it counts readers by boot ID, omits withdrawn messages, and
+// completes a withdrawal once all readers have polled past its tombstone. Its responses may be late
+// or lost, and requests may arrive after their callers have given up. It is also the buffer of the
+// messages that clients have not received yet.
 type modelLeader struct {
 	mu              sync.Mutex
 	random          *rand.Rand
@@ -37,110 +37,110 @@
 	topics          map[string]int
 	readers         map[string]uint64
 	connections     []*connection
-	faults          []string
+	violations      []string
 	delivered       int
-	cuts            int
+	closed          int
 	finishes        int
 }
 
-func (c *modelLeader) fail(format string, args ...any) {
-	c.faults = append(c.faults, fmt.Sprintf(format, args...))
+func (m *modelLeader) addViolation(format string, args ...any) {
+	m.violations = append(m.violations, fmt.Sprintf(format, args...))
 }
 
-func (c *modelLeader) roll(limit int) int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.random.IntN(limit)
+func (m *modelLeader) randomInt(limit int) int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.random.IntN(limit)
 }
 
-func (c *modelLeader) delay() {
-	duration := time.Duration(c.roll(20)) * time.Millisecond
-	if c.roll(12) == 0 {
-		duration = time.Duration(c.roll(1500)) * time.Millisecond
+func (m *modelLeader) delay() {
+	duration := time.Duration(m.randomInt(20)) * time.Millisecond
+	if m.randomInt(12) == 0 {
+		duration = time.Duration(m.randomInt(1500)) * time.Millisecond
 	}
 	time.Sleep(duration)
 }
 
-func (c *modelLeader) isWithdrawn(entry log.Entry) bool {
-	return entry.Key != "" && entry.Type == log.TypeMessage && c.tombstones.covers(entry.Topic, entry.Key, entry.Offset)
+func (m *modelLeader) isWithdrawn(entry log.Entry) bool {
+	return entry.Key != "" && entry.Type == log.TypeMessage && m.tombstones.covers(entry.Topic, entry.Key, entry.Offset)
 }
 
 // completeWithdrawals completes the withdrawals that all readers have read past.
-func (c *modelLeader) completeWithdrawals() {
-	c.openWithdrawals = slices.DeleteFunc(c.openWithdrawals, func(entry log.Entry) bool {
-		for _, offset := range c.readers {
+func (m *modelLeader) completeWithdrawals() {
+	m.openWithdrawals = slices.DeleteFunc(m.openWithdrawals, func(entry log.Entry) bool {
+		for _, offset := range m.readers {
 			if offset < entry.Offset {
 				return false
 			}
 		}
-		c.finished.add(entry)
+		m.finished.add(entry)
 		return true
 	})
 }
 
-func (c *modelLeader) appendEntry() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (m *modelLeader) appendEntry() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	entry := log.Entry{
-		Offset: uint64(len(c.entries) + 1),
+		Offset: uint64(len(m.entries) + 1),
 		Type:   log.TypeMessage,
-		Topic:  []string{"a", "b"}[c.random.IntN(2)],
-		Key:    []string{"", "k", "j"}[c.random.IntN(3)],
+		Topic:  []string{"a", "b"}[m.random.IntN(2)],
+		Key:    []string{"", "k", "j"}[m.random.IntN(3)],
 	}
-	if entry.Key != "" && c.random.IntN(3) == 0 {
+	if entry.Key != "" && m.random.IntN(3) == 0 {
 		entry.Type = log.TypeWithdrawal
 	}
-	c.entries = append(c.entries, entry)
+	m.entries = append(m.entries, entry)
 	if entry.Type == log.TypeWithdrawal {
-		c.tombstones.add(entry)
-		c.openWithdrawals = append(c.openWithdrawals, entry)
-		c.completeWithdrawals()
+		m.tombstones.add(entry)
+		m.openWithdrawals = append(m.openWithdrawals, entry)
+		m.completeWithdrawals()
 	}
 }
 
-// read returns the wanted entries after an offset, and counts the reader before it returns anything
-// with a key.
-func (c *modelLeader) read(boot string, from uint64, want func(log.Entry) bool) []log.Entry {
+// read returns the wanted entries after an offset. It counts the node as a reader before it returns
+// anything with a key.
+func (m *modelLeader) read(bootID string, from uint64, isWanted func(log.Entry) bool) []log.Entry {
 	var entries []log.Entry
-	for _, entry := range c.entries[from:] {
-		if want(entry) && !c.isWithdrawn(entry) {
+	for _, entry := range m.entries[from:] {
+		if isWanted(entry) && !m.isWithdrawn(entry) {
 			entries = append(entries, entry)
 		}
 	}
-	if _, ok := c.readers[boot]; hasKeys(entries) && !ok {
-		c.readers[boot] = 0
+	if _, ok := m.readers[bootID]; hasKeys(entries) && !ok {
+		m.readers[bootID] = 0
 	}
 	return entries
 }
 
-func (c *modelLeader) handleFollow(request *leader.FollowRequest) *leader.FollowResponse {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	continues := request.BootID == c.bootID && request.BaseSequence == c.sequence
-	if request.Sequence <= c.sequence || !request.Full && !continues {
+func (m *modelLeader) handleFollow(request *leader.FollowRequest) *leader.FollowResponse {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	isContinuation := request.BootID == m.bootID && request.BaseSequence == m.sequence
+	if request.Sequence <= m.sequence || !request.Full && !isContinuation {
 		return &leader.FollowResponse{Epoch: 1, UnknownFollower: true}
 	}
 	if request.Full {
-		c.topics = map[string]int{}
+		m.topics = map[string]int{}
 	}
-	if request.BootID != c.bootID {
-		clear(c.readers)
+	if request.BootID != m.bootID {
+		clear(m.readers)
 	}
-	c.bootID, c.sequence = request.BootID, request.Sequence
+	m.bootID, m.sequence = request.BootID, request.Sequence
 	if request.Finished {
-		c.finishes++
-		delete(c.readers, request.BootID)
+		m.finishes++
+		delete(m.readers, request.BootID)
 	}
-	c.completeWithdrawals()
+	m.completeWithdrawals()
 	for topic, count := range request.Topics {
-		c.topics[topic] = count
+		m.topics[topic] = count
 	}
 	response := &leader.FollowResponse{
 		Epoch:        1,
-		CommittedEnd: uint64(len(c.entries)),
-		BacklogEnd:   uint64(len(c.entries)),
+		CommittedEnd: uint64(len(m.entries)),
+		BacklogEnd:   uint64(len(m.entries)),
 	}
-	response.Backlog = c.read(request.BootID, 0, func(entry log.Entry) bool {
+	response.Backlog = m.read(request.BootID, 0, func(entry log.Entry) bool {
 		offset, ok := request.After[entry.Topic]
 		return ok && entry.Offset > offset
 	})
@@ -151,22 +151,22 @@
 	return response
 }
 
-func (c *modelLeader) handlePoll(request *leader.PollRequest) *leader.PollResponse {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if request.BootID != c.bootID || request.Sequence > c.sequence {
+func (m *modelLeader) handlePoll(request *leader.PollRequest) *leader.PollResponse {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if request.BootID != m.bootID || request.Sequence > m.sequence {
 		return &leader.PollResponse{Epoch: 1, UnknownFollower: true}
 	}
-	if offset, ok := c.readers[request.BootID]; ok {
-		c.readers[request.BootID] = max(offset, request.From)
-		c.completeWithdrawals()
+	if offset, ok := m.readers[request.BootID]; ok {
+		m.readers[request.BootID] = max(offset, request.From)
+		m.completeWithdrawals()
 	}
-	response := &leader.PollResponse{Epoch: 1, To: uint64(len(c.entries))}
-	follows := func(entry log.Entry) bool { return entry.Type == log.TypeMessage && c.topics[entry.Topic] > 0 }
-	response.Entries = c.read(request.BootID, request.From, follows)
-	if _, ok := c.readers[request.BootID]; ok {
-		response.Entries = c.read(request.BootID, request.From, func(entry log.Entry) bool {
-			return entry.Type == log.TypeWithdrawal || follows(entry)
+	response := &leader.PollResponse{Epoch: 1, To: uint64(len(m.entries))}
+	isFollowed := func(entry log.Entry) bool { return entry.Type == log.TypeMessage && m.topics[entry.Topic] > 0 }
+	response.Entries = m.read(request.BootID, request.From, isFollowed)
+	if _, ok := m.readers[request.BootID]; ok {
+		response.Entries = m.read(request.BootID, request.From, func(entry log.Entry) bool {
+			return entry.Type == log.TypeWithdrawal || isFollowed(entry)
 		})
 	}
 	if len(response.Entries) == 0 && request.Hold > 0 {
@@ -175,14 +175,15 @@
 	return response
 }
 
-// callLossy has a request answered, or the response lost, whatever becomes of the caller.
-func callLossy[A any](ctx context.Context, model *modelLeader, handle func() *A) (*A, error) {
-	responses := make(chan *A, 1)
+// callLossy handles a request even if the caller has given up. It delays the request and the
+// response, and sometimes loses the response.
+func callLossy[Response any](ctx context.Context, model *modelLeader, handle func() *Response) (*Response, error) {
+	responses := make(chan *Response, 1)
 	go func() {
 		model.delay()
 		response := handle()
 		model.delay()
-		if model.roll(10) > 0 {
+		if model.randomInt(10) > 0 {
 			responses <- response
 		}
 	}()
@@ -194,24 +195,24 @@
 	}
 }
 
-func (c *modelLeader) Follow(
+func (m *modelLeader) Follow(
 	ctx context.Context, _ assignment.Record, request *leader.FollowRequest,
 ) (*leader.FollowResponse, error) {
-	return callLossy(ctx, c, func() *leader.FollowResponse { return c.handleFollow(request) })
+	return callLossy(ctx, m, func() *leader.FollowResponse { return m.handleFollow(request) })
 }
 
-func (c *modelLeader) Poll(
+func (m *modelLeader) Poll(
 	ctx context.Context, _ assignment.Record, request *leader.PollRequest,
 ) (*leader.PollResponse, error) {
 	callCtx, stop := context.WithTimeout(ctx, request.Hold+settings.DefaultTiming.CallTimeout())
 	defer stop()
 	until := time.Now().Add(request.Hold)
-	return callLossy(callCtx, c, func() *leader.PollResponse {
+	return callLossy(callCtx, m, func() *leader.PollResponse {
 		for {
 			if time.Now().After(until) {
 				request.Hold = 0
 			}
-			if response := c.handlePoll(request); response != nil {
+			if response := m.handlePoll(request); response != nil {
 				return response
 			}
 			time.Sleep(5 * time.Millisecond)
@@ -219,128 +220,132 @@
 	})
 }
 
-// connection is that of a client.
+// connection is a client's connection.
 type connection struct {
 	queued, inFlight []log.Entry
 	flushing, closed bool
 }
 
-func (c *modelLeader) enqueue(client *connection, entry log.Entry) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (m *modelLeader) enqueue(client *connection, entry log.Entry) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if client.closed {
 		return
 	}
 	client.queued = append(client.queued, entry)
 	if !client.flushing {
 		client.flushing = true
-		go c.flush(client)
+		go m.flush(client)
 	}
 }
 
-// flush writes what is queued; what the client has read counts as delivered.
-func (c *modelLeader) flush(client *connection) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// flush writes the queued entries. Entries count as delivered once the client has read them.
+func (m *modelLeader) flush(client *connection) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	for len(client.queued) > 0 && !client.closed {
 		client.inFlight, client.queued = client.queued, nil
-		duration := time.Duration(c.random.IntN(10)) * time.Millisecond
-		if c.random.IntN(20) == 0 {
-			duration = time.Duration(c.random.IntN(6000)) * time.Millisecond
+		duration := time.Duration(m.random.IntN(10)) * time.Millisecond
+		if m.random.IntN(20) == 0 {
+			duration = time.Duration(m.random.IntN(6000)) * time.Millisecond
 		}
-		c.mu.Unlock()
+		m.mu.Unlock()
 		time.Sleep(duration)
-		c.mu.Lock()
+		m.mu.Lock()
 		for _, entry := range client.inFlight {
-			if entry.Type == log.TypeMessage && entry.Key != "" && c.finished.covers(
+			if entry.Type == log.TypeMessage && entry.Key != "" && m.finished.covers(
 				entry.Topic, entry.Key, entry.Offset,
 			) {
-				c.fail("%s %s at %d was delivered after its withdrawal finished", entry.Topic, entry.Key, entry.Offset)
+				m.addViolation(
+					"%s %s at %d was delivered after its withdrawal was complete", entry.Topic, entry.Key, entry.Offset,
+				)
 			}
-			c.delivered++
+			m.delivered++
 		}
 		client.inFlight = nil
 	}
 	client.flushing = false
 }
 
-func (c *modelLeader) drop(cut bool, covers func(log.Entry) bool) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (m *modelLeader) drop(closeConnections bool, covers func(log.Entry) bool) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	released := true
-	for _, client := range c.connections {
+	for _, client := range m.connections {
 		client.queued = slices.DeleteFunc(client.queued, covers)
 		if slices.ContainsFunc(client.inFlight, covers) {
-			if cut {
+			if closeConnections {
 				client.closed, client.queued, client.inFlight = true, nil, nil
-				c.cuts++
+				m.closed++
 			}
-			released = released && cut
+			released = released && closeConnections
 		}
 	}
 	return released
 }
 
-func (c *modelLeader) Withdraw(_ int, covered WithdrawnFunc) {
-	c.drop(true, func(entry log.Entry) bool {
+func (m *modelLeader) Withdraw(_ int, covered WithdrawnFunc) {
+	m.drop(true, func(entry log.Entry) bool {
 		return entry.Type == log.TypeMessage && entry.Key != "" && covered(entry.Topic, entry.Key, entry.Offset)
 	})
 }
 
-func (c *modelLeader) Release(_ int, cut bool) bool {
-	return c.drop(cut, func(entry log.Entry) bool { return entry.Type == log.TypeMessage && entry.Key != "" })
+func (m *modelLeader) Release(_ int, closeConnections bool) bool {
+	return m.drop(closeConnections, func(entry log.Entry) bool {
+		return entry.Type == log.TypeMessage && entry.Key != ""
+	})
 }
 
-// runClient subscribes and unsubscribes again and again, at any cursor.
-func (c *modelLeader) runClient(hub *Hub, until time.Time) {
+// runClient subscribes and unsubscribes repeatedly, with random cursors.
+func (m *modelLeader) runClient(hub *Hub, until time.Time) {
 	var client *connection
 	for time.Now().Before(until) {
-		c.mu.Lock()
+		m.mu.Lock()
 		if client == nil || client.closed {
 			client = &connection{}
-			c.connections = append(c.connections, client)
+			m.connections = append(m.connections, client)
 		}
 		client := client
-		subscription := hub.NewSubscription(0, []string{"a", "b"}[c.random.IntN(2)])
-		if count := len(c.entries); c.random.IntN(3) > 0 && count > 0 {
-			subscription.After = offsetPointer(uint64(count - c.random.IntN(min(count, 60))))
+		subscription := hub.NewSubscription(0, []string{"a", "b"}[m.random.IntN(2)])
+		if count := len(m.entries); m.random.IntN(3) > 0 && count > 0 {
+			subscription.After = offsetPointer(uint64(count - m.random.IntN(min(count, 60))))
 		}
-		c.mu.Unlock()
+		m.mu.Unlock()
 		var position uint64
 		subscription.OnOpen = func(offset uint64, _ error) { position = offset }
 		subscription.OnEntry = func(entry log.Entry) {
-			c.mu.Lock()
-			for _, first := range c.entries[position : entry.Offset-1] {
-				if first.Topic == subscription.Topic && first.Key == "" {
-					c.fail("%s at %d was skipped", first.Topic, first.Offset)
+			m.mu.Lock()
+			for _, skipped := range m.entries[position : entry.Offset-1] {
+				if skipped.Topic == subscription.Topic && skipped.Key == "" {
+					m.addViolation("%s at %d was skipped", skipped.Topic, skipped.Offset)
 				}
 			}
 			if entry.Offset <= position {
-				c.fail("%s at %d was delivered after %d", entry.Topic, entry.Offset, position)
+				m.addViolation("%s at %d was delivered after %d", entry.Topic, entry.Offset, position)
 			}
-			c.mu.Unlock()
+			m.mu.Unlock()
 			position = entry.Offset
-			c.enqueue(client, entry)
+			m.enqueue(client, entry)
 		}
 		subscription.OnBroken = func() {}
 		hub.Subscribe(subscription)
-		time.Sleep(time.Duration(c.roll(2000)) * time.Millisecond)
+		time.Sleep(time.Duration(m.randomInt(2000)) * time.Millisecond)
 		hub.Unsubscribe(subscription)
-		c.mu.Lock()
+		m.mu.Lock()
 		client.queued = slices.DeleteFunc(client.queued, func(entry log.Entry) bool {
 			return entry.Key != "" && entry.Topic == subscription.Topic
 		})
-		c.mu.Unlock()
-		if c.roll(3) == 0 {
-			time.Sleep(time.Duration(c.roll(6000)) * time.Millisecond)
+		m.mu.Unlock()
+		if m.randomInt(3) == 0 {
+			time.Sleep(time.Duration(m.randomInt(6000)) * time.Millisecond)
 		}
 	}
 }
 
-// However requests, responses and writes race with withdrawals, nothing is delivered after the
-// withdrawal that covers it finished, each withdrawal completes, and nothing else is skipped.
+// Requests, responses and writes race with withdrawals. Nothing is delivered after the withdrawal
+// that covers it is complete, each withdrawal completes, and nothing else is skipped.
 func TestNothingIsDeliveredAfterWithdrawalCompletes(t *testing.T) {
-	delivered, cuts, finishes := 0, 0, 0
+	delivered, closed, finishes := 0, 0, 0
 	for seed := range uint64(60) {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, stop := context.WithCancel(t.Context())
@@ -358,25 +363,25 @@
 			}
 			for time.Now().Before(until) {
 				model.appendEntry()
-				time.Sleep(time.Duration(model.roll(40)) * time.Millisecond)
+				time.Sleep(time.Duration(model.randomInt(40)) * time.Millisecond)
 			}
 			time.Sleep(time.Minute)
 			synctest.Wait()
 			model.mu.Lock()
-			assert.Equal(t, len(model.faults), 0, "seed %d: %v", seed, model.faults)
+			assert.Equal(t, len(model.violations), 0, "seed %d: %v", seed, model.violations)
 			assert.Equal(
-				t, len(model.openWithdrawals), 0, "seed %d: withdrawals not finished, readers %v", seed,
+				t, len(model.openWithdrawals), 0, "seed %d: withdrawals not completed, readers %v", seed,
 				model.readers,
 			)
-			delivered, cuts, finishes = delivered+model.delivered, cuts+model.cuts, finishes+model.finishes
+			delivered, closed, finishes = delivered+model.delivered, closed+model.closed, finishes+model.finishes
 			model.mu.Unlock()
 			stop()
 			time.Sleep(time.Minute)
 		})
 	}
 	assert.Assert(
-		t, delivered > 1000 && cuts > 10 && finishes > 10, "%d delivered, %d cut, %d finished", delivered, cuts,
+		t, delivered > 1000 && closed > 10 && finishes > 10, "%d delivered, %d closed, %d finished", delivered, closed,
 		finishes,
 	)
-	t.Logf("%d delivered, %d connections cut, %d times finished", delivered, cuts, finishes)
+	t.Logf("%d delivered, %d connections closed, %d times finished", delivered, closed, finishes)
 }
