--- a/internal/delivery/cursor/cursor.go
+++ b/internal/delivery/cursor/cursor.go
@@ -19,7 +19,7 @@
 const (
 	prefix        = "c1."
 	checksumBytes = 4
-	// entryBytes is the usual length of a partition with its offset, for allocation only.
+	// entryBytes is the usual length of a partition with its offset, for the allocation only.
 	entryBytes    = 6
 	maxPartitions = 512
 )
@@ -46,7 +46,7 @@
 	encoded, ok := strings.CutPrefix(text, prefix)
 	data, err := base64.RawURLEncoding.DecodeString(encoded)
 	if !ok || err != nil || len(data) < checksumBytes {
-		return nil, apierror.New(apierror.CursorMalformed, "%.40q is no cursor", text)
+		return nil, apierror.New(apierror.CursorMalformed, "%.40q is not a cursor", text)
 	}
 	entries := data[checksumBytes:]
 	if binary.BigEndian.Uint32(data) != checksum(fleet, entries) {
@@ -56,12 +56,12 @@
 	for len(entries) > 0 {
 		partition, length := binary.Uvarint(entries)
 		if length <= 0 || partition >= uint64(partitions) || len(cursor) >= maxPartitions {
-			return nil, apierror.New(apierror.CursorMalformed, "%.40q names a partition that there is not", text)
+			return nil, apierror.New(apierror.CursorMalformed, "%.40q names a partition that does not exist", text)
 		}
 		entries = entries[length:]
 		offset, length := binary.Uvarint(entries)
 		if length <= 0 {
-			return nil, apierror.New(apierror.CursorMalformed, "%.40q breaks off", text)
+			return nil, apierror.New(apierror.CursorMalformed, "%.40q is truncated", text)
 		}
 		cursor[int(partition)] = offset
 		entries = entries[length:]
--- a/internal/delivery/stream/cache.go
+++ b/internal/delivery/stream/cache.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	// maxCacheBytes limits what a feed caches; entryCost is what an entry counts besides its body.
+	// maxCacheBytes limits the cache of a feed. entryCost is what an entry counts in addition to
+	// its body.
 	maxCacheBytes = 8 << 20
 	entryCost     = 128
-	// maxTombstones limits the tombstones that a feed remembers.
+	// maxTombstones limits the tombstones that a feed retains.
 	maxTombstones = 1024
 )
 
-// messageKey is what a withdrawal names.
+// messageKey identifies the messages that a withdrawal covers.
 type messageKey struct{ topic, key string }
 
 func keyOf(entry log.Entry) messageKey { return messageKey{entry.Topic, entry.Key} }
 
 // apply adds what was read to the cache and wakes the streams. It returns the writes that it
-// aborted, which have to end before anything after them is read.
+// aborted. They have to end before anything after these entries is read.
 func (f *Feed) apply(response *leader.ReadResponse, isFirst bool) []*write {
 	now := f.feeds.clock.Now()
 	f.mu.Lock()
@@ -75,9 +76,9 @@
 	}
 }
 
-// withdraw drops the bodies that a withdrawal covers from the cache, remembers its tombstone for
-// windows that were filled before, and aborts the writes of what it covers. When there are too many
-// tombstones, all windows that were filled before become stale.
+// withdraw drops the bodies that a withdrawal covers from the cache, records its tombstone for
+// windows that were filled earlier, and aborts the writes that it covers. If there are too many
+// tombstones, all windows that were filled earlier become stale.
 func (f *Feed) withdraw(withdrawal log.Entry) []*write {
 	key := keyOf(withdrawal)
 	for i := range f.entries {
@@ -101,8 +102,8 @@
 	return aborted
 }
 
-// dropAll empties the cache, makes all windows stale and aborts all writes, as what they hold may
-// be withdrawn without the feed's knowledge.
+// dropAll empties the cache, makes all windows stale and aborts all writes, since their messages
+// may be withdrawn without the feed's knowledge.
 func (f *Feed) dropAll() []*write {
 	f.entries, f.receivedAt, f.bytes = nil, nil, 0
 	f.generation++
--- a/internal/delivery/stream/feed.go
+++ b/internal/delivery/stream/feed.go
@@ -11,40 +11,43 @@
 )
 
 const (
-	// fromEnd asks for no entries, only for where the log ends.
+	// fromEnd requests no entries, only the end of the log.
 	fromEnd = ^uint64(0)
-	// maxFinishAttempts is how often a leader that does not answer is told that nothing is held
-	// here any more, each time for finishTimeoutBackoffs times the longest backoff.
+	// maxFinishAttempts is how many times an abandoned reader is reported as finished to a leader
+	// that does not answer. The time-out of each attempt is finishTimeoutBackoffs times the longest
+	// backoff.
 	maxFinishAttempts     = 3
 	finishTimeoutBackoffs = 2
 )
 
-// Feed is the newest part of one partition's committed log, shared by the streams of a node.
+// Feed caches the newest part of one partition's committed log for the streams of a node.
 type Feed struct {
 	feeds     *Feeds
 	partition int
 	cancel    context.CancelFunc
-	// opened is closed after the first read, finished after the leader was told that the feed is
-	// finished.
+	// opened is closed after the first read, finished after the feed reported to the leader that it
+	// is finished.
 	opened   chan struct{}
 	finished chan struct{}
 
 	// mu guards the fields below.
 	mu        sync.Mutex
 	followers map[*follower]bool
-	// bootID names the feed as a reader, readerToken was assigned to it by the leader.
+	// bootID identifies the feed as a reader. readerToken was assigned to it by the leader.
 	bootID      string
 	readerToken uint64
-	// epoch is the highest one that answered.
+	// epoch is the highest epoch of a leader that answered.
 	epoch uint64
 
-	// entries are those after base up to end; receivedAt has their times, bytes their cost.
+	// entries are the cached entries after base up to end. receivedAt has the time of each, bytes
+	// is their total cost.
 	base       uint64
 	end        uint64
 	entries    []log.Entry
 	receivedAt []time.Time
 	bytes      int
-	// generation is that of windows whose entries tombstones can judge.
+	// generation is the current generation of windows. The tombstones don't suffice to judge the
+	// entries of an older one.
 	generation uint64
 	tombstones map[messageKey]uint64
 	writes     map[*write]bool
@@ -105,7 +108,7 @@
 	close(f.finished)
 }
 
-// readNext reads what follows the cached entries, or only where the log ends.
+// readNext reads the entries after the cached ones, or only the end of the log.
 func (f *Feed) readNext(ctx context.Context, isFirst bool) (*leader.ReadResponse, error) {
 	from := fromEnd
 	if !isFirst {
@@ -116,7 +119,7 @@
 	return f.call(ctx, &leader.ReadRequest{From: from, Hold: f.feeds.timing.LongPoll()})
 }
 
-// call reads as the feed's reader, and rejects the response of a leader that is known to be
+// call reads as the feed's reader. It rejects the response of a leader that is known to be
 // superseded.
 func (f *Feed) call(ctx context.Context, request *leader.ReadRequest) (*leader.ReadResponse, error) {
 	f.mu.Lock()
@@ -131,7 +134,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if response.Epoch < f.epoch {
-		return nil, apierror.New(apierror.NotPartitionLeader, "partition %d was read at epoch %d, after %d",
+		return nil, apierror.New(apierror.NotPartitionLeader, "partition %d answered with epoch %d after epoch %d",
 			f.partition, response.Epoch, f.epoch)
 	}
 	f.epoch = response.Epoch
@@ -141,7 +144,8 @@
 	return response, nil
 }
 
-// reportFinished tells the leader that the feed holds nothing any more, until it answers.
+// reportFinished reports to the leader that the feed has no messages any more, until the leader
+// answers.
 func (f *Feed) reportFinished() {
 	feeds := f.feeds
 	for feeds.ctx.Err() == nil {
@@ -155,7 +159,7 @@
 	}
 }
 
-// reset drops all that the feed holds and continues as another reader.
+// reset drops all messages of the feed and continues as another reader.
 func (f *Feed) reset(bootID string) {
 	f.mu.Lock()
 	aborted := f.dropAll()
@@ -164,9 +168,9 @@
 	waitWrites(aborted)
 }
 
-// abandon resets a feed whose leader does not answer, and reports that under the boot ID that it
-// had, as a leader that isn't heard may hear. It reports whether there was anything that a leader
-// may wait for.
+// abandon resets a feed whose leader does not answer, and reports that under the old boot ID: the
+// leader may receive requests even where its responses are lost. It returns false if there was
+// nothing that a leader may wait for.
 func (f *Feed) abandon() bool {
 	feeds := f.feeds
 	f.mu.Lock()
--- a/internal/delivery/stream/feeds.go
+++ b/internal/delivery/stream/feeds.go
@@ -1,18 +1,21 @@
 // Package stream reads committed entries from the partition leaders for the streams of one node,
-// and has the streams forget what is withdrawn.
+// and makes the streams drop withdrawn messages.
 //
-// Feeds has a feed for each partition that a stream here follows. A feed is a reader of the
+// Feeds has a feed for each partition that a stream of this node follows. A feed is a reader of the
 // partition: it polls the leader, caches the newest entries, and serves windows of them to streams.
 //
-// What must stay true: the feed polls past a withdrawal, which confirms it to the leader, only when
-// the cache holds nothing that it covers, every window that was filled before is known to be
-// affected (BeginWrite checks tombstones and the generation), and every write of what it covers has
-// ended. When the last stream has left, the feed reports to the leader that it is finished.
+// Invariants: the feed polls past a withdrawal, which confirms it to the leader, only when
+//   - the cache has nothing that the withdrawal covers,
+//   - every window that was filled earlier is known to be affected (BeginWrite checks the tombstones
+//     and the generation), and
+//   - every write of what it covers has ended.
 //
-// Each feed has one goroutine, Feed.run, owned by Feeds; it ends after the last stream has left,
+// When the last stream has left, the feed reports to the leader that it is finished.
+//
+// Each feed has one goroutine, Feed.run, owned by Feeds. It ends after the last stream has left,
 // once the leader has acknowledged that, or with the context given to New. Streams call the other
-// methods, of which only Follow, Fetch and WaitFinished block. Lock order: Feeds.mu before Feed.mu;
-// neither is held over calls to a leader.
+// methods, of which only Follow, Fetch and WaitFinished block. Lock order: Feeds.mu before Feed.mu.
+// Neither is held during calls to a leader.
 package stream
 
 import (
@@ -33,7 +36,7 @@
 	ReadAsReader(ctx context.Context, request *leader.ReadRequest) (*leader.ReadResponse, error)
 }
 
-// Feeds holds a feed for each partition that some stream of this node follows.
+// Feeds has a feed for each partition that some stream of this node follows.
 type Feeds struct {
 	node   string
 	bootID string
@@ -44,7 +47,7 @@
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// open are the feeds that have streams, by partition; running also has those that have not
+	// open are the feeds that have streams, by partition. running also has those that have not
 	// reported yet that they are finished.
 	open      map[int]*Feed
 	running   map[*Feed]bool
@@ -103,9 +106,9 @@
 	defer fs.mu.Unlock()
 	feed.mu.Lock()
 	delete(feed.followers, leaving)
-	left := len(feed.followers)
+	remaining := len(feed.followers)
 	feed.mu.Unlock()
-	if left == 0 && fs.open[feed.partition] == feed {
+	if remaining == 0 && fs.open[feed.partition] == feed {
 		delete(fs.open, feed.partition)
 		feed.cancel()
 	}
@@ -125,8 +128,8 @@
 	}
 }
 
-// nextBootID returns a boot ID that no feed here has had: what is told of one feed holds for no
-// other.
+// nextBootID returns a boot ID that no feed here has had, so that what a leader records of one feed
+// applies to no other.
 func (fs *Feeds) nextBootID() string {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
--- a/internal/delivery/stream/feeds_test.go
+++ b/internal/delivery/stream/feeds_test.go
@@ -29,34 +29,34 @@
 	written     chan struct{}
 }
 
-func (c *fakeLeader) ReadAsReader(ctx context.Context, request *leader.ReadRequest) (*leader.ReadResponse, error) {
-	for end := time.Now().Add(request.Hold); ; {
-		c.mu.Lock()
-		c.requests = append(c.requests, *request)
+func (l *fakeLeader) ReadAsReader(ctx context.Context, request *leader.ReadRequest) (*leader.ReadResponse, error) {
+	for deadline := time.Now().Add(request.Hold); ; {
+		l.mu.Lock()
+		l.requests = append(l.requests, *request)
 		response := &leader.ReadResponse{
-			Base:        c.base,
-			To:          uint64(len(c.entries)),
-			Epoch:       c.epoch,
-			ReaderToken: c.readerToken,
+			Base:        l.base,
+			To:          uint64(len(l.entries)),
+			Epoch:       l.epoch,
+			ReaderToken: l.readerToken,
 		}
-		late, news := c.block, c.written
+		block, written := l.block, l.written
 		switch {
-		case c.resets[request.BootID]:
+		case l.resets[request.BootID]:
 			response.MustReset = true
 		case request.From < response.To:
-			response.Entries = append(response.Entries, c.entries[max(request.From, c.base):]...)
+			response.Entries = append(response.Entries, l.entries[max(request.From, l.base):]...)
 		}
-		c.mu.Unlock()
-		if (request.Beside || request.From == ^uint64(0)) && late != nil {
-			<-late
+		l.mu.Unlock()
+		if (request.Beside || request.From == ^uint64(0)) && block != nil {
+			<-block
 		}
-		left := time.Until(end)
-		if response.MustReset || len(response.Entries) > 0 || left <= 0 || request.From == ^uint64(0) {
+		remaining := time.Until(deadline)
+		if response.MustReset || len(response.Entries) > 0 || remaining <= 0 || request.From == ^uint64(0) {
 			return response, nil
 		}
-		waitCtx, stop := context.WithTimeout(ctx, left)
+		waitCtx, stop := context.WithTimeout(ctx, remaining)
 		select {
-		case <-news:
+		case <-written:
 		case <-waitCtx.Done():
 		}
 		stop()
@@ -66,30 +66,30 @@
 	}
 }
 
-func (c *fakeLeader) write(entryType, key, body string) uint64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.entries = append(
-		c.entries,
-		log.Entry{Offset: uint64(len(c.entries)) + 1, Type: entryType, Topic: "t", Key: key, Body: []byte(body)},
+func (l *fakeLeader) write(entryType, key, body string) uint64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.entries = append(
+		l.entries,
+		log.Entry{Offset: uint64(len(l.entries)) + 1, Type: entryType, Topic: "t", Key: key, Body: []byte(body)},
 	)
-	close(c.written)
-	c.written = make(chan struct{})
-	return uint64(len(c.entries))
+	close(l.written)
+	l.written = make(chan struct{})
+	return uint64(len(l.entries))
 }
 
-func (c *fakeLeader) set(change func()) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (l *fakeLeader) set(change func()) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	change()
 }
 
-// readPosition returns up to where the reader of a boot ID has confirmed what it read, and whether
-// it is finished.
-func (c *fakeLeader) readPosition(bootID string) (offset uint64, finished bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, request := range c.requests {
+// readPosition returns the offset up to which the reader of a boot ID has confirmed its reads, and
+// whether it is finished.
+func (l *fakeLeader) readPosition(bootID string) (offset uint64, finished bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, request := range l.requests {
 		if request.BootID == bootID && !request.Beside && !request.Finished && request.From != ^uint64(0) {
 			offset = max(offset, request.From)
 		}
@@ -112,17 +112,17 @@
 	return window
 }
 
-func (x *fixture) fate(window Window, index int) EntryStatus {
-	fate, end := x.feed.BeginWrite(window, window.Entries[index], func() {})
-	if fate == EntryDeliverable {
+func (x *fixture) status(window Window, index int) EntryStatus {
+	status, end := x.feed.BeginWrite(window, window.Entries[index], func() {})
+	if status == EntryDeliverable {
 		end()
 	}
-	return fate
+	return status
 }
 
 func TestFeeds(t *testing.T) {
 	for name, test := range map[string]func(x *fixture){
-		"a withdrawal reaches the cache and the windows filled before, and what follows under its key is new": func(x *fixture) {
+		"a withdrawal applies to the cache and earlier windows, not to later messages under its key": func(x *fixture) {
 			x.leader.write(log.TypeMessage, "k", "old")
 			x.leader.write(log.TypeMessage, "l", "other")
 			synctest.Wait()
@@ -130,17 +130,17 @@
 			x.leader.write(log.TypeWithdrawal, "k", "")
 			x.leader.write(log.TypeMessage, "k", "new")
 			synctest.Wait()
-			assert.Equal(x, x.fate(window, 0), EntryWithdrawn)
-			assert.Equal(x, x.fate(window, 1), EntryDeliverable)
-			now := x.cached(0)
-			assert.Equal(x, fmt.Sprintf("%s %v", now.Entries[0].Body, now.Entries[0].BodyDropped), " true")
-			assert.Equal(x, string(now.Entries[1].Body)+string(now.Entries[3].Body), "othernew")
+			assert.Equal(x, x.status(window, 0), EntryWithdrawn)
+			assert.Equal(x, x.status(window, 1), EntryDeliverable)
+			later := x.cached(0)
+			assert.Equal(x, fmt.Sprintf("%s %v", later.Entries[0].Body, later.Entries[0].BodyDropped), " true")
+			assert.Equal(x, string(later.Entries[1].Body)+string(later.Entries[3].Body), "othernew")
 			assert.Equal(x, string(window.Entries[0].Body), "old")
-			assert.Equal(x, x.fate(now, 3), EntryDeliverable)
-			at, _ := x.leader.readPosition("b.1")
-			assert.Equal(x, at, uint64(4))
+			assert.Equal(x, x.status(later, 3), EntryDeliverable)
+			position, _ := x.leader.readPosition("b.1")
+			assert.Equal(x, position, uint64(4))
 		},
-		"a response to an earlier call is withdrawn when it comes late": func(x *fixture) {
+		"a withdrawal applies to a late response to an earlier call": func(x *fixture) {
 			for range 3 {
 				x.leader.write(log.TypeMessage, "k", "old")
 			}
@@ -161,33 +161,33 @@
 			close(x.leader.block)
 			window := <-got
 			assert.Equal(x, string(window.Entries[0].Body), "old")
-			assert.Equal(x, x.fate(window, 0), EntryWithdrawn)
-			at, _ := x.leader.readPosition("b.1")
-			assert.Equal(x, at, uint64(4))
+			assert.Equal(x, x.status(window, 0), EntryWithdrawn)
+			position, _ := x.leader.readPosition("b.1")
+			assert.Equal(x, position, uint64(4))
 		},
 		"a write in flight is aborted and has ended before anything after the tombstone is read": func(x *fixture) {
 			x.leader.write(log.TypeMessage, "k", "old")
 			x.leader.write(log.TypeMessage, "l", "other")
 			synctest.Wait()
 			window := x.cached(0)
-			cut := make(chan bool, 3)
-			_, end := x.feed.BeginWrite(window, window.Entries[0], func() { cut <- true })
-			_, spared := x.feed.BeginWrite(window, window.Entries[1], func() { cut <- false })
+			aborted := make(chan bool, 3)
+			_, end := x.feed.BeginWrite(window, window.Entries[0], func() { aborted <- true })
+			_, endOther := x.feed.BeginWrite(window, window.Entries[1], func() { aborted <- false })
 			x.leader.write(log.TypeWithdrawal, "k", "")
 			synctest.Wait()
-			assert.Equal(x, len(cut), 1)
-			assert.Assert(x, <-cut)
+			assert.Equal(x, len(aborted), 1)
+			assert.Assert(x, <-aborted)
 			time.Sleep(10 * time.Second)
-			at, _ := x.leader.readPosition("b.1")
-			assert.Equal(x, at, uint64(2))
+			position, _ := x.leader.readPosition("b.1")
+			assert.Equal(x, position, uint64(2))
 			assert.Equal(x, len(x.cached(2).Entries), 1)
 			end()
 			synctest.Wait()
-			at, _ = x.leader.readPosition("b.1")
-			assert.Equal(x, at, uint64(3))
-			spared()
+			position, _ = x.leader.readPosition("b.1")
+			assert.Equal(x, position, uint64(3))
+			endOther()
 		},
-		"with too many tombstones windows are filled again": func(x *fixture) {
+		"too many tombstones make windows stale": func(x *fixture) {
 			x.leader.write(log.TypeMessage, "k", "old")
 			x.leader.write(log.TypeMessage, "", "without")
 			synctest.Wait()
@@ -198,19 +198,19 @@
 			}
 			synctest.Wait()
 			x.feed.mu.Lock()
-			now := len(x.feed.tombstones)
+			count := len(x.feed.tombstones)
 			x.feed.mu.Unlock()
-			assert.Assert(x, now <= maxTombstones)
-			assert.Equal(x, x.fate(window, 0), EntryStale)
-			assert.Equal(x, x.fate(window, 1), EntryDeliverable)
+			assert.Assert(x, count <= maxTombstones)
+			assert.Equal(x, x.status(window, 0), EntryStale)
+			assert.Equal(x, x.status(window, 1), EntryDeliverable)
 			assert.Assert(x, x.cached(0).Entries[0].BodyDropped)
 		},
 		"skipped tombstones make windows stale and abort writes": func(x *fixture) {
 			x.leader.write(log.TypeMessage, "k", "old")
 			synctest.Wait()
 			window := x.cached(0)
-			cut := make(chan bool, 1)
-			_, end := x.feed.BeginWrite(window, window.Entries[0], func() { cut <- true })
+			aborted := make(chan bool, 1)
+			_, end := x.feed.BeginWrite(window, window.Entries[0], func() { aborted <- true })
 			x.leader.set(func() {
 				for range 5 {
 					x.leader.entries = append(x.leader.entries, log.Entry{})
@@ -219,25 +219,25 @@
 			})
 			x.leader.write(log.TypeMessage, "m", "far")
 			synctest.Wait()
-			assert.Equal(x, len(cut), 1)
+			assert.Equal(x, len(aborted), 1)
 			end()
-			assert.Equal(x, x.fate(window, 0), EntryStale)
+			assert.Equal(x, x.status(window, 0), EntryStale)
 			synctest.Wait()
 			assert.Equal(x, string(x.cached(6).Entries[0].Body), "far")
 		},
-		"a reader that was given up is reset and continues under another boot ID": func(x *fixture) {
+		"a reader that the leader gave up is reset and continues under another boot ID": func(x *fixture) {
 			x.leader.write(log.TypeMessage, "k", "old")
 			synctest.Wait()
 			window := x.cached(0)
-			cut := make(chan bool, 1)
-			_, end := x.feed.BeginWrite(window, window.Entries[0], func() { cut <- true })
+			aborted := make(chan bool, 1)
+			_, end := x.feed.BeginWrite(window, window.Entries[0], func() { aborted <- true })
 			x.leader.set(func() { x.leader.resets, x.leader.block = map[string]bool{"b.1": true}, make(chan struct{}) })
 			x.leader.write(log.TypeMessage, "l", "other")
 			synctest.Wait()
-			assert.Equal(x, len(cut), 1)
+			assert.Equal(x, len(aborted), 1)
 			end()
 			synctest.Wait()
-			assert.Equal(x, x.fate(window, 0), EntryStale)
+			assert.Equal(x, x.status(window, 0), EntryStale)
 			_, ok := x.feed.Cached(0)
 			assert.Assert(x, !ok)
 			close(x.leader.block)
@@ -256,7 +256,7 @@
 			x.leader.write(log.TypeMessage, "k", "old")
 			synctest.Wait()
 			x.leader.set(func() { x.leader.epoch = 6 })
-			x.leader.write(log.TypeMessage, "k", "older leader's")
+			x.leader.write(log.TypeMessage, "k", "of the older leader")
 			time.Sleep(time.Second)
 			assert.Equal(x, x.feed.CommittedEnd(), uint64(1))
 			x.leader.set(func() { x.leader.epoch = 8 })
@@ -264,16 +264,16 @@
 			assert.Equal(x, x.feed.CommittedEnd(), uint64(2))
 		},
 		"the last stream that leaves finishes the reader, and the next one is another": func(x *fixture) {
-			_, again, err := x.feeds.Follow(x.Context(), 0, make(chan struct{}, 1))
+			_, leaveSecond, err := x.feeds.Follow(x.Context(), 0, make(chan struct{}, 1))
 			assert.NilError(x, err)
 			x.leave()
 			synctest.Wait()
-			_, done := x.leader.readPosition("b.1")
-			assert.Assert(x, !done)
-			again()
+			_, finished := x.leader.readPosition("b.1")
+			assert.Assert(x, !finished)
+			leaveSecond()
 			synctest.Wait()
-			_, done = x.leader.readPosition("b.1")
-			assert.Assert(x, done)
+			_, finished = x.leader.readPosition("b.1")
+			assert.Assert(x, finished)
 			feed, leave, err := x.feeds.Follow(x.Context(), 0, make(chan struct{}, 1))
 			assert.NilError(x, err)
 			defer leave()
--- a/internal/delivery/stream/window.go
+++ b/internal/delivery/stream/window.go
@@ -22,7 +22,7 @@
 	generation uint64
 }
 
-// Cached returns cached entries after an offset, and false if they are no longer cached. It never
+// Cached returns cached entries after an offset, or false if they are no longer cached. It never
 // waits.
 func (f *Feed) Cached(offset uint64) (Window, bool) {
 	f.mu.Lock()
@@ -55,11 +55,11 @@
 		return Window{}, err
 	}
 	if response.MustReset {
-		return Window{}, apierror.New(apierror.NotReady, "partition %d is being read anew", f.partition)
+		return Window{}, apierror.New(apierror.NotReady, "the reader of partition %d is being reset", f.partition)
 	}
 	if response.Base > offset {
 		return Window{}, apierror.New(apierror.CursorExpired,
-			"partition %d is kept from offset %d on, the cursor is at %d", f.partition, response.Base+1, offset)
+			"partition %d is retained from offset %d, the cursor is at %d", f.partition, response.Base+1, offset)
 	}
 	return Window{response.Entries, generation}, nil
 }
@@ -75,10 +75,10 @@
 	EntryStale
 )
 
-// write is an entry that a stream is writing to its client right now.
+// write is an entry that a stream is writing to its client.
 type write struct {
 	entry log.Entry
-	// abort is called under the feed's lock, so that its stream has not left.
+	// abort is called under the feed's lock, so that its stream can't have left.
 	abort func()
 	done  chan struct{}
 }
