--- a/internal/delivery/fanout/hub.go
+++ b/internal/delivery/fanout/hub.go
@@ -6,11 +6,12 @@
 // (Poll), and passes each to the subscriptions of its topic.
 //
 // Invariants:
-//   - A subscription gets each entry of its topic after its start, once and in the order of the log, or
-//     it is broken.
+//   - A subscription gets each entry of its topic after its start, once and in the order of the log,
+//     or it is broken.
 //   - All buffers drop what a withdrawal covers before the leader is polled past it.
-//   - A node that the leader may count as a reader (it may have received a message with a key) stays
-//     registered until its buffers hold nothing with a key. Then it reports that it is finished.
+//   - A node that the leader may count as a reader (it may have received a message with a key)
+//     remains registered until its buffers have nothing with a key. Then it reports that it is
+//     finished.
 //
 // A feed is driven by up to three goroutines, started as needed and ended by the hub's context:
 // followLoop (follow.go), pollLoop (poll.go) and releaseAll (finish.go). Its state is guarded by
--- a/internal/delivery/stream/feeds.go
+++ b/internal/delivery/stream/feeds.go
@@ -6,8 +6,8 @@
 //
 // Invariants: the feed polls past a withdrawal, which confirms it to the leader, only when
 //   - the cache has nothing that the withdrawal covers,
-//   - every window that was filled earlier is known to be affected (BeginWrite checks the tombstones
-//     and the generation), and
+//   - every window that was filled earlier is known to be affected (BeginWrite checks the
+//     tombstones and the generation), and
 //   - every write of what it covers has ended.
 //
 // When the last stream has left, the feed reports to the leader that it is finished.
--- a/internal/delivery/stream/window.go
+++ b/internal/delivery/stream/window.go
@@ -15,8 +15,8 @@
 	fetchTimeouts = 2
 )
 
-// Window is a copy of a part of the log for one stream. Its messages may be withdrawn meanwhile, see
-// BeginWrite.
+// Window is a copy of a part of the log for one stream. Its messages may be withdrawn meanwhile,
+// see BeginWrite.
 type Window struct {
 	Entries    []log.Entry
 	generation uint64
@@ -84,9 +84,9 @@
 }
 
 // BeginWrite is called right before an entry of a window is written to a client. If the entry is
-// deliverable, the caller must call the returned function after the write. If the entry is withdrawn
-// before that, abort is called from another goroutine. It must not block, and must make the write
-// end soon.
+// deliverable, the caller must call the returned function after the write. If the entry is
+// withdrawn before that, abort is called from another goroutine. It must not block, and must make
+// the write end soon.
 func (f *Feed) BeginWrite(window Window, entry log.Entry, abort func()) (EntryStatus, func()) {
 	if entry.Key == "" || entry.Type != log.TypeMessage {
 		return EntryDeliverable, func() {}
--- a/internal/nodelease/helpers_test.go
+++ b/internal/nodelease/helpers_test.go
@@ -11,7 +11,7 @@
 	"postjunction/internal/settings"
 )
 
-// muxNetwork is a network of one peer.
+// muxNetwork is a network with one peer.
 type muxNetwork struct{ mux *http.ServeMux }
 
 func (n *muxNetwork) Do(r *http.Request) (*http.Response, error) {
@@ -20,7 +20,7 @@
 	return w.Result(), nil
 }
 
-// funcNetwork is a network that is a function.
+// funcNetwork is a network that calls a function.
 type funcNetwork struct {
 	do func(*http.Request) (*http.Response, error)
 }
@@ -32,11 +32,13 @@
 
 func confirmedNow() Confirmation { return Confirmation{OK: true, At: time.Now()} }
 
-func newServer(self string, timing settings.Timing, store *gossip.Store, latest func() Confirmation) *Server {
+func newServer(
+	self string, timing settings.Timing, store *gossip.Store, latestConfirmation func() Confirmation,
+) *Server {
 	return &Server{
 		Self: self, Clock: clock.Real{}, Timing: timing, Table: membership.NewTable(clock.Real{}, timing), Store: store,
 		Info:               func() membership.Info { return membership.Info{Name: self} },
-		LatestConfirmation: latest,
+		LatestConfirmation: latestConfirmation,
 	}
 }
 
--- a/internal/nodelease/latency.go
+++ b/internal/nodelease/latency.go
@@ -9,12 +9,12 @@
 
 const (
 	maxLatencies = 6
-	// latencyRank picks the second shortest, since packets that are lost now and then don't make a
-	// machine slow.
+	// latencyRank selects the second shortest, since occasional packet loss does not make a machine
+	// slow.
 	latencyRank = 1
 )
 
-// latencyWindow holds the last few times that heartbeats took, oldest first.
+// latencyWindow has the durations of the last few heartbeats, oldest first.
 type latencyWindow []time.Duration
 
 func (l *latencyWindow) add(latency time.Duration) {
@@ -22,7 +22,7 @@
 	*l = (*l)[max(0, len(*l)-maxLatencies):]
 }
 
-// secondShortest returns the second shortest of the times, and false before there are enough.
+// secondShortest returns the second shortest duration, and false until there are enough.
 func (l latencyWindow) secondShortest() (time.Duration, bool) {
 	if len(l) < maxLatencies {
 		return 0, false
@@ -30,10 +30,10 @@
 	return slices.Sorted(slices.Values(l))[latencyRank], true
 }
 
-// ReportedLatency returns the second shortest time of the last few heartbeats, 0 before there are
-// enough. All times so short that a machine eight times slower would still not be slow count as the
-// longest of them: nothing depends on which one it is, and each change that is reported goes to all
-// control nodes.
+// ReportedLatency returns the second shortest duration of the last few heartbeats, 0 until there
+// are enough. A duration so short that a machine eight times slower would still not be slow is
+// reported as the longest such duration. Nothing depends on the exact value, and each change that
+// is reported goes to all control nodes.
 func (m *Manager) ReportedLatency() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -44,9 +44,9 @@
 	return max(latency, m.Settings.Timing().SlowThreshold()/settings.SlowFactor)
 }
 
-// UsualLatency returns the second shortest time of the last few answered heartbeats, and false
-// before there are enough. Heartbeats without an answer don't count: it says how slow the
-// connection is, not whether there is one.
+// UsualLatency returns the second shortest duration of the last few answered heartbeats, and false
+// until there are enough. Heartbeats without an answer don't count, since this measures how slow
+// the connection is, not whether there is one.
 func (m *Manager) UsualLatency() (time.Duration, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/nodelease/latency_test.go
+++ b/internal/nodelease/latency_test.go
@@ -14,8 +14,8 @@
 	"postjunction/internal/settings"
 )
 
-// Latencies that are all far from slow are reported as equal, however much they differ; a slow one
-// is reported as it is.
+// Latencies that are all far from slow are reported as one value, however much they differ. A slow
+// one is reported exactly.
 func TestReportedLatency_FarFromSlowIsReportedAsEqual(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		options := settings.Default()
@@ -23,12 +23,12 @@
 		store := gossip.NewStore(nil)
 		server := newServer("c1", options.Timing(), store, confirmedNow)
 		mux := http.NewServeMux()
-		complete := 0
+		completeCount := 0
 		latency := time.Millisecond
 		Heartbeat.Handle(mux, func(ctx context.Context, request *HeartbeatRequest) (*HeartbeatResponse, error) {
 			time.Sleep(latency)
 			if request.InfoReference == nil {
-				complete++
+				completeCount++
 			}
 			return server.Heartbeat(ctx, request)
 		})
@@ -38,35 +38,35 @@
 			return membership.Info{Name: "a1", BootID: "1", Stage: membership.Serving,
 				LatencyMicros: manager.ReportedLatency().Microseconds()}
 		}
-		fullInfos := func(takes time.Duration) int {
+		sendHeartbeats := func(duration time.Duration) int {
 			t.Helper()
-			complete, latency = 0, takes
+			completeCount, latency = 0, duration
 			for range maxLatencies + 2 {
 				time.Sleep(options.Timing().HeartbeatInterval())
 				assert.NilError(t, manager.heartbeat(context.Background(), controlNode))
 			}
-			return complete
+			return completeCount
 		}
-		assert.Assert(t, fullInfos(time.Millisecond) > 0)
-		reported := 0
+		assert.Assert(t, sendHeartbeats(time.Millisecond) > 0)
+		changes := 0
 		for range 4 {
-			for _, takes := range []time.Duration{
+			for _, duration := range []time.Duration{
 				500 * time.Microsecond, time.Millisecond, 2 * time.Millisecond,
 				options.Timing().SlowThreshold() / settings.SlowFactor,
 			} {
-				reported += fullInfos(takes)
+				changes += sendHeartbeats(duration)
 			}
 		}
-		assert.Equal(t, reported, 0)
-		for _, takes := range []time.Duration{
+		assert.Equal(t, changes, 0)
+		for _, duration := range []time.Duration{
 			options.Timing().SlowThreshold() / 2, 2 * options.Timing().SlowThreshold(),
 		} {
-			assert.Assert(t, fullInfos(takes) > 0)
+			assert.Assert(t, sendHeartbeats(duration) > 0)
 			infos := server.Table.Live()
 			assert.Equal(t, len(infos), 1)
-			assert.Equal(t, infos[0].LatencyMicros, takes.Microseconds())
+			assert.Equal(t, infos[0].LatencyMicros, duration.Microseconds())
 		}
-		assert.Assert(t, fullInfos(time.Millisecond) > 0)
+		assert.Assert(t, sendHeartbeats(time.Millisecond) > 0)
 		assert.Assert(t,
 			time.Duration(server.Table.Live()[0].LatencyMicros)*time.Microsecond < options.Timing().SlowThreshold()/2)
 	})
--- a/internal/nodelease/lease.go
+++ b/internal/nodelease/lease.go
@@ -9,7 +9,7 @@
 )
 
 // CheckLease returns nil while this node may serve, and otherwise an error with code NoLease. The
-// lease extension of the settings counts unless a newer configuration than this node's was
+// lease extension of the settings counts unless a configuration newer than this node's was
 // confirmed.
 func (m *Manager) CheckLease() error {
 	now := m.Clock.Now()
@@ -19,46 +19,46 @@
 	if now.Before(m.leaseUntil) {
 		return nil
 	}
-	extended := !m.configurationBehind && !m.leaseUntil.IsZero()
-	if extended && now.Before(m.leaseUntil.Add(extension)) {
+	isExtended := !m.configurationBehind && !m.leaseUntil.IsZero()
+	if isExtended && now.Before(m.leaseUntil.Add(extension)) {
 		return nil
 	}
-	return apierror.New(apierror.NoLease, "no control node confirmed the description within %s",
+	return apierror.New(apierror.NoLease, "no control node confirmed the configuration within %s",
 		m.Settings.Timing().LeaseDuration()+extension)
 }
 
-// LeaseConfirmed reports whether the lease stands without its extension.
+// LeaseConfirmed reports whether the lease is valid without its extension.
 func (m *Manager) LeaseConfirmed() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.Clock.Now().Before(m.leaseUntil)
 }
 
-// renewLease renews the lease by the answer to a heartbeat that was sent at a time. An error means
-// that this control node can't vouch for the lease; one with code NotReady, that it may soon.
+// renewLease renews the lease by the response to a heartbeat that was sent at sentAt. An error
+// means that this control node can't grant the lease. With code NotReady, it may be able to soon.
 func (m *Manager) renewLease(control membership.Info, sentAt time.Time, response *HeartbeatResponse) error {
 	if !response.Confirmed && response.WarmingUp {
-		return apierror.New(apierror.NotReady, "%s began lately and has not confirmed the description yet",
+		return apierror.New(apierror.NotReady, "%s started recently and has not confirmed the configuration yet",
 			control.Name)
 	}
 	if !response.Confirmed {
-		return apierror.New(apierror.NoLease, "%s could not confirm the description", control.Name)
+		return apierror.New(apierror.NoLease, "%s could not confirm the configuration", control.Name)
 	}
-	behind := m.Store.Configuration().Sequence < response.Sequence
+	isBehind := m.Store.Configuration().Sequence < response.Sequence
 	m.mu.Lock()
-	m.configurationBehind = behind
+	m.configurationBehind = isBehind
 	m.mu.Unlock()
-	if behind {
-		return apierror.New(apierror.NoLease, "description %d did not arrive yet", response.Sequence)
+	if isBehind {
+		return apierror.New(apierror.NoLease, "configuration %d has not arrived yet", response.Sequence)
 	}
 	m.extendLease(sentAt.Add(m.Settings.Timing().LeaseDuration() - response.Age))
 	if response.Isolated {
-		return apierror.New(apierror.NoLease, "no majority answers %s", control.Name)
+		return apierror.New(apierror.NoLease, "no majority of voters answers %s", control.Name)
 	}
 	return nil
 }
 
-// extendLease has the lease last until a time, if that is later than it lasts already.
+// extendLease extends the lease to a time, if that is later than its current end.
 func (m *Manager) extendLease(until time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -67,17 +67,17 @@
 	}
 }
 
-// logLeaseChange logs that the lease was lost or regained since the last look.
+// logLeaseChange logs that the lease was lost or regained since the last check.
 func (m *Manager) logLeaseChange() {
-	holds := m.CheckLease() == nil
+	hasLease := m.CheckLease() == nil
 	m.mu.Lock()
-	held := m.leaseLogged
-	m.leaseLogged = holds
+	hadLease := m.leaseLogged
+	m.leaseLogged = hasLease
 	m.mu.Unlock()
-	if holds && !held {
+	if hasLease && !hadLease {
 		m.Log.Log(event.LeaseRegained)
 	}
-	if !holds && held {
+	if !hasLease && hadLease {
 		m.Log.Log(event.LeaseLost)
 	}
 }
--- a/internal/nodelease/lease_test.go
+++ b/internal/nodelease/lease_test.go
@@ -14,8 +14,8 @@
 	"postjunction/internal/voters"
 )
 
-// A node that heard of a newer configuration which has not arrived has the plain lease; one that no
-// confirmation reaches has the extension too.
+// A node that knows of a newer configuration which has not arrived has the lease without its
+// extension. A node that no confirmation reaches has the extension too.
 func TestCheckLease_ExtensionDoesNotCoverANewerConfiguration(t *testing.T) {
 	for name, newer := range map[string]bool{"none is confirmed": false, "a newer one is confirmed": true} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/nodelease/manager.go
+++ b/internal/nodelease/manager.go
@@ -27,7 +27,7 @@
 	Store    *gossip.Store
 	View     *membership.View
 	Info     func() membership.Info
-	// Local is the Server on this node, nil on a node that is no control node.
+	// Local is the Server on this node, nil if this node is not a control node.
 	Local *Server
 	Log   *event.Logger
 
@@ -38,45 +38,46 @@
 	leaseUntil  time.Time
 	// lastHeardAt is when a control node last answered a heartbeat.
 	lastHeardAt time.Time
-	// leaseLogged reports whether the lease was there when its state was last logged.
+	// leaseLogged is the state of the lease that was logged last.
 	leaseLogged bool
-	// identified are the nodes that asked this one who it is, by name.
+	// identified are the nodes that sent this one an IdentifyRequest, by name.
 	identified        map[string]nodeInfo
 	attemptLatencies  latencyWindow
 	answeredLatencies latencyWindow
-	// configurationBehind reports that a configuration newer than this node's was confirmed.
+	// configurationBehind is set when a configuration newer than this node's was confirmed.
 	configurationBehind bool
-	// controlWarmingUp is what the control node last reported of itself.
+	// controlWarmingUp is what the control node last reported about itself.
 	controlWarmingUp bool
 
 	// Only the goroutine of Run uses the fields below.
 
-	// knownControlNodes are the control nodes that were last among the members.
+	// knownControlNodes are the control nodes of the last list of members that had some.
 	knownControlNodes []membership.Info
-	// exchangeWith is the control node that the next three fields are about: the members that it
-	// sent, and the Info that it has of this node, with the number that it gave it, 0 for none.
-	exchangeWith   string
+	// exchangePeer is the control node that the next three fields refer to: the members that it
+	// sent, the Info that it has of this node, and the number that it assigned to that Info, 0 for
+	// none.
+	exchangePeer   string
 	members        membership.ListReplica
 	sentInfo       membership.Info
 	sentInfoNumber uint64
-	// membersUncertain reports that members which the control node left out may be there.
+	// membersUncertain is set when the control node may have left out members that are live.
 	membersUncertain bool
 }
 
-// Run keeps the session until ctx ends. It blocks.
+// Run maintains the session until ctx ends. It blocks.
 func (m *Manager) Run(ctx context.Context) {
-	avoid, missed, worked, startedAt := "", 0, false, m.Clock.Now()
+	avoid, missed, hadSession, startedAt := "", 0, false, m.Clock.Now()
 	var control membership.Info
 	for ctx.Err() == nil {
 		if control.Name == "" {
 			var err error
-			if control, err = m.chooseControlNode(ctx, avoid, worked); err != nil {
-				control, avoid, worked = membership.Info{}, "", false
+			if control, err = m.chooseControlNode(ctx, avoid, hadSession); err != nil {
+				control, avoid, hadSession = membership.Info{}, "", false
 				m.logLeaseChange()
 				_ = m.Clock.Sleep(ctx, clock.Jitter(m.heartbeatPause(startedAt), 1, rand.Float64()))
 				continue
 			}
-			worked = false
+			hadSession = false
 			m.Log.Log(event.Joined, "control", control.Name)
 			m.setControlNode(control)
 		}
@@ -90,7 +91,7 @@
 				pause = m.Settings.Timing().RefusalRetryDelay()
 			}
 		default:
-			missed, worked = 0, true
+			missed, hadSession = 0, true
 		}
 		m.logLeaseChange()
 		if missed >= maxMissedHeartbeats {
@@ -102,9 +103,9 @@
 	}
 }
 
-// heartbeatPause returns the pause before the next heartbeat: a short one while the first lease is
-// to come, for no longer than a session, and a while longer under a control node that is warming
-// up.
+// heartbeatPause returns the pause before the next heartbeat. It is short until the first lease is
+// granted, for no longer than a session time-out. It is also short under a control node that is
+// warming up, for no longer than half of that.
 func (m *Manager) heartbeatPause(startedAt time.Time) time.Duration {
 	timing := m.Settings.Timing()
 	m.mu.Lock()
@@ -118,8 +119,7 @@
 	return timing.HeartbeatInterval()
 }
 
-// ControlNode returns the name of the control node that the session is with, "" before there is
-// one.
+// ControlNode returns the name of the control node of the current session, or "" before the first.
 func (m *Manager) ControlNode() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -132,13 +132,13 @@
 	m.controlNode = control
 }
 
-// LastHeard returns when this node last heard from the fleet: an answer to a heartbeat, or, on a
-// control node whose session is with itself, answers of a majority of voters.
+// LastHeard returns when this node last had an answer from the fleet: to a heartbeat, or, on a
+// control node whose session is with itself, from a majority of voters.
 func (m *Manager) LastHeard() time.Time {
 	m.mu.Lock()
-	local, heardAt := m.Local != nil && m.controlNode.Name == m.Settings.Name, m.lastHeardAt
+	isLocal, heardAt := m.Local != nil && m.controlNode.Name == m.Settings.Name, m.lastHeardAt
 	m.mu.Unlock()
-	if local {
+	if isLocal {
 		return m.Local.LatestConfirmation().At
 	}
 	return heardAt
--- a/internal/nodelease/manager_discovery.go
+++ b/internal/nodelease/manager_discovery.go
@@ -11,8 +11,8 @@
 	"postjunction/internal/settings"
 )
 
-// Identify returns who this node is and whom it knows, the control nodes that asked it lately
-// included.
+// Identify returns the Info of this node and of the nodes that it knows, including the control
+// nodes that identified themselves recently.
 func (m *Manager) Identify(
 	_ context.Context, request *membership.IdentifyRequest,
 ) (*membership.IdentifyResponse, error) {
@@ -38,20 +38,20 @@
 	return response, nil
 }
 
-// chooseControlNode returns a control node for the next session: this node itself if it is one,
-// after a session that worked one of the members known from it, and otherwise one found through the
-// seeds. With no control node to avoid, one in this node's zone is preferred. Fails with code
-// Unreachable.
-func (m *Manager) chooseControlNode(ctx context.Context, avoid string, worked bool) (membership.Info, error) {
+// chooseControlNode returns a control node for the next session. Without a control node to avoid,
+// this is this node itself if it is one. After a session that worked (hadSession) it is one of the
+// members known from that session, otherwise one found through the seeds. Without a control node to
+// avoid, those in this node's zone are preferred. An error has the code Unreachable.
+func (m *Manager) chooseControlNode(ctx context.Context, avoid string, hadSession bool) (membership.Info, error) {
 	if m.Local != nil && avoid == "" {
 		return m.Info(), nil
 	}
 	var candidates []membership.Info
-	if worked {
+	if hadSession {
 		candidates = m.eligible(slices.Concat(m.View.All(), m.knownControlNodes), avoid)
 	}
 	if len(candidates) == 0 {
-		candidates = m.eligible(slices.Concat(m.askSeeds(ctx, avoid), m.View.All(), m.knownControlNodes), avoid)
+		candidates = m.eligible(slices.Concat(m.querySeeds(ctx, avoid), m.View.All(), m.knownControlNodes), avoid)
 	}
 	if len(candidates) == 0 {
 		return membership.Info{}, apierror.New(apierror.Unreachable, "no control node was found through the seeds")
@@ -63,9 +63,9 @@
 	return candidates[rand.IntN(len(candidates))], nil
 }
 
-// askSeeds asks all seeds at once whom they know, and waits no longer than for the first that knows
+// querySeeds asks all seeds at once which nodes they know. It returns when the first answer names
 // an eligible control node.
-func (m *Manager) askSeeds(ctx context.Context, avoid string) []membership.Info {
+func (m *Manager) querySeeds(ctx context.Context, avoid string) []membership.Info {
 	callCtx, cancel := context.WithTimeout(ctx, m.Settings.Timing().CallTimeout()/2)
 	defer cancel()
 	var known []membership.Info
@@ -82,7 +82,7 @@
 	return known
 }
 
-// eligible returns the control nodes among some nodes that serve, without this node and the one to
+// eligible returns the serving control nodes among some nodes, without this node and the one to
 // avoid.
 func (m *Manager) eligible(nodes []membership.Info, avoid string) []membership.Info {
 	return membership.Filter(nodes, func(info membership.Info) bool {
--- a/internal/nodelease/manager_heartbeat.go
+++ b/internal/nodelease/manager_heartbeat.go
@@ -9,8 +9,8 @@
 	"postjunction/internal/settings"
 )
 
-// heartbeat sends a heartbeat, takes in what comes back and renews the lease by it. Without a voter
-// set there is nothing to confirm yet, and no lease.
+// heartbeat sends a heartbeat, applies the response and renews the lease by it. Without a voter set
+// there is nothing to confirm yet, and no lease.
 func (m *Manager) heartbeat(ctx context.Context, control membership.Info) error {
 	sentAt := m.Clock.Now()
 	response, err := m.exchange(ctx, control)
@@ -34,11 +34,12 @@
 	return m.renewLease(control, sentAt, response)
 }
 
-// exchange sends the complete Info of this node, or a reference to it where nothing in it changed,
-// and again where the control node lacks what the reference or the change of the members builds on.
+// exchange sends the complete Info of this node, or a reference to it if it has not changed. It
+// repeats the call if the control node lacks the Info that the reference names, or if this node
+// lacks the version that the change of the members builds on.
 func (m *Manager) exchange(ctx context.Context, control membership.Info) (*HeartbeatResponse, error) {
-	if m.exchangeWith != control.Name {
-		m.exchangeWith, m.members = control.Name, membership.ListReplica{}
+	if m.exchangePeer != control.Name {
+		m.exchangePeer, m.members = control.Name, membership.ListReplica{}
 		m.sentInfo, m.sentInfoNumber = membership.Info{}, 0
 	}
 	for {
@@ -67,7 +68,7 @@
 	}
 }
 
-// send makes the call, directly where the session is with this node itself.
+// send makes the call, without the network if the session is with this node itself.
 func (m *Manager) send(
 	ctx context.Context, control membership.Info, request *HeartbeatRequest,
 ) (*HeartbeatResponse, error) {
@@ -79,9 +80,9 @@
 	return Heartbeat.Call(callCtx, m.Net, m.Settings.Name, control.PeerAddr, request)
 }
 
-// updateMembers takes in the members of a response, if they are other ones than before. A member
-// that is left out by a control node which began lately, or which no majority answers, may be there
-// all the same: an isolated control node loses sessions that others keep.
+// updateMembers applies the members of a response, if they have changed. A control node that
+// started recently, or that no majority answers, may leave out a member that is live: an isolated
+// control node loses sessions that others have. Then no member is removed.
 func (m *Manager) updateMembers(response *HeartbeatResponse) {
 	uncertain := response.WarmingUp || response.Isolated || !response.Confirmed
 	members := response.Members
--- a/internal/nodelease/manager_heartbeat_test.go
+++ b/internal/nodelease/manager_heartbeat_test.go
@@ -14,14 +14,14 @@
 	"postjunction/internal/settings"
 )
 
-// A node whose Info has not changed sends a reference to it, and the complete Info to a control
-// node that lost it.
+// A node whose Info has not changed sends a reference to it. It sends the complete Info to a
+// control node that lost it.
 func TestHeartbeat_InfoReferenceIsAcceptedOrAskedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		options := settings.Default()
 		options.Name = "a1"
 		store := gossip.NewStore(nil)
-		var asked []*HeartbeatRequest
+		var requests []*HeartbeatRequest
 		var server *Server
 		start := func() {
 			server = newServer("c1", options.Timing(), store, confirmedNow)
@@ -29,30 +29,30 @@
 		start()
 		mux := http.NewServeMux()
 		Heartbeat.Handle(mux, func(ctx context.Context, request *HeartbeatRequest) (*HeartbeatResponse, error) {
-			asked = append(asked, request)
+			requests = append(requests, request)
 			return server.Heartbeat(ctx, request)
 		})
-		me := membership.Info{Name: "a1", BootID: "1", Stage: membership.Serving, LatencyMicros: 500}
-		manager := newManager(options, store, func() membership.Info { return me })
+		self := membership.Info{Name: "a1", BootID: "1", Stage: membership.Serving, LatencyMicros: 500}
+		manager := newManager(options, store, func() membership.Info { return self })
 		manager.Net = &muxNetwork{mux}
 		send := func(complete ...bool) {
 			t.Helper()
-			asked = nil
+			requests = nil
 			time.Sleep(options.Timing().HeartbeatInterval())
 			assert.NilError(t, manager.heartbeat(context.Background(), controlNode))
-			assert.Equal(t, len(asked), len(complete))
-			for i, request := range asked {
+			assert.Equal(t, len(requests), len(complete))
+			for i, request := range requests {
 				assert.Equal(t, request.InfoReference == nil, complete[i])
 			}
 			assert.Equal(t, len(server.Table.Live()), 1)
-			i, ok := manager.View.Get("a1")
-			assert.Assert(t, ok && i.Stage == me.Stage)
+			info, ok := manager.View.Get("a1")
+			assert.Assert(t, ok && info.Stage == self.Stage)
 		}
 		send(true)
 		send(false)
-		me.LatencyMicros = 510
+		self.LatencyMicros = 510
 		send(false)
-		me.Stage = membership.Draining
+		self.Stage = membership.Draining
 		send(true)
 		send(false)
 		start()
--- a/internal/nodelease/manager_test.go
+++ b/internal/nodelease/manager_test.go
@@ -18,8 +18,8 @@
 	"postjunction/internal/voters"
 )
 
-// A control node that is warming up and has not confirmed yet is asked again soon; the session
-// doesn't move.
+// A control node that is warming up and has not confirmed yet is sent another heartbeat soon. The
+// session does not move.
 func TestRun_WarmingUpControlNodeIsAskedAgainSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		options := settings.Default()
@@ -27,11 +27,11 @@
 		store := gossip.NewStore(nil)
 		store.Apply(gossip.Update{VoterSet: &voters.Set{Sequence: 1, Fleet: "f"}})
 		info := func() membership.Info { return membership.Info{Name: "c1"} }
-		ready := time.Now().Add(options.Timing().HeartbeatInterval() * 2)
-		latest := func() Confirmation {
-			return Confirmation{OK: time.Now().After(ready), At: time.Now()}
+		confirmedFrom := time.Now().Add(options.Timing().HeartbeatInterval() * 2)
+		latestConfirmation := func() Confirmation {
+			return Confirmation{OK: time.Now().After(confirmedFrom), At: time.Now()}
 		}
-		server := newServer("c1", options.Timing(), store, latest)
+		server := newServer("c1", options.Timing(), store, latestConfirmation)
 		var logged bytes.Buffer
 		manager := newManager(options, store, info)
 		manager.Local = server
--- a/internal/nodelease/messages.go
+++ b/internal/nodelease/messages.go
@@ -17,38 +17,39 @@
 type HeartbeatRequest struct {
 	Info    membership.Info `json:"info,omitzero"`
 	Leaving bool            `json:"left,omitempty"`
-	// InfoReference stands for an Info that this control node has already, where nothing in it
-	// changed.
+	// InfoReference replaces an Info that has not changed since this control node received it.
 	InfoReference *InfoReference `json:"b,omitempty"`
 	// KnownVersion is the version of the member list that the node has from this control node.
-	// Older builds send none and get all members.
+	// Older builds send none and receive all members.
 	KnownVersion *membership.Version `json:"h,omitempty"`
-	// AcceptsChanges reports whether the node takes a configuration as changes to the one it has.
+	// AcceptsChanges reports whether the node accepts a configuration as changes to the one it has.
 	AcceptsChanges bool `json:"c,omitempty"`
 }
 
-// InfoReference names an Info by the node, its boot, and the number that the control node gave it.
+// InfoReference identifies an Info by the node, its boot, and the number that the control node
+// assigned to it.
 type InfoReference struct {
 	Name       string `json:"n"`
 	BootID     string `json:"b"`
 	InfoNumber uint64 `json:"s"`
 }
 
-// HeartbeatResponse carries the members, what the node lacks of the voter set and configuration,
-// and, where a majority confirmed it, which configuration is current.
+// HeartbeatResponse returns the members and the parts of the voter set and configuration that the
+// node lacks. If a majority confirmed the current configuration, it also says which one that is.
 type HeartbeatResponse struct {
 	Members []membership.Info `json:"members,omitempty"`
-	// Change carries the members as a change to the KnownVersion of the request.
+	// Change has the members as a change to the KnownVersion of the request.
 	Change *membership.Change `json:"c,omitempty"`
-	// InfoNumber is the number of the node's last complete Info, 0 to ask for a complete one.
+	// InfoNumber is the number of the node's last complete Info, 0 to request a complete one.
 	InfoNumber uint64 `json:"s,omitempty"`
-	// WarmingUp reports that the control node began so lately that it can't know all members yet.
+	// WarmingUp reports that the control node started so recently that it can't know all members
+	// yet.
 	WarmingUp bool `json:"young,omitempty"`
 	// Isolated reports that no majority has answered the control node for so long that its sessions
 	// may have moved to others.
 	Isolated bool `json:"a,omitempty"`
-	// Confirmed reports whether Sequence and Age stand: the sequence number of the current
-	// configuration, and how long ago a majority was asked for it.
+	// Confirmed reports whether Sequence and Age are valid: the sequence number of the current
+	// configuration, and the time since a majority was asked for it.
 	Confirmed     bool                   `json:"confirmed"`
 	Sequence      uint64                 `json:"sequence"`
 	Age           time.Duration          `json:"age"`
--- a/internal/nodelease/server.go
+++ b/internal/nodelease/server.go
@@ -13,10 +13,10 @@
 	"postjunction/internal/wire"
 )
 
-// Confirmation is what a control node knows of the current configuration.
+// Confirmation is a control node's knowledge of the current configuration.
 type Confirmation struct {
-	// OK reports whether a majority confirmed the configuration numbered Sequence, when asked at
-	// At.
+	// OK reports whether a majority confirmed, when asked at At, that the configuration numbered
+	// Sequence is current.
 	OK       bool
 	Sequence uint64
 	At       time.Time
@@ -36,7 +36,7 @@
 	Info               func() membership.Info
 	LatestConfirmation func() Confirmation
 
-	// mu guards the fields below; the lists within transfer have locks of their own.
+	// mu guards the fields below. The lists in transfer have locks of their own.
 	mu sync.Mutex
 	// ownSessions are the sessions with this control node, by node.
 	ownSessions map[string]nodeInfo
@@ -45,7 +45,7 @@
 	discoveredPeers map[string]string
 	sessionChanged  chan struct{}
 	// unansweredPeers are the control nodes, by address, that have not answered since an exchange
-	// began.
+	// with them began.
 	unansweredPeers map[string]unansweredPeer
 	// startedAt is when the first heartbeat arrived.
 	startedAt      time.Time
@@ -53,22 +53,21 @@
 	transfer       transferState
 }
 
-// nodeInfo is what a node said of itself, when it was last heard, and the number that its Info was
-// given.
+// nodeInfo is the Info that a node sent, when it arrived, and the number that it was assigned.
 type nodeInfo struct {
 	info   membership.Info
 	at     time.Time
 	number uint64
 }
 
-// Serve adds the calls of nodes and of other control nodes to mux.
+// Serve registers the procedures for nodes and for other control nodes with mux.
 func (s *Server) Serve(mux *http.ServeMux) {
 	Heartbeat.Handle(mux, s.Heartbeat)
-	membership.Sessions.Handle(mux, s.exchangeRequested)
+	membership.Sessions.Handle(mux, s.handleSessions)
 }
 
 // Heartbeat renews the session of the node that sent the request. An InfoReference that this
-// control node doesn't know gets an empty response, which asks for the complete Info. It never
+// control node doesn't know gets an empty response, which requests the complete Info. It never
 // blocks on the network, and returns no error.
 func (s *Server) Heartbeat(_ context.Context, request *HeartbeatRequest) (*HeartbeatResponse, error) {
 	session, changed, ok := s.renewSession(request)
@@ -103,8 +102,8 @@
 	return response, nil
 }
 
-// renewSession records a heartbeat as of now. It reports whether the other control nodes should
-// hear of it at once, and ok false where the request refers to an Info that this control node
+// renewSession records a heartbeat as of now. changed reports whether the other control nodes
+// should be informed at once. ok is false if the request refers to an Info that this control node
 // doesn't have.
 func (s *Server) renewSession(request *HeartbeatRequest) (session nodeInfo, changed, ok bool) {
 	now, name := s.Clock.Now(), request.Info.Name
@@ -131,15 +130,15 @@
 	return session, !known || previous.info.DiffersMaterially(session.info), true
 }
 
-// isWarmingUp reports whether the first heartbeat came less than a session time-out before now, so
-// that nodes may be live that this control node hasn't heard of.
+// isWarmingUp reports whether the first heartbeat arrived less than a session time-out before now.
+// Nodes may then be live that this control node does not know of yet.
 func (s *Server) isWarmingUp(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return now.Sub(s.startedAt) < s.Timing.SessionTimeout()
 }
 
-// sessionChangeSignal returns the channel that has Run exchange sessions at once.
+// sessionChangeSignal returns the channel that makes Run exchange sessions at once.
 func (s *Server) sessionChangeSignal() chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/nodelease/server_peers.go
+++ b/internal/nodelease/server_peers.go
@@ -12,33 +12,33 @@
 	"postjunction/internal/wire"
 )
 
-// maxSilentHeartbeats is how many heartbeat intervals another control node may leave unanswered.
+// maxSilentHeartbeats is how many heartbeat intervals another control node may fail to answer.
 const maxSilentHeartbeats = 2
 
-// unansweredPeer is another control node that has not answered since a time. It is rejecting if it
+// unansweredPeer is another control node that has not answered since a time. refused is set if it
 // refused the connection twice, so that no process listens there.
 type unansweredPeer struct {
-	since     time.Time
-	rejecting bool
+	since   time.Time
+	refused bool
 }
 
 // Run exchanges sessions with the other control nodes at every heartbeat interval, and at once when
-// a session changes, until ctx ends. The exchanges under way then end by their own time-outs.
+// a session changes, until ctx ends. Exchanges in flight then end by their own time-outs.
 func (s *Server) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if s.needsDiscovery() {
 			go s.discoverPeers(ctx)
 		}
 		for _, address := range s.peerAddresses() {
-			s.peerCalled(address)
+			s.recordPeerCall(address)
 			go s.exchangeSessions(ctx, address)
 		}
 		clock.Wait(ctx, s.Clock, s.Timing.HeartbeatInterval(), s.sessionChangeSignal(), nil)
 	}
 }
 
-// Failed reports whether the control node at an address is silent or rejects calls, which shows
-// long before its session times out.
+// Failed reports whether the control node at an address does not answer or refuses calls. This is
+// known long before its session times out.
 func (s *Server) Failed(address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,7 +46,7 @@
 	if !ok {
 		return false
 	}
-	return peer.rejecting || s.Clock.Now().Sub(peer.since) > maxSilentHeartbeats*s.Timing.HeartbeatInterval()
+	return peer.refused || s.Clock.Now().Sub(peer.since) > maxSilentHeartbeats*s.Timing.HeartbeatInterval()
 }
 
 // needsDiscovery reports whether this control node has to find others through its seeds.
@@ -59,7 +59,7 @@
 	})
 }
 
-// discoverPeers asks all seeds at once who they are and whom they know.
+// discoverPeers asks all seeds at once for their Info and for the nodes that they know.
 func (s *Server) discoverPeers(ctx context.Context) {
 	callCtx, cancel := context.WithTimeout(ctx, s.Timing.CallTimeout())
 	defer cancel()
@@ -81,7 +81,7 @@
 	s.discoveredPeers = discovered
 }
 
-// peerAddresses returns the addresses of all other control nodes that are known from anywhere.
+// peerAddresses returns the addresses of all other control nodes that are known from any source.
 func (s *Server) peerAddresses() []string {
 	var addresses []string
 	s.mu.Lock()
@@ -100,7 +100,7 @@
 	return otherAddresses(addresses, s.Info().PeerAddr)
 }
 
-// otherAddresses returns the addresses sorted, each once, without self.
+// otherAddresses returns the addresses sorted, without duplicates and without self.
 func otherAddresses(addresses []string, self string) []string {
 	others := slices.Clone(addresses)
 	slices.Sort(others)
@@ -108,26 +108,26 @@
 }
 
 // exchangeSessions exchanges sessions with the control node at an address. It calls a second time
-// where the first call was rejected, or where either side could not apply the other's change.
+// if the first call was refused, or if either side could not apply the other's change.
 func (s *Server) exchangeSessions(ctx context.Context, address string) {
 	for retried := false; ; retried = true {
 		request := s.sessionsRequest(address)
 		callCtx, cancel := context.WithTimeout(ctx, s.Timing.CallTimeout())
 		response, err := membership.Sessions.Call(callCtx, s.Net, s.Self, address, request)
 		cancel()
-		rejected := wire.TurnedAway(err)
+		refused := wire.TurnedAway(err)
 		switch {
 		case err == nil:
-			s.peerAnswered(address)
+			s.recordPeerAnswer(address)
 			s.observeSessions(response.Sessions)
 			applied := s.applyPeerUpdate(response.From, response.Update)
 			if s.recordPeerVersion(address, request, response) && applied || retried {
 				return
 			}
-		case retried && rejected:
-			s.peerRejected(address)
+		case retried && refused:
+			s.recordPeerRefusal(address)
 			return
-		case retried || !rejected:
+		case retried || !refused:
 			return
 		case s.Clock.Sleep(ctx, s.Timing.RefusalRetryDelay()) != nil:
 			return
@@ -135,7 +135,7 @@
 	}
 }
 
-func (s *Server) peerCalled(address string) {
+func (s *Server) recordPeerCall(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.unansweredPeers == nil {
@@ -146,19 +146,19 @@
 	}
 }
 
-func (s *Server) peerAnswered(address string) {
+func (s *Server) recordPeerAnswer(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.unansweredPeers, address)
 }
 
-func (s *Server) peerRejected(address string) {
+func (s *Server) recordPeerRefusal(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.unansweredPeers[address] = unansweredPeer{since: s.Clock.Now(), rejecting: true}
+	s.unansweredPeers[address] = unansweredPeer{since: s.Clock.Now(), refused: true}
 }
 
-// observeSessions notes the sessions with another control node in the table of members.
+// observeSessions records the sessions of another control node in the table of members.
 func (s *Server) observeSessions(sessions []membership.Session) {
 	for _, session := range sessions {
 		s.Table.Observe(session.Info, session.Age)
--- a/internal/nodelease/statetransfer.go
+++ b/internal/nodelease/statetransfer.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// memberChecksPerHeartbeat is how often in a heartbeat interval the table of members is looked
-	// through for members that timed out.
+	// memberChecksPerHeartbeat is how often in a heartbeat interval the table of members is checked
+	// for members that timed out.
 	memberChecksPerHeartbeat = 10
-	// lateFraction is the divisor of the heartbeat interval that a session may be older than it
-	// before its age is sent separately.
-	lateFraction = 3
+	// lateDivisor: a session that is older than the heartbeat interval by more than the interval
+	// divided by this has its age sent separately.
+	lateDivisor = 3
 )
 
-// transferState is what a control node sent and received as changes. Server.mu guards it, save the
-// contents of the versioned lists, which have locks of their own.
+// transferState is what a control node sent and received as changes. Server.mu guards it, except
+// for the contents of the versioned lists, which have locks of their own.
 type transferState struct {
-	// members are all live members, ownSessions the nodes with a session here.
+	// members are all live members. ownSessions are the nodes with a session here.
 	members     membership.VersionedList
 	ownSessions membership.VersionedList
 	// tableChanged is closed when the table of members changes after checkedAt.
@@ -38,8 +38,8 @@
 	received map[string]*membership.ListReplica
 }
 
-// currentMembers returns the list of live members. It is made anew when the table of members has
-// changed, and a few times a heartbeat interval for members that timed out.
+// currentMembers returns the list of live members. It is updated when the table of members has
+// changed, and a few times in a heartbeat interval to remove members that timed out.
 func (s *Server) currentMembers() *membership.VersionedList {
 	if s.membersAreFresh() {
 		return &s.transfer.members
@@ -54,8 +54,8 @@
 	return &s.transfer.members
 }
 
-// membersAreFresh reports whether the list of members still stands. Where it doesn't, the time of
-// the check is noted: the caller makes the list anew.
+// membersAreFresh reports whether the list of members is up to date. If not, it records the time of
+// the check, and the caller updates the list.
 func (s *Server) membersAreFresh() bool {
 	now := s.Clock.Now()
 	s.mu.Lock()
@@ -73,8 +73,8 @@
 }
 
 // requiredConfiguration returns the sequence number of the configuration that every node must have
-// by now: the one confirmed here, once that is a lease ago, and until then the one required before
-// it.
+// by now: the one confirmed here once it has been confirmed for the duration of a lease, and until
+// then the one required before it.
 func (s *Server) requiredConfiguration() uint64 {
 	confirmation := s.LatestConfirmation()
 	s.mu.Lock()
@@ -89,9 +89,9 @@
 	return state.required
 }
 
-// exchangeRequested answers another control node with this one's sessions: all of them to an older
-// build, which sends no version, and otherwise the change from the version that it has.
-func (s *Server) exchangeRequested(
+// handleSessions returns this control node's sessions to another one. An older build, which sends
+// no version, receives all of them. Any other receives the change from the version that it has.
+func (s *Server) handleSessions(
 	_ context.Context, request *membership.SessionsRequest,
 ) (*membership.SessionsResponse, error) {
 	s.observeSessions(request.Sessions)
@@ -103,8 +103,8 @@
 	return &membership.SessionsResponse{From: s.Self, Update: &update, KnownVersion: &received}, nil
 }
 
-// sessionsRequest makes the request of an exchange: all sessions for a control node that has sent
-// no version so far, and otherwise the change from the version that it has.
+// sessionsRequest returns the request of an exchange. It has all sessions for a control node that
+// has sent no version so far, and otherwise the change from the version that it has.
 func (s *Server) sessionsRequest(address string) *membership.SessionsRequest {
 	s.mu.Lock()
 	known, ok := s.transfer.sent[address]
@@ -121,14 +121,14 @@
 	return request
 }
 
-// sessionUpdate returns the sessions with this control node as a change from a version. One age,
-// the highest, stands for all sessions whose heartbeats came in time; the others' ages are listed.
+// sessionUpdate returns the sessions with this control node as a change from a version. The highest
+// age applies to all sessions whose heartbeats came in time. The ages of the others are listed.
 func (s *Server) sessionUpdate(known membership.Version) membership.SessionUpdate {
 	var infos []membership.Info
 	var update membership.SessionUpdate
 	for _, session := range s.currentSessions() {
 		infos = append(infos, session.Info)
-		if session.Age > s.Timing.HeartbeatInterval()+s.Timing.HeartbeatInterval()/lateFraction {
+		if session.Age > s.Timing.HeartbeatInterval()+s.Timing.HeartbeatInterval()/lateDivisor {
 			if update.Late == nil {
 				update.Late = map[string]time.Duration{}
 			}
@@ -152,8 +152,9 @@
 	return membership.Version{}
 }
 
-// applyPeerUpdate takes in an update of another control node's sessions. It returns false where the
-// update builds on a version that isn't here, so that a complete one has to be asked for.
+// applyPeerUpdate applies an update of another control node's sessions. It returns false if the
+// update builds on a version that this node doesn't have, so that a complete one has to be
+// requested.
 func (s *Server) applyPeerUpdate(name string, update *membership.SessionUpdate) bool {
 	if update == nil {
 		return true
@@ -169,7 +170,7 @@
 	return ok
 }
 
-// applyPeerChange returns all sessions of another control node after a change of them.
+// applyPeerChange applies a change and returns all sessions of the other control node.
 func (s *Server) applyPeerChange(name string, change membership.Change) ([]membership.Info, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -187,8 +188,8 @@
 	return replica.All(), true
 }
 
-// recordPeerVersion notes which version of this node's sessions the control node at an address has
-// after an exchange. It returns false where that node could not apply the change that it was sent.
+// recordPeerVersion records which version of this node's sessions the control node at an address
+// has after an exchange. It returns false if that node could not apply the change that it was sent.
 func (s *Server) recordPeerVersion(
 	address string, request *membership.SessionsRequest, response *membership.SessionsResponse,
 ) bool {
--- a/internal/nodelease/statetransfer_test.go
+++ b/internal/nodelease/statetransfer_test.go
@@ -14,12 +14,13 @@
 	"postjunction/internal/settings"
 )
 
-// Control nodes send each other what changed, and a session that stands stays known by the other.
+// Control nodes send each other only changes, and each continues to know a session that has not
+// changed.
 func TestExchangeSessions_SendsOnlyChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		options := settings.Default()
 		servers := map[string]*Server{}
-		var asked *membership.SessionsRequest
+		var request *membership.SessionsRequest
 		start := func(name, other string) {
 			server := newServer(name, options.Timing(), gossip.NewStore(nil),
 				func() Confirmation { return Confirmation{} })
@@ -40,15 +41,15 @@
 		}
 		round := func() {
 			time.Sleep(options.Timing().HeartbeatInterval())
-			asked = servers["c1"].sessionsRequest("c2")
+			request = servers["c1"].sessionsRequest("c2")
 			servers["c1"].exchangeSessions(context.Background(), "c2")
 		}
 		stages := func() map[string]string {
-			s := map[string]string{}
-			for _, i := range servers["c2"].Table.Live() {
-				s[i.Name] = i.Stage
+			result := map[string]string{}
+			for _, info := range servers["c2"].Table.Live() {
+				result[info.Name] = info.Stage
 			}
-			return s
+			return result
 		}
 		heartbeat("a", membership.Serving)
 		round()
@@ -60,7 +61,7 @@
 			heartbeat("a", membership.Serving)
 			round()
 		}
-		assert.Assert(t, asked.Update != nil && asked.Update.Change.Empty())
+		assert.Assert(t, request.Update != nil && request.Update.Change.Empty())
 		assert.DeepEqual(t, stages(), map[string]string{"a": membership.Serving})
 		start("c2", "c1")
 		heartbeat("a", membership.Draining)
@@ -73,7 +74,7 @@
 	})
 }
 
-// A build from before lists were sent as changes gets and sends complete lists.
+// A build that does not support changes receives and sends complete lists.
 func TestOlderBuilds_GetCompleteLists(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		options := settings.Default()
@@ -85,10 +86,10 @@
 			assert.Assert(t, request.InfoReference == nil)
 			return server.Heartbeat(ctx, &HeartbeatRequest{Info: request.Info, Leaving: request.Leaving})
 		})
-		var asked []*membership.SessionsRequest
+		var requests []*membership.SessionsRequest
 		membership.Sessions.Handle(mux,
 			func(_ context.Context, request *membership.SessionsRequest) (*membership.SessionsResponse, error) {
-				asked = append(asked, request)
+				requests = append(requests, request)
 				sessions := []membership.Session{{Info: membership.Info{Name: "b"}}}
 				return &membership.SessionsResponse{Sessions: sessions}, nil
 			})
@@ -106,8 +107,8 @@
 			time.Sleep(options.Timing().HeartbeatInterval())
 			server.exchangeSessions(context.Background(), "c2")
 		}
-		assert.Equal(t, len(asked), 4)
-		for _, request := range asked {
+		assert.Equal(t, len(requests), 4)
+		for _, request := range requests {
 			assert.Assert(t, request.Update == nil && len(request.Sessions) == 1)
 		}
 		assert.Equal(t, len(server.Table.Live()), 2)
@@ -122,8 +123,8 @@
 	})
 }
 
-// A configuration that reaches every node changes no member: a member is reported only once it has
-// had an older one for longer than a lease, and once it has that no longer.
+// A configuration that reaches every node changes no member. A member is reported only once it has
+// had an older configuration for longer than a lease, and again once it has the newer one.
 func TestCurrentMembers_ReportsOnlyStaleConfigurations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		timing := settings.DefaultTiming
@@ -131,7 +132,7 @@
 		server := newServer("c1", timing, gossip.NewStore(nil), func() Confirmation {
 			return Confirmation{OK: true, Sequence: sequence, At: time.Now()}
 		})
-		has := map[string]uint64{"a1": 7, "a2": 7, "a3": 7}
+		configurations := map[string]uint64{"a1": 7, "a2": 7, "a3": 7}
 		var replica membership.ListReplica
 		changed := func(heartbeats int) (updates []membership.Info) {
 			for range heartbeats {
@@ -139,7 +140,7 @@
 				for _, name := range []string{"a1", "a2", "a3"} {
 					version := replica.Version()
 					info := membership.Info{Name: name, BootID: "1", Stage: membership.Serving,
-						Configuration: has[name]}
+						Configuration: configurations[name]}
 					response,
 						err := server.Heartbeat(context.Background(),
 						&HeartbeatRequest{Info: info, KnownVersion: &version})
@@ -156,18 +157,18 @@
 		}
 		lease := int(timing.LeaseDuration()/timing.HeartbeatInterval()) + 2
 		assert.Equal(t, len(changed(lease)), 3)
-		sequence, has["a1"], has["a2"] = 8, 8, 8
+		sequence, configurations["a1"], configurations["a2"] = 8, 8, 8
 		assert.Equal(t, len(changed(lease-3)), 0, "within a lease no node is behind")
-		late := changed(3)
-		assert.Assert(t, len(late) == 1 && late[0].Name == "a3", "%+v", late)
-		assert.Assert(t, late[0].ConfigurationStale && late[0].Configuration == 0, "%+v", late)
+		updates := changed(3)
+		assert.Assert(t, len(updates) == 1 && updates[0].Name == "a3", "%+v", updates)
+		assert.Assert(t, updates[0].ConfigurationStale && updates[0].Configuration == 0, "%+v", updates)
 		assert.Equal(t, len(changed(lease)), 0)
-		has["a3"] = 8
-		late = changed(2)
-		assert.Assert(t, len(late) == 1 && late[0].Name == "a3" && !late[0].ConfigurationStale, "%+v", late)
+		configurations["a3"] = 8
+		updates = changed(2)
+		assert.Assert(t, len(updates) == 1 && updates[0].Name == "a3" && !updates[0].ConfigurationStale, "%+v", updates)
 		for range 5 {
 			sequence++
-			has = map[string]uint64{"a1": sequence, "a2": sequence, "a3": sequence}
+			configurations = map[string]uint64{"a1": sequence, "a2": sequence, "a3": sequence}
 			assert.Equal(t, len(changed(1)), 0)
 		}
 		assert.Equal(t, len(replica.All()), 3)
