--- a/internal/membership/calls.go
+++ b/internal/membership/calls.go
@@ -6,26 +6,26 @@
 	"postjunction/internal/wire"
 )
 
-// Session is the session of one node: what the node said, and how long ago.
+// Session is the session of one node: the Info that it sent, and the time since.
 type Session struct {
 	Info Info          `json:"info"`
 	Age  time.Duration `json:"age"`
 }
 
-// SessionUpdate is what one control node sends another of its sessions: what changed, and how long
-// ago all of them were heard at most, save those that are Late.
+// SessionUpdate is an update of one control node's sessions for another: what changed, and the
+// highest age of all sessions except those in Late.
 type SessionUpdate struct {
 	Change Change                   `json:"c"`
 	Age    time.Duration            `json:"a,omitempty"`
 	Late   map[string]time.Duration `json:"l,omitempty"`
 }
 
-// SessionsRequest sends a control node the sessions of another.
+// SessionsRequest sends one control node's sessions to another.
 type SessionsRequest struct {
 	From     string    `json:"from"`
 	Sessions []Session `json:"sessions,omitempty"`
-	// Update has the sessions by their changes; Sessions is empty then. KnownVersion is how far the
-	// list of the receiver is known to the sender.
+	// Update has the sessions as changes; Sessions is empty then. KnownVersion is the version of
+	// the receiver's list that the sender has.
 	Update       *SessionUpdate `json:"s,omitempty"`
 	KnownVersion *Version       `json:"h,omitempty"`
 }
@@ -38,19 +38,19 @@
 	KnownVersion *Version       `json:"h,omitempty"`
 }
 
-// IdentifyRequest asks a seed who it is. A control node that knows no voter set says who it is
-// itself, so that others find it through the seed.
+// IdentifyRequest asks a seed for its Info. A control node that knows no voter set sends its own,
+// so that others find it through the seed.
 type IdentifyRequest struct {
 	From *Info `json:"from,omitempty"`
 }
 
-// IdentifyResponse says who a node is and which nodes it knows.
+// IdentifyResponse returns a node's Info and those of the nodes that it knows.
 type IdentifyResponse struct {
 	Info  Info   `json:"info"`
 	Known []Info `json:"known"`
 }
 
-// The calls of membership.
+// Sessions exchanges the sessions of two control nodes. Identify asks a node for its Info.
 var (
 	Sessions = wire.NewProcedure[SessionsRequest, SessionsResponse]("Member", "Sessions", wire.Monotonic,
 		"sessions carry ages, and what was heard later stands")
--- a/internal/membership/info.go
+++ b/internal/membership/info.go
@@ -1,13 +1,13 @@
-// Package membership knows the nodes of the fleet: a node is a member while its session with a
-// control node stands.
+// Package membership tracks the nodes of the fleet: a node is a member while its session with a
+// control node is live.
 //
-// A control node keeps the sessions that it and other control nodes have in a Table; the list of
-// all live ones is a VersionedList, which goes to the other nodes by its changes (ListReplica) and
-// is there the View. What was heard later always stands over what was heard before, and ages, not
-// times, go between nodes, so no clocks are compared.
+// A control node records its own sessions and those of other control nodes in a Table. The list of
+// all live members is a VersionedList, which is sent to the other nodes as changes (ListReplica)
+// and becomes their View. The latest observation of a node always replaces earlier ones. Ages, not
+// times, are sent between nodes, so no clocks are compared.
 //
-// Table, View and VersionedList have a lock of their own, held over memory only, and may be used by
-// several goroutines; nothing here blocks or runs in a goroutine of its own.
+// Table, View and VersionedList each have a lock, held for memory operations only, and are safe for
+// concurrent use. Nothing here blocks or starts a goroutine.
 package membership
 
 import (
@@ -16,61 +16,62 @@
 	"strings"
 )
 
-// Stages of a node, as in Info.Stage. The value of Draining is that of older builds.
+// Stages of a node, as in Info.Stage. The value of Draining is the one that older builds use.
 const (
 	Serving  = "serving"
 	Draining = "leaving"
 )
 
-// Info is what a node says of itself.
+// Info describes a node, as reported by the node itself.
 type Info struct {
 	Name       string `json:"name"`
 	Zone       string `json:"zone"`
 	ListenAddr string `json:"listen"`
-	// PeerAddr is where other nodes reach it.
+	// PeerAddr is the address for calls of other nodes.
 	PeerAddr string `json:"fellows"`
-	// ClientAddr is where the line protocol of clients is served.
+	// ClientAddr is the address that serves the line protocol of clients.
 	ClientAddr  string `json:"visits,omitempty"`
 	Disk        string `json:"disk"`
 	Incarnation string `json:"incarnation,omitempty"`
 	BootID      string `json:"boot"`
 	Stage       string `json:"stage"`
-	// Configuration is the sequence of the configuration that the node has. Only control nodes are
-	// sent it; the others are sent ConfigurationStale, which says that the node has had an older
-	// one than is confirmed for longer than a lease.
+	// Configuration is the sequence number of the node's configuration. Only control nodes are sent
+	// it. The others are sent ConfigurationStale, which reports that the node has had an older
+	// configuration than the confirmed one for longer than a lease.
 	Configuration      uint64 `json:"description,omitempty"`
 	ConfigurationStale bool   `json:"behind,omitempty"`
-	// VoterSet is the sequence of the voter set that the node knows; on a control node, that its
-	// disk is under.
+	// VoterSet is the sequence number of the voter set that the node knows. On a control node it is
+	// the voter set that its disk is under.
 	VoterSet   uint64 `json:"roster"`
 	Partitions int    `json:"partitions"`
-	// Loads is what each partition led here accepts a second.
-	Loads        map[int]float64 `json:"loads,omitempty"`
-	DiskHealth   string          `json:"fitness,omitempty"`
-	Isolated     bool            `json:"deaf,omitempty"`
-	BuildVersion string          `json:"build,omitempty"`
-	WireVersion  int             `json:"wire"`
-	// LatencyMicros is how long this node's heartbeats take, in microseconds: the second shortest
+	// Loads is the rate of accepted messages for each partition led here, by partition, per second.
+	Loads      map[int]float64 `json:"loads,omitempty"`
+	DiskHealth string          `json:"fitness,omitempty"`
+	// Isolated reports that the node's lease is not confirmed.
+	Isolated     bool   `json:"deaf,omitempty"`
+	BuildVersion string `json:"build,omitempty"`
+	WireVersion  int    `json:"wire"`
+	// LatencyMicros is the duration of this node's heartbeats in microseconds: the second shortest
 	// of the last few. All that are far from slow are reported as one value.
 	LatencyMicros int64 `json:"lag_us,omitempty"`
-	// SupportsTwoHomes says that this build keeps attachments in an urgent partition too.
+	// SupportsTwoHomes reports that this build stores attachments in an urgent partition too.
 	SupportsTwoHomes bool `json:"homes,omitempty"`
-	// SupportsKeys says that this build knows keys of messages and their withdrawal.
+	// SupportsKeys reports that this build supports message keys and withdrawals.
 	SupportsKeys bool `json:"keys,omitempty"`
-	// MilliCores is the processor that the node has for clients, in thousandths of a core, less
-	// where its link is narrow beside it; 0 when that isn't known.
+	// MilliCores is the processor capacity that the node has for clients, in thousandths of a core.
+	// It is reduced where the node's link is the narrower limit. 0 means unknown.
 	MilliCores int `json:"processor,omitempty"`
 }
 
-// Stable returns what all nodes are sent of a node: without what changes all the time, which goes
-// to control nodes only.
+// Stable returns the part of an Info that all nodes are sent. It omits what changes all the time,
+// which only control nodes are sent.
 func (i Info) Stable() Info {
 	i.Configuration, i.VoterSet, i.Partitions, i.Loads, i.LatencyMicros = 0, 0, 0, nil, 0
 	return i
 }
 
-// DiffersMaterially reports whether two states of one node differ in what control and placement act
-// on.
+// DiffersMaterially reports whether two states of one node differ in a field that control nodes and
+// placement act on.
 func (i Info) DiffersMaterially(other Info) bool {
 	return i.BootID != other.BootID ||
 		i.Disk != other.Disk ||
@@ -92,8 +93,8 @@
 		maps.EqualFunc(i.Loads, other.Loads, isNear)
 }
 
-// hasSameStable reports whether two states of one node are the same in all that Stable keeps, and
-// under the same voter set.
+// hasSameStable reports whether two states of one node agree in all fields that Stable retains, and
+// in the voter set.
 func (i Info) hasSameStable(other Info) bool {
 	return !i.DiffersMaterially(other) &&
 		i.ConfigurationStale == other.ConfigurationStale &&
@@ -108,7 +109,8 @@
 		i.MilliCores == other.MilliCores
 }
 
-// Figures are near when they differ by a nearDivisor-th of the larger one, or by minNearDifference.
+// Two values are near if they differ by at most the larger one divided by nearDivisor, or by at
+// most minNearDifference.
 const (
 	nearDivisor       = 4
 	minNearDifference = 1
@@ -119,15 +121,15 @@
 	return max(difference, -difference) <= max(larger/nearDivisor, minNearDifference)
 }
 
-// Filter returns the nodes that keep accepts, in their order.
-func Filter(nodes []Info, keep func(Info) bool) []Info {
-	var kept []Info
+// Filter returns the nodes that accept returns true for, in their order.
+func Filter(nodes []Info, accept func(Info) bool) []Info {
+	var accepted []Info
 	for _, node := range nodes {
-		if keep(node) {
-			kept = append(kept, node)
+		if accept(node) {
+			accepted = append(accepted, node)
 		}
 	}
-	return kept
+	return accepted
 }
 
 func sortByName(nodes []Info) {
--- a/internal/membership/listreplica.go
+++ b/internal/membership/listreplica.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// ListReplica is the copy of a VersionedList on another node. It isn't for use by several
-// goroutines. The zero value is ready for use.
+// ListReplica is the copy of a VersionedList on another node. It is not safe for concurrent use.
+// The zero value is ready for use.
 type ListReplica struct {
 	version Version
 	nodes   map[string]Info
 }
 
-// Version returns how far the replica goes.
+// Version returns the version that the replica has reached.
 func (r *ListReplica) Version() Version { return r.version }
 
-// Apply takes a change in, and reports whether the replica is now as new as the change. A change
-// that is older, or builds on what is not here, is left alone.
+// Apply applies a change, and reports whether the replica is now as new as the change. A change
+// that is older, or that builds on a version which the replica doesn't have, is ignored.
 func (r *ListReplica) Apply(change Change) bool {
 	isSameList := change.Version.List == r.version.List
 	isOlder := isSameList && change.Version.Changes < r.version.Changes
@@ -44,7 +44,7 @@
 	return true
 }
 
-// All returns the nodes of the replica by name.
+// All returns the nodes of the replica, sorted by name.
 func (r *ListReplica) All() []Info {
 	nodes := slices.AppendSeq(make([]Info, 0, len(r.nodes)), maps.Values(r.nodes))
 	sortByName(nodes)
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -8,15 +8,16 @@
 	"postjunction/internal/settings"
 )
 
-// forgetAfterTimeouts is how many session time-outs after it was last heard a node is forgotten.
+// forgetAfterTimeouts is how many session time-outs after its last heartbeat a node is removed.
 const forgetAfterTimeouts = 10
 
-// Table holds sessions of a control node: its own and those that others sent.
+// Table has the sessions that a control node knows: its own and those that other control nodes
+// sent.
 type Table struct {
 	clock  clock.Clock
 	timing settings.Timing
 
-	// mu guards all below.
+	// mu guards the fields below.
 	mu       sync.Mutex
 	sessions map[string]tableEntry
 	// changed is closed, and replaced, at the next change.
@@ -29,43 +30,43 @@
 }
 
 // NewTable returns an empty table.
-func NewTable(source clock.Clock, timing settings.Timing) *Table {
+func NewTable(clk clock.Clock, timing settings.Timing) *Table {
 	return &Table{
-		clock:    source,
+		clock:    clk,
 		timing:   timing,
 		sessions: map[string]tableEntry{},
 		changed:  make(chan struct{}),
 	}
 }
 
-// Observe takes in what was heard of a node some time ago. It counts only when it was heard later
-// than what is known, also where the two are of different runs of the node.
+// Observe records the Info that a node sent some time ago. It is ignored unless it is newer than
+// the recorded one, even if the two are from different runs of the node.
 func (t *Table) Observe(info Info, age time.Duration) {
 	now := t.clock.Now()
 	heardAt := now.Add(-age)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	before, ok := t.sessions[info.Name]
-	if ok && !heardAt.After(before.heardAt) {
+	previous, ok := t.sessions[info.Name]
+	if ok && !heardAt.After(previous.heardAt) {
 		return
 	}
 	t.sessions[info.Name] = tableEntry{info: info, heardAt: heardAt}
-	hadLapsed := now.Sub(before.heardAt) >= t.timing.SessionTimeout()
-	if !ok || hadLapsed || before.info.DiffersMaterially(info) {
+	hadExpired := now.Sub(previous.heardAt) >= t.timing.SessionTimeout()
+	if !ok || hadExpired || previous.info.DiffersMaterially(info) {
 		close(t.changed)
 		t.changed = make(chan struct{})
 	}
 }
 
-// Changed returns a channel that is closed when a node joins, comes back, or says something new in
-// what DiffersMaterially compares.
+// Changed returns a channel that is closed when a node joins, rejoins, or changes in a field that
+// DiffersMaterially compares.
 func (t *Table) Changed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.changed
 }
 
-// Live returns the nodes with a live session, by name.
+// Live returns the nodes with a live session, sorted by name.
 func (t *Table) Live() []Info {
 	now := t.clock.Now()
 	t.mu.Lock()
@@ -83,7 +84,7 @@
 	return live
 }
 
-// Sessions returns all live sessions with their ages, in no order.
+// Sessions returns all live sessions with their ages, in no particular order.
 func (t *Table) Sessions() []Session {
 	now := t.clock.Now()
 	t.mu.Lock()
--- a/internal/membership/versionedlist.go
+++ b/internal/membership/versionedlist.go
@@ -5,57 +5,58 @@
 	"sync"
 )
 
-// Version is a point in the history of a VersionedList: which list it is, and how many changes
-// there were. The zero value is before all.
+// Version is a point in the history of a VersionedList: which list it is, and the number of changes
+// so far. The zero value precedes all others.
 type Version struct {
 	List    uint64 `json:"r,omitempty"`
 	Changes uint64 `json:"t,omitempty"`
 }
 
-// Change is what came to a list after a version: nodes whose state is new, nodes that only have
-// another configuration, and names that are gone. Complete says that it is the entire list.
+// Change is the difference of a list from a version: nodes with a new state, nodes of which only
+// the configuration changed, and names that were removed. Complete means that it is the entire
+// list.
 type Change struct {
 	Version  Version  `json:"m"`
 	Base     uint64   `json:"b,omitempty"`
 	Complete bool     `json:"w,omitempty"`
 	Updated  []Info   `json:"n,omitempty"`
 	Removed  []string `json:"g,omitempty"`
-	// ConfigurationOnly has the configurations of nodes of which nothing else changed.
+	// ConfigurationOnly has the configurations of the nodes of which nothing else changed.
 	ConfigurationOnly map[string]uint64 `json:"d,omitempty"`
 }
 
-// Empty reports whether there is nothing new.
+// Empty reports whether nothing changed.
 func (c Change) Empty() bool {
 	return !c.Complete && len(c.Updated) == 0 && len(c.Removed) == 0 && len(c.ConfigurationOnly) == 0
 }
 
-// maxRemoved is how many removed names a list remembers.
+// maxRemoved limits the removed names that a list retains.
 const maxRemoved = 1 << 10
 
-// VersionedList is a list of nodes that can say what changed since a version. The zero value is
+// VersionedList is a list of nodes that can return the changes since a version. The zero value is
 // ready for use.
 type VersionedList struct {
-	// mu guards all below.
+	// mu guards the fields below.
 	mu sync.Mutex
-	// id is the random Version.List, 0 before the first Set.
+	// id is the random value of Version.List, 0 before the first Set.
 	id      uint64
 	changes uint64
 	// oldestBase is the number of changes before which removals are no longer known.
 	oldestBase uint64
 	entries    map[string]listEntry
-	// removed has the number of the change that removed a name.
+	// removed has the number of the change that removed each name.
 	removed map[string]uint64
 }
 
 type listEntry struct {
 	info Info
-	// updatedAt and configuredAt are the numbers of the changes that last changed the state, or
-	// just the configuration.
+	// updatedAt is the number of the change that last changed the state, configuredAt that of the
+	// change that last changed only the configuration.
 	updatedAt    uint64
 	configuredAt uint64
 }
 
-// Set replaces the list; states that are equivalent to the known ones count as no change.
+// Set replaces the list. A state that is equivalent to the known one is no change.
 func (l *VersionedList) Set(nodes []Info) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,8 +96,8 @@
 	}
 }
 
-// Since returns what came after a version: the entire list where that version is of another list or
-// too old.
+// Since returns the changes after a version. It returns the entire list if that version is of
+// another list or too old.
 func (l *VersionedList) Since(version Version) Change {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/membership/versionedlist_test.go
+++ b/internal/membership/versionedlist_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A replica that takes changes, some of them lost, late or twice, always comes to what the list
-// holds.
+// A replica that applies changes, some of them lost, late or duplicated, always converges to the
+// list.
 func TestListReplica_FollowsItsList(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	var list VersionedList
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -5,25 +5,26 @@
 	"sync"
 )
 
-// maxLastKnown is how many nodes a View remembers that were members once, before it begins anew.
+// maxLastKnown is how many present and former members a View records before it discards the former
+// ones.
 const maxLastKnown = 1 << 13
 
-// View is the list of members as a node was last sent it.
+// View is the list of members that a node received last.
 type View struct {
-	// mu guards all below.
+	// mu guards the fields below.
 	mu sync.Mutex
-	// members is never changed in place, as All returns it.
+	// members is never changed in place, since All returns it.
 	members []Info
 	byName  map[string]Info
-	// lastKnown has all that were members once, so that calls to a node don't depend on what one
-	// control node knows.
+	// lastKnown has all present and former members, so that calls to a node don't depend on what
+	// one control node knows.
 	lastKnown map[string]Info
 }
 
 // NewView returns an empty view.
 func NewView() *View { return &View{byName: map[string]Info{}, lastKnown: map[string]Info{}} }
 
-// Set replaces the list, which the caller must not change after.
+// Set replaces the list. The caller must not change it afterwards.
 func (v *View) Set(members []Info) {
 	byName := make(map[string]Info, len(members))
 	for _, member := range members {
@@ -40,7 +41,7 @@
 	}
 }
 
-// Add takes members in and keeps those that the list does not name.
+// Add adds or replaces members. Members that added does not name remain.
 func (v *View) Add(added []Info) {
 	members, isAdded := slices.Clone(added), make(map[string]bool, len(added))
 	for _, member := range added {
@@ -55,7 +56,7 @@
 	v.Set(members)
 }
 
-// LastKnown finds a member, or a node that was one once.
+// LastKnown returns a present or former member.
 func (v *View) LastKnown(name string) (Info, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -70,7 +71,7 @@
 	return v.members
 }
 
-// Get finds a member.
+// Get returns a member.
 func (v *View) Get(name string) (Info, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
