--- a/internal/failuredetector/calls.go
+++ b/internal/failuredetector/calls.go
@@ -7,10 +7,10 @@
 	"postjunction/internal/wire"
 )
 
-// PingRequest asks for a sign of life.
+// PingRequest asks whether a process is alive.
 type PingRequest struct{}
 
-// PingResponse is one: the run of the process.
+// PingResponse identifies the run of the process.
 type PingResponse struct {
 	BootID string `json:"b"`
 }
@@ -20,12 +20,12 @@
 	Node string `json:"n"`
 }
 
-// QueryResponse says whether the node was heard lately.
+// QueryResponse reports whether the node answered the peer recently.
 type QueryResponse struct {
 	Heard bool `json:"h"`
 }
 
-// The calls between nodes that watch one another.
+// Ping checks that a process is alive. Query asks a peer about a third node.
 var (
 	Ping = wire.NewProcedure[PingRequest, PingResponse]("Watch", "Beat", wire.ReadOnly,
 		"tells that the process lives")
@@ -33,7 +33,7 @@
 		"tells whom the receiver has heard")
 )
 
-// Serve adds the calls to mux.
+// Serve registers the procedures with mux.
 func (d *Detector) Serve(mux *http.ServeMux) {
 	Ping.Handle(mux, func(context.Context, *PingRequest) (*PingResponse, error) {
 		return &PingResponse{BootID: d.BootID}, nil
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -1,15 +1,15 @@
-// Package failuredetector has the stores that share partitions watch one another, so that the loss
-// of a leader is noticed by those that take over from it.
+// Package failuredetector makes the storage nodes that share partitions monitor one another, so
+// that the nodes that would take over from a leader notice its failure.
 //
-// A Detector pings the leaders of the partitions that its node holds replicas of. A leader counts
-// as failed at once when its port refuses calls, and after a number of unanswered pings when no
-// other replica hears it either: a broken link between two nodes is no failure. It counts as alive
-// again with the first answer. Silence is counted in pings of this node, not in time, so that a
-// pause of this process is no silence of others.
+// A Detector pings the leaders of the partitions that its node has replicas of. A leader counts as
+// failed at once when its port refuses calls. It also counts as failed after a number of unanswered
+// pings, if no other replica gets answers from it either: a broken link between two nodes is no
+// failure. It counts as alive again with the first answer. Silence is counted in pings of this
+// node, not in time, so that a pause of this process does not count as silence of others.
 //
-// Run is the loop; it never blocks on a call. Each ping and each query of the peers runs in a
-// goroutine that ends with its time-out, and OnFailure runs in one of its own. The lock is held
-// over memory only.
+// Run is the loop. It never blocks on a call. Each ping and each query of the peers runs in a
+// goroutine that ends with its time-out, and OnFailure runs in a goroutine of its own. The lock is
+// held for memory operations only.
 package failuredetector
 
 import (
@@ -26,27 +26,28 @@
 	"postjunction/internal/wire"
 )
 
-// Why a node counts as failed. These texts stand in partition records, so they are as in older
-// builds.
+// Refused and Silent are the reasons why a node counts as failed. They are written to partition
+// records, so the texts are those of older builds.
 const (
 	Refused = "its port turns calls away"
 	Silent  = "nothing is heard from it"
 )
 
 const (
-	// maxTargets is how many leaders one node watches.
+	// maxTargets is how many leaders one node monitors.
 	maxTargets = 16
-	// maxPingsInFlight is how many pings to one target wait for an answer.
+	// maxPingsInFlight limits the unanswered pings in flight to one target.
 	maxPingsInFlight = 4
 	// maxRefusals is how many refusals make a target count as failed.
 	maxRefusals = 2
-	// maxRecentMisses is how many unanswered pings a target that was heard lately may have.
+	// maxRecentMisses is how many unanswered pings a target may have that counts as heard recently.
 	maxRecentMisses = 3
-	// latencyDecayDivisor is the part of the longest latency that each answer takes off.
+	// latencyDecayDivisor is the divisor of the part of the highest latency that each answer
+	// subtracts.
 	latencyDecayDivisor = 8
 )
 
-// Detector watches the leaders of the partitions that one node holds replicas of. All exported
+// Detector monitors the leaders of the partitions that one node has replicas of. All exported
 // fields are set before Run.
 type Detector struct {
 	Self   string
@@ -55,35 +56,36 @@
 	Timing settings.Timing
 	Net    wire.Network
 	Store  *gossip.Store
-	// Addr finds the address of a node.
+	// Addr returns the address of a node.
 	Addr func(node string) (string, bool)
-	// OnFailure is called at each ping interval while a node counts as failed, with since when and
-	// why.
-	OnFailure func(ctx context.Context, node string, since time.Time, why string)
+	// OnFailure is called at each ping interval while a node counts as failed, with the time since
+	// when and the reason.
+	OnFailure func(ctx context.Context, node string, since time.Time, reason string)
 
-	// mu guards targets, what they point to, and peers.
+	// mu guards targets, the values that they point to, and peers.
 	mu      sync.Mutex
 	targets map[string]*target
-	// peers has, by target, the other nodes that hold replicas of its partitions.
+	// peers has, by target, the other nodes with replicas of its partitions.
 	peers map[string][]string
 }
 
-// target is a leader that is watched.
+// target is a leader that is monitored.
 type target struct {
 	// missed counts the ping intervals since the last answer, refused the refusals since then.
 	missed        int
 	refused       int
 	pingsInFlight int
-	// isQuerying says that the peers are being asked whether they hear it.
+	// isQuerying is set while the peers are asked whether the target answers them.
 	isQuerying bool
-	// latency is the longest of the last answers, which fades.
+	// latency is the highest latency of recent answers. It decays with each answer.
 	latency time.Duration
-	// failure is why it counts as failed, "" while it doesn't, and failedSince since when.
+	// failure is the reason why the target counts as failed, "" while it doesn't. failedSince is
+	// since when.
 	failure     string
 	failedSince time.Time
 }
 
-// Run watches the leaders until ctx ends.
+// Run monitors the leaders until ctx ends.
 func (d *Detector) Run(ctx context.Context) {
 	var changed <-chan struct{}
 	for last := d.Clock.Now(); d.Clock.Sleep(ctx, d.Timing.PingInterval()) == nil; {
@@ -99,11 +101,11 @@
 			changed = d.Store.Changed()
 			d.updateTargets()
 		}
-		d.round(ctx, wasPaused)
+		d.pingTargets(ctx, wasPaused)
 	}
 }
 
-// updateTargets sets whom to watch by the newest records. A target that stays keeps its state.
+// updateTargets sets the targets by the newest records. A target that remains keeps its state.
 func (d *Detector) updateTargets() {
 	peers := d.peersByLeader()
 	d.mu.Lock()
@@ -119,8 +121,8 @@
 	d.peers = peers
 }
 
-// peersByLeader returns the leaders to watch, each with the other nodes that hold replicas of those
-// of its partitions that this node holds one of.
+// peersByLeader returns the leaders to monitor. Each has the other nodes with replicas of those of
+// its partitions that this node has a replica of.
 func (d *Detector) peersByLeader() map[string][]string {
 	peers := map[string][]string{}
 	for partition := range d.Store.VoterSet().Layout.PartitionCount() {
@@ -146,9 +148,9 @@
 	})
 }
 
-// round pings every target, and acts on those that have failed or that miss too many pings. After a
-// pause of this process no ping counts as missed.
-func (d *Detector) round(ctx context.Context, wasPaused bool) {
+// pingTargets pings every target, and acts on those that have failed or that miss too many pings.
+// After a pause of this process no ping counts as missed.
+func (d *Detector) pingTargets(ctx context.Context, wasPaused bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for node, watched := range d.targets {
@@ -173,37 +175,37 @@
 	}
 }
 
-// maxMissed returns how many pings may go unanswered: more where answers took long lately, since
-// what is slow or lossy is not gone.
+// maxMissed returns how many pings may be unanswered. It is higher if recent answers took long,
+// since a slow or lossy connection is not a failure.
 func (d *Detector) maxMissed(watched *target) int {
 	interval := d.Timing.PingInterval()
 	silence := min(d.Timing.FailureTimeout()+2*watched.latency, d.Timing.SessionTimeout()/2)
 	return int((silence + interval/2) / interval)
 }
 
-// markFailed has a target count as failed, unless it does or is no longer watched. The caller holds
-// mu.
-func (d *Detector) markFailed(ctx context.Context, node string, watched *target, why string) {
+// markFailed marks a target as failed, unless it already is or is no longer monitored. The caller
+// holds mu.
+func (d *Detector) markFailed(ctx context.Context, node string, watched *target, reason string) {
 	if watched.failure != "" || d.targets[node] != watched {
 		return
 	}
-	watched.failure, watched.failedSince = why, d.Clock.Now()
-	go d.OnFailure(ctx, node, watched.failedSince, why)
+	watched.failure, watched.failedSince = reason, d.Clock.Now()
+	go d.OnFailure(ctx, node, watched.failedSince, reason)
 }
 
-// Heard reports whether a node that is watched here was heard lately. It returns NotReady for a
-// node that isn't watched.
+// Heard reports whether a node that is monitored here answered recently. It returns NotReady for a
+// node that isn't monitored.
 func (d *Detector) Heard(node string) (bool, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	watched := d.targets[node]
 	if watched == nil {
-		return false, apierror.New(apierror.NotReady, "%s does not watch %s", d.Self, node)
+		return false, apierror.New(apierror.NotReady, "%s does not monitor %s", d.Self, node)
 	}
 	return watched.failure == "" && watched.missed <= maxRecentMisses && watched.refused == 0, nil
 }
 
-// Failed reports whether a node that is watched here counts as failed.
+// Failed reports whether a node that is monitored here counts as failed.
 func (d *Detector) Failed(node string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/failuredetector/ping.go
+++ b/internal/failuredetector/ping.go
@@ -10,7 +10,7 @@
 	"postjunction/internal/wire"
 )
 
-// ping pings a target, and a second time soon after where its port refused the first one.
+// ping pings a target, and a second time after a short delay if its port refused the first call.
 func (d *Detector) ping(ctx context.Context, node string, watched *target, addr string) {
 	for isRetry := false; ; isRetry = true {
 		callCtx, cancel := context.WithTimeout(ctx, d.Timing.FailureTimeout())
@@ -33,8 +33,8 @@
 	isRetry bool
 }
 
-// recordPing takes in how a ping went, and reports whether to retry it.
-func (d *Detector) recordPing(ctx context.Context, node string, watched *target, result pingResult) (retry bool) {
+// recordPing records the result of a ping, and reports whether to retry it.
+func (d *Detector) recordPing(ctx context.Context, node string, watched *target, result pingResult) (shouldRetry bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if result.err != nil && wire.TurnedAway(result.err) && ctx.Err() == nil {
@@ -50,21 +50,21 @@
 	watched.pingsInFlight--
 	if wire.Spoke(result.err) {
 		watched.missed, watched.refused, watched.failure = 0, 0, ""
-		faded := watched.latency - watched.latency/latencyDecayDivisor
-		watched.latency = max(result.latency, faded)
+		decayed := watched.latency - watched.latency/latencyDecayDivisor
+		watched.latency = max(result.latency, decayed)
 	}
 	return false
 }
 
-// queryPeers asks the other replicas whether they hear a target that doesn't answer here. It counts
-// as failed when some of them answer and none hears it.
+// queryPeers asks the other replicas whether they get answers from a target that doesn't answer
+// here. The target counts as failed if some of them respond and none gets answers from it.
 func (d *Detector) queryPeers(ctx context.Context, node string, watched *target, peers []string) {
 	callCtx, cancel := context.WithTimeout(ctx, d.Timing.HedgeDelay())
 	defer cancel()
 	results := quorum.Gather(callCtx, peers, func(ctx context.Context, peer string) (bool, error) {
 		addr, ok := d.Addr(peer)
 		if !ok {
-			return false, apierror.New(apierror.Unreachable, "%s is not known", peer)
+			return false, apierror.New(apierror.Unreachable, "the address of %s is not known", peer)
 		}
 		response, err := Query.Call(ctx, d.Net, d.Self, addr, &QueryRequest{Node: node})
 		return err == nil && response.Heard, err
--- a/internal/reachability/monitor.go
+++ b/internal/reachability/monitor.go
@@ -1,13 +1,13 @@
-// Package reachability finds out whether a node still reaches the partition leaders, and which
-// peers do when it doesn't, so that its clients can be redirected to those.
+// Package reachability checks whether a node reaches the partition leaders. If it doesn't, the
+// package finds peers that do, so that the node's clients can be redirected to them.
 //
-// As long as heartbeats are answered a Monitor makes no calls. When one is late, it calls the
-// leaders and asks peers at once; only when no leader answers and still no heartbeat was heard are
-// the clients redirected, and only to peers that reach the leaders themselves. So clients aren't
-// redirected in vain when it is the leaders that are gone.
+// As long as heartbeats are answered, a Monitor makes no calls. When a heartbeat is late, it calls
+// the leaders and asks peers at once. The clients are redirected only if no leader answers and no
+// heartbeat was answered meanwhile, and only to peers that reach the leaders themselves. So clients
+// aren't redirected in vain when the leaders have failed.
 //
-// Run is the loop. It owns whether clients are redirected, blocks on its calls for a few hedge
-// delays at most, and calls OnRedirect itself. A Monitor has no lock.
+// Run is the loop. It owns the state of whether clients are redirected, blocks on its calls for a
+// few hedge delays at most, and calls OnRedirect itself. A Monitor has no lock.
 package reachability
 
 import (
@@ -20,26 +20,25 @@
 	"postjunction/internal/wire"
 )
 
-// Monitor watches over one node's way to the leaders. All exported fields are set before use.
+// Monitor checks one node's connection to the leaders. All exported fields are set before use.
 type Monitor struct {
 	Self   string
 	Clock  clock.Clock
 	Timing settings.Timing
 	Net    wire.Network
-	// LastHeard returns when a heartbeat was last answered, the zero time when none ever was.
+	// LastHeard returns when a heartbeat was last answered, or the zero time if none ever was.
 	LastHeard func() time.Time
-	// UsualLatency returns how long a heartbeat takes that is answered, and whether this node has
-	// been here for long enough to know.
+	// UsualLatency returns the usual duration of an answered heartbeat, and false until this node
+	// has measured enough of them.
 	UsualLatency func() (time.Duration, bool)
-	// LeaderAddrs returns the addresses of the other nodes that lead partitions at present.
+	// LeaderAddrs returns the addresses of the other nodes that currently lead partitions.
 	LeaderAddrs func() []string
-	// Peers returns the nodes that could take over this node's clients, in groups, the nearest
-	// first.
+	// Peers returns the nodes that could accept this node's clients, in groups, the nearest first.
 	Peers func() [][]membership.Info
-	// CheckServing returns an error where this node itself could not take over clients.
+	// CheckServing returns an error if this node itself can't accept clients of others.
 	CheckServing func() error
-	// OnRedirect is called with the peers that are to take over this node's clients, and with none
-	// once this node reaches the leaders again.
+	// OnRedirect is called with the peers to redirect this node's clients to, and with none once
+	// this node reaches the leaders again.
 	OnRedirect func(to []membership.Info)
 }
 
@@ -47,12 +46,12 @@
 	// A heartbeat is late after 3/2 of its interval.
 	lateNumerator   = 3
 	lateDenominator = 2
-	// slackFactor times the usual latency is what a slow node or link is given more, since slow
+	// slackFactor times the usual latency is added to the limits of a slow node or link, since slow
 	// isn't unreachable.
 	slackFactor = 4
 )
 
-// Run watches the way to the leaders until ctx ends.
+// Run checks the connection to the leaders until ctx ends.
 func (m *Monitor) Run(ctx context.Context) {
 	isRedirected := false
 	for pause := m.Timing.PingInterval(); m.Clock.Sleep(ctx, pause) == nil; {
@@ -77,8 +76,8 @@
 	}
 }
 
-// check reports whether some leader is reached or a heartbeat was answered meanwhile. If not, it
-// returns the peers that reach the leaders, where askPeers is set.
+// check reports whether some leader answers or a heartbeat was answered meanwhile. If not, and if
+// askPeers is set, it returns the peers that reach the leaders.
 func (m *Monitor) check(ctx context.Context, askPeers bool) (isReached bool, peers []membership.Info) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -90,15 +89,15 @@
 		}
 		found <- m.reachablePeers(ctx)
 	}()
-	if answered, all := m.callLeaders(ctx, enoughForSelf); answered > 0 || all == 0 {
+	if answered, all := m.callLeaders(ctx, selfAnswerDivisor); answered > 0 || all == 0 {
 		return true, nil
 	}
 	peers = <-found
 	return !m.isHeartbeatLate(), peers
 }
 
-// isHeartbeatLate reports whether no heartbeat was answered for longer than is usual here. It is
-// false on a node that doesn't know what is usual.
+// isHeartbeatLate reports whether no heartbeat was answered for longer than is usual on this node.
+// It is false until the node knows what is usual.
 func (m *Monitor) isHeartbeatLate() bool {
 	_, isKnown := m.UsualLatency()
 	last := m.LastHeard()
--- a/internal/reachability/probe.go
+++ b/internal/reachability/probe.go
@@ -14,42 +14,43 @@
 // ProbeRequest asks a peer whether it reaches the leaders.
 type ProbeRequest struct{}
 
-// ProbeResponse says so.
+// ProbeResponse reports whether the receiver reaches the leaders.
 type ProbeResponse struct {
 	Reachable bool `json:"w"`
 }
 
-// Probe is the call that asks for it.
+// Probe asks a peer whether it reaches the leaders.
 var Probe = wire.NewProcedure[ProbeRequest, ProbeResponse]("Touch", "Reach", wire.ReadOnly,
 	"the receiver looks whom it reaches")
 
 const (
 	// maxPeersAsked is how many peers of a group are asked.
 	maxPeersAsked = 8
-	// One in enoughForSelf of the leaders, so a single one, is enough for a node to keep its
-	// clients; one in enoughForPeer, so half of them, for a peer to be given more.
-	enoughForSelf = 1 << 10
-	enoughForPeer = 2
+	// A node keeps its clients if one in selfAnswerDivisor of the leaders answers, which is a
+	// single one. A peer may be sent clients if one in peerAnswerDivisor answers it, which is half
+	// of them.
+	selfAnswerDivisor = 1 << 10
+	peerAnswerDivisor = 2
 )
 
-// Serve adds the call to mux.
+// Serve registers the procedure with mux.
 func (m *Monitor) Serve(mux *http.ServeMux) { Probe.Handle(mux, m.serveProbe) }
 
 func (m *Monitor) serveProbe(ctx context.Context, _ *ProbeRequest) (*ProbeResponse, error) {
 	if err := m.CheckServing(); err != nil {
 		return nil, err
 	}
-	answered, all := m.callLeaders(ctx, enoughForPeer)
-	return &ProbeResponse{Reachable: enoughForPeer*answered >= all}, nil
+	answered, all := m.callLeaders(ctx, peerAnswerDivisor)
+	return &ProbeResponse{Reachable: peerAnswerDivisor*answered >= all}, nil
 }
 
-// callLeaders calls all leaders at once, and returns how many of how many answered, as soon as one
-// in oneIn of them did.
-func (m *Monitor) callLeaders(ctx context.Context, oneIn int) (answered, all int) {
+// callLeaders calls all leaders at once. It returns the number that answered and the number called,
+// as soon as one in divisor of them has answered.
+func (m *Monitor) callLeaders(ctx context.Context, divisor int) (answered, all int) {
 	ctx, cancel := context.WithTimeout(ctx, m.Timing.HedgeDelay()+m.slack())
 	defer cancel()
 	addrs := m.LeaderAddrs()
-	enough := max(1, (len(addrs)+oneIn-1)/oneIn)
+	enough := max(1, (len(addrs)+divisor-1)/divisor)
 	ping := func(ctx context.Context, addr string) (*failuredetector.PingResponse, error) {
 		return failuredetector.Ping.Call(ctx, m.Net, m.Self, addr, &failuredetector.PingRequest{})
 	}
@@ -59,8 +60,8 @@
 	return len(quorum.Successes(quorum.Gather(ctx, addrs, ping, isEnough))), len(addrs)
 }
 
-// reachablePeers returns the peers of the nearest group in which some say that they reach the
-// leaders: those that say so soon after the first.
+// reachablePeers returns the peers that reach the leaders, from the nearest group that has some. It
+// returns those that answer soon after the first.
 func (m *Monitor) reachablePeers(ctx context.Context) []membership.Info {
 	for _, group := range m.Peers() {
 		rand.Shuffle(len(group), func(i, j int) { group[i], group[j] = group[j], group[i] })
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// probe asks these peers at once, and returns those that say that they reach the leaders.
+// probe asks these peers at once, and returns those that report that they reach the leaders.
 func (m *Monitor) probe(ctx context.Context, peers []membership.Info) []membership.Info {
 	callCtx, cancel := context.WithTimeout(ctx, 2*m.Timing.HedgeDelay())
 	defer cancel()
