--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -9,27 +9,27 @@
 	"postjunction/internal/wire"
 )
 
-// ExchangeRequest offers a digest, and an update to peers that are known to lack it. With a Hash of
-// the state, the digest leaves the records out.
+// ExchangeRequest sends a digest, and an update to peers that are known to lack it. If it has a
+// Hash of the state, the digest omits the records.
 type ExchangeRequest struct {
 	Digest Digest `json:"digest,omitzero"`
 	Update Update `json:"news,omitzero"`
 	Hash   uint64 `json:"h,omitempty"`
 }
 
-// ExchangeResponse returns the receiver's digest and what the sender lacks, or only that both have
-// the Same.
+// ExchangeResponse returns the receiver's digest and the update that the sender lacks. Same reports
+// instead that both have the same state.
 type ExchangeResponse struct {
 	Digest Digest `json:"digest,omitzero"`
 	Update Update `json:"news,omitzero"`
 	Same   bool   `json:"s,omitempty"`
 }
 
-// Exchange is the gossip call.
+// Exchange is the procedure of gossip.
 var Exchange = wire.NewProcedure[ExchangeRequest, ExchangeResponse]("Gossip", "Exchange", wire.Monotonic,
 	"updates are numbered, and only higher numbers are accepted")
 
-// Serve adds the gossip call to mux.
+// Serve registers the procedure with mux.
 func (g *Gossiper) Serve(mux *http.ServeMux) { Exchange.Handle(mux, g.serveExchange) }
 
 func (g *Gossiper) serveExchange(_ context.Context, request *ExchangeRequest) (*ExchangeResponse, error) {
@@ -47,32 +47,32 @@
 	}, nil
 }
 
-// exchange compares digests with a peer and has each send what the other lacks.
+// exchange compares digests with a peer. Each side sends what the other lacks.
 func (g *Gossiper) exchange(ctx context.Context, peer membership.Info) {
 	ctx, cancel := context.WithTimeout(ctx, g.Timing.CallTimeout())
 	defer cancel()
 	request := &ExchangeRequest{Digest: g.digest(), Hash: g.Store.Hash()}
 	request.Digest.Records = nil
-	maySend := g.beginFetch()
-	request.Digest.ConfigurationPending = !maySend
-	defer g.endFetch(maySend)
+	mayFetch := g.beginFetch()
+	request.Digest.ConfigurationPending = !mayFetch
+	defer g.endFetch(mayFetch)
 	response, err := Exchange.Call(ctx, g.Net, g.Self, peer.PeerAddr, request)
 	if err != nil {
 		return
 	}
-	differed := !response.Same && g.reconcile(ctx, peer, response, !maySend)
+	differed := !response.Same && g.reconcile(ctx, peer, response, !mayFetch)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.exchanges++
 	if differed {
 		g.repairs++
-		g.identicalInARow = 0
+		g.consecutiveIdentical = 0
 	} else {
-		g.identicalInARow++
+		g.consecutiveIdentical++
 	}
 }
 
-// reconcile takes in a response that shows a difference, and sends and fetches the rest by a second
+// reconcile applies a response that shows a difference, and sends and fetches the rest by a second
 // call. It reports whether either side had something new for the other.
 func (g *Gossiper) reconcile(
 	ctx context.Context, peer membership.Info, response *ExchangeResponse, configurationPending bool,
@@ -91,8 +91,8 @@
 	return true
 }
 
-// push sends an update to a peer, without asking for any configuration. It isn't sent again when it
-// is lost: exchanges repair that.
+// push sends an update to a peer, without requesting a configuration. A lost update isn't sent
+// again, since exchanges repair that.
 func (g *Gossiper) push(ctx context.Context, peer membership.Info, update Update) {
 	ctx, cancel := context.WithTimeout(ctx, g.Timing.CallTimeout())
 	defer cancel()
@@ -102,9 +102,9 @@
 	_, _ = Exchange.Call(ctx, g.Net, g.Self, peer.PeerAddr, request)
 }
 
-// forPeer returns an update as one peer is to have it: records without their history where it omits
-// that. A node without a disk sends records to such peers only, since those that write records need
-// them complete.
+// forPeer returns an update as it is sent to a peer: with records without their history if
+// omitHistory is set. A node without a disk sends records to such peers only, since nodes that
+// write records need them complete.
 func (g *Gossiper) forPeer(update Update, omitHistory bool) Update {
 	if omitHistory {
 		return update.withoutHistory()
@@ -121,43 +121,43 @@
 	return digest
 }
 
-// responseDigest returns this node's digest for a peer that sent its own. A configuration that one
-// peer was let send counts as known towards the others for a heartbeat, so that it doesn't come
-// complete from all of them at once.
-func (g *Gossiper) responseDigest(theirs Digest) Digest {
+// responseDigest returns this node's digest in response to a peer's digest. After one peer was
+// allowed to send a configuration, it counts as known towards the others for a heartbeat interval,
+// so that they don't all send it complete at once.
+func (g *Gossiper) responseDigest(peerDigest Digest) Digest {
 	digest := g.digest()
-	if theirs.Configuration <= digest.Configuration {
+	if peerDigest.Configuration <= digest.Configuration {
 		return digest
 	}
 	now := g.Clock.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if theirs.Configuration <= g.expectedConfiguration && now.Before(g.expectedUntil) {
-		digest.Configuration = theirs.Configuration
+	if peerDigest.Configuration <= g.expectedConfiguration && now.Before(g.expectedUntil) {
+		digest.Configuration = peerDigest.Configuration
 		return digest
 	}
-	g.expectedConfiguration, g.expectedUntil = theirs.Configuration, now.Add(g.Timing.HeartbeatInterval())
+	g.expectedConfiguration, g.expectedUntil = peerDigest.Configuration, now.Add(g.Timing.HeartbeatInterval())
 	return digest
 }
 
-// beginFetch reports whether a configuration may come with an exchange: on a node that has none
-// yet, with one exchange at a time, as it comes complete. endFetch ends what it allowed.
+// beginFetch reports whether an exchange may fetch a configuration. On a node that has none yet,
+// one exchange at a time may, since the configuration is sent complete. endFetch must follow.
 func (g *Gossiper) beginFetch() bool {
 	hasNone := g.Store.Configuration().Sequence == 0
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if hasNone && g.fetching {
+	if hasNone && g.isFetching {
 		return false
 	}
-	g.fetching = true
+	g.isFetching = true
 	return true
 }
 
-// endFetch ends an exchange; allowed is what beginFetch reported for it.
+// endFetch ends an exchange. allowed is the result of beginFetch for it.
 func (g *Gossiper) endFetch(allowed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if allowed {
-		g.fetching = false
+		g.isFetching = false
 	}
 }
--- a/internal/gossip/gossiper.go
+++ b/internal/gossip/gossiper.go
@@ -1,16 +1,16 @@
-// Package gossip spreads the voter set, the configuration and the partition records to all nodes:
-// nodes pass updates on to a few peers and repair gaps by comparing digests.
+// Package gossip distributes the voter set, the configuration and the partition records to all
+// nodes: nodes send updates to a few peers and repair gaps by comparing digests.
 //
-// Every part is numbered, and a Store accepts only higher numbers, so updates may come late, twice
-// or in any order. Updates of ownership (voter set and records) can't wait and are pushed: by the
-// node that wrote a record (Broadcast), and by nodes with a disk to those without one (relay). A
-// configuration spreads from the control nodes, and to all others with their heartbeats. What is
-// lost on any of these ways is repaired by exchanges, of which each node makes one now and then and
-// several after an update.
+// Every part has a version number, and a Store accepts only higher numbers, so updates may be late,
+// duplicated or reordered. Updates of ownership (voter set and records) can't wait and are pushed:
+// by the node that wrote a record (Broadcast), and by nodes with a disk to those without one
+// (relay). A configuration is sent by the control nodes, and to all others with their heartbeats.
+// What is lost on any of these paths is repaired by exchanges. Each node makes one of them from
+// time to time, and several after an update.
 //
-// Store has a lock of its own, held over memory only. Gossiper.Run is the loop; it never blocks on
-// a call: exchanges and pushes run in goroutines that end with the call time-out. Records without
-// their history must never reach a node that writes records (forPeer).
+// Store has a lock of its own, held for memory operations only. Gossiper.Run is the loop. It never
+// blocks on a call: exchanges and pushes run in goroutines that end with the call time-out. Records
+// without their history must never be sent to a node that writes records (forPeer).
 package gossip
 
 import (
@@ -26,7 +26,7 @@
 	"postjunction/internal/wire"
 )
 
-// Gossiper spreads the updates of one node's store. All exported fields are set before use.
+// Gossiper distributes the updates of one node's store. All exported fields are set before use.
 type Gossiper struct {
 	Self   string
 	Net    wire.Network
@@ -35,36 +35,37 @@
 	Store  *Store
 	// View returns the members of the fleet.
 	View func() []membership.Info
-	// Control says that the node is a control node, from which others have their updates.
+	// Control reports that the node is a control node, from which others get configurations.
 	Control bool
-	// Disk says that the node has a disk of any kind: it relays updates of ownership to some of the
-	// nodes that have none. A node without a disk writes no records, and has them without their
+	// Disk reports that the node has a disk of any kind: it relays updates of ownership to some of
+	// the nodes that have none. A node without a disk writes no records, and has them without their
 	// history.
 	Disk bool
 
-	// These belong to Run: what Store held, and its count of ownership updates, at the last relay;
-	// the count at the last look of ownershipChanged; the rounds left; and whether rounds go to
-	// nodes without a disk too.
+	// Only Run uses these fields. relayed is the digest of Store, and relayedUpdates its count of
+	// ownership updates, at the last relay. seenUpdates is the count at the last call of
+	// ownershipChanged. roundsLeft is the number of rounds left. includeDiskless reports whether
+	// rounds include nodes without a disk.
 	relayed         Digest
 	relayedUpdates  uint64
 	seenUpdates     uint64
 	roundsLeft      int
 	includeDiskless bool
 
-	// mu guards all below.
+	// mu guards the fields below.
 	mu sync.Mutex
-	// fetching says that an exchange is under way with which a configuration may come.
-	fetching bool
-	// expectedConfiguration is the configuration that a peer was let send, which counts as known
-	// until expectedUntil.
+	// isFetching is set while an exchange that may fetch a configuration is in flight.
+	isFetching bool
+	// expectedConfiguration is the configuration that a peer was allowed to send. It counts as
+	// known until expectedUntil.
 	expectedConfiguration uint64
 	expectedUntil         time.Time
-	// identicalInARow counts the last exchanges that found nothing new.
-	identicalInARow int
-	// pending are records that the next broadcast sends, which is under way if broadcasting.
-	pending      []assignment.Record
-	broadcasting bool
-	// exchanges counts the exchanges made, repairs those that found a difference.
+	// consecutiveIdentical counts the latest exchanges that found nothing new.
+	consecutiveIdentical int
+	// pending are the records of the next broadcast. isBroadcasting is set while one is scheduled.
+	pending        []assignment.Record
+	isBroadcasting bool
+	// exchanges counts the completed exchanges, repairs those that found a difference.
 	exchanges uint64
 	repairs   uint64
 }
@@ -72,23 +73,24 @@
 const (
 	// peersPerRound is how many peers one round exchanges with.
 	peersPerRound = 2
-	// maxRounds is how many rounds there are at most after an update, and maxIdentical how many
-	// exchanges in a row that find nothing new end them early.
+	// maxRounds limits the rounds after an update. They end early after maxIdentical consecutive
+	// exchanges that find nothing new.
 	maxRounds    = 12
 	maxIdentical = 6
-	// roundPauseDivisor of the heartbeat interval is the pause between rounds.
+	// The pause between rounds is the heartbeat interval divided by roundPauseDivisor.
 	roundPauseDivisor = 10 * peersPerRound
 )
 
-// Counts returns the number of exchanges made, and of those that repaired a gap.
+// Counts returns the number of completed exchanges, and of those that repaired a gap.
 func (g *Gossiper) Counts() (exchanges, repairs uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.exchanges, g.repairs
 }
 
-// Run exchanges with a few peers at once after an update, and again until several exchanges in a
-// row found nothing new; else with one peer now and then. It returns when ctx ends.
+// Run exchanges with a few peers at once after an update, and again until several consecutive
+// exchanges found nothing new. Otherwise it exchanges with one peer from time to time. It returns
+// when ctx ends.
 func (g *Gossiper) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := g.Store.Changed()
@@ -109,7 +111,8 @@
 	}
 }
 
-// randomPeers returns up to count other members, only such with a disk unless includeDiskless.
+// randomPeers returns up to count other members. Unless includeDiskless is set, all of them have a
+// disk.
 func (g *Gossiper) randomPeers(count int, includeDiskless bool) []membership.Info {
 	peers := membership.Filter(g.View(), func(node membership.Info) bool {
 		return node.Name != g.Self && (includeDiskless || hasDisk(node))
@@ -118,8 +121,8 @@
 	return peers[:min(len(peers), count)]
 }
 
-// waitForRound waits for an update or until it is time to ask someone. It returns how many peers to
-// exchange with, and whether nodes without a disk are among them.
+// waitForRound waits for an update or until the next regular exchange is due. It returns how many
+// peers to exchange with, and whether nodes without a disk are included.
 func (g *Gossiper) waitForRound(ctx context.Context, changed <-chan struct{}) (peerCount int, includeDiskless bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -142,24 +145,24 @@
 	return 0, false
 }
 
-// ownershipChanged reports whether ownership was updated since the last call. That can't wait for
-// the next heartbeat. A configuration is passed on at once by control nodes only; all others get it
-// with their heartbeats, each in its own time, which spares a small machine two dozen exchanges at
-// once.
+// ownershipChanged reports whether ownership was updated since the last call. Such an update can't
+// wait for the next heartbeat. A configuration is passed on at once by control nodes only. All
+// others get it with their heartbeats, each at its own time, which saves a small machine two dozen
+// exchanges at once.
 func (g *Gossiper) ownershipChanged() bool {
 	before := g.seenUpdates
 	g.seenUpdates = g.Store.ownershipUpdateCount()
 	return g.seenUpdates != before
 }
 
-// beginRounds begins rounds after an update, with nodes without a disk too if includeDiskless or if
-// rounds with them are still going on. It reports whether these are included.
+// beginRounds begins rounds after an update. They include nodes without a disk if includeDiskless
+// is set, or if rounds that include them are still running. It reports whether they are included.
 func (g *Gossiper) beginRounds(includeDiskless bool) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	isGoingOn := g.roundsLeft > 0 && g.identicalInARow < maxIdentical
-	g.includeDiskless = includeDiskless || g.includeDiskless && isGoingOn
-	g.roundsLeft, g.identicalInARow = maxRounds, 0
+	isRunning := g.roundsLeft > 0 && g.consecutiveIdentical < maxIdentical
+	g.includeDiskless = includeDiskless || g.includeDiskless && isRunning
+	g.roundsLeft, g.consecutiveIdentical = maxRounds, 0
 	return g.includeDiskless
 }
 
@@ -168,7 +171,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.roundsLeft--
-	return g.roundsLeft < 0 || g.identicalInARow >= maxIdentical
+	return g.roundsLeft < 0 || g.consecutiveIdentical >= maxIdentical
 }
 
 func hasDisk(node membership.Info) bool { return node.Disk != "" && node.Disk != settings.DiskNone }
--- a/internal/gossip/relay.go
+++ b/internal/gossip/relay.go
@@ -13,17 +13,17 @@
 const (
 	// relaysPerNode is how many nodes with a disk relay to each node without one.
 	relaysPerNode = 2
-	// maxBroadcastPeers is how many peers hear of written records beside those that the records
-	// name.
+	// maxBroadcastPeers is how many peers are sent written records in addition to those that the
+	// records name.
 	maxBroadcastPeers = 16
-	// broadcastPauseDivisor of the heartbeat interval is the pause in which written records are
-	// gathered into one broadcast.
+	// Written records are collected into one broadcast for the heartbeat interval divided by
+	// broadcastPauseDivisor.
 	broadcastPauseDivisor = 150
 )
 
-// relay sends what is new of ownership, on a node with a disk, to the nodes without one that it
-// serves. All that a node hears after its start is new to it, so it asks them first what is new to
-// them.
+// relay sends the new updates of ownership, on a node with a disk, to the nodes without one that it
+// serves. After this node's start all updates are new to it, so it exchanges with them first to
+// find out what they lack.
 func (g *Gossiper) relay(ctx context.Context) {
 	updates := g.Store.ownershipUpdateCount()
 	if !g.Disk || updates == g.relayedUpdates {
@@ -56,16 +56,16 @@
 }
 
 // isRelayFor reports whether self is among the few relays that serve a node: those with the highest
-// weights for it, which all nodes compute equally from the names (rendezvous hashing).
+// weights for it, which all nodes compute identically from the names (rendezvous hashing).
 func isRelayFor(self string, relays []membership.Info, node string) bool {
-	own, ahead := rendezvousWeight(self, node), 0
+	ownWeight, higherCount := rendezvousWeight(self, node), 0
 	for _, relay := range relays {
 		weight := rendezvousWeight(relay.Name, node)
-		if weight > own || weight == own && relay.Name < self {
-			ahead++
+		if weight > ownWeight || weight == ownWeight && relay.Name < self {
+			higherCount++
 		}
 	}
-	return ahead < relaysPerNode
+	return higherCount < relaysPerNode
 }
 
 func rendezvousWeight(relay, node string) uint64 {
@@ -77,22 +77,22 @@
 	return weight ^ weight>>32
 }
 
-// Broadcast applies records that were written here and makes them known at once: to the nodes that
-// they name, and to a few others with a disk that relay them. It doesn't wait for that.
+// Broadcast applies records that were written on this node and sends them at once to the nodes that
+// they name, and to a few others with a disk that relay them. It doesn't wait for the calls.
 func (g *Gossiper) Broadcast(ctx context.Context, records ...assignment.Record) {
 	g.Store.Apply(Update{Records: records})
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.pending = append(g.pending, records...)
-	if g.broadcasting {
+	if g.isBroadcasting {
 		return
 	}
-	g.broadcasting = true
+	g.isBroadcasting = true
 	go func() {
 		_ = g.Clock.Sleep(ctx, g.Timing.HeartbeatInterval()/broadcastPauseDivisor)
 		g.mu.Lock()
 		records := g.pending
-		g.pending, g.broadcasting = nil, false
+		g.pending, g.isBroadcasting = nil, false
 		g.mu.Unlock()
 		g.pushRecords(ctx, records)
 	}()
@@ -100,10 +100,10 @@
 
 // pushRecords sends records to all nodes that they name, and to a few others with a disk.
 func (g *Gossiper) pushRecords(ctx context.Context, records []assignment.Record) {
-	named := map[string]bool{}
+	isNamed := map[string]bool{}
 	for _, record := range records {
 		for _, node := range record.Nodes() {
-			named[node] = true
+			isNamed[node] = true
 		}
 	}
 	peers := membership.Filter(g.View(), func(node membership.Info) bool {
@@ -112,7 +112,7 @@
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	unnamedLeft := maxBroadcastPeers
 	for _, peer := range peers {
-		if !named[peer.Name] {
+		if !isNamed[peer.Name] {
 			unnamedLeft--
 			if unnamedLeft < 0 {
 				continue
--- a/internal/gossip/store.go
+++ b/internal/gossip/store.go
@@ -10,13 +10,13 @@
 	"postjunction/internal/voters"
 )
 
-// Store holds the newest voter set, configuration and partition records that a node knows. Nothing
-// in it ever goes back to an older version. It is safe for use by several goroutines.
+// Store has the newest voter set, configuration and partition records that a node knows. No part is
+// ever replaced by an older version. It is safe for concurrent use.
 type Store struct {
 	// onUpdate, which may be nil, is called without the lock.
 	onUpdate func(Update)
 
-	// mu guards all below.
+	// mu guards the fields below.
 	mu            sync.Mutex
 	voterSet      voters.Set
 	configuration configuration.Config
@@ -24,18 +24,18 @@
 	records       map[int]assignment.Record
 	// recentChanges are the last changes that led to configuration, oldest first.
 	recentChanges []configuration.Change
-	// needsComplete says that a change didn't come out, so that the next configuration has to come
-	// complete.
+	// needsComplete is set when a change could not be applied, so that the next configuration has
+	// to be complete.
 	needsComplete bool
 	// ownershipUpdates counts updates of the voter set or of records.
 	ownershipUpdates uint64
 	// changed is closed, and replaced, at the next update.
 	changed chan struct{}
-	// hash is the result of Hash, 0 while it isn't computed.
+	// hash is the cached result of Hash, 0 until it is computed.
 	hash uint64
 }
 
-// NewStore returns an empty store. onUpdate, if not nil, is called with what was new in each
+// NewStore returns an empty store. onUpdate, if not nil, is called with the new parts of each
 // update.
 func NewStore(onUpdate func(Update)) *Store {
 	return &Store{
@@ -46,41 +46,41 @@
 	}
 }
 
-// Apply takes in an update and returns the part that was new here. A voter set of another fleet is
+// Apply applies an update and returns the part of it that was new. A voter set of another fleet is
 // ignored.
 func (s *Store) Apply(update Update) Update {
-	fresh := s.apply(update)
-	if !fresh.Empty() && s.onUpdate != nil {
-		s.onUpdate(fresh)
+	applied := s.apply(update)
+	if !applied.Empty() && s.onUpdate != nil {
+		s.onUpdate(applied)
 	}
-	return fresh
+	return applied
 }
 
 func (s *Store) apply(update Update) Update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var fresh Update
+	var applied Update
 	if s.isNewVoterSet(update.VoterSet) {
-		s.voterSet, fresh.VoterSet = *update.VoterSet, update.VoterSet
+		s.voterSet, applied.VoterSet = *update.VoterSet, update.VoterSet
 	}
-	if fresh.Configuration = s.applyConfiguration(update); fresh.Configuration != nil {
+	if applied.Configuration = s.applyConfiguration(update); applied.Configuration != nil {
 		s.needsComplete = false
 	}
 	for _, record := range update.Records {
 		if record.Version > s.records[record.Partition].Version {
 			s.records[record.Partition] = record
-			fresh.Records = append(fresh.Records, record)
+			applied.Records = append(applied.Records, record)
 		}
 	}
-	if fresh.VoterSet != nil || len(fresh.Records) > 0 {
+	if applied.VoterSet != nil || len(applied.Records) > 0 {
 		s.ownershipUpdates++
 	}
-	if !fresh.Empty() {
+	if !applied.Empty() {
 		s.hash = 0
 		close(s.changed)
 		s.changed = make(chan struct{})
 	}
-	return fresh
+	return applied
 }
 
 func (s *Store) isNewVoterSet(set *voters.Set) bool {
@@ -109,14 +109,14 @@
 	return s.voterSet
 }
 
-// Record returns the newest record of a partition, the zero value where none is known.
+// Record returns the newest record of a partition, or the zero value if none is known.
 func (s *Store) Record(partition int) assignment.Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.records[partition]
 }
 
-// Hash returns a number that stores with the same versions have in common, never 0.
+// Hash returns a hash of the versions of the store. It is never 0.
 func (s *Store) Hash() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,7 +133,7 @@
 	return s.hash
 }
 
-// Digest returns how new the store is.
+// Digest returns the versions of the store.
 func (s *Store) Digest() Digest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gossip/store_configuration.go
+++ b/internal/gossip/store_configuration.go
@@ -6,13 +6,13 @@
 	"postjunction/internal/configuration"
 )
 
-// maxRecentChanges is how many changes of the configuration a store keeps for those that are
+// maxRecentChanges is how many changes of the configuration a store retains for nodes that are
 // behind.
 const maxRecentChanges = 8
 
-// applyConfiguration takes in a complete configuration, or changes to the one that is here, and
-// returns the new one, or nil. A change that doesn't come out as it has to is left alone, and the
-// next configuration has to come complete.
+// applyConfiguration applies a complete configuration, or changes to the current one, and returns
+// the new one, or nil. A change with an unexpected result is ignored, and the next configuration
+// has to be complete.
 func (s *Store) applyConfiguration(update Update) *configuration.Config {
 	before := s.configuration.Sequence
 	if complete := update.Configuration; complete != nil && complete.Sequence > s.configuration.Sequence {
@@ -64,8 +64,8 @@
 	return s.index
 }
 
-// AcceptsChanges reports whether changes of the configuration are of use here. They aren't after
-// some that didn't come out as they had to, until a complete configuration came.
+// AcceptsChanges reports whether changes of the configuration can be applied. They can't after a
+// change with an unexpected result, until a complete configuration arrives.
 func (s *Store) AcceptsChanges() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,8 +73,8 @@
 }
 
 // ConfigurationSince returns the newest configuration for a node that has the one numbered
-// sequence: by changes where it accepts them and they are known and small, else complete. Both
-// results are nil when there is no newer one.
+// sequence. It returns changes if the node accepts them and they are known and small, and otherwise
+// the complete one. Both results are nil if there is no newer one.
 func (s *Store) ConfigurationSince(
 	sequence uint64, acceptsChanges bool,
 ) (*configuration.Config, []configuration.Change) {
@@ -99,7 +99,7 @@
 }
 
 // changesFrom returns the changes from the configuration numbered sequence to the newest one, or
-// nil where that is too long ago.
+// nil if they are no longer retained.
 func (s *Store) changesFrom(sequence uint64) []configuration.Change {
 	first := slices.IndexFunc(s.recentChanges, func(change configuration.Change) bool {
 		return change.From == sequence
--- a/internal/gossip/store_test.go
+++ b/internal/gossip/store_test.go
@@ -38,7 +38,7 @@
 	assert.Equal(t, len(store.Since(Digest{}).Records), 1)
 }
 
-// nextConfiguration returns the configuration that follows previous, with its first space changed.
+// nextConfiguration returns the configuration after previous, with its first space changed.
 func nextConfiguration(previous configuration.Config) configuration.Config {
 	next := previous
 	next.Base, next.Sequence = previous.Sequence, previous.Sequence+1
@@ -48,7 +48,7 @@
 }
 
 func TestConfiguration_IsSentByItsChanges(t *testing.T) {
-	sender, receiver, late := NewStore(nil), NewStore(nil), NewStore(nil)
+	sender, receiver, lagging := NewStore(nil), NewStore(nil), NewStore(nil)
 	config := configuration.Config{Sequence: 1, Source: "the document", Spaces: []configuration.Space{
 		{Name: "a", Prefix: "a"}, {Name: "b", Prefix: "b"}, {Name: "c", Prefix: "c"}, {Name: "d", Prefix: "d"},
 	}}
@@ -61,7 +61,7 @@
 		config = nextConfiguration(config)
 		sender.Apply(Update{Configuration: &config})
 		if i < 2 {
-			late.Apply(Update{Configuration: &config})
+			lagging.Apply(Update{Configuration: &config})
 		}
 		if i%2 == 0 {
 			continue
@@ -72,14 +72,15 @@
 		receiver.Apply(update)
 		assert.DeepEqual(t, receiver.Configuration(), sender.Configuration())
 		assert.Assert(t, receiver.Since(sender.Digest()).Empty())
-		assert.Assert(t, receiver.Apply(update).Empty(), "the same again")
+		assert.Assert(t, receiver.Apply(update).Empty(), "the same update again")
 	}
-	assert.Assert(t, sender.Since(late.Digest()).Configuration != nil, "the changes to one so old are kept")
+	assert.Assert(t, sender.Since(lagging.Digest()).Configuration != nil,
+		"changes to such an old configuration are retained")
 	update = sender.Since(Digest{Configuration: config.Sequence - 1})
-	assert.Assert(t, update.Configuration != nil, "one that does not accept changes was sent some")
-	late.Apply(Update{Changes: sender.Since(receiver.Digest()).Changes})
-	late.Apply(sender.Since(late.Digest()))
-	assert.DeepEqual(t, late.Configuration(), sender.Configuration())
+	assert.Assert(t, update.Configuration != nil, "a node that does not accept changes was sent some")
+	lagging.Apply(Update{Changes: sender.Since(receiver.Digest()).Changes})
+	lagging.Apply(sender.Since(lagging.Digest()))
+	assert.DeepEqual(t, lagging.Configuration(), sender.Configuration())
 }
 
 func TestConfiguration_IsSentCompleteAfterAFailedChange(t *testing.T) {
@@ -108,8 +109,7 @@
 	assert.Assert(t, receiver.AcceptsChanges())
 }
 
-// Of a configuration of 514 spaces, what changed goes between nodes in a hundredth of the bytes of
-// the complete one.
+// For a configuration of 514 spaces, a change takes a hundredth of the bytes of the complete one.
 func TestConfigurationChange_IsSmallOnTheWire(t *testing.T) {
 	config := configuration.Config{Sequence: 70000, Base: 69999, StandingLanes: true}
 	for i := range 514 {
--- a/internal/gossip/update.go
+++ b/internal/gossip/update.go
@@ -8,22 +8,22 @@
 	"postjunction/internal/voters"
 )
 
-// Digest says how new the state of a node is, by the number of each part.
+// Digest describes the state of a node by the version of each part.
 type Digest struct {
 	VoterSet      uint64 `json:"r"`
 	Configuration uint64 `json:"d"`
 	// Records has the version of each partition's record, by partition.
 	Records []uint64 `json:"p"`
-	// Changes says that a configuration may come by its changes.
+	// Changes reports that a configuration may be sent as changes.
 	Changes bool `json:"c,omitempty"`
-	// ConfigurationPending says that the configuration is asked of another peer already.
+	// ConfigurationPending reports that the configuration is already requested from another peer.
 	ConfigurationPending bool `json:"w,omitempty"`
-	// OmitHistory says that records are wanted without their history.
+	// OmitHistory requests records without their history.
 	OmitHistory bool `json:"l,omitempty"`
 }
 
-// Update is what one node has and another lacks. A configuration comes complete, without its
-// source, or by the changes to one that the other has.
+// Update is what one node has and another lacks. A configuration is sent complete, without its
+// source, or as changes to one that the other node has.
 type Update struct {
 	VoterSet      *voters.Set            `json:"r,omitempty"`
 	Configuration *configuration.Config  `json:"d,omitempty"`
@@ -31,12 +31,12 @@
 	Records       []assignment.Record    `json:"p,omitempty"`
 }
 
-// Empty reports whether there is nothing new.
+// Empty reports whether the update has no parts.
 func (u Update) Empty() bool {
 	return u.VoterSet == nil && u.Configuration == nil && len(u.Changes) == 0 && len(u.Records) == 0
 }
 
-// withoutHistory returns the update with records that lack their history.
+// withoutHistory returns the update with the history of its records removed.
 func (u Update) withoutHistory() Update {
 	u.Records = slices.Clone(u.Records)
 	for i, record := range u.Records {
