--- a/internal/delivery/fanout/feed.go
+++ b/internal/delivery/fanout/feed.go
@@ -17,7 +17,7 @@
 	// wakeups interrupts the waits of followLoop.
 	wakeups chan struct{}
 
-	// mu guards the fields below and the state of the feed's subscriptions.
+	// mu guards all fields below and the state of the feed's subscriptions.
 	mu            sync.Mutex
 	subscriptions map[string]map[*Subscription]bool
 	// pending are subscriptions that wait for a response to Follow.
--- a/internal/delivery/fanout/hub.go
+++ b/internal/delivery/fanout/hub.go
@@ -61,7 +61,7 @@
 	timing  settings.Timing
 	ctx     context.Context
 
-	// mu guards the fields below.
+	// mu guards feeds and buffers.
 	mu      sync.Mutex
 	feeds   map[int]*feed
 	buffers []Buffer
--- a/internal/delivery/stream/feed.go
+++ b/internal/delivery/stream/feed.go
@@ -30,7 +30,7 @@
 	opened   chan struct{}
 	finished chan struct{}
 
-	// mu guards the fields below.
+	// mu guards all fields below.
 	mu        sync.Mutex
 	followers map[*follower]bool
 	// bootID identifies the feed as a reader. readerToken was assigned to it by the leader.
--- a/internal/delivery/stream/feeds.go
+++ b/internal/delivery/stream/feeds.go
@@ -45,7 +45,7 @@
 	timing settings.Timing
 	ctx    context.Context
 
-	// mu guards the fields below.
+	// mu guards open, running and bootCount.
 	mu sync.Mutex
 	// open are the feeds that have streams, by partition. running also has those that have not
 	// reported yet that they are finished.
--- a/internal/delivery/stream/feeds_test.go
+++ b/internal/delivery/stream/feeds_test.go
@@ -106,14 +106,14 @@
 	leave  func()
 }
 
-func (x *fixture) cached(offset uint64) Window {
-	window, ok := x.feed.Cached(offset)
-	assert.Assert(x, ok)
+func (f *fixture) cached(offset uint64) Window {
+	window, ok := f.feed.Cached(offset)
+	assert.Assert(f, ok)
 	return window
 }
 
-func (x *fixture) status(window Window, index int) EntryStatus {
-	status, end := x.feed.BeginWrite(window, window.Entries[index], func() {})
+func (f *fixture) status(window Window, index int) EntryStatus {
+	status, end := f.feed.BeginWrite(window, window.Entries[index], func() {})
 	if status == EntryDeliverable {
 		end()
 	}
@@ -121,169 +121,169 @@
 }
 
 func TestFeeds(t *testing.T) {
-	for name, test := range map[string]func(x *fixture){
-		"a withdrawal applies to the cache and earlier windows, not to later messages under its key": func(x *fixture) {
-			x.leader.write(log.TypeMessage, "k", "old")
-			x.leader.write(log.TypeMessage, "l", "other")
+	for name, test := range map[string]func(f *fixture){
+		"a withdrawal applies to the cache and earlier windows, not to later messages under its key": func(f *fixture) {
+			f.leader.write(log.TypeMessage, "k", "old")
+			f.leader.write(log.TypeMessage, "l", "other")
 			synctest.Wait()
-			window := x.cached(0)
-			x.leader.write(log.TypeWithdrawal, "k", "")
-			x.leader.write(log.TypeMessage, "k", "new")
+			window := f.cached(0)
+			f.leader.write(log.TypeWithdrawal, "k", "")
+			f.leader.write(log.TypeMessage, "k", "new")
 			synctest.Wait()
-			assert.Equal(x, x.status(window, 0), EntryWithdrawn)
-			assert.Equal(x, x.status(window, 1), EntryDeliverable)
-			later := x.cached(0)
-			assert.Equal(x, fmt.Sprintf("%s %v", later.Entries[0].Body, later.Entries[0].BodyDropped), " true")
-			assert.Equal(x, string(later.Entries[1].Body)+string(later.Entries[3].Body), "othernew")
-			assert.Equal(x, string(window.Entries[0].Body), "old")
-			assert.Equal(x, x.status(later, 3), EntryDeliverable)
-			position, _ := x.leader.readPosition("b.1")
-			assert.Equal(x, position, uint64(4))
+			assert.Equal(f, f.status(window, 0), EntryWithdrawn)
+			assert.Equal(f, f.status(window, 1), EntryDeliverable)
+			later := f.cached(0)
+			assert.Equal(f, fmt.Sprintf("%s %v", later.Entries[0].Body, later.Entries[0].BodyDropped), " true")
+			assert.Equal(f, string(later.Entries[1].Body)+string(later.Entries[3].Body), "othernew")
+			assert.Equal(f, string(window.Entries[0].Body), "old")
+			assert.Equal(f, f.status(later, 3), EntryDeliverable)
+			position, _ := f.leader.readPosition("b.1")
+			assert.Equal(f, position, uint64(4))
 		},
-		"a withdrawal applies to a late response to an earlier call": func(x *fixture) {
+		"a withdrawal applies to a late response to an earlier call": func(f *fixture) {
 			for range 3 {
-				x.leader.write(log.TypeMessage, "k", "old")
+				f.leader.write(log.TypeMessage, "k", "old")
 			}
 			synctest.Wait()
-			x.feed.mu.Lock()
-			x.feed.entries, x.feed.receivedAt, x.feed.base = nil, nil, x.feed.end
-			x.feed.mu.Unlock()
-			x.leader.set(func() { x.leader.block = make(chan struct{}) })
+			f.feed.mu.Lock()
+			f.feed.entries, f.feed.receivedAt, f.feed.base = nil, nil, f.feed.end
+			f.feed.mu.Unlock()
+			f.leader.set(func() { f.leader.block = make(chan struct{}) })
 			got := make(chan Window, 1)
 			go func() {
-				window, err := x.feed.Fetch(x.Context(), 1)
-				assert.Check(x, err)
+				window, err := f.feed.Fetch(f.Context(), 1)
+				assert.Check(f, err)
 				got <- window
 			}()
 			synctest.Wait()
-			x.leader.write(log.TypeWithdrawal, "k", "")
+			f.leader.write(log.TypeWithdrawal, "k", "")
 			synctest.Wait()
-			close(x.leader.block)
+			close(f.leader.block)
 			window := <-got
-			assert.Equal(x, string(window.Entries[0].Body), "old")
-			assert.Equal(x, x.status(window, 0), EntryWithdrawn)
-			position, _ := x.leader.readPosition("b.1")
-			assert.Equal(x, position, uint64(4))
+			assert.Equal(f, string(window.Entries[0].Body), "old")
+			assert.Equal(f, f.status(window, 0), EntryWithdrawn)
+			position, _ := f.leader.readPosition("b.1")
+			assert.Equal(f, position, uint64(4))
 		},
-		"a write in flight is aborted and has ended before anything after the tombstone is read": func(x *fixture) {
-			x.leader.write(log.TypeMessage, "k", "old")
-			x.leader.write(log.TypeMessage, "l", "other")
+		"a write in flight is aborted and has ended before anything after the tombstone is read": func(f *fixture) {
+			f.leader.write(log.TypeMessage, "k", "old")
+			f.leader.write(log.TypeMessage, "l", "other")
 			synctest.Wait()
-			window := x.cached(0)
+			window := f.cached(0)
 			aborted := make(chan bool, 3)
-			_, end := x.feed.BeginWrite(window, window.Entries[0], func() { aborted <- true })
-			_, endOther := x.feed.BeginWrite(window, window.Entries[1], func() { aborted <- false })
-			x.leader.write(log.TypeWithdrawal, "k", "")
+			_, end := f.feed.BeginWrite(window, window.Entries[0], func() { aborted <- true })
+			_, endOther := f.feed.BeginWrite(window, window.Entries[1], func() { aborted <- false })
+			f.leader.write(log.TypeWithdrawal, "k", "")
 			synctest.Wait()
-			assert.Equal(x, len(aborted), 1)
-			assert.Assert(x, <-aborted)
+			assert.Equal(f, len(aborted), 1)
+			assert.Assert(f, <-aborted)
 			time.Sleep(10 * time.Second)
-			position, _ := x.leader.readPosition("b.1")
-			assert.Equal(x, position, uint64(2))
-			assert.Equal(x, len(x.cached(2).Entries), 1)
+			position, _ := f.leader.readPosition("b.1")
+			assert.Equal(f, position, uint64(2))
+			assert.Equal(f, len(f.cached(2).Entries), 1)
 			end()
 			synctest.Wait()
-			position, _ = x.leader.readPosition("b.1")
-			assert.Equal(x, position, uint64(3))
+			position, _ = f.leader.readPosition("b.1")
+			assert.Equal(f, position, uint64(3))
 			endOther()
 		},
-		"too many tombstones make windows stale": func(x *fixture) {
-			x.leader.write(log.TypeMessage, "k", "old")
-			x.leader.write(log.TypeMessage, "", "without")
+		"too many tombstones make windows stale": func(f *fixture) {
+			f.leader.write(log.TypeMessage, "k", "old")
+			f.leader.write(log.TypeMessage, "", "without")
 			synctest.Wait()
-			window := x.cached(0)
-			x.leader.write(log.TypeWithdrawal, "k", "")
+			window := f.cached(0)
+			f.leader.write(log.TypeWithdrawal, "k", "")
 			for i := range maxTombstones {
-				x.leader.write(log.TypeWithdrawal, fmt.Sprint(i), "")
+				f.leader.write(log.TypeWithdrawal, fmt.Sprint(i), "")
 			}
 			synctest.Wait()
-			x.feed.mu.Lock()
-			count := len(x.feed.tombstones)
-			x.feed.mu.Unlock()
-			assert.Assert(x, count <= maxTombstones)
-			assert.Equal(x, x.status(window, 0), EntryStale)
-			assert.Equal(x, x.status(window, 1), EntryDeliverable)
-			assert.Assert(x, x.cached(0).Entries[0].BodyDropped)
+			f.feed.mu.Lock()
+			count := len(f.feed.tombstones)
+			f.feed.mu.Unlock()
+			assert.Assert(f, count <= maxTombstones)
+			assert.Equal(f, f.status(window, 0), EntryStale)
+			assert.Equal(f, f.status(window, 1), EntryDeliverable)
+			assert.Assert(f, f.cached(0).Entries[0].BodyDropped)
 		},
-		"skipped tombstones make windows stale and abort writes": func(x *fixture) {
-			x.leader.write(log.TypeMessage, "k", "old")
+		"skipped tombstones make windows stale and abort writes": func(f *fixture) {
+			f.leader.write(log.TypeMessage, "k", "old")
 			synctest.Wait()
-			window := x.cached(0)
+			window := f.cached(0)
 			aborted := make(chan bool, 1)
-			_, end := x.feed.BeginWrite(window, window.Entries[0], func() { aborted <- true })
-			x.leader.set(func() {
+			_, end := f.feed.BeginWrite(window, window.Entries[0], func() { aborted <- true })
+			f.leader.set(func() {
 				for range 5 {
-					x.leader.entries = append(x.leader.entries, log.Entry{})
+					f.leader.entries = append(f.leader.entries, log.Entry{})
 				}
-				x.leader.base = 6
+				f.leader.base = 6
 			})
-			x.leader.write(log.TypeMessage, "m", "far")
+			f.leader.write(log.TypeMessage, "m", "far")
 			synctest.Wait()
-			assert.Equal(x, len(aborted), 1)
+			assert.Equal(f, len(aborted), 1)
 			end()
-			assert.Equal(x, x.status(window, 0), EntryStale)
+			assert.Equal(f, f.status(window, 0), EntryStale)
 			synctest.Wait()
-			assert.Equal(x, string(x.cached(6).Entries[0].Body), "far")
+			assert.Equal(f, string(f.cached(6).Entries[0].Body), "far")
 		},
-		"a reader that the leader gave up is reset and continues under another boot ID": func(x *fixture) {
-			x.leader.write(log.TypeMessage, "k", "old")
+		"a reader that the leader gave up is reset and continues under another boot ID": func(f *fixture) {
+			f.leader.write(log.TypeMessage, "k", "old")
 			synctest.Wait()
-			window := x.cached(0)
+			window := f.cached(0)
 			aborted := make(chan bool, 1)
-			_, end := x.feed.BeginWrite(window, window.Entries[0], func() { aborted <- true })
-			x.leader.set(func() { x.leader.resets, x.leader.block = map[string]bool{"b.1": true}, make(chan struct{}) })
-			x.leader.write(log.TypeMessage, "l", "other")
+			_, end := f.feed.BeginWrite(window, window.Entries[0], func() { aborted <- true })
+			f.leader.set(func() { f.leader.resets, f.leader.block = map[string]bool{"b.1": true}, make(chan struct{}) })
+			f.leader.write(log.TypeMessage, "l", "other")
 			synctest.Wait()
-			assert.Equal(x, len(aborted), 1)
+			assert.Equal(f, len(aborted), 1)
 			end()
 			synctest.Wait()
-			assert.Equal(x, x.status(window, 0), EntryStale)
-			_, ok := x.feed.Cached(0)
-			assert.Assert(x, !ok)
-			close(x.leader.block)
+			assert.Equal(f, f.status(window, 0), EntryStale)
+			_, ok := f.feed.Cached(0)
+			assert.Assert(f, !ok)
+			close(f.leader.block)
 			synctest.Wait()
-			assert.Equal(x, x.feed.CommittedEnd(), uint64(2))
-			x.leader.write(log.TypeMessage, "m", "new")
+			assert.Equal(f, f.feed.CommittedEnd(), uint64(2))
+			f.leader.write(log.TypeMessage, "m", "new")
 			synctest.Wait()
-			assert.Equal(x, string(x.cached(2).Entries[0].Body), "new")
-			x.leader.set(func() {
-				request := x.leader.requests[len(x.leader.requests)-1]
-				assert.Check(x, request.BootID != "b.1" && request.From == 3, "%+v", request)
+			assert.Equal(f, string(f.cached(2).Entries[0].Body), "new")
+			f.leader.set(func() {
+				request := f.leader.requests[len(f.leader.requests)-1]
+				assert.Check(f, request.BootID != "b.1" && request.From == 3, "%+v", request)
 			})
 		},
-		"nothing is accepted from a leader that is known to be superseded": func(x *fixture) {
-			x.leader.set(func() { x.leader.epoch = 7 })
-			x.leader.write(log.TypeMessage, "k", "old")
+		"nothing is accepted from a leader that is known to be superseded": func(f *fixture) {
+			f.leader.set(func() { f.leader.epoch = 7 })
+			f.leader.write(log.TypeMessage, "k", "old")
 			synctest.Wait()
-			x.leader.set(func() { x.leader.epoch = 6 })
-			x.leader.write(log.TypeMessage, "k", "of the older leader")
+			f.leader.set(func() { f.leader.epoch = 6 })
+			f.leader.write(log.TypeMessage, "k", "of the older leader")
 			time.Sleep(time.Second)
-			assert.Equal(x, x.feed.CommittedEnd(), uint64(1))
-			x.leader.set(func() { x.leader.epoch = 8 })
+			assert.Equal(f, f.feed.CommittedEnd(), uint64(1))
+			f.leader.set(func() { f.leader.epoch = 8 })
 			time.Sleep(time.Second)
-			assert.Equal(x, x.feed.CommittedEnd(), uint64(2))
+			assert.Equal(f, f.feed.CommittedEnd(), uint64(2))
 		},
-		"the last stream that leaves finishes the reader, and the next one is another": func(x *fixture) {
-			_, leaveSecond, err := x.feeds.Follow(x.Context(), 0, make(chan struct{}, 1))
-			assert.NilError(x, err)
-			x.leave()
+		"the last stream that leaves finishes the reader, and the next one is another": func(f *fixture) {
+			_, leaveSecond, err := f.feeds.Follow(f.Context(), 0, make(chan struct{}, 1))
+			assert.NilError(f, err)
+			f.leave()
 			synctest.Wait()
-			_, finished := x.leader.readPosition("b.1")
-			assert.Assert(x, !finished)
+			_, finished := f.leader.readPosition("b.1")
+			assert.Assert(f, !finished)
 			leaveSecond()
 			synctest.Wait()
-			_, finished = x.leader.readPosition("b.1")
-			assert.Assert(x, finished)
-			feed, leave, err := x.feeds.Follow(x.Context(), 0, make(chan struct{}, 1))
-			assert.NilError(x, err)
+			_, finished = f.leader.readPosition("b.1")
+			assert.Assert(f, finished)
+			feed, leave, err := f.feeds.Follow(f.Context(), 0, make(chan struct{}, 1))
+			assert.NilError(f, err)
 			defer leave()
-			assert.Assert(x, feed.bootID != "b.1")
+			assert.Assert(f, feed.bootID != "b.1")
 		},
-		"a reader token is sent with the next call": func(x *fixture) {
-			x.leader.set(func() { x.leader.readerToken = 9 })
-			x.leader.write(log.TypeMessage, "k", "old")
+		"a reader token is sent with the next call": func(f *fixture) {
+			f.leader.set(func() { f.leader.readerToken = 9 })
+			f.leader.write(log.TypeMessage, "k", "old")
 			synctest.Wait()
-			x.leader.set(func() { assert.Check(x, x.leader.requests[len(x.leader.requests)-1].ReaderToken == 9) })
+			f.leader.set(func() { assert.Check(f, f.leader.requests[len(f.leader.requests)-1].ReaderToken == 9) })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/gossip/gossiper.go
+++ b/internal/gossip/gossiper.go
@@ -52,7 +52,7 @@
 	roundsLeft      int
 	includeDiskless bool
 
-	// mu guards the fields below.
+	// mu guards all fields below.
 	mu sync.Mutex
 	// isFetching is set while an exchange that may fetch a configuration is in flight.
 	isFetching bool
--- a/internal/gossip/store.go
+++ b/internal/gossip/store.go
@@ -16,7 +16,7 @@
 	// onUpdate, which may be nil, is called without the lock.
 	onUpdate func(Update)
 
-	// mu guards the fields below.
+	// mu guards all fields below.
 	mu            sync.Mutex
 	voterSet      voters.Set
 	configuration configuration.Config
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -17,7 +17,7 @@
 	clock  clock.Clock
 	timing settings.Timing
 
-	// mu guards the fields below.
+	// mu guards sessions and changed.
 	mu       sync.Mutex
 	sessions map[string]tableEntry
 	// changed is closed, and replaced, at the next change.
@@ -39,8 +39,8 @@
 	}
 }
 
-// Observe records the Info that a node sent some time ago. It is ignored unless it is newer than
-// the recorded one, even if the two are from different runs of the node.
+// Observe records the Info that a node sent some time ago. The Info is ignored unless it is newer
+// than the recorded one, even if the two are from different runs of the node.
 func (t *Table) Observe(info Info, age time.Duration) {
 	now := t.clock.Now()
 	heardAt := now.Add(-age)
--- a/internal/membership/versionedlist.go
+++ b/internal/membership/versionedlist.go
@@ -36,7 +36,7 @@
 // VersionedList is a list of nodes that can return the changes since a version. The zero value is
 // ready for use.
 type VersionedList struct {
-	// mu guards the fields below.
+	// mu guards id, changes, oldestBase, entries and removed.
 	mu sync.Mutex
 	// id is the random value of Version.List, 0 before the first Set.
 	id      uint64
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -11,7 +11,7 @@
 
 // View is the list of members that a node received last.
 type View struct {
-	// mu guards the fields below.
+	// mu guards members, byName and lastKnown.
 	mu sync.Mutex
 	// members is never changed in place, since All returns it.
 	members []Info
--- a/internal/nodelease/manager.go
+++ b/internal/nodelease/manager.go
@@ -31,7 +31,8 @@
 	Local *Server
 	Log   *event.Logger
 
-	// mu guards the fields below, up to the next blank line.
+	// mu guards controlNode, leaseUntil, lastHeardAt, leaseLogged, identified, attemptLatencies,
+	// answeredLatencies, configurationBehind and controlWarmingUp.
 	mu sync.Mutex
 	// controlNode is the control node that the session is with.
 	controlNode membership.Info
--- a/internal/nodelease/manager_discovery.go
+++ b/internal/nodelease/manager_discovery.go
@@ -38,9 +38,9 @@
 	return response, nil
 }
 
-// chooseControlNode returns a control node for the next session. Without a control node to avoid,
-// this is this node itself if it is one. After a session that worked (hadSession) it is one of the
-// members known from that session, otherwise one found through the seeds. Without a control node to
+// chooseControlNode returns a control node for the next session. If there is none to avoid and this
+// node is a control node, it is this node. After a session that worked (hadSession) it is one of
+// the members known from that session, otherwise one found through the seeds. If there is none to
 // avoid, those in this node's zone are preferred. An error has the code Unreachable.
 func (m *Manager) chooseControlNode(ctx context.Context, avoid string, hadSession bool) (membership.Info, error) {
 	if m.Local != nil && avoid == "" {
--- a/internal/nodelease/server.go
+++ b/internal/nodelease/server.go
@@ -36,7 +36,7 @@
 	Info               func() membership.Info
 	LatestConfirmation func() Confirmation
 
-	// mu guards the fields below. The lists in transfer have locks of their own.
+	// mu guards all fields below. The lists in transfer have locks of their own.
 	mu sync.Mutex
 	// ownSessions are the sessions with this control node, by node.
 	ownSessions map[string]nodeInfo
