--- a/internal/client/session/redirect.go
+++ b/internal/client/session/redirect.go
@@ -34,7 +34,8 @@
 func (r *Registry) moveAll() {
 	self := r.Info()
 	serving := membership.Filter(r.Members(), func(member membership.Info) bool {
-		return member.ClientAddr != "" && member.Name != self.Name && member.Stage == membership.Serving && !member.Isolated
+		return member.ClientAddr != "" && member.Name != self.Name && member.Stage == membership.Serving &&
+			!member.Isolated
 	})
 	sameZone := membership.Filter(serving, func(member membership.Info) bool { return member.Zone == self.Zone })
 	if len(sameZone) > 0 {
