--- a/internal/placement/controller/clusterview.go
+++ b/internal/placement/controller/clusterview.go
@@ -124,12 +124,12 @@
 		return false
 	}
 	m := v.machines[replica.Node]
-	return m.Stage == membership.Serving && !m.Deaf && !m.slow
+	return m.Stage == membership.Serving && !m.Isolated && !m.slow
 }
 
 // canReceive reports whether a replica may be placed on a machine. It is false for nil.
 func (v *clusterView) canReceive(host *machine) bool {
-	if host == nil || host.excluded || host.DiskHealth != "" || host.Deaf || host.Stage != membership.Serving {
+	if host == nil || host.excluded || host.DiskHealth != "" || host.Isolated || host.Stage != membership.Serving {
 		return false
 	}
 	return host.Disk == settings.DiskStorage || v.storageMachines < v.replicationFactor
@@ -140,7 +140,7 @@
 func (c *Controller) observeMissing(view *clusterView) {
 	for name, m := range view.machines {
 		delete(c.missingSince, name)
-		if !m.Deaf {
+		if !m.Isolated {
 			delete(c.leaselessSince, name)
 		} else if c.leaselessSince[name].IsZero() {
 			c.leaselessSince[name] = view.now
