--- a/internal/placement/controller/leadership_test.go
+++ b/internal/placement/controller/leadership_test.go
@@ -54,7 +54,8 @@
 			s.view.machines["s1"].Stage = membership.Draining
 		}, "the owner is stopping", false},
 		{"without a lease for less than half a session timeout", func(s *situation) {
-			s.view.machines["s1"].Isolated, s.controller.leaselessSince["s1"] = true, s.view.now.Add(time.Millisecond-half)
+			s.view.machines["s1"].Isolated = true
+			s.controller.leaselessSince["s1"] = s.view.now.Add(time.Millisecond - half)
 		}, "", false},
 		{"without a lease", func(s *situation) {
 			s.view.machines["s1"].Isolated, s.controller.leaselessSince["s1"] = true, s.view.now.Add(-half)
