--- a/internal/configuration/change.go
+++ b/internal/configuration/change.go
@@ -6,14 +6,14 @@
 // Parts, in their order; Lanes is nil where the table of lanes stays, and Checksum is that of the
 // configuration that has to come out.
 type Change struct {
-	From          uint64 `json:"f"`
-	Sequence      uint64 `json:"s"`
-	Base          uint64 `json:"b,omitempty"`
-	Limits        Limits `json:"l,omitzero"`
-	StandingLanes bool   `json:"t,omitempty"`
-	Lanes         *Lanes `json:"n,omitempty"`
-	Parts         []Part `json:"p,omitempty"`
-	Checksum      uint64 `json:"m"`
+	From             uint64 `json:"f"`
+	Sequence         uint64 `json:"s"`
+	Base             uint64 `json:"b,omitempty"`
+	Limits           Limits `json:"l,omitzero"`
+	UseAssignedLanes bool   `json:"t,omitempty"`
+	Lanes            *Lanes `json:"n,omitempty"`
+	Parts            []Part `json:"p,omitempty"`
+	Checksum         uint64 `json:"m"`
 }
 
 // Part is Count spaces of the old configuration, from index At on, and then the spaces of Insert.
@@ -49,13 +49,13 @@
 // Change returns what makes next of this configuration, sources left out.
 func (c Config) Change(next Config) Change {
 	change := Change{
-		From:          c.Sequence,
-		Sequence:      next.Sequence,
-		Base:          next.Base,
-		Limits:        next.Limits,
-		StandingLanes: next.StandingLanes,
-		Parts:         parts(c.Spaces, next.Spaces),
-		Checksum:      next.Checksum(),
+		From:             c.Sequence,
+		Sequence:         next.Sequence,
+		Base:             next.Base,
+		Limits:           next.Limits,
+		UseAssignedLanes: next.UseAssignedLanes,
+		Parts:            parts(c.Spaces, next.Spaces),
+		Checksum:         next.Checksum(),
 	}
 	if !c.Lanes.equal(next.Lanes) {
 		change.Lanes = &next.Lanes
@@ -97,11 +97,11 @@
 // build on c or does not come out as its checksum says.
 func (c Config) Apply(change Change) (Config, bool) {
 	next := Config{
-		Sequence:      change.Sequence,
-		Base:          change.Base,
-		Limits:        change.Limits,
-		StandingLanes: change.StandingLanes,
-		Lanes:         c.Lanes,
+		Sequence:         change.Sequence,
+		Base:             change.Base,
+		Limits:           change.Limits,
+		UseAssignedLanes: change.UseAssignedLanes,
+		Lanes:            c.Lanes,
 	}
 	if change.Lanes != nil {
 		next.Lanes = *change.Lanes
--- a/internal/configuration/change_test.go
+++ b/internal/configuration/change_test.go
@@ -10,7 +10,7 @@
 )
 
 func manySpaces(n int) Config {
-	config := Config{Sequence: 1, StandingLanes: true}
+	config := Config{Sequence: 1, UseAssignedLanes: true}
 	for i := range n {
 		config.Spaces = append(
 			config.Spaces,
@@ -71,7 +71,7 @@
 					assert.Equal(t, ea == nil, eb == nil)
 				}
 			}
-			assert.Equal(t, nextIndex.Longest, fresh.Longest)
+			assert.Equal(t, nextIndex.LongestRetention, fresh.LongestRetention)
 			assert.Equal(t, nextIndex.Limits, fresh.Limits)
 			assert.Equal(t, nextIndex.Sequence, fresh.Sequence)
 			config, index = next, nextIndex
--- a/internal/configuration/checksum.go
+++ b/internal/configuration/checksum.go
@@ -12,7 +12,7 @@
 // never changes.
 func (c Config) Checksum() uint64 {
 	h := checksum(fnvOffset)
-	h.addNumbers(c.Sequence, c.Base, uint64(c.Limits.Topics), uint64(c.Limits.Body), bit(c.StandingLanes),
+	h.addNumbers(c.Sequence, c.Base, uint64(c.Limits.Topics), uint64(c.Limits.Body), bit(c.UseAssignedLanes),
 		uint64(len(c.Spaces)))
 	for _, space := range c.Spaces {
 		h.addStrings(space.Name, space.Kind, space.Prefix, space.Order)
--- a/internal/configuration/config.go
+++ b/internal/configuration/config.go
@@ -97,11 +97,11 @@
 		return nil
 	}
 	c := Config{
-		Sequence:      lenient.Sequence,
-		Base:          lenient.Base,
-		Limits:        lenient.Limits,
-		Source:        lenient.Source,
-		StandingLanes: lenient.StandingLanes,
+		Sequence:         lenient.Sequence,
+		Base:             lenient.Base,
+		Limits:           lenient.Limits,
+		Source:           lenient.Source,
+		UseAssignedLanes: lenient.StandingLanes,
 	}
 	for _, space := range lenient.Spaces {
 		c.Spaces = append(c.Spaces, Space(space))
--- a/internal/configuration/index.go
+++ b/internal/configuration/index.go
@@ -8,13 +8,13 @@
 	"postjunction/internal/apierror"
 )
 
-// Index finds topics by name. Longest is the longest retention that any space asks for, 0 when none
+// Index finds topics by name. LongestRetention is the longest retention that any space asks for, 0 when none
 // asks.
 type Index struct {
-	Sequence uint64
-	Limits   Limits
-	Longest  time.Duration
-	spaces   []Space // without their topics, with the urgency of their lanes
+	Sequence         uint64
+	Limits           Limits
+	LongestRetention time.Duration
+	spaces           []Space // without their topics, with the urgency of their lanes
 	*layout
 }
 
@@ -40,7 +40,7 @@
 	for i, space := range c.Spaces {
 		x.spaces[i] = space
 		x.spaces[i].Topics = nil
-		x.Longest = max(x.Longest, space.retention())
+		x.LongestRetention = max(x.LongestRetention, space.retention())
 		if space.ByPrefix() {
 			x.prefixes.add(space.Prefix, int32(i))
 			continue
@@ -69,7 +69,7 @@
 		}
 		space.Topics, space.Urgent = nil, x.spaces[i].Urgent
 		index.spaces[i] = space
-		index.Longest = max(index.Longest, space.retention())
+		index.LongestRetention = max(index.LongestRetention, space.retention())
 	}
 	return index
 }
--- a/internal/configuration/lanes.go
+++ b/internal/configuration/lanes.go
@@ -100,9 +100,9 @@
 	return table
 }
 
-// KeptLanes returns the prefixes whose topics stand in another lane than their space asks for,
+// OverriddenLanes returns the prefixes whose topics stand in another lane than their space asks for,
 // sorted.
-func (c Config) KeptLanes() []Lane {
+func (c Config) OverriddenLanes() []Lane {
 	if !c.Lanes.IsDefined() {
 		return nil
 	}
@@ -130,11 +130,11 @@
 // configuration takes lanes as they stand. The error is apierror.ConfigurationInvalid with every
 // fault.
 func (c Config) CheckLanes() error {
-	if c.StandingLanes {
+	if c.UseAssignedLanes {
 		return nil
 	}
 	var faults []apierror.Fault
-	for _, lane := range c.KeptLanes() {
+	for _, lane := range c.OverriddenLanes() {
 		faults = append(faults, apierror.Fault{
 			Path: fmt.Sprintf("$.spaces[%d].urgent", lane.space),
 			Message: fmt.Sprintf("must be %v, where the lines of %q stand, or standing_lanes be true",
--- a/internal/configuration/lanes_test.go
+++ b/internal/configuration/lanes_test.go
@@ -14,7 +14,7 @@
 
 func newStandingConfig(spaces ...Space) Config {
 	config := newConfig(spaces...)
-	config.StandingLanes = true
+	config.UseAssignedLanes = true
 	return config
 }
 
@@ -135,14 +135,14 @@
 	} {
 		var current Config
 		for _, config := range test.steps {
-			if config.StandingLanes || current.Lanes.IsDefined() {
+			if config.UseAssignedLanes || current.Lanes.IsDefined() {
 				config = config.WithLanes(current, test.old)
 				assert.NilError(t, config.CheckLanes(), test.say)
 			}
 			current = config
 		}
 		var kept []string
-		for _, lane := range current.KeptLanes() {
+		for _, lane := range current.OverriddenLanes() {
 			kept = append(kept, fmt.Sprint(lane.Prefix, " ", lane.Urgent))
 		}
 		assert.Equal(t, lanesOf(current), test.lanes, test.say)
@@ -180,7 +180,7 @@
 		for step := range 30 {
 			config := newStandingConfig()
 			config.Base, config.Sequence = current.Sequence, current.Sequence+1
-			config.StandingLanes = !began && (seed%5 > 0 || r.IntN(2) > 0)
+			config.UseAssignedLanes = !began && (seed%5 > 0 || r.IntN(2) > 0)
 			paths := map[string]bool{}
 			for range 1 + r.IntN(maxSpaces) {
 				space := byPrefix(names[r.IntN(60)], r.IntN(2) > 0)
@@ -206,10 +206,10 @@
 			}
 			var err error
 			switch {
-			case config.StandingLanes || current.Lanes.IsDefined():
+			case config.UseAssignedLanes || current.Lanes.IsDefined():
 				config = config.WithLanes(current, removed)
 				err = config.CheckLanes()
-				if config.StandingLanes {
+				if config.UseAssignedLanes {
 					assert.NilError(t, err)
 				}
 			case config.CheckSuccession(current) != nil:
@@ -266,7 +266,7 @@
 			config.Spaces = append(config.Spaces, byPrefix(fmt.Sprintf("p%d-%d.", i, k), k%4 == 0))
 		}
 		current = config.WithLanes(current, nil)
-		assert.Equal(t, len(current.KeptLanes()), 0)
+		assert.Equal(t, len(current.OverriddenLanes()), 0)
 	}
 	assert.DeepEqual(t, current.Lanes.Routine, []string{""})
 	assert.Equal(t, len(current.Lanes.Urgent), 3*MaxSpaces/8)
@@ -276,7 +276,7 @@
 	).WithLanes(current, nil)
 	assert.Equal(t, len(config.Lanes.Urgent), 3*MaxSpaces/8)
 	var kept []string
-	for _, l := range config.KeptLanes() {
+	for _, l := range config.OverriddenLanes() {
 		kept = append(kept, l.Prefix)
 	}
 	assert.DeepEqual(t, kept, []string{"new", "p0-5."})
--- a/internal/configuration/types.go
+++ b/internal/configuration/types.go
@@ -48,7 +48,7 @@
 }
 
 // Config holds all spaces. Sequence is above Base, the sequence that it builds on; left out it is
-// Base plus one. Source is the operator's own document, kept as it was. With StandingLanes a space
+// Base plus one. Source is the operator's own document, kept as it was. With UseAssignedLanes a space
 // takes the lanes in which its topics stand instead of being rejected for its urgency. Lanes is the
 // fleet's own table and no part of what an operator writes.
 //
@@ -60,8 +60,8 @@
 	Limits   Limits  `json:"limits,omitempty"`
 	Source   string  `json:"source,omitempty"`
 
-	StandingLanes bool  `json:"standing_lanes,omitempty"`
-	Lanes         Lanes `json:"lanes,omitempty"`
+	UseAssignedLanes bool  `json:"standing_lanes,omitempty"`
+	Lanes            Lanes `json:"lanes,omitempty"`
 }
 
 // Lanes lists the prefixes of topic names whose topics stand in urgent and in routine partitions.
--- a/internal/configuration/types_easyjson.go
+++ b/internal/configuration/types_easyjson.go
@@ -527,7 +527,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.StandingLanes = bool(in.Bool())
+				out.UseAssignedLanes = bool(in.Bool())
 			}
 		case "lanes":
 			if in.IsNull() {
@@ -595,10 +595,10 @@
 		out.RawString(prefix)
 		out.String(string(in.Source))
 	}
-	if in.StandingLanes {
+	if in.UseAssignedLanes {
 		const prefix string = ",\"standing_lanes\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.StandingLanes))
+		out.Bool(bool(in.UseAssignedLanes))
 	}
 	if (in.Lanes).IsDefined() {
 		const prefix string = ",\"lanes\":"
--- a/internal/configuration/validate.go
+++ b/internal/configuration/validate.go
@@ -54,7 +54,7 @@
 		v.checkSpace(fmt.Sprintf("$.spaces[%d]", i), space)
 	}
 	v.require(v.topics <= MaxTopics, "$.spaces", "must have at most %d topics in all, have %d", MaxTopics, v.topics)
-	if c.StandingLanes {
+	if c.UseAssignedLanes {
 		return v.faults
 	}
 	return append(v.faults, c.mixedUrgency()...)
--- a/internal/gossip/store_test.go
+++ b/internal/gossip/store_test.go
@@ -111,7 +111,7 @@
 // Of a configuration of 514 spaces, what changed goes between nodes in a hundredth of the bytes of
 // the complete one.
 func TestConfigurationChange_IsSmallOnTheWire(t *testing.T) {
-	config := configuration.Config{Sequence: 70000, Base: 69999, StandingLanes: true}
+	config := configuration.Config{Sequence: 70000, Base: 69999, UseAssignedLanes: true}
 	for i := range 514 {
 		name := fmt.Sprintf("pick-line/aisle-%04d/", i)
 		config.Spaces = append(config.Spaces, configuration.Space{
--- a/internal/node/disk.go
+++ b/internal/node/disk.go
@@ -88,7 +88,7 @@
 		}
 		if clk.Now().Sub(lastDrop) > timing.SweepInterval() {
 			lastDrop = clk.Now()
-			n.leaders.Orphans(ctx)
+			n.leaders.DropOrphans(ctx)
 		}
 		if err := n.probeDisk(ctx, timing.CallTimeout()); err != nil && ctx.Err() == nil {
 			if n.setDiskHealth(string(apierror.From(err).Code)) {
--- a/internal/node/leaders/failover.go
+++ b/internal/node/leaders/failover.go
@@ -57,7 +57,7 @@
 			continue
 		}
 		// The rank is -1, and so the delay below 0, where this node is no successor.
-		rank := record.Successors(m.CheckServing).Rank(m.Self)
+		rank := record.Successors(m.RankSuccessor).Rank(m.Self)
 		delay := time.Duration(rank) * m.Timing.ClaimJitter()
 		if delay < 0 || m.Clock.Now().Sub(since) < delay || !m.claims.begin(partition) {
 			continue
--- a/internal/node/leaders/manager.go
+++ b/internal/node/leaders/manager.go
@@ -43,9 +43,9 @@
 	Replica       *replica.Replica
 	LeaderOptions leader.Options
 	Log           *event.Logger
-	// CheckServing ranks a disk as the next leader by what is known of its machine: 0 first, below
+	// RankSuccessor ranks a disk as the next leader by what is known of its machine: 0 first, below
 	// 0 for one that can't lead.
-	CheckServing func(assignment.Replica) int
+	RankSuccessor func(assignment.Replica) int
 	// Broadcast sends records that were written here to the other nodes at once.
 	Broadcast func(context.Context, ...assignment.Record)
 
--- a/internal/node/leaders/records.go
+++ b/internal/node/leaders/records.go
@@ -68,10 +68,10 @@
 	})
 }
 
-// Orphans drops the replicas that a recovered record at a higher epoch places elsewhere. Records
+// DropOrphans drops the replicas that a recovered record at a higher epoch places elsewhere. Records
 // that name this node, as far as it has heard, are not read for that: updates of one that no longer
 // does come by themselves, and gaps are repaired by gossip.
-func (m *Manager) Orphans(ctx context.Context) {
+func (m *Manager) DropOrphans(ctx context.Context) {
 	for _, partition := range m.Replica.Partitions() {
 		if m.Store.Record(partition).Holds(m.Self) {
 			continue
--- a/internal/node/wiring.go
+++ b/internal/node/wiring.go
@@ -113,7 +113,7 @@
 	n.leaders = &leaders.Manager{
 		Self: self, Clock: clk, Timing: timing, Log: n.log,
 		Store: n.Store, Client: n.registers, Replica: n.replica,
-		CheckServing: n.rankSuccessor, Broadcast: n.gossiper.Broadcast,
+		RankSuccessor: n.rankSuccessor, Broadcast: n.gossiper.Broadcast,
 	}
 	n.detector = &failuredetector.Detector{
 		Self: self, BootID: n.bootID, Net: net, Clock: clk, Timing: timing,
@@ -129,7 +129,7 @@
 		LeaseExtension:    time.Duration(opts.LeaseExtension),
 		LongestRetention: func() time.Duration {
 			if index := n.Store.Index(); index.Sequence > 0 {
-				return index.Longest
+				return index.LongestRetention
 			}
 			return timing.MaxRetention()
 		},
--- a/internal/operator/configuration.go
+++ b/internal/operator/configuration.go
@@ -15,11 +15,11 @@
 	"postjunction/internal/operator/orderlog"
 )
 
-// Acceptance is the answer to an accepted configuration. KeptLanes names what stands in another
+// Acceptance is the answer to an accepted configuration. OverriddenLanes names what stands in another
 // lane than its space asks for.
 type Acceptance struct {
-	Sequence  uint64               `json:"sequence"`
-	KeptLanes []configuration.Lane `json:"kept_lanes,omitempty"`
+	Sequence        uint64               `json:"sequence"`
+	OverriddenLanes []configuration.Lane `json:"kept_lanes,omitempty"`
 }
 
 // ReadConfiguration returns the current configuration as JSON, confirmed by a majority. It fails
@@ -36,7 +36,7 @@
 // CurrentConfiguration returns the current configuration, confirmed by a majority. It fails with
 // code ConfigurationMissing before there is one.
 func (s *Service) CurrentConfiguration(ctx context.Context) (configuration.Config, error) {
-	ctx, cancel := s.limit(ctx)
+	ctx, cancel := s.withDeadline(ctx)
 	defer cancel()
 	state, err := readAs(ctx, s, quorumread.ConfigurationKey, parseRegister)
 	if err != nil {
@@ -56,7 +56,7 @@
 		s.Log.Log(event.ConfigurationFault, "problem", err)
 		return nil, err
 	}
-	ctx, cancel := s.limit(ctx)
+	ctx, cancel := s.withDeadline(ctx)
 	defer cancel()
 	acceptance, err := s.Replace(ctx, config)
 	if err != nil {
@@ -83,7 +83,7 @@
 		return nil, err
 	}
 	s.Log.Log(event.ConfigurationAccepted, "sequence", acceptance.Sequence)
-	if kept := acceptance.KeptLanes; len(kept) > 0 {
+	if kept := acceptance.OverriddenLanes; len(kept) > 0 {
 		s.Log.Log(event.LanesKept, "sequence", acceptance.Sequence,
 			"prefixes", len(kept), "first", kept[0].Prefix, "urgent", kept[0].Urgent)
 	}
@@ -224,5 +224,5 @@
 // accepted takes in the configuration that now stands, and returns the answer to its order.
 func (s *Service) accepted(config configuration.Config) *Acceptance {
 	s.Store.Apply(gossip.Update{Configuration: &config})
-	return &Acceptance{Sequence: config.Sequence, KeptLanes: config.KeptLanes()}
+	return &Acceptance{Sequence: config.Sequence, OverriddenLanes: config.OverriddenLanes()}
 }
--- a/internal/operator/decommission.go
+++ b/internal/operator/decommission.go
@@ -32,7 +32,7 @@
 
 // ListDecommissions returns, under "drains", the orders of machines that are being or were emptied.
 func (s *Service) ListDecommissions(ctx context.Context) (any, error) {
-	ctx, cancel := s.limit(ctx)
+	ctx, cancel := s.withDeadline(ctx)
 	defer cancel()
 	current, err := s.readOrders(ctx)
 	if err != nil {
@@ -44,7 +44,7 @@
 // DecommissionStatus returns how far the emptying of a machine is. One that held nothing when it
 // was asked for counts as done; one that was not asked for fails with code UnknownNode.
 func (s *Service) DecommissionStatus(ctx context.Context, node string) (decommission.Order, error) {
-	ctx, cancel := s.limit(ctx)
+	ctx, cancel := s.withDeadline(ctx)
 	defer cancel()
 	current, err := s.readOrders(ctx)
 	if err != nil {
@@ -68,7 +68,7 @@
 // AlreadyEmpty once it is done. Fails with code DecommissionUnsafe where too few machines would be
 // left, and with UnknownNode for a machine that no control node knows as one with a disk.
 func (s *Service) Decommission(ctx context.Context, node string) (any, error) {
-	ctx, cancel := s.limit(ctx)
+	ctx, cancel := s.withDeadline(ctx)
 	defer cancel()
 	for {
 		current, err := s.readOrders(ctx)
--- a/internal/operator/doc.go
+++ b/internal/operator/doc.go
@@ -9,7 +9,7 @@
 //   - Where an attempt may have been accepted, the answer is that the outcome is unknown, never a
 //     rejection.
 //
-// Service holds no state but the Reader of this node. It has no goroutines of its own beside those
+// Service holds no state but the Parser of this node. It has no goroutines of its own beside those
 // of the calls that it makes at once. All methods block until their answer is there, for at most
 // deadlineFactor call time-outs, and are safe for concurrent use.
 package operator
--- a/internal/operator/explain.go
+++ b/internal/operator/explain.go
@@ -15,13 +15,13 @@
 // Explanation is what the fleet knows of a client's call: what the partition's log decided, and
 // which nodes rejected it and why.
 type Explanation struct {
-	Client string                `json:"visitor"`
-	Topic  string                `json:"topic"`
-	Call   uint64                `json:"call_seq"`
-	Ledger *router.TraceResponse `json:"ledger,omitempty"`
-	// Problem is why there is no Ledger.
-	Problem    *apierror.Error        `json:"ledger_problem,omitempty"`
-	Rejections []rejections.Rejection `json:"turned_away"`
+	Client     string                `json:"visitor"`
+	Topic      string                `json:"topic"`
+	CallSeq    uint64                `json:"call_seq"`
+	CallStatus *router.TraceResponse `json:"ledger,omitempty"`
+	// CallStatusError is why there is no CallStatus.
+	CallStatusError *apierror.Error        `json:"ledger_problem,omitempty"`
+	Rejections      []rejections.Rejection `json:"turned_away"`
 	// Complete reports whether all live nodes answered.
 	Complete bool `json:"whole"`
 }
@@ -32,14 +32,14 @@
 	if client == "" || topic == "" || call == 0 {
 		return nil, apierror.New(apierror.Malformed, "name the visitor, the topic and the call_seq, which begins at 1")
 	}
-	ctx, cancel := s.limit(ctx)
+	ctx, cancel := s.withDeadline(ctx)
 	defer cancel()
 	explanation := &Explanation{
-		Client: client, Topic: topic, Call: call, Complete: true, Rejections: []rejections.Rejection{},
+		Client: client, Topic: topic, CallSeq: call, Complete: true, Rejections: []rejections.Rejection{},
 	}
 	var err error
-	if explanation.Ledger, err = s.trace(ctx, client, topic, call); err != nil {
-		explanation.Problem = apierror.From(err)
+	if explanation.CallStatus, err = s.trace(ctx, client, topic, call); err != nil {
+		explanation.CallStatusError = apierror.From(err)
 	}
 	request := rejections.Request{Client: client, Topic: topic, CallSeq: call}
 	ask := func(ctx context.Context, node membership.Info) ([]rejections.Rejection, error) {
@@ -51,7 +51,7 @@
 	}
 	slices.SortFunc(explanation.Rejections, func(a, b rejections.Rejection) int { return a.At.Compare(b.At) })
 	if explanation.isUnknown() {
-		last := explanation.Ledger.LastCallSeq
+		last := explanation.CallStatus.LastCallSeq
 		return nil, apierror.New(apierror.UnknownCall,
 			"no node remembers call %d of %s on %s, and the ledger has taken up to %d", call, client, topic,
 			last).WithCurrent(last)
@@ -71,5 +71,5 @@
 
 // isUnknown reports whether all answered, and no node rejected the call nor has the log come to it.
 func (e *Explanation) isUnknown() bool {
-	return len(e.Rejections) == 0 && e.Complete && e.Ledger != nil && e.Ledger.LastCallSeq < e.Call
+	return len(e.Rejections) == 0 && e.Complete && e.CallStatus != nil && e.CallStatus.LastCallSeq < e.CallSeq
 }
--- a/internal/operator/lanes.go
+++ b/internal/operator/lanes.go
@@ -17,7 +17,7 @@
 // removed ones do.
 func (s *Service) withLanes(ctx context.Context, config, current configuration.Config) (configuration.Config, error) {
 	hasTable := current.Lanes.IsDefined()
-	if !config.StandingLanes && !hasTable {
+	if !config.UseAssignedLanes && !hasTable {
 		if err := config.CheckSuccession(current); err != nil {
 			return config, err
 		}
--- a/internal/operator/service.go
+++ b/internal/operator/service.go
@@ -41,11 +41,11 @@
 		error)
 	Log *event.Logger
 
-	reader atomic.Pointer[Reader]
+	parser atomic.Pointer[Parser]
 }
 
 // limit returns a context that ends when an operator's call has taken as long as it may.
-func (s *Service) limit(ctx context.Context) (context.Context, context.CancelFunc) {
+func (s *Service) withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, deadlineFactor*s.Timing.CallTimeout())
 }
 
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -75,7 +75,7 @@
 	if err != nil || id < 0 || id >= layout.PartitionCount() {
 		return nil, apierror.New(apierror.Malformed, "n must be from 0 to %d, is %q", layout.PartitionCount()-1, number)
 	}
-	ctx, cancel := s.limit(ctx)
+	ctx, cancel := s.withDeadline(ctx)
 	defer cancel()
 	record, err := readAs(ctx, s, assignment.Key(id), func(value acceptor.Value) (assignment.Record, error) {
 		return parseRecord(id, value)
--- a/internal/operator/submit.go
+++ b/internal/operator/submit.go
@@ -17,8 +17,8 @@
 var Submit = wire.NewProcedure[SubmitRequest, SubmitResponse]("Operator", "Submit", wire.Deduplicated,
 	"the order names its base and has a digest; the register remembers accepted orders")
 
-// Reader reads an operator's own document as a configuration that builds on base.
-type Reader = func(document []byte, base uint64) (configuration.Config, error)
+// Parser reads an operator's own document as a configuration that builds on base.
+type Parser = func(document []byte, base uint64) (configuration.Config, error)
 
 // SubmitRequest forwards an operator's own document, deflated. ChangeID is the change's ID for
 // older builds, which take a change without one for a repeat; in this build the ID follows from the
@@ -32,17 +32,17 @@
 // SubmitResponse is the answer to an accepted document.
 type SubmitResponse struct{}
 
-// Read sets how this node reads the documents that other nodes forward.
-func (s *Service) Read(reader Reader) { s.reader.Store(&reader) }
+// SetParser sets how this node reads the documents that other nodes forward.
+func (s *Service) SetParser(reader Parser) { s.parser.Store(&reader) }
 
-// Submit replaces the configuration with an operator's own document, read with the Reader. It goes
+// Submit replaces the configuration with an operator's own document, read with the Parser. It goes
 // on for the time of an operator's call when ctx has ended, since a configuration half accepted
 // helps no one. A node without a control disk has a control node do it, as it takes a hundred times
 // the work of a message and several times the document's bytes. Where that doesn't answer it goes
 // on itself: the change has the same ID wherever it is made, so it is made once. Fails like
 // Replace.
-func (s *Service) Submit(ctx context.Context, document []byte, base uint64, read Reader) error {
-	ctx, cancel := s.limit(context.WithoutCancel(ctx))
+func (s *Service) Submit(ctx context.Context, document []byte, base uint64, read Parser) error {
+	ctx, cancel := s.withDeadline(context.WithoutCancel(ctx))
 	defer cancel()
 	uncertain, err := s.forward(ctx, document, base)
 	if err == nil || rejectedCodes[apierror.From(err).Code] {
@@ -73,7 +73,7 @@
 }
 
 func (s *Service) readAndReplace(
-	ctx context.Context, document []byte, base uint64, uncertain bool, read Reader,
+	ctx context.Context, document []byte, base uint64, uncertain bool, read Parser,
 ) error {
 	config, err := read(document, base)
 	if err != nil {
@@ -85,12 +85,12 @@
 
 // Serve adds the Submit call to mux.
 func (s *Service) Serve(mux *http.ServeMux) {
-	Submit.Handle(mux, s.submitted)
+	Submit.Handle(mux, s.handleSubmit)
 }
 
 // submitted accepts a document that another node forwarded.
-func (s *Service) submitted(ctx context.Context, request *SubmitRequest) (*SubmitResponse, error) {
-	read := s.reader.Load()
+func (s *Service) handleSubmit(ctx context.Context, request *SubmitRequest) (*SubmitResponse, error) {
+	read := s.parser.Load()
 	if read == nil {
 		return nil, apierror.New(apierror.NotReady, "this node reads no documents")
 	}
@@ -98,7 +98,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := s.limit(context.WithoutCancel(ctx))
+	ctx, cancel := s.withDeadline(context.WithoutCancel(ctx))
 	defer cancel()
 	if err := s.readAndReplace(ctx, document, request.Base, false, *read); err != nil {
 		return nil, err
--- a/internal/operator/usage.go
+++ b/internal/operator/usage.go
@@ -14,7 +14,7 @@
 // Usage returns the usage of every topic, as rows under "usage", from the leaders of all
 // partitions. It fails with code NoPartitionLeader unless all answer.
 func (s *Service) Usage(ctx context.Context) (any, error) {
-	ctx, cancel := s.limit(ctx)
+	ctx, cancel := s.withDeadline(ctx)
 	defer cancel()
 	partitions := s.partitions()
 	results := quorum.Gather(ctx, partitions, s.TopicUsage, nil)
--- a/internal/replay/play.go
+++ b/internal/replay/play.go
@@ -20,8 +20,8 @@
 // Report is the outcome of a playback.
 type Report struct {
 	Sent, Received int
-	// First is the first difference from the recording, empty if there is none.
-	First string
+	// FirstDifference is the first difference from the recording, empty if there is none.
+	FirstDifference string
 }
 
 // Play sends a recording's messages, those of a topic in their order, at a multiple of the recorded
@@ -62,8 +62,8 @@
 	}
 	report := got.compare(run, byTopic)
 	report.Sent = len(messages)
-	if report.First != "" {
-		return report, apierror.New(apierror.ReplayDiffers, "%s", report.First)
+	if report.FirstDifference != "" {
+		return report, apierror.New(apierror.ReplayDiffers, "%s", report.FirstDifference)
 	}
 	return report, nil
 }
@@ -94,8 +94,8 @@
 	defer r.mu.Unlock()
 	report := Report{Received: r.count}
 	for topic, want := range recorded {
-		if found := difference(topic, run, want, r.byTopic[topic]); found != "" && report.First == "" {
-			report.First = found
+		if found := difference(topic, run, want, r.byTopic[topic]); found != "" && report.FirstDifference == "" {
+			report.FirstDifference = found
 		}
 	}
 	return report
--- a/internal/replay/recording/recording.go
+++ b/internal/replay/recording/recording.go
@@ -36,11 +36,11 @@
 // Message is one recorded message.
 type Message struct {
 	// MS is when it was received, in milliseconds from the beginning.
-	MS    int64           `json:"ms"`
-	Topic string          `json:"topic"`
-	From  string          `json:"from"`
-	Call  uint64          `json:"call_seq"`
-	Body  json.RawMessage `json:"body"`
+	MS      int64           `json:"ms"`
+	Topic   string          `json:"topic"`
+	From    string          `json:"from"`
+	CallSeq uint64          `json:"call_seq"`
+	Body    json.RawMessage `json:"body"`
 	// Sum is the checksum of all lines before.
 	Sum string `json:"sum"`
 }
--- a/internal/replay/recording/recording_test.go
+++ b/internal/replay/recording/recording_test.go
@@ -15,7 +15,7 @@
 	w, err := NewWriter(&b, []string{"s/a"})
 	assert.NilError(t, err)
 	for i := range 3 {
-		assert.NilError(t, w.Add(Message{MS: int64(i), Topic: "s/a", From: "v", Call: uint64(i + 1),
+		assert.NilError(t, w.Add(Message{MS: int64(i), Topic: "s/a", From: "v", CallSeq: uint64(i + 1),
 			Body: json.RawMessage(`{"n":1}`)}))
 	}
 	assert.NilError(t, w.Close())
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -94,7 +94,7 @@
 		messages++
 		return out.Add(recording.Message{
 			MS: time.Since(begun).Milliseconds(), Topic: event.Topic, From: event.From,
-			Call: event.CallSeq, Body: event.Body,
+			CallSeq: event.CallSeq, Body: event.Body,
 		})
 	})
 	if err != nil {
--- a/internal/testing/sim/description_test.go
+++ b/internal/testing/sim/description_test.go
@@ -251,7 +251,7 @@
 				assert.NilError(t, err)
 				a, err := w.Machines["a1"].Node().Operators.Replace(w.ctx, d)
 				assert.NilError(t, err, "the same again")
-				assert.Equal(t, len(a.KeptLanes), kept, "%v", a.KeptLanes)
+				assert.Equal(t, len(a.OverriddenLanes), kept, "%v", a.OverriddenLanes)
 				time.Sleep(w.Site.Timing.Spread)
 			}
 			const k, ka, kab, all = `{"name":"k","kind":"kept","prefix":"k"}`, `{"name":"ka","kind":"kept","urgent":true,"prefix":"ka."}`, `{"name":"kab","kind":"kept","prefix":"ka.b"}`, `{"name":"","kind":"kept","urgent":true,"all":true}`
--- a/internal/testing/sim/submit_test.go
+++ b/internal/testing/sim/submit_test.go
@@ -27,7 +27,7 @@
 			}
 			for _, n := range w.Names {
 				if handed {
-					w.Machines[n].Node().Operators.Read(plainReader)
+					w.Machines[n].Node().Operators.SetParser(plainReader)
 				}
 			}
 			o := w.Machines["a1"].Node().Operators
