--- a/internal/configuration/config.go
+++ b/internal/configuration/config.go
@@ -13,20 +13,20 @@
 )
 
 var shape = strictjson.Shape{
-	Kind:   strictjson.Object,
-	Needed: []string{"base", "spaces"},
+	Kind:     strictjson.Object,
+	Required: []string{"base", "spaces"},
 	Fields: map[string]strictjson.Shape{
 		"base":           {Kind: strictjson.Count},
 		"sequence":       {Kind: strictjson.Count},
 		"source":         {Kind: strictjson.Text},
 		"standing_lanes": {Kind: strictjson.Flag},
 		"limits": {Kind: strictjson.Object, Fields: map[string]strictjson.Shape{
-			"topics": {Kind: strictjson.Above},
-			"body":   {Kind: strictjson.Above},
+			"topics": {Kind: strictjson.Positive},
+			"body":   {Kind: strictjson.Positive},
 		}},
 		"spaces": {Kind: strictjson.Array, Items: &strictjson.Shape{
-			Kind:   strictjson.Object,
-			Needed: []string{"name", "kind"},
+			Kind:     strictjson.Object,
+			Required: []string{"name", "kind"},
 			Fields: map[string]strictjson.Shape{
 				"name":        {Kind: strictjson.Text},
 				"kind":        {Kind: strictjson.Text},
@@ -35,8 +35,8 @@
 				"prefix":      {Kind: strictjson.Text},
 				"all":         {Kind: strictjson.Flag},
 				"keep_ms":     {Kind: strictjson.Count},
-				"deadline_ms": {Kind: strictjson.Above},
-				"aim_ms":      {Kind: strictjson.Above},
+				"deadline_ms": {Kind: strictjson.Positive},
+				"aim_ms":      {Kind: strictjson.Positive},
 				"order":       {Kind: strictjson.Text},
 				"weight":      {Kind: strictjson.Count},
 			},
--- a/internal/configuration/strictjson/strict.go
+++ b/internal/configuration/strictjson/strict.go
@@ -14,21 +14,21 @@
 // Shape says what a value must be: its kind, the fields of an object and which of them must be
 // there, the items of an array.
 type Shape struct {
-	Kind   string
-	Fields map[string]Shape
-	Needed []string
-	Items  *Shape
+	Kind     string
+	Fields   map[string]Shape
+	Required []string
+	Items    *Shape
 }
 
 // Kinds of value, as they stand in messages.
 const (
-	Object = "an object"
-	Array  = "an array"
-	Text   = "a string"
-	Count  = "a whole number from 0"
-	Above  = "a whole number above 0"
-	Flag   = "true or false"
-	Any    = ""
+	Object   = "an object"
+	Array    = "an array"
+	Text     = "a string"
+	Count    = "a whole number from 0"
+	Positive = "a whole number above 0"
+	Flag     = "true or false"
+	Any      = ""
 )
 
 // maxFaults bounds how many faults of a document are listed.
@@ -62,12 +62,12 @@
 
 // isKind says of each kind whether a token that begins neither an object nor an array is of it.
 var isKind = map[string]func(json.Token) bool{
-	Text:   func(token json.Token) bool { _, ok := token.(string); return ok },
-	Flag:   func(token json.Token) bool { _, ok := token.(bool); return ok },
-	Count:  func(token json.Token) bool { return isWhole(token, 0) },
-	Above:  func(token json.Token) bool { return isWhole(token, 1) },
-	Object: func(json.Token) bool { return false },
-	Array:  func(json.Token) bool { return false },
+	Text:     func(token json.Token) bool { _, ok := token.(string); return ok },
+	Flag:     func(token json.Token) bool { _, ok := token.(bool); return ok },
+	Count:    func(token json.Token) bool { return isWhole(token, 0) },
+	Positive: func(token json.Token) bool { return isWhole(token, 1) },
+	Object:   func(json.Token) bool { return false },
+	Array:    func(json.Token) bool { return false },
 }
 
 func isWhole(token json.Token, least int64) bool {
@@ -135,7 +135,7 @@
 		}
 	}
 	if shape != nil {
-		for _, name := range shape.Needed {
+		for _, name := range shape.Required {
 			if !seen[name] {
 				w.add(path+"."+name, "is missing")
 			}
--- a/internal/httpapi/api.go
+++ b/internal/httpapi/api.go
@@ -151,7 +151,7 @@
 }
 
 func objectShape(needed []string, fields map[string]string) strictjson.Shape {
-	shape := strictjson.Shape{Kind: strictjson.Object, Needed: needed, Fields: map[string]strictjson.Shape{}}
+	shape := strictjson.Shape{Kind: strictjson.Object, Required: needed, Fields: map[string]strictjson.Shape{}}
 	for name, kind := range fields {
 		shape.Fields[name] = strictjson.Shape{Kind: kind}
 	}
@@ -172,7 +172,7 @@
 		[]string{"topic", "key", "call_seq"},
 		map[string]string{
 			"topic": strictjson.Text, "key": strictjson.Text, "call_seq": strictjson.Count,
-			"of": strictjson.Text, "upto": strictjson.Above,
+			"of": strictjson.Text, "upto": strictjson.Positive,
 		},
 	)
 	drainShape = objectShape([]string{"node"}, map[string]string{"node": strictjson.Text})
--- a/internal/lineserver/jsoncodec/codec.go
+++ b/internal/lineserver/jsoncodec/codec.go
@@ -77,9 +77,9 @@
 		byVerb := map[session.Verb]strictjson.Shape{}
 		for verb, names := range required {
 			shape := strictjson.Shape{
-				Kind:   strictjson.Object,
-				Needed: append([]string{"verb"}, names...),
-				Fields: map[string]strictjson.Shape{"verb": text},
+				Kind:     strictjson.Object,
+				Required: append([]string{"verb"}, names...),
+				Fields:   map[string]strictjson.Shape{"verb": text},
 			}
 			for _, name := range append(optional[verb], names...) {
 				shape.Fields[name] = fields[name]
