--- a/internal/configuration/change.go
+++ b/internal/configuration/change.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Change makes the next configuration of the one numbered From. Its spaces are put together of
-// Parts, in their order; Lanes is nil where the table of lanes stays, and Checksum is that of the
-// configuration that has to come out.
+// Change turns the configuration with sequence From into the next one. The spaces of the next one
+// are assembled from Parts, in their order. Lanes is nil if the table of lanes doesn't change.
+// Checksum is the checksum of the next configuration.
 type Change struct {
 	From             uint64 `json:"f"`
 	Sequence         uint64 `json:"s"`
@@ -16,14 +16,15 @@
 	Checksum         uint64 `json:"m"`
 }
 
-// Part is Count spaces of the old configuration, from index At on, and then the spaces of Insert.
+// Part is a run of Count spaces of the old configuration, starting at index At, followed by the
+// spaces of Insert.
 type Part struct {
 	At     int     `json:"a,omitempty"`
 	Count  int     `json:"c,omitempty"`
 	Insert []Space `json:"p,omitempty"`
 }
 
-// Size returns how many spaces the change carries itself.
+// Size returns how many spaces the change contains itself.
 func (c Change) Size() int {
 	size := 0
 	for _, part := range c.Parts {
@@ -46,7 +47,7 @@
 
 func samePath(a, b Space) bool { return a.path() == b.path() }
 
-// Change returns what makes next of this configuration, sources left out.
+// Change returns the change from this configuration to next. Sources are left out.
 func (c Config) Change(next Config) Change {
 	change := Change{
 		From:             c.Sequence,
@@ -63,10 +64,10 @@
 	return change
 }
 
-// parts puts next together of runs of unchanged spaces of the old ones and of what differs.
+// parts assembles next from runs of unchanged old spaces and from the spaces that differ.
 func parts(old, next []Space) []Part {
 	var result []Part
-	indexes := map[string]int{} // of the old spaces by path; empty where the paths are the same, index by index
+	indexes := map[string]int{} // of the old spaces by path; empty if old and next have the same paths in the same order
 	if !slices.EqualFunc(old, next, samePath) {
 		for i, space := range old {
 			indexes[space.path()] = i
@@ -93,8 +94,8 @@
 	return result
 }
 
-// Apply returns the next configuration and true, or c itself and false where the change does not
-// build on c or does not come out as its checksum says.
+// Apply returns the next configuration and true. It returns c itself and false if the change does
+// not build on c, or if the result doesn't have the change's checksum.
 func (c Config) Apply(change Change) (Config, bool) {
 	next := Config{
 		Sequence:         change.Sequence,
@@ -120,7 +121,7 @@
 	return next, true
 }
 
-// fits reports whether the part refers to spaces that exist among that many.
+// fits reports whether the part refers to existing spaces only, given how many there are.
 func (p Part) fits(spaces int) bool {
 	return p.At >= 0 && p.Count >= 0 && p.At <= spaces && p.Count <= spaces-p.At
 }
--- a/internal/configuration/change_test.go
+++ b/internal/configuration/change_test.go
@@ -9,9 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-func manySpaces(n int) Config {
+func manySpaces(count int) Config {
 	config := Config{Sequence: 1, UseAssignedLanes: true}
-	for i := range n {
+	for i := range count {
 		config.Spaces = append(
 			config.Spaces,
 			Space{
@@ -26,30 +26,30 @@
 }
 
 func randomNext(r *rand.Rand, config Config) Config {
-	n := config
-	n.Base, n.Sequence = config.Sequence, config.Sequence+1+r.Uint64N(3)
-	n.Spaces = slices.Clone(config.Spaces)
-	n.Limits.Topics = r.IntN(3)
+	next := config
+	next.Base, next.Sequence = config.Sequence, config.Sequence+1+r.Uint64N(3)
+	next.Spaces = slices.Clone(config.Spaces)
+	next.Limits.Topics = r.IntN(3)
 	for range r.IntN(4) {
-		i := r.IntN(len(n.Spaces) + 1)
-		switch k := r.IntN(4); {
-		case k == 0:
-			s := Space{Name: fmt.Sprintf("new-%d", r.Uint64()), Kind: KindLive, Urgent: r.IntN(2) == 0}
-			if s.Topics = []string{"a", "b"}; r.IntN(2) == 0 {
-				s.Topics, s.Prefix = nil, s.Name+"."
+		i := r.IntN(len(next.Spaces) + 1)
+		switch kind := r.IntN(4); {
+		case kind == 0:
+			space := Space{Name: fmt.Sprintf("new-%d", r.Uint64()), Kind: KindLive, Urgent: r.IntN(2) == 0}
+			if space.Topics = []string{"a", "b"}; r.IntN(2) == 0 {
+				space.Topics, space.Prefix = nil, space.Name+"."
 			}
-			n.Spaces = slices.Insert(n.Spaces, i, s)
-		case i == len(n.Spaces):
-		case k == 1:
-			n.Spaces = slices.Delete(n.Spaces, i, i+1)
-		case k == 2:
-			n.Spaces[i].DeadlineMS += 1 + r.Uint64N(9)
+			next.Spaces = slices.Insert(next.Spaces, i, space)
+		case i == len(next.Spaces):
+		case kind == 1:
+			next.Spaces = slices.Delete(next.Spaces, i, i+1)
+		case kind == 2:
+			next.Spaces[i].DeadlineMS += 1 + r.Uint64N(9)
 		default:
-			j := r.IntN(len(n.Spaces))
-			n.Spaces[i], n.Spaces[j] = n.Spaces[j], n.Spaces[i]
+			j := r.IntN(len(next.Spaces))
+			next.Spaces[i], next.Spaces[j] = next.Spaces[j], next.Spaces[i]
 		}
 	}
-	return n.WithLanes(config, RemovedSpaces{})
+	return next.WithLanes(config, RemovedSpaces{})
 }
 
 func TestChange_MakesTheNextConfiguration(t *testing.T) {
@@ -63,12 +63,12 @@
 			assert.Assert(t, ok, "seed %d", seed)
 			assert.DeepEqual(t, got, next)
 			nextIndex, fresh := index.Next(config, next), NewIndex(next)
-			for _, s := range append(config.Spaces, next.Spaces...) {
-				for _, topic := range []string{s.path() + "a", s.path()} {
-					a, ea := nextIndex.Find(topic)
-					b, eb := fresh.Find(topic)
-					assert.DeepEqual(t, a, b)
-					assert.Equal(t, ea == nil, eb == nil)
+			for _, space := range append(config.Spaces, next.Spaces...) {
+				for _, topic := range []string{space.path() + "a", space.path()} {
+					found, foundErr := nextIndex.Find(topic)
+					want, wantErr := fresh.Find(topic)
+					assert.DeepEqual(t, found, want)
+					assert.Equal(t, foundErr == nil, wantErr == nil)
 				}
 			}
 			assert.Equal(t, nextIndex.LongestRetention, fresh.LongestRetention)
@@ -84,10 +84,10 @@
 	next := config
 	next.Base, next.Sequence, next.Spaces = 1, 2, slices.Clone(config.Spaces)
 	next.Spaces[200].DeadlineMS++
-	c := config.Change(next)
-	assert.Equal(t, c.Size(), 1)
-	assert.Equal(t, len(c.Parts), 2)
-	assert.Assert(t, c.Lanes == nil)
+	change := config.Change(next)
+	assert.Equal(t, change.Size(), 1)
+	assert.Equal(t, len(change.Parts), 2)
+	assert.Assert(t, change.Lanes == nil)
 	index := NewIndex(config)
 	assert.Assert(t, index.Next(config, next).AgreesWith(index))
 	next.Spaces = slices.Delete(slices.Clone(config.Spaces), 200, 201)
@@ -100,24 +100,24 @@
 	next := randomNext(rand.New(rand.NewPCG(5, 5)), config)
 	next.Spaces[0].Weight = 7
 	good := config.Change(next)
-	for name, spoil := range map[string]func(*Change){
-		"another base":     func(c *Change) { c.From++ },
-		"back":             func(c *Change) { c.Sequence = 1 },
-		"another sum":      func(c *Change) { c.Checksum++ },
-		"another number":   func(c *Change) { c.Sequence++ },
-		"limits":           func(c *Change) { c.Limits.Body++ },
-		"lanes":            func(c *Change) { c.Lanes = &Lanes{Urgent: []string{"x"}} },
-		"out of range":     func(c *Change) { c.Parts = append(c.Parts, Part{At: 8, Count: 5}) },
-		"below range":      func(c *Change) { c.Parts = append(c.Parts, Part{At: -1, Count: 1}) },
-		"a count below 0":  func(c *Change) { c.Parts = append(c.Parts, Part{At: 1, Count: -1}) },
-		"a part left out":  func(c *Change) { c.Parts = c.Parts[1:] },
-		"a space twice":    func(c *Change) { c.Parts = append(c.Parts, Part{At: 1, Count: 1}) },
-		"too many, by far": func(c *Change) { c.Parts = slices.Repeat([]Part{{Count: 9}}, MaxSpaces) },
+	for name, corrupt := range map[string]func(*Change){
+		"another base":     func(change *Change) { change.From++ },
+		"an older one":     func(change *Change) { change.Sequence = 1 },
+		"another sum":      func(change *Change) { change.Checksum++ },
+		"another number":   func(change *Change) { change.Sequence++ },
+		"limits":           func(change *Change) { change.Limits.Body++ },
+		"lanes":            func(change *Change) { change.Lanes = &Lanes{Urgent: []string{"x"}} },
+		"out of range":     func(change *Change) { change.Parts = append(change.Parts, Part{At: 8, Count: 5}) },
+		"below range":      func(change *Change) { change.Parts = append(change.Parts, Part{At: -1, Count: 1}) },
+		"a count below 0":  func(change *Change) { change.Parts = append(change.Parts, Part{At: 1, Count: -1}) },
+		"a part left out":  func(change *Change) { change.Parts = change.Parts[1:] },
+		"a space twice":    func(change *Change) { change.Parts = append(change.Parts, Part{At: 1, Count: 1}) },
+		"too many, by far": func(change *Change) { change.Parts = slices.Repeat([]Part{{Count: 9}}, MaxSpaces) },
 	} {
-		c := good
-		c.Parts = slices.Clone(good.Parts)
-		spoil(&c)
-		got, ok := config.Apply(c)
+		change := good
+		change.Parts = slices.Clone(good.Parts)
+		corrupt(&change)
+		got, ok := config.Apply(change)
 		assert.Assert(t, !ok, name)
 		assert.DeepEqual(t, got, config)
 	}
@@ -130,7 +130,7 @@
 	next := config
 	next.Base, next.Sequence, next.Spaces = 1, 2, slices.Clone(config.Spaces)
 	next.Spaces[200].DeadlineMS++
-	c, index := config.Change(next), NewIndex(config)
+	change, index := config.Change(next), NewIndex(config)
 	b.Run("make", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
@@ -140,8 +140,8 @@
 	b.Run("apply", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			n, _ := config.Apply(c)
-			index.Next(config, n)
+			applied, _ := config.Apply(change)
+			index.Next(config, applied)
 		}
 	})
 	b.Run("index", func(b *testing.B) {
--- a/internal/configuration/checksum.go
+++ b/internal/configuration/checksum.go
@@ -1,6 +1,6 @@
 package configuration
 
-// Factors of the checksum: FNV-1a for bytes, a multiplicative mix with a shift for whole words.
+// Factors of the checksum: FNV-1a for bytes, a multiplicative mix with a shift for 64-bit numbers.
 const (
 	fnvOffset = 14695981039346656037
 	fnvPrime  = 1099511628211
@@ -8,8 +8,8 @@
 	mixShift  = 29
 )
 
-// Checksum tells configurations apart, sources left out. Nodes of different builds compare it: it
-// never changes.
+// Checksum distinguishes configurations, apart from their sources. Nodes of different builds
+// compare it, so the algorithm must never change.
 func (c Config) Checksum() uint64 {
 	h := checksum(fnvOffset)
 	h.addNumbers(c.Sequence, c.Base, uint64(c.Limits.Topics), uint64(c.Limits.Body), bit(c.UseAssignedLanes),
--- a/internal/configuration/config.go
+++ b/internal/configuration/config.go
@@ -12,7 +12,7 @@
 	"postjunction/internal/configuration/strictjson"
 )
 
-var shape = strictjson.Shape{
+var documentShape = strictjson.Shape{
 	Kind:     strictjson.Object,
 	Required: []string{"base", "spaces"},
 	Fields: map[string]strictjson.Shape{
@@ -44,15 +44,15 @@
 	},
 }
 
-// Parse reads a configuration as an operator wrote it. Its errors are apierror.Oversize above
-// MaxBytes, apierror.Malformed for what is no JSON, and apierror.ConfigurationInvalid with every
-// fault of the document.
+// Parse reads a configuration as an operator wrote it. It fails with apierror.Oversize above
+// MaxBytes, with apierror.Malformed for a document that is not JSON, and with
+// apierror.ConfigurationInvalid and every fault of the document otherwise.
 func Parse(document []byte) (Config, error) {
 	if len(document) > MaxBytes {
 		return Config{}, apierror.New(apierror.Oversize, "the description has %d bytes, the limit is %d",
 			len(document), MaxBytes)
 	}
-	faults, err := strictjson.Check(document, shape)
+	faults, err := strictjson.Check(document, documentShape)
 	if err != nil {
 		return Config{}, err
 	}
@@ -62,17 +62,17 @@
 		})
 		return Config{}, FaultsError(append(faults, more...))
 	}
-	var c Config
-	if err := easyjson.Unmarshal(document, &c); err != nil {
-		return c, FaultsError([]apierror.Fault{{Path: "$", Message: err.Error()}})
+	var config Config
+	if err := easyjson.Unmarshal(document, &config); err != nil {
+		return config, FaultsError([]apierror.Fault{{Path: "$", Message: err.Error()}})
 	}
-	return c, FaultsError(c.Faults())
+	return config, FaultsError(config.Faults())
 }
 
-// lenientFaults returns the faults of the values in a document whose shape is wrong already,
-// unknown fields left out, so that an operator sees all of them at once.
+// lenientFaults returns the faults of the values in a document whose shape is wrong too, so that an
+// operator sees all faults at once. Unknown fields are ignored.
 func lenientFaults(document []byte) []apierror.Fault {
-	type loose struct { // Space, without the strict decoder
+	type lenientSpace struct { // Space without its strict decoder
 		Name            string   `json:"name"`
 		Kind            string   `json:"kind"`
 		Urgent          bool     `json:"urgent"`
@@ -86,27 +86,27 @@
 		Weight          int      `json:"weight"`
 	}
 	var lenient struct {
-		Sequence      uint64  `json:"sequence"`
-		Base          uint64  `json:"base"`
-		Spaces        []loose `json:"spaces"`
-		Limits        Limits  `json:"limits"`
-		Source        string  `json:"source"`
-		StandingLanes bool    `json:"standing_lanes"`
+		Sequence         uint64         `json:"sequence"`
+		Base             uint64         `json:"base"`
+		Spaces           []lenientSpace `json:"spaces"`
+		Limits           Limits         `json:"limits"`
+		Source           string         `json:"source"`
+		UseAssignedLanes bool           `json:"standing_lanes"`
 	}
 	if json.Unmarshal(document, &lenient) != nil {
 		return nil
 	}
-	c := Config{
+	config := Config{
 		Sequence:         lenient.Sequence,
 		Base:             lenient.Base,
 		Limits:           lenient.Limits,
 		Source:           lenient.Source,
-		UseAssignedLanes: lenient.StandingLanes,
+		UseAssignedLanes: lenient.UseAssignedLanes,
 	}
 	for _, space := range lenient.Spaces {
-		c.Spaces = append(c.Spaces, Space(space))
+		config.Spaces = append(config.Spaces, Space(space))
 	}
-	return c.Faults()
+	return config.Faults()
 }
 
 // Marshal writes a configuration as JSON.
@@ -115,8 +115,8 @@
 	return b
 }
 
-// Normalized returns the configuration with what may be left out filled in, so that two that mean
-// the same are the same.
+// Normalized returns the configuration with optional fields filled in, so that two configurations
+// of the same meaning are equal.
 func (c Config) Normalized() Config {
 	if c.Sequence == 0 {
 		c.Sequence = c.Base + 1
@@ -127,25 +127,25 @@
 	return c
 }
 
-// Equal reports whether two configurations are the same, source included. The table of lanes is the
-// fleet's and doesn't count.
+// Equal reports whether two configurations are the same, including their sources. The table of
+// lanes is maintained by the fleet and is not compared.
 func (c Config) Equal(other Config) bool {
 	c.Lanes, other.Lanes = Lanes{}, Lanes{}
 	return c.Base == other.Base && bytes.Equal(c.Normalized().Marshal(), other.Normalized().Marshal())
 }
 
-// CheckSuccession checks a configuration against the current one, which it is built on: a space
-// that stays keeps its urgency, since its topics stand in the partitions of that urgency. A space
-// by prefix is the same under any name. The error is apierror.ConfigurationInvalid with every
-// fault.
+// CheckSuccession checks a configuration against the current one, which it builds on. A space that
+// is in both must not change its urgency, since its topics are stored in partitions of that
+// urgency. A space by prefix is the same space under any name. The error is
+// apierror.ConfigurationInvalid with every fault.
 func (c Config) CheckSuccession(current Config) error {
-	before := map[string]Space{}
+	currentSpaces := map[string]Space{}
 	for _, space := range current.Spaces {
-		before[space.path()] = space
+		currentSpaces[space.path()] = space
 	}
 	var faults []apierror.Fault
 	for i, space := range c.Spaces {
-		old, ok := before[space.path()]
+		old, ok := currentSpaces[space.path()]
 		if !ok || old.Urgent == space.Urgent {
 			continue
 		}
--- a/internal/configuration/config_test.go
+++ b/internal/configuration/config_test.go
@@ -30,7 +30,7 @@
 }
 
 func TestFaults(t *testing.T) {
-	with := func(s string) string { return `{"base":4,"spaces":[` + s + `]}` }
+	with := func(spaces string) string { return `{"base":4,"spaces":[` + spaces + `]}` }
 	for _, test := range []struct{ doc, want string }{
 		{`{"base":4,"spaces":[]}`, ""},
 		{`{"base":4,"sequence":5,"spaces":[]}`, ""},
@@ -169,14 +169,14 @@
 		"list/a": "list", "list/b": "n-list/", "ka.": "n-ka.", "ka.a": "n-ka.", "ka.b": "n-ka.b",
 		"ka.bc": "n-ka.b", "ka": "k", "k": "k", "kb.x": "k",
 	} {
-		s, err := index.Find(topic)
+		space, err := index.Find(topic)
 		assert.NilError(t, err)
-		assert.Equal(t, s.Name, want, topic)
+		assert.Equal(t, space.Name, want, topic)
 	}
-	s, _ := index.Find("list/a")
-	assert.Assert(t, s.Topics == nil)
-	s, _ = index.Find("k1")
-	assert.DeepEqual(t, s, Space{Name: "k", Kind: KindLive, Prefix: "k", DeadlineMS: 5})
+	space, _ := index.Find("list/a")
+	assert.Assert(t, space.Topics == nil)
+	space, _ = index.Find("k1")
+	assert.DeepEqual(t, space, Space{Name: "k", Kind: KindLive, Prefix: "k", DeadlineMS: 5})
 	assert.Equal(t, index.Limits.Topics, 5)
 	for _, topic := range []string{"", "list", "j", "jka.b"} {
 		_, err := index.Find(topic)
@@ -184,21 +184,21 @@
 	}
 	_, err := NewIndex(newConfig(Space{Name: "list", Kind: KindRetained, Topics: []string{"a"}})).Find("list/b")
 	assert.Assert(t, apierror.HasCode(err, apierror.UnknownTopic), "%v", err)
-	s, err = NewIndex(newConfig(byPrefix("", false), byPrefix("ka.", false))).Find("anything")
+	space, err = NewIndex(newConfig(byPrefix("", false), byPrefix("ka.", false))).Find("anything")
 	assert.NilError(t, err)
-	assert.Equal(t, s.Name, "n-")
+	assert.Equal(t, space.Name, "n-")
 }
 
 func TestUrgencyStaysWithThePrefix(t *testing.T) {
-	line := Space{Name: "line", Kind: KindRetained, Urgent: true, Topics: []string{"a"}}
-	named := func(s Space, n string) Space { s.Name = n; return s }
+	listed := Space{Name: "line", Kind: KindRetained, Urgent: true, Topics: []string{"a"}}
+	named := func(space Space, name string) Space { space.Name = name; return space }
 	for _, test := range []struct {
-		say      string
-		cur, d   Config
-		old      string
-		follows  bool
-		comeback bool
-		kept     string
+		name          string
+		current, next Config
+		removed       string
+		succeeds      bool
+		allowed       bool
+		removedAfter  string
 	}{
 		{"stays", newConfig(byPrefix("a", true)), newConfig(byPrefix("a", true)), `{}`, true, true, `{}`},
 		{
@@ -213,31 +213,31 @@
 			"name reused", newConfig(named(byPrefix("a", true), "x")),
 			newConfig(named(byPrefix("b", false), "x")), `{}`, true, true, `{"=a":true}`,
 		},
-		{"removed", newConfig(byPrefix("a", true), line), newConfig(), `{}`, true, true, `{"=a":true,"line":true}`},
+		{"removed", newConfig(byPrefix("a", true), listed), newConfig(), `{}`, true, true, `{"=a":true,"line":true}`},
 		{
-			"back", newConfig(), newConfig(byPrefix("a", true), line), `{"=a":true,"line":true}`,
+			"added again", newConfig(), newConfig(byPrefix("a", true), listed), `{"=a":true,"line":true}`,
 			true, true, `{"=a":true,"line":true}`,
 		},
-		{"back, changed", newConfig(), newConfig(byPrefix("a", false)), `{"=a":true}`, true, false, `{"=a":true}`},
-		{"back in a part", newConfig(), newConfig(byPrefix("ab", false)), `{"=a":true}`, true, false, `{"=a":true}`},
-		{"back in the whole", newConfig(), newConfig(byPrefix("", false)), `{"=a":true}`, true, false, `{"=a":true}`},
+		{"added again, changed", newConfig(), newConfig(byPrefix("a", false)), `{"=a":true}`, true, false, `{"=a":true}`},
+		{"a part of it added again", newConfig(), newConfig(byPrefix("ab", false)), `{"=a":true}`, true, false, `{"=a":true}`},
+		{"added again within all", newConfig(), newConfig(byPrefix("", false)), `{"=a":true}`, true, false, `{"=a":true}`},
 		{"beside", newConfig(), newConfig(byPrefix("b", false)), `{"=a":true}`, true, true, `{"=a":true}`},
-		{"list taken over", newConfig(line), newConfig(byPrefix("line/", false)), `{}`, false, false, `{"line":true}`},
-		{"list taken over whole", newConfig(line), newConfig(byPrefix("", false)), `{}`, true, false, `{"line":true}`},
+		{"list replaced by prefix", newConfig(listed), newConfig(byPrefix("line/", false)), `{}`, false, false, `{"line":true}`},
+		{"list replaced by all", newConfig(listed), newConfig(byPrefix("", false)), `{}`, true, false, `{"line":true}`},
 		{
-			"list back", newConfig(),
+			"list added again", newConfig(),
 			newConfig(Space{Name: "line", Kind: KindRetained, Topics: []string{"b"}}),
 			`{"line":true}`, true, false, `{"line":true}`,
 		},
 	} {
-		removed, err := ParseRemovedSpaces([]byte(test.old))
+		removed, err := ParseRemovedSpaces([]byte(test.removed))
 		assert.NilError(t, err)
-		assert.Equal(t, test.d.CheckSuccession(test.cur) == nil, test.follows, test.say)
-		more, err := removed.Check(test.d, test.cur)
-		assert.Equal(t, err == nil, test.comeback, "%s: %v", test.say, err)
-		if test.comeback {
-			assert.Equal(t, string(removed.Marshal()), test.kept, test.say)
-			assert.Equal(t, more, test.old != test.kept, test.say)
+		assert.Equal(t, test.next.CheckSuccession(test.current) == nil, test.succeeds, test.name)
+		changed, err := removed.Check(test.next, test.current)
+		assert.Equal(t, err == nil, test.allowed, "%s: %v", test.name, err)
+		if test.allowed {
+			assert.Equal(t, string(removed.Marshal()), test.removedAfter, test.name)
+			assert.Equal(t, changed, test.removed != test.removedAfter, test.name)
 		}
 	}
 }
@@ -254,11 +254,11 @@
 	_, err := removed.Check(newConfig(), urgent)
 	assert.NilError(t, err)
 	_, err = removed.Check(newConfig(), routine)
-	assert.NilError(t, err, "spaces that were not urgent can always go")
+	assert.NilError(t, err, "spaces that were not urgent can always be removed")
 	assert.Equal(t, string(removed.Marshal()), `{"*":false,"=u0.":true,"=u1.":true,"=u2.":true}`)
-	more, err := removed.Check(newConfig(), newConfig(byPrefix("s", false)))
+	changed, err := removed.Check(newConfig(), newConfig(byPrefix("s", false)))
 	assert.NilError(t, err)
-	assert.Assert(t, !more)
+	assert.Assert(t, !changed)
 	_, err = removed.Check(
 		newConfig(byPrefix("r7.", false), byPrefix("new", false), byPrefix("u1.", true)),
 		newConfig(),
@@ -271,7 +271,7 @@
 	_, err = removed.Check(newConfig(byPrefix("u1.", false)), newConfig())
 	assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationInvalid), "%v", err)
 	_, err = removed.Check(newConfig(), rest)
-	assert.ErrorContains(t, err, "would make 4096 removed urgent spaces, 4095 can be kept")
+	assert.ErrorContains(t, err, "would make 4096 removed urgent spaces, at most 4095 can be recorded")
 }
 
 func BenchmarkFind(b *testing.B) {
--- a/internal/configuration/index.go
+++ b/internal/configuration/index.go
@@ -8,8 +8,8 @@
 	"postjunction/internal/apierror"
 )
 
-// Index finds topics by name. LongestRetention is the longest retention that any space asks for, 0 when none
-// asks.
+// Index finds topics by name. LongestRetention is the longest retention that any space asks for, 0
+// if none does.
 type Index struct {
 	Sequence         uint64
 	Limits           Limits
@@ -18,14 +18,14 @@
 	*layout
 }
 
-// layout says which space a topic is in and in which lane it stands; indexes of configurations that
-// agree on that share it.
+// layout maps topics to their spaces and lanes. Indexes share a layout if their configurations map
+// all topics in the same way.
 type layout struct {
 	topics    map[string]int32 // listed topics, to the index of their space
 	names     map[string]bool  // of the spaces with listed topics
 	prefixes  prefixMap[int32]
 	lanes     prefixMap[bool]
-	splitLane []bool // by space: some of its topics stand in the other lane
+	splitLane []bool // by space: whether some of its topics are in the other lane
 }
 
 // NewIndex makes the index of a configuration.
@@ -56,8 +56,8 @@
 
 func (s Space) retention() time.Duration { return time.Duration(s.RetentionMS) * time.Millisecond }
 
-// Next makes the index of next, the configuration that replaces current, which x was made of. It
-// costs little where all topics stay in their spaces.
+// Next returns the index of next, the configuration that replaces current, given that x is the
+// index of current. It is cheap if all topics stay in their spaces.
 func (x *Index) Next(current, next Config) *Index {
 	if len(current.Spaces) != len(next.Spaces) || !current.Lanes.equal(next.Lanes) {
 		return NewIndex(next)
@@ -74,18 +74,18 @@
 	return index
 }
 
-// sameTopics reports whether two spaces hold the same topics in the same lane.
+// sameTopics reports whether two spaces have the same topics in the same lane.
 func (s Space) sameTopics(other Space) bool {
 	return s.ByPrefix() == other.ByPrefix() && s.Urgent == other.Urgent && s.path() == other.path() &&
 		slices.Equal(s.Topics, other.Topics)
 }
 
-// AgreesWith reports whether every topic surely is in the same space, and in the same lane, as in
-// another index.
+// AgreesWith reports whether every topic is known to be in the same space, and in the same lane, as
+// in another index. It may return false for indexes that agree.
 func (x *Index) AgreesWith(other *Index) bool { return other != nil && x.layout == other.layout }
 
-// assignLanes gives every space the lane that its topics stand in, and finds the spaces some of
-// whose topics stand in the other one.
+// assignLanes sets the lane of every space, and finds the spaces that have topics in the other lane
+// as well.
 func (x *Index) assignLanes(lanes Lanes) {
 	x.lanes, x.splitLane = lanes.table(), make([]bool, len(x.spaces))
 	if !lanes.IsDefined() {
@@ -117,9 +117,10 @@
 	return space
 }
 
-// Find returns the space of a topic, without its list: the one that lists it as space/topic, else
-// the one with the longest prefix that begins it. Its urgency is the one in which the topic stands.
-// The error is apierror.UnknownTopic where the space is known by name, else apierror.UnknownSpace.
+// Find returns the space of a topic, without its list of topics. That is the space that lists it as
+// space/topic, else the one with the longest prefix of the topic's name. The urgency is that of the
+// lane that the topic is in. The error is apierror.UnknownTopic if the space is known by name, else
+// apierror.UnknownSpace.
 func (x *Index) Find(topic string) (Space, error) {
 	if i, ok := x.topics[topic]; ok {
 		return x.spaceOf(topic, i), nil
--- a/internal/configuration/lanes.go
+++ b/internal/configuration/lanes.go
@@ -9,10 +9,10 @@
 	"postjunction/internal/apierror"
 )
 
-// MaxLanes is how many lanes are kept one by one.
+// MaxLanes is how many prefixes the table of lanes lists individually.
 const MaxLanes = 4096
 
-// Lane says in which lane the topics that begin with a prefix stand.
+// Lane is the lane of the topics whose names begin with a prefix.
 type Lane struct {
 	Prefix string `json:"prefix"`
 	Urgent bool   `json:"urgent"`
@@ -33,45 +33,45 @@
 }
 
 // compactLanes leaves out each prefix that a shorter one assigns the same lane, and returns how
-// many are left. Nothing can come between the two: what is new under the shorter one takes over its
-// lane.
+// many prefixes are left. No other lane can come between the two: a new prefix under the shorter
+// one inherits its lane.
 func compactLanes(table prefixMap[bool]) (Lanes, int) {
 	shortestFirst := func(a, b string) int { return cmp.Or(len(a)-len(b), cmp.Compare(a, b)) }
 	var lanes Lanes
-	var kept prefixMap[bool]
+	var compacted prefixMap[bool]
 	for _, prefix := range slices.SortedFunc(maps.Keys(table.values), shortestFirst) {
 		urgent := table.values[prefix]
-		if outer, ok := kept.longest(prefix); ok && outer == urgent {
+		if outer, ok := compacted.longest(prefix); ok && outer == urgent {
 			continue
 		}
-		kept.add(prefix, urgent)
+		compacted.add(prefix, urgent)
 		if urgent {
 			lanes.Urgent = append(lanes.Urgent, prefix)
 		} else {
 			lanes.Routine = append(lanes.Routine, prefix)
 		}
 	}
-	return lanes, len(kept.values)
+	return lanes, len(compacted.values)
 }
 
-// WithLanes returns the configuration with its table of lanes, made of that of the current one or,
-// where it has none, of the current spaces and the removed ones. A prefix under one that has a lane
-// takes it over; any other gets the lane that its space asks for. So a name that could ever be a
-// topic's never changes lanes. Where the lanes become more than MaxLanes, every name that has none
-// yet is routine from then on.
+// WithLanes returns the configuration with its table of lanes. The table is derived from that of
+// the current configuration or, if it has none, from the current and the removed spaces. A prefix
+// under one that has a lane inherits that lane. Any other prefix gets the lane that its space asks
+// for. So a name that was ever valid for a topic never changes lanes. If the table gets more than
+// MaxLanes entries, every name without a lane is routine from then on.
 func (c Config) WithLanes(current Config, removed RemovedSpaces) Config {
 	table := current.Lanes.table()
 	if !current.Lanes.IsDefined() {
 		table = firstTable(current, removed)
 	}
-	asked := map[string]bool{}
+	requested := map[string]bool{}
 	for _, space := range c.Spaces {
 		path := space.path()
 		if _, ok := table.longest(path); !ok {
-			asked[path] = asked[path] || space.Urgent
+			requested[path] = requested[path] || space.Urgent
 		}
 	}
-	for path, urgent := range asked {
+	for path, urgent := range requested {
 		table.add(path, urgent)
 	}
 	lanes, count := compactLanes(table)
@@ -100,35 +100,34 @@
 	return table
 }
 
-// OverriddenLanes returns the prefixes whose topics stand in another lane than their space asks for,
+// OverriddenLanes returns the prefixes whose topics are in another lane than their space asks for,
 // sorted.
 func (c Config) OverriddenLanes() []Lane {
 	if !c.Lanes.IsDefined() {
 		return nil
 	}
-	var kept []Lane
+	var overridden []Lane
 	table := c.Lanes.table()
 	var spaces prefixMap[int]
 	for i, space := range c.Spaces {
 		path := space.path()
 		spaces.add(path, i)
 		if urgent, ok := table.longest(path); ok && urgent != space.Urgent {
-			kept = append(kept, Lane{path, urgent, i})
+			overridden = append(overridden, Lane{path, urgent, i})
 		}
 	}
 	for prefix, urgent := range table.values {
 		i, ok := spaces.longest(prefix)
 		if ok && c.Spaces[i].Urgent != urgent && c.Spaces[i].path() != prefix {
-			kept = append(kept, Lane{prefix, urgent, i})
+			overridden = append(overridden, Lane{prefix, urgent, i})
 		}
 	}
-	slices.SortFunc(kept, func(a, b Lane) int { return cmp.Or(cmp.Compare(a.Prefix, b.Prefix), a.space-b.space) })
-	return slices.CompactFunc(kept, func(a, b Lane) bool { return a.Prefix == b.Prefix })
+	slices.SortFunc(overridden, func(a, b Lane) int { return cmp.Or(cmp.Compare(a.Prefix, b.Prefix), a.space-b.space) })
+	return slices.CompactFunc(overridden, func(a, b Lane) bool { return a.Prefix == b.Prefix })
 }
 
-// CheckLanes checks that every topic stands in the lane that its space asks for, unless the
-// configuration takes lanes as they stand. The error is apierror.ConfigurationInvalid with every
-// fault.
+// CheckLanes checks that every topic is in the lane that its space asks for, unless the
+// configuration has UseAssignedLanes. The error is apierror.ConfigurationInvalid with every fault.
 func (c Config) CheckLanes() error {
 	if c.UseAssignedLanes {
 		return nil
@@ -137,7 +136,7 @@
 	for _, lane := range c.OverriddenLanes() {
 		faults = append(faults, apierror.Fault{
 			Path: fmt.Sprintf("$.spaces[%d].urgent", lane.space),
-			Message: fmt.Sprintf("must be %v, where the lines of %q stand, or standing_lanes be true",
+			Message: fmt.Sprintf("must be %v, the lane of the topics of %q, or standing_lanes must be true",
 				lane.Urgent, lane.Prefix),
 		})
 	}
--- a/internal/configuration/lanes_test.go
+++ b/internal/configuration/lanes_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func newStandingConfig(spaces ...Space) Config {
+func newLaneConfig(spaces ...Space) Config {
 	config := newConfig(spaces...)
 	config.UseAssignedLanes = true
 	return config
@@ -30,135 +30,135 @@
 }
 
 func TestLanesTable(t *testing.T) {
-	line := func(urgent bool) Space {
+	listed := func(urgent bool) Space {
 		return Space{Name: "line", Kind: KindRetained, Urgent: urgent, Topics: []string{"a"}}
 	}
 	for _, test := range []struct {
-		say   string
-		steps []Config
-		old   RemovedSpaces
-		lanes string
-		kept  string
+		name       string
+		steps      []Config
+		removed    RemovedSpaces
+		lanes      string
+		overridden string
 	}{
 		{
 			"inner later",
 			[]Config{
-				newStandingConfig(byPrefix("k", false)),
-				newStandingConfig(byPrefix("k", false), byPrefix("ka.", true)),
+				newLaneConfig(byPrefix("k", false)),
+				newLaneConfig(byPrefix("k", false), byPrefix("ka.", true)),
 			},
 			nil, "k|", "ka. false",
 		},
 		{
 			"outer later",
 			[]Config{
-				newStandingConfig(byPrefix("ka.", true)),
-				newStandingConfig(byPrefix("ka.", true), byPrefix("k", false)),
+				newLaneConfig(byPrefix("ka.", true)),
+				newLaneConfig(byPrefix("ka.", true), byPrefix("k", false)),
 			},
 			nil, "k|ka.", "",
 		},
-		{"both at once", []Config{newStandingConfig(byPrefix("ka.", true), byPrefix("k", false))}, nil, "k|ka.", ""},
+		{"both at once", []Config{newLaneConfig(byPrefix("ka.", true), byPrefix("k", false))}, nil, "k|ka.", ""},
 		{
 			"inner removed",
 			[]Config{
-				newStandingConfig(byPrefix("ka.", true), byPrefix("k", false)),
-				newStandingConfig(byPrefix("k", false)),
+				newLaneConfig(byPrefix("ka.", true), byPrefix("k", false)),
+				newLaneConfig(byPrefix("k", false)),
 			},
 			nil, "k|ka.", "ka. true",
 		},
 		{
-			"back with another",
+			"added again with another",
 			[]Config{
-				newStandingConfig(byPrefix("ka.", true)), newStandingConfig(),
-				newStandingConfig(byPrefix("ka.", false)),
+				newLaneConfig(byPrefix("ka.", true)), newLaneConfig(),
+				newLaneConfig(byPrefix("ka.", false)),
 			},
 			nil, "|ka.", "ka. true",
 		},
 		{
-			"both gone, outer back with another",
+			"both removed, outer added again with another",
 			[]Config{
-				newStandingConfig(byPrefix("ka.", true), byPrefix("k", false)), newStandingConfig(),
-				newStandingConfig(byPrefix("k", true)),
+				newLaneConfig(byPrefix("ka.", true), byPrefix("k", false)), newLaneConfig(),
+				newLaneConfig(byPrefix("k", true)),
 			},
 			nil, "k|ka.", "k false",
 		},
 		{
-			"changed while it stands",
-			[]Config{newStandingConfig(byPrefix("k", true)), newStandingConfig(byPrefix("k", false))},
+			"changed while it exists",
+			[]Config{newLaneConfig(byPrefix("k", true)), newLaneConfig(byPrefix("k", false))},
 			nil, "|k", "k true",
 		},
 		{
 			"all later",
-			[]Config{newStandingConfig(byPrefix("k", true)), newStandingConfig(byPrefix("", false))},
+			[]Config{newLaneConfig(byPrefix("k", true)), newLaneConfig(byPrefix("", false))},
 			nil, "(all)|k", "k true",
 		},
 		{
 			"under all",
 			[]Config{
-				newStandingConfig(byPrefix("", false)),
-				newStandingConfig(byPrefix("", false), byPrefix("k", true)),
+				newLaneConfig(byPrefix("", false)),
+				newLaneConfig(byPrefix("", false), byPrefix("k", true)),
 			},
 			nil, "(all)|", "k false",
 		},
 		{
 			"same",
-			[]Config{newStandingConfig(byPrefix("ka.", true)), newStandingConfig(byPrefix("k", true))},
+			[]Config{newLaneConfig(byPrefix("ka.", true)), newLaneConfig(byPrefix("k", true))},
 			nil, "|k", "",
 		},
 		{
 			"a list",
 			[]Config{
-				newStandingConfig(line(true)), newStandingConfig(line(false)),
-				newStandingConfig(byPrefix("l", false)),
+				newLaneConfig(listed(true)), newLaneConfig(listed(false)),
+				newLaneConfig(byPrefix("l", false)),
 			},
 			nil, "l|line/", "line/ true",
 		},
 		{
 			"from removed spaces",
-			[]Config{newStandingConfig(byPrefix("k", false), byPrefix("lx", false))},
+			[]Config{newLaneConfig(byPrefix("k", false), byPrefix("lx", false))},
 			RemovedSpaces{"=k": true, "line": false}, "lx,line/|k", "k true",
 		},
 		{
 			"from too many removed",
-			[]Config{newStandingConfig(byPrefix("k", false), byPrefix("x", true))},
+			[]Config{newLaneConfig(byPrefix("k", false), byPrefix("x", true))},
 			RemovedSpaces{"=k": true, routineDropped: false}, "(all)|k", "k true,x false",
 		},
 		{
-			"turned on later",
-			[]Config{newConfig(byPrefix("k", true)), newStandingConfig(byPrefix("k", true), byPrefix("ka", false))},
+			"enabled later",
+			[]Config{newConfig(byPrefix("k", true)), newLaneConfig(byPrefix("k", true), byPrefix("ka", false))},
 			nil, "|k", "ka true",
 		},
 		{
-			"turned off later",
-			[]Config{newStandingConfig(byPrefix("k", true)), newConfig(byPrefix("k", true), byPrefix("l", false))},
+			"disabled later",
+			[]Config{newLaneConfig(byPrefix("k", true)), newConfig(byPrefix("k", true), byPrefix("l", false))},
 			nil, "l|k", "",
 		},
 	} {
 		var current Config
 		for _, config := range test.steps {
 			if config.UseAssignedLanes || current.Lanes.IsDefined() {
-				config = config.WithLanes(current, test.old)
-				assert.NilError(t, config.CheckLanes(), test.say)
+				config = config.WithLanes(current, test.removed)
+				assert.NilError(t, config.CheckLanes(), test.name)
 			}
 			current = config
 		}
-		var kept []string
+		var overridden []string
 		for _, lane := range current.OverriddenLanes() {
-			kept = append(kept, fmt.Sprint(lane.Prefix, " ", lane.Urgent))
+			overridden = append(overridden, fmt.Sprint(lane.Prefix, " ", lane.Urgent))
 		}
-		assert.Equal(t, lanesOf(current), test.lanes, test.say)
-		assert.Equal(t, strings.Join(kept, ","), test.kept, test.say)
+		assert.Equal(t, lanesOf(current), test.lanes, test.name)
+		assert.Equal(t, strings.Join(overridden, ","), test.overridden, test.name)
 	}
 	config := newConfig(byPrefix("k", false)).WithLanes(
-		newStandingConfig(byPrefix("k", true)).WithLanes(Config{}, nil), nil,
+		newLaneConfig(byPrefix("k", true)).WithLanes(Config{}, nil), nil,
 	)
 	assert.ErrorContains(
 		t, config.CheckLanes(),
-		`$.spaces[0].urgent: must be true, where the lines of "k" stand, or standing_lanes be true`,
+		`$.spaces[0].urgent: must be true, the lane of the topics of "k", or standing_lanes must be true`,
 	)
 }
 
-// Whatever valid configurations come one after another, a name that a space once held stays in its
-// lane: under the spaces that hold it then, and in the table.
+// Applies random sequences of valid configurations. A name that was once in a space must stay in
+// its lane, whichever space it is in later.
 func TestNoTopicEverChangesItsLane(t *testing.T) {
 	letters := "kal"
 	var names []string
@@ -176,11 +176,11 @@
 		r := rand.New(rand.NewPCG(seed, 7))
 		maxSpaces := []int{1, 3, 12}[seed%3]
 		current, removed, first, lane := newConfig(), RemovedSpaces{}, map[string]uint64{}, map[string]bool{}
-		began := r.IntN(4) == 0
+		withoutLanes := r.IntN(4) == 0
 		for step := range 30 {
-			config := newStandingConfig()
+			config := newLaneConfig()
 			config.Base, config.Sequence = current.Sequence, current.Sequence+1
-			config.UseAssignedLanes = !began && (seed%5 > 0 || r.IntN(2) > 0)
+			config.UseAssignedLanes = !withoutLanes && (seed%5 > 0 || r.IntN(2) > 0)
 			paths := map[string]bool{}
 			for range 1 + r.IntN(maxSpaces) {
 				space := byPrefix(names[r.IntN(60)], r.IntN(2) > 0)
@@ -200,7 +200,7 @@
 					config.Spaces = append(config.Spaces, space)
 				}
 			}
-			began = began && step < 6
+			withoutLanes = withoutLanes && step < 6
 			if len(config.Faults()) > 0 {
 				continue
 			}
@@ -238,7 +238,7 @@
 					continue
 				}
 				assert.Equal(
-					t, space.Urgent, urgent, "seed %d: %q stood from %d on, %v at %d", seed, name,
+					t, space.Urgent, urgent, "seed %d: %q has had its lane since %d, %v at %d", seed, name,
 					first[name], current, config.Sequence,
 				)
 			}
@@ -259,9 +259,9 @@
 }
 
 func TestTooManyLanes(t *testing.T) {
-	current := newStandingConfig()
+	current := newLaneConfig()
 	for i := range 3 {
-		config := newStandingConfig()
+		config := newLaneConfig()
 		for k := range MaxSpaces / 2 {
 			config.Spaces = append(config.Spaces, byPrefix(fmt.Sprintf("p%d-%d.", i, k), k%4 == 0))
 		}
@@ -271,19 +271,19 @@
 	assert.DeepEqual(t, current.Lanes.Routine, []string{""})
 	assert.Equal(t, len(current.Lanes.Urgent), 3*MaxSpaces/8)
 	assert.Assert(t, slices.Contains(current.Lanes.Urgent, "p0-4."))
-	config := newStandingConfig(
+	config := newLaneConfig(
 		byPrefix("new", true), byPrefix("p0-4.", true), byPrefix("p0-5.", true),
 	).WithLanes(current, nil)
 	assert.Equal(t, len(config.Lanes.Urgent), 3*MaxSpaces/8)
-	var kept []string
-	for _, l := range config.OverriddenLanes() {
-		kept = append(kept, l.Prefix)
+	var overridden []string
+	for _, lane := range config.OverriddenLanes() {
+		overridden = append(overridden, lane.Prefix)
 	}
-	assert.DeepEqual(t, kept, []string{"new", "p0-5."})
+	assert.DeepEqual(t, overridden, []string{"new", "p0-5."})
 }
 
-// The table is the fleet's: an operator can't write it, and the same configuration again is the
-// same with it.
+// The table of lanes is maintained by the fleet: an operator can't write it, and it is not compared
+// when a configuration is sent again.
 func TestLanesAreNoPartOfWhatOperatorsWrite(t *testing.T) {
 	assert.Equal(t, faults(t, `{"base":4,"spaces":[],"lanes":{}}`), "$.lanes is not a field of this document")
 	assert.Equal(
@@ -306,7 +306,7 @@
 		),
 		"",
 	)
-	config := newStandingConfig(byPrefix("k", true))
+	config := newLaneConfig(byPrefix("k", true))
 	assert.Assert(t, config.WithLanes(Config{}, nil).Equal(config))
 	assert.Assert(t, !config.Equal(newConfig(byPrefix("k", true))))
 }
--- a/internal/configuration/prefixes.go
+++ b/internal/configuration/prefixes.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// prefixMap finds values by the prefixes of a name: one look-up for each length that any prefix
-// has, longest first. The zero value is empty and ready to use.
+// prefixMap finds values by the prefixes of a name. It does one look-up for each distinct length of
+// its prefixes, longest first. The zero value is empty and ready to use.
 type prefixMap[V any] struct {
 	values  map[string]V
-	lengths []int // of the prefixes, each once, descending
+	lengths []int // distinct lengths of the prefixes, descending
 }
 
 func (m *prefixMap[V]) add(prefix string, value V) {
@@ -20,14 +20,14 @@
 	}
 }
 
-// each visits the values whose prefix begins the name, longest prefix first, until visit returns
-// false.
-func (m *prefixMap[V]) each(name string, visit func(prefix string, value V) bool) {
+// each calls yield for the values whose prefix begins the name, longest prefix first, until yield
+// returns false.
+func (m *prefixMap[V]) each(name string, yield func(prefix string, value V) bool) {
 	for _, length := range m.lengths {
 		if length > len(name) {
 			continue
 		}
-		if value, ok := m.values[name[:length]]; ok && !visit(name[:length], value) {
+		if value, ok := m.values[name[:length]]; ok && !yield(name[:length], value) {
 			return
 		}
 	}
--- a/internal/configuration/removed.go
+++ b/internal/configuration/removed.go
@@ -9,12 +9,12 @@
 	"postjunction/internal/apierror"
 )
 
-// MaxRemovedSpaces is how many removed spaces are kept one by one.
+// MaxRemovedSpaces is how many removed spaces are listed individually.
 const MaxRemovedSpaces = 4096
 
-// RemovedSpaces holds the urgency of spaces that were removed: those of listed topics by name,
-// those by prefix by "=" and the prefix. Where they became too many, those that were not urgent are
-// left out, and "*" says so.
+// RemovedSpaces holds the urgency of the spaces that were removed. The key of a space with listed
+// topics is its name. The key of a space by prefix is "=" and the prefix. Once there are too many,
+// the spaces that were not urgent are dropped, and the key "*" records that.
 type RemovedSpaces map[string]bool
 
 const (
@@ -38,7 +38,7 @@
 	return key + "/"
 }
 
-// ParseRemovedSpaces reads the removed spaces; none are in an empty text.
+// ParseRemovedSpaces reads the removed spaces. It returns none for empty input.
 func ParseRemovedSpaces(b []byte) (RemovedSpaces, error) {
 	r := RemovedSpaces{}
 	if len(b) == 0 {
@@ -58,10 +58,10 @@
 	urgent bool
 }
 
-// Check checks a configuration against the current one and all removed spaces, and adds to r those
-// that it removes; it reports whether there were any. A space that comes back, or that shares
-// topics with one that was there before, needs the urgency that these had. The error is
-// apierror.ConfigurationInvalid with every fault.
+// Check checks a configuration against the current one and all removed spaces. It adds the spaces
+// that the configuration removes to r, and reports whether there were any. A space that is added
+// again, or that shares topics with an earlier one, must have the urgency that the earlier one had.
+// The error is apierror.ConfigurationInvalid with every fault.
 func (r RemovedSpaces) Check(next, current Config) (bool, error) {
 	messages := r.conflicts(next, current)
 	var faults []apierror.Fault
@@ -73,7 +73,7 @@
 	return r.add(next, current), FaultsError(append(faults, r.tooMany()...))
 }
 
-// conflicts returns what is wrong with the urgency of the next spaces, by their path.
+// conflicts returns messages about spaces of next whose urgency is wrong, by the spaces' paths.
 func (r RemovedSpaces) conflicts(next, current Config) map[string]string {
 	var before, after prefixMap[spaceUrgency]
 	for key, urgent := range r {
@@ -103,7 +103,7 @@
 			return true
 		})
 		if !known && space.urgent && r.has(routineDropped) {
-			messages[path] = "can't be true in a new space: too many spaces were removed to tell which were not urgent"
+			messages[path] = "can't be true in a new space: too many spaces were removed to know which were not urgent"
 		}
 	}
 	for oldPath, old := range before.values {
@@ -122,13 +122,13 @@
 
 // add adds the spaces that next removes from current, and reports whether there were any.
 func (r RemovedSpaces) add(next, current Config) bool {
-	stays, added := map[string]bool{}, false
+	remaining, added := map[string]bool{}, false
 	for _, space := range next.Spaces {
-		stays[space.path()] = true
+		remaining[space.path()] = true
 	}
 	for _, space := range current.Spaces {
 		key := space.removedKey()
-		if r.has(key) || stays[space.path()] || !space.Urgent && r.has(routineDropped) {
+		if r.has(key) || remaining[space.path()] || !space.Urgent && r.has(routineDropped) {
 			continue
 		}
 		r[key], added = space.Urgent, true
@@ -146,7 +146,7 @@
 	}
 	return []apierror.Fault{{
 		Path: "$.spaces",
-		Message: fmt.Sprintf("would make %d removed urgent spaces, %d can be kept; keep some or bring some back",
+		Message: fmt.Sprintf("would make %d removed urgent spaces, at most %d can be recorded; keep some or add some again",
 			len(r)-1, MaxRemovedSpaces-1),
 	}}
 }
--- a/internal/configuration/strictjson/strict.go
+++ b/internal/configuration/strictjson/strict.go
@@ -1,5 +1,5 @@
-// Package strictjson walks a JSON document and finds every unknown, doubled, missing or mistyped
-// field with its path. It keeps no state between calls.
+// Package strictjson checks a JSON document and finds every unknown, duplicate, missing or mistyped
+// field, with its path. It has no state between calls.
 package strictjson
 
 import (
@@ -11,8 +11,8 @@
 	"postjunction/internal/apierror"
 )
 
-// Shape says what a value must be: its kind, the fields of an object and which of them must be
-// there, the items of an array.
+// Shape says what a value must be: its kind, the fields of an object and which of them are
+// required, the items of an array.
 type Shape struct {
 	Kind     string
 	Fields   map[string]Shape
@@ -20,7 +20,7 @@
 	Items    *Shape
 }
 
-// Kinds of value, as they stand in messages.
+// Kinds of value, as messages name them.
 const (
 	Object   = "an object"
 	Array    = "an array"
@@ -39,8 +39,8 @@
 	faults  []apierror.Fault
 }
 
-// Check returns every fault of a document against a shape, at most 100; an error,
-// apierror.Malformed, means that it is no JSON at all.
+// Check returns every fault of a document against a shape, at most 100. It returns the error
+// apierror.Malformed if the document is not JSON.
 func Check(document []byte, shape Shape) ([]apierror.Fault, error) {
 	w := &walker{decoder: json.NewDecoder(bytes.NewReader(document))}
 	w.decoder.UseNumber()
@@ -60,7 +60,8 @@
 	}
 }
 
-// isKind says of each kind whether a token that begins neither an object nor an array is of it.
+// isKind reports, by kind, whether a token that begins neither an object nor an array is of that
+// kind.
 var isKind = map[string]func(json.Token) bool{
 	Text:     func(token json.Token) bool { _, ok := token.(string); return ok },
 	Flag:     func(token json.Token) bool { _, ok := token.(bool); return ok },
--- a/internal/configuration/types.go
+++ b/internal/configuration/types.go
@@ -1,26 +1,26 @@
-// Package configuration holds the operators' numbered configuration of all topic spaces: reading,
-// checking, comparing and looking topics up in it.
+// Package configuration defines the operators' numbered configuration of all topic spaces. It
+// parses, validates and compares configurations, and looks topics up in them.
 //
-// What must stay true:
-//   - The lines of a topic stand in the partitions of one urgency, its lane, for good. So a space
-//     that stays or comes back keeps its urgency (CheckSuccession, RemovedSpaces), or the table of
-//     lanes overrules it (WithLanes).
-//   - A Change that was applied makes exactly the configuration that it was made of (Checksum), or
-//     nothing.
-//   - JSON field names are what operators write and what is stored: tags never change.
+// Invariants:
+//   - The messages of a topic are always stored in partitions of one urgency, the topic's lane. So
+//     a space that remains or is added again must have the same urgency (CheckSuccession,
+//     RemovedSpaces), or the table of lanes overrides it (WithLanes).
+//   - Applying a Change produces exactly the configuration that it was computed for (Checksum), or
+//     fails.
+//   - JSON field names are written by operators and stored on disk, so tags never change.
 //
-// Values are plain data and safe to share once made; nothing here locks, blocks or starts
-// goroutines. An Index is never changed after NewIndex or Next returned it.
+// Values are plain data and safe to share once made. Nothing here locks, blocks or starts
+// goroutines. An Index never changes after NewIndex or Next returned it.
 package configuration
 
 //go:generate go tool easyjson -disallow_unknown_fields -output_filename types_easyjson.go types.go
 
-// Space is a family of topics: those listed, written name/topic, or all whose names begin with
-// Prefix, or simply All. Among the spaces by prefix that begin a topic's name the longest prefix
-// wins; a listed topic goes before any prefix. RetentionMS is how long a kept space keeps
-// messages, 0 for the fleet's retention. DeadlineMS and TargetLatencyMS, in milliseconds, say until
-// when a message is worth anything and by when it should arrive; 0 says nothing. Order is
-// OrderPerSender, also when empty, or OrderPerTopic. Weight is the operators' own measure of
+// Space is a set of topics: those listed in Topics, written name/topic, or those whose names begin
+// with Prefix, or All. A listed topic takes precedence over any prefix, and a longer prefix over a
+// shorter one. RetentionMS is how long a space of kind KindRetained stores messages, 0 for the
+// fleet's retention. DeadlineMS is when a message becomes worthless, and TargetLatencyMS when it
+// should have arrived, in milliseconds after it was sent; 0 is unspecified. Order is
+// OrderPerSender, which is the default, or OrderPerTopic. Weight is the operators' own measure of
 // importance.
 //
 //easyjson:json
@@ -38,8 +38,8 @@
 	Weight          int      `json:"weight,omitempty"`
 }
 
-// Limits bound what one client may do: topics on one connection and bytes of one body; 0 leaves the
-// default.
+// Limits bound what one client may do: Topics on one connection, and the bytes of one Body; 0 is
+// the default.
 //
 //easyjson:json
 type Limits struct {
@@ -47,10 +47,10 @@
 	Body   int `json:"body,omitempty"`
 }
 
-// Config holds all spaces. Sequence is above Base, the sequence that it builds on; left out it is
-// Base plus one. Source is the operator's own document, kept as it was. With UseAssignedLanes a space
-// takes the lanes in which its topics stand instead of being rejected for its urgency. Lanes is the
-// fleet's own table and no part of what an operator writes.
+// Config is a whole configuration. Sequence must be above Base, the sequence that it builds on. If
+// left out it is Base plus one. Source is the operator's own document, unchanged. With
+// UseAssignedLanes a space whose urgency conflicts with the lanes of its topics uses those lanes
+// instead of being rejected. Lanes is maintained by the fleet and not written by operators.
 //
 //easyjson:json
 type Config struct {
@@ -64,8 +64,8 @@
 	Lanes            Lanes `json:"lanes,omitempty"`
 }
 
-// Lanes lists the prefixes of topic names whose topics stand in urgent and in routine partitions.
-// The longest prefix that begins a name decides. A prefix that was assigned a lane keeps it.
+// Lanes lists the prefixes of topic names that are assigned to urgent and to routine partitions.
+// The longest prefix of a name decides. The lane of a prefix never changes.
 //
 //easyjson:json
 type Lanes struct {
@@ -79,8 +79,8 @@
 	KindLive     = "live"
 )
 
-// Orders of a space: one order for each sender's messages, or one order of all messages of a topic
-// for everyone.
+// Orders of a space: messages are ordered per sender, or all messages of a topic are in one order
+// for all subscribers.
 const (
 	OrderPerSender = "sender"
 	OrderPerTopic  = "topic"
@@ -92,11 +92,11 @@
 // IsDefined reports whether any prefix has a lane.
 func (l Lanes) IsDefined() bool { return len(l.Urgent)+len(l.Routine) > 0 }
 
-// ByPrefix reports whether a space holds topics by prefix instead of by list.
+// ByPrefix reports whether a space has topics by prefix instead of by list.
 func (s Space) ByPrefix() bool { return s.Prefix != "" || s.All }
 
-// path returns what the names of the space's topics begin with. Topics stand in partitions by
-// urgency, so a path keeps its urgency for good.
+// path returns the common prefix of the names of the space's topics. Topics are stored in
+// partitions by urgency, so the urgency of a path never changes.
 func (s Space) path() string {
 	if s.ByPrefix() {
 		return s.Prefix
--- a/internal/configuration/validate.go
+++ b/internal/configuration/validate.go
@@ -8,8 +8,8 @@
 	"postjunction/internal/apierror"
 )
 
-// Limits of a configuration. MaxBytes bounds a document that is read and a source, MaxEncodedBytes
-// both together as they are kept; MaxTimeMS bounds every time in it, in milliseconds.
+// Limits of a configuration. MaxBytes bounds a document that is read, and a source. MaxEncodedBytes
+// bounds both together as they are stored. MaxTimeMS bounds every time in it, in milliseconds.
 const (
 	MaxSpaces       = 4096
 	MaxTopics       = 10000
@@ -28,7 +28,7 @@
 	orders        = map[string]bool{"": true, OrderPerSender: true, OrderPerTopic: true}
 )
 
-// FaultsError makes one apierror.ConfigurationInvalid of faults, nil of none.
+// FaultsError returns one apierror.ConfigurationInvalid with all faults, nil if there are none.
 func FaultsError(faults []apierror.Fault) error {
 	if len(faults) == 0 {
 		return nil
@@ -40,7 +40,8 @@
 		WithFaults(faults)
 }
 
-// Faults returns every fault of a configuration by itself, in the order of the document.
+// Faults returns every fault of a configuration that can be found without any other configuration,
+// in the order of the document.
 func (c Config) Faults() []apierror.Fault {
 	v := validator{names: map[string]bool{}, prefixes: map[string]bool{}}
 	v.require(c.Sequence == 0 || c.Sequence > c.Base, "$.sequence", "must be above base (%d) or left out, is %d",
@@ -60,7 +61,8 @@
 	return append(v.faults, c.mixedUrgency()...)
 }
 
-// validator collects the faults of one configuration and what it has seen of its spaces.
+// validator collects the faults of one configuration. It remembers the names, prefixes and number
+// of topics of the spaces that it has checked.
 type validator struct {
 	faults   []apierror.Fault
 	names    map[string]bool
@@ -78,53 +80,53 @@
 	v.require(number >= 0 && number < numberLimit, path, "must be from 0 to %d, is %d", numberLimit-1, number)
 }
 
-func (v *validator) checkSpace(path string, s Space) {
-	if s.ByPrefix() {
-		v.checkPrefix(path, s)
+func (v *validator) checkSpace(path string, space Space) {
+	if space.ByPrefix() {
+		v.checkPrefix(path, space)
 	} else {
-		v.require(spacePattern.MatchString(s.Name), path+".name", "must be 1 to 63 of a-z, 0-9 and -, is %q", s.Name)
+		v.require(spacePattern.MatchString(space.Name), path+".name", "must be 1 to 63 of a-z, 0-9 and -, is %q", space.Name)
 	}
-	v.require(!v.names[s.Name], path+".name", "%q stands twice", s.Name)
-	v.names[s.Name] = true
-	v.require(kinds[s.Kind], path+".kind", "must be kept or live, is %q", s.Kind)
-	v.require(orders[s.Order], path+".order", "must be sender or topic, is %q", s.Order)
-	v.require(s.RetentionMS == 0 || s.Kind != KindLive, path+".keep_ms", "must be left out of a live space")
-	v.requireNumber(path+".weight", s.Weight)
+	v.require(!v.names[space.Name], path+".name", "%q stands twice", space.Name)
+	v.names[space.Name] = true
+	v.require(kinds[space.Kind], path+".kind", "must be kept or live, is %q", space.Kind)
+	v.require(orders[space.Order], path+".order", "must be sender or topic, is %q", space.Order)
+	v.require(space.RetentionMS == 0 || space.Kind != KindLive, path+".keep_ms", "must be left out of a live space")
+	v.requireNumber(path+".weight", space.Weight)
 	for _, duration := range []struct {
 		field string
 		ms    uint64
-	}{{".keep_ms", s.RetentionMS}, {".deadline_ms", s.DeadlineMS}, {".aim_ms", s.TargetLatencyMS}} {
+	}{{".keep_ms", space.RetentionMS}, {".deadline_ms", space.DeadlineMS}, {".aim_ms", space.TargetLatencyMS}} {
 		v.require(duration.ms <= MaxTimeMS, path+duration.field, "must be at most %d, is %d", MaxTimeMS, duration.ms)
 	}
-	v.checkTopics(path, s)
+	v.checkTopics(path, space)
 }
 
-func (v *validator) checkPrefix(path string, s Space) {
-	v.require(s.All && s.Name == "" || prefixPattern.MatchString(s.Name), path+".name",
-		"must be 1 to 255 characters without spaces, is %q", s.Name)
-	v.require(s.All || prefixPattern.MatchString(s.Prefix), path+".prefix",
-		"must be 1 to 255 characters without spaces, is %q", s.Prefix)
-	v.require(!s.All || s.Prefix == "", path+".prefix", "must be left out beside all")
-	v.require(len(s.Topics) == 0, path+".topics", "must be left out of a space by prefix")
-	v.require(!v.prefixes[s.Prefix], path+".prefix", "%q stands twice", s.Prefix)
-	v.prefixes[s.Prefix] = true
+func (v *validator) checkPrefix(path string, space Space) {
+	v.require(space.All && space.Name == "" || prefixPattern.MatchString(space.Name), path+".name",
+		"must be 1 to 255 characters without spaces, is %q", space.Name)
+	v.require(space.All || prefixPattern.MatchString(space.Prefix), path+".prefix",
+		"must be 1 to 255 characters without spaces, is %q", space.Prefix)
+	v.require(!space.All || space.Prefix == "", path+".prefix", "must be left out beside all")
+	v.require(len(space.Topics) == 0, path+".topics", "must be left out of a space by prefix")
+	v.require(!v.prefixes[space.Prefix], path+".prefix", "%q stands twice", space.Prefix)
+	v.prefixes[space.Prefix] = true
 }
 
-func (v *validator) checkTopics(path string, s Space) {
-	v.require(s.ByPrefix() || len(s.Topics) > 0, path+".topics", "must name at least one topic")
+func (v *validator) checkTopics(path string, space Space) {
+	v.require(space.ByPrefix() || len(space.Topics) > 0, path+".topics", "must name at least one topic")
 	seen := map[string]bool{}
-	for i, topic := range s.Topics {
+	for i, topic := range space.Topics {
 		topicPath := fmt.Sprintf("%s.topics[%d]", path, i)
 		v.require(topicPattern.MatchString(topic), topicPath, "must be 1 to 127 of letters, digits, ., _ and -, is %q",
 			topic)
 		v.require(!seen[topic], topicPath, "%q stands twice", topic)
 		seen[topic] = true
 	}
-	v.topics += len(s.Topics)
+	v.topics += len(space.Topics)
 }
 
-// mixedUrgency returns a fault for each space that may hold a topic of another one, now or once
-// that one is removed, and has another urgency.
+// mixedUrgency returns a fault for each space that shares topics with another space of a different
+// urgency, now or after the other one is removed.
 func (c Config) mixedUrgency() []apierror.Fault {
 	var outer prefixMap[int]
 	for i, space := range c.Spaces {
@@ -132,8 +134,8 @@
 	}
 	var faults []apierror.Fault
 	for i, space := range c.Spaces {
-		outer.each(space.path(), func(_ string, k int) bool {
-			other := c.Spaces[k]
+		outer.each(space.path(), func(_ string, j int) bool {
+			other := c.Spaces[j]
 			if other.Urgent == space.Urgent {
 				return true
 			}
