--- a/internal/command/serve/listener_test.go
+++ b/internal/command/serve/listener_test.go
@@ -12,51 +12,51 @@
 // A listener with as many connections as it may have closes further ones at once, and takes others
 // once one ends.
 func TestLimitConnections(t *testing.T) {
-	in, err := net.Listen("tcp", "127.0.0.1:0")
+	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	l := limitConnections(in, 2)
-	t.Cleanup(func() { _ = l.Close() })
+	limited := limitConnections(inner, 2)
+	t.Cleanup(func() { _ = limited.Close() })
 	accepted := make(chan net.Conn)
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := limited.Accept()
 			if err != nil {
 				return
 			}
-			accepted <- c
+			accepted <- conn
 		}
 	}()
 	dial := func() net.Conn {
-		c, err := net.Dial("tcp", l.Addr().String())
+		conn, err := net.Dial("tcp", limited.Addr().String())
 		assert.NilError(t, err)
-		return c
+		return conn
 	}
-	a, b := dial(), dial()
+	conn1, conn2 := dial(), dial()
 	first := <-accepted
 	<-accepted
-	c := dial()
-	_, err = c.Read(make([]byte, 1))
+	conn3 := dial()
+	_, err = conn3.Read(make([]byte, 1))
 	assert.Assert(t, err != nil, "a third connection stayed open")
 	assert.NilError(t, first.Close())
 	assert.Assert(t, first.Close() != nil, "a connection that is closed twice frees one slot")
-	d := dial()
+	conn4 := dial()
 	last := <-accepted
 	go func() { _, _ = last.Write([]byte("x")) }()
-	_, err = io.ReadFull(d, make([]byte, 1))
+	_, err = io.ReadFull(conn4, make([]byte, 1))
 	assert.NilError(t, err)
-	for _, x := range []net.Conn{a, b, c, d} {
-		_ = x.Close()
+	for _, conn := range []net.Conn{conn1, conn2, conn3, conn4} {
+		_ = conn.Close()
 	}
 }
 
 // Where the server closes idle connections itself, accepting one costs four system calls less.
 func TestListener_ReapsIdleTurnsKernelKeepaliveOff(t *testing.T) {
 	for _, reapsIdle := range []bool{true, false} {
-		l, err := Listener{Address: "127.0.0.1:0", ReapsIdle: reapsIdle}.open()
+		port, err := Listener{Address: "127.0.0.1:0", ReapsIdle: reapsIdle}.open()
 		assert.NilError(t, err)
-		c, err := net.Dial("tcp", l.Addr().String())
+		conn, err := net.Dial("tcp", port.Addr().String())
 		assert.NilError(t, err)
-		accepted, err := l.Accept()
+		accepted, err := port.Accept()
 		assert.NilError(t, err)
 		raw, err := accepted.(*net.TCPConn).SyscallConn()
 		assert.NilError(t, err)
@@ -66,7 +66,7 @@
 		}))
 		assert.NilError(t, err)
 		assert.Equal(t, keepalive == 0, reapsIdle)
-		_, _, _ = accepted.Close(), c.Close(), l.Close()
+		_, _, _ = accepted.Close(), conn.Close(), port.Close()
 	}
 }
 
--- a/internal/command/serve/process_test.go
+++ b/internal/command/serve/process_test.go
@@ -26,12 +26,12 @@
 // logBuffer is a log that can be waited on.
 type logBuffer struct {
 	// mu guards text.
-	mu   sync.Mutex
-	text bytes.Buffer
-	more chan struct{}
+	mu      sync.Mutex
+	text    bytes.Buffer
+	written chan struct{}
 }
 
-func newLogBuffer() *logBuffer { return &logBuffer{more: make(chan struct{}, 1)} }
+func newLogBuffer() *logBuffer { return &logBuffer{written: make(chan struct{}, 1)} }
 
 // Write takes log lines.
 func (l *logBuffer) Write(b []byte) (int, error) {
@@ -39,63 +39,63 @@
 	defer l.mu.Unlock()
 	l.text.Write(b)
 	select {
-	case l.more <- struct{}{}:
+	case l.written <- struct{}{}:
 	default:
 	}
 	return len(b), nil
 }
 
-func (l *logBuffer) count(e event.Event) int {
+func (l *logBuffer) count(logged event.Event) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return strings.Count(l.text.String(), fmt.Sprintf("event=%d", e.Number))
+	return strings.Count(l.text.String(), fmt.Sprintf("event=%d", logged.Number))
 }
 
-func (l *logBuffer) await(t *testing.T, e event.Event, n int) {
+func (l *logBuffer) await(t *testing.T, logged event.Event, times int) {
 	t.Helper()
-	for l.count(e) < n {
+	for l.count(logged) < times {
 		select {
-		case <-l.more:
+		case <-l.written:
 		case <-t.Context().Done():
-			t.Fatalf("event %d did not come %d times", e.Number, n)
+			t.Fatalf("event %d did not come %d times", logged.Number, times)
 		}
 	}
 }
 
-func ports(t *testing.T, n int) []string {
-	var as []string
-	for range n {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+func freeAddrs(t *testing.T, count int) []string {
+	var addrs []string
+	for range count {
+		port, err := net.Listen("tcp", "127.0.0.1:0")
 		assert.NilError(t, err)
-		as = append(as, l.Addr().String())
-		defer func() { _ = l.Close() }()
+		addrs = append(addrs, port.Addr().String())
+		defer func() { _ = port.Close() }()
 	}
-	return as
+	return addrs
 }
 
-func testSettings(t *testing.T, a []string, more string) string {
-	f := filepath.Join(t.TempDir(), "o.json")
-	s := fmt.Sprintf(`{"name":"a1","zone":"z1","listen":%q,"fellow_listen":%q,"seeds":[%q,%q,%q]%s}`, a[0], a[1],
-		a[2], a[3], a[4], more)
-	assert.NilError(t, os.WriteFile(f, []byte(s), 0o600))
-	return f
+func writeSettings(t *testing.T, addrs []string, extraFields string) string {
+	path := filepath.Join(t.TempDir(), "o.json")
+	content := fmt.Sprintf(`{"name":"a1","zone":"z1","listen":%q,"fellow_listen":%q,"seeds":[%q,%q,%q]%s}`, addrs[0], addrs[1],
+		addrs[2], addrs[3], addrs[4], extraFields)
+	assert.NilError(t, os.WriteFile(path, []byte(content), 0o600))
+	return path
 }
 
 // A SIGHUP once ended the process. It has the settings read again, at once and changed or not; a
 // broken pipe does nothing.
 func TestSIGHUPReloadsSettings(t *testing.T) {
-	as := ports(t, 5)
-	f := testSettings(t, as, "")
-	l := newLogBuffer()
+	addrs := freeAddrs(t, 5)
+	path := writeSettings(t, addrs, "")
+	log := newLogBuffer()
 	done := make(chan error, 1)
-	go func() { done <- Run([]string{"-options", f}, l) }()
-	l.await(t, event.Listening, 1)
+	go func() { done <- Run([]string{"-options", path}, log) }()
+	log.await(t, event.Listening, 1)
 	assert.NilError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
-	l.await(t, event.SettingsReloaded, 1)
+	log.await(t, event.SettingsReloaded, 1)
 	assert.NilError(t, syscall.Kill(os.Getpid(), syscall.SIGPIPE))
-	assert.NilError(t, os.WriteFile(f, []byte(`{"name":"other"}`), 0o600))
+	assert.NilError(t, os.WriteFile(path, []byte(`{"name":"other"}`), 0o600))
 	assert.NilError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
-	l.await(t, event.SettingsRejected, 1)
+	log.await(t, event.SettingsRejected, 1)
 	select {
 	case err := <-done:
 		t.Fatalf("the process ended: %v", err)
@@ -107,15 +107,15 @@
 
 // The previous process still holds the port: the start waits until that one closes it.
 func TestStartWaitsForItsPort(t *testing.T) {
-	as := ports(t, 5)
-	other, err := net.Listen("tcp", as[0])
+	addrs := freeAddrs(t, 5)
+	other, err := net.Listen("tcp", addrs[0])
 	assert.NilError(t, err)
-	l := newLogBuffer()
+	log := newLogBuffer()
 	done := make(chan error, 1)
-	go func() { done <- Run([]string{"-options", testSettings(t, as, "")}, l) }()
-	l.await(t, event.StartWaits, 1)
+	go func() { done <- Run([]string{"-options", writeSettings(t, addrs, "")}, log) }()
+	log.await(t, event.StartWaits, 1)
 	assert.NilError(t, other.Close())
-	l.await(t, event.Listening, 1)
+	log.await(t, event.Listening, 1)
 	assert.NilError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
 	assert.NilError(t, <-done)
 }
@@ -134,11 +134,11 @@
 					log: event.NewLogger(hclog.NewNullLogger()), stop: stop}
 				end := time.AfterFunc(time.Hour, func() { close(stop) })
 				defer end.Stop()
-				at := time.Now()
+				begun := time.Now()
 				_, err := retry(start, func() (int, error) { return 0, apierror.New(code, "not now") })
 				assert.Assert(t, apierror.HasCode(err, code))
-				got := time.Since(at)
-				assert.Assert(t, got >= want && got <= want+settings.DefaultTiming.MaxBackoff(), "%s", got)
+				elapsed := time.Since(begun)
+				assert.Assert(t, elapsed >= want && elapsed <= want+settings.DefaultTiming.MaxBackoff(), "%s", elapsed)
 			})
 		})
 	}
@@ -163,11 +163,11 @@
 
 // A listener that breaks is opened again; it once ended the process.
 func TestBrokenListenerIsOpenedAgain(t *testing.T) {
-	a := ports(t, 1)[0]
-	l := newLogBuffer()
+	addr := freeAddrs(t, 1)[0]
+	log := newLogBuffer()
 	sup := &supervisor{clock: clock.Real{}, timing: settings.DefaultTiming,
-		log: event.NewLogger(hclog.New(&hclog.LoggerOptions{Output: l}))}
-	listener := Listener{Setting: "listen", Address: a}
+		log: event.NewLogger(hclog.New(&hclog.LoggerOptions{Output: log}))}
+	listener := Listener{Setting: "listen", Address: addr}
 	first, err := listener.open()
 	assert.NilError(t, err)
 	b := &breakingServer{served: make(chan net.Listener), fail: make(chan error)}
@@ -179,8 +179,8 @@
 	<-b.served
 	b.fail <- apierror.New(apierror.Internal, "broken")
 	second := <-b.served
-	assert.Equal(t, second.Addr().String(), a)
-	assert.Equal(t, l.count(event.ServeFailed), 1)
+	assert.Equal(t, second.Addr().String(), addr)
+	assert.Equal(t, log.count(event.ServeFailed), 1)
 	sup.end()
 	b.fail <- apierror.New(apierror.Internal, "broken")
 	<-done
--- a/internal/command/serve/resources_test.go
+++ b/internal/command/serve/resources_test.go
@@ -27,16 +27,16 @@
 
 // With the threads of a machine with a disk, others go on while one waits in the kernel.
 func TestOthersRunWhileADiskIsWaitedFor(t *testing.T) {
-	was := runtime.GOMAXPROCS(threads(settings.DiskStorage, 1))
-	defer runtime.GOMAXPROCS(was)
-	f, err := os.Create(filepath.Join(t.TempDir(), "x"))
+	previous := runtime.GOMAXPROCS(threads(settings.DiskStorage, 1))
+	defer runtime.GOMAXPROCS(previous)
+	file, err := os.Create(filepath.Join(t.TempDir(), "x"))
 	assert.NilError(t, err)
-	defer func() { _ = f.Close() }()
+	defer func() { _ = file.Close() }()
 	turns, done := 0, make(chan struct{})
 	go func() {
 		for range 50 {
-			_, _ = f.Write(make([]byte, 4096))
-			_ = f.Sync()
+			_, _ = file.Write(make([]byte, 4096))
+			_ = file.Sync()
 		}
 		close(done)
 	}()
--- a/internal/command/serve/settings_test.go
+++ b/internal/command/serve/settings_test.go
@@ -29,9 +29,9 @@
 		validSettings + `,"backlog":2}`:   `options_invalid: FILE: field "backlog": must be from 8 to 65536, is 2`,
 		validSettings + `,"keeping":"9"}`: `options_invalid: FILE: "9" is no duration such as "35s"`,
 		validSettings + `,"keeping":"15s"}`: `options_invalid: FILE: ` +
-			`field "keeping": must be at least twice recovery (24s) so that callers outlast a loss, is 15s`,
+			`field "keeping": must be at least twice recovery (24s) so that clients can wait out a loss, is 15s`,
 		validSettings + `,"spread":"8s"}`: `options_invalid: FILE: ` +
-			`field "spread": three pulses (2.4s) must fit into a session (2s); raise recovery or lower spread`,
+			`field "spread": three heartbeats (2.4s) must fit into a session (2s); raise recovery or lower spread`,
 		validSettings + `,"recovery":"1s"}`: `options_invalid: FILE: field "recovery": must be from 2s to 5m, is 1s`,
 		validSettings + `,"changelog":"1ms"}`: `options_invalid: FILE: ` +
 			`field "changelog": must be from 50ms to half of keeping (17.5s), is 1ms`,
@@ -50,17 +50,17 @@
 			`FILE: field "zone": must be 1 to 63 of a-z, 0-9 and -, is ""`,
 	}
 	for text, want := range cases {
-		f := filepath.Join(t.TempDir(), "o.json")
-		assert.NilError(t, os.WriteFile(f, []byte(text), 0o600))
-		_, _, err := ReadSettings([]string{"-options", f}, io.Discard)
+		path := filepath.Join(t.TempDir(), "o.json")
+		assert.NilError(t, os.WriteFile(path, []byte(text), 0o600))
+		_, _, err := ReadSettings([]string{"-options", path}, io.Discard)
 		if want == "" {
 			assert.NilError(t, err)
 			continue
 		}
 		got := err.Error()
-		for i := 0; i+len(f) <= len(got); i++ {
-			if got[i:i+len(f)] == f {
-				got = got[:i] + "FILE" + got[i+len(f):]
+		for i := 0; i+len(path) <= len(got); i++ {
+			if got[i:i+len(path)] == path {
+				got = got[:i] + "FILE" + got[i+len(path):]
 			}
 		}
 		assert.Equal(t, got, want)
@@ -69,12 +69,12 @@
 }
 
 func TestReadSettings_FlagsWinOverTheFile(t *testing.T) {
-	f := filepath.Join(t.TempDir(), "o.json")
-	assert.NilError(t, os.WriteFile(f, []byte(validSettings+`,"log_level":"warn"}`), 0o600))
-	o, _, err := ReadSettings([]string{"-options", f, "-zone", "z9"}, io.Discard)
+	path := filepath.Join(t.TempDir(), "o.json")
+	assert.NilError(t, os.WriteFile(path, []byte(validSettings+`,"log_level":"warn"}`), 0o600))
+	opts, _, err := ReadSettings([]string{"-options", path, "-zone", "z9"}, io.Discard)
 	assert.NilError(t, err)
-	assert.Equal(t, o.Zone, "z9")
-	assert.Equal(t, o.LogLevel, "warn")
+	assert.Equal(t, opts.Zone, "z9")
+	assert.Equal(t, opts.LogLevel, "warn")
 }
 
 func TestTimingBoundsAddUp(t *testing.T) {
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -31,8 +31,8 @@
 	Message string
 }
 
-// FaultsError makes one apierror.SettingsInvalid of faults, nil of none; where names what was
-// checked.
+// FaultsError returns one apierror.SettingsInvalid with all faults, nil if there are none; where
+// names what was checked.
 func FaultsError(where string, faults []Fault) error {
 	if len(faults) == 0 {
 		return nil
@@ -72,10 +72,10 @@
 		"must be empty or an IP number and a port from 1 to 65535, is %q", address)
 }
 
-// Check returns all that is wrong with the settings, by field.
+// Check returns all faults of the settings, sorted by field.
 func (o Options) Check() []Fault {
 	var c checker
-	o.checkPlace(&c)
+	o.checkIdentity(&c)
 	o.checkBootstrap(&c)
 	o.checkTimes(&c)
 	o.checkSizes(&c)
@@ -83,8 +83,8 @@
 	return c.faults
 }
 
-// checkPlace checks who the node is, where it listens, and its disk.
-func (o Options) checkPlace(c *checker) {
+// checkIdentity checks the node's name and zone, its addresses, its disk and its log level.
+func (o Options) checkIdentity(c *checker) {
 	c.requireName("name", o.Name)
 	c.requireName("zone", o.Zone)
 	c.requireAddress("listen", o.Listen)
@@ -97,7 +97,7 @@
 	c.require(logLevels[o.LogLevel], "log_level", "must be trace, debug, info, warn or error, is %q", o.LogLevel)
 }
 
-// checkBootstrap checks how the node finds its fleet, and what is fixed when one is founded.
+// checkBootstrap checks how the node finds its fleet, and the settings that are fixed at bootstrap.
 func (o Options) checkBootstrap(c *checker) {
 	c.require(len(o.Seeds) >= 1 && len(o.Seeds) <= maxSeeds, "seeds", "must be 1 to %d addresses, are %d",
 		maxSeeds, len(o.Seeds))
--- a/internal/settings/flags.go
+++ b/internal/settings/flags.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Flags binds the settings to a flag set. Its flags overrule what stands in o.
+// Flags binds the settings to a flag set. The values in o are the flags' defaults.
 func (o *Options) Flags(set *flag.FlagSet) {
 	set.StringVar(&o.Name, "name", o.Name, "lasting `name` of this node")
 	set.StringVar(&o.Zone, "zone", o.Zone, "`zone` that this node stands in")
--- a/internal/settings/options.go
+++ b/internal/settings/options.go
@@ -7,8 +7,8 @@
 	"postjunction/internal/apierror"
 )
 
-// Options are the settings of one node, under the names that a settings file has for them. They are
-// plain data: a running node changes only what Reloadable lists.
+// Options are the settings of one node, under the names that a settings file uses. They are plain
+// data. A running node changes only the fields that Reloadable lists.
 type Options struct {
 	Name              string   `json:"name"`
 	Zone              string   `json:"zone"`
@@ -27,12 +27,12 @@
 	Changelog         Duration `json:"changelog"`
 	BodyLimit         int      `json:"body_limit"`
 	Backlog           int      `json:"backlog"`
-	// MaxTombstones is how many withdrawals of one partition may stand.
+	// MaxTombstones is how many tombstones a partition may have at a time.
 	MaxTombstones int    `json:"marks"`
 	LogLevel      string `json:"log_level"`
-	// ClientListen is the address for clients' line connections; empty for none.
+	// ClientListen is the address for clients' connections with the line protocol; empty for none.
 	ClientListen string `json:"visit_listen,omitempty"`
-	// BootstrapBy says who bootstraps the fleet when founders are not named: self, seeds or never.
+	// BootstrapBy says who bootstraps the fleet if Founders is empty: self, seeds or never.
 	BootstrapBy string `json:"founding"`
 	// ToleratedLosses is how many machines with a disk may be lost at once; replicas and quorums
 	// follow from it.
@@ -42,25 +42,25 @@
 	// Keepalive is how long a client may be silent before it sends a keepalive; three times that
 	// ends its session.
 	Keepalive Duration `json:"keepalive"`
-	// Redelivery is how long after it was accepted a call may come again.
+	// Redelivery is how long after it was accepted a call may be sent again.
 	Redelivery Duration `json:"redelivery"`
-	// MemoryMB, Descriptors and DiskMB bound the process and its disk, in MiB, numbers and MiB; 0
-	// for no bound.
+	// MemoryMB limits the process's memory in MiB, Descriptors its file descriptors, and DiskMB the
+	// space on its disk in MiB; 0 is no limit.
 	MemoryMB    int `json:"memory_mb"`
 	Descriptors int `json:"descriptors"`
 	DiskMB      int `json:"disk_mb"`
-	// MilliCores is the processor time of the process, in thousandths of a core; 0 for plenty.
+	// MilliCores is the processor time of the process, in thousandths of a core; 0 is no limit.
 	MilliCores int `json:"processor_thousandths"`
-	// LinkKbits is what the machine's link carries each way, in Kbit/s; 0 for plenty.
+	// LinkKbits is the bandwidth of the machine's link in each direction, in Kbit/s; 0 is no limit.
 	LinkKbits int `json:"link_kbits"`
 }
 
-// narrowLinkKbits is the Kbit/s of link for each thousandth of a core below which a link is narrow:
-// compressed streams are asked for, and clients go elsewhere.
+// narrowLinkKbits is the bandwidth in Kbit/s per thousandth of a core below which a link is narrow.
+// A node with a narrow link requests compressed streams, and gets fewer clients.
 const narrowLinkKbits = 25
 
-// ClientCapacity returns how many thousandths of a core the node is worth to clients: its
-// processor, or less where the link is narrow beside it. 0 where that isn't known.
+// ClientCapacity returns the node's capacity for clients in thousandths of a core. It is that of
+// the processor, or less if the link is narrow compared to it. It is 0 if the capacity isn't known.
 func (o *Options) ClientCapacity() int {
 	if !o.CompressStreams() {
 		return o.MilliCores
@@ -68,23 +68,23 @@
 	return max(o.LinkKbits/narrowLinkKbits, 1)
 }
 
-// CompressStreams reports whether the link is so narrow beside the processor that peers are to
+// CompressStreams reports whether the link is so narrow compared to the processor that peers should
 // compress their streams.
 func (o *Options) CompressStreams() bool {
 	return o.LinkKbits > 0 && o.MilliCores > 0 && o.LinkKbits < narrowLinkKbits*o.MilliCores
 }
 
-// Who bootstraps the fleet when founders are not named.
+// Who bootstraps the fleet if no founders are named.
 const (
 	BootstrapSelf  = "self"
 	BootstrapSeeds = "seeds"
 	BootstrapNever = "never"
 )
 
-// Duration is a duration written as Go writes it.
+// Duration is a duration in Go's notation.
 type Duration time.Duration
 
-// UnmarshalJSON reads "35s".
+// UnmarshalJSON reads a duration in quotes, such as "35s".
 func (d *Duration) UnmarshalJSON(b []byte) error {
 	var text string
 	if err := json.Unmarshal(b, &text); err != nil {
@@ -98,17 +98,17 @@
 	return nil
 }
 
-// MarshalJSON writes "35s".
+// MarshalJSON writes a duration in quotes, such as "35s".
 func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(d).String()) }
 
-// Set reads a flag.
+// Set parses the value of a flag.
 func (d *Duration) Set(text string) error {
 	parsed, err := time.ParseDuration(text)
 	*d = Duration(parsed)
 	return err
 }
 
-// String writes a flag.
+// String returns the value of a flag.
 func (d *Duration) String() string { return time.Duration(*d).String() }
 
 // Disks that a node may have.
@@ -148,7 +148,7 @@
 	return o.PeerListen
 }
 
-// Timing returns the three times.
+// Timing returns the three times that all others derive from.
 func (o Options) Timing() Timing {
 	return Timing{
 		Keeping: time.Duration(o.Keeping), Spread: time.Duration(o.Spread),
@@ -156,7 +156,7 @@
 	}
 }
 
-// ChangelogInterval returns the interval of changelog batches.
+// ChangelogInterval returns the interval of changelog batches, that of Timing if none is set.
 func (o Options) ChangelogInterval() time.Duration {
 	if o.Changelog > 0 {
 		return time.Duration(o.Changelog)
--- a/internal/settings/options_test.go
+++ b/internal/settings/options_test.go
@@ -6,8 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A node compresses, and counts for less, where its link is narrow beside its processor, and never
-// where either is not known.
+// A node requests compressed streams and reports less capacity if its link is narrow compared to
+// its processor. It does neither if the link or the processor is not known.
 func TestOptions_CompressStreamsOnANarrowLink(t *testing.T) {
 	for _, test := range []struct {
 		link, processor int
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -10,7 +10,8 @@
 	"postjunction/internal/apierror"
 )
 
-// Read reads a settings file over o. The error is apierror.SettingsInvalid.
+// Read reads a settings file into o; fields that it doesn't have stay as they are. The error is
+// apierror.SettingsInvalid.
 func (o *Options) Read(path string) error {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -19,10 +20,10 @@
 	return o.Parse(path, b)
 }
 
-// Parse reads the text of a settings file over o: one JSON object, no unknown or double fields,
-// nothing after it. The error is apierror.SettingsInvalid, and names path.
+// Parse reads the content of a settings file into o: one JSON object without unknown or duplicate
+// fields, and nothing after it. The error is apierror.SettingsInvalid, and names path.
 func (o *Options) Parse(path string, b []byte) error {
-	if name, err := doubledField(b); err == nil && name != "" {
+	if name, err := duplicateField(b); err == nil && name != "" {
 		return apierror.New(apierror.SettingsInvalid, "%s: field %q: stands twice", path, name)
 	}
 	decoder := json.NewDecoder(bytes.NewReader(b))
@@ -36,15 +37,14 @@
 	return nil
 }
 
-// withoutPrefixes returns the text of a decoding error without the names of the packages that made
-// it.
+// withoutPrefixes returns the text of a decoding error without the prefixes that its packages add.
 func withoutPrefixes(err error) string {
 	text := strings.TrimPrefix(err.Error(), "json: ")
 	return strings.TrimPrefix(text, string(apierror.SettingsInvalid)+": ")
 }
 
-// doubledField returns the name of a field that stands twice in an object, empty when none does.
-func doubledField(b []byte) (string, error) {
+// duplicateField returns the name of a field that is in an object twice, empty if there is none.
+func duplicateField(b []byte) (string, error) {
 	decoder := json.NewDecoder(bytes.NewReader(b))
 	if _, err := decoder.Token(); err != nil {
 		return "", err
--- a/internal/settings/reload.go
+++ b/internal/settings/reload.go
@@ -6,8 +6,8 @@
 	"sort"
 )
 
-// Reloadable holds the fields that may change under a running node, each with what copies it from
-// src to dst.
+// Reloadable holds the fields that may change while a node runs, each with a function that copies
+// it from src to dst.
 var Reloadable = map[string]func(dst *Options, src Options){
 	"log_level": func(dst *Options, src Options) { dst.LogLevel = src.LogLevel },
 	"backlog":   func(dst *Options, src Options) { dst.Backlog = src.Backlog },
--- a/internal/settings/timing.go
+++ b/internal/settings/timing.go
@@ -1,24 +1,25 @@
-// Package settings holds the settings of a node: read from a file and from flags, checked with
-// exact messages, and turned into times.
+// Package settings defines the settings of a node. It reads them from a file and from flags, checks
+// them, and derives the node's times from them.
 //
-// What must stay true: the names of fields and flags, and the messages, are what operators and
-// deploy files rely on; all times but keeping, spread and recovery are fractions of these three,
-// and Check rejects what would not fit into them.
+// Invariants: operators and deploy files rely on the names of fields and flags, and on the
+// messages. All times but keeping, spread and recovery are fractions of these three, and Check
+// rejects values for which the fractions don't add up.
 //
-// Options and Timing are plain values; nothing here locks, blocks or starts goroutines.
+// Options and Timing are plain values. Nothing here locks, blocks or starts goroutines.
 package settings
 
 import "time"
 
-// Timing are the three times that all others are fractions of: how long messages are kept, in which
-// time a configuration reaches every node, and in which time service returns after a loss.
+// Timing are the three times that all others are fractions of. Keeping is how long messages are
+// stored. Spread is the time within which a configuration reaches every node. Recovery is the time
+// within which service resumes after the loss of a machine.
 type Timing struct {
 	Keeping  time.Duration
 	Spread   time.Duration
 	Recovery time.Duration
 }
 
-// DefaultTiming are those of the brief.
+// DefaultTiming are the times that the product was specified with.
 var DefaultTiming = Timing{Keeping: 35 * time.Second, Spread: 3 * time.Second, Recovery: 12 * time.Second}
 
 // Fractions of the spread.
@@ -61,18 +62,19 @@
 const (
 	isolationFraction = 3 // of the lease
 	eagerFraction     = 6 // of the heartbeat interval
-	maxBackoffTries   = 8 // after which a backoff grows no more
+	maxBackoffTries   = 8 // attempts after which a backoff no longer grows
 )
 
-// HeartbeatInterval is how often a node renews its session and gossips.
+// HeartbeatInterval is the interval at which a node renews its session and gossips.
 func (t Timing) HeartbeatInterval() time.Duration { return t.Spread / heartbeatFraction }
 
-// LeaseDuration is how long a confirmation of the configuration lets a node serve.
+// LeaseDuration is how long a node may serve after its configuration was confirmed.
 func (t Timing) LeaseDuration() time.Duration { return t.Spread * leasePercent / 100 }
 
-// IsolationTimeout is how long no majority may answer a control node before the nodes whose session
-// is with it look for another one: less than three heartbeats, hence than a session, by whose end
-// it would take members for gone that others still reach.
+// IsolationTimeout is how long a control node may get no answer from a majority before the nodes
+// with a session at it look for another control node. It is less than three heartbeats, and so less
+// than a session. At the end of the session the control node would consider members failed that
+// other control nodes reach.
 func (t Timing) IsolationTimeout() time.Duration { return t.LeaseDuration() / isolationFraction }
 
 // SessionTimeout is how long a silent node stays a member.
@@ -87,62 +89,64 @@
 // LongPoll is how long a read waits for updates.
 func (t Timing) LongPoll() time.Duration { return t.Spread / longPollFraction }
 
-// SlowThreshold is how long a node's heartbeats may take before it counts as slow, if that is also
-// SlowFactor times what is usual.
+// SlowThreshold is how long a node's heartbeats may take before it counts as slow. They must also
+// take SlowFactor times as long as usual.
 func (t Timing) SlowThreshold() time.Duration { return t.Spread / slowFraction }
 
-// SlowFactor is how much longer than usual the heartbeats of a slow node take.
+// SlowFactor is how many times longer than usual the heartbeats of a slow node take.
 const SlowFactor = 8
 
-// TakeoverTimeout is how long a take-over of a partition may take before another store is tried.
+// TakeoverTimeout is how long a take-over of a partition may take before another storage node is
+// tried.
 func (t Timing) TakeoverTimeout() time.Duration { return t.Recovery / takeoverFraction }
 
-// Retention is how long entries stay: the keeping time with a margin.
+// Retention is how long log entries are stored: the keeping time plus a margin.
 func (t Timing) Retention() time.Duration { return t.Keeping + t.Keeping/retentionMargin }
 
 // MaxRetention is the longest retention that a space may ask for.
 func (t Timing) MaxRetention() time.Duration { return maxRetentionFactor * t.Keeping }
 
-// RetentionFor is Retention where spaces ask for up to longest.
+// RetentionFor is Retention for a fleet whose spaces ask for up to longest.
 func (t Timing) RetentionFor(longest time.Duration) time.Duration {
 	t.Keeping = max(t.Keeping, min(longest, t.MaxRetention()))
 	return t.Retention()
 }
 
-// ShutdownTimeout is the longest that a graceful shutdown takes, inside the platform's 6 s.
+// ShutdownTimeout is the longest that a graceful shutdown takes. It is within the 6 s that the
+// platform allows.
 func (t Timing) ShutdownTimeout() time.Duration { return t.Recovery * shutdownPercent / 100 }
 
 // TransferTimeout is the part of ShutdownTimeout for transferring leaderships and singleton roles.
 func (t Timing) TransferTimeout() time.Duration { return t.Recovery * transferPercent / 100 }
 
-// ReplacementDelay is how long a lost replica is waited for before another node takes its place.
+// ReplacementDelay is how long a lost replica may be missing before it is replaced on another node.
 func (t Timing) ReplacementDelay() time.Duration { return t.Keeping / replacementFraction }
 
 // SweepInterval is the interval of the repair sweep over one partition.
 func (t Timing) SweepInterval() time.Duration { return t.Keeping / sweepFraction }
 
-// PingInterval is the interval of health checks between nodes that share partitions.
+// PingInterval is the interval of health checks between nodes with replicas of the same partitions.
 func (t Timing) PingInterval() time.Duration { return t.Recovery / pingFraction }
 
-// FailureTimeout is how long a node that is checked and answers promptly may be silent before its
-// partitions fail over.
+// FailureTimeout is how long a node that usually answers health checks promptly may be silent
+// before its partitions fail over.
 func (t Timing) FailureTimeout() time.Duration { return t.Recovery / failureFraction }
 
-// RefusalRetryDelay is the pause before a port that refused a connection is tried once more; if it
-// does so again, its process is gone.
+// RefusalRetryDelay is the pause before a port that refused a connection is tried once more. If it
+// refuses again, its process has ended.
 func (t Timing) RefusalRetryDelay() time.Duration { return t.Recovery / refusalRetryFraction }
 
-// HedgeDelay is how long a control call may be unanswered before the next control node is asked as
-// well.
+// HedgeDelay is how long a control call may be unanswered before it is sent to the next control
+// node as well.
 func (t Timing) HedgeDelay() time.Duration { return t.Recovery / hedgeFraction }
 
-// ForwardTimeout is how long the leader of a key may take for a call that was forwarded to it.
+// ForwardTimeout is how long a key leader may take for a call that was forwarded to it.
 func (t Timing) ForwardTimeout() time.Duration { return t.Recovery / forwardFraction }
 
-// PreviousLeaderWait is how long a partition waits for the node that led it before.
+// PreviousLeaderWait is how long a partition waits for its previous leader to return.
 func (t Timing) PreviousLeaderWait() time.Duration { return t.Recovery / previousLeaderFraction }
 
-// ReconcileInterval is the interval of the placement controller.
+// ReconcileInterval is the interval at which the placement controller reconciles.
 func (t Timing) ReconcileInterval() time.Duration { return t.Recovery / reconcileFraction }
 
 // MaxBackoff is the longest pause before a failed step between nodes is retried.
@@ -152,19 +156,20 @@
 // MaxBackoff.
 func (t Timing) InitialBackoff() time.Duration { return t.Recovery / initialBackoffFraction }
 
-// Backoff returns the pause before the next attempt at a step that failed tries times in a row.
+// Backoff returns the pause before the next attempt at a step that has failed tries times in a row.
 func (t Timing) Backoff(tries int) time.Duration {
 	return min(t.InitialBackoff()<<(min(tries, maxBackoffTries)/2), t.MaxBackoff())
 }
 
-// EagerHeartbeatInterval is the interval of heartbeats while a node waits for its first lease.
+// EagerHeartbeatInterval is the interval of heartbeats until a node has its first lease.
 func (t Timing) EagerHeartbeatInterval() time.Duration { return t.HeartbeatInterval() / eagerFraction }
 
 // ChangelogInterval is the default interval of changelog batches.
 func (t Timing) ChangelogInterval() time.Duration { return t.Recovery / changelogFraction }
 
-// MaxFailover is the longest that a loss may leave callers without service by these fractions:
-// session, claim, the wait for the previous leader, the interval of placement, and a take-over.
+// MaxFailover is the longest that the loss of a machine may interrupt the service to clients. It is
+// the sum of the session, the claim, the wait for the previous leader, the interval of placement,
+// two calls, and a take-over.
 func (t Timing) MaxFailover() time.Duration {
 	return t.SessionTimeout() + t.ClaimJitter() + t.PreviousLeaderWait() + t.ReconcileInterval() +
 		2*t.CallTimeout() + t.TakeoverTimeout()
@@ -183,11 +188,12 @@
 	c.require(t.MaxFailover() <= t.Recovery, "recovery", "the steps after a loss add up to %s, more than %s",
 		t.MaxFailover(), t.Recovery)
 	c.require(t.LeaseDuration()+t.HeartbeatInterval() <= t.Spread, "spread",
-		"licence and pulse add up to more than the spread")
+		"lease and heartbeat interval add up to more than the spread")
 	c.require(t.HeartbeatInterval()*3 <= t.SessionTimeout(), "spread",
-		"three pulses (%s) must fit into a session (%s); raise recovery or lower spread",
+		"three heartbeats (%s) must fit into a session (%s); raise recovery or lower spread",
 		3*t.HeartbeatInterval(), t.SessionTimeout())
 	c.require(t.Keeping >= 2*t.Recovery, "keeping",
-		"must be at least twice recovery (%s) so that callers outlast a loss, is %s", 2*t.Recovery, t.Keeping)
+		"must be at least twice recovery (%s) so that clients can wait out a loss, is %s",
+		2*t.Recovery, t.Keeping)
 	return c.faults
 }
