--- a/internal/operator/configuration.go
+++ b/internal/operator/configuration.go
@@ -15,15 +15,15 @@
 	"postjunction/internal/operator/orderlog"
 )
 
-// Acceptance is the answer to an accepted configuration. OverriddenLanes names what stands in another
-// lane than its space asks for.
+// Acceptance is the response to an accepted configuration. OverriddenLanes lists the prefixes whose
+// topics are in another lane than their space asks for.
 type Acceptance struct {
 	Sequence        uint64               `json:"sequence"`
 	OverriddenLanes []configuration.Lane `json:"kept_lanes,omitempty"`
 }
 
 // ReadConfiguration returns the current configuration as JSON, confirmed by a majority. It fails
-// with code ConfigurationMissing before there is one.
+// with code ConfigurationMissing if there is none yet.
 func (s *Service) ReadConfiguration(ctx context.Context) (any, error) {
 	config, err := s.CurrentConfiguration(ctx)
 	if err != nil {
@@ -34,7 +34,7 @@
 }
 
 // CurrentConfiguration returns the current configuration, confirmed by a majority. It fails with
-// code ConfigurationMissing before there is one.
+// code ConfigurationMissing if there is none yet.
 func (s *Service) CurrentConfiguration(ctx context.Context) (configuration.Config, error) {
 	ctx, cancel := s.withDeadline(ctx)
 	defer cancel()
@@ -48,8 +48,8 @@
 	return state.value.current, nil
 }
 
-// Put replaces the configuration with a complete one in JSON, built on the sequence number last
-// seen, and returns an *Acceptance. Fails like Replace.
+// Put replaces the configuration with a complete one in JSON, which names the sequence number that
+// it builds on, and returns an *Acceptance. It fails like Replace.
 func (s *Service) Put(ctx context.Context, document []byte) (any, error) {
 	config, err := configuration.Parse(document)
 	if err != nil {
@@ -65,13 +65,15 @@
 	return acceptance, nil
 }
 
-// Replace replaces the configuration with a complete one, built on the sequence number last seen,
-// and returns once it was accepted. The very same order again succeeds for good, also when others
-// were accepted on top of it, as far as the register remembers; past that it fails with code
-// OutcomeUnknown, never with a rejection. Where the outcome of an attempt is not known it is asked
-// for until ctx ends, and then fails with OutcomeUnknown. Fails with ConfigurationConflict on
-// another base than the current one, with ConfigurationInvalid or Oversize for a configuration that
-// can't be.
+// Replace replaces the configuration with a complete one, which names the sequence number that it
+// builds on, and returns once it was accepted.
+//
+// An accepted order that is sent again succeeds again, also after others were accepted on top of
+// it, as long as the register remembers it. After that it fails with code OutcomeUnknown, never
+// with a rejection. If the outcome of an attempt is unknown, the register is read until the outcome
+// is known. If ctx ends first, Replace fails with OutcomeUnknown. It fails with
+// ConfigurationConflict if the base is not the current sequence number, and with
+// ConfigurationInvalid or Oversize if the configuration is not valid.
 func (s *Service) Replace(ctx context.Context, config configuration.Config) (*Acceptance, error) {
 	return s.logOutcome(s.replace(ctx, config.Normalized(), false))
 }
@@ -83,15 +85,15 @@
 		return nil, err
 	}
 	s.Log.Log(event.ConfigurationAccepted, "sequence", acceptance.Sequence)
-	if kept := acceptance.OverriddenLanes; len(kept) > 0 {
+	if overridden := acceptance.OverriddenLanes; len(overridden) > 0 {
 		s.Log.Log(event.LanesKept, "sequence", acceptance.Sequence,
-			"prefixes", len(kept), "first", kept[0].Prefix, "urgent", kept[0].Urgent)
+			"prefixes", len(overridden), "first", overridden[0].Prefix, "urgent", overridden[0].Urgent)
 	}
 	return acceptance, nil
 }
 
-// decidedCodes are those of final answers to an order. After all others the register is asked
-// again.
+// decidedCodes are the codes of final answers to an order. After any other code the register is
+// read again.
 var decidedCodes = map[apierror.Code]bool{
 	apierror.ConfigurationConflict: true,
 	apierror.ConfigurationInvalid:  true,
@@ -99,8 +101,8 @@
 	apierror.Oversize:              true,
 }
 
-// replace attempts an order until its outcome is known. uncertain reports that an earlier attempt
-// may have been accepted.
+// replace attempts an order until its outcome is known. uncertain says that an earlier attempt may
+// have been accepted.
 func (s *Service) replace(ctx context.Context, config configuration.Config, uncertain bool) (*Acceptance, error) {
 	if err := s.check(config); err != nil {
 		return nil, err
@@ -125,9 +127,9 @@
 	}
 }
 
-// attempt reads the register by quorum and, where the order builds on what stands there, changes it
-// on the version that was read. All attempts of an order share the change's ID, so the register
-// takes it once.
+// attempt reads the register by quorum. If the order builds on the configuration that was read,
+// attempt writes the order's configuration on condition that the register still has that version.
+// All attempts of an order have the same change ID, so the register accepts the order only once.
 func (s *Service) attempt(
 	ctx context.Context, config configuration.Config, order orderlog.Order,
 ) (*Acceptance, error) {
@@ -143,7 +145,7 @@
 		return &Acceptance{Sequence: order.Sequence}, nil
 	case !log.Covers(order):
 		return nil, apierror.New(apierror.OutcomeUnknown,
-			"which orders were accepted up to %d is no longer known; current is %d",
+			"it is no longer known which orders up to %d were accepted; current is %d",
 			log.ForgottenThrough, current.Sequence).WithCurrent(current.Sequence)
 	case current.Sequence != config.Base:
 		return nil, state.refuse(apierror.ConfigurationConflict, "the description builds on %d, current is %d",
@@ -171,15 +173,15 @@
 	return s.accepted(next), nil
 }
 
-// registerState is what the configuration's register holds: the current configuration, the log of
-// accepted orders, and the version that a change builds on.
+// registerState is the content of the configuration's register: the current configuration, the log
+// of accepted orders, and the version that a change builds on.
 type registerState struct {
 	version uint64
 	current configuration.Config
 	log     orderlog.Log
 }
 
-// parseRegister reads the configuration's register. Older builds wrote no log.
+// parseRegister parses the value of the configuration's register. Older builds wrote no log.
 func parseRegister(value acceptor.Value) (state registerState, err error) {
 	state.version = value.Version
 	if state.current, err = quorumread.Parse(value); err != nil {
@@ -193,8 +195,8 @@
 	return state, err
 }
 
-// check finds the faults that need no other configuration, those against the fleet's limits among
-// them.
+// check finds the faults that can be found without any other configuration, including values beyond
+// the fleet's limits.
 func (s *Service) check(config configuration.Config) error {
 	faults := config.Faults()
 	limit := uint64(s.Timing.MaxRetention().Milliseconds())
@@ -210,7 +212,7 @@
 	return configuration.FaultsError(faults)
 }
 
-// outcomeError returns err, or, where a change may have been accepted, that its outcome is unknown.
+// outcomeError returns err, or OutcomeUnknown if a change may have been accepted.
 func outcomeError(uncertain bool, err error) error {
 	if !uncertain {
 		return err
@@ -221,7 +223,8 @@
 	return unknown
 }
 
-// accepted takes in the configuration that now stands, and returns the answer to its order.
+// accepted passes the accepted configuration to this node's store, and returns the response to its
+// order.
 func (s *Service) accepted(config configuration.Config) *Acceptance {
 	s.Store.Apply(gossip.Update{Configuration: &config})
 	return &Acceptance{Sequence: config.Sequence, OverriddenLanes: config.OverriddenLanes()}
--- a/internal/operator/confirmed_test.go
+++ b/internal/operator/confirmed_test.go
@@ -11,15 +11,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// finalCodes are the error codes, by their names in package apierror, that end an operator's call
-// for good.
+// finalCodes are the error codes of final answers to an operator, by their names in package
+// apierror.
 var finalCodes = map[string]bool{
 	"ConfigurationConflict": true, "ConfigurationMissing": true, "UnknownNode": true,
 	"DecommissionUnsafe": true, "AlreadyEmpty": true,
 }
 
-// Final refusals are made from confirmed values only, and confirmed values only where a majority
-// has answered.
+// Final refusals must be made from confirmed values only, and confirmed values only by functions
+// that wait for a majority.
 func TestFinalAnswersRestOnAMajority(t *testing.T) {
 	paths, err := filepath.Glob("*.go")
 	assert.NilError(t, err)
@@ -36,17 +36,17 @@
 			if !ok {
 				continue
 			}
-			ast.Inspect(function, func(n ast.Node) bool {
-				switch x := n.(type) {
+			ast.Inspect(function, func(node ast.Node) bool {
+				switch expression := node.(type) {
 				case *ast.CallExpr:
-					name := calledName(x)
-					if code := firstCode(x); finalCodes[code] && name != "HasCode" {
+					name := calledName(expression)
+					if code := firstCode(expression); finalCodes[code] && name != "HasCode" {
 						assert.Equal(t, name, "refuse", "%s: %s makes %s", path, function.Name.Name, code)
 						refusals++
 					}
 				case *ast.CompositeLit:
-					if ix, ok := x.Type.(*ast.IndexExpr); ok {
-						if id, ok := ix.X.(*ast.Ident); ok && id.Name == "confirmed" {
+					if generic, ok := expression.Type.(*ast.IndexExpr); ok {
+						if name, ok := generic.X.(*ast.Ident); ok && name.Name == "confirmed" {
 							assert.Assert(t, constructors[function.Name.Name], "%s: %s makes a confirmed value",
 								path, function.Name.Name)
 						}
@@ -56,27 +56,26 @@
 			})
 		}
 	}
-	assert.Assert(t, refusals >= 6, "%d refusals were seen", refusals)
+	assert.Assert(t, refusals >= 6, "%d refusals were found", refusals)
 }
 
-// calledName returns the name of the function or method that is called, "" for any other
-// expression.
-func calledName(x *ast.CallExpr) string {
-	switch f := x.Fun.(type) {
+// calledName returns the name of the called function or method, "" for any other expression.
+func calledName(call *ast.CallExpr) string {
+	switch function := call.Fun.(type) {
 	case *ast.SelectorExpr:
-		return f.Sel.Name
+		return function.Sel.Name
 	case *ast.Ident:
-		return f.Name
+		return function.Name
 	}
 	return ""
 }
 
-// firstCode returns the first argument of a call that is a code of package apierror, "" for none.
-func firstCode(x *ast.CallExpr) string {
-	for _, a := range x.Args {
-		if s, ok := a.(*ast.SelectorExpr); ok {
-			if p, ok := s.X.(*ast.Ident); ok && p.Name == "apierror" {
-				return s.Sel.Name
+// firstCode returns the first argument of a call that is a code of package apierror, "" if none is.
+func firstCode(call *ast.CallExpr) string {
+	for _, argument := range call.Args {
+		if selector, ok := argument.(*ast.SelectorExpr); ok {
+			if pkg, ok := selector.X.(*ast.Ident); ok && pkg.Name == "apierror" {
+				return selector.Sel.Name
 			}
 		}
 	}
--- a/internal/operator/decommission.go
+++ b/internal/operator/decommission.go
@@ -15,7 +15,7 @@
 	"postjunction/internal/settings"
 )
 
-// versionedOrders are the decommissioning orders with the version that a change of them builds on.
+// versionedOrders are the decommission orders with the version that a change to them builds on.
 type versionedOrders struct {
 	version uint64
 	orders  decommission.Orders
@@ -30,7 +30,7 @@
 	return readAs(ctx, s, decommission.Key, parseOrders)
 }
 
-// ListDecommissions returns, under "drains", the orders of machines that are being or were emptied.
+// ListDecommissions returns all decommission orders, finished ones too, under "drains".
 func (s *Service) ListDecommissions(ctx context.Context) (any, error) {
 	ctx, cancel := s.withDeadline(ctx)
 	defer cancel()
@@ -41,8 +41,9 @@
 	return map[string]any{"drains": current.value.orders.Sorted()}, nil
 }
 
-// DecommissionStatus returns how far the emptying of a machine is. One that held nothing when it
-// was asked for counts as done; one that was not asked for fails with code UnknownNode.
+// DecommissionStatus returns the decommission order of a machine, with its progress. A machine that
+// has no order and nothing to empty counts as done. Any other machine without an order fails with
+// code UnknownNode.
 func (s *Service) DecommissionStatus(ctx context.Context, node string) (decommission.Order, error) {
 	ctx, cancel := s.withDeadline(ctx)
 	defer cancel()
@@ -60,13 +61,14 @@
 	case err != nil && !apierror.HasCode(err, apierror.DecommissionUnsafe):
 		return decommission.Order{}, err
 	}
-	return decommission.Order{}, current.refuse(apierror.UnknownNode, "the emptying of %q was not asked for", node)
+	return decommission.Order{}, current.refuse(apierror.UnknownNode, "%q was not asked to be emptied", node)
 }
 
-// Decommission orders a machine to be emptied. The order is recorded, and carried out whichever
-// control node runs the placement controller. The same order again succeeds, or fails with code
-// AlreadyEmpty once it is done. Fails with code DecommissionUnsafe where too few machines would be
-// left, and with UnknownNode for a machine that no control node knows as one with a disk.
+// Decommission orders a machine to be emptied. The order is recorded in a register, and carried out
+// by whichever control node runs the placement controller. An order that is repeated succeeds, or
+// fails with code AlreadyEmpty once it is done. Decommission fails with code DecommissionUnsafe if
+// too few machines would be left, and with UnknownNode for a machine that no control node knows as
+// one with a disk.
 func (s *Service) Decommission(ctx context.Context, node string) (any, error) {
 	ctx, cancel := s.withDeadline(ctx)
 	defer cancel()
@@ -102,8 +104,8 @@
 	}
 }
 
-// canRetry reports whether a change that failed surely wasn't made and should be tried again. It
-// waits while the voters change.
+// canRetry reports whether a failed change was certainly not made and should be tried again. It
+// pauses first if the voter set is being changed.
 func (s *Service) canRetry(ctx context.Context, err error) bool {
 	if apierror.HasCode(err, apierror.StaleBase) {
 		return ctx.Err() == nil
@@ -114,8 +116,9 @@
 	return s.Clock.Sleep(ctx, s.Timing.MaxBackoff()) == nil && ctx.Err() == nil
 }
 
-// newOrder makes the order to empty a machine, or returns why that can't be asked for. It rests on
-// all records, each read by quorum, and on the machines that a majority of the control nodes knows.
+// newOrder makes the order to empty a machine, or returns why that is not possible. It is based on
+// all assignment records, each read by quorum, and on the machines that a majority of the control
+// nodes knows.
 func (s *Service) newOrder(
 	ctx context.Context, node string, current confirmed[versionedOrders],
 ) (decommission.Order, error) {
@@ -146,12 +149,12 @@
 	others := countServing(known.value, current.value.orders, node)
 	if others < needed {
 		return order, known.refuse(apierror.DecommissionUnsafe,
-			"without %s only %d machines with disks serve, %d are needed to bear a loss", node, others, needed)
+			"without %s only %d machines with disks serve, %d are needed to tolerate a loss", node, others, needed)
 	}
 	return order, nil
 }
 
-// countRecordsOn counts the records that name a machine.
+// countRecordsOn counts the assignment records that name a machine.
 func (s *Service) countRecordsOn(ctx context.Context, node string) (count confirmed[int], err error) {
 	results := quorum.Gather(ctx, s.partitions(), func(ctx context.Context, partition int) (confirmed[bool], error) {
 		return readAs(ctx, s, assignment.Key(partition), func(value acceptor.Value) (bool, error) {
--- a/internal/operator/doc.go
+++ b/internal/operator/doc.go
@@ -1,15 +1,16 @@
-// Package operator is the service to operators on one node: it changes and reads the configuration,
-// shows the state of the fleet, explains calls, and asks for machines to be decommissioned.
+// Package operator serves operators on one node. It changes and reads the configuration, shows the
+// state of the fleet, explains the outcome of calls, and decommissions machines.
 //
 // Invariants:
-//   - An answer that ends an operator's call for good rests on a value that a majority of voters
-//     confirmed after the call began; see confirmed.
-//   - An order is accepted at most once, however often and wherever it is tried: all attempts write under
-//     the same change, and the register remembers the accepted orders (package orderlog).
-//   - Where an attempt may have been accepted, the answer is that the outcome is unknown, never a
+//   - A final answer to an operator's call is based on a value that a majority of voters confirmed
+//     after the call began; see confirmed.
+//   - An order is accepted at most once, however often it is sent and to whichever nodes. All
+//     attempts have the same change ID, and the register remembers the accepted orders (package
+//     orderlog).
+//   - If an attempt may have been accepted, the answer is that the outcome is unknown, never a
 //     rejection.
 //
-// Service holds no state but the Parser of this node. It has no goroutines of its own beside those
-// of the calls that it makes at once. All methods block until their answer is there, for at most
-// deadlineFactor call time-outs, and are safe for concurrent use.
+// Service has no state but the Parser of this node, and no goroutines but those of its concurrent
+// calls to other nodes. All methods block until they have an answer, for at most deadlineFactor
+// call timeouts. They are safe for concurrent use.
 package operator
--- a/internal/operator/explain.go
+++ b/internal/operator/explain.go
@@ -12,7 +12,7 @@
 	"postjunction/internal/quorum"
 )
 
-// Explanation is what the fleet knows of a client's call: what the partition's log decided, and
+// Explanation is what the fleet knows about a client's call: its status in the partition log, and
 // which nodes rejected it and why.
 type Explanation struct {
 	Client     string                `json:"visitor"`
@@ -22,12 +22,12 @@
 	// CallStatusError is why there is no CallStatus.
 	CallStatusError *apierror.Error        `json:"ledger_problem,omitempty"`
 	Rejections      []rejections.Rejection `json:"turned_away"`
-	// Complete reports whether all live nodes answered.
+	// Complete is true if all live nodes answered.
 	Complete bool `json:"whole"`
 }
 
-// Explain returns the *Explanation of a call after the fact. It fails with code UnknownCall where
-// no node and no log remembers the call, though all answered.
+// Explain returns the *Explanation of an earlier call. It fails with code UnknownCall if all nodes
+// and the partition leader answered, and none of them remembers the call.
 func (s *Service) Explain(ctx context.Context, client, topic string, call uint64) (any, error) {
 	if client == "" || topic == "" || call == 0 {
 		return nil, apierror.New(apierror.Malformed, "name the visitor, the topic and the call_seq, which begins at 1")
@@ -53,13 +53,13 @@
 	if explanation.isUnknown() {
 		last := explanation.CallStatus.LastCallSeq
 		return nil, apierror.New(apierror.UnknownCall,
-			"no node remembers call %d of %s on %s, and the ledger has taken up to %d", call, client, topic,
+			"no node remembers call %d of %s on %s, and the partition log has accepted up to %d", call, client, topic,
 			last).WithCurrent(last)
 	}
 	return explanation, nil
 }
 
-// trace asks the leader of the topic's partition what its log decided on a call.
+// trace asks the leader of the topic's partition for the status of a call.
 func (s *Service) trace(ctx context.Context, client, topic string, call uint64) (*router.TraceResponse, error) {
 	space, err := s.Store.Index().Find(topic)
 	if err != nil {
@@ -69,7 +69,8 @@
 	return s.Trace(ctx, id, &router.TraceRequest{Client: client, Topic: topic, CallSeq: call})
 }
 
-// isUnknown reports whether all answered, and no node rejected the call nor has the log come to it.
+// isUnknown reports whether all nodes and the partition leader answered, no node rejected the call,
+// and its number is above those in the partition log.
 func (e *Explanation) isUnknown() bool {
 	return len(e.Rejections) == 0 && e.Complete && e.CallStatus != nil && e.CallStatus.LastCallSeq < e.CallSeq
 }
--- a/internal/operator/lanes.go
+++ b/internal/operator/lanes.go
@@ -12,9 +12,9 @@
 // urgency.
 const removedSpacesKey = "spaces/retired"
 
-// withLanes makes a configuration of what an operator wrote and the lanes in which topics stand.
-// The table of lanes, once there is one, holds all of it; before, the current spaces and the
-// removed ones do.
+// withLanes returns the operator's configuration with its table of lanes. The lanes of earlier
+// topics are in the current table. Without a table they follow from the current and the removed
+// spaces.
 func (s *Service) withLanes(ctx context.Context, config, current configuration.Config) (configuration.Config, error) {
 	hasTable := current.Lanes.IsDefined()
 	if !config.UseAssignedLanes && !hasTable {
@@ -38,8 +38,9 @@
 }
 
 // recordRemovedSpaces records the urgency of every space that a configuration removes, before the
-// configuration is changed, and checks spaces that come back against it. Names recorded for a
-// configuration that then loses its race do no harm: they stand with the urgency that they have.
+// configuration is changed, and checks spaces that are added again against it. If another
+// configuration is accepted first, the recorded names do no harm, since their urgency is the
+// current one.
 func (s *Service) recordRemovedSpaces(ctx context.Context, config, current configuration.Config) error {
 	for {
 		value, err := s.Client.Read(ctx, removedSpacesKey)
@@ -61,7 +62,7 @@
 		}
 		if ctx.Err() != nil || !apierror.HasCode(err, apierror.StaleBase) {
 			return apierror.WithCause(apierror.NoMajority, err,
-				"nothing was changed: the removed spaces could not be noted")
+				"nothing was changed: the removed spaces could not be recorded")
 		}
 	}
 }
--- a/internal/operator/orderlog/log.go
+++ b/internal/operator/orderlog/log.go
@@ -1,13 +1,13 @@
-// Package orderlog remembers which orders of operators became a configuration.
+// Package orderlog records which orders of operators were accepted.
 //
-// The log of accepted orders is written into the configuration's register together with the
-// configuration, in the same decided value. So it is exactly as durable as the decision itself, and
-// is copied with it when voters are replaced. It lets any node recognise an accepted order that is
-// sent again, however many changes were made on top of it since, from one that was rejected.
+// The log of accepted orders is stored in the configuration's register together with the
+// configuration, in the same committed value. So it is as durable as the configuration itself, and
+// is copied with it when voters are replaced. It lets any node distinguish an accepted order that
+// is sent again from a rejected one, however many changes were made since.
 //
 // Invariant: an order whose sequence is above Log.ForgottenThrough was accepted if and only if it
-// is in the log. Of orders up to ForgottenThrough nothing is known. A Log is a value: its methods
-// return changed copies, do no I/O and hold no locks.
+// is in the log. Nothing is known about orders up to ForgottenThrough that are not in the log. A
+// Log is a value: its methods return changed copies, do no I/O and take no locks.
 package orderlog
 
 import (
@@ -20,8 +20,8 @@
 	"postjunction/internal/configuration"
 )
 
-// MaxOrders is how many orders a log holds. Operators make hundreds of changes a day; the oldest is
-// forgotten first.
+// MaxOrders is how many orders a log contains at most. Operators make hundreds of changes a day.
+// The oldest order is dropped first.
 const MaxOrders = 2048
 
 const (
@@ -30,19 +30,19 @@
 	changeIDPrefix = "order-"
 )
 
-// Digest distinguishes two orders, also where they share base and sequence.
+// Digest distinguishes two orders, even if they have the same base and sequence.
 type Digest [digestBytes]byte
 
-// Order is one accepted order: the version that it made, the version that it builds on, and its
-// digest.
+// Order is one accepted order: the sequence of its configuration, the sequence that it builds on,
+// and its digest.
 type Order struct {
 	Sequence uint64
 	Base     uint64
 	Digest   Digest
 }
 
-// OrderOf returns the order of a configuration. The fleet's own table of lanes is no part of what
-// an operator writes.
+// OrderOf returns the order of a configuration. The table of lanes is ignored, since operators
+// don't write it.
 func OrderOf(config configuration.Config) Order {
 	config = config.Normalized()
 	config.Lanes = configuration.Lanes{}
@@ -50,19 +50,19 @@
 	return Order{Sequence: config.Sequence, Base: config.Base, Digest: Digest(sum[:digestBytes])}
 }
 
-// ChangeID returns the ID of the change that the order makes. All attempts of one order share it,
-// at whatever node.
+// ChangeID returns the ID of the order's change. It is the same for all attempts of the order, at
+// all nodes.
 func (o Order) ChangeID() string { return changeIDPrefix + hex.EncodeToString(o.Digest[:]) }
 
-// Log holds accepted orders by rising sequence. Orders with sequences up to ForgottenThrough are no
-// longer known.
+// Log contains accepted orders by ascending sequence. Older orders, with sequences up to
+// ForgottenThrough, have been dropped.
 type Log struct {
 	ForgottenThrough uint64
 	Orders           []Order
 }
 
-// StartAt returns a log that begins at a configuration which was accepted before logs were kept. Of
-// what came before it nothing is known.
+// StartAt returns a log that begins at a configuration which a build without logs accepted. Nothing
+// is known about the orders before it.
 func StartAt(config configuration.Config) Log {
 	if config.Sequence == 0 {
 		return Log{}
@@ -70,17 +70,17 @@
 	return Log{ForgottenThrough: config.Base, Orders: []Order{OrderOf(config)}}
 }
 
-// Contains reports whether the order was accepted, as far as is known.
+// Contains reports whether the order is known to have been accepted.
 func (l Log) Contains(order Order) bool { return slices.Contains(l.Orders, order) }
 
-// Covers reports whether the log decides about the order: it was accepted if and only if the log
-// contains it.
+// Covers reports whether the log is conclusive about the order: the order was accepted if and only
+// if the log contains it.
 func (l Log) Covers(order Order) bool {
 	return order.Sequence > l.ForgottenThrough || l.Contains(order)
 }
 
-// Append returns the log with one more order, the newest. The oldest is forgotten where there would
-// be too many.
+// Append returns the log with one more order, the newest. If there are more than MaxOrders the
+// oldest is dropped.
 func (l Log) Append(order Order) Log {
 	l.Orders = append(slices.Clone(l.Orders), order)
 	if surplus := len(l.Orders) - MaxOrders; surplus > 0 {
@@ -90,9 +90,9 @@
 	return l
 }
 
-// Marshal returns the log as bytes, which Parse reads: a format version, ForgottenThrough, how many
-// orders follow, then for each the rise of its sequence, how far below it its base is, and its
-// digest. Numbers are unsigned varints.
+// Marshal encodes the log for Parse: a format version, ForgottenThrough, the number of orders, and
+// for each order the increase of its sequence over the one before, how far its base is below its
+// sequence, and its digest. Numbers are unsigned varints.
 func (l Log) Marshal() []byte {
 	data := binary.AppendUvarint([]byte{formatVersion}, l.ForgottenThrough)
 	data = binary.AppendUvarint(data, uint64(len(l.Orders)))
@@ -106,8 +106,8 @@
 	return data
 }
 
-// Parse reads a log. A log that can't be read is an error with code DiskDamaged, never an empty
-// log.
+// Parse decodes a log. A log that can't be decoded is an error with code DiskDamaged, never an
+// empty log.
 func Parse(data []byte) (Log, error) {
 	if len(data) == 0 || data[0] != formatVersion {
 		return Log{}, apierror.New(apierror.DiskDamaged, "the log of accepted orders has an unknown format")
@@ -124,12 +124,12 @@
 	}
 	if fields.truncated || len(fields.rest) > 0 {
 		return Log{}, apierror.New(apierror.DiskDamaged,
-			"the log of accepted orders breaks off or goes on behind its end")
+			"the log of accepted orders is truncated or has data after its end")
 	}
 	return log, nil
 }
 
-// reader takes fields off the front of a marshalled log. truncated is set once a field was missing.
+// reader reads fields from the front of an encoded log. truncated is set once a field was missing.
 type reader struct {
 	rest      []byte
 	truncated bool
--- a/internal/operator/orderlog/log_test.go
+++ b/internal/operator/orderlog/log_test.go
@@ -50,7 +50,7 @@
 	assert.Assert(t, err != nil)
 }
 
-// Past its bound a log forgets the oldest orders and says that it knows nothing of them.
+// A full log drops the oldest orders, and is no longer conclusive about them.
 func TestAppend_ForgetsTheOldestAndSaysSo(t *testing.T) {
 	log := Log{}
 	var orders []Order
@@ -65,11 +65,12 @@
 	}
 	assert.Assert(t, !log.Contains(newOrder(20, 21, "other")))
 	assert.Assert(t, log.Covers(newOrder(20, 21, "other")),
-		"of a sequence that it contains it knows that no other order took it")
+		"another order with the sequence of a contained one is known not to have been accepted")
 	assert.Assert(t, len(log.Marshal()) < 64<<10, "a full log has %d bytes", len(log.Marshal()))
 }
 
-// A configuration from before logs were kept is known, and of what came before it nothing is.
+// A log that starts at a configuration from a build without logs contains that configuration, and
+// is not conclusive about earlier ones.
 func TestStartAt_OlderConfigurationStartsTheLog(t *testing.T) {
 	config := configuration.Config{Base: 5, Sequence: 8, Source: "a"}
 	log := StartAt(config)
--- a/internal/operator/orderlog/model_test.go
+++ b/internal/operator/orderlog/model_test.go
@@ -8,8 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever orders come, a log contains just the newest ones, knows of all above the last that it
-// forgot, and is read back as it was written at each step.
+// Compares a log with a plain list of all accepted orders. After each step the log contains exactly
+// the newest orders, is conclusive about those above the last dropped one, and decodes to what was
+// encoded.
 func TestLog_AgainstAPlainList(t *testing.T) {
 	var full Log
 	for n := range uint64(MaxOrders - 5) {
@@ -38,13 +39,13 @@
 					t.Fatal(err)
 				}
 				if !slices.Equal(read.Orders, log.Orders) || read.ForgottenThrough != log.ForgottenThrough {
-					t.Fatal("the log is read back as another one")
+					t.Fatal("the decoded log differs from the encoded one")
 				}
-				kept := all[max(0, len(all)-MaxOrders):]
-				if len(log.Orders) != len(kept) {
-					t.Fatalf("%d orders are contained, want %d", len(log.Orders), len(kept))
+				remembered := all[max(0, len(all)-MaxOrders):]
+				if len(log.Orders) != len(remembered) {
+					t.Fatalf("%d orders are contained, want %d", len(log.Orders), len(remembered))
 				}
-				forgotten := len(all) - len(kept)
+				forgotten := len(all) - len(remembered)
 				for _, i := range []int{0, forgotten - 1, forgotten, len(all) - 1} {
 					if i < 0 || i >= len(all) {
 						continue
--- a/internal/operator/service.go
+++ b/internal/operator/service.go
@@ -16,10 +16,10 @@
 	"postjunction/internal/wire"
 )
 
-// deadlineFactor is how many call time-outs an operator's call may take.
+// deadlineFactor is how many call timeouts an operator's call may take.
 const deadlineFactor = 3
 
-// Service serves operators on one node.
+// Service serves operators on one node. The fields are set before the first call and don't change.
 type Service struct {
 	Clock          clock.Clock
 	Timing         settings.Timing
@@ -44,7 +44,7 @@
 	parser atomic.Pointer[Parser]
 }
 
-// limit returns a context that ends when an operator's call has taken as long as it may.
+// withDeadline returns a context that ends at the deadline of an operator's call.
 func (s *Service) withDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, deadlineFactor*s.Timing.CallTimeout())
 }
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -13,7 +13,7 @@
 	"postjunction/internal/voters"
 )
 
-// Status is what a node knows of the fleet.
+// Status is what a node knows about the fleet.
 type Status struct {
 	Node          membership.Info     `json:"node"`
 	Control       string              `json:"session_with"`
@@ -26,17 +26,17 @@
 	Leading       []leader.View       `json:"owned"`
 }
 
-// PartitionDetail is one partition's record with its history, and which withdrawals stand there, as
-// far as its leader answers.
+// PartitionDetail is one partition's assignment record with its history, and the partition's
+// tombstones if its leader answers.
 type PartitionDetail struct {
 	Topic  string            `json:"topic,omitempty"`
 	Urgent bool              `json:"urgent"`
 	Record assignment.Record `json:"record"`
-	// Withdrawn is nil where nothing has keys.
+	// Withdrawn is nil if no message in the partition has a key, or if the leader didn't answer.
 	Withdrawn *leader.TombstoneView `json:"withdrawn,omitempty"`
 }
 
-// Status returns what this node knows of the fleet, a Status, without asking others.
+// Status returns what this node knows about the fleet, a Status, without asking others.
 func (s *Service) Status(context.Context) (any, error) {
 	voterSet := s.Store.VoterSet()
 	status := Status{
@@ -60,8 +60,8 @@
 // Counters returns this node's counters.
 func (s *Service) Counters() any { return s.CountersByPart() }
 
-// Partition returns the detail of one partition, a PartitionDetail, named by number or by a topic
-// of it. A number that is none of a partition fails with code Malformed.
+// Partition returns the PartitionDetail of the partition with a number, or of a topic's partition.
+// It fails with code Malformed if there is no partition with the number.
 func (s *Service) Partition(ctx context.Context, number, topic string) (any, error) {
 	layout := s.Store.VoterSet().Layout
 	id, err := strconv.Atoi(number)
@@ -86,13 +86,13 @@
 	detail := PartitionDetail{Topic: topic, Urgent: partition.Urgent(id, layout), Record: record.value}
 	callCtx, cancelCall := context.WithTimeout(ctx, s.Timing.CallTimeout())
 	defer cancelCall()
-	// A leader that doesn't answer leaves Withdrawn out; the record is worth returning all the
-	// same.
+	// If the leader doesn't answer, Withdrawn is left out. The record is still useful.
 	detail.Withdrawn, _ = s.Tombstones(callCtx, id)
 	return detail, nil
 }
 
-// parseRecord reads a partition's record; one that was never written names no machine.
+// parseRecord parses a partition's assignment record. A record that was never written names no
+// machine.
 func parseRecord(partition int, value acceptor.Value) (assignment.Record, error) {
 	if len(value.Body) == 0 {
 		return assignment.Record{Partition: partition}, nil
--- a/internal/operator/submit.go
+++ b/internal/operator/submit.go
@@ -17,30 +17,30 @@
 var Submit = wire.NewProcedure[SubmitRequest, SubmitResponse]("Operator", "Submit", wire.Deduplicated,
 	"the order names its base and has a digest; the register remembers accepted orders")
 
-// Parser reads an operator's own document as a configuration that builds on base.
+// Parser parses an operator's own document as a configuration that builds on base.
 type Parser = func(document []byte, base uint64) (configuration.Config, error)
 
-// SubmitRequest forwards an operator's own document, deflated. ChangeID is the change's ID for
-// older builds, which take a change without one for a repeat; in this build the ID follows from the
-// order.
+// SubmitRequest forwards an operator's own document, compressed with deflate. ChangeID is the
+// change's ID for older builds, which treat a change without an ID as a repeat. This build derives
+// the ID from the order.
 type SubmitRequest struct {
 	Base     uint64 `json:"b"`
 	ChangeID string `json:"n"`
 	Doc      []byte `json:"d"`
 }
 
-// SubmitResponse is the answer to an accepted document.
+// SubmitResponse is the response to an accepted document.
 type SubmitResponse struct{}
 
-// SetParser sets how this node reads the documents that other nodes forward.
+// SetParser sets the Parser for the documents that other nodes forward to this one.
 func (s *Service) SetParser(reader Parser) { s.parser.Store(&reader) }
 
-// Submit replaces the configuration with an operator's own document, read with the Parser. It goes
-// on for the time of an operator's call when ctx has ended, since a configuration half accepted
-// helps no one. A node without a control disk has a control node do it, as it takes a hundred times
-// the work of a message and several times the document's bytes. Where that doesn't answer it goes
-// on itself: the change has the same ID wherever it is made, so it is made once. Fails like
-// Replace.
+// Submit replaces the configuration with an operator's own document, read by the Parser. It
+// continues for the time of an operator's call after ctx has ended, since an order whose outcome is
+// unknown helps no one. A node without a control disk forwards the document to a control node,
+// since processing it takes a hundred times the work of a message, and memory of several times the
+// document's size. If the control node doesn't answer, this node makes the change itself. The
+// change has the same ID at every node, so it is made only once. Submit fails like Replace.
 func (s *Service) Submit(ctx context.Context, document []byte, base uint64, read Parser) error {
 	ctx, cancel := s.withDeadline(context.WithoutCancel(ctx))
 	defer cancel()
@@ -51,8 +51,8 @@
 	return s.readAndReplace(ctx, document, base, uncertain, read)
 }
 
-// rejectedCodes are those after which a control node surely changed nothing, nor will, and no other
-// would.
+// rejectedCodes are the codes after which the control node certainly changed nothing and never
+// will, and for which any other control node would reject the document too.
 var rejectedCodes = map[apierror.Code]bool{
 	apierror.ConfigurationConflict: true,
 	apierror.ConfigurationInvalid:  true,
@@ -60,8 +60,8 @@
 	apierror.Oversize:              true,
 }
 
-// forward has a control node accept a document. uncertain reports that it may have done so although
-// no answer came.
+// forward sends a document to a control node. uncertain is true if the control node may have
+// accepted it although no response arrived.
 func (s *Service) forward(ctx context.Context, document []byte, base uint64) (uncertain bool, err error) {
 	deflated, err := deflate(document)
 	if err != nil {
@@ -88,11 +88,11 @@
 	Submit.Handle(mux, s.handleSubmit)
 }
 
-// submitted accepts a document that another node forwarded.
+// handleSubmit processes a document that another node forwarded.
 func (s *Service) handleSubmit(ctx context.Context, request *SubmitRequest) (*SubmitResponse, error) {
 	read := s.parser.Load()
 	if read == nil {
-		return nil, apierror.New(apierror.NotReady, "this node reads no documents")
+		return nil, apierror.New(apierror.NotReady, "this node doesn't accept documents")
 	}
 	document, err := inflate(request.Doc)
 	if err != nil {
@@ -110,22 +110,22 @@
 	var deflated bytes.Buffer
 	writer, err := flate.NewWriter(&deflated, flate.BestSpeed)
 	if err != nil {
-		return nil, apierror.Wrap(apierror.Internal, err, "pack a document")
+		return nil, apierror.Wrap(apierror.Internal, err, "compress a document")
 	}
 	if _, err = writer.Write(document); err == nil {
 		err = writer.Close()
 	}
-	return deflated.Bytes(), apierror.Wrap(apierror.Internal, err, "pack a document")
+	return deflated.Bytes(), apierror.Wrap(apierror.Internal, err, "compress a document")
 }
 
-// inflate fails with code Malformed, or with Oversize where the document would be larger than any
-// can be.
+// inflate decompresses a document. It fails with code Malformed, or with Oversize if the document
+// is larger than the limit for documents.
 func inflate(deflated []byte) ([]byte, error) {
 	reader := flate.NewReader(bytes.NewReader(deflated))
 	document, err := io.ReadAll(io.LimitReader(reader, configuration.MaxBytes+1))
 	switch {
 	case err != nil:
-		return nil, apierror.WithCause(apierror.Malformed, err, "the document can't be unpacked")
+		return nil, apierror.WithCause(apierror.Malformed, err, "the document can't be decompressed")
 	case len(document) > configuration.MaxBytes:
 		return nil, apierror.New(apierror.Oversize, "the document has more than %d bytes", configuration.MaxBytes)
 	}
--- a/internal/operator/usage.go
+++ b/internal/operator/usage.go
@@ -11,8 +11,8 @@
 	"postjunction/internal/usage"
 )
 
-// Usage returns the usage of every topic, as rows under "usage", from the leaders of all
-// partitions. It fails with code NoPartitionLeader unless all answer.
+// Usage returns the usage of every topic, as rows under "usage". It asks the leaders of all
+// partitions and fails with code NoPartitionLeader unless all of them answer.
 func (s *Service) Usage(ctx context.Context) (any, error) {
 	ctx, cancel := s.withDeadline(ctx)
 	defer cancel()
@@ -41,8 +41,8 @@
 	return map[string]any{"usage": rows}, nil
 }
 
-// splitTopic splits the full name of a topic into its space and the rest. Of a topic by prefix, and
-// of one without a space, the full name is returned as the rest.
+// splitTopic splits the full name of a topic into its space and the rest. For a topic by prefix,
+// and for one without a space, the rest is the full name.
 func (s *Service) splitTopic(topic string) (space, rest string) {
 	found, err := s.Store.Index().Find(topic)
 	if err == nil && found.ByPrefix() {
