--- a/internal/node/disk.go
+++ b/internal/node/disk.go
@@ -15,8 +15,8 @@
 	"postjunction/internal/voters"
 )
 
-// openDisk reads the journal into the parts that persist state, claims the disk for this node and
-// starts the parts.
+// openDisk loads the journal into the parts that persist state, claims the disk for this node and
+// starts those parts.
 func (n *Node) openDisk(ctx context.Context) error {
 	if err := n.openJournal(); err != nil {
 		return err
@@ -74,8 +74,9 @@
 	return n.bootstrapper.Agree(ctx, set)
 }
 
-// superviseDisk checks the disk every reconcile interval until ctx ends: it binds it to the fleet,
-// drops replicas that were moved elsewhere, notes whether it takes writes, and scrubs its records.
+// superviseDisk checks the disk every reconcile interval until ctx ends. It binds the disk to the
+// fleet, drops replicas that were moved elsewhere, records whether the disk accepts writes, and
+// scrubs its records.
 func (n *Node) superviseDisk(ctx context.Context) {
 	timing, clk := n.timing(), n.env.Clock
 	lastScrub, lastDrop := clk.Now(), clk.Now()
@@ -106,8 +107,8 @@
 	}
 }
 
-// joinFleet binds the disk to the fleet, once this node knows its name. It returns DiskForeign for
-// a disk of another.
+// joinFleet binds the disk to the fleet, once this node knows the fleet's name. It returns
+// DiskForeign for a disk of another fleet.
 func (n *Node) joinFleet(ctx context.Context) error {
 	fleet := n.Store.VoterSet().Fleet
 	if fleet == "" {
@@ -116,8 +117,8 @@
 	return n.identity.Join(ctx, n.journal, fleet)
 }
 
-// probeDisk returns why the disk takes no writes, nil if it does. Only a disk that failed is
-// probed: a healthy one gets no writes from here.
+// probeDisk returns why the disk accepts no writes, nil if it does. Only a failed disk is probed,
+// so that probing adds no writes to a healthy one.
 func (n *Node) probeDisk(ctx context.Context, timeout time.Duration) error {
 	if n.journal.Failure() == nil {
 		return nil
@@ -125,7 +126,7 @@
 	return n.journal.Probe(ctx, timeout)
 }
 
-// setDiskHealth reports whether the health was another one before.
+// setDiskHealth sets the disk's health and reports whether it changed.
 func (n *Node) setDiskHealth(health string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/leaderlog.go
+++ b/internal/node/leaderlog.go
@@ -5,7 +5,7 @@
 	"postjunction/internal/partitionlog/leader"
 )
 
-// leaderLog logs what the partition leaders that run here report.
+// leaderLog logs what the partition leaders on this node report.
 type leaderLog struct{ log *event.Logger }
 
 // DiskFailed logs a failed write of a leader.
@@ -26,12 +26,13 @@
 		"took", recovery.Duration.String())
 }
 
-// StepFailed logs a step that is retried.
+// StepFailed logs a failed step, which is retried.
 func (l leaderLog) StepFailed(partition int, epoch uint64, step string, err error) {
 	l.log.Log(event.LeaderStepFailed, "partition", partition, "epoch", epoch, "step", step, "problem", err)
 }
 
-// ReaderChanged logs that a node reads messages with keys, or was given up as a reader of them.
+// ReaderChanged logs that a node was added as a reader of messages with keys, or was given up as
+// one.
 func (l leaderLog) ReaderChanged(partition int, epoch uint64, node, bootID string, givenUp bool) {
 	changed := event.ReaderNoted
 	if givenUp {
--- a/internal/node/leaders/failover.go
+++ b/internal/node/leaders/failover.go
@@ -13,17 +13,18 @@
 	"postjunction/internal/event"
 )
 
-// maxClaims is how many partitions this machine claims at a time.
+// maxClaims is how many partitions this node claims at a time.
 const maxClaims = 32
 
-// claims are the partitions that this machine is claiming at present.
+// claims are the partitions that this node is claiming.
 type claims struct {
 	// mu guards partitions.
 	mu         sync.Mutex
 	partitions map[int]bool
 }
 
-// begin returns false where the partition is being claimed already, or too many are.
+// begin adds a partition. It returns false if the partition is being claimed already, or if there
+// are too many claims.
 func (c *claims) begin(partition int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -43,10 +44,10 @@
 	delete(c.partitions, partition)
 }
 
-// FailOver claims the partitions of a machine that has been gone since a time, each in its turn:
-// the first successor at once, each further one a pause later. The record says who is which; of two
-// that claim, one wins. It returns at once and is called again while the machine is gone; the
-// claims end with ctx.
+// FailOver claims the partitions of a node that failed at a time. The first successor in the
+// assignment record claims a partition immediately, and each further one after another pause. If
+// two nodes claim a partition, one of them wins. FailOver returns immediately, and is called
+// repeatedly until the node is back. The claims end with ctx.
 func (m *Manager) FailOver(ctx context.Context, node string, since time.Time, reason string) {
 	if m.isClosed() {
 		return
@@ -56,7 +57,7 @@
 		if record.Leader != node || !m.isNamed(record) {
 			continue
 		}
-		// The rank is -1, and so the delay below 0, where this node is no successor.
+		// If this node is no successor, its rank is -1 and so the delay is below 0.
 		rank := record.Successors(m.RankSuccessor).Rank(m.Self)
 		delay := time.Duration(rank) * m.Timing.ClaimJitter()
 		if delay < 0 || m.Clock.Now().Sub(since) < delay || !m.claims.begin(partition) {
@@ -75,8 +76,9 @@
 	return m.closed
 }
 
-// claim proposes this node as the leader. Where that fails the record is read again, after a pause
-// unless another change came first, so that the next call decides on what stands.
+// claim proposes this node as the leader. If that fails, the record is read again, so that the next
+// call starts from its current version. Before that there is a pause, unless the claim failed since
+// another change was made first.
 func (m *Manager) claim(ctx context.Context, record assignment.Record, reason string) {
 	callCtx, cancel := context.WithTimeout(ctx, m.Timing.CallTimeout())
 	defer cancel()
--- a/internal/node/leaders/failover_test.go
+++ b/internal/node/leaders/failover_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// A partition is claimed once at a time, and no more than maxClaims partitions are.
+// A partition has at most one claim at a time, and at most maxClaims partitions are being claimed.
 func TestClaims_AreBounded(t *testing.T) {
 	var ongoing claims
 	for partition := range maxClaims {
--- a/internal/node/leaders/load.go
+++ b/internal/node/leaders/load.go
@@ -6,26 +6,29 @@
 )
 
 const (
-	// bytesPerMessage is how many bytes of bodies count as one more message.
+	// bytesPerMessage is how many bytes of bodies count as one additional message.
 	bytesPerMessage = 1024
-	// minSampleFraction is the divisor of the smoothing time that a sample covers at least.
+	// minSampleFraction determines the shortest time that a sample covers: the smoothing time
+	// divided by it.
 	minSampleFraction = 10
 )
 
-// loadSample is the load of a partition as of a time, under one epoch.
+// loadSample is the load of a partition at a time, under one epoch.
 type loadSample struct {
 	at time.Time
-	// total is what the leader had accepted by then, rate what it accepts a second, in messages.
+	// total is the load that the leader had accepted by then, rate its load per second, in
+	// messages.
 	total float64
 	rate  float64
 	epoch uint64
-	// hasRate reports whether the rate is known, which takes two samples.
+	// hasRate is true once the rate is known, which takes two samples.
 	hasRate bool
 }
 
-// Loads returns what each partition led here accepts a second, in messages, with a kilobyte of
-// bodies counted as one more. It is smoothed over the replacement delay, so that a burst moves
-// nothing. A partition is left out until its rate is known.
+// Loads returns the load per second of each partition that this node leads, in messages. A kilobyte
+// of bodies counts as one additional message. The load is smoothed over the replacement delay, so
+// that a burst doesn't cause partitions to be moved. A partition is left out until its rate is
+// known.
 func (m *Manager) Loads() map[int]float64 {
 	now := m.Clock.Now()
 	loads := map[int]float64{}
@@ -41,7 +44,7 @@
 	return loads
 }
 
-// sampleLoad takes the total of a partition into its sample.
+// sampleLoad updates the sample of a partition with its total.
 func (m *Manager) sampleLoad(id int, epoch uint64, total float64, now time.Time) loadSample {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -52,8 +55,8 @@
 	return m.loads[id]
 }
 
-// next returns the sample that follows, smoothed over a time: a new one under another epoch, and
-// the same one if too little time has passed.
+// next returns the sample that follows s, smoothed over a time. It starts anew under another epoch,
+// and returns s if too little time has passed.
 func (s loadSample) next(epoch uint64, total float64, now time.Time, smoothing time.Duration) loadSample {
 	elapsed := now.Sub(s.at)
 	if s.epoch != epoch {
--- a/internal/node/leaders/load_test.go
+++ b/internal/node/leaders/load_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// The rate is known from the second sample on, is smoothed from the third on, and begins anew with
+// The rate is known from the second sample on and smoothed from the third on. It starts anew with
 // each epoch.
 func TestLoadSample_Next(t *testing.T) {
 	const smoothing = 100 * time.Second
--- a/internal/node/leaders/manager.go
+++ b/internal/node/leaders/manager.go
@@ -1,18 +1,19 @@
-// Package leaders runs the partition leaders that the assignment records name this node for.
+// Package leaders runs the partition leaders that the assignment records assign to this node.
 //
-// Manager follows the records: it starts a leader for each new epoch that names this node, updates
-// the one that runs, and has it resign when a higher epoch names another node. It changes records
-// only for partitions that this node leads, is a successor for, or is named for; each change builds
-// on the version and the epoch that were read.
+// Manager watches the assignment records. It starts a leader for each new epoch that names this
+// node, passes later versions of the record to the running leader, and lets it resign when a higher
+// epoch names another node. It changes records only for partitions that this node leads, is a
+// successor for, or is named for. Each change builds on the version and the epoch that were read.
 //
-// Invariants: at most one leader of a partition runs here; none is started under an epoch that this
-// disk was used with before, since what it promised then is not known (a new epoch is asked for
-// instead); none is started once the leadership was transferred for a shutdown.
+// Invariants: at most one leader of a partition runs on this node. No leader is started under an
+// epoch that this disk was used with in an earlier run, since the promises of that run are not
+// known; a new epoch is requested instead. No leader is started after the leadership was
+// transferred for a shutdown.
 //
-// Run owns the following of the records. It starts a goroutine for each leader, and for each
-// partition that needs a new epoch; FailOver starts one for each claim. All end with the context
-// that they were given. Exported methods are safe for concurrent use. Change and all that rests on
-// it block on calls to control nodes; no lock is kept meanwhile.
+// Run watches the records. It starts a goroutine for each leader, and for each partition that needs
+// a new epoch. FailOver starts one for each claim. All end with the context that they were given.
+// Exported methods are safe for concurrent use. Change and the methods that use it block on calls
+// to control nodes; no lock is held meanwhile.
 package leaders
 
 import (
@@ -33,7 +34,7 @@
 	"postjunction/internal/settings"
 )
 
-// Manager starts and ends leaders as the records change.
+// Manager starts and ends leaders as the assignment records change.
 type Manager struct {
 	Self          string
 	Clock         clock.Clock
@@ -43,36 +44,37 @@
 	Replica       *replica.Replica
 	LeaderOptions leader.Options
 	Log           *event.Logger
-	// RankSuccessor ranks a disk as the next leader by what is known of its machine: 0 first, below
-	// 0 for one that can't lead.
+	// RankSuccessor ranks a replica as the next leader by what is known about its node. The rank 0
+	// is the best, and a rank below 0 means that the replica can't lead.
 	RankSuccessor func(assignment.Replica) int
-	// Broadcast sends records that were written here to the other nodes at once.
+	// Broadcast sends records that this node wrote to the other nodes immediately.
 	Broadcast func(context.Context, ...assignment.Record)
 
 	claims claims
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// leaders are the leaders that run here, by partition.
+	// leaders are the running leaders, by partition.
 	leaders map[int]*leader.Leader
 	// epochs are the highest epochs that named this node, by partition.
 	epochs map[int]uint64
-	// closed reports that the leadership was transferred and no leader starts any more.
+	// closed is true once the leadership was transferred. No leader starts after that.
 	closed bool
 	loads  map[int]loadSample
 }
 
-// Leader returns the leader of a partition that runs here. It fails with code NotPartitionLeader.
+// Leader returns the running leader of a partition. It fails with code NotPartitionLeader if there
+// is none on this node.
 func (m *Manager) Leader(partition int) (*leader.Leader, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if running, ok := m.leaders[partition]; ok {
 		return running, nil
 	}
-	return nil, apierror.New(apierror.NotPartitionLeader, "%s does not decide for partition %d", m.Self, partition)
+	return nil, apierror.New(apierror.NotPartitionLeader, "%s does not lead partition %d", m.Self, partition)
 }
 
-// Views returns the figures of all leaders that run here, by partition.
+// Views returns the figures of all running leaders, by ascending partition.
 func (m *Manager) Views() []leader.View {
 	views := []leader.View{}
 	for _, running := range m.running() {
@@ -81,10 +83,10 @@
 	return views
 }
 
-// Count returns how many leaders run here.
+// Count returns the number of running leaders.
 func (m *Manager) Count() int { return len(m.running()) }
 
-// running returns the leaders that run here, by partition.
+// running returns the running leaders, by ascending partition.
 func (m *Manager) running() []*leader.Leader {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -95,7 +97,7 @@
 	return running
 }
 
-// Run follows the records until ctx ends. It blocks.
+// Run watches the assignment records until ctx ends. It blocks.
 func (m *Manager) Run(ctx context.Context) {
 	go m.readOwnRecords(ctx)
 	for ctx.Err() == nil {
@@ -105,7 +107,7 @@
 	}
 }
 
-// reconcile brings the leaders that run here in line with the records.
+// reconcile starts, updates and stops leaders according to the assignment records.
 func (m *Manager) reconcile(ctx context.Context) {
 	layout := m.Store.VoterSet().Layout
 	for id := range layout.PartitionCount() {
@@ -116,17 +118,17 @@
 	}
 }
 
-// step is what the record of a partition asks for.
+// step is what has to be done for the record of a partition.
 type step int
 
 const (
 	// stepNone: nothing.
 	stepNone step = iota
-	// stepUpdate: the leader that runs goes on under the record.
+	// stepUpdate: the running leader continues under the record.
 	stepUpdate
-	// stepStart: the leader that was started resumes the partition from the one before, if any.
+	// stepStart: the new leader replaces the previous one, if any.
 	stepStart
-	// stepRenew: this disk was used with the epoch before, so a new one has to be asked for.
+	// stepRenew: this disk was used with the epoch before, so a new epoch has to be requested.
 	stepRenew
 	// stepStop: another node leads under a higher epoch.
 	stepStop
@@ -138,26 +140,27 @@
 	case stepUpdate:
 		previous.Update(ctx, record)
 	case stepStart:
-		resign(previous, "epoch %d came", record.Epoch)
+		resign(previous, "epoch %d has begun", record.Epoch)
 		m.Log.Log(event.LeaderRecovering, "partition", id, "epoch", record.Epoch)
 		go m.lead(ctx, started)
 	case stepRenew:
-		resign(previous, "epoch %d came", record.Epoch)
+		resign(previous, "epoch %d has begun", record.Epoch)
 		go m.renewEpoch(ctx, id)
 	case stepStop:
-		resign(previous, "%s decides under epoch %d", record.Leader, record.Epoch)
+		resign(previous, "%s leads under epoch %d", record.Leader, record.Epoch)
 	}
 }
 
-// resign has a leader end for a higher epoch; nil for none.
+// resign ends a leader because of a higher epoch. It does nothing for nil.
 func resign(previous *leader.Leader, format string, args ...any) {
 	if previous != nil {
 		previous.Resign(apierror.New(apierror.StaleEpoch, format, args...))
 	}
 }
 
-// nextStep decides what a record asks for, and registers or removes the leader accordingly. It
-// returns the leader that ran before, nil for none, and the one that was started.
+// nextStep determines what has to be done for a record, and registers or removes the leader
+// accordingly. It returns the previous leader, nil if there was none, and the new one for
+// stepStart.
 func (m *Manager) nextStep(
 	id int, record assignment.Record, urgent bool,
 ) (previous, started *leader.Leader, next step) {
@@ -186,8 +189,8 @@
 	return previous, nil, stepNone
 }
 
-// lead runs a leader to its end. One that ended by itself, while no other leader of the partition
-// runs here, is followed by another under a new epoch, after a pause.
+// lead runs a leader to its end. If the leader ended by itself, and no other leader of the
+// partition replaced it, a new epoch is requested after a pause.
 func (m *Manager) lead(ctx context.Context, running *leader.Leader) {
 	running.Run(ctx)
 	id := running.Record.Partition
@@ -196,8 +199,8 @@
 	}
 }
 
-// removeEnded removes a leader that ended, and reports false where it was removed or replaced
-// before, or is one of those that a shutdown ends.
+// removeEnded removes a leader that ended. It reports false if the leader was removed or replaced
+// before, or ended for a shutdown.
 func (m *Manager) removeEnded(ended *leader.Leader) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -209,8 +212,8 @@
 	return true
 }
 
-// renewEpoch asks for a new epoch of a partition that the record names this node for, under one
-// that this disk was used with before, until that is done or no longer needed.
+// renewEpoch requests a new epoch for a partition whose record names this node under an epoch that
+// this disk was used with before. It retries until there is a new epoch or none is needed any more.
 func (m *Manager) renewEpoch(ctx context.Context, id int) {
 	for attempt := 0; !m.tryRenewEpoch(ctx, id); attempt++ {
 		if m.Clock.Sleep(ctx, m.Timing.Backoff(attempt)) != nil {
@@ -219,9 +222,9 @@
 	}
 }
 
-// tryRenewEpoch reads the record, and asks for a new epoch if it still names this node though no
-// leader runs here. It returns false until the record was read and changed where needed: no one
-// else would notice.
+// tryRenewEpoch reads the record, and requests a new epoch if it names this node although no leader
+// runs. It returns false until the record was read, and changed if needed, since no other node
+// would notice.
 func (m *Manager) tryRenewEpoch(ctx context.Context, id int) bool {
 	ctx, cancel := context.WithTimeout(ctx, m.Timing.TakeoverTimeout())
 	defer cancel()
@@ -230,20 +233,21 @@
 		return false
 	}
 	isNewer := m.Store.Record(id).Epoch > record.Epoch
-	if record.Leader != m.Self || isNewer || !m.isNamed(record) || !m.isUsedUp(id, record.Epoch) {
+	if record.Leader != m.Self || isNewer || !m.isNamed(record) || !m.isEpochFinished(id, record.Epoch) {
 		return true
 	}
 	return m.Renew(ctx, record)
 }
 
-// isNamed reports whether a record names this node's present disk as a replica.
+// isNamed reports whether a record names this node's current disk as a replica.
 func (m *Manager) isNamed(record assignment.Record) bool {
 	named, ok := record.Replica(m.Self)
 	return ok && named.Incarnation == m.Replica.Incarnation()
 }
 
-// isUsedUp reports whether no leader runs here and none will be started under an epoch.
-func (m *Manager) isUsedUp(id int, epoch uint64) bool {
+// isEpochFinished reports whether no leader of a partition runs, and none will be started under an
+// epoch.
+func (m *Manager) isEpochFinished(id int, epoch uint64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.leaders[id] == nil && m.epochs[id] >= epoch
--- a/internal/node/leaders/records.go
+++ b/internal/node/leaders/records.go
@@ -12,9 +12,9 @@
 	"postjunction/internal/partitionlog/replica"
 )
 
-// Change rewrites a partition's record while it is still at the given epoch, and reports whether it
-// did. It tries until the record was written, change returns false, another epoch came, or ctx
-// ends. change may be called several times.
+// Change updates a partition's record while it still has the given epoch, and reports whether it
+// did. It retries until the record was written, change returns false, the record has another epoch,
+// or ctx ends. change may be called several times.
 func (m *Manager) Change(
 	ctx context.Context, partition int, epoch uint64, change func(assignment.Record) (assignment.Record, bool),
 ) bool {
@@ -47,8 +47,8 @@
 	m.Change(ctx, recovered.Partition, recovered.Epoch, setRecovered)
 }
 
-// Renew asks for a new epoch, since this disk was used with the record's in an earlier run, and
-// reports whether it got one.
+// Renew requests a new epoch, since this disk was used with the record's epoch in an earlier run.
+// It reports whether the record was changed.
 func (m *Manager) Renew(ctx context.Context, used assignment.Record) bool {
 	m.Log.Log(event.LeaderRenewed, "partition", used.Partition, "epoch", used.Epoch)
 	return m.Change(ctx, used.Partition, used.Epoch, func(record assignment.Record) (assignment.Record, bool) {
@@ -57,8 +57,8 @@
 	})
 }
 
-// Promote makes the learner, which has caught up, a replica: instead of its machine's lost disk if
-// the record names one, otherwise as one more.
+// Promote makes a learner that has caught up a replica. It replaces the lost disk of the same node
+// if the record names one, and is an additional replica otherwise.
 func (m *Manager) Promote(ctx context.Context, led assignment.Record, learner assignment.Replica) {
 	m.Change(ctx, led.Partition, led.Epoch, func(record assignment.Record) (assignment.Record, bool) {
 		isLearner := record.Learner != nil && *record.Learner == learner
@@ -68,9 +68,9 @@
 	})
 }
 
-// DropOrphans drops the replicas that a recovered record at a higher epoch places elsewhere. Records
-// that name this node, as far as it has heard, are not read for that: updates of one that no longer
-// does come by themselves, and gaps are repaired by gossip.
+// DropOrphans drops the replicas that a recovered record at a higher epoch assigns to other nodes.
+// A record is not read if it names this node in the version that is known here. If a later version
+// no longer does, the update arrives by itself, and gossip repairs missing updates.
 func (m *Manager) DropOrphans(ctx context.Context) {
 	for _, partition := range m.Replica.Partitions() {
 		if m.Store.Record(partition).Holds(m.Self) {
@@ -87,8 +87,8 @@
 	}
 }
 
-// readOwnRecords reads the records of what this disk holds, all at once: after a restart of all
-// nodes no other may know them.
+// readOwnRecords reads the records of all partitions on this disk concurrently. After a restart of
+// all nodes no other node may know them.
 func (m *Manager) readOwnRecords(ctx context.Context) {
 	var group sync.WaitGroup
 	for _, partition := range m.Replica.Partitions() {
@@ -97,7 +97,8 @@
 	group.Wait()
 }
 
-// readUntilKnown reads a record until that works, this node has heard of it otherwise, or ctx ends.
+// readUntilKnown retries to read a record until that succeeds, this node learns the record
+// otherwise, or ctx ends.
 func (m *Manager) readUntilKnown(ctx context.Context, partition int) {
 	for attempt := 0; ctx.Err() == nil && m.Store.Record(partition).Epoch == 0; attempt++ {
 		if m.Store.VoterSet().Sequence > 0 {
@@ -112,7 +113,8 @@
 	}
 }
 
-// readRecord reads a record by quorum and has it spread to the other nodes.
+// readRecord reads a record by quorum and applies it to the store, which spreads it to the other
+// nodes.
 func (m *Manager) readRecord(ctx context.Context, partition int) (assignment.Record, error) {
 	value, err := m.Client.Read(ctx, assignment.Key(partition))
 	if err != nil {
--- a/internal/node/leaders/transfer.go
+++ b/internal/node/leaders/transfer.go
@@ -11,9 +11,10 @@
 	"postjunction/internal/partitionlog/leader"
 )
 
-// TransferLeadership gives every partition that is led here to another replica that can lead, for a
-// shutdown, and returns for how many that worked. State is flushed first, for at most half of the
-// limit. No leader starts here from then on. It blocks until all leaders here have resigned.
+// TransferLeadership transfers the leadership of every partition that this node leads to another
+// replica that can lead, for a shutdown. It returns for how many that succeeded. State is flushed
+// first, for at most half of the limit. No leader starts on this node afterwards. It blocks until
+// all leaders of this node have resigned.
 func (m *Manager) TransferLeadership(
 	ctx context.Context, canLead func(assignment.Replica) bool, limit time.Duration,
 ) int {
@@ -36,8 +37,8 @@
 	return int(transferred.Load())
 }
 
-// transfer names another leader in the record. The search starts at another replica for each
-// partition, so that the partitions of this machine go to several.
+// transfer names another leader in the record. The search starts at a different replica for each
+// partition, so that the partitions of this node are distributed over several nodes.
 func (m *Manager) transfer(
 	ctx context.Context, running *leader.Leader, canLead func(assignment.Replica) bool,
 ) bool {
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -13,8 +13,8 @@
 	"postjunction/internal/settings"
 )
 
-// Start opens the disk, if the settings name one, and runs all parts until Stop or Kill. It returns
-// the error of a disk that can't be opened or belongs to another node; nothing runs then.
+// Start opens the disk, if the settings name one, and runs all parts until Stop or Kill. If the
+// disk can't be opened or belongs to another node, it returns that error and nothing runs.
 func Start(ctx context.Context, opts settings.Options, env Environment, log *event.Logger) (*Node, error) {
 	n := &Node{
 		env:      env,
@@ -67,9 +67,9 @@
 	}
 }
 
-// Stop shuts the node down gracefully within the shutdown timeout: it is unready at once,
-// leadership of partitions and control keys is transferred, streams end with a hint where to go. A
-// second call does nothing.
+// Stop shuts the node down gracefully within the shutdown timeout. The node becomes unready at
+// once, leadership of partitions and control keys is transferred, and streams end with a hint which
+// node to use instead. A second call does nothing.
 func (n *Node) Stop() {
 	timing := n.timing()
 	n.log.Log(event.Stopping)
@@ -93,7 +93,7 @@
 	n.log.Log(event.StoppedClean)
 }
 
-// beginDraining makes the node unready; it reports false if that was done before.
+// beginDraining makes the node unready. It reports false if the node was draining already.
 func (n *Node) beginDraining() bool {
 	n.mu.Lock()
 	if n.stage == membership.Draining {
@@ -106,13 +106,13 @@
 	return true
 }
 
-// canSucceed reports whether a replica may be named the next leader by a node that stops.
+// canSucceed reports whether a stopping node may transfer leadership to a replica.
 func (n *Node) canSucceed(r assignment.Replica) bool {
 	info, ok := n.View.Get(r.Node)
 	return ok && info.Incarnation == r.Incarnation && info.DiskHealth == "" && info.Stage == membership.Serving
 }
 
-// proposerSuccessors lists the control nodes without partitions that may take control keys over.
+// proposerSuccessors lists the control nodes without partitions that may take over control keys.
 func (n *Node) proposerSuccessors() []string {
 	var names []string
 	for _, info := range n.memberTable.Live() {
@@ -123,18 +123,18 @@
 	return names
 }
 
-// Kill ends all parts at once and waits for their goroutines.
+// Kill ends all parts immediately and waits for their goroutines.
 func (n *Node) Kill() {
 	n.cancel()
 	n.wg.Wait()
 }
 
-// Apply puts changed settings in force, or returns SettingsInvalid and applies none if one of them
-// can't change under a running node.
+// Apply applies changed settings. If one of them can't change while the node runs, it returns
+// SettingsInvalid and applies none.
 func (n *Node) Apply(opts settings.Options) error {
 	for _, field := range settings.Changed(n.options(), opts) {
 		if _, ok := settings.Reloadable[field]; !ok {
-			return apierror.New(apierror.SettingsInvalid, "field %q can't change under a running node", field)
+			return apierror.New(apierror.SettingsInvalid, "field %q can't change while the node runs", field)
 		}
 	}
 	n.mu.Lock()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,17 +1,17 @@
-// Package node wires the parts of one process together, starts them and ends them. Which parts run
-// follows from the settings: every node serves clients' calls and passes updates on, one with a
-// control disk is a voter and a control node as well, one with a storage disk holds replicas of
-// partitions and may lead them.
+// Package node wires the parts of one process together, starts them and ends them. The settings
+// determine which parts run. Every node serves clients' calls and gossips updates. A node with a
+// control disk is a control node and a possible voter as well. A node with a storage disk stores
+// replicas of partitions and may lead them.
 //
-// Invariants: a part that persists state is opened before any part that may ask it; once draining
-// has begun the node is unready for good; every part's goroutine ends before Kill returns, except
-// those that a part owns itself.
+// Invariants: a part that persists state is opened before any part that may use it. Once draining
+// has begun the node never becomes ready again. All goroutines of the node end before Kill returns;
+// a part's own goroutines may not.
 //
-// State: each part owns its own; the node owns the settings in force, its stage and the health of
-// its disk, all under one lock that is never kept over I/O.
+// State: each part owns its own state. The node owns the current settings, its stage and the health
+// of its disk, all under one lock that is never held during I/O.
 //
-// Start blocks for the disk only, Stop for the handover within the shutdown timeout. The parts run
-// in goroutines of the node (startParts) until its context ends.
+// Start blocks only while the disk is opened, Stop while leadership is transferred, within the
+// shutdown timeout. The parts run in goroutines of the node (startParts) until its context ends.
 package node
 
 import (
@@ -52,7 +52,7 @@
 // BuildVersion is the name of the build, set at link time.
 var BuildVersion = "dev"
 
-// Environment is what a node depends on outside its process: time, network and disk.
+// Environment is what a node depends on outside of its process: time, network and disk.
 type Environment struct {
 	Clock clock.Clock
 	Net   wire.Network
@@ -73,7 +73,7 @@
 	mu    sync.Mutex
 	opts  settings.Options
 	stage string
-	// diskHealth is the code of the disk's failure, empty while it takes writes.
+	// diskHealth is the code of the disk's failure, empty while the disk accepts writes.
 	diskHealth string
 
 	// The parts that persist state are nil on a node without a disk.
@@ -82,8 +82,8 @@
 	acceptor *acceptor.Acceptor
 	replica  *replica.Replica
 
-	// Store keeps the cluster's state as this node knows it: configuration, voter set and partition
-	// assignments.
+	// Store contains the cluster's state as this node knows it: configuration, voter set and
+	// partition assignments.
 	Store *gossip.Store
 	// View lists the members as this node knows them.
 	View         *membership.View
@@ -109,7 +109,7 @@
 	Clients *client.Service
 	// Operators serves the calls of operators.
 	Operators *operator.Service
-	// Sessions serves clients on line connections.
+	// Sessions serves clients that are connected by the line protocol.
 	Sessions     *session.Registry
 	hub          *fanout.Hub
 	presence     *presence.Presence
--- a/internal/node/serving.go
+++ b/internal/node/serving.go
@@ -9,7 +9,7 @@
 	"postjunction/internal/membership"
 )
 
-// PeerHandler returns the handler of the other nodes' calls.
+// PeerHandler returns the handler of calls from other nodes.
 func (n *Node) PeerHandler() http.Handler {
 	mux := http.NewServeMux()
 	membership.Identify.Handle(mux, n.leaseManager.Identify)
@@ -37,7 +37,8 @@
 	return &httpapi.API{Clients: n.Clients, Operators: n.Operators, Timing: n.timing(), Ready: n.Ready}
 }
 
-// rejectionsOf finds rejected calls that a node remembers, this one or a peer.
+// rejectionsOf returns the rejected calls that a node remembers and the request matches. The node
+// may be this one or a peer.
 func (n *Node) rejectionsOf(
 	ctx context.Context, info membership.Info, request rejections.Request,
 ) ([]rejections.Rejection, error) {
@@ -51,7 +52,7 @@
 	return response.Rejections, nil
 }
 
-// counters returns this node's counters by the part that counts them.
+// counters returns this node's counters, by part.
 func (n *Node) counters() map[string]any {
 	admitted, shed := n.admission.Counts()
 	streams, lines := n.Clients.Streams()
--- a/internal/node/views.go
+++ b/internal/node/views.go
@@ -14,7 +14,7 @@
 	"postjunction/internal/wire"
 )
 
-// Info returns this node's own member information, as it is sent to the others.
+// Info returns this node's own member information, which is sent to the other nodes.
 func (n *Node) Info() membership.Info {
 	n.mu.Lock()
 	opts, stage, diskHealth := n.opts, n.stage, n.diskHealth
@@ -59,7 +59,7 @@
 func (n *Node) VoterSet() voters.Set { return n.Store.VoterSet() }
 
 // Live returns the peer address of a control node, and whether it is a member that serves and
-// answers.
+// answers calls.
 func (n *Node) Live(node string) (string, bool) {
 	if n.memberTable == nil {
 		info, ok := n.View.Get(node)
@@ -73,7 +73,7 @@
 	return "", false
 }
 
-// Ready returns why new clients should not come here, nil if they should.
+// Ready returns why new clients should not connect to this node, nil if they should.
 func (n *Node) Ready() error {
 	select {
 	case <-n.draining:
@@ -86,14 +86,15 @@
 	return n.leaseManager.CheckLease()
 }
 
-// IsPlacementController reports whether this node leads the placement controller's key, as far as
-// it knows.
+// IsPlacementController reports whether this node believes that it leads the placement controller's
+// key.
 func (n *Node) IsPlacementController() bool { return n.LeadsKey(controller.Key) }
 
-// LeadsKey reports whether this node leads a control key, as far as it knows.
+// LeadsKey reports whether this node believes that it leads a control key.
 func (n *Node) LeadsKey(key string) bool { return n.proposer != nil && n.proposer.Leads(key) }
 
-// membersWithSelf returns the members as a control node knows them, itself as it is now.
+// membersWithSelf returns the members as a control node knows them, with its own current
+// information.
 func (n *Node) membersWithSelf() []membership.Info {
 	infos := n.memberTable.Live()
 	for i := range infos {
@@ -123,8 +124,8 @@
 
 var successorRanks = map[string]int{settings.DiskStorage: 0, settings.DiskControl: 1}
 
-// rankSuccessor ranks a replica as the next leader of a partition whose leader failed: 0 first,
-// below 0 for one that can't lead.
+// rankSuccessor ranks a replica as the next leader of a partition whose leader failed. The rank 0
+// is the best, and a rank below 0 means that the replica can't lead.
 func (n *Node) rankSuccessor(r assignment.Replica) int {
 	info, ok := n.View.LastKnown(r.Node)
 	if r.Node == n.options().Name {
@@ -139,8 +140,8 @@
 	return successorRanks[info.Disk]
 }
 
-// leaderAddrs returns the addresses of the other nodes that lead partitions by the records known
-// here.
+// leaderAddrs returns the addresses of the other nodes that lead partitions according to the
+// assignment records that this node knows.
 func (n *Node) leaderAddrs() []string {
 	self := n.options().Name
 	seen := map[string]bool{}
@@ -158,16 +159,16 @@
 	return addrs
 }
 
-// redirectTargets returns the other nodes that take clients: those of this node's zone, then the
-// rest.
+// redirectTargets returns the other nodes that accept clients: first those of this node's zone,
+// then the others.
 func (n *Node) redirectTargets() [][]membership.Info {
-	self := n.options()
+	opts := n.options()
 	var sameZone, otherZones []membership.Info
 	for _, info := range n.View.All() {
-		if info.ClientAddr == "" || info.Name == self.Name || info.Stage != membership.Serving || info.Deaf {
+		if info.ClientAddr == "" || info.Name == opts.Name || info.Stage != membership.Serving || info.Deaf {
 			continue
 		}
-		if info.Zone == self.Zone {
+		if info.Zone == opts.Zone {
 			sameZone = append(sameZone, info)
 		} else {
 			otherZones = append(otherZones, info)
@@ -176,8 +177,8 @@
 	return [][]membership.Info{sameZone, otherZones}
 }
 
-// onRegisterChange passes a value that was committed here on to the store, if it is an assignment
-// or a configuration.
+// onRegisterChange passes a value that this node committed on to the store, if it is an assignment
+// record or a configuration.
 func (n *Node) onRegisterChange(key string, value acceptor.Value) {
 	if partition, ok := assignment.Partition(key); ok && len(value.Body) > 0 {
 		if record, err := assignment.Parse(value.Body, value.Version); err == nil {
@@ -192,7 +193,7 @@
 	}
 }
 
-// onUpdate is called by the store with what is new in it.
+// onUpdate is called by the store with each update that changed it.
 func (n *Node) onUpdate(update gossip.Update) {
 	if n.router != nil {
 		n.router.ApplyRecords(update.Records)
--- a/internal/node/wiring.go
+++ b/internal/node/wiring.go
@@ -34,7 +34,7 @@
 	"postjunction/internal/settings"
 )
 
-// build constructs the parts, each after those that it is given. None runs before startParts.
+// build constructs the parts, each after the parts that it depends on. None runs before startParts.
 func (n *Node) build(ctx context.Context) {
 	if n.opts.HasControlDisk() {
 		n.buildControl()
@@ -50,7 +50,7 @@
 }
 
 // buildControl constructs the parts of a control node: member table, registers, leases and voter
-// set changes.
+// set reconfiguration.
 func (n *Node) buildControl() {
 	opts, timing := n.opts, n.opts.Timing()
 	self, net, clk := opts.Name, n.env.Net, n.env.Clock
@@ -80,8 +80,8 @@
 	}
 }
 
-// buildCluster constructs the parts by which every node takes part in the cluster: lease, gossip,
-// register client.
+// buildCluster constructs the parts by which every node participates in the cluster: lease, gossip
+// and register client.
 func (n *Node) buildCluster() {
 	opts, timing := n.opts, n.opts.Timing()
 	self, net, clk := opts.Name, n.env.Net, n.env.Clock
@@ -105,8 +105,8 @@
 	}
 }
 
-// buildLeaders constructs the partition leaders' manager and the failure detector that has it fail
-// partitions over.
+// buildLeaders constructs the manager of partition leaders, and the failure detector that triggers
+// its failovers.
 func (n *Node) buildLeaders(ctx context.Context) {
 	opts, timing := n.opts, n.opts.Timing()
 	self, net, clk := opts.Name, n.env.Net, n.env.Clock
@@ -138,7 +138,7 @@
 	}
 }
 
-// buildClients constructs the router of calls and the services to clients.
+// buildClients constructs the router of calls and the services for clients.
 func (n *Node) buildClients(ctx context.Context) {
 	opts, timing := n.opts, n.opts.Timing()
 	self, net, clk := opts.Name, n.env.Net, n.env.Clock
@@ -164,7 +164,8 @@
 	}).Start(ctx)
 }
 
-// recordRejection logs a client's rejected call and keeps it for operators that ask for the reason.
+// recordRejection logs a client's rejected call and records it for operators that ask for the
+// reason.
 func (n *Node) recordRejection(request *client.Request, err error) {
 	n.log.Log(event.CallRejected, "verb", request.Verb, "client", request.Client, "problem", err)
 	problem, topic := apierror.From(err), ""
@@ -177,8 +178,8 @@
 	})
 }
 
-// buildReachability constructs the monitor that has clients redirected when this node can't reach
-// the leaders.
+// buildReachability constructs the monitor that redirects clients if this node can't reach the
+// partition leaders.
 func (n *Node) buildReachability() {
 	n.reachability = &reachability.Monitor{
 		Self: n.opts.Name, Net: n.env.Net, Clock: n.env.Clock, Timing: n.opts.Timing(),
@@ -188,8 +189,8 @@
 	}
 }
 
-// redirectClients sends clients on line connections to other nodes, or keeps them if there are
-// none.
+// redirectClients redirects clients on line connections to other nodes. It doesn't redirect them if
+// there are no targets.
 func (n *Node) redirectClients(targets []membership.Info) {
 	if len(targets) > 0 {
 		n.log.Log(event.ClientsRedirected, "clients", n.Sessions.Count(), "peers", len(targets))
--- a/internal/recordtype/recordtype.go
+++ b/internal/recordtype/recordtype.go
@@ -1,10 +1,10 @@
-// Package recordtype numbers the types of record on disk, across all packages that keep state in a
-// journal. A number is never reused or changed: data folders of older builds hold them.
+// Package recordtype numbers the types of record on disk, across all packages that store state in a
+// journal. A number is never reused or changed, since data folders of older builds contain it.
 package recordtype
 
 // The types of record.
 const (
-	Identity         uint16 = 1 + iota // whose disk it is
+	Identity         uint16 = 1 + iota // the node and fleet that the disk belongs to
 	VoterSet                           // the voter set of a control disk
 	Slot                               // a register of a control disk
 	Seal                               // the epoch below which a partition rejects leaders
@@ -13,7 +13,7 @@
 	Base                               // drops the front of a log, or starts one there
 	Forget                             // drops all of a partition but its seal
 	Snapshot                           // the materialised state of a partition
-	CompactionBegins                   // opens a slice of a compaction
-	CompactionEnds                     // closes it
-	Probe                              // nothing: a health check of the disk
+	CompactionBegins                   // the beginning of a slice of a compaction
+	CompactionEnds                     // the end of the slice
+	Probe                              // no content; a health check of the disk
 )
