--- a/internal/command/cli/call.go
+++ b/internal/command/cli/call.go
@@ -15,7 +15,7 @@
 func post(ctx context.Context, streams Streams, opts *options, path string, document any) error {
 	body, err := rawjson.Marshal(document)
 	if err != nil {
-		return apierror.Wrap(apierror.Malformed, err, "the body is no JSON value")
+		return apierror.Wrap(apierror.Malformed, err, "the body is not a JSON value")
 	}
 	return call(ctx, streams, opts, http.MethodPost, path, body)
 }
@@ -29,7 +29,7 @@
 	defer func() { _ = response.Body.Close() }()
 	content, err := io.ReadAll(response.Body)
 	if err != nil {
-		return apierror.Wrap(apierror.Unreachable, err, "the answer broke off")
+		return apierror.Wrap(apierror.Unreachable, err, "the response is incomplete")
 	}
 	if response.StatusCode != http.StatusOK {
 		return rejection(response, content)
@@ -41,19 +41,19 @@
 	}
 	out.WriteByte('\n')
 	_, err = out.WriteTo(streams.Out)
-	return apierror.Wrap(apierror.Usage, err, "write the answer")
+	return apierror.Wrap(apierror.Usage, err, "write the response")
 }
 
 func do(ctx context.Context, opts *options, method, path string, body []byte) (*http.Response, error) {
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+opts.at+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+opts.addr+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, apierror.Wrap(apierror.Usage, err, "address %s", opts.at)
+		return nil, apierror.Wrap(apierror.Usage, err, "address %s", opts.addr)
 	}
 	if opts.token != "" {
 		request.Header.Set("Authorization", "Bearer "+opts.token)
 	}
 	response, err := http.DefaultClient.Do(request)
-	return response, apierror.Wrap(apierror.Unreachable, err, "node at %s", opts.at)
+	return response, apierror.Wrap(apierror.Unreachable, err, "node at %s", opts.addr)
 }
 
 // rejection returns the error that a response describes.
--- a/internal/command/cli/cli.go
+++ b/internal/command/cli/cli.go
@@ -1,7 +1,8 @@
-// Package cli holds the verbs of the command line by which clients and operators call a node.
+// Package cli implements the verbs of the command line with which clients and operators call a
+// node.
 //
-// Each verb is one call of the HTTP API, or one session of the line protocol, and keeps no state. A
-// rejected call is returned as the node's error, so that the exit code follows from its code.
+// Each verb makes one call of the HTTP API, or one session of the line protocol, and has no state.
+// A rejected call is returned as the node's error, whose code determines the exit code.
 package cli
 
 import (
@@ -13,37 +14,37 @@
 	"postjunction/internal/apierror"
 )
 
-// Streams are the command's input and outputs.
+// Streams are the command's standard input, output and error.
 type Streams struct {
 	In       io.Reader
 	Out, Err io.Writer
 }
 
-// Verb is one word of the command line.
+// Verb is a subcommand of the command line.
 type Verb struct {
 	Help string
-	// Args names the argument that the verb needs, empty for none.
+	// Args names the argument that the verb requires, empty for none.
 	Args string
 	run  func(ctx context.Context, streams Streams, opts *options, args []string) error
 	// flags, if any, adds the verb's own flags.
 	flags func(flags *flag.FlagSet, opts *options)
 }
 
-// options are the values of all verbs' flags.
+// options are the values of the flags of all verbs.
 type options struct {
-	at, token, topic, cursor, partition, format, key, sender string
-	callSeq, maxCallSeq                                      uint64
-	// count is how many lines are read, 0 for no end.
+	addr, token, topic, cursor, partition, format, key, sender string
+	callSeq, maxCallSeq                                        uint64
+	// count is the number of messages or responses after which a verb ends, 0 for no limit.
 	count int
 }
 
-// Run runs a verb of Verbs. It returns Usage for faulty flags and arguments, Unreachable for a node
-// that doesn't answer, and the error of a node that rejects the call.
+// Run runs a verb of Verbs. It returns Usage for wrong flags and arguments, Unreachable for a node
+// that doesn't answer, and the node's error for a rejected call.
 func Run(ctx context.Context, name string, args []string, streams Streams) error {
 	verb, opts := Verbs[name], &options{}
 	flags := flag.NewFlagSet(name, flag.ContinueOnError)
 	flags.SetOutput(streams.Err)
-	flags.StringVar(&opts.at, "at", "127.0.0.1:7400", "`address` of any node")
+	flags.StringVar(&opts.addr, "at", "127.0.0.1:7400", "`address` of any node")
 	if verb.flags != nil {
 		verb.flags(flags, opts)
 	}
--- a/internal/command/cli/session.go
+++ b/internal/command/cli/session.go
@@ -22,14 +22,14 @@
 	flags.IntVar(&opts.count, "answers", 0, "`number` of answers to stop after, 0 for none")
 }
 
-// runSession attaches, sends the requests that it reads and prints the responses. It goes on after
-// the input's end, until the node ends the connection or enough responses came.
+// runSession attaches, sends the requests that it reads and prints the responses. It continues
+// after the end of the input, until the node ends the connection or enough responses were printed.
 func runSession(ctx context.Context, streams Streams, opts *options, args []string) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", opts.at)
+	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", opts.addr)
 	if err != nil {
-		return apierror.Wrap(apierror.Unreachable, err, "node at %s", opts.at)
+		return apierror.Wrap(apierror.Unreachable, err, "node at %s", opts.addr)
 	}
 	defer func() { _ = conn.Close() }()
 	requests := &requestWriter{conn: conn}
@@ -41,8 +41,8 @@
 	return printResponses(bufio.NewReader(conn), streams.Out, opts.count)
 }
 
-// printResponses prints responses other than those to heartbeats, up to count of them, 0 for no
-// end.
+// printResponses prints up to count responses, or all of them if count is 0. Responses to
+// heartbeats are left out.
 func printResponses(r *bufio.Reader, out io.Writer, count int) error {
 	for printed := 0; count == 0 || printed < count; {
 		line, err := r.ReadBytes('\n')
@@ -50,7 +50,7 @@
 			return nil
 		}
 		if err != nil {
-			return apierror.Wrap(apierror.Unreachable, err, "the connection broke off")
+			return apierror.Wrap(apierror.Unreachable, err, "the connection broke")
 		}
 		var response struct {
 			Type session.ResponseType `json:"what"`
@@ -68,7 +68,7 @@
 
 // requestWriter writes whole lines to a connection, from several goroutines.
 type requestWriter struct {
-	// mu keeps lines apart; a write waits for the connection under it.
+	// mu guards writes to conn, so that lines don't mix. It is held while a write blocks.
 	mu   sync.Mutex
 	conn net.Conn
 }
@@ -77,18 +77,18 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	_, err := w.conn.Write(append(line, '\n'))
-	return apierror.Wrap(apierror.Unreachable, err, "the connection broke off")
+	return apierror.Wrap(apierror.Unreachable, err, "the connection broke")
 }
 
 func (w *requestWriter) write(request map[string]any) error {
 	line, err := rawjson.Marshal(request)
 	if err != nil {
-		return apierror.Wrap(apierror.Malformed, err, "the task is no JSON value")
+		return apierror.Wrap(apierror.Malformed, err, "the request is not a JSON value")
 	}
 	return w.writeLine(line)
 }
 
-// copyLines writes the lines of in until its end or a failed write.
+// copyLines writes the lines of in to the connection until in ends or a write fails.
 func (w *requestWriter) copyLines(in io.Reader) {
 	for lines := bufio.NewScanner(in); lines.Scan(); {
 		if w.writeLine(lines.Bytes()) != nil {
--- a/internal/command/cli/stream.go
+++ b/internal/command/cli/stream.go
@@ -13,7 +13,7 @@
 	"postjunction/internal/apierror"
 )
 
-// maxStreamLine is the longest line of a stream, in bytes.
+// maxStreamLine is the maximum length of a line of a stream, in bytes.
 const maxStreamLine = 4 << 20
 
 func followFlags(flags *flag.FlagSet, opts *options) {
@@ -23,7 +23,7 @@
 	flags.IntVar(&opts.count, "messages", 0, "`number` of messages to stop after, 0 for none")
 }
 
-// follow prints a stream's lines until it ends or has enough messages.
+// follow prints the lines of a stream until the stream ends or enough messages were printed.
 func follow(ctx context.Context, streams Streams, opts *options, _ []string) error {
 	query := url.Values{"topic": strings.Split(opts.topic, ",")}
 	if opts.cursor != "" {
@@ -51,7 +51,7 @@
 			return nil
 		}
 	}
-	return apierror.Wrap(apierror.Unreachable, lines.Err(), "the stream broke off")
+	return apierror.Wrap(apierror.Unreachable, lines.Err(), "the stream broke")
 }
 
 // isMessage reports whether a line of a stream is a message that is not withdrawn.
--- a/internal/command/cli/verbs.go
+++ b/internal/command/cli/verbs.go
@@ -15,8 +15,8 @@
 	"postjunction/internal/usage"
 )
 
-// Verbs lists the verbs by their words; those that run in this process, such as serve, are not
-// among them.
+// Verbs contains the verbs by name. It doesn't contain those that need no call to a node, such as
+// serve.
 var Verbs = map[string]Verb{
 	"put": {
 		Help: "put a whole description, read from a file or - for standard input",
@@ -54,7 +54,7 @@
 	},
 }
 
-// get makes a verb that prints what a path has.
+// get returns a verb that prints the response of a path.
 func get(path string) func(context.Context, Streams, *options, []string) error {
 	return func(ctx context.Context, streams Streams, opts *options, _ []string) error {
 		return call(ctx, streams, opts, http.MethodGet, path, nil)
--- a/internal/command/serve/datadir.go
+++ b/internal/command/serve/datadir.go
@@ -10,8 +10,8 @@
 	"postjunction/internal/event"
 )
 
-// openDisk locks the data directory and opens the log in it; a damaged log is set aside and a new
-// one begun. The function returned closes the log and releases the lock.
+// openDisk locks the data directory and opens the log in it. A damaged log is set aside and
+// replaced by a new one. The returned function closes the log and releases the lock.
 func openDisk(start *retrier, dir string, log *event.Logger) (*walog.Log, func(), error) {
 	release, err := retry(start, func() (func(), error) { return lockDir(dir) })
 	if err != nil {
@@ -36,8 +36,8 @@
 	return disk, closeDisk, nil
 }
 
-// lockDir makes the directory if needed and locks it; the function returned releases the lock. It
-// returns StillHeld while another process has it.
+// lockDir creates the directory if needed and locks it. The returned function releases the lock. It
+// returns StillHeld while another process has the lock.
 func lockDir(dir string) (func(), error) {
 	if err := os.MkdirAll(dir, 0o750); err != nil {
 		return nil, dirError(err, dir)
@@ -53,7 +53,7 @@
 	return func() { _ = file.Close() }, nil
 }
 
-// dirError returns SettingsInvalid for a directory that can't be the data directory, else
+// dirError returns SettingsInvalid for a directory that can't be used as the data directory, else
 // DiskFailed.
 func dirError(err error, dir string) error {
 	code := apierror.DiskFailed
--- a/internal/command/serve/lines.go
+++ b/internal/command/serve/lines.go
@@ -11,21 +11,23 @@
 	"postjunction/internal/settings"
 )
 
-// Line connections may use three quarters of the descriptors; a quarter stays for peers and files.
+// Line connections may use three quarters of the descriptors. The last quarter is for peers and
+// files.
 const (
 	lineDescriptorsNum   = 3
 	lineDescriptorsDenom = 4
 )
 
-// sessionRegistry lets a node's sessions be used by the line server.
+// sessionRegistry adapts a node's sessions to the line server.
 type sessionRegistry struct{ *session.Registry }
 
-// NewSession begins a session of a line connection.
+// NewSession starts a session for a line connection.
 func (r sessionRegistry) NewSession(out session.Sink) lineserver.Session {
 	return r.Registry.NewSession(out)
 }
 
-// newLineServer makes the server of line connections; a nil codec is the product's own.
+// newLineServer returns the server of line connections. A nil codec is the product's own JSON
+// codec.
 func newLineServer(n *node.Node, opts settings.Options, codec lineserver.Codec) Server {
 	if codec == nil {
 		codec = jsoncodec.Codec{}
@@ -38,8 +40,8 @@
 	})
 }
 
-// bodyLimit returns the largest body in bytes: that of the settings, or less if the configuration
-// has a lower one.
+// bodyLimit returns the largest body in bytes: the limit of the settings, or that of the
+// configuration if it is lower.
 func bodyLimit(fromSettings, fromConfiguration int) int {
 	if fromConfiguration > 0 {
 		return min(fromSettings, fromConfiguration)
--- a/internal/command/serve/listener.go
+++ b/internal/command/serve/listener.go
@@ -15,15 +15,14 @@
 )
 
 const (
-	// reservedDescriptors are kept for files.
+	// reservedDescriptors are reserved for files.
 	reservedDescriptors = 200
-	// apiFraction is the part of the other descriptors that the HTTP API may use, as one divided by
-	// it.
+	// apiFraction is the divisor for the part of the other descriptors that the HTTP API may use.
 	apiFraction = 16
 )
 
-// open opens the listener's port. It returns StillHeld while another process has it, else
-// SettingsInvalid.
+// open opens the listener's port. It returns StillHeld while another process uses the port, and
+// SettingsInvalid for any other error.
 func (l Listener) open() (net.Listener, error) {
 	config := net.ListenConfig{}
 	if l.ReapsIdle {
@@ -36,9 +35,9 @@
 	return port, apierror.Wrap(apierror.SettingsInvalid, err, "%s %s", l.Setting, l.Address)
 }
 
-// connectionLimit returns how many connections may be open at once, 0 for no limit: the HTTP API
-// has a sixteenth of the descriptors that are not reserved for files, line connections have a limit
-// of their own, peers none.
+// connectionLimit returns how many connections may be open at a time, 0 for no limit. The HTTP API
+// may use a sixteenth of the descriptors that are not reserved for files. Line connections have a
+// limit of their own, and peers have none.
 func (l Listener) connectionLimit(descriptors int) int {
 	if l.MaxConnections > 0 || descriptors == 0 || l.Setting != "listen" {
 		return l.MaxConnections
@@ -46,8 +45,8 @@
 	return max(1, (descriptors-reservedDescriptors)/apiFraction)
 }
 
-// limitConnections closes what is accepted beyond limit open connections at once, so that the
-// client tries another node; 0 is no limit.
+// limitConnections immediately closes connections that are accepted beyond limit open ones, so that
+// the client tries another node; 0 is no limit.
 func limitConnections(l net.Listener, limit int) net.Listener {
 	if limit <= 0 {
 		return l
@@ -55,7 +54,7 @@
 	return &limitedListener{Listener: l, slots: make(chan struct{}, limit)}
 }
 
-// limitedListener has an entry in slots for each open connection.
+// limitedListener limits the open connections. slots has an entry for each of them.
 type limitedListener struct {
 	net.Listener
 	slots chan struct{}
@@ -83,13 +82,13 @@
 	listener *limitedListener
 }
 
-// Close closes the connection and frees its slot once.
+// Close closes the connection. The first call frees its slot.
 func (c *limitedConn) Close() error {
 	c.once.Do(func() { <-c.listener.slots })
 	return c.Conn.Close()
 }
 
-// supervisor keeps listeners served until the process ends.
+// supervisor serves listeners until the process ends.
 type supervisor struct {
 	clock  clock.Clock
 	timing settings.Timing
@@ -99,7 +98,7 @@
 	ended bool
 }
 
-// serve serves a listener until end, and opens its port again should it break.
+// serve serves a listener until end is called. If the listener fails its port is opened again.
 func (s *supervisor) serve(listener Listener, server Server, port net.Listener) {
 	for {
 		err := server.Serve(port)
@@ -115,7 +114,8 @@
 	}
 }
 
-// reopen opens a listener's port again, with pauses between; it returns nil once the process ends.
+// reopen opens a listener's port again. It retries after pauses, and returns nil once the process
+// ends.
 func (s *supervisor) reopen(listener Listener) net.Listener {
 	for {
 		_ = s.clock.Sleep(context.Background(), s.timing.MaxBackoff())
--- a/internal/command/serve/listener_test.go
+++ b/internal/command/serve/listener_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A listener with as many connections as it may have closes further ones at once, and takes others
-// once one ends.
+// A listener at its connection limit closes further connections immediately. It accepts new ones
+// once an open connection ends.
 func TestLimitConnections(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -49,7 +49,8 @@
 	}
 }
 
-// Where the server closes idle connections itself, accepting one costs four system calls less.
+// If the server closes idle connections itself, the kernel's keepalive is off. That saves four
+// system calls for each accepted connection.
 func TestListener_ReapsIdleTurnsKernelKeepaliveOff(t *testing.T) {
 	for _, reapsIdle := range []bool{true, false} {
 		port, err := Listener{Address: "127.0.0.1:0", ReapsIdle: reapsIdle}.open()
--- a/internal/command/serve/process.go
+++ b/internal/command/serve/process.go
@@ -19,7 +19,8 @@
 	"postjunction/internal/wire"
 )
 
-// Process runs a node until a signal asks to stop. It returns why the node could not be started.
+// Process runs a node until it gets a signal to stop. It returns an error if the node could not be
+// started.
 func Process(opts Options) error {
 	nodeSettings, timing := opts.Settings, opts.Settings.Timing()
 	log := newLogger(opts)
@@ -76,7 +77,8 @@
 	return event.NewLogger(logger.With("node", opts.Settings.Name))
 }
 
-// allListeners returns those of the settings and those that the main added, the peers' first.
+// allListeners returns the listeners of the settings and those that main added. The listener for
+// peers is the first.
 func (opts Options) allListeners() []Listener {
 	nodeSettings, timing := opts.Settings, opts.Settings.Timing()
 	api := func(n *node.Node) http.Handler {
@@ -105,8 +107,8 @@
 	return listeners
 }
 
-// openListeners opens all ports before the node starts. It returns those that it opened, with an
-// error too.
+// openListeners opens all ports before the node starts. If it returns an error, it also returns the
+// ports that it opened before.
 func openListeners(start *retrier, listeners []Listener, descriptors int) ([]net.Listener, error) {
 	var opened []net.Listener
 	for _, listener := range listeners {
@@ -137,8 +139,8 @@
 	})
 }
 
-// shutDown stops the node, then its servers, and ends the process should that take longer than the
-// timeout. The peers' server, the first, is closed without waiting for its calls.
+// shutDown stops the node, then its servers. It ends the process if that takes longer than the
+// timeout. The server for peers, the first one, is closed without waiting for its calls.
 func shutDown(n *node.Node, servers []Server, timeout time.Duration) {
 	forced := time.AfterFunc(timeout, func() { os.Exit(0) })
 	defer forced.Stop()
--- a/internal/command/serve/process_test.go
+++ b/internal/command/serve/process_test.go
@@ -23,7 +23,7 @@
 	"postjunction/internal/settings"
 )
 
-// logBuffer is a log that can be waited on.
+// logBuffer is a log output with which a test can wait for an event.
 type logBuffer struct {
 	// mu guards text.
 	mu      sync.Mutex
@@ -33,7 +33,7 @@
 
 func newLogBuffer() *logBuffer { return &logBuffer{written: make(chan struct{}, 1)} }
 
-// Write takes log lines.
+// Write appends lines of the log.
 func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,7 +57,7 @@
 		select {
 		case <-l.written:
 		case <-t.Context().Done():
-			t.Fatalf("event %d did not come %d times", logged.Number, times)
+			t.Fatalf("event %d was not logged %d times", logged.Number, times)
 		}
 	}
 }
@@ -81,8 +81,8 @@
 	return path
 }
 
-// A SIGHUP once ended the process. It has the settings read again, at once and changed or not; a
-// broken pipe does nothing.
+// A SIGHUP once ended the process. It must reload the settings immediately, whether they changed or
+// not. SIGPIPE must be ignored.
 func TestSIGHUPReloadsSettings(t *testing.T) {
 	addrs := freeAddrs(t, 5)
 	path := writeSettings(t, addrs, "")
@@ -105,7 +105,7 @@
 	assert.NilError(t, <-done)
 }
 
-// The previous process still holds the port: the start waits until that one closes it.
+// If the previous process still uses the port, the start waits until that process closes it.
 func TestStartWaitsForItsPort(t *testing.T) {
 	addrs := freeAddrs(t, 5)
 	other, err := net.Listen("tcp", addrs[0])
@@ -120,8 +120,8 @@
 	assert.NilError(t, <-done)
 }
 
-// A port that stays held ends the start after the recovery bound; a disk that takes no writes never
-// does; what can't pass does at once.
+// A port that is not released ends the start after the recovery time. A disk that accepts no writes
+// never ends it. An error that can't pass by itself ends it immediately.
 func TestRetry(t *testing.T) {
 	for code, want := range map[apierror.Code]time.Duration{
 		apierror.StillHeld: settings.DefaultTiming.Recovery, apierror.DiskFull: time.Hour,
@@ -161,7 +161,7 @@
 // Close does nothing.
 func (s *breakingServer) Close() error { return nil }
 
-// A listener that breaks is opened again; it once ended the process.
+// A failed listener once ended the process. It must be opened again.
 func TestBrokenListenerIsOpenedAgain(t *testing.T) {
 	addr := freeAddrs(t, 1)[0]
 	log := newLogBuffer()
--- a/internal/command/serve/resources.go
+++ b/internal/command/serve/resources.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// memoryPercent is how much of the memory setting the Go runtime may use.
+	// memoryPercent is the part of the memory setting that the Go runtime may use.
 	memoryPercent = 70
-	// gcPercent trades processor time for a lower peak: a heap of a few MiB is collected at half as
-	// much again. A machine with next to no processor, below scarceMilliCores, trades the other
-	// way.
+	// gcPercent trades processor time for a lower memory peak: a heap of a few MiB is collected
+	// once it has grown by half. On a machine with very little processor time, below
+	// scarceMilliCores, gcPercentScarce trades memory for processor time.
 	gcPercent        = 50
 	gcPercentScarce  = 200
 	scarceMilliCores = 100
 )
 
-// limitMemory keeps the process's memory below a limit in MiB, 0 for none, given the thousandths of
-// a core that it has, 0 for plenty.
+// limitMemory limits the process's memory to a number of MiB, 0 for no limit. milliCores is the
+// processor time of the process in thousandths of a core, 0 for no limit.
 func limitMemory(megabytes, milliCores int) {
 	if megabytes <= 0 {
 		return
@@ -27,7 +27,7 @@
 	debug.SetGCPercent(heapGrowth(milliCores))
 }
 
-// heapGrowth returns by how much a heap grows, in percent, until it is collected.
+// heapGrowth returns by how many percent the heap grows until it is collected.
 func heapGrowth(milliCores int) int {
 	if milliCores > 0 && milliCores < scarceMilliCores {
 		return gcPercentScarce
@@ -35,9 +35,9 @@
 	return gcPercent
 }
 
-// threads returns how many threads may run Go code, of those available. One core is not one thread:
-// the thread that waits for a sync of the disk keeps its place for up to 10 ms, and all calls would
-// stand still meanwhile.
+// threads returns how many threads may run Go code, given the number of available cores. A node
+// with a disk uses two threads even on one core. The thread that waits for a sync of the disk stays
+// scheduled for up to 10 ms, and with one thread all calls would block meanwhile.
 func threads(disk string, available int) int {
 	if disk == settings.DiskNone {
 		return available
--- a/internal/command/serve/resources_test.go
+++ b/internal/command/serve/resources_test.go
@@ -11,7 +11,8 @@
 	"postjunction/internal/settings"
 )
 
-// A machine with next to no processor collects rarely, one with plenty keeps its memory low.
+// A machine with very little processor time collects garbage rarely. One with more collects it
+// often to use less memory.
 func TestHeapGrowth(t *testing.T) {
 	for milliCores, want := range map[int]int{0: 50, 32: 200, 99: 200, 100: 50, 480: 50, 4000: 50} {
 		assert.Equal(t, heapGrowth(milliCores), want, "%d thousandths of a core", milliCores)
@@ -25,7 +26,7 @@
 	assert.Equal(t, threads(settings.DiskStorage, 8), 8)
 }
 
-// With the threads of a machine with a disk, others go on while one waits in the kernel.
+// With the threads of a machine with a disk, goroutines continue while one waits in the kernel.
 func TestOthersRunWhileADiskIsWaitedFor(t *testing.T) {
 	previous := runtime.GOMAXPROCS(threads(settings.DiskStorage, 1))
 	defer runtime.GOMAXPROCS(previous)
--- a/internal/command/serve/retry.go
+++ b/internal/command/serve/retry.go
@@ -10,9 +10,9 @@
 	"postjunction/internal/settings"
 )
 
-// retrier retries the steps of a start that fail for what may pass by itself: a port or directory
-// that the previous process still holds, for the recovery time, and a disk that takes no writes,
-// for as long as it lasts.
+// retrier retries the steps of a start that fail for a reason that may pass by itself. A port or
+// directory that the previous process still uses is retried for the recovery time, and a disk that
+// accepts no writes without a limit.
 type retrier struct {
 	clock  clock.Clock
 	timing settings.Timing
@@ -21,11 +21,11 @@
 	stop <-chan struct{}
 }
 
-// retriedForever are the codes that a start is retried for without a limit.
+// retriedForever are the codes after which a start is retried without a limit.
 var retriedForever = map[apierror.Code]bool{apierror.DiskFull: true, apierror.DiskFailed: true}
 
-// retry calls step until it succeeds, fails for good, or stop is closed. It logs each new error
-// once.
+// retry calls step until it succeeds, fails permanently, or stop is closed. It logs an error only
+// if it differs from the one before.
 func retry[T any](r *retrier, step func() (T, error)) (T, error) {
 	begun := r.clock.Now()
 	logged := ""
@@ -50,7 +50,8 @@
 	}
 }
 
-// isRetryable reports whether a step that was begun at a time and failed now is worth another call.
+// isRetryable reports whether a step that was first tried at a time, and failed now, should be
+// retried.
 func (r *retrier) isRetryable(err error, begun time.Time) bool {
 	code := apierror.From(err).Code
 	if retriedForever[code] {
--- a/internal/command/serve/serve.go
+++ b/internal/command/serve/serve.go
@@ -1,10 +1,10 @@
-// Package serve runs one node as a process: it reads the settings, opens the data directory and the
-// ports, starts the node, and ends it on a signal.
+// Package serve runs one node as a process. It reads the settings, opens the data directory and the
+// ports, starts the node, and stops it on a signal.
 //
-// Invariants: only one process at a time uses a data directory; what may pass by itself (a port or
-// directory that the previous process still holds, a full disk) never ends the process at once; a
-// port that breaks is opened again; SIGHUP and SIGPIPE never end the process; the process ends
-// within the shutdown timeout after SIGTERM or SIGINT.
+// Invariants: only one process at a time uses a data directory. A problem that may pass by itself
+// (a port or directory that the previous process still uses, a full disk) is retried before it ends
+// the process. A port that fails is opened again. SIGHUP and SIGPIPE never end the process. The
+// process ends within the shutdown timeout after SIGTERM or SIGINT.
 //
 // Process blocks until then and owns all goroutines: one per listener, one for signals, one for the
 // settings file.
@@ -21,34 +21,34 @@
 	"postjunction/internal/settings"
 )
 
-// Options are what Process runs: one node, and the listeners that a main adds to those of the
-// settings.
+// Options configure Process: the settings of one node, and what a main package adds to them.
 type Options struct {
 	Settings settings.Options
-	// SettingsFile, if any, is watched for changes and read again by Reload.
+	// SettingsFile, if set, is watched for changes. Reload reads it again.
 	SettingsFile string
 	Reload       func() (settings.Options, error)
-	// WrapAPI, if any, wraps the handler of the HTTP API.
+	// WrapAPI, if set, wraps the handler of the HTTP API.
 	WrapAPI func(n *node.Node, api http.Handler) http.Handler
-	// Codec is that of the line protocol, the product's own JSON codec if nil.
+	// Codec is the codec of the line protocol. If nil, the product's own JSON codec is used.
 	Codec     lineserver.Codec
 	Listeners []Listener
-	// LogOutput takes the log.
+	// LogOutput is where the log is written.
 	LogOutput io.Writer
 }
 
-// Listener is a port, and what serves it.
+// Listener is a port and the server for it.
 type Listener struct {
 	// Setting is the name of the setting that gives the address.
 	Setting string
 	// Address is an IP number and a port.
 	Address string
-	// MaxConnections limits the connections open at once, 0 for the default of the setting.
+	// MaxConnections limits the connections that are open at a time, 0 for the default of the
+	// setting.
 	MaxConnections int
-	// ReapsIdle says that the server closes idle connections itself, so that the kernel's keepalive
-	// isn't needed.
+	// ReapsIdle is true if the server closes idle connections itself, so that the kernel's
+	// keepalive isn't needed.
 	ReapsIdle bool
-	// NewServer makes the server of a node that has started.
+	// NewServer returns the server for a node that has started.
 	NewServer func(n *node.Node) Server
 }
 
@@ -59,7 +59,7 @@
 	Close() error
 }
 
-// Run runs the node that the settings file and flags in args describe, until a signal asks to stop.
+// Run runs the node with the settings file and flags in args, until it gets a signal to stop.
 func Run(args []string, stderr io.Writer) error {
 	opts, path, err := ReadSettings(args, stderr)
 	if err != nil {
--- a/internal/command/serve/settings.go
+++ b/internal/command/serve/settings.go
@@ -14,12 +14,12 @@
 	"postjunction/internal/settings"
 )
 
-// reloadInterval is how often the settings file is looked at for changes.
+// reloadInterval is the interval at which the settings file is checked for changes.
 const reloadInterval = time.Second
 
-// ReadSettings reads the settings from the file that the flags name and from the flags, which win.
-// It returns them with the file's path. Errors are Usage for the flags and SettingsInvalid for what
-// they and the file say.
+// ReadSettings reads the settings from the file that the flags name, and from the flags, which
+// override the file. It returns them with the file's path. The error is Usage for flags that can't
+// be parsed, and SettingsInvalid for invalid settings.
 func ReadSettings(args []string, out io.Writer) (settings.Options, string, error) {
 	opts, path := settings.Default(), ""
 	if err := parseFlags(args, &opts, &path, out); err != nil {
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// watchSettings applies changes of the settings file within a second, and the file as it is when a
-// reload is requested, until ctx ends.
+// watchSettings applies changes of the settings file within a second, until ctx ends. When a reload
+// is requested it applies the file even if it has not changed.
 func watchSettings(ctx context.Context, opts Options, reload <-chan struct{}, n *node.Node, log *event.Logger) {
 	content, _ := os.ReadFile(opts.SettingsFile)
 	lastSum := sha256.Sum256(content)
@@ -77,8 +77,8 @@
 	}
 }
 
-// waitForReload waits until a reload is requested or the interval is over; it reports whether one
-// was requested.
+// waitForReload waits until a reload is requested or the interval has passed. It reports whether a
+// reload was requested.
 func waitForReload(ctx context.Context, reload <-chan struct{}) bool {
 	due, stop := context.WithTimeout(ctx, reloadInterval)
 	defer stop()
--- a/internal/command/serve/signals.go
+++ b/internal/command/serve/signals.go
@@ -7,17 +7,17 @@
 	"syscall"
 )
 
-// signals are the process's signals, by what they ask for.
+// signals delivers the process's signals as requests to stop or to reload.
 type signals struct {
 	// stop is closed by the first SIGTERM or SIGINT.
 	stop chan struct{}
-	// reload has an entry while a SIGHUP is unanswered.
+	// reload has an entry while a SIGHUP has not been handled.
 	reload chan struct{}
 	raw    chan os.Signal
 }
 
-// catchSignals catches the process's signals until end. SIGPIPE is ignored: a broken pipe is an
-// error of the write and no more.
+// catchSignals handles the process's signals until end is called. SIGPIPE is ignored, since the
+// write to a broken pipe returns an error anyway.
 func catchSignals() *signals {
 	s := &signals{
 		stop:   make(chan struct{}),
--- a/internal/rawjson/rawjson.go
+++ b/internal/rawjson/rawjson.go
@@ -1,4 +1,4 @@
-// Package rawjson writes JSON without rewriting the bytes of strings inside it.
+// Package rawjson encodes JSON without escaping HTML characters in strings.
 package rawjson
 
 import (
--- a/internal/replay/play.go
+++ b/internal/replay/play.go
@@ -14,7 +14,7 @@
 	"postjunction/internal/testing/transport"
 )
 
-// maxClientName is the longest name of a client, in bytes.
+// maxClientName is the maximum length of a client's name, in bytes.
 const maxClientName = 63
 
 // Report is the outcome of a playback.
@@ -24,8 +24,9 @@
 	FirstDifference string
 }
 
-// Play sends a recording's messages, those of a topic in their order, at a multiple of the recorded
-// speed, and compares what it receives. It returns ReplayDiffers if that is not the recording.
+// Play sends the messages of a recording at a multiple of the recorded speed, and compares the
+// messages that it receives with the recording. The messages of a topic are sent in their order.
+// Play returns ReplayDiffers if the received messages differ.
 func Play(
 	ctx context.Context, node transport.Transport, header recording.Header, messages []recording.Message,
 	speed float64,
@@ -68,13 +69,13 @@
 	return report, nil
 }
 
-// received collects the lines of a playback.
+// received collects the messages that are received during a playback.
 type received struct {
 	// mu guards byTopic and count.
 	mu      sync.Mutex
 	byTopic map[string][]client.Event
 	count   int
-	// complete is closed once as many lines came as are expected.
+	// complete is closed once the expected number of messages was received.
 	expected int
 	complete chan struct{}
 }
@@ -101,43 +102,44 @@
 	return report
 }
 
-// difference describes the first difference of a topic's lines from the recorded ones, empty if
-// there is none.
+// difference describes the first difference between the received and the recorded messages of a
+// topic, empty if there is none.
 func difference(topic, run string, want []recording.Message, got []client.Event) string {
 	for i, message := range want {
 		if i >= len(got) {
-			return fmt.Sprintf("%s: line %d of %d never came", topic, i+1, len(want))
+			return fmt.Sprintf("%s: message %d of %d was not received", topic, i+1, len(want))
 		}
 		event := got[i]
 		if event.From != clientName(run, message.From) || string(event.Body) != string(message.Body) {
-			return fmt.Sprintf("%s: line %d is %s's %s, recorded was %s's %s",
+			return fmt.Sprintf("%s: message %d is %s's %s, recorded was %s's %s",
 				topic, i+1, event.From, event.Body, message.From, message.Body)
 		}
 	}
 	if len(got) > len(want) {
-		return fmt.Sprintf("%s: %d lines came, %d were recorded", topic, len(got), len(want))
+		return fmt.Sprintf("%s: %d messages were received, %d were recorded", topic, len(got), len(want))
 	}
 	return ""
 }
 
-// clientName is the name that a playback sends a client's messages under.
+// clientName returns the name under which a playback sends a client's messages.
 func clientName(run, from string) string {
 	name := "replay-" + run + "-" + from
 	return name[:min(len(name), maxClientName)]
 }
 
-// sender sends a recording's messages under clients of its own.
+// sender sends the messages of a recording as clients of its own.
 type sender struct {
 	node  transport.Transport
 	run   string
 	begun time.Time
 	speed float64
-	// mu guards tokens, by the recorded client, and keeps a client from being attached twice.
+	// mu guards tokens, which are by recorded client. It is held while a client attaches, so that
+	// none attaches twice.
 	mu     sync.Mutex
 	tokens map[string]string
 }
 
-// sendAll sends all topics' messages at the same time. It returns one of the errors.
+// sendAll sends the messages of all topics concurrently. It returns the first error.
 func (s *sender) sendAll(ctx context.Context, byTopic map[string][]recording.Message) error {
 	var wg sync.WaitGroup
 	errs := make(chan error, len(byTopic))
@@ -167,8 +169,8 @@
 	return nil
 }
 
-// send sends a message until it is accepted. It returns ReplayDiffers for one that is rejected for
-// good or not accepted in time.
+// send sends a message until it is accepted. It returns ReplayDiffers if the message is rejected
+// permanently or not accepted in time.
 func (s *sender) send(ctx context.Context, message recording.Message, callSeq uint64) error {
 	for end := time.Now().Add(timeout); ; {
 		token, err := s.token(ctx, message.From)
@@ -185,7 +187,7 @@
 	}
 }
 
-// isFinal has the codes after which a message is not sent again.
+// isFinal contains the codes after which a message is not sent again.
 var isFinal = map[apierror.Code]bool{
 	apierror.UnknownTopic: true,
 	apierror.UnknownSpace: true,
--- a/internal/replay/recording/recording.go
+++ b/internal/replay/recording/recording.go
@@ -1,9 +1,9 @@
-// Package recording reads and writes the file of a recorded day: a header, a line per message, and
-// an end, all JSON.
+// Package recording reads and writes the file of recorded messages: a header line, a line per
+// message, and an end line, all in JSON.
 //
-// Invariant: each line has the checksum of all lines before it, and the end has their number, so
-// that a file that was altered or broken off is never read as a recording. The package keeps no
-// state and starts no goroutines.
+// Invariant: each line contains the checksum of all lines before it, and the end line contains the
+// number of messages, so that an altered or truncated file is never accepted as a recording. The
+// package has no state and starts no goroutines.
 package recording
 
 import (
@@ -19,15 +19,15 @@
 )
 
 const (
-	// Format is the sequence number of the file format.
+	// Format is the version of the file format.
 	Format = 1
-	// maxLineBytes is the longest line that is read.
+	// maxLineBytes is the maximum length of a line that is read.
 	maxLineBytes = 4 << 20
-	// sumBytes is how much of a checksum is kept.
+	// sumBytes is how many bytes of a checksum are stored.
 	sumBytes = 12
 )
 
-// Header begins a recording.
+// Header is the first line of a recording.
 type Header struct {
 	Format int      `json:"postjunction_recording"`
 	Topics []string `json:"topics"`
@@ -35,13 +35,13 @@
 
 // Message is one recorded message.
 type Message struct {
-	// MS is when it was received, in milliseconds from the beginning.
+	// MS is when the message was received, in milliseconds since the recording began.
 	MS      int64           `json:"ms"`
 	Topic   string          `json:"topic"`
 	From    string          `json:"from"`
 	CallSeq uint64          `json:"call_seq"`
 	Body    json.RawMessage `json:"body"`
-	// Sum is the checksum of all lines before.
+	// Sum is the checksum of all lines before this one.
 	Sum string `json:"sum"`
 }
 
@@ -63,14 +63,14 @@
 	return writer, writer.writeLine(Header{Format: Format, Topics: topics})
 }
 
-// Add writes a message; its Sum is set here.
+// Add writes a message. It sets the message's Sum.
 func (w *Writer) Add(message Message) error {
 	w.messages++
 	message.Sum = w.sum
 	return w.writeLine(message)
 }
 
-// Close writes the end. It leaves the underlying writer open.
+// Close writes the end line. It leaves the underlying writer open.
 func (w *Writer) Close() error { return w.writeLine(end{Messages: w.messages, Sum: w.sum}) }
 
 func (w *Writer) writeLine(value any) error {
@@ -83,7 +83,7 @@
 	return apierror.Wrap(apierror.RecordingInvalid, err, "write a line")
 }
 
-// nextSum returns the checksum of all lines up to this one, from that of the lines before.
+// nextSum returns the checksum of all lines up to this one, given that of the lines before.
 func nextSum(sum string, line []byte) string {
 	hash := sha256.New()
 	_, _ = hash.Write([]byte(sum))
@@ -91,14 +91,14 @@
 	return hex.EncodeToString(hash.Sum(nil)[:sumBytes])
 }
 
-// Read reads a complete recording. It returns RecordingInvalid for foreign, newer, altered and
-// truncated ones.
+// Read reads a complete recording. It returns RecordingInvalid for a file that is not a recording,
+// or is of a newer format, altered or truncated.
 func Read(r io.Reader) (Header, []Message, error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxLineBytes)
 	var header Header
 	if !lines.Scan() || unmarshalStrict(lines.Bytes(), &header) != nil || header.Format == 0 {
-		return header, nil, apierror.New(apierror.RecordingInvalid, "the file is no recording")
+		return header, nil, apierror.New(apierror.RecordingInvalid, "the file is not a recording")
 	}
 	if header.Format > Format {
 		return header, nil, apierror.New(apierror.RecordingInvalid,
@@ -128,10 +128,10 @@
 		messages = append(messages, message)
 	}
 	return header, nil, apierror.New(apierror.RecordingInvalid,
-		"the recording breaks off after %d messages", len(messages))
+		"the recording is truncated after %d messages", len(messages))
 }
 
-// unmarshalStrict takes no fields that the type doesn't have.
+// unmarshalStrict fails for fields that the type doesn't have.
 func unmarshalStrict(line []byte, value any) error {
 	decoder := json.NewDecoder(bytes.NewReader(line))
 	decoder.DisallowUnknownFields()
--- a/internal/replay/recording/recording_test.go
+++ b/internal/replay/recording/recording_test.go
@@ -23,21 +23,21 @@
 }
 
 func TestRead(t *testing.T) {
-	s := sampleRecording(t)
-	_, ms, err := Read(strings.NewReader(s))
+	content := sampleRecording(t)
+	_, messages, err := Read(strings.NewReader(content))
 	assert.NilError(t, err)
-	assert.Equal(t, len(ms), 3)
-	lines := strings.SplitAfter(s, "\n")
+	assert.Equal(t, len(messages), 3)
+	lines := strings.SplitAfter(content, "\n")
 	for text, want := range map[string]string{
-		"":                          "the file is no recording",
-		"PK\x03":                    "the file is no recording",
-		`{"a":1}`:                   "the file is no recording",
-		s[:len(s)/2]:                "the recording is corrupt at line 3",
-		strings.Join(lines[:3], ""): "the recording breaks off after 2 messages",
-		strings.Replace(s, `"call_seq":2`, `"call_seq":3`, 1): "the recording is corrupt at line 4",
-		lines[0] + lines[2] + lines[3] + lines[4]:             "the recording is corrupt at line 2",
-		s + "{}\n": "something follows the recording's end",
-		strings.Replace(s, `recording":1`, `recording":2`, 1): "the recording has format 2, this build knows 1",
+		"":                          "the file is not a recording",
+		"PK\x03":                    "the file is not a recording",
+		`{"a":1}`:                   "the file is not a recording",
+		content[:len(content)/2]:    "the recording is corrupt at line 3",
+		strings.Join(lines[:3], ""): "the recording is truncated after 2 messages",
+		strings.Replace(content, `"call_seq":2`, `"call_seq":3`, 1): "the recording is corrupt at line 4",
+		lines[0] + lines[2] + lines[3] + lines[4]:                   "the recording is corrupt at line 2",
+		content + "{}\n": "something follows the recording's end",
+		strings.Replace(content, `recording":1`, `recording":2`, 1): "the recording has format 2, this build knows 1",
 	} {
 		_, _, err := Read(strings.NewReader(text))
 		assert.ErrorContains(t, err, want)
--- a/internal/replay/replay.go
+++ b/internal/replay/replay.go
@@ -1,11 +1,11 @@
-// Package replay records a day's messages and plays them back, comparing what is received with the
+// Package replay records messages and plays them back, comparing the received messages with the
 // recording.
 //
-// Invariants: the messages of a topic are sent in the recorded order; a message whose outcome is
-// unknown is sent again under its number; every received line must be the recorded one.
+// Invariants: the messages of a topic are sent in the recorded order. A message whose outcome is
+// unknown is sent again with the same number. Every received message must equal the recorded one.
 //
-// Record and Play block until they are done or ctx ends. Play owns a goroutine per topic and one
-// that follows all.
+// Record and Play block until they are done or ctx ends. Play owns one goroutine per topic, and one
+// that follows all topics.
 package replay
 
 import (
@@ -21,24 +21,23 @@
 )
 
 const (
-	// retryInterval is the pause before a failed call is made again.
+	// retryInterval is the pause before a failed call is retried.
 	retryInterval = 200 * time.Millisecond
-	// timeout limits the wait for a stream, for a message to be accepted, and for the last line.
+	// timeout limits the wait for a stream, for a message to be accepted, and for the last message.
 	timeout = 15 * time.Second
 )
 
-// follower follows topics under a client's name, and resumes a stream that breaks off at its
-// cursor.
+// follower follows topics under a client's name. It resumes a stream that breaks at its cursor.
 type follower struct {
 	node   transport.Transport
 	client string
 	topics []string
-	// opened is closed once the first line came.
+	// opened is closed once the first line of the stream was received.
 	opened chan struct{}
 }
 
-// run calls onMessage for each message until ctx ends. It returns an error of onMessage, and one of
-// the node that a retry can't help against.
+// run calls onMessage for each message until ctx ends. It returns errors of onMessage, and errors
+// of the node for which a retry doesn't help.
 func (f *follower) run(ctx context.Context, onMessage func(client.Event) error) error {
 	cursor, token, hasOpened := "", "", false
 	for ctx.Err() == nil {
@@ -69,7 +68,7 @@
 	return nil
 }
 
-// endsFollowing are the codes that a stream is not resumed after.
+// endsFollowing are the codes after which a stream is not resumed.
 var endsFollowing = map[apierror.Code]bool{
 	apierror.UnknownTopic:     true,
 	apierror.UnknownSpace:     true,
@@ -78,7 +77,7 @@
 }
 
 // Record follows topics for a time under a client's name, and writes a recording of their messages.
-// It returns how many there were.
+// It returns the number of messages.
 func Record(
 	ctx context.Context, node transport.Transport, name string, topics []string, length time.Duration, w io.Writer,
 ) (int, error) {
