--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -1,5 +1,5 @@
-// Command fleet runs deployments as real processes on loopback: for trying postjunction out, and
-// for tests under faults.
+// Command fleet runs a deployment as real processes on loopback, to try postjunction out and to
+// test it under faults.
 package main
 
 import (
@@ -33,7 +33,7 @@
 	"run": runDay,
 }
 
-// options are the flags that are not of the day itself.
+// options are the flags that are not part of the run itself.
 type options struct {
 	bin, dir, site, faults string
 	basePort, backlog      int
@@ -64,9 +64,9 @@
 	if err := opts.prepare(); err != nil {
 		return err
 	}
-	deployment, err := fleet.New(opts.bin, opts.dir, site, opts.basePort, opts.direct, func(o *settings.Options) {
+	deployment, err := fleet.New(opts.bin, opts.dir, site, opts.basePort, opts.direct, func(nodeOpts *settings.Options) {
 		if opts.backlog > 0 {
-			o.Backlog = opts.backlog
+			nodeOpts.Backlog = opts.backlog
 		}
 	})
 	if err != nil {
@@ -79,8 +79,8 @@
 	}
 	defer deployment.Stop()
 	fmt.Printf("%d machines, files under %s\n", len(deployment.Processes), opts.dir)
-	for _, p := range deployment.Processes {
-		fmt.Printf("  %-4s %-4s %-8s callers %s\n", p.Name, p.Opts.Zone, p.Opts.Disk, p.Opts.Listen)
+	for _, process := range deployment.Processes {
+		fmt.Printf("  %-4s %-4s %-8s clients %s\n", process.Name, process.Opts.Zone, process.Opts.Disk, process.Opts.Listen)
 	}
 	return verbs[args[0]](ctx, deployment, day)
 }
@@ -91,24 +91,24 @@
 	flags.StringVar(&opts.bin, "bin", "", "postjunction `program`; without it one is built")
 	flags.StringVar(&opts.dir, "dir", "", "`folder` for settings, data and logs; without it a new one")
 	flags.StringVar(&opts.site, "site", "small", "`site`: small, armor or traductores")
-	flags.IntVar(&opts.basePort, "base", 7400, "first callers' `port` less one; 0 for free ones")
+	flags.IntVar(&opts.basePort, "base", 7400, "first `port` for clients, less one; 0 for free ones")
 	flags.BoolVar(&opts.direct, "direct", false,
 		"no relay between the machines: no delays, cuts or losses, and settings that builds before the relay can read")
 	flags.BoolVar(&day.Pairs, "pairs", false, "two faults at a time")
-	flags.Uint64Var(&day.Seed, "seed", 1, "`seed` of callers and faults")
+	flags.Uint64Var(&day.Seed, "seed", 1, "`seed` of clients and faults")
 	flags.DurationVar(&day.Length, "length", 2*time.Minute, "`time` under load")
 	flags.DurationVar(&day.Interval, "interval", 15*time.Second, "`time` between faults")
 	flags.StringVar(&day.Next, "next", "",
-		"`program` of another build, that the fault upgrade restarts machines with")
+		"`program` of another build, with which the fault upgrade restarts machines")
 	flags.IntVar(&opts.backlog, "backlog", 0, "`tasks` that may wait in a lane of a node, 0 for the default")
 	flags.StringVar(&opts.faults, "faults", "kill",
 		"`faults`, with commas between: "+strings.Join(fleet.FaultNames(), ", ")+"; empty for none")
 	load := &day.Load
 	flags.IntVar(&load.Flood, "flood", 0, "`number` of routine senders that send as fast as they can")
-	flags.IntVar(&load.Callers, "callers", load.Callers, "`number` of callers")
-	flags.IntVar(&load.Topics, "topics", load.Topics, "`number` of kept topics")
+	flags.IntVar(&load.Callers, "callers", load.Callers, "`number` of clients")
+	flags.IntVar(&load.Topics, "topics", load.Topics, "`number` of topics whose messages are stored")
 	flags.IntVar(&load.LiveTopics, "live", load.LiveTopics, "`number` of live topics")
-	flags.DurationVar(&load.Every, "every", load.Every, "`time` between a caller's messages")
+	flags.DurationVar(&load.Every, "every", load.Every, "`time` between a client's messages")
 	if err := flags.Parse(args[1:]); err != nil {
 		return nil, nil, apierror.Wrap(apierror.Usage, err, "fleet")
 	}
@@ -188,7 +188,7 @@
 		}
 	}
 	if len(report.Violations) > 0 {
-		return apierror.New(apierror.Internal, "%d violations of the never-list", len(report.Violations))
+		return apierror.New(apierror.Internal, "%d violations of the invariants", len(report.Violations))
 	}
 	return nil
 }
@@ -197,16 +197,16 @@
 	spans := func(name string, s history.Spans) {
 		fmt.Printf("%-22s count %d p50 %s p95 %s p99 %s max %s\n", name, s.Count, s.P50, s.P95, s.P99, s.Max)
 	}
-	fmt.Printf("sent %d taken %d unknown %d receipts %d subscribers %d descriptions %d\n",
+	fmt.Printf("sent %d accepted %d unknown %d received %d subscribers %d configurations %d\n",
 		report.Sent, report.Accepted, report.Unknown, report.Receipts, report.Subscribers, report.Descriptions)
 	spans("send to receive", report.Spread)
-	spans("send to taken, urgent", report.Urgent)
-	spans("send to taken, routine", report.Routine)
-	for name, s := range report.Waits {
-		spans(name, s)
+	spans("send to accepted, urgent", report.Urgent)
+	spans("send to accepted, routine", report.Routine)
+	for name, waits := range report.Waits {
+		spans(name, waits)
 	}
-	for name, s := range report.Acknowledged {
-		spans("told "+name, s)
+	for name, waits := range report.Acknowledged {
+		spans("acknowledged "+name, waits)
 	}
 	fmt.Printf("longest wait %s (%s at %s), undisturbed %s\n",
 		report.Longest.Total, report.Longest.Kind, report.Longest.Place, report.LongestUndisturbed.Undisturbed)
--- a/cmd/fleet/soak.go
+++ b/cmd/fleet/soak.go
@@ -18,7 +18,7 @@
 	"postjunction/internal/testing/sim"
 )
 
-// soakOptions are the flags of a soak.
+// soakOptions are the flags of a soak test.
 type soakOptions struct {
 	options
 	processes int
@@ -26,47 +26,48 @@
 }
 
 func parseSoakFlags(args []string) (*soakOptions, error) {
-	o := &soakOptions{soak: fleet.Soak{
+	opts := &soakOptions{soak: fleet.Soak{
 		Out: os.Stdout, Load: sim.Load{
 			Callers: 40, Topics: 30, SessionTopics: 30, LiveTopics: 4, Leads: 2, Every: time.Second,
 		},
 	}}
 	flags := flag.NewFlagSet("fleet soak", flag.ContinueOnError)
-	flags.StringVar(&o.bin, "bin", "", "postjunction `program`; without it one is built")
-	flags.StringVar(&o.dir, "dir", "",
-		"`folder` for settings, data and logs, kept; without it a new one, kept only if a rule is broken")
-	flags.Uint64Var(&o.soak.Seed, "seed", 1, "`seed` of clients and faults")
-	flags.DurationVar(&o.soak.Length, "for", time.Minute, "`time` in which faults begin")
-	flags.IntVar(&o.processes, "nodes", 9, "`number` of processes, 9 at least")
-	flags.IntVar(&o.soak.Clients, "clients", 32, "`number` of clients on line sessions")
-	flags.IntVar(&o.soak.Load.Callers, "callers", o.soak.Load.Callers, "`number` of callers over HTTP")
-	flags.IntVar(&o.soak.Series, "series", 3, "`number` of series of faults beside one another")
+	flags.StringVar(&opts.bin, "bin", "", "postjunction `program`; without it one is built")
+	flags.StringVar(&opts.dir, "dir", "",
+		"`folder` for settings, data and logs; without it a new one, which is deleted unless an invariant was violated")
+	flags.Uint64Var(&opts.soak.Seed, "seed", 1, "`seed` of clients and faults")
+	flags.DurationVar(&opts.soak.Length, "for", time.Minute, "`time` in which faults begin")
+	flags.IntVar(&opts.processes, "nodes", 9, "`number` of processes, 9 at least")
+	flags.IntVar(&opts.soak.Clients, "clients", 32, "`number` of clients that use the line protocol")
+	flags.IntVar(&opts.soak.Load.Callers, "callers", opts.soak.Load.Callers, "`number` of clients that use HTTP")
+	flags.IntVar(&opts.soak.Series, "series", 3, "`number` of concurrent series of faults")
 	if err := flags.Parse(args); err != nil {
 		return nil, apierror.Wrap(apierror.Usage, err, "fleet soak")
 	}
-	soak := &o.soak
-	if o.processes < 9 || soak.Length < time.Second || soak.Clients < 1 || soak.Load.Callers < 1 || soak.Series < 1 {
+	soak := &opts.soak
+	if opts.processes < 9 || soak.Length < time.Second || soak.Clients < 1 || soak.Load.Callers < 1 || soak.Series < 1 {
 		return nil, apierror.New(apierror.Usage,
 			"nodes is at least 9, for 1s, clients, callers and series 1")
 	}
-	return o, nil
+	return opts, nil
 }
 
-// runSoak runs a soak, prints its verdict and writes its report; it fails if a rule was broken.
+// runSoak runs a soak test, prints its verdict and writes its report. It fails if an invariant was
+// violated.
 func runSoak(args []string) error {
-	o, err := parseSoakFlags(args)
+	opts, err := parseSoakFlags(args)
 	if err != nil {
 		return err
 	}
-	keep := o.dir != ""
-	if err := o.prepare(); err != nil {
+	keep := opts.dir != ""
+	if err := opts.prepare(); err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	report, err := o.run(ctx)
+	report, err := opts.run(ctx)
 	if err != nil {
-		return apierror.Wrap(apierror.Internal, err, "soak seed %d, files under %s", o.soak.Seed, o.dir)
+		return apierror.Wrap(apierror.Internal, err, "soak seed %d, files under %s", opts.soak.Seed, opts.dir)
 	}
 	fmt.Println(report.Verdict())
 	for i, violation := range report.Violations {
@@ -75,10 +76,10 @@
 		}
 	}
 	if len(report.Violations) > 0 {
-		return apierror.New(apierror.Internal, "%d violations, files under %s", len(report.Violations), o.dir)
+		return apierror.New(apierror.Internal, "%d violations, files under %s", len(report.Violations), opts.dir)
 	}
 	if !keep {
-		return os.RemoveAll(o.dir)
+		return os.RemoveAll(opts.dir)
 	}
 	return nil
 }
--- a/cmd/postjunction/main.go
+++ b/cmd/postjunction/main.go
@@ -1,4 +1,4 @@
-// Command postjunction is the one program of the fleet: serve, and the verbs of operators and callers.
+// Command postjunction runs a node of the fleet (serve), and the verbs for operators and clients.
 package main
 
 import (
@@ -18,8 +18,8 @@
 )
 
 func main() {
-	s := cli.Streams{In: os.Stdin, Out: os.Stdout, Err: os.Stderr}
-	err := run(os.Args[1:], s)
+	streams := cli.Streams{In: os.Stdin, Out: os.Stdout, Err: os.Stderr}
+	err := run(os.Args[1:], streams)
 	if err == nil || errors.Is(err, flag.ErrHelp) {
 		return
 	}
@@ -30,35 +30,38 @@
 	os.Exit(1)
 }
 
-var own = map[string]func(args []string, s cli.Streams) error{
-	"platform": func(_ []string, s cli.Streams) error { return platform.Run(s.Err) },
-	"serve":    func(a []string, s cli.Streams) error { return serve.Run(a, s.Err) },
+var localVerbs = map[string]func(args []string, streams cli.Streams) error{
+	"platform": func(_ []string, streams cli.Streams) error { return platform.Run(streams.Err) },
+	"serve":    func(args []string, streams cli.Streams) error { return serve.Run(args, streams.Err) },
 	"check":    check,
-	"version":  func(_ []string, s cli.Streams) error { _, err := fmt.Fprintln(s.Out, node.BuildVersion); return err },
-	"help":     func(_ []string, s cli.Streams) error { usage(s.Out); return nil },
+	"version": func(_ []string, streams cli.Streams) error {
+		_, err := fmt.Fprintln(streams.Out, node.BuildVersion)
+		return err
+	},
+	"help": func(_ []string, streams cli.Streams) error { usage(streams.Out); return nil },
 }
 
-func check(a []string, s cli.Streams) error {
-	_, _, err := serve.ReadSettings(a, s.Err)
+func check(args []string, streams cli.Streams) error {
+	_, _, err := serve.ReadSettings(args, streams.Err)
 	if err == nil {
-		_, err = fmt.Fprintln(s.Out, "the settings are sound")
+		_, err = fmt.Fprintln(streams.Out, "the settings are sound")
 	}
 	return err
 }
 
-func run(args []string, s cli.Streams) error {
+func run(args []string, streams cli.Streams) error {
 	if len(args) == 0 {
-		usage(s.Err)
+		usage(streams.Err)
 		return apierror.New(apierror.Usage, "a verb is needed")
 	}
-	if f, ok := own[args[0]]; ok {
-		return f(args[1:], s)
+	if runLocal, ok := localVerbs[args[0]]; ok {
+		return runLocal(args[1:], streams)
 	}
 	if _, ok := cli.Verbs[args[0]]; !ok {
-		usage(s.Err)
+		usage(streams.Err)
 		return apierror.New(apierror.Usage, "there is no verb %q", args[0])
 	}
-	return cli.Run(context.Background(), args[0], args[1:], s)
+	return cli.Run(context.Background(), args[0], args[1:], streams)
 }
 
 func usage(w io.Writer) {
@@ -66,13 +69,13 @@
 		w,
 		"usage: postjunction VERB [flags] [argument]\n\n  serve      run a node\n  platform   run a node by the platform's settings file\n  check      check settings without running\n  version    print the build\n  help       print this\n",
 	)
-	var ns []string
-	for n := range cli.Verbs {
-		ns = append(ns, n)
+	var names []string
+	for name := range cli.Verbs {
+		names = append(names, name)
 	}
-	sort.Strings(ns)
-	for _, n := range ns {
-		_, _ = fmt.Fprintf(w, "  %-10s %s\n", n, cli.Verbs[n].Help)
+	sort.Strings(names)
+	for _, name := range names {
+		_, _ = fmt.Fprintf(w, "  %-10s %s\n", name, cli.Verbs[name].Help)
 	}
 	_, _ = fmt.Fprint(w, "\nEach verb lists its flags with -h.\n")
 }
--- a/cmd/postjunction/main_test.go
+++ b/cmd/postjunction/main_test.go
@@ -20,8 +20,8 @@
 
 const asCommand = "POSTJUNCTION_TEST_AS_COMMAND"
 
-// TestMain lets the test binary be the command itself, so that exit codes and streams are those
-// of a process.
+// TestMain lets the test binary act as the command, so that the tests see the exit codes and output
+// streams of a real process.
 func TestMain(m *testing.M) {
 	if os.Getenv(asCommand) != "" {
 		main()
@@ -30,7 +30,7 @@
 	os.Exit(m.Run())
 }
 
-// What the command line prints, to which stream, and with which exit code it ends.
+// Compares what the command line prints to which stream, and its exit codes, with the golden file.
 func TestHelpAndExitCodes(t *testing.T) {
 	runs := [][]string{
 		{}, {"help"}, {"dance"}, {"check"}, {"check", "-h"}, {"check", "-dance"},
@@ -38,26 +38,26 @@
 		{"platform"}, {"send"}, {"why", "a", "b"}, {"status", "-at", "127.0.0.1:1"},
 		{"check", "-name", "a1", "-zone", "z1", "-seeds", "127.0.0.1:7500"},
 	}
-	for _, v := range slices.Sorted(maps.Keys(cli.Verbs)) {
-		runs = append(runs, []string{v, "-h"})
+	for _, verb := range slices.Sorted(maps.Keys(cli.Verbs)) {
+		runs = append(runs, []string{verb, "-h"})
 	}
 	var out strings.Builder
 	for _, args := range runs {
-		c := exec.CommandContext(t.Context(), os.Args[0], args...)
-		var say, errs bytes.Buffer
-		c.Stdout, c.Stderr = &say, &errs
-		c.Env = []string{
+		command := exec.CommandContext(t.Context(), os.Args[0], args...)
+		var stdout, stderr bytes.Buffer
+		command.Stdout, command.Stderr = &stdout, &stderr
+		command.Env = []string{
 			asCommand + "=1", platform.SettingsVariable + "=no-such-file", "GORACE=atexit_sleep_ms=0",
 		}
 		code := 0
-		var bad *exec.ExitError
-		if err := c.Run(); errors.As(err, &bad) {
-			code = bad.ExitCode()
+		var exitErr *exec.ExitError
+		if err := command.Run(); errors.As(err, &exitErr) {
+			code = exitErr.ExitCode()
 		} else {
 			assert.NilError(t, err)
 		}
 		fmt.Fprintf(&out, "$ postjunction %s\nexit %d\n", strings.Join(args, " "), code)
-		for i, b := range []*bytes.Buffer{&say, &errs} {
+		for i, b := range []*bytes.Buffer{&stdout, &stderr} {
 			if b.Len() > 0 {
 				fmt.Fprintf(&out, "stream %d:\n%s\n", i+1, b)
 			}
--- a/cmd/replay/main.go
+++ b/cmd/replay/main.go
@@ -1,4 +1,4 @@
-// Command replay records a day's messages and plays them back against a fleet.
+// Command replay records messages and plays them back against a fleet.
 package main
 
 import (
@@ -28,9 +28,9 @@
 
 // options are the values of the flags.
 type options struct {
-	at, topics, client string
-	length             time.Duration
-	speed              float64
+	addr, topics, client string
+	length               time.Duration
+	speed                float64
 }
 
 var verbs = map[string]func(ctx context.Context, opts options, file string) error{
@@ -47,7 +47,7 @@
 	}
 	var opts options
 	flags := flag.NewFlagSet("replay "+args[0], flag.ContinueOnError)
-	flags.StringVar(&opts.at, "at", "127.0.0.1:7400", "`address` of any node")
+	flags.StringVar(&opts.addr, "at", "127.0.0.1:7400", "`address` of any node")
 	flags.StringVar(&opts.topics, "topics", "", "`topics` to record, with commas between")
 	flags.StringVar(&opts.client, "visitor", "recorder", "`name` to attach under for recording")
 	flags.DurationVar(&opts.length, "length", time.Minute, "`time` to record")
@@ -77,7 +77,7 @@
 	if err != nil {
 		return apierror.Wrap(apierror.Usage, err, "recording %s", file)
 	}
-	messages, err := replay.Record(ctx, nodeAt(opts.at), opts.client, strings.Split(opts.topics, ","), opts.length, out)
+	messages, err := replay.Record(ctx, nodeAt(opts.addr), opts.client, strings.Split(opts.topics, ","), opts.length, out)
 	if err == nil {
 		err = apierror.Wrap(apierror.Usage, out.Close(), "recording %s", file)
 	}
@@ -107,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	report, err := replay.Play(ctx, nodeAt(opts.at), header, messages, opts.speed)
+	report, err := replay.Play(ctx, nodeAt(opts.addr), header, messages, opts.speed)
 	fmt.Printf("sent %d received %d\n", report.Sent, report.Received)
 	return err
 }
