--- a/internal/configuration/change.go
+++ b/internal/configuration/change.go
@@ -67,7 +67,8 @@
 // parts assembles next from runs of unchanged old spaces and from the spaces that differ.
 func parts(old, next []Space) []Part {
 	var result []Part
-	indexes := map[string]int{} // of the old spaces by path; empty if old and next have the same paths in the same order
+	// indexes of the old spaces by path; empty if old and next have the same paths in the same order.
+	indexes := map[string]int{}
 	if !slices.EqualFunc(old, next, samePath) {
 		for i, space := range old {
 			indexes[space.path()] = i
--- a/internal/configuration/removed.go
+++ b/internal/configuration/removed.go
@@ -146,7 +146,8 @@
 	}
 	return []apierror.Fault{{
 		Path: "$.spaces",
-		Message: fmt.Sprintf("would make %d removed urgent spaces, at most %d can be recorded; keep some or add some again",
+		Message: fmt.Sprintf(
+			"would make %d removed urgent spaces, at most %d can be recorded; keep some or add some again",
 			len(r)-1, MaxRemovedSpaces-1),
 	}}
 }
--- a/internal/configuration/validate.go
+++ b/internal/configuration/validate.go
@@ -84,7 +84,8 @@
 	if space.ByPrefix() {
 		v.checkPrefix(path, space)
 	} else {
-		v.require(spacePattern.MatchString(space.Name), path+".name", "must be 1 to 63 of a-z, 0-9 and -, is %q", space.Name)
+		v.require(spacePattern.MatchString(space.Name), path+".name", "must be 1 to 63 of a-z, 0-9 and -, is %q",
+			space.Name)
 	}
 	v.require(!v.names[space.Name], path+".name", "%q stands twice", space.Name)
 	v.names[space.Name] = true
