--- a/internal/node/leaders/manager.go
+++ b/internal/node/leaders/manager.go
@@ -236,7 +236,7 @@
 	if record.Leader != m.Self || isNewer || !m.isNamed(record) || !m.isEpochFinished(id, record.Epoch) {
 		return true
 	}
-	return m.Renew(ctx, record)
+	return m.RequestEpoch(ctx, record)
 }
 
 // isNamed reports whether a record names this node's current disk as a replica.
--- a/internal/node/leaders/records.go
+++ b/internal/node/leaders/records.go
@@ -47,9 +47,9 @@
 	m.Change(ctx, recovered.Partition, recovered.Epoch, setRecovered)
 }
 
-// Renew requests a new epoch, since this disk was used with the record's epoch in an earlier run.
-// It reports whether the record was changed.
-func (m *Manager) Renew(ctx context.Context, used assignment.Record) bool {
+// RequestEpoch requests a new epoch, since this disk was used with the record's epoch in an earlier
+// run. It reports whether the record was changed.
+func (m *Manager) RequestEpoch(ctx context.Context, used assignment.Record) bool {
 	m.Log.Log(event.LeaderRenewed, "partition", used.Partition, "epoch", used.Epoch)
 	return m.Change(ctx, used.Partition, used.Epoch, func(record assignment.Record) (assignment.Record, bool) {
 		next := record.Next(m.Self, record.Replicas, "the owner came back on its machine", m.Clock.Now())
