--- a/internal/command/serve/settings_test.go
+++ b/internal/command/serve/settings_test.go
@@ -19,7 +19,7 @@
 	cases := map[string]string{
 		validSettings + `}`:            "",
 		validSettings + `,"colour":1}`: `options_invalid: FILE: unknown field "colour"`,
-		validSettings + `,"name":"b"}`: `options_invalid: FILE: field "name": stands twice`,
+		validSettings + `,"name":"b"}`: `options_invalid: FILE: field "name": appears twice`,
 		validSettings + `} 1`:          `options_invalid: FILE: something follows the settings object`,
 		validSettings + `,"disk":"control"}`: `options_invalid: FILE: ` +
 			`field "data": must name a folder when disk is "control"`,
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -10,7 +10,7 @@
 	"postjunction/internal/apierror"
 )
 
-// Read reads a settings file into o; fields that it doesn't have stay as they are. The error is
+// Read reads a settings file into o; fields that it doesn't have are unchanged. The error is
 // apierror.SettingsInvalid.
 func (o *Options) Read(path string) error {
 	b, err := os.ReadFile(path)
@@ -24,7 +24,7 @@
 // fields, and nothing after it. The error is apierror.SettingsInvalid, and names path.
 func (o *Options) Parse(path string, b []byte) error {
 	if name, err := duplicateField(b); err == nil && name != "" {
-		return apierror.New(apierror.SettingsInvalid, "%s: field %q: stands twice", path, name)
+		return apierror.New(apierror.SettingsInvalid, "%s: field %q: appears twice", path, name)
 	}
 	decoder := json.NewDecoder(bytes.NewReader(b))
 	decoder.DisallowUnknownFields()
--- a/internal/settings/timing.go
+++ b/internal/settings/timing.go
@@ -77,7 +77,7 @@
 // other control nodes reach.
 func (t Timing) IsolationTimeout() time.Duration { return t.LeaseDuration() / isolationFraction }
 
-// SessionTimeout is how long a silent node stays a member.
+// SessionTimeout is how long a silent node remains a member.
 func (t Timing) SessionTimeout() time.Duration { return t.Recovery / sessionFraction }
 
 // CallTimeout is the deadline of one call between nodes.
