--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -64,9 +64,9 @@
 	if err := opts.prepare(); err != nil {
 		return err
 	}
-	deployment, err := fleet.New(opts.bin, opts.dir, site, opts.basePort, opts.direct, func(nodeOpts *settings.Options) {
+	deployment, err := fleet.New(opts.bin, opts.dir, site, opts.basePort, opts.direct, func(node *settings.Options) {
 		if opts.backlog > 0 {
-			nodeOpts.Backlog = opts.backlog
+			node.Backlog = opts.backlog
 		}
 	})
 	if err != nil {
@@ -80,7 +80,8 @@
 	defer deployment.Stop()
 	fmt.Printf("%d machines, files under %s\n", len(deployment.Processes), opts.dir)
 	for _, process := range deployment.Processes {
-		fmt.Printf("  %-4s %-4s %-8s clients %s\n", process.Name, process.Opts.Zone, process.Opts.Disk, process.Opts.Listen)
+		fmt.Printf("  %-4s %-4s %-8s clients %s\n",
+			process.Name, process.Opts.Zone, process.Opts.Disk, process.Opts.Listen)
 	}
 	return verbs[args[0]](ctx, deployment, day)
 }
--- a/cmd/replay/main.go
+++ b/cmd/replay/main.go
@@ -77,7 +77,9 @@
 	if err != nil {
 		return apierror.Wrap(apierror.Usage, err, "recording %s", file)
 	}
-	messages, err := replay.Record(ctx, nodeAt(opts.addr), opts.client, strings.Split(opts.topics, ","), opts.length, out)
+	messages, err := replay.Record(
+		ctx, nodeAt(opts.addr), opts.client, strings.Split(opts.topics, ","), opts.length, out,
+	)
 	if err == nil {
 		err = apierror.Wrap(apierror.Usage, out.Close(), "recording %s", file)
 	}
