--- a/internal/delivery/fanout/feed.go
+++ b/internal/delivery/fanout/feed.go
@@ -159,7 +159,7 @@
 	f.signal()
 }
 
-// isRetained reports whether the messages of a topic are retained for clients that reconnect.
+// isRetained reports whether the messages of a topic are stored for clients that reconnect.
 func (f *feed) isRetained(topic string) bool {
 	space, err := f.hub.store.Index().Find(topic)
 	return err == nil && space.Kind != configuration.KindLive
--- a/internal/delivery/fanout/open.go
+++ b/internal/delivery/fanout/open.go
@@ -95,7 +95,7 @@
 }
 
 // expire ends a subscription that can't continue after an offset, since the entries that follow are
-// no longer retained.
+// no longer available.
 func (f *feed) expire(s *Subscription, after uint64) {
 	f.remove(s)
 	if s.opened {
@@ -103,6 +103,6 @@
 		return
 	}
 	s.reject(
-		apierror.New(apierror.CursorExpired, "messages of %s after offset %d are no longer retained", s.Topic, after),
+		apierror.New(apierror.CursorExpired, "messages of %s after offset %d are no longer available", s.Topic, after),
 	)
 }
--- a/internal/delivery/fanout/poll.go
+++ b/internal/delivery/fanout/poll.go
@@ -165,7 +165,7 @@
 	return withdrawn, false
 }
 
-// expireGaps ends the subscriptions that miss an entry of their topic that is no longer retained.
+// expireGaps ends the subscriptions that miss an entry of their topic that is no longer available.
 func (f *feed) expireGaps(trimmed map[string]uint64) {
 	for topic, offset := range trimmed {
 		for s := range f.subscriptions[topic] {
--- a/internal/delivery/fanout/tombstones_test.go
+++ b/internal/delivery/fanout/tombstones_test.go
@@ -69,7 +69,7 @@
 		advance(time.Second)
 		assert.Assert(
 			t, slices.Equal(third.got, []uint64{8}),
-			"a tombstone is retained only while an older response may arrive",
+			"a tombstone is stored only while an older response may arrive",
 		)
 		script.hub.feed(0).mu.Lock()
 		defer script.hub.feed(0).mu.Unlock()
--- a/internal/delivery/fanout/withdrawal_model_test.go
+++ b/internal/delivery/fanout/withdrawal_model_test.go
@@ -370,7 +370,7 @@
 			model.mu.Lock()
 			assert.Equal(t, len(model.violations), 0, "seed %d: %v", seed, model.violations)
 			assert.Equal(
-				t, len(model.openWithdrawals), 0, "seed %d: withdrawals not completed, readers %v", seed,
+				t, len(model.openWithdrawals), 0, "seed %d: withdrawals not finished, readers %v", seed,
 				model.readers,
 			)
 			delivered, closed, finishes = delivered+model.delivered, closed+model.closed, finishes+model.finishes
--- a/internal/delivery/stream/window.go
+++ b/internal/delivery/stream/window.go
@@ -59,7 +59,7 @@
 	}
 	if response.Base > offset {
 		return Window{}, apierror.New(apierror.CursorExpired,
-			"partition %d is retained from offset %d, the cursor is at %d", f.partition, response.Base+1, offset)
+			"the log of partition %d begins at offset %d, the cursor is at %d", f.partition, response.Base+1, offset)
 	}
 	return Window{response.Entries, generation}, nil
 }
--- a/internal/gossip/gossiper.go
+++ b/internal/gossip/gossiper.go
@@ -65,7 +65,7 @@
 	// pending are the records of the next broadcast. isBroadcasting is set while one is scheduled.
 	pending        []assignment.Record
 	isBroadcasting bool
-	// exchanges counts the completed exchanges, repairs those that found a difference.
+	// exchanges counts the finished exchanges, repairs those that found a difference.
 	exchanges uint64
 	repairs   uint64
 }
@@ -81,7 +81,7 @@
 	roundPauseDivisor = 10 * peersPerRound
 )
 
-// Counts returns the number of completed exchanges, and of those that repaired a gap.
+// Counts returns the number of finished exchanges, and of those that repaired a gap.
 func (g *Gossiper) Counts() (exchanges, repairs uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gossip/store_configuration.go
+++ b/internal/gossip/store_configuration.go
@@ -99,7 +99,7 @@
 }
 
 // changesFrom returns the changes from the configuration numbered sequence to the newest one, or
-// nil if they are no longer retained.
+// nil if they are no longer available.
 func (s *Store) changesFrom(sequence uint64) []configuration.Change {
 	first := slices.IndexFunc(s.recentChanges, func(change configuration.Change) bool {
 		return change.From == sequence
--- a/internal/gossip/store_test.go
+++ b/internal/gossip/store_test.go
@@ -75,7 +75,7 @@
 		assert.Assert(t, receiver.Apply(update).Empty(), "the same update again")
 	}
 	assert.Assert(t, sender.Since(lagging.Digest()).Configuration != nil,
-		"changes to such an old configuration are retained")
+		"changes to such an old configuration are still available")
 	update = sender.Since(Digest{Configuration: config.Sequence - 1})
 	assert.Assert(t, update.Configuration != nil, "a node that does not accept changes was sent some")
 	lagging.Apply(Update{Changes: sender.Since(receiver.Digest()).Changes})
--- a/internal/partitionlog/leader/attach.go
+++ b/internal/partitionlog/leader/attach.go
@@ -127,7 +127,7 @@
 }
 
 // CallStatus returns how far a client's calls on a topic have come, and the call with the given
-// number if its answer is still retained.
+// number if its answer is still available.
 func (l *Leader) CallStatus(
 	ctx context.Context, client, topic string, callSeq uint64,
 ) (calls state.AcceptedCalls, call state.AcceptedCall, found bool, err error) {
--- a/internal/partitionlog/leader/leader.go
+++ b/internal/partitionlog/leader/leader.go
@@ -261,7 +261,7 @@
 	return replica.Target{Partition: l.Record.Partition, Incarnation: to.Incarnation, Epoch: l.Record.Epoch}
 }
 
-// ownTarget addresses the replica on this node.
+// localTarget addresses the replica on this node.
 func (l *Leader) localTarget() replica.Target {
 	local, _ := l.Record.Replica(l.options.Self)
 	return l.target(local)
--- a/internal/partitionlog/leader/readers.go
+++ b/internal/partitionlog/leader/readers.go
@@ -15,7 +15,7 @@
 
 // A reader is a node, or a part of one, that was sent entries with keys and must drop them when
 // they are withdrawn. The partition log records the readers and their boot IDs, so that every
-// leader knows them. A tombstone is retained until all readers have read it.
+// leader knows them. A tombstone is stored until all readers have read it.
 
 // PendingReaders names the readers that have not read past a tombstone yet, and those that were
 // given up because they were silent for too long.
--- a/internal/partitionlog/leader/submit.go
+++ b/internal/partitionlog/leader/submit.go
@@ -66,7 +66,7 @@
 	return calls
 }
 
-// find returns an accepted call whose answer is still retained.
+// find returns an accepted call whose answer is still available.
 func (c clientCalls) find(callSeq uint64) (state.AcceptedCall, bool) {
 	if call, ok := c.committed.Find(callSeq); ok {
 		return call, true
--- a/internal/partitionlog/router/submit.go
+++ b/internal/partitionlog/router/submit.go
@@ -224,7 +224,7 @@
 	}
 	limit, timeout := failureLimits[code], r.Timing.CallTimeout()
 	giveUpAll := limit > 0 && queue.failures >= limit || uncertainCodes[code] && now.Sub(startedAt) >= timeout
-	var retained []*pendingSubmit
+	var others []*pendingSubmit
 	for i, submit := range remaining {
 		since := submit.submittedAt
 		if queue.recordSince.After(since) {
@@ -233,10 +233,10 @@
 		if giveUpAll || now.Sub(since) >= timeout {
 			submit.answer(nil, r.errGivenUp(partitionID, submit.isUncertain, causes[i]))
 		} else {
-			retained = append(retained, submit)
+			others = append(others, submit)
 		}
 	}
-	return retained
+	return others
 }
 
 // pause waits for the backoff before the next attempt, or for a newer record. Meanwhile it answers
--- a/internal/samza/state/accepted.go
+++ b/internal/samza/state/accepted.go
@@ -15,7 +15,7 @@
 	Digest  string
 }
 
-// MaxAnswers is the most answers that are retained per client and topic, however many messages the
+// MaxAnswers is the most answers that are stored per client and topic, however many messages the
 // partition log has.
 const MaxAnswers = 4096
 
@@ -55,7 +55,7 @@
 	return err
 }
 
-// Find returns the answer that is retained for a call number.
+// Find returns the answer that is stored for a call number.
 func (a AcceptedCalls) Find(callSeq uint64) (AcceptedCall, bool) {
 	i, ok := slices.BinarySearchFunc(
 		a.Recent, callSeq,
@@ -111,7 +111,7 @@
 var hasCallNumber = map[string]bool{log.TypeMessage: true, log.TypeWithdrawal: true}
 
 // Prune drops the answers to entries that the partition log is about to drop, in the order of their
-// offsets, and records per topic what was trimmed. The last call number is retained forever, so
+// offsets, and records per topic what was trimmed. The last call number is stored forever, so
 // nothing is ever accepted twice. It returns how many answers were dropped.
 func (s *State) Prune(entries ...log.Entry) int {
 	pruned := 0
--- a/internal/samza/state/state_test.go
+++ b/internal/samza/state/state_test.go
@@ -32,7 +32,7 @@
 	return state
 }
 
-// The answers to trimmed entries are dropped, but the last call number is retained. A repeat then
+// The answers to trimmed entries are dropped, but the last call number remains. A repeat then
 // gets an error code of its own and is never accepted again.
 func TestPruningRetainsTheLastCallNumber(t *testing.T) {
 	state := filled(3, 40)
@@ -104,7 +104,7 @@
 	assert.Equal(t, calls.Floor, uint64(20))
 }
 
-// Guards the size of a batch after a busy interval: a client with hundreds of retained answers is
+// Guards the size of a batch after a busy interval: a client with hundreds of answers is
 // written as one with none.
 func TestAnswersAreNotStored(t *testing.T) {
 	state := filled(200, 1200)
@@ -113,7 +113,7 @@
 		size += len(item.Key) + len(item.Value)
 	}
 	t.Logf(
-		"200 clients of a topic with 1200 retained answers each: %d bytes each in a batch, %d in a snapshot", size/200,
+		"200 clients of a topic with 1200 answers each: %d bytes each in a batch, %d in a snapshot", size/200,
 		len(state.Marshal())/200,
 	)
 	assert.Assert(t, size/200 < 64)
