--- a/internal/wire/mux/fixture_test.go
+++ b/internal/wire/mux/fixture_test.go
@@ -17,9 +17,9 @@
 )
 
 var patient = Options{
-	Timeouts: Timeouts{Dial: time.Minute, Silence: time.Hour, Unheard: time.Minute, Idle: time.Hour, Begin: time.Minute},
-	Headers:  []string{"Content-Type", "X-Name"},
-	From:     "X-Name",
+	Timeouts:   Timeouts{Dial: time.Minute, KeepaliveAfter: time.Hour, Unacknowledged: time.Minute, Idle: time.Hour, Handshake: time.Minute},
+	Headers:    []string{"Content-Type", "X-Name"},
+	FromHeader: "X-Name",
 }
 
 type fixture struct {
--- a/internal/wire/mux/link.go
+++ b/internal/wire/mux/link.go
@@ -21,21 +21,21 @@
 
 // Timeouts are the bounds of a connection.
 type Timeouts struct {
-	Dial  time.Duration // of the longest attempt, the last; all others together take as long
-	Quiet time.Duration // after which a connection is looked at before it is used again
-	// Silence is the time after which a peer that owes answers is asked for a sign of life; after as
+	Dial       time.Duration // of the longest attempt, the last; all others together take as long
+	CheckAfter time.Duration // after which a connection is looked at before it is used again
+	// KeepaliveAfter is the time after which a peer that owes answers is asked for a sign of life; after as
 	// long again it is given up.
-	Silence time.Duration
-	Unheard time.Duration // the longest that sent bytes stay without a receipt of the peer's machine
-	Idle    time.Duration // after which an unused connection is closed
-	Begin   time.Duration // in which a connection must say who it is
+	KeepaliveAfter time.Duration
+	Unacknowledged time.Duration // the longest that sent bytes stay without a receipt of the peer's machine
+	Idle           time.Duration // after which an unused connection is closed
+	Handshake      time.Duration // in which a connection must say who it is
 }
 
 // Options say how calls are carried.
 type Options struct {
 	Timeouts
-	Headers []string // that go with a task or an answer, besides the deadline
-	From    string   // the header with the caller's name
+	Headers    []string // that go with a task or an answer, besides the deadline
+	FromHeader string   // the header with the caller's name
 }
 
 const (
@@ -124,7 +124,7 @@
 }
 
 func tune(fd uintptr, t Timeouts) {
-	_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(t.Unheard.Milliseconds()))
+	_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(t.Unacknowledged.Milliseconds()))
 	_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NOTSENT_LOWAT, unsentMost)
 }
 
--- a/internal/wire/mux/network.go
+++ b/internal/wire/mux/network.go
@@ -41,7 +41,7 @@
 // New makes a network without connections.
 func New(o Options) *Network {
 	n := &Network{o: o, begun: time.Now(), links: map[*client]struct{}{}}
-	n.watch = time.AfterFunc(o.Silence, n.tick)
+	n.watch = time.AfterFunc(o.KeepaliveAfter, n.tick)
 	n.watch.Stop()
 	n.idle = time.AfterFunc(o.Idle, n.sweep)
 	n.idle.Stop()
@@ -97,7 +97,7 @@
 	want := n.waiting.Load() > 0
 	switch {
 	case want && !n.armed:
-		n.watch.Reset(n.o.Silence / ticks)
+		n.watch.Reset(n.o.KeepaliveAfter / ticks)
 	case !want && n.armed:
 		n.watch.Stop()
 	}
@@ -257,7 +257,7 @@
 	c.mu.Lock()
 	ok, look := c.err == nil, len(c.calls) == 0 && !c.busy
 	c.mu.Unlock()
-	if !ok || !look || time.Since(c.n.begun)-time.Duration(c.when.Load()) < c.n.o.Quiet || c.raw == nil {
+	if !ok || !look || time.Since(c.n.begun)-time.Duration(c.when.Load()) < c.n.o.CheckAfter || c.raw == nil {
 		return ok
 	}
 	_ = c.raw.Control(func(fd uintptr) {
@@ -461,7 +461,7 @@
 	if err := x.load(r, n.o.Headers); err != nil {
 		return nil, err
 	}
-	from := r.Header.Get(n.o.From)
+	from := r.Header.Get(n.o.FromHeader)
 	p := n.peer(r.URL.Host)
 	for again := false; ; again = true {
 		c, err := p.get(ctx, from)
--- a/internal/wire/mux/server.go
+++ b/internal/wire/mux/server.go
@@ -61,7 +61,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return apierror.Wrap(apierror.Internal, err, "accept on %s", l.Addr())
 		default:
-			_ = clock.Real{}.Sleep(s.ctx, s.o.Silence/pauseShare)
+			_ = clock.Real{}.Sleep(s.ctx, s.o.KeepaliveAfter/pauseShare)
 		}
 	}
 	return apierror.Wrap(apierror.Internal, shut(l), "close %s", l.Addr())
@@ -138,7 +138,7 @@
 	c.init(nc, c.over)
 	c.sent = func(p *parcel) { delete(c.calls, p.id) }
 	if t, ok := nc.(*net.TCPConn); ok {
-		_ = t.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: s.o.Idle, Interval: s.o.Unheard, Count: probes})
+		_ = t.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: s.o.Idle, Interval: s.o.Unacknowledged, Count: probes})
 		_ = c.raw.Control(func(fd uintptr) { tune(fd, s.o.Timeouts) })
 	}
 	s.mu.Lock()
@@ -186,7 +186,7 @@
 
 func (c *served) read() error {
 	r := bufio.NewReaderSize(c.c, readBuffer)
-	_ = c.c.SetReadDeadline(time.Now().Add(c.s.o.Begin))
+	_ = c.c.SetReadDeadline(time.Now().Add(c.s.o.Handshake))
 	if _, err := Preface(r); err != nil {
 		return err
 	}
@@ -395,7 +395,7 @@
 		room := c.room
 		c.mu.Unlock()
 		if late == nil {
-			t := time.NewTimer(c.s.o.Begin)
+			t := time.NewTimer(c.s.o.Handshake)
 			defer t.Stop()
 			late = t.C
 		}
--- a/internal/wire/real.go
+++ b/internal/wire/real.go
@@ -19,15 +19,15 @@
 func lanes(b settings.Timing) mux.Options {
 	return mux.Options{
 		Timeouts: mux.Timeouts{
-			Dial:    b.CallTimeout() / dialShare,
-			Quiet:   b.SessionTimeout() / quietShare,
-			Silence: max(b.SessionTimeout()/silenceShare, b.LongPoll()),
-			Unheard: b.SessionTimeout() / silenceShare,
-			Idle:    b.Keeping,
-			Begin:   b.Recovery,
+			Dial:           b.CallTimeout() / dialShare,
+			CheckAfter:     b.SessionTimeout() / quietShare,
+			KeepaliveAfter: max(b.SessionTimeout()/silenceShare, b.LongPoll()),
+			Unacknowledged: b.SessionTimeout() / silenceShare,
+			Idle:           b.Keeping,
+			Handshake:      b.Recovery,
 		},
-		Headers: []string{"Content-Type", "Content-Encoding", "Connect-Protocol-Version", sequenceHeader, fromHeader},
-		From:    fromHeader,
+		Headers:    []string{"Content-Type", "Content-Encoding", "Connect-Protocol-Version", sequenceHeader, fromHeader},
+		FromHeader: fromHeader,
 	}
 }
 
