--- a/internal/docs/words_test.go
+++ b/internal/docs/words_test.go
@@ -26,8 +26,7 @@
 // unfinishedPackages still use withdrawn words in identifiers, each for the reason given; docs/ROADMAP.md lists them. A
 // package that is finished is taken off this list and must stay clean.
 var unfinishedPackages = map[string]string{
-	"internal/wire/mux": "the queue's message type of a link is still a parcel; the package was not reached",
-	"internal/httpapi":  "the field of the attach request has the name of its JSON key",
+	"internal/httpapi": "the field of the attach request has the name of its JSON key",
 }
 
 // Identifiers of finished packages use the terms of the glossary: a withdrawn word must not come back.
--- a/internal/wire/mux/cut_test.go
+++ b/internal/wire/mux/cut_test.go
@@ -12,56 +12,60 @@
 	"gotest.tools/v3/assert"
 )
 
-// cutter passes bytes on between a caller and a server. Of the first connection it passes on so many bytes each way and
-// then resets it; all others it leaves alone.
+// cutter relays bytes between a client and a server. It resets the first connection after a number
+// of bytes in each direction, and relays all later ones without limit.
 type cutter struct {
-	l      net.Listener
-	to     string
-	ask    int
-	answer int
-	mu     sync.Mutex
-	conns  int
-	wg     sync.WaitGroup
+	listener      net.Listener
+	target        string
+	requestBytes  int
+	responseBytes int
+	mu            sync.Mutex
+	connections   int
+	wg            sync.WaitGroup
 }
 
 const unlimited = 1 << 30
 
-func newCutter(t *testing.T, to string, ask, answer int) *cutter {
+func newCutter(t *testing.T, target string, requestBytes, responseBytes int) *cutter {
 	t.Helper()
-	c := &cutter{l: listen(t, "127.0.0.1:0"), to: to, ask: ask, answer: answer}
+	c := &cutter{
+		listener: newListener(t, "127.0.0.1:0"), target: target,
+		requestBytes: requestBytes, responseBytes: responseBytes,
+	}
 	c.wg.Go(c.accept)
 	return c
 }
 
 func (c *cutter) accept() {
 	for {
-		in, err := c.l.Accept()
+		in, err := c.listener.Accept()
 		if err != nil {
 			return
 		}
-		out, err := net.Dial("tcp", c.to)
+		out, err := net.Dial("tcp", c.target)
 		if err != nil {
 			_ = in.Close()
 			continue
 		}
 		c.mu.Lock()
-		c.conns++
-		ask, answer := c.ask, c.answer
-		if c.conns > 1 {
-			ask, answer = unlimited, unlimited
+		c.connections++
+		requestBytes, responseBytes := c.requestBytes, c.responseBytes
+		if c.connections > 1 {
+			requestBytes, responseBytes = unlimited, unlimited
 		}
 		c.mu.Unlock()
-		c.wg.Go(func() { c.pass(out, in, ask) })
-		c.wg.Go(func() { c.pass(in, out, answer) })
+		c.wg.Go(func() { c.relay(out, in, requestBytes) })
+		c.wg.Go(func() { c.relay(in, out, responseBytes) })
 	}
 }
 
-// pass passes on so many bytes, and ends both ways then or when either side has.
-func (c *cutter) pass(to, from net.Conn, bytes int) {
+// relay copies up to that many bytes, then closes both connections. It does so too when either side
+// closes.
+func (c *cutter) relay(to, from net.Conn, bytes int) {
 	_, _ = io.CopyN(to, from, int64(bytes))
 	if bytes < unlimited {
-		for _, x := range []net.Conn{to, from} {
-			_ = x.(*net.TCPConn).SetLinger(0)
+		for _, conn := range []net.Conn{to, from} {
+			_ = conn.(*net.TCPConn).SetLinger(0)
 		}
 	}
 	_ = to.Close()
@@ -69,63 +73,63 @@
 }
 
 func (c *cutter) close() {
-	_ = c.l.Close()
+	_ = c.listener.Close()
 	c.wg.Wait()
 }
 
-// A connection is reset after each byte of a question, and after each byte of an answer. No call is done twice, and an
-// answer is that of its own question.
+// A connection is reset after each byte of a request, and after each byte of a response. No call is
+// handled twice, and a response belongs to its own request.
 func TestNoCallIsDoneTwiceWhereverItsConnectionBreaks(t *testing.T) {
-	const questionBytes, answerBytes = 120, 60
+	const requestBytes, responseBytes = 120, 60
 	for _, long := range []bool{false, true} {
-		for k := range questionBytes + answerBytes {
-			ask, answer := k, unlimited
-			if k >= questionBytes {
-				ask, answer = unlimited, k-questionBytes
+		for k := range requestBytes + responseBytes {
+			requestLimit, responseLimit := k, unlimited
+			if k >= requestBytes {
+				requestLimit, responseLimit = unlimited, k-requestBytes
 			}
-			cutOnce(t, fmt.Sprintf("call %d %v", k, long), ask, answer, long)
+			cutOnce(t, fmt.Sprintf("call %d %v", k, long), requestLimit, responseLimit, long)
 		}
 	}
 }
 
-// cutOnce makes a call whose first connection breaks, and another call after it.
-func cutOnce(t *testing.T, name string, ask, answer int, long bool) {
+// cutOnce makes a call whose first connection is reset, and another call after it.
+func cutOnce(t *testing.T, name string, requestBytes, responseBytes int, long bool) {
 	t.Helper()
 	var mu sync.Mutex
 	done := map[string]int{}
-	f := stand(t, func(w http.ResponseWriter, r *http.Request) {
+	f := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		mu.Lock()
 		done[string(b)]++
 		mu.Unlock()
 		_, _ = w.Write(b)
 	})
-	c := newCutter(t, f.addr, ask, answer)
-	n := New(patient)
+	c := newCutter(t, f.addr, requestBytes, responseBytes)
+	network := New(patientOptions)
 	body := []byte(name)
 	if long {
-		body = append(body, make([]byte, 2*chunk)...)
+		body = append(body, make([]byte, 2*chunkBytes)...)
 	}
-	got, err := askAt(t.Context(), n, c.l.Addr().String(), body)
+	got, err := echoAt(t.Context(), network, c.listener.Addr().String(), body)
 	if err == nil {
 		assert.DeepEqual(t, got, body)
 	}
 	next := []byte("next " + name)
-	again, failed := askAt(t.Context(), n, c.l.Addr().String(), next)
-	if failed == nil {
-		assert.DeepEqual(t, again, next)
+	nextGot, nextErr := echoAt(t.Context(), network, c.listener.Addr().String(), next)
+	if nextErr == nil {
+		assert.DeepEqual(t, nextGot, next)
 	}
-	n.Close()
-	_ = f.s.Close()
+	network.Close()
+	_ = f.server.Close()
 	c.close()
 	mu.Lock()
 	defer mu.Unlock()
-	assert.Assert(t, done[string(body)] <= 1, "%s, cut after %d and %d bytes: done %d times", name, ask, answer,
+	assert.Assert(t, done[string(body)] <= 1, "%s, cut after %d and %d bytes: handled %d times", name, requestBytes, responseBytes,
 		done[string(body)])
-	assert.Assert(t, err != nil || done[string(body)] == 1, "%s: answered and not done", name)
-	assert.Assert(t, done[string(next)] <= 1, "%s: the next one was done %d times", name, done[string(next)])
+	assert.Assert(t, err != nil || done[string(body)] == 1, "%s: answered but not handled", name)
+	assert.Assert(t, done[string(next)] <= 1, "%s: the next call was handled %d times", name, done[string(next)])
 }
 
-func askAt(ctx context.Context, n *Network, addr string, body []byte) ([]byte, error) {
-	return ask(ctx, n, addr, "/echo", body)
+func echoAt(ctx context.Context, network *Network, addr string, body []byte) ([]byte, error) {
+	return post(ctx, network, addr, "/echo", body)
 }
--- a/internal/wire/mux/fixture_test.go
+++ b/internal/wire/mux/fixture_test.go
@@ -16,63 +16,66 @@
 	"postjunction/internal/apierror"
 )
 
-var patient = Options{
-	Timeouts:   Timeouts{Dial: time.Minute, KeepaliveAfter: time.Hour, Unacknowledged: time.Minute, Idle: time.Hour, Handshake: time.Minute},
+var patientOptions = Options{
+	Timeouts: Timeouts{
+		Dial: time.Minute, KeepaliveAfter: time.Hour, Unacknowledged: time.Minute, Idle: time.Hour,
+		Handshake: time.Minute,
+	},
 	Headers:    []string{"Content-Type", "X-Name"},
 	FromHeader: "X-Name",
 }
 
 type fixture struct {
-	t    *testing.T
-	addr string
-	s    *Server
-	n    *Network
+	t       *testing.T
+	addr    string
+	server  *Server
+	network *Network
 }
 
-func serve(l net.Listener, h http.HandlerFunc) *Server {
-	s := NewServer(h, patient)
-	go func() { _ = s.Serve(l) }()
+func serve(listener net.Listener, handler http.HandlerFunc) *Server {
+	s := NewServer(handler, patientOptions)
+	go func() { _ = s.Serve(listener) }()
 	return s
 }
 
-func listen(t *testing.T, addr string) net.Listener {
+func newListener(t *testing.T, addr string) net.Listener {
 	t.Helper()
-	l, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", addr)
 	assert.NilError(t, err)
-	return l
+	return listener
 }
 
-func stand(t *testing.T, h http.HandlerFunc) *fixture {
+func newFixture(t *testing.T, handler http.HandlerFunc) *fixture {
 	t.Helper()
-	l := listen(t, "127.0.0.1:0")
-	f := &fixture{t: t, addr: l.Addr().String(), s: serve(l, h), n: New(patient)}
+	listener := newListener(t, "127.0.0.1:0")
+	f := &fixture{t: t, addr: listener.Addr().String(), server: serve(listener, handler), network: New(patientOptions)}
 	t.Cleanup(func() {
-		f.n.Close()
-		_ = f.s.Close()
+		f.network.Close()
+		_ = f.server.Close()
 	})
 	return f
 }
 
-func ask(ctx context.Context, n *Network, addr, path string, body []byte) ([]byte, error) {
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, bytes.NewReader(body))
+func post(ctx context.Context, network *Network, addr, path string, body []byte) ([]byte, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	r.Header.Set("X-Name", "tester")
-	r.Header.Set("Content-Type", "application/x")
-	a, err := n.Do(r)
+	request.Header.Set("X-Name", "tester")
+	request.Header.Set("Content-Type", "application/x")
+	response, err := network.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = a.Body.Close() }()
-	if a.StatusCode != http.StatusOK {
-		return nil, apierror.New(apierror.Internal, "status %d", a.StatusCode)
+	defer func() { _ = response.Body.Close() }()
+	if response.StatusCode != http.StatusOK {
+		return nil, apierror.New(apierror.Internal, "status %d", response.StatusCode)
 	}
-	return io.ReadAll(a.Body)
+	return io.ReadAll(response.Body)
 }
 
-func (f *fixture) ask(path string, body []byte) ([]byte, error) {
-	return ask(context.Background(), f.n, f.addr, path, body)
+func (f *fixture) post(path string, body []byte) ([]byte, error) {
+	return post(context.Background(), f.network, f.addr, path, body)
 }
 
 func echo(w http.ResponseWriter, r *http.Request) {
@@ -89,61 +92,61 @@
 	return b
 }
 
-// mute accepts connections and never reads them.
-func mute(t *testing.T) string {
+// unresponsivePeer accepts connections and never reads from them.
+func unresponsivePeer(t *testing.T) string {
 	t.Helper()
-	l := listen(t, "127.0.0.1:0")
+	listener := newListener(t, "127.0.0.1:0")
 	var mu sync.Mutex
-	var cs []net.Conn
+	var connections []net.Conn
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			mu.Lock()
-			cs = append(cs, c)
+			connections = append(connections, c)
 			mu.Unlock()
 		}
 	}()
 	t.Cleanup(func() {
-		_ = l.Close()
+		_ = listener.Close()
 		mu.Lock()
 		defer mu.Unlock()
-		for _, c := range cs {
+		for _, c := range connections {
 			_ = c.Close()
 		}
 	})
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
-func (n *Network) under(k int) bool {
+func (n *Network) hasPending(count int) bool {
 	for _, c := range n.all() {
 		c.mu.Lock()
-		k -= len(c.calls)
+		count -= len(c.calls)
 		c.mu.Unlock()
 	}
-	return k <= 0
+	return count <= 0
 }
 
-func until(f func() bool) {
-	for !f() {
+func waitUntil(condition func() bool) {
+	for !condition() {
 		<-time.After(time.Millisecond)
 	}
 }
 
-func canceled() context.Context {
+func canceledContext() context.Context {
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
 	return ctx
 }
 
-func (n *Network) stuck() bool {
+func (n *Network) queueIsFull() bool {
 	for _, c := range n.all() {
 		c.mu.Lock()
-		b := c.bulk
+		queued := c.longQueueBytes
 		c.mu.Unlock()
-		if b+1<<20 > mostBulk {
+		if queued+1<<20 > maxLongQueueBytes {
 			return true
 		}
 	}
--- a/internal/wire/mux/frame.go
+++ b/internal/wire/mux/frame.go
@@ -8,8 +8,9 @@
 	"postjunction/internal/apierror"
 )
 
-// Kinds of frame. A frame is its kind, a number, a length and that many bytes; the number is that
-// of the call, of the head that is named, or nothing.
+// Kinds of frame. A frame is its kind, an identifier, a length and that many bytes. The identifier
+// is the number of a call, the number that a head is defined under, or 0. moreFlag is set in the
+// kind when further frames of the same body follow.
 const (
 	kindHead      = 1
 	kindOpen      = 2
@@ -18,210 +19,215 @@
 	kindAbort     = 5
 	kindHeartbeat = 6
 	kindEcho      = 7
-	kindsEnd      = 8
-	more          = 0x80
+	kindLimit     = 8
+	moreFlag      = 0x80
 )
 
 const (
-	chunk      = 16 << 10
-	readBuffer = 4 << 10
-	mostHeads  = 1 << 10
-	mostHead   = 8 << 10
-	mostName   = 256
-	mostFrame  = chunk + mostHead + 4*binary.MaxVarintLen64
-	mostBody   = 256 << 20
-	mostRoom   = 1 << 20
+	chunkBytes         = 16 << 10
+	readBufferBytes    = 4 << 10
+	maxHeads           = 1 << 10
+	maxHeadBytes       = 8 << 10
+	maxNameBytes       = 256
+	maxFrameBytes      = chunkBytes + maxHeadBytes + 4*binary.MaxVarintLen64
+	maxBodyBytes       = 256 << 20
+	maxInitialCapacity = 1 << 20
 )
 
-// magic begins a connection and holds the sequence of the frame format; its line end makes a server
-// of HTTP turn it away at once.
+// magic begins a connection and contains the version of the frame format. Its line end makes an
+// HTTP server reject it at once.
 const magic = "PJL\x01\r\n"
 
 type frame struct {
-	kind byte
-	more bool
-	id   uint64
-	body []byte
-	own  bool
+	kind     byte
+	more     bool
+	id       uint64
+	body     []byte
+	ownsBody bool
 }
 
-func broken(f string, a ...any) error { return apierror.New(apierror.Unreachable, f, a...) }
+func protocolError(format string, args ...any) error {
+	return apierror.New(apierror.Unreachable, format, args...)
+}
 
-// read reads a frame. Its body is valid until the next read unless own says that it is the frame's own.
+// read reads a frame. Its body is valid until the next read, unless ownsBody is set.
 func (f *frame) read(r *bufio.Reader) error {
-	k, err := r.ReadByte()
+	kindByte, err := r.ReadByte()
 	if err != nil {
 		return err
 	}
-	f.kind, f.more, f.body, f.own = k&^more, k&more != 0, nil, false
-	if f.kind == 0 || f.kind >= kindsEnd {
-		return broken("no such frame: %#x", k)
+	f.kind, f.more, f.body, f.ownsBody = kindByte&^moreFlag, kindByte&moreFlag != 0, nil, false
+	if f.kind == 0 || f.kind >= kindLimit {
+		return protocolError("unknown frame kind %#x", kindByte)
 	}
 	if f.id, err = binary.ReadUvarint(r); err != nil {
-		return cut(err)
+		return unexpectedEOF(err)
 	}
-	n, err := binary.ReadUvarint(r)
+	length, err := binary.ReadUvarint(r)
 	if err != nil {
-		return cut(err)
+		return unexpectedEOF(err)
 	}
-	if n > mostFrame {
-		return broken("a frame of %d bytes", n)
+	if length > maxFrameBytes {
+		return protocolError("a frame of %d bytes exceeds the limit", length)
 	}
-	if int(n) <= r.Size() {
-		if f.body, err = r.Peek(int(n)); err != nil {
-			return cut(err)
+	if int(length) <= r.Size() {
+		if f.body, err = r.Peek(int(length)); err != nil {
+			return unexpectedEOF(err)
 		}
-		_, err = r.Discard(int(n))
+		_, err = r.Discard(int(length))
 		return err
 	}
-	f.body, f.own = make([]byte, n), true
+	f.body, f.ownsBody = make([]byte, length), true
 	_, err = io.ReadFull(r, f.body)
-	return cut(err)
+	return unexpectedEOF(err)
 }
 
-func cut(err error) error {
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// kept gives bytes of the frame's body that outlive the next read.
-func (f *frame) kept(b []byte) []byte {
-	if f.own {
+// stableBytes returns b, which is part of the frame's body, so that it stays valid after the next
+// read. It copies b unless the frame owns its body.
+func (f *frame) stableBytes(b []byte) []byte {
+	if f.ownsBody {
 		return b
 	}
 	return append(make([]byte, 0, len(b)), b...)
 }
 
-func start(b []byte, kind byte, id uint64, n int) []byte {
+func appendFrameHeader(b []byte, kind byte, id uint64, length int) []byte {
 	b = append(b, kind)
 	b = binary.AppendUvarint(b, id)
-	return binary.AppendUvarint(b, uint64(n))
+	return binary.AppendUvarint(b, uint64(length))
 }
 
-// opening is what the first frame of a task or an answer holds before the body.
-type opening struct {
-	number uint64
-	wait   uint64
-	total  uint64
-	inline []byte
+// openFields are the fields before the body in the first frame of a request or response. headNumber
+// is 0 when the head is inline.
+type openFields struct {
+	headNumber uint64
+	timeoutMS  uint64
+	bodyBytes  uint64
+	inlineHead []byte
 }
 
-// room is how much to set aside for the body.
-func (o opening) room() int { return int(min(o.total, mostRoom)) }
+// initialCapacity returns how many bytes to allocate for the body at first.
+func (o openFields) initialCapacity() int { return int(min(o.bodyBytes, maxInitialCapacity)) }
 
-func (f *frame) opening() (opening, []byte, error) {
-	var o opening
+func (f *frame) parseOpen() (openFields, []byte, error) {
+	var fields openFields
 	b := f.body
 	var ok bool
-	if o.number, b, ok = uvarint(b); !ok {
-		return o, nil, broken("a task without a head")
+	if fields.headNumber, b, ok = cutUvarint(b); !ok {
+		return fields, nil, protocolError("an open frame has no head number")
 	}
-	if o.wait, b, ok = uvarint(b); !ok {
-		return o, nil, broken("a task without its time")
+	if fields.timeoutMS, b, ok = cutUvarint(b); !ok {
+		return fields, nil, protocolError("an open frame has no timeout")
 	}
 	if f.more {
-		if o.total, b, ok = uvarint(b); !ok {
-			return o, nil, broken("a long body without its length")
+		if fields.bodyBytes, b, ok = cutUvarint(b); !ok {
+			return fields, nil, protocolError("an open frame of a long body has no body length")
 		}
 	}
-	if o.number == 0 {
-		if o.inline, b, ok = piece(b); !ok {
-			return o, nil, broken("a head that breaks off")
+	if fields.headNumber == 0 {
+		if fields.inlineHead, b, ok = cutPrefixed(b); !ok {
+			return fields, nil, protocolError("an inline head is truncated")
 		}
 	}
-	return o, b, nil
+	return fields, b, nil
 }
 
-func uvarint(b []byte) (uint64, []byte, bool) {
-	v, n := binary.Uvarint(b)
+func cutUvarint(b []byte) (uint64, []byte, bool) {
+	value, n := binary.Uvarint(b)
 	if n <= 0 {
 		return 0, nil, false
 	}
-	return v, b[n:], true
+	return value, b[n:], true
 }
 
-func piece(b []byte) ([]byte, []byte, bool) {
-	n, b, ok := uvarint(b)
-	if !ok || n > uint64(len(b)) {
+func cutPrefixed(b []byte) ([]byte, []byte, bool) {
+	length, b, ok := cutUvarint(b)
+	if !ok || length > uint64(len(b)) {
 		return nil, nil, false
 	}
-	return b[:n], b[n:], true
+	return b[:length], b[length:], true
 }
 
-func appendPiece(b []byte, s string) []byte {
-	b = binary.AppendUvarint(b, uint64(len(s)))
-	return append(b, s...)
+func appendPrefixed(b []byte, text string) []byte {
+	b = binary.AppendUvarint(b, uint64(len(text)))
+	return append(b, text...)
 }
 
-// head is the path or status of a task or an answer with its headers, sent once a connection and then named by number.
+// head is the path of a request, or the status of a response, with its headers. It is sent once for
+// each connection and then referred to by number.
 type head struct {
-	first string
-	pairs []string
+	pathOrStatus string
+	pairs        []string
 }
 
 func parseHead(b []byte) (*head, error) {
-	if len(b) > mostHead {
-		return nil, broken("a head of %d bytes", len(b))
+	if len(b) > maxHeadBytes {
+		return nil, protocolError("a head of %d bytes exceeds the limit", len(b))
 	}
-	var ss []string
+	var parts []string
 	for len(b) > 0 {
-		p, rest, ok := piece(b)
+		part, rest, ok := cutPrefixed(b)
 		if !ok {
-			return nil, broken("a head that breaks off")
+			return nil, protocolError("a head is truncated")
 		}
-		ss, b = append(ss, string(p)), rest
+		parts, b = append(parts, string(part)), rest
 	}
-	if len(ss)%2 == 0 {
-		return nil, broken("a head of %d parts", len(ss))
+	if len(parts)%2 == 0 {
+		return nil, protocolError("a head has %d parts, not an odd number", len(parts))
 	}
-	return &head{ss[0], ss[1:]}, nil
+	return &head{parts[0], parts[1:]}, nil
 }
 
-// heads are those that the other side has named.
-type heads struct{ m []*head }
+// headTable lists the heads that the other side has defined, by number from 1 on.
+type headTable struct{ entries []*head }
 
-func (h *heads) name(f *frame) error {
-	if f.id != uint64(len(h.m)+1) || len(h.m) >= mostHeads {
-		return broken("head %d after %d", f.id, len(h.m))
+func (h *headTable) define(f *frame) error {
+	if f.id != uint64(len(h.entries)+1) || len(h.entries) >= maxHeads {
+		return protocolError("head %d is defined after %d heads", f.id, len(h.entries))
 	}
-	x, err := parseHead(f.body)
+	parsed, err := parseHead(f.body)
 	if err == nil {
-		h.m = append(h.m, x)
+		h.entries = append(h.entries, parsed)
 	}
 	return err
 }
 
-func (h *heads) of(o opening) (*head, error) {
+func (h *headTable) lookup(fields openFields) (*head, error) {
 	switch {
-	case o.number == 0:
-		return parseHead(o.inline)
-	case o.number > uint64(len(h.m)):
-		return nil, broken("no head %d", o.number)
+	case fields.headNumber == 0:
+		return parseHead(fields.inlineHead)
+	case fields.headNumber > uint64(len(h.entries)):
+		return nil, protocolError("head %d is not defined", fields.headNumber)
 	}
-	return h.m[o.number-1], nil
+	return h.entries[fields.headNumber-1], nil
 }
 
-// Preface reads what begins a connection and gives the name of the node that opened it.
+// Preface reads the preface of a connection and returns the name of the node that opened it.
 func Preface(r *bufio.Reader) (string, error) {
 	var b [len(magic)]byte
 	if _, err := io.ReadFull(r, b[:]); err != nil {
-		return "", cut(err)
+		return "", unexpectedEOF(err)
 	}
 	if string(b[:]) != magic {
-		return "", broken("a connection that begins with %q", b)
+		return "", protocolError("the connection begins with %q instead of the preface", b)
 	}
-	n, err := binary.ReadUvarint(r)
-	if err != nil || n > mostName {
-		return "", broken("a name of %d bytes", n)
+	length, err := binary.ReadUvarint(r)
+	if err != nil || length > maxNameBytes {
+		return "", protocolError("the node name has %d bytes or can't be read", length)
 	}
-	s := make([]byte, n)
-	_, err = io.ReadFull(r, s)
-	return string(s), cut(err)
+	name := make([]byte, length)
+	_, err = io.ReadFull(r, name)
+	return string(name), unexpectedEOF(err)
 }
 
-// AppendPreface writes what begins a connection of a node.
+// AppendPreface appends the preface of a connection that the node from opens.
 func AppendPreface(b []byte, from string) []byte {
-	return appendPiece(append(b, magic...), from[:min(len(from), mostName)])
+	return appendPrefixed(append(b, magic...), from[:min(len(from), maxNameBytes)])
 }
--- a/internal/wire/mux/network.go
+++ b/internal/wire/mux/network.go
@@ -20,131 +20,138 @@
 )
 
 const (
-	ticks = 2 // in a silence
+	keepaliveTicks = 2 // timer ticks in KeepaliveAfter
 )
 
-// Network reaches peers over one connection each, opened at the first call and kept while it is used.
+// Network sends calls to peers over one connection each. A connection is opened at the first call
+// and stays open while it is used.
 type Network struct {
-	o       Options
-	peers   sync.Map
-	waiting atomic.Int64
-	wmu     sync.Mutex
-	armed   bool
-	watch   *time.Timer
-	begun   time.Time
-
-	mu    sync.Mutex
-	links map[*client]struct{}
-	idle  *time.Timer
+	options        Options
+	peers          sync.Map
+	pendingCalls   atomic.Int64
+	timerMu        sync.Mutex // guards timerArmed and the setting of keepaliveTimer
+	timerArmed     bool
+	keepaliveTimer *time.Timer
+	started        time.Time
+
+	mu          sync.Mutex // guards connections and the setting of idleTimer
+	connections map[*clientConn]struct{}
+	idleTimer   *time.Timer
 }
 
-// New makes a network without connections.
-func New(o Options) *Network {
-	n := &Network{o: o, begun: time.Now(), links: map[*client]struct{}{}}
-	n.watch = time.AfterFunc(o.KeepaliveAfter, n.tick)
-	n.watch.Stop()
-	n.idle = time.AfterFunc(o.Idle, n.sweep)
-	n.idle.Stop()
+// New returns a network without connections.
+func New(options Options) *Network {
+	n := &Network{options: options, started: time.Now(), connections: map[*clientConn]struct{}{}}
+	n.keepaliveTimer = time.AfterFunc(options.KeepaliveAfter, n.tick)
+	n.keepaliveTimer.Stop()
+	n.idleTimer = time.AfterFunc(options.Idle, n.closeIdle)
+	n.idleTimer.Stop()
 	return n
 }
 
-// Close closes all connections; calls under way fail.
+// Close closes all connections. Calls in flight fail.
 func (n *Network) Close() {
 	for _, c := range n.all() {
 		c.fail(errClosed, false)
 	}
 }
 
-func (n *Network) all() []*client {
+func (n *Network) all() []*clientConn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	cs := make([]*client, 0, len(n.links))
-	for c := range n.links {
-		cs = append(cs, c)
+	connections := make([]*clientConn, 0, len(n.connections))
+	for c := range n.connections {
+		connections = append(connections, c)
 	}
-	return cs
+	return connections
 }
 
-func (n *Network) add(c *client) {
+func (n *Network) add(c *clientConn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.links[c] = struct{}{}; len(n.links) == 1 {
-		n.idle.Reset(n.o.Idle)
+	if n.connections[c] = struct{}{}; len(n.connections) == 1 {
+		n.idleTimer.Reset(n.options.Idle)
 	}
 }
 
-func (n *Network) drop(c *client) {
+func (n *Network) remove(c *clientConn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if delete(n.links, c); len(n.links) == 0 {
-		n.idle.Stop()
+	if delete(n.connections, c); len(n.connections) == 0 {
+		n.idleTimer.Stop()
 	}
 }
 
-// wait counts calls that wait; the watch goes while there are any.
-func (n *Network) wait(d int64) {
-	if k := n.waiting.Add(d); k == 0 || k == d {
-		n.arm(false)
+// addPending adds delta to the number of pending calls. The keepalive timer runs while there are
+// any.
+func (n *Network) addPending(delta int64) {
+	if pending := n.pendingCalls.Add(delta); pending == 0 || pending == delta {
+		n.updateTimer(false)
 	}
 }
 
-func (n *Network) arm(fired bool) {
-	n.wmu.Lock()
-	defer n.wmu.Unlock()
+// updateTimer starts or stops the keepalive timer as pending calls need it. fired says that the
+// timer has just fired.
+func (n *Network) updateTimer(fired bool) {
+	n.timerMu.Lock()
+	defer n.timerMu.Unlock()
 	if fired {
-		n.armed = false
+		n.timerArmed = false
 	}
-	want := n.waiting.Load() > 0
+	needed := n.pendingCalls.Load() > 0
 	switch {
-	case want && !n.armed:
-		n.watch.Reset(n.o.KeepaliveAfter / ticks)
-	case !want && n.armed:
-		n.watch.Stop()
+	case needed && !n.timerArmed:
+		n.keepaliveTimer.Reset(n.options.KeepaliveAfter / keepaliveTicks)
+	case !needed && n.timerArmed:
+		n.keepaliveTimer.Stop()
 	}
-	n.armed = want
+	n.timerArmed = needed
 }
 
-// tick asks peers that owe answers for a sign of life, and gives those up that gave none.
+// tick sends heartbeats to silent peers with calls in flight, and closes the connections of peers
+// that stayed silent after one.
 func (n *Network) tick() {
 	for _, c := range n.all() {
 		c.tick()
 	}
-	n.arm(true)
+	n.updateTimer(true)
 }
 
-// sweep closes connections that were not used since the last sweep.
-func (n *Network) sweep() {
+// closeIdle closes the connections that were not used since its last run.
+func (n *Network) closeIdle() {
 	for _, c := range n.all() {
 		c.mu.Lock()
-		done := !c.used && len(c.calls) == 0 && !c.busy
+		isIdle := !c.used && len(c.calls) == 0 && !c.writing
 		c.used = false
 		c.mu.Unlock()
-		if done {
+		if isIdle {
 			c.fail(errClosed, false)
 		}
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if len(n.links) > 0 {
-		n.idle.Reset(n.o.Idle)
+	if len(n.connections) > 0 {
+		n.idleTimer.Reset(n.options.Idle)
 	}
 }
 
+// peer is an address with its connection or the dial under way.
 type peer struct {
-	n    *Network
-	addr string
-	mu   sync.Mutex
-	c    *client
-	d    *dialling
+	network *Network
+	addr    string
+	mu      sync.Mutex // guards conn and dialing
+	conn    *clientConn
+	dialing *dialAttempt
 }
 
-// dialShares make the times of the attempts of a dial: short ones first, since a machine that was
-// just switched on hears nothing of what was sent before, and this machine's own repeats come late.
+// dialShares divide the dial timeout into the timeouts of the attempts. Short attempts come first:
+// a machine that was just switched on gets no packet sent before, and the kernel of this machine
+// retransmits late.
 var dialShares = []time.Duration{10, 10, 10, 10, 10, 2, 1}
 
-type dialling struct {
+type dialAttempt struct {
 	done chan struct{}
-	c    *client
+	conn *clientConn
 	err  error
 }
 
@@ -152,118 +159,123 @@
 	if p, ok := n.peers.Load(addr); ok {
 		return p.(*peer)
 	}
-	p, _ := n.peers.LoadOrStore(addr, &peer{n: n, addr: addr})
+	p, _ := n.peers.LoadOrStore(addr, &peer{network: n, addr: addr})
 	return p.(*peer)
 }
 
-// get gives the connection to a peer and opens it if there is none; those who come meanwhile wait for the same one.
-func (p *peer) get(ctx context.Context, from string) (*client, error) {
+// connect returns the connection to a peer, and opens one if there is none. Concurrent calls wait
+// for the same dial.
+func (p *peer) connect(ctx context.Context, from string) (*clientConn, error) {
 	p.mu.Lock()
-	if c := p.c; c != nil {
+	if conn := p.conn; conn != nil {
 		p.mu.Unlock()
-		if c.fresh() {
-			return c, nil
+		if conn.usable() {
+			return conn, nil
 		}
 		p.mu.Lock()
-		if p.c == c {
-			p.c = nil
+		if p.conn == conn {
+			p.conn = nil
 		}
 	}
-	if c := p.c; c != nil {
+	if conn := p.conn; conn != nil {
 		p.mu.Unlock()
-		return c, nil
+		return conn, nil
 	}
-	d := p.d
-	if d == nil {
-		d = &dialling{done: make(chan struct{})}
-		p.d = d
-		go p.dial(d, from)
+	attempt := p.dialing
+	if attempt == nil {
+		attempt = &dialAttempt{done: make(chan struct{})}
+		p.dialing = attempt
+		go p.dial(attempt, from)
 	}
 	p.mu.Unlock()
 	select {
-	case <-d.done:
-		return d.c, d.err
+	case <-attempt.done:
+		return attempt.conn, attempt.err
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-func (p *peer) dial(d *dialling, from string) {
-	o := p.n.o
-	nd := net.Dialer{KeepAlive: -1, Control: func(_, _ string, rc syscall.RawConn) error {
-		return rc.Control(func(fd uintptr) { tune(fd, o.Timeouts) })
+func (p *peer) dial(attempt *dialAttempt, from string) {
+	options := p.network.options
+	dialer := net.Dialer{KeepAlive: -1, Control: func(_, _ string, rawConn syscall.RawConn) error {
+		return rawConn.Control(func(fd uintptr) { setSocketOptions(fd, options.Timeouts) })
 	}}
-	var nc net.Conn
+	var tcpConn net.Conn
 	var err error
 	for _, share := range dialShares {
-		nd.Timeout = o.Dial / share
-		nc, err = nd.Dial("tcp", p.addr)
-		if t, ok := err.(net.Error); !ok || !t.Timeout() {
+		dialer.Timeout = options.Dial / share
+		tcpConn, err = dialer.Dial("tcp", p.addr)
+		if netErr, ok := err.(net.Error); !ok || !netErr.Timeout() {
 			break
 		}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.d = nil
+	p.dialing = nil
 	if err != nil {
-		d.err = apierror.WithCause(apierror.Unreachable, err, "no connection to %s", p.addr)
+		attempt.err = apierror.WithCause(apierror.Unreachable, err, "no connection to %s", p.addr)
 	} else {
-		d.c = newClient(p, nc, from)
-		p.c = d.c
+		attempt.conn = newClientConn(p, tcpConn, from)
+		p.conn = attempt.conn
 	}
-	close(d.done)
+	close(attempt.done)
 }
 
-// call is a task that waits for its answer.
-type call struct {
-	parcel
-	done   chan struct{}
-	answer *head
-	got    []byte
-	err    error
-	heads  [512]byte
+// clientCall is a request whose response is pending.
+type clientCall struct {
+	message
+	done         chan struct{}
+	responseHead *head
+	responseBody []byte
+	err          error
+	headBuffer   [512]byte
 }
 
-var calls = sync.Pool{New: func() any { return &call{done: make(chan struct{}, 1)} }}
-
-// client is this side's end of a connection that it opened.
-type client struct {
-	link
-	n     *Network
-	p     *peer
-	calls map[uint64]*call
-	last  uint64
-	used  bool
-	owed  bool
-	quiet int
-	heard atomic.Bool
-	when  atomic.Int64
+var callPool = sync.Pool{New: func() any { return &clientCall{done: make(chan struct{}, 1)} }}
+
+// clientConn is the end of a connection that this node opened. awaited says that calls were in
+// flight at the last tick. silentTicks counts the ticks without input since then.
+type clientConn struct {
+	muxConn
+	network      *Network
+	peer         *peer
+	calls        map[uint64]*clientCall
+	lastID       uint64
+	used         bool
+	awaited      bool
+	silentTicks  int
+	received     atomic.Bool
+	lastReceived atomic.Int64
 }
 
-func newClient(p *peer, nc net.Conn, from string) *client {
-	c := &client{n: p.n, p: p, calls: map[uint64]*call{}}
-	c.init(nc, c.over)
-	b := c.begin()
-	b.b = AppendPreface(b.b, from)
-	c.when.Store(int64(time.Since(p.n.begun)))
-	p.n.add(c)
-	go c.read()
+func newClientConn(p *peer, tcpConn net.Conn, from string) *clientConn {
+	c := &clientConn{network: p.network, peer: p, calls: map[uint64]*clientCall{}}
+	c.init(tcpConn, c.failCalls)
+	buffer := c.shortBuffer()
+	buffer.data = AppendPreface(buffer.data, from)
+	c.lastReceived.Store(int64(time.Since(p.network.started)))
+	p.network.add(c)
+	go c.readLoop()
 	return c
 }
 
-// fresh tells whether a connection can take a call. One that was quiet for a while is looked at: a peer may have gone
-// and come back while this process had no turn to notice.
-func (c *client) fresh() bool {
+// usable reports whether a connection can take a call. A connection without recent input and calls
+// is checked with a read that doesn't block: its peer may have restarted while this process did not
+// run.
+func (c *clientConn) usable() bool {
 	c.mu.Lock()
-	ok, look := c.err == nil, len(c.calls) == 0 && !c.busy
+	ok, check := c.err == nil, len(c.calls) == 0 && !c.writing
 	c.mu.Unlock()
-	if !ok || !look || time.Since(c.n.begun)-time.Duration(c.when.Load()) < c.n.o.CheckAfter || c.raw == nil {
+	if !ok || !check ||
+		time.Since(c.network.started)-time.Duration(c.lastReceived.Load()) < c.network.options.CheckAfter ||
+		c.rawConn == nil {
 		return ok
 	}
-	_ = c.raw.Control(func(fd uintptr) {
-		var b [1]byte
-		k, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		ok = k > 0 || err == unix.EAGAIN || err == unix.EINTR
+	_ = c.rawConn.Control(func(fd uintptr) {
+		var probe [1]byte
+		n, _, err := unix.Recvfrom(int(fd), probe[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		ok = n > 0 || err == unix.EAGAIN || err == unix.EINTR
 	})
 	if !ok {
 		c.fail(io.EOF, false)
@@ -271,60 +283,62 @@
 	return ok
 }
 
-func (c *client) tick() {
+// tick counts a tick without input, and sends a heartbeat or closes the connection when it is due.
+func (c *clientConn) tick() {
 	c.mu.Lock()
-	was := c.owed
-	if c.owed = len(c.calls) > 0; c.heard.Swap(false) || !c.owed || !was {
-		c.quiet = 0
+	wasAwaited := c.awaited
+	if c.awaited = len(c.calls) > 0; c.received.Swap(false) || !c.awaited || !wasAwaited {
+		c.silentTicks = 0
 		c.mu.Unlock()
 		return
 	}
-	c.quiet++
+	c.silentTicks++
 	switch {
-	case c.quiet == ticks:
-		c.say(kindHeartbeat, 0, "")
-		c.kick()
-	case c.quiet >= 2*ticks:
+	case c.silentTicks == keepaliveTicks:
+		c.enqueueControl(kindHeartbeat, 0, "")
+		c.flushAndUnlock()
+	case c.silentTicks >= 2*keepaliveTicks:
 		c.mu.Unlock()
-		c.fail(apierror.New(apierror.Unreachable, "%s gives no sign of life", c.p.addr), true)
+		c.fail(apierror.New(apierror.Unreachable, "%s did not answer a heartbeat", c.peer.addr), true)
 	default:
 		c.mu.Unlock()
 	}
 }
 
-// over ends all calls of a connection that is gone.
-func (c *client) over(err error) {
-	c.n.drop(c)
-	c.p.mu.Lock()
-	if c.p.c == c {
-		c.p.c = nil
+// failCalls fails all calls of a connection that was closed. Calls whose first frame was in no
+// successful write fail with errUnsent.
+func (c *clientConn) failCalls(err error) {
+	c.network.remove(c)
+	c.peer.mu.Lock()
+	if c.peer.conn == c {
+		c.peer.conn = nil
 	}
-	c.p.mu.Unlock()
+	c.peer.mu.Unlock()
 	c.mu.Lock()
-	m := c.calls
-	c.calls = map[uint64]*call{}
-	for _, x := range m {
-		x.err = apierror.WithCause(apierror.Unreachable, err, "the connection to %s broke", c.p.addr)
-		if x.batch > c.out {
-			x.err = errUnsent
+	pending := c.calls
+	c.calls = map[uint64]*clientCall{}
+	for _, call := range pending {
+		call.err = apierror.WithCause(apierror.Unreachable, err, "the connection to %s failed", c.peer.addr)
+		if call.firstWrite > c.lastWrite {
+			call.err = errUnsent
 		}
 	}
 	c.mu.Unlock()
-	for _, x := range m {
-		x.done <- struct{}{}
+	for _, call := range pending {
+		call.done <- struct{}{}
 	}
 }
 
-func (c *client) read() {
-	r := bufio.NewReaderSize(c.c, readBuffer)
+func (c *clientConn) readLoop() {
+	r := bufio.NewReaderSize(c.conn, readBufferBytes)
 	var f frame
-	var hs heads
+	var heads headTable
 	for {
 		err := f.read(r)
 		if err == nil {
-			c.heard.Store(true)
-			c.when.Store(int64(time.Since(c.n.begun)))
-			err = c.hear(&f, &hs)
+			c.received.Store(true)
+			c.lastReceived.Store(int64(time.Since(c.network.started)))
+			err = c.handleFrame(&f, &heads)
 		}
 		if err != nil {
 			c.fail(err, false)
@@ -333,216 +347,223 @@
 	}
 }
 
-func (c *client) hear(f *frame, hs *heads) error {
+func (c *clientConn) handleFrame(f *frame, heads *headTable) error {
 	switch f.kind {
 	case kindHead:
-		return hs.name(f)
+		return heads.define(f)
 	case kindOpen:
-		o, b, err := f.opening()
+		fields, body, err := f.parseOpen()
 		if err != nil {
 			return err
 		}
-		h, err := hs.of(o)
+		responseHead, err := heads.lookup(fields)
 		if err != nil {
 			return err
 		}
-		return c.answered(f, h, b, o.room())
+		return c.addResponse(f, responseHead, body, fields.initialCapacity())
 	case kindData:
-		return c.answered(f, nil, f.body, 0)
+		return c.addResponse(f, nil, f.body, 0)
 	case kindAbort:
 		c.mu.Lock()
-		x := c.calls[f.id]
-		c.end(x)
+		call := c.calls[f.id]
+		c.removeCall(call)
 		c.mu.Unlock()
-		if x != nil {
-			x.err = apierror.New(apierror.Unreachable, "%s gave no answer: %s", c.p.addr, f.body)
-			x.done <- struct{}{}
+		if call != nil {
+			call.err = apierror.New(apierror.Unreachable, "%s aborted the call: %s", c.peer.addr, f.body)
+			call.done <- struct{}{}
 		}
 		return nil
 	case kindEcho:
 		return nil
 	}
-	return broken("a frame of kind %d from the side that answers", f.kind)
+	return protocolError("unexpected frame kind %d in a response stream", f.kind)
 }
 
-func (c *client) answered(f *frame, h *head, b []byte, room int) error {
+// addResponse adds body to the response of a call, and ends the call when it is complete.
+// responseHead is nil for all frames but the first.
+func (c *clientConn) addResponse(f *frame, responseHead *head, body []byte, capacity int) error {
 	c.mu.Lock()
-	x := c.calls[f.id]
-	if x == nil {
+	call := c.calls[f.id]
+	if call == nil {
 		c.mu.Unlock()
 		return nil
 	}
-	if h != nil {
-		x.answer = h
+	if responseHead != nil {
+		call.responseHead = responseHead
 	}
 	switch {
-	case x.answer == nil:
+	case call.responseHead == nil:
 		c.mu.Unlock()
-		return broken("an answer without its head")
-	case len(x.got)+len(b) > mostBody:
+		return protocolError("a response has no head")
+	case len(call.responseBody)+len(body) > maxBodyBytes:
 		c.mu.Unlock()
-		return broken("an answer of more than %d bytes", mostBody)
-	case x.got == nil && !f.more:
-		x.got = f.kept(b)
-	case x.got == nil:
-		x.got = append(make([]byte, 0, room), b...)
+		return protocolError("a response has more than %d bytes", maxBodyBytes)
+	case call.responseBody == nil && !f.more:
+		call.responseBody = f.stableBytes(body)
+	case call.responseBody == nil:
+		call.responseBody = append(make([]byte, 0, capacity), body...)
 	default:
-		x.got = append(x.got, b...)
+		call.responseBody = append(call.responseBody, body...)
 	}
 	if f.more {
 		c.mu.Unlock()
 		return nil
 	}
-	c.end(x)
+	c.removeCall(call)
 	c.mu.Unlock()
-	x.done <- struct{}{}
+	call.done <- struct{}{}
 	return nil
 }
 
-// end takes a call out; the lock is held.
-func (c *client) end(x *call) {
-	if x != nil {
-		c.forget(&x.parcel)
-		delete(c.calls, x.id)
-		c.crowd = len(c.calls)
+// removeCall removes a call, which may be nil, from the connection. The caller holds mu.
+func (c *clientConn) removeCall(call *clientCall) {
+	if call != nil {
+		c.dequeue(&call.message)
+		delete(c.calls, call.id)
+		c.callCount = len(c.calls)
 	}
 }
 
-func (c *client) do(ctx context.Context, x *call) error {
+// roundTrip sends a call and waits for its response or the end of ctx, which cancels the call at
+// the peer.
+func (c *clientConn) roundTrip(ctx context.Context, call *clientCall) error {
 	c.mu.Lock()
-	c.last++
-	x.id, x.at, x.big, x.dropped, x.answer, x.got, x.err = c.last, 0, false, false, nil, nil, nil
-	if err := c.queue(&x.parcel); err != nil {
+	c.lastID++
+	call.id, call.offset, call.isLong, call.dropped,
+		call.responseHead, call.responseBody, call.err = c.lastID, 0, false, false, nil, nil, nil
+	if err := c.enqueue(&call.message); err != nil {
 		c.mu.Unlock()
 		return err
 	}
-	c.calls[x.id], c.used = x, true
-	c.crowd = len(c.calls)
-	c.kick()
-	c.n.wait(1)
-	defer c.n.wait(-1)
+	c.calls[call.id], c.used = call, true
+	c.callCount = len(c.calls)
+	c.flushAndUnlock()
+	c.network.addPending(1)
+	defer c.network.addPending(-1)
 	select {
-	case <-x.done:
-		return x.err
+	case <-call.done:
+		return call.err
 	case <-ctx.Done():
 	}
 	c.mu.Lock()
-	if c.calls[x.id] != x {
+	if c.calls[call.id] != call {
 		c.mu.Unlock()
-		<-x.done
-		return x.err
+		<-call.done
+		return call.err
 	}
-	sent := x.batch != math.MaxUint64
-	c.end(x)
+	sent := call.firstWrite != math.MaxUint64
+	c.removeCall(call)
 	if sent {
-		c.say(kindCancel, x.id, "")
-		c.kick()
+		c.enqueueControl(kindCancel, call.id, "")
+		c.flushAndUnlock()
 	} else {
 		c.mu.Unlock()
 	}
 	return ctx.Err()
 }
 
-// Do carries a task to the peer whose address the URL has, and its answer back. Failures are of
-// kind Unreachable or those of the context.
-func (n *Network) Do(r *http.Request) (*http.Response, error) {
-	ctx := r.Context()
+// Do sends a request to the peer at the URL's address and returns its response. A call that failed
+// unsent is retried once. Errors are Unreachable, Oversize, Internal or those of the context.
+func (n *Network) Do(request *http.Request) (*http.Response, error) {
+	ctx := request.Context()
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	x := calls.Get().(*call)
+	call := callPool.Get().(*clientCall)
 	defer func() {
-		x.answer, x.got, x.head = nil, nil, nil
-		if cap(x.body) > bufferMost {
-			x.body = nil
+		call.responseHead, call.responseBody, call.head = nil, nil, nil
+		if cap(call.body) > maxPooledBufferBytes {
+			call.body = nil
 		}
-		calls.Put(x)
+		callPool.Put(call)
 	}()
-	if err := x.load(r, n.o.Headers); err != nil {
+	if err := call.load(request, n.options.Headers); err != nil {
 		return nil, err
 	}
-	from := r.Header.Get(n.o.FromHeader)
-	p := n.peer(r.URL.Host)
-	for again := false; ; again = true {
-		c, err := p.get(ctx, from)
+	from := request.Header.Get(n.options.FromHeader)
+	target := n.peer(request.URL.Host)
+	for retried := false; ; retried = true {
+		conn, err := target.connect(ctx, from)
 		if err == nil {
-			err = c.do(ctx, x)
+			err = conn.roundTrip(ctx, call)
 		}
 		switch {
-		case err == errUnsent && !again:
+		case err == errUnsent && !retried:
 			continue
 		case err != nil:
 			return nil, err
 		}
-		return x.response(r)
+		return call.response(request)
 	}
 }
 
-// load puts a request into a call: its path and headers, the time it may take, its body.
-func (x *call) load(r *http.Request, names []string) error {
-	x.kind, x.wait = kindOpen, 0
-	x.head = appendPiece(x.heads[:0], r.URL.Path)
-	x.head = appendHeaders(x.head, r.Header, names)
-	if len(x.head) > mostHead {
-		return apierror.New(apierror.Oversize, "headers of %d bytes", len(x.head))
+// load copies the path, headers, timeout and body of a request into a call.
+func (c *clientCall) load(request *http.Request, names []string) error {
+	c.kind, c.timeoutMS = kindOpen, 0
+	c.head = appendPrefixed(c.headBuffer[:0], request.URL.Path)
+	c.head = appendHeaders(c.head, request.Header, names)
+	if len(c.head) > maxHeadBytes {
+		return apierror.New(apierror.Oversize, "request headers have %d bytes", len(c.head))
 	}
-	if t := r.Header[timeout]; len(t) == 1 {
-		x.wait, _ = strconv.ParseUint(t[0], 10, 63)
+	if values := request.Header[timeoutHeader]; len(values) == 1 {
+		c.timeoutMS, _ = strconv.ParseUint(values[0], 10, 63)
 	}
-	x.body = x.body[:0]
-	if r.Body == nil || r.ContentLength == 0 {
+	c.body = c.body[:0]
+	if request.Body == nil || request.ContentLength == 0 {
 		return nil
 	}
-	defer func() { _ = r.Body.Close() }()
-	if r.ContentLength > mostBody {
-		return apierror.New(apierror.Oversize, "a task of %d bytes", r.ContentLength)
+	defer func() { _ = request.Body.Close() }()
+	if request.ContentLength > maxBodyBytes {
+		return apierror.New(apierror.Oversize, "the request has %d bytes", request.ContentLength)
 	}
-	if n := int(r.ContentLength); n > 0 {
-		if cap(x.body) < n {
-			x.body = make([]byte, n)
+	if length := int(request.ContentLength); length > 0 {
+		if cap(c.body) < length {
+			c.body = make([]byte, length)
 		}
-		x.body = x.body[:n]
-		_, err := io.ReadFull(r.Body, x.body)
-		return apierror.Wrap(apierror.Internal, err, "the body of a task")
+		c.body = c.body[:length]
+		_, err := io.ReadFull(request.Body, c.body)
+		return apierror.Wrap(apierror.Internal, err, "read the request body")
 	}
-	b, err := io.ReadAll(io.LimitReader(r.Body, mostBody+1))
-	if x.body = b; len(b) > mostBody {
-		return apierror.New(apierror.Oversize, "a task of more than %d bytes", mostBody)
+	content, err := io.ReadAll(io.LimitReader(request.Body, maxBodyBytes+1))
+	if c.body = content; len(content) > maxBodyBytes {
+		return apierror.New(apierror.Oversize, "the request has more than %d bytes", maxBodyBytes)
 	}
-	return apierror.Wrap(apierror.Internal, err, "the body of a task")
+	return apierror.Wrap(apierror.Internal, err, "read the request body")
 }
 
-func appendHeaders(b []byte, h http.Header, names []string) []byte {
-	for _, n := range names {
-		if v := h[n]; len(v) == 1 {
-			b = appendPiece(appendPiece(b, n), v[0])
+func appendHeaders(b []byte, header http.Header, names []string) []byte {
+	for _, name := range names {
+		if values := header[name]; len(values) == 1 {
+			b = appendPrefixed(appendPrefixed(b, name), values[0])
 		}
 	}
 	return b
 }
 
-func (h *head) header(room int) http.Header {
-	m := make(http.Header, len(h.pairs)/2+room)
+func (h *head) header(extra int) http.Header {
+	header := make(http.Header, len(h.pairs)/2+extra)
 	for i := 0; i < len(h.pairs); i += 2 {
-		m[h.pairs[i]] = h.pairs[i+1 : i+2 : i+2]
+		header[h.pairs[i]] = h.pairs[i+1 : i+2 : i+2]
 	}
-	return m
+	return header
 }
 
-type body struct{ bytes.Reader }
+type bodyReader struct{ bytes.Reader }
 
 // Close does nothing.
-func (*body) Close() error { return nil }
+func (*bodyReader) Close() error { return nil }
 
-func (x *call) response(r *http.Request) (*http.Response, error) {
-	st, err := strconv.Atoi(x.answer.first)
+func (c *clientCall) response(request *http.Request) (*http.Response, error) {
+	status, err := strconv.Atoi(c.responseHead.pathOrStatus)
 	if err != nil {
-		return nil, apierror.WithCause(apierror.Unreachable, err, "an answer of status %q", x.answer.first)
+		return nil, apierror.WithCause(
+			apierror.Unreachable, err, "the response has status %q", c.responseHead.pathOrStatus,
+		)
 	}
-	b := &body{}
-	b.Reset(x.got)
+	content := &bodyReader{}
+	content.Reset(c.responseBody)
 	return &http.Response{
-		Status: x.answer.first, StatusCode: st, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		Header: x.answer.header(0), Body: b, ContentLength: int64(len(x.got)), Request: r,
+		Status: c.responseHead.pathOrStatus, StatusCode: status, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
+		Header: c.responseHead.header(0), Body: content, ContentLength: int64(len(c.responseBody)), Request: request,
 	}, nil
 }
--- a/internal/wire/mux/server.go
+++ b/internal/wire/mux/server.go
@@ -19,423 +19,433 @@
 )
 
 const (
-	mostCalls  = 4 << 10
-	mostIdle   = 4
-	pauseShare = 64
-	probes     = 3
+	maxCalls         = 4 << 10
+	maxIdleWorkers   = 4
+	acceptPauseShare = 64
+	keepaliveProbes  = 3
 )
 
-// Server answers the calls that peers send over their connections.
+// Server handles the calls that peers send over their connections.
 type Server struct {
-	o    Options
-	h    http.Handler
-	ctx  context.Context
-	stop func()
-	work chan *serving
-	idle atomic.Int64
+	options     Options
+	handler     http.Handler
+	ctx         context.Context
+	cancel      func()
+	work        chan *serverCall
+	idleWorkers atomic.Int64
 
-	mu     sync.Mutex
-	closed bool
-	m      map[*served]struct{}
-	ls     []net.Listener
+	mu          sync.Mutex // guards the fields below
+	closed      bool
+	connections map[*serverConn]struct{}
+	listeners   []net.Listener
 }
 
-// NewServer makes a server that calls a handler.
-func NewServer(h http.Handler, o Options) *Server {
-	s := &Server{o: o, h: h, work: make(chan *serving), m: map[*served]struct{}{}}
-	s.ctx, s.stop = context.WithCancel(context.Background())
+// NewServer returns a server that calls a handler.
+func NewServer(handler http.Handler, options Options) *Server {
+	s := &Server{
+		options: options, handler: handler, work: make(chan *serverCall),
+		connections: map[*serverConn]struct{}{},
+	}
+	s.ctx, s.cancel = context.WithCancel(context.Background())
 	return s
 }
 
-// Serve answers calls that come to a listener. It gives nil after Close, else the cause why nothing comes any more.
-func (s *Server) Serve(l net.Listener) error {
+// Serve accepts connections on a listener and handles their calls. It returns nil after Close, else
+// the error that ended it.
+func (s *Server) Serve(listener net.Listener) error {
 	s.mu.Lock()
-	s.ls = append(s.ls, l)
+	s.listeners = append(s.listeners, listener)
 	s.mu.Unlock()
-	for !s.over() {
-		nc, err := l.Accept()
+	for !s.isClosed() {
+		conn, err := listener.Accept()
 		switch {
 		case err == nil:
-			go s.serve(nc)
-		case s.over():
+			go s.serve(conn)
+		case s.isClosed():
 		case errors.Is(err, net.ErrClosed):
-			return apierror.Wrap(apierror.Internal, err, "accept on %s", l.Addr())
+			return apierror.Wrap(apierror.Internal, err, "accept on %s", listener.Addr())
 		default:
-			_ = clock.Real{}.Sleep(s.ctx, s.o.KeepaliveAfter/pauseShare)
+			_ = clock.Real{}.Sleep(s.ctx, s.options.KeepaliveAfter/acceptPauseShare)
 		}
 	}
-	return apierror.Wrap(apierror.Internal, shut(l), "close %s", l.Addr())
+	return apierror.Wrap(apierror.Internal, closeListener(listener), "close %s", listener.Addr())
 }
 
-func (s *Server) over() bool {
+func (s *Server) isClosed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.closed
 }
 
-func shut(l net.Listener) error {
-	if err := l.Close(); !errors.Is(err, net.ErrClosed) {
+func closeListener(listener net.Listener) error {
+	if err := listener.Close(); !errors.Is(err, net.ErrClosed) {
 		return err
 	}
 	return nil
 }
 
-// Shutdown is Close: calls between nodes are not waited for.
+// Shutdown calls Close. It doesn't wait for calls between nodes.
 func (s *Server) Shutdown(context.Context) error { return s.Close() }
 
-// Close closes the listener and all connections; the contexts of calls under way end, each after
-// its connection, so that what a handler says of its end is no answer.
+// Close closes the listeners and all connections. The context of a call in flight ends after its
+// connection, so that a handler's error about the end of its context is not sent as a response.
 func (s *Server) Close() error {
-	defer s.stop()
+	defer s.cancel()
 	s.mu.Lock()
 	s.closed = true
-	ls := s.ls
-	cs := make([]*served, 0, len(s.m))
-	for c := range s.m {
-		cs = append(cs, c)
+	listeners := s.listeners
+	connections := make([]*serverConn, 0, len(s.connections))
+	for c := range s.connections {
+		connections = append(connections, c)
 	}
 	s.mu.Unlock()
 	var err error
-	for _, l := range ls {
-		err = errors.Join(err, shut(l))
+	for _, l := range listeners {
+		err = errors.Join(err, closeListener(l))
 	}
-	for _, c := range cs {
+	for _, c := range connections {
 		c.fail(errClosed, false)
 	}
 	return apierror.Wrap(apierror.Internal, err, "close")
 }
 
-// served is this side's end of a connection that a peer opened.
-type served struct {
-	link
-	s     *Server
-	ctx   context.Context
-	stop  func()
-	calls map[uint64]*serving
-	parts int
+// serverConn is the end of a connection that a peer opened. partialBytes is the size of the request
+// bodies that are not complete.
+type serverConn struct {
+	muxConn
+	server       *Server
+	ctx          context.Context
+	cancel       func()
+	calls        map[uint64]*serverCall
+	partialBytes int
 }
 
-// serving is a call that is answered, or whose task is still coming in.
-type serving struct {
-	parcel
-	c     *served
-	ctx   context.Context
-	stop  func()
-	h     *handled
-	parts []byte
-	begun bool
+// serverCall is a call that is being handled, or whose request is not complete yet.
+type serverCall struct {
+	message
+	conn        *serverConn
+	ctx         context.Context
+	cancel      func()
+	requestHead *serverHead
+	requestBody []byte
+	started     bool
 }
 
-// handled is a head that was made ready for the handler.
-type handled struct {
+// serverHead is a request head with the URL for the handler.
+type serverHead struct {
 	*head
 	url *url.URL
 }
 
-func (s *Server) serve(nc net.Conn) {
-	c := &served{s: s, calls: map[uint64]*serving{}}
-	c.ctx, c.stop = context.WithCancel(s.ctx)
-	c.init(nc, c.over)
-	c.sent = func(p *parcel) { delete(c.calls, p.id) }
-	if t, ok := nc.(*net.TCPConn); ok {
-		_ = t.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: s.o.Idle, Interval: s.o.Unacknowledged, Count: probes})
-		_ = c.raw.Control(func(fd uintptr) { tune(fd, s.o.Timeouts) })
+func (s *Server) serve(conn net.Conn) {
+	c := &serverConn{server: s, calls: map[uint64]*serverCall{}}
+	c.ctx, c.cancel = context.WithCancel(s.ctx)
+	c.init(conn, c.onClosed)
+	c.onSent = func(msg *message) { delete(c.calls, msg.id) }
+	if tcpConn, ok := conn.(*net.TCPConn); ok {
+		_ = tcpConn.SetKeepAliveConfig(net.KeepAliveConfig{
+			Enable: true, Idle: s.options.Idle, Interval: s.options.Unacknowledged, Count: keepaliveProbes,
+		})
+		_ = c.rawConn.Control(func(fd uintptr) { setSocketOptions(fd, s.options.Timeouts) })
 	}
 	s.mu.Lock()
 	if s.closed {
 		s.mu.Unlock()
-		c.stop()
-		_ = nc.Close()
+		c.cancel()
+		_ = conn.Close()
 		return
 	}
-	s.m[c] = struct{}{}
+	s.connections[c] = struct{}{}
 	s.mu.Unlock()
-	c.fail(c.read(), false)
+	c.fail(c.readLoop(), false)
 }
 
-// hand gives a call to a goroutine that has just answered another one, as its stack has grown already, or to a new one.
-func (s *Server) hand(x *serving) {
+// dispatch passes a call to an idle worker, whose stack has already grown, or to a new goroutine.
+func (s *Server) dispatch(call *serverCall) {
 	select {
-	case s.work <- x:
+	case s.work <- call:
 	default:
-		go s.answer(x)
+		go s.runWorker(call)
 	}
 }
 
-func (s *Server) answer(x *serving) {
-	for x.c.answer(x); s.idle.Add(1) <= mostIdle; x.c.answer(x) {
-		x = nil
+// runWorker handles a call, and then others while at most maxIdleWorkers are idle.
+func (s *Server) runWorker(call *serverCall) {
+	for call.conn.respond(call); s.idleWorkers.Add(1) <= maxIdleWorkers; call.conn.respond(call) {
+		call = nil
 		select {
-		case x = <-s.work:
-			s.idle.Add(-1)
+		case call = <-s.work:
+			s.idleWorkers.Add(-1)
 		case <-s.ctx.Done():
-			s.idle.Add(-1)
+			s.idleWorkers.Add(-1)
 			return
 		}
 	}
-	s.idle.Add(-1)
+	s.idleWorkers.Add(-1)
 }
 
-// over ends the contexts of all calls of a connection that is gone.
-func (c *served) over(error) {
-	c.stop()
-	c.s.mu.Lock()
-	defer c.s.mu.Unlock()
-	delete(c.s.m, c)
+// onClosed ends the contexts of all calls of a connection that was closed.
+func (c *serverConn) onClosed(error) {
+	c.cancel()
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	delete(c.server.connections, c)
 }
 
-func (c *served) read() error {
-	r := bufio.NewReaderSize(c.c, readBuffer)
-	_ = c.c.SetReadDeadline(time.Now().Add(c.s.o.Handshake))
+func (c *serverConn) readLoop() error {
+	r := bufio.NewReaderSize(c.conn, readBufferBytes)
+	_ = c.conn.SetReadDeadline(time.Now().Add(c.server.options.Handshake))
 	if _, err := Preface(r); err != nil {
 		return err
 	}
-	_ = c.c.SetReadDeadline(time.Time{})
+	_ = c.conn.SetReadDeadline(time.Time{})
 	var f frame
-	var hs heads
-	ready := map[*head]*handled{}
+	var heads headTable
+	prepared := map[*head]*serverHead{}
 	for {
 		if err := f.read(r); err != nil {
 			return err
 		}
 		switch f.kind {
 		case kindHead:
-			if err := hs.name(&f); err != nil {
+			if err := heads.define(&f); err != nil {
 				return err
 			}
-			h := hs.m[len(hs.m)-1]
-			ready[h] = &handled{h, &url.URL{Path: h.first}}
+			defined := heads.entries[len(heads.entries)-1]
+			prepared[defined] = &serverHead{defined, &url.URL{Path: defined.pathOrStatus}}
 		case kindOpen:
-			o, b, err := f.opening()
+			fields, body, err := f.parseOpen()
 			if err != nil {
 				return err
 			}
-			h, err := hs.of(o)
+			parsed, err := heads.lookup(fields)
 			if err != nil {
 				return err
 			}
-			k := ready[h]
-			if k == nil {
-				k = &handled{h, &url.URL{Path: h.first}}
+			requestHead := prepared[parsed]
+			if requestHead == nil {
+				requestHead = &serverHead{parsed, &url.URL{Path: parsed.pathOrStatus}}
 			}
-			if err := c.open(&f, o, k, b); err != nil {
+			if err := c.openCall(&f, fields, requestHead, body); err != nil {
 				return err
 			}
 		case kindData:
-			if err := c.more(&f); err != nil {
+			if err := c.continueCall(&f); err != nil {
 				return err
 			}
 		case kindCancel:
-			c.cancel(f.id)
+			c.cancelCall(f.id)
 		case kindHeartbeat:
 			c.mu.Lock()
-			c.say(kindEcho, 0, "")
-			c.kick()
+			c.enqueueControl(kindEcho, 0, "")
+			c.flushAndUnlock()
 		default:
-			return broken("a frame of kind %d from the side that asks", f.kind)
+			return protocolError("unexpected frame kind %d in a request stream", f.kind)
 		}
 	}
 }
 
-func (c *served) open(f *frame, o opening, h *handled, b []byte) error {
-	x := &serving{c: c, h: h}
+func (c *serverConn) openCall(f *frame, fields openFields, requestHead *serverHead, body []byte) error {
+	call := &serverCall{conn: c, requestHead: requestHead}
 	if f.more {
-		x.parts = append(make([]byte, 0, o.room()), b...)
+		call.requestBody = append(make([]byte, 0, fields.initialCapacity()), body...)
 	} else {
-		x.parts = f.kept(b)
+		call.requestBody = f.stableBytes(body)
 	}
-	x.kind, x.id, x.wait = kindOpen, f.id, o.wait
+	call.kind, call.id, call.timeoutMS = kindOpen, f.id, fields.timeoutMS
 	c.mu.Lock()
 	switch {
 	case c.calls[f.id] != nil:
 		c.mu.Unlock()
-		return broken("call %d comes twice", f.id)
-	case len(c.calls) >= mostCalls:
-		c.say(kindAbort, f.id, "too many calls at a time")
-		c.kick()
+		return protocolError("call %d is opened twice", f.id)
+	case len(c.calls) >= maxCalls:
+		c.enqueueControl(kindAbort, f.id, "too many concurrent calls")
+		c.flushAndUnlock()
 		return nil
 	}
-	x.ctx, x.stop = context.WithCancel(c.ctx)
-	c.calls[f.id] = x
-	c.crowd = len(c.calls)
-	x.begun = !f.more
-	if !x.begun {
-		c.parts += len(x.parts)
+	call.ctx, call.cancel = context.WithCancel(c.ctx)
+	c.calls[f.id] = call
+	c.callCount = len(c.calls)
+	call.started = !f.more
+	if !call.started {
+		c.partialBytes += len(call.requestBody)
 	}
 	c.mu.Unlock()
-	if x.begun {
-		c.s.hand(x)
+	if call.started {
+		c.server.dispatch(call)
 	}
 	return nil
 }
 
-func (c *served) more(f *frame) error {
+func (c *serverConn) continueCall(f *frame) error {
 	c.mu.Lock()
-	x := c.calls[f.id]
-	if x == nil || x.begun {
+	call := c.calls[f.id]
+	if call == nil || call.started {
 		c.mu.Unlock()
-		if x != nil {
-			return broken("more of call %d after its end", f.id)
+		if call != nil {
+			return protocolError("data of call %d after its last frame", f.id)
 		}
 		return nil
 	}
-	if c.parts+len(f.body) > mostBody {
+	if c.partialBytes+len(f.body) > maxBodyBytes {
 		c.mu.Unlock()
-		return broken("tasks of more than %d bytes", mostBody)
+		return protocolError("incomplete requests have more than %d bytes", maxBodyBytes)
 	}
-	x.parts = append(x.parts, f.body...)
-	c.parts += len(f.body)
-	if x.begun = !f.more; x.begun {
-		c.parts -= len(x.parts)
+	call.requestBody = append(call.requestBody, f.body...)
+	c.partialBytes += len(f.body)
+	if call.started = !f.more; call.started {
+		c.partialBytes -= len(call.requestBody)
 	}
 	c.mu.Unlock()
-	if x.begun {
-		c.s.hand(x)
+	if call.started {
+		c.server.dispatch(call)
 	}
 	return nil
 }
 
-func (c *served) cancel(id uint64) {
+func (c *serverConn) cancelCall(id uint64) {
 	c.mu.Lock()
-	x := c.calls[id]
-	if x != nil {
-		c.end(x)
-		if !x.begun {
-			c.parts -= len(x.parts)
+	call := c.calls[id]
+	if call != nil {
+		c.removeCall(call)
+		if !call.started {
+			c.partialBytes -= len(call.requestBody)
 		}
 	}
 	c.mu.Unlock()
-	if x != nil {
-		x.stop()
+	if call != nil {
+		call.cancel()
 	}
 }
 
-// end takes a call out; the lock is held.
-func (c *served) end(x *serving) {
-	c.forget(&x.parcel)
-	delete(c.calls, x.id)
-	c.crowd = len(c.calls)
+// removeCall removes a call from the connection. The caller holds mu.
+func (c *serverConn) removeCall(call *serverCall) {
+	c.dequeue(&call.message)
+	delete(c.calls, call.id)
+	c.callCount = len(c.calls)
 }
 
-// writer keeps an answer in memory.
-type writer struct {
-	h      http.Header
-	status int
-	b      []byte
-	head   [256]byte
+// responseWriter buffers a response in memory.
+type responseWriter struct {
+	header     http.Header
+	status     int
+	body       []byte
+	headBuffer [256]byte
 }
 
-// Header gives the headers of the answer.
-func (w *writer) Header() http.Header { return w.h }
+// Header returns the headers of the response.
+func (w *responseWriter) Header() http.Header { return w.header }
 
-// WriteHeader sets the status once.
-func (w *writer) WriteHeader(n int) {
+// WriteHeader sets the status, once.
+func (w *responseWriter) WriteHeader(status int) {
 	if w.status == 0 {
-		w.status = n
+		w.status = status
 	}
 }
 
-// Write adds to the body.
-func (w *writer) Write(b []byte) (int, error) {
+// Write appends to the body.
+func (w *responseWriter) Write(b []byte) (int, error) {
 	w.WriteHeader(http.StatusOK)
-	w.b = append(w.b, b...)
+	w.body = append(w.body, b...)
 	return len(b), nil
 }
 
-var writers = sync.Pool{New: func() any { return &writer{h: http.Header{}} }}
+var writerPool = sync.Pool{New: func() any { return &responseWriter{header: http.Header{}} }}
 
-func (c *served) answer(x *serving) {
-	defer x.stop()
-	w := writers.Get().(*writer)
-	clear(w.h)
-	w.status, w.b = 0, w.b[:0]
-	if !c.handle(w, x) {
+// respond calls the handler and sends its response, or aborts the call when the handler panicked.
+func (c *serverConn) respond(call *serverCall) {
+	defer call.cancel()
+	w := writerPool.Get().(*responseWriter)
+	clear(w.header)
+	w.status, w.body = 0, w.body[:0]
+	if !c.handle(w, call) {
 		c.mu.Lock()
-		if !x.dropped {
-			c.end(x)
-			c.say(kindAbort, x.id, "its handler broke off")
+		if !call.dropped {
+			c.removeCall(call)
+			c.enqueueControl(kindAbort, call.id, "the handler panicked")
 		}
-		c.kick()
+		c.flushAndUnlock()
 		return
 	}
-	x.head = append(w.head[:0], 0, 0, 0, 0)[:0]
+	call.head = append(w.headBuffer[:0], 0, 0, 0, 0)[:0]
 	w.WriteHeader(http.StatusOK)
-	var t [20]byte
-	st := strconv.AppendInt(t[:0], int64(w.status), 10)
-	x.head = append(append(x.head, byte(len(st))), st...)
-	x.head = appendHeaders(x.head, w.h, c.s.o.Headers)
-	x.body, x.parts = w.b, nil
-	if c.send(x) && len(w.b) <= chunk {
-		writers.Put(w)
+	var scratch [20]byte
+	status := strconv.AppendInt(scratch[:0], int64(w.status), 10)
+	call.head = append(append(call.head, byte(len(status))), status...)
+	call.head = appendHeaders(call.head, w.header, c.server.options.Headers)
+	call.body, call.requestBody = w.body, nil
+	if c.send(call) && len(w.body) <= chunkBytes {
+		writerPool.Put(w)
 	}
 }
 
-// send queues an answer, or waits for room as long as the call has time; it tells whether nothing
-// of the answer is held any more.
-func (c *served) send(x *serving) bool {
-	var late <-chan time.Time
+// send queues a response. While the queue is full it waits for space, until the call ends or the
+// Handshake timeout passes. It reports whether the response's buffers are free for reuse.
+func (c *serverConn) send(call *serverCall) bool {
+	var expired <-chan time.Time
 	for {
 		c.mu.Lock()
-		if x.dropped || c.err != nil {
+		if call.dropped || c.err != nil {
 			c.mu.Unlock()
 			return true
 		}
-		x.wait, x.at = 0, 0
-		if err := c.queue(&x.parcel); err == nil {
-			if !x.big {
-				delete(c.calls, x.id)
+		call.timeoutMS, call.offset = 0, 0
+		if err := c.enqueue(&call.message); err == nil {
+			if !call.isLong {
+				delete(c.calls, call.id)
 			}
-			c.crowd = len(c.calls) + 1
-			c.kick()
+			c.callCount = len(c.calls) + 1
+			c.flushAndUnlock()
 			return true
 		}
-		if c.room == nil {
-			c.room = make(chan struct{})
+		if c.spaceFreed == nil {
+			c.spaceFreed = make(chan struct{})
 		}
-		room := c.room
+		spaceFreed := c.spaceFreed
 		c.mu.Unlock()
-		if late == nil {
-			t := time.NewTimer(c.s.o.Handshake)
-			defer t.Stop()
-			late = t.C
+		if expired == nil {
+			timer := time.NewTimer(c.server.options.Handshake)
+			defer timer.Stop()
+			expired = timer.C
 		}
 		select {
-		case <-room:
-		case <-x.ctx.Done():
-		case <-late:
+		case <-spaceFreed:
+		case <-call.ctx.Done():
+		case <-expired:
 			c.mu.Lock()
-			if !x.dropped {
-				c.end(x)
+			if !call.dropped {
+				c.removeCall(call)
 			}
 			c.mu.Unlock()
 			return true
 		}
-		if x.ctx.Err() != nil {
+		if call.ctx.Err() != nil {
 			return true
 		}
 	}
 }
 
-// handle calls the handler and tells whether it came to an end.
-func (c *served) handle(w http.ResponseWriter, x *serving) (ok bool) {
+// handle calls the handler and reports whether it returned.
+func (c *serverConn) handle(w http.ResponseWriter, call *serverCall) (ok bool) {
 	defer func() {
-		if v := recover(); v != nil {
+		if recovered := recover(); recovered != nil {
 			ok = false
-			if v != http.ErrAbortHandler {
-				log.Printf("lane: panic in %s: %v\n%s", x.h.first, v, debug.Stack())
+			if recovered != http.ErrAbortHandler {
+				log.Printf("mux: panic in %s: %v\n%s", call.requestHead.pathOrStatus, recovered, debug.Stack())
 			}
 		}
 	}()
-	m := x.h.header(2)
-	if x.wait > 0 {
-		m[timeout] = []string{strconv.FormatUint(x.wait, 10)}
+	header := call.requestHead.header(2)
+	if call.timeoutMS > 0 {
+		header[timeoutHeader] = []string{strconv.FormatUint(call.timeoutMS, 10)}
 	}
-	b := &body{}
-	b.Reset(x.parts)
-	r := (&http.Request{
-		Method: http.MethodPost, URL: x.h.url, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		Header: m, Body: b, ContentLength: int64(len(x.parts)), RequestURI: x.h.first,
-	}).WithContext(x.ctx)
-	c.s.h.ServeHTTP(w, r)
+	content := &bodyReader{}
+	content.Reset(call.requestBody)
+	request := (&http.Request{
+		Method: http.MethodPost, URL: call.requestHead.url, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
+		Header: header, Body: content, ContentLength: int64(len(call.requestBody)),
+		RequestURI: call.requestHead.pathOrStatus,
+	}).WithContext(call.ctx)
+	c.server.handler.ServeHTTP(w, request)
 	return true
 }
--- a/internal/wire/mux/silence_test.go
+++ b/internal/wire/mux/silence_test.go
@@ -14,129 +14,131 @@
 )
 
 func TestSilentPeer_IsGivenUp(t *testing.T) {
-	n, addr := New(patient), mute(t)
-	defer n.Close()
-	res := make(chan error)
+	network, addr := New(patientOptions), unresponsivePeer(t)
+	defer network.Close()
+	results := make(chan error)
 	for range 5 {
 		go func() {
-			_, err := ask(context.Background(), n, addr, "/x", nil)
-			res <- err
+			_, err := post(context.Background(), network, addr, "/x", nil)
+			results <- err
 		}()
 	}
-	until(func() bool { return n.under(5) })
-	for range 2 * ticks {
-		n.tick()
+	waitUntil(func() bool { return network.hasPending(5) })
+	for range 2 * keepaliveTicks {
+		network.tick()
 	}
-	assert.Assert(t, n.under(5))
-	n.tick()
+	assert.Assert(t, network.hasPending(5))
+	network.tick()
 	for range 5 {
-		err := <-res
+		err := <-results
 		assert.Assert(t, apierror.HasCode(err, apierror.Unreachable), "%v", err)
 	}
 }
 
 func TestSlowResponse_OfALivingPeerIsAwaited(t *testing.T) {
 	in, out := make(chan bool), make(chan bool)
-	f := stand(t, func(w http.ResponseWriter, r *http.Request) {
+	f := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		in <- true
 		<-out
 		echo(w, r)
 	})
-	res := make(chan error)
+	results := make(chan error)
 	go func() {
-		_, err := f.ask("/x", nil)
-		res <- err
+		_, err := f.post("/x", nil)
+		results <- err
 	}()
 	<-in
-	c := f.n.all()[0]
-	asked := 0
+	c := f.network.all()[0]
+	heartbeats := 0
 	for range 20 {
-		f.n.tick()
+		f.network.tick()
 		c.mu.Lock()
-		q := c.quiet
+		silentTicks := c.silentTicks
 		c.mu.Unlock()
-		if q == ticks {
-			asked++
-			until(c.heard.Load)
+		if silentTicks == keepaliveTicks {
+			heartbeats++
+			waitUntil(c.received.Load)
 		}
 	}
-	assert.Assert(t, asked >= 4, "asked for a sign of life %d times", asked)
+	assert.Assert(t, heartbeats >= 4, "%d heartbeats were due", heartbeats)
 	out <- true
-	assert.NilError(t, <-res)
+	assert.NilError(t, <-results)
 }
 
 func TestPeerThatDoesNotRead_IsBounded(t *testing.T) {
-	n, addr := New(patient), mute(t)
-	defer n.Close()
+	network, addr := New(patientOptions), unresponsivePeer(t)
+	defer network.Close()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	full := make(chan error)
 	big := make([]byte, 1<<20)
 	started := 0
 	for ; ; started++ {
-		assert.Assert(t, started < 3*mostBulk>>20, "nothing bounds what waits")
+		assert.Assert(t, started < 3*maxLongQueueBytes>>20, "the queue is not bounded")
 		go func() {
-			if _, err := ask(ctx, n, addr, "/x", big); err != nil && ctx.Err() == nil {
+			if _, err := post(ctx, network, addr, "/x", big); err != nil && ctx.Err() == nil {
 				full <- err
 			}
 		}()
-		if until(func() bool { return n.under(started+1) || len(n.all()) > 0 && n.stuck() }); !n.under(started + 1) {
+		if waitUntil(func() bool {
+			return network.hasPending(started+1) || len(network.all()) > 0 && network.queueIsFull()
+		}); !network.hasPending(started + 1) {
 			break
 		}
 	}
 	err := <-full
 	assert.Assert(t, apierror.HasCode(err, apierror.Unreachable), "%v", err)
-	assert.Assert(t, started >= mostBulk>>20, "only %d went", started)
-	_, err = ask(canceled(), n, addr, "/small", nil)
+	assert.Assert(t, started >= maxLongQueueBytes>>20, "only %d calls were queued", started)
+	_, err = post(canceledContext(), network, addr, "/small", nil)
 	assert.ErrorIs(t, err, context.Canceled)
 }
 
-func TestAnswersForAFellowThatDoesNotReadAreBounded(t *testing.T) {
-	var held atomic.Int64
-	f := stand(t, func(w http.ResponseWriter, _ *http.Request) {
-		held.Add(1)
+func TestAnswersForAPeerThatDoesNotReadAreBounded(t *testing.T) {
+	var handled atomic.Int64
+	f := newFixture(t, func(w http.ResponseWriter, _ *http.Request) {
+		handled.Add(1)
 		_, _ = w.Write(make([]byte, 1<<20))
 	})
-	c, err := net.Dial("tcp", f.addr)
+	conn, err := net.Dial("tcp", f.addr)
 	assert.NilError(t, err)
-	defer func() { _ = c.Close() }()
+	defer func() { _ = conn.Close() }()
 	b := AppendPreface(nil, "x")
-	h := appendPiece(nil, "/x")
-	b = append(start(b, kindHead, 1, len(h)), h...)
+	encoded := appendPrefixed(nil, "/x")
+	b = append(appendFrameHeader(b, kindHead, 1, len(encoded)), encoded...)
 	const asked = 64
 	for k := range asked {
-		b = append(start(b, kindOpen, uint64(k+1), 2), 1, 0)
+		b = append(appendFrameHeader(b, kindOpen, uint64(k+1), 2), 1, 0)
 	}
-	_, err = c.Write(b)
+	_, err = conn.Write(b)
 	assert.NilError(t, err)
-	until(func() bool { return held.Load() == asked })
-	f.s.mu.Lock()
-	for s := range f.s.m {
-		s.mu.Lock()
-		assert.Check(t, s.bulk <= mostBulk)
-		s.mu.Unlock()
+	waitUntil(func() bool { return handled.Load() == asked })
+	f.server.mu.Lock()
+	for conn := range f.server.connections {
+		conn.mu.Lock()
+		assert.Check(t, conn.longQueueBytes <= maxLongQueueBytes)
+		conn.mu.Unlock()
 	}
-	f.s.mu.Unlock()
-	r := bufio.NewReader(c)
-	var x frame
+	f.server.mu.Unlock()
+	r := bufio.NewReader(conn)
+	var received frame
 	for ends := 0; ends < asked; {
-		assert.NilError(t, x.read(r))
-		if (x.kind == kindOpen || x.kind == kindData) && !x.more {
+		assert.NilError(t, received.read(r))
+		if (received.kind == kindOpen || received.kind == kindData) && !received.more {
 			ends++
 		}
 	}
 }
 
 func TestUnusedConnectionsAreClosed(t *testing.T) {
-	f := stand(t, echo)
+	f := newFixture(t, echo)
 	for range 3 {
-		_, err := f.ask("/x", nil)
+		_, err := f.post("/x", nil)
 		assert.NilError(t, err)
-		f.n.sweep()
-		assert.Equal(t, len(f.n.all()), 1)
-		until(func() bool {
-			f.n.sweep()
-			return len(f.n.all()) == 0
+		f.network.closeIdle()
+		assert.Equal(t, len(f.network.all()), 1)
+		waitUntil(func() bool {
+			f.network.closeIdle()
+			return len(f.network.all()) == 0
 		})
 	}
 }
--- a/tools/mutations/wire-mux.sh
+++ b/tools/mutations/wire-mux.sh
@@ -1,2 +1,2 @@
 # Mutants of internal/wire/mux.
-mutant unsent-only internal/wire/mux/network.go 's/case err == errUnsent && !again:/case err != nil \&\& !again:/' ./internal/wire/mux 'DoneTwice'
+mutant unsent-only internal/wire/mux/network.go 's/case err == errUnsent && !retried:/case err != nil \&\& !retried:/' ./internal/wire/mux 'DoneTwice'
