--- a/internal/command/serve/process.go
+++ b/internal/command/serve/process.go
@@ -29,7 +29,7 @@
 	defer signals.end()
 	start := &retrier{clock: clock.Real{}, timing: timing, log: log, stop: signals.stop}
 
-	env := node.Environment{Clock: clock.Real{}, Net: wire.Real(timing)}
+	env := node.Environment{Clock: clock.Real{}, Net: wire.NewNetwork(timing)}
 	if nodeSettings.Disk != settings.DiskNone {
 		disk, closeDisk, err := openDisk(start, nodeSettings.DataDir, log)
 		if err != nil {
@@ -89,7 +89,7 @@
 	listeners := append([]Listener{
 		{
 			Setting: "fellow_listen", Address: nodeSettings.PeerListen,
-			NewServer: func(n *node.Node) Server { return wire.Server(n.PeerHandler(), timing) },
+			NewServer: func(n *node.Node) Server { return wire.NewServer(n.PeerHandler(), timing) },
 		},
 		{
 			Setting: "listen", Address: nodeSettings.Listen,
--- a/internal/failuredetector/ping.go
+++ b/internal/failuredetector/ping.go
@@ -37,7 +37,7 @@
 func (d *Detector) recordPing(ctx context.Context, node string, watched *target, result pingResult) (retry bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if result.err != nil && wire.TurnedAway(result.err) && ctx.Err() == nil {
+	if result.err != nil && wire.RefusedOrReset(result.err) && ctx.Err() == nil {
 		if result.isRetry || watched.refused == 0 {
 			watched.refused++
 		}
@@ -48,7 +48,7 @@
 		}
 	}
 	watched.pingsInFlight--
-	if wire.Spoke(result.err) {
+	if wire.PeerResponded(result.err) {
 		watched.missed, watched.refused, watched.failure = 0, 0, ""
 		faded := watched.latency - watched.latency/latencyDecayDivisor
 		watched.latency = max(result.latency, faded)
--- a/internal/nodelease/server_peers.go
+++ b/internal/nodelease/server_peers.go
@@ -115,7 +115,7 @@
 		callCtx, cancel := context.WithTimeout(ctx, s.Timing.CallTimeout())
 		response, err := membership.Sessions.Call(callCtx, s.Net, s.Self, address, request)
 		cancel()
-		rejected := wire.TurnedAway(err)
+		rejected := wire.RefusedOrReset(err)
 		switch {
 		case err == nil:
 			s.peerAnswered(address)
--- a/internal/testing/fleet/relay_test.go
+++ b/internal/testing/fleet/relay_test.go
@@ -31,7 +31,7 @@
 	})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	s, n, r := wire.Server(m, b), wire.Real(b), newRelay(apart)
+	s, n, r := wire.NewServer(m, b), wire.NewNetwork(b), newRelay(apart)
 	go func() { _ = s.Serve(l) }()
 	addr, err := r.serve("b", "z2", l.Addr().String())
 	assert.NilError(t, err)
--- a/internal/wire/away.go
+++ b/internal/wire/away.go
@@ -12,9 +12,10 @@
 
 var away = []error{syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EPIPE, io.EOF, io.ErrUnexpectedEOF}
 
-// TurnedAway tells whether a call failed since the other side's port refused or reset it: the
-// machine is there, the process is not, or broke the connection off. Silence is something else.
-func TurnedAway(err error) bool {
+// RefusedOrReset reports whether a call failed because the peer's port refused or reset the
+// connection: the machine is up, but the process is not, or it closed the connection. A peer that
+// doesn't respond is another case.
+func RefusedOrReset(err error) bool {
 	for _, e := range away {
 		if errors.Is(err, e) {
 			return true
@@ -23,8 +24,9 @@
 	return false
 }
 
-// Spoke tells whether the other side answered at all, if only that it does not know the call, as an older build does.
-func Spoke(err error) bool {
+// PeerResponded reports whether the peer responded at all. An older build that doesn't know the
+// procedure has responded too.
+func PeerResponded(err error) bool {
 	return err == nil || apierror.From(err).Code != apierror.Unreachable ||
 		connect.CodeOf(err) == connect.CodeUnimplemented
 }
--- a/internal/wire/lane_bench_test.go
+++ b/internal/wire/lane_bench_test.go
@@ -66,9 +66,9 @@
 	m := http.NewServeMux()
 	poll.Handle(m, func(_ context.Context, q *asked) (*asked, error) { return q, nil })
 	l := hear(b)
-	s := wire.Server(m, settings.DefaultTiming)
+	s := wire.NewServer(m, settings.DefaultTiming)
 	go func() { _ = s.Serve(l) }()
-	n := wire.Real(settings.DefaultTiming)
+	n := wire.NewNetwork(settings.DefaultTiming)
 	b.Cleanup(func() {
 		n.Close()
 		_ = s.Close()
--- a/internal/wire/real.go
+++ b/internal/wire/real.go
@@ -32,7 +32,7 @@
 }
 
 // Real reaches peers over TCP, with one connection to each.
-func Real(b settings.Timing) *mux.Network { return mux.New(lanes(b)) }
+func NewNetwork(b settings.Timing) *mux.Network { return mux.New(lanes(b)) }
 
 // Server answers the peers that come to the listener that it is given.
-func Server(h http.Handler, b settings.Timing) *mux.Server { return mux.NewServer(h, lanes(b)) }
+func NewServer(h http.Handler, b settings.Timing) *mux.Server { return mux.NewServer(h, lanes(b)) }
