--- a/internal/disk/frame/frame.go
+++ b/internal/disk/frame/frame.go
@@ -41,11 +41,11 @@
 	binary.LittleEndian.PutUint64(b[24:], frame.Epoch)
 	binary.LittleEndian.PutUint64(b[32:], frame.Offset)
 	copy(b[Size:], frame.Body)
-	return Seal(b)
+	return WriteChecksum(b)
 }
 
 // Seal writes the checksum of a packed frame.
-func Seal(b []byte) []byte {
+func WriteChecksum(b []byte) []byte {
 	binary.LittleEndian.PutUint32(b, crc32.Checksum(b[4:], castagnoli))
 	return b
 }
--- a/internal/disk/memlog/memlog.go
+++ b/internal/disk/memlog/memlog.go
@@ -79,7 +79,7 @@
 }
 
 // Rot flips one bit in a record, counted from the last one back.
-func (d *Disk) Rot(back int) bool {
+func (d *Disk) CorruptRecord(back int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	at := len(d.records) - 1 - back
--- a/internal/disk/walog/walog_test.go
+++ b/internal/disk/walog/walog_test.go
@@ -158,7 +158,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, n, 3)
 	assert.Equal(t, bad, 0)
-	assert.Assert(t, d.Rot(1))
+	assert.Assert(t, d.CorruptRecord(1))
 	_, bad, err = j.Scrub(ctx)
 	assert.Assert(t, apierror.HasCode(err, apierror.DiskDamaged), "%v", err)
 	assert.Equal(t, bad, 1)
@@ -202,7 +202,7 @@
 	assert.NilError(t, err)
 	f := frame.Encode(frame.Frame{Kind: kind, Index: 1, Body: []byte("x")})
 	f[6] = frame.Format + 1
-	assert.NilError(t, l.Write(1, [][]byte{frame.Seal(f)}))
+	assert.NilError(t, l.Write(1, [][]byte{frame.WriteChecksum(f)}))
 	assert.NilError(t, l.Sync())
 	_, _, err = journal.Open(l, clock.Real{}, nil, nil)
 	assert.Assert(t, apierror.HasCode(err, apierror.DiskNewer), "%v", err)
--- a/internal/partitionlog/replica/replica_test.go
+++ b/internal/partitionlog/replica/replica_test.go
@@ -173,7 +173,7 @@
 		assert.NilError(t, err)
 		f := frame.Encode(frame.Frame{Kind: recordtype.Entry, Index: e.Offset, Epoch: 1, Offset: e.Offset, Body: b})
 		f[6] = 1
-		rs = append(rs, frame.Seal(f))
+		rs = append(rs, frame.WriteChecksum(f))
 	}
 	assert.NilError(t, d.Write(1, rs))
 	assert.NilError(t, d.Sync())
