--- a/internal/apierror/catalogue.go
+++ b/internal/apierror/catalogue.go
@@ -60,7 +60,7 @@
 	ReplayDiffers      Code = "replay_differs"
 	Usage              Code = "usage"
 	Stopped            Code = "stopped"
-	StillHeld          Code = "still_held"
+	ResourceInUse      Code = "still_held"
 	Internal           Code = "internal"
 )
 
@@ -165,7 +165,7 @@
 	RecordingInvalid:   {400, 0, "Use an undamaged recording of this format."},
 	ReplayDiffers:      {409, 0, "The lines received differ from the recording; the report names the first."},
 	Usage:              {400, 0, "See postjunction help."},
-	StillHeld: {
+	ResourceInUse: {
 		503, 500 * time.Millisecond,
 		"Another process holds the port or folder; end it, or name another one in the settings.",
 	},
--- a/internal/command/serve/datadir.go
+++ b/internal/command/serve/datadir.go
@@ -37,7 +37,7 @@
 }
 
 // lockDir makes the directory if needed and locks it; the function returned releases the lock. It
-// returns StillHeld while another process has it.
+// returns ResourceInUse while another process has it.
 func lockDir(dir string) (func(), error) {
 	if err := os.MkdirAll(dir, 0o750); err != nil {
 		return nil, dirError(err, dir)
@@ -48,7 +48,7 @@
 	}
 	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		_ = file.Close()
-		return nil, apierror.Wrap(apierror.StillHeld, err, "data folder %s is in use by another process", dir)
+		return nil, apierror.Wrap(apierror.ResourceInUse, err, "data folder %s is in use by another process", dir)
 	}
 	return func() { _ = file.Close() }, nil
 }
--- a/internal/command/serve/listener.go
+++ b/internal/command/serve/listener.go
@@ -22,7 +22,7 @@
 	apiFraction = 16
 )
 
-// open opens the listener's port. It returns StillHeld while another process has it, else
+// open opens the listener's port. It returns ResourceInUse while another process has it, else
 // SettingsInvalid.
 func (l Listener) open() (net.Listener, error) {
 	config := net.ListenConfig{}
@@ -31,7 +31,7 @@
 	}
 	port, err := config.Listen(context.Background(), "tcp", l.Address)
 	if errors.Is(err, syscall.EADDRINUSE) {
-		return nil, apierror.Wrap(apierror.StillHeld, err, "%s %s", l.Setting, l.Address)
+		return nil, apierror.Wrap(apierror.ResourceInUse, err, "%s %s", l.Setting, l.Address)
 	}
 	return port, apierror.Wrap(apierror.SettingsInvalid, err, "%s %s", l.Setting, l.Address)
 }
--- a/internal/command/serve/process_test.go
+++ b/internal/command/serve/process_test.go
@@ -113,7 +113,7 @@
 	l := newLogBuffer()
 	done := make(chan error, 1)
 	go func() { done <- Run([]string{"-options", testSettings(t, as, "")}, l) }()
-	l.await(t, event.StartWaits, 1)
+	l.await(t, event.StartDelayed, 1)
 	assert.NilError(t, other.Close())
 	l.await(t, event.Listening, 1)
 	assert.NilError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
@@ -124,7 +124,7 @@
 // does; what can't pass does at once.
 func TestRetry(t *testing.T) {
 	for code, want := range map[apierror.Code]time.Duration{
-		apierror.StillHeld: settings.DefaultTiming.Recovery, apierror.DiskFull: time.Hour,
+		apierror.ResourceInUse: settings.DefaultTiming.Recovery, apierror.DiskFull: time.Hour,
 		apierror.DiskFailed: time.Hour, apierror.SettingsInvalid: 0, apierror.DiskForeign: 0,
 	} {
 		t.Run(string(code), func(t *testing.T) {
--- a/internal/command/serve/retry.go
+++ b/internal/command/serve/retry.go
@@ -39,7 +39,7 @@
 		}
 		if text := err.Error(); text != logged {
 			logged = text
-			r.log.Log(event.StartWaits, "problem", err)
+			r.log.Log(event.StartDelayed, "problem", err)
 		}
 		clock.Wait(context.Background(), r.clock, r.timing.MaxBackoff(), r.stop, nil)
 		select {
@@ -56,5 +56,5 @@
 	if retriedForever[code] {
 		return true
 	}
-	return code == apierror.StillHeld && r.clock.Now().Sub(begun) <= r.timing.Recovery
+	return code == apierror.ResourceInUse && r.clock.Now().Sub(begun) <= r.timing.Recovery
 }
--- a/internal/control/reconfigurer/reconfigurer.go
+++ b/internal/control/reconfigurer/reconfigurer.go
@@ -107,7 +107,7 @@
 	}
 	if text := err.Error(); text != r.lastBootstrapError {
 		r.lastBootstrapError = text
-		r.Log.Log(event.BootstrapWaits, "problem", err)
+		r.Log.Log(event.BootstrapPending, "problem", err)
 	}
 }
 
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -30,7 +30,7 @@
 	SettingsReloaded = entry(104, hclog.Info, "settings file changed: applied")
 	SettingsRejected = entry(105, hclog.Warn, "settings file changed: turned away, nothing applied")
 	ServeFailed      = entry(106, hclog.Error, "serving failed")
-	StartWaits       = entry(107, hclog.Warn, "start waits for something that may pass by itself")
+	StartDelayed     = entry(107, hclog.Warn, "start waits for something that may pass by itself")
 
 	DiskNew     = entry(200, hclog.Info, "disk has a new incarnation")
 	DiskOpened  = entry(201, hclog.Info, "journal opened")
@@ -39,9 +39,9 @@
 		203, hclog.Error,
 		"journal was damaged before its last synced point; set aside, the disk joins as a new one",
 	)
-	DiskFailed = entry(204, hclog.Warn, "disk did not take a write")
-	DiskHealed = entry(205, hclog.Info, "disk takes writes again")
-	ScrubBad   = entry(206, hclog.Error, "a record on disk was damaged; the journal was rewritten from memory")
+	DiskFailed    = entry(204, hclog.Warn, "disk did not take a write")
+	DiskRecovered = entry(205, hclog.Info, "disk takes writes again")
+	ScrubDamaged  = entry(206, hclog.Error, "a record on disk was damaged; the journal was rewritten from memory")
 
 	Joined            = entry(300, hclog.Info, "session opened with a control node")
 	SessionMoved      = entry(301, hclog.Warn, "session lost, looking for another control node")
@@ -50,9 +50,9 @@
 	ClientsRedirected = entry(
 		304, hclog.Warn, "those who decide are not reached; visitors are sent to fellows that reach them",
 	)
-	ClientsStay          = entry(305, hclog.Info, "those who decide are reached again; visitors may stay")
+	RedirectEnded        = entry(305, hclog.Info, "those who decide are reached again; visitors may stay")
 	Bootstrapped         = entry(310, hclog.Info, "fleet founded")
-	BootstrapWaits       = entry(311, hclog.Info, "fleet not founded yet")
+	BootstrapPending     = entry(311, hclog.Info, "fleet not founded yet")
 	VoterSetActivated    = entry(312, hclog.Info, "roster of voters in force")
 	VoterSetChange       = entry(313, hclog.Warn, "roster of voters is being changed")
 	VoterSetChangeFailed = entry(314, hclog.Warn, "roster change did not finish")
@@ -60,23 +60,23 @@
 	ConfigurationUpdated  = entry(400, hclog.Info, "description taken up")
 	ConfigurationAccepted = entry(401, hclog.Info, "description accepted from an operator")
 	ConfigurationFault    = entry(402, hclog.Warn, "description turned away")
-	LanesKept             = entry(
+	LanesUnchanged        = entry(
 		403, hclog.Info, "topics stand in the lane where their lines were, not in the one asked for",
 	)
 
-	LeaderRecovering = entry(500, hclog.Info, "taking a partition over")
-	LeaderOpen       = entry(501, hclog.Info, "partition open")
-	LeaderLost       = entry(502, hclog.Info, "partition given up")
-	LeaderStepFailed = entry(503, hclog.Warn, "step of a partition's owner is being tried again")
-	LeaderDiskFailed = entry(504, hclog.Warn, "owner's disk did not take entries")
-	LeaderRenewed    = entry(505, hclog.Info, "asking for a new epoch after a restart")
-	OrphanPartition  = entry(506, hclog.Info, "dropped a partition that the record places elsewhere")
-	Inherited        = entry(509, hclog.Warn, "took a partition of a machine that is gone")
-	RepairFound      = entry(507, hclog.Warn, "sweep mended control keys that were old on some disk")
-	RepairSwept      = entry(508, hclog.Debug, "sweep read the journal through")
-	ReaderNoted      = entry(510, hclog.Debug, "a node is noted as a reader of messages under keys")
-	ReaderGivenUp    = entry(511, hclog.Warn, "a reader was not heard for too long; withdrawals no longer wait for it")
-	TombstonesFull   = entry(512, hclog.Warn, "as many withdrawals stand as may; no more are taken")
+	LeaderRecovering   = entry(500, hclog.Info, "taking a partition over")
+	LeaderOpen         = entry(501, hclog.Info, "partition open")
+	LeaderLost         = entry(502, hclog.Info, "partition given up")
+	LeaderStepFailed   = entry(503, hclog.Warn, "step of a partition's owner is being tried again")
+	LeaderDiskFailed   = entry(504, hclog.Warn, "owner's disk did not take entries")
+	EpochRenewed       = entry(505, hclog.Info, "asking for a new epoch after a restart")
+	OrphanPartition    = entry(506, hclog.Info, "dropped a partition that the record places elsewhere")
+	PartitionTakenOver = entry(509, hclog.Warn, "took a partition of a machine that is gone")
+	RepairFound        = entry(507, hclog.Warn, "sweep mended control keys that were old on some disk")
+	RepairSwept        = entry(508, hclog.Debug, "sweep read the journal through")
+	ReaderNoted        = entry(510, hclog.Debug, "a node is noted as a reader of messages under keys")
+	ReaderGivenUp      = entry(511, hclog.Warn, "a reader was not heard for too long; withdrawals no longer wait for it")
+	TombstonesFull     = entry(512, hclog.Warn, "as many withdrawals stand as may; no more are taken")
 
 	ControllerStarted     = entry(600, hclog.Info, "holding the placement duty")
 	ControllerStopped     = entry(601, hclog.Info, "placement duty held elsewhere")
--- a/internal/node/disk.go
+++ b/internal/node/disk.go
@@ -97,7 +97,7 @@
 			continue
 		}
 		if n.setDiskHealth("") {
-			n.log.Log(event.DiskHealed)
+			n.log.Log(event.DiskRecovered)
 		}
 		if clk.Now().Sub(lastScrub) > timing.SweepInterval() {
 			lastScrub = clk.Now()
@@ -137,7 +137,7 @@
 func (n *Node) scrub(ctx context.Context) {
 	records, damaged, err := n.journal.Scrub(ctx)
 	if damaged > 0 {
-		n.log.Log(event.ScrubBad, "records", records, "damaged", damaged, "problem", err)
+		n.log.Log(event.ScrubDamaged, "records", records, "damaged", damaged, "problem", err)
 	} else {
 		n.log.Log(event.RepairSwept, "records", records)
 	}
--- a/internal/node/leaders/failover.go
+++ b/internal/node/leaders/failover.go
@@ -85,7 +85,7 @@
 	value, err := m.Client.Change(callCtx, key, record.Version, registerclient.NewChangeID(), next.Marshal())
 	if err == nil {
 		next.Version = value.Version
-		m.Log.Log(event.Inherited, "partition", record.Partition, "epoch", next.Epoch,
+		m.Log.Log(event.PartitionTakenOver, "partition", record.Partition, "epoch", next.Epoch,
 			"from", record.Leader, "reason", reason)
 		m.Broadcast(ctx, next)
 		return
--- a/internal/node/leaders/records.go
+++ b/internal/node/leaders/records.go
@@ -50,7 +50,7 @@
 // Renew asks for a new epoch, since this disk was used with the record's in an earlier run, and
 // reports whether it got one.
 func (m *Manager) Renew(ctx context.Context, used assignment.Record) bool {
-	m.Log.Log(event.LeaderRenewed, "partition", used.Partition, "epoch", used.Epoch)
+	m.Log.Log(event.EpochRenewed, "partition", used.Partition, "epoch", used.Epoch)
 	return m.Change(ctx, used.Partition, used.Epoch, func(record assignment.Record) (assignment.Record, bool) {
 		next := record.Next(m.Self, record.Replicas, "the owner came back on its machine", m.Clock.Now())
 		return next, record.Leader == m.Self
--- a/internal/node/wiring.go
+++ b/internal/node/wiring.go
@@ -194,7 +194,7 @@
 	if len(targets) > 0 {
 		n.log.Log(event.ClientsRedirected, "clients", n.Sessions.Count(), "peers", len(targets))
 	} else {
-		n.log.Log(event.ClientsStay)
+		n.log.Log(event.RedirectEnded)
 	}
 	n.Sessions.Redirect(targets)
 }
--- a/internal/operator/configuration.go
+++ b/internal/operator/configuration.go
@@ -84,7 +84,7 @@
 	}
 	s.Log.Log(event.ConfigurationAccepted, "sequence", acceptance.Sequence)
 	if kept := acceptance.KeptLanes; len(kept) > 0 {
-		s.Log.Log(event.LanesKept, "sequence", acceptance.Sequence,
+		s.Log.Log(event.LanesUnchanged, "sequence", acceptance.Sequence,
 			"prefixes", len(kept), "first", kept[0].Prefix, "urgent", kept[0].Urgent)
 	}
 	return acceptance, nil
