--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -9,15 +9,15 @@
 	"postjunction/internal/apierror"
 )
 
-const mostNested = 64
+const maxNestedLevels = 64
 
 var (
-	encode = must(cbor.EncOptions{
+	encMode = must(cbor.EncOptions{
 		Time:      cbor.TimeRFC3339Nano,
 		OmitEmpty: cbor.OmitEmptyGoValue,
 	}.UserBufferEncMode())
-	decode = must(cbor.DecOptions{
-		MaxNestedLevels:   mostNested,
+	decMode = must(cbor.DecOptions{
+		MaxNestedLevels:   maxNestedLevels,
 		MaxArrayElements:  math.MaxInt32,
 		MaxMapPairs:       math.MaxInt32,
 		UTF8:              cbor.UTF8DecodeInvalid,
@@ -25,11 +25,11 @@
 	}.DecMode())
 )
 
-func must[T any](v T, err error) T {
+func must[T any](value T, err error) T {
 	if err != nil {
 		panic(apierror.Wrap(apierror.Internal, err, "codec"))
 	}
-	return v
+	return value
 }
 
 type codec struct{}
@@ -39,15 +39,15 @@
 func (c codec) Marshal(v any) ([]byte, error) { return c.MarshalAppend(nil, v) }
 
 func (codec) MarshalAppend(b []byte, v any) ([]byte, error) {
-	w := bytes.NewBuffer(b)
-	err := encode.MarshalToBuffer(v, w)
-	return w.Bytes(), err
+	buffer := bytes.NewBuffer(b)
+	err := encMode.MarshalToBuffer(v, buffer)
+	return buffer.Bytes(), err
 }
 
-func (codec) Unmarshal(b []byte, v any) error { return decode.Unmarshal(b, v) }
+func (codec) Unmarshal(b []byte, v any) error { return decMode.Unmarshal(b, v) }
 
-// Marshal gives a task or an answer as it stands between nodes.
+// Marshal encodes a request or response in the format used between nodes.
 func Marshal(v any) ([]byte, error) { return codec{}.MarshalAppend(nil, v) }
 
-// Unmarshal reads a task or an answer as it stands between nodes.
+// Unmarshal decodes a request or response in the format used between nodes.
 func Unmarshal(b []byte, v any) error { return codec{}.Unmarshal(b, v) }
--- a/internal/wire/export_test.go
+++ b/internal/wire/export_test.go
@@ -1,4 +1,4 @@
 package wire
 
-// Codec is the codec between nodes.
+// Codec exports codec for tests.
 type Codec = codec
--- /dev/null
+++ b/internal/wire/network.go
@@ -0,0 +1,40 @@
+package wire
+
+import (
+	"net/http"
+	"time"
+
+	"postjunction/internal/settings"
+	"postjunction/internal/wire/mux"
+)
+
+func milliseconds(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
+
+const (
+	dialTimeoutShare = 3
+	keepaliveShare   = 2
+	checkShare       = 16
+)
+
+func muxOptions(timing settings.Timing) mux.Options {
+	return mux.Options{
+		Timeouts: mux.Timeouts{
+			Dial:           timing.CallTimeout() / dialTimeoutShare,
+			CheckAfter:     timing.SessionTimeout() / checkShare,
+			KeepaliveAfter: max(timing.SessionTimeout()/keepaliveShare, timing.LongPoll()),
+			Unacknowledged: timing.SessionTimeout() / keepaliveShare,
+			Idle:           timing.Keeping,
+			Handshake:      timing.Recovery,
+		},
+		Headers:    []string{"Content-Type", "Content-Encoding", "Connect-Protocol-Version", versionHeader, fromHeader},
+		FromHeader: fromHeader,
+	}
+}
+
+// NewNetwork returns a network that reaches peers over TCP, with one connection to each.
+func NewNetwork(timing settings.Timing) *mux.Network { return mux.New(muxOptions(timing)) }
+
+// NewServer returns a server for the calls of peers.
+func NewServer(handler http.Handler, timing settings.Timing) *mux.Server {
+	return mux.NewServer(handler, muxOptions(timing))
+}
--- a/internal/wire/away.go
+++ b/internal/wire/peererror.go
@@ -10,13 +10,13 @@
 	"postjunction/internal/apierror"
 )
 
-var away = []error{syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EPIPE, io.EOF, io.ErrUnexpectedEOF}
+var connectionErrors = []error{syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EPIPE, io.EOF, io.ErrUnexpectedEOF}
 
 // RefusedOrReset reports whether a call failed because the peer's port refused or reset the
 // connection: the machine is up, but the process is not, or it closed the connection. A peer that
 // doesn't respond is another case.
 func RefusedOrReset(err error) bool {
-	for _, e := range away {
+	for _, e := range connectionErrors {
 		if errors.Is(err, e) {
 			return true
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire carries calls between nodes: connect-go with plain structs as CBOR.
+// Package wire is the RPC layer between nodes: connect-go with plain structs, encoded as CBOR.
 package wire
 
 import (
@@ -14,56 +14,57 @@
 	"postjunction/internal/apierror"
 )
 
-// FormatVersion is the number of the wire format; a node turns away what is newer.
+// FormatVersion is the version of the wire format. A node rejects calls of newer versions.
 const FormatVersion = 2
 
 const (
-	sequenceHeader = "Postjunction-Wire"
-	fromHeader     = "Postjunction-From"
+	versionHeader = "Postjunction-Wire"
+	fromHeader    = "Postjunction-From"
 )
 
-// Network gives the means to reach a peer's address.
+// Network sends requests to the addresses of peers.
 type Network interface {
 	connect.HTTPClient
 }
 
-// Envelope is the envelope of every answer.
+// Envelope is the envelope of every response: a body, or the error of the call.
 type Envelope[T any] struct {
 	Body    *T              `json:"b,omitempty"`
 	Problem *apierror.Error `json:"p,omitempty"`
 }
 
-// Procedure names a call and its types.
+// Procedure is a remote procedure with its path and types.
 type Procedure[Q, A any] struct {
-	Path   string
-	client sync.Map
+	Path    string
+	clients sync.Map
 }
 
-// Idempotency says why a call may be made again when the outcome of the first one is not known.
-// There is no kind for calls that may not: a new call has to be one of these.
+// Idempotency says why a call may be retried when its outcome is unknown. There is no kind for
+// calls that may not: a new procedure has to be one of these.
 type Idempotency string
 
-// The kinds of Repeat.
+// The kinds of Idempotency.
 const (
-	// ReadOnly is of calls that change nothing.
+	// ReadOnly is for calls that change nothing.
 	ReadOnly Idempotency = "reads"
-	// Monotonic is of calls whose task has an epoch, a number or a place that only rises: done again,
-	// or late, it changes nothing that is newer.
+	// Monotonic is for calls whose request has an epoch, a number or a position that only rises. A
+	// repeated or late one changes nothing that is newer.
 	Monotonic Idempotency = "ordered"
-	// Deduplicated is of calls whose task has a name or number of its own that the receiver remembers,
-	// so that it is done once.
+	// Deduplicated is for calls whose request has a unique name or number that the receiver
+	// remembers, so that it is applied once.
 	Deduplicated Idempotency = "numbered"
 )
 
-// NewProcedure makes a procedure. It may be repeated for the given kind of reason; how says what that rests on.
-func NewProcedure[Q, A any](part, verb string, repeat Idempotency, how string) *Procedure[Q, A] {
-	p := &Procedure[Q, A]{Path: "/postjunction." + part + "/" + verb}
-	shapes = append(shapes, ProcedureInfo{Path: p.Path, Request: reflect.TypeFor[Q](),
-		Response: reflect.TypeFor[A](), Idempotency: repeat, Reason: how})
-	return p
+// NewProcedure registers and returns a procedure. idempotency says why its calls may be retried,
+// and reason says what ensures that.
+func NewProcedure[Q, A any](part, verb string, idempotency Idempotency, reason string) *Procedure[Q, A] {
+	procedure := &Procedure[Q, A]{Path: "/postjunction." + part + "/" + verb}
+	procedures = append(procedures, ProcedureInfo{Path: procedure.Path, Request: reflect.TypeFor[Q](),
+		Response: reflect.TypeFor[A](), Idempotency: idempotency, Reason: reason})
+	return procedure
 }
 
-// ProcedureInfo is a procedure's path and types, and why it may be repeated.
+// ProcedureInfo is the path and types of a procedure, and why its calls may be retried.
 type ProcedureInfo struct {
 	Path              string
 	Request, Response reflect.Type
@@ -71,56 +72,61 @@
 	Reason            string
 }
 
-var shapes []ProcedureInfo
+var procedures []ProcedureInfo
 
-// Procedures gives all procedures that this program names; procedures are named while packages start.
-func Procedures() []ProcedureInfo { return shapes }
+// Procedures returns all procedures of this program. Packages register them at initialization.
+func Procedures() []ProcedureInfo { return procedures }
 
-type key struct {
-	net  Network
-	addr string
+type clientKey struct {
+	network Network
+	addr    string
 }
 
-// Call calls a peer. A failure of the path between is Unreachable: the outcome is not known.
-func (p *Procedure[Q, A]) Call(ctx context.Context, n Network, from, addr string, q *Q) (*A, error) {
-	k := key{n, addr}
-	v, ok := p.client.Load(k)
+// Call calls the procedure at a peer. A failure of the transport is Unreachable: the outcome of the
+// call is unknown.
+func (p *Procedure[Q, A]) Call(ctx context.Context, network Network, from, addr string, request *Q) (*A, error) {
+	key := clientKey{network, addr}
+	client, ok := p.clients.Load(key)
 	if !ok {
-		v, _ = p.client.LoadOrStore(k, connect.NewClient[Q, Envelope[A]](n, "http://"+addr+p.Path,
+		client, _ = p.clients.LoadOrStore(key, connect.NewClient[Q, Envelope[A]](network, "http://"+addr+p.Path,
 			connect.WithCodec(codec{}), connect.WithAcceptCompression("gzip", nil, nil)))
 	}
-	r := connect.NewRequest(q)
-	r.Header().Set(sequenceHeader, strconv.Itoa(FormatVersion))
-	r.Header().Set(fromHeader, from)
-	a, err := v.(*connect.Client[Q, Envelope[A]]).CallUnary(ctx, r)
+	connectRequest := connect.NewRequest(request)
+	connectRequest.Header().Set(versionHeader, strconv.Itoa(FormatVersion))
+	connectRequest.Header().Set(fromHeader, from)
+	response, err := client.(*connect.Client[Q, Envelope[A]]).CallUnary(ctx, connectRequest)
 	if err != nil {
 		return nil, apierror.Wrap(apierror.Unreachable, err, "%s at %s", p.Path, addr)
 	}
-	if a.Msg.Problem != nil {
-		return nil, a.Msg.Problem.WithRetryAfter(ms(a.Msg.Problem.RetryAfterMS))
+	if response.Msg.Problem != nil {
+		return nil, response.Msg.Problem.WithRetryAfter(milliseconds(response.Msg.Problem.RetryAfterMS))
 	}
-	if a.Msg.Body == nil {
-		return nil, apierror.New(apierror.Unreachable, "%s at %s gave an empty answer", p.Path, addr)
+	if response.Msg.Body == nil {
+		return nil, apierror.New(apierror.Unreachable, "%s at %s returned an empty response", p.Path, addr)
 	}
-	return a.Msg.Body, nil
+	return response.Msg.Body, nil
 }
 
-// Handle serves a procedure.
-func (p *Procedure[Q, A]) Handle(m *http.ServeMux, f func(context.Context, *Q) (*A, error)) {
-	m.Handle(p.Path, connect.NewUnaryHandler(p.Path,
-		func(ctx context.Context, r *connect.Request[Q]) (*connect.Response[Envelope[A]], error) {
-			if n, err := strconv.Atoi(r.Header().Get(sequenceHeader)); err != nil || n > FormatVersion {
-				return connect.NewResponse(&Envelope[A]{Problem: apierror.New(apierror.WireNewer,
-					"wire sequence %q, this build knows %d", r.Header().Get(sequenceHeader), FormatVersion)}), nil
+// Handle registers f as the procedure's handler on mux.
+func (p *Procedure[Q, A]) Handle(mux *http.ServeMux, handler func(context.Context, *Q) (*A, error)) {
+	mux.Handle(p.Path, connect.NewUnaryHandler(p.Path,
+		func(ctx context.Context, request *connect.Request[Q]) (*connect.Response[Envelope[A]], error) {
+			if version, err := strconv.Atoi(request.Header().Get(versionHeader)); err != nil ||
+				version > FormatVersion {
+				return connect.NewResponse(&Envelope[A]{Problem: apierror.New(
+					apierror.WireNewer, "wire sequence %q, this build knows %d",
+					request.Header().Get(versionHeader), FormatVersion,
+				)}), nil
 			}
-			a, err := f(ctx, r.Msg)
+			response, err := handler(ctx, request.Msg)
 			if err != nil {
-				q := apierror.From(err)
-				if q.Code == apierror.Internal && (errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)) {
-					q = apierror.New(apierror.Unreachable, "the call ended before its answer")
+				problem := apierror.From(err)
+				if problem.Code == apierror.Internal &&
+					(errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)) {
+					problem = apierror.New(apierror.Unreachable, "the call ended before its response")
 				}
-				return connect.NewResponse(&Envelope[A]{Problem: q}), nil
+				return connect.NewResponse(&Envelope[A]{Problem: problem}), nil
 			}
-			return connect.NewResponse(&Envelope[A]{Body: a}), nil
+			return connect.NewResponse(&Envelope[A]{Body: response}), nil
 		}, connect.WithCodec(codec{}), connect.WithCompression("gzip", nil, nil)))
 }
