--- a/internal/apierror/catalogue.go
+++ b/internal/apierror/catalogue.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// The codes, by the part that raises them.
+// The codes, by the component that returns them.
 const (
 	Malformed         Code = "malformed"
 	DocumentFaulty    Code = "document_faulty"
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -1,4 +1,4 @@
-// Package usage exports what topics were used for, as CSV or Parquet with a schema.
+// Package usage exports the use of topics, as CSV or Parquet with a schema.
 package usage
 
 import (
@@ -12,7 +12,7 @@
 	"postjunction/internal/apierror"
 )
 
-// Row is the use of one topic since the fleet was founded.
+// Row is the use of one topic since the fleet was bootstrapped.
 type Row struct {
 	Space      string `json:"space" parquet:"space"`
 	Topic      string `json:"topic" parquet:"topic"`
@@ -33,10 +33,10 @@
 var Schema = []Field{
 	{"space", "string", "space of the topic"},
 	{"topic", "string", "topic without its space"},
-	{"partition", "integer", "partition that the topic's line stands in"},
-	{"messages", "integer", "messages taken since the fleet was founded"},
-	{"senders", "integer", "visitors that sent at least one"},
-	{"last_offset", "integer", "place of the last message in the partition's ledger"},
+	{"partition", "integer", "partition that contains the topic's log"},
+	{"messages", "integer", "messages accepted since the fleet was bootstrapped"},
+	{"senders", "integer", "clients that sent at least one"},
+	{"last_offset", "integer", "offset of the last message in the partition's log"},
 }
 
 func (r Row) cells() []string {
@@ -47,27 +47,27 @@
 }
 
 func writeCSV(w io.Writer, rows []Row) error {
-	c := csv.NewWriter(w)
-	var head []string
-	for _, f := range Schema {
-		head = append(head, f.Name)
+	writer := csv.NewWriter(w)
+	var header []string
+	for _, field := range Schema {
+		header = append(header, field.Name)
 	}
-	if err := c.Write(head); err != nil {
+	if err := writer.Write(header); err != nil {
 		return err
 	}
-	for _, r := range rows {
-		if err := c.Write(r.cells()); err != nil {
+	for _, row := range rows {
+		if err := writer.Write(row.cells()); err != nil {
 			return err
 		}
 	}
-	c.Flush()
-	return c.Error()
+	writer.Flush()
+	return writer.Error()
 }
 
 func writeSchema(w io.Writer, _ []Row) error {
-	e := json.NewEncoder(w)
-	e.SetIndent("", "  ")
-	return e.Encode(map[string]any{"fields": Schema})
+	encoder := json.NewEncoder(w)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(map[string]any{"fields": Schema})
 }
 
 var formats = map[string]func(io.Writer, []Row) error{
@@ -76,11 +76,12 @@
 	"schema":  writeSchema,
 }
 
-// Write writes rows in a format: csv, parquet (which holds its schema), or schema (that of the CSV, as JSON).
+// Write writes rows in a format: csv, parquet (which contains its schema), or schema (that of the
+// CSV, as JSON).
 func Write(w io.Writer, format string, rows []Row) error {
-	f, ok := formats[format]
+	write, ok := formats[format]
 	if !ok {
 		return apierror.New(apierror.Usage, "format must be csv, parquet or schema, is %q", format)
 	}
-	return apierror.Wrap(apierror.Usage, f(w, rows), "write usage as %s", format)
+	return apierror.Wrap(apierror.Usage, write(w, rows), "write usage as %s", format)
 }
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -24,9 +24,9 @@
 	assert.NilError(t, err)
 	assert.DeepEqual(t, got, rows)
 	assert.ErrorContains(t, Write(&b, "xml", rows), `must be csv, parquet or schema, is "xml"`)
-	typ := reflect.TypeFor[Row]()
-	assert.Equal(t, typ.NumField(), len(Schema))
-	for i, f := range Schema {
-		assert.Equal(t, typ.Field(i).Tag.Get("parquet"), f.Name)
+	rowType := reflect.TypeFor[Row]()
+	assert.Equal(t, rowType.NumField(), len(Schema))
+	for i, field := range Schema {
+		assert.Equal(t, rowType.Field(i).Tag.Get("parquet"), field.Name)
 	}
 }
