--- a/internal/disk/frame/frame.go
+++ b/internal/disk/frame/frame.go
@@ -8,8 +8,8 @@
 	"postjunction/internal/apierror"
 )
 
-// Format is the sequence number of the disk format: 1 had bodies in JSON, 2 has the ledger's in
-// CBOR, and writes it anew in slices.
+// Format is the version of the disk format. Version 1 had all bodies in JSON. Version 2 has those
+// of the partition log in CBOR, and compacts it in slices.
 const Format = 2
 
 // Size is the length of the header.
@@ -17,8 +17,8 @@
 
 const magic = 0x706a
 
-// Frame is one record: its kind, its place in its line, the last index synced when it was written,
-// and its body.
+// Frame is one record: its kind, its index in the journal, the last index synced when it was
+// written, its epoch and offset in the log that it belongs to, and its body.
 type Frame struct {
 	Kind        uint16
 	Index       uint64
@@ -44,13 +44,13 @@
 	return WriteChecksum(b)
 }
 
-// Seal writes the checksum of a packed frame.
+// WriteChecksum writes the checksum of an encoded frame into it.
 func WriteChecksum(b []byte) []byte {
 	binary.LittleEndian.PutUint32(b, crc32.Checksum(b[4:], castagnoli))
 	return b
 }
 
-// Decode reads a frame and checks its sum, its format and its index.
+// Decode decodes a frame and checks its checksum, its format and its index.
 func Decode(index uint64, b []byte) (Frame, error) {
 	if len(b) < Size {
 		return Frame{}, apierror.New(
@@ -77,7 +77,7 @@
 		Body:        b[Size:],
 	}
 	if frame.Index != index {
-		return Frame{}, apierror.New(apierror.DiskDamaged, "record %d says that it is %d", index, frame.Index)
+		return Frame{}, apierror.New(apierror.DiskDamaged, "record %d has index %d in its header", index, frame.Index)
 	}
 	return frame, nil
 }
--- a/internal/disk/identity/identity.go
+++ b/internal/disk/identity/identity.go
@@ -1,5 +1,5 @@
-// Package identity is the first record of a disk: whose it is, and the random name of this
-// incarnation.
+// Package identity stores the identity of a disk as its first record: the node and fleet that it
+// belongs to, and the random name of this incarnation.
 package identity
 
 import (
@@ -21,7 +21,7 @@
 	Fleet       string `json:"fleet,omitempty"`
 }
 
-// Part keeps the identity in the journal.
+// Part stores the identity in the journal.
 type Part struct {
 	mu sync.Mutex // guards id
 	id Identity
@@ -64,7 +64,7 @@
 
 const incarnationBytes = 8
 
-// Claim names a new disk; it reports whether the disk was new.
+// Claim gives a new disk its identity. It reports whether the disk was new.
 func (p *Part) Claim(ctx context.Context, j *journal.Journal, node string) (bool, error) {
 	if p.Get().Incarnation != "" {
 		return false, nil
@@ -81,7 +81,7 @@
 	p.id = id
 }
 
-// Join notes the fleet that the disk is of; a disk of another fleet is rejected.
+// Join records the fleet that the disk belongs to. A disk of another fleet is rejected.
 func (p *Part) Join(ctx context.Context, j *journal.Journal, fleet string) error {
 	id := p.Get()
 	if id.Fleet == fleet {
--- a/internal/disk/journal/compact.go
+++ b/internal/disk/journal/compact.go
@@ -5,14 +5,14 @@
 )
 
 const (
-	minCompactRecords = 4096 // a log below it is not compacted for its records
+	minCompactRecords = 4096 // a log with fewer is not compacted for its number of records
 	compactGrowth     = 4    // compact once there are that many records for each live one
 	maxSkipped        = 16   // urgent writes in a row without a slice
 )
 
-// Slice returns some of a part's live records as they are now, and whether more are to come.
-// Restored after all that the log held when it was accepted, a slice changes nothing; restored after
-// only what the log got since the compaction began, all slices make the part complete.
+// Slice returns some of a part's live records as they are now, and whether more are to come. A
+// slice that is restored after all earlier records of the log changes nothing. All slices together,
+// after the records written since the compaction began, restore the part completely.
 type Slice func() (records []Record, more bool)
 
 // EncodeAll makes one slice of all records.
@@ -20,8 +20,8 @@
 	return []Slice{func() ([]Record, bool) { return dump(), false }}
 }
 
-// compaction is a compaction under way: one slice at a time, along with what others put. The front
-// of the log, all before from, is cut off once all slices are written.
+// compaction is a compaction in progress. Its slices are written one at a time, along with the puts
+// of others. The front of the log, all before from, is truncated once all slices are written.
 type compaction struct {
 	from       uint64
 	usedBefore int64
@@ -29,7 +29,8 @@
 	waiters    []chan error
 }
 
-// shouldCompact reports whether a compaction pays. What lives is counted only when it looks so.
+// shouldCompact reports whether a compaction is worth its writes. Live records are counted only
+// when it looks so by the last count.
 func (j *Journal) shouldCompact() bool {
 	if !j.hasGrown() {
 		return false
@@ -48,7 +49,7 @@
 }
 
 // hasGrown reports whether the log has grown enough since the last compaction, by the last count of
-// what lives.
+// live records.
 func (j *Journal) hasGrown() bool {
 	return j.nextIndex-j.compactedTo > max(minCompactRecords, compactGrowth*j.liveRecords) || j.space.hasGrown()
 }
@@ -89,8 +90,8 @@
 	return nil
 }
 
-// sliceWithPuts returns a slice to be written with what others put: it costs no sync of its own.
-// Urgent puts go alone, but only maxSkipped times in a row.
+// sliceWithPuts returns a slice to be written along with puts, so that it costs no sync of its own.
+// Urgent puts are written alone, but only maxSkipped times in a row.
 func (j *Journal) sliceWithPuts(urgent bool) []Record {
 	if j.skipped++; urgent && j.skipped < maxSkipped {
 		return nil
@@ -99,7 +100,7 @@
 	return j.nextSlice()
 }
 
-// idleStep does what is done while nobody waits, and reports whether there may be more of it.
+// idleStep does one step of the work for times without puts, and reports whether there may be more.
 func (j *Journal) idleStep() bool {
 	if j.compaction != nil {
 		j.compactStep()
@@ -122,7 +123,7 @@
 	j.finishCompaction()
 }
 
-// finishCompaction cuts off the front of the log once every slice is written.
+// finishCompaction truncates the front of the log once every slice is written.
 func (j *Journal) finishCompaction() {
 	current := j.compaction
 	if current == nil || len(current.slices) > 0 {
--- a/internal/disk/journal/journal.go
+++ b/internal/disk/journal/journal.go
@@ -1,18 +1,18 @@
 // Package journal groups records from many writers into few syncs on one log, and compacts that log
-// from the state of the parts that the records are about.
+// from the state of the parts that the records belong to.
 //
-// What must stay true:
+// Invariants:
 //   - Put returns nil only after its records were synced, and apply functions run in the order of
 //     the log.
-//   - Nothing that was synced is lost: a torn tail is cut only past the last synced record, a
-//     damaged log is set aside whole, and the front of the log is cut only after a compaction was
-//     synced to its end.
+//   - Nothing that was synced is lost: a torn tail is truncated only after the last synced record,
+//     a damaged log is set aside whole, and the front of the log is truncated only after a whole
+//     compaction was synced.
 //   - Urgent puts never share a write with routine ones.
 //
 // The journal owns the log; parts own their state. One goroutine, Run, does all writes, syncs and
 // compactions and calls the parts. Put, PutIn, Probe and Scrub may be called by any goroutine and
-// block until it answers or their context ends; the lock is held for short steps only, never over
-// I/O.
+// block until it answers or their context ends. The mutex is locked for short steps only, never
+// during I/O.
 package journal
 
 import (
@@ -31,7 +31,7 @@
 	probeBytes = 4096
 )
 
-// Record is a record to be written: its type, the epoch and offset that it is about, and its
+// Record is a record to be written: its type, the epoch and offset that it belongs to, and its
 // encoded body.
 type Record struct {
 	Kind   uint16
@@ -40,10 +40,10 @@
 	Body   []byte
 }
 
-// Part is a component whose state the journal keeps. It restores records at open, reports how many
-// of them live and, at most, how many bytes their bodies have, and returns the live ones in slices
-// when the log is compacted. The journal calls it from Open and from the goroutine of Run; what
-// puts change it learns from their apply functions.
+// Part is a component whose state the journal persists. It restores records at open. It reports how
+// many of them are live, and an upper bound of the bytes of their bodies. It returns the live ones
+// in slices when the log is compacted. The journal calls it from Open and from the goroutine of
+// Run. A part learns of changes by puts from their apply functions.
 type Part interface {
 	Restore(r Record) error
 	LiveSize() (records int, bytes int64)
@@ -58,8 +58,8 @@
 	Failures    uint64 `json:"Failures"`
 }
 
-// Report says what was found when the journal was opened: how many records, how many torn ones were
-// cut off, and whether the log was set aside as damaged, and why.
+// Report is what was found when the journal was opened: how many records, how many torn ones were
+// truncated, and whether the log was set aside as damaged, and why.
 type Report struct {
 	Records uint64
 	Torn    uint64
@@ -67,24 +67,24 @@
 	Cause   error
 }
 
-// put is records of one writer. apply runs once they are durable, after whatever came of them.
+// put is the records of one writer. apply runs once they are durable, afterApply in any case.
 type put struct {
-	records []Record
-	apply   func()
-	after   func()
-	done    chan error
+	records    []Record
+	apply      func()
+	afterApply func()
+	done       chan error
 }
 
-// finish ends the put: its turn is over, then its writer learns the result.
+// finish ends the put: it runs afterApply, then passes the result to the writer.
 func (p put) finish(err error) {
-	if p.after != nil {
-		p.after()
+	if p.afterApply != nil {
+		p.afterApply()
 	}
 	p.done <- err
 }
 
-// Journal is one log with one writer, the goroutine of Run. Fields without a lock are used by Open
-// and that goroutine only.
+// Journal is one log with one writer, the goroutine of Run. Fields that mu does not guard are used
+// by Open and that goroutine only.
 type Journal struct {
 	log         Log
 	clock       clock.Clock
@@ -94,13 +94,13 @@
 
 	nextIndex   uint64 // of the next record
 	synced      uint64 // the last index that is durable
-	compactedTo uint64 // the last index before what the last compaction left
+	compactedTo uint64 // the last index before the records that the last compaction left
 	liveRecords uint64 // at the last count
 	space       space
 	compaction  *compaction // nil when none is under way
 	skipped     int         // urgent writes in a row without a slice of the compaction
 
-	// mu guards the fields below; it is never held over a call to the log or to a part.
+	// mu guards the fields below. It is never locked during a call to the log or to a part.
 	mu          sync.Mutex
 	queues      [2][]put // urgent, routine
 	scrubs      []*scrub
@@ -110,10 +110,10 @@
 	closed      bool
 }
 
-// Open reads the log back into its parts, by the types of record they keep. A torn tail past the
-// last synced record is cut; damage before it sets the whole log aside, so that the node comes back
-// as a new disk. Errors are apierror.DiskNewer and DiskForeign for logs of others, and those of the
-// log and the parts.
+// Open reads the log back into its parts, by the types of record that they store. A torn tail after
+// the last synced record is truncated. Damage before it sets the whole log aside, so that the node
+// starts with a new disk. Errors are apierror.DiskNewer for a log of a newer build, DiskForeign for
+// one of another program, and those of the log and the parts.
 func Open(log Log, clk clock.Clock, partsByType map[uint16]Part, parts []Part) (*Journal, Report, error) {
 	j := &Journal{log: log, clock: clk, partsByType: partsByType, parts: parts, wake: make(chan struct{}, 1)}
 	report, err := j.restore()
@@ -138,21 +138,21 @@
 	}
 }
 
-// stop rejects all that is pending.
+// stop rejects all pending puts and scrubs.
 func (j *Journal) stop() {
 	j.mu.Lock()
 	j.closed = true
 	queues := j.queues
 	j.queues = [2][]put{}
 	j.mu.Unlock()
-	gone := apierror.New(apierror.Stopped, "the journal was stopped")
-	for _, l := range queues {
-		for _, p := range l {
-			p.finish(gone)
+	stopped := apierror.New(apierror.Stopped, "the journal was stopped")
+	for _, queue := range queues {
+		for _, p := range queue {
+			p.finish(stopped)
 		}
 	}
-	j.endCompaction(gone)
-	j.failScrubs(gone)
+	j.endCompaction(stopped)
+	j.failScrubs(stopped)
 }
 
 // Put makes records durable, then runs apply in the order of the log, then returns. When ctx ends
@@ -163,12 +163,12 @@
 	return j.enqueue(ctx, put{records: records, apply: apply, done: make(chan error, 1)}, queueOf[urgent])
 }
 
-// PutIn is Put under a lock under which the records were made from the present state. The lock is
-// kept until it is known whether they stand, also where ctx ends before that: whoever has it next
-// must not go by the state before them.
-func (j *Journal) PutIn(ctx context.Context, t *keylock.Shared, urgent bool, apply func(), records ...Record) error {
+// PutIn is Put under a lock under which the records were made from the present state. The lock
+// stays locked until the outcome of the records is known, even if ctx ends before that: whoever
+// locks it next must not rely on the state before them.
+func (j *Journal) PutIn(ctx context.Context, lock *keylock.Shared, urgent bool, apply func(), records ...Record) error {
 	return j.enqueue(
-		ctx, put{records: records, apply: apply, after: t.Retain(), done: make(chan error, 1)},
+		ctx, put{records: records, apply: apply, afterApply: lock.Retain(), done: make(chan error, 1)},
 		queueOf[urgent],
 	)
 }
@@ -215,8 +215,7 @@
 	return j.failure
 }
 
-// Probe checks within limit that the disk takes a write and a sync; a sync alone succeeds on a full
-// disk.
+// Probe checks within limit that a write and a sync succeed. A sync alone succeeds on a full disk.
 func (j *Journal) Probe(ctx context.Context, limit time.Duration) error {
 	ctx, stop := context.WithTimeout(ctx, limit)
 	defer stop()
--- a/internal/disk/journal/journal_test.go
+++ b/internal/disk/journal/journal_test.go
@@ -13,7 +13,7 @@
 	"postjunction/internal/disk/memlog"
 )
 
-// slowLog is a disk whose writes wait for step, and whose reads are counted.
+// slowLog is a disk whose writes wait for step and whose reads are counted. mu guards writes.
 type slowLog struct {
 	*memlog.Disk
 	mu     sync.Mutex
@@ -27,12 +27,12 @@
 	if l.step != nil {
 		<-l.step
 	}
-	var s []string
+	var bodies []string
 	for _, r := range records {
-		s = append(s, string(r[len(r)-1:]))
+		bodies = append(bodies, string(r[len(r)-1:]))
 	}
 	l.mu.Lock()
-	l.writes = append(l.writes, s)
+	l.writes = append(l.writes, bodies)
 	l.mu.Unlock()
 	return l.Disk.Write(first, records)
 }
@@ -45,7 +45,7 @@
 	return l.Disk.Read(i)
 }
 
-func start(t *testing.T, l *slowLog) *journal.Journal {
+func startJournal(t *testing.T, l *slowLog) *journal.Journal {
 	t.Helper()
 	j, _, err := journal.Open(l, clock.Real{}, nil, nil)
 	assert.NilError(t, err)
@@ -55,16 +55,16 @@
 	return j
 }
 
-func record(s string) journal.Record { return journal.Record{Kind: 1, Body: []byte(s)} }
+func record(body string) journal.Record { return journal.Record{Kind: 1, Body: []byte(body)} }
 
-// Urgent records share neither a write nor a sync with the routine ones that came before them.
+// Urgent records share neither a write nor a sync with the routine ones that were put before them.
 func TestUrgentRecordsAreWrittenAloneAndNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &slowLog{Disk: memlog.New(), step: make(chan struct{})}
-		j := start(t, l)
+		j := startJournal(t, l)
 		var wg sync.WaitGroup
-		put := func(urgent bool, s string) {
-			wg.Go(func() { assert.Check(t, j.Put(t.Context(), urgent, nil, record(s))) })
+		put := func(urgent bool, body string) {
+			wg.Go(func() { assert.Check(t, j.Put(t.Context(), urgent, nil, record(body))) })
 		}
 		put(false, "a")
 		synctest.Wait()
@@ -83,41 +83,44 @@
 	})
 }
 
-// Reading the whole log through once held every write until it was done.
+// A scrub that read the whole log in one step blocked every write until it was done.
 func TestScrubLetsWritesThrough(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &slowLog{Disk: memlog.New()}
-		j := start(t, l)
-		const many = 3000
-		for range many / 100 {
+		j := startJournal(t, l)
+		const recordCount = 3000
+		for range recordCount / 100 {
 			var records []journal.Record
 			for range 100 {
 				records = append(records, record("r"))
 			}
 			assert.NilError(t, j.Put(t.Context(), false, nil, records...))
 		}
-		at, done := 0, make(chan struct{})
+		readsBefore, done := 0, make(chan struct{})
 		l.onRead = func(n int) {
 			if n != 10 {
 				return
 			}
 			go func() {
-				_ = j.Put(t.Context(), true, func() { at = l.reads }, record("u"))
+				_ = j.Put(t.Context(), true, func() { readsBefore = l.reads }, record("u"))
 				close(done)
 			}()
 			synctest.Wait()
 		}
-		n, bad, err := j.Scrub(t.Context())
+		count, damaged, err := j.Scrub(t.Context())
 		assert.NilError(t, err)
-		assert.Equal(t, bad, 0)
-		assert.Equal(t, n, many)
+		assert.Equal(t, damaged, 0)
+		assert.Equal(t, count, recordCount)
 		<-done
-		assert.Assert(t, at < many/2, "an urgent write waited for %d of %d reads", at, many)
+		assert.Assert(
+			t, readsBefore < recordCount/2, "an urgent write waited for %d of %d reads",
+			readsBefore, recordCount,
+		)
 	})
 }
 
-// Before its first compaction a journal took every record for dead: it wrote all of them again,
-// though none could go.
+// A journal that counted no live records before its first compaction wrote all of them again,
+// though none could be dropped.
 func TestCompaction_WaitsUntilItPays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const live = 6000
@@ -127,8 +130,8 @@
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go j.Run(ctx)
-		put := func(n int) {
-			for range n / 100 {
+		put := func(count int) {
+			for range count / 100 {
 				var records []journal.Record
 				for range 100 {
 					records = append(records, record("r"))
@@ -143,7 +146,7 @@
 		put(live)
 		assert.Equal(t, j.Counters().Compactions, uint64(0), "all of %d records live", live)
 		put(2 * live)
-		assert.Equal(t, j.Counters().Compactions, uint64(0), "a third of the records lives")
+		assert.Equal(t, j.Counters().Compactions, uint64(0), "a third of the records is live")
 		put(2 * live)
 		synctest.Wait()
 		assert.Equal(t, j.Counters().Compactions, uint64(1))
--- a/internal/disk/journal/log.go
+++ b/internal/disk/journal/log.go
@@ -16,7 +16,7 @@
 	CutFront(index uint64) error
 	// CutBack drops all records after index.
 	CutBack(index uint64) error
-	// Synced returns the last index that is known to be synced, which may be lower than what is.
+	// Synced returns the last index that is known to be synced. Later ones may be synced too.
 	Synced() uint64
 	// Reopen opens the log anew after a failure.
 	Reopen() error
--- a/internal/disk/journal/recovery.go
+++ b/internal/disk/journal/recovery.go
@@ -49,23 +49,23 @@
 	return frames, bad, last, nil
 }
 
-// unfinishedCompaction returns where a slice of a compaction begins that did not come to its end,
-// len(frames) when there is none: power was lost in it, and what it replaces still stands before
-// it.
+// unfinishedCompaction returns where an incomplete slice of a compaction begins, len(frames) when
+// there is none. Power was lost while the slice was written, and the records that it replaces are
+// still in the log before it.
 func unfinishedCompaction(frames []frame.Frame) int {
-	at := len(frames)
+	start := len(frames)
 	for i, f := range frames {
 		switch f.Kind {
 		case recordtype.CompactionBegins:
-			at = i
+			start = i
 		case recordtype.CompactionEnds:
-			at = len(frames)
+			start = len(frames)
 		}
 	}
-	return at
+	return start
 }
 
-// restore reads the log back into the parts, and cuts off what was not written completely.
+// restore reads the log back into the parts, and truncates what was not written completely.
 func (j *Journal) restore() (Report, error) {
 	frames, bad, last, err := j.scan()
 	if apierror.HasCode(err, apierror.DiskDamaged) {
@@ -80,8 +80,8 @@
 	if err != nil {
 		return Report{Cause: err}, err
 	}
-	if at := unfinishedCompaction(frames); at < len(frames) {
-		bad, frames = frames[at].Index, frames[:at]
+	if start := unfinishedCompaction(frames); start < len(frames) {
+		bad, frames = frames[start].Index, frames[:start]
 	}
 	report := Report{Records: uint64(len(frames))}
 	if bad != 0 {
--- a/internal/disk/journal/scrub.go
+++ b/internal/disk/journal/scrub.go
@@ -10,7 +10,7 @@
 // scrubSlice is how many records a scrub reads in one go.
 const scrubSlice = 64
 
-// scrub is a reading of the whole log in slices, when nothing else is to be done.
+// scrub is a check of the whole log, read in slices while there is nothing else to do.
 type scrub struct {
 	next, last       uint64
 	records, damaged int
@@ -18,22 +18,22 @@
 	done             chan error
 }
 
-// Scrub reads the whole log through, a slice at a time while nobody puts, and, when a record is
-// damaged, compacts the log from memory. It returns how many records it read, how many were
-// damaged, and the last cause; when ctx ends first the error is apierror.DiskFailed.
+// Scrub reads the whole log, a slice at a time while there are no puts. When a record is damaged it
+// compacts the log from memory. It returns how many records it read, how many were damaged, and the
+// last cause. When ctx ends first the error is apierror.DiskFailed.
 func (j *Journal) Scrub(ctx context.Context) (records, damaged int, cause error) {
-	c := &scrub{done: make(chan error, 1)}
+	request := &scrub{done: make(chan error, 1)}
 	j.mu.Lock()
 	if j.closed {
 		j.mu.Unlock()
 		return 0, 0, apierror.New(apierror.Stopped, "the journal was stopped")
 	}
-	j.scrubs = append(j.scrubs, c)
+	j.scrubs = append(j.scrubs, request)
 	j.mu.Unlock()
 	j.signal()
 	select {
-	case err := <-c.done:
-		return c.records, c.damaged, err
+	case err := <-request.done:
+		return request.records, request.damaged, err
 	case <-ctx.Done():
 		return 0, 0, apierror.WithCause(apierror.DiskFailed, ctx.Err(), "the disk did not answer in time")
 	}
--- a/internal/disk/journal/space.go
+++ b/internal/disk/journal/space.go
@@ -9,10 +9,10 @@
 	"postjunction/internal/recordtype"
 )
 
-// space is how much of a bounded disk the journal takes. A compaction needs space for the live
-// records beside the old ones, so it comes long before the disk is full. Past one limit large puts
-// are rejected, past a higher one all that add data; small ones, which trim and forget, go on. Only
-// Run's goroutine uses it.
+// space is how much of a bounded disk the journal uses. A compaction needs space for the live
+// records beside the old ones, so it starts long before the disk is full. Above one limit large
+// puts are rejected, above a higher one all that add data. Small ones, which trim and forget, are
+// still accepted. Only Run's goroutine uses it.
 type space struct {
 	capacity, used, liveBytes int64
 	retryInterval             time.Duration
@@ -23,15 +23,15 @@
 // Percentages of the capacity.
 const (
 	compactPercent   = 40 // compact above it, where that frees enough
-	recoveredPercent = 60 // below it a full disk takes large puts again
+	recoveredPercent = 60 // below it a full disk accepts large puts again
 	largePutPercent  = 70 // above it large puts are rejected
 	dataPercent      = 80 // above it all puts that add data are rejected
 	anyPutPercent    = 95 // above it all puts are rejected
 )
 
 const (
-	// The log takes more than compactGrowthTimes / compactGrowthPer of what lives before it is
-	// compacted.
+	// The log is compacted when it uses more than compactGrowthTimes / compactGrowthPer times the
+	// bytes of its live records.
 	compactGrowthTimes = 3
 	compactGrowthPer   = 2
 
@@ -39,13 +39,13 @@
 	lengthBytes   = 3 // of a record in the log, before its frame
 )
 
-// SetCapacity bounds the bytes that the journal takes on its disk, 0 for no bound; it is called
+// SetCapacity bounds the bytes that the journal uses on its disk, 0 for no bound. It is called
 // before Run. retryInterval is the shortest pause between two attempts to make space.
 func (j *Journal) SetCapacity(bytes int64, retryInterval time.Duration) {
 	j.space.capacity, j.space.retryInterval = bytes, retryInterval
 }
 
-// recordBytes returns what a record takes on disk, its frame and the length before it included.
+// recordBytes returns the size of a record on disk, with its frame and its length prefix.
 func recordBytes(body int) int64 { return int64(body) + frame.Size + lengthBytes }
 
 func totalBytes(records []Record) int64 {
@@ -66,7 +66,7 @@
 	return s.exceeds(s.used, compactPercent) && s.used > s.liveBytes*compactGrowthTimes/compactGrowthPer
 }
 
-// fits reports whether that many bytes of live records fit beside what is there.
+// fits reports whether that many bytes of live records fit beside the present log.
 func (s *space) fits(compacted int64) bool { return !s.exceeds(s.used+compacted, anyPutPercent) }
 
 // dataTypes are the types of record that add data; all others may make space.
@@ -131,7 +131,7 @@
 	}
 	j.space.triedAt = now
 	if err := j.repair(); err != nil {
-		return // the failure stands already; the next attempt repairs again
+		return // the failure is recorded already; the next attempt repairs again
 	}
 	if j.compaction == nil {
 		j.countLive()
--- a/internal/disk/journal/space_test.go
+++ b/internal/disk/journal/space_test.go
@@ -17,11 +17,11 @@
 	"postjunction/internal/recordtype"
 )
 
-// latest is a part that keeps the newest records, at most limit.
+// latest is a part that stores the newest records, at most limit.
 type latest struct {
-	mu    sync.Mutex
-	limit int
-	recs  []journal.Record
+	mu      sync.Mutex
+	limit   int
+	records []journal.Record
 }
 
 // Restore restores a record.
@@ -34,11 +34,11 @@
 func (s *latest) LiveSize() (int, int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := int64(0)
-	for _, r := range s.recs {
-		n += int64(len(r.Body))
+	bytes := int64(0)
+	for _, r := range s.records {
+		bytes += int64(len(r.Body))
 	}
-	return len(s.recs), n
+	return len(s.records), bytes
 }
 
 // Slices returns the live records.
@@ -47,59 +47,59 @@
 func (s *latest) dump() []journal.Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]journal.Record(nil), s.recs...)
+	return append([]journal.Record(nil), s.records...)
 }
 
 func (s *latest) add(r journal.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.recs = append(s.recs, r)
-	s.recs = s.recs[max(0, len(s.recs)-s.limit):]
+	s.records = append(s.records, r)
+	s.records = s.records[max(0, len(s.records)-s.limit):]
 }
 
-func (s *latest) keep(n int) {
+func (s *latest) setLimit(limit int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.limit = n
-	s.recs = s.recs[max(0, len(s.recs)-n):]
+	s.limit = limit
+	s.records = s.records[max(0, len(s.records)-limit):]
 }
 
-// peakDisk is a disk that knows the most bytes that were on it.
+// peakDisk is a disk that records the highest number of bytes that were on it.
 type peakDisk struct {
 	*memlog.Disk
 	peak atomic.Int64
 }
 
-// Write notes how much is on the disk after it.
+// Write writes and records how much is on the disk afterwards.
 func (g *peakDisk) Write(first uint64, records [][]byte) error {
 	if err := g.Disk.Write(first, records); err != nil {
 		return err
 	}
-	f, l, err := g.Bounds()
+	lowest, highest, err := g.Bounds()
 	if err != nil {
 		return err
 	}
-	n := 0
-	for i := f; i <= l; i++ {
+	bytes := 0
+	for i := lowest; i <= highest; i++ {
 		b, err := g.Read(i)
 		if err != nil {
 			return err
 		}
-		n += len(b)
+		bytes += len(b)
 	}
-	g.peak.Store(max(g.peak.Load(), int64(n)))
+	g.peak.Store(max(g.peak.Load(), int64(bytes)))
 	return nil
 }
 
-// The journal stays inside its capacity, whatever is put: it compacts long before, rejects large
-// records away when what lives takes too much, still takes small ones, and takes all again by
-// itself once less lives, across a restart too.
+// The journal stays inside its capacity, whatever is put. It compacts long before that. It rejects
+// large records when the live ones use too much, and still accepts small ones. Once fewer are live
+// it accepts all again by itself, also after a restart.
 func TestSetCapacity_BoundsTheBytesOnDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const capacity, body = 1 << 20, 8 << 10
-		d, s := &peakDisk{Disk: memlog.New()}, &latest{limit: 10}
+		disk, part := &peakDisk{Disk: memlog.New()}, &latest{limit: 10}
 		open := func() (*journal.Journal, func()) {
-			j, _, err := journal.Open(d, clock.Real{}, map[uint16]journal.Part{1: s}, []journal.Part{s})
+			j, _, err := journal.Open(disk, clock.Real{}, map[uint16]journal.Part{1: part}, []journal.Part{part})
 			assert.NilError(t, err)
 			j.SetCapacity(capacity, time.Second)
 			ctx, stop := context.WithCancel(t.Context())
@@ -107,28 +107,28 @@
 			return j, stop
 		}
 		j, stop := open()
-		put := func(n int) error {
-			r := journal.Record{Kind: 1, Body: make([]byte, n)}
-			err := j.Put(t.Context(), false, func() { s.add(r) }, r)
-			assert.Assert(t, d.peak.Load() <= capacity, "%d bytes were on the disk", d.peak.Load())
+		put := func(bytes int) error {
+			record := journal.Record{Kind: 1, Body: make([]byte, bytes)}
+			err := j.Put(t.Context(), false, func() { part.add(record) }, record)
+			assert.Assert(t, disk.peak.Load() <= capacity, "%d bytes were on the disk", disk.peak.Load())
 			return err
 		}
 		for range 1000 {
 			assert.NilError(t, put(body))
 		}
 		assert.Assert(t, j.Counters().Compactions > 10)
-		s.keep(1 << 20)
+		part.setLimit(1 << 20)
 		var err error
-		for k := 0; err == nil; k++ {
-			assert.Assert(t, k < capacity/body, "nothing was rejected")
+		for puts := 0; err == nil; puts++ {
+			assert.Assert(t, puts < capacity/body, "nothing was rejected")
 			err = put(body)
 		}
 		assert.Assert(t, apierror.HasCode(err, apierror.DiskFull), "%v", err)
-		assert.Assert(t, apierror.HasCode(j.Failure(), apierror.DiskFull), "a full disk that is not told of")
+		assert.Assert(t, apierror.HasCode(j.Failure(), apierror.DiskFull), "a full disk is not reported as a failure")
 		assert.NilError(t, put(100))
 		assert.Assert(
 			t, apierror.HasCode(j.Failure(), apierror.DiskFull),
-			"a small record that went in does not make it well",
+			"an accepted small record ended the failure",
 		)
 		assert.Assert(t, apierror.HasCode(j.Probe(t.Context(), time.Second), apierror.DiskFull))
 		stop()
@@ -141,27 +141,27 @@
 			}
 		}
 		assert.Assert(t, apierror.HasCode(err, apierror.DiskFull), "%v", err)
-		s.keep(20)
+		part.setLimit(20)
 		time.Sleep(2 * time.Second)
 		_ = j.Probe(t.Context(), time.Second)
 		assert.NilError(t, j.Probe(t.Context(), time.Second))
 		assert.NilError(t, j.Failure())
 		for range 1000 {
 			assert.NilError(t, put(body))
-			s.keep(20)
+			part.setLimit(20)
 		}
 	})
 }
 
-// Entries in small puts once filled the disk up to its last percents, so that not even a partition
-// that had left could be forgotten.
+// Entries in small puts that fill the disk up to its last percents leave no space to forget a
+// partition that was dropped.
 func TestSetCapacity_SmallEntriesLeaveSpaceToForget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const capacity = 1 << 20
-		s := &latest{limit: 1 << 20}
+		part := &latest{limit: 1 << 20}
 		j, _, err := journal.Open(
-			memlog.New(), clock.Real{}, map[uint16]journal.Part{recordtype.Entry: s},
-			[]journal.Part{s},
+			memlog.New(), clock.Real{}, map[uint16]journal.Part{recordtype.Entry: part},
+			[]journal.Part{part},
 		)
 		assert.NilError(t, err)
 		j.SetCapacity(capacity, time.Second)
@@ -169,8 +169,8 @@
 		defer stop()
 		go j.Run(ctx)
 		put := func() error {
-			r := journal.Record{Kind: recordtype.Entry, Body: make([]byte, 300)}
-			return j.Put(t.Context(), false, func() { s.add(r) }, r)
+			record := journal.Record{Kind: recordtype.Entry, Body: make([]byte, 300)}
+			return j.Put(t.Context(), false, func() { part.add(record) }, record)
 		}
 		for err = nil; err == nil; {
 			err = put()
@@ -183,7 +183,7 @@
 				j.Put(t.Context(), false, nil, journal.Record{Kind: recordtype.Forget, Body: make([]byte, 100)}),
 			)
 		}
-		s.keep(0)
+		part.setLimit(0)
 		time.Sleep(2 * time.Second)
 		_ = put()
 		assert.NilError(t, put())
@@ -191,26 +191,26 @@
 	})
 }
 
-// Entries of a few bytes once went on until the disk was full, and then the record that forgets
-// them had no space either: the disk stayed full for good.
+// Entries of a few bytes that are accepted until the disk is full leave no space for the record
+// that forgets them: the disk then stays full for good.
 func TestSetCapacity_TinyEntriesLeaveSpaceForForgetRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const capacity = 1 << 20
-		s := &latest{limit: 1 << 20}
-		j, _, err := journal.Open(memlog.New(), clock.Real{}, map[uint16]journal.Part{1: s}, []journal.Part{s})
+		part := &latest{limit: 1 << 20}
+		j, _, err := journal.Open(memlog.New(), clock.Real{}, map[uint16]journal.Part{1: part}, []journal.Part{part})
 		assert.NilError(t, err)
 		j.SetCapacity(capacity, time.Second)
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go j.Run(ctx)
-		put := func(k uint16) error {
-			r := journal.Record{Kind: k, Body: make([]byte, 400)}
-			return j.Put(t.Context(), false, func() { s.add(r) }, r)
+		put := func(kind uint16) error {
+			record := journal.Record{Kind: kind, Body: make([]byte, 400)}
+			return j.Put(t.Context(), false, func() { part.add(record) }, record)
 		}
-		for _, k := range []uint16{recordtype.Entry, recordtype.Snapshot} {
-			for n := 0; err == nil; n++ {
-				assert.Assert(t, n < capacity/400, "nothing was rejected")
-				err = put(k)
+		for _, kind := range []uint16{recordtype.Entry, recordtype.Snapshot} {
+			for puts := 0; err == nil; puts++ {
+				assert.Assert(t, puts < capacity/400, "nothing was rejected")
+				err = put(kind)
 			}
 			assert.Assert(t, apierror.HasCode(err, apierror.DiskFull), "%v", err)
 			err = nil
@@ -218,11 +218,11 @@
 		for range 100 {
 			assert.NilError(t, put(recordtype.Forget))
 		}
-		s.keep(10)
+		part.setLimit(10)
 		time.Sleep(2 * time.Second)
 		assert.Assert(
 			t, apierror.HasCode(put(recordtype.Entry), apierror.DiskFull),
-			"it is told of until a compaction made place",
+			"the failure is reported until a compaction made space",
 		)
 		assert.NilError(t, put(recordtype.Entry))
 		assert.NilError(t, j.Failure())
--- a/internal/disk/journal/write.go
+++ b/internal/disk/journal/write.go
@@ -34,8 +34,8 @@
 	return puts, urgent
 }
 
-// writeRound writes one group of puts, or does what is done when there are none, and reports
-// whether there may be more.
+// writeRound writes one group of puts, or does one step of idle work when there are none, and
+// reports whether there may be more.
 func (j *Journal) writeRound(ctx context.Context) bool {
 	puts, urgent := j.takePuts()
 	if len(puts) == 0 {
@@ -67,7 +67,7 @@
 	return ctx.Err() == nil
 }
 
-// commit writes and syncs records. After an error none of them stands.
+// commit writes and syncs records. After an error none of them counts as written.
 func (j *Journal) commit(records []Record) error {
 	encoded := make([][]byte, len(records))
 	for i, r := range records {
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// fail notes a failed write: nothing after the last synced record can be trusted until the log was
-// repaired.
+// fail records a failed write: nothing after the last synced record can be trusted until the log
+// was repaired.
 func (j *Journal) fail(err error) {
 	j.mu.Lock()
 	j.needsRepair, j.failure = true, err
@@ -115,7 +115,7 @@
 	j.endCompaction(err)
 }
 
-// repair reopens the log after a failed write and cuts off what was not synced. It does nothing
+// repair reopens the log after a failed write and truncates what was not synced. It does nothing
 // when no write failed.
 func (j *Journal) repair() error {
 	j.mu.Lock()
--- a/internal/disk/memlog/memlog.go
+++ b/internal/disk/memlog/memlog.go
@@ -1,5 +1,5 @@
-// Package memlog is a disk of the simulator: it forgets what was not synced, tears tails, fills up,
-// rots and is wiped.
+// Package memlog is the disk of the simulator. It can lose what was not synced, tear the tail, fill
+// up, corrupt records and be wiped.
 package memlog
 
 import (
@@ -8,7 +8,7 @@
 	"postjunction/internal/apierror"
 )
 
-// Disk outlives the logs that are opened on it.
+// Disk outlives the journals that are opened on it. mu guards all fields.
 type Disk struct {
 	mu       sync.Mutex
 	first    uint64
@@ -20,14 +20,14 @@
 	setAside int
 }
 
-// New makes an empty disk.
+// New returns an empty disk.
 func New() *Disk { return &Disk{first: 1} }
 
-// Fill makes writes break off halfway, or succeed again.
-func (d *Disk) Fill(on bool) {
+// Fill makes writes fail halfway, or succeed again.
+func (d *Disk) Fill(full bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.full = on
+	d.full = full
 }
 
 // LosePower drops what was not synced; torn leaves the next record half written.
@@ -62,8 +62,8 @@
 	return max(0, len(d.records)-int(d.synced+1-d.first))
 }
 
-// LosePowerAfter drops what was not synced but for the first keep records; torn leaves the next one
-// half written.
+// LosePowerAfter drops what was not synced, but for the first keep records. torn leaves the next
+// one half written.
 func (d *Disk) LosePowerAfter(keep int, torn bool) {
 	d.mu.Lock()
 	d.synced += uint64(keep)
@@ -78,17 +78,17 @@
 	d.first, d.records, d.synced = 1, nil, 0
 }
 
-// Rot flips one bit in a record, counted from the last one back.
+// CorruptRecord flips one bit in a record, counted back from the last one.
 func (d *Disk) CorruptRecord(back int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	at := len(d.records) - 1 - back
-	if at < 0 {
+	index := len(d.records) - 1 - back
+	if index < 0 {
 		return false
 	}
-	b := append([]byte(nil), d.records[at]...)
+	b := append([]byte(nil), d.records[index]...)
 	b[len(b)/2] ^= 1
-	d.records[at] = b
+	d.records[index] = b
 	return true
 }
 
@@ -145,7 +145,7 @@
 	return d.first, d.first + uint64(len(d.records)) - 1, nil
 }
 
-// CutFront drops all records before i.
+// CutFront drops all records before index.
 func (d *Disk) CutFront(index uint64) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -156,7 +156,7 @@
 	return nil
 }
 
-// CutBack drops all records after i.
+// CutBack drops all records after index.
 func (d *Disk) CutBack(index uint64) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -174,10 +174,10 @@
 	return d.synced
 }
 
-// Reopen changes nothing.
+// Reopen does nothing.
 func (d *Disk) Reopen() error { return nil }
 
-// SetAside empties the disk, as a damaged one is.
+// SetAside empties the disk, as for a damaged log.
 func (d *Disk) SetAside() error {
 	d.Wipe()
 	d.mu.Lock()
@@ -186,5 +186,5 @@
 	return nil
 }
 
-// Close changes nothing.
+// Close does nothing.
 func (d *Disk) Close() error { return nil }
--- a/internal/disk/walog/walog.go
+++ b/internal/disk/walog/walog.go
@@ -1,8 +1,8 @@
-// Package walog keeps the log of a journal on disk with tidwall/wal.
+// Package walog stores the log of a journal on disk with tidwall/wal.
 //
-// What must stay true: nothing counts as synced, in the side file too, before its segment and the
-// folders that list it were synced; a short last record is cut off, any other damage is reported. A
-// Log is used by one goroutine at a time.
+// Invariants: nothing counts as synced, in the side file too, before its segment and the folders
+// that list it were synced. A short last record is truncated, any other damage is reported. A Log
+// is used by one goroutine at a time.
 package walog
 
 import (
@@ -20,15 +20,15 @@
 	"postjunction/internal/apierror"
 )
 
-// Log is one tidwall/wal folder with a side file that notes the last synced index.
+// Log is one tidwall/wal folder with a side file that records the last synced index.
 type Log struct {
 	dir          string
 	log          *wal.Log
 	syncedFile   *os.File
 	synced       uint64
 	segmentCount int
-	// maxTail is the most that the last segment can hold: a new one may have begun once it reaches
-	// a segment.
+	// maxTail is an upper bound of the bytes in the last segment. Once it reaches segmentBytes a
+	// new segment may have begun.
 	maxTail int
 }
 
@@ -59,7 +59,7 @@
 
 func wrap(err error, action string) error { return apierror.Wrap(codeOf(err), err, "%s", action) }
 
-// Open opens or makes the log in dir, cutting a short last record.
+// Open opens or creates the log in dir. It truncates a short last record.
 func Open(dir string) (*Log, error) {
 	l := &Log{dir: dir}
 	return l, l.Reopen()
@@ -67,14 +67,14 @@
 
 func (l *Log) path() string { return filepath.Join(l.dir, "journal") }
 
-// Reopen closes the handles, which may be in doubt, and opens the log anew.
+// Reopen closes the handles, which may not work any more, and opens the log again.
 func (l *Log) Reopen() error {
 	_ = l.Close()
 	if err := os.MkdirAll(l.path(), 0o750); err != nil {
-		return wrap(err, "make the data folder")
+		return wrap(err, "create the data folder")
 	}
 	if err := cutShortTail(l.path()); err != nil {
-		return wrap(err, "look for a short last record")
+		return wrap(err, "check for a short last record")
 	}
 	opened, err := wal.Open(
 		l.path(),
@@ -89,7 +89,7 @@
 	l.log, l.segmentCount, l.maxTail = opened, 0, segmentBytes
 	file, err := os.OpenFile(filepath.Join(l.dir, "synced"), os.O_CREATE|os.O_RDWR, 0o640)
 	if err != nil {
-		return wrap(err, "open the note of the last sync")
+		return wrap(err, "open the file of the last synced index")
 	}
 	l.syncedFile = file
 	b := make([]byte, syncedFileBytes)
@@ -209,7 +209,7 @@
 	if len(paths) > 0 {
 		info, err := os.Stat(paths[len(paths)-1])
 		if err != nil {
-			return wrap(err, "look at the last segment")
+			return wrap(err, "read the size of the last segment")
 		}
 		l.maxTail = int(info.Size())
 	}
@@ -232,7 +232,7 @@
 	return first, last, wrap(err, "read the last index")
 }
 
-// CutFront drops all records before i.
+// CutFront drops all records before index.
 func (l *Log) CutFront(index uint64) error {
 	if err := l.log.TruncateFront(index); err != nil {
 		return wrap(err, "cut the front of the journal")
@@ -241,7 +241,7 @@
 	return l.syncFolders()
 }
 
-// CutBack drops all records after i.
+// CutBack drops all records after index.
 func (l *Log) CutBack(index uint64) error {
 	if err := l.log.TruncateBack(index); err != nil {
 		return wrap(err, "cut the back of the journal")
@@ -250,7 +250,7 @@
 	return l.syncFolders()
 }
 
-// Synced returns the last index that was noted as synced.
+// Synced returns the last index that was recorded as synced.
 func (l *Log) Synced() uint64 { return l.synced }
 
 // SetAside moves a damaged journal away and starts an empty one.
--- a/internal/disk/walog/walog_test.go
+++ b/internal/disk/walog/walog_test.go
@@ -18,45 +18,47 @@
 
 const kind = 99
 
-type part struct{ got []string }
+type part struct{ bodies []string }
 
 func (p *part) Restore(r journal.Record) error {
-	p.got = append(p.got, string(r.Body))
+	p.bodies = append(p.bodies, string(r.Body))
 	return nil
 }
 
-func (p *part) LiveSize() (int, int64) { return len(p.got), 0 }
+func (p *part) LiveSize() (int, int64) { return len(p.bodies), 0 }
 
 func (p *part) Slices() []journal.Slice { return journal.EncodeAll(p.dump) }
 
 func (p *part) dump() []journal.Record {
-	var rs []journal.Record
-	for _, s := range p.got {
-		rs = append(rs, journal.Record{Kind: kind, Body: []byte(s)})
+	var records []journal.Record
+	for _, body := range p.bodies {
+		records = append(records, journal.Record{Kind: kind, Body: []byte(body)})
 	}
-	return rs
+	return records
 }
 
-type rig struct {
-	t    *testing.T
-	dir  string
-	p    *part
-	j    *journal.Journal
-	rep  journal.Report
-	stop func()
+type fixture struct {
+	t       *testing.T
+	dir     string
+	part    *part
+	journal *journal.Journal
+	report  journal.Report
+	stop    func()
 }
 
-func open(t *testing.T, dir string) *rig {
+func open(t *testing.T, dir string) *fixture {
 	t.Helper()
 	l, err := Open(dir)
 	assert.NilError(t, err)
-	r := &rig{t: t, dir: dir, p: &part{}}
-	r.j, r.rep, err = journal.Open(l, clock.Real{}, map[uint16]journal.Part{kind: r.p}, []journal.Part{r.p})
+	r := &fixture{t: t, dir: dir, part: &part{}}
+	r.journal, r.report, err = journal.Open(
+		l, clock.Real{}, map[uint16]journal.Part{kind: r.part}, []journal.Part{r.part},
+	)
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
-		r.j.Run(ctx)
+		r.journal.Run(ctx)
 		close(done)
 	}()
 	r.stop = func() {
@@ -67,155 +69,161 @@
 	return r
 }
 
-func (r *rig) put(ss ...string) {
-	for _, s := range ss {
+func (r *fixture) put(bodies ...string) {
+	for _, body := range bodies {
 		assert.NilError(
 			r.t,
-			r.j.Put(
-				context.Background(), false, func() { r.p.got = append(r.p.got, s) },
-				journal.Record{Kind: kind, Body: []byte(s)},
+			r.journal.Put(
+				context.Background(), false, func() { r.part.bodies = append(r.part.bodies, body) },
+				journal.Record{Kind: kind, Body: []byte(body)},
 			),
 		)
 	}
 }
 
-func (r *rig) file() string {
-	s, err := segments(filepath.Join(r.dir, "journal"))
+func (r *fixture) lastSegment() string {
+	paths, err := segments(filepath.Join(r.dir, "journal"))
 	assert.NilError(r.t, err)
-	return s[len(s)-1]
+	return paths[len(paths)-1]
 }
 
-func edit(t *testing.T, file string, f func(b []byte) []byte) {
+func edit(t *testing.T, file string, change func(b []byte) []byte) {
 	b, err := os.ReadFile(file)
 	assert.NilError(t, err)
-	assert.NilError(t, os.WriteFile(file, f(b), 0o640))
+	assert.NilError(t, os.WriteFile(file, change(b), 0o640))
 }
 
 func TestTailsAndDamage(t *testing.T) {
 	cases := map[string]struct {
-		harm    func(t *testing.T, r *rig)
+		damage  func(t *testing.T, r *fixture)
 		want    []string
 		torn    bool
 		damaged bool
 	}{
-		"whole": {func(*testing.T, *rig) {}, []string{"a", "b", "c"}, false, false},
-		"a short record after the last sync is cut": {func(t *testing.T, r *rig) {
-			edit(t, r.file(), func(b []byte) []byte { return append(b, 60, 1, 2, 3) })
+		"whole": {func(*testing.T, *fixture) {}, []string{"a", "b", "c"}, false, false},
+		"a short record after the last sync is cut": {func(t *testing.T, r *fixture) {
+			edit(t, r.lastSegment(), func(b []byte) []byte { return append(b, 60, 1, 2, 3) })
 		}, []string{"a", "b", "c"}, false, false},
-		"a torn record after the last sync is cut": {func(t *testing.T, r *rig) {
-			f := frame.Encode(frame.Frame{Kind: kind, Index: 4, SyncedIndex: 3, Body: []byte("d")})
-			f[len(f)-1] ^= 1
-			edit(t, r.file(), func(b []byte) []byte { return append(append(b, byte(len(f))), f...) })
+		"a torn record after the last sync is cut": {func(t *testing.T, r *fixture) {
+			torn := frame.Encode(frame.Frame{Kind: kind, Index: 4, SyncedIndex: 3, Body: []byte("d")})
+			torn[len(torn)-1] ^= 1
+			edit(t, r.lastSegment(), func(b []byte) []byte { return append(append(b, byte(len(torn))), torn...) })
 		}, []string{"a", "b", "c"}, true, false},
-		"a bit flipped before the last sync is damage": {func(t *testing.T, r *rig) {
-			edit(t, r.file(), func(b []byte) []byte { b[len(b)-1] ^= 1; return b })
+		"a bit flipped before the last sync is damage": {func(t *testing.T, r *fixture) {
+			edit(t, r.lastSegment(), func(b []byte) []byte { b[len(b)-1] ^= 1; return b })
 		}, nil, false, true},
-		"a log cut short before the last sync is damage": {func(t *testing.T, r *rig) {
-			edit(t, r.file(), func(b []byte) []byte { return b[:len(b)-10] })
+		"a log cut short before the last sync is damage": {func(t *testing.T, r *fixture) {
+			edit(t, r.lastSegment(), func(b []byte) []byte { return b[:len(b)-10] })
 		}, nil, false, true},
-		"the same without the note of the last sync, told by the next record": {func(t *testing.T, r *rig) {
+		"the same without the file of the synced index, found by the next record": {func(t *testing.T, r *fixture) {
 			assert.NilError(t, os.Remove(filepath.Join(r.dir, "synced")))
-			edit(t, r.file(), func(b []byte) []byte { b[frame.Size] ^= 1; return b })
+			edit(t, r.lastSegment(), func(b []byte) []byte { b[frame.Size] ^= 1; return b })
 		}, nil, false, true},
 	}
-	for n, c := range cases {
-		t.Run(n, func(t *testing.T) {
+	for name, testCase := range cases {
+		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
 			r := open(t, dir)
 			r.put("a", "b", "c")
 			r.stop()
-			c.harm(t, r)
+			testCase.damage(t, r)
 			r = open(t, dir)
-			assert.DeepEqual(t, r.p.got, c.want)
-			assert.Equal(t, r.rep.Torn > 0, c.torn)
-			assert.Equal(t, r.rep.Damaged, c.damaged)
+			assert.DeepEqual(t, r.part.bodies, testCase.want)
+			assert.Equal(t, r.report.Torn > 0, testCase.torn)
+			assert.Equal(t, r.report.Damaged, testCase.damaged)
 			r.put("e")
 			r.stop()
 			r = open(t, dir)
-			assert.DeepEqual(t, r.p.got, append(c.want, "e"))
+			assert.DeepEqual(t, r.part.bodies, append(testCase.want, "e"))
 			r.stop()
 			_, err := os.Stat(filepath.Join(dir, "damaged-1"))
-			assert.Equal(t, err == nil, c.damaged)
+			assert.Equal(t, err == nil, testCase.damaged)
 		})
 	}
 }
 
-func TestScrubMendsARottenRecordFromMemory(t *testing.T) {
-	d := memlog.New()
-	p := &part{}
-	j, _, err := journal.Open(d, clock.Real{}, map[uint16]journal.Part{kind: p}, []journal.Part{p})
+func TestScrubRepairsADamagedRecordFromMemory(t *testing.T) {
+	disk := memlog.New()
+	stored := &part{}
+	j, _, err := journal.Open(disk, clock.Real{}, map[uint16]journal.Part{kind: stored}, []journal.Part{stored})
 	assert.NilError(t, err)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go j.Run(ctx)
-	for _, s := range []string{"a", "b", "c"} {
+	for _, body := range []string{"a", "b", "c"} {
 		assert.NilError(
 			t,
-			j.Put(ctx, false, func() { p.got = append(p.got, s) }, journal.Record{Kind: kind, Body: []byte(s)}),
+			j.Put(
+				ctx, false, func() { stored.bodies = append(stored.bodies, body) },
+				journal.Record{Kind: kind, Body: []byte(body)},
+			),
 		)
 	}
-	n, bad, err := j.Scrub(ctx)
+	count, damaged, err := j.Scrub(ctx)
 	assert.NilError(t, err)
-	assert.Equal(t, n, 3)
-	assert.Equal(t, bad, 0)
-	assert.Assert(t, d.CorruptRecord(1))
-	_, bad, err = j.Scrub(ctx)
+	assert.Equal(t, count, 3)
+	assert.Equal(t, damaged, 0)
+	assert.Assert(t, disk.CorruptRecord(1))
+	_, damaged, err = j.Scrub(ctx)
 	assert.Assert(t, apierror.HasCode(err, apierror.DiskDamaged), "%v", err)
-	assert.Equal(t, bad, 1)
-	_, bad, err = j.Scrub(ctx)
+	assert.Equal(t, damaged, 1)
+	_, damaged, err = j.Scrub(ctx)
 	assert.NilError(t, err)
-	assert.Equal(t, bad, 0)
-	q := &part{}
-	_, _, err = journal.Open(d, clock.Real{}, map[uint16]journal.Part{kind: q}, []journal.Part{q})
+	assert.Equal(t, damaged, 0)
+	reopened := &part{}
+	_, _, err = journal.Open(disk, clock.Real{}, map[uint16]journal.Part{kind: reopened}, []journal.Part{reopened})
 	assert.NilError(t, err)
-	assert.DeepEqual(t, q.got, []string{"a", "b", "c"})
+	assert.DeepEqual(t, reopened.bodies, []string{"a", "b", "c"})
 }
 
 func TestFullDiskIsNotTrustedUntilReopened(t *testing.T) {
-	d := memlog.New()
-	p := &part{}
-	j, _, err := journal.Open(d, clock.Real{}, map[uint16]journal.Part{kind: p}, []journal.Part{p})
+	disk := memlog.New()
+	stored := &part{}
+	j, _, err := journal.Open(disk, clock.Real{}, map[uint16]journal.Part{kind: stored}, []journal.Part{stored})
 	assert.NilError(t, err)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go j.Run(ctx)
-	put := func(s string) error {
-		return j.Put(ctx, false, func() { p.got = append(p.got, s) }, journal.Record{Kind: kind, Body: []byte(s)})
+	put := func(body string) error {
+		return j.Put(
+			ctx, false, func() { stored.bodies = append(stored.bodies, body) },
+			journal.Record{Kind: kind, Body: []byte(body)},
+		)
 	}
 	assert.NilError(t, put("a"))
-	d.Fill(true)
+	disk.Fill(true)
 	assert.Assert(t, apierror.HasCode(put("b"), apierror.DiskFull))
 	assert.Assert(t, apierror.HasCode(j.Failure(), apierror.DiskFull))
-	d.Fill(false)
+	disk.Fill(false)
 	assert.NilError(t, put("c"))
 	assert.NilError(t, j.Failure())
-	assert.DeepEqual(t, p.got, []string{"a", "c"})
-	q := &part{}
-	_, _, err = journal.Open(d, clock.Real{}, map[uint16]journal.Part{kind: q}, []journal.Part{q})
+	assert.DeepEqual(t, stored.bodies, []string{"a", "c"})
+	reopened := &part{}
+	_, _, err = journal.Open(disk, clock.Real{}, map[uint16]journal.Part{kind: reopened}, []journal.Part{reopened})
 	assert.NilError(t, err)
-	assert.DeepEqual(t, q.got, []string{"a", "c"})
+	assert.DeepEqual(t, reopened.bodies, []string{"a", "c"})
 }
 
-func TestNewerAndForeignDisksAreTurnedAway(t *testing.T) {
+func TestNewerAndForeignDisksAreRejected(t *testing.T) {
 	dir := t.TempDir()
-	l, err := Open(dir)
+	log, err := Open(dir)
 	assert.NilError(t, err)
-	f := frame.Encode(frame.Frame{Kind: kind, Index: 1, Body: []byte("x")})
-	f[6] = frame.Format + 1
-	assert.NilError(t, l.Write(1, [][]byte{frame.WriteChecksum(f)}))
-	assert.NilError(t, l.Sync())
-	_, _, err = journal.Open(l, clock.Real{}, nil, nil)
+	encoded := frame.Encode(frame.Frame{Kind: kind, Index: 1, Body: []byte("x")})
+	encoded[6] = frame.Format + 1
+	assert.NilError(t, log.Write(1, [][]byte{frame.WriteChecksum(encoded)}))
+	assert.NilError(t, log.Sync())
+	_, _, err = journal.Open(log, clock.Real{}, nil, nil)
 	assert.Assert(t, apierror.HasCode(err, apierror.DiskNewer), "%v", err)
-	_, last, err := l.Bounds()
+	_, last, err := log.Bounds()
 	assert.NilError(t, err)
-	assert.Equal(t, last, uint64(1), "nothing was harmed")
-	assert.NilError(t, l.Close())
-
-	p := &identity.Part{}
-	assert.NilError(t, p.Restore(journal.Record{Body: []byte(`{"node":"s1","incarnation":"i","fleet":"f"}`)}))
-	assert.NilError(t, p.Check("s1"))
-	assert.Assert(t, apierror.HasCode(p.Check("s2"), apierror.DiskForeign))
-	assert.Assert(t, apierror.HasCode(p.Join(context.Background(), nil, "g"), apierror.DiskForeign))
+	assert.Equal(t, last, uint64(1), "a rejected log was changed")
+	assert.NilError(t, log.Close())
+
+	part := &identity.Part{}
+	assert.NilError(t, part.Restore(journal.Record{Body: []byte(`{"node":"s1","incarnation":"i","fleet":"f"}`)}))
+	assert.NilError(t, part.Check("s1"))
+	assert.Assert(t, apierror.HasCode(part.Check("s2"), apierror.DiskForeign))
+	assert.Assert(t, apierror.HasCode(part.Join(context.Background(), nil, "g"), apierror.DiskForeign))
 }
 
 func TestManySegmentsAndCompaction(t *testing.T) {
@@ -228,16 +236,16 @@
 	}
 	r.stop()
 	r = open(t, dir)
-	assert.Equal(t, len(r.p.got), 12)
-	r.p.got = r.p.got[11:]
+	assert.Equal(t, len(r.part.bodies), 12)
+	r.part.bodies = r.part.bodies[11:]
 	for range 5000 {
 		assert.NilError(
-			t, r.j.Put(context.Background(), true, nil, journal.Record{Kind: kind + 1, Body: []byte("dead")}),
+			t, r.journal.Put(context.Background(), true, nil, journal.Record{Kind: kind + 1, Body: []byte("dead")}),
 		)
 	}
-	assert.Assert(t, r.j.Counters().Compactions > 0)
+	assert.Assert(t, r.journal.Counters().Compactions > 0)
 	r.stop()
 	r = open(t, dir)
-	assert.Equal(t, len(r.p.got), 1)
+	assert.Equal(t, len(r.part.bodies), 1)
 	r.stop()
 }
