--- a/internal/wire/codec_test.go
+++ b/internal/wire/codec_test.go
@@ -33,7 +33,9 @@
 	kind := v.Kind()
 	if v.Type() == reflect.TypeFor[time.Time]() {
 		if !f.emptyContainers {
-			v.Set(reflect.ValueOf(time.Date(2031, 4, 5, 6, 7, 8, 123456789, time.FixedZone("", 5400)).Add(time.Duration(f.n))))
+			v.Set(reflect.ValueOf(
+				time.Date(2031, 4, 5, 6, 7, 8, 123456789, time.FixedZone("", 5400)).Add(time.Duration(f.n)),
+			))
 		}
 		return
 	}
@@ -174,7 +176,9 @@
 	return map[string]any{
 		"digest": &gossip.ExchangeRequest{Digest: gossip.Digest{VoterSet: 3, Configuration: 17,
 			Records: []uint64{4, 5, 6, 7, 8, 9}}},
-		"heartbeat": &nodelease.HeartbeatResponse{Members: members, Confirmed: true, Sequence: 17, Age: time.Millisecond},
+		"heartbeat": &nodelease.HeartbeatResponse{
+			Members: members, Confirmed: true, Sequence: 17, Age: time.Millisecond,
+		},
 		"append": &replica.AppendRequest{After: log.Position{Offset: 1e6 - 1, Epoch: 4, Chain: 0xfedcba9876543210},
 			Entries: entries, Commit: 1e6 - 1},
 	}
@@ -195,7 +199,8 @@
 				for b.Loop() {
 					encoded, err := codec.marshal(sample)
 					size = len(encoded)
-					if err != nil || codec.unmarshal(encoded, reflect.New(reflect.TypeOf(sample).Elem()).Interface()) != nil {
+					if err != nil ||
+						codec.unmarshal(encoded, reflect.New(reflect.TypeOf(sample).Elem()).Interface()) != nil {
 						b.Fatal(err)
 					}
 				}
--- a/internal/wire/mux/cut_test.go
+++ b/internal/wire/mux/cut_test.go
@@ -124,8 +124,10 @@
 	c.close()
 	mu.Lock()
 	defer mu.Unlock()
-	assert.Assert(t, done[string(body)] <= 1, "%s, cut after %d and %d bytes: handled %d times", name, requestBytes, responseBytes,
-		done[string(body)])
+	assert.Assert(
+		t, done[string(body)] <= 1, "%s, cut after %d and %d bytes: handled %d times",
+		name, requestBytes, responseBytes, done[string(body)],
+	)
 	assert.Assert(t, err != nil || done[string(body)] == 1, "%s: answered but not handled", name)
 	assert.Assert(t, done[string(next)] <= 1, "%s: the next call was handled %d times", name, done[string(next)])
 }
--- a/internal/wire/mux/frame.go
+++ b/internal/wire/mux/frame.go
@@ -164,7 +164,7 @@
 // each connection and then referred to by number.
 type head struct {
 	pathOrStatus string
-	pairs        []string
+	pairs        []string // names and values of headers in turn
 }
 
 func parseHead(b []byte) (*head, error) {
--- a/internal/wire/mux/mux_test.go
+++ b/internal/wire/mux/mux_test.go
@@ -238,7 +238,9 @@
 	send := func(b []byte) {
 		conn.mu.Lock()
 		conn.lastID++
-		assert.NilError(t, conn.enqueue(&message{kind: kindOpen, id: conn.lastID, head: appendPrefixed(nil, "/x"), body: b}))
+		assert.NilError(
+			t, conn.enqueue(&message{kind: kindOpen, id: conn.lastID, head: appendPrefixed(nil, "/x"), body: b}),
+		)
 		conn.flushAndUnlock()
 	}
 	send(make([]byte, 10*chunkBytes))
@@ -300,7 +302,10 @@
 	encoded := appendPrefixed(appendPrefixed(appendPrefixed(nil, "/x"), "Content-Type"), "y")
 	b := append(appendFrameHeader(nil, kindHead, 1, len(encoded)), encoded...)
 	f.Add(append(appendFrameHeader(b, kindOpen, 1, 6), "\x01\x00body"...))
-	f.Add(append(appendFrameHeader(b, kindOpen|moreFlag, 1, 7), "\x01\x00\x09body\x04\x01\x01z\x03\x01\x00\x06\x00\x00"...))
+	f.Add(append(
+		appendFrameHeader(b, kindOpen|moreFlag, 1, 7),
+		"\x01\x00\x09body\x04\x01\x01z\x03\x01\x00\x06\x00\x00"...,
+	))
 	f.Add(append(appendFrameHeader(nil, kindOpen, 1, 6), "\x00\x05\x03\x02/x"...))
 	f.Add([]byte("\x02\x01\xff\xff\xff\xff\xff\xff\xff\xff\xff\x01"))
 	f.Add(appendFrameHeader(nil, kindData, 1<<60, maxFrameBytes))
@@ -330,7 +335,10 @@
 	encoded := appendPrefixed(nil, "/x")
 	b := append(appendFrameHeader(AppendPreface(nil, "a"), kindHead, 1, len(encoded)), encoded...)
 	f.Add(append(appendFrameHeader(b, kindOpen, 1, 6), "\x01\x00body"...))
-	f.Add(append(appendFrameHeader(b, kindOpen|moreFlag, 1, 7), "\x01\x00\x09body\x83\x01\x01z\x04\x01\x00\x06\x00\x00\x03\x01\x01y"...))
+	f.Add(append(
+		appendFrameHeader(b, kindOpen|moreFlag, 1, 7),
+		"\x01\x00\x09body\x83\x01\x01z\x04\x01\x00\x06\x00\x00\x03\x01\x01y"...,
+	))
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		server := NewServer(http.HandlerFunc(echo), patientOptions)
 		mine, theirs := net.Pipe()
--- a/internal/wire/mux/muxconn.go
+++ b/internal/wire/mux/muxconn.go
@@ -71,10 +71,10 @@
 	timeoutMS  uint64
 	head       []byte
 	body       []byte
-	offset     int
-	firstWrite uint64
-	dropped    bool
-	isLong     bool
+	offset     int    // of the next chunk in body
+	firstWrite uint64 // the write with the first frame, math.MaxUint64 until there is one
+	dropped    bool   // its sender does not wait for it any more
+	isLong     bool   // sent in chunks and not completely sent
 }
 
 // muxConn is the part that both sides of a connection have in common: the send queue and its
@@ -86,17 +86,17 @@
 
 	// mu guards the fields up to spaceFreed, and the calls and counts of the embedding connection.
 	mu             sync.Mutex
-	err            error
-	shortFrames    *frameBuffer
+	err            error        // why the connection was closed, nil while it is open
+	shortFrames    *frameBuffer // queued frames, nil for none
 	longMessages   []*message
-	onSent         func(*message)
-	longQueueBytes int
-	writing        bool
+	onSent         func(*message) // called when a long message is completely sent
+	longQueueBytes int            // unsent bytes of longMessages
+	writing        bool           // a goroutine is writing
 	callCount      int
-	nextWrite      uint64
-	lastWrite      uint64
+	nextWrite      uint64 // number of the next write
+	lastWrite      uint64 // number of the last write of which bytes may have been sent
 	headNumbers    map[string]uint64
-	spaceFreed     chan struct{}
+	spaceFreed     chan struct{} // closed at the next write, nil when nothing waits for space
 
 	writeCount atomic.Uint64
 
@@ -258,7 +258,8 @@
 
 // flushAndUnlock starts the write of all queued messages, and unlocks mu, which the caller holds.
 // One goroutine writes at a time. The first one tries one write without blocking, which includes
-// the messages that others queued meanwhile. Another goroutine writes the rest.
+// the messages that others queued meanwhile. Another goroutine writes the rest. With several calls
+// on the connection it yields once before the write, so that their messages join it.
 func (c *muxConn) flushAndUnlock() {
 	if c.writing || c.err != nil {
 		c.mu.Unlock()
--- a/internal/wire/mux/network.go
+++ b/internal/wire/mux/network.go
@@ -117,7 +117,7 @@
 	n.updateTimer(true)
 }
 
-// closeIdle closes the connections that were not used since its last run.
+// closeIdle closes the connections without calls that were not used since its last run.
 func (n *Network) closeIdle() {
 	for _, c := range n.all() {
 		c.mu.Lock()
@@ -235,7 +235,7 @@
 var callPool = sync.Pool{New: func() any { return &clientCall{done: make(chan struct{}, 1)} }}
 
 // clientConn is the end of a connection that this node opened. awaited says that calls were in
-// flight at the last tick. silentTicks counts the ticks without input since then.
+// flight at the last tick. silentTicks counts the ticks in a row with calls in flight and no input.
 type clientConn struct {
 	muxConn
 	network      *Network
@@ -306,7 +306,7 @@
 }
 
 // failCalls fails all calls of a connection that was closed. Calls whose first frame was in no
-// successful write fail with errUnsent.
+// write of which bytes were sent fail with errUnsent.
 func (c *clientConn) failCalls(err error) {
 	c.network.remove(c)
 	c.peer.mu.Lock()
--- a/internal/wire/mux/server.go
+++ b/internal/wire/mux/server.go
@@ -380,7 +380,7 @@
 }
 
 // send queues a response. While the queue is full it waits for space, until the call ends or the
-// Handshake timeout passes. It reports whether the response's buffers are free for reuse.
+// Handshake timeout passes. It reports whether the buffers of a short response are free for reuse.
 func (c *serverConn) send(call *serverCall) bool {
 	var expired <-chan time.Time
 	for {
--- a/internal/wire/network.go
+++ b/internal/wire/network.go
@@ -10,6 +10,7 @@
 
 func milliseconds(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
 
+// Divisors of the timeouts in the settings.
 const (
 	dialTimeoutShare = 3
 	keepaliveShare   = 2
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -107,7 +107,7 @@
 	return response.Msg.Body, nil
 }
 
-// Handle registers f as the procedure's handler on mux.
+// Handle registers the handler of the procedure's calls on mux.
 func (p *Procedure[Q, A]) Handle(mux *http.ServeMux, handler func(context.Context, *Q) (*A, error)) {
 	mux.Handle(p.Path, connect.NewUnaryHandler(p.Path,
 		func(ctx context.Context, request *connect.Request[Q]) (*connect.Response[Envelope[A]], error) {
