--- a/internal/command/serve/datadir.go
+++ b/internal/command/serve/datadir.go
@@ -48,7 +48,7 @@
 	}
 	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		_ = file.Close()
-		return nil, apierror.Wrap(apierror.StillHeld, err, "data folder %s is in use by another process", dir)
+		return nil, apierror.Wrap(apierror.ResourceInUse, err, "data folder %s is in use by another process", dir)
 	}
 	return func() { _ = file.Close() }, nil
 }
--- a/internal/command/serve/listener.go
+++ b/internal/command/serve/listener.go
@@ -30,7 +30,7 @@
 	}
 	port, err := config.Listen(context.Background(), "tcp", l.Address)
 	if errors.Is(err, syscall.EADDRINUSE) {
-		return nil, apierror.Wrap(apierror.StillHeld, err, "%s %s", l.Setting, l.Address)
+		return nil, apierror.Wrap(apierror.ResourceInUse, err, "%s %s", l.Setting, l.Address)
 	}
 	return port, apierror.Wrap(apierror.SettingsInvalid, err, "%s %s", l.Setting, l.Address)
 }
--- a/internal/command/serve/process_test.go
+++ b/internal/command/serve/process_test.go
@@ -113,7 +113,7 @@
 	log := newLogBuffer()
 	done := make(chan error, 1)
 	go func() { done <- Run([]string{"-options", writeSettings(t, addrs, "")}, log) }()
-	log.await(t, event.StartWaits, 1)
+	log.await(t, event.StartDelayed, 1)
 	assert.NilError(t, other.Close())
 	log.await(t, event.Listening, 1)
 	assert.NilError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
@@ -124,7 +124,7 @@
 // never ends it. An error that can't pass by itself ends it immediately.
 func TestRetry(t *testing.T) {
 	for code, want := range map[apierror.Code]time.Duration{
-		apierror.StillHeld: settings.DefaultTiming.Recovery, apierror.DiskFull: time.Hour,
+		apierror.ResourceInUse: settings.DefaultTiming.Recovery, apierror.DiskFull: time.Hour,
 		apierror.DiskFailed: time.Hour, apierror.SettingsInvalid: 0, apierror.DiskForeign: 0,
 	} {
 		t.Run(string(code), func(t *testing.T) {
--- a/internal/docs/words_test.go
+++ b/internal/docs/words_test.go
@@ -25,9 +25,7 @@
 
 // unfinishedPackages still use withdrawn words in identifiers, each for the reason given; docs/ROADMAP.md lists them. A
 // package that is finished is taken off this list and must stay clean.
-var unfinishedPackages = map[string]string{
-	"internal/wire/mux": "the queue's message type of a link is still a parcel; the package was not reached",
-}
+var unfinishedPackages = map[string]string{}
 
 // Identifiers of finished packages use the terms of the glossary: a withdrawn word must not come back.
 func TestIdentifiers_UseNoWithdrawnWords(t *testing.T) {
--- a/internal/operator/configuration.go
+++ b/internal/operator/configuration.go
@@ -86,7 +86,7 @@
 	}
 	s.Log.Log(event.ConfigurationAccepted, "sequence", acceptance.Sequence)
 	if overridden := acceptance.OverriddenLanes; len(overridden) > 0 {
-		s.Log.Log(event.LanesKept, "sequence", acceptance.Sequence,
+		s.Log.Log(event.LanesUnchanged, "sequence", acceptance.Sequence,
 			"prefixes", len(overridden), "first", overridden[0].Prefix, "urgent", overridden[0].Urgent)
 	}
 	return acceptance, nil
--- a/internal/partitionlog/replica/replica_test.go
+++ b/internal/partitionlog/replica/replica_test.go
@@ -178,7 +178,7 @@
 			Kind: recordtype.Entry, Index: entry.Offset, Epoch: 1, Offset: entry.Offset, Body: body,
 		})
 		encoded[6] = 1
-		records = append(records, frame.Seal(encoded))
+		records = append(records, frame.WriteChecksum(encoded))
 	}
 	assert.NilError(t, disk.Write(1, records))
 	assert.NilError(t, disk.Sync())
