--- a/internal/testing/deliverycheck/checker.go
+++ b/internal/testing/deliverycheck/checker.go
@@ -19,7 +19,7 @@
 type sent struct {
 	body     string
 	key      string
-	place    Place
+	place    Position
 	at       time.Time
 	accepted time.Time
 	tries    int
@@ -59,7 +59,7 @@
 
 	mu         sync.Mutex
 	sent       map[Message]*sent
-	sessions   []*Session
+	sessions   []*Subscription
 	violations []Violation
 	presences  map[string][]*Presence
 	drawn      map[string][]*Withdrawal
@@ -79,7 +79,7 @@
 }
 
 // Session is a subscription.
-type Session struct {
+type Subscription struct {
 	checker *Checker
 	client  string
 	topic   string
@@ -166,17 +166,17 @@
 }
 
 // Open begins a stay that nothing is owed to before it was joined.
-func (b *Checker) Open(client, topic string, kept bool) *Session {
+func (b *Checker) Subscribe(client, topic string, kept bool) *Subscription {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := &Session{checker: b, client: client, topic: topic, kept: kept, have: map[Message]int{}}
+	s := &Subscription{checker: b, client: client, topic: topic, kept: kept, have: map[Message]int{}}
 	b.sessions = append(b.sessions, s)
 	return s
 }
 
 // OpenLate begins a stay at a cursor that another was given with a message at a time.
-func (b *Checker) OpenLate(client string, m Message, given time.Time) *Session {
-	s := b.Open(client, m.Topic, true)
+func (b *Checker) SubscribeFromCursor(client string, m Message, given time.Time) *Subscription {
+	s := b.Subscribe(client, m.Topic, true)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s.late, s.since, s.place = true, given, given
@@ -187,7 +187,7 @@
 }
 
 // Joined notes that the subscription was taken up, on a further connection unless it is the first.
-func (s *Session) Joined(now time.Time) {
+func (s *Subscription) Joined(now time.Time) {
 	s.checker.mu.Lock()
 	defer s.checker.mu.Unlock()
 	s.conn++
@@ -201,7 +201,7 @@
 }
 
 // Ended notes that the visitor ends the subscription.
-func (s *Session) Ended(now time.Time) {
+func (s *Subscription) Ended(now time.Time) {
 	s.checker.mu.Lock()
 	defer s.checker.mu.Unlock()
 	if s.end.IsZero() {
@@ -210,7 +210,7 @@
 }
 
 // Expired notes that the visitor is told that the subscription can't be taken up.
-func (s *Session) Expired(now time.Time) {
+func (s *Subscription) Expired(now time.Time) {
 	s.checker.mu.Lock()
 	defer s.checker.mu.Unlock()
 	s.checker.tally.Expired++
@@ -237,14 +237,14 @@
 
 // Got notes a message that came on this stay's connection: its place in the line, where that is
 // known, and when the connection took its last byte.
-func (s *Session) Got(m Message, body string, at Place, shown time.Time) {
+func (s *Subscription) Received(m Message, body string, at Position, shown time.Time) {
 	s.checker.mu.Lock()
 	defer s.checker.mu.Unlock()
 	s.checker.tally.Got++
 	s.got = append(s.got, receipt{m, s.conn, shown, s.taken})
 	s.have[m]++
 	s.checker.same(s.client, m, body)
-	if x := s.checker.sent[m]; x != nil && at != (Place{}) {
+	if x := s.checker.sent[m]; x != nil && at != (Position{}) {
 		x.place = at
 	}
 	if m.Topic != s.topic {
@@ -267,7 +267,7 @@
 	b.Violation(Mixed, "%s got %v at %s, a topic that its connection does not follow", client, m, now.Format("04:05.000"))
 }
 
-func (s *Session) owed(m Message, x *sent) bool {
+func (s *Subscription) owed(m Message, x *sent) bool {
 	return m.Topic == s.topic && s.kept && !s.since.IsZero() && !x.accepted.IsZero() && x.at.After(s.since) &&
 		(s.end.IsZero() || x.accepted.Before(s.end)) && !s.checker.spared(m, x)
 }
@@ -307,7 +307,7 @@
 	return b.tally, b.violations
 }
 
-func (s *Session) judge() {
+func (s *Subscription) judge() {
 	b := s.checker
 	seen, last, conn := map[Message]bool{}, map[string]uint64{}, 0
 	numbers := map[Message]Message{}
@@ -349,7 +349,7 @@
 
 // judgeNumber judges whether a message came before under another of its numbers. numbers has, for the
 // first number of each message, the one that it came under.
-func (s *Session) judgeNumber(numbers map[Message]Message, g receipt) {
+func (s *Subscription) judgeNumber(numbers map[Message]Message, g receipt) {
 	first := s.checker.first(g.message)
 	if number, ok := numbers[first]; ok {
 		s.checker.addViolation(Twice, "%s got %v at %s, a message that it had got as call %d", s.client, g.message,
@@ -358,7 +358,7 @@
 	numbers[first] = g.message
 }
 
-func (s *Session) complete(cut time.Time) {
+func (s *Subscription) complete(cut time.Time) {
 	for m, x := range s.checker.sent {
 		if s.owed(m, x) && s.have[m] == 0 && x.accepted.Before(cut) && s.open(cut) &&
 			(!s.late || x.accepted.After(cut.Add(-s.checker.Keeping))) {
@@ -368,4 +368,4 @@
 	}
 }
 
-func (s *Session) open(cut time.Time) bool { return !s.expired && (s.end.IsZero() || s.end.After(cut)) }
+func (s *Subscription) open(cut time.Time) bool { return !s.expired && (s.end.IsZero() || s.end.After(cut)) }
--- a/internal/testing/deliverycheck/plant_test.go
+++ b/internal/testing/deliverycheck/plant_test.go
@@ -19,7 +19,7 @@
 
 type day struct {
 	*Checker
-	w, x *Session
+	w, x *Subscription
 }
 
 func (d day) send(n uint64, at float64) {
@@ -27,9 +27,9 @@
 	d.Accepted(msg(n), sec(at+0.1))
 }
 
-func (d day) got(s *Session, ns ...uint64) {
+func (d day) got(s *Subscription, ns ...uint64) {
 	for _, n := range ns {
-		s.Got(msg(n), body(n), Place{}, sec(float64(n)+0.2))
+		s.Received(msg(n), body(n), Position{}, sec(float64(n)+0.2))
 	}
 }
 
@@ -37,11 +37,11 @@
 // other stays.
 func sound() day {
 	d := day{Checker: New(35*time.Second, 5*time.Second)}
-	d.w, d.x = d.Open("w", "kept/a", true), d.Open("x", "kept/a", true)
+	d.w, d.x = d.Subscribe("w", "kept/a", true), d.Subscribe("x", "kept/a", true)
 	d.w.Joined(sec(0.5))
 	d.x.Joined(sec(0.6))
-	d.Here("kept/a", sec(0.4)).Joined(sec(0.5))
-	d.Here("kept/a", sec(0.5)).Joined(sec(0.6))
+	d.BeginPresence("kept/a", sec(0.4)).Joined(sec(0.5))
+	d.BeginPresence("kept/a", sec(0.5)).Joined(sec(0.6))
 	for _, n := range []uint64{1, 3, 4, 7} {
 		d.send(n, float64(n))
 	}
@@ -73,15 +73,15 @@
 func TestSoundDayHasNoBreach(t *testing.T) {
 	assert.Equal(t, sound().found(), "")
 	d := sound()
-	s := d.Open("z", "live/a", false)
+	s := d.Subscribe("z", "live/a", false)
 	s.Joined(sec(1))
 	d.Try(Message{"live/a", "v", 20}, "", "b", sec(2))
-	s.Got(Message{"live/a", "v", 20}, "b", Place{}, sec(3))
+	s.Received(Message{"live/a", "v", 20}, "b", Position{}, sec(3))
 	s.Joined(sec(4))
-	s.Got(Message{"live/a", "v", 20}, "b", Place{}, sec(5))
+	s.Received(Message{"live/a", "v", 20}, "b", Position{}, sec(5))
 	assert.Equal(t, d.found(), "", "a live message may come again on another connection")
 	d = sound()
-	late := d.Open("y", "kept/a", true)
+	late := d.Subscribe("y", "kept/a", true)
 	late.Joined(sec(0.5))
 	late.Expired(sec(50))
 	_, bs := d.Judge(sec(60))
@@ -119,18 +119,18 @@
 			delete(d.x.have, msg(10))
 		}},
 		"a late visitor misses a message": {Lost, func(d day) {
-			s := d.OpenLate("l", msg(1), sec(2))
+			s := d.SubscribeFromCursor("l", msg(1), sec(2))
 			s.Joined(sec(19))
 			d.got(s, 4, 7, 8, 10)
 		}},
 		"a cursor is called too old too early": {Expired, func(d day) { d.x.Expired(sec(12)) }},
-		"a message has another body":           {Mixed, func(d day) { d.x.Got(msg(10), "x", Place{}, sec(11)) }},
+		"a message has another body":           {Mixed, func(d day) { d.x.Received(msg(10), "x", Position{}, sec(11)) }},
 		"a message was never sent":             {Mixed, func(d day) { d.got(d.x, 11) }},
 		"a message names another sender": {Mixed, func(d day) {
-			d.x.Got(Message{"kept/a", "u", 10}, body(10), Place{}, sec(11))
+			d.x.Received(Message{"kept/a", "u", 10}, body(10), Position{}, sec(11))
 		}},
 		"a message names another topic": {Mixed, func(d day) {
-			d.x.Got(Message{"kept/b", "v", 10}, body(10), Place{}, sec(11))
+			d.x.Received(Message{"kept/b", "v", 10}, body(10), Position{}, sec(11))
 		}},
 		"a message comes on a topic that was left":     {Mixed, func(d day) { d.Stray("w", msg(10), sec(11)) }},
 		"an answer comes to what was never sent":       {Mixed, func(d day) { d.Accepted(msg(30), sec(11)) }},
@@ -165,11 +165,11 @@
 	a, b := Message{"kept/b", "v", 1}, Message{"kept/b", "u", 1}
 	d.Try(a, "", "a", sec(11))
 	d.Try(b, "", "b", sec(11))
-	y, z := d.Open("y", "kept/b", true), d.Open("z", "kept/b", true)
+	y, z := d.Subscribe("y", "kept/b", true), d.Subscribe("z", "kept/b", true)
 	y.Joined(sec(10))
 	z.Joined(sec(10))
-	y.Got(a, "a", Place{}, sec(12))
-	y.Got(b, "b", Place{}, sec(12))
-	z.Got(b, "b", Place{}, sec(12))
-	z.Got(a, "a", Place{}, sec(12))
+	y.Received(a, "a", Position{}, sec(12))
+	y.Received(b, "b", Position{}, sec(12))
+	z.Received(b, "b", Position{}, sec(12))
+	z.Received(a, "a", Position{}, sec(12))
 }
--- a/internal/testing/deliverycheck/presence.go
+++ b/internal/testing/deliverycheck/presence.go
@@ -12,7 +12,7 @@
 }
 
 // Here notes that a visitor asks to listen.
-func (b *Checker) Here(topic string, now time.Time) *Presence {
+func (b *Checker) BeginPresence(topic string, now time.Time) *Presence {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := &Presence{checker: b, asked: now}
@@ -28,7 +28,7 @@
 }
 
 // Gone notes that it does no longer.
-func (p *Presence) Gone(now time.Time) {
+func (p *Presence) Left(now time.Time) {
 	p.checker.mu.Lock()
 	defer p.checker.mu.Unlock()
 	if p.to.IsZero() {
--- a/internal/testing/deliverycheck/withdrawn.go
+++ b/internal/testing/deliverycheck/withdrawn.go
@@ -6,7 +6,7 @@
 )
 
 // Place is where an entry stands in a line; nothing is known of an empty one.
-type Place struct {
+type Position struct {
 	Partition int
 	Offset    uint64
 }
@@ -14,17 +14,17 @@
 // Withdrawal is the withdrawal of what stands under a key, under a call number of its visitor,
 // which may name a sender and its highest number that is withdrawn too.
 type Withdrawal struct {
-	Topic, Key, By string
+	Topic, Key, Client string
 	Call           uint64
-	Of             string
-	Upto           uint64
+	Sender             string
+	UpTo           uint64
 
 	checker   *Checker
 	asked     time.Time
 	fixed     time.Time
 	confirmed time.Time
 	void      bool
-	tombstone Place
+	tombstone Position
 }
 
 // Withdraw notes that a withdrawal is about to be asked for; the first time counts.
@@ -32,7 +32,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, x := range b.drawn[w.Topic] {
-		if x.By == w.By && x.Call == w.Call {
+		if x.Client == w.Client && x.Call == w.Call {
 			return x
 		}
 	}
@@ -43,7 +43,7 @@
 }
 
 // Stands notes that the mark stands, though not all have forgotten.
-func (w *Withdrawal) Stands(now time.Time) {
+func (w *Withdrawal) Recorded(now time.Time) {
 	w.checker.mu.Lock()
 	defer w.checker.mu.Unlock()
 	w.checker.tally.Open++
@@ -60,13 +60,13 @@
 	w.void = true
 	if !w.fixed.IsZero() {
 		w.checker.addViolation(Withdrawn, "the withdrawal %d of %s by %s was told to stand, and then to be void",
-			w.Call, w.Topic, w.By)
+			w.Call, w.Topic, w.Client)
 	}
 }
 
 // Forgotten notes the yes, the place of its mark where that is known, and when the connection took
 // its last byte.
-func (w *Withdrawal) Forgotten(mark Place, now time.Time) {
+func (w *Withdrawal) Completed(mark Position, now time.Time) {
 	w.checker.mu.Lock()
 	defer w.checker.mu.Unlock()
 	if w.fixed.IsZero() {
@@ -79,7 +79,7 @@
 }
 
 // Shown notes that a follower is told that what stood under a key no longer does.
-func (b *Checker) Shown(client, topic, key string, now time.Time) {
+func (b *Checker) WithdrawalReceived(client, topic, key string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !slices.ContainsFunc(b.drawn[topic], func(w *Withdrawal) bool { return w.Key == key && !w.asked.After(now) }) {
@@ -89,7 +89,7 @@
 }
 
 // placed tells whether two places can be compared, and whether the first is before the second.
-func placed(a, b Place) (before, ok bool) {
+func placed(a, b Position) (before, ok bool) {
 	return a.Offset < b.Offset, a.Offset > 0 && b.Offset > 0 && a.Partition == b.Partition
 }
 
@@ -98,7 +98,7 @@
 	if w.void {
 		return false
 	}
-	if m.From == w.Of && m.CallSeq <= w.Upto && !w.confirmed.IsZero() && x.at.After(w.confirmed) {
+	if m.From == w.Sender && m.CallSeq <= w.UpTo && !w.confirmed.IsZero() && x.at.After(w.confirmed) {
 		return true
 	}
 	if x.key != w.Key {
@@ -107,10 +107,10 @@
 	if before, ok := placed(x.place, w.tombstone); ok {
 		return before
 	}
-	if m.From == w.By {
+	if m.From == w.Client {
 		return m.CallSeq < w.Call
 	}
-	return m.From == w.Of && m.CallSeq <= w.Upto || !x.accepted.IsZero() && x.accepted.Before(w.asked)
+	return m.From == w.Sender && m.CallSeq <= w.UpTo || !x.accepted.IsZero() && x.accepted.Before(w.asked)
 }
 
 // may tells whether a message may stand before the mark, or may never be taken because of it.
@@ -120,7 +120,7 @@
 		return false
 	case ok:
 		return before
-	case m.From == w.By:
+	case m.From == w.Client:
 		return m.CallSeq < w.Call
 	}
 	return w.fixed.IsZero() || !x.at.After(w.fixed)
@@ -146,23 +146,23 @@
 			if w.confirmed.IsZero() {
 				continue
 			}
-			if m.From == w.Of && m.CallSeq <= w.Upto && x.at.After(w.confirmed) && !x.accepted.IsZero() {
+			if m.From == w.Sender && m.CallSeq <= w.UpTo && x.at.After(w.confirmed) && !x.accepted.IsZero() {
 				b.addViolation(Withdrawn, "%v was taken at %s, which %s passed over before it came", m,
-					x.accepted.Format("04:05.000"), w.By)
+					x.accepted.Format("04:05.000"), w.Client)
 			}
 			for _, s := range b.sessions {
 				for _, g := range s.got {
 					if g.message == m && g.at.After(w.confirmed) {
 						b.addViolation(Withdrawn,
 							"%s was shown %v under %s at %s, withdrawn by %s as %d, which was told to be forgotten at %s", s.client,
-							m, w.Key, g.at.Format("04:05.000000"), w.By, w.Call, w.confirmed.Format("04:05.000000"))
+							m, w.Key, g.at.Format("04:05.000000"), w.Client, w.Call, w.confirmed.Format("04:05.000000"))
 					}
 				}
 			}
 		}
 		if covered {
 			b.tally.Covered++
-			if !x.accepted.IsZero() && !slices.ContainsFunc(b.sessions, func(s *Session) bool { return s.have[m] > 0 }) {
+			if !x.accepted.IsZero() && !slices.ContainsFunc(b.sessions, func(s *Subscription) bool { return s.have[m] > 0 }) {
 				b.tally.Spared++
 			}
 		}
@@ -171,7 +171,7 @@
 
 // Marks gives how long each withdrawal that was asked for in a time took to its yes, and how many
 // have none.
-func (b *Checker) Marks(from, to time.Time) (ds []time.Duration, open int) {
+func (b *Checker) WithdrawalLatencies(from, to time.Time) (ds []time.Duration, open int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, ws := range b.drawn {
@@ -191,7 +191,7 @@
 
 // Spread gives how long messages that were first sent in a time took to visitors who followed their
 // topic then on the connection on which they came. Of a visitor named in but, nothing counts.
-func (b *Checker) Spread(from, to time.Time, but func(client string) bool) (ds []time.Duration) {
+func (b *Checker) DeliveryLatencies(from, to time.Time, but func(client string) bool) (ds []time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, s := range b.sessions {
--- a/internal/testing/deliverycheck/withdrawn_test.go
+++ b/internal/testing/deliverycheck/withdrawn_test.go
@@ -15,12 +15,12 @@
 }
 
 func (d day) withdraw(by string, n uint64, at float64) *Withdrawal {
-	return d.Withdraw(Withdrawal{Topic: "kept/a", Key: "k", By: by, Call: n}, sec(at))
+	return d.Withdraw(Withdrawal{Topic: "kept/a", Key: "k", Client: by, Call: n}, sec(at))
 }
 
-func (d day) shows(m Message, at float64, ss ...*Session) {
+func (d day) shows(m Message, at float64, ss ...*Subscription) {
 	for _, s := range ss {
-		s.Got(m, body(m.CallSeq), Place{}, sec(at))
+		s.Received(m, body(m.CallSeq), Position{}, sec(at))
 	}
 }
 
@@ -29,9 +29,9 @@
 func drawn(d day) (Message, *Withdrawal) {
 	m := d.keyed("u", 1, 11)
 	w := d.withdraw("w", 1, 12)
-	w.Stands(sec(12.5))
+	w.Recorded(sec(12.5))
 	d.shows(m, 12.9, d.x)
-	w.Forgotten(Place{}, sec(13))
+	w.Completed(Position{}, sec(13))
 	return m, w
 }
 
@@ -41,36 +41,36 @@
 }{
 	"a withdrawn message is shown after the yes": {Withdrawn, func(d day) {
 		m, _ := drawn(d)
-		s := d.Open("y", "kept/a", true)
+		s := d.Subscribe("y", "kept/a", true)
 		s.Joined(sec(10))
 		d.shows(m, 13.1, s)
 	}},
 	"a withdrawn message is shown to one who resumes": {Withdrawn, func(d day) {
 		m, _ := drawn(d)
-		s := d.Open("y", "kept/a", true)
+		s := d.Subscribe("y", "kept/a", true)
 		s.Joined(sec(10))
 		s.Joined(sec(14))
 		d.shows(m, 14.1, s)
 	}},
 	"a withdrawn message is shown to a late visitor": {Withdrawn, func(d day) {
 		m, _ := drawn(d)
-		s := d.OpenLate("l", msg(8), sec(8))
+		s := d.SubscribeFromCursor("l", msg(8), sec(8))
 		s.Joined(sec(15))
 		d.got(s, 10)
 		d.shows(m, 15.1, s)
 	}},
 	"a message of a live topic is shown after the yes": {Withdrawn, func(d day) {
 		m := Message{"live/a", "u", 1}
-		s := d.Open("y", "live/a", false)
+		s := d.Subscribe("y", "live/a", false)
 		s.Joined(sec(10))
 		d.Try(m, "k", body(1), sec(11))
-		d.Withdraw(Withdrawal{Topic: "live/a", Key: "k", By: "u", Call: 2}, sec(11.1)).Forgotten(Place{}, sec(11.5))
-		s.Got(m, body(1), Place{}, sec(12))
+		d.Withdraw(Withdrawal{Topic: "live/a", Key: "k", Client: "u", Call: 2}, sec(11.1)).Completed(Position{}, sec(11.5))
+		s.Received(m, body(1), Position{}, sec(12))
 	}},
 	"a message that stands before the mark, by their places, is shown after the yes": {Withdrawn, func(d day) {
 		m := d.keyed("u", 1, 12.5)
-		d.x.Got(m, body(1), Place{1, 50}, sec(14))
-		d.withdraw("w", 1, 12).Forgotten(Place{1, 51}, sec(13))
+		d.x.Received(m, body(1), Position{1, 50}, sec(14))
+		d.withdraw("w", 1, 12).Completed(Position{1, 51}, sec(13))
 	}},
 	"a live update of the same key is lost": {Lost, func(d day) {
 		drawn(d)
@@ -81,7 +81,7 @@
 		d.shows(m, 11.1, d.x)
 		w := d.withdraw("u", 2, 12)
 		d.keyed("u", 3, 12.1)
-		w.Forgotten(Place{}, sec(13))
+		w.Completed(Position{}, sec(13))
 	}},
 	"a live update of another key is lost": {Lost, func(d day) {
 		drawn(d)
@@ -93,21 +93,21 @@
 		d.withdraw("w", 1, 12).Void()
 	}},
 	"a number that was passed over is taken": {Withdrawn, func(d day) {
-		d.Withdraw(Withdrawal{Topic: "kept/a", Key: "k", By: "w", Call: 1, Of: "u", Upto: 5},
-			sec(11)).Forgotten(Place{}, sec(12))
+		d.Withdraw(Withdrawal{Topic: "kept/a", Key: "k", Client: "w", Call: 1, Sender: "u", UpTo: 5},
+			sec(11)).Completed(Position{}, sec(12))
 		d.shows(d.keyed("u", 5, 13), 13.2, d.x)
 	}},
 	"a message of the named sender is shown after the yes": {Withdrawn, func(d day) {
-		w := d.Withdraw(Withdrawal{Topic: "kept/a", Key: "k", By: "w", Call: 1, Of: "u", Upto: 5}, sec(11))
+		w := d.Withdraw(Withdrawal{Topic: "kept/a", Key: "k", Client: "w", Call: 1, Sender: "u", UpTo: 5}, sec(11))
 		m := d.keyed("u", 5, 11.5)
-		w.Forgotten(Place{}, sec(12))
+		w.Completed(Position{}, sec(12))
 		d.shows(m, 13.2, d.x)
 	}},
 	"a withdrawal that stood is void": {Withdrawn, func(d day) {
 		_, w := drawn(d)
 		w.Void()
 	}},
-	"a follower is told of a withdrawal that nobody asked": {Mixed, func(d day) { d.Shown("w", "kept/a", "k", sec(5)) }},
+	"a follower is told of a withdrawal that nobody asked": {Mixed, func(d day) { d.WithdrawalReceived("w", "kept/a", "k", sec(5)) }},
 }
 
 func TestSoundWithdrawalsHaveNoBreach(t *testing.T) {
@@ -120,17 +120,17 @@
 		"withdrawn while it is on its way": func(d day) {
 			w := d.withdraw("w", 1, 11)
 			d.keyed("u", 1, 11.5)
-			w.Forgotten(Place{}, sec(12))
+			w.Completed(Position{}, sec(12))
 		},
 		"written anew before the yes, and seen by some": func(d day) {
 			w := d.withdraw("w", 1, 11)
 			d.shows(d.keyed("u", 1, 11.5), 13, d.x)
-			w.Forgotten(Place{}, sec(12))
+			w.Completed(Position{}, sec(12))
 		},
 		"behind the mark by its place": func(d day) {
 			m := d.keyed("u", 1, 11)
-			d.x.Got(m, body(1), Place{1, 52}, sec(14))
-			d.withdraw("w", 1, 12).Forgotten(Place{1, 51}, sec(13))
+			d.x.Received(m, body(1), Position{1, 52}, sec(14))
+			d.withdraw("w", 1, 12).Completed(Position{1, 51}, sec(13))
 		},
 		"asked, and never answered": func(d day) {
 			d.keyed("u", 1, 11)
@@ -138,16 +138,16 @@
 		},
 		"another topic": func(d day) {
 			m := Message{"kept/b", "u", 1}
-			s := d.Open("y", "kept/b", true)
+			s := d.Subscribe("y", "kept/b", true)
 			s.Joined(sec(10))
 			d.Try(m, "k", body(1), sec(11))
 			d.Accepted(m, sec(11.1))
-			d.withdraw("w", 1, 11.5).Forgotten(Place{}, sec(12))
-			s.Got(m, body(1), Place{}, sec(13))
+			d.withdraw("w", 1, 11.5).Completed(Position{}, sec(12))
+			s.Received(m, body(1), Position{}, sec(13))
 		},
 		"told": func(d day) {
 			drawn(d)
-			d.Shown("x", "kept/a", "k", sec(12.6))
+			d.WithdrawalReceived("x", "kept/a", "k", sec(12.6))
 		},
 	}
 	for n, f := range days {
@@ -163,11 +163,11 @@
 	d := sound()
 	drawn(d)
 	d.withdraw("w", 3, 14)
-	ds, open := d.Marks(sec(0), sec(20))
+	ds, open := d.WithdrawalLatencies(sec(0), sec(20))
 	assert.Equal(t, len(ds), 1)
 	assert.Equal(t, ds[0], sec(13).Sub(sec(12)))
 	assert.Equal(t, open, 1)
-	all := len(d.Spread(sec(0), sec(20), nil))
+	all := len(d.DeliveryLatencies(sec(0), sec(20), nil))
 	assert.Equal(t, all, 5+6+1)
-	assert.Equal(t, len(d.Spread(sec(0), sec(20), func(v string) bool { return v == "x" })), 5)
+	assert.Equal(t, len(d.DeliveryLatencies(sec(0), sec(20), func(v string) bool { return v == "x" })), 5)
 }
--- a/internal/testing/fleet/sessions_test.go
+++ b/internal/testing/fleet/sessions_test.go
@@ -64,7 +64,7 @@
 		t.Errorf("%s: %s", x.Rule, x.Message)
 	}
 	for n, s := range map[string][2]time.Time{"calm": {calm, cut}, "with a router cut off": {cut, mended}} {
-		ds, open := v.Checker.Marks(s[0], s[1])
+		ds, open := v.Checker.WithdrawalLatencies(s[0], s[1])
 		t.Logf("%s: %d withdrawals told to be forgotten, p50 %s p99 %s, %d not", n, len(ds), quantile(ds, 0.5),
 			quantile(ds, 0.99), open)
 	}
--- a/internal/testing/sim/measure_marks_test.go
+++ b/internal/testing/sim/measure_marks_test.go
@@ -62,12 +62,12 @@
 		for seed := range uint64(2) {
 			calm := func(*World) { time.Sleep(20 * time.Second) }
 			marked(t, s, seed, 30, func(h *simclient.Habits) { h.WithdrawInterval = 3 * time.Second }, calm, func(_ *World, g *LineClients, from, to time.Time) {
-				ds, open := g.Checker.Marks(from, to.Add(-5*time.Second))
+				ds, open := g.Checker.WithdrawalLatencies(from, to.Add(-5*time.Second))
 				assert.Equal(t, open, 0)
-				yes, with = append(yes, ds...), append(with, g.Checker.Spread(from, to, nil)...)
+				yes, with = append(yes, ds...), append(with, g.Checker.DeliveryLatencies(from, to, nil)...)
 			})
 			marked(t, s, seed, 30, func(h *simclient.Habits) { h.WithdrawInterval, h.KeyedFraction = 0, 0 }, calm, func(_ *World, g *LineClients, from, to time.Time) {
-				without = append(without, g.Checker.Spread(from, to, nil)...)
+				without = append(without, g.Checker.DeliveryLatencies(from, to, nil)...)
 			})
 		}
 		for _, ds := range [][]time.Duration{yes, with, without} {
@@ -96,7 +96,7 @@
 				time.Sleep(10 * time.Second)
 			}
 		}, func(_ *World, g *LineClients, from, to time.Time) {
-			ds, open := g.Checker.Marks(from, to)
+			ds, open := g.Checker.WithdrawalLatencies(from, to)
 			t.Logf("%s: marks every 10 s, a router away from 20 s to 80 s:%s; %d yes, %d open", name, say, len(ds), open)
 		})
 	}
--- a/internal/testing/sim/scripted.go
+++ b/internal/testing/sim/scripted.go
@@ -21,7 +21,7 @@
 	line     *lineSession
 	mu       sync.Mutex
 	seen     []TimedResponse
-	sessions map[string]*deliverycheck.Session
+	sessions map[string]*deliverycheck.Subscription
 	// cursor is what a topic was resumed with.
 	cursor map[string]string
 	ended  bool
@@ -38,7 +38,7 @@
 
 // Scripted lets a scripted visitor in, nil where nobody answers.
 func (g *LineClients) Scripted(at, name string) *ScriptedClient {
-	h := &ScriptedClient{Name: name, At: at, clients: g, sessions: map[string]*deliverycheck.Session{},
+	h := &ScriptedClient{Name: name, At: at, clients: g, sessions: map[string]*deliverycheck.Subscription{},
 		cursor: map[string]string{}, notify: make(chan struct{}, 1)}
 	h.line = g.connect(g.world.Machines[at], true, h.receive, h.onBroken)
 	if h.line == nil {
@@ -117,12 +117,12 @@
 	case session.Subscribed:
 		s.Joined(now)
 	case session.Message:
-		s.Got(deliverycheck.Message{Topic: a.Topic, From: a.From, CallSeq: a.CallSeq}, string(a.Body),
-			deliverycheck.Place{Partition: a.Partition, Offset: a.Offset}, shown)
+		s.Received(deliverycheck.Message{Topic: a.Topic, From: a.From, CallSeq: a.CallSeq}, string(a.Body),
+			deliverycheck.Position{Partition: a.Partition, Offset: a.Offset}, shown)
 	case session.Accepted:
 		b.Accepted(deliverycheck.Message{Topic: a.Topic, From: h.Name, CallSeq: a.CallSeq}, now)
 	case session.Withdrawn:
-		b.Shown(h.Name, a.Topic, a.Key, now)
+		b.WithdrawalReceived(h.Name, a.Topic, a.Key, now)
 	case session.Rejected:
 		if a.InReplyTo == session.Send && simclient.Promises[apierror.From(a.Err).Code] {
 			b.Rejected(deliverycheck.Message{Topic: a.Topic, From: h.Name, CallSeq: a.CallSeq})
@@ -175,7 +175,7 @@
 func (h *ScriptedClient) Follow(topic, cursor string) (TimedResponse, bool) {
 	h.mu.Lock()
 	if h.sessions[topic] == nil {
-		h.sessions[topic] = h.clients.Checker.Open(h.Name, topic, strings.HasPrefix(topic, "kept/"))
+		h.sessions[topic] = h.clients.Checker.Subscribe(h.Name, topic, strings.HasPrefix(topic, "kept/"))
 	}
 	n := len(h.seen)
 	h.mu.Unlock()
@@ -243,11 +243,11 @@
 
 // Withdraw asks for a withdrawal once and notes the answer.
 func (h *ScriptedClient) Withdraw(w deliverycheck.Withdrawal) (TimedResponse, bool) {
-	w.By = h.Name
+	w.Client = h.Name
 	x := h.clients.Checker.Withdraw(w, time.Now())
 	n := h.ResponseCount()
 	h.line.Do(session.Request{Verb: session.Withdraw, Topic: w.Topic, Key: w.Key, CallSeq: w.Call,
-		WithdrawSender: w.Of, WithdrawUpTo: w.Upto})
+		WithdrawSender: w.Sender, WithdrawUpTo: w.UpTo})
 	s, ok := h.Wait(n, scriptedTimeout, func(a session.Response) bool {
 		return a.Topic == w.Topic && a.CallSeq == w.Call &&
 			(a.Type == session.WithdrawalComplete || a.InReplyTo == session.Withdraw)
@@ -255,9 +255,9 @@
 	switch {
 	case !ok:
 	case s.Type == session.WithdrawalComplete:
-		x.Forgotten(deliverycheck.Place{Partition: s.Partition, Offset: s.Offset}, s.Shown)
+		x.Completed(deliverycheck.Position{Partition: s.Partition, Offset: s.Offset}, s.Shown)
 	case apierror.HasCode(s.Err, apierror.WithdrawalOpen):
-		x.Stands(time.Now())
+		x.Recorded(time.Now())
 	case simclient.Voids[apierror.From(s.Err).Code]:
 		x.Void()
 	}
--- a/internal/testing/sim/withdraw_scene_test.go
+++ b/internal/testing/sim/withdraw_scene_test.go
@@ -141,7 +141,7 @@
 	}
 	s.wait(s.far, s.call)
 	other := func(v string) bool { return v != "far" && v != "lead" }
-	return s.g.Checker.Spread(begun, time.Now(), other)
+	return s.g.Checker.DeliveryLatencies(begun, time.Now(), other)
 }
 
 func quantile(ds []time.Duration, q float64) time.Duration {
--- a/internal/testing/sim/withdraw_test.go
+++ b/internal/testing/sim/withdraw_test.go
@@ -222,7 +222,7 @@
 				close(sent)
 			}()
 			time.Sleep(ahead)
-			_, ok := s.lead.Withdraw(deliverycheck.Withdrawal{Topic: ground, Key: "race", Call: d, Of: "lead", Upto: m})
+			_, ok := s.lead.Withdraw(deliverycheck.Withdrawal{Topic: ground, Key: "race", Call: d, Sender: "lead", UpTo: m})
 			assert.Assert(s.t, ok)
 			<-sent
 			a, ok := twin.Wait(0, scriptedTimeout, func(a session.Response) bool {
@@ -241,7 +241,7 @@
 		foe := s.again("a3", "foe")
 		for i := range 5 {
 			n := uint64(10 * (i + 1))
-			a, ok := s.lead.Withdraw(deliverycheck.Withdrawal{Topic: ground, Key: "foe", Call: s.next(), Of: "foe", Upto: n})
+			a, ok := s.lead.Withdraw(deliverycheck.Withdrawal{Topic: ground, Key: "foe", Call: s.next(), Sender: "foe", UpTo: n})
 			assert.Assert(s.t, ok && a.Type == session.WithdrawalComplete, "%v", a.Err)
 			a, ok = foe.Send(ground, "foe", n-1)
 			assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.CallPassed), "%s %v", a.Type, a.Err)
--- a/internal/testing/simclient/client.go
+++ b/internal/testing/simclient/client.go
@@ -130,7 +130,7 @@
 	since    time.Time
 	retry    time.Time
 	cursor   string
-	session  *deliverycheck.Session
+	session  *deliverycheck.Subscription
 	presence *deliverycheck.Presence
 }
 
@@ -205,7 +205,7 @@
 	for _, t := range client.Follow {
 		s := &subscription{Topic: t, wanted: true}
 		if t.Cursor != "" {
-			s.session, s.cursor = client.Checker.OpenLate(client.Name, t.LastMessage, t.Given), t.Cursor
+			s.session, s.cursor = client.Checker.SubscribeFromCursor(client.Name, t.LastMessage, t.Given), t.Cursor
 		}
 		client.subs = append(client.subs, s)
 	}
@@ -270,7 +270,7 @@
 	client.returnAt = now.Add(client.span(within))
 	for _, s := range client.subs {
 		if s.presence != nil {
-			s.presence.Gone(now)
+			s.presence.Left(now)
 			s.presence = nil
 		}
 		s.state = idle
--- a/internal/testing/simclient/requests.go
+++ b/internal/testing/simclient/requests.go
@@ -25,15 +25,15 @@
 	switch {
 	case sub.wanted && (sub.state == idle || sub.state == unsubscribed) && !now.Before(sub.retry):
 		if sub.session == nil {
-			sub.session = client.Checker.Open(client.Name, sub.Name, sub.Kept)
+			sub.session = client.Checker.Subscribe(client.Name, sub.Name, sub.Kept)
 			sub.cursor = ""
 		}
 		sub.state, sub.since = subscribing, now
-		sub.presence = client.Checker.Here(sub.Name, now)
+		sub.presence = client.Checker.BeginPresence(sub.Name, now)
 		client.send(now, session.Request{Verb: session.Subscribe, Topic: sub.Name, Cursor: sub.cursor})
 	case !sub.wanted && sub.state == subscribed:
 		sub.session.Ended(now)
-		sub.presence.Gone(now)
+		sub.presence.Left(now)
 		sub.presence = nil
 		sub.state, sub.since = unsubscribing, now
 		client.send(now, session.Request{Verb: session.Unsubscribe, Topic: sub.Name})
@@ -86,7 +86,7 @@
 		m.inFlight, m.asked = true, now
 		if w := m.withdrawal; w != nil {
 			client.send(now, session.Request{Verb: session.Withdraw, Topic: l.Topic, CallSeq: m.call, Key: w.Key,
-				WithdrawSender: w.Of, WithdrawUpTo: w.Upto})
+				WithdrawSender: w.Sender, WithdrawUpTo: w.UpTo})
 			continue
 		}
 		if m.call == 0 {
@@ -122,9 +122,9 @@
 // withdrawal withdraws what stands under a key, at times with a sender that was seen on the topic
 // and a number that it may not have reached.
 func (client *Client) withdrawal(now time.Time, topic string) *message {
-	w := deliverycheck.Withdrawal{Topic: topic, Key: client.key(), By: client.Name, Call: client.number()}
+	w := deliverycheck.Withdrawal{Topic: topic, Key: client.key(), Client: client.Name, Call: client.number()}
 	if m, ok := client.seen[topic]; ok && m.From != client.Name && client.Rand.IntN(othersOneIn) == 0 {
-		w.Of, w.Upto = m.From, m.CallSeq+uint64(client.Rand.IntN(ahead))
+		w.Sender, w.UpTo = m.From, m.CallSeq+uint64(client.Rand.IntN(ahead))
 	}
 	return &message{call: w.Call, first: now, withdrawal: client.Checker.Withdraw(w, now)}
 }
--- a/internal/testing/simclient/responses.go
+++ b/internal/testing/simclient/responses.go
@@ -77,7 +77,7 @@
 		if sub.state == unsubscribing {
 			return
 		}
-		sub.session.Got(m, string(response.Body), deliverycheck.Place{Partition: response.Partition,
+		sub.session.Received(m, string(response.Body), deliverycheck.Position{Partition: response.Partition,
 			Offset: response.Offset}, client.shown)
 		client.seen[response.Topic] = m
 		sub.cursor = response.Cursor
@@ -103,11 +103,11 @@
 				response.Topic, response.CallSeq)
 			return
 		}
-		sent.withdrawal.Forgotten(deliverycheck.Place{Partition: response.Partition, Offset: response.Offset}, client.shown)
+		sent.withdrawal.Completed(deliverycheck.Position{Partition: response.Partition, Offset: response.Offset}, client.shown)
 		in.messages = slices.DeleteFunc(in.messages, func(x *message) bool { return x == sent })
 	},
 	session.Withdrawn: func(client *Client, now time.Time, response session.Response) {
-		client.Checker.Shown(client.Name, response.Topic, response.Key, now)
+		client.Checker.WithdrawalReceived(client.Name, response.Topic, response.Key, now)
 	},
 	session.Counted: func(client *Client, now time.Time, response session.Response) {
 		at, ok := client.counted[response.Topic]
@@ -153,7 +153,7 @@
 				client.Name, response.Topic, response.Err)
 			return
 		}
-		sub.presence.Gone(now)
+		sub.presence.Left(now)
 		sub.presence = nil
 		sub.state, sub.retry = idle, now.Add(client.span(client.Habits.Keepalive/2))
 		switch {
@@ -173,7 +173,7 @@
 		sent.inFlight, sent.retry = false, now.Add(client.span(client.Habits.Keepalive/10))
 		switch code := apierror.From(response.Err).Code; {
 		case code == apierror.WithdrawalOpen:
-			sent.withdrawal.Stands(now)
+			sent.withdrawal.Recorded(now)
 		case Voids[code]:
 			sent.withdrawal.Void()
 			in.messages = slices.DeleteFunc(in.messages, func(x *message) bool { return x == sent })
