--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -184,7 +184,7 @@
 	fmt.Printf("violations %d\n", len(report.Violations))
 	for i, violation := range report.Violations {
 		if i < maxShownViolations {
-			fmt.Printf("  %s: %s\n", violation.Line, violation.Message)
+			fmt.Printf("  %s: %s\n", violation.Rule, violation.Message)
 		}
 	}
 	if len(report.Violations) > 0 {
@@ -198,19 +198,19 @@
 		fmt.Printf("%-22s count %d p50 %s p95 %s p99 %s max %s\n", name, s.Count, s.P50, s.P95, s.P99, s.Max)
 	}
 	fmt.Printf("sent %d taken %d unknown %d receipts %d subscribers %d descriptions %d\n",
-		report.Sent, report.Accepted, report.Unknown, report.Receipts, report.Subscribers, report.Descriptions)
+		report.Sent, report.Accepted, report.Unknown, report.Receipts, report.Subscribers, report.Configurations)
 	spans("send to receive", report.Spread)
 	spans("send to taken, urgent", report.Urgent)
 	spans("send to taken, routine", report.Routine)
 	for name, s := range report.Waits {
 		spans(name, s)
 	}
-	for name, s := range report.Acknowledged {
+	for name, s := range report.Retried {
 		spans("told "+name, s)
 	}
 	fmt.Printf("longest wait %s (%s at %s), undisturbed %s\n",
 		report.Longest.Total, report.Longest.Kind, report.Longest.Place, report.LongestUndisturbed.Undisturbed)
-	fmt.Printf("faults %v\n", report.Covered)
+	fmt.Printf("faults %v\n", report.Faults)
 	pieces, held, late := deployment.Relay.Counts()
 	fmt.Printf("between machines: %d pieces one way, %d held by a cut, %d late\n", pieces, held, late)
 	if totals, err := fleet.Totals(deployment); err == nil {
--- a/internal/testing/fleet/day.go
+++ b/internal/testing/fleet/day.go
@@ -189,11 +189,11 @@
 	}
 	defer r.fleet.release(p.Name)
 	r.logf("%s %s", name, p.Name)
-	r.history.Disturb(name, time.Now())
+	r.history.AddFault(name, time.Now())
 	if err := faults[name](ctx, r.Day, r.fleet, p, rng); err != nil {
 		r.history.Violate(history.Recovery, "%v", err)
 	}
-	r.history.Disturb("end of "+name, time.Now())
+	r.history.AddFault("end of "+name, time.Now())
 }
 
 // close has the callers send nothing new, waits until they have caught up and judges the day.
--- a/internal/testing/fleet/fleet_test.go
+++ b/internal/testing/fleet/fleet_test.go
@@ -48,7 +48,7 @@
 	r, err := d.Run(context.Background(), f)
 	assert.NilError(t, err)
 	for _, v := range r.Violations {
-		t.Errorf("%s: %s", v.Line, v.Message)
+		t.Errorf("%s: %s", v.Rule, v.Message)
 	}
 	assert.Assert(t, r.Accepted > 300, "taken %d", r.Accepted)
 	t.Logf("taken %d receipts %d longest wait to be taken %s, longest wait %s (%s at %s from %s on), "+
--- a/internal/testing/fleet/operators.go
+++ b/internal/testing/fleet/operators.go
@@ -34,7 +34,7 @@
 		asked := time.Now()
 		cur, err := ps[rng.IntN(len(ps))].Get(cx)
 		if err == nil {
-			h.ReadBack(cur, asked)
+			h.ReadConfiguration(cur, asked)
 			doc := d.Load.Numbered(cur, cur+1+rng.Uint64N(9), "")
 			n, e := ps[rng.IntN(len(ps))].Put(cx, doc)
 			if e == nil {
@@ -57,7 +57,7 @@
 		seq, ok, err := p.Port().Shows(cx)
 		stop()
 		if err == nil && ok {
-			h.Show(run, seq, asked, bound)
+			h.ObserveConfiguration(run, seq, asked, bound)
 		}
 		wait(ctx, 500*time.Millisecond)
 	}
--- a/internal/testing/fleet/probe.go
+++ b/internal/testing/fleet/probe.go
@@ -25,8 +25,8 @@
 		e := time.Now()
 		if late := e.Sub(t) - usual; late >= settings.DefaultTiming.FailureTimeout() {
 			d.logf("%s of the machine under the fleet stood still for %s until now", what, late)
-			h.Disturb("stood still: "+what, t)
-			h.Disturb("end of stood still: "+what, e)
+			h.AddFault("stood still: "+what, t)
+			h.AddFault("end of stood still: "+what, e)
 			sum += late
 		}
 	}
--- a/internal/testing/fleet/soak.go
+++ b/internal/testing/fleet/soak.go
@@ -266,7 +266,7 @@
 		Longest: callers.Longest.Total, Stalled: s.day.Stalled,
 	}
 	for _, v := range callers.Violations {
-		r.Violations = append(r.Violations, v.Line+": "+v.Message)
+		r.Violations = append(r.Violations, v.Rule+": "+v.Message)
 	}
 	for _, v := range violations {
 		r.Violations = append(r.Violations, v.Rule+": "+v.Message)
@@ -305,7 +305,7 @@
 		if err != nil {
 			continue
 		}
-		s.run.history.ReadBack(base, asked)
+		s.run.history.ReadConfiguration(base, asked)
 		id := fmt.Sprintf("operator %d order %d", operator, n)
 		s.order(ctx, f, rng, orders.Order{Base: base, Sequence: base + 1 + rng.Uint64N(3), ID: id})
 	}
--- a/internal/testing/history/history.go
+++ b/internal/testing/history/history.go
@@ -52,7 +52,7 @@
 
 // Violation is one breach of the never-list.
 type Violation struct {
-	Line    string
+	Rule    string
 	Message string
 }
 
@@ -115,7 +115,7 @@
 )
 
 // Lines lists all of them.
-var Lines = []string{Twice, Order, Lost, Missed, Fenced, Disk, Foreign, Spread, Invalid, Readback, Recovery, Behind}
+var Rules = []string{Twice, Order, Lost, Missed, Fenced, Disk, Foreign, Spread, Invalid, Readback, Recovery, Behind}
 
 func (h *History) violate(l, f string, a ...any) {
 	h.violations = append(h.violations, Violation{l, fmt.Sprintf(f, a...)})
@@ -233,7 +233,7 @@
 
 // Show notes which description a serving node showed at some moment after asked, in one run of the
 // node.
-func (h *History) Show(node string, seq uint64, asked time.Time, bound time.Duration) {
+func (h *History) ObserveConfiguration(node string, seq uint64, asked time.Time, bound time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if seq < h.seen[node] {
@@ -249,7 +249,7 @@
 
 // Effect notes that a node did, on a call begun at asked, what a description accepted since
 // forbids; seq is the newest one that allows it.
-func (h *History) Effect(node string, seq uint64, asked time.Time, bound time.Duration, what string) {
+func (h *History) ObserveEffect(node string, seq uint64, asked time.Time, bound time.Duration, what string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for n, t := range h.accepted {
@@ -261,7 +261,7 @@
 }
 
 // Apply notes the contents that a node shows for a sequence, and those that were accepted.
-func (h *History) Apply(node string, seq uint64, shows, accepted string) {
+func (h *History) ObserveContents(node string, seq uint64, shows, accepted string) {
 	if shows != accepted {
 		h.Violate(Invalid, "%s shows for description %d %q, accepted was %q", node, seq, shows, accepted)
 	}
@@ -269,7 +269,7 @@
 
 // Overtaken notes how long an urgent call took beside routine work that was held still, and how
 // long it may take.
-func (h *History) Overtaken(place, beside string, took, limit time.Duration) {
+func (h *History) UrgentCall(place, beside string, took, limit time.Duration) {
 	if took > limit {
 		h.Violate(Behind, "an urgent call on %s took %s beside %s, %s are allowed", place, took, beside, limit)
 	}
@@ -277,7 +277,7 @@
 
 // ReadBack judges a description that was read back: asked when the read began, and seq is what it
 // gave.
-func (h *History) ReadBack(seq uint64, asked time.Time) {
+func (h *History) ReadConfiguration(seq uint64, asked time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for n, t := range h.accepted {
@@ -292,15 +292,15 @@
 type Report struct {
 	Sent, Accepted, Unknown, Refused int
 	Receipts, Subscribers            int
-	Descriptions                     int
+	Configurations                     int
 	Violations                       []Violation
 	Spread, Urgent, Routine          Spans
-	Waits, Acknowledged              map[string]Spans
+	Waits, Retried              map[string]Spans
 	Longest                          Wait
 	LongestUndisturbed               Wait
 	Decisions                        map[string]int
 	Promises                         int
-	Covered                          map[string]int
+	Faults                          map[string]int
 	// Judged tells which lines had something to be judged by in this run.
 	Judged map[string]bool
 }
@@ -325,7 +325,7 @@
 func (h *History) Check(cut, now time.Time) Report {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	r := Report{Sent: len(h.sent), Subscribers: len(h.subs), Descriptions: len(h.accepted)}
+	r := Report{Sent: len(h.sent), Subscribers: len(h.subs), Configurations: len(h.accepted)}
 	places := newPlaces(h)
 	for m, s := range h.sent {
 		switch s.outcome {
@@ -350,7 +350,7 @@
 	h.judgeVerdicts(&r)
 	h.judgeDelivery()
 	h.judgeWaits(cut, now, &r)
-	r.Promises, r.Covered = h.promises, h.covered
+	r.Promises, r.Faults = h.promises, h.covered
 	h.judged(&r)
 	r.Spread, r.Urgent, r.Routine = spans(h.spread), spans(h.urgent), spans(h.routine)
 	r.Violations = h.violations
--- a/internal/testing/history/plant_test.go
+++ b/internal/testing/history/plant_test.go
@@ -44,10 +44,10 @@
 	h.AcceptConfiguration(0, 1, "one", sec(0))
 	h.AcceptConfiguration(1, 2, "two", sec(2))
 	h.AcceptConfiguration(1, 2, "two", sec(3))
-	h.Show("a1#1", 1, sec(4), 3*time.Second)
-	h.Show("a1#1", 2, sec(5), 3*time.Second)
-	h.ReadBack(2, sec(6))
-	h.Reread(Reading{Through: "a1", Topics: map[string]bool{"kept/a": true}, Since: sec(0.5),
+	h.ObserveConfiguration("a1#1", 1, sec(4), 3*time.Second)
+	h.ObserveConfiguration("a1#1", 2, sec(5), 3*time.Second)
+	h.ReadConfiguration(2, sec(6))
+	h.ReadMessages(Reading{Through: "a1", Topics: map[string]bool{"kept/a": true}, Since: sec(0.5),
 		Got: []Receipt{got(1), got(2), got(3)}})
 	return h
 }
@@ -55,7 +55,7 @@
 func lines(h *History) string {
 	var s []string
 	for _, v := range h.Check(sec(10), sec(11)).Violations {
-		s = append(s, v.Line+": "+v.Message)
+		s = append(s, v.Rule+": "+v.Message)
 	}
 	return strings.Join(s, "\n")
 }
@@ -66,7 +66,7 @@
 func TestCheckerFindsEveryPlantedViolation(t *testing.T) {
 	reread := func(g ...Receipt) func(h *History) {
 		return func(h *History) {
-			h.Reread(Reading{Through: "c1", Topics: map[string]bool{"kept/a": true}, Since: sec(0.5), Got: g})
+			h.ReadMessages(Reading{Through: "c1", Topics: map[string]bool{"kept/a": true}, Since: sec(0.5), Got: g})
 		}
 	}
 	moved := got(3)
@@ -150,13 +150,13 @@
 			h.Refuse(msg(3), body(3))
 		}},
 		"a node shows an old description too long": {Spread, func(h *History) {
-			h.Show("a2#1", 1, sec(5.1), 3*time.Second)
+			h.ObserveConfiguration("a2#1", 1, sec(5.1), 3*time.Second)
 		}},
 		"a node's description slips back": {Spread, func(h *History) {
-			h.Show("a1#1", 1, sec(4.5), 3*time.Second)
+			h.ObserveConfiguration("a1#1", 1, sec(4.5), 3*time.Second)
 		}},
 		"a removed topic is served too long": {Spread, func(h *History) {
-			h.Effect("a1", 1, sec(5.1), 3*time.Second, "took a message on a removed topic")
+			h.ObserveEffect("a1", 1, sec(5.1), 3*time.Second, "took a message on a removed topic")
 		}},
 		"one base is accepted twice": {Invalid, func(h *History) {
 			h.AcceptConfiguration(1, 2, "other", sec(7))
@@ -168,19 +168,19 @@
 			h.AcceptConfiguration(3, 2, "two", sec(7))
 		}},
 		"an invalid description is applied": {Invalid, func(h *History) {
-			h.Apply("a1", 2, "spaces of the loser", "spaces of the winner")
+			h.ObserveContents("a1", 2, "spaces of the loser", "spaces of the winner")
 		}},
-		"an older description is read back": {Readback, func(h *History) { h.ReadBack(1, sec(7)) }},
+		"an older description is read back": {Readback, func(h *History) { h.ReadConfiguration(1, sec(7)) }},
 		"a wait outlasts the bound": {Recovery, func(h *History) {
 			h.Begin(WaitAccept, "kept/a", sec(-3))(sec(9.5))
 		}},
 		"a call is never answered": {Recovery, func(h *History) { h.Begin(WaitAttach, "w", sec(-2)) }},
 		"a wait outlasts the bound after the last fault": {Recovery, func(h *History) {
-			h.Disturb("kill", sec(-5))
+			h.AddFault("kill", sec(-5))
 			h.Begin(WaitOpen, "w", sec(-8))(sec(8))
 		}},
 		"an urgent call waits for routine work": {Behind, func(h *History) {
-			h.Overtaken("stop/line", "a routine turn", 2*time.Second, time.Second)
+			h.UrgentCall("stop/line", "a routine turn", 2*time.Second, time.Second)
 		}},
 	}
 	hit := map[string]bool{}
@@ -193,7 +193,7 @@
 		})
 		hit[p.line] = true
 	}
-	for _, l := range Lines {
+	for _, l := range Rules {
 		assert.Assert(t, hit[l], "nothing is planted for %s", l)
 	}
 	h := day()
@@ -205,11 +205,11 @@
 	h.Send(msg(9), body(9), false, sec(5))
 	h.AcceptMessage(msg(9), 1, 19, sec(5.1))
 	h.Receive("w", got(9))
-	h.Reread(Reading{Through: "a2", Topics: map[string]bool{"kept/a": true}, Since: sec(5), Got: []Receipt{got(9)}})
+	h.ReadMessages(Reading{Through: "a2", Topics: map[string]bool{"kept/a": true}, Since: sec(5), Got: []Receipt{got(9)}})
 	h.readBacks = h.readBacks[1:]
 	assert.Equal(t, lines(h), "", "gaps are sound, so is a try turned away before one that was not")
 	h = day()
-	h.Disturb("kill", sec(1))
+	h.AddFault("kill", sec(1))
 	h.Begin(WaitOpen, "w", sec(-8))(sec(8))
 	assert.Equal(t, lines(h), "", "a wait with a fault in its middle is judged from the fault on")
 }
--- a/internal/testing/history/trace.go
+++ b/internal/testing/history/trace.go
@@ -13,7 +13,7 @@
 	Epoch        uint64
 	What         string
 	Begun        time.Time
-	Acknowledged time.Time
+	Answered time.Time
 }
 
 // DecisionOpen is the verdict by which an owner opens its partition under a new epoch.
@@ -64,11 +64,11 @@
 				v.Epoch, o)
 		}
 		for _, o := range opened[v.Partition] {
-			if o.Epoch > v.Epoch && v.Begun.After(o.Acknowledged) {
+			if o.Epoch > v.Epoch && v.Begun.After(o.Answered) {
 				h.violate(Fenced,
 					"%s said %q for partition %d under epoch %d, asked at %s, after %s had opened it under epoch %d at %s",
 					v.Node, v.What, v.Partition, v.Epoch, v.Begun.Format("04:05.000000"), o.Node, o.Epoch,
-					o.Acknowledged.Format("04:05.000000"))
+					o.Answered.Format("04:05.000000"))
 			}
 		}
 	}
@@ -117,7 +117,7 @@
 
 // Reread notes what a fresh subscriber read back through a node, resuming from a cursor taken at
 // Since.
-func (h *History) Reread(r Reading) {
+func (h *History) ReadMessages(r Reading) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.readBacks = append(h.readBacks, r)
--- a/internal/testing/history/waits.go
+++ b/internal/testing/history/waits.go
@@ -47,7 +47,7 @@
 }
 
 // Acknowledged notes how long a call took that was told to come back, by the kind of problem.
-func (h *History) Acknowledged(kind string, d time.Duration) {
+func (h *History) Retried(kind string, d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.acknowledged[kind] = append(h.acknowledged[kind], d)
@@ -58,7 +58,7 @@
 }
 
 // Disturb notes that something went wrong, or was put right, at a moment.
-func (h *History) Disturb(what string, now time.Time) {
+func (h *History) AddFault(what string, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.faults = append(h.faults, now)
@@ -97,9 +97,9 @@
 				w.Kind, w.Place, w.Total, w.From.Format("04:05.000"), w.Undisturbed, w.Open)
 		}
 	}
-	r.Acknowledged = map[string]Spans{}
+	r.Retried = map[string]Spans{}
 	for k, ds := range h.acknowledged {
-		r.Acknowledged[k] = spans(ds)
+		r.Retried[k] = spans(ds)
 	}
 	for k, ds := range by {
 		r.Waits[k] = spans(ds)
--- a/internal/testing/httpclient/caller.go
+++ b/internal/testing/httpclient/caller.go
@@ -254,7 +254,7 @@
 				c.History.Violate(history.Lost, "%s was told %s for %v, which it sends in order: %v", c.Name, p.Code, m, err)
 				return
 			}
-			c.History.Acknowledged(string(p.Code), c.Clock.Now().Sub(asked))
+			c.History.Retried(string(p.Code), c.Clock.Now().Sub(asked))
 			c.pause(ctx, max(c.Spread/30, time.Duration(p.RetryAfterMS)*time.Millisecond/2))
 		}
 		end(c.Clock.Now())
--- a/internal/testing/sim/chaos_test.go
+++ b/internal/testing/sim/chaos_test.go
@@ -97,7 +97,7 @@
 		if err != nil {
 			continue
 		}
-		w.History.ReadBack(cur, asked)
+		w.History.ReadConfiguration(cur, asked)
 		doc := w.load.Numbered(cur, cur+1+r.Uint64N(9), "")
 		_, err = w.Put(to, doc)
 		if apierror.HasCode(err, apierror.OutcomeUnknown) {
@@ -162,14 +162,14 @@
 	}
 	k := len(FaultNames())
 	s := fmt.Sprintf("%d runs at armor, %d at traductores, %d of %d pairs of different faults; longest wait after the last thing that went wrong: median %s, p95 %s, most %s\n\n| fault |", c.runs[0], c.runs[1], len(c.pairs), k*(k-1)/2+k, at(0.5), at(0.95), at(1))
-	for _, l := range history.Lines {
+	for _, l := range history.Rules {
 		n, _, _ := strings.Cut(l, " ")
 		s += " " + strings.TrimPrefix(n, "never-") + " |"
 	}
-	s += "\n|---|" + strings.Repeat("---|", len(history.Lines)) + "\n"
+	s += "\n|---|" + strings.Repeat("---|", len(history.Rules)) + "\n"
 	for _, b := range FaultNames() {
 		s += "| " + b + " |"
-		for _, l := range history.Lines {
+		for _, l := range history.Rules {
 			s += fmt.Sprintf(" %d |", c.by[b][l])
 		}
 		s += "\n"
--- a/internal/testing/sim/controls.go
+++ b/internal/testing/sim/controls.go
@@ -22,7 +22,7 @@
 	w.Machines[n].kill()
 }
 
-func (w *World) note(what string) { w.History.Disturb(what, time.Now()) }
+func (w *World) note(what string) { w.History.AddFault(what, time.Now()) }
 
 // LosePower ends a process at once; its disk keeps only what was synced, maybe with a torn tail.
 func (w *World) LosePower(n string, torn bool) {
--- a/internal/testing/sim/description_test.go
+++ b/internal/testing/sim/description_test.go
@@ -41,7 +41,7 @@
 		assert.NilError(t, w.WaitReady(20*time.Second))
 		script(t, w)
 		for _, v := range w.History.Check(time.Now(), time.Now()).Violations {
-			t.Errorf("seed %d: %s: %s", seed, v.Line, v.Message)
+			t.Errorf("seed %d: %s: %s", seed, v.Rule, v.Message)
 		}
 	})
 }
--- a/internal/testing/sim/effect_test.go
+++ b/internal/testing/sim/effect_test.go
@@ -58,7 +58,7 @@
 				ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Recovery)
 				_, err := w.Port(n).Send(ctx, tokens[n], "kept/t1", 1, []byte(`1`))
 				if err == nil {
-					w.History.Effect(n, seq-1, asked, w.Site.Timing.Spread-time.Millisecond, "took a message on a removed topic")
+					w.History.ObserveEffect(n, seq-1, asked, w.Site.Timing.Spread-time.Millisecond, "took a message on a removed topic")
 				}
 				assert.Assert(t, apierror.HasCode(err, apierror.UnknownTopic), "%s: %v", n, err)
 				_, _, err = follow(w, n, tokens[n], "", []string{"kept/t1"}, time.Second)
--- a/internal/testing/sim/faults_test.go
+++ b/internal/testing/sim/faults_test.go
@@ -187,7 +187,7 @@
 					}
 				}
 			})
-			assert.Assert(t, len(r.Covered) > 0, "void: nothing went wrong")
+			assert.Assert(t, len(r.Faults) > 0, "void: nothing went wrong")
 			if f := hits[n]; f != nil {
 				assert.Assert(t, f(r, fresh), "void: the fault named did not hit")
 			}
--- a/internal/testing/sim/flood_test.go
+++ b/internal/testing/sim/flood_test.go
@@ -104,8 +104,8 @@
 		wg.Wait()
 		t.Logf("urgent, longest: calm %s, flooded %s, beside a lost store %s, beside its repair %s; routine taken %d, shed %d", calm, flooded, beside, repaired, taken, shed)
 		assert.Assert(t, shed > taken/10, "void: the flood was none")
-		w.History.Overtaken("stop/line", "a flood", flooded, 3*calm+2*time.Millisecond)
-		w.History.Overtaken("stop/line", "a lost store", beside, limit)
-		w.History.Overtaken("stop/line", "a repair", repaired, limit)
+		w.History.UrgentCall("stop/line", "a flood", flooded, 3*calm+2*time.Millisecond)
+		w.History.UrgentCall("stop/line", "a lost store", beside, limit)
+		w.History.UrgentCall("stop/line", "a repair", repaired, limit)
 	})
 }
--- a/internal/testing/sim/machine.go
+++ b/internal/testing/sim/machine.go
@@ -198,7 +198,7 @@
 	w := node.Environment{Clock: machineClock{m}, Net: &endpoint{m.w, m, run},
 		OnDecision: func(p int, e uint64, what string, begun time.Time) {
 			m.w.History.Decide(history.Decision{Node: m.Opts.Name, Partition: p, Epoch: e, What: what, Begun: begun,
-				Acknowledged: time.Now()})
+				Answered: time.Now()})
 		}}
 	if m.Opts.Disk != settings.DiskNone {
 		w.Disk = gatedDisk{m.Disk, m, run}
@@ -216,7 +216,7 @@
 	m.n = n
 	m.ports = &transport.Services{Clients: n.Clients, API: n.API(), Gone: make(chan struct{})}
 	m.w.serve(m.Opts.PeerListen, m, run, n.PeerHandler())
-	m.w.History.Disturb("start", time.Now())
+	m.w.History.AddFault("start", time.Now())
 	return nil
 }
 
--- a/internal/testing/sim/observe.go
+++ b/internal/testing/sim/observe.go
@@ -151,7 +151,7 @@
 					}
 				}
 				if s.API.Ready() == nil {
-					w.History.Show(fmt.Sprintf("%s#%d", n, run), s.API.Operators.Store.Configuration().Sequence, time.Now(),
+					w.History.ObserveConfiguration(fmt.Sprintf("%s#%d", n, run), s.API.Operators.Store.Configuration().Sequence, time.Now(),
 						w.Site.Timing.Spread)
 				}
 			}
--- a/internal/testing/sim/offer_test.go
+++ b/internal/testing/sim/offer_test.go
@@ -235,7 +235,7 @@
 			for p := range parts {
 				book.Got = append(book.Got, whole(t, w, p, here)...)
 			}
-			w.History.Reread(book)
+			w.History.ReadMessages(book)
 			for _, v := range vs {
 				for k, n := range v.tally {
 					tally[k] += n
--- a/internal/testing/sim/points_test.go
+++ b/internal/testing/sim/points_test.go
@@ -199,7 +199,7 @@
 						switch name {
 						case "sealed":
 							w.Terminate("s1")
-							w.History.Disturb("stop", time.Now())
+							w.History.AddFault("stop", time.Now())
 						case "promised":
 							w.Terminate(w.leaderOf(controller.Key))
 						case "accepted":
--- a/internal/testing/sim/readback.go
+++ b/internal/testing/sim/readback.go
@@ -106,6 +106,6 @@
 	if len(r.Got) == 0 {
 		return apierror.WithCause(apierror.Unreachable, why, "nothing was read back through %s", through)
 	}
-	w.History.Reread(r)
+	w.History.ReadMessages(r)
 	return nil
 }
--- a/internal/testing/sim/sim_test.go
+++ b/internal/testing/sim/sim_test.go
@@ -105,7 +105,7 @@
 		seq, err := w.Port(n).Get(ctx)
 		stop()
 		if err == nil {
-			w.History.ReadBack(seq, at)
+			w.History.ReadConfiguration(seq, at)
 			return nil
 		}
 		if time.Now().After(end) {
@@ -121,7 +121,7 @@
 	t.Logf("seed %d: sent %d taken %d unknown %d receipts %d longest wait %s (%s at %s), undisturbed %s, spread p50 %s p99 %s", w.Seed, r.Sent, r.Accepted, r.Unknown, r.Receipts, r.Longest.Total, r.Longest.Kind, r.Longest.Place, r.LongestUndisturbed.Undisturbed, r.Spread.P50, r.Spread.P99)
 	for i, v := range r.Violations {
 		if i < 10 {
-			t.Errorf("seed %d: %s: %s", w.Seed, v.Line, v.Message)
+			t.Errorf("seed %d: %s: %s", w.Seed, v.Rule, v.Message)
 		}
 	}
 	assert.Assert(t, r.Accepted > 50, "too little was sent to prove anything")
--- a/internal/testing/sim/urgent_test.go
+++ b/internal/testing/sim/urgent_test.go
@@ -106,7 +106,7 @@
 			busy := send(20)
 			time.Sleep(time.Second)
 			assert.Assert(t, hits() > 10, "void: nothing was held")
-			w.History.Overtaken("stop/line", "routine partitions that stand still", busy, 3*calm+2*time.Millisecond)
+			w.History.UrgentCall("stop/line", "routine partitions that stand still", busy, 3*calm+2*time.Millisecond)
 			mu.Lock()
 			for name, calls := range got {
 				for c := first; c <= n; c++ {
