--- a/internal/testing/fleet/sessions.go
+++ b/internal/testing/fleet/sessions.go
@@ -168,7 +168,7 @@
 
 func (v *Sessions) endpoint(p *Process) simclient.Endpoint {
 	return simclient.Endpoint{Address: p.Opts.ClientListen,
-		Connect: func(hear func(session.Response, time.Time), broken func()) simclient.Line {
+		Connect: func(hear func(session.Response, time.Time), broken func()) simclient.Connection {
 			c, err := (&net.Dialer{Timeout: time.Second}).DialContext(v.ctx, "tcp", p.Opts.ClientListen)
 			if err != nil {
 				return nil
@@ -200,12 +200,12 @@
 		x := &simclient.Client{Name: fmt.Sprintf("g%d", i), Habits: sim.Habits(), Rand: r, Endpoints: v.endpoints,
 			Checker: v.Checker, Calm: func() bool { return false }}
 		x.Habits.WithdrawInterval = 3 * time.Second
-		x.Habits.Stays = i%stayingOneIn == 0
+		x.Habits.IgnoresMoves = i%stayingOneIn == 0
 		for _, k := range r.Perm(topics)[:min(topics, 3+r.IntN(3))] {
 			x.Follow = append(x.Follow, simclient.Topic{Name: fmt.Sprintf(topic, k), Kept: true})
 		}
 		for k := range 2 {
-			x.Lanes = append(x.Lanes, simclient.Lane{Topic: fmt.Sprintf(topic, (i+7*k)%topics),
+			x.SendTopics = append(x.SendTopics, simclient.SendTopic{Topic: fmt.Sprintf(topic, (i+7*k)%topics),
 				Window: 1 + 3*(i%2), Interval: l.Every / time.Duration(1+3*(i%2))})
 		}
 		v.wg.Go(func() { x.Run(v.ctx, v.sends) })
--- a/internal/testing/sim/lineclients.go
+++ b/internal/testing/sim/lineclients.go
@@ -184,7 +184,7 @@
 
 func (g *LineClients) endpoint(m *Machine) simclient.Endpoint {
 	return simclient.Endpoint{Address: m.Opts.ClientListen,
-		Connect: func(hear func(session.Response, time.Time), broken func()) simclient.Line {
+		Connect: func(hear func(session.Response, time.Time), broken func()) simclient.Connection {
 			if s := g.connect(m, false, hear, broken); s != nil {
 				return s
 			}
@@ -288,14 +288,14 @@
 		if l.LiveTopics > 0 && i%2 == 0 {
 			t := fmt.Sprintf("live/l%d", r.IntN(l.LiveTopics))
 			x.Follow = append(x.Follow, simclient.Topic{Name: t})
-			x.Lanes = append(x.Lanes, simclient.Lane{Topic: t, Window: 1, Interval: 2 * l.Every})
+			x.SendTopics = append(x.SendTopics, simclient.SendTopic{Topic: t, Window: 1, Interval: 2 * l.Every})
 		}
 		for k := range 2 {
 			width := 1
 			if i%4 == 0 && k == 0 {
 				width = 8
 			}
-			x.Lanes = append(x.Lanes, simclient.Lane{Topic: fmt.Sprintf("kept/t%d", (i+k*7)%max(1, l.Topics)),
+			x.SendTopics = append(x.SendTopics, simclient.SendTopic{Topic: fmt.Sprintf("kept/t%d", (i+k*7)%max(1, l.Topics)),
 				Window: width, Interval: l.Every / time.Duration(width)})
 		}
 		x.Saved = func(t simclient.Topic) {
--- a/internal/testing/sim/scripted.go
+++ b/internal/testing/sim/scripted.go
@@ -124,7 +124,7 @@
 	case session.Withdrawn:
 		b.WithdrawalReceived(h.Name, a.Topic, a.Key, now)
 	case session.Rejected:
-		if a.InReplyTo == session.Send && simclient.Promises[apierror.From(a.Err).Code] {
+		if a.InReplyTo == session.Send && simclient.FinalRejections[apierror.From(a.Err).Code] {
 			b.Rejected(deliverycheck.Message{Topic: a.Topic, From: h.Name, CallSeq: a.CallSeq})
 		}
 	}
@@ -233,7 +233,7 @@
 		if ok && s.Type == session.Accepted {
 			return true
 		}
-		if ok && simclient.Promises[apierror.From(s.Err).Code] {
+		if ok && simclient.FinalRejections[apierror.From(s.Err).Code] {
 			return false
 		}
 		time.Sleep(h.clients.world.Site.Timing.MaxBackoff())
@@ -258,7 +258,7 @@
 		x.Completed(deliverycheck.Position{Partition: s.Partition, Offset: s.Offset}, s.Shown)
 	case apierror.HasCode(s.Err, apierror.WithdrawalOpen):
 		x.Recorded(time.Now())
-	case simclient.Voids[apierror.From(s.Err).Code]:
+	case simclient.FinalWithdrawalRejections[apierror.From(s.Err).Code]:
 		x.Void()
 	}
 	return s, ok
--- a/internal/testing/sim/withdraw_test.go
+++ b/internal/testing/sim/withdraw_test.go
@@ -226,7 +226,7 @@
 			assert.Assert(s.t, ok)
 			<-sent
 			a, ok := twin.Wait(0, scriptedTimeout, func(a session.Response) bool {
-				return a.CallSeq == m && (a.Type == session.Accepted || a.InReplyTo == session.Send && simclient.Promises[apierror.From(a.Err).Code])
+				return a.CallSeq == m && (a.Type == session.Accepted || a.InReplyTo == session.Send && simclient.FinalRejections[apierror.From(a.Err).Code])
 			})
 			assert.Assert(s.t, ok, "no answer to %d", m)
 			if a.Type == session.Accepted {
--- a/internal/testing/simclient/client.go
+++ b/internal/testing/simclient/client.go
@@ -14,7 +14,7 @@
 )
 
 // Line is one connection to a node. End is its closing by the client.
-type Line interface {
+type Connection interface {
 	Do(t session.Request)
 	End()
 }
@@ -24,7 +24,7 @@
 // the connection, if the client did not end it itself.
 type Endpoint struct {
 	Address string
-	Connect func(hear func(a session.Response, shown time.Time), broken func()) Line
+	Connect func(hear func(a session.Response, shown time.Time), broken func()) Connection
 }
 
 // Topic is something that a client follows, from a cursor that another was given with a message, if
@@ -38,7 +38,7 @@
 }
 
 // Lane is a topic that a client sends on, with so many messages under way at once.
-type Lane struct {
+type SendTopic struct {
 	Topic    string
 	Window   int
 	Interval time.Duration
@@ -64,7 +64,7 @@
 	WithdrawInterval, WithdrawTimeout time.Duration
 	// Stays has a client that is attached not follow the advice to move to another node: it uses
 	// its connection until that is gone.
-	Stays bool
+	IgnoresMoves bool
 }
 
 // Client is one simulated client.
@@ -73,7 +73,7 @@
 	Endpoints func() []Endpoint
 	Checker   *deliverycheck.Checker
 	Follow    []Topic
-	Lanes     []Lane
+	SendTopics     []SendTopic
 	Habits    Habits
 	Rand      *rand.Rand
 	// Calm tells whether the fleet has been undisturbed for a while.
@@ -85,7 +85,7 @@
 	inbox  []lineEvent
 	notify chan struct{}
 
-	line        Line
+	line        Connection
 	address     string
 	serial      int
 	attached    bool
@@ -135,7 +135,7 @@
 }
 
 type lane struct {
-	Lane
+	SendTopic
 	next           time.Time
 	nextWithdrawal time.Time
 	messages       []*message
@@ -209,8 +209,8 @@
 		}
 		client.subs = append(client.subs, s)
 	}
-	for _, l := range client.Lanes {
-		client.lanes = append(client.lanes, &lane{Lane: l, next: client.later(now, l.Interval),
+	for _, l := range client.SendTopics {
+		client.lanes = append(client.lanes, &lane{SendTopic: l, next: client.later(now, l.Interval),
 			nextWithdrawal: client.later(now, client.Habits.WithdrawInterval)})
 	}
 	client.returnAt = now.Add(client.span(client.Habits.Keepalive / 2))
--- a/internal/testing/simclient/responses.go
+++ b/internal/testing/simclient/responses.go
@@ -10,13 +10,13 @@
 )
 
 // Promises are the problems that say that a message was not taken and never will be.
-var Promises = map[apierror.Code]bool{
+var FinalRejections = map[apierror.Code]bool{
 	apierror.Overloaded: true, apierror.ShuttingDown: true, apierror.NoLease: true, apierror.NoPartitionLeader: true,
 	apierror.CallPassed: true,
 }
 
 // Voids are the problems that say that nothing was withdrawn under a number and never will be.
-var Voids = map[apierror.Code]bool{apierror.KeyUnknown: true, apierror.CallPassed: true}
+var FinalWithdrawalRejections = map[apierror.Code]bool{apierror.KeyUnknown: true, apierror.CallPassed: true}
 
 func (client *Client) sub(topic string) *subscription {
 	if i := slices.IndexFunc(client.subs, func(s *subscription) bool { return s.Name == topic }); i >= 0 {
@@ -130,7 +130,7 @@
 	},
 	session.Moved: func(client *Client, now time.Time, response session.Response) {
 		// The advice to come back to the same node tells that a subscription has ended.
-		if client.Habits.Stays && client.attached && response.Address != client.address {
+		if client.Habits.IgnoresMoves && client.attached && response.Address != client.address {
 			return
 		}
 		client.close(now, client.Habits.Keepalive/ticksPerKeepalive, false)
@@ -174,14 +174,14 @@
 		switch code := apierror.From(response.Err).Code; {
 		case code == apierror.WithdrawalOpen:
 			sent.withdrawal.Recorded(now)
-		case Voids[code]:
+		case FinalWithdrawalRejections[code]:
 			sent.withdrawal.Void()
 			in.messages = slices.DeleteFunc(in.messages, func(x *message) bool { return x == sent })
 		}
 	},
 	session.Send: func(client *Client, now time.Time, response session.Response) {
 		code := apierror.From(response.Err).Code
-		if Promises[code] {
+		if FinalRejections[code] {
 			client.Checker.Rejected(deliverycheck.Message{Topic: response.Topic, From: client.Name, CallSeq: response.CallSeq})
 		}
 		in, sent := client.message(response.Topic, response.CallSeq)
@@ -189,7 +189,7 @@
 			return
 		}
 		sent.inFlight, sent.retry = false, now.Add(client.span(client.Habits.Keepalive/10))
-		if !Promises[code] {
+		if !FinalRejections[code] {
 			return
 		}
 		in.messages = slices.DeleteFunc(in.messages, func(x *message) bool { return x == sent })
