--- a/internal/testing/fleet/operators.go
+++ b/internal/testing/fleet/operators.go
@@ -54,7 +54,7 @@
 		p.mu.Lock()
 		run := fmt.Sprintf("%s#%d", p.Name, p.runs)
 		p.mu.Unlock()
-		seq, ok, err := p.Port().Shows(cx)
+		seq, ok, err := p.Port().ShownConfiguration(cx)
 		stop()
 		if err == nil && ok {
 			h.ObserveConfiguration(run, seq, asked, bound)
--- a/internal/testing/sim/controls.go
+++ b/internal/testing/sim/controls.go
@@ -50,9 +50,9 @@
 	w.note("reset")
 	close(m.broken)
 	m.broken = make(chan struct{})
-	close(m.ports.Gone)
+	close(m.ports.Ended)
 	s := *m.ports
-	s.Gone = make(chan struct{})
+	s.Ended = make(chan struct{})
 	m.ports = &s
 }
 
--- a/internal/testing/sim/description_test.go
+++ b/internal/testing/sim/description_test.go
@@ -16,7 +16,7 @@
 )
 
 func shown(w *World, n string) uint64 {
-	s, _, err := w.Port(n).Shows(w.ctx)
+	s, _, err := w.Port(n).ShownConfiguration(w.ctx)
 	if err != nil {
 		return 0
 	}
@@ -402,7 +402,7 @@
 			assert.NilError(t, err)
 			time.Sleep(w.Site.Timing.Spread + time.Millisecond)
 			for _, n := range []string{"a1", "s1"} {
-				_, ready, _ := w.Port(n).Shows(w.ctx)
+				_, ready, _ := w.Port(n).ShownConfiguration(w.ctx)
 				assert.Assert(t, !ready, "%s serves, cut off, %s after description %d", n, w.Site.Timing.Spread, base+1)
 			}
 			w.Heal()
--- a/internal/testing/sim/lineclients.go
+++ b/internal/testing/sim/lineclients.go
@@ -216,7 +216,7 @@
 	go s.listen()
 	go func() {
 		select {
-		case <-sv.Gone:
+		case <-sv.Ended:
 			broken()
 			s.cut()
 		case <-s.dead:
--- a/internal/testing/sim/machine.go
+++ b/internal/testing/sim/machine.go
@@ -214,7 +214,7 @@
 		m.snap()
 	}
 	m.n = n
-	m.ports = &transport.Services{Clients: n.Clients, API: n.API(), Gone: make(chan struct{})}
+	m.ports = &transport.Services{Clients: n.Clients, API: n.API(), Ended: make(chan struct{})}
 	m.w.serve(m.Opts.PeerListen, m, run, n.PeerHandler())
 	m.w.History.AddFault("start", time.Now())
 	return nil
@@ -224,7 +224,7 @@
 	m.mu.Lock()
 	n := m.n
 	if m.ports != nil {
-		close(m.ports.Gone)
+		close(m.ports.Ended)
 	}
 	x := m.lineServer
 	m.n, m.ports, m.lineServer = nil, nil, nil
--- a/internal/testing/transport/direct.go
+++ b/internal/testing/transport/direct.go
@@ -21,7 +21,7 @@
 	Clients *client.Service
 	API     *httpapi.API
 	// Gone is closed when the process ends, as its connections would be.
-	Gone chan struct{}
+	Ended chan struct{}
 }
 
 func (p *Direct) run(ctx context.Context, f func(n *Services) (any, error)) (any, error) {
@@ -46,7 +46,7 @@
 			return nil, apierror.New(apierror.Unreachable, "the node went down")
 		}
 		return x.a, x.err
-	case <-n.Gone:
+	case <-n.Ended:
 		return nil, apierror.New(apierror.Unreachable, "the connection was reset")
 	case <-ctx.Done():
 		return nil, apierror.New(apierror.Unreachable, "no answer in time")
@@ -129,7 +129,7 @@
 }
 
 // Shows gives the description that the node shows, and whether it serves.
-func (p *Direct) Shows(ctx context.Context) (uint64, bool, error) {
+func (p *Direct) ShownConfiguration(ctx context.Context) (uint64, bool, error) {
 	n := p.Node()
 	if n == nil {
 		return 0, false, apierror.New(apierror.Unreachable, "the node is down")
--- a/internal/testing/transport/http.go
+++ b/internal/testing/transport/http.go
@@ -23,7 +23,7 @@
 	Follow(ctx context.Context, token string, topics []string, cursor string, f func(client.Event) error) error
 	Put(ctx context.Context, doc []byte) (uint64, error)
 	Get(ctx context.Context) (uint64, error)
-	Shows(ctx context.Context) (seq uint64, ready bool, err error)
+	ShownConfiguration(ctx context.Context) (seq uint64, ready bool, err error)
 }
 
 // HTTP reaches a node by its callers' address.
@@ -98,7 +98,7 @@
 }
 
 // Shows gives the description that the node shows, and whether it serves.
-func (p *HTTP) Shows(ctx context.Context) (uint64, bool, error) {
+func (p *HTTP) ShownConfiguration(ctx context.Context) (uint64, bool, error) {
 	var a struct {
 		Description uint64 `json:"description"`
 		Leased      bool   `json:"licensed"`
