--- a/internal/testing/fleet/day.go
+++ b/internal/testing/fleet/day.go
@@ -43,7 +43,7 @@
 // callers hold each caller's zone, which may change.
 type callers struct {
 	mu      sync.Mutex
-	clients []*httpclient.Caller
+	clients []*httpclient.Client
 	zone    []string
 }
 
@@ -70,7 +70,7 @@
 }
 
 // add adds a caller in the zone of one of the machines, in turn, and returns its index.
-func (c *callers) add(caller *httpclient.Caller, machines []*Process) int {
+func (c *callers) add(caller *httpclient.Client, machines []*Process) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	i := len(c.clients)
@@ -162,7 +162,7 @@
 		i := f.callers.add(c, f.Processes)
 		c.Name = prefix + c.Name
 		c.Clock, c.History = clock.Real{}, r.history
-		c.Ports = func() []transport.Transport { return f.Ports(f.callers.at(i)) }
+		c.Transports = func() []transport.Transport { return f.Ports(f.callers.at(i)) }
 		r.workers.Go(func() { c.Run(ctx, r.sends) })
 	}
 }
--- a/internal/testing/httpclient/caller.go
+++ b/internal/testing/httpclient/caller.go
@@ -19,10 +19,10 @@
 )
 
 // Caller is one visitor.
-type Caller struct {
+type Client struct {
 	Name    string
 	Clock   clock.Clock
-	Ports   func() []transport.Transport
+	Transports   func() []transport.Transport
 	History *history.History
 	Follows []string
 	Sends   []string
@@ -39,7 +39,7 @@
 }
 
 // Move leaves the node that the caller listens through; it comes back through another.
-func (c *Caller) Move() {
+func (c *Client) Move() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.leave != nil {
@@ -54,21 +54,21 @@
 	bodyMore   = 300
 )
 
-func (c *Caller) port() transport.Transport {
-	ps := c.Ports()
+func (c *Client) port() transport.Transport {
+	ps := c.Transports()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return ps[c.Rand.IntN(len(ps))]
 }
 
-func (c *Caller) pause(ctx context.Context, d time.Duration) {
+func (c *Client) pause(ctx context.Context, d time.Duration) {
 	c.mu.Lock()
 	x := c.Rand.Float64()
 	c.mu.Unlock()
 	_ = c.Clock.Sleep(ctx, clock.Jitter(d, 1, x))
 }
 
-func (c *Caller) attach(ctx context.Context) string {
+func (c *Client) attach(ctx context.Context) string {
 	end := c.History.Begin(history.WaitAttach, c.Name, c.Clock.Now())
 	for ctx.Err() == nil {
 		cx, stop := context.WithTimeout(ctx, c.Spread*2)
@@ -86,14 +86,14 @@
 	return ""
 }
 
-func (c *Caller) current() string {
+func (c *Client) current() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.token
 }
 
 // Run listens until ctx ends, and sends until sends ends.
-func (c *Caller) Run(ctx, sends context.Context) {
+func (c *Client) Run(ctx, sends context.Context) {
 	c.attach(ctx)
 	ready := make(chan struct{})
 	var wg sync.WaitGroup
@@ -112,7 +112,7 @@
 	wg.Wait()
 }
 
-func (c *Caller) listen(ctx context.Context, ready chan struct{}) {
+func (c *Client) listen(ctx context.Context, ready chan struct{}) {
 	if len(c.Follows) == 0 {
 		return
 	}
@@ -165,7 +165,7 @@
 
 // note tells the history from when on topics are followed: those that the first line does not name
 // as waiting, and those that joined.
-func (c *Caller) note(l client.Event, now time.Time) {
+func (c *Client) note(l client.Event, now time.Time) {
 	if l.Attached > 0 {
 		var ts []string
 		for _, t := range c.Follows {
@@ -182,7 +182,7 @@
 
 // watch gives a context that ends once a stream shows no sign of life for longer than the time
 // between two of them.
-func (c *Caller) watch(ctx context.Context) (context.Context, func()) {
+func (c *Client) watch(ctx context.Context) (context.Context, func()) {
 	cx, stop := context.WithCancel(ctx)
 	c.mu.Lock()
 	c.leave = stop
@@ -208,7 +208,7 @@
 	}
 }
 
-func (c *Caller) body(topic string, n uint64) string {
+func (c *Client) body(topic string, n uint64) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k := bodyMin + c.Rand.IntN(bodyMore)
@@ -222,7 +222,7 @@
 	apierror.Oversize: true,
 }
 
-func (c *Caller) send(ctx context.Context, topic string, lane int) {
+func (c *Client) send(ctx context.Context, topic string, lane int) {
 	c.pause(ctx, c.Every)
 	for n := uint64(1); ctx.Err() == nil; n++ {
 		b := c.body(topic, n)
--- a/internal/testing/sim/load.go
+++ b/internal/testing/sim/load.go
@@ -88,10 +88,10 @@
 	w.run(Plan(l, w.Seed, w.Site.Timing.Spread), "")
 }
 
-func (w *World) run(cs []*httpclient.Caller, prefix string) {
+func (w *World) run(cs []*httpclient.Client, prefix string) {
 	for _, c := range cs {
 		c.Name = prefix + c.Name
-		c.Clock, c.Ports, c.History = clock.Real{}, w.Ports, w.History
+		c.Clock, c.Transports, c.History = clock.Real{}, w.Ports, w.History
 		w.wg.Go(func() { c.Run(w.ctx, w.sending) })
 	}
 	w.mu.Lock()
@@ -100,11 +100,11 @@
 }
 
 // Plan makes the callers of a load; who sends and follows what depends only on the seed.
-func Plan(l Load, seed uint64, spread time.Duration) []*httpclient.Caller {
+func Plan(l Load, seed uint64, spread time.Duration) []*httpclient.Client {
 	rng := rand.New(rand.NewPCG(seed, 2))
-	var cs []*httpclient.Caller
+	var cs []*httpclient.Client
 	for i := range l.Callers {
-		c := &httpclient.Caller{Name: fmt.Sprintf("v%d", i), Every: l.Every,
+		c := &httpclient.Client{Name: fmt.Sprintf("v%d", i), Every: l.Every,
 			Rand: rand.New(rand.NewPCG(seed, uint64(i)+10)), Spread: spread, Urgent: map[string]bool{}, Live: map[string]bool{}}
 		a := i % l.Topics
 		c.Follows = []string{fmt.Sprintf("kept/t%d", a), fmt.Sprintf("kept/t%d", (a+1+rng.IntN(max(1, l.Topics-1)))%l.Topics)}
--- a/internal/testing/sim/world.go
+++ b/internal/testing/sim/world.go
@@ -72,7 +72,7 @@
 	sending   context.Context
 	sends     context.CancelFunc
 	load      Load
-	callers   []*httpclient.Caller
+	callers   []*httpclient.Client
 	hops      map[[2]string]uint64
 }
 
