--- a/internal/testing/fleet/day.go
+++ b/internal/testing/fleet/day.go
@@ -162,7 +162,7 @@
 		i := f.callers.add(c, f.Processes)
 		c.Name = prefix + c.Name
 		c.Clock, c.History = clock.Real{}, r.history
-		c.Transports = func() []transport.Transport { return f.Ports(f.callers.at(i)) }
+		c.Transports = func() []transport.Transport { return f.Transports(f.callers.at(i)) }
 		r.workers.Go(func() { c.Run(ctx, r.sends) })
 	}
 }
@@ -210,7 +210,7 @@
 func (d *Day) flood(ctx context.Context, f *Fleet, i int) {
 	name, topic := fmt.Sprintf("flood%d", i), fmt.Sprintf("flood/f%d", i%d.Load.Flood)
 	for c, tok := uint64(1), ""; ctx.Err() == nil; {
-		ps := f.Ports("")
+		ps := f.Transports("")
 		p := ps[i%len(ps)]
 		var err error
 		if tok == "" {
--- a/internal/testing/fleet/fleet.go
+++ b/internal/testing/fleet/fleet.go
@@ -205,7 +205,7 @@
 }
 
 // Ports gives the access machines of a zone that are ready, or of any zone when none is.
-func (f *Fleet) Ports(zone string) []transport.Transport {
+func (f *Fleet) Transports(zone string) []transport.Transport {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var near, far []transport.Transport
--- a/internal/testing/fleet/operators.go
+++ b/internal/testing/fleet/operators.go
@@ -15,7 +15,7 @@
 func (d *Day) begin(ctx context.Context, f *Fleet) (uint64, error) {
 	end := time.Now().Add(settings.DefaultTiming.Recovery)
 	for {
-		seq, err := f.Processes[0].Port().Put(ctx, d.Load.Describe(0))
+		seq, err := f.Processes[0].Transport().Put(ctx, d.Load.Describe(0))
 		if err == nil || time.Now().After(end) || !apierror.HasCode(err, apierror.OutcomeUnknown) {
 			return seq, err
 		}
@@ -29,7 +29,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		ps := f.Ports("")
+		ps := f.Transports("")
 		cx, stop := context.WithTimeout(ctx, settings.DefaultTiming.Recovery)
 		asked := time.Now()
 		cur, err := ps[rng.IntN(len(ps))].Get(cx)
@@ -54,7 +54,7 @@
 		p.mu.Lock()
 		run := fmt.Sprintf("%s#%d", p.Name, p.runs)
 		p.mu.Unlock()
-		seq, ok, err := p.Port().ShownConfiguration(cx)
+		seq, ok, err := p.Transport().ShownConfiguration(cx)
 		stop()
 		if err == nil && ok {
 			h.ObserveConfiguration(run, seq, asked, bound)
--- a/internal/testing/fleet/process.go
+++ b/internal/testing/fleet/process.go
@@ -169,7 +169,7 @@
 func (p *Process) Wipe() error { return os.RemoveAll(p.Opts.DataDir) }
 
 // Port gives the machine as callers see it.
-func (p *Process) Port() *transport.HTTP { return p.port }
+func (p *Process) Transport() *transport.HTTP { return p.port }
 
 // Probe asks a machine whether it is ready.
 func (p *Process) Probe(ctx context.Context) bool {
--- a/internal/testing/fleet/soak.go
+++ b/internal/testing/fleet/soak.go
@@ -297,7 +297,7 @@
 	rng := rand.New(rand.NewPCG(s.Seed, uint64(50+operator)))
 	for n := 0; ctx.Err() == nil; n++ {
 		wait(ctx, time.Duration(rng.Int64N(int64(2*orderInterval))))
-		ports := f.Ports("")
+		ports := f.Transports("")
 		asked := time.Now()
 		readCtx, stop := context.WithTimeout(ctx, time.Second)
 		base, err := ports[rng.IntN(len(ports))].Get(readCtx)
@@ -314,7 +314,7 @@
 func (s *Soak) order(ctx context.Context, f *Fleet, rng *rand.Rand, order orders.Order) {
 	document := s.Load.Numbered(order.Base, order.Sequence, order.ID)
 	for range maxOrderTries {
-		ports := f.Ports("")
+		ports := f.Transports("")
 		begun := time.Now()
 		callCtx, stop := context.WithTimeout(ctx, time.Second)
 		sequence, err := ports[rng.IntN(len(ports))].Put(callCtx, document)
--- a/internal/testing/fleet/totals.go
+++ b/internal/testing/fleet/totals.go
@@ -10,7 +10,7 @@
 
 // Sums are counters added up over the fleet, since each process's start.
 type Sums struct {
-	Records, Batches, Taken, ChangelogBatches, ChangelogItems, Streams uint64
+	Records, Batches, Accepted, ChangelogBatches, ChangelogItems, Streams uint64
 }
 
 // String writes the sums and their ratios.
@@ -24,8 +24,8 @@
 	return fmt.Sprintf(
 		"counters since each start: records %d syncs %d taken %d, syncs per message %.2f, records per sync "+
 			"%.2f, changelog batches %d, items per message %.2f, streams %d",
-		s.Records, s.Batches, s.Taken, ratio(s.Batches, s.Taken), ratio(s.Records, s.Batches), s.ChangelogBatches,
-		ratio(s.ChangelogItems, s.Taken), s.Streams)
+		s.Records, s.Batches, s.Accepted, ratio(s.Batches, s.Accepted), ratio(s.Records, s.Batches), s.ChangelogBatches,
+		ratio(s.ChangelogItems, s.Accepted), s.Streams)
 }
 
 // Totals adds the counters of all machines up.
@@ -57,7 +57,7 @@
 		}
 		s.Records, s.Batches, s.Streams = s.Records+c.Journal.Records, s.Batches+c.Journal.Batches, s.Streams+c.Streams
 		for _, o := range c.Owners {
-			s.Taken, s.ChangelogBatches, s.ChangelogItems = s.Taken+o.Tally.Taken, s.ChangelogBatches+o.Tally.Batches,
+			s.Accepted, s.ChangelogBatches, s.ChangelogItems = s.Accepted+o.Tally.Taken, s.ChangelogBatches+o.Tally.Batches,
 				s.ChangelogItems+o.Tally.Items
 		}
 	}
