--- a/internal/testing/crash/crash.go
+++ b/internal/testing/crash/crash.go
@@ -1,5 +1,5 @@
-// Package crash cuts a disk's power after each of its writes and holds what comes back against what
-// had been promised.
+// Package crash loses a disk's power after each of its writes and compares what is recovered with
+// what was acknowledged.
 package crash
 
 import (
@@ -8,7 +8,7 @@
 	"postjunction/internal/disk/memlog"
 )
 
-// Moment is a disk as it was after one of its operations, with the number of tasks that had been
+// Moment is a disk as it was after one of its operations, with the number of tasks that were
 // answered by then.
 type Moment struct {
 	Op       string
@@ -19,22 +19,23 @@
 // Log records a disk's operations, each with a copy of the disk right after it.
 type Log struct {
 	*memlog.Disk
+	// mu guards answered and moments.
 	mu       sync.Mutex
 	answered int
 	moments  []Moment
 }
 
-// New makes a recording log on an empty disk.
+// New returns a recording log on an empty disk.
 func New() *Log { return &Log{Disk: memlog.New()} }
 
-// Answer notes that one more task was answered.
+// Answer records that one more task was answered.
 func (l *Log) Answer() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.answered++
 }
 
-// Moments gives what was recorded.
+// Moments returns all recorded moments.
 func (l *Log) Moments() []Moment {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -47,28 +48,28 @@
 	l.moments = append(l.moments, Moment{op, l.Disk.Copy(), l.answered})
 }
 
-// Write writes and records.
-func (l *Log) Write(first uint64, recs [][]byte) error {
-	err := l.Disk.Write(first, recs)
+// Write writes to the disk and records the moment after.
+func (l *Log) Write(first uint64, records [][]byte) error {
+	err := l.Disk.Write(first, records)
 	l.note("write")
 	return err
 }
 
-// Sync syncs and records.
+// Sync syncs the disk and records the moment after.
 func (l *Log) Sync() error {
 	err := l.Disk.Sync()
 	l.note("sync")
 	return err
 }
 
-// CutFront cuts and records.
+// CutFront drops records from the front and records the moment after.
 func (l *Log) CutFront(i uint64) error {
 	err := l.Disk.CutFront(i)
 	l.note("cut front")
 	return err
 }
 
-// CutBack cuts and records.
+// CutBack drops records from the back and records the moment after.
 func (l *Log) CutBack(i uint64) error {
 	err := l.Disk.CutBack(i)
 	l.note("cut back")
--- a/internal/testing/crash/crash_test.go
+++ b/internal/testing/crash/crash_test.go
@@ -17,20 +17,20 @@
 	"postjunction/internal/voters"
 )
 
-type store struct {
-	j *journal.Journal
-	v *acceptor.Acceptor
-	r *replica.Replica
+type diskParts struct {
+	journal  *journal.Journal
+	acceptor *acceptor.Acceptor
+	replica  *replica.Replica
 }
 
-func boot(t *testing.T, l journal.Log) (*store, journal.Report, func()) {
+func boot(t *testing.T, disk journal.Log) (*diskParts, journal.Report, func()) {
 	t.Helper()
-	s := &store{v: acceptor.New(), r: replica.New(clock.Real{})}
-	parts := map[uint16]journal.Part{recordtype.Slot: s.v, recordtype.VoterSet: s.v}
-	for _, k := range replica.RecordTypes() {
-		parts[k] = s.r
+	components := &diskParts{acceptor: acceptor.New(), replica: replica.New(clock.Real{})}
+	parts := map[uint16]journal.Part{recordtype.Slot: components.acceptor, recordtype.VoterSet: components.acceptor}
+	for _, recordType := range replica.RecordTypes() {
+		parts[recordType] = components.replica
 	}
-	j, rep, err := journal.Open(l, clock.Real{}, parts, []journal.Part{s.v, s.r})
+	j, report, err := journal.Open(disk, clock.Real{}, parts, []journal.Part{components.acceptor, components.replica})
 	assert.NilError(t, err)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -38,192 +38,207 @@
 		j.Run(ctx)
 		close(done)
 	}()
-	s.j = j
-	s.r.Start("i", j)
-	s.v.Start("i1", j, func(voters.Set) error { return nil }, func(voters.Set) {})
-	return s, rep, func() {
+	components.journal = j
+	components.replica.Start("i", j)
+	components.acceptor.Start("i1", j, func(voters.Set) error { return nil }, func(voters.Set) {})
+	return components, report, func() {
 		stop()
 		<-done
 	}
 }
 
-func founding() voters.Set {
+func initialVoterSet() voters.Set {
 	return voters.NewSet([]voters.Voter{{Node: "c1", Incarnation: "i1"}, {Node: "c2", Incarnation: "i2"},
 		{Node: "c3", Incarnation: "i3"}}, voters.Layout{RoutinePartitions: 2, UrgentPartitions: 1})
 }
 
-func entries(after log.Position, e uint64, n int) []log.Entry {
-	var es []log.Entry
-	for i := range n {
-		b := []byte(fmt.Sprintf("%d/%d", e, i))
-		x := log.Entry{Offset: after.Offset + 1, Epoch: e, Type: log.TypeMessage, Body: b, Digest: log.Digest(b)}
-		x.Chain = log.NextChain(after.Chain, x)
-		es, after = append(es, x), x.Position()
+func entries(after log.Position, epoch uint64, count int) []log.Entry {
+	var entries []log.Entry
+	for i := range count {
+		b := []byte(fmt.Sprintf("%d/%d", epoch, i))
+		entry := log.Entry{Offset: after.Offset + 1, Epoch: epoch, Type: log.TypeMessage, Body: b,
+			Digest: log.Digest(b)}
+		entry.Chain = log.NextChain(after.Chain, entry)
+		entries, after = append(entries, entry), entry.Position()
 	}
-	return es
+	return entries
 }
 
-// picture is all that a disk has promised and holds.
-type picture struct {
-	seals map[int]uint64
-	lines map[log.ID]map[uint64]log.Position
-	slots map[string]acceptor.Slot
-	rost  uint64
+// diskState is everything that a disk has promised and stored.
+type diskState struct {
+	seals    map[int]uint64
+	logs     map[log.ID]map[uint64]log.Position
+	slots    map[string]acceptor.Slot
+	voterSet uint64
 }
 
 const partitions = 3
 
-func (s *store) picture(t *testing.T) picture {
+func (s *diskParts) diskState(t *testing.T) diskState {
 	t.Helper()
-	p := picture{seals: map[int]uint64{}, lines: map[log.ID]map[uint64]log.Position{},
-		slots: map[string]acceptor.Slot{}, rost: s.v.VoterSet().Sequence}
-	for n := range partitions {
-		p.seals[n] = s.r.Sealed(n)
-		for _, k := range log.Kinds {
-			m := map[uint64]log.Position{}
-			for _, e := range s.r.Log(n, k).Slice(0, ^uint64(0), 1<<30, 1<<30) {
-				m[e.Offset] = e.Position()
+	contents := diskState{seals: map[int]uint64{}, logs: map[log.ID]map[uint64]log.Position{},
+		slots: map[string]acceptor.Slot{}, voterSet: s.acceptor.VoterSet().Sequence}
+	for partition := range partitions {
+		contents.seals[partition] = s.replica.Sealed(partition)
+		for _, kind := range log.Kinds {
+			positions := map[uint64]log.Position{}
+			for _, entry := range s.replica.Log(partition, kind).Slice(0, ^uint64(0), 1<<30, 1<<30) {
+				positions[entry.Offset] = entry.Position()
 			}
-			p.lines[log.ID{Partition: n, Kind: k}] = m
+			contents.logs[log.ID{Partition: partition, Kind: kind}] = positions
 		}
-		if d, ok := s.r.Snapshot(n); ok {
-			at, held := s.r.Log(n, log.KindChangelog).Position(d.At.Offset)
-			assert.Assert(t, held && at == d.At, "a directory whose point is not on the changelog was given out")
+		if snapshot, ok := s.replica.Snapshot(partition); ok {
+			position, found := s.replica.Log(partition, log.KindChangelog).Position(snapshot.At.Offset)
+			assert.Assert(t, found && position == snapshot.At,
+				"a snapshot whose position is not on the changelog was returned")
 		}
 	}
-	if p.rost > 0 {
+	if contents.voterSet > 0 {
 		for _, sealed := range []bool{false, true} {
-			if a, err := s.v.Peek(context.Background(), &acceptor.PeekRequest{VoterSet: p.rost, Incarnation: "i1",
-				Sealed: sealed}); err == nil {
-				p.slots = a.Slots
+			if answer, err := s.acceptor.Peek(context.Background(), &acceptor.PeekRequest{VoterSet: contents.voterSet,
+				Incarnation: "i1", Sealed: sealed}); err == nil {
+				contents.slots = answer.Slots
 			}
 		}
 	}
-	return p
+	return contents
 }
 
-// between tells whether a picture lies between the one answered last and the one of the task under
-// way.
-func between(got, last, next picture) error {
-	for n, e := range got.seals {
-		if e < last.seals[n] {
-			return fmt.Errorf("partition %d was sealed at %d, came back at %d", n, last.seals[n], e)
+// checkBetween checks that a recovered state lies between the state answered last and the state
+// after the task in flight.
+func checkBetween(recovered, answered, next diskState) error {
+	for partition, epoch := range recovered.seals {
+		if epoch < answered.seals[partition] {
+			return fmt.Errorf("partition %d was sealed at %d, recovered at %d", partition, answered.seals[partition],
+				epoch)
 		}
 	}
-	for id, was := range last.lines {
-		will := next.lines[id]
-		for o, p := range was {
-			if will[o] == p && got.lines[id][o] != p {
-				return fmt.Errorf("%v: entry %d was answered for and is gone", id, o)
+	for id, before := range answered.logs {
+		after := next.logs[id]
+		for offset, position := range before {
+			if after[offset] == position && recovered.logs[id][offset] != position {
+				return fmt.Errorf("%v: entry %d was acknowledged and is lost", id, offset)
 			}
 		}
-		for o, p := range got.lines[id] {
-			if was[o] != p && will[o] != p {
-				return fmt.Errorf("%v: entry %d was never put there", id, o)
+		for offset, position := range recovered.logs[id] {
+			if before[offset] != position && after[offset] != position {
+				return fmt.Errorf("%v: entry %d was never appended", id, offset)
 			}
 		}
 	}
-	if got.rost < last.rost {
-		return fmt.Errorf("voter set %d came back as %d", last.rost, got.rost)
+	if recovered.voterSet < answered.voterSet {
+		return fmt.Errorf("voter set %d was recovered as %d", answered.voterSet, recovered.voterSet)
 	}
-	for k, s := range last.slots {
-		g := got.slots[k]
-		if got.rost == last.rost && (g.Promised.Less(s.Promised) || s.NewerThan(g)) {
-			return fmt.Errorf("key %s: promised %v and accepted %v, came back as %v and %v", k, s.Promised, s.Accepted,
-				g.Promised, g.Accepted)
+	for key, slot := range answered.slots {
+		recoveredSlot := recovered.slots[key]
+		if recovered.voterSet == answered.voterSet && (recoveredSlot.Promised.Less(slot.Promised) ||
+			slot.NewerThan(recoveredSlot)) {
+			return fmt.Errorf("key %s: promised %v and accepted %v, recovered as %v and %v", key, slot.Promised,
+				slot.Accepted, recoveredSlot.Promised, recoveredSlot.Accepted)
 		}
 	}
 	return nil
 }
 
-// tasks are a disk's whole life in small: founding, promises, appends of two epochs, a replaced
-// tail, trims, a fresh start, directories, a drop, a new voter set, and so many records that the
-// journal is written anew in between.
-func tasks() []func(s *store) error {
+// operations go through everything that happens to a disk: bootstrap, promises, appends of two
+// epochs, a replaced tail, trims, a reset, snapshots, a drop and a new voter set. They write so
+// many records that the journal is compacted in between.
+func operations() []func(s *diskParts) error {
 	ctx := context.Background()
-	to := func(p int, e uint64) replica.Target { return replica.Target{Partition: p, Incarnation: "i", Epoch: e} }
-	put := func(p int, k log.Kind, e uint64, after func(l *log.Log) log.Position, n int, reset bool) func(*store) error {
-		return func(s *store) error {
-			a := after(s.r.Log(p, k))
-			x, err := s.r.Append(ctx, &replica.AppendRequest{Target: to(p, e), Kind: k, After: a,
-				Entries: entries(a, e, n), Reset: reset})
-			if err == nil && !x.Matched {
-				err = fmt.Errorf("the lines did not match")
+	target := func(partition int, epoch uint64) replica.Target {
+		return replica.Target{Partition: partition,
+			Incarnation: "i", Epoch: epoch}
+	}
+	appendEntries := func(partition int, kind log.Kind, epoch uint64, after func(prior *log.Log) log.Position,
+		count int, reset bool) func(*diskParts) error {
+		return func(s *diskParts) error {
+			position := after(s.replica.Log(partition, kind))
+			answer, err := s.replica.Append(ctx, &replica.AppendRequest{Target: target(partition, epoch), Kind: kind,
+				After: position, Entries: entries(position, epoch, count), Reset: reset})
+			if err == nil && !answer.Matched {
+				err = fmt.Errorf("the logs did not match")
 			}
 			return err
 		}
 	}
 	end := func(l *log.Log) log.Position { return l.Last() }
-	back := func(n uint64) func(l *log.Log) log.Position {
+	beforeLast := func(count uint64) func(l *log.Log) log.Position {
 		return func(l *log.Log) log.Position {
-			p, _ := l.Position(l.Last().Offset - n)
-			return p
+			position, _ := l.Position(l.Last().Offset - count)
+			return position
 		}
 	}
-	seal := func(p int, e uint64) func(*store) error {
-		return func(s *store) error {
-			_, err := s.r.Seal(ctx, &replica.SealRequest{Target: to(p, e)})
+	seal := func(partition int, epoch uint64) func(*diskParts) error {
+		return func(s *diskParts) error {
+			_, err := s.replica.Seal(ctx, &replica.SealRequest{Target: target(partition, epoch)})
 			return err
 		}
 	}
-	trim := func(p int, k log.Kind, e, keep uint64) func(*store) error {
-		return func(s *store) error {
-			l := s.r.Log(p, k)
-			b, _ := l.Position(l.Last().Offset - keep)
-			_, err := s.r.Append(ctx, &replica.AppendRequest{Target: to(p, e), Kind: k, After: l.Last(), Base: b})
+	trim := func(partition int, kind log.Kind, epoch, retained uint64) func(*diskParts) error {
+		return func(s *diskParts) error {
+			l := s.replica.Log(partition, kind)
+			base, _ := l.Position(l.Last().Offset - retained)
+			_, err := s.replica.Append(ctx, &replica.AppendRequest{Target: target(partition, epoch), Kind: kind,
+				After: l.Last(), Base: base})
 			return err
 		}
 	}
-	keep := func(p int) func(*store) error {
-		return func(s *store) error {
-			return s.r.SaveSnapshot(ctx, replica.Snapshot{Partition: p, At: s.r.Log(p, log.KindChangelog).Last(),
-				Input: 1, State: []byte(`{}`)})
+	saveSnapshot := func(partition int) func(*diskParts) error {
+		return func(s *diskParts) error {
+			return s.replica.SaveSnapshot(ctx, replica.Snapshot{Partition: partition,
+				At: s.replica.Log(partition, log.KindChangelog).Last(), Input: 1, State: []byte(`{}`)})
 		}
 	}
-	ballot := func(k string, seq uint64) acceptor.Target {
-		return acceptor.Target{VoterSet: seq, Incarnation: "i1", Key: k}
+	slot := func(key string, sequence uint64) acceptor.Target {
+		return acceptor.Target{VoterSet: sequence, Incarnation: "i1", Key: key}
 	}
-	promise := func(k string, n uint64) func(*store) error {
-		return func(s *store) error {
-			_, err := s.v.Promise(ctx, &acceptor.PromiseRequest{Target: ballot(k, s.v.VoterSet().Sequence),
-				Epoch: epoch.Epoch{Number: n, Node: "c1"}})
+	promise := func(key string, number uint64) func(*diskParts) error {
+		return func(s *diskParts) error {
+			_, err := s.acceptor.Promise(ctx, &acceptor.PromiseRequest{Target: slot(key,
+				s.acceptor.VoterSet().Sequence), Epoch: epoch.Epoch{Number: number, Node: "c1"}})
 			return err
 		}
 	}
-	accept := func(k string, n, w uint64) func(*store) error {
-		return func(s *store) error {
-			_, err := s.v.Accept(ctx, &acceptor.AcceptRequest{Target: ballot(k, s.v.VoterSet().Sequence),
-				Epoch: epoch.Epoch{Number: n, Node: "c1"}, Value: acceptor.Value{Version: w, Body: []byte(k)}})
+	accept := func(key string, number, version uint64) func(*diskParts) error {
+		return func(s *diskParts) error {
+			_, err := s.acceptor.Accept(ctx, &acceptor.AcceptRequest{Target: slot(key, s.acceptor.VoterSet().Sequence),
+				Epoch: epoch.Epoch{Number: number, Node: "c1"}, Value: acceptor.Value{Version: version,
+					Body: []byte(key)}})
 			return err
 		}
 	}
-	ts := []func(*store) error{
-		func(s *store) error {
-			_, err := s.v.Bootstrap(ctx, &acceptor.BootstrapRequest{Incarnation: "i1", VoterSet: founding()})
+	operations := []func(*diskParts) error{
+		func(s *diskParts) error {
+			_, err := s.acceptor.Bootstrap(ctx, &acceptor.BootstrapRequest{Incarnation: "i1",
+				VoterSet: initialVoterSet()})
 			return err
 		},
-		func(s *store) error {
-			_, err := s.v.Activate(ctx, &acceptor.ActivateRequest{Incarnation: "i1", VoterSet: founding(), Bootstrap: true})
+		func(s *diskParts) error {
+			_, err := s.acceptor.Activate(ctx, &acceptor.ActivateRequest{Incarnation: "i1", VoterSet: initialVoterSet(),
+				Bootstrap: true})
 			return err
 		},
 		promise("description", 1), accept("description", 1, 1), promise("description", 3),
 		accept("description", 3, 2), promise("partition/000", 2),
-		seal(0, 1), put(0, log.KindInput, 1, end, 5, false), put(0, log.KindChangelog, 1, end, 3, false), keep(0),
-		seal(0, 2),
-		put(0, log.KindInput, 2, back(2), 4, false), trim(0, log.KindInput, 2, 3),
-		put(0, log.KindChangelog, 2, end, 2, false), keep(0), trim(0, log.KindChangelog, 2, 2),
-		seal(1, 4), put(1, log.KindInput, 4, end, 6, false),
-		put(1, log.KindInput, 5, func(*log.Log) log.Position {
+		seal(0, 1), appendEntries(0, log.KindInput, 1, end, 5, false), appendEntries(0, log.KindChangelog, 1, end, 3,
+			false), saveSnapshot(0), seal(0, 2),
+		appendEntries(0, log.KindInput, 2, beforeLast(2), 4, false), trim(0, log.KindInput, 2, 3),
+		appendEntries(0, log.KindChangelog, 2, end, 2, false), saveSnapshot(0), trim(0, log.KindChangelog, 2, 2),
+		seal(1, 4), appendEntries(1, log.KindInput, 4, end, 6, false),
+		appendEntries(1, log.KindInput, 5, func(*log.Log) log.Position {
 			return log.Position{Epoch: 4, Offset: 20, Chain: 7}
 		}, 3, true),
-		func(s *store) error { return s.r.TruncateAfter(ctx, to(1, 5), log.KindInput, 22, false) },
-		seal(2, 1), put(2, log.KindInput, 1, end, 4, false),
-		func(s *store) error { _, err := s.r.Drop(ctx, &replica.DropRequest{Target: to(2, 9)}); return err },
-		accept(acceptor.VoterSetKey, 1, 1),
-		func(s *store) error {
-			n := s.v.VoterSet()
-			n.Sequence++
-			_, err := s.v.Activate(ctx, &acceptor.ActivateRequest{Incarnation: "i1", VoterSet: n,
+		func(s *diskParts) error { return s.replica.TruncateAfter(ctx, target(1, 5), log.KindInput, 22, false) },
+		seal(2, 1), appendEntries(2, log.KindInput, 1, end, 4, false),
+		func(s *diskParts) error {
+			_, err := s.replica.Drop(ctx, &replica.DropRequest{Target: target(2,
+				9)})
+			return err
+		}, accept(acceptor.VoterSetKey, 1, 1),
+		func(s *diskParts) error {
+			voterSet := s.acceptor.VoterSet()
+			voterSet.Sequence++
+			_, err := s.acceptor.Activate(ctx, &acceptor.ActivateRequest{Incarnation: "i1", VoterSet: voterSet,
 				Slots: map[string]acceptor.Slot{"description": {Accepted: epoch.Epoch{Number: 3, Node: "c1"},
 					Value: acceptor.Value{Version: 2}}}})
 			return err
@@ -231,60 +246,64 @@
 		promise("description", 7),
 	}
 	for range 9 {
-		ts = append(ts, put(0, log.KindInput, 2, end, 500, false), trim(0, log.KindInput, 2, 40))
+		operations = append(operations, appendEntries(0, log.KindInput, 2, end, 500, false),
+			trim(0, log.KindInput, 2, 40))
 	}
-	return append(ts, seal(0, 8), accept("description", 7, 3), put(0, log.KindInput, 8, end, 2, false))
+	return append(operations, seal(0, 8), accept("description", 7, 3), appendEntries(0, log.KindInput, 8, end, 2,
+		false))
 }
 
-const anewMost = 64
+const maxExtraSeals = 64
 
-// The power goes after every operation of the disk, with each number of unsynced records kept and
-// the next one torn or not.
+// Power is lost after every operation of the disk, with each number of unsynced records retained
+// and the next one torn or not.
 func TestPowerLostAfterEveryWrite(t *testing.T) {
-	l := New()
-	s, _, stop := boot(t, l)
-	pics := []picture{s.picture(t)}
-	do := func(i int, f func(*store) error) {
-		assert.NilError(t, f(s), "task %d", i)
-		pics = append(pics, s.picture(t))
-		l.Answer()
+	disk := New()
+	components, _, stop := boot(t, disk)
+	states := []diskState{components.diskState(t)}
+	run := func(number int, operation func(*diskParts) error) {
+		assert.NilError(t, operation(components), "task %d", number)
+		states = append(states, components.diskState(t))
+		disk.Answer()
 	}
-	ts := tasks()
-	for i, f := range ts {
-		do(i, f)
+	operations := operations()
+	for i, operation := range operations {
+		run(i, operation)
 	}
-	// A writing anew goes on along with what is put, a slice each: some more is put until one has
-	// come to its end.
-	for e := uint64(1); s.j.Counters().Compactions == 0 && e < anewMost; e++ {
-		do(len(ts)+int(e), func(s *store) error {
-			_, err := s.r.Seal(t.Context(), &replica.SealRequest{
-				Target: replica.Target{Partition: 7, Incarnation: "i", Epoch: e}})
+	// A compaction advances by one slice with each write: more is written until a compaction has
+	// finished.
+	for epoch := uint64(1); components.journal.Counters().Compactions == 0 && epoch < maxExtraSeals; epoch++ {
+		run(len(operations)+int(epoch), func(s *diskParts) error {
+			_, err := s.replica.Seal(t.Context(), &replica.SealRequest{
+				Target: replica.Target{Partition: 7, Incarnation: "i", Epoch: epoch}})
 			return err
 		})
 	}
-	tally := s.j.Counters()
+	tally := components.journal.Counters()
 	stop()
-	assert.Assert(t, tally.Compactions > 0, "void: the journal was never written anew")
-	cases, cuts := 0, map[string]int{}
-	for at, m := range l.Moments() {
-		n := m.Disk.Unsynced()
-		if raced && at%4 != 0 {
+	assert.Assert(t, tally.Compactions > 0, "void: the journal was never compacted")
+	cases, casesByOperation := 0, map[string]int{}
+	for at, moment := range disk.Moments() {
+		unsynced := moment.Disk.Unsynced()
+		if raceEnabled && at%4 != 0 {
 			continue
 		}
-		for k := 0; k <= n; k += max(1, n/8) {
+		for kept := 0; kept <= unsynced; kept += max(1, unsynced/8) {
 			for _, torn := range []bool{false, true} {
-				d := m.Disk.Copy()
-				d.LosePowerAfter(k, torn)
-				got, rep, stop := boot(t, d)
-				p := got.picture(t)
+				copied := moment.Disk.Copy()
+				copied.LosePowerAfter(kept, torn)
+				got, report, stop := boot(t, copied)
+				contents := got.diskState(t)
 				stop()
 				cases++
-				cuts[m.Op]++
-				assert.Assert(t, !rep.Damaged, "moment %d (%s), %d of %d kept, torn %v: %v", at, m.Op, k, n, torn, rep.Cause)
-				assert.NilError(t, between(p, pics[m.Answered], pics[min(m.Answered+1, len(pics)-1)]),
-					"moment %d (%s), %d of %d unsynced kept, torn %v", at, m.Op, k, n, torn)
+				casesByOperation[moment.Op]++
+				assert.Assert(t, !report.Damaged, "moment %d (%s), %d of %d kept, torn %v: %v", at, moment.Op, kept,
+					unsynced, torn, report.Cause)
+				assert.NilError(t, checkBetween(contents, states[moment.Answered],
+					states[min(moment.Answered+1, len(states)-1)]),
+					"moment %d (%s), %d of %d unsynced kept, torn %v", at, moment.Op, kept, unsynced, torn)
 			}
 		}
 	}
-	t.Logf("%d moments, %d ways to lose power: %v", len(l.Moments()), cases, cuts)
+	t.Logf("%d moments, %d ways to lose power: %v", len(disk.Moments()), cases, casesByOperation)
 }
--- a/internal/testing/crash/race_off_test.go
+++ b/internal/testing/crash/race_off_test.go
@@ -2,4 +2,4 @@
 
 package crash
 
-const raced = false
+const raceEnabled = false
--- a/internal/testing/crash/race_on_test.go
+++ b/internal/testing/crash/race_on_test.go
@@ -2,4 +2,4 @@
 
 package crash
 
-const raced = true
+const raceEnabled = true
--- a/internal/testing/crash/slices_test.go
+++ b/internal/testing/crash/slices_test.go
@@ -19,195 +19,207 @@
 	"postjunction/internal/recordtype"
 )
 
-// gated lets one task in before each slice of a writing anew.
-type gated struct {
+// gatedLog runs one operation before each slice of a compaction.
+type gatedLog struct {
 	*Log
 	slice func()
 	count int
 }
 
-// Write opens the gate.
-func (g *gated) Write(first uint64, recs [][]byte) error {
-	for i, r := range recs {
-		if f, err := frame.Decode(first+uint64(i), r); err == nil && f.Kind == recordtype.CompactionBegins {
+// Write calls slice before it writes the first record of a slice.
+func (g *gatedLog) Write(first uint64, records [][]byte) error {
+	for i, r := range records {
+		if decoded, err := frame.Decode(first+uint64(i), r); err == nil && decoded.Kind == recordtype.CompactionBegins {
 			g.count++
 			g.slice()
 			break
 		}
 	}
-	return g.Log.Write(first, recs)
+	return g.Log.Write(first, records)
 }
 
-// mutations is all that may happen to lines between two slices: appends, other tails, trims behind
-// and ahead of the place reached, fresh starts, drops, cuts, directories, seals, promises.
-func mutations(r *rand.Rand, e *uint64) func(s *store) error {
+// randomOperation returns one operation that may happen to logs between two slices: an append, a
+// replaced tail, a trim before or after the position that the compaction has reached, a reset, a
+// drop, a truncation, a snapshot, a seal or a promise.
+func randomOperation(r *rand.Rand, lastEpoch *uint64) func(s *diskParts) error {
 	ctx := context.Background()
-	p, k := r.IntN(partitions), log.Kinds[r.IntN(2)]
-	to := func(e uint64) replica.Target { return replica.Target{Partition: p, Incarnation: "i", Epoch: e} }
-	some := func(l *log.Log) log.Position {
-		b, t := l.Base().Offset, l.Last().Offset
-		at, _ := l.Position(b + r.Uint64N(t-b+1))
+	partition, kind := r.IntN(partitions), log.Kinds[r.IntN(2)]
+	target := func(e uint64) replica.Target { return replica.Target{Partition: partition, Incarnation: "i", Epoch: e} }
+	randomPosition := func(l *log.Log) log.Position {
+		first, last := l.Base().Offset, l.Last().Offset
+		at, _ := l.Position(first + r.Uint64N(last-first+1))
 		return at
 	}
-	put := func(after func(l *log.Log) log.Position, n int, reset bool) func(*store) error {
-		return func(s *store) error {
-			a := after(s.r.Log(p, k))
-			x, err := s.r.Append(ctx, &replica.AppendRequest{Target: to(*e), Kind: k, After: a,
-				Entries: entries(a, *e, n), Reset: reset})
-			if err == nil && !x.Matched {
-				err = fmt.Errorf("the lines did not match")
+	appendEntries := func(after func(l *log.Log) log.Position, count int, reset bool) func(*diskParts) error {
+		return func(s *diskParts) error {
+			position := after(s.replica.Log(partition, kind))
+			answer, err := s.replica.Append(ctx, &replica.AppendRequest{Target: target(*lastEpoch), Kind: kind,
+				After: position, Entries: entries(position, *lastEpoch, count), Reset: reset})
+			if err == nil && !answer.Matched {
+				err = fmt.Errorf("the logs did not match")
 			}
 			return err
 		}
 	}
-	seal := func(f func(*store) error) func(*store) error {
-		return func(s *store) error {
-			*e++
-			if _, err := s.r.Seal(ctx, &replica.SealRequest{Target: to(*e)}); err != nil {
+	seal := func(operation func(*diskParts) error) func(*diskParts) error {
+		return func(s *diskParts) error {
+			*lastEpoch++
+			if _, err := s.replica.Seal(ctx, &replica.SealRequest{Target: target(*lastEpoch)}); err != nil {
 				return err
 			}
-			return f(s)
+			return operation(s)
 		}
 	}
-	return []func(*store) error{
-		put((*log.Log).Last, 1+r.IntN(90), false),
-		put((*log.Log).Last, 1, false),
-		seal(put(some, 1+r.IntN(90), false)),
-		seal(func(s *store) error { return s.r.TruncateAfter(ctx, to(*e), k, some(s.r.Log(p, k)).Offset, false) }),
-		func(s *store) error {
-			l := s.r.Log(p, k)
-			_, err := s.r.Append(ctx, &replica.AppendRequest{Target: to(*e), Kind: k, After: l.Last(), Base: some(l)})
+	return []func(*diskParts) error{
+		appendEntries((*log.Log).Last, 1+r.IntN(90), false),
+		appendEntries((*log.Log).Last, 1, false),
+		seal(appendEntries(randomPosition, 1+r.IntN(90), false)),
+		seal(func(s *diskParts) error {
+			return s.replica.TruncateAfter(ctx, target(*lastEpoch), kind,
+				randomPosition(s.replica.Log(partition, kind)).Offset, false)
+		}),
+		func(s *diskParts) error {
+			l := s.replica.Log(partition, kind)
+			_, err := s.replica.Append(ctx, &replica.AppendRequest{Target: target(*lastEpoch), Kind: kind,
+				After: l.Last(), Base: randomPosition(l)})
 			return err
 		},
-		seal(put(func(*log.Log) log.Position {
-			return log.Position{Offset: uint64(r.IntN(200)), Epoch: *e - 1, Chain: 7}
+		seal(appendEntries(func(*log.Log) log.Position {
+			return log.Position{Offset: uint64(r.IntN(200)), Epoch: *lastEpoch - 1, Chain: 7}
 		}, 1+r.IntN(90), true)),
-		seal(func(s *store) error { _, err := s.r.Drop(ctx, &replica.DropRequest{Target: to(*e)}); return err }),
-		func(s *store) error {
-			return s.r.SaveSnapshot(ctx, replica.Snapshot{Partition: p, At: s.r.Log(p, log.KindChangelog).Last(),
-				Input: 1, State: []byte(`{}`)})
+		seal(func(s *diskParts) error {
+			_, err := s.replica.Drop(ctx, &replica.DropRequest{Target: target(*lastEpoch)})
+			return err
+		}),
+		func(s *diskParts) error {
+			return s.replica.SaveSnapshot(ctx, replica.Snapshot{Partition: partition,
+				At: s.replica.Log(partition, log.KindChangelog).Last(), Input: 1, State: []byte(`{}`)})
 		},
-		func(s *store) error {
-			b := acceptor.Target{VoterSet: s.v.VoterSet().Sequence, Incarnation: "i1", Key: "description"}
-			*e++
-			_, err := s.v.Promise(ctx, &acceptor.PromiseRequest{Target: b, Epoch: epoch.Epoch{Number: *e, Node: "c1"}})
+		func(s *diskParts) error {
+			b := acceptor.Target{VoterSet: s.acceptor.VoterSet().Sequence, Incarnation: "i1", Key: "description"}
+			*lastEpoch++
+			_, err := s.acceptor.Promise(ctx, &acceptor.PromiseRequest{Target: b,
+				Epoch: epoch.Epoch{Number: *lastEpoch, Node: "c1"}})
 			return err
 		},
 	}[r.IntN(9)]
 }
 
-// same tells whether what came back is just what was there, lines and seals.
-func same(got, want picture) error {
-	for id, w := range want.lines {
-		g := got.lines[id]
-		if len(g) != len(w) {
-			return fmt.Errorf("%v: %d entries were there, %d came back", id, len(w), len(g))
+// checkEqual checks that the recovered logs and seals are exactly those from before.
+func checkEqual(got, want diskState) error {
+	for id, wanted := range want.logs {
+		recovered := got.logs[id]
+		if len(recovered) != len(wanted) {
+			return fmt.Errorf("%v: %d entries were stored, %d recovered", id, len(wanted), len(recovered))
 		}
-		for o, p := range w {
-			if g[o] != p {
-				return fmt.Errorf("%v: entry %d came back as %v, was %v", id, o, g[o], p)
+		for offset, position := range wanted {
+			if recovered[offset] != position {
+				return fmt.Errorf("%v: entry %d was recovered as %v, was %v", id, offset, recovered[offset], position)
 			}
 		}
 	}
-	for p, e := range want.seals {
-		if got.seals[p] != e {
-			return fmt.Errorf("partition %d: sealed at %d, came back at %d", p, e, got.seals[p])
+	for partition, epoch := range want.seals {
+		if got.seals[partition] != epoch {
+			return fmt.Errorf("partition %d: sealed at %d, recovered at %d", partition, epoch, got.seals[partition])
 		}
 	}
 	return nil
 }
 
-// The journal is written anew in slices, and between each two of them something happens to what is
-// written. The power goes after every operation.
+// The journal is compacted in slices, and between each two of them the stored data changes. Power
+// is lost after every operation of the disk.
 func TestPowerLostBetweenSlices(t *testing.T) {
-	seeds, cases, slices, anews := 16, 0, 0, 0
-	if raced {
+	seeds, cases, slices, compactions := 16, 0, 0, 0
+	if raceEnabled {
 		seeds = 2
 	}
 	for seed := range seeds {
 		synctest.Test(t, func(t *testing.T) {
-			l := New()
-			g := &gated{Log: l, slice: func() {}}
-			s, _, stop := boot(t, g)
-			r, e := rand.New(rand.NewPCG(uint64(seed), 1)), uint64(1)
-			pics := []picture{s.picture(t)}
-			run := func(f func(*store) error) {
-				assert.NilError(t, f(s), "seed %d", seed)
-				pics = append(pics, s.picture(t))
-				l.Answer()
+			disk := New()
+			gated := &gatedLog{Log: disk, slice: func() {}}
+			components, _, stop := boot(t, gated)
+			r, lastEpoch := rand.New(rand.NewPCG(uint64(seed), 1)), uint64(1)
+			states := []diskState{components.diskState(t)}
+			run := func(operation func(*diskParts) error) {
+				assert.NilError(t, operation(components), "seed %d", seed)
+				states = append(states, components.diskState(t))
+				disk.Answer()
 			}
-			for _, f := range tasks()[:2] {
-				run(f)
+			for _, operation := range operations()[:2] {
+				run(operation)
 			}
-			for p := range partitions {
-				for _, k := range log.Kinds {
-					run(func(s *store) error {
-						_, err := s.r.Append(t.Context(), &replica.AppendRequest{
-							Target: replica.Target{Partition: p, Incarnation: "i", Epoch: 1}, Kind: k,
+			for contents := range partitions {
+				for _, kept := range log.Kinds {
+					run(func(s *diskParts) error {
+						_, err := s.replica.Append(t.Context(), &replica.AppendRequest{
+							Target: replica.Target{Partition: contents, Incarnation: "i", Epoch: 1}, Kind: kept,
 							Entries: entries(log.Position{}, 1, 100+r.IntN(200))})
 						return err
 					})
 				}
 			}
-			gate, halt, over := make(chan struct{}), make(chan struct{}), make(chan struct{})
-			g.slice = func() {
+			gate, halt, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
+			gated.slice = func() {
 				select {
 				case gate <- struct{}{}:
 					synctest.Wait()
 				default:
 				}
 			}
-			before, idle := len(l.Moments()), make([]journal.Record, 10000)
-			for i := range idle {
-				idle[i].Kind = recordtype.Probe
+			before, probes := len(disk.Moments()), make([]journal.Record, 10000)
+			for i := range probes {
+				probes[i].Kind = recordtype.Probe
 			}
 			go func() {
-				defer close(over)
+				defer close(done)
 				for {
 					select {
 					case <-gate:
-						run(mutations(r, &e))
+						run(randomOperation(r, &lastEpoch))
 					case <-halt:
 						return
 					}
 				}
 			}()
 			time.Sleep(time.Second)
-			assert.NilError(t, s.j.Put(t.Context(), false, nil, idle...))
+			assert.NilError(t, components.journal.Put(t.Context(), false, nil, probes...))
 			time.Sleep(time.Second)
 			close(halt)
-			<-over
-			anews += int(s.j.Counters().Compactions)
-			slices += g.count
-			want := s.picture(t)
+			<-done
+			compactions += int(components.journal.Counters().Compactions)
+			slices += gated.count
+			want := components.diskState(t)
 			stop()
-			l.note("end")
-			ms := l.Moments()
-			for at, m := range ms[before:] {
-				if (at+seed)%6 != 0 && m.Op != "end" {
+			disk.note("end")
+			moments := disk.Moments()
+			for at, moment := range moments[before:] {
+				if (at+seed)%6 != 0 && moment.Op != "end" {
 					continue
 				}
-				n := m.Disk.Unsynced()
-				for k := 0; k <= n; k += max(1, n/3) {
+				unsynced := moment.Disk.Unsynced()
+				for kept := 0; kept <= unsynced; kept += max(1, unsynced/3) {
 					for _, torn := range []bool{false, true} {
-						d := m.Disk.Copy()
-						d.LosePowerAfter(k, torn)
-						got, rep, stop := boot(t, d)
-						p := got.picture(t)
+						copied := moment.Disk.Copy()
+						copied.LosePowerAfter(kept, torn)
+						got, report, stop := boot(t, copied)
+						contents := got.diskState(t)
 						stop()
 						cases++
-						assert.Assert(t, !rep.Damaged, "seed %d, moment %d (%s): %v", seed, at, m.Op, rep.Cause)
-						assert.NilError(t, between(p, pics[m.Answered], pics[min(m.Answered+1, len(pics)-1)]),
-							"seed %d, moment %d of %d (%s), %d of %d unsynced kept, torn %v", seed, at, len(ms)-before, m.Op, k, n, torn)
-						if m.Op == "end" {
-							assert.NilError(t, same(p, want), "seed %d", seed)
+						assert.Assert(t, !report.Damaged, "seed %d, moment %d (%s): %v", seed, at, moment.Op,
+							report.Cause)
+						assert.NilError(t, checkBetween(contents, states[moment.Answered],
+							states[min(moment.Answered+1, len(states)-1)]),
+							"seed %d, moment %d of %d (%s), %d of %d unsynced kept, torn %v", seed, at,
+							len(moments)-before, moment.Op, kept, unsynced, torn)
+						if moment.Op == "end" {
+							assert.NilError(t, checkEqual(contents, want), "seed %d", seed)
 						}
 					}
 				}
 			}
 		})
 	}
-	assert.Assert(t, anews >= seeds, "void: written anew %d times", anews)
-	assert.Assert(t, slices > anews*8, "void: %d slices", slices)
-	t.Logf("%d times anew in %d slices, %d ways to lose power", anews, slices, cases)
+	assert.Assert(t, compactions >= seeds, "void: compacted %d times", compactions)
+	assert.Assert(t, slices > compactions*8, "void: %d slices", slices)
+	t.Logf("%d compactions in %d slices, %d ways to lose power", compactions, slices, cases)
 }
--- a/internal/testing/deliverycheck/checker.go
+++ b/internal/testing/deliverycheck/checker.go
@@ -1,6 +1,6 @@
-// Package deliverycheck records what stand-in clients on line sessions saw and judges it: each stay
-// is one subscription of one visitor to one topic, from its first joined answer to its end, across
-// connections.
+// Package deliverycheck records what simulated clients sent and received on client sessions and
+// checks it against the delivery guarantees. The unit of the check is a subscription of one client
+// to one topic, from its first confirmation to its end, across connections.
 package deliverycheck
 
 import (
@@ -16,20 +16,21 @@
 	CallSeq uint64
 }
 
+// sent is what is known of a message that a client tried to send.
 type sent struct {
-	body     string
-	key      string
-	place    Position
-	at       time.Time
-	accepted time.Time
-	tries    int
-	rejected int
-	// renumbers is the number under which the same message was tried before, the zero Message for
-	// none.
-	renumbers Message
+	body       string
+	key        string
+	position   Position
+	triedAt    time.Time
+	acceptedAt time.Time
+	tries      int
+	rejected   int
+	// earlier is the number under which the same message was tried before. It is the zero Message
+	// if there is none.
+	earlier Message
 }
 
-// The rules that are judged.
+// The rules that are checked.
 const (
 	Twice     = "twice"
 	Order     = "order"
@@ -41,331 +42,350 @@
 	Withdrawn = "withdrawn"
 )
 
-// Rules lists them.
+// Rules lists all rules.
 var Rules = []string{Twice, Order, Lost, Expired, Mixed, Refused, Count, Withdrawn}
 
-// Violation is a rule that was broken.
+// Violation is a case in which a rule was broken.
 type Violation struct {
 	Rule    string
 	Message string
 }
 
-// Checker is shared by all clients of a run.
+// Checker records what all clients of a run sent and received.
 type Checker struct {
-	// Keeping is how long messages of kept topics are held.
+	// Keeping is how long messages of retained topics are stored.
 	Keeping time.Duration
-	// Window is how far back a count of listeners may look.
+	// Window is how old the information behind a presence count may be.
 	Window time.Duration
 
-	mu         sync.Mutex
-	sent       map[Message]*sent
-	sessions   []*Subscription
-	violations []Violation
-	presences  map[string][]*Presence
-	drawn      map[string][]*Withdrawal
-	tally      Tally
+	// mu guards the fields below, and all subscriptions, presences and withdrawals.
+	mu            sync.Mutex
+	sent          map[Message]*sent
+	subscriptions []*Subscription
+	violations    []Violation
+	presences     map[string][]*Presence
+	withdrawals   map[string][]*Withdrawal
+	tally         Tally
 }
 
-// Tally says how much there was to judge.
+// Tally counts what was checked.
 type Tally struct {
 	Sent, Accepted, Tries, Rejected, Renumbered, Got, Sessions, Resumed, Expired, Counts, Late int
 	Keyed, Withdrawals, Forgotten, Open, Void, Covered, Spared                                 int
 }
 
-// New makes an empty book.
+// New returns a checker without records.
 func New(keeping, window time.Duration) *Checker {
 	return &Checker{Keeping: keeping, Window: window, sent: map[Message]*sent{},
-		presences: map[string][]*Presence{}, drawn: map[string][]*Withdrawal{}}
+		presences: map[string][]*Presence{}, withdrawals: map[string][]*Withdrawal{}}
 }
 
-// Session is a subscription.
+// Subscription records one subscription of a client to a topic, across connections.
 type Subscription struct {
-	checker *Checker
-	client  string
-	topic   string
-	kept    bool
-	late    bool
-	expired bool
-	since   time.Time
-	place   time.Time
-	end     time.Time
-	conn    int
-	taken   time.Time
-	got     []receipt
-	have    map[Message]int
+	checker       *Checker
+	client        string
+	topic         string
+	retained      bool
+	late          bool
+	expired       bool
+	since         time.Time
+	cursorSentAt  time.Time
+	endedAt       time.Time
+	connection    int
+	joinedAt      time.Time
+	receipts      []receipt
+	receivedCount map[Message]int
 }
 
 type receipt struct {
-	message Message
-	conn    int
-	at      time.Time
-	// since is when the connection took the subscription up.
-	since time.Time
+	message    Message
+	connection int
+	receivedAt time.Time
+	// joinedAt is when the subscription was confirmed on the connection.
+	joinedAt time.Time
 }
 
-func (b *Checker) addViolation(rule, f string, a ...any) {
-	b.violations = append(b.violations, Violation{rule, fmt.Sprintf(f, a...)})
+func (c *Checker) addViolation(rule, format string, args ...any) {
+	c.violations = append(c.violations, Violation{rule, fmt.Sprintf(format, args...)})
 }
 
-// Violation notes a rule that a client itself saw broken.
-func (b *Checker) Violation(rule, f string, a ...any) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.addViolation(rule, f, a...)
+// Violation records a violation that a client detected itself.
+func (c *Checker) Violation(rule, format string, args ...any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.addViolation(rule, format, args...)
 }
 
-// Try notes that a message is about to be sent, under a key if that is not empty; the first try
-// gives its body and time.
-func (b *Checker) Try(m Message, key, body string, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.sent[m]
-	if s == nil {
-		s = &sent{body: body, key: key, at: now}
-		b.sent[m] = s
+// Try records that a message is about to be sent, under a key unless that is empty. The first try
+// sets the message's body and time.
+func (c *Checker) Try(message Message, key, body string, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	state := c.sent[message]
+	if state == nil {
+		state = &sent{body: body, key: key, triedAt: now}
+		c.sent[message] = state
 	}
-	s.tries++
+	state.tries++
 }
 
-// Renumber notes that m is another number for what was tried as earlier: one message, which may be
-// delivered once under either.
-func (b *Checker) Renumber(m, earlier Message) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.sent[m].renumbers = earlier
-	b.tally.Renumbered++
+// Renumber records that message is another number for what was tried as earlier. Both are one
+// message, which may be delivered once under either number.
+func (c *Checker) Renumber(message, earlier Message) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.sent[message].earlier = earlier
+	c.tally.Renumbered++
 }
 
-// first returns the first number that a message was tried under.
-func (b *Checker) first(m Message) Message {
-	for x := b.sent[m]; x != nil && x.renumbers != (Message{}); x = b.sent[m] {
-		m = x.renumbers
+// firstNumber returns the first number that a message was tried under.
+func (c *Checker) firstNumber(message Message) Message {
+	for state := c.sent[message]; state != nil && state.earlier != (Message{}); state = c.sent[message] {
+		message = state.earlier
 	}
-	return m
+	return message
 }
 
-// Rejected notes that a try was turned away with the promise that it never will be done.
-func (b *Checker) Rejected(m Message) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.sent[m].rejected++
+// Rejected records that a try was rejected for good: the try will never be accepted later.
+func (c *Checker) Rejected(message Message) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.sent[message].rejected++
 }
 
-// Accepted notes that a message was acknowledged.
-func (b *Checker) Accepted(m Message, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.sent[m]
-	if s == nil {
-		b.addViolation(Mixed, "%v was acknowledged and never sent", m)
+// Accepted records that a message was acknowledged.
+func (c *Checker) Accepted(message Message, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	state := c.sent[message]
+	if state == nil {
+		c.addViolation(Mixed, "%v was acknowledged and never sent", message)
 		return
 	}
-	if s.accepted.IsZero() {
-		s.accepted = now
+	if state.acceptedAt.IsZero() {
+		state.acceptedAt = now
 	}
 }
 
-// Open begins a stay that nothing is owed to before it was joined.
-func (b *Checker) Subscribe(client, topic string, kept bool) *Subscription {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := &Subscription{checker: b, client: client, topic: topic, kept: kept, have: map[Message]int{}}
-	b.sessions = append(b.sessions, s)
-	return s
+// Subscribe begins a subscription, which need not receive anything sent before it was confirmed.
+func (c *Checker) Subscribe(client, topic string, retained bool) *Subscription {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	subscription := &Subscription{checker: c, client: client, topic: topic, retained: retained,
+		receivedCount: map[Message]int{}}
+	c.subscriptions = append(c.subscriptions, subscription)
+	return subscription
 }
 
-// OpenLate begins a stay at a cursor that another was given with a message at a time.
-func (b *Checker) SubscribeFromCursor(client string, m Message, given time.Time) *Subscription {
-	s := b.Subscribe(client, m.Topic, true)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s.late, s.since, s.place = true, given, given
-	if x := b.sent[m]; x != nil {
-		s.place = x.at
+// SubscribeFromCursor begins a subscription at a cursor that another client received with a message
+// at givenAt.
+func (c *Checker) SubscribeFromCursor(client string, message Message, givenAt time.Time) *Subscription {
+	subscription := c.Subscribe(client, message.Topic, true)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	subscription.late, subscription.since, subscription.cursorSentAt = true, givenAt, givenAt
+	if state := c.sent[message]; state != nil {
+		subscription.cursorSentAt = state.triedAt
 	}
-	return s
+	return subscription
 }
 
-// Joined notes that the subscription was taken up, on a further connection unless it is the first.
+// Joined records that the subscription was confirmed. Each call stands for a further connection.
 func (s *Subscription) Joined(now time.Time) {
 	s.checker.mu.Lock()
 	defer s.checker.mu.Unlock()
-	s.conn++
-	s.taken = now
+	s.connection++
+	s.joinedAt = now
 	if s.since.IsZero() {
 		s.since = now
 	}
-	if s.conn > 1 {
+	if s.connection > 1 {
 		s.checker.tally.Resumed++
 	}
 }
 
-// Ended notes that the visitor ends the subscription.
+// Ended records that the client ends the subscription.
 func (s *Subscription) Ended(now time.Time) {
 	s.checker.mu.Lock()
 	defer s.checker.mu.Unlock()
-	if s.end.IsZero() {
-		s.end = now
+	if s.endedAt.IsZero() {
+		s.endedAt = now
 	}
 }
 
-// Expired notes that the visitor is told that the subscription can't be taken up.
+// Expired records that resuming the subscription was rejected because its cursor has expired. That
+// is a violation unless the subscription lacks an accepted message older than Keeping.
 func (s *Subscription) Expired(now time.Time) {
 	s.checker.mu.Lock()
 	defer s.checker.mu.Unlock()
 	s.checker.tally.Expired++
-	if !s.end.IsZero() {
+	if !s.endedAt.IsZero() {
 		return
 	}
-	s.end, s.expired = now, true
-	if !s.kept || s.since.IsZero() {
+	s.endedAt, s.expired = now, true
+	if !s.retained || s.since.IsZero() {
 		return
 	}
 	from := s.since
 	if s.late {
-		from = s.place
+		from = s.cursorSentAt
 	}
-	for m, x := range s.checker.sent {
-		if m.Topic == s.topic && !x.accepted.IsZero() && x.at.After(from) && s.have[m] == 0 &&
-			now.Sub(x.at) > s.checker.Keeping {
+	for message, state := range s.checker.sent {
+		if message.Topic == s.topic && !state.acceptedAt.IsZero() && state.triedAt.After(from) &&
+			s.receivedCount[message] == 0 && now.Sub(state.triedAt) > s.checker.Keeping {
 			return
 		}
 	}
-	s.checker.addViolation(Expired, "%s was told at %s that %s can't be taken up, and lacks nothing older than %s",
+	s.checker.addViolation(Expired,
+		"%s was rejected at %s with an expired cursor of %s, and lacks no message older than %s",
 		s.client, now.Format("04:05.000"), s.topic, s.checker.Keeping)
 }
 
-// Got notes a message that came on this stay's connection: its place in the line, where that is
-// known, and when the connection took its last byte.
-func (s *Subscription) Received(m Message, body string, at Position, shown time.Time) {
+// Received records a message that arrived on the subscription's connection: its position in the
+// partition log, where that is known, and when the connection took its last byte.
+func (s *Subscription) Received(message Message, body string, position Position, receivedAt time.Time) {
 	s.checker.mu.Lock()
 	defer s.checker.mu.Unlock()
 	s.checker.tally.Got++
-	s.got = append(s.got, receipt{m, s.conn, shown, s.taken})
-	s.have[m]++
-	s.checker.same(s.client, m, body)
-	if x := s.checker.sent[m]; x != nil && at != (Position{}) {
-		x.place = at
+	s.receipts = append(s.receipts, receipt{message, s.connection, receivedAt, s.joinedAt})
+	s.receivedCount[message]++
+	s.checker.checkBody(s.client, message, body)
+	if state := s.checker.sent[message]; state != nil && position != (Position{}) {
+		state.position = position
 	}
-	if m.Topic != s.topic {
-		s.checker.addViolation(Mixed, "%s got %v on %s", s.client, m, s.topic)
+	if message.Topic != s.topic {
+		s.checker.addViolation(Mixed, "%s got %v on %s", s.client, message, s.topic)
 	}
 }
 
-func (b *Checker) same(who string, m Message, body string) {
-	x := b.sent[m]
+func (c *Checker) checkBody(client string, message Message, body string) {
+	state := c.sent[message]
 	switch {
-	case x == nil:
-		b.addViolation(Mixed, "%s got %v, which nobody sent", who, m)
-	case x.body != body:
-		b.addViolation(Mixed, "%s got %v with another body", who, m)
+	case state == nil:
+		c.addViolation(Mixed, "%s got %v, which no client sent", client, message)
+	case state.body != body:
+		c.addViolation(Mixed, "%s got %v with another body", client, message)
 	}
 }
 
-// Stray notes a message on a topic that the connection has left or never asked for.
-func (b *Checker) Stray(client string, m Message, now time.Time) {
-	b.Violation(Mixed, "%s got %v at %s, a topic that its connection does not follow", client, m, now.Format("04:05.000"))
+// Stray records a message on a topic that the connection has left or never subscribed to.
+func (c *Checker) Stray(client string, message Message, now time.Time) {
+	c.Violation(Mixed, "%s got %v at %s, a topic that its connection does not follow", client, message,
+		now.Format("04:05.000"))
 }
 
-func (s *Subscription) owed(m Message, x *sent) bool {
-	return m.Topic == s.topic && s.kept && !s.since.IsZero() && !x.accepted.IsZero() && x.at.After(s.since) &&
-		(s.end.IsZero() || x.accepted.Before(s.end)) && !s.checker.spared(m, x)
+// mustReceive reports whether the subscription is guaranteed to receive a message.
+func (s *Subscription) mustReceive(message Message, state *sent) bool {
+	return message.Topic == s.topic && s.retained && !s.since.IsZero() && !state.acceptedAt.IsZero() &&
+		state.triedAt.After(s.since) &&
+		(s.endedAt.IsZero() || state.acceptedAt.Before(s.endedAt)) && !s.checker.mayBeWithdrawn(message, state)
 }
 
-// Judge judges all that was seen. What was acknowledged after the cut need not have arrived.
-func (b *Checker) Judge(cut time.Time) (Tally, []Violation) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.tally.Sent, b.tally.Sessions = len(b.sent), len(b.sessions)
-	for _, x := range b.sent {
-		b.tally.Tries += x.tries
-		b.tally.Rejected += x.rejected
-		if !x.accepted.IsZero() {
-			b.tally.Accepted++
+// Judge checks all records and returns the counts and violations. Messages acknowledged after the
+// cut need not have arrived.
+func (c *Checker) Judge(cut time.Time) (Tally, []Violation) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.tally.Sent, c.tally.Sessions = len(c.sent), len(c.subscriptions)
+	for _, state := range c.sent {
+		c.tally.Tries += state.tries
+		c.tally.Rejected += state.rejected
+		if !state.acceptedAt.IsZero() {
+			c.tally.Accepted++
 		}
 	}
-	b.shown()
-	lines := map[string]*order{}
-	for _, s := range b.sessions {
-		if s.late {
-			b.tally.Late++
+	c.judgeWithdrawals()
+	orders := map[string]*order{}
+	for _, subscription := range c.subscriptions {
+		if subscription.late {
+			c.tally.Late++
 		}
-		s.judge()
-		s.complete(cut)
-		if s.kept {
-			if lines[s.topic] == nil {
-				lines[s.topic] = &order{next: map[Message]map[Message]bool{}}
+		subscription.judgeOrder()
+		subscription.judgeCompleteness(cut)
+		if subscription.retained {
+			if orders[subscription.topic] == nil {
+				orders[subscription.topic] = &order{followers: map[Message]map[Message]bool{}}
 			}
-			lines[s.topic].add(s.got)
+			orders[subscription.topic].add(subscription.receipts)
 		}
 	}
-	for t, l := range lines {
-		if m, ok := l.knot(); ok {
-			b.addViolation(Order, "two visitors got %v and others on %s in differing orders", m, t)
+	for topic, order := range orders {
+		if message, ok := order.cycle(); ok {
+			c.addViolation(Order, "two clients got %v and other messages on %s in different orders", message, topic)
 		}
 	}
-	return b.tally, b.violations
+	return c.tally, c.violations
 }
 
-func (s *Subscription) judge() {
-	b := s.checker
-	seen, last, conn := map[Message]bool{}, map[string]uint64{}, 0
+// judgeOrder checks the received messages for duplicates, reordering and rejected messages.
+func (s *Subscription) judgeOrder() {
+	c := s.checker
+	seen, last, connection := map[Message]bool{}, map[string]uint64{}, 0
 	numbers := map[Message]Message{}
 	owed := map[string][]Message{}
-	for m, x := range b.sent {
-		if s.owed(m, x) {
-			owed[m.From] = append(owed[m.From], m)
+	for message, state := range c.sent {
+		if s.mustReceive(message, state) {
+			owed[message.From] = append(owed[message.From], message)
 		}
 	}
-	for _, g := range s.got {
-		if !s.kept && g.conn != conn {
+	for _, receipt := range s.receipts {
+		if !s.retained && receipt.connection != connection {
 			clear(seen)
 			clear(last)
 			clear(numbers)
-			conn = g.conn
+			connection = receipt.connection
 		}
-		if seen[g.message] {
-			b.addViolation(Twice, "%s got %v twice, again at %s", s.client, g.message, g.at.Format("04:05.000"))
+		if seen[receipt.message] {
+			c.addViolation(Twice, "%s got %v twice, again at %s", s.client, receipt.message,
+				receipt.receivedAt.Format("04:05.000"))
 			continue
 		}
-		seen[g.message] = true
-		s.judgeNumber(numbers, g)
-		if l := last[g.message.From]; g.message.CallSeq <= l {
-			b.addViolation(Order, "%s got %v after call %d at %s", s.client, g.message, l, g.at.Format("04:05.000"))
+		seen[receipt.message] = true
+		s.judgeNumber(numbers, receipt)
+		if previous := last[receipt.message.From]; receipt.message.CallSeq <= previous {
+			c.addViolation(Order, "%s got %v after call %d at %s", s.client, receipt.message, previous,
+				receipt.receivedAt.Format("04:05.000"))
 		}
-		last[g.message.From] = max(last[g.message.From], g.message.CallSeq)
-		for _, m := range owed[g.message.From] {
-			if m.CallSeq < g.message.CallSeq && !seen[m] {
-				b.addViolation(Order, "%s got %v at %s, which passed over call %d, owed since %s", s.client, g.message,
-					g.at.Format("04:05.000"), m.CallSeq, b.sent[m].accepted.Format("04:05.000"))
-				seen[m] = true
+		last[receipt.message.From] = max(last[receipt.message.From], receipt.message.CallSeq)
+		for _, earlier := range owed[receipt.message.From] {
+			if earlier.CallSeq < receipt.message.CallSeq && !seen[earlier] {
+				c.addViolation(Order, "%s got %v at %s without call %d before it, which was acknowledged at %s",
+					s.client, receipt.message,
+					receipt.receivedAt.Format("04:05.000"), earlier.CallSeq,
+					c.sent[earlier].acceptedAt.Format("04:05.000"))
+				seen[earlier] = true
 			}
 		}
-		if x := b.sent[g.message]; x != nil && x.tries > 0 && x.rejected >= x.tries {
-			b.addViolation(Refused, "%s got %v, each of whose %d tries was turned away", s.client, g.message, x.tries)
+		if state := c.sent[receipt.message]; state != nil && state.tries > 0 && state.rejected >= state.tries {
+			c.addViolation(Refused, "%s got %v, each of whose %d tries was rejected", s.client, receipt.message,
+				state.tries)
 		}
 	}
 }
 
-// judgeNumber judges whether a message came before under another of its numbers. numbers has, for the
-// first number of each message, the one that it came under.
-func (s *Subscription) judgeNumber(numbers map[Message]Message, g receipt) {
-	first := s.checker.first(g.message)
+// judgeNumber checks that a message did not arrive before under another of its numbers. numbers
+// maps the first number of each message to the one that it arrived under.
+func (s *Subscription) judgeNumber(numbers map[Message]Message, receipt receipt) {
+	first := s.checker.firstNumber(receipt.message)
 	if number, ok := numbers[first]; ok {
-		s.checker.addViolation(Twice, "%s got %v at %s, a message that it had got as call %d", s.client, g.message,
-			g.at.Format("04:05.000"), number.CallSeq)
+		s.checker.addViolation(Twice, "%s got %v at %s, a message that it already got as call %d", s.client,
+			receipt.message, receipt.receivedAt.Format("04:05.000"), number.CallSeq)
 	}
-	numbers[first] = g.message
+	numbers[first] = receipt.message
 }
 
-func (s *Subscription) complete(cut time.Time) {
-	for m, x := range s.checker.sent {
-		if s.owed(m, x) && s.have[m] == 0 && x.accepted.Before(cut) && s.open(cut) &&
-			(!s.late || x.accepted.After(cut.Add(-s.checker.Keeping))) {
+// judgeCompleteness checks that every guaranteed message acknowledged before the cut arrived.
+func (s *Subscription) judgeCompleteness(cut time.Time) {
+	for message, state := range s.checker.sent {
+		if s.mustReceive(message, state) && s.receivedCount[message] == 0 && state.acceptedAt.Before(cut) &&
+			s.openAt(cut) && (!s.late || state.acceptedAt.After(cut.Add(-s.checker.Keeping))) {
 			s.checker.addViolation(Lost, "%s never got %v, sent at %s, acknowledged at %s (joined at %s, late: %v)",
-				s.client, m, x.at.Format("04:05.000"), x.accepted.Format("04:05.000"), s.since.Format("04:05.000"), s.late)
+				s.client, message, state.triedAt.Format("04:05.000"), state.acceptedAt.Format("04:05.000"),
+				s.since.Format("04:05.000"), s.late)
 		}
 	}
 }
 
-func (s *Subscription) open(cut time.Time) bool { return !s.expired && (s.end.IsZero() || s.end.After(cut)) }
+func (s *Subscription) openAt(cut time.Time) bool {
+	return !s.expired && (s.endedAt.IsZero() || s.endedAt.After(cut))
+}
--- a/internal/testing/deliverycheck/order.go
+++ b/internal/testing/deliverycheck/order.go
@@ -1,52 +1,53 @@
 package deliverycheck
 
-// order is what follows what in the lines that visitors saw of a topic.
+// order is the graph of which message directly followed which in what subscriptions received on a
+// topic.
 type order struct {
-	next map[Message]map[Message]bool
+	followers map[Message]map[Message]bool
 }
 
-func (o *order) add(gs []receipt) {
-	for i, g := range gs {
-		if o.next[g.message] == nil {
-			o.next[g.message] = map[Message]bool{}
+func (o *order) add(receipts []receipt) {
+	for i, receipt := range receipts {
+		if o.followers[receipt.message] == nil {
+			o.followers[receipt.message] = map[Message]bool{}
 		}
-		if i > 0 && gs[i-1].message != g.message {
-			o.next[gs[i-1].message][g.message] = true
+		if i > 0 && receipts[i-1].message != receipt.message {
+			o.followers[receipts[i-1].message][receipt.message] = true
 		}
 	}
 }
 
-// knot gives a message that comes before itself, if there is one.
-func (o *order) knot() (Message, bool) {
-	before := map[Message]int{}
-	for _, ns := range o.next {
-		for n := range ns {
-			before[n]++
+// cycle returns a message that precedes itself in the graph, if there is one.
+func (o *order) cycle() (Message, bool) {
+	predecessors := map[Message]int{}
+	for _, followers := range o.followers {
+		for follower := range followers {
+			predecessors[follower]++
 		}
 	}
-	var free []Message
-	for m := range o.next {
-		if before[m] == 0 {
-			free = append(free, m)
+	var ready []Message
+	for message := range o.followers {
+		if predecessors[message] == 0 {
+			ready = append(ready, message)
 		}
 	}
 	done := 0
-	for len(free) > 0 {
-		m := free[len(free)-1]
-		free = free[:len(free)-1]
+	for len(ready) > 0 {
+		message := ready[len(ready)-1]
+		ready = ready[:len(ready)-1]
 		done++
-		for n := range o.next[m] {
-			if before[n]--; before[n] == 0 {
-				free = append(free, n)
+		for follower := range o.followers[message] {
+			if predecessors[follower]--; predecessors[follower] == 0 {
+				ready = append(ready, follower)
 			}
 		}
 	}
-	if done == len(o.next) {
+	if done == len(o.followers) {
 		return Message{}, false
 	}
-	for m := range o.next {
-		if before[m] > 0 {
-			return m, true
+	for message := range o.followers {
+		if predecessors[message] > 0 {
+			return message, true
 		}
 	}
 	return Message{}, false
--- a/internal/testing/deliverycheck/presence.go
+++ b/internal/testing/deliverycheck/presence.go
@@ -2,62 +2,63 @@
 
 import "time"
 
-// slack is how many listeners a count may be too high by.
-const slack = 2
+// countTolerance is how many listeners a count may be too high by.
+const countTolerance = 2
 
-// Presence is the time that a visitor listens to a topic on one connection.
+// Presence is the time in which a client listens to a topic on one connection.
 type Presence struct {
-	checker          *Checker
-	asked, since, to time.Time
+	checker                       *Checker
+	requestedAt, joinedAt, leftAt time.Time
 }
 
-// Here notes that a visitor asks to listen.
-func (b *Checker) BeginPresence(topic string, now time.Time) *Presence {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	p := &Presence{checker: b, asked: now}
-	b.presences[topic] = append(b.presences[topic], p)
+// BeginPresence records that a client asks to listen to a topic.
+func (c *Checker) BeginPresence(topic string, now time.Time) *Presence {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	p := &Presence{checker: c, requestedAt: now}
+	c.presences[topic] = append(c.presences[topic], p)
 	return p
 }
 
-// Joined notes that it does.
+// Joined records that the client listens.
 func (p *Presence) Joined(now time.Time) {
 	p.checker.mu.Lock()
 	defer p.checker.mu.Unlock()
-	p.since = now
+	p.joinedAt = now
 }
 
-// Gone notes that it does no longer.
+// Left records that the client no longer listens.
 func (p *Presence) Left(now time.Time) {
 	p.checker.mu.Lock()
 	defer p.checker.mu.Unlock()
-	if p.to.IsZero() {
-		p.to = now
+	if p.leftAt.IsZero() {
+		p.leftAt = now
 	}
 }
 
-// Count notes a count of listeners that was asked for and told. A calm fleet counts all that were
-// there all through the window.
-func (b *Checker) Count(topic string, n int, asked, answered time.Time, calm bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.tally.Counts++
+// Count checks a presence count that a client received. It must not exceed the listeners present at
+// some moment of the window by more than countTolerance. A calm fleet counts at least those that
+// were present throughout the window.
+func (c *Checker) Count(topic string, count int, requestedAt, answeredAt time.Time, calm bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.tally.Counts++
 	least, most := 0, 0
-	from := asked.Add(-b.Window)
-	for _, p := range b.presences[topic] {
-		if (p.to.IsZero() || p.to.After(from)) && p.asked.Before(answered) {
+	from := requestedAt.Add(-c.Window)
+	for _, p := range c.presences[topic] {
+		if (p.leftAt.IsZero() || p.leftAt.After(from)) && p.requestedAt.Before(answeredAt) {
 			most++
 		}
-		if p.to.IsZero() && !p.since.IsZero() && p.since.Before(from) {
+		if p.leftAt.IsZero() && !p.joinedAt.IsZero() && p.joinedAt.Before(from) {
 			least++
 		}
 	}
-	if n > most+slack {
-		b.addViolation(Count, "%d were counted on %s at %s, %d were there at some moment, and %d more are let pass",
-			n, topic, answered.Format("04:05.000"), most, slack)
+	if count > most+countTolerance {
+		c.addViolation(Count, "%d listeners were counted on %s at %s, at most %d were present, and the tolerance is %d",
+			count, topic, answeredAt.Format("04:05.000"), most, countTolerance)
 	}
-	if calm && n < least {
-		b.addViolation(Count, "%d were counted on %s at %s, %d were there all the time", n, topic,
-			answered.Format("04:05.000"), least)
+	if calm && count < least {
+		c.addViolation(Count, "%d listeners were counted on %s at %s, %d were present throughout the window", count,
+			topic, answeredAt.Format("04:05.000"), least)
 	}
 }
--- a/internal/testing/deliverycheck/withdrawn.go
+++ b/internal/testing/deliverycheck/withdrawn.go
@@ -5,207 +5,225 @@
 	"time"
 )
 
-// Place is where an entry stands in a line; nothing is known of an empty one.
+// Position is the position of an entry in a partition log. The zero Position is unknown.
 type Position struct {
 	Partition int
 	Offset    uint64
 }
 
-// Withdrawal is the withdrawal of what stands under a key, under a call number of its visitor,
-// which may name a sender and its highest number that is withdrawn too.
+// Withdrawal is the withdrawal of the messages under a key, made under a call number of its client.
+// It may name a sender and the highest call number of that sender that is withdrawn too.
 type Withdrawal struct {
 	Topic, Key, Client string
-	Call           uint64
+	Call               uint64
 	Sender             string
-	UpTo           uint64
-
-	checker   *Checker
-	asked     time.Time
-	fixed     time.Time
-	confirmed time.Time
-	void      bool
-	tombstone Position
+	UpTo               uint64
+
+	checker     *Checker
+	requestedAt time.Time
+	recordedAt  time.Time
+	completedAt time.Time
+	void        bool
+	tombstone   Position
 }
 
-// Withdraw notes that a withdrawal is about to be asked for; the first time counts.
-func (b *Checker) Withdraw(w Withdrawal, now time.Time) *Withdrawal {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, x := range b.drawn[w.Topic] {
-		if x.Client == w.Client && x.Call == w.Call {
-			return x
+// Withdraw records that a withdrawal is about to be requested. Further requests under the same
+// number return the first record.
+func (c *Checker) Withdraw(w Withdrawal, now time.Time) *Withdrawal {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, known := range c.withdrawals[w.Topic] {
+		if known.Client == w.Client && known.Call == w.Call {
+			return known
 		}
 	}
-	w.checker, w.asked = b, now
-	b.drawn[w.Topic] = append(b.drawn[w.Topic], &w)
-	b.tally.Withdrawals++
+	w.checker, w.requestedAt = c, now
+	c.withdrawals[w.Topic] = append(c.withdrawals[w.Topic], &w)
+	c.tally.Withdrawals++
 	return &w
 }
 
-// Stands notes that the mark stands, though not all have forgotten.
+// Recorded records that the tombstone is committed, though not all routers have confirmed it.
 func (w *Withdrawal) Recorded(now time.Time) {
 	w.checker.mu.Lock()
 	defer w.checker.mu.Unlock()
 	w.checker.tally.Open++
-	if w.fixed.IsZero() {
-		w.fixed = now
+	if w.recordedAt.IsZero() {
+		w.recordedAt = now
 	}
 }
 
-// Void notes that nothing was withdrawn and never will be under this number.
+// Void records that nothing was withdrawn and never will be under this number.
 func (w *Withdrawal) Void() {
 	w.checker.mu.Lock()
 	defer w.checker.mu.Unlock()
 	w.checker.tally.Void++
 	w.void = true
-	if !w.fixed.IsZero() {
-		w.checker.addViolation(Withdrawn, "the withdrawal %d of %s by %s was told to stand, and then to be void",
+	if !w.recordedAt.IsZero() {
+		w.checker.addViolation(Withdrawn, "the withdrawal %d of %s by %s was answered as recorded, and then as void",
 			w.Call, w.Topic, w.Client)
 	}
 }
 
-// Forgotten notes the yes, the place of its mark where that is known, and when the connection took
-// its last byte.
-func (w *Withdrawal) Completed(mark Position, now time.Time) {
+// Completed records the acknowledgement of the withdrawal, the position of its tombstone where that
+// is known, and when the connection took the answer's last byte.
+func (w *Withdrawal) Completed(tombstone Position, now time.Time) {
 	w.checker.mu.Lock()
 	defer w.checker.mu.Unlock()
-	if w.fixed.IsZero() {
-		w.fixed = now
+	if w.recordedAt.IsZero() {
+		w.recordedAt = now
 	}
-	if w.confirmed.IsZero() {
-		w.confirmed, w.tombstone = now, mark
+	if w.completedAt.IsZero() {
+		w.completedAt, w.tombstone = now, tombstone
 		w.checker.tally.Forgotten++
 	}
 }
 
-// Shown notes that a follower is told that what stood under a key no longer does.
-func (b *Checker) WithdrawalReceived(client, topic, key string, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !slices.ContainsFunc(b.drawn[topic], func(w *Withdrawal) bool { return w.Key == key && !w.asked.After(now) }) {
-		b.addViolation(Mixed, "%s was told at %s that %s of %s was withdrawn, which nobody asked", client,
+// WithdrawalReceived records that a subscriber was notified of the withdrawal of a key.
+func (c *Checker) WithdrawalReceived(client, topic, key string, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !slices.ContainsFunc(c.withdrawals[topic], func(w *Withdrawal) bool {
+		return w.Key == key &&
+			!w.requestedAt.After(now)
+	}) {
+		c.addViolation(Mixed, "%s was notified at %s that %s of %s was withdrawn, which no client requested", client,
 			now.Format("04:05.000"), key, topic)
 	}
 }
 
-// placed tells whether two places can be compared, and whether the first is before the second.
-func placed(a, b Position) (before, ok bool) {
-	return a.Offset < b.Offset, a.Offset > 0 && b.Offset > 0 && a.Partition == b.Partition
+// compare reports whether two positions can be compared, and whether the first is before the
+// second.
+func compare(first, second Position) (before, ok bool) {
+	return first.Offset < second.Offset, first.Offset > 0 && second.Offset > 0 && first.Partition == second.Partition
 }
 
-// covers tells whether a message surely stands before the mark, or can never be taken.
-func (w *Withdrawal) covers(m Message, x *sent) bool {
+// surelyCovers reports whether a message is certainly before the tombstone, or can never be
+// accepted because of the withdrawal.
+func (w *Withdrawal) surelyCovers(message Message, state *sent) bool {
 	if w.void {
 		return false
 	}
-	if m.From == w.Sender && m.CallSeq <= w.UpTo && !w.confirmed.IsZero() && x.at.After(w.confirmed) {
+	if message.From == w.Sender && message.CallSeq <= w.UpTo && !w.completedAt.IsZero() &&
+		state.triedAt.After(w.completedAt) {
 		return true
 	}
-	if x.key != w.Key {
+	if state.key != w.Key {
 		return false
 	}
-	if before, ok := placed(x.place, w.tombstone); ok {
+	if before, ok := compare(state.position, w.tombstone); ok {
 		return before
 	}
-	if m.From == w.Client {
-		return m.CallSeq < w.Call
+	if message.From == w.Client {
+		return message.CallSeq < w.Call
 	}
-	return m.From == w.Sender && m.CallSeq <= w.UpTo || !x.accepted.IsZero() && x.accepted.Before(w.asked)
+	return message.From == w.Sender && message.CallSeq <= w.UpTo || !state.acceptedAt.IsZero() &&
+		state.acceptedAt.Before(w.requestedAt)
 }
 
-// may tells whether a message may stand before the mark, or may never be taken because of it.
-func (w *Withdrawal) may(m Message, x *sent) bool {
-	switch before, ok := placed(x.place, w.tombstone); {
-	case w.void || x.key != w.Key:
+// mayCover reports whether a message may be before the tombstone, or may never be accepted because
+// of the withdrawal.
+func (w *Withdrawal) mayCover(message Message, state *sent) bool {
+	switch before, ok := compare(state.position, w.tombstone); {
+	case w.void || state.key != w.Key:
 		return false
 	case ok:
 		return before
-	case m.From == w.Client:
-		return m.CallSeq < w.Call
+	case message.From == w.Client:
+		return message.CallSeq < w.Call
 	}
-	return w.fixed.IsZero() || !x.at.After(w.fixed)
+	return w.recordedAt.IsZero() || !state.triedAt.After(w.recordedAt)
 }
 
-// spared tells whether a message is owed to nobody, as it may have been withdrawn.
-func (b *Checker) spared(m Message, x *sent) bool {
-	return x.key != "" && slices.ContainsFunc(b.drawn[m.Topic], func(w *Withdrawal) bool { return w.may(m, x) })
+// mayBeWithdrawn reports whether a message need not be delivered because it may be withdrawn.
+func (c *Checker) mayBeWithdrawn(message Message, state *sent) bool {
+	return state.key != "" && slices.ContainsFunc(c.withdrawals[message.Topic], func(w *Withdrawal) bool {
+		return w.mayCover(message, state)
+	})
 }
 
-// shown judges what was shown after a yes.
-func (b *Checker) shown() {
-	for m, x := range b.sent {
-		if x.key != "" {
-			b.tally.Keyed++
+// judgeWithdrawals checks that no withdrawn message arrived after its withdrawal was acknowledged.
+func (c *Checker) judgeWithdrawals() {
+	for message, state := range c.sent {
+		if state.key != "" {
+			c.tally.Keyed++
 		}
 		covered := false
-		for _, w := range b.drawn[m.Topic] {
-			if !w.covers(m, x) {
+		for _, w := range c.withdrawals[message.Topic] {
+			if !w.surelyCovers(message, state) {
 				continue
 			}
 			covered = true
-			if w.confirmed.IsZero() {
+			if w.completedAt.IsZero() {
 				continue
 			}
-			if m.From == w.Sender && m.CallSeq <= w.UpTo && x.at.After(w.confirmed) && !x.accepted.IsZero() {
-				b.addViolation(Withdrawn, "%v was taken at %s, which %s passed over before it came", m,
-					x.accepted.Format("04:05.000"), w.Client)
+			if message.From == w.Sender && message.CallSeq <= w.UpTo && state.triedAt.After(w.completedAt) &&
+				!state.acceptedAt.IsZero() {
+				c.addViolation(Withdrawn,
+					"%v was accepted at %s, though %s had withdrawn its number before it was sent", message,
+					state.acceptedAt.Format("04:05.000"), w.Client)
 			}
-			for _, s := range b.sessions {
-				for _, g := range s.got {
-					if g.message == m && g.at.After(w.confirmed) {
-						b.addViolation(Withdrawn,
-							"%s was shown %v under %s at %s, withdrawn by %s as %d, which was told to be forgotten at %s", s.client,
-							m, w.Key, g.at.Format("04:05.000000"), w.Client, w.Call, w.confirmed.Format("04:05.000000"))
+			for _, subscription := range c.subscriptions {
+				for _, receipt := range subscription.receipts {
+					if receipt.message == message && receipt.receivedAt.After(w.completedAt) {
+						c.addViolation(Withdrawn,
+							"%s got %v under %s at %s, withdrawn by %s as %d, which was acknowledged at %s",
+							subscription.client,
+							message, w.Key, receipt.receivedAt.Format("04:05.000000"), w.Client, w.Call,
+							w.completedAt.Format("04:05.000000"))
 					}
 				}
 			}
 		}
 		if covered {
-			b.tally.Covered++
-			if !x.accepted.IsZero() && !slices.ContainsFunc(b.sessions, func(s *Subscription) bool { return s.have[m] > 0 }) {
-				b.tally.Spared++
+			c.tally.Covered++
+			if !state.acceptedAt.IsZero() && !slices.ContainsFunc(c.subscriptions,
+				func(s *Subscription) bool { return s.receivedCount[message] > 0 }) {
+				c.tally.Spared++
 			}
 		}
 	}
 }
 
-// Marks gives how long each withdrawal that was asked for in a time took to its yes, and how many
-// have none.
-func (b *Checker) WithdrawalLatencies(from, to time.Time) (ds []time.Duration, open int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, ws := range b.drawn {
-		for _, w := range ws {
+// WithdrawalLatencies returns how long each withdrawal requested between from and to took until its
+// acknowledgement, and how many were not acknowledged.
+func (c *Checker) WithdrawalLatencies(from, to time.Time) (latencies []time.Duration, open int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, withdrawals := range c.withdrawals {
+		for _, w := range withdrawals {
 			switch {
-			case w.void || w.asked.Before(from) || !w.asked.Before(to):
-			case w.confirmed.IsZero():
+			case w.void || w.requestedAt.Before(from) || !w.requestedAt.Before(to):
+			case w.completedAt.IsZero():
 				open++
 			default:
-				ds = append(ds, w.confirmed.Sub(w.asked))
+				latencies = append(latencies, w.completedAt.Sub(w.requestedAt))
 			}
 		}
 	}
-	slices.Sort(ds)
-	return ds, open
+	slices.Sort(latencies)
+	return latencies, open
 }
 
-// Spread gives how long messages that were first sent in a time took to visitors who followed their
-// topic then on the connection on which they came. Of a visitor named in but, nothing counts.
-func (b *Checker) DeliveryLatencies(from, to time.Time, but func(client string) bool) (ds []time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, s := range b.sessions {
-		if but != nil && but(s.client) {
+// DeliveryLatencies returns how long messages first sent between from and to took to reach clients
+// that were already subscribed on the connection on which the messages arrived. Messages to or from
+// an excluded client don't count.
+func (c *Checker) DeliveryLatencies(from, to time.Time, excluded func(client string) bool) (latencies []time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, subscription := range c.subscriptions {
+		if excluded != nil && excluded(subscription.client) {
 			continue
 		}
-		for _, g := range s.got {
-			x := b.sent[g.message]
-			if x == nil || x.at.Before(from) || !x.at.Before(to) || x.at.Before(g.since) || but != nil && but(g.message.From) {
+		for _, receipt := range subscription.receipts {
+			state := c.sent[receipt.message]
+			if state == nil || state.triedAt.Before(from) || !state.triedAt.Before(to) ||
+				state.triedAt.Before(receipt.joinedAt) || excluded != nil && excluded(receipt.message.From) {
 				continue
 			}
-			ds = append(ds, g.at.Sub(x.at))
+			latencies = append(latencies, receipt.receivedAt.Sub(state.triedAt))
 		}
 	}
-	slices.Sort(ds)
-	return ds
+	slices.Sort(latencies)
+	return latencies
 }
--- a/internal/testing/history/history.go
+++ b/internal/testing/history/history.go
@@ -1,4 +1,5 @@
-// Package history records what callers and operators saw and checks it against the never-list.
+// Package history records what clients and operators sent and received, and checks it against the
+// rules of docs/never.md.
 package history
 
 import (
@@ -24,7 +25,7 @@
 	Call  uint64
 }
 
-// Receipt is one line that a subscriber got.
+// Receipt is one message that a subscriber received.
 type Receipt struct {
 	Message
 	Body      string
@@ -33,404 +34,416 @@
 	At        time.Time
 }
 
+// sent is what is known of a message that a client tried to send.
 type sent struct {
-	body      string
-	outcome   string
-	partition int
-	offset    uint64
-	at        time.Time
-	done      time.Time
-	urgent    bool
+	body       string
+	outcome    string
+	partition  int
+	offset     uint64
+	sentAt     time.Time
+	acceptedAt time.Time
+	urgent     bool
 }
 
-type sub struct {
-	since  map[string]time.Time
-	live   map[string]bool
-	got    []Receipt
-	excuse bool
+// subscriber is one client's subscriptions and receipts. since maps the followed topics to the time
+// of their confirmation.
+type subscriber struct {
+	since    map[string]time.Time
+	live     map[string]bool
+	receipts []Receipt
+	excused  bool
 }
 
-// Violation is one breach of the never-list.
+// Violation is a case in which a rule was broken.
 type Violation struct {
 	Rule    string
 	Message string
 }
 
-// History is shared by all stand-in callers of a run.
+// History records what all clients and operators of a run sent and received.
 type History struct {
-	mu         sync.Mutex
-	sent       map[Message]*sent
-	refused    map[Message]map[string]bool
-	subs       map[string]*sub
-	seen       map[string]uint64
-	accepted   map[uint64]time.Time
-	bases      map[uint64]acceptedConfiguration
-	violations []Violation
-	spread     []time.Duration
-	urgent     []time.Duration
-	routine    []time.Duration
-
-	// Bound is how long a wait may last after the last thing that went wrong; 0 for no bound.
-	Bound        time.Duration
-	serial       uint64
-	open         map[uint64]pending
-	waits        []Wait
-	faults       []time.Time
-	covered      map[string]int
-	acknowledged map[string][]time.Duration
-	verdicts     []Decision
-	leaders      map[term]string
-	promised     map[string]promise
-	promises     int
-	readBacks    []Reading
-	passed       map[Message]bool
-	tries        map[Message]tries
+	// mu guards all fields but Bound.
+	mu                   sync.Mutex
+	sent                 map[Message]*sent
+	refused              map[Message]map[string]bool
+	subscribers          map[string]*subscriber
+	shownSequence        map[string]uint64
+	configurations       map[uint64]time.Time
+	configurationsByBase map[uint64]acceptedConfiguration
+	violations           []Violation
+	deliveryTimes        []time.Duration
+	urgentTimes          []time.Duration
+	routineTimes         []time.Duration
+
+	// Bound is how long a wait may last after the last fault. 0 means no bound.
+	Bound       time.Duration
+	lastWaitID  uint64
+	openWaits   map[uint64]pending
+	waits       []Wait
+	faults      []time.Time
+	faultCounts map[string]int
+	retried     map[string][]time.Duration
+	decisions   []Decision
+	leaders     map[term]string
+	promised    map[string]promise
+	promises    int
+	readings    []Reading
+	passedOver  map[Message]bool
+	tries       map[Message]tries
 }
 
-// New makes an empty history.
+// New returns an empty history.
 func New() *History {
 	return &History{
-		sent: map[Message]*sent{}, refused: map[Message]map[string]bool{}, subs: map[string]*sub{},
-		seen: map[string]uint64{}, accepted: map[uint64]time.Time{}, bases: map[uint64]acceptedConfiguration{},
-		open: map[uint64]pending{}, covered: map[string]int{}, acknowledged: map[string][]time.Duration{},
-		leaders: map[term]string{}, promised: map[string]promise{},
-		passed: map[Message]bool{}, tries: map[Message]tries{},
+		sent: map[Message]*sent{}, refused: map[Message]map[string]bool{}, subscribers: map[string]*subscriber{},
+		shownSequence: map[string]uint64{}, configurations: map[uint64]time.Time{},
+		configurationsByBase: map[uint64]acceptedConfiguration{}, openWaits: map[uint64]pending{},
+		faultCounts: map[string]int{}, retried: map[string][]time.Duration{}, leaders: map[term]string{},
+		promised: map[string]promise{}, passedOver: map[Message]bool{}, tries: map[Message]tries{},
 	}
 }
 
-// The lines of the never-list, in the order of the brief.
+// The rules of docs/never.md, in their order.
 const (
 	Twice    = "never-1 the same message twice"
-	Order    = "never-2 out of order, or another line"
-	Lost     = "never-3 a taken message lost"
+	Order    = "never-2 out of order, or in different orders"
+	Lost     = "never-3 an accepted message lost"
 	Missed   = "never-4 a returning client missed something"
-	Fenced   = "never-5 a fenced owner decided"
-	Disk     = "never-6 a disk trusted beyond the ledger"
+	Fenced   = "never-5 a fenced leader decided"
+	Disk     = "never-6 a disk trusted beyond its records"
 	Foreign  = "never-7 refused, altered, wrong sender or topic, or not asked for"
-	Spread   = "never-8 a description late or slipping back"
-	Invalid  = "never-9 an invalid or raced description applied"
-	Readback = "never-10 the latest description lost"
+	Spread   = "never-8 a configuration late or going back"
+	Invalid  = "never-9 an invalid or conflicting configuration applied"
+	Readback = "never-10 the latest configuration lost"
 	Recovery = "never-11 service returned late"
 	Behind   = "never-12 urgent behind routine"
 )
 
-// Lines lists all of them.
+// Rules lists all rules.
 var Rules = []string{Twice, Order, Lost, Missed, Fenced, Disk, Foreign, Spread, Invalid, Readback, Recovery, Behind}
 
-func (h *History) violate(l, f string, a ...any) {
-	h.violations = append(h.violations, Violation{l, fmt.Sprintf(f, a...)})
+func (h *History) violate(rule, format string, args ...any) {
+	h.violations = append(h.violations, Violation{rule, fmt.Sprintf(format, args...)})
 }
 
-// Violate notes a breach that a driver saw itself.
-func (h *History) Violate(l, f string, a ...any) {
+// Violate records a violation that a test detected itself.
+func (h *History) Violate(rule, format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.violate(l, f, a...)
+	h.violate(rule, format, args...)
 }
 
-// Send notes that a message is about to be sent; repeats of it are one message.
-func (h *History) Send(m Message, body string, urgent bool, now time.Time) {
+// Send records that a message is about to be sent. Retries are the same message.
+func (h *History) Send(message Message, body string, urgent bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if _, ok := h.sent[m]; !ok {
-		h.sent[m] = &sent{body: body, outcome: Unknown, at: now, urgent: urgent}
+	if _, ok := h.sent[message]; !ok {
+		h.sent[message] = &sent{body: body, outcome: Unknown, sentAt: now, urgent: urgent}
 	}
 }
 
-// AcceptMessage notes that a message was told to be taken, and where.
-func (h *History) AcceptMessage(m Message, p int, o uint64, now time.Time) {
+// AcceptMessage records that a message was acknowledged, with its partition and offset.
+func (h *History) AcceptMessage(message Message, partition int, offset uint64, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s := h.sent[m]
-	if s.outcome == Accepted && (s.partition != p || s.offset != o) {
-		h.violate(Order, "%v was first answered with %d/%d, then with %d/%d", m, s.partition, s.offset, p, o)
+	state := h.sent[message]
+	if state.outcome == Accepted && (state.partition != partition || state.offset != offset) {
+		h.violate(Order, "%v was first answered with %d/%d, then with %d/%d", message, state.partition, state.offset,
+			partition, offset)
 	}
-	if s.outcome != Accepted {
-		d := now.Sub(s.at)
-		if s.urgent {
-			h.urgent = append(h.urgent, d)
+	if state.outcome != Accepted {
+		elapsed := now.Sub(state.sentAt)
+		if state.urgent {
+			h.urgentTimes = append(h.urgentTimes, elapsed)
 		} else {
-			h.routine = append(h.routine, d)
+			h.routineTimes = append(h.routineTimes, elapsed)
 		}
 	}
-	s.outcome, s.partition, s.offset, s.done = Accepted, p, o, now
+	state.outcome, state.partition, state.offset, state.acceptedAt = Accepted, partition, offset, now
 }
 
-// Refuse notes that a message with this body was told to be refused for good.
-func (h *History) Refuse(m Message, body string) {
+// Refuse records that a message with this body was rejected for good.
+func (h *History) Refuse(message Message, body string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.refused[m] == nil {
-		h.refused[m] = map[string]bool{}
+	if h.refused[message] == nil {
+		h.refused[message] = map[string]bool{}
 	}
-	h.refused[m][body] = true
+	h.refused[message][body] = true
 }
 
-// Subscribe notes that a visitor follows topics from now on, those not followed before; live ones
-// need not be complete.
+// Subscribe records that a client follows topics from now on. Topics followed before keep their
+// time. Live topics need not be complete.
 func (h *History) Subscribe(client string, topics []string, live map[string]bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s, ok := h.subs[client]
+	subscription, ok := h.subscribers[client]
 	if !ok {
-		s = &sub{since: map[string]time.Time{}, live: live}
-		h.subs[client] = s
+		subscription = &subscriber{since: map[string]time.Time{}, live: live}
+		h.subscribers[client] = subscription
 	}
-	for _, t := range topics {
-		if _, ok := s.since[t]; !ok {
-			s.since[t] = now
+	for _, topic := range topics {
+		if _, ok := subscription.since[topic]; !ok {
+			subscription.since[topic] = now
 		}
 	}
 }
 
-// Excuse notes that a visitor was away for longer than the keeping time.
+// Excuse records that a client was disconnected for longer than the retention time.
 func (h *History) Excuse(client string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.subs[client].excuse = true
+	h.subscribers[client].excused = true
 }
 
-// Receive notes a line.
-func (h *History) Receive(client string, r Receipt) {
+// Receive records that a client received a message.
+func (h *History) Receive(client string, receipt Receipt) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.subs[client].got = append(h.subs[client].got, r)
-	if s := h.sent[r.Message]; s != nil {
-		h.spread = append(h.spread, r.At.Sub(s.at))
+	h.subscribers[client].receipts = append(h.subscribers[client].receipts, receipt)
+	if state := h.sent[receipt.Message]; state != nil {
+		h.deliveryTimes = append(h.deliveryTimes, receipt.At.Sub(state.sentAt))
 	}
 }
 
 type acceptedConfiguration struct {
-	seq uint64
-	doc string
-	at  time.Time
+	sequence   uint64
+	document   string
+	acceptedAt time.Time
 }
 
-// AcceptConfiguration notes that an operator was told yes for a sequence, built on a base. The very
-// same document may get it again.
-func (h *History) AcceptConfiguration(base, seq uint64, doc string, now time.Time) {
+// AcceptConfiguration records that a configuration built on a base was acknowledged to an operator
+// under a sequence. The same document may be acknowledged again.
+func (h *History) AcceptConfiguration(base, sequence uint64, document string, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	was, ok := h.bases[base]
-	if ok && (was.seq != seq || was.doc != doc) {
-		h.violate(Invalid, "two descriptions on base %d were accepted: %d at %s and %d at %s", base, was.seq, was.at,
-			seq, now)
+	previous, ok := h.configurationsByBase[base]
+	if ok && (previous.sequence != sequence || previous.document != document) {
+		h.violate(Invalid, "two configurations on base %d were accepted: %d at %s and %d at %s", base,
+			previous.sequence, previous.acceptedAt, sequence, now)
 	}
-	if _, twice := h.accepted[seq]; twice && !ok {
-		h.violate(Invalid, "description %d was accepted on two bases, the second is %d, at %s", seq, base, now)
+	if _, known := h.configurations[sequence]; known && !ok {
+		h.violate(Invalid, "configuration %d was accepted on two bases, the second is %d, at %s", sequence, base, now)
 	}
 	if !ok {
-		h.bases[base], h.accepted[seq] = acceptedConfiguration{seq, doc, now}, now
+		h.configurationsByBase[base], h.configurations[sequence] = acceptedConfiguration{sequence, document, now}, now
 	}
 }
 
-// Accepted gives the sequences that were accepted.
+// Accepted returns the sequences of the accepted configurations.
 func (h *History) Accepted() []uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.Sorted(maps.Keys(h.accepted))
+	return slices.Sorted(maps.Keys(h.configurations))
 }
 
-// Show notes which description a serving node showed at some moment after asked, in one run of the
-// node.
-func (h *History) ObserveConfiguration(node string, seq uint64, asked time.Time, bound time.Duration) {
+// ObserveConfiguration checks which configuration a serving node reported at some moment after
+// asked. node names one run of the node. Within a run the configuration must not go back, and one
+// that was accepted must be reported within bound.
+func (h *History) ObserveConfiguration(node string, sequence uint64, asked time.Time, bound time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if seq < h.seen[node] {
-		h.violate(Spread, "%s showed description %d after %d", node, seq, h.seen[node])
+	if sequence < h.shownSequence[node] {
+		h.violate(Spread, "%s showed configuration %d after %d", node, sequence, h.shownSequence[node])
 	}
-	h.seen[node] = max(seq, h.seen[node])
-	for n, t := range h.accepted {
-		if seq < n && asked.Sub(t) > bound {
-			h.violate(Spread, "%s served description %d, %s after %d was accepted", node, seq, asked.Sub(t), n)
+	h.shownSequence[node] = max(sequence, h.shownSequence[node])
+	for newer, acceptedAt := range h.configurations {
+		if sequence < newer && asked.Sub(acceptedAt) > bound {
+			h.violate(Spread, "%s served configuration %d, %s after %d was accepted", node, sequence,
+				asked.Sub(acceptedAt), newer)
 		}
 	}
 }
 
-// Effect notes that a node did, on a call begun at asked, what a description accepted since
-// forbids; seq is the newest one that allows it.
-func (h *History) ObserveEffect(node string, seq uint64, asked time.Time, bound time.Duration, what string) {
+// ObserveEffect checks an action of a node, on a call begun at asked, that newer configurations
+// forbid. sequence is the newest configuration that allows it.
+func (h *History) ObserveEffect(node string, sequence uint64, asked time.Time, bound time.Duration, what string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for n, t := range h.accepted {
-		if seq < n && asked.Sub(t) > bound {
-			h.violate(Spread, "%s %s %s after description %d was accepted", node, what, asked.Sub(t), n)
+	for newer, acceptedAt := range h.configurations {
+		if sequence < newer && asked.Sub(acceptedAt) > bound {
+			h.violate(Spread, "%s %s %s after configuration %d was accepted", node, what, asked.Sub(acceptedAt), newer)
 			return
 		}
 	}
 }
 
-// Apply notes the contents that a node shows for a sequence, and those that were accepted.
-func (h *History) ObserveContents(node string, seq uint64, shows, accepted string) {
-	if shows != accepted {
-		h.Violate(Invalid, "%s shows for description %d %q, accepted was %q", node, seq, shows, accepted)
+// ObserveContents checks the contents that a node shows for a sequence against those accepted.
+func (h *History) ObserveContents(node string, sequence uint64, shown, accepted string) {
+	if shown != accepted {
+		h.Violate(Invalid, "%s shows for configuration %d %q, accepted was %q", node, sequence, shown, accepted)
 	}
 }
 
-// Overtaken notes how long an urgent call took beside routine work that was held still, and how
-// long it may take.
-func (h *History) UrgentCall(place, beside string, took, limit time.Duration) {
+// UrgentCall checks how long an urgent call on a topic took beside blocked routine work against the
+// limit.
+func (h *History) UrgentCall(topic, beside string, took, limit time.Duration) {
 	if took > limit {
-		h.Violate(Behind, "an urgent call on %s took %s beside %s, %s are allowed", place, took, beside, limit)
+		h.Violate(Behind, "an urgent call on %s took %s beside %s, the limit is %s", topic, took, beside, limit)
 	}
 }
 
-// ReadBack judges a description that was read back: asked when the read began, and seq is what it
-// gave.
-func (h *History) ReadConfiguration(seq uint64, asked time.Time) {
+// ReadConfiguration checks a configuration that an operator read back: the read began at asked and
+// returned sequence.
+func (h *History) ReadConfiguration(sequence uint64, asked time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for n, t := range h.accepted {
-		if seq < n && t.Before(asked) {
-			h.violate(Readback, "description %d was read back after %d was accepted", seq, n)
+	for newer, acceptedAt := range h.configurations {
+		if sequence < newer && acceptedAt.Before(asked) {
+			h.violate(Readback, "configuration %d was read back after %d was accepted", sequence, newer)
 		}
 	}
 }
 
-// Report is the result of a run. Longest is of the waits that began before the cut,
-// LongestUndisturbed of all.
+// Report is the result of a run. Longest is the longest of the waits that began before the cut.
+// LongestUndisturbed is the wait with the longest part without a fault, of all waits.
 type Report struct {
 	Sent, Accepted, Unknown, Refused int
 	Receipts, Subscribers            int
-	Configurations                     int
+	Configurations                   int
 	Violations                       []Violation
 	Spread, Urgent, Routine          Spans
-	Waits, Retried              map[string]Spans
+	Waits, Retried                   map[string]Spans
 	Longest                          Wait
 	LongestUndisturbed               Wait
 	Decisions                        map[string]int
 	Promises                         int
-	Faults                          map[string]int
-	// Judged tells which lines had something to be judged by in this run.
+	Faults                           map[string]int
+	// Judged reports which rules this run could have broken.
 	Judged map[string]bool
 }
 
-// Spans are the quantiles of a set of durations.
+// Spans holds the quantiles of a set of durations.
 type Spans struct {
 	Count              int
 	P50, P95, P99, Max time.Duration
 }
 
-func spans(d []time.Duration) Spans {
-	if len(d) == 0 {
+func quantiles(durations []time.Duration) Spans {
+	if len(durations) == 0 {
 		return Spans{}
 	}
-	sort.Slice(d, func(i, k int) bool { return d[i] < d[k] })
-	at := func(q float64) time.Duration { return d[int(q*float64(len(d)-1))] }
-	return Spans{len(d), at(0.5), at(0.95), at(0.99), d[len(d)-1]}
+	sort.Slice(durations, func(i, k int) bool { return durations[i] < durations[k] })
+	quantile := func(fraction float64) time.Duration { return durations[int(fraction*float64(len(durations)-1))] }
+	return Spans{len(durations), quantile(0.5), quantile(0.95), quantile(0.99), durations[len(durations)-1]}
 }
 
-// Check judges the whole history as of now; cut is the time up to which taken messages must have
-// arrived.
+// Check checks the whole history as of now. Messages accepted before the cut must have arrived.
 func (h *History) Check(cut, now time.Time) Report {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	r := Report{Sent: len(h.sent), Subscribers: len(h.subs), Configurations: len(h.accepted)}
-	places := newPlaces(h)
-	for m, s := range h.sent {
-		switch s.outcome {
+	report := Report{Sent: len(h.sent), Subscribers: len(h.subscribers), Configurations: len(h.configurations)}
+	positions := newPositionIndex(h)
+	for message, state := range h.sent {
+		switch state.outcome {
 		case Accepted:
-			r.Accepted++
-			places.note(m, s.partition, s.offset, "told to the sender")
+			report.Accepted++
+			positions.record(message, state.partition, state.offset, "acknowledged to the sender")
 		case Unknown:
-			r.Unknown++
+			report.Unknown++
 		}
 	}
-	for _, x := range h.refused {
-		r.Refused += len(x)
+	for _, bodies := range h.refused {
+		report.Refused += len(bodies)
 	}
-	places.seen()
-	h.judgePlaces(places)
-	for v, s := range h.subs {
-		h.checkSub(v, s, places)
-		r.Receipts += len(s.got)
+	positions.recordReceipts()
+	h.judgePositions(positions)
+	for client, subscriber := range h.subscribers {
+		h.judgeSubscriber(client, subscriber, positions)
+		report.Receipts += len(subscriber.receipts)
 	}
-	h.complete(cut)
-	h.judgeRereads(cut)
-	h.judgeVerdicts(&r)
+	h.judgeCompleteness(cut)
+	h.judgeReadings(cut)
+	h.judgeDecisions(&report)
 	h.judgeDelivery()
-	h.judgeWaits(cut, now, &r)
-	r.Promises, r.Faults = h.promises, h.covered
-	h.judged(&r)
-	r.Spread, r.Urgent, r.Routine = spans(h.spread), spans(h.urgent), spans(h.routine)
-	r.Violations = h.violations
-	return r
+	h.judgeWaits(cut, now, &report)
+	report.Promises, report.Faults = h.promises, h.faultCounts
+	h.noteJudged(&report)
+	report.Spread, report.Urgent, report.Routine = quantiles(h.deliveryTimes), quantiles(h.urgentTimes),
+		quantiles(h.routineTimes)
+	report.Violations = h.violations
+	return report
 }
 
-func (h *History) checkSub(v string, s *sub, places *places) {
+func (h *History) judgeSubscriber(client string, subscription *subscriber, positions *positionIndex) {
 	seen := map[Message]bool{}
 	last := map[string]uint64{}
 	offset := map[string]uint64{}
-	for _, g := range s.got {
-		if _, ok := s.since[g.Topic]; !ok {
-			h.violate(Foreign, "%s got %v, a topic it did not ask for", v, g.Message)
+	for _, receipt := range subscription.receipts {
+		if _, ok := subscription.since[receipt.Topic]; !ok {
+			h.violate(Foreign, "%s got %v, a topic that it did not subscribe to", client, receipt.Message)
 		}
-		if seen[g.Message] {
-			h.violate(Twice, "%s got %v twice", v, g.Message)
+		if seen[receipt.Message] {
+			h.violate(Twice, "%s got %v twice", client, receipt.Message)
 		}
-		k := g.Topic + "\x1f" + g.From
-		if g.Call <= last[k] && !seen[g.Message] {
-			h.violate(Order, "%s got %v after call %d", v, g.Message, last[k])
+		key := receipt.Topic + "\x1f" + receipt.From
+		if receipt.Call <= last[key] && !seen[receipt.Message] {
+			h.violate(Order, "%s got %v after call %d", client, receipt.Message, last[key])
 		}
-		seen[g.Message] = true
-		if last[k] != 0 && !s.live[g.Topic] && !s.excuse {
-			for _, c := range places.between(g.Topic, g.From, last[k], g.Call) {
-				h.violate(Missed, "%s got %v after call %d, without call %d, which the ledger holds", v, g.Message, last[k], c)
+		seen[receipt.Message] = true
+		if last[key] != 0 && !subscription.live[receipt.Topic] && !subscription.excused {
+			for _, call := range positions.callsBetween(receipt.Topic, receipt.From, last[key], receipt.Call) {
+				h.violate(Missed, "%s got %v after call %d, without call %d, which is in the partition log", client,
+					receipt.Message, last[key], call)
 			}
 		}
-		last[k] = max(last[k], g.Call)
-		if g.Offset <= offset[g.Topic] {
-			h.violate(Order, "%s got %v at offset %d after %d", v, g.Message, g.Offset, offset[g.Topic])
+		last[key] = max(last[key], receipt.Call)
+		if receipt.Offset <= offset[receipt.Topic] {
+			h.violate(Order, "%s got %v at offset %d after %d", client, receipt.Message, receipt.Offset,
+				offset[receipt.Topic])
 		}
-		offset[g.Topic] = g.Offset
-		w, ok := h.sent[g.Message]
+		offset[receipt.Topic] = receipt.Offset
+		state, ok := h.sent[receipt.Message]
 		if !ok {
-			h.violate(Foreign, "%s got %v, which nobody sent", v, g.Message)
+			h.violate(Foreign, "%s got %v, which no client sent", client, receipt.Message)
 			continue
 		}
-		if w.body != g.Body {
-			h.violate(Foreign, "%s got %v with another body", v, g.Message)
+		if state.body != receipt.Body {
+			h.violate(Foreign, "%s got %v with another body", client, receipt.Message)
 		}
-		if h.refused[g.Message][g.Body] && w.outcome != Accepted {
-			h.violate(Foreign, "%s got %v, which was refused", v, g.Message)
+		if h.refused[receipt.Message][receipt.Body] && state.outcome != Accepted {
+			h.violate(Foreign, "%s got %v, which was refused", client, receipt.Message)
 		}
 	}
 }
 
-func (h *History) complete(cut time.Time) {
-	for v, s := range h.subs {
-		if s.excuse {
+func (h *History) judgeCompleteness(cut time.Time) {
+	for client, subscription := range h.subscribers {
+		if subscription.excused {
 			continue
 		}
-		have := map[Message]bool{}
-		for _, g := range s.got {
-			have[g.Message] = true
+		received := map[Message]bool{}
+		for _, receipt := range subscription.receipts {
+			received[receipt.Message] = true
 		}
-		for m, x := range h.sent {
-			since, ok := s.since[m.Topic]
-			if !ok || s.live[m.Topic] || x.outcome != Accepted || !x.at.After(since) || x.done.After(cut) {
+		for message, state := range h.sent {
+			since, ok := subscription.since[message.Topic]
+			if !ok || subscription.live[message.Topic] || state.outcome != Accepted || !state.sentAt.After(since) ||
+				state.acceptedAt.After(cut) {
 				continue
 			}
-			if !have[m] {
-				h.violate(Lost, "%s never got %v, told taken at %d/%d on %s", v, m, x.partition, x.offset,
-					x.done.Format("15:04:05.000"))
+			if !received[message] {
+				h.violate(Lost, "%s never got %v, acknowledged at %d/%d on %s", client, message, state.partition,
+					state.offset, state.acceptedAt.Format("15:04:05.000"))
 			}
 		}
 	}
 }
 
 func (h *History) judgeDelivery() {
-	for v, s := range h.subs {
-		for _, g := range s.got {
-			x := h.sent[g.Message]
-			if x == nil || x.outcome != Accepted || s.live[g.Topic] || !x.at.After(s.since[g.Topic]) || s.excuse {
+	for client, subscription := range h.subscribers {
+		for _, receipt := range subscription.receipts {
+			state := h.sent[receipt.Message]
+			if state == nil || state.outcome != Accepted || subscription.live[receipt.Topic] ||
+				!state.sentAt.After(subscription.since[receipt.Topic]) || subscription.excused {
 				continue
 			}
-			from := x.done
-			if g.At.Before(from) {
-				from = g.At
+			from := state.acceptedAt
+			if receipt.At.Before(from) {
+				from = receipt.At
 			}
-			h.waited(pending{WaitDeliver, fmt.Sprintf("partition %d to %s", g.Partition, v), from}, g.At, false)
+			h.addWait(pending{WaitDeliver, fmt.Sprintf("partition %d to %s", receipt.Partition, client), from},
+				receipt.At, false)
 		}
 	}
 }
--- a/internal/testing/history/judged.go
+++ b/internal/testing/history/judged.go
@@ -1,29 +1,32 @@
 package history
 
-// judged says which lines this run could have broken: a line about owners wants a second epoch, one
-// about disks a second promise of one disk, one about returning a stream that was opened again, and
-// so on. Waits of urgent calls are judged beside those of all others.
-func (h *History) judged(r *Report) {
-	epochs, ranks, urgent := map[int]uint64{}, false, 0
-	for t := range h.leaders {
-		epochs[t.partition] = max(epochs[t.partition], t.epoch)
+// noteJudged fills in which rules this run could have broken. A rule about partition leaders needs
+// a second epoch. One about disks needs a second promise of one disk. One about returning clients
+// needs a stream that was opened again. Urgent calls are checked by the same waits as all other
+// calls.
+func (h *History) noteJudged(report *Report) {
+	epochs, repeatedPromise, urgent := map[int]uint64{}, false, 0
+	for term := range h.leaders {
+		epochs[term.partition] = max(epochs[term.partition], term.epoch)
 	}
-	again := false
-	for _, e := range epochs {
-		again = again || e > 1
+	secondEpoch := false
+	for _, epoch := range epochs {
+		secondEpoch = secondEpoch || epoch > 1
 	}
-	for _, v := range h.promised {
-		ranks = ranks || v.more
+	for _, promised := range h.promised {
+		repeatedPromise = repeatedPromise || promised.repeated
 	}
-	for _, s := range h.sent {
-		if s.urgent && s.outcome == Accepted {
+	for _, state := range h.sent {
+		if state.urgent && state.outcome == Accepted {
 			urgent++
 		}
 	}
-	got := r.Receipts > 0
-	r.Judged = map[string]bool{
-		Twice: got, Order: got, Foreign: got, Lost: got && len(h.faults) > 0, Missed: r.Waits[WaitOpen].Count > r.Subscribers,
-		Fenced: again && r.Decisions["vouched"] > 0, Disk: ranks, Spread: len(h.accepted) > 1, Invalid: len(h.accepted) > 1,
-		Readback: len(h.readBacks) > 0, Recovery: len(h.faults) > 0, Behind: urgent > 0 && len(h.faults) > 0,
+	received := report.Receipts > 0
+	report.Judged = map[string]bool{
+		Twice: received, Order: received, Foreign: received, Lost: received && len(h.faults) > 0,
+		Missed: report.Waits[WaitOpen].Count > report.Subscribers,
+		Fenced: secondEpoch && report.Decisions["vouched"] > 0, Disk: repeatedPromise,
+		Spread: len(h.configurations) > 1, Invalid: len(h.configurations) > 1,
+		Readback: len(h.readings) > 0, Recovery: len(h.faults) > 0, Behind: urgent > 0 && len(h.faults) > 0,
 	}
 }
--- a/internal/testing/history/plant_test.go
+++ b/internal/testing/history/plant_test.go
@@ -11,19 +11,20 @@
 
 var t0 = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func sec(n float64) time.Time { return t0.Add(time.Duration(n * float64(time.Second))) }
+func sec(seconds float64) time.Time { return t0.Add(time.Duration(seconds * float64(time.Second))) }
 
-func msg(n uint64) Message { return Message{"kept/a", "v", n} }
+func msg(number uint64) Message { return Message{"kept/a", "v", number} }
 
-func body(n uint64) string { return fmt.Sprintf("\"%d\"", n) }
+func body(number uint64) string { return fmt.Sprintf("\"%d\"", number) }
 
-func got(n uint64) Receipt {
-	return Receipt{Message: msg(n), Body: body(n), Partition: 1, Offset: 10 + n, At: sec(float64(n) + 0.1)}
+func got(number uint64) Receipt {
+	return Receipt{Message: msg(number), Body: body(number), Partition: 1, Offset: 10 + number,
+		At: sec(float64(number) + 0.1)}
 }
 
-// day is a sound history: three messages taken and received, two owners, a description, a reading
-// back.
-func day() *History {
+// soundHistory has no violation: three messages are accepted and received under two leaders, two
+// configurations are accepted, and the messages are read back.
+func soundHistory() *History {
 	h := New()
 	h.Bound = 12 * time.Second
 	h.Lead(1, 1, "s1")
@@ -35,11 +36,11 @@
 	h.Promise("disk", "partition 1", Rank{Number: 1}, sec(0), sec(0))
 	h.Promise("disk", "partition 1", Rank{Number: 2}, sec(2), sec(2))
 	h.Subscribe("w", []string{"kept/a"}, nil, sec(0.5))
-	for n := uint64(1); n <= 3; n++ {
-		h.Send(msg(n), body(n), false, sec(float64(n)))
-		h.AcceptMessage(msg(n), 1, 10+n, sec(float64(n)+0.05))
-		h.Begin(WaitAccept, "kept/a", sec(float64(n)))(sec(float64(n) + 0.05))
-		h.Receive("w", got(n))
+	for number := uint64(1); number <= 3; number++ {
+		h.Send(msg(number), body(number), false, sec(float64(number)))
+		h.AcceptMessage(msg(number), 1, 10+number, sec(float64(number)+0.05))
+		h.Begin(WaitAccept, "kept/a", sec(float64(number)))(sec(float64(number) + 0.05))
+		h.Receive("w", got(number))
 	}
 	h.AcceptConfiguration(0, 1, "one", sec(0))
 	h.AcceptConfiguration(1, 2, "two", sec(2))
@@ -52,107 +53,118 @@
 	return h
 }
 
-func lines(h *History) string {
-	var s []string
-	for _, v := range h.Check(sec(10), sec(11)).Violations {
-		s = append(s, v.Rule+": "+v.Message)
+func violations(h *History) string {
+	var found []string
+	for _, violation := range h.Check(sec(10), sec(11)).Violations {
+		found = append(found, violation.Rule+": "+violation.Message)
 	}
-	return strings.Join(s, "\n")
+	return strings.Join(found, "\n")
 }
 
-func TestSoundDayHasNoViolation(t *testing.T) { assert.Equal(t, lines(day()), "") }
+func TestSoundHistoryHasNoViolation(t *testing.T) { assert.Equal(t, violations(soundHistory()), "") }
 
-// Each line of the never-list is planted in a sound day, and the checker must name that line.
+// A violation of each rule is injected into a sound history, and the checker must name that rule.
 func TestCheckerFindsEveryPlantedViolation(t *testing.T) {
-	reread := func(g ...Receipt) func(h *History) {
+	readMessages := func(receipts ...Receipt) func(h *History) {
 		return func(h *History) {
-			h.ReadMessages(Reading{Through: "c1", Topics: map[string]bool{"kept/a": true}, Since: sec(0.5), Got: g})
+			h.ReadMessages(Reading{Through: "c1", Topics: map[string]bool{"kept/a": true}, Since: sec(0.5),
+				Got: receipts})
 		}
 	}
 	moved := got(3)
 	moved.Offset = 20
-	other := func(h *History, g ...Receipt) {
+	receiveOther := func(h *History, receipts ...Receipt) {
 		h.Subscribe("x", []string{"kept/a"}, nil, sec(0.5))
-		for _, r := range g {
+		for _, r := range receipts {
 			h.Receive("x", r)
 		}
 	}
 	elsewhere := got(2)
 	elsewhere.Offset = 30
-	planted := map[string]struct {
-		line  string
-		plant func(h *History)
+	injected := map[string]struct {
+		rule   string
+		inject func(h *History)
 	}{
 		"a subscriber gets a message twice":       {Twice, func(h *History) { h.Receive("w", got(2)) }},
-		"a fresh subscriber gets a message twice": {Twice, reread(got(1), got(2), got(2), got(3))},
+		"a fresh subscriber gets a message twice": {Twice, readMessages(got(1), got(2), got(2), got(3))},
 		"a message comes after a later one": {Order, func(h *History) {
-			h.subs["w"].got[0], h.subs["w"].got[1] = got(2), got(1)
+			h.subscribers["w"].receipts[0], h.subscribers["w"].receipts[1] = got(2), got(1)
 		}},
-		"a message is answered with two places":   {Order, func(h *History) { h.AcceptMessage(msg(1), 1, 99, sec(5)) }},
-		"a message is read back at another place": {Order, reread(got(1), got(2), moved)},
-		"a taken message never arrives":           {Lost, func(h *History) { h.subs["w"].got = h.subs["w"].got[:2] }},
-		"a taken message can't be read back":      {Lost, reread(got(1), got(2))},
+		"a message is answered with two positions": {Order, func(h *History) {
+			h.AcceptMessage(msg(1), 1, 99, sec(5))
+		}},
+		"a message is read back at another position": {Order, readMessages(got(1), got(2), moved)},
+		"an accepted message never arrives": {Lost, func(h *History) {
+			h.subscribers["w"].receipts = h.subscribers["w"].receipts[:2]
+		}},
+		"an accepted message can't be read back": {Lost, readMessages(got(1), got(2))},
 		"a returning subscriber misses a message": {Missed, func(h *History) {
-			h.subs["w"].got = append(h.subs["w"].got[:1], h.subs["w"].got[2])
+			h.subscribers["w"].receipts = append(h.subscribers["w"].receipts[:1], h.subscribers["w"].receipts[2])
 		}},
-		"an old owner says yes after a new one opened": {Fenced, func(h *History) {
+		"an old leader accepts after a new one opened": {Fenced, func(h *History) {
 			h.Decide(Decision{"s1", 1, 1, "taken", sec(2.5), sec(2.6)})
 		}},
-		"an old owner says a final no after that": {Fenced, func(h *History) {
+		"an old leader rejects for good after that": {Fenced, func(h *History) {
 			h.Decide(Decision{"s1", 1, 1, "no: call_passed", sec(2.5), sec(2.6)})
 		}},
-		"an old owner vouches after that": {Fenced, func(h *History) {
+		"an old leader confirms its lease after that": {Fenced, func(h *History) {
 			h.Decide(Decision{"s1", 1, 1, "vouched", sec(2.5), sec(2.6)})
 		}},
-		"a message stands at two places": {Twice, func(h *History) { other(h, elsewhere) }},
-		"calls stand in the ledger out of their order": {Order, func(h *History) {
+		"a message is at two positions": {Twice, func(h *History) { receiveOther(h, elsewhere) }},
+		"calls are in the partition log out of order": {Order, func(h *History) {
 			h.Send(msg(4), body(4), false, sec(4))
 			h.AcceptMessage(msg(4), 1, 10, sec(4.1))
 		}},
-		"a subscriber misses what only another got": {Missed, func(h *History) {
+		"a subscriber misses what only another one got": {Missed, func(h *History) {
 			h.Send(msg(4), body(4), false, sec(4))
 			h.Send(msg(6), body(6), false, sec(6))
-			other(h, got(1), got(2), got(3), got(4), got(6))
+			receiveOther(h, got(1), got(2), got(3), got(4), got(6))
 			h.Receive("w", got(6))
 		}},
 		"a call that was passed over arrives": {Foreign, func(h *History) { h.Pass(msg(2)) }},
-		"a call that was passed over is taken": {Foreign, func(h *History) {
+		"a call that was passed over is accepted": {Foreign, func(h *History) {
 			h.Pass(msg(4))
 			h.Send(msg(4), body(4), false, sec(4))
 			h.AcceptMessage(msg(4), 1, 14, sec(4.1))
 		}},
-		"a message arrives, its every try turned away": {Foreign, func(h *History) {
+		"a message arrives, though all its tries were rejected": {Foreign, func(h *History) {
 			h.Try(msg(2))
 			h.Try(msg(2))
 			h.Reject(msg(2))
 			h.Reject(msg(2))
 		}},
-		"a message with gaps is given out behind itself": {Order, func(h *History) {
+		"a message after a gap is delivered before an earlier one": {Order, func(h *History) {
 			h.Send(msg(9), body(9), false, sec(4))
-			other(h, got(9), got(3))
+			receiveOther(h, got(9), got(3))
 		}},
 		"a node decides under another's epoch": {Fenced, func(h *History) {
 			h.Decide(Decision{"s3", 1, 2, "taken", sec(3), sec(3.1)})
 		}},
-		"an epoch has two owners": {Fenced, func(h *History) { h.Lead(1, 2, "s3") }},
-		"one place holds two messages": {Fenced, func(h *History) {
+		"an epoch has two leaders": {Fenced, func(h *History) { h.Lead(1, 2, "s3") }},
+		"one position holds two messages": {Fenced, func(h *History) {
 			h.Send(msg(4), body(4), false, sec(4))
 			h.AcceptMessage(msg(4), 1, 13, sec(4.1))
 		}},
-		"a disk says yes below what it said yes to": {Disk, func(h *History) {
+		"a disk grants a lower rank than it granted before": {Disk, func(h *History) {
 			h.Promise("disk", "partition 1", Rank{Number: 1}, sec(3), sec(3.1))
 		}},
-		"a message arrives with another body":        {Foreign, func(h *History) { h.subs["w"].got[1].Body = `"x"` }},
-		"a message arrives that nobody sent":         {Foreign, func(h *History) { h.subs["w"].got[2].From = "x" }},
-		"a message arrives on a topic not asked for": {Foreign, func(h *History) { h.subs["w"].got[2].Topic = "kept/b" }},
+		"a message arrives with another body": {Foreign, func(h *History) {
+			h.subscribers["w"].receipts[1].Body = `"x"`
+		}},
+		"a message arrives that no client sent": {Foreign, func(h *History) {
+			h.subscribers["w"].receipts[2].From = "x"
+		}},
+		"a message arrives on a topic not subscribed to": {Foreign, func(h *History) {
+			h.subscribers["w"].receipts[2].Topic = "kept/b"
+		}},
 		"a refused message arrives": {Foreign, func(h *History) {
 			h.sent[msg(3)].outcome = Refused
 			h.Refuse(msg(3), body(3))
 		}},
-		"a node shows an old description too long": {Spread, func(h *History) {
+		"a node shows an old configuration too long": {Spread, func(h *History) {
 			h.ObserveConfiguration("a2#1", 1, sec(5.1), 3*time.Second)
 		}},
-		"a node's description slips back": {Spread, func(h *History) {
+		"a node's configuration goes back": {Spread, func(h *History) {
 			h.ObserveConfiguration("a1#1", 1, sec(4.5), 3*time.Second)
 		}},
 		"a removed topic is served too long": {Spread, func(h *History) {
@@ -167,10 +179,10 @@
 		"one number is accepted on two bases": {Invalid, func(h *History) {
 			h.AcceptConfiguration(3, 2, "two", sec(7))
 		}},
-		"an invalid description is applied": {Invalid, func(h *History) {
+		"an invalid configuration is applied": {Invalid, func(h *History) {
 			h.ObserveContents("a1", 2, "spaces of the loser", "spaces of the winner")
 		}},
-		"an older description is read back": {Readback, func(h *History) { h.ReadConfiguration(1, sec(7)) }},
+		"an older configuration is read back": {Readback, func(h *History) { h.ReadConfiguration(1, sec(7)) }},
 		"a wait outlasts the bound": {Recovery, func(h *History) {
 			h.Begin(WaitAccept, "kept/a", sec(-3))(sec(9.5))
 		}},
@@ -184,19 +196,19 @@
 		}},
 	}
 	hit := map[string]bool{}
-	for n, p := range planted {
-		t.Run(n, func(t *testing.T) {
-			h := day()
-			p.plant(h)
-			s := lines(h)
-			assert.Assert(t, strings.Contains(s, p.line), "planted %q, found %q", n, s)
+	for name, injection := range injected {
+		t.Run(name, func(t *testing.T) {
+			h := soundHistory()
+			injection.inject(h)
+			found := violations(h)
+			assert.Assert(t, strings.Contains(found, injection.rule), "injected %q, found %q", name, found)
 		})
-		hit[p.line] = true
+		hit[injection.rule] = true
 	}
-	for _, l := range Rules {
-		assert.Assert(t, hit[l], "nothing is planted for %s", l)
+	for _, rule := range Rules {
+		assert.Assert(t, hit[rule], "no violation of %s is injected", rule)
 	}
-	h := day()
+	h := soundHistory()
 	h.Try(msg(2))
 	h.Reject(msg(2))
 	h.Try(msg(2))
@@ -205,11 +217,12 @@
 	h.Send(msg(9), body(9), false, sec(5))
 	h.AcceptMessage(msg(9), 1, 19, sec(5.1))
 	h.Receive("w", got(9))
-	h.ReadMessages(Reading{Through: "a2", Topics: map[string]bool{"kept/a": true}, Since: sec(5), Got: []Receipt{got(9)}})
-	h.readBacks = h.readBacks[1:]
-	assert.Equal(t, lines(h), "", "gaps are sound, so is a try turned away before one that was not")
-	h = day()
+	h.ReadMessages(Reading{Through: "a2", Topics: map[string]bool{"kept/a": true}, Since: sec(5),
+		Got: []Receipt{got(9)}})
+	h.readings = h.readings[1:]
+	assert.Equal(t, violations(h), "", "gaps are allowed, and so is a rejected try before an accepted one")
+	h = soundHistory()
 	h.AddFault("kill", sec(1))
 	h.Begin(WaitOpen, "w", sec(-8))(sec(8))
-	assert.Equal(t, lines(h), "", "a wait with a fault in its middle is judged from the fault on")
+	assert.Equal(t, violations(h), "", "a wait with a fault in its middle is measured from the fault on")
 }
--- a/internal/testing/history/trace.go
+++ b/internal/testing/history/trace.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Decision is one decision that a node answered for a partition: what it was, under which epoch,
-// and when it was begun and told.
+// Decision is one decision of a node for a partition: what it was, under which epoch, and when it
+// was begun and answered.
 type Decision struct {
-	Node         string
-	Partition    int
-	Epoch        uint64
-	What         string
-	Begun        time.Time
-	Answered time.Time
+	Node      string
+	Partition int
+	Epoch     uint64
+	What      string
+	Begun     time.Time
+	Answered  time.Time
 }
 
-// DecisionOpen is the verdict by which an owner opens its partition under a new epoch.
+// DecisionOpen is the decision by which a leader opens its partition under a new epoch.
 const DecisionOpen = "open"
 
 type term struct {
@@ -24,90 +24,91 @@
 	epoch     uint64
 }
 
-// Decide notes a verdict.
-func (h *History) Decide(v Decision) {
+// Decide records a decision.
+func (h *History) Decide(decision Decision) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.verdicts = append(h.verdicts, v)
+	h.decisions = append(h.decisions, decision)
 }
 
-// Lead notes who an ownership record names for an epoch.
+// Lead records which leader the assignment record names for an epoch.
 func (h *History) Lead(partition int, epoch uint64, owner string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	t := term{partition, epoch}
-	if o, ok := h.leaders[t]; ok && o != owner {
-		h.violate(Fenced, "partition %d has two owners under epoch %d: %s and %s", partition, epoch, o, owner)
+	key := term{partition, epoch}
+	if previous, ok := h.leaders[key]; ok && previous != owner {
+		h.violate(Fenced, "partition %d has two leaders under epoch %d: %s and %s", partition, epoch, previous, owner)
 	}
-	h.leaders[t] = owner
+	h.leaders[key] = owner
 }
 
-// Terms gives how many epochs of all partitions were seen.
+// Terms returns how many epochs were recorded, over all partitions.
 func (h *History) Terms() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.leaders)
 }
 
-func (h *History) judgeVerdicts(r *Report) {
+func (h *History) judgeDecisions(report *Report) {
 	opened := map[int][]Decision{}
-	for _, v := range h.verdicts {
-		if v.What == DecisionOpen {
-			opened[v.Partition] = append(opened[v.Partition], v)
+	for _, decision := range h.decisions {
+		if decision.What == DecisionOpen {
+			opened[decision.Partition] = append(opened[decision.Partition], decision)
 		}
 	}
-	r.Decisions = map[string]int{}
-	for _, v := range h.verdicts {
-		r.Decisions[v.What]++
-		if o, ok := h.leaders[term{v.Partition, v.Epoch}]; ok && o != v.Node {
-			h.violate(Fenced, "%s said %q for partition %d under epoch %d, which is %s's", v.Node, v.What, v.Partition,
-				v.Epoch, o)
+	report.Decisions = map[string]int{}
+	for _, decision := range h.decisions {
+		report.Decisions[decision.What]++
+		if other, ok := h.leaders[term{decision.Partition, decision.Epoch}]; ok && other != decision.Node {
+			h.violate(Fenced, "%s decided %q for partition %d under epoch %d, whose leader is %s", decision.Node,
+				decision.What, decision.Partition, decision.Epoch, other)
 		}
-		for _, o := range opened[v.Partition] {
-			if o.Epoch > v.Epoch && v.Begun.After(o.Answered) {
+		for _, opening := range opened[decision.Partition] {
+			if opening.Epoch > decision.Epoch && decision.Begun.After(opening.Answered) {
 				h.violate(Fenced,
-					"%s said %q for partition %d under epoch %d, asked at %s, after %s had opened it under epoch %d at %s",
-					v.Node, v.What, v.Partition, v.Epoch, v.Begun.Format("04:05.000000"), o.Node, o.Epoch,
-					o.Answered.Format("04:05.000000"))
+					"%s decided %q for partition %d under epoch %d, begun %s, after %s opened it under epoch %d at %s",
+					decision.Node, decision.What, decision.Partition, decision.Epoch,
+					decision.Begun.Format("04:05.000000"), opening.Node, opening.Epoch,
+					opening.Answered.Format("04:05.000000"))
 			}
 		}
 	}
 }
 
-// Rank orders promises: by number, then by node.
+// Rank orders promises by number, then by node.
 type Rank struct {
 	Number uint64
 	Node   string
 }
 
-func (r Rank) less(o Rank) bool {
-	return r.Number < o.Number || r.Number == o.Number && r.Node < o.Node
+func (r Rank) less(other Rank) bool {
+	return r.Number < other.Number || r.Number == other.Number && r.Node < other.Node
 }
 
 type promise struct {
-	rank Rank
-	at   time.Time
-	more bool
+	rank     Rank
+	at       time.Time
+	repeated bool
 }
 
-// Promise notes that a disk, under its random name, answered yes to something under a rank; what
-// names the register or partition. A yes to a lower rank, asked after a yes to a higher one was
-// told, shows a disk that forgot and was trusted all the same.
-func (h *History) Promise(disk, what string, r Rank, begun, answered time.Time) {
+// Promise records that a disk, identified by its random name, granted a rank for the register or
+// partition that what names. Granting a lower rank, on a request made after a higher one was
+// answered, shows that a disk lost its promises and was trusted nevertheless.
+func (h *History) Promise(disk, what string, rank Rank, begun, answered time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	k := disk + " " + what
+	key := disk + " " + what
 	h.promises++
-	if v, ok := h.promised[k]; ok && r.less(v.rank) && begun.After(v.at) {
-		h.violate(Disk, "disk %s said yes to %s under %v at %s, after yes under %v at %s", disk, what, r,
-			answered.Format("04:05.000000"), v.rank, v.at.Format("04:05.000000"))
+	if previous, ok := h.promised[key]; ok && rank.less(previous.rank) && begun.After(previous.at) {
+		h.violate(Disk, "disk %s granted %s under %v at %s, after it granted it under %v at %s", disk, what, rank,
+			answered.Format("04:05.000000"), previous.rank, previous.at.Format("04:05.000000"))
 	}
-	if v, ok := h.promised[k]; !ok || v.rank.less(r) {
-		h.promised[k] = promise{r, answered, ok}
+	if previous, ok := h.promised[key]; !ok || previous.rank.less(rank) {
+		h.promised[key] = promise{rank, answered, ok}
 	}
 }
 
-// Reading is what a fresh subscriber read back at the end.
+// Reading is what a new subscriber read back at the end of a run.
 type Reading struct {
 	Through string
 	Topics  map[string]bool
@@ -115,42 +116,44 @@
 	Got     []Receipt
 }
 
-// Reread notes what a fresh subscriber read back through a node, resuming from a cursor taken at
-// Since.
-func (h *History) ReadMessages(r Reading) {
+// ReadMessages records what a new subscriber read back through a node, resuming from a cursor that
+// was obtained at Since.
+func (h *History) ReadMessages(reading Reading) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.readBacks = append(h.readBacks, r)
+	h.readings = append(h.readings, reading)
 }
 
-func (h *History) judgeRereads(cut time.Time) {
-	for _, x := range h.readBacks {
-		at, last := map[Message]string{}, map[int]uint64{}
-		for _, g := range x.Got {
-			if g.Offset <= last[g.Partition] {
-				h.violate(Order, "through %s, %v was read back at %d/%d after offset %d", x.Through, g.Message, g.Partition,
-					g.Offset, last[g.Partition])
+func (h *History) judgeReadings(cut time.Time) {
+	for _, reading := range h.readings {
+		positions, lastOffset := map[Message]string{}, map[int]uint64{}
+		for _, receipt := range reading.Got {
+			if receipt.Offset <= lastOffset[receipt.Partition] {
+				h.violate(Order, "through %s, %v was read back at %d/%d after offset %d", reading.Through,
+					receipt.Message, receipt.Partition, receipt.Offset, lastOffset[receipt.Partition])
 			}
-			last[g.Partition] = g.Offset
-			if _, ok := at[g.Message]; ok {
-				h.violate(Twice, "through %s, %v was read back twice", x.Through, g.Message)
+			lastOffset[receipt.Partition] = receipt.Offset
+			if _, ok := positions[receipt.Message]; ok {
+				h.violate(Twice, "through %s, %v was read back twice", reading.Through, receipt.Message)
 			}
-			at[g.Message] = fmt.Sprintf("%d/%d", g.Partition, g.Offset)
-			if s := h.sent[g.Message]; s == nil || s.body != g.Body {
-				h.violate(Foreign, "through %s, %v was read back, which nobody sent so", x.Through, g.Message)
+			positions[receipt.Message] = fmt.Sprintf("%d/%d", receipt.Partition, receipt.Offset)
+			if state := h.sent[receipt.Message]; state == nil || state.body != receipt.Body {
+				h.violate(Foreign, "through %s, %v was read back, which no client sent in that form", reading.Through,
+					receipt.Message)
 			}
 		}
-		for m, s := range h.sent {
-			if !x.Topics[m.Topic] || s.outcome != Accepted || s.done.After(cut) {
+		for message, state := range h.sent {
+			if !reading.Topics[message.Topic] || state.outcome != Accepted || state.acceptedAt.After(cut) {
 				continue
 			}
-			p, ok := at[m]
-			if !ok && s.at.After(x.Since) {
-				h.violate(Lost, "through %s, %v was not read back, told taken at %d/%d on %s", x.Through, m, s.partition,
-					s.offset, s.done.Format("04:05.000"))
+			position, ok := positions[message]
+			if !ok && state.sentAt.After(reading.Since) {
+				h.violate(Lost, "through %s, %v was not read back, acknowledged at %d/%d on %s", reading.Through,
+					message, state.partition, state.offset, state.acceptedAt.Format("04:05.000"))
 			}
-			if ok && p != fmt.Sprintf("%d/%d", s.partition, s.offset) {
-				h.violate(Order, "through %s, %v was read back at %s, told taken at %d/%d", x.Through, m, p, s.partition, s.offset)
+			if ok && position != fmt.Sprintf("%d/%d", state.partition, state.offset) {
+				h.violate(Order, "through %s, %v was read back at %s, acknowledged at %d/%d", reading.Through, message,
+					position, state.partition, state.offset)
 			}
 		}
 	}
--- a/internal/testing/history/waits.go
+++ b/internal/testing/history/waits.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Kinds of waits that callers and operators have.
+// Kinds of waits of clients and operators.
 const (
-	WaitAccept  = "taking a message"
+	WaitAccept  = "accepting a message"
 	WaitDeliver = "delivering a message"
 	WaitAttach  = "attaching"
 	WaitOpen    = "opening a stream"
-	WaitPut     = "putting a description"
+	WaitPut     = "putting a configuration"
 )
 
 type pending struct {
@@ -19,7 +19,8 @@
 	at          time.Time
 }
 
-// Wait is one finished or open wait, with the longest part of it in which nothing new went wrong.
+// Wait is one finished or open wait. Undisturbed is the longest part of it in which no new fault
+// occurred.
 type Wait struct {
 	Kind, Place string
 	From        time.Time
@@ -28,80 +29,82 @@
 	Open        bool
 }
 
-// Begin notes that somebody waits for something at a place; the function ends the wait.
-// A wait that never ends counts by its age.
+// Begin records the beginning of a wait of some kind on a topic, client or node. The returned
+// function ends the wait. A wait that never ends counts with its age.
 func (h *History) Begin(kind, place string, now time.Time) func(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.serial++
-	id := h.serial
-	h.open[id] = pending{kind, place, now}
+	h.lastWaitID++
+	id := h.lastWaitID
+	h.openWaits[id] = pending{kind, place, now}
 	return func(end time.Time) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		if p, ok := h.open[id]; ok {
-			delete(h.open, id)
-			h.waited(p, end, false)
+		if wait, ok := h.openWaits[id]; ok {
+			delete(h.openWaits, id)
+			h.addWait(wait, end, false)
 		}
 	}
 }
 
-// Acknowledged notes how long a call took that was told to come back, by the kind of problem.
-func (h *History) Retried(kind string, d time.Duration) {
+// Retried records how long a call took that was answered with a retryable error, by the error's
+// code.
+func (h *History) Retried(kind string, elapsed time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.acknowledged[kind] = append(h.acknowledged[kind], d)
+	h.retried[kind] = append(h.retried[kind], elapsed)
 }
 
-func (h *History) waited(p pending, end time.Time, open bool) {
-	h.waits = append(h.waits, Wait{Kind: p.kind, Place: p.place, From: p.at, Total: end.Sub(p.at), Open: open})
+func (h *History) addWait(wait pending, end time.Time, open bool) {
+	h.waits = append(h.waits, Wait{Kind: wait.kind, Place: wait.place, From: wait.at, Total: end.Sub(wait.at),
+		Open: open})
 }
 
-// Disturb notes that something went wrong, or was put right, at a moment.
+// AddFault records that a fault began or ended.
 func (h *History) AddFault(what string, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.faults = append(h.faults, now)
-	h.covered[what]++
+	h.faultCounts[what]++
 }
 
 func (h *History) undisturbed(from, end time.Time) time.Duration {
-	most := time.Duration(0)
-	k := sort.Search(len(h.faults), func(i int) bool { return h.faults[i].After(from) })
-	for ; k < len(h.faults) && h.faults[k].Before(end); k++ {
-		most = max(most, h.faults[k].Sub(from))
-		from = h.faults[k]
+	longest := time.Duration(0)
+	next := sort.Search(len(h.faults), func(i int) bool { return h.faults[i].After(from) })
+	for ; next < len(h.faults) && h.faults[next].Before(end); next++ {
+		longest = max(longest, h.faults[next].Sub(from))
+		from = h.faults[next]
 	}
-	return max(most, end.Sub(from))
+	return max(longest, end.Sub(from))
 }
 
-func (h *History) judgeWaits(cut, now time.Time, r *Report) {
-	sort.Slice(h.faults, func(i, k int) bool { return h.faults[i].Before(h.faults[k]) })
-	for _, p := range h.open {
-		h.waited(p, now, true)
+func (h *History) judgeWaits(cut, now time.Time, report *Report) {
+	sort.Slice(h.faults, func(i, kind int) bool { return h.faults[i].Before(h.faults[kind]) })
+	for _, wait := range h.openWaits {
+		h.addWait(wait, now, true)
 	}
-	r.Waits = map[string]Spans{}
-	by := map[string][]time.Duration{}
+	report.Waits = map[string]Spans{}
+	durations := map[string][]time.Duration{}
 	for i := range h.waits {
-		w := &h.waits[i]
-		w.Undisturbed = h.undisturbed(w.From, w.From.Add(w.Total))
-		by[w.Kind] = append(by[w.Kind], w.Total)
-		if w.Total > r.Longest.Total && w.From.Before(cut) {
-			r.Longest = *w
+		wait := &h.waits[i]
+		wait.Undisturbed = h.undisturbed(wait.From, wait.From.Add(wait.Total))
+		durations[wait.Kind] = append(durations[wait.Kind], wait.Total)
+		if wait.Total > report.Longest.Total && wait.From.Before(cut) {
+			report.Longest = *wait
 		}
-		if w.Undisturbed > r.LongestUndisturbed.Undisturbed {
-			r.LongestUndisturbed = *w
+		if wait.Undisturbed > report.LongestUndisturbed.Undisturbed {
+			report.LongestUndisturbed = *wait
 		}
-		if h.Bound > 0 && w.Undisturbed > h.Bound {
-			h.violate(Recovery, "%s at %s took %s from %s on, %s of it with nothing new going wrong (still open: %v)",
-				w.Kind, w.Place, w.Total, w.From.Format("04:05.000"), w.Undisturbed, w.Open)
+		if h.Bound > 0 && wait.Undisturbed > h.Bound {
+			h.violate(Recovery, "%s at %s took %s from %s on, %s of it without a new fault (still open: %v)",
+				wait.Kind, wait.Place, wait.Total, wait.From.Format("04:05.000"), wait.Undisturbed, wait.Open)
 		}
 	}
-	r.Retried = map[string]Spans{}
-	for k, ds := range h.acknowledged {
-		r.Retried[k] = spans(ds)
+	report.Retried = map[string]Spans{}
+	for code, elapsed := range h.retried {
+		report.Retried[code] = quantiles(elapsed)
 	}
-	for k, ds := range by {
-		r.Waits[k] = spans(ds)
+	for kind, elapsed := range durations {
+		report.Waits[kind] = quantiles(elapsed)
 	}
 }
--- a/internal/testing/orders/orders.go
+++ b/internal/testing/orders/orders.go
@@ -1,10 +1,10 @@
-// Package orders records what operators were answered about their configurations and judges it by
+// Package orders records the answers that operators got to their configurations and checks them for
 // linearizability.
 //
-// An operator sends an order (a whole configuration on a base version) again until it has a clear
-// answer. The judged object is one register that takes an order if and only if its base is the
-// current version, acknowledges again whatever it took before, refuses the rest, and is read back
-// whole. For tests only.
+// An operator retries an order (a whole configuration on a base version) until it has a definite
+// answer. The checked object is one register. It accepts an order if and only if the order's base
+// is the current version. It acknowledges again whatever it accepted before, refuses the rest, and
+// is read back whole. For tests only.
 package orders
 
 import (
@@ -16,17 +16,18 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Order is one order: ID tells it apart from all others, also from those with the same numbers.
+// Order is one order. ID distinguishes it from all others, also from those with the same numbers.
 type Order struct {
 	Base     uint64
 	Sequence uint64
 	ID       string
 }
 
-// Outcome is what an operator knows after one try.
+// Outcome is the result of one try as the operator knows it.
 type Outcome int
 
-// Outcomes of a try: acknowledged, refused because another version is current, or no clear answer.
+// Outcomes of a try: no definite answer, acknowledged, or refused because another version is
+// current.
 const (
 	Unclear Outcome = iota
 	Acknowledged
@@ -43,137 +44,139 @@
 
 // History collects the operations of many operators.
 type History struct {
-	mu    sync.Mutex
-	began time.Time
-	ops   []operation
+	// mu guards operations.
+	mu         sync.Mutex
+	began      time.Time
+	operations []operation
 }
 
-// New begins a history.
+// New returns an empty history that begins now.
 func New(now time.Time) *History { return &History{began: now} }
 
-// Tried notes a try of an order and its outcome.
-func (h *History) Tried(o Order, outcome Outcome, call, end time.Time) {
-	h.note(operation{order: o, outcome: outcome, call: call, end: end})
+// Tried records a try of an order and its outcome.
+func (h *History) Tried(order Order, outcome Outcome, call, end time.Time) {
+	h.record(operation{order: order, outcome: outcome, call: call, end: end})
 }
 
-// Read notes that the configuration was read back; the order is the one that was shown.
-func (h *History) Read(o Order, call, end time.Time) {
-	h.note(operation{read: true, order: o, outcome: Acknowledged, call: call, end: end})
+// Read records that the configuration was read back, and which order was returned.
+func (h *History) Read(order Order, call, end time.Time) {
+	h.record(operation{read: true, order: order, outcome: Acknowledged, call: call, end: end})
 }
 
-func (h *History) note(o operation) {
+func (h *History) record(operation operation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.ops = append(h.ops, o)
+	h.operations = append(h.operations, operation)
 }
 
-// Count gives how many tries had each outcome.
+// Count returns how many tries had each outcome.
 func (h *History) Count() map[Outcome]int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	n := map[Outcome]int{}
-	for _, o := range h.ops {
-		if !o.read {
-			n[o.outcome]++
+	counts := map[Outcome]int{}
+	for _, operation := range h.operations {
+		if !operation.read {
+			counts[operation.outcome]++
 		}
 	}
-	return n
+	return counts
 }
 
-// Linearizable tells whether some order of the operations, each at one moment between its call and
-// its end, explains all answers.
+// Linearizable reports whether some sequence of the operations, each taking effect at one moment
+// between its call and its end, explains all answers.
 func (h *History) Linearizable() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var ops []porcupine.Operation
-	for i, o := range merged(h.ops) {
+	var operations []porcupine.Operation
+	for i, operation := range mergeUnclear(h.operations) {
 		end := int64(math.MaxInt64)
-		if !o.end.IsZero() {
-			end = o.end.Sub(h.began).Nanoseconds()
+		if !operation.end.IsZero() {
+			end = operation.end.Sub(h.began).Nanoseconds()
 		}
-		ops = append(ops, porcupine.Operation{ClientId: i, Input: o, Output: o.outcome,
-			Call: o.call.Sub(h.began).Nanoseconds(), Return: end})
+		operations = append(operations, porcupine.Operation{ClientId: i, Input: operation, Output: operation.outcome,
+			Call: operation.call.Sub(h.began).Nanoseconds(), Return: end})
 	}
 	model := model()
-	return porcupine.CheckOperations(model.ToModel(), ops)
+	return porcupine.CheckOperations(model.ToModel(), operations)
 }
 
-// merged makes one operation of the unclear tries of an order, which may take effect at any time
-// after the first of them. Where the order was acknowledged later, the first acknowledgement covers
-// them, as taking an order twice is taking it once.
-func merged(ops []operation) []operation {
-	var out []operation
-	first := map[Order]time.Time{}
-	for _, o := range ops {
-		if at, ok := first[o.order]; !o.read && o.outcome == Unclear && (!ok || o.call.Before(at)) {
-			first[o.order] = o.call
+// mergeUnclear merges the unclear tries of an order into one operation, which may take effect at
+// any time after the first of them. If the order was acknowledged later, the first acknowledgement
+// covers them, because accepting an order is idempotent.
+func mergeUnclear(operations []operation) []operation {
+	var merged []operation
+	firstCall := map[Order]time.Time{}
+	for _, operation := range operations {
+		if firstCallAt, ok := firstCall[operation.order]; !operation.read && operation.outcome == Unclear &&
+			(!ok || operation.call.Before(firstCallAt)) {
+			firstCall[operation.order] = operation.call
 		}
 	}
-	sorted := slices.Clone(ops)
+	sorted := slices.Clone(operations)
 	slices.SortStableFunc(sorted, func(a, b operation) int { return a.end.Compare(b.end) })
-	for _, o := range sorted {
-		if !o.read && o.outcome == Unclear {
+	for _, operation := range sorted {
+		if !operation.read && operation.outcome == Unclear {
 			continue
 		}
-		if at, ok := first[o.order]; !o.read && ok && o.outcome == Acknowledged {
-			if at.Before(o.call) {
-				o.call = at
+		if at, ok := firstCall[operation.order]; !operation.read && ok && operation.outcome == Acknowledged {
+			if at.Before(operation.call) {
+				operation.call = at
 			}
-			delete(first, o.order)
+			delete(firstCall, operation.order)
 		}
-		out = append(out, o)
+		merged = append(merged, operation)
 	}
-	for o, at := range first {
-		out = append(out, operation{order: o, outcome: Unclear, call: at})
+	for order, at := range firstCall {
+		merged = append(merged, operation{order: order, outcome: Unclear, call: at})
 	}
-	return out
+	return merged
 }
 
-// state is the register: the current order and all that were taken, in the order in which they
-// were.
-type state struct{ taken []Order }
+// state is the register: all accepted orders in the sequence of their acceptance. The last one is
+// current.
+type state struct{ accepted []Order }
 
 func (s state) current() Order {
-	if len(s.taken) == 0 {
+	if len(s.accepted) == 0 {
 		return Order{}
 	}
-	return s.taken[len(s.taken)-1]
+	return s.accepted[len(s.accepted)-1]
 }
 
-func (s state) fits(o Order) bool {
-	return s.current().Sequence == o.Base && o.Sequence > o.Base
+func (s state) canFollow(order Order) bool {
+	return s.current().Sequence == order.Base && order.Sequence > order.Base
 }
 
-func (s state) with(o Order) state { return state{append(slices.Clone(s.taken), o)} }
+func (s state) with(order Order) state { return state{append(slices.Clone(s.accepted), order)} }
 
 func model() porcupine.NondeterministicModel {
 	return porcupine.NondeterministicModel{
 		Init:  func() []any { return []any{state{}} },
 		Step:  func(st, input, _ any) []any { return step(st.(state), input.(operation)) },
-		Equal: func(a, b any) bool { return slices.Equal(a.(state).taken, b.(state).taken) },
+		Equal: func(a, b any) bool { return slices.Equal(a.(state).accepted, b.(state).accepted) },
 	}
 }
 
-func step(s state, o operation) []any {
-	known := slices.Contains(s.taken, o.order)
+func step(s state, operation operation) []any {
+	known := slices.Contains(s.accepted, operation.order)
 	switch {
-	case o.read:
-		return only(s.current() == o.order, s)
-	case o.outcome == Acknowledged && known:
-		return only(true, s)
-	case o.outcome == Acknowledged:
-		return only(s.fits(o.order), s.with(o.order))
-	case o.outcome == Refused:
-		return only(!known && !s.fits(o.order), s)
-	case !known && s.fits(o.order):
-		return []any{s, s.with(o.order)}
+	case operation.read:
+		return onlyIf(s.current() == operation.order, s)
+	case operation.outcome == Acknowledged && known:
+		return onlyIf(true, s)
+	case operation.outcome == Acknowledged:
+		return onlyIf(s.canFollow(operation.order), s.with(operation.order))
+	case operation.outcome == Refused:
+		return onlyIf(!known && !s.canFollow(operation.order), s)
+	case !known && s.canFollow(operation.order):
+		return []any{s, s.with(operation.order)}
 	}
-	return only(true, s)
+	return onlyIf(true, s)
 }
 
-func only(ok bool, s state) []any {
+func onlyIf(ok bool, result state) []any {
 	if !ok {
 		return nil
 	}
-	return []any{s}
+	return []any{result}
 }
--- a/internal/testing/orders/orders_test.go
+++ b/internal/testing/orders/orders_test.go
@@ -14,7 +14,7 @@
 	orderC = Order{2, 3, "c"}
 )
 
-func at(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
+func at(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
 
 type try struct {
 	read    bool
@@ -24,14 +24,14 @@
 	to      int
 }
 
-func judged(tries ...try) bool {
+func linearizable(tries ...try) bool {
 	h := New(start)
-	for _, x := range tries {
-		if x.read {
-			h.Read(x.order, at(x.from), at(x.to))
+	for _, attempt := range tries {
+		if attempt.read {
+			h.Read(attempt.order, at(attempt.from), at(attempt.to))
 			continue
 		}
-		h.Tried(x.order, x.outcome, at(x.from), at(x.to))
+		h.Tried(attempt.order, attempt.outcome, at(attempt.from), at(attempt.to))
 	}
 	return h.Linearizable()
 }
@@ -42,22 +42,24 @@
 	readA, readB := try{read: true, order: orderA, from: 6, to: 7}, try{read: true, order: orderB, from: 6, to: 7}
 	againA := try{order: orderA, outcome: Acknowledged, from: 4, to: 5}
 	lostA := try{order: orderA, outcome: Unclear, from: 0, to: 1}
-	assert.Assert(t, judged(a, b, c, readB), "one of two wins")
-	assert.Assert(t, judged(a, b, againA, readB), "an accepted order is acknowledged again, and changes nothing")
-	assert.Assert(t, judged(lostA, b, readB), "an order without a clear answer was taken")
-	assert.Assert(t, judged(lostA, try{read: true, from: 6, to: 7}), "an order without a clear answer was not taken")
-	assert.Assert(t, judged(lostA, try{order: orderA, outcome: Acknowledged, from: 8, to: 9},
-		try{read: true, order: orderA, from: 2, to: 3}), "the first try was taken, a later one acknowledged")
-
-	assert.Assert(t, !judged(a, b, readA), "an older configuration was read")
-	assert.Assert(t, !judged(a, b, try{order: orderC, outcome: Acknowledged, from: 4, to: 5}),
+	assert.Assert(t, linearizable(a, b, c, readB), "one of two wins")
+	assert.Assert(t, linearizable(a, b, againA, readB), "an accepted order is acknowledged again, and changes nothing")
+	assert.Assert(t, linearizable(lostA, b, readB), "an order without a clear answer was accepted")
+	assert.Assert(t, linearizable(lostA, try{read: true, from: 6, to: 7}),
+		"an order without a clear answer was not accepted")
+	assert.Assert(t, linearizable(lostA, try{order: orderA, outcome: Acknowledged, from: 8, to: 9},
+		try{read: true, order: orderA, from: 2, to: 3}), "the first try was accepted, a later one acknowledged")
+
+	assert.Assert(t, !linearizable(a, b, readA), "an older configuration was read")
+	assert.Assert(t, !linearizable(a, b, try{order: orderC, outcome: Acknowledged, from: 4, to: 5}),
 		"two orders on one base were acknowledged")
-	assert.Assert(t, !judged(a, b, try{order: orderA, outcome: Refused, from: 4, to: 5}),
+	assert.Assert(t, !linearizable(a, b, try{order: orderA, outcome: Refused, from: 4, to: 5}),
 		"an accepted order was refused when it was sent again")
-	assert.Assert(t, !judged(a, c, try{read: true, order: orderC, from: 6, to: 7}), "a refused order is in force")
-	assert.Assert(t, !judged(a, try{order: orderC, outcome: Refused, from: 2, to: 3},
-		try{order: orderC, outcome: Acknowledged, from: 4, to: 5}), "a refused order was taken later")
-	assert.Assert(t, !judged(lostA, try{order: orderA, outcome: Refused, from: 2, to: 3}, readA),
-		"a refused order came into force through a slow first try")
-	assert.Assert(t, !judged(a, try{read: true, from: 6, to: 7}), "an acknowledged order is gone")
+	assert.Assert(t, !linearizable(a, c, try{read: true, order: orderC, from: 6, to: 7}),
+		"a refused order is in effect")
+	assert.Assert(t, !linearizable(a, try{order: orderC, outcome: Refused, from: 2, to: 3},
+		try{order: orderC, outcome: Acknowledged, from: 4, to: 5}), "a refused order was accepted later")
+	assert.Assert(t, !linearizable(lostA, try{order: orderA, outcome: Refused, from: 2, to: 3}, readA),
+		"a refused order took effect through a slow first try")
+	assert.Assert(t, !linearizable(a, try{read: true, from: 6, to: 7}), "an acknowledged order is lost")
 }
--- a/internal/testing/simclient/client.go
+++ b/internal/testing/simclient/client.go
@@ -1,5 +1,6 @@
-// Package simclient is a seeded stand-in for clients on line sessions: it joins its topics with
-// its cursors, sends, goes away and returns, and notes all it sees.
+// Package simclient simulates clients on client sessions from a seed. A client subscribes to its
+// topics with its cursors, sends, withdraws, counts, disconnects and reconnects, and records all
+// that it receives.
 package simclient
 
 import (
@@ -13,22 +14,22 @@
 	"postjunction/internal/testing/deliverycheck"
 )
 
-// Line is one connection to a node. End is its closing by the client.
+// Connection is one connection to a node. End closes it from the client's side.
 type Connection interface {
-	Do(t session.Request)
+	Do(request session.Request)
 	End()
 }
 
-// Endpoint is a node that clients can connect to. Connect returns nil when none answers there; hear
-// gets all that comes with the moment at which the connection took its last byte, broken the end of
-// the connection, if the client did not end it itself.
+// Endpoint is a node that clients can connect to. Connect returns nil if no node answers there.
+// onResponse is called with each response and the moment at which the connection took its last
+// byte. onBroken is called when the connection ends otherwise than by the client.
 type Endpoint struct {
 	Address string
-	Connect func(hear func(a session.Response, shown time.Time), broken func()) Connection
+	Connect func(onResponse func(response session.Response, lastByteAt time.Time), onBroken func()) Connection
 }
 
-// Topic is something that a client follows, from a cursor that another was given with a message, if
-// there is one.
+// Topic is a topic that a client subscribes to. With a Cursor, the subscription begins at a cursor
+// that another client received with LastMessage at Given.
 type Topic struct {
 	Name        string
 	Kept        bool
@@ -37,80 +38,81 @@
 	Given       time.Time
 }
 
-// Lane is a topic that a client sends on, with so many messages under way at once.
+// SendTopic is a topic that a client sends on, with up to Window messages in flight.
 type SendTopic struct {
 	Topic    string
 	Window   int
 	Interval time.Duration
 }
 
-// Habits are the times of a client.
+// Habits are the intervals and timeouts of a client.
 type Habits struct {
-	// Keepalive is how long it is silent before it gives a sign of life.
+	// Keepalive is how long it is silent before it sends a heartbeat.
 	Keepalive time.Duration
-	// ResponseTimeout is how long it waits for an answer to a send, SubscribeTimeout for one to a
-	// join, and Deadline for the decision on a message.
+	// ResponseTimeout is how long it waits for an answer to a send, SubscribeTimeout for an answer
+	// to a subscription, and Deadline for the decision on a message.
 	ResponseTimeout, SubscribeTimeout, Deadline time.Duration
-	// ChangeInterval is how often it drops or takes up a topic, AwayInterval how often it leaves,
-	// CountInterval how often it counts; 0 for never.
+	// ChangeInterval is how often it ends or resumes a subscription, AwayInterval how often it
+	// disconnects, and CountInterval how often it counts listeners. 0 means never.
 	ChangeInterval, AwayInterval, CountInterval time.Duration
-	// MaxAbsence is the longest that it stays away.
+	// MaxAbsence is the longest time that it stays disconnected.
 	MaxAbsence time.Duration
-	// KeyedFraction is the share of messages that stand under a key, one of Keys on a topic;
-	// Withdraw is how often a client withdraws on a lane, 0 for never, and Forget how long it asks
-	// for the yes.
+	// KeyedFraction is the share of messages sent under a key, one of Keys on a topic.
+	// WithdrawInterval is how often a client withdraws on a topic, and 0 means never.
+	// WithdrawTimeout is how long it retries a withdrawal until it is acknowledged.
 	KeyedFraction                     float64
 	Keys                              int
 	WithdrawInterval, WithdrawTimeout time.Duration
-	// Stays has a client that is attached not follow the advice to move to another node: it uses
-	// its connection until that is gone.
+	// IgnoresMoves has an attached client ignore the advice to move to another node. It uses its
+	// connection until that ends.
 	IgnoresMoves bool
 }
 
 // Client is one simulated client.
 type Client struct {
-	Name      string
-	Endpoints func() []Endpoint
-	Checker   *deliverycheck.Checker
-	Follow    []Topic
-	SendTopics     []SendTopic
-	Habits    Habits
-	Rand      *rand.Rand
-	// Calm tells whether the fleet has been undisturbed for a while.
+	Name       string
+	Endpoints  func() []Endpoint
+	Checker    *deliverycheck.Checker
+	Follow     []Topic
+	SendTopics []SendTopic
+	Habits     Habits
+	Rand       *rand.Rand
+	// Calm reports whether the fleet has been without faults for a while.
 	Calm func() bool
-	// Saved gets cursors that others may take up later.
+	// Saved receives cursors that other clients may resume from later.
 	Saved func(t Topic)
 
+	// mu guards inbox and the writes to serial.
 	mu     sync.Mutex
-	inbox  []lineEvent
+	inbox  []connectionEvent
 	notify chan struct{}
 
-	line        Connection
-	address     string
-	serial      int
-	attached    bool
-	connectedAt time.Time
-	receivedAt  time.Time
-	shown       time.Time
-	sentAt      time.Time
-	returnAt    time.Time
-	redirect    string
-	subs        []*subscription
-	lanes       []*lane
-	lastCall    uint64
-	nextChange  time.Time
-	nextAbsence time.Time
-	nextCount   time.Time
-	counted     map[string]time.Time
-	seen        map[string]deliverycheck.Message
-	sending     context.Context
+	connection      Connection
+	address         string
+	serial          int
+	attached        bool
+	connectedAt     time.Time
+	receivedAt      time.Time
+	lastByteAt      time.Time
+	sentAt          time.Time
+	returnAt        time.Time
+	redirect        string
+	subscriptions   []*subscription
+	senders         []*sender
+	lastCall        uint64
+	nextChange      time.Time
+	nextAbsence     time.Time
+	nextCount       time.Time
+	countsRequested map[string]time.Time
+	lastReceived    map[string]deliverycheck.Message
+	sending         context.Context
 }
 
-type lineEvent struct {
-	serial   int
-	response session.Response
-	shown    time.Time
-	broken   bool
+type connectionEvent struct {
+	serial     int
+	response   session.Response
+	lastByteAt time.Time
+	broken     bool
 }
 
 type state int
@@ -128,13 +130,13 @@
 	wanted   bool
 	state    state
 	since    time.Time
-	retry    time.Time
+	retryAt  time.Time
 	cursor   string
-	session  *deliverycheck.Subscription
+	record   *deliverycheck.Subscription
 	presence *deliverycheck.Presence
 }
 
-type lane struct {
+type sender struct {
 	SendTopic
 	next           time.Time
 	nextWithdrawal time.Time
@@ -142,17 +144,17 @@
 }
 
 type message struct {
-	call  uint64
-	body  string
-	first time.Time
-	asked time.Time
-	retry time.Time
-	fresh int
+	call         uint64
+	body         string
+	firstTriedAt time.Time
+	sentAt       time.Time
+	retryAt      time.Time
+	renumberings int
 	// earlier is the number under which the message was tried before, 0 for none.
-	earlier  uint64
-	inFlight bool
-	key      string
-	// withdrawal is that of a withdrawal, and none of a message.
+	earlierCall uint64
+	inFlight    bool
+	key         string
+	// withdrawal is set for a withdrawal and nil for a message.
 	withdrawal *deliverycheck.Withdrawal
 }
 
@@ -160,26 +162,26 @@
 	ticksPerKeepalive    = 40
 	attachTimeoutDivisor = 2
 	silentKeepalives     = 2.5
-	freshly              = 3
+	maxRenumberings      = 3
 	minBodyBytes         = 20
 	extraBodyBytes       = 400
-	savedOneIn           = 40
-	othersOneIn          = 4
-	ahead                = 4
+	saveCursorOneIn      = 40
+	nameSenderOneIn      = 4
+	maxCallsAhead        = 4
 )
 
-func (client *Client) span(d time.Duration) time.Duration {
-	return time.Duration(client.Rand.Float64() * float64(d))
+func (client *Client) randomUpTo(limit time.Duration) time.Duration {
+	return time.Duration(client.Rand.Float64() * float64(limit))
 }
 
-func (client *Client) later(now time.Time, d time.Duration) time.Time {
-	if d <= 0 {
+func (client *Client) nextTime(now time.Time, interval time.Duration) time.Time {
+	if interval <= 0 {
 		return now.Add(1 << 60)
 	}
-	return now.Add(d/2 + client.span(d))
+	return now.Add(interval/2 + client.randomUpTo(interval))
 }
 
-func (client *Client) receive(event lineEvent) {
+func (client *Client) receive(event connectionEvent) {
 	client.mu.Lock()
 	client.inbox = append(client.inbox, event)
 	client.mu.Unlock()
@@ -189,33 +191,34 @@
 	}
 }
 
-// Move breaks the connection, as a reset would.
+// Move breaks the connection as a reset would.
 func (client *Client) Move() {
 	client.mu.Lock()
-	n := client.serial
+	serial := client.serial
 	client.mu.Unlock()
-	client.receive(lineEvent{serial: n, broken: true})
+	client.receive(connectionEvent{serial: serial, broken: true})
 }
 
-// Run goes on until ctx ends, and sends new messages until sends ends.
+// Run runs the client until ctx ends. It sends new messages until sends ends.
 func (client *Client) Run(ctx, sends context.Context) {
 	now := time.Now()
-	client.notify, client.sending, client.counted, client.seen = make(chan struct{}, 1), sends,
+	client.notify, client.sending, client.countsRequested, client.lastReceived = make(chan struct{}, 1), sends,
 		map[string]time.Time{}, map[string]deliverycheck.Message{}
-	for _, t := range client.Follow {
-		s := &subscription{Topic: t, wanted: true}
-		if t.Cursor != "" {
-			s.session, s.cursor = client.Checker.SubscribeFromCursor(client.Name, t.LastMessage, t.Given), t.Cursor
+	for _, topic := range client.Follow {
+		subscription := &subscription{Topic: topic, wanted: true}
+		if topic.Cursor != "" {
+			subscription.record, subscription.cursor = client.Checker.SubscribeFromCursor(client.Name,
+				topic.LastMessage, topic.Given), topic.Cursor
 		}
-		client.subs = append(client.subs, s)
+		client.subscriptions = append(client.subscriptions, subscription)
 	}
-	for _, l := range client.SendTopics {
-		client.lanes = append(client.lanes, &lane{SendTopic: l, next: client.later(now, l.Interval),
-			nextWithdrawal: client.later(now, client.Habits.WithdrawInterval)})
+	for _, topic := range client.SendTopics {
+		client.senders = append(client.senders, &sender{SendTopic: topic, next: client.nextTime(now, topic.Interval),
+			nextWithdrawal: client.nextTime(now, client.Habits.WithdrawInterval)})
 	}
-	client.returnAt = now.Add(client.span(client.Habits.Keepalive / 2))
-	client.nextChange, client.nextAbsence, client.nextCount = client.later(now, client.Habits.ChangeInterval),
-		client.later(now, client.Habits.AwayInterval), client.later(now, client.Habits.CountInterval)
+	client.returnAt = now.Add(client.randomUpTo(client.Habits.Keepalive / 2))
+	client.nextChange, client.nextAbsence, client.nextCount = client.nextTime(now, client.Habits.ChangeInterval),
+		client.nextTime(now, client.Habits.AwayInterval), client.nextTime(now, client.Habits.CountInterval)
 	tick := time.NewTicker(client.Habits.Keepalive / ticksPerKeepalive)
 	defer tick.Stop()
 	for {
@@ -232,14 +235,14 @@
 		client.mu.Unlock()
 		now := time.Now()
 		for _, event := range events {
-			if event.serial != client.serial || client.line == nil {
+			if event.serial != client.serial || client.connection == nil {
 				continue
 			}
 			if event.broken {
 				client.close(now, client.Habits.Keepalive/2, false)
 				continue
 			}
-			client.receivedAt, client.shown = now, event.shown
+			client.receivedAt, client.lastByteAt = now, event.lastByteAt
 			if handle, ok := responseHandlers[event.response.Type]; ok {
 				handle(client, now, event.response)
 			} else {
@@ -250,41 +253,41 @@
 	}
 }
 
-// close ends the connection and comes back within a time. A silent leave keeps the old one open for
-// a while.
+// close ends the connection and reconnects within a time. With silently set, the old connection
+// stays open for a while.
 func (client *Client) close(now time.Time, within time.Duration, silently bool) {
-	line := client.line
-	if line == nil {
+	connection := client.connection
+	if connection == nil {
 		return
 	}
-	client.line, client.attached = nil, false
+	client.connection, client.attached = nil, false
 	if silently {
-		d := client.span(3 * client.Habits.Keepalive)
+		delay := client.randomUpTo(3 * client.Habits.Keepalive)
 		go func() {
-			time.Sleep(d)
-			line.End()
+			time.Sleep(delay)
+			connection.End()
 		}()
 	} else {
-		go line.End()
+		go connection.End()
 	}
-	client.returnAt = now.Add(client.span(within))
-	for _, s := range client.subs {
-		if s.presence != nil {
-			s.presence.Left(now)
-			s.presence = nil
+	client.returnAt = now.Add(client.randomUpTo(within))
+	for _, subscription := range client.subscriptions {
+		if subscription.presence != nil {
+			subscription.presence.Left(now)
+			subscription.presence = nil
 		}
-		s.state = idle
-		s.retry = time.Time{}
+		subscription.state = idle
+		subscription.retryAt = time.Time{}
 	}
-	for _, line := range client.lanes {
-		for _, m := range line.messages {
-			m.inFlight, m.retry = false, time.Time{}
+	for _, line := range client.senders {
+		for _, message := range line.messages {
+			message.inFlight, message.retryAt = false, time.Time{}
 		}
 	}
-	clear(client.counted)
+	clear(client.countsRequested)
 }
 
-func (client *Client) enter(now time.Time) {
+func (client *Client) connect(now time.Time) {
 	endpoints := client.Endpoints()
 	endpoint := endpoints[client.Rand.IntN(len(endpoints))]
 	if i := slices.IndexFunc(endpoints, func(endpoint Endpoint) bool {
@@ -295,14 +298,14 @@
 	client.redirect = ""
 	client.mu.Lock()
 	client.serial++
-	n := client.serial
+	serial := client.serial
 	client.mu.Unlock()
 	client.address = endpoint.Address
-	client.line = endpoint.Connect(func(response session.Response, shown time.Time) {
-		client.receive(lineEvent{serial: n, response: response, shown: shown})
-	}, func() { client.receive(lineEvent{serial: n, broken: true}) })
-	if client.line == nil {
-		client.returnAt = now.Add(client.span(client.Habits.Keepalive / 2))
+	client.connection = endpoint.Connect(func(response session.Response, shown time.Time) {
+		client.receive(connectionEvent{serial: serial, response: response, lastByteAt: shown})
+	}, func() { client.receive(connectionEvent{serial: serial, broken: true}) })
+	if client.connection == nil {
+		client.returnAt = now.Add(client.randomUpTo(client.Habits.Keepalive / 2))
 		return
 	}
 	client.connectedAt, client.receivedAt, client.attached = now, now, false
@@ -310,12 +313,12 @@
 }
 
 func (client *Client) step(now time.Time) {
-	if client.line == nil {
+	if client.connection == nil {
 		if now.Before(client.returnAt) && (client.sending.Err() == nil ||
 			client.returnAt.Sub(now) < client.Habits.Keepalive) {
 			return
 		}
-		if client.enter(now); client.line == nil {
+		if client.connect(now); client.connection == nil {
 			return
 		}
 	}
@@ -330,33 +333,33 @@
 		client.close(now, habits.Keepalive/2, false)
 		return
 	}
-	stays := client.sending.Err() != nil
-	if now.After(client.nextAbsence) && !stays {
-		client.nextAbsence = client.later(now, habits.AwayInterval)
+	stopped := client.sending.Err() != nil
+	if now.After(client.nextAbsence) && !stopped {
+		client.nextAbsence = client.nextTime(now, habits.AwayInterval)
 		client.close(now, 0, client.Rand.IntN(2) == 0)
-		client.returnAt = now.Add(client.span(habits.MaxAbsence))
+		client.returnAt = now.Add(client.randomUpTo(habits.MaxAbsence))
 		return
 	}
-	if now.After(client.nextChange) && !stays {
-		client.nextChange = client.later(now, habits.ChangeInterval)
-		s := client.subs[client.Rand.IntN(len(client.subs))]
-		s.wanted = !s.wanted
+	if now.After(client.nextChange) && !stopped {
+		client.nextChange = client.nextTime(now, habits.ChangeInterval)
+		subscription := client.subscriptions[client.Rand.IntN(len(client.subscriptions))]
+		subscription.wanted = !subscription.wanted
 	}
 	if now.After(client.nextCount) {
-		client.nextCount = client.later(now, habits.CountInterval)
-		t := client.subs[client.Rand.IntN(len(client.subs))].Name
-		if _, ok := client.counted[t]; !ok {
-			client.counted[t] = now
-			client.send(now, session.Request{Verb: session.Count, Topic: t})
+		client.nextCount = client.nextTime(now, habits.CountInterval)
+		topic := client.subscriptions[client.Rand.IntN(len(client.subscriptions))].Name
+		if _, ok := client.countsRequested[topic]; !ok {
+			client.countsRequested[topic] = now
+			client.send(now, session.Request{Verb: session.Count, Topic: topic})
 		}
 	}
-	for _, s := range client.subs {
-		if !client.follow(now, s) {
+	for _, s := range client.subscriptions {
+		if !client.updateSubscription(now, s) {
 			return
 		}
 	}
-	for _, l := range client.lanes {
-		if !client.publish(now, l) {
+	for _, sender := range client.senders {
+		if !client.publish(now, sender) {
 			return
 		}
 	}
--- a/internal/testing/transport/direct.go
+++ b/internal/testing/transport/direct.go
@@ -9,96 +9,96 @@
 	"postjunction/internal/httpapi"
 )
 
-// Direct reaches the services of a node in this process. Gate holds calls while the machine is
-// frozen.
+// Direct reaches the services of a node in this process. Gate blocks calls while the machine is
+// frozen. Node returns nil while the node is down.
 type Direct struct {
 	Node func() *Services
 	Gate func()
 }
 
-// Services are what a node offers.
+// Services are the services of one run of a node.
 type Services struct {
 	Clients *client.Service
 	API     *httpapi.API
-	// Gone is closed when the process ends, as its connections would be.
+	// Ended is closed when the process ends, as its connections would be.
 	Ended chan struct{}
 }
 
-func (p *Direct) run(ctx context.Context, f func(n *Services) (any, error)) (any, error) {
-	n := p.Node()
-	if n == nil {
+func (p *Direct) run(ctx context.Context, call func(services *Services) (any, error)) (any, error) {
+	services := p.Node()
+	if services == nil {
 		return nil, apierror.New(apierror.Unreachable, "the node is down")
 	}
-	type ans struct {
-		a   any
-		err error
+	type result struct {
+		value any
+		err   error
 	}
-	c := make(chan ans, 1)
+	answers := make(chan result, 1)
 	go func() {
 		p.Gate()
-		a, err := f(n)
+		value, err := call(services)
 		p.Gate()
-		c <- ans{a, err}
+		answers <- result{value, err}
 	}()
 	select {
-	case x := <-c:
-		if p.Node() != n {
+	case answer := <-answers:
+		if p.Node() != services {
 			return nil, apierror.New(apierror.Unreachable, "the node went down")
 		}
-		return x.a, x.err
-	case <-n.Ended:
+		return answer.value, answer.err
+	case <-services.Ended:
 		return nil, apierror.New(apierror.Unreachable, "the connection was reset")
 	case <-ctx.Done():
 		return nil, apierror.New(apierror.Unreachable, "no answer in time")
 	}
 }
 
-func (p *Direct) do(ctx context.Context, t *client.Request) (any, error) {
-	return p.run(ctx, func(n *Services) (any, error) { return n.Clients.Do(ctx, t) })
+func (p *Direct) do(ctx context.Context, request *client.Request) (any, error) {
+	return p.run(ctx, func(services *Services) (any, error) { return services.Clients.Do(ctx, request) })
 }
 
-// Attach attaches.
+// Attach attaches a client.
 func (p *Direct) Attach(ctx context.Context, name string) (client.Attachment, error) {
-	a, err := p.do(ctx, &client.Request{Verb: client.VerbAttach, Client: name})
-	x, _ := a.(client.Attachment)
-	return x, err
+	answer, err := p.do(ctx, &client.Request{Verb: client.VerbAttach, Client: name})
+	attachment, _ := answer.(client.Attachment)
+	return attachment, err
 }
 
-// Send sends.
+// Send sends a message on a topic.
 func (p *Direct) Send(ctx context.Context, token, topic string, call uint64, body []byte) (client.Receipt, error) {
-	a, err := p.do(ctx, &client.Request{Verb: client.VerbSend, Token: token, Topics: []string{topic},
+	answer, err := p.do(ctx, &client.Request{Verb: client.VerbSend, Token: token, Topics: []string{topic},
 		CallSeq: call, Body: body})
-	x, _ := a.(client.Receipt)
-	return x, err
+	receipt, _ := answer.(client.Receipt)
+	return receipt, err
 }
 
-// Follow follows.
+// Follow reads a stream until it ends or handle fails.
 func (p *Direct) Follow(ctx context.Context, token string, topics []string, cursor string,
-	f func(client.Event) error) error {
-	cx, stop := context.WithCancel(ctx)
-	defer stop()
-	lines := make(chan client.Event)
+	handle func(client.Event) error) error {
+	streamCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	events := make(chan client.Event)
 	done := make(chan error, 1)
 	go func() {
-		_, err := p.do(cx, &client.Request{Verb: client.VerbFollow, Token: token, Topics: topics, Cursor: cursor,
+		_, err := p.do(streamCtx, &client.Request{Verb: client.VerbFollow, Token: token, Topics: topics, Cursor: cursor,
 			Emit: func(b []byte) error {
-				var l client.Event
-				if err := json.Unmarshal(b, &l); err != nil {
+				var event client.Event
+				if err := json.Unmarshal(b, &event); err != nil {
 					return apierror.Wrap(apierror.Malformed, err, "stream line")
 				}
 				select {
-				case lines <- l:
+				case events <- event:
 					return nil
-				case <-cx.Done():
-					return apierror.New(apierror.Unreachable, "the reader is gone")
+				case <-streamCtx.Done():
+					return apierror.New(apierror.Unreachable, "the reader stopped")
 				}
 			}})
 		done <- err
 	}()
 	for {
 		select {
-		case l := <-lines:
-			if err := f(l); err != nil {
+		case event := <-events:
+			if err := handle(event); err != nil {
 				return err
 			}
 		case err := <-done:
@@ -109,31 +109,33 @@
 	}
 }
 
-func (p *Direct) sequence(ctx context.Context, f func(n *Services) (any, error)) (uint64, error) {
-	a, err := p.run(ctx, f)
-	var x struct {
+func (p *Direct) sequence(ctx context.Context, call func(services *Services) (any, error)) (uint64, error) {
+	answer, err := p.run(ctx, call)
+	var body struct {
 		Sequence uint64 `json:"sequence"`
 	}
-	_ = json.Unmarshal(marshal(a), &x)
-	return x.Sequence, err
+	_ = json.Unmarshal(marshal(answer), &body)
+	return body.Sequence, err
 }
 
-// Put puts a description.
-func (p *Direct) Put(ctx context.Context, doc []byte) (uint64, error) {
-	return p.sequence(ctx, func(n *Services) (any, error) { return n.API.Operators.Put(ctx, doc) })
+// Put submits a configuration and returns its sequence.
+func (p *Direct) Put(ctx context.Context, document []byte) (uint64, error) {
+	return p.sequence(ctx, func(services *Services) (any, error) { return services.API.Operators.Put(ctx, document) })
 }
 
-// Get reads the description's sequence back.
+// Get reads back the sequence of the configuration.
 func (p *Direct) Get(ctx context.Context) (uint64, error) {
-	return p.sequence(ctx, func(n *Services) (any, error) { return n.API.Operators.ReadConfiguration(ctx) })
+	return p.sequence(ctx,
+		func(services *Services) (any, error) { return services.API.Operators.ReadConfiguration(ctx) })
 }
 
-// Shows gives the description that the node shows, and whether it serves.
+// ShownConfiguration returns the sequence of the configuration that the node shows, and whether the
+// node serves.
 func (p *Direct) ShownConfiguration(ctx context.Context) (uint64, bool, error) {
-	n := p.Node()
-	if n == nil {
+	services := p.Node()
+	if services == nil {
 		return 0, false, apierror.New(apierror.Unreachable, "the node is down")
 	}
-	ready := n.API.Ready() == nil
-	return n.API.Operators.Store.Configuration().Sequence, ready, nil
+	ready := services.API.Ready() == nil
+	return services.API.Operators.Store.Configuration().Sequence, ready, nil
 }
--- a/internal/testing/transport/http.go
+++ b/internal/testing/transport/http.go
@@ -1,5 +1,5 @@
-// Package transport is how stand-in callers reach a node: over HTTP, or straight into a simulated
-// one.
+// Package transport lets simulated clients and operators reach a node, over HTTP or by direct calls
+// into a simulated one.
 package transport
 
 import (
@@ -16,130 +16,133 @@
 	"postjunction/internal/rawjson"
 )
 
-// Transport is one node as callers see it.
+// Transport is one node as clients and operators reach it.
 type Transport interface {
 	Attach(ctx context.Context, name string) (client.Attachment, error)
 	Send(ctx context.Context, token, topic string, call uint64, body []byte) (client.Receipt, error)
-	Follow(ctx context.Context, token string, topics []string, cursor string, f func(client.Event) error) error
+	Follow(ctx context.Context, token string, topics []string, cursor string, handle func(client.Event) error) error
 	Put(ctx context.Context, doc []byte) (uint64, error)
 	Get(ctx context.Context) (uint64, error)
 	ShownConfiguration(ctx context.Context) (seq uint64, ready bool, err error)
 }
 
-// HTTP reaches a node by its callers' address.
+// HTTP reaches a node at its HTTP address for clients.
 type HTTP struct {
 	Base   string
 	Client *http.Client
 }
 
-func (p *HTTP) call(ctx context.Context, method, path, token string, doc []byte, out any) error {
-	r, err := http.NewRequestWithContext(ctx, method, p.Base+path, bytes.NewReader(doc))
+func (p *HTTP) call(ctx context.Context, method, path, token string, document []byte, out any) error {
+	request, err := http.NewRequestWithContext(ctx, method, p.Base+path, bytes.NewReader(document))
 	if err != nil {
 		return apierror.Wrap(apierror.Usage, err, "%s", path)
 	}
 	if token != "" {
-		r.Header.Set("Authorization", "Bearer "+token)
+		request.Header.Set("Authorization", "Bearer "+token)
 	}
-	a, err := p.Client.Do(r)
+	response, err := p.Client.Do(request)
 	if err != nil {
 		return apierror.Wrap(apierror.Unreachable, err, "%s", path)
 	}
-	defer func() { _ = a.Body.Close() }()
-	b, err := io.ReadAll(a.Body)
+	defer func() { _ = response.Body.Close() }()
+	b, err := io.ReadAll(response.Body)
 	if err != nil {
 		return apierror.Wrap(apierror.Unreachable, err, "%s", path)
 	}
-	if a.StatusCode != http.StatusOK {
-		return failed(a.StatusCode, b)
+	if response.StatusCode != http.StatusOK {
+		return parseError(response.StatusCode, b)
 	}
 	return apierror.Wrap(apierror.Malformed, json.Unmarshal(b, out), "%s", path)
 }
 
-func failed(code int, b []byte) error {
-	p := &apierror.Error{}
-	if json.Unmarshal(b, p) != nil || !apierror.IsKnown(p.Code) {
-		return apierror.New(apierror.Internal, "status %d without a problem: %.80s", code, b)
+func parseError(code int, b []byte) error {
+	problem := &apierror.Error{}
+	if json.Unmarshal(b, problem) != nil || !apierror.IsKnown(problem.Code) {
+		return apierror.New(apierror.Internal, "status %d without an error body: %.80s", code, b)
 	}
-	return p
+	return problem
 }
 
-func marshal(v any) []byte {
-	b, _ := rawjson.Marshal(v)
+func marshal(value any) []byte {
+	b, _ := rawjson.Marshal(value)
 	return b
 }
 
-// Attach attaches.
-func (p *HTTP) Attach(ctx context.Context, name string) (a client.Attachment, err error) {
-	return a, p.call(ctx, http.MethodPost, "/v1/attach", "", marshal(map[string]string{"visitor": name}), &a)
+// Attach attaches a client.
+func (p *HTTP) Attach(ctx context.Context, name string) (attachment client.Attachment, err error) {
+	return attachment, p.call(ctx, http.MethodPost, "/v1/attach", "", marshal(map[string]string{"visitor": name}),
+		&attachment)
 }
 
-// Send sends.
-func (p *HTTP) Send(ctx context.Context, token, topic string, call uint64, body []byte) (r client.Receipt, err error) {
-	return r, p.call(ctx, http.MethodPost, "/v1/send", token,
-		marshal(map[string]any{"topic": topic, "call_seq": call, "body": json.RawMessage(body)}), &r)
+// Send sends a message on a topic.
+func (p *HTTP) Send(ctx context.Context, token, topic string, call uint64, body []byte) (receipt client.Receipt,
+	err error) {
+	return receipt, p.call(ctx, http.MethodPost, "/v1/send", token,
+		marshal(map[string]any{"topic": topic, "call_seq": call, "body": json.RawMessage(body)}), &receipt)
 }
 
-// Put puts a description.
-func (p *HTTP) Put(ctx context.Context, doc []byte) (uint64, error) {
-	var a struct {
+// Put submits a configuration and returns its sequence.
+func (p *HTTP) Put(ctx context.Context, document []byte) (uint64, error) {
+	var answer struct {
 		Sequence uint64 `json:"sequence"`
 	}
-	err := p.call(ctx, http.MethodPut, "/v1/description", "", doc, &a)
-	return a.Sequence, err
+	err := p.call(ctx, http.MethodPut, "/v1/description", "", document, &answer)
+	return answer.Sequence, err
 }
 
-// Get reads the description's sequence back.
+// Get reads back the sequence of the configuration.
 func (p *HTTP) Get(ctx context.Context) (uint64, error) {
-	var a struct {
+	var answer struct {
 		Sequence uint64 `json:"sequence"`
 	}
-	err := p.call(ctx, http.MethodGet, "/v1/description", "", nil, &a)
-	return a.Sequence, err
+	err := p.call(ctx, http.MethodGet, "/v1/description", "", nil, &answer)
+	return answer.Sequence, err
 }
 
-// Shows gives the description that the node shows, and whether it serves.
+// ShownConfiguration returns the sequence of the configuration that the node shows, and whether the
+// node serves.
 func (p *HTTP) ShownConfiguration(ctx context.Context) (uint64, bool, error) {
-	var a struct {
+	var answer struct {
 		Description uint64 `json:"description"`
 		Leased      bool   `json:"licensed"`
 	}
-	err := p.call(ctx, http.MethodGet, "/v1/status", "", nil, &a)
-	return a.Description, a.Leased, err
+	err := p.call(ctx, http.MethodGet, "/v1/status", "", nil, &answer)
+	return answer.Description, answer.Leased, err
 }
 
 const maxLineBytes = 4 << 20
 
-// Follow reads a stream until it ends.
+// Follow reads a stream until it ends or handle fails.
 func (p *HTTP) Follow(ctx context.Context, token string, topics []string, cursor string,
-	f func(client.Event) error) error {
-	q := url.Values{"topic": topics}
+	handle func(client.Event) error) error {
+	query := url.Values{"topic": topics}
 	if cursor != "" {
-		q.Set("cursor", cursor)
+		query.Set("cursor", cursor)
 	}
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, p.Base+"/v1/stream?"+q.Encode(), nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, p.Base+"/v1/stream?"+query.Encode(), nil)
 	if err != nil {
 		return apierror.Wrap(apierror.Usage, err, "stream")
 	}
-	r.Header.Set("Authorization", "Bearer "+token)
-	a, err := p.Client.Do(r)
+	request.Header.Set("Authorization", "Bearer "+token)
+	response, err := p.Client.Do(request)
 	if err != nil {
 		return apierror.Wrap(apierror.Unreachable, err, "stream")
 	}
-	defer func() { _ = a.Body.Close() }()
-	if a.StatusCode != http.StatusOK {
-		b, _ := io.ReadAll(a.Body)
-		return failed(a.StatusCode, b)
+	defer func() { _ = response.Body.Close() }()
+	if response.StatusCode != http.StatusOK {
+		b, _ := io.ReadAll(response.Body)
+		return parseError(response.StatusCode, b)
 	}
-	sc := bufio.NewScanner(a.Body)
-	sc.Buffer(nil, maxLineBytes)
-	for sc.Scan() {
-		var l client.Event
-		if err := json.Unmarshal(sc.Bytes(), &l); err != nil {
+	scanner := bufio.NewScanner(response.Body)
+	scanner.Buffer(nil, maxLineBytes)
+	for scanner.Scan() {
+		var event client.Event
+		if err := json.Unmarshal(scanner.Bytes(), &event); err != nil {
 			return apierror.Wrap(apierror.Malformed, err, "stream line")
 		}
-		if err := f(l); err != nil {
+		if err := handle(event); err != nil {
 			return err
 		}
 	}
-	return apierror.Wrap(apierror.Unreachable, sc.Err(), "stream")
+	return apierror.Wrap(apierror.Unreachable, scanner.Err(), "stream")
 }
