--- a/internal/testing/fleet/day.go
+++ b/internal/testing/fleet/day.go
@@ -17,7 +17,7 @@
 	"postjunction/internal/testing/transport"
 )
 
-// Day is a run of a fleet under load and faults.
+// Day is a run of a fleet under load and faults of fixed length.
 type Day struct {
 	Load     sim.Load
 	Seed     uint64
@@ -27,178 +27,180 @@
 	Next     string
 	Pairs    bool
 	Out      io.Writer
-	// Stalled is how long the machine that the day ran on stood still by itself, as far as a probe
-	// beside the fleet saw it.
+	// Stalled is how long the host that the day ran on was stalled, as measured by a probe beside
+	// the fleet.
 	Stalled time.Duration
 }
 
-// FullLoad is that of both deployments: about 600 connections, 600 kept topics at 200 messages a
-// second, 30 live topics at 20 a second, and five leads with stop-line calls.
+// FullLoad is the load of both deployments: about 600 connections, 600 retained topics at 200
+// messages a second, 30 live topics at 20 a second, and five leads with stop-line calls.
 var FullLoad = sim.Load{Callers: 600, Topics: 600, LiveTopics: 30, Leads: 5, Every: 3 * time.Second}
 
-func (d *Day) logf(f string, a ...any) {
-	_, _ = fmt.Fprintf(d.Out, time.Now().Format("15:04:05.000 ")+f+"\n", a...)
+func (d *Day) logf(format string, args ...any) {
+	_, _ = fmt.Fprintf(d.Out, time.Now().Format("15:04:05.000 ")+format+"\n", args...)
 }
 
-// callers hold each caller's zone, which may change.
+// callers are the simulated clients and the zone of each, which may change.
 type callers struct {
+	// mu guards clients and zones.
 	mu      sync.Mutex
 	clients []*httpclient.Client
-	zone    []string
+	zones   []string
 }
 
-func (c *callers) at(i int) string {
+func (c *callers) zoneOf(i int) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.zone[i]
+	return c.zones[i]
 }
 
-// dayRun is a day that is under way.
+// dayRun is a day in progress.
 type dayRun struct {
 	*Day
 	fleet   *Fleet
 	history *history.History
-	// sequence is that of the first description.
+	// sequence is that of the first configuration.
 	sequence uint64
-	// sends ends when callers send no new messages any more.
-	sends   context.Context
-	quiet   context.CancelFunc
-	workers sync.WaitGroup
-	// endProbe ends the probe of the machine, which then says in stalled how long that stood still.
+	// sends ends when clients are to send no new messages.
+	sends     context.Context
+	stopSends context.CancelFunc
+	workers   sync.WaitGroup
+	// endProbe ends the probe of the host, which then sends the time of all stalls to stalled.
 	endProbe context.CancelFunc
 	stalled  chan time.Duration
 }
 
-// add adds a caller in the zone of one of the machines, in turn, and returns its index.
+// add adds a client in the zone of one of the machines, in turn, and returns its index.
 func (c *callers) add(caller *httpclient.Client, machines []*Process) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	i := len(c.clients)
 	c.clients = append(c.clients, caller)
-	c.zone = append(c.zone, machines[i%len(machines)].Opts.Zone)
+	c.zones = append(c.zones, machines[i%len(machines)].Opts.Zone)
 	return i
 }
 
-// Run lives through the day and reports.
-func (d *Day) Run(ctx context.Context, f *Fleet) (history.Report, error) {
+// Run runs the day on a started fleet and reports.
+func (d *Day) Run(ctx context.Context, fleet *Fleet) (history.Report, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var watch sync.WaitGroup
-	watch.Go(func() { f.Watch(ctx) })
+	watch.Go(func() { fleet.Watch(ctx) })
 	defer watch.Wait()
 	defer stop()
-	r, err := d.open(ctx, f)
+	run, err := d.open(ctx, fleet)
 	if err != nil {
 		return history.Report{}, err
 	}
-	defer r.workers.Wait()
+	defer run.workers.Wait()
 	defer stop()
-	r.workers.Go(func() { d.operate(r.sends, f, r.history, r.sequence) })
+	run.workers.Go(func() { d.operate(run.sends, fleet, run.history, run.sequence) })
 	for i := range d.Load.Flood {
-		r.workers.Go(func() { d.flood(r.sends, f, i) })
+		run.workers.Go(func() { d.flood(run.sends, fleet, i) })
 	}
 	rng := rand.New(rand.NewPCG(d.Seed, 3))
 	end := time.Now().Add(d.Length)
 	wait(ctx, min(warmUp, d.Length/2))
 	for time.Now().Before(end) && ctx.Err() == nil && len(d.Faults) > 0 {
-		r.strike(ctx, rng)
+		run.runFaults(ctx, rng)
 		wait(ctx, d.Interval)
 	}
 	wait(ctx, time.Until(end))
 	wait(ctx, settings.DefaultTiming.Recovery)
-	return r.close(ctx), nil
+	return run.close(ctx), nil
 }
 
 const (
-	// warmUp is how long a day goes on before its first fault.
+	// warmUp is how long a day runs before its first fault.
 	warmUp = 10 * time.Second
-	// startTimeout is in which time all machines of a fleet must be ready.
+	// startTimeout is the time within which all machines of a fleet must be ready.
 	startTimeout = 30 * time.Second
 )
 
 // awaitReady waits until all machines are ready.
-func (d *Day) awaitReady(ctx context.Context, f *Fleet) error {
-	for begun := time.Now(); !f.AllReady(); wait(ctx, 100*time.Millisecond) {
+func (d *Day) awaitReady(ctx context.Context, fleet *Fleet) error {
+	for begun := time.Now(); !fleet.AllReady(); wait(ctx, 100*time.Millisecond) {
 		if time.Since(begun) > startTimeout || ctx.Err() != nil {
-			return apierror.New(apierror.Internal, "the fleet was not ready in %s: %s", startTimeout, f.unready())
+			return apierror.New(apierror.Internal, "the fleet was not ready in %s: %s", startTimeout, fleet.unready())
 		}
 	}
-	d.logf("all %d machines are ready", len(f.Processes))
+	d.logf("all %d machines are ready", len(fleet.Processes))
 	return nil
 }
 
-// open waits for the fleet, puts the first description and starts the callers. What it starts ends
-// with ctx.
-func (d *Day) open(ctx context.Context, f *Fleet) (*dayRun, error) {
-	if err := d.awaitReady(ctx, f); err != nil {
+// open waits for the fleet, submits the first configuration and starts the clients. Everything that
+// it starts ends with ctx.
+func (d *Day) open(ctx context.Context, fleet *Fleet) (*dayRun, error) {
+	if err := d.awaitReady(ctx, fleet); err != nil {
 		return nil, err
 	}
-	sequence, err := d.begin(ctx, f)
+	sequence, err := d.putFirstConfiguration(ctx, fleet)
 	if err != nil {
 		return nil, err
 	}
 	spread := settings.DefaultTiming.Spread
-	r := &dayRun{Day: d, fleet: f, history: history.New(), sequence: sequence, stalled: make(chan time.Duration, 1)}
-	r.history.AcceptConfiguration(0, sequence, string(d.Load.Describe(0)), time.Now())
+	run := &dayRun{Day: d, fleet: fleet, history: history.New(), sequence: sequence,
+		stalled: make(chan time.Duration, 1)}
+	run.history.AcceptConfiguration(0, sequence, string(d.Load.Describe(0)), time.Now())
 	wait(ctx, spread)
-	r.history.Bound = settings.DefaultTiming.Recovery
-	for _, p := range f.Processes {
-		r.workers.Go(func() { watchDescription(ctx, p, r.history, spread) })
+	run.history.Bound = settings.DefaultTiming.Recovery
+	for _, process := range fleet.Processes {
+		run.workers.Go(func() { watchConfiguration(ctx, process, run.history, spread) })
 	}
-	r.sends, r.quiet = context.WithCancel(ctx)
-	f.callers = &callers{}
-	f.addCallers = func(l sim.Load, seed uint64, prefix string) { r.addCallers(ctx, l, seed, prefix) }
-	f.addCallers(d.Load, d.Seed, "")
+	run.sends, run.stopSends = context.WithCancel(ctx)
+	fleet.callers = &callers{}
+	fleet.addCallers = func(load sim.Load, seed uint64, prefix string) { run.addCallers(ctx, load, seed, prefix) }
+	fleet.addCallers(d.Load, d.Seed, "")
 	probing, endProbe := context.WithCancel(ctx)
-	r.endProbe = endProbe
-	go func() { r.stalled <- d.probe(probing, f, r.history) }()
-	return r, nil
+	run.endProbe = endProbe
+	go func() { run.stalled <- d.probe(probing, fleet, run.history) }()
+	return run, nil
 }
 
-// addCallers starts the callers of a load, each in the zone of a machine.
-func (r *dayRun) addCallers(ctx context.Context, l sim.Load, seed uint64, prefix string) {
-	f := r.fleet
-	for _, c := range sim.Plan(l, seed, settings.DefaultTiming.Spread) {
-		i := f.callers.add(c, f.Processes)
-		c.Name = prefix + c.Name
-		c.Clock, c.History = clock.Real{}, r.history
-		c.Transports = func() []transport.Transport { return f.Transports(f.callers.at(i)) }
-		r.workers.Go(func() { c.Run(ctx, r.sends) })
+// addCallers starts the clients of a load, each in the zone of a machine.
+func (r *dayRun) addCallers(ctx context.Context, load sim.Load, seed uint64, prefix string) {
+	fleet := r.fleet
+	for _, client := range sim.Plan(load, seed, settings.DefaultTiming.Spread) {
+		i := fleet.callers.add(client, fleet.Processes)
+		client.Name = prefix + client.Name
+		client.Clock, client.History = clock.Real{}, r.history
+		client.Transports = func() []transport.Transport { return fleet.Transports(fleet.callers.zoneOf(i)) }
+		r.workers.Go(func() { client.Run(ctx, r.sends) })
 	}
 }
 
-// strike has one fault happen, or two, and waits for their end.
-func (r *dayRun) strike(ctx context.Context, rng *rand.Rand) {
-	var under sync.WaitGroup
-	for k := range 1 + bit[r.Pairs] {
-		p := r.fleet.Processes[rng.IntN(len(r.fleet.Processes))]
+// runFaults applies one fault, or two if Pairs is set, and waits for their end.
+func (r *dayRun) runFaults(ctx context.Context, rng *rand.Rand) {
+	var running sync.WaitGroup
+	for i := range 1 + boolToInt[r.Pairs] {
+		process := r.fleet.Processes[rng.IntN(len(r.fleet.Processes))]
 		name := r.Faults[rng.IntN(len(r.Faults))]
-		own := rand.New(rand.NewPCG(rng.Uint64(), 5))
-		under.Go(func() {
-			wait(ctx, time.Duration(k*own.IntN(3000))*time.Millisecond)
-			r.inflict(ctx, name, p, own)
+		faultRand := rand.New(rand.NewPCG(rng.Uint64(), 5))
+		running.Go(func() {
+			wait(ctx, time.Duration(i*faultRand.IntN(3000))*time.Millisecond)
+			r.applyFault(ctx, name, process, faultRand)
 		})
 	}
-	under.Wait()
+	running.Wait()
 }
 
-// inflict has a fault happen to a machine, unless that has another one.
-func (r *dayRun) inflict(ctx context.Context, name string, p *Process, rng *rand.Rand) {
-	if !r.fleet.reserve(p.Name) {
+// applyFault applies a fault to a machine, unless the machine has another one.
+func (r *dayRun) applyFault(ctx context.Context, name string, process *Process, rng *rand.Rand) {
+	if !r.fleet.reserve(process.Name) {
 		return
 	}
-	defer r.fleet.release(p.Name)
-	r.logf("%s %s", name, p.Name)
+	defer r.fleet.release(process.Name)
+	r.logf("%s %s", name, process.Name)
 	r.history.AddFault(name, time.Now())
-	if err := faults[name](ctx, r.Day, r.fleet, p, rng); err != nil {
+	if err := faults[name](ctx, r.Day, r.fleet, process, rng); err != nil {
 		r.history.Violate(history.Recovery, "%v", err)
 	}
 	r.history.AddFault("end of "+name, time.Now())
 }
 
-// close has the callers send nothing new, waits until they have caught up and judges the day.
+// close stops the sending of new messages, waits until clients have caught up, and checks the day.
 func (r *dayRun) close(ctx context.Context) history.Report {
-	r.quiet()
+	r.stopSends()
 	cut := time.Now()
 	wait(ctx, settings.DefaultTiming.Recovery)
 	r.endProbe()
@@ -206,18 +208,18 @@
 	return r.history.Check(cut, time.Now())
 }
 
-// flood sends on routine topics as fast as answers come, and comes back when told to.
-func (d *Day) flood(ctx context.Context, f *Fleet, i int) {
+// flood sends on routine topics as fast as answers arrive, and backs off as rejections advise.
+func (d *Day) flood(ctx context.Context, fleet *Fleet, i int) {
 	name, topic := fmt.Sprintf("flood%d", i), fmt.Sprintf("flood/f%d", i%d.Load.Flood)
-	for c, tok := uint64(1), ""; ctx.Err() == nil; {
-		ps := f.Transports("")
-		p := ps[i%len(ps)]
+	for call, token := uint64(1), ""; ctx.Err() == nil; {
+		transports := fleet.Transports("")
+		transport := transports[i%len(transports)]
 		var err error
-		if tok == "" {
-			a, e := p.Attach(ctx, name)
-			tok, err = a.Token, e
-		} else if _, err = p.Send(ctx, tok, topic, c, []byte(`"flood"`)); err == nil {
-			c++
+		if token == "" {
+			attachment, attachErr := transport.Attach(ctx, name)
+			token, err = attachment.Token, attachErr
+		} else if _, err = transport.Send(ctx, token, topic, call, []byte(`"flood"`)); err == nil {
+			call++
 		}
 		if err != nil {
 			wait(ctx, time.Duration(max(50, apierror.From(err).RetryAfterMS))*time.Millisecond)
--- a/internal/testing/fleet/faults.go
+++ b/internal/testing/fleet/faults.go
@@ -13,62 +13,62 @@
 	"postjunction/internal/settings"
 )
 
-type fault func(ctx context.Context, d *Day, f *Fleet, p *Process, rng *rand.Rand) error
+type fault func(ctx context.Context, day *Day, fleet *Fleet, process *Process, rng *rand.Rand) error
 
 func downtime(rng *rand.Rand) time.Duration { return time.Duration(2+rng.IntN(12)) * time.Second }
 
-func wait(ctx context.Context, t time.Duration) { _ = clock.Real{}.Sleep(ctx, t) }
+func wait(ctx context.Context, delay time.Duration) { _ = clock.Real{}.Sleep(ctx, delay) }
 
 var faults = map[string]fault{
-	"kill": func(ctx context.Context, d *Day, _ *Fleet, p *Process, rng *rand.Rand) error {
-		p.Kill()
+	"kill": func(ctx context.Context, day *Day, _ *Fleet, process *Process, rng *rand.Rand) error {
+		process.Kill()
 		wait(ctx, downtime(rng))
-		return p.Start()
+		return process.Start()
 	},
-	"stop": func(ctx context.Context, d *Day, _ *Fleet, p *Process, rng *rand.Rand) error {
-		if t := p.Signal(syscall.SIGTERM, true); t > 6*time.Second {
-			return apierror.New(apierror.Internal, "%s took %s to stop", p.Name, t)
+	"stop": func(ctx context.Context, day *Day, _ *Fleet, process *Process, rng *rand.Rand) error {
+		if t := process.Signal(syscall.SIGTERM, true); t > 6*time.Second {
+			return apierror.New(apierror.Internal, "%s took %s to stop", process.Name, t)
 		}
 		wait(ctx, downtime(rng))
-		return p.Start()
+		return process.Start()
 	},
-	"freeze": func(ctx context.Context, d *Day, _ *Fleet, p *Process, rng *rand.Rand) error {
-		p.Signal(syscall.SIGSTOP, false)
+	"freeze": func(ctx context.Context, day *Day, _ *Fleet, process *Process, rng *rand.Rand) error {
+		process.Signal(syscall.SIGSTOP, false)
 		wait(ctx, downtime(rng))
-		p.Signal(syscall.SIGCONT, false)
+		process.Signal(syscall.SIGCONT, false)
 		return nil
 	},
-	"wipe": func(ctx context.Context, d *Day, _ *Fleet, p *Process, rng *rand.Rand) error {
-		if p.Opts.Disk == settings.DiskNone {
-			p.Kill()
-		} else if err := p.LoseDisk(); err != nil {
+	"wipe": func(ctx context.Context, day *Day, _ *Fleet, process *Process, rng *rand.Rand) error {
+		if process.Opts.Disk == settings.DiskNone {
+			process.Kill()
+		} else if err := process.LoseDisk(); err != nil {
 			return err
 		}
 		wait(ctx, downtime(rng))
-		return p.Start()
+		return process.Start()
 	},
 }
 
-func (f *Fleet) choose(rng *rand.Rand, n int, ok func(*Process) bool) []*Process {
-	var ps []*Process
-	for _, p := range f.Processes {
-		if ok(p) {
-			ps = append(ps, p)
+func (f *Fleet) choose(rng *rand.Rand, count int, eligible func(*Process) bool) []*Process {
+	var chosen []*Process
+	for _, process := range f.Processes {
+		if eligible(process) {
+			chosen = append(chosen, process)
 		}
 	}
-	rng.Shuffle(len(ps), func(a, b int) { ps[a], ps[b] = ps[b], ps[a] })
-	return ps[:min(n, len(ps))]
+	rng.Shuffle(len(chosen), func(a, b int) { chosen[a], chosen[b] = chosen[b], chosen[a] })
+	return chosen[:min(count, len(chosen))]
 }
 
-func killAll(ctx context.Context, ps []*Process, pause time.Duration) error {
+func killAll(ctx context.Context, processes []*Process, pause time.Duration) error {
 	var wg sync.WaitGroup
-	for _, p := range ps {
-		wg.Go(p.Kill)
+	for _, process := range processes {
+		wg.Go(process.Kill)
 	}
 	wg.Wait()
 	wait(ctx, pause)
-	for _, p := range ps {
-		if err := p.Start(); err != nil {
+	for _, process := range processes {
+		if err := process.Start(); err != nil {
 			return err
 		}
 	}
@@ -81,47 +81,47 @@
 )
 
 func init() {
-	faults["many"] = func(ctx context.Context, d *Day, f *Fleet, _ *Process, rng *rand.Rand) error {
-		return killAll(ctx, f.choose(rng, 3+rng.IntN(3), func(*Process) bool { return true }), downtime(rng)/2)
+	faults["many"] = func(ctx context.Context, day *Day, fleet *Fleet, _ *Process, rng *rand.Rand) error {
+		return killAll(ctx, fleet.choose(rng, 3+rng.IntN(3), func(*Process) bool { return true }), downtime(rng)/2)
 	}
-	faults["reset"] = func(ctx context.Context, d *Day, f *Fleet, _ *Process, rng *rand.Rand) error {
-		return killAll(ctx, f.choose(rng, len(f.Processes), func(p *Process) bool {
-			return p.Opts.Disk == settings.DiskNone
+	faults["reset"] = func(ctx context.Context, day *Day, fleet *Fleet, _ *Process, rng *rand.Rand) error {
+		return killAll(ctx, fleet.choose(rng, len(fleet.Processes), func(process *Process) bool {
+			return process.Opts.Disk == settings.DiskNone
 		}), time.Second)
 	}
-	faults["fleet"] = func(ctx context.Context, d *Day, f *Fleet, _ *Process, rng *rand.Rand) error {
-		return killAll(ctx, f.Processes, time.Second)
+	faults["fleet"] = func(ctx context.Context, day *Day, fleet *Fleet, _ *Process, rng *rand.Rand) error {
+		return killAll(ctx, fleet.Processes, time.Second)
 	}
-	faults["slow"] = func(ctx context.Context, d *Day, _ *Fleet, p *Process, rng *rand.Rand) error {
+	faults["slow"] = func(ctx context.Context, day *Day, _ *Fleet, process *Process, rng *rand.Rand) error {
 		for range slowSteps {
-			p.Signal(syscall.SIGSTOP, false)
+			process.Signal(syscall.SIGSTOP, false)
 			wait(ctx, slowStep)
-			p.Signal(syscall.SIGCONT, false)
+			process.Signal(syscall.SIGCONT, false)
 			wait(ctx, slowStep)
 		}
 		return nil
 	}
-	faults["settings"] = func(ctx context.Context, d *Day, _ *Fleet, p *Process, rng *rand.Rand) error {
-		o := p.Opts
-		o.Backlog = 256 + rng.IntN(512)
+	faults["settings"] = func(ctx context.Context, day *Day, _ *Fleet, process *Process, rng *rand.Rand) error {
+		options := process.Opts
+		options.Backlog = 256 + rng.IntN(512)
 		if rng.IntN(2) == 0 {
-			o.Zone = "elsewhere"
+			options.Zone = "elsewhere"
 		}
-		if err := p.Write(o); err != nil {
+		if err := process.Write(options); err != nil {
 			return err
 		}
 		wait(ctx, 3*time.Second)
-		return p.Write(p.Opts)
+		return process.Write(process.Opts)
 	}
-	faults["upgrade"] = func(ctx context.Context, d *Day, f *Fleet, _ *Process, rng *rand.Rand) error {
-		for _, p := range f.choose(rng, len(f.Processes), func(*Process) bool { return true }) {
-			if t := p.Signal(syscall.SIGTERM, true); t > 6*time.Second {
-				return apierror.New(apierror.Internal, "%s took %s to stop", p.Name, t)
+	faults["upgrade"] = func(ctx context.Context, day *Day, fleet *Fleet, _ *Process, rng *rand.Rand) error {
+		for _, process := range fleet.choose(rng, len(fleet.Processes), func(*Process) bool { return true }) {
+			if t := process.Signal(syscall.SIGTERM, true); t > 6*time.Second {
+				return apierror.New(apierror.Internal, "%s took %s to stop", process.Name, t)
 			}
-			if d.Next != "" {
-				p.bin = d.Next
+			if day.Next != "" {
+				process.bin = day.Next
 			}
-			if err := p.Start(); err != nil {
+			if err := process.Start(); err != nil {
 				return err
 			}
 			wait(ctx, 3*time.Second)
@@ -130,12 +130,12 @@
 	}
 }
 
-// FaultNames lists the faults that processes can show.
+// FaultNames lists the faults that can be applied to processes.
 func FaultNames() []string {
-	var s []string
-	for n := range faults {
-		s = append(s, n)
+	var names []string
+	for name := range faults {
+		names = append(names, name)
 	}
-	slices.Sort(s)
-	return s
+	slices.Sort(names)
+	return names
 }
--- a/internal/testing/fleet/fleet.go
+++ b/internal/testing/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet runs deployments as real processes on loopback, for tests only; no node starts a
-// process.
+// Package fleet runs deployments as real processes on loopback. It is for tests only: no node
+// starts a process.
 package fleet
 
 import (
@@ -23,7 +23,7 @@
 // Site is a deployment.
 type Site struct {
 	Zones, Control, Access, Stores int
-	// RoundTrip is how far two zones are from each other, there and back.
+	// RoundTrip is the round-trip time between two zones.
 	RoundTrip time.Duration
 }
 
@@ -34,7 +34,7 @@
 	"traductores": {Zones: 4, Control: 4, Access: 6, Stores: 4, RoundTrip: 1500 * time.Microsecond},
 }
 
-// Fleet is a deployment on this machine.
+// Fleet is a deployment on this host.
 type Fleet struct {
 	Processes  []*Process
 	byName     map[string]*Process
@@ -42,82 +42,90 @@
 	callers    *callers
 	addCallers func(l sim.Load, seed uint64, prefix string)
 	busy       map[string]bool
-	mu         sync.Mutex
-	ready      map[string]bool
+	// mu guards busy and ready.
+	mu    sync.Mutex
+	ready map[string]bool
 }
 
-// New writes the settings of a site's machines under dir. With base 0 the ports are free ones, else
-// callers' ports count up from base and peers' ports from base+100. Unless direct, a relay stands
-// between the machines.
-func New(bin, dir string, s Site, base int, direct bool, edit func(*settings.Options)) (*Fleet, error) {
-	f := &Fleet{byName: map[string]*Process{}, ready: map[string]bool{}, Relay: newRelay(s.RoundTrip)}
+// New writes the settings of a site's machines under dir. With base 0 free ports are chosen.
+// Otherwise the ports for clients count up from base, and those for peers from base+100. Unless
+// direct is set, connections between the machines go through a relay.
+func New(bin, dir string, site Site, base int, direct bool, edit func(*settings.Options)) (*Fleet, error) {
+	fleet := &Fleet{byName: map[string]*Process{}, ready: map[string]bool{}, Relay: newRelay(site.RoundTrip)}
 	var seeds []string
-	k := 0
-	add := func(kind, disk string, n int) error {
-		for i := range n {
-			k++
-			o := settings.Default()
-			o.Name, o.Zone, o.Disk = fmt.Sprintf("%s%d", kind, i+1), fmt.Sprintf("z%d", i%s.Zones+1), disk
-			o.Listen, o.PeerListen = fmt.Sprintf("127.0.0.1:%d", base+k), fmt.Sprintf("127.0.0.1:%d", base+100+k)
+	count := 0
+	add := func(kind, disk string, number int) error {
+		for i := range number {
+			count++
+			options := settings.Default()
+			options.Name, options.Zone, options.Disk = fmt.Sprintf("%s%d", kind, i+1),
+				fmt.Sprintf("z%d", i%site.Zones+1), disk
+			options.Listen, options.PeerListen = fmt.Sprintf("127.0.0.1:%d", base+count),
+				fmt.Sprintf("127.0.0.1:%d", base+100+count)
 			if base == 0 {
 				var err error
-				if o.Listen, err = freePort(); err != nil {
+				if options.Listen, err = freePort(); err != nil {
 					return err
 				}
-				if o.PeerListen, err = freePort(); err != nil {
+				if options.PeerListen, err = freePort(); err != nil {
 					return err
 				}
 			}
 			if disk != settings.DiskNone {
-				o.DataDir = filepath.Join(dir, o.Name)
+				options.DataDir = filepath.Join(dir, options.Name)
 			}
 			var err error
 			if !direct {
-				if o.PeerAddress, err = f.Relay.serve(o.Name, o.Zone, o.PeerListen); err != nil {
+				if options.PeerAddress, err = fleet.Relay.serve(options.Name, options.Zone,
+					options.PeerListen); err != nil {
 					return err
 				}
 			}
 			if disk == settings.DiskControl && len(seeds) < 3 {
-				seeds = append(seeds, o.DialAddress())
+				seeds = append(seeds, options.DialAddress())
 			}
 			if edit != nil {
-				edit(&o)
+				edit(&options)
 			}
-			t := &http.Transport{MaxIdleConnsPerHost: 256, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
-			p := &Process{Name: o.Name, Opts: o, bin: bin, dir: dir, file: filepath.Join(dir, o.Name+".json"),
-				port: &transport.HTTP{Base: "http://" + o.Listen, Client: &http.Client{Transport: t}}}
-			f.Processes = append(f.Processes, p)
-			f.byName[o.Name] = p
+			httpTransport := &http.Transport{MaxIdleConnsPerHost: 256,
+				DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
+			process := &Process{Name: options.Name, Opts: options, bin: bin, dir: dir,
+				file: filepath.Join(dir, options.Name+".json"),
+				transport: &transport.HTTP{Base: "http://" + options.Listen,
+					Client: &http.Client{Transport: httpTransport}}}
+			fleet.Processes = append(fleet.Processes, process)
+			fleet.byName[options.Name] = process
 		}
 		return nil
 	}
-	for _, x := range []struct {
+	for _, group := range []struct {
 		kind, disk string
-		n          int
-	}{{"c", settings.DiskControl, s.Control}, {"a", settings.DiskNone, s.Access}, {"s", settings.DiskStorage, s.Stores}} {
-		if err := add(x.kind, x.disk, x.n); err != nil {
+		count      int
+	}{{"c", settings.DiskControl, site.Control}, {"a", settings.DiskNone, site.Access},
+		{"s", settings.DiskStorage, site.Stores}} {
+		if err := add(group.kind, group.disk, group.count); err != nil {
 			return nil, err
 		}
 	}
 	if err := os.MkdirAll(dir, 0o750); err != nil {
 		return nil, apierror.Wrap(apierror.Usage, err, "folder %s", dir)
 	}
-	for _, p := range f.Processes {
-		p.Opts.Seeds = seeds
-		if err := p.Write(p.Opts); err != nil {
+	for _, process := range fleet.Processes {
+		process.Opts.Seeds = seeds
+		if err := process.Write(process.Opts); err != nil {
 			return nil, err
 		}
 	}
-	return f, nil
+	return fleet, nil
 }
 
-// Get finds a machine.
-func (f *Fleet) Get(n string) *Process { return f.byName[n] }
+// Get returns the machine with a name.
+func (f *Fleet) Get(name string) *Process { return f.byName[name] }
 
 // Start starts all machines.
 func (f *Fleet) Start() error {
-	for _, p := range f.Processes {
-		if err := p.Start(); err != nil {
+	for _, process := range f.Processes {
+		if err := process.Start(); err != nil {
 			return err
 		}
 	}
@@ -127,45 +135,45 @@
 // Stop ends all machines.
 func (f *Fleet) Stop() {
 	var wg sync.WaitGroup
-	for _, p := range f.Processes {
+	for _, process := range f.Processes {
 		wg.Go(func() {
-			p.Signal(syscall.SIGCONT, false)
-			p.Signal(syscall.SIGTERM, true)
+			process.Signal(syscall.SIGCONT, false)
+			process.Signal(syscall.SIGTERM, true)
 		})
 	}
 	wg.Wait()
 	f.Relay.close()
 }
 
-// reserve takes a machine for a fault, unless another one has it.
-func (f *Fleet) reserve(n string) bool {
+// reserve reserves a machine for a fault. It reports false if another fault has it.
+func (f *Fleet) reserve(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.busy == nil {
 		f.busy = map[string]bool{}
 	}
-	if f.busy[n] {
+	if f.busy[name] {
 		return false
 	}
-	f.busy[n] = true
+	f.busy[name] = true
 	return true
 }
 
-func (f *Fleet) release(n string) {
+func (f *Fleet) release(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.busy, n)
+	delete(f.busy, name)
 }
 
-// Watch asks every machine once a second whether it is ready, as the platform does.
+// Watch asks every machine once a second whether it is ready, as the users' platform does.
 func (f *Fleet) Watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		var wg sync.WaitGroup
-		for _, p := range f.Processes {
+		for _, process := range f.Processes {
 			wg.Go(func() {
-				ok := p.Probe(ctx)
+				ok := process.Probe(ctx)
 				f.mu.Lock()
-				f.ready[p.Name] = ok
+				f.ready[process.Name] = ok
 				f.mu.Unlock()
 			})
 		}
@@ -177,55 +185,57 @@
 	}
 }
 
-// AllReady tells whether every machine answered that it is ready.
+// AllReady reports whether every machine last answered that it is ready.
 func (f *Fleet) AllReady() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	n := 0
+	ready := 0
 	for _, ok := range f.ready {
 		if ok {
-			n++
+			ready++
 		}
 	}
-	return n == len(f.Processes)
+	return ready == len(f.Processes)
 }
 
-// unready names the machines that are not, each with the end of its log.
+// unready names the machines that are not ready, each with the end of its log.
 func (f *Fleet) unready() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := ""
-	for _, p := range f.Processes {
-		if !f.ready[p.Name] {
-			b := p.logContents()
-			s += fmt.Sprintf("\n%s: %s", p.Name, b[max(0, len(b)-logTailBytes):])
+	logs := ""
+	for _, process := range f.Processes {
+		if !f.ready[process.Name] {
+			content := process.logContents()
+			logs += fmt.Sprintf("\n%s: %s", process.Name, content[max(0, len(content)-logTailBytes):])
 		}
 	}
-	return s
+	return logs
 }
 
-// Ports gives the access machines of a zone that are ready, or of any zone when none is.
+// Transports returns transports to the ready machines of a zone that are not storage nodes. If
+// there are none, it returns those of any zone, and if there are none either, those of all
+// machines.
 func (f *Fleet) Transports(zone string) []transport.Transport {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var near, far []transport.Transport
-	for _, p := range f.Processes {
-		if !f.ready[p.Name] || strings.HasPrefix(p.Name, "s") {
+	var inZone, ready []transport.Transport
+	for _, process := range f.Processes {
+		if !f.ready[process.Name] || strings.HasPrefix(process.Name, "s") {
 			continue
 		}
-		far = append(far, p.port)
-		if p.Opts.Zone == zone {
-			near = append(near, p.port)
+		ready = append(ready, process.transport)
+		if process.Opts.Zone == zone {
+			inZone = append(inZone, process.transport)
 		}
 	}
-	if len(near) > 0 {
-		return near
+	if len(inZone) > 0 {
+		return inZone
 	}
-	if len(far) > 0 {
-		return far
+	if len(ready) > 0 {
+		return ready
 	}
-	for _, p := range f.Processes {
-		far = append(far, p.port)
+	for _, process := range f.Processes {
+		ready = append(ready, process.transport)
 	}
-	return far
+	return ready
 }
--- a/internal/testing/fleet/fleet_test.go
+++ b/internal/testing/fleet/fleet_test.go
@@ -26,43 +26,42 @@
 }
 
 func start(t *testing.T, bin string) *Fleet {
-	f, err := New(bin, t.ArtifactDir(), Sites["small"], 0, false, nil)
+	fleet, err := New(bin, t.ArtifactDir(), Sites["small"], 0, false, nil)
 	assert.NilError(t, err)
-	assert.NilError(t, f.Start())
+	assert.NilError(t, fleet.Start())
 	t.Cleanup(func() {
-		for _, p := range f.Processes {
-			p.Kill()
+		for _, process := range fleet.Processes {
+			process.Kill()
 			if t.Failed() {
-				t.Logf("%s:\n%s", p.Name, p.logContents())
+				t.Logf("%s:\n%s", process.Name, process.logContents())
 			}
 		}
 	})
-	return f
+	return fleet
 }
 
-// A day of real processes with one machine of each kind killed.
+// Runs a day of real processes in which machines are killed and stopped.
 func TestDayWithKills(t *testing.T) {
-	f := start(t, build(t))
-	d := &Day{Load: sim.Load{Callers: 40, Topics: 30, LiveTopics: 4, Leads: 2, Every: time.Second}, Seed: 5,
+	fleet := start(t, build(t))
+	day := &Day{Load: sim.Load{Callers: 40, Topics: 30, LiveTopics: 4, Leads: 2, Every: time.Second}, Seed: 5,
 		Length: 24 * time.Second, Interval: 4 * time.Second, Faults: []string{"kill", "stop"}, Out: testWriter{t}}
-	r, err := d.Run(context.Background(), f)
+	report, err := day.Run(context.Background(), fleet)
 	assert.NilError(t, err)
-	for _, v := range r.Violations {
-		t.Errorf("%s: %s", v.Rule, v.Message)
+	for _, violation := range report.Violations {
+		t.Errorf("%s: %s", violation.Rule, violation.Message)
 	}
-	assert.Assert(t, r.Accepted > 300, "taken %d", r.Accepted)
-	t.Logf("taken %d receipts %d longest wait to be taken %s, longest wait %s (%s at %s from %s on), "+
-		"undisturbed %s, the machine stood still for %s",
-		r.Accepted, r.Receipts, max(r.Routine.Max, r.Urgent.Max),
-		r.Longest.Total, r.Longest.Kind, r.Longest.Place, r.Longest.From.Format("04:05.000"),
-		r.LongestUndisturbed.Undisturbed, d.Stalled)
-	assert.Assert(t, r.LongestUndisturbed.Undisturbed < settings.DefaultTiming.Recovery,
-		"%s at %s waited %s with nothing new going wrong", r.LongestUndisturbed.Kind, r.LongestUndisturbed.Place,
-		r.LongestUndisturbed.Undisturbed)
-	// Where the machine under the fleet stood still by itself, the wait as a whole says nothing of
-	// the fleet.
-	assert.Assert(t, d.Stalled > 0 || max(r.Routine.Max, r.Urgent.Max) < settings.DefaultTiming.Recovery,
-		"a caller waited %s", max(r.Routine.Max, r.Urgent.Max))
+	assert.Assert(t, report.Accepted > 300, "accepted %d", report.Accepted)
+	t.Logf("accepted %d receipts %d longest wait to be accepted %s, longest wait %s (%s at %s from %s on), "+
+		"undisturbed %s, the host stalled for %s",
+		report.Accepted, report.Receipts, max(report.Routine.Max, report.Urgent.Max),
+		report.Longest.Total, report.Longest.Kind, report.Longest.Place, report.Longest.From.Format("04:05.000"),
+		report.LongestUndisturbed.Undisturbed, day.Stalled)
+	assert.Assert(t, report.LongestUndisturbed.Undisturbed < settings.DefaultTiming.Recovery,
+		"%s at %s waited %s without a new fault", report.LongestUndisturbed.Kind, report.LongestUndisturbed.Place,
+		report.LongestUndisturbed.Undisturbed)
+	// If the host stalled, the length of a whole wait says nothing about the fleet.
+	assert.Assert(t, day.Stalled > 0 || max(report.Routine.Max, report.Urgent.Max) < settings.DefaultTiming.Recovery,
+		"a client waited %s", max(report.Routine.Max, report.Urgent.Max))
 }
 
 type testWriter struct{ t *testing.T }
@@ -72,45 +71,45 @@
 	return len(b), nil
 }
 
-func logged(p *Process, what string) poll.Check {
+func logged(process *Process, text string) poll.Check {
 	return func(poll.LogT) poll.Result {
-		b, err := os.ReadFile(filepath.Join(p.dir, p.Name+".log"))
-		if err == nil && strings.Contains(string(b), what) {
+		b, err := os.ReadFile(filepath.Join(process.dir, process.Name+".log"))
+		if err == nil && strings.Contains(string(b), text) {
 			return poll.Success()
 		}
-		return poll.Continue("%s has not logged %q", p.Name, what)
+		return poll.Continue("%s has not logged %q", process.Name, text)
 	}
 }
 
-// Settings changed under a running node are applied, or turned away whole.
+// Settings changed under a running node are applied, or rejected as a whole.
 func TestSettingsChangeUnderARunningNode(t *testing.T) {
-	f := start(t, build(t))
-	p := f.Get("a1")
-	poll.WaitOn(t, logged(p, "event=101"), poll.WithTimeout(10*time.Second))
-	o := p.Opts
-	o.Backlog = 99
-	assert.NilError(t, p.Write(o))
-	poll.WaitOn(t, logged(p, "event=104"), poll.WithTimeout(10*time.Second))
-	o.Zone, o.Backlog = "z2", 100
-	assert.NilError(t, p.Write(o))
-	poll.WaitOn(t, logged(p, `field \"zone\" can't change`), poll.WithTimeout(10*time.Second))
-	assert.NilError(t, os.WriteFile(p.file, []byte("{"), 0o600))
-	poll.WaitOn(t, logged(p, "unexpected EOF"), poll.WithTimeout(10*time.Second))
+	fleet := start(t, build(t))
+	process := fleet.Get("a1")
+	poll.WaitOn(t, logged(process, "event=101"), poll.WithTimeout(10*time.Second))
+	options := process.Opts
+	options.Backlog = 99
+	assert.NilError(t, process.Write(options))
+	poll.WaitOn(t, logged(process, "event=104"), poll.WithTimeout(10*time.Second))
+	options.Zone, options.Backlog = "z2", 100
+	assert.NilError(t, process.Write(options))
+	poll.WaitOn(t, logged(process, `field \"zone\" can't change`), poll.WithTimeout(10*time.Second))
+	assert.NilError(t, os.WriteFile(process.file, []byte("{"), 0o600))
+	poll.WaitOn(t, logged(process, "unexpected EOF"), poll.WithTimeout(10*time.Second))
 }
 
-// Ports came from the range that the system gives out by itself; a relay or a connection could take
-// one before its process started, and the fleet was never ready.
+// Ports from the range that the system assigns by itself could be in use by a relay or a connection
+// before their process started, and the fleet was never ready.
 func TestPortsLieBelowThoseTheSystemGivesOut(t *testing.T) {
 	seen := map[string]bool{}
 	for range 200 {
-		a, err := freePort()
+		address, err := freePort()
 		assert.NilError(t, err)
-		assert.Assert(t, !seen[a], "%s was given twice", a)
-		seen[a] = true
-		_, port, err := net.SplitHostPort(a)
+		assert.Assert(t, !seen[address], "%s was returned twice", address)
+		seen[address] = true
+		_, port, err := net.SplitHostPort(address)
 		assert.NilError(t, err)
-		n, err := strconv.Atoi(port)
+		number, err := strconv.Atoi(port)
 		assert.NilError(t, err)
-		assert.Assert(t, n >= portsFrom && n < portsTo, "%d", n)
+		assert.Assert(t, number >= portsFrom && number < portsTo, "%d", number)
 	}
 }
--- a/internal/testing/fleet/links.go
+++ b/internal/testing/fleet/links.go
@@ -19,160 +19,162 @@
 	"postjunction/internal/settings"
 )
 
-var bit = map[bool]int{true: 1}
+var boolToInt = map[bool]int{true: 1}
 
-func after(ctx context.Context, t time.Duration, undo ...func()) {
-	wait(ctx, t)
-	for _, f := range undo {
-		f()
+func waitAndUndo(ctx context.Context, delay time.Duration, undo ...func()) {
+	wait(ctx, delay)
+	for _, restore := range undo {
+		restore()
 	}
 }
 
-// full makes a process's files as large as they may be: every further write fails as on a full
-// disk.
-func (p *Process) full(on bool) error {
+// limitFiles limits the size of a process's files, so that every further write fails as on a full
+// disk, or lifts the limit.
+func (p *Process) limitFiles(limit bool) error {
 	p.mu.Lock()
-	c := p.cmd
+	command := p.cmd
 	p.mu.Unlock()
-	if c == nil {
+	if command == nil {
 		return nil
 	}
-	most := uint64(math.MaxUint64)
-	if on {
-		most = 1
+	maxBytes := uint64(math.MaxUint64)
+	if limit {
+		maxBytes = 1
 	}
-	return apierror.Wrap(apierror.Internal, unix.Prlimit(c.Process.Pid, unix.RLIMIT_FSIZE,
-		&unix.Rlimit{Cur: most, Max: math.MaxUint64}, nil), "limit the files of %s", p.Name)
+	return apierror.Wrap(apierror.Internal, unix.Prlimit(command.Process.Pid, unix.RLIMIT_FSIZE,
+		&unix.Rlimit{Cur: maxBytes, Max: math.MaxUint64}, nil), "limit the file size of %s", p.Name)
 }
 
-func (f *Fleet) ask(ctx context.Context, method, path, doc string) (string, error) {
-	for _, p := range f.Processes {
-		if !strings.HasPrefix(p.Name, "c") {
+func (f *Fleet) askControl(ctx context.Context, method, path, doc string) (string, error) {
+	for _, process := range f.Processes {
+		if !strings.HasPrefix(process.Name, "c") {
 			continue
 		}
-		cx, stop := context.WithTimeout(ctx, settings.DefaultTiming.Recovery)
-		r, err := http.NewRequestWithContext(cx, method, p.port.Base+path, strings.NewReader(doc))
+		requestCtx, cancel := context.WithTimeout(ctx, settings.DefaultTiming.Recovery)
+		request, err := http.NewRequestWithContext(requestCtx, method, process.transport.Base+path,
+			strings.NewReader(doc))
 		if err == nil {
-			var a *http.Response
-			if a, err = p.port.Client.Do(r); err == nil {
-				b, _ := io.ReadAll(a.Body)
-				_ = a.Body.Close()
-				stop()
-				if a.StatusCode < http.StatusBadRequest {
-					return string(b), nil
+			var response *http.Response
+			if response, err = process.transport.Client.Do(request); err == nil {
+				body, _ := io.ReadAll(response.Body)
+				_ = response.Body.Close()
+				cancel()
+				if response.StatusCode < http.StatusBadRequest {
+					return string(body), nil
 				}
-				if a.StatusCode < http.StatusInternalServerError {
-					return "", failed(b)
+				if response.StatusCode < http.StatusInternalServerError {
+					return "", parseError(body)
 				}
 				continue
 			}
 		}
-		stop()
+		cancel()
 	}
 	return "", apierror.New(apierror.Unreachable, "no control node answered %s", path)
 }
 
 func init() {
-	faults["cut"] = func(ctx context.Context, _ *Day, f *Fleet, p *Process, rng *rand.Rand) error {
-		after(ctx, downtime(rng), f.Relay.Cut(p.Name, all), f.Relay.Cut(all, p.Name))
+	faults["cut"] = func(ctx context.Context, _ *Day, fleet *Fleet, process *Process, rng *rand.Rand) error {
+		waitAndUndo(ctx, downtime(rng), fleet.Relay.Cut(process.Name, all), fleet.Relay.Cut(all, process.Name))
 		return nil
 	}
-	faults["oneway"] = func(ctx context.Context, _ *Day, f *Fleet, p *Process, rng *rand.Rand) error {
-		undo := []func(){f.Relay.Cut(all, p.Name)}
+	faults["oneway"] = func(ctx context.Context, _ *Day, fleet *Fleet, process *Process, rng *rand.Rand) error {
+		undo := []func(){fleet.Relay.Cut(all, process.Name)}
 		if rng.IntN(2) == 0 {
 			undo[0]()
 			undo = undo[:0]
-			for _, q := range f.choose(rng, 3, func(*Process) bool { return true }) {
-				undo = append(undo, f.Relay.Cut(p.Name, q.Name))
+			for _, other := range fleet.choose(rng, 3, func(*Process) bool { return true }) {
+				undo = append(undo, fleet.Relay.Cut(process.Name, other.Name))
 			}
 		}
-		after(ctx, downtime(rng), undo...)
+		waitAndUndo(ctx, downtime(rng), undo...)
 		return nil
 	}
-	faults["zone"] = func(ctx context.Context, _ *Day, f *Fleet, p *Process, rng *rand.Rand) error {
+	faults["zone"] = func(ctx context.Context, _ *Day, fleet *Fleet, process *Process, rng *rand.Rand) error {
 		var undo []func()
-		in, out := f.Relay.Zone(p.Opts.Zone)
-		for _, a := range in {
-			for _, b := range out {
-				undo = append(undo, f.Relay.Cut(a, b), f.Relay.Cut(b, a))
+		insiders, outsiders := fleet.Relay.Zone(process.Opts.Zone)
+		for _, inside := range insiders {
+			for _, outside := range outsiders {
+				undo = append(undo, fleet.Relay.Cut(inside, outside), fleet.Relay.Cut(outside, inside))
 			}
 		}
-		after(ctx, downtime(rng), undo...)
+		waitAndUndo(ctx, downtime(rng), undo...)
 		return nil
 	}
-	faults["loss"] = func(ctx context.Context, _ *Day, f *Fleet, _ *Process, rng *rand.Rand) error {
-		after(ctx, downtime(rng), f.Relay.Lose(0.05+0.1*rng.Float64()))
+	faults["loss"] = func(ctx context.Context, _ *Day, fleet *Fleet, _ *Process, rng *rand.Rand) error {
+		waitAndUndo(ctx, downtime(rng), fleet.Relay.Lose(0.05+0.1*rng.Float64()))
 		return nil
 	}
-	faults["connections"] = func(ctx context.Context, d *Day, f *Fleet, _ *Process, _ *rand.Rand) error {
-		n := f.Relay.Reset(0.8)
-		f.callers.move(0.8)
-		d.logf("%d connections between machines and most callers' were reset", n)
+	faults["connections"] = func(ctx context.Context, day *Day, fleet *Fleet, _ *Process, _ *rand.Rand) error {
+		count := fleet.Relay.Reset(0.8)
+		fleet.callers.move(0.8)
+		day.logf("%d connections between machines and those of most clients were reset", count)
 		return nil
 	}
-	faults["move"] = func(ctx context.Context, _ *Day, f *Fleet, p *Process, _ *rand.Rand) error {
-		f.callers.to(0.2, p.Opts.Zone)
+	faults["move"] = func(ctx context.Context, _ *Day, fleet *Fleet, process *Process, _ *rand.Rand) error {
+		fleet.callers.moveToZone(0.2, process.Opts.Zone)
 		return nil
 	}
-	faults["arrive"] = func(ctx context.Context, d *Day, f *Fleet, p *Process, rng *rand.Rand) error {
-		l := d.Load
-		l.Callers = max(1, l.Callers/6)
-		f.addCallers(l, rng.Uint64(), fmt.Sprintf("late%d-", rng.IntN(1e9)))
+	faults["arrive"] = func(ctx context.Context, day *Day, fleet *Fleet, process *Process, rng *rand.Rand) error {
+		load := day.Load
+		load.Callers = max(1, load.Callers/6)
+		fleet.addCallers(load, rng.Uint64(), fmt.Sprintf("late%d-", rng.IntN(1e9)))
 		return nil
 	}
-	faults["full"] = func(ctx context.Context, _ *Day, f *Fleet, p *Process, rng *rand.Rand) error {
-		if p.Opts.Disk == settings.DiskNone {
-			p = f.choose(rng, 1, func(q *Process) bool { return q.Opts.Disk != settings.DiskNone })[0]
+	faults["full"] = func(ctx context.Context, _ *Day, fleet *Fleet, process *Process, rng *rand.Rand) error {
+		if process.Opts.Disk == settings.DiskNone {
+			process = fleet.choose(rng, 1,
+				func(candidate *Process) bool { return candidate.Opts.Disk != settings.DiskNone })[0]
 		}
-		if err := p.full(true); err != nil {
+		if err := process.limitFiles(true); err != nil {
 			return err
 		}
 		wait(ctx, downtime(rng))
-		return p.full(false)
+		return process.limitFiles(false)
 	}
-	faults["drain"] = func(ctx context.Context, d *Day, f *Fleet, _ *Process, rng *rand.Rand) error {
-		p := f.choose(rng, 1, func(q *Process) bool { return q.Opts.HasStorageDisk() })[0]
-		a, err := f.ask(ctx, http.MethodPost, "/v1/drain", `{"node":"`+p.Name+`"}`)
+	faults["drain"] = func(ctx context.Context, day *Day, fleet *Fleet, _ *Process, rng *rand.Rand) error {
+		process := fleet.choose(rng, 1, func(candidate *Process) bool { return candidate.Opts.HasStorageDisk() })[0]
+		answer, err := fleet.askControl(ctx, http.MethodPost, "/v1/drain", `{"node":"`+process.Name+`"}`)
 		if err != nil {
-			d.logf("emptying of %s was not asked for: %v", p.Name, err)
+			day.logf("decommissioning of %s was rejected: %v", process.Name, err)
 			return nil
 		}
 		done := false
 		for t := time.Now(); time.Since(t) < time.Minute && !done && ctx.Err() == nil; wait(ctx, time.Second) {
-			a, err = f.ask(ctx, http.MethodGet, "/v1/drain", "")
-			done = err == nil && drained(a, p.Name)
+			answer, err = fleet.askControl(ctx, http.MethodGet, "/v1/drain", "")
+			done = err == nil && drained(answer, process.Name)
 		}
-		d.logf("emptying of %s done %v: %.120s", p.Name, done, a)
+		day.logf("decommissioning of %s done %v: %.120s", process.Name, done, answer)
 		if !done {
 			return nil
 		}
-		p.Signal(syscall.SIGTERM, true)
+		process.Signal(syscall.SIGTERM, true)
 		wait(ctx, downtime(rng))
 		if rng.IntN(2) == 0 {
-			if err := p.Wipe(); err != nil {
-				return apierror.Wrap(apierror.Internal, err, "wipe %s", p.Name)
+			if err := process.Wipe(); err != nil {
+				return apierror.Wrap(apierror.Internal, err, "wipe %s", process.Name)
 			}
 		}
-		return p.Start()
+		return process.Start()
 	}
 }
 
-func failed(b []byte) error {
-	p := &apierror.Error{}
-	if json.Unmarshal(b, p) != nil {
+func parseError(b []byte) error {
+	problem := &apierror.Error{}
+	if json.Unmarshal(b, problem) != nil {
 		return apierror.New(apierror.Malformed, "%.80s", b)
 	}
-	return p
+	return problem
 }
 
 func drained(answer, node string) bool {
-	var a struct{ Drains []decommission.Order }
-	if json.Unmarshal([]byte(answer), &a) != nil {
+	var response struct{ Drains []decommission.Order }
+	if json.Unmarshal([]byte(answer), &response) != nil {
 		return false
 	}
-	for _, x := range a.Drains {
-		if x.Node == node {
-			return x.Done
+	for _, order := range response.Drains {
+		if order.Node == node {
+			return order.Done
 		}
 	}
 	return false
@@ -180,27 +182,27 @@
 
 func (c *callers) move(share float64) {
 	c.mu.Lock()
-	cs := c.clients
+	clients := c.clients
 	c.mu.Unlock()
-	for _, x := range cs {
+	for _, client := range clients {
 		if rand.Float64() < share {
-			x.Move()
+			client.Move()
 		}
 	}
 }
 
-func (c *callers) to(share float64, zone string) {
+func (c *callers) moveToZone(share float64, zone string) {
 	c.mu.Lock()
-	cs := c.clients
+	clients := c.clients
 	var moved []int
-	for i := range cs {
+	for i := range clients {
 		if rand.Float64() < share {
-			c.zone[i] = zone
+			c.zones[i] = zone
 			moved = append(moved, i)
 		}
 	}
 	c.mu.Unlock()
 	for _, i := range moved {
-		cs[i].Move()
+		clients[i].Move()
 	}
 }
--- a/internal/testing/fleet/operators.go
+++ b/internal/testing/fleet/operators.go
@@ -11,53 +11,54 @@
 	"postjunction/internal/testing/history"
 )
 
-// begin puts the first description; where its outcome is not known, the very same one again tells.
-func (d *Day) begin(ctx context.Context, f *Fleet) (uint64, error) {
+// putFirstConfiguration submits the first configuration. While its outcome is unknown, it submits
+// the same one again, which is idempotent.
+func (d *Day) putFirstConfiguration(ctx context.Context, fleet *Fleet) (uint64, error) {
 	end := time.Now().Add(settings.DefaultTiming.Recovery)
 	for {
-		seq, err := f.Processes[0].Transport().Put(ctx, d.Load.Describe(0))
+		sequence, err := fleet.Processes[0].Transport().Put(ctx, d.Load.Describe(0))
 		if err == nil || time.Now().After(end) || !apierror.HasCode(err, apierror.OutcomeUnknown) {
-			return seq, err
+			return sequence, err
 		}
 	}
 }
 
-func (d *Day) operate(ctx context.Context, f *Fleet, h *history.History, seq uint64) {
+func (d *Day) operate(ctx context.Context, fleet *Fleet, record *history.History, sequence uint64) {
 	rng := rand.New(rand.NewPCG(d.Seed, 4))
 	for {
 		wait(ctx, 7*time.Second)
 		if ctx.Err() != nil {
 			return
 		}
-		ps := f.Transports("")
-		cx, stop := context.WithTimeout(ctx, settings.DefaultTiming.Recovery)
+		transports := fleet.Transports("")
+		callCtx, cancel := context.WithTimeout(ctx, settings.DefaultTiming.Recovery)
 		asked := time.Now()
-		cur, err := ps[rng.IntN(len(ps))].Get(cx)
+		current, err := transports[rng.IntN(len(transports))].Get(callCtx)
 		if err == nil {
-			h.ReadConfiguration(cur, asked)
-			doc := d.Load.Numbered(cur, cur+1+rng.Uint64N(9), "")
-			n, e := ps[rng.IntN(len(ps))].Put(cx, doc)
-			if e == nil {
-				h.AcceptConfiguration(cur, n, string(doc), time.Now())
-			} else if apierror.HasCode(e, apierror.ConfigurationInvalid) {
-				h.Violate(history.Invalid, "a sound description was turned away: %v", e)
+			record.ReadConfiguration(current, asked)
+			document := d.Load.Numbered(current, current+1+rng.Uint64N(9), "")
+			sequenceAccepted, putErr := transports[rng.IntN(len(transports))].Put(callCtx, document)
+			if putErr == nil {
+				record.AcceptConfiguration(current, sequenceAccepted, string(document), time.Now())
+			} else if apierror.HasCode(putErr, apierror.ConfigurationInvalid) {
+				record.Violate(history.Invalid, "a valid configuration was rejected: %v", putErr)
 			}
 		}
-		stop()
+		cancel()
 	}
 }
 
-func watchDescription(ctx context.Context, p *Process, h *history.History, bound time.Duration) {
+func watchConfiguration(ctx context.Context, process *Process, record *history.History, bound time.Duration) {
 	for ctx.Err() == nil {
-		cx, stop := context.WithTimeout(ctx, time.Second)
+		callCtx, cancel := context.WithTimeout(ctx, time.Second)
 		asked := time.Now()
-		p.mu.Lock()
-		run := fmt.Sprintf("%s#%d", p.Name, p.runs)
-		p.mu.Unlock()
-		seq, ok, err := p.Transport().ShownConfiguration(cx)
-		stop()
-		if err == nil && ok {
-			h.ObserveConfiguration(run, seq, asked, bound)
+		process.mu.Lock()
+		run := fmt.Sprintf("%s#%d", process.Name, process.runs)
+		process.mu.Unlock()
+		sequence, serves, err := process.Transport().ShownConfiguration(callCtx)
+		cancel()
+		if err == nil && serves {
+			record.ObserveConfiguration(run, sequence, asked, bound)
 		}
 		wait(ctx, 500*time.Millisecond)
 	}
--- a/internal/testing/fleet/probe.go
+++ b/internal/testing/fleet/probe.go
@@ -11,38 +11,38 @@
 )
 
 const (
-	probePace  = 100 * time.Millisecond
-	probeBytes = 4096
+	probeInterval = 100 * time.Millisecond
+	probeBytes    = 4096
 )
 
-// probe looks whether the machine that all of this runs on goes on: it writes and syncs beside the
-// fleet's disks, and sleeps. What takes as long as a machine may be silent before it counts as lost
-// is something that went wrong, and its end another. It gives the sum.
-func (d *Day) probe(ctx context.Context, f *Fleet, h *history.History) (sum time.Duration) {
-	look := func(what string, usual time.Duration, do func()) {
-		t := time.Now()
+// probe measures stalls of the host that the fleet runs on: it writes and syncs a file beside the
+// fleet's disks, and sleeps. A delay as long as the failure timeout of a node is recorded as a
+// fault, and its end as another. probe returns the sum of these delays.
+func (d *Day) probe(ctx context.Context, fleet *Fleet, record *history.History) (sum time.Duration) {
+	measure := func(what string, usual time.Duration, do func()) {
+		begun := time.Now()
 		do()
-		e := time.Now()
-		if late := e.Sub(t) - usual; late >= settings.DefaultTiming.FailureTimeout() {
-			d.logf("%s of the machine under the fleet stood still for %s until now", what, late)
-			h.AddFault("stood still: "+what, t)
-			h.AddFault("end of stood still: "+what, e)
+		ended := time.Now()
+		if late := ended.Sub(begun) - usual; late >= settings.DefaultTiming.FailureTimeout() {
+			d.logf("%s of the host stalled for %s until now", what, late)
+			record.AddFault("stall of "+what, begun)
+			record.AddFault("end of stall of "+what, ended)
 			sum += late
 		}
 	}
-	o, err := os.Create(filepath.Join(f.Processes[0].dir, "probe"))
+	file, err := os.Create(filepath.Join(fleet.Processes[0].dir, "probe"))
 	if err != nil {
 		d.logf("no probe: %v", err)
 		return 0
 	}
-	defer func() { _ = o.Close() }()
+	defer func() { _ = file.Close() }()
 	b := make([]byte, probeBytes)
 	for ctx.Err() == nil {
-		look("the disk", 0, func() {
-			_, _ = o.WriteAt(b, 0)
-			_ = o.Sync()
+		measure("the disk", 0, func() {
+			_, _ = file.WriteAt(b, 0)
+			_ = file.Sync()
 		})
-		look("the processor", probePace, func() { wait(ctx, probePace) })
+		measure("the processor", probeInterval, func() { wait(ctx, probeInterval) })
 	}
 	return sum
 }
--- a/internal/testing/fleet/process.go
+++ b/internal/testing/fleet/process.go
@@ -21,14 +21,15 @@
 
 // Process is one machine of the fleet.
 type Process struct {
-	Name string
-	Opts settings.Options
-	file string
-	bin  string
-	dir  string
-	port *transport.HTTP
-
-	// mu guards the fields below. cmd is nil while no process runs; runs counts those started.
+	Name      string
+	Opts      settings.Options
+	file      string
+	bin       string
+	dir       string
+	transport *transport.HTTP
+
+	// mu guards the fields below. cmd is nil while no process runs. runs counts the started
+	// processes.
 	mu   sync.Mutex
 	cmd  *exec.Cmd
 	done chan struct{}
@@ -41,15 +42,15 @@
 	portsTo   = 30000
 )
 
-// nextPort is the port that was given last.
+// nextPort holds the port that was returned last.
 var nextPort = struct {
 	sync.Mutex
 	n int
 }{n: portsFrom + rand.IntN(portsTo-portsFrom)}
 
-// freePort finds a port that nobody listens on, below those that the system gives to connections
-// and to listeners without a wish: one of those could be taken by the time the process that it is
-// meant for starts.
+// freePort returns the address of a port without a listener, below the range from which the system
+// picks ports for connections and for listeners on port 0. A port of that range could be in use by
+// the time the process that it is meant for starts.
 func freePort() (string, error) {
 	nextPort.Lock()
 	defer nextPort.Unlock()
@@ -57,17 +58,17 @@
 		if nextPort.n++; nextPort.n >= portsTo {
 			nextPort.n = portsFrom
 		}
-		a := fmt.Sprintf("127.0.0.1:%d", nextPort.n)
-		if l, err := net.Listen("tcp", a); err == nil {
-			return a, apierror.Wrap(apierror.Internal, l.Close(), "give back port %d", nextPort.n)
+		address := fmt.Sprintf("127.0.0.1:%d", nextPort.n)
+		if listener, err := net.Listen("tcp", address); err == nil {
+			return address, apierror.Wrap(apierror.Internal, listener.Close(), "release port %d", nextPort.n)
 		}
 	}
 	return "", apierror.New(apierror.Internal, "no port from %d to %d is free", portsFrom, portsTo)
 }
 
 // Write writes the settings file of a machine.
-func (p *Process) Write(o settings.Options) error {
-	b, _ := json.MarshalIndent(o, "", "  ")
+func (p *Process) Write(options settings.Options) error {
+	b, _ := json.MarshalIndent(options, "", "  ")
 	return apierror.Wrap(apierror.Usage, os.WriteFile(p.file, append(b, '\n'), 0o640), "settings of %s", p.Name)
 }
 
@@ -82,21 +83,21 @@
 	if err != nil {
 		return apierror.Wrap(apierror.Usage, err, "log of %s", p.Name)
 	}
-	c := exec.Command(p.bin, "serve", "-options", p.file)
-	c.Stderr = log
-	if err := c.Start(); err != nil {
+	command := exec.Command(p.bin, "serve", "-options", p.file)
+	command.Stderr = log
+	if err := command.Start(); err != nil {
 		_ = log.Close()
 		return apierror.Wrap(apierror.Usage, err, "start %s", p.Name)
 	}
-	p.cmd, p.done = c, make(chan struct{})
+	p.cmd, p.done = command, make(chan struct{})
 	p.runs++
-	go p.reap(c, p.done, log)
+	go p.reap(command, p.done, log)
 	return nil
 }
 
-// reap waits for the end of a process.
-func (p *Process) reap(c *exec.Cmd, done chan struct{}, log *os.File) {
-	_ = c.Wait()
+// reap waits for the end of a process and records it.
+func (p *Process) reap(command *exec.Cmd, done chan struct{}, log *os.File) {
+	_ = command.Wait()
 	_ = log.Close()
 	p.mu.Lock()
 	p.cmd = nil
@@ -104,53 +105,53 @@
 	close(done)
 }
 
-// Running tells whether the process has been started and has not ended.
+// Running reports whether the process has been started and has not ended.
 func (p *Process) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd != nil
 }
 
-// Signal sends a signal; after one that ends the process it waits for the end and says how long
-// that took.
-func (p *Process) Signal(s syscall.Signal, ends bool) time.Duration {
+// Signal sends a signal and returns how long that took. If the signal ends the process, it waits
+// for the end.
+func (p *Process) Signal(signal syscall.Signal, ends bool) time.Duration {
 	p.mu.Lock()
-	c, done := p.cmd, p.done
+	command, done := p.cmd, p.done
 	p.mu.Unlock()
-	if c == nil {
+	if command == nil {
 		return 0
 	}
-	t := time.Now()
-	_ = c.Process.Signal(s)
+	begun := time.Now()
+	_ = command.Process.Signal(signal)
 	if ends {
 		<-done
 	}
-	return time.Since(t)
+	return time.Since(begun)
 }
 
 // Kill ends the process at once.
 func (p *Process) Kill() { p.Signal(syscall.SIGKILL, true) }
 
-// Terminate sends SIGTERM, and SIGKILL to what has not ended after the grace period, and waits for
-// the end.
+// Terminate sends SIGTERM, and SIGKILL if the process has not ended after the grace period, and
+// waits for the end.
 func (p *Process) Terminate(grace time.Duration) {
 	p.mu.Lock()
-	c, done := p.cmd, p.done
+	command, done := p.cmd, p.done
 	p.mu.Unlock()
-	if c == nil {
+	if command == nil {
 		return
 	}
-	_ = c.Process.Signal(syscall.SIGTERM)
+	_ = command.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-done:
 	case <-time.After(grace):
-		_ = c.Process.Kill()
+		_ = command.Process.Kill()
 		<-done
 	}
 }
 
-// LoseDisk kills the process and empties the machine's data folder before anybody can start it
-// again.
+// LoseDisk kills the process and deletes the machine's data folder before the process can be
+// started again.
 func (p *Process) LoseDisk() error {
 	for {
 		p.Kill()
@@ -165,31 +166,31 @@
 	}
 }
 
-// Wipe empties the machine's data folder.
+// Wipe deletes the machine's data folder.
 func (p *Process) Wipe() error { return os.RemoveAll(p.Opts.DataDir) }
 
-// Port gives the machine as callers see it.
-func (p *Process) Transport() *transport.HTTP { return p.port }
+// Transport returns the transport that clients and operators reach the machine by.
+func (p *Process) Transport() *transport.HTTP { return p.transport }
 
 // Probe asks a machine whether it is ready.
 func (p *Process) Probe(ctx context.Context) bool {
-	ctx, stop := context.WithTimeout(ctx, time.Second)
-	defer stop()
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, p.port.Base+"/ready", nil)
+	ctx, cancel := context.WithTimeout(ctx, time.Second)
+	defer cancel()
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, p.transport.Base+"/ready", nil)
 	if err != nil {
 		return false
 	}
-	a, err := p.port.Client.Do(r)
+	response, err := p.transport.Client.Do(request)
 	if err != nil {
 		return false
 	}
-	defer func() { _ = a.Body.Close() }()
-	return a.StatusCode == http.StatusOK
+	defer func() { _ = response.Body.Close() }()
+	return response.StatusCode == http.StatusOK
 }
 
 const logTailBytes = 600
 
-// logContents gives what a machine has logged in all its runs.
+// logContents returns what a machine has logged in all its runs.
 func (p *Process) logContents() []byte {
 	b, _ := os.ReadFile(filepath.Join(p.dir, p.Name+".log"))
 	return b
--- a/internal/testing/fleet/relay.go
+++ b/internal/testing/fleet/relay.go
@@ -15,221 +15,227 @@
 )
 
 const (
-	retransmit = 200 * time.Millisecond
-	all        = "*"
-	pieceBytes = 32 << 10
-	maxPieces  = 64
+	retransmitDelay = 200 * time.Millisecond
+	all             = "*"
+	chunkBytes      = 32 << 10
+	maxChunks       = 64
 )
 
-// Relay stands between the processes of a fleet: it makes zones stand apart and links go wrong,
-// without touching a process.
+// Relay carries the connections between the processes of a fleet. It adds the delay between zones
+// and the faults of links without touching a process.
 type Relay struct {
 	roundTrip time.Duration
-	mu        sync.Mutex
-	zones     map[string]string
-	cuts      map[[2]string]bool
-	loss      float64
-	conns     map[string]map[net.Conn]bool
-	healed    chan struct{}
-	listeners []net.Listener
-	ctx       context.Context
-	stop      func()
-	moved     map[string]uint64
+	// mu guards the fields below but ctx and stop.
+	mu          sync.Mutex
+	zones       map[string]string
+	cuts        map[[2]string]bool
+	loss        float64
+	connections map[string]map[net.Conn]bool
+	healed      chan struct{}
+	listeners   []net.Listener
+	ctx         context.Context
+	stop        func()
+	counts      map[string]uint64
 }
 
-func newRelay(apart time.Duration) *Relay {
+func newRelay(roundTrip time.Duration) *Relay {
 	ctx, stop := context.WithCancel(context.Background())
-	return &Relay{ctx: ctx, stop: stop, healed: make(chan struct{}), roundTrip: apart, zones: map[string]string{},
-		cuts: map[[2]string]bool{}, conns: map[string]map[net.Conn]bool{}, moved: map[string]uint64{}}
+	return &Relay{ctx: ctx, stop: stop, healed: make(chan struct{}), roundTrip: roundTrip, zones: map[string]string{},
+		cuts: map[[2]string]bool{}, connections: map[string]map[net.Conn]bool{}, counts: map[string]uint64{}}
 }
 
-// serve opens the address under which the others reach a machine.
+// serve listens on the address at which the other machines reach a machine, and returns it.
 func (r *Relay) serve(name, zone, to string) (string, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", apierror.Wrap(apierror.Internal, err, "relay to %s", name)
 	}
 	r.mu.Lock()
-	r.zones[name], r.conns[name] = zone, map[net.Conn]bool{}
-	r.listeners = append(r.listeners, l)
+	r.zones[name], r.connections[name] = zone, map[net.Conn]bool{}
+	r.listeners = append(r.listeners, listener)
 	r.mu.Unlock()
 	go func() {
 		for {
-			c, err := l.Accept()
+			connection, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go r.carry(name, to, c)
+			go r.relayConnection(name, to, connection)
 		}
 	}()
-	return l.Addr().String(), nil
+	return listener.Addr().String(), nil
 }
 
 func (r *Relay) close() {
 	r.stop()
 	r.mu.Lock()
-	ls := r.listeners
+	listeners := r.listeners
 	r.mu.Unlock()
-	for _, l := range ls {
-		_ = l.Close()
+	for _, listener := range listeners {
+		_ = listener.Close()
 	}
 	r.Reset(1)
 }
 
-func (r *Relay) track(name string, c net.Conn, on bool) {
+func (r *Relay) track(name string, connection net.Conn, open bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if on {
-		r.conns[name][c] = true
+	if open {
+		r.connections[name][connection] = true
 		return
 	}
-	delete(r.conns[name], c)
+	delete(r.connections[name], connection)
 }
 
-// carry carries a connection to a machine; who opened it stands at its beginning.
-func (r *Relay) carry(name, to string, a net.Conn) {
-	r.track(name, a, true)
-	defer r.track(name, a, false)
-	in := bufio.NewReader(a)
+// relayConnection relays a connection to a machine. Its preface names the machine that opened it.
+func (r *Relay) relayConnection(name, to string, incoming net.Conn) {
+	r.track(name, incoming, true)
+	defer r.track(name, incoming, false)
+	in := bufio.NewReader(incoming)
 	from, err := mux.Preface(in)
-	if err != nil || r.open(from, name) != nil {
-		end(a, true)
+	if err != nil || r.awaitLink(from, name) != nil {
+		closeConnection(incoming, true)
 		return
 	}
-	b, err := net.DialTimeout("tcp", to, time.Second)
+	outgoing, err := net.DialTimeout("tcp", to, time.Second)
 	if err != nil {
-		end(a, true)
+		closeConnection(incoming, true)
 		return
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { r.way(io.MultiReader(bytes.NewReader(mux.AppendPreface(nil, from)), in), b, from, name) })
-	wg.Go(func() { r.way(b, a, name, from) })
+	wg.Go(func() {
+		r.copyDelayed(io.MultiReader(bytes.NewReader(mux.AppendPreface(nil, from)), in), outgoing, from, name)
+	})
+	wg.Go(func() { r.copyDelayed(outgoing, incoming, name, from) })
 	wg.Wait()
 }
 
-func end(c net.Conn, abrupt bool) {
-	if t, ok := c.(*net.TCPConn); ok && abrupt {
-		_ = t.SetLinger(0)
+func closeConnection(connection net.Conn, abrupt bool) {
+	if tcp, ok := connection.(*net.TCPConn); ok && abrupt {
+		_ = tcp.SetLinger(0)
 	}
-	_ = c.Close()
+	_ = connection.Close()
 }
 
-// delay tells how long a piece takes from one machine to another.
+// delay returns how long a chunk takes from one machine to another.
 func (r *Relay) delay(from, to string) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.moved["pieces"]++
-	d := time.Duration(0)
+	r.counts["pieces"]++
+	delay := time.Duration(0)
 	if r.zones[from] != r.zones[to] {
-		d = r.roundTrip / 2
+		delay = r.roundTrip / 2
 	}
-	for k := retransmit; rand.Float64() < r.loss; k *= 2 {
-		r.moved["lost"]++
-		d += k
+	for retransmission := retransmitDelay; rand.Float64() < r.loss; retransmission *= 2 {
+		r.counts["lost"]++
+		delay += retransmission
 	}
-	return d
+	return delay
 }
 
-// open waits until the link is not cut.
-func (r *Relay) open(from, to string) error {
+// awaitLink waits until the link is not cut.
+func (r *Relay) awaitLink(from, to string) error {
 	for first := true; ; first = false {
 		r.mu.Lock()
-		cut, c := r.cuts[[2]string{from, to}] || r.cuts[[2]string{from, all}] || r.cuts[[2]string{all, to}], r.healed
+		cut, healed := r.cuts[[2]string{from, to}] || r.cuts[[2]string{from, all}] || r.cuts[[2]string{all, to}],
+			r.healed
 		if cut && first {
-			r.moved["cut"]++
+			r.counts["cut"]++
 		}
 		r.mu.Unlock()
 		if !cut {
 			return nil
 		}
 		select {
-		case <-c:
+		case <-healed:
 		case <-r.ctx.Done():
 			return apierror.WithCause(apierror.Stopped, r.ctx.Err(), "from %s to %s", from, to)
 		}
 	}
 }
 
-type piece struct {
-	b   []byte
-	due time.Time
+type chunk struct {
+	data []byte
+	due  time.Time
 }
 
-// way is one direction of a connection: pieces take their time, keep their order, and stand still
-// while the link is cut. When one side breaks off, what is still under way is lost.
-func (r *Relay) way(in io.Reader, out net.Conn, from, to string) {
-	c := make(chan piece, maxPieces)
-	broke := make(chan struct{})
+// copyDelayed copies one direction of a connection. Chunks are delayed, stay in order, and wait
+// while the link is cut. When the source breaks the connection, chunks in flight are lost.
+func (r *Relay) copyDelayed(source io.Reader, target net.Conn, from, to string) {
+	chunks := make(chan chunk, maxChunks)
+	broken := make(chan struct{})
 	go func() {
-		defer close(c)
-		b := make([]byte, pieceBytes)
+		defer close(chunks)
+		b := make([]byte, chunkBytes)
 		last := time.Time{}
 		for {
-			n, err := in.Read(b)
+			count, err := source.Read(b)
 			if due := time.Now().Add(r.delay(from, to)); due.After(last) {
 				last = due
 			}
-			if n > 0 {
-				c <- piece{bytes.Clone(b[:n]), last}
+			if count > 0 {
+				chunks <- chunk{bytes.Clone(b[:count]), last}
 			}
 			if err == io.EOF {
 				return
 			}
 			if err != nil {
-				close(broke)
+				close(broken)
 				return
 			}
 		}
 	}()
 	dead := false
-	for p := range c {
+	for chunk := range chunks {
 		if dead {
 			continue
 		}
-		t := time.NewTimer(time.Until(p.due))
+		timer := time.NewTimer(time.Until(chunk.due))
 		select {
-		case <-t.C:
-		case <-broke:
+		case <-timer.C:
+		case <-broken:
 			dead = true
 		}
-		t.Stop()
-		if dead = dead || r.open(from, to) != nil; dead {
+		timer.Stop()
+		if dead = dead || r.awaitLink(from, to) != nil; dead {
 			continue
 		}
 		select {
-		case <-broke:
+		case <-broken:
 			dead = true
 			continue
 		default:
 		}
-		_, err := out.Write(p.b)
+		_, err := target.Write(chunk.data)
 		dead = err != nil
 	}
-	_ = r.open(from, to)
+	_ = r.awaitLink(from, to)
 	select {
-	case <-broke:
+	case <-broken:
 		dead = true
 	default:
 	}
-	end(out, dead)
+	closeConnection(target, dead)
 }
 
-// Cut stops what goes from one machine to another; the function mends it. A star stands for all.
+// Cut blocks the link from one machine to another. The returned function restores it. "*" means all
+// machines.
 func (r *Relay) Cut(from, to string) func() {
-	k := [2]string{from, to}
+	link := [2]string{from, to}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cuts[k] = true
+	r.cuts[link] = true
 	return func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		delete(r.cuts, k)
+		delete(r.cuts, link)
 		close(r.healed)
 		r.healed = make(chan struct{})
 	}
 }
 
-// Lose makes all links lose a share of what they carry; what is lost comes late.
+// Lose makes all links lose a share of their chunks, which then arrive late, as retransmitted ones
+// do. The returned function ends the loss.
 func (r *Relay) Lose(share float64) func() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -241,45 +247,45 @@
 	}
 }
 
-// Reset breaks a share of all connections between machines at once, and leaves the processes alone.
+// Reset resets a share of all connections between machines at once and returns their number.
 func (r *Relay) Reset(share float64) int {
 	r.mu.Lock()
-	var cs []net.Conn
-	for _, m := range r.conns {
-		for c := range m {
+	var connections []net.Conn
+	for _, open := range r.connections {
+		for connection := range open {
 			if rand.Float64() < share {
-				cs = append(cs, c)
-				delete(m, c)
+				connections = append(connections, connection)
+				delete(open, connection)
 			}
 		}
 	}
 	r.mu.Unlock()
-	for _, c := range cs {
-		if t, ok := c.(*net.TCPConn); ok {
-			_ = t.SetLinger(0)
+	for _, connection := range connections {
+		if tcp, ok := connection.(*net.TCPConn); ok {
+			_ = tcp.SetLinger(0)
 		}
-		_ = c.Close()
+		_ = connection.Close()
 	}
-	return len(cs)
+	return len(connections)
 }
 
 // Zone lists the machines of a zone, and the others.
-func (r *Relay) Zone(z string) (in, out []string) {
+func (r *Relay) Zone(zone string) (inside, outside []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for n, x := range r.zones {
-		if x == z {
-			in = append(in, n)
+	for name, nodeZone := range r.zones {
+		if nodeZone == zone {
+			inside = append(inside, name)
 		} else {
-			out = append(out, n)
+			outside = append(outside, name)
 		}
 	}
-	return in, out
+	return inside, outside
 }
 
-// Counts gives how many pieces the relay carried, held for a cut and delayed for a loss.
+// Counts returns how many chunks the relay carried, held for a cut and delayed for a loss.
 func (r *Relay) Counts() (pieces, cut, lost uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.moved["pieces"], r.moved["cut"], r.moved["lost"]
+	return r.counts["pieces"], r.counts["cut"], r.counts["lost"]
 }
--- a/internal/testing/fleet/relay_test.go
+++ b/internal/testing/fleet/relay_test.go
@@ -14,108 +14,109 @@
 	"postjunction/internal/wire"
 )
 
-type note struct {
+type echoMessage struct {
 	Say string `json:"say"`
 }
 
-var noted = wire.NewProcedure[note, note]("Proof", "Note", wire.ReadOnly, "echoes")
+var echo = wire.NewProcedure[echoMessage, echoMessage]("Proof", "Note", wire.ReadOnly, "echoes")
 
-// between stands a server behind a relay and gives a way to call it as the machine "a" does.
-func between(t *testing.T, apart time.Duration, f func(string)) (*Relay, func(string) error) {
+// startRelay starts a server behind a relay and returns a function that calls it as the machine
+// "a".
+func startRelay(t *testing.T, roundTrip time.Duration, onCall func(string)) (*Relay, func(string) error) {
 	t.Helper()
-	b := settings.DefaultTiming
-	m := http.NewServeMux()
-	noted.Handle(m, func(_ context.Context, q *note) (*note, error) {
-		f(q.Say)
-		return q, nil
+	timing := settings.DefaultTiming
+	handler := http.NewServeMux()
+	echo.Handle(handler, func(_ context.Context, request *echoMessage) (*echoMessage, error) {
+		onCall(request.Say)
+		return request, nil
 	})
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	s, n, r := wire.Server(m, b), wire.Real(b), newRelay(apart)
-	go func() { _ = s.Serve(l) }()
-	addr, err := r.serve("b", "z2", l.Addr().String())
+	server, network, relay := wire.Server(handler, timing), wire.Real(timing), newRelay(roundTrip)
+	go func() { _ = server.Serve(listener) }()
+	address, err := relay.serve("b", "z2", listener.Addr().String())
 	assert.NilError(t, err)
-	r.mu.Lock()
-	r.zones["a"] = "z1"
-	r.mu.Unlock()
+	relay.mu.Lock()
+	relay.zones["a"] = "z1"
+	relay.mu.Unlock()
 	t.Cleanup(func() {
-		n.Close()
-		r.close()
-		_ = s.Close()
+		network.Close()
+		relay.close()
+		_ = server.Close()
 	})
-	return r, func(say string) error {
+	return relay, func(text string) error {
 		ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 		defer stop()
-		a, err := noted.Call(ctx, n, "a", addr, &note{say})
-		if err == nil && a.Say != say {
-			return apierror.New(apierror.Internal, "%q for %q", a.Say, say)
+		response, err := echo.Call(ctx, network, "a", address, &echoMessage{text})
+		if err == nil && response.Say != text {
+			return apierror.New(apierror.Internal, "%q for %q", response.Say, text)
 		}
 		return err
 	}
 }
 
 func TestRelayKeepsZonesApart(t *testing.T) {
-	const apart = 20 * time.Millisecond
-	_, call := between(t, apart, func(string) {})
+	const roundTrip = 20 * time.Millisecond
+	_, call := startRelay(t, roundTrip, func(string) {})
 	for range 3 {
 		begun := time.Now()
 		assert.NilError(t, call("x"))
-		assert.Assert(t, time.Since(begun) >= apart)
+		assert.Assert(t, time.Since(begun) >= roundTrip)
 	}
 }
 
-func TestRelayHoldsWhatIsCutUntilItIsMended(t *testing.T) {
+func TestRelayHoldsChunksWhileALinkIsCut(t *testing.T) {
 	for name, cut := range map[string][2]string{"there": {"a", "b"}, "back": {"b", "a"}, "all to": {all, "b"},
 		"all from": {"a", all}} {
 		t.Run(name, func(t *testing.T) {
-			came := make(chan bool, 1)
-			r, call := between(t, 0, func(s string) { came <- s == "held" })
+			arrived := make(chan bool, 1)
+			relay, call := startRelay(t, 0, func(text string) { arrived <- text == "held" })
 			assert.NilError(t, call("before"))
-			<-came
-			mend := r.Cut(cut[0], cut[1])
-			res := make(chan error, 1)
-			go func() { res <- call("held") }()
-			for n := uint64(0); n == 0; {
-				_, n, _ = r.Counts()
+			<-arrived
+			heal := relay.Cut(cut[0], cut[1])
+			result := make(chan error, 1)
+			go func() { result <- call("held") }()
+			for cut := uint64(0); cut == 0; {
+				_, cut, _ = relay.Counts()
 				<-time.After(time.Millisecond)
 			}
 			select {
-			case err := <-res:
+			case err := <-result:
 				t.Fatalf("answered through a cut: %v", err)
 			default:
 			}
-			assert.Equal(t, len(came), map[bool]int{true: 1}[name == "back"])
-			mend()
-			assert.NilError(t, <-res)
-			assert.Assert(t, <-came)
+			assert.Equal(t, len(arrived), map[bool]int{true: 1}[name == "back"])
+			heal()
+			assert.NilError(t, <-result)
+			assert.Assert(t, <-arrived)
 		})
 	}
 }
 
 func TestRelayResetsConnections(t *testing.T) {
-	in, out := make(chan bool), make(chan bool)
-	r, call := between(t, 0, func(s string) {
-		if s == "held" {
-			in <- true
-			<-out
+	entered, proceed := make(chan bool), make(chan bool)
+	relay, call := startRelay(t, 0, func(text string) {
+		if text == "held" {
+			entered <- true
+			<-proceed
 		}
 	})
 	for range 3 {
-		res := make(chan error, 1)
-		go func() { res <- call("held") }()
-		<-in
-		assert.Equal(t, r.Reset(1), 1)
-		err := <-res
+		result := make(chan error, 1)
+		go func() { result <- call("held") }()
+		<-entered
+		assert.Equal(t, relay.Reset(1), 1)
+		err := <-result
 		assert.Assert(t, apierror.HasCode(err, apierror.Unreachable), "%v", err)
-		out <- true
+		proceed <- true
 		assert.NilError(t, call("after"))
 	}
 }
 
 func TestRelayLosesNothingForGood(t *testing.T) {
-	r, call := between(t, 0, func(string) {})
-	defer r.Lose(0.2)()
-	for _, late := uint64(0), uint64(0); late == 0; _, _, late = r.Counts() {
+	relay, call := startRelay(t, 0, func(string) {})
+	defer relay.Lose(0.2)()
+	for _, late := uint64(0), uint64(0); late == 0; _, _, late = relay.Counts() {
 		assert.NilError(t, call("x"))
 	}
 }
--- a/internal/testing/fleet/sessions.go
+++ b/internal/testing/fleet/sessions.go
@@ -18,22 +18,22 @@
 	"postjunction/internal/testing/simclient"
 )
 
-// Sessions are visitors on line sessions of a fleet, who carry keys and withdraw.
+// Sessions are simulated clients on client sessions of a fleet. They send under keys and withdraw.
 type Sessions struct {
-	Checker *deliverycheck.Checker
-	fleet   *Fleet
-	ctx     context.Context
-	sends   context.Context
-	stop    context.CancelFunc
-	quiet   context.CancelFunc
-	wg      sync.WaitGroup
+	Checker   *deliverycheck.Checker
+	fleet     *Fleet
+	ctx       context.Context
+	sends     context.Context
+	stop      context.CancelFunc
+	stopSends context.CancelFunc
+	wg        sync.WaitGroup
 }
 
-// unread is how long bytes may lie between the node's socket and the visitor here, who can't see
-// when the socket took them.
-const unread = 500 * time.Millisecond
+// maxReadDelay is how long bytes may take from the node's socket to the simulated client, which
+// can't see when the socket took them.
+const maxReadDelay = 500 * time.Millisecond
 
-// lineRequest is a task and told an answer as they stand on a line.
+// lineRequest is a request of the line protocol.
 type lineRequest struct {
 	Verb   session.Verb `json:"verb"`
 	Client string       `json:"visitor,omitempty"`
@@ -46,6 +46,7 @@
 	Upto   uint64       `json:"upto,omitempty"`
 }
 
+// lineResponse is a response of the line protocol.
 type lineResponse struct {
 	What    session.ResponseType `json:"what"`
 	Re      session.Verb         `json:"re"`
@@ -61,167 +62,168 @@
 	Say     string               `json:"say"`
 }
 
-func (a lineResponse) answer() session.Response {
-	x := session.Response{Type: a.What, InReplyTo: a.Re, Topic: a.Topic, From: a.From, CallSeq: a.Call,
+func (a lineResponse) response() session.Response {
+	response := session.Response{Type: a.What, InReplyTo: a.Re, Topic: a.Topic, From: a.From, CallSeq: a.Call,
 		Cursor: a.Cursor, Key: a.Key, Count: a.Count, Body: []byte(a.Body), Address: a.Address}
 	if a.Code != "" {
-		x.Err = &apierror.Error{Code: a.Code, Message: a.Say}
+		response.Err = &apierror.Error{Code: a.Code, Message: a.Say}
 	}
-	return x
+	return response
 }
 
-// lineConn is a connection to a node. Tasks wait until they are written.
-type lineConn struct {
-	c     net.Conn
-	mu    sync.Mutex
-	out   []byte
-	more  chan struct{}
-	ended chan struct{}
-	once  sync.Once
+// connection is a connection to a node. Requests are buffered until they are written.
+type connection struct {
+	socket net.Conn
+	// mu guards output.
+	mu          sync.Mutex
+	output      []byte
+	outputReady chan struct{}
+	ended       chan struct{}
+	once        sync.Once
 }
 
-// Do sends a task.
-func (l *lineConn) Do(t session.Request) {
-	q := lineRequest{Verb: t.Verb, Client: t.Client, Topic: t.Topic, Cursor: t.Cursor, Call: t.CallSeq, Key: t.Key,
-		Of: t.WithdrawSender, Upto: t.WithdrawUpTo}
-	if t.Verb == session.Send {
-		s := string(t.Body)
-		q.Body = &s
+// Do sends a request.
+func (l *connection) Do(request session.Request) {
+	encoded := lineRequest{Verb: request.Verb, Client: request.Client, Topic: request.Topic, Cursor: request.Cursor,
+		Call: request.CallSeq, Key: request.Key, Of: request.WithdrawSender, Upto: request.WithdrawUpTo}
+	if request.Verb == session.Send {
+		body := string(request.Body)
+		encoded.Body = &body
 	}
-	b, err := json.Marshal(q)
+	b, err := json.Marshal(encoded)
 	if err != nil {
 		return
 	}
 	l.mu.Lock()
-	l.out = append(append(l.out, b...), '\n')
+	l.output = append(append(l.output, b...), '\n')
 	l.mu.Unlock()
 	select {
-	case l.more <- struct{}{}:
+	case l.outputReady <- struct{}{}:
 	default:
 	}
 }
 
 // End closes the connection.
-func (l *lineConn) End() {
+func (l *connection) End() {
 	l.once.Do(func() {
 		close(l.ended)
-		_ = l.c.Close()
+		_ = l.socket.Close()
 	})
 }
 
-func (l *lineConn) write() {
+func (l *connection) write() {
 	for {
 		select {
-		case <-l.more:
+		case <-l.outputReady:
 		case <-l.ended:
 			return
 		}
 		l.mu.Lock()
-		b := l.out
-		l.out = nil
+		b := l.output
+		l.output = nil
 		l.mu.Unlock()
-		if _, err := l.c.Write(b); err != nil {
+		if _, err := l.socket.Write(b); err != nil {
 			return
 		}
 	}
 }
 
-func (l *lineConn) read(hear func(session.Response, time.Time), broken func()) {
+func (l *connection) read(onResponse func(session.Response, time.Time), onBroken func()) {
 	defer l.End()
-	defer broken()
-	r := bufio.NewReader(l.c)
+	defer onBroken()
+	r := bufio.NewReader(l.socket)
 	for {
 		b, err := r.ReadBytes('\n')
 		now := time.Now()
 		if err != nil {
 			return
 		}
-		var a lineResponse
-		if err := json.Unmarshal(b, &a); err != nil {
-			hear(session.Response{Type: session.ResponseType(fmt.Sprintf("%.200s: %v", b, err))}, now)
+		var response lineResponse
+		if err := json.Unmarshal(b, &response); err != nil {
+			onResponse(session.Response{Type: session.ResponseType(fmt.Sprintf("%.200s: %v", b, err))}, now)
 			return
 		}
-		if a.What == session.Message {
-			now = now.Add(-unread)
+		if response.What == session.Message {
+			now = now.Add(-maxReadDelay)
 		}
-		hear(a.answer(), now)
+		onResponse(response.response(), now)
 	}
 }
 
-func (v *Sessions) endpoints() (ds []simclient.Endpoint) {
-	for _, p := range v.fleet.Processes {
-		if p.Opts.ClientListen == "" || !v.fleet.isReady(p.Name) {
+func (v *Sessions) endpoints() (endpoints []simclient.Endpoint) {
+	for _, process := range v.fleet.Processes {
+		if process.Opts.ClientListen == "" || !v.fleet.isReady(process.Name) {
 			continue
 		}
-		ds = append(ds, v.endpoint(p))
+		endpoints = append(endpoints, v.endpoint(process))
 	}
-	if len(ds) > 0 {
-		return ds
+	if len(endpoints) > 0 {
+		return endpoints
 	}
-	for _, p := range v.fleet.Processes {
-		if p.Opts.ClientListen != "" {
-			ds = append(ds, v.endpoint(p))
+	for _, process := range v.fleet.Processes {
+		if process.Opts.ClientListen != "" {
+			endpoints = append(endpoints, v.endpoint(process))
 		}
 	}
-	return ds
+	return endpoints
 }
 
-func (v *Sessions) endpoint(p *Process) simclient.Endpoint {
-	return simclient.Endpoint{Address: p.Opts.ClientListen,
+func (v *Sessions) endpoint(process *Process) simclient.Endpoint {
+	return simclient.Endpoint{Address: process.Opts.ClientListen,
 		Connect: func(hear func(session.Response, time.Time), broken func()) simclient.Connection {
-			c, err := (&net.Dialer{Timeout: time.Second}).DialContext(v.ctx, "tcp", p.Opts.ClientListen)
+			socket, err := (&net.Dialer{Timeout: time.Second}).DialContext(v.ctx, "tcp", process.Opts.ClientListen)
 			if err != nil {
 				return nil
 			}
-			l := &lineConn{c: c, more: make(chan struct{}, 1), ended: make(chan struct{})}
-			v.wg.Go(l.write)
-			v.wg.Go(func() { l.read(hear, broken) })
-			context.AfterFunc(v.ctx, l.End)
-			return l
+			connection := &connection{socket: socket, outputReady: make(chan struct{}, 1), ended: make(chan struct{})}
+			v.wg.Go(connection.write)
+			v.wg.Go(func() { connection.read(hear, broken) })
+			context.AfterFunc(v.ctx, connection.End)
+			return connection
 		}}
 }
 
-// stayingOneIn is which share of clients keeps using a connection until its process is gone.
-const stayingOneIn = 2
-
-// StartSessions lets n clients in, who follow and send on topics of a load until Stop: those of
-// sessions alone, if it has some. One of two stays on its connection when it is told to move.
-func (f *Fleet) StartSessions(ctx context.Context, n int, l sim.Load, seed uint64) *Sessions {
-	b := settings.DefaultTiming
-	v := &Sessions{Checker: deliverycheck.New(b.Keeping, 3*b.Spread), fleet: f}
-	v.ctx, v.stop = context.WithCancel(ctx)
-	v.sends, v.quiet = context.WithCancel(v.ctx)
-	topic, topics := "kept/t%d", l.Topics
-	if l.SessionTopics > 0 {
-		topic, topics = "kept/v%d", l.SessionTopics
+// ignoresMovesOneIn is how many clients there are for each that uses its connection until it ends.
+const ignoresMovesOneIn = 2
+
+// StartSessions starts count clients, which follow and send on topics of a load until Stop. If the
+// load has topics for sessions alone, these are used. One of two clients ignores advice to move.
+func (f *Fleet) StartSessions(ctx context.Context, count int, load sim.Load, seed uint64) *Sessions {
+	timing := settings.DefaultTiming
+	sessions := &Sessions{Checker: deliverycheck.New(timing.Keeping, 3*timing.Spread), fleet: f}
+	sessions.ctx, sessions.stop = context.WithCancel(ctx)
+	sessions.sends, sessions.stopSends = context.WithCancel(sessions.ctx)
+	topic, topics := "kept/t%d", load.Topics
+	if load.SessionTopics > 0 {
+		topic, topics = "kept/v%d", load.SessionTopics
 	}
-	for i := range n {
-		r := rand.New(rand.NewPCG(seed, uint64(i)+1000))
-		x := &simclient.Client{Name: fmt.Sprintf("g%d", i), Habits: sim.Habits(), Rand: r, Endpoints: v.endpoints,
-			Checker: v.Checker, Calm: func() bool { return false }}
-		x.Habits.WithdrawInterval = 3 * time.Second
-		x.Habits.IgnoresMoves = i%stayingOneIn == 0
-		for _, k := range r.Perm(topics)[:min(topics, 3+r.IntN(3))] {
-			x.Follow = append(x.Follow, simclient.Topic{Name: fmt.Sprintf(topic, k), Kept: true})
+	for i := range count {
+		rng := rand.New(rand.NewPCG(seed, uint64(i)+1000))
+		client := &simclient.Client{Name: fmt.Sprintf("g%d", i), Habits: sim.Habits(), Rand: rng,
+			Endpoints: sessions.endpoints, Checker: sessions.Checker, Calm: func() bool { return false }}
+		client.Habits.WithdrawInterval = 3 * time.Second
+		client.Habits.IgnoresMoves = i%ignoresMovesOneIn == 0
+		for _, topicIndex := range rng.Perm(topics)[:min(topics, 3+rng.IntN(3))] {
+			client.Follow = append(client.Follow, simclient.Topic{Name: fmt.Sprintf(topic, topicIndex), Kept: true})
 		}
 		for k := range 2 {
-			x.SendTopics = append(x.SendTopics, simclient.SendTopic{Topic: fmt.Sprintf(topic, (i+7*k)%topics),
-				Window: 1 + 3*(i%2), Interval: l.Every / time.Duration(1+3*(i%2))})
+			client.SendTopics = append(client.SendTopics, simclient.SendTopic{Topic: fmt.Sprintf(topic, (i+7*k)%topics),
+				Window: 1 + 3*(i%2), Interval: load.Every / time.Duration(1+3*(i%2))})
 		}
-		v.wg.Go(func() { x.Run(v.ctx, v.sends) })
+		sessions.wg.Go(func() { client.Run(sessions.ctx, sessions.sends) })
 	}
-	return v
+	return sessions
 }
 
-// Stop stops the senders, waits until visitors have caught up, has them leave, and judges what they
-// saw.
+// Stop stops the senders, waits until clients have caught up, disconnects them, and checks what
+// they received.
 func (v *Sessions) Stop(wait time.Duration) (deliverycheck.Tally, []deliverycheck.Violation) {
 	cut := time.Now()
-	v.quiet()
-	t := time.NewTimer(wait)
-	defer t.Stop()
+	v.stopSends()
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 	case <-v.ctx.Done():
 	}
 	v.stop()
@@ -229,8 +231,8 @@
 	return v.Checker.Judge(cut)
 }
 
-func (f *Fleet) isReady(n string) bool {
+func (f *Fleet) isReady(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.ready[n]
+	return f.ready[name]
 }
--- a/internal/testing/fleet/sessions_test.go
+++ b/internal/testing/fleet/sessions_test.go
@@ -12,72 +12,72 @@
 	"postjunction/internal/testing/sim"
 )
 
-// Real processes: visitors carry keys and withdraw while a router is cut off with its visitors
-// still connected and comes back, and then is paused and goes on. Nothing withdrawn is shown after
-// its yes, nothing else is lost.
+// Clients send under keys and withdraw while one router is isolated with its clients still
+// connected and then reconnected, and while another is paused and resumed, with real processes. No
+// withdrawn message may arrive after the acknowledgement, and no other message may be lost.
 func TestWithdrawalsWhileARouterIsCutOffAndComesBack(t *testing.T) {
-	f, err := New(build(t), t.ArtifactDir(), Sites["small"], 0, false, func(o *settings.Options) {
-		if o.Disk == settings.DiskNone {
-			a, err := freePort()
+	fleet, err := New(build(t), t.ArtifactDir(), Sites["small"], 0, false, func(options *settings.Options) {
+		if options.Disk == settings.DiskNone {
+			address, err := freePort()
 			assert.NilError(t, err)
-			o.ClientListen = a
+			options.ClientListen = address
 		}
 	})
 	assert.NilError(t, err)
-	assert.NilError(t, f.Start())
+	assert.NilError(t, fleet.Start())
 	ctx, stop := context.WithCancel(t.Context())
 	t.Cleanup(func() {
 		stop()
-		for _, p := range f.Processes {
-			p.Kill()
+		for _, process := range fleet.Processes {
+			process.Kill()
 			if t.Failed() {
-				t.Logf("%s:\n%s", p.Name, p.logContents())
+				t.Logf("%s:\n%s", process.Name, process.logContents())
 			}
 		}
 	})
-	go f.Watch(ctx)
-	b := settings.DefaultTiming
-	for at := time.Now(); !f.AllReady(); wait(ctx, 100*time.Millisecond) {
-		assert.Assert(t, time.Since(at) < 30*time.Second, "not ready: %s", f.unready())
+	go fleet.Watch(ctx)
+	timing := settings.DefaultTiming
+	for at := time.Now(); !fleet.AllReady(); wait(ctx, 100*time.Millisecond) {
+		assert.Assert(t, time.Since(at) < 30*time.Second, "not ready: %s", fleet.unready())
 	}
-	d := &Day{Load: sim.Load{Topics: 12, LiveTopics: 1, Every: time.Second}, Out: testWriter{t}}
-	_, err = d.begin(ctx, f)
+	day := &Day{Load: sim.Load{Topics: 12, LiveTopics: 1, Every: time.Second}, Out: testWriter{t}}
+	_, err = day.putFirstConfiguration(ctx, fleet)
 	assert.NilError(t, err)
-	wait(ctx, b.Spread)
-	v := f.StartSessions(ctx, 16, d.Load, 7)
+	wait(ctx, timing.Spread)
+	sessions := fleet.StartSessions(ctx, 16, day.Load, 7)
 	wait(ctx, 2*time.Second)
 	calm := time.Now()
 	wait(ctx, 5*time.Second)
 	cut := time.Now()
-	back, forth := f.Relay.Cut("a1", all), f.Relay.Cut(all, "a1")
+	healOutgoing, healIncoming := fleet.Relay.Cut("a1", all), fleet.Relay.Cut(all, "a1")
 	wait(ctx, 5*time.Second)
-	back()
-	forth()
-	mended := time.Now()
+	healOutgoing()
+	healIncoming()
+	healed := time.Now()
 	wait(ctx, 3*time.Second)
-	f.Get("a2").Signal(syscall.SIGSTOP, false)
+	fleet.Get("a2").Signal(syscall.SIGSTOP, false)
 	wait(ctx, 3*time.Second)
-	f.Get("a2").Signal(syscall.SIGCONT, false)
+	fleet.Get("a2").Signal(syscall.SIGCONT, false)
 	wait(ctx, 2*time.Second)
-	r, bs := v.Stop(2 * b.Recovery / 3)
-	for _, x := range bs {
-		t.Errorf("%s: %s", x.Rule, x.Message)
+	tally, violations := sessions.Stop(2 * timing.Recovery / 3)
+	for _, violation := range violations {
+		t.Errorf("%s: %s", violation.Rule, violation.Message)
 	}
-	for n, s := range map[string][2]time.Time{"calm": {calm, cut}, "with a router cut off": {cut, mended}} {
-		ds, open := v.Checker.WithdrawalLatencies(s[0], s[1])
-		t.Logf("%s: %d withdrawals told to be forgotten, p50 %s p99 %s, %d not", n, len(ds), quantile(ds, 0.5),
-			quantile(ds, 0.99), open)
+	for name, span := range map[string][2]time.Time{"calm": {calm, cut}, "with a router cut off": {cut, healed}} {
+		latencies, open := sessions.Checker.WithdrawalLatencies(span[0], span[1])
+		t.Logf("%s: %d withdrawals acknowledged, p50 %s p99 %s, %d not", name, len(latencies), quantile(latencies, 0.5),
+			quantile(latencies, 0.99), open)
 	}
-	t.Logf("%+v", r)
-	assert.Assert(t, r.Accepted > 100 && r.Got > 300 && r.Forgotten > 10 && r.Covered > 10,
-		"too little was seen to prove anything")
-	_, held, _ := f.Relay.Counts()
+	t.Logf("%+v", tally)
+	assert.Assert(t, tally.Accepted > 100 && tally.Got > 300 && tally.Forgotten > 10 && tally.Covered > 10,
+		"too few messages to prove anything")
+	_, held, _ := fleet.Relay.Counts()
 	assert.Assert(t, held > 0, "void: nothing was cut")
 }
 
-func quantile(ds []time.Duration, q float64) time.Duration {
-	if len(ds) == 0 {
+func quantile(durations []time.Duration, fraction float64) time.Duration {
+	if len(durations) == 0 {
 		return 0
 	}
-	return ds[int(q*float64(len(ds)-1))]
+	return durations[int(fraction*float64(len(durations)-1))]
 }
--- a/internal/testing/fleet/soak_test.go
+++ b/internal/testing/fleet/soak_test.go
@@ -10,33 +10,33 @@
 	"postjunction/internal/testing/sim"
 )
 
-// A soak of real processes, short and under a fixed seed: faults in series and overlapping, the
+// Runs a short soak of real processes with a fixed seed: sequential and overlapping faults, the
 // first ones while the fleet starts, operators that race, and clients that use their connections
-// until the processes are gone. cmd/fleet has it at any length.
+// until the processes end. cmd/fleet runs a soak of any length.
 func TestSoak_FixedSeed(t *testing.T) {
-	f, err := New(build(t), t.ArtifactDir(), SoakSite(9), 0, false, func(o *settings.Options) {
-		assert.NilError(t, ListenForClients(o))
+	fleet, err := New(build(t), t.ArtifactDir(), SoakSite(9), 0, false, func(options *settings.Options) {
+		assert.NilError(t, ListenForClients(options))
 	})
 	assert.NilError(t, err)
 	t.Cleanup(func() {
-		f.Stop()
+		fleet.Stop()
 		if !t.Failed() {
 			return
 		}
-		for _, p := range f.Processes {
-			t.Logf("%s:\n%s", p.Name, p.logContents())
+		for _, process := range fleet.Processes {
+			t.Logf("%s:\n%s", process.Name, process.logContents())
 		}
 	})
-	s := &Soak{
+	soak := &Soak{
 		Seed: 1, Length: 25 * time.Second, Clients: 24, Series: 2, Out: testWriter{t},
 		Load: sim.Load{Callers: 24, Topics: 24, SessionTopics: 24, LiveTopics: 4, Leads: 2, Every: time.Second},
 	}
-	report, err := s.Run(t.Context(), f)
+	report, err := soak.Run(t.Context(), fleet)
 	assert.NilError(t, err)
 	t.Log(report.Verdict())
 	for _, violation := range report.Violations {
 		t.Error(violation)
 	}
 	assert.Assert(t, report.Sessions.Accepted > 100 && report.Sessions.Got > 300 && report.Orders[acknowledged] > 1 &&
-		len(report.Faults) > 4, "too little was seen to prove anything")
+		len(report.Faults) > 4, "too few messages to prove anything")
 }
--- a/internal/testing/fleet/totals.go
+++ b/internal/testing/fleet/totals.go
@@ -8,7 +8,7 @@
 	"postjunction/internal/apierror"
 )
 
-// Sums are counters added up over the fleet, since each process's start.
+// Sums are the counters of all processes since their start, added up.
 type Sums struct {
 	Records, Batches, Accepted, ChangelogBatches, ChangelogItems, Streams uint64
 }
@@ -22,21 +22,21 @@
 		return float64(a) / float64(b)
 	}
 	return fmt.Sprintf(
-		"counters since each start: records %d syncs %d taken %d, syncs per message %.2f, records per sync "+
+		"counters since each start: records %d syncs %d accepted %d, syncs per message %.2f, records per sync "+
 			"%.2f, changelog batches %d, items per message %.2f, streams %d",
 		s.Records, s.Batches, s.Accepted, ratio(s.Batches, s.Accepted), ratio(s.Records, s.Batches), s.ChangelogBatches,
 		ratio(s.ChangelogItems, s.Accepted), s.Streams)
 }
 
-// Totals adds the counters of all machines up.
-func Totals(f *Fleet) (Sums, error) {
-	var s Sums
-	for _, p := range f.Processes {
-		a, err := p.port.Client.Get(p.port.Base + "/v1/counters")
+// Totals adds up the counters of all machines.
+func Totals(fleet *Fleet) (Sums, error) {
+	var sums Sums
+	for _, process := range fleet.Processes {
+		response, err := process.transport.Client.Get(process.transport.Base + "/v1/counters")
 		if err != nil {
-			return s, apierror.Wrap(apierror.Unreachable, err, "%s", p.Name)
+			return sums, apierror.Wrap(apierror.Unreachable, err, "%s", process.Name)
 		}
-		var c struct {
+		var counters struct {
 			Streams uint64 `json:"streams"`
 			Journal struct {
 				Records uint64 `json:"Records"`
@@ -50,16 +50,17 @@
 				} `json:"tally"`
 			} `json:"owners"`
 		}
-		err = json.NewDecoder(a.Body).Decode(&c)
-		_ = a.Body.Close()
-		if a.StatusCode != http.StatusOK || err != nil {
-			return s, apierror.Wrap(apierror.Malformed, err, "%s", p.Name)
+		err = json.NewDecoder(response.Body).Decode(&counters)
+		_ = response.Body.Close()
+		if response.StatusCode != http.StatusOK || err != nil {
+			return sums, apierror.Wrap(apierror.Malformed, err, "%s", process.Name)
 		}
-		s.Records, s.Batches, s.Streams = s.Records+c.Journal.Records, s.Batches+c.Journal.Batches, s.Streams+c.Streams
-		for _, o := range c.Owners {
-			s.Accepted, s.ChangelogBatches, s.ChangelogItems = s.Accepted+o.Tally.Taken, s.ChangelogBatches+o.Tally.Batches,
-				s.ChangelogItems+o.Tally.Items
+		sums.Records, sums.Batches, sums.Streams = sums.Records+counters.Journal.Records,
+			sums.Batches+counters.Journal.Batches, sums.Streams+counters.Streams
+		for _, leader := range counters.Owners {
+			sums.Accepted, sums.ChangelogBatches, sums.ChangelogItems = sums.Accepted+leader.Tally.Taken,
+				sums.ChangelogBatches+leader.Tally.Batches, sums.ChangelogItems+leader.Tally.Items
 		}
 	}
-	return s, nil
+	return sums, nil
 }
