--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -17,7 +17,7 @@
 
 	"postjunction/internal/apierror"
 	"postjunction/internal/event"
-	_ "postjunction/internal/node" // names all calls
+	_ "postjunction/internal/node" // registers all procedures
 	"postjunction/internal/settings"
 	"postjunction/internal/wire"
 )
@@ -27,56 +27,57 @@
 	path := "../../docs/" + file
 	b, err := os.ReadFile(path)
 	assert.NilError(t, err)
-	s := string(b)
-	i, k := strings.Index(s, begin), strings.Index(s, end)
-	assert.Assert(t, i >= 0 && k > i, "%s has no table between %q and %q", file, begin, end)
-	got := s[i+len(begin) : k]
+	page := string(b)
+	start, stop := strings.Index(page, begin), strings.Index(page, end)
+	assert.Assert(t, start >= 0 && stop > start, "%s has no table between %q and %q", file, begin, end)
+	got := page[start+len(begin) : stop]
 	if golden.FlagUpdate() {
-		assert.NilError(t, os.WriteFile(path, []byte(s[:i+len(begin)]+want+s[k:]), 0o644))
+		assert.NilError(t, os.WriteFile(path, []byte(page[:start+len(begin)]+want+page[stop:]), 0o644))
 		return
 	}
 	assert.Equal(t, got, want, "run go test ./internal/docs -update and read the difference")
 }
 
 func TestEventCatalogue(t *testing.T) {
-	es := event.All()
-	sort.Slice(es, func(i, k int) bool { return es[i].Number < es[k].Number })
+	events := event.All()
+	sort.Slice(events, func(i, k int) bool { return events[i].Number < events[k].Number })
 	var b strings.Builder
 	b.WriteString("\n| event | level | text |\n|---|---|---|\n")
 	last := 0
-	for _, e := range es {
-		assert.Assert(t, e.Number > last, "event %d stands twice", e.Number)
-		last = e.Number
-		fmt.Fprintf(&b, "| %d | %s | %s |\n", e.Number, e.Level, e.Text)
+	for _, event := range events {
+		assert.Assert(t, event.Number > last, "event %d is listed twice", event.Number)
+		last = event.Number
+		fmt.Fprintf(&b, "| %d | %s | %s |\n", event.Number, event.Level, event.Text)
 	}
 	b.WriteString("\n")
 	update(t, "events.md", "<!-- events -->", "<!-- end -->", b.String())
 }
 
-// The table of calls between nodes says of each why it may be made again.
+// The table of calls between nodes says for each why it may be retried.
 func TestCallsTable(t *testing.T) {
 	calls := wire.Procedures()
 	sort.Slice(calls, func(i, k int) bool { return calls[i].Path < calls[k].Path })
 	var b strings.Builder
 	b.WriteString("\n| call | repeated | because |\n|---|---|---|\n")
-	for _, c := range calls {
-		fmt.Fprintf(&b, "| `%s` | %s | %s |\n", strings.TrimPrefix(c.Path, "/postjunction."), c.Idempotency, c.Reason)
+	for _, call := range calls {
+		fmt.Fprintf(&b, "| `%s` | %s | %s |\n", strings.TrimPrefix(call.Path, "/postjunction."), call.Idempotency,
+			call.Reason)
 	}
 	b.WriteString("\n")
 	update(t, "design/wire.md", "<!-- calls -->", "<!-- end -->", b.String())
 }
 
 func TestProblemCatalogue(t *testing.T) {
-	m := apierror.Codes()
-	var ks []string
-	for k := range m {
-		ks = append(ks, string(k))
+	codes := apierror.Codes()
+	var sorted []string
+	for code := range codes {
+		sorted = append(sorted, string(code))
 	}
-	sort.Strings(ks)
+	sort.Strings(sorted)
 	var b strings.Builder
 	b.WriteString("\n| code | status | what to do |\n|---|---|---|\n")
-	for _, k := range ks {
-		status, advice, _ := strings.Cut(m[apierror.Code(k)], " ")
+	for _, k := range sorted {
+		status, advice, _ := strings.Cut(codes[apierror.Code(k)], " ")
 		fmt.Fprintf(&b, "| `%s` | %s | %s |\n", k, status, advice)
 	}
 	b.WriteString("\n")
@@ -90,8 +91,8 @@
 	return string(b)
 }
 
-// Every test and mutant that the map of the brief, the never-list, the incidents and the note on
-// hardening name must be there.
+// Every test and mutant that the pages on the brief, the rules, the incidents and hardening name
+// must exist.
 func TestChecksNamedInTheMapExist(t *testing.T) {
 	var code strings.Builder
 	assert.NilError(t, filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
@@ -106,7 +107,8 @@
 	for _, path := range mutations {
 		mutants.WriteString(read(t, strings.TrimPrefix(path, "../../")))
 	}
-	tests, names := regexp.MustCompile("`(Test[A-Za-z0-9_]+)`"), regexp.MustCompile("mutants?:? ((?:`[a-z-]+`(?:, )?)+)")
+	tests, names := regexp.MustCompile("`(Test[A-Za-z0-9_]+)`"),
+		regexp.MustCompile("mutants?:? ((?:`[a-z-]+`(?:, )?)+)")
 	atLeast := map[string]int{
 		"docs/brief.md": 11, "docs/never.md": 11, "docs/incidents.md": 11, "docs/design/hardening.md": 11,
 	}
@@ -114,18 +116,19 @@
 		atLeast[page] = 1
 	}
 	for page, least := range atLeast {
-		s := read(t, page)
-		found := tests.FindAllStringSubmatch(s, -1)
+		content := read(t, page)
+		found := tests.FindAllStringSubmatch(content, -1)
 		assert.Assert(t, len(found) >= least, "%s names %d tests", page, len(found))
-		for _, m := range found {
+		for _, match := range found {
 			assert.Assert(
-				t, strings.Contains(code.String(), "func "+m[1]+"("), "%s names %s, which is not there", page,
-				m[1],
+				t, strings.Contains(code.String(), "func "+match[1]+"("), "%s names %s, which does not exist", page,
+				match[1],
 			)
 		}
-		for _, m := range names.FindAllStringSubmatch(s, -1) {
-			for _, g := range strings.Split(m[1], ", ") {
-				assert.Assert(t, strings.Contains(mutants.String(), "mutant "+strings.Trim(g, "`")+" "), "%s names mutant %s, which is not there", page, g)
+		for _, m := range names.FindAllStringSubmatch(content, -1) {
+			for _, mutant := range strings.Split(m[1], ", ") {
+				assert.Assert(t, strings.Contains(mutants.String(), "mutant "+strings.Trim(mutant, "`")+" "),
+					"%s names mutant %s, which does not exist", page, mutant)
 			}
 		}
 	}
@@ -150,28 +153,28 @@
 func TestOperatorsPageNamesEverySetting(t *testing.T) {
 	page := read(t, "docs/operating.md")
 	page = page[:strings.Index(page, "## Starting and stopping")]
-	d := reflect.ValueOf(settings.Default())
-	for i := range d.NumField() {
-		n, _, _ := strings.Cut(d.Type().Field(i).Tag.Get("json"), ",")
-		assert.Assert(t, n != "" && strings.Contains(page, "`"+n+"`"), "the page lacks %s", n)
+	defaults := reflect.ValueOf(settings.Default())
+	for i := range defaults.NumField() {
+		name, _, _ := strings.Cut(defaults.Type().Field(i).Tag.Get("json"), ",")
+		assert.Assert(t, name != "" && strings.Contains(page, "`"+name+"`"), "the page lacks %s", name)
 	}
 }
 
-// Journal entries that pages name by id must be there.
+// Journal entries that pages name by id must exist.
 func TestJournalEntriesNamedOnPagesExist(t *testing.T) {
-	es, err := filepath.Glob("../../journal/*.json")
+	entries, err := filepath.Glob("../../journal/*.json")
 	assert.NilError(t, err)
 	known := map[string]bool{}
-	for _, e := range es {
-		_, id, _ := strings.Cut(strings.TrimSuffix(filepath.Base(e), ".json"), "-")
+	for _, entry := range entries {
+		_, id, _ := strings.Cut(strings.TrimSuffix(filepath.Base(entry), ".json"), "-")
 		known[id] = true
 	}
 	ids := regexp.MustCompile("[^`0-9a-f]([0-9a-f]{8})[^`0-9a-z]")
 	for _, page := range []string{"docs/incidents.md", "docs/measurements.md"} {
 		found := ids.FindAllStringSubmatch(read(t, page), -1)
 		assert.Assert(t, len(found) > 10, "%s names %d entries", page, len(found))
-		for _, m := range found {
-			assert.Assert(t, known[m[1]], "%s names %s, which is not in the journal", page, m[1])
+		for _, match := range found {
+			assert.Assert(t, known[match[1]], "%s names %s, which is not in the journal", page, match[1])
 		}
 	}
 }
--- a/internal/docs/layers_test.go
+++ b/internal/docs/layers_test.go
@@ -12,8 +12,9 @@
 
 const modulePath = "postjunction/"
 
-// layers are the packages from the top down, each entry with all below its folder unless a longer entry names them. A
-// package imports only packages of its own layer or of lower ones; docs/architecture.md draws the same order.
+// layers are the packages from the top down, each entry with all below its folder unless a longer
+// entry names them. A package imports only packages of its own layer or of lower ones;
+// docs/architecture.md draws the same order.
 var layers = [][]string{
 	{"cmd", "tools"},
 	{"platform"},
@@ -34,12 +35,13 @@
 	{"internal/disk", "internal/wire"},
 	{"internal/assignment", "internal/voters", "internal/partition", "internal/configuration"},
 	{
-		"internal/apierror", "internal/callpolicy", "internal/clock", "internal/event", "internal/keylock", "internal/quorum",
+		"internal/apierror", "internal/callpolicy", "internal/clock", "internal/event", "internal/keylock",
+		"internal/quorum",
 		"internal/rawjson", "internal/recordtype", "internal/settings", "internal/usage", "internal/replay/recording",
 	},
 }
 
-// checks stand outside the layers: they may import anything and nothing imports them.
+// checks are packages outside the layers: they may import anything and nothing imports them.
 var checks = []string{"internal/docs", "internal/golden"}
 
 func TestImports_RunDownward(t *testing.T) {
@@ -50,7 +52,7 @@
 		}
 		from := layerOf(importer)
 		if from < 0 {
-			t.Errorf("%s stands in no layer", importer)
+			t.Errorf("%s is in no layer", importer)
 			return
 		}
 		for _, spec := range source.Imports {
@@ -71,7 +73,7 @@
 	outsideLayers = -2
 )
 
-// layerOf returns the index of the layer whose longest entry holds the package.
+// layerOf returns the index of the layer that contains the package, by the longest matching entry.
 func layerOf(name string) int {
 	for directory := name; directory != "."; directory = path.Dir(directory) {
 		for _, check := range checks {
--- a/internal/docs/words_test.go
+++ b/internal/docs/words_test.go
@@ -14,7 +14,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// withdrawnWords are the words of the former house style. docs/glossary.md names the term that took the place of each.
+// withdrawnWords are the words of the former house style. docs/glossary.md names the term that took
+// the place of each.
 var withdrawnWords = []string{
 	"visitor", "visitors", "fellow", "fellows", "licence", "licences", "licensed", "pulse", "pulses", "holder",
 	"steward", "heir", "heirs", "desk", "reign", "reigns", "astray", "vow", "vows", "vowed", "blow", "blows", "guest",
@@ -23,13 +24,15 @@
 	"errand", "mishap",
 }
 
-// unfinishedPackages still use withdrawn words in identifiers, each for the reason given; docs/ROADMAP.md lists them. A
-// package that is finished is taken off this list and must stay clean.
+// unfinishedPackages still use withdrawn words in identifiers, each for the reason given;
+// docs/ROADMAP.md lists them. A package that is finished is taken off this list and must stay
+// clean.
 var unfinishedPackages = map[string]string{
 	"internal/wire/mux": "the queue's message type of a link is still a parcel; the package was not reached",
 }
 
-// Identifiers of finished packages use the terms of the glossary: a withdrawn word must not come back.
+// Identifiers of finished packages use the terms of the glossary: a withdrawn word must not come
+// back.
 func TestIdentifiers_UseNoWithdrawnWords(t *testing.T) {
 	found := map[string][]string{}
 	walkSources(t, func(path string, file *ast.File, set *token.FileSet) {
--- a/internal/golden/callers_test.go
+++ b/internal/golden/callers_test.go
@@ -32,7 +32,7 @@
 	"postjunction/platform"
 )
 
-// answers are the types whose JSON callers and operators are given, or write.
+// answers are the types whose JSON clients and operators receive or write.
 var answers = []struct {
 	name string
 	form reflect.Type
@@ -56,70 +56,71 @@
 	{"platform configuration", reflect.TypeFor[platform.Configuration]()},
 }
 
-// The JSON that callers and operators are given.
+// Compares the JSON that clients and operators receive.
 func TestAnswersToCallers(t *testing.T) {
 	var out strings.Builder
-	for _, a := range answers {
-		b, err := json.Marshal(filled(t, a.form))
+	for _, answer := range answers {
+		b, err := json.Marshal(filled(t, answer.form))
 		assert.NilError(t, err)
-		fmt.Fprintf(&out, "%s %s\n", a.name, b)
+		fmt.Fprintf(&out, "%s %s\n", answer.name, b)
 	}
 	golden.Assert(t, out.String(), "answers.golden")
 }
 
-// Answers to callers have tags throughout.
+// All fields of answers to clients and operators need tags.
 func TestFieldsOfAnswersHaveTags(t *testing.T) {
 	found, seen := map[string]bool{}, map[reflect.Type]bool{}
-	for _, a := range answers {
-		untagged(a.form, seen, found)
+	for _, answer := range answers {
+		untagged(answer.form, seen, found)
 	}
 	assert.Equal(t, len(found), 0, "%v need a tag", found)
 }
 
-// The paths that callers may use, the methods of each, and how a faulty call of it is turned away.
+// Compares the paths of the HTTP API, the methods of each, and the rejections of invalid calls.
 func TestPathsOfCallers(t *testing.T) {
 	ready := func() error { return apierror.New(apierror.NotReady, "not yet") }
-	h := (&httpapi.API{Timing: settings.DefaultTiming, Ready: ready}).Handler()
+	handler := (&httpapi.API{Timing: settings.DefaultTiming, Ready: ready}).Handler()
 	var out strings.Builder
-	ask := func(method, path, token, doc string) {
+	request := func(method, path, token, doc string) {
 		r := httptest.NewRequest(method, path, strings.NewReader(doc))
 		if token != "" {
 			r.Header.Set("Authorization", token)
 		}
 		w := httptest.NewRecorder()
-		h.ServeHTTP(w, r)
+		handler.ServeHTTP(w, r)
 		allow := slices.Clone(w.Header()["Allow"])
 		fmt.Fprintf(&out, "%s %s %s %s: %d allow %s retry %q type %q\n  %s",
 			method, path, token, doc, w.Code, sorted(allow),
 			w.Header().Get("Retry-After"), w.Header().Get("Content-Type"), w.Body)
 	}
-	for _, p := range []string{
+	for _, path := range []string{
 		"/ready", "/live", "/v1/attach", "/v1/send", "/v1/withdraw", "/v1/stream", "/v1/ack",
 		"/v1/count", "/v1/description", "/v1/status", "/v1/counters", "/v1/usage", "/v1/drain",
 		"/v1/partition", "/v1/why", "/v1/nowhere",
 	} {
-		ask("DELETE", p, "", "")
+		request("DELETE", path, "", "")
 	}
-	ask("GET", "/ready", "", "")
-	ask("GET", "/live", "", "")
+	request("GET", "/ready", "", "")
+	request("GET", "/live", "", "")
 	const bearer = "Bearer pj1.cGlja2VyLTd8MnxzZWNyZXQ"
 	for _, p := range []string{"/v1/attach", "/v1/send", "/v1/withdraw", "/v1/ack", "/v1/drain"} {
-		ask("POST", p, "", "{}")
-		ask("POST", p, bearer, "{}")
-		ask("POST", p, bearer, `{"surplus":1}`)
-		ask("POST", p, bearer, "no json")
+		request("POST", p, "", "{}")
+		request("POST", p, bearer, "{}")
+		request("POST", p, bearer, `{"surplus":1}`)
+		request("POST", p, bearer, "no json")
 	}
 	for _, p := range []string{
 		"/v1/stream?x=1", "/v1/count?x=1", "/v1/partition?x=1", "/v1/why?x=1", "/v1/why?call_seq=x",
 	} {
-		ask("GET", p, "", "")
-		ask("GET", p, "Bearer foreign", "")
-		ask("GET", p, bearer, "")
+		request("GET", p, "", "")
+		request("GET", p, "Bearer foreign", "")
+		request("GET", p, bearer, "")
 	}
 	golden.Assert(t, out.String(), "paths.golden")
 }
 
-// platformRequests returns requests in the platform's words, which no Go file outside it holds.
+// platformRequests returns requests in the platform's protocol, whose words no Go file outside
+// package platform contains.
 func platformRequests(t *testing.T) []string {
 	t.Helper()
 	content, err := os.ReadFile("testdata/platform_requests.txt")
@@ -131,11 +132,11 @@
 	return lines
 }
 
-// The words of a connection's lines: what tasks are read as, field by field, and how each answer
-// and each problem is told.
+// Compares the line protocols: the requests as read, field by field, and how each response and each
+// error is written.
 func TestLines(t *testing.T) {
 	var out strings.Builder
-	asked := map[lineserver.Codec][]string{
+	requests := map[lineserver.Codec][]string{
 		jsoncodec.Codec{}: {
 			`{"verb":"attach","visitor":"v"}`, `{"verb":"join","topic":"t","cursor":"c"}`,
 			`{"verb":"leave","topic":"t"}`,
@@ -146,87 +147,89 @@
 		},
 		platform.Codec{}: platformRequests(t),
 	}
-	whats := []string{
+	responseTypes := []string{
 		"attached", "joined", "left", "taken", "counted", "alive", "message", "turned", "moved",
 		"withdrawn", "forgotten", "nothing",
 	}
-	for _, c := range []lineserver.Codec{jsoncodec.Codec{}, platform.Codec{}} {
-		for _, s := range asked[c] {
-			q, err := c.ReadRequest(bufio.NewReader(strings.NewReader(s+"\r\n")), 64)
-			fmt.Fprintf(&out, "read %q as %q failure %v\n", s, fmt.Sprintf("%v", q), err)
+	for _, codec := range []lineserver.Codec{jsoncodec.Codec{}, platform.Codec{}} {
+		for _, text := range requests[codec] {
+			request, err := codec.ReadRequest(bufio.NewReader(strings.NewReader(text+"\r\n")), 64)
+			fmt.Fprintf(&out, "read %q as %q failure %v\n", text, fmt.Sprintf("%v", request), err)
 		}
-		for _, w := range whats {
-			a := session.Response{
-				Type: session.ResponseType(w), InReplyTo: "send", Topic: "t", Cursor: "c", From: "f", CallSeq: 7, Count: 8,
+		for _, responseType := range responseTypes {
+			response := session.Response{
+				Type: session.ResponseType(responseType), InReplyTo: "send", Topic: "t", Cursor: "c", From: "f",
+				CallSeq: 7, Count: 8,
 				Body: []byte(`{"x":1}`), Address: "127.0.0.1:7400", Key: "k", AlreadyWithdrawn: true,
 				GivenUp: []string{"n"},
 			}
-			fmt.Fprintf(&out, "tell %s %q\n", w, c.AppendResponse(nil, a))
+			fmt.Fprintf(&out, "tell %s %q\n", responseType, codec.AppendResponse(nil, response))
 		}
-		var turned []string
-		for k := range apierror.Codes() {
-			n := uint64(9)
-			p := apierror.New(k, "why").WithCurrent(n)
-			a := session.Response{Type: "turned", InReplyTo: "join", Topic: "t", Err: p}
-			turned = append(turned, fmt.Sprintf("turn %s %q\n", k, c.AppendResponse(nil, a)))
+		var rejections []string
+		for code := range apierror.Codes() {
+			current := uint64(9)
+			problem := apierror.New(code, "why").WithCurrent(current)
+			a := session.Response{Type: "turned", InReplyTo: "join", Topic: "t", Err: problem}
+			rejections = append(rejections, fmt.Sprintf("turn %s %q\n", code, codec.AppendResponse(nil, a)))
 		}
-		out.WriteString(strings.Join(sorted(turned), ""))
+		out.WriteString(strings.Join(sorted(rejections), ""))
 	}
 	golden.Assert(t, out.String(), "lines.golden")
 }
 
-// peer hears a call between nodes as it goes out, and lets a handler answer.
+// peer records a call between nodes as it is sent, and has a handler answer it.
 type peer struct {
-	h    http.Handler
-	said strings.Builder
+	handler  http.Handler
+	exchange strings.Builder
 }
 
-// Do makes the call.
+// Do records the call and its answer.
 func (p *peer) Do(r *http.Request) (*http.Response, error) {
 	b, err := io.ReadAll(r.Body)
 	if err != nil {
 		return nil, err
 	}
-	fmt.Fprintf(&p.said, "%s %s %s\n  body %x\n", r.Method, r.URL, heads(r.Header), b)
+	fmt.Fprintf(&p.exchange, "%s %s %s\n  body %x\n", r.Method, r.URL, headerText(r.Header), b)
 	r.Body = io.NopCloser(strings.NewReader(string(b)))
 	w := httptest.NewRecorder()
-	p.h.ServeHTTP(w, r)
-	a := w.Result()
-	fmt.Fprintf(&p.said, "  answer %d %s\n  body %x\n", a.StatusCode, heads(a.Header), w.Body.Bytes())
-	return a, nil
+	p.handler.ServeHTTP(w, r)
+	response := w.Result()
+	fmt.Fprintf(&p.exchange, "  answer %d %s\n  body %x\n", response.StatusCode, headerText(response.Header),
+		w.Body.Bytes())
+	return response, nil
 }
 
-func heads(h http.Header) string {
+func headerText(header http.Header) string {
 	var out []string
-	for k, v := range h {
-		if k != "User-Agent" && k != "Date" {
-			out = append(out, fmt.Sprintf("%s=%q", k, v))
+	for key, values := range header {
+		if key != "User-Agent" && key != "Date" {
+			out = append(out, fmt.Sprintf("%s=%q", key, values))
 		}
 	}
 	return strings.Join(sorted(out), " ")
 }
 
-// A whole call between nodes: path, headers and bodies, and what a caller of a newer format is
-// told.
+// Compares a whole call between nodes: path, headers and bodies, and the answer to a caller with a
+// newer format.
 func TestCallBetweenNodes(t *testing.T) {
-	m := http.NewServeMux()
-	v := acceptor.New()
-	v.Start(disk, nil, nil, nil)
-	v.Serve(m)
-	p := &peer{h: m}
-	for _, inc := range []string{disk, "other"} {
-		q := &acceptor.PeekRequest{VoterSet: 1, Incarnation: inc, Keys: []string{"k"}}
-		_, err := acceptor.Peek.Call(t.Context(), p, "machine-1", "127.0.0.1:7500", q)
-		fmt.Fprintf(&p.said, "  problem %v\n", err)
+	mux := http.NewServeMux()
+	voter := acceptor.New()
+	voter.Start(diskIncarnation, nil, nil, nil)
+	voter.Serve(mux)
+	recorder := &peer{handler: mux}
+	for _, incarnation := range []string{diskIncarnation, "other"} {
+		request := &acceptor.PeekRequest{VoterSet: 1, Incarnation: incarnation, Keys: []string{"k"}}
+		_, err := acceptor.Peek.Call(t.Context(), recorder, "machine-1", "127.0.0.1:7500", request)
+		fmt.Fprintf(&recorder.exchange, "  problem %v\n", err)
 	}
 	r := httptest.NewRequest("POST", "/postjunction.Control/Peek", strings.NewReader("\xa0"))
-	for k, v := range map[string]string{
+	for key, v := range map[string]string{
 		"Content-Type": "application/cbor", "Connect-Protocol-Version": "1",
 		"Postjunction-Wire": "99", "Postjunction-From": "x",
 	} {
-		r.Header.Set(k, v)
+		r.Header.Set(key, v)
 	}
-	_, err := p.Do(r)
+	_, err := recorder.Do(r)
 	assert.NilError(t, err)
-	golden.Assert(t, p.said.String(), "call.golden")
+	golden.Assert(t, recorder.exchange.String(), "call.golden")
 }
--- a/internal/golden/fill_test.go
+++ b/internal/golden/fill_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// filler sets every exported field of a value. What it sets follows from how many values it has
-// set before and from nothing else, so names of types and fields leave no trace. Maps get one
-// entry, since the codec between nodes doesn't sort their keys.
+// filler sets every exported field of a value. What it sets depends only on how many values it has
+// set before, so names of types and fields have no effect. Maps get one entry, because the codec
+// between nodes doesn't sort their keys.
 type filler struct {
 	t     *testing.T
 	n     int
@@ -19,129 +19,129 @@
 
 const elements = 2
 
-func filled(t *testing.T, x reflect.Type) any {
+func filled(t *testing.T, kind reflect.Type) any {
 	t.Helper()
-	v := reflect.New(x)
-	(&filler{t: t}).fill(v.Elem())
-	return v.Interface()
+	value := reflect.New(kind)
+	(&filler{t: t}).fill(value.Elem())
+	return value.Interface()
 }
 
-func (f *filler) fill(v reflect.Value) {
-	x := v.Type()
+func (f *filler) fill(value reflect.Value) {
+	kind := value.Type()
 	f.n++
-	switch x {
+	switch kind {
 	case reflect.TypeFor[time.Time]():
-		v.Set(reflect.ValueOf(time.Date(2031, 4, 5, 6, 7, f.n%60, 123456789, time.UTC)))
+		value.Set(reflect.ValueOf(time.Date(2031, 4, 5, 6, 7, f.n%60, 123456789, time.UTC)))
 		return
 	case reflect.TypeFor[json.RawMessage]():
-		v.SetBytes(fmt.Appendf(nil, `{"raw":%d}`, f.n))
+		value.SetBytes(fmt.Appendf(nil, `{"raw":%d}`, f.n))
 		return
 	case reflect.TypeFor[[]byte]():
-		v.SetBytes(fmt.Appendf(nil, "b%d", f.n))
+		value.SetBytes(fmt.Appendf(nil, "b%d", f.n))
 		return
 	}
-	switch x.Kind() {
+	switch kind.Kind() {
 	case reflect.Struct:
-		for _, on := range f.stack {
-			if on == x {
+		for _, enclosing := range f.stack {
+			if enclosing == kind {
 				return
 			}
 		}
-		f.stack = append(f.stack, x)
-		for i := range x.NumField() {
-			if s := x.Field(i); serialised(s) {
-				f.fill(v.Field(i))
+		f.stack = append(f.stack, kind)
+		for i := range kind.NumField() {
+			if field := kind.Field(i); isEncoded(field) {
+				f.fill(value.Field(i))
 			}
 		}
 		f.stack = f.stack[:len(f.stack)-1]
 	case reflect.Pointer:
-		v.Set(reflect.New(x.Elem()))
-		f.fill(v.Elem())
+		value.Set(reflect.New(kind.Elem()))
+		f.fill(value.Elem())
 	case reflect.Slice:
-		v.Set(reflect.MakeSlice(x, elements, elements))
+		value.Set(reflect.MakeSlice(kind, elements, elements))
 		for i := range elements {
-			f.fill(v.Index(i))
+			f.fill(value.Index(i))
 		}
 	case reflect.Array:
-		for i := range x.Len() {
-			f.fill(v.Index(i))
+		for i := range kind.Len() {
+			f.fill(value.Index(i))
 		}
 	case reflect.Map:
-		k, e := reflect.New(x.Key()).Elem(), reflect.New(x.Elem()).Elem()
-		f.fill(k)
-		f.fill(e)
-		v.Set(reflect.MakeMap(x))
-		v.SetMapIndex(k, e)
+		key, element := reflect.New(kind.Key()).Elem(), reflect.New(kind.Elem()).Elem()
+		f.fill(key)
+		f.fill(element)
+		value.Set(reflect.MakeMap(kind))
+		value.SetMapIndex(key, element)
 	case reflect.String:
-		v.SetString(fmt.Sprintf("s%d", f.n))
+		value.SetString(fmt.Sprintf("s%d", f.n))
 	case reflect.Bool:
-		v.SetBool(true)
+		value.SetBool(true)
 	case reflect.Float32, reflect.Float64:
-		v.SetFloat(float64(f.n) + 0.25)
+		value.SetFloat(float64(f.n) + 0.25)
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		v.SetInt(int64(f.n))
+		value.SetInt(int64(f.n))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		v.SetUint(uint64(f.n))
+		value.SetUint(uint64(f.n))
 	default:
-		f.t.Fatalf("no example for a value of kind %s", x.Kind())
+		f.t.Fatalf("no example for a value of kind %s", kind.Kind())
 	}
 }
 
-// serialised tells whether the codecs write a field.
-func serialised(s reflect.StructField) bool {
-	if tag(s) == "-" {
+// isEncoded reports whether the codecs encode a field.
+func isEncoded(field reflect.StructField) bool {
+	if tag(field) == "-" {
 		return false
 	}
-	if s.Anonymous {
-		x := s.Type
-		if x.Kind() == reflect.Pointer {
-			x = x.Elem()
+	if field.Anonymous {
+		kind := field.Type
+		if kind.Kind() == reflect.Pointer {
+			kind = kind.Elem()
 		}
-		return s.IsExported() || x.Kind() == reflect.Struct
+		return field.IsExported() || kind.Kind() == reflect.Struct
 	}
-	return s.IsExported()
+	return field.IsExported()
 }
 
-// tag gives the name under which a field is written, "" where its Go name is used.
-func tag(s reflect.StructField) string {
-	v, ok := s.Tag.Lookup("cbor")
+// tag returns the name under which a field is encoded, or "" if its Go name is used.
+func tag(field reflect.StructField) string {
+	value, ok := field.Tag.Lookup("cbor")
 	if !ok {
-		v = s.Tag.Get("json")
+		value = field.Tag.Get("json")
 	}
-	for i, c := range v {
-		if c == ',' {
-			return v[:i]
+	for i, char := range value {
+		if char == ',' {
+			return value[:i]
 		}
 	}
-	return v
+	return value
 }
 
-// untagged collects the fields that are written under their Go names, through all that a type
-// holds.
-func untagged(x reflect.Type, seen map[reflect.Type]bool, found map[string]bool) {
-	if seen[x] {
+// untagged collects the fields that are encoded under their Go names, in a type and all types that
+// it contains.
+func untagged(kind reflect.Type, seen map[reflect.Type]bool, found map[string]bool) {
+	if seen[kind] {
 		return
 	}
-	seen[x] = true
-	switch x.Kind() {
+	seen[kind] = true
+	switch kind.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Array:
-		untagged(x.Elem(), seen, found)
+		untagged(kind.Elem(), seen, found)
 	case reflect.Map:
-		untagged(x.Key(), seen, found)
-		untagged(x.Elem(), seen, found)
+		untagged(kind.Key(), seen, found)
+		untagged(kind.Elem(), seen, found)
 	case reflect.Struct:
-		if x == reflect.TypeFor[time.Time]() {
+		if kind == reflect.TypeFor[time.Time]() {
 			return
 		}
-		for i := range x.NumField() {
-			s := x.Field(i)
-			if !serialised(s) {
+		for i := range kind.NumField() {
+			field := kind.Field(i)
+			if !isEncoded(field) {
 				continue
 			}
-			if tag(s) == "" && (!s.Anonymous || s.Type.Kind() != reflect.Struct) {
-				found[fmt.Sprintf("%s.%s", x, s.Name)] = true
+			if tag(field) == "" && (!field.Anonymous || field.Type.Kind() != reflect.Struct) {
+				found[fmt.Sprintf("%s.%s", kind, field.Name)] = true
 			}
-			untagged(s.Type, seen, found)
+			untagged(field.Type, seen, found)
 		}
 	default:
 	}
--- a/internal/golden/fleet_test.go
+++ b/internal/golden/fleet_test.go
@@ -20,8 +20,8 @@
 	"postjunction/internal/testing/sim"
 )
 
-// kept is what a caller of the old fleet has in hand.
-type kept struct {
+// oldClient is the state of a client of the old fleet.
+type oldClient struct {
 	Token  string   `json:"token"`
 	Cursor string   `json:"cursor"`
 	Bodies []string `json:"bodies"`
@@ -34,140 +34,141 @@
 
 var load = sim.Load{Topics: 2, LiveTopics: 1}
 
-// transfer writes one log's records behind those of another.
-func transfer(t *testing.T, from, to journal.Log) {
+// copyRecords appends all records of one journal to another.
+func copyRecords(t *testing.T, source, target journal.Log) {
 	t.Helper()
-	first, last, err := from.Bounds()
+	first, last, err := source.Bounds()
 	assert.NilError(t, err)
-	_, next, err := to.Bounds()
+	_, next, err := target.Bounds()
 	assert.NilError(t, err)
-	assert.Equal(t, first, next+1, "the old log was written anew")
-	var rs [][]byte
+	assert.Equal(t, first, next+1, "the old journal was compacted")
+	var records [][]byte
 	for i := first; i <= last; i++ {
-		b, err := from.Read(i)
+		b, err := source.Read(i)
 		assert.NilError(t, err)
-		rs = append(rs, b)
+		records = append(records, b)
 	}
-	assert.NilError(t, to.Write(first, rs))
-	assert.NilError(t, to.Sync())
+	assert.NilError(t, target.Write(first, records))
+	assert.NilError(t, target.Sync())
 }
 
-// found makes a fleet, sends a few messages, and leaves its disks and what its caller has.
-func found(t *testing.T, dir string) {
+// writeOldFleet runs a fleet, sends a few messages, and writes the disks and the client's state to
+// dir.
+func writeOldFleet(t *testing.T, dir string) {
 	t.Helper()
-	var k kept
-	var w *sim.World
+	var client oldClient
+	var world *sim.World
 	synctest.Test(t, func(t *testing.T) {
-		w = sim.New(sim.Armor, 1, nil)
-		defer w.Close()
-		assert.NilError(t, w.Start(w.Names...))
+		world = sim.New(sim.Armor, 1, nil)
+		defer world.Close()
+		assert.NilError(t, world.Start(world.Names...))
 		var err error
-		assert.NilError(t, w.WaitUntil(limit, "a description is put", func() bool {
-			_, err = w.Put("c1", load.Describe(0))
+		assert.NilError(t, world.WaitUntil(limit, "a configuration is accepted", func() bool {
+			_, err = world.Put("c1", load.Describe(0))
 			return err == nil
 		}))
-		assert.NilError(t, w.WaitReady(limit))
-		time.Sleep(w.Site.Timing.Recovery)
-		p := w.Port("a1")
-		a, err := p.Attach(t.Context(), "picker-7")
+		assert.NilError(t, world.WaitReady(limit))
+		time.Sleep(world.Site.Timing.Recovery)
+		node := world.Port("a1")
+		attachment, err := node.Attach(t.Context(), "picker-7")
 		assert.NilError(t, err)
-		k.Token = a.Token
-		k.Cursor = heard(t, w, k.Token, "", 0)[0].Cursor
+		client.Token = attachment.Token
+		client.Cursor = follow(t, world, client.Token, "", 0)[0].Cursor
 		for i, b := range []string{`{"pick":1}`, `{"pick":2}`, `"third"`} {
-			_, err := p.Send(t.Context(), k.Token, topic, uint64(i+1), []byte(b))
+			_, err := node.Send(t.Context(), client.Token, topic, uint64(i+1), []byte(b))
 			assert.NilError(t, err)
-			k.Bodies = append(k.Bodies, b)
+			client.Bodies = append(client.Bodies, b)
 		}
-		time.Sleep(w.Site.Timing.Recovery)
+		time.Sleep(world.Site.Timing.Recovery)
 	})
-	for n, m := range w.Machines {
-		if m.Opts.DataDir == "" || m.Opts.Disk == "none" {
+	for name, machine := range world.Machines {
+		if machine.Opts.DataDir == "" || machine.Opts.Disk == "none" {
 			continue
 		}
-		l, err := walog.Open(filepath.Join(dir, n))
+		disk, err := walog.Open(filepath.Join(dir, name))
 		assert.NilError(t, err)
-		transfer(t, m.Disk, l)
-		assert.NilError(t, l.Close())
+		copyRecords(t, machine.Disk, disk)
+		assert.NilError(t, disk.Close())
 	}
-	b, err := json.MarshalIndent(k, "", "  ")
+	b, err := json.MarshalIndent(client, "", "  ")
 	assert.NilError(t, err)
 	assert.NilError(t, os.WriteFile(filepath.Join(dir, "caller.json"), append(b, '\n'), 0o600))
 }
 
 var errEnough = errors.New("enough")
 
-// heard follows the topic from a cursor until n messages came, or for none of them until the first
-// line did.
-func heard(t *testing.T, w *sim.World, token, cursor string, n int) []client.Event {
+// follow follows the topic from a cursor until count messages arrived. With a count of 0 it returns
+// the stream's first event.
+func follow(t *testing.T, world *sim.World, token, cursor string, count int) []client.Event {
 	t.Helper()
-	var got []client.Event
-	ctx, stop := context.WithTimeout(t.Context(), limit)
-	defer stop()
-	_ = w.Port("a1").Follow(ctx, token, []string{topic}, cursor, func(l client.Event) error {
-		if n == 0 || l.Body != nil {
-			got = append(got, l)
+	var events []client.Event
+	ctx, cancel := context.WithTimeout(t.Context(), limit)
+	defer cancel()
+	_ = world.Port("a1").Follow(ctx, token, []string{topic}, cursor, func(event client.Event) error {
+		if count == 0 || event.Body != nil {
+			events = append(events, event)
 		}
-		if len(got) >= max(n, 1) {
+		if len(events) >= max(count, 1) {
 			return errEnough
 		}
 		return nil
 	})
-	assert.Equal(t, len(got), max(n, 1))
-	return got
+	assert.Equal(t, len(events), max(count, 1))
+	return events
 }
 
-// A fleet whose disks an older build wrote comes back: its caller's token and cursor hold, what was
-// sent is read, a number that was taken stays taken, and the next one is taken.
+// A fleet whose disks were written by an older build serves: its client's token and cursor stay
+// valid, the messages are read, an accepted number stays accepted, and the next one is accepted.
 func TestOldFleetServes(t *testing.T) {
-	dir := old("fleet")
+	dir := oldPath("fleet")
 	if _, err := os.Stat(dir); errors.Is(err, os.ErrNotExist) && golden.FlagUpdate() {
-		found(t, dir)
+		writeOldFleet(t, dir)
 	}
 	b, err := os.ReadFile(filepath.Join(dir, "caller.json"))
 	assert.NilError(t, err)
-	var k kept
-	assert.NilError(t, json.Unmarshal(b, &k))
-	fresh := t.TempDir()
-	assert.NilError(t, os.CopyFS(fresh, os.DirFS(dir)))
+	var client oldClient
+	assert.NilError(t, json.Unmarshal(b, &client))
+	copied := t.TempDir()
+	assert.NilError(t, os.CopyFS(copied, os.DirFS(dir)))
 	disks := map[string]*memlog.Disk{}
-	es, err := os.ReadDir(fresh)
+	entries, err := os.ReadDir(copied)
 	assert.NilError(t, err)
-	for _, e := range es {
-		if e.IsDir() {
-			l, err := walog.Open(filepath.Join(fresh, e.Name()))
+	for _, entry := range entries {
+		if entry.IsDir() {
+			disk, err := walog.Open(filepath.Join(copied, entry.Name()))
 			assert.NilError(t, err)
-			disks[e.Name()] = memlog.New()
-			transfer(t, l, disks[e.Name()])
-			assert.NilError(t, l.Close())
+			disks[entry.Name()] = memlog.New()
+			copyRecords(t, disk, disks[entry.Name()])
+			assert.NilError(t, disk.Close())
 		}
 	}
 	assert.Equal(t, len(disks), 6)
 	synctest.Test(t, func(t *testing.T) {
-		w := sim.New(sim.Armor, 2, nil)
-		defer w.Close()
-		for n, d := range disks {
-			w.Machines[n].Disk = d
+		world := sim.New(sim.Armor, 2, nil)
+		defer world.Close()
+		for name, disk := range disks {
+			world.Machines[name].Disk = disk
 		}
-		assert.NilError(t, w.Start(w.Names...))
-		assert.NilError(t, w.WaitReady(limit))
-		time.Sleep(w.Site.Timing.Recovery)
-		p := w.Port("a1")
-		seq, err := p.Get(t.Context())
+		assert.NilError(t, world.Start(world.Names...))
+		assert.NilError(t, world.WaitReady(limit))
+		time.Sleep(world.Site.Timing.Recovery)
+		node := world.Port("a1")
+		sequence, err := node.Get(t.Context())
 		assert.NilError(t, err)
-		assert.Equal(t, seq, uint64(1))
+		assert.Equal(t, sequence, uint64(1))
 		var bodies []string
-		for _, l := range heard(t, w, k.Token, k.Cursor, len(k.Bodies)) {
+		for _, l := range follow(t, world, client.Token, client.Cursor, len(client.Bodies)) {
 			bodies = append(bodies, string(l.Body))
 		}
-		assert.DeepEqual(t, bodies, k.Bodies)
-		last := uint64(len(k.Bodies))
-		r, err := p.Send(t.Context(), k.Token, topic, last, []byte(k.Bodies[last-1]))
+		assert.DeepEqual(t, bodies, client.Bodies)
+		last := uint64(len(client.Bodies))
+		receipt, err := node.Send(t.Context(), client.Token, topic, last, []byte(client.Bodies[last-1]))
 		assert.NilError(t, err)
-		assert.Assert(t, r.Duplicate)
-		_, err = p.Send(t.Context(), k.Token, topic, last, []byte(`"altered"`))
+		assert.Assert(t, receipt.Duplicate)
+		_, err = node.Send(t.Context(), client.Token, topic, last, []byte(`"altered"`))
 		assert.ErrorContains(t, err, "call_altered")
-		r, err = p.Send(t.Context(), k.Token, topic, last+1, []byte(`"next"`))
+		receipt, err = node.Send(t.Context(), client.Token, topic, last+1, []byte(`"next"`))
 		assert.NilError(t, err)
-		assert.Assert(t, !r.Duplicate)
+		assert.Assert(t, !receipt.Duplicate)
 	})
 }
--- a/internal/golden/life_test.go
+++ b/internal/golden/life_test.go
@@ -19,55 +19,55 @@
 	"postjunction/internal/testing/sim"
 )
 
-// names collects the paths of all keys of a JSON value; items of a list share one path.
-func names(path string, v any, found map[string]bool) {
-	switch x := v.(type) {
+// collectPaths collects the paths of all keys of a JSON value. Items of a list share one path.
+func collectPaths(path string, v any, found map[string]bool) {
+	switch value := v.(type) {
 	case map[string]any:
-		for k, y := range x {
-			found[path+"."+k] = true
-			names(path+"."+k, y, found)
+		for key, item := range value {
+			found[path+"."+key] = true
+			collectPaths(path+"."+key, item, found)
 		}
 	case []any:
-		for _, y := range x {
-			names(path+"[]", y, found)
+		for _, y := range value {
+			collectPaths(path+"[]", y, found)
 		}
 	default:
 	}
 }
 
-// A running fleet: the keys of its registers, and the names of what it counts for operators.
+// Compares the keys of a running fleet's registers and the names of its counters.
 func TestKeysOfAFleet(t *testing.T) {
 	found := map[string]bool{}
 	registers := map[string]bool{"by name " + decommission.Key: true, "by name " + assignment.Key(3): true}
-	var w *sim.World
+	var world *sim.World
 	synctest.Test(t, func(t *testing.T) {
-		w = sim.New(sim.Armor, 3, nil)
-		defer w.Close()
-		assert.NilError(t, w.Start(w.Names...))
-		put := func(what string, doc []byte) {
-			assert.NilError(t, w.WaitUntil(limit, what, func() bool {
-				_, err := w.Put("c1", doc)
+		world = sim.New(sim.Armor, 3, nil)
+		defer world.Close()
+		assert.NilError(t, world.Start(world.Names...))
+		put := func(what string, document []byte) {
+			assert.NilError(t, world.WaitUntil(limit, what, func() bool {
+				_, err := world.Put("c1", document)
 				return err == nil
 			}))
 		}
-		put("a description is put", load.Describe(0))
-		assert.NilError(t, w.WaitReady(limit))
+		put("a configuration is accepted", load.Describe(0))
+		assert.NilError(t, world.WaitReady(limit))
 		put("its spaces are removed", []byte(`{"base":1,"spaces":[]}`))
-		time.Sleep(w.Site.Timing.Recovery)
-		for _, n := range []string{"c1", "s1", "a1"} {
-			b, err := json.Marshal(w.Machines[n].Node().Operators.Counters())
+		time.Sleep(world.Site.Timing.Recovery)
+		for _, name := range []string{"c1", "s1", "a1"} {
+			b, err := json.Marshal(world.Machines[name].Node().Operators.Counters())
 			assert.NilError(t, err)
 			var v any
 			assert.NilError(t, json.Unmarshal(b, &v))
-			names("counters "+n[:1], v, found)
+			collectPaths("counters "+name[:1], v, found)
 		}
 	})
-	m := open(t, w.Machines["c1"].Disk)
-	q := &acceptor.PeekRequest{VoterSet: m.voter.VoterSet().Sequence, Incarnation: disk}
-	a, err := m.voter.Peek(t.Context(), q)
+	opened := open(t, world.Machines["c1"].Disk)
+	request := &acceptor.PeekRequest{VoterSet: opened.voter.VoterSet().Sequence, Incarnation: diskIncarnation}
+	answer, err := opened.voter.Peek(t.Context(), request)
 	assert.NilError(t, err)
-	for k := range a.Slots {
-		registers["register "+k] = true
+	for key := range answer.Slots {
+		registers["register "+key] = true
 	}
 	var out strings.Builder
 	for _, m := range []map[string]bool{registers, found} {
--- a/internal/golden/records_test.go
+++ b/internal/golden/records_test.go
@@ -28,7 +28,7 @@
 	"postjunction/internal/disk/memlog"
 	"postjunction/internal/disk/walog"
 	"postjunction/internal/operator/orderlog"
-	ledger "postjunction/internal/partitionlog/log"
+	partitionlog "postjunction/internal/partitionlog/log"
 	"postjunction/internal/partitionlog/replica"
 	"postjunction/internal/placement/decommission"
 	"postjunction/internal/recordtype"
@@ -37,9 +37,9 @@
 	"postjunction/internal/voters"
 )
 
-const disk = "1111222233334444"
+const diskIncarnation = "1111222233334444"
 
-// machine is all that keeps records in one journal, as a node puts it together.
+// machine is all parts of a node that store records in one journal.
 type machine struct {
 	id      *identity.Part
 	voter   *acceptor.Acceptor
@@ -48,100 +48,101 @@
 	report  journal.Report
 }
 
-func open(t *testing.T, l journal.Log) *machine {
+func open(t *testing.T, disk journal.Log) *machine {
 	t.Helper()
-	m := &machine{id: &identity.Part{}, voter: acceptor.New(), replica: replica.New(clock.Real{})}
-	parts := map[uint16]journal.Part{recordtype.Identity: m.id, recordtype.Slot: m.voter, recordtype.VoterSet: m.voter}
-	for _, k := range replica.RecordTypes() {
-		parts[k] = m.replica
+	opened := &machine{id: &identity.Part{}, voter: acceptor.New(), replica: replica.New(clock.Real{})}
+	parts := map[uint16]journal.Part{recordtype.Identity: opened.id, recordtype.Slot: opened.voter,
+		recordtype.VoterSet: opened.voter}
+	for _, recordType := range replica.RecordTypes() {
+		parts[recordType] = opened.replica
 	}
 	var err error
-	order := []journal.Part{m.id, m.voter, m.replica}
-	m.journal, m.report, err = journal.Open(l, clock.Real{}, parts, order)
+	order := []journal.Part{opened.id, opened.voter, opened.replica}
+	opened.journal, opened.report, err = journal.Open(disk, clock.Real{}, parts, order)
 	assert.NilError(t, err)
-	ctx, stop := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		m.journal.Run(ctx)
+		opened.journal.Run(ctx)
 	}()
 	t.Cleanup(func() {
-		stop()
+		cancel()
 		<-done
-		assert.NilError(t, l.Close())
+		assert.NilError(t, disk.Close())
 	})
-	m.replica.Start(disk, m.journal)
-	m.voter.Start(disk, m.journal, func(voters.Set) error { return nil }, func(voters.Set) {})
-	return m
+	opened.replica.Start(diskIncarnation, opened.journal)
+	opened.voter.Start(diskIncarnation, opened.journal, func(voters.Set) error { return nil }, func(voters.Set) {})
+	return opened
 }
 
-// claim gives the disk a name, which is random in a node.
+// claim gives the disk a fixed incarnation, which is random in a node.
 func (m *machine) claim(t *testing.T) {
 	t.Helper()
-	name := fmt.Sprintf(`{"node":"machine-1","incarnation":%q}`, disk)
+	name := fmt.Sprintf(`{"node":"machine-1","incarnation":%q}`, diskIncarnation)
 	assert.NilError(t, m.id.Restore(journal.Record{Kind: recordtype.Identity, Body: []byte(name)}))
 	assert.NilError(t, m.id.Join(t.Context(), m.journal, "fleet-1"))
 }
 
-func founded() voters.Set {
-	var seats []voters.Voter
+func initialVoterSet() voters.Set {
+	var members []voters.Voter
 	for i := range 3 {
-		node, addr := fmt.Sprintf("machine-%d", 3-i), fmt.Sprintf("127.0.0.1:750%d", i)
-		seats = append(seats, voters.Voter{Node: node, Addr: addr, Incarnation: disk})
+		node, address := fmt.Sprintf("machine-%d", 3-i), fmt.Sprintf("127.0.0.1:750%d", i)
+		members = append(members, voters.Voter{Node: node, Addr: address, Incarnation: diskIncarnation})
 	}
-	return voters.NewSet(seats, voters.Layout{RoutinePartitions: 4, UrgentPartitions: 2, ToleratedLosses: 1})
+	return voters.NewSet(members, voters.Layout{RoutinePartitions: 4, UrgentPartitions: 2, ToleratedLosses: 1})
 }
 
-// writeControl does on a control disk whatever writes records there.
+// writeControl performs all operations that write records to a control disk.
 func (m *machine) writeControl(t *testing.T) {
 	t.Helper()
-	ctx, r := t.Context(), founded()
+	ctx, voterSet := t.Context(), initialVoterSet()
 	m.claim(t)
-	_, err := m.voter.Bootstrap(ctx, &acceptor.BootstrapRequest{Incarnation: disk, VoterSet: r})
+	_, err := m.voter.Bootstrap(ctx, &acceptor.BootstrapRequest{Incarnation: diskIncarnation, VoterSet: voterSet})
 	assert.NilError(t, err)
-	low := epoch.Epoch{Number: 2, Node: "machine-1"}
-	v := acceptor.Value{
+	lowEpoch := epoch.Epoch{Number: 2, Node: "machine-1"}
+	value := acceptor.Value{
 		Version: 1, ChangeID: "order-0", Body: []byte(`{"base":0,"spaces":[]}`), Metadata: orders().Marshal(),
 	}
 	_, err = m.voter.Activate(ctx, &acceptor.ActivateRequest{
-		Incarnation: disk, VoterSet: r, Bootstrap: true,
-		Slots: map[string]acceptor.Slot{"description": {Promised: low, Accepted: low, Value: v}},
+		Incarnation: diskIncarnation, VoterSet: voterSet, Bootstrap: true,
+		Slots: map[string]acceptor.Slot{"description": {Promised: lowEpoch, Accepted: lowEpoch, Value: value}},
 	})
 	assert.NilError(t, err)
-	e := epoch.Epoch{Number: 5, Node: "machine-2"}
-	for _, k := range []string{"duty/drain", "partition/003"} {
-		b := acceptor.Target{VoterSet: r.Sequence, Incarnation: disk, Key: k}
-		a, err := m.voter.Promise(ctx, &acceptor.PromiseRequest{Target: b, Epoch: e})
+	highEpoch := epoch.Epoch{Number: 5, Node: "machine-2"}
+	for _, key := range []string{"duty/drain", "partition/003"} {
+		target := acceptor.Target{VoterSet: voterSet.Sequence, Incarnation: diskIncarnation, Key: key}
+		answer, err := m.voter.Promise(ctx, &acceptor.PromiseRequest{Target: target, Epoch: highEpoch})
 		assert.NilError(t, err)
-		assert.Assert(t, a.Granted)
+		assert.Assert(t, answer.Granted)
 		v := acceptor.Value{
 			Version: 3, ChangeID: "change-1", Successor: "machine-3",
-			Body: []byte(`{"of":"` + k + `"}`), Metadata: []byte("beside " + k),
+			Body: []byte(`{"of":"` + key + `"}`), Metadata: []byte("beside " + key),
 		}
-		a, err = m.voter.Accept(ctx, &acceptor.AcceptRequest{Target: b, Epoch: e, Value: v})
+		answer, err = m.voter.Accept(ctx, &acceptor.AcceptRequest{Target: target, Epoch: highEpoch, Value: v})
 		assert.NilError(t, err)
-		assert.Assert(t, a.Granted)
+		assert.Assert(t, answer.Granted)
 	}
-	b := acceptor.Target{VoterSet: r.Sequence, Incarnation: disk, Key: "duty/placement"}
-	a, err := m.voter.Promise(ctx, &acceptor.PromiseRequest{Target: b, Epoch: e})
+	b := acceptor.Target{VoterSet: voterSet.Sequence, Incarnation: diskIncarnation, Key: "duty/placement"}
+	a, err := m.voter.Promise(ctx, &acceptor.PromiseRequest{Target: b, Epoch: highEpoch})
 	assert.NilError(t, err)
 	assert.Assert(t, a.Granted)
 }
 
-// follow puts entries behind a point, with their places and sums.
-func follow(after ledger.Position, under uint64, es ...ledger.Entry) []ledger.Entry {
-	for i := range es {
-		e := &es[i]
-		e.Offset, e.Epoch, e.Digest = after.Offset+1, under, ledger.Digest(e.Body)
-		e.Chain = ledger.NextChain(after.Chain, *e)
-		after = e.Position()
+// chainEntries gives entries their offsets, epochs, digests and chain sums after a position.
+func chainEntries(after partitionlog.Position, under uint64, entries ...partitionlog.Entry) []partitionlog.Entry {
+	for i := range entries {
+		entry := &entries[i]
+		entry.Offset, entry.Epoch, entry.Digest = after.Offset+1, under, partitionlog.Digest(entry.Body)
+		entry.Chain = partitionlog.NextChain(after.Chain, *entry)
+		after = entry.Position()
 	}
-	return es
+	return entries
 }
 
-// said are entries of every sort that a ledger holds.
-func said() []ledger.Entry {
-	return []ledger.Entry{
+// sampleEntries returns entries of every type that a partition log contains.
+func sampleEntries() []partitionlog.Entry {
+	return []partitionlog.Entry{
 		{Type: "start"},
 		{Type: "attach", Client: "picker-7", Generation: 2, Body: []byte("secret")},
 		{
@@ -164,58 +165,59 @@
 	}
 }
 
-func materialised() *state.State {
-	s := state.New()
-	for _, e := range follow(ledger.Position{}, 4, said()...) {
-		s.Apply(e)
+func sampleState() *state.State {
+	sample := state.New()
+	for _, entry := range chainEntries(partitionlog.Position{}, 4, sampleEntries()...) {
+		sample.Apply(entry)
 	}
-	return s
+	return sample
 }
 
-// writeStorage does on a storage disk whatever writes records there.
+// writeStorage performs all operations that write records to a storage disk.
 func (m *machine) writeStorage(t *testing.T) {
 	t.Helper()
 	ctx := t.Context()
 	m.claim(t)
-	to := func(p int, e uint64) replica.Target {
-		return replica.Target{Partition: p, Incarnation: disk, Epoch: e}
+	target := func(partition int, epoch uint64) replica.Target {
+		return replica.Target{Partition: partition, Incarnation: diskIncarnation, Epoch: epoch}
 	}
-	put := func(q *replica.AppendRequest) ledger.Position {
-		a, err := m.replica.Append(ctx, q)
+	appendEntries := func(request *replica.AppendRequest) partitionlog.Position {
+		answer, err := m.replica.Append(ctx, request)
 		assert.NilError(t, err)
-		assert.Assert(t, a.Matched)
-		return a.Tail.Last
+		assert.Assert(t, answer.Matched)
+		return answer.Tail.Last
 	}
-	_, err := m.replica.Seal(ctx, &replica.SealRequest{Target: to(1, 3)})
+	_, err := m.replica.Seal(ctx, &replica.SealRequest{Target: target(1, 3)})
 	assert.NilError(t, err)
-	es := follow(ledger.Position{}, 4, said()...)
-	put(&replica.AppendRequest{Target: to(1, 4), Kind: ledger.KindInput, Entries: es, Commit: 6})
-	put(&replica.AppendRequest{
-		Target: to(1, 4), Kind: ledger.KindInput, After: es[6].Position(), Base: es[1].Position(), Commit: 7,
-	})
-	log := changelog.EncodeBatch(7, materialised().TakeChanges(), true)
+	entries := chainEntries(partitionlog.Position{}, 4, sampleEntries()...)
+	appendEntries(&replica.AppendRequest{Target: target(1, 4), Kind: partitionlog.KindInput, Entries: entries,
+		Commit: 6})
+	appendEntries(&replica.AppendRequest{
+		Target: target(1, 4), Kind: partitionlog.KindInput, After: entries[6].Position(), Base: entries[1].Position(),
+		Commit: 7})
+	log := changelog.EncodeBatch(7, sampleState().TakeChanges(), true)
 	log = append(log, changelog.EncodeCommit(changelog.Commit{Input: 7, Base: 1}))
-	log = follow(ledger.Position{}, 4, log...)
-	at := put(&replica.AppendRequest{
-		Target: to(1, 4), Kind: ledger.KindChangelog, Entries: log, Commit: 2,
+	log = chainEntries(partitionlog.Position{}, 4, log...)
+	last := appendEntries(&replica.AppendRequest{
+		Target: target(1, 4), Kind: partitionlog.KindChangelog, Entries: log, Commit: 2,
 	})
-	d := replica.Snapshot{Partition: 1, At: at, Input: 7, State: materialised().Marshal()}
-	assert.NilError(t, m.replica.SaveSnapshot(ctx, d))
+	snapshot := replica.Snapshot{Partition: 1, At: last, Input: 7, State: sampleState().Marshal()}
+	assert.NilError(t, m.replica.SaveSnapshot(ctx, snapshot))
 
-	from := ledger.Position{Offset: 40, Epoch: 2, Chain: 77}
-	two := follow(from, 5, said()[:3]...)
-	put(&replica.AppendRequest{
-		Target: to(2, 5), Kind: ledger.KindInput, After: from, Entries: two, Reset: true, Commit: 41,
+	from := partitionlog.Position{Offset: 40, Epoch: 2, Chain: 77}
+	two := chainEntries(from, 5, sampleEntries()[:3]...)
+	appendEntries(&replica.AppendRequest{
+		Target: target(2, 5), Kind: partitionlog.KindInput, After: from, Entries: two, Reset: true, Commit: 41,
 	})
-	assert.NilError(t, m.replica.TruncateAfter(ctx, to(2, 5), ledger.KindInput, 42, true))
+	assert.NilError(t, m.replica.TruncateAfter(ctx, target(2, 5), partitionlog.KindInput, 42, true))
 
-	three := follow(ledger.Position{}, 6, said()...)
-	put(&replica.AppendRequest{Target: to(3, 6), Kind: ledger.KindInput, Entries: three})
-	_, err = m.replica.Drop(ctx, &replica.DropRequest{Target: to(3, 7)})
+	three := chainEntries(partitionlog.Position{}, 6, sampleEntries()...)
+	appendEntries(&replica.AppendRequest{Target: target(3, 6), Kind: partitionlog.KindInput, Entries: three})
+	_, err = m.replica.Drop(ctx, &replica.DropRequest{Target: target(3, 7)})
 	assert.NilError(t, err)
 }
 
-// disks are the sorts of disk that a machine may have, and what is written on each.
+// disks are the kinds of disks that a machine may have, and what is written to each.
 var disks = []struct {
 	name  string
 	write func(m *machine, t *testing.T)
@@ -228,206 +230,208 @@
 	return hex.EncodeToString(b)
 }
 
-// The bytes of every record that a journal gets, and of those that it gets again when it is
-// written anew.
+// Compares the bytes of every record that is written to a journal, and of those that a compaction
+// writes.
 func TestBytesOnDisk(t *testing.T) {
 	var out strings.Builder
-	f := frame.Frame{Kind: 3, Index: 4, SyncedIndex: 5, Epoch: 6, Offset: 7, Body: []byte("body")}
-	fmt.Fprintf(&out, "format %d, header %d\nframe %x\n", frame.Format, frame.Size, frame.Encode(f))
+	sample := frame.Frame{Kind: 3, Index: 4, SyncedIndex: 5, Epoch: 6, Offset: 7, Body: []byte("body")}
+	fmt.Fprintf(&out, "format %d, header %d\nframe %x\n", frame.Format, frame.Size, frame.Encode(sample))
 	fmt.Fprintf(&out, "kinds %d\n", []uint16{
-		recordtype.Identity, recordtype.VoterSet, recordtype.Slot, recordtype.Seal, recordtype.Entry, recordtype.Truncation, recordtype.Base,
-		recordtype.Forget, recordtype.Snapshot, recordtype.CompactionBegins, recordtype.CompactionEnds, recordtype.Probe,
-	})
-	for _, d := range disks {
-		l := memlog.New()
-		m := open(t, l)
-		d.write(m, t)
-		first, last, err := l.Bounds()
+		recordtype.Identity, recordtype.VoterSet, recordtype.Slot, recordtype.Seal, recordtype.Entry,
+		recordtype.Truncation, recordtype.Base,
+		recordtype.Forget, recordtype.Snapshot, recordtype.CompactionBegins, recordtype.CompactionEnds,
+		recordtype.Probe})
+	for _, disk := range disks {
+		log := memlog.New()
+		opened := open(t, log)
+		disk.write(opened, t)
+		first, last, err := log.Bounds()
 		assert.NilError(t, err)
 		for i := first; i <= last; i++ {
-			b, err := l.Read(i)
+			b, err := log.Read(i)
 			assert.NilError(t, err)
 			head, rest := b[:frame.Size], b[frame.Size:]
-			fmt.Fprintf(&out, "%s %d kind %d head %x body %s\n", d.name, i, b[7], head, body(rest))
+			fmt.Fprintf(&out, "%s %d kind %d head %x body %s\n", disk.name, i, b[7], head, body(rest))
 		}
-		var anew []string
-		for _, p := range []journal.Part{m.id, m.voter, m.replica} {
-			for _, s := range p.Slices() {
-				rs, _ := s()
-				for _, r := range rs {
-					anew = append(anew, fmt.Sprintf("%s anew kind %d epoch %d offset %d body %s\n",
-						d.name, r.Kind, r.Epoch, r.Offset, body(r.Body)))
+		var rewritten []string
+		for _, part := range []journal.Part{opened.id, opened.voter, opened.replica} {
+			for _, slice := range part.Slices() {
+				records, _ := slice()
+				for _, record := range records {
+					rewritten = append(rewritten, fmt.Sprintf("%s anew kind %d epoch %d offset %d body %s\n",
+						disk.name, record.Kind, record.Epoch, record.Offset, body(record.Body)))
 				}
 			}
 		}
-		out.WriteString(strings.Join(sorted(anew), ""))
+		out.WriteString(strings.Join(sorted(rewritten), ""))
 	}
 	golden.Assert(t, out.String(), "records.golden")
 }
 
 func orders() orderlog.Log {
-	l := orderlog.Log{ForgottenThrough: 3}
+	log := orderlog.Log{ForgottenThrough: 3}
 	for i := range uint64(2) {
-		d := orderlog.Digest{1, 2, 3, byte(i)}
-		l = l.Append(orderlog.Order{Sequence: 5 + i, Base: 4 + i, Digest: d})
+		digest := orderlog.Digest{1, 2, 3, byte(i)}
+		log = log.Append(orderlog.Order{Sequence: 5 + i, Base: 4 + i, Digest: digest})
 	}
-	return l
+	return log
 }
 
-// What registers, entries and tokens hold.
+// Compares the contents of registers, entries and tokens.
 func TestBodies(t *testing.T) {
 	var out strings.Builder
-	say := func(name string, b []byte) { fmt.Fprintf(&out, "%s %s\n", name, body(b)) }
-	plain := func(name string, x reflect.Type) {
-		b, err := json.Marshal(filled(t, x))
+	write := func(name string, b []byte) { fmt.Fprintf(&out, "%s %s\n", name, body(b)) }
+	plain := func(name string, kind reflect.Type) {
+		b, err := json.Marshal(filled(t, kind))
 		assert.NilError(t, err)
-		say(name, b)
+		write(name, b)
 	}
-	say("ownership", filled(t, reflect.TypeFor[assignment.Record]()).(*assignment.Record).Marshal())
-	say("drains", filled(t, reflect.TypeFor[decommission.Orders]()).(*decommission.Orders).Marshal())
-	say("orders", orders().Marshal())
-	d := filled(t, reflect.TypeFor[configuration.Config]()).(*configuration.Config)
-	say("description", d.Marshal())
-	say("order name", []byte(orderlog.OrderOf(*d).ChangeID()))
-	say("retired", filled(t, reflect.TypeFor[configuration.RemovedSpaces]()).(*configuration.RemovedSpaces).Marshal())
+	write("ownership", filled(t, reflect.TypeFor[assignment.Record]()).(*assignment.Record).Marshal())
+	write("drains", filled(t, reflect.TypeFor[decommission.Orders]()).(*decommission.Orders).Marshal())
+	write("orders", orders().Marshal())
+	config := filled(t, reflect.TypeFor[configuration.Config]()).(*configuration.Config)
+	write("description", config.Marshal())
+	write("order name", []byte(orderlog.OrderOf(*config).ChangeID()))
+	write("retired", filled(t, reflect.TypeFor[configuration.RemovedSpaces]()).(*configuration.RemovedSpaces).Marshal())
 	plain("roster", reflect.TypeFor[voters.Set]())
-	say("founded", []byte(founded().Fleet))
+	write("founded", []byte(initialVoterSet().Fleet))
 	plain("slot", reflect.TypeFor[acceptor.Slot]())
 	plain("identity", reflect.TypeFor[identity.Identity]())
 	plain("batch", reflect.TypeFor[changelog.Batch]())
 	plain("commit", reflect.TypeFor[changelog.Commit]())
 	plain("reads", reflect.TypeFor[state.ReaderEntry]())
 	plain("passes", reflect.TypeFor[state.SenderWithdrawal]())
-	say("state", filled(t, reflect.TypeFor[state.State]()).(*state.State).Marshal())
-	say("state of entries", materialised().Marshal())
-	for _, i := range materialised().TakeChanges() {
-		say("item "+strings.ReplaceAll(i.Key, "\x1f", "|"), i.Value)
+	write("state", filled(t, reflect.TypeFor[state.State]()).(*state.State).Marshal())
+	write("state of entries", sampleState().Marshal())
+	for _, item := range sampleState().TakeChanges() {
+		write("item "+strings.ReplaceAll(item.Key, "\x1f", "|"), item.Value)
 	}
-	for _, e := range follow(ledger.Position{Offset: 1, Epoch: 2, Chain: 3}, 4, said()...) {
-		fmt.Fprintf(&out, "chain %x digest %s\n", e.Chain, e.Digest)
+	for _, entry := range chainEntries(partitionlog.Position{Offset: 1, Epoch: 2, Chain: 3}, 4, sampleEntries()...) {
+		fmt.Fprintf(&out, "chain %x digest %s\n", entry.Chain, entry.Digest)
 	}
-	say("name of a call", []byte(state.CallDigest("message", "k1", "digest")))
-	say("cursor", []byte(cursor.Encode("fleet-1", cursor.Cursor{1: 7, 300: 9})))
-	say("token", []byte(token.Token{Client: "picker-7", Generation: 2, Secret: "secret"}.Encode()))
-	say("digest of a secret", []byte(token.Digest("secret")))
+	write("name of a call", []byte(state.CallDigest("message", "k1", "digest")))
+	write("cursor", []byte(cursor.Encode("fleet-1", cursor.Cursor{1: 7, 300: 9})))
+	write("token", []byte(token.Token{Client: "picker-7", Generation: 2, Secret: "secret"}.Encode()))
+	write("digest of a secret", []byte(token.Digest("secret")))
 	golden.Assert(t, out.String(), "bodies.golden")
 }
 
-// What is written as JSON on disk has tags too.
+// Fields that are written as JSON on disk need tags too.
 func TestFieldsOnDiskHaveTags(t *testing.T) {
 	found, seen := map[string]bool{}, map[reflect.Type]bool{}
-	for _, x := range []reflect.Type{
+	for _, kind := range []reflect.Type{
 		reflect.TypeFor[assignment.Record](), reflect.TypeFor[decommission.Orders](),
 		reflect.TypeFor[configuration.Config](), reflect.TypeFor[configuration.RemovedSpaces](),
 		reflect.TypeFor[voters.Set](), reflect.TypeFor[acceptor.Slot](),
 		reflect.TypeFor[identity.Identity](), reflect.TypeFor[changelog.Batch](),
 		reflect.TypeFor[changelog.Commit](), reflect.TypeFor[state.ReaderEntry](),
 		reflect.TypeFor[state.SenderWithdrawal](), reflect.TypeFor[replica.Snapshot](),
-		reflect.TypeFor[ledger.Entry](),
+		reflect.TypeFor[partitionlog.Entry](),
 	} {
-		untagged(x, seen, found)
+		untagged(kind, seen, found)
 	}
 	assert.Equal(t, len(found), 0, "%v need a tag", found)
 }
 
-func old(name string) string { return filepath.Join("testdata", "old", name) }
+func oldPath(name string) string { return filepath.Join("testdata", "old", name) }
 
-// Disks that an older build wrote are read: testdata/old holds them as they were, and they are
-// never written anew.
+// Disks that were written by an older build are read. testdata/old contains them as they were, and
+// they are never updated.
 func TestOldDisksAreRead(t *testing.T) {
 	var out strings.Builder
-	for _, d := range disks {
-		if _, err := os.Stat(old(d.name)); errors.Is(err, os.ErrNotExist) && golden.FlagUpdate() {
+	for _, disk := range disks {
+		if _, err := os.Stat(oldPath(disk.name)); errors.Is(err, os.ErrNotExist) && golden.FlagUpdate() {
 			t.Run("write", func(t *testing.T) {
-				l, err := walog.Open(old(d.name))
+				log, err := walog.Open(oldPath(disk.name))
 				assert.NilError(t, err)
-				d.write(open(t, l), t)
+				disk.write(open(t, log), t)
 			})
 		}
 		dir := t.TempDir()
-		assert.NilError(t, os.CopyFS(dir, os.DirFS(old(d.name))))
+		assert.NilError(t, os.CopyFS(dir, os.DirFS(oldPath(disk.name))))
 		l, err := walog.Open(dir)
 		assert.NilError(t, err)
-		m := open(t, l)
-		assert.NilError(t, m.report.Cause)
-		assert.Equal(t, m.report.Torn, uint64(0))
-		assert.Assert(t, m.report.Records > 0 && !m.report.Damaged)
-		out.WriteString("disk " + d.name + "\n" + m.tell(t))
-		m.goOn(t)
+		opened := open(t, l)
+		assert.NilError(t, opened.report.Cause)
+		assert.Equal(t, opened.report.Torn, uint64(0))
+		assert.Assert(t, opened.report.Records > 0 && !opened.report.Damaged)
+		out.WriteString("disk " + disk.name + "\n" + opened.describe(t))
+		opened.checkPromises(t)
 	}
 	golden.Assert(t, out.String(), "old.golden")
 }
 
-// tell says all that was read back, by the calls that nodes use for it.
-func (m *machine) tell(t *testing.T) string {
+// describe returns everything that was recovered, as read by the calls that nodes use.
+func (m *machine) describe(t *testing.T) string {
 	t.Helper()
 	var out strings.Builder
-	say := func(name string, v any) {
+	write := func(name string, v any) {
 		b, err := json.Marshal(v)
 		assert.NilError(t, err)
 		fmt.Fprintf(&out, "%s %s\n", name, b)
 	}
-	say("identity", m.id.Get())
-	r := m.voter.VoterSet()
-	say("roster", r)
-	if r.Sequence > 0 {
-		a, err := m.voter.Peek(t.Context(), &acceptor.PeekRequest{VoterSet: r.Sequence, Incarnation: disk})
+	write("identity", m.id.Get())
+	voterSet := m.voter.VoterSet()
+	write("roster", voterSet)
+	if voterSet.Sequence > 0 {
+		answer, err := m.voter.Peek(t.Context(), &acceptor.PeekRequest{VoterSet: voterSet.Sequence,
+			Incarnation: diskIncarnation})
 		assert.NilError(t, err)
-		say("slots", a)
-		orders, err := orderlog.Parse(a.Slots["description"].Value.Metadata)
+		write("slots", answer)
+		orders, err := orderlog.Parse(answer.Slots["description"].Value.Metadata)
 		assert.NilError(t, err)
 		fmt.Fprintf(&out, "orders %v\n", orders)
 	}
-	say("partitions", m.replica.Partitions())
-	for p := range 4 {
-		say(fmt.Sprintf("seal %d", p), m.replica.Sealed(p))
-		for _, k := range ledger.Kinds {
-			from := m.replica.Log(p, k).Base().Offset + 1
+	write("partitions", m.replica.Partitions())
+	for partition := range 4 {
+		write(fmt.Sprintf("seal %d", partition), m.replica.Sealed(partition))
+		for _, kind := range partitionlog.Kinds {
+			from := m.replica.Log(partition, kind).Base().Offset + 1
 			a, err := m.replica.Fetch(t.Context(), &replica.FetchRequest{
-				Partition: p, Incarnation: disk, Kind: k, From: from, Limit: 99,
+				Partition: partition, Incarnation: diskIncarnation, Kind: kind, From: from, Limit: 99,
 			})
 			assert.NilError(t, err)
-			say(fmt.Sprintf("line %d %s", p, k), a)
-			if k == ledger.KindChangelog && len(a.Entries) > 0 {
-				s := state.New()
-				n, err := changelog.Replay(s, 0, a.Entries)
+			write(fmt.Sprintf("line %d %s", partition, kind), a)
+			if kind == partitionlog.KindChangelog && len(a.Entries) > 0 {
+				state := state.New()
+				replayed, err := changelog.Replay(state, 0, a.Entries)
 				assert.NilError(t, err)
-				say(fmt.Sprintf("replayed to %d", n), s.Marshal())
+				write(fmt.Sprintf("replayed to %d", replayed), state.Marshal())
 			}
 		}
-		if d, ok := m.replica.Snapshot(p); ok {
-			s, err := state.Unmarshal(d.State)
+		if snapshot, ok := m.replica.Snapshot(partition); ok {
+			s, err := state.Unmarshal(snapshot.State)
 			assert.NilError(t, err)
-			say(fmt.Sprintf("directory %d", p), d)
-			say("state", s.Marshal())
+			write(fmt.Sprintf("directory %d", partition), snapshot)
+			write("state", s.Marshal())
 		}
 	}
 	return out.String()
 }
 
-// goOn keeps the promises of the disk: lower epochs are refused, and a higher one goes on behind
-// what stands.
-func (m *machine) goOn(t *testing.T) {
+// checkPromises checks that a recovered disk keeps its promises: lower epochs are rejected, and a
+// higher one appends to the stored log.
+func (m *machine) checkPromises(t *testing.T) {
 	t.Helper()
-	if r := m.voter.VoterSet(); r.Sequence > 0 {
-		b := acceptor.Target{VoterSet: r.Sequence, Incarnation: disk, Key: "partition/003"}
+	if voterSet := m.voter.VoterSet(); voterSet.Sequence > 0 {
+		target := acceptor.Target{VoterSet: voterSet.Sequence, Incarnation: diskIncarnation, Key: "partition/003"}
 		low, high := epoch.Epoch{Number: 4, Node: "machine-9"}, epoch.Epoch{Number: 6, Node: "machine-9"}
-		a, err := m.voter.Promise(t.Context(), &acceptor.PromiseRequest{Target: b, Epoch: low})
+		answer, err := m.voter.Promise(t.Context(), &acceptor.PromiseRequest{Target: target, Epoch: low})
 		assert.NilError(t, err)
-		assert.Assert(t, !a.Granted)
-		a, err = m.voter.Promise(t.Context(), &acceptor.PromiseRequest{Target: b, Epoch: high})
+		assert.Assert(t, !answer.Granted)
+		answer, err = m.voter.Promise(t.Context(), &acceptor.PromiseRequest{Target: target, Epoch: high})
 		assert.NilError(t, err)
-		assert.Assert(t, a.Granted)
+		assert.Assert(t, answer.Granted)
 		return
 	}
-	to := replica.Target{Partition: 1, Incarnation: disk, Epoch: 3}
-	_, err := m.replica.Seal(t.Context(), &replica.SealRequest{Target: to})
+	target := replica.Target{Partition: 1, Incarnation: diskIncarnation, Epoch: 3}
+	_, err := m.replica.Seal(t.Context(), &replica.SealRequest{Target: target})
 	assert.ErrorContains(t, err, "stale_epoch")
-	to.Epoch = 8
-	last := m.replica.Log(1, ledger.KindInput).Last()
-	es := follow(last, 8, ledger.Entry{Type: "start"})
-	q := &replica.AppendRequest{Target: to, Kind: ledger.KindInput, After: last, Entries: es}
-	a, err := m.replica.Append(t.Context(), q)
+	target.Epoch = 8
+	last := m.replica.Log(1, partitionlog.KindInput).Last()
+	entries := chainEntries(last, 8, partitionlog.Entry{Type: "start"})
+	request := &replica.AppendRequest{Target: target, Kind: partitionlog.KindInput, After: last, Entries: entries}
+	a, err := m.replica.Append(t.Context(), request)
 	assert.NilError(t, err)
 	assert.Assert(t, a.Matched)
 }
--- a/internal/golden/tables_test.go
+++ b/internal/golden/tables_test.go
@@ -22,107 +22,106 @@
 	"postjunction/internal/settings"
 )
 
-func sorted(s []string) []string {
-	slices.Sort(s)
-	return s
+func sorted(lines []string) []string {
+	slices.Sort(lines)
+	return lines
 }
 
-// Error codes, with the status of each and what it advises.
+// Compares the error codes with the status and the advice of each.
 func TestErrorCodes(t *testing.T) {
 	var out []string
-	for k, s := range apierror.Codes() {
-		p := apierror.New(k, "")
-		out = append(out, fmt.Sprintf("%s %d retry %d: %s\n", k, p.Status(), p.RetryAfterMS, s))
+	for code, text := range apierror.Codes() {
+		problem := apierror.New(code, "")
+		out = append(out, fmt.Sprintf("%s %d retry %d: %s\n", code, problem.Status(), problem.RetryAfterMS, text))
 	}
 	golden.Assert(t, strings.Join(sorted(out), ""), "errors.golden")
 }
 
-// Numbers, levels and texts of what is logged.
+// Compares the numbers, levels and texts of log events.
 func TestEventNumbers(t *testing.T) {
 	var out []string
-	for _, e := range event.All() {
-		out = append(out, fmt.Sprintf("%04d %s %s\n", e.Number, e.Level, e.Text))
+	for _, event := range event.All() {
+		out = append(out, fmt.Sprintf("%04d %s %s\n", event.Number, event.Level, event.Text))
 	}
 	golden.Assert(t, strings.Join(sorted(out), ""), "events.golden")
 }
 
-// Fields of the settings file, in their order, with defaults, and those that may change under a
-// running node.
+// Compares the fields of the settings file in their order, with defaults, and those that may change
+// in a running node.
 func TestSettings(t *testing.T) {
 	var out strings.Builder
-	d := reflect.ValueOf(settings.Default())
-	for i := range d.NumField() {
-		b, err := json.Marshal(d.Field(i).Interface())
+	defaults := reflect.ValueOf(settings.Default())
+	for i := range defaults.NumField() {
+		b, err := json.Marshal(defaults.Field(i).Interface())
 		assert.NilError(t, err)
-		fmt.Fprintf(&out, "%s %s default %s\n", d.Type().Field(i).Tag, d.Field(i).Kind(), b)
+		fmt.Fprintf(&out, "%s %s default %s\n", defaults.Type().Field(i).Tag, defaults.Field(i).Kind(), b)
 	}
 	var live []string
-	for k := range settings.Reloadable {
-		live = append(live, k)
+	for field := range settings.Reloadable {
+		live = append(live, field)
 	}
 	fmt.Fprintf(&out, "live %s\n", sorted(live))
-	b, err := json.MarshalIndent(filled(t, d.Type()), "", "  ")
+	b, err := json.MarshalIndent(filled(t, defaults.Type()), "", "  ")
 	assert.NilError(t, err)
 	fmt.Fprintf(&out, "all %s\n", b)
-	for _, f := range (settings.Options{}).Check() {
-		fmt.Fprintf(&out, "faulty %s\n", reflect.ValueOf(f).Field(0))
+	for _, fault := range (settings.Options{}).Check() {
+		fmt.Fprintf(&out, "faulty %s\n", reflect.ValueOf(fault).Field(0))
 	}
 	golden.Assert(t, out.String(), "settings.golden")
 }
 
-// shape gives the tags of a struct's fields in their order, and the names of fields that have
-// none though others have. Names of types and packages are left out, so that what they are
-// called now may change.
-func shape(s *ast.StructType) (tags string, bare []string) {
+// shape returns the tags of a struct's fields in their order, and the names of fields without a
+// tag. Names of types and packages are left out, so that they may change.
+func shape(structType *ast.StructType) (tags string, bare []string) {
 	var out []string
-	for _, f := range s.Fields.List {
-		if f.Tag == nil {
-			for _, n := range f.Names {
-				if n.IsExported() {
-					bare = append(bare, n.Name)
+	for _, field := range structType.Fields.List {
+		if field.Tag == nil {
+			for _, name := range field.Names {
+				if name.IsExported() {
+					bare = append(bare, name.Name)
 				}
 			}
-			if len(f.Names) == 0 {
+			if len(field.Names) == 0 {
 				out = append(out, "embedded")
 			}
 			continue
 		}
-		v, err := strconv.Unquote(f.Tag.Value)
+		value, err := strconv.Unquote(field.Tag.Value)
 		if err != nil {
-			v = err.Error()
+			value = err.Error()
 		}
-		out = append(out, v)
+		out = append(out, value)
 	}
 	return strings.Join(out, " | "), bare
 }
 
-// Every struct with tags in the whole program: its tags stay, and no exported field of it is
-// written under its Go name. So types that this package can't name, as those that a function
-// declares for itself, are held too.
+// Compares the tags of every struct with tags in the whole program, and checks that none of its
+// exported fields is encoded under its Go name. This includes types that this package can't name,
+// such as those declared within a function.
 func TestTagsOfAllStructs(t *testing.T) {
 	var all, faults []string
-	assert.NilError(t, filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
+	assert.NilError(t, filepath.WalkDir("../..", func(path string, entry fs.DirEntry, err error) error {
 		code := strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go")
-		if err != nil || d.IsDir() || !code {
+		if err != nil || entry.IsDir() || !code {
 			return err
 		}
 		set := token.NewFileSet()
-		f, err := parser.ParseFile(set, path, nil, parser.SkipObjectResolution)
+		file, err := parser.ParseFile(set, path, nil, parser.SkipObjectResolution)
 		if err != nil {
 			return err
 		}
-		ast.Inspect(f, func(n ast.Node) bool {
-			s, ok := n.(*ast.StructType)
+		ast.Inspect(file, func(node ast.Node) bool {
+			structType, ok := node.(*ast.StructType)
 			if !ok {
 				return true
 			}
-			tags, bare := shape(s)
+			tags, bare := shape(structType)
 			if !strings.Contains(tags, `:"`) {
 				return true
 			}
 			all = append(all, tags)
 			if len(bare) > 0 {
-				faults = append(faults, fmt.Sprintf("%s: %v", set.Position(n.Pos()), bare))
+				faults = append(faults, fmt.Sprintf("%s: %v", set.Position(node.Pos()), bare))
 			}
 			return true
 		})
--- a/internal/testing/transcript/transcript_test.go
+++ b/internal/testing/transcript/transcript_test.go
@@ -1,4 +1,4 @@
-// Package transcript holds approved transcripts of whole exchanges with a fleet.
+// Package transcript compares whole exchanges with a fleet with approved transcripts.
 package transcript
 
 import (
@@ -21,13 +21,13 @@
 )
 
 type exchange struct {
-	t   *testing.T
-	w   *sim.World
-	out bytes.Buffer
+	t      *testing.T
+	world  *sim.World
+	output bytes.Buffer
 }
 
 func (x *exchange) handler(node string) http.Handler {
-	return x.w.Machines[node].Node().API().Handler()
+	return x.world.Machines[node].Node().API().Handler()
 }
 
 var masks = []struct {
@@ -39,65 +39,65 @@
 	{regexp.MustCompile(`"retry_after_ms":\d+`), `"retry_after_ms":N`},
 }
 
-func mask(s string) string {
-	for _, m := range masks {
-		s = m.re.ReplaceAllString(s, m.to)
+func mask(text string) string {
+	for _, mask := range masks {
+		text = mask.re.ReplaceAllString(text, mask.to)
 	}
-	return s
+	return text
 }
 
-func (x *exchange) do(node, method, path, token, doc string) map[string]any {
-	r := httptest.NewRequest(method, path, strings.NewReader(doc))
+func (x *exchange) do(node, method, path, token, document string) map[string]any {
+	request := httptest.NewRequest(method, path, strings.NewReader(document))
 	if token != "" {
-		r.Header.Set("Authorization", "Bearer "+token)
+		request.Header.Set("Authorization", "Bearer "+token)
 	}
-	w := httptest.NewRecorder()
-	x.handler(node).ServeHTTP(w, r)
-	if len(doc) > 200 {
-		doc = doc[:60] + fmt.Sprintf("... (%d bytes)", len(doc))
+	recorder := httptest.NewRecorder()
+	x.handler(node).ServeHTTP(recorder, request)
+	if len(document) > 200 {
+		document = document[:60] + fmt.Sprintf("... (%d bytes)", len(document))
 	}
-	fmt.Fprintf(&x.out, "%s %s %s %s\n  %d %s\n", node, method, mask(path), mask(doc), w.Code,
-		mask(strings.TrimSpace(w.Body.String())))
-	assert.Assert(x.t, w.Code < 500 || strings.Contains(w.Body.String(), "retry_after_ms"), "%s %s: %d %s", method,
-		path, w.Code, w.Body)
-	var m map[string]any
-	_ = json.Unmarshal(w.Body.Bytes(), &m)
-	return m
+	fmt.Fprintf(&x.output, "%s %s %s %s\n  %d %s\n", node, method, mask(path), mask(document), recorder.Code,
+		mask(strings.TrimSpace(recorder.Body.String())))
+	assert.Assert(x.t, recorder.Code < 500 || strings.Contains(recorder.Body.String(), "retry_after_ms"),
+		"%s %s: %d %s", method, path, recorder.Code, recorder.Body)
+	var body map[string]any
+	_ = json.Unmarshal(recorder.Body.Bytes(), &body)
+	return body
 }
 
-func (x *exchange) stream(node, path, token string, f func(), d time.Duration) []string {
-	ctx, stop := context.WithCancel(context.Background())
-	r := httptest.NewRequestWithContext(ctx, http.MethodGet, path, nil)
-	r.Header.Set("Authorization", "Bearer "+token)
-	w := httptest.NewRecorder()
+func (x *exchange) stream(node, path, token string, during func(), duration time.Duration) []string {
+	ctx, cancel := context.WithCancel(context.Background())
+	request := httptest.NewRequestWithContext(ctx, http.MethodGet, path, nil)
+	request.Header.Set("Authorization", "Bearer "+token)
+	recorder := httptest.NewRecorder()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		x.handler(node).ServeHTTP(w, r)
+		x.handler(node).ServeHTTP(recorder, request)
 	}()
 	time.Sleep(100 * time.Millisecond)
-	f()
-	time.Sleep(d)
-	stop()
+	during()
+	time.Sleep(duration)
+	cancel()
 	<-done
-	fmt.Fprintf(&x.out, "%s GET %s\n  %d\n", node, mask(path), w.Code)
-	ls := strings.Split(strings.TrimSpace(w.Body.String()), "\n")
-	for _, l := range ls {
-		fmt.Fprintf(&x.out, "  %s\n", mask(l))
+	fmt.Fprintf(&x.output, "%s GET %s\n  %d\n", node, mask(path), recorder.Code)
+	lines := strings.Split(strings.TrimSpace(recorder.Body.String()), "\n")
+	for _, line := range lines {
+		fmt.Fprintf(&x.output, "  %s\n", mask(line))
 	}
-	return ls
+	return lines
 }
 
-func run(t *testing.T, file string, f func(x *exchange)) {
+func run(t *testing.T, file string, script func(exchange *exchange)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := sim.New(sim.Armor, 1, sim.Logger())
-		defer w.Close()
-		assert.NilError(t, w.Start(w.Names...))
-		assert.NilError(t, w.WaitReady(20*time.Second))
+		world := sim.New(sim.Armor, 1, sim.Logger())
+		defer world.Close()
+		assert.NilError(t, world.Start(world.Names...))
+		assert.NilError(t, world.WaitReady(20*time.Second))
 		time.Sleep(5 * time.Second)
-		x := &exchange{t: t, w: w}
-		f(x)
-		golden.Assert(t, x.out.String(), file)
+		x := &exchange{t: t, world: world}
+		script(x)
+		golden.Assert(t, x.output.String(), file)
 	})
 }
 
@@ -111,26 +111,27 @@
 		x.do("a1", "PUT", "/v1/description", "", `{"base":0,`+spaces+`}`)
 		time.Sleep(3 * time.Second)
 		x.do("c2", "GET", "/v1/description", "", "")
-		tok := x.do("a1", "POST", "/v1/attach", "", `{"visitor":"picker-7"}`)["token"].(string)
+		token := x.do("a1", "POST", "/v1/attach", "", `{"visitor":"picker-7"}`)["token"].(string)
 		lead := x.do("c1", "POST", "/v1/attach", "", `{"visitor":"lead-1"}`)["token"].(string)
-		send := func(topic string, n int, body string) {
-			x.do("c3", "POST", "/v1/send", tok, fmt.Sprintf(`{"topic":%q,"call_seq":%d,"body":%s}`, topic, n, body))
+		send := func(topic string, call int, body string) {
+			x.do("c3", "POST", "/v1/send", token, fmt.Sprintf(`{"topic":%q,"call_seq":%d,"body":%s}`, topic, call,
+				body))
 		}
-		ls := x.stream("c2", "/v1/stream?topic=aisles/a1&topic=stop-line/line&topic=pings/floor", lead, func() {
+		lines := x.stream("c2", "/v1/stream?topic=aisles/a1&topic=stop-line/line&topic=pings/floor", lead, func() {
 			send("aisles/a1", 1, `{"pick": 12}`)
 			send("aisles/a1", 2, `{"pick": "<13> & more"}`)
 			send("pings/floor", 1, `"here"`)
 			send("stop-line/line", 1, `"stop"`)
-			x.do("a1", "GET", "/v1/count?topic=aisles/a1", tok, "")
+			x.do("a1", "GET", "/v1/count?topic=aisles/a1", token, "")
 		}, time.Second)
 		send("aisles/a1", 3, `"while away"`)
 		send("pings/floor", 2, `"not offered on resume"`)
-		var l struct{ Cursor string }
-		assert.NilError(t, json.Unmarshal([]byte(ls[len(ls)-1]), &l))
-		x.do("s1", "POST", "/v1/ack", lead, `{"cursor":"`+l.Cursor+`"}`)
-		x.stream("a1", "/v1/stream?topic=aisles/a1&topic=stop-line/line&topic=pings/floor&cursor="+l.Cursor, lead,
+		var last struct{ Cursor string }
+		assert.NilError(t, json.Unmarshal([]byte(lines[len(lines)-1]), &last))
+		x.do("s1", "POST", "/v1/ack", lead, `{"cursor":"`+last.Cursor+`"}`)
+		x.stream("a1", "/v1/stream?topic=aisles/a1&topic=stop-line/line&topic=pings/floor&cursor="+last.Cursor, lead,
 			func() {}, time.Second)
-		fmt.Fprintf(&x.out, "-- a newer attachment fences the older, stream and all\n")
+		fmt.Fprintf(&x.output, "-- a newer attachment fences the older, stream and all\n")
 		x.stream("a1", "/v1/stream?topic=aisles/a1", lead, func() {
 			x.do("c3", "POST", "/v1/attach", "", `{"visitor":"lead-1"}`)
 		}, time.Second)
@@ -142,53 +143,54 @@
 	run(t, "withdrawn.txt", func(x *exchange) {
 		x.do("a1", "PUT", "/v1/description", "", `{"base":0,`+spaces+`}`)
 		time.Sleep(3 * time.Second)
-		tok := x.do("a1", "POST", "/v1/attach", "", `{"visitor":"picker-7"}`)["token"].(string)
+		token := x.do("a1", "POST", "/v1/attach", "", `{"visitor":"picker-7"}`)["token"].(string)
 		lead := x.do("c1", "POST", "/v1/attach", "", `{"visitor":"lead-1"}`)["token"].(string)
-		send := func(doc string) { x.do("c3", "POST", "/v1/send", tok, doc) }
+		send := func(document string) { x.do("c3", "POST", "/v1/send", token, document) }
 		withdraw := func(token, doc string) { x.do("a1", "POST", "/v1/withdraw", token, doc) }
-		fmt.Fprintf(&x.out, "-- nobody listens\n")
+		fmt.Fprintf(&x.output, "-- nobody listens\n")
 		send(`{"topic":"aisles/a1","call_seq":1,"key":"turn/12","body":"may I turn"}`)
-		withdraw(tok, `{"topic":"aisles/a1","key":"turn/12","call_seq":2}`)
-		withdraw(tok, `{"topic":"aisles/a1","key":"turn/12","call_seq":2}`)
-		withdraw(tok, `{"topic":"aisles/a1","key":"turn/12","call_seq":3}`)
+		withdraw(token, `{"topic":"aisles/a1","key":"turn/12","call_seq":2}`)
+		withdraw(token, `{"topic":"aisles/a1","key":"turn/12","call_seq":2}`)
+		withdraw(token, `{"topic":"aisles/a1","key":"turn/12","call_seq":3}`)
 		send(`{"topic":"aisles/a1","call_seq":1,"key":"turn/12","body":"may I turn"}`)
-		fmt.Fprintf(&x.out, "-- a stream that is open, one that comes back with its cursor, and the same key anew\n")
+		fmt.Fprintf(&x.output, "-- a stream that is open, one that comes back with its cursor, and the same key anew\n")
 		path := "/v1/stream?topic=aisles/a1&topic=stop-line/line&topic=pings/floor"
-		ls := x.stream("c2", path, lead, func() {
+		lines := x.stream("c2", path, lead, func() {
 			send(`{"topic":"aisles/a1","call_seq":4,"key":"turn/12","body":"may I now"}`)
 			send(`{"topic":"aisles/a1","call_seq":5,"key":"turn/13","body":"and there"}`)
 			send(`{"topic":"stop-line/line","call_seq":1,"key":"k","body":"stop"}`)
 			send(`{"topic":"pings/floor","call_seq":1,"key":"k","body":"here"}`)
 		}, time.Second)
-		withdraw(tok, `{"topic":"aisles/a1","key":"turn/12","call_seq":6}`)
-		withdraw(tok, `{"topic":"stop-line/line","key":"k","call_seq":2}`)
-		var l struct{ Cursor string }
-		assert.NilError(t, json.Unmarshal([]byte(ls[0]), &l))
-		x.stream("a1", path+"&cursor="+l.Cursor, lead, func() {
+		withdraw(token, `{"topic":"aisles/a1","key":"turn/12","call_seq":6}`)
+		withdraw(token, `{"topic":"stop-line/line","key":"k","call_seq":2}`)
+		var first struct{ Cursor string }
+		assert.NilError(t, json.Unmarshal([]byte(lines[0]), &first))
+		x.stream("a1", path+"&cursor="+first.Cursor, lead, func() {
 			withdraw(lead, `{"topic":"aisles/a1","key":"turn/13","call_seq":1}`)
-			withdraw(tok, `{"topic":"pings/floor","key":"k","call_seq":2}`)
+			withdraw(token, `{"topic":"pings/floor","key":"k","call_seq":2}`)
 			send(`{"topic":"aisles/a1","call_seq":7,"key":"turn/13","body":"new under its key"}`)
 		}, time.Second)
-		fmt.Fprintf(&x.out, "-- a sender is named whose message comes only after its withdrawal\n")
+		fmt.Fprintf(&x.output, "-- a sender is named whose message comes only after its withdrawal\n")
 		withdraw(lead, `{"topic":"aisles/a1","key":"turn/14","call_seq":2}`)
 		withdraw(lead, `{"topic":"aisles/a1","key":"turn/14","call_seq":2,"of":"picker-7","upto":8}`)
 		send(`{"topic":"aisles/a1","call_seq":8,"key":"turn/14","body":"late"}`)
 		send(`{"topic":"aisles/a1","call_seq":9,"key":"turn/14","body":"behind it"}`)
-		fmt.Fprintf(&x.out, "-- altered, passed, unknown, faulty\n")
-		withdraw(tok, `{"topic":"aisles/a1","key":"turn/13","call_seq":6}`)
-		withdraw(tok, `{"topic":"aisles/a1","key":"turn/99","call_seq":10}`)
-		withdraw(tok, `{"topic":"aisles/a9","key":"k","call_seq":10}`)
-		withdraw(tok, `{"topic":"aisles/a1","key":"turn/14","call_seq":0}`)
+		fmt.Fprintf(&x.output, "-- altered, passed, unknown, faulty\n")
+		withdraw(token, `{"topic":"aisles/a1","key":"turn/13","call_seq":6}`)
+		withdraw(token, `{"topic":"aisles/a1","key":"turn/99","call_seq":10}`)
+		withdraw(token, `{"topic":"aisles/a9","key":"k","call_seq":10}`)
+		withdraw(token, `{"topic":"aisles/a1","key":"turn/14","call_seq":0}`)
 		withdraw("", `{"topic":"aisles/a1","key":"turn/14","call_seq":10}`)
-		for _, d := range []string{
+		for _, document := range []string{
 			`{"topic":"aisles/a1","call_seq":10}`, `{"topic":"aisles/a1","key":7,"call_seq":10}`,
 			`{"topic":"aisles/a1","key":"","call_seq":10}`, `{"topic":"aisles/a1","key":"a b","call_seq":10}`,
 			`{"topic":"aisles/a1","key":"k","call_seq":10,"body":1}`,
-			`{"topic":"aisles/a1","key":"k","call_seq":10,"of":"v"}`, `{"topic":"aisles/a1","key":"k","call_seq":10,"upto":3}`,
+			`{"topic":"aisles/a1","key":"k","call_seq":10,"of":"v"}`,
+			`{"topic":"aisles/a1","key":"k","call_seq":10,"upto":3}`,
 			`{"topic":"aisles/a1","key":"k","call_seq":10,"of":"v","upto":0}`,
 			`{"topic":"aisles/a1","key":"k","call_seq":10,"of":"v w","upto":1}`,
 		} {
-			withdraw(tok, d)
+			withdraw(token, document)
 		}
 		send(`{"topic":"aisles/a1","call_seq":10,"key":"","body":1}`)
 		send(`{"topic":"aisles/a1","call_seq":10,"key":"` + strings.Repeat("k", 129) + `","body":1}`)
@@ -200,13 +202,13 @@
 	run(t, "bad.txt", func(x *exchange) {
 		x.do("a1", "PUT", "/v1/description", "", `{"base":0,`+spaces+`}`)
 		time.Sleep(3 * time.Second)
-		tok := x.do("a1", "POST", "/v1/attach", "", `{"visitor":"v"}`)["token"].(string)
-		send := func(doc string) { x.do("a1", "POST", "/v1/send", tok, doc) }
+		token := x.do("a1", "POST", "/v1/attach", "", `{"visitor":"v"}`)["token"].(string)
+		send := func(document string) { x.do("a1", "POST", "/v1/send", token, document) }
 		x.do("a1", "GET", "/nowhere", "", "")
 		x.do("a1", "DELETE", "/v1/send", "", "")
-		for _, d := range []string{``, `{`, `[]`, `{"visitor":7}`, `{"visitor":"a b"}`,
+		for _, document := range []string{``, `{`, `[]`, `{"visitor":7}`, `{"visitor":"a b"}`,
 			`{"visitor":"v","visitor":"w"}`, `{"visitor":"v","more":1}`, `{"visitor":"v"} 1`} {
-			x.do("a1", "POST", "/v1/attach", "", d)
+			x.do("a1", "POST", "/v1/attach", "", document)
 		}
 		x.do("a1", "POST", "/v1/send", "", `{"topic":"aisles/a1","call_seq":1,"body":1}`)
 		x.do("a1", "POST", "/v1/send", "nonsense", `{"topic":"aisles/a1","call_seq":1,"body":1}`)
@@ -226,10 +228,10 @@
 		send(`{"topic":"aisles/a1","call_seq":5,"body":"after a gap"}`)
 		send(`{"topic":"aisles/a1","call_seq":3,"body":"passed"}`)
 		send(`{"topic":"aisles/a1","call_seq":1,"body":"first"}`)
-		for n := 6; n <= 40; n++ {
-			at := x.out.Len()
-			send(fmt.Sprintf(`{"topic":"aisles/a1","call_seq":%d,"body":%d}`, n, n))
-			x.out.Truncate(at)
+		for call := 6; call <= 40; call++ {
+			length := x.output.Len()
+			send(fmt.Sprintf(`{"topic":"aisles/a1","call_seq":%d,"body":%d}`, call, call))
+			x.output.Truncate(length)
 		}
 		send(`{"topic":"aisles/a1","call_seq":3,"body":3}`)
 		send(`{"topic":"aisles/a1","call_seq":39,"body":39}`)
@@ -238,12 +240,12 @@
 		send(`{"topic":"aisles/a1","call_seq":39,"body":39}`)
 		send(`{"topic":"aisles/a1","call_seq":50,"body":50}`)
 		send(`{"topic":"aisles/a1","call_seq":45,"body":45}`)
-		for _, q := range []string{"", "?topic=nowhere/x", "?topic=aisles/a1&since=3", "?topic=aisles/a1&cursor=x",
+		for _, query := range []string{"", "?topic=nowhere/x", "?topic=aisles/a1&since=3", "?topic=aisles/a1&cursor=x",
 			"?topic=aisles/a1&cursor=c1.AAAAAAA", "?topic=aisles/a1&cursor=c1.%21%21"} {
-			x.do("a1", "GET", "/v1/stream"+q, tok, "")
+			x.do("a1", "GET", "/v1/stream"+query, token, "")
 		}
-		x.do("a1", "POST", "/v1/ack", tok, `{"cursor":"x"}`)
-		x.do("a1", "GET", "/v1/count", tok, "")
+		x.do("a1", "POST", "/v1/ack", token, `{"cursor":"x"}`)
+		x.do("a1", "GET", "/v1/count", token, "")
 		x.do("a1", "GET", "/v1/partition?n=99", "", "")
 		x.do("a1", "GET", "/v1/partition?n=x", "", "")
 		x.do("a1", "POST", "/v1/drain", "", `{"node":"nobody"}`)
@@ -254,7 +256,8 @@
 		x.do("a1", "PUT", "/v1/description", "",
 			`{"base":1,"spaces":[{"name":"stop-line","kind":"kept","topics":["line"]},{"name":"x","kind":"lost",`+
 				`"topics":["a","a"]}]}`)
-		x.do("a1", "PUT", "/v1/description", "", `{"base":1,"spaces":[{"name":"stop-line","kind":"kept","topics":["line"]}]}`)
+		x.do("a1", "PUT", "/v1/description", "",
+			`{"base":1,"spaces":[{"name":"stop-line","kind":"kept","topics":["line"]}]}`)
 		x.do("a1", "PUT", "/v1/description", "", `{"base":0,`+spaces+`}`)
 		x.do("c2", "PUT", "/v1/description", "", `{"base":0,"sequence":1,`+spaces+`}`)
 		x.do("a1", "PUT", "/v1/description", "", `{"base":0,"sequence":2,`+spaces+`}`)
--- a/tools/days/days_test.go
+++ b/tools/days/days_test.go
@@ -10,34 +10,34 @@
 	Days: []map[string]any{{"name": "quiet-1", "seed": int64(3), "traffic": "kept", "faults": "dropped"}}}
 
 func TestADayIsGivenByItsNumber(t *testing.T) {
-	a, b, other := draw(testSite, 7, nil), draw(testSite, 7, nil), draw(testSite, 8, nil)
-	assert.DeepEqual(t, a.faults, b.faults)
-	assert.DeepEqual(t, a.plan, b.plan)
-	assert.Equal(t, a.seed, b.seed)
-	assert.Assert(t, a.seed != other.seed)
-	assert.DeepEqual(t, a.base, map[string]any{"traffic": "kept"})
+	first, second, other := draw(testSite, 7, nil), draw(testSite, 7, nil), draw(testSite, 8, nil)
+	assert.DeepEqual(t, first.faults, second.faults)
+	assert.DeepEqual(t, first.plan, second.plan)
+	assert.Equal(t, first.seed, second.seed)
+	assert.Assert(t, first.seed != other.seed)
+	assert.DeepEqual(t, first.base, map[string]any{"traffic": "kept"})
 }
 
 func TestEveryKindComesOften(t *testing.T) {
 	seen := map[string]int{}
-	for n := uint64(1); n <= 200; n++ {
-		d := draw(testSite, n, nil)
-		for _, x := range append(d.plan, d.faults...) {
-			seen[x.Kind]++
-			assert.Assert(t, x.At >= firstMomentS && x.At <= testSite.LengthS-quietEndS, "%v", x)
+	for number := uint64(1); number <= 200; number++ {
+		drawn := draw(testSite, number, nil)
+		for _, entry := range append(drawn.plan, drawn.faults...) {
+			seen[entry.Kind]++
+			assert.Assert(t, entry.At >= firstMomentS && entry.At <= testSite.LengthS-quietEndS, "%v", entry)
 		}
 	}
-	for _, v := range variants {
-		assert.Assert(t, seen[v.kind] >= 5, "%s came %d times in 200 days", v.kind, seen[v.kind])
+	for _, variant := range variants {
+		assert.Assert(t, seen[variant.kind] >= 5, "%s came %d times in 200 days", variant.kind, seen[variant.kind])
 	}
 }
 
 func TestNamedKindsAreInTheDay(t *testing.T) {
-	d := draw(testSite, 3, []string{"core_cut:behind", "retire"})
+	drawn := draw(testSite, 3, []string{"core_cut:behind", "retire"})
 	var cut, retire bool
-	for _, x := range append(d.plan, d.faults...) {
-		cut = cut || x.Kind == "core_cut" && x.How == "behind"
-		retire = retire || x.Kind == "retire"
+	for _, entry := range append(drawn.plan, drawn.faults...) {
+		cut = cut || entry.Kind == "core_cut" && entry.How == "behind"
+		retire = retire || entry.Kind == "retire"
 	}
 	assert.Assert(t, cut && retire)
 }
--- a/tools/days/draw.go
+++ b/tools/days/draw.go
@@ -9,7 +9,8 @@
 	"strings"
 )
 
-// variant is one kind of trouble with what may be drawn for it. A machine class "" leaves the choice to the bench.
+// variant is one kind of fault with the values that may be drawn for it. A machine class "" leaves the
+// choice to the bench.
 type variant struct {
 	kind    string
 	planned bool
@@ -51,7 +52,8 @@
 	{kind: "core_cut", classes: []string{"", "", "store"}, counts: []int{1}, forS: [2]float64{2, 20},
 		hows: []string{"", "one_way", "near", "all", "behind", "split", "lure", "relieve", "both", "seeds", "oldest",
 			"leader", "leader race", "leader one_way race hard", "reset meet", "refuse", "meet"}},
-	{kind: "node_cut", classes: anyClass, shares: []float64{0.1, 0.2}, forS: [2]float64{2, 8}, hows: []string{"", "all"}},
+	{kind: "node_cut", classes: anyClass, shares: []float64{0.1, 0.2}, forS: [2]float64{2, 8},
+		hows: []string{"", "all"}},
 	{kind: "herd_kill", shares: []float64{0.3, 0.6, 1}, hows: []string{"", "power", "taken", "taken all"},
 		forS: [2]float64{0.5, 3}},
 	{kind: "herd_kill", classes: []string{"core"}, hows: []string{"", "off"}, forS: [2]float64{0.5, 3}},
@@ -69,7 +71,7 @@
 	{kind: "lossy", shares: []float64{0.1, 0.3}, x: []float64{0.02, 0.05}, forS: [2]float64{2, 8}},
 }
 
-// controlKinds are the kinds that bear on the control keys or on the placement of copies.
+// controlKinds are the kinds that affect the control keys or the placement of replicas.
 var controlKinds = []string{
 	"core_cut", "config_race", "config_storm", "replace_core", "retire", "ack_lost", "after_ack_kill",
 	"after_ack_wipe", "clock_step", "herd_kill", "node_freeze", "add_nodes",
@@ -83,44 +85,45 @@
 }
 
 const (
-	seedStream       = 0x706a // separates the numbers of days from other seeds
-	kindsLeast       = 4
-	kindsMost        = 10
-	firstMomentS     = 0.5
-	quietEndS        = 3 // no trouble begins in the last seconds before a closing fault
-	closingsInTen    = 9 // of ten days, how many end with a closing fault
-	controlInTen     = 6 // of ten troubles, how many are of the control kinds
-	closingDownMostS = 2.0
+	seedStream      = 0x706a // separates the numbers of days from other seeds
+	minKinds        = 4
+	maxKinds        = 10
+	firstMomentS    = 0.5
+	quietEndS       = 3 // no fault begins in the last seconds before a closing fault
+	closingsInTen   = 9 // of ten days, how many end with a closing fault
+	controlInTen    = 6 // of ten faults, how many are of the control kinds
+	maxClosingDownS = 2.0
 )
 
-// draw makes the day with the given number; the kinds of only are in it for sure.
-func draw(s site, number uint64, only []string) day {
+// draw returns the day with the given number. It contains all kinds in only.
+func draw(site site, number uint64, only []string) day {
 	r := rand.New(rand.NewPCG(number, seedStream))
-	d := day{base: maps.Clone(s.Days[0]), name: fmt.Sprintf("own-%d", number), seed: r.Uint64N(math.MaxInt32)}
-	for _, f := range droppedFields {
-		delete(d.base, f)
+	day := day{base: maps.Clone(site.Days[0]), name: fmt.Sprintf("own-%d", number), seed: r.Uint64N(math.MaxInt32)}
+	for _, field := range droppedFields {
+		delete(day.base, field)
 	}
 	wanted := slices.Clone(only)
-	for range kindsLeast + r.IntN(kindsMost-kindsLeast+1) {
+	for range minKinds + r.IntN(maxKinds-minKinds+1) {
 		wanted = append(wanted, "")
 	}
 	for _, kind := range wanted {
 		if kind == "" && r.IntN(10) < controlInTen {
 			kind = pick(r, controlKinds)
 		}
-		v := pick(r, ofKind(kind))
-		t := v.draw(r, s.LengthS-quietEndS)
-		if v.planned {
-			d.plan = append(d.plan, t)
+		variant := pick(r, ofKind(kind))
+		drawn := variant.draw(r, site.LengthS-quietEndS)
+		if variant.planned {
+			day.plan = append(day.plan, drawn)
 		} else {
-			d.faults = append(d.faults, t)
+			day.faults = append(day.faults, drawn)
 		}
 	}
 	if r.IntN(10) < closingsInTen {
-		c := pick(r, closings)
-		d.closing = &closing{Kind: c.kind, DownS: round(0.3 + r.Float64()*closingDownMostS), How: pick(r, c.hows)}
+		kind := pick(r, closings)
+		day.closing = &closing{Kind: kind.kind, DownS: round(0.3 + r.Float64()*maxClosingDownS),
+			How: pick(r, kind.hows)}
 	}
-	return d
+	return day
 }
 
 func ofKind(kind string) []variant {
@@ -128,26 +131,26 @@
 		return variants
 	}
 	name, how, _ := strings.Cut(kind, ":")
-	some := slices.DeleteFunc(slices.Clone(variants), func(v variant) bool { return v.kind != name })
+	matching := slices.DeleteFunc(slices.Clone(variants), func(variant variant) bool { return variant.kind != name })
 	if how == "" {
-		return some
+		return matching
 	}
-	for i := range some {
-		some[i].hows = []string{how}
+	for i := range matching {
+		matching[i].hows = []string{how}
 	}
-	return some
+	return matching
 }
 
-func (v variant) draw(r *rand.Rand, end float64) trouble {
-	t := trouble{At: round(firstMomentS + r.Float64()*(end-firstMomentS)), Kind: v.kind}
-	t.On = pick(r, v.classes)
-	t.How = pick(r, v.hows)
-	t.Count = pick(r, v.counts)
-	t.Share = pick(r, v.shares)
-	t.X = pick(r, v.x)
-	t.ForS = within(r, v.forS)
-	t.GapS = within(r, v.gapS)
-	return t
+func (variant variant) draw(r *rand.Rand, end float64) fault {
+	drawn := fault{At: round(firstMomentS + r.Float64()*(end-firstMomentS)), Kind: variant.kind}
+	drawn.On = pick(r, variant.classes)
+	drawn.How = pick(r, variant.hows)
+	drawn.Count = pick(r, variant.counts)
+	drawn.Share = pick(r, variant.shares)
+	drawn.X = pick(r, variant.x)
+	drawn.ForS = uniform(r, variant.forS)
+	drawn.GapS = uniform(r, variant.gapS)
+	return drawn
 }
 
 func pick[T any](r *rand.Rand, from []T) T {
@@ -158,11 +161,11 @@
 	return from[r.IntN(len(from))]
 }
 
-func within(r *rand.Rand, span [2]float64) float64 {
+func uniform(r *rand.Rand, span [2]float64) float64 {
 	if span[1] == 0 {
 		return 0
 	}
 	return round(span[0] + r.Float64()*(span[1]-span[0]))
 }
 
-func round(x float64) float64 { return math.Round(x*100) / 100 }
+func round(value float64) float64 { return math.Round(value*100) / 100 }
--- a/tools/days/site.go
+++ b/tools/days/site.go
@@ -16,18 +16,19 @@
 	Days    []map[string]any `toml:"day"`
 }
 
-// day is a day in the bench's format; the fields of the standard day that a drawn day keeps are in base.
+// day is a day in the bench's format. base has the fields of the standard day that a drawn day keeps.
 type day struct {
 	base    map[string]any
 	name    string
 	seed    uint64
 	closing *closing
-	plan    []trouble
-	faults  []trouble
+	plan    []fault
+	faults  []fault
 }
 
-// trouble is one entry of a day. Times are in seconds from the start of traffic, X is the strength of the kind.
-type trouble struct {
+// fault is one entry of a day. Times are in seconds from the start of traffic. X is the strength of
+// the fault.
+type fault struct {
 	At    float64 `toml:"at"`
 	Kind  string  `toml:"kind"`
 	On    string  `toml:"on,omitempty,omitzero"`
@@ -46,29 +47,30 @@
 	How   string  `toml:"how,omitempty,omitzero"`
 }
 
-// droppedFields are the fields of a standard day that belong to its own troubles.
+// droppedFields are the fields of a standard day that belong to its own faults.
 var droppedFields = []string{"faults", "plan", "closing", "small", "light", "wall", "labels", "seed", "name"}
 
 func readSite(path string) (site, error) {
-	var s site
-	if _, err := toml.DecodeFile(path, &s); err != nil {
-		return s, fmt.Errorf("read the site file: %w", err)
+	var site site
+	if _, err := toml.DecodeFile(path, &site); err != nil {
+		return site, fmt.Errorf("read the site file: %w", err)
 	}
-	if len(s.Days) == 0 {
-		return s, errors.New("the site file has no standard day to take the traffic from")
+	if len(site.Days) == 0 {
+		return site, errors.New("the site file has no standard day to take the traffic from")
 	}
-	return s, nil
+	return site, nil
 }
 
-func writeDay(path string, d day) error {
-	fields := map[string]any{"name": d.name, "seed": d.seed, "slot": "trouble", "plan": d.plan, "faults": d.faults}
-	for name, value := range d.base {
+func writeDay(path string, day day) error {
+	fields := map[string]any{"name": day.name, "seed": day.seed, "slot": "trouble", "plan": day.plan,
+		"faults": day.faults}
+	for name, value := range day.base {
 		if _, ok := fields[name]; !ok {
 			fields[name] = value
 		}
 	}
-	if d.closing != nil {
-		fields["closing"] = *d.closing
+	if day.closing != nil {
+		fields["closing"] = *day.closing
 	}
 	file, err := os.Create(path)
 	if err != nil {
