--- a/internal/testing/fleet/sessions.go
+++ b/internal/testing/fleet/sessions.go
@@ -204,7 +204,7 @@
 		client.Habits.WithdrawInterval = 3 * time.Second
 		client.Habits.IgnoresMoves = i%ignoresMovesOneIn == 0
 		for _, topicIndex := range rng.Perm(topics)[:min(topics, 3+rng.IntN(3))] {
-			client.Follow = append(client.Follow, simclient.Topic{Name: fmt.Sprintf(topic, topicIndex), Kept: true})
+			client.Follow = append(client.Follow, simclient.Topic{Name: fmt.Sprintf(topic, topicIndex), Retained: true})
 		}
 		for k := range 2 {
 			client.SendTopics = append(client.SendTopics, simclient.SendTopic{Topic: fmt.Sprintf(topic, (i+7*k)%topics),
--- a/internal/testing/sim/lineclients.go
+++ b/internal/testing/sim/lineclients.go
@@ -283,7 +283,7 @@
 			l.Habits(&x.Habits)
 		}
 		for _, k := range r.Perm(l.Topics)[:min(l.Topics, 4+r.IntN(4))] {
-			x.Follow = append(x.Follow, simclient.Topic{Name: fmt.Sprintf("kept/t%d", k), Kept: true})
+			x.Follow = append(x.Follow, simclient.Topic{Name: fmt.Sprintf("kept/t%d", k), Retained: true})
 		}
 		if l.LiveTopics > 0 && i%2 == 0 {
 			t := fmt.Sprintf("live/l%d", r.IntN(l.LiveTopics))
--- a/internal/testing/simclient/client.go
+++ b/internal/testing/simclient/client.go
@@ -32,7 +32,7 @@
 // that another client received with LastMessage at Given.
 type Topic struct {
 	Name        string
-	Kept        bool
+	Retained    bool
 	Cursor      string
 	LastMessage deliverycheck.Message
 	Given       time.Time
@@ -279,8 +279,8 @@
 		subscription.state = idle
 		subscription.retryAt = time.Time{}
 	}
-	for _, line := range client.senders {
-		for _, message := range line.messages {
+	for _, sender := range client.senders {
+		for _, message := range sender.messages {
 			message.inFlight, message.retryAt = false, time.Time{}
 		}
 	}
--- a/internal/testing/simclient/requests.go
+++ b/internal/testing/simclient/requests.go
@@ -26,7 +26,7 @@
 	switch {
 	case sub.wanted && (sub.state == idle || sub.state == unsubscribed) && !now.Before(sub.retryAt):
 		if sub.record == nil {
-			sub.record = client.Checker.Subscribe(client.Name, sub.Name, sub.Kept)
+			sub.record = client.Checker.Subscribe(client.Name, sub.Name, sub.Retained)
 			sub.cursor = ""
 		}
 		sub.state, sub.since = subscribing, now
--- a/internal/testing/simclient/responses.go
+++ b/internal/testing/simclient/responses.go
@@ -53,7 +53,7 @@
 		sub.state = subscribed
 		sub.record.Joined(now)
 		sub.presence.Joined(now)
-		if sub.cursor != "" && sub.cursor != response.Cursor && sub.Kept {
+		if sub.cursor != "" && sub.cursor != response.Cursor && sub.Retained {
 			client.Checker.Violation(deliverycheck.Mixed, "%s joined %s with cursor %q and got %q", client.Name,
 				sub.Name, sub.cursor, response.Cursor)
 		}
@@ -69,21 +69,22 @@
 		sub.state, sub.record, sub.cursor, sub.retryAt = unsubscribed, nil, "", now
 	},
 	session.Message: func(client *Client, now time.Time, response session.Response) {
-		m := deliverycheck.Message{Topic: response.Topic, From: response.From, CallSeq: response.CallSeq}
+		message := deliverycheck.Message{Topic: response.Topic, From: response.From, CallSeq: response.CallSeq}
 		sub := client.subscription(response.Topic)
 		if sub == nil || sub.state == idle || sub.state == unsubscribed {
-			client.Checker.Stray(client.Name, m, now)
+			client.Checker.Stray(client.Name, message, now)
 			return
 		}
 		if sub.state == unsubscribing {
 			return
 		}
-		sub.record.Received(m, string(response.Body), deliverycheck.Position{Partition: response.Partition,
+		sub.record.Received(message, string(response.Body), deliverycheck.Position{Partition: response.Partition,
 			Offset: response.Offset}, client.lastByteAt)
-		client.lastReceived[response.Topic] = m
+		client.lastReceived[response.Topic] = message
 		sub.cursor = response.Cursor
-		if client.Saved != nil && sub.Kept && client.Rand.IntN(saveCursorOneIn) == 0 {
-			client.Saved(Topic{Name: sub.Name, Kept: true, Cursor: response.Cursor, LastMessage: m, Given: now})
+		if client.Saved != nil && sub.Retained && client.Rand.IntN(saveCursorOneIn) == 0 {
+			client.Saved(Topic{Name: sub.Name, Retained: true, Cursor: response.Cursor, LastMessage: message,
+				Given: now})
 		}
 	},
 	session.Accepted: func(client *Client, now time.Time, response session.Response) {
