--- a/internal/docs/layers_test.go
+++ b/internal/docs/layers_test.go
@@ -35,8 +35,7 @@
 	{"internal/disk", "internal/wire"},
 	{"internal/assignment", "internal/voters", "internal/partition", "internal/configuration"},
 	{
-		"internal/apierror", "internal/callpolicy", "internal/clock", "internal/event", "internal/keylock",
-		"internal/quorum",
+		"internal/apierror", "internal/callpolicy", "internal/clock", "internal/event", "internal/keylock", "internal/quorum",
 		"internal/rawjson", "internal/recordtype", "internal/settings", "internal/usage", "internal/replay/recording",
 	},
 }
--- a/internal/golden/doc.go
+++ b/internal/golden/doc.go
@@ -3,7 +3,7 @@
 // of the command line.
 //
 // The tests fill values by the position of fields and never by their names, so that a renamed field
-// whose tag stays produces the same bytes. After a change that is meant to alter a format, run go
-// test ./internal/golden -update and read the difference. The folders in testdata/old were written
+// whose tag stays produces the same bytes. After a change that is meant to alter a format, run
+// go test ./internal/golden -update and read the difference. The folders in testdata/old were written
 // once and are never updated: newer builds have to read them.
 package golden
--- a/internal/testing/crash/crash_test.go
+++ b/internal/testing/crash/crash_test.go
@@ -288,20 +288,20 @@
 		if raceEnabled && at%4 != 0 {
 			continue
 		}
-		for kept := 0; kept <= unsynced; kept += max(1, unsynced/8) {
+		for retained := 0; retained <= unsynced; retained += max(1, unsynced/8) {
 			for _, torn := range []bool{false, true} {
 				copied := moment.Disk.Copy()
-				copied.LosePowerAfter(kept, torn)
+				copied.LosePowerAfter(retained, torn)
 				got, report, stop := boot(t, copied)
 				contents := got.diskState(t)
 				stop()
 				cases++
 				casesByOperation[moment.Op]++
-				assert.Assert(t, !report.Damaged, "moment %d (%s), %d of %d kept, torn %v: %v", at, moment.Op, kept,
-					unsynced, torn, report.Cause)
+				assert.Assert(t, !report.Damaged, "moment %d (%s), %d of %d retained, torn %v: %v", at, moment.Op,
+					retained, unsynced, torn, report.Cause)
 				assert.NilError(t, checkBetween(contents, states[moment.Answered],
 					states[min(moment.Answered+1, len(states)-1)]),
-					"moment %d (%s), %d of %d unsynced kept, torn %v", at, moment.Op, kept, unsynced, torn)
+					"moment %d (%s), %d of %d unsynced retained, torn %v", at, moment.Op, retained, unsynced, torn)
 			}
 		}
 	}
--- a/internal/testing/crash/slices_test.go
+++ b/internal/testing/crash/slices_test.go
@@ -44,7 +44,10 @@
 func randomOperation(r *rand.Rand, lastEpoch *uint64) func(s *diskParts) error {
 	ctx := context.Background()
 	partition, kind := r.IntN(partitions), log.Kinds[r.IntN(2)]
-	target := func(e uint64) replica.Target { return replica.Target{Partition: partition, Incarnation: "i", Epoch: e} }
+	target := func(epoch uint64) replica.Target {
+		return replica.Target{Partition: partition, Incarnation: "i",
+			Epoch: epoch}
+	}
 	randomPosition := func(l *log.Log) log.Position {
 		first, last := l.Base().Offset, l.Last().Offset
 		at, _ := l.Position(first + r.Uint64N(last-first+1))
@@ -148,11 +151,11 @@
 			for _, operation := range operations()[:2] {
 				run(operation)
 			}
-			for contents := range partitions {
-				for _, kept := range log.Kinds {
+			for partition := range partitions {
+				for _, kind := range log.Kinds {
 					run(func(s *diskParts) error {
 						_, err := s.replica.Append(t.Context(), &replica.AppendRequest{
-							Target: replica.Target{Partition: contents, Incarnation: "i", Epoch: 1}, Kind: kept,
+							Target: replica.Target{Partition: partition, Incarnation: "i", Epoch: 1}, Kind: kind,
 							Entries: entries(log.Position{}, 1, 100+r.IntN(200))})
 						return err
 					})
@@ -197,10 +200,10 @@
 					continue
 				}
 				unsynced := moment.Disk.Unsynced()
-				for kept := 0; kept <= unsynced; kept += max(1, unsynced/3) {
+				for retained := 0; retained <= unsynced; retained += max(1, unsynced/3) {
 					for _, torn := range []bool{false, true} {
 						copied := moment.Disk.Copy()
-						copied.LosePowerAfter(kept, torn)
+						copied.LosePowerAfter(retained, torn)
 						got, report, stop := boot(t, copied)
 						contents := got.diskState(t)
 						stop()
@@ -209,8 +212,8 @@
 							report.Cause)
 						assert.NilError(t, checkBetween(contents, states[moment.Answered],
 							states[min(moment.Answered+1, len(states)-1)]),
-							"seed %d, moment %d of %d (%s), %d of %d unsynced kept, torn %v", seed, at,
-							len(moments)-before, moment.Op, kept, unsynced, torn)
+							"seed %d, moment %d of %d (%s), %d of %d unsynced retained, torn %v", seed, at,
+							len(moments)-before, moment.Op, retained, unsynced, torn)
 						if moment.Op == "end" {
 							assert.NilError(t, checkEqual(contents, want), "seed %d", seed)
 						}
--- a/internal/testing/deliverycheck/checker.go
+++ b/internal/testing/deliverycheck/checker.go
@@ -322,10 +322,10 @@
 	c := s.checker
 	seen, last, connection := map[Message]bool{}, map[string]uint64{}, 0
 	numbers := map[Message]Message{}
-	owed := map[string][]Message{}
+	guaranteed := map[string][]Message{}
 	for message, state := range c.sent {
 		if s.mustReceive(message, state) {
-			owed[message.From] = append(owed[message.From], message)
+			guaranteed[message.From] = append(guaranteed[message.From], message)
 		}
 	}
 	for _, receipt := range s.receipts {
@@ -347,7 +347,7 @@
 				receipt.receivedAt.Format("04:05.000"))
 		}
 		last[receipt.message.From] = max(last[receipt.message.From], receipt.message.CallSeq)
-		for _, earlier := range owed[receipt.message.From] {
+		for _, earlier := range guaranteed[receipt.message.From] {
 			if earlier.CallSeq < receipt.message.CallSeq && !seen[earlier] {
 				c.addViolation(Order, "%s got %v at %s without call %d before it, which was acknowledged at %s",
 					s.client, receipt.message,
--- a/internal/testing/fleet/relay_test.go
+++ b/internal/testing/fleet/relay_test.go
@@ -15,7 +15,7 @@
 )
 
 type echoMessage struct {
-	Say string `json:"say"`
+	Text string `json:"say"`
 }
 
 var echo = wire.NewProcedure[echoMessage, echoMessage]("Proof", "Note", wire.ReadOnly, "echoes")
@@ -27,7 +27,7 @@
 	timing := settings.DefaultTiming
 	handler := http.NewServeMux()
 	echo.Handle(handler, func(_ context.Context, request *echoMessage) (*echoMessage, error) {
-		onCall(request.Say)
+		onCall(request.Text)
 		return request, nil
 	})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,8 +48,8 @@
 		ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 		defer stop()
 		response, err := echo.Call(ctx, network, "a", address, &echoMessage{text})
-		if err == nil && response.Say != text {
-			return apierror.New(apierror.Internal, "%q for %q", response.Say, text)
+		if err == nil && response.Text != text {
+			return apierror.New(apierror.Internal, "%q for %q", response.Text, text)
 		}
 		return err
 	}
--- a/internal/testing/fleet/soak.go
+++ b/internal/testing/fleet/soak.go
@@ -64,9 +64,9 @@
 
 // Verdict returns the report in one line.
 func (r *SoakReport) Verdict() string {
-	word := "held"
+	verdict := "held"
 	if len(r.Violations) > 0 {
-		word = "BROKEN"
+		verdict = "BROKEN"
 	}
 	faults := 0
 	for _, count := range r.Faults {
@@ -75,7 +75,7 @@
 	return fmt.Sprintf(
 		"soak seed %d: %s, %d violations; %d processes, %s, %d faults, %d orders acknowledged; callers sent %d "+
 			"accepted %d, sessions sent %d accepted %d received %d; longest wait %s, machine stalled %s",
-		r.Seed, word, len(r.Violations), r.Processes, r.Length, faults, r.Orders[acknowledged], r.Sent, r.Accepted,
+		r.Seed, verdict, len(r.Violations), r.Processes, r.Length, faults, r.Orders[acknowledged], r.Sent, r.Accepted,
 		r.Sessions.Sent, r.Sessions.Accepted, r.Sessions.Got, r.Longest.Round(time.Millisecond),
 		r.Stalled.Round(time.Millisecond))
 }
--- a/internal/testing/fleet/totals.go
+++ b/internal/testing/fleet/totals.go
@@ -42,11 +42,11 @@
 				Records uint64 `json:"Records"`
 				Batches uint64 `json:"Batches"`
 			} `json:"journal"`
-			Owners []struct {
+			Leaders []struct {
 				Tally struct {
-					Taken   uint64 `json:"Taken"`
-					Batches uint64 `json:"Batches"`
-					Items   uint64 `json:"Items"`
+					Accepted uint64 `json:"Taken"`
+					Batches  uint64 `json:"Batches"`
+					Items    uint64 `json:"Items"`
 				} `json:"tally"`
 			} `json:"owners"`
 		}
@@ -57,8 +57,8 @@
 		}
 		sums.Records, sums.Batches, sums.Streams = sums.Records+counters.Journal.Records,
 			sums.Batches+counters.Journal.Batches, sums.Streams+counters.Streams
-		for _, leader := range counters.Owners {
-			sums.Accepted, sums.ChangelogBatches, sums.ChangelogItems = sums.Accepted+leader.Tally.Taken,
+		for _, leader := range counters.Leaders {
+			sums.Accepted, sums.ChangelogBatches, sums.ChangelogItems = sums.Accepted+leader.Tally.Accepted,
 				sums.ChangelogBatches+leader.Tally.Batches, sums.ChangelogItems+leader.Tally.Items
 		}
 	}
--- a/internal/testing/history/trace.go
+++ b/internal/testing/history/trace.go
@@ -32,14 +32,14 @@
 }
 
 // Lead records which leader the assignment record names for an epoch.
-func (h *History) Lead(partition int, epoch uint64, owner string) {
+func (h *History) Lead(partition int, epoch uint64, leader string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	key := term{partition, epoch}
-	if previous, ok := h.leaders[key]; ok && previous != owner {
-		h.violate(Fenced, "partition %d has two leaders under epoch %d: %s and %s", partition, epoch, previous, owner)
+	if previous, ok := h.leaders[key]; ok && previous != leader {
+		h.violate(Fenced, "partition %d has two leaders under epoch %d: %s and %s", partition, epoch, previous, leader)
 	}
-	h.leaders[key] = owner
+	h.leaders[key] = leader
 }
 
 // Terms returns how many epochs were recorded, over all partitions.
--- a/internal/testing/transport/http.go
+++ b/internal/testing/transport/http.go
@@ -103,11 +103,11 @@
 // node serves.
 func (p *HTTP) ShownConfiguration(ctx context.Context) (uint64, bool, error) {
 	var answer struct {
-		Description uint64 `json:"description"`
-		Leased      bool   `json:"licensed"`
+		Configuration uint64 `json:"description"`
+		Leased        bool   `json:"licensed"`
 	}
 	err := p.call(ctx, http.MethodGet, "/v1/status", "", nil, &answer)
-	return answer.Description, answer.Leased, err
+	return answer.Configuration, answer.Leased, err
 }
 
 const maxLineBytes = 4 << 20
