--- a/internal/testing/crash/crash_test.go
+++ b/internal/testing/crash/crash_test.go
@@ -146,8 +146,7 @@
 func operations() []func(s *diskParts) error {
 	ctx := context.Background()
 	target := func(partition int, epoch uint64) replica.Target {
-		return replica.Target{Partition: partition,
-			Incarnation: "i", Epoch: epoch}
+		return replica.Target{Partition: partition, Incarnation: "i", Epoch: epoch}
 	}
 	appendEntries := func(partition int, kind log.Kind, epoch uint64, after func(prior *log.Log) log.Position,
 		count int, reset bool) func(*diskParts) error {
@@ -194,16 +193,15 @@
 	}
 	promise := func(key string, number uint64) func(*diskParts) error {
 		return func(s *diskParts) error {
-			_, err := s.acceptor.Promise(ctx, &acceptor.PromiseRequest{Target: slot(key,
-				s.acceptor.VoterSet().Sequence), Epoch: epoch.Epoch{Number: number, Node: "c1"}})
+			_, err := s.acceptor.Promise(ctx, &acceptor.PromiseRequest{Target: slot(key, s.acceptor.VoterSet().Sequence),
+				Epoch: epoch.Epoch{Number: number, Node: "c1"}})
 			return err
 		}
 	}
 	accept := func(key string, number, version uint64) func(*diskParts) error {
 		return func(s *diskParts) error {
 			_, err := s.acceptor.Accept(ctx, &acceptor.AcceptRequest{Target: slot(key, s.acceptor.VoterSet().Sequence),
-				Epoch: epoch.Epoch{Number: number, Node: "c1"}, Value: acceptor.Value{Version: version,
-					Body: []byte(key)}})
+				Epoch: epoch.Epoch{Number: number, Node: "c1"}, Value: acceptor.Value{Version: version, Body: []byte(key)}})
 			return err
 		}
 	}
@@ -220,8 +218,8 @@
 		},
 		promise("description", 1), accept("description", 1, 1), promise("description", 3),
 		accept("description", 3, 2), promise("partition/000", 2),
-		seal(0, 1), appendEntries(0, log.KindInput, 1, end, 5, false), appendEntries(0, log.KindChangelog, 1, end, 3,
-			false), saveSnapshot(0), seal(0, 2),
+		seal(0, 1), appendEntries(0, log.KindInput, 1, end, 5, false),
+		appendEntries(0, log.KindChangelog, 1, end, 3, false), saveSnapshot(0), seal(0, 2),
 		appendEntries(0, log.KindInput, 2, beforeLast(2), 4, false), trim(0, log.KindInput, 2, 3),
 		appendEntries(0, log.KindChangelog, 2, end, 2, false), saveSnapshot(0), trim(0, log.KindChangelog, 2, 2),
 		seal(1, 4), appendEntries(1, log.KindInput, 4, end, 6, false),
@@ -231,10 +229,10 @@
 		func(s *diskParts) error { return s.replica.TruncateAfter(ctx, target(1, 5), log.KindInput, 22, false) },
 		seal(2, 1), appendEntries(2, log.KindInput, 1, end, 4, false),
 		func(s *diskParts) error {
-			_, err := s.replica.Drop(ctx, &replica.DropRequest{Target: target(2,
-				9)})
+			_, err := s.replica.Drop(ctx, &replica.DropRequest{Target: target(2, 9)})
 			return err
-		}, accept(acceptor.VoterSetKey, 1, 1),
+		},
+		accept(acceptor.VoterSetKey, 1, 1),
 		func(s *diskParts) error {
 			voterSet := s.acceptor.VoterSet()
 			voterSet.Sequence++
@@ -249,8 +247,8 @@
 		operations = append(operations, appendEntries(0, log.KindInput, 2, end, 500, false),
 			trim(0, log.KindInput, 2, 40))
 	}
-	return append(operations, seal(0, 8), accept("description", 7, 3), appendEntries(0, log.KindInput, 8, end, 2,
-		false))
+	return append(operations, seal(0, 8), accept("description", 7, 3),
+		appendEntries(0, log.KindInput, 8, end, 2, false))
 }
 
 const maxExtraSeals = 64
--- a/internal/testing/crash/slices_test.go
+++ b/internal/testing/crash/slices_test.go
@@ -45,8 +45,7 @@
 	ctx := context.Background()
 	partition, kind := r.IntN(partitions), log.Kinds[r.IntN(2)]
 	target := func(epoch uint64) replica.Target {
-		return replica.Target{Partition: partition, Incarnation: "i",
-			Epoch: epoch}
+		return replica.Target{Partition: partition, Incarnation: "i", Epoch: epoch}
 	}
 	randomPosition := func(l *log.Log) log.Position {
 		first, last := l.Base().Offset, l.Last().Offset
@@ -99,9 +98,9 @@
 				At: s.replica.Log(partition, log.KindChangelog).Last(), Input: 1, State: []byte(`{}`)})
 		},
 		func(s *diskParts) error {
-			b := acceptor.Target{VoterSet: s.acceptor.VoterSet().Sequence, Incarnation: "i1", Key: "description"}
+			slot := acceptor.Target{VoterSet: s.acceptor.VoterSet().Sequence, Incarnation: "i1", Key: "description"}
 			*lastEpoch++
-			_, err := s.acceptor.Promise(ctx, &acceptor.PromiseRequest{Target: b,
+			_, err := s.acceptor.Promise(ctx, &acceptor.PromiseRequest{Target: slot,
 				Epoch: epoch.Epoch{Number: *lastEpoch, Node: "c1"}})
 			return err
 		},
--- a/internal/testing/simclient/client.go
+++ b/internal/testing/simclient/client.go
@@ -301,8 +301,8 @@
 	serial := client.serial
 	client.mu.Unlock()
 	client.address = endpoint.Address
-	client.connection = endpoint.Connect(func(response session.Response, shown time.Time) {
-		client.receive(connectionEvent{serial: serial, response: response, lastByteAt: shown})
+	client.connection = endpoint.Connect(func(response session.Response, lastByteAt time.Time) {
+		client.receive(connectionEvent{serial: serial, response: response, lastByteAt: lastByteAt})
 	}, func() { client.receive(connectionEvent{serial: serial, broken: true}) })
 	if client.connection == nil {
 		client.returnAt = now.Add(client.randomUpTo(client.Habits.Keepalive / 2))
--- a/internal/testing/simclient/responses.go
+++ b/internal/testing/simclient/responses.go
@@ -146,9 +146,9 @@
 		client.close(now, client.Habits.Keepalive/2, false)
 	},
 	session.Count: func(client *Client, _ time.Time, response session.Response) {
-		delete(client.countsRequested,
-			response.Topic)
-	}, session.Unsubscribe: func(client *Client, now time.Time, _ session.Response) {
+		delete(client.countsRequested, response.Topic)
+	},
+	session.Unsubscribe: func(client *Client, now time.Time, _ session.Response) {
 		client.close(now, client.Habits.Keepalive/2, false)
 	},
 	session.Subscribe: func(client *Client, now time.Time, response session.Response) {
