--- a/internal/testing/history/history.go
+++ b/internal/testing/history/history.go
@@ -110,7 +110,7 @@
 	Lost     = "never-3 an accepted message lost"
 	Missed   = "never-4 a returning client missed something"
 	Fenced   = "never-5 a fenced leader decided"
-	Disk     = "never-6 a disk trusted beyond its records"
+	Disk     = "never-6 a disk trusted beyond the partition log"
 	Foreign  = "never-7 refused, altered, wrong sender or topic, or not asked for"
 	Spread   = "never-8 a configuration late or going back"
 	Invalid  = "never-9 an invalid or conflicting configuration applied"
--- a/internal/testing/history/history_test.go
+++ b/internal/testing/history/history_test.go
@@ -107,7 +107,7 @@
 		"an old leader rejects for good after that": {Fenced, func(h *History) {
 			h.Decide(Decision{"s1", 1, 1, "no: call_passed", sec(2.5), sec(2.6)})
 		}},
-		"an old leader confirms its lease after that": {Fenced, func(h *History) {
+		"an old leader confirms an attachment after that": {Fenced, func(h *History) {
 			h.Decide(Decision{"s1", 1, 1, "vouched", sec(2.5), sec(2.6)})
 		}},
 		"a message is at two positions": {Twice, func(h *History) { receiveOther(h, elsewhere) }},
