--- a/internal/testing/sim/controls.go
+++ b/internal/testing/sim/controls.go
@@ -22,7 +22,7 @@
 	w.Machines[n].kill()
 }
 
-func (w *World) note(what string) { w.History.Disturb(what, time.Now()) }
+func (w *World) note(what string) { w.History.AddFault(what, time.Now()) }
 
 // LosePower ends a process at once; its disk keeps only what was synced, maybe with a torn tail.
 func (w *World) LosePower(n string, torn bool) {
@@ -50,9 +50,9 @@
 	w.note("reset")
 	close(m.broken)
 	m.broken = make(chan struct{})
-	close(m.ports.Gone)
+	close(m.ports.Ended)
 	s := *m.ports
-	s.Gone = make(chan struct{})
+	s.Ended = make(chan struct{})
 	m.ports = &s
 }
 
--- a/internal/testing/sim/description_test.go
+++ b/internal/testing/sim/description_test.go
@@ -16,7 +16,7 @@
 )
 
 func shown(w *World, n string) uint64 {
-	s, _, err := w.Port(n).Shows(w.ctx)
+	s, _, err := w.Port(n).ShownConfiguration(w.ctx)
 	if err != nil {
 		return 0
 	}
@@ -41,7 +41,7 @@
 		assert.NilError(t, w.WaitReady(20*time.Second))
 		script(t, w)
 		for _, v := range w.History.Check(time.Now(), time.Now()).Violations {
-			t.Errorf("seed %d: %s: %s", seed, v.Line, v.Message)
+			t.Errorf("seed %d: %s: %s", seed, v.Rule, v.Message)
 		}
 	})
 }
@@ -402,7 +402,7 @@
 			assert.NilError(t, err)
 			time.Sleep(w.Site.Timing.Spread + time.Millisecond)
 			for _, n := range []string{"a1", "s1"} {
-				_, ready, _ := w.Port(n).Shows(w.ctx)
+				_, ready, _ := w.Port(n).ShownConfiguration(w.ctx)
 				assert.Assert(t, !ready, "%s serves, cut off, %s after description %d", n, w.Site.Timing.Spread, base+1)
 			}
 			w.Heal()
