--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -104,11 +104,11 @@
 	flags.StringVar(&opts.faults, "faults", "kill",
 		"`faults`, with commas between: "+strings.Join(fleet.FaultNames(), ", ")+"; empty for none")
 	load := &day.Load
-	flags.IntVar(&load.Flood, "flood", 0, "`number` of routine senders that send as fast as they can")
-	flags.IntVar(&load.Callers, "callers", load.Callers, "`number` of callers")
+	flags.IntVar(&load.FloodTopics, "flood", 0, "`number` of routine senders that send as fast as they can")
+	flags.IntVar(&load.HTTPClients, "callers", load.HTTPClients, "`number` of callers")
 	flags.IntVar(&load.Topics, "topics", load.Topics, "`number` of kept topics")
 	flags.IntVar(&load.LiveTopics, "live", load.LiveTopics, "`number` of live topics")
-	flags.DurationVar(&load.Every, "every", load.Every, "`time` between a caller's messages")
+	flags.DurationVar(&load.SendInterval, "every", load.SendInterval, "`time` between a caller's messages")
 	if err := flags.Parse(args[1:]); err != nil {
 		return nil, nil, apierror.Wrap(apierror.Usage, err, "fleet")
 	}
@@ -132,8 +132,8 @@
 
 func checkDay(day *fleet.Day) error {
 	load := day.Load
-	if day.Length < time.Second || day.Interval < 100*time.Millisecond || load.Every < time.Millisecond ||
-		load.Callers < 1 || load.Topics < 1 || load.LiveTopics < 0 || load.Flood < 0 {
+	if day.Length < time.Second || day.Interval < 100*time.Millisecond || load.SendInterval < time.Millisecond ||
+		load.HTTPClients < 1 || load.Topics < 1 || load.LiveTopics < 0 || load.FloodTopics < 0 {
 		return apierror.New(apierror.Usage,
 			"length is at least 1s, interval 100ms, every 1ms, callers and topics 1, live and flood 0")
 	}
--- a/cmd/fleet/soak.go
+++ b/cmd/fleet/soak.go
@@ -28,7 +28,7 @@
 func parseSoakFlags(args []string) (*soakOptions, error) {
 	o := &soakOptions{soak: fleet.Soak{
 		Out: os.Stdout, Load: sim.Load{
-			Callers: 40, Topics: 30, SessionTopics: 30, LiveTopics: 4, Leads: 2, Every: time.Second,
+			HTTPClients: 40, Topics: 30, SessionTopics: 30, LiveTopics: 4, UrgentSenders: 2, SendInterval: time.Second,
 		},
 	}}
 	flags := flag.NewFlagSet("fleet soak", flag.ContinueOnError)
@@ -39,13 +39,13 @@
 	flags.DurationVar(&o.soak.Length, "for", time.Minute, "`time` in which faults begin")
 	flags.IntVar(&o.processes, "nodes", 9, "`number` of processes, 9 at least")
 	flags.IntVar(&o.soak.Clients, "clients", 32, "`number` of clients on line sessions")
-	flags.IntVar(&o.soak.Load.Callers, "callers", o.soak.Load.Callers, "`number` of callers over HTTP")
+	flags.IntVar(&o.soak.Load.HTTPClients, "callers", o.soak.Load.HTTPClients, "`number` of callers over HTTP")
 	flags.IntVar(&o.soak.Series, "series", 3, "`number` of series of faults beside one another")
 	if err := flags.Parse(args); err != nil {
 		return nil, apierror.Wrap(apierror.Usage, err, "fleet soak")
 	}
 	soak := &o.soak
-	if o.processes < 9 || soak.Length < time.Second || soak.Clients < 1 || soak.Load.Callers < 1 || soak.Series < 1 {
+	if o.processes < 9 || soak.Length < time.Second || soak.Clients < 1 || soak.Load.HTTPClients < 1 || soak.Series < 1 {
 		return nil, apierror.New(apierror.Usage,
 			"nodes is at least 9, for 1s, clients, callers and series 1")
 	}
--- a/internal/golden/fleet_test.go
+++ b/internal/golden/fleet_test.go
@@ -63,12 +63,12 @@
 		assert.NilError(t, w.Start(w.Names...))
 		var err error
 		assert.NilError(t, w.WaitUntil(limit, "a description is put", func() bool {
-			_, err = w.Put("c1", load.Describe(0))
+			_, err = w.Put("c1", load.Configuration(0))
 			return err == nil
 		}))
 		assert.NilError(t, w.WaitReady(limit))
 		time.Sleep(w.Site.Timing.Recovery)
-		p := w.Port("a1")
+		p := w.Transport("a1")
 		a, err := p.Attach(t.Context(), "picker-7")
 		assert.NilError(t, err)
 		k.Token = a.Token
@@ -103,7 +103,7 @@
 	var got []client.Event
 	ctx, stop := context.WithTimeout(t.Context(), limit)
 	defer stop()
-	_ = w.Port("a1").Follow(ctx, token, []string{topic}, cursor, func(l client.Event) error {
+	_ = w.Transport("a1").Follow(ctx, token, []string{topic}, cursor, func(l client.Event) error {
 		if n == 0 || l.Body != nil {
 			got = append(got, l)
 		}
@@ -151,7 +151,7 @@
 		assert.NilError(t, w.Start(w.Names...))
 		assert.NilError(t, w.WaitReady(limit))
 		time.Sleep(w.Site.Timing.Recovery)
-		p := w.Port("a1")
+		p := w.Transport("a1")
 		seq, err := p.Get(t.Context())
 		assert.NilError(t, err)
 		assert.Equal(t, seq, uint64(1))
--- a/internal/golden/life_test.go
+++ b/internal/golden/life_test.go
@@ -50,7 +50,7 @@
 				return err == nil
 			}))
 		}
-		put("a description is put", load.Describe(0))
+		put("a description is put", load.Configuration(0))
 		assert.NilError(t, w.WaitReady(limit))
 		put("its spaces are removed", []byte(`{"base":1,"spaces":[]}`))
 		time.Sleep(w.Site.Timing.Recovery)
--- a/internal/testing/fleet/day.go
+++ b/internal/testing/fleet/day.go
@@ -34,7 +34,7 @@
 
 // FullLoad is that of both deployments: about 600 connections, 600 kept topics at 200 messages a
 // second, 30 live topics at 20 a second, and five leads with stop-line calls.
-var FullLoad = sim.Load{Callers: 600, Topics: 600, LiveTopics: 30, Leads: 5, Every: 3 * time.Second}
+var FullLoad = sim.Load{HTTPClients: 600, Topics: 600, LiveTopics: 30, UrgentSenders: 5, SendInterval: 3 * time.Second}
 
 func (d *Day) logf(f string, a ...any) {
 	_, _ = fmt.Fprintf(d.Out, time.Now().Format("15:04:05.000 ")+f+"\n", a...)
@@ -94,7 +94,7 @@
 	defer r.workers.Wait()
 	defer stop()
 	r.workers.Go(func() { d.operate(r.sends, f, r.history, r.sequence) })
-	for i := range d.Load.Flood {
+	for i := range d.Load.FloodTopics {
 		r.workers.Go(func() { d.flood(r.sends, f, i) })
 	}
 	rng := rand.New(rand.NewPCG(d.Seed, 3))
@@ -139,7 +139,7 @@
 	}
 	spread := settings.DefaultTiming.Spread
 	r := &dayRun{Day: d, fleet: f, history: history.New(), sequence: sequence, stalled: make(chan time.Duration, 1)}
-	r.history.AcceptConfiguration(0, sequence, string(d.Load.Describe(0)), time.Now())
+	r.history.AcceptConfiguration(0, sequence, string(d.Load.Configuration(0)), time.Now())
 	wait(ctx, spread)
 	r.history.Bound = settings.DefaultTiming.Recovery
 	for _, p := range f.Processes {
@@ -158,7 +158,7 @@
 // addCallers starts the callers of a load, each in the zone of a machine.
 func (r *dayRun) addCallers(ctx context.Context, l sim.Load, seed uint64, prefix string) {
 	f := r.fleet
-	for _, c := range sim.Plan(l, seed, settings.DefaultTiming.Spread) {
+	for _, c := range sim.PlanHTTPClients(l, seed, settings.DefaultTiming.Spread) {
 		i := f.callers.add(c, f.Processes)
 		c.Name = prefix + c.Name
 		c.Clock, c.History = clock.Real{}, r.history
@@ -208,7 +208,7 @@
 
 // flood sends on routine topics as fast as answers come, and comes back when told to.
 func (d *Day) flood(ctx context.Context, f *Fleet, i int) {
-	name, topic := fmt.Sprintf("flood%d", i), fmt.Sprintf("flood/f%d", i%d.Load.Flood)
+	name, topic := fmt.Sprintf("flood%d", i), fmt.Sprintf("flood/f%d", i%d.Load.FloodTopics)
 	for c, tok := uint64(1), ""; ctx.Err() == nil; {
 		ps := f.Ports("")
 		p := ps[i%len(ps)]
--- a/internal/testing/fleet/fleet_test.go
+++ b/internal/testing/fleet/fleet_test.go
@@ -43,7 +43,7 @@
 // A day of real processes with one machine of each kind killed.
 func TestDayWithKills(t *testing.T) {
 	f := start(t, build(t))
-	d := &Day{Load: sim.Load{Callers: 40, Topics: 30, LiveTopics: 4, Leads: 2, Every: time.Second}, Seed: 5,
+	d := &Day{Load: sim.Load{HTTPClients: 40, Topics: 30, LiveTopics: 4, UrgentSenders: 2, SendInterval: time.Second}, Seed: 5,
 		Length: 24 * time.Second, Interval: 4 * time.Second, Faults: []string{"kill", "stop"}, Out: testWriter{t}}
 	r, err := d.Run(context.Background(), f)
 	assert.NilError(t, err)
--- a/internal/testing/fleet/links.go
+++ b/internal/testing/fleet/links.go
@@ -116,7 +116,7 @@
 	}
 	faults["arrive"] = func(ctx context.Context, d *Day, f *Fleet, p *Process, rng *rand.Rand) error {
 		l := d.Load
-		l.Callers = max(1, l.Callers/6)
+		l.HTTPClients = max(1, l.HTTPClients/6)
 		f.addCallers(l, rng.Uint64(), fmt.Sprintf("late%d-", rng.IntN(1e9)))
 		return nil
 	}
--- a/internal/testing/fleet/operators.go
+++ b/internal/testing/fleet/operators.go
@@ -15,7 +15,7 @@
 func (d *Day) begin(ctx context.Context, f *Fleet) (uint64, error) {
 	end := time.Now().Add(settings.DefaultTiming.Recovery)
 	for {
-		seq, err := f.Processes[0].Port().Put(ctx, d.Load.Describe(0))
+		seq, err := f.Processes[0].Port().Put(ctx, d.Load.Configuration(0))
 		if err == nil || time.Now().After(end) || !apierror.HasCode(err, apierror.OutcomeUnknown) {
 			return seq, err
 		}
@@ -35,7 +35,7 @@
 		cur, err := ps[rng.IntN(len(ps))].Get(cx)
 		if err == nil {
 			h.ReadBack(cur, asked)
-			doc := d.Load.Numbered(cur, cur+1+rng.Uint64N(9), "")
+			doc := d.Load.NumberedConfiguration(cur, cur+1+rng.Uint64N(9), "")
 			n, e := ps[rng.IntN(len(ps))].Put(cx, doc)
 			if e == nil {
 				h.AcceptConfiguration(cur, n, string(doc), time.Now())
--- a/internal/testing/fleet/sessions.go
+++ b/internal/testing/fleet/sessions.go
@@ -206,7 +206,7 @@
 		}
 		for k := range 2 {
 			x.Lanes = append(x.Lanes, simclient.Lane{Topic: fmt.Sprintf(topic, (i+7*k)%topics),
-				Window: 1 + 3*(i%2), Interval: l.Every / time.Duration(1+3*(i%2))})
+				Window: 1 + 3*(i%2), Interval: l.SendInterval / time.Duration(1+3*(i%2))})
 		}
 		v.wg.Go(func() { x.Run(v.ctx, v.sends) })
 	}
--- a/internal/testing/fleet/sessions_test.go
+++ b/internal/testing/fleet/sessions_test.go
@@ -40,7 +40,7 @@
 	for at := time.Now(); !f.AllReady(); wait(ctx, 100*time.Millisecond) {
 		assert.Assert(t, time.Since(at) < 30*time.Second, "not ready: %s", f.unready())
 	}
-	d := &Day{Load: sim.Load{Topics: 12, LiveTopics: 1, Every: time.Second}, Out: testWriter{t}}
+	d := &Day{Load: sim.Load{Topics: 12, LiveTopics: 1, SendInterval: time.Second}, Out: testWriter{t}}
 	_, err = d.begin(ctx, f)
 	assert.NilError(t, err)
 	wait(ctx, b.Spread)
--- a/internal/testing/fleet/soak.go
+++ b/internal/testing/fleet/soak.go
@@ -312,7 +312,7 @@
 }
 
 func (s *Soak) order(ctx context.Context, f *Fleet, rng *rand.Rand, order orders.Order) {
-	document := s.Load.Numbered(order.Base, order.Sequence, order.ID)
+	document := s.Load.NumberedConfiguration(order.Base, order.Sequence, order.ID)
 	for range maxOrderTries {
 		ports := f.Ports("")
 		begun := time.Now()
--- a/internal/testing/fleet/soak_test.go
+++ b/internal/testing/fleet/soak_test.go
@@ -29,7 +29,7 @@
 	})
 	s := &Soak{
 		Seed: 1, Length: 25 * time.Second, Clients: 24, Series: 2, Out: testWriter{t},
-		Load: sim.Load{Callers: 24, Topics: 24, SessionTopics: 24, LiveTopics: 4, Leads: 2, Every: time.Second},
+		Load: sim.Load{HTTPClients: 24, Topics: 24, SessionTopics: 24, LiveTopics: 4, UrgentSenders: 2, SendInterval: time.Second},
 	}
 	report, err := s.Run(t.Context(), f)
 	assert.NilError(t, err)
--- a/internal/testing/sim/answers_test.go
+++ b/internal/testing/sim/answers_test.go
@@ -25,13 +25,13 @@
 			l := w.Machines["a1"].Node().VoterSet().Layout
 			first := attach(t, w, "a1", who)
 			for n := range uint64(3) {
-				_, err := w.Port("a1").Send(w.ctx, first.Token, topic, n+1, []byte(`"before"`))
+				_, err := w.Transport("a1").Send(w.ctx, first.Token, topic, n+1, []byte(`"before"`))
 				assert.NilError(t, err)
 			}
 			ps := []int{partition.Of(topic, false, l), partition.OfClient(who, false, l)}
 			for _, p := range ps {
 				old := w.records()[p].Leader
-				data := func(x Point) bool {
+				data := func(x CallPoint) bool {
 					return (x.From == old || x.To == old) && (strings.Contains(x.Path, "Ledger") || strings.Contains(x.Path, "Gossip"))
 				}
 				release, hits := w.PauseCalls(data)
@@ -42,7 +42,7 @@
 				}))
 				w.Thaw(old)
 				second := attach(t, w, "a1", who)
-				_, err := w.Port("a1").Send(w.ctx, second.Token, topic, 4, []byte(`"after"`))
+				_, err := w.Transport("a1").Send(w.ctx, second.Token, topic, 4, []byte(`"after"`))
 				assert.Assert(t, err == nil || apierror.HasCode(err, apierror.CallAltered), "%v", err)
 				assert.NilError(t, w.WaitUntil(10*time.Second, "the old owner is licensed", func() bool { return w.Machines[old].Node().Ready() == nil }))
 				stale := w.Machines[old].Node()
--- a/internal/testing/sim/astray_test.go
+++ b/internal/testing/sim/astray_test.go
@@ -10,7 +10,7 @@
 )
 
 // pairs has two access nodes in each zone.
-var pairs = Site{Zones: 3, Control: 3, Access: 6, Stores: 3, Latency: 500 * time.Microsecond, Timing: Armor.Timing, Routine: 4, Urgent: 2}
+var pairs = Site{Zones: 3, Control: 3, Access: 6, Storage: 3, Latency: 500 * time.Microsecond, Timing: Armor.Timing, Routine: 4, Urgent: 2}
 
 func (w *World) visits(n string) int { return w.Machines[n].Node().Sessions.Count() }
 
@@ -79,7 +79,7 @@
 			w.Isolate("s1")
 		},
 		"a slow machine": func(w *World) { w.Slow(w.busiestDoor(), 300*time.Millisecond) },
-		"packets lost":   func(w *World) { w.Lose(0.05) },
+		"packets lost":   func(w *World) { w.DropPackets(0.05) },
 	}
 	for name, fault := range faults {
 		entertain(t, pairs, 5, awake, 12, func(t *testing.T, w *World, _ *LineClients) {
@@ -111,7 +111,7 @@
 				}
 			}
 			under := by[core]
-			h := g.Scripted(under[0], "lead")
+			h := g.ConnectScripted(under[0], "lead")
 			assert.Assert(t, h != nil)
 			w.apart(core)
 			cut, call := time.Now(), uint64(0)
--- a/internal/testing/sim/boot_test.go
+++ b/internal/testing/sim/boot_test.go
@@ -16,24 +16,24 @@
 )
 
 // boots are the ways in which processes go and come back.
-var boots = []struct {
-	name string
-	down func(w *World) []string
-	away func(w *World) time.Duration
+var restarts = []struct {
+	name     string
+	stop     func(w *World) []string
+	downtime func(w *World) time.Duration
 }{
 	{"the whole fleet loses power", func(w *World) []string {
 		for _, n := range w.Names {
 			w.LosePower(n, w.Int(2) == 0)
 		}
 		return w.Names
-	}, shortly},
+	}, shortDowntime},
 	{"all core processes are killed", func(w *World) []string {
 		ns := slices.DeleteFunc(slices.Clone(w.Names), func(n string) bool { return n[0] == 'a' })
 		for _, n := range ns {
 			w.Kill(n)
 		}
 		return ns
-	}, shortly},
+	}, shortDowntime},
 	{"one store is killed", func(w *World) []string {
 		n := busiest(w)
 		w.Kill(n)
@@ -41,46 +41,46 @@
 	}, func(*World) time.Duration { return 2 * time.Second }},
 }
 
-func shortly(w *World) time.Duration { return time.Duration(500+w.Int(1200)) * time.Millisecond }
+func shortDowntime(w *World) time.Duration { return time.Duration(500+w.Int(1200)) * time.Millisecond }
 
-func bootSite(seed uint64) Site {
-	s := siteOf(seed)
+func restartSite(seed uint64) Site {
+	s := siteForSeed(seed)
 	s.Access, s.Routine, s.Urgent, s.Sync = 2, 12, 4, 5*time.Millisecond
 	return s
 }
 
-var bootLoad = Load{Callers: 1, Topics: 40, LiveTopics: 4, Leads: 1}
+var restartLoad = Load{HTTPClients: 1, Topics: 40, LiveTopics: 4, UrgentSenders: 1}
 
 // service is how long after the start of the processes each access node opens a topic, has a
 // message of it taken, and delivers one.
-type service struct{ open, take, give []time.Duration }
+type serviceTimes struct{ open, accept, deliver []time.Duration }
 
 // boot has a fleet go and come back, and asks for every topic through every access node all the
 // time.
-func boot(t *testing.T, w *World, down func(*World) []string, away time.Duration) service {
+func measureRestart(t *testing.T, w *World, stopNodes func(*World) []string, downtime time.Duration) serviceTimes {
 	t.Helper()
 	var topics []string
-	for i := range bootLoad.Topics {
+	for i := range restartLoad.Topics {
 		topics = append(topics, fmt.Sprintf("kept/t%d", i))
 	}
 	topics = append(topics, "stop/line")
-	_, err := w.Put("c1", bootLoad.Describe(0))
+	_, err := w.Put("c1", restartLoad.Configuration(0))
 	assert.NilError(t, err)
 	time.Sleep(w.Site.Timing.Spread)
 	var mu sync.Mutex
 	last := map[string]uint64{}
-	send := func(a, topic, who string, call uint64) bool {
-		x := w.Machines[a].Node()
-		if x == nil || x.Ready() != nil {
+	send := func(node, topic, client string, callSeq uint64) bool {
+		running := w.Machines[node].Node()
+		if running == nil || running.Ready() != nil {
 			return false
 		}
-		sp, err := x.Store.Index().Find(topic)
+		sp, err := running.Store.Index().Find(topic)
 		if err != nil {
 			return false
 		}
-		p := partition.Of(topic, sp.Urgent, x.Store.VoterSet().Layout)
+		p := partition.Of(topic, sp.Urgent, running.Store.VoterSet().Layout)
 		done := make(chan error, 1)
-		x.Sessions.PartitionLog.SubmitAsync(w.ctx, p, &leader.Message{Client: who, Topic: topic, CallSeq: call, Body: []byte(`"b"`)}, time.Now().Add(w.Site.Timing.CallTimeout()), func(d *leader.Decision, err error) {
+		running.Sessions.PartitionLog.SubmitAsync(w.ctx, p, &leader.Message{Client: client, Topic: topic, CallSeq: callSeq, Body: []byte(`"b"`)}, time.Now().Add(w.Site.Timing.CallTimeout()), func(d *leader.Decision, err error) {
 			if err == nil {
 				mu.Lock()
 				last[topic] = max(last[topic], d.Offset)
@@ -95,113 +95,113 @@
 			return false
 		}
 	}
-	for _, p := range topics {
-		assert.NilError(t, w.WaitUntil(20*time.Second, p+" is taken", func() bool { return send("a1", p, "warm", 1) }))
+	for _, topic := range topics {
+		assert.NilError(t, w.WaitUntil(20*time.Second, topic+" is taken", func() bool { return send("a1", topic, "warm", 1) }))
 	}
 	from := map[string]uint64{}
 	for k, v := range last {
 		from[k] = v
 	}
-	names := down(w)
-	time.Sleep(away)
-	at := time.Now()
+	names := stopNodes(w)
+	time.Sleep(downtime)
+	startedAt := time.Now()
 	assert.NilError(t, w.Start(names...))
-	var b service
+	var times serviceTimes
 	var wg sync.WaitGroup
-	cx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Recovery)
+	callCtx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Recovery)
 	defer stop()
-	note := func(l *[]time.Duration) {
+	recordTime := func(times *[]time.Duration) {
 		mu.Lock()
 		defer mu.Unlock()
-		*l = append(*l, time.Since(at))
+		*times = append(*times, time.Since(startedAt))
 	}
 	tick := func() { time.Sleep(5 * time.Millisecond) }
 	for i := range w.Site.Access {
-		a := fmt.Sprintf("a%d", i+1)
+		node := fmt.Sprintf("a%d", i+1)
 		for _, topic := range topics {
 			wg.Go(func() {
-				for cx.Err() == nil && !send(a, topic, "back"+a, 1) {
+				for callCtx.Err() == nil && !send(node, topic, "back"+node, 1) {
 					tick()
 				}
-				note(&b.take)
+				recordTime(&times.accept)
 			})
 			wg.Go(func() {
-				for cx.Err() == nil {
-					x := w.Machines[a].Node()
-					if x == nil || x.Ready() != nil || x.Store.VoterSet().Sequence == 0 {
+				for callCtx.Err() == nil {
+					running := w.Machines[node].Node()
+					if running == nil || running.Ready() != nil || running.Store.VoterSet().Sequence == 0 {
 						tick()
 						continue
 					}
-					sp, err := x.Store.Index().Find(topic)
+					sp, err := running.Store.Index().Find(topic)
 					if err != nil {
 						tick()
 						continue
 					}
-					f := from[topic]
-					s := x.Sessions.Hub.NewSubscription(partition.Of(topic, sp.Urgent, x.Store.VoterSet().Layout), topic)
-					s.After = &f
-					opened, given, broken := make(chan error, 1), make(chan struct{}), make(chan struct{})
+					after := from[topic]
+					subscription := running.Sessions.Hub.NewSubscription(partition.Of(topic, sp.Urgent, running.Store.VoterSet().Layout), topic)
+					subscription.After = &after
+					opened, delivered, broken := make(chan error, 1), make(chan struct{}), make(chan struct{})
 					var once sync.Once
-					s.OnOpen = func(_ uint64, err error) { opened <- err }
-					s.OnEntry = func(log.Entry) { once.Do(func() { close(given) }) }
-					s.OnBroken = func() { close(broken) }
-					x.Sessions.Hub.Subscribe(s)
+					subscription.OnOpen = func(_ uint64, err error) { opened <- err }
+					subscription.OnEntry = func(log.Entry) { once.Do(func() { close(delivered) }) }
+					subscription.OnBroken = func() { close(broken) }
+					running.Sessions.Hub.Subscribe(subscription)
 					select {
 					case err = <-opened:
-					case <-cx.Done():
+					case <-callCtx.Done():
 						return
 					}
 					if err != nil {
 						tick()
 						continue
 					}
-					note(&b.open)
+					recordTime(&times.open)
 					select {
-					case <-given:
-						note(&b.give)
+					case <-delivered:
+						recordTime(&times.deliver)
 					case <-broken:
-					case <-cx.Done():
+					case <-callCtx.Done():
 					}
-					x.Sessions.Hub.Unsubscribe(s)
+					running.Sessions.Hub.Unsubscribe(subscription)
 					return
 				}
 			})
 		}
 	}
 	wg.Wait()
-	for _, l := range []*[]time.Duration{&b.open, &b.take, &b.give} {
+	for _, l := range []*[]time.Duration{&times.open, &times.accept, &times.deliver} {
 		slices.Sort(*l)
 		assert.Equal(t, len(*l), len(topics)*w.Site.Access)
 	}
-	return b
+	return times
 }
 
-func at(l []time.Duration, share float64) time.Duration {
-	return l[int(share*float64(len(l)-1))].Round(time.Millisecond)
+func percentile(sorted []time.Duration, share float64) time.Duration {
+	return sorted[int(share*float64(len(sorted)-1))].Round(time.Millisecond)
 }
 
 // TestMeasureBoot measures the time from the start of processes to service.
 func TestMeasureBoot(t *testing.T) {
 	measuring(t)
-	for _, way := range boots {
-		var all service
+	for _, way := range restarts {
+		var all serviceTimes
 		var worst []time.Duration
 		for seed := range uint64(seeds(8)) {
-			stand(t, bootSite(seed), seed, func(t *testing.T, w *World) {
-				b := boot(t, w, way.down, way.away(w))
-				all.open, all.take, all.give = append(all.open, b.open...), append(all.take, b.take...), append(all.give, b.give...)
-				worst = append(worst, max(at(b.open, 1), at(b.take, 1), at(b.give, 1)))
+			stand(t, restartSite(seed), seed, func(t *testing.T, w *World) {
+				b := measureRestart(t, w, way.stop, way.downtime(w))
+				all.open, all.accept, all.deliver = append(all.open, b.open...), append(all.accept, b.accept...), append(all.deliver, b.deliver...)
+				worst = append(worst, max(percentile(b.open, 1), percentile(b.accept, 1), percentile(b.deliver, 1)))
 			})
 		}
 		slices.Sort(worst)
 		for _, l := range []struct {
 			what string
 			l    []time.Duration
-		}{{"joined", all.open}, {"taken", all.take}, {"delivered", all.give}} {
+		}{{"joined", all.open}, {"taken", all.accept}, {"delivered", all.deliver}} {
 			slices.Sort(l.l)
-			t.Logf("%s, %s: p10 %s, p50 %s, p90 %s, max %s", way.name, l.what, at(l.l, .1), at(l.l, .5), at(l.l, .9), at(l.l, 1))
+			t.Logf("%s, %s: p10 %s, p50 %s, p90 %s, max %s", way.name, l.what, percentile(l.l, .1), percentile(l.l, .5), percentile(l.l, .9), percentile(l.l, 1))
 		}
-		t.Logf("%s: everything after p50 %s, %s to %s", way.name, at(worst, .5), worst[0], at(worst, 1))
+		t.Logf("%s: everything after p50 %s, %s to %s", way.name, percentile(worst, .5), worst[0], percentile(worst, 1))
 	}
 }
 
@@ -211,11 +211,11 @@
 func TestServiceIsBackSoonAfterProcessesStart(t *testing.T) {
 	t.Parallel()
 	long(t)
-	for _, way := range boots {
+	for _, way := range restarts {
 		for seed := range uint64(seeds(2)) {
-			stand(t, bootSite(seed), 300+seed, func(t *testing.T, w *World) {
-				b := boot(t, w, way.down, way.away(w))
-				last := max(at(b.open, 1), at(b.take, 1), at(b.give, 1))
+			stand(t, restartSite(seed), 300+seed, func(t *testing.T, w *World) {
+				b := measureRestart(t, w, way.stop, way.downtime(w))
+				last := max(percentile(b.open, 1), percentile(b.accept, 1), percentile(b.deliver, 1))
 				assert.Assert(t, last < w.Site.Timing.ReconcileInterval(), "seed %d: %s: everything only after %s", seed, way.name, last)
 			})
 		}
--- a/internal/testing/sim/chaos_test.go
+++ b/internal/testing/sim/chaos_test.go
@@ -20,7 +20,7 @@
 )
 
 // whole tells whether every partition has its copies on the disks in use, and every voter its seat.
-func (w *World) whole() bool {
+func (w *World) isFullyReplicated() bool {
 	for _, n := range w.Names {
 		if !w.Machines[n].Up() {
 			return false
@@ -50,23 +50,23 @@
 
 // live lives through a day's steps. A disk is wiped only when every copy and seat is in place
 // before, as one loss at a time is borne.
-func (w *World) live(t *testing.T, steps []Step) {
+func (w *World) runSteps(t *testing.T, steps []Step) {
 	rng := func(s uint64) *rand.Rand { return rand.New(rand.NewPCG(s, 7)) }
 	for i, s := range steps {
-		if s.A == "wipe" {
-			assert.NilError(t, w.WaitUntil(90*time.Second, "every copy and seat is in place", w.whole), "seed %d, step %d", w.Seed, i)
+		if s.First == "wipe" {
+			assert.NilError(t, w.WaitUntil(90*time.Second, "every copy and seat is in place", w.isFullyReplicated), "seed %d, step %d", w.Seed, i)
 		}
 		t.Logf("seed %d: %s: step %d: %s", w.Seed, time.Now().Format("04:05.000"), i, s)
-		undo, also := Faults[s.A](w, rng(s.SeedA)), nothing
+		undo, also := Faults[s.First](w, rng(s.FirstSeed)), noUndo
 		time.Sleep(s.Between)
-		if s.B != "" {
-			also = Faults[s.B](w, rng(s.SeedB))
+		if s.Second != "" {
+			also = Faults[s.Second](w, rng(s.SecondSeed))
 		}
 		time.Sleep(s.Duration)
 		undo()
 		time.Sleep(s.Gap)
 		also()
-		if s.A == "wipe" {
+		if s.First == "wipe" {
 			w.Heal()
 			for _, n := range w.Names {
 				w.Thaw(n)
@@ -74,7 +74,7 @@
 				w.Machines[n].Disk.Fill(false)
 			}
 			assert.NilError(t, w.Start(w.Names...))
-			assert.NilError(t, w.WaitUntil(90*time.Second, "the wiped disk is repaired", w.whole), "seed %d, step %d", w.Seed, i)
+			assert.NilError(t, w.WaitUntil(90*time.Second, "the wiped disk is repaired", w.isFullyReplicated), "seed %d, step %d", w.Seed, i)
 		}
 		time.Sleep(s.Rest)
 	}
@@ -82,26 +82,26 @@
 
 // operate reads the description back through one node and puts the next one through another, time
 // and again; without a clear answer it puts the same again through a third.
-func (w *World) operate(ctx context.Context) {
+func (w *World) runOperator(ctx context.Context) {
 	r := rand.New(rand.NewPCG(w.Seed, 11))
 	for {
 		_ = clock.Real{}.Sleep(ctx, time.Duration(5+r.IntN(5))*time.Second)
-		from, to := w.pick(r, ""), w.pick(r, "")
+		from, to := w.pickMachine(r, ""), w.pickMachine(r, "")
 		if ctx.Err() != nil {
 			return
 		}
 		cx, stop := context.WithTimeout(ctx, w.Site.Timing.Recovery)
 		asked := time.Now()
-		cur, err := w.Port(from).Get(cx)
+		cur, err := w.Transport(from).Get(cx)
 		stop()
 		if err != nil {
 			continue
 		}
 		w.History.ReadBack(cur, asked)
-		doc := w.load.Numbered(cur, cur+1+r.Uint64N(9), "")
+		doc := w.load.NumberedConfiguration(cur, cur+1+r.Uint64N(9), "")
 		_, err = w.Put(to, doc)
 		if apierror.HasCode(err, apierror.OutcomeUnknown) {
-			to = w.pick(r, "")
+			to = w.pickMachine(r, "")
 			_, err = w.Put(to, doc)
 		}
 		if apierror.HasCode(err, apierror.ConfigurationInvalid) {
@@ -113,37 +113,37 @@
 // coverage counts, for each fault and line, the runs in which the line had something to be judged
 // by.
 type coverage struct {
-	mu    sync.Mutex
-	runs  [2]int
-	pairs map[string]bool
-	by    map[string]map[string]int
-	waits []time.Duration
+	mu     sync.Mutex
+	runs   [2]int
+	pairs  map[string]bool
+	judged map[string]map[string]int
+	waits  []time.Duration
 }
 
-var covered = coverage{pairs: map[string]bool{}, by: map[string]map[string]int{}}
+var covered = coverage{pairs: map[string]bool{}, judged: map[string]map[string]int{}}
 
-func (c *coverage) note(seed uint64, steps []Step, r history.Report) {
+func (c *coverage) add(seed uint64, steps []Step, r history.Report) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.runs[seed%2]++
 	c.waits = append(c.waits, r.LongestUndisturbed.Undisturbed)
 	seen := map[string]bool{}
 	for _, s := range steps {
-		for _, n := range []string{s.A, s.B} {
+		for _, n := range []string{s.First, s.Second} {
 			seen[n] = true
 		}
-		if s.B != "" {
-			c.pairs[min(s.A, s.B)+"+"+max(s.A, s.B)] = true
+		if s.Second != "" {
+			c.pairs[min(s.First, s.Second)+"+"+max(s.First, s.Second)] = true
 		}
 	}
 	delete(seen, "")
 	for n := range seen {
-		if c.by[n] == nil {
-			c.by[n] = map[string]int{}
+		if c.judged[n] == nil {
+			c.judged[n] = map[string]int{}
 		}
 		for l, ok := range r.Judged {
 			if ok {
-				c.by[n][l]++
+				c.judged[n][l]++
 			}
 		}
 	}
@@ -170,23 +170,23 @@
 	for _, b := range FaultNames() {
 		s += "| " + b + " |"
 		for _, l := range history.Lines {
-			s += fmt.Sprintf(" %d |", c.by[b][l])
+			s += fmt.Sprintf(" %d |", c.judged[b][l])
 		}
 		s += "\n"
 	}
 	return s
 }
 
-func siteOf(seed uint64) Site { return []Site{Armor, Traductores}[seed%2] }
+func siteForSeed(seed uint64) Site { return []Site{Armor, Traductores}[seed%2] }
 
 func chaos(t *testing.T, seed uint64, steps []Step) {
-	r := play(t, siteOf(seed), seed, time.Hour, func(t *testing.T, w *World) {
+	r := runScenario(t, siteForSeed(seed), seed, time.Hour, func(t *testing.T, w *World) {
 		ctx, stop := context.WithCancel(w.ctx)
 		defer stop()
-		w.wg.Go(func() { w.operate(ctx) })
-		w.live(t, steps)
+		w.wg.Go(func() { w.runOperator(ctx) })
+		w.runSteps(t, steps)
 	})
-	covered.note(seed, steps, r)
+	covered.add(seed, steps, r)
 }
 
 // TestSeeds runs random faults, alone and in pairs. PJ_SEEDS=from:to searches further.
@@ -238,8 +238,8 @@
 			left = less
 			continue
 		}
-		if alone := slices.Clone(left); left[i].B != "" {
-			alone[i].B = ""
+		if alone := slices.Clone(left); left[i].Second != "" {
+			alone[i].Second = ""
 			if fails(alone) {
 				left = alone
 			}
--- a/internal/testing/sim/controls.go
+++ b/internal/testing/sim/controls.go
@@ -17,56 +17,56 @@
 }
 
 // Kill ends a process at once; its disk keeps what was written.
-func (w *World) Kill(n string) {
-	w.note("kill")
-	w.Machines[n].kill()
+func (w *World) Kill(name string) {
+	w.recordDisturbance("kill")
+	w.Machines[name].kill()
 }
 
-func (w *World) note(what string) { w.History.Disturb(what, time.Now()) }
+func (w *World) recordDisturbance(what string) { w.History.Disturb(what, time.Now()) }
 
 // LosePower ends a process at once; its disk keeps only what was synced, maybe with a torn tail.
-func (w *World) LosePower(n string, torn bool) {
-	w.note("power")
-	w.Machines[n].losePower()
-	w.Machines[n].kill()
-	w.Machines[n].Disk.LosePower(torn)
+func (w *World) LosePower(name string, torn bool) {
+	w.recordDisturbance("power")
+	w.Machines[name].losePower()
+	w.Machines[name].kill()
+	w.Machines[name].Disk.LosePower(torn)
 }
 
 // Wipe ends a process and empties its disk.
-func (w *World) Wipe(n string) {
-	w.note("wipe")
-	w.Machines[n].kill()
-	w.Machines[n].Disk.Wipe()
+func (w *World) Wipe(name string) {
+	w.recordDisturbance("wipe")
+	w.Machines[name].kill()
+	w.Machines[name].Disk.Wipe()
 }
 
 // Reset breaks every connection of a machine, callers' and peers', and leaves its process alone.
-func (w *World) Reset(n string) {
-	m := w.Machines[n]
+func (w *World) Reset(name string) {
+	m := w.Machines[name]
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.ports == nil {
+	if m.serving == nil {
 		return
 	}
-	w.note("reset")
-	close(m.broken)
-	m.broken = make(chan struct{})
-	close(m.ports.Gone)
-	s := *m.ports
-	s.Gone = make(chan struct{})
-	m.ports = &s
+	w.recordDisturbance("reset")
+	close(m.resetCh)
+	m.resetCh = make(chan struct{})
+	close(m.serving.Gone)
+	services := *m.serving
+	services.Gone = make(chan struct{})
+	m.serving = &services
 }
 
 // shutdownGrace is how long the platform waits before it forces a process it asked to stop.
 const shutdownGrace = 6 * time.Second
 
 // Terminate asks a process to stop in good order, and forces it when it has not.
-func (w *World) Terminate(n string) {
-	m := w.Machines[n]
-	if x, _ := m.node(); x != nil {
-		w.note("stop")
+func (w *World) Terminate(name string) {
+	m := w.Machines[name]
+	if process, _ := m.node(); process != nil {
+		w.recordDisturbance("stop")
 		done := make(chan struct{})
 		go func() {
-			x.Stop()
+			process.Stop()
 			close(done)
 		}()
 		select {
@@ -78,92 +78,92 @@
 }
 
 // Freeze stops a machine in its tracks, if a process runs on it.
-func (w *World) Freeze(n string) {
-	m := w.Machines[n]
+func (w *World) Freeze(name string) {
+	m := w.Machines[name]
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.frozen == nil && m.n != nil {
-		w.note("freeze")
+	if m.frozen == nil && m.running != nil {
+		w.recordDisturbance("freeze")
 		m.frozen = make(chan struct{})
 	}
 }
 
 // Thaw lets a frozen machine go on.
-func (w *World) Thaw(n string) {
-	m := w.Machines[n]
+func (w *World) Thaw(name string) {
+	m := w.Machines[name]
 	m.mu.Lock()
-	f := m.frozen
+	thawed := m.frozen
 	m.frozen = nil
 	m.mu.Unlock()
-	if f != nil {
-		w.note("thaw")
-		close(f)
+	if thawed != nil {
+		w.recordDisturbance("thaw")
+		close(thawed)
 	}
 }
 
 // Slow makes all that a machine sends take longer.
-func (w *World) Slow(n string, d time.Duration) {
-	m := w.Machines[n]
+func (w *World) Slow(name string, delay time.Duration) {
+	m := w.Machines[name]
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.slow != d {
-		w.note("slow")
+	if m.sendDelay != delay {
+		w.recordDisturbance("slow")
 	}
-	m.slow = d
+	m.sendDelay = delay
 }
 
 // SlowDisk makes a machine's disk take that many times as long to sync, as long as a fast disk does
 // for 0 or 1.
-func (w *World) SlowDisk(n string, times int) {
-	m := w.Machines[n]
+func (w *World) SlowDisk(name string, times int) {
+	m := w.Machines[name]
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.diskSlowdown != times {
-		w.note("slow disk")
+		w.recordDisturbance("slow disk")
 	}
 	m.diskSlowdown = times
 }
 
 // HangDisk has no sync of a machine's disk end until it is told otherwise. A process that starts
 // there meets the same disk.
-func (w *World) HangDisk(n string, hangs bool) {
-	m := w.Machines[n]
+func (w *World) HangDisk(name string, hangs bool) {
+	m := w.Machines[name]
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.diskHangs != hangs {
-		w.note("disk hangs")
+		w.recordDisturbance("disk hangs")
 	}
 	m.diskHangs = hangs
 }
 
 // Cut stops what goes from a to b; * stands for all.
-func (w *World) Cut(a, b string) {
-	w.note("cut")
+func (w *World) Cut(from, to string) {
+	w.recordDisturbance("cut")
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.cuts[[2]string{a, b}] = true
+	w.cuts[[2]string{from, to}] = true
 }
 
 // Isolate cuts a machine off both ways.
-func (w *World) Isolate(n string) {
-	w.Cut(n, "*")
-	w.Cut("*", n)
+func (w *World) Isolate(name string) {
+	w.Cut(name, "*")
+	w.Cut("*", name)
 }
 
 // Heal mends all links.
 func (w *World) Heal() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.cuts) > 0 || w.loss > 0 {
-		w.note("heal")
+	if len(w.cuts) > 0 || w.lossRate > 0 {
+		w.recordDisturbance("heal")
 	}
-	w.cuts, w.loss = map[[2]string]bool{}, 0
+	w.cuts, w.lossRate = map[[2]string]bool{}, 0
 }
 
 // Lose makes links drop a share of what they carry.
-func (w *World) Lose(share float64) {
-	w.note("lose packets")
+func (w *World) DropPackets(share float64) {
+	w.recordDisturbance("lose packets")
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.loss = share
+	w.lossRate = share
 }
--- a/internal/testing/sim/cut_test.go
+++ b/internal/testing/sim/cut_test.go
@@ -15,7 +15,7 @@
 )
 
 // coreCut cuts a control node off in some way until the world is healed.
-type coreCut struct {
+type controlCut struct {
 	name  string
 	begin func(w *World, n string)
 	end   func(w *World, n string)
@@ -39,20 +39,20 @@
 	}
 }
 
-func everyone(string) bool     { return true }
-func control(k string) bool    { return k[0] == 'c' }
-func notControl(k string) bool { return k[0] != 'c' }
-func firstHalf(k string) bool  { return k == "c1" || k == "c2" }
+func everyone(string) bool       { return true }
+func isControl(k string) bool    { return k[0] == 'c' }
+func isNotControl(k string) bool { return k[0] != 'c' }
+func isFirstHalf(k string) bool  { return k == "c1" || k == "c2" }
 
-var coreCuts = []coreCut{
+var controlCuts = []controlCut{
 	{"all", func(w *World, n string) { cutApart(w, n, true, true, everyone) }, heal},
-	{"near: from the core", func(w *World, n string) { cutApart(w, n, true, true, control) }, heal},
-	{"from all but the core", func(w *World, n string) { cutApart(w, n, true, true, notControl) }, heal},
+	{"near: from the core", func(w *World, n string) { cutApart(w, n, true, true, isControl) }, heal},
+	{"from all but the core", func(w *World, n string) { cutApart(w, n, true, true, isNotControl) }, heal},
 	{"one way: nothing goes out", func(w *World, n string) { cutApart(w, n, true, false, everyone) }, heal},
 	{"one way: nothing comes in", func(w *World, n string) { cutApart(w, n, false, true, everyone) }, heal},
 	{"split: half of the core from the other half", func(w *World, _ string) {
 		for _, k := range []string{"c1", "c2"} {
-			cutApart(w, k, true, true, func(o string) bool { return control(o) && !firstHalf(o) })
+			cutApart(w, k, true, true, func(o string) bool { return isControl(o) && !isFirstHalf(o) })
 		}
 	}, heal},
 	{"both: those cut off are restarted, then the others", func(w *World, n string) {
@@ -62,7 +62,7 @@
 	}, func(w *World, n string) {
 		w.Heal()
 		for _, k := range w.Names {
-			if control(k) && k != n {
+			if isControl(k) && k != n {
 				w.Kill(k)
 				_ = w.Start(k)
 			}
@@ -73,7 +73,7 @@
 	}, func(w *World, n string) {
 		gone := false
 		for _, k := range w.Names {
-			if !control(k) || k == n {
+			if !isControl(k) || k == n {
 				continue
 			}
 			if !gone {
@@ -86,7 +86,7 @@
 		time.Sleep(time.Second)
 		w.Heal()
 		for _, k := range w.Names {
-			if control(k) && k != n {
+			if isControl(k) && k != n {
 				_ = w.Start(k)
 			}
 		}
@@ -97,7 +97,7 @@
 		w.Heal()
 		time.Sleep(50 * time.Millisecond)
 		for _, k := range w.Names {
-			if control(k) && k != n {
+			if isControl(k) && k != n {
 				w.Kill(k)
 				_ = w.Start(k)
 			}
@@ -107,8 +107,8 @@
 }
 
 const (
-	cutFor  = 20 * time.Second
-	contact = 4 * time.Second
+	cutDuration      = 20 * time.Second
+	recoveryAfterCut = 4 * time.Second
 )
 
 // A control node is cut off for twenty seconds while operators send orders and read at it and at
@@ -118,17 +118,17 @@
 func TestAControlNodeCutOffForTwentySeconds(t *testing.T) {
 	t.Parallel()
 	long(t)
-	for i, x := range coreCuts {
+	for i, x := range controlCuts {
 		for k, s := range []Site{Armor, Traductores} {
-			t.Run(fmt.Sprintf("%s, %d stores", x.name, s.Stores), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, %d stores", x.name, s.Storage), func(t *testing.T) {
 				t.Parallel()
-				cutOff(t, s, x, uint64(950+10*i+k))
+				runControlCut(t, s, x, uint64(950+10*i+k))
 			})
 		}
 	}
 }
 
-func cutOff(t *testing.T, s Site, x coreCut, seed uint64) {
+func runControlCut(t *testing.T, s Site, fault controlCut, seed uint64) {
 	t.Helper()
 	var h *orders.History
 	synctest.Test(t, func(t *testing.T) {
@@ -143,19 +143,19 @@
 		var all sync.WaitGroup
 		for k, only := range [][]string{{cut}, {"c2", "a1", "s1"}, {cut, "c3", "s2"}} {
 			o := &simulatedOperator{w: w, rng: rand.New(rand.NewPCG(seed, uint64(k))), name: fmt.Sprint("operator ", k), history: h, only: only}
-			all.Go(func() { o.press(ctx) })
+			all.Go(func() { o.runContinuously(ctx) })
 		}
 		time.Sleep(2 * time.Second)
-		x.begin(w, cut)
-		time.Sleep(cutFor)
-		x.end(w, cut)
+		fault.begin(w, cut)
+		time.Sleep(cutDuration)
+		fault.end(w, cut)
 		probe := &simulatedOperator{w: w, rng: rand.New(rand.NewPCG(seed, 9)), history: h, only: []string{cut}}
 		healed := time.Now()
-		assert.NilError(t, w.WaitUntil(contact, "the machine that was cut off is of use", func() bool {
+		assert.NilError(t, w.WaitUntil(recoveryAfterCut, "the machine that was cut off is of use", func() bool {
 			_, ok := probe.read()
 			return ok
 		}), "%s after the end of the cut", time.Since(healed))
-		time.Sleep(contact)
+		time.Sleep(recoveryAfterCut)
 		stop()
 		all.Wait()
 	})
@@ -166,7 +166,7 @@
 
 // press sends an order and reads, each tenth of a second. Orders without a clear answer are sent a
 // few times.
-func (o *simulatedOperator) press(ctx context.Context) {
+func (o *simulatedOperator) runContinuously(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
 		if x, ok := o.read(); ok {
 			o.send(orders.Order{Base: x.Sequence, Sequence: x.Sequence + 1, ID: fmt.Sprint(o.name, " ", n)})
--- a/internal/testing/sim/description_test.go
+++ b/internal/testing/sim/description_test.go
@@ -16,7 +16,7 @@
 )
 
 func shown(w *World, n string) uint64 {
-	s, _, err := w.Port(n).Shows(w.ctx)
+	s, _, err := w.Transport(n).Shows(w.ctx)
 	if err != nil {
 		return 0
 	}
@@ -26,7 +26,7 @@
 // described puts the description of the usual load and waits until it serves everywhere.
 func described(t *testing.T, w *World) {
 	t.Helper()
-	_, err := w.Put("c1", load.Describe(0))
+	_, err := w.Put("c1", load.Configuration(0))
 	assert.NilError(t, err)
 	time.Sleep(w.Site.Timing.Spread)
 }
@@ -55,7 +55,7 @@
 			errs := make([]error, 3)
 			docs := make([][]byte, 3)
 			for i, n := range []string{"a1", "c2", "s3"} {
-				docs[i] = Load{Topics: 1 + i, LiveTopics: 1}.Describe(base)
+				docs[i] = Load{Topics: 1 + i, LiveTopics: 1}.Configuration(base)
 				wg.Go(func() { _, errs[i] = w.Put(n, docs[i]) })
 			}
 			wg.Wait()
@@ -84,7 +84,7 @@
 func TestOperatorsWithNumbersOfTheirOwn(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(3)) {
-		stand(t, siteOf(seed), 310+seed, func(t *testing.T, w *World) {
+		stand(t, siteForSeed(seed), 310+seed, func(t *testing.T, w *World) {
 			w.Watch()
 			base := uint64(0)
 			for range 8 {
@@ -92,7 +92,7 @@
 				errs := make([]error, 3)
 				docs := make([][]byte, 3)
 				for i := range docs {
-					docs[i] = load.Numbered(base, base+1+uint64(w.Int(4)), fmt.Sprintf("{ \"of\": %d }", i))
+					docs[i] = load.NumberedConfiguration(base, base+1+uint64(w.Int(4)), fmt.Sprintf("{ \"of\": %d }", i))
 					wg.Go(func() { _, errs[i] = w.Put(w.Names[w.Int(len(w.Names))], docs[i]) })
 				}
 				wg.Wait()
@@ -134,7 +134,7 @@
 	t.Parallel()
 	stand(t, Armor, 320, func(t *testing.T, w *World) {
 		w.Watch()
-		first, second := load.Numbered(0, 7, "first"), load.Numbered(7, 9, "second")
+		first, second := load.NumberedConfiguration(0, 7, "first"), load.NumberedConfiguration(7, 9, "second")
 		for _, n := range []string{"a1", "a1", "c2", "s3"} {
 			seq, err := w.Put(n, first)
 			assert.NilError(t, err)
@@ -155,7 +155,7 @@
 		seq, err = w.Put("c2", first)
 		assert.NilError(t, err)
 		assert.Equal(t, seq, uint64(7))
-		for _, doc := range [][]byte{load.Numbered(0, 7, "other"), load.Numbered(7, 9, "other"), load.Numbered(7, 10, "second"), load.Numbered(0, 9, "second")} {
+		for _, doc := range [][]byte{load.NumberedConfiguration(0, 7, "other"), load.NumberedConfiguration(7, 9, "other"), load.NumberedConfiguration(7, 10, "second"), load.NumberedConfiguration(0, 9, "second")} {
 			_, err = w.Put("c2", doc)
 			assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationConflict), "%s: %v", doc, err)
 		}
@@ -170,7 +170,7 @@
 func TestSpacesByPrefixComeAndGo(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(2)) {
-		stand(t, siteOf(seed), 330+seed, func(t *testing.T, w *World) {
+		stand(t, siteForSeed(seed), 330+seed, func(t *testing.T, w *World) {
 			w.Watch()
 			base := uint64(0)
 			put := func(spaces string) error {
@@ -187,7 +187,7 @@
 			a := attach(t, w, "a1", "v")
 			call := map[string]uint64{}
 			send := func(topic string) error {
-				_, err := w.Port("a1").Send(w.ctx, a.Token, topic, call[topic]+1, []byte(fmt.Sprint(call[topic]+1)))
+				_, err := w.Transport("a1").Send(w.ctx, a.Token, topic, call[topic]+1, []byte(fmt.Sprint(call[topic]+1)))
 				if err == nil {
 					call[topic]++
 				}
@@ -237,7 +237,7 @@
 func TestStandingLanesTakeNestedPrefixes(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(2)) {
-		stand(t, siteOf(seed), 350+seed, func(t *testing.T, w *World) {
+		stand(t, siteForSeed(seed), 350+seed, func(t *testing.T, w *World) {
 			w.Watch()
 			base := uint64(0)
 			put := func(kept int, spaces string) {
@@ -264,7 +264,7 @@
 				t.Helper()
 				call++
 				for _, n := range topics {
-					_, err := w.Port("a1").Send(w.ctx, a.Token, n, call, []byte(fmt.Sprint(call)))
+					_, err := w.Transport("a1").Send(w.ctx, a.Token, n, call, []byte(fmt.Sprint(call)))
 					assert.NilError(t, err, n)
 				}
 			}
@@ -304,13 +304,13 @@
 		time.Sleep(w.Site.Timing.Spread)
 		tok := attach(t, w, "a1", "v").Token
 		_, cursor, _ := follow(w, "a1", tok, "", []string{"k1"}, time.Second)
-		_, err = w.Port("a1").Send(w.ctx, tok, "k1", 1, []byte("1"))
+		_, err = w.Transport("a1").Send(w.ctx, tok, "k1", 1, []byte("1"))
 		assert.NilError(t, err)
 		time.Sleep(asked)
 		calls, _, _ := follow(w, "c1", attach(t, w, "c1", "w").Token, cursor, []string{"k1"}, 2*time.Second)
 		assert.DeepEqual(t, calls, []uint64{1})
 		time.Sleep(w.Site.Timing.RetentionFor(asked) - asked + 10*time.Second)
-		_, err = w.Port("a1").Send(w.ctx, tok, "k1", 2, []byte("2"))
+		_, err = w.Transport("a1").Send(w.ctx, tok, "k1", 2, []byte("2"))
 		assert.NilError(t, err)
 		time.Sleep(5 * time.Second)
 		_, _, err = follow(w, "c2", attach(t, w, "c2", "x").Token, cursor, []string{"k1"}, 2*time.Second)
@@ -355,7 +355,7 @@
 func TestInvalidConfigurationIsNeverApplied(t *testing.T) {
 	t.Parallel()
 	stand(t, Armor, 4, func(t *testing.T, w *World) {
-		_, err := w.Put("c1", load.Describe(0))
+		_, err := w.Put("c1", load.Configuration(0))
 		assert.NilError(t, err)
 		bad := map[string]apierror.Code{
 			`{"base":1,"spaces":[{"name":"kept","kind":"kept","topics":["t0","t0"]},{"name":"X","kind":"gone","topics":[]}]}`: apierror.ConfigurationInvalid,
@@ -398,11 +398,11 @@
 		for base := uint64(1); base < 4; base++ {
 			w.Isolate("a1")
 			w.Isolate("s1")
-			_, err := w.Put("c2", load.Describe(base))
+			_, err := w.Put("c2", load.Configuration(base))
 			assert.NilError(t, err)
 			time.Sleep(w.Site.Timing.Spread + time.Millisecond)
 			for _, n := range []string{"a1", "s1"} {
-				_, ready, _ := w.Port(n).Shows(w.ctx)
+				_, ready, _ := w.Transport(n).Shows(w.ctx)
 				assert.Assert(t, !ready, "%s serves, cut off, %s after description %d", n, w.Site.Timing.Spread, base+1)
 			}
 			w.Heal()
@@ -422,11 +422,11 @@
 				for i := range s.Control {
 					c := fmt.Sprintf("c%d", i+1)
 					var err error
-					seq, err = w.Put(c, load.Describe(seq))
+					seq, err = w.Put(c, load.Configuration(seq))
 					assert.NilError(t, err)
 					w.Wipe(c)
 					ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Recovery)
-					got, err := w.Port("a1").Get(ctx)
+					got, err := w.Transport("a1").Get(ctx)
 					stop()
 					assert.NilError(t, err)
 					assert.Equal(t, got, seq)
@@ -439,7 +439,7 @@
 					time.Sleep(2 * time.Second)
 				}
 				w.LosePower("c1", true)
-				got, err := w.Port("c2").Get(w.ctx)
+				got, err := w.Transport("c2").Get(w.ctx)
 				assert.NilError(t, err)
 				assert.Equal(t, got, seq)
 			})
@@ -460,20 +460,20 @@
 			wg.Go(func() {
 				ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Recovery)
 				defer stop()
-				put, err = w.Port("a1").Put(ctx, load.Describe(seq))
+				put, err = w.Transport("a1").Put(ctx, load.Configuration(seq))
 			})
 			time.Sleep(time.Duration(w.Int(4)) * 500 * time.Microsecond)
 			w.Kill(c)
 			wg.Wait()
 			time.Sleep(4 * time.Second)
-			got, e := w.Port("a1").Get(w.ctx)
+			got, e := w.Transport("a1").Get(w.ctx)
 			if apierror.HasCode(e, apierror.ConfigurationMissing) {
 				got, e = 0, nil
 			}
 			assert.NilError(t, e)
 			if err == nil {
 				assert.Equal(t, got, put)
-				w.History.AcceptConfiguration(seq, put, string(load.Describe(seq)), time.Now())
+				w.History.AcceptConfiguration(seq, put, string(load.Configuration(seq)), time.Now())
 			} else {
 				assert.Assert(t, got == seq || got == seq+1, "read back %d after %d and %v", got, seq, err)
 				if !apierror.HasCode(err, apierror.OutcomeUnknown) {
@@ -481,7 +481,7 @@
 				}
 			}
 			again := []string{"a1", "s2", fmt.Sprintf("c%d", (i+1)%3+1)}[w.Int(3)]
-			put, err = w.Put(again, load.Describe(seq))
+			put, err = w.Put(again, load.Configuration(seq))
 			assert.NilError(t, err, "the same again through %s, when %d was current", again, got)
 			assert.Equal(t, put, seq+1)
 			seq = put
--- a/internal/testing/sim/disk_test.go
+++ b/internal/testing/sim/disk_test.go
@@ -15,7 +15,7 @@
 		described(t, w)
 		put := func(base uint64) (time.Duration, error) {
 			at := time.Now()
-			_, err := w.Put("c1", load.Describe(base))
+			_, err := w.Put("c1", load.Configuration(base))
 			return time.Since(at), err
 		}
 		fast, err := put(1)
@@ -33,6 +33,6 @@
 		assert.ErrorContains(t, err, "outcome_unknown")
 		w.HangDisk("c1", false)
 		w.HangDisk("c2", false)
-		assert.NilError(t, w.readBack("c3", time.Now()))
+		assert.NilError(t, w.readBackConfiguration("c3", time.Now()))
 	})
 }
--- a/internal/testing/sim/drain_back_test.go
+++ b/internal/testing/sim/drain_back_test.go
@@ -14,11 +14,11 @@
 	t.Parallel()
 	long(t)
 	for seed := range uint64(seeds(2)) {
-		play(t, siteOf(seed), 380+seed, siteOf(seed).Timing.Recovery, func(t *testing.T, w *World) {
+		runScenario(t, siteForSeed(seed), 380+seed, siteForSeed(seed).Timing.Recovery, func(t *testing.T, w *World) {
 			o := busiest(w)
 			was := w.Machines[o].Node().Info().Incarnation
-			assert.NilError(t, w.askDrain(o))
-			assert.NilError(t, w.WaitUntil(60*time.Second, o+" is empty", w.drained(o)))
+			assert.NilError(t, w.startDecommission(o))
+			assert.NilError(t, w.WaitUntil(60*time.Second, o+" is empty", w.decommissionDone(o)))
 			w.Terminate(o)
 			time.Sleep(w.Site.Timing.Retention() + 10*time.Second)
 			assert.NilError(t, w.Start(o))
--- a/internal/testing/sim/drain_test.go
+++ b/internal/testing/sim/drain_test.go
@@ -12,11 +12,11 @@
 	"postjunction/internal/placement/decommission"
 )
 
-func (w *World) holdings(n string) int {
+func (w *World) replicaCount(name string) int {
 	k := 0
 	ref := w.Machines["a1"].Node()
 	for p := range ref.VoterSet().Layout.PartitionCount() {
-		if ref.Store.Record(p).Includes(n) {
+		if ref.Store.Record(p).Includes(name) {
 			k++
 		}
 	}
@@ -25,7 +25,7 @@
 
 // registered counts the records that name a node, as a majority of the voters has them: news of
 // them may come to a node later.
-func (w *World) registered(t *testing.T, n string) int {
+func (w *World) committedReplicaCount(t *testing.T, name string) int {
 	t.Helper()
 	k := 0
 	ref := w.Machines["a1"].Node()
@@ -34,26 +34,26 @@
 		assert.NilError(t, err)
 		r, err := assignment.Parse(v.Body, v.Version)
 		assert.NilError(t, err)
-		if r.Includes(n) {
+		if r.Includes(name) {
 			k++
 		}
 	}
 	return k
 }
 
-func (w *World) askDrain(n string) error {
-	_, err := w.Machines["a1"].Node().Operators.Decommission(w.ctx, n)
+func (w *World) startDecommission(name string) error {
+	_, err := w.Machines["a1"].Node().Operators.Decommission(w.ctx, name)
 	return err
 }
 
-func (w *World) drained(n string) func() bool {
+func (w *World) decommissionDone(name string) func() bool {
 	return func() bool {
 		v, err := w.Machines["a1"].Node().Operators.Client.Read(w.ctx, decommission.Key)
 		if err != nil {
 			return false
 		}
 		l, err := decommission.Parse(v.Body)
-		return err == nil && l[n].Done
+		return err == nil && l[name].Done
 	}
 }
 
@@ -63,12 +63,12 @@
 func TestDecommission(t *testing.T) {
 	t.Parallel()
 	long(t)
-	play(t, Armor, 11, Armor.Timing.Recovery, func(t *testing.T, w *World) {
-		assert.Assert(t, apierror.HasCode(w.askDrain("nobody"), apierror.UnknownNode))
-		assert.Assert(t, apierror.HasCode(w.askDrain("a1"), apierror.UnknownNode))
-		assert.Assert(t, apierror.HasCode(w.askDrain("c1"), apierror.AlreadyEmpty))
-		assert.NilError(t, w.askDrain("s1"))
-		assert.NilError(t, w.askDrain("s1"), "asking again is no fault")
+	runScenario(t, Armor, 11, Armor.Timing.Recovery, func(t *testing.T, w *World) {
+		assert.Assert(t, apierror.HasCode(w.startDecommission("nobody"), apierror.UnknownNode))
+		assert.Assert(t, apierror.HasCode(w.startDecommission("a1"), apierror.UnknownNode))
+		assert.Assert(t, apierror.HasCode(w.startDecommission("c1"), apierror.AlreadyEmpty))
+		assert.NilError(t, w.startDecommission("s1"))
+		assert.NilError(t, w.startDecommission("s1"), "asking again is no fault")
 		time.Sleep(700 * time.Millisecond)
 		for i := range 3 {
 			c := fmt.Sprintf("c%d", i+1)
@@ -79,12 +79,12 @@
 				break
 			}
 		}
-		assert.NilError(t, w.WaitUntil(60*time.Second, "s1 is empty", w.drained("s1")))
-		assert.Equal(t, w.registered(t, "s1"), 0)
+		assert.NilError(t, w.WaitUntil(60*time.Second, "s1 is empty", w.decommissionDone("s1")))
+		assert.Equal(t, w.committedReplicaCount(t, "s1"), 0)
 		for p := range w.Machines["a1"].Node().VoterSet().Layout.PartitionCount() {
 			assert.Equal(t, len(w.Machines["a1"].Node().Store.Record(p).Replicas), 3)
 		}
-		assert.Assert(t, apierror.HasCode(w.askDrain("s1"), apierror.AlreadyEmpty))
+		assert.Assert(t, apierror.HasCode(w.startDecommission("s1"), apierror.AlreadyEmpty))
 		w.Wipe("s1")
 		time.Sleep(2 * time.Second)
 		w.Wipe("s2")
@@ -92,7 +92,7 @@
 		assert.NilError(t, w.Start("s2"))
 		assert.NilError(t, w.Start("s1"))
 		assert.NilError(t, w.WaitUntil(120*time.Second, "the stores hold everything again", func() bool {
-			return w.whole() && w.holdings("s1") == w.Site.Routine+w.Site.Urgent && w.holdings("s2") == w.Site.Routine+w.Site.Urgent
+			return w.isFullyReplicated() && w.replicaCount("s1") == w.Site.Routine+w.Site.Urgent && w.replicaCount("s2") == w.Site.Routine+w.Site.Urgent
 		}))
 	})
 }
--- a/internal/testing/sim/early_test.go
+++ b/internal/testing/sim/early_test.go
@@ -27,7 +27,7 @@
 		assert.Assert(t, apierror.HasCode(err, apierror.NotPartitionLeader), "%v", err)
 		_, err = router.Submit.Call(w.ctx, &endpoint{w, m, run}, "a1", w.Machines["s1"].Opts.PeerListen, &leader.Message{Client: "v", Topic: "kept/t0", CallSeq: 1, Body: []byte("1"), Configuration: 1})
 		assert.Assert(t, apierror.HasCode(err, apierror.NotReady), "a store that lacks the description refused for good: %v", err)
-		_, err = w.Port("a1").Attach(w.ctx, "v")
+		_, err = w.Transport("a1").Attach(w.ctx, "v")
 		assert.Assert(t, apierror.HasCode(err, apierror.NoLease), "%v", err)
 	})
 }
--- a/internal/testing/sim/effect_test.go
+++ b/internal/testing/sim/effect_test.go
@@ -19,7 +19,7 @@
 func TestConfigurationTakesEffectEverywhere(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(4)) {
-		stand(t, siteOf(seed), 240+seed, func(t *testing.T, w *World) {
+		stand(t, siteForSeed(seed), 240+seed, func(t *testing.T, w *World) {
 			w.Watch()
 			doc := func(base int, kept, live string) []byte {
 				return []byte(fmt.Sprintf(`{"base":%d,"spaces":[{"name":"kept","kind":"kept","topics":[%s]},{"name":"side","kind":%q,"topics":["l0"]}]}`, base, kept, live))
@@ -28,7 +28,7 @@
 			assert.NilError(t, err)
 			time.Sleep(w.Site.Timing.Spread)
 			if seed >= 2 {
-				w.Lose(0.05)
+				w.DropPackets(0.05)
 			}
 			var mu sync.Mutex
 			dropped, heard := map[string]time.Time{}, map[string]bool{}
@@ -37,7 +37,7 @@
 				a := attach(t, w, n, "on-"+n)
 				tokens[n] = a.Token
 				w.wg.Go(func() {
-					_ = w.Port(n).Follow(w.ctx, a.Token, []string{"kept/t0", "kept/t1"}, "", func(l client.Event) error {
+					_ = w.Transport(n).Follow(w.ctx, a.Token, []string{"kept/t0", "kept/t1"}, "", func(l client.Event) error {
 						mu.Lock()
 						defer mu.Unlock()
 						if slices.Contains(l.Unsubscribed, "kept/t1") {
@@ -56,18 +56,18 @@
 			asked := time.Now()
 			for i, n := range w.Names {
 				ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Recovery)
-				_, err := w.Port(n).Send(ctx, tokens[n], "kept/t1", 1, []byte(`1`))
+				_, err := w.Transport(n).Send(ctx, tokens[n], "kept/t1", 1, []byte(`1`))
 				if err == nil {
 					w.History.Effect(n, seq-1, asked, w.Site.Timing.Spread-time.Millisecond, "took a message on a removed topic")
 				}
 				assert.Assert(t, apierror.HasCode(err, apierror.UnknownTopic), "%s: %v", n, err)
 				_, _, err = follow(w, n, tokens[n], "", []string{"kept/t1"}, time.Second)
 				assert.Assert(t, apierror.HasCode(err, apierror.UnknownTopic), "%s: %v", n, err)
-				_, err = w.Port(n).Send(ctx, tokens[n], "kept/t9", 1, []byte(`1`))
+				_, err = w.Transport(n).Send(ctx, tokens[n], "kept/t9", 1, []byte(`1`))
 				assert.NilError(t, err, "%s: an added topic", n)
 				if i == 0 {
 					_, cursor, _ := follow(w, n, attach(t, w, n, "resumer").Token, "", []string{"side/l0"}, time.Second)
-					_, err = w.Port(n).Send(ctx, tokens[n], "side/l0", 1, []byte(`1`))
+					_, err = w.Transport(n).Send(ctx, tokens[n], "side/l0", 1, []byte(`1`))
 					assert.NilError(t, err)
 					calls, _, _ := follow(w, n, attach(t, w, n, "resumer").Token, cursor, []string{"side/l0"}, 2*time.Second)
 					assert.DeepEqual(t, calls, []uint64{1})
@@ -75,7 +75,7 @@
 				stop()
 			}
 			w.Heal()
-			_, err = w.Port("c1").Send(w.ctx, tokens["c1"], "kept/t0", 1, []byte(`"goes on"`))
+			_, err = w.Transport("c1").Send(w.ctx, tokens["c1"], "kept/t0", 1, []byte(`"goes on"`))
 			assert.NilError(t, err)
 			time.Sleep(2 * time.Second)
 			mu.Lock()
@@ -95,7 +95,7 @@
 	t.Parallel()
 	long(t)
 	for seed := range uint64(seeds(3)) {
-		stand(t, siteOf(seed), 260+seed, func(t *testing.T, w *World) {
+		stand(t, siteForSeed(seed), 260+seed, func(t *testing.T, w *World) {
 			base := uint64(0)
 			put := func(spaces string) error {
 				seq, err := w.Put(w.Names[w.Int(len(w.Names))], []byte(fmt.Sprintf(`{"base":%d,"spaces":[{"name":"other","kind":"kept","topics":["x"]}%s]}`, base, spaces)))
@@ -109,7 +109,7 @@
 			assert.NilError(t, put(there))
 			a := attach(t, w, "a1", "v")
 			send := func(c uint64) error {
-				_, err := w.Port("a1").Send(w.ctx, a.Token, "line/a", c, []byte(fmt.Sprint(c)))
+				_, err := w.Transport("a1").Send(w.ctx, a.Token, "line/a", c, []byte(fmt.Sprint(c)))
 				return err
 			}
 			_, cursor, _ := follow(w, "a1", a.Token, "", []string{"line/a"}, time.Second)
--- a/internal/testing/sim/faults.go
+++ b/internal/testing/sim/faults.go
@@ -17,9 +17,9 @@
 // Fault is a fault of a random day; the function that it gives puts right what can be put right.
 type Fault func(w *World, r *rand.Rand) (undo func())
 
-func (w *World) pick(r *rand.Rand, kind string) string {
-	ns := w.namesOf(kind)
-	return ns[r.IntN(len(ns))]
+func (w *World) pickMachine(r *rand.Rand, kind string) string {
+	names := w.namesOf(kind)
+	return names[r.IntN(len(names))]
 }
 
 // namesOf returns the machines whose names begin with the letter of a kind, all for none.
@@ -33,12 +33,12 @@
 	return names
 }
 
-func disky(r *rand.Rand) string { return []string{"c", "s"}[r.IntN(2)] }
+func pickDiskKind(r *rand.Rand) string { return []string{"c", "s"}[r.IntN(2)] }
 
-func (w *World) zone(r *rand.Rand) (in, out []string) {
-	z := fmt.Sprintf("z%d", r.IntN(w.Site.Zones)+1)
+func (w *World) splitByZone(r *rand.Rand) (in, out []string) {
+	zone := fmt.Sprintf("z%d", r.IntN(w.Site.Zones)+1)
 	for _, n := range w.Names {
-		if w.Machines[n].Opts.Zone == z {
+		if w.Machines[n].Opts.Zone == zone {
 			in = append(in, n)
 		} else {
 			out = append(out, n)
@@ -47,49 +47,49 @@
 	return in, out
 }
 
-func (w *World) start(ns ...string) func() {
-	return func() { _ = w.Start(ns...) }
+func (w *World) undoByStarting(names ...string) func() {
+	return func() { _ = w.Start(names...) }
 }
 
-func nothing() {}
+func noUndo() {}
 
 // Faults are all faults that a random day may bring.
 var Faults = map[string]Fault{
 	"kill": func(w *World, r *rand.Rand) func() {
-		n := w.pick(r, "")
+		n := w.pickMachine(r, "")
 		w.Kill(n)
-		return w.start(n)
+		return w.undoByStarting(n)
 	},
 	"kill many": func(w *World, r *rand.Rand) func() {
 		var ns []string
 		for range 2 + r.IntN(3) {
-			ns = append(ns, w.pick(r, ""))
+			ns = append(ns, w.pickMachine(r, ""))
 			w.Kill(ns[len(ns)-1])
 		}
-		return w.start(ns...)
+		return w.undoByStarting(ns...)
 	},
 	"stop": func(w *World, r *rand.Rand) func() {
-		n := w.pick(r, "")
+		n := w.pickMachine(r, "")
 		w.Terminate(n)
-		return w.start(n)
+		return w.undoByStarting(n)
 	},
 	"freeze": func(w *World, r *rand.Rand) func() {
-		n := w.pick(r, "")
+		n := w.pickMachine(r, "")
 		w.Freeze(n)
 		return func() { w.Thaw(n) }
 	},
 	"isolate": func(w *World, r *rand.Rand) func() {
-		w.Isolate(w.pick(r, ""))
+		w.Isolate(w.pickMachine(r, ""))
 		return w.Heal
 	},
 	"cut one way": func(w *World, r *rand.Rand) func() {
 		for range 3 {
-			w.Cut(w.pick(r, ""), w.pick(r, ""))
+			w.Cut(w.pickMachine(r, ""), w.pickMachine(r, ""))
 		}
 		return w.Heal
 	},
 	"zone cut": func(w *World, r *rand.Rand) func() {
-		in, out := w.zone(r)
+		in, out := w.splitByZone(r)
 		for _, a := range in {
 			for _, b := range out {
 				w.Cut(a, b)
@@ -99,14 +99,14 @@
 		return w.Heal
 	},
 	"zone lost": func(w *World, r *rand.Rand) func() {
-		in, _ := w.zone(r)
+		in, _ := w.splitByZone(r)
 		for _, n := range in {
 			w.LosePower(n, r.IntN(2) == 0)
 		}
-		return w.start(in...)
+		return w.undoByStarting(in...)
 	},
 	"lose packets": func(w *World, r *rand.Rand) func() {
-		w.Lose(0.1)
+		w.DropPackets(0.1)
 		return w.Heal
 	},
 	"reset": func(w *World, r *rand.Rand) func() {
@@ -115,59 +115,59 @@
 				w.Reset(n)
 			}
 		}
-		return nothing
+		return noUndo
 	},
 	"move": func(w *World, r *rand.Rand) func() {
-		w.Move(0.5)
-		return nothing
+		w.MoveClients(0.5)
+		return noUndo
 	},
 	"arrive": func(w *World, r *rand.Rand) func() {
-		w.Arrive(8)
-		return nothing
+		w.AddClients(8)
+		return noUndo
 	},
 	"power": func(w *World, r *rand.Rand) func() {
-		n := w.pick(r, "s")
+		n := w.pickMachine(r, "s")
 		w.LosePower(n, r.IntN(2) == 0)
-		return w.start(n)
+		return w.undoByStarting(n)
 	},
 	"control power": func(w *World, r *rand.Rand) func() {
-		n := w.pick(r, "c")
+		n := w.pickMachine(r, "c")
 		w.LosePower(n, r.IntN(2) == 0)
-		return w.start(n)
+		return w.undoByStarting(n)
 	},
 	"wipe": func(w *World, r *rand.Rand) func() {
-		n := w.pick(r, disky(r))
+		n := w.pickMachine(r, pickDiskKind(r))
 		w.Wipe(n)
-		return w.start(n)
+		return w.undoByStarting(n)
 	},
 	"slow": func(w *World, r *rand.Rand) func() {
-		n := w.pick(r, "")
+		n := w.pickMachine(r, "")
 		w.Slow(n, time.Duration(1+r.IntN(5))*100*time.Millisecond)
 		return func() { w.Slow(n, 0) }
 	},
 	"fill": func(w *World, r *rand.Rand) func() {
-		n := w.pick(r, disky(r))
-		w.note("fill")
+		n := w.pickMachine(r, pickDiskKind(r))
+		w.recordDisturbance("fill")
 		w.Machines[n].Disk.Fill(true)
 		return func() {
-			w.note("space again")
+			w.recordDisturbance("space again")
 			w.Machines[n].Disk.Fill(false)
 		}
 	},
 	"slow disk": func(w *World, r *rand.Rand) func() {
-		n := w.pick(r, disky(r))
+		n := w.pickMachine(r, pickDiskKind(r))
 		w.SlowDisk(n, 20+r.IntN(41))
 		return func() { w.SlowDisk(n, 0) }
 	},
 	"disk hangs": func(w *World, r *rand.Rand) func() {
-		n := w.pick(r, disky(r))
+		n := w.pickMachine(r, pickDiskKind(r))
 		w.HangDisk(n, true)
 		return func() { w.HangDisk(n, false) }
 	},
 	"drain": func(w *World, r *rand.Rand) func() {
-		n, lost := w.pick(r, "s"), r.IntN(2) == 0
-		w.note("drain")
-		asked := w.ask(w.pick(r, "c"), w.Site.Timing.Recovery, func(ctx context.Context, x *node.Node) error {
+		n, lost := w.pickMachine(r, "s"), r.IntN(2) == 0
+		w.recordDisturbance("drain")
+		asked := w.callNode(w.pickMachine(r, "c"), w.Site.Timing.Recovery, func(ctx context.Context, x *node.Node) error {
 			_, err := x.Operators.Decommission(ctx, n)
 			return err
 		}) == nil
@@ -181,14 +181,14 @@
 			}
 			w.Terminate(n)
 			if lost {
-				w.note("departed with its disk")
+				w.recordDisturbance("departed with its disk")
 				w.Machines[n].Disk.Wipe()
 			}
 			_ = w.Start(n)
 		}
 	},
 	"settings": func(w *World, r *rand.Rand) func() {
-		w.note("settings")
+		w.recordDisturbance("settings")
 		for _, n := range w.Names {
 			if x := w.Machines[n].Node(); x != nil && r.IntN(2) == 0 {
 				o := w.Machines[n].Opts
@@ -200,24 +200,24 @@
 				_ = x.Apply(o)
 			}
 		}
-		return nothing
+		return noUndo
 	},
 	"operators": func(w *World, r *rand.Rand) func() {
-		w.note("operators")
+		w.recordDisturbance("operators")
 		ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Recovery)
 		defer stop()
-		cur, err := w.Port(w.pick(r, "")).Get(ctx)
+		cur, err := w.Transport(w.pickMachine(r, "")).Get(ctx)
 		if err != nil {
-			return nothing
+			return noUndo
 		}
 		var wg sync.WaitGroup
 		for i := range 3 {
-			n, k, seq := w.pick(r, ""), uint64(r.IntN(3)), cur+1+r.Uint64N(3)
+			n, k, seq := w.pickMachine(r, ""), uint64(r.IntN(3)), cur+1+r.Uint64N(3)
 			wg.Go(func() {
-				doc := w.load.Numbered(cur, seq, fmt.Sprintf("operator %d", i))
+				doc := w.load.NumberedConfiguration(cur, seq, fmt.Sprintf("operator %d", i))
 				bad := []byte(fmt.Sprintf(`{"base":%d,"spaces":[{"name":"kept","kind":"kept","topics":["t0","t0"]}]}`, cur))
 				if k == 0 {
-					if _, err := w.Port(n).Put(ctx, bad); err == nil {
+					if _, err := w.Transport(n).Put(ctx, bad); err == nil {
 						w.History.Violate(history.Invalid, "an invalid description was taken through %s", n)
 					}
 					return
@@ -228,53 +228,53 @@
 			})
 		}
 		wg.Wait()
-		return nothing
+		return noUndo
 	},
 }
 
 // FaultNames lists the faults in order.
 func FaultNames() []string {
-	var s []string
+	var names []string
 	for n := range Faults {
-		s = append(s, n)
+		names = append(names, n)
 	}
-	slices.Sort(s)
-	return s
+	slices.Sort(names)
+	return names
 }
 
 // Step is one moment of a random day: a fault, maybe a second one, and when what happens.
 type Step struct {
-	A, B                         string
-	SeedA, SeedB                 uint64
+	First, Second                string
+	FirstSeed, SecondSeed        uint64
 	Between, Duration, Gap, Rest time.Duration
 }
 
 // String names a step's faults.
 func (s Step) String() string {
-	if s.B == "" {
-		return s.A
+	if s.Second == "" {
+		return s.First
 	}
-	return s.A + " and " + s.B
+	return s.First + " and " + s.Second
 }
 
 // PlanDay draws the steps of a day from its seed alone.
 func PlanDay(seed uint64) []Step {
 	r := rand.New(rand.NewPCG(seed, 3))
-	ns := FaultNames()
+	names := FaultNames()
 	span := func(lo, hi int) time.Duration {
 		return time.Duration(lo+r.IntN(hi-lo))*100*time.Millisecond + time.Duration(r.IntN(100_000))*time.Microsecond
 	}
-	var ss []Step
+	var steps []Step
 	for range 3 + r.IntN(3) {
-		s := Step{A: ns[r.IntN(len(ns))], B: ns[r.IntN(len(ns))], SeedA: r.Uint64(), SeedB: r.Uint64(),
+		step := Step{First: names[r.IntN(len(names))], Second: names[r.IntN(len(names))], FirstSeed: r.Uint64(), SecondSeed: r.Uint64(),
 			Between: span(0, 30), Duration: span(5, 90), Gap: span(0, 20), Rest: span(10, 60)}
-		if r.IntN(3) == 0 || s.A == "wipe" && s.B == "wipe" {
-			s.B = ""
+		if r.IntN(3) == 0 || step.First == "wipe" && step.Second == "wipe" {
+			step.Second = ""
 		}
-		if s.B == "wipe" || s.A == "drain" && s.B != "" {
-			s.A, s.B, s.SeedA, s.SeedB = s.B, s.A, s.SeedB, s.SeedA
+		if step.Second == "wipe" || step.First == "drain" && step.Second != "" {
+			step.First, step.Second, step.FirstSeed, step.SecondSeed = step.Second, step.First, step.SecondSeed, step.FirstSeed
 		}
-		ss = append(ss, s)
+		steps = append(steps, step)
 	}
-	return ss
+	return steps
 }
--- a/internal/testing/sim/faults_test.go
+++ b/internal/testing/sim/faults_test.go
@@ -14,16 +14,16 @@
 
 // busiest gives the store that decides for most partitions.
 func busiest(w *World) string {
-	best, most := "", -1
+	name, leaderships := "", -1
 	for _, n := range w.Names {
-		if x := w.Machines[n].Node(); x != nil && x.Info().Partitions > most {
-			best, most = n, x.Info().Partitions
+		if x := w.Machines[n].Node(); x != nil && x.Info().Partitions > leaderships {
+			name, leaderships = n, x.Info().Partitions
 		}
 	}
-	return best
+	return name
 }
 
-var scripts = map[string]struct {
+var faultScripts = map[string]struct {
 	site   Site
 	script func(t *testing.T, w *World)
 }{
@@ -81,7 +81,7 @@
 			w.Wipe(c)
 			time.Sleep(time.Second)
 			_ = w.Start(c)
-			_, _ = w.Put("a1", load.Describe(uint64(i+1)))
+			_, _ = w.Put("a1", load.Configuration(uint64(i+1)))
 			assert.NilError(t, w.WaitUntil(30*time.Second, "the wiped disk has a seat", func() bool {
 				r := w.Machines["a1"].Node().VoterSet()
 				s, ok := r.Voter(c)
@@ -117,7 +117,7 @@
 		settle(w)
 	}},
 	"packets are lost": {Traductores, func(_ *testing.T, w *World) {
-		w.Lose(0.08)
+		w.DropPackets(0.08)
 		time.Sleep(20 * time.Second)
 	}},
 	"a store is slow": {Armor, func(_ *testing.T, w *World) {
@@ -141,21 +141,21 @@
 
 // hits tells what a script must have brought about for its run to show anything: owners that
 // changed, or disks that came back as others.
-var hits = map[string]func(r history.Report, fresh int) bool{
-	"owner killed mid-append and mid-batch":     ownersChanged,
-	"owner paused past its licence and resumed": ownersChanged,
-	"owner cut off and still writing":           ownersChanged,
-	"store loses power with a torn tail":        ownersChanged,
-	"every store restarted in turn":             ownersChanged,
-	"the whole fleet loses power":               ownersChanged,
-	"a store's disk fills up":                   ownersChanged,
-	"store disk wiped":                          disksForgot,
-	"control disk wiped just after it promised": disksForgot,
+var faultEffects = map[string]func(r history.Report, fresh int) bool{
+	"owner killed mid-append and mid-batch":     leadersChanged,
+	"owner paused past its licence and resumed": leadersChanged,
+	"owner cut off and still writing":           leadersChanged,
+	"store loses power with a torn tail":        leadersChanged,
+	"every store restarted in turn":             leadersChanged,
+	"the whole fleet loses power":               leadersChanged,
+	"a store's disk fills up":                   leadersChanged,
+	"store disk wiped":                          disksReplaced,
+	"control disk wiped just after it promised": disksReplaced,
 }
 
-func ownersChanged(r history.Report, _ int) bool { return r.Judged[history.Fenced] }
+func leadersChanged(r history.Report, _ int) bool { return r.Judged[history.Fenced] }
 
-func disksForgot(_ history.Report, fresh int) bool { return fresh > 0 }
+func disksReplaced(_ history.Report, fresh int) bool { return fresh > 0 }
 
 // incarnations lists the disks' names.
 func (w *World) incarnations() map[string]bool {
@@ -168,17 +168,17 @@
 	return m
 }
 
-var underRace = map[string]bool{"owner killed mid-append and mid-batch": true, "control disk wiped just after it promised": true, "store disk wiped": true}
+var runsUnderRace = map[string]bool{"owner killed mid-append and mid-batch": true, "control disk wiped just after it promised": true, "store disk wiped": true}
 
 func TestFaults(t *testing.T) {
-	for n, s := range scripts {
+	for n, s := range faultScripts {
 		t.Run(n, func(t *testing.T) {
 			t.Parallel()
-			if raced && !underRace[n] {
+			if raced && !runsUnderRace[n] {
 				t.Skip("runs without the race detector, which slows simulated fleets too much")
 			}
 			fresh := 0
-			r := play(t, s.site, 7, s.site.Timing.Recovery, func(t *testing.T, w *World) {
+			r := runScenario(t, s.site, 7, s.site.Timing.Recovery, func(t *testing.T, w *World) {
 				was := w.incarnations()
 				s.script(t, w)
 				for i := range w.incarnations() {
@@ -188,7 +188,7 @@
 				}
 			})
 			assert.Assert(t, len(r.Covered) > 0, "void: nothing went wrong")
-			if f := hits[n]; f != nil {
+			if f := faultEffects[n]; f != nil {
 				assert.Assert(t, f(r, fresh), "void: the fault named did not hit")
 			}
 		})
--- a/internal/testing/sim/flap_test.go
+++ b/internal/testing/sim/flap_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func changes(w *World) (n uint64) {
+func sumOfEpochs(w *World) (n uint64) {
 	for _, r := range w.records() {
 		n += r.Epoch
 	}
@@ -18,12 +18,12 @@
 // What is slow, lossy or pauses for a moment is not gone: nothing changes hands.
 func TestNothingChangesHandsWhileMachinesAreOnlySlow(t *testing.T) {
 	t.Parallel()
-	quiet := []struct {
+	disturbances := []struct {
 		name string
 		f    func(w *World)
 	}{
-		{"packet loss of 3 %", func(w *World) { w.Lose(0.03); time.Sleep(60 * time.Second) }},
-		{"packet loss of 10 %", func(w *World) { w.Lose(0.1); time.Sleep(20 * time.Second) }},
+		{"packet loss of 3 %", func(w *World) { w.DropPackets(0.03); time.Sleep(60 * time.Second) }},
+		{"packet loss of 10 %", func(w *World) { w.DropPackets(0.1); time.Sleep(20 * time.Second) }},
 		{"a store five times slower", func(w *World) { w.Slow(busiest(w), 4*w.Site.Latency); time.Sleep(30 * time.Second) }},
 		{"all five times slower", func(w *World) {
 			for _, n := range w.Names {
@@ -78,15 +78,15 @@
 			time.Sleep(3 * time.Second)
 		}},
 	}
-	for _, x := range quiet {
+	for _, x := range disturbances {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				w := standing(t, Armor, 72)
 				defer w.Close()
-				was := changes(w)
+				was := sumOfEpochs(w)
 				x.f(w)
-				assert.Equal(t, changes(w), was, "partitions changed hands")
+				assert.Equal(t, sumOfEpochs(w), was, "partitions changed hands")
 			})
 		})
 	}
--- a/internal/testing/sim/flood_test.go
+++ b/internal/testing/sim/flood_test.go
@@ -37,7 +37,7 @@
 			for begun := time.Now(); time.Since(begun) < d; {
 				n++
 				at := time.Now()
-				_, err := w.Port("a1").Send(w.ctx, lead.Token, "stop/line", n, []byte(`"stop"`))
+				_, err := w.Transport("a1").Send(w.ctx, lead.Token, "stop/line", n, []byte(`"stop"`))
 				assert.NilError(t, err, "an urgent call was turned away")
 				most = max(most, time.Since(at))
 				time.Sleep(20 * time.Millisecond)
@@ -58,7 +58,7 @@
 			wg.Go(func() {
 				for c := uint64(1); ctx.Err() == nil; {
 					cx, done := context.WithTimeout(ctx, s.Timing.Spread)
-					_, err := w.Port(through).Send(cx, tok, fmt.Sprintf("kept/t%d", i%load.Topics), c, []byte(`1`))
+					_, err := w.Transport(through).Send(cx, tok, fmt.Sprintf("kept/t%d", i%load.Topics), c, []byte(`1`))
 					done()
 					mu.Lock()
 					if err == nil {
--- a/internal/testing/sim/founding_test.go
+++ b/internal/testing/sim/founding_test.go
@@ -21,10 +21,10 @@
 // allNodesAreVoters tells whether every control node that runs has a seat with its present disk, and is
 // under the newest voter set.
 func (w *World) allNodesAreVoters() bool {
-	var top uint64
+	var newest uint64
 	for _, n := range w.Names {
 		if x := w.Machines[n].Node(); x != nil {
-			top = max(top, x.VoterSet().Sequence)
+			newest = max(newest, x.VoterSet().Sequence)
 		}
 	}
 	for _, n := range w.Names {
@@ -33,9 +33,9 @@
 		if x == nil || m.Opts.Disk != settings.DiskControl {
 			continue
 		}
-		r := x.VoterSet()
-		s, ok := r.Voter(n)
-		if i := x.Info(); top == 0 || r.Sequence != top || !ok || s.Incarnation != i.Incarnation || i.VoterSet != top {
+		voters := x.VoterSet()
+		voter, ok := voters.Voter(n)
+		if info := x.Info(); newest == 0 || voters.Sequence != newest || !ok || voter.Incarnation != info.Incarnation || info.VoterSet != newest {
 			return false
 		}
 	}
@@ -47,10 +47,10 @@
 func TestBootstrapThroughSeeds(t *testing.T) {
 	t.Parallel()
 	for _, control := range []int{3, 4, 8} {
-		for known := range 4 {
-			t.Run(fmt.Sprintf("%d of %d voters are seeds", known, control), func(t *testing.T) {
+		for controlSeeds := range 4 {
+			t.Run(fmt.Sprintf("%d of %d voters are seeds", controlSeeds, control), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					w := New(seedSite(control, known), uint64(10*control+known), Logger())
+					w := New(seedSite(control, controlSeeds), uint64(10*control+controlSeeds), Logger())
 					defer w.Close()
 					assert.NilError(t, w.Start(w.Names...))
 					at := time.Now()
@@ -118,7 +118,7 @@
 		for _, n := range w.Names {
 			assert.Equal(t, w.Machines[n].Node().VoterSet().Sequence, uint64(0))
 		}
-		_, err := w.Put("c1", load.Describe(0))
+		_, err := w.Put("c1", load.Configuration(0))
 		assert.Assert(t, apierror.HasCode(err, apierror.NotBootstrapped) || apierror.HasCode(err, apierror.NoLease) || apierror.HasCode(err, apierror.Unreachable), "%v", err)
 	})
 }
--- a/internal/testing/sim/gap_test.go
+++ b/internal/testing/sim/gap_test.go
@@ -17,7 +17,7 @@
 	"postjunction/internal/partitionlog/leader"
 )
 
-var wide = Load{Callers: 4, Topics: 40, LiveTopics: 2, Leads: 1, Every: 500 * time.Millisecond}
+var wide = Load{HTTPClients: 4, Topics: 40, LiveTopics: 2, UrgentSenders: 1, SendInterval: 500 * time.Millisecond}
 
 // takers sends a message into each partition through a1, one after the other, and gives the longest
 // time between two takings.
@@ -171,7 +171,7 @@
 	assert.NilError(t, w.Start(w.Names...))
 	assert.NilError(t, w.WaitReady(20*time.Second))
 	assert.NilError(t, w.WaitUntil(20*time.Second, "described", func() bool {
-		_, err := w.Put("a1", wide.Describe(0))
+		_, err := w.Put("a1", wide.Configuration(0))
 		return err == nil
 	}))
 	time.Sleep(6 * time.Second)
--- a/internal/testing/sim/hand_test.go
+++ b/internal/testing/sim/hand_test.go
@@ -12,20 +12,20 @@
 // come in.
 func TestAScriptedClientIsNeverPaused(t *testing.T) {
 	entertain(t, hall, 950, few, 10, func(t *testing.T, w *World, _ *LineClients) {
-		const hands = 64
+		const clients = 64
 		g := w.StartLineClients(0, few)
 		var wg sync.WaitGroup
-		for range hands {
+		for range clients {
 			wg.Go(func() {
-				h := g.Scripted("a1", "scripted")
+				h := g.ConnectScripted("a1", "scripted")
 				if assert.Check(t, h != nil, "not let in") {
 					h.End()
 				}
 			})
 		}
 		r := rand.New(rand.NewPCG(950, 0))
-		for in := func() int { g.mu.Lock(); defer g.mu.Unlock(); return g.entered }; in() < hands; {
-			g.draw(r)
+		for in := func() int { g.mu.Lock(); defer g.mu.Unlock(); return g.sessionCount }; in() < clients; {
+			g.pauseOne(r)
 		}
 		wg.Wait()
 	})
--- a/internal/testing/sim/hundreds_test.go
+++ b/internal/testing/sim/hundreds_test.go
@@ -65,7 +65,7 @@
 	if os.Getenv("PJ_MEASURE") != "" {
 		changes = 1000
 	}
-	s := spared(Traductores, "c2")
+	s := withSpares(Traductores, "c2")
 	s.Access = 3
 	s.DiskMB = map[string]int{}
 	for n := range s.Control {
--- a/internal/testing/sim/intercept.go
+++ b/internal/testing/sim/intercept.go
@@ -10,67 +10,67 @@
 
 // Stages of a call between machines at which it can be held up.
 const (
-	Asking    = "asking"
-	Answering = "answering"
+	RequestStage  = "asking"
+	ResponseStage = "answering"
 )
 
 // Point is a place in a call's way: who calls whom, which call, and whether it is on its way there
 // or back.
-type Point struct {
+type CallPoint struct {
 	From, To, Path, Stage string
 	Body                  []byte
 }
 
 type pausedCalls struct {
-	match func(Point) bool
-	open  chan struct{}
-	mu    sync.Mutex
-	hits  int
+	match    func(CallPoint) bool
+	released chan struct{}
+	mu       sync.Mutex
+	hits     int
 }
 
 // PauseCalls keeps calls that match where they are until released, or until their time is up.
 // The first function releases them; the second tells how many were held.
-func (w *World) PauseCalls(match func(Point) bool) (release func(), hits func() int) {
-	h := &pausedCalls{match: match, open: make(chan struct{})}
+func (w *World) PauseCalls(match func(CallPoint) bool) (release func(), hits func() int) {
+	paused := &pausedCalls{match: match, released: make(chan struct{})}
 	w.mu.Lock()
-	w.pauses = append(w.pauses, h)
+	w.pauses = append(w.pauses, paused)
 	w.mu.Unlock()
-	w.note("hold")
+	w.recordDisturbance("hold")
 	var once sync.Once
 	release = func() {
 		once.Do(func() {
 			w.mu.Lock()
 			for i, x := range w.pauses {
-				if x == h {
+				if x == paused {
 					w.pauses = append(append([]*pausedCalls(nil), w.pauses[:i]...), w.pauses[i+1:]...)
 					break
 				}
 			}
 			w.mu.Unlock()
-			close(h.open)
-			w.note("release")
+			close(paused.released)
+			w.recordDisturbance("release")
 		})
 	}
 	return release, func() int {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		return h.hits
+		paused.mu.Lock()
+		defer paused.mu.Unlock()
+		return paused.hits
 	}
 }
 
-func (w *World) waitWhilePaused(ctx context.Context, p Point) {
+func (w *World) waitWhilePaused(ctx context.Context, point CallPoint) {
 	w.mu.Lock()
-	hs := w.pauses
+	pauses := w.pauses
 	w.mu.Unlock()
-	for _, h := range hs {
-		if !h.match(p) {
+	for _, paused := range pauses {
+		if !paused.match(point) {
 			continue
 		}
-		h.mu.Lock()
-		h.hits++
-		h.mu.Unlock()
+		paused.mu.Lock()
+		paused.hits++
+		paused.mu.Unlock()
 		select {
-		case <-h.open:
+		case <-paused.released:
 		case <-ctx.Done():
 		}
 	}
@@ -86,13 +86,13 @@
 
 // InterceptCalls has a function decide what happens to each call at each of its stages, until the
 // function that it gives is called.
-func (w *World) InterceptCalls(f func(Point) CallFault) (stop func()) {
-	w.note("call faults")
+func (w *World) InterceptCalls(decide func(CallPoint) CallFault) (stop func()) {
+	w.recordDisturbance("call faults")
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.intercept = f
+	w.intercept = decide
 	return func() {
-		w.note("end of call faults")
+		w.recordDisturbance("end of call faults")
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.intercept = nil
@@ -101,19 +101,19 @@
 
 // applyCallFault delays a call by its fault, for good when it is lost; it returns how late
 // it comes again, 0 for not at all.
-func (w *World) applyCallFault(ctx context.Context, p Point) time.Duration {
+func (w *World) applyCallFault(ctx context.Context, point CallPoint) time.Duration {
 	w.mu.Lock()
-	f := w.intercept
+	intercept := w.intercept
 	w.mu.Unlock()
-	if f == nil {
+	if intercept == nil {
 		return 0
 	}
-	x := f(p)
-	if x.Delay > 0 {
-		_ = clock.Real{}.Sleep(ctx, x.Delay)
+	fault := intercept(point)
+	if fault.Delay > 0 {
+		_ = clock.Real{}.Sleep(ctx, fault.Delay)
 	}
-	if x.Lose {
+	if fault.Lose {
 		<-ctx.Done()
 	}
-	return x.Duplicate
+	return fault.Duplicate
 }
--- a/internal/testing/sim/lag_test.go
+++ b/internal/testing/sim/lag_test.go
@@ -16,7 +16,7 @@
 	t.Parallel()
 	long(t)
 	for seed := range uint64(seeds(2)) {
-		stand(t, siteOf(seed), 360+seed, func(t *testing.T, w *World) {
+		stand(t, siteForSeed(seed), 360+seed, func(t *testing.T, w *World) {
 			described(t, w)
 			o, topic := "", ""
 			for i := 0; o == "" || o == w.Machines["a1"].Opts.Name; i++ {
@@ -34,8 +34,8 @@
 			begun, felt, calls := time.Now(), time.Duration(0), 0
 			for n := uint64(1); time.Since(begun) < 40*time.Second; n++ {
 				at := time.Now()
-				_, err := w.Port("a1").Send(w.ctx, tok, topic, n, []byte(`1`))
-				for ; err != nil; _, err = w.Port("a1").Send(w.ctx, tok, topic, n, []byte(`1`)) {
+				_, err := w.Transport("a1").Send(w.ctx, tok, topic, n, []byte(`1`))
+				for ; err != nil; _, err = w.Transport("a1").Send(w.ctx, tok, topic, n, []byte(`1`)) {
 					time.Sleep(w.Site.Timing.MaxBackoff() / 2)
 				}
 				calls++
--- a/internal/testing/sim/lineclients.go
+++ b/internal/testing/sim/lineclients.go
@@ -26,40 +26,40 @@
 	Load    Load
 	Calm    atomic.Bool
 	// Rested has no visitor stop reading for a while.
-	Rested bool
+	NoPauses bool
 	// Ever has late visitors take cursors of any age.
-	Ever    bool
-	mu      sync.Mutex
-	lines   map[*lineSession]bool
-	entered int
-	saved   []simclient.Topic
-	clients []*simclient.Client
-	sending context.Context
-	quiet   context.CancelFunc
-	wg      sync.WaitGroup
+	AnyCursorAge bool
+	mu           sync.Mutex
+	sessions     map[*lineSession]bool
+	sessionCount int
+	savedCursors []simclient.Topic
+	clients      []*simclient.Client
+	sendCtx      context.Context
+	stopSending  context.CancelFunc
+	wg           sync.WaitGroup
 }
 
 // lineSession is a visitor's end of a connection to a machine, with what is under way on it.
 type lineSession struct {
-	clients *LineClients
-	m       *Machine
-	run     int
-	c       *socket
-	receive func(session.Response, time.Time)
-	over    func()
-	once    sync.Once
-	dead    chan struct{}
-	mu      sync.Mutex
-	in      []byte
-	more    chan struct{}
+	clients       *LineClients
+	machine       *Machine
+	run           int
+	conn          *socket
+	onResponse    func(session.Response, time.Time)
+	onBroken      func()
+	once          sync.Once
+	closed        chan struct{}
+	mu            sync.Mutex
+	outgoing      []byte
+	outgoingReady chan struct{}
 	// n counts sessions, so that one can be drawn; a scripted one rests only as it is told.
-	n        int
+	number   int
 	scripted bool
 	// pausedUntil is until when the visitor does not read.
 	pausedUntil time.Time
 }
 
-func ring(c chan struct{}) {
+func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
@@ -67,25 +67,25 @@
 }
 
 // Do sends a task.
-func (s *lineSession) Do(t session.Request) {
-	b, err := json.Marshal(t)
+func (s *lineSession) Do(request session.Request) {
+	encoded, err := json.Marshal(request)
 	if err != nil {
 		panic(err)
 	}
 	s.mu.Lock()
-	s.in = append(append(s.in, b...), '\n')
+	s.outgoing = append(append(s.outgoing, encoded...), '\n')
 	s.mu.Unlock()
-	ring(s.more)
+	signal(s.outgoingReady)
 }
 
 // End closes the connection from the visitor's side.
-func (s *lineSession) End() { s.cut() }
+func (s *lineSession) End() { s.disconnect() }
 
-func (s *lineSession) cut() {
+func (s *lineSession) disconnect() {
 	s.once.Do(func() {
-		close(s.dead)
+		close(s.closed)
 		s.clients.mu.Lock()
-		delete(s.clients.lines, s)
+		delete(s.clients.sessions, s)
 		s.clients.mu.Unlock()
 	})
 }
@@ -97,86 +97,86 @@
 	s.pausedUntil = time.Now().Add(d)
 }
 
-func (s *lineSession) pausesFor() time.Duration {
+func (s *lineSession) pauseLeft() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Until(s.pausedUntil)
 }
 
 func (s *lineSession) isConnected() bool {
-	s.m.gate()
-	_, run := s.m.node()
+	s.machine.waitWhileFrozen()
+	_, run := s.machine.node()
 	return run == s.run
 }
 
-func (s *lineSession) way() {
+func (s *lineSession) waitLatency() {
 	d := s.clients.world.Site.Latency / 2
-	s.m.mu.Lock()
-	d += s.m.slow
-	s.m.mu.Unlock()
+	s.machine.mu.Lock()
+	d += s.machine.sendDelay
+	s.machine.mu.Unlock()
 	time.Sleep(d)
 }
 
 // ask carries what the visitor says.
-func (s *lineSession) ask() {
+func (s *lineSession) sendLoop() {
 	for {
 		select {
-		case <-s.more:
-		case <-s.dead:
-			s.way()
+		case <-s.outgoingReady:
+		case <-s.closed:
+			s.waitLatency()
 			if s.isConnected() {
-				s.c.hang()
+				s.conn.closeFromClient()
 			}
 			return
 		}
-		s.way()
+		s.waitLatency()
 		if !s.isConnected() {
 			return
 		}
 		s.mu.Lock()
-		b := s.in
-		s.in = nil
+		b := s.outgoing
+		s.outgoing = nil
 		s.mu.Unlock()
-		s.c.say(b)
+		s.conn.deliver(b)
 	}
 }
 
 // listen carries what the visitor is told.
-func (s *lineSession) listen() {
-	var part []byte
+func (s *lineSession) receiveLoop() {
+	var buffer []byte
 	for {
 		select {
-		case <-s.c.come:
-		case <-s.dead:
+		case <-s.conn.outputReady:
+		case <-s.closed:
 			return
 		}
-		for d := s.pausesFor(); d > 0; d = s.pausesFor() {
+		for d := s.pauseLeft(); d > 0; d = s.pauseLeft() {
 			select {
 			case <-time.After(d):
-			case <-s.dead:
+			case <-s.closed:
 				return
 			}
 		}
-		s.way()
+		s.waitLatency()
 		if !s.isConnected() {
 			return
 		}
-		ps, more := s.c.take()
-		for _, p := range ps {
-			part = append(part, p.b...)
-			for i := bytes.IndexByte(part, '\n'); i >= 0; i = bytes.IndexByte(part, '\n') {
+		chunks, more := s.conn.drain()
+		for _, chunk := range chunks {
+			buffer = append(buffer, chunk.data...)
+			for i := bytes.IndexByte(buffer, '\n'); i >= 0; i = bytes.IndexByte(buffer, '\n') {
 				select {
-				case <-s.dead:
+				case <-s.closed:
 					return
 				default:
 				}
-				s.receive(parseResponse(part[:i]), p.at)
-				part = part[i+1:]
+				s.onResponse(parseResponse(buffer[:i]), chunk.writtenAt)
+				buffer = buffer[i+1:]
 			}
 		}
 		if !more {
-			s.over()
-			s.cut()
+			s.onBroken()
+			s.disconnect()
 			return
 		}
 	}
@@ -184,8 +184,8 @@
 
 func (g *LineClients) endpoint(m *Machine) simclient.Endpoint {
 	return simclient.Endpoint{Address: m.Opts.ClientListen,
-		Connect: func(hear func(session.Response, time.Time), broken func()) simclient.Line {
-			if s := g.connect(m, false, hear, broken); s != nil {
+		Connect: func(onResponse func(session.Response, time.Time), onBroken func()) simclient.Line {
+			if s := g.connect(m, false, onResponse, onBroken); s != nil {
 				return s
 			}
 			return nil
@@ -194,32 +194,32 @@
 
 // connect opens a connection to a machine, nil where nobody takes it. A scripted one is never drawn
 // to rest, from its first moment on.
-func (g *LineClients) connect(m *Machine, scripted bool, hear func(session.Response, time.Time),
-	broken func()) *lineSession {
-	sv := m.services()
-	p, run := m.lines()
-	if p == nil || sv == nil {
+func (g *LineClients) connect(m *Machine, scripted bool, onResponse func(session.Response, time.Time),
+	onBroken func()) *lineSession {
+	services := m.services()
+	lines, run := m.currentLineServer()
+	if lines == nil || services == nil {
 		return nil
 	}
-	c := p.l.dial(newSocket(m, run))
-	if c == nil {
+	conn := lines.listener.dial(newSocket(m, run))
+	if conn == nil {
 		return nil
 	}
-	s := &lineSession{clients: g, m: m, run: run, c: c, receive: hear, over: broken, dead: make(chan struct{}),
-		more: make(chan struct{}, 1), scripted: scripted}
+	s := &lineSession{clients: g, machine: m, run: run, conn: conn, onResponse: onResponse, onBroken: onBroken, closed: make(chan struct{}),
+		outgoingReady: make(chan struct{}, 1), scripted: scripted}
 	g.mu.Lock()
-	g.entered++
-	s.n = g.entered
-	g.lines[s] = true
+	g.sessionCount++
+	s.number = g.sessionCount
+	g.sessions[s] = true
 	g.mu.Unlock()
-	go s.ask()
-	go s.listen()
+	go s.sendLoop()
+	go s.receiveLoop()
 	go func() {
 		select {
-		case <-sv.Gone:
-			broken()
-			s.cut()
-		case <-s.dead:
+		case <-services.Gone:
+			onBroken()
+			s.disconnect()
+		case <-s.closed:
 		}
 	}()
 	return s
@@ -235,10 +235,10 @@
 			continue
 		}
 		m.mu.Lock()
-		s, froz := m.ports, m.frozen != nil
+		services, frozen := m.serving, m.frozen != nil
 		m.mu.Unlock()
 		all = append(all, g.endpoint(m))
-		if s != nil && !froz && s.API.Ready() == nil {
+		if services != nil && !frozen && services.API.Ready() == nil {
 			ready = append(ready, g.endpoint(m))
 		}
 	}
@@ -250,10 +250,10 @@
 
 // Reset breaks a share of all visitors' connections.
 func (g *LineClients) Reset(share float64) {
-	g.world.note("visits reset")
-	for _, x := range g.clients {
-		if g.world.float() < share {
-			x.Move()
+	g.world.recordDisturbance("visits reset")
+	for _, client := range g.clients {
+		if g.world.randomFloat() < share {
+			client.Move()
 		}
 	}
 }
@@ -270,42 +270,42 @@
 }
 
 // StartLineClients lets n visitors in, who follow some of the load's topics each and send on two.
-func (w *World) StartLineClients(n int, l Load) *LineClients {
-	g := &LineClients{world: w, Checker: deliverycheck.New(w.Site.Timing.Keeping, 3*w.Site.Timing.Spread), Load: l,
-		lines: map[*lineSession]bool{}}
-	g.sending, g.quiet = context.WithCancel(w.ctx)
-	g.Rested = l.Rested
-	g.wg.Go(g.pause)
-	for i := range n {
+func (w *World) StartLineClients(count int, load Load) *LineClients {
+	clients := &LineClients{world: w, Checker: deliverycheck.New(w.Site.Timing.Keeping, 3*w.Site.Timing.Spread), Load: load,
+		sessions: map[*lineSession]bool{}}
+	clients.sendCtx, clients.stopSending = context.WithCancel(w.ctx)
+	clients.NoPauses = load.NoPauses
+	clients.wg.Go(clients.pauseClients)
+	for i := range count {
 		r := rand.New(rand.NewPCG(w.Seed, uint64(i)+1000))
-		x := &simclient.Client{Name: fmt.Sprintf("g%d", i), Habits: Habits(), Rand: r}
-		if l.Habits != nil {
-			l.Habits(&x.Habits)
+		client := &simclient.Client{Name: fmt.Sprintf("g%d", i), Habits: Habits(), Rand: r}
+		if load.Habits != nil {
+			load.Habits(&client.Habits)
 		}
-		for _, k := range r.Perm(l.Topics)[:min(l.Topics, 4+r.IntN(4))] {
-			x.Follow = append(x.Follow, simclient.Topic{Name: fmt.Sprintf("kept/t%d", k), Kept: true})
+		for _, k := range r.Perm(load.Topics)[:min(load.Topics, 4+r.IntN(4))] {
+			client.Follow = append(client.Follow, simclient.Topic{Name: fmt.Sprintf("kept/t%d", k), Kept: true})
 		}
-		if l.LiveTopics > 0 && i%2 == 0 {
-			t := fmt.Sprintf("live/l%d", r.IntN(l.LiveTopics))
-			x.Follow = append(x.Follow, simclient.Topic{Name: t})
-			x.Lanes = append(x.Lanes, simclient.Lane{Topic: t, Window: 1, Interval: 2 * l.Every})
+		if load.LiveTopics > 0 && i%2 == 0 {
+			t := fmt.Sprintf("live/l%d", r.IntN(load.LiveTopics))
+			client.Follow = append(client.Follow, simclient.Topic{Name: t})
+			client.Lanes = append(client.Lanes, simclient.Lane{Topic: t, Window: 1, Interval: 2 * load.SendInterval})
 		}
 		for k := range 2 {
 			width := 1
 			if i%4 == 0 && k == 0 {
 				width = 8
 			}
-			x.Lanes = append(x.Lanes, simclient.Lane{Topic: fmt.Sprintf("kept/t%d", (i+k*7)%max(1, l.Topics)),
-				Window: width, Interval: l.Every / time.Duration(width)})
+			client.Lanes = append(client.Lanes, simclient.Lane{Topic: fmt.Sprintf("kept/t%d", (i+k*7)%max(1, load.Topics)),
+				Window: width, Interval: load.SendInterval / time.Duration(width)})
 		}
-		x.Saved = func(t simclient.Topic) {
-			g.mu.Lock()
-			defer g.mu.Unlock()
-			g.saved = append(g.saved, t)
+		client.Saved = func(t simclient.Topic) {
+			clients.mu.Lock()
+			defer clients.mu.Unlock()
+			clients.savedCursors = append(clients.savedCursors, t)
 		}
-		g.enter(x)
+		clients.startClient(client)
 	}
-	return g
+	return clients
 }
 
 const (
@@ -314,76 +314,76 @@
 )
 
 // pause has one visitor after the other not read for a while, so that bytes wait for them.
-func (g *LineClients) pause() {
+func (g *LineClients) pauseClients() {
 	r := rand.New(rand.NewPCG(g.world.Seed, 31))
-	for (clock.Real{}).Sleep(g.sending, pauseInterval) == nil && !g.isPaused() {
-		g.draw(r)
+	for (clock.Real{}).Sleep(g.sendCtx, pauseInterval) == nil && !g.pausesDisabled() {
+		g.pauseOne(r)
 	}
 }
 
-func (g *LineClients) isPaused() bool {
+func (g *LineClients) pausesDisabled() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.Rested
+	return g.NoPauses
 }
 
-func (g *LineClients) draw(r *rand.Rand) {
+func (g *LineClients) pauseOne(r *rand.Rand) {
 	g.mu.Lock()
-	var ss []*lineSession
-	for s := range g.lines {
+	var sessions []*lineSession
+	for s := range g.sessions {
 		if !s.scripted {
-			ss = append(ss, s)
+			sessions = append(sessions, s)
 		}
 	}
 	g.mu.Unlock()
-	slices.SortFunc(ss, func(a, b *lineSession) int { return cmp.Compare(a.n, b.n) })
-	if len(ss) > 0 {
-		ss[r.IntN(len(ss))].Pause(time.Duration(r.Int64N(int64(maxPause))))
+	slices.SortFunc(sessions, func(a, b *lineSession) int { return cmp.Compare(a.number, b.number) })
+	if len(sessions) > 0 {
+		sessions[r.IntN(len(sessions))].Pause(time.Duration(r.Int64N(int64(maxPause))))
 	}
 }
 
-func (g *LineClients) enter(x *simclient.Client) {
-	x.Endpoints, x.Checker, x.Calm = g.Endpoints, g.Checker, g.Calm.Load
-	g.clients = append(g.clients, x)
-	g.wg.Go(func() { x.Run(g.world.ctx, g.sending) })
+func (g *LineClients) startClient(client *simclient.Client) {
+	client.Endpoints, client.Checker, client.Calm = g.Endpoints, g.Checker, g.Calm.Load
+	g.clients = append(g.clients, client)
+	g.wg.Go(func() { client.Run(g.world.ctx, g.sendCtx) })
 }
 
 // Late lets visitors in who take up cursors given to others since a moment.
-func (g *LineClients) Late(n int, since time.Time) {
+func (g *LineClients) StartLate(count int, since time.Time) {
 	g.mu.Lock()
-	var ts []simclient.Topic
-	for _, t := range g.saved {
-		if g.Ever || t.Given.After(since) {
-			ts = append(ts, t)
+	var cursors []simclient.Topic
+	for _, t := range g.savedCursors {
+		if g.AnyCursorAge || t.Given.After(since) {
+			cursors = append(cursors, t)
 		}
 	}
 	g.mu.Unlock()
-	h := Habits()
-	h.ChangeInterval, h.AwayInterval, h.CountInterval = 0, 0, 0
-	for i := range n {
-		x := &simclient.Client{Name: fmt.Sprintf("late%d", i), Habits: h,
+	habits := Habits()
+	habits.ChangeInterval, habits.AwayInterval, habits.CountInterval = 0, 0, 0
+	for i := range count {
+		client := &simclient.Client{Name: fmt.Sprintf("late%d", i), Habits: habits,
 			Rand: rand.New(rand.NewPCG(g.world.Seed, uint64(i)+5000))}
 		seen := map[string]bool{}
 		for range 5 {
-			if len(ts) == 0 {
+			if len(cursors) == 0 {
 				break
 			}
-			if t := ts[x.Rand.IntN(len(ts))]; !seen[t.Name] {
+			if t := cursors[client.Rand.IntN(len(cursors))]; !seen[t.Name] {
 				seen[t.Name] = true
-				x.Follow = append(x.Follow, t)
+				client.Follow = append(client.Follow, t)
 			}
 		}
-		if len(x.Follow) > 0 {
-			g.enter(x)
+		if len(client.Follow) > 0 {
+			g.startClient(client)
 		}
 	}
 }
 
 // RandomCallFaults draws what happens to each message of the exchange by which nodes follow topics.
-func RandomCallFaults(seed uint64, share float64) func(Point) CallFault {
+func RandomCallFaults(seed uint64, share float64) func(CallPoint) CallFault {
 	var mu sync.Mutex
 	r := rand.New(rand.NewPCG(seed, 77))
-	return func(p Point) CallFault {
+	return func(p CallPoint) CallFault {
 		if p.Path != router.Follow.Path && p.Path != router.Poll.Path {
 			return CallFault{}
 		}
--- a/internal/testing/sim/load_test.go
+++ b/internal/testing/sim/load_test.go
@@ -58,7 +58,7 @@
 	for seed := range uint64(seeds(1)) {
 		stand(t, s, 340+seed, func(t *testing.T, w *World) {
 			l := Load{Topics: 60, LiveTopics: 1}
-			_, err := w.Put("c1", l.Describe(0))
+			_, err := w.Put("c1", l.Configuration(0))
 			assert.NilError(t, err)
 			time.Sleep(w.Site.Timing.Spread)
 			hot := busiest(w)
@@ -76,7 +76,7 @@
 				tok := attach(t, w, "c2", fmt.Sprintf("v%d", i)).Token
 				w.wg.Go(func() {
 					for c := uint64(1); ctx.Err() == nil; {
-						if _, err := w.Port("a1").Send(ctx, tok, n, c, []byte(`"a message of some length"`)); err == nil {
+						if _, err := w.Transport("a1").Send(ctx, tok, n, c, []byte(`"a message of some length"`)); err == nil {
 							c++
 						}
 						time.Sleep(400 * time.Millisecond)
--- a/internal/testing/sim/losses_test.go
+++ b/internal/testing/sim/losses_test.go
@@ -9,9 +9,9 @@
 )
 
 // Wide is a site that bears two losses at once.
-var broad = func() Site {
+var twoLossSite = func() Site {
 	s := Armor
-	s.Control, s.Stores, s.ToleratedLosses = 5, 5, 2
+	s.Control, s.Storage, s.ToleratedLosses = 5, 5, 2
 	return s
 }()
 
@@ -20,7 +20,7 @@
 func TestTwoLossesAtOnce(t *testing.T) {
 	t.Parallel()
 	long(t)
-	play(t, broad, 31, broad.Timing.Recovery, func(t *testing.T, w *World) {
+	runScenario(t, twoLossSite, 31, twoLossSite.Timing.Recovery, func(t *testing.T, w *World) {
 		for _, r := range w.records() {
 			assert.Equal(t, len(r.Replicas), 5)
 		}
@@ -32,7 +32,7 @@
 			wg.Wait()
 			time.Sleep(2 * time.Second)
 			assert.NilError(t, w.Start(two...))
-			assert.NilError(t, w.WaitUntil(30*time.Second, "all is whole", w.whole))
+			assert.NilError(t, w.WaitUntil(30*time.Second, "all is whole", w.isFullyReplicated))
 		}
 	})
 }
@@ -44,7 +44,7 @@
 	s := Armor
 	s.ToleratedLosses = 2
 	stand(t, s, 32, func(t *testing.T, w *World) {
-		assert.NilError(t, w.WaitUntil(10*time.Second, "every partition has its copies", w.whole))
+		assert.NilError(t, w.WaitUntil(10*time.Second, "every partition has its copies", w.isFullyReplicated))
 		for p, r := range w.records() {
 			zones, stores := map[string]int{}, 0
 			for _, x := range r.Replicas {
--- a/internal/testing/sim/machine.go
+++ b/internal/testing/sim/machine.go
@@ -19,69 +19,69 @@
 // Machine is one simulated machine: a disk that outlives its processes, and a process that may run
 // on it.
 type Machine struct {
-	w    *World
-	Opts settings.Options
-	Disk *memlog.Disk
+	world *World
+	Opts  settings.Options
+	Disk  *memlog.Disk
 
 	mu           sync.Mutex
-	n            *node.Node
-	ports        *transport.Services
+	running      *node.Node
+	serving      *transport.Services
 	lineServer   *lineServer
 	run          int
 	frozen       chan struct{}
-	slow         time.Duration
+	sendDelay    time.Duration
 	diskSlowdown int
 	diskHangs    bool
-	broken       chan struct{}
-	dark         bool
-	away         bool
+	resetCh      chan struct{}
+	unpowered    bool
+	removed      bool
 }
 
-func (m *Machine) setAway(away bool) {
+func (m *Machine) setRemoved(removed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.away = away
+	m.removed = removed
 }
 
-func (m *Machine) isGone() bool {
+func (m *Machine) isRemoved() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.away
+	return m.removed
 }
 
-func (m *Machine) reset() <-chan struct{} {
+func (m *Machine) resetSignal() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.broken
+	return m.resetCh
 }
 
-func (m *Machine) isSilent() bool {
+func (m *Machine) isUnpowered() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.dark
+	return m.unpowered
 }
 
 func (m *Machine) losePower() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.dark = true
+	m.unpowered = true
 }
 
-func (m *Machine) snap() {
-	close(m.broken)
-	m.broken = make(chan struct{})
+func (m *Machine) resetConnections() {
+	close(m.resetCh)
+	m.resetCh = make(chan struct{})
 }
 
-func (m *Machine) gate() {
+func (m *Machine) waitWhileFrozen() {
 	m.mu.Lock()
-	f := m.frozen
+	thawed := m.frozen
 	m.mu.Unlock()
-	if f != nil {
-		<-f
+	if thawed != nil {
+		<-thawed
 	}
 }
 
-type machineClock struct{ m *Machine }
+type machineClock struct{ machine *Machine }
 
 // Now tells the time of the bubble.
 func (machineClock) Now() time.Time { return time.Now() }
@@ -92,60 +92,60 @@
 	defer t.Stop()
 	select {
 	case <-t.C:
-		c.m.gate()
+		c.machine.waitWhileFrozen()
 		return ctx.Err()
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-type gatedDisk struct {
+type processDisk struct {
 	journal.Log
-	m   *Machine
-	run int
+	machine *Machine
+	run     int
 }
 
-func (d gatedDisk) stale() bool {
-	d.m.mu.Lock()
-	defer d.m.mu.Unlock()
-	return d.m.run != d.run
+func (d processDisk) isStale() bool {
+	d.machine.mu.Lock()
+	defer d.machine.mu.Unlock()
+	return d.machine.run != d.run
 }
 
 // Write writes unless the process is gone.
-func (d gatedDisk) Write(first uint64, recs [][]byte) error {
-	d.m.gate()
-	if d.stale() {
+func (d processDisk) Write(first uint64, recs [][]byte) error {
+	d.machine.waitWhileFrozen()
+	if d.isStale() {
 		return errGone
 	}
 	return d.Log.Write(first, recs)
 }
 
 // Sync syncs unless the process is gone.
-func (d gatedDisk) Sync() error {
-	d.m.gate()
-	if d.stale() {
+func (d processDisk) Sync() error {
+	d.machine.waitWhileFrozen()
+	if d.isStale() {
 		return errGone
 	}
-	d.take()
-	d.m.gate()
-	if d.stale() {
+	d.waitForSync()
+	d.machine.waitWhileFrozen()
+	if d.isStale() {
 		return errGone
 	}
 	return d.Log.Sync()
 }
 
 // take waits as long as a sync takes, and while the disk hangs.
-func (d gatedDisk) take() {
-	drag, hung := d.m.diskDelay()
-	time.Sleep(max(syncDuration, d.m.w.Site.Sync) * time.Duration(max(1, drag)))
-	for ; hung && !d.stale(); _, hung = d.m.diskDelay() {
+func (d processDisk) waitForSync() {
+	slowdown, hangs := d.machine.diskDelay()
+	time.Sleep(max(syncDuration, d.machine.world.Site.Sync) * time.Duration(max(1, slowdown)))
+	for ; hangs && !d.isStale(); _, hangs = d.machine.diskDelay() {
 		time.Sleep(hangPollInterval)
 	}
 }
 
 // CutFront cuts unless the process is gone.
-func (d gatedDisk) CutFront(i uint64) error {
-	if d.stale() {
+func (d processDisk) CutFront(i uint64) error {
+	if d.isStale() {
 		return errGone
 	}
 	return d.Log.CutFront(i)
@@ -165,7 +165,7 @@
 func (m *Machine) node() (*node.Node, int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.n, m.run
+	return m.running, m.run
 }
 
 // Up tells whether a process runs.
@@ -177,7 +177,7 @@
 func (m *Machine) services() *transport.Services {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.ports
+	return m.serving
 }
 
 // Node gives the running process, nil when there is none.
@@ -188,70 +188,70 @@
 
 func (m *Machine) start() error {
 	m.mu.Lock()
-	if m.n != nil || m.away {
+	if m.running != nil || m.removed {
 		m.mu.Unlock()
 		return nil
 	}
 	m.run++
 	run := m.run
 	m.mu.Unlock()
-	w := node.Environment{Clock: machineClock{m}, Net: &endpoint{m.w, m, run},
-		OnDecision: func(p int, e uint64, what string, begun time.Time) {
-			m.w.History.Decide(history.Decision{Node: m.Opts.Name, Partition: p, Epoch: e, What: what, Begun: begun,
+	environment := node.Environment{Clock: machineClock{m}, Net: &endpoint{m.world, m, run},
+		OnDecision: func(partition int, epoch uint64, what string, begun time.Time) {
+			m.world.History.Decide(history.Decision{Node: m.Opts.Name, Partition: partition, Epoch: epoch, What: what, Begun: begun,
 				Acknowledged: time.Now()})
 		}}
 	if m.Opts.Disk != settings.DiskNone {
-		w.Disk = gatedDisk{m.Disk, m, run}
+		environment.Disk = processDisk{m.Disk, m, run}
 	}
-	n, err := node.Start(m.w.ctx, m.Opts, w, event.NewLogger(m.w.logger.With("node", m.Opts.Name)))
+	n, err := node.Start(m.world.ctx, m.Opts, environment, event.NewLogger(m.world.logger.With("node", m.Opts.Name)))
 	if err != nil {
 		return err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.dark {
-		m.dark = false
-		m.snap()
+	if m.unpowered {
+		m.unpowered = false
+		m.resetConnections()
 	}
-	m.n = n
-	m.ports = &transport.Services{Clients: n.Clients, API: n.API(), Gone: make(chan struct{})}
-	m.w.serve(m.Opts.PeerListen, m, run, n.PeerHandler())
-	m.w.History.Disturb("start", time.Now())
+	m.running = n
+	m.serving = &transport.Services{Clients: n.Clients, API: n.API(), Gone: make(chan struct{})}
+	m.world.registerListener(m.Opts.PeerListen, m, run, n.PeerHandler())
+	m.world.History.Disturb("start", time.Now())
 	return nil
 }
 
 func (m *Machine) kill() {
 	m.mu.Lock()
-	n := m.n
-	if m.ports != nil {
-		close(m.ports.Gone)
+	n := m.running
+	if m.serving != nil {
+		close(m.serving.Gone)
 	}
-	x := m.lineServer
-	m.n, m.ports, m.lineServer = nil, nil, nil
+	server := m.lineServer
+	m.running, m.serving, m.lineServer = nil, nil, nil
 	m.run++
-	if n != nil && !m.dark {
-		m.snap()
+	if n != nil && !m.unpowered {
+		m.resetConnections()
 	}
-	f := m.frozen
+	thawed := m.frozen
 	m.frozen = nil
 	m.mu.Unlock()
-	if f != nil {
-		close(f)
+	if thawed != nil {
+		close(thawed)
 	}
 	if n != nil {
 		n.Kill()
 	}
-	if x != nil {
-		go func() { _ = x.s.Close() }()
+	if server != nil {
+		go func() { _ = server.server.Close() }()
 	}
 }
 
 // lines gives what serves visits here, nil when no process runs.
-func (m *Machine) lines() (*lineServer, int) {
+func (m *Machine) currentLineServer() (*lineServer, int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.lineServer == nil && m.n != nil {
-		m.lineServer = m.opened(m.n)
+	if m.lineServer == nil && m.running != nil {
+		m.lineServer = m.newLineServer(m.running)
 	}
 	return m.lineServer, m.run
 }
--- a/internal/testing/sim/measure_marks_test.go
+++ b/internal/testing/sim/measure_marks_test.go
@@ -25,12 +25,12 @@
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
 		assert.NilError(t, w.WaitReady(20*time.Second))
-		l := Load{Topics: 24, LiveTopics: 4, Every: time.Second, Rested: true, Habits: func(h *simclient.Habits) {
+		l := Load{Topics: 24, LiveTopics: 4, SendInterval: time.Second, NoPauses: true, Habits: func(h *simclient.Habits) {
 			h.ChangeInterval, h.AwayInterval, h.CountInterval = 0, 0, 0
 			habits(h)
 		}}
 		w.load = l
-		_, err := w.Put("c1", l.Describe(0))
+		_, err := w.Put("c1", l.Configuration(0))
 		assert.NilError(t, err)
 		time.Sleep(w.Site.Timing.Spread)
 		g := w.StartLineClients(n, l)
@@ -40,8 +40,8 @@
 		to := time.Now()
 		time.Sleep(2 * time.Second)
 		f(w, g, from, to)
-		g.quiet()
-		w.stop()
+		g.stopSending()
+		w.cancel()
 		g.wg.Wait()
 	})
 }
--- a/internal/testing/sim/measure_test.go
+++ b/internal/testing/sim/measure_test.go
@@ -46,7 +46,7 @@
 				assert.NilError(t, w.Start(w.Names...))
 				assert.NilError(t, w.WaitReady(20*time.Second))
 				described(t, w)
-				w.Callers(load)
+				w.StartHTTPClients(load)
 				time.Sleep(40 * time.Second)
 				var taken, batches, items uint64
 				for _, v := range views(w) {
@@ -81,10 +81,10 @@
 				defer w.Close()
 				assert.NilError(t, w.Start(w.Names...))
 				assert.NilError(t, w.WaitReady(20*time.Second))
-				w.Lose(loss)
+				w.DropPackets(loss)
 				var ds []time.Duration
 				for base := range uint64(20) {
-					_, err := w.Put(w.Names[w.Int(len(w.Names))], load.Describe(base))
+					_, err := w.Put(w.Names[w.Int(len(w.Names))], load.Configuration(base))
 					assert.NilError(t, err)
 					at := time.Now()
 					for _, n := range w.Names {
@@ -119,7 +119,7 @@
 		{"stop in good order", func(w *World) { w.Terminate(busiest(w)) }},
 		{"cut off", func(w *World) { w.Isolate(busiest(w)) }},
 		{"freeze", func(w *World) { w.Freeze(busiest(w)) }},
-		{"emptied", func(w *World) { _ = w.askDrain(busiest(w)) }},
+		{"emptied", func(w *World) { _ = w.startDecommission(busiest(w)) }},
 	}
 	for _, x := range ways {
 		var ds []string
@@ -130,7 +130,7 @@
 				assert.NilError(t, w.Start(w.Names...))
 				assert.NilError(t, w.WaitReady(20*time.Second))
 				described(t, w)
-				w.Callers(load)
+				w.StartHTTPClients(load)
 				time.Sleep(8 * time.Second)
 				x.f(w)
 				time.Sleep(20 * time.Second)
@@ -154,9 +154,9 @@
 			assert.NilError(t, w.Start(w.Names...))
 			assert.NilError(t, w.WaitReady(20*time.Second))
 			time.Sleep(8 * time.Second)
-			before := w.Calls()
+			before := w.CallsByService()
 			time.Sleep(10 * time.Second)
-			t.Logf("%d nodes, %d partitions: %s", len(w.Names), s.Routine+s.Urgent, perSecond(before, w.Calls(), 10))
+			t.Logf("%d nodes, %d partitions: %s", len(w.Names), s.Routine+s.Urgent, perSecond(before, w.CallsByService(), 10))
 		})
 	}
 }
@@ -174,14 +174,14 @@
 			assert.NilError(t, w.WaitReady(20*time.Second))
 			described(t, w)
 			time.Sleep(5 * time.Second)
-			was, secs := w.Flows(), 10
+			was, secs := w.TrafficByPath(), 10
 			time.Sleep(time.Duration(secs) * time.Second)
-			var all Flow
+			var all Traffic
 			var ls []string
 			n := float64(secs * len(w.Names))
-			for k, f := range w.Flows() {
+			for k, f := range w.TrafficByPath() {
 				f.Calls, f.Bytes = f.Calls-was[k].Calls, f.Bytes-was[k].Bytes
-				all = Flow{all.Calls + f.Calls, all.Bytes + f.Bytes}
+				all = Traffic{all.Calls + f.Calls, all.Bytes + f.Bytes}
 				if f.Calls > 0 {
 					ls = append(ls, fmt.Sprintf("%9.0f B/s %6.2f/s %s", float64(f.Bytes)/n, float64(f.Calls)/n, k))
 				}
@@ -210,16 +210,16 @@
 			time.Sleep(time.Minute)
 			const puts = 20
 			during := func(f func(i uint64)) float64 {
-				was := w.Flows()[heartbeatPath].Bytes
+				was := w.TrafficByPath()[heartbeatPath].Bytes
 				for i := range uint64(puts) {
 					f(i)
 					time.Sleep(2 * time.Second)
 				}
-				return float64(w.Flows()[heartbeatPath].Bytes - was)
+				return float64(w.TrafficByPath()[heartbeatPath].Bytes - was)
 			}
 			calm := during(func(uint64) {})
 			busy := during(func(base uint64) {
-				_, err := w.Put(w.Names[w.Int(len(w.Names))], load.Describe(base))
+				_, err := w.Put(w.Names[w.Int(len(w.Names))], load.Configuration(base))
 				assert.NilError(t, err)
 			})
 			t.Logf("%d nodes: a description adds %.0f bytes to the heartbeats of each node", len(w.Names), (busy-calm)/puts/float64(len(w.Names)))
--- a/internal/testing/sim/network.go
+++ b/internal/testing/sim/network.go
@@ -18,22 +18,22 @@
 
 var errGone = apierror.New(apierror.Stopped, "the process is gone")
 
-type served struct {
-	m   *Machine
-	run int
-	h   http.Handler
+type listener struct {
+	machine *Machine
+	run     int
+	handler http.Handler
 }
 
-func (w *World) serve(addr string, m *Machine, run int, h http.Handler) {
+func (w *World) registerListener(addr string, m *Machine, run int, h http.Handler) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.addrs[addr] = served{m, run, h}
+	w.listeners[addr] = listener{m, run, h}
 }
 
-func (w *World) at(addr string) (served, bool) {
+func (w *World) listenerAt(addr string) (listener, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	s, ok := w.addrs[addr]
+	s, ok := w.listeners[addr]
 	return s, ok
 }
 
@@ -44,40 +44,40 @@
 }
 
 type endpoint struct {
-	w   *World
-	m   *Machine
-	run int
+	world   *World
+	machine *Machine
+	run     int
 }
 
 const retransmit = 200 * time.Millisecond
 
 // draw gives the next number of a link, which depends only on the seed, the link and how much it
 // has carried.
-func (w *World) draw(from, to *Machine) float64 {
+func (w *World) linkRandom(from, to *Machine) float64 {
 	k := [2]string{from.Opts.Name, to.Opts.Name}
 	w.mu.Lock()
-	w.hops[k]++
-	n := w.hops[k]
+	w.linkDraws[k]++
+	n := w.linkDraws[k]
 	w.mu.Unlock()
 	h := fnv.New64a()
 	_, _ = fmt.Fprintf(h, "%d %s %s %d", w.Seed, k[0], k[1], n)
 	return rand.New(rand.NewPCG(h.Sum64(), n)).Float64()
 }
 
-func (e *endpoint) hop(ctx context.Context, from, to *Machine) error {
-	w := e.w
+func (e *endpoint) transmit(ctx context.Context, from, to *Machine) error {
+	w := e.world
 	if w.isCut(from.Opts.Name, to.Opts.Name) && from != to {
 		<-ctx.Done()
 		return apierror.WithCause(apierror.Unreachable, ctx.Err(), "cut off")
 	}
-	d := w.Site.Latency/2 + time.Duration(w.draw(from, to)*float64(w.Site.Latency)/4)
+	d := w.Site.Latency/2 + time.Duration(w.linkRandom(from, to)*float64(w.Site.Latency)/4)
 	from.mu.Lock()
-	d += from.slow
+	d += from.sendDelay
 	from.mu.Unlock()
 	w.mu.Lock()
-	loss := w.loss
+	loss := w.lossRate
 	w.mu.Unlock()
-	for k := retransmit; w.draw(from, to) < loss; k *= 2 {
+	for k := retransmit; w.linkRandom(from, to) < loss; k *= 2 {
 		d += k
 	}
 	t := time.NewTimer(d)
@@ -92,7 +92,7 @@
 
 // waitInSilence waits as a call to a machine without power does: nothing is heard until the machine
 // is back and resets the connection.
-func waitInSilence(ctx context.Context, broken <-chan struct{}, m *Machine) error {
+func waitForReset(ctx context.Context, broken <-chan struct{}, m *Machine) error {
 	select {
 	case <-ctx.Done():
 		return apierror.WithCause(apierror.Unreachable, ctx.Err(), "nothing is heard from %s", m.Opts.Name)
@@ -101,105 +101,105 @@
 	}
 }
 
-func (e *endpoint) alive() bool {
-	_, run := e.m.node()
+func (e *endpoint) isAlive() bool {
+	_, run := e.machine.node()
 	return run == e.run
 }
 
 // Do carries a call to another machine and its answer back.
 func (e *endpoint) Do(r *http.Request) (*http.Response, error) {
-	e.m.gate()
-	b, err := io.ReadAll(r.Body)
+	e.machine.waitWhileFrozen()
+	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return nil, err
 	}
-	e.w.countRequest(r.URL.Path, len(b))
-	asked := time.Now()
-	s, ok := e.w.at(r.URL.Host)
-	if !ok || !e.alive() {
+	e.world.countRequest(r.URL.Path, len(body))
+	sentAt := time.Now()
+	target, ok := e.world.listenerAt(r.URL.Host)
+	if !ok || !e.isAlive() {
 		return nil, apierror.WithCause(apierror.Unreachable, syscall.ECONNREFUSED, "nobody listens at %s", r.URL.Host)
 	}
 	ctx := r.Context()
-	at := Point{From: e.m.Opts.Name, To: s.m.Opts.Name, Path: r.URL.Path, Stage: Asking, Body: b}
-	e.w.waitWhilePaused(ctx, at)
-	again := e.w.applyCallFault(ctx, at)
-	e.w.countParticipants(at)
-	if err := e.hop(ctx, e.m, s.m); err != nil {
+	point := CallPoint{From: e.machine.Opts.Name, To: target.machine.Opts.Name, Path: r.URL.Path, Stage: RequestStage, Body: body}
+	e.world.waitWhilePaused(ctx, point)
+	duplicateDelay := e.world.applyCallFault(ctx, point)
+	e.world.countParticipants(point)
+	if err := e.transmit(ctx, e.machine, target.machine); err != nil {
 		return nil, err
 	}
-	broken := s.m.reset()
-	if s.m.isSilent() {
-		return nil, waitInSilence(ctx, broken, s.m)
+	broken := target.machine.resetSignal()
+	if target.machine.isUnpowered() {
+		return nil, waitForReset(ctx, broken, target.machine)
 	}
-	if _, run := s.m.node(); run != s.run {
-		return nil, apierror.WithCause(apierror.Unreachable, syscall.ECONNREFUSED, "connection refused by %s", s.m.Opts.Name)
+	if _, run := target.machine.node(); run != target.run {
+		return nil, apierror.WithCause(apierror.Unreachable, syscall.ECONNREFUSED, "connection refused by %s", target.machine.Opts.Name)
 	}
-	type ans struct {
+	type outcome struct {
 		r   *http.Response
 		err error
 	}
-	c := make(chan ans, 1)
+	outcomes := make(chan outcome, 1)
 	serve := func(ctx context.Context) *httptest.ResponseRecorder {
-		q, _ := http.NewRequestWithContext(ctx, r.Method, r.URL.String(), bytes.NewReader(b))
-		q.Header = r.Header.Clone()
-		q.ContentLength = int64(len(b))
+		request, _ := http.NewRequestWithContext(ctx, r.Method, r.URL.String(), bytes.NewReader(body))
+		request.Header = r.Header.Clone()
+		request.ContentLength = int64(len(body))
 		rec := httptest.NewRecorder()
-		s.h.ServeHTTP(rec, q)
+		target.handler.ServeHTTP(rec, request)
 		return rec
 	}
-	if again > 0 {
-		go e.again(s, again, serve)
+	if duplicateDelay > 0 {
+		go e.sendDuplicate(target, duplicateDelay, serve)
 	}
 	go func() {
-		s.m.gate()
+		target.machine.waitWhileFrozen()
 		rec := serve(ctx)
-		s.m.gate()
-		if _, run := s.m.node(); run != s.run {
-			if s.m.isSilent() {
-				c <- ans{nil, waitInSilence(ctx, broken, s.m)}
+		target.machine.waitWhileFrozen()
+		if _, run := target.machine.node(); run != target.run {
+			if target.machine.isUnpowered() {
+				outcomes <- outcome{nil, waitForReset(ctx, broken, target.machine)}
 				return
 			}
-			c <- ans{nil, apierror.WithCause(apierror.Unreachable, syscall.ECONNRESET, "connection reset by %s", s.m.Opts.Name)}
+			outcomes <- outcome{nil, apierror.WithCause(apierror.Unreachable, syscall.ECONNRESET, "connection reset by %s", target.machine.Opts.Name)}
 			return
 		}
-		at.Stage = Answering
-		e.w.waitWhilePaused(ctx, at)
-		e.w.applyCallFault(ctx, at)
-		err := e.hop(ctx, s.m, e.m)
-		e.w.countResponse(r.URL.Path, rec.Body.Len())
-		c <- ans{rec.Result(), err}
+		point.Stage = ResponseStage
+		e.world.waitWhilePaused(ctx, point)
+		e.world.applyCallFault(ctx, point)
+		err := e.transmit(ctx, target.machine, e.machine)
+		e.world.countResponse(r.URL.Path, rec.Body.Len())
+		outcomes <- outcome{rec.Result(), err}
 	}()
 	select {
-	case <-e.m.reset():
-		return nil, apierror.New(apierror.Unreachable, "the connections of %s were reset", e.m.Opts.Name)
+	case <-e.machine.resetSignal():
+		return nil, apierror.New(apierror.Unreachable, "the connections of %s were reset", e.machine.Opts.Name)
 	case <-broken:
 		return nil, apierror.WithCause(apierror.Unreachable, syscall.ECONNRESET, "the connections of %s were reset",
-			s.m.Opts.Name)
-	case a := <-c:
-		e.m.gate()
-		if !e.alive() {
+			target.machine.Opts.Name)
+	case a := <-outcomes:
+		e.machine.waitWhileFrozen()
+		if !e.isAlive() {
 			return nil, errGone
 		}
 		if a.err == nil {
-			e.w.recordPromise(r.URL.Path, b, a.r, asked)
+			e.world.recordPromise(r.URL.Path, body, a.r, sentAt)
 		}
 		return a.r, a.err
 	case <-ctx.Done():
-		e.m.gate()
-		return nil, apierror.WithCause(apierror.Unreachable, ctx.Err(), "no answer from %s", s.m.Opts.Name)
+		e.machine.waitWhileFrozen()
+		return nil, apierror.WithCause(apierror.Unreachable, ctx.Err(), "no answer from %s", target.machine.Opts.Name)
 	}
 }
 
 // again delivers a call a second time, late; nobody hears its answer.
-func (e *endpoint) again(s served, late time.Duration, serve func(context.Context) *httptest.ResponseRecorder) {
-	if (clock.Real{}).Sleep(e.w.ctx, late) != nil {
+func (e *endpoint) sendDuplicate(target listener, delay time.Duration, serve func(context.Context) *httptest.ResponseRecorder) {
+	if (clock.Real{}).Sleep(e.world.ctx, delay) != nil {
 		return
 	}
-	s.m.gate()
-	if _, run := s.m.node(); run != s.run {
+	target.machine.waitWhileFrozen()
+	if _, run := target.machine.node(); run != target.run {
 		return
 	}
-	cx, stop := context.WithTimeout(e.w.ctx, e.w.Site.Timing.Recovery)
+	callCtx, stop := context.WithTimeout(e.world.ctx, e.world.Site.Timing.Recovery)
 	defer stop()
-	serve(cx)
+	serve(callCtx)
 }
--- a/internal/testing/sim/observe.go
+++ b/internal/testing/sim/observe.go
@@ -18,38 +18,38 @@
 
 // ask has a machine's process do something, and gives up after a time, as nothing is heard from a
 // frozen one.
-func (w *World) ask(n string, limit time.Duration, f func(ctx context.Context, x *node.Node) error) error {
-	x := w.Machines[n].Node()
-	if x == nil {
-		return apierror.New(apierror.Unreachable, "%s is down", n)
+func (w *World) callNode(name string, limit time.Duration, f func(ctx context.Context, x *node.Node) error) error {
+	process := w.Machines[name].Node()
+	if process == nil {
+		return apierror.New(apierror.Unreachable, "%s is down", name)
 	}
 	ctx, stop := context.WithTimeout(w.ctx, limit)
 	defer stop()
-	c := make(chan error, 1)
+	result := make(chan error, 1)
 	go func() {
-		w.Machines[n].gate()
-		c <- f(ctx, x)
+		w.Machines[name].waitWhileFrozen()
+		result <- f(ctx, process)
 	}()
 	select {
-	case err := <-c:
+	case err := <-result:
 		return err
 	case <-ctx.Done():
-		return apierror.New(apierror.Unreachable, "%s did not answer", n)
+		return apierror.New(apierror.Unreachable, "%s did not answer", name)
 	}
 }
 
-func (w *World) isDecommissioned(n string) func() bool {
+func (w *World) isDecommissioned(name string) func() bool {
 	return func() bool {
 		var done atomic.Bool
 		for _, k := range w.Names {
 			if k[0] == 'c' && !done.Load() {
-				_ = w.ask(k, w.Site.Timing.CallTimeout(), func(ctx context.Context, x *node.Node) error {
+				_ = w.callNode(k, w.Site.Timing.CallTimeout(), func(ctx context.Context, x *node.Node) error {
 					v, err := x.Operators.Client.Read(ctx, decommission.Key)
 					if err != nil {
 						return err
 					}
-					l, err := decommission.Parse(v.Body)
-					done.Store(err == nil && l[n].Done)
+					orders, err := decommission.Parse(v.Body)
+					done.Store(err == nil && orders[name].Done)
 					return err
 				})
 			}
@@ -59,37 +59,37 @@
 }
 
 // Port gives a machine as callers see it.
-func (w *World) Port(n string) transport.Transport {
-	return &transport.Direct{Node: w.Machines[n].services, Gate: w.Machines[n].gate}
+func (w *World) Transport(name string) transport.Transport {
+	return &transport.Direct{Node: w.Machines[name].services, Gate: w.Machines[name].waitWhileFrozen}
 }
 
 // Ports gives all machines whose process runs, as the platform's balancing would after asking for
 // readiness.
-func (w *World) Ports() []transport.Transport {
-	var ps []transport.Transport
+func (w *World) ReadyTransports() []transport.Transport {
+	var transports []transport.Transport
 	for _, n := range w.Names {
 		m := w.Machines[n]
 		m.mu.Lock()
-		ok := m.ports != nil && m.frozen == nil
-		s := m.ports
+		ok := m.serving != nil && m.frozen == nil
+		s := m.serving
 		m.mu.Unlock()
 		if ok && s.API.Ready() == nil {
-			ps = append(ps, w.Port(n))
+			transports = append(transports, w.Transport(n))
 		}
 	}
-	if len(ps) == 0 {
+	if len(transports) == 0 {
 		for _, n := range w.Names {
-			ps = append(ps, w.Port(n))
+			transports = append(transports, w.Transport(n))
 		}
 	}
-	return ps
+	return transports
 }
 
 // WaitReady waits until some node serves a description, at most limit.
 func (w *World) WaitReady(limit time.Duration) error {
 	return w.WaitUntil(limit, "the fleet serves", func() bool {
 		for _, m := range w.Machines {
-			if s := m.services(); !m.isGone() && (s == nil || s.API.Ready() != nil) {
+			if s := m.services(); !m.isRemoved() && (s == nil || s.API.Ready() != nil) {
 				return false
 			}
 		}
@@ -98,9 +98,9 @@
 }
 
 // WaitUntil waits for a condition.
-func (w *World) WaitUntil(limit time.Duration, what string, f func() bool) error {
+func (w *World) WaitUntil(limit time.Duration, what string, condition func() bool) error {
 	end := time.Now().Add(limit)
-	for !f() {
+	for !condition() {
 		if time.Now().After(end) {
 			return apierror.New(apierror.Internal, "not within %s: %s", limit, what)
 		}
@@ -110,24 +110,24 @@
 }
 
 // Quiet stops the senders and waits until callers have caught up.
-func (w *World) Quiet(wait time.Duration) time.Time {
-	w.sends()
+func (w *World) StopSending(wait time.Duration) time.Time {
+	w.stopSending()
 	at := time.Now()
 	time.Sleep(wait)
 	return at
 }
 
 // Put puts a description through a machine and notes the outcome.
-func (w *World) Put(n string, doc []byte) (uint64, error) {
+func (w *World) Put(name string, document []byte) (uint64, error) {
 	ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Recovery)
 	defer stop()
-	end := w.History.Begin(history.WaitPut, n, time.Now())
-	seq, err := w.Port(n).Put(ctx, doc)
+	end := w.History.Begin(history.WaitPut, name, time.Now())
+	seq, err := w.Transport(name).Put(ctx, document)
 	end(time.Now())
 	if err == nil {
-		var d configuration.Config
-		_ = json.Unmarshal(doc, &d)
-		w.History.AcceptConfiguration(d.Base, seq, string(doc), time.Now())
+		var parsed configuration.Config
+		_ = json.Unmarshal(document, &parsed)
+		w.History.AcceptConfiguration(parsed.Base, seq, string(document), time.Now())
 	}
 	return seq, err
 }
@@ -139,19 +139,19 @@
 			for _, n := range w.Names {
 				m := w.Machines[n]
 				m.mu.Lock()
-				s, run, froz := m.ports, m.run, m.frozen != nil
+				services, run, frozen := m.serving, m.run, m.frozen != nil
 				m.mu.Unlock()
-				if s == nil || froz {
+				if services == nil || frozen {
 					continue
 				}
-				b := s.API.Operators.Store
-				for p := range b.VoterSet().Layout.PartitionCount() {
-					for _, x := range b.Record(p).History {
-						w.History.Lead(p, x.Epoch, x.Leader)
+				records := services.API.Operators.Store
+				for p := range records.VoterSet().Layout.PartitionCount() {
+					for _, term := range records.Record(p).History {
+						w.History.Lead(p, term.Epoch, term.Leader)
 					}
 				}
-				if s.API.Ready() == nil {
-					w.History.Show(fmt.Sprintf("%s#%d", n, run), s.API.Operators.Store.Configuration().Sequence, time.Now(),
+				if services.API.Ready() == nil {
+					w.History.Show(fmt.Sprintf("%s#%d", n, run), services.API.Operators.Store.Configuration().Sequence, time.Now(),
 						w.Site.Timing.Spread)
 				}
 			}
--- a/internal/testing/sim/offer_test.go
+++ b/internal/testing/sim/offer_test.go
@@ -151,7 +151,7 @@
 func TestOfferedInOrder(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(4)) {
-		stand(t, siteOf(seed), 900+seed, func(t *testing.T, w *World) {
+		stand(t, siteForSeed(seed), 900+seed, func(t *testing.T, w *World) {
 			described(t, w)
 			w.Watch()
 			topics := []string{"kept/t0", "kept/t1", "kept/t2", "kept/t3"}
@@ -161,7 +161,7 @@
 				here[x] = true
 				parts[partition.Of(x, false, w.Machines["a1"].Node().VoterSet().Layout)] = true
 			}
-			many := func(x Point) bool { return x.Path == router.SubmitMany.Path }
+			many := func(x CallPoint) bool { return x.Path == router.SubmitMany.Path }
 			begun := time.Now()
 			ctx, stop := context.WithCancel(w.ctx)
 			var wg, open sync.WaitGroup
@@ -181,8 +181,8 @@
 				o := w.records()[partition.Of(topics[w.Int(len(topics))], false, w.Machines["a1"].Node().VoterSet().Layout)].Leader
 				switch plan[i%len(plan)] {
 				case 0:
-					end := w.InterceptCalls(func(x Point) CallFault {
-						if !many(x) || x.Stage != Asking || w.Int(3) > 0 {
+					end := w.InterceptCalls(func(x CallPoint) CallFault {
+						if !many(x) || x.Stage != RequestStage || w.Int(3) > 0 {
 							return CallFault{}
 						}
 						lates.Add(1)
@@ -191,14 +191,14 @@
 					time.Sleep(2 * time.Second)
 					end()
 				case 1:
-					release, hits := w.PauseCalls(func(x Point) bool { return many(x) && x.Stage == Answering && w.Int(2) == 0 })
+					release, hits := w.PauseCalls(func(x CallPoint) bool { return many(x) && x.Stage == ResponseStage && w.Int(2) == 0 })
 					time.Sleep(time.Duration(200+w.Int(1800)) * time.Millisecond)
 					release()
 					holds += hits()
 				case 2:
-					w.Lose(0.1)
+					w.DropPackets(0.1)
 					time.Sleep(2 * time.Second)
-					w.Lose(0)
+					w.DropPackets(0)
 				case 3:
 					if o != "" && w.Machines[o].Up() {
 						w.Kill(o)
--- a/internal/testing/sim/orders_test.go
+++ b/internal/testing/sim/orders_test.go
@@ -27,7 +27,7 @@
 		w.Watch()
 		var taken [][]byte
 		for n := range uint64(6) {
-			doc := load.Numbered(2*n, 2*n+2, fmt.Sprint("order ", n))
+			doc := load.NumberedConfiguration(2*n, 2*n+2, fmt.Sprint("order ", n))
 			_, err := w.Put(w.Names[w.Int(len(w.Names))], doc)
 			assert.NilError(t, err)
 			taken = append(taken, doc)
@@ -36,7 +36,7 @@
 				assert.NilError(t, err, "order %d after order %d", k, n)
 				assert.Equal(t, seq, uint64(2*k+2))
 			}
-			_, err = w.Put(w.Names[w.Int(len(w.Names))], load.Numbered(2*n, 2*n+2, "another of the same number"))
+			_, err = w.Put(w.Names[w.Int(len(w.Names))], load.NumberedConfiguration(2*n, 2*n+2, "another of the same number"))
 			assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationConflict), "%v", err)
 		}
 		got, err := w.Machines["s1"].Node().Operators.CurrentConfiguration(w.ctx)
@@ -49,8 +49,8 @@
 // power.
 func TestAcceptedOrdersOutliveEveryVoter(t *testing.T) {
 	t.Parallel()
-	stand(t, spared(Armor, "c1", "c2", "c3"), 322, func(t *testing.T, w *World) {
-		first, second := load.Numbered(0, 3, "first"), load.Numbered(3, 4, "second")
+	stand(t, withSpares(Armor, "c1", "c2", "c3"), 322, func(t *testing.T, w *World) {
+		first, second := load.NumberedConfiguration(0, 3, "first"), load.NumberedConfiguration(3, 4, "second")
 		for _, doc := range [][]byte{first, second} {
 			_, err := w.Put("a1", doc)
 			assert.NilError(t, err)
@@ -79,7 +79,7 @@
 			assert.NilError(t, err, "through %s", n)
 			assert.Equal(t, seq, uint64(3))
 		}
-		_, err := w.Put("a1", load.Numbered(0, 3, "other"))
+		_, err := w.Put("a1", load.NumberedConfiguration(0, 3, "other"))
 		assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationConflict), "%v", err)
 	})
 }
@@ -113,7 +113,7 @@
 func (o *simulatedOperator) read() (orders.Order, bool) {
 	var got orders.Order
 	call := time.Now()
-	err := o.w.ask(o.node(), patience, func(ctx context.Context, n *node.Node) error {
+	err := o.w.callNode(o.node(), patience, func(ctx context.Context, n *node.Node) error {
 		d, err := n.Operators.CurrentConfiguration(ctx)
 		got = orders.Order{Base: d.Base, Sequence: d.Sequence, ID: d.Source}
 		return err
@@ -131,8 +131,8 @@
 // send sends an order once. An answer that is lost on its way is none.
 func (o *simulatedOperator) send(x orders.Order) orders.Outcome {
 	call := time.Now()
-	doc := load.Numbered(x.Base, x.Sequence, x.ID)
-	err := o.w.ask(o.node(), patience, func(ctx context.Context, n *node.Node) error {
+	doc := load.NumberedConfiguration(x.Base, x.Sequence, x.ID)
+	err := o.w.callNode(o.node(), patience, func(ctx context.Context, n *node.Node) error {
 		d, err := configuration.Parse(doc)
 		if err != nil {
 			return err
@@ -234,7 +234,7 @@
 	for seed := range uint64(seeds(8)) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			h := operated(t, siteOf(seed), 900+seed, 60*time.Second)
+			h := operated(t, siteForSeed(seed), 900+seed, 60*time.Second)
 			n := h.Count()
 			assert.Assert(t, n[orders.Acknowledged] > 10 && n[orders.Refused] > 3 && n[orders.Unclear] > 20, "void: %v", n)
 			assert.Assert(t, h.Linearizable(), "%v", n)
@@ -282,7 +282,7 @@
 	t.Parallel()
 	stand(t, Armor, 323, func(t *testing.T, w *World) {
 		for n := range uint64(2) {
-			_, err := w.Put("a1", load.Numbered(n, n+1, "old"))
+			_, err := w.Put("a1", load.NumberedConfiguration(n, n+1, "old"))
 			assert.NilError(t, err)
 		}
 		op := w.Machines["c1"].Node().Operators
@@ -293,11 +293,11 @@
 		assert.NilError(t, json.Unmarshal(v.Body, &d))
 		_, err = op.Client.Change(w.ctx, "description", v.Version, "an older build", v.Body)
 		assert.NilError(t, err)
-		_, err = w.Put("c2", load.Numbered(1, 2, "old"))
+		_, err = w.Put("c2", load.NumberedConfiguration(1, 2, "old"))
 		assert.NilError(t, err, "the current one is known")
-		_, err = w.Put("c2", load.Numbered(0, 1, "old"))
+		_, err = w.Put("c2", load.NumberedConfiguration(0, 1, "old"))
 		assert.Assert(t, apierror.HasCode(err, apierror.OutcomeUnknown), "%v", err)
-		_, err = w.Put("c2", load.Numbered(1, 2, "other"))
+		_, err = w.Put("c2", load.NumberedConfiguration(1, 2, "other"))
 		assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationConflict), "%v", err)
 	})
 }
--- a/internal/testing/sim/owner_test.go
+++ b/internal/testing/sim/owner_test.go
@@ -19,17 +19,17 @@
 )
 
 func (w *World) records() []assignment.Record {
-	b := w.Machines["a1"].Node().Store
-	var rs []assignment.Record
-	for p := range b.VoterSet().Layout.PartitionCount() {
-		rs = append(rs, w.storied(b.Record(p)))
+	store := w.Machines["a1"].Node().Store
+	var records []assignment.Record
+	for p := range store.VoterSet().Layout.PartitionCount() {
+		records = append(records, w.withHistory(store.Record(p)))
 	}
-	return rs
+	return records
 }
 
 // storied gives a record as a node without a disk has it the history that those with one know of
 // the very same writing.
-func (w *World) storied(r assignment.Record) assignment.Record {
+func (w *World) withHistory(r assignment.Record) assignment.Record {
 	for _, m := range w.Machines {
 		n := m.Node()
 		if n == nil || m.Opts.Disk == settings.DiskNone {
@@ -47,39 +47,39 @@
 // way no epoch is used again, and what it did not own stays as it is.
 func TestUsedEpochIsNeverUsedAgainAndSuccessorsTakeOverInOrder(t *testing.T) {
 	t.Parallel()
-	for away, kept := range map[time.Duration]bool{30 * time.Millisecond: true, 600 * time.Millisecond: false} {
-		t.Run(away.String(), func(t *testing.T) {
+	for downtime, keepsLeadership := range map[time.Duration]bool{30 * time.Millisecond: true, 600 * time.Millisecond: false} {
+		t.Run(downtime.String(), func(t *testing.T) {
 			t.Parallel()
-			play(t, Armor, 21, Armor.Timing.Recovery/2, func(t *testing.T, w *World) {
-				o := busiest(w)
+			runScenario(t, Armor, 21, Armor.Timing.Recovery/2, func(t *testing.T, w *World) {
+				leader := busiest(w)
 				before := w.records()
-				w.Kill(o)
-				time.Sleep(away)
-				assert.NilError(t, w.Start(o))
+				w.Kill(leader)
+				time.Sleep(downtime)
+				assert.NilError(t, w.Start(leader))
 				time.Sleep(6 * time.Second)
 				for p, r := range w.records() {
-					if before[p].Leader != o {
+					if before[p].Leader != leader {
 						assert.Equal(t, r.Leader, before[p].Leader, "partition %d moved", p)
 						assert.Equal(t, r.Epoch, before[p].Epoch)
 						continue
 					}
 					assert.Equal(t, r.Epoch, before[p].Epoch+1)
-					successor, why := o, "came back"
-					if !kept {
-						successor, why = before[p].Successors(func(assignment.Replica) int { return 0 })[0].Node, "the owner is gone: "+failuredetector.Refused
+					successor, reason := leader, "came back"
+					if !keepsLeadership {
+						successor, reason = before[p].Successors(func(assignment.Replica) int { return 0 })[0].Node, "the owner is gone: "+failuredetector.Refused
 					}
 					assert.Equal(t, r.Leader, successor, "partition %d", p)
 					last := r.History[len(r.History)-1]
-					assert.Assert(t, strings.Contains(last.Reason, why), last.Reason)
+					assert.Assert(t, strings.Contains(last.Reason, reason), last.Reason)
 				}
 			})
 		})
 	}
 }
 
-func attach(t *testing.T, w *World, n, name string) client.Attachment {
+func attach(t *testing.T, w *World, node, name string) client.Attachment {
 	t.Helper()
-	a, err := w.Port(n).Attach(w.ctx, name)
+	a, err := w.Transport(node).Attach(w.ctx, name)
 	assert.NilError(t, err)
 	return a
 }
@@ -90,9 +90,9 @@
 		described(t, w)
 		old := attach(t, w, "a1", "v")
 		now := attach(t, w, "c1", "v")
-		_, err := w.Port("c2").Send(w.ctx, old.Token, "kept/t0", 1, []byte(`1`))
+		_, err := w.Transport("c2").Send(w.ctx, old.Token, "kept/t0", 1, []byte(`1`))
 		assert.Assert(t, apierror.HasCode(err, apierror.TokenFenced), "%v", err)
-		_, err = w.Port("c2").Send(w.ctx, now.Token, "kept/t0", 1, []byte(`1`))
+		_, err = w.Transport("c2").Send(w.ctx, now.Token, "kept/t0", 1, []byte(`1`))
 		assert.NilError(t, err)
 		n := w.Machines["a1"].Node()
 		p := partition.Of("kept/t0", false, n.VoterSet().Layout)
@@ -102,11 +102,11 @@
 }
 
 // follow gives the calls received on topics within d, and the last cursor.
-func follow(w *World, n, token, cursor string, topics []string, d time.Duration) (calls []uint64, last string, end error) {
-	ctx, stop := context.WithTimeout(w.ctx, d)
+func follow(w *World, node, token, cursor string, topics []string, limit time.Duration) (calls []uint64, last string, end error) {
+	ctx, stop := context.WithTimeout(w.ctx, limit)
 	defer stop()
 	last = cursor
-	err := w.Port(n).Follow(ctx, token, topics, cursor, func(l client.Event) error {
+	err := w.Transport(node).Follow(ctx, token, topics, cursor, func(l client.Event) error {
 		last = l.Cursor
 		if l.Topic != "" {
 			calls = append(calls, l.CallSeq)
@@ -129,11 +129,11 @@
 		v, s := attach(t, w, "a1", "listener"), attach(t, w, "c1", "sender")
 		topics := []string{"kept/t0"}
 		_, cursor, _ := follow(w, "a1", v.Token, "", topics, time.Second)
-		away := cursor
+		firstCursor := cursor
 		n := uint64(0)
 		for range 34 {
 			n++
-			_, err := w.Port("c2").Send(w.ctx, s.Token, "kept/t0", n, []byte(fmt.Sprint(n)))
+			_, err := w.Transport("c2").Send(w.ctx, s.Token, "kept/t0", n, []byte(fmt.Sprint(n)))
 			assert.NilError(t, err)
 			if n == 10 || n == 20 {
 				o := w.records()[partition.Of("kept/t0", false, w.Machines["a1"].Node().VoterSet().Layout)].Leader
@@ -143,18 +143,18 @@
 			}
 			time.Sleep(700 * time.Millisecond)
 		}
-		calls, cursor, _ := follow(w, "c3", v.Token, away, topics, 2*time.Second)
+		calls, cursor, _ := follow(w, "c3", v.Token, firstCursor, topics, 2*time.Second)
 		assert.Equal(t, len(calls), 34, "%v", calls)
 		again, _, _ := follow(w, "a1", v.Token, cursor, topics, 2*time.Second)
 		assert.Equal(t, len(again), 0, "%v twice", again)
 		time.Sleep(w.Site.Timing.Retention() + 10*time.Second)
 		for n < 40 {
 			n++
-			_, err := w.Port("c2").Send(w.ctx, s.Token, "kept/t0", n, []byte(fmt.Sprint(n)))
+			_, err := w.Transport("c2").Send(w.ctx, s.Token, "kept/t0", n, []byte(fmt.Sprint(n)))
 			assert.NilError(t, err)
 		}
 		time.Sleep(5 * time.Second)
-		_, _, err := follow(w, "c3", v.Token, away, topics, 2*time.Second)
+		_, _, err := follow(w, "c3", v.Token, firstCursor, topics, 2*time.Second)
 		assert.Assert(t, apierror.HasCode(err, apierror.CursorExpired), "an expired cursor must be told, not skipped: %v", err)
 	})
 }
@@ -164,7 +164,7 @@
 func TestFencedLeaderAndFollowerDecideNothing(t *testing.T) {
 	t.Parallel()
 	long(t)
-	play(t, Traductores, 24, Traductores.Timing.Recovery, func(_ *testing.T, w *World) {
+	runScenario(t, Traductores, 24, Traductores.Timing.Recovery, func(_ *testing.T, w *World) {
 		for range 2 {
 			o := busiest(w)
 			for _, n := range w.Names {
--- a/internal/testing/sim/points_test.go
+++ b/internal/testing/sim/points_test.go
@@ -47,7 +47,7 @@
 			}
 		}
 		if at, err := w.current("c1"); err == nil {
-			_, _ = w.Put("c1", load.Describe(at))
+			_, _ = w.Put("c1", load.Configuration(at))
 		}
 		return false
 	}))
@@ -57,35 +57,35 @@
 func (w *World) current(n string) (uint64, error) {
 	ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Recovery)
 	defer stop()
-	return w.Port(n).Get(ctx)
+	return w.Transport(n).Get(ctx)
 }
 
 // deciding tells whether a call asks a voter to accept a description.
-func deciding(x Point) bool {
+func deciding(x CallPoint) bool {
 	var q acceptor.AcceptRequest
 	return x.Path == acceptor.Accept.Path && wire.Unmarshal(x.Body, &q) == nil && q.Key == quorumread.ConfigurationKey
 }
 
-func on(path, stage string) func(x Point) bool {
-	return func(x Point) bool { return x.Path == path && x.Stage == stage }
+func on(path, stage string) func(x CallPoint) bool {
+	return func(x CallPoint) bool { return x.Path == path && x.Stage == stage }
 }
 
-func owning(f func(x Point) bool) func(who string, x Point) bool {
-	return func(who string, x Point) bool { return x.From == who && f(x) }
+func owning(f func(x CallPoint) bool) func(who string, x CallPoint) bool {
+	return func(who string, x CallPoint) bool { return x.From == who && f(x) }
 }
 
-func serving(f func(x Point) bool) func(who string, x Point) bool {
-	return func(who string, x Point) bool { return x.To == who && f(x) }
+func serving(f func(x CallPoint) bool) func(who string, x CallPoint) bool {
+	return func(who string, x CallPoint) bool { return x.To == who && f(x) }
 }
 
 var placementKey = []byte(controller.Key)
 
-func appending(x Point) (replica.AppendRequest, bool) {
+func appending(x CallPoint) (replica.AppendRequest, bool) {
 	var q replica.AppendRequest
 	return q, x.Path == replica.Append.Path && wire.Unmarshal(x.Body, &q) == nil
 }
 
-func late(x Point) bool {
+func late(x CallPoint) bool {
 	q, ok := appending(x)
 	return ok && q.Kind == log.KindChangelog
 }
@@ -96,25 +96,25 @@
 	restart bool
 	arrive  bool
 	control bool
-	at      func(who string, x Point) bool
+	at      func(who string, x CallPoint) bool
 }{
-	"judged, not appended":        {at: owning(on(replica.Append.Path, Asking))},
-	"appended, answers under way": {at: owning(on(replica.Append.Path, Answering))},
-	"sealing, not adopted": {restart: true, at: owning(func(x Point) bool {
-		return (x.Path == replica.Append.Path || x.Path == replica.Fetch.Path) && x.Stage == Asking
+	"judged, not appended":        {at: owning(on(replica.Append.Path, RequestStage))},
+	"appended, answers under way": {at: owning(on(replica.Append.Path, ResponseStage))},
+	"sealing, not adopted": {restart: true, at: owning(func(x CallPoint) bool {
+		return (x.Path == replica.Append.Path || x.Path == replica.Fetch.Path) && x.Stage == RequestStage
 	})},
-	"sealed, answers under way": {restart: true, at: owning(on(replica.Seal.Path, Answering))},
-	"batch, not offset": {at: owning(func(x Point) bool {
-		return x.Stage == Answering && late(x)
+	"sealed, answers under way": {restart: true, at: owning(on(replica.Seal.Path, ResponseStage))},
+	"batch, not offset": {at: owning(func(x CallPoint) bool {
+		return x.Stage == ResponseStage && late(x)
 	})},
-	"copy synced, not answered":   {at: serving(on(replica.Append.Path, Answering))},
-	"taken, not told":             {at: serving(on(router.Submit.Path, Answering))},
-	"vouched, not told":           {at: serving(on(router.ReadAttachment.Path, Answering))},
-	"attached, not told":          {arrive: true, at: serving(on(router.Attach.Path, Answering))},
-	"promised, not accepted":      {control: true, at: owning(on(acceptor.Accept.Path, Asking))},
-	"accepted, answers under way": {control: true, at: owning(on(acceptor.Accept.Path, Answering))},
-	"voter synced, not answered": {control: true, at: serving(func(x Point) bool {
-		return x.Stage == Answering && (x.Path == acceptor.Accept.Path || x.Path == acceptor.Promise.Path) && !bytes.Contains(x.Body, placementKey)
+	"copy synced, not answered":   {at: serving(on(replica.Append.Path, ResponseStage))},
+	"taken, not told":             {at: serving(on(router.Submit.Path, ResponseStage))},
+	"vouched, not told":           {at: serving(on(router.ReadAttachment.Path, ResponseStage))},
+	"attached, not told":          {arrive: true, at: serving(on(router.Attach.Path, ResponseStage))},
+	"promised, not accepted":      {control: true, at: owning(on(acceptor.Accept.Path, RequestStage))},
+	"accepted, answers under way": {control: true, at: owning(on(acceptor.Accept.Path, ResponseStage))},
+	"voter synced, not answered": {control: true, at: serving(func(x CallPoint) bool {
+		return x.Stage == ResponseStage && (x.Path == acceptor.Accept.Path || x.Path == acceptor.Promise.Path) && !bytes.Contains(x.Body, placementKey)
 	})},
 }
 
@@ -124,7 +124,7 @@
 			t.Parallel()
 			long(t)
 			for seed := range uint64(seeds(2)) {
-				play(t, siteOf(seed), 200+seed, time.Hour, func(t *testing.T, w *World) {
+				runScenario(t, siteForSeed(seed), 200+seed, time.Hour, func(t *testing.T, w *World) {
 					for range 2 {
 						who, base := busiest(w), uint64(0)
 						var decided atomic.Int64
@@ -135,7 +135,7 @@
 							w.Kill(who)
 							time.Sleep(30 * time.Millisecond)
 						}
-						release, hits := w.PauseCalls(func(x Point) bool {
+						release, hits := w.PauseCalls(func(x CallPoint) bool {
 							if !p.at(who, x) {
 								return false
 							}
@@ -148,23 +148,23 @@
 							assert.NilError(t, w.Start(who))
 							assert.NilError(t, w.WaitUntil(10*time.Second, "void: nothing was held at "+name, func() bool { return hits() > 0 }))
 						}
-						lapse, _ := w.PauseCalls(func(x Point) bool {
+						lapse, _ := w.PauseCalls(func(x CallPoint) bool {
 							return x.From == who && strings.Contains(x.Path, "Member/Pulse") || x.From == who && strings.Contains(x.Path, "Member/Sessions") || x.To == who && strings.Contains(x.Path, "Member/Sessions")
 						})
 						if p.arrive {
-							w.Arrive(4)
+							w.AddClients(4)
 						}
 						if p.control {
-							_, _ = w.Put(who, load.Describe(base))
+							_, _ = w.Put(who, load.Configuration(base))
 						}
-						w.Move(0.5)
-						time.Sleep(w.span(60, 80))
+						w.MoveClients(0.5)
+						time.Sleep(w.randomTenths(60, 80))
 						assert.Assert(t, hits() > 0, "void: nothing was held at %q", name)
 						assert.Assert(t, !p.control || decided.Load() > 0, "void: no decision on the description was held at %q, %s was to make it", name, who)
 						release()
 						time.Sleep(time.Duration(w.Int(400)) * time.Millisecond)
 						lapse()
-						time.Sleep(w.span(30, 60))
+						time.Sleep(w.randomTenths(30, 60))
 					}
 				})
 			}
@@ -182,11 +182,11 @@
 				t.Parallel()
 				long(t)
 				for seed := range uint64(seeds(2)) {
-					play(t, siteOf(seed), 220+seed, time.Hour, func(t *testing.T, w *World) {
-						assert.NilError(t, w.WaitUntil(30*time.Second, "every copy and seat is in place", w.whole))
+					runScenario(t, siteForSeed(seed), 220+seed, time.Hour, func(t *testing.T, w *World) {
+						assert.NilError(t, w.WaitUntil(30*time.Second, "every copy and seat is in place", w.isFullyReplicated))
 						found := make(chan string, 1)
-						release, _ := w.PauseCalls(func(x Point) bool {
-							if x.Path != path || x.Stage != Answering || x.From == x.To {
+						release, _ := w.PauseCalls(func(x CallPoint) bool {
+							if x.Path != path || x.Stage != ResponseStage || x.From == x.To {
 								return false
 							}
 							select {
@@ -203,7 +203,7 @@
 						case "promised":
 							w.Terminate(w.leaderOf(controller.Key))
 						case "accepted":
-							go func() { _, _ = w.Put("a1", load.Describe(1)) }()
+							go func() { _, _ = w.Put("a1", load.Configuration(1)) }()
 						}
 						var x string
 						select {
@@ -213,7 +213,7 @@
 						}
 						w.Wipe(x)
 						release()
-						time.Sleep(w.span(0, 40))
+						time.Sleep(w.randomTenths(0, 40))
 						var down []string
 						for _, n := range w.Names {
 							if !w.Machines[n].Up() {
@@ -222,7 +222,7 @@
 						}
 						assert.Assert(t, slices.Contains(down, x))
 						assert.NilError(t, w.Start(down...))
-						assert.NilError(t, w.WaitUntil(90*time.Second, "the wiped disk is repaired", w.whole))
+						assert.NilError(t, w.WaitUntil(90*time.Second, "the wiped disk is repaired", w.isFullyReplicated))
 					})
 				}
 			})
--- a/internal/testing/sim/promises.go
+++ b/internal/testing/sim/promises.go
@@ -13,7 +13,7 @@
 	"postjunction/internal/wire"
 )
 
-type promiseReader func(w *World, q []byte, a []byte, asked time.Time)
+type promiseReader func(w *World, request []byte, response []byte, sentAt time.Time)
 
 var promiseReaders = map[string]promiseReader{
 	replica.Seal.Path:     readReplicaPromise,
@@ -29,36 +29,36 @@
 	Problem *apierror.Error `json:"p"`
 }
 
-func isAccepted(a []byte) bool {
-	var x callResponse
-	return wire.Unmarshal(a, &x) == nil && x.Problem == nil && x.Body != nil && (x.Body.OK == nil || *x.Body.OK)
+func isAccepted(response []byte) bool {
+	var parsed callResponse
+	return wire.Unmarshal(response, &parsed) == nil && parsed.Problem == nil && parsed.Body != nil && (parsed.Body.OK == nil || *parsed.Body.OK)
 }
 
-func readReplicaPromise(w *World, q, a []byte, asked time.Time) {
-	var t replica.Target
-	if wire.Unmarshal(q, &t) == nil && isAccepted(a) {
-		w.History.Promise(t.Incarnation, "partition "+string(rune('0'+t.Partition)), history.Rank{Number: t.Epoch},
-			asked, time.Now())
+func readReplicaPromise(w *World, request, response []byte, sentAt time.Time) {
+	var target replica.Target
+	if wire.Unmarshal(request, &target) == nil && isAccepted(response) {
+		w.History.Promise(target.Incarnation, "partition "+string(rune('0'+target.Partition)), history.Rank{Number: target.Epoch},
+			sentAt, time.Now())
 	}
 }
 
-func readVoterPromise(w *World, q, a []byte, asked time.Time) {
-	var t acceptor.PromiseRequest
-	if wire.Unmarshal(q, &t) == nil && isAccepted(a) {
-		w.History.Promise(t.Incarnation, "key "+t.Key+" under voter set "+string(rune('0'+t.VoterSet)),
-			history.Rank{Number: t.Epoch.Number, Node: t.Epoch.Node}, asked, time.Now())
+func readVoterPromise(w *World, request, response []byte, sentAt time.Time) {
+	var promise acceptor.PromiseRequest
+	if wire.Unmarshal(request, &promise) == nil && isAccepted(response) {
+		w.History.Promise(promise.Incarnation, "key "+promise.Key+" under voter set "+string(rune('0'+promise.VoterSet)),
+			history.Rank{Number: promise.Epoch.Number, Node: promise.Epoch.Node}, sentAt, time.Now())
 	}
 }
 
 // recordPromise reads what a disk promised out of an answer between machines.
-func (w *World) recordPromise(path string, q []byte, r *http.Response, asked time.Time) {
-	f, ok := promiseReaders[path]
+func (w *World) recordPromise(path string, request []byte, response *http.Response, sentAt time.Time) {
+	read, ok := promiseReaders[path]
 	if !ok {
 		return
 	}
-	b, err := io.ReadAll(r.Body)
-	r.Body = io.NopCloser(bytes.NewReader(b))
+	body, err := io.ReadAll(response.Body)
+	response.Body = io.NopCloser(bytes.NewReader(body))
 	if err == nil {
-		f(w, q, b, asked)
+		read(w, request, body, sentAt)
 	}
 }
--- a/internal/testing/sim/renumber_test.go
+++ b/internal/testing/sim/renumber_test.go
@@ -13,11 +13,11 @@
 func TestSend_MessageUnderANewNumberIsDeliveredOnce(t *testing.T) {
 	t.Parallel()
 	long(t)
-	load := Load{Topics: 24, LiveTopics: 4, Every: 400 * time.Millisecond}
+	load := Load{Topics: 24, LiveTopics: 4, SendInterval: 400 * time.Millisecond}
 	for seed := range uint64(seeds(2)) {
 		tally := entertain(t, hall, 1100+seed, load, 24, func(t *testing.T, w *World, _ *LineClients) {
 			for range 3 {
-				time.Sleep(w.span(20, 40))
+				time.Sleep(w.randomTenths(20, 40))
 				stores := w.namesOf("s")
 				for _, name := range stores {
 					w.Kill(name)
--- a/internal/testing/sim/repair_test.go
+++ b/internal/testing/sim/repair_test.go
@@ -9,17 +9,17 @@
 )
 
 // busy is a site as the platform runs it, with all partitions, and a load near its usual one.
-var busy = func() Site {
+var platformSite = func() Site {
 	s := Armor
 	s.Control, s.Access, s.Routine, s.Urgent = 4, 2, 12, 4
 	return s
 }()
 
-var busyLoad = Load{Callers: 44, Topics: 30, LiveTopics: 2, Leads: 2, Every: 200 * time.Millisecond}
+var platformLoad = Load{HTTPClients: 44, Topics: 30, LiveTopics: 2, UrgentSenders: 2, SendInterval: 200 * time.Millisecond}
 
 // copied tells whether every partition has all its copies on disks of processes that run, and is
 // settled.
-func (w *World) copied() bool {
+func (w *World) allReplicasComplete() bool {
 	ref := w.Machines["a1"].Node()
 	l := ref.VoterSet().Layout
 	for p := range l.PartitionCount() {
@@ -41,28 +41,28 @@
 func TestEmptyDisksAreFilledSoon(t *testing.T) {
 	t.Parallel()
 	long(t)
-	for _, away := range []time.Duration{500 * time.Millisecond, 4 * time.Second} {
-		t.Run(away.String(), func(t *testing.T) {
+	for _, downtime := range []time.Duration{500 * time.Millisecond, 4 * time.Second} {
+		t.Run(downtime.String(), func(t *testing.T) {
 			t.Parallel()
-			stand(t, busy, 50, func(t *testing.T, w *World) {
-				_, err := w.Put("c1", busyLoad.Describe(0))
+			stand(t, platformSite, 50, func(t *testing.T, w *World) {
+				_, err := w.Put("c1", platformLoad.Configuration(0))
 				assert.NilError(t, err)
 				time.Sleep(w.Site.Timing.Spread)
-				w.Callers(busyLoad)
+				w.StartHTTPClients(platformLoad)
 				time.Sleep(40 * time.Second)
 				for _, n := range []string{"s1", busiest(w), "c1"} {
 					w.Wipe(n)
-					time.Sleep(away)
+					time.Sleep(downtime)
 					assert.NilError(t, w.Start(n))
 					at := time.Now()
-					assert.NilError(t, w.WaitUntil(10*time.Second, "all copies are whole", w.copied))
+					assert.NilError(t, w.WaitUntil(10*time.Second, "all copies are whole", w.allReplicasComplete))
 					copies := time.Since(at)
 					assert.NilError(t, w.WaitUntil(10*time.Second, "all seats are taken", w.allNodesAreVoters))
 					t.Logf("%s: copies whole %s after its return, seats after %s", n, copies, time.Since(at))
 					assert.Check(t, time.Since(at) < 2500*time.Millisecond, n)
 					time.Sleep(4 * time.Second)
 				}
-				w.Quiet(time.Second)
+				w.StopSending(time.Second)
 			})
 		})
 	}
@@ -72,20 +72,20 @@
 func TestDecommissioningIsSoonDone(t *testing.T) {
 	t.Parallel()
 	long(t)
-	stand(t, busy, 51, func(t *testing.T, w *World) {
-		_, err := w.Put("c1", busyLoad.Describe(0))
+	stand(t, platformSite, 51, func(t *testing.T, w *World) {
+		_, err := w.Put("c1", platformLoad.Configuration(0))
 		assert.NilError(t, err)
 		time.Sleep(w.Site.Timing.Spread)
-		w.Callers(busyLoad)
+		w.StartHTTPClients(platformLoad)
 		time.Sleep(20 * time.Second)
 		at := time.Now()
-		assert.NilError(t, w.askDrain("s1"))
-		assert.NilError(t, w.WaitUntil(20*time.Second, "s1 is empty", w.drained("s1")))
+		assert.NilError(t, w.startDecommission("s1"))
+		assert.NilError(t, w.WaitUntil(20*time.Second, "s1 is empty", w.decommissionDone("s1")))
 		t.Logf("empty after %s", time.Since(at))
 		assert.Check(t, time.Since(at) < 4*time.Second)
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, w.holdings("s1"), 0, "an emptied machine was given copies again")
-		w.Quiet(time.Second)
+		assert.Equal(t, w.replicaCount("s1"), 0, "an emptied machine was given copies again")
+		w.StopSending(time.Second)
 	})
 }
 
@@ -93,15 +93,15 @@
 func TestDecommissioningAStoreThatIsDown(t *testing.T) {
 	t.Parallel()
 	stand(t, Armor, 52, func(t *testing.T, w *World) {
-		assert.NilError(t, w.WaitUntil(10*time.Second, "every partition has its copies", w.copied))
+		assert.NilError(t, w.WaitUntil(10*time.Second, "every partition has its copies", w.allReplicasComplete))
 		w.Kill("s2")
 		time.Sleep(4 * time.Second)
 		at := time.Now()
-		assert.NilError(t, w.askDrain("s2"))
-		assert.NilError(t, w.WaitUntil(10*time.Second, "s2 is empty", w.drained("s2")))
+		assert.NilError(t, w.startDecommission("s2"))
+		assert.NilError(t, w.WaitUntil(10*time.Second, "s2 is empty", w.decommissionDone("s2")))
 		t.Logf("empty after %s", time.Since(at))
-		assert.Equal(t, w.registered(t, "s2"), 0)
-		assert.NilError(t, w.WaitUntil(w.Site.Timing.Spread, "everybody knows that s2 is empty", func() bool { return w.holdings("s2") == 0 }))
+		assert.Equal(t, w.committedReplicaCount(t, "s2"), 0)
+		assert.NilError(t, w.WaitUntil(w.Site.Timing.Spread, "everybody knows that s2 is empty", func() bool { return w.replicaCount("s2") == 0 }))
 	})
 }
 
@@ -110,7 +110,7 @@
 func TestEmptyStoreStaysEmpty(t *testing.T) {
 	t.Parallel()
 	s := Armor
-	s.Stores = 4
+	s.Storage = 4
 	synctest.Test(t, func(t *testing.T) {
 		w := New(s, 53, Logger())
 		defer w.Close()
@@ -119,13 +119,13 @@
 				assert.NilError(t, w.Start(n))
 			}
 		}
-		assert.NilError(t, w.WaitUntil(10*time.Second, "every partition has its copies", func() bool { return w.holdings("s1") > 0 && w.copied() }))
+		assert.NilError(t, w.WaitUntil(10*time.Second, "every partition has its copies", func() bool { return w.replicaCount("s1") > 0 && w.allReplicasComplete() }))
 		assert.NilError(t, w.Start("s4"))
 		time.Sleep(time.Second)
-		assert.NilError(t, w.askDrain("s4"))
-		assert.NilError(t, w.WaitUntil(w.Site.Timing.SessionTimeout(), "s4 is empty and the records are fenced", w.drained("s4")))
+		assert.NilError(t, w.startDecommission("s4"))
+		assert.NilError(t, w.WaitUntil(w.Site.Timing.SessionTimeout(), "s4 is empty and the records are fenced", w.decommissionDone("s4")))
 		w.Kill("s2")
-		assert.NilError(t, w.WaitUntil(w.Site.Timing.ReplacementDelay()+10*time.Second, "the small disks have the copies", func() bool { return w.holdings("s2") == 0 && w.copied() }))
-		assert.Equal(t, w.holdings("s4"), 0)
+		assert.NilError(t, w.WaitUntil(w.Site.Timing.ReplacementDelay()+10*time.Second, "the small disks have the copies", func() bool { return w.replicaCount("s2") == 0 && w.allReplicasComplete() }))
+		assert.Equal(t, w.replicaCount("s4"), 0)
 	})
 }
--- a/internal/testing/sim/replace_test.go
+++ b/internal/testing/sim/replace_test.go
@@ -9,18 +9,18 @@
 	"gotest.tools/v3/assert"
 )
 
-func spared(s Site, ns ...string) Site {
-	s.Spares = ns
-	return s
+func withSpares(site Site, names ...string) Site {
+	site.Spares = names
+	return site
 }
 
 // wipedWhileAllLosePower has a machine lose its disk and all others their power in one instant;
 // then all come back.
-func wipedWhileAllLosePower(t *testing.T, w *World, n string) {
+func wipeWhileOthersLosePower(t *testing.T, w *World, wiped string) {
 	t.Helper()
-	w.Wipe(n)
+	w.Wipe(wiped)
 	for _, k := range w.Present() {
-		if k != n {
+		if k != wiped {
 			w.LosePower(k, w.Int(2) == 0)
 		}
 	}
@@ -37,12 +37,12 @@
 	for _, s := range []Site{Armor, Traductores} {
 		for _, how := range []string{"asked", "lost", "planned"} {
 			for seed := range uint64(seeds(2)) {
-				t.Run(fmt.Sprintf("%d stores, %s, seed %d", s.Stores, how, seed), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%d stores, %s, seed %d", s.Storage, how, seed), func(t *testing.T) {
 					t.Parallel()
-					play(t, spared(s, "s2"), 700+seed, s.Timing.Recovery, func(t *testing.T, w *World) {
+					runScenario(t, withSpares(s, "s2"), 700+seed, s.Timing.Recovery, func(t *testing.T, w *World) {
 						if how == "planned" {
 							assert.NilError(t, w.Add("s2b"))
-							time.Sleep(w.span(10, 20))
+							time.Sleep(w.randomTenths(10, 20))
 						}
 						w.Remove("s2", how != "lost")
 						if how != "planned" {
@@ -59,7 +59,7 @@
 						for p, r := range w.records() {
 							assert.Assert(t, !r.Includes("s2"), "partition %d still names what is gone: %v", p, r.Replicas)
 						}
-						wipedWhileAllLosePower(t, w, "s1")
+						wipeWhileOthersLosePower(t, w, "s1")
 						time.Sleep(s.Timing.Recovery)
 					})
 				})
@@ -73,12 +73,12 @@
 	t.Parallel()
 	long(t)
 	for seed := range uint64(seeds(8)) {
-		away := time.Second + time.Duration(seed%2)*1600*time.Millisecond
-		play(t, spared(Armor, "s2"), 715+seed, Armor.Timing.Recovery, func(t *testing.T, w *World) {
+		downtime := time.Second + time.Duration(seed%2)*1600*time.Millisecond
+		runScenario(t, withSpares(Armor, "s2"), 715+seed, Armor.Timing.Recovery, func(t *testing.T, w *World) {
 			assert.NilError(t, w.Add("s2b"))
 			time.Sleep(Armor.Timing.Recovery / 2)
 			w.Kill("s3")
-			time.Sleep(away)
+			time.Sleep(downtime)
 			assert.NilError(t, w.Start("s3"))
 			time.Sleep(Armor.Timing.Recovery / 2)
 			for p, r := range w.records() {
@@ -94,7 +94,7 @@
 	t.Parallel()
 	long(t)
 	for _, s := range []Site{Armor, Traductores} {
-		play(t, spared(s, "s2"), 710, s.Timing.Recovery, func(t *testing.T, w *World) {
+		runScenario(t, withSpares(s, "s2"), 710, s.Timing.Recovery, func(t *testing.T, w *World) {
 			before := w.records()
 			w.LosePower("s2", true)
 			time.Sleep(s.Timing.Recovery / 3)
@@ -109,9 +109,9 @@
 	}
 }
 
-func (w *World) seated(n string) []string {
+func (w *World) voterNames(node string) []string {
 	var ns []string
-	for _, x := range w.Machines[n].Node().VoterSet().Voters {
+	for _, x := range w.Machines[node].Node().VoterSet().Voters {
 		ns = append(ns, x.Node)
 	}
 	return ns
@@ -130,10 +130,10 @@
 				for _, out := range []string{"c1", "c2"} {
 					t.Run(fmt.Sprintf("%s of %d voters, %s, seed %d", out, s.Control, how, seed), func(t *testing.T) {
 						t.Parallel()
-						play(t, spared(s, out), 720+seed, s.Timing.Recovery, func(t *testing.T, w *World) {
+						runScenario(t, withSpares(s, out), 720+seed, s.Timing.Recovery, func(t *testing.T, w *World) {
 							if how == "planned" {
 								assert.NilError(t, w.Add(out+"b"))
-								time.Sleep(w.span(10, 20))
+								time.Sleep(w.randomTenths(10, 20))
 							}
 							w.Remove(out, how != "lost")
 							if how != "planned" {
@@ -141,12 +141,12 @@
 								assert.NilError(t, w.Add(out+"b"))
 							}
 							time.Sleep(4 * time.Second)
-							ns := w.seated("c3")
+							ns := w.voterNames("c3")
 							assert.Assert(t, len(ns) == s.Control && !slices.Contains(ns, out) && slices.Contains(ns, out+"b"), "the seats are %v", ns)
-							wipedWhileAllLosePower(t, w, "c3")
+							wipeWhileOthersLosePower(t, w, "c3")
 							time.Sleep(s.Timing.Recovery)
-							assert.NilError(t, w.readBack("a1", time.Now()))
-							assert.Assert(t, len(w.seated("a1")) == s.Control, "the seats are %v", w.seated("a1"))
+							assert.NilError(t, w.readBackConfiguration("a1", time.Now()))
+							assert.Assert(t, len(w.voterNames("a1")) == s.Control, "the seats are %v", w.voterNames("a1"))
 						})
 					})
 				}
@@ -161,18 +161,18 @@
 	t.Parallel()
 	long(t)
 	for seed := range uint64(seeds(3)) {
-		play(t, spared(Traductores, "c2"), 740+seed, Traductores.Timing.Recovery, func(t *testing.T, w *World) {
+		runScenario(t, withSpares(Traductores, "c2"), 740+seed, Traductores.Timing.Recovery, func(t *testing.T, w *World) {
 			w.LosePower("c2", true)
-			time.Sleep(w.span(5, 15))
+			time.Sleep(w.randomTenths(5, 15))
 			assert.NilError(t, w.Add("c2b"))
-			time.Sleep(w.span(0, 10))
+			time.Sleep(w.randomTenths(0, 10))
 			w.Terminate("c3")
 			time.Sleep(time.Second)
 			assert.NilError(t, w.Start("c3"))
-			time.Sleep(w.span(10, 30))
+			time.Sleep(w.randomTenths(10, 30))
 			assert.NilError(t, w.Start("c2"))
 			time.Sleep(w.Site.Timing.Recovery / 2)
-			ns := w.seated("c1")
+			ns := w.voterNames("c1")
 			for _, n := range []string{"c1", "c2", "c2b", "c3", "c4"} {
 				assert.Assert(t, slices.Contains(ns, n), "the seats are %v", ns)
 			}
@@ -181,7 +181,7 @@
 			time.Sleep(w.Site.Timing.Recovery / 6)
 			assert.NilError(t, w.Start("c1"))
 			time.Sleep(w.Site.Timing.Recovery / 2)
-			assert.NilError(t, w.readBack("c1", time.Now()))
+			assert.NilError(t, w.readBackConfiguration("c1", time.Now()))
 		})
 	}
 }
--- a/internal/testing/sim/restart_test.go
+++ b/internal/testing/sim/restart_test.go
@@ -20,17 +20,17 @@
 func TestWholeFleetIsBackWellInsideTheBound(t *testing.T) {
 	t.Parallel()
 	long(t)
-	var most time.Duration
+	var longest time.Duration
 	for seed := range uint64(seeds(12)) {
-		stand(t, siteOf(seed), 80+seed, func(t *testing.T, w *World) {
+		stand(t, siteForSeed(seed), 80+seed, func(t *testing.T, w *World) {
 			described(t, w)
 			for i := range w.Site.Control {
 				c := fmt.Sprintf("c%d", i+1)
 				if m := w.Machines[c]; !m.Node().IsPlacementController() && w.Int(2) == 0 {
-					w.promiseAlone(t, c, controller.Key, epoch.Epoch{Number: 50 + uint64(i), Node: c})
+					w.promiseLocally(t, c, controller.Key, epoch.Epoch{Number: 50 + uint64(i), Node: c})
 				}
 			}
-			tok := attach(t, w, "c1", "v").Token
+			token := attach(t, w, "c1", "v").Token
 			for _, n := range w.Names {
 				w.LosePower(n, w.Int(2) == 0)
 			}
@@ -41,34 +41,34 @@
 				err := error(nil)
 				for ok := false; !ok && time.Since(at) < w.Site.Timing.Recovery; ok = err == nil {
 					ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Spread)
-					r, err = w.Port("a1").Send(ctx, tok, fmt.Sprintf("kept/t%d", i), 1, []byte(`"back"`))
+					r, err = w.Transport("a1").Send(ctx, token, fmt.Sprintf("kept/t%d", i), 1, []byte(`"back"`))
 					stop()
 					time.Sleep(w.Site.Timing.HeartbeatInterval() / 3)
 				}
 				assert.NilError(t, err, "seed %d: topic %d", seed, i)
 				_ = r
 			}
-			most = max(most, time.Since(at))
+			longest = max(longest, time.Since(at))
 			assert.Assert(t, time.Since(at) < w.Site.Timing.Recovery*2/5, "seed %d: back after %s", seed, time.Since(at))
 		})
 	}
-	t.Logf("back after at most %s", most)
+	t.Logf("back after at most %s", longest)
 }
 
 // promiseAlone leaves a control node's promise to itself on its own disk only, as a claim does that
 // found nobody else.
-func (w *World) promiseAlone(t *testing.T, c, key string, e epoch.Epoch) {
+func (w *World) promiseLocally(t *testing.T, name, key string, promised epoch.Epoch) {
 	t.Helper()
-	m := w.Machines[c]
+	m := w.Machines[name]
 	_, run := m.node()
-	r := m.Node().VoterSet()
-	a, err := acceptor.Promise.Call(w.ctx, &endpoint{w, m, run}, c, m.Opts.PeerListen, &acceptor.PromiseRequest{Target: acceptor.Target{VoterSet: r.Sequence, Incarnation: m.Node().Info().Incarnation, Key: key}, Epoch: e})
+	voters := m.Node().VoterSet()
+	response, err := acceptor.Promise.Call(w.ctx, &endpoint{w, m, run}, name, m.Opts.PeerListen, &acceptor.PromiseRequest{Target: acceptor.Target{VoterSet: voters.Sequence, Incarnation: m.Node().Info().Incarnation, Key: key}, Epoch: promised})
 	assert.NilError(t, err)
-	assert.Assert(t, a.Granted)
+	assert.Assert(t, response.Granted)
 }
 
-func (w *World) span(lo, hi int) time.Duration {
-	return time.Duration(lo+w.Int(hi-lo)) * 100 * time.Millisecond
+func (w *World) randomTenths(low, high int) time.Duration {
+	return time.Duration(low+w.Int(high-low)) * 100 * time.Millisecond
 }
 
 // Control nodes that asked whomever they took for the holder to take the duty once passed it to and
@@ -80,7 +80,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			w := New(Traductores, 140+seed, Logger())
 			defer w.Close()
-			w.Lose(0.08)
+			w.DropPackets(0.08)
 			assert.NilError(t, w.Start(w.Names...))
 			time.Sleep(8 * time.Second)
 			leaders := map[string]bool{}
--- a/internal/testing/sim/retire_test.go
+++ b/internal/testing/sim/retire_test.go
@@ -17,17 +17,17 @@
 )
 
 // emptying asks a node how far the emptying of a machine is.
-func (w *World) emptying(at, n string) (decommission.Order, error) {
-	var x decommission.Order
-	err := w.ask(at, w.Site.Timing.CallTimeout(), func(ctx context.Context, k *node.Node) error {
+func (w *World) decommissionStatus(through, name string) (decommission.Order, error) {
+	var order decommission.Order
+	err := w.callNode(through, w.Site.Timing.CallTimeout(), func(ctx context.Context, k *node.Node) error {
 		var e error
-		x, e = k.Operators.DecommissionStatus(ctx, n)
+		order, e = k.Operators.DecommissionStatus(ctx, name)
 		return e
 	})
 	if err != nil {
 		return decommission.Order{}, err // a call that was given up on may still write x
 	}
-	return x, nil
+	return order, nil
 }
 
 // An emptied machine is restarted again and again before it is taken away: its order stays done
@@ -39,29 +39,29 @@
 	for seed := range uint64(seeds(4)) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			s := siteOf(seed)
-			play(t, s, 390+seed, s.Timing.Recovery, func(t *testing.T, w *World) {
+			s := siteForSeed(seed)
+			runScenario(t, s, 390+seed, s.Timing.Recovery, func(t *testing.T, w *World) {
 				o := busiest(w)
-				assert.NilError(t, w.askDrain(o))
-				assert.NilError(t, w.WaitUntil(60*time.Second, o+" is empty", w.drained(o)))
+				assert.NilError(t, w.startDecommission(o))
+				assert.NilError(t, w.WaitUntil(60*time.Second, o+" is empty", w.decommissionDone(o)))
 				for k := range 4 {
 					if k == 1 {
 						w.Wipe(o)
 					} else {
 						w.Kill(o)
 					}
-					time.Sleep(w.span(1, 3))
+					time.Sleep(w.randomTenths(1, 3))
 					assert.NilError(t, w.Start(o))
-					time.Sleep(w.span(4, 6))
+					time.Sleep(w.randomTenths(4, 6))
 					for _, n := range w.Names {
-						x, err := w.emptying(n, o)
+						x, err := w.decommissionStatus(n, o)
 						assert.NilError(t, err, "asked at %s", n)
 						assert.Assert(t, x.Done, "asked at %s: %+v", n, x)
 					}
-					assert.Equal(t, w.registered(t, o), 0, "something moved back to %s", o)
+					assert.Equal(t, w.committedReplicaCount(t, o), 0, "something moved back to %s", o)
 				}
 				w.Remove(o, false)
-				wipedWhileAllLosePower(t, w, busiestOf(w, w.Present()))
+				wipeWhileOthersLosePower(t, w, busiestOf(w, w.Present()))
 				time.Sleep(s.Timing.Recovery)
 			})
 		})
@@ -83,22 +83,22 @@
 	for seed := range uint64(seeds(6)) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			s := siteOf(seed)
-			play(t, s, 396+seed, s.Timing.Recovery, func(t *testing.T, w *World) {
+			s := siteForSeed(seed)
+			runScenario(t, s, 396+seed, s.Timing.Recovery, func(t *testing.T, w *World) {
 				o := busiest(w)
-				assert.NilError(t, w.askDrain(o))
-				time.Sleep(w.span(0, 2))
+				assert.NilError(t, w.startDecommission(o))
+				time.Sleep(w.randomTenths(0, 2))
 				if seed%3 == 0 {
 					w.Wipe(o)
 				} else {
 					w.Kill(o)
 				}
-				time.Sleep(w.span(0, 3))
+				time.Sleep(w.randomTenths(0, 3))
 				assert.NilError(t, w.Start(o))
-				assert.NilError(t, w.WaitUntil(60*time.Second, o+" is empty", w.drained(o)))
-				assert.Equal(t, w.registered(t, o), 0)
-				time.Sleep(w.span(1, 8))
-				assert.Equal(t, w.registered(t, o), 0)
+				assert.NilError(t, w.WaitUntil(60*time.Second, o+" is empty", w.decommissionDone(o)))
+				assert.Equal(t, w.committedReplicaCount(t, o), 0)
+				time.Sleep(w.randomTenths(1, 8))
+				assert.Equal(t, w.committedReplicaCount(t, o), 0)
 			})
 		})
 	}
@@ -123,8 +123,8 @@
 			before = append(before, read(p))
 		}
 		o := busiest(w)
-		assert.NilError(t, w.askDrain(o))
-		assert.NilError(t, w.WaitUntil(60*time.Second, o+" is empty", w.drained(o)))
+		assert.NilError(t, w.startDecommission(o))
+		assert.NilError(t, w.WaitUntil(60*time.Second, o+" is empty", w.decommissionDone(o)))
 		others := 0
 		for p, r := range before {
 			if !r.Includes(o) {
@@ -144,8 +144,8 @@
 func TestACutNodeGivesNoFinalAnswers(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(4)) {
-		stand(t, siteOf(seed), 402+seed, func(t *testing.T, w *World) {
-			_, err := w.Put("a1", load.Describe(0))
+		stand(t, siteForSeed(seed), 402+seed, func(t *testing.T, w *World) {
+			_, err := w.Put("a1", load.Configuration(0))
 			assert.NilError(t, err)
 			cut := []string{"c1", "a1"}[seed/2%2]
 			other := "c2"
@@ -153,28 +153,28 @@
 			for range 20 {
 				time.Sleep(time.Second)
 				for _, n := range []string{"nobody", "s1", "c1", "a1"} {
-					_, err := w.emptying(cut, n)
-					assert.Assert(t, unclear(err), "the emptying of %s: %v", n, err)
-					err = w.ask(cut, 2*w.Site.Timing.CallTimeout(), func(ctx context.Context, k *node.Node) error {
+					_, err := w.decommissionStatus(cut, n)
+					assert.Assert(t, isNotFinal(err), "the emptying of %s: %v", n, err)
+					err = w.callNode(cut, 2*w.Site.Timing.CallTimeout(), func(ctx context.Context, k *node.Node) error {
 						_, err := k.Operators.Decommission(ctx, n)
 						return err
 					})
-					assert.Assert(t, unclear(err), "to empty %s: %v", n, err)
+					assert.Assert(t, isNotFinal(err), "to empty %s: %v", n, err)
 				}
-				_, err := w.Put(cut, load.Describe(1))
-				assert.Assert(t, unclear(err), "an order: %v", err)
-				err = w.ask(cut, 2*w.Site.Timing.CallTimeout(), func(ctx context.Context, k *node.Node) error {
+				_, err := w.Put(cut, load.Configuration(1))
+				assert.Assert(t, isNotFinal(err), "an order: %v", err)
+				err = w.callNode(cut, 2*w.Site.Timing.CallTimeout(), func(ctx context.Context, k *node.Node) error {
 					_, err := k.Operators.CurrentConfiguration(ctx)
 					return err
 				})
-				assert.Assert(t, unclear(err), "a read: %v", err)
+				assert.Assert(t, isNotFinal(err), "a read: %v", err)
 			}
-			_, err = w.emptying(other, "nobody")
+			_, err = w.decommissionStatus(other, "nobody")
 			assert.Assert(t, apierror.HasCode(err, apierror.UnknownNode), "%v", err)
 			w.Heal()
 			time.Sleep(w.Site.Timing.SessionTimeout())
 			for _, n := range w.Names {
-				_, err := w.emptying(n, "s1")
+				_, err := w.decommissionStatus(n, "s1")
 				assert.Assert(t, apierror.HasCode(err, apierror.UnknownNode), "%v", err)
 			}
 		})
@@ -182,17 +182,17 @@
 }
 
 // final are the problems that end an operator's call for good.
-var final = []apierror.Code{apierror.UnknownNode, apierror.DecommissionUnsafe, apierror.AlreadyEmpty, apierror.ConfigurationConflict, apierror.ConfigurationInvalid, apierror.ConfigurationMissing}
+var finalCodes = []apierror.Code{apierror.UnknownNode, apierror.DecommissionUnsafe, apierror.AlreadyEmpty, apierror.ConfigurationConflict, apierror.ConfigurationInvalid, apierror.ConfigurationMissing}
 
-func unclear(err error) bool {
-	return err != nil && !slices.ContainsFunc(final, func(k apierror.Code) bool { return apierror.HasCode(err, k) })
+func isNotFinal(err error) bool {
+	return err != nil && !slices.ContainsFunc(finalCodes, func(k apierror.Code) bool { return apierror.HasCode(err, k) })
 }
 
 // A machine that joined a moment ago is known through every node, also one that has not heard of
 // it.
 func TestANewMachineIsKnownThroughEveryNode(t *testing.T) {
 	t.Parallel()
-	stand(t, spared(Armor, "s2"), 410, func(t *testing.T, w *World) {
+	stand(t, withSpares(Armor, "s2"), 410, func(t *testing.T, w *World) {
 		assert.NilError(t, w.Add("s2b"))
 		assert.NilError(t, w.WaitUntil(20*time.Second, "a control node has heard of s2b", func() bool {
 			_, ok := w.Machines["c1"].Node().View.Get("s2b")
--- a/internal/testing/sim/scripted.go
+++ b/internal/testing/sim/scripted.go
@@ -15,44 +15,44 @@
 // ScriptedClient is a visitor that does what a script says, on one connection to a named machine;
 // what it sees goes to the checker.
 type ScriptedClient struct {
-	Name, At string
+	Name, Machine string
 
-	clients  *LineClients
-	line     *lineSession
-	mu       sync.Mutex
-	seen     []TimedResponse
-	sessions map[string]*deliverycheck.Session
+	clients   *LineClients
+	session   *lineSession
+	mu        sync.Mutex
+	responses []TimedResponse
+	sessions  map[string]*deliverycheck.Session
 	// cursor is what a topic was resumed with.
-	cursor map[string]string
-	ended  bool
-	notify chan struct{}
+	cursors map[string]string
+	ended   bool
+	notify  chan struct{}
 }
 
 // TimedResponse is an answer, and when the connection took its last byte.
 type TimedResponse struct {
 	session.Response
-	Shown time.Time
+	WrittenAt time.Time
 }
 
 const scriptedTimeout = 3 * time.Second
 
 // Scripted lets a scripted visitor in, nil where nobody answers.
-func (g *LineClients) Scripted(at, name string) *ScriptedClient {
-	h := &ScriptedClient{Name: name, At: at, clients: g, sessions: map[string]*deliverycheck.Session{},
-		cursor: map[string]string{}, notify: make(chan struct{}, 1)}
-	h.line = g.connect(g.world.Machines[at], true, h.receive, h.onBroken)
-	if h.line == nil {
+func (g *LineClients) ConnectScripted(machine, name string) *ScriptedClient {
+	client := &ScriptedClient{Name: name, Machine: machine, clients: g, sessions: map[string]*deliverycheck.Session{},
+		cursors: map[string]string{}, notify: make(chan struct{}, 1)}
+	client.session = g.connect(g.world.Machines[machine], true, client.receive, client.onBroken)
+	if client.session == nil {
 		return nil
 	}
-	h.line.Do(session.Request{Verb: session.Attach, Client: name})
-	if a, ok := h.Wait(0, scriptedTimeout, func(a session.Response) bool {
+	client.session.Do(session.Request{Verb: session.Attach, Client: name})
+	if a, ok := client.Wait(0, scriptedTimeout, func(a session.Response) bool {
 		return a.Type == session.Attached || a.InReplyTo == session.Attach
 	}); !ok || a.Type != session.Attached {
-		h.line.End()
+		client.session.End()
 		return nil
 	}
-	g.wg.Go(h.heartbeat)
-	return h
+	g.wg.Go(client.heartbeat)
+	return client
 }
 
 func (h *ScriptedClient) heartbeat() {
@@ -61,9 +61,9 @@
 	for !h.Ended() {
 		select {
 		case <-t.C:
-			h.line.Do(session.Request{Verb: session.Heartbeat})
+			h.session.Do(session.Request{Verb: session.Heartbeat})
 		case <-h.clients.world.ctx.Done():
-			h.line.End()
+			h.session.End()
 			return
 		}
 	}
@@ -73,7 +73,7 @@
 	h.mu.Lock()
 	h.ended = true
 	h.mu.Unlock()
-	ring(h.notify)
+	signal(h.notify)
 }
 
 // Ended tells whether the connection broke or was closed.
@@ -91,58 +91,58 @@
 	}
 	h.mu.Unlock()
 	h.onBroken()
-	h.line.End()
+	h.session.End()
 }
 
 // Break loses the connection; the subscriptions may be resumed.
-func (h *ScriptedClient) Break() {
+func (h *ScriptedClient) Disconnect() {
 	h.onBroken()
-	h.line.End()
+	h.session.End()
 }
 
 // Pause has the hand not read for a while.
-func (h *ScriptedClient) Pause(d time.Duration) { h.line.Pause(d) }
+func (h *ScriptedClient) Pause(d time.Duration) { h.session.Pause(d) }
 
-func (h *ScriptedClient) receive(a session.Response, shown time.Time) {
+func (h *ScriptedClient) receive(response session.Response, writtenAt time.Time) {
 	h.mu.Lock()
 	if h.ended {
 		h.mu.Unlock()
 		return
 	}
-	h.seen = append(h.seen, TimedResponse{a, shown})
-	s := h.sessions[a.Topic]
+	h.responses = append(h.responses, TimedResponse{response, writtenAt})
+	s := h.sessions[response.Topic]
 	h.mu.Unlock()
-	now, b := time.Now(), h.clients.Checker
-	switch a.Type {
+	now, checker := time.Now(), h.clients.Checker
+	switch response.Type {
 	case session.Subscribed:
 		s.Joined(now)
 	case session.Message:
-		s.Got(deliverycheck.Message{Topic: a.Topic, From: a.From, CallSeq: a.CallSeq}, string(a.Body),
-			deliverycheck.Place{Partition: a.Partition, Offset: a.Offset}, shown)
+		s.Got(deliverycheck.Message{Topic: response.Topic, From: response.From, CallSeq: response.CallSeq}, string(response.Body),
+			deliverycheck.Place{Partition: response.Partition, Offset: response.Offset}, writtenAt)
 	case session.Accepted:
-		b.Accepted(deliverycheck.Message{Topic: a.Topic, From: h.Name, CallSeq: a.CallSeq}, now)
+		checker.Accepted(deliverycheck.Message{Topic: response.Topic, From: h.Name, CallSeq: response.CallSeq}, now)
 	case session.Withdrawn:
-		b.Shown(h.Name, a.Topic, a.Key, now)
+		checker.Shown(h.Name, response.Topic, response.Key, now)
 	case session.Rejected:
-		if a.InReplyTo == session.Send && simclient.Promises[apierror.From(a.Err).Code] {
-			b.Rejected(deliverycheck.Message{Topic: a.Topic, From: h.Name, CallSeq: a.CallSeq})
+		if response.InReplyTo == session.Send && simclient.Promises[apierror.From(response.Err).Code] {
+			checker.Rejected(deliverycheck.Message{Topic: response.Topic, From: h.Name, CallSeq: response.CallSeq})
 		}
 	}
-	ring(h.notify)
+	signal(h.notify)
 }
 
 // ResponseCount tells how much the hand has heard.
 func (h *ScriptedClient) ResponseCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return len(h.seen)
+	return len(h.responses)
 }
 
 // All gives what it has heard.
-func (h *ScriptedClient) All() []TimedResponse {
+func (h *ScriptedClient) Responses() []TimedResponse {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.seen[:len(h.seen):len(h.seen)]
+	return h.responses[:len(h.responses):len(h.responses)]
 }
 
 // Wait waits for an answer behind a mark.
@@ -151,16 +151,16 @@
 	defer end.Stop()
 	for {
 		h.mu.Lock()
-		for ; from < len(h.seen); from++ {
-			if ok(h.seen[from].Response) {
-				s := h.seen[from]
+		for ; from < len(h.responses); from++ {
+			if ok(h.responses[from].Response) {
+				s := h.responses[from]
 				h.mu.Unlock()
 				return s, true
 			}
 		}
-		gone := h.ended
+		ended := h.ended
 		h.mu.Unlock()
-		if gone {
+		if ended {
 			return TimedResponse{}, false
 		}
 		select {
@@ -172,14 +172,14 @@
 }
 
 // Follow joins a topic, from a cursor if there is one, and tells whether it was taken up.
-func (h *ScriptedClient) Follow(topic, cursor string) (TimedResponse, bool) {
+func (h *ScriptedClient) Subscribe(topic, cursor string) (TimedResponse, bool) {
 	h.mu.Lock()
 	if h.sessions[topic] == nil {
 		h.sessions[topic] = h.clients.Checker.Open(h.Name, topic, strings.HasPrefix(topic, "kept/"))
 	}
-	n := len(h.seen)
+	n := len(h.responses)
 	h.mu.Unlock()
-	h.line.Do(session.Request{Verb: session.Subscribe, Topic: topic, Cursor: cursor})
+	h.session.Do(session.Request{Verb: session.Subscribe, Topic: topic, Cursor: cursor})
 	s, ok := h.Wait(n, scriptedTimeout, func(a session.Response) bool {
 		return a.Topic == topic && (a.Type == session.Subscribed || a.InReplyTo == session.Subscribe)
 	})
@@ -187,21 +187,21 @@
 }
 
 // Resume goes on where another hand of the same name has ended, on the stay of that.
-func (h *ScriptedClient) Resume(was *ScriptedClient, topic string) (TimedResponse, bool) {
-	was.mu.Lock()
-	cursor := was.cursor[topic]
-	for _, s := range was.seen {
+func (h *ScriptedClient) Resume(previous *ScriptedClient, topic string) (TimedResponse, bool) {
+	previous.mu.Lock()
+	cursor := previous.cursors[topic]
+	for _, s := range previous.responses {
 		if s.Topic == topic && s.Cursor != "" {
 			cursor = s.Cursor
 		}
 	}
-	stay, seen := was.sessions[topic], was.seen
-	was.mu.Unlock()
+	checkerSession, responses := previous.sessions[topic], previous.responses
+	previous.mu.Unlock()
 	h.mu.Lock()
-	h.seen = append(seen[:len(seen):len(seen)], h.seen...)
-	h.sessions[topic], h.cursor[topic] = stay, cursor
+	h.responses = append(responses[:len(responses):len(responses)], h.responses...)
+	h.sessions[topic], h.cursors[topic] = checkerSession, cursor
 	h.mu.Unlock()
-	return h.Follow(topic, cursor)
+	return h.Subscribe(topic, cursor)
 }
 
 // Body is what a hand sends under a number.
@@ -214,7 +214,7 @@
 // SendAsync sends without waiting.
 func (h *ScriptedClient) SendAsync(topic, key string, call uint64) {
 	h.clients.Checker.Try(deliverycheck.Message{Topic: topic, From: h.Name, CallSeq: call}, key, h.Body(call), time.Now())
-	h.line.Do(session.Request{Verb: session.Send, Topic: topic, Key: key, CallSeq: call, Body: []byte(h.Body(call))})
+	h.session.Do(session.Request{Verb: session.Send, Topic: topic, Key: key, CallSeq: call, Body: []byte(h.Body(call))})
 }
 
 // Send sends and gives the answer.
@@ -242,24 +242,24 @@
 }
 
 // Withdraw asks for a withdrawal once and notes the answer.
-func (h *ScriptedClient) Withdraw(w deliverycheck.Withdrawal) (TimedResponse, bool) {
-	w.By = h.Name
-	x := h.clients.Checker.Withdraw(w, time.Now())
+func (h *ScriptedClient) Withdraw(withdrawal deliverycheck.Withdrawal) (TimedResponse, bool) {
+	withdrawal.By = h.Name
+	attempt := h.clients.Checker.Withdraw(withdrawal, time.Now())
 	n := h.ResponseCount()
-	h.line.Do(session.Request{Verb: session.Withdraw, Topic: w.Topic, Key: w.Key, CallSeq: w.Call,
-		WithdrawSender: w.Of, WithdrawUpTo: w.Upto})
+	h.session.Do(session.Request{Verb: session.Withdraw, Topic: withdrawal.Topic, Key: withdrawal.Key, CallSeq: withdrawal.Call,
+		WithdrawSender: withdrawal.Of, WithdrawUpTo: withdrawal.Upto})
 	s, ok := h.Wait(n, scriptedTimeout, func(a session.Response) bool {
-		return a.Topic == w.Topic && a.CallSeq == w.Call &&
+		return a.Topic == withdrawal.Topic && a.CallSeq == withdrawal.Call &&
 			(a.Type == session.WithdrawalComplete || a.InReplyTo == session.Withdraw)
 	})
 	switch {
 	case !ok:
 	case s.Type == session.WithdrawalComplete:
-		x.Forgotten(deliverycheck.Place{Partition: s.Partition, Offset: s.Offset}, s.Shown)
+		attempt.Forgotten(deliverycheck.Place{Partition: s.Partition, Offset: s.Offset}, s.WrittenAt)
 	case apierror.HasCode(s.Err, apierror.WithdrawalOpen):
-		x.Stands(time.Now())
+		attempt.Stands(time.Now())
 	case simclient.Voids[apierror.From(s.Err).Code]:
-		x.Void()
+		attempt.Void()
 	}
 	return s, ok
 }
--- a/internal/testing/sim/sealed_test.go
+++ b/internal/testing/sim/sealed_test.go
@@ -17,41 +17,41 @@
 func TestAChangeOfVotersOutlivesWhoBeganIt(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
-		site := spared(siteOf(seed), "c2")
+		site := withSpares(siteForSeed(seed), "c2")
 		stand(t, site, 300+seed, func(t *testing.T, w *World) {
 			w.Watch()
 			time.Sleep(3 * time.Second)
-			seq, err := w.Put("a1", load.Describe(0))
+			seq, err := w.Put("a1", load.Configuration(0))
 			assert.NilError(t, err)
 			var mu sync.Mutex
-			who := ""
-			release, hits := w.PauseCalls(func(x Point) bool {
+			reconfigurer := ""
+			release, hits := w.PauseCalls(func(x CallPoint) bool {
 				var q acceptor.ActivateRequest
-				if x.Path != acceptor.Activate.Path || x.Stage != Asking || wire.Unmarshal(x.Body, &q) != nil {
+				if x.Path != acceptor.Activate.Path || x.Stage != RequestStage || wire.Unmarshal(x.Body, &q) != nil {
 					return false
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				if who == "" {
-					who = x.From
+				if reconfigurer == "" {
+					reconfigurer = x.From
 				}
-				return x.From == who
+				return x.From == reconfigurer
 			})
 			assert.NilError(t, w.Add("c2b"))
 			assert.NilError(t, w.WaitUntil(10*time.Second, "a change of the voters is sealed", func() bool { return hits() > 0 }))
 			mu.Lock()
-			begun := who
+			killed := reconfigurer
 			mu.Unlock()
-			w.Kill(begun)
+			w.Kill(killed)
 			at := time.Now()
-			got, err := w.Port("a1").Get(w.ctx)
-			assert.NilError(t, err, "seed %d: %s lost", w.Seed, begun)
+			got, err := w.Transport("a1").Get(w.ctx)
+			assert.NilError(t, err, "seed %d: %s lost", w.Seed, killed)
 			assert.Equal(t, got, seq)
-			_, err = w.Put("a1", load.Describe(seq))
-			assert.NilError(t, err, "seed %d: %s lost", w.Seed, begun)
-			t.Logf("seed %d: %s lost, both calls took %s", w.Seed, begun, time.Since(at))
+			_, err = w.Put("a1", load.Configuration(seq))
+			assert.NilError(t, err, "seed %d: %s lost", w.Seed, killed)
+			t.Logf("seed %d: %s lost, both calls took %s", w.Seed, killed, time.Since(at))
 			release()
-			assert.NilError(t, w.Start(begun))
+			assert.NilError(t, w.Start(killed))
 		})
 	}
 }
--- a/internal/testing/sim/silent_test.go
+++ b/internal/testing/sim/silent_test.go
@@ -36,7 +36,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				w := standing(t, Armor, 183+seed)
 				defer w.Close()
-				was := changes(w)
+				was := sumOfEpochs(w)
 				for range 4 {
 					o := busiest(w)
 					w.Slow(o, w.Site.Timing.PingInterval()*2/3)
@@ -47,7 +47,7 @@
 					w.Slow(o, 0)
 					time.Sleep(w.Site.Timing.Spread)
 				}
-				assert.Equal(t, changes(w), was, "partitions changed hands")
+				assert.Equal(t, sumOfEpochs(w), was, "partitions changed hands")
 			})
 		})
 	}
--- a/internal/testing/sim/sim_test.go
+++ b/internal/testing/sim/sim_test.go
@@ -15,19 +15,19 @@
 	"postjunction/internal/testing/history"
 )
 
-var load = Load{Callers: 10, Topics: 6, LiveTopics: 2, Leads: 2, Every: 400 * time.Millisecond}
+var load = Load{HTTPClients: 10, Topics: 6, LiveTopics: 2, UrgentSenders: 2, SendInterval: 400 * time.Millisecond}
 
 // play runs a fleet through a script and checks what callers saw.
-func play(t *testing.T, s Site, seed uint64, bound time.Duration, script func(t *testing.T, w *World)) (r history.Report) {
+func runScenario(t *testing.T, site Site, seed uint64, bound time.Duration, script func(t *testing.T, w *World)) (r history.Report) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := New(s, seed, Logger())
+		w := New(site, seed, Logger())
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
 		assert.NilError(t, w.WaitReady(20*time.Second))
 		described(t, w)
 		w.Watch()
-		w.Callers(load)
+		w.StartHTTPClients(load)
 		time.Sleep(5 * time.Second)
 		script(t, w)
 		w.Heal()
@@ -40,18 +40,18 @@
 			assert.NilError(t, w.Start(n))
 		}
 		time.Sleep(15 * time.Second)
-		book, err := w.Archive(load)
+		saved, err := w.SaveCursor(load)
 		assert.NilError(t, err, "seed %d: a cursor into all topics", seed)
 		time.Sleep(5 * time.Second)
-		cut := w.Quiet(10 * time.Second)
-		last(t, w, book)
-		r = report(t, w, cut, bound)
+		stoppedAt := w.StopSending(10 * time.Second)
+		applyFinalFault(t, w, saved)
+		r = checkHistory(t, w, stoppedAt, bound)
 	})
 	return r
 }
 
 // lasts are the faults that a day may end with: any one machine, or the power of all.
-var lasts = map[string]func(w *World, n string){
+var finalFaults = map[string]func(w *World, n string){
 	"killed":              func(w *World, n string) { w.Kill(n) },
 	"frozen":              func(w *World, n string) { w.Freeze(n) },
 	"cut off":             func(w *World, n string) { w.Isolate(n) },
@@ -65,47 +65,47 @@
 	},
 }
 
-var lastNames = []string{"killed", "frozen", "cut off", "without power, torn", "wiped", "without power, as all others"}
+var finalFaultNames = []string{"killed", "frozen", "cut off", "without power, torn", "wiped", "without power, as all others"}
 
 // last ends every run with one fault, after which the description and every message of the keeping
 // time are read back by subscribers that were never there, through several nodes.
-func last(t *testing.T, w *World, book Archive) {
+func applyFinalFault(t *testing.T, w *World, saved SavedCursor) {
 	t.Helper()
 	r := rand.New(rand.NewPCG(w.Seed, 9))
-	there := w.Present()
-	how, n := lastNames[r.IntN(len(lastNames))], there[r.IntN(len(there))]
+	present := w.Present()
+	fault, name := finalFaultNames[r.IntN(len(finalFaultNames))], present[r.IntN(len(present))]
 	if v := os.Getenv("PJ_LAST"); v != "" {
-		how, n, _ = strings.Cut(v, "@")
-		assert.Assert(t, lasts[how] != nil && w.Machines[n] != nil, "PJ_LAST is one of %v, an @ and one of %v", lastNames, w.Names)
+		fault, name, _ = strings.Cut(v, "@")
+		assert.Assert(t, finalFaults[fault] != nil && w.Machines[name] != nil, "PJ_LAST is one of %v, an @ and one of %v", finalFaultNames, w.Names)
 	}
-	lasts[how](w, n)
-	t.Logf("seed %d: at the end %s is %s", w.Seed, n, how)
+	finalFaults[fault](w, name)
+	t.Logf("seed %d: at the end %s is %s", w.Seed, name, fault)
 	time.Sleep(w.Site.Timing.Recovery / 2)
-	var ok []string
-	for _, k := range there {
-		if k != n {
-			ok = append(ok, k)
+	var others []string
+	for _, other := range present {
+		if other != name {
+			others = append(others, other)
 		}
 	}
-	at := time.Now()
-	for _, i := range []int{0, len(ok) / 2, len(ok) - 1} {
-		assert.NilError(t, w.readBack(ok[i], at), "seed %d: read back through %s", w.Seed, ok[i])
+	readAt := time.Now()
+	for _, i := range []int{0, len(others) / 2, len(others) - 1} {
+		assert.NilError(t, w.readBackConfiguration(others[i], readAt), "seed %d: read back through %s", w.Seed, others[i])
 	}
 	var wg sync.WaitGroup
-	for _, i := range []int{0, len(ok) / 2, len(ok) - 1} {
-		wg.Go(func() { assert.Check(t, w.ReadBack(book, ok[i]), "seed %d", w.Seed) })
+	for _, i := range []int{0, len(others) / 2, len(others) - 1} {
+		wg.Go(func() { assert.Check(t, w.ReadBackTopics(saved, others[i]), "seed %d", w.Seed) })
 	}
 	wg.Wait()
 }
 
-func (w *World) readBack(n string, at time.Time) error {
+func (w *World) readBackConfiguration(name string, readAt time.Time) error {
 	end := time.Now().Add(w.Site.Timing.Recovery / 2)
 	for {
 		ctx, stop := context.WithDeadline(w.ctx, end)
-		seq, err := w.Port(n).Get(ctx)
+		sequence, err := w.Transport(name).Get(ctx)
 		stop()
 		if err == nil {
-			w.History.ReadBack(seq, at)
+			w.History.ReadBack(sequence, readAt)
 			return nil
 		}
 		if time.Now().After(end) {
@@ -115,9 +115,9 @@
 	}
 }
 
-func report(t *testing.T, w *World, cut time.Time, bound time.Duration) history.Report {
+func checkHistory(t *testing.T, w *World, stoppedAt time.Time, bound time.Duration) history.Report {
 	t.Helper()
-	r := w.History.Check(cut, time.Now())
+	r := w.History.Check(stoppedAt, time.Now())
 	t.Logf("seed %d: sent %d taken %d unknown %d receipts %d longest wait %s (%s at %s), undisturbed %s, spread p50 %s p99 %s", w.Seed, r.Sent, r.Accepted, r.Unknown, r.Receipts, r.Longest.Total, r.Longest.Kind, r.Longest.Place, r.LongestUndisturbed.Undisturbed, r.Spread.P50, r.Spread.P99)
 	for i, v := range r.Violations {
 		if i < 10 {
@@ -131,5 +131,5 @@
 }
 
 func TestQuietDay(t *testing.T) {
-	play(t, Armor, 1, time.Second, func(_ *testing.T, w *World) { time.Sleep(10 * time.Second) })
+	runScenario(t, Armor, 1, time.Second, func(_ *testing.T, w *World) { time.Sleep(10 * time.Second) })
 }
--- a/internal/testing/sim/slow_test.go
+++ b/internal/testing/sim/slow_test.go
@@ -21,7 +21,7 @@
 		const n = 200
 		ctx, stop := context.WithCancel(w.ctx)
 		listen := func(token string, pause time.Duration, got *[]uint64, worst *time.Duration, sent []time.Time) {
-			_ = w.Port("a1").Follow(ctx, token, []string{"kept/t0"}, "", func(l client.Event) error {
+			_ = w.Transport("a1").Follow(ctx, token, []string{"kept/t0"}, "", func(l client.Event) error {
 				if l.Topic == "" {
 					return nil
 				}
@@ -41,7 +41,7 @@
 		time.Sleep(time.Second)
 		for c := uint64(1); c <= n; c++ {
 			sent[c] = time.Now()
-			_, err := w.Port("c2").Send(w.ctx, from.Token, "kept/t0", c, []byte(fmt.Sprint(c)))
+			_, err := w.Transport("c2").Send(w.ctx, from.Token, "kept/t0", c, []byte(fmt.Sprint(c)))
 			assert.NilError(t, err)
 			time.Sleep(50 * time.Millisecond)
 		}
