--- a/internal/testing/sim/socket.go
+++ b/internal/testing/sim/socket.go
@@ -17,53 +17,53 @@
 )
 
 // socketBytes is what a simulated connection takes of what its reader has not read.
-const socketBytes = 4 << 10
+const socketBufferBytes = 4 << 10
 
 // piece is what a socket took in one go, and when.
-type piece struct {
-	b  []byte
-	at time.Time
+type chunk struct {
+	data      []byte
+	writtenAt time.Time
 }
 
 // socket is the machine's end of a visitor's connection: a write waits while the visitor has not
 // read what was written before.
 type socket struct {
-	m    *Machine
-	run  int
-	mu   sync.Mutex
-	in   []byte
-	out  []piece
-	held int
-	over bool
-	hung bool
-	more chan struct{}
-	room chan struct{}
-	come chan struct{}
-	dead chan struct{}
-	once sync.Once
+	machine        *Machine
+	run            int
+	mu             sync.Mutex
+	toServer       []byte
+	toClient       []chunk
+	unread         int
+	closedByServer bool
+	closedByClient bool
+	inputReady     chan struct{}
+	spaceReady     chan struct{}
+	outputReady    chan struct{}
+	closed         chan struct{}
+	once           sync.Once
 }
 
 func newSocket(m *Machine, run int) *socket {
-	return &socket{m: m, run: run, more: make(chan struct{}, 1), room: make(chan struct{}, 1),
-		come: make(chan struct{}, 1), dead: make(chan struct{})}
+	return &socket{machine: m, run: run, inputReady: make(chan struct{}, 1), spaceReady: make(chan struct{}, 1),
+		outputReady: make(chan struct{}, 1), closed: make(chan struct{})}
 }
 
 // Read gives what the visitor has said.
 func (s *socket) Read(b []byte) (int, error) {
 	for {
 		s.mu.Lock()
-		n, hung := copy(b, s.in), s.hung
-		s.in = s.in[n:]
+		n, closed := copy(b, s.toServer), s.closedByClient
+		s.toServer = s.toServer[n:]
 		s.mu.Unlock()
 		if n > 0 {
 			return n, nil
 		}
-		if hung {
+		if closed {
 			return 0, io.EOF
 		}
 		select {
-		case <-s.more:
-		case <-s.dead:
+		case <-s.inputReady:
+		case <-s.closed:
 			return 0, net.ErrClosed
 		}
 	}
@@ -71,71 +71,71 @@
 
 // Write takes bytes as the visitor's reading leaves room for them.
 func (s *socket) Write(b []byte) (int, error) {
-	done := 0
-	for done < len(b) {
-		s.m.gate()
-		if _, run := s.m.node(); run != s.run {
-			return done, errGone
+	written := 0
+	for written < len(b) {
+		s.machine.waitWhileFrozen()
+		if _, run := s.machine.node(); run != s.run {
+			return written, errGone
 		}
 		s.mu.Lock()
-		if s.over || s.hung {
+		if s.closedByServer || s.closedByClient {
 			s.mu.Unlock()
-			return done, net.ErrClosed
+			return written, net.ErrClosed
 		}
-		n := min(len(b)-done, socketBytes-s.held)
+		n := min(len(b)-written, socketBufferBytes-s.unread)
 		if n > 0 {
-			s.out = append(s.out, piece{bytes.Clone(b[done : done+n]), time.Now()})
-			s.held += n
-			done += n
+			s.toClient = append(s.toClient, chunk{bytes.Clone(b[written : written+n]), time.Now()})
+			s.unread += n
+			written += n
 		}
 		s.mu.Unlock()
 		if n > 0 {
-			ring(s.come)
+			signal(s.outputReady)
 			continue
 		}
 		select {
-		case <-s.room:
-		case <-s.dead:
-			return done, net.ErrClosed
+		case <-s.spaceReady:
+		case <-s.closed:
+			return written, net.ErrClosed
 		}
 	}
-	return done, nil
+	return written, nil
 }
 
 // Close ends the connection from the machine's side; what it has taken is still read.
 func (s *socket) Close() error {
 	s.mu.Lock()
-	s.over = true
+	s.closedByServer = true
 	s.mu.Unlock()
-	s.once.Do(func() { close(s.dead) })
-	ring(s.come)
+	s.once.Do(func() { close(s.closed) })
+	signal(s.outputReady)
 	return nil
 }
 
-func (s *socket) hang() {
+func (s *socket) closeFromClient() {
 	s.mu.Lock()
-	s.hung = true
+	s.closedByClient = true
 	s.mu.Unlock()
-	ring(s.more)
-	ring(s.room)
+	signal(s.inputReady)
+	signal(s.spaceReady)
 }
 
 // say hands bytes of the visitor over.
-func (s *socket) say(b []byte) {
+func (s *socket) deliver(b []byte) {
 	s.mu.Lock()
-	s.in = append(s.in, b...)
+	s.toServer = append(s.toServer, b...)
 	s.mu.Unlock()
-	ring(s.more)
+	signal(s.inputReady)
 }
 
 // take gives what was written, and whether more may come.
-func (s *socket) take() ([]piece, bool) {
+func (s *socket) drain() ([]chunk, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ps := s.out
-	s.out, s.held = nil, 0
-	ring(s.room)
-	return ps, !s.over
+	chunks := s.toClient
+	s.toClient, s.unread = nil, 0
+	signal(s.spaceReady)
+	return chunks, !s.closedByServer
 }
 
 // LocalAddr is nowhere.
@@ -175,42 +175,42 @@
 
 // AppendResponse writes an answer as one line.
 func (lineCodec) AppendResponse(b []byte, a session.Response) []byte {
-	w := lineResponse{Response: a}
+	response := lineResponse{Response: a}
 	if a.Err != nil {
-		w.Err = apierror.From(a.Err)
-		w.Failure = a.Err.Error()
+		response.Err = apierror.From(a.Err)
+		response.Failure = a.Err.Error()
 	}
-	l, err := json.Marshal(w)
+	line, err := json.Marshal(response)
 	if err != nil {
 		panic(err)
 	}
-	return append(append(b, l...), '\n')
+	return append(append(b, line...), '\n')
 }
 
-func parseResponse(l []byte) session.Response {
-	var w lineResponse
-	if err := json.Unmarshal(l, &w); err != nil {
+func parseResponse(line []byte) session.Response {
+	var parsed lineResponse
+	if err := json.Unmarshal(line, &parsed); err != nil {
 		panic(err)
 	}
-	a := w.Response
-	if w.Err != nil {
-		w.Err.Cause = errors.New(w.Failure)
-		a.Err = w.Err
+	response := parsed.Response
+	if parsed.Err != nil {
+		parsed.Err.Cause = errors.New(parsed.Failure)
+		response.Err = parsed.Err
 	}
-	return a
+	return response
 }
 
 // connListener is a listener whose connections are handed to it.
 type connListener struct {
-	c    chan net.Conn
-	done chan struct{}
-	once sync.Once
+	connections chan net.Conn
+	done        chan struct{}
+	once        sync.Once
 }
 
 // Accept waits for the next connection.
 func (l *connListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.c:
+	case c := <-l.connections:
 		return c, nil
 	case <-l.done:
 		return nil, net.ErrClosed
@@ -229,7 +229,7 @@
 // dial gives a connection to the server, nil once it listens no more.
 func (l *connListener) dial(s *socket) *socket {
 	select {
-	case l.c <- s:
+	case l.connections <- s:
 		return s
 	case <-l.done:
 		return nil
@@ -239,24 +239,24 @@
 type sessionRegistry struct{ *session.Registry }
 
 // NewSession begins a visit.
-func (h sessionRegistry) NewSession(out session.Sink) lineserver.Session {
-	return h.Registry.NewSession(out)
+func (r sessionRegistry) NewSession(out session.Sink) lineserver.Session {
+	return r.Registry.NewSession(out)
 }
 
 // lineServer is what serves visits on a machine's process.
 type lineServer struct {
-	s *lineserver.Server
-	l *connListener
+	server   *lineserver.Server
+	listener *connListener
 }
 
 const maxBodyBytes = 64 << 10
 
-func (m *Machine) opened(n *node.Node) *lineServer {
-	p := &lineServer{l: &connListener{c: make(chan net.Conn), done: make(chan struct{})}}
-	p.s = lineserver.New(lineserver.Options{
-		Sessions: sessionRegistry{n.Sessions}, Codec: lineCodec{}, Clock: machineClock{m},
-		Keepalive: Habits().Keepalive, AcceptRetryDelay: m.w.Site.Timing.MaxBackoff(), BodyLimit: func() int { return maxBodyBytes },
+func (m *Machine) newLineServer(process *node.Node) *lineServer {
+	lines := &lineServer{listener: &connListener{connections: make(chan net.Conn), done: make(chan struct{})}}
+	lines.server = lineserver.New(lineserver.Options{
+		Sessions: sessionRegistry{process.Sessions}, Codec: lineCodec{}, Clock: machineClock{m},
+		Keepalive: Habits().Keepalive, AcceptRetryDelay: m.world.Site.Timing.MaxBackoff(), BodyLimit: func() int { return maxBodyBytes },
 	})
-	go func() { _ = p.s.Serve(p.l) }()
-	return p
+	go func() { _ = lines.server.Serve(lines.listener) }()
+	return lines
 }
--- a/internal/testing/sim/spread_test.go
+++ b/internal/testing/sim/spread_test.go
@@ -24,7 +24,7 @@
 		seen := func() (n int, news uint64) {
 			for _, m := range w.Names {
 				if m[0] == 'a' {
-					n += w.Parts(m, gossip.Exchange.Path)
+					n += w.CallsInvolving(m, gossip.Exchange.Path)
 				}
 			}
 			for p := range s.Routine + s.Urgent {
--- a/internal/testing/sim/still_test.go
+++ b/internal/testing/sim/still_test.go
@@ -21,20 +21,20 @@
 		described(t, w)
 		time.Sleep(s.Timing.Recovery)
 		const sessions = 10
-		was := w.Flows()
+		was := w.TrafficByPath()
 		time.Sleep(sessions * s.Timing.SessionTimeout())
-		is := w.Flows()
-		pairs := s.Stores * (s.Stores - 1)
-		stills, appends := is[replica.CompareIdle.Path], is[replica.Append.Path].Calls-was[replica.Append.Path].Calls
-		stills.Calls -= was[replica.CompareIdle.Path].Calls
-		stills.Bytes -= was[replica.CompareIdle.Path].Bytes
-		t.Logf("%d partitions, %d sessions: %d calls and %d bytes for silent lines, %d appends", s.Routine+s.Urgent, sessions, stills.Calls, stills.Bytes, appends)
-		assert.Assert(t, stills.Calls >= pairs*(sessions-1) && stills.Calls <= pairs*(sessions+1), "%d calls for %d pairs", stills.Calls, pairs)
+		is := w.TrafficByPath()
+		pairs := s.Storage * (s.Storage - 1)
+		comparisons, appends := is[replica.CompareIdle.Path], is[replica.Append.Path].Calls-was[replica.Append.Path].Calls
+		comparisons.Calls -= was[replica.CompareIdle.Path].Calls
+		comparisons.Bytes -= was[replica.CompareIdle.Path].Bytes
+		t.Logf("%d partitions, %d sessions: %d calls and %d bytes for silent lines, %d appends", s.Routine+s.Urgent, sessions, comparisons.Calls, comparisons.Bytes, appends)
+		assert.Assert(t, comparisons.Calls >= pairs*(sessions-1) && comparisons.Calls <= pairs*(sessions+1), "%d calls for %d pairs", comparisons.Calls, pairs)
 		assert.Equal(t, appends, 0)
 
 		w.Wipe("s2")
 		assert.NilError(t, w.Start("s2"))
-		assert.NilError(t, w.WaitUntil(s.Timing.Keeping, "the wiped disk is repaired", w.whole))
+		assert.NilError(t, w.WaitUntil(s.Timing.Keeping, "the wiped disk is repaired", w.isFullyReplicated))
 	})
 }
 
@@ -46,10 +46,10 @@
 	stand(t, s, 461, func(t *testing.T, w *World) {
 		described(t, w)
 		time.Sleep(s.Timing.Recovery)
-		was := w.Flows()
+		was := w.TrafficByPath()
 		const sweeps = 4
 		time.Sleep(sweeps * s.Timing.SweepInterval())
-		is := w.Flows()
+		is := w.TrafficByPath()
 		for _, p := range []string{keys.Read.Path, acceptor.Peek.Path} {
 			t.Logf("%s: %d calls, %d bytes in %d sweeps of %d partitions", p, is[p].Calls-was[p].Calls, is[p].Bytes-was[p].Bytes, sweeps, s.Routine+s.Urgent)
 		}
--- a/internal/testing/sim/storm_test.go
+++ b/internal/testing/sim/storm_test.go
@@ -48,18 +48,18 @@
 						return len(w.Machines[n].Node().VoterSet().Voters) < s.Control
 					})
 				}))
-				_, err := w.Put("c1", bootLoad.Describe(0))
+				_, err := w.Put("c1", restartLoad.Configuration(0))
 				assert.NilError(t, err)
 				time.Sleep(s.Timing.Spread)
 				keyLeader := w.leaderOf(quorumread.ConfigurationKey)
 				assert.Assert(t, w.Machines[keyLeader].Node().LeadsKey(quorumread.ConfigurationKey))
 				var mu sync.Mutex
 				slotsAsked, fullSlots := map[string]int{}, 0
-				end := w.InterceptCalls(func(p Point) CallFault {
+				end := w.InterceptCalls(func(p CallPoint) CallFault {
 					if p.Path != acceptor.Peek.Path {
 						return CallFault{}
 					}
-					if p.Stage == Answering {
+					if p.Stage == ResponseStage {
 						if strings.Contains(tc.delayed, p.To) {
 							return CallFault{Delay: 10 * time.Millisecond}
 						}
@@ -80,14 +80,14 @@
 					}
 					return CallFault{}
 				})
-				release, hits := w.PauseCalls(func(p Point) bool {
+				release, hits := w.PauseCalls(func(p CallPoint) bool {
 					return p.Path == acceptor.Accept.Path && (p.To == "c6" || p.To == "c7" || p.To == "c8")
 				})
-				was := w.Flows()
-				_, err = w.Put("a1", bootLoad.Describe(1))
+				was := w.TrafficByPath()
+				_, err = w.Put("a1", restartLoad.Configuration(1))
 				assert.NilError(t, err)
 				time.Sleep(s.Timing.LeaseDuration() / 3)
-				is := w.Flows()
+				is := w.TrafficByPath()
 				end()
 				release()
 				assert.Assert(t, hits() > 0)
@@ -119,7 +119,7 @@
 				for _, n := range w.Names {
 					assert.Equal(t, w.Machines[n].Node().Store.Configuration().Sequence, uint64(2), n)
 				}
-				assert.Assert(t, w.copied(), "the slots are identical in the end")
+				assert.Assert(t, w.allReplicasComplete(), "the slots are identical in the end")
 			})
 		})
 	}
--- a/internal/testing/sim/streams_forget_test.go
+++ b/internal/testing/sim/streams_forget_test.go
@@ -33,7 +33,7 @@
 
 func (x *forgetting) do(n string, k *client.Request) (any, error) {
 	c := make(chan any, 1)
-	err := x.ask(n, x.Site.Timing.Recovery, func(ctx context.Context, m *node.Node) error {
+	err := x.callNode(n, x.Site.Timing.Recovery, func(ctx context.Context, m *node.Node) error {
 		a, err := m.Clients.Do(ctx, k)
 		c <- a
 		return err
@@ -78,7 +78,7 @@
 	x.mu.Unlock()
 	x.wg.Go(func() {
 		for {
-			err := x.Port("a1").Follow(x.ctx, x.reader, []string{"kept/t0"}, from, func(l client.Event) error {
+			err := x.Transport("a1").Follow(x.ctx, x.reader, []string{"kept/t0"}, from, func(l client.Event) error {
 				x.mu.Lock()
 				defer x.mu.Unlock()
 				x.last = l.Cursor
--- a/internal/testing/sim/stretch_test.go
+++ b/internal/testing/sim/stretch_test.go
@@ -22,7 +22,7 @@
 		assert.NilError(t, w.Start(w.Names...))
 		assert.NilError(t, w.WaitReady(20*time.Second))
 		assert.NilError(t, w.WaitUntil(20*time.Second, "described", func() bool {
-			_, err := w.Put("a1", wide.Describe(0))
+			_, err := w.Put("a1", wide.Configuration(0))
 			return err == nil
 		}))
 		time.Sleep(3 * time.Second)
--- a/internal/testing/sim/submit_test.go
+++ b/internal/testing/sim/submit_test.go
@@ -33,15 +33,15 @@
 			o := w.Machines["a1"].Node().Operators
 			base := uint64(0)
 			for range 4 {
-				assert.NilError(t, o.Submit(w.ctx, load.Describe(base), base, read))
+				assert.NilError(t, o.Submit(w.ctx, load.Configuration(base), base, read))
 				d, err := o.CurrentConfiguration(w.ctx)
 				assert.NilError(t, err)
 				assert.Equal(t, d.Sequence, base+1)
-				assert.NilError(t, o.Submit(w.ctx, load.Describe(base), base, read), "the same again")
+				assert.NilError(t, o.Submit(w.ctx, load.Configuration(base), base, read), "the same again")
 				base = d.Sequence
 			}
-			assert.NilError(t, o.Submit(w.ctx, load.Describe(base-2), base-2, read), "an accepted one again, with another on top of it")
-			err := o.Submit(w.ctx, load.Numbered(base-2, base-1, "other"), base-2, read)
+			assert.NilError(t, o.Submit(w.ctx, load.Configuration(base-2), base-2, read), "an accepted one again, with another on top of it")
+			err := o.Submit(w.ctx, load.NumberedConfiguration(base-2, base-1, "other"), base-2, read)
 			assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationConflict), "%v", err)
 			err = o.Submit(w.ctx, []byte(`{"base":1,"spaces":[{"name":"A"}]}`), base, read)
 			assert.Assert(t, err != nil && len(apierror.From(err).Faults) > 0, "%v", err)
--- a/internal/testing/sim/told_test.go
+++ b/internal/testing/sim/told_test.go
@@ -28,7 +28,7 @@
 				for _, n := range []string{"a1", "c2"} {
 					at := time.Now()
 					ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Recovery)
-					_, err := w.Port(n).Send(ctx, tok, fmt.Sprintf("kept/t%d", i%load.Topics), 1, []byte(`1`))
+					_, err := w.Transport(n).Send(ctx, tok, fmt.Sprintf("kept/t%d", i%load.Topics), 1, []byte(`1`))
 					stop()
 					if err == nil {
 						continue
--- a/internal/testing/sim/traffic.go
+++ b/internal/testing/sim/traffic.go
@@ -7,62 +7,62 @@
 	"strings"
 )
 
-func (w *World) countRequest(path string, n int) {
-	part, _, _ := strings.Cut(strings.TrimPrefix(path, "/postjunction."), "/")
+func (w *World) countRequest(path string, size int) {
+	service, _, _ := strings.Cut(strings.TrimPrefix(path, "/postjunction."), "/")
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.calls[part]++
-	f := w.flows[path]
-	w.flows[path] = Flow{f.Calls + 1, f.Bytes + n}
+	w.callsByService[service]++
+	f := w.trafficByPath[path]
+	w.trafficByPath[path] = Traffic{f.Calls + 1, f.Bytes + size}
 }
 
-func (w *World) countResponse(path string, n int) {
+func (w *World) countResponse(path string, size int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	f := w.flows[path]
-	w.flows[path] = Flow{f.Calls, f.Bytes + n}
+	f := w.trafficByPath[path]
+	w.trafficByPath[path] = Traffic{f.Calls, f.Bytes + size}
 }
 
-func (w *World) countParticipants(at Point) {
+func (w *World) countParticipants(point CallPoint) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.parts[[2]string{at.From, at.Path}]++
-	w.parts[[2]string{at.To, at.Path}]++
+	w.callsByMachine[[2]string{point.From, point.Path}]++
+	w.callsByMachine[[2]string{point.To, point.Path}]++
 }
 
 // Parts gives how many calls of a path a machine took part in, asking or asked.
-func (w *World) Parts(n, path string) int {
+func (w *World) CallsInvolving(name, path string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.parts[[2]string{n, path}]
+	return w.callsByMachine[[2]string{name, path}]
 }
 
 // Flow is what a procedure took: calls, and bytes of tasks and answers without what the transport
 // adds.
-type Flow struct{ Calls, Bytes int }
+type Traffic struct{ Calls, Bytes int }
 
 // Flows gives what each procedure took between machines.
-func (w *World) Flows() map[string]Flow {
+func (w *World) TrafficByPath() map[string]Traffic {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return maps.Clone(w.flows)
+	return maps.Clone(w.trafficByPath)
 }
 
 // Calls gives how many calls between machines there were, by part.
-func (w *World) Calls() map[string]int {
+func (w *World) CallsByService() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return maps.Clone(w.calls)
+	return maps.Clone(w.callsByService)
 }
 
-func perSecond(a, b map[string]int, secs int) string {
-	var ls []string
-	all := 0
-	for k, n := range b {
-		d := (n - a[k]) / secs
-		all += d
-		ls = append(ls, fmt.Sprintf("%s %d", k, d))
+func perSecond(before, after map[string]int, seconds int) string {
+	var rates []string
+	total := 0
+	for service, count := range after {
+		rate := (count - before[service]) / seconds
+		total += rate
+		rates = append(rates, fmt.Sprintf("%s %d", service, rate))
 	}
-	slices.Sort(ls)
-	return fmt.Sprintf("%d calls a second (%s)", all, strings.Join(ls, ", "))
+	slices.Sort(rates)
+	return fmt.Sprintf("%d calls a second (%s)", total, strings.Join(rates, ", "))
 }
--- a/internal/testing/sim/trim_test.go
+++ b/internal/testing/sim/trim_test.go
@@ -25,17 +25,17 @@
 			p := partition.Of(topic, false, w.Machines["a1"].Node().VoterSet().Layout)
 			tok, early := attach(t, w, "c1", "v").Token, attach(t, w, "c1", "early").Token
 			o := w.records()[p].Leader
-			release, hits := w.PauseCalls(func(x Point) bool {
+			release, hits := w.PauseCalls(func(x CallPoint) bool {
 				q, _ := appending(x)
-				return x.From == o && x.Stage == Asking && late(x) && q.Partition == p
+				return x.From == o && x.Stage == RequestStage && late(x) && q.Partition == p
 			})
 			n := uint64(0)
 			for begun := time.Now(); time.Since(begun) < w.Site.Timing.Retention()+20*time.Second; {
 				n++
-				_, err := w.Port("c1").Send(w.ctx, tok, topic, n, []byte(fmt.Sprint(n)))
+				_, err := w.Transport("c1").Send(w.ctx, tok, topic, n, []byte(fmt.Sprint(n)))
 				assert.NilError(t, err)
 				if n == 10 {
-					_, err = w.Port("c1").Send(w.ctx, early, topic, 1, []byte(`"early"`))
+					_, err = w.Transport("c1").Send(w.ctx, early, topic, 1, []byte(`"early"`))
 					assert.NilError(t, err)
 				}
 				time.Sleep(500 * time.Millisecond)
@@ -54,7 +54,7 @@
 			was := late()
 			assert.NilError(t, w.WaitUntil(5*time.Second, "the late batch is through", func() bool { return late() > was }))
 			n++
-			_, err := w.Port("c1").Send(w.ctx, tok, topic, n, []byte(fmt.Sprint(n)))
+			_, err := w.Transport("c1").Send(w.ctx, tok, topic, n, []byte(fmt.Sprint(n)))
 			assert.NilError(t, err, "the message that a trim goes along with")
 			time.Sleep(w.Site.Timing.ChangelogInterval() / 2)
 			w.Kill(o)
@@ -62,13 +62,13 @@
 				r := w.records()[p]
 				return r.Leader != o && r.Recovered
 			}))
-			_, err = w.Port("c1").Send(w.ctx, early, topic, 1, []byte(`"late"`))
+			_, err = w.Transport("c1").Send(w.ctx, early, topic, 1, []byte(`"late"`))
 			assert.Assert(t, apierror.HasCode(err, apierror.CallAltered) || apierror.HasCode(err, apierror.CallForgotten), "a call that came only once, while the changelog stood still: %v", err)
-			_, err = w.Port("c1").Send(w.ctx, tok, topic, n+1, []byte(`"goes on"`))
+			_, err = w.Transport("c1").Send(w.ctx, tok, topic, n+1, []byte(`"goes on"`))
 			assert.NilError(t, err, "the state was not brought back")
-			_, err = w.Port("c1").Send(w.ctx, tok, topic, n, []byte(fmt.Sprint(n)))
+			_, err = w.Transport("c1").Send(w.ctx, tok, topic, n, []byte(fmt.Sprint(n)))
 			assert.NilError(t, err, "a repeat")
-			_, err = w.Port("c1").Send(w.ctx, tok, topic, n, []byte(`"other"`))
+			_, err = w.Transport("c1").Send(w.ctx, tok, topic, n, []byte(`"other"`))
 			assert.Assert(t, apierror.HasCode(err, apierror.CallAltered), "%v", err)
 		})
 	}
@@ -80,7 +80,7 @@
 	t.Parallel()
 	long(t)
 	for seed := range uint64(seeds(2)) {
-		stand(t, siteOf(seed), 290+seed, func(t *testing.T, w *World) {
+		stand(t, siteForSeed(seed), 290+seed, func(t *testing.T, w *World) {
 			described(t, w)
 			const topic, quiet = "kept/t0", "kept/t1"
 			n := w.Machines["a1"].Node()
@@ -98,7 +98,7 @@
 			time.Sleep(w.Site.Timing.Keeping)
 			third := must(topic, 30)
 			must(quiet, 5)
-			judge := func(when string) {
+			checkTrimmed := func(when string) {
 				x, err := w.Machines[w.records()[p].Leader].Node().Clients.Router.Leaders.Leader(p)
 				assert.NilError(t, err)
 				assert.Assert(t, x.Trimmed(topic, 0) && x.Trimmed(topic, first), "%s: what is gone", when)
@@ -118,7 +118,7 @@
 				assert.Assert(t, err == nil && d.Duplicate && d.Offset == third, "%s: %v", when, err)
 			}
 			time.Sleep(w.Site.Timing.Keeping * 2 / 5)
-			judge("at the first owner")
+			checkTrimmed("at the first owner")
 			old := w.records()[p].Leader
 			w.Kill(old)
 			assert.NilError(t, w.WaitUntil(10*time.Second, "another owner is open", func() bool {
@@ -129,7 +129,7 @@
 				}
 				return true
 			}))
-			judge("at the next owner")
+			checkTrimmed("at the next owner")
 		})
 	}
 }
@@ -140,7 +140,7 @@
 	t.Parallel()
 	long(t)
 	for seed := range uint64(seeds(2)) {
-		play(t, siteOf(seed), 300+seed, w10, func(t *testing.T, w *World) {
+		runScenario(t, siteForSeed(seed), 300+seed, isolatedBound, func(t *testing.T, w *World) {
 			o := busiest(w)
 			for _, n := range w.Names {
 				if n != o {
@@ -158,4 +158,4 @@
 	}
 }
 
-const w10 = 10 * time.Second
+const isolatedBound = 10 * time.Second
--- a/internal/testing/sim/urgent_test.go
+++ b/internal/testing/sim/urgent_test.go
@@ -15,7 +15,7 @@
 )
 
 // routineWork tells whether a call between machines belongs to a routine partition.
-func (w *World) routineWork(x Point) bool {
+func (w *World) routineWork(x CallPoint) bool {
 	if !strings.Contains(x.Path, "Ledger") {
 		return false
 	}
@@ -44,7 +44,7 @@
 func TestUrgentGoesThroughWhileRoutineWorkStandsStill(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(3)) {
-		stand(t, siteOf(seed), 120+seed, func(t *testing.T, w *World) {
+		stand(t, siteForSeed(seed), 120+seed, func(t *testing.T, w *World) {
 			described(t, w)
 			lead, router, late, early := attach(t, w, "a1", "lead"), attach(t, w, "c2", "desk"), attach(t, w, "c1", "late"), attach(t, w, "c2", "early")
 			n := uint64(0)
@@ -55,7 +55,7 @@
 				got[name] = map[uint64]time.Time{}
 				mu.Unlock()
 				w.wg.Go(func() {
-					_ = w.Port(through).Follow(w.ctx, token, topics, cursor, func(l client.Event) error {
+					_ = w.Transport(through).Follow(w.ctx, token, topics, cursor, func(l client.Event) error {
 						mu.Lock()
 						defer mu.Unlock()
 						if l.Topic == "stop/line" {
@@ -71,7 +71,7 @@
 					n++
 					at := time.Now()
 					ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Recovery)
-					_, err := w.Port("a1").Send(ctx, lead.Token, "stop/line", n, []byte(`"stop"`))
+					_, err := w.Transport("a1").Send(ctx, lead.Token, "stop/line", n, []byte(`"stop"`))
 					stop()
 					assert.NilError(t, err)
 					most = max(most, time.Since(at))
@@ -81,7 +81,7 @@
 			}
 			_, cursor, _ := follow(w, "c1", late.Token, "", []string{"stop/line", "kept/t0"}, time.Second)
 			for c := range uint64(5) {
-				_, err := w.Port("a1").Send(w.ctx, router.Token, "kept/t0", c+1, []byte(`"missed"`))
+				_, err := w.Transport("a1").Send(w.ctx, router.Token, "kept/t0", c+1, []byte(`"missed"`))
 				assert.NilError(t, err)
 			}
 			back := attach(t, w, "c3", "back")
@@ -95,7 +95,7 @@
 				w.wg.Go(func() {
 					ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Spread)
 					defer stop()
-					_, _ = w.Port("a1").Send(ctx, router.Token, fmt.Sprintf("kept/t%d", i%load.Topics), 1, []byte(`1`))
+					_, _ = w.Transport("a1").Send(ctx, router.Token, fmt.Sprintf("kept/t%d", i%load.Topics), 1, []byte(`1`))
 				})
 			}
 			listen("behind, shared", "c3", late.Token, cursor, "stop/line", "kept/t0")
--- a/internal/testing/sim/visits_gap_test.go
+++ b/internal/testing/sim/visits_gap_test.go
@@ -16,7 +16,7 @@
 	t.Parallel()
 	long(t)
 	for seed := range uint64(seeds(1)) {
-		r := entertain(t, hall, 700+seed, Load{Topics: 24, LiveTopics: 2, Every: 6 * time.Second, Habits: func(h *simclient.Habits) {
+		r := entertain(t, hall, 700+seed, Load{Topics: 24, LiveTopics: 2, SendInterval: 6 * time.Second, Habits: func(h *simclient.Habits) {
 			h.AwayInterval, h.MaxAbsence, h.ChangeInterval = time.Minute, 80*time.Second, 0
 		}}, 24, func(_ *testing.T, w *World, g *LineClients) {
 			time.Sleep(5 * time.Second)
@@ -24,7 +24,7 @@
 			time.Sleep(w.Site.Timing.Retention() + w.Site.Timing.Recovery)
 			w.Heal()
 			time.Sleep(5 * time.Second)
-			g.Ever = true
+			g.AnyCursorAge = true
 		})
 		assert.Assert(t, r.Expired > 0, "no cursor was too old")
 	}
--- a/internal/testing/sim/visits_test.go
+++ b/internal/testing/sim/visits_test.go
@@ -15,10 +15,10 @@
 )
 
 var (
-	hall  = Site{Zones: 3, Control: 3, Access: 3, Stores: 3, Latency: 500 * time.Microsecond, Timing: Armor.Timing, Routine: 4, Urgent: 2}
-	crowd = Load{Topics: 24, LiveTopics: 4, Every: 2 * time.Second}
+	hall  = Site{Zones: 3, Control: 3, Access: 3, Storage: 3, Latency: 500 * time.Microsecond, Timing: Armor.Timing, Routine: 4, Urgent: 2}
+	crowd = Load{Topics: 24, LiveTopics: 4, SendInterval: 2 * time.Second}
 	// awake are visitors who always read, and so hear at once where to go.
-	awake = Load{Topics: 24, LiveTopics: 4, Every: 2 * time.Second, Rested: true}
+	awake = Load{Topics: 24, LiveTopics: 4, SendInterval: 2 * time.Second, NoPauses: true}
 )
 
 // entertain runs a fleet with visitors on line sessions through a script and judges what they saw.
@@ -30,7 +30,7 @@
 		assert.NilError(t, w.Start(w.Names...))
 		assert.NilError(t, w.WaitReady(20*time.Second))
 		w.load = l
-		_, err := w.Put("c1", l.Describe(0))
+		_, err := w.Put("c1", l.Configuration(0))
 		assert.NilError(t, err)
 		time.Sleep(w.Site.Timing.Spread)
 		g := w.StartLineClients(n, l)
@@ -44,11 +44,11 @@
 		}
 		time.Sleep(w.Site.Timing.Recovery)
 		cut := time.Now()
-		g.quiet()
+		g.stopSending()
 		time.Sleep(w.Site.Timing.Spread)
-		g.Late(20, cut.Add(-w.Site.Timing.Keeping/2))
+		g.StartLate(20, cut.Add(-w.Site.Timing.Keeping/2))
 		time.Sleep(w.Site.Timing.Recovery)
-		w.stop()
+		w.cancel()
 		g.wg.Wait()
 		var bs []deliverycheck.Violation
 		r, bs = g.Checker.Judge(cut)
@@ -86,12 +86,12 @@
 			a, b = b, a
 		}
 		if a == "wipe" {
-			assert.NilError(t, w.WaitUntil(90*time.Second, "every copy and seat is in place", w.whole))
+			assert.NilError(t, w.WaitUntil(90*time.Second, "every copy and seat is in place", w.isFullyReplicated))
 		}
 		t.Logf("seed %d: %s: %s and %s", w.Seed, time.Now().Format("04:05.000"), a, b)
 		undo := strike(w, g, r, a)
 		time.Sleep(time.Duration(r.IntN(int(3 * time.Second))))
-		also := nothing
+		also := noUndo
 		if a != "wipe" && r.IntN(2) == 0 {
 			also = strike(w, g, r, b)
 		}
@@ -101,7 +101,7 @@
 		if a == "wipe" {
 			w.Heal()
 			assert.NilError(t, w.Start(w.Names...))
-			assert.NilError(t, w.WaitUntil(90*time.Second, "the wiped disk is repaired", w.whole))
+			assert.NilError(t, w.WaitUntil(90*time.Second, "the wiped disk is repaired", w.isFullyReplicated))
 		}
 		time.Sleep(time.Duration(r.IntN(int(8 * time.Second))))
 	}
@@ -114,13 +114,13 @@
 	}
 	o := busiest(w)
 	if o == "" {
-		o = w.pick(r, "s")
+		o = w.pickMachine(r, "s")
 	}
 	return map[string]func() func(){
-		"visits reset":  func() func() { g.Reset(0.8); return nothing },
-		"owner killed":  func() func() { w.Kill(o); return w.start(o) },
+		"visits reset":  func() func() { g.Reset(0.8); return noUndo },
+		"owner killed":  func() func() { w.Kill(o); return w.undoByStarting(o) },
 		"owner frozen":  func() func() { w.Freeze(o); return func() { w.Thaw(o) } },
-		"owner stopped": func() func() { w.Terminate(o); return w.start(o) },
+		"owner stopped": func() func() { w.Terminate(o); return w.undoByStarting(o) },
 		"owner cut":     func() func() { w.Isolate(o); return w.Heal },
 		"control killed": func() func() {
 			var ns []string
@@ -130,18 +130,18 @@
 					w.Kill(n)
 				}
 			}
-			return w.start(ns...)
+			return w.undoByStarting(ns...)
 		},
 		"all power lost": func() func() {
 			for _, n := range w.Names {
 				w.LosePower(n, r.IntN(2) == 0)
 			}
-			return w.start(w.Names...)
+			return w.undoByStarting(w.Names...)
 		},
 		"access stopped": func() func() {
-			n := w.pick(r, "a")
+			n := w.pickMachine(r, "a")
 			w.Terminate(n)
-			return w.start(n)
+			return w.undoByStarting(n)
 		},
 	}[name]()
 }
@@ -171,16 +171,16 @@
 	t.Parallel()
 	long(t)
 	for seed := range uint64(seeds(2)) {
-		l := Load{Topics: 5, LiveTopics: 1, Every: time.Second, Habits: func(h *simclient.Habits) {
+		l := Load{Topics: 5, LiveTopics: 1, SendInterval: time.Second, Habits: func(h *simclient.Habits) {
 			h.ChangeInterval, h.AwayInterval, h.MaxAbsence = time.Second, 6*time.Second, 3*time.Second
 		}}
 		entertain(t, hall, 800+seed, l, 7, func(_ *testing.T, w *World, g *LineClients) {
-			stop := w.InterceptCalls(RandomCallFaults(w.Seed, 0.1+0.5*w.float()))
+			stop := w.InterceptCalls(RandomCallFaults(w.Seed, 0.1+0.5*w.randomFloat()))
 			for range 5 {
 				undo := strike(w, g, rand.New(rand.NewPCG(w.Seed, 23)), []string{"owner killed", "owner frozen", "owner cut", "owner stopped"}[w.Int(4)])
-				time.Sleep(w.span(10, 60))
+				time.Sleep(w.randomTenths(10, 60))
 				undo()
-				time.Sleep(w.span(20, 60))
+				time.Sleep(w.randomTenths(20, 60))
 			}
 			stop()
 		})
--- a/internal/testing/sim/whole_test.go
+++ b/internal/testing/sim/whole_test.go
@@ -13,23 +13,23 @@
 )
 
 // layout is a deployment's machines, and how long one that returns counts as lost.
-type layout struct {
+type deployment struct {
 	name string
 	Site
-	syncTime time.Duration
+	lossWindow time.Duration
 }
 
 // layouts are those of the users' six deployments; the small ones and those with control troubles
 // have the same machines.
-var layouts = []layout{
+var deployments = []deployment{
 	{"three zones", Armor, 4100 * time.Millisecond},
 	{"four zones", Traductores, 4 * time.Second},
-	{"three zones, grown", grown(Armor, 4, 8, 12), 6 * time.Second},
-	{"four zones, grown", grown(Traductores, 4, 8, 9), 6 * time.Second},
+	{"three zones, grown", scaledUp(Armor, 4, 8, 12), 6 * time.Second},
+	{"four zones, grown", scaledUp(Traductores, 4, 8, 9), 6 * time.Second},
 }
 
-func grown(s Site, zones, control, stores int) Site {
-	s.Zones, s.Control, s.Stores, s.ToleratedLosses, s.Routine, s.Urgent = zones, control, stores, 2, 16, 4
+func scaledUp(s Site, zones, control, stores int) Site {
+	s.Zones, s.Control, s.Storage, s.ToleratedLosses, s.Routine, s.Urgent = zones, control, stores, 2, 16, 4
 	return s
 }
 
@@ -50,7 +50,7 @@
 	if os.Getenv("PJ_MEASURE") != "" {
 		n = measuredSeeds
 	}
-	for _, l := range layouts {
+	for _, l := range deployments {
 		t.Run(l.name, func(t *testing.T) {
 			t.Parallel()
 			var mu sync.Mutex
@@ -59,7 +59,7 @@
 				for seed := range uint64(n) {
 					t.Run(fmt.Sprint(seed), func(t *testing.T) {
 						t.Parallel()
-						d := untilWhole(t, l, 1+seed)
+						d := measureRepair(t, l, 1+seed)
 						mu.Lock()
 						defer mu.Unlock()
 						took = append(took, d)
@@ -67,14 +67,14 @@
 				}
 			})
 			slices.Sort(took)
-			t.Logf("%d returns: median %s, nine of ten %s, worst %s of %s", len(took), took[len(took)/2], took[len(took)*9/10], took[len(took)-1], l.syncTime)
-			assert.Assert(t, took[len(took)-1] < l.syncTime)
+			t.Logf("%d returns: median %s, nine of ten %s, worst %s of %s", len(took), took[len(took)/2], took[len(took)*9/10], took[len(took)-1], l.lossWindow)
+			assert.Assert(t, took[len(took)-1] < l.lossWindow)
 		})
 	}
 }
 
 // untilWhole has a store or a control node come back empty, under load.
-func untilWhole(t *testing.T, l layout, seed uint64) (took time.Duration) {
+func measureRepair(t *testing.T, l deployment, seed uint64) (took time.Duration) {
 	t.Helper()
 	warm := l.Timing.Recovery / 2
 	if seed%fullEvery == 0 {
@@ -85,11 +85,11 @@
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
 		assert.NilError(t, w.WaitReady(20*time.Second))
-		_, err := w.Put("c1", busyLoad.Describe(0))
+		_, err := w.Put("c1", platformLoad.Configuration(0))
 		assert.NilError(t, err)
-		w.Callers(busyLoad)
+		w.StartHTTPClients(platformLoad)
 		time.Sleep(warm)
-		n := fmt.Sprint("s", 1+w.Int(l.Stores))
+		n := fmt.Sprint("s", 1+w.Int(l.Storage))
 		switch seed % 4 {
 		case 0:
 			n = busiest(w)
@@ -97,13 +97,13 @@
 			n = fmt.Sprint("c", 1+w.Int(l.Control))
 		}
 		w.Wipe(n)
-		time.Sleep(200*time.Millisecond + w.span(0, 6))
+		time.Sleep(200*time.Millisecond + w.randomTenths(0, 6))
 		assert.NilError(t, w.Start(n))
 		at := time.Now()
-		assert.NilError(t, w.WaitUntil(20*time.Second, "all copies are whole", w.copied))
+		assert.NilError(t, w.WaitUntil(20*time.Second, "all copies are whole", w.allReplicasComplete))
 		assert.NilError(t, w.WaitUntil(20*time.Second, "all seats are taken", w.allNodesAreVoters))
 		took = time.Since(at)
-		w.Quiet(time.Second)
+		w.StopSending(time.Second)
 	})
 	return took
 }
--- a/internal/testing/sim/why_test.go
+++ b/internal/testing/sim/why_test.go
@@ -15,13 +15,13 @@
 	stand(t, Armor, 320, func(t *testing.T, w *World) {
 		described(t, w)
 		tok := attach(t, w, "a1", "v").Token
-		_, err := w.Port("a1").Send(w.ctx, tok, "kept/t0", 1, []byte(`"one"`))
+		_, err := w.Transport("a1").Send(w.ctx, tok, "kept/t0", 1, []byte(`"one"`))
 		assert.NilError(t, err)
-		_, err = w.Port("a1").Send(w.ctx, tok, "kept/t0", 6, []byte(`"six"`))
+		_, err = w.Transport("a1").Send(w.ctx, tok, "kept/t0", 6, []byte(`"six"`))
 		assert.NilError(t, err)
-		_, err = w.Port("a1").Send(w.ctx, tok, "kept/t0", 4, []byte(`"four"`))
+		_, err = w.Transport("a1").Send(w.ctx, tok, "kept/t0", 4, []byte(`"four"`))
 		assert.Assert(t, apierror.HasCode(err, apierror.CallPassed), "%v", err)
-		_, err = w.Port("s2").Send(w.ctx, tok, "kept/t0", 1, []byte(`"other"`))
+		_, err = w.Transport("s2").Send(w.ctx, tok, "kept/t0", 1, []byte(`"other"`))
 		assert.Assert(t, apierror.HasCode(err, apierror.CallAltered), "%v", err)
 		why := func(call uint64) (*operator.Explanation, error) {
 			a, err := w.Machines["c2"].Node().Operators.Explain(w.ctx, "v", "kept/t0", call)
--- a/internal/testing/sim/wiped_test.go
+++ b/internal/testing/sim/wiped_test.go
@@ -14,7 +14,7 @@
 func TestWipedStoreAsksForNoEpochs(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(4)) {
-		stand(t, siteOf(seed), 60+seed, func(t *testing.T, w *World) {
+		stand(t, siteForSeed(seed), 60+seed, func(t *testing.T, w *World) {
 			described(t, w)
 			o := busiest(w)
 			before := w.records()
@@ -22,7 +22,7 @@
 			release := func() {}
 			if seed%2 == 0 {
 				var hits func() int
-				release, hits = w.PauseCalls(func(x Point) bool { return x.From != o && strings.Contains(x.Path, "/postjunction.Control/Change") })
+				release, hits = w.PauseCalls(func(x CallPoint) bool { return x.From != o && strings.Contains(x.Path, "/postjunction.Control/Change") })
 				defer func() { assert.Check(t, hits() > 0, "void: the placement duty was not held up") }()
 			}
 			time.Sleep(time.Duration(seed) * 100 * time.Millisecond)
@@ -48,10 +48,10 @@
 	t.Parallel()
 	long(t)
 	for seed := range uint64(seeds(2)) {
-		play(t, siteOf(seed), 420+seed, time.Hour, func(t *testing.T, w *World) {
+		runScenario(t, siteForSeed(seed), 420+seed, time.Hour, func(t *testing.T, w *World) {
 			o := busiest(w)
 			w.Kill(o)
-			release, hits := w.PauseCalls(func(x Point) bool { return x.From == o && strings.Contains(x.Path, "/postjunction.Control/") })
+			release, hits := w.PauseCalls(func(x CallPoint) bool { return x.From == o && strings.Contains(x.Path, "/postjunction.Control/") })
 			assert.NilError(t, w.Start(o))
 			time.Sleep(w.Site.Timing.TakeoverTimeout() * 3)
 			assert.Assert(t, hits() > 0, "void: nothing was held")
--- a/internal/testing/sim/withdraw_scene_test.go
+++ b/internal/testing/sim/withdraw_scene_test.go
@@ -16,12 +16,12 @@
 )
 
 // fourth is traductores with three access machines.
-var fourth = Site{Zones: 4, Control: 4, Access: 3, Stores: 4, Latency: 1500 * time.Microsecond, Timing: Traductores.Timing, Routine: 4, Urgent: 2}
+var fourth = Site{Zones: 4, Control: 4, Access: 3, Storage: 4, Latency: 1500 * time.Microsecond, Timing: Traductores.Timing, Routine: 4, Urgent: 2}
 
 var halls = map[string]Site{"armor": hall, "traductores": fourth}
 
 // few are visitors in the background, who carry keys and withdraw too.
-var few = Load{Topics: 12, LiveTopics: 2, Every: 2 * time.Second}
+var few = Load{Topics: 12, LiveTopics: 2, SendInterval: 2 * time.Second}
 
 const ground = "kept/t0"
 
@@ -49,10 +49,10 @@
 			t.Run(fmt.Sprintf("%s/%d", name, seed+i), func(t *testing.T) {
 				t.Parallel()
 				entertain(t, site, seed+i, few, 10, func(t *testing.T, w *World, g *LineClients) {
-					s := &scene{t: t, w: w, g: g, reader: g.Scripted("a1", "reader"), far: g.Scripted("a3", "far"), lead: g.Scripted("a2", "lead")}
+					s := &scene{t: t, w: w, g: g, reader: g.ConnectScripted("a1", "reader"), far: g.ConnectScripted("a3", "far"), lead: g.ConnectScripted("a2", "lead")}
 					assert.Assert(t, s.reader != nil && s.far != nil && s.lead != nil)
 					for _, h := range []*ScriptedClient{s.reader, s.far} {
-						_, ok := h.Follow(ground, "")
+						_, ok := h.Subscribe(ground, "")
 						assert.Assert(t, ok, "%s can't follow", h.Name)
 					}
 					script(s)
@@ -153,8 +153,8 @@
 
 // got tells whether a hand was shown a call of the lead after a moment.
 func (s *scene) got(h *ScriptedClient, call uint64, after time.Time) bool {
-	return slices.ContainsFunc(h.All(), func(x TimedResponse) bool {
-		return x.Type == session.Message && x.Topic == ground && x.From == s.lead.Name && x.CallSeq == call && x.Shown.After(after)
+	return slices.ContainsFunc(h.Responses(), func(x TimedResponse) bool {
+		return x.Type == session.Message && x.Topic == ground && x.From == s.lead.Name && x.CallSeq == call && x.WrittenAt.After(after)
 	})
 }
 
@@ -166,8 +166,8 @@
 	last := s.call
 	err := s.w.WaitUntil(s.w.Site.Timing.Recovery, "the reader comes back and is given what it lacks", func() bool {
 		was := s.reader
-		was.Break()
-		h := s.g.Scripted("a1", "reader")
+		was.Disconnect()
+		h := s.g.ConnectScripted("a1", "reader")
 		if h == nil {
 			return false
 		}
@@ -211,7 +211,7 @@
 func (s *scene) again(at, name string) (h *ScriptedClient) {
 	s.t.Helper()
 	assert.NilError(s.t, s.w.WaitUntil(s.w.Site.Timing.Recovery, name+" comes back", func() bool {
-		h = s.g.Scripted(at, name)
+		h = s.g.ConnectScripted(at, name)
 		return h != nil
 	}))
 	return h
@@ -223,11 +223,11 @@
 	s.t.Helper()
 	err := s.w.WaitUntil(2*s.w.Site.Timing.Recovery, "the reader follows", func() bool {
 		s.reader.End()
-		if s.reader = s.g.Scripted("a1", "reader"); s.reader == nil {
+		if s.reader = s.g.ConnectScripted("a1", "reader"); s.reader == nil {
 			s.reader = s.far
 			return false
 		}
-		if _, ok := s.reader.Follow(ground, ""); !ok || !s.lead.SendAccepted(ground, "turn", s.next()) {
+		if _, ok := s.reader.Subscribe(ground, ""); !ok || !s.lead.SendAccepted(ground, "turn", s.next()) {
 			return false
 		}
 		_, ok := s.reader.Wait(0, time.Second, func(a session.Response) bool {
--- a/internal/testing/sim/withdraw_test.go
+++ b/internal/testing/sim/withdraw_test.go
@@ -59,7 +59,7 @@
 				back()
 				a := s.yes(x, s.w.Site.Timing.Recovery)
 				time.Sleep(6 * time.Second)
-				assert.Assert(s.t, !s.got(s.reader, last, a.Shown), "shown after the yes")
+				assert.Assert(s.t, !s.got(s.reader, last, a.WrittenAt), "shown after the yes")
 				s.t.Logf("live updates: calm p50 %s p99 %s, with a router away p50 %s p99 %s", quantile(calm, 0.5), quantile(calm, 0.99), quantile(now, 0.5), quantile(now, 0.99))
 				assert.Assert(s.t, len(now) > 10 && quantile(now, 0.99) <= quantile(calm, 0.99)+5*time.Millisecond, "calm p99 %s, with a router away %s of %d", quantile(calm, 0.99), quantile(now, 0.99), len(now))
 				s.resumed()
@@ -88,7 +88,7 @@
 				x := s.open("turn", "a1")
 				a := s.yes(x, s.w.Site.Timing.Recovery+s.w.Site.Timing.CallTimeout())
 				s.flow("turn", time.Second)
-				assert.Assert(s.t, !s.got(s.reader, last, a.Shown), "shown after the yes")
+				assert.Assert(s.t, !s.got(s.reader, last, a.WrittenAt), "shown after the yes")
 				s.w.Heal()
 				s.resumed()
 			})
@@ -172,7 +172,7 @@
 				s.w.Heal()
 				a := s.yes(x, s.w.Site.Timing.Recovery)
 				s.resumed()
-				assert.Assert(s.t, !s.got(s.reader, last, a.Shown), "shown to one who came back")
+				assert.Assert(s.t, !s.got(s.reader, last, a.WrittenAt), "shown to one who came back")
 			})
 		})
 	}
@@ -197,7 +197,7 @@
 		s.lead = s.again("a2", "lead")
 		a := s.yes(x, s.w.Site.Timing.Recovery)
 		s.resumed()
-		assert.Assert(s.t, !s.got(s.reader, x.Call-1, a.Shown), "shown to one who came back")
+		assert.Assert(s.t, !s.got(s.reader, x.Call-1, a.WrittenAt), "shown to one who came back")
 		s.far.End()
 		s.far = s.again("a3", "far")
 	})
@@ -209,7 +209,7 @@
 func TestWithdrawalRacesItsOwnMessage(t *testing.T) {
 	t.Parallel()
 	staged(t, 930, 2, func(s *scene) {
-		twin := s.g.Scripted("a3", "lead")
+		twin := s.g.ConnectScripted("a3", "lead")
 		assert.Assert(s.t, twin != nil)
 		passed, taken := 0, 0
 		for i := range 30 {
@@ -348,17 +348,17 @@
 				}
 			}
 		}
-		answered := s.w.Parts("a1", router.Poll.Path)
+		answered := s.w.CallsInvolving("a1", router.Poll.Path)
 		s.moved(o)
 		s.reopened("")
 		x := s.open("turn", "a1")
-		h := s.g.Scripted("a1", "other")
+		h := s.g.ConnectScripted("a1", "other")
 		if h != nil {
-			_, _ = h.Follow(ground, "")
+			_, _ = h.Subscribe(ground, "")
 		}
 		time.Sleep(2 * time.Second)
 		s.still(x, "a1")
-		assert.Assert(s.t, s.w.Parts("a1", router.Poll.Path) > answered, "void: the old owner was not asked")
+		assert.Assert(s.t, s.w.CallsInvolving("a1", router.Poll.Path) > answered, "void: the old owner was not asked")
 		s.w.Heal()
 		s.yes(x, s.w.Site.Timing.Recovery)
 		s.resumed()
--- a/internal/testing/sim/woken_test.go
+++ b/internal/testing/sim/woken_test.go
@@ -21,16 +21,16 @@
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				s, big := Traductores, bootLoad
+				s, big := Traductores, restartLoad
 				s.Control, s.Sync, big.Topics = 8, 5*time.Millisecond, 2000
 				w := New(s, 40+seed, Logger())
 				defer w.Close()
 				assert.NilError(t, w.Start(w.Names...))
 				assert.NilError(t, w.WaitReady(20*time.Second))
-				_, err := w.Put("c1", big.Describe(0))
+				_, err := w.Put("c1", big.Configuration(0))
 				assert.NilError(t, err)
 				time.Sleep(s.Timing.Recovery)
-				_, err = w.Put("a1", big.Describe(1))
+				_, err = w.Put("a1", big.Configuration(1))
 				assert.NilError(t, err)
 				for _, n := range w.Names {
 					w.LosePower(n, w.Int(2) == 0)
@@ -41,7 +41,7 @@
 					k := w.Int(i + 1)
 					ns[i], ns[k] = ns[k], ns[i]
 				}
-				was := w.Flows()
+				was := w.TrafficByPath()
 				for _, n := range ns {
 					assert.NilError(t, w.Start(n))
 					time.Sleep(time.Duration(w.Int(60)) * time.Millisecond)
@@ -49,11 +49,11 @@
 				assert.NilError(t, w.WaitUntil(s.Timing.ReconcileInterval(), "all are ready", func() bool {
 					return !slices.ContainsFunc(ns, func(n string) bool { return w.Machines[n].Node().Ready() != nil })
 				}))
-				is, bytes := w.Flows(), 0
+				is, bytes := w.TrafficByPath(), 0
 				for _, p := range []string{keys.Read.Path, acceptor.Peek.Path, acceptor.Promise.Path, acceptor.Accept.Path} {
 					bytes += is[p].Bytes - was[p].Bytes
 				}
-				assert.Assert(t, bytes < 50*len(big.Describe(1)), "%d bytes for a description of %d", bytes, len(big.Describe(1)))
+				assert.Assert(t, bytes < 50*len(big.Configuration(1)), "%d bytes for a description of %d", bytes, len(big.Configuration(1)))
 			})
 		})
 	}
--- a/internal/testing/sim/world.go
+++ b/internal/testing/sim/world.go
@@ -20,10 +20,10 @@
 
 // Site says how many machines of each kind stand in how many zones.
 type Site struct {
-	Zones, Control, Access, Stores int
-	Latency                        time.Duration
-	Timing                         settings.Timing
-	Routine, Urgent                int
+	Zones, Control, Access, Storage int
+	Latency                         time.Duration
+	Timing                          settings.Timing
+	Routine, Urgent                 int
 	// BootstrapBy is the setting of that name, self when empty. With seeds, Known of the three
 	// seeds are control nodes, the others access nodes.
 	BootstrapBy  string
@@ -41,9 +41,9 @@
 
 // Armor and Traductores are the two deployments with fewer access machines.
 var (
-	Armor = Site{Zones: 3, Control: 3, Access: 1, Stores: 3, Latency: 500 * time.Microsecond,
+	Armor = Site{Zones: 3, Control: 3, Access: 1, Storage: 3, Latency: 500 * time.Microsecond,
 		Timing: settings.DefaultTiming, Routine: 4, Urgent: 2}
-	Traductores = Site{Zones: 4, Control: 4, Access: 1, Stores: 4, Latency: 1500 * time.Microsecond,
+	Traductores = Site{Zones: 4, Control: 4, Access: 1, Storage: 4, Latency: 1500 * time.Microsecond,
 		Timing: settings.DefaultTiming, Routine: 4, Urgent: 2}
 )
 
@@ -55,58 +55,58 @@
 	Machines map[string]*Machine
 	Names    []string
 
-	ctx       context.Context
-	stop      context.CancelFunc
-	logger    hclog.Logger
-	mu        sync.Mutex
-	rng       *rand.Rand
-	addrs     map[string]served
-	cuts      map[[2]string]bool
-	loss      float64
-	pauses    []*pausedCalls
-	intercept func(Point) CallFault
-	calls     map[string]int
-	flows     map[string]Flow
-	parts     map[[2]string]int
-	wg        sync.WaitGroup
-	sending   context.Context
-	sends     context.CancelFunc
-	load      Load
-	callers   []*httpclient.Caller
-	hops      map[[2]string]uint64
+	ctx            context.Context
+	cancel         context.CancelFunc
+	logger         hclog.Logger
+	mu             sync.Mutex
+	rng            *rand.Rand
+	listeners      map[string]listener
+	cuts           map[[2]string]bool
+	lossRate       float64
+	pauses         []*pausedCalls
+	intercept      func(CallPoint) CallFault
+	callsByService map[string]int
+	trafficByPath  map[string]Traffic
+	callsByMachine map[[2]string]int
+	wg             sync.WaitGroup
+	sendCtx        context.Context
+	stopSending    context.CancelFunc
+	load           Load
+	httpClients    []*httpclient.Caller
+	linkDraws      map[[2]string]uint64
 }
 
 // New makes a world; it must run inside a bubble.
-func New(s Site, seed uint64, log io.Writer) *World {
-	w := &World{Site: s, Seed: seed, History: history.New(), Machines: map[string]*Machine{},
-		addrs: map[string]served{}, cuts: map[[2]string]bool{}, calls: map[string]int{}, flows: map[string]Flow{},
-		parts: map[[2]string]int{}, hops: map[[2]string]uint64{}, rng: rand.New(rand.NewPCG(seed, 1))}
-	w.History.Bound = s.Timing.Recovery
-	w.ctx, w.stop = context.WithCancel(context.Background())
-	lv := hclog.Off
+func New(site Site, seed uint64, log io.Writer) *World {
+	w := &World{Site: site, Seed: seed, History: history.New(), Machines: map[string]*Machine{},
+		listeners: map[string]listener{}, cuts: map[[2]string]bool{}, callsByService: map[string]int{}, trafficByPath: map[string]Traffic{},
+		callsByMachine: map[[2]string]int{}, linkDraws: map[[2]string]uint64{}, rng: rand.New(rand.NewPCG(seed, 1))}
+	w.History.Bound = site.Timing.Recovery
+	w.ctx, w.cancel = context.WithCancel(context.Background())
+	level := hclog.Off
 	if log != nil {
-		lv = hclog.Debug
+		level = hclog.Debug
 	} else {
 		log = io.Discard
 	}
-	w.logger = hclog.New(&hclog.LoggerOptions{Name: "sim", Level: lv, Output: log, TimeFn: time.Now})
+	w.logger = hclog.New(&hclog.LoggerOptions{Name: "sim", Level: level, Output: log, TimeFn: time.Now})
 	var seeds []string
 	add := func(kind, disk string, n int) {
 		for i := range n {
-			o := w.newSettings(fmt.Sprintf("%s%d", kind, i+1), fmt.Sprintf("z%d", i%s.Zones+1), disk)
-			name := o.Name
-			if disk == settings.DiskControl && (s.BootstrapBy != settings.BootstrapSeeds || i < s.ControlSeeds) &&
-				len(seeds) < 3 || s.BootstrapBy == settings.BootstrapSeeds && disk == settings.DiskNone && len(seeds) < 3 {
-				seeds = append(seeds, o.PeerListen)
+			opts := w.newSettings(fmt.Sprintf("%s%d", kind, i+1), fmt.Sprintf("z%d", i%site.Zones+1), disk)
+			name := opts.Name
+			if disk == settings.DiskControl && (site.BootstrapBy != settings.BootstrapSeeds || i < site.ControlSeeds) &&
+				len(seeds) < 3 || site.BootstrapBy == settings.BootstrapSeeds && disk == settings.DiskNone && len(seeds) < 3 {
+				seeds = append(seeds, opts.PeerListen)
 			}
-			w.Machines[name] = &Machine{w: w, Opts: o, Disk: memlog.New(), broken: make(chan struct{})}
+			w.Machines[name] = &Machine{world: w, Opts: opts, Disk: memlog.New(), resetCh: make(chan struct{})}
 			w.Names = append(w.Names, name)
 		}
 	}
-	add("c", settings.DiskControl, s.Control)
-	add("s", settings.DiskStorage, s.Stores)
-	add("a", settings.DiskNone, s.Access)
-	for _, n := range s.Spares {
+	add("c", settings.DiskControl, site.Control)
+	add("s", settings.DiskStorage, site.Storage)
+	add("a", settings.DiskNone, site.Access)
+	for _, n := range site.Spares {
 		w.spare(n)
 	}
 	for _, m := range w.Machines {
@@ -116,54 +116,54 @@
 }
 
 func (w *World) newSettings(name, zone, disk string) settings.Options {
-	s, k := w.Site, len(w.Names)+1
-	o := settings.Default()
-	o.Name, o.Zone, o.Disk, o.DataDir = name, zone, disk, "data"
-	o.Listen, o.PeerListen = fmt.Sprintf("127.0.0.1:%d", 20000+k), fmt.Sprintf("127.0.0.1:%d", 30000+k)
-	o.Keeping, o.Spread, o.Recovery = settings.Duration(s.Timing.Keeping), settings.Duration(s.Timing.Spread),
-		settings.Duration(s.Timing.Recovery)
-	o.RoutinePartitions, o.UrgentPartitions = s.Routine, s.Urgent
-	if s.BootstrapBy != "" {
-		o.BootstrapBy = s.BootstrapBy
+	site, number := w.Site, len(w.Names)+1
+	opts := settings.Default()
+	opts.Name, opts.Zone, opts.Disk, opts.DataDir = name, zone, disk, "data"
+	opts.Listen, opts.PeerListen = fmt.Sprintf("127.0.0.1:%d", 20000+number), fmt.Sprintf("127.0.0.1:%d", 30000+number)
+	opts.Keeping, opts.Spread, opts.Recovery = settings.Duration(site.Timing.Keeping), settings.Duration(site.Timing.Spread),
+		settings.Duration(site.Timing.Recovery)
+	opts.RoutinePartitions, opts.UrgentPartitions = site.Routine, site.Urgent
+	if site.BootstrapBy != "" {
+		opts.BootstrapBy = site.BootstrapBy
 	}
-	o.DiskMB = s.DiskMB[name]
-	if s.ToleratedLosses > 0 {
-		o.ToleratedLosses = s.ToleratedLosses
+	opts.DiskMB = site.DiskMB[name]
+	if site.ToleratedLosses > 0 {
+		opts.ToleratedLosses = site.ToleratedLosses
 	}
 	if disk == settings.DiskNone {
-		o.ClientListen = fmt.Sprintf("127.0.0.1:%d", 25000+k)
+		opts.ClientListen = fmt.Sprintf("127.0.0.1:%d", 25000+number)
 	}
-	return o
+	return opts
 }
 
 // spare makes a machine with an empty disk, a name and an address of its own, like one that stands
 // there; it founds nothing and is not there yet.
 func (w *World) spare(like string) {
-	x := w.Machines[like].Opts
-	o := w.newSettings(like+"b", x.Zone, x.Disk)
-	o.BootstrapBy = settings.BootstrapNever
-	w.Machines[o.Name] = &Machine{w: w, Opts: o, Disk: memlog.New(), broken: make(chan struct{}), away: true}
-	w.Names = append(w.Names, o.Name)
+	existing := w.Machines[like].Opts
+	opts := w.newSettings(like+"b", existing.Zone, existing.Disk)
+	opts.BootstrapBy = settings.BootstrapNever
+	w.Machines[opts.Name] = &Machine{world: w, Opts: opts, Disk: memlog.New(), resetCh: make(chan struct{}), removed: true}
+	w.Names = append(w.Names, opts.Name)
 }
 
 // Remove takes a machine away for good, stopped in good order or not.
-func (w *World) Remove(n string, asked bool) {
-	if asked {
-		w.Terminate(n)
+func (w *World) Remove(name string, graceful bool) {
+	if graceful {
+		w.Terminate(name)
 	}
-	w.LosePower(n, false)
-	w.Machines[n].setAway(true)
+	w.LosePower(name, false)
+	w.Machines[name].setRemoved(true)
 }
 
 // Add brings a spare machine in and starts it.
-func (w *World) Add(n string) error {
-	w.Machines[n].setAway(false)
-	return w.Start(n)
+func (w *World) Add(name string) error {
+	w.Machines[name].setRemoved(false)
+	return w.Start(name)
 }
 
 // Present lists the machines that were not taken away.
 func (w *World) Present() []string {
-	return slices.DeleteFunc(slices.Clone(w.Names), func(n string) bool { return w.Machines[n].isGone() })
+	return slices.DeleteFunc(slices.Clone(w.Names), func(n string) bool { return w.Machines[n].isRemoved() })
 }
 
 // Logger gives a log for stderr when PJ_SIM_LOG is set.
@@ -174,7 +174,7 @@
 	return nil
 }
 
-func (w *World) float() float64 {
+func (w *World) randomFloat() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.rng.Float64()
@@ -189,7 +189,7 @@
 
 // Close ends the world, and waits until calls that outlive their askers have run out of time.
 func (w *World) Close() {
-	w.stop()
+	w.cancel()
 	for _, m := range w.Machines {
 		m.kill()
 	}
