--- a/internal/testing/sim/drain_back_test.go
+++ b/internal/testing/sim/decommission_return_test.go
@@ -10,7 +10,7 @@
 // An emptied store leaves with its disk, and comes back with it much later: old lines, old
 // promises, an old state directory. It serves again as an empty one, and what it holds counts only
 // once it was brought up; then another store is lost.
-func TestEmptiedStoreReturnsWithItsOldDisk(t *testing.T) {
+func TestDecommissionedStorageNodeReturnsWithItsOldDisk(t *testing.T) {
 	t.Parallel()
 	long(t)
 	for seed := range uint64(seeds(2)) {
--- a/internal/testing/sim/flap_test.go
+++ b/internal/testing/sim/flap_test.go
@@ -16,7 +16,7 @@
 }
 
 // What is slow, lossy or pauses for a moment is not gone: nothing changes hands.
-func TestNothingChangesHandsWhileMachinesAreOnlySlow(t *testing.T) {
+func TestNoLeaderChangesWhileMachinesAreOnlySlow(t *testing.T) {
 	t.Parallel()
 	disturbances := []struct {
 		name string
--- a/internal/testing/sim/repair_test.go
+++ b/internal/testing/sim/repair_test.go
@@ -90,7 +90,7 @@
 }
 
 // A store that is down is asked to be emptied: nobody waits for it.
-func TestDecommissioningAStoreThatIsDown(t *testing.T) {
+func TestDecommissioningAStorageNodeThatIsDown(t *testing.T) {
 	t.Parallel()
 	stand(t, Armor, 52, func(t *testing.T, w *World) {
 		assert.NilError(t, w.WaitUntil(10*time.Second, "every partition has its copies", w.allReplicasComplete))
@@ -107,7 +107,7 @@
 
 // A store that joined late and holds nothing is emptied at once, and stays empty though copies have
 // to go somewhere.
-func TestEmptyStoreStaysEmpty(t *testing.T) {
+func TestEmptyStorageNodeStaysEmpty(t *testing.T) {
 	t.Parallel()
 	s := Armor
 	s.Storage = 4
--- a/internal/testing/sim/replace_test.go
+++ b/internal/testing/sim/replace_test.go
@@ -31,7 +31,7 @@
 // A store is taken away for good and another one stands in for it under another name and address;
 // when it has stood there for four seconds another store loses its disk and all others their power.
 // The copies of the first once waited for it for the keeping time, so that two of three were lost.
-func TestReplacedStoreIsMadeGoodBeforeTheNextLoss(t *testing.T) {
+func TestReplacedStorageNodeIsMadeGoodBeforeTheNextLoss(t *testing.T) {
 	t.Parallel()
 	long(t)
 	for _, s := range []Site{Armor, Traductores} {
@@ -69,7 +69,7 @@
 }
 
 // A store that restarts keeps its copies also while a store stands by that was added some time ago.
-func TestRestartMovesNoCopiesToOneThatStandsBy(t *testing.T) {
+func TestRestartMovesNoReplicasToASpareNode(t *testing.T) {
 	t.Parallel()
 	long(t)
 	for seed := range uint64(seeds(8)) {
--- a/internal/testing/sim/trim_test.go
+++ b/internal/testing/sim/trim_test.go
@@ -76,7 +76,7 @@
 
 // What the ledger dropped is known per topic and per sender, and by the next owner too: written
 // down before it is dropped.
-func TestWhatIsGoneIsKnown(t *testing.T) {
+func TestTrimmedEntriesAreKnown(t *testing.T) {
 	t.Parallel()
 	long(t)
 	for seed := range uint64(seeds(2)) {
@@ -136,7 +136,7 @@
 
 // A store that is heard but hears nothing stays so for longer than the recovery bound; its
 // partitions are not left waiting for it.
-func TestDeafLeaderIsPassedOver(t *testing.T) {
+func TestLeaderThatReceivesNothingIsReplaced(t *testing.T) {
 	t.Parallel()
 	long(t)
 	for seed := range uint64(seeds(2)) {
--- a/internal/testing/sim/wiped_test.go
+++ b/internal/testing/sim/wiped_test.go
@@ -11,7 +11,7 @@
 // A store that comes back at once with an empty disk is named in records with its lost one. It once
 // gave itself new epochs without end, five a second, and the placement duty lost every race against
 // it. In every second run the duty is held up, as it is first by far now.
-func TestWipedStoreAsksForNoEpochs(t *testing.T) {
+func TestWipedStorageNodeAsksForNoEpochs(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(4)) {
 		stand(t, siteForSeed(seed), 60+seed, func(t *testing.T, w *World) {
--- a/tools/mutations/partitionlog-leader.sh
+++ b/tools/mutations/partitionlog-leader.sh
@@ -7,7 +7,7 @@
 mutant commit-epoch-start $L/progress.go 's/\|\| !ok \|\| position.Epoch != record.Epoch/|| !ok || position.Epoch > record.Epoch/' ./$L 'EpochStart'
 mutant altered-body $L/submit.go 's/case ok && previous.Digest != digest:/case ok \&\& false:/' ./internal/testing/transcript 'BadInput'
 mutant passed $L/submit.go 's/if message.CallSeq <= calls.last \{/if _, ok := calls.committed.Find(message.CallSeq); ok {/' ./internal/testing/transcript 'BadInput'
-mutant deletions-before-trim $L/maintain.go 's/ && !l\.state\.Changed\(\)//' $S 'WhatIsGone'
+mutant deletions-before-trim $L/maintain.go 's/ && !l\.state\.Changed\(\)//' $S 'TrimmedEntries'
 mutant recall $L/recovery.go 's/restored\.RestoreAnswer\(entry\)/_ = restored/' $S 'OfferedInOrder'
 mutant assure $L/leadership.go 's/check\.err = l\.confirmEpoch\(ctx\)/_ = ctx/' $S 'CutOffLeader'
 mutant generation $L/submit.go 's/if message.Generation > 0 && message.Generation < calls.generation \{/if false \&\& message.Generation < calls.generation {/' $S 'OldAttachment'
