--- a/internal/testing/sim/controls.go
+++ b/internal/testing/sim/controls.go
@@ -6,7 +6,7 @@
 	"postjunction/internal/apierror"
 )
 
-// Start starts a machine's process.
+// Start starts the processes of machines.
 func (w *World) Start(names ...string) error {
 	for _, n := range names {
 		if err := w.Machines[n].start(); err != nil {
@@ -16,7 +16,7 @@
 	return nil
 }
 
-// Kill ends a process at once; its disk keeps what was written.
+// Kill ends a process at once. Its disk retains what was written.
 func (w *World) Kill(name string) {
 	w.recordDisturbance("kill")
 	w.Machines[name].kill()
@@ -24,7 +24,7 @@
 
 func (w *World) recordDisturbance(what string) { w.History.Disturb(what, time.Now()) }
 
-// LosePower ends a process at once; its disk keeps only what was synced, maybe with a torn tail.
+// LosePower ends a process at once. Its disk retains only what was synced, maybe with a torn tail.
 func (w *World) LosePower(name string, torn bool) {
 	w.recordDisturbance("power")
 	w.Machines[name].losePower()
@@ -39,7 +39,7 @@
 	w.Machines[name].Disk.Wipe()
 }
 
-// Reset breaks every connection of a machine, callers' and peers', and leaves its process alone.
+// Reset breaks every connection of a machine, those of clients and of peers. Its process runs on.
 func (w *World) Reset(name string) {
 	m := w.Machines[name]
 	m.mu.Lock()
@@ -56,10 +56,10 @@
 	m.serving = &services
 }
 
-// shutdownGrace is how long the platform waits before it forces a process it asked to stop.
+// shutdownGrace is how long the platform waits for a process to stop before it kills it.
 const shutdownGrace = 6 * time.Second
 
-// Terminate asks a process to stop in good order, and forces it when it has not.
+// Terminate asks a process to stop in good order, and kills it after shutdownGrace.
 func (w *World) Terminate(name string) {
 	m := w.Machines[name]
 	if process, _ := m.node(); process != nil {
@@ -77,7 +77,7 @@
 	}
 }
 
-// Freeze stops a machine in its tracks, if a process runs on it.
+// Freeze pauses a machine, if a process runs on it.
 func (w *World) Freeze(name string) {
 	m := w.Machines[name]
 	m.mu.Lock()
@@ -88,7 +88,7 @@
 	}
 }
 
-// Thaw lets a frozen machine go on.
+// Thaw lets a frozen machine continue.
 func (w *World) Thaw(name string) {
 	m := w.Machines[name]
 	m.mu.Lock()
@@ -101,7 +101,7 @@
 	}
 }
 
-// Slow makes all that a machine sends take longer.
+// Slow delays all that a machine sends.
 func (w *World) Slow(name string, delay time.Duration) {
 	m := w.Machines[name]
 	m.mu.Lock()
@@ -112,8 +112,8 @@
 	m.sendDelay = delay
 }
 
-// SlowDisk makes a machine's disk take that many times as long to sync, as long as a fast disk does
-// for 0 or 1.
+// SlowDisk makes each sync of a machine's disk take that many times as long. At 0 or 1 it takes as
+// long as on a fast disk.
 func (w *World) SlowDisk(name string, times int) {
 	m := w.Machines[name]
 	m.mu.Lock()
@@ -124,8 +124,8 @@
 	m.diskSlowdown = times
 }
 
-// HangDisk has no sync of a machine's disk end until it is told otherwise. A process that starts
-// there meets the same disk.
+// HangDisk sets whether the syncs of a machine's disk hang until further notice. A process that
+// starts there uses the same disk.
 func (w *World) HangDisk(name string, hangs bool) {
 	m := w.Machines[name]
 	m.mu.Lock()
@@ -136,7 +136,7 @@
 	m.diskHangs = hangs
 }
 
-// Cut stops what goes from a to b; * stands for all.
+// Cut drops what one machine sends to another. The name * means all machines.
 func (w *World) Cut(from, to string) {
 	w.recordDisturbance("cut")
 	w.mu.Lock()
@@ -144,13 +144,13 @@
 	w.cuts[[2]string{from, to}] = true
 }
 
-// Isolate cuts a machine off both ways.
+// Isolate cuts a machine off in both directions.
 func (w *World) Isolate(name string) {
 	w.Cut(name, "*")
 	w.Cut("*", name)
 }
 
-// Heal mends all links.
+// Heal restores all links.
 func (w *World) Heal() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -160,7 +160,7 @@
 	w.cuts, w.lossRate = map[[2]string]bool{}, 0
 }
 
-// Lose makes links drop a share of what they carry.
+// DropPackets makes links drop a share of their packets.
 func (w *World) DropPackets(share float64) {
 	w.recordDisturbance("lose packets")
 	w.mu.Lock()
--- a/internal/testing/sim/faults.go
+++ b/internal/testing/sim/faults.go
@@ -14,7 +14,7 @@
 	"postjunction/internal/testing/history"
 )
 
-// Fault is a fault of a random day; the function that it gives puts right what can be put right.
+// Fault injects a fault of a random run. The function that it returns undoes what can be undone.
 type Fault func(w *World, r *rand.Rand) (undo func())
 
 func (w *World) pickMachine(r *rand.Rand, kind string) string {
@@ -53,7 +53,7 @@
 
 func noUndo() {}
 
-// Faults are all faults that a random day may bring.
+// Faults are all faults that a random run may inject.
 var Faults = map[string]Fault{
 	"kill": func(w *World, r *rand.Rand) func() {
 		n := w.pickMachine(r, "")
@@ -61,12 +61,12 @@
 		return w.undoByStarting(n)
 	},
 	"kill many": func(w *World, r *rand.Rand) func() {
-		var ns []string
+		var names []string
 		for range 2 + r.IntN(3) {
-			ns = append(ns, w.pickMachine(r, ""))
-			w.Kill(ns[len(ns)-1])
+			names = append(names, w.pickMachine(r, ""))
+			w.Kill(names[len(names)-1])
 		}
-		return w.undoByStarting(ns...)
+		return w.undoByStarting(names...)
 	},
 	"stop": func(w *World, r *rand.Rand) func() {
 		n := w.pickMachine(r, "")
@@ -146,12 +146,12 @@
 		return func() { w.Slow(n, 0) }
 	},
 	"fill": func(w *World, r *rand.Rand) func() {
-		n := w.pickMachine(r, pickDiskKind(r))
+		name := w.pickMachine(r, pickDiskKind(r))
 		w.recordDisturbance("fill")
-		w.Machines[n].Disk.Fill(true)
+		w.Machines[name].Disk.Fill(true)
 		return func() {
 			w.recordDisturbance("space again")
-			w.Machines[n].Disk.Fill(false)
+			w.Machines[name].Disk.Fill(false)
 		}
 	},
 	"slow disk": func(w *World, r *rand.Rand) func() {
@@ -165,39 +165,39 @@
 		return func() { w.HangDisk(n, false) }
 	},
 	"drain": func(w *World, r *rand.Rand) func() {
-		n, lost := w.pickMachine(r, "s"), r.IntN(2) == 0
+		name, lost := w.pickMachine(r, "s"), r.IntN(2) == 0
 		w.recordDisturbance("drain")
 		asked := w.callNode(w.pickMachine(r, "c"), w.Site.Timing.Recovery, func(ctx context.Context, x *node.Node) error {
-			_, err := x.Operators.Decommission(ctx, n)
+			_, err := x.Operators.Decommission(ctx, name)
 			return err
 		}) == nil
 		return func() {
 			if !asked {
 				return
 			}
-			_ = w.WaitUntil(40*time.Second, n+" is empty", w.isDecommissioned(n))
-			if !w.isDecommissioned(n)() {
+			_ = w.WaitUntil(40*time.Second, name+" is empty", w.isDecommissioned(name))
+			if !w.isDecommissioned(name)() {
 				return
 			}
-			w.Terminate(n)
+			w.Terminate(name)
 			if lost {
 				w.recordDisturbance("departed with its disk")
-				w.Machines[n].Disk.Wipe()
+				w.Machines[name].Disk.Wipe()
 			}
-			_ = w.Start(n)
+			_ = w.Start(name)
 		}
 	},
 	"settings": func(w *World, r *rand.Rand) func() {
 		w.recordDisturbance("settings")
 		for _, n := range w.Names {
-			if x := w.Machines[n].Node(); x != nil && r.IntN(2) == 0 {
-				o := w.Machines[n].Opts
-				o.Backlog = 16 + r.IntN(64)
-				o.Changelog = settings.Duration(time.Duration(200+r.IntN(6000)) * time.Millisecond)
+			if process := w.Machines[n].Node(); process != nil && r.IntN(2) == 0 {
+				opts := w.Machines[n].Opts
+				opts.Backlog = 16 + r.IntN(64)
+				opts.Changelog = settings.Duration(time.Duration(200+r.IntN(6000)) * time.Millisecond)
 				if r.IntN(4) == 0 {
-					o.Zone = "elsewhere"
+					opts.Zone = "elsewhere"
 				}
-				_ = x.Apply(o)
+				_ = process.Apply(opts)
 			}
 		}
 		return noUndo
@@ -212,18 +212,18 @@
 		}
 		var wg sync.WaitGroup
 		for i := range 3 {
-			n, k, seq := w.pickMachine(r, ""), uint64(r.IntN(3)), cur+1+r.Uint64N(3)
+			name, kind, seq := w.pickMachine(r, ""), uint64(r.IntN(3)), cur+1+r.Uint64N(3)
 			wg.Go(func() {
 				doc := w.load.NumberedConfiguration(cur, seq, fmt.Sprintf("operator %d", i))
 				bad := []byte(fmt.Sprintf(`{"base":%d,"spaces":[{"name":"kept","kind":"kept","topics":["t0","t0"]}]}`, cur))
-				if k == 0 {
-					if _, err := w.Transport(n).Put(ctx, bad); err == nil {
-						w.History.Violate(history.Invalid, "an invalid description was taken through %s", n)
+				if kind == 0 {
+					if _, err := w.Transport(name).Put(ctx, bad); err == nil {
+						w.History.Violate(history.Invalid, "an invalid configuration was accepted through %s", name)
 					}
 					return
 				}
-				if _, err := w.Put(n, doc); apierror.HasCode(err, apierror.ConfigurationInvalid) {
-					w.History.Violate(history.Invalid, "a sound description was turned away through %s: %v", n, err)
+				if _, err := w.Put(name, doc); apierror.HasCode(err, apierror.ConfigurationInvalid) {
+					w.History.Violate(history.Invalid, "a valid configuration was rejected through %s: %v", name, err)
 				}
 			})
 		}
@@ -232,7 +232,7 @@
 	},
 }
 
-// FaultNames lists the faults in order.
+// FaultNames returns the names of all faults in alphabetical order.
 func FaultNames() []string {
 	var names []string
 	for n := range Faults {
@@ -242,14 +242,14 @@
 	return names
 }
 
-// Step is one moment of a random day: a fault, maybe a second one, and when what happens.
+// Step is one step of a random run: a fault, maybe a second one, and their timing.
 type Step struct {
 	First, Second                string
 	FirstSeed, SecondSeed        uint64
 	Between, Duration, Gap, Rest time.Duration
 }
 
-// String names a step's faults.
+// String returns the names of a step's faults.
 func (s Step) String() string {
 	if s.Second == "" {
 		return s.First
@@ -257,7 +257,7 @@
 	return s.First + " and " + s.Second
 }
 
-// PlanDay draws the steps of a day from its seed alone.
+// PlanDay returns the steps of a random run. They depend on its seed alone.
 func PlanDay(seed uint64) []Step {
 	r := rand.New(rand.NewPCG(seed, 3))
 	names := FaultNames()
@@ -266,7 +266,8 @@
 	}
 	var steps []Step
 	for range 3 + r.IntN(3) {
-		step := Step{First: names[r.IntN(len(names))], Second: names[r.IntN(len(names))], FirstSeed: r.Uint64(), SecondSeed: r.Uint64(),
+		step := Step{First: names[r.IntN(len(names))], Second: names[r.IntN(len(names))],
+			FirstSeed: r.Uint64(), SecondSeed: r.Uint64(),
 			Between: span(0, 30), Duration: span(5, 90), Gap: span(0, 20), Rest: span(10, 60)}
 		if r.IntN(3) == 0 || step.First == "wipe" && step.Second == "wipe" {
 			step.Second = ""
--- a/internal/testing/sim/intercept.go
+++ b/internal/testing/sim/intercept.go
@@ -8,14 +8,14 @@
 	"postjunction/internal/clock"
 )
 
-// Stages of a call between machines at which it can be held up.
+// Stages of a call between machines at which it can be delayed.
 const (
 	RequestStage  = "asking"
 	ResponseStage = "answering"
 )
 
-// Point is a place in a call's way: who calls whom, which call, and whether it is on its way there
-// or back.
+// CallPoint is a point in a call's progress: its caller, its target, its path, and whether the
+// request or the response is in flight.
 type CallPoint struct {
 	From, To, Path, Stage string
 	Body                  []byte
@@ -24,12 +24,13 @@
 type pausedCalls struct {
 	match    func(CallPoint) bool
 	released chan struct{}
-	mu       sync.Mutex
-	hits     int
+	// mu guards hits.
+	mu   sync.Mutex
+	hits int
 }
 
-// PauseCalls keeps calls that match where they are until released, or until their time is up.
-// The first function releases them; the second tells how many were held.
+// PauseCalls pauses matching calls where they are until they are released or their deadline passes.
+// The first function releases them. The second returns how many were paused.
 func (w *World) PauseCalls(match func(CallPoint) bool) (release func(), hits func() int) {
 	paused := &pausedCalls{match: match, released: make(chan struct{})}
 	w.mu.Lock()
@@ -76,16 +77,16 @@
 	}
 }
 
-// CallFault is what may happen to a call between machines: it or its answer is lost, it comes a
-// second time, late, or it takes longer.
+// CallFault is a fault of a call between machines: the request or the response is lost, the request
+// arrives a second time after a delay, or either takes longer.
 type CallFault struct {
 	Lose      bool
 	Duplicate time.Duration
 	Delay     time.Duration
 }
 
-// InterceptCalls has a function decide what happens to each call at each of its stages, until the
-// function that it gives is called.
+// InterceptCalls lets a function decide the fault of each call at each of its stages, until the
+// function that it returns is called.
 func (w *World) InterceptCalls(decide func(CallPoint) CallFault) (stop func()) {
 	w.recordDisturbance("call faults")
 	w.mu.Lock()
@@ -99,8 +100,8 @@
 	}
 }
 
-// applyCallFault delays a call by its fault, for good when it is lost; it returns how late
-// it comes again, 0 for not at all.
+// applyCallFault delays a call by its fault, until its deadline when it is lost. It returns the delay
+// of its duplicate, 0 for none.
 func (w *World) applyCallFault(ctx context.Context, point CallPoint) time.Duration {
 	w.mu.Lock()
 	intercept := w.intercept
--- a/internal/testing/sim/lineclients.go
+++ b/internal/testing/sim/lineclients.go
@@ -19,16 +19,17 @@
 	"postjunction/internal/testing/simclient"
 )
 
-// LineClients are the visitors of a world on line sessions.
+// LineClients are the simulated clients of a world that use line sessions.
 type LineClients struct {
 	world   *World
 	Checker *deliverycheck.Checker
 	Load    Load
 	Calm    atomic.Bool
-	// Rested has no visitor stop reading for a while.
+	// NoPauses keeps every client reading without pauses.
 	NoPauses bool
-	// Ever has late visitors take cursors of any age.
+	// AnyCursorAge lets late clients resume from cursors of any age.
 	AnyCursorAge bool
+	// mu guards NoPauses, sessions, sessionCount and savedCursors.
 	mu           sync.Mutex
 	sessions     map[*lineSession]bool
 	sessionCount int
@@ -39,23 +40,25 @@
 	wg           sync.WaitGroup
 }
 
-// lineSession is a visitor's end of a connection to a machine, with what is under way on it.
+// lineSession is a client's end of a connection to a machine, with the data in flight on it.
 type lineSession struct {
-	clients       *LineClients
-	machine       *Machine
-	run           int
-	conn          *socket
-	onResponse    func(session.Response, time.Time)
-	onBroken      func()
-	once          sync.Once
-	closed        chan struct{}
+	clients    *LineClients
+	machine    *Machine
+	run        int
+	conn       *socket
+	onResponse func(session.Response, time.Time)
+	onBroken   func()
+	once       sync.Once
+	closed     chan struct{}
+	// mu guards outgoing and pausedUntil.
 	mu            sync.Mutex
 	outgoing      []byte
 	outgoingReady chan struct{}
-	// n counts sessions, so that one can be drawn; a scripted one rests only as it is told.
+	// number orders the sessions, so that a random choice depends on the seed alone. A scripted
+	// session pauses only when its script says so.
 	number   int
 	scripted bool
-	// pausedUntil is until when the visitor does not read.
+	// pausedUntil is the time until which the client does not read.
 	pausedUntil time.Time
 }
 
@@ -66,7 +69,7 @@
 	}
 }
 
-// Do sends a task.
+// Do sends a request.
 func (s *lineSession) Do(request session.Request) {
 	encoded, err := json.Marshal(request)
 	if err != nil {
@@ -78,7 +81,7 @@
 	signal(s.outgoingReady)
 }
 
-// End closes the connection from the visitor's side.
+// End closes the connection from the client's side.
 func (s *lineSession) End() { s.disconnect() }
 
 func (s *lineSession) disconnect() {
@@ -90,7 +93,7 @@
 	})
 }
 
-// Pause has the visitor not read for a while.
+// Pause stops the client from reading for a while.
 func (s *lineSession) Pause(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +120,7 @@
 	time.Sleep(d)
 }
 
-// ask carries what the visitor says.
+// sendLoop carries what the client sends.
 func (s *lineSession) sendLoop() {
 	for {
 		select {
@@ -141,7 +144,7 @@
 	}
 }
 
-// listen carries what the visitor is told.
+// receiveLoop carries what the client receives.
 func (s *lineSession) receiveLoop() {
 	var buffer []byte
 	for {
@@ -192,8 +195,8 @@
 		}}
 }
 
-// connect opens a connection to a machine, nil where nobody takes it. A scripted one is never drawn
-// to rest, from its first moment on.
+// connect opens a connection to a machine. It returns nil where no process accepts it. A scripted
+// session is never chosen for a pause, from its first moment on.
 func (g *LineClients) connect(m *Machine, scripted bool, onResponse func(session.Response, time.Time),
 	onBroken func()) *lineSession {
 	services := m.services()
@@ -205,8 +208,8 @@
 	if conn == nil {
 		return nil
 	}
-	s := &lineSession{clients: g, machine: m, run: run, conn: conn, onResponse: onResponse, onBroken: onBroken, closed: make(chan struct{}),
-		outgoingReady: make(chan struct{}, 1), scripted: scripted}
+	s := &lineSession{clients: g, machine: m, run: run, conn: conn, onResponse: onResponse, onBroken: onBroken,
+		closed: make(chan struct{}), outgoingReady: make(chan struct{}, 1), scripted: scripted}
 	g.mu.Lock()
 	g.sessionCount++
 	s.number = g.sessionCount
@@ -225,8 +228,8 @@
 	return s
 }
 
-// Endpoints gives the access machines that the platform passes visitors to: those that are ready,
-// all when none is.
+// Endpoints returns the access machines that the platform routes clients to: those that are ready,
+// or all when none is.
 func (g *LineClients) Endpoints() []simclient.Endpoint {
 	var ready, all []simclient.Endpoint
 	for _, n := range g.world.Names {
@@ -248,7 +251,7 @@
 	return ready
 }
 
-// Reset breaks a share of all visitors' connections.
+// Reset moves a share of all clients to new connections.
 func (g *LineClients) Reset(share float64) {
 	g.world.recordDisturbance("visits reset")
 	for _, client := range g.clients {
@@ -258,7 +261,7 @@
 	}
 }
 
-// Habits are those of the platform's clients.
+// Habits returns the timing of the platform's clients.
 func Habits() simclient.Habits {
 	return simclient.Habits{
 		Keepalive: 2 * time.Second, ResponseTimeout: 1500 * time.Millisecond, SubscribeTimeout: 2 * time.Second,
@@ -269,9 +272,11 @@
 	}
 }
 
-// StartLineClients lets n visitors in, who follow some of the load's topics each and send on two.
+// StartLineClients starts a number of clients. Each subscribes to some of the load's topics and sends
+// on two.
 func (w *World) StartLineClients(count int, load Load) *LineClients {
-	clients := &LineClients{world: w, Checker: deliverycheck.New(w.Site.Timing.Keeping, 3*w.Site.Timing.Spread), Load: load,
+	clients := &LineClients{world: w, Load: load,
+		Checker:  deliverycheck.New(w.Site.Timing.Keeping, 3*w.Site.Timing.Spread),
 		sessions: map[*lineSession]bool{}}
 	clients.sendCtx, clients.stopSending = context.WithCancel(w.ctx)
 	clients.NoPauses = load.NoPauses
@@ -290,12 +295,12 @@
 			client.Follow = append(client.Follow, simclient.Topic{Name: t})
 			client.Lanes = append(client.Lanes, simclient.Lane{Topic: t, Window: 1, Interval: 2 * load.SendInterval})
 		}
-		for k := range 2 {
+		for lane := range 2 {
 			width := 1
-			if i%4 == 0 && k == 0 {
+			if i%4 == 0 && lane == 0 {
 				width = 8
 			}
-			client.Lanes = append(client.Lanes, simclient.Lane{Topic: fmt.Sprintf("kept/t%d", (i+k*7)%max(1, load.Topics)),
+			client.Lanes = append(client.Lanes, simclient.Lane{Topic: fmt.Sprintf("kept/t%d", (i+lane*7)%max(1, load.Topics)),
 				Window: width, Interval: load.SendInterval / time.Duration(width)})
 		}
 		client.Saved = func(t simclient.Topic) {
@@ -313,7 +318,7 @@
 	maxPause      = 4 * time.Second
 )
 
-// pause has one visitor after the other not read for a while, so that bytes wait for them.
+// pauseClients pauses the reading of one client after another, so that bytes queue up for them.
 func (g *LineClients) pauseClients() {
 	r := rand.New(rand.NewPCG(g.world.Seed, 31))
 	for (clock.Real{}).Sleep(g.sendCtx, pauseInterval) == nil && !g.pausesDisabled() {
@@ -348,7 +353,7 @@
 	g.wg.Go(func() { client.Run(g.world.ctx, g.sendCtx) })
 }
 
-// Late lets visitors in who take up cursors given to others since a moment.
+// StartLate starts clients that resume from cursors given to others since a moment.
 func (g *LineClients) StartLate(count int, since time.Time) {
 	g.mu.Lock()
 	var cursors []simclient.Topic
@@ -379,7 +384,7 @@
 	}
 }
 
-// RandomCallFaults draws what happens to each message of the exchange by which nodes follow topics.
+// RandomCallFaults returns a seeded choice of faults for the calls by which nodes follow topics.
 func RandomCallFaults(seed uint64, share float64) func(CallPoint) CallFault {
 	var mu sync.Mutex
 	r := rand.New(rand.NewPCG(seed, 77))
--- a/internal/testing/sim/load.go
+++ b/internal/testing/sim/load.go
@@ -11,8 +11,8 @@
 	"postjunction/internal/testing/simclient"
 )
 
-// Move has a share of the callers leave their nodes at once and come back through others, as
-// clients that change zones do.
+// MoveClients makes a share of the HTTP clients leave their nodes at once and come back through
+// others, as clients that change zones do.
 func (w *World) MoveClients(share float64) {
 	w.recordDisturbance("move")
 	w.mu.Lock()
@@ -25,7 +25,7 @@
 	}
 }
 
-// Arrive has more callers attach at once; they stay.
+// AddClients makes more HTTP clients attach at once. They remain until the end.
 func (w *World) AddClients(count int) {
 	w.recordDisturbance("arrive")
 	w.mu.Lock()
@@ -33,24 +33,25 @@
 	w.mu.Unlock()
 	load := w.load
 	load.HTTPClients = count
-	w.runHTTPClients(PlanHTTPClients(load, w.Seed+uint64(existing), w.Site.Timing.Spread), fmt.Sprintf("late%d-", existing))
+	w.runHTTPClients(PlanHTTPClients(load, w.Seed+uint64(existing), w.Site.Timing.Spread),
+		fmt.Sprintf("late%d-", existing))
 }
 
-// Load says how many callers there are and how often they send.
+// Load describes how many clients there are and how often they send.
 type Load struct {
 	HTTPClients, Topics, LiveTopics, UrgentSenders int
-	// Flood is how many topics nobody follows there are for floods.
+	// FloodTopics is the number of topics for floods. They have no subscribers.
 	FloodTopics int
-	// SessionTopics is how many kept topics there are for clients on line sessions alone.
+	// SessionTopics is the number of kept topics for clients on line sessions alone.
 	SessionTopics int
 	SendInterval  time.Duration
-	// Rested has no client stop reading for a while.
+	// NoPauses keeps every client reading without pauses.
 	NoPauses bool
-	// Habits changes those of clients; nil for none.
+	// Habits changes the timing of clients. It may be nil.
 	Habits func(h *simclient.Habits)
 }
 
-// Describe writes the description of a load on a base.
+// Configuration returns the configuration document of a load, on a base.
 func (l Load) Configuration(base uint64) []byte {
 	list := func(prefix string, n int) string {
 		names := ""
@@ -76,12 +77,13 @@
 		base, kept, list("l", l.LiveTopics), flood))
 }
 
-// Numbered makes the description under a number of its operator's own, with its source.
+// NumberedConfiguration returns the configuration document under a sequence number that its operator
+// chose, with its source.
 func (l Load) NumberedConfiguration(base, sequence uint64, source string) []byte {
 	return []byte(fmt.Sprintf(`{"sequence":%d,"source":%q,%s`, sequence, source, l.Configuration(base)[1:]))
 }
 
-// Callers starts the stand-in callers.
+// StartHTTPClients starts the simulated HTTP clients.
 func (w *World) StartHTTPClients(load Load) {
 	w.load = load
 	w.sendCtx, w.stopSending = context.WithCancel(w.ctx)
@@ -99,29 +101,30 @@
 	w.httpClients = append(w.httpClients, clients...)
 }
 
-// Plan makes the callers of a load; who sends and follows what depends only on the seed.
+// PlanHTTPClients makes the HTTP clients of a load. Their topics depend on the seed alone.
 func PlanHTTPClients(load Load, seed uint64, spread time.Duration) []*httpclient.Caller {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	var clients []*httpclient.Caller
 	for i := range load.HTTPClients {
-		c := &httpclient.Caller{Name: fmt.Sprintf("v%d", i), Every: load.SendInterval,
+		client := &httpclient.Caller{Name: fmt.Sprintf("v%d", i), Every: load.SendInterval,
 			Rand: rand.New(rand.NewPCG(seed, uint64(i)+10)), Spread: spread, Urgent: map[string]bool{}, Live: map[string]bool{}}
 		first := i % load.Topics
-		c.Follows = []string{fmt.Sprintf("kept/t%d", first), fmt.Sprintf("kept/t%d", (first+1+rng.IntN(max(1, load.Topics-1)))%load.Topics)}
-		c.Sends = []string{fmt.Sprintf("kept/t%d", first)}
+		client.Follows = []string{fmt.Sprintf("kept/t%d", first),
+			fmt.Sprintf("kept/t%d", (first+1+rng.IntN(max(1, load.Topics-1)))%load.Topics)}
+		client.Sends = []string{fmt.Sprintf("kept/t%d", first)}
 		if load.LiveTopics > 0 && i < 2*load.LiveTopics {
 			t := fmt.Sprintf("live/l%d", i%load.LiveTopics)
-			c.Live[t] = true
-			c.Follows, c.Sends = append(c.Follows, t), append(c.Sends, t)
+			client.Live[t] = true
+			client.Follows, client.Sends = append(client.Follows, t), append(client.Sends, t)
 		}
 		if i < 2*load.UrgentSenders {
-			c.Urgent["stop/line"] = true
-			c.Follows = append(c.Follows, "stop/line")
+			client.Urgent["stop/line"] = true
+			client.Follows = append(client.Follows, "stop/line")
 			if i < load.UrgentSenders {
-				c.Sends = append(c.Sends, "stop/line")
+				client.Sends = append(client.Sends, "stop/line")
 			}
 		}
-		clients = append(clients, c)
+		clients = append(clients, client)
 	}
 	return clients
 }
--- a/internal/testing/sim/machine.go
+++ b/internal/testing/sim/machine.go
@@ -1,5 +1,5 @@
-// Package sim runs whole fleets of the real code in one process under simulated time, network and
-// disks.
+// Package sim runs whole fleets of the real node code in one process under simulated time, network
+// and disks.
 package sim
 
 import (
@@ -16,13 +16,14 @@
 	"postjunction/internal/testing/transport"
 )
 
-// Machine is one simulated machine: a disk that outlives its processes, and a process that may run
-// on it.
+// Machine is one simulated machine: a disk that outlives its processes, and at most one running
+// process.
 type Machine struct {
 	world *World
 	Opts  settings.Options
 	Disk  *memlog.Disk
 
+	// mu guards all fields below.
 	mu           sync.Mutex
 	running      *node.Node
 	serving      *transport.Services
@@ -83,10 +84,10 @@
 
 type machineClock struct{ machine *Machine }
 
-// Now tells the time of the bubble.
+// Now returns the time of the synctest bubble.
 func (machineClock) Now() time.Time { return time.Now() }
 
-// Sleep waits, and longer while the machine is frozen.
+// Sleep waits for a duration, and longer while the machine is frozen.
 func (c machineClock) Sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -111,30 +112,30 @@
 	return d.machine.run != d.run
 }
 
-// Write writes unless the process is gone.
+// Write writes unless the process has ended.
 func (d processDisk) Write(first uint64, recs [][]byte) error {
 	d.machine.waitWhileFrozen()
 	if d.isStale() {
-		return errGone
+		return errProcessEnded
 	}
 	return d.Log.Write(first, recs)
 }
 
-// Sync syncs unless the process is gone.
+// Sync syncs unless the process has ended.
 func (d processDisk) Sync() error {
 	d.machine.waitWhileFrozen()
 	if d.isStale() {
-		return errGone
+		return errProcessEnded
 	}
 	d.waitForSync()
 	d.machine.waitWhileFrozen()
 	if d.isStale() {
-		return errGone
+		return errProcessEnded
 	}
 	return d.Log.Sync()
 }
 
-// take waits as long as a sync takes, and while the disk hangs.
+// waitForSync waits for the duration of a sync, and for as long as the disk hangs.
 func (d processDisk) waitForSync() {
 	slowdown, hangs := d.machine.diskDelay()
 	time.Sleep(max(syncDuration, d.machine.world.Site.Sync) * time.Duration(max(1, slowdown)))
@@ -143,10 +144,10 @@
 	}
 }
 
-// CutFront cuts unless the process is gone.
+// CutFront truncates the front of the log unless the process has ended.
 func (d processDisk) CutFront(i uint64) error {
 	if d.isStale() {
-		return errGone
+		return errProcessEnded
 	}
 	return d.Log.CutFront(i)
 }
@@ -168,7 +169,7 @@
 	return m.running, m.run
 }
 
-// Up tells whether a process runs.
+// Up reports whether a process runs.
 func (m *Machine) Up() bool {
 	n, _ := m.node()
 	return n != nil
@@ -180,7 +181,7 @@
 	return m.serving
 }
 
-// Node gives the running process, nil when there is none.
+// Node returns the running process, nil when there is none.
 func (m *Machine) Node() *node.Node {
 	n, _ := m.node()
 	return n
@@ -197,13 +198,13 @@
 	m.mu.Unlock()
 	environment := node.Environment{Clock: machineClock{m}, Net: &endpoint{m.world, m, run},
 		OnDecision: func(partition int, epoch uint64, what string, begun time.Time) {
-			m.world.History.Decide(history.Decision{Node: m.Opts.Name, Partition: partition, Epoch: epoch, What: what, Begun: begun,
-				Acknowledged: time.Now()})
+			m.world.History.Decide(history.Decision{Node: m.Opts.Name, Partition: partition, Epoch: epoch, What: what,
+				Begun: begun, Acknowledged: time.Now()})
 		}}
 	if m.Opts.Disk != settings.DiskNone {
 		environment.Disk = processDisk{m.Disk, m, run}
 	}
-	n, err := node.Start(m.world.ctx, m.Opts, environment, event.NewLogger(m.world.logger.With("node", m.Opts.Name)))
+	process, err := node.Start(m.world.ctx, m.Opts, environment, event.NewLogger(m.world.logger.With("node", m.Opts.Name)))
 	if err != nil {
 		return err
 	}
@@ -213,23 +214,23 @@
 		m.unpowered = false
 		m.resetConnections()
 	}
-	m.running = n
-	m.serving = &transport.Services{Clients: n.Clients, API: n.API(), Gone: make(chan struct{})}
-	m.world.registerListener(m.Opts.PeerListen, m, run, n.PeerHandler())
+	m.running = process
+	m.serving = &transport.Services{Clients: process.Clients, API: process.API(), Gone: make(chan struct{})}
+	m.world.registerListener(m.Opts.PeerListen, m, run, process.PeerHandler())
 	m.world.History.Disturb("start", time.Now())
 	return nil
 }
 
 func (m *Machine) kill() {
 	m.mu.Lock()
-	n := m.running
+	process := m.running
 	if m.serving != nil {
 		close(m.serving.Gone)
 	}
 	server := m.lineServer
 	m.running, m.serving, m.lineServer = nil, nil, nil
 	m.run++
-	if n != nil && !m.unpowered {
+	if process != nil && !m.unpowered {
 		m.resetConnections()
 	}
 	thawed := m.frozen
@@ -238,15 +239,15 @@
 	if thawed != nil {
 		close(thawed)
 	}
-	if n != nil {
-		n.Kill()
+	if process != nil {
+		process.Kill()
 	}
 	if server != nil {
 		go func() { _ = server.server.Close() }()
 	}
 }
 
-// lines gives what serves visits here, nil when no process runs.
+// currentLineServer returns the server of line sessions on this machine, nil when no process runs.
 func (m *Machine) currentLineServer() (*lineServer, int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/testing/sim/network.go
+++ b/internal/testing/sim/network.go
@@ -16,7 +16,7 @@
 	"postjunction/internal/clock"
 )
 
-var errGone = apierror.New(apierror.Stopped, "the process is gone")
+var errProcessEnded = apierror.New(apierror.Stopped, "the process has ended")
 
 type listener struct {
 	machine *Machine
@@ -51,16 +51,16 @@
 
 const retransmit = 200 * time.Millisecond
 
-// draw gives the next number of a link, which depends only on the seed, the link and how much it
-// has carried.
+// linkRandom returns the next random number of a link. It depends only on the seed, the link and
+// how many numbers the link has drawn before.
 func (w *World) linkRandom(from, to *Machine) float64 {
-	k := [2]string{from.Opts.Name, to.Opts.Name}
+	link := [2]string{from.Opts.Name, to.Opts.Name}
 	w.mu.Lock()
-	w.linkDraws[k]++
-	n := w.linkDraws[k]
+	w.linkDraws[link]++
+	n := w.linkDraws[link]
 	w.mu.Unlock()
 	h := fnv.New64a()
-	_, _ = fmt.Fprintf(h, "%d %s %s %d", w.Seed, k[0], k[1], n)
+	_, _ = fmt.Fprintf(h, "%d %s %s %d", w.Seed, link[0], link[1], n)
 	return rand.New(rand.NewPCG(h.Sum64(), n)).Float64()
 }
 
@@ -70,17 +70,17 @@
 		<-ctx.Done()
 		return apierror.WithCause(apierror.Unreachable, ctx.Err(), "cut off")
 	}
-	d := w.Site.Latency/2 + time.Duration(w.linkRandom(from, to)*float64(w.Site.Latency)/4)
+	delay := w.Site.Latency/2 + time.Duration(w.linkRandom(from, to)*float64(w.Site.Latency)/4)
 	from.mu.Lock()
-	d += from.sendDelay
+	delay += from.sendDelay
 	from.mu.Unlock()
 	w.mu.Lock()
 	loss := w.lossRate
 	w.mu.Unlock()
 	for k := retransmit; w.linkRandom(from, to) < loss; k *= 2 {
-		d += k
+		delay += k
 	}
-	t := time.NewTimer(d)
+	t := time.NewTimer(delay)
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -90,12 +90,12 @@
 	}
 }
 
-// waitInSilence waits as a call to a machine without power does: nothing is heard until the machine
-// is back and resets the connection.
+// waitForReset waits as a call to a machine without power does: nothing arrives until the machine is
+// back and resets the connection.
 func waitForReset(ctx context.Context, broken <-chan struct{}, m *Machine) error {
 	select {
 	case <-ctx.Done():
-		return apierror.WithCause(apierror.Unreachable, ctx.Err(), "nothing is heard from %s", m.Opts.Name)
+		return apierror.WithCause(apierror.Unreachable, ctx.Err(), "no answer from %s, which has no power", m.Opts.Name)
 	case <-broken:
 		return apierror.WithCause(apierror.Unreachable, syscall.ECONNRESET, "the connections of %s were reset", m.Opts.Name)
 	}
@@ -106,7 +106,7 @@
 	return run == e.run
 }
 
-// Do carries a call to another machine and its answer back.
+// Do sends a call to another machine and returns its response.
 func (e *endpoint) Do(r *http.Request) (*http.Response, error) {
 	e.machine.waitWhileFrozen()
 	body, err := io.ReadAll(r.Body)
@@ -117,10 +117,11 @@
 	sentAt := time.Now()
 	target, ok := e.world.listenerAt(r.URL.Host)
 	if !ok || !e.isAlive() {
-		return nil, apierror.WithCause(apierror.Unreachable, syscall.ECONNREFUSED, "nobody listens at %s", r.URL.Host)
+		return nil, apierror.WithCause(apierror.Unreachable, syscall.ECONNREFUSED, "no process listens at %s", r.URL.Host)
 	}
 	ctx := r.Context()
-	point := CallPoint{From: e.machine.Opts.Name, To: target.machine.Opts.Name, Path: r.URL.Path, Stage: RequestStage, Body: body}
+	point := CallPoint{From: e.machine.Opts.Name, To: target.machine.Opts.Name, Path: r.URL.Path, Stage: RequestStage,
+		Body: body}
 	e.world.waitWhilePaused(ctx, point)
 	duplicateDelay := e.world.applyCallFault(ctx, point)
 	e.world.countParticipants(point)
@@ -132,7 +133,8 @@
 		return nil, waitForReset(ctx, broken, target.machine)
 	}
 	if _, run := target.machine.node(); run != target.run {
-		return nil, apierror.WithCause(apierror.Unreachable, syscall.ECONNREFUSED, "connection refused by %s", target.machine.Opts.Name)
+		return nil, apierror.WithCause(apierror.Unreachable, syscall.ECONNREFUSED, "connection refused by %s",
+			target.machine.Opts.Name)
 	}
 	type outcome struct {
 		r   *http.Response
@@ -159,7 +161,8 @@
 				outcomes <- outcome{nil, waitForReset(ctx, broken, target.machine)}
 				return
 			}
-			outcomes <- outcome{nil, apierror.WithCause(apierror.Unreachable, syscall.ECONNRESET, "connection reset by %s", target.machine.Opts.Name)}
+			outcomes <- outcome{nil, apierror.WithCause(apierror.Unreachable, syscall.ECONNRESET, "connection reset by %s",
+				target.machine.Opts.Name)}
 			return
 		}
 		point.Stage = ResponseStage
@@ -175,23 +178,24 @@
 	case <-broken:
 		return nil, apierror.WithCause(apierror.Unreachable, syscall.ECONNRESET, "the connections of %s were reset",
 			target.machine.Opts.Name)
-	case a := <-outcomes:
+	case result := <-outcomes:
 		e.machine.waitWhileFrozen()
 		if !e.isAlive() {
-			return nil, errGone
+			return nil, errProcessEnded
 		}
-		if a.err == nil {
-			e.world.recordPromise(r.URL.Path, body, a.r, sentAt)
+		if result.err == nil {
+			e.world.recordPromise(r.URL.Path, body, result.r, sentAt)
 		}
-		return a.r, a.err
+		return result.r, result.err
 	case <-ctx.Done():
 		e.machine.waitWhileFrozen()
 		return nil, apierror.WithCause(apierror.Unreachable, ctx.Err(), "no answer from %s", target.machine.Opts.Name)
 	}
 }
 
-// again delivers a call a second time, late; nobody hears its answer.
-func (e *endpoint) sendDuplicate(target listener, delay time.Duration, serve func(context.Context) *httptest.ResponseRecorder) {
+// sendDuplicate delivers a call a second time after a delay. Its response is dropped.
+func (e *endpoint) sendDuplicate(target listener, delay time.Duration,
+	serve func(context.Context) *httptest.ResponseRecorder) {
 	if (clock.Real{}).Sleep(e.world.ctx, delay) != nil {
 		return
 	}
--- a/internal/testing/sim/observe.go
+++ b/internal/testing/sim/observe.go
@@ -16,9 +16,9 @@
 	"postjunction/internal/testing/transport"
 )
 
-// ask has a machine's process do something, and gives up after a time, as nothing is heard from a
-// frozen one.
-func (w *World) callNode(name string, limit time.Duration, f func(ctx context.Context, x *node.Node) error) error {
+// callNode runs a function on a machine's process. It gives up after a limit, since a frozen process
+// gives no answer.
+func (w *World) callNode(name string, limit time.Duration, call func(ctx context.Context, x *node.Node) error) error {
 	process := w.Machines[name].Node()
 	if process == nil {
 		return apierror.New(apierror.Unreachable, "%s is down", name)
@@ -28,7 +28,7 @@
 	result := make(chan error, 1)
 	go func() {
 		w.Machines[name].waitWhileFrozen()
-		result <- f(ctx, process)
+		result <- call(ctx, process)
 	}()
 	select {
 	case err := <-result:
@@ -58,13 +58,13 @@
 	}
 }
 
-// Port gives a machine as callers see it.
+// Transport returns a machine as clients reach it.
 func (w *World) Transport(name string) transport.Transport {
 	return &transport.Direct{Node: w.Machines[name].services, Gate: w.Machines[name].waitWhileFrozen}
 }
 
-// Ports gives all machines whose process runs, as the platform's balancing would after asking for
-// readiness.
+// ReadyTransports returns the machines that are ready, as the platform's load balancer selects them.
+// It returns all machines when none is ready.
 func (w *World) ReadyTransports() []transport.Transport {
 	var transports []transport.Transport
 	for _, n := range w.Names {
@@ -85,7 +85,7 @@
 	return transports
 }
 
-// WaitReady waits until some node serves a description, at most limit.
+// WaitReady waits until every machine present is ready to serve, at most limit.
 func (w *World) WaitReady(limit time.Duration) error {
 	return w.WaitUntil(limit, "the fleet serves", func() bool {
 		for _, m := range w.Machines {
@@ -97,7 +97,7 @@
 	})
 }
 
-// WaitUntil waits for a condition.
+// WaitUntil polls a condition until it holds, at most limit.
 func (w *World) WaitUntil(limit time.Duration, what string, condition func() bool) error {
 	end := time.Now().Add(limit)
 	for !condition() {
@@ -109,7 +109,8 @@
 	return nil
 }
 
-// Quiet stops the senders and waits until callers have caught up.
+// StopSending stops the senders and waits until clients have caught up. It returns when it stopped
+// them.
 func (w *World) StopSending(wait time.Duration) time.Time {
 	w.stopSending()
 	at := time.Now()
@@ -117,7 +118,7 @@
 	return at
 }
 
-// Put puts a description through a machine and notes the outcome.
+// Put writes a configuration through a machine and records the outcome.
 func (w *World) Put(name string, document []byte) (uint64, error) {
 	ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Recovery)
 	defer stop()
@@ -132,12 +133,13 @@
 	return seq, err
 }
 
-// Watch notes every heartbeat which description each node serves.
+// Watch records three times per heartbeat interval which configuration each node serves and which
+// partition leaders it knows.
 func (w *World) Watch() {
 	w.wg.Go(func() {
 		for w.ctx.Err() == nil {
-			for _, n := range w.Names {
-				m := w.Machines[n]
+			for _, name := range w.Names {
+				m := w.Machines[name]
 				m.mu.Lock()
 				services, run, frozen := m.serving, m.run, m.frozen != nil
 				m.mu.Unlock()
@@ -151,7 +153,7 @@
 					}
 				}
 				if services.API.Ready() == nil {
-					w.History.Show(fmt.Sprintf("%s#%d", n, run), services.API.Operators.Store.Configuration().Sequence, time.Now(),
+					w.History.Show(fmt.Sprintf("%s#%d", name, run), services.API.Operators.Store.Configuration().Sequence, time.Now(),
 						w.Site.Timing.Spread)
 				}
 			}
--- a/internal/testing/sim/promises.go
+++ b/internal/testing/sim/promises.go
@@ -31,14 +31,15 @@
 
 func isAccepted(response []byte) bool {
 	var parsed callResponse
-	return wire.Unmarshal(response, &parsed) == nil && parsed.Problem == nil && parsed.Body != nil && (parsed.Body.OK == nil || *parsed.Body.OK)
+	return wire.Unmarshal(response, &parsed) == nil && parsed.Problem == nil && parsed.Body != nil &&
+		(parsed.Body.OK == nil || *parsed.Body.OK)
 }
 
 func readReplicaPromise(w *World, request, response []byte, sentAt time.Time) {
 	var target replica.Target
 	if wire.Unmarshal(request, &target) == nil && isAccepted(response) {
-		w.History.Promise(target.Incarnation, "partition "+string(rune('0'+target.Partition)), history.Rank{Number: target.Epoch},
-			sentAt, time.Now())
+		w.History.Promise(target.Incarnation, "partition "+string(rune('0'+target.Partition)),
+			history.Rank{Number: target.Epoch}, sentAt, time.Now())
 	}
 }
 
@@ -50,7 +51,7 @@
 	}
 }
 
-// recordPromise reads what a disk promised out of an answer between machines.
+// recordPromise records the promise of a disk that a response between machines contains.
 func (w *World) recordPromise(path string, request []byte, response *http.Response, sentAt time.Time) {
 	read, ok := promiseReaders[path]
 	if !ok {
--- a/internal/testing/sim/readback.go
+++ b/internal/testing/sim/readback.go
@@ -11,7 +11,7 @@
 	"postjunction/internal/testing/history"
 )
 
-// Archive is a cursor into all kept topics, taken at a moment.
+// SavedCursor is a cursor into all kept topics at one moment.
 type SavedCursor struct {
 	Cursor string
 	Since  time.Time
@@ -20,7 +20,7 @@
 
 type enoughRead struct{}
 
-// Error says that a reader has all that it wanted.
+// Error says that a reader has read enough.
 func (enoughRead) Error() string { return "enough was read" }
 
 var errEnough error = enoughRead{}
@@ -44,7 +44,7 @@
 	return err
 }
 
-// Archive takes a cursor into all kept topics now, for reading back after the last fault.
+// SaveCursor gets a cursor into all kept topics now, for reading back after the final fault.
 func (w *World) SaveCursor(load Load) (SavedCursor, error) {
 	saved := SavedCursor{Since: time.Now()}
 	for i := range load.Topics {
@@ -55,10 +55,11 @@
 	if w.Machines[through].isRemoved() {
 		through = "c3"
 	}
-	err := w.followAsNewClient("archivist", saved.Topics, "", through, w.Site.Timing.Recovery, func(event client.Event) error {
-		saved.Cursor, saved.Since = event.Cursor, time.Now()
-		return errEnough
-	})
+	err := w.followAsNewClient("archivist", saved.Topics, "", through, w.Site.Timing.Recovery,
+		func(event client.Event) error {
+			saved.Cursor, saved.Since = event.Cursor, time.Now()
+			return errEnough
+		})
 	if errors.Is(err, errEnough) {
 		return saved, nil
 	}
@@ -68,8 +69,7 @@
 	return saved, err
 }
 
-// ReadBack reads everything after the archive's cursor back through a node, as a subscriber that
-// was never here.
+// ReadBackTopics reads everything after a saved cursor through a node, as a new subscriber.
 func (w *World) ReadBackTopics(saved SavedCursor, through string) error {
 	reading := history.Reading{Through: through, Topics: map[string]bool{}, Since: saved.Since}
 	for _, t := range saved.Topics {
--- a/internal/testing/sim/scripted.go
+++ b/internal/testing/sim/scripted.go
@@ -12,23 +12,24 @@
 	"postjunction/internal/testing/simclient"
 )
 
-// ScriptedClient is a visitor that does what a script says, on one connection to a named machine;
-// what it sees goes to the checker.
+// ScriptedClient is a client that does what a script says, on one connection to a named machine.
+// What it receives goes to the checker.
 type ScriptedClient struct {
 	Name, Machine string
 
-	clients   *LineClients
-	session   *lineSession
+	clients *LineClients
+	session *lineSession
+	// mu guards responses, sessions, cursors and ended.
 	mu        sync.Mutex
 	responses []TimedResponse
 	sessions  map[string]*deliverycheck.Session
-	// cursor is what a topic was resumed with.
+	// cursors holds the cursor that each topic was resumed from.
 	cursors map[string]string
 	ended   bool
 	notify  chan struct{}
 }
 
-// TimedResponse is an answer, and when the connection took its last byte.
+// TimedResponse is a response, and when the connection accepted its last byte.
 type TimedResponse struct {
 	session.Response
 	WrittenAt time.Time
@@ -36,7 +37,7 @@
 
 const scriptedTimeout = 3 * time.Second
 
-// Scripted lets a scripted visitor in, nil where nobody answers.
+// ConnectScripted connects and attaches a scripted client. It returns nil where no node answers.
 func (g *LineClients) ConnectScripted(machine, name string) *ScriptedClient {
 	client := &ScriptedClient{Name: name, Machine: machine, clients: g, sessions: map[string]*deliverycheck.Session{},
 		cursors: map[string]string{}, notify: make(chan struct{}, 1)}
@@ -76,14 +77,14 @@
 	signal(h.notify)
 }
 
-// Ended tells whether the connection broke or was closed.
+// Ended reports whether the connection broke or was closed.
 func (h *ScriptedClient) Ended() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.ended
 }
 
-// End goes.
+// End closes the connection and ends all subscriptions.
 func (h *ScriptedClient) End() {
 	h.mu.Lock()
 	for _, s := range h.sessions {
@@ -94,13 +95,13 @@
 	h.session.End()
 }
 
-// Break loses the connection; the subscriptions may be resumed.
+// Disconnect drops the connection. The subscriptions may be resumed.
 func (h *ScriptedClient) Disconnect() {
 	h.onBroken()
 	h.session.End()
 }
 
-// Pause has the hand not read for a while.
+// Pause stops the client from reading for a while.
 func (h *ScriptedClient) Pause(d time.Duration) { h.session.Pause(d) }
 
 func (h *ScriptedClient) receive(response session.Response, writtenAt time.Time) {
@@ -110,14 +111,15 @@
 		return
 	}
 	h.responses = append(h.responses, TimedResponse{response, writtenAt})
-	s := h.sessions[response.Topic]
+	checkerSession := h.sessions[response.Topic]
 	h.mu.Unlock()
 	now, checker := time.Now(), h.clients.Checker
 	switch response.Type {
 	case session.Subscribed:
-		s.Joined(now)
+		checkerSession.Joined(now)
 	case session.Message:
-		s.Got(deliverycheck.Message{Topic: response.Topic, From: response.From, CallSeq: response.CallSeq}, string(response.Body),
+		checkerSession.Got(deliverycheck.Message{Topic: response.Topic, From: response.From, CallSeq: response.CallSeq},
+			string(response.Body),
 			deliverycheck.Place{Partition: response.Partition, Offset: response.Offset}, writtenAt)
 	case session.Accepted:
 		checker.Accepted(deliverycheck.Message{Topic: response.Topic, From: h.Name, CallSeq: response.CallSeq}, now)
@@ -131,21 +133,21 @@
 	signal(h.notify)
 }
 
-// ResponseCount tells how much the hand has heard.
+// ResponseCount returns how many responses the client has received.
 func (h *ScriptedClient) ResponseCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.responses)
 }
 
-// All gives what it has heard.
+// Responses returns the responses that the client has received.
 func (h *ScriptedClient) Responses() []TimedResponse {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.responses[:len(h.responses):len(h.responses)]
 }
 
-// Wait waits for an answer behind a mark.
+// Wait waits for a matching response from an index on.
 func (h *ScriptedClient) Wait(from int, limit time.Duration, ok func(session.Response) bool) (TimedResponse, bool) {
 	end := time.NewTimer(limit)
 	defer end.Stop()
@@ -171,7 +173,8 @@
 	}
 }
 
-// Follow joins a topic, from a cursor if there is one, and tells whether it was taken up.
+// Subscribe subscribes to a topic, from a cursor if there is one, and reports whether that was
+// accepted.
 func (h *ScriptedClient) Subscribe(topic, cursor string) (TimedResponse, bool) {
 	h.mu.Lock()
 	if h.sessions[topic] == nil {
@@ -186,7 +189,8 @@
 	return s, ok && s.Type == session.Subscribed
 }
 
-// Resume goes on where another hand of the same name has ended, on the stay of that.
+// Resume continues the subscription of an ended client of the same name, and its session in the
+// checker.
 func (h *ScriptedClient) Resume(previous *ScriptedClient, topic string) (TimedResponse, bool) {
 	previous.mu.Lock()
 	cursor := previous.cursors[topic]
@@ -204,7 +208,7 @@
 	return h.Subscribe(topic, cursor)
 }
 
-// Body is what a hand sends under a number.
+// Body returns the body that the client sends under a call number.
 func (h *ScriptedClient) Body(call uint64) string {
 	return fmt.Sprintf("%s %d %s", h.Name, call, strings.Repeat("x", scriptedBodyBytes))
 }
@@ -217,7 +221,7 @@
 	h.session.Do(session.Request{Verb: session.Send, Topic: topic, Key: key, CallSeq: call, Body: []byte(h.Body(call))})
 }
 
-// Send sends and gives the answer.
+// Send sends and returns the response.
 func (h *ScriptedClient) Send(topic, key string, call uint64) (TimedResponse, bool) {
 	n := h.ResponseCount()
 	h.SendAsync(topic, key, call)
@@ -226,7 +230,7 @@
 	})
 }
 
-// SendAccepted sends until the message is taken or never will be, and tells whether it was.
+// SendAccepted sends until the message is accepted or rejected for good, and reports which.
 func (h *ScriptedClient) SendAccepted(topic, key string, call uint64) bool {
 	for range 20 {
 		s, ok := h.Send(topic, key, call)
@@ -241,25 +245,25 @@
 	return false
 }
 
-// Withdraw asks for a withdrawal once and notes the answer.
+// Withdraw requests a withdrawal once and records the response.
 func (h *ScriptedClient) Withdraw(withdrawal deliverycheck.Withdrawal) (TimedResponse, bool) {
 	withdrawal.By = h.Name
 	attempt := h.clients.Checker.Withdraw(withdrawal, time.Now())
 	n := h.ResponseCount()
-	h.session.Do(session.Request{Verb: session.Withdraw, Topic: withdrawal.Topic, Key: withdrawal.Key, CallSeq: withdrawal.Call,
-		WithdrawSender: withdrawal.Of, WithdrawUpTo: withdrawal.Upto})
-	s, ok := h.Wait(n, scriptedTimeout, func(a session.Response) bool {
+	h.session.Do(session.Request{Verb: session.Withdraw, Topic: withdrawal.Topic, Key: withdrawal.Key,
+		CallSeq: withdrawal.Call, WithdrawSender: withdrawal.Of, WithdrawUpTo: withdrawal.Upto})
+	response, ok := h.Wait(n, scriptedTimeout, func(a session.Response) bool {
 		return a.Topic == withdrawal.Topic && a.CallSeq == withdrawal.Call &&
 			(a.Type == session.WithdrawalComplete || a.InReplyTo == session.Withdraw)
 	})
 	switch {
 	case !ok:
-	case s.Type == session.WithdrawalComplete:
-		attempt.Forgotten(deliverycheck.Place{Partition: s.Partition, Offset: s.Offset}, s.WrittenAt)
-	case apierror.HasCode(s.Err, apierror.WithdrawalOpen):
+	case response.Type == session.WithdrawalComplete:
+		attempt.Forgotten(deliverycheck.Place{Partition: response.Partition, Offset: response.Offset}, response.WrittenAt)
+	case apierror.HasCode(response.Err, apierror.WithdrawalOpen):
 		attempt.Stands(time.Now())
-	case simclient.Voids[apierror.From(s.Err).Code]:
+	case simclient.Voids[apierror.From(response.Err).Code]:
 		attempt.Void()
 	}
-	return s, ok
+	return response, ok
 }
--- a/internal/testing/sim/sim_test.go
+++ b/internal/testing/sim/sim_test.go
@@ -17,7 +17,7 @@
 
 var load = Load{HTTPClients: 10, Topics: 6, LiveTopics: 2, UrgentSenders: 2, SendInterval: 400 * time.Millisecond}
 
-// play runs a fleet through a script and checks what callers saw.
+// runScenario runs a script on a fleet under load and checks what its clients saw.
 func runScenario(t *testing.T, site Site, seed uint64, bound time.Duration, script func(t *testing.T, w *World)) (r history.Report) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -50,7 +50,7 @@
 	return r
 }
 
-// lasts are the faults that a day may end with: any one machine, or the power of all.
+// finalFaults are the faults that a run may end with. Each hits one machine, or the power of all.
 var finalFaults = map[string]func(w *World, n string){
 	"killed":              func(w *World, n string) { w.Kill(n) },
 	"frozen":              func(w *World, n string) { w.Freeze(n) },
@@ -67,8 +67,8 @@
 
 var finalFaultNames = []string{"killed", "frozen", "cut off", "without power, torn", "wiped", "without power, as all others"}
 
-// last ends every run with one fault, after which the description and every message of the keeping
-// time are read back by subscribers that were never there, through several nodes.
+// applyFinalFault ends a run with one fault. After it, new subscribers read back the configuration
+// and every message of the retention time through several nodes.
 func applyFinalFault(t *testing.T, w *World, saved SavedCursor) {
 	t.Helper()
 	r := rand.New(rand.NewPCG(w.Seed, 9))
@@ -79,7 +79,7 @@
 		assert.Assert(t, finalFaults[fault] != nil && w.Machines[name] != nil, "PJ_LAST is one of %v, an @ and one of %v", finalFaultNames, w.Names)
 	}
 	finalFaults[fault](w, name)
-	t.Logf("seed %d: at the end %s is %s", w.Seed, name, fault)
+	t.Logf("seed %d: final fault: %s is %s", w.Seed, name, fault)
 	time.Sleep(w.Site.Timing.Recovery / 2)
 	var others []string
 	for _, other := range present {
@@ -118,15 +118,15 @@
 func checkHistory(t *testing.T, w *World, stoppedAt time.Time, bound time.Duration) history.Report {
 	t.Helper()
 	r := w.History.Check(stoppedAt, time.Now())
-	t.Logf("seed %d: sent %d taken %d unknown %d receipts %d longest wait %s (%s at %s), undisturbed %s, spread p50 %s p99 %s", w.Seed, r.Sent, r.Accepted, r.Unknown, r.Receipts, r.Longest.Total, r.Longest.Kind, r.Longest.Place, r.LongestUndisturbed.Undisturbed, r.Spread.P50, r.Spread.P99)
+	t.Logf("seed %d: sent %d accepted %d unknown %d receipts %d longest wait %s (%s at %s), undisturbed %s, spread p50 %s p99 %s", w.Seed, r.Sent, r.Accepted, r.Unknown, r.Receipts, r.Longest.Total, r.Longest.Kind, r.Longest.Place, r.LongestUndisturbed.Undisturbed, r.Spread.P50, r.Spread.P99)
 	for i, v := range r.Violations {
 		if i < 10 {
 			t.Errorf("seed %d: %s: %s", w.Seed, v.Line, v.Message)
 		}
 	}
-	assert.Assert(t, r.Accepted > 50, "too little was sent to prove anything")
+	assert.Assert(t, r.Accepted > 50, "too few messages were accepted for the run to prove anything")
 	assert.Assert(t, r.Longest.Total < bound, "%s at %s waited %s (still open: %v)", r.Longest.Kind, r.Longest.Place, r.Longest.Total, r.Longest.Open)
-	assert.Assert(t, r.Promises > 0 && r.Decisions["taken"] > 0 && r.Decisions["vouched"] > 0, "the traces are empty")
+	assert.Assert(t, r.Promises > 0 && r.Decisions["taken"] > 0 && r.Decisions["vouched"] > 0, "no promises or decisions were recorded")
 	return r
 }
 
--- a/internal/testing/sim/socket.go
+++ b/internal/testing/sim/socket.go
@@ -16,20 +16,21 @@
 	"postjunction/internal/node"
 )
 
-// socketBytes is what a simulated connection takes of what its reader has not read.
+// socketBufferBytes is how many unread bytes a simulated connection buffers.
 const socketBufferBytes = 4 << 10
 
-// piece is what a socket took in one go, and when.
+// chunk is the data that a socket accepted in one write, and when.
 type chunk struct {
 	data      []byte
 	writtenAt time.Time
 }
 
-// socket is the machine's end of a visitor's connection: a write waits while the visitor has not
-// read what was written before.
+// socket is the server's end of a client's connection. A write waits while the buffer is full of
+// bytes that the client has not read.
 type socket struct {
-	machine        *Machine
-	run            int
+	machine *Machine
+	run     int
+	// mu guards toServer, toClient, unread, closedByServer and closedByClient.
 	mu             sync.Mutex
 	toServer       []byte
 	toClient       []chunk
@@ -48,7 +49,7 @@
 		outputReady: make(chan struct{}, 1), closed: make(chan struct{})}
 }
 
-// Read gives what the visitor has said.
+// Read returns what the client has sent.
 func (s *socket) Read(b []byte) (int, error) {
 	for {
 		s.mu.Lock()
@@ -69,13 +70,13 @@
 	}
 }
 
-// Write takes bytes as the visitor's reading leaves room for them.
+// Write accepts bytes as fast as the client's reading frees space in the buffer.
 func (s *socket) Write(b []byte) (int, error) {
 	written := 0
 	for written < len(b) {
 		s.machine.waitWhileFrozen()
 		if _, run := s.machine.node(); run != s.run {
-			return written, errGone
+			return written, errProcessEnded
 		}
 		s.mu.Lock()
 		if s.closedByServer || s.closedByClient {
@@ -102,7 +103,7 @@
 	return written, nil
 }
 
-// Close ends the connection from the machine's side; what it has taken is still read.
+// Close closes the connection from the server's side. The client can read what is buffered.
 func (s *socket) Close() error {
 	s.mu.Lock()
 	s.closedByServer = true
@@ -120,7 +121,7 @@
 	signal(s.spaceReady)
 }
 
-// say hands bytes of the visitor over.
+// deliver appends bytes that the client has sent.
 func (s *socket) deliver(b []byte) {
 	s.mu.Lock()
 	s.toServer = append(s.toServer, b...)
@@ -128,7 +129,7 @@
 	signal(s.inputReady)
 }
 
-// take gives what was written, and whether more may come.
+// drain returns the buffered chunks, and whether more may follow.
 func (s *socket) drain() ([]chunk, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,10 +139,10 @@
 	return chunks, !s.closedByServer
 }
 
-// LocalAddr is nowhere.
+// LocalAddr returns an empty address.
 func (s *socket) LocalAddr() net.Addr { return &net.TCPAddr{} }
 
-// RemoteAddr is nowhere.
+// RemoteAddr returns an empty address.
 func (s *socket) RemoteAddr() net.Addr { return &net.TCPAddr{} }
 
 // SetDeadline does nothing.
@@ -153,7 +154,7 @@
 // SetWriteDeadline does nothing.
 func (s *socket) SetWriteDeadline(time.Time) error { return nil }
 
-// lineCodec are tasks and answers as they are, one JSON value a line.
+// lineCodec encodes requests and responses as they are, one JSON value per line.
 type lineCodec struct{}
 
 type lineResponse struct {
@@ -164,7 +165,7 @@
 
 const maxLineBytes = 64 << 10
 
-// ReadRequest reads one line as a task.
+// ReadRequest reads one line as a request.
 func (lineCodec) ReadRequest(r *bufio.Reader, _ int) (t session.Request, err error) {
 	b, err := lineserver.ReadLine(r, maxLineBytes)
 	if err != nil {
@@ -173,7 +174,7 @@
 	return t, json.Unmarshal(b, &t)
 }
 
-// AppendResponse writes an answer as one line.
+// AppendResponse appends a response as one line.
 func (lineCodec) AppendResponse(b []byte, a session.Response) []byte {
 	response := lineResponse{Response: a}
 	if a.Err != nil {
@@ -200,7 +201,7 @@
 	return response
 }
 
-// connListener is a listener whose connections are handed to it.
+// connListener is a listener that accepts the connections passed to dial.
 type connListener struct {
 	connections chan net.Conn
 	done        chan struct{}
@@ -217,16 +218,16 @@
 	}
 }
 
-// Close ends the listening.
+// Close stops the listener.
 func (l *connListener) Close() error {
 	l.once.Do(func() { close(l.done) })
 	return nil
 }
 
-// Addr is nowhere.
+// Addr returns an empty address.
 func (l *connListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// dial gives a connection to the server, nil once it listens no more.
+// dial passes a connection to the server. It returns nil once the listener is closed.
 func (l *connListener) dial(s *socket) *socket {
 	select {
 	case l.connections <- s:
@@ -238,12 +239,12 @@
 
 type sessionRegistry struct{ *session.Registry }
 
-// NewSession begins a visit.
+// NewSession starts a client session.
 func (r sessionRegistry) NewSession(out session.Sink) lineserver.Session {
 	return r.Registry.NewSession(out)
 }
 
-// lineServer is what serves visits on a machine's process.
+// lineServer serves line sessions for a machine's process.
 type lineServer struct {
 	server   *lineserver.Server
 	listener *connListener
@@ -255,7 +256,8 @@
 	lines := &lineServer{listener: &connListener{connections: make(chan net.Conn), done: make(chan struct{})}}
 	lines.server = lineserver.New(lineserver.Options{
 		Sessions: sessionRegistry{process.Sessions}, Codec: lineCodec{}, Clock: machineClock{m},
-		Keepalive: Habits().Keepalive, AcceptRetryDelay: m.world.Site.Timing.MaxBackoff(), BodyLimit: func() int { return maxBodyBytes },
+		Keepalive: Habits().Keepalive, AcceptRetryDelay: m.world.Site.Timing.MaxBackoff(),
+		BodyLimit: func() int { return maxBodyBytes },
 	})
 	go func() { _ = lines.server.Serve(lines.listener) }()
 	return lines
--- a/internal/testing/sim/traffic.go
+++ b/internal/testing/sim/traffic.go
@@ -30,25 +30,25 @@
 	w.callsByMachine[[2]string{point.To, point.Path}]++
 }
 
-// Parts gives how many calls of a path a machine took part in, asking or asked.
+// CallsInvolving returns how many calls of a path a machine sent or received.
 func (w *World) CallsInvolving(name, path string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.callsByMachine[[2]string{name, path}]
 }
 
-// Flow is what a procedure took: calls, and bytes of tasks and answers without what the transport
-// adds.
+// Traffic is the traffic of a procedure: calls, and bytes of requests and responses without the
+// overhead of the transport.
 type Traffic struct{ Calls, Bytes int }
 
-// Flows gives what each procedure took between machines.
+// TrafficByPath returns the traffic of each procedure between machines.
 func (w *World) TrafficByPath() map[string]Traffic {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return maps.Clone(w.trafficByPath)
 }
 
-// Calls gives how many calls between machines there were, by part.
+// CallsByService returns how many calls between machines there were, by service.
 func (w *World) CallsByService() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/testing/sim/world.go
+++ b/internal/testing/sim/world.go
@@ -18,24 +18,23 @@
 	"postjunction/internal/testing/httpclient"
 )
 
-// Site says how many machines of each kind stand in how many zones.
+// Site describes a deployment: how many machines of each kind there are, in how many zones.
 type Site struct {
 	Zones, Control, Access, Storage int
 	Latency                         time.Duration
 	Timing                          settings.Timing
 	Routine, Urgent                 int
-	// BootstrapBy is the setting of that name, self when empty. With seeds, Known of the three
-	// seeds are control nodes, the others access nodes.
+	// BootstrapBy is the setting of that name, self when empty. With seeds, ControlSeeds of the
+	// three seeds are control nodes and the others are access nodes.
 	BootstrapBy  string
 	ControlSeeds int
 	// ToleratedLosses is the setting of that name, 1 when zero.
 	ToleratedLosses int
-	// Spares name machines, of each of which there is one more that is not there until it is added:
-	// s2b for s2.
+	// Spares names machines that each have one spare, which is absent until it is added: s2b for s2.
 	Spares []string
-	// Sync is how long a disk takes to sync, a fast disk's time when zero.
+	// Sync is how long a disk takes to sync; zero means a fast disk's time.
 	Sync time.Duration
-	// DiskMB bounds the disks of some machines, in MiB.
+	// DiskMB limits the disks of some machines, in MiB.
 	DiskMB map[string]int
 }
 
@@ -47,7 +46,7 @@
 		Timing: settings.DefaultTiming, Routine: 4, Urgent: 2}
 )
 
-// World is a simulated fleet with its callers.
+// World is a simulated fleet with its clients.
 type World struct {
 	Site     Site
 	Seed     uint64
@@ -55,9 +54,11 @@
 	Machines map[string]*Machine
 	Names    []string
 
-	ctx            context.Context
-	cancel         context.CancelFunc
-	logger         hclog.Logger
+	ctx    context.Context
+	cancel context.CancelFunc
+	logger hclog.Logger
+	// mu guards rng, listeners, cuts, lossRate, pauses, intercept, callsByService, trafficByPath,
+	// callsByMachine, linkDraws and httpClients.
 	mu             sync.Mutex
 	rng            *rand.Rand
 	listeners      map[string]listener
@@ -76,11 +77,12 @@
 	linkDraws      map[[2]string]uint64
 }
 
-// New makes a world; it must run inside a bubble.
+// New makes a world. It must be called inside a synctest bubble.
 func New(site Site, seed uint64, log io.Writer) *World {
 	w := &World{Site: site, Seed: seed, History: history.New(), Machines: map[string]*Machine{},
-		listeners: map[string]listener{}, cuts: map[[2]string]bool{}, callsByService: map[string]int{}, trafficByPath: map[string]Traffic{},
-		callsByMachine: map[[2]string]int{}, linkDraws: map[[2]string]uint64{}, rng: rand.New(rand.NewPCG(seed, 1))}
+		listeners: map[string]listener{}, cuts: map[[2]string]bool{}, callsByService: map[string]int{},
+		trafficByPath: map[string]Traffic{}, callsByMachine: map[[2]string]int{}, linkDraws: map[[2]string]uint64{},
+		rng: rand.New(rand.NewPCG(seed, 1))}
 	w.History.Bound = site.Timing.Recovery
 	w.ctx, w.cancel = context.WithCancel(context.Background())
 	level := hclog.Off
@@ -120,8 +122,8 @@
 	opts := settings.Default()
 	opts.Name, opts.Zone, opts.Disk, opts.DataDir = name, zone, disk, "data"
 	opts.Listen, opts.PeerListen = fmt.Sprintf("127.0.0.1:%d", 20000+number), fmt.Sprintf("127.0.0.1:%d", 30000+number)
-	opts.Keeping, opts.Spread, opts.Recovery = settings.Duration(site.Timing.Keeping), settings.Duration(site.Timing.Spread),
-		settings.Duration(site.Timing.Recovery)
+	opts.Keeping, opts.Spread, opts.Recovery = settings.Duration(site.Timing.Keeping),
+		settings.Duration(site.Timing.Spread), settings.Duration(site.Timing.Recovery)
 	opts.RoutinePartitions, opts.UrgentPartitions = site.Routine, site.Urgent
 	if site.BootstrapBy != "" {
 		opts.BootstrapBy = site.BootstrapBy
@@ -136,8 +138,8 @@
 	return opts
 }
 
-// spare makes a machine with an empty disk, a name and an address of its own, like one that stands
-// there; it founds nothing and is not there yet.
+// spare makes a machine like an existing one, with an empty disk and its own name and address. It
+// never bootstraps a fleet and is absent until it is added.
 func (w *World) spare(like string) {
 	existing := w.Machines[like].Opts
 	opts := w.newSettings(like+"b", existing.Zone, existing.Disk)
@@ -146,7 +148,7 @@
 	w.Names = append(w.Names, opts.Name)
 }
 
-// Remove takes a machine away for good, stopped in good order or not.
+// Remove removes a machine for good. A graceful removal stops its process in good order first.
 func (w *World) Remove(name string, graceful bool) {
 	if graceful {
 		w.Terminate(name)
@@ -155,18 +157,18 @@
 	w.Machines[name].setRemoved(true)
 }
 
-// Add brings a spare machine in and starts it.
+// Add adds a spare machine and starts it.
 func (w *World) Add(name string) error {
 	w.Machines[name].setRemoved(false)
 	return w.Start(name)
 }
 
-// Present lists the machines that were not taken away.
+// Present returns the machines that are not removed.
 func (w *World) Present() []string {
 	return slices.DeleteFunc(slices.Clone(w.Names), func(n string) bool { return w.Machines[n].isRemoved() })
 }
 
-// Logger gives a log for stderr when PJ_SIM_LOG is set.
+// Logger returns standard error when PJ_SIM_LOG is set, nil otherwise.
 func Logger() io.Writer {
 	if os.Getenv("PJ_SIM_LOG") != "" {
 		return os.Stderr
@@ -180,14 +182,15 @@
 	return w.rng.Float64()
 }
 
-// Int draws a seeded number.
+// Int returns a random number below n from the seeded generator.
 func (w *World) Int(n int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.rng.IntN(n)
 }
 
-// Close ends the world, and waits until calls that outlive their askers have run out of time.
+// Close stops the world. It waits until calls that outlive their callers have reached their
+// deadlines.
 func (w *World) Close() {
 	w.cancel()
 	for _, m := range w.Machines {
