--- a/cmd/fleet/soak.go
+++ b/cmd/fleet/soak.go
@@ -45,7 +45,8 @@
 		return nil, apierror.Wrap(apierror.Usage, err, "fleet soak")
 	}
 	soak := &o.soak
-	if o.processes < 9 || soak.Length < time.Second || soak.Clients < 1 || soak.Load.HTTPClients < 1 || soak.Series < 1 {
+	if o.processes < 9 || soak.Length < time.Second || soak.Clients < 1 ||
+		soak.Load.HTTPClients < 1 || soak.Series < 1 {
 		return nil, apierror.New(apierror.Usage,
 			"nodes is at least 9, for 1s, clients, callers and series 1")
 	}
--- a/internal/testing/sim/boot_test.go
+++ b/internal/testing/sim/boot_test.go
@@ -15,7 +15,7 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-// boots are the ways in which processes go and come back.
+// restarts are the ways in which processes end and start again.
 var restarts = []struct {
 	name     string
 	stop     func(w *World) []string
@@ -34,7 +34,7 @@
 		}
 		return ns
 	}, shortDowntime},
-	{"one store is killed", func(w *World) []string {
+	{"one storage node is killed", func(w *World) []string {
 		n := busiest(w)
 		w.Kill(n)
 		return []string{n}
@@ -51,12 +51,12 @@
 
 var restartLoad = Load{HTTPClients: 1, Topics: 40, LiveTopics: 4, UrgentSenders: 1}
 
-// service is how long after the start of the processes each access node opens a topic, has a
-// message of it taken, and delivers one.
+// serviceTimes are the times from the start of the processes until each access node opens a topic,
+// gets a message of it accepted, and delivers one.
 type serviceTimes struct{ open, accept, deliver []time.Duration }
 
-// boot has a fleet go and come back, and asks for every topic through every access node all the
-// time.
+// measureRestart stops nodes of a fleet and starts them again. It sends to and subscribes to every
+// topic through every access node until all are served.
 func measureRestart(t *testing.T, w *World, stopNodes func(*World) []string, downtime time.Duration) serviceTimes {
 	t.Helper()
 	var topics []string
@@ -74,11 +74,11 @@
 		if running == nil || running.Ready() != nil {
 			return false
 		}
-		sp, err := running.Store.Index().Find(topic)
+		space, err := running.Store.Index().Find(topic)
 		if err != nil {
 			return false
 		}
-		p := partition.Of(topic, sp.Urgent, running.Store.VoterSet().Layout)
+		p := partition.Of(topic, space.Urgent, running.Store.VoterSet().Layout)
 		done := make(chan error, 1)
 		running.Sessions.PartitionLog.SubmitAsync(w.ctx, p, &leader.Message{Client: client, Topic: topic, CallSeq: callSeq, Body: []byte(`"b"`)}, time.Now().Add(w.Site.Timing.CallTimeout()), func(d *leader.Decision, err error) {
 			if err == nil {
@@ -96,7 +96,7 @@
 		}
 	}
 	for _, topic := range topics {
-		assert.NilError(t, w.WaitUntil(20*time.Second, topic+" is taken", func() bool { return send("a1", topic, "warm", 1) }))
+		assert.NilError(t, w.WaitUntil(20*time.Second, topic+" is accepted", func() bool { return send("a1", topic, "warm", 1) }))
 	}
 	from := map[string]uint64{}
 	for k, v := range last {
@@ -132,13 +132,13 @@
 						tick()
 						continue
 					}
-					sp, err := running.Store.Index().Find(topic)
+					space, err := running.Store.Index().Find(topic)
 					if err != nil {
 						tick()
 						continue
 					}
 					after := from[topic]
-					subscription := running.Sessions.Hub.NewSubscription(partition.Of(topic, sp.Urgent, running.Store.VoterSet().Layout), topic)
+					subscription := running.Sessions.Hub.NewSubscription(partition.Of(topic, space.Urgent, running.Store.VoterSet().Layout), topic)
 					subscription.After = &after
 					opened, delivered, broken := make(chan error, 1), make(chan struct{}), make(chan struct{})
 					var once sync.Once
@@ -194,20 +194,21 @@
 			})
 		}
 		slices.Sort(worst)
-		for _, l := range []struct {
-			what string
-			l    []time.Duration
-		}{{"joined", all.open}, {"taken", all.accept}, {"delivered", all.deliver}} {
-			slices.Sort(l.l)
-			t.Logf("%s, %s: p10 %s, p50 %s, p90 %s, max %s", way.name, l.what, percentile(l.l, .1), percentile(l.l, .5), percentile(l.l, .9), percentile(l.l, 1))
+		for _, series := range []struct {
+			what  string
+			times []time.Duration
+		}{{"opened", all.open}, {"accepted", all.accept}, {"delivered", all.deliver}} {
+			slices.Sort(series.times)
+			t.Logf("%s, %s: p10 %s, p50 %s, p90 %s, max %s", way.name, series.what, percentile(series.times, .1), percentile(series.times, .5), percentile(series.times, .9), percentile(series.times, 1))
 		}
 		t.Logf("%s: everything after p50 %s, %s to %s", way.name, percentile(worst, .5), worst[0], percentile(worst, 1))
 	}
 }
 
-// After a restart of all nodes every topic once took more than a second: the records came by gossip
-// after the duty had read them, owners tried an epoch that their disk had used, and every step that
-// failed was tried again after the longest pause.
+// Guards against a restart of all nodes after which every topic takes more than a second. This came
+// about in three ways: gossip delivered the records after the placement controller had read them,
+// leaders tried an epoch that their disk had used, and every failed step was retried after the
+// longest backoff.
 func TestServiceIsBackSoonAfterProcessesStart(t *testing.T) {
 	t.Parallel()
 	long(t)
--- a/internal/testing/sim/bootstrap_test.go
+++ b/internal/testing/sim/bootstrap_test.go
@@ -18,8 +18,8 @@
 	return s
 }
 
-// allNodesAreVoters tells whether every control node that runs has a seat with its present disk, and is
-// under the newest voter set.
+// allNodesAreVoters reports whether every running control node is a voter with its present disk,
+// and uses the newest voter set.
 func (w *World) allNodesAreVoters() bool {
 	var newest uint64
 	for _, n := range w.Names {
@@ -27,15 +27,15 @@
 			newest = max(newest, x.VoterSet().Sequence)
 		}
 	}
-	for _, n := range w.Names {
-		m := w.Machines[n]
-		x := m.Node()
-		if x == nil || m.Opts.Disk != settings.DiskControl {
+	for _, name := range w.Names {
+		m := w.Machines[name]
+		process := m.Node()
+		if process == nil || m.Opts.Disk != settings.DiskControl {
 			continue
 		}
-		voters := x.VoterSet()
-		voter, ok := voters.Voter(n)
-		if info := x.Info(); newest == 0 || voters.Sequence != newest || !ok || voter.Incarnation != info.Incarnation || info.VoterSet != newest {
+		voters := process.VoterSet()
+		voter, ok := voters.Voter(name)
+		if info := process.Info(); newest == 0 || voters.Sequence != newest || !ok || voter.Incarnation != info.Incarnation || info.VoterSet != newest {
 			return false
 		}
 	}
@@ -43,7 +43,7 @@
 }
 
 // At several sites only some voters, or none, are among the three seeds that all nodes get. The
-// fleet is founded once, and all voters are seated soon.
+// fleet is bootstrapped once, and all control nodes are voters soon.
 func TestBootstrapThroughSeeds(t *testing.T) {
 	t.Parallel()
 	for _, control := range []int{3, 4, 8} {
@@ -54,8 +54,8 @@
 					defer w.Close()
 					assert.NilError(t, w.Start(w.Names...))
 					at := time.Now()
-					assert.NilError(t, w.WaitUntil(3*time.Second, "all voters are seated", w.allNodesAreVoters))
-					t.Logf("all voters are voting after %s under voter set %d", time.Since(at), w.Machines["c1"].Node().VoterSet().Sequence)
+					assert.NilError(t, w.WaitUntil(3*time.Second, "all control nodes are voters", w.allNodesAreVoters))
+					t.Logf("all control nodes are voters after %s under voter set %d", time.Since(at), w.Machines["c1"].Node().VoterSet().Sequence)
 					assert.NilError(t, w.WaitReady(3*time.Second))
 					fleets := map[string]bool{}
 					for _, n := range w.Names {
@@ -69,7 +69,8 @@
 	}
 }
 
-// A seed that does not answer leaves the fleet unfounded; a second founding never comes about.
+// A seed that does not answer keeps the fleet from bootstrapping. There is never a second
+// bootstrap.
 func TestBootstrapWaitsForAllSeeds(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -79,19 +80,19 @@
 		time.Sleep(10 * time.Second)
 		assert.Equal(t, w.Machines["c1"].Node().VoterSet().Sequence, uint64(0))
 		assert.NilError(t, w.Start(w.Names...))
-		assert.NilError(t, w.WaitUntil(3*time.Second, "all voters are seated", w.allNodesAreVoters))
+		assert.NilError(t, w.WaitUntil(3*time.Second, "all control nodes are voters", w.allNodesAreVoters))
 	})
 }
 
-// The only founder loses its disk once the others are seated. It comes back as told not to found,
-// and is seated again by them, though it is still the only seed with a disk.
+// The only bootstrapping node loses its disk once the others are voters. It comes back with
+// bootstrapping disabled. The others make it a voter again, though it is the only seed with a disk.
 func TestLoneBootstrapperReturnsEmpty(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		w := New(seedSite(4, 1), 6, Logger())
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
-		assert.NilError(t, w.WaitUntil(3*time.Second, "all voters are seated", w.allNodesAreVoters))
+		assert.NilError(t, w.WaitUntil(3*time.Second, "all control nodes are voters", w.allNodesAreVoters))
 		described(t, w)
 		fleet := w.Machines["c2"].Node().VoterSet().Fleet
 		w.Wipe("c1")
@@ -99,13 +100,13 @@
 		w.Machines["c1"].Opts.BootstrapBy = settings.BootstrapNever
 		assert.NilError(t, w.Start("c1"))
 		at := time.Now()
-		assert.NilError(t, w.WaitUntil(2*time.Second, "all voters are seated again", w.allNodesAreVoters))
-		t.Logf("seated again after %s", time.Since(at))
+		assert.NilError(t, w.WaitUntil(2*time.Second, "all control nodes are voters again", w.allNodesAreVoters))
+		t.Logf("a voter again after %s", time.Since(at))
 		assert.Equal(t, w.Machines["c1"].Node().VoterSet().Fleet, fleet)
 	})
 }
 
-// Disks that came back empty everywhere found nothing.
+// Nodes whose disks all came back empty bootstrap no fleet.
 func TestNoBootstrapOnEmptiedDisks(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -123,14 +124,15 @@
 	})
 }
 
-// A node whose first seeds are silent, behind a cut, finds the fleet as soon as one seed answers.
+// A node whose first seeds do not answer, behind a cut, finds the fleet as soon as one seed
+// answers.
 func TestSilentSeedsCostNoTime(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		w := New(seedSite(4, 1), 8, Logger())
 		defer w.Close()
 		assert.NilError(t, w.Start("c1", "c2", "c3", "c4", "s1", "s2", "s3", "a1", "a2"))
-		assert.NilError(t, w.WaitUntil(3*time.Second, "all voters are seated", w.allNodesAreVoters))
+		assert.NilError(t, w.WaitUntil(3*time.Second, "all control nodes are voters", w.allNodesAreVoters))
 		w.Isolate("c1")
 		w.Isolate("a1")
 		w.Machines["a3"].Opts.Seeds = []string{w.Machines["c1"].Opts.PeerListen, w.Machines["a1"].Opts.PeerListen, w.Machines["a2"].Opts.PeerListen}
--- a/internal/testing/sim/chaos_test.go
+++ b/internal/testing/sim/chaos_test.go
@@ -19,7 +19,8 @@
 	"postjunction/internal/testing/history"
 )
 
-// whole tells whether every partition has its copies on the disks in use, and every voter its seat.
+// isFullyReplicated reports whether every machine is up, every voter uses its present disk and the
+// newest voter set, and every partition has all its replicas on the present disks.
 func (w *World) isFullyReplicated() bool {
 	for _, n := range w.Names {
 		if !w.Machines[n].Up() {
@@ -48,25 +49,25 @@
 	return true
 }
 
-// live lives through a day's steps. A disk is wiped only when every copy and seat is in place
-// before, as one loss at a time is borne.
+// runSteps runs the steps of a random run. Before a disk is wiped it waits until everything is
+// fully replicated, since the fleet tolerates one loss at a time.
 func (w *World) runSteps(t *testing.T, steps []Step) {
 	rng := func(s uint64) *rand.Rand { return rand.New(rand.NewPCG(s, 7)) }
-	for i, s := range steps {
-		if s.First == "wipe" {
-			assert.NilError(t, w.WaitUntil(90*time.Second, "every copy and seat is in place", w.isFullyReplicated), "seed %d, step %d", w.Seed, i)
+	for i, step := range steps {
+		if step.First == "wipe" {
+			assert.NilError(t, w.WaitUntil(90*time.Second, "everything is fully replicated", w.isFullyReplicated), "seed %d, step %d", w.Seed, i)
 		}
-		t.Logf("seed %d: %s: step %d: %s", w.Seed, time.Now().Format("04:05.000"), i, s)
-		undo, also := Faults[s.First](w, rng(s.FirstSeed)), noUndo
-		time.Sleep(s.Between)
-		if s.Second != "" {
-			also = Faults[s.Second](w, rng(s.SecondSeed))
+		t.Logf("seed %d: %s: step %d: %s", w.Seed, time.Now().Format("04:05.000"), i, step)
+		undo, also := Faults[step.First](w, rng(step.FirstSeed)), noUndo
+		time.Sleep(step.Between)
+		if step.Second != "" {
+			also = Faults[step.Second](w, rng(step.SecondSeed))
 		}
-		time.Sleep(s.Duration)
+		time.Sleep(step.Duration)
 		undo()
-		time.Sleep(s.Gap)
+		time.Sleep(step.Gap)
 		also()
-		if s.First == "wipe" {
+		if step.First == "wipe" {
 			w.Heal()
 			for _, n := range w.Names {
 				w.Thaw(n)
@@ -76,12 +77,12 @@
 			assert.NilError(t, w.Start(w.Names...))
 			assert.NilError(t, w.WaitUntil(90*time.Second, "the wiped disk is repaired", w.isFullyReplicated), "seed %d, step %d", w.Seed, i)
 		}
-		time.Sleep(s.Rest)
+		time.Sleep(step.Rest)
 	}
 }
 
-// operate reads the description back through one node and puts the next one through another, time
-// and again; without a clear answer it puts the same again through a third.
+// runOperator repeatedly reads the configuration back through one node and puts the next one
+// through another. When the outcome is unknown it puts the same one again through a third.
 func (w *World) runOperator(ctx context.Context) {
 	r := rand.New(rand.NewPCG(w.Seed, 11))
 	for {
@@ -105,14 +106,14 @@
 			_, err = w.Put(to, doc)
 		}
 		if apierror.HasCode(err, apierror.ConfigurationInvalid) {
-			w.History.Violate(history.Invalid, "a sound description was turned away through %s: %v", to, err)
+			w.History.Violate(history.Invalid, "a valid configuration was rejected through %s: %v", to, err)
 		}
 	}
 }
 
-// coverage counts, for each fault and line, the runs in which the line had something to be judged
-// by.
+// coverage counts, for each fault and check of the history, the runs in which the check had data.
 type coverage struct {
+	// mu guards all fields below.
 	mu     sync.Mutex
 	runs   [2]int
 	pairs  map[string]bool
@@ -149,7 +150,7 @@
 	}
 }
 
-// table writes the counts for docs/never.md.
+// table returns the counts as a table for docs/never.md.
 func (c *coverage) table() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -161,20 +162,20 @@
 		return c.waits[int(q*float64(len(c.waits)-1))].Round(10 * time.Millisecond)
 	}
 	k := len(FaultNames())
-	s := fmt.Sprintf("%d runs at armor, %d at traductores, %d of %d pairs of different faults; longest wait after the last thing that went wrong: median %s, p95 %s, most %s\n\n| fault |", c.runs[0], c.runs[1], len(c.pairs), k*(k-1)/2+k, at(0.5), at(0.95), at(1))
+	table := fmt.Sprintf("%d runs at armor, %d at traductores, %d of %d pairs of different faults; longest wait after the last disturbance: median %s, p95 %s, most %s\n\n| fault |", c.runs[0], c.runs[1], len(c.pairs), k*(k-1)/2+k, at(0.5), at(0.95), at(1))
 	for _, l := range history.Lines {
 		n, _, _ := strings.Cut(l, " ")
-		s += " " + strings.TrimPrefix(n, "never-") + " |"
+		table += " " + strings.TrimPrefix(n, "never-") + " |"
 	}
-	s += "\n|---|" + strings.Repeat("---|", len(history.Lines)) + "\n"
+	table += "\n|---|" + strings.Repeat("---|", len(history.Lines)) + "\n"
 	for _, b := range FaultNames() {
-		s += "| " + b + " |"
+		table += "| " + b + " |"
 		for _, l := range history.Lines {
-			s += fmt.Sprintf(" %d |", c.judged[b][l])
+			table += fmt.Sprintf(" %d |", c.judged[b][l])
 		}
-		s += "\n"
+		table += "\n"
 	}
-	return s
+	return table
 }
 
 func siteForSeed(seed uint64) Site { return []Site{Armor, Traductores}[seed%2] }
@@ -210,16 +211,16 @@
 	}
 }
 
-// TestReduce, with PJ_REDUCE=seed, leaves steps and second faults of a failing seed out as long as
-// it still fails, and prints what is left. The order of things within one instant is not fixed by a
-// seed, so each try is made three times.
+// TestReduce, with PJ_REDUCE=seed, removes steps and second faults of a failing seed as long as it
+// fails without them, and prints the rest. A seed does not fix the order of events within one
+// instant, so each try is made three times.
 func TestReduce(t *testing.T) {
-	v := os.Getenv("PJ_REDUCE")
-	if v == "" {
+	value := os.Getenv("PJ_REDUCE")
+	if value == "" {
 		t.Skip("PJ_REDUCE names no seed")
 	}
-	seed, err := strconv.ParseUint(v, 10, 64)
-	assert.NilError(t, err, "PJ_REDUCE must be a seed, is %q", v)
+	seed, err := strconv.ParseUint(value, 10, 64)
+	assert.NilError(t, err, "PJ_REDUCE must be a seed, is %q", value)
 	fails := func(ss []Step) bool {
 		for i := range 3 {
 			if !t.Run(fmt.Sprintf("%v try %d", ss, i), func(t *testing.T) { chaos(t, seed, ss) }) {
--- a/internal/testing/sim/cut_test.go
+++ b/internal/testing/sim/cut_test.go
@@ -14,7 +14,7 @@
 	"postjunction/internal/testing/orders"
 )
 
-// coreCut cuts a control node off in some way until the world is healed.
+// controlCut cuts a control node off in some way until the network is healed.
 type controlCut struct {
 	name  string
 	begin func(w *World, n string)
@@ -23,18 +23,18 @@
 
 func heal(w *World, _ string) { w.Heal() }
 
-// cutApart cuts machines from one another where both ways are chosen, n being the one that is cut
-// off.
-func cutApart(w *World, n string, out, in bool, from func(k string) bool) {
+// cutApart cuts the target off from the chosen machines: what it sends with out, what it receives
+// with in.
+func cutApart(w *World, target string, out, in bool, from func(k string) bool) {
 	for _, k := range w.Names {
-		if k == n || !from(k) {
+		if k == target || !from(k) {
 			continue
 		}
 		if out {
-			w.Cut(n, k)
+			w.Cut(target, k)
 		}
 		if in {
-			w.Cut(k, n)
+			w.Cut(k, target)
 		}
 	}
 }
@@ -46,11 +46,11 @@
 
 var controlCuts = []controlCut{
 	{"all", func(w *World, n string) { cutApart(w, n, true, true, everyone) }, heal},
-	{"near: from the core", func(w *World, n string) { cutApart(w, n, true, true, isControl) }, heal},
-	{"from all but the core", func(w *World, n string) { cutApart(w, n, true, true, isNotControl) }, heal},
+	{"near: from the control nodes", func(w *World, n string) { cutApart(w, n, true, true, isControl) }, heal},
+	{"from all but the control nodes", func(w *World, n string) { cutApart(w, n, true, true, isNotControl) }, heal},
 	{"one way: nothing goes out", func(w *World, n string) { cutApart(w, n, true, false, everyone) }, heal},
 	{"one way: nothing comes in", func(w *World, n string) { cutApart(w, n, false, true, everyone) }, heal},
-	{"split: half of the core from the other half", func(w *World, _ string) {
+	{"split: half of the control nodes from the other half", func(w *World, _ string) {
 		for _, k := range []string{"c1", "c2"} {
 			cutApart(w, k, true, true, func(o string) bool { return isControl(o) && !isFirstHalf(o) })
 		}
@@ -70,10 +70,10 @@
 	}},
 	{"behind: another loses its disk, the rest their power, then it heals", func(w *World, n string) {
 		cutApart(w, n, true, true, everyone)
-	}, func(w *World, n string) {
+	}, func(w *World, target string) {
 		gone := false
 		for _, k := range w.Names {
-			if !isControl(k) || k == n {
+			if !isControl(k) || k == target {
 				continue
 			}
 			if !gone {
@@ -86,12 +86,12 @@
 		time.Sleep(time.Second)
 		w.Heal()
 		for _, k := range w.Names {
-			if isControl(k) && k != n {
+			if isControl(k) && k != target {
 				_ = w.Start(k)
 			}
 		}
 	}},
-	{"relieve: as it heals the others of the core are killed", func(w *World, n string) {
+	{"relieve: as it heals the other control nodes are killed", func(w *World, n string) {
 		cutApart(w, n, true, true, everyone)
 	}, func(w *World, n string) {
 		w.Heal()
@@ -103,7 +103,7 @@
 			}
 		}
 	}},
-	{"frozen, with answers on their way", func(w *World, n string) { w.Freeze(n) }, func(w *World, n string) { w.Thaw(n) }},
+	{"frozen, with answers in flight", func(w *World, n string) { w.Freeze(n) }, func(w *World, n string) { w.Thaw(n) }},
 }
 
 const (
@@ -112,15 +112,15 @@
 )
 
 // A control node is cut off for twenty seconds while operators send orders and read at it and at
-// others, every tenth of a second. What they are told is that of one register: nothing older is
-// shown, nothing is refused or confirmed wrongly, and the machine is of use again within the
-// contact time.
+// others, every tenth of a second. The answers are those of one register: no read returns an older
+// value, and nothing is rejected or confirmed wrongly. The machine is usable again within
+// recoveryAfterCut.
 func TestAControlNodeCutOffForTwentySeconds(t *testing.T) {
 	t.Parallel()
 	long(t)
 	for i, x := range controlCuts {
 		for k, s := range []Site{Armor, Traductores} {
-			t.Run(fmt.Sprintf("%s, %d stores", x.name, s.Storage), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, %d storage nodes", x.name, s.Storage), func(t *testing.T) {
 				t.Parallel()
 				runControlCut(t, s, x, uint64(950+10*i+k))
 			})
@@ -130,28 +130,28 @@
 
 func runControlCut(t *testing.T, s Site, fault controlCut, seed uint64) {
 	t.Helper()
-	var h *orders.History
+	var history *orders.History
 	synctest.Test(t, func(t *testing.T) {
 		w := New(s, seed, Logger())
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
 		assert.NilError(t, w.WaitReady(20*time.Second))
-		h = orders.New(time.Now())
+		history = orders.New(time.Now())
 		cut := "c1"
 		ctx, stop := context.WithCancel(w.ctx)
 		defer stop()
 		var all sync.WaitGroup
 		for k, only := range [][]string{{cut}, {"c2", "a1", "s1"}, {cut, "c3", "s2"}} {
-			o := &simulatedOperator{w: w, rng: rand.New(rand.NewPCG(seed, uint64(k))), name: fmt.Sprint("operator ", k), history: h, only: only}
+			o := &simulatedOperator{w: w, rng: rand.New(rand.NewPCG(seed, uint64(k))), name: fmt.Sprint("operator ", k), history: history, only: only}
 			all.Go(func() { o.runContinuously(ctx) })
 		}
 		time.Sleep(2 * time.Second)
 		fault.begin(w, cut)
 		time.Sleep(cutDuration)
 		fault.end(w, cut)
-		probe := &simulatedOperator{w: w, rng: rand.New(rand.NewPCG(seed, 9)), history: h, only: []string{cut}}
+		probe := &simulatedOperator{w: w, rng: rand.New(rand.NewPCG(seed, 9)), history: history, only: []string{cut}}
 		healed := time.Now()
-		assert.NilError(t, w.WaitUntil(recoveryAfterCut, "the machine that was cut off is of use", func() bool {
+		assert.NilError(t, w.WaitUntil(recoveryAfterCut, "the machine that was cut off is usable", func() bool {
 			_, ok := probe.read()
 			return ok
 		}), "%s after the end of the cut", time.Since(healed))
@@ -159,13 +159,13 @@
 		stop()
 		all.Wait()
 	})
-	n := h.Count()
+	n := history.Count()
 	assert.Assert(t, n[orders.Acknowledged] > 10, "void: %v", n)
-	assert.Assert(t, h.Linearizable(), "%v", n)
+	assert.Assert(t, history.Linearizable(), "%v", n)
 }
 
-// press sends an order and reads, each tenth of a second. Orders without a clear answer are sent a
-// few times.
+// runContinuously sends an order and reads, each tenth of a second. Orders with an unknown outcome
+// are sent again.
 func (o *simulatedOperator) runContinuously(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
 		if x, ok := o.read(); ok {
--- a/internal/testing/sim/decommission_restart_test.go
+++ b/internal/testing/sim/decommission_restart_test.go
@@ -16,7 +16,7 @@
 	"postjunction/internal/placement/decommission"
 )
 
-// emptying asks a node how far the emptying of a machine is.
+// decommissionStatus asks a node for the status of a decommissioning.
 func (w *World) decommissionStatus(through, name string) (decommission.Order, error) {
 	var order decommission.Order
 	err := w.callNode(through, w.Site.Timing.CallTimeout(), func(ctx context.Context, k *node.Node) error {
@@ -30,8 +30,8 @@
 	return order, nil
 }
 
-// An emptied machine is restarted again and again before it is taken away: its order stays done
-// wherever it is asked, and nothing moves back to it. Then it is taken away, another store loses
+// A decommissioned machine is restarted again and again before it is removed. Every node reports
+// its order as done, and nothing moves back to it. Then it is removed, another storage node loses
 // its disk and all others their power.
 func TestARestartDoesNotEndADecommissioning(t *testing.T) {
 	t.Parallel()
@@ -39,80 +39,81 @@
 	for seed := range uint64(seeds(4)) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			s := siteForSeed(seed)
-			runScenario(t, s, 390+seed, s.Timing.Recovery, func(t *testing.T, w *World) {
-				o := busiest(w)
-				assert.NilError(t, w.startDecommission(o))
-				assert.NilError(t, w.WaitUntil(60*time.Second, o+" is empty", w.decommissionDone(o)))
+			site := siteForSeed(seed)
+			runScenario(t, site, 390+seed, site.Timing.Recovery, func(t *testing.T, w *World) {
+				target := busiest(w)
+				assert.NilError(t, w.startDecommission(target))
+				assert.NilError(t, w.WaitUntil(60*time.Second, target+" is empty", w.decommissionDone(target)))
 				for k := range 4 {
 					if k == 1 {
-						w.Wipe(o)
+						w.Wipe(target)
 					} else {
-						w.Kill(o)
+						w.Kill(target)
 					}
 					time.Sleep(w.randomTenths(1, 3))
-					assert.NilError(t, w.Start(o))
+					assert.NilError(t, w.Start(target))
 					time.Sleep(w.randomTenths(4, 6))
 					for _, n := range w.Names {
-						x, err := w.decommissionStatus(n, o)
+						x, err := w.decommissionStatus(n, target)
 						assert.NilError(t, err, "asked at %s", n)
 						assert.Assert(t, x.Done, "asked at %s: %+v", n, x)
 					}
-					assert.Equal(t, w.committedReplicaCount(t, o), 0, "something moved back to %s", o)
+					assert.Equal(t, w.committedReplicaCount(t, target), 0, "something moved back to %s", target)
 				}
-				w.Remove(o, false)
+				w.Remove(target, false)
 				wipeWhileOthersLosePower(t, w, busiestOf(w, w.Present()))
-				time.Sleep(s.Timing.Recovery)
+				time.Sleep(site.Timing.Recovery)
 			})
 		})
 	}
 }
 
-// busiestOf gives the store among those named that decides for most partitions.
+// busiestOf returns the storage node among those named that leads the most partitions.
 func busiestOf(w *World, names []string) string {
 	return slices.MaxFunc(slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n[0] != 's' }), func(a, b string) int {
 		return w.Machines[a].Node().Info().Partitions - w.Machines[b].Node().Info().Partitions
 	})
 }
 
-// A machine is killed, or loses its disk, while it is being emptied: the order stands, and is
-// carried out.
+// A machine is killed, or loses its disk, during its decommissioning. The order remains in effect
+// and is completed.
 func TestADecommissioningOutlivesItsMachinesProcessAndDisk(t *testing.T) {
 	t.Parallel()
 	long(t)
 	for seed := range uint64(seeds(6)) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			s := siteForSeed(seed)
-			runScenario(t, s, 396+seed, s.Timing.Recovery, func(t *testing.T, w *World) {
-				o := busiest(w)
-				assert.NilError(t, w.startDecommission(o))
+			site := siteForSeed(seed)
+			runScenario(t, site, 396+seed, site.Timing.Recovery, func(t *testing.T, w *World) {
+				target := busiest(w)
+				assert.NilError(t, w.startDecommission(target))
 				time.Sleep(w.randomTenths(0, 2))
 				if seed%3 == 0 {
-					w.Wipe(o)
+					w.Wipe(target)
 				} else {
-					w.Kill(o)
+					w.Kill(target)
 				}
 				time.Sleep(w.randomTenths(0, 3))
-				assert.NilError(t, w.Start(o))
-				assert.NilError(t, w.WaitUntil(60*time.Second, o+" is empty", w.decommissionDone(o)))
-				assert.Equal(t, w.committedReplicaCount(t, o), 0)
+				assert.NilError(t, w.Start(target))
+				assert.NilError(t, w.WaitUntil(60*time.Second, target+" is empty", w.decommissionDone(target)))
+				assert.Equal(t, w.committedReplicaCount(t, target), 0)
 				time.Sleep(w.randomTenths(1, 8))
-				assert.Equal(t, w.committedReplicaCount(t, o), 0)
+				assert.Equal(t, w.committedReplicaCount(t, target), 0)
 			})
 		})
 	}
 }
 
-// A change of a record that a former holder of the placement duty decided on before an order to
-// empty a machine is refused once the order is done, also where the record never named the machine.
+// A former placement controller decided on a change of a record before an order to decommission a
+// machine. The change is rejected once the order is done, also where the record never named the
+// machine.
 func TestADecommissioningFencesWhatWasDecidedBefore(t *testing.T) {
 	t.Parallel()
 	stand(t, Traductores, 400, func(t *testing.T, w *World) {
 		described(t, w)
-		op := w.Machines["c1"].Node().Operators
+		operators := w.Machines["c1"].Node().Operators
 		read := func(p int) (r assignment.Record) {
-			v, err := op.Client.Read(w.ctx, assignment.Key(p))
+			v, err := operators.Client.Read(w.ctx, assignment.Key(p))
 			assert.NilError(t, err)
 			r, err = assignment.Parse(v.Body, v.Version)
 			assert.NilError(t, err)
@@ -122,25 +123,25 @@
 		for p := range w.Machines["c1"].Node().VoterSet().Layout.PartitionCount() {
 			before = append(before, read(p))
 		}
-		o := busiest(w)
-		assert.NilError(t, w.startDecommission(o))
-		assert.NilError(t, w.WaitUntil(60*time.Second, o+" is empty", w.decommissionDone(o)))
+		target := busiest(w)
+		assert.NilError(t, w.startDecommission(target))
+		assert.NilError(t, w.WaitUntil(60*time.Second, target+" is empty", w.decommissionDone(target)))
 		others := 0
 		for p, r := range before {
-			if !r.Includes(o) {
+			if !r.Includes(target) {
 				others++
 			}
-			r.Learner = &assignment.Replica{Node: o, Incarnation: w.Machines[o].Node().Info().Incarnation}
-			_, err := op.Client.Change(w.ctx, assignment.Key(p), r.Version, registerclient.NewChangeID(), r.Marshal())
+			r.Learner = &assignment.Replica{Node: target, Incarnation: w.Machines[target].Node().Info().Incarnation}
+			_, err := operators.Client.Change(w.ctx, assignment.Key(p), r.Version, registerclient.NewChangeID(), r.Marshal())
 			assert.Assert(t, apierror.HasCode(err, apierror.StaleBase), "partition %d: %v", p, err)
-			assert.Assert(t, !read(p).Includes(o))
+			assert.Assert(t, !read(p).Includes(target))
 		}
-		assert.Assert(t, others > 0, "void: %s held everything", o)
+		assert.Assert(t, others > 0, "void: %s had replicas of all partitions", target)
 	})
 }
 
-// A node that is cut off, as an operator reaches it, gives no final answer: neither 404 nor 409 for
-// a machine, nor that one is empty, nor which configuration is current.
+// A node that is cut off from its peers, but not from operators, gives no final answer: neither 404
+// nor 409 for a machine, nor that one is empty, nor which configuration is current.
 func TestACutNodeGivesNoFinalAnswers(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(4)) {
@@ -152,24 +153,24 @@
 			w.Isolate(cut)
 			for range 20 {
 				time.Sleep(time.Second)
-				for _, n := range []string{"nobody", "s1", "c1", "a1"} {
+				for _, n := range []string{"unknown", "s1", "c1", "a1"} {
 					_, err := w.decommissionStatus(cut, n)
-					assert.Assert(t, isNotFinal(err), "the emptying of %s: %v", n, err)
+					assert.Assert(t, isNotFinal(err), "the status of %s: %v", n, err)
 					err = w.callNode(cut, 2*w.Site.Timing.CallTimeout(), func(ctx context.Context, k *node.Node) error {
 						_, err := k.Operators.Decommission(ctx, n)
 						return err
 					})
-					assert.Assert(t, isNotFinal(err), "to empty %s: %v", n, err)
+					assert.Assert(t, isNotFinal(err), "the decommissioning of %s: %v", n, err)
 				}
 				_, err := w.Put(cut, load.Configuration(1))
-				assert.Assert(t, isNotFinal(err), "an order: %v", err)
+				assert.Assert(t, isNotFinal(err), "a configuration: %v", err)
 				err = w.callNode(cut, 2*w.Site.Timing.CallTimeout(), func(ctx context.Context, k *node.Node) error {
 					_, err := k.Operators.CurrentConfiguration(ctx)
 					return err
 				})
 				assert.Assert(t, isNotFinal(err), "a read: %v", err)
 			}
-			_, err = w.decommissionStatus(other, "nobody")
+			_, err = w.decommissionStatus(other, "unknown")
 			assert.Assert(t, apierror.HasCode(err, apierror.UnknownNode), "%v", err)
 			w.Heal()
 			time.Sleep(w.Site.Timing.SessionTimeout())
@@ -181,20 +182,20 @@
 	}
 }
 
-// final are the problems that end an operator's call for good.
+// finalCodes are the errors that end an operator's call for good.
 var finalCodes = []apierror.Code{apierror.UnknownNode, apierror.DecommissionUnsafe, apierror.AlreadyEmpty, apierror.ConfigurationConflict, apierror.ConfigurationInvalid, apierror.ConfigurationMissing}
 
 func isNotFinal(err error) bool {
 	return err != nil && !slices.ContainsFunc(finalCodes, func(k apierror.Code) bool { return apierror.HasCode(err, k) })
 }
 
-// A machine that joined a moment ago is known through every node, also one that has not heard of
-// it.
+// A machine that joined a moment ago is known through every node, also through one that gossip has
+// not reached yet.
 func TestANewMachineIsKnownThroughEveryNode(t *testing.T) {
 	t.Parallel()
 	stand(t, withSpares(Armor, "s2"), 410, func(t *testing.T, w *World) {
 		assert.NilError(t, w.Add("s2b"))
-		assert.NilError(t, w.WaitUntil(20*time.Second, "a control node has heard of s2b", func() bool {
+		assert.NilError(t, w.WaitUntil(20*time.Second, "a control node knows s2b", func() bool {
 			_, ok := w.Machines["c1"].Node().View.Get("s2b")
 			return ok
 		}))
--- a/internal/testing/sim/decommission_test.go
+++ b/internal/testing/sim/decommission_test.go
@@ -13,21 +13,21 @@
 )
 
 func (w *World) replicaCount(name string) int {
-	k := 0
+	count := 0
 	ref := w.Machines["a1"].Node()
 	for p := range ref.VoterSet().Layout.PartitionCount() {
 		if ref.Store.Record(p).Includes(name) {
-			k++
+			count++
 		}
 	}
-	return k
+	return count
 }
 
-// registered counts the records that name a node, as a majority of the voters has them: news of
-// them may come to a node later.
+// committedReplicaCount counts the records that name a node, as a majority of the voters has them.
+// Other nodes may learn of them later.
 func (w *World) committedReplicaCount(t *testing.T, name string) int {
 	t.Helper()
-	k := 0
+	count := 0
 	ref := w.Machines["a1"].Node()
 	for p := range ref.VoterSet().Layout.PartitionCount() {
 		v, err := ref.Operators.Client.Read(w.ctx, assignment.Key(p))
@@ -35,10 +35,10 @@
 		r, err := assignment.Parse(v.Body, v.Version)
 		assert.NilError(t, err)
 		if r.Includes(name) {
-			k++
+			count++
 		}
 	}
-	return k
+	return count
 }
 
 func (w *World) startDecommission(name string) error {
@@ -57,18 +57,18 @@
 	}
 }
 
-// At a site of three stores one is emptied under load; small disks fill in, the holder of the duty
-// dies on the way, a second machine with a disk is lost right after, and the emptied one returns
-// without its disk.
+// At a site of three storage nodes one is decommissioned under load. Smaller disks take its
+// replicas, and the placement controller is killed meanwhile. Right after, a second machine with a
+// disk is lost, and the decommissioned one returns without its disk.
 func TestDecommission(t *testing.T) {
 	t.Parallel()
 	long(t)
 	runScenario(t, Armor, 11, Armor.Timing.Recovery, func(t *testing.T, w *World) {
-		assert.Assert(t, apierror.HasCode(w.startDecommission("nobody"), apierror.UnknownNode))
+		assert.Assert(t, apierror.HasCode(w.startDecommission("unknown"), apierror.UnknownNode))
 		assert.Assert(t, apierror.HasCode(w.startDecommission("a1"), apierror.UnknownNode))
 		assert.Assert(t, apierror.HasCode(w.startDecommission("c1"), apierror.AlreadyEmpty))
 		assert.NilError(t, w.startDecommission("s1"))
-		assert.NilError(t, w.startDecommission("s1"), "asking again is no fault")
+		assert.NilError(t, w.startDecommission("s1"), "a repeated order is not an error")
 		time.Sleep(700 * time.Millisecond)
 		for i := range 3 {
 			c := fmt.Sprintf("c%d", i+1)
@@ -91,7 +91,7 @@
 		time.Sleep(14 * time.Second)
 		assert.NilError(t, w.Start("s2"))
 		assert.NilError(t, w.Start("s1"))
-		assert.NilError(t, w.WaitUntil(120*time.Second, "the stores hold everything again", func() bool {
+		assert.NilError(t, w.WaitUntil(120*time.Second, "the storage nodes have all replicas again", func() bool {
 			return w.isFullyReplicated() && w.replicaCount("s1") == w.Site.Routine+w.Site.Urgent && w.replicaCount("s2") == w.Site.Routine+w.Site.Urgent
 		}))
 	})
--- a/internal/testing/sim/disk_test.go
+++ b/internal/testing/sim/disk_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// The seeds' faults of disks bite: a change waits for as long as a majority's disks take to sync,
-// and gets no yes while they hang.
+// The disk faults of random runs take effect: a change waits for as long as a majority's disks take
+// to sync, and is not acknowledged while they hang.
 func TestDisksThatAreSlowOrHangHoldDecisionsUp(t *testing.T) {
 	t.Parallel()
 	stand(t, Armor, 57, func(t *testing.T, w *World) {
--- a/internal/testing/sim/empty_disk_test.go
+++ b/internal/testing/sim/empty_disk_test.go
@@ -12,14 +12,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// layout is a deployment's machines, and how long one that returns counts as lost.
+// deployment describes the machines of a deployment. A machine that returns counts as lost for
+// lossWindow.
 type deployment struct {
 	name string
 	Site
 	lossWindow time.Duration
 }
 
-// layouts are those of the users' six deployments; the small ones and those with control troubles
+// deployments are those of the users' six deployments. The small ones and those with control faults
 // have the same machines.
 var deployments = []deployment{
 	{"three zones", Armor, 4100 * time.Millisecond},
@@ -33,33 +34,33 @@
 	return s
 }
 
-// In every fullEvery-th run the stores hold all that they keep; in the others the callers have just
-// begun.
+// In every fullEvery-th run the storage nodes have a full retention time of messages. In the others
+// the clients have just started.
 const (
 	measuredSeeds = 200
 	fullEvery     = 20
 )
 
-// A machine that comes back with an empty disk has all its copies, and its seat, before it no
-// longer counts as lost: as a distribution over many seeds when measured (PJ_MEASURE), over a few
+// A machine that comes back with an empty disk has all its replicas, or is a voter again, before it
+// no longer counts as lost. The test covers many seeds when it measures (PJ_MEASURE), one
 // otherwise.
 func TestAnEmptyReturnIsCompleteBeforeTheNextLoss(t *testing.T) {
 	t.Parallel()
 	long(t)
-	n := 1
+	runs := 1
 	if os.Getenv("PJ_MEASURE") != "" {
-		n = measuredSeeds
+		runs = measuredSeeds
 	}
-	for _, l := range deployments {
-		t.Run(l.name, func(t *testing.T) {
+	for _, site := range deployments {
+		t.Run(site.name, func(t *testing.T) {
 			t.Parallel()
 			var mu sync.Mutex
 			var took []time.Duration
 			t.Run("seeds", func(t *testing.T) {
-				for seed := range uint64(n) {
+				for seed := range uint64(runs) {
 					t.Run(fmt.Sprint(seed), func(t *testing.T) {
 						t.Parallel()
-						d := measureRepair(t, l, 1+seed)
+						d := measureRepair(t, site, 1+seed)
 						mu.Lock()
 						defer mu.Unlock()
 						took = append(took, d)
@@ -67,21 +68,22 @@
 				}
 			})
 			slices.Sort(took)
-			t.Logf("%d returns: median %s, nine of ten %s, worst %s of %s", len(took), took[len(took)/2], took[len(took)*9/10], took[len(took)-1], l.lossWindow)
-			assert.Assert(t, took[len(took)-1] < l.lossWindow)
+			t.Logf("%d returns: median %s, nine of ten %s, worst %s of %s", len(took), took[len(took)/2], took[len(took)*9/10], took[len(took)-1], site.lossWindow)
+			assert.Assert(t, took[len(took)-1] < site.lossWindow)
 		})
 	}
 }
 
-// untilWhole has a store or a control node come back empty, under load.
-func measureRepair(t *testing.T, l deployment, seed uint64) (took time.Duration) {
+// measureRepair wipes a storage node or a control node under load. It returns how long the repair
+// takes after the node is back.
+func measureRepair(t *testing.T, site deployment, seed uint64) (took time.Duration) {
 	t.Helper()
-	warm := l.Timing.Recovery / 2
+	warm := site.Timing.Recovery / 2
 	if seed%fullEvery == 0 {
-		warm = l.Timing.Keeping
+		warm = site.Timing.Keeping
 	}
 	synctest.Test(t, func(t *testing.T) {
-		w := New(l.Site, seed, Logger())
+		w := New(site.Site, seed, Logger())
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
 		assert.NilError(t, w.WaitReady(20*time.Second))
@@ -89,19 +91,19 @@
 		assert.NilError(t, err)
 		w.StartHTTPClients(platformLoad)
 		time.Sleep(warm)
-		n := fmt.Sprint("s", 1+w.Int(l.Storage))
+		name := fmt.Sprint("s", 1+w.Int(site.Storage))
 		switch seed % 4 {
 		case 0:
-			n = busiest(w)
+			name = busiest(w)
 		case 1:
-			n = fmt.Sprint("c", 1+w.Int(l.Control))
+			name = fmt.Sprint("c", 1+w.Int(site.Control))
 		}
-		w.Wipe(n)
+		w.Wipe(name)
 		time.Sleep(200*time.Millisecond + w.randomTenths(0, 6))
-		assert.NilError(t, w.Start(n))
+		assert.NilError(t, w.Start(name))
 		at := time.Now()
-		assert.NilError(t, w.WaitUntil(20*time.Second, "all copies are whole", w.allReplicasComplete))
-		assert.NilError(t, w.WaitUntil(20*time.Second, "all seats are taken", w.allNodesAreVoters))
+		assert.NilError(t, w.WaitUntil(20*time.Second, "all replicas are complete", w.allReplicasComplete))
+		assert.NilError(t, w.WaitUntil(20*time.Second, "all control nodes are voters", w.allNodesAreVoters))
 		took = time.Since(at)
 		w.StopSending(time.Second)
 	})
--- a/internal/testing/sim/faults_test.go
+++ b/internal/testing/sim/faults_test.go
@@ -12,7 +12,7 @@
 
 func settle(w *World) { time.Sleep(14 * time.Second) }
 
-// busiest gives the store that decides for most partitions.
+// busiest returns the storage node that leads the most partitions.
 func busiest(w *World) string {
 	name, leaderships := "", -1
 	for _, n := range w.Names {
@@ -27,7 +27,7 @@
 	site   Site
 	script func(t *testing.T, w *World)
 }{
-	"owner killed mid-append and mid-batch": {Armor, func(_ *testing.T, w *World) {
+	"leader killed mid-append and mid-batch": {Armor, func(_ *testing.T, w *World) {
 		for range 3 {
 			o := busiest(w)
 			w.Kill(o)
@@ -36,21 +36,21 @@
 			time.Sleep(3 * time.Second)
 		}
 	}},
-	"owner paused past its licence and resumed": {Armor, func(_ *testing.T, w *World) {
+	"leader paused past its lease and resumed": {Armor, func(_ *testing.T, w *World) {
 		o := busiest(w)
 		w.Freeze(o)
 		time.Sleep(9 * time.Second)
 		w.Thaw(o)
 		settle(w)
 	}},
-	"owner cut off and still writing": {Armor, func(_ *testing.T, w *World) {
+	"leader cut off while it writes": {Armor, func(_ *testing.T, w *World) {
 		o := busiest(w)
 		w.Isolate(o)
 		time.Sleep(11 * time.Second)
 		w.Heal()
 		settle(w)
 	}},
-	"one-way cut from the owner to control": {Armor, func(_ *testing.T, w *World) {
+	"one-way cut from the leader to control": {Armor, func(_ *testing.T, w *World) {
 		o := busiest(w)
 		for _, c := range []string{"c1", "c2", "c3"} {
 			w.Cut(o, c)
@@ -59,7 +59,7 @@
 		w.Heal()
 		settle(w)
 	}},
-	"store loses power with a torn tail": {Armor, func(_ *testing.T, w *World) {
+	"storage node loses power with a torn tail": {Armor, func(_ *testing.T, w *World) {
 		for range 2 {
 			o := busiest(w)
 			w.LosePower(o, true)
@@ -68,7 +68,7 @@
 			settle(w)
 		}
 	}},
-	"store disk wiped": {Armor, func(_ *testing.T, w *World) {
+	"storage node's disk wiped": {Armor, func(_ *testing.T, w *World) {
 		o := busiest(w)
 		w.Wipe(o)
 		time.Sleep(2 * time.Second)
@@ -77,15 +77,15 @@
 	}},
 	"control disk wiped just after it promised": {Armor, func(t *testing.T, w *World) {
 		for i := range 2 {
-			c := fmt.Sprintf("c%d", i+1)
-			w.Wipe(c)
+			name := fmt.Sprintf("c%d", i+1)
+			w.Wipe(name)
 			time.Sleep(time.Second)
-			_ = w.Start(c)
+			_ = w.Start(name)
 			_, _ = w.Put("a1", load.Configuration(uint64(i+1)))
-			assert.NilError(t, w.WaitUntil(30*time.Second, "the wiped disk has a seat", func() bool {
+			assert.NilError(t, w.WaitUntil(30*time.Second, "the wiped disk is a voter", func() bool {
 				r := w.Machines["a1"].Node().VoterSet()
-				s, ok := r.Voter(c)
-				return ok && s.Incarnation == w.Machines[c].Node().Info().Incarnation && w.Machines[c].Node().Info().VoterSet == r.Sequence
+				s, ok := r.Voter(name)
+				return ok && s.Incarnation == w.Machines[name].Node().Info().Incarnation && w.Machines[name].Node().Info().VoterSet == r.Sequence
 			}))
 			time.Sleep(3 * time.Second)
 		}
@@ -99,7 +99,7 @@
 			time.Sleep(5 * time.Second)
 		}
 	}},
-	"every store restarted in turn": {Armor, func(_ *testing.T, w *World) {
+	"every storage node restarted in turn": {Armor, func(_ *testing.T, w *World) {
 		for i := range 3 {
 			s := fmt.Sprintf("s%d", i+1)
 			w.Terminate(s)
@@ -120,11 +120,11 @@
 		w.DropPackets(0.08)
 		time.Sleep(20 * time.Second)
 	}},
-	"a store is slow": {Armor, func(_ *testing.T, w *World) {
+	"a storage node is slow": {Armor, func(_ *testing.T, w *World) {
 		w.Slow(busiest(w), 300*time.Millisecond)
 		time.Sleep(15 * time.Second)
 	}},
-	"a store's disk fills up": {Armor, func(_ *testing.T, w *World) {
+	"a storage node's disk fills up": {Armor, func(_ *testing.T, w *World) {
 		o := busiest(w)
 		w.Machines[o].Disk.Fill(true)
 		settle(w)
@@ -139,17 +139,17 @@
 	}},
 }
 
-// hits tells what a script must have brought about for its run to show anything: owners that
-// changed, or disks that came back as others.
+// faultEffects are the effects that a script must have for its run to show anything: leaders that
+// changed, or disks that came back empty.
 var faultEffects = map[string]func(r history.Report, fresh int) bool{
-	"owner killed mid-append and mid-batch":     leadersChanged,
-	"owner paused past its licence and resumed": leadersChanged,
-	"owner cut off and still writing":           leadersChanged,
-	"store loses power with a torn tail":        leadersChanged,
-	"every store restarted in turn":             leadersChanged,
+	"leader killed mid-append and mid-batch":    leadersChanged,
+	"leader paused past its lease and resumed":  leadersChanged,
+	"leader cut off while it writes":            leadersChanged,
+	"storage node loses power with a torn tail": leadersChanged,
+	"every storage node restarted in turn":      leadersChanged,
 	"the whole fleet loses power":               leadersChanged,
-	"a store's disk fills up":                   leadersChanged,
-	"store disk wiped":                          disksReplaced,
+	"a storage node's disk fills up":            leadersChanged,
+	"storage node's disk wiped":                 disksReplaced,
 	"control disk wiped just after it promised": disksReplaced,
 }
 
@@ -157,39 +157,39 @@
 
 func disksReplaced(_ history.Report, fresh int) bool { return fresh > 0 }
 
-// incarnations lists the disks' names.
+// incarnations returns the incarnations of all disks.
 func (w *World) incarnations() map[string]bool {
-	m := map[string]bool{}
+	found := map[string]bool{}
 	for _, n := range w.Names {
 		if x := w.Machines[n].Node(); x != nil && x.Info().Incarnation != "" {
-			m[x.Info().Incarnation] = true
+			found[x.Info().Incarnation] = true
 		}
 	}
-	return m
+	return found
 }
 
-var runsUnderRace = map[string]bool{"owner killed mid-append and mid-batch": true, "control disk wiped just after it promised": true, "store disk wiped": true}
+var runsUnderRace = map[string]bool{"leader killed mid-append and mid-batch": true, "control disk wiped just after it promised": true, "storage node's disk wiped": true}
 
 func TestFaults(t *testing.T) {
-	for n, s := range faultScripts {
-		t.Run(n, func(t *testing.T) {
+	for name, scenario := range faultScripts {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			if raced && !runsUnderRace[n] {
+			if raced && !runsUnderRace[name] {
 				t.Skip("runs without the race detector, which slows simulated fleets too much")
 			}
 			fresh := 0
-			r := runScenario(t, s.site, 7, s.site.Timing.Recovery, func(t *testing.T, w *World) {
+			r := runScenario(t, scenario.site, 7, scenario.site.Timing.Recovery, func(t *testing.T, w *World) {
 				was := w.incarnations()
-				s.script(t, w)
+				scenario.script(t, w)
 				for i := range w.incarnations() {
 					if !was[i] {
 						fresh++
 					}
 				}
 			})
-			assert.Assert(t, len(r.Covered) > 0, "void: nothing went wrong")
-			if f := faultEffects[n]; f != nil {
-				assert.Assert(t, f(r, fresh), "void: the fault named did not hit")
+			assert.Assert(t, len(r.Covered) > 0, "void: no fault had an effect")
+			if f := faultEffects[name]; f != nil {
+				assert.Assert(t, f(r, fresh), "void: the named fault had no effect")
 			}
 		})
 	}
--- a/internal/testing/sim/flap_test.go
+++ b/internal/testing/sim/flap_test.go
@@ -15,7 +15,7 @@
 	return n
 }
 
-// What is slow, lossy or pauses for a moment is not gone: nothing changes hands.
+// A machine that is slow, loses packets or pauses for a moment is not lost. No leader changes.
 func TestNoLeaderChangesWhileMachinesAreOnlySlow(t *testing.T) {
 	t.Parallel()
 	disturbances := []struct {
@@ -24,7 +24,7 @@
 	}{
 		{"packet loss of 3 %", func(w *World) { w.DropPackets(0.03); time.Sleep(60 * time.Second) }},
 		{"packet loss of 10 %", func(w *World) { w.DropPackets(0.1); time.Sleep(20 * time.Second) }},
-		{"a store five times slower", func(w *World) { w.Slow(busiest(w), 4*w.Site.Latency); time.Sleep(30 * time.Second) }},
+		{"a storage node five times slower", func(w *World) { w.Slow(busiest(w), 4*w.Site.Latency); time.Sleep(30 * time.Second) }},
 		{"all five times slower", func(w *World) {
 			for _, n := range w.Names {
 				w.Slow(n, 4*w.Site.Latency)
@@ -70,7 +70,7 @@
 			}
 		}},
 		{"control nodes restart", func(w *World) { w.bounce(300*time.Millisecond, "c"); time.Sleep(8 * time.Second) }},
-		{"the link between two stores is cut", func(w *World) {
+		{"the link between two storage nodes is cut", func(w *World) {
 			w.Cut("s1", "s2")
 			w.Cut("s2", "s1")
 			time.Sleep(10 * time.Second)
@@ -78,28 +78,28 @@
 			time.Sleep(3 * time.Second)
 		}},
 	}
-	for _, x := range disturbances {
-		t.Run(x.name, func(t *testing.T) {
+	for _, disturbance := range disturbances {
+		t.Run(disturbance.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				w := standing(t, Armor, 72)
 				defer w.Close()
 				was := sumOfEpochs(w)
-				x.f(w)
-				assert.Equal(t, sumOfEpochs(w), was, "partitions changed hands")
+				disturbance.f(w)
+				assert.Equal(t, sumOfEpochs(w), was, "partitions changed their leaders")
 			})
 		})
 	}
 }
 
-// Each loss is over in its time.
+// Service is back after each loss within its bound.
 func TestServiceIsBackInItsTime(t *testing.T) {
 	t.Parallel()
 	for _, x := range losses {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
 			d := gapOf(t, Armor, 73, x.f)
-			assert.Assert(t, d <= x.most, "some partition took nothing for %s, at most %s are allowed", d, x.most)
+			assert.Assert(t, d <= x.most, "some partition accepted nothing for %s, at most %s are allowed", d, x.most)
 		})
 	}
 }
--- a/internal/testing/sim/idle_test.go
+++ b/internal/testing/sim/idle_test.go
@@ -11,49 +11,49 @@
 	"postjunction/internal/partitionlog/replica"
 )
 
-// What it costs to keep the copies of silent partitions in step grows with pairs of machines, not
-// with partitions; a copy whose disk is gone is noticed all the same.
+// The cost of comparing the replicas of idle partitions grows with pairs of machines, not with
+// partitions. A replica whose disk is lost is noticed nevertheless.
 func TestIdleLogsAreConfirmedTogether(t *testing.T) {
 	t.Parallel()
-	s := Armor
-	s.Routine, s.Urgent = 20, 4
-	stand(t, s, 460, func(t *testing.T, w *World) {
+	site := Armor
+	site.Routine, site.Urgent = 20, 4
+	stand(t, site, 460, func(t *testing.T, w *World) {
 		described(t, w)
-		time.Sleep(s.Timing.Recovery)
+		time.Sleep(site.Timing.Recovery)
 		const sessions = 10
-		was := w.TrafficByPath()
-		time.Sleep(sessions * s.Timing.SessionTimeout())
-		is := w.TrafficByPath()
-		pairs := s.Storage * (s.Storage - 1)
-		comparisons, appends := is[replica.CompareIdle.Path], is[replica.Append.Path].Calls-was[replica.Append.Path].Calls
-		comparisons.Calls -= was[replica.CompareIdle.Path].Calls
-		comparisons.Bytes -= was[replica.CompareIdle.Path].Bytes
-		t.Logf("%d partitions, %d sessions: %d calls and %d bytes for silent lines, %d appends", s.Routine+s.Urgent, sessions, comparisons.Calls, comparisons.Bytes, appends)
+		before := w.TrafficByPath()
+		time.Sleep(sessions * site.Timing.SessionTimeout())
+		after := w.TrafficByPath()
+		pairs := site.Storage * (site.Storage - 1)
+		comparisons, appends := after[replica.CompareIdle.Path], after[replica.Append.Path].Calls-before[replica.Append.Path].Calls
+		comparisons.Calls -= before[replica.CompareIdle.Path].Calls
+		comparisons.Bytes -= before[replica.CompareIdle.Path].Bytes
+		t.Logf("%d partitions, %d sessions: %d calls and %d bytes for idle logs, %d appends", site.Routine+site.Urgent, sessions, comparisons.Calls, comparisons.Bytes, appends)
 		assert.Assert(t, comparisons.Calls >= pairs*(sessions-1) && comparisons.Calls <= pairs*(sessions+1), "%d calls for %d pairs", comparisons.Calls, pairs)
 		assert.Equal(t, appends, 0)
 
 		w.Wipe("s2")
 		assert.NilError(t, w.Start("s2"))
-		assert.NilError(t, w.WaitUntil(s.Timing.Keeping, "the wiped disk is repaired", w.isFullyReplicated))
+		assert.NilError(t, w.WaitUntil(site.Timing.Keeping, "the wiped disk is repaired", w.isFullyReplicated))
 	})
 }
 
-// A fleet at rest does not ask the control nodes for each partition's record over and over.
+// An idle fleet does not ask the control nodes for each partition's record repeatedly.
 func TestRecordsAreNotReadAtRest(t *testing.T) {
 	t.Parallel()
-	s := Armor
-	s.Routine, s.Urgent = 20, 4
-	stand(t, s, 461, func(t *testing.T, w *World) {
+	site := Armor
+	site.Routine, site.Urgent = 20, 4
+	stand(t, site, 461, func(t *testing.T, w *World) {
 		described(t, w)
-		time.Sleep(s.Timing.Recovery)
-		was := w.TrafficByPath()
+		time.Sleep(site.Timing.Recovery)
+		before := w.TrafficByPath()
 		const sweeps = 4
-		time.Sleep(sweeps * s.Timing.SweepInterval())
-		is := w.TrafficByPath()
+		time.Sleep(sweeps * site.Timing.SweepInterval())
+		after := w.TrafficByPath()
 		for _, p := range []string{keys.Read.Path, acceptor.Peek.Path} {
-			t.Logf("%s: %d calls, %d bytes in %d sweeps of %d partitions", p, is[p].Calls-was[p].Calls, is[p].Bytes-was[p].Bytes, sweeps, s.Routine+s.Urgent)
+			t.Logf("%s: %d calls, %d bytes in %d sweeps of %d partitions", p, after[p].Calls-before[p].Calls, after[p].Bytes-before[p].Bytes, sweeps, site.Routine+site.Urgent)
 		}
-		n := is[keys.Read.Path].Calls - was[keys.Read.Path].Calls
-		assert.Assert(t, n < s.Routine+s.Urgent, "%d reads", n)
+		n := after[keys.Read.Path].Calls - before[keys.Read.Path].Calls
+		assert.Assert(t, n < site.Routine+site.Urgent, "%d reads", n)
 	})
 }
--- a/internal/testing/sim/intercept.go
+++ b/internal/testing/sim/intercept.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// applyCallFault delays a call by its fault, until its deadline when it is lost. It returns the delay
-// of its duplicate, 0 for none.
+// applyCallFault delays a call by its fault, until its deadline when it is lost. It returns the
+// delay of its duplicate, 0 for none.
 func (w *World) applyCallFault(ctx context.Context, point CallPoint) time.Duration {
 	w.mu.Lock()
 	intercept := w.intercept
--- a/internal/testing/sim/leader_test.go
+++ b/internal/testing/sim/leader_test.go
@@ -27,8 +27,8 @@
 	return records
 }
 
-// storied gives a record as a node without a disk has it the history that those with one know of
-// the very same writing.
+// withHistory returns a record from a node without a disk, with the history that nodes with a disk
+// have of the same version.
 func (w *World) withHistory(r assignment.Record) assignment.Record {
 	for _, m := range w.Machines {
 		n := m.Node()
@@ -42,9 +42,9 @@
 	return r
 }
 
-// A store that is back before its peers find its port closed twice keeps its partitions; one that
-// stays away longer loses them to the successors that the record names, each partition once. Either
-// way no epoch is used again, and what it did not own stays as it is.
+// A storage node that is back before its peers find its port closed twice keeps its leaderships.
+// One that is down for longer loses them to the successors that the record names, each partition
+// once. Either way no epoch is used again, and partitions with another leader do not change.
 func TestUsedEpochIsNeverUsedAgainAndSuccessorsTakeOverInOrder(t *testing.T) {
 	t.Parallel()
 	for downtime, keepsLeadership := range map[time.Duration]bool{30 * time.Millisecond: true, 600 * time.Millisecond: false} {
@@ -97,22 +97,22 @@
 		n := w.Machines["a1"].Node()
 		p := partition.Of("kept/t0", false, n.VoterSet().Layout)
 		_, err = n.Clients.Router.Submit(w.ctx, p, &leader.Message{Client: "v", Generation: old.Generation, Topic: "kept/t0", CallSeq: 2, Body: []byte(`2`)})
-		assert.Assert(t, apierror.HasCode(err, apierror.TokenFenced), "a send that was on its way: %v", err)
+		assert.Assert(t, apierror.HasCode(err, apierror.TokenFenced), "a send that was in flight: %v", err)
 	})
 }
 
-// follow gives the calls received on topics within d, and the last cursor.
+// follow returns the calls received on topics within the limit, and the last cursor.
 func follow(w *World, node, token, cursor string, topics []string, limit time.Duration) (calls []uint64, last string, end error) {
 	ctx, stop := context.WithTimeout(w.ctx, limit)
 	defer stop()
 	last = cursor
-	err := w.Transport(node).Follow(ctx, token, topics, cursor, func(l client.Event) error {
-		last = l.Cursor
-		if l.Topic != "" {
-			calls = append(calls, l.CallSeq)
+	err := w.Transport(node).Follow(ctx, token, topics, cursor, func(event client.Event) error {
+		last = event.Cursor
+		if event.Topic != "" {
+			calls = append(calls, event.CallSeq)
 		}
-		if l.End != nil {
-			end = apierror.New(apierror.Code(l.End.Code), "%s", l.End.Message)
+		if event.End != nil {
+			end = apierror.New(apierror.Code(event.End.Code), "%s", event.End.Message)
 		}
 		return nil
 	})
@@ -126,16 +126,16 @@
 	t.Parallel()
 	stand(t, Armor, 23, func(t *testing.T, w *World) {
 		described(t, w)
-		v, s := attach(t, w, "a1", "listener"), attach(t, w, "c1", "sender")
+		subscriber, sender := attach(t, w, "a1", "listener"), attach(t, w, "c1", "sender")
 		topics := []string{"kept/t0"}
-		_, cursor, _ := follow(w, "a1", v.Token, "", topics, time.Second)
+		_, cursor, _ := follow(w, "a1", subscriber.Token, "", topics, time.Second)
 		firstCursor := cursor
-		n := uint64(0)
+		call := uint64(0)
 		for range 34 {
-			n++
-			_, err := w.Transport("c2").Send(w.ctx, s.Token, "kept/t0", n, []byte(fmt.Sprint(n)))
+			call++
+			_, err := w.Transport("c2").Send(w.ctx, sender.Token, "kept/t0", call, []byte(fmt.Sprint(call)))
 			assert.NilError(t, err)
-			if n == 10 || n == 20 {
+			if call == 10 || call == 20 {
 				o := w.records()[partition.Of("kept/t0", false, w.Machines["a1"].Node().VoterSet().Layout)].Leader
 				w.Kill(o)
 				time.Sleep(5 * time.Second)
@@ -143,38 +143,38 @@
 			}
 			time.Sleep(700 * time.Millisecond)
 		}
-		calls, cursor, _ := follow(w, "c3", v.Token, firstCursor, topics, 2*time.Second)
+		calls, cursor, _ := follow(w, "c3", subscriber.Token, firstCursor, topics, 2*time.Second)
 		assert.Equal(t, len(calls), 34, "%v", calls)
-		again, _, _ := follow(w, "a1", v.Token, cursor, topics, 2*time.Second)
+		again, _, _ := follow(w, "a1", subscriber.Token, cursor, topics, 2*time.Second)
 		assert.Equal(t, len(again), 0, "%v twice", again)
 		time.Sleep(w.Site.Timing.Retention() + 10*time.Second)
-		for n < 40 {
-			n++
-			_, err := w.Transport("c2").Send(w.ctx, s.Token, "kept/t0", n, []byte(fmt.Sprint(n)))
+		for call < 40 {
+			call++
+			_, err := w.Transport("c2").Send(w.ctx, sender.Token, "kept/t0", call, []byte(fmt.Sprint(call)))
 			assert.NilError(t, err)
 		}
 		time.Sleep(5 * time.Second)
-		_, _, err := follow(w, "c3", v.Token, firstCursor, topics, 2*time.Second)
-		assert.Assert(t, apierror.HasCode(err, apierror.CursorExpired), "an expired cursor must be told, not skipped: %v", err)
+		_, _, err := follow(w, "c3", subscriber.Token, firstCursor, topics, 2*time.Second)
+		assert.Assert(t, apierror.HasCode(err, apierror.CursorExpired), "an expired cursor must be reported, not skipped: %v", err)
 	})
 }
 
-// An owner cut off with a store that follows it goes on writing to both lines; none of it may
-// count.
+// A partition leader that is cut off together with a follower continues to write to both logs. None
+// of these writes may count.
 func TestFencedLeaderAndFollowerDecideNothing(t *testing.T) {
 	t.Parallel()
 	long(t)
 	runScenario(t, Traductores, 24, Traductores.Timing.Recovery, func(_ *testing.T, w *World) {
 		for range 2 {
-			o := busiest(w)
+			target := busiest(w)
 			for _, n := range w.Names {
-				if n != o && n[0] != 'a' {
-					w.Cut(n, o)
+				if n != target && n[0] != 'a' {
+					w.Cut(n, target)
 				}
 			}
-			w.Freeze(o)
+			w.Freeze(target)
 			time.Sleep(time.Second)
-			w.Thaw(o)
+			w.Thaw(target)
 			time.Sleep(9 * time.Second)
 			w.Heal()
 			time.Sleep(5 * time.Second)
--- a/internal/testing/sim/lineclients.go
+++ b/internal/testing/sim/lineclients.go
@@ -272,11 +272,11 @@
 	}
 }
 
-// StartLineClients starts a number of clients. Each subscribes to some of the load's topics and sends
-// on two.
+// StartLineClients starts a number of clients. Each subscribes to some of the load's topics and
+// sends on two.
 func (w *World) StartLineClients(count int, load Load) *LineClients {
-	clients := &LineClients{world: w, Load: load,
-		Checker:  deliverycheck.New(w.Site.Timing.Keeping, 3*w.Site.Timing.Spread),
+	clients := &LineClients{world: w,
+		Checker: deliverycheck.New(w.Site.Timing.Keeping, 3*w.Site.Timing.Spread), Load: load,
 		sessions: map[*lineSession]bool{}}
 	clients.sendCtx, clients.stopSending = context.WithCancel(w.ctx)
 	clients.NoPauses = load.NoPauses
--- a/internal/testing/sim/load.go
+++ b/internal/testing/sim/load.go
@@ -77,8 +77,8 @@
 		base, kept, list("l", l.LiveTopics), flood))
 }
 
-// NumberedConfiguration returns the configuration document under a sequence number that its operator
-// chose, with its source.
+// NumberedConfiguration returns the configuration document under a sequence number that its
+// operator chose, with its source.
 func (l Load) NumberedConfiguration(base, sequence uint64, source string) []byte {
 	return []byte(fmt.Sprintf(`{"sequence":%d,"source":%q,%s`, sequence, source, l.Configuration(base)[1:]))
 }
--- a/internal/testing/sim/losses_test.go
+++ b/internal/testing/sim/losses_test.go
@@ -8,15 +8,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// Wide is a site that bears two losses at once.
+// twoLossSite is a site that tolerates two losses at once.
 var twoLossSite = func() Site {
 	s := Armor
 	s.Control, s.Storage, s.ToleratedLosses = 5, 5, 2
 	return s
 }()
 
-// Where two machines with a disk may be lost at once, five disks hold each partition, spread over
-// the zones. Two stores and two control nodes are wiped at the same moment.
+// Where two machines with a disk may be lost at once, each partition has five replicas, spread over
+// the zones. Two storage nodes, then two control nodes, then one of each are wiped at the same
+// moment.
 func TestTwoLossesAtOnce(t *testing.T) {
 	t.Parallel()
 	long(t)
@@ -32,19 +33,19 @@
 			wg.Wait()
 			time.Sleep(2 * time.Second)
 			assert.NilError(t, w.Start(two...))
-			assert.NilError(t, w.WaitUntil(30*time.Second, "all is whole", w.isFullyReplicated))
+			assert.NilError(t, w.WaitUntil(30*time.Second, "everything is fully replicated", w.isFullyReplicated))
 		}
 	})
 }
 
-// At a site of three stores that is to bear two losses, the small disks hold the rest of the five
-// copies, no zone more than two.
+// At a site of three storage nodes that must tolerate two losses, the small disks have the rest of
+// the five replicas. No zone has more than two.
 func TestSmallDisksFillIn(t *testing.T) {
 	t.Parallel()
 	s := Armor
 	s.ToleratedLosses = 2
 	stand(t, s, 32, func(t *testing.T, w *World) {
-		assert.NilError(t, w.WaitUntil(10*time.Second, "every partition has its copies", w.isFullyReplicated))
+		assert.NilError(t, w.WaitUntil(10*time.Second, "every partition has its replicas", w.isFullyReplicated))
 		for p, r := range w.records() {
 			zones, stores := map[string]int{}, 0
 			for _, x := range r.Replicas {
@@ -55,7 +56,7 @@
 			}
 			assert.Equal(t, stores, 3, "partition %d: %v", p, r.Nodes())
 			for z, n := range zones {
-				assert.Assert(t, n <= 2, "partition %d has %d copies in %s", p, n, z)
+				assert.Assert(t, n <= 2, "partition %d has %d replicas in %s", p, n, z)
 			}
 		}
 	})
--- a/internal/testing/sim/network.go
+++ b/internal/testing/sim/network.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// waitForReset waits as a call to a machine without power does: nothing arrives until the machine is
-// back and resets the connection.
+// waitForReset waits as a call to a machine without power does: nothing arrives until the machine
+// is back and resets the connection.
 func waitForReset(ctx context.Context, broken <-chan struct{}, m *Machine) error {
 	select {
 	case <-ctx.Done():
--- a/internal/testing/sim/observe.go
+++ b/internal/testing/sim/observe.go
@@ -16,8 +16,8 @@
 	"postjunction/internal/testing/transport"
 )
 
-// callNode runs a function on a machine's process. It gives up after a limit, since a frozen process
-// gives no answer.
+// callNode runs a function on a machine's process. It gives up after a limit, since a frozen
+// process gives no answer.
 func (w *World) callNode(name string, limit time.Duration, call func(ctx context.Context, x *node.Node) error) error {
 	process := w.Machines[name].Node()
 	if process == nil {
@@ -63,8 +63,8 @@
 	return &transport.Direct{Node: w.Machines[name].services, Gate: w.Machines[name].waitWhileFrozen}
 }
 
-// ReadyTransports returns the machines that are ready, as the platform's load balancer selects them.
-// It returns all machines when none is ready.
+// ReadyTransports returns the machines that are ready, as the platform's load balancer selects
+// them. It returns all machines when none is ready.
 func (w *World) ReadyTransports() []transport.Transport {
 	var transports []transport.Transport
 	for _, n := range w.Names {
--- a/internal/testing/sim/power_loss_test.go
+++ b/internal/testing/sim/power_loss_test.go
@@ -12,48 +12,48 @@
 	keys "postjunction/internal/control/register"
 )
 
-// Many control nodes that lose power right after a description was accepted, and come back one
-// after another, are licensed soon, and do not send whole descriptions to all others to compare
-// them.
+// Many control nodes lose power right after a configuration was accepted, and come back one after
+// another. They get their leases soon. They do not send whole configurations to all others to
+// compare them.
 func TestConfigurationsAreNotSentAroundAfterALossOfPower(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				s, big := Traductores, restartLoad
-				s.Control, s.Sync, big.Topics = 8, 5*time.Millisecond, 2000
-				w := New(s, 40+seed, Logger())
+				site, big := Traductores, restartLoad
+				site.Control, site.Sync, big.Topics = 8, 5*time.Millisecond, 2000
+				w := New(site, 40+seed, Logger())
 				defer w.Close()
 				assert.NilError(t, w.Start(w.Names...))
 				assert.NilError(t, w.WaitReady(20*time.Second))
 				_, err := w.Put("c1", big.Configuration(0))
 				assert.NilError(t, err)
-				time.Sleep(s.Timing.Recovery)
+				time.Sleep(site.Timing.Recovery)
 				_, err = w.Put("a1", big.Configuration(1))
 				assert.NilError(t, err)
 				for _, n := range w.Names {
 					w.LosePower(n, w.Int(2) == 0)
 				}
-				time.Sleep(s.Timing.FailureTimeout())
-				ns := slices.Clone(w.Names)
-				for i := range ns {
+				time.Sleep(site.Timing.FailureTimeout())
+				names := slices.Clone(w.Names)
+				for i := range names {
 					k := w.Int(i + 1)
-					ns[i], ns[k] = ns[k], ns[i]
+					names[i], names[k] = names[k], names[i]
 				}
-				was := w.TrafficByPath()
-				for _, n := range ns {
+				before := w.TrafficByPath()
+				for _, n := range names {
 					assert.NilError(t, w.Start(n))
 					time.Sleep(time.Duration(w.Int(60)) * time.Millisecond)
 				}
-				assert.NilError(t, w.WaitUntil(s.Timing.ReconcileInterval(), "all are ready", func() bool {
-					return !slices.ContainsFunc(ns, func(n string) bool { return w.Machines[n].Node().Ready() != nil })
+				assert.NilError(t, w.WaitUntil(site.Timing.ReconcileInterval(), "all are ready", func() bool {
+					return !slices.ContainsFunc(names, func(n string) bool { return w.Machines[n].Node().Ready() != nil })
 				}))
-				is, bytes := w.TrafficByPath(), 0
+				after, bytes := w.TrafficByPath(), 0
 				for _, p := range []string{keys.Read.Path, acceptor.Peek.Path, acceptor.Promise.Path, acceptor.Accept.Path} {
-					bytes += is[p].Bytes - was[p].Bytes
+					bytes += after[p].Bytes - before[p].Bytes
 				}
-				assert.Assert(t, bytes < 50*len(big.Configuration(1)), "%d bytes for a description of %d", bytes, len(big.Configuration(1)))
+				assert.Assert(t, bytes < 50*len(big.Configuration(1)), "%d bytes for a configuration of %d", bytes, len(big.Configuration(1)))
 			})
 		})
 	}
--- a/internal/testing/sim/repair_test.go
+++ b/internal/testing/sim/repair_test.go
@@ -8,17 +8,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// busy is a site as the platform runs it, with all partitions, and a load near its usual one.
+// platformSite is a site as the platform runs it, with all partitions.
 var platformSite = func() Site {
 	s := Armor
 	s.Control, s.Access, s.Routine, s.Urgent = 4, 2, 12, 4
 	return s
 }()
 
+// platformLoad is a load near the usual one of the platform.
 var platformLoad = Load{HTTPClients: 44, Topics: 30, LiveTopics: 2, UrgentSenders: 2, SendInterval: 200 * time.Millisecond}
 
-// copied tells whether every partition has all its copies on disks of processes that run, and is
-// settled.
+// allReplicasComplete reports whether every partition is recovered, has all its replicas on disks
+// of running processes, and has no learner.
 func (w *World) allReplicasComplete() bool {
 	ref := w.Machines["a1"].Node()
 	l := ref.VoterSet().Layout
@@ -36,8 +37,8 @@
 	return true
 }
 
-// A machine that comes back with an empty disk counts as lost for a short time only; then the next
-// loss may come. All copies and its seat are back by then, under load.
+// A machine that comes back with an empty disk counts as lost for a short time only. Then the next
+// loss may follow. By then it has all its replicas, or is a voter again, under load.
 func TestEmptyDisksAreFilledSoon(t *testing.T) {
 	t.Parallel()
 	long(t)
@@ -54,12 +55,12 @@
 					w.Wipe(n)
 					time.Sleep(downtime)
 					assert.NilError(t, w.Start(n))
-					at := time.Now()
-					assert.NilError(t, w.WaitUntil(10*time.Second, "all copies are whole", w.allReplicasComplete))
-					copies := time.Since(at)
-					assert.NilError(t, w.WaitUntil(10*time.Second, "all seats are taken", w.allNodesAreVoters))
-					t.Logf("%s: copies whole %s after its return, seats after %s", n, copies, time.Since(at))
-					assert.Check(t, time.Since(at) < 2500*time.Millisecond, n)
+					startedAt := time.Now()
+					assert.NilError(t, w.WaitUntil(10*time.Second, "all replicas are complete", w.allReplicasComplete))
+					replicas := time.Since(startedAt)
+					assert.NilError(t, w.WaitUntil(10*time.Second, "all control nodes are voters", w.allNodesAreVoters))
+					t.Logf("%s: replicas complete %s after its return, voters after %s", n, replicas, time.Since(startedAt))
+					assert.Check(t, time.Since(startedAt) < 2500*time.Millisecond, n)
 					time.Sleep(4 * time.Second)
 				}
 				w.StopSending(time.Second)
@@ -68,7 +69,7 @@
 	}
 }
 
-// Emptying a store under load takes a few seconds: all its partitions move at once.
+// Decommissioning a storage node under load takes a few seconds: all its partitions move at once.
 func TestDecommissioningIsSoonDone(t *testing.T) {
 	t.Parallel()
 	long(t)
@@ -84,16 +85,16 @@
 		t.Logf("empty after %s", time.Since(at))
 		assert.Check(t, time.Since(at) < 4*time.Second)
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, w.replicaCount("s1"), 0, "an emptied machine was given copies again")
+		assert.Equal(t, w.replicaCount("s1"), 0, "a decommissioned machine got replicas again")
 		w.StopSending(time.Second)
 	})
 }
 
-// A store that is down is asked to be emptied: nobody waits for it.
+// A storage node that is down is decommissioned. Nothing waits for it.
 func TestDecommissioningAStorageNodeThatIsDown(t *testing.T) {
 	t.Parallel()
 	stand(t, Armor, 52, func(t *testing.T, w *World) {
-		assert.NilError(t, w.WaitUntil(10*time.Second, "every partition has its copies", w.allReplicasComplete))
+		assert.NilError(t, w.WaitUntil(10*time.Second, "every partition has its replicas", w.allReplicasComplete))
 		w.Kill("s2")
 		time.Sleep(4 * time.Second)
 		at := time.Now()
@@ -101,12 +102,12 @@
 		assert.NilError(t, w.WaitUntil(10*time.Second, "s2 is empty", w.decommissionDone("s2")))
 		t.Logf("empty after %s", time.Since(at))
 		assert.Equal(t, w.committedReplicaCount(t, "s2"), 0)
-		assert.NilError(t, w.WaitUntil(w.Site.Timing.Spread, "everybody knows that s2 is empty", func() bool { return w.replicaCount("s2") == 0 }))
+		assert.NilError(t, w.WaitUntil(w.Site.Timing.Spread, "every node knows that s2 is empty", func() bool { return w.replicaCount("s2") == 0 }))
 	})
 }
 
-// A store that joined late and holds nothing is emptied at once, and stays empty though copies have
-// to go somewhere.
+// A storage node that joined late and has no replicas is decommissioned at once. It remains empty
+// although replicas need a new node.
 func TestEmptyStorageNodeStaysEmpty(t *testing.T) {
 	t.Parallel()
 	s := Armor
@@ -119,13 +120,13 @@
 				assert.NilError(t, w.Start(n))
 			}
 		}
-		assert.NilError(t, w.WaitUntil(10*time.Second, "every partition has its copies", func() bool { return w.replicaCount("s1") > 0 && w.allReplicasComplete() }))
+		assert.NilError(t, w.WaitUntil(10*time.Second, "every partition has its replicas", func() bool { return w.replicaCount("s1") > 0 && w.allReplicasComplete() }))
 		assert.NilError(t, w.Start("s4"))
 		time.Sleep(time.Second)
 		assert.NilError(t, w.startDecommission("s4"))
 		assert.NilError(t, w.WaitUntil(w.Site.Timing.SessionTimeout(), "s4 is empty and the records are fenced", w.decommissionDone("s4")))
 		w.Kill("s2")
-		assert.NilError(t, w.WaitUntil(w.Site.Timing.ReplacementDelay()+10*time.Second, "the small disks have the copies", func() bool { return w.replicaCount("s2") == 0 && w.allReplicasComplete() }))
+		assert.NilError(t, w.WaitUntil(w.Site.Timing.ReplacementDelay()+10*time.Second, "the small disks have the replicas", func() bool { return w.replicaCount("s2") == 0 && w.allReplicasComplete() }))
 		assert.Equal(t, w.replicaCount("s4"), 0)
 	})
 }
--- a/internal/testing/sim/replace_test.go
+++ b/internal/testing/sim/replace_test.go
@@ -14,8 +14,8 @@
 	return site
 }
 
-// wipedWhileAllLosePower has a machine lose its disk and all others their power in one instant;
-// then all come back.
+// wipeWhileOthersLosePower wipes the disk of one machine while all others lose power in one
+// instant. Then all come back.
 func wipeWhileOthersLosePower(t *testing.T, w *World, wiped string) {
 	t.Helper()
 	w.Wipe(wiped)
@@ -28,18 +28,19 @@
 	assert.NilError(t, w.Start(w.Present()...))
 }
 
-// A store is taken away for good and another one stands in for it under another name and address;
-// when it has stood there for four seconds another store loses its disk and all others their power.
-// The copies of the first once waited for it for the keeping time, so that two of three were lost.
+// A storage node is removed for good and another one replaces it under another name and address.
+// Four seconds later another storage node loses its disk and all others their power. Guards against
+// replicas of the first node that wait for its return for the retention time, so that two of three
+// are lost.
 func TestReplacedStorageNodeIsMadeGoodBeforeTheNextLoss(t *testing.T) {
 	t.Parallel()
 	long(t)
-	for _, s := range []Site{Armor, Traductores} {
+	for _, site := range []Site{Armor, Traductores} {
 		for _, how := range []string{"asked", "lost", "planned"} {
 			for seed := range uint64(seeds(2)) {
-				t.Run(fmt.Sprintf("%d stores, %s, seed %d", s.Storage, how, seed), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%d storage nodes, %s, seed %d", site.Storage, how, seed), func(t *testing.T) {
 					t.Parallel()
-					runScenario(t, withSpares(s, "s2"), 700+seed, s.Timing.Recovery, func(t *testing.T, w *World) {
+					runScenario(t, withSpares(site, "s2"), 700+seed, site.Timing.Recovery, func(t *testing.T, w *World) {
 						if how == "planned" {
 							assert.NilError(t, w.Add("s2b"))
 							time.Sleep(w.randomTenths(10, 20))
@@ -52,15 +53,15 @@
 						time.Sleep(2 * time.Second)
 						for p, r := range w.records() {
 							if !r.Includes("s2b") || r.Includes("s2") {
-								t.Logf("partition %d is not whole 2 s after the newcomer's start: %v", p, r.Replicas)
+								t.Logf("partition %d is not fully replicated 2 s after the new node's start: %v", p, r.Replicas)
 							}
 						}
 						time.Sleep(2 * time.Second)
 						for p, r := range w.records() {
-							assert.Assert(t, !r.Includes("s2"), "partition %d still names what is gone: %v", p, r.Replicas)
+							assert.Assert(t, !r.Includes("s2"), "partition %d still names the removed node: %v", p, r.Replicas)
 						}
 						wipeWhileOthersLosePower(t, w, "s1")
-						time.Sleep(s.Timing.Recovery)
+						time.Sleep(site.Timing.Recovery)
 					})
 				})
 			}
@@ -68,7 +69,8 @@
 	}
 }
 
-// A store that restarts keeps its copies also while a store stands by that was added some time ago.
+// A storage node that restarts keeps its replicas, also while a spare is present that was added
+// some time ago.
 func TestRestartMovesNoReplicasToASpareNode(t *testing.T) {
 	t.Parallel()
 	long(t)
@@ -88,18 +90,18 @@
 	}
 }
 
-// A store that restarts while no newcomer is there keeps its copies, and so does one that is back
-// with its disk before a newcomer has caught up.
+// A storage node that restarts while no new node is present keeps its replicas. So does one that is
+// back with its disk before a new node has caught up.
 func TestRestartMovesNoCopies(t *testing.T) {
 	t.Parallel()
 	long(t)
-	for _, s := range []Site{Armor, Traductores} {
-		runScenario(t, withSpares(s, "s2"), 710, s.Timing.Recovery, func(t *testing.T, w *World) {
+	for _, site := range []Site{Armor, Traductores} {
+		runScenario(t, withSpares(site, "s2"), 710, site.Timing.Recovery, func(t *testing.T, w *World) {
 			before := w.records()
 			w.LosePower("s2", true)
-			time.Sleep(s.Timing.Recovery / 3)
+			time.Sleep(site.Timing.Recovery / 3)
 			assert.NilError(t, w.Start("s2"))
-			time.Sleep(s.Timing.Recovery / 2)
+			time.Sleep(site.Timing.Recovery / 2)
 			for p, r := range w.records() {
 				for _, x := range before[p].Replicas {
 					assert.Assert(t, r.Includes(x.Node), "partition %d moved from %v to %v", p, before[p].Replicas, r.Replicas)
@@ -117,20 +119,19 @@
 	return ns
 }
 
-// A voter is taken away for good and another one stands in for it under another name and address;
-// when it has stood there for four seconds another voter loses its disk and all others their power.
-// The newcomer once got a seat beside the dead one, so that the majority of four could not be had
-// again.
+// A voter is removed for good and another one replaces it under another name and address. Four
+// seconds later another voter loses its disk and all others their power. Guards against a new node
+// that becomes a voter beside the dead one, so that no majority of four is possible any more.
 func TestReplacedVoterIsMadeGoodBeforeTheNextLoss(t *testing.T) {
 	t.Parallel()
 	long(t)
-	for _, s := range []Site{Armor, Traductores} {
+	for _, site := range []Site{Armor, Traductores} {
 		for _, how := range []string{"asked", "lost", "planned"} {
 			for seed := range uint64(seeds(2)) {
 				for _, out := range []string{"c1", "c2"} {
-					t.Run(fmt.Sprintf("%s of %d voters, %s, seed %d", out, s.Control, how, seed), func(t *testing.T) {
+					t.Run(fmt.Sprintf("%s of %d voters, %s, seed %d", out, site.Control, how, seed), func(t *testing.T) {
 						t.Parallel()
-						runScenario(t, withSpares(s, out), 720+seed, s.Timing.Recovery, func(t *testing.T, w *World) {
+						runScenario(t, withSpares(site, out), 720+seed, site.Timing.Recovery, func(t *testing.T, w *World) {
 							if how == "planned" {
 								assert.NilError(t, w.Add(out+"b"))
 								time.Sleep(w.randomTenths(10, 20))
@@ -142,11 +143,11 @@
 							}
 							time.Sleep(4 * time.Second)
 							ns := w.voterNames("c3")
-							assert.Assert(t, len(ns) == s.Control && !slices.Contains(ns, out) && slices.Contains(ns, out+"b"), "the seats are %v", ns)
+							assert.Assert(t, len(ns) == site.Control && !slices.Contains(ns, out) && slices.Contains(ns, out+"b"), "the voters are %v", ns)
 							wipeWhileOthersLosePower(t, w, "c3")
-							time.Sleep(s.Timing.Recovery)
+							time.Sleep(site.Timing.Recovery)
 							assert.NilError(t, w.readBackConfiguration("a1", time.Now()))
-							assert.Assert(t, len(w.voterNames("a1")) == s.Control, "the seats are %v", w.voterNames("a1"))
+							assert.Assert(t, len(w.voterNames("a1")) == site.Control, "the voters are %v", w.voterNames("a1"))
 						})
 					})
 				}
@@ -155,8 +156,8 @@
 	}
 }
 
-// A voter that is back to find its seat taken joins as a newcomer, and a restarting one keeps its
-// seat beside another that is replaced.
+// A voter that comes back after it was replaced joins as a new node. A voter that restarts while
+// another one is replaced remains a voter.
 func TestVotersThatAreBackAreVotersAgain(t *testing.T) {
 	t.Parallel()
 	long(t)
@@ -174,7 +175,7 @@
 			time.Sleep(w.Site.Timing.Recovery / 2)
 			ns := w.voterNames("c1")
 			for _, n := range []string{"c1", "c2", "c2b", "c3", "c4"} {
-				assert.Assert(t, slices.Contains(ns, n), "the seats are %v", ns)
+				assert.Assert(t, slices.Contains(ns, n), "the voters are %v", ns)
 			}
 			assert.Equal(t, len(ns), 5)
 			w.Wipe("c1")
--- a/internal/testing/sim/restart_test.go
+++ b/internal/testing/sim/restart_test.go
@@ -15,8 +15,9 @@
 	"postjunction/internal/placement/controller"
 )
 
-// The whole fleet loses power in one instant and comes back. Control nodes that each took another
-// for the holder of the placement duty once waited for each other until a sweep, 8.75 s later.
+// The whole fleet loses power in one instant and comes back. Guards against control nodes that each
+// take another one for the placement controller, and so wait for each other until a sweep, 8.75 s
+// later.
 func TestWholeFleetIsBackWellInsideTheBound(t *testing.T) {
 	t.Parallel()
 	long(t)
@@ -34,12 +35,12 @@
 			for _, n := range w.Names {
 				w.LosePower(n, w.Int(2) == 0)
 			}
-			at := time.Now()
+			restartedAt := time.Now()
 			assert.NilError(t, w.Start(w.Names...))
 			for i := range load.Topics {
 				var r client.Receipt
 				err := error(nil)
-				for ok := false; !ok && time.Since(at) < w.Site.Timing.Recovery; ok = err == nil {
+				for ok := false; !ok && time.Since(restartedAt) < w.Site.Timing.Recovery; ok = err == nil {
 					ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Spread)
 					r, err = w.Transport("a1").Send(ctx, token, fmt.Sprintf("kept/t%d", i), 1, []byte(`"back"`))
 					stop()
@@ -48,15 +49,15 @@
 				assert.NilError(t, err, "seed %d: topic %d", seed, i)
 				_ = r
 			}
-			longest = max(longest, time.Since(at))
-			assert.Assert(t, time.Since(at) < w.Site.Timing.Recovery*2/5, "seed %d: back after %s", seed, time.Since(at))
+			longest = max(longest, time.Since(restartedAt))
+			assert.Assert(t, time.Since(restartedAt) < w.Site.Timing.Recovery*2/5, "seed %d: back after %s", seed, time.Since(restartedAt))
 		})
 	}
 	t.Logf("back after at most %s", longest)
 }
 
-// promiseAlone leaves a control node's promise to itself on its own disk only, as a claim does that
-// found nobody else.
+// promiseLocally records a control node's promise to itself on its own disk only, as a claim does
+// that reaches no other node.
 func (w *World) promiseLocally(t *testing.T, name, key string, promised epoch.Epoch) {
 	t.Helper()
 	m := w.Machines[name]
@@ -71,8 +72,9 @@
 	return time.Duration(low+w.Int(high-low)) * 100 * time.Millisecond
 }
 
-// Control nodes that asked whomever they took for the holder to take the duty once passed it to and
-// fro, twice a second and for good, so that no loss was waited out by anyone.
+// Guards against a placement controller that moves without end: control nodes that asked whichever
+// node they took for the placement controller to take over moved the role back and forth, twice a
+// second. No placement controller then lasted long enough to wait out the loss of a machine.
 func TestPlacementControllerStaysWhereItIs(t *testing.T) {
 	t.Parallel()
 	long(t)
@@ -92,7 +94,7 @@
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
-			assert.Assert(t, len(leaders) == 1, "seed %d: %d nodes held the duty in 15 s", seed, len(leaders))
+			assert.Assert(t, len(leaders) == 1, "seed %d: %d nodes were placement controller in 15 s", seed, len(leaders))
 		})
 	}
 }
--- a/internal/testing/sim/scripted_test.go
+++ b/internal/testing/sim/scripted_test.go
@@ -8,24 +8,24 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestAScriptedClientIsNeverPaused draws who is to rest again and again while scripted visitors
-// come in.
+// TestAScriptedClientIsNeverPaused chooses clients to pause again and again while scripted clients
+// connect.
 func TestAScriptedClientIsNeverPaused(t *testing.T) {
 	entertain(t, hall, 950, few, 10, func(t *testing.T, w *World, _ *LineClients) {
 		const clients = 64
-		g := w.StartLineClients(0, few)
+		lineClients := w.StartLineClients(0, few)
 		var wg sync.WaitGroup
 		for range clients {
 			wg.Go(func() {
-				h := g.ConnectScripted("a1", "scripted")
-				if assert.Check(t, h != nil, "not let in") {
+				h := lineClients.ConnectScripted("a1", "scripted")
+				if assert.Check(t, h != nil, "could not connect") {
 					h.End()
 				}
 			})
 		}
 		r := rand.New(rand.NewPCG(950, 0))
-		for in := func() int { g.mu.Lock(); defer g.mu.Unlock(); return g.sessionCount }; in() < clients; {
-			g.pauseOne(r)
+		for in := func() int { lineClients.mu.Lock(); defer lineClients.mu.Unlock(); return lineClients.sessionCount }; in() < clients; {
+			lineClients.pauseOne(r)
 		}
 		wg.Wait()
 	})
--- a/internal/testing/sim/sealed_test.go
+++ b/internal/testing/sim/sealed_test.go
@@ -11,9 +11,8 @@
 	"postjunction/internal/wire"
 )
 
-// The node that changes the voters is lost after the old voter set is sealed and before the new one
-// is open anywhere. Another one finishes the change, and an operator's calls that began in between
-// ride through it.
+// The reconfigurer is lost after the old voter set is sealed and before the new one is open
+// anywhere. Another node finishes the change. An operator's calls that began in between succeed.
 func TestAChangeOfVotersOutlivesWhoBeganIt(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -25,17 +24,17 @@
 			assert.NilError(t, err)
 			var mu sync.Mutex
 			reconfigurer := ""
-			release, hits := w.PauseCalls(func(x CallPoint) bool {
+			release, hits := w.PauseCalls(func(point CallPoint) bool {
 				var q acceptor.ActivateRequest
-				if x.Path != acceptor.Activate.Path || x.Stage != RequestStage || wire.Unmarshal(x.Body, &q) != nil {
+				if point.Path != acceptor.Activate.Path || point.Stage != RequestStage || wire.Unmarshal(point.Body, &q) != nil {
 					return false
 				}
 				mu.Lock()
 				defer mu.Unlock()
 				if reconfigurer == "" {
-					reconfigurer = x.From
+					reconfigurer = point.From
 				}
-				return x.From == reconfigurer
+				return point.From == reconfigurer
 			})
 			assert.NilError(t, w.Add("c2b"))
 			assert.NilError(t, w.WaitUntil(10*time.Second, "a change of the voters is sealed", func() bool { return hits() > 0 }))
@@ -43,13 +42,13 @@
 			killed := reconfigurer
 			mu.Unlock()
 			w.Kill(killed)
-			at := time.Now()
+			killedAt := time.Now()
 			got, err := w.Transport("a1").Get(w.ctx)
 			assert.NilError(t, err, "seed %d: %s lost", w.Seed, killed)
 			assert.Equal(t, got, seq)
 			_, err = w.Put("a1", load.Configuration(seq))
 			assert.NilError(t, err, "seed %d: %s lost", w.Seed, killed)
-			t.Logf("seed %d: %s lost, both calls took %s", w.Seed, killed, time.Since(at))
+			t.Logf("seed %d: %s lost, both calls took %s", w.Seed, killed, time.Since(killedAt))
 			release()
 			assert.NilError(t, w.Start(killed))
 		})
--- a/internal/testing/sim/slot_comparison_test.go
+++ b/internal/testing/sim/slot_comparison_test.go
@@ -16,15 +16,18 @@
 	"postjunction/internal/wire"
 )
 
-// While a change is being accepted, the acceptors' slots differ for a moment. Control nodes must leave such a change alone:
-// once, all of them saw the difference at each heartbeat, read the key, compared full slots and sent them again; where
-// the leader of the key was slow they claimed it from one another, which made the slots differ anew, and with documents
-// of the users' size the control nodes' links stayed full.
+// While a change is being accepted, the acceptors' slots differ for a moment. Control nodes must
+// leave such a change alone. Guards against the following fault: all of them saw the difference at
+// each heartbeat, read the key, compared full slots and sent them again. Where the leader of the
+// key was slow they claimed it from one another, which made the slots differ again. With documents
+// of the users' size the control nodes' links remained saturated.
 //
-// The order in which acceptors answer decides what a node sees: slots that differ, which it leaves alone at each
-// heartbeat, or a majority that has the change, which it reads once without a claim, with one full slot more where its
-// own disk is behind. So the answers of some acceptors are delayed, and all nodes see the one or the other. The key has a
-// leader beforehand, since a change of the voter set after the first write would leave the claim to the measured write.
+// The order in which acceptors answer decides what a node sees. It may see slots that differ, which
+// it leaves alone at each heartbeat. Or it sees a majority that has the change, which it reads once
+// without a claim, with one full slot more where its own disk is behind. So the answers of some
+// acceptors are delayed, and all nodes see the one or the other. The key has a leader beforehand,
+// since a change of the voter set after the first write would leave the claim to the measured
+// write.
 func TestAChangeOnItsWayIsLeftAlone(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -37,36 +40,36 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				s := Traductores
-				s.Control = 8
-				w := New(s, 3, nil)
+				site := Traductores
+				site.Control = 8
+				w := New(site, 3, nil)
 				defer w.Close()
 				assert.NilError(t, w.Start(w.Names...))
 				assert.NilError(t, w.WaitReady(20*time.Second))
 				assert.NilError(t, w.WaitUntil(20*time.Second, "all control disks are voters", func() bool {
 					return !slices.ContainsFunc(w.Names, func(n string) bool {
-						return len(w.Machines[n].Node().VoterSet().Voters) < s.Control
+						return len(w.Machines[n].Node().VoterSet().Voters) < site.Control
 					})
 				}))
 				_, err := w.Put("c1", restartLoad.Configuration(0))
 				assert.NilError(t, err)
-				time.Sleep(s.Timing.Spread)
+				time.Sleep(site.Timing.Spread)
 				keyLeader := w.leaderOf(quorumread.ConfigurationKey)
 				assert.Assert(t, w.Machines[keyLeader].Node().LeadsKey(quorumread.ConfigurationKey))
 				var mu sync.Mutex
 				slotsAsked, fullSlots := map[string]int{}, 0
-				end := w.InterceptCalls(func(p CallPoint) CallFault {
-					if p.Path != acceptor.Peek.Path {
+				end := w.InterceptCalls(func(point CallPoint) CallFault {
+					if point.Path != acceptor.Peek.Path {
 						return CallFault{}
 					}
-					if p.Stage == ResponseStage {
-						if strings.Contains(tc.delayed, p.To) {
+					if point.Stage == ResponseStage {
+						if strings.Contains(tc.delayed, point.To) {
 							return CallFault{Delay: 10 * time.Millisecond}
 						}
 						return CallFault{}
 					}
 					var request acceptor.PeekRequest
-					if wire.Unmarshal(p.Body, &request) != nil {
+					if wire.Unmarshal(point.Body, &request) != nil {
 						return CallFault{}
 					}
 					if len(request.Keys) > 0 && !slices.Contains(request.Keys, quorumread.ConfigurationKey) {
@@ -74,7 +77,7 @@
 					}
 					mu.Lock()
 					defer mu.Unlock()
-					slotsAsked[p.From]++
+					slotsAsked[point.From]++
 					if !request.Brief {
 						fullSlots++
 					}
@@ -83,39 +86,39 @@
 				release, hits := w.PauseCalls(func(p CallPoint) bool {
 					return p.Path == acceptor.Accept.Path && (p.To == "c6" || p.To == "c7" || p.To == "c8")
 				})
-				was := w.TrafficByPath()
+				before := w.TrafficByPath()
 				_, err = w.Put("a1", restartLoad.Configuration(1))
 				assert.NilError(t, err)
-				time.Sleep(s.Timing.LeaseDuration() / 3)
-				is := w.TrafficByPath()
+				time.Sleep(site.Timing.LeaseDuration() / 3)
+				after := w.TrafficByPath()
 				end()
 				release()
 				assert.Assert(t, hits() > 0)
-				reads := is[keys.Read.Path].Calls - was[keys.Read.Path].Calls
-				bytes := is[acceptor.Peek.Path].Bytes - was[acceptor.Peek.Path].Bytes
-				claims := is[acceptor.Promise.Path].Calls - was[acceptor.Promise.Path].Calls
-				accepts := is[acceptor.Accept.Path].Calls - was[acceptor.Accept.Path].Calls
+				reads := after[keys.Read.Path].Calls - before[keys.Read.Path].Calls
+				bytes := after[acceptor.Peek.Path].Bytes - before[acceptor.Peek.Path].Bytes
+				claims := after[acceptor.Promise.Path].Calls - before[acceptor.Promise.Path].Calls
+				accepts := after[acceptor.Accept.Path].Calls - before[acceptor.Accept.Path].Calls
 				mu.Lock()
 				defer mu.Unlock()
-				t.Logf("%d reads, %d bytes of slots, %d of them full, %d promises and %d acceptances asked, slots asked for by %v",
+				t.Logf("%d reads, %d bytes of slots, %d of them full, %d promises and %d acceptances requested, slots requested by %v",
 					reads, bytes, fullSlots, claims, accepts, slotsAsked)
 				assert.Assert(t, reads <= 6, "%d reads", reads)
 				assert.Assert(t, bytes < tc.bytes, "%d bytes of slots", bytes)
 				assert.Assert(t, fullSlots <= tc.fullSlots, "%d full slots", fullSlots)
 				assert.Equal(t, claims, 0)
-				assert.Equal(t, accepts, s.Control, "the change, once to each voter")
-				heartbeats := int(s.Timing.LeaseDuration()/3/s.Timing.HeartbeatInterval()) + 1
+				assert.Equal(t, accepts, site.Control, "the change, once to each voter")
+				heartbeats := int(site.Timing.LeaseDuration()/3/site.Timing.HeartbeatInterval()) + 1
 				for node, count := range slotsAsked {
-					limit := (heartbeats + tc.majorityReads) * s.Control
+					limit := (heartbeats + tc.majorityReads) * site.Control
 					if node == keyLeader {
-						limit += s.Control
+						limit += site.Control
 					}
 					if strings.Contains(tc.delayed, node) {
 						limit += tc.majorityReads
 					}
-					assert.Assert(t, count <= limit, "%s asked for %d slots, %d at most", node, count, limit)
+					assert.Assert(t, count <= limit, "%s requested %d slots, %d at most", node, count, limit)
 				}
-				time.Sleep(s.Timing.Recovery)
+				time.Sleep(site.Timing.Recovery)
 				for _, n := range w.Names {
 					assert.Equal(t, w.Machines[n].Node().Store.Configuration().Sequence, uint64(2), n)
 				}
--- a/internal/testing/sim/small_disk_test.go
+++ b/internal/testing/sim/small_disk_test.go
@@ -9,23 +9,25 @@
 	"postjunction/internal/apierror"
 )
 
-// One store's disk is far smaller than what the partitions need. It says that it is full, gives its
-// duties away, and takes part again once there is less to keep; nothing is lost and no process
-// ends.
+// One storage node's disk is far smaller than what the partitions need. The node reports that it is
+// full and loses its leaderships and replicas. It gets replicas again once there is less to retain.
+// Nothing is lost and no process ends.
 func TestSmallDiskGivesItsLeadershipsAway(t *testing.T) {
 	t.Parallel()
 	long(t)
 	runWithDiskLimit(t, 1, func(t *testing.T, w *World) {
-		x := w.Machines["s1"].Node()
-		assert.NilError(t, w.WaitUntil(60*time.Second, "s1 is full", func() bool { return x.Info().DiskHealth == string(apierror.DiskFull) }))
+		process := w.Machines["s1"].Node()
+		assert.NilError(t, w.WaitUntil(60*time.Second, "s1 is full", func() bool { return process.Info().DiskHealth == string(apierror.DiskFull) }))
 		full := time.Now()
-		assert.NilError(t, w.WaitUntil(20*time.Second, "s1 decides for nothing", func() bool { return x.Info().Partitions == 0 }))
-		t.Logf("duties away after %s", time.Since(full))
-		assert.NilError(t, w.WaitUntil(20*time.Second, "s1 holds nothing", func() bool { return w.replicaCount("s1") == 0 }))
-		t.Logf("copies away after %s", time.Since(full))
+		assert.NilError(t, w.WaitUntil(20*time.Second, "s1 leads nothing", func() bool { return process.Info().Partitions == 0 }))
+		t.Logf("no leaderships after %s", time.Since(full))
+		assert.NilError(t, w.WaitUntil(20*time.Second, "s1 has no replicas", func() bool { return w.replicaCount("s1") == 0 }))
+		t.Logf("no replicas after %s", time.Since(full))
 		w.StopSending(w.Site.Timing.Retention())
-		assert.NilError(t, w.WaitUntil(60*time.Second, "s1 is well and holds copies", func() bool { return x.Info().DiskHealth == "" && w.allReplicasComplete() && w.replicaCount("s1") > 0 }))
-		assert.Assert(t, w.Machines["s1"].Node() == x, "its process ended")
+		assert.NilError(t, w.WaitUntil(60*time.Second, "s1 is healthy and has replicas", func() bool {
+			return process.Info().DiskHealth == "" && w.allReplicasComplete() && w.replicaCount("s1") > 0
+		}))
+		assert.Assert(t, w.Machines["s1"].Node() == process, "its process ended")
 	})
 }
 
--- a/internal/testing/sim/trim_test.go
+++ b/internal/testing/sim/trim_test.go
@@ -12,9 +12,9 @@
 	"postjunction/internal/partitionlog/leader"
 )
 
-// The changelog of a partition stands still for longer than entries are kept, while its ledger goes
-// on. Once the late batch is through, the ledger may be trimmed only as far as that batch reached:
-// what the state still has to be made of must stay. Then the owner is lost.
+// The changelog of a partition is blocked for longer than entries are retained, while its partition
+// log continues. Once the late batch is appended, the log may be trimmed only up to that batch,
+// since the state must be rebuilt from the rest. Then the leader is lost.
 func TestTrimmingWaitsForTheInputOffset(t *testing.T) {
 	t.Parallel()
 	long(t)
@@ -24,27 +24,27 @@
 			const topic = "kept/t0"
 			p := partition.Of(topic, false, w.Machines["a1"].Node().VoterSet().Layout)
 			tok, early := attach(t, w, "c1", "v").Token, attach(t, w, "c1", "early").Token
-			o := w.records()[p].Leader
+			target := w.records()[p].Leader
 			release, hits := w.PauseCalls(func(x CallPoint) bool {
 				q, _ := appending(x)
-				return x.From == o && x.Stage == RequestStage && late(x) && q.Partition == p
+				return x.From == target && x.Stage == RequestStage && late(x) && q.Partition == p
 			})
-			n := uint64(0)
+			call := uint64(0)
 			for begun := time.Now(); time.Since(begun) < w.Site.Timing.Retention()+20*time.Second; {
-				n++
-				_, err := w.Transport("c1").Send(w.ctx, tok, topic, n, []byte(fmt.Sprint(n)))
+				call++
+				_, err := w.Transport("c1").Send(w.ctx, tok, topic, call, []byte(fmt.Sprint(call)))
 				assert.NilError(t, err)
-				if n == 10 {
+				if call == 10 {
 					_, err = w.Transport("c1").Send(w.ctx, early, topic, 1, []byte(`"early"`))
 					assert.NilError(t, err)
 				}
 				time.Sleep(500 * time.Millisecond)
 			}
-			assert.Assert(t, hits() > 0, "void: the changelog went on")
-			assert.Equal(t, w.records()[p].Leader, o, "void: the owner changed")
+			assert.Assert(t, hits() > 0, "void: the changelog was not blocked")
+			assert.Equal(t, w.records()[p].Leader, target, "void: the leader changed")
 			release()
 			late := func() uint64 {
-				for _, v := range w.Machines[o].Node().Operators.Leaders() {
+				for _, v := range w.Machines[target].Node().Operators.Leaders() {
 					if v.Partition == p {
 						return v.Input
 					}
@@ -52,30 +52,30 @@
 				return 0
 			}
 			was := late()
-			assert.NilError(t, w.WaitUntil(5*time.Second, "the late batch is through", func() bool { return late() > was }))
-			n++
-			_, err := w.Transport("c1").Send(w.ctx, tok, topic, n, []byte(fmt.Sprint(n)))
-			assert.NilError(t, err, "the message that a trim goes along with")
+			assert.NilError(t, w.WaitUntil(5*time.Second, "the late batch is appended", func() bool { return late() > was }))
+			call++
+			_, err := w.Transport("c1").Send(w.ctx, tok, topic, call, []byte(fmt.Sprint(call)))
+			assert.NilError(t, err, "the message that is appended with the trim")
 			time.Sleep(w.Site.Timing.ChangelogInterval() / 2)
-			w.Kill(o)
-			assert.NilError(t, w.WaitUntil(10*time.Second, "another owner is open", func() bool {
+			w.Kill(target)
+			assert.NilError(t, w.WaitUntil(10*time.Second, "another leader is open", func() bool {
 				r := w.records()[p]
-				return r.Leader != o && r.Recovered
+				return r.Leader != target && r.Recovered
 			}))
 			_, err = w.Transport("c1").Send(w.ctx, early, topic, 1, []byte(`"late"`))
-			assert.Assert(t, apierror.HasCode(err, apierror.CallAltered) || apierror.HasCode(err, apierror.CallForgotten), "a call that came only once, while the changelog stood still: %v", err)
-			_, err = w.Transport("c1").Send(w.ctx, tok, topic, n+1, []byte(`"goes on"`))
-			assert.NilError(t, err, "the state was not brought back")
-			_, err = w.Transport("c1").Send(w.ctx, tok, topic, n, []byte(fmt.Sprint(n)))
+			assert.Assert(t, apierror.HasCode(err, apierror.CallAltered) || apierror.HasCode(err, apierror.CallForgotten), "a call that was sent only once, while the changelog was blocked: %v", err)
+			_, err = w.Transport("c1").Send(w.ctx, tok, topic, call+1, []byte(`"goes on"`))
+			assert.NilError(t, err, "the state was not rebuilt")
+			_, err = w.Transport("c1").Send(w.ctx, tok, topic, call, []byte(fmt.Sprint(call)))
 			assert.NilError(t, err, "a repeat")
-			_, err = w.Transport("c1").Send(w.ctx, tok, topic, n, []byte(`"other"`))
+			_, err = w.Transport("c1").Send(w.ctx, tok, topic, call, []byte(`"other"`))
 			assert.Assert(t, apierror.HasCode(err, apierror.CallAltered), "%v", err)
 		})
 	}
 }
 
-// What the ledger dropped is known per topic and per sender, and by the next owner too: written
-// down before it is dropped.
+// What the partition log trimmed is known per topic and per sender. The next leader knows it too,
+// since it is recorded before the trim.
 func TestTrimmedEntriesAreKnown(t *testing.T) {
 	t.Parallel()
 	long(t)
@@ -84,7 +84,7 @@
 			described(t, w)
 			const topic, quiet = "kept/t0", "kept/t1"
 			n := w.Machines["a1"].Node()
-			p, q := partition.Of(topic, false, n.VoterSet().Layout), partition.Of(quiet, false, n.VoterSet().Layout)
+			p, quietPartition := partition.Of(topic, false, n.VoterSet().Layout), partition.Of(quiet, false, n.VoterSet().Layout)
 			send := func(topic string, call uint64) (*leader.Decision, error) {
 				p := partition.Of(topic, false, n.VoterSet().Layout)
 				return n.Clients.Router.Submit(w.ctx, p, &leader.Message{Client: "v", Topic: topic, CallSeq: call, Body: []byte("1")})
@@ -101,14 +101,14 @@
 			checkTrimmed := func(when string) {
 				x, err := w.Machines[w.records()[p].Leader].Node().Clients.Router.Leaders.Leader(p)
 				assert.NilError(t, err)
-				assert.Assert(t, x.Trimmed(topic, 0) && x.Trimmed(topic, first), "%s: what is gone", when)
-				assert.Assert(t, !x.Trimmed(topic, second) && !x.Trimmed(topic, third), "%s: what is held", when)
-				y, err := w.Machines[w.records()[q].Leader].Node().Clients.Router.Leaders.Leader(q)
+				assert.Assert(t, x.Trimmed(topic, 0) && x.Trimmed(topic, first), "%s: trimmed entries", when)
+				assert.Assert(t, !x.Trimmed(topic, second) && !x.Trimmed(topic, third), "%s: retained entries", when)
+				y, err := w.Machines[w.records()[quietPartition].Leader].Node().Clients.Router.Leaders.Leader(quietPartition)
 				assert.NilError(t, err)
-				assert.Assert(t, !y.Trimmed(quiet, 0) && !y.Trimmed("kept/never", 0), "%s: a topic of which nothing is gone", when)
+				assert.Assert(t, !y.Trimmed(quiet, 0) && !y.Trimmed("kept/never", 0), "%s: a topic without trimmed entries", when)
 				for _, c := range []uint64{10, 20, 15, 1} {
 					_, err = send(topic, c)
-					assert.Assert(t, apierror.HasCode(err, apierror.CallForgotten), "%s: %d may have been taken: %v", when, c, err)
+					assert.Assert(t, apierror.HasCode(err, apierror.CallForgotten), "%s: %d may have been accepted: %v", when, c, err)
 				}
 				_, err = send(topic, 25)
 				assert.Assert(t, apierror.HasCode(err, apierror.CallPassed), "%s: %v", when, err)
@@ -118,10 +118,10 @@
 				assert.Assert(t, err == nil && d.Duplicate && d.Offset == third, "%s: %v", when, err)
 			}
 			time.Sleep(w.Site.Timing.Keeping * 2 / 5)
-			checkTrimmed("at the first owner")
+			checkTrimmed("at the first leader")
 			old := w.records()[p].Leader
 			w.Kill(old)
-			assert.NilError(t, w.WaitUntil(10*time.Second, "another owner is open", func() bool {
+			assert.NilError(t, w.WaitUntil(10*time.Second, "another leader is open", func() bool {
 				for _, r := range w.records() {
 					if r.Leader == old || !r.Recovered {
 						return false
@@ -129,27 +129,27 @@
 				}
 				return true
 			}))
-			checkTrimmed("at the next owner")
+			checkTrimmed("at the next leader")
 		})
 	}
 }
 
-// A store that is heard but hears nothing stays so for longer than the recovery bound; its
-// partitions are not left waiting for it.
+// A storage node sends but receives nothing for longer than the recovery bound. Its partitions get
+// other leaders.
 func TestLeaderThatReceivesNothingIsReplaced(t *testing.T) {
 	t.Parallel()
 	long(t)
 	for seed := range uint64(seeds(2)) {
 		runScenario(t, siteForSeed(seed), 300+seed, isolatedBound, func(t *testing.T, w *World) {
-			o := busiest(w)
+			target := busiest(w)
 			for _, n := range w.Names {
-				if n != o {
-					w.Cut(n, o)
+				if n != target {
+					w.Cut(n, target)
 				}
 			}
 			time.Sleep(w.Site.Timing.Recovery)
 			for p, r := range w.records() {
-				assert.Assert(t, r.Leader != o, "partition %d still waits for %s", p, o)
+				assert.Assert(t, r.Leader != target, "partition %d still waits for %s", p, target)
 			}
 			time.Sleep(w.Site.Timing.Recovery)
 			w.Heal()
--- a/internal/testing/sim/wiped_test.go
+++ b/internal/testing/sim/wiped_test.go
@@ -8,57 +8,60 @@
 	"gotest.tools/v3/assert"
 )
 
-// A store that comes back at once with an empty disk is named in records with its lost one. It once
-// gave itself new epochs without end, five a second, and the placement duty lost every race against
-// it. In every second run the duty is held up, as it is first by far now.
+// A storage node comes back at once with an empty disk, while records name it with its lost one.
+// Guards against a node that then takes new epochs without end, five a second, so that the
+// placement controller loses every race against it. In every second run the placement controller is
+// delayed, since it would be first by far.
 func TestWipedStorageNodeAsksForNoEpochs(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(4)) {
 		stand(t, siteForSeed(seed), 60+seed, func(t *testing.T, w *World) {
 			described(t, w)
-			o := busiest(w)
+			target := busiest(w)
 			before := w.records()
-			w.Wipe(o)
+			w.Wipe(target)
 			release := func() {}
 			if seed%2 == 0 {
 				var hits func() int
-				release, hits = w.PauseCalls(func(x CallPoint) bool { return x.From != o && strings.Contains(x.Path, "/postjunction.Control/Change") })
-				defer func() { assert.Check(t, hits() > 0, "void: the placement duty was not held up") }()
+				release, hits = w.PauseCalls(func(x CallPoint) bool {
+					return x.From != target && strings.Contains(x.Path, "/postjunction.Control/Change")
+				})
+				defer func() { assert.Check(t, hits() > 0, "void: the placement controller was not delayed") }()
 			}
 			time.Sleep(time.Duration(seed) * 100 * time.Millisecond)
-			assert.NilError(t, w.Start(o))
+			assert.NilError(t, w.Start(target))
 			time.Sleep(w.Site.Timing.TakeoverTimeout())
 			release()
 			time.Sleep(10 * time.Second)
 			for p, r := range w.records() {
 				for _, s := range r.History {
-					assert.Assert(t, s.Leader != o || s.Epoch <= before[p].Epoch || !strings.Contains(s.Reason, "came back"), "partition %d: %v on a lost disk", p, s)
+					assert.Assert(t, s.Leader != target || s.Epoch <= before[p].Epoch || !strings.Contains(s.Reason, "came back"), "partition %d: %v on a lost disk", p, s)
 				}
 				x, ok := r.Replica(r.Leader)
-				assert.Assert(t, ok && x.Incarnation == w.Machines[r.Leader].Node().Info().Incarnation, "partition %d is owned on a lost disk", p)
+				assert.Assert(t, ok && x.Incarnation == w.Machines[r.Leader].Node().Info().Incarnation, "partition %d has a leader on a lost disk", p)
 			}
 		})
 	}
 }
 
-// A store restarts and can't reach the control keys for a while, though its sessions stand. It once
-// asked for its record a single time: the placement duty saw a live owner, and the partition stayed
-// closed for good.
+// A storage node restarts and can't reach the control keys for a while, though its sessions are
+// intact. Guards against a node that asks for its record only once: the placement controller sees a
+// live leader, and the partition remains closed for good.
 func TestRestartedLeaderKeepsAskingForItsRecord(t *testing.T) {
 	t.Parallel()
 	long(t)
 	for seed := range uint64(seeds(2)) {
 		runScenario(t, siteForSeed(seed), 420+seed, time.Hour, func(t *testing.T, w *World) {
-			o := busiest(w)
-			w.Kill(o)
-			release, hits := w.PauseCalls(func(x CallPoint) bool { return x.From == o && strings.Contains(x.Path, "/postjunction.Control/") })
-			assert.NilError(t, w.Start(o))
+			target := busiest(w)
+			w.Kill(target)
+			release, hits := w.PauseCalls(func(x CallPoint) bool { return x.From == target && strings.Contains(x.Path, "/postjunction.Control/") })
+			assert.NilError(t, w.Start(target))
 			time.Sleep(w.Site.Timing.TakeoverTimeout() * 3)
-			assert.Assert(t, hits() > 0, "void: nothing was held")
+			assert.Assert(t, hits() > 0, "void: no call was paused")
 			release()
 			time.Sleep(w.Site.Timing.TakeoverTimeout())
 			for p, r := range w.records() {
-				assert.Assert(t, r.Leader != o || r.Epoch > 1, "partition %d is closed: its owner %s never asked again", p, o)
+				assert.Assert(t, r.Leader != target || r.Epoch > 1, "partition %d is closed: its leader %s never asked again", p, target)
 			}
 		})
 	}
--- a/internal/testing/sim/world.go
+++ b/internal/testing/sim/world.go
@@ -30,7 +30,8 @@
 	ControlSeeds int
 	// ToleratedLosses is the setting of that name, 1 when zero.
 	ToleratedLosses int
-	// Spares names machines that each have one spare, which is absent until it is added: s2b for s2.
+	// Spares names machines that each have one spare, which is absent until it is added: s2b for
+	// s2.
 	Spares []string
 	// Sync is how long a disk takes to sync; zero means a fast disk's time.
 	Sync time.Duration
