--- a/internal/testing/sim/empty_disk_test.go
+++ b/internal/testing/sim/empty_disk_test.go
@@ -55,7 +55,7 @@
 		t.Run(site.name, func(t *testing.T) {
 			t.Parallel()
 			var mu sync.Mutex
-			var took []time.Duration
+			var durations []time.Duration
 			t.Run("seeds", func(t *testing.T) {
 				for seed := range uint64(runs) {
 					t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -63,13 +63,13 @@
 						d := measureRepair(t, site, 1+seed)
 						mu.Lock()
 						defer mu.Unlock()
-						took = append(took, d)
+						durations = append(durations, d)
 					})
 				}
 			})
-			slices.Sort(took)
-			t.Logf("%d returns: median %s, nine of ten %s, worst %s of %s", len(took), took[len(took)/2], took[len(took)*9/10], took[len(took)-1], site.lossWindow)
-			assert.Assert(t, took[len(took)-1] < site.lossWindow)
+			slices.Sort(durations)
+			t.Logf("%d returns: median %s, nine of ten %s, worst %s of %s", len(durations), durations[len(durations)/2], durations[len(durations)*9/10], durations[len(durations)-1], site.lossWindow)
+			assert.Assert(t, durations[len(durations)-1] < site.lossWindow)
 		})
 	}
 }
--- a/internal/testing/sim/lineclients.go
+++ b/internal/testing/sim/lineclients.go
@@ -185,10 +185,10 @@
 	}
 }
 
-func (g *LineClients) endpoint(m *Machine) simclient.Endpoint {
+func (c *LineClients) endpoint(m *Machine) simclient.Endpoint {
 	return simclient.Endpoint{Address: m.Opts.ClientListen,
 		Connect: func(onResponse func(session.Response, time.Time), onBroken func()) simclient.Line {
-			if s := g.connect(m, false, onResponse, onBroken); s != nil {
+			if s := c.connect(m, false, onResponse, onBroken); s != nil {
 				return s
 			}
 			return nil
@@ -197,7 +197,7 @@
 
 // connect opens a connection to a machine. It returns nil where no process accepts it. A scripted
 // session is never chosen for a pause, from its first moment on.
-func (g *LineClients) connect(m *Machine, scripted bool, onResponse func(session.Response, time.Time),
+func (c *LineClients) connect(m *Machine, scripted bool, onResponse func(session.Response, time.Time),
 	onBroken func()) *lineSession {
 	services := m.services()
 	lines, run := m.currentLineServer()
@@ -208,13 +208,13 @@
 	if conn == nil {
 		return nil
 	}
-	s := &lineSession{clients: g, machine: m, run: run, conn: conn, onResponse: onResponse, onBroken: onBroken,
+	s := &lineSession{clients: c, machine: m, run: run, conn: conn, onResponse: onResponse, onBroken: onBroken,
 		closed: make(chan struct{}), outgoingReady: make(chan struct{}, 1), scripted: scripted}
-	g.mu.Lock()
-	g.sessionCount++
-	s.number = g.sessionCount
-	g.sessions[s] = true
-	g.mu.Unlock()
+	c.mu.Lock()
+	c.sessionCount++
+	s.number = c.sessionCount
+	c.sessions[s] = true
+	c.mu.Unlock()
 	go s.sendLoop()
 	go s.receiveLoop()
 	go func() {
@@ -230,19 +230,19 @@
 
 // Endpoints returns the access machines that the platform routes clients to: those that are ready,
 // or all when none is.
-func (g *LineClients) Endpoints() []simclient.Endpoint {
+func (c *LineClients) Endpoints() []simclient.Endpoint {
 	var ready, all []simclient.Endpoint
-	for _, n := range g.world.Names {
-		m := g.world.Machines[n]
+	for _, n := range c.world.Names {
+		m := c.world.Machines[n]
 		if m.Opts.ClientListen == "" {
 			continue
 		}
 		m.mu.Lock()
 		services, frozen := m.serving, m.frozen != nil
 		m.mu.Unlock()
-		all = append(all, g.endpoint(m))
+		all = append(all, c.endpoint(m))
 		if services != nil && !frozen && services.API.Ready() == nil {
-			ready = append(ready, g.endpoint(m))
+			ready = append(ready, c.endpoint(m))
 		}
 	}
 	if len(ready) == 0 {
@@ -252,10 +252,10 @@
 }
 
 // Reset moves a share of all clients to new connections.
-func (g *LineClients) Reset(share float64) {
-	g.world.recordDisturbance("visits reset")
-	for _, client := range g.clients {
-		if g.world.randomFloat() < share {
+func (c *LineClients) Reset(share float64) {
+	c.world.recordDisturbance("visits reset")
+	for _, client := range c.clients {
+		if c.world.randomFloat() < share {
 			client.Move()
 		}
 	}
@@ -319,55 +319,55 @@
 )
 
 // pauseClients pauses the reading of one client after another, so that bytes queue up for them.
-func (g *LineClients) pauseClients() {
-	r := rand.New(rand.NewPCG(g.world.Seed, 31))
-	for (clock.Real{}).Sleep(g.sendCtx, pauseInterval) == nil && !g.pausesDisabled() {
-		g.pauseOne(r)
+func (c *LineClients) pauseClients() {
+	r := rand.New(rand.NewPCG(c.world.Seed, 31))
+	for (clock.Real{}).Sleep(c.sendCtx, pauseInterval) == nil && !c.pausesDisabled() {
+		c.pauseOne(r)
 	}
 }
 
-func (g *LineClients) pausesDisabled() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.NoPauses
+func (c *LineClients) pausesDisabled() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.NoPauses
 }
 
-func (g *LineClients) pauseOne(r *rand.Rand) {
-	g.mu.Lock()
+func (c *LineClients) pauseOne(r *rand.Rand) {
+	c.mu.Lock()
 	var sessions []*lineSession
-	for s := range g.sessions {
+	for s := range c.sessions {
 		if !s.scripted {
 			sessions = append(sessions, s)
 		}
 	}
-	g.mu.Unlock()
+	c.mu.Unlock()
 	slices.SortFunc(sessions, func(a, b *lineSession) int { return cmp.Compare(a.number, b.number) })
 	if len(sessions) > 0 {
 		sessions[r.IntN(len(sessions))].Pause(time.Duration(r.Int64N(int64(maxPause))))
 	}
 }
 
-func (g *LineClients) startClient(client *simclient.Client) {
-	client.Endpoints, client.Checker, client.Calm = g.Endpoints, g.Checker, g.Calm.Load
-	g.clients = append(g.clients, client)
-	g.wg.Go(func() { client.Run(g.world.ctx, g.sendCtx) })
+func (c *LineClients) startClient(client *simclient.Client) {
+	client.Endpoints, client.Checker, client.Calm = c.Endpoints, c.Checker, c.Calm.Load
+	c.clients = append(c.clients, client)
+	c.wg.Go(func() { client.Run(c.world.ctx, c.sendCtx) })
 }
 
 // StartLate starts clients that resume from cursors given to others since a moment.
-func (g *LineClients) StartLate(count int, since time.Time) {
-	g.mu.Lock()
+func (c *LineClients) StartLate(count int, since time.Time) {
+	c.mu.Lock()
 	var cursors []simclient.Topic
-	for _, t := range g.savedCursors {
-		if g.AnyCursorAge || t.Given.After(since) {
+	for _, t := range c.savedCursors {
+		if c.AnyCursorAge || t.Given.After(since) {
 			cursors = append(cursors, t)
 		}
 	}
-	g.mu.Unlock()
+	c.mu.Unlock()
 	habits := Habits()
 	habits.ChangeInterval, habits.AwayInterval, habits.CountInterval = 0, 0, 0
 	for i := range count {
 		client := &simclient.Client{Name: fmt.Sprintf("late%d", i), Habits: habits,
-			Rand: rand.New(rand.NewPCG(g.world.Seed, uint64(i)+5000))}
+			Rand: rand.New(rand.NewPCG(c.world.Seed, uint64(i)+5000))}
 		seen := map[string]bool{}
 		for range 5 {
 			if len(cursors) == 0 {
@@ -379,7 +379,7 @@
 			}
 		}
 		if len(client.Follow) > 0 {
-			g.startClient(client)
+			c.startClient(client)
 		}
 	}
 }
--- a/internal/testing/sim/losses_test.go
+++ b/internal/testing/sim/losses_test.go
@@ -47,14 +47,14 @@
 	stand(t, s, 32, func(t *testing.T, w *World) {
 		assert.NilError(t, w.WaitUntil(10*time.Second, "every partition has its replicas", w.isFullyReplicated))
 		for p, r := range w.records() {
-			zones, stores := map[string]int{}, 0
+			zones, storageNodes := map[string]int{}, 0
 			for _, x := range r.Replicas {
 				zones[w.Machines[x.Node].Opts.Zone]++
 				if x.Node[0] == 's' {
-					stores++
+					storageNodes++
 				}
 			}
-			assert.Equal(t, stores, 3, "partition %d: %v", p, r.Nodes())
+			assert.Equal(t, storageNodes, 3, "partition %d: %v", p, r.Nodes())
 			for z, n := range zones {
 				assert.Assert(t, n <= 2, "partition %d has %d replicas in %s", p, n, z)
 			}
