--- a/internal/golden/fleet_test.go
+++ b/internal/golden/fleet_test.go
@@ -64,12 +64,12 @@
 		assert.NilError(t, world.Start(world.Names...))
 		var err error
 		assert.NilError(t, world.WaitUntil(limit, "a configuration is accepted", func() bool {
-			_, err = world.Put("c1", load.Describe(0))
+			_, err = world.Put("c1", load.Configuration(0))
 			return err == nil
 		}))
 		assert.NilError(t, world.WaitReady(limit))
 		time.Sleep(world.Site.Timing.Recovery)
-		node := world.Port("a1")
+		node := world.Transport("a1")
 		attachment, err := node.Attach(t.Context(), "picker-7")
 		assert.NilError(t, err)
 		client.Token = attachment.Token
@@ -104,7 +104,7 @@
 	var events []client.Event
 	ctx, cancel := context.WithTimeout(t.Context(), limit)
 	defer cancel()
-	_ = world.Port("a1").Follow(ctx, token, []string{topic}, cursor, func(event client.Event) error {
+	_ = world.Transport("a1").Follow(ctx, token, []string{topic}, cursor, func(event client.Event) error {
 		if count == 0 || event.Body != nil {
 			events = append(events, event)
 		}
@@ -152,7 +152,7 @@
 		assert.NilError(t, world.Start(world.Names...))
 		assert.NilError(t, world.WaitReady(limit))
 		time.Sleep(world.Site.Timing.Recovery)
-		node := world.Port("a1")
+		node := world.Transport("a1")
 		sequence, err := node.Get(t.Context())
 		assert.NilError(t, err)
 		assert.Equal(t, sequence, uint64(1))
--- a/internal/golden/life_test.go
+++ b/internal/golden/life_test.go
@@ -50,7 +50,7 @@
 				return err == nil
 			}))
 		}
-		put("a configuration is accepted", load.Describe(0))
+		put("a configuration is accepted", load.Configuration(0))
 		assert.NilError(t, world.WaitReady(limit))
 		put("its spaces are removed", []byte(`{"base":1,"spaces":[]}`))
 		time.Sleep(world.Site.Timing.Recovery)
--- a/internal/testing/fleet/day.go
+++ b/internal/testing/fleet/day.go
@@ -34,7 +34,7 @@
 
 // FullLoad is the load of both deployments: about 600 connections, 600 retained topics at 200
 // messages a second, 30 live topics at 20 a second, and five leads with stop-line calls.
-var FullLoad = sim.Load{Callers: 600, Topics: 600, LiveTopics: 30, Leads: 5, Every: 3 * time.Second}
+var FullLoad = sim.Load{HTTPClients: 600, Topics: 600, LiveTopics: 30, UrgentSenders: 5, SendInterval: 3 * time.Second}
 
 func (d *Day) logf(format string, args ...any) {
 	_, _ = fmt.Fprintf(d.Out, time.Now().Format("15:04:05.000 ")+format+"\n", args...)
@@ -95,7 +95,7 @@
 	defer run.workers.Wait()
 	defer stop()
 	run.workers.Go(func() { d.operate(run.sends, fleet, run.history, run.sequence) })
-	for i := range d.Load.Flood {
+	for i := range d.Load.FloodTopics {
 		run.workers.Go(func() { d.flood(run.sends, fleet, i) })
 	}
 	rng := rand.New(rand.NewPCG(d.Seed, 3))
@@ -141,7 +141,7 @@
 	spread := settings.DefaultTiming.Spread
 	run := &dayRun{Day: d, fleet: fleet, history: history.New(), sequence: sequence,
 		stalled: make(chan time.Duration, 1)}
-	run.history.AcceptConfiguration(0, sequence, string(d.Load.Describe(0)), time.Now())
+	run.history.AcceptConfiguration(0, sequence, string(d.Load.Configuration(0)), time.Now())
 	wait(ctx, spread)
 	run.history.Bound = settings.DefaultTiming.Recovery
 	for _, process := range fleet.Processes {
@@ -160,7 +160,7 @@
 // addCallers starts the clients of a load, each in the zone of a machine.
 func (r *dayRun) addCallers(ctx context.Context, load sim.Load, seed uint64, prefix string) {
 	fleet := r.fleet
-	for _, client := range sim.Plan(load, seed, settings.DefaultTiming.Spread) {
+	for _, client := range sim.PlanHTTPClients(load, seed, settings.DefaultTiming.Spread) {
 		i := fleet.callers.add(client, fleet.Processes)
 		client.Name = prefix + client.Name
 		client.Clock, client.History = clock.Real{}, r.history
@@ -210,7 +210,7 @@
 
 // flood sends on routine topics as fast as answers arrive, and backs off as rejections advise.
 func (d *Day) flood(ctx context.Context, fleet *Fleet, i int) {
-	name, topic := fmt.Sprintf("flood%d", i), fmt.Sprintf("flood/f%d", i%d.Load.Flood)
+	name, topic := fmt.Sprintf("flood%d", i), fmt.Sprintf("flood/f%d", i%d.Load.FloodTopics)
 	for call, token := uint64(1), ""; ctx.Err() == nil; {
 		transports := fleet.Transports("")
 		transport := transports[i%len(transports)]
--- a/internal/testing/fleet/fleet_test.go
+++ b/internal/testing/fleet/fleet_test.go
@@ -43,7 +43,7 @@
 // Runs a day of real processes in which machines are killed and stopped.
 func TestDayWithKills(t *testing.T) {
 	fleet := start(t, build(t))
-	day := &Day{Load: sim.Load{Callers: 40, Topics: 30, LiveTopics: 4, Leads: 2, Every: time.Second}, Seed: 5,
+	day := &Day{Load: sim.Load{HTTPClients: 40, Topics: 30, LiveTopics: 4, UrgentSenders: 2, SendInterval: time.Second}, Seed: 5,
 		Length: 24 * time.Second, Interval: 4 * time.Second, Faults: []string{"kill", "stop"}, Out: testWriter{t}}
 	report, err := day.Run(context.Background(), fleet)
 	assert.NilError(t, err)
--- a/internal/testing/fleet/links.go
+++ b/internal/testing/fleet/links.go
@@ -117,7 +117,7 @@
 	}
 	faults["arrive"] = func(ctx context.Context, day *Day, fleet *Fleet, process *Process, rng *rand.Rand) error {
 		load := day.Load
-		load.Callers = max(1, load.Callers/6)
+		load.HTTPClients = max(1, load.HTTPClients/6)
 		fleet.addCallers(load, rng.Uint64(), fmt.Sprintf("late%d-", rng.IntN(1e9)))
 		return nil
 	}
--- a/internal/testing/fleet/operators.go
+++ b/internal/testing/fleet/operators.go
@@ -16,7 +16,7 @@
 func (d *Day) putFirstConfiguration(ctx context.Context, fleet *Fleet) (uint64, error) {
 	end := time.Now().Add(settings.DefaultTiming.Recovery)
 	for {
-		sequence, err := fleet.Processes[0].Transport().Put(ctx, d.Load.Describe(0))
+		sequence, err := fleet.Processes[0].Transport().Put(ctx, d.Load.Configuration(0))
 		if err == nil || time.Now().After(end) || !apierror.HasCode(err, apierror.OutcomeUnknown) {
 			return sequence, err
 		}
@@ -36,7 +36,7 @@
 		current, err := transports[rng.IntN(len(transports))].Get(callCtx)
 		if err == nil {
 			record.ReadConfiguration(current, asked)
-			document := d.Load.Numbered(current, current+1+rng.Uint64N(9), "")
+			document := d.Load.NumberedConfiguration(current, current+1+rng.Uint64N(9), "")
 			sequenceAccepted, putErr := transports[rng.IntN(len(transports))].Put(callCtx, document)
 			if putErr == nil {
 				record.AcceptConfiguration(current, sequenceAccepted, string(document), time.Now())
--- a/internal/testing/fleet/sessions.go
+++ b/internal/testing/fleet/sessions.go
@@ -208,7 +208,7 @@
 		}
 		for k := range 2 {
 			client.SendTopics = append(client.SendTopics, simclient.SendTopic{Topic: fmt.Sprintf(topic, (i+7*k)%topics),
-				Window: 1 + 3*(i%2), Interval: load.Every / time.Duration(1+3*(i%2))})
+				Window: 1 + 3*(i%2), Interval: load.SendInterval / time.Duration(1+3*(i%2))})
 		}
 		sessions.wg.Go(func() { client.Run(sessions.ctx, sessions.sends) })
 	}
--- a/internal/testing/fleet/soak.go
+++ b/internal/testing/fleet/soak.go
@@ -313,7 +313,7 @@
 }
 
 func (s *Soak) order(ctx context.Context, fleet *Fleet, rng *rand.Rand, order orders.Order) {
-	document := s.Load.Numbered(order.Base, order.Sequence, order.ID)
+	document := s.Load.NumberedConfiguration(order.Base, order.Sequence, order.ID)
 	for range maxOrderTries {
 		ports := fleet.Transports("")
 		begun := time.Now()
--- a/internal/testing/sim/chaos_test.go
+++ b/internal/testing/sim/chaos_test.go
@@ -19,8 +19,9 @@
 	"postjunction/internal/testing/history"
 )
 
-// whole tells whether every partition has its copies on the disks in use, and every voter its seat.
-func (w *World) whole() bool {
+// isFullyReplicated reports whether every machine is up, every voter uses its present disk and the
+// newest voter set, and every partition has all its replicas on the present disks.
+func (w *World) isFullyReplicated() bool {
 	for _, n := range w.Names {
 		if !w.Machines[n].Up() {
 			return false
@@ -48,25 +49,25 @@
 	return true
 }
 
-// live lives through a day's steps. A disk is wiped only when every copy and seat is in place
-// before, as one loss at a time is borne.
-func (w *World) live(t *testing.T, steps []Step) {
+// runSteps runs the steps of a random run. Before a disk is wiped it waits until everything is
+// fully replicated, since the fleet tolerates one loss at a time.
+func (w *World) runSteps(t *testing.T, steps []Step) {
 	rng := func(s uint64) *rand.Rand { return rand.New(rand.NewPCG(s, 7)) }
-	for i, s := range steps {
-		if s.A == "wipe" {
-			assert.NilError(t, w.WaitUntil(90*time.Second, "every copy and seat is in place", w.whole), "seed %d, step %d", w.Seed, i)
+	for i, step := range steps {
+		if step.First == "wipe" {
+			assert.NilError(t, w.WaitUntil(90*time.Second, "everything is fully replicated", w.isFullyReplicated), "seed %d, step %d", w.Seed, i)
 		}
-		t.Logf("seed %d: %s: step %d: %s", w.Seed, time.Now().Format("04:05.000"), i, s)
-		undo, also := Faults[s.A](w, rng(s.SeedA)), nothing
-		time.Sleep(s.Between)
-		if s.B != "" {
-			also = Faults[s.B](w, rng(s.SeedB))
+		t.Logf("seed %d: %s: step %d: %s", w.Seed, time.Now().Format("04:05.000"), i, step)
+		undo, also := Faults[step.First](w, rng(step.FirstSeed)), noUndo
+		time.Sleep(step.Between)
+		if step.Second != "" {
+			also = Faults[step.Second](w, rng(step.SecondSeed))
 		}
-		time.Sleep(s.Duration)
+		time.Sleep(step.Duration)
 		undo()
-		time.Sleep(s.Gap)
+		time.Sleep(step.Gap)
 		also()
-		if s.A == "wipe" {
+		if step.First == "wipe" {
 			w.Heal()
 			for _, n := range w.Names {
 				w.Thaw(n)
@@ -74,82 +75,82 @@
 				w.Machines[n].Disk.Fill(false)
 			}
 			assert.NilError(t, w.Start(w.Names...))
-			assert.NilError(t, w.WaitUntil(90*time.Second, "the wiped disk is repaired", w.whole), "seed %d, step %d", w.Seed, i)
+			assert.NilError(t, w.WaitUntil(90*time.Second, "the wiped disk is repaired", w.isFullyReplicated), "seed %d, step %d", w.Seed, i)
 		}
-		time.Sleep(s.Rest)
+		time.Sleep(step.Rest)
 	}
 }
 
-// operate reads the description back through one node and puts the next one through another, time
-// and again; without a clear answer it puts the same again through a third.
-func (w *World) operate(ctx context.Context) {
+// runOperator repeatedly reads the configuration back through one node and puts the next one
+// through another. When the outcome is unknown it puts the same one again through a third.
+func (w *World) runOperator(ctx context.Context) {
 	r := rand.New(rand.NewPCG(w.Seed, 11))
 	for {
 		_ = clock.Real{}.Sleep(ctx, time.Duration(5+r.IntN(5))*time.Second)
-		from, to := w.pick(r, ""), w.pick(r, "")
+		from, to := w.pickMachine(r, ""), w.pickMachine(r, "")
 		if ctx.Err() != nil {
 			return
 		}
 		cx, stop := context.WithTimeout(ctx, w.Site.Timing.Recovery)
 		asked := time.Now()
-		cur, err := w.Port(from).Get(cx)
+		cur, err := w.Transport(from).Get(cx)
 		stop()
 		if err != nil {
 			continue
 		}
 		w.History.ReadConfiguration(cur, asked)
-		doc := w.load.Numbered(cur, cur+1+r.Uint64N(9), "")
+		doc := w.load.NumberedConfiguration(cur, cur+1+r.Uint64N(9), "")
 		_, err = w.Put(to, doc)
 		if apierror.HasCode(err, apierror.OutcomeUnknown) {
-			to = w.pick(r, "")
+			to = w.pickMachine(r, "")
 			_, err = w.Put(to, doc)
 		}
 		if apierror.HasCode(err, apierror.ConfigurationInvalid) {
-			w.History.Violate(history.Invalid, "a sound description was turned away through %s: %v", to, err)
+			w.History.Violate(history.Invalid, "a valid configuration was rejected through %s: %v", to, err)
 		}
 	}
 }
 
-// coverage counts, for each fault and line, the runs in which the line had something to be judged
-// by.
+// coverage counts, for each fault and check of the history, the runs in which the check had data.
 type coverage struct {
-	mu    sync.Mutex
-	runs  [2]int
-	pairs map[string]bool
-	by    map[string]map[string]int
-	waits []time.Duration
+	// mu guards all fields below.
+	mu     sync.Mutex
+	runs   [2]int
+	pairs  map[string]bool
+	judged map[string]map[string]int
+	waits  []time.Duration
 }
 
-var covered = coverage{pairs: map[string]bool{}, by: map[string]map[string]int{}}
+var covered = coverage{pairs: map[string]bool{}, judged: map[string]map[string]int{}}
 
-func (c *coverage) note(seed uint64, steps []Step, r history.Report) {
+func (c *coverage) add(seed uint64, steps []Step, r history.Report) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.runs[seed%2]++
 	c.waits = append(c.waits, r.LongestUndisturbed.Undisturbed)
 	seen := map[string]bool{}
 	for _, s := range steps {
-		for _, n := range []string{s.A, s.B} {
+		for _, n := range []string{s.First, s.Second} {
 			seen[n] = true
 		}
-		if s.B != "" {
-			c.pairs[min(s.A, s.B)+"+"+max(s.A, s.B)] = true
+		if s.Second != "" {
+			c.pairs[min(s.First, s.Second)+"+"+max(s.First, s.Second)] = true
 		}
 	}
 	delete(seen, "")
 	for n := range seen {
-		if c.by[n] == nil {
-			c.by[n] = map[string]int{}
+		if c.judged[n] == nil {
+			c.judged[n] = map[string]int{}
 		}
 		for l, ok := range r.Judged {
 			if ok {
-				c.by[n][l]++
+				c.judged[n][l]++
 			}
 		}
 	}
 }
 
-// table writes the counts for docs/never.md.
+// table returns the counts as a table for docs/never.md.
 func (c *coverage) table() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -161,32 +162,32 @@
 		return c.waits[int(q*float64(len(c.waits)-1))].Round(10 * time.Millisecond)
 	}
 	k := len(FaultNames())
-	s := fmt.Sprintf("%d runs at armor, %d at traductores, %d of %d pairs of different faults; longest wait after the last thing that went wrong: median %s, p95 %s, most %s\n\n| fault |", c.runs[0], c.runs[1], len(c.pairs), k*(k-1)/2+k, at(0.5), at(0.95), at(1))
+	table := fmt.Sprintf("%d runs at armor, %d at traductores, %d of %d pairs of different faults; longest wait after the last disturbance: median %s, p95 %s, most %s\n\n| fault |", c.runs[0], c.runs[1], len(c.pairs), k*(k-1)/2+k, at(0.5), at(0.95), at(1))
 	for _, l := range history.Rules {
 		n, _, _ := strings.Cut(l, " ")
-		s += " " + strings.TrimPrefix(n, "never-") + " |"
+		table += " " + strings.TrimPrefix(n, "never-") + " |"
 	}
-	s += "\n|---|" + strings.Repeat("---|", len(history.Rules)) + "\n"
+	table += "\n|---|" + strings.Repeat("---|", len(history.Rules)) + "\n"
 	for _, b := range FaultNames() {
-		s += "| " + b + " |"
+		table += "| " + b + " |"
 		for _, l := range history.Rules {
-			s += fmt.Sprintf(" %d |", c.by[b][l])
+			table += fmt.Sprintf(" %d |", c.judged[b][l])
 		}
-		s += "\n"
+		table += "\n"
 	}
-	return s
+	return table
 }
 
-func siteOf(seed uint64) Site { return []Site{Armor, Traductores}[seed%2] }
+func siteForSeed(seed uint64) Site { return []Site{Armor, Traductores}[seed%2] }
 
 func chaos(t *testing.T, seed uint64, steps []Step) {
-	r := play(t, siteOf(seed), seed, time.Hour, func(t *testing.T, w *World) {
+	r := runScenario(t, siteForSeed(seed), seed, time.Hour, func(t *testing.T, w *World) {
 		ctx, stop := context.WithCancel(w.ctx)
 		defer stop()
-		w.wg.Go(func() { w.operate(ctx) })
-		w.live(t, steps)
+		w.wg.Go(func() { w.runOperator(ctx) })
+		w.runSteps(t, steps)
 	})
-	covered.note(seed, steps, r)
+	covered.add(seed, steps, r)
 }
 
 // TestSeeds runs random faults, alone and in pairs. PJ_SEEDS=from:to searches further.
@@ -210,16 +211,16 @@
 	}
 }
 
-// TestReduce, with PJ_REDUCE=seed, leaves steps and second faults of a failing seed out as long as
-// it still fails, and prints what is left. The order of things within one instant is not fixed by a
-// seed, so each try is made three times.
+// TestReduce, with PJ_REDUCE=seed, removes steps and second faults of a failing seed as long as it
+// fails without them, and prints the rest. A seed does not fix the order of events within one
+// instant, so each try is made three times.
 func TestReduce(t *testing.T) {
-	v := os.Getenv("PJ_REDUCE")
-	if v == "" {
+	value := os.Getenv("PJ_REDUCE")
+	if value == "" {
 		t.Skip("PJ_REDUCE names no seed")
 	}
-	seed, err := strconv.ParseUint(v, 10, 64)
-	assert.NilError(t, err, "PJ_REDUCE must be a seed, is %q", v)
+	seed, err := strconv.ParseUint(value, 10, 64)
+	assert.NilError(t, err, "PJ_REDUCE must be a seed, is %q", value)
 	fails := func(ss []Step) bool {
 		for i := range 3 {
 			if !t.Run(fmt.Sprintf("%v try %d", ss, i), func(t *testing.T) { chaos(t, seed, ss) }) {
@@ -238,8 +239,8 @@
 			left = less
 			continue
 		}
-		if alone := slices.Clone(left); left[i].B != "" {
-			alone[i].B = ""
+		if alone := slices.Clone(left); left[i].Second != "" {
+			alone[i].Second = ""
 			if fails(alone) {
 				left = alone
 			}
--- /dev/null
+++ b/internal/testing/sim/empty_disk_test.go
@@ -0,0 +1,111 @@
+package sim
+
+import (
+	"fmt"
+	"os"
+	"slices"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+// deployment describes the machines of a deployment. A machine that returns counts as lost for
+// lossWindow.
+type deployment struct {
+	name string
+	Site
+	lossWindow time.Duration
+}
+
+// deployments are those of the users' six deployments. The small ones and those with control faults
+// have the same machines.
+var deployments = []deployment{
+	{"three zones", Armor, 4100 * time.Millisecond},
+	{"four zones", Traductores, 4 * time.Second},
+	{"three zones, grown", scaledUp(Armor, 4, 8, 12), 6 * time.Second},
+	{"four zones, grown", scaledUp(Traductores, 4, 8, 9), 6 * time.Second},
+}
+
+func scaledUp(s Site, zones, control, stores int) Site {
+	s.Zones, s.Control, s.Storage, s.ToleratedLosses, s.Routine, s.Urgent = zones, control, stores, 2, 16, 4
+	return s
+}
+
+// In every fullEvery-th run the storage nodes have a full retention time of messages. In the others
+// the clients have just started.
+const (
+	measuredSeeds = 200
+	fullEvery     = 20
+)
+
+// A machine that comes back with an empty disk has all its replicas, or is a voter again, before it
+// no longer counts as lost. The test covers many seeds when it measures (PJ_MEASURE), one
+// otherwise.
+func TestAnEmptyReturnIsCompleteBeforeTheNextLoss(t *testing.T) {
+	t.Parallel()
+	long(t)
+	runs := 1
+	if os.Getenv("PJ_MEASURE") != "" {
+		runs = measuredSeeds
+	}
+	for _, site := range deployments {
+		t.Run(site.name, func(t *testing.T) {
+			t.Parallel()
+			var mu sync.Mutex
+			var durations []time.Duration
+			t.Run("seeds", func(t *testing.T) {
+				for seed := range uint64(runs) {
+					t.Run(fmt.Sprint(seed), func(t *testing.T) {
+						t.Parallel()
+						d := measureRepair(t, site, 1+seed)
+						mu.Lock()
+						defer mu.Unlock()
+						durations = append(durations, d)
+					})
+				}
+			})
+			slices.Sort(durations)
+			t.Logf("%d returns: median %s, nine of ten %s, worst %s of %s", len(durations), durations[len(durations)/2], durations[len(durations)*9/10], durations[len(durations)-1], site.lossWindow)
+			assert.Assert(t, durations[len(durations)-1] < site.lossWindow)
+		})
+	}
+}
+
+// measureRepair wipes a storage node or a control node under load. It returns how long the repair
+// takes after the node is back.
+func measureRepair(t *testing.T, site deployment, seed uint64) (took time.Duration) {
+	t.Helper()
+	warm := site.Timing.Recovery / 2
+	if seed%fullEvery == 0 {
+		warm = site.Timing.Keeping
+	}
+	synctest.Test(t, func(t *testing.T) {
+		w := New(site.Site, seed, Logger())
+		defer w.Close()
+		assert.NilError(t, w.Start(w.Names...))
+		assert.NilError(t, w.WaitReady(20*time.Second))
+		_, err := w.Put("c1", platformLoad.Configuration(0))
+		assert.NilError(t, err)
+		w.StartHTTPClients(platformLoad)
+		time.Sleep(warm)
+		name := fmt.Sprint("s", 1+w.Int(site.Storage))
+		switch seed % 4 {
+		case 0:
+			name = busiest(w)
+		case 1:
+			name = fmt.Sprint("c", 1+w.Int(site.Control))
+		}
+		w.Wipe(name)
+		time.Sleep(200*time.Millisecond + w.randomTenths(0, 6))
+		assert.NilError(t, w.Start(name))
+		at := time.Now()
+		assert.NilError(t, w.WaitUntil(20*time.Second, "all replicas are complete", w.allReplicasComplete))
+		assert.NilError(t, w.WaitUntil(20*time.Second, "all control nodes are voters", w.allNodesAreVoters))
+		took = time.Since(at)
+		w.StopSending(time.Second)
+	})
+	return took
+}
--- a/internal/testing/sim/intercept.go
+++ b/internal/testing/sim/intercept.go
@@ -8,112 +8,113 @@
 	"postjunction/internal/clock"
 )
 
-// Stages of a call between machines at which it can be held up.
+// Stages of a call between machines at which it can be delayed.
 const (
-	Asking    = "asking"
-	Answering = "answering"
+	RequestStage  = "asking"
+	ResponseStage = "answering"
 )
 
-// Point is a place in a call's way: who calls whom, which call, and whether it is on its way there
-// or back.
-type Point struct {
+// CallPoint is a point in a call's progress: its caller, its target, its path, and whether the
+// request or the response is in flight.
+type CallPoint struct {
 	From, To, Path, Stage string
 	Body                  []byte
 }
 
 type pausedCalls struct {
-	match func(Point) bool
-	open  chan struct{}
-	mu    sync.Mutex
-	hits  int
+	match    func(CallPoint) bool
+	released chan struct{}
+	// mu guards hits.
+	mu   sync.Mutex
+	hits int
 }
 
-// PauseCalls keeps calls that match where they are until released, or until their time is up.
-// The first function releases them; the second tells how many were held.
-func (w *World) PauseCalls(match func(Point) bool) (release func(), hits func() int) {
-	h := &pausedCalls{match: match, open: make(chan struct{})}
+// PauseCalls pauses matching calls where they are until they are released or their deadline passes.
+// The first function releases them. The second returns how many were paused.
+func (w *World) PauseCalls(match func(CallPoint) bool) (release func(), hits func() int) {
+	paused := &pausedCalls{match: match, released: make(chan struct{})}
 	w.mu.Lock()
-	w.pauses = append(w.pauses, h)
+	w.pauses = append(w.pauses, paused)
 	w.mu.Unlock()
-	w.note("hold")
+	w.recordDisturbance("hold")
 	var once sync.Once
 	release = func() {
 		once.Do(func() {
 			w.mu.Lock()
 			for i, x := range w.pauses {
-				if x == h {
+				if x == paused {
 					w.pauses = append(append([]*pausedCalls(nil), w.pauses[:i]...), w.pauses[i+1:]...)
 					break
 				}
 			}
 			w.mu.Unlock()
-			close(h.open)
-			w.note("release")
+			close(paused.released)
+			w.recordDisturbance("release")
 		})
 	}
 	return release, func() int {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		return h.hits
+		paused.mu.Lock()
+		defer paused.mu.Unlock()
+		return paused.hits
 	}
 }
 
-func (w *World) waitWhilePaused(ctx context.Context, p Point) {
+func (w *World) waitWhilePaused(ctx context.Context, point CallPoint) {
 	w.mu.Lock()
-	hs := w.pauses
+	pauses := w.pauses
 	w.mu.Unlock()
-	for _, h := range hs {
-		if !h.match(p) {
+	for _, paused := range pauses {
+		if !paused.match(point) {
 			continue
 		}
-		h.mu.Lock()
-		h.hits++
-		h.mu.Unlock()
+		paused.mu.Lock()
+		paused.hits++
+		paused.mu.Unlock()
 		select {
-		case <-h.open:
+		case <-paused.released:
 		case <-ctx.Done():
 		}
 	}
 }
 
-// CallFault is what may happen to a call between machines: it or its answer is lost, it comes a
-// second time, late, or it takes longer.
+// CallFault is a fault of a call between machines: the request or the response is lost, the request
+// arrives a second time after a delay, or either takes longer.
 type CallFault struct {
 	Lose      bool
 	Duplicate time.Duration
 	Delay     time.Duration
 }
 
-// InterceptCalls has a function decide what happens to each call at each of its stages, until the
-// function that it gives is called.
-func (w *World) InterceptCalls(f func(Point) CallFault) (stop func()) {
-	w.note("call faults")
+// InterceptCalls lets a function decide the fault of each call at each of its stages, until the
+// function that it returns is called.
+func (w *World) InterceptCalls(decide func(CallPoint) CallFault) (stop func()) {
+	w.recordDisturbance("call faults")
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.intercept = f
+	w.intercept = decide
 	return func() {
-		w.note("end of call faults")
+		w.recordDisturbance("end of call faults")
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.intercept = nil
 	}
 }
 
-// applyCallFault delays a call by its fault, for good when it is lost; it returns how late
-// it comes again, 0 for not at all.
-func (w *World) applyCallFault(ctx context.Context, p Point) time.Duration {
+// applyCallFault delays a call by its fault, until its deadline when it is lost. It returns the
+// delay of its duplicate, 0 for none.
+func (w *World) applyCallFault(ctx context.Context, point CallPoint) time.Duration {
 	w.mu.Lock()
-	f := w.intercept
+	intercept := w.intercept
 	w.mu.Unlock()
-	if f == nil {
+	if intercept == nil {
 		return 0
 	}
-	x := f(p)
-	if x.Delay > 0 {
-		_ = clock.Real{}.Sleep(ctx, x.Delay)
+	fault := intercept(point)
+	if fault.Delay > 0 {
+		_ = clock.Real{}.Sleep(ctx, fault.Delay)
 	}
-	if x.Lose {
+	if fault.Lose {
 		<-ctx.Done()
 	}
-	return x.Duplicate
+	return fault.Duplicate
 }
--- a/internal/testing/sim/lineclients.go
+++ b/internal/testing/sim/lineclients.go
@@ -19,227 +19,230 @@
 	"postjunction/internal/testing/simclient"
 )
 
-// LineClients are the visitors of a world on line sessions.
+// LineClients are the simulated clients of a world that use line sessions.
 type LineClients struct {
 	world   *World
 	Checker *deliverycheck.Checker
 	Load    Load
 	Calm    atomic.Bool
-	// Rested has no visitor stop reading for a while.
-	Rested bool
-	// Ever has late visitors take cursors of any age.
-	Ever    bool
-	mu      sync.Mutex
-	lines   map[*lineSession]bool
-	entered int
-	saved   []simclient.Topic
-	clients []*simclient.Client
-	sending context.Context
-	quiet   context.CancelFunc
-	wg      sync.WaitGroup
+	// NoPauses keeps every client reading without pauses.
+	NoPauses bool
+	// AnyCursorAge lets late clients resume from cursors of any age.
+	AnyCursorAge bool
+	// mu guards NoPauses, sessions, sessionCount and savedCursors.
+	mu           sync.Mutex
+	sessions     map[*lineSession]bool
+	sessionCount int
+	savedCursors []simclient.Topic
+	clients      []*simclient.Client
+	sendCtx      context.Context
+	stopSending  context.CancelFunc
+	wg           sync.WaitGroup
 }
 
-// lineSession is a visitor's end of a connection to a machine, with what is under way on it.
+// lineSession is a client's end of a connection to a machine, with the data in flight on it.
 type lineSession struct {
-	clients *LineClients
-	m       *Machine
-	run     int
-	c       *socket
-	receive func(session.Response, time.Time)
-	over    func()
-	once    sync.Once
-	dead    chan struct{}
-	mu      sync.Mutex
-	in      []byte
-	more    chan struct{}
-	// n counts sessions, so that one can be drawn; a scripted one rests only as it is told.
-	n        int
+	clients    *LineClients
+	machine    *Machine
+	run        int
+	conn       *socket
+	onResponse func(session.Response, time.Time)
+	onBroken   func()
+	once       sync.Once
+	closed     chan struct{}
+	// mu guards outgoing and pausedUntil.
+	mu            sync.Mutex
+	outgoing      []byte
+	outgoingReady chan struct{}
+	// number orders the sessions, so that a random choice depends on the seed alone. A scripted
+	// session pauses only when its script says so.
+	number   int
 	scripted bool
-	// pausedUntil is until when the visitor does not read.
+	// pausedUntil is the time until which the client does not read.
 	pausedUntil time.Time
 }
 
-func ring(c chan struct{}) {
+func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// Do sends a task.
-func (s *lineSession) Do(t session.Request) {
-	b, err := json.Marshal(t)
+// Do sends a request.
+func (s *lineSession) Do(request session.Request) {
+	encoded, err := json.Marshal(request)
 	if err != nil {
 		panic(err)
 	}
 	s.mu.Lock()
-	s.in = append(append(s.in, b...), '\n')
+	s.outgoing = append(append(s.outgoing, encoded...), '\n')
 	s.mu.Unlock()
-	ring(s.more)
+	signal(s.outgoingReady)
 }
 
-// End closes the connection from the visitor's side.
-func (s *lineSession) End() { s.cut() }
+// End closes the connection from the client's side.
+func (s *lineSession) End() { s.disconnect() }
 
-func (s *lineSession) cut() {
+func (s *lineSession) disconnect() {
 	s.once.Do(func() {
-		close(s.dead)
+		close(s.closed)
 		s.clients.mu.Lock()
-		delete(s.clients.lines, s)
+		delete(s.clients.sessions, s)
 		s.clients.mu.Unlock()
 	})
 }
 
-// Pause has the visitor not read for a while.
+// Pause stops the client from reading for a while.
 func (s *lineSession) Pause(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pausedUntil = time.Now().Add(d)
 }
 
-func (s *lineSession) pausesFor() time.Duration {
+func (s *lineSession) pauseLeft() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Until(s.pausedUntil)
 }
 
 func (s *lineSession) isConnected() bool {
-	s.m.gate()
-	_, run := s.m.node()
+	s.machine.waitWhileFrozen()
+	_, run := s.machine.node()
 	return run == s.run
 }
 
-func (s *lineSession) way() {
+func (s *lineSession) waitLatency() {
 	d := s.clients.world.Site.Latency / 2
-	s.m.mu.Lock()
-	d += s.m.slow
-	s.m.mu.Unlock()
+	s.machine.mu.Lock()
+	d += s.machine.sendDelay
+	s.machine.mu.Unlock()
 	time.Sleep(d)
 }
 
-// ask carries what the visitor says.
-func (s *lineSession) ask() {
+// sendLoop carries what the client sends.
+func (s *lineSession) sendLoop() {
 	for {
 		select {
-		case <-s.more:
-		case <-s.dead:
-			s.way()
+		case <-s.outgoingReady:
+		case <-s.closed:
+			s.waitLatency()
 			if s.isConnected() {
-				s.c.hang()
+				s.conn.closeFromClient()
 			}
 			return
 		}
-		s.way()
+		s.waitLatency()
 		if !s.isConnected() {
 			return
 		}
 		s.mu.Lock()
-		b := s.in
-		s.in = nil
+		b := s.outgoing
+		s.outgoing = nil
 		s.mu.Unlock()
-		s.c.say(b)
+		s.conn.deliver(b)
 	}
 }
 
-// listen carries what the visitor is told.
-func (s *lineSession) listen() {
-	var part []byte
+// receiveLoop carries what the client receives.
+func (s *lineSession) receiveLoop() {
+	var buffer []byte
 	for {
 		select {
-		case <-s.c.come:
-		case <-s.dead:
+		case <-s.conn.outputReady:
+		case <-s.closed:
 			return
 		}
-		for d := s.pausesFor(); d > 0; d = s.pausesFor() {
+		for d := s.pauseLeft(); d > 0; d = s.pauseLeft() {
 			select {
 			case <-time.After(d):
-			case <-s.dead:
+			case <-s.closed:
 				return
 			}
 		}
-		s.way()
+		s.waitLatency()
 		if !s.isConnected() {
 			return
 		}
-		ps, more := s.c.take()
-		for _, p := range ps {
-			part = append(part, p.b...)
-			for i := bytes.IndexByte(part, '\n'); i >= 0; i = bytes.IndexByte(part, '\n') {
+		chunks, more := s.conn.drain()
+		for _, chunk := range chunks {
+			buffer = append(buffer, chunk.data...)
+			for i := bytes.IndexByte(buffer, '\n'); i >= 0; i = bytes.IndexByte(buffer, '\n') {
 				select {
-				case <-s.dead:
+				case <-s.closed:
 					return
 				default:
 				}
-				s.receive(parseResponse(part[:i]), p.at)
-				part = part[i+1:]
+				s.onResponse(parseResponse(buffer[:i]), chunk.writtenAt)
+				buffer = buffer[i+1:]
 			}
 		}
 		if !more {
-			s.over()
-			s.cut()
+			s.onBroken()
+			s.disconnect()
 			return
 		}
 	}
 }
 
-func (g *LineClients) endpoint(m *Machine) simclient.Endpoint {
+func (c *LineClients) endpoint(m *Machine) simclient.Endpoint {
 	return simclient.Endpoint{Address: m.Opts.ClientListen,
-		Connect: func(hear func(session.Response, time.Time), broken func()) simclient.Connection {
-			if s := g.connect(m, false, hear, broken); s != nil {
+		Connect: func(onResponse func(session.Response, time.Time), onBroken func()) simclient.Connection {
+			if s := c.connect(m, false, onResponse, onBroken); s != nil {
 				return s
 			}
 			return nil
 		}}
 }
 
-// connect opens a connection to a machine, nil where nobody takes it. A scripted one is never drawn
-// to rest, from its first moment on.
-func (g *LineClients) connect(m *Machine, scripted bool, hear func(session.Response, time.Time),
-	broken func()) *lineSession {
-	sv := m.services()
-	p, run := m.lines()
-	if p == nil || sv == nil {
+// connect opens a connection to a machine. It returns nil where no process accepts it. A scripted
+// session is never chosen for a pause, from its first moment on.
+func (c *LineClients) connect(m *Machine, scripted bool, onResponse func(session.Response, time.Time),
+	onBroken func()) *lineSession {
+	services := m.services()
+	lines, run := m.currentLineServer()
+	if lines == nil || services == nil {
 		return nil
 	}
-	c := p.l.dial(newSocket(m, run))
-	if c == nil {
+	conn := lines.listener.dial(newSocket(m, run))
+	if conn == nil {
 		return nil
 	}
-	s := &lineSession{clients: g, m: m, run: run, c: c, receive: hear, over: broken, dead: make(chan struct{}),
-		more: make(chan struct{}, 1), scripted: scripted}
-	g.mu.Lock()
-	g.entered++
-	s.n = g.entered
-	g.lines[s] = true
-	g.mu.Unlock()
-	go s.ask()
-	go s.listen()
+	s := &lineSession{clients: c, machine: m, run: run, conn: conn, onResponse: onResponse, onBroken: onBroken,
+		closed: make(chan struct{}), outgoingReady: make(chan struct{}, 1), scripted: scripted}
+	c.mu.Lock()
+	c.sessionCount++
+	s.number = c.sessionCount
+	c.sessions[s] = true
+	c.mu.Unlock()
+	go s.sendLoop()
+	go s.receiveLoop()
 	go func() {
 		select {
-		case <-sv.Ended:
-			broken()
-			s.cut()
-		case <-s.dead:
+		case <-services.Ended:
+			onBroken()
+			s.disconnect()
+		case <-s.closed:
 		}
 	}()
 	return s
 }
 
-// Endpoints gives the access machines that the platform passes visitors to: those that are ready,
-// all when none is.
-func (g *LineClients) Endpoints() []simclient.Endpoint {
+// Endpoints returns the access machines that the platform routes clients to: those that are ready,
+// or all when none is.
+func (c *LineClients) Endpoints() []simclient.Endpoint {
 	var ready, all []simclient.Endpoint
-	for _, n := range g.world.Names {
-		m := g.world.Machines[n]
+	for _, n := range c.world.Names {
+		m := c.world.Machines[n]
 		if m.Opts.ClientListen == "" {
 			continue
 		}
 		m.mu.Lock()
-		s, froz := m.ports, m.frozen != nil
+		services, frozen := m.serving, m.frozen != nil
 		m.mu.Unlock()
-		all = append(all, g.endpoint(m))
-		if s != nil && !froz && s.API.Ready() == nil {
-			ready = append(ready, g.endpoint(m))
+		all = append(all, c.endpoint(m))
+		if services != nil && !frozen && services.API.Ready() == nil {
+			ready = append(ready, c.endpoint(m))
 		}
 	}
 	if len(ready) == 0 {
@@ -248,17 +251,17 @@
 	return ready
 }
 
-// Reset breaks a share of all visitors' connections.
-func (g *LineClients) Reset(share float64) {
-	g.world.note("visits reset")
-	for _, x := range g.clients {
-		if g.world.float() < share {
-			x.Move()
+// Reset moves a share of all clients to new connections.
+func (c *LineClients) Reset(share float64) {
+	c.world.recordDisturbance("visits reset")
+	for _, client := range c.clients {
+		if c.world.randomFloat() < share {
+			client.Move()
 		}
 	}
 }
 
-// Habits are those of the platform's clients.
+// Habits returns the timing of the platform's clients.
 func Habits() simclient.Habits {
 	return simclient.Habits{
 		Keepalive: 2 * time.Second, ResponseTimeout: 1500 * time.Millisecond, SubscribeTimeout: 2 * time.Second,
@@ -269,43 +272,45 @@
 	}
 }
 
-// StartLineClients lets n visitors in, who follow some of the load's topics each and send on two.
-func (w *World) StartLineClients(n int, l Load) *LineClients {
-	g := &LineClients{world: w, Checker: deliverycheck.New(w.Site.Timing.Keeping, 3*w.Site.Timing.Spread), Load: l,
-		lines: map[*lineSession]bool{}}
-	g.sending, g.quiet = context.WithCancel(w.ctx)
-	g.Rested = l.Rested
-	g.wg.Go(g.pause)
-	for i := range n {
+// StartLineClients starts a number of clients. Each subscribes to some of the load's topics and
+// sends on two.
+func (w *World) StartLineClients(count int, load Load) *LineClients {
+	clients := &LineClients{world: w,
+		Checker: deliverycheck.New(w.Site.Timing.Keeping, 3*w.Site.Timing.Spread), Load: load,
+		sessions: map[*lineSession]bool{}}
+	clients.sendCtx, clients.stopSending = context.WithCancel(w.ctx)
+	clients.NoPauses = load.NoPauses
+	clients.wg.Go(clients.pauseClients)
+	for i := range count {
 		r := rand.New(rand.NewPCG(w.Seed, uint64(i)+1000))
-		x := &simclient.Client{Name: fmt.Sprintf("g%d", i), Habits: Habits(), Rand: r}
-		if l.Habits != nil {
-			l.Habits(&x.Habits)
+		client := &simclient.Client{Name: fmt.Sprintf("g%d", i), Habits: Habits(), Rand: r}
+		if load.Habits != nil {
+			load.Habits(&client.Habits)
 		}
-		for _, k := range r.Perm(l.Topics)[:min(l.Topics, 4+r.IntN(4))] {
-			x.Follow = append(x.Follow, simclient.Topic{Name: fmt.Sprintf("kept/t%d", k), Retained: true})
+		for _, k := range r.Perm(load.Topics)[:min(load.Topics, 4+r.IntN(4))] {
+			client.Follow = append(client.Follow, simclient.Topic{Name: fmt.Sprintf("kept/t%d", k), Retained: true})
 		}
-		if l.LiveTopics > 0 && i%2 == 0 {
-			t := fmt.Sprintf("live/l%d", r.IntN(l.LiveTopics))
-			x.Follow = append(x.Follow, simclient.Topic{Name: t})
-			x.SendTopics = append(x.SendTopics, simclient.SendTopic{Topic: t, Window: 1, Interval: 2 * l.Every})
+		if load.LiveTopics > 0 && i%2 == 0 {
+			t := fmt.Sprintf("live/l%d", r.IntN(load.LiveTopics))
+			client.Follow = append(client.Follow, simclient.Topic{Name: t})
+			client.SendTopics = append(client.SendTopics, simclient.SendTopic{Topic: t, Window: 1, Interval: 2 * load.SendInterval})
 		}
-		for k := range 2 {
+		for lane := range 2 {
 			width := 1
-			if i%4 == 0 && k == 0 {
+			if i%4 == 0 && lane == 0 {
 				width = 8
 			}
-			x.SendTopics = append(x.SendTopics, simclient.SendTopic{Topic: fmt.Sprintf("kept/t%d", (i+k*7)%max(1, l.Topics)),
-				Window: width, Interval: l.Every / time.Duration(width)})
+			client.SendTopics = append(client.SendTopics, simclient.SendTopic{Topic: fmt.Sprintf("kept/t%d", (i+lane*7)%max(1, load.Topics)),
+				Window: width, Interval: load.SendInterval / time.Duration(width)})
 		}
-		x.Saved = func(t simclient.Topic) {
-			g.mu.Lock()
-			defer g.mu.Unlock()
-			g.saved = append(g.saved, t)
+		client.Saved = func(t simclient.Topic) {
+			clients.mu.Lock()
+			defer clients.mu.Unlock()
+			clients.savedCursors = append(clients.savedCursors, t)
 		}
-		g.enter(x)
+		clients.startClient(client)
 	}
-	return g
+	return clients
 }
 
 const (
@@ -313,77 +318,77 @@
 	maxPause      = 4 * time.Second
 )
 
-// pause has one visitor after the other not read for a while, so that bytes wait for them.
-func (g *LineClients) pause() {
-	r := rand.New(rand.NewPCG(g.world.Seed, 31))
-	for (clock.Real{}).Sleep(g.sending, pauseInterval) == nil && !g.isPaused() {
-		g.draw(r)
+// pauseClients pauses the reading of one client after another, so that bytes queue up for them.
+func (c *LineClients) pauseClients() {
+	r := rand.New(rand.NewPCG(c.world.Seed, 31))
+	for (clock.Real{}).Sleep(c.sendCtx, pauseInterval) == nil && !c.pausesDisabled() {
+		c.pauseOne(r)
 	}
 }
 
-func (g *LineClients) isPaused() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.Rested
+func (c *LineClients) pausesDisabled() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.NoPauses
 }
 
-func (g *LineClients) draw(r *rand.Rand) {
-	g.mu.Lock()
-	var ss []*lineSession
-	for s := range g.lines {
+func (c *LineClients) pauseOne(r *rand.Rand) {
+	c.mu.Lock()
+	var sessions []*lineSession
+	for s := range c.sessions {
 		if !s.scripted {
-			ss = append(ss, s)
+			sessions = append(sessions, s)
 		}
 	}
-	g.mu.Unlock()
-	slices.SortFunc(ss, func(a, b *lineSession) int { return cmp.Compare(a.n, b.n) })
-	if len(ss) > 0 {
-		ss[r.IntN(len(ss))].Pause(time.Duration(r.Int64N(int64(maxPause))))
+	c.mu.Unlock()
+	slices.SortFunc(sessions, func(a, b *lineSession) int { return cmp.Compare(a.number, b.number) })
+	if len(sessions) > 0 {
+		sessions[r.IntN(len(sessions))].Pause(time.Duration(r.Int64N(int64(maxPause))))
 	}
 }
 
-func (g *LineClients) enter(x *simclient.Client) {
-	x.Endpoints, x.Checker, x.Calm = g.Endpoints, g.Checker, g.Calm.Load
-	g.clients = append(g.clients, x)
-	g.wg.Go(func() { x.Run(g.world.ctx, g.sending) })
+func (c *LineClients) startClient(client *simclient.Client) {
+	client.Endpoints, client.Checker, client.Calm = c.Endpoints, c.Checker, c.Calm.Load
+	c.clients = append(c.clients, client)
+	c.wg.Go(func() { client.Run(c.world.ctx, c.sendCtx) })
 }
 
-// Late lets visitors in who take up cursors given to others since a moment.
-func (g *LineClients) Late(n int, since time.Time) {
-	g.mu.Lock()
-	var ts []simclient.Topic
-	for _, t := range g.saved {
-		if g.Ever || t.Given.After(since) {
-			ts = append(ts, t)
+// StartLate starts clients that resume from cursors given to others since a moment.
+func (c *LineClients) StartLate(count int, since time.Time) {
+	c.mu.Lock()
+	var cursors []simclient.Topic
+	for _, t := range c.savedCursors {
+		if c.AnyCursorAge || t.Given.After(since) {
+			cursors = append(cursors, t)
 		}
 	}
-	g.mu.Unlock()
-	h := Habits()
-	h.ChangeInterval, h.AwayInterval, h.CountInterval = 0, 0, 0
-	for i := range n {
-		x := &simclient.Client{Name: fmt.Sprintf("late%d", i), Habits: h,
-			Rand: rand.New(rand.NewPCG(g.world.Seed, uint64(i)+5000))}
+	c.mu.Unlock()
+	habits := Habits()
+	habits.ChangeInterval, habits.AwayInterval, habits.CountInterval = 0, 0, 0
+	for i := range count {
+		client := &simclient.Client{Name: fmt.Sprintf("late%d", i), Habits: habits,
+			Rand: rand.New(rand.NewPCG(c.world.Seed, uint64(i)+5000))}
 		seen := map[string]bool{}
 		for range 5 {
-			if len(ts) == 0 {
+			if len(cursors) == 0 {
 				break
 			}
-			if t := ts[x.Rand.IntN(len(ts))]; !seen[t.Name] {
+			if t := cursors[client.Rand.IntN(len(cursors))]; !seen[t.Name] {
 				seen[t.Name] = true
-				x.Follow = append(x.Follow, t)
+				client.Follow = append(client.Follow, t)
 			}
 		}
-		if len(x.Follow) > 0 {
-			g.enter(x)
+		if len(client.Follow) > 0 {
+			c.startClient(client)
 		}
 	}
 }
 
-// RandomCallFaults draws what happens to each message of the exchange by which nodes follow topics.
-func RandomCallFaults(seed uint64, share float64) func(Point) CallFault {
+// RandomCallFaults returns a seeded choice of faults for the calls by which nodes follow topics.
+func RandomCallFaults(seed uint64, share float64) func(CallPoint) CallFault {
 	var mu sync.Mutex
 	r := rand.New(rand.NewPCG(seed, 77))
-	return func(p Point) CallFault {
+	return func(p CallPoint) CallFault {
 		if p.Path != router.Follow.Path && p.Path != router.Poll.Path {
 			return CallFault{}
 		}
--- a/internal/testing/sim/load.go
+++ b/internal/testing/sim/load.go
@@ -11,64 +11,65 @@
 	"postjunction/internal/testing/simclient"
 )
 
-// Move has a share of the callers leave their nodes at once and come back through others, as
-// clients that change zones do.
-func (w *World) Move(share float64) {
-	w.note("move")
+// MoveClients makes a share of the HTTP clients leave their nodes at once and come back through
+// others, as clients that change zones do.
+func (w *World) MoveClients(share float64) {
+	w.recordDisturbance("move")
 	w.mu.Lock()
-	cs := w.callers
+	clients := w.httpClients
 	w.mu.Unlock()
-	for _, c := range cs {
-		if w.float() < share {
+	for _, c := range clients {
+		if w.randomFloat() < share {
 			c.Move()
 		}
 	}
 }
 
-// Arrive has more callers attach at once; they stay.
-func (w *World) Arrive(n int) {
-	w.note("arrive")
+// AddClients makes more HTTP clients attach at once. They remain until the end.
+func (w *World) AddClients(count int) {
+	w.recordDisturbance("arrive")
 	w.mu.Lock()
-	k := len(w.callers)
+	existing := len(w.httpClients)
 	w.mu.Unlock()
-	l := w.load
-	l.Callers = n
-	w.run(Plan(l, w.Seed+uint64(k), w.Site.Timing.Spread), fmt.Sprintf("late%d-", k))
+	load := w.load
+	load.HTTPClients = count
+	w.runHTTPClients(PlanHTTPClients(load, w.Seed+uint64(existing), w.Site.Timing.Spread),
+		fmt.Sprintf("late%d-", existing))
 }
 
-// Load says how many callers there are and how often they send.
+// Load describes how many clients there are and how often they send.
 type Load struct {
-	Callers, Topics, LiveTopics, Leads int
-	// Flood is how many topics nobody follows there are for floods.
-	Flood int
-	// SessionTopics is how many kept topics there are for clients on line sessions alone.
+	HTTPClients, Topics, LiveTopics, UrgentSenders int
+	// FloodTopics is the number of topics for floods. They have no subscribers.
+	FloodTopics int
+	// SessionTopics is the number of kept topics for clients on line sessions alone.
 	SessionTopics int
-	Every         time.Duration
-	// Rested has no client stop reading for a while.
-	Rested bool
-	// Habits changes those of clients; nil for none.
+	SendInterval  time.Duration
+	// NoPauses keeps every client reading without pauses.
+	NoPauses bool
+	// Habits changes the timing of clients. It may be nil.
 	Habits func(h *simclient.Habits)
 }
 
-// Describe writes the description of a load on a base.
-func (l Load) Describe(base uint64) []byte {
-	list := func(p string, n int) string {
-		s := ""
+// Configuration returns the configuration document of a load, on a base.
+func (l Load) Configuration(base uint64) []byte {
+	list := func(prefix string, n int) string {
+		names := ""
 		for i := range n {
 			if i > 0 {
-				s += ","
+				names += ","
 			}
-			s += fmt.Sprintf(`"%s%d"`, p, i)
+			names += fmt.Sprintf(`"%s%d"`, prefix, i)
 		}
-		return s
+		return names
 	}
 	kept := list("t", l.Topics)
 	if l.SessionTopics > 0 {
 		kept += "," + list("v", l.SessionTopics)
 	}
 	flood := ""
-	if l.Flood > 0 {
-		flood = fmt.Sprintf(`,{"name":"flood","kind":"kept","topics":[%s]}`, list("f", l.Flood))
+	if l.FloodTopics > 0 {
+		flood = fmt.Sprintf(`,{"name":"flood","kind":"kept","topics":[%s]}`, list("f", l.FloodTopics))
 	}
 	return []byte(fmt.Sprintf(
 		`{"base":%d,"spaces":[{"name":"kept","kind":"kept","topics":[%s]},{"name":"stop","kind":"kept",`+
@@ -76,52 +77,54 @@
 		base, kept, list("l", l.LiveTopics), flood))
 }
 
-// Numbered makes the description under a number of its operator's own, with its source.
-func (l Load) Numbered(base, seq uint64, source string) []byte {
-	return []byte(fmt.Sprintf(`{"sequence":%d,"source":%q,%s`, seq, source, l.Describe(base)[1:]))
+// NumberedConfiguration returns the configuration document under a sequence number that its
+// operator chose, with its source.
+func (l Load) NumberedConfiguration(base, sequence uint64, source string) []byte {
+	return []byte(fmt.Sprintf(`{"sequence":%d,"source":%q,%s`, sequence, source, l.Configuration(base)[1:]))
 }
 
-// Callers starts the stand-in callers.
-func (w *World) Callers(l Load) {
-	w.load = l
-	w.sending, w.sends = context.WithCancel(w.ctx)
-	w.run(Plan(l, w.Seed, w.Site.Timing.Spread), "")
+// StartHTTPClients starts the simulated HTTP clients.
+func (w *World) StartHTTPClients(load Load) {
+	w.load = load
+	w.sendCtx, w.stopSending = context.WithCancel(w.ctx)
+	w.runHTTPClients(PlanHTTPClients(load, w.Seed, w.Site.Timing.Spread), "")
 }
 
-func (w *World) run(cs []*httpclient.Client, prefix string) {
-	for _, c := range cs {
+func (w *World) runHTTPClients(clients []*httpclient.Client, prefix string) {
+	for _, c := range clients {
 		c.Name = prefix + c.Name
-		c.Clock, c.Transports, c.History = clock.Real{}, w.Ports, w.History
-		w.wg.Go(func() { c.Run(w.ctx, w.sending) })
+		c.Clock, c.Transports, c.History = clock.Real{}, w.ReadyTransports, w.History
+		w.wg.Go(func() { c.Run(w.ctx, w.sendCtx) })
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.callers = append(w.callers, cs...)
+	w.httpClients = append(w.httpClients, clients...)
 }
 
-// Plan makes the callers of a load; who sends and follows what depends only on the seed.
-func Plan(l Load, seed uint64, spread time.Duration) []*httpclient.Client {
+// PlanHTTPClients makes the HTTP clients of a load. Their topics depend on the seed alone.
+func PlanHTTPClients(load Load, seed uint64, spread time.Duration) []*httpclient.Client {
 	rng := rand.New(rand.NewPCG(seed, 2))
-	var cs []*httpclient.Client
-	for i := range l.Callers {
-		c := &httpclient.Client{Name: fmt.Sprintf("v%d", i), Every: l.Every,
+	var clients []*httpclient.Client
+	for i := range load.HTTPClients {
+		client := &httpclient.Client{Name: fmt.Sprintf("v%d", i), Every: load.SendInterval,
 			Rand: rand.New(rand.NewPCG(seed, uint64(i)+10)), Spread: spread, Urgent: map[string]bool{}, Live: map[string]bool{}}
-		a := i % l.Topics
-		c.Follows = []string{fmt.Sprintf("kept/t%d", a), fmt.Sprintf("kept/t%d", (a+1+rng.IntN(max(1, l.Topics-1)))%l.Topics)}
-		c.Sends = []string{fmt.Sprintf("kept/t%d", a)}
-		if l.LiveTopics > 0 && i < 2*l.LiveTopics {
-			t := fmt.Sprintf("live/l%d", i%l.LiveTopics)
-			c.Live[t] = true
-			c.Follows, c.Sends = append(c.Follows, t), append(c.Sends, t)
+		first := i % load.Topics
+		client.Follows = []string{fmt.Sprintf("kept/t%d", first),
+			fmt.Sprintf("kept/t%d", (first+1+rng.IntN(max(1, load.Topics-1)))%load.Topics)}
+		client.Sends = []string{fmt.Sprintf("kept/t%d", first)}
+		if load.LiveTopics > 0 && i < 2*load.LiveTopics {
+			t := fmt.Sprintf("live/l%d", i%load.LiveTopics)
+			client.Live[t] = true
+			client.Follows, client.Sends = append(client.Follows, t), append(client.Sends, t)
 		}
-		if i < 2*l.Leads {
-			c.Urgent["stop/line"] = true
-			c.Follows = append(c.Follows, "stop/line")
-			if i < l.Leads {
-				c.Sends = append(c.Sends, "stop/line")
+		if i < 2*load.UrgentSenders {
+			client.Urgent["stop/line"] = true
+			client.Follows = append(client.Follows, "stop/line")
+			if i < load.UrgentSenders {
+				client.Sends = append(client.Sends, "stop/line")
 			}
 		}
-		cs = append(cs, c)
+		clients = append(clients, client)
 	}
-	return cs
+	return clients
 }
--- a/internal/testing/sim/machine.go
+++ b/internal/testing/sim/machine.go
@@ -1,5 +1,5 @@
-// Package sim runs whole fleets of the real code in one process under simulated time, network and
-// disks.
+// Package sim runs whole fleets of the real node code in one process under simulated time, network
+// and disks.
 package sim
 
 import (
@@ -16,137 +16,138 @@
 	"postjunction/internal/testing/transport"
 )
 
-// Machine is one simulated machine: a disk that outlives its processes, and a process that may run
-// on it.
+// Machine is one simulated machine: a disk that outlives its processes, and at most one running
+// process.
 type Machine struct {
-	w    *World
-	Opts settings.Options
-	Disk *memlog.Disk
+	world *World
+	Opts  settings.Options
+	Disk  *memlog.Disk
 
+	// mu guards all fields below.
 	mu           sync.Mutex
-	n            *node.Node
-	ports        *transport.Services
+	running      *node.Node
+	serving      *transport.Services
 	lineServer   *lineServer
 	run          int
 	frozen       chan struct{}
-	slow         time.Duration
+	sendDelay    time.Duration
 	diskSlowdown int
 	diskHangs    bool
-	broken       chan struct{}
-	dark         bool
-	away         bool
+	resetCh      chan struct{}
+	unpowered    bool
+	removed      bool
 }
 
-func (m *Machine) setAway(away bool) {
+func (m *Machine) setRemoved(removed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.away = away
+	m.removed = removed
 }
 
-func (m *Machine) isGone() bool {
+func (m *Machine) isRemoved() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.away
+	return m.removed
 }
 
-func (m *Machine) reset() <-chan struct{} {
+func (m *Machine) resetSignal() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.broken
+	return m.resetCh
 }
 
-func (m *Machine) isSilent() bool {
+func (m *Machine) isUnpowered() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.dark
+	return m.unpowered
 }
 
 func (m *Machine) losePower() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.dark = true
+	m.unpowered = true
 }
 
-func (m *Machine) snap() {
-	close(m.broken)
-	m.broken = make(chan struct{})
+func (m *Machine) resetConnections() {
+	close(m.resetCh)
+	m.resetCh = make(chan struct{})
 }
 
-func (m *Machine) gate() {
+func (m *Machine) waitWhileFrozen() {
 	m.mu.Lock()
-	f := m.frozen
+	thawed := m.frozen
 	m.mu.Unlock()
-	if f != nil {
-		<-f
+	if thawed != nil {
+		<-thawed
 	}
 }
 
-type machineClock struct{ m *Machine }
+type machineClock struct{ machine *Machine }
 
-// Now tells the time of the bubble.
+// Now returns the time of the synctest bubble.
 func (machineClock) Now() time.Time { return time.Now() }
 
-// Sleep waits, and longer while the machine is frozen.
+// Sleep waits for a duration, and longer while the machine is frozen.
 func (c machineClock) Sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
-		c.m.gate()
+		c.machine.waitWhileFrozen()
 		return ctx.Err()
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-type gatedDisk struct {
+type processDisk struct {
 	journal.Log
-	m   *Machine
-	run int
+	machine *Machine
+	run     int
 }
 
-func (d gatedDisk) stale() bool {
-	d.m.mu.Lock()
-	defer d.m.mu.Unlock()
-	return d.m.run != d.run
+func (d processDisk) isStale() bool {
+	d.machine.mu.Lock()
+	defer d.machine.mu.Unlock()
+	return d.machine.run != d.run
 }
 
-// Write writes unless the process is gone.
-func (d gatedDisk) Write(first uint64, recs [][]byte) error {
-	d.m.gate()
-	if d.stale() {
-		return errGone
+// Write writes unless the process has ended.
+func (d processDisk) Write(first uint64, recs [][]byte) error {
+	d.machine.waitWhileFrozen()
+	if d.isStale() {
+		return errProcessEnded
 	}
 	return d.Log.Write(first, recs)
 }
 
-// Sync syncs unless the process is gone.
-func (d gatedDisk) Sync() error {
-	d.m.gate()
-	if d.stale() {
-		return errGone
+// Sync syncs unless the process has ended.
+func (d processDisk) Sync() error {
+	d.machine.waitWhileFrozen()
+	if d.isStale() {
+		return errProcessEnded
 	}
-	d.take()
-	d.m.gate()
-	if d.stale() {
-		return errGone
+	d.waitForSync()
+	d.machine.waitWhileFrozen()
+	if d.isStale() {
+		return errProcessEnded
 	}
 	return d.Log.Sync()
 }
 
-// take waits as long as a sync takes, and while the disk hangs.
-func (d gatedDisk) take() {
-	drag, hung := d.m.diskDelay()
-	time.Sleep(max(syncDuration, d.m.w.Site.Sync) * time.Duration(max(1, drag)))
-	for ; hung && !d.stale(); _, hung = d.m.diskDelay() {
+// waitForSync waits for the duration of a sync, and for as long as the disk hangs.
+func (d processDisk) waitForSync() {
+	slowdown, hangs := d.machine.diskDelay()
+	time.Sleep(max(syncDuration, d.machine.world.Site.Sync) * time.Duration(max(1, slowdown)))
+	for ; hangs && !d.isStale(); _, hangs = d.machine.diskDelay() {
 		time.Sleep(hangPollInterval)
 	}
 }
 
-// CutFront cuts unless the process is gone.
-func (d gatedDisk) CutFront(i uint64) error {
-	if d.stale() {
-		return errGone
+// CutFront truncates the front of the log unless the process has ended.
+func (d processDisk) CutFront(i uint64) error {
+	if d.isStale() {
+		return errProcessEnded
 	}
 	return d.Log.CutFront(i)
 }
@@ -165,10 +166,10 @@
 func (m *Machine) node() (*node.Node, int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.n, m.run
+	return m.running, m.run
 }
 
-// Up tells whether a process runs.
+// Up reports whether a process runs.
 func (m *Machine) Up() bool {
 	n, _ := m.node()
 	return n != nil
@@ -177,10 +178,10 @@
 func (m *Machine) services() *transport.Services {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.ports
+	return m.serving
 }
 
-// Node gives the running process, nil when there is none.
+// Node returns the running process, nil when there is none.
 func (m *Machine) Node() *node.Node {
 	n, _ := m.node()
 	return n
@@ -188,70 +189,70 @@
 
 func (m *Machine) start() error {
 	m.mu.Lock()
-	if m.n != nil || m.away {
+	if m.running != nil || m.removed {
 		m.mu.Unlock()
 		return nil
 	}
 	m.run++
 	run := m.run
 	m.mu.Unlock()
-	w := node.Environment{Clock: machineClock{m}, Net: &endpoint{m.w, m, run},
-		OnDecision: func(p int, e uint64, what string, begun time.Time) {
-			m.w.History.Decide(history.Decision{Node: m.Opts.Name, Partition: p, Epoch: e, What: what, Begun: begun,
-				Answered: time.Now()})
+	environment := node.Environment{Clock: machineClock{m}, Net: &endpoint{m.world, m, run},
+		OnDecision: func(partition int, epoch uint64, what string, begun time.Time) {
+			m.world.History.Decide(history.Decision{Node: m.Opts.Name, Partition: partition, Epoch: epoch, What: what,
+				Begun: begun, Answered: time.Now()})
 		}}
 	if m.Opts.Disk != settings.DiskNone {
-		w.Disk = gatedDisk{m.Disk, m, run}
+		environment.Disk = processDisk{m.Disk, m, run}
 	}
-	n, err := node.Start(m.w.ctx, m.Opts, w, event.NewLogger(m.w.logger.With("node", m.Opts.Name)))
+	process, err := node.Start(m.world.ctx, m.Opts, environment, event.NewLogger(m.world.logger.With("node", m.Opts.Name)))
 	if err != nil {
 		return err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.dark {
-		m.dark = false
-		m.snap()
+	if m.unpowered {
+		m.unpowered = false
+		m.resetConnections()
 	}
-	m.n = n
-	m.ports = &transport.Services{Clients: n.Clients, API: n.API(), Ended: make(chan struct{})}
-	m.w.serve(m.Opts.PeerListen, m, run, n.PeerHandler())
-	m.w.History.AddFault("start", time.Now())
+	m.running = process
+	m.serving = &transport.Services{Clients: process.Clients, API: process.API(), Ended: make(chan struct{})}
+	m.world.registerListener(m.Opts.PeerListen, m, run, process.PeerHandler())
+	m.world.History.AddFault("start", time.Now())
 	return nil
 }
 
 func (m *Machine) kill() {
 	m.mu.Lock()
-	n := m.n
-	if m.ports != nil {
-		close(m.ports.Ended)
+	process := m.running
+	if m.serving != nil {
+		close(m.serving.Ended)
 	}
-	x := m.lineServer
-	m.n, m.ports, m.lineServer = nil, nil, nil
+	server := m.lineServer
+	m.running, m.serving, m.lineServer = nil, nil, nil
 	m.run++
-	if n != nil && !m.dark {
-		m.snap()
+	if process != nil && !m.unpowered {
+		m.resetConnections()
 	}
-	f := m.frozen
+	thawed := m.frozen
 	m.frozen = nil
 	m.mu.Unlock()
-	if f != nil {
-		close(f)
+	if thawed != nil {
+		close(thawed)
 	}
-	if n != nil {
-		n.Kill()
+	if process != nil {
+		process.Kill()
 	}
-	if x != nil {
-		go func() { _ = x.s.Close() }()
+	if server != nil {
+		go func() { _ = server.server.Close() }()
 	}
 }
 
-// lines gives what serves visits here, nil when no process runs.
-func (m *Machine) lines() (*lineServer, int) {
+// currentLineServer returns the server of line sessions on this machine, nil when no process runs.
+func (m *Machine) currentLineServer() (*lineServer, int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.lineServer == nil && m.n != nil {
-		m.lineServer = m.opened(m.n)
+	if m.lineServer == nil && m.running != nil {
+		m.lineServer = m.newLineServer(m.running)
 	}
 	return m.lineServer, m.run
 }
--- a/internal/testing/sim/restart_test.go
+++ b/internal/testing/sim/restart_test.go
@@ -15,64 +15,66 @@
 	"postjunction/internal/placement/controller"
 )
 
-// The whole fleet loses power in one instant and comes back. Control nodes that each took another
-// for the holder of the placement duty once waited for each other until a sweep, 8.75 s later.
+// The whole fleet loses power in one instant and comes back. Guards against control nodes that each
+// take another one for the placement controller, and so wait for each other until a sweep, 8.75 s
+// later.
 func TestWholeFleetIsBackWellInsideTheBound(t *testing.T) {
 	t.Parallel()
 	long(t)
-	var most time.Duration
+	var longest time.Duration
 	for seed := range uint64(seeds(12)) {
-		stand(t, siteOf(seed), 80+seed, func(t *testing.T, w *World) {
+		stand(t, siteForSeed(seed), 80+seed, func(t *testing.T, w *World) {
 			described(t, w)
 			for i := range w.Site.Control {
 				c := fmt.Sprintf("c%d", i+1)
 				if m := w.Machines[c]; !m.Node().IsPlacementController() && w.Int(2) == 0 {
-					w.promiseAlone(t, c, controller.Key, epoch.Epoch{Number: 50 + uint64(i), Node: c})
+					w.promiseLocally(t, c, controller.Key, epoch.Epoch{Number: 50 + uint64(i), Node: c})
 				}
 			}
-			tok := attach(t, w, "c1", "v").Token
+			token := attach(t, w, "c1", "v").Token
 			for _, n := range w.Names {
 				w.LosePower(n, w.Int(2) == 0)
 			}
-			at := time.Now()
+			restartedAt := time.Now()
 			assert.NilError(t, w.Start(w.Names...))
 			for i := range load.Topics {
 				var r client.Receipt
 				err := error(nil)
-				for ok := false; !ok && time.Since(at) < w.Site.Timing.Recovery; ok = err == nil {
+				for ok := false; !ok && time.Since(restartedAt) < w.Site.Timing.Recovery; ok = err == nil {
 					ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Spread)
-					r, err = w.Port("a1").Send(ctx, tok, fmt.Sprintf("kept/t%d", i), 1, []byte(`"back"`))
+					r, err = w.Transport("a1").Send(ctx, token, fmt.Sprintf("kept/t%d", i), 1, []byte(`"back"`))
 					stop()
 					time.Sleep(w.Site.Timing.HeartbeatInterval() / 3)
 				}
 				assert.NilError(t, err, "seed %d: topic %d", seed, i)
 				_ = r
 			}
-			most = max(most, time.Since(at))
-			assert.Assert(t, time.Since(at) < w.Site.Timing.Recovery*2/5, "seed %d: back after %s", seed, time.Since(at))
+			longest = max(longest, time.Since(restartedAt))
+			assert.Assert(t, time.Since(restartedAt) < w.Site.Timing.Recovery*2/5, "seed %d: back after %s", seed, time.Since(restartedAt))
 		})
 	}
-	t.Logf("back after at most %s", most)
+	t.Logf("back after at most %s", longest)
 }
 
-// promiseAlone leaves a control node's promise to itself on its own disk only, as a claim does that
-// found nobody else.
-func (w *World) promiseAlone(t *testing.T, c, key string, e epoch.Epoch) {
+// promiseLocally records a control node's promise to itself on its own disk only, as a claim does
+// that reaches no other node.
+func (w *World) promiseLocally(t *testing.T, name, key string, promised epoch.Epoch) {
 	t.Helper()
-	m := w.Machines[c]
+	m := w.Machines[name]
 	_, run := m.node()
-	r := m.Node().VoterSet()
-	a, err := acceptor.Promise.Call(w.ctx, &endpoint{w, m, run}, c, m.Opts.PeerListen, &acceptor.PromiseRequest{Target: acceptor.Target{VoterSet: r.Sequence, Incarnation: m.Node().Info().Incarnation, Key: key}, Epoch: e})
+	voters := m.Node().VoterSet()
+	response, err := acceptor.Promise.Call(w.ctx, &endpoint{w, m, run}, name, m.Opts.PeerListen, &acceptor.PromiseRequest{Target: acceptor.Target{VoterSet: voters.Sequence, Incarnation: m.Node().Info().Incarnation, Key: key}, Epoch: promised})
 	assert.NilError(t, err)
-	assert.Assert(t, a.Granted)
+	assert.Assert(t, response.Granted)
 }
 
-func (w *World) span(lo, hi int) time.Duration {
-	return time.Duration(lo+w.Int(hi-lo)) * 100 * time.Millisecond
+func (w *World) randomTenths(low, high int) time.Duration {
+	return time.Duration(low+w.Int(high-low)) * 100 * time.Millisecond
 }
 
-// Control nodes that asked whomever they took for the holder to take the duty once passed it to and
-// fro, twice a second and for good, so that no loss was waited out by anyone.
+// Guards against a placement controller that moves without end: control nodes that asked whichever
+// node they took for the placement controller to take over moved the role back and forth, twice a
+// second. No placement controller then lasted long enough to wait out the loss of a machine.
 func TestPlacementControllerStaysWhereItIs(t *testing.T) {
 	t.Parallel()
 	long(t)
@@ -80,7 +82,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			w := New(Traductores, 140+seed, Logger())
 			defer w.Close()
-			w.Lose(0.08)
+			w.DropPackets(0.08)
 			assert.NilError(t, w.Start(w.Names...))
 			time.Sleep(8 * time.Second)
 			leaders := map[string]bool{}
@@ -92,7 +94,7 @@
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
-			assert.Assert(t, len(leaders) == 1, "seed %d: %d nodes held the duty in 15 s", seed, len(leaders))
+			assert.Assert(t, len(leaders) == 1, "seed %d: %d nodes were placement controller in 15 s", seed, len(leaders))
 		})
 	}
 }
--- a/internal/testing/sim/scripted.go
+++ b/internal/testing/sim/scripted.go
@@ -12,254 +12,259 @@
 	"postjunction/internal/testing/simclient"
 )
 
-// ScriptedClient is a visitor that does what a script says, on one connection to a named machine;
-// what it sees goes to the checker.
+// ScriptedClient is a client that does what a script says, on one connection to a named machine.
+// What it receives goes to the checker.
 type ScriptedClient struct {
-	Name, At string
+	Name, Machine string
 
-	clients  *LineClients
-	line     *lineSession
-	mu       sync.Mutex
-	seen     []TimedResponse
-	sessions map[string]*deliverycheck.Subscription
-	// cursor is what a topic was resumed with.
-	cursor map[string]string
-	ended  bool
-	notify chan struct{}
+	clients *LineClients
+	session *lineSession
+	// mu guards responses, sessions, cursors and ended.
+	mu        sync.Mutex
+	responses []TimedResponse
+	sessions  map[string]*deliverycheck.Subscription
+	// cursors holds the cursor that each topic was resumed from.
+	cursors map[string]string
+	ended   bool
+	notify  chan struct{}
 }
 
-// TimedResponse is an answer, and when the connection took its last byte.
+// TimedResponse is a response, and when the connection accepted its last byte.
 type TimedResponse struct {
 	session.Response
-	Shown time.Time
+	WrittenAt time.Time
 }
 
 const scriptedTimeout = 3 * time.Second
 
-// Scripted lets a scripted visitor in, nil where nobody answers.
-func (g *LineClients) Scripted(at, name string) *ScriptedClient {
-	h := &ScriptedClient{Name: name, At: at, clients: g, sessions: map[string]*deliverycheck.Subscription{},
-		cursor: map[string]string{}, notify: make(chan struct{}, 1)}
-	h.line = g.connect(g.world.Machines[at], true, h.receive, h.onBroken)
-	if h.line == nil {
+// ConnectScripted connects and attaches a scripted client. It returns nil where no node answers.
+func (c *LineClients) ConnectScripted(machine, name string) *ScriptedClient {
+	client := &ScriptedClient{Name: name, Machine: machine, clients: c, sessions: map[string]*deliverycheck.Subscription{},
+		cursors: map[string]string{}, notify: make(chan struct{}, 1)}
+	client.session = c.connect(c.world.Machines[machine], true, client.receive, client.onBroken)
+	if client.session == nil {
 		return nil
 	}
-	h.line.Do(session.Request{Verb: session.Attach, Client: name})
-	if a, ok := h.Wait(0, scriptedTimeout, func(a session.Response) bool {
+	client.session.Do(session.Request{Verb: session.Attach, Client: name})
+	if a, ok := client.Wait(0, scriptedTimeout, func(a session.Response) bool {
 		return a.Type == session.Attached || a.InReplyTo == session.Attach
 	}); !ok || a.Type != session.Attached {
-		h.line.End()
+		client.session.End()
 		return nil
 	}
-	g.wg.Go(h.heartbeat)
-	return h
+	c.wg.Go(client.heartbeat)
+	return client
 }
 
-func (h *ScriptedClient) heartbeat() {
+func (c *ScriptedClient) heartbeat() {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
-	for !h.Ended() {
+	for !c.Ended() {
 		select {
 		case <-t.C:
-			h.line.Do(session.Request{Verb: session.Heartbeat})
-		case <-h.clients.world.ctx.Done():
-			h.line.End()
+			c.session.Do(session.Request{Verb: session.Heartbeat})
+		case <-c.clients.world.ctx.Done():
+			c.session.End()
 			return
 		}
 	}
 }
 
-func (h *ScriptedClient) onBroken() {
-	h.mu.Lock()
-	h.ended = true
-	h.mu.Unlock()
-	ring(h.notify)
+func (c *ScriptedClient) onBroken() {
+	c.mu.Lock()
+	c.ended = true
+	c.mu.Unlock()
+	signal(c.notify)
 }
 
-// Ended tells whether the connection broke or was closed.
-func (h *ScriptedClient) Ended() bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.ended
+// Ended reports whether the connection broke or was closed.
+func (c *ScriptedClient) Ended() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.ended
 }
 
-// End goes.
-func (h *ScriptedClient) End() {
-	h.mu.Lock()
-	for _, s := range h.sessions {
+// End closes the connection and ends all subscriptions.
+func (c *ScriptedClient) End() {
+	c.mu.Lock()
+	for _, s := range c.sessions {
 		s.Ended(time.Now())
 	}
-	h.mu.Unlock()
-	h.onBroken()
-	h.line.End()
+	c.mu.Unlock()
+	c.onBroken()
+	c.session.End()
 }
 
-// Break loses the connection; the subscriptions may be resumed.
-func (h *ScriptedClient) Break() {
-	h.onBroken()
-	h.line.End()
+// Disconnect drops the connection. The subscriptions may be resumed.
+func (c *ScriptedClient) Disconnect() {
+	c.onBroken()
+	c.session.End()
 }
 
-// Pause has the hand not read for a while.
-func (h *ScriptedClient) Pause(d time.Duration) { h.line.Pause(d) }
+// Pause stops the client from reading for a while.
+func (c *ScriptedClient) Pause(d time.Duration) { c.session.Pause(d) }
 
-func (h *ScriptedClient) receive(a session.Response, shown time.Time) {
-	h.mu.Lock()
-	if h.ended {
-		h.mu.Unlock()
+func (c *ScriptedClient) receive(response session.Response, writtenAt time.Time) {
+	c.mu.Lock()
+	if c.ended {
+		c.mu.Unlock()
 		return
 	}
-	h.seen = append(h.seen, TimedResponse{a, shown})
-	s := h.sessions[a.Topic]
-	h.mu.Unlock()
-	now, b := time.Now(), h.clients.Checker
-	switch a.Type {
+	c.responses = append(c.responses, TimedResponse{response, writtenAt})
+	checkerSession := c.sessions[response.Topic]
+	c.mu.Unlock()
+	now, checker := time.Now(), c.clients.Checker
+	switch response.Type {
 	case session.Subscribed:
-		s.Joined(now)
+		checkerSession.Joined(now)
 	case session.Message:
-		s.Received(deliverycheck.Message{Topic: a.Topic, From: a.From, CallSeq: a.CallSeq}, string(a.Body),
-			deliverycheck.Position{Partition: a.Partition, Offset: a.Offset}, shown)
+		checkerSession.Received(deliverycheck.Message{Topic: response.Topic, From: response.From, CallSeq: response.CallSeq},
+			string(response.Body),
+			deliverycheck.Position{Partition: response.Partition, Offset: response.Offset}, writtenAt)
 	case session.Accepted:
-		b.Accepted(deliverycheck.Message{Topic: a.Topic, From: h.Name, CallSeq: a.CallSeq}, now)
+		checker.Accepted(deliverycheck.Message{Topic: response.Topic, From: c.Name, CallSeq: response.CallSeq}, now)
 	case session.Withdrawn:
-		b.WithdrawalReceived(h.Name, a.Topic, a.Key, now)
+		checker.WithdrawalReceived(c.Name, response.Topic, response.Key, now)
 	case session.Rejected:
-		if a.InReplyTo == session.Send && simclient.FinalRejections[apierror.From(a.Err).Code] {
-			b.Rejected(deliverycheck.Message{Topic: a.Topic, From: h.Name, CallSeq: a.CallSeq})
+		if response.InReplyTo == session.Send && simclient.FinalRejections[apierror.From(response.Err).Code] {
+			checker.Rejected(deliverycheck.Message{Topic: response.Topic, From: c.Name, CallSeq: response.CallSeq})
 		}
 	}
-	ring(h.notify)
+	signal(c.notify)
 }
 
-// ResponseCount tells how much the hand has heard.
-func (h *ScriptedClient) ResponseCount() int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return len(h.seen)
+// ResponseCount returns how many responses the client has received.
+func (c *ScriptedClient) ResponseCount() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.responses)
 }
 
-// All gives what it has heard.
-func (h *ScriptedClient) All() []TimedResponse {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.seen[:len(h.seen):len(h.seen)]
+// Responses returns the responses that the client has received.
+func (c *ScriptedClient) Responses() []TimedResponse {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.responses[:len(c.responses):len(c.responses)]
 }
 
-// Wait waits for an answer behind a mark.
-func (h *ScriptedClient) Wait(from int, limit time.Duration, ok func(session.Response) bool) (TimedResponse, bool) {
+// Wait waits for a matching response from an index on.
+func (c *ScriptedClient) Wait(from int, limit time.Duration, ok func(session.Response) bool) (TimedResponse, bool) {
 	end := time.NewTimer(limit)
 	defer end.Stop()
 	for {
-		h.mu.Lock()
-		for ; from < len(h.seen); from++ {
-			if ok(h.seen[from].Response) {
-				s := h.seen[from]
-				h.mu.Unlock()
+		c.mu.Lock()
+		for ; from < len(c.responses); from++ {
+			if ok(c.responses[from].Response) {
+				s := c.responses[from]
+				c.mu.Unlock()
 				return s, true
 			}
 		}
-		gone := h.ended
-		h.mu.Unlock()
-		if gone {
+		ended := c.ended
+		c.mu.Unlock()
+		if ended {
 			return TimedResponse{}, false
 		}
 		select {
-		case <-h.notify:
+		case <-c.notify:
 		case <-end.C:
 			return TimedResponse{}, false
 		}
 	}
 }
 
-// Follow joins a topic, from a cursor if there is one, and tells whether it was taken up.
-func (h *ScriptedClient) Follow(topic, cursor string) (TimedResponse, bool) {
-	h.mu.Lock()
-	if h.sessions[topic] == nil {
-		h.sessions[topic] = h.clients.Checker.Subscribe(h.Name, topic, strings.HasPrefix(topic, "kept/"))
+// Subscribe subscribes to a topic, from a cursor if there is one, and reports whether that was
+// accepted.
+func (c *ScriptedClient) Subscribe(topic, cursor string) (TimedResponse, bool) {
+	c.mu.Lock()
+	if c.sessions[topic] == nil {
+		c.sessions[topic] = c.clients.Checker.Subscribe(c.Name, topic, strings.HasPrefix(topic, "kept/"))
 	}
-	n := len(h.seen)
-	h.mu.Unlock()
-	h.line.Do(session.Request{Verb: session.Subscribe, Topic: topic, Cursor: cursor})
-	s, ok := h.Wait(n, scriptedTimeout, func(a session.Response) bool {
+	n := len(c.responses)
+	c.mu.Unlock()
+	c.session.Do(session.Request{Verb: session.Subscribe, Topic: topic, Cursor: cursor})
+	s, ok := c.Wait(n, scriptedTimeout, func(a session.Response) bool {
 		return a.Topic == topic && (a.Type == session.Subscribed || a.InReplyTo == session.Subscribe)
 	})
 	return s, ok && s.Type == session.Subscribed
 }
 
-// Resume goes on where another hand of the same name has ended, on the stay of that.
-func (h *ScriptedClient) Resume(was *ScriptedClient, topic string) (TimedResponse, bool) {
-	was.mu.Lock()
-	cursor := was.cursor[topic]
-	for _, s := range was.seen {
+// Resume continues the subscription of an ended client of the same name, and its session in the
+// checker.
+func (c *ScriptedClient) Resume(previous *ScriptedClient, topic string) (TimedResponse, bool) {
+	previous.mu.Lock()
+	cursor := previous.cursors[topic]
+	for _, s := range previous.responses {
 		if s.Topic == topic && s.Cursor != "" {
 			cursor = s.Cursor
 		}
 	}
-	stay, seen := was.sessions[topic], was.seen
-	was.mu.Unlock()
-	h.mu.Lock()
-	h.seen = append(seen[:len(seen):len(seen)], h.seen...)
-	h.sessions[topic], h.cursor[topic] = stay, cursor
-	h.mu.Unlock()
-	return h.Follow(topic, cursor)
+	checkerSession, responses := previous.sessions[topic], previous.responses
+	previous.mu.Unlock()
+	c.mu.Lock()
+	c.responses = append(responses[:len(responses):len(responses)], c.responses...)
+	c.sessions[topic], c.cursors[topic] = checkerSession, cursor
+	c.mu.Unlock()
+	return c.Subscribe(topic, cursor)
 }
 
-// Body is what a hand sends under a number.
-func (h *ScriptedClient) Body(call uint64) string {
-	return fmt.Sprintf("%s %d %s", h.Name, call, strings.Repeat("x", scriptedBodyBytes))
+// Body returns the body that the client sends under a call number.
+func (c *ScriptedClient) Body(call uint64) string {
+	return fmt.Sprintf("%s %d %s", c.Name, call, strings.Repeat("x", scriptedBodyBytes))
 }
 
 const scriptedBodyBytes = 300
 
 // SendAsync sends without waiting.
-func (h *ScriptedClient) SendAsync(topic, key string, call uint64) {
-	h.clients.Checker.Try(deliverycheck.Message{Topic: topic, From: h.Name, CallSeq: call}, key, h.Body(call), time.Now())
-	h.line.Do(session.Request{Verb: session.Send, Topic: topic, Key: key, CallSeq: call, Body: []byte(h.Body(call))})
+func (c *ScriptedClient) SendAsync(topic, key string, call uint64) {
+	c.clients.Checker.Try(deliverycheck.Message{Topic: topic, From: c.Name, CallSeq: call}, key, c.Body(call), time.Now())
+	c.session.Do(session.Request{Verb: session.Send, Topic: topic, Key: key, CallSeq: call, Body: []byte(c.Body(call))})
 }
 
-// Send sends and gives the answer.
-func (h *ScriptedClient) Send(topic, key string, call uint64) (TimedResponse, bool) {
-	n := h.ResponseCount()
-	h.SendAsync(topic, key, call)
-	return h.Wait(n, scriptedTimeout, func(a session.Response) bool {
+// Send sends and returns the response.
+func (c *ScriptedClient) Send(topic, key string, call uint64) (TimedResponse, bool) {
+	n := c.ResponseCount()
+	c.SendAsync(topic, key, call)
+	return c.Wait(n, scriptedTimeout, func(a session.Response) bool {
 		return a.Topic == topic && a.CallSeq == call && (a.Type == session.Accepted || a.InReplyTo == session.Send)
 	})
 }
 
-// SendAccepted sends until the message is taken or never will be, and tells whether it was.
-func (h *ScriptedClient) SendAccepted(topic, key string, call uint64) bool {
+// SendAccepted sends until the message is accepted or rejected for good, and reports whether it was
+// accepted.
+func (c *ScriptedClient) SendAccepted(topic, key string, call uint64) bool {
 	for range 20 {
-		s, ok := h.Send(topic, key, call)
+		s, ok := c.Send(topic, key, call)
 		if ok && s.Type == session.Accepted {
 			return true
 		}
 		if ok && simclient.FinalRejections[apierror.From(s.Err).Code] {
 			return false
 		}
-		time.Sleep(h.clients.world.Site.Timing.MaxBackoff())
+		time.Sleep(c.clients.world.Site.Timing.MaxBackoff())
 	}
 	return false
 }
 
-// Withdraw asks for a withdrawal once and notes the answer.
-func (h *ScriptedClient) Withdraw(w deliverycheck.Withdrawal) (TimedResponse, bool) {
-	w.Client = h.Name
-	x := h.clients.Checker.Withdraw(w, time.Now())
-	n := h.ResponseCount()
-	h.line.Do(session.Request{Verb: session.Withdraw, Topic: w.Topic, Key: w.Key, CallSeq: w.Call,
-		WithdrawSender: w.Sender, WithdrawUpTo: w.UpTo})
-	s, ok := h.Wait(n, scriptedTimeout, func(a session.Response) bool {
-		return a.Topic == w.Topic && a.CallSeq == w.Call &&
+// Withdraw requests a withdrawal once and records the response.
+func (c *ScriptedClient) Withdraw(withdrawal deliverycheck.Withdrawal) (TimedResponse, bool) {
+	withdrawal.Client = c.Name
+	attempt := c.clients.Checker.Withdraw(withdrawal, time.Now())
+	n := c.ResponseCount()
+	c.session.Do(session.Request{Verb: session.Withdraw, Topic: withdrawal.Topic, Key: withdrawal.Key,
+		CallSeq: withdrawal.Call, WithdrawSender: withdrawal.Sender, WithdrawUpTo: withdrawal.UpTo})
+	response, ok := c.Wait(n, scriptedTimeout, func(a session.Response) bool {
+		return a.Topic == withdrawal.Topic && a.CallSeq == withdrawal.Call &&
 			(a.Type == session.WithdrawalComplete || a.InReplyTo == session.Withdraw)
 	})
 	switch {
 	case !ok:
-	case s.Type == session.WithdrawalComplete:
-		x.Completed(deliverycheck.Position{Partition: s.Partition, Offset: s.Offset}, s.Shown)
-	case apierror.HasCode(s.Err, apierror.WithdrawalOpen):
-		x.Recorded(time.Now())
-	case simclient.FinalWithdrawalRejections[apierror.From(s.Err).Code]:
-		x.Void()
+	case response.Type == session.WithdrawalComplete:
+		attempt.Completed(deliverycheck.Position{Partition: response.Partition, Offset: response.Offset}, response.WrittenAt)
+	case apierror.HasCode(response.Err, apierror.WithdrawalOpen):
+		attempt.Recorded(time.Now())
+	case simclient.FinalWithdrawalRejections[apierror.From(response.Err).Code]:
+		attempt.Void()
 	}
-	return s, ok
+	return response, ok
 }
--- /dev/null
+++ b/internal/testing/sim/scripted_test.go
@@ -0,0 +1,32 @@
+package sim
+
+import (
+	"math/rand/v2"
+	"sync"
+	"testing"
+
+	"gotest.tools/v3/assert"
+)
+
+// TestAScriptedClientIsNeverPaused chooses clients to pause again and again while scripted clients
+// connect.
+func TestAScriptedClientIsNeverPaused(t *testing.T) {
+	entertain(t, hall, 950, few, 10, func(t *testing.T, w *World, _ *LineClients) {
+		const clients = 64
+		lineClients := w.StartLineClients(0, few)
+		var wg sync.WaitGroup
+		for range clients {
+			wg.Go(func() {
+				h := lineClients.ConnectScripted("a1", "scripted")
+				if assert.Check(t, h != nil, "could not connect") {
+					h.End()
+				}
+			})
+		}
+		r := rand.New(rand.NewPCG(950, 0))
+		for in := func() int { lineClients.mu.Lock(); defer lineClients.mu.Unlock(); return lineClients.sessionCount }; in() < clients; {
+			lineClients.pauseOne(r)
+		}
+		wg.Wait()
+	})
+}
