--- a/internal/testing/sim/answers_test.go
+++ b/internal/testing/sim/answers_test.go
@@ -18,40 +18,40 @@
 func TestCutOffLeaderGivesNoFinalAnswer(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(4)) {
-		stand(t, Armor, 40+seed, func(t *testing.T, w *World) {
-			described(t, w)
+		runFleet(t, Armor, 40+seed, func(t *testing.T, w *World) {
+			applyConfiguration(t, w)
 			w.Watch()
-			topic, who := "kept/t0", "v"
-			l := w.Machines["a1"].Node().VoterSet().Layout
-			first := attach(t, w, "a1", who)
-			for n := range uint64(3) {
-				_, err := w.Port("a1").Send(w.ctx, first.Token, topic, n+1, []byte(`"before"`))
+			topic, clientName := "kept/t0", "v"
+			layout := w.Machines["a1"].Node().VoterSet().Layout
+			first := attach(t, w, "a1", clientName)
+			for callSeq := range uint64(3) {
+				_, err := w.Port("a1").Send(w.ctx, first.Token, topic, callSeq+1, []byte(`"before"`))
 				assert.NilError(t, err)
 			}
-			ps := []int{partition.Of(topic, false, l), partition.OfClient(who, false, l)}
-			for _, p := range ps {
-				old := w.records()[p].Leader
-				data := func(x Point) bool {
-					return (x.From == old || x.To == old) && (strings.Contains(x.Path, "Ledger") || strings.Contains(x.Path, "Gossip"))
+			partitionIDs := []int{partition.Of(topic, false, layout), partition.OfClient(clientName, false, layout)}
+			for _, partitionID := range partitionIDs {
+				oldLeader := w.records()[partitionID].Leader
+				data := func(call Point) bool {
+					return (call.From == oldLeader || call.To == oldLeader) && (strings.Contains(call.Path, "Ledger") || strings.Contains(call.Path, "Gossip"))
 				}
 				release, hits := w.PauseCalls(data)
-				w.Freeze(old)
+				w.Freeze(oldLeader)
 				assert.NilError(t, w.WaitUntil(15*time.Second, "another owner", func() bool {
-					r := w.records()[p]
-					return r.Leader != old && r.Recovered
+					r := w.records()[partitionID]
+					return r.Leader != oldLeader && r.Recovered
 				}))
-				w.Thaw(old)
-				second := attach(t, w, "a1", who)
+				w.Thaw(oldLeader)
+				second := attach(t, w, "a1", clientName)
 				_, err := w.Port("a1").Send(w.ctx, second.Token, topic, 4, []byte(`"after"`))
 				assert.Assert(t, err == nil || apierror.HasCode(err, apierror.CallAltered), "%v", err)
-				assert.NilError(t, w.WaitUntil(10*time.Second, "the old owner is licensed", func() bool { return w.Machines[old].Node().Ready() == nil }))
-				stale := w.Machines[old].Node()
+				assert.NilError(t, w.WaitUntil(10*time.Second, "the old owner is licensed", func() bool { return w.Machines[oldLeader].Node().Ready() == nil }))
+				stale := w.Machines[oldLeader].Node()
 				ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Spread)
-				a, err := stale.Clients.Router.ReadAttachment(ctx, who, 0, false)
+				response, err := stale.Clients.Router.ReadAttachment(ctx, clientName, 0, false)
 				if err == nil {
-					assert.Equal(t, a.Attachment.Generation, second.Generation, "vouched for a superseded attachment")
+					assert.Equal(t, response.Attachment.Generation, second.Generation, "vouched for a superseded attachment")
 				}
-				_, err = stale.Clients.Router.Submit(ctx, p, &leader.Message{Client: who, Generation: second.Generation, Topic: topic, CallSeq: 5, Body: []byte(`"later"`)})
+				_, err = stale.Clients.Router.Submit(ctx, partitionID, &leader.Message{Client: clientName, Generation: second.Generation, Topic: topic, CallSeq: 5, Body: []byte(`"later"`)})
 				assert.Assert(t, !apierror.HasCode(err, apierror.CallPassed), "a final no from an owner that is none: %v", err)
 				stop()
 				assert.Assert(t, hits() > 0, "void: nothing was held")
--- a/internal/testing/sim/boot_test.go
+++ b/internal/testing/sim/boot_test.go
@@ -182,12 +182,12 @@
 
 // TestMeasureBoot measures the time from the start of processes to service.
 func TestMeasureBoot(t *testing.T) {
-	measuring(t)
+	skipUnlessMeasuring(t)
 	for _, way := range boots {
 		var all service
 		var worst []time.Duration
 		for seed := range uint64(seeds(8)) {
-			stand(t, bootSite(seed), seed, func(t *testing.T, w *World) {
+			runFleet(t, bootSite(seed), seed, func(t *testing.T, w *World) {
 				b := boot(t, w, way.down, way.away(w))
 				all.open, all.take, all.give = append(all.open, b.open...), append(all.take, b.take...), append(all.give, b.give...)
 				worst = append(worst, max(at(b.open, 1), at(b.take, 1), at(b.give, 1)))
@@ -210,10 +210,10 @@
 // failed was tried again after the longest pause.
 func TestServiceIsBackSoonAfterProcessesStart(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for _, way := range boots {
 		for seed := range uint64(seeds(2)) {
-			stand(t, bootSite(seed), 300+seed, func(t *testing.T, w *World) {
+			runFleet(t, bootSite(seed), 300+seed, func(t *testing.T, w *World) {
 				b := boot(t, w, way.down, way.away(w))
 				last := max(at(b.open, 1), at(b.take, 1), at(b.give, 1))
 				assert.Assert(t, last < w.Site.Timing.ReconcileInterval(), "seed %d: %s: everything only after %s", seed, way.name, last)
--- a/internal/testing/sim/cut_test.go
+++ b/internal/testing/sim/cut_test.go
@@ -117,7 +117,7 @@
 // contact time.
 func TestAControlNodeCutOffForTwentySeconds(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for i, x := range coreCuts {
 		for k, s := range []Site{Armor, Traductores} {
 			t.Run(fmt.Sprintf("%s, %d stores", x.name, s.Stores), func(t *testing.T) {
@@ -142,14 +142,14 @@
 		defer stop()
 		var all sync.WaitGroup
 		for k, only := range [][]string{{cut}, {"c2", "a1", "s1"}, {cut, "c3", "s2"}} {
-			o := &simulatedOperator{w: w, rng: rand.New(rand.NewPCG(seed, uint64(k))), name: fmt.Sprint("operator ", k), history: h, only: only}
+			o := &simulatedOperator{w: w, rng: rand.New(rand.NewPCG(seed, uint64(k))), name: fmt.Sprint("operator ", k), history: h, reachable: only}
 			all.Go(func() { o.press(ctx) })
 		}
 		time.Sleep(2 * time.Second)
 		x.begin(w, cut)
 		time.Sleep(cutFor)
 		x.end(w, cut)
-		probe := &simulatedOperator{w: w, rng: rand.New(rand.NewPCG(seed, 9)), history: h, only: []string{cut}}
+		probe := &simulatedOperator{w: w, rng: rand.New(rand.NewPCG(seed, 9)), history: h, reachable: []string{cut}}
 		healed := time.Now()
 		assert.NilError(t, w.WaitUntil(contact, "the machine that was cut off is of use", func() bool {
 			_, ok := probe.read()
--- a/internal/testing/sim/disk_test.go
+++ b/internal/testing/sim/disk_test.go
@@ -11,8 +11,8 @@
 // and gets no yes while they hang.
 func TestDisksThatAreSlowOrHangHoldDecisionsUp(t *testing.T) {
 	t.Parallel()
-	stand(t, Armor, 57, func(t *testing.T, w *World) {
-		described(t, w)
+	runFleet(t, Armor, 57, func(t *testing.T, w *World) {
+		applyConfiguration(t, w)
 		put := func(base uint64) (time.Duration, error) {
 			at := time.Now()
 			_, err := w.Put("c1", load.Describe(base))
--- a/internal/testing/sim/drain_back_test.go
+++ b/internal/testing/sim/drain_back_test.go
@@ -12,7 +12,7 @@
 // once it was brought up; then another store is lost.
 func TestEmptiedStoreReturnsWithItsOldDisk(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for seed := range uint64(seeds(2)) {
 		play(t, siteOf(seed), 380+seed, siteOf(seed).Timing.Recovery, func(t *testing.T, w *World) {
 			o := busiest(w)
--- a/internal/testing/sim/drain_test.go
+++ b/internal/testing/sim/drain_test.go
@@ -62,7 +62,7 @@
 // without its disk.
 func TestDecommission(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	play(t, Armor, 11, Armor.Timing.Recovery, func(t *testing.T, w *World) {
 		assert.Assert(t, apierror.HasCode(w.askDrain("nobody"), apierror.UnknownNode))
 		assert.Assert(t, apierror.HasCode(w.askDrain("a1"), apierror.UnknownNode))
--- a/internal/testing/sim/effect_test.go
+++ b/internal/testing/sim/effect_test.go
@@ -19,7 +19,7 @@
 func TestConfigurationTakesEffectEverywhere(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(4)) {
-		stand(t, siteOf(seed), 240+seed, func(t *testing.T, w *World) {
+		runFleet(t, siteOf(seed), 240+seed, func(t *testing.T, w *World) {
 			w.Watch()
 			doc := func(base int, kept, live string) []byte {
 				return []byte(fmt.Sprintf(`{"base":%d,"spaces":[{"name":"kept","kind":"kept","topics":[%s]},{"name":"side","kind":%q,"topics":["l0"]}]}`, base, kept, live))
@@ -31,19 +31,19 @@
 				w.Lose(0.05)
 			}
 			var mu sync.Mutex
-			dropped, heard := map[string]time.Time{}, map[string]bool{}
+			dropped, received := map[string]time.Time{}, map[string]bool{}
 			tokens := map[string]string{}
-			for _, n := range w.Names {
-				a := attach(t, w, n, "on-"+n)
-				tokens[n] = a.Token
+			for _, node := range w.Names {
+				attachment := attach(t, w, node, "on-"+node)
+				tokens[node] = attachment.Token
 				w.wg.Go(func() {
-					_ = w.Port(n).Follow(w.ctx, a.Token, []string{"kept/t0", "kept/t1"}, "", func(l client.Event) error {
+					_ = w.Port(node).Follow(w.ctx, attachment.Token, []string{"kept/t0", "kept/t1"}, "", func(event client.Event) error {
 						mu.Lock()
 						defer mu.Unlock()
-						if slices.Contains(l.Unsubscribed, "kept/t1") {
-							dropped[n] = time.Now()
+						if slices.Contains(event.Unsubscribed, "kept/t1") {
+							dropped[node] = time.Now()
 						}
-						heard[n] = heard[n] || l.Topic == "kept/t0"
+						received[node] = received[node] || event.Topic == "kept/t0"
 						return nil
 					})
 				})
@@ -51,25 +51,25 @@
 			time.Sleep(time.Second)
 			seq, err := w.Put(w.Names[int(seed)%len(w.Names)], doc(1, `"t0","t9"`, "kept"))
 			assert.NilError(t, err)
-			at := time.Now()
+			accepted := time.Now()
 			time.Sleep(w.Site.Timing.Spread)
-			asked := time.Now()
-			for i, n := range w.Names {
+			firstRequest := time.Now()
+			for i, node := range w.Names {
 				ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Recovery)
-				_, err := w.Port(n).Send(ctx, tokens[n], "kept/t1", 1, []byte(`1`))
+				_, err := w.Port(node).Send(ctx, tokens[node], "kept/t1", 1, []byte(`1`))
 				if err == nil {
-					w.History.Effect(n, seq-1, asked, w.Site.Timing.Spread-time.Millisecond, "took a message on a removed topic")
+					w.History.Effect(node, seq-1, firstRequest, w.Site.Timing.Spread-time.Millisecond, "took a message on a removed topic")
 				}
-				assert.Assert(t, apierror.HasCode(err, apierror.UnknownTopic), "%s: %v", n, err)
-				_, _, err = follow(w, n, tokens[n], "", []string{"kept/t1"}, time.Second)
-				assert.Assert(t, apierror.HasCode(err, apierror.UnknownTopic), "%s: %v", n, err)
-				_, err = w.Port(n).Send(ctx, tokens[n], "kept/t9", 1, []byte(`1`))
-				assert.NilError(t, err, "%s: an added topic", n)
+				assert.Assert(t, apierror.HasCode(err, apierror.UnknownTopic), "%s: %v", node, err)
+				_, _, err = follow(w, node, tokens[node], "", []string{"kept/t1"}, time.Second)
+				assert.Assert(t, apierror.HasCode(err, apierror.UnknownTopic), "%s: %v", node, err)
+				_, err = w.Port(node).Send(ctx, tokens[node], "kept/t9", 1, []byte(`1`))
+				assert.NilError(t, err, "%s: an added topic", node)
 				if i == 0 {
-					_, cursor, _ := follow(w, n, attach(t, w, n, "resumer").Token, "", []string{"side/l0"}, time.Second)
-					_, err = w.Port(n).Send(ctx, tokens[n], "side/l0", 1, []byte(`1`))
+					_, cursor, _ := follow(w, node, attach(t, w, node, "resumer").Token, "", []string{"side/l0"}, time.Second)
+					_, err = w.Port(node).Send(ctx, tokens[node], "side/l0", 1, []byte(`1`))
 					assert.NilError(t, err)
-					calls, _, _ := follow(w, n, attach(t, w, n, "resumer").Token, cursor, []string{"side/l0"}, 2*time.Second)
+					calls, _, _ := follow(w, node, attach(t, w, node, "resumer").Token, cursor, []string{"side/l0"}, 2*time.Second)
 					assert.DeepEqual(t, calls, []uint64{1})
 				}
 				stop()
@@ -80,9 +80,9 @@
 			time.Sleep(2 * time.Second)
 			mu.Lock()
 			defer mu.Unlock()
-			for _, n := range w.Names {
-				assert.Assert(t, !dropped[n].IsZero() && dropped[n].Sub(at) <= w.Site.Timing.Spread, "%s never dropped the removed topic from an open stream, or after %s", n, dropped[n].Sub(at))
-				assert.Assert(t, heard[n], "%s: the other topic of the stream fell silent", n)
+			for _, node := range w.Names {
+				assert.Assert(t, !dropped[node].IsZero() && dropped[node].Sub(accepted) <= w.Site.Timing.Spread, "%s never dropped the removed topic from an open stream, or after %s", node, dropped[node].Sub(accepted))
+				assert.Assert(t, received[node], "%s: the other topic of the stream fell silent", node)
 			}
 		})
 	}
@@ -93,11 +93,11 @@
 // partitions of the old one.
 func TestSpaceThatComesBackGoesOnWhereItWas(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for seed := range uint64(seeds(3)) {
-		stand(t, siteOf(seed), 260+seed, func(t *testing.T, w *World) {
+		runFleet(t, siteOf(seed), 260+seed, func(t *testing.T, w *World) {
 			base := uint64(0)
-			put := func(spaces string) error {
+			putSpaces := func(spaces string) error {
 				seq, err := w.Put(w.Names[w.Int(len(w.Names))], []byte(fmt.Sprintf(`{"base":%d,"spaces":[{"name":"other","kind":"kept","topics":["x"]}%s]}`, base, spaces)))
 				if err == nil {
 					base = seq
@@ -106,28 +106,28 @@
 				return err
 			}
 			const there, live, other = `,{"name":"line","kind":"kept","urgent":true,"topics":["a"]}`, `,{"name":"line","kind":"live","urgent":true,"topics":["a"]}`, `,{"name":"line","kind":"kept","topics":["a"]}`
-			assert.NilError(t, put(there))
-			a := attach(t, w, "a1", "v")
-			send := func(c uint64) error {
-				_, err := w.Port("a1").Send(w.ctx, a.Token, "line/a", c, []byte(fmt.Sprint(c)))
+			assert.NilError(t, putSpaces(there))
+			attachment := attach(t, w, "a1", "v")
+			send := func(callSeq uint64) error {
+				_, err := w.Port("a1").Send(w.ctx, attachment.Token, "line/a", callSeq, []byte(fmt.Sprint(callSeq)))
 				return err
 			}
-			_, cursor, _ := follow(w, "a1", a.Token, "", []string{"line/a"}, time.Second)
+			_, cursor, _ := follow(w, "a1", attachment.Token, "", []string{"line/a"}, time.Second)
 			assert.NilError(t, send(1))
 			assert.NilError(t, send(2))
-			assert.NilError(t, put(""))
+			assert.NilError(t, putSpaces(""))
 			assert.Assert(t, apierror.HasCode(send(3), apierror.UnknownSpace))
-			err := put(other)
+			err := putSpaces(other)
 			assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationInvalid), "a space came back with another urgency: %v", err)
-			o := busiest(w)
-			w.Kill(o)
+			leaderNode := busiest(w)
+			w.Kill(leaderNode)
 			time.Sleep(6 * time.Second)
-			assert.NilError(t, w.Start(o))
+			assert.NilError(t, w.Start(leaderNode))
 			time.Sleep(w.Site.Timing.Spread)
-			assert.NilError(t, put(live))
+			assert.NilError(t, putSpaces(live))
 			assert.NilError(t, send(3))
-			assert.NilError(t, put(""))
-			assert.NilError(t, put(there))
+			assert.NilError(t, putSpaces(""))
+			assert.NilError(t, putSpaces(there))
 			assert.NilError(t, send(4))
 			assert.NilError(t, send(3), "a repeat of the one that was taken while the space was live")
 			assert.NilError(t, send(6))
--- a/internal/testing/sim/flap_test.go
+++ b/internal/testing/sim/flap_test.go
@@ -69,7 +69,7 @@
 				time.Sleep(2 * time.Second)
 			}
 		}},
-		{"control nodes restart", func(w *World) { w.bounce(300*time.Millisecond, "c"); time.Sleep(8 * time.Second) }},
+		{"control nodes restart", func(w *World) { w.restartNodes(300*time.Millisecond, "c"); time.Sleep(8 * time.Second) }},
 		{"the link between two stores is cut", func(w *World) {
 			w.Cut("s1", "s2")
 			w.Cut("s2", "s1")
@@ -82,7 +82,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				w := standing(t, Armor, 72)
+				w := startWideFleet(t, Armor, 72)
 				defer w.Close()
 				was := changes(w)
 				x.f(w)
@@ -95,10 +95,10 @@
 // Each loss is over in its time.
 func TestServiceIsBackInItsTime(t *testing.T) {
 	t.Parallel()
-	for _, x := range losses {
+	for _, x := range machineLosses {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
-			d := gapOf(t, Armor, 73, x.f)
+			d := longestGap(t, Armor, 73, x.inject)
 			assert.Assert(t, d <= x.most, "some partition took nothing for %s, at most %s are allowed", d, x.most)
 		})
 	}
--- a/internal/testing/sim/founding_test.go
+++ b/internal/testing/sim/founding_test.go
@@ -62,7 +62,7 @@
 						fleets[w.Machines[n].Node().VoterSet().Fleet] = true
 					}
 					assert.Equal(t, len(fleets), 1)
-					described(t, w)
+					applyConfiguration(t, w)
 				})
 			})
 		}
@@ -92,7 +92,7 @@
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
 		assert.NilError(t, w.WaitUntil(3*time.Second, "all voters are seated", w.allNodesAreVoters))
-		described(t, w)
+		applyConfiguration(t, w)
 		fleet := w.Machines["c2"].Node().VoterSet().Fleet
 		w.Wipe("c1")
 		time.Sleep(3 * time.Second)
--- a/internal/testing/sim/gap_test.go
+++ b/internal/testing/sim/gap_test.go
@@ -17,11 +17,11 @@
 	"postjunction/internal/partitionlog/leader"
 )
 
-var wide = Load{Callers: 4, Topics: 40, LiveTopics: 2, Leads: 1, Every: 500 * time.Millisecond}
+var wideLoad = Load{Callers: 4, Topics: 40, LiveTopics: 2, Leads: 1, Every: 500 * time.Millisecond}
 
 // takers sends a message into each partition through a1, one after the other, and gives the longest
 // time between two takings.
-type takers struct {
+type gapSenders struct {
 	mu   sync.Mutex
 	last map[int]time.Time
 	gap  map[int]time.Duration
@@ -29,41 +29,41 @@
 	stop context.CancelFunc
 }
 
-func (w *World) takers(through string) *takers {
+func (w *World) startGapSenders(through string) *gapSenders {
 	ctx, stop := context.WithCancel(w.ctx)
-	k := &takers{last: map[int]time.Time{}, gap: map[int]time.Duration{}, stop: stop}
-	n := w.Machines[through].Node()
+	senders := &gapSenders{last: map[int]time.Time{}, gap: map[int]time.Duration{}, stop: stop}
+	running := w.Machines[through].Node()
 	topics := map[int]string{}
-	l := n.VoterSet().Layout
-	for i := range wide.Topics {
+	layout := running.VoterSet().Layout
+	for i := range wideLoad.Topics {
 		t := fmt.Sprintf("kept/t%d", i)
-		topics[partition.Of(t, false, l)] = t
+		topics[partition.Of(t, false, layout)] = t
 	}
-	topics[partition.Of("stop/line", true, l)] = "stop/line"
-	for p := range topics {
-		k.last[p] = time.Now()
+	topics[partition.Of("stop/line", true, layout)] = "stop/line"
+	for partitionID := range topics {
+		senders.last[partitionID] = time.Now()
 	}
-	for p, t := range topics {
-		k.wg.Go(func() { k.send(ctx, n, p, t) })
+	for partitionID, topic := range topics {
+		senders.wg.Go(func() { senders.send(ctx, running, partitionID, topic) })
 	}
-	return k
+	return senders
 }
 
-func (k *takers) send(ctx context.Context, n *node.Node, p int, topic string) {
-	for c := uint64(1); ctx.Err() == nil; {
-		cx, stop := context.WithTimeout(ctx, time.Second)
-		_, err := n.Clients.Router.Submit(cx, p, &leader.Message{Client: "taker", Topic: topic, CallSeq: c, Body: []byte(`1`)})
+func (k *gapSenders) send(ctx context.Context, running *node.Node, partitionID int, topic string) {
+	for callSeq := uint64(1); ctx.Err() == nil; {
+		callCtx, stop := context.WithTimeout(ctx, time.Second)
+		_, err := running.Clients.Router.Submit(callCtx, partitionID, &leader.Message{Client: "taker", Topic: topic, CallSeq: callSeq, Body: []byte(`1`)})
 		stop()
 		if err == nil {
-			c++
-			k.took(p)
+			callSeq++
+			k.recordAccepted(partitionID)
 		}
 		_ = sleep(ctx, 10*time.Millisecond)
 	}
 }
 
-func sleep(ctx context.Context, d time.Duration) error {
-	t := time.NewTimer(d)
+func sleep(ctx context.Context, duration time.Duration) error {
+	t := time.NewTimer(duration)
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -73,145 +73,145 @@
 	}
 }
 
-func (k *takers) took(p int) {
+func (k *gapSenders) recordAccepted(partitionID int) {
 	now := time.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.gap[p] = max(k.gap[p], now.Sub(k.last[p]))
-	k.last[p] = now
+	k.gap[partitionID] = max(k.gap[partitionID], now.Sub(k.last[partitionID]))
+	k.last[partitionID] = now
 }
 
 // worst ends the senders and gives the longest time in which some partition took nothing.
-func (k *takers) worst() time.Duration {
+func (k *gapSenders) stopAndFindLongest() time.Duration {
 	k.mu.Lock()
-	ps := slices.Collect(maps.Keys(k.last))
+	partitionIDs := slices.Collect(maps.Keys(k.last))
 	k.mu.Unlock()
-	for _, p := range ps {
-		k.took(p)
+	for _, partitionID := range partitionIDs {
+		k.recordAccepted(partitionID)
 	}
 	k.stop()
 	k.wg.Wait()
 	w := time.Duration(0)
-	for _, g := range k.gap {
-		w = max(w, g)
+	for _, gap := range k.gap {
+		w = max(w, gap)
 	}
 	return w
 }
 
 func controllerNode(w *World) string {
-	for _, n := range w.Names {
-		if x := w.Machines[n].Node(); x != nil && x.IsPlacementController() {
-			return n
+	for _, name := range w.Names {
+		if running := w.Machines[name].Node(); running != nil && running.IsPlacementController() {
+			return name
 		}
 	}
 	return "c1"
 }
 
 // Thirteen is the smaller deployment as it stands.
-var thirteen = func() Site {
-	s := Armor
-	s.Access, s.Routine, s.Urgent = 7, 12, 4
-	return s
+var thirteenNodes = func() Site {
+	site := Armor
+	site.Access, site.Routine, site.Urgent = 7, 12, 4
+	return site
 }()
 
-var losses = []struct {
-	name string
-	most time.Duration
-	f    func(w *World)
+var machineLosses = []struct {
+	name   string
+	most   time.Duration
+	inject func(w *World)
 }{
 	{"store killed", time.Second, func(w *World) { w.Kill(busiest(w)) }},
 	{"store without power", 2 * time.Second, func(w *World) { w.LosePower(busiest(w), false) }},
 	{"store frozen", 2 * time.Second, func(w *World) { w.Freeze(busiest(w)) }},
 	{"store cut off", 2 * time.Second, func(w *World) { w.Isolate(busiest(w)) }},
-	{"store killed, back after 50 ms", time.Second, back(50 * time.Millisecond)},
-	{"store killed, back after 300 ms", time.Second, back(300 * time.Millisecond)},
-	{"store killed, back after 800 ms", time.Second, back(800 * time.Millisecond)},
+	{"store killed, back after 50 ms", time.Second, restartAfter(50 * time.Millisecond)},
+	{"store killed, back after 300 ms", time.Second, restartAfter(300 * time.Millisecond)},
+	{"store killed, back after 800 ms", time.Second, restartAfter(800 * time.Millisecond)},
 	{"store asked to stop", 200 * time.Millisecond, func(w *World) { w.Terminate(busiest(w)) }},
 	{"duty holder killed", 200 * time.Millisecond, func(w *World) { w.Kill(controllerNode(w)) }},
 	{"duty holder and store killed", time.Second, func(w *World) {
-		h := controllerNode(w)
+		controllerName := controllerNode(w)
 		w.Kill(busiest(w))
-		w.Kill(h)
+		w.Kill(controllerName)
 	}},
 	{"duty holder and store without power", 2 * time.Second, func(w *World) {
-		h := controllerNode(w)
+		controllerName := controllerNode(w)
 		w.LosePower(busiest(w), false)
-		w.LosePower(h, false)
+		w.LosePower(controllerName, false)
 	}},
-	{"all control killed, back after 500 ms", time.Second, func(w *World) { w.bounce(500*time.Millisecond, "c") }},
-	{"all with a disk killed, back after 500 ms", 2 * time.Second, func(w *World) { w.bounce(500*time.Millisecond, "cs") }},
+	{"all control killed, back after 500 ms", time.Second, func(w *World) { w.restartNodes(500*time.Millisecond, "c") }},
+	{"all with a disk killed, back after 500 ms", 2 * time.Second, func(w *World) { w.restartNodes(500*time.Millisecond, "cs") }},
 }
 
-func (w *World) bounce(d time.Duration, kinds string) {
-	var ns []string
-	for _, n := range w.Names {
-		for _, k := range kinds {
-			if n[0] == byte(k) {
-				ns = append(ns, n)
-				w.Kill(n)
+func (w *World) restartNodes(downtime time.Duration, kinds string) {
+	var names []string
+	for _, name := range w.Names {
+		for _, kind := range kinds {
+			if name[0] == byte(kind) {
+				names = append(names, name)
+				w.Kill(name)
 			}
 		}
 	}
-	time.Sleep(d)
-	_ = w.Start(ns...)
+	time.Sleep(downtime)
+	_ = w.Start(names...)
 }
 
-func back(d time.Duration) func(*World) {
+func restartAfter(downtime time.Duration) func(*World) {
 	return func(w *World) {
-		o := busiest(w)
-		w.Kill(o)
-		time.Sleep(d)
-		_ = w.Start(o)
+		leaderNode := busiest(w)
+		w.Kill(leaderNode)
+		time.Sleep(downtime)
+		_ = w.Start(leaderNode)
 	}
 }
 
 // standing brings a fleet up whose partitions all have owners, with a description for takers.
-func standing(t *testing.T, s Site, seed uint64) *World {
-	w := New(s, seed, Logger())
+func startWideFleet(t *testing.T, site Site, seed uint64) *World {
+	w := New(site, seed, Logger())
 	assert.NilError(t, w.Start(w.Names...))
 	assert.NilError(t, w.WaitReady(20*time.Second))
 	assert.NilError(t, w.WaitUntil(20*time.Second, "described", func() bool {
-		_, err := w.Put("a1", wide.Describe(0))
+		_, err := w.Put("a1", wideLoad.Describe(0))
 		return err == nil
 	}))
 	time.Sleep(6 * time.Second)
 	return w
 }
 
-func gapOf(t *testing.T, s Site, seed uint64, f func(*World)) (d time.Duration) {
+func longestGap(t *testing.T, site Site, seed uint64, inject func(*World)) (longest time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
-		w := standing(t, s, seed)
+		w := startWideFleet(t, site, seed)
 		defer w.Close()
-		k := w.takers("a1")
+		senders := w.startGapSenders("a1")
 		time.Sleep(time.Second + time.Duration(w.Int(1000))*time.Millisecond)
-		f(w)
+		inject(w)
 		time.Sleep(8 * time.Second)
-		d = k.worst()
+		longest = senders.stopAndFindLongest()
 	})
-	return d
+	return longest
 }
 
 // TestMeasureService measures how long some partition takes nothing, for each way that machines go.
 func TestMeasureService(t *testing.T) {
-	measuring(t)
-	for _, x := range losses {
-		var ds []time.Duration
+	skipUnlessMeasuring(t)
+	for _, loss := range machineLosses {
+		var durations []time.Duration
 		var mu sync.Mutex
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(loss.name, func(t *testing.T) {
 			for seed := range uint64(12) {
 				t.Run(fmt.Sprint(seed), func(t *testing.T) {
 					t.Parallel()
-					d := gapOf(t, thirteen, seed, x.f)
+					gap := longestGap(t, thirteenNodes, seed, loss.inject)
 					mu.Lock()
 					defer mu.Unlock()
-					ds = append(ds, d.Round(time.Millisecond))
+					durations = append(durations, gap.Round(time.Millisecond))
 				})
 			}
 		})
-		if len(ds) == 0 {
+		if len(durations) == 0 {
 			continue
 		}
-		slices.Sort(ds)
-		t.Logf("%-42s p50 %s, max %s", x.name, ds[len(ds)/2], ds[len(ds)-1])
+		slices.Sort(durations)
+		t.Logf("%-42s p50 %s, max %s", loss.name, durations[len(durations)/2], durations[len(durations)-1])
 	}
 }
--- a/internal/testing/sim/hand_test.go
+++ b/internal/testing/sim/hand_test.go
@@ -11,9 +11,9 @@
 // TestAScriptedClientIsNeverPaused draws who is to rest again and again while scripted visitors
 // come in.
 func TestAScriptedClientIsNeverPaused(t *testing.T) {
-	entertain(t, hall, 950, few, 10, func(t *testing.T, w *World, _ *LineClients) {
+	runSessions(t, smallSite, 950, backgroundLoad, 10, func(t *testing.T, w *World, _ *LineClients) {
 		const hands = 64
-		g := w.StartLineClients(0, few)
+		g := w.StartLineClients(0, backgroundLoad)
 		var wg sync.WaitGroup
 		for range hands {
 			wg.Go(func() {
--- a/internal/testing/sim/load_test.go
+++ b/internal/testing/sim/load_test.go
@@ -11,39 +11,39 @@
 	"postjunction/internal/partition"
 )
 
-func (w *World) moves() int {
-	n := 0
+func (w *World) leadershipMoves() int {
+	moves := 0
 	for _, r := range w.records() {
-		n += int(r.Epoch) - 1
+		moves += int(r.Epoch) - 1
 	}
-	return n
+	return moves
 }
 
 // taken gives the messages taken by the owners on each store since each took over.
-func (w *World) taken() map[string]uint64 {
-	m := map[string]uint64{}
-	for _, n := range w.Names {
-		if n[0] != 's' {
+func (w *World) acceptedByNode() map[string]uint64 {
+	accepted := map[string]uint64{}
+	for _, node := range w.Names {
+		if node[0] != 's' {
 			continue
 		}
-		m[n] = 0
-		for _, v := range w.Machines[n].Node().Operators.Leaders() {
-			m[n] += v.Counters.Accepted
+		accepted[node] = 0
+		for _, view := range w.Machines[node].Node().Operators.Leaders() {
+			accepted[node] += view.Counters.Accepted
 		}
 	}
-	return m
+	return accepted
 }
 
-func apart(d time.Duration, w *World) float64 {
-	before, epochs := w.taken(), w.moves()
-	time.Sleep(d)
+func loadImbalance(duration time.Duration, w *World) float64 {
+	before, epochs := w.acceptedByNode(), w.leadershipMoves()
+	time.Sleep(duration)
 	most, all := 0.0, 0.0
-	for n, k := range w.taken() {
-		x := float64(k - min(k, before[n]))
-		most, all = max(most, x), all+x
+	for node, count := range w.acceptedByNode() {
+		share := float64(count - min(count, before[node]))
+		most, all = max(most, share), all+share
 	}
-	if w.moves() != epochs {
-		return apart(d, w)
+	if w.leadershipMoves() != epochs {
+		return loadImbalance(duration, w)
 	}
 	return most * 3 / all
 }
@@ -52,42 +52,42 @@
 // moves any more.
 func TestSkewedLoadIsSpreadWithoutFlapping(t *testing.T) {
 	t.Parallel()
-	long(t)
-	s := Armor
-	s.Routine, s.Urgent = 12, 4
+	skipUnderRace(t)
+	site := Armor
+	site.Routine, site.Urgent = 12, 4
 	for seed := range uint64(seeds(1)) {
-		stand(t, s, 340+seed, func(t *testing.T, w *World) {
-			l := Load{Topics: 60, LiveTopics: 1}
-			_, err := w.Put("c1", l.Describe(0))
+		runFleet(t, site, 340+seed, func(t *testing.T, w *World) {
+			traffic := Load{Topics: 60, LiveTopics: 1}
+			_, err := w.Put("c1", traffic.Describe(0))
 			assert.NilError(t, err)
 			time.Sleep(w.Site.Timing.Spread)
-			hot := busiest(w)
+			busiestNode := busiest(w)
 			layout := w.Machines["a1"].Node().VoterSet().Layout
 			var topics []string
-			for i := range l.Topics {
-				n := fmt.Sprintf("kept/t%d", i)
-				if w.records()[partition.Of(n, false, layout)].Leader == hot {
-					topics = append(topics, n)
+			for i := range traffic.Topics {
+				topic := fmt.Sprintf("kept/t%d", i)
+				if w.records()[partition.Of(topic, false, layout)].Leader == busiestNode {
+					topics = append(topics, topic)
 				}
 			}
-			assert.Assert(t, len(topics) >= 6, "void: %d topics on %s", len(topics), hot)
+			assert.Assert(t, len(topics) >= 6, "void: %d topics on %s", len(topics), busiestNode)
 			ctx, stop := context.WithCancel(w.ctx)
-			for i, n := range topics {
-				tok := attach(t, w, "c2", fmt.Sprintf("v%d", i)).Token
+			for i, topic := range topics {
+				token := attach(t, w, "c2", fmt.Sprintf("v%d", i)).Token
 				w.wg.Go(func() {
-					for c := uint64(1); ctx.Err() == nil; {
-						if _, err := w.Port("a1").Send(ctx, tok, n, c, []byte(`"a message of some length"`)); err == nil {
-							c++
+					for callSeq := uint64(1); ctx.Err() == nil; {
+						if _, err := w.Port("a1").Send(ctx, token, topic, callSeq, []byte(`"a message of some length"`)); err == nil {
+							callSeq++
 						}
 						time.Sleep(400 * time.Millisecond)
 					}
 				})
 			}
-			first, begun := apart(10*time.Second, w), w.moves()
+			first, movesBefore := loadImbalance(10*time.Second, w), w.leadershipMoves()
 			time.Sleep(60 * time.Second)
-			last, moved := apart(20*time.Second, w), w.moves()-begun
+			last, moved := loadImbalance(20*time.Second, w), w.leadershipMoves()-movesBefore
 			time.Sleep(30 * time.Second)
-			later := w.moves() - begun - moved
+			later := w.leadershipMoves() - movesBefore - moved
 			t.Logf("highest load over the mean: %.2f at first, %.2f later; %d moves, then %d in 30 s", first, last, moved, later)
 			assert.Assert(t, last < 1.6, "the highest load is %.2f of the mean", last)
 			assert.Assert(t, moved <= 6 && later == 0, "%d moves, then %d", moved, later)
--- a/internal/testing/sim/losses_test.go
+++ b/internal/testing/sim/losses_test.go
@@ -19,7 +19,7 @@
 // the zones. Two stores and two control nodes are wiped at the same moment.
 func TestTwoLossesAtOnce(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	play(t, broad, 31, broad.Timing.Recovery, func(t *testing.T, w *World) {
 		for _, r := range w.records() {
 			assert.Equal(t, len(r.Replicas), 5)
@@ -43,7 +43,7 @@
 	t.Parallel()
 	s := Armor
 	s.ToleratedLosses = 2
-	stand(t, s, 32, func(t *testing.T, w *World) {
+	runFleet(t, s, 32, func(t *testing.T, w *World) {
 		assert.NilError(t, w.WaitUntil(10*time.Second, "every partition has its copies", w.whole))
 		for p, r := range w.records() {
 			zones, stores := map[string]int{}, 0
--- a/internal/testing/sim/hundreds_test.go
+++ b/internal/testing/sim/many_changes_test.go
@@ -19,36 +19,36 @@
 
 // routes writes a configuration of many spaces by prefix; every seventh changes its deadline with
 // each version.
-func routes(base, sequence uint64) []byte {
+func routesDocument(base, sequence uint64) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"base":%d,"sequence":%d,"standing_lanes":true,"source":%q,"spaces":[`, base, sequence, strings.Repeat("x", sourceBytes))
-	for n := range manyRoutes {
-		if n > 0 {
+	for route := range manyRoutes {
+		if route > 0 {
 			b.WriteByte(',')
 		}
 		kind := "kept"
-		if n%5 == 0 {
+		if route%5 == 0 {
 			kind = "live"
 		}
 		deadline := 1500
-		if n%7 == 0 {
+		if route%7 == 0 {
 			deadline += int(sequence)
 		}
-		fmt.Fprintf(&b, `{"name":"route-%d","prefix":"p%d.","kind":%q,"deadline_ms":%d}`, n, n, kind, deadline)
+		fmt.Fprintf(&b, `{"name":"route-%d","prefix":"p%d.","kind":%q,"deadline_ms":%d}`, route, route, kind, deadline)
 	}
 	b.WriteString(`]}`)
 	return []byte(b.String())
 }
 
 // stored is how many bytes stand on a machine's disk.
-func (w *World) stored(t *testing.T, n string) int {
+func (w *World) storedBytes(t *testing.T, node string) int {
 	t.Helper()
-	d := w.Machines[n].Disk
-	first, last, err := d.Bounds()
+	disk := w.Machines[node].Disk
+	first, last, err := disk.Bounds()
 	assert.NilError(t, err)
 	bytes := 0
 	for i := first; i <= last; i++ {
-		b, err := d.Read(i)
+		b, err := disk.Read(i)
 		assert.NilError(t, err)
 		bytes += len(b)
 	}
@@ -58,30 +58,30 @@
 // Hundreds of changes of many routes, in quick succession, while a voter and two access nodes are
 // away from the tenth on, another voter stands still, and a third is replaced. Disks of 64 MiB have
 // room for it, and all catch up within the spread of their return.
-func TestHundredsOfChangesWhileMembersAreAway(t *testing.T) {
+func TestHundredsOfChangesWhileNodesAreDown(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	changes := 300
 	if os.Getenv("PJ_MEASURE") != "" {
 		changes = 1000
 	}
-	s := spared(Traductores, "c2")
-	s.Access = 3
-	s.DiskMB = map[string]int{}
-	for n := range s.Control {
-		s.DiskMB[fmt.Sprint("c", n+1)] = smallDiskMB
+	site := spared(Traductores, "c2")
+	site.Access = 3
+	site.DiskMB = map[string]int{}
+	for zone := range site.Control {
+		site.DiskMB[fmt.Sprint("c", zone+1)] = smallDiskMB
 	}
-	stand(t, s, 420, func(t *testing.T, w *World) {
+	runFleet(t, site, 420, func(t *testing.T, w *World) {
 		w.Watch()
-		away := []string{"c4", "a2", "a3"}
-		most := 0
-		for n := range uint64(changes) {
-			_, err := w.Put([]string{"c1", "a1", "s1", "c3"}[n%4], routes(n, n+1))
-			assert.NilError(t, err, "change %d", n)
-			switch n {
+		stopped := []string{"c4", "a2", "a3"}
+		mostBytes := 0
+		for change := range uint64(changes) {
+			_, err := w.Put([]string{"c1", "a1", "s1", "c3"}[change%4], routesDocument(change, change+1))
+			assert.NilError(t, err, "change %d", change)
+			switch change {
 			case 10:
-				for _, k := range away {
-					w.Kill(k)
+				for _, node := range stopped {
+					w.Kill(node)
 				}
 			case 60:
 				assert.NilError(t, w.Start("c4"))
@@ -96,26 +96,26 @@
 				w.Thaw("c3")
 				time.Sleep(time.Second)
 			}
-			most = max(most, w.stored(t, "c1"))
+			mostBytes = max(mostBytes, w.storedBytes(t, "c1"))
 		}
-		for _, k := range away {
-			assert.NilError(t, w.Start(k))
+		for _, node := range stopped {
+			assert.NilError(t, w.Start(node))
 		}
-		at := time.Now()
+		start := time.Now()
 		assert.NilError(t, w.WaitUntil(w.Site.Timing.Spread, "all have the newest", func() bool {
-			for _, n := range w.Present() {
-				if x := w.Machines[n].Node(); x == nil || x.Ready() != nil || x.Store.Configuration().Sequence != uint64(changes) {
+			for _, name := range w.Present() {
+				if running := w.Machines[name].Node(); running == nil || running.Ready() != nil || running.Store.Configuration().Sequence != uint64(changes) {
 					return false
 				}
 			}
 			return true
 		}))
-		t.Logf("%d changes of %d bytes: all caught up %s after their return, %d MiB at most on a small disk", changes, len(routes(1, 2)), time.Since(at), most>>20)
-		for _, n := range []string{"c1", "c3", "c4", "c2b"} {
-			assert.Assert(t, w.stored(t, n) < smallDiskMB<<20, n)
+		t.Logf("%d changes of %d bytes: all caught up %s after their return, %d MiB at most on a small disk", changes, len(routesDocument(1, 2)), time.Since(start), mostBytes>>20)
+		for _, node := range []string{"c1", "c3", "c4", "c2b"} {
+			assert.Assert(t, w.storedBytes(t, node) < smallDiskMB<<20, node)
 		}
-		for k := range uint64(5) {
-			_, err := w.Put("a2", routes(k*20, k*20+1))
+		for change := range uint64(5) {
+			_, err := w.Put("a2", routesDocument(change*20, change*20+1))
 			assert.NilError(t, err, "an accepted order again, hundreds of changes later")
 		}
 	})
--- a/internal/testing/sim/offer_test.go
+++ b/internal/testing/sim/offer_test.go
@@ -19,128 +19,128 @@
 	"postjunction/internal/testing/history"
 )
 
-var promises = map[apierror.Code]bool{apierror.NoPartitionLeader: true, apierror.Overloaded: true, apierror.CallPassed: true}
+var finalRejections = map[apierror.Code]bool{apierror.NoPartitionLeader: true, apierror.Overloaded: true, apierror.CallPassed: true}
 
-type offered struct {
+type numberedMessage struct {
 	history.Message
-	body string
-	at   time.Time
+	body   string
+	sentAt time.Time
 }
 
 // offerer stands in for a visitor that counts once for all its topics, keeps up to 8 calls open,
 // sends unclear ones again, now and then an old one too, and moves between nodes with what is open.
-type offerer struct {
-	w      *World
-	name   string
-	topics []string
-	r      *rand.Rand
-	mu     sync.Mutex
-	node   string
-	open   map[uint64]offered
-	old    []offered
-	tally  map[string]int
-	wg     *sync.WaitGroup
+type numberingClient struct {
+	w        *World
+	name     string
+	topics   []string
+	rng      *rand.Rand
+	mu       sync.Mutex
+	node     string
+	pending  map[uint64]numberedMessage
+	accepted []numberedMessage
+	outcomes map[string]int
+	inFlight *sync.WaitGroup
 }
 
-func (v *offerer) offer(m offered, through string) {
+func (v *numberingClient) submit(message numberedMessage, through string) {
 	n := v.w.Machines[through].Node()
 	if n == nil {
 		return
 	}
-	v.w.History.Try(m.Message)
-	v.w.History.Send(m.Message, m.body, false, time.Now())
-	p := partition.Of(m.Topic, false, n.VoterSet().Layout)
-	v.wg.Add(1)
-	n.Clients.Router.SubmitAsync(v.w.ctx, p, &leader.Message{Client: v.name, Topic: m.Topic, CallSeq: m.Call, Body: []byte(m.body)}, time.Now().Add(time.Second), func(d *leader.Decision, err error) {
-		defer v.wg.Done()
-		v.complete(m, d, err)
+	v.w.History.Try(message.Message)
+	v.w.History.Send(message.Message, message.body, false, time.Now())
+	partitionID := partition.Of(message.Topic, false, n.VoterSet().Layout)
+	v.inFlight.Add(1)
+	n.Clients.Router.SubmitAsync(v.w.ctx, partitionID, &leader.Message{Client: v.name, Topic: message.Topic, CallSeq: message.Call, Body: []byte(message.body)}, time.Now().Add(time.Second), func(decision *leader.Decision, err error) {
+		defer v.inFlight.Done()
+		v.complete(message, decision, err)
 	})
 }
 
-func (v *offerer) complete(m offered, d *leader.Decision, err error) {
+func (v *numberingClient) complete(message numberedMessage, decision *leader.Decision, err error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	k := string(apierror.From(err).Code)
+	outcome := string(apierror.From(err).Code)
 	if err == nil {
-		k = map[bool]string{false: "taken", true: "repeat"}[d.Duplicate]
-		v.w.History.AcceptMessage(m.Message, d.Partition, d.Offset, time.Now())
-		if _, ok := v.open[m.Call]; ok {
-			v.old = append(v.old, m)
+		outcome = map[bool]string{false: "taken", true: "repeat"}[decision.Duplicate]
+		v.w.History.AcceptMessage(message.Message, decision.Partition, decision.Offset, time.Now())
+		if _, ok := v.pending[message.Call]; ok {
+			v.accepted = append(v.accepted, message)
 		}
-		delete(v.open, m.Call)
+		delete(v.pending, message.Call)
 	}
-	v.tally[k]++
-	if err != nil && promises[apierror.From(err).Code] {
-		v.w.History.Reject(m.Message)
-		delete(v.open, m.Call)
+	v.outcomes[outcome]++
+	if err != nil && finalRejections[apierror.From(err).Code] {
+		v.w.History.Reject(message.Message)
+		delete(v.pending, message.Call)
 	}
 	if apierror.HasCode(err, apierror.CallPassed) {
-		v.w.History.Pass(m.Message)
+		v.w.History.Pass(message.Message)
 	}
-	if err != nil && !promises[apierror.From(err).Code] && !apierror.HasCode(err, apierror.OutcomeUnknown) {
-		v.w.History.Violate(history.Lost, "%v was told %v", m.Message, err)
+	if err != nil && !finalRejections[apierror.From(err).Code] && !apierror.HasCode(err, apierror.OutcomeUnknown) {
+		v.w.History.Violate(history.Lost, "%v was told %v", message.Message, err)
 	}
 }
 
 // run sends until ctx ends.
-func (v *offerer) run(ctx context.Context, nodes []string) {
+func (v *numberingClient) run(ctx context.Context, nodes []string) {
 	for call := uint64(0); ctx.Err() == nil; {
-		time.Sleep(time.Duration(10+v.r.IntN(50)) * time.Millisecond)
+		time.Sleep(time.Duration(10+v.rng.IntN(50)) * time.Millisecond)
 		v.mu.Lock()
 		node := v.node
-		var again []offered
-		moved := v.r.IntN(40) == 0
-		if moved {
-			v.node = nodes[v.r.IntN(len(nodes))]
+		var again []numberedMessage
+		isMoved := v.rng.IntN(40) == 0
+		if isMoved {
+			v.node = nodes[v.rng.IntN(len(nodes))]
 			node = v.node
 		}
-		for c, m := range v.open {
-			if time.Since(m.at) > 4*time.Second {
-				delete(v.open, c)
-			} else if moved || v.r.IntN(12) == 0 {
-				again = append(again, m)
+		for callSeq, message := range v.pending {
+			if time.Since(message.sentAt) > 4*time.Second {
+				delete(v.pending, callSeq)
+			} else if isMoved || v.rng.IntN(12) == 0 {
+				again = append(again, message)
 			}
 		}
-		for len(v.old) > 0 && time.Since(v.old[0].at) > 10*time.Second {
-			v.old = v.old[1:]
+		for len(v.accepted) > 0 && time.Since(v.accepted[0].sentAt) > 10*time.Second {
+			v.accepted = v.accepted[1:]
 		}
-		if n := len(v.old); n > 0 && v.r.IntN(6) == 0 {
-			again = append(again, v.old[v.r.IntN(n)])
+		if n := len(v.accepted); n > 0 && v.rng.IntN(6) == 0 {
+			again = append(again, v.accepted[v.rng.IntN(n)])
 		}
-		full := len(v.open) >= 8
-		var next offered
+		full := len(v.pending) >= 8
+		var next numberedMessage
 		if !full {
-			call += 1 + uint64(v.r.IntN(3))
-			t := v.topics[v.r.IntN(len(v.topics))]
-			next = offered{history.Message{Topic: t, From: v.name, Call: call}, fmt.Sprintf(`"%s %s %d"`, v.name, t, call), time.Now()}
-			v.open[call] = next
+			call += 1 + uint64(v.rng.IntN(3))
+			topic := v.topics[v.rng.IntN(len(v.topics))]
+			next = numberedMessage{history.Message{Topic: topic, From: v.name, Call: call}, fmt.Sprintf(`"%s %s %d"`, v.name, topic, call), time.Now()}
+			v.pending[call] = next
 		}
 		v.mu.Unlock()
-		for _, m := range again {
-			v.offer(m, node)
+		for _, message := range again {
+			v.submit(message, node)
 		}
 		if !full {
-			v.offer(next, node)
+			v.submit(next, node)
 		}
 	}
 }
 
 // whole reads all that a partition's ledger holds.
-func whole(t *testing.T, w *World, p int, topics map[string]bool) []history.Receipt {
+func readPartition(t *testing.T, w *World, partitionID int, topics map[string]bool) []history.Receipt {
 	t.Helper()
 	var got []history.Receipt
-	for at := uint64(0); ; {
-		r, err := w.Machines["a1"].Node().Clients.Router.Read(w.ctx, p, at, 0)
+	for offset := uint64(0); ; {
+		page, err := w.Machines["a1"].Node().Clients.Router.Read(w.ctx, partitionID, offset, 0)
 		assert.NilError(t, err)
-		if len(r.Entries) == 0 {
+		if len(page.Entries) == 0 {
 			return got
 		}
-		for _, e := range r.Entries {
-			if e.Type == log.TypeMessage && topics[e.Topic] {
-				got = append(got, history.Receipt{Message: history.Message{Topic: e.Topic, From: e.Client, Call: e.CallSeq}, Body: string(e.Body), Partition: p, Offset: e.Offset, At: time.Now()})
+		for _, entry := range page.Entries {
+			if entry.Type == log.TypeMessage && topics[entry.Topic] {
+				got = append(got, history.Receipt{Message: history.Message{Topic: entry.Topic, From: entry.Client, Call: entry.CallSeq}, Body: string(entry.Body), Partition: partitionID, Offset: entry.Offset, At: time.Now()})
 			}
 		}
-		at = r.To
+		offset = page.To
 	}
 }
 
@@ -148,80 +148,80 @@
 // too, while batches and answers are lost, held up or late beyond their caller's patience, and
 // owners change. The ledger's order rises, what was told to be taken stands where it was told, and
 // nothing that was turned away for good, or at every try, stands anywhere.
-func TestOfferedInOrder(t *testing.T) {
+func TestSubmittedInOrder(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(4)) {
-		stand(t, siteOf(seed), 900+seed, func(t *testing.T, w *World) {
-			described(t, w)
+		runFleet(t, siteOf(seed), 900+seed, func(t *testing.T, w *World) {
+			applyConfiguration(t, w)
 			w.Watch()
 			topics := []string{"kept/t0", "kept/t1", "kept/t2", "kept/t3"}
-			here := map[string]bool{}
-			parts := map[int]bool{}
-			for _, x := range topics {
-				here[x] = true
-				parts[partition.Of(x, false, w.Machines["a1"].Node().VoterSet().Layout)] = true
+			isMeasured := map[string]bool{}
+			partitionIDs := map[int]bool{}
+			for _, topic := range topics {
+				isMeasured[topic] = true
+				partitionIDs[partition.Of(topic, false, w.Machines["a1"].Node().VoterSet().Layout)] = true
 			}
-			many := func(x Point) bool { return x.Path == router.SubmitMany.Path }
-			begun := time.Now()
+			isSubmitMany := func(call Point) bool { return call.Path == router.SubmitMany.Path }
+			start := time.Now()
 			ctx, stop := context.WithCancel(w.ctx)
 			var wg, open sync.WaitGroup
 			tally := map[string]int{}
-			var vs []*offerer
+			var simulated []*numberingClient
 			for i := range 5 {
-				r := rand.New(rand.NewPCG(seed, uint64(i)))
-				v := &offerer{w: w, name: fmt.Sprintf("v%d", i), topics: topics, r: r, node: "a1", open: map[uint64]offered{}, tally: map[string]int{}, wg: &open}
-				vs = append(vs, v)
-				wg.Go(func() { v.run(ctx, []string{"a1", "c1", "c2", "s1"}) })
+				rng := rand.New(rand.NewPCG(seed, uint64(i)))
+				client := &numberingClient{w: w, name: fmt.Sprintf("v%d", i), topics: topics, rng: rng, node: "a1", pending: map[uint64]numberedMessage{}, outcomes: map[string]int{}, inFlight: &open}
+				simulated = append(simulated, client)
+				wg.Go(func() { client.run(ctx, []string{"a1", "c1", "c2", "s1"}) })
 			}
-			holds := 0
-			var lates atomic.Int64
-			plan := rand.New(rand.NewPCG(seed, 99)).Perm(6)
-			for i := 0; time.Since(begun) < 26*time.Second; i++ {
+			paused := 0
+			var disturbed atomic.Int64
+			faultOrder := rand.New(rand.NewPCG(seed, 99)).Perm(6)
+			for i := 0; time.Since(start) < 26*time.Second; i++ {
 				time.Sleep(time.Duration(500+w.Int(500)) * time.Millisecond)
-				o := w.records()[partition.Of(topics[w.Int(len(topics))], false, w.Machines["a1"].Node().VoterSet().Layout)].Leader
-				switch plan[i%len(plan)] {
+				leaderNode := w.records()[partition.Of(topics[w.Int(len(topics))], false, w.Machines["a1"].Node().VoterSet().Layout)].Leader
+				switch faultOrder[i%len(faultOrder)] {
 				case 0:
-					end := w.InterceptCalls(func(x Point) CallFault {
-						if !many(x) || x.Stage != Asking || w.Int(3) > 0 {
+					end := w.InterceptCalls(func(call Point) CallFault {
+						if !isSubmitMany(call) || call.Stage != Asking || w.Int(3) > 0 {
 							return CallFault{}
 						}
-						lates.Add(1)
+						disturbed.Add(1)
 						return []CallFault{{Lose: true}, {Delay: time.Duration(w.Int(2000)) * time.Millisecond}, {Duplicate: time.Duration(1+w.Int(4000)) * time.Millisecond}}[w.Int(3)]
 					})
 					time.Sleep(2 * time.Second)
 					end()
 				case 1:
-					release, hits := w.PauseCalls(func(x Point) bool { return many(x) && x.Stage == Answering && w.Int(2) == 0 })
+					release, hits := w.PauseCalls(func(call Point) bool { return isSubmitMany(call) && call.Stage == Answering && w.Int(2) == 0 })
 					time.Sleep(time.Duration(200+w.Int(1800)) * time.Millisecond)
 					release()
-					holds += hits()
+					paused += hits()
 				case 2:
 					w.Lose(0.1)
 					time.Sleep(2 * time.Second)
 					w.Lose(0)
 				case 3:
-					if o != "" && w.Machines[o].Up() {
-						w.Kill(o)
+					if leaderNode != "" && w.Machines[leaderNode].Up() {
+						w.Kill(leaderNode)
 						assert.NilError(t, w.WaitUntil(8*time.Second, "another owner", func() bool {
-							for _, r := range w.records() {
-								if r.Leader == o {
+							for _, record := range w.records() {
+								if record.Leader == leaderNode {
 									return false
 								}
 							}
 							return true
 						}))
 						time.Sleep(time.Second)
-						assert.NilError(t, w.Start(o))
+						assert.NilError(t, w.Start(leaderNode))
 					}
 				case 4:
-					if o != "" && w.Machines[o].Up() {
-						w.Freeze(o)
+					if leaderNode != "" && w.Machines[leaderNode].Up() {
+						w.Freeze(leaderNode)
 						time.Sleep(3 * time.Second)
-						w.Thaw(o)
+						w.Thaw(leaderNode)
 					}
 				case 5:
-					if o != "" && w.Machines[o].Up() {
-						w.Isolate(o)
+					if leaderNode != "" && w.Machines[leaderNode].Up() {
+						w.Isolate(leaderNode)
 						time.Sleep(3 * time.Second)
 						w.Heal()
 					}
@@ -231,17 +231,17 @@
 			wg.Wait()
 			open.Wait()
 			assert.NilError(t, w.WaitReady(20*time.Second))
-			book := history.Reading{Through: "the owners", Topics: here, Since: begun}
-			for p := range parts {
-				book.Got = append(book.Got, whole(t, w, p, here)...)
+			reading := history.Reading{Through: "the owners", Topics: isMeasured, Since: start}
+			for partitionID := range partitionIDs {
+				reading.Got = append(reading.Got, readPartition(t, w, partitionID, isMeasured)...)
 			}
-			w.History.Reread(book)
-			for _, v := range vs {
-				for k, n := range v.tally {
-					tally[k] += n
+			w.History.Reread(reading)
+			for _, client := range simulated {
+				for outcome, count := range client.outcomes {
+					tally[outcome] += count
 				}
 			}
-			t.Logf("seed %d: %v, %d late, %d held, %d terms", seed, tally, lates.Load(), holds, w.History.Terms())
+			t.Logf("seed %d: %v, %d late, %d held, %d terms", seed, tally, disturbed.Load(), paused, w.History.Terms())
 			assert.Assert(t, tally["taken"] > 500 && tally["repeat"] > 20 && tally["call_passed"] > 0, "void: %v", tally)
 			assert.Assert(t, w.History.Terms() > len(w.records()), "void: no owner changed")
 		})
--- a/internal/testing/sim/orders_test.go
+++ b/internal/testing/sim/orders_test.go
@@ -23,20 +23,20 @@
 // of it; one that was refused stays refused.
 func TestAnAcceptedOrderIsAcknowledgedAgain(t *testing.T) {
 	t.Parallel()
-	stand(t, Armor, 321, func(t *testing.T, w *World) {
+	runFleet(t, Armor, 321, func(t *testing.T, w *World) {
 		w.Watch()
-		var taken [][]byte
-		for n := range uint64(6) {
-			doc := load.Numbered(2*n, 2*n+2, fmt.Sprint("order ", n))
+		var accepted [][]byte
+		for number := range uint64(6) {
+			doc := load.Numbered(2*number, 2*number+2, fmt.Sprint("order ", number))
 			_, err := w.Put(w.Names[w.Int(len(w.Names))], doc)
 			assert.NilError(t, err)
-			taken = append(taken, doc)
-			for k, again := range taken {
+			accepted = append(accepted, doc)
+			for earlier, again := range accepted {
 				seq, err := w.Put(w.Names[w.Int(len(w.Names))], again)
-				assert.NilError(t, err, "order %d after order %d", k, n)
-				assert.Equal(t, seq, uint64(2*k+2))
+				assert.NilError(t, err, "order %d after order %d", earlier, number)
+				assert.Equal(t, seq, uint64(2*earlier+2))
 			}
-			_, err = w.Put(w.Names[w.Int(len(w.Names))], load.Numbered(2*n, 2*n+2, "another of the same number"))
+			_, err = w.Put(w.Names[w.Int(len(w.Names))], load.Numbered(2*number, 2*number+2, "another of the same number"))
 			assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationConflict), "%v", err)
 		}
 		got, err := w.Machines["s1"].Node().Operators.CurrentConfiguration(w.ctx)
@@ -49,34 +49,34 @@
 // power.
 func TestAcceptedOrdersOutliveEveryVoter(t *testing.T) {
 	t.Parallel()
-	stand(t, spared(Armor, "c1", "c2", "c3"), 322, func(t *testing.T, w *World) {
+	runFleet(t, spared(Armor, "c1", "c2", "c3"), 322, func(t *testing.T, w *World) {
 		first, second := load.Numbered(0, 3, "first"), load.Numbered(3, 4, "second")
 		for _, doc := range [][]byte{first, second} {
 			_, err := w.Put("a1", doc)
 			assert.NilError(t, err)
 		}
-		for _, n := range []string{"c1", "c2", "c3"} {
-			w.Remove(n, n == "c2")
+		for _, name := range []string{"c1", "c2", "c3"} {
+			w.Remove(name, name == "c2")
 			time.Sleep(time.Second)
-			w.Machines[n+"b"].Opts.Seeds = []string{w.Machines["s1"].Opts.PeerListen}
-			assert.NilError(t, w.Add(n+"b"))
-			assert.NilError(t, w.WaitUntil(60*time.Second, n+"b has a seat", func() bool {
-				x := w.Machines["a1"].Node().VoterSet()
-				_, ok := x.Voter(n + "b")
-				_, old := x.Voter(n)
+			w.Machines[name+"b"].Opts.Seeds = []string{w.Machines["s1"].Opts.PeerListen}
+			assert.NilError(t, w.Add(name+"b"))
+			assert.NilError(t, w.WaitUntil(60*time.Second, name+"b has a seat", func() bool {
+				voterSet := w.Machines["a1"].Node().VoterSet()
+				_, ok := voterSet.Voter(name + "b")
+				_, old := voterSet.Voter(name)
 				return ok && !old
 			}))
 			time.Sleep(w.Site.Timing.Recovery)
 		}
-		for _, n := range w.Present() {
-			w.LosePower(n, w.Int(2) == 0)
-			w.Machines[n].Opts.Seeds = []string{w.Machines["c1b"].Opts.PeerListen, w.Machines["c3b"].Opts.PeerListen}
+		for _, name := range w.Present() {
+			w.LosePower(name, w.Int(2) == 0)
+			w.Machines[name].Opts.Seeds = []string{w.Machines["c1b"].Opts.PeerListen, w.Machines["c3b"].Opts.PeerListen}
 		}
 		assert.NilError(t, w.Start(w.Present()...))
 		assert.NilError(t, w.WaitReady(30*time.Second))
-		for _, n := range w.Present() {
-			seq, err := w.Put(n, first)
-			assert.NilError(t, err, "through %s", n)
+		for _, name := range w.Present() {
+			seq, err := w.Put(name, first)
+			assert.NilError(t, err, "through %s", name)
 			assert.Equal(t, seq, uint64(3))
 		}
 		_, err := w.Put("a1", load.Numbered(0, 3, "other"))
@@ -87,35 +87,35 @@
 // simulatedOperator sends orders as the users' operators do: on what it read, again to other nodes
 // until it has a clear answer.
 type simulatedOperator struct {
-	w       *World
-	rng     *rand.Rand
-	name    string
-	history *orders.History
-	lost    float64
-	sent    []orders.Order
+	w            *World
+	rng          *rand.Rand
+	name         string
+	history      *orders.History
+	lostFraction float64
+	sent         []orders.Order
 	// only are the nodes that the operator reaches, all when empty.
-	only []string
+	reachable []string
 }
 
 func (o *simulatedOperator) node() string {
-	if len(o.only) > 0 {
-		return o.only[o.rng.IntN(len(o.only))]
+	if len(o.reachable) > 0 {
+		return o.reachable[o.rng.IntN(len(o.reachable))]
 	}
 	return o.w.Names[o.rng.IntN(len(o.w.Names))]
 }
 
 // patience is how long an operator waits for one answer.
-const patience = time.Second
+const operatorTimeout = time.Second
 
 // triesMost bounds how often one order is sent.
-const triesMost = 12
+const maxAttempts = 12
 
 func (o *simulatedOperator) read() (orders.Order, bool) {
 	var got orders.Order
 	call := time.Now()
-	err := o.w.ask(o.node(), patience, func(ctx context.Context, n *node.Node) error {
-		d, err := n.Operators.CurrentConfiguration(ctx)
-		got = orders.Order{Base: d.Base, Sequence: d.Sequence, ID: d.Source}
+	err := o.w.ask(o.node(), operatorTimeout, func(ctx context.Context, running *node.Node) error {
+		config, err := running.Operators.CurrentConfiguration(ctx)
+		got = orders.Order{Base: config.Base, Sequence: config.Sequence, ID: config.Source}
 		return err
 	})
 	switch {
@@ -129,15 +129,15 @@
 }
 
 // send sends an order once. An answer that is lost on its way is none.
-func (o *simulatedOperator) send(x orders.Order) orders.Outcome {
+func (o *simulatedOperator) send(order orders.Order) orders.Outcome {
 	call := time.Now()
-	doc := load.Numbered(x.Base, x.Sequence, x.ID)
-	err := o.w.ask(o.node(), patience, func(ctx context.Context, n *node.Node) error {
-		d, err := configuration.Parse(doc)
+	doc := load.Numbered(order.Base, order.Sequence, order.ID)
+	err := o.w.ask(o.node(), operatorTimeout, func(ctx context.Context, running *node.Node) error {
+		config, err := configuration.Parse(doc)
 		if err != nil {
 			return err
 		}
-		_, err = n.Operators.Replace(ctx, d)
+		_, err = running.Operators.Replace(ctx, config)
 		return err
 	})
 	outcome := orders.Unclear
@@ -147,10 +147,10 @@
 	case apierror.HasCode(err, apierror.ConfigurationConflict):
 		outcome = orders.Refused
 	}
-	if o.rng.Float64() < o.lost {
+	if o.rng.Float64() < o.lostFraction {
 		outcome = orders.Unclear
 	}
-	o.history.Tried(x, outcome, call, time.Now())
+	o.history.Tried(order, outcome, call, time.Now())
 	return outcome
 }
 
@@ -159,10 +159,10 @@
 	if !ok {
 		return
 	}
-	x := orders.Order{Base: cur.Sequence, Sequence: cur.Sequence + 1 + o.rng.Uint64N(3), ID: fmt.Sprint(o.name, " ", number)}
-	o.sent = append(o.sent, x)
-	for range triesMost {
-		if o.send(x) != orders.Unclear {
+	order := orders.Order{Base: cur.Sequence, Sequence: cur.Sequence + 1 + o.rng.Uint64N(3), ID: fmt.Sprint(o.name, " ", number)}
+	o.sent = append(o.sent, order)
+	for range maxAttempts {
+		if o.send(order) != orders.Unclear {
 			return
 		}
 		time.Sleep(time.Duration(o.rng.IntN(200)) * time.Millisecond)
@@ -171,105 +171,105 @@
 
 // run sends orders until ctx ends; now and then one that was sent long ago is sent again.
 func (o *simulatedOperator) run(ctx context.Context) {
-	for n := 0; ctx.Err() == nil; n++ {
+	for number := 0; ctx.Err() == nil; number++ {
 		if len(o.sent) > 0 && o.rng.IntN(4) == 0 {
 			o.send(o.sent[o.rng.IntN(len(o.sent))])
 		}
-		o.order(n)
+		o.order(number)
 		time.Sleep(time.Duration(o.rng.IntN(400)) * time.Millisecond)
 	}
 }
 
 // controlTrouble brings one trouble about at a control node, and gives what ends it.
-type controlTrouble struct {
+type controlFault struct {
 	name  string
-	begin func(w *World, n string) (end func())
+	begin func(w *World, name string) (end func())
 }
 
-var controlTroubles = []controlTrouble{
-	{"killed", func(w *World, n string) func() {
-		w.Kill(n)
-		return func() { _ = w.Start(n) }
+var controlFaults = []controlFault{
+	{"killed", func(w *World, name string) func() {
+		w.Kill(name)
+		return func() { _ = w.Start(name) }
 	}},
-	{"power", func(w *World, n string) func() {
-		w.LosePower(n, true)
-		return func() { _ = w.Start(n) }
+	{"power", func(w *World, name string) func() {
+		w.LosePower(name, true)
+		return func() { _ = w.Start(name) }
 	}},
-	{"frozen", func(w *World, n string) func() {
-		w.Freeze(n)
-		return func() { w.Thaw(n) }
+	{"frozen", func(w *World, name string) func() {
+		w.Freeze(name)
+		return func() { w.Thaw(name) }
 	}},
-	{"cut", func(w *World, n string) func() {
-		w.Isolate(n)
+	{"cut", func(w *World, name string) func() {
+		w.Isolate(name)
 		return w.Heal
 	}},
-	{"cut one way", func(w *World, n string) func() {
-		for _, k := range w.Names {
-			if k != n {
-				w.Cut(n, k)
+	{"cut one way", func(w *World, name string) func() {
+		for _, other := range w.Names {
+			if other != name {
+				w.Cut(name, other)
 			}
 		}
 		return w.Heal
 	}},
-	{"cut from the core", func(w *World, n string) func() {
-		for _, k := range w.Names {
-			if k != n && k[0] == 'c' {
-				w.Cut(n, k)
-				w.Cut(k, n)
+	{"cut from the core", func(w *World, name string) func() {
+		for _, other := range w.Names {
+			if other != name && other[0] == 'c' {
+				w.Cut(name, other)
+				w.Cut(other, name)
 			}
 		}
 		return w.Heal
 	}},
-	{"wiped", func(w *World, n string) func() {
-		w.Wipe(n)
-		return func() { _ = w.Start(n) }
+	{"wiped", func(w *World, name string) func() {
+		w.Wipe(name)
+		return func() { _ = w.Start(name) }
 	}},
 }
 
 // Three operators send orders with most answers lost, while the key's holder and other control
 // nodes are killed, frozen, cut off and wiped. What they were answered is linearizable.
-func TestOperatorsAreAnsweredAsByOneRegister(t *testing.T) {
+func TestOperatorsSeeOneLinearizableRegister(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for seed := range uint64(seeds(8)) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			h := operated(t, siteOf(seed), 900+seed, 60*time.Second)
-			n := h.Count()
-			assert.Assert(t, n[orders.Acknowledged] > 10 && n[orders.Refused] > 3 && n[orders.Unclear] > 20, "void: %v", n)
-			assert.Assert(t, h.Linearizable(), "%v", n)
+			history := runOperators(t, siteOf(seed), 900+seed, 60*time.Second)
+			counts := history.Count()
+			assert.Assert(t, counts[orders.Acknowledged] > 10 && counts[orders.Refused] > 3 && counts[orders.Unclear] > 20, "void: %v", counts)
+			assert.Assert(t, history.Linearizable(), "%v", counts)
 		})
 	}
 }
 
 // operated runs operators for a while under control troubles.
-func operated(t *testing.T, s Site, seed uint64, span time.Duration) (h *orders.History) {
+func runOperators(t *testing.T, site Site, seed uint64, span time.Duration) (history *orders.History) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := New(s, seed, Logger())
+		w := New(site, seed, Logger())
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
 		assert.NilError(t, w.WaitReady(20*time.Second))
-		h = orders.New(time.Now())
+		history = orders.New(time.Now())
 		ctx, stop := context.WithTimeout(w.ctx, span)
 		defer stop()
 		var all sync.WaitGroup
-		for k := range 3 {
-			o := &simulatedOperator{w: w, rng: rand.New(rand.NewPCG(seed, uint64(k))), name: fmt.Sprint("operator ", k), history: h, lost: 0.5}
-			all.Go(func() { o.run(ctx) })
+		for index := range 3 {
+			simulated := &simulatedOperator{w: w, rng: rand.New(rand.NewPCG(seed, uint64(index))), name: fmt.Sprint("operator ", index), history: history, lostFraction: 0.5}
+			all.Go(func() { simulated.run(ctx) })
 		}
-		w.troubleControl(ctx, rand.New(rand.NewPCG(seed, 99)))
+		w.injectControlFaults(ctx, rand.New(rand.NewPCG(seed, 99)))
 		all.Wait()
 	})
-	return h
+	return history
 }
 
 // troubleControl brings troubles about at control nodes, one at a time, until ctx ends.
-func (w *World) troubleControl(ctx context.Context, rng *rand.Rand) {
-	control := slices.DeleteFunc(w.Present(), func(n string) bool { return n[0] != 'c' })
+func (w *World) injectControlFaults(ctx context.Context, rng *rand.Rand) {
+	control := slices.DeleteFunc(w.Present(), func(name string) bool { return name[0] != 'c' })
 	for ctx.Err() == nil {
-		x := controlTroubles[rng.IntN(len(controlTroubles))]
-		end := x.begin(w, control[rng.IntN(len(control))])
+		fault := controlFaults[rng.IntN(len(controlFaults))]
+		end := fault.begin(w, control[rng.IntN(len(control))])
 		time.Sleep(time.Duration(500+rng.IntN(5000)) * time.Millisecond)
 		end()
 		time.Sleep(time.Duration(3000+rng.IntN(4000)) * time.Millisecond)
@@ -278,20 +278,20 @@
 
 // A register that an older build wrote remembers nothing but its current description: orders from
 // before it have no clear answer, and are not refused.
-func TestOrdersFromBeforeTheLogHaveNoClearAnswer(t *testing.T) {
+func TestOrdersFromBeforeTheLogHaveAnUnknownOutcome(t *testing.T) {
 	t.Parallel()
-	stand(t, Armor, 323, func(t *testing.T, w *World) {
-		for n := range uint64(2) {
-			_, err := w.Put("a1", load.Numbered(n, n+1, "old"))
+	runFleet(t, Armor, 323, func(t *testing.T, w *World) {
+		for number := range uint64(2) {
+			_, err := w.Put("a1", load.Numbered(number, number+1, "old"))
 			assert.NilError(t, err)
 		}
-		op := w.Machines["c1"].Node().Operators
-		v, err := op.Client.Read(w.ctx, "description")
+		operators := w.Machines["c1"].Node().Operators
+		value, err := operators.Client.Read(w.ctx, "description")
 		assert.NilError(t, err)
-		assert.Assert(t, len(v.Metadata) > 0)
-		var d configuration.Config
-		assert.NilError(t, json.Unmarshal(v.Body, &d))
-		_, err = op.Client.Change(w.ctx, "description", v.Version, "an older build", v.Body)
+		assert.Assert(t, len(value.Metadata) > 0)
+		var config configuration.Config
+		assert.NilError(t, json.Unmarshal(value.Body, &config))
+		_, err = operators.Client.Change(w.ctx, "description", value.Version, "an older build", value.Body)
 		assert.NilError(t, err)
 		_, err = w.Put("c2", load.Numbered(1, 2, "old"))
 		assert.NilError(t, err, "the current one is known")
--- a/internal/testing/sim/owner_test.go
+++ b/internal/testing/sim/owner_test.go
@@ -86,8 +86,8 @@
 
 func TestOldAttachmentCannotSendOnceANewerOneDid(t *testing.T) {
 	t.Parallel()
-	stand(t, Armor, 22, func(t *testing.T, w *World) {
-		described(t, w)
+	runFleet(t, Armor, 22, func(t *testing.T, w *World) {
+		applyConfiguration(t, w)
 		old := attach(t, w, "a1", "v")
 		now := attach(t, w, "c1", "v")
 		_, err := w.Port("c2").Send(w.ctx, old.Token, "kept/t0", 1, []byte(`1`))
@@ -124,8 +124,8 @@
 
 func TestReturningWithinTheKeepingTimeMissesNothing(t *testing.T) {
 	t.Parallel()
-	stand(t, Armor, 23, func(t *testing.T, w *World) {
-		described(t, w)
+	runFleet(t, Armor, 23, func(t *testing.T, w *World) {
+		applyConfiguration(t, w)
 		v, s := attach(t, w, "a1", "listener"), attach(t, w, "c1", "sender")
 		topics := []string{"kept/t0"}
 		_, cursor, _ := follow(w, "a1", v.Token, "", topics, time.Second)
@@ -163,7 +163,7 @@
 // count.
 func TestFencedLeaderAndFollowerDecideNothing(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	play(t, Traductores, 24, Traductores.Timing.Recovery, func(_ *testing.T, w *World) {
 		for range 2 {
 			o := busiest(w)
--- a/internal/testing/sim/points_test.go
+++ b/internal/testing/sim/points_test.go
@@ -21,10 +21,10 @@
 	"postjunction/internal/wire"
 )
 
-func (w *World) leaderOf(key string) string {
-	for _, n := range w.Names {
-		if x := w.Machines[n].Node(); x != nil && x.LeadsKey(key) {
-			return n
+func (w *World) keyLeader(key string) string {
+	for _, name := range w.Names {
+		if node := w.Machines[name].Node(); node != nil && node.LeadsKey(key) {
+			return name
 		}
 	}
 	return "c1"
@@ -33,134 +33,134 @@
 // decider gives the control node that holds the description's key, as a majority says, and the
 // description that stands. Where nobody holds it, as after the voters changed, a description that
 // is put makes a holder.
-func decider(t *testing.T, w *World) (who string, seq uint64) {
+func configurationLeader(t *testing.T, w *World) (who string, seq uint64) {
 	t.Helper()
 	assert.NilError(t, w.WaitUntil(30*time.Second, "void: one control node holds the description", func() bool {
-		for _, n := range w.Names {
-			x := w.Machines[n].Node()
-			if x == nil || !x.LeadsKey(quorumread.ConfigurationKey) {
+		for _, name := range w.Names {
+			node := w.Machines[name].Node()
+			if node == nil || !node.LeadsKey(quorumread.ConfigurationKey) {
 				continue
 			}
-			if at, err := w.current(n); err == nil && x.LeadsKey(quorumread.ConfigurationKey) {
-				who, seq = n, at
+			if sequence, err := w.currentSequence(name); err == nil && node.LeadsKey(quorumread.ConfigurationKey) {
+				who, seq = name, sequence
 				return true
 			}
 		}
-		if at, err := w.current("c1"); err == nil {
-			_, _ = w.Put("c1", load.Describe(at))
+		if sequence, err := w.currentSequence("c1"); err == nil {
+			_, _ = w.Put("c1", load.Describe(sequence))
 		}
 		return false
 	}))
 	return who, seq
 }
 
-func (w *World) current(n string) (uint64, error) {
+func (w *World) currentSequence(node string) (uint64, error) {
 	ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Recovery)
 	defer stop()
-	return w.Port(n).Get(ctx)
+	return w.Port(node).Get(ctx)
 }
 
 // deciding tells whether a call asks a voter to accept a description.
-func deciding(x Point) bool {
-	var q acceptor.AcceptRequest
-	return x.Path == acceptor.Accept.Path && wire.Unmarshal(x.Body, &q) == nil && q.Key == quorumread.ConfigurationKey
+func acceptsConfiguration(call Point) bool {
+	var request acceptor.AcceptRequest
+	return call.Path == acceptor.Accept.Path && wire.Unmarshal(call.Body, &request) == nil && request.Key == quorumread.ConfigurationKey
 }
 
-func on(path, stage string) func(x Point) bool {
-	return func(x Point) bool { return x.Path == path && x.Stage == stage }
+func atStage(path, stage string) func(call Point) bool {
+	return func(call Point) bool { return call.Path == path && call.Stage == stage }
 }
 
-func owning(f func(x Point) bool) func(who string, x Point) bool {
-	return func(who string, x Point) bool { return x.From == who && f(x) }
+func sentBy(f func(x Point) bool) func(who string, x Point) bool {
+	return func(who string, call Point) bool { return call.From == who && f(call) }
 }
 
-func serving(f func(x Point) bool) func(who string, x Point) bool {
-	return func(who string, x Point) bool { return x.To == who && f(x) }
+func handledBy(f func(x Point) bool) func(who string, x Point) bool {
+	return func(who string, call Point) bool { return call.To == who && f(call) }
 }
 
 var placementKey = []byte(controller.Key)
 
-func appending(x Point) (replica.AppendRequest, bool) {
-	var q replica.AppendRequest
-	return q, x.Path == replica.Append.Path && wire.Unmarshal(x.Body, &q) == nil
+func appendRequest(call Point) (replica.AppendRequest, bool) {
+	var request replica.AppendRequest
+	return request, call.Path == replica.Append.Path && wire.Unmarshal(call.Body, &request) == nil
 }
 
-func late(x Point) bool {
-	q, ok := appending(x)
+func appendsChangelog(call Point) bool {
+	q, ok := appendRequest(call)
 	return ok && q.Kind == log.KindChangelog
 }
 
 // points are the places in a decision's way at which whoever decides is held up while its sessions
 // lapse and others go on.
-var points = map[string]struct {
-	restart bool
-	arrive  bool
-	control bool
-	at      func(who string, x Point) bool
+var pausePoints = map[string]struct {
+	restart    bool
+	newClients bool
+	control    bool
+	matches    func(who string, call Point) bool
 }{
-	"judged, not appended":        {at: owning(on(replica.Append.Path, Asking))},
-	"appended, answers under way": {at: owning(on(replica.Append.Path, Answering))},
-	"sealing, not adopted": {restart: true, at: owning(func(x Point) bool {
-		return (x.Path == replica.Append.Path || x.Path == replica.Fetch.Path) && x.Stage == Asking
+	"judged, not appended":        {matches: sentBy(atStage(replica.Append.Path, Asking))},
+	"appended, answers under way": {matches: sentBy(atStage(replica.Append.Path, Answering))},
+	"sealing, not adopted": {restart: true, matches: sentBy(func(call Point) bool {
+		return (call.Path == replica.Append.Path || call.Path == replica.Fetch.Path) && call.Stage == Asking
 	})},
-	"sealed, answers under way": {restart: true, at: owning(on(replica.Seal.Path, Answering))},
-	"batch, not offset": {at: owning(func(x Point) bool {
-		return x.Stage == Answering && late(x)
+	"sealed, answers under way": {restart: true, matches: sentBy(atStage(replica.Seal.Path, Answering))},
+	"batch, not offset": {matches: sentBy(func(call Point) bool {
+		return call.Stage == Answering && appendsChangelog(call)
 	})},
-	"copy synced, not answered":   {at: serving(on(replica.Append.Path, Answering))},
-	"taken, not told":             {at: serving(on(router.Submit.Path, Answering))},
-	"vouched, not told":           {at: serving(on(router.ReadAttachment.Path, Answering))},
-	"attached, not told":          {arrive: true, at: serving(on(router.Attach.Path, Answering))},
-	"promised, not accepted":      {control: true, at: owning(on(acceptor.Accept.Path, Asking))},
-	"accepted, answers under way": {control: true, at: owning(on(acceptor.Accept.Path, Answering))},
-	"voter synced, not answered": {control: true, at: serving(func(x Point) bool {
-		return x.Stage == Answering && (x.Path == acceptor.Accept.Path || x.Path == acceptor.Promise.Path) && !bytes.Contains(x.Body, placementKey)
+	"copy synced, not answered":   {matches: handledBy(atStage(replica.Append.Path, Answering))},
+	"taken, not told":             {matches: handledBy(atStage(router.Submit.Path, Answering))},
+	"vouched, not told":           {matches: handledBy(atStage(router.ReadAttachment.Path, Answering))},
+	"attached, not told":          {newClients: true, matches: handledBy(atStage(router.Attach.Path, Answering))},
+	"promised, not accepted":      {control: true, matches: sentBy(atStage(acceptor.Accept.Path, Asking))},
+	"accepted, answers under way": {control: true, matches: sentBy(atStage(acceptor.Accept.Path, Answering))},
+	"voter synced, not answered": {control: true, matches: handledBy(func(call Point) bool {
+		return call.Stage == Answering && (call.Path == acceptor.Accept.Path || call.Path == acceptor.Promise.Path) && !bytes.Contains(call.Body, placementKey)
 	})},
 }
 
 func TestPausedAtEachPointOfADecision(t *testing.T) {
-	for name, p := range points {
+	for name, point := range pausePoints {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			long(t)
+			skipUnderRace(t)
 			for seed := range uint64(seeds(2)) {
 				play(t, siteOf(seed), 200+seed, time.Hour, func(t *testing.T, w *World) {
 					for range 2 {
 						who, base := busiest(w), uint64(0)
 						var decided atomic.Int64
-						if p.control {
-							who, base = decider(t, w)
+						if point.control {
+							who, base = configurationLeader(t, w)
 						}
-						if p.restart {
+						if point.restart {
 							w.Kill(who)
 							time.Sleep(30 * time.Millisecond)
 						}
-						release, hits := w.PauseCalls(func(x Point) bool {
-							if !p.at(who, x) {
+						release, hits := w.PauseCalls(func(call Point) bool {
+							if !point.matches(who, call) {
 								return false
 							}
-							if deciding(x) {
+							if acceptsConfiguration(call) {
 								decided.Add(1)
 							}
 							return true
 						})
-						if p.restart {
+						if point.restart {
 							assert.NilError(t, w.Start(who))
 							assert.NilError(t, w.WaitUntil(10*time.Second, "void: nothing was held at "+name, func() bool { return hits() > 0 }))
 						}
-						lapse, _ := w.PauseCalls(func(x Point) bool {
-							return x.From == who && strings.Contains(x.Path, "Member/Pulse") || x.From == who && strings.Contains(x.Path, "Member/Sessions") || x.To == who && strings.Contains(x.Path, "Member/Sessions")
+						lapse, _ := w.PauseCalls(func(call Point) bool {
+							return call.From == who && strings.Contains(call.Path, "Member/Pulse") || call.From == who && strings.Contains(call.Path, "Member/Sessions") || call.To == who && strings.Contains(call.Path, "Member/Sessions")
 						})
-						if p.arrive {
+						if point.newClients {
 							w.Arrive(4)
 						}
-						if p.control {
+						if point.control {
 							_, _ = w.Put(who, load.Describe(base))
 						}
 						w.Move(0.5)
 						time.Sleep(w.span(60, 80))
 						assert.Assert(t, hits() > 0, "void: nothing was held at %q", name)
-						assert.Assert(t, !p.control || decided.Load() > 0, "void: no decision on the description was held at %q, %s was to make it", name, who)
+						assert.Assert(t, !point.control || decided.Load() > 0, "void: no decision on the description was held at %q, %s was to make it", name, who)
 						release()
 						time.Sleep(time.Duration(w.Int(400)) * time.Millisecond)
 						lapse()
@@ -180,17 +180,17 @@
 		for _, delivered := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, told %v", name, delivered), func(t *testing.T) {
 				t.Parallel()
-				long(t)
+				skipUnderRace(t)
 				for seed := range uint64(seeds(2)) {
 					play(t, siteOf(seed), 220+seed, time.Hour, func(t *testing.T, w *World) {
 						assert.NilError(t, w.WaitUntil(30*time.Second, "every copy and seat is in place", w.whole))
 						found := make(chan string, 1)
-						release, _ := w.PauseCalls(func(x Point) bool {
-							if x.Path != path || x.Stage != Answering || x.From == x.To {
+						release, _ := w.PauseCalls(func(call Point) bool {
+							if call.Path != path || call.Stage != Answering || call.From == call.To {
 								return false
 							}
 							select {
-							case found <- x.To:
+							case found <- call.To:
 								return !delivered
 							default:
 								return false
@@ -201,26 +201,26 @@
 							w.Terminate("s1")
 							w.History.Disturb("stop", time.Now())
 						case "promised":
-							w.Terminate(w.leaderOf(controller.Key))
+							w.Terminate(w.keyLeader(controller.Key))
 						case "accepted":
 							go func() { _, _ = w.Put("a1", load.Describe(1)) }()
 						}
-						var x string
+						var wiped string
 						select {
-						case x = <-found:
+						case wiped = <-found:
 						case <-time.After(20 * time.Second):
 							t.Fatalf("void: no disk was %s", name)
 						}
-						w.Wipe(x)
+						w.Wipe(wiped)
 						release()
 						time.Sleep(w.span(0, 40))
 						var down []string
-						for _, n := range w.Names {
-							if !w.Machines[n].Up() {
-								down = append(down, n)
+						for _, node := range w.Names {
+							if !w.Machines[node].Up() {
+								down = append(down, node)
 							}
 						}
-						assert.Assert(t, slices.Contains(down, x))
+						assert.Assert(t, slices.Contains(down, wiped))
 						assert.NilError(t, w.Start(down...))
 						assert.NilError(t, w.WaitUntil(90*time.Second, "the wiped disk is repaired", w.whole))
 					})
--- /dev/null
+++ b/internal/testing/sim/rejected_test.go
@@ -0,0 +1,48 @@
+package sim
+
+import (
+	"context"
+	"fmt"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"postjunction/internal/apierror"
+)
+
+// Two of three stores are gone for good, so most partitions can't decide. Each call is told so at
+// once, with a time to come back, and not near its deadline; none is told a final no.
+func TestCallsThatNoLeaderCanDecideAreRejectedAtOnce(t *testing.T) {
+	t.Parallel()
+	for seed := range uint64(seeds(3)) {
+		runFleet(t, Armor, 160+seed, func(t *testing.T, w *World) {
+			applyConfiguration(t, w)
+			token := attach(t, w, "a1", "v").Token
+			w.Kill("s1")
+			w.Kill(fmt.Sprintf("s%d", 2+seed%2))
+			time.Sleep(w.Site.Timing.Recovery * 3 / 4)
+			var slowest time.Duration
+			rejected := 0
+			for i := range 3 * load.Topics {
+				for _, node := range []string{"a1", "c2"} {
+					start := time.Now()
+					ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Recovery)
+					_, err := w.Port(node).Send(ctx, token, fmt.Sprintf("kept/t%d", i%load.Topics), 1, []byte(`1`))
+					stop()
+					if err == nil {
+						continue
+					}
+					rejection := apierror.From(err)
+					assert.Assert(t, rejection.RetryAfterMS > 0, "no time to come back: %v", err)
+					assert.Assert(t, rejection.Code == apierror.NoPartitionLeader || rejection.Code == apierror.OutcomeUnknown, "%v", err)
+					rejected++
+					slowest = max(slowest, time.Since(start))
+				}
+			}
+			assert.Assert(t, rejected > 10, "void: %d calls were told to come back", rejected)
+			t.Logf("%d calls told to come back, the last after %s", rejected, slowest)
+			assert.Assert(t, slowest < 2*w.Site.Timing.MaxBackoff()+w.Site.Timing.MaxBackoff()/2, "told after %s", slowest)
+		})
+	}
+}
--- a/internal/testing/sim/renumber_test.go
+++ b/internal/testing/sim/renumber_test.go
@@ -12,10 +12,10 @@
 // number of which an earlier attempt stood in the log of the leader that had been killed.
 func TestSend_MessageUnderANewNumberIsDeliveredOnce(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	load := Load{Topics: 24, LiveTopics: 4, Every: 400 * time.Millisecond}
 	for seed := range uint64(seeds(2)) {
-		tally := entertain(t, hall, 1100+seed, load, 24, func(t *testing.T, w *World, _ *LineClients) {
+		tally := runSessions(t, smallSite, 1100+seed, load, 24, func(t *testing.T, w *World, _ *LineClients) {
 			for range 3 {
 				time.Sleep(w.span(20, 40))
 				stores := w.namesOf("s")
--- a/internal/testing/sim/repair_test.go
+++ b/internal/testing/sim/repair_test.go
@@ -40,11 +40,11 @@
 // loss may come. All copies and its seat are back by then, under load.
 func TestEmptyDisksAreFilledSoon(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for _, away := range []time.Duration{500 * time.Millisecond, 4 * time.Second} {
 		t.Run(away.String(), func(t *testing.T) {
 			t.Parallel()
-			stand(t, busy, 50, func(t *testing.T, w *World) {
+			runFleet(t, busy, 50, func(t *testing.T, w *World) {
 				_, err := w.Put("c1", busyLoad.Describe(0))
 				assert.NilError(t, err)
 				time.Sleep(w.Site.Timing.Spread)
@@ -71,8 +71,8 @@
 // Emptying a store under load takes a few seconds: all its partitions move at once.
 func TestDecommissioningIsSoonDone(t *testing.T) {
 	t.Parallel()
-	long(t)
-	stand(t, busy, 51, func(t *testing.T, w *World) {
+	skipUnderRace(t)
+	runFleet(t, busy, 51, func(t *testing.T, w *World) {
 		_, err := w.Put("c1", busyLoad.Describe(0))
 		assert.NilError(t, err)
 		time.Sleep(w.Site.Timing.Spread)
@@ -92,7 +92,7 @@
 // A store that is down is asked to be emptied: nobody waits for it.
 func TestDecommissioningAStoreThatIsDown(t *testing.T) {
 	t.Parallel()
-	stand(t, Armor, 52, func(t *testing.T, w *World) {
+	runFleet(t, Armor, 52, func(t *testing.T, w *World) {
 		assert.NilError(t, w.WaitUntil(10*time.Second, "every partition has its copies", w.copied))
 		w.Kill("s2")
 		time.Sleep(4 * time.Second)
--- a/internal/testing/sim/replace_test.go
+++ b/internal/testing/sim/replace_test.go
@@ -33,7 +33,7 @@
 // The copies of the first once waited for it for the keeping time, so that two of three were lost.
 func TestReplacedStoreIsMadeGoodBeforeTheNextLoss(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for _, s := range []Site{Armor, Traductores} {
 		for _, how := range []string{"asked", "lost", "planned"} {
 			for seed := range uint64(seeds(2)) {
@@ -71,7 +71,7 @@
 // A store that restarts keeps its copies also while a store stands by that was added some time ago.
 func TestRestartMovesNoCopiesToOneThatStandsBy(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for seed := range uint64(seeds(8)) {
 		away := time.Second + time.Duration(seed%2)*1600*time.Millisecond
 		play(t, spared(Armor, "s2"), 715+seed, Armor.Timing.Recovery, func(t *testing.T, w *World) {
@@ -92,7 +92,7 @@
 // with its disk before a newcomer has caught up.
 func TestRestartMovesNoCopies(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for _, s := range []Site{Armor, Traductores} {
 		play(t, spared(s, "s2"), 710, s.Timing.Recovery, func(t *testing.T, w *World) {
 			before := w.records()
@@ -123,7 +123,7 @@
 // again.
 func TestReplacedVoterIsMadeGoodBeforeTheNextLoss(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for _, s := range []Site{Armor, Traductores} {
 		for _, how := range []string{"asked", "lost", "planned"} {
 			for seed := range uint64(seeds(2)) {
@@ -159,7 +159,7 @@
 // seat beside another that is replaced.
 func TestVotersThatAreBackAreVotersAgain(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for seed := range uint64(seeds(3)) {
 		play(t, spared(Traductores, "c2"), 740+seed, Traductores.Timing.Recovery, func(t *testing.T, w *World) {
 			w.LosePower("c2", true)
--- a/internal/testing/sim/restart_test.go
+++ b/internal/testing/sim/restart_test.go
@@ -19,11 +19,11 @@
 // for the holder of the placement duty once waited for each other until a sweep, 8.75 s later.
 func TestWholeFleetIsBackWellInsideTheBound(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	var most time.Duration
 	for seed := range uint64(seeds(12)) {
-		stand(t, siteOf(seed), 80+seed, func(t *testing.T, w *World) {
-			described(t, w)
+		runFleet(t, siteOf(seed), 80+seed, func(t *testing.T, w *World) {
+			applyConfiguration(t, w)
 			for i := range w.Site.Control {
 				c := fmt.Sprintf("c%d", i+1)
 				if m := w.Machines[c]; !m.Node().IsPlacementController() && w.Int(2) == 0 {
@@ -75,7 +75,7 @@
 // fro, twice a second and for good, so that no loss was waited out by anyone.
 func TestPlacementControllerStaysWhereItIs(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for seed := range uint64(seeds(16)) {
 		synctest.Test(t, func(t *testing.T) {
 			w := New(Traductores, 140+seed, Logger())
--- a/internal/testing/sim/retire_test.go
+++ b/internal/testing/sim/retire_test.go
@@ -35,7 +35,7 @@
 // its disk and all others their power.
 func TestARestartDoesNotEndADecommissioning(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for seed := range uint64(seeds(4)) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
@@ -79,7 +79,7 @@
 // carried out.
 func TestADecommissioningOutlivesItsMachinesProcessAndDisk(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for seed := range uint64(seeds(6)) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
@@ -108,8 +108,8 @@
 // empty a machine is refused once the order is done, also where the record never named the machine.
 func TestADecommissioningFencesWhatWasDecidedBefore(t *testing.T) {
 	t.Parallel()
-	stand(t, Traductores, 400, func(t *testing.T, w *World) {
-		described(t, w)
+	runFleet(t, Traductores, 400, func(t *testing.T, w *World) {
+		applyConfiguration(t, w)
 		op := w.Machines["c1"].Node().Operators
 		read := func(p int) (r assignment.Record) {
 			v, err := op.Client.Read(w.ctx, assignment.Key(p))
@@ -144,7 +144,7 @@
 func TestACutNodeGivesNoFinalAnswers(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(4)) {
-		stand(t, siteOf(seed), 402+seed, func(t *testing.T, w *World) {
+		runFleet(t, siteOf(seed), 402+seed, func(t *testing.T, w *World) {
 			_, err := w.Put("a1", load.Describe(0))
 			assert.NilError(t, err)
 			cut := []string{"c1", "a1"}[seed/2%2]
@@ -192,7 +192,7 @@
 // it.
 func TestANewMachineIsKnownThroughEveryNode(t *testing.T) {
 	t.Parallel()
-	stand(t, spared(Armor, "s2"), 410, func(t *testing.T, w *World) {
+	runFleet(t, spared(Armor, "s2"), 410, func(t *testing.T, w *World) {
 		assert.NilError(t, w.Add("s2b"))
 		assert.NilError(t, w.WaitUntil(20*time.Second, "a control node has heard of s2b", func() bool {
 			_, ok := w.Machines["c1"].Node().View.Get("s2b")
--- a/internal/testing/sim/room_test.go
+++ b/internal/testing/sim/room_test.go
@@ -14,7 +14,7 @@
 // ends.
 func TestSmallDiskGivesItsLeadershipsAway(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	synctestRoom(t, 1, func(t *testing.T, w *World) {
 		x := w.Machines["s1"].Node()
 		assert.NilError(t, w.WaitUntil(60*time.Second, "s1 is full", func() bool { return x.Info().DiskHealth == string(apierror.DiskFull) }))
@@ -32,7 +32,7 @@
 func synctestRoom(t *testing.T, mb int, script func(t *testing.T, w *World)) {
 	s := busy
 	s.DiskMB = map[string]int{"s1": mb}
-	stand(t, s, 60, func(t *testing.T, w *World) {
+	runFleet(t, s, 60, func(t *testing.T, w *World) {
 		_, err := w.Put("c1", busyLoad.Describe(0))
 		assert.NilError(t, err)
 		time.Sleep(w.Site.Timing.Spread)
--- a/internal/testing/sim/sealed_test.go
+++ b/internal/testing/sim/sealed_test.go
@@ -18,7 +18,7 @@
 	t.Parallel()
 	for seed := range uint64(4) {
 		site := spared(siteOf(seed), "c2")
-		stand(t, site, 300+seed, func(t *testing.T, w *World) {
+		runFleet(t, site, 300+seed, func(t *testing.T, w *World) {
 			w.Watch()
 			time.Sleep(3 * time.Second)
 			seq, err := w.Put("a1", load.Describe(0))
--- a/internal/testing/sim/many_test.go
+++ b/internal/testing/sim/seeds_test.go
@@ -8,7 +8,7 @@
 
 // long skips a test under the race detector, which slows simulated fleets tenfold; test.sh runs
 // them without it too.
-func long(t *testing.T) {
+func skipUnderRace(t *testing.T) {
 	t.Helper()
 	if raced {
 		t.Skip("runs without the race detector, which slows simulated fleets too much")
@@ -21,8 +21,8 @@
 	if raced {
 		return 1
 	}
-	if k, err := strconv.Atoi(os.Getenv("PJ_MANY")); err == nil && k > 0 {
-		return n * k
+	if factor, err := strconv.Atoi(os.Getenv("PJ_MANY")); err == nil && factor > 0 {
+		return n * factor
 	}
 	return n
 }
--- a/internal/testing/sim/visits_gap_test.go
+++ b/internal/testing/sim/sessions_retention_test.go
@@ -12,19 +12,19 @@
 // A node is cut off from all others for longer than messages are held, while its visitors stay;
 // others are away that long, and some come at the end with cursors of any age. Nobody is led past
 // what is gone, and nobody is told that a cursor is too old which lacks nothing that is.
-func TestSessionsPastTheKeepingTime(t *testing.T) {
+func TestSessionsBeyondTheRetention(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for seed := range uint64(seeds(1)) {
-		r := entertain(t, hall, 700+seed, Load{Topics: 24, LiveTopics: 2, Every: 6 * time.Second, Habits: func(h *simclient.Habits) {
-			h.AwayInterval, h.MaxAbsence, h.ChangeInterval = time.Minute, 80*time.Second, 0
-		}}, 24, func(_ *testing.T, w *World, g *LineClients) {
+		r := runSessions(t, smallSite, 700+seed, Load{Topics: 24, LiveTopics: 2, Every: 6 * time.Second, Habits: func(habits *simclient.Habits) {
+			habits.AwayInterval, habits.MaxAbsence, habits.ChangeInterval = time.Minute, 80*time.Second, 0
+		}}, 24, func(_ *testing.T, w *World, clients *LineClients) {
 			time.Sleep(5 * time.Second)
 			w.Isolate("a1")
 			time.Sleep(w.Site.Timing.Retention() + w.Site.Timing.Recovery)
 			w.Heal()
 			time.Sleep(5 * time.Second)
-			g.Ever = true
+			clients.Ever = true
 		})
 		assert.Assert(t, r.Expired > 0, "no cursor was too old")
 	}
--- /dev/null
+++ b/internal/testing/sim/sessions_test.go
@@ -0,0 +1,188 @@
+package sim
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"postjunction/internal/testing/deliverycheck"
+	"postjunction/internal/testing/simclient"
+)
+
+var (
+	smallSite   = Site{Zones: 3, Control: 3, Access: 3, Stores: 3, Latency: 500 * time.Microsecond, Timing: Armor.Timing, Routine: 4, Urgent: 2}
+	sessionLoad = Load{Topics: 24, LiveTopics: 4, Every: 2 * time.Second}
+	// awake are visitors who always read, and so hear at once where to go.
+	readingLoad = Load{Topics: 24, LiveTopics: 4, Every: 2 * time.Second, Rested: true}
+)
+
+// entertain runs a fleet with visitors on line sessions through a script and judges what they saw.
+func runSessions(t *testing.T, site Site, seed uint64, traffic Load, clientCount int, script func(t *testing.T, w *World, clients *LineClients)) (r deliverycheck.Tally) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		w := New(site, seed, Logger())
+		defer w.Close()
+		assert.NilError(t, w.Start(w.Names...))
+		assert.NilError(t, w.WaitReady(20*time.Second))
+		w.load = traffic
+		_, err := w.Put("c1", traffic.Describe(0))
+		assert.NilError(t, err)
+		time.Sleep(w.Site.Timing.Spread)
+		clients := w.StartLineClients(clientCount, traffic)
+		time.Sleep(5 * time.Second)
+		script(t, w, clients)
+		w.Heal()
+		for _, node := range w.Names {
+			w.Thaw(node)
+			w.Slow(node, 0)
+			assert.NilError(t, w.Start(node))
+		}
+		time.Sleep(w.Site.Timing.Recovery)
+		cut := time.Now()
+		clients.quiet()
+		time.Sleep(w.Site.Timing.Spread)
+		clients.Late(20, cut.Add(-w.Site.Timing.Keeping/2))
+		time.Sleep(w.Site.Timing.Recovery)
+		w.stop()
+		clients.wg.Wait()
+		var violations []deliverycheck.Violation
+		r, violations = clients.Checker.Judge(cut)
+		t.Logf("seed %d: %+v", seed, r)
+		for i, violation := range violations {
+			if i < 10 {
+				t.Errorf("seed %d: %s: %s", seed, violation.Rule, violation.Message)
+			}
+		}
+		assert.Assert(t, r.Accepted > 50 && r.Got > 100 && r.Resumed > 0 && r.Late > 0, "too little was seen to prove anything")
+	})
+	return r
+}
+
+func TestQuietSessions(t *testing.T) {
+	t.Parallel()
+	runSessions(t, smallSite, 1, sessionLoad, 16, func(_ *testing.T, _ *World, clients *LineClients) {
+		time.Sleep(15 * time.Second)
+		clients.Calm.Store(true)
+		time.Sleep(15 * time.Second)
+	})
+}
+
+// visitDay draws faults that meet visits, alone and in pairs.
+func injectRandomFaults(t *testing.T, w *World, clients *LineClients) {
+	r := rand.New(rand.NewPCG(w.Seed, 21))
+	names := []string{"kill", "kill many", "stop", "freeze", "isolate", "cut one way", "zone cut", "lose packets", "reset", "power", "control power", "wipe", "slow", "visits reset", "owner killed", "owner frozen", "owner stopped", "owner cut", "control killed", "all power lost", "access stopped"}
+	stop := func() {}
+	if r.IntN(2) == 0 {
+		stop = w.InterceptCalls(RandomCallFaults(w.Seed, 0.02+0.3*r.Float64()))
+	}
+	for range 3 + r.IntN(2) {
+		first, second := names[r.IntN(len(names))], names[r.IntN(len(names))]
+		if second == "wipe" {
+			first, second = second, first
+		}
+		if first == "wipe" {
+			assert.NilError(t, w.WaitUntil(90*time.Second, "every copy and seat is in place", w.whole))
+		}
+		t.Logf("seed %d: %s: %s and %s", w.Seed, time.Now().Format("04:05.000"), first, second)
+		undo := injectFault(w, clients, r, first)
+		time.Sleep(time.Duration(r.IntN(int(3 * time.Second))))
+		also := nothing
+		if first != "wipe" && r.IntN(2) == 0 {
+			also = injectFault(w, clients, r, second)
+		}
+		time.Sleep(time.Duration(r.IntN(int(8 * time.Second))))
+		undo()
+		also()
+		if first == "wipe" {
+			w.Heal()
+			assert.NilError(t, w.Start(w.Names...))
+			assert.NilError(t, w.WaitUntil(90*time.Second, "the wiped disk is repaired", w.whole))
+		}
+		time.Sleep(time.Duration(r.IntN(int(8 * time.Second))))
+	}
+	stop()
+}
+
+func injectFault(w *World, clients *LineClients, r *rand.Rand, name string) func() {
+	if fault, ok := Faults[name]; ok {
+		return fault(w, r)
+	}
+	leaderNode := busiest(w)
+	if leaderNode == "" {
+		leaderNode = w.pick(r, "s")
+	}
+	return map[string]func() func(){
+		"visits reset":  func() func() { clients.Reset(0.8); return nothing },
+		"owner killed":  func() func() { w.Kill(leaderNode); return w.start(leaderNode) },
+		"owner frozen":  func() func() { w.Freeze(leaderNode); return func() { w.Thaw(leaderNode) } },
+		"owner stopped": func() func() { w.Terminate(leaderNode); return w.start(leaderNode) },
+		"owner cut":     func() func() { w.Isolate(leaderNode); return w.Heal },
+		"control killed": func() func() {
+			var names []string
+			for _, node := range w.Names {
+				if node[0] == 'c' {
+					names = append(names, node)
+					w.Kill(node)
+				}
+			}
+			return w.start(names...)
+		},
+		"all power lost": func() func() {
+			for _, node := range w.Names {
+				w.LosePower(node, r.IntN(2) == 0)
+			}
+			return w.start(w.Names...)
+		},
+		"access stopped": func() func() {
+			node := w.pick(r, "a")
+			w.Terminate(node)
+			return w.start(node)
+		},
+	}[name]()
+}
+
+// TestSessions lives through days of faults by seed. PJ_SEEDS=from:to searches further.
+func TestSessions(t *testing.T) {
+	from, to := uint64(500), uint64(503)
+	if seedRange := os.Getenv("PJ_SEEDS"); seedRange != "" {
+		fields, err := fmt.Sscanf(seedRange, "%d:%d", &from, &to)
+		assert.Assert(t, fields == 2 && err == nil && from < to, "PJ_SEEDS must be from:to with from below to, is %q", seedRange)
+	}
+	if raced {
+		to = from + 1
+	}
+	for seed := from; seed < to; seed++ {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			t.Parallel()
+			runSessions(t, smallSite, seed, sessionLoad, 40, func(t *testing.T, w *World, clients *LineClients) { injectRandomFaults(t, w, clients) })
+		})
+	}
+}
+
+// TestSessionsThatComeAndGo has few visitors drop and take up few topics all the time, so that
+// nodes begin and cease to follow partitions, while the messages by which they do are lost, late or
+// come twice, and owners change.
+func TestSessionsThatComeAndGo(t *testing.T) {
+	t.Parallel()
+	skipUnderRace(t)
+	for seed := range uint64(seeds(2)) {
+		traffic := Load{Topics: 5, LiveTopics: 1, Every: time.Second, Habits: func(habits *simclient.Habits) {
+			habits.ChangeInterval, habits.AwayInterval, habits.MaxAbsence = time.Second, 6*time.Second, 3*time.Second
+		}}
+		runSessions(t, smallSite, 800+seed, traffic, 7, func(_ *testing.T, w *World, clients *LineClients) {
+			stop := w.InterceptCalls(RandomCallFaults(w.Seed, 0.1+0.5*w.float()))
+			for range 5 {
+				undo := injectFault(w, clients, rand.New(rand.NewPCG(w.Seed, 23)), []string{"owner killed", "owner frozen", "owner cut", "owner stopped"}[w.Int(4)])
+				time.Sleep(w.span(10, 60))
+				undo()
+				time.Sleep(w.span(20, 60))
+			}
+			stop()
+		})
+	}
+}
--- a/internal/testing/sim/silent_test.go
+++ b/internal/testing/sim/silent_test.go
@@ -11,43 +11,43 @@
 
 // A store that falls silent is made good before messages are given up: in a twelfth of the recovery
 // time.
-func TestASilentStoreIsMadeGoodWithinASecond(t *testing.T) {
+func TestSilentStorageNodeFailsOverWithinASecond(t *testing.T) {
 	t.Parallel()
-	for _, x := range losses {
-		if !strings.HasPrefix(x.name, "store without") && !strings.HasPrefix(x.name, "store frozen") && !strings.HasPrefix(x.name, "store cut") {
+	for _, loss := range machineLosses {
+		if !strings.HasPrefix(loss.name, "store without") && !strings.HasPrefix(loss.name, "store frozen") && !strings.HasPrefix(loss.name, "store cut") {
 			continue
 		}
 		for seed := range uint64(4) {
-			t.Run(x.name, func(t *testing.T) {
+			t.Run(loss.name, func(t *testing.T) {
 				t.Parallel()
-				d := gapOf(t, thirteen, 173+seed, x.f)
-				assert.Assert(t, d <= time.Second, "some partition took nothing for %s", d)
+				gap := longestGap(t, thirteenNodes, 173+seed, loss.inject)
+				assert.Assert(t, gap <= time.Second, "some partition took nothing for %s", gap)
 			})
 		}
 	}
 }
 
 // A store whose answers took long lately is given longer before its silence counts.
-func TestAStoreThatAnswersSlowlyMayBeSilentLonger(t *testing.T) {
+func TestSlowStorageNodeMayBeSilentLonger(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				w := standing(t, Armor, 183+seed)
+				w := startWideFleet(t, Armor, 183+seed)
 				defer w.Close()
-				was := changes(w)
+				before := changes(w)
 				for range 4 {
-					o := busiest(w)
-					w.Slow(o, w.Site.Timing.PingInterval()*2/3)
+					leaderNode := busiest(w)
+					w.Slow(leaderNode, w.Site.Timing.PingInterval()*2/3)
 					time.Sleep(4 * w.Site.Timing.PingInterval())
-					w.Freeze(o)
+					w.Freeze(leaderNode)
 					time.Sleep(w.Site.Timing.FailureTimeout() + w.Site.Timing.PingInterval()/2)
-					w.Thaw(o)
-					w.Slow(o, 0)
+					w.Thaw(leaderNode)
+					w.Slow(leaderNode, 0)
 					time.Sleep(w.Site.Timing.Spread)
 				}
-				assert.Equal(t, changes(w), was, "partitions changed hands")
+				assert.Equal(t, changes(w), before, "partitions changed hands")
 			})
 		})
 	}
--- a/internal/testing/sim/sim_test.go
+++ b/internal/testing/sim/sim_test.go
@@ -25,7 +25,7 @@
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
 		assert.NilError(t, w.WaitReady(20*time.Second))
-		described(t, w)
+		applyConfiguration(t, w)
 		w.Watch()
 		w.Callers(load)
 		time.Sleep(5 * time.Second)
--- a/internal/testing/sim/slow_test.go
+++ b/internal/testing/sim/slow_test.go
@@ -15,8 +15,8 @@
 // once it reads on.
 func TestSlowReaderDelaysNoOthers(t *testing.T) {
 	t.Parallel()
-	stand(t, Armor, 41, func(t *testing.T, w *World) {
-		described(t, w)
+	runFleet(t, Armor, 41, func(t *testing.T, w *World) {
+		applyConfiguration(t, w)
 		slow, fast, from := attach(t, w, "a1", "slow"), attach(t, w, "a1", "fast"), attach(t, w, "c1", "from")
 		const n = 200
 		ctx, stop := context.WithCancel(w.ctx)
--- a/internal/testing/sim/still_test.go
+++ b/internal/testing/sim/still_test.go
@@ -17,8 +17,8 @@
 	t.Parallel()
 	s := Armor
 	s.Routine, s.Urgent = 20, 4
-	stand(t, s, 460, func(t *testing.T, w *World) {
-		described(t, w)
+	runFleet(t, s, 460, func(t *testing.T, w *World) {
+		applyConfiguration(t, w)
 		time.Sleep(s.Timing.Recovery)
 		const sessions = 10
 		was := w.Flows()
@@ -43,8 +43,8 @@
 	t.Parallel()
 	s := Armor
 	s.Routine, s.Urgent = 20, 4
-	stand(t, s, 461, func(t *testing.T, w *World) {
-		described(t, w)
+	runFleet(t, s, 461, func(t *testing.T, w *World) {
+		applyConfiguration(t, w)
 		time.Sleep(s.Timing.Recovery)
 		was := w.Flows()
 		const sweeps = 4
--- a/internal/testing/sim/storm_test.go
+++ b/internal/testing/sim/storm_test.go
@@ -51,7 +51,7 @@
 				_, err := w.Put("c1", bootLoad.Describe(0))
 				assert.NilError(t, err)
 				time.Sleep(s.Timing.Spread)
-				keyLeader := w.leaderOf(quorumread.ConfigurationKey)
+				keyLeader := w.keyLeader(quorumread.ConfigurationKey)
 				assert.Assert(t, w.Machines[keyLeader].Node().LeadsKey(quorumread.ConfigurationKey))
 				var mu sync.Mutex
 				slotsAsked, fullSlots := map[string]int{}, 0
--- a/internal/testing/sim/streams_forget_test.go
+++ b/internal/testing/sim/streams_forget_test.go
@@ -19,235 +19,235 @@
 )
 
 // forgetting is a fleet with a sender at c1 and a stream of kept/t0 at a1.
-type forgetting struct {
+type streamScenario struct {
 	*World
-	t      *testing.T
-	sender string
-	reader string
-	call   uint64
+	t       *testing.T
+	sender  string
+	reader  string
+	callSeq uint64
 
-	mu    sync.Mutex
-	shown []string
-	last  string
+	mu     sync.Mutex
+	shown  []string
+	cursor string
 }
 
-func (x *forgetting) do(n string, k *client.Request) (any, error) {
-	c := make(chan any, 1)
-	err := x.ask(n, x.Site.Timing.Recovery, func(ctx context.Context, m *node.Node) error {
-		a, err := m.Clients.Do(ctx, k)
-		c <- a
+func (s *streamScenario) do(name string, request *client.Request) (any, error) {
+	result := make(chan any, 1)
+	err := s.ask(name, s.Site.Timing.Recovery, func(ctx context.Context, running *node.Node) error {
+		answer, err := running.Clients.Do(ctx, request)
+		result <- answer
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	return <-c, nil
+	return <-result, nil
 }
 
-func (x *forgetting) send(key, body string) uint64 {
-	x.t.Helper()
-	x.call++
-	_, err := x.do("c1", &client.Request{Verb: client.VerbSend, Token: x.sender, Topics: []string{"kept/t0"}, Key: &key, CallSeq: x.call, Body: json.RawMessage(`"` + body + `"`)})
-	assert.NilError(x.t, err)
-	return x.call
+func (s *streamScenario) send(key, body string) uint64 {
+	s.t.Helper()
+	s.callSeq++
+	_, err := s.do("c1", &client.Request{Verb: client.VerbSend, Token: s.sender, Topics: []string{"kept/t0"}, Key: &key, CallSeq: s.callSeq, Body: json.RawMessage(`"` + body + `"`)})
+	assert.NilError(s.t, err)
+	return s.callSeq
 }
 
-func (x *forgetting) withdraw(key string, call uint64) (client.Withdrawal, error) {
-	a, err := x.do("c1", &client.Request{Verb: client.VerbWithdraw, Token: x.sender, Topics: []string{"kept/t0"}, Key: &key, CallSeq: call})
-	w, _ := a.(client.Withdrawal)
+func (s *streamScenario) withdraw(key string, callSeq uint64) (client.Withdrawal, error) {
+	answer, err := s.do("c1", &client.Request{Verb: client.VerbWithdraw, Token: s.sender, Topics: []string{"kept/t0"}, Key: &key, CallSeq: callSeq})
+	w, _ := answer.(client.Withdrawal)
 	return w, err
 }
 
 // forgotten has a withdrawal asked about until there is a yes.
-func (x *forgetting) forgotten(key string, call uint64, limit time.Duration) client.Withdrawal {
-	x.t.Helper()
-	var a client.Withdrawal
+func (s *streamScenario) waitWithdrawn(key string, callSeq uint64, limit time.Duration) client.Withdrawal {
+	s.t.Helper()
+	var withdrawal client.Withdrawal
 	var err error
-	assert.NilError(x.t, x.WaitUntil(limit, "withdrawn", func() bool {
-		a, err = x.withdraw(key, call)
+	assert.NilError(s.t, s.WaitUntil(limit, "withdrawn", func() bool {
+		withdrawal, err = s.withdraw(key, callSeq)
 		return err == nil
 	}), "%v", err)
-	return a
+	return withdrawal
 }
 
 // listen opens a stream through a1 behind all that was shown so far; it goes on until it ends. A
 // node that has just come back may have no lease yet, and says so: its visitor asks again.
-func (x *forgetting) listen() {
-	x.mu.Lock()
-	from := x.last
-	x.mu.Unlock()
-	x.wg.Go(func() {
+func (s *streamScenario) openStream() {
+	s.mu.Lock()
+	from := s.cursor
+	s.mu.Unlock()
+	s.wg.Go(func() {
 		for {
-			err := x.Port("a1").Follow(x.ctx, x.reader, []string{"kept/t0"}, from, func(l client.Event) error {
-				x.mu.Lock()
-				defer x.mu.Unlock()
-				x.last = l.Cursor
+			err := s.Port("a1").Follow(s.ctx, s.reader, []string{"kept/t0"}, from, func(event client.Event) error {
+				s.mu.Lock()
+				defer s.mu.Unlock()
+				s.cursor = event.Cursor
 				switch {
-				case l.Withdrawn != "":
-					x.shown = append(x.shown, "-"+l.Withdrawn)
-				case l.Topic != "":
-					x.shown = append(x.shown, l.Key+":"+strings.Trim(string(l.Body), `"`))
+				case event.Withdrawn != "":
+					s.shown = append(s.shown, "-"+event.Withdrawn)
+				case event.Topic != "":
+					s.shown = append(s.shown, event.Key+":"+strings.Trim(string(event.Body), `"`))
 				}
 				return nil
 			})
 			if !apierror.HasCode(err, apierror.NoLease) {
 				return
 			}
-			time.Sleep(x.Site.Timing.MaxBackoff() / 4)
+			time.Sleep(s.Site.Timing.MaxBackoff() / 4)
 		}
 	})
 	time.Sleep(time.Second)
 }
 
-func (x *forgetting) saw() []string {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	s := slices.Clone(x.shown)
-	x.shown = nil
-	return s
+func (s *streamScenario) takeShown() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	events := slices.Clone(s.shown)
+	s.shown = nil
+	return events
 }
 
-func (x *forgetting) owner() string {
-	n := x.Machines["c1"].Node()
-	return n.Store.Record(partition.Of("kept/t0", false, n.VoterSet().Layout)).Leader
+func (s *streamScenario) partitionLeader() string {
+	running := s.Machines["c1"].Node()
+	return running.Store.Record(partition.Of("kept/t0", false, running.VoterSet().Layout)).Leader
 }
 
-func (x *forgetting) open(err error, who string) {
-	x.t.Helper()
-	assert.Assert(x.t, apierror.HasCode(err, apierror.WithdrawalOpen), "%v", err)
-	assert.Assert(x.t, slices.ContainsFunc(apierror.From(err).Faults, func(f apierror.Fault) bool { return f.Path == who }), "%v names nobody", err)
+func (s *streamScenario) expectPending(err error, router string) {
+	s.t.Helper()
+	assert.Assert(s.t, apierror.HasCode(err, apierror.WithdrawalOpen), "%v", err)
+	assert.Assert(s.t, slices.ContainsFunc(apierror.From(err).Faults, func(fault apierror.Fault) bool { return fault.Path == router }), "%v names nobody", err)
 }
 
-var forgets = map[string]func(x *forgetting){
-	"a node that is cut off": func(x *forgetting) {
-		x.Isolate("a1")
-		x.send("k", "after the cut")
-		begun := time.Now()
-		x.call++
-		_, err := x.withdraw("k", x.call)
-		x.open(err, "a1/streams")
-		assert.Assert(x.t, time.Since(begun) <= 2*x.Site.Timing.CallTimeout(), "held for %s", time.Since(begun))
-		_, err = x.withdraw("k", x.call)
-		x.open(err, "a1/streams")
-		x.send("k", "anew")
-		x.Heal()
-		assert.Equal(x.t, len(x.forgotten("k", x.call-1, 10*time.Second).GivenUp), 0)
-		x.listen()
-		assert.DeepEqual(x.t, x.saw(), []string{"k:first", "-k", "k:anew"})
+var streamScenarios = map[string]func(s *streamScenario){
+	"a node that is cut off": func(s *streamScenario) {
+		s.Isolate("a1")
+		s.send("k", "after the cut")
+		start := time.Now()
+		s.callSeq++
+		_, err := s.withdraw("k", s.callSeq)
+		s.expectPending(err, "a1/streams")
+		assert.Assert(s.t, time.Since(start) <= 2*s.Site.Timing.CallTimeout(), "held for %s", time.Since(start))
+		_, err = s.withdraw("k", s.callSeq)
+		s.expectPending(err, "a1/streams")
+		s.send("k", "anew")
+		s.Heal()
+		assert.Equal(s.t, len(s.waitWithdrawn("k", s.callSeq-1, 10*time.Second).GivenUp), 0)
+		s.openStream()
+		assert.DeepEqual(s.t, s.takeShown(), []string{"k:first", "-k", "k:anew"})
 	},
-	"calls that wait for a node hold nobody up": func(x *forgetting) {
-		x.Isolate("a1")
-		x.call++
-		at := x.call
+	"calls that wait for a node hold nobody up": func(s *streamScenario) {
+		s.Isolate("a1")
+		s.callSeq++
+		callSeq := s.callSeq
 		for range 2 {
 			for range 50 {
-				x.wg.Go(func() { _, _ = x.withdraw("k", at) })
+				s.wg.Go(func() { _, _ = s.withdraw("k", callSeq) })
 			}
 			time.Sleep(400 * time.Millisecond)
 		}
-		begun := time.Now()
-		x.send("k", "anew")
-		assert.Assert(x.t, time.Since(begun) < 400*time.Millisecond, "held for %s", time.Since(begun))
+		start := time.Now()
+		s.send("k", "anew")
+		assert.Assert(s.t, time.Since(start) < 400*time.Millisecond, "held for %s", time.Since(start))
 	},
-	"a node that is frozen": func(x *forgetting) {
-		x.Freeze("a1")
-		x.send("k", "while frozen")
-		x.call++
-		_, err := x.withdraw("k", x.call)
-		x.open(err, "a1/streams")
-		x.Thaw("a1")
-		x.forgotten("k", x.call, 10*time.Second)
-		x.listen()
-		s := x.saw()
-		assert.Assert(x.t, !slices.Contains(s, "k:while frozen") && slices.Contains(s, "-k"), "%v", s)
+	"a node that is frozen": func(s *streamScenario) {
+		s.Freeze("a1")
+		s.send("k", "while frozen")
+		s.callSeq++
+		_, err := s.withdraw("k", s.callSeq)
+		s.expectPending(err, "a1/streams")
+		s.Thaw("a1")
+		s.waitWithdrawn("k", s.callSeq, 10*time.Second)
+		s.openStream()
+		events := s.takeShown()
+		assert.Assert(s.t, !slices.Contains(events, "k:while frozen") && slices.Contains(events, "-k"), "%v", events)
 	},
-	"a node that is killed and comes back without streams": func(x *forgetting) {
-		x.Kill("a1")
-		x.call++
-		_, err := x.withdraw("k", x.call)
-		x.open(err, "a1/streams")
-		assert.NilError(x.t, x.Start("a1"))
-		assert.Equal(x.t, len(x.forgotten("k", x.call, 15*time.Second).GivenUp), 0)
+	"a node that is killed and comes back without streams": func(s *streamScenario) {
+		s.Kill("a1")
+		s.callSeq++
+		_, err := s.withdraw("k", s.callSeq)
+		s.expectPending(err, "a1/streams")
+		assert.NilError(s.t, s.Start("a1"))
+		assert.Equal(s.t, len(s.waitWithdrawn("k", s.callSeq, 15*time.Second).GivenUp), 0)
 	},
-	"a node that is stopped in good order": func(x *forgetting) {
-		x.Terminate("a1")
-		x.call++
-		a, err := x.withdraw("k", x.call)
-		assert.NilError(x.t, err)
-		assert.Equal(x.t, len(a.GivenUp), 0)
+	"a node that is stopped in good order": func(s *streamScenario) {
+		s.Terminate("a1")
+		s.callSeq++
+		withdrawal, err := s.withdraw("k", s.callSeq)
+		assert.NilError(s.t, err)
+		assert.Equal(s.t, len(withdrawal.GivenUp), 0)
 	},
-	"a node that is gone for long and comes back": func(x *forgetting) {
-		x.Isolate("a1")
-		x.send("l", "after the cut")
-		x.call++
-		at := x.call
-		_, err := x.withdraw("k", at)
-		x.open(err, "a1/streams")
-		time.Sleep(x.Site.Timing.Keeping)
-		_, err = x.withdraw("k", at)
-		x.open(err, "a1/streams")
-		assert.DeepEqual(x.t, x.forgotten("k", at, 30*time.Second).GivenUp, []string{"a1/streams"})
-		x.Heal()
+	"a node that is gone for long and comes back": func(s *streamScenario) {
+		s.Isolate("a1")
+		s.send("l", "after the cut")
+		s.callSeq++
+		callSeq := s.callSeq
+		_, err := s.withdraw("k", callSeq)
+		s.expectPending(err, "a1/streams")
+		time.Sleep(s.Site.Timing.Keeping)
+		_, err = s.withdraw("k", callSeq)
+		s.expectPending(err, "a1/streams")
+		assert.DeepEqual(s.t, s.waitWithdrawn("k", callSeq, 30*time.Second).GivenUp, []string{"a1/streams"})
+		s.Heal()
 		time.Sleep(5 * time.Second)
-		x.saw()
-		x.mu.Lock()
-		x.last = ""
-		x.mu.Unlock()
-		x.listen()
-		x.send("k", "anew")
+		s.takeShown()
+		s.mu.Lock()
+		s.cursor = ""
+		s.mu.Unlock()
+		s.openStream()
+		s.send("k", "anew")
 		time.Sleep(time.Second)
-		assert.DeepEqual(x.t, x.saw(), []string{"k:anew"})
-		x.call++
-		a, err := x.withdraw("k", x.call)
-		assert.NilError(x.t, err)
-		assert.Equal(x.t, len(a.GivenUp), 0)
+		assert.DeepEqual(s.t, s.takeShown(), []string{"k:anew"})
+		s.callSeq++
+		withdrawal, err := s.withdraw("k", s.callSeq)
+		assert.NilError(s.t, err)
+		assert.Equal(s.t, len(withdrawal.GivenUp), 0)
 		time.Sleep(time.Second)
-		assert.DeepEqual(x.t, x.saw(), []string{"-k"})
+		assert.DeepEqual(s.t, s.takeShown(), []string{"-k"})
 	},
-	"an owner that is killed beside a node that is cut off": func(x *forgetting) {
-		x.Isolate("a1")
-		x.send("k", "after the cut")
-		x.call++
-		_, err := x.withdraw("k", x.call)
-		x.open(err, "a1/streams")
-		x.Kill(x.owner())
-		assert.NilError(x.t, x.WaitUntil(15*time.Second, "taken over", func() bool {
-			_, err := x.withdraw("k", x.call)
+	"an owner that is killed beside a node that is cut off": func(s *streamScenario) {
+		s.Isolate("a1")
+		s.send("k", "after the cut")
+		s.callSeq++
+		_, err := s.withdraw("k", s.callSeq)
+		s.expectPending(err, "a1/streams")
+		s.Kill(s.partitionLeader())
+		assert.NilError(s.t, s.WaitUntil(15*time.Second, "taken over", func() bool {
+			_, err := s.withdraw("k", s.callSeq)
 			return apierror.HasCode(err, apierror.WithdrawalOpen) && len(apierror.From(err).Faults) > 0
 		}))
-		x.Heal()
-		x.forgotten("k", x.call, 10*time.Second)
-		x.listen()
-		assert.NilError(x.t, x.WaitUntil(10*time.Second, "told", func() bool {
-			x.mu.Lock()
-			defer x.mu.Unlock()
-			return slices.Contains(x.shown, "-k")
+		s.Heal()
+		s.waitWithdrawn("k", s.callSeq, 10*time.Second)
+		s.openStream()
+		assert.NilError(s.t, s.WaitUntil(10*time.Second, "told", func() bool {
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			return slices.Contains(s.shown, "-k")
 		}))
-		assert.DeepEqual(x.t, x.saw(), []string{"k:first", "-k"})
+		assert.DeepEqual(s.t, s.takeShown(), []string{"k:first", "-k"})
 	},
-	"a node that hears nothing of the owner, which hears it": func(x *forgetting) {
-		x.Cut(x.owner(), "a1")
-		x.send("k", "after the cut")
-		x.call++
-		_, err := x.withdraw("k", x.call)
-		x.open(err, "a1/streams")
-		assert.Equal(x.t, len(x.forgotten("k", x.call, 2*x.Site.Timing.Recovery).GivenUp), 0)
-		x.send("k", "anew")
-		x.Heal()
-		assert.NilError(x.t, x.WaitUntil(10*time.Second, "told", func() bool {
-			x.mu.Lock()
-			defer x.mu.Unlock()
-			return slices.Contains(x.shown, "k:anew")
+	"a node that hears nothing of the owner, which hears it": func(s *streamScenario) {
+		s.Cut(s.partitionLeader(), "a1")
+		s.send("k", "after the cut")
+		s.callSeq++
+		_, err := s.withdraw("k", s.callSeq)
+		s.expectPending(err, "a1/streams")
+		assert.Equal(s.t, len(s.waitWithdrawn("k", s.callSeq, 2*s.Site.Timing.Recovery).GivenUp), 0)
+		s.send("k", "anew")
+		s.Heal()
+		assert.NilError(s.t, s.WaitUntil(10*time.Second, "told", func() bool {
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			return slices.Contains(s.shown, "k:anew")
 		}))
-		assert.DeepEqual(x.t, x.saw(), []string{"k:first", "-k", "k:anew"})
+		assert.DeepEqual(s.t, s.takeShown(), []string{"k:first", "-k", "k:anew"})
 	},
-	"a line that its visitor does not take": func(x *forgetting) {
-		a := attach(x.t, x.World, "a1", "slow")
+	"a line that its visitor does not take": func(s *streamScenario) {
+		attachment := attach(s.t, s.World, "a1", "slow")
 		cut, ended := make(chan struct{}), make(chan struct{})
 		var emitted []string
-		x.wg.Go(func() {
+		s.wg.Go(func() {
 			defer close(ended)
-			_, _ = x.Machines["a1"].Node().Clients.Do(x.ctx, &client.Request{Verb: client.VerbFollow, Token: a.Token, Topics: []string{"kept/t0"}, Emit: func(b []byte) error {
+			_, _ = s.Machines["a1"].Node().Clients.Do(s.ctx, &client.Request{Verb: client.VerbFollow, Token: attachment.Token, Topics: []string{"kept/t0"}, Emit: func(b []byte) error {
 				if !strings.Contains(string(b), `"k"`) {
 					return nil
 				}
@@ -257,15 +257,15 @@
 			}, Abort: func() { close(cut) }})
 		})
 		time.Sleep(time.Second)
-		x.send("k", "stuck")
+		s.send("k", "stuck")
 		time.Sleep(time.Second)
-		begun := time.Now()
-		x.call++
-		_, err := x.withdraw("k", x.call)
-		assert.NilError(x.t, err)
-		assert.Assert(x.t, time.Since(begun) < x.Site.Timing.CallTimeout())
+		start := time.Now()
+		s.callSeq++
+		_, err := s.withdraw("k", s.callSeq)
+		assert.NilError(s.t, err)
+		assert.Assert(s.t, time.Since(start) < s.Site.Timing.CallTimeout())
 		<-ended
-		assert.Equal(x.t, len(emitted), 1)
+		assert.Equal(s.t, len(emitted), 1)
 	},
 }
 
@@ -273,16 +273,16 @@
 // that carries the streams; until then the answer names it.
 func TestStreamsForget(t *testing.T) {
 	t.Parallel()
-	for name, f := range forgets {
+	for name, run := range streamScenarios {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			stand(t, Armor, 410, func(t *testing.T, w *World) {
-				described(t, w)
-				x := &forgetting{World: w, t: t, sender: attach(t, w, "c1", "sender").Token, reader: attach(t, w, "a1", "reader").Token}
-				x.listen()
-				x.send("k", "first")
+			runFleet(t, Armor, 410, func(t *testing.T, w *World) {
+				applyConfiguration(t, w)
+				s := &streamScenario{World: w, t: t, sender: attach(t, w, "c1", "sender").Token, reader: attach(t, w, "a1", "reader").Token}
+				s.openStream()
+				s.send("k", "first")
 				time.Sleep(time.Second)
-				f(x)
+				run(s)
 			})
 		})
 	}
@@ -292,25 +292,25 @@
 // nothing.
 func TestStreamsThatEndAreNotWaitedFor(t *testing.T) {
 	t.Parallel()
-	stand(t, Armor, 411, func(t *testing.T, w *World) {
-		described(t, w)
-		x := &forgetting{World: w, t: t, sender: attach(t, w, "c1", "sender").Token}
-		for i, n := range []string{"a1", "c2", "s1", "a1"} {
-			a := attach(t, w, n, fmt.Sprint("reader", i))
+	runFleet(t, Armor, 411, func(t *testing.T, w *World) {
+		applyConfiguration(t, w)
+		s := &streamScenario{World: w, t: t, sender: attach(t, w, "c1", "sender").Token}
+		for i, name := range []string{"a1", "c2", "s1", "a1"} {
+			attachment := attach(t, w, name, fmt.Sprint("reader", i))
 			calls := make(chan []uint64, 1)
 			w.wg.Go(func() {
-				cs, _, _ := follow(w, n, a.Token, "", []string{"kept/t0"}, 2*time.Second)
-				calls <- cs
+				received, _, _ := follow(w, name, attachment.Token, "", []string{"kept/t0"}, 2*time.Second)
+				calls <- received
 			})
 			time.Sleep(time.Second)
-			c := x.send("k", "first")
-			assert.DeepEqual(t, <-calls, []uint64{c})
+			callSeq := s.send("k", "first")
+			assert.DeepEqual(t, <-calls, []uint64{callSeq})
 			time.Sleep(time.Second)
-			x.Cut(n, "*")
-			x.call++
-			_, err := x.withdraw("k", x.call)
-			assert.Assert(t, err == nil || n == x.owner(), "%s: %v", n, err)
-			x.Heal()
+			s.Cut(name, "*")
+			s.callSeq++
+			_, err := s.withdraw("k", s.callSeq)
+			assert.Assert(t, err == nil || name == s.partitionLeader(), "%s: %v", name, err)
+			s.Heal()
 			time.Sleep(5 * time.Second)
 		}
 	})
--- a/internal/testing/sim/submit_test.go
+++ b/internal/testing/sim/submit_test.go
@@ -9,7 +9,7 @@
 	"postjunction/internal/configuration"
 )
 
-func plainReader(doc []byte, _ uint64) (configuration.Config, error) {
+func parseDocument(doc []byte, _ uint64) (configuration.Config, error) {
 	return configuration.Parse(doc)
 }
 
@@ -17,35 +17,35 @@
 // goes on itself. Either way it is taken once.
 func TestADocumentIsForwarded(t *testing.T) {
 	t.Parallel()
-	for _, handed := range []bool{true, false} {
-		stand(t, Armor, 77, func(t *testing.T, w *World) {
+	for _, isForwarded := range []bool{true, false} {
+		runFleet(t, Armor, 77, func(t *testing.T, w *World) {
 			w.Watch()
-			here := 0
+			localReads := 0
 			read := func(doc []byte, base uint64) (configuration.Config, error) {
-				here++
-				return plainReader(doc, base)
+				localReads++
+				return parseDocument(doc, base)
 			}
-			for _, n := range w.Names {
-				if handed {
-					w.Machines[n].Node().Operators.Read(plainReader)
+			for _, node := range w.Names {
+				if isForwarded {
+					w.Machines[node].Node().Operators.Read(parseDocument)
 				}
 			}
-			o := w.Machines["a1"].Node().Operators
+			operators := w.Machines["a1"].Node().Operators
 			base := uint64(0)
 			for range 4 {
-				assert.NilError(t, o.Submit(w.ctx, load.Describe(base), base, read))
-				d, err := o.CurrentConfiguration(w.ctx)
+				assert.NilError(t, operators.Submit(w.ctx, load.Describe(base), base, read))
+				config, err := operators.CurrentConfiguration(w.ctx)
 				assert.NilError(t, err)
-				assert.Equal(t, d.Sequence, base+1)
-				assert.NilError(t, o.Submit(w.ctx, load.Describe(base), base, read), "the same again")
-				base = d.Sequence
+				assert.Equal(t, config.Sequence, base+1)
+				assert.NilError(t, operators.Submit(w.ctx, load.Describe(base), base, read), "the same again")
+				base = config.Sequence
 			}
-			assert.NilError(t, o.Submit(w.ctx, load.Describe(base-2), base-2, read), "an accepted one again, with another on top of it")
-			err := o.Submit(w.ctx, load.Numbered(base-2, base-1, "other"), base-2, read)
+			assert.NilError(t, operators.Submit(w.ctx, load.Describe(base-2), base-2, read), "an accepted one again, with another on top of it")
+			err := operators.Submit(w.ctx, load.Numbered(base-2, base-1, "other"), base-2, read)
 			assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationConflict), "%v", err)
-			err = o.Submit(w.ctx, []byte(`{"base":1,"spaces":[{"name":"A"}]}`), base, read)
+			err = operators.Submit(w.ctx, []byte(`{"base":1,"spaces":[{"name":"A"}]}`), base, read)
 			assert.Assert(t, err != nil && len(apierror.From(err).Faults) > 0, "%v", err)
-			assert.Equal(t, here == 0, handed, "read here %d times", here)
+			assert.Equal(t, localReads == 0, isForwarded, "read here %d times", localReads)
 		})
 	}
 }
--- a/internal/testing/sim/trim_test.go
+++ b/internal/testing/sim/trim_test.go
@@ -17,17 +17,17 @@
 // what the state still has to be made of must stay. Then the owner is lost.
 func TestTrimmingWaitsForTheInputOffset(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for seed := range uint64(seeds(3)) {
-		stand(t, Armor, 280+seed, func(t *testing.T, w *World) {
-			described(t, w)
+		runFleet(t, Armor, 280+seed, func(t *testing.T, w *World) {
+			applyConfiguration(t, w)
 			const topic = "kept/t0"
 			p := partition.Of(topic, false, w.Machines["a1"].Node().VoterSet().Layout)
 			tok, early := attach(t, w, "c1", "v").Token, attach(t, w, "c1", "early").Token
 			o := w.records()[p].Leader
 			release, hits := w.PauseCalls(func(x Point) bool {
-				q, _ := appending(x)
-				return x.From == o && x.Stage == Asking && late(x) && q.Partition == p
+				q, _ := appendRequest(x)
+				return x.From == o && x.Stage == Asking && appendsChangelog(x) && q.Partition == p
 			})
 			n := uint64(0)
 			for begun := time.Now(); time.Since(begun) < w.Site.Timing.Retention()+20*time.Second; {
@@ -78,10 +78,10 @@
 // down before it is dropped.
 func TestWhatIsGoneIsKnown(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for seed := range uint64(seeds(2)) {
-		stand(t, siteOf(seed), 290+seed, func(t *testing.T, w *World) {
-			described(t, w)
+		runFleet(t, siteOf(seed), 290+seed, func(t *testing.T, w *World) {
+			applyConfiguration(t, w)
 			const topic, quiet = "kept/t0", "kept/t1"
 			n := w.Machines["a1"].Node()
 			p, q := partition.Of(topic, false, n.VoterSet().Layout), partition.Of(quiet, false, n.VoterSet().Layout)
@@ -138,7 +138,7 @@
 // partitions are not left waiting for it.
 func TestDeafLeaderIsPassedOver(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for seed := range uint64(seeds(2)) {
 		play(t, siteOf(seed), 300+seed, w10, func(t *testing.T, w *World) {
 			o := busiest(w)
--- a/internal/testing/sim/whole_test.go
+++ b/internal/testing/sim/whole_test.go
@@ -45,7 +45,7 @@
 // otherwise.
 func TestAnEmptyReturnIsCompleteBeforeTheNextLoss(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	n := 1
 	if os.Getenv("PJ_MEASURE") != "" {
 		n = measuredSeeds
--- a/internal/testing/sim/wiped_test.go
+++ b/internal/testing/sim/wiped_test.go
@@ -14,8 +14,8 @@
 func TestWipedStoreAsksForNoEpochs(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(4)) {
-		stand(t, siteOf(seed), 60+seed, func(t *testing.T, w *World) {
-			described(t, w)
+		runFleet(t, siteOf(seed), 60+seed, func(t *testing.T, w *World) {
+			applyConfiguration(t, w)
 			o := busiest(w)
 			before := w.records()
 			w.Wipe(o)
@@ -46,7 +46,7 @@
 // closed for good.
 func TestRestartedLeaderKeepsAskingForItsRecord(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for seed := range uint64(seeds(2)) {
 		play(t, siteOf(seed), 420+seed, time.Hour, func(t *testing.T, w *World) {
 			o := busiest(w)
--- /dev/null
+++ b/internal/testing/sim/withdraw_scenario_test.go
@@ -0,0 +1,240 @@
+package sim
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"postjunction/internal/apierror"
+	"postjunction/internal/client/session"
+	"postjunction/internal/partition"
+	"postjunction/internal/testing/deliverycheck"
+)
+
+// fourth is traductores with three access machines.
+var fourZoneSite = Site{Zones: 4, Control: 4, Access: 3, Stores: 4, Latency: 1500 * time.Microsecond, Timing: Traductores.Timing, Routine: 4, Urgent: 2}
+
+var withdrawalSites = map[string]Site{"armor": smallSite, "traductores": fourZoneSite}
+
+// few are visitors in the background, who carry keys and withdraw too.
+var backgroundLoad = Load{Topics: 12, LiveTopics: 2, Every: 2 * time.Second}
+
+const scenarioTopic = "kept/t0"
+
+// scene is a topic with a reader on the router a1, one on a3, and a lead on a2 who writes and
+// withdraws.
+type withdrawalScenario struct {
+	t                   *testing.T
+	w                   *World
+	clients             *LineClients
+	reader, otherReader *ScriptedClient
+	writer              *ScriptedClient
+	callSeq             uint64
+}
+
+func (s *withdrawalScenario) nextCallSeq() uint64 {
+	s.callSeq++
+	return s.callSeq
+}
+
+// staged plays a script at both sites in a scene that was set, with some seeds each.
+func runWithdrawalScenario(t *testing.T, seed uint64, seedsPerSite int, script func(s *withdrawalScenario)) {
+	t.Helper()
+	for name, site := range withdrawalSites {
+		for i := range uint64(seeds(seedsPerSite)) {
+			t.Run(fmt.Sprintf("%s/%d", name, seed+i), func(t *testing.T) {
+				t.Parallel()
+				runSessions(t, site, seed+i, backgroundLoad, 10, func(t *testing.T, w *World, clients *LineClients) {
+					s := &withdrawalScenario{t: t, w: w, clients: clients, reader: clients.Scripted("a1", "reader"), otherReader: clients.Scripted("a3", "far"), writer: clients.Scripted("a2", "lead")}
+					assert.Assert(t, s.reader != nil && s.otherReader != nil && s.writer != nil)
+					for _, client := range []*ScriptedClient{s.reader, s.otherReader} {
+						_, ok := client.Follow(scenarioTopic, "")
+						assert.Assert(t, ok, "%s can't follow", client.Name)
+					}
+					script(s)
+					for _, client := range []*ScriptedClient{s.reader, s.otherReader, s.writer} {
+						client.End()
+					}
+				})
+			})
+		}
+	}
+}
+
+// write has the lead send messages under a key, all taken.
+func (s *withdrawalScenario) sendMessages(key string, count int) {
+	s.t.Helper()
+	for range count {
+		s.sendMessage(key)
+	}
+}
+
+// put has the lead send one message, under another number where somebody's withdrawal passed that.
+func (s *withdrawalScenario) sendMessage(key string) {
+	s.t.Helper()
+	for range 4 {
+		if s.writer.SendAccepted(scenarioTopic, key, s.nextCallSeq()) {
+			return
+		}
+	}
+	s.t.Fatalf("not taken up to %d", s.callSeq)
+}
+
+// wait lets a hand get a message.
+func (s *withdrawalScenario) waitForMessage(client *ScriptedClient, callSeq uint64) {
+	s.t.Helper()
+	_, ok := client.Wait(0, scriptedTimeout, func(response session.Response) bool {
+		return response.Type == session.Message && response.From == s.writer.Name && response.CallSeq == callSeq
+	})
+	assert.Assert(s.t, ok, "%s never got %d", client.Name, callSeq)
+}
+
+// open withdraws what stands under a key and expects that a router is named which has not
+// forgotten, within a call's time.
+func (s *withdrawalScenario) withdrawPending(key, node string) deliverycheck.Withdrawal {
+	s.t.Helper()
+	w := deliverycheck.Withdrawal{Topic: scenarioTopic, Key: key, Call: s.nextCallSeq()}
+	s.expectPending(w, node)
+	return w
+}
+
+func (s *withdrawalScenario) expectPending(withdrawal deliverycheck.Withdrawal, node string) {
+	s.t.Helper()
+	start := time.Now()
+	response, ok := s.writer.Withdraw(withdrawal)
+	elapsed := time.Since(start)
+	assert.Assert(s.t, ok && apierror.HasCode(response.Err, apierror.WithdrawalOpen), "was told %s %v after %s", response.Type, response.Err, elapsed)
+	assert.Assert(s.t, strings.Contains(response.Err.Error(), node), "%v does not name %s", response.Err, node)
+	assert.Assert(s.t, elapsed <= s.w.Site.Timing.CallTimeout(), "the answer took %s", elapsed)
+}
+
+// yes asks again until the yes comes.
+func (s *withdrawalScenario) waitWithdrawn(withdrawal deliverycheck.Withdrawal, limit time.Duration) TimedResponse {
+	s.t.Helper()
+	end := time.Now().Add(limit)
+	for {
+		response, ok := s.writer.Withdraw(withdrawal)
+		if ok && response.Type == session.WithdrawalComplete {
+			return response
+		}
+		assert.Assert(s.t, time.Now().Before(end), "no yes within %s: %v %s %v", limit, ok, response.Type, response.Err)
+		time.Sleep(s.w.Site.Timing.MaxBackoff())
+	}
+}
+
+// flow has the lead write updates for a while, every other one anew under a key, and gives how long
+// they took to the far reader.
+func (s *withdrawalScenario) measureDelays(key string, duration time.Duration) []time.Duration {
+	s.t.Helper()
+	start := time.Now()
+	for i := 0; time.Since(start) < duration; i++ {
+		messageKey := ""
+		if i%2 == 0 {
+			messageKey = key
+		}
+		s.sendMessage(messageKey)
+		time.Sleep(20 * time.Millisecond)
+	}
+	s.waitForMessage(s.otherReader, s.callSeq)
+	measured := func(client string) bool { return client != "far" && client != "lead" }
+	return s.clients.Checker.Spread(start, time.Now(), measured)
+}
+
+func quantile(durations []time.Duration, fraction float64) time.Duration {
+	if len(durations) == 0 {
+		return 0
+	}
+	return durations[int(fraction*float64(len(durations)-1))]
+}
+
+// got tells whether a hand was shown a call of the lead after a moment.
+func (s *withdrawalScenario) receivedAfter(client *ScriptedClient, callSeq uint64, after time.Time) bool {
+	return slices.ContainsFunc(client.All(), func(response TimedResponse) bool {
+		return response.Type == session.Message && response.Topic == scenarioTopic && response.From == s.writer.Name && response.CallSeq == callSeq && response.Shown.After(after)
+	})
+}
+
+// resumed has the reader come back on its router with its cursor, until it is given what is written
+// then; the book judges what it is shown.
+func (s *withdrawalScenario) resumeReader() {
+	s.t.Helper()
+	s.sendMessages("", 1)
+	last := s.callSeq
+	err := s.w.WaitUntil(s.w.Site.Timing.Recovery, "the reader comes back and is given what it lacks", func() bool {
+		previous := s.reader
+		previous.Break()
+		client := s.clients.Scripted("a1", "reader")
+		if client == nil {
+			return false
+		}
+		s.reader = client
+		if _, ok := client.Resume(previous, scenarioTopic); !ok {
+			return false
+		}
+		_, ok := client.Wait(0, time.Second, func(response session.Response) bool {
+			return response.Type == session.Message && response.From == s.writer.Name && response.CallSeq == last
+		})
+		return ok
+	})
+	assert.NilError(s.t, err)
+}
+
+// seat gives the store that owns a topic's line.
+func (s *withdrawalScenario) partitionLeader() string {
+	running := s.w.Machines["c1"].Node()
+	return running.Store.Record(partition.Of(scenarioTopic, false, running.VoterSet().Layout)).Leader
+}
+
+func (s *withdrawalScenario) waitForFailover(from string) {
+	s.t.Helper()
+	assert.NilError(s.t, s.w.WaitUntil(s.w.Site.Timing.Recovery, "the line moves", func() bool { return s.partitionLeader() != from }))
+}
+
+// reopened waits until the topic's line takes messages, and some more for those who are told of it.
+func (s *withdrawalScenario) waitForWrites(key string) {
+	s.t.Helper()
+	assert.NilError(s.t, s.w.WaitUntil(s.w.Site.Timing.Recovery, "the line is open again", func() bool { return s.writer.SendAccepted(scenarioTopic, key, s.nextCallSeq()) }))
+	time.Sleep(s.w.Site.Timing.SessionTimeout())
+}
+
+func (s *withdrawalScenario) compactions() (sum uint64) {
+	for _, view := range leaderViews(s.w) {
+		sum += view.Counters.Compactions
+	}
+	return sum
+}
+
+func (s *withdrawalScenario) reconnect(node, name string) (client *ScriptedClient) {
+	s.t.Helper()
+	assert.NilError(s.t, s.w.WaitUntil(s.w.Site.Timing.Recovery, name+" comes back", func() bool {
+		client = s.clients.Scripted(node, name)
+		return client != nil
+	}))
+	return client
+}
+
+// anew has the reader come back on its router without a cursor, until it is given what is written
+// under a key.
+func (s *withdrawalScenario) restartReader() {
+	s.t.Helper()
+	err := s.w.WaitUntil(2*s.w.Site.Timing.Recovery, "the reader follows", func() bool {
+		s.reader.End()
+		if s.reader = s.clients.Scripted("a1", "reader"); s.reader == nil {
+			s.reader = s.otherReader
+			return false
+		}
+		if _, ok := s.reader.Follow(scenarioTopic, ""); !ok || !s.writer.SendAccepted(scenarioTopic, "turn", s.nextCallSeq()) {
+			return false
+		}
+		_, ok := s.reader.Wait(0, time.Second, func(response session.Response) bool {
+			return response.Type == session.Message && response.From == s.writer.Name && response.CallSeq == s.callSeq
+		})
+		return ok
+	})
+	assert.NilError(s.t, err)
+	s.waitWithdrawn(deliverycheck.Withdrawal{Topic: scenarioTopic, Key: "turn", Call: s.nextCallSeq()}, s.w.Site.Timing.CallTimeout())
+}
--- a/internal/testing/sim/withdraw_test.go
+++ b/internal/testing/sim/withdraw_test.go
@@ -17,7 +17,7 @@
 
 // aways are the ways in which a router drops out with its visitors still connected, and how it
 // comes back.
-var aways = map[string]func(w *World) (back func()){
+var routerFaults = map[string]func(w *World) (restore func()){
 	"cut off": func(w *World) func() {
 		w.Isolate("a1")
 		return w.Heal
@@ -42,27 +42,27 @@
 // as before.
 func TestRouterDropsOutWhileOthersWithdraw(t *testing.T) {
 	t.Parallel()
-	for how, away := range aways {
-		t.Run(how, func(t *testing.T) {
+	for name, inject := range routerFaults {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			staged(t, 900, 1, func(s *scene) {
-				calm := s.flow("live", 3*time.Second)
+			runWithdrawalScenario(t, 900, 1, func(s *withdrawalScenario) {
+				baseline := s.measureDelays("live", 3*time.Second)
 				s.reader.Pause(7 * time.Second)
 				time.Sleep(10 * time.Millisecond)
-				s.write("turn", 20)
-				last := s.call
-				s.wait(s.far, last)
-				back := away(s.w)
-				x := s.open("turn", "a1")
-				now := s.flow("turn", 2*time.Second)
-				s.still(x, "a1")
-				back()
-				a := s.yes(x, s.w.Site.Timing.Recovery)
+				s.sendMessages("turn", 20)
+				last := s.callSeq
+				s.waitForMessage(s.otherReader, last)
+				restore := inject(s.w)
+				withdrawal := s.withdrawPending("turn", "a1")
+				degraded := s.measureDelays("turn", 2*time.Second)
+				s.expectPending(withdrawal, "a1")
+				restore()
+				response := s.waitWithdrawn(withdrawal, s.w.Site.Timing.Recovery)
 				time.Sleep(6 * time.Second)
-				assert.Assert(s.t, !s.got(s.reader, last, a.Shown), "shown after the yes")
-				s.t.Logf("live updates: calm p50 %s p99 %s, with a router away p50 %s p99 %s", quantile(calm, 0.5), quantile(calm, 0.99), quantile(now, 0.5), quantile(now, 0.99))
-				assert.Assert(s.t, len(now) > 10 && quantile(now, 0.99) <= quantile(calm, 0.99)+5*time.Millisecond, "calm p99 %s, with a router away %s of %d", quantile(calm, 0.99), quantile(now, 0.99), len(now))
-				s.resumed()
+				assert.Assert(s.t, !s.receivedAfter(s.reader, last, response.Shown), "shown after the yes")
+				s.t.Logf("live updates: calm p50 %s p99 %s, with a router away p50 %s p99 %s", quantile(baseline, 0.5), quantile(baseline, 0.99), quantile(degraded, 0.5), quantile(degraded, 0.99))
+				assert.Assert(s.t, len(degraded) > 10 && quantile(degraded, 0.99) <= quantile(baseline, 0.99)+5*time.Millisecond, "calm p99 %s, with a router away %s of %d", quantile(baseline, 0.99), quantile(degraded, 0.99), len(degraded))
+				s.resumeReader()
 			})
 		})
 	}
@@ -70,74 +70,74 @@
 
 // A router that is heard and hears nothing, of anybody or of the topic's owner alone, holds no
 // withdrawal open for longer than service may rest: it lets go of all and says so, which is heard.
-func TestADeafRouterLetsGo(t *testing.T) {
+func TestRouterThatReceivesNothingReleasesMessages(t *testing.T) {
 	t.Parallel()
-	long(t)
-	for how, cut := range map[string]func(s *scene){
-		"to all":       func(s *scene) { s.w.Cut("*", "a1") },
-		"to the owner": func(s *scene) { s.w.Cut(s.seat(), "a1") },
+	skipUnderRace(t)
+	for name, inject := range map[string]func(s *withdrawalScenario){
+		"to all":       func(s *withdrawalScenario) { s.w.Cut("*", "a1") },
+		"to the owner": func(s *withdrawalScenario) { s.w.Cut(s.partitionLeader(), "a1") },
 	} {
-		t.Run(how, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			staged(t, 930, 1, func(s *scene) {
-				s.write("turn", 20)
-				last := s.call
-				s.wait(s.far, last)
-				cut(s)
+			runWithdrawalScenario(t, 930, 1, func(s *withdrawalScenario) {
+				s.sendMessages("turn", 20)
+				last := s.callSeq
+				s.waitForMessage(s.otherReader, last)
+				inject(s)
 				s.reader.Pause(3 * time.Second)
-				x := s.open("turn", "a1")
-				a := s.yes(x, s.w.Site.Timing.Recovery+s.w.Site.Timing.CallTimeout())
-				s.flow("turn", time.Second)
-				assert.Assert(s.t, !s.got(s.reader, last, a.Shown), "shown after the yes")
+				withdrawal := s.withdrawPending("turn", "a1")
+				response := s.waitWithdrawn(withdrawal, s.w.Site.Timing.Recovery+s.w.Site.Timing.CallTimeout())
+				s.measureDelays("turn", time.Second)
+				assert.Assert(s.t, !s.receivedAfter(s.reader, last, response.Shown), "shown after the yes")
 				s.w.Heal()
-				s.resumed()
+				s.resumeReader()
 			})
 		})
 	}
 }
 
 // strikes come between a mark and its yes, while a router is away.
-var strikes = map[string]func(s *scene){
-	"the owner is killed": func(s *scene) {
-		o := s.seat()
-		s.w.Kill(o)
-		s.moved(o)
-		assert.NilError(s.t, s.w.Start(o))
+var leaderFaults = map[string]func(s *withdrawalScenario){
+	"the owner is killed": func(s *withdrawalScenario) {
+		leaderNode := s.partitionLeader()
+		s.w.Kill(leaderNode)
+		s.waitForFailover(leaderNode)
+		assert.NilError(s.t, s.w.Start(leaderNode))
 	},
-	"the owner is frozen": func(s *scene) {
-		o := s.seat()
-		s.w.Freeze(o)
-		s.moved(o)
-		s.w.Thaw(o)
+	"the owner is frozen": func(s *withdrawalScenario) {
+		leaderNode := s.partitionLeader()
+		s.w.Freeze(leaderNode)
+		s.waitForFailover(leaderNode)
+		s.w.Thaw(leaderNode)
 	},
-	"the owner hands over": func(s *scene) {
-		o := s.seat()
-		s.w.Terminate(o)
-		s.moved(o)
-		assert.NilError(s.t, s.w.Start(o))
+	"the owner hands over": func(s *withdrawalScenario) {
+		leaderNode := s.partitionLeader()
+		s.w.Terminate(leaderNode)
+		s.waitForFailover(leaderNode)
+		assert.NilError(s.t, s.w.Start(leaderNode))
 	},
-	"the owner's store is wiped": func(s *scene) {
-		o := s.seat()
-		s.w.Wipe(o)
-		s.moved(o)
-		assert.NilError(s.t, s.w.Start(o))
+	"the owner's store is wiped": func(s *withdrawalScenario) {
+		leaderNode := s.partitionLeader()
+		s.w.Wipe(leaderNode)
+		s.waitForFailover(leaderNode)
+		assert.NilError(s.t, s.w.Start(leaderNode))
 	},
-	"the changelog is compacted": func(s *scene) {
-		was := s.compactions()
+	"the changelog is compacted": func(s *withdrawalScenario) {
+		before := s.compactions()
 		for range 90 {
-			s.write("", 1)
+			s.sendMessages("", 1)
 			time.Sleep(s.w.Site.Timing.MaxBackoff())
 		}
-		assert.Assert(s.t, s.compactions() > was, "void: no changelog was compacted")
-		o := s.seat()
-		s.w.Kill(o)
-		s.moved(o)
-		assert.NilError(s.t, s.w.Start(o))
+		assert.Assert(s.t, s.compactions() > before, "void: no changelog was compacted")
+		leaderNode := s.partitionLeader()
+		s.w.Kill(leaderNode)
+		s.waitForFailover(leaderNode)
+		assert.NilError(s.t, s.w.Start(leaderNode))
 	},
-	"every store and control node restarts": func(s *scene) {
-		for _, n := range s.w.Names {
-			if n[0] != 'a' {
-				s.w.LosePower(n, s.w.Int(2) == 0)
+	"every store and control node restarts": func(s *withdrawalScenario) {
+		for _, node := range s.w.Names {
+			if node[0] != 'a' {
+				s.w.LosePower(node, s.w.Int(2) == 0)
 			}
 		}
 		time.Sleep(time.Second)
@@ -147,32 +147,32 @@
 
 // A mark and its readers outlive what befalls their line: while a router that holds the message is
 // away the yes does not come, whoever owns the line.
-func TestYesWaitsForTheRouterOverTakeOvers(t *testing.T) {
+func TestWithdrawalWaitsForTheRouterAcrossFailovers(t *testing.T) {
 	t.Parallel()
-	long(t)
-	for how, strike := range strikes {
-		t.Run(how, func(t *testing.T) {
+	skipUnderRace(t)
+	for name, inject := range leaderFaults {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			staged(t, 910, 1, func(s *scene) {
-				for _, m := range s.w.Machines {
-					if n := m.Node(); n != nil && strings.Contains(how, "compacted") {
-						o := m.Opts
-						o.Changelog = 200 * 1e6
-						assert.NilError(s.t, n.Apply(o))
+			runWithdrawalScenario(t, 910, 1, func(s *withdrawalScenario) {
+				for _, machine := range s.w.Machines {
+					if running := machine.Node(); running != nil && strings.Contains(name, "compacted") {
+						options := machine.Opts
+						options.Changelog = 200 * 1e6
+						assert.NilError(s.t, running.Apply(options))
 					}
 				}
-				s.write("turn", 3)
-				last := s.call
-				s.wait(s.reader, last)
+				s.sendMessages("turn", 3)
+				last := s.callSeq
+				s.waitForMessage(s.reader, last)
 				s.w.Isolate("a1")
-				x := s.open("turn", "a1")
-				strike(s)
-				s.reopened("turn")
-				s.still(x, "a1")
+				withdrawal := s.withdrawPending("turn", "a1")
+				inject(s)
+				s.waitForWrites("turn")
+				s.expectPending(withdrawal, "a1")
 				s.w.Heal()
-				a := s.yes(x, s.w.Site.Timing.Recovery)
-				s.resumed()
-				assert.Assert(s.t, !s.got(s.reader, last, a.Shown), "shown to one who came back")
+				response := s.waitWithdrawn(withdrawal, s.w.Site.Timing.Recovery)
+				s.resumeReader()
+				assert.Assert(s.t, !s.receivedAfter(s.reader, last, response.Shown), "shown to one who came back")
 			})
 		})
 	}
@@ -180,26 +180,26 @@
 
 // All lose their power between the mark and its yes: the routers come back under other boots, hold
 // nothing, and the yes comes without the old ones.
-func TestYesComesAfterAllRestart(t *testing.T) {
+func TestWithdrawalCompletesAfterAllRestart(t *testing.T) {
 	t.Parallel()
-	staged(t, 920, 1, func(s *scene) {
-		s.write("turn", 3)
-		s.wait(s.reader, s.call)
+	runWithdrawalScenario(t, 920, 1, func(s *withdrawalScenario) {
+		s.sendMessages("turn", 3)
+		s.waitForMessage(s.reader, s.callSeq)
 		s.w.Isolate("a1")
-		x := s.open("turn", "a1")
-		for _, n := range s.w.Names {
-			s.w.LosePower(n, s.w.Int(2) == 0)
+		withdrawal := s.withdrawPending("turn", "a1")
+		for _, node := range s.w.Names {
+			s.w.LosePower(node, s.w.Int(2) == 0)
 		}
 		s.w.Heal()
 		time.Sleep(time.Second)
 		assert.NilError(s.t, s.w.Start(s.w.Names...))
 		assert.NilError(s.t, s.w.WaitReady(s.w.Site.Timing.Recovery))
-		s.lead = s.again("a2", "lead")
-		a := s.yes(x, s.w.Site.Timing.Recovery)
-		s.resumed()
-		assert.Assert(s.t, !s.got(s.reader, x.Call-1, a.Shown), "shown to one who came back")
-		s.far.End()
-		s.far = s.again("a3", "far")
+		s.writer = s.reconnect("a2", "lead")
+		response := s.waitWithdrawn(withdrawal, s.w.Site.Timing.Recovery)
+		s.resumeReader()
+		assert.Assert(s.t, !s.receivedAfter(s.reader, withdrawal.Call-1, response.Shown), "shown to one who came back")
+		s.otherReader.End()
+		s.otherReader = s.reconnect("a3", "far")
 	})
 }
 
@@ -208,99 +208,99 @@
 // was passed over never arrives.
 func TestWithdrawalRacesItsOwnMessage(t *testing.T) {
 	t.Parallel()
-	staged(t, 930, 2, func(s *scene) {
-		twin := s.g.Scripted("a3", "lead")
-		assert.Assert(s.t, twin != nil)
-		passed, taken := 0, 0
+	runWithdrawalScenario(t, 930, 2, func(s *withdrawalScenario) {
+		secondSession := s.clients.Scripted("a3", "lead")
+		assert.Assert(s.t, secondSession != nil)
+		passed, accepted := 0, 0
 		for i := range 30 {
-			m, d := s.next(), s.next()
-			ahead := time.Duration(i%5-2) * s.w.Site.Latency / 2
+			messageSeq, withdrawalSeq := s.nextCallSeq(), s.nextCallSeq()
+			headStart := time.Duration(i%5-2) * s.w.Site.Latency / 2
 			sent := make(chan struct{})
 			go func() {
-				time.Sleep(-ahead)
-				twin.SendAsync(ground, "race", m)
+				time.Sleep(-headStart)
+				secondSession.SendAsync(scenarioTopic, "race", messageSeq)
 				close(sent)
 			}()
-			time.Sleep(ahead)
-			_, ok := s.lead.Withdraw(deliverycheck.Withdrawal{Topic: ground, Key: "race", Call: d, Of: "lead", Upto: m})
+			time.Sleep(headStart)
+			_, ok := s.writer.Withdraw(deliverycheck.Withdrawal{Topic: scenarioTopic, Key: "race", Call: withdrawalSeq, Of: "lead", Upto: messageSeq})
 			assert.Assert(s.t, ok)
 			<-sent
-			a, ok := twin.Wait(0, scriptedTimeout, func(a session.Response) bool {
-				return a.CallSeq == m && (a.Type == session.Accepted || a.InReplyTo == session.Send && simclient.Promises[apierror.From(a.Err).Code])
+			a, ok := secondSession.Wait(0, scriptedTimeout, func(a session.Response) bool {
+				return a.CallSeq == messageSeq && (a.Type == session.Accepted || a.InReplyTo == session.Send && simclient.Promises[apierror.From(a.Err).Code])
 			})
-			assert.Assert(s.t, ok, "no answer to %d", m)
+			assert.Assert(s.t, ok, "no answer to %d", messageSeq)
 			if a.Type == session.Accepted {
-				taken++
+				accepted++
 			} else {
 				assert.Assert(s.t, apierror.HasCode(a.Err, apierror.CallPassed), "%v", a.Err)
 				passed++
 			}
 		}
-		s.t.Logf("raced: %d taken, %d passed", taken, passed)
-		assert.Assert(s.t, taken > 0 && passed > 0, "void: %d taken, %d passed", taken, passed)
-		foe := s.again("a3", "foe")
+		s.t.Logf("raced: %d taken, %d passed", accepted, passed)
+		assert.Assert(s.t, accepted > 0 && passed > 0, "void: %d taken, %d passed", accepted, passed)
+		otherClient := s.reconnect("a3", "foe")
 		for i := range 5 {
-			n := uint64(10 * (i + 1))
-			a, ok := s.lead.Withdraw(deliverycheck.Withdrawal{Topic: ground, Key: "foe", Call: s.next(), Of: "foe", Upto: n})
-			assert.Assert(s.t, ok && a.Type == session.WithdrawalComplete, "%v", a.Err)
-			a, ok = foe.Send(ground, "foe", n-1)
-			assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.CallPassed), "%s %v", a.Type, a.Err)
-			assert.Assert(s.t, foe.SendAccepted(ground, "foe", n+1))
+			upTo := uint64(10 * (i + 1))
+			response, ok := s.writer.Withdraw(deliverycheck.Withdrawal{Topic: scenarioTopic, Key: "foe", Call: s.nextCallSeq(), Of: "foe", Upto: upTo})
+			assert.Assert(s.t, ok && response.Type == session.WithdrawalComplete, "%v", response.Err)
+			response, ok = otherClient.Send(scenarioTopic, "foe", upTo-1)
+			assert.Assert(s.t, ok && apierror.HasCode(response.Err, apierror.CallPassed), "%s %v", response.Type, response.Err)
+			assert.Assert(s.t, otherClient.SendAccepted(scenarioTopic, "foe", upTo+1))
 		}
-		twin.End()
-		foe.End()
+		secondSession.End()
+		otherClient.End()
 	})
 }
 
 // What withdrawals answer besides a yes.
 func TestAnswersToWithdrawals(t *testing.T) {
 	t.Parallel()
-	staged(t, 940, 1, func(s *scene) {
-		a, ok := s.lead.Withdraw(deliverycheck.Withdrawal{Topic: ground, Key: "nothing", Call: s.next()})
-		assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.KeyUnknown), "%s %v", a.Type, a.Err)
-		s.write("turn", 1)
-		x := deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}
-		first := s.yes(x, time.Second)
+	runWithdrawalScenario(t, 940, 1, func(s *withdrawalScenario) {
+		response, ok := s.writer.Withdraw(deliverycheck.Withdrawal{Topic: scenarioTopic, Key: "nothing", Call: s.nextCallSeq()})
+		assert.Assert(s.t, ok && apierror.HasCode(response.Err, apierror.KeyUnknown), "%s %v", response.Type, response.Err)
+		s.sendMessages("turn", 1)
+		withdrawal := deliverycheck.Withdrawal{Topic: scenarioTopic, Key: "turn", Call: s.nextCallSeq()}
+		first := s.waitWithdrawn(withdrawal, time.Second)
 		assert.Equal(s.t, first.Key, "turn")
-		s.yes(x, time.Second)
-		s.yes(deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}, time.Second)
-		other := s.again("a3", "other")
-		s.write("turn", 1)
-		a, ok = other.Withdraw(deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: 1})
-		assert.Assert(s.t, ok && a.Type == session.WithdrawalComplete, "%s %v", a.Type, a.Err)
-		s.write("turn", 1)
-		s.wait(s.far, s.call)
-		s.wait(s.reader, s.call)
+		s.waitWithdrawn(withdrawal, time.Second)
+		s.waitWithdrawn(deliverycheck.Withdrawal{Topic: scenarioTopic, Key: "turn", Call: s.nextCallSeq()}, time.Second)
+		other := s.reconnect("a3", "other")
+		s.sendMessages("turn", 1)
+		response, ok = other.Withdraw(deliverycheck.Withdrawal{Topic: scenarioTopic, Key: "turn", Call: 1})
+		assert.Assert(s.t, ok && response.Type == session.WithdrawalComplete, "%s %v", response.Type, response.Err)
+		s.sendMessages("turn", 1)
+		s.waitForMessage(s.otherReader, s.callSeq)
+		s.waitForMessage(s.reader, s.callSeq)
 		other.End()
 	})
 }
 
 // A withdrawal of what was withdrawn before is answered by the mark that stands, also when it is
 // asked for again after the key was written anew: what was written then stays.
-func TestWithdrawnTwiceLeavesWhatIsWrittenThen(t *testing.T) {
+func TestWithdrawnTwiceRetainsLaterMessages(t *testing.T) {
 	t.Parallel()
-	staged(t, 945, 1, func(s *scene) {
-		other := s.again("a3", "other")
-		s.write("turn", 2)
-		s.wait(s.reader, s.call)
+	runWithdrawalScenario(t, 945, 1, func(s *withdrawalScenario) {
+		other := s.reconnect("a3", "other")
+		s.sendMessages("turn", 2)
+		s.waitForMessage(s.reader, s.callSeq)
 		s.w.Isolate("a1")
-		x := s.open("turn", "a1")
-		y := deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: 1}
-		a, ok := other.Withdraw(y)
-		assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.WithdrawalOpen), "%s %v", a.Type, a.Err)
-		s.write("turn", 1)
-		anew := s.call
-		a, ok = other.Withdraw(y)
-		assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.WithdrawalOpen), "%s %v", a.Type, a.Err)
-		assert.Assert(s.t, other.SendAccepted(ground, "", 2))
-		a, ok = other.Withdraw(y)
-		assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.WithdrawalOpen), "%s %v", a.Type, a.Err)
+		withdrawal := s.withdrawPending("turn", "a1")
+		second := deliverycheck.Withdrawal{Topic: scenarioTopic, Key: "turn", Call: 1}
+		response, ok := other.Withdraw(second)
+		assert.Assert(s.t, ok && apierror.HasCode(response.Err, apierror.WithdrawalOpen), "%s %v", response.Type, response.Err)
+		s.sendMessages("turn", 1)
+		laterCallSeq := s.callSeq
+		response, ok = other.Withdraw(second)
+		assert.Assert(s.t, ok && apierror.HasCode(response.Err, apierror.WithdrawalOpen), "%s %v", response.Type, response.Err)
+		assert.Assert(s.t, other.SendAccepted(scenarioTopic, "", 2))
+		response, ok = other.Withdraw(second)
+		assert.Assert(s.t, ok && apierror.HasCode(response.Err, apierror.WithdrawalOpen), "%s %v", response.Type, response.Err)
 		s.w.Heal()
-		s.yes(x, s.w.Site.Timing.Recovery)
-		a, ok = other.Withdraw(y)
-		assert.Assert(s.t, ok && a.Type == session.WithdrawalComplete, "%s %v", a.Type, a.Err)
-		s.resumed()
-		s.wait(s.reader, anew)
+		s.waitWithdrawn(withdrawal, s.w.Site.Timing.Recovery)
+		response, ok = other.Withdraw(second)
+		assert.Assert(s.t, ok && response.Type == session.WithdrawalComplete, "%s %v", response.Type, response.Err)
+		s.resumeReader()
+		s.waitForMessage(s.reader, laterCallSeq)
 		other.End()
 	})
 }
@@ -309,22 +309,22 @@
 // as no router asks another.
 func TestRoutersCutFromEachOtherWithdraw(t *testing.T) {
 	t.Parallel()
-	for how, back := range map[string]bool{"one way": false, "both ways": true} {
-		t.Run(how, func(t *testing.T) {
+	for name, bothWays := range map[string]bool{"one way": false, "both ways": true} {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			staged(t, 950, 1, func(s *scene) {
+			runWithdrawalScenario(t, 950, 1, func(s *withdrawalScenario) {
 				s.w.Cut("a1", "a2")
 				s.w.Cut("a1", "a3")
-				if back {
+				if bothWays {
 					s.w.Cut("a2", "a1")
 					s.w.Cut("a3", "a1")
 				}
 				for range 10 {
-					s.write("turn", 2)
-					s.yes(deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}, s.w.Site.Timing.CallTimeout())
+					s.sendMessages("turn", 2)
+					s.waitWithdrawn(deliverycheck.Withdrawal{Topic: scenarioTopic, Key: "turn", Call: s.nextCallSeq()}, s.w.Site.Timing.CallTimeout())
 				}
-				s.write("turn", 1)
-				s.wait(s.reader, s.call)
+				s.sendMessages("turn", 1)
+				s.waitForMessage(s.reader, s.callSeq)
 			})
 		})
 	}
@@ -334,36 +334,36 @@
 // that its successor's line has withdrawn. The yes waits for that router.
 func TestSupersededLeaderStillAnswers(t *testing.T) {
 	t.Parallel()
-	long(t)
-	staged(t, 960, 1, func(s *scene) {
-		o := s.seat()
-		s.write("turn", 3)
-		last := s.call
-		s.wait(s.reader, last)
-		for _, n := range s.w.Names {
-			for _, x := range []string{o, "a1"} {
-				if n != o && n != "a1" {
-					s.w.Cut(n, x)
-					s.w.Cut(x, n)
+	skipUnderRace(t)
+	runWithdrawalScenario(t, 960, 1, func(s *withdrawalScenario) {
+		leaderNode := s.partitionLeader()
+		s.sendMessages("turn", 3)
+		last := s.callSeq
+		s.waitForMessage(s.reader, last)
+		for _, node := range s.w.Names {
+			for _, isolated := range []string{leaderNode, "a1"} {
+				if node != leaderNode && node != "a1" {
+					s.w.Cut(node, isolated)
+					s.w.Cut(isolated, node)
 				}
 			}
 		}
-		answered := s.w.Parts("a1", router.Poll.Path)
-		s.moved(o)
-		s.reopened("")
-		x := s.open("turn", "a1")
-		h := s.g.Scripted("a1", "other")
-		if h != nil {
-			_, _ = h.Follow(ground, "")
+		pollsBefore := s.w.Parts("a1", router.Poll.Path)
+		s.waitForFailover(leaderNode)
+		s.waitForWrites("")
+		withdrawal := s.withdrawPending("turn", "a1")
+		other := s.clients.Scripted("a1", "other")
+		if other != nil {
+			_, _ = other.Follow(scenarioTopic, "")
 		}
 		time.Sleep(2 * time.Second)
-		s.still(x, "a1")
-		assert.Assert(s.t, s.w.Parts("a1", router.Poll.Path) > answered, "void: the old owner was not asked")
+		s.expectPending(withdrawal, "a1")
+		assert.Assert(s.t, s.w.Parts("a1", router.Poll.Path) > pollsBefore, "void: the old owner was not asked")
 		s.w.Heal()
-		s.yes(x, s.w.Site.Timing.Recovery)
-		s.resumed()
-		if h != nil {
-			h.End()
+		s.waitWithdrawn(withdrawal, s.w.Site.Timing.Recovery)
+		s.resumeReader()
+		if other != nil {
+			other.End()
 		}
 	})
 }
@@ -371,33 +371,33 @@
 // A router is away for longer than the keeping time and the lease: it is given up, which the yes
 // says, marks go, and when it is back it starts clean. One that is heard and hears nothing is not
 // given up, as it may be licensed by others.
-func TestRouterAwayForLongIsGivenUp(t *testing.T) {
+func TestUnreachableRouterIsGivenUp(t *testing.T) {
 	t.Parallel()
-	long(t)
-	for how, away := range aways {
-		if how == "deaf" {
+	skipUnderRace(t)
+	for name, inject := range routerFaults {
+		if name == "deaf" {
 			continue
 		}
-		t.Run(how, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			staged(t, 970, 1, func(s *scene) {
-				s.write("turn", 3)
-				last := s.call
-				s.wait(s.reader, last)
-				back := away(s.w)
-				x := s.open("turn", "a1")
-				begun := time.Now()
-				a := s.yes(x, s.w.Site.Timing.Retention()+2*s.w.Site.Timing.Recovery)
-				assert.Assert(s.t, slices.Contains(a.GivenUp, "a1"), "the yes names %v", a.GivenUp)
-				took := time.Since(begun)
-				s.t.Logf("given up after %s", took)
-				assert.Assert(s.t, took >= s.w.Site.Timing.Keeping, "given up after %s", took)
+			runWithdrawalScenario(t, 970, 1, func(s *withdrawalScenario) {
+				s.sendMessages("turn", 3)
+				last := s.callSeq
+				s.waitForMessage(s.reader, last)
+				restore := inject(s.w)
+				withdrawal := s.withdrawPending("turn", "a1")
+				start := time.Now()
+				response := s.waitWithdrawn(withdrawal, s.w.Site.Timing.Retention()+2*s.w.Site.Timing.Recovery)
+				assert.Assert(s.t, slices.Contains(response.GivenUp, "a1"), "the yes names %v", response.GivenUp)
+				elapsed := time.Since(start)
+				s.t.Logf("given up after %s", elapsed)
+				assert.Assert(s.t, elapsed >= s.w.Site.Timing.Keeping, "given up after %s", elapsed)
 				for range 5 {
-					s.write("turn", 1)
-					s.yes(deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}, s.w.Site.Timing.CallTimeout())
+					s.sendMessages("turn", 1)
+					s.waitWithdrawn(deliverycheck.Withdrawal{Topic: scenarioTopic, Key: "turn", Call: s.nextCallSeq()}, s.w.Site.Timing.CallTimeout())
 				}
-				back()
-				s.anew()
+				restore()
+				s.restartReader()
 			})
 		})
 	}
--- a/tools/mutations/client.sh
+++ b/tools/mutations/client.sh
@@ -4,7 +4,7 @@
 mutant live-not-resumed internal/client/stream_deliver.go 's/entry\.Live && \(entry\.BodyDropped \|\| entry\.Offset <= reader\.liveFrom\)/false/' ./internal/testing/transcript 'Picker'
 mutant stream-fence internal/client/stream_fencing.go 's/entry\.Generation > st\.request\.identity\.Generation \{/false {/' ./internal/testing/transcript 'Picker'
 mutant skip-seen internal/client/stream_deliver.go 's/if entry\.Offset <= st\.positions\[reader\.partition\] \{/if false {/' ./internal/client 'Skips'
-mutant urgent-opens-alone internal/client/stream_open.go 's/if required == 0 \{/if true {\n\t\trequired += len(routine)/; s/opened\.isUrgent \|\| len\(urgent\) == 0/true/' $S 'UrgentGoes'
+mutant urgent-opens-alone internal/client/stream_open.go 's/if required == 0 \{/if true {\n\t\trequired += len(routine)/; s/opened\.isUrgent \|\| len\(urgent\) == 0/true/' $S 'UrgentProceeds'
 mutant urgent-never-waits internal/client/stream_deliver.go 's/go func\(\) \{\n\t\twindow, err := feed\.Fetch/func() {\n\t\twindow, err := feed.Fetch/' ./internal/client DeliverRound
 mutant urgent-lane internal/client/policies.go 's/if request\.isUrgent\(\) \{\n\t\tlane = /if false {\n\t\tlane = /' $S 'UrgentUnderFlood'
 mutant stream-withdrawn internal/client/stream_deliver.go 's/fate == stream\.EntryWithdrawn \|\|\n/\n/' ./internal/client 'WithdrawnEntries'
--- a/tools/mutations/partitionlog-leader.sh
+++ b/tools/mutations/partitionlog-leader.sh
@@ -8,12 +8,12 @@
 mutant altered-body $L/submit.go 's/case ok && previous.Digest != digest:/case ok \&\& false:/' ./internal/testing/transcript 'BadInput'
 mutant passed $L/submit.go 's/if message.CallSeq <= calls.last \{/if _, ok := calls.committed.Find(message.CallSeq); ok {/' ./internal/testing/transcript 'BadInput'
 mutant deletions-before-trim $L/maintain.go 's/ && !l\.state\.Changed\(\)//' $S 'WhatIsGone'
-mutant recall $L/recovery.go 's/restored\.RestoreAnswer\(entry\)/_ = restored/' $S 'OfferedInOrder'
+mutant recall $L/recovery.go 's/restored\.RestoreAnswer\(entry\)/_ = restored/' $S 'SubmittedInOrder'
 mutant assure $L/leadership.go 's/check\.err = l\.confirmEpoch\(ctx\)/_ = ctx/' $S 'CutOffLeader'
 mutant generation $L/submit.go 's/if message.Generation > 0 && message.Generation < calls.generation \{/if false \&\& message.Generation < calls.generation {/' $S 'OldAttachment'
 mutant reprocess $L/recovery.go 's/rest := partitionLog.log.Slice\(input\+1, partitionLog.commit/rest := partitionLog.log.Slice(partitionLog.commit+1, partitionLog.commit/' $S 'Faults|Reprocess'
 mutant attach-once $L/attach.go 's/if assigned == 0 && l\.isAttachRetry\(client, calls, secret\) \{/if false {/' ./$L 'Attach_Retry'
-mutant retention-before-trim $L/maintain.go 's/partitionLog.LastBefore\(now.Add\(-l.options.Timing.RetentionFor\(l.options.LongestRetention\(\)\)\)\)/partitionLog.LastBefore(now.Add(-l.options.Timing.Spread))/' $S 'Keeping'
+mutant retention-before-trim $L/maintain.go 's/partitionLog.LastBefore\(now.Add\(-l.options.Timing.RetentionFor\(l.options.LongestRetention\(\)\)\)\)/partitionLog.LastBefore(now.Add(-l.options.Timing.Spread))/' $S 'Keeping|Retention'
 mutant trim-behind-input $L/maintain.go 's/to := min\(expired, l\.savedInput\)/to := expired/; s/l\.requestTrim\(log\.KindInput, to\)/l.requestTrim(log.KindInput, max(to, l.prune()))/' $S 'TrimmingWaits'
 mutant covered-passed-over $L/filter.go 's/ && !l\.state\.IsWithdrawn\(entry\)//' ./$L 'WithdrawnMessagesAreSkipped'
 mutant withdrawal-to-all $L/filter.go 's/filter\.allWithdrawals \|\| filter\.isWanted\(entry\)/filter.isWanted(entry)/' ./$L 'WakesEveryFollower'
@@ -42,10 +42,10 @@
 mutant read-must-reset $L/read.go 's/isReader, response\.MustReset = l\.readerStatus/isReader, _ = l.readerStatus/' ./$L 'WholePartition'
 mutant finish-awaits-commit $L/read.go 's/l\.awaitCommit\(ctx, log\.KindInput, offset\)/l.awaitCommit(ctx, log.KindInput, min(offset, 0))/' ./$L 'WholePartition'
 mutant fleet-reader-noted $L/filter.go 's/entry\.Type == log\.TypeMessage && !filter\.isReader/entry.Type == log.TypeMessage \&\& false \&\& !filter.isReader/' $S 'RouterDropsOut'
-mutant fleet-covered $L/filter.go 's/filter\.withKeys && !l\.state\.IsWithdrawn\(entry\)/filter.withKeys/' $S 'RouterDropsOut|YesComes'
+mutant fleet-covered $L/filter.go 's/filter\.withKeys && !l\.state\.IsWithdrawn\(entry\)/filter.withKeys/' $S 'RouterDropsOut|WithdrawalCompletes'
 mutant fleet-already-noted $L/submit.go 's/if message\.Withdraw && !existing\.exists \{/if existing.exists {\n\t\treturn evaluation{accepted: state.AcceptedCall{CallSeq: message.CallSeq, Offset: existing.offset}, alreadyWithdrawn: true, dependency: existing.dependency}\n\t}\n\tif message.Withdraw {/' $S 'WithdrawnTwice'
-mutant fleet-given-up $L/readers.go 's/l\.writeReader\(name, state\.ReaderEntry\{BootID: reader\.BootID, GivenUp: true\}\)/_ = name/' $S 'RouterAway'
-mutant fleet-number-outlives $L/submit.go 's/case existing\.exists && message\.CallSeq <= floor:/case false:/; s/\.WrittenBy\(message\.Client, message\.CallSeq\)/.WrittenBy("?", 0)/' $S 'RouterAway'
+mutant fleet-given-up $L/readers.go 's/l\.writeReader\(name, state\.ReaderEntry\{BootID: reader\.BootID, GivenUp: true\}\)/_ = name/' $S 'UnreachableRouter'
+mutant fleet-number-outlives $L/submit.go 's/case existing\.exists && message\.CallSeq <= floor:/case false:/; s/\.WrittenBy\(message\.Client, message\.CallSeq\)/.WrittenBy("?", 0)/' $S 'UnreachableRouter'
 mutant run-before $L/readers.go 's/return ok && reader\.ReplacedBootID == bootID && bootID != ""/return false \&\& ok \&\& reader.ReplacedBootID == bootID/' ./$L TestReader_LateCallOfReplacedRun
 mutant reader-status-sent $L/followers.go 's/IsReader: l\.isReader\(node, bootID\), ReaderToken: token/ReaderToken: token/g' ./$L TestReader_LearnsThatItIsOne
 mutant token-checked $L/readertoken.go 's/return token\.number, token\.number == sent && !token\.finished/return token.number, true || sent > 0/' ./$L TestReader_LateCallOfAnyEarlierRun
