--- a/internal/testing/sim/answers_test.go
+++ b/internal/testing/sim/answers_test.go
@@ -13,8 +13,9 @@
 	"postjunction/internal/partitionlog/leader"
 )
 
-// An owner whose data links are cut keeps its lease and its belief that it decides. While others
-// decide, it must neither vouch for an attachment that was superseded nor give a final no or yes.
+// A partition leader whose data connections are cut retains its lease and takes itself for the
+// leader. While its successor leads, it must not confirm a superseded attachment, and it must
+// neither accept a message nor reject one finally.
 func TestCutOffLeaderGivesNoFinalAnswer(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(4)) {
@@ -31,12 +32,12 @@
 			partitionIDs := []int{partition.Of(topic, false, layout), partition.OfClient(clientName, false, layout)}
 			for _, partitionID := range partitionIDs {
 				oldLeader := w.records()[partitionID].Leader
-				data := func(call Point) bool {
+				isDataCall := func(call Point) bool {
 					return (call.From == oldLeader || call.To == oldLeader) && (strings.Contains(call.Path, "Ledger") || strings.Contains(call.Path, "Gossip"))
 				}
-				release, hits := w.PauseCalls(data)
+				release, hits := w.PauseCalls(isDataCall)
 				w.Freeze(oldLeader)
-				assert.NilError(t, w.WaitUntil(15*time.Second, "another owner", func() bool {
+				assert.NilError(t, w.WaitUntil(15*time.Second, "another leader", func() bool {
 					r := w.records()[partitionID]
 					return r.Leader != oldLeader && r.Recovered
 				}))
@@ -44,21 +45,21 @@
 				second := attach(t, w, "a1", clientName)
 				_, err := w.Port("a1").Send(w.ctx, second.Token, topic, 4, []byte(`"after"`))
 				assert.Assert(t, err == nil || apierror.HasCode(err, apierror.CallAltered), "%v", err)
-				assert.NilError(t, w.WaitUntil(10*time.Second, "the old owner is licensed", func() bool { return w.Machines[oldLeader].Node().Ready() == nil }))
-				stale := w.Machines[oldLeader].Node()
+				assert.NilError(t, w.WaitUntil(10*time.Second, "the old leader has a lease", func() bool { return w.Machines[oldLeader].Node().Ready() == nil }))
+				oldNode := w.Machines[oldLeader].Node()
 				ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Spread)
-				response, err := stale.Clients.Router.ReadAttachment(ctx, clientName, 0, false)
+				response, err := oldNode.Clients.Router.ReadAttachment(ctx, clientName, 0, false)
 				if err == nil {
-					assert.Equal(t, response.Attachment.Generation, second.Generation, "vouched for a superseded attachment")
+					assert.Equal(t, response.Attachment.Generation, second.Generation, "confirmed a superseded attachment")
 				}
-				_, err = stale.Clients.Router.Submit(ctx, partitionID, &leader.Message{Client: clientName, Generation: second.Generation, Topic: topic, CallSeq: 5, Body: []byte(`"later"`)})
-				assert.Assert(t, !apierror.HasCode(err, apierror.CallPassed), "a final no from an owner that is none: %v", err)
+				_, err = oldNode.Clients.Router.Submit(ctx, partitionID, &leader.Message{Client: clientName, Generation: second.Generation, Topic: topic, CallSeq: 5, Body: []byte(`"later"`)})
+				assert.Assert(t, !apierror.HasCode(err, apierror.CallPassed), "a final rejection by a superseded leader: %v", err)
 				stop()
-				assert.Assert(t, hits() > 0, "void: nothing was held")
+				assert.Assert(t, hits() > 0, "void: nothing was paused")
 				release()
 				time.Sleep(3 * time.Second)
 			}
-			assert.Assert(t, w.History.Terms() > 6, "void: no owner changed")
+			assert.Assert(t, w.History.Terms() > 6, "void: no leader changed")
 		})
 	}
 }
--- a/internal/testing/sim/configuration_test.go
+++ b/internal/testing/sim/configuration_test.go
@@ -23,7 +23,8 @@
 	return sequence
 }
 
-// described puts the description of the usual load and waits until it serves everywhere.
+// applyConfiguration puts the configuration of the default load and waits until every node serves
+// it.
 func applyConfiguration(t *testing.T, w *World) {
 	t.Helper()
 	_, err := w.Put("c1", load.Describe(0))
@@ -31,7 +32,7 @@
 	time.Sleep(w.Site.Timing.Spread)
 }
 
-// stand runs a script on a fleet that serves, without callers.
+// runFleet runs a script on a ready fleet without simulated clients.
 func runFleet(t *testing.T, site Site, seed uint64, script func(t *testing.T, w *World)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -62,25 +63,25 @@
 			won := -1
 			for i, err := range errs {
 				if err == nil {
-					assert.Equal(t, won, -1, "two descriptions on base %d were accepted", base)
+					assert.Equal(t, won, -1, "two configurations on base %d were accepted", base)
 					won = i
 					continue
 				}
 				assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationConflict), "%v", err)
 			}
-			assert.Assert(t, won >= 0, "nobody won on base %d: %v", base, errs)
+			assert.Assert(t, won >= 0, "no configuration was accepted on base %d: %v", base, errs)
 			time.Sleep(w.Site.Timing.Spread)
 			for _, node := range w.Names {
 				config := w.Machines[node].Node().Store.Configuration()
 				assert.Equal(t, config.Sequence, base+1)
-				assert.Equal(t, len(config.Spaces[0].Topics), won+1, "%s applied a description that lost", node)
+				assert.Equal(t, len(config.Spaces[0].Topics), won+1, "%s applied a rejected configuration", node)
 			}
 		}
 	})
 }
 
-// Operators number by themselves, in uneven steps. A loser's number may be above or below the
-// winner's, or the very same.
+// Operators choose sequence numbers themselves, in uneven steps. The number of a rejected
+// configuration may be above, below or equal to that of the accepted one.
 func TestOperatorsWithNumbersOfTheirOwn(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(3)) {
@@ -99,25 +100,25 @@
 				won := -1
 				for i, err := range errs {
 					if err == nil {
-						assert.Equal(t, won, -1, "two descriptions on base %d were accepted", base)
+						assert.Equal(t, won, -1, "two configurations on base %d were accepted", base)
 						won = i
 						continue
 					}
 					assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationConflict), "%v", err)
 				}
-				assert.Assert(t, won >= 0, "nobody won on base %d: %v", base, errs)
+				assert.Assert(t, won >= 0, "no configuration was accepted on base %d: %v", base, errs)
 				want, err := configuration.Parse(docs[won])
 				assert.NilError(t, err)
 				for i := range docs {
 					_, err := w.Put(w.Names[w.Int(len(w.Names))], docs[i])
-					assert.Equal(t, err == nil, i == won, "the same again: %v", err)
+					assert.Equal(t, err == nil, i == won, "the same configuration again: %v", err)
 					assert.Assert(t, err == nil || apierror.HasCode(err, apierror.ConfigurationConflict), "%v", err)
 				}
 				time.Sleep(w.Site.Timing.Spread)
-				bare := want
-				bare.Source = ""
+				withoutSource := want
+				withoutSource.Source = ""
 				for _, node := range w.Names {
-					assert.DeepEqual(t, w.Machines[node].Node().Store.Configuration(), bare)
+					assert.DeepEqual(t, w.Machines[node].Node().Store.Configuration(), withoutSource)
 				}
 				got, err := w.Machines["a1"].Node().Operators.CurrentConfiguration(w.ctx)
 				assert.NilError(t, err)
@@ -128,8 +129,9 @@
 	}
 }
 
-// The very same description is a yes through any node while it is current: after a lost answer, a
-// full restart, and through a node that has not heard of it, and once a later one is current.
+// The current configuration is acknowledged again through any node: after a lost response, after a
+// full restart, and through a node that has not received it. It is also acknowledged once a later
+// one is current.
 func TestTheSameConfigurationAgainIsAcknowledged(t *testing.T) {
 	t.Parallel()
 	runFleet(t, Armor, 320, func(t *testing.T, w *World) {
@@ -165,8 +167,8 @@
 	})
 }
 
-// Spaces by prefix come, go and come back: each topic goes where its longest prefix says,
-// everywhere within the spread, and goes on where it was.
+// Spaces by prefix are added, removed and added again. Each topic belongs to the space with its
+// longest prefix, on every node within the spread, and its log continues from the same offset.
 func TestSpacesByPrefixComeAndGo(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(2)) {
@@ -182,8 +184,8 @@
 				}
 				return err
 			}
-			const whole, part, fast = `{"name":"r-1","kind":"kept","prefix":"ka.","keep_ms":30000}`, `{"name":"r-2","kind":"live","prefix":"ka.b"}`, `{"name":"r-3","kind":"kept","urgent":true,"prefix":"kb."}`
-			assert.NilError(t, putSpaces(whole+","+part+","+fast))
+			const outer, nested, urgent = `{"name":"r-1","kind":"kept","prefix":"ka.","keep_ms":30000}`, `{"name":"r-2","kind":"live","prefix":"ka.b"}`, `{"name":"r-3","kind":"kept","urgent":true,"prefix":"kb."}`
+			assert.NilError(t, putSpaces(outer+","+nested+","+urgent))
 			attachment := attach(t, w, "a1", "v")
 			call := map[string]uint64{}
 			send := func(topic string) error {
@@ -206,21 +208,21 @@
 				}
 			}
 			assert.Assert(t, apierror.HasCode(send("kc.x"), apierror.UnknownSpace))
-			assert.NilError(t, putSpaces(whole))
-			assert.NilError(t, send("ka.bc"), "the shorter prefix holds the topics now")
+			assert.NilError(t, putSpaces(outer))
+			assert.NilError(t, send("ka.bc"), "the shorter prefix matches the topics now")
 			assert.Assert(t, apierror.HasCode(send("kb.x"), apierror.UnknownSpace))
 			for _, spaces := range []string{
-				whole + `,{"name":"r-3","kind":"kept","prefix":"kb."}`,
-				whole + `,{"name":"other","kind":"kept","prefix":"kb.x"}`,
+				outer + `,{"name":"r-3","kind":"kept","prefix":"kb."}`,
+				outer + `,{"name":"other","kind":"kept","prefix":"kb.x"}`,
 				`{"name":"r-1","kind":"kept","all":true}`,
-				whole + `,{"name":"r-4","kind":"kept","urgent":true,"prefix":"ka.c"}`,
+				outer + `,{"name":"r-4","kind":"kept","urgent":true,"prefix":"ka.c"}`,
 			} {
 				err := putSpaces(spaces)
-				assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationInvalid), "lines would move: %s: %v", spaces, err)
+				assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationInvalid), "topics would move to other partitions: %s: %v", spaces, err)
 			}
-			assert.NilError(t, putSpaces(part))
+			assert.NilError(t, putSpaces(nested))
 			assert.Assert(t, apierror.HasCode(send("ka.a"), apierror.UnknownSpace))
-			assert.NilError(t, putSpaces(whole+`,{"name":"renamed","kind":"kept","urgent":true,"prefix":"kb."}`))
+			assert.NilError(t, putSpaces(outer+`,{"name":"renamed","kind":"kept","urgent":true,"prefix":"kb."}`))
 			for _, topic := range topics {
 				assert.NilError(t, send(topic), topic)
 			}
@@ -232,8 +234,9 @@
 	}
 }
 
-// With standing lanes every nested prefix is taken, whatever its urgency, and every topic goes on
-// in its line: under a part that comes, goes and comes back, and under a new whole.
+// With standing lanes every nested prefix is accepted, whatever its urgency. Every topic continues
+// in its log: while a nested prefix is added, removed and added again, and under a new outer
+// prefix.
 func TestStandingLanesAcceptNestedPrefixes(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(2)) {
@@ -250,12 +253,12 @@
 				config, err := configuration.Parse(doc)
 				assert.NilError(t, err)
 				acceptance, err := w.Machines["a1"].Node().Operators.Replace(w.ctx, config)
-				assert.NilError(t, err, "the same again")
+				assert.NilError(t, err, "the same configuration again")
 				assert.Equal(t, len(acceptance.KeptLanes), retainedLanes, "%v", acceptance.KeptLanes)
 				time.Sleep(w.Site.Timing.Spread)
 			}
-			const outer, inner, kab, all = `{"name":"k","kind":"kept","prefix":"k"}`, `{"name":"ka","kind":"kept","urgent":true,"prefix":"ka."}`, `{"name":"kab","kind":"kept","prefix":"ka.b"}`, `{"name":"","kind":"kept","urgent":true,"all":true}`
-			putSpaces(0, inner)
+			const outer, middle, inner, all = `{"name":"k","kind":"kept","prefix":"k"}`, `{"name":"ka","kind":"kept","urgent":true,"prefix":"ka."}`, `{"name":"kab","kind":"kept","prefix":"ka.b"}`, `{"name":"","kind":"kept","urgent":true,"all":true}`
+			putSpaces(0, middle)
 			attachment := attach(t, w, "a1", "v")
 			topics := []string{"ka.a", "ka.bc"}
 			_, cursor, _ := follow(w, "a1", attachment.Token, "", topics, time.Second)
@@ -270,10 +273,10 @@
 			}
 			send()
 			for _, step := range []struct {
-				kept   int
-				spaces string
-			}{{0, inner + "," + outer}, {1, outer}, {2, outer + "," + kab}, {1, all}, {1, inner + "," + kab}, {0, inner}} {
-				putSpaces(step.kept, step.spaces)
+				retainedLanes int
+				spaces        string
+			}{{0, middle + "," + outer}, {1, outer}, {2, outer + "," + inner}, {1, all}, {1, middle + "," + inner}, {0, middle}} {
+				putSpaces(step.retainedLanes, step.spaces)
 				send()
 			}
 			w.Kill("c1")
@@ -286,17 +289,17 @@
 			}
 			current, err := w.Machines["a1"].Node().Operators.ReadConfiguration(w.ctx)
 			assert.NilError(t, err)
-			assert.Assert(t, !strings.Contains(fmt.Sprintf("%s", current), `"lanes"`), "the table is the fleet's")
+			assert.Assert(t, !strings.Contains(fmt.Sprintf("%s", current), `"lanes"`), "the table of lanes is internal to the fleet")
 		})
 	}
 }
 
-// A space may ask to be kept for longer than the fleet keeps.
+// A space may request a longer retention than the fleet's default.
 func TestRetentionRequestedByASpace(t *testing.T) {
 	t.Parallel()
 	runFleet(t, Armor, 360, func(t *testing.T, w *World) {
-		most := w.Site.Timing.MaxRetention().Milliseconds()
-		_, err := w.Put("c1", []byte(fmt.Sprintf(`{"base":0,"spaces":[{"name":"k","kind":"kept","prefix":"k","keep_ms":%d}]}`, most+1)))
+		maxRetentionMS := w.Site.Timing.MaxRetention().Milliseconds()
+		_, err := w.Put("c1", []byte(fmt.Sprintf(`{"base":0,"spaces":[{"name":"k","kind":"kept","prefix":"k","keep_ms":%d}]}`, maxRetentionMS+1)))
 		assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationInvalid), "%v", err)
 		requested := 2 * w.Site.Timing.Keeping
 		_, err = w.Put("c1", []byte(fmt.Sprintf(`{"base":0,"spaces":[{"name":"k","kind":"kept","prefix":"k","keep_ms":%d},{"name":"l","kind":"kept","prefix":"l"}]}`, requested.Milliseconds())))
@@ -314,12 +317,12 @@
 		assert.NilError(t, err)
 		time.Sleep(5 * time.Second)
 		_, _, err = follow(w, "c2", attach(t, w, "c2", "x").Token, cursor, []string{"k1"}, 2*time.Second)
-		assert.Assert(t, apierror.HasCode(err, apierror.CursorExpired), "let go in the end: %v", err)
+		assert.Assert(t, apierror.HasCode(err, apierror.CursorExpired), "messages were not dropped after the retention: %v", err)
 	})
 }
 
-// A description at its limits is taken, stands everywhere within the spread, and reads back to the
-// byte.
+// A configuration at its size limits is accepted, is in effect on every node within the spread, and
+// reads back byte for byte.
 func TestLargeConfigurations(t *testing.T) {
 	t.Parallel()
 	for _, size := range []struct{ spaces, source int }{{514, 100 << 10}, {configuration.MaxSpaces, configuration.MaxBytes}} {
@@ -357,7 +360,7 @@
 	runFleet(t, Armor, 4, func(t *testing.T, w *World) {
 		_, err := w.Put("c1", load.Describe(0))
 		assert.NilError(t, err)
-		bad := map[string]apierror.Code{
+		invalid := map[string]apierror.Code{
 			`{"base":1,"spaces":[{"name":"kept","kind":"kept","topics":["t0","t0"]},{"name":"X","kind":"gone","topics":[]}]}`: apierror.ConfigurationInvalid,
 			`{"base":1,"base":1,"spaces":[],"more":true}`:                                          apierror.ConfigurationInvalid,
 			`{"base":1,"spaces":[{"name":"stop","kind":"kept","urgent":false,"topics":["line"]}]}`: apierror.ConfigurationInvalid,
@@ -371,7 +374,7 @@
 			`{"base":1,"sequence":9,"spaces":[{"name":"a","kind":"kept","prefix":"k","keep_ms":86400000}]}`:                      apierror.ConfigurationInvalid,
 			`{"base":0,"sequence":1,"spaces":[{"name":"a","kind":"kept","prefix":"k","deadline_ms":0}]}`:                         apierror.ConfigurationInvalid,
 		}
-		for doc, code := range bad {
+		for doc, code := range invalid {
 			for _, node := range []string{"a1", "c2"} {
 				_, err := w.Put(node, []byte(doc))
 				assert.Assert(t, apierror.HasCode(err, code), "%s: %v", doc, err)
@@ -403,7 +406,7 @@
 			time.Sleep(w.Site.Timing.Spread + time.Millisecond)
 			for _, node := range []string{"a1", "s1"} {
 				_, ready, _ := w.Port(node).Shows(w.ctx)
-				assert.Assert(t, !ready, "%s serves, cut off, %s after description %d", node, w.Site.Timing.Spread, base+1)
+				assert.Assert(t, !ready, "%s serves while isolated, %s after configuration %d", node, w.Site.Timing.Spread, base+1)
 			}
 			w.Heal()
 			assert.NilError(t, w.WaitReady(10*time.Second))
@@ -431,7 +434,7 @@
 					assert.NilError(t, err)
 					assert.Equal(t, got, seq)
 					assert.NilError(t, w.Start(control))
-					assert.NilError(t, w.WaitUntil(30*time.Second, "the wiped disk has a seat", func() bool {
+					assert.NilError(t, w.WaitUntil(30*time.Second, "the wiped node is a voter again", func() bool {
 						n := w.Machines[control].Node()
 						voter, ok := w.Machines["a1"].Node().VoterSet().Voter(control)
 						return ok && voter.Incarnation == n.Info().Incarnation && n.Info().VoterSet == w.Machines["a1"].Node().VoterSet().Sequence
@@ -477,12 +480,12 @@
 			} else {
 				assert.Assert(t, got == seq || got == seq+1, "read back %d after %d and %v", got, seq, err)
 				if !apierror.HasCode(err, apierror.OutcomeUnknown) {
-					assert.Equal(t, got, seq, "told %v, though it was accepted", err)
+					assert.Equal(t, got, seq, "rejected with %v, though it was accepted", err)
 				}
 			}
 			again := []string{"a1", "s2", fmt.Sprintf("c%d", (i+1)%3+1)}[w.Int(3)]
 			put, err = w.Put(again, load.Describe(seq))
-			assert.NilError(t, err, "the same again through %s, when %d was current", again, got)
+			assert.NilError(t, err, "the same configuration again through %s, when %d was current", again, got)
 			assert.Equal(t, put, seq+1)
 			seq = put
 			assert.NilError(t, w.Start(control))
--- a/internal/testing/sim/effect_test.go
+++ b/internal/testing/sim/effect_test.go
@@ -14,8 +14,8 @@
 	"postjunction/internal/client"
 )
 
-// A description takes effect on every node within the spread: on sends, on new streams, and on
-// streams that stand open while nothing is sent.
+// A configuration takes effect on every node within the spread: on sends, on new streams, and on
+// open streams while nothing is sent.
 func TestConfigurationTakesEffectEverywhere(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(4)) {
@@ -31,7 +31,7 @@
 				w.Lose(0.05)
 			}
 			var mu sync.Mutex
-			dropped, received := map[string]time.Time{}, map[string]bool{}
+			unsubscribedAt, received := map[string]time.Time{}, map[string]bool{}
 			tokens := map[string]string{}
 			for _, node := range w.Names {
 				attachment := attach(t, w, node, "on-"+node)
@@ -41,7 +41,7 @@
 						mu.Lock()
 						defer mu.Unlock()
 						if slices.Contains(event.Unsubscribed, "kept/t1") {
-							dropped[node] = time.Now()
+							unsubscribedAt[node] = time.Now()
 						}
 						received[node] = received[node] || event.Topic == "kept/t0"
 						return nil
@@ -58,7 +58,7 @@
 				ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Recovery)
 				_, err := w.Port(node).Send(ctx, tokens[node], "kept/t1", 1, []byte(`1`))
 				if err == nil {
-					w.History.Effect(node, seq-1, firstRequest, w.Site.Timing.Spread-time.Millisecond, "took a message on a removed topic")
+					w.History.Effect(node, seq-1, firstRequest, w.Site.Timing.Spread-time.Millisecond, "accepted a message on a removed topic")
 				}
 				assert.Assert(t, apierror.HasCode(err, apierror.UnknownTopic), "%s: %v", node, err)
 				_, _, err = follow(w, node, tokens[node], "", []string{"kept/t1"}, time.Second)
@@ -81,16 +81,16 @@
 			mu.Lock()
 			defer mu.Unlock()
 			for _, node := range w.Names {
-				assert.Assert(t, !dropped[node].IsZero() && dropped[node].Sub(accepted) <= w.Site.Timing.Spread, "%s never dropped the removed topic from an open stream, or after %s", node, dropped[node].Sub(accepted))
-				assert.Assert(t, received[node], "%s: the other topic of the stream fell silent", node)
+				assert.Assert(t, !unsubscribedAt[node].IsZero() && unsubscribedAt[node].Sub(accepted) <= w.Site.Timing.Spread, "%s never dropped the removed topic from an open stream, or after %s", node, unsubscribedAt[node].Sub(accepted))
+				assert.Assert(t, received[node], "%s: the other topic of the stream delivered nothing", node)
 			}
 		})
 	}
 }
 
-// A space that was removed and comes back goes on where it was: call numbers, lines and cursors
-// neither repeat nor skip. It can't come back with another urgency, since its lines stand in the
-// partitions of the old one.
+// A space that was removed and is added again continues where it was: call numbers, logs and
+// cursors neither repeat nor skip. It can't be added with another urgency, since its messages are
+// in the partitions of the old one.
 func TestSpaceThatComesBackGoesOnWhereItWas(t *testing.T) {
 	t.Parallel()
 	skipUnderRace(t)
@@ -118,7 +118,7 @@
 			assert.NilError(t, putSpaces(""))
 			assert.Assert(t, apierror.HasCode(send(3), apierror.UnknownSpace))
 			err := putSpaces(other)
-			assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationInvalid), "a space came back with another urgency: %v", err)
+			assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationInvalid), "a space was added again with another urgency: %v", err)
 			leaderNode := busiest(w)
 			w.Kill(leaderNode)
 			time.Sleep(6 * time.Second)
@@ -129,7 +129,7 @@
 			assert.NilError(t, putSpaces(""))
 			assert.NilError(t, putSpaces(there))
 			assert.NilError(t, send(4))
-			assert.NilError(t, send(3), "a repeat of the one that was taken while the space was live")
+			assert.NilError(t, send(3), "a repeat of the call that was accepted while the space was live")
 			assert.NilError(t, send(6))
 			assert.Assert(t, apierror.HasCode(send(5), apierror.CallPassed))
 			calls, _, _ := follow(w, "c1", attach(t, w, "c1", "w").Token, cursor, []string{"line/a"}, 2*time.Second)
--- a/internal/testing/sim/flood_test.go
+++ b/internal/testing/sim/flood_test.go
@@ -14,9 +14,9 @@
 	"postjunction/internal/partition"
 )
 
-// Routine callers flood every node and every owner at once; then a store is lost beside the flood,
-// and comes back with an empty disk, so that take-overs and repair of routine partitions run beside
-// it too. Urgent calls keep their time.
+// Routine clients overload every node and every partition leader at once. Then a storage node is
+// lost and returns with an empty disk, so that failovers and repair of routine partitions run
+// meanwhile too. Urgent calls keep their latency.
 func TestUrgentUnderFlood(t *testing.T) {
 	t.Parallel()
 	skipUnderRace(t)
@@ -33,16 +33,16 @@
 		urgent := []string{w.records()[partition.Of("stop/line", true, layout)].Leader, w.records()[partition.OfClient("lead", true, layout)].Leader}
 		callSeq := uint64(0)
 		longest := func(duration time.Duration) time.Duration {
-			var most time.Duration
+			var slowest time.Duration
 			for start := time.Now(); time.Since(start) < duration; {
 				callSeq++
 				start := time.Now()
 				_, err := w.Port("a1").Send(w.ctx, urgentClient.Token, "stop/line", callSeq, []byte(`"stop"`))
-				assert.NilError(t, err, "an urgent call was turned away")
-				most = max(most, time.Since(start))
+				assert.NilError(t, err, "an urgent call was rejected")
+				slowest = max(slowest, time.Since(start))
 				time.Sleep(20 * time.Millisecond)
 			}
-			return most
+			return slowest
 		}
 		baseline := longest(time.Second)
 		ctx, stop := context.WithCancel(w.ctx)
@@ -66,7 +66,7 @@
 						accepted++
 					} else if apierror.HasCode(err, apierror.Overloaded) {
 						shed++
-						assert.Check(t, apierror.From(err).RetryAfterMS > 0, "no hint when to come back")
+						assert.Check(t, apierror.From(err).RetryAfterMS > 0, "no hint when to retry")
 					}
 					mu.Unlock()
 					if err != nil {
@@ -83,7 +83,7 @@
 			}
 			return sum
 		}
-		flooded := longest(700 * time.Millisecond)
+		underFlood := longest(700 * time.Millisecond)
 		lost := ""
 		for _, node := range w.Names {
 			if node[0] == 's' && !slices.Contains(urgent, node) {
@@ -92,20 +92,20 @@
 		}
 		before := epochs()
 		w.Wipe(lost)
-		beside := longest(4500 * time.Millisecond)
+		withNodeLost := longest(4500 * time.Millisecond)
 		assert.NilError(t, w.Start(lost))
-		repaired := longest(time.Second)
+		duringRepair := longest(time.Second)
 		limit := 3*baseline + 2*time.Millisecond
 		if epochs() != before {
 			limit = 2 * site.Timing.MaxBackoff()
-			t.Logf("a copy of an urgent partition was replaced too, and its owner opened it anew")
+			t.Logf("a replica of an urgent partition was replaced too, and its leader reopened the partition")
 		}
 		stop()
 		wg.Wait()
-		t.Logf("urgent, longest: calm %s, flooded %s, beside a lost store %s, beside its repair %s; routine taken %d, shed %d", baseline, flooded, beside, repaired, accepted, shed)
-		assert.Assert(t, shed > accepted/10, "void: the flood was none")
-		w.History.Overtaken("stop/line", "a flood", flooded, 3*baseline+2*time.Millisecond)
-		w.History.Overtaken("stop/line", "a lost store", beside, limit)
-		w.History.Overtaken("stop/line", "a repair", repaired, limit)
+		t.Logf("urgent, longest: baseline %s, flooded %s, with a lost storage node %s, during its repair %s; routine accepted %d, shed %d", baseline, underFlood, withNodeLost, duringRepair, accepted, shed)
+		assert.Assert(t, shed > accepted/10, "void: too few calls were shed for a flood")
+		w.History.Overtaken("stop/line", "a flood", underFlood, 3*baseline+2*time.Millisecond)
+		w.History.Overtaken("stop/line", "a lost storage node", withNodeLost, limit)
+		w.History.Overtaken("stop/line", "a repair", duringRepair, limit)
 	})
 }
--- a/internal/testing/sim/gap_test.go
+++ b/internal/testing/sim/gap_test.go
@@ -19,8 +19,8 @@
 
 var wideLoad = Load{Callers: 4, Topics: 40, LiveTopics: 2, Leads: 1, Every: 500 * time.Millisecond}
 
-// takers sends a message into each partition through a1, one after the other, and gives the longest
-// time between two takings.
+// gapSenders sends messages into each partition, one after the other, and records the longest time
+// between two accepted ones. mu guards last and gap.
 type gapSenders struct {
 	mu   sync.Mutex
 	last map[int]time.Time
@@ -36,8 +36,8 @@
 	topics := map[int]string{}
 	layout := running.VoterSet().Layout
 	for i := range wideLoad.Topics {
-		t := fmt.Sprintf("kept/t%d", i)
-		topics[partition.Of(t, false, layout)] = t
+		topic := fmt.Sprintf("kept/t%d", i)
+		topics[partition.Of(topic, false, layout)] = topic
 	}
 	topics[partition.Of("stop/line", true, layout)] = "stop/line"
 	for partitionID := range topics {
@@ -81,7 +81,8 @@
 	k.last[partitionID] = now
 }
 
-// worst ends the senders and gives the longest time in which some partition took nothing.
+// stopAndFindLongest stops the senders and returns the longest time in which some partition
+// accepted nothing.
 func (k *gapSenders) stopAndFindLongest() time.Duration {
 	k.mu.Lock()
 	partitionIDs := slices.Collect(maps.Keys(k.last))
@@ -107,7 +108,7 @@
 	return "c1"
 }
 
-// Thirteen is the smaller deployment as it stands.
+// thirteenNodes is the smaller deployment at its actual size.
 var thirteenNodes = func() Site {
 	site := Armor
 	site.Access, site.Routine, site.Urgent = 7, 12, 4
@@ -119,27 +120,27 @@
 	most   time.Duration
 	inject func(w *World)
 }{
-	{"store killed", time.Second, func(w *World) { w.Kill(busiest(w)) }},
-	{"store without power", 2 * time.Second, func(w *World) { w.LosePower(busiest(w), false) }},
-	{"store frozen", 2 * time.Second, func(w *World) { w.Freeze(busiest(w)) }},
-	{"store cut off", 2 * time.Second, func(w *World) { w.Isolate(busiest(w)) }},
-	{"store killed, back after 50 ms", time.Second, restartAfter(50 * time.Millisecond)},
-	{"store killed, back after 300 ms", time.Second, restartAfter(300 * time.Millisecond)},
-	{"store killed, back after 800 ms", time.Second, restartAfter(800 * time.Millisecond)},
-	{"store asked to stop", 200 * time.Millisecond, func(w *World) { w.Terminate(busiest(w)) }},
-	{"duty holder killed", 200 * time.Millisecond, func(w *World) { w.Kill(controllerNode(w)) }},
-	{"duty holder and store killed", time.Second, func(w *World) {
+	{"storage node killed", time.Second, func(w *World) { w.Kill(busiest(w)) }},
+	{"storage node without power", 2 * time.Second, func(w *World) { w.LosePower(busiest(w), false) }},
+	{"storage node frozen", 2 * time.Second, func(w *World) { w.Freeze(busiest(w)) }},
+	{"storage node isolated", 2 * time.Second, func(w *World) { w.Isolate(busiest(w)) }},
+	{"storage node killed, restarted after 50 ms", time.Second, restartAfter(50 * time.Millisecond)},
+	{"storage node killed, restarted after 300 ms", time.Second, restartAfter(300 * time.Millisecond)},
+	{"storage node killed, restarted after 800 ms", time.Second, restartAfter(800 * time.Millisecond)},
+	{"storage node asked to stop", 200 * time.Millisecond, func(w *World) { w.Terminate(busiest(w)) }},
+	{"placement controller killed", 200 * time.Millisecond, func(w *World) { w.Kill(controllerNode(w)) }},
+	{"placement controller and storage node killed", time.Second, func(w *World) {
 		controllerName := controllerNode(w)
 		w.Kill(busiest(w))
 		w.Kill(controllerName)
 	}},
-	{"duty holder and store without power", 2 * time.Second, func(w *World) {
+	{"placement controller and storage node without power", 2 * time.Second, func(w *World) {
 		controllerName := controllerNode(w)
 		w.LosePower(busiest(w), false)
 		w.LosePower(controllerName, false)
 	}},
-	{"all control killed, back after 500 ms", time.Second, func(w *World) { w.restartNodes(500*time.Millisecond, "c") }},
-	{"all with a disk killed, back after 500 ms", 2 * time.Second, func(w *World) { w.restartNodes(500*time.Millisecond, "cs") }},
+	{"all control nodes killed, restarted after 500 ms", time.Second, func(w *World) { w.restartNodes(500*time.Millisecond, "c") }},
+	{"all nodes with a disk killed, restarted after 500 ms", 2 * time.Second, func(w *World) { w.restartNodes(500*time.Millisecond, "cs") }},
 }
 
 func (w *World) restartNodes(downtime time.Duration, kinds string) {
@@ -165,12 +166,13 @@
 	}
 }
 
-// standing brings a fleet up whose partitions all have owners, with a description for takers.
+// startWideFleet starts a fleet whose partitions all have leaders, with a configuration for
+// gapSenders.
 func startWideFleet(t *testing.T, site Site, seed uint64) *World {
 	w := New(site, seed, Logger())
 	assert.NilError(t, w.Start(w.Names...))
 	assert.NilError(t, w.WaitReady(20*time.Second))
-	assert.NilError(t, w.WaitUntil(20*time.Second, "described", func() bool {
+	assert.NilError(t, w.WaitUntil(20*time.Second, "the configuration is accepted", func() bool {
 		_, err := w.Put("a1", wideLoad.Describe(0))
 		return err == nil
 	}))
@@ -191,7 +193,8 @@
 	return longest
 }
 
-// TestMeasureService measures how long some partition takes nothing, for each way that machines go.
+// TestMeasureService measures how long some partition accepts nothing, for each way in which
+// machines fail.
 func TestMeasureService(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for _, loss := range machineLosses {
@@ -212,6 +215,6 @@
 			continue
 		}
 		slices.Sort(durations)
-		t.Logf("%-42s p50 %s, max %s", loss.name, durations[len(durations)/2], durations[len(durations)-1])
+		t.Logf("%-52s p50 %s, max %s", loss.name, durations[len(durations)/2], durations[len(durations)-1])
 	}
 }
--- a/internal/testing/sim/lag_test.go
+++ b/internal/testing/sim/lag_test.go
@@ -10,8 +10,9 @@
 	"postjunction/internal/partition"
 )
 
-// All that a store sends takes 300 ms longer, for 40 s. Its partitions are decided elsewhere before
-// callers of other nodes feel it long; one pause of the same length moves nothing.
+// Everything that a storage node sends is delayed by 300 ms, for 40 s. Its leaderships move to
+// other nodes before clients of other nodes are slowed for long. One pause of the same length moves
+// none.
 func TestSlowStorageNodeLosesItsLeaderships(t *testing.T) {
 	t.Parallel()
 	skipUnderRace(t)
@@ -29,7 +30,7 @@
 			time.Sleep(300 * time.Millisecond)
 			w.Thaw(leaderNode)
 			time.Sleep(8 * time.Second)
-			assert.Equal(t, w.leadershipMoves(), before, "a pause of 300 ms moved something")
+			assert.Equal(t, w.leadershipMoves(), before, "a pause of 300 ms moved a leadership")
 			w.Slow(leaderNode, 300*time.Millisecond)
 			start, slowTime, calls := time.Now(), time.Duration(0), 0
 			for callSeq := uint64(1); time.Since(start) < 40*time.Second; callSeq++ {
@@ -45,15 +46,16 @@
 				time.Sleep(50 * time.Millisecond)
 			}
 			for partitionID, record := range w.records() {
-				assert.Check(t, record.Leader != leaderNode, "partition %d is still decided by %s", partitionID, leaderNode)
+				assert.Check(t, record.Leader != leaderNode, "partition %d is still led by %s", partitionID, leaderNode)
 			}
-			t.Logf("callers felt it for %s of 40 s, %d calls taken, %d moves", slowTime, calls, w.leadershipMoves()-before)
-			assert.Assert(t, slowTime < 8*time.Second, "callers felt it for %s of 40 s", slowTime)
+			t.Logf("clients were slowed for %s of 40 s, %d calls accepted, %d moves", slowTime, calls, w.leadershipMoves()-before)
+			assert.Assert(t, slowTime < 8*time.Second, "clients were slowed for %s of 40 s", slowTime)
 		})
 	}
 }
 
-// How long heartbeats take is told by nodes whose duties can move for it, and by no others.
+// Only nodes with a disk report the latency of heartbeats, since only their leaderships can move
+// for it.
 func TestOnlyNodesWithADiskReportHeartbeatLatency(t *testing.T) {
 	t.Parallel()
 	runFleet(t, Armor, 380, func(t *testing.T, w *World) {
--- a/internal/testing/sim/lease_extension_test.go
+++ b/internal/testing/sim/lease_extension_test.go
@@ -21,7 +21,7 @@
 		}
 		assert.NilError(t, w.Start(w.Names...))
 		assert.NilError(t, w.WaitReady(20*time.Second))
-		assert.NilError(t, w.WaitUntil(20*time.Second, "described", func() bool {
+		assert.NilError(t, w.WaitUntil(20*time.Second, "the configuration is accepted", func() bool {
 			_, err := w.Put("a1", wideLoad.Describe(0))
 			return err == nil
 		}))
@@ -40,8 +40,8 @@
 	}
 }
 
-// With the core gone, nodes and owners go on for the stretch, and no longer; one that starts
-// meanwhile has no lease.
+// While all control nodes are down, nodes and partition leaders continue for the lease extension,
+// and no longer. A node that starts meanwhile has no lease.
 func TestLeaseIsExtendedWhileNoControlNodeConfirms(t *testing.T) {
 	t.Parallel()
 	runWithLeaseExtension(t, func(t *testing.T, w *World) {
@@ -49,15 +49,15 @@
 		w.killControlNodes()
 		time.Sleep(leaseExtension)
 		gap := senders.stopAndFindLongest()
-		assert.Assert(t, gap < 500*time.Millisecond, "owners paused for %s", gap)
+		assert.Assert(t, gap < 500*time.Millisecond, "leaders paused for %s", gap)
 		for _, node := range []string{"a1", "s1", "s2", "s3"} {
 			assert.Assert(t, hasLease(w, node), node)
 		}
 		w.Kill("a1")
 		assert.NilError(t, w.Start("a1"))
 		time.Sleep(time.Second)
-		assert.Assert(t, !hasLease(w, "a1"), "a node that starts without a core must not serve")
+		assert.Assert(t, !hasLease(w, "a1"), "a node that starts without control nodes must not serve")
 		time.Sleep(w.Site.Timing.Spread)
-		assert.Assert(t, !hasLease(w, "s1"), "the stretch ends")
+		assert.Assert(t, !hasLease(w, "s1"), "the lease extension must end")
 	})
 }
--- a/internal/testing/sim/load_test.go
+++ b/internal/testing/sim/load_test.go
@@ -19,7 +19,8 @@
 	return moves
 }
 
-// taken gives the messages taken by the owners on each store since each took over.
+// acceptedByNode returns the messages that the partition leaders on each storage node accepted
+// since each became leader.
 func (w *World) acceptedByNode() map[string]uint64 {
 	accepted := map[string]uint64{}
 	for _, node := range w.Names {
@@ -37,19 +38,19 @@
 func loadImbalance(duration time.Duration, w *World) float64 {
 	before, epochs := w.acceptedByNode(), w.leadershipMoves()
 	time.Sleep(duration)
-	most, all := 0.0, 0.0
+	highest, total := 0.0, 0.0
 	for node, count := range w.acceptedByNode() {
 		share := float64(count - min(count, before[node]))
-		most, all = max(most, share), all+share
+		highest, total = max(highest, share), total+share
 	}
 	if w.leadershipMoves() != epochs {
 		return loadImbalance(duration, w)
 	}
-	return most * 3 / all
+	return highest * 3 / total
 }
 
-// All the load falls on the partitions of one store. It is spread by a few moves, and then nothing
-// moves any more.
+// All load is on the partitions of one storage node. A few leadership moves spread it, and then no
+// leadership moves any more.
 func TestSkewedLoadIsSpreadWithoutFlapping(t *testing.T) {
 	t.Parallel()
 	skipUnderRace(t)
--- a/internal/testing/sim/many_changes_test.go
+++ b/internal/testing/sim/many_changes_test.go
@@ -12,13 +12,13 @@
 
 const (
 	manyRoutes = 514
-	// sourceBytes is how long a document of so many routes is.
+	// sourceBytes is the size of a source document with manyRoutes routes.
 	sourceBytes = 100 << 10
 	smallDiskMB = 64
 )
 
-// routes writes a configuration of many spaces by prefix; every seventh changes its deadline with
-// each version.
+// routesDocument returns a configuration of many spaces by prefix. Every seventh changes its
+// deadline with each version.
 func routesDocument(base, sequence uint64) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"base":%d,"sequence":%d,"standing_lanes":true,"source":%q,"spaces":[`, base, sequence, strings.Repeat("x", sourceBytes))
@@ -40,7 +40,7 @@
 	return []byte(b.String())
 }
 
-// stored is how many bytes stand on a machine's disk.
+// storedBytes returns how many bytes a machine's disk holds.
 func (w *World) storedBytes(t *testing.T, node string) int {
 	t.Helper()
 	disk := w.Machines[node].Disk
@@ -55,9 +55,9 @@
 	return bytes
 }
 
-// Hundreds of changes of many routes, in quick succession, while a voter and two access nodes are
-// away from the tenth on, another voter stands still, and a third is replaced. Disks of 64 MiB have
-// room for it, and all catch up within the spread of their return.
+// Hundreds of changes of many routes are put in quick succession. Meanwhile a voter and two access
+// nodes are down from the tenth change on, another voter is frozen, and a third is replaced. Disks
+// of 64 MiB have enough space, and all nodes catch up within the spread after their return.
 func TestHundredsOfChangesWhileNodesAreDown(t *testing.T) {
 	t.Parallel()
 	skipUnderRace(t)
@@ -102,7 +102,7 @@
 			assert.NilError(t, w.Start(node))
 		}
 		start := time.Now()
-		assert.NilError(t, w.WaitUntil(w.Site.Timing.Spread, "all have the newest", func() bool {
+		assert.NilError(t, w.WaitUntil(w.Site.Timing.Spread, "all nodes have the latest configuration", func() bool {
 			for _, name := range w.Present() {
 				if running := w.Machines[name].Node(); running == nil || running.Ready() != nil || running.Store.Configuration().Sequence != uint64(changes) {
 					return false
--- a/internal/testing/sim/measure_test.go
+++ b/internal/testing/sim/measure_test.go
@@ -17,7 +17,7 @@
 
 func skipUnlessMeasuring(t *testing.T) {
 	if os.Getenv("PJ_MEASURE") == "" {
-		t.Skip("PJ_MEASURE=1 measures; the verdict of CI does not depend on it")
+		t.Skip("PJ_MEASURE=1 measures; the result of CI does not depend on it")
 	}
 }
 
@@ -31,8 +31,8 @@
 	return views
 }
 
-// TestMeasureChangelogInterval counts what batches cost and what a loss makes be reprocessed, by
-// interval.
+// TestMeasureChangelogInterval counts batches and the messages reprocessed after a failover, by the
+// interval of the changelog.
 func TestMeasureChangelogInterval(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for _, every := range []time.Duration{500 * time.Millisecond, 2 * time.Second, 8 * time.Second} {
@@ -48,9 +48,9 @@
 				applyConfiguration(t, w)
 				w.Callers(load)
 				time.Sleep(40 * time.Second)
-				var taken, batches, items uint64
+				var accepted, batches, items uint64
 				for _, view := range leaderViews(w) {
-					taken, batches, items = taken+view.Counters.Accepted, batches+view.Counters.Batches, items+view.Counters.Items
+					accepted, batches, items = accepted+view.Counters.Accepted, batches+view.Counters.Batches, items+view.Counters.Items
 				}
 				leaderNode := busiest(w)
 				w.Kill(leaderNode)
@@ -62,14 +62,14 @@
 						failovers++
 					}
 				}
-				t.Logf("interval %s seed %d: batches per 100 messages %.1f, items per message %.2f, reprocessed per take-over %.1f (%d take-overs)", every, seed, 100*float64(batches)/float64(taken), float64(items)/float64(taken), float64(reprocessed)/float64(max(failovers, 1)), failovers)
+				t.Logf("interval %s seed %d: batches per 100 messages %.1f, items per message %.2f, reprocessed per failover %.1f (%d failovers)", every, seed, 100*float64(batches)/float64(accepted), float64(items)/float64(accepted), float64(reprocessed)/float64(max(failovers, 1)), failovers)
 			})
 		}
 	}
 }
 
-// TestMeasureRollOut measures the time from an operator's yes to the last node showing the
-// description, by nodes.
+// TestMeasureRollOut measures the time from an acknowledgement to the operator until the last node
+// shows the configuration, by number of nodes.
 func TestMeasureRollOut(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for _, access := range []int{1, 7, 20} {
@@ -102,7 +102,8 @@
 	}
 }
 
-// TestMeasureGaps measures the longest wait of a caller for each way a store goes.
+// TestMeasureGaps measures the longest wait of a client for each way in which a storage node fails
+// or leaves.
 func TestMeasureGaps(t *testing.T) {
 	skipUnlessMeasuring(t)
 	ways := []struct {
@@ -110,16 +111,16 @@
 		inject func(w *World)
 	}{
 		{"kill", func(w *World) { w.Kill(busiest(w)) }},
-		{"kill, back after 300 ms", func(w *World) {
+		{"kill, restarted after 300 ms", func(w *World) {
 			leaderNode := busiest(w)
 			w.Kill(leaderNode)
 			time.Sleep(300 * time.Millisecond)
 			_ = w.Start(leaderNode)
 		}},
-		{"stop in good order", func(w *World) { w.Terminate(busiest(w)) }},
-		{"cut off", func(w *World) { w.Isolate(busiest(w)) }},
+		{"clean shutdown", func(w *World) { w.Terminate(busiest(w)) }},
+		{"isolate", func(w *World) { w.Isolate(busiest(w)) }},
 		{"freeze", func(w *World) { w.Freeze(busiest(w)) }},
-		{"emptied", func(w *World) { _ = w.askDrain(busiest(w)) }},
+		{"decommission", func(w *World) { _ = w.askDrain(busiest(w)) }},
 	}
 	for _, way := range ways {
 		var waits []string
@@ -138,11 +139,11 @@
 				waits = append(waits, fmt.Sprint(max(r.Routine.Max, r.Urgent.Max).Round(time.Millisecond)))
 			})
 		}
-		t.Logf("%-24s longest wait of a caller by seed: %v", way.name, waits)
+		t.Logf("%-24s longest wait of a client by seed: %v", way.name, waits)
 	}
 }
 
-// TestMeasureControlWork counts calls between nodes in a quiet fleet, by nodes and by partitions.
+// TestMeasureControlWork counts calls between nodes of an idle fleet, by nodes and by partitions.
 func TestMeasureControlWork(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for _, size := range []struct{ access, routine int }{{1, 4}, {7, 4}, {20, 4}, {7, 12}, {7, 48}} {
@@ -161,7 +162,8 @@
 	}
 }
 
-// TestMeasureIdle counts what a node of a quiet fleet spends on each procedure, by nodes.
+// TestMeasureIdle counts the calls and bytes of each procedure per node of an idle fleet, by number
+// of nodes.
 func TestMeasureIdle(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for _, access := range []int{7, 20, 46, 72} {
@@ -174,29 +176,29 @@
 			assert.NilError(t, w.WaitReady(20*time.Second))
 			applyConfiguration(t, w)
 			time.Sleep(5 * time.Second)
-			before, secs := w.Flows(), 10
-			time.Sleep(time.Duration(secs) * time.Second)
-			var all Flow
+			before, seconds := w.Flows(), 10
+			time.Sleep(time.Duration(seconds) * time.Second)
+			var total Flow
 			var lines []string
-			nodeSeconds := float64(secs * len(w.Names))
+			nodeSeconds := float64(seconds * len(w.Names))
 			for procedure, flow := range w.Flows() {
 				flow.Calls, flow.Bytes = flow.Calls-before[procedure].Calls, flow.Bytes-before[procedure].Bytes
-				all = Flow{all.Calls + flow.Calls, all.Bytes + flow.Bytes}
+				total = Flow{total.Calls + flow.Calls, total.Bytes + flow.Bytes}
 				if flow.Calls > 0 {
 					lines = append(lines, fmt.Sprintf("%9.0f B/s %6.2f/s %s", float64(flow.Bytes)/nodeSeconds, float64(flow.Calls)/nodeSeconds, procedure))
 				}
 			}
 			slices.Sort(lines)
 			slices.Reverse(lines)
-			t.Logf("%d nodes: %.0f B/s and %.2f calls/s a node\n%s", len(w.Names), float64(all.Bytes)/nodeSeconds, float64(all.Calls)/nodeSeconds, strings.Join(lines, "\n"))
+			t.Logf("%d nodes: %.0f B/s and %.2f calls/s a node\n%s", len(w.Names), float64(total.Bytes)/nodeSeconds, float64(total.Calls)/nodeSeconds, strings.Join(lines, "\n"))
 		})
 	}
 }
 
 const heartbeatPath = "/postjunction.Member/Pulse"
 
-// TestMeasureConfigurationUpdates measures what a description that everybody gets adds to the
-// bodies of heartbeats, for each node, by nodes.
+// TestMeasureConfigurationUpdates measures the bytes that a configuration, which every node
+// receives, adds to the heartbeats of each node, by number of nodes.
 func TestMeasureConfigurationUpdates(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for _, access := range []int{7, 20, 60} {
@@ -218,11 +220,11 @@
 				return float64(w.Flows()[heartbeatPath].Bytes - before)
 			}
 			idle := during(func(uint64) {})
-			busy := during(func(base uint64) {
+			updating := during(func(base uint64) {
 				_, err := w.Put(w.Names[w.Int(len(w.Names))], load.Describe(base))
 				assert.NilError(t, err)
 			})
-			t.Logf("%d nodes: a description adds %.0f bytes to the heartbeats of each node", len(w.Names), (busy-idle)/puts/float64(len(w.Names)))
+			t.Logf("%d nodes: a configuration adds %.0f bytes to the heartbeats of each node", len(w.Names), (updating-idle)/puts/float64(len(w.Names)))
 		})
 	}
 }
--- a/internal/testing/sim/measure_tombstones_test.go
+++ b/internal/testing/sim/measure_tombstones_test.go
@@ -16,18 +16,18 @@
 	"postjunction/internal/testing/simclient"
 )
 
-// marked runs clients for a time in a fleet and returns the world, its line clients and the time
-// that was measured.
-func measureSessions(t *testing.T, site Site, seed uint64, clientCount int, habits func(habits *simclient.Habits), during func(w *World), measure func(w *World, clients *LineClients, from, to time.Time)) {
+// measureSessions runs client sessions in a fleet. It passes the world, its clients and the
+// measured time range to a function.
+func measureSessions(t *testing.T, site Site, seed uint64, clientCount int, configure func(habits *simclient.Habits), during func(w *World), measure func(w *World, clients *LineClients, from, to time.Time)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := New(site, seed, nil)
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
 		assert.NilError(t, w.WaitReady(20*time.Second))
-		traffic := Load{Topics: 24, LiveTopics: 4, Every: time.Second, Rested: true, Habits: func(configured *simclient.Habits) {
-			configured.ChangeInterval, configured.AwayInterval, configured.CountInterval = 0, 0, 0
-			habits(configured)
+		traffic := Load{Topics: 24, LiveTopics: 4, Every: time.Second, Rested: true, Habits: func(habits *simclient.Habits) {
+			habits.ChangeInterval, habits.AwayInterval, habits.CountInterval = 0, 0, 0
+			configure(habits)
 		}}
 		w.load = traffic
 		_, err := w.Put("c1", traffic.Describe(0))
@@ -53,37 +53,37 @@
 	return count
 }
 
-// TestMeasureWithdrawals measures the time from a withdrawal to its yes, and what live updates cost
-// beside.
+// TestMeasureWithdrawals measures the time from a withdrawal to its acknowledgement, and the delay
+// of live updates meanwhile.
 func TestMeasureWithdrawals(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for name, site := range withdrawalSites {
-		var yes, with, without []time.Duration
+		var acknowledged, withKeys, withoutKeys []time.Duration
 		for seed := range uint64(2) {
-			calm := func(*World) { time.Sleep(20 * time.Second) }
-			measureSessions(t, site, seed, 30, func(habits *simclient.Habits) { habits.WithdrawInterval = 3 * time.Second }, calm, func(_ *World, clients *LineClients, from, to time.Time) {
+			idle := func(*World) { time.Sleep(20 * time.Second) }
+			measureSessions(t, site, seed, 30, func(habits *simclient.Habits) { habits.WithdrawInterval = 3 * time.Second }, idle, func(_ *World, clients *LineClients, from, to time.Time) {
 				durations, open := clients.Checker.Marks(from, to.Add(-5*time.Second))
 				assert.Equal(t, open, 0)
-				yes, with = append(yes, durations...), append(with, clients.Checker.Spread(from, to, nil)...)
+				acknowledged, withKeys = append(acknowledged, durations...), append(withKeys, clients.Checker.Spread(from, to, nil)...)
 			})
-			measureSessions(t, site, seed, 30, func(habits *simclient.Habits) { habits.WithdrawInterval, habits.KeyedFraction = 0, 0 }, calm, func(_ *World, clients *LineClients, from, to time.Time) {
-				without = append(without, clients.Checker.Spread(from, to, nil)...)
+			measureSessions(t, site, seed, 30, func(habits *simclient.Habits) { habits.WithdrawInterval, habits.KeyedFraction = 0, 0 }, idle, func(_ *World, clients *LineClients, from, to time.Time) {
+				withoutKeys = append(withoutKeys, clients.Checker.Spread(from, to, nil)...)
 			})
 		}
-		for _, durations := range [][]time.Duration{yes, with, without} {
+		for _, durations := range [][]time.Duration{acknowledged, withKeys, withoutKeys} {
 			slices.Sort(durations)
 		}
-		t.Logf("%s: %d withdrawals, yes after p50 %s p99 %s; updates with keys and withdrawals p50 %s p99 %s of %d, without p50 %s p99 %s of %d", name, len(yes), quantile(yes, 0.5), quantile(yes, 0.99),
-			quantile(with, 0.5), quantile(with, 0.99), len(with), quantile(without, 0.5), quantile(without, 0.99), len(without))
+		t.Logf("%s: %d withdrawals, acknowledged after p50 %s p99 %s; updates with keys and withdrawals p50 %s p99 %s of %d, without p50 %s p99 %s of %d", name, len(acknowledged), quantile(acknowledged, 0.5), quantile(acknowledged, 0.99),
+			quantile(withKeys, 0.5), quantile(withKeys, 0.99), len(withKeys), quantile(withoutKeys, 0.5), quantile(withoutKeys, 0.99), len(withoutKeys))
 	}
 }
 
-// TestMeasureTombstones counts the marks that stand under churn, with one router away and when it
-// is given up.
+// TestMeasureTombstones counts the existing tombstones under churn, while one router is unreachable
+// and when it is given up.
 func TestMeasureTombstones(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for name, site := range withdrawalSites {
-		var say string
+		var counts string
 		measureSessions(t, site, 1, 10, func(habits *simclient.Habits) { habits.WithdrawInterval, habits.Keys = 2*time.Second, 50 }, func(w *World) {
 			for i := range 12 {
 				if i == 2 {
@@ -92,23 +92,23 @@
 				if i == 8 {
 					w.Heal()
 				}
-				say += fmt.Sprintf(" %d", tombstoneCount(w))
+				counts += fmt.Sprintf(" %d", tombstoneCount(w))
 				time.Sleep(10 * time.Second)
 			}
 		}, func(_ *World, clients *LineClients, from, to time.Time) {
 			durations, open := clients.Checker.Marks(from, to)
-			t.Logf("%s: marks every 10 s, a router away from 20 s to 80 s:%s; %d yes, %d open", name, say, len(durations), open)
+			t.Logf("%s: tombstones every 10 s, a router unreachable from 20 s to 80 s:%s; %d acknowledged, %d pending", name, counts, len(durations), open)
 		})
 	}
 }
 
-// TestMeasureTombstoneBytes counts what a mark and a reader take in an owner's memory, in its
-// changelog and in its ledger.
+// TestMeasureTombstoneBytes counts the bytes of a tombstone and of a reader in a partition leader's
+// memory, in its changelog and in its log.
 func TestMeasureTombstoneBytes(t *testing.T) {
 	skipUnlessMeasuring(t)
 	const entries = 10_000
-	for what, entry := range map[string]func(i int) log.Entry{
-		"mark": func(i int) log.Entry {
+	for name, entry := range map[string]func(i int) log.Entry{
+		"tombstone": func(i int) log.Entry {
 			return log.Entry{Type: log.TypeWithdrawal, Offset: uint64(i + 1), Topic: "station/zone-b/seat-3", Key: fmt.Sprintf("turn-%08d", i), Client: "coordinator-17", CallSeq: uint64(i + 1)}
 		},
 		"reader": func(i int) log.Entry {
@@ -138,7 +138,7 @@
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		t.Logf("%s: %d bytes in memory, %d in the changelog, %d as an entry", what, int(after.HeapAlloc-before.HeapAlloc)/entries, items/entries, bytes/entries)
+		t.Logf("%s: %d bytes in memory, %d in the changelog, %d as an entry", name, int(after.HeapAlloc-before.HeapAlloc)/entries, items/entries, bytes/entries)
 		runtime.KeepAlive(accumulated)
 	}
 }
--- a/internal/testing/sim/offer_test.go
+++ b/internal/testing/sim/offer_test.go
@@ -19,7 +19,8 @@
 	"postjunction/internal/testing/history"
 )
 
-var finalRejections = map[apierror.Code]bool{apierror.NoPartitionLeader: true, apierror.Overloaded: true, apierror.CallPassed: true}
+// definiteRejections are the codes which promise that the attempt was not accepted.
+var definiteRejections = map[apierror.Code]bool{apierror.NoPartitionLeader: true, apierror.Overloaded: true, apierror.CallPassed: true}
 
 type numberedMessage struct {
 	history.Message
@@ -27,8 +28,9 @@
 	sentAt time.Time
 }
 
-// offerer stands in for a visitor that counts once for all its topics, keeps up to 8 calls open,
-// sends unclear ones again, now and then an old one too, and moves between nodes with what is open.
+// numberingClient is a client that numbers its calls across all its topics and has up to 8 pending.
+// It retries calls with an unknown outcome, now and then an accepted one too, and moves between
+// nodes with its pending calls. mu guards node, pending, accepted and outcomes.
 type numberingClient struct {
 	w        *World
 	name     string
@@ -62,7 +64,7 @@
 	defer v.mu.Unlock()
 	outcome := string(apierror.From(err).Code)
 	if err == nil {
-		outcome = map[bool]string{false: "taken", true: "repeat"}[decision.Duplicate]
+		outcome = map[bool]string{false: "accepted", true: "duplicate"}[decision.Duplicate]
 		v.w.History.AcceptMessage(message.Message, decision.Partition, decision.Offset, time.Now())
 		if _, ok := v.pending[message.Call]; ok {
 			v.accepted = append(v.accepted, message)
@@ -70,25 +72,25 @@
 		delete(v.pending, message.Call)
 	}
 	v.outcomes[outcome]++
-	if err != nil && finalRejections[apierror.From(err).Code] {
+	if err != nil && definiteRejections[apierror.From(err).Code] {
 		v.w.History.Reject(message.Message)
 		delete(v.pending, message.Call)
 	}
 	if apierror.HasCode(err, apierror.CallPassed) {
 		v.w.History.Pass(message.Message)
 	}
-	if err != nil && !finalRejections[apierror.From(err).Code] && !apierror.HasCode(err, apierror.OutcomeUnknown) {
-		v.w.History.Violate(history.Lost, "%v was told %v", message.Message, err)
+	if err != nil && !definiteRejections[apierror.From(err).Code] && !apierror.HasCode(err, apierror.OutcomeUnknown) {
+		v.w.History.Violate(history.Lost, "%v was answered with %v", message.Message, err)
 	}
 }
 
-// run sends until ctx ends.
+// run sends messages until ctx ends.
 func (v *numberingClient) run(ctx context.Context, nodes []string) {
 	for call := uint64(0); ctx.Err() == nil; {
 		time.Sleep(time.Duration(10+v.rng.IntN(50)) * time.Millisecond)
 		v.mu.Lock()
 		node := v.node
-		var again []numberedMessage
+		var retried []numberedMessage
 		isMoved := v.rng.IntN(40) == 0
 		if isMoved {
 			v.node = nodes[v.rng.IntN(len(nodes))]
@@ -98,34 +100,34 @@
 			if time.Since(message.sentAt) > 4*time.Second {
 				delete(v.pending, callSeq)
 			} else if isMoved || v.rng.IntN(12) == 0 {
-				again = append(again, message)
+				retried = append(retried, message)
 			}
 		}
 		for len(v.accepted) > 0 && time.Since(v.accepted[0].sentAt) > 10*time.Second {
 			v.accepted = v.accepted[1:]
 		}
 		if n := len(v.accepted); n > 0 && v.rng.IntN(6) == 0 {
-			again = append(again, v.accepted[v.rng.IntN(n)])
+			retried = append(retried, v.accepted[v.rng.IntN(n)])
 		}
-		full := len(v.pending) >= 8
+		isFull := len(v.pending) >= 8
 		var next numberedMessage
-		if !full {
+		if !isFull {
 			call += 1 + uint64(v.rng.IntN(3))
 			topic := v.topics[v.rng.IntN(len(v.topics))]
 			next = numberedMessage{history.Message{Topic: topic, From: v.name, Call: call}, fmt.Sprintf(`"%s %s %d"`, v.name, topic, call), time.Now()}
 			v.pending[call] = next
 		}
 		v.mu.Unlock()
-		for _, message := range again {
+		for _, message := range retried {
 			v.submit(message, node)
 		}
-		if !full {
+		if !isFull {
 			v.submit(next, node)
 		}
 	}
 }
 
-// whole reads all that a partition's ledger holds.
+// readPartition reads all messages of the given topics in a partition's log.
 func readPartition(t *testing.T, w *World, partitionID int, topics map[string]bool) []history.Receipt {
 	t.Helper()
 	var got []history.Receipt
@@ -144,10 +146,11 @@
 	}
 }
 
-// Several nodes offer numbered messages of the same visitors, the same number through two of them
-// too, while batches and answers are lost, held up or late beyond their caller's patience, and
-// owners change. The ledger's order rises, what was told to be taken stands where it was told, and
-// nothing that was turned away for good, or at every try, stands anywhere.
+// Several nodes submit numbered messages of the same clients, and the same number also through two
+// of them. Meanwhile batches and responses are lost, paused or delayed beyond the deadline of their
+// request, and partition leaders change. The call numbers in the log increase. An acknowledged
+// message is at the offset that was reported. A message that was rejected finally, or at every
+// attempt, is not in the log.
 func TestSubmittedInOrder(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(4)) {
@@ -164,12 +167,12 @@
 			isSubmitMany := func(call Point) bool { return call.Path == router.SubmitMany.Path }
 			start := time.Now()
 			ctx, stop := context.WithCancel(w.ctx)
-			var wg, open sync.WaitGroup
-			tally := map[string]int{}
+			var wg, inFlight sync.WaitGroup
+			outcomes := map[string]int{}
 			var simulated []*numberingClient
 			for i := range 5 {
 				rng := rand.New(rand.NewPCG(seed, uint64(i)))
-				client := &numberingClient{w: w, name: fmt.Sprintf("v%d", i), topics: topics, rng: rng, node: "a1", pending: map[uint64]numberedMessage{}, outcomes: map[string]int{}, inFlight: &open}
+				client := &numberingClient{w: w, name: fmt.Sprintf("v%d", i), topics: topics, rng: rng, node: "a1", pending: map[uint64]numberedMessage{}, outcomes: map[string]int{}, inFlight: &inFlight}
 				simulated = append(simulated, client)
 				wg.Go(func() { client.run(ctx, []string{"a1", "c1", "c2", "s1"}) })
 			}
@@ -202,7 +205,7 @@
 				case 3:
 					if leaderNode != "" && w.Machines[leaderNode].Up() {
 						w.Kill(leaderNode)
-						assert.NilError(t, w.WaitUntil(8*time.Second, "another owner", func() bool {
+						assert.NilError(t, w.WaitUntil(8*time.Second, "another leader", func() bool {
 							for _, record := range w.records() {
 								if record.Leader == leaderNode {
 									return false
@@ -229,21 +232,21 @@
 			}
 			stop()
 			wg.Wait()
-			open.Wait()
+			inFlight.Wait()
 			assert.NilError(t, w.WaitReady(20*time.Second))
-			reading := history.Reading{Through: "the owners", Topics: isMeasured, Since: start}
+			reading := history.Reading{Through: "the partition leaders", Topics: isMeasured, Since: start}
 			for partitionID := range partitionIDs {
 				reading.Got = append(reading.Got, readPartition(t, w, partitionID, isMeasured)...)
 			}
 			w.History.Reread(reading)
 			for _, client := range simulated {
 				for outcome, count := range client.outcomes {
-					tally[outcome] += count
+					outcomes[outcome] += count
 				}
 			}
-			t.Logf("seed %d: %v, %d late, %d held, %d terms", seed, tally, disturbed.Load(), paused, w.History.Terms())
-			assert.Assert(t, tally["taken"] > 500 && tally["repeat"] > 20 && tally["call_passed"] > 0, "void: %v", tally)
-			assert.Assert(t, w.History.Terms() > len(w.records()), "void: no owner changed")
+			t.Logf("seed %d: %v, %d disturbed, %d paused, %d terms", seed, outcomes, disturbed.Load(), paused, w.History.Terms())
+			assert.Assert(t, outcomes["accepted"] > 500 && outcomes["duplicate"] > 20 && outcomes["call_passed"] > 0, "void: %v", outcomes)
+			assert.Assert(t, w.History.Terms() > len(w.records()), "void: no leader changed")
 		})
 	}
 }
--- a/internal/testing/sim/orders_test.go
+++ b/internal/testing/sim/orders_test.go
@@ -19,8 +19,8 @@
 	"postjunction/internal/testing/orders"
 )
 
-// An accepted order is acknowledged again through any node, also after others were accepted on top
-// of it; one that was refused stays refused.
+// An accepted order is acknowledged again through any node, also after later orders were accepted.
+// A rejected order is rejected again.
 func TestAnAcceptedOrderIsAcknowledgedAgain(t *testing.T) {
 	t.Parallel()
 	runFleet(t, Armor, 321, func(t *testing.T, w *World) {
@@ -41,12 +41,12 @@
 		}
 		got, err := w.Machines["s1"].Node().Operators.CurrentConfiguration(w.ctx)
 		assert.NilError(t, err)
-		assert.Equal(t, got.Sequence, uint64(12), "what is acknowledged again comes into force again")
+		assert.Equal(t, got.Sequence, uint64(12), "an order that is acknowledged again takes effect again")
 	})
 }
 
-// What orders were accepted outlives every voter: each is replaced by an empty one, then all lose
-// power.
+// The record of accepted orders outlives every voter: each is replaced by a node with an empty
+// disk, then all lose power.
 func TestAcceptedOrdersOutliveEveryVoter(t *testing.T) {
 	t.Parallel()
 	runFleet(t, spared(Armor, "c1", "c2", "c3"), 322, func(t *testing.T, w *World) {
@@ -60,7 +60,7 @@
 			time.Sleep(time.Second)
 			w.Machines[name+"b"].Opts.Seeds = []string{w.Machines["s1"].Opts.PeerListen}
 			assert.NilError(t, w.Add(name+"b"))
-			assert.NilError(t, w.WaitUntil(60*time.Second, name+"b has a seat", func() bool {
+			assert.NilError(t, w.WaitUntil(60*time.Second, name+"b is a voter", func() bool {
 				voterSet := w.Machines["a1"].Node().VoterSet()
 				_, ok := voterSet.Voter(name + "b")
 				_, old := voterSet.Voter(name)
@@ -84,8 +84,8 @@
 	})
 }
 
-// simulatedOperator sends orders as the users' operators do: on what it read, again to other nodes
-// until it has a clear answer.
+// simulatedOperator sends orders as the users' operators do. Each order is based on the
+// configuration that it read. It is retried through other nodes until the outcome is known.
 type simulatedOperator struct {
 	w            *World
 	rng          *rand.Rand
@@ -93,7 +93,7 @@
 	history      *orders.History
 	lostFraction float64
 	sent         []orders.Order
-	// only are the nodes that the operator reaches, all when empty.
+	// reachable are the nodes that the operator can reach. Empty means all.
 	reachable []string
 }
 
@@ -104,10 +104,10 @@
 	return o.w.Names[o.rng.IntN(len(o.w.Names))]
 }
 
-// patience is how long an operator waits for one answer.
+// operatorTimeout is how long an operator waits for one response.
 const operatorTimeout = time.Second
 
-// triesMost bounds how often one order is sent.
+// maxAttempts bounds how often one order is sent.
 const maxAttempts = 12
 
 func (o *simulatedOperator) read() (orders.Order, bool) {
@@ -122,13 +122,13 @@
 	case apierror.HasCode(err, apierror.ConfigurationMissing):
 		got = orders.Order{}
 	case err != nil:
-		return orders.Order{}, false // a call that was given up on may still write got
+		return orders.Order{}, false // a call that timed out may still write got
 	}
 	o.history.Read(got, call, time.Now())
 	return got, true
 }
 
-// send sends an order once. An answer that is lost on its way is none.
+// send sends an order once. A lost response makes the outcome unknown.
 func (o *simulatedOperator) send(order orders.Order) orders.Outcome {
 	call := time.Now()
 	doc := load.Numbered(order.Base, order.Sequence, order.ID)
@@ -155,11 +155,11 @@
 }
 
 func (o *simulatedOperator) order(number int) {
-	cur, ok := o.read()
+	current, ok := o.read()
 	if !ok {
 		return
 	}
-	order := orders.Order{Base: cur.Sequence, Sequence: cur.Sequence + 1 + o.rng.Uint64N(3), ID: fmt.Sprint(o.name, " ", number)}
+	order := orders.Order{Base: current.Sequence, Sequence: current.Sequence + 1 + o.rng.Uint64N(3), ID: fmt.Sprint(o.name, " ", number)}
 	o.sent = append(o.sent, order)
 	for range maxAttempts {
 		if o.send(order) != orders.Unclear {
@@ -169,7 +169,7 @@
 	}
 }
 
-// run sends orders until ctx ends; now and then one that was sent long ago is sent again.
+// run sends orders until ctx ends. Now and then it repeats an earlier order.
 func (o *simulatedOperator) run(ctx context.Context) {
 	for number := 0; ctx.Err() == nil; number++ {
 		if len(o.sent) > 0 && o.rng.IntN(4) == 0 {
@@ -180,7 +180,7 @@
 	}
 }
 
-// controlTrouble brings one trouble about at a control node, and gives what ends it.
+// controlFault injects one fault at a control node. begin returns the function that ends it.
 type controlFault struct {
 	name  string
 	begin func(w *World, name string) (end func())
@@ -211,7 +211,7 @@
 		}
 		return w.Heal
 	}},
-	{"cut from the core", func(w *World, name string) func() {
+	{"cut from the control nodes", func(w *World, name string) func() {
 		for _, other := range w.Names {
 			if other != name && other[0] == 'c' {
 				w.Cut(name, other)
@@ -226,8 +226,8 @@
 	}},
 }
 
-// Three operators send orders with most answers lost, while the key's holder and other control
-// nodes are killed, frozen, cut off and wiped. What they were answered is linearizable.
+// Three operators send orders and lose half of the responses, while the key leader and other
+// control nodes are killed, frozen, isolated and wiped. The responses must be linearizable.
 func TestOperatorsSeeOneLinearizableRegister(t *testing.T) {
 	t.Parallel()
 	skipUnderRace(t)
@@ -242,7 +242,7 @@
 	}
 }
 
-// operated runs operators for a while under control troubles.
+// runOperators runs operators for a while and injects faults at control nodes.
 func runOperators(t *testing.T, site Site, seed uint64, span time.Duration) (history *orders.History) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -264,7 +264,7 @@
 	return history
 }
 
-// troubleControl brings troubles about at control nodes, one at a time, until ctx ends.
+// injectControlFaults injects faults at control nodes, one at a time, until ctx ends.
 func (w *World) injectControlFaults(ctx context.Context, rng *rand.Rand) {
 	control := slices.DeleteFunc(w.Present(), func(name string) bool { return name[0] != 'c' })
 	for ctx.Err() == nil {
@@ -276,8 +276,8 @@
 	}
 }
 
-// A register that an older build wrote remembers nothing but its current description: orders from
-// before it have no clear answer, and are not refused.
+// A register written by an older build records only its current configuration. The outcome of
+// earlier orders is unknown, and they are not rejected.
 func TestOrdersFromBeforeTheLogHaveAnUnknownOutcome(t *testing.T) {
 	t.Parallel()
 	runFleet(t, Armor, 323, func(t *testing.T, w *World) {
--- a/internal/testing/sim/points_test.go
+++ b/internal/testing/sim/points_test.go
@@ -30,19 +30,19 @@
 	return "c1"
 }
 
-// decider gives the control node that holds the description's key, as a majority says, and the
-// description that stands. Where nobody holds it, as after the voters changed, a description that
-// is put makes a holder.
-func configurationLeader(t *testing.T, w *World) (who string, seq uint64) {
+// configurationLeader returns the control node that leads the configuration's key, confirmed by a
+// majority, and the sequence number of the current configuration. Where the key has no leader, as
+// after the voters changed, it puts a configuration, which elects one.
+func configurationLeader(t *testing.T, w *World) (leaderName string, current uint64) {
 	t.Helper()
-	assert.NilError(t, w.WaitUntil(30*time.Second, "void: one control node holds the description", func() bool {
+	assert.NilError(t, w.WaitUntil(30*time.Second, "void: one control node leads the configuration's key", func() bool {
 		for _, name := range w.Names {
 			node := w.Machines[name].Node()
 			if node == nil || !node.LeadsKey(quorumread.ConfigurationKey) {
 				continue
 			}
 			if sequence, err := w.currentSequence(name); err == nil && node.LeadsKey(quorumread.ConfigurationKey) {
-				who, seq = name, sequence
+				leaderName, current = name, sequence
 				return true
 			}
 		}
@@ -51,7 +51,7 @@
 		}
 		return false
 	}))
-	return who, seq
+	return leaderName, current
 }
 
 func (w *World) currentSequence(node string) (uint64, error) {
@@ -60,7 +60,7 @@
 	return w.Port(node).Get(ctx)
 }
 
-// deciding tells whether a call asks a voter to accept a description.
+// acceptsConfiguration reports whether a call asks a voter to accept a configuration.
 func acceptsConfiguration(call Point) bool {
 	var request acceptor.AcceptRequest
 	return call.Path == acceptor.Accept.Path && wire.Unmarshal(call.Body, &request) == nil && request.Key == quorumread.ConfigurationKey
@@ -70,12 +70,12 @@
 	return func(call Point) bool { return call.Path == path && call.Stage == stage }
 }
 
-func sentBy(f func(x Point) bool) func(who string, x Point) bool {
-	return func(who string, call Point) bool { return call.From == who && f(call) }
+func sentBy(matches func(call Point) bool) func(node string, call Point) bool {
+	return func(node string, call Point) bool { return call.From == node && matches(call) }
 }
 
-func handledBy(f func(x Point) bool) func(who string, x Point) bool {
-	return func(who string, call Point) bool { return call.To == who && f(call) }
+func handledBy(matches func(call Point) bool) func(node string, call Point) bool {
+	return func(node string, call Point) bool { return call.To == node && matches(call) }
 }
 
 var placementKey = []byte(controller.Key)
@@ -86,33 +86,33 @@
 }
 
 func appendsChangelog(call Point) bool {
-	q, ok := appendRequest(call)
-	return ok && q.Kind == log.KindChangelog
+	request, ok := appendRequest(call)
+	return ok && request.Kind == log.KindChangelog
 }
 
-// points are the places in a decision's way at which whoever decides is held up while its sessions
-// lapse and others go on.
+// pausePoints are the steps of a decision at which the calls of the deciding node are paused, while
+// its sessions expire and other nodes continue.
 var pausePoints = map[string]struct {
 	restart    bool
 	newClients bool
 	control    bool
-	matches    func(who string, call Point) bool
+	matches    func(node string, call Point) bool
 }{
-	"judged, not appended":        {matches: sentBy(atStage(replica.Append.Path, Asking))},
-	"appended, answers under way": {matches: sentBy(atStage(replica.Append.Path, Answering))},
+	"decided, not appended":       {matches: sentBy(atStage(replica.Append.Path, Asking))},
+	"appended, answers in flight": {matches: sentBy(atStage(replica.Append.Path, Answering))},
 	"sealing, not adopted": {restart: true, matches: sentBy(func(call Point) bool {
 		return (call.Path == replica.Append.Path || call.Path == replica.Fetch.Path) && call.Stage == Asking
 	})},
-	"sealed, answers under way": {restart: true, matches: sentBy(atStage(replica.Seal.Path, Answering))},
+	"sealed, answers in flight": {restart: true, matches: sentBy(atStage(replica.Seal.Path, Answering))},
 	"batch, not offset": {matches: sentBy(func(call Point) bool {
 		return call.Stage == Answering && appendsChangelog(call)
 	})},
-	"copy synced, not answered":   {matches: handledBy(atStage(replica.Append.Path, Answering))},
-	"taken, not told":             {matches: handledBy(atStage(router.Submit.Path, Answering))},
-	"vouched, not told":           {matches: handledBy(atStage(router.ReadAttachment.Path, Answering))},
-	"attached, not told":          {newClients: true, matches: handledBy(atStage(router.Attach.Path, Answering))},
-	"promised, not accepted":      {control: true, matches: sentBy(atStage(acceptor.Accept.Path, Asking))},
-	"accepted, answers under way": {control: true, matches: sentBy(atStage(acceptor.Accept.Path, Answering))},
+	"replica synced, not answered":  {matches: handledBy(atStage(replica.Append.Path, Answering))},
+	"accepted, not acknowledged":    {matches: handledBy(atStage(router.Submit.Path, Answering))},
+	"attachment read, not answered": {matches: handledBy(atStage(router.ReadAttachment.Path, Answering))},
+	"attached, not answered":        {newClients: true, matches: handledBy(atStage(router.Attach.Path, Answering))},
+	"promised, not accepted":        {control: true, matches: sentBy(atStage(acceptor.Accept.Path, Asking))},
+	"accepted, answers in flight":   {control: true, matches: sentBy(atStage(acceptor.Accept.Path, Answering))},
 	"voter synced, not answered": {control: true, matches: handledBy(func(call Point) bool {
 		return call.Stage == Answering && (call.Path == acceptor.Accept.Path || call.Path == acceptor.Promise.Path) && !bytes.Contains(call.Body, placementKey)
 	})},
@@ -126,44 +126,44 @@
 			for seed := range uint64(seeds(2)) {
 				play(t, siteOf(seed), 200+seed, time.Hour, func(t *testing.T, w *World) {
 					for range 2 {
-						who, base := busiest(w), uint64(0)
-						var decided atomic.Int64
+						target, base := busiest(w), uint64(0)
+						var decisions atomic.Int64
 						if point.control {
-							who, base = configurationLeader(t, w)
+							target, base = configurationLeader(t, w)
 						}
 						if point.restart {
-							w.Kill(who)
+							w.Kill(target)
 							time.Sleep(30 * time.Millisecond)
 						}
 						release, hits := w.PauseCalls(func(call Point) bool {
-							if !point.matches(who, call) {
+							if !point.matches(target, call) {
 								return false
 							}
 							if acceptsConfiguration(call) {
-								decided.Add(1)
+								decisions.Add(1)
 							}
 							return true
 						})
 						if point.restart {
-							assert.NilError(t, w.Start(who))
-							assert.NilError(t, w.WaitUntil(10*time.Second, "void: nothing was held at "+name, func() bool { return hits() > 0 }))
+							assert.NilError(t, w.Start(target))
+							assert.NilError(t, w.WaitUntil(10*time.Second, "void: nothing was paused at "+name, func() bool { return hits() > 0 }))
 						}
-						lapse, _ := w.PauseCalls(func(call Point) bool {
-							return call.From == who && strings.Contains(call.Path, "Member/Pulse") || call.From == who && strings.Contains(call.Path, "Member/Sessions") || call.To == who && strings.Contains(call.Path, "Member/Sessions")
+						releaseHeartbeats, _ := w.PauseCalls(func(call Point) bool {
+							return call.From == target && strings.Contains(call.Path, "Member/Pulse") || call.From == target && strings.Contains(call.Path, "Member/Sessions") || call.To == target && strings.Contains(call.Path, "Member/Sessions")
 						})
 						if point.newClients {
 							w.Arrive(4)
 						}
 						if point.control {
-							_, _ = w.Put(who, load.Describe(base))
+							_, _ = w.Put(target, load.Describe(base))
 						}
 						w.Move(0.5)
 						time.Sleep(w.span(60, 80))
-						assert.Assert(t, hits() > 0, "void: nothing was held at %q", name)
-						assert.Assert(t, !point.control || decided.Load() > 0, "void: no decision on the description was held at %q, %s was to make it", name, who)
+						assert.Assert(t, hits() > 0, "void: nothing was paused at %q", name)
+						assert.Assert(t, !point.control || decisions.Load() > 0, "void: no decision on the configuration was paused at %q, %s was to make it", name, target)
 						release()
 						time.Sleep(time.Duration(w.Int(400)) * time.Millisecond)
-						lapse()
+						releaseHeartbeats()
 						time.Sleep(w.span(30, 60))
 					}
 				})
@@ -172,25 +172,25 @@
 	}
 }
 
-// A disk is wiped just after it promised: with the answer still under way, or told. It comes back
-// empty under its old machine's name.
+// A disk is wiped just after it promised, with the answer in flight or delivered. The node returns
+// under the same name with an empty disk.
 func TestDiskWipedJustAfterEachKindOfPromise(t *testing.T) {
 	kinds := map[string]string{"sealed": replica.Seal.Path, "appended": replica.Append.Path, "promised": acceptor.Promise.Path, "accepted": acceptor.Accept.Path}
 	for name, path := range kinds {
 		for _, delivered := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%s, told %v", name, delivered), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, delivered %v", name, delivered), func(t *testing.T) {
 				t.Parallel()
 				skipUnderRace(t)
 				for seed := range uint64(seeds(2)) {
 					play(t, siteOf(seed), 220+seed, time.Hour, func(t *testing.T, w *World) {
-						assert.NilError(t, w.WaitUntil(30*time.Second, "every copy and seat is in place", w.whole))
-						found := make(chan string, 1)
+						assert.NilError(t, w.WaitUntil(30*time.Second, "all replicas and voters are complete", w.whole))
+						matched := make(chan string, 1)
 						release, _ := w.PauseCalls(func(call Point) bool {
 							if call.Path != path || call.Stage != Answering || call.From == call.To {
 								return false
 							}
 							select {
-							case found <- call.To:
+							case matched <- call.To:
 								return !delivered
 							default:
 								return false
@@ -207,7 +207,7 @@
 						}
 						var wiped string
 						select {
-						case wiped = <-found:
+						case wiped = <-matched:
 						case <-time.After(20 * time.Second):
 							t.Fatalf("void: no disk was %s", name)
 						}
--- a/internal/testing/sim/redirect_test.go
+++ b/internal/testing/sim/redirect_test.go
@@ -9,12 +9,12 @@
 	"postjunction/internal/client/session"
 )
 
-// pairs has two access nodes in each zone.
+// pairedSite has two access nodes in each zone.
 var pairedSite = Site{Zones: 3, Control: 3, Access: 6, Stores: 3, Latency: 500 * time.Microsecond, Timing: Armor.Timing, Routine: 4, Urgent: 2}
 
 func (w *World) sessionCount(node string) int { return w.Machines[node].Node().Sessions.Count() }
 
-// apart cuts a machine off from those with disks, both ways.
+// isolateFromDisks cuts a machine off from the machines with disks, in both directions.
 func (w *World) isolateFromDisks(node string) {
 	for _, other := range w.Names {
 		if other != node && (other[0] == 'c' || other[0] == 's') {
@@ -33,9 +33,9 @@
 	return busiest
 }
 
-// A node that is cut off from all who decide keeps no visitors while a peer of its zone reaches
-// them: they are sent there within a twelfth of the recovery time, and none is told to come to it
-// until it reaches those who decide again.
+// A node is cut off from all leaders, while a peer of its zone reaches them. Its clients are
+// redirected to that peer within a twelfth of the recovery time. No client is redirected to the
+// node until it reaches the leaders again.
 func TestClientsAreRedirectedToAPeerThatReachesTheLeaders(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 2; seed++ {
@@ -44,10 +44,10 @@
 			assert.Assert(t, w.sessionCount(node) > 2)
 			w.isolateFromDisks(node)
 			time.Sleep(w.Site.Timing.Recovery / 12)
-			assert.Equal(t, w.sessionCount(node), 0, "visitors stayed on %s", node)
+			assert.Equal(t, w.sessionCount(node), 0, "clients remained on %s", node)
 			assert.Assert(t, w.Machines[node].Node().Ready() != nil)
 			time.Sleep(4 * time.Second)
-			assert.Equal(t, w.sessionCount(node), 0, "visitors came back to %s", node)
+			assert.Equal(t, w.sessionCount(node), 0, "clients returned to %s", node)
 			w.Heal()
 			time.Sleep(time.Second)
 			assert.NilError(t, w.Machines[node].Node().Ready())
@@ -55,8 +55,9 @@
 	}
 }
 
-// Nobody is sent away where that helps nobody: when all nodes are cut off from those who decide,
-// when packets are lost, when a machine is slow, when the core alone or one store is out of reach.
+// No client is redirected where that helps none: when all nodes are cut off from the leaders, when
+// packets are lost, when a machine is slow, and when only the control nodes or one storage node are
+// unreachable.
 func TestNoClientIsRedirectedInVain(t *testing.T) {
 	t.Parallel()
 	faults := map[string]func(w *World){
@@ -67,15 +68,15 @@
 				}
 			}
 		},
-		"all stores and control nodes without power": func(w *World) {
+		"all storage and control nodes without power": func(w *World) {
 			for _, node := range w.Names {
 				if node[0] != 'a' {
 					w.LosePower(node, false)
 				}
 			}
 		},
-		"the core away": func(w *World) { w.killControlNodes() },
-		"one store cut off": func(w *World) {
+		"control nodes killed": func(w *World) { w.killControlNodes() },
+		"one storage node isolated": func(w *World) {
 			w.Isolate("s1")
 		},
 		"a slow machine": func(w *World) { w.Slow(w.busiestAccessNode(), 300*time.Millisecond) },
@@ -88,7 +89,7 @@
 				time.Sleep(100 * time.Millisecond)
 				for _, node := range w.Names {
 					if node[0] == 'a' {
-						assert.NilError(t, w.Machines[node].Node().Sessions.CheckServing(), "%s: %s sends its visitors away", name, node)
+						assert.NilError(t, w.Machines[node].Node().Sessions.CheckServing(), "%s: %s redirects its clients", name, node)
 					}
 				}
 			}
@@ -96,30 +97,30 @@
 	}
 }
 
-// A control node that is cut off from all who decide loses the sessions of stores that others keep.
-// Nodes whose session is with it don't take them for gone.
+// An isolated control node loses the sessions of storage nodes, which other control nodes still
+// have. Nodes whose session is with the isolated one must not treat the storage nodes as failed.
 func TestAnIsolatedControlNodeDeposesNoLeaders(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 2; seed++ {
 		runSessions(t, pairedSite, seed, readingLoad, 12, func(t *testing.T, w *World, clients *LineClients) {
-			nodesByControl, core := map[string][]string{}, ""
+			nodesByControl, isolated := map[string][]string{}, ""
 			for _, node := range w.Names {
 				if control := w.Machines[node].Node().Operators.ControlNode(); node[0] == 'a' {
-					if nodesByControl[control] = append(nodesByControl[control], node); len(nodesByControl[control]) > len(nodesByControl[core]) {
-						core = control
+					if nodesByControl[control] = append(nodesByControl[control], node); len(nodesByControl[control]) > len(nodesByControl[isolated]) {
+						isolated = control
 					}
 				}
 			}
-			accessNodes := nodesByControl[core]
+			accessNodes := nodesByControl[isolated]
 			writer := clients.Scripted(accessNodes[0], "lead")
 			assert.Assert(t, writer != nil)
-			w.isolateFromDisks(core)
+			w.isolateFromDisks(isolated)
 			cut, call := time.Now(), uint64(0)
 			for time.Since(cut) < w.Site.Timing.Recovery/2 {
 				for _, node := range accessNodes {
 					for _, storageNode := range []string{"s1", "s2", "s3"} {
 						_, ok := w.Machines[node].Node().View.Get(storageNode)
-						assert.Assert(t, ok, "after %s %s takes %s for gone", time.Since(cut), node, storageNode)
+						assert.Assert(t, ok, "after %s %s treats %s as failed", time.Since(cut), node, storageNode)
 					}
 				}
 				call++
--- a/internal/testing/sim/rejected_test.go
+++ b/internal/testing/sim/rejected_test.go
@@ -11,8 +11,9 @@
 	"postjunction/internal/apierror"
 )
 
-// Two of three stores are gone for good, so most partitions can't decide. Each call is told so at
-// once, with a time to come back, and not near its deadline; none is told a final no.
+// Two of three storage nodes are lost permanently, so most partitions have no leader that can
+// decide. Each call is rejected at once, with a time to retry, and not near its deadline. None is
+// rejected finally.
 func TestCallsThatNoLeaderCanDecideAreRejectedAtOnce(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(3)) {
@@ -34,15 +35,15 @@
 						continue
 					}
 					rejection := apierror.From(err)
-					assert.Assert(t, rejection.RetryAfterMS > 0, "no time to come back: %v", err)
+					assert.Assert(t, rejection.RetryAfterMS > 0, "no time to retry: %v", err)
 					assert.Assert(t, rejection.Code == apierror.NoPartitionLeader || rejection.Code == apierror.OutcomeUnknown, "%v", err)
 					rejected++
 					slowest = max(slowest, time.Since(start))
 				}
 			}
-			assert.Assert(t, rejected > 10, "void: %d calls were told to come back", rejected)
-			t.Logf("%d calls told to come back, the last after %s", rejected, slowest)
-			assert.Assert(t, slowest < 2*w.Site.Timing.MaxBackoff()+w.Site.Timing.MaxBackoff()/2, "told after %s", slowest)
+			assert.Assert(t, rejected > 10, "void: %d calls were rejected with a time to retry", rejected)
+			t.Logf("%d calls rejected with a time to retry, the slowest after %s", rejected, slowest)
+			assert.Assert(t, slowest < 2*w.Site.Timing.MaxBackoff()+w.Site.Timing.MaxBackoff()/2, "rejected after %s", slowest)
 		})
 	}
 }
--- a/internal/testing/sim/renumber_test.go
+++ b/internal/testing/sim/renumber_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// A client that is told that a number never will be accepted sends the message under a new one.
-// Guards against a message delivered twice, under both: a node without a leader promised so of a
-// number of which an earlier attempt stood in the log of the leader that had been killed.
+// A client whose call number is rejected finally sends the message under a new number. Guards
+// against a message that is delivered twice, under both numbers: a node without a leader rejected a
+// number finally, although an earlier attempt was in the log of the leader that had been killed.
 func TestSend_MessageUnderANewNumberIsDeliveredOnce(t *testing.T) {
 	t.Parallel()
 	skipUnderRace(t)
@@ -18,15 +18,15 @@
 		tally := runSessions(t, smallSite, 1100+seed, load, 24, func(t *testing.T, w *World, _ *LineClients) {
 			for range 3 {
 				time.Sleep(w.span(20, 40))
-				stores := w.namesOf("s")
-				for _, name := range stores {
+				storageNodes := w.namesOf("s")
+				for _, name := range storageNodes {
 					w.Kill(name)
 				}
 				time.Sleep(500 * time.Millisecond)
-				assert.NilError(t, w.Start(stores...))
+				assert.NilError(t, w.Start(storageNodes...))
 				time.Sleep(8 * time.Second)
 			}
 		})
-		assert.Assert(t, tally.Renumbered > 0, "void: no message was tried under a new number")
+		assert.Assert(t, tally.Renumbered > 0, "void: no message was sent under a new number")
 	}
 }
--- a/internal/testing/sim/seeds_test.go
+++ b/internal/testing/sim/seeds_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// long skips a test under the race detector, which slows simulated fleets tenfold; test.sh runs
-// them without it too.
+// skipUnderRace skips a test under the race detector, which slows simulated fleets tenfold. test.sh
+// runs them without it too.
 func skipUnderRace(t *testing.T) {
 	t.Helper()
 	if raced {
@@ -15,8 +15,8 @@
 	}
 }
 
-// seeds is how many seeds a test runs: n, times PJ_MANY when that is set, and one under the race
-// detector.
+// seeds returns how many seeds a test runs: n, times PJ_MANY when that is set, and one under the
+// race detector.
 func seeds(n int) int {
 	if raced {
 		return 1
--- a/internal/testing/sim/sessions_test.go
+++ b/internal/testing/sim/sessions_test.go
@@ -17,12 +17,13 @@
 var (
 	smallSite   = Site{Zones: 3, Control: 3, Access: 3, Stores: 3, Latency: 500 * time.Microsecond, Timing: Armor.Timing, Routine: 4, Urgent: 2}
 	sessionLoad = Load{Topics: 24, LiveTopics: 4, Every: 2 * time.Second}
-	// awake are visitors who always read, and so hear at once where to go.
+	// readingLoad is that of clients which always read, so that they receive a redirect at once.
 	readingLoad = Load{Topics: 24, LiveTopics: 4, Every: 2 * time.Second, Rested: true}
 )
 
-// entertain runs a fleet with visitors on line sessions through a script and judges what they saw.
-func runSessions(t *testing.T, site Site, seed uint64, traffic Load, clientCount int, script func(t *testing.T, w *World, clients *LineClients)) (r deliverycheck.Tally) {
+// runSessions runs a script on a fleet with simulated clients on client sessions and judges what
+// they received.
+func runSessions(t *testing.T, site Site, seed uint64, traffic Load, clientCount int, script func(t *testing.T, w *World, clients *LineClients)) (tally deliverycheck.Tally) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := New(site, seed, Logger())
@@ -51,16 +52,16 @@
 		w.stop()
 		clients.wg.Wait()
 		var violations []deliverycheck.Violation
-		r, violations = clients.Checker.Judge(cut)
-		t.Logf("seed %d: %+v", seed, r)
+		tally, violations = clients.Checker.Judge(cut)
+		t.Logf("seed %d: %+v", seed, tally)
 		for i, violation := range violations {
 			if i < 10 {
 				t.Errorf("seed %d: %s: %s", seed, violation.Rule, violation.Message)
 			}
 		}
-		assert.Assert(t, r.Accepted > 50 && r.Got > 100 && r.Resumed > 0 && r.Late > 0, "too little was seen to prove anything")
+		assert.Assert(t, tally.Accepted > 50 && tally.Got > 100 && tally.Resumed > 0 && tally.Late > 0, "too few messages were received to prove anything")
 	})
-	return r
+	return tally
 }
 
 func TestQuietSessions(t *testing.T) {
@@ -72,10 +73,10 @@
 	})
 }
 
-// visitDay draws faults that meet visits, alone and in pairs.
+// injectRandomFaults injects random faults that affect client sessions, alone and in pairs.
 func injectRandomFaults(t *testing.T, w *World, clients *LineClients) {
 	r := rand.New(rand.NewPCG(w.Seed, 21))
-	names := []string{"kill", "kill many", "stop", "freeze", "isolate", "cut one way", "zone cut", "lose packets", "reset", "power", "control power", "wipe", "slow", "visits reset", "owner killed", "owner frozen", "owner stopped", "owner cut", "control killed", "all power lost", "access stopped"}
+	names := []string{"kill", "kill many", "stop", "freeze", "isolate", "cut one way", "zone cut", "lose packets", "reset", "power", "control power", "wipe", "slow", "sessions reset", "leader killed", "leader frozen", "leader stopped", "leader cut", "control killed", "all power lost", "access stopped"}
 	stop := func() {}
 	if r.IntN(2) == 0 {
 		stop = w.InterceptCalls(RandomCallFaults(w.Seed, 0.02+0.3*r.Float64()))
@@ -86,18 +87,18 @@
 			first, second = second, first
 		}
 		if first == "wipe" {
-			assert.NilError(t, w.WaitUntil(90*time.Second, "every copy and seat is in place", w.whole))
+			assert.NilError(t, w.WaitUntil(90*time.Second, "all replicas and voters are complete", w.whole))
 		}
 		t.Logf("seed %d: %s: %s and %s", w.Seed, time.Now().Format("04:05.000"), first, second)
 		undo := injectFault(w, clients, r, first)
 		time.Sleep(time.Duration(r.IntN(int(3 * time.Second))))
-		also := nothing
+		undoSecond := nothing
 		if first != "wipe" && r.IntN(2) == 0 {
-			also = injectFault(w, clients, r, second)
+			undoSecond = injectFault(w, clients, r, second)
 		}
 		time.Sleep(time.Duration(r.IntN(int(8 * time.Second))))
 		undo()
-		also()
+		undoSecond()
 		if first == "wipe" {
 			w.Heal()
 			assert.NilError(t, w.Start(w.Names...))
@@ -117,11 +118,11 @@
 		leaderNode = w.pick(r, "s")
 	}
 	return map[string]func() func(){
-		"visits reset":  func() func() { clients.Reset(0.8); return nothing },
-		"owner killed":  func() func() { w.Kill(leaderNode); return w.start(leaderNode) },
-		"owner frozen":  func() func() { w.Freeze(leaderNode); return func() { w.Thaw(leaderNode) } },
-		"owner stopped": func() func() { w.Terminate(leaderNode); return w.start(leaderNode) },
-		"owner cut":     func() func() { w.Isolate(leaderNode); return w.Heal },
+		"sessions reset": func() func() { clients.Reset(0.8); return nothing },
+		"leader killed":  func() func() { w.Kill(leaderNode); return w.start(leaderNode) },
+		"leader frozen":  func() func() { w.Freeze(leaderNode); return func() { w.Thaw(leaderNode) } },
+		"leader stopped": func() func() { w.Terminate(leaderNode); return w.start(leaderNode) },
+		"leader cut":     func() func() { w.Isolate(leaderNode); return w.Heal },
 		"control killed": func() func() {
 			var names []string
 			for _, node := range w.Names {
@@ -146,7 +147,8 @@
 	}[name]()
 }
 
-// TestSessions lives through days of faults by seed. PJ_SEEDS=from:to searches further.
+// TestSessions runs client sessions under random faults, by seed. PJ_SEEDS=from:to runs other
+// seeds.
 func TestSessions(t *testing.T) {
 	from, to := uint64(500), uint64(503)
 	if seedRange := os.Getenv("PJ_SEEDS"); seedRange != "" {
@@ -164,9 +166,9 @@
 	}
 }
 
-// TestSessionsThatComeAndGo has few visitors drop and take up few topics all the time, so that
-// nodes begin and cease to follow partitions, while the messages by which they do are lost, late or
-// come twice, and owners change.
+// TestSessionsThatComeAndGo has few clients subscribe and unsubscribe few topics all the time, so
+// that nodes start and stop following partitions. Meanwhile the calls by which they do so are lost,
+// delayed or duplicated, and partition leaders change.
 func TestSessionsThatComeAndGo(t *testing.T) {
 	t.Parallel()
 	skipUnderRace(t)
@@ -177,7 +179,7 @@
 		runSessions(t, smallSite, 800+seed, traffic, 7, func(_ *testing.T, w *World, clients *LineClients) {
 			stop := w.InterceptCalls(RandomCallFaults(w.Seed, 0.1+0.5*w.float()))
 			for range 5 {
-				undo := injectFault(w, clients, rand.New(rand.NewPCG(w.Seed, 23)), []string{"owner killed", "owner frozen", "owner cut", "owner stopped"}[w.Int(4)])
+				undo := injectFault(w, clients, rand.New(rand.NewPCG(w.Seed, 23)), []string{"leader killed", "leader frozen", "leader cut", "leader stopped"}[w.Int(4)])
 				time.Sleep(w.span(10, 60))
 				undo()
 				time.Sleep(w.span(20, 60))
--- a/internal/testing/sim/silent_test.go
+++ b/internal/testing/sim/silent_test.go
@@ -9,25 +9,26 @@
 	"gotest.tools/v3/assert"
 )
 
-// A store that falls silent is made good before messages are given up: in a twelfth of the recovery
-// time.
+// The leaderships of a storage node that falls silent fail over before clients give messages up: in
+// a twelfth of the recovery time.
 func TestSilentStorageNodeFailsOverWithinASecond(t *testing.T) {
 	t.Parallel()
 	for _, loss := range machineLosses {
-		if !strings.HasPrefix(loss.name, "store without") && !strings.HasPrefix(loss.name, "store frozen") && !strings.HasPrefix(loss.name, "store cut") {
+		if !strings.HasPrefix(loss.name, "storage node without") && !strings.HasPrefix(loss.name, "storage node frozen") && !strings.HasPrefix(loss.name, "storage node isolated") {
 			continue
 		}
 		for seed := range uint64(4) {
 			t.Run(loss.name, func(t *testing.T) {
 				t.Parallel()
 				gap := longestGap(t, thirteenNodes, 173+seed, loss.inject)
-				assert.Assert(t, gap <= time.Second, "some partition took nothing for %s", gap)
+				assert.Assert(t, gap <= time.Second, "some partition accepted nothing for %s", gap)
 			})
 		}
 	}
 }
 
-// A store whose answers took long lately is given longer before its silence counts.
+// A storage node whose recent answers were slow may be silent for longer before it is treated as
+// failed.
 func TestSlowStorageNodeMayBeSilentLonger(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
@@ -47,7 +48,7 @@
 					w.Slow(leaderNode, 0)
 					time.Sleep(w.Site.Timing.Spread)
 				}
-				assert.Equal(t, changes(w), before, "partitions changed hands")
+				assert.Equal(t, changes(w), before, "leaderships moved")
 			})
 		})
 	}
--- a/internal/testing/sim/streams_forget_test.go
+++ b/internal/testing/sim/streams_forget_test.go
@@ -18,7 +18,8 @@
 	"postjunction/internal/partition"
 )
 
-// forgetting is a fleet with a sender at c1 and a stream of kept/t0 at a1.
+// streamScenario is a fleet with a sender on c1 and a stream of kept/t0 on a1. mu guards shown and
+// cursor.
 type streamScenario struct {
 	*World
 	t       *testing.T
@@ -58,7 +59,7 @@
 	return w, err
 }
 
-// forgotten has a withdrawal asked about until there is a yes.
+// waitWithdrawn repeats a withdrawal until it is acknowledged.
 func (s *streamScenario) waitWithdrawn(key string, callSeq uint64, limit time.Duration) client.Withdrawal {
 	s.t.Helper()
 	var withdrawal client.Withdrawal
@@ -70,8 +71,9 @@
 	return withdrawal
 }
 
-// listen opens a stream through a1 behind all that was shown so far; it goes on until it ends. A
-// node that has just come back may have no lease yet, and says so: its visitor asks again.
+// openStream opens a stream through a1 from the cursor of the last event, and reads it until it
+// ends. A node that has just restarted may have no lease yet and rejects the request, so it is
+// retried.
 func (s *streamScenario) openStream() {
 	s.mu.Lock()
 	from := s.cursor
@@ -115,18 +117,18 @@
 func (s *streamScenario) expectPending(err error, router string) {
 	s.t.Helper()
 	assert.Assert(s.t, apierror.HasCode(err, apierror.WithdrawalOpen), "%v", err)
-	assert.Assert(s.t, slices.ContainsFunc(apierror.From(err).Faults, func(fault apierror.Fault) bool { return fault.Path == router }), "%v names nobody", err)
+	assert.Assert(s.t, slices.ContainsFunc(apierror.From(err).Faults, func(fault apierror.Fault) bool { return fault.Path == router }), "%v does not name the router", err)
 }
 
 var streamScenarios = map[string]func(s *streamScenario){
-	"a node that is cut off": func(s *streamScenario) {
+	"an isolated node": func(s *streamScenario) {
 		s.Isolate("a1")
 		s.send("k", "after the cut")
 		start := time.Now()
 		s.callSeq++
 		_, err := s.withdraw("k", s.callSeq)
 		s.expectPending(err, "a1/streams")
-		assert.Assert(s.t, time.Since(start) <= 2*s.Site.Timing.CallTimeout(), "held for %s", time.Since(start))
+		assert.Assert(s.t, time.Since(start) <= 2*s.Site.Timing.CallTimeout(), "answered after %s", time.Since(start))
 		_, err = s.withdraw("k", s.callSeq)
 		s.expectPending(err, "a1/streams")
 		s.send("k", "anew")
@@ -135,7 +137,7 @@
 		s.openStream()
 		assert.DeepEqual(s.t, s.takeShown(), []string{"k:first", "-k", "k:anew"})
 	},
-	"calls that wait for a node hold nobody up": func(s *streamScenario) {
+	"calls that wait for a node delay no others": func(s *streamScenario) {
 		s.Isolate("a1")
 		s.callSeq++
 		callSeq := s.callSeq
@@ -147,9 +149,9 @@
 		}
 		start := time.Now()
 		s.send("k", "anew")
-		assert.Assert(s.t, time.Since(start) < 400*time.Millisecond, "held for %s", time.Since(start))
+		assert.Assert(s.t, time.Since(start) < 400*time.Millisecond, "answered after %s", time.Since(start))
 	},
-	"a node that is frozen": func(s *streamScenario) {
+	"a frozen node": func(s *streamScenario) {
 		s.Freeze("a1")
 		s.send("k", "while frozen")
 		s.callSeq++
@@ -161,7 +163,7 @@
 		events := s.takeShown()
 		assert.Assert(s.t, !slices.Contains(events, "k:while frozen") && slices.Contains(events, "-k"), "%v", events)
 	},
-	"a node that is killed and comes back without streams": func(s *streamScenario) {
+	"a node that is killed and restarts without streams": func(s *streamScenario) {
 		s.Kill("a1")
 		s.callSeq++
 		_, err := s.withdraw("k", s.callSeq)
@@ -169,14 +171,14 @@
 		assert.NilError(s.t, s.Start("a1"))
 		assert.Equal(s.t, len(s.waitWithdrawn("k", s.callSeq, 15*time.Second).GivenUp), 0)
 	},
-	"a node that is stopped in good order": func(s *streamScenario) {
+	"a node that shuts down cleanly": func(s *streamScenario) {
 		s.Terminate("a1")
 		s.callSeq++
 		withdrawal, err := s.withdraw("k", s.callSeq)
 		assert.NilError(s.t, err)
 		assert.Equal(s.t, len(withdrawal.GivenUp), 0)
 	},
-	"a node that is gone for long and comes back": func(s *streamScenario) {
+	"a node that is isolated for long and returns": func(s *streamScenario) {
 		s.Isolate("a1")
 		s.send("l", "after the cut")
 		s.callSeq++
@@ -204,28 +206,28 @@
 		time.Sleep(time.Second)
 		assert.DeepEqual(s.t, s.takeShown(), []string{"-k"})
 	},
-	"an owner that is killed beside a node that is cut off": func(s *streamScenario) {
+	"a killed leader and an isolated node": func(s *streamScenario) {
 		s.Isolate("a1")
 		s.send("k", "after the cut")
 		s.callSeq++
 		_, err := s.withdraw("k", s.callSeq)
 		s.expectPending(err, "a1/streams")
 		s.Kill(s.partitionLeader())
-		assert.NilError(s.t, s.WaitUntil(15*time.Second, "taken over", func() bool {
+		assert.NilError(s.t, s.WaitUntil(15*time.Second, "failed over", func() bool {
 			_, err := s.withdraw("k", s.callSeq)
 			return apierror.HasCode(err, apierror.WithdrawalOpen) && len(apierror.From(err).Faults) > 0
 		}))
 		s.Heal()
 		s.waitWithdrawn("k", s.callSeq, 10*time.Second)
 		s.openStream()
-		assert.NilError(s.t, s.WaitUntil(10*time.Second, "told", func() bool {
+		assert.NilError(s.t, s.WaitUntil(10*time.Second, "the stream shows it", func() bool {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			return slices.Contains(s.shown, "-k")
 		}))
 		assert.DeepEqual(s.t, s.takeShown(), []string{"k:first", "-k"})
 	},
-	"a node that hears nothing of the owner, which hears it": func(s *streamScenario) {
+	"a node that receives nothing from the leader": func(s *streamScenario) {
 		s.Cut(s.partitionLeader(), "a1")
 		s.send("k", "after the cut")
 		s.callSeq++
@@ -234,16 +236,16 @@
 		assert.Equal(s.t, len(s.waitWithdrawn("k", s.callSeq, 2*s.Site.Timing.Recovery).GivenUp), 0)
 		s.send("k", "anew")
 		s.Heal()
-		assert.NilError(s.t, s.WaitUntil(10*time.Second, "told", func() bool {
+		assert.NilError(s.t, s.WaitUntil(10*time.Second, "the stream shows it", func() bool {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			return slices.Contains(s.shown, "k:anew")
 		}))
 		assert.DeepEqual(s.t, s.takeShown(), []string{"k:first", "-k", "k:anew"})
 	},
-	"a line that its visitor does not take": func(s *streamScenario) {
+	"an event that the client does not read": func(s *streamScenario) {
 		attachment := attach(s.t, s.World, "a1", "slow")
-		cut, ended := make(chan struct{}), make(chan struct{})
+		aborted, ended := make(chan struct{}), make(chan struct{})
 		var emitted []string
 		s.wg.Go(func() {
 			defer close(ended)
@@ -251,10 +253,10 @@
 				if !strings.Contains(string(b), `"k"`) {
 					return nil
 				}
-				<-cut
+				<-aborted
 				emitted = append(emitted, string(b))
 				return apierror.New(apierror.SlowReader, "cut off")
-			}, Abort: func() { close(cut) }})
+			}, Abort: func() { close(aborted) }})
 		})
 		time.Sleep(time.Second)
 		s.send("k", "stuck")
@@ -269,8 +271,8 @@
 	},
 }
 
-// A withdrawal's yes comes once no stream shows what is withdrawn, whatever happens to the node
-// that carries the streams; until then the answer names it.
+// A withdrawal is acknowledged once no stream shows what is withdrawn, whatever happens to the node
+// that serves the streams. Until then the answer names that node.
 func TestStreamsForget(t *testing.T) {
 	t.Parallel()
 	for name, run := range streamScenarios {
@@ -288,8 +290,8 @@
 	}
 }
 
-// Streams that come and go leave nobody to wait for, and what a node without streams holds is
-// nothing.
+// A withdrawal does not wait for streams that ended, nor for a node without streams, which buffers
+// no messages.
 func TestStreamsThatEndAreNotWaitedFor(t *testing.T) {
 	t.Parallel()
 	runFleet(t, Armor, 411, func(t *testing.T, w *World) {
--- a/internal/testing/sim/urgent_test.go
+++ b/internal/testing/sim/urgent_test.go
@@ -14,7 +14,7 @@
 	"postjunction/internal/wire"
 )
 
-// routineWork tells whether a call between machines belongs to a routine partition.
+// isRoutineCall reports whether a call between machines belongs to a routine partition.
 func (w *World) isRoutineCall(call Point) bool {
 	if !strings.Contains(call.Path, "Ledger") {
 		return false
@@ -38,9 +38,9 @@
 	return !request.Urgent
 }
 
-// All routine partitions stand still: nothing is appended, read, handed over or taken over in them.
-// Urgent calls of attached callers, their streams, old and new, shared with routine topics or not,
-// go on as if nothing had happened.
+// All routine partitions are stalled: nothing is appended, read, handed over or failed over in
+// them. Urgent calls of attached clients continue unaffected. So do urgent streams, old and new,
+// whether or not they share a request with routine topics.
 func TestUrgentProceedsWhileRoutineIsStalled(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(3)) {
@@ -66,7 +66,7 @@
 				})
 			}
 			send := func(count int) time.Duration {
-				var most time.Duration
+				var slowest time.Duration
 				for range count {
 					callSeq++
 					start := time.Now()
@@ -74,10 +74,10 @@
 					_, err := w.Port("a1").Send(ctx, urgentClient.Token, "stop/line", callSeq, []byte(`"stop"`))
 					stop()
 					assert.NilError(t, err)
-					most = max(most, time.Since(start))
+					slowest = max(slowest, time.Since(start))
 					time.Sleep(20 * time.Millisecond)
 				}
-				return most
+				return slowest
 			}
 			_, cursor, _ := follow(w, "c1", returningClient.Token, "", []string{"stop/line", "kept/t0"}, time.Second)
 			for callSeq := range uint64(5) {
@@ -105,8 +105,8 @@
 			first := callSeq + 1
 			stalled := send(20)
 			time.Sleep(time.Second)
-			assert.Assert(t, hits() > 10, "void: nothing was held")
-			w.History.Overtaken("stop/line", "routine partitions that stand still", stalled, 3*baseline+2*time.Millisecond)
+			assert.Assert(t, hits() > 10, "void: nothing was paused")
+			w.History.Overtaken("stop/line", "stalled routine partitions", stalled, 3*baseline+2*time.Millisecond)
 			mu.Lock()
 			for name, calls := range received {
 				for expected := first; expected <= callSeq; expected++ {
@@ -115,7 +115,7 @@
 			}
 			mu.Unlock()
 			release()
-			t.Logf("urgent, longest of 20: calm %s, routine standing still %s, %d calls held", baseline, stalled, hits())
+			t.Logf("urgent, longest of 20: baseline %s, routine stalled %s, %d calls paused", baseline, stalled, hits())
 		})
 	}
 }
--- a/internal/testing/sim/why_test.go
+++ b/internal/testing/sim/why_test.go
@@ -9,7 +9,8 @@
 	"postjunction/internal/operator"
 )
 
-// A call that one node turned away is explained by any other, beside what the ledger decided.
+// A call that one node rejected is explained by any other node, together with the state in the
+// partition log.
 func TestWhyExplainsACallAfterTheFact(t *testing.T) {
 	t.Parallel()
 	runFleet(t, Armor, 320, func(t *testing.T, w *World) {
@@ -43,6 +44,6 @@
 		w.Kill("s3")
 		explanation, err = explain(4)
 		assert.NilError(t, err)
-		assert.Assert(t, !explanation.Complete && len(explanation.Rejections) == 1, "an answer without one node says so: %+v", explanation)
+		assert.Assert(t, !explanation.Complete && len(explanation.Rejections) == 1, "an explanation without one node must be incomplete: %+v", explanation)
 	})
 }
--- a/internal/testing/sim/withdraw_scenario_test.go
+++ b/internal/testing/sim/withdraw_scenario_test.go
@@ -15,18 +15,18 @@
 	"postjunction/internal/testing/deliverycheck"
 )
 
-// fourth is traductores with three access machines.
+// fourZoneSite is the site traductores with three access machines.
 var fourZoneSite = Site{Zones: 4, Control: 4, Access: 3, Stores: 4, Latency: 1500 * time.Microsecond, Timing: Traductores.Timing, Routine: 4, Urgent: 2}
 
 var withdrawalSites = map[string]Site{"armor": smallSite, "traductores": fourZoneSite}
 
-// few are visitors in the background, who carry keys and withdraw too.
+// backgroundLoad is that of simulated clients which also send keyed messages and withdraw them.
 var backgroundLoad = Load{Topics: 12, LiveTopics: 2, Every: 2 * time.Second}
 
 const scenarioTopic = "kept/t0"
 
-// scene is a topic with a reader on the router a1, one on a3, and a lead on a2 who writes and
-// withdraws.
+// withdrawalScenario is a topic with a reader on the router a1, another reader on a3, and a writer
+// on a2 that sends and withdraws.
 type withdrawalScenario struct {
 	t                   *testing.T
 	w                   *World
@@ -41,7 +41,7 @@
 	return s.callSeq
 }
 
-// staged plays a script at both sites in a scene that was set, with some seeds each.
+// runWithdrawalScenario runs a script at both sites with connected clients, with some seeds each.
 func runWithdrawalScenario(t *testing.T, seed uint64, seedsPerSite int, script func(s *withdrawalScenario)) {
 	t.Helper()
 	for name, site := range withdrawalSites {
@@ -53,7 +53,7 @@
 					assert.Assert(t, s.reader != nil && s.otherReader != nil && s.writer != nil)
 					for _, client := range []*ScriptedClient{s.reader, s.otherReader} {
 						_, ok := client.Follow(scenarioTopic, "")
-						assert.Assert(t, ok, "%s can't follow", client.Name)
+						assert.Assert(t, ok, "%s can't subscribe", client.Name)
 					}
 					script(s)
 					for _, client := range []*ScriptedClient{s.reader, s.otherReader, s.writer} {
@@ -65,7 +65,7 @@
 	}
 }
 
-// write has the lead send messages under a key, all taken.
+// sendMessages sends messages under a key from the writer until each is accepted.
 func (s *withdrawalScenario) sendMessages(key string, count int) {
 	s.t.Helper()
 	for range count {
@@ -73,7 +73,8 @@
 	}
 }
 
-// put has the lead send one message, under another number where somebody's withdrawal passed that.
+// sendMessage sends one message from the writer. It uses another call number where a withdrawal by
+// another client passed over the first.
 func (s *withdrawalScenario) sendMessage(key string) {
 	s.t.Helper()
 	for range 4 {
@@ -81,10 +82,10 @@
 			return
 		}
 	}
-	s.t.Fatalf("not taken up to %d", s.callSeq)
+	s.t.Fatalf("no message was accepted up to call number %d", s.callSeq)
 }
 
-// wait lets a hand get a message.
+// waitForMessage waits until a client receives a message of the writer.
 func (s *withdrawalScenario) waitForMessage(client *ScriptedClient, callSeq uint64) {
 	s.t.Helper()
 	_, ok := client.Wait(0, scriptedTimeout, func(response session.Response) bool {
@@ -93,8 +94,8 @@
 	assert.Assert(s.t, ok, "%s never got %d", client.Name, callSeq)
 }
 
-// open withdraws what stands under a key and expects that a router is named which has not
-// forgotten, within a call's time.
+// withdrawPending withdraws the messages under a key. It expects an answer within the call timeout
+// that names the router which has not released them.
 func (s *withdrawalScenario) withdrawPending(key, node string) deliverycheck.Withdrawal {
 	s.t.Helper()
 	w := deliverycheck.Withdrawal{Topic: scenarioTopic, Key: key, Call: s.nextCallSeq()}
@@ -107,12 +108,12 @@
 	start := time.Now()
 	response, ok := s.writer.Withdraw(withdrawal)
 	elapsed := time.Since(start)
-	assert.Assert(s.t, ok && apierror.HasCode(response.Err, apierror.WithdrawalOpen), "was told %s %v after %s", response.Type, response.Err, elapsed)
+	assert.Assert(s.t, ok && apierror.HasCode(response.Err, apierror.WithdrawalOpen), "answered %s %v after %s", response.Type, response.Err, elapsed)
 	assert.Assert(s.t, strings.Contains(response.Err.Error(), node), "%v does not name %s", response.Err, node)
-	assert.Assert(s.t, elapsed <= s.w.Site.Timing.CallTimeout(), "the answer took %s", elapsed)
+	assert.Assert(s.t, elapsed <= s.w.Site.Timing.CallTimeout(), "the answer came after %s", elapsed)
 }
 
-// yes asks again until the yes comes.
+// waitWithdrawn repeats a withdrawal until it is acknowledged.
 func (s *withdrawalScenario) waitWithdrawn(withdrawal deliverycheck.Withdrawal, limit time.Duration) TimedResponse {
 	s.t.Helper()
 	end := time.Now().Add(limit)
@@ -121,13 +122,13 @@
 		if ok && response.Type == session.WithdrawalComplete {
 			return response
 		}
-		assert.Assert(s.t, time.Now().Before(end), "no yes within %s: %v %s %v", limit, ok, response.Type, response.Err)
+		assert.Assert(s.t, time.Now().Before(end), "not acknowledged within %s: %v %s %v", limit, ok, response.Type, response.Err)
 		time.Sleep(s.w.Site.Timing.MaxBackoff())
 	}
 }
 
-// flow has the lead write updates for a while, every other one anew under a key, and gives how long
-// they took to the far reader.
+// measureDelays sends updates from the writer for a while, every other one under a key. It returns
+// how long they took to reach the other reader.
 func (s *withdrawalScenario) measureDelays(key string, duration time.Duration) []time.Duration {
 	s.t.Helper()
 	start := time.Now()
@@ -140,8 +141,8 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	s.waitForMessage(s.otherReader, s.callSeq)
-	measured := func(client string) bool { return client != "far" && client != "lead" }
-	return s.clients.Checker.Spread(start, time.Now(), measured)
+	isExcluded := func(client string) bool { return client != "far" && client != "lead" }
+	return s.clients.Checker.Spread(start, time.Now(), isExcluded)
 }
 
 func quantile(durations []time.Duration, fraction float64) time.Duration {
@@ -151,20 +152,20 @@
 	return durations[int(fraction*float64(len(durations)-1))]
 }
 
-// got tells whether a hand was shown a call of the lead after a moment.
+// receivedAfter reports whether a client received a message of the writer after a point in time.
 func (s *withdrawalScenario) receivedAfter(client *ScriptedClient, callSeq uint64, after time.Time) bool {
 	return slices.ContainsFunc(client.All(), func(response TimedResponse) bool {
 		return response.Type == session.Message && response.Topic == scenarioTopic && response.From == s.writer.Name && response.CallSeq == callSeq && response.Shown.After(after)
 	})
 }
 
-// resumed has the reader come back on its router with its cursor, until it is given what is written
-// then; the book judges what it is shown.
+// resumeReader reconnects the reader to its router with its cursor until it receives a new message.
+// The checker judges what it receives.
 func (s *withdrawalScenario) resumeReader() {
 	s.t.Helper()
 	s.sendMessages("", 1)
 	last := s.callSeq
-	err := s.w.WaitUntil(s.w.Site.Timing.Recovery, "the reader comes back and is given what it lacks", func() bool {
+	err := s.w.WaitUntil(s.w.Site.Timing.Recovery, "the reader resumes and receives what it missed", func() bool {
 		previous := s.reader
 		previous.Break()
 		client := s.clients.Scripted("a1", "reader")
@@ -183,7 +184,7 @@
 	assert.NilError(s.t, err)
 }
 
-// seat gives the store that owns a topic's line.
+// partitionLeader returns the storage node that leads the topic's partition.
 func (s *withdrawalScenario) partitionLeader() string {
 	running := s.w.Machines["c1"].Node()
 	return running.Store.Record(partition.Of(scenarioTopic, false, running.VoterSet().Layout)).Leader
@@ -191,13 +192,14 @@
 
 func (s *withdrawalScenario) waitForFailover(from string) {
 	s.t.Helper()
-	assert.NilError(s.t, s.w.WaitUntil(s.w.Site.Timing.Recovery, "the line moves", func() bool { return s.partitionLeader() != from }))
+	assert.NilError(s.t, s.w.WaitUntil(s.w.Site.Timing.Recovery, "the partition has another leader", func() bool { return s.partitionLeader() != from }))
 }
 
-// reopened waits until the topic's line takes messages, and some more for those who are told of it.
+// waitForWrites waits until the topic's partition accepts messages, and then until the other nodes
+// know its leader.
 func (s *withdrawalScenario) waitForWrites(key string) {
 	s.t.Helper()
-	assert.NilError(s.t, s.w.WaitUntil(s.w.Site.Timing.Recovery, "the line is open again", func() bool { return s.writer.SendAccepted(scenarioTopic, key, s.nextCallSeq()) }))
+	assert.NilError(s.t, s.w.WaitUntil(s.w.Site.Timing.Recovery, "the partition accepts messages again", func() bool { return s.writer.SendAccepted(scenarioTopic, key, s.nextCallSeq()) }))
 	time.Sleep(s.w.Site.Timing.SessionTimeout())
 }
 
@@ -210,18 +212,18 @@
 
 func (s *withdrawalScenario) reconnect(node, name string) (client *ScriptedClient) {
 	s.t.Helper()
-	assert.NilError(s.t, s.w.WaitUntil(s.w.Site.Timing.Recovery, name+" comes back", func() bool {
+	assert.NilError(s.t, s.w.WaitUntil(s.w.Site.Timing.Recovery, name+" reconnects", func() bool {
 		client = s.clients.Scripted(node, name)
 		return client != nil
 	}))
 	return client
 }
 
-// anew has the reader come back on its router without a cursor, until it is given what is written
-// under a key.
+// restartReader reconnects the reader to its router without a cursor until it receives a message
+// that is sent under a key.
 func (s *withdrawalScenario) restartReader() {
 	s.t.Helper()
-	err := s.w.WaitUntil(2*s.w.Site.Timing.Recovery, "the reader follows", func() bool {
+	err := s.w.WaitUntil(2*s.w.Site.Timing.Recovery, "the reader receives messages", func() bool {
 		s.reader.End()
 		if s.reader = s.clients.Scripted("a1", "reader"); s.reader == nil {
 			s.reader = s.otherReader
--- a/internal/testing/sim/withdraw_test.go
+++ b/internal/testing/sim/withdraw_test.go
@@ -15,18 +15,18 @@
 	"postjunction/internal/testing/simclient"
 )
 
-// aways are the ways in which a router drops out with its visitors still connected, and how it
-// comes back.
+// routerFaults are the ways in which a router becomes unreachable while its clients stay connected.
+// Each returns the function that ends the fault.
 var routerFaults = map[string]func(w *World) (restore func()){
 	"cut off": func(w *World) func() {
 		w.Isolate("a1")
 		return w.Heal
 	},
-	"deaf": func(w *World) func() {
+	"receives nothing": func(w *World) func() {
 		w.Cut("*", "a1")
 		return w.Heal
 	},
-	"dumb": func(w *World) func() {
+	"sends nothing": func(w *World) func() {
 		w.Cut("a1", "*")
 		return w.Heal
 	},
@@ -36,10 +36,10 @@
 	},
 }
 
-// A router drops out with visitors who are behind with their reading, a key is withdrawn meanwhile,
-// and it rejoins with what it held: the withdrawal is open at once, which names the router, its yes
-// comes after the return, nothing withdrawn is shown then, and all others get live updates as fast
-// as before.
+// A router becomes unreachable while its clients lag behind. A key is withdrawn meanwhile, and the
+// router returns with the messages that it had buffered. The withdrawal is pending at once, and the
+// answer names the router. The acknowledgement comes after the return, and nothing withdrawn is
+// shown after it. All other clients get live updates as fast as before.
 func TestRouterDropsOutWhileOthersWithdraw(t *testing.T) {
 	t.Parallel()
 	for name, inject := range routerFaults {
@@ -59,23 +59,24 @@
 				restore()
 				response := s.waitWithdrawn(withdrawal, s.w.Site.Timing.Recovery)
 				time.Sleep(6 * time.Second)
-				assert.Assert(s.t, !s.receivedAfter(s.reader, last, response.Shown), "shown after the yes")
-				s.t.Logf("live updates: calm p50 %s p99 %s, with a router away p50 %s p99 %s", quantile(baseline, 0.5), quantile(baseline, 0.99), quantile(degraded, 0.5), quantile(degraded, 0.99))
-				assert.Assert(s.t, len(degraded) > 10 && quantile(degraded, 0.99) <= quantile(baseline, 0.99)+5*time.Millisecond, "calm p99 %s, with a router away %s of %d", quantile(baseline, 0.99), quantile(degraded, 0.99), len(degraded))
+				assert.Assert(s.t, !s.receivedAfter(s.reader, last, response.Shown), "shown after the withdrawal was acknowledged")
+				s.t.Logf("live updates: baseline p50 %s p99 %s, with an unreachable router p50 %s p99 %s", quantile(baseline, 0.5), quantile(baseline, 0.99), quantile(degraded, 0.5), quantile(degraded, 0.99))
+				assert.Assert(s.t, len(degraded) > 10 && quantile(degraded, 0.99) <= quantile(baseline, 0.99)+5*time.Millisecond, "baseline p99 %s, with an unreachable router %s of %d", quantile(baseline, 0.99), quantile(degraded, 0.99), len(degraded))
 				s.resumeReader()
 			})
 		})
 	}
 }
 
-// A router that is heard and hears nothing, of anybody or of the topic's owner alone, holds no
-// withdrawal open for longer than service may rest: it lets go of all and says so, which is heard.
+// A router sends but receives nothing, from any node or from the partition leader of the topic. It
+// must not keep a withdrawal pending for longer than the recovery time: it releases all messages
+// and reports so, and the report arrives.
 func TestRouterThatReceivesNothingReleasesMessages(t *testing.T) {
 	t.Parallel()
 	skipUnderRace(t)
 	for name, inject := range map[string]func(s *withdrawalScenario){
-		"to all":       func(s *withdrawalScenario) { s.w.Cut("*", "a1") },
-		"to the owner": func(s *withdrawalScenario) { s.w.Cut(s.partitionLeader(), "a1") },
+		"from all":        func(s *withdrawalScenario) { s.w.Cut("*", "a1") },
+		"from the leader": func(s *withdrawalScenario) { s.w.Cut(s.partitionLeader(), "a1") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -88,7 +89,7 @@
 				withdrawal := s.withdrawPending("turn", "a1")
 				response := s.waitWithdrawn(withdrawal, s.w.Site.Timing.Recovery+s.w.Site.Timing.CallTimeout())
 				s.measureDelays("turn", time.Second)
-				assert.Assert(s.t, !s.receivedAfter(s.reader, last, response.Shown), "shown after the yes")
+				assert.Assert(s.t, !s.receivedAfter(s.reader, last, response.Shown), "shown after the withdrawal was acknowledged")
 				s.w.Heal()
 				s.resumeReader()
 			})
@@ -96,27 +97,27 @@
 	}
 }
 
-// strikes come between a mark and its yes, while a router is away.
+// leaderFaults happen between a tombstone and its acknowledgement, while a router is unreachable.
 var leaderFaults = map[string]func(s *withdrawalScenario){
-	"the owner is killed": func(s *withdrawalScenario) {
+	"the leader is killed": func(s *withdrawalScenario) {
 		leaderNode := s.partitionLeader()
 		s.w.Kill(leaderNode)
 		s.waitForFailover(leaderNode)
 		assert.NilError(s.t, s.w.Start(leaderNode))
 	},
-	"the owner is frozen": func(s *withdrawalScenario) {
+	"the leader is frozen": func(s *withdrawalScenario) {
 		leaderNode := s.partitionLeader()
 		s.w.Freeze(leaderNode)
 		s.waitForFailover(leaderNode)
 		s.w.Thaw(leaderNode)
 	},
-	"the owner hands over": func(s *withdrawalScenario) {
+	"the leader hands over": func(s *withdrawalScenario) {
 		leaderNode := s.partitionLeader()
 		s.w.Terminate(leaderNode)
 		s.waitForFailover(leaderNode)
 		assert.NilError(s.t, s.w.Start(leaderNode))
 	},
-	"the owner's store is wiped": func(s *withdrawalScenario) {
+	"the leader's disk is wiped": func(s *withdrawalScenario) {
 		leaderNode := s.partitionLeader()
 		s.w.Wipe(leaderNode)
 		s.waitForFailover(leaderNode)
@@ -134,7 +135,7 @@
 		s.waitForFailover(leaderNode)
 		assert.NilError(s.t, s.w.Start(leaderNode))
 	},
-	"every store and control node restarts": func(s *withdrawalScenario) {
+	"every storage and control node restarts": func(s *withdrawalScenario) {
 		for _, node := range s.w.Names {
 			if node[0] != 'a' {
 				s.w.LosePower(node, s.w.Int(2) == 0)
@@ -145,8 +146,9 @@
 	},
 }
 
-// A mark and its readers outlive what befalls their line: while a router that holds the message is
-// away the yes does not come, whoever owns the line.
+// A tombstone and its readers survive a failover of their partition. While a router that buffers
+// the message is unreachable, the withdrawal is not acknowledged, whichever node leads the
+// partition.
 func TestWithdrawalWaitsForTheRouterAcrossFailovers(t *testing.T) {
 	t.Parallel()
 	skipUnderRace(t)
@@ -172,14 +174,14 @@
 				s.w.Heal()
 				response := s.waitWithdrawn(withdrawal, s.w.Site.Timing.Recovery)
 				s.resumeReader()
-				assert.Assert(s.t, !s.receivedAfter(s.reader, last, response.Shown), "shown to one who came back")
+				assert.Assert(s.t, !s.receivedAfter(s.reader, last, response.Shown), "shown to a client that reconnected")
 			})
 		})
 	}
 }
 
-// All lose their power between the mark and its yes: the routers come back under other boots, hold
-// nothing, and the yes comes without the old ones.
+// All nodes lose power between the tombstone and its acknowledgement. The routers return with new
+// boot identifiers and without messages, and the acknowledgement does not wait for the old ones.
 func TestWithdrawalCompletesAfterAllRestart(t *testing.T) {
 	t.Parallel()
 	runWithdrawalScenario(t, 920, 1, func(s *withdrawalScenario) {
@@ -197,15 +199,16 @@
 		s.writer = s.reconnect("a2", "lead")
 		response := s.waitWithdrawn(withdrawal, s.w.Site.Timing.Recovery)
 		s.resumeReader()
-		assert.Assert(s.t, !s.receivedAfter(s.reader, withdrawal.Call-1, response.Shown), "shown to one who came back")
+		assert.Assert(s.t, !s.receivedAfter(s.reader, withdrawal.Call-1, response.Shown), "shown to a client that reconnected")
 		s.otherReader.End()
 		s.otherReader = s.reconnect("a3", "far")
 	})
 }
 
-// A withdrawal and its own message are offered at two nodes at once, or it names what has not come:
-// in whichever order they are decided, nothing withdrawn is shown after the yes, and a number that
-// was passed over never arrives.
+// A withdrawal and the message that it withdraws are submitted through two nodes at once, or the
+// withdrawal names a message that has not arrived. In whichever order they are decided, nothing
+// withdrawn is shown after the acknowledgement, and a call number that was passed over never
+// arrives.
 func TestWithdrawalRacesItsOwnMessage(t *testing.T) {
 	t.Parallel()
 	runWithdrawalScenario(t, 930, 2, func(s *withdrawalScenario) {
@@ -236,8 +239,8 @@
 				passed++
 			}
 		}
-		s.t.Logf("raced: %d taken, %d passed", accepted, passed)
-		assert.Assert(s.t, accepted > 0 && passed > 0, "void: %d taken, %d passed", accepted, passed)
+		s.t.Logf("raced: %d accepted, %d passed over", accepted, passed)
+		assert.Assert(s.t, accepted > 0 && passed > 0, "void: %d accepted, %d passed over", accepted, passed)
 		otherClient := s.reconnect("a3", "foe")
 		for i := range 5 {
 			upTo := uint64(10 * (i + 1))
@@ -252,7 +255,7 @@
 	})
 }
 
-// What withdrawals answer besides a yes.
+// Withdrawals are also answered for an unknown key, when repeated, and when another client asks.
 func TestAnswersToWithdrawals(t *testing.T) {
 	t.Parallel()
 	runWithdrawalScenario(t, 940, 1, func(s *withdrawalScenario) {
@@ -275,8 +278,8 @@
 	})
 }
 
-// A withdrawal of what was withdrawn before is answered by the mark that stands, also when it is
-// asked for again after the key was written anew: what was written then stays.
+// A second withdrawal of the same messages is answered by the existing tombstone. The same holds
+// when it is repeated after another message under the key: the later message is retained.
 func TestWithdrawnTwiceRetainsLaterMessages(t *testing.T) {
 	t.Parallel()
 	runWithdrawalScenario(t, 945, 1, func(s *withdrawalScenario) {
@@ -305,8 +308,8 @@
 	})
 }
 
-// The routers can't reach one another, in one way or both, and all reach the stores: nothing waits,
-// as no router asks another.
+// The routers can't reach one another, in one direction or both, and all reach the storage nodes.
+// No withdrawal waits, as no router asks another.
 func TestRoutersCutFromEachOtherWithdraw(t *testing.T) {
 	t.Parallel()
 	for name, bothWays := range map[string]bool{"one way": false, "both ways": true} {
@@ -330,8 +333,8 @@
 	}
 }
 
-// An owner that was superseded still answers the router that nobody else reaches, with the message
-// that its successor's line has withdrawn. The yes waits for that router.
+// A superseded partition leader keeps answering a router that no other node reaches, with the
+// message that is withdrawn in its successor's log. The acknowledgement waits for that router.
 func TestSupersededLeaderStillAnswers(t *testing.T) {
 	t.Parallel()
 	skipUnderRace(t)
@@ -358,7 +361,7 @@
 		}
 		time.Sleep(2 * time.Second)
 		s.expectPending(withdrawal, "a1")
-		assert.Assert(s.t, s.w.Parts("a1", router.Poll.Path) > pollsBefore, "void: the old owner was not asked")
+		assert.Assert(s.t, s.w.Parts("a1", router.Poll.Path) > pollsBefore, "void: the old leader was not asked")
 		s.w.Heal()
 		s.waitWithdrawn(withdrawal, s.w.Site.Timing.Recovery)
 		s.resumeReader()
@@ -368,14 +371,15 @@
 	})
 }
 
-// A router is away for longer than the keeping time and the lease: it is given up, which the yes
-// says, marks go, and when it is back it starts clean. One that is heard and hears nothing is not
-// given up, as it may be licensed by others.
+// A router is unreachable for longer than the retention and the lease. It is given up, and the
+// acknowledgement says so. Tombstones are removed, and the returning router starts without
+// messages. A router that sends but receives nothing is not given up, as others may confirm its
+// lease.
 func TestUnreachableRouterIsGivenUp(t *testing.T) {
 	t.Parallel()
 	skipUnderRace(t)
 	for name, inject := range routerFaults {
-		if name == "deaf" {
+		if name == "receives nothing" {
 			continue
 		}
 		t.Run(name, func(t *testing.T) {
@@ -388,7 +392,7 @@
 				withdrawal := s.withdrawPending("turn", "a1")
 				start := time.Now()
 				response := s.waitWithdrawn(withdrawal, s.w.Site.Timing.Retention()+2*s.w.Site.Timing.Recovery)
-				assert.Assert(s.t, slices.Contains(response.GivenUp, "a1"), "the yes names %v", response.GivenUp)
+				assert.Assert(s.t, slices.Contains(response.GivenUp, "a1"), "the acknowledgement names %v", response.GivenUp)
 				elapsed := time.Since(start)
 				s.t.Logf("given up after %s", elapsed)
 				assert.Assert(s.t, elapsed >= s.w.Site.Timing.Keeping, "given up after %s", elapsed)
--- a/tools/mutations/partitionlog-leader.sh
+++ b/tools/mutations/partitionlog-leader.sh
@@ -1,7 +1,7 @@
 # Mutants of internal/partitionlog/leader.
 L=internal/partitionlog/leader
-mutant seal-before-tail $L/recovery.go 's/\[\]sealResult\) bool \{\n\t\treturn len\(quorum.Successes\(results\)\) >= l.Record.Majority\(\)/[]sealResult) bool {\n\t\treturn len(quorum.Successes(results)) >= 1/; s/len\(sealed\) < l.Record.Majority\(\) \{/len(sealed) < 1 {/' $S 'Faults|TakeOver|Seeds'
-mutant best-tail $L/recovery.go 's/if last := result.Value.Tails\[kind\].Last; end.Less\(last\) \{/if last := result.Value.Tails[kind].Last; false \&\& end.Less(last) {/' $S 'Faults|TakeOver|Seeds'
+mutant seal-before-tail $L/recovery.go 's/\[\]sealResult\) bool \{\n\t\treturn len\(quorum.Successes\(results\)\) >= l.Record.Majority\(\)/[]sealResult) bool {\n\t\treturn len(quorum.Successes(results)) >= 1/; s/len\(sealed\) < l.Record.Majority\(\) \{/len(sealed) < 1 {/' $S 'Faults|TakeOver|AcrossFailovers|Seeds'
+mutant best-tail $L/recovery.go 's/if last := result.Value.Tails\[kind\].Last; end.Less\(last\) \{/if last := result.Value.Tails[kind].Last; false \&\& end.Less(last) {/' $S 'Faults|TakeOver|AcrossFailovers|Seeds'
 mutant epoch-used-before $L/recovery.go 's/sealed >= l.Record.Epoch \{/false \&\& sealed >= l.Record.Epoch {/' ./$L 'SealedEpoch'
 mutant commit-majority $L/progress.go 's/offset := offsets\[record.Majority\(\)-1\]/offset := offsets[0]/' $S 'Faults|Seeds'
 mutant commit-epoch-start $L/progress.go 's/\|\| !ok \|\| position.Epoch != record.Epoch/|| !ok || position.Epoch > record.Epoch/' ./$L 'EpochStart'
