--- a/internal/testing/sim/sessions_retention_test.go
+++ b/internal/testing/sim/sessions_retention_test.go
@@ -9,7 +9,7 @@
 	"postjunction/internal/testing/simclient"
 )
 
-// A node is isolated for longer than messages are retained, while its clients remain connected.
+// A node is isolated for longer than messages are stored, while its clients remain connected.
 // Other clients are disconnected that long, and some connect at the end with cursors of any age. No
 // client silently skips messages that were removed. No cursor is rejected as too old if no message
 // after it was removed.
--- a/internal/testing/sim/withdraw_test.go
+++ b/internal/testing/sim/withdraw_test.go
@@ -279,7 +279,7 @@
 }
 
 // A second withdrawal of the same messages is answered by the existing tombstone. The same holds
-// when it is repeated after another message under the key: the later message is retained.
+// when it is repeated after another message under the key: the later message remains.
 func TestWithdrawnTwiceRetainsLaterMessages(t *testing.T) {
 	t.Parallel()
 	runWithdrawalScenario(t, 945, 1, func(s *withdrawalScenario) {
