--- a/internal/testing/sim/answers_test.go
+++ b/internal/testing/sim/answers_test.go
@@ -13,52 +13,53 @@
 	"postjunction/internal/partitionlog/leader"
 )
 
-// An owner whose data links are cut keeps its lease and its belief that it decides. While others
-// decide, it must neither vouch for an attachment that was superseded nor give a final no or yes.
+// A partition leader whose data connections are cut retains its lease and takes itself for the
+// leader. While its successor leads, it must not confirm a superseded attachment, and it must
+// neither accept a message nor reject one finally.
 func TestCutOffLeaderGivesNoFinalAnswer(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(4)) {
-		stand(t, Armor, 40+seed, func(t *testing.T, w *World) {
-			described(t, w)
+		runFleet(t, Armor, 40+seed, func(t *testing.T, w *World) {
+			applyConfiguration(t, w)
 			w.Watch()
-			topic, who := "kept/t0", "v"
-			l := w.Machines["a1"].Node().VoterSet().Layout
-			first := attach(t, w, "a1", who)
-			for n := range uint64(3) {
-				_, err := w.Transport("a1").Send(w.ctx, first.Token, topic, n+1, []byte(`"before"`))
+			topic, clientName := "kept/t0", "v"
+			layout := w.Machines["a1"].Node().VoterSet().Layout
+			first := attach(t, w, "a1", clientName)
+			for callSeq := range uint64(3) {
+				_, err := w.Transport("a1").Send(w.ctx, first.Token, topic, callSeq+1, []byte(`"before"`))
 				assert.NilError(t, err)
 			}
-			ps := []int{partition.Of(topic, false, l), partition.OfClient(who, false, l)}
-			for _, p := range ps {
-				old := w.records()[p].Leader
-				data := func(x CallPoint) bool {
-					return (x.From == old || x.To == old) && (strings.Contains(x.Path, "Ledger") || strings.Contains(x.Path, "Gossip"))
+			partitionIDs := []int{partition.Of(topic, false, layout), partition.OfClient(clientName, false, layout)}
+			for _, partitionID := range partitionIDs {
+				oldLeader := w.records()[partitionID].Leader
+				isDataCall := func(call CallPoint) bool {
+					return (call.From == oldLeader || call.To == oldLeader) && (strings.Contains(call.Path, "Ledger") || strings.Contains(call.Path, "Gossip"))
 				}
-				release, hits := w.PauseCalls(data)
-				w.Freeze(old)
-				assert.NilError(t, w.WaitUntil(15*time.Second, "another owner", func() bool {
-					r := w.records()[p]
-					return r.Leader != old && r.Recovered
+				release, hits := w.PauseCalls(isDataCall)
+				w.Freeze(oldLeader)
+				assert.NilError(t, w.WaitUntil(15*time.Second, "another leader", func() bool {
+					r := w.records()[partitionID]
+					return r.Leader != oldLeader && r.Recovered
 				}))
-				w.Thaw(old)
-				second := attach(t, w, "a1", who)
+				w.Thaw(oldLeader)
+				second := attach(t, w, "a1", clientName)
 				_, err := w.Transport("a1").Send(w.ctx, second.Token, topic, 4, []byte(`"after"`))
 				assert.Assert(t, err == nil || apierror.HasCode(err, apierror.CallAltered), "%v", err)
-				assert.NilError(t, w.WaitUntil(10*time.Second, "the old owner is licensed", func() bool { return w.Machines[old].Node().Ready() == nil }))
-				stale := w.Machines[old].Node()
+				assert.NilError(t, w.WaitUntil(10*time.Second, "the old leader has a lease", func() bool { return w.Machines[oldLeader].Node().Ready() == nil }))
+				oldNode := w.Machines[oldLeader].Node()
 				ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Spread)
-				a, err := stale.Clients.Router.ReadAttachment(ctx, who, 0, false)
+				response, err := oldNode.Clients.Router.ReadAttachment(ctx, clientName, 0, false)
 				if err == nil {
-					assert.Equal(t, a.Attachment.Generation, second.Generation, "vouched for a superseded attachment")
+					assert.Equal(t, response.Attachment.Generation, second.Generation, "confirmed a superseded attachment")
 				}
-				_, err = stale.Clients.Router.Submit(ctx, p, &leader.Message{Client: who, Generation: second.Generation, Topic: topic, CallSeq: 5, Body: []byte(`"later"`)})
-				assert.Assert(t, !apierror.HasCode(err, apierror.CallPassed), "a final no from an owner that is none: %v", err)
+				_, err = oldNode.Clients.Router.Submit(ctx, partitionID, &leader.Message{Client: clientName, Generation: second.Generation, Topic: topic, CallSeq: 5, Body: []byte(`"later"`)})
+				assert.Assert(t, !apierror.HasCode(err, apierror.CallPassed), "a final rejection by a superseded leader: %v", err)
 				stop()
-				assert.Assert(t, hits() > 0, "void: nothing was held")
+				assert.Assert(t, hits() > 0, "void: nothing was paused")
 				release()
 				time.Sleep(3 * time.Second)
 			}
-			assert.Assert(t, w.History.Terms() > 6, "void: no owner changed")
+			assert.Assert(t, w.History.Terms() > 6, "void: no leader changed")
 		})
 	}
 }
--- a/internal/testing/sim/boot_test.go
+++ b/internal/testing/sim/boot_test.go
@@ -182,12 +182,12 @@
 
 // TestMeasureBoot measures the time from the start of processes to service.
 func TestMeasureBoot(t *testing.T) {
-	measuring(t)
+	skipUnlessMeasuring(t)
 	for _, way := range restarts {
 		var all serviceTimes
 		var worst []time.Duration
 		for seed := range uint64(seeds(8)) {
-			stand(t, restartSite(seed), seed, func(t *testing.T, w *World) {
+			runFleet(t, restartSite(seed), seed, func(t *testing.T, w *World) {
 				b := measureRestart(t, w, way.stop, way.downtime(w))
 				all.open, all.accept, all.deliver = append(all.open, b.open...), append(all.accept, b.accept...), append(all.deliver, b.deliver...)
 				worst = append(worst, max(percentile(b.open, 1), percentile(b.accept, 1), percentile(b.deliver, 1)))
@@ -211,10 +211,10 @@
 // longest backoff.
 func TestServiceIsBackSoonAfterProcessesStart(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for _, way := range restarts {
 		for seed := range uint64(seeds(2)) {
-			stand(t, restartSite(seed), 300+seed, func(t *testing.T, w *World) {
+			runFleet(t, restartSite(seed), 300+seed, func(t *testing.T, w *World) {
 				b := measureRestart(t, w, way.stop, way.downtime(w))
 				last := max(percentile(b.open, 1), percentile(b.accept, 1), percentile(b.deliver, 1))
 				assert.Assert(t, last < w.Site.Timing.ReconcileInterval(), "seed %d: %s: everything only after %s", seed, way.name, last)
--- a/internal/testing/sim/decommission_restart_test.go
+++ b/internal/testing/sim/decommission_restart_test.go
@@ -35,7 +35,7 @@
 // its disk and all others their power.
 func TestARestartDoesNotEndADecommissioning(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for seed := range uint64(seeds(4)) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
@@ -79,7 +79,7 @@
 // and is completed.
 func TestADecommissioningOutlivesItsMachinesProcessAndDisk(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for seed := range uint64(seeds(6)) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
@@ -109,8 +109,8 @@
 // machine.
 func TestADecommissioningFencesWhatWasDecidedBefore(t *testing.T) {
 	t.Parallel()
-	stand(t, Traductores, 400, func(t *testing.T, w *World) {
-		described(t, w)
+	runFleet(t, Traductores, 400, func(t *testing.T, w *World) {
+		applyConfiguration(t, w)
 		operators := w.Machines["c1"].Node().Operators
 		read := func(p int) (r assignment.Record) {
 			v, err := operators.Client.Read(w.ctx, assignment.Key(p))
@@ -145,7 +145,7 @@
 func TestACutNodeGivesNoFinalAnswers(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(4)) {
-		stand(t, siteForSeed(seed), 402+seed, func(t *testing.T, w *World) {
+		runFleet(t, siteForSeed(seed), 402+seed, func(t *testing.T, w *World) {
 			_, err := w.Put("a1", load.Configuration(0))
 			assert.NilError(t, err)
 			cut := []string{"c1", "a1"}[seed/2%2]
@@ -193,7 +193,7 @@
 // not reached yet.
 func TestANewMachineIsKnownThroughEveryNode(t *testing.T) {
 	t.Parallel()
-	stand(t, withSpares(Armor, "s2"), 410, func(t *testing.T, w *World) {
+	runFleet(t, withSpares(Armor, "s2"), 410, func(t *testing.T, w *World) {
 		assert.NilError(t, w.Add("s2b"))
 		assert.NilError(t, w.WaitUntil(20*time.Second, "a control node knows s2b", func() bool {
 			_, ok := w.Machines["c1"].Node().View.Get("s2b")
--- a/internal/testing/sim/decommission_return_test.go
+++ b/internal/testing/sim/decommission_return_test.go
@@ -12,7 +12,7 @@
 // once they have caught up. Then another storage node is lost.
 func TestDecommissionedStorageNodeReturnsWithItsOldDisk(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for seed := range uint64(seeds(2)) {
 		runScenario(t, siteForSeed(seed), 380+seed, siteForSeed(seed).Timing.Recovery, func(t *testing.T, w *World) {
 			target := busiest(w)
--- a/internal/testing/sim/decommission_test.go
+++ b/internal/testing/sim/decommission_test.go
@@ -62,7 +62,7 @@
 // disk is lost, and the decommissioned one returns without its disk.
 func TestDecommission(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	runScenario(t, Armor, 11, Armor.Timing.Recovery, func(t *testing.T, w *World) {
 		assert.Assert(t, apierror.HasCode(w.startDecommission("unknown"), apierror.UnknownNode))
 		assert.Assert(t, apierror.HasCode(w.startDecommission("a1"), apierror.UnknownNode))
--- a/internal/testing/sim/empty_disk_test.go
+++ b/internal/testing/sim/empty_disk_test.go
@@ -46,7 +46,7 @@
 // otherwise.
 func TestAnEmptyReturnIsCompleteBeforeTheNextLoss(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	runs := 1
 	if os.Getenv("PJ_MEASURE") != "" {
 		runs = measuredSeeds
--- a/internal/testing/sim/idle_test.go
+++ b/internal/testing/sim/idle_test.go
@@ -17,8 +17,8 @@
 	t.Parallel()
 	site := Armor
 	site.Routine, site.Urgent = 20, 4
-	stand(t, site, 460, func(t *testing.T, w *World) {
-		described(t, w)
+	runFleet(t, site, 460, func(t *testing.T, w *World) {
+		applyConfiguration(t, w)
 		time.Sleep(site.Timing.Recovery)
 		const sessions = 10
 		before := w.TrafficByPath()
@@ -43,8 +43,8 @@
 	t.Parallel()
 	site := Armor
 	site.Routine, site.Urgent = 20, 4
-	stand(t, site, 461, func(t *testing.T, w *World) {
-		described(t, w)
+	runFleet(t, site, 461, func(t *testing.T, w *World) {
+		applyConfiguration(t, w)
 		time.Sleep(site.Timing.Recovery)
 		before := w.TrafficByPath()
 		const sweeps = 4
--- a/internal/testing/sim/losses_test.go
+++ b/internal/testing/sim/losses_test.go
@@ -20,7 +20,7 @@
 // moment.
 func TestTwoLossesAtOnce(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	runScenario(t, twoLossSite, 31, twoLossSite.Timing.Recovery, func(t *testing.T, w *World) {
 		for _, r := range w.records() {
 			assert.Equal(t, len(r.Replicas), 5)
@@ -44,7 +44,7 @@
 	t.Parallel()
 	s := Armor
 	s.ToleratedLosses = 2
-	stand(t, s, 32, func(t *testing.T, w *World) {
+	runFleet(t, s, 32, func(t *testing.T, w *World) {
 		assert.NilError(t, w.WaitUntil(10*time.Second, "every partition has its replicas", w.isFullyReplicated))
 		for p, r := range w.records() {
 			zones, storageNodes := map[string]int{}, 0
--- a/internal/testing/sim/points_test.go
+++ b/internal/testing/sim/points_test.go
@@ -21,149 +21,149 @@
 	"postjunction/internal/wire"
 )
 
-func (w *World) leaderOf(key string) string {
-	for _, n := range w.Names {
-		if x := w.Machines[n].Node(); x != nil && x.LeadsKey(key) {
-			return n
+func (w *World) keyLeader(key string) string {
+	for _, name := range w.Names {
+		if node := w.Machines[name].Node(); node != nil && node.LeadsKey(key) {
+			return name
 		}
 	}
 	return "c1"
 }
 
-// decider gives the control node that holds the description's key, as a majority says, and the
-// description that stands. Where nobody holds it, as after the voters changed, a description that
-// is put makes a holder.
-func decider(t *testing.T, w *World) (who string, seq uint64) {
+// configurationLeader returns the control node that leads the configuration's key, confirmed by a
+// majority, and the sequence number of the current configuration. Where the key has no leader, as
+// after the voters changed, it puts a configuration, which elects one.
+func configurationLeader(t *testing.T, w *World) (leaderName string, current uint64) {
 	t.Helper()
-	assert.NilError(t, w.WaitUntil(30*time.Second, "void: one control node holds the description", func() bool {
-		for _, n := range w.Names {
-			x := w.Machines[n].Node()
-			if x == nil || !x.LeadsKey(quorumread.ConfigurationKey) {
+	assert.NilError(t, w.WaitUntil(30*time.Second, "void: one control node leads the configuration's key", func() bool {
+		for _, name := range w.Names {
+			node := w.Machines[name].Node()
+			if node == nil || !node.LeadsKey(quorumread.ConfigurationKey) {
 				continue
 			}
-			if at, err := w.current(n); err == nil && x.LeadsKey(quorumread.ConfigurationKey) {
-				who, seq = n, at
+			if sequence, err := w.currentSequence(name); err == nil && node.LeadsKey(quorumread.ConfigurationKey) {
+				leaderName, current = name, sequence
 				return true
 			}
 		}
-		if at, err := w.current("c1"); err == nil {
-			_, _ = w.Put("c1", load.Configuration(at))
+		if sequence, err := w.currentSequence("c1"); err == nil {
+			_, _ = w.Put("c1", load.Configuration(sequence))
 		}
 		return false
 	}))
-	return who, seq
+	return leaderName, current
 }
 
-func (w *World) current(n string) (uint64, error) {
+func (w *World) currentSequence(node string) (uint64, error) {
 	ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Recovery)
 	defer stop()
-	return w.Transport(n).Get(ctx)
+	return w.Transport(node).Get(ctx)
 }
 
-// deciding tells whether a call asks a voter to accept a description.
-func deciding(x CallPoint) bool {
-	var q acceptor.AcceptRequest
-	return x.Path == acceptor.Accept.Path && wire.Unmarshal(x.Body, &q) == nil && q.Key == quorumread.ConfigurationKey
+// acceptsConfiguration reports whether a call asks a voter to accept a configuration.
+func acceptsConfiguration(call CallPoint) bool {
+	var request acceptor.AcceptRequest
+	return call.Path == acceptor.Accept.Path && wire.Unmarshal(call.Body, &request) == nil && request.Key == quorumread.ConfigurationKey
 }
 
-func on(path, stage string) func(x CallPoint) bool {
-	return func(x CallPoint) bool { return x.Path == path && x.Stage == stage }
+func atStage(path, stage string) func(call CallPoint) bool {
+	return func(call CallPoint) bool { return call.Path == path && call.Stage == stage }
 }
 
-func owning(f func(x CallPoint) bool) func(who string, x CallPoint) bool {
-	return func(who string, x CallPoint) bool { return x.From == who && f(x) }
+func sentBy(matches func(call CallPoint) bool) func(node string, call CallPoint) bool {
+	return func(node string, call CallPoint) bool { return call.From == node && matches(call) }
 }
 
-func serving(f func(x CallPoint) bool) func(who string, x CallPoint) bool {
-	return func(who string, x CallPoint) bool { return x.To == who && f(x) }
+func handledBy(matches func(call CallPoint) bool) func(node string, call CallPoint) bool {
+	return func(node string, call CallPoint) bool { return call.To == node && matches(call) }
 }
 
 var placementKey = []byte(controller.Key)
 
-func appending(x CallPoint) (replica.AppendRequest, bool) {
-	var q replica.AppendRequest
-	return q, x.Path == replica.Append.Path && wire.Unmarshal(x.Body, &q) == nil
+func appendRequest(call CallPoint) (replica.AppendRequest, bool) {
+	var request replica.AppendRequest
+	return request, call.Path == replica.Append.Path && wire.Unmarshal(call.Body, &request) == nil
 }
 
-func late(x CallPoint) bool {
-	q, ok := appending(x)
-	return ok && q.Kind == log.KindChangelog
+func appendsChangelog(call CallPoint) bool {
+	request, ok := appendRequest(call)
+	return ok && request.Kind == log.KindChangelog
 }
 
-// points are the places in a decision's way at which whoever decides is held up while its sessions
-// lapse and others go on.
-var points = map[string]struct {
-	restart bool
-	arrive  bool
-	control bool
-	at      func(who string, x CallPoint) bool
+// pausePoints are the steps of a decision at which the calls of the deciding node are paused, while
+// its sessions expire and other nodes continue.
+var pausePoints = map[string]struct {
+	restart    bool
+	newClients bool
+	control    bool
+	matches    func(node string, call CallPoint) bool
 }{
-	"judged, not appended":        {at: owning(on(replica.Append.Path, RequestStage))},
-	"appended, answers under way": {at: owning(on(replica.Append.Path, ResponseStage))},
-	"sealing, not adopted": {restart: true, at: owning(func(x CallPoint) bool {
-		return (x.Path == replica.Append.Path || x.Path == replica.Fetch.Path) && x.Stage == RequestStage
+	"decided, not appended":       {matches: sentBy(atStage(replica.Append.Path, RequestStage))},
+	"appended, answers in flight": {matches: sentBy(atStage(replica.Append.Path, ResponseStage))},
+	"sealing, not adopted": {restart: true, matches: sentBy(func(call CallPoint) bool {
+		return (call.Path == replica.Append.Path || call.Path == replica.Fetch.Path) && call.Stage == RequestStage
 	})},
-	"sealed, answers under way": {restart: true, at: owning(on(replica.Seal.Path, ResponseStage))},
-	"batch, not offset": {at: owning(func(x CallPoint) bool {
-		return x.Stage == ResponseStage && late(x)
+	"sealed, answers in flight": {restart: true, matches: sentBy(atStage(replica.Seal.Path, ResponseStage))},
+	"batch, not offset": {matches: sentBy(func(call CallPoint) bool {
+		return call.Stage == ResponseStage && appendsChangelog(call)
 	})},
-	"copy synced, not answered":   {at: serving(on(replica.Append.Path, ResponseStage))},
-	"taken, not told":             {at: serving(on(router.Submit.Path, ResponseStage))},
-	"vouched, not told":           {at: serving(on(router.ReadAttachment.Path, ResponseStage))},
-	"attached, not told":          {arrive: true, at: serving(on(router.Attach.Path, ResponseStage))},
-	"promised, not accepted":      {control: true, at: owning(on(acceptor.Accept.Path, RequestStage))},
-	"accepted, answers under way": {control: true, at: owning(on(acceptor.Accept.Path, ResponseStage))},
-	"voter synced, not answered": {control: true, at: serving(func(x CallPoint) bool {
-		return x.Stage == ResponseStage && (x.Path == acceptor.Accept.Path || x.Path == acceptor.Promise.Path) && !bytes.Contains(x.Body, placementKey)
+	"replica synced, not answered":  {matches: handledBy(atStage(replica.Append.Path, ResponseStage))},
+	"accepted, not acknowledged":    {matches: handledBy(atStage(router.Submit.Path, ResponseStage))},
+	"attachment read, not answered": {matches: handledBy(atStage(router.ReadAttachment.Path, ResponseStage))},
+	"attached, not answered":        {newClients: true, matches: handledBy(atStage(router.Attach.Path, ResponseStage))},
+	"promised, not accepted":        {control: true, matches: sentBy(atStage(acceptor.Accept.Path, RequestStage))},
+	"accepted, answers in flight":   {control: true, matches: sentBy(atStage(acceptor.Accept.Path, ResponseStage))},
+	"voter synced, not answered": {control: true, matches: handledBy(func(call CallPoint) bool {
+		return call.Stage == ResponseStage && (call.Path == acceptor.Accept.Path || call.Path == acceptor.Promise.Path) && !bytes.Contains(call.Body, placementKey)
 	})},
 }
 
 func TestPausedAtEachPointOfADecision(t *testing.T) {
-	for name, p := range points {
+	for name, point := range pausePoints {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			long(t)
+			skipUnderRace(t)
 			for seed := range uint64(seeds(2)) {
 				runScenario(t, siteForSeed(seed), 200+seed, time.Hour, func(t *testing.T, w *World) {
 					for range 2 {
-						who, base := busiest(w), uint64(0)
-						var decided atomic.Int64
-						if p.control {
-							who, base = decider(t, w)
+						target, base := busiest(w), uint64(0)
+						var decisions atomic.Int64
+						if point.control {
+							target, base = configurationLeader(t, w)
 						}
-						if p.restart {
-							w.Kill(who)
+						if point.restart {
+							w.Kill(target)
 							time.Sleep(30 * time.Millisecond)
 						}
-						release, hits := w.PauseCalls(func(x CallPoint) bool {
-							if !p.at(who, x) {
+						release, hits := w.PauseCalls(func(call CallPoint) bool {
+							if !point.matches(target, call) {
 								return false
 							}
-							if deciding(x) {
-								decided.Add(1)
+							if acceptsConfiguration(call) {
+								decisions.Add(1)
 							}
 							return true
 						})
-						if p.restart {
-							assert.NilError(t, w.Start(who))
-							assert.NilError(t, w.WaitUntil(10*time.Second, "void: nothing was held at "+name, func() bool { return hits() > 0 }))
+						if point.restart {
+							assert.NilError(t, w.Start(target))
+							assert.NilError(t, w.WaitUntil(10*time.Second, "void: nothing was paused at "+name, func() bool { return hits() > 0 }))
 						}
-						lapse, _ := w.PauseCalls(func(x CallPoint) bool {
-							return x.From == who && strings.Contains(x.Path, "Member/Pulse") || x.From == who && strings.Contains(x.Path, "Member/Sessions") || x.To == who && strings.Contains(x.Path, "Member/Sessions")
+						releaseHeartbeats, _ := w.PauseCalls(func(call CallPoint) bool {
+							return call.From == target && strings.Contains(call.Path, "Member/Pulse") || call.From == target && strings.Contains(call.Path, "Member/Sessions") || call.To == target && strings.Contains(call.Path, "Member/Sessions")
 						})
-						if p.arrive {
+						if point.newClients {
 							w.AddClients(4)
 						}
-						if p.control {
-							_, _ = w.Put(who, load.Configuration(base))
+						if point.control {
+							_, _ = w.Put(target, load.Configuration(base))
 						}
 						w.MoveClients(0.5)
 						time.Sleep(w.randomTenths(60, 80))
-						assert.Assert(t, hits() > 0, "void: nothing was held at %q", name)
-						assert.Assert(t, !p.control || decided.Load() > 0, "void: no decision on the description was held at %q, %s was to make it", name, who)
+						assert.Assert(t, hits() > 0, "void: nothing was paused at %q", name)
+						assert.Assert(t, !point.control || decisions.Load() > 0, "void: no decision on the configuration was paused at %q, %s was to make it", name, target)
 						release()
 						time.Sleep(time.Duration(w.Int(400)) * time.Millisecond)
-						lapse()
+						releaseHeartbeats()
 						time.Sleep(w.randomTenths(30, 60))
 					}
 				})
@@ -172,25 +172,25 @@
 	}
 }
 
-// A disk is wiped just after it promised: with the answer still under way, or told. It comes back
-// empty under its old machine's name.
+// A disk is wiped just after it promised, with the answer in flight or delivered. The node returns
+// under the same name with an empty disk.
 func TestDiskWipedJustAfterEachKindOfPromise(t *testing.T) {
 	kinds := map[string]string{"sealed": replica.Seal.Path, "appended": replica.Append.Path, "promised": acceptor.Promise.Path, "accepted": acceptor.Accept.Path}
 	for name, path := range kinds {
 		for _, delivered := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%s, told %v", name, delivered), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, delivered %v", name, delivered), func(t *testing.T) {
 				t.Parallel()
-				long(t)
+				skipUnderRace(t)
 				for seed := range uint64(seeds(2)) {
 					runScenario(t, siteForSeed(seed), 220+seed, time.Hour, func(t *testing.T, w *World) {
-						assert.NilError(t, w.WaitUntil(30*time.Second, "every copy and seat is in place", w.isFullyReplicated))
-						found := make(chan string, 1)
-						release, _ := w.PauseCalls(func(x CallPoint) bool {
-							if x.Path != path || x.Stage != ResponseStage || x.From == x.To {
+						assert.NilError(t, w.WaitUntil(30*time.Second, "all replicas and voters are complete", w.isFullyReplicated))
+						matched := make(chan string, 1)
+						release, _ := w.PauseCalls(func(call CallPoint) bool {
+							if call.Path != path || call.Stage != ResponseStage || call.From == call.To {
 								return false
 							}
 							select {
-							case found <- x.To:
+							case matched <- call.To:
 								return !delivered
 							default:
 								return false
@@ -201,26 +201,26 @@
 							w.Terminate("s1")
 							w.History.AddFault("stop", time.Now())
 						case "promised":
-							w.Terminate(w.leaderOf(controller.Key))
+							w.Terminate(w.keyLeader(controller.Key))
 						case "accepted":
 							go func() { _, _ = w.Put("a1", load.Configuration(1)) }()
 						}
-						var x string
+						var wiped string
 						select {
-						case x = <-found:
+						case wiped = <-matched:
 						case <-time.After(20 * time.Second):
 							t.Fatalf("void: no disk was %s", name)
 						}
-						w.Wipe(x)
+						w.Wipe(wiped)
 						release()
 						time.Sleep(w.randomTenths(0, 40))
 						var down []string
-						for _, n := range w.Names {
-							if !w.Machines[n].Up() {
-								down = append(down, n)
+						for _, node := range w.Names {
+							if !w.Machines[node].Up() {
+								down = append(down, node)
 							}
 						}
-						assert.Assert(t, slices.Contains(down, x))
+						assert.Assert(t, slices.Contains(down, wiped))
 						assert.NilError(t, w.Start(down...))
 						assert.NilError(t, w.WaitUntil(90*time.Second, "the wiped disk is repaired", w.isFullyReplicated))
 					})
--- a/internal/testing/sim/repair_test.go
+++ b/internal/testing/sim/repair_test.go
@@ -41,11 +41,11 @@
 // loss may follow. By then it has all its replicas, or is a voter again, under load.
 func TestEmptyDisksAreFilledSoon(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for _, downtime := range []time.Duration{500 * time.Millisecond, 4 * time.Second} {
 		t.Run(downtime.String(), func(t *testing.T) {
 			t.Parallel()
-			stand(t, platformSite, 50, func(t *testing.T, w *World) {
+			runFleet(t, platformSite, 50, func(t *testing.T, w *World) {
 				_, err := w.Put("c1", platformLoad.Configuration(0))
 				assert.NilError(t, err)
 				time.Sleep(w.Site.Timing.Spread)
@@ -72,8 +72,8 @@
 // Decommissioning a storage node under load takes a few seconds: all its partitions move at once.
 func TestDecommissioningIsSoonDone(t *testing.T) {
 	t.Parallel()
-	long(t)
-	stand(t, platformSite, 51, func(t *testing.T, w *World) {
+	skipUnderRace(t)
+	runFleet(t, platformSite, 51, func(t *testing.T, w *World) {
 		_, err := w.Put("c1", platformLoad.Configuration(0))
 		assert.NilError(t, err)
 		time.Sleep(w.Site.Timing.Spread)
@@ -93,7 +93,7 @@
 // A storage node that is down is decommissioned. Nothing waits for it.
 func TestDecommissioningAStorageNodeThatIsDown(t *testing.T) {
 	t.Parallel()
-	stand(t, Armor, 52, func(t *testing.T, w *World) {
+	runFleet(t, Armor, 52, func(t *testing.T, w *World) {
 		assert.NilError(t, w.WaitUntil(10*time.Second, "every partition has its replicas", w.allReplicasComplete))
 		w.Kill("s2")
 		time.Sleep(4 * time.Second)
--- a/internal/testing/sim/replace_test.go
+++ b/internal/testing/sim/replace_test.go
@@ -34,7 +34,7 @@
 // are lost.
 func TestReplacedStorageNodeIsMadeGoodBeforeTheNextLoss(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for _, site := range []Site{Armor, Traductores} {
 		for _, how := range []string{"asked", "lost", "planned"} {
 			for seed := range uint64(seeds(2)) {
@@ -73,7 +73,7 @@
 // some time ago.
 func TestRestartMovesNoReplicasToASpareNode(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for seed := range uint64(seeds(8)) {
 		downtime := time.Second + time.Duration(seed%2)*1600*time.Millisecond
 		runScenario(t, withSpares(Armor, "s2"), 715+seed, Armor.Timing.Recovery, func(t *testing.T, w *World) {
@@ -94,7 +94,7 @@
 // back with its disk before a new node has caught up.
 func TestRestartMovesNoCopies(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for _, site := range []Site{Armor, Traductores} {
 		runScenario(t, withSpares(site, "s2"), 710, site.Timing.Recovery, func(t *testing.T, w *World) {
 			before := w.records()
@@ -124,7 +124,7 @@
 // that becomes a voter beside the dead one, so that no majority of four is possible any more.
 func TestReplacedVoterIsMadeGoodBeforeTheNextLoss(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for _, site := range []Site{Armor, Traductores} {
 		for _, how := range []string{"asked", "lost", "planned"} {
 			for seed := range uint64(seeds(2)) {
@@ -160,7 +160,7 @@
 // another one is replaced remains a voter.
 func TestVotersThatAreBackAreVotersAgain(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for seed := range uint64(seeds(3)) {
 		runScenario(t, withSpares(Traductores, "c2"), 740+seed, Traductores.Timing.Recovery, func(t *testing.T, w *World) {
 			w.LosePower("c2", true)
--- a/internal/testing/sim/restart_test.go
+++ b/internal/testing/sim/restart_test.go
@@ -20,11 +20,11 @@
 // later.
 func TestWholeFleetIsBackWellInsideTheBound(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	var longest time.Duration
 	for seed := range uint64(seeds(12)) {
-		stand(t, siteForSeed(seed), 80+seed, func(t *testing.T, w *World) {
-			described(t, w)
+		runFleet(t, siteForSeed(seed), 80+seed, func(t *testing.T, w *World) {
+			applyConfiguration(t, w)
 			for i := range w.Site.Control {
 				c := fmt.Sprintf("c%d", i+1)
 				if m := w.Machines[c]; !m.Node().IsPlacementController() && w.Int(2) == 0 {
@@ -77,7 +77,7 @@
 // second. No placement controller then lasted long enough to wait out the loss of a machine.
 func TestPlacementControllerStaysWhereItIs(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for seed := range uint64(seeds(16)) {
 		synctest.Test(t, func(t *testing.T) {
 			w := New(Traductores, 140+seed, Logger())
--- a/internal/testing/sim/scripted_test.go
+++ b/internal/testing/sim/scripted_test.go
@@ -11,9 +11,9 @@
 // TestAScriptedClientIsNeverPaused chooses clients to pause again and again while scripted clients
 // connect.
 func TestAScriptedClientIsNeverPaused(t *testing.T) {
-	entertain(t, hall, 950, few, 10, func(t *testing.T, w *World, _ *LineClients) {
+	runSessions(t, smallSite, 950, backgroundLoad, 10, func(t *testing.T, w *World, _ *LineClients) {
 		const clients = 64
-		lineClients := w.StartLineClients(0, few)
+		lineClients := w.StartLineClients(0, backgroundLoad)
 		var wg sync.WaitGroup
 		for range clients {
 			wg.Go(func() {
--- a/internal/testing/sim/sim_test.go
+++ b/internal/testing/sim/sim_test.go
@@ -25,7 +25,7 @@
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
 		assert.NilError(t, w.WaitReady(20*time.Second))
-		described(t, w)
+		applyConfiguration(t, w)
 		w.Watch()
 		w.StartHTTPClients(load)
 		time.Sleep(5 * time.Second)
--- a/internal/testing/sim/slot_comparison_test.go
+++ b/internal/testing/sim/slot_comparison_test.go
@@ -54,7 +54,7 @@
 				_, err := w.Put("c1", restartLoad.Configuration(0))
 				assert.NilError(t, err)
 				time.Sleep(site.Timing.Spread)
-				keyLeader := w.leaderOf(quorumread.ConfigurationKey)
+				keyLeader := w.keyLeader(quorumread.ConfigurationKey)
 				assert.Assert(t, w.Machines[keyLeader].Node().LeadsKey(quorumread.ConfigurationKey))
 				var mu sync.Mutex
 				slotsAsked, fullSlots := map[string]int{}, 0
--- a/internal/testing/sim/small_disk_test.go
+++ b/internal/testing/sim/small_disk_test.go
@@ -14,7 +14,7 @@
 // Nothing is lost and no process ends.
 func TestSmallDiskGivesItsLeadershipsAway(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	runWithDiskLimit(t, 1, func(t *testing.T, w *World) {
 		process := w.Machines["s1"].Node()
 		assert.NilError(t, w.WaitUntil(60*time.Second, "s1 is full", func() bool { return process.Info().DiskHealth == string(apierror.DiskFull) }))
@@ -34,7 +34,7 @@
 func runWithDiskLimit(t *testing.T, mb int, script func(t *testing.T, w *World)) {
 	s := platformSite
 	s.DiskMB = map[string]int{"s1": mb}
-	stand(t, s, 60, func(t *testing.T, w *World) {
+	runFleet(t, s, 60, func(t *testing.T, w *World) {
 		_, err := w.Put("c1", platformLoad.Configuration(0))
 		assert.NilError(t, err)
 		time.Sleep(w.Site.Timing.Spread)
--- a/internal/testing/sim/trim_test.go
+++ b/internal/testing/sim/trim_test.go
@@ -17,17 +17,17 @@
 // since the state must be rebuilt from the rest. Then the leader is lost.
 func TestTrimmingWaitsForTheInputOffset(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for seed := range uint64(seeds(3)) {
-		stand(t, Armor, 280+seed, func(t *testing.T, w *World) {
-			described(t, w)
+		runFleet(t, Armor, 280+seed, func(t *testing.T, w *World) {
+			applyConfiguration(t, w)
 			const topic = "kept/t0"
 			p := partition.Of(topic, false, w.Machines["a1"].Node().VoterSet().Layout)
 			tok, early := attach(t, w, "c1", "v").Token, attach(t, w, "c1", "early").Token
 			target := w.records()[p].Leader
 			release, hits := w.PauseCalls(func(x CallPoint) bool {
-				q, _ := appending(x)
-				return x.From == target && x.Stage == RequestStage && late(x) && q.Partition == p
+				q, _ := appendRequest(x)
+				return x.From == target && x.Stage == RequestStage && appendsChangelog(x) && q.Partition == p
 			})
 			call := uint64(0)
 			for begun := time.Now(); time.Since(begun) < w.Site.Timing.Retention()+20*time.Second; {
@@ -78,10 +78,10 @@
 // since it is recorded before the trim.
 func TestTrimmedEntriesAreKnown(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for seed := range uint64(seeds(2)) {
-		stand(t, siteForSeed(seed), 290+seed, func(t *testing.T, w *World) {
-			described(t, w)
+		runFleet(t, siteForSeed(seed), 290+seed, func(t *testing.T, w *World) {
+			applyConfiguration(t, w)
 			const topic, quiet = "kept/t0", "kept/t1"
 			n := w.Machines["a1"].Node()
 			p, quietPartition := partition.Of(topic, false, n.VoterSet().Layout), partition.Of(quiet, false, n.VoterSet().Layout)
@@ -138,7 +138,7 @@
 // other leaders.
 func TestLeaderThatReceivesNothingIsReplaced(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for seed := range uint64(seeds(2)) {
 		runScenario(t, siteForSeed(seed), 300+seed, isolatedBound, func(t *testing.T, w *World) {
 			target := busiest(w)
--- a/internal/testing/sim/wiped_test.go
+++ b/internal/testing/sim/wiped_test.go
@@ -15,8 +15,8 @@
 func TestWipedStorageNodeAsksForNoEpochs(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(4)) {
-		stand(t, siteForSeed(seed), 60+seed, func(t *testing.T, w *World) {
-			described(t, w)
+		runFleet(t, siteForSeed(seed), 60+seed, func(t *testing.T, w *World) {
+			applyConfiguration(t, w)
 			target := busiest(w)
 			before := w.records()
 			w.Wipe(target)
@@ -49,7 +49,7 @@
 // live leader, and the partition remains closed for good.
 func TestRestartedLeaderKeepsAskingForItsRecord(t *testing.T) {
 	t.Parallel()
-	long(t)
+	skipUnderRace(t)
 	for seed := range uint64(seeds(2)) {
 		runScenario(t, siteForSeed(seed), 420+seed, time.Hour, func(t *testing.T, w *World) {
 			target := busiest(w)
--- a/internal/testing/sim/withdraw_test.go
+++ b/internal/testing/sim/withdraw_test.go
@@ -15,18 +15,18 @@
 	"postjunction/internal/testing/simclient"
 )
 
-// aways are the ways in which a router drops out with its visitors still connected, and how it
-// comes back.
-var aways = map[string]func(w *World) (back func()){
+// routerFaults are the ways in which a router becomes unreachable while its clients stay connected.
+// Each returns the function that ends the fault.
+var routerFaults = map[string]func(w *World) (restore func()){
 	"cut off": func(w *World) func() {
 		w.Isolate("a1")
 		return w.Heal
 	},
-	"deaf": func(w *World) func() {
+	"receives nothing": func(w *World) func() {
 		w.Cut("*", "a1")
 		return w.Heal
 	},
-	"dumb": func(w *World) func() {
+	"sends nothing": func(w *World) func() {
 		w.Cut("a1", "*")
 		return w.Heal
 	},
@@ -36,108 +36,109 @@
 	},
 }
 
-// A router drops out with visitors who are behind with their reading, a key is withdrawn meanwhile,
-// and it rejoins with what it held: the withdrawal is open at once, which names the router, its yes
-// comes after the return, nothing withdrawn is shown then, and all others get live updates as fast
-// as before.
+// A router becomes unreachable while its clients lag behind. A key is withdrawn meanwhile, and the
+// router returns with the messages that it had buffered. The withdrawal is pending at once, and the
+// answer names the router. The acknowledgement comes after the return, and nothing withdrawn is
+// shown after it. All other clients get live updates as fast as before.
 func TestRouterDropsOutWhileOthersWithdraw(t *testing.T) {
 	t.Parallel()
-	for how, away := range aways {
-		t.Run(how, func(t *testing.T) {
+	for name, inject := range routerFaults {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			staged(t, 900, 1, func(s *scene) {
-				calm := s.flow("live", 3*time.Second)
+			runWithdrawalScenario(t, 900, 1, func(s *withdrawalScenario) {
+				baseline := s.measureDelays("live", 3*time.Second)
 				s.reader.Pause(7 * time.Second)
 				time.Sleep(10 * time.Millisecond)
-				s.write("turn", 20)
-				last := s.call
-				s.wait(s.far, last)
-				back := away(s.w)
-				x := s.open("turn", "a1")
-				now := s.flow("turn", 2*time.Second)
-				s.still(x, "a1")
-				back()
-				a := s.yes(x, s.w.Site.Timing.Recovery)
+				s.sendMessages("turn", 20)
+				last := s.callSeq
+				s.waitForMessage(s.otherReader, last)
+				restore := inject(s.w)
+				withdrawal := s.withdrawPending("turn", "a1")
+				degraded := s.measureDelays("turn", 2*time.Second)
+				s.expectPending(withdrawal, "a1")
+				restore()
+				response := s.waitWithdrawn(withdrawal, s.w.Site.Timing.Recovery)
 				time.Sleep(6 * time.Second)
-				assert.Assert(s.t, !s.got(s.reader, last, a.WrittenAt), "shown after the yes")
-				s.t.Logf("live updates: calm p50 %s p99 %s, with a router away p50 %s p99 %s", quantile(calm, 0.5), quantile(calm, 0.99), quantile(now, 0.5), quantile(now, 0.99))
-				assert.Assert(s.t, len(now) > 10 && quantile(now, 0.99) <= quantile(calm, 0.99)+5*time.Millisecond, "calm p99 %s, with a router away %s of %d", quantile(calm, 0.99), quantile(now, 0.99), len(now))
-				s.resumed()
+				assert.Assert(s.t, !s.receivedAfter(s.reader, last, response.WrittenAt), "shown after the withdrawal was acknowledged")
+				s.t.Logf("live updates: baseline p50 %s p99 %s, with an unreachable router p50 %s p99 %s", quantile(baseline, 0.5), quantile(baseline, 0.99), quantile(degraded, 0.5), quantile(degraded, 0.99))
+				assert.Assert(s.t, len(degraded) > 10 && quantile(degraded, 0.99) <= quantile(baseline, 0.99)+5*time.Millisecond, "baseline p99 %s, with an unreachable router %s of %d", quantile(baseline, 0.99), quantile(degraded, 0.99), len(degraded))
+				s.resumeReader()
 			})
 		})
 	}
 }
 
-// A router that is heard and hears nothing, of anybody or of the topic's owner alone, holds no
-// withdrawal open for longer than service may rest: it lets go of all and says so, which is heard.
-func TestADeafRouterLetsGo(t *testing.T) {
+// A router sends but receives nothing, from any node or from the partition leader of the topic. It
+// must not keep a withdrawal pending for longer than the recovery time: it releases all messages
+// and reports so, and the report arrives.
+func TestRouterThatReceivesNothingReleasesMessages(t *testing.T) {
 	t.Parallel()
-	long(t)
-	for how, cut := range map[string]func(s *scene){
-		"to all":       func(s *scene) { s.w.Cut("*", "a1") },
-		"to the owner": func(s *scene) { s.w.Cut(s.seat(), "a1") },
+	skipUnderRace(t)
+	for name, inject := range map[string]func(s *withdrawalScenario){
+		"from all":        func(s *withdrawalScenario) { s.w.Cut("*", "a1") },
+		"from the leader": func(s *withdrawalScenario) { s.w.Cut(s.partitionLeader(), "a1") },
 	} {
-		t.Run(how, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			staged(t, 930, 1, func(s *scene) {
-				s.write("turn", 20)
-				last := s.call
-				s.wait(s.far, last)
-				cut(s)
+			runWithdrawalScenario(t, 930, 1, func(s *withdrawalScenario) {
+				s.sendMessages("turn", 20)
+				last := s.callSeq
+				s.waitForMessage(s.otherReader, last)
+				inject(s)
 				s.reader.Pause(3 * time.Second)
-				x := s.open("turn", "a1")
-				a := s.yes(x, s.w.Site.Timing.Recovery+s.w.Site.Timing.CallTimeout())
-				s.flow("turn", time.Second)
-				assert.Assert(s.t, !s.got(s.reader, last, a.WrittenAt), "shown after the yes")
+				withdrawal := s.withdrawPending("turn", "a1")
+				response := s.waitWithdrawn(withdrawal, s.w.Site.Timing.Recovery+s.w.Site.Timing.CallTimeout())
+				s.measureDelays("turn", time.Second)
+				assert.Assert(s.t, !s.receivedAfter(s.reader, last, response.WrittenAt), "shown after the withdrawal was acknowledged")
 				s.w.Heal()
-				s.resumed()
+				s.resumeReader()
 			})
 		})
 	}
 }
 
-// strikes come between a mark and its yes, while a router is away.
-var strikes = map[string]func(s *scene){
-	"the owner is killed": func(s *scene) {
-		o := s.seat()
-		s.w.Kill(o)
-		s.moved(o)
-		assert.NilError(s.t, s.w.Start(o))
+// leaderFaults happen between a tombstone and its acknowledgement, while a router is unreachable.
+var leaderFaults = map[string]func(s *withdrawalScenario){
+	"the leader is killed": func(s *withdrawalScenario) {
+		leaderNode := s.partitionLeader()
+		s.w.Kill(leaderNode)
+		s.waitForFailover(leaderNode)
+		assert.NilError(s.t, s.w.Start(leaderNode))
 	},
-	"the owner is frozen": func(s *scene) {
-		o := s.seat()
-		s.w.Freeze(o)
-		s.moved(o)
-		s.w.Thaw(o)
+	"the leader is frozen": func(s *withdrawalScenario) {
+		leaderNode := s.partitionLeader()
+		s.w.Freeze(leaderNode)
+		s.waitForFailover(leaderNode)
+		s.w.Thaw(leaderNode)
 	},
-	"the owner hands over": func(s *scene) {
-		o := s.seat()
-		s.w.Terminate(o)
-		s.moved(o)
-		assert.NilError(s.t, s.w.Start(o))
+	"the leader hands over": func(s *withdrawalScenario) {
+		leaderNode := s.partitionLeader()
+		s.w.Terminate(leaderNode)
+		s.waitForFailover(leaderNode)
+		assert.NilError(s.t, s.w.Start(leaderNode))
 	},
-	"the owner's store is wiped": func(s *scene) {
-		o := s.seat()
-		s.w.Wipe(o)
-		s.moved(o)
-		assert.NilError(s.t, s.w.Start(o))
+	"the leader's disk is wiped": func(s *withdrawalScenario) {
+		leaderNode := s.partitionLeader()
+		s.w.Wipe(leaderNode)
+		s.waitForFailover(leaderNode)
+		assert.NilError(s.t, s.w.Start(leaderNode))
 	},
-	"the changelog is compacted": func(s *scene) {
-		was := s.compactions()
+	"the changelog is compacted": func(s *withdrawalScenario) {
+		before := s.compactions()
 		for range 90 {
-			s.write("", 1)
+			s.sendMessages("", 1)
 			time.Sleep(s.w.Site.Timing.MaxBackoff())
 		}
-		assert.Assert(s.t, s.compactions() > was, "void: no changelog was compacted")
-		o := s.seat()
-		s.w.Kill(o)
-		s.moved(o)
-		assert.NilError(s.t, s.w.Start(o))
+		assert.Assert(s.t, s.compactions() > before, "void: no changelog was compacted")
+		leaderNode := s.partitionLeader()
+		s.w.Kill(leaderNode)
+		s.waitForFailover(leaderNode)
+		assert.NilError(s.t, s.w.Start(leaderNode))
 	},
-	"every store and control node restarts": func(s *scene) {
-		for _, n := range s.w.Names {
-			if n[0] != 'a' {
-				s.w.LosePower(n, s.w.Int(2) == 0)
+	"every storage and control node restarts": func(s *withdrawalScenario) {
+		for _, node := range s.w.Names {
+			if node[0] != 'a' {
+				s.w.LosePower(node, s.w.Int(2) == 0)
 			}
 		}
 		time.Sleep(time.Second)
@@ -145,259 +146,262 @@
 	},
 }
 
-// A mark and its readers outlive what befalls their line: while a router that holds the message is
-// away the yes does not come, whoever owns the line.
-func TestYesWaitsForTheRouterOverTakeOvers(t *testing.T) {
+// A tombstone and its readers survive a failover of their partition. While a router that buffers
+// the message is unreachable, the withdrawal is not acknowledged, whichever node leads the
+// partition.
+func TestWithdrawalWaitsForTheRouterAcrossFailovers(t *testing.T) {
 	t.Parallel()
-	long(t)
-	for how, strike := range strikes {
-		t.Run(how, func(t *testing.T) {
+	skipUnderRace(t)
+	for name, inject := range leaderFaults {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			staged(t, 910, 1, func(s *scene) {
-				for _, m := range s.w.Machines {
-					if n := m.Node(); n != nil && strings.Contains(how, "compacted") {
-						o := m.Opts
-						o.Changelog = 200 * 1e6
-						assert.NilError(s.t, n.Apply(o))
+			runWithdrawalScenario(t, 910, 1, func(s *withdrawalScenario) {
+				for _, machine := range s.w.Machines {
+					if running := machine.Node(); running != nil && strings.Contains(name, "compacted") {
+						options := machine.Opts
+						options.Changelog = 200 * 1e6
+						assert.NilError(s.t, running.Apply(options))
 					}
 				}
-				s.write("turn", 3)
-				last := s.call
-				s.wait(s.reader, last)
+				s.sendMessages("turn", 3)
+				last := s.callSeq
+				s.waitForMessage(s.reader, last)
 				s.w.Isolate("a1")
-				x := s.open("turn", "a1")
-				strike(s)
-				s.reopened("turn")
-				s.still(x, "a1")
+				withdrawal := s.withdrawPending("turn", "a1")
+				inject(s)
+				s.waitForWrites("turn")
+				s.expectPending(withdrawal, "a1")
 				s.w.Heal()
-				a := s.yes(x, s.w.Site.Timing.Recovery)
-				s.resumed()
-				assert.Assert(s.t, !s.got(s.reader, last, a.WrittenAt), "shown to one who came back")
+				response := s.waitWithdrawn(withdrawal, s.w.Site.Timing.Recovery)
+				s.resumeReader()
+				assert.Assert(s.t, !s.receivedAfter(s.reader, last, response.WrittenAt), "shown to a client that reconnected")
 			})
 		})
 	}
 }
 
-// All lose their power between the mark and its yes: the routers come back under other boots, hold
-// nothing, and the yes comes without the old ones.
-func TestYesComesAfterAllRestart(t *testing.T) {
+// All nodes lose power between the tombstone and its acknowledgement. The routers return with new
+// boot identifiers and without messages, and the acknowledgement does not wait for the old ones.
+func TestWithdrawalCompletesAfterAllRestart(t *testing.T) {
 	t.Parallel()
-	staged(t, 920, 1, func(s *scene) {
-		s.write("turn", 3)
-		s.wait(s.reader, s.call)
+	runWithdrawalScenario(t, 920, 1, func(s *withdrawalScenario) {
+		s.sendMessages("turn", 3)
+		s.waitForMessage(s.reader, s.callSeq)
 		s.w.Isolate("a1")
-		x := s.open("turn", "a1")
-		for _, n := range s.w.Names {
-			s.w.LosePower(n, s.w.Int(2) == 0)
+		withdrawal := s.withdrawPending("turn", "a1")
+		for _, node := range s.w.Names {
+			s.w.LosePower(node, s.w.Int(2) == 0)
 		}
 		s.w.Heal()
 		time.Sleep(time.Second)
 		assert.NilError(s.t, s.w.Start(s.w.Names...))
 		assert.NilError(s.t, s.w.WaitReady(s.w.Site.Timing.Recovery))
-		s.lead = s.again("a2", "lead")
-		a := s.yes(x, s.w.Site.Timing.Recovery)
-		s.resumed()
-		assert.Assert(s.t, !s.got(s.reader, x.Call-1, a.WrittenAt), "shown to one who came back")
-		s.far.End()
-		s.far = s.again("a3", "far")
+		s.writer = s.reconnect("a2", "lead")
+		response := s.waitWithdrawn(withdrawal, s.w.Site.Timing.Recovery)
+		s.resumeReader()
+		assert.Assert(s.t, !s.receivedAfter(s.reader, withdrawal.Call-1, response.WrittenAt), "shown to a client that reconnected")
+		s.otherReader.End()
+		s.otherReader = s.reconnect("a3", "far")
 	})
 }
 
-// A withdrawal and its own message are offered at two nodes at once, or it names what has not come:
-// in whichever order they are decided, nothing withdrawn is shown after the yes, and a number that
-// was passed over never arrives.
+// A withdrawal and the message that it withdraws are submitted through two nodes at once, or the
+// withdrawal names a message that has not arrived. In whichever order they are decided, nothing
+// withdrawn is shown after the acknowledgement, and a call number that was passed over never
+// arrives.
 func TestWithdrawalRacesItsOwnMessage(t *testing.T) {
 	t.Parallel()
-	staged(t, 930, 2, func(s *scene) {
-		twin := s.g.ConnectScripted("a3", "lead")
-		assert.Assert(s.t, twin != nil)
-		passed, taken := 0, 0
+	runWithdrawalScenario(t, 930, 2, func(s *withdrawalScenario) {
+		secondSession := s.clients.ConnectScripted("a3", "lead")
+		assert.Assert(s.t, secondSession != nil)
+		passed, accepted := 0, 0
 		for i := range 30 {
-			m, d := s.next(), s.next()
-			ahead := time.Duration(i%5-2) * s.w.Site.Latency / 2
+			messageSeq, withdrawalSeq := s.nextCallSeq(), s.nextCallSeq()
+			headStart := time.Duration(i%5-2) * s.w.Site.Latency / 2
 			sent := make(chan struct{})
 			go func() {
-				time.Sleep(-ahead)
-				twin.SendAsync(ground, "race", m)
+				time.Sleep(-headStart)
+				secondSession.SendAsync(scenarioTopic, "race", messageSeq)
 				close(sent)
 			}()
-			time.Sleep(ahead)
-			_, ok := s.lead.Withdraw(deliverycheck.Withdrawal{Topic: ground, Key: "race", Call: d, Sender: "lead", UpTo: m})
+			time.Sleep(headStart)
+			_, ok := s.writer.Withdraw(deliverycheck.Withdrawal{Topic: scenarioTopic, Key: "race", Call: withdrawalSeq, Sender: "lead", UpTo: messageSeq})
 			assert.Assert(s.t, ok)
 			<-sent
-			a, ok := twin.Wait(0, scriptedTimeout, func(a session.Response) bool {
-				return a.CallSeq == m && (a.Type == session.Accepted || a.InReplyTo == session.Send && simclient.FinalRejections[apierror.From(a.Err).Code])
+			a, ok := secondSession.Wait(0, scriptedTimeout, func(a session.Response) bool {
+				return a.CallSeq == messageSeq && (a.Type == session.Accepted || a.InReplyTo == session.Send && simclient.FinalRejections[apierror.From(a.Err).Code])
 			})
-			assert.Assert(s.t, ok, "no answer to %d", m)
+			assert.Assert(s.t, ok, "no answer to %d", messageSeq)
 			if a.Type == session.Accepted {
-				taken++
+				accepted++
 			} else {
 				assert.Assert(s.t, apierror.HasCode(a.Err, apierror.CallPassed), "%v", a.Err)
 				passed++
 			}
 		}
-		s.t.Logf("raced: %d taken, %d passed", taken, passed)
-		assert.Assert(s.t, taken > 0 && passed > 0, "void: %d taken, %d passed", taken, passed)
-		foe := s.again("a3", "foe")
+		s.t.Logf("raced: %d accepted, %d passed over", accepted, passed)
+		assert.Assert(s.t, accepted > 0 && passed > 0, "void: %d accepted, %d passed over", accepted, passed)
+		otherClient := s.reconnect("a3", "foe")
 		for i := range 5 {
-			n := uint64(10 * (i + 1))
-			a, ok := s.lead.Withdraw(deliverycheck.Withdrawal{Topic: ground, Key: "foe", Call: s.next(), Sender: "foe", UpTo: n})
-			assert.Assert(s.t, ok && a.Type == session.WithdrawalComplete, "%v", a.Err)
-			a, ok = foe.Send(ground, "foe", n-1)
-			assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.CallPassed), "%s %v", a.Type, a.Err)
-			assert.Assert(s.t, foe.SendAccepted(ground, "foe", n+1))
+			upTo := uint64(10 * (i + 1))
+			response, ok := s.writer.Withdraw(deliverycheck.Withdrawal{Topic: scenarioTopic, Key: "foe", Call: s.nextCallSeq(), Sender: "foe", UpTo: upTo})
+			assert.Assert(s.t, ok && response.Type == session.WithdrawalComplete, "%v", response.Err)
+			response, ok = otherClient.Send(scenarioTopic, "foe", upTo-1)
+			assert.Assert(s.t, ok && apierror.HasCode(response.Err, apierror.CallPassed), "%s %v", response.Type, response.Err)
+			assert.Assert(s.t, otherClient.SendAccepted(scenarioTopic, "foe", upTo+1))
 		}
-		twin.End()
-		foe.End()
+		secondSession.End()
+		otherClient.End()
 	})
 }
 
-// What withdrawals answer besides a yes.
+// Withdrawals are also answered for an unknown key, when repeated, and when another client asks.
 func TestAnswersToWithdrawals(t *testing.T) {
 	t.Parallel()
-	staged(t, 940, 1, func(s *scene) {
-		a, ok := s.lead.Withdraw(deliverycheck.Withdrawal{Topic: ground, Key: "nothing", Call: s.next()})
-		assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.KeyUnknown), "%s %v", a.Type, a.Err)
-		s.write("turn", 1)
-		x := deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}
-		first := s.yes(x, time.Second)
+	runWithdrawalScenario(t, 940, 1, func(s *withdrawalScenario) {
+		response, ok := s.writer.Withdraw(deliverycheck.Withdrawal{Topic: scenarioTopic, Key: "nothing", Call: s.nextCallSeq()})
+		assert.Assert(s.t, ok && apierror.HasCode(response.Err, apierror.KeyUnknown), "%s %v", response.Type, response.Err)
+		s.sendMessages("turn", 1)
+		withdrawal := deliverycheck.Withdrawal{Topic: scenarioTopic, Key: "turn", Call: s.nextCallSeq()}
+		first := s.waitWithdrawn(withdrawal, time.Second)
 		assert.Equal(s.t, first.Key, "turn")
-		s.yes(x, time.Second)
-		s.yes(deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}, time.Second)
-		other := s.again("a3", "other")
-		s.write("turn", 1)
-		a, ok = other.Withdraw(deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: 1})
-		assert.Assert(s.t, ok && a.Type == session.WithdrawalComplete, "%s %v", a.Type, a.Err)
-		s.write("turn", 1)
-		s.wait(s.far, s.call)
-		s.wait(s.reader, s.call)
+		s.waitWithdrawn(withdrawal, time.Second)
+		s.waitWithdrawn(deliverycheck.Withdrawal{Topic: scenarioTopic, Key: "turn", Call: s.nextCallSeq()}, time.Second)
+		other := s.reconnect("a3", "other")
+		s.sendMessages("turn", 1)
+		response, ok = other.Withdraw(deliverycheck.Withdrawal{Topic: scenarioTopic, Key: "turn", Call: 1})
+		assert.Assert(s.t, ok && response.Type == session.WithdrawalComplete, "%s %v", response.Type, response.Err)
+		s.sendMessages("turn", 1)
+		s.waitForMessage(s.otherReader, s.callSeq)
+		s.waitForMessage(s.reader, s.callSeq)
 		other.End()
 	})
 }
 
-// A withdrawal of what was withdrawn before is answered by the mark that stands, also when it is
-// asked for again after the key was written anew: what was written then stays.
-func TestWithdrawnTwiceLeavesWhatIsWrittenThen(t *testing.T) {
+// A second withdrawal of the same messages is answered by the existing tombstone. The same holds
+// when it is repeated after another message under the key: the later message remains.
+func TestWithdrawnTwiceRetainsLaterMessages(t *testing.T) {
 	t.Parallel()
-	staged(t, 945, 1, func(s *scene) {
-		other := s.again("a3", "other")
-		s.write("turn", 2)
-		s.wait(s.reader, s.call)
+	runWithdrawalScenario(t, 945, 1, func(s *withdrawalScenario) {
+		other := s.reconnect("a3", "other")
+		s.sendMessages("turn", 2)
+		s.waitForMessage(s.reader, s.callSeq)
 		s.w.Isolate("a1")
-		x := s.open("turn", "a1")
-		y := deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: 1}
-		a, ok := other.Withdraw(y)
-		assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.WithdrawalOpen), "%s %v", a.Type, a.Err)
-		s.write("turn", 1)
-		anew := s.call
-		a, ok = other.Withdraw(y)
-		assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.WithdrawalOpen), "%s %v", a.Type, a.Err)
-		assert.Assert(s.t, other.SendAccepted(ground, "", 2))
-		a, ok = other.Withdraw(y)
-		assert.Assert(s.t, ok && apierror.HasCode(a.Err, apierror.WithdrawalOpen), "%s %v", a.Type, a.Err)
+		withdrawal := s.withdrawPending("turn", "a1")
+		second := deliverycheck.Withdrawal{Topic: scenarioTopic, Key: "turn", Call: 1}
+		response, ok := other.Withdraw(second)
+		assert.Assert(s.t, ok && apierror.HasCode(response.Err, apierror.WithdrawalOpen), "%s %v", response.Type, response.Err)
+		s.sendMessages("turn", 1)
+		laterCallSeq := s.callSeq
+		response, ok = other.Withdraw(second)
+		assert.Assert(s.t, ok && apierror.HasCode(response.Err, apierror.WithdrawalOpen), "%s %v", response.Type, response.Err)
+		assert.Assert(s.t, other.SendAccepted(scenarioTopic, "", 2))
+		response, ok = other.Withdraw(second)
+		assert.Assert(s.t, ok && apierror.HasCode(response.Err, apierror.WithdrawalOpen), "%s %v", response.Type, response.Err)
 		s.w.Heal()
-		s.yes(x, s.w.Site.Timing.Recovery)
-		a, ok = other.Withdraw(y)
-		assert.Assert(s.t, ok && a.Type == session.WithdrawalComplete, "%s %v", a.Type, a.Err)
-		s.resumed()
-		s.wait(s.reader, anew)
+		s.waitWithdrawn(withdrawal, s.w.Site.Timing.Recovery)
+		response, ok = other.Withdraw(second)
+		assert.Assert(s.t, ok && response.Type == session.WithdrawalComplete, "%s %v", response.Type, response.Err)
+		s.resumeReader()
+		s.waitForMessage(s.reader, laterCallSeq)
 		other.End()
 	})
 }
 
-// The routers can't reach one another, in one way or both, and all reach the stores: nothing waits,
-// as no router asks another.
+// The routers can't reach one another, in one direction or both, and all reach the storage nodes.
+// No withdrawal waits, as no router asks another.
 func TestRoutersCutFromEachOtherWithdraw(t *testing.T) {
 	t.Parallel()
-	for how, back := range map[string]bool{"one way": false, "both ways": true} {
-		t.Run(how, func(t *testing.T) {
+	for name, bothWays := range map[string]bool{"one way": false, "both ways": true} {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			staged(t, 950, 1, func(s *scene) {
+			runWithdrawalScenario(t, 950, 1, func(s *withdrawalScenario) {
 				s.w.Cut("a1", "a2")
 				s.w.Cut("a1", "a3")
-				if back {
+				if bothWays {
 					s.w.Cut("a2", "a1")
 					s.w.Cut("a3", "a1")
 				}
 				for range 10 {
-					s.write("turn", 2)
-					s.yes(deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}, s.w.Site.Timing.CallTimeout())
+					s.sendMessages("turn", 2)
+					s.waitWithdrawn(deliverycheck.Withdrawal{Topic: scenarioTopic, Key: "turn", Call: s.nextCallSeq()}, s.w.Site.Timing.CallTimeout())
 				}
-				s.write("turn", 1)
-				s.wait(s.reader, s.call)
+				s.sendMessages("turn", 1)
+				s.waitForMessage(s.reader, s.callSeq)
 			})
 		})
 	}
 }
 
-// An owner that was superseded still answers the router that nobody else reaches, with the message
-// that its successor's line has withdrawn. The yes waits for that router.
+// A superseded partition leader keeps answering a router that no other node reaches, with the
+// message that is withdrawn in its successor's log. The acknowledgement waits for that router.
 func TestSupersededLeaderStillAnswers(t *testing.T) {
 	t.Parallel()
-	long(t)
-	staged(t, 960, 1, func(s *scene) {
-		o := s.seat()
-		s.write("turn", 3)
-		last := s.call
-		s.wait(s.reader, last)
-		for _, n := range s.w.Names {
-			for _, x := range []string{o, "a1"} {
-				if n != o && n != "a1" {
-					s.w.Cut(n, x)
-					s.w.Cut(x, n)
+	skipUnderRace(t)
+	runWithdrawalScenario(t, 960, 1, func(s *withdrawalScenario) {
+		leaderNode := s.partitionLeader()
+		s.sendMessages("turn", 3)
+		last := s.callSeq
+		s.waitForMessage(s.reader, last)
+		for _, node := range s.w.Names {
+			for _, isolated := range []string{leaderNode, "a1"} {
+				if node != leaderNode && node != "a1" {
+					s.w.Cut(node, isolated)
+					s.w.Cut(isolated, node)
 				}
 			}
 		}
-		answered := s.w.CallsInvolving("a1", router.Poll.Path)
-		s.moved(o)
-		s.reopened("")
-		x := s.open("turn", "a1")
-		h := s.g.ConnectScripted("a1", "other")
-		if h != nil {
-			_, _ = h.Subscribe(ground, "")
+		pollsBefore := s.w.CallsInvolving("a1", router.Poll.Path)
+		s.waitForFailover(leaderNode)
+		s.waitForWrites("")
+		withdrawal := s.withdrawPending("turn", "a1")
+		other := s.clients.ConnectScripted("a1", "other")
+		if other != nil {
+			_, _ = other.Subscribe(scenarioTopic, "")
 		}
 		time.Sleep(2 * time.Second)
-		s.still(x, "a1")
-		assert.Assert(s.t, s.w.CallsInvolving("a1", router.Poll.Path) > answered, "void: the old owner was not asked")
+		s.expectPending(withdrawal, "a1")
+		assert.Assert(s.t, s.w.CallsInvolving("a1", router.Poll.Path) > pollsBefore, "void: the old leader was not asked")
 		s.w.Heal()
-		s.yes(x, s.w.Site.Timing.Recovery)
-		s.resumed()
-		if h != nil {
-			h.End()
+		s.waitWithdrawn(withdrawal, s.w.Site.Timing.Recovery)
+		s.resumeReader()
+		if other != nil {
+			other.End()
 		}
 	})
 }
 
-// A router is away for longer than the keeping time and the lease: it is given up, which the yes
-// says, marks go, and when it is back it starts clean. One that is heard and hears nothing is not
-// given up, as it may be licensed by others.
-func TestRouterAwayForLongIsGivenUp(t *testing.T) {
+// A router is unreachable for longer than the retention and the lease. It is given up, and the
+// acknowledgement says so. Tombstones are removed, and the returning router starts without
+// messages. A router that sends but receives nothing is not given up, as others may confirm its
+// lease.
+func TestUnreachableRouterIsGivenUp(t *testing.T) {
 	t.Parallel()
-	long(t)
-	for how, away := range aways {
-		if how == "deaf" {
+	skipUnderRace(t)
+	for name, inject := range routerFaults {
+		if name == "receives nothing" {
 			continue
 		}
-		t.Run(how, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			staged(t, 970, 1, func(s *scene) {
-				s.write("turn", 3)
-				last := s.call
-				s.wait(s.reader, last)
-				back := away(s.w)
-				x := s.open("turn", "a1")
-				begun := time.Now()
-				a := s.yes(x, s.w.Site.Timing.Retention()+2*s.w.Site.Timing.Recovery)
-				assert.Assert(s.t, slices.Contains(a.GivenUp, "a1"), "the yes names %v", a.GivenUp)
-				took := time.Since(begun)
-				s.t.Logf("given up after %s", took)
-				assert.Assert(s.t, took >= s.w.Site.Timing.Keeping, "given up after %s", took)
+			runWithdrawalScenario(t, 970, 1, func(s *withdrawalScenario) {
+				s.sendMessages("turn", 3)
+				last := s.callSeq
+				s.waitForMessage(s.reader, last)
+				restore := inject(s.w)
+				withdrawal := s.withdrawPending("turn", "a1")
+				start := time.Now()
+				response := s.waitWithdrawn(withdrawal, s.w.Site.Timing.Retention()+2*s.w.Site.Timing.Recovery)
+				assert.Assert(s.t, slices.Contains(response.GivenUp, "a1"), "the acknowledgement names %v", response.GivenUp)
+				elapsed := time.Since(start)
+				s.t.Logf("given up after %s", elapsed)
+				assert.Assert(s.t, elapsed >= s.w.Site.Timing.Keeping, "given up after %s", elapsed)
 				for range 5 {
-					s.write("turn", 1)
-					s.yes(deliverycheck.Withdrawal{Topic: ground, Key: "turn", Call: s.next()}, s.w.Site.Timing.CallTimeout())
+					s.sendMessages("turn", 1)
+					s.waitWithdrawn(deliverycheck.Withdrawal{Topic: scenarioTopic, Key: "turn", Call: s.nextCallSeq()}, s.w.Site.Timing.CallTimeout())
 				}
-				back()
-				s.anew()
+				restore()
+				s.restartReader()
 			})
 		})
 	}
