--- a/internal/testing/crash/crash_test.go
+++ b/internal/testing/crash/crash_test.go
@@ -173,10 +173,10 @@
 			return err
 		}
 	}
-	trim := func(partition int, kind log.Kind, epoch, retained uint64) func(*diskParts) error {
+	trim := func(partition int, kind log.Kind, epoch, keepCount uint64) func(*diskParts) error {
 		return func(s *diskParts) error {
 			l := s.replica.Log(partition, kind)
-			base, _ := l.Position(l.Last().Offset - retained)
+			base, _ := l.Position(l.Last().Offset - keepCount)
 			_, err := s.replica.Append(ctx, &replica.AppendRequest{Target: target(partition, epoch), Kind: kind,
 				After: l.Last(), Base: base})
 			return err
@@ -253,7 +253,7 @@
 
 const maxExtraSeals = 64
 
-// Power is lost after every operation of the disk, with each number of unsynced records retained
+// Power is lost after every operation of the disk, with each number of unsynced records persisted
 // and the next one torn or not.
 func TestPowerLostAfterEveryWrite(t *testing.T) {
 	disk := New()
@@ -286,20 +286,20 @@
 		if raceEnabled && at%4 != 0 {
 			continue
 		}
-		for retained := 0; retained <= unsynced; retained += max(1, unsynced/8) {
+		for persisted := 0; persisted <= unsynced; persisted += max(1, unsynced/8) {
 			for _, torn := range []bool{false, true} {
 				copied := moment.Disk.Copy()
-				copied.LosePowerAfter(retained, torn)
+				copied.LosePowerAfter(persisted, torn)
 				got, report, stop := boot(t, copied)
 				contents := got.diskState(t)
 				stop()
 				cases++
 				casesByOperation[moment.Op]++
-				assert.Assert(t, !report.Damaged, "moment %d (%s), %d of %d retained, torn %v: %v", at, moment.Op,
-					retained, unsynced, torn, report.Cause)
+				assert.Assert(t, !report.Damaged, "moment %d (%s), %d of %d persisted, torn %v: %v", at, moment.Op,
+					persisted, unsynced, torn, report.Cause)
 				assert.NilError(t, checkBetween(contents, states[moment.Answered],
 					states[min(moment.Answered+1, len(states)-1)]),
-					"moment %d (%s), %d of %d unsynced retained, torn %v", at, moment.Op, retained, unsynced, torn)
+					"moment %d (%s), %d of %d unsynced persisted, torn %v", at, moment.Op, persisted, unsynced, torn)
 			}
 		}
 	}
--- a/internal/testing/crash/slices_test.go
+++ b/internal/testing/crash/slices_test.go
@@ -199,10 +199,10 @@
 					continue
 				}
 				unsynced := moment.Disk.Unsynced()
-				for retained := 0; retained <= unsynced; retained += max(1, unsynced/3) {
+				for persisted := 0; persisted <= unsynced; persisted += max(1, unsynced/3) {
 					for _, torn := range []bool{false, true} {
 						copied := moment.Disk.Copy()
-						copied.LosePowerAfter(retained, torn)
+						copied.LosePowerAfter(persisted, torn)
 						got, report, stop := boot(t, copied)
 						contents := got.diskState(t)
 						stop()
@@ -211,8 +211,8 @@
 							report.Cause)
 						assert.NilError(t, checkBetween(contents, states[moment.Answered],
 							states[min(moment.Answered+1, len(states)-1)]),
-							"seed %d, moment %d of %d (%s), %d of %d unsynced retained, torn %v", seed, at,
-							len(moments)-before, moment.Op, retained, unsynced, torn)
+							"seed %d, moment %d of %d (%s), %d of %d unsynced persisted, torn %v", seed, at,
+							len(moments)-before, moment.Op, persisted, unsynced, torn)
 						if moment.Op == "end" {
 							assert.NilError(t, checkEqual(contents, want), "seed %d", seed)
 						}
--- a/internal/testing/deliverycheck/checker.go
+++ b/internal/testing/deliverycheck/checker.go
@@ -53,7 +53,7 @@
 
 // Checker records what all clients of a run sent and received.
 type Checker struct {
-	// Keeping is how long messages of retained topics are stored.
+	// Keeping is how long messages are stored in topics that store them.
 	Keeping time.Duration
 	// Window is how old the information behind a presence count may be.
 	Window time.Duration
@@ -85,7 +85,7 @@
 	checker       *Checker
 	client        string
 	topic         string
-	retained      bool
+	isRetained    bool
 	late          bool
 	expired       bool
 	since         time.Time
@@ -168,10 +168,10 @@
 }
 
 // Subscribe begins a subscription, which need not receive anything sent before it was confirmed.
-func (c *Checker) Subscribe(client, topic string, retained bool) *Subscription {
+func (c *Checker) Subscribe(client, topic string, isRetained bool) *Subscription {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	subscription := &Subscription{checker: c, client: client, topic: topic, retained: retained,
+	subscription := &Subscription{checker: c, client: client, topic: topic, isRetained: isRetained,
 		receivedCount: map[Message]int{}}
 	c.subscriptions = append(c.subscriptions, subscription)
 	return subscription
@@ -223,7 +223,7 @@
 		return
 	}
 	s.endedAt, s.expired = now, true
-	if !s.retained || s.since.IsZero() {
+	if !s.isRetained || s.since.IsZero() {
 		return
 	}
 	from := s.since
@@ -276,7 +276,7 @@
 
 // mustReceive reports whether the subscription is guaranteed to receive a message.
 func (s *Subscription) mustReceive(message Message, state *sent) bool {
-	return message.Topic == s.topic && s.retained && !s.since.IsZero() && !state.acceptedAt.IsZero() &&
+	return message.Topic == s.topic && s.isRetained && !s.since.IsZero() && !state.acceptedAt.IsZero() &&
 		state.triedAt.After(s.since) &&
 		(s.endedAt.IsZero() || state.acceptedAt.Before(s.endedAt)) && !s.checker.mayBeWithdrawn(message, state)
 }
@@ -302,7 +302,7 @@
 		}
 		subscription.judgeOrder()
 		subscription.judgeCompleteness(cut)
-		if subscription.retained {
+		if subscription.isRetained {
 			if orders[subscription.topic] == nil {
 				orders[subscription.topic] = &order{followers: map[Message]map[Message]bool{}}
 			}
@@ -329,7 +329,7 @@
 		}
 	}
 	for _, receipt := range s.receipts {
-		if !s.retained && receipt.connection != connection {
+		if !s.isRetained && receipt.connection != connection {
 			clear(seen)
 			clear(last)
 			clear(numbers)
--- a/internal/testing/fleet/day.go
+++ b/internal/testing/fleet/day.go
@@ -32,8 +32,8 @@
 	Stalled time.Duration
 }
 
-// FullLoad is the load of both deployments: about 600 connections, 600 retained topics at 200
-// messages a second, 30 live topics at 20 a second, and five leads with stop-line calls.
+// FullLoad is the load of both deployments: about 600 connections, 600 topics with stored messages
+// at 200 messages a second, 30 live topics at 20 a second, and five leads with stop-line calls.
 var FullLoad = sim.Load{Callers: 600, Topics: 600, LiveTopics: 30, Leads: 5, Every: 3 * time.Second}
 
 func (d *Day) logf(format string, args ...any) {
