--- a/internal/apierror/error.go
+++ b/internal/apierror/error.go
@@ -52,7 +52,7 @@
 // Status returns the HTTP status of the error's code.
 func (e *Error) Status() int { return catalogue[e.Code].status }
 
-// Advice returns the sentence that tells a client what to do.
+// Advice returns the sentence that says what a client should do.
 func (e *Error) Advice() string { return catalogue[e.Code].advice }
 
 // New makes an error with a code; the message says what was seen.
--- a/internal/command/serve/datadir.go
+++ b/internal/command/serve/datadir.go
@@ -37,7 +37,7 @@
 }
 
 // lockDir creates the directory if needed and locks it. The returned function releases the lock. It
-// returns StillHeld while another process has the lock.
+// returns apierror.ResourceInUse while another process has the lock.
 func lockDir(dir string) (func(), error) {
 	if err := os.MkdirAll(dir, 0o750); err != nil {
 		return nil, dirError(err, dir)
--- a/internal/command/serve/listener.go
+++ b/internal/command/serve/listener.go
@@ -21,8 +21,8 @@
 	apiFraction = 16
 )
 
-// open opens the listener's port. It returns StillHeld while another process uses the port, and
-// SettingsInvalid for any other error.
+// open opens the listener's port. It returns apierror.ResourceInUse while another process uses the
+// port, and apierror.SettingsInvalid for any other error.
 func (l Listener) open() (net.Listener, error) {
 	config := net.ListenConfig{}
 	if l.ReapsIdle {
--- a/internal/delivery/stream/window.go
+++ b/internal/delivery/stream/window.go
@@ -68,7 +68,7 @@
 type EntryStatus int
 
 // EntryDeliverable allows the delivery. EntryWithdrawn forbids it for good. EntryStale asks to read
-// the window again, since the feed can't tell whether the entry was withdrawn.
+// the window again, since the feed doesn't know whether the entry was withdrawn.
 const (
 	EntryDeliverable EntryStatus = iota
 	EntryWithdrawn
--- a/internal/docs/words_test.go
+++ b/internal/docs/words_test.go
@@ -14,8 +14,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// withdrawnWords are the words of the former house style. docs/glossary.md names the term that took
-// the place of each.
+// withdrawnWords are earlier words of this project. docs/glossary.md names the term that replaces
+// each.
 var withdrawnWords = []string{
 	"visitor", "visitors", "fellow", "fellows", "licence", "licences", "licensed", "pulse", "pulses", "holder",
 	"steward", "heir", "heirs", "desk", "reign", "reigns", "astray", "vow", "vows", "vowed", "blow", "blows", "guest",
@@ -24,8 +24,8 @@
 	"errand", "mishap",
 }
 
-// unfinishedPackages still use withdrawn words in identifiers, each for the reason given; docs/ROADMAP.md lists them. A
-// package that is finished is taken off this list and must stay clean.
+// unfinishedPackages still use withdrawn words in identifiers, each for the reason given. The map
+// is empty when all packages are finished. A package that is finished must stay clean.
 var unfinishedPackages = map[string]string{}
 
 // Identifiers of finished packages use the terms of the glossary: a withdrawn word must not come
--- a/internal/testing/deliverycheck/checker.go
+++ b/internal/testing/deliverycheck/checker.go
@@ -190,7 +190,7 @@
 	return subscription
 }
 
-// Joined records that the subscription was confirmed. Each call stands for a further connection.
+// Joined records that the subscription was confirmed. Each call means a further connection.
 func (s *Subscription) Joined(now time.Time) {
 	s.checker.mu.Lock()
 	defer s.checker.mu.Unlock()
@@ -242,7 +242,7 @@
 }
 
 // Received records a message that arrived on the subscription's connection: its position in the
-// partition log, where that is known, and when the connection took its last byte.
+// partition log, where that is known, and when the connection accepted its last byte.
 func (s *Subscription) Received(message Message, body string, position Position, receivedAt time.Time) {
 	s.checker.mu.Lock()
 	defer s.checker.mu.Unlock()
--- a/internal/testing/deliverycheck/withdrawn.go
+++ b/internal/testing/deliverycheck/withdrawn.go
@@ -66,7 +66,7 @@
 }
 
 // Completed records the acknowledgement of the withdrawal, the position of its tombstone where that
-// is known, and when the connection took the answer's last byte.
+// is known, and when the connection accepted the answer's last byte.
 func (w *Withdrawal) Completed(tombstone Position, now time.Time) {
 	w.checker.mu.Lock()
 	defer w.checker.mu.Unlock()
--- a/internal/testing/fleet/sessions.go
+++ b/internal/testing/fleet/sessions.go
@@ -30,7 +30,7 @@
 }
 
 // maxReadDelay is how long bytes may take from the node's socket to the simulated client, which
-// can't see when the socket took them.
+// can't see when the socket accepted them.
 const maxReadDelay = 500 * time.Millisecond
 
 // lineRequest is a request of the line protocol.
--- a/internal/testing/simclient/client.go
+++ b/internal/testing/simclient/client.go
@@ -21,7 +21,7 @@
 }
 
 // Endpoint is a node that clients can connect to. Connect returns nil if no node answers there.
-// onResponse is called with each response and the moment at which the connection took its last
+// onResponse is called with each response and the time at which the connection accepted its last
 // byte. onBroken is called when the connection ends otherwise than by the client.
 type Endpoint struct {
 	Address string
