--- a/internal/testing/sim/decommission_restart_test.go
+++ b/internal/testing/sim/decommission_restart_test.go
@@ -76,7 +76,7 @@
 }
 
 // A machine is killed, or loses its disk, during its decommissioning. The order remains in effect
-// and is completed.
+// and is carried out to its end.
 func TestADecommissioningOutlivesItsMachinesProcessAndDisk(t *testing.T) {
 	t.Parallel()
 	skipUnderRace(t)
--- a/internal/testing/sim/trim_test.go
+++ b/internal/testing/sim/trim_test.go
@@ -12,9 +12,9 @@
 	"postjunction/internal/partitionlog/leader"
 )
 
-// The changelog of a partition is blocked for longer than entries are retained, while its partition
-// log continues. Once the late batch is appended, the log may be trimmed only up to that batch,
-// since the state must be rebuilt from the rest. Then the leader is lost.
+// The changelog of a partition is blocked for longer than the retention, while its partition log
+// continues. Once the late batch is appended, the log may be trimmed only up to that batch, since
+// the state must be rebuilt from the rest. Then the leader is lost.
 func TestTrimmingWaitsForTheInputOffset(t *testing.T) {
 	t.Parallel()
 	skipUnderRace(t)
@@ -102,7 +102,7 @@
 				x, err := w.Machines[w.records()[p].Leader].Node().Clients.Router.Leaders.Leader(p)
 				assert.NilError(t, err)
 				assert.Assert(t, x.Trimmed(topic, 0) && x.Trimmed(topic, first), "%s: trimmed entries", when)
-				assert.Assert(t, !x.Trimmed(topic, second) && !x.Trimmed(topic, third), "%s: retained entries", when)
+				assert.Assert(t, !x.Trimmed(topic, second) && !x.Trimmed(topic, third), "%s: untrimmed entries", when)
 				y, err := w.Machines[w.records()[quietPartition].Leader].Node().Clients.Router.Leaders.Leader(quietPartition)
 				assert.NilError(t, err)
 				assert.Assert(t, !y.Trimmed(quiet, 0) && !y.Trimmed("kept/never", 0), "%s: a topic without trimmed entries", when)
