--- a/internal/testing/sim/answers_test.go
+++ b/internal/testing/sim/answers_test.go
@@ -13,7 +13,7 @@
 	"postjunction/internal/partitionlog/leader"
 )
 
-// A partition leader whose data connections are cut retains its lease and takes itself for the
+// A partition leader whose data connections are cut retains its lease and considers itself the
 // leader. While its successor leads, it must not confirm a superseded attachment, and it must
 // neither accept a message nor reject one finally.
 func TestCutOffLeaderGivesNoFinalAnswer(t *testing.T) {
--- a/internal/testing/sim/chaos_test.go
+++ b/internal/testing/sim/chaos_test.go
@@ -58,15 +58,15 @@
 			assert.NilError(t, w.WaitUntil(90*time.Second, "everything is fully replicated", w.isFullyReplicated), "seed %d, step %d", w.Seed, i)
 		}
 		t.Logf("seed %d: %s: step %d: %s", w.Seed, time.Now().Format("04:05.000"), i, step)
-		undo, also := Faults[step.First](w, rng(step.FirstSeed)), noUndo
+		undo, undoSecond := Faults[step.First](w, rng(step.FirstSeed)), noUndo
 		time.Sleep(step.Between)
 		if step.Second != "" {
-			also = Faults[step.Second](w, rng(step.SecondSeed))
+			undoSecond = Faults[step.Second](w, rng(step.SecondSeed))
 		}
 		time.Sleep(step.Duration)
 		undo()
 		time.Sleep(step.Gap)
-		also()
+		undoSecond()
 		if step.First == "wipe" {
 			w.Heal()
 			for _, n := range w.Names {
--- a/internal/testing/sim/cut_test.go
+++ b/internal/testing/sim/cut_test.go
@@ -71,17 +71,17 @@
 	{"behind: another loses its disk, the rest their power, then it heals", func(w *World, n string) {
 		cutApart(w, n, true, true, everyone)
 	}, func(w *World, target string) {
-		gone := false
+		wiped := false
 		for _, k := range w.Names {
 			if !isControl(k) || k == target {
 				continue
 			}
-			if !gone {
+			if !wiped {
 				w.Wipe(k)
 			} else {
 				w.LosePower(k, true)
 			}
-			gone = true
+			wiped = true
 		}
 		time.Sleep(time.Second)
 		w.Heal()
--- a/internal/testing/sim/decommission_restart_test.go
+++ b/internal/testing/sim/decommission_restart_test.go
@@ -25,7 +25,7 @@
 		return e
 	})
 	if err != nil {
-		return decommission.Order{}, err // a call that was given up on may still write x
+		return decommission.Order{}, err // a call that was given up on may still write order
 	}
 	return order, nil
 }
--- a/internal/testing/sim/disk_test.go
+++ b/internal/testing/sim/disk_test.go
@@ -9,7 +9,7 @@
 
 // The disk faults of random runs take effect: a change waits for as long as a majority's disks take
 // to sync, and is not acknowledged while they hang.
-func TestDisksThatAreSlowOrHangHoldDecisionsUp(t *testing.T) {
+func TestDisksThatAreSlowOrHangDelayDecisions(t *testing.T) {
 	t.Parallel()
 	runFleet(t, Armor, 57, func(t *testing.T, w *World) {
 		applyConfiguration(t, w)
--- a/internal/testing/sim/empty_disk_test.go
+++ b/internal/testing/sim/empty_disk_test.go
@@ -29,8 +29,8 @@
 	{"four zones, grown", scaledUp(Traductores, 4, 8, 9), 6 * time.Second},
 }
 
-func scaledUp(s Site, zones, control, stores int) Site {
-	s.Zones, s.Control, s.Storage, s.ToleratedLosses, s.Routine, s.Urgent = zones, control, stores, 2, 16, 4
+func scaledUp(s Site, zones, control, storage int) Site {
+	s.Zones, s.Control, s.Storage, s.ToleratedLosses, s.Routine, s.Urgent = zones, control, storage, 2, 16, 4
 	return s
 }
 
@@ -76,7 +76,7 @@
 
 // measureRepair wipes a storage node or a control node under load. It returns how long the repair
 // takes after the node is back.
-func measureRepair(t *testing.T, site deployment, seed uint64) (took time.Duration) {
+func measureRepair(t *testing.T, site deployment, seed uint64) (duration time.Duration) {
 	t.Helper()
 	warm := site.Timing.Recovery / 2
 	if seed%fullEvery == 0 {
@@ -104,8 +104,8 @@
 		at := time.Now()
 		assert.NilError(t, w.WaitUntil(20*time.Second, "all replicas are complete", w.allReplicasComplete))
 		assert.NilError(t, w.WaitUntil(20*time.Second, "all control nodes are voters", w.allNodesAreVoters))
-		took = time.Since(at)
+		duration = time.Since(at)
 		w.StopSending(time.Second)
 	})
-	return took
+	return duration
 }
--- a/internal/testing/sim/flap_test.go
+++ b/internal/testing/sim/flap_test.go
@@ -19,8 +19,8 @@
 func TestNoLeaderChangesWhileMachinesAreOnlySlow(t *testing.T) {
 	t.Parallel()
 	disturbances := []struct {
-		name string
-		f    func(w *World)
+		name   string
+		inject func(w *World)
 	}{
 		{"packet loss of 3 %", func(w *World) { w.DropPackets(0.03); time.Sleep(60 * time.Second) }},
 		{"packet loss of 10 %", func(w *World) { w.DropPackets(0.1); time.Sleep(20 * time.Second) }},
@@ -85,7 +85,7 @@
 				w := startWideFleet(t, Armor, 72)
 				defer w.Close()
 				was := sumOfEpochs(w)
-				disturbance.f(w)
+				disturbance.inject(w)
 				assert.Equal(t, sumOfEpochs(w), was, "partitions changed their leaders")
 			})
 		})
--- a/internal/testing/sim/gap_test.go
+++ b/internal/testing/sim/gap_test.go
@@ -92,11 +92,11 @@
 	}
 	k.stop()
 	k.wg.Wait()
-	w := time.Duration(0)
+	longest := time.Duration(0)
 	for _, gap := range k.gap {
-		w = max(w, gap)
+		longest = max(longest, gap)
 	}
-	return w
+	return longest
 }
 
 func controllerNode(w *World) string {
--- a/internal/testing/sim/lineclients.go
+++ b/internal/testing/sim/lineclients.go
@@ -295,12 +295,12 @@
 			client.Follow = append(client.Follow, simclient.Topic{Name: t})
 			client.SendTopics = append(client.SendTopics, simclient.SendTopic{Topic: t, Window: 1, Interval: 2 * load.SendInterval})
 		}
-		for lane := range 2 {
+		for index := range 2 {
 			width := 1
-			if i%4 == 0 && lane == 0 {
+			if i%4 == 0 && index == 0 {
 				width = 8
 			}
-			client.SendTopics = append(client.SendTopics, simclient.SendTopic{Topic: fmt.Sprintf("kept/t%d", (i+lane*7)%max(1, load.Topics)),
+			client.SendTopics = append(client.SendTopics, simclient.SendTopic{Topic: fmt.Sprintf("kept/t%d", (i+index*7)%max(1, load.Topics)),
 				Window: width, Interval: load.SendInterval / time.Duration(width)})
 		}
 		client.Saved = func(t simclient.Topic) {
--- a/internal/testing/sim/many_changes_test.go
+++ b/internal/testing/sim/many_changes_test.go
@@ -40,7 +40,7 @@
 	return []byte(b.String())
 }
 
-// storedBytes returns how many bytes a machine's disk holds.
+// storedBytes returns how many bytes a machine's disk contains.
 func (w *World) storedBytes(t *testing.T, node string) int {
 	t.Helper()
 	disk := w.Machines[node].Disk
--- a/internal/testing/sim/measure_test.go
+++ b/internal/testing/sim/measure_test.go
@@ -69,7 +69,7 @@
 }
 
 // TestMeasureRollOut measures the time from an acknowledgement to the operator until the last node
-// shows the configuration, by number of nodes.
+// serves the configuration, by number of nodes.
 func TestMeasureRollOut(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for _, access := range []int{1, 7, 20} {
@@ -181,11 +181,11 @@
 			var total Traffic
 			var lines []string
 			nodeSeconds := float64(seconds * len(w.Names))
-			for procedure, flow := range w.TrafficByPath() {
-				flow.Calls, flow.Bytes = flow.Calls-before[procedure].Calls, flow.Bytes-before[procedure].Bytes
-				total = Traffic{total.Calls + flow.Calls, total.Bytes + flow.Bytes}
-				if flow.Calls > 0 {
-					lines = append(lines, fmt.Sprintf("%9.0f B/s %6.2f/s %s", float64(flow.Bytes)/nodeSeconds, float64(flow.Calls)/nodeSeconds, procedure))
+			for procedure, traffic := range w.TrafficByPath() {
+				traffic.Calls, traffic.Bytes = traffic.Calls-before[procedure].Calls, traffic.Bytes-before[procedure].Bytes
+				total = Traffic{total.Calls + traffic.Calls, total.Bytes + traffic.Bytes}
+				if traffic.Calls > 0 {
+					lines = append(lines, fmt.Sprintf("%9.0f B/s %6.2f/s %s", float64(traffic.Bytes)/nodeSeconds, float64(traffic.Calls)/nodeSeconds, procedure))
 				}
 			}
 			slices.Sort(lines)
--- a/internal/testing/sim/observe.go
+++ b/internal/testing/sim/observe.go
@@ -97,7 +97,7 @@
 	})
 }
 
-// WaitUntil polls a condition until it holds, at most limit.
+// WaitUntil polls a condition until it is true, at most limit.
 func (w *World) WaitUntil(limit time.Duration, what string, condition func() bool) error {
 	end := time.Now().Add(limit)
 	for !condition() {
--- a/internal/testing/sim/replace_test.go
+++ b/internal/testing/sim/replace_test.go
@@ -92,7 +92,7 @@
 
 // A storage node that restarts while no new node is present keeps its replicas. So does one that is
 // back with its disk before a new node has caught up.
-func TestRestartMovesNoCopies(t *testing.T) {
+func TestRestartMovesNoReplicas(t *testing.T) {
 	t.Parallel()
 	skipUnderRace(t)
 	for _, site := range []Site{Armor, Traductores} {
--- a/internal/testing/sim/restart_test.go
+++ b/internal/testing/sim/restart_test.go
@@ -16,7 +16,7 @@
 )
 
 // The whole fleet loses power in one instant and comes back. Guards against control nodes that each
-// take another one for the placement controller, and so wait for each other until a sweep, 8.75 s
+// consider another one the placement controller, and so wait for each other until a sweep, 8.75 s
 // later.
 func TestWholeFleetIsBackWellInsideTheBound(t *testing.T) {
 	t.Parallel()
@@ -73,7 +73,7 @@
 }
 
 // Guards against a placement controller that moves without end: control nodes that asked whichever
-// node they took for the placement controller to take over moved the role back and forth, twice a
+// node they considered the placement controller to take over moved the role back and forth, twice a
 // second. No placement controller then lasted long enough to wait out the loss of a machine.
 func TestPlacementControllerStaysWhereItIs(t *testing.T) {
 	t.Parallel()
--- a/internal/testing/sim/scripted.go
+++ b/internal/testing/sim/scripted.go
@@ -19,11 +19,11 @@
 
 	clients *LineClients
 	session *lineSession
-	// mu guards responses, sessions, cursors and ended.
-	mu        sync.Mutex
-	responses []TimedResponse
-	sessions  map[string]*deliverycheck.Subscription
-	// cursors holds the cursor that each topic was resumed from.
+	// mu guards responses, subscriptions, cursors and ended.
+	mu            sync.Mutex
+	responses     []TimedResponse
+	subscriptions map[string]*deliverycheck.Subscription
+	// cursors maps each topic to the cursor from which it was resumed.
 	cursors map[string]string
 	ended   bool
 	notify  chan struct{}
@@ -39,7 +39,7 @@
 
 // ConnectScripted connects and attaches a scripted client. It returns nil where no node answers.
 func (c *LineClients) ConnectScripted(machine, name string) *ScriptedClient {
-	client := &ScriptedClient{Name: name, Machine: machine, clients: c, sessions: map[string]*deliverycheck.Subscription{},
+	client := &ScriptedClient{Name: name, Machine: machine, clients: c, subscriptions: map[string]*deliverycheck.Subscription{},
 		cursors: map[string]string{}, notify: make(chan struct{}, 1)}
 	client.session = c.connect(c.world.Machines[machine], true, client.receive, client.onBroken)
 	if client.session == nil {
@@ -87,7 +87,7 @@
 // End closes the connection and ends all subscriptions.
 func (c *ScriptedClient) End() {
 	c.mu.Lock()
-	for _, s := range c.sessions {
+	for _, s := range c.subscriptions {
 		s.Ended(time.Now())
 	}
 	c.mu.Unlock()
@@ -111,14 +111,14 @@
 		return
 	}
 	c.responses = append(c.responses, TimedResponse{response, writtenAt})
-	checkerSession := c.sessions[response.Topic]
+	subscription := c.subscriptions[response.Topic]
 	c.mu.Unlock()
 	now, checker := time.Now(), c.clients.Checker
 	switch response.Type {
 	case session.Subscribed:
-		checkerSession.Joined(now)
+		subscription.Joined(now)
 	case session.Message:
-		checkerSession.Received(deliverycheck.Message{Topic: response.Topic, From: response.From, CallSeq: response.CallSeq},
+		subscription.Received(deliverycheck.Message{Topic: response.Topic, From: response.From, CallSeq: response.CallSeq},
 			string(response.Body),
 			deliverycheck.Position{Partition: response.Partition, Offset: response.Offset}, writtenAt)
 	case session.Accepted:
@@ -177,8 +177,8 @@
 // accepted.
 func (c *ScriptedClient) Subscribe(topic, cursor string) (TimedResponse, bool) {
 	c.mu.Lock()
-	if c.sessions[topic] == nil {
-		c.sessions[topic] = c.clients.Checker.Subscribe(c.Name, topic, strings.HasPrefix(topic, "kept/"))
+	if c.subscriptions[topic] == nil {
+		c.subscriptions[topic] = c.clients.Checker.Subscribe(c.Name, topic, strings.HasPrefix(topic, "kept/"))
 	}
 	n := len(c.responses)
 	c.mu.Unlock()
@@ -189,7 +189,7 @@
 	return s, ok && s.Type == session.Subscribed
 }
 
-// Resume continues the subscription of an ended client of the same name, and its session in the
+// Resume continues the subscription of an ended client of the same name, and its record in the
 // checker.
 func (c *ScriptedClient) Resume(previous *ScriptedClient, topic string) (TimedResponse, bool) {
 	previous.mu.Lock()
@@ -199,11 +199,11 @@
 			cursor = s.Cursor
 		}
 	}
-	checkerSession, responses := previous.sessions[topic], previous.responses
+	subscription, responses := previous.subscriptions[topic], previous.responses
 	previous.mu.Unlock()
 	c.mu.Lock()
 	c.responses = append(responses[:len(responses):len(responses)], c.responses...)
-	c.sessions[topic], c.cursors[topic] = checkerSession, cursor
+	c.subscriptions[topic], c.cursors[topic] = subscription, cursor
 	c.mu.Unlock()
 	return c.Subscribe(topic, cursor)
 }
--- a/internal/testing/sim/scripted_test.go
+++ b/internal/testing/sim/scripted_test.go
@@ -17,14 +17,14 @@
 		var wg sync.WaitGroup
 		for range clients {
 			wg.Go(func() {
-				h := lineClients.ConnectScripted("a1", "scripted")
-				if assert.Check(t, h != nil, "could not connect") {
-					h.End()
+				client := lineClients.ConnectScripted("a1", "scripted")
+				if assert.Check(t, client != nil, "could not connect") {
+					client.End()
 				}
 			})
 		}
 		r := rand.New(rand.NewPCG(950, 0))
-		for in := func() int { lineClients.mu.Lock(); defer lineClients.mu.Unlock(); return lineClients.sessionCount }; in() < clients; {
+		for sessionCount := func() int { lineClients.mu.Lock(); defer lineClients.mu.Unlock(); return lineClients.sessionCount }; sessionCount() < clients; {
 			lineClients.pauseOne(r)
 		}
 		wg.Wait()
--- a/internal/testing/sim/streams_forget_test.go
+++ b/internal/testing/sim/streams_forget_test.go
@@ -18,8 +18,8 @@
 	"postjunction/internal/partition"
 )
 
-// streamScenario is a fleet with a sender on c1 and a stream of kept/t0 on a1. mu guards shown and
-// cursor.
+// streamScenario is a fleet with a sender on c1 and a stream of kept/t0 on a1. mu guards received
+// and cursor.
 type streamScenario struct {
 	*World
 	t       *testing.T
@@ -27,9 +27,9 @@
 	reader  string
 	callSeq uint64
 
-	mu     sync.Mutex
-	shown  []string
-	cursor string
+	mu       sync.Mutex
+	received []string
+	cursor   string
 }
 
 func (s *streamScenario) do(name string, request *client.Request) (any, error) {
@@ -86,9 +86,9 @@
 				s.cursor = event.Cursor
 				switch {
 				case event.Withdrawn != "":
-					s.shown = append(s.shown, "-"+event.Withdrawn)
+					s.received = append(s.received, "-"+event.Withdrawn)
 				case event.Topic != "":
-					s.shown = append(s.shown, event.Key+":"+strings.Trim(string(event.Body), `"`))
+					s.received = append(s.received, event.Key+":"+strings.Trim(string(event.Body), `"`))
 				}
 				return nil
 			})
@@ -101,11 +101,11 @@
 	time.Sleep(time.Second)
 }
 
-func (s *streamScenario) takeShown() []string {
+func (s *streamScenario) takeReceived() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	events := slices.Clone(s.shown)
-	s.shown = nil
+	events := slices.Clone(s.received)
+	s.received = nil
 	return events
 }
 
@@ -135,7 +135,7 @@
 		s.Heal()
 		assert.Equal(s.t, len(s.waitWithdrawn("k", s.callSeq-1, 10*time.Second).GivenUp), 0)
 		s.openStream()
-		assert.DeepEqual(s.t, s.takeShown(), []string{"k:first", "-k", "k:anew"})
+		assert.DeepEqual(s.t, s.takeReceived(), []string{"k:first", "-k", "k:anew"})
 	},
 	"calls that wait for a node delay no others": func(s *streamScenario) {
 		s.Isolate("a1")
@@ -160,7 +160,7 @@
 		s.Thaw("a1")
 		s.waitWithdrawn("k", s.callSeq, 10*time.Second)
 		s.openStream()
-		events := s.takeShown()
+		events := s.takeReceived()
 		assert.Assert(s.t, !slices.Contains(events, "k:while frozen") && slices.Contains(events, "-k"), "%v", events)
 	},
 	"a node that is killed and restarts without streams": func(s *streamScenario) {
@@ -191,20 +191,20 @@
 		assert.DeepEqual(s.t, s.waitWithdrawn("k", callSeq, 30*time.Second).GivenUp, []string{"a1/streams"})
 		s.Heal()
 		time.Sleep(5 * time.Second)
-		s.takeShown()
+		s.takeReceived()
 		s.mu.Lock()
 		s.cursor = ""
 		s.mu.Unlock()
 		s.openStream()
 		s.send("k", "anew")
 		time.Sleep(time.Second)
-		assert.DeepEqual(s.t, s.takeShown(), []string{"k:anew"})
+		assert.DeepEqual(s.t, s.takeReceived(), []string{"k:anew"})
 		s.callSeq++
 		withdrawal, err := s.withdraw("k", s.callSeq)
 		assert.NilError(s.t, err)
 		assert.Equal(s.t, len(withdrawal.GivenUp), 0)
 		time.Sleep(time.Second)
-		assert.DeepEqual(s.t, s.takeShown(), []string{"-k"})
+		assert.DeepEqual(s.t, s.takeReceived(), []string{"-k"})
 	},
 	"a killed leader and an isolated node": func(s *streamScenario) {
 		s.Isolate("a1")
@@ -220,12 +220,12 @@
 		s.Heal()
 		s.waitWithdrawn("k", s.callSeq, 10*time.Second)
 		s.openStream()
-		assert.NilError(s.t, s.WaitUntil(10*time.Second, "the stream shows it", func() bool {
+		assert.NilError(s.t, s.WaitUntil(10*time.Second, "the stream delivers it", func() bool {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			return slices.Contains(s.shown, "-k")
+			return slices.Contains(s.received, "-k")
 		}))
-		assert.DeepEqual(s.t, s.takeShown(), []string{"k:first", "-k"})
+		assert.DeepEqual(s.t, s.takeReceived(), []string{"k:first", "-k"})
 	},
 	"a node that receives nothing from the leader": func(s *streamScenario) {
 		s.Cut(s.partitionLeader(), "a1")
@@ -236,12 +236,12 @@
 		assert.Equal(s.t, len(s.waitWithdrawn("k", s.callSeq, 2*s.Site.Timing.Recovery).GivenUp), 0)
 		s.send("k", "anew")
 		s.Heal()
-		assert.NilError(s.t, s.WaitUntil(10*time.Second, "the stream shows it", func() bool {
+		assert.NilError(s.t, s.WaitUntil(10*time.Second, "the stream delivers it", func() bool {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			return slices.Contains(s.shown, "k:anew")
+			return slices.Contains(s.received, "k:anew")
 		}))
-		assert.DeepEqual(s.t, s.takeShown(), []string{"k:first", "-k", "k:anew"})
+		assert.DeepEqual(s.t, s.takeReceived(), []string{"k:first", "-k", "k:anew"})
 	},
 	"an event that the client does not read": func(s *streamScenario) {
 		attachment := attach(s.t, s.World, "a1", "slow")
@@ -271,8 +271,8 @@
 	},
 }
 
-// A withdrawal is acknowledged once no stream shows what is withdrawn, whatever happens to the node
-// that serves the streams. Until then the answer names that node.
+// A withdrawal is acknowledged once no stream delivers what is withdrawn, whatever happens to the
+// node that serves the streams. Until then the answer names that node.
 func TestStreamsForget(t *testing.T) {
 	t.Parallel()
 	for name, run := range streamScenarios {
--- a/internal/testing/sim/offer_test.go
+++ b/internal/testing/sim/submit_order_test.go
@@ -44,85 +44,85 @@
 	inFlight *sync.WaitGroup
 }
 
-func (v *numberingClient) submit(message numberedMessage, through string) {
-	n := v.w.Machines[through].Node()
+func (c *numberingClient) submit(message numberedMessage, through string) {
+	n := c.w.Machines[through].Node()
 	if n == nil {
 		return
 	}
-	v.w.History.Try(message.Message)
-	v.w.History.Send(message.Message, message.body, false, time.Now())
+	c.w.History.Try(message.Message)
+	c.w.History.Send(message.Message, message.body, false, time.Now())
 	partitionID := partition.Of(message.Topic, false, n.VoterSet().Layout)
-	v.inFlight.Add(1)
-	n.Clients.Router.SubmitAsync(v.w.ctx, partitionID, &leader.Message{Client: v.name, Topic: message.Topic, CallSeq: message.Call, Body: []byte(message.body)}, time.Now().Add(time.Second), func(decision *leader.Decision, err error) {
-		defer v.inFlight.Done()
-		v.complete(message, decision, err)
+	c.inFlight.Add(1)
+	n.Clients.Router.SubmitAsync(c.w.ctx, partitionID, &leader.Message{Client: c.name, Topic: message.Topic, CallSeq: message.Call, Body: []byte(message.body)}, time.Now().Add(time.Second), func(decision *leader.Decision, err error) {
+		defer c.inFlight.Done()
+		c.complete(message, decision, err)
 	})
 }
 
-func (v *numberingClient) complete(message numberedMessage, decision *leader.Decision, err error) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
+func (c *numberingClient) complete(message numberedMessage, decision *leader.Decision, err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	outcome := string(apierror.From(err).Code)
 	if err == nil {
 		outcome = map[bool]string{false: "accepted", true: "duplicate"}[decision.Duplicate]
-		v.w.History.AcceptMessage(message.Message, decision.Partition, decision.Offset, time.Now())
-		if _, ok := v.pending[message.Call]; ok {
-			v.accepted = append(v.accepted, message)
+		c.w.History.AcceptMessage(message.Message, decision.Partition, decision.Offset, time.Now())
+		if _, ok := c.pending[message.Call]; ok {
+			c.accepted = append(c.accepted, message)
 		}
-		delete(v.pending, message.Call)
+		delete(c.pending, message.Call)
 	}
-	v.outcomes[outcome]++
+	c.outcomes[outcome]++
 	if err != nil && definiteRejections[apierror.From(err).Code] {
-		v.w.History.Reject(message.Message)
-		delete(v.pending, message.Call)
+		c.w.History.Reject(message.Message)
+		delete(c.pending, message.Call)
 	}
 	if apierror.HasCode(err, apierror.CallPassed) {
-		v.w.History.Pass(message.Message)
+		c.w.History.Pass(message.Message)
 	}
 	if err != nil && !definiteRejections[apierror.From(err).Code] && !apierror.HasCode(err, apierror.OutcomeUnknown) {
-		v.w.History.Violate(history.Lost, "%v was answered with %v", message.Message, err)
+		c.w.History.Violate(history.Lost, "%v was answered with %v", message.Message, err)
 	}
 }
 
 // run sends messages until ctx ends.
-func (v *numberingClient) run(ctx context.Context, nodes []string) {
+func (c *numberingClient) run(ctx context.Context, nodes []string) {
 	for call := uint64(0); ctx.Err() == nil; {
-		time.Sleep(time.Duration(10+v.rng.IntN(50)) * time.Millisecond)
-		v.mu.Lock()
-		node := v.node
+		time.Sleep(time.Duration(10+c.rng.IntN(50)) * time.Millisecond)
+		c.mu.Lock()
+		node := c.node
 		var retried []numberedMessage
-		isMoved := v.rng.IntN(40) == 0
+		isMoved := c.rng.IntN(40) == 0
 		if isMoved {
-			v.node = nodes[v.rng.IntN(len(nodes))]
-			node = v.node
+			c.node = nodes[c.rng.IntN(len(nodes))]
+			node = c.node
 		}
-		for callSeq, message := range v.pending {
+		for callSeq, message := range c.pending {
 			if time.Since(message.sentAt) > 4*time.Second {
-				delete(v.pending, callSeq)
-			} else if isMoved || v.rng.IntN(12) == 0 {
+				delete(c.pending, callSeq)
+			} else if isMoved || c.rng.IntN(12) == 0 {
 				retried = append(retried, message)
 			}
 		}
-		for len(v.accepted) > 0 && time.Since(v.accepted[0].sentAt) > 10*time.Second {
-			v.accepted = v.accepted[1:]
+		for len(c.accepted) > 0 && time.Since(c.accepted[0].sentAt) > 10*time.Second {
+			c.accepted = c.accepted[1:]
 		}
-		if n := len(v.accepted); n > 0 && v.rng.IntN(6) == 0 {
-			retried = append(retried, v.accepted[v.rng.IntN(n)])
+		if n := len(c.accepted); n > 0 && c.rng.IntN(6) == 0 {
+			retried = append(retried, c.accepted[c.rng.IntN(n)])
 		}
-		isFull := len(v.pending) >= 8
+		isFull := len(c.pending) >= 8
 		var next numberedMessage
 		if !isFull {
-			call += 1 + uint64(v.rng.IntN(3))
-			topic := v.topics[v.rng.IntN(len(v.topics))]
-			next = numberedMessage{history.Message{Topic: topic, From: v.name, Call: call}, fmt.Sprintf(`"%s %s %d"`, v.name, topic, call), time.Now()}
-			v.pending[call] = next
+			call += 1 + uint64(c.rng.IntN(3))
+			topic := c.topics[c.rng.IntN(len(c.topics))]
+			next = numberedMessage{history.Message{Topic: topic, From: c.name, Call: call}, fmt.Sprintf(`"%s %s %d"`, c.name, topic, call), time.Now()}
+			c.pending[call] = next
 		}
-		v.mu.Unlock()
+		c.mu.Unlock()
 		for _, message := range retried {
-			v.submit(message, node)
+			c.submit(message, node)
 		}
 		if !isFull {
-			v.submit(next, node)
+			c.submit(next, node)
 		}
 	}
 }
--- a/internal/testing/sim/submit_test.go
+++ b/internal/testing/sim/submit_test.go
@@ -20,9 +20,9 @@
 	for _, isForwarded := range []bool{true, false} {
 		runFleet(t, Armor, 77, func(t *testing.T, w *World) {
 			w.Watch()
-			localReads := 0
+			localParses := 0
 			parseLocally := func(doc []byte, base uint64) (configuration.Config, error) {
-				localReads++
+				localParses++
 				return parseDocument(doc, base)
 			}
 			for _, node := range w.Names {
@@ -45,7 +45,7 @@
 			assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationConflict), "%v", err)
 			err = operators.Submit(w.ctx, []byte(`{"base":1,"spaces":[{"name":"A"}]}`), base, parseLocally)
 			assert.Assert(t, err != nil && len(apierror.From(err).Faults) > 0, "%v", err)
-			assert.Equal(t, localReads == 0, isForwarded, "read locally %d times", localReads)
+			assert.Equal(t, localParses == 0, isForwarded, "parsed locally %d times", localParses)
 		})
 	}
 }
--- a/internal/testing/sim/traffic.go
+++ b/internal/testing/sim/traffic.go
@@ -12,15 +12,15 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.callsByService[service]++
-	f := w.trafficByPath[path]
-	w.trafficByPath[path] = Traffic{f.Calls + 1, f.Bytes + size}
+	traffic := w.trafficByPath[path]
+	w.trafficByPath[path] = Traffic{traffic.Calls + 1, traffic.Bytes + size}
 }
 
 func (w *World) countResponse(path string, size int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	f := w.trafficByPath[path]
-	w.trafficByPath[path] = Traffic{f.Calls, f.Bytes + size}
+	traffic := w.trafficByPath[path]
+	w.trafficByPath[path] = Traffic{traffic.Calls, traffic.Bytes + size}
 }
 
 func (w *World) countParticipants(point CallPoint) {
--- a/internal/testing/sim/trim_test.go
+++ b/internal/testing/sim/trim_test.go
@@ -23,7 +23,7 @@
 			applyConfiguration(t, w)
 			const topic = "kept/t0"
 			p := partition.Of(topic, false, w.Machines["a1"].Node().VoterSet().Layout)
-			tok, early := attach(t, w, "c1", "v").Token, attach(t, w, "c1", "early").Token
+			token, early := attach(t, w, "c1", "v").Token, attach(t, w, "c1", "early").Token
 			target := w.records()[p].Leader
 			release, hits := w.PauseCalls(func(x CallPoint) bool {
 				q, _ := appendRequest(x)
@@ -32,7 +32,7 @@
 			call := uint64(0)
 			for begun := time.Now(); time.Since(begun) < w.Site.Timing.Retention()+20*time.Second; {
 				call++
-				_, err := w.Transport("c1").Send(w.ctx, tok, topic, call, []byte(fmt.Sprint(call)))
+				_, err := w.Transport("c1").Send(w.ctx, token, topic, call, []byte(fmt.Sprint(call)))
 				assert.NilError(t, err)
 				if call == 10 {
 					_, err = w.Transport("c1").Send(w.ctx, early, topic, 1, []byte(`"early"`))
@@ -43,7 +43,7 @@
 			assert.Assert(t, hits() > 0, "void: the changelog was not blocked")
 			assert.Equal(t, w.records()[p].Leader, target, "void: the leader changed")
 			release()
-			late := func() uint64 {
+			inputOffset := func() uint64 {
 				for _, v := range w.Machines[target].Node().Operators.Leaders() {
 					if v.Partition == p {
 						return v.Input
@@ -51,10 +51,10 @@
 				}
 				return 0
 			}
-			was := late()
-			assert.NilError(t, w.WaitUntil(5*time.Second, "the late batch is appended", func() bool { return late() > was }))
+			was := inputOffset()
+			assert.NilError(t, w.WaitUntil(5*time.Second, "the late batch is appended", func() bool { return inputOffset() > was }))
 			call++
-			_, err := w.Transport("c1").Send(w.ctx, tok, topic, call, []byte(fmt.Sprint(call)))
+			_, err := w.Transport("c1").Send(w.ctx, token, topic, call, []byte(fmt.Sprint(call)))
 			assert.NilError(t, err, "the message that is appended with the trim")
 			time.Sleep(w.Site.Timing.ChangelogInterval() / 2)
 			w.Kill(target)
@@ -64,11 +64,11 @@
 			}))
 			_, err = w.Transport("c1").Send(w.ctx, early, topic, 1, []byte(`"late"`))
 			assert.Assert(t, apierror.HasCode(err, apierror.CallAltered) || apierror.HasCode(err, apierror.CallForgotten), "a call that was sent only once, while the changelog was blocked: %v", err)
-			_, err = w.Transport("c1").Send(w.ctx, tok, topic, call+1, []byte(`"goes on"`))
+			_, err = w.Transport("c1").Send(w.ctx, token, topic, call+1, []byte(`"goes on"`))
 			assert.NilError(t, err, "the state was not rebuilt")
-			_, err = w.Transport("c1").Send(w.ctx, tok, topic, call, []byte(fmt.Sprint(call)))
+			_, err = w.Transport("c1").Send(w.ctx, token, topic, call, []byte(fmt.Sprint(call)))
 			assert.NilError(t, err, "a repeat")
-			_, err = w.Transport("c1").Send(w.ctx, tok, topic, call, []byte(`"other"`))
+			_, err = w.Transport("c1").Send(w.ctx, token, topic, call, []byte(`"other"`))
 			assert.Assert(t, apierror.HasCode(err, apierror.CallAltered), "%v", err)
 		})
 	}
--- a/internal/testing/sim/wiped_test.go
+++ b/internal/testing/sim/wiped_test.go
@@ -9,7 +9,7 @@
 )
 
 // A storage node comes back at once with an empty disk, while records name it with its lost one.
-// Guards against a node that then takes new epochs without end, five a second, so that the
+// Guards against a node that then claims new epochs without end, five a second, so that the
 // placement controller loses every race against it. In every second run the placement controller is
 // delayed, since it would be first by far.
 func TestWipedStorageNodeAsksForNoEpochs(t *testing.T) {
--- a/internal/testing/sim/withdraw_test.go
+++ b/internal/testing/sim/withdraw_test.go
@@ -39,7 +39,7 @@
 // A router becomes unreachable while its clients lag behind. A key is withdrawn meanwhile, and the
 // router returns with the messages that it had buffered. The withdrawal is pending at once, and the
 // answer names the router. The acknowledgement comes after the return, and nothing withdrawn is
-// shown after it. All other clients get live updates as fast as before.
+// delivered after it. All other clients get live updates as fast as before.
 func TestRouterDropsOutWhileOthersWithdraw(t *testing.T) {
 	t.Parallel()
 	for name, inject := range routerFaults {
@@ -59,7 +59,7 @@
 				restore()
 				response := s.waitWithdrawn(withdrawal, s.w.Site.Timing.Recovery)
 				time.Sleep(6 * time.Second)
-				assert.Assert(s.t, !s.receivedAfter(s.reader, last, response.WrittenAt), "shown after the withdrawal was acknowledged")
+				assert.Assert(s.t, !s.receivedAfter(s.reader, last, response.WrittenAt), "delivered after the withdrawal was acknowledged")
 				s.t.Logf("live updates: baseline p50 %s p99 %s, with an unreachable router p50 %s p99 %s", quantile(baseline, 0.5), quantile(baseline, 0.99), quantile(degraded, 0.5), quantile(degraded, 0.99))
 				assert.Assert(s.t, len(degraded) > 10 && quantile(degraded, 0.99) <= quantile(baseline, 0.99)+5*time.Millisecond, "baseline p99 %s, with an unreachable router %s of %d", quantile(baseline, 0.99), quantile(degraded, 0.99), len(degraded))
 				s.resumeReader()
@@ -89,7 +89,7 @@
 				withdrawal := s.withdrawPending("turn", "a1")
 				response := s.waitWithdrawn(withdrawal, s.w.Site.Timing.Recovery+s.w.Site.Timing.CallTimeout())
 				s.measureDelays("turn", time.Second)
-				assert.Assert(s.t, !s.receivedAfter(s.reader, last, response.WrittenAt), "shown after the withdrawal was acknowledged")
+				assert.Assert(s.t, !s.receivedAfter(s.reader, last, response.WrittenAt), "delivered after the withdrawal was acknowledged")
 				s.w.Heal()
 				s.resumeReader()
 			})
@@ -174,7 +174,7 @@
 				s.w.Heal()
 				response := s.waitWithdrawn(withdrawal, s.w.Site.Timing.Recovery)
 				s.resumeReader()
-				assert.Assert(s.t, !s.receivedAfter(s.reader, last, response.WrittenAt), "shown to a client that reconnected")
+				assert.Assert(s.t, !s.receivedAfter(s.reader, last, response.WrittenAt), "delivered to a client that reconnected")
 			})
 		})
 	}
@@ -199,7 +199,7 @@
 		s.writer = s.reconnect("a2", "lead")
 		response := s.waitWithdrawn(withdrawal, s.w.Site.Timing.Recovery)
 		s.resumeReader()
-		assert.Assert(s.t, !s.receivedAfter(s.reader, withdrawal.Call-1, response.WrittenAt), "shown to a client that reconnected")
+		assert.Assert(s.t, !s.receivedAfter(s.reader, withdrawal.Call-1, response.WrittenAt), "delivered to a client that reconnected")
 		s.otherReader.End()
 		s.otherReader = s.reconnect("a3", "far")
 	})
@@ -207,7 +207,7 @@
 
 // A withdrawal and the message that it withdraws are submitted through two nodes at once, or the
 // withdrawal names a message that has not arrived. In whichever order they are decided, nothing
-// withdrawn is shown after the acknowledgement, and a call number that was passed over never
+// withdrawn is delivered after the acknowledgement, and a call number that was passed over never
 // arrives.
 func TestWithdrawalRacesItsOwnMessage(t *testing.T) {
 	t.Parallel()
@@ -278,7 +278,7 @@
 	})
 }
 
-// A second withdrawal of the same messages is answered by the existing tombstone. The same holds
+// A second withdrawal of the same messages is answered by the existing tombstone. The same applies
 // when it is repeated after another message under the key: the later message remains.
 func TestWithdrawnTwiceRetainsLaterMessages(t *testing.T) {
 	t.Parallel()
