--- a/internal/testing/sim/chaos_test.go
+++ b/internal/testing/sim/chaos_test.go
@@ -92,13 +92,13 @@
 			return
 		}
 		cx, stop := context.WithTimeout(ctx, w.Site.Timing.Recovery)
-		asked := time.Now()
+		readAt := time.Now()
 		cur, err := w.Transport(from).Get(cx)
 		stop()
 		if err != nil {
 			continue
 		}
-		w.History.ReadConfiguration(cur, asked)
+		w.History.ReadConfiguration(cur, readAt)
 		doc := w.load.NumberedConfiguration(cur, cur+1+r.Uint64N(9), "")
 		_, err = w.Put(to, doc)
 		if apierror.HasCode(err, apierror.OutcomeUnknown) {
@@ -168,10 +168,10 @@
 		table += " " + strings.TrimPrefix(n, "never-") + " |"
 	}
 	table += "\n|---|" + strings.Repeat("---|", len(history.Rules)) + "\n"
-	for _, b := range FaultNames() {
-		table += "| " + b + " |"
+	for _, fault := range FaultNames() {
+		table += "| " + fault + " |"
 		for _, l := range history.Rules {
-			table += fmt.Sprintf(" %d |", c.judged[b][l])
+			table += fmt.Sprintf(" %d |", c.judged[fault][l])
 		}
 		table += "\n"
 	}
--- a/internal/testing/sim/cut_test.go
+++ b/internal/testing/sim/cut_test.go
@@ -142,14 +142,14 @@
 		defer stop()
 		var all sync.WaitGroup
 		for k, only := range [][]string{{cut}, {"c2", "a1", "s1"}, {cut, "c3", "s2"}} {
-			o := &simulatedOperator{w: w, rng: rand.New(rand.NewPCG(seed, uint64(k))), name: fmt.Sprint("operator ", k), history: history, reachable: only}
+			o := &simulatedOperator{world: w, rng: rand.New(rand.NewPCG(seed, uint64(k))), name: fmt.Sprint("operator ", k), history: history, reachable: only}
 			all.Go(func() { o.runContinuously(ctx) })
 		}
 		time.Sleep(2 * time.Second)
 		fault.begin(w, cut)
 		time.Sleep(cutDuration)
 		fault.end(w, cut)
-		probe := &simulatedOperator{w: w, rng: rand.New(rand.NewPCG(seed, 9)), history: history, reachable: []string{cut}}
+		probe := &simulatedOperator{world: w, rng: rand.New(rand.NewPCG(seed, 9)), history: history, reachable: []string{cut}}
 		healed := time.Now()
 		assert.NilError(t, w.WaitUntil(recoveryAfterCut, "the machine that was cut off is usable", func() bool {
 			_, ok := probe.read()
--- a/internal/testing/sim/faults.go
+++ b/internal/testing/sim/faults.go
@@ -167,12 +167,12 @@
 	"drain": func(w *World, r *rand.Rand) func() {
 		name, lost := w.pickMachine(r, "s"), r.IntN(2) == 0
 		w.recordDisturbance("drain")
-		asked := w.callNode(w.pickMachine(r, "c"), w.Site.Timing.Recovery, func(ctx context.Context, x *node.Node) error {
+		accepted := w.callNode(w.pickMachine(r, "c"), w.Site.Timing.Recovery, func(ctx context.Context, x *node.Node) error {
 			_, err := x.Operators.Decommission(ctx, name)
 			return err
 		}) == nil
 		return func() {
-			if !asked {
+			if !accepted {
 				return
 			}
 			_ = w.WaitUntil(40*time.Second, name+" is empty", w.isDecommissioned(name))
--- a/internal/testing/sim/leader_test.go
+++ b/internal/testing/sim/leader_test.go
@@ -42,12 +42,12 @@
 	return r
 }
 
-// A storage node that is back before its peers find its port closed twice keeps its leaderships.
+// A storage node that is back before its peers find its port closed twice retains its leaderships.
 // One that is down for longer loses them to the successors that the record names, each partition
 // once. Either way no epoch is used again, and partitions with another leader do not change.
 func TestUsedEpochIsNeverUsedAgainAndSuccessorsTakeOverInOrder(t *testing.T) {
 	t.Parallel()
-	for downtime, keepsLeadership := range map[time.Duration]bool{30 * time.Millisecond: true, 600 * time.Millisecond: false} {
+	for downtime, retainsLeadership := range map[time.Duration]bool{30 * time.Millisecond: true, 600 * time.Millisecond: false} {
 		t.Run(downtime.String(), func(t *testing.T) {
 			t.Parallel()
 			runScenario(t, Armor, 21, Armor.Timing.Recovery/2, func(t *testing.T, w *World) {
@@ -65,7 +65,7 @@
 					}
 					assert.Equal(t, r.Epoch, before[p].Epoch+1)
 					successor, reason := leader, "came back"
-					if !keepsLeadership {
+					if !retainsLeadership {
 						successor, reason = before[p].Successors(func(assignment.Replica) int { return 0 })[0].Node, "the owner is gone: "+failuredetector.Refused
 					}
 					assert.Equal(t, r.Leader, successor, "partition %d", p)
@@ -122,7 +122,7 @@
 	return calls, last, end
 }
 
-func TestReturningWithinTheKeepingTimeMissesNothing(t *testing.T) {
+func TestReturningWithinTheRetentionMissesNothing(t *testing.T) {
 	t.Parallel()
 	runFleet(t, Armor, 23, func(t *testing.T, w *World) {
 		applyConfiguration(t, w)
--- a/internal/testing/sim/orders_test.go
+++ b/internal/testing/sim/orders_test.go
@@ -87,7 +87,7 @@
 // simulatedOperator sends orders as the users' operators do. Each order is based on the
 // configuration that it read. It is retried through other nodes until the outcome is known.
 type simulatedOperator struct {
-	w            *World
+	world        *World
 	rng          *rand.Rand
 	name         string
 	history      *orders.History
@@ -101,7 +101,7 @@
 	if len(o.reachable) > 0 {
 		return o.reachable[o.rng.IntN(len(o.reachable))]
 	}
-	return o.w.Names[o.rng.IntN(len(o.w.Names))]
+	return o.world.Names[o.rng.IntN(len(o.world.Names))]
 }
 
 // operatorTimeout is how long an operator waits for one response.
@@ -113,7 +113,7 @@
 func (o *simulatedOperator) read() (orders.Order, bool) {
 	var got orders.Order
 	call := time.Now()
-	err := o.w.callNode(o.node(), operatorTimeout, func(ctx context.Context, running *node.Node) error {
+	err := o.world.callNode(o.node(), operatorTimeout, func(ctx context.Context, running *node.Node) error {
 		config, err := running.Operators.CurrentConfiguration(ctx)
 		got = orders.Order{Base: config.Base, Sequence: config.Sequence, ID: config.Source}
 		return err
@@ -132,7 +132,7 @@
 func (o *simulatedOperator) send(order orders.Order) orders.Outcome {
 	call := time.Now()
 	doc := load.NumberedConfiguration(order.Base, order.Sequence, order.ID)
-	err := o.w.callNode(o.node(), operatorTimeout, func(ctx context.Context, running *node.Node) error {
+	err := o.world.callNode(o.node(), operatorTimeout, func(ctx context.Context, running *node.Node) error {
 		config, err := configuration.Parse(doc)
 		if err != nil {
 			return err
@@ -255,7 +255,7 @@
 		defer stop()
 		var all sync.WaitGroup
 		for index := range 3 {
-			simulated := &simulatedOperator{w: w, rng: rand.New(rand.NewPCG(seed, uint64(index))), name: fmt.Sprint("operator ", index), history: history, lostFraction: 0.5}
+			simulated := &simulatedOperator{world: w, rng: rand.New(rand.NewPCG(seed, uint64(index))), name: fmt.Sprint("operator ", index), history: history, lostFraction: 0.5}
 			all.Go(func() { simulated.run(ctx) })
 		}
 		w.injectControlFaults(ctx, rand.New(rand.NewPCG(seed, 99)))
--- a/internal/testing/sim/replace_test.go
+++ b/internal/testing/sim/replace_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// A storage node that restarts keeps its replicas, also while a spare is present that was added
+// A storage node that restarts retains its replicas, also while a spare is present that was added
 // some time ago.
 func TestRestartMovesNoReplicasToASpareNode(t *testing.T) {
 	t.Parallel()
@@ -90,8 +90,8 @@
 	}
 }
 
-// A storage node that restarts while no new node is present keeps its replicas. So does one that is
-// back with its disk before a new node has caught up.
+// A storage node that restarts while no new node is present retains its replicas. So does one that
+// is back with its disk before a new node has caught up.
 func TestRestartMovesNoReplicas(t *testing.T) {
 	t.Parallel()
 	skipUnderRace(t)
--- a/internal/testing/sim/submit_order_test.go
+++ b/internal/testing/sim/submit_order_test.go
@@ -32,7 +32,7 @@
 // It retries calls with an unknown outcome, now and then an accepted one too, and moves between
 // nodes with its pending calls. mu guards node, pending, accepted and outcomes.
 type numberingClient struct {
-	w        *World
+	world    *World
 	name     string
 	topics   []string
 	rng      *rand.Rand
@@ -45,15 +45,15 @@
 }
 
 func (c *numberingClient) submit(message numberedMessage, through string) {
-	n := c.w.Machines[through].Node()
+	n := c.world.Machines[through].Node()
 	if n == nil {
 		return
 	}
-	c.w.History.Try(message.Message)
-	c.w.History.Send(message.Message, message.body, false, time.Now())
+	c.world.History.Try(message.Message)
+	c.world.History.Send(message.Message, message.body, false, time.Now())
 	partitionID := partition.Of(message.Topic, false, n.VoterSet().Layout)
 	c.inFlight.Add(1)
-	n.Clients.Router.SubmitAsync(c.w.ctx, partitionID, &leader.Message{Client: c.name, Topic: message.Topic, CallSeq: message.Call, Body: []byte(message.body)}, time.Now().Add(time.Second), func(decision *leader.Decision, err error) {
+	n.Clients.Router.SubmitAsync(c.world.ctx, partitionID, &leader.Message{Client: c.name, Topic: message.Topic, CallSeq: message.Call, Body: []byte(message.body)}, time.Now().Add(time.Second), func(decision *leader.Decision, err error) {
 		defer c.inFlight.Done()
 		c.complete(message, decision, err)
 	})
@@ -65,7 +65,7 @@
 	outcome := string(apierror.From(err).Code)
 	if err == nil {
 		outcome = map[bool]string{false: "accepted", true: "duplicate"}[decision.Duplicate]
-		c.w.History.AcceptMessage(message.Message, decision.Partition, decision.Offset, time.Now())
+		c.world.History.AcceptMessage(message.Message, decision.Partition, decision.Offset, time.Now())
 		if _, ok := c.pending[message.Call]; ok {
 			c.accepted = append(c.accepted, message)
 		}
@@ -73,14 +73,14 @@
 	}
 	c.outcomes[outcome]++
 	if err != nil && definiteRejections[apierror.From(err).Code] {
-		c.w.History.Reject(message.Message)
+		c.world.History.Reject(message.Message)
 		delete(c.pending, message.Call)
 	}
 	if apierror.HasCode(err, apierror.CallPassed) {
-		c.w.History.Pass(message.Message)
+		c.world.History.Pass(message.Message)
 	}
 	if err != nil && !definiteRejections[apierror.From(err).Code] && !apierror.HasCode(err, apierror.OutcomeUnknown) {
-		c.w.History.Violate(history.Lost, "%v was answered with %v", message.Message, err)
+		c.world.History.Violate(history.Lost, "%v was answered with %v", message.Message, err)
 	}
 }
 
@@ -172,7 +172,7 @@
 			var simulated []*numberingClient
 			for i := range 5 {
 				rng := rand.New(rand.NewPCG(seed, uint64(i)))
-				client := &numberingClient{w: w, name: fmt.Sprintf("v%d", i), topics: topics, rng: rng, node: "a1", pending: map[uint64]numberedMessage{}, outcomes: map[string]int{}, inFlight: &inFlight}
+				client := &numberingClient{world: w, name: fmt.Sprintf("v%d", i), topics: topics, rng: rng, node: "a1", pending: map[uint64]numberedMessage{}, outcomes: map[string]int{}, inFlight: &inFlight}
 				simulated = append(simulated, client)
 				wg.Go(func() { client.run(ctx, []string{"a1", "c1", "c2", "s1"}) })
 			}
--- a/internal/testing/sim/withdraw_scenario_test.go
+++ b/internal/testing/sim/withdraw_scenario_test.go
@@ -29,7 +29,7 @@
 // on a2 that sends and withdraws.
 type withdrawalScenario struct {
 	t                   *testing.T
-	w                   *World
+	world               *World
 	clients             *LineClients
 	reader, otherReader *ScriptedClient
 	writer              *ScriptedClient
@@ -49,7 +49,7 @@
 			t.Run(fmt.Sprintf("%s/%d", name, seed+i), func(t *testing.T) {
 				t.Parallel()
 				runSessions(t, site, seed+i, backgroundLoad, 10, func(t *testing.T, w *World, clients *LineClients) {
-					s := &withdrawalScenario{t: t, w: w, clients: clients, reader: clients.ConnectScripted("a1", "reader"), otherReader: clients.ConnectScripted("a3", "far"), writer: clients.ConnectScripted("a2", "lead")}
+					s := &withdrawalScenario{t: t, world: w, clients: clients, reader: clients.ConnectScripted("a1", "reader"), otherReader: clients.ConnectScripted("a3", "far"), writer: clients.ConnectScripted("a2", "lead")}
 					assert.Assert(t, s.reader != nil && s.otherReader != nil && s.writer != nil)
 					for _, client := range []*ScriptedClient{s.reader, s.otherReader} {
 						_, ok := client.Subscribe(scenarioTopic, "")
@@ -110,7 +110,7 @@
 	elapsed := time.Since(start)
 	assert.Assert(s.t, ok && apierror.HasCode(response.Err, apierror.WithdrawalOpen), "answered %s %v after %s", response.Type, response.Err, elapsed)
 	assert.Assert(s.t, strings.Contains(response.Err.Error(), node), "%v does not name %s", response.Err, node)
-	assert.Assert(s.t, elapsed <= s.w.Site.Timing.CallTimeout(), "the answer came after %s", elapsed)
+	assert.Assert(s.t, elapsed <= s.world.Site.Timing.CallTimeout(), "the answer came after %s", elapsed)
 }
 
 // waitWithdrawn repeats a withdrawal until it is acknowledged.
@@ -123,7 +123,7 @@
 			return response
 		}
 		assert.Assert(s.t, time.Now().Before(end), "not acknowledged within %s: %v %s %v", limit, ok, response.Type, response.Err)
-		time.Sleep(s.w.Site.Timing.MaxBackoff())
+		time.Sleep(s.world.Site.Timing.MaxBackoff())
 	}
 }
 
@@ -165,7 +165,7 @@
 	s.t.Helper()
 	s.sendMessages("", 1)
 	last := s.callSeq
-	err := s.w.WaitUntil(s.w.Site.Timing.Recovery, "the reader resumes and receives what it missed", func() bool {
+	err := s.world.WaitUntil(s.world.Site.Timing.Recovery, "the reader resumes and receives what it missed", func() bool {
 		previous := s.reader
 		previous.Disconnect()
 		client := s.clients.ConnectScripted("a1", "reader")
@@ -186,25 +186,25 @@
 
 // partitionLeader returns the storage node that leads the topic's partition.
 func (s *withdrawalScenario) partitionLeader() string {
-	running := s.w.Machines["c1"].Node()
+	running := s.world.Machines["c1"].Node()
 	return running.Store.Record(partition.Of(scenarioTopic, false, running.VoterSet().Layout)).Leader
 }
 
 func (s *withdrawalScenario) waitForFailover(from string) {
 	s.t.Helper()
-	assert.NilError(s.t, s.w.WaitUntil(s.w.Site.Timing.Recovery, "the partition has another leader", func() bool { return s.partitionLeader() != from }))
+	assert.NilError(s.t, s.world.WaitUntil(s.world.Site.Timing.Recovery, "the partition has another leader", func() bool { return s.partitionLeader() != from }))
 }
 
 // waitForWrites waits until the topic's partition accepts messages, and then until the other nodes
 // know its leader.
 func (s *withdrawalScenario) waitForWrites(key string) {
 	s.t.Helper()
-	assert.NilError(s.t, s.w.WaitUntil(s.w.Site.Timing.Recovery, "the partition accepts messages again", func() bool { return s.writer.SendAccepted(scenarioTopic, key, s.nextCallSeq()) }))
-	time.Sleep(s.w.Site.Timing.SessionTimeout())
+	assert.NilError(s.t, s.world.WaitUntil(s.world.Site.Timing.Recovery, "the partition accepts messages again", func() bool { return s.writer.SendAccepted(scenarioTopic, key, s.nextCallSeq()) }))
+	time.Sleep(s.world.Site.Timing.SessionTimeout())
 }
 
 func (s *withdrawalScenario) compactions() (sum uint64) {
-	for _, view := range leaderViews(s.w) {
+	for _, view := range leaderViews(s.world) {
 		sum += view.Counters.Compactions
 	}
 	return sum
@@ -212,7 +212,7 @@
 
 func (s *withdrawalScenario) reconnect(node, name string) (client *ScriptedClient) {
 	s.t.Helper()
-	assert.NilError(s.t, s.w.WaitUntil(s.w.Site.Timing.Recovery, name+" reconnects", func() bool {
+	assert.NilError(s.t, s.world.WaitUntil(s.world.Site.Timing.Recovery, name+" reconnects", func() bool {
 		client = s.clients.ConnectScripted(node, name)
 		return client != nil
 	}))
@@ -223,7 +223,7 @@
 // that is sent under a key.
 func (s *withdrawalScenario) restartReader() {
 	s.t.Helper()
-	err := s.w.WaitUntil(2*s.w.Site.Timing.Recovery, "the reader receives messages", func() bool {
+	err := s.world.WaitUntil(2*s.world.Site.Timing.Recovery, "the reader receives messages", func() bool {
 		s.reader.End()
 		if s.reader = s.clients.ConnectScripted("a1", "reader"); s.reader == nil {
 			s.reader = s.otherReader
@@ -238,5 +238,5 @@
 		return ok
 	})
 	assert.NilError(s.t, err)
-	s.waitWithdrawn(deliverycheck.Withdrawal{Topic: scenarioTopic, Key: "turn", Call: s.nextCallSeq()}, s.w.Site.Timing.CallTimeout())
+	s.waitWithdrawn(deliverycheck.Withdrawal{Topic: scenarioTopic, Key: "turn", Call: s.nextCallSeq()}, s.world.Site.Timing.CallTimeout())
 }
--- a/internal/testing/sim/withdraw_test.go
+++ b/internal/testing/sim/withdraw_test.go
@@ -52,12 +52,12 @@
 				s.sendMessages("turn", 20)
 				last := s.callSeq
 				s.waitForMessage(s.otherReader, last)
-				restore := inject(s.w)
+				restore := inject(s.world)
 				withdrawal := s.withdrawPending("turn", "a1")
 				degraded := s.measureDelays("turn", 2*time.Second)
 				s.expectPending(withdrawal, "a1")
 				restore()
-				response := s.waitWithdrawn(withdrawal, s.w.Site.Timing.Recovery)
+				response := s.waitWithdrawn(withdrawal, s.world.Site.Timing.Recovery)
 				time.Sleep(6 * time.Second)
 				assert.Assert(s.t, !s.receivedAfter(s.reader, last, response.WrittenAt), "delivered after the withdrawal was acknowledged")
 				s.t.Logf("live updates: baseline p50 %s p99 %s, with an unreachable router p50 %s p99 %s", quantile(baseline, 0.5), quantile(baseline, 0.99), quantile(degraded, 0.5), quantile(degraded, 0.99))
@@ -75,8 +75,8 @@
 	t.Parallel()
 	skipUnderRace(t)
 	for name, inject := range map[string]func(s *withdrawalScenario){
-		"from all":        func(s *withdrawalScenario) { s.w.Cut("*", "a1") },
-		"from the leader": func(s *withdrawalScenario) { s.w.Cut(s.partitionLeader(), "a1") },
+		"from all":        func(s *withdrawalScenario) { s.world.Cut("*", "a1") },
+		"from the leader": func(s *withdrawalScenario) { s.world.Cut(s.partitionLeader(), "a1") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -87,10 +87,10 @@
 				inject(s)
 				s.reader.Pause(3 * time.Second)
 				withdrawal := s.withdrawPending("turn", "a1")
-				response := s.waitWithdrawn(withdrawal, s.w.Site.Timing.Recovery+s.w.Site.Timing.CallTimeout())
+				response := s.waitWithdrawn(withdrawal, s.world.Site.Timing.Recovery+s.world.Site.Timing.CallTimeout())
 				s.measureDelays("turn", time.Second)
 				assert.Assert(s.t, !s.receivedAfter(s.reader, last, response.WrittenAt), "delivered after the withdrawal was acknowledged")
-				s.w.Heal()
+				s.world.Heal()
 				s.resumeReader()
 			})
 		})
@@ -101,48 +101,48 @@
 var leaderFaults = map[string]func(s *withdrawalScenario){
 	"the leader is killed": func(s *withdrawalScenario) {
 		leaderNode := s.partitionLeader()
-		s.w.Kill(leaderNode)
+		s.world.Kill(leaderNode)
 		s.waitForFailover(leaderNode)
-		assert.NilError(s.t, s.w.Start(leaderNode))
+		assert.NilError(s.t, s.world.Start(leaderNode))
 	},
 	"the leader is frozen": func(s *withdrawalScenario) {
 		leaderNode := s.partitionLeader()
-		s.w.Freeze(leaderNode)
+		s.world.Freeze(leaderNode)
 		s.waitForFailover(leaderNode)
-		s.w.Thaw(leaderNode)
+		s.world.Thaw(leaderNode)
 	},
 	"the leader hands over": func(s *withdrawalScenario) {
 		leaderNode := s.partitionLeader()
-		s.w.Terminate(leaderNode)
+		s.world.Terminate(leaderNode)
 		s.waitForFailover(leaderNode)
-		assert.NilError(s.t, s.w.Start(leaderNode))
+		assert.NilError(s.t, s.world.Start(leaderNode))
 	},
 	"the leader's disk is wiped": func(s *withdrawalScenario) {
 		leaderNode := s.partitionLeader()
-		s.w.Wipe(leaderNode)
+		s.world.Wipe(leaderNode)
 		s.waitForFailover(leaderNode)
-		assert.NilError(s.t, s.w.Start(leaderNode))
+		assert.NilError(s.t, s.world.Start(leaderNode))
 	},
 	"the changelog is compacted": func(s *withdrawalScenario) {
 		before := s.compactions()
 		for range 90 {
 			s.sendMessages("", 1)
-			time.Sleep(s.w.Site.Timing.MaxBackoff())
+			time.Sleep(s.world.Site.Timing.MaxBackoff())
 		}
 		assert.Assert(s.t, s.compactions() > before, "void: no changelog was compacted")
 		leaderNode := s.partitionLeader()
-		s.w.Kill(leaderNode)
+		s.world.Kill(leaderNode)
 		s.waitForFailover(leaderNode)
-		assert.NilError(s.t, s.w.Start(leaderNode))
+		assert.NilError(s.t, s.world.Start(leaderNode))
 	},
 	"every storage and control node restarts": func(s *withdrawalScenario) {
-		for _, node := range s.w.Names {
+		for _, node := range s.world.Names {
 			if node[0] != 'a' {
-				s.w.LosePower(node, s.w.Int(2) == 0)
+				s.world.LosePower(node, s.world.Int(2) == 0)
 			}
 		}
 		time.Sleep(time.Second)
-		assert.NilError(s.t, s.w.Start(s.w.Names...))
+		assert.NilError(s.t, s.world.Start(s.world.Names...))
 	},
 }
 
@@ -156,7 +156,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			runWithdrawalScenario(t, 910, 1, func(s *withdrawalScenario) {
-				for _, machine := range s.w.Machines {
+				for _, machine := range s.world.Machines {
 					if running := machine.Node(); running != nil && strings.Contains(name, "compacted") {
 						options := machine.Opts
 						options.Changelog = 200 * 1e6
@@ -166,13 +166,13 @@
 				s.sendMessages("turn", 3)
 				last := s.callSeq
 				s.waitForMessage(s.reader, last)
-				s.w.Isolate("a1")
+				s.world.Isolate("a1")
 				withdrawal := s.withdrawPending("turn", "a1")
 				inject(s)
 				s.waitForWrites("turn")
 				s.expectPending(withdrawal, "a1")
-				s.w.Heal()
-				response := s.waitWithdrawn(withdrawal, s.w.Site.Timing.Recovery)
+				s.world.Heal()
+				response := s.waitWithdrawn(withdrawal, s.world.Site.Timing.Recovery)
 				s.resumeReader()
 				assert.Assert(s.t, !s.receivedAfter(s.reader, last, response.WrittenAt), "delivered to a client that reconnected")
 			})
@@ -187,17 +187,17 @@
 	runWithdrawalScenario(t, 920, 1, func(s *withdrawalScenario) {
 		s.sendMessages("turn", 3)
 		s.waitForMessage(s.reader, s.callSeq)
-		s.w.Isolate("a1")
+		s.world.Isolate("a1")
 		withdrawal := s.withdrawPending("turn", "a1")
-		for _, node := range s.w.Names {
-			s.w.LosePower(node, s.w.Int(2) == 0)
+		for _, node := range s.world.Names {
+			s.world.LosePower(node, s.world.Int(2) == 0)
 		}
-		s.w.Heal()
+		s.world.Heal()
 		time.Sleep(time.Second)
-		assert.NilError(s.t, s.w.Start(s.w.Names...))
-		assert.NilError(s.t, s.w.WaitReady(s.w.Site.Timing.Recovery))
+		assert.NilError(s.t, s.world.Start(s.world.Names...))
+		assert.NilError(s.t, s.world.WaitReady(s.world.Site.Timing.Recovery))
 		s.writer = s.reconnect("a2", "lead")
-		response := s.waitWithdrawn(withdrawal, s.w.Site.Timing.Recovery)
+		response := s.waitWithdrawn(withdrawal, s.world.Site.Timing.Recovery)
 		s.resumeReader()
 		assert.Assert(s.t, !s.receivedAfter(s.reader, withdrawal.Call-1, response.WrittenAt), "delivered to a client that reconnected")
 		s.otherReader.End()
@@ -217,7 +217,7 @@
 		passed, accepted := 0, 0
 		for i := range 30 {
 			messageSeq, withdrawalSeq := s.nextCallSeq(), s.nextCallSeq()
-			headStart := time.Duration(i%5-2) * s.w.Site.Latency / 2
+			headStart := time.Duration(i%5-2) * s.world.Site.Latency / 2
 			sent := make(chan struct{})
 			go func() {
 				time.Sleep(-headStart)
@@ -286,7 +286,7 @@
 		other := s.reconnect("a3", "other")
 		s.sendMessages("turn", 2)
 		s.waitForMessage(s.reader, s.callSeq)
-		s.w.Isolate("a1")
+		s.world.Isolate("a1")
 		withdrawal := s.withdrawPending("turn", "a1")
 		second := deliverycheck.Withdrawal{Topic: scenarioTopic, Key: "turn", Call: 1}
 		response, ok := other.Withdraw(second)
@@ -298,8 +298,8 @@
 		assert.Assert(s.t, other.SendAccepted(scenarioTopic, "", 2))
 		response, ok = other.Withdraw(second)
 		assert.Assert(s.t, ok && apierror.HasCode(response.Err, apierror.WithdrawalOpen), "%s %v", response.Type, response.Err)
-		s.w.Heal()
-		s.waitWithdrawn(withdrawal, s.w.Site.Timing.Recovery)
+		s.world.Heal()
+		s.waitWithdrawn(withdrawal, s.world.Site.Timing.Recovery)
 		response, ok = other.Withdraw(second)
 		assert.Assert(s.t, ok && response.Type == session.WithdrawalComplete, "%s %v", response.Type, response.Err)
 		s.resumeReader()
@@ -316,15 +316,15 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			runWithdrawalScenario(t, 950, 1, func(s *withdrawalScenario) {
-				s.w.Cut("a1", "a2")
-				s.w.Cut("a1", "a3")
+				s.world.Cut("a1", "a2")
+				s.world.Cut("a1", "a3")
 				if bothWays {
-					s.w.Cut("a2", "a1")
-					s.w.Cut("a3", "a1")
+					s.world.Cut("a2", "a1")
+					s.world.Cut("a3", "a1")
 				}
 				for range 10 {
 					s.sendMessages("turn", 2)
-					s.waitWithdrawn(deliverycheck.Withdrawal{Topic: scenarioTopic, Key: "turn", Call: s.nextCallSeq()}, s.w.Site.Timing.CallTimeout())
+					s.waitWithdrawn(deliverycheck.Withdrawal{Topic: scenarioTopic, Key: "turn", Call: s.nextCallSeq()}, s.world.Site.Timing.CallTimeout())
 				}
 				s.sendMessages("turn", 1)
 				s.waitForMessage(s.reader, s.callSeq)
@@ -343,15 +343,15 @@
 		s.sendMessages("turn", 3)
 		last := s.callSeq
 		s.waitForMessage(s.reader, last)
-		for _, node := range s.w.Names {
+		for _, node := range s.world.Names {
 			for _, isolated := range []string{leaderNode, "a1"} {
 				if node != leaderNode && node != "a1" {
-					s.w.Cut(node, isolated)
-					s.w.Cut(isolated, node)
+					s.world.Cut(node, isolated)
+					s.world.Cut(isolated, node)
 				}
 			}
 		}
-		pollsBefore := s.w.CallsInvolving("a1", router.Poll.Path)
+		pollsBefore := s.world.CallsInvolving("a1", router.Poll.Path)
 		s.waitForFailover(leaderNode)
 		s.waitForWrites("")
 		withdrawal := s.withdrawPending("turn", "a1")
@@ -361,9 +361,9 @@
 		}
 		time.Sleep(2 * time.Second)
 		s.expectPending(withdrawal, "a1")
-		assert.Assert(s.t, s.w.CallsInvolving("a1", router.Poll.Path) > pollsBefore, "void: the old leader was not asked")
-		s.w.Heal()
-		s.waitWithdrawn(withdrawal, s.w.Site.Timing.Recovery)
+		assert.Assert(s.t, s.world.CallsInvolving("a1", router.Poll.Path) > pollsBefore, "void: the old leader was not asked")
+		s.world.Heal()
+		s.waitWithdrawn(withdrawal, s.world.Site.Timing.Recovery)
 		s.resumeReader()
 		if other != nil {
 			other.End()
@@ -388,17 +388,17 @@
 				s.sendMessages("turn", 3)
 				last := s.callSeq
 				s.waitForMessage(s.reader, last)
-				restore := inject(s.w)
+				restore := inject(s.world)
 				withdrawal := s.withdrawPending("turn", "a1")
 				start := time.Now()
-				response := s.waitWithdrawn(withdrawal, s.w.Site.Timing.Retention()+2*s.w.Site.Timing.Recovery)
+				response := s.waitWithdrawn(withdrawal, s.world.Site.Timing.Retention()+2*s.world.Site.Timing.Recovery)
 				assert.Assert(s.t, slices.Contains(response.GivenUp, "a1"), "the acknowledgement names %v", response.GivenUp)
 				elapsed := time.Since(start)
 				s.t.Logf("given up after %s", elapsed)
-				assert.Assert(s.t, elapsed >= s.w.Site.Timing.Keeping, "given up after %s", elapsed)
+				assert.Assert(s.t, elapsed >= s.world.Site.Timing.Keeping, "given up after %s", elapsed)
 				for range 5 {
 					s.sendMessages("turn", 1)
-					s.waitWithdrawn(deliverycheck.Withdrawal{Topic: scenarioTopic, Key: "turn", Call: s.nextCallSeq()}, s.w.Site.Timing.CallTimeout())
+					s.waitWithdrawn(deliverycheck.Withdrawal{Topic: scenarioTopic, Key: "turn", Call: s.nextCallSeq()}, s.world.Site.Timing.CallTimeout())
 				}
 				restore()
 				s.restartReader()
