--- a/internal/testing/sim/chaos_test.go
+++ b/internal/testing/sim/chaos_test.go
@@ -58,15 +58,15 @@
 			assert.NilError(t, w.WaitUntil(90*time.Second, "everything is fully replicated", w.isFullyReplicated), "seed %d, step %d", w.Seed, i)
 		}
 		t.Logf("seed %d: %s: step %d: %s", w.Seed, time.Now().Format("04:05.000"), i, step)
-		undo, also := Faults[step.First](w, rng(step.FirstSeed)), noUndo
+		undo, undoSecond := Faults[step.First](w, rng(step.FirstSeed)), noUndo
 		time.Sleep(step.Between)
 		if step.Second != "" {
-			also = Faults[step.Second](w, rng(step.SecondSeed))
+			undoSecond = Faults[step.Second](w, rng(step.SecondSeed))
 		}
 		time.Sleep(step.Duration)
 		undo()
 		time.Sleep(step.Gap)
-		also()
+		undoSecond()
 		if step.First == "wipe" {
 			w.Heal()
 			for _, n := range w.Names {
@@ -92,13 +92,13 @@
 			return
 		}
 		cx, stop := context.WithTimeout(ctx, w.Site.Timing.Recovery)
-		asked := time.Now()
+		readAt := time.Now()
 		cur, err := w.Transport(from).Get(cx)
 		stop()
 		if err != nil {
 			continue
 		}
-		w.History.ReadConfiguration(cur, asked)
+		w.History.ReadConfiguration(cur, readAt)
 		doc := w.load.NumberedConfiguration(cur, cur+1+r.Uint64N(9), "")
 		_, err = w.Put(to, doc)
 		if apierror.HasCode(err, apierror.OutcomeUnknown) {
@@ -168,10 +168,10 @@
 		table += " " + strings.TrimPrefix(n, "never-") + " |"
 	}
 	table += "\n|---|" + strings.Repeat("---|", len(history.Rules)) + "\n"
-	for _, b := range FaultNames() {
-		table += "| " + b + " |"
+	for _, fault := range FaultNames() {
+		table += "| " + fault + " |"
 		for _, l := range history.Rules {
-			table += fmt.Sprintf(" %d |", c.judged[b][l])
+			table += fmt.Sprintf(" %d |", c.judged[fault][l])
 		}
 		table += "\n"
 	}
--- a/internal/testing/sim/decommission_restart_test.go
+++ b/internal/testing/sim/decommission_restart_test.go
@@ -25,7 +25,7 @@
 		return e
 	})
 	if err != nil {
-		return decommission.Order{}, err // a call that was given up on may still write x
+		return decommission.Order{}, err // a call that was given up on may still write order
 	}
 	return order, nil
 }
@@ -76,7 +76,7 @@
 }
 
 // A machine is killed, or loses its disk, during its decommissioning. The order remains in effect
-// and is completed.
+// and is carried out to its end.
 func TestADecommissioningOutlivesItsMachinesProcessAndDisk(t *testing.T) {
 	t.Parallel()
 	skipUnderRace(t)
