--- a/cmd/fleet/soak.go
+++ b/cmd/fleet/soak.go
@@ -39,13 +39,15 @@
 	flags.DurationVar(&opts.soak.Length, "for", time.Minute, "`time` in which faults begin")
 	flags.IntVar(&opts.processes, "nodes", 9, "`number` of processes, 9 at least")
 	flags.IntVar(&opts.soak.Clients, "clients", 32, "`number` of clients that use the line protocol")
-	flags.IntVar(&opts.soak.Load.HTTPClients, "callers", opts.soak.Load.HTTPClients, "`number` of clients that use HTTP")
+	flags.IntVar(&opts.soak.Load.HTTPClients, "callers", opts.soak.Load.HTTPClients,
+		"`number` of clients that use HTTP")
 	flags.IntVar(&opts.soak.Series, "series", 3, "`number` of concurrent series of faults")
 	if err := flags.Parse(args); err != nil {
 		return nil, apierror.Wrap(apierror.Usage, err, "fleet soak")
 	}
 	soak := &opts.soak
-	if opts.processes < 9 || soak.Length < time.Second || soak.Clients < 1 || soak.Load.HTTPClients < 1 || soak.Series < 1 {
+	if opts.processes < 9 || soak.Length < time.Second || soak.Clients < 1 ||
+		soak.Load.HTTPClients < 1 || soak.Series < 1 {
 		return nil, apierror.New(apierror.Usage,
 			"nodes is at least 9, for 1s, clients, callers and series 1")
 	}
