--- a/internal/testing/sim/slow_test.go
+++ b/internal/testing/sim/slow_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"sync"
 	"testing"
 	"time"
 
@@ -36,8 +37,9 @@
 		sent := make([]time.Time, count+1)
 		var gotSlow, gotFast []uint64
 		var worstSlow, worstFast time.Duration
-		go listen(slow.Token, 5*time.Second, &gotSlow, &worstSlow, sent)
-		go listen(fast.Token, 0, &gotFast, &worstFast, sent)
+		var listeners sync.WaitGroup
+		listeners.Go(func() { listen(slow.Token, 5*time.Second, &gotSlow, &worstSlow, sent) })
+		listeners.Go(func() { listen(fast.Token, 0, &gotFast, &worstFast, sent) })
 		time.Sleep(time.Second)
 		for c := uint64(1); c <= count; c++ {
 			sent[c] = time.Now()
@@ -47,7 +49,7 @@
 		}
 		time.Sleep(10 * time.Second)
 		stop()
-		time.Sleep(time.Second)
+		listeners.Wait()
 		assert.Equal(t, len(gotFast), count)
 		assert.Equal(t, len(gotSlow), count)
 		for i := range gotSlow {
