--- a/internal/wire/call_bench_test.go
+++ b/internal/wire/call_bench_test.go
@@ -33,8 +33,7 @@
 func (jsonCodec) Marshal(v any) ([]byte, error)   { return json.Marshal(v) }
 func (jsonCodec) Unmarshal(b []byte, v any) error { return json.Unmarshal(b, v) }
 
-// callOverHTTP returns a call as it was up to wire version 1: JSON over HTTP of the standard
-// library.
+// callOverHTTP returns a call as in wire versions up to 1: JSON over HTTP of the standard library.
 func callOverHTTP(b *testing.B) func(*pollMessage) error {
 	mux := http.NewServeMux()
 	mux.Handle(poll.Path, connect.NewUnaryHandler(poll.Path,
@@ -93,8 +92,8 @@
 	return listener
 }
 
-// resourceUse returns how much the process has written, how often it read and wrote, and its
-// processor time.
+// resourceUse returns the counters of /proc/self/io, such as the bytes written and the numbers of
+// reads and writes, and the processor time of this process in nanoseconds as "cpu".
 func resourceUse(b *testing.B) (use map[string]float64) {
 	use = map[string]float64{}
 	data, err := os.ReadFile("/proc/self/io")
@@ -105,11 +104,11 @@
 		key, value, _ := strings.Cut(strings.TrimSpace(line), ": ")
 		use[key], _ = strconv.ParseFloat(value, 64)
 	}
-	var u syscall.Rusage
-	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		b.Fatal(err)
 	}
-	use["cpu"] = float64(u.Utime.Nano() + u.Stime.Nano())
+	use["cpu"] = float64(usage.Utime.Nano() + usage.Stime.Nano())
 	return use
 }
 
@@ -120,9 +119,9 @@
 		open func(*testing.B) func(*pollMessage) error
 	}{{"before", callOverHTTP}, {"after", callOverMux}}
 	for _, size := range []int{0, 400, 200_000} {
-		for _, many := range []int{1, 16} {
+		for _, callers := range []int{1, 16} {
 			for _, transport := range transports {
-				b.Run(strconv.Itoa(size)+"B/"+strconv.Itoa(many)+"at once/"+transport.name, func(b *testing.B) {
+				b.Run(strconv.Itoa(size)+"B/"+strconv.Itoa(callers)+"at once/"+transport.name, func(b *testing.B) {
 					call := transport.open(b)
 					request := &pollMessage{From: "store-1", Seen: 123456, Body: make([]byte, size)}
 					if err := call(request); err != nil {
@@ -132,9 +131,9 @@
 					before := resourceUse(b)
 					b.ResetTimer()
 					var wg sync.WaitGroup
-					for k := range many {
+					for caller := range callers {
 						wg.Go(func() {
-							for i := k; i < b.N; i += many {
+							for i := caller; i < b.N; i += callers {
 								if err := call(request); err != nil {
 									b.Error(err)
 									return
--- a/internal/wire/codec_test.go
+++ b/internal/wire/codec_test.go
@@ -21,20 +21,20 @@
 	"postjunction/internal/wire"
 )
 
-// filler fills values. With emptyContainers it makes containers and pointers without content, else
-// it sets every field.
+// filler fills values with different contents. count counts the filled values. With
+// emptyContainers it makes containers and pointers without content, else it sets every field.
 type filler struct {
-	n               uint64
+	count           uint64
 	emptyContainers bool
 }
 
 func (f *filler) fill(v reflect.Value, depth int) {
-	f.n++
+	f.count++
 	kind := v.Kind()
 	if v.Type() == reflect.TypeFor[time.Time]() {
 		if !f.emptyContainers {
 			v.Set(reflect.ValueOf(
-				time.Date(2031, 4, 5, 6, 7, 8, 123456789, time.FixedZone("", 5400)).Add(time.Duration(f.n)),
+				time.Date(2031, 4, 5, 6, 7, 8, 123456789, time.FixedZone("", 5400)).Add(time.Duration(f.count)),
 			))
 		}
 		return
@@ -76,16 +76,16 @@
 		}
 	case f.emptyContainers:
 	case v.CanInt():
-		v.SetInt(int64(f.n%100) - 7)
+		v.SetInt(int64(f.count%100) - 7)
 	case v.CanUint():
-		v.SetUint(f.n % 200)
+		v.SetUint(f.count % 200)
 		if kind == reflect.Uint64 {
-			v.SetUint(math.MaxUint64 - f.n)
+			v.SetUint(math.MaxUint64 - f.count)
 		}
 	case v.CanFloat():
-		v.SetFloat(1.25 * float64(f.n))
+		v.SetFloat(1.25 * float64(f.count))
 	case kind == reflect.String:
-		v.SetString(fmt.Sprintf("é%d", f.n))
+		v.SetString(fmt.Sprintf("é%d", f.count))
 	case kind == reflect.Bool:
 		v.SetBool(true)
 	default:
@@ -142,11 +142,11 @@
 		Faults: []apierror.Fault{{Path: "a.b", Message: "c"}}, Current: &current, RetryAfter: time.Second,
 		RetryAfterMS: 1000, Cause: apierror.New(apierror.Internal, "x")}
 	sent := reflect.ValueOf(&wire.Envelope[gossip.ExchangeResponse]{Problem: problem})
-	got := roundTripCBOR(t, sent).(*wire.Envelope[gossip.ExchangeResponse])
-	assert.Assert(t, got.Body == nil)
+	decoded := roundTripCBOR(t, sent).(*wire.Envelope[gossip.ExchangeResponse])
+	assert.Assert(t, decoded.Body == nil)
 	want := *problem
 	want.Cause, want.RetryAfter = nil, 0
-	assert.DeepEqual(t, got.Problem, &want)
+	assert.DeepEqual(t, decoded.Problem, &want)
 }
 
 func TestTasksOfNewerBuildsAreRead(t *testing.T) {
--- a/internal/wire/mux/cut_test.go
+++ b/internal/wire/mux/cut_test.go
@@ -38,13 +38,13 @@
 
 func (c *cutter) accept() {
 	for {
-		in, err := c.listener.Accept()
+		client, err := c.listener.Accept()
 		if err != nil {
 			return
 		}
-		out, err := net.Dial("tcp", c.target)
+		server, err := net.Dial("tcp", c.target)
 		if err != nil {
-			_ = in.Close()
+			_ = client.Close()
 			continue
 		}
 		c.mu.Lock()
@@ -54,13 +54,13 @@
 			requestBytes, responseBytes = unlimited, unlimited
 		}
 		c.mu.Unlock()
-		c.wg.Go(func() { c.relay(out, in, requestBytes) })
-		c.wg.Go(func() { c.relay(in, out, responseBytes) })
+		c.wg.Go(func() { c.relay(server, client, requestBytes) })
+		c.wg.Go(func() { c.relay(client, server, responseBytes) })
 	}
 }
 
-// relay copies up to that many bytes, then closes both connections. It does so too when either side
-// closes.
+// relay copies up to that many bytes. It closes both connections afterwards, and also when either
+// side closes.
 func (c *cutter) relay(to, from net.Conn, bytes int) {
 	_, _ = io.CopyN(to, from, int64(bytes))
 	if bytes < unlimited {
@@ -77,17 +77,17 @@
 	c.wg.Wait()
 }
 
-// A connection is reset after each byte of a request, and after each byte of a response. No call is
+// Resets a connection after each number of bytes of a request, and of a response. No call is
 // handled twice, and a response belongs to its own request.
 func TestNoCallIsDoneTwiceWhereverItsConnectionBreaks(t *testing.T) {
 	const requestBytes, responseBytes = 120, 60
 	for _, long := range []bool{false, true} {
-		for k := range requestBytes + responseBytes {
-			requestLimit, responseLimit := k, unlimited
-			if k >= requestBytes {
-				requestLimit, responseLimit = unlimited, k-requestBytes
+		for cutAt := range requestBytes + responseBytes {
+			requestLimit, responseLimit := cutAt, unlimited
+			if cutAt >= requestBytes {
+				requestLimit, responseLimit = unlimited, cutAt-requestBytes
 			}
-			cutOnce(t, fmt.Sprintf("call %d %v", k, long), requestLimit, responseLimit, long)
+			cutOnce(t, fmt.Sprintf("call %d %v", cutAt, long), requestLimit, responseLimit, long)
 		}
 	}
 }
@@ -96,11 +96,11 @@
 func cutOnce(t *testing.T, name string, requestBytes, responseBytes int, long bool) {
 	t.Helper()
 	var mu sync.Mutex
-	done := map[string]int{}
+	handled := map[string]int{}
 	f := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		mu.Lock()
-		done[string(b)]++
+		handled[string(b)]++
 		mu.Unlock()
 		_, _ = w.Write(b)
 	})
@@ -110,14 +110,14 @@
 	if long {
 		body = append(body, make([]byte, 2*chunkBytes)...)
 	}
-	got, err := echoAt(t.Context(), network, c.listener.Addr().String(), body)
+	response, err := echoAt(t.Context(), network, c.listener.Addr().String(), body)
 	if err == nil {
-		assert.DeepEqual(t, got, body)
+		assert.DeepEqual(t, response, body)
 	}
 	next := []byte("next " + name)
-	nextGot, nextErr := echoAt(t.Context(), network, c.listener.Addr().String(), next)
+	nextResponse, nextErr := echoAt(t.Context(), network, c.listener.Addr().String(), next)
 	if nextErr == nil {
-		assert.DeepEqual(t, nextGot, next)
+		assert.DeepEqual(t, nextResponse, next)
 	}
 	network.Close()
 	_ = f.server.Close()
@@ -125,11 +125,11 @@
 	mu.Lock()
 	defer mu.Unlock()
 	assert.Assert(
-		t, done[string(body)] <= 1, "%s, cut after %d and %d bytes: handled %d times",
-		name, requestBytes, responseBytes, done[string(body)],
+		t, handled[string(body)] <= 1, "%s, cut after %d and %d bytes: handled %d times",
+		name, requestBytes, responseBytes, handled[string(body)],
 	)
-	assert.Assert(t, err != nil || done[string(body)] == 1, "%s: answered but not handled", name)
-	assert.Assert(t, done[string(next)] <= 1, "%s: the next call was handled %d times", name, done[string(next)])
+	assert.Assert(t, err != nil || handled[string(body)] == 1, "%s: answered but not handled", name)
+	assert.Assert(t, handled[string(next)] <= 1, "%s: the next call was handled %d times", name, handled[string(next)])
 }
 
 func echoAt(ctx context.Context, network *Network, addr string, body []byte) ([]byte, error) {
--- a/internal/wire/mux/fixture_test.go
+++ b/internal/wire/mux/fixture_test.go
@@ -84,8 +84,8 @@
 	_, _ = io.Copy(w, r.Body)
 }
 
-func pattern(n, seed int) []byte {
-	b := make([]byte, n)
+func pattern(size, seed int) []byte {
+	b := make([]byte, size)
 	for i := range b {
 		b[i] = byte(i*7 + i>>8 + seed)
 	}
@@ -120,8 +120,9 @@
 	return listener.Addr().String()
 }
 
+// hasPending reports whether at least count calls are pending.
 func (n *Network) hasPending(count int) bool {
-	for _, c := range n.all() {
+	for _, c := range n.allConnections() {
 		c.mu.Lock()
 		count -= len(c.calls)
 		c.mu.Unlock()
@@ -141,8 +142,9 @@
 	return ctx
 }
 
+// queueIsFull reports whether some connection has no queue space for another MiB.
 func (n *Network) queueIsFull() bool {
-	for _, c := range n.all() {
+	for _, c := range n.allConnections() {
 		c.mu.Lock()
 		queued := c.longQueueBytes
 		c.mu.Unlock()
--- a/internal/wire/mux/mux_test.go
+++ b/internal/wire/mux/mux_test.go
@@ -23,19 +23,19 @@
 func TestManyCallsAtATimeEachGetTheirOwnAnswer(t *testing.T) {
 	f := newFixture(t, echo)
 	var wg sync.WaitGroup
-	for g := range 32 {
+	for caller := range 32 {
 		wg.Go(func() {
-			for k := range 21 {
-				b := pattern([]int{0, 1, 100, 5000, chunkBytes, chunkBytes + 1, 100_000}[(g+k)%7], g*k)
-				path := fmt.Sprintf("/p%d", k%5)
-				response, err := f.post(path, b)
+			for i := range 21 {
+				body := pattern([]int{0, 1, 100, 5000, chunkBytes, chunkBytes + 1, 100_000}[(caller+i)%7], caller*i)
+				path := fmt.Sprintf("/p%d", i%5)
+				response, err := f.post(path, body)
 				assert.Check(t, err)
-				assert.Check(t, bytes.Equal(response, append([]byte(path+" tester "), b...)))
+				assert.Check(t, bytes.Equal(response, append([]byte(path+" tester "), body...)))
 			}
 		})
 	}
 	wg.Wait()
-	assert.Equal(t, len(f.network.all()), 1)
+	assert.Equal(t, len(f.network.allConnections()), 1)
 }
 
 func TestStatusAndHeadersCome(t *testing.T) {
@@ -77,15 +77,15 @@
 }
 
 func TestCancelReachesTheHandler(t *testing.T) {
-	in, out := make(chan bool), make(chan error)
+	entered, handlerErr := make(chan bool), make(chan error)
 	f := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/echo" {
 			echo(w, r)
 			return
 		}
-		in <- true
+		entered <- true
 		<-r.Context().Done()
-		out <- r.Context().Err()
+		handlerErr <- r.Context().Err()
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	results := make(chan error)
@@ -93,13 +93,13 @@
 		_, err := post(ctx, f.network, f.addr, "/wait", nil)
 		results <- err
 	}()
-	<-in
+	<-entered
 	stop()
 	assert.ErrorIs(t, <-results, context.Canceled)
-	assert.ErrorIs(t, <-out, context.Canceled)
+	assert.ErrorIs(t, <-handlerErr, context.Canceled)
 	_, err := f.post("/echo", nil)
 	assert.NilError(t, err)
-	assert.Equal(t, len(f.network.all()), 1)
+	assert.Equal(t, len(f.network.allConnections()), 1)
 }
 
 func TestRefusedFailsAtOnceAndTheNextCallDialsAnew(t *testing.T) {
@@ -154,10 +154,10 @@
 }
 
 func TestCalls_FailAtOnceWhenThePeerGoes(t *testing.T) {
-	in := make(chan bool)
+	entered := make(chan bool)
 	var ended atomic.Int64
 	f := newFixture(t, func(_ http.ResponseWriter, r *http.Request) {
-		in <- true
+		entered <- true
 		<-r.Context().Done()
 		ended.Add(1)
 	})
@@ -167,7 +167,7 @@
 			_, err := f.post("/wait", nil)
 			results <- err
 		}()
-		<-in
+		<-entered
 	}
 	assert.NilError(t, f.server.Close())
 	for range 20 {
@@ -178,22 +178,22 @@
 
 func TestCalls_ReachARestartedPeerAtOnce(t *testing.T) {
 	f := newFixture(t, echo)
-	for k := range 200 {
+	for restart := range 200 {
 		_, err := f.post("/x", nil)
-		assert.NilError(t, err, "after restart %d", k)
+		assert.NilError(t, err, "after restart %d", restart)
 		assert.NilError(t, f.server.Close())
 		f.server = serve(newListener(t, f.addr), echo)
 	}
 }
 
-// breaking is a connection whose writes fail after some bytes.
-type breaking struct {
+// failingConn is a connection whose writes fail after some bytes.
+type failingConn struct {
 	net.Conn
 	after int
 }
 
 // Write writes the first bytes and fails.
-func (b breaking) Write(p []byte) (int, error) { return min(b.after, len(p)), io.ErrClosedPipe }
+func (c failingConn) Write(p []byte) (int, error) { return min(c.after, len(p)), io.ErrClosedPipe }
 
 func TestOnlyWhatWasNotWrittenIsSentAgain(t *testing.T) {
 	for after, retried := range map[int]bool{0: true, 1: false} {
@@ -204,7 +204,7 @@
 		})
 		pipe, _ := net.Pipe()
 		target := f.network.peer(f.addr)
-		target.conn = newClientConn(target, breaking{pipe, after}, "tester")
+		target.conn = newClientConn(target, failingConn{pipe, after}, "tester")
 		_, err := f.post("/x", nil)
 		if retried {
 			assert.NilError(t, err)
@@ -218,21 +218,21 @@
 	}
 }
 
-// gated is a connection whose writes block until a test reads them, one by one.
-type gated struct {
+// gatedConn is a connection whose writes block until a test receives them, one by one.
+type gatedConn struct {
 	net.Conn
-	wrote chan []byte
+	writes chan []byte
 }
 
 // Write passes a copy of p to the test.
-func (g gated) Write(p []byte) (int, error) {
-	g.wrote <- bytes.Clone(p)
+func (c gatedConn) Write(p []byte) (int, error) {
+	c.writes <- bytes.Clone(p)
 	return len(p), nil
 }
 
 func TestShortFramesGoBetweenThePiecesOfLongOnes(t *testing.T) {
 	pipe, _ := net.Pipe()
-	gate := gated{pipe, make(chan []byte)}
+	gate := gatedConn{pipe, make(chan []byte)}
 	target := New(patientOptions).peer("x")
 	conn := newClientConn(target, gate, "tester")
 	send := func(b []byte) {
@@ -246,13 +246,13 @@
 	send(make([]byte, 10*chunkBytes))
 	send(make([]byte, 10*chunkBytes))
 	send([]byte("short"))
-	first := <-gate.wrote
-	second := <-gate.wrote
+	first := <-gate.writes
+	second := <-gate.writes
 	assert.Assert(t, bytes.Contains(append(first, second...), []byte("short")))
 	assert.Assert(t, len(second) < chunkBytes+100)
 	written := len(first) + len(second)
 	for written < 20*chunkBytes {
-		written += len(<-gate.wrote)
+		written += len(<-gate.writes)
 	}
 }
 
@@ -269,7 +269,7 @@
 		_, err = f.post("/good", nil)
 		assert.NilError(t, err)
 	}
-	assert.Equal(t, len(f.network.all()), 1)
+	assert.Equal(t, len(f.network.allConnections()), 1)
 }
 
 func TestForeignConnectionsAreRejected(t *testing.T) {
@@ -280,8 +280,8 @@
 		assert.NilError(t, err)
 		_, err = io.WriteString(conn, sent)
 		assert.NilError(t, err)
-		b, _ := io.ReadAll(conn)
-		assert.Equal(t, len(b), 0)
+		response, _ := io.ReadAll(conn)
+		assert.Equal(t, len(response), 0)
 		_ = conn.Close()
 	}
 	listener := newListener(t, "127.0.0.1:0")
@@ -322,8 +322,8 @@
 				_ = heads.define(&received)
 			case kindOpen:
 				if fields, _, err := received.parseOpen(); err == nil {
-					if h, err := heads.lookup(fields); err == nil && len(h.pairs)%2 != 0 {
-						t.Fatalf("head %+v", h)
+					if parsed, err := heads.lookup(fields); err == nil && len(parsed.pairs)%2 != 0 {
+						t.Fatalf("head %+v", parsed)
 					}
 				}
 			}
@@ -341,13 +341,13 @@
 	))
 	f.Fuzz(func(_ *testing.T, b []byte) {
 		server := NewServer(http.HandlerFunc(echo), patientOptions)
-		mine, theirs := net.Pipe()
-		go func() { _, _ = io.Copy(io.Discard, mine) }()
+		clientSide, serverSide := net.Pipe()
+		go func() { _, _ = io.Copy(io.Discard, clientSide) }()
 		go func() {
-			_, _ = mine.Write(b)
-			_ = mine.Close()
+			_, _ = clientSide.Write(b)
+			_ = clientSide.Close()
 		}()
-		server.serve(theirs)
+		server.serve(serverSide)
 		server.cancel()
 	})
 }
--- a/internal/wire/mux/muxconn.go
+++ b/internal/wire/mux/muxconn.go
@@ -19,15 +19,15 @@
 	"postjunction/internal/apierror"
 )
 
-// Timeouts are the bounds of a connection.
+// Timeouts are the timeouts of a connection.
 type Timeouts struct {
-	Dial       time.Duration // of the last attempt, the longest; all others together take as long
-	CheckAfter time.Duration // without input, after which a connection is checked before reuse
+	Dial       time.Duration // limit for the last attempt; all earlier ones together take as long
+	CheckAfter time.Duration // time without input after which a connection is checked before reuse
 	// KeepaliveAfter is how long a peer with calls in flight may send nothing before it gets a
 	// heartbeat. After as long again without input the connection is closed.
 	KeepaliveAfter time.Duration
 	Unacknowledged time.Duration // limit for sent bytes without a TCP acknowledgement
-	Idle           time.Duration // after which an unused connection is closed
+	Idle           time.Duration // time after which an unused connection is closed
 	Handshake      time.Duration // limit for the preface, and for a response that waits for queue space
 }
 
@@ -258,8 +258,9 @@
 
 // flushAndUnlock starts the write of all queued messages, and unlocks mu, which the caller holds.
 // One goroutine writes at a time. The first one tries one write without blocking, which includes
-// the messages that others queued meanwhile. Another goroutine writes the rest. With several calls
-// on the connection it yields once before the write, so that their messages join it.
+// the messages that others queued meanwhile. Another goroutine writes the rest. If the connection
+// has several calls, the first one yields once before its write, so that the write includes their
+// messages.
 func (c *muxConn) flushAndUnlock() {
 	if c.writing || c.err != nil {
 		c.mu.Unlock()
--- a/internal/wire/mux/network.go
+++ b/internal/wire/mux/network.go
@@ -51,12 +51,12 @@
 
 // Close closes all connections. Calls in flight fail.
 func (n *Network) Close() {
-	for _, c := range n.all() {
+	for _, c := range n.allConnections() {
 		c.fail(errClosed, false)
 	}
 }
 
-func (n *Network) all() []*clientConn {
+func (n *Network) allConnections() []*clientConn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	connections := make([]*clientConn, 0, len(n.connections))
@@ -111,7 +111,7 @@
 // tick sends heartbeats to silent peers with calls in flight, and closes the connections of peers
 // that stayed silent after one.
 func (n *Network) tick() {
-	for _, c := range n.all() {
+	for _, c := range n.allConnections() {
 		c.tick()
 	}
 	n.updateTimer(true)
@@ -119,7 +119,7 @@
 
 // closeIdle closes the connections without calls that were not used since its last run.
 func (n *Network) closeIdle() {
-	for _, c := range n.all() {
+	for _, c := range n.allConnections() {
 		c.mu.Lock()
 		isIdle := !c.used && len(c.calls) == 0 && !c.writing
 		c.used = false
@@ -135,7 +135,7 @@
 	}
 }
 
-// peer is an address with its connection or the dial under way.
+// peer is an address with its connection, or with the dial attempt in progress.
 type peer struct {
 	network *Network
 	addr    string
@@ -144,10 +144,10 @@
 	dialing *dialAttempt
 }
 
-// dialShares divide the dial timeout into the timeouts of the attempts. Short attempts come first:
-// a machine that was just switched on gets no packet sent before, and the kernel of this machine
-// retransmits late.
-var dialShares = []time.Duration{10, 10, 10, 10, 10, 2, 1}
+// dialTimeoutDivisors divide the dial timeout into the timeouts of the attempts. Short attempts
+// come first: a machine that was just switched on has missed the packets sent before, and the
+// kernel of this machine retransmits them late.
+var dialTimeoutDivisors = []time.Duration{10, 10, 10, 10, 10, 2, 1}
 
 type dialAttempt struct {
 	done chan struct{}
@@ -203,8 +203,8 @@
 	}}
 	var tcpConn net.Conn
 	var err error
-	for _, share := range dialShares {
-		dialer.Timeout = options.Dial / share
+	for _, divisor := range dialTimeoutDivisors {
+		dialer.Timeout = options.Dial / divisor
 		tcpConn, err = dialer.Dial("tcp", p.addr)
 		if netErr, ok := err.(net.Error); !ok || !netErr.Timeout() {
 			break
@@ -260,14 +260,14 @@
 	return c
 }
 
-// usable reports whether a connection can take a call. A connection without recent input and calls
-// is checked with a read that doesn't block: its peer may have restarted while this process did not
-// run.
+// usable reports whether a connection can take a call. A connection without calls and without
+// recent input is checked with a read that doesn't block: its peer may have restarted while this
+// process did not run.
 func (c *clientConn) usable() bool {
 	c.mu.Lock()
-	ok, check := c.err == nil, len(c.calls) == 0 && !c.writing
+	ok, isUnused := c.err == nil, len(c.calls) == 0 && !c.writing
 	c.mu.Unlock()
-	if !ok || !check ||
+	if !ok || !isUnused ||
 		time.Since(c.network.started)-time.Duration(c.lastReceived.Load()) < c.network.options.CheckAfter ||
 		c.rawConn == nil {
 		return ok
@@ -305,8 +305,8 @@
 	}
 }
 
-// failCalls fails all calls of a connection that was closed. Calls whose first frame was in no
-// write of which bytes were sent fail with errUnsent.
+// failCalls removes a connection that was closed and fails all its calls. Calls whose first frame
+// was in no write of which bytes were sent fail with errUnsent.
 func (c *clientConn) failCalls(err error) {
 	c.network.remove(c)
 	c.peer.mu.Lock()
@@ -498,10 +498,10 @@
 }
 
 // load copies the path, headers, timeout and body of a request into a call.
-func (c *clientCall) load(request *http.Request, names []string) error {
+func (c *clientCall) load(request *http.Request, headerNames []string) error {
 	c.kind, c.timeoutMS = kindOpen, 0
 	c.head = appendPrefixed(c.headBuffer[:0], request.URL.Path)
-	c.head = appendHeaders(c.head, request.Header, names)
+	c.head = appendHeaders(c.head, request.Header, headerNames)
 	if len(c.head) > maxHeadBytes {
 		return apierror.New(apierror.Oversize, "request headers have %d bytes", len(c.head))
 	}
--- a/internal/wire/mux/server.go
+++ b/internal/wire/mux/server.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	maxCalls         = 4 << 10
-	maxIdleWorkers   = 4
-	acceptPauseShare = 64
-	keepaliveProbes  = 3
+	maxCalls           = 4 << 10
+	maxIdleWorkers     = 4
+	acceptPauseDivisor = 64
+	keepaliveProbes    = 3
 )
 
 // Server handles the calls that peers send over their connections.
@@ -65,7 +65,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return apierror.Wrap(apierror.Internal, err, "accept on %s", listener.Addr())
 		default:
-			_ = clock.Real{}.Sleep(s.ctx, s.options.KeepaliveAfter/acceptPauseShare)
+			_ = clock.Real{}.Sleep(s.ctx, s.options.KeepaliveAfter/acceptPauseDivisor)
 		}
 	}
 	return apierror.Wrap(apierror.Internal, closeListener(listener), "close %s", listener.Addr())
@@ -137,6 +137,7 @@
 	url *url.URL
 }
 
+// serve handles the calls of a connection until it is closed.
 func (s *Server) serve(conn net.Conn) {
 	c := &serverConn{server: s, calls: map[uint64]*serverCall{}}
 	c.ctx, c.cancel = context.WithCancel(s.ctx)
@@ -184,7 +185,7 @@
 	s.idleWorkers.Add(-1)
 }
 
-// onClosed ends the contexts of all calls of a connection that was closed.
+// onClosed removes a connection that was closed and ends the contexts of all its calls.
 func (c *serverConn) onClosed(error) {
 	c.cancel()
 	c.server.mu.Lock()
@@ -201,7 +202,7 @@
 	_ = c.conn.SetReadDeadline(time.Time{})
 	var f frame
 	var heads headTable
-	prepared := map[*head]*serverHead{}
+	serverHeads := map[*head]*serverHead{}
 	for {
 		if err := f.read(r); err != nil {
 			return err
@@ -212,7 +213,7 @@
 				return err
 			}
 			defined := heads.entries[len(heads.entries)-1]
-			prepared[defined] = &serverHead{defined, &url.URL{Path: defined.pathOrStatus}}
+			serverHeads[defined] = &serverHead{defined, &url.URL{Path: defined.pathOrStatus}}
 		case kindOpen:
 			fields, body, err := f.parseOpen()
 			if err != nil {
@@ -222,7 +223,7 @@
 			if err != nil {
 				return err
 			}
-			requestHead := prepared[parsed]
+			requestHead := serverHeads[parsed]
 			if requestHead == nil {
 				requestHead = &serverHead{parsed, &url.URL{Path: parsed.pathOrStatus}}
 			}
--- a/internal/wire/mux/silence_test.go
+++ b/internal/wire/mux/silence_test.go
@@ -36,10 +36,10 @@
 }
 
 func TestSlowResponse_OfALivingPeerIsAwaited(t *testing.T) {
-	in, out := make(chan bool), make(chan bool)
+	entered, release := make(chan bool), make(chan bool)
 	f := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
-		in <- true
-		<-out
+		entered <- true
+		<-release
 		echo(w, r)
 	})
 	results := make(chan error)
@@ -47,8 +47,8 @@
 		_, err := f.post("/x", nil)
 		results <- err
 	}()
-	<-in
-	c := f.network.all()[0]
+	<-entered
+	c := f.network.allConnections()[0]
 	heartbeats := 0
 	for range 20 {
 		f.network.tick()
@@ -61,7 +61,7 @@
 		}
 	}
 	assert.Assert(t, heartbeats >= 4, "%d heartbeats were due", heartbeats)
-	out <- true
+	release <- true
 	assert.NilError(t, <-results)
 }
 
@@ -70,23 +70,23 @@
 	defer network.Close()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	full := make(chan error)
-	big := make([]byte, 1<<20)
+	rejected := make(chan error)
+	body := make([]byte, 1<<20)
 	started := 0
 	for ; ; started++ {
 		assert.Assert(t, started < 3*maxLongQueueBytes>>20, "the queue is not bounded")
 		go func() {
-			if _, err := post(ctx, network, addr, "/x", big); err != nil && ctx.Err() == nil {
-				full <- err
+			if _, err := post(ctx, network, addr, "/x", body); err != nil && ctx.Err() == nil {
+				rejected <- err
 			}
 		}()
 		if waitUntil(func() bool {
-			return network.hasPending(started+1) || len(network.all()) > 0 && network.queueIsFull()
+			return network.hasPending(started+1) || len(network.allConnections()) > 0 && network.queueIsFull()
 		}); !network.hasPending(started + 1) {
 			break
 		}
 	}
-	err := <-full
+	err := <-rejected
 	assert.Assert(t, apierror.HasCode(err, apierror.Unreachable), "%v", err)
 	assert.Assert(t, started >= maxLongQueueBytes>>20, "only %d calls were queued", started)
 	_, err = post(canceledContext(), network, addr, "/small", nil)
@@ -102,16 +102,16 @@
 	conn, err := net.Dial("tcp", f.addr)
 	assert.NilError(t, err)
 	defer func() { _ = conn.Close() }()
-	b := AppendPreface(nil, "x")
-	encoded := appendPrefixed(nil, "/x")
-	b = append(appendFrameHeader(b, kindHead, 1, len(encoded)), encoded...)
-	const asked = 64
-	for k := range asked {
-		b = append(appendFrameHeader(b, kindOpen, uint64(k+1), 2), 1, 0)
+	requests := AppendPreface(nil, "x")
+	head := appendPrefixed(nil, "/x")
+	requests = append(appendFrameHeader(requests, kindHead, 1, len(head)), head...)
+	const callCount = 64
+	for i := range callCount {
+		requests = append(appendFrameHeader(requests, kindOpen, uint64(i+1), 2), 1, 0)
 	}
-	_, err = conn.Write(b)
+	_, err = conn.Write(requests)
 	assert.NilError(t, err)
-	waitUntil(func() bool { return handled.Load() == asked })
+	waitUntil(func() bool { return handled.Load() == callCount })
 	f.server.mu.Lock()
 	for conn := range f.server.connections {
 		conn.mu.Lock()
@@ -121,7 +121,7 @@
 	f.server.mu.Unlock()
 	r := bufio.NewReader(conn)
 	var received frame
-	for ends := 0; ends < asked; {
+	for ends := 0; ends < callCount; {
 		assert.NilError(t, received.read(r))
 		if (received.kind == kindOpen || received.kind == kindData) && !received.more {
 			ends++
@@ -135,10 +135,10 @@
 		_, err := f.post("/x", nil)
 		assert.NilError(t, err)
 		f.network.closeIdle()
-		assert.Equal(t, len(f.network.all()), 1)
+		assert.Equal(t, len(f.network.allConnections()), 1)
 		waitUntil(func() bool {
 			f.network.closeIdle()
-			return len(f.network.all()) == 0
+			return len(f.network.allConnections()) == 0
 		})
 	}
 }
--- a/internal/wire/network.go
+++ b/internal/wire/network.go
@@ -12,18 +12,18 @@
 
 // Divisors of the timeouts in the settings.
 const (
-	dialTimeoutShare = 3
-	keepaliveShare   = 2
-	checkShare       = 16
+	dialTimeoutDivisor = 3
+	keepaliveDivisor   = 2
+	checkDivisor       = 16
 )
 
 func muxOptions(timing settings.Timing) mux.Options {
 	return mux.Options{
 		Timeouts: mux.Timeouts{
-			Dial:           timing.CallTimeout() / dialTimeoutShare,
-			CheckAfter:     timing.SessionTimeout() / checkShare,
-			KeepaliveAfter: max(timing.SessionTimeout()/keepaliveShare, timing.LongPoll()),
-			Unacknowledged: timing.SessionTimeout() / keepaliveShare,
+			Dial:           timing.CallTimeout() / dialTimeoutDivisor,
+			CheckAfter:     timing.SessionTimeout() / checkDivisor,
+			KeepaliveAfter: max(timing.SessionTimeout()/keepaliveDivisor, timing.LongPoll()),
+			Unacknowledged: timing.SessionTimeout() / keepaliveDivisor,
 			Idle:           timing.Keeping,
 			Handshake:      timing.Recovery,
 		},
--- a/internal/wire/peererror.go
+++ b/internal/wire/peererror.go
@@ -13,8 +13,8 @@
 var connectionErrors = []error{syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EPIPE, io.EOF, io.ErrUnexpectedEOF}
 
 // RefusedOrReset reports whether a call failed because the peer's port refused or reset the
-// connection: the machine is up, but the process is not, or it closed the connection. A peer that
-// doesn't respond is another case.
+// connection: the machine is up, but the process is not, or it closed the connection. It is false
+// for a peer that doesn't respond at all.
 func RefusedOrReset(err error) bool {
 	for _, e := range connectionErrors {
 		if errors.Is(err, e) {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -27,20 +27,20 @@
 	connect.HTTPClient
 }
 
-// Envelope is the envelope of every response: a body, or the error of the call.
+// Envelope wraps every response. It has the body, or else the error of the call.
 type Envelope[T any] struct {
 	Body    *T              `json:"b,omitempty"`
 	Problem *apierror.Error `json:"p,omitempty"`
 }
 
 // Procedure is a remote procedure with its path and types.
-type Procedure[Q, A any] struct {
+type Procedure[Req, Res any] struct {
 	Path    string
 	clients sync.Map
 }
 
 // Idempotency says why a call may be retried when its outcome is unknown. There is no kind for
-// calls that may not: a new procedure has to be one of these.
+// calls that must not be retried: a new procedure has to be of one of these kinds.
 type Idempotency string
 
 // The kinds of Idempotency.
@@ -57,10 +57,10 @@
 
 // NewProcedure registers and returns a procedure. idempotency says why its calls may be retried,
 // and reason says what ensures that.
-func NewProcedure[Q, A any](part, verb string, idempotency Idempotency, reason string) *Procedure[Q, A] {
-	procedure := &Procedure[Q, A]{Path: "/postjunction." + part + "/" + verb}
-	procedures = append(procedures, ProcedureInfo{Path: procedure.Path, Request: reflect.TypeFor[Q](),
-		Response: reflect.TypeFor[A](), Idempotency: idempotency, Reason: reason})
+func NewProcedure[Req, Res any](part, verb string, idempotency Idempotency, reason string) *Procedure[Req, Res] {
+	procedure := &Procedure[Req, Res]{Path: "/postjunction." + part + "/" + verb}
+	procedures = append(procedures, ProcedureInfo{Path: procedure.Path, Request: reflect.TypeFor[Req](),
+		Response: reflect.TypeFor[Res](), Idempotency: idempotency, Reason: reason})
 	return procedure
 }
 
@@ -84,17 +84,19 @@
 
 // Call calls the procedure at a peer. A failure of the transport is Unreachable: the outcome of the
 // call is unknown.
-func (p *Procedure[Q, A]) Call(ctx context.Context, network Network, from, addr string, request *Q) (*A, error) {
+func (p *Procedure[Req, Res]) Call(
+	ctx context.Context, network Network, from, addr string, request *Req,
+) (*Res, error) {
 	key := clientKey{network, addr}
 	client, ok := p.clients.Load(key)
 	if !ok {
-		client, _ = p.clients.LoadOrStore(key, connect.NewClient[Q, Envelope[A]](network, "http://"+addr+p.Path,
+		client, _ = p.clients.LoadOrStore(key, connect.NewClient[Req, Envelope[Res]](network, "http://"+addr+p.Path,
 			connect.WithCodec(codec{}), connect.WithAcceptCompression("gzip", nil, nil)))
 	}
 	connectRequest := connect.NewRequest(request)
 	connectRequest.Header().Set(versionHeader, strconv.Itoa(FormatVersion))
 	connectRequest.Header().Set(fromHeader, from)
-	response, err := client.(*connect.Client[Q, Envelope[A]]).CallUnary(ctx, connectRequest)
+	response, err := client.(*connect.Client[Req, Envelope[Res]]).CallUnary(ctx, connectRequest)
 	if err != nil {
 		return nil, apierror.Wrap(apierror.Unreachable, err, "%s at %s", p.Path, addr)
 	}
@@ -108,12 +110,12 @@
 }
 
 // Handle registers the handler of the procedure's calls on mux.
-func (p *Procedure[Q, A]) Handle(mux *http.ServeMux, handler func(context.Context, *Q) (*A, error)) {
+func (p *Procedure[Req, Res]) Handle(mux *http.ServeMux, handler func(context.Context, *Req) (*Res, error)) {
 	mux.Handle(p.Path, connect.NewUnaryHandler(p.Path,
-		func(ctx context.Context, request *connect.Request[Q]) (*connect.Response[Envelope[A]], error) {
+		func(ctx context.Context, request *connect.Request[Req]) (*connect.Response[Envelope[Res]], error) {
 			if version, err := strconv.Atoi(request.Header().Get(versionHeader)); err != nil ||
 				version > FormatVersion {
-				return connect.NewResponse(&Envelope[A]{Problem: apierror.New(
+				return connect.NewResponse(&Envelope[Res]{Problem: apierror.New(
 					apierror.WireNewer, "wire sequence %q, this build knows %d",
 					request.Header().Get(versionHeader), FormatVersion,
 				)}), nil
@@ -125,8 +127,8 @@
 					(errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)) {
 					problem = apierror.New(apierror.Unreachable, "the call ended before its response")
 				}
-				return connect.NewResponse(&Envelope[A]{Problem: problem}), nil
+				return connect.NewResponse(&Envelope[Res]{Problem: problem}), nil
 			}
-			return connect.NewResponse(&Envelope[A]{Body: response}), nil
+			return connect.NewResponse(&Envelope[Res]{Body: response}), nil
 		}, connect.WithCodec(codec{}), connect.WithCompression("gzip", nil, nil)))
 }
