--- a/internal/control/acceptor/acceptor_test.go
+++ b/internal/control/acceptor/acceptor_test.go
@@ -99,9 +99,9 @@
 
 func TestVoterSetSequenceVoidsRequestsUnderOthers(t *testing.T) {
 	a := startActivated(t, memlog.New())
-	next := targetOf("k")
-	next.VoterSet = 2
-	_, err := a.Accept(ctx, &AcceptRequest{Target: next, Epoch: epochOf(9, "c1"), Value: Value{Version: 1}})
+	nextTarget := targetOf("k")
+	nextTarget.VoterSet = 2
+	_, err := a.Accept(ctx, &AcceptRequest{Target: nextTarget, Epoch: epochOf(9, "c1"), Value: Value{Version: 1}})
 	assert.Assert(t, apierror.HasCode(err, apierror.StaleVoterSet), "%v", err)
 	second := firstVoterSet().Replace(voters.Voter{Node: "c3", Incarnation: "j3"})
 	copies := map[string]Slot{"k": {Accepted: epochOf(4, "c2"), Value: Value{Version: 7}}}
@@ -109,7 +109,7 @@
 	assert.NilError(t, err)
 	_, err = a.Promise(ctx, &PromiseRequest{Target: targetOf("k"), Epoch: epochOf(9, "c1")})
 	assert.Assert(t, apierror.HasCode(err, apierror.StaleVoterSet), "%v", err)
-	response, err := a.Promise(ctx, &PromiseRequest{Target: next, Epoch: epochOf(4, "c1")})
+	response, err := a.Promise(ctx, &PromiseRequest{Target: nextTarget, Epoch: epochOf(4, "c1")})
 	assert.NilError(t, err)
 	assert.Assert(t, !response.Granted, "an epoch below the accepted one")
 	_, err = a.Activate(ctx, &ActivateRequest{Incarnation: "i1", VoterSet: firstVoterSet()})
--- a/internal/control/acceptor/cancel_test.go
+++ b/internal/control/acceptor/cancel_test.go
@@ -33,10 +33,10 @@
 }
 
 // A caller may stop waiting for a voter's disk, and the voter's write still completes. The next
-// request must see the slot of that write. A voter that used the slot before it overwrote an
-// accepted value.
+// request must see the slot of that write. A voter that still used the slot from before the write
+// would overwrite an accepted value.
 func TestCallerThatGivesUpLeavesNoStaleSlot(t *testing.T) {
-	for name, next := range map[string]func(*Acceptor) (*SlotResponse, error){
+	for name, nextCall := range map[string]func(*Acceptor) (*SlotResponse, error){
 		"a promise comes next": func(a *Acceptor) (*SlotResponse, error) {
 			return a.Promise(ctx, &PromiseRequest{Target: targetOf("k"), Epoch: epochOf(2, "c2")})
 		},
@@ -46,12 +46,12 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { checkSlotAfterCancel(t, next) })
+			synctest.Test(t, func(t *testing.T) { checkSlotAfterCancel(t, nextCall) })
 		})
 	}
 }
 
-func checkSlotAfterCancel(t *testing.T, next func(*Acceptor) (*SlotResponse, error)) {
+func checkSlotAfterCancel(t *testing.T, nextCall func(*Acceptor) (*SlotResponse, error)) {
 	t.Helper()
 	disk := &slowDisk{memlog.New(), make(chan chan struct{}, 1)}
 	a := startActivated(t, disk)
@@ -72,7 +72,7 @@
 	done := make(chan error, 1)
 	go func() {
 		var err error
-		response, err = next(a)
+		response, err = nextCall(a)
 		done <- err
 	}()
 	synctest.Wait()
--- a/internal/control/model/model_test.go
+++ b/internal/control/model/model_test.go
@@ -46,8 +46,8 @@
 // decide records that a majority has accepted a value. It is a violation if another value was
 // decided under the same version.
 func (e *exploration) decide(next *state, version, value int8) {
-	if before := next.decided[version]; before != 0 && before != value {
-		e.violate("version %d was decided as %s and as %s", version, changeIDs[before], changeIDs[value])
+	if previous := next.decided[version]; previous != 0 && previous != value {
+		e.violate("version %d was decided as %s and as %s", version, changeIDs[previous], changeIDs[value])
 	}
 	next.decided[version] = value
 	next.maxDecided = max(next.maxDecided, version)
@@ -55,12 +55,12 @@
 
 // step adds all states that follow current.
 func (e *exploration) step(current state) {
-	for i := range e.attempts {
-		e.propose(current, i)
+	for index := range e.attempts {
+		e.propose(current, index)
 		for voter := range voterCount {
-			e.promise(current, i, voter)
-			e.reaccept(current, i, voter)
-			e.acceptChange(current, i, voter)
+			e.promise(current, index, voter)
+			e.reaccept(current, index, voter)
+			e.acceptChange(current, index, voter)
 		}
 	}
 	if e.read {
--- a/internal/control/model/proposer_test.go
+++ b/internal/control/model/proposer_test.go
@@ -6,9 +6,10 @@
 	"postjunction/internal/control/acceptor"
 )
 
-// propose adds the next steps that the proposer of an attempt can take without a message.
-func (e *exploration) propose(current state, i int) {
-	claim := current.attempts[i]
+// propose adds the next steps that the proposer of an attempt, given by its index, can take without
+// a message.
+func (e *exploration) propose(current state, index int) {
+	claim := current.attempts[index]
 	switch {
 	case claim.phase == idle:
 		for voterSet := int8(1); voterSet <= 2; voterSet++ {
@@ -17,83 +18,83 @@
 				continue
 			}
 			next := current
-			next.attempts[i] = attempt{phase: preparing, voterSet: voterSet, decidedBefore: current.maxDecided}
+			next.attempts[index] = attempt{phase: preparing, voterSet: voterSet, decidedBefore: current.maxDecided}
 			e.add(next)
 		}
 	case claim.phase == preparing && isMajority(claim.promises):
 		next := current
 		if claim.adopted.accepted == 0 {
-			e.lead(&next, i)
+			e.lead(&next, index)
 		} else {
-			next.attempts[i].phase, next.attempts[i].reacceptSent = reaccepting, true
+			next.attempts[index].phase, next.attempts[index].reacceptSent = reaccepting, true
 		}
 		e.add(next)
 	case claim.phase == reaccepting && isMajority(claim.reaccepted):
 		next := current
-		e.lead(&next, i)
+		e.lead(&next, index)
 		e.add(next)
 	}
 }
 
 // lead makes the proposer leader of the key, which then changes it. It is a violation if the
 // adopted version is older than the version that was decided before the attempt began.
-func (e *exploration) lead(next *state, i int) {
-	claim := &next.attempts[i]
+func (e *exploration) lead(next *state, index int) {
+	claim := &next.attempts[index]
 	if claim.adopted.version < claim.decidedBefore {
 		e.violate("attempt %d leads with version %d, and version %d was decided before it began",
-			i, claim.adopted.version, claim.decidedBefore)
+			index, claim.adopted.version, claim.decidedBefore)
 	}
 	claim.phase, claim.changeSent = changing, true
 }
 
-func (e *exploration) promise(current state, i, voter int) {
-	claim := current.attempts[i]
+func (e *exploration) promise(current state, index, voter int) {
+	claim := current.attempts[index]
 	if claim.phase == idle || !current.serves(voter, claim.voterSet) {
 		return
 	}
-	promised, ok := current.disks[voter].slot.expand().Promise(epochOf(int8(i + 1)))
+	promised, ok := current.disks[voter].slot.expand().Promise(epochOf(int8(index + 1)))
 	next := current
 	next.disks[voter].slot = compact(promised)
 	e.add(next)
 	if ok && claim.phase == preparing {
-		next.attempts[i].promises |= 1 << voter
-		next.attempts[i].adopted = compact(acceptor.Highest([]acceptor.Slot{claim.adopted.expand(), promised}))
+		next.attempts[index].promises |= 1 << voter
+		next.attempts[index].adopted = compact(acceptor.Highest([]acceptor.Slot{claim.adopted.expand(), promised}))
 		e.add(next)
 	}
 }
 
-func (e *exploration) reaccept(current state, i, voter int) {
-	claim := current.attempts[i]
+func (e *exploration) reaccept(current state, index, voter int) {
+	claim := current.attempts[index]
 	if !claim.reacceptSent || !current.serves(voter, claim.voterSet) {
 		return
 	}
-	accepted, ok := current.disks[voter].slot.expand().Accept(epochOf(int8(i+1)), claim.adopted.expand().Value)
+	accepted, ok := current.disks[voter].slot.expand().Accept(epochOf(int8(index+1)), claim.adopted.expand().Value)
 	if !ok {
 		return
 	}
 	next := current
 	next.disks[voter].slot = compact(accepted)
-	next.attempts[i].reaccepted |= 1 << voter
-	if isMajority(next.attempts[i].reaccepted) {
+	next.attempts[index].reaccepted |= 1 << voter
+	if isMajority(next.attempts[index].reaccepted) {
 		e.decide(&next, claim.adopted.version, claim.adopted.value)
 	}
 	e.add(next)
 }
 
-func (e *exploration) acceptChange(current state, i, voter int) {
-	claim := current.attempts[i]
+func (e *exploration) acceptChange(current state, index, voter int) {
+	claim := current.attempts[index]
 	if !claim.changeSent || !current.serves(voter, claim.voterSet) {
 		return
 	}
-	change := slot{version: claim.adopted.version + 1, value: int8(i + 1)}
-	accepted, ok := current.disks[voter].slot.expand().Accept(epochOf(int8(i+1)), change.expand().Value)
+	change := slot{version: claim.adopted.version + 1, value: int8(index + 1)}
+	accepted, ok := current.disks[voter].slot.expand().Accept(epochOf(int8(index+1)), change.expand().Value)
 	if !ok {
 		return
 	}
 	next := current
 	next.disks[voter].slot = compact(accepted)
-	next.attempts[i].changeAccepted |= 1 << voter
-	if isMajority(next.attempts[i].changeAccepted) {
+	next.attempts[index].changeAccepted |= 1 << voter
+	if isMajority(next.attempts[index].changeAccepted) {
 		e.decide(&next, change.version, change.value)
 	}
 	e.add(next)
--- a/internal/control/reconfig/executor.go
+++ b/internal/control/reconfig/executor.go
@@ -39,10 +39,11 @@
 	return context.WithTimeout(ctx, e.timing.CallTimeout())
 }
 
-// Change decides which voter set follows current, and activates it. That is wanted, unless another
-// change was started before. It returns the set that is in effect afterwards. Errors are NoMajority
-// if too few voters answered or another executor has a higher epoch, StaleVoterSet if current is no
-// longer in effect, and DiskDamaged if the decided successor can't be decoded.
+// Change has the voters decide which set follows current, and activates it. They decide on wanted,
+// unless another change was started before. Change returns the set that is in effect afterwards.
+// Errors are NoMajority if too few voters answered or another executor has a higher epoch,
+// StaleVoterSet if current is no longer in effect, and DiskDamaged if the decided successor can't
+// be decoded.
 func (e *Executor) Change(ctx context.Context, current, wanted voters.Set) (voters.Set, error) {
 	next, err := e.decideSuccessor(ctx, current, wanted)
 	if err != nil {
--- a/internal/control/reconfig/successor.go
+++ b/internal/control/reconfig/successor.go
@@ -18,11 +18,11 @@
 // promises a new epoch, and then accepts the successor under it. The successor is wanted, unless a
 // voter that promised has accepted another set already. Once it is decided, current is sealed.
 func (e *Executor) decideSuccessor(ctx context.Context, current, wanted voters.Set) (voters.Set, error) {
-	proposal := e.highestSeen.Next(e.self)
-	e.highestSeen = proposal
+	proposed := e.highestSeen.Next(e.self)
+	e.highestSeen = proposed
 	promises, err := e.askMajority(ctx, current, "promised",
 		func(ctx context.Context, voter voters.Voter) (*acceptor.SlotResponse, error) {
-			request := &acceptor.PromiseRequest{Target: target(current, voter), Epoch: proposal}
+			request := &acceptor.PromiseRequest{Target: target(current, voter), Epoch: proposed}
 			return acceptor.Promise.Call(ctx, e.network, e.self, voter.Addr, request)
 		})
 	if err != nil {
@@ -32,13 +32,13 @@
 	if err != nil {
 		return voters.Set{}, err
 	}
-	if err := e.acceptSuccessor(ctx, current, next, proposal); err != nil {
+	if err := e.acceptSuccessor(ctx, current, next, proposed); err != nil {
 		return voters.Set{}, err
 	}
 	return next, nil
 }
 
-func (e *Executor) acceptSuccessor(ctx context.Context, current, next voters.Set, proposal epoch.Epoch) error {
+func (e *Executor) acceptSuccessor(ctx context.Context, current, next voters.Set, proposed epoch.Epoch) error {
 	body, err := json.Marshal(next)
 	if err != nil {
 		return err
@@ -46,7 +46,7 @@
 	value := acceptor.Value{Version: 1, ChangeID: e.self, Body: body}
 	_, err = e.askMajority(ctx, current, "accepted",
 		func(ctx context.Context, voter voters.Voter) (*acceptor.SlotResponse, error) {
-			request := &acceptor.AcceptRequest{Target: target(current, voter), Epoch: proposal, Value: value}
+			request := &acceptor.AcceptRequest{Target: target(current, voter), Epoch: proposed, Value: value}
 			return acceptor.Accept.Call(ctx, e.network, e.self, voter.Addr, request)
 		})
 	return err
@@ -103,7 +103,7 @@
 }
 
 // countGranted returns how many voters granted the request. It records the epochs of the voters
-// that rejected it, so that the next proposal is above them.
+// that rejected it, so that the next proposed epoch is above them.
 func (e *Executor) countGranted(results []slotResult) int {
 	granted := 0
 	for _, result := range quorum.Successes(results) {
--- a/internal/control/register/read.go
+++ b/internal/control/register/read.go
@@ -107,7 +107,7 @@
 	ctx context.Context, stop context.CancelFunc, voterSet voters.Set, key string,
 ) peekResponses {
 	stopping := false
-	enough := func(responses peekResponses) bool {
+	isEnough := func(responses peekResponses) bool {
 		copies := quorum.Successes(responses)
 		if len(copies) < voterSet.Majority() {
 			return false
@@ -129,7 +129,7 @@
 			Brief:       voter.Node != p.self,
 		})
 	}
-	return quorum.Successes(quorum.Gather(ctx, voterSet.Voters, peek, enough))
+	return quorum.Successes(quorum.Gather(ctx, voterSet.Voters, peek, isEnough))
 }
 
 // ConfirmLeadership reports whether a majority confirms that this node still leads a key.
@@ -163,13 +163,13 @@
 			Brief:       true,
 		})
 	}
-	confirmed := func(responses peekResponses) bool {
+	isConfirmed := func(responses peekResponses) bool {
 		return promisedCount(responses, key, state.epoch) >= voterSet.Majority()
 	}
-	responses := quorum.Gather(ctx, voterSet.Voters, peek, confirmed)
+	responses := quorum.Gather(ctx, voterSet.Voters, peek, isConfirmed)
 	for _, response := range quorum.Successes(responses) {
 		slot := response.Value.Slots[key]
 		p.ObserveEpoch(key, slot.Promised, slot.Value.Successor)
 	}
-	return voterSet.Sequence == state.voterSet && confirmed(responses)
+	return voterSet.Sequence == state.voterSet && isConfirmed(responses)
 }
--- a/internal/control/registerclient/client.go
+++ b/internal/control/registerclient/client.go
@@ -1,5 +1,6 @@
 // Package registerclient reads and changes control keys from any node. It uses the node's own
-// proposer if there is one. It then calls the control nodes, one after the other until one answers.
+// proposer if there is one. If there is none, or if it fails, the control nodes are called until
+// one answers.
 //
 // Invariant: a change that may have been made is never reported as rejected. Its ChangeID lets
 // every control node recognize it, so that it may be sent to several. A stale base after a call
--- a/internal/control/registerclient/hedge.go
+++ b/internal/control/registerclient/hedge.go
@@ -6,7 +6,7 @@
 	"postjunction/internal/apierror"
 )
 
-// maxPending is the number of control nodes that are called at the same time.
+// maxPending is how many control nodes are called at the same time at most.
 const maxPending = 3
 
 type response[Value any] struct {
--- a/internal/disk/frame/frame.go
+++ b/internal/disk/frame/frame.go
@@ -1,4 +1,4 @@
-// Package frame is the header that every record on disk carries.
+// Package frame encodes the records of a journal, each with the header that it has on disk.
 package frame
 
 import (
--- a/internal/disk/journal/compact.go
+++ b/internal/disk/journal/compact.go
@@ -11,8 +11,8 @@
 )
 
 // Slice returns some of a part's live records as they are now, and whether more are to come. A
-// slice that is restored after all earlier records of the log changes nothing. All slices together,
-// after the records written since the compaction began, restore the part completely.
+// slice that is restored after all earlier records of the log changes nothing. All slices of a
+// compaction, together with the records written since it began, restore the part completely.
 type Slice func() (records []Record, more bool)
 
 // EncodeAll makes one slice of all records.
@@ -20,8 +20,8 @@
 	return []Slice{func() ([]Record, bool) { return dump(), false }}
 }
 
-// compaction is a compaction in progress. Its slices are written one at a time, along with the puts
-// of others. The front of the log, all before from, is truncated once all slices are written.
+// compaction is a compaction in progress. Its slices are written one at a time, along with puts.
+// All records before the index from are truncated once all slices are written.
 type compaction struct {
 	from       uint64
 	usedBefore int64
@@ -29,8 +29,8 @@
 	waiters    []chan error
 }
 
-// shouldCompact reports whether a compaction is worth its writes. Live records are counted only
-// when it looks so by the last count.
+// shouldCompact reports whether a compaction is worth its writes. Live records are counted again
+// only if it is worth them by the last count.
 func (j *Journal) shouldCompact() bool {
 	if !j.hasGrown() {
 		return false
@@ -72,8 +72,8 @@
 	return true
 }
 
-// nextSlice returns the next slice of the compaction, between the records that mark its ends; nil
-// when none is left.
+// nextSlice returns the next slice of the compaction, between the two records that mark its begin
+// and its end. It returns nil when none is left.
 func (j *Journal) nextSlice() []Record {
 	for current := j.compaction; current != nil && len(current.slices) > 0; {
 		records, more := current.slices[0]()
--- a/internal/disk/journal/journal.go
+++ b/internal/disk/journal/journal.go
@@ -43,7 +43,7 @@
 // Part is a component whose state the journal persists. It restores records at open. It reports how
 // many of them are live, and an upper bound of the bytes of their bodies. It returns the live ones
 // in slices when the log is compacted. The journal calls it from Open and from the goroutine of
-// Run. A part learns of changes by puts from their apply functions.
+// Run. A part learns of new records through the apply functions of their puts.
 type Part interface {
 	Restore(r Record) error
 	LiveSize() (records int, bytes int64)
@@ -94,7 +94,7 @@
 
 	nextIndex   uint64 // of the next record
 	synced      uint64 // the last index that is durable
-	compactedTo uint64 // the last index before the records that the last compaction left
+	compactedTo uint64 // growth since the last compaction is counted from this index
 	liveRecords uint64 // at the last count
 	space       space
 	compaction  *compaction // nil when none is under way
@@ -138,7 +138,7 @@
 	}
 }
 
-// stop rejects all pending puts and scrubs.
+// stop rejects all pending and further puts and scrubs.
 func (j *Journal) stop() {
 	j.mu.Lock()
 	j.closed = true
@@ -155,17 +155,16 @@
 	j.failScrubs(stopped)
 }
 
-// Put makes records durable, then runs apply in the order of the log, then returns. When ctx ends
-// first, the records may still become durable; the error is apierror.DiskFailed then,
-// apierror.Stopped after Run ended, apierror.DiskFull where there is no space, else that of the
-// log.
+// Put makes records durable, then runs apply in the order of the log, then returns. Errors are
+// apierror.DiskFailed when ctx ends first, in which case the records may still become durable,
+// apierror.Stopped after Run ended, apierror.DiskFull when there is no space, and those of the log.
 func (j *Journal) Put(ctx context.Context, urgent bool, apply func(), records ...Record) error {
 	return j.enqueue(ctx, put{records: records, apply: apply, done: make(chan error, 1)}, queueOf[urgent])
 }
 
-// PutIn is Put under a lock under which the records were made from the present state. The lock
-// stays locked until the outcome of the records is known, even if ctx ends before that: whoever
-// locks it next must not rely on the state before them.
+// PutIn is like Put, for records that the caller made from the present state while it held lock.
+// The lock stays locked until the outcome of the records is known, even if ctx ends before that:
+// whoever locks it next must not rely on the state before these records.
 func (j *Journal) PutIn(ctx context.Context, lock *keylock.Shared, urgent bool, apply func(), records ...Record) error {
 	return j.enqueue(
 		ctx, put{records: records, apply: apply, afterApply: lock.Retain(), done: make(chan error, 1)},
--- a/internal/disk/journal/journal_test.go
+++ b/internal/disk/journal/journal_test.go
@@ -60,8 +60,8 @@
 // Urgent records share neither a write nor a sync with the routine ones that were put before them.
 func TestUrgentRecordsAreWrittenAloneAndNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := &slowLog{Disk: memlog.New(), step: make(chan struct{})}
-		j := startJournal(t, l)
+		log := &slowLog{Disk: memlog.New(), step: make(chan struct{})}
+		j := startJournal(t, log)
 		var wg sync.WaitGroup
 		put := func(urgent bool, body string) {
 			wg.Go(func() { assert.Check(t, j.Put(t.Context(), urgent, nil, record(body))) })
@@ -74,20 +74,20 @@
 		put(true, "u")
 		synctest.Wait()
 		for range 3 {
-			l.step <- struct{}{}
+			log.step <- struct{}{}
 			synctest.Wait()
 		}
 		wg.Wait()
-		assert.DeepEqual(t, l.writes[:2], [][]string{{"a"}, {"u"}})
-		assert.Equal(t, len(l.writes[2]), 40)
+		assert.DeepEqual(t, log.writes[:2], [][]string{{"a"}, {"u"}})
+		assert.Equal(t, len(log.writes[2]), 40)
 	})
 }
 
-// A scrub that read the whole log in one step blocked every write until it was done.
+// A scrub that reads the whole log in one step blocks every write until it is done.
 func TestScrubLetsWritesThrough(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := &slowLog{Disk: memlog.New()}
-		j := startJournal(t, l)
+		log := &slowLog{Disk: memlog.New()}
+		j := startJournal(t, log)
 		const recordCount = 3000
 		for range recordCount / 100 {
 			var records []journal.Record
@@ -97,12 +97,12 @@
 			assert.NilError(t, j.Put(t.Context(), false, nil, records...))
 		}
 		readsBefore, done := 0, make(chan struct{})
-		l.onRead = func(n int) {
+		log.onRead = func(n int) {
 			if n != 10 {
 				return
 			}
 			go func() {
-				_ = j.Put(t.Context(), true, func() { readsBefore = l.reads }, record("u"))
+				_ = j.Put(t.Context(), true, func() { readsBefore = log.reads }, record("u"))
 				close(done)
 			}()
 			synctest.Wait()
@@ -119,8 +119,8 @@
 	})
 }
 
-// A journal that counted no live records before its first compaction wrote all of them again,
-// though none could be dropped.
+// A journal that counts no live records before its first compaction writes all of them again,
+// though none can be dropped.
 func TestCompaction_WaitsUntilItPays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const live = 6000
--- a/internal/disk/journal/readback_test.go
+++ b/internal/disk/journal/readback_test.go
@@ -21,17 +21,17 @@
 
 type allRecords struct{ records []journal.Record }
 
-func (k *allRecords) Restore(r journal.Record) error {
-	k.records = append(k.records, r)
+func (a *allRecords) Restore(r journal.Record) error {
+	a.records = append(a.records, r)
 	return nil
 }
 
-func (k *allRecords) LiveSize() (int, int64) {
-	return len(k.records), int64(len(k.records)) * recordBytes
+func (a *allRecords) LiveSize() (int, int64) {
+	return len(a.records), int64(len(a.records)) * recordBytes
 }
 
-func (k *allRecords) Slices() []journal.Slice {
-	return journal.EncodeAll(func() []journal.Record { return k.records })
+func (a *allRecords) Slices() []journal.Slice {
+	return journal.EncodeAll(func() []journal.Record { return a.records })
 }
 
 // processorTime returns the CPU time that this process has used so far.
@@ -54,7 +54,7 @@
 		assert.NilError(b, err)
 		return log, j, part
 	}
-	l, j, part := open()
+	disk, j, part := open()
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); j.Run(ctx) }()
@@ -70,13 +70,13 @@
 	writeSeconds := (after - before).Seconds() * (1 << 30) / diskBytes
 	stop()
 	<-done
-	assert.NilError(b, l.Close())
+	assert.NilError(b, disk.Close())
 	b.SetBytes(diskBytes)
 	before = processorTime(b)
 	for b.Loop() {
-		l, _, part := open()
+		disk, _, part := open()
 		assert.Equal(b, len(part.records), diskBytes/recordBytes)
-		assert.NilError(b, l.Close())
+		assert.NilError(b, disk.Close())
 	}
 	after = processorTime(b)
 	b.ReportMetric(writeSeconds, "written-core-s/GiB")
--- a/internal/disk/journal/recovery.go
+++ b/internal/disk/journal/recovery.go
@@ -50,8 +50,8 @@
 }
 
 // unfinishedCompaction returns where an incomplete slice of a compaction begins, len(frames) when
-// there is none. Power was lost while the slice was written, and the records that it replaces are
-// still in the log before it.
+// there is none. Such a slice is left when power was lost during its write. The records that it
+// replaces are still in the log before it.
 func unfinishedCompaction(frames []frame.Frame) int {
 	start := len(frames)
 	for i, f := range frames {
--- a/internal/disk/journal/space.go
+++ b/internal/disk/journal/space.go
@@ -10,9 +10,9 @@
 )
 
 // space is how much of a bounded disk the journal uses. A compaction needs space for the live
-// records beside the old ones, so it starts long before the disk is full. Above one limit large
-// puts are rejected, above a higher one all that add data. Small ones, which trim and forget, are
-// still accepted. Only Run's goroutine uses it.
+// records beside the old ones, so it starts long before the disk is full. Above largePutPercent
+// large puts are rejected, and above dataPercent all puts that add data. Small puts that trim or
+// forget are still accepted then. Only Run's goroutine uses it.
 type space struct {
 	capacity, used, liveBytes int64
 	retryInterval             time.Duration
@@ -30,10 +30,10 @@
 )
 
 const (
-	// The log is compacted when it uses more than compactGrowthTimes / compactGrowthPer times the
-	// bytes of its live records.
-	compactGrowthTimes = 3
-	compactGrowthPer   = 2
+	// The log is compacted when it uses more than compactGrowthNumerator / compactGrowthDenominator
+	// times the bytes of its live records.
+	compactGrowthNumerator   = 3
+	compactGrowthDenominator = 2
 
 	largePutBytes = 4096
 	lengthBytes   = 3 // of a record in the log, before its frame
@@ -45,8 +45,8 @@
 	j.space.capacity, j.space.retryInterval = bytes, retryInterval
 }
 
-// recordBytes returns the size of a record on disk, with its frame and its length prefix.
-func recordBytes(body int) int64 { return int64(body) + frame.Size + lengthBytes }
+// recordBytes returns the size of a record on disk, with its header and its length prefix.
+func recordBytes(bodyBytes int) int64 { return int64(bodyBytes) + frame.Size + lengthBytes }
 
 func totalBytes(records []Record) int64 {
 	bytes := int64(0)
@@ -63,11 +63,11 @@
 
 // hasGrown reports whether it is time to compact for the sake of space.
 func (s *space) hasGrown() bool {
-	return s.exceeds(s.used, compactPercent) && s.used > s.liveBytes*compactGrowthTimes/compactGrowthPer
+	return s.exceeds(s.used, compactPercent) && s.used > s.liveBytes*compactGrowthNumerator/compactGrowthDenominator
 }
 
 // fits reports whether that many bytes of live records fit beside the present log.
-func (s *space) fits(compacted int64) bool { return !s.exceeds(s.used+compacted, anyPutPercent) }
+func (s *space) fits(liveBytes int64) bool { return !s.exceeds(s.used+liveBytes, anyPutPercent) }
 
 // dataTypes are the types of record that add data; all others may make space.
 var dataTypes = map[uint16]bool{recordtype.Entry: true, recordtype.Snapshot: true}
@@ -88,7 +88,8 @@
 	}
 }
 
-// admit rejects the puts that have no space, tries to make some then, and returns the others.
+// admit rejects the puts that don't fit and returns the others. If it rejected any, it tries to
+// make space.
 func (j *Journal) admit(puts []put) []put {
 	if j.space.capacity == 0 {
 		return puts
--- a/internal/disk/journal/space_test.go
+++ b/internal/disk/journal/space_test.go
@@ -25,43 +25,43 @@
 }
 
 // Restore restores a record.
-func (s *latest) Restore(r journal.Record) error {
-	s.add(r)
+func (l *latest) Restore(r journal.Record) error {
+	l.add(r)
 	return nil
 }
 
 // LiveSize counts the live records.
-func (s *latest) LiveSize() (int, int64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (l *latest) LiveSize() (int, int64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	bytes := int64(0)
-	for _, r := range s.records {
+	for _, r := range l.records {
 		bytes += int64(len(r.Body))
 	}
-	return len(s.records), bytes
+	return len(l.records), bytes
 }
 
 // Slices returns the live records.
-func (s *latest) Slices() []journal.Slice { return journal.EncodeAll(s.dump) }
+func (l *latest) Slices() []journal.Slice { return journal.EncodeAll(l.dump) }
 
-func (s *latest) dump() []journal.Record {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return append([]journal.Record(nil), s.records...)
+func (l *latest) dump() []journal.Record {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return append([]journal.Record(nil), l.records...)
 }
 
-func (s *latest) add(r journal.Record) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.records = append(s.records, r)
-	s.records = s.records[max(0, len(s.records)-s.limit):]
+func (l *latest) add(r journal.Record) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.records = append(l.records, r)
+	l.records = l.records[max(0, len(l.records)-l.limit):]
 }
 
-func (s *latest) setLimit(limit int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.limit = limit
-	s.records = s.records[max(0, len(s.records)-limit):]
+func (l *latest) setLimit(limit int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.limit = limit
+	l.records = l.records[max(0, len(l.records)-limit):]
 }
 
 // peakDisk is a disk that records the highest number of bytes that were on it.
@@ -71,23 +71,23 @@
 }
 
 // Write writes and records how much is on the disk afterwards.
-func (g *peakDisk) Write(first uint64, records [][]byte) error {
-	if err := g.Disk.Write(first, records); err != nil {
+func (d *peakDisk) Write(first uint64, records [][]byte) error {
+	if err := d.Disk.Write(first, records); err != nil {
 		return err
 	}
-	lowest, highest, err := g.Bounds()
+	lowest, highest, err := d.Bounds()
 	if err != nil {
 		return err
 	}
 	bytes := 0
 	for i := lowest; i <= highest; i++ {
-		b, err := g.Read(i)
+		b, err := d.Read(i)
 		if err != nil {
 			return err
 		}
 		bytes += len(b)
 	}
-	g.peak.Store(max(g.peak.Load(), int64(bytes)))
+	d.peak.Store(max(d.peak.Load(), int64(bytes)))
 	return nil
 }
 
--- a/internal/disk/memlog/memlog.go
+++ b/internal/disk/memlog/memlog.go
@@ -1,5 +1,5 @@
-// Package memlog is the disk of the simulator. It can lose what was not synced, tear the tail, fill
-// up, corrupt records and be wiped.
+// Package memlog is a disk in memory for the simulator and tests. It can lose what was not synced,
+// tear the tail, fill up, corrupt records and be wiped.
 package memlog
 
 import (
@@ -30,21 +30,21 @@
 	d.full = full
 }
 
-// LosePower drops what was not synced; torn leaves the next record half written.
+// LosePower drops what was not synced. With torn the first unsynced record stays, half written.
 func (d *Disk) LosePower(torn bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	unsynced := int(d.synced + 1 - d.first)
-	if unsynced < 0 || unsynced >= len(d.records) {
+	firstUnsynced := int(d.synced + 1 - d.first)
+	if firstUnsynced < 0 || firstUnsynced >= len(d.records) {
 		return
 	}
-	half := append([]byte(nil), d.records[unsynced]...)
-	d.records = d.records[:unsynced]
+	next := append([]byte(nil), d.records[firstUnsynced]...)
+	d.records = d.records[:firstUnsynced]
 	if torn {
-		for i := len(half) / 2; i < len(half); i++ {
-			half[i] = 0
+		for i := len(next) / 2; i < len(next); i++ {
+			next[i] = 0
 		}
-		d.records = append(d.records, half)
+		d.records = append(d.records, next)
 	}
 }
 
@@ -62,8 +62,8 @@
 	return max(0, len(d.records)-int(d.synced+1-d.first))
 }
 
-// LosePowerAfter drops what was not synced, but for the first keep records. torn leaves the next
-// one half written.
+// LosePowerAfter drops what was not synced, except for the first keep records. With torn the next
+// record stays, half written.
 func (d *Disk) LosePowerAfter(keep int, torn bool) {
 	d.mu.Lock()
 	d.synced += uint64(keep)
@@ -78,7 +78,8 @@
 	d.first, d.records, d.synced = 1, nil, 0
 }
 
-// CorruptRecord flips one bit in a record, counted back from the last one.
+// CorruptRecord flips one bit in the record that is back records before the last one. It reports
+// false if there is no such record.
 func (d *Disk) CorruptRecord(back int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -92,8 +93,9 @@
 	return true
 }
 
-// Counts returns how many records were written and how many syncs were made.
-func (d *Disk) Counts() (wrote, syncs, aside uint64) {
+// Counts returns how many records were written, how many syncs were made, and how many times the
+// disk was set aside.
+func (d *Disk) Counts() (writes, syncs, setAside uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.writes, d.syncs, uint64(d.setAside)
--- a/internal/disk/walog/walog.go
+++ b/internal/disk/walog/walog.go
@@ -1,8 +1,8 @@
 // Package walog stores the log of a journal on disk with tidwall/wal.
 //
-// Invariants: nothing counts as synced, in the side file too, before its segment and the folders
-// that list it were synced. A short last record is truncated, any other damage is reported. A Log
-// is used by one goroutine at a time.
+// Invariants: a record counts as synced, also in the side file, only after its segment and the
+// folders that list the segment were synced. A short last record is truncated, any other damage is
+// reported. A Log is used by one goroutine at a time.
 package walog
 
 import (
@@ -256,12 +256,12 @@
 // SetAside moves a damaged journal away and starts an empty one.
 func (l *Log) SetAside() error {
 	_ = l.Close()
-	for k := 1; ; k++ {
-		to := filepath.Join(l.dir, fmt.Sprintf("damaged-%d", k))
-		if _, err := os.Stat(to); err == nil {
+	for number := 1; ; number++ {
+		target := filepath.Join(l.dir, fmt.Sprintf("damaged-%d", number))
+		if _, err := os.Stat(target); err == nil {
 			continue
 		}
-		if err := os.Rename(l.path(), to); err != nil {
+		if err := os.Rename(l.path(), target); err != nil {
 			return wrap(err, "set the damaged journal aside")
 		}
 		break
--- a/internal/disk/walog/walog_test.go
+++ b/internal/disk/walog/walog_test.go
@@ -48,42 +48,42 @@
 
 func open(t *testing.T, dir string) *fixture {
 	t.Helper()
-	l, err := Open(dir)
+	log, err := Open(dir)
 	assert.NilError(t, err)
-	r := &fixture{t: t, dir: dir, part: &part{}}
-	r.journal, r.report, err = journal.Open(
-		l, clock.Real{}, map[uint16]journal.Part{kind: r.part}, []journal.Part{r.part},
+	f := &fixture{t: t, dir: dir, part: &part{}}
+	f.journal, f.report, err = journal.Open(
+		log, clock.Real{}, map[uint16]journal.Part{kind: f.part}, []journal.Part{f.part},
 	)
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
-		r.journal.Run(ctx)
+		f.journal.Run(ctx)
 		close(done)
 	}()
-	r.stop = func() {
+	f.stop = func() {
 		cancel()
 		<-done
-		assert.NilError(t, l.Close())
+		assert.NilError(t, log.Close())
 	}
-	return r
+	return f
 }
 
-func (r *fixture) put(bodies ...string) {
+func (f *fixture) put(bodies ...string) {
 	for _, body := range bodies {
 		assert.NilError(
-			r.t,
-			r.journal.Put(
-				context.Background(), false, func() { r.part.bodies = append(r.part.bodies, body) },
+			f.t,
+			f.journal.Put(
+				context.Background(), false, func() { f.part.bodies = append(f.part.bodies, body) },
 				journal.Record{Kind: kind, Body: []byte(body)},
 			),
 		)
 	}
 }
 
-func (r *fixture) lastSegment() string {
-	paths, err := segments(filepath.Join(r.dir, "journal"))
-	assert.NilError(r.t, err)
+func (f *fixture) lastSegment() string {
+	paths, err := segments(filepath.Join(f.dir, "journal"))
+	assert.NilError(f.t, err)
 	return paths[len(paths)-1]
 }
 
@@ -95,47 +95,47 @@
 
 func TestTailsAndDamage(t *testing.T) {
 	cases := map[string]struct {
-		damage  func(t *testing.T, r *fixture)
+		damage  func(t *testing.T, f *fixture)
 		want    []string
 		torn    bool
 		damaged bool
 	}{
 		"whole": {func(*testing.T, *fixture) {}, []string{"a", "b", "c"}, false, false},
-		"a short record after the last sync is cut": {func(t *testing.T, r *fixture) {
-			edit(t, r.lastSegment(), func(b []byte) []byte { return append(b, 60, 1, 2, 3) })
+		"a short record after the last sync is cut": {func(t *testing.T, f *fixture) {
+			edit(t, f.lastSegment(), func(b []byte) []byte { return append(b, 60, 1, 2, 3) })
 		}, []string{"a", "b", "c"}, false, false},
-		"a torn record after the last sync is cut": {func(t *testing.T, r *fixture) {
+		"a torn record after the last sync is cut": {func(t *testing.T, f *fixture) {
 			torn := frame.Encode(frame.Frame{Kind: kind, Index: 4, SyncedIndex: 3, Body: []byte("d")})
 			torn[len(torn)-1] ^= 1
-			edit(t, r.lastSegment(), func(b []byte) []byte { return append(append(b, byte(len(torn))), torn...) })
+			edit(t, f.lastSegment(), func(b []byte) []byte { return append(append(b, byte(len(torn))), torn...) })
 		}, []string{"a", "b", "c"}, true, false},
-		"a bit flipped before the last sync is damage": {func(t *testing.T, r *fixture) {
-			edit(t, r.lastSegment(), func(b []byte) []byte { b[len(b)-1] ^= 1; return b })
+		"a bit flipped before the last sync is damage": {func(t *testing.T, f *fixture) {
+			edit(t, f.lastSegment(), func(b []byte) []byte { b[len(b)-1] ^= 1; return b })
 		}, nil, false, true},
-		"a log cut short before the last sync is damage": {func(t *testing.T, r *fixture) {
-			edit(t, r.lastSegment(), func(b []byte) []byte { return b[:len(b)-10] })
+		"a log cut short before the last sync is damage": {func(t *testing.T, f *fixture) {
+			edit(t, f.lastSegment(), func(b []byte) []byte { return b[:len(b)-10] })
 		}, nil, false, true},
-		"the same without the file of the synced index, found by the next record": {func(t *testing.T, r *fixture) {
-			assert.NilError(t, os.Remove(filepath.Join(r.dir, "synced")))
-			edit(t, r.lastSegment(), func(b []byte) []byte { b[frame.Size] ^= 1; return b })
+		"the same without the file of the synced index, found by the next record": {func(t *testing.T, f *fixture) {
+			assert.NilError(t, os.Remove(filepath.Join(f.dir, "synced")))
+			edit(t, f.lastSegment(), func(b []byte) []byte { b[frame.Size] ^= 1; return b })
 		}, nil, false, true},
 	}
 	for name, testCase := range cases {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			r := open(t, dir)
-			r.put("a", "b", "c")
-			r.stop()
-			testCase.damage(t, r)
-			r = open(t, dir)
-			assert.DeepEqual(t, r.part.bodies, testCase.want)
-			assert.Equal(t, r.report.Torn > 0, testCase.torn)
-			assert.Equal(t, r.report.Damaged, testCase.damaged)
-			r.put("e")
-			r.stop()
-			r = open(t, dir)
-			assert.DeepEqual(t, r.part.bodies, append(testCase.want, "e"))
-			r.stop()
+			f := open(t, dir)
+			f.put("a", "b", "c")
+			f.stop()
+			testCase.damage(t, f)
+			f = open(t, dir)
+			assert.DeepEqual(t, f.part.bodies, testCase.want)
+			assert.Equal(t, f.report.Torn > 0, testCase.torn)
+			assert.Equal(t, f.report.Damaged, testCase.damaged)
+			f.put("e")
+			f.stop()
+			f = open(t, dir)
+			assert.DeepEqual(t, f.part.bodies, append(testCase.want, "e"))
+			f.stop()
 			_, err := os.Stat(filepath.Join(dir, "damaged-1"))
 			assert.Equal(t, err == nil, testCase.damaged)
 		})
@@ -228,24 +228,24 @@
 
 func TestManySegmentsAndCompaction(t *testing.T) {
 	dir := t.TempDir()
-	r := open(t, dir)
+	f := open(t, dir)
 	big := make([]byte, 1<<20)
 	for i := range 12 {
 		big[0] = byte(i)
-		r.put(string(big))
+		f.put(string(big))
 	}
-	r.stop()
-	r = open(t, dir)
-	assert.Equal(t, len(r.part.bodies), 12)
-	r.part.bodies = r.part.bodies[11:]
+	f.stop()
+	f = open(t, dir)
+	assert.Equal(t, len(f.part.bodies), 12)
+	f.part.bodies = f.part.bodies[11:]
 	for range 5000 {
 		assert.NilError(
-			t, r.journal.Put(context.Background(), true, nil, journal.Record{Kind: kind + 1, Body: []byte("dead")}),
+			t, f.journal.Put(context.Background(), true, nil, journal.Record{Kind: kind + 1, Body: []byte("dead")}),
 		)
 	}
-	assert.Assert(t, r.journal.Counters().Compactions > 0)
-	r.stop()
-	r = open(t, dir)
-	assert.Equal(t, len(r.part.bodies), 1)
-	r.stop()
+	assert.Assert(t, f.journal.Counters().Compactions > 0)
+	f.stop()
+	f = open(t, dir)
+	assert.Equal(t, len(f.part.bodies), 1)
+	f.stop()
 }
--- a/internal/keylock/locks.go
+++ b/internal/keylock/locks.go
@@ -26,13 +26,13 @@
 
 // LockNumber acquires the lock of a number and returns the function that releases it. Numbers that
 // differ by less than the count of locks never share one. It returns Unreachable if ctx ends
-// before.
+// first.
 func (l *Locks) LockNumber(ctx context.Context, number int) (func(), error) {
 	return l.lock(ctx, number%len(l.locks))
 }
 
 // Lock acquires the lock of a key and returns the function that releases it. It returns Unreachable
-// if ctx ends before.
+// if ctx ends first.
 func (l *Locks) Lock(ctx context.Context, key string) (func(), error) {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(key)) // never fails
@@ -56,7 +56,7 @@
 }
 
 // LockAll acquires every lock and returns the function that releases them. It returns Unreachable
-// if ctx ends before.
+// if ctx ends first.
 func (l *Locks) LockAll(ctx context.Context) (func(), error) {
 	acquired := 0
 	release := func() {
--- a/internal/node/disk.go
+++ b/internal/node/disk.go
@@ -67,7 +67,8 @@
 	return nil
 }
 
-// confirmBootstrap asks the seeds whether they agree to a first voter set.
+// confirmBootstrap returns why this node doesn't agree to a proposed first voter set, nil if it
+// does.
 func (n *Node) confirmBootstrap(set voters.Set) error {
 	ctx, stop := context.WithTimeout(context.Background(), n.timing().CallTimeout())
 	defer stop()
--- a/internal/node/leaders/failover.go
+++ b/internal/node/leaders/failover.go
@@ -44,9 +44,9 @@
 	delete(c.partitions, partition)
 }
 
-// FailOver claims the partitions of a node that failed at a time. The first successor in the
-// assignment record claims a partition immediately, and each further one after another pause. If
-// two nodes claim a partition, one of them wins. FailOver returns immediately, and is called
+// FailOver claims the partitions of a node that failed at the time since. The first successor in
+// the assignment record claims a partition immediately, and each further one after another pause.
+// If two nodes claim a partition, one of them wins. FailOver returns immediately, and is called
 // repeatedly until the node is back. The claims end with ctx.
 func (m *Manager) FailOver(ctx context.Context, node string, since time.Time, reason string) {
 	if m.isClosed() {
@@ -77,7 +77,7 @@
 }
 
 // claim proposes this node as the leader. If that fails, the record is read again, so that the next
-// call starts from its current version. Before that there is a pause, unless the claim failed since
+// call starts from its current version. Before that it pauses, unless the claim failed because
 // another change was made first.
 func (m *Manager) claim(ctx context.Context, record assignment.Record, reason string) {
 	callCtx, cancel := context.WithTimeout(ctx, m.Timing.CallTimeout())
--- a/internal/node/leaders/load.go
+++ b/internal/node/leaders/load.go
@@ -8,9 +8,9 @@
 const (
 	// bytesPerMessage is how many bytes of bodies count as one additional message.
 	bytesPerMessage = 1024
-	// minSampleFraction determines the shortest time that a sample covers: the smoothing time
-	// divided by it.
-	minSampleFraction = 10
+	// minSampleDivisor divides the smoothing time. The result is the shortest time that a sample
+	// covers.
+	minSampleDivisor = 10
 )
 
 // loadSample is the load of a partition at a time, under one epoch.
@@ -55,14 +55,14 @@
 	return m.loads[id]
 }
 
-// next returns the sample that follows s, smoothed over a time. It starts anew under another epoch,
-// and returns s if too little time has passed.
+// next returns the sample that follows s, whose rate is smoothed over the time smoothing. It starts
+// anew under another epoch, and returns s if too little time has passed.
 func (s loadSample) next(epoch uint64, total float64, now time.Time, smoothing time.Duration) loadSample {
 	elapsed := now.Sub(s.at)
 	if s.epoch != epoch {
 		return loadSample{at: now, total: total, epoch: epoch}
 	}
-	if elapsed < smoothing/minSampleFraction {
+	if elapsed < smoothing/minSampleDivisor {
 		return s
 	}
 	rate := (total - s.total) / elapsed.Seconds()
--- a/internal/node/leaders/load_test.go
+++ b/internal/node/leaders/load_test.go
@@ -15,7 +15,7 @@
 	first := loadSample{}.next(4, 50, start, smoothing)
 	assert.Equal(t, first, loadSample{at: start, total: 50, epoch: 4})
 
-	tooSoon := first.next(4, 80, start.Add(smoothing/minSampleFraction-1), smoothing)
+	tooSoon := first.next(4, 80, start.Add(smoothing/minSampleDivisor-1), smoothing)
 	assert.Equal(t, tooSoon, first)
 
 	second := first.next(4, 150, start.Add(10*time.Second), smoothing)
--- a/internal/node/leaders/manager.go
+++ b/internal/node/leaders/manager.go
@@ -1,9 +1,10 @@
 // Package leaders runs the partition leaders that the assignment records assign to this node.
 //
 // Manager watches the assignment records. It starts a leader for each new epoch that names this
-// node, passes later versions of the record to the running leader, and lets it resign when a higher
-// epoch names another node. It changes records only for partitions that this node leads, is a
-// successor for, or is named for. Each change builds on the version and the epoch that were read.
+// node, passes later versions of the record to the running leader, and makes it resign when a
+// higher epoch names another node. It changes the records only of partitions that this node leads,
+// is a successor for, or has a replica of. Each change builds on the version and the epoch that
+// were read.
 //
 // Invariants: at most one leader of a partition runs on this node. No leader is started under an
 // epoch that this disk was used with in an earlier run, since the promises of that run are not
@@ -128,7 +129,8 @@
 	stepUpdate
 	// stepStart: the new leader replaces the previous one, if any.
 	stepStart
-	// stepRenew: this disk was used with the epoch before, so a new epoch has to be requested.
+	// stepRenew: this disk was used with the epoch in an earlier run, so a new epoch has to be
+	// requested.
 	stepRenew
 	// stepStop: another node leads under a higher epoch.
 	stepStop
@@ -223,8 +225,8 @@
 }
 
 // tryRenewEpoch reads the record, and requests a new epoch if it names this node although no leader
-// runs. It returns false until the record was read, and changed if needed, since no other node
-// would notice.
+// runs. It returns false unless the record was read, and changed if needed. The caller has to retry
+// then, since no other node notices that no leader runs.
 func (m *Manager) tryRenewEpoch(ctx context.Context, id int) bool {
 	ctx, cancel := context.WithTimeout(ctx, m.Timing.TakeoverTimeout())
 	defer cancel()
--- a/internal/node/lifecycle.go
+++ b/internal/node/lifecycle.go
@@ -112,7 +112,7 @@
 	return ok && info.Incarnation == r.Incarnation && info.DiskHealth == "" && info.Stage == membership.Serving
 }
 
-// proposerSuccessors lists the control nodes without partitions that may take over control keys.
+// proposerSuccessors lists the other control nodes that serve, which may take over control keys.
 func (n *Node) proposerSuccessors() []string {
 	var names []string
 	for _, info := range n.memberTable.Live() {
--- a/internal/operator/orderlog/log_test.go
+++ b/internal/operator/orderlog/log_test.go
@@ -30,9 +30,9 @@
 	for _, order := range []Order{newOrder(4, 5, "a"), newOrder(5, 900, "b"), newOrder(900, 901, "c")} {
 		log = log.Append(order)
 	}
-	got, err := Parse(log.Marshal())
+	decoded, err := Parse(log.Marshal())
 	assert.NilError(t, err)
-	assert.DeepEqual(t, got, log)
+	assert.DeepEqual(t, decoded, log)
 	empty, err := Parse(Log{}.Marshal())
 	assert.NilError(t, err)
 	assert.DeepEqual(t, empty, Log{})
@@ -54,9 +54,9 @@
 func TestAppend_ForgetsTheOldestAndSaysSo(t *testing.T) {
 	log := Log{}
 	var orders []Order
-	for n := uint64(0); n < MaxOrders+10; n++ {
-		orders = append(orders, newOrder(n, n+1, fmt.Sprint(n)))
-		log = log.Append(orders[n])
+	for base := uint64(0); base < MaxOrders+10; base++ {
+		orders = append(orders, newOrder(base, base+1, fmt.Sprint(base)))
+		log = log.Append(orders[base])
 	}
 	assert.Equal(t, len(log.Orders), MaxOrders)
 	for i, order := range orders {
--- a/internal/operator/orderlog/model_test.go
+++ b/internal/operator/orderlog/model_test.go
@@ -18,42 +18,42 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		var log Log
-		var all []Order
+		var orders []Order
 		if rapid.Bool().Draw(t, "nearly full") {
-			log, all = full, slices.Clone(full.Orders)
+			log, orders = full, slices.Clone(full.Orders)
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"an order is accepted": func(t *rapid.T) {
 				base := uint64(0)
-				if len(all) > 0 {
-					base = all[len(all)-1].Sequence
+				if len(orders) > 0 {
+					base = orders[len(orders)-1].Sequence
 				}
 				rise := rapid.Uint64Range(1, 1<<40).Draw(t, "rise")
-				accepted := newOrder(base, base+rise, fmt.Sprint("accepted ", len(all)))
-				all = append(all, accepted)
+				accepted := newOrder(base, base+rise, fmt.Sprint("accepted ", len(orders)))
+				orders = append(orders, accepted)
 				log = log.Append(accepted)
 			},
 			"": func(t *rapid.T) {
-				read, err := Parse(log.Marshal())
+				decoded, err := Parse(log.Marshal())
 				if err != nil {
 					t.Fatal(err)
 				}
-				if !slices.Equal(read.Orders, log.Orders) || read.ForgottenThrough != log.ForgottenThrough {
+				if !slices.Equal(decoded.Orders, log.Orders) || decoded.ForgottenThrough != log.ForgottenThrough {
 					t.Fatal("the decoded log differs from the encoded one")
 				}
-				remembered := all[max(0, len(all)-MaxOrders):]
+				remembered := orders[max(0, len(orders)-MaxOrders):]
 				if len(log.Orders) != len(remembered) {
 					t.Fatalf("%d orders are contained, want %d", len(log.Orders), len(remembered))
 				}
-				forgotten := len(all) - len(remembered)
-				for _, i := range []int{0, forgotten - 1, forgotten, len(all) - 1} {
-					if i < 0 || i >= len(all) {
+				forgotten := len(orders) - len(remembered)
+				for _, i := range []int{0, forgotten - 1, forgotten, len(orders) - 1} {
+					if i < 0 || i >= len(orders) {
 						continue
 					}
 					contained := i >= forgotten
-					if log.Contains(all[i]) != contained || log.Covers(all[i]) != contained {
+					if log.Contains(orders[i]) != contained || log.Covers(orders[i]) != contained {
 						t.Fatalf("order %d of %d: contained %v, covered %v",
-							i, len(all), log.Contains(all[i]), log.Covers(all[i]))
+							i, len(orders), log.Contains(orders[i]), log.Covers(orders[i]))
 					}
 				}
 			},
--- a/internal/operator/submit.go
+++ b/internal/operator/submit.go
@@ -33,22 +33,22 @@
 type SubmitResponse struct{}
 
 // SetParser sets the Parser for the documents that other nodes forward to this one.
-func (s *Service) SetParser(reader Parser) { s.parser.Store(&reader) }
+func (s *Service) SetParser(parser Parser) { s.parser.Store(&parser) }
 
-// Submit replaces the configuration with an operator's own document, read by the Parser. It
+// Submit replaces the configuration with an operator's own document, which parse reads. It
 // continues for the time of an operator's call after ctx has ended, since an order whose outcome is
 // unknown helps no one. A node without a control disk forwards the document to a control node,
 // since processing it takes a hundred times the work of a message, and memory of several times the
 // document's size. If the control node doesn't answer, this node makes the change itself. The
 // change has the same ID at every node, so it is made only once. Submit fails like Replace.
-func (s *Service) Submit(ctx context.Context, document []byte, base uint64, read Parser) error {
+func (s *Service) Submit(ctx context.Context, document []byte, base uint64, parse Parser) error {
 	ctx, cancel := s.withDeadline(context.WithoutCancel(ctx))
 	defer cancel()
 	uncertain, err := s.forward(ctx, document, base)
 	if err == nil || rejectedCodes[apierror.From(err).Code] {
 		return err
 	}
-	return s.readAndReplace(ctx, document, base, uncertain, read)
+	return s.parseAndReplace(ctx, document, base, uncertain, parse)
 }
 
 // rejectedCodes are the codes after which the control node certainly changed nothing and never
@@ -72,10 +72,10 @@
 	return sent && !apierror.HasCode(err, apierror.NotReady), err
 }
 
-func (s *Service) readAndReplace(
-	ctx context.Context, document []byte, base uint64, uncertain bool, read Parser,
+func (s *Service) parseAndReplace(
+	ctx context.Context, document []byte, base uint64, uncertain bool, parse Parser,
 ) error {
-	config, err := read(document, base)
+	config, err := parse(document, base)
 	if err != nil {
 		return err
 	}
@@ -90,8 +90,8 @@
 
 // handleSubmit processes a document that another node forwarded.
 func (s *Service) handleSubmit(ctx context.Context, request *SubmitRequest) (*SubmitResponse, error) {
-	read := s.parser.Load()
-	if read == nil {
+	parse := s.parser.Load()
+	if parse == nil {
 		return nil, apierror.New(apierror.NotReady, "this node doesn't accept documents")
 	}
 	document, err := inflate(request.Doc)
@@ -100,7 +100,7 @@
 	}
 	ctx, cancel := s.withDeadline(context.WithoutCancel(ctx))
 	defer cancel()
-	if err := s.readAndReplace(ctx, document, request.Base, false, *read); err != nil {
+	if err := s.parseAndReplace(ctx, document, request.Base, false, *parse); err != nil {
 		return nil, err
 	}
 	return &SubmitResponse{}, nil
--- a/internal/placement/controller/balance.go
+++ b/internal/placement/controller/balance.go
@@ -43,9 +43,9 @@
 }
 
 // bestMove returns the move of a partition from source to a target that results in the lowest load
-// on the more loaded of the two, and that load. It returns the load of source if no move lowers it.
-// Nothing is moved while any replica of a steady partition that source leads can't lead: it must be
-// possible to move the leader back.
+// on the more loaded of the two, and that load. It returns the load of source if no move lowers it,
+// or if some steady partition that source leads has a replica that can't lead: it must be possible
+// to move the leader back.
 func (c *Controller) bestMove(
 	view *clusterView, source *machine,
 ) (best assignment.Record, target *machine, highest float64) {
--- a/internal/placement/controller/leadership_test.go
+++ b/internal/placement/controller/leadership_test.go
@@ -22,7 +22,7 @@
 // Tests each reason for replacing a leader, and the condition just before it that is no reason yet.
 func TestReplaceLeader_Reasons(t *testing.T) {
 	timing := settings.DefaultTiming
-	half := timing.SessionTimeout() / 2
+	halfSession := timing.SessionTimeout() / 2
 	for _, test := range []struct {
 		name   string
 		set    func(*situation)
@@ -55,20 +55,20 @@
 		}, "the owner is stopping", false},
 		{"without a lease for less than half a session timeout", func(s *situation) {
 			s.view.machines["s1"].Isolated = true
-			s.controller.leaselessSince["s1"] = s.view.now.Add(time.Millisecond - half)
+			s.controller.leaselessSince["s1"] = s.view.now.Add(time.Millisecond - halfSession)
 		}, "", false},
 		{"without a lease", func(s *situation) {
-			s.view.machines["s1"].Isolated, s.controller.leaselessSince["s1"] = true, s.view.now.Add(-half)
+			s.view.machines["s1"].Isolated, s.controller.leaselessSince["s1"] = true, s.view.now.Add(-halfSession)
 		}, "the owner has no licence", false},
 		{"slow for less than half a session timeout", func(s *situation) {
-			s.view.machines["s1"].slow, s.view.machines["s1"].slowFor = true, half-time.Millisecond
+			s.view.machines["s1"].slow, s.view.machines["s1"].slowFor = true, halfSession-time.Millisecond
 		}, "", false},
 		{"slow", func(s *situation) {
-			s.view.machines["s1"].slow, s.view.machines["s1"].slowFor = true, half
+			s.view.machines["s1"].slow, s.view.machines["s1"].slowFor = true, halfSession
 		}, "the owner is slow", false},
 		{"slow, as all others are", func(s *situation) {
 			for _, m := range s.view.machines {
-				m.slow, m.slowFor = true, half
+				m.slow, m.slowFor = true, halfSession
 			}
 		}, "", false},
 		{"being decommissioned", func(s *situation) {
--- a/internal/placement/controller/replicas.go
+++ b/internal/placement/controller/replicas.go
@@ -100,7 +100,7 @@
 }
 
 // worstReplica returns the index of the replica to be replaced and the reason, or -1 if no replica
-// has a fault. A replica that is not usable is preferred to one that is.
+// has a fault. A replica that is not usable is replaced before one that is.
 func (c *Controller) worstReplica(view *clusterView, record assignment.Record) (worst int, reason string) {
 	worst = -1
 	for i, replica := range record.Replicas {
--- a/internal/quorum/gather_test.go
+++ b/internal/quorum/gather_test.go
@@ -9,8 +9,8 @@
 	"postjunction/internal/apierror"
 )
 
-// Targets that don't answer in time must be errors. A seal that no replica answered in time once
-// returned no results and no error, and counted as a majority.
+// Targets that don't answer in time must be errors. Otherwise a seal that no replica answers in
+// time returns no results and no error, and counts as a majority.
 func TestGather_TargetsThatDoNotAnswerAreErrors(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	results := Gather(ctx, []int{1, 2, 3}, func(ctx context.Context, target int) (string, error) {
