--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -150,11 +150,11 @@
 		}
 		o.dir = dir
 	}
-	full, err := filepath.Abs(o.dir)
+	absDir, err := filepath.Abs(o.dir)
 	if err != nil {
 		return apierror.Wrap(apierror.Usage, err, "folder %s", o.dir)
 	}
-	o.dir = full
+	o.dir = absDir
 	if err := os.MkdirAll(o.dir, 0o750); err != nil {
 		return apierror.Wrap(apierror.Usage, err, "folder %s", o.dir)
 	}
--- a/cmd/fleet/soak.go
+++ b/cmd/fleet/soak.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	keep := opts.dir != ""
+	keepFiles := opts.dir != ""
 	if err := opts.prepare(); err != nil {
 		return err
 	}
@@ -80,25 +80,25 @@
 	if len(report.Violations) > 0 {
 		return apierror.New(apierror.Internal, "%d violations, files under %s", len(report.Violations), opts.dir)
 	}
-	if !keep {
+	if !keepFiles {
 		return os.RemoveAll(opts.dir)
 	}
 	return nil
 }
 
-func (o *soakOptions) run(ctx context.Context) (*fleet.SoakReport, error) {
+func (opts *soakOptions) run(ctx context.Context) (*fleet.SoakReport, error) {
 	var editErr error
 	edit := func(node *settings.Options) {
 		if err := fleet.ListenForClients(node); err != nil {
 			editErr = err
 		}
 	}
-	deployment, err := fleet.New(o.bin, o.dir, fleet.SoakSite(o.processes), 0, false, edit)
+	deployment, err := fleet.New(opts.bin, opts.dir, fleet.SoakSite(opts.processes), 0, false, edit)
 	if err != nil || editErr != nil {
 		return nil, errors.Join(err, editErr)
 	}
 	defer deployment.Stop()
-	report, err := o.soak.Run(ctx, deployment)
+	report, err := opts.soak.Run(ctx, deployment)
 	if err != nil {
 		return nil, err
 	}
@@ -106,5 +106,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return report, os.WriteFile(filepath.Join(o.dir, "report.json"), append(encoded, '\n'), 0o640)
+	return report, os.WriteFile(filepath.Join(opts.dir, "report.json"), append(encoded, '\n'), 0o640)
 }
--- a/internal/client/admission/admission.go
+++ b/internal/client/admission/admission.go
@@ -38,8 +38,8 @@
 	shed      map[Lane]uint64
 }
 
-// streamsPerCall is how many streams are admitted for each call that is, since an idle stream costs
-// little.
+// A lane of streams has streamsPerCall times the limit of a lane of calls, since an idle stream
+// costs little.
 const streamsPerCall = 8
 
 // New returns a limiter that admits up to limit calls in each lane.
--- a/internal/client/policies.go
+++ b/internal/client/policies.go
@@ -92,8 +92,9 @@
 	return next(ctx, request)
 }
 
-// rejectCallNumber rejects an admitted call by what is known of its number. The rejections of the
-// policies before it depend only on the node and its current state.
+// rejectCallNumber replaces the error of an admitted call by what is known of its call number
+// (router.RejectCallNumber). The rejections of the policies before this one depend only on the node
+// and its current state.
 func (s *Service) rejectCallNumber(ctx context.Context, request *Request, next callpolicy.Next[*Request]) error {
 	return router.RejectCallNumber(next(ctx, request))
 }
--- a/internal/client/request.go
+++ b/internal/client/request.go
@@ -77,9 +77,9 @@
 	Duplicate bool   `json:"repeat"`
 }
 
-// Withdrawal is the response to withdraw: the offset of its tombstone, and that no node delivers
-// the messages that it covers any more. GivenUp names nodes that sent nothing for so long that they
-// have disconnected their clients.
+// Withdrawal is the response to withdraw. It has the offset of the tombstone, and confirms that no
+// node delivers the covered messages any longer. GivenUp names nodes that sent nothing for so long
+// that they have disconnected their clients.
 type Withdrawal struct {
 	Topic            string   `json:"topic"`
 	Key              string   `json:"key"`
--- a/internal/client/session/balance.go
+++ b/internal/client/session/balance.go
@@ -14,8 +14,8 @@
 	// scarceMilliCores is the limit of processor below which a node serves only a fraction of the
 	// clients that connect to it.
 	scarceMilliCores = 100
-	// controlNodeDivisor: a control node has this fraction of its processor for clients, since the
-	// whole fleet waits for the rest of its work.
+	// controlNodeDivisor divides the processor of a control node. The quotient is for clients. The
+	// rest is for work that the whole fleet waits for.
 	controlNodeDivisor = 2
 )
 
@@ -29,15 +29,15 @@
 	targets      []target
 }
 
-// target is a node with more processor than the mean, and its upper bound, from 0 to 1, on the
-// scale of the surplus of all such nodes.
+// target is a node with more processor than the mean. The range of 0 to 1 is divided among the
+// targets by their surplus. A target's part of it ends at upperBound.
 type target struct {
 	address    string
 	upperBound float64
 }
 
-// computeBalance returns the fraction of its new clients that a node serves itself and the nodes
-// that the others are redirected to. It assumes that the nodes of a zone get equally many new
+// computeBalance returns the fraction of its new clients that a node serves itself, and the nodes
+// that the other clients are redirected to. It assumes that the nodes of a zone get equally many new
 // clients.
 func computeBalance(self membership.Info, members []membership.Info) (keepFraction float64, targets []target) {
 	if self.MilliCores == 0 || self.MilliCores >= scarceMilliCores {
--- a/internal/client/session/balance_test.go
+++ b/internal/client/session/balance_test.go
@@ -11,7 +11,7 @@
 )
 
 func zoneMembers(big, small int) []membership.Info {
-	var all []membership.Info
+	var members []membership.Info
 	for i := range big + small {
 		member := membership.Info{
 			Name:       fmt.Sprintf("a%d", i),
@@ -23,9 +23,9 @@
 		if i < big {
 			member.MilliCores = 352
 		}
-		all = append(all, member)
+		members = append(members, member)
 	}
-	return append(all, membership.Info{
+	return append(members, membership.Info{
 		Name:       "far",
 		Zone:       "y",
 		ClientAddr: "10.1.0.1:1",
@@ -38,23 +38,23 @@
 // All nodes of a zone get equally many new clients; once the nodes with scarce processor have
 // redirected their surplus, each node has sessions in proportion to its processor.
 func TestClientsAreBalancedByProcessor(t *testing.T) {
-	all := zoneMembers(2, 17)
-	got, sum := map[string]float64{}, 0
-	for _, self := range all[:19] {
+	members := zoneMembers(2, 17)
+	shares, sum := map[string]float64{}, 0
+	for _, self := range members[:19] {
 		sum += self.MilliCores
-		keepFraction, targets := computeBalance(self, all)
-		got[self.ClientAddr] += keepFraction
+		keepFraction, targets := computeBalance(self, members)
+		shares[self.ClientAddr] += keepFraction
 		lower := 0.0
 		for _, target := range targets {
-			got[target.address] += (1 - keepFraction) * (target.upperBound - lower)
+			shares[target.address] += (1 - keepFraction) * (target.upperBound - lower)
 			lower = target.upperBound
 		}
 		if len(targets) > 0 {
 			assert.Equal(t, lower, 1.0)
 		}
 	}
-	for _, member := range all[:19] {
-		share, want := got[member.ClientAddr]/19, float64(member.MilliCores)/float64(sum)
+	for _, member := range members[:19] {
+		share, want := shares[member.ClientAddr]/19, float64(member.MilliCores)/float64(sum)
 		assert.Assert(
 			t, share > 0.99*want && share < 1.01*want, "%s has %.3f of the clients and %.3f of the processor",
 			member.Name, share, want,
@@ -63,24 +63,24 @@
 }
 
 func TestComputeBalance_KeepsAllClients(t *testing.T) {
-	all := zoneMembers(2, 17)
-	for name, change := range map[string]func(self *membership.Info, all []membership.Info){
+	zone := zoneMembers(2, 17)
+	for name, change := range map[string]func(self *membership.Info, members []membership.Info){
 		"plenty": func(self *membership.Info, _ []membership.Info) {
 			self.MilliCores = scarceMilliCores
 		},
 		"not known":           func(self *membership.Info, _ []membership.Info) { self.MilliCores = 0 },
 		"no peer in the zone": func(self *membership.Info, _ []membership.Info) { self.Zone = "x" },
-		"the others drain": func(_ *membership.Info, all []membership.Info) {
-			all[0].Stage, all[1].Stage = "leaving", "leaving"
+		"the others drain": func(_ *membership.Info, members []membership.Info) {
+			members[0].Stage, members[1].Stage = "leaving", "leaving"
 		},
-		"the others are isolated": func(_ *membership.Info, all []membership.Info) {
-			all[0].Isolated, all[1].Isolated = true, true
+		"the others are isolated": func(_ *membership.Info, members []membership.Info) {
+			members[0].Isolated, members[1].Isolated = true, true
 		},
-		"the others have as much": func(_ *membership.Info, all []membership.Info) {
-			all[0].MilliCores, all[1].MilliCores = 32, 32
+		"the others have as much": func(_ *membership.Info, members []membership.Info) {
+			members[0].MilliCores, members[1].MilliCores = 32, 32
 		},
 	} {
-		members := append([]membership.Info(nil), all...)
+		members := append([]membership.Info(nil), zone...)
 		self := members[5]
 		change(&self, members)
 		keepFraction, targets := computeBalance(self, members)
@@ -92,9 +92,9 @@
 // subscription is opened for it here.
 func TestNewClientIsRedirectedBeforeItAttaches(t *testing.T) {
 	withSession(t, func(t *testing.T, fixture *fixture, session *Session) {
-		all := zoneMembers(1, 9)
-		self := all[3]
-		fixture.Info, fixture.Members = func() membership.Info { return self }, func() []membership.Info { return all }
+		zone := zoneMembers(1, 9)
+		self := zone[3]
+		fixture.Info, fixture.Members = func() membership.Info { return self }, func() []membership.Info { return zone }
 		time.Sleep(fixture.Timing.HeartbeatInterval())
 		session.Do(Request{Verb: Unsubscribe, Topic: "a"})
 		assert.DeepEqual(t, fixture.takeResponses(), []string{"left a"})
@@ -106,7 +106,7 @@
 			case "attached":
 				served++
 				continue
-			case "moved " + all[0].ClientAddr:
+			case "moved " + zone[0].ClientAddr:
 				redirected++
 			default:
 				t.Fatal(response)
@@ -126,23 +126,23 @@
 // none states it.
 func TestWeightedRoundRobin_FollowsProcessor(t *testing.T) {
 	count := func(members []membership.Info, calls int) map[string]int {
-		got, next := map[string]int{}, weightedRoundRobin(members)
+		counts, next := map[string]int{}, weightedRoundRobin(members)
 		for range calls {
-			got[next().ClientAddr]++
+			counts[next().ClientAddr]++
 		}
-		return got
+		return counts
 	}
 	members := zoneMembers(2, 3)[:5]
-	got := count(members, 800)
+	counts := count(members, 800)
 	for _, member := range members {
 		want := 800 * member.MilliCores / (2*352 + 3*32)
 		assert.Assert(
-			t, got[member.ClientAddr] >= want-1 && got[member.ClientAddr] <= want+1, "%s got %d, not %d",
-			member.Name, got[member.ClientAddr], want,
+			t, counts[member.ClientAddr] >= want-1 && counts[member.ClientAddr] <= want+1, "%s got %d, not %d",
+			member.Name, counts[member.ClientAddr], want,
 		)
 	}
-	for member := range members {
-		members[member].MilliCores = 0
+	for i := range members {
+		members[i].MilliCores = 0
 	}
 	for address, calls := range count(members, 100) {
 		assert.Assert(t, calls >= 19 && calls <= 21, "%s got %d of 100 among five", address, calls)
--- a/internal/client/session/protocol.go
+++ b/internal/client/session/protocol.go
@@ -97,12 +97,12 @@
 // Buffer holds responses until they are written to the client. What is being written can be dropped
 // only by closing the connection.
 type Buffer interface {
-	// Withdraw drops the messages of a partition that are covered; it closes the connection if it
-	// must.
+	// Withdraw drops the messages of a partition that are covered. It closes the connection if one
+	// of them is being written.
 	Withdraw(partition int, covered fanout.WithdrawnFunc)
 	// Drop drops the messages of a topic that have keys.
 	Drop(topic string)
 	// Release drops the messages of a partition that have keys and reports whether none is left. It
-	// closes the connection only if cut is set.
-	Release(partition int, cut bool) bool
+	// closes the connection only if closeConnection is set.
+	Release(partition int, closeConnection bool) bool
 }
--- a/internal/client/session/registry.go
+++ b/internal/client/session/registry.go
@@ -53,7 +53,7 @@
 	// mu guards the fields below, up to balance.
 	mu       sync.Mutex
 	sessions map[*Session]bool
-	// buffers have responses that are not written yet; a buffer outlasts its session.
+	// buffers have responses that are not written yet. A buffer may remain after its session ended.
 	buffers map[Buffer]bool
 	index   *configuration.Index
 	// nextTarget returns in turn the nodes that this node's clients are redirected to; it is nil
@@ -88,7 +88,7 @@
 	}
 }
 
-// NewSession opens a session. Its responses go to out, which must not block.
+// NewSession opens a session. Its responses go to sink, which must not block.
 func (r *Registry) NewSession(sink Sink) *Session {
 	session := &Session{registry: r, sink: sink, subscriptions: map[string]*fanout.Subscription{}}
 	r.mu.Lock()
@@ -113,11 +113,11 @@
 }
 
 // Release makes all buffers drop the messages of a partition that have keys, and reports whether
-// none is left.
-func (r *Registry) Release(partition int, cut bool) bool {
+// none is left. It closes connections only if closeConnections is set.
+func (r *Registry) Release(partition int, closeConnections bool) bool {
 	released := true
 	for _, buffer := range r.allBuffers() {
-		released = buffer.Release(partition, cut) && released
+		released = buffer.Release(partition, closeConnections) && released
 	}
 	return released
 }
@@ -127,10 +127,10 @@
 func (r *Registry) refresh() {
 	index := r.Store.Index()
 	r.mu.Lock()
-	same := index.AgreesWith(r.index)
+	unchanged := index.AgreesWith(r.index)
 	r.index = index
 	r.mu.Unlock()
-	if same {
+	if unchanged {
 		return
 	}
 	for _, session := range r.allSessions() {
@@ -158,21 +158,21 @@
 func (r *Registry) allSessions() []*Session {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	all := make([]*Session, 0, len(r.sessions))
+	sessions := make([]*Session, 0, len(r.sessions))
 	for session := range r.sessions {
-		all = append(all, session)
+		sessions = append(sessions, session)
 	}
-	return all
+	return sessions
 }
 
 func (r *Registry) allBuffers() []Buffer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	all := make([]Buffer, 0, len(r.buffers))
+	buffers := make([]Buffer, 0, len(r.buffers))
 	for buffer := range r.buffers {
-		all = append(all, buffer)
+		buffers = append(buffers, buffer)
 	}
-	return all
+	return buffers
 }
 
 // checkAvailable returns an error while this node drains or has no lease.
--- a/internal/client/session/session.go
+++ b/internal/client/session/session.go
@@ -22,7 +22,7 @@
 type Session struct {
 	registry *Registry
 	sink     Sink
-	// name is the client's, empty until it has attached.
+	// name is the client's name, empty until the client has attached.
 	name   string
 	buffer Buffer
 
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// setCallbacks makes the events of a subscription responses of the session.
+// setCallbacks sets callbacks that send the events of a subscription as responses of the session.
 func (s *Session) setCallbacks(subscription *fanout.Subscription, request Request) {
 	fleet, partition := s.registry.Store.VoterSet().Fleet, subscription.Partition()
 	subscription.OnOpen = func(offset uint64, err error) {
@@ -253,8 +253,8 @@
 	return s.subscriptions[topic]
 }
 
-// drop ends a subscription. One that has not been answered yet is rejected with err unless that is
-// nil.
+// drop ends a subscription. If the request for it has not been answered yet, it is rejected with
+// err, unless err is nil.
 func (s *Session) drop(topic string, err error) {
 	s.mu.Lock()
 	subscription := s.subscriptions[topic]
--- a/internal/client/session/session_test.go
+++ b/internal/client/session/session_test.go
@@ -251,16 +251,16 @@
 		second.Do(Request{Verb: Subscribe, Topic: "live/a"})
 		time.Sleep(100 * time.Millisecond)
 		fixture.takeResponses()
-		given := false
+		hasPolled := false
 		entry := func(topic string, offset uint64) log.Entry {
 			return log.Entry{Type: log.TypeMessage, Topic: topic, Client: "x", CallSeq: offset, Offset: offset}
 		}
 		fixture.leaders.mu.Lock()
 		fixture.leaders.onPoll = func(request *leader.PollRequest) *leader.PollResponse {
-			if given {
+			if hasPolled {
 				return nil
 			}
-			given = true
+			hasPolled = true
 			return &leader.PollResponse{
 				Epoch:   1,
 				Base:    40,
--- a/internal/client/session/withdraw_test.go
+++ b/internal/client/session/withdraw_test.go
@@ -97,14 +97,14 @@
 }
 
 func TestWithdrawalsAreAnswered(t *testing.T) {
-	ask := Request{Verb: Withdraw, Topic: "kept/a", Key: "k", CallSeq: 7}
+	request := Request{Verb: Withdraw, Topic: "kept/a", Key: "k", CallSeq: 7}
 	cases := map[string]struct {
 		partitionLog *fakePartitionLog
 		request      Request
 		want         []string
 	}{
 		"no reader": {
-			&fakePartitionLog{decide: accept, pending: noPendingReaders}, ask, []string{"0: forgotten kept/a 7 k"},
+			&fakePartitionLog{decide: accept, pending: noPendingReaders}, request, []string{"0: forgotten kept/a 7 k"},
 		},
 		"again": {
 			&fakePartitionLog{decide: accept, pending: noPendingReaders},
@@ -116,29 +116,29 @@
 				return &leader.PendingReaders{Nodes: []string{"a2"}}, nil
 			}
 			return &leader.PendingReaders{GivenUp: []string{"a3"}}, nil
-		}}, ask, []string{"1025: forgotten kept/a 7 k without a3"}},
+		}}, request, []string{"1025: forgotten kept/a 7 k without a3"}},
 		"never": {
 			&fakePartitionLog{decide: accept, pending: func(int) (*leader.PendingReaders, error) {
 				return &leader.PendingReaders{Nodes: []string{"a2", "a4"}, GivenUp: []string{"a3"}}, nil
-			}}, ask,
+			}}, request,
 			[]string{"1200: turned kept/a 7 k without a3 withdraw withdrawal_open " +
 				"(the messages under k were withdrawn; a2, a4 did not confirm having read past it)"},
 		},
 		"no answer": {
 			&fakePartitionLog{decide: accept, pending: func(int) (*leader.PendingReaders, error) {
 				return nil, apierror.New(apierror.NoPartitionLeader, "no leader")
-			}}, ask,
+			}}, request,
 			[]string{"1200: turned kept/a 7 k withdraw withdrawal_open " +
 				"(the messages under k were withdrawn; the pending readers could not be queried)"},
 		},
 		"not accepted": {
 			&fakePartitionLog{decide: func(*leader.Message) (*leader.Decision, error) {
 				return nil, apierror.New(apierror.KeyUnknown, "nothing there")
-			}}, ask,
+			}}, request,
 			[]string{"0: turned kept/a 7 withdraw key_unknown (nothing there)"},
 		},
 		"an older build": {
-			&fakePartitionLog{keysErr: apierror.New(apierror.NotReady, "a2 knows no keys")}, ask,
+			&fakePartitionLog{keysErr: apierror.New(apierror.NotReady, "a2 knows no keys")}, request,
 			[]string{"0: turned kept/a 7 withdraw not_ready (a2 knows no keys)"},
 		},
 		"a send to an older build": {
@@ -262,8 +262,8 @@
 
 func (b *fakeBuffer) Drop(topic string) { b.add("drop %s", topic) }
 
-func (b *fakeBuffer) Release(partition int, cut bool) bool {
-	b.add("release %d cut=%t", partition, cut)
+func (b *fakeBuffer) Release(partition int, closeConnection bool) bool {
+	b.add("release %d cut=%t", partition, closeConnection)
 	return true
 }
 
@@ -288,17 +288,17 @@
 		second.End()
 		assert.DeepEqual(t, unsubscribed.takeCalls(), []string{"drop kept/a"})
 		assert.DeepEqual(t, ended.takeCalls(), []string{"drop kept/a"})
-		next := uint64(20)
+		offset := uint64(20)
 		fixture.leaders.mu.Lock()
 		fixture.leaders.onPoll = func(*leader.PollRequest) *leader.PollResponse {
-			if next++; next > 22 {
+			if offset++; offset > 22 {
 				return nil
 			}
 			return &leader.PollResponse{
 				Epoch: 1,
-				To:    next,
+				To:    offset,
 				Entries: []log.Entry{
-					{Type: log.TypeWithdrawal, Topic: "kept/a", Key: "k", Client: "c", CallSeq: next, Offset: next},
+					{Type: log.TypeWithdrawal, Topic: "kept/a", Key: "k", Client: "c", CallSeq: offset, Offset: offset},
 				},
 			}
 		}
--- a/internal/client/stream.go
+++ b/internal/client/stream.go
@@ -27,7 +27,8 @@
 	feed      *stream.Feed
 	// liveFrom is the offset up to which live messages are not delivered.
 	liveFrom uint64
-	// window is what is left to deliver; while isFetching the next one comes over fetched.
+	// window has the entries that are still to be delivered. While isFetching is set, the next
+	// window comes over fetched.
 	window     stream.Window
 	isFetching bool
 	fetched    chan fetchResult
@@ -48,13 +49,13 @@
 	service *Service
 	request *Request
 	fleet   string
-	// topics are the followed topics, urgentTopics whether each is urgent, partitions the partition
-	// of each.
+	// topics are the topics that are still followed. urgentTopics has whether each topic is urgent,
+	// partitions the partition of each.
 	topics       map[string]bool
 	urgentTopics map[string]bool
 	partitions   map[string]int
-	// resumeFrom is the cursor at which the stream resumes, positions the offsets that it has
-	// delivered since.
+	// resumeFrom is the cursor at which the stream resumes. positions are the offsets that it has
+	// reached in the open partitions.
 	resumeFrom cursor.Cursor
 	positions  cursor.Cursor
 	// readers are the open partitions, urgent ones first. Those that open later come over opened.
@@ -66,7 +67,8 @@
 	attachOffset uint64
 	attachChecks chan error
 	isChecking   bool
-	// configuration is the sequence number of the one that the topics were checked against.
+	// configuration is the sequence number of the configuration that the topics were checked
+	// against.
 	configuration uint64
 	wake          chan struct{}
 	writeErr      error
@@ -137,11 +139,11 @@
 			return st.end(err)
 		}
 		changed := st.service.Store.Changed()
-		more, err := st.deliverRound(ctx)
+		hasMore, err := st.deliverRound(ctx)
 		if err != nil {
 			return st.end(err)
 		}
-		if more {
+		if hasMore {
 			wrote = true
 			continue
 		}
@@ -151,8 +153,8 @@
 				return st.end(opened.err)
 			}
 			st.addReader(opened)
-			joined := st.topicsIn(func(partition int) bool { return partition == opened.partition })
-			if err := st.emit(Event{Subscribed: joined}); err != nil {
+			subscribed := st.topicsIn(func(partition int) bool { return partition == opened.partition })
+			if err := st.emit(Event{Subscribed: subscribed}); err != nil {
 				return err
 			}
 		case <-st.wake:
--- a/internal/client/stream_deliver.go
+++ b/internal/client/stream_deliver.go
@@ -89,21 +89,21 @@
 	if entry.Offset <= st.positions[reader.partition] {
 		return false, nil
 	}
-	fate, end := stream.EntryDeliverable, func() {}
+	status, endWrite := stream.EntryDeliverable, func() {}
 	if st.topics[entry.Topic] {
-		fate, end = reader.feed.BeginWrite(reader.window, entry, st.abort)
+		status, endWrite = reader.feed.BeginWrite(reader.window, entry, st.abort)
 	}
-	if fate == stream.EntryStale {
+	if status == stream.EntryStale {
 		return true, nil
 	}
-	defer end()
+	defer endWrite()
 	st.positions[reader.partition] = entry.Offset
 	if entry.Type == log.TypeWithdrawal && st.topics[entry.Topic] {
 		return false, st.emit(
 			Event{Topic: entry.Topic, Withdrawn: entry.Key, Partition: &reader.partition, Offset: entry.Offset},
 		)
 	}
-	if entry.Type != log.TypeMessage || !st.topics[entry.Topic] || fate == stream.EntryWithdrawn ||
+	if entry.Type != log.TypeMessage || !st.topics[entry.Topic] || status == stream.EntryWithdrawn ||
 		entry.Key != "" && entry.BodyDropped ||
 		entry.Live && (entry.BodyDropped || entry.Offset <= reader.liveFrom) {
 		return false, nil
--- a/internal/client/stream_open.go
+++ b/internal/client/stream_open.go
@@ -41,9 +41,9 @@
 	return err
 }
 
-// openAll opens the urgent partitions within the call's time. Routine ones have to be open by then
-// too when there are no urgent ones; beside urgent ones they may join later, so that an urgent
-// stream never waits for a routine partition.
+// openAll opens the urgent partitions within the call's time. Without urgent partitions, the routine
+// ones have to be open by then. With urgent partitions, the routine ones may be opened later, so
+// that an urgent stream never waits for a routine partition.
 func (st *subscriptionStream) openAll(ctx, callCtx context.Context, urgent, routine []int) error {
 	required, routineCtx := len(urgent), ctx
 	for _, partition := range urgent {
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// openRoutine opens a routine partition; it retries as long as ctx if mayJoinLater.
+// openRoutine opens a routine partition. If mayJoinLater is set, it retries until ctx ends.
 func (st *subscriptionStream) openRoutine(ctx, openCtx context.Context, partition int, mayJoinLater bool) {
 	for {
 		opened := st.open(openCtx, partition, false)
@@ -105,12 +105,12 @@
 	if opened.err != nil {
 		return opened
 	}
-	tail := opened.feed.CommittedEnd()
+	committedEnd := opened.feed.CommittedEnd()
 	offset, ok := st.resumeFrom[partition]
 	if !ok {
-		offset = tail
+		offset = committedEnd
 	}
-	if offset > tail {
+	if offset > committedEnd {
 		response, err := st.service.Router.Read(ctx, partition, ^uint64(0), 0)
 		if err == nil && offset > response.To {
 			err = apierror.New(
@@ -124,7 +124,7 @@
 			return opened
 		}
 	}
-	opened.offset, opened.liveFrom = offset, tail
+	opened.offset, opened.liveFrom = offset, committedEnd
 	return opened
 }
 
--- a/internal/client/stream_test.go
+++ b/internal/client/stream_test.go
@@ -26,11 +26,11 @@
 		store.Apply(gossip.Update{Configuration: &configuration.Config{Sequence: sequence, Spaces: spaces}})
 	}
 	configure(1, configuration.Space{Name: "s", Kind: "kept", Topics: []string{"a", "b", "gone"}})
-	var got []string
+	var emitted []string
 	st := &subscriptionStream{service: &Service{Store: store}, request: &Request{Emit: func(line []byte) error {
 		var event Event
 		assert.NilError(t, json.Unmarshal(line, &event))
-		got = append(got, event.Topic+strings.Join(event.Unsubscribed, "-"))
+		emitted = append(emitted, event.Topic+strings.Join(event.Unsubscribed, "-"))
 		return nil
 	}}, topics: map[string]bool{"s/a": true, "s/gone": true}, urgentTopics: map[string]bool{},
 		positions: cursor.Cursor{}, configuration: 1}
@@ -50,7 +50,7 @@
 	assert.NilError(t, st.dropRemovedTopics())
 	deliver(4, "s/gone")
 	deliver(5, "s/a")
-	assert.DeepEqual(t, got, []string{"s/a", "s/gone", "s/gone", "s/a"})
+	assert.DeepEqual(t, emitted, []string{"s/a", "s/gone", "s/gone", "s/a"})
 	configure(3, configuration.Space{Name: "s", Kind: "kept", Urgent: true, Topics: []string{"a"}})
 	assert.ErrorContains(t, st.dropRemovedTopics(), "unknown_topic")
 }
@@ -62,15 +62,15 @@
 func (leaders fakeLeaders) ReadAsReader(
 	ctx context.Context, request *leader.ReadRequest,
 ) (*leader.ReadResponse, error) {
-	first := request.From == ^uint64(0)
-	if request.Partition == leaders.urgent && !first && request.From < 8 {
+	readsEnd := request.From == ^uint64(0)
+	if request.Partition == leaders.urgent && !readsEnd && request.From < 8 {
 		return &leader.ReadResponse{
 			To:      8,
 			Epoch:   1,
 			Entries: []log.Entry{{Offset: 8, Type: log.TypeMessage, Topic: "s/stop", Body: []byte("1")}},
 		}, nil
 	}
-	if first {
+	if readsEnd {
 		return &leader.ReadResponse{To: 7, Epoch: 1}, nil
 	}
 	<-ctx.Done()
@@ -85,7 +85,7 @@
 		const routine, urgent = 0, 5
 		feeds := stream.New(ctx, "a1", "1", fakeLeaders{urgent}, clock.Real{}, settings.DefaultTiming)
 		store := gossip.NewStore(nil)
-		var got []string
+		var emitted []string
 		st := &subscriptionStream{service: &Service{
 			Store:  store,
 			Clock:  clock.Real{},
@@ -93,7 +93,7 @@
 		}, request: &Request{Emit: func(line []byte) error {
 			var event Event
 			assert.NilError(t, json.Unmarshal(line, &event))
-			got = append(got, event.Topic)
+			emitted = append(emitted, event.Topic)
 			return nil
 		}}, topics: map[string]bool{"s/stop": true, "s/kept": true}, urgentTopics: map[string]bool{},
 			positions: cursor.Cursor{}, attachChecks: make(chan error, 1), wake: make(chan struct{}, 1)}
@@ -108,14 +108,14 @@
 		}
 		st.attachFeed = st.readers[0].feed
 		st.attachOffset = 8
-		begun := time.Now()
+		start := time.Now()
 		for range 4 {
 			_, err := st.deliverRound(ctx)
 			assert.NilError(t, err)
 			synctest.Wait()
 		}
-		assert.Equal(t, time.Since(begun), time.Duration(0), "rounds waited")
-		assert.DeepEqual(t, got, []string{"s/stop"})
+		assert.Equal(t, time.Since(start), time.Duration(0), "rounds waited")
+		assert.DeepEqual(t, emitted, []string{"s/stop"})
 		stop()
 		synctest.Wait()
 	})
--- a/internal/client/token/token.go
+++ b/internal/client/token/token.go
@@ -79,7 +79,7 @@
 	return Decode(text)
 }
 
-// Matches reports, in constant time, whether the token's secret has a digest.
+// Matches reports, in constant time, whether digest is the digest of the token's secret.
 func (t Token) Matches(digest string) bool {
 	return subtle.ConstantTimeCompare([]byte(Digest(t.Secret)), []byte(digest)) == 1
 }
--- a/internal/client/withdraw_test.go
+++ b/internal/client/withdraw_test.go
@@ -91,16 +91,16 @@
 				).Follow(ctx, 0, wake)
 				assert.NilError(t, err)
 				defer leave()
-				var got []string
+				var emitted []string
 				st := &subscriptionStream{
 					service: &Service{Store: gossip.NewStore(nil)}, request: &Request{Emit: func(line []byte) error {
 						var event Event
 						assert.NilError(t, json.Unmarshal(line, &event))
 						switch {
 						case event.Withdrawn == "":
-							got = append(got, string(event.Body)+" "+event.Key)
+							emitted = append(emitted, string(event.Body)+" "+event.Key)
 						case !strings.HasPrefix(event.Withdrawn, "other"):
-							got = append(got, "-"+event.Withdrawn)
+							emitted = append(emitted, "-"+event.Withdrawn)
 						}
 						return nil
 					}}, topics: map[string]bool{"s/a": true}, urgentTopics: map[string]bool{},
@@ -110,11 +110,11 @@
 				_, err = st.nextEntries(ctx, &st.readers[0])
 				assert.NilError(t, err)
 				reads.send(test.later...)
-				for more := true; more; {
-					more, err = st.deliverRound(ctx)
+				for hasMore := true; hasMore; {
+					hasMore, err = st.deliverRound(ctx)
 					assert.NilError(t, err)
 				}
-				assert.DeepEqual(t, got, test.want)
+				assert.DeepEqual(t, emitted, test.want)
 				stop()
 				synctest.Wait()
 			})
@@ -170,7 +170,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				service := &Service{Clock: clock.Real{}, Timing: settings.DefaultTiming}
 				calls := 0
-				begun := time.Now()
+				start := time.Now()
 				givenUp, err := service.awaitReaders(t.Context(), leader.Decision{
 					Partition: 3, Offset: 7,
 				}, func(context.Context) (*leader.PendingReaders, error) {
@@ -181,7 +181,7 @@
 					}
 					return answer.(*leader.PendingReaders), nil
 				})
-				assert.Assert(t, time.Since(begun) <= service.Timing.CallTimeout())
+				assert.Assert(t, time.Since(start) <= service.Timing.CallTimeout())
 				assert.DeepEqual(t, givenUp, test.givenUp)
 				if test.message == "" {
 					assert.NilError(t, err)
--- a/internal/command/serve/lines.go
+++ b/internal/command/serve/lines.go
@@ -22,8 +22,8 @@
 type sessionRegistry struct{ *session.Registry }
 
 // NewSession starts a session for a line connection.
-func (r sessionRegistry) NewSession(out session.Sink) lineserver.Session {
-	return r.Registry.NewSession(out)
+func (r sessionRegistry) NewSession(sink session.Sink) lineserver.Session {
+	return r.Registry.NewSession(sink)
 }
 
 // newLineServer returns the server of line connections. A nil codec is the product's own JSON
--- a/internal/command/serve/process_test.go
+++ b/internal/command/serve/process_test.go
@@ -81,8 +81,8 @@
 	return path
 }
 
-// A SIGHUP once ended the process. It must reload the settings immediately, whether they changed or
-// not. SIGPIPE must be ignored.
+// A SIGHUP must not end the process. It must reload the settings immediately, whether they changed
+// or not. SIGPIPE must be ignored.
 func TestSIGHUPReloadsSettings(t *testing.T) {
 	addrs := freeAddrs(t, 5)
 	path := writeSettings(t, addrs, "")
@@ -108,13 +108,13 @@
 // If the previous process still uses the port, the start waits until that process closes it.
 func TestStartWaitsForItsPort(t *testing.T) {
 	addrs := freeAddrs(t, 5)
-	other, err := net.Listen("tcp", addrs[0])
+	previousListener, err := net.Listen("tcp", addrs[0])
 	assert.NilError(t, err)
 	log := newLogBuffer()
 	done := make(chan error, 1)
 	go func() { done <- Run([]string{"-options", writeSettings(t, addrs, "")}, log) }()
 	log.await(t, event.StartDelayed, 1)
-	assert.NilError(t, other.Close())
+	assert.NilError(t, previousListener.Close())
 	log.await(t, event.Listening, 1)
 	assert.NilError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
 	assert.NilError(t, <-done)
@@ -134,10 +134,10 @@
 					log: event.NewLogger(hclog.NewNullLogger()), stop: stop}
 				end := time.AfterFunc(time.Hour, func() { close(stop) })
 				defer end.Stop()
-				begun := time.Now()
+				startedAt := time.Now()
 				_, err := retry(start, func() (int, error) { return 0, apierror.New(code, "not now") })
 				assert.Assert(t, apierror.HasCode(err, code))
-				elapsed := time.Since(begun)
+				elapsed := time.Since(startedAt)
 				assert.Assert(t, elapsed >= want && elapsed <= want+settings.DefaultTiming.MaxBackoff(), "%s", elapsed)
 			})
 		})
@@ -161,7 +161,7 @@
 // Close does nothing.
 func (s *breakingServer) Close() error { return nil }
 
-// A failed listener once ended the process. It must be opened again.
+// A failed listener must not end the process. It must be opened again.
 func TestBrokenListenerIsOpenedAgain(t *testing.T) {
 	addr := freeAddrs(t, 1)[0]
 	log := newLogBuffer()
@@ -170,19 +170,19 @@
 	listener := Listener{Setting: "listen", Address: addr}
 	first, err := listener.open()
 	assert.NilError(t, err)
-	b := &breakingServer{served: make(chan net.Listener), fail: make(chan error)}
+	server := &breakingServer{served: make(chan net.Listener), fail: make(chan error)}
 	done := make(chan struct{})
 	go func() {
-		sup.serve(listener, b, first)
+		sup.serve(listener, server, first)
 		close(done)
 	}()
-	<-b.served
-	b.fail <- apierror.New(apierror.Internal, "broken")
-	second := <-b.served
+	<-server.served
+	server.fail <- apierror.New(apierror.Internal, "broken")
+	second := <-server.served
 	assert.Equal(t, second.Addr().String(), addr)
 	assert.Equal(t, log.count(event.ServeFailed), 1)
 	sup.end()
-	b.fail <- apierror.New(apierror.Internal, "broken")
+	server.fail <- apierror.New(apierror.Internal, "broken")
 	<-done
 	assert.NilError(t, second.Close())
 }
--- a/internal/command/serve/retry.go
+++ b/internal/command/serve/retry.go
@@ -27,14 +27,14 @@
 // retry calls step until it succeeds, fails permanently, or stop is closed. It logs an error only
 // if it differs from the one before.
 func retry[T any](r *retrier, step func() (T, error)) (T, error) {
-	begun := r.clock.Now()
+	startedAt := r.clock.Now()
 	logged := ""
 	for {
 		result, err := step()
 		if err == nil {
 			return result, nil
 		}
-		if !r.isRetryable(err, begun) {
+		if !r.isRetryable(err, startedAt) {
 			return result, err
 		}
 		if text := err.Error(); text != logged {
@@ -50,12 +50,12 @@
 	}
 }
 
-// isRetryable reports whether a step that was first tried at a time, and failed now, should be
-// retried.
-func (r *retrier) isRetryable(err error, begun time.Time) bool {
+// isRetryable reports whether a step that was first tried at startedAt, and has failed now, should
+// be retried.
+func (r *retrier) isRetryable(err error, startedAt time.Time) bool {
 	code := apierror.From(err).Code
 	if retriedForever[code] {
 		return true
 	}
-	return code == apierror.ResourceInUse && r.clock.Now().Sub(begun) <= r.timing.Recovery
+	return code == apierror.ResourceInUse && r.clock.Now().Sub(startedAt) <= r.timing.Recovery
 }
--- a/internal/command/serve/settings_test.go
+++ b/internal/command/serve/settings_test.go
@@ -57,13 +57,13 @@
 			assert.NilError(t, err)
 			continue
 		}
-		got := err.Error()
-		for i := 0; i+len(path) <= len(got); i++ {
-			if got[i:i+len(path)] == path {
-				got = got[:i] + "FILE" + got[i+len(path):]
+		message := err.Error()
+		for i := 0; i+len(path) <= len(message); i++ {
+			if message[i:i+len(path)] == path {
+				message = message[:i] + "FILE" + message[i+len(path):]
 			}
 		}
-		assert.Equal(t, got, want)
+		assert.Equal(t, message, want)
 		assert.Assert(t, apierror.HasCode(err, apierror.SettingsInvalid))
 	}
 }
@@ -78,8 +78,8 @@
 }
 
 func TestTimingBoundsAddUp(t *testing.T) {
-	b := settings.DefaultTiming
-	assert.Assert(t, b.MaxFailover() <= b.Recovery)
-	assert.Assert(t, b.ShutdownTimeout() < 6e9)
-	assert.Assert(t, b.LeaseDuration() < b.Spread)
+	timing := settings.DefaultTiming
+	assert.Assert(t, timing.MaxFailover() <= timing.Recovery)
+	assert.Assert(t, timing.ShutdownTimeout() < 6e9)
+	assert.Assert(t, timing.LeaseDuration() < timing.Spread)
 }
--- a/internal/configuration/change_test.go
+++ b/internal/configuration/change_test.go
@@ -25,17 +25,17 @@
 	return config.WithLanes(Config{}, RemovedSpaces{})
 }
 
-func randomNext(r *rand.Rand, config Config) Config {
+func randomNext(random *rand.Rand, config Config) Config {
 	next := config
-	next.Base, next.Sequence = config.Sequence, config.Sequence+1+r.Uint64N(3)
+	next.Base, next.Sequence = config.Sequence, config.Sequence+1+random.Uint64N(3)
 	next.Spaces = slices.Clone(config.Spaces)
-	next.Limits.Topics = r.IntN(3)
-	for range r.IntN(4) {
-		i := r.IntN(len(next.Spaces) + 1)
-		switch kind := r.IntN(4); {
+	next.Limits.Topics = random.IntN(3)
+	for range random.IntN(4) {
+		i := random.IntN(len(next.Spaces) + 1)
+		switch kind := random.IntN(4); {
 		case kind == 0:
-			space := Space{Name: fmt.Sprintf("new-%d", r.Uint64()), Kind: KindLive, Urgent: r.IntN(2) == 0}
-			if space.Topics = []string{"a", "b"}; r.IntN(2) == 0 {
+			space := Space{Name: fmt.Sprintf("new-%d", random.Uint64()), Kind: KindLive, Urgent: random.IntN(2) == 0}
+			if space.Topics = []string{"a", "b"}; random.IntN(2) == 0 {
 				space.Topics, space.Prefix = nil, space.Name+"."
 			}
 			next.Spaces = slices.Insert(next.Spaces, i, space)
@@ -43,9 +43,9 @@
 		case kind == 1:
 			next.Spaces = slices.Delete(next.Spaces, i, i+1)
 		case kind == 2:
-			next.Spaces[i].DeadlineMS += 1 + r.Uint64N(9)
+			next.Spaces[i].DeadlineMS += 1 + random.Uint64N(9)
 		default:
-			j := r.IntN(len(next.Spaces))
+			j := random.IntN(len(next.Spaces))
 			next.Spaces[i], next.Spaces[j] = next.Spaces[j], next.Spaces[i]
 		}
 	}
@@ -54,26 +54,26 @@
 
 func TestChange_MakesTheNextConfiguration(t *testing.T) {
 	for seed := range uint64(40) {
-		r := rand.New(rand.NewPCG(seed, 1))
-		config := manySpaces(1 + r.IntN(40))
+		random := rand.New(rand.NewPCG(seed, 1))
+		config := manySpaces(1 + random.IntN(40))
 		index := NewIndex(config)
 		for range 30 {
-			next := randomNext(r, config)
+			next := randomNext(random, config)
 			got, ok := config.Apply(config.Change(next))
 			assert.Assert(t, ok, "seed %d", seed)
 			assert.DeepEqual(t, got, next)
-			nextIndex, fresh := index.Next(config, next), NewIndex(next)
+			nextIndex, newIndex := index.Next(config, next), NewIndex(next)
 			for _, space := range append(config.Spaces, next.Spaces...) {
 				for _, topic := range []string{space.path() + "a", space.path()} {
 					found, foundErr := nextIndex.Find(topic)
-					want, wantErr := fresh.Find(topic)
+					want, wantErr := newIndex.Find(topic)
 					assert.DeepEqual(t, found, want)
 					assert.Equal(t, foundErr == nil, wantErr == nil)
 				}
 			}
-			assert.Equal(t, nextIndex.LongestRetention, fresh.LongestRetention)
-			assert.Equal(t, nextIndex.Limits, fresh.Limits)
-			assert.Equal(t, nextIndex.Sequence, fresh.Sequence)
+			assert.Equal(t, nextIndex.LongestRetention, newIndex.LongestRetention)
+			assert.Equal(t, nextIndex.Limits, newIndex.Limits)
+			assert.Equal(t, nextIndex.Sequence, newIndex.Sequence)
 			config, index = next, nextIndex
 		}
 	}
@@ -99,7 +99,7 @@
 	config := manySpaces(9)
 	next := randomNext(rand.New(rand.NewPCG(5, 5)), config)
 	next.Spaces[0].Weight = 7
-	good := config.Change(next)
+	valid := config.Change(next)
 	for name, corrupt := range map[string]func(*Change){
 		"another base":     func(change *Change) { change.From++ },
 		"an older one":     func(change *Change) { change.Sequence = 1 },
@@ -114,14 +114,14 @@
 		"a space twice":    func(change *Change) { change.Parts = append(change.Parts, Part{At: 1, Count: 1}) },
 		"too many, by far": func(change *Change) { change.Parts = slices.Repeat([]Part{{Count: 9}}, MaxSpaces) },
 	} {
-		change := good
-		change.Parts = slices.Clone(good.Parts)
+		change := valid
+		change.Parts = slices.Clone(valid.Parts)
 		corrupt(&change)
 		got, ok := config.Apply(change)
 		assert.Assert(t, !ok, name)
 		assert.DeepEqual(t, got, config)
 	}
-	_, ok := config.Apply(good)
+	_, ok := config.Apply(valid)
 	assert.Assert(t, ok)
 }
 
--- a/internal/configuration/checksum.go
+++ b/internal/configuration/checksum.go
@@ -11,18 +11,18 @@
 // Checksum distinguishes configurations, apart from their sources. Nodes of different builds
 // compare it, so the algorithm must never change.
 func (c Config) Checksum() uint64 {
-	h := checksum(fnvOffset)
-	h.addNumbers(c.Sequence, c.Base, uint64(c.Limits.Topics), uint64(c.Limits.Body), bit(c.UseAssignedLanes),
+	sum := checksum(fnvOffset)
+	sum.addNumbers(c.Sequence, c.Base, uint64(c.Limits.Topics), uint64(c.Limits.Body), bit(c.UseAssignedLanes),
 		uint64(len(c.Spaces)))
 	for _, space := range c.Spaces {
-		h.addStrings(space.Name, space.Kind, space.Prefix, space.Order)
-		h.addNumbers(bit(space.Urgent)|bit(space.All)<<1, space.RetentionMS, space.DeadlineMS, space.TargetLatencyMS,
+		sum.addStrings(space.Name, space.Kind, space.Prefix, space.Order)
+		sum.addNumbers(bit(space.Urgent)|bit(space.All)<<1, space.RetentionMS, space.DeadlineMS, space.TargetLatencyMS,
 			uint64(space.Weight))
-		h.addList(space.Topics)
+		sum.addList(space.Topics)
 	}
-	h.addList(c.Lanes.Urgent)
-	h.addList(c.Lanes.Routine)
-	return uint64(h)
+	sum.addList(c.Lanes.Urgent)
+	sum.addList(c.Lanes.Routine)
+	return uint64(sum)
 }
 
 type checksum uint64
@@ -34,15 +34,15 @@
 	return 0
 }
 
-func (h *checksum) addNumbers(numbers ...uint64) {
+func (c *checksum) addNumbers(numbers ...uint64) {
 	for _, number := range numbers {
-		mixed := (uint64(*h) ^ number) * mixFactor
-		*h = checksum(mixed ^ mixed>>mixShift)
+		mixed := (uint64(*c) ^ number) * mixFactor
+		*c = checksum(mixed ^ mixed>>mixShift)
 	}
 }
 
-func (h *checksum) addStrings(texts ...string) {
-	sum := uint64(*h)
+func (c *checksum) addStrings(texts ...string) {
+	sum := uint64(*c)
 	for _, text := range texts {
 		for i := range len(text) {
 			sum = (sum ^ uint64(text[i])) * fnvPrime
@@ -50,10 +50,10 @@
 		sum = (sum ^ uint64(len(text))) * mixFactor
 		sum ^= sum >> mixShift
 	}
-	*h = checksum(sum)
+	*c = checksum(sum)
 }
 
-func (h *checksum) addList(texts []string) {
-	h.addNumbers(uint64(len(texts)))
-	h.addStrings(texts...)
+func (c *checksum) addList(texts []string) {
+	c.addNumbers(uint64(len(texts)))
+	c.addStrings(texts...)
 }
--- a/internal/configuration/config.go
+++ b/internal/configuration/config.go
@@ -57,10 +57,10 @@
 		return Config{}, err
 	}
 	if len(faults) > 0 {
-		more := slices.DeleteFunc(lenientFaults(document), func(fault apierror.Fault) bool {
+		otherFaults := slices.DeleteFunc(lenientFaults(document), func(fault apierror.Fault) bool {
 			return slices.ContainsFunc(faults, func(known apierror.Fault) bool { return known.Path == fault.Path })
 		})
-		return Config{}, FaultsError(append(faults, more...))
+		return Config{}, FaultsError(append(faults, otherFaults...))
 	}
 	var config Config
 	if err := easyjson.Unmarshal(document, &config); err != nil {
--- a/internal/configuration/config_test.go
+++ b/internal/configuration/config_test.go
@@ -249,7 +249,7 @@
 		routine.Spaces = append(routine.Spaces, byPrefix(fmt.Sprintf("r%d.", i), false))
 		urgent.Spaces = append(urgent.Spaces, byPrefix(fmt.Sprintf("u%d.", i), true))
 	}
-	rest := urgent
+	allUrgent := urgent
 	urgent.Spaces = urgent.Spaces[:3]
 	_, err := removed.Check(newConfig(), urgent)
 	assert.NilError(t, err)
@@ -270,7 +270,7 @@
 	assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationInvalid), "%v", err)
 	_, err = removed.Check(newConfig(byPrefix("u1.", false)), newConfig())
 	assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationInvalid), "%v", err)
-	_, err = removed.Check(newConfig(), rest)
+	_, err = removed.Check(newConfig(), allUrgent)
 	assert.ErrorContains(t, err, "would make 4096 removed urgent spaces, at most 4095 can be recorded")
 }
 
--- a/internal/configuration/index.go
+++ b/internal/configuration/index.go
@@ -30,48 +30,50 @@
 
 // NewIndex makes the index of a configuration.
 func NewIndex(c Config) *Index {
-	x := &Index{
+	index := &Index{
 		Sequence: c.Sequence,
 		Limits:   c.Limits,
 		spaces:   make([]Space, len(c.Spaces)),
 		layout:   &layout{topics: map[string]int32{}, names: map[string]bool{}},
 	}
-	x.prefixes.values = make(map[string]int32, len(c.Spaces))
+	index.prefixes.values = make(map[string]int32, len(c.Spaces))
 	for i, space := range c.Spaces {
-		x.spaces[i] = space
-		x.spaces[i].Topics = nil
-		x.LongestRetention = max(x.LongestRetention, space.retention())
+		index.spaces[i] = space
+		index.spaces[i].Topics = nil
+		index.LongestRetention = max(index.LongestRetention, space.retention())
 		if space.ByPrefix() {
-			x.prefixes.add(space.Prefix, int32(i))
+			index.prefixes.add(space.Prefix, int32(i))
 			continue
 		}
-		x.names[space.Name] = true
+		index.names[space.Name] = true
 		for _, topic := range space.Topics {
-			x.topics[space.Name+"/"+topic] = int32(i)
+			index.topics[space.Name+"/"+topic] = int32(i)
 		}
 	}
-	x.assignLanes(c.Lanes)
-	return x
+	index.assignLanes(c.Lanes)
+	return index
 }
 
 func (s Space) retention() time.Duration { return time.Duration(s.RetentionMS) * time.Millisecond }
 
-// Next returns the index of next, the configuration that replaces current, given that x is the
-// index of current. It is cheap if all topics stay in their spaces.
-func (x *Index) Next(current, next Config) *Index {
+// Next returns the index of next, the configuration that replaces current. The receiver must be the
+// index of current. The call is cheap if all topics stay in their spaces.
+func (index *Index) Next(current, next Config) *Index {
 	if len(current.Spaces) != len(next.Spaces) || !current.Lanes.equal(next.Lanes) {
 		return NewIndex(next)
 	}
-	index := &Index{Sequence: next.Sequence, Limits: next.Limits, spaces: slices.Clone(x.spaces), layout: x.layout}
+	nextIndex := &Index{
+		Sequence: next.Sequence, Limits: next.Limits, spaces: slices.Clone(index.spaces), layout: index.layout,
+	}
 	for i, space := range next.Spaces {
 		if !space.sameTopics(current.Spaces[i]) {
 			return NewIndex(next)
 		}
-		space.Topics, space.Urgent = nil, x.spaces[i].Urgent
-		index.spaces[i] = space
-		index.LongestRetention = max(index.LongestRetention, space.retention())
+		space.Topics, space.Urgent = nil, index.spaces[i].Urgent
+		nextIndex.spaces[i] = space
+		nextIndex.LongestRetention = max(nextIndex.LongestRetention, space.retention())
 	}
-	return index
+	return nextIndex
 }
 
 // sameTopics reports whether two spaces have the same topics in the same lane.
@@ -82,37 +84,39 @@
 
 // AgreesWith reports whether every topic is known to be in the same space, and in the same lane, as
 // in another index. It may return false for indexes that agree.
-func (x *Index) AgreesWith(other *Index) bool { return other != nil && x.layout == other.layout }
+func (index *Index) AgreesWith(other *Index) bool {
+	return other != nil && index.layout == other.layout
+}
 
 // assignLanes sets the lane of every space, and finds the spaces that have topics in the other lane
 // as well.
-func (x *Index) assignLanes(lanes Lanes) {
-	x.lanes, x.splitLane = lanes.table(), make([]bool, len(x.spaces))
+func (index *Index) assignLanes(lanes Lanes) {
+	index.lanes, index.splitLane = lanes.table(), make([]bool, len(index.spaces))
 	if !lanes.IsDefined() {
 		return
 	}
 	var spacesByPath prefixMap[[]int]
-	for i, space := range x.spaces {
+	for i, space := range index.spaces {
 		path := space.path()
 		spacesByPath.add(path, append(spacesByPath.values[path], i))
-		if urgent, ok := x.lanes.longest(path); ok {
-			x.spaces[i].Urgent = urgent
+		if urgent, ok := index.lanes.longest(path); ok {
+			index.spaces[i].Urgent = urgent
 		}
 	}
-	for prefix, urgent := range x.lanes.values {
+	for prefix, urgent := range index.lanes.values {
 		spacesByPath.each(prefix, func(path string, spaces []int) bool {
 			for _, i := range spaces {
-				x.splitLane[i] = x.splitLane[i] || path != prefix && x.spaces[i].Urgent != urgent
+				index.splitLane[i] = index.splitLane[i] || path != prefix && index.spaces[i].Urgent != urgent
 			}
 			return true
 		})
 	}
 }
 
-func (x *Index) spaceOf(topic string, i int32) Space {
-	space := x.spaces[i]
-	if x.splitLane[i] {
-		space.Urgent, _ = x.lanes.longest(topic)
+func (index *Index) spaceOf(topic string, i int32) Space {
+	space := index.spaces[i]
+	if index.splitLane[i] {
+		space.Urgent, _ = index.lanes.longest(topic)
 	}
 	return space
 }
@@ -121,21 +125,21 @@
 // space/topic, else the one with the longest prefix of the topic's name. The urgency is that of the
 // lane that the topic is in. The error is apierror.UnknownTopic if the space is known by name, else
 // apierror.UnknownSpace.
-func (x *Index) Find(topic string) (Space, error) {
-	if i, ok := x.topics[topic]; ok {
-		return x.spaceOf(topic, i), nil
+func (index *Index) Find(topic string) (Space, error) {
+	if i, ok := index.topics[topic]; ok {
+		return index.spaceOf(topic, i), nil
 	}
-	if i, ok := x.prefixes.longest(topic); ok {
-		return x.spaceOf(topic, i), nil
+	if i, ok := index.prefixes.longest(topic); ok {
+		return index.spaceOf(topic, i), nil
 	}
 	name, _, ok := strings.Cut(topic, "/")
-	if ok && x.names[name] {
-		return Space{}, apierror.New(apierror.UnknownTopic, "description %d has no topic %q", x.Sequence, topic).
-			WithCurrent(x.Sequence)
+	if ok && index.names[name] {
+		return Space{}, apierror.New(apierror.UnknownTopic, "description %d has no topic %q", index.Sequence, topic).
+			WithCurrent(index.Sequence)
 	}
 	format := "description %d has no space for %q; topics are written space/topic"
-	if len(x.prefixes.values) > 0 {
+	if len(index.prefixes.values) > 0 {
 		format += " or begin with the prefix of a space"
 	}
-	return Space{}, apierror.New(apierror.UnknownSpace, format, x.Sequence, topic).WithCurrent(x.Sequence)
+	return Space{}, apierror.New(apierror.UnknownSpace, format, index.Sequence, topic).WithCurrent(index.Sequence)
 }
--- a/internal/configuration/lanes_test.go
+++ b/internal/configuration/lanes_test.go
@@ -173,23 +173,23 @@
 	}
 	names = append(names, "ka/a", "ka/b", "k/a", "k/al", "ka/ab")
 	for seed := range uint64(150) {
-		r := rand.New(rand.NewPCG(seed, 7))
+		random := rand.New(rand.NewPCG(seed, 7))
 		maxSpaces := []int{1, 3, 12}[seed%3]
-		current, removed, first, lane := newConfig(), RemovedSpaces{}, map[string]uint64{}, map[string]bool{}
-		withoutLanes := r.IntN(4) == 0
+		current, removed, firstSequences, urgentByName := newConfig(), RemovedSpaces{}, map[string]uint64{}, map[string]bool{}
+		withoutLanes := random.IntN(4) == 0
 		for step := range 30 {
 			config := newLaneConfig()
 			config.Base, config.Sequence = current.Sequence, current.Sequence+1
-			config.UseAssignedLanes = !withoutLanes && (seed%5 > 0 || r.IntN(2) > 0)
+			config.UseAssignedLanes = !withoutLanes && (seed%5 > 0 || random.IntN(2) > 0)
 			paths := map[string]bool{}
-			for range 1 + r.IntN(maxSpaces) {
-				space := byPrefix(names[r.IntN(60)], r.IntN(2) > 0)
-				switch r.IntN(8) {
+			for range 1 + random.IntN(maxSpaces) {
+				space := byPrefix(names[random.IntN(60)], random.IntN(2) > 0)
+				switch random.IntN(8) {
 				case 0:
 					space = byPrefix("", space.Urgent)
 				case 1:
 					space = Space{
-						Name: []string{"k", "ka"}[r.IntN(2)], Kind: KindRetained,
+						Name: []string{"k", "ka"}[random.IntN(2)], Kind: KindRetained,
 						Urgent: space.Urgent, Topics: []string{"a", "b"},
 					}
 				case 2:
@@ -224,22 +224,22 @@
 				continue
 			}
 			current = config
-			back, err := unmarshal(config)
+			decoded, err := unmarshal(config)
 			assert.NilError(t, err)
-			index := NewIndex(back)
+			index := NewIndex(decoded)
 			for _, name := range names {
 				space, err := index.Find(name)
 				if err != nil {
 					continue
 				}
-				urgent, known := lane[name]
+				urgent, known := urgentByName[name]
 				if !known {
-					lane[name], first[name] = space.Urgent, config.Sequence
+					urgentByName[name], firstSequences[name] = space.Urgent, config.Sequence
 					continue
 				}
 				assert.Equal(
 					t, space.Urgent, urgent, "seed %d: %q has had its lane since %d, %v at %d", seed, name,
-					first[name], current, config.Sequence,
+					firstSequences[name], current, config.Sequence,
 				)
 			}
 		}
@@ -254,16 +254,16 @@
 	return result
 }
 
-func unmarshal(config Config) (read Config, err error) {
-	return read, read.UnmarshalJSON(config.Marshal())
+func unmarshal(config Config) (decoded Config, err error) {
+	return decoded, decoded.UnmarshalJSON(config.Marshal())
 }
 
 func TestTooManyLanes(t *testing.T) {
 	current := newLaneConfig()
 	for i := range 3 {
 		config := newLaneConfig()
-		for k := range MaxSpaces / 2 {
-			config.Spaces = append(config.Spaces, byPrefix(fmt.Sprintf("p%d-%d.", i, k), k%4 == 0))
+		for j := range MaxSpaces / 2 {
+			config.Spaces = append(config.Spaces, byPrefix(fmt.Sprintf("p%d-%d.", i, j), j%4 == 0))
 		}
 		current = config.WithLanes(current, nil)
 		assert.Equal(t, len(current.OverriddenLanes()), 0)
--- a/internal/configuration/removed.go
+++ b/internal/configuration/removed.go
@@ -75,17 +75,17 @@
 
 // conflicts returns messages about spaces of next whose urgency is wrong, by the spaces' paths.
 func (r RemovedSpaces) conflicts(next, current Config) map[string]string {
-	var before, after prefixMap[spaceUrgency]
+	var oldUrgencies, newUrgencies prefixMap[spaceUrgency]
 	for key, urgent := range r {
 		if key != routineDropped {
-			before.add(removedPath(key), spaceUrgency{key, urgent})
+			oldUrgencies.add(removedPath(key), spaceUrgency{key, urgent})
 		}
 	}
 	for _, space := range current.Spaces {
-		before.add(space.path(), spaceUrgency{space.removedKey(), space.Urgent})
+		oldUrgencies.add(space.path(), spaceUrgency{space.removedKey(), space.Urgent})
 	}
 	for _, space := range next.Spaces {
-		after.add(space.path(), spaceUrgency{space.removedKey(), space.Urgent})
+		newUrgencies.add(space.path(), spaceUrgency{space.removedKey(), space.Urgent})
 	}
 	messages := map[string]string{}
 	compare := func(path string, old spaceUrgency, urgent bool) {
@@ -95,9 +95,9 @@
 				strings.TrimPrefix(old.key, prefixMarker), old.urgent)
 		}
 	}
-	for path, space := range after.values {
+	for path, space := range newUrgencies.values {
 		known := false
-		before.each(path, func(_ string, old spaceUrgency) bool {
+		oldUrgencies.each(path, func(_ string, old spaceUrgency) bool {
 			known = true
 			compare(path, old, space.urgent)
 			return true
@@ -106,8 +106,8 @@
 			messages[path] = "can't be true in a new space: too many spaces were removed to know which were not urgent"
 		}
 	}
-	for oldPath, old := range before.values {
-		after.each(oldPath, func(path string, space spaceUrgency) bool {
+	for oldPath, old := range oldUrgencies.values {
+		newUrgencies.each(oldPath, func(path string, space spaceUrgency) bool {
 			compare(path, old, space.urgent)
 			return true
 		})
--- a/internal/configuration/strictjson/strict.go
+++ b/internal/configuration/strictjson/strict.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// isKind reports, by kind, whether a token that begins neither an object nor an array is of that
-// kind.
-var isKind = map[string]func(json.Token) bool{
+// kindChecks has a function for each kind that reports whether a token is of that kind. The token
+// begins neither an object nor an array.
+var kindChecks = map[string]func(json.Token) bool{
 	Text:     func(token json.Token) bool { _, ok := token.(string); return ok },
 	Flag:     func(token json.Token) bool { _, ok := token.(bool); return ok },
 	Count:    func(token json.Token) bool { return isWhole(token, 0) },
@@ -103,7 +103,7 @@
 		}
 		return w.array(path, shape)
 	}
-	if shape != nil && !isKind[shape.Kind](token) {
+	if shape != nil && !kindChecks[shape.Kind](token) {
 		b, _ := json.Marshal(token) // it was just decoded
 		w.add(path, "must be %s, is %s", shape.Kind, b)
 	}
--- a/internal/configuration/validate.go
+++ b/internal/configuration/validate.go
@@ -129,13 +129,13 @@
 // mixedUrgency returns a fault for each space that shares topics with another space of a different
 // urgency, now or after the other one is removed.
 func (c Config) mixedUrgency() []apierror.Fault {
-	var outer prefixMap[int]
+	var spacesByPath prefixMap[int]
 	for i, space := range c.Spaces {
-		outer.add(space.path(), i)
+		spacesByPath.add(space.path(), i)
 	}
 	var faults []apierror.Fault
 	for i, space := range c.Spaces {
-		outer.each(space.path(), func(_ string, j int) bool {
+		spacesByPath.each(space.path(), func(_ string, j int) bool {
 			other := c.Spaces[j]
 			if other.Urgent == space.Urgent {
 				return true
--- a/internal/delivery/fanout/drops_test.go
+++ b/internal/delivery/fanout/drops_test.go
@@ -76,14 +76,14 @@
 			return subscription
 		}
 		first, second := subscribe("a"), subscribe("b")
-		before, _ := counting.counts()
+		callsBefore, _ := counting.counts()
 		for range 5 {
 			hub.Unsubscribe(first)
 			time.Sleep(timing.LongPoll() / 8)
 			first = subscribe("a")
 		}
-		after, topics := counting.counts()
-		assert.Equal(t, after-before, 5)
+		callsAfter, topics := counting.counts()
+		assert.Equal(t, callsAfter-callsBefore, 5)
 		assert.Equal(t, opened, 7)
 		assert.DeepEqual(t, topics, map[string]int{"a": 1, "b": 1})
 		hub.Unsubscribe(first)
--- a/internal/delivery/fanout/finish.go
+++ b/internal/delivery/fanout/finish.go
@@ -10,8 +10,8 @@
 // does not answer.
 const maxFinishAttempts = 3
 
-// newFinishRequest returns a request that reports that this boot ID has no subscriptions and no
-// buffered messages any more.
+// newFinishRequest returns a request that reports that this boot ID no longer has subscriptions or
+// buffered messages.
 func (f *feed) newFinishRequest() *leader.FollowRequest {
 	f.sequence++
 	return &leader.FollowRequest{
--- a/internal/delivery/fanout/follow.go
+++ b/internal/delivery/fanout/follow.go
@@ -213,9 +213,11 @@
 	f.openWithoutLeader(f.pending)
 }
 
-// requeue puts subscriptions back at the head of pending. It does not change the list asked, since
-// openEarly may still iterate over it.
-func (f *feed) requeue(asked []*Subscription) { f.pending = slices.Concat(asked, f.pending) }
+// requeue puts subscriptions back at the head of pending. It does not change the given slice,
+// since openEarly may still iterate over it.
+func (f *feed) requeue(subscriptions []*Subscription) {
+	f.pending = slices.Concat(subscriptions, f.pending)
+}
 
 func (f *feed) applyFollow(call *followCall, response *leader.FollowResponse) {
 	f.ackedSequence, f.mustResend, f.highestEpoch = call.request.Sequence, false, response.Epoch
--- a/internal/delivery/fanout/isolated_test.go
+++ b/internal/delivery/fanout/isolated_test.go
@@ -35,21 +35,21 @@
 				broken := 0
 				subscription := script.hub.NewSubscription(0, "a")
 				subscription.OnOpen = func(uint64, error) {}
-				subscription.OnEntry = func(entry log.Entry) { first.got = append(first.got, entry.Offset) }
+				subscription.OnEntry = func(entry log.Entry) { first.received = append(first.received, entry.Offset) }
 				subscription.OnBroken = func() { broken++ }
 				script.hub.Subscribe(subscription)
 				advance(2 * tick)
-				assert.DeepEqual(t, first.got, []uint64{5})
+				assert.DeepEqual(t, first.received, []uint64{5})
 				script.onFollow(func(*leader.FollowRequest) (*leader.FollowResponse, time.Duration) {
 					return nil, time.Hour
 				})
-				var lost []func(*leader.PollRequest) (*leader.PollResponse, time.Duration)
+				var lostPolls []func(*leader.PollRequest) (*leader.PollResponse, time.Duration)
 				for range 1000 {
-					lost = append(lost, func(*leader.PollRequest) (*leader.PollResponse, time.Duration) {
+					lostPolls = append(lostPolls, func(*leader.PollRequest) (*leader.PollResponse, time.Duration) {
 						return nil, time.Second
 					})
 				}
-				script.onPolls(lost...)
+				script.onPolls(lostPolls...)
 				advance(timing.Recovery)
 				assert.Equal(t, broken, 0)
 				script.takeLog()
@@ -64,8 +64,8 @@
 					return
 				}
 				assert.Equal(t, broken, 1)
-				done := "finished boot full=true topics=0 tombstones=true"
-				assert.DeepEqual(t, lines, []string{"release 0 close=true", done, done, done})
+				finishReport := "finished boot full=true topics=0 tombstones=true"
+				assert.DeepEqual(t, lines, []string{"release 0 close=true", finishReport, finishReport, finishReport})
 				script.onFollow(followAnswer(9))
 				var second recorder
 				second.subscribe(script.hub, "a", offsetPointer(5))
--- a/internal/delivery/fanout/open_early_test.go
+++ b/internal/delivery/fanout/open_early_test.go
@@ -33,12 +33,12 @@
 		subscribe(topic, uint64(i+1))
 	}
 	removed := subscribe("d", 9)
-	asked := feed.nextCall().pending
-	assert.Equal(t, len(asked), 4)
-	feed.requeue(asked)
+	requested := feed.nextCall().pending
+	assert.Equal(t, len(requested), 4)
+	feed.requeue(requested)
 	hub.Unsubscribe(removed)
-	again := feed.nextCall().pending
-	assert.Equal(t, len(again), 3)
-	feed.openEarly(t.Context(), asked)
+	requestedAgain := feed.nextCall().pending
+	assert.Equal(t, len(requestedAgain), 3)
+	feed.openEarly(t.Context(), requested)
 	assert.DeepEqual(t, opened, map[string]uint64{"a": 1, "b": 2, "c": 3})
 }
--- a/internal/delivery/fanout/open_test.go
+++ b/internal/delivery/fanout/open_test.go
@@ -87,7 +87,7 @@
 type recorder struct {
 	opened   []uint64
 	openedAt time.Time
-	got      []uint64
+	received []uint64
 }
 
 func (r *recorder) subscribe(hub *Hub, topic string, after *uint64) *Subscription {
@@ -98,7 +98,7 @@
 			r.opened, r.openedAt = append(r.opened, offset), time.Now()
 		}
 	}
-	subscription.OnEntry = func(entry log.Entry) { r.got = append(r.got, entry.Offset) }
+	subscription.OnEntry = func(entry log.Entry) { r.received = append(r.received, entry.Offset) }
 	hub.Subscribe(subscription)
 	return subscription
 }
@@ -121,7 +121,7 @@
 		synctest.Wait()
 		assert.DeepEqual(t, first.opened, []uint64{1})
 		assert.Assert(t, first.openedAt.Sub(start) < timing.MaxBackoff(), "opened after %s", first.openedAt.Sub(start))
-		assert.DeepEqual(t, first.got, []uint64{3, 4, 6, 7})
+		assert.DeepEqual(t, first.received, []uint64{3, 4, 6, 7})
 		assert.Assert(t, slices.Equal(distant.firstOnly, []bool{true, false}), "%v", distant.firstOnly)
 		stop()
 		synctest.Wait()
@@ -148,8 +148,8 @@
 		time.Sleep(10 * timing.CallTimeout())
 		synctest.Wait()
 		assert.DeepEqual(t, second.opened, []uint64{2})
-		assert.DeepEqual(t, second.got, []uint64{3, 5})
-		assert.DeepEqual(t, first.got, []uint64{4})
+		assert.DeepEqual(t, second.received, []uint64{3, 5})
+		assert.DeepEqual(t, first.received, []uint64{4})
 		stop()
 		synctest.Wait()
 	})
--- a/internal/delivery/fanout/reader_finish_test.go
+++ b/internal/delivery/fanout/reader_finish_test.go
@@ -13,8 +13,8 @@
 	"postjunction/internal/settings"
 )
 
-// A node that received nothing with a key, and lost no response, sends no report when it has no
-// topic any more.
+// A node that received nothing with a key, and lost no response, sends no report after its last
+// topic was unsubscribed.
 func TestWithoutKeys_NoFinishReport(t *testing.T) {
 	withScript(t, func(t *testing.T, script *scriptedLeaders) {
 		script.onPolls(pollAnswer(tick, message(5, "")))
@@ -186,7 +186,7 @@
 					t, slices.Contains(lines, "finished boot full=true topics=0 tombstones=true"), "%v",
 					lines,
 				)
-				assert.Equal(t, len(first.got), 0)
+				assert.Equal(t, len(first.received), 0)
 			})
 		})
 	}
--- a/internal/delivery/fanout/slow_link_test.go
+++ b/internal/delivery/fanout/slow_link_test.go
@@ -62,19 +62,19 @@
 		first := hub.NewSubscription(0, "a")
 		offset := uint64(3)
 		first.After = &offset
-		var opened, got []uint64
+		var opened, received []uint64
 		first.OnOpen = func(offset uint64, err error) {
 			assert.NilError(t, err)
 			opened = append(opened, offset)
 		}
-		first.OnEntry = func(entry log.Entry) { got = append(got, entry.Offset) }
+		first.OnEntry = func(entry log.Entry) { received = append(received, entry.Offset) }
 		hub.Subscribe(first)
 		time.Sleep(timing.CallTimeout())
 		synctest.Wait()
 		assert.DeepEqual(t, opened, []uint64{3})
 		time.Sleep(2 * timing.CallTimeout())
 		synctest.Wait()
-		assert.DeepEqual(t, got, []uint64{4, 7})
+		assert.DeepEqual(t, received, []uint64{4, 7})
 		hub.Unsubscribe(first)
 		stop()
 		synctest.Wait()
--- a/internal/delivery/fanout/tombstones_test.go
+++ b/internal/delivery/fanout/tombstones_test.go
@@ -33,8 +33,8 @@
 		})
 		second.subscribe(script.hub, "a", offsetPointer(4))
 		advance(time.Second)
-		assert.DeepEqual(t, first.got, []uint64{5, 6, 7, 8, 9})
-		assert.DeepEqual(t, second.got, []uint64{6, 7, 8, 9})
+		assert.DeepEqual(t, first.received, []uint64{5, 6, 7, 8, 9})
+		assert.DeepEqual(t, second.received, []uint64{6, 7, 8, 9})
 	})
 }
 
@@ -56,7 +56,7 @@
 		})
 		second.subscribe(script.hub, "a", offsetPointer(3))
 		advance(time.Second)
-		assert.DeepEqual(t, second.got, []uint64{6, 7, 9, 10})
+		assert.DeepEqual(t, second.received, []uint64{6, 7, 9, 10})
 		script.onFollow(func(*leader.FollowRequest) (*leader.FollowResponse, time.Duration) {
 			return &leader.FollowResponse{
 				Epoch:        1,
@@ -68,7 +68,7 @@
 		third.subscribe(script.hub, "a", offsetPointer(3))
 		advance(time.Second)
 		assert.Assert(
-			t, slices.Equal(third.got, []uint64{8}),
+			t, slices.Equal(third.received, []uint64{8}),
 			"a tombstone is stored only while an older response may arrive",
 		)
 		script.hub.feed(0).mu.Lock()
@@ -106,7 +106,7 @@
 		})
 		second.subscribe(script.hub, "a", offsetPointer(3))
 		advance(time.Second)
-		assert.DeepEqual(t, second.got, []uint64{7})
+		assert.DeepEqual(t, second.received, []uint64{7})
 	})
 }
 
@@ -122,8 +122,8 @@
 		script.onFollow(followAnswer(8))
 		second.subscribe(script.hub, "a", offsetPointer(3))
 		advance(time.Second)
-		assert.DeepEqual(t, second.got, []uint64{9, 10})
-		assert.Equal(t, len(first.got), 0)
+		assert.DeepEqual(t, second.received, []uint64{9, 10})
+		assert.Equal(t, len(first.received), 0)
 	})
 }
 
@@ -196,18 +196,18 @@
 				broken := 0
 				subscription := script.hub.NewSubscription(0, "a")
 				subscription.OnOpen = func(uint64, error) {}
-				subscription.OnEntry = func(entry log.Entry) { first.got = append(first.got, entry.Offset) }
+				subscription.OnEntry = func(entry log.Entry) { first.received = append(first.received, entry.Offset) }
 				subscription.OnBroken = func() { broken++ }
 				script.hub.Subscribe(subscription)
 				advance(longTick + tick)
-				assert.DeepEqual(t, first.got, []uint64{5})
+				assert.DeepEqual(t, first.received, []uint64{5})
 				script.takeLog()
 				prepare(script)
 				second.subscribe(script.hub, "a", offsetPointer(4))
 				advance(2 * time.Second)
 				assert.Equal(t, broken, 1)
-				assert.DeepEqual(t, first.got, []uint64{5})
-				assert.DeepEqual(t, second.got, []uint64{15})
+				assert.DeepEqual(t, first.received, []uint64{5})
+				assert.DeepEqual(t, second.received, []uint64{15})
 				lines := script.takeLog()
 				assert.DeepEqual(t, lines[:4], []string{
 					"follow boot full=false topics=1 tombstones=true", "release 0 close=true",
--- a/internal/delivery/stream/feed.go
+++ b/internal/delivery/stream/feed.go
@@ -144,8 +144,8 @@
 	return response, nil
 }
 
-// reportFinished reports to the leader that the feed has no messages any more, until the leader
-// answers.
+// reportFinished reports to the leader that the feed no longer has messages. It repeats the report
+// until the leader answers.
 func (f *Feed) reportFinished() {
 	feeds := f.feeds
 	for feeds.ctx.Err() == nil {
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -58,8 +58,8 @@
 	Store  *gossip.Store
 	// Addr returns the address of a node.
 	Addr func(node string) (string, bool)
-	// OnFailure is called at each ping interval while a node counts as failed, with the time since
-	// when and the reason.
+	// OnFailure is called at each ping interval while a node counts as failed, with the time at
+	// which it was marked as failed and the reason.
 	OnFailure func(ctx context.Context, node string, since time.Time, reason string)
 
 	// mu guards targets, the values that they point to, and peers.
@@ -80,7 +80,7 @@
 	// latency is the highest latency of recent answers. It decays with each answer.
 	latency time.Duration
 	// failure is the reason why the target counts as failed, "" while it doesn't. failedSince is
-	// since when.
+	// when it was marked as failed.
 	failure     string
 	failedSince time.Time
 }
@@ -88,10 +88,10 @@
 // Run monitors the leaders until ctx ends.
 func (d *Detector) Run(ctx context.Context) {
 	var changed <-chan struct{}
-	for last := d.Clock.Now(); d.Clock.Sleep(ctx, d.Timing.PingInterval()) == nil; {
+	for lastTick := d.Clock.Now(); d.Clock.Sleep(ctx, d.Timing.PingInterval()) == nil; {
 		now := d.Clock.Now()
-		wasPaused := now.Sub(last) > 2*d.Timing.PingInterval()
-		last = now
+		wasPaused := now.Sub(lastTick) > 2*d.Timing.PingInterval()
+		lastTick = now
 		select {
 		case <-changed:
 			changed = nil
@@ -110,10 +110,10 @@
 	peers := d.peersByLeader()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	before := d.targets
+	previous := d.targets
 	d.targets = map[string]*target{}
 	for leader := range peers {
-		d.targets[leader] = before[leader]
+		d.targets[leader] = previous[leader]
 		if d.targets[leader] == nil {
 			d.targets[leader] = &target{}
 		}
@@ -179,8 +179,8 @@
 // since a slow or lossy connection is not a failure.
 func (d *Detector) maxMissed(watched *target) int {
 	interval := d.Timing.PingInterval()
-	silence := min(d.Timing.FailureTimeout()+2*watched.latency, d.Timing.SessionTimeout()/2)
-	return int((silence + interval/2) / interval)
+	maxSilence := min(d.Timing.FailureTimeout()+2*watched.latency, d.Timing.SessionTimeout()/2)
+	return int((maxSilence + interval/2) / interval)
 }
 
 // markFailed marks a target as failed, unless it already is or is no longer monitored. The caller
--- a/internal/gossip/gossiper.go
+++ b/internal/gossip/gossiper.go
@@ -150,9 +150,9 @@
 // others get it with their heartbeats, each at its own time, which saves a small machine two dozen
 // exchanges at once.
 func (g *Gossiper) ownershipChanged() bool {
-	before := g.seenUpdates
+	previous := g.seenUpdates
 	g.seenUpdates = g.Store.ownershipUpdateCount()
-	return g.seenUpdates != before
+	return g.seenUpdates != previous
 }
 
 // beginRounds begins rounds after an update. They include nodes without a disk if includeDiskless
--- a/internal/gossip/relay.go
+++ b/internal/gossip/relay.go
@@ -29,12 +29,12 @@
 	if !g.Disk || updates == g.relayedUpdates {
 		return
 	}
-	before := g.relayed
+	lastRelayed := g.relayed
 	g.relayedUpdates, g.relayed = updates, g.Store.Digest()
-	before.ConfigurationPending = true
-	update := g.Store.Since(before)
+	lastRelayed.ConfigurationPending = true
+	update := g.Store.Since(lastRelayed)
 	for _, peer := range g.relayTargets() {
-		if before.VoterSet == 0 {
+		if lastRelayed.VoterSet == 0 {
 			go g.exchange(ctx, peer)
 			continue
 		}
@@ -100,10 +100,10 @@
 
 // pushRecords sends records to all nodes that they name, and to a few others with a disk.
 func (g *Gossiper) pushRecords(ctx context.Context, records []assignment.Record) {
-	isNamed := map[string]bool{}
+	namedNodes := map[string]bool{}
 	for _, record := range records {
 		for _, node := range record.Nodes() {
-			isNamed[node] = true
+			namedNodes[node] = true
 		}
 	}
 	peers := membership.Filter(g.View(), func(node membership.Info) bool {
@@ -112,7 +112,7 @@
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	unnamedLeft := maxBroadcastPeers
 	for _, peer := range peers {
-		if !isNamed[peer.Name] {
+		if !namedNodes[peer.Name] {
 			unnamedLeft--
 			if unnamedLeft < 0 {
 				continue
--- a/internal/gossip/store_configuration.go
+++ b/internal/gossip/store_configuration.go
@@ -14,11 +14,11 @@
 // the new one, or nil. A change with an unexpected result is ignored, and the next configuration
 // has to be complete.
 func (s *Store) applyConfiguration(update Update) *configuration.Config {
-	before := s.configuration.Sequence
+	previousSequence := s.configuration.Sequence
 	if complete := update.Configuration; complete != nil && complete.Sequence > s.configuration.Sequence {
 		next := *complete
 		next.Source = ""
-		if before > 0 {
+		if previousSequence > 0 {
 			s.recentChanges = append(s.recentChanges, s.configuration.Change(next))
 		}
 		s.setConfiguration(next)
@@ -35,7 +35,7 @@
 		s.recentChanges = append(s.recentChanges, change)
 		s.setConfiguration(next)
 	}
-	if s.configuration.Sequence == before {
+	if s.configuration.Sequence == previousSequence {
 		return nil
 	}
 	if excess := len(s.recentChanges) - maxRecentChanges; excess > 0 {
--- a/internal/gossip/store_test.go
+++ b/internal/gossip/store_test.go
@@ -89,18 +89,18 @@
 		{Name: "a", Prefix: "a"}, {Name: "b", Prefix: "b"},
 	}}
 	sender.Apply(Update{Configuration: &config})
-	other := nextConfiguration(config)
-	other.Sequence = 1
-	receiver.Apply(Update{Configuration: &other})
+	conflicting := nextConfiguration(config)
+	conflicting.Sequence = 1
+	receiver.Apply(Update{Configuration: &conflicting})
 	config = nextConfiguration(config)
 	config.Spaces[1].Weight = 3
 	sender.Apply(Update{Configuration: &config})
 	config = nextConfiguration(config)
 	sender.Apply(Update{Configuration: &config})
-	before := receiver.Configuration()
+	previous := receiver.Configuration()
 	failing := configuration.Change{From: 1, Sequence: 2, Parts: []configuration.Part{{Count: 2}}, Checksum: 5}
 	assert.Assert(t, receiver.Apply(Update{Changes: []configuration.Change{failing}}).Empty())
-	assert.DeepEqual(t, receiver.Configuration(), before)
+	assert.DeepEqual(t, receiver.Configuration(), previous)
 	assert.Assert(t, !receiver.AcceptsChanges())
 	update := sender.Since(receiver.Digest())
 	assert.Assert(t, update.Configuration != nil && len(update.Changes) == 0)
@@ -139,8 +139,8 @@
 		t.Logf("%s: %d bytes, complete %d", name, size(update), complete)
 		return size(update)
 	}
-	one := changeSize("a space changed", func(next *configuration.Config) { next.Spaces[200].DeadlineMS++ })
-	assert.Assert(t, one*100 < complete)
+	oneSpace := changeSize("a space changed", func(next *configuration.Config) { next.Spaces[200].DeadlineMS++ })
+	assert.Assert(t, oneSpace*100 < complete)
 	changeSize("a space removed", func(next *configuration.Config) {
 		next.Spaces = slices.Delete(next.Spaces, 200, 201)
 	})
--- a/internal/httpapi/api.go
+++ b/internal/httpapi/api.go
@@ -150,8 +150,8 @@
 	return apierror.Wrap(apierror.Malformed, json.Unmarshal(data, target), "the document could not be read")
 }
 
-func objectShape(needed []string, fields map[string]string) strictjson.Shape {
-	shape := strictjson.Shape{Kind: strictjson.Object, Required: needed, Fields: map[string]strictjson.Shape{}}
+func objectShape(required []string, fields map[string]string) strictjson.Shape {
+	shape := strictjson.Shape{Kind: strictjson.Object, Required: required, Fields: map[string]strictjson.Shape{}}
 	for name, kind := range fields {
 		shape.Fields[name] = strictjson.Shape{Kind: kind}
 	}
@@ -270,13 +270,13 @@
 	return a.Clients.Do(r.Context(), &client.Request{Verb: client.VerbAck, Token: bearer, Cursor: input.Cursor})
 }
 
-func checkQuery(r *http.Request, known ...string) error {
-	isKnown := map[string]bool{}
-	for _, name := range known {
-		isKnown[name] = true
+func checkQuery(r *http.Request, parameters ...string) error {
+	known := map[string]bool{}
+	for _, name := range parameters {
+		known[name] = true
 	}
 	for name := range r.URL.Query() {
-		if !isKnown[name] {
+		if !known[name] {
 			return apierror.New(apierror.DocumentFaulty, "%q is not a parameter of %s", name, r.URL.Path)
 		}
 	}
--- a/internal/httpapi/stream_writer_test.go
+++ b/internal/httpapi/stream_writer_test.go
@@ -64,11 +64,11 @@
 				listener.conns <- serverSide
 				go func() { _, _ = client.Write([]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n")) }()
 				reader := bufio.NewReaderSize(client, 16)
-				var got bytes.Buffer
-				for !strings.HasSuffix(got.String(), "first\n\r\n") {
+				var received bytes.Buffer
+				for !strings.HasSuffix(received.String(), "first\n\r\n") {
 					next, err := reader.ReadByte()
 					assert.NilError(t, err)
-					got.WriteByte(next)
+					received.WriteByte(next)
 				}
 				writer := <-writers
 				if name == "under way" {
@@ -83,11 +83,11 @@
 				assert.ErrorContains(t, <-emitted, "slow_reader")
 				<-finished
 				assert.Equal(t, time.Since(start), time.Duration(0))
-				var rest bytes.Buffer
-				_, _ = rest.ReadFrom(reader)
-				assert.Assert(t, !strings.Contains(rest.String(), "third"))
+				var remaining bytes.Buffer
+				_, _ = remaining.ReadFrom(reader)
+				assert.Assert(t, !strings.Contains(remaining.String(), "third"))
 				if name != "under way" {
-					assert.Assert(t, !strings.Contains(rest.String(), "x"))
+					assert.Assert(t, !strings.Contains(remaining.String(), "x"))
 				}
 				assert.NilError(t, server.Close())
 			})
--- a/internal/lineserver/buffer.go
+++ b/internal/lineserver/buffer.go
@@ -25,8 +25,8 @@
 
 // Release removes the pending messages of a partition that have keys. It reports whether none is
 // left. It closes the connection because of one that is being written only if cut is set.
-func (c *conn) Release(partition int, cut bool) bool {
-	return c.removeCovered(cut, func(message *messageSpan) bool { return message.partition == partition })
+func (c *conn) Release(partition int, closeConnection bool) bool {
+	return c.removeCovered(closeConnection, func(message *messageSpan) bool { return message.partition == partition })
 }
 
 // removeCovered removes covered messages from the pending bytes. If one is being written and
--- a/internal/lineserver/buffer_test.go
+++ b/internal/lineserver/buffer_test.go
@@ -110,7 +110,7 @@
 				test.remove(sessions.buffers[0])
 				sink(session.Response{Type: session.Unsubscribed, Topic: "a"})
 				reader := bufio.NewReader(client)
-				var got []string
+				var callSeqs []string
 				for {
 					line := readLine(t, reader)
 					if strings.Contains(line, "left") {
@@ -119,10 +119,10 @@
 					_, line, ok := strings.Cut(line, `"call_seq":`)
 					if ok {
 						line, _, _ = strings.Cut(line, ",")
-						got = append(got, strings.TrimRight(line, "}\n"))
+						callSeqs = append(callSeqs, strings.TrimRight(line, "}\n"))
 					}
 				}
-				assert.Equal(t, strings.Join(got, " "), test.want)
+				assert.Equal(t, strings.Join(callSeqs, " "), test.want)
 				synctest.Wait()
 				withdraw(sessions.buffers[0], 0, "a", "j", 9)
 				withdraw(sessions.buffers[0], 0, "a", "k", 9)
@@ -168,9 +168,9 @@
 				assert.Equal(t, test.remove(sessions.buffers[0]), test.isReleased)
 				synctest.Wait()
 				if test.isClosed {
-					rest, err := io.ReadAll(client)
+					received, err := io.ReadAll(client)
 					assert.NilError(t, err)
-					assert.Equal(t, len(rest), 0)
+					assert.Equal(t, len(received), 0)
 					assert.Equal(t, server.Count(), 0)
 					return
 				}
@@ -216,10 +216,10 @@
 		assert.Equal(t, sessions.endCount, 1)
 		assert.Equal(t, sessions.drained, 0)
 		withdraw(sessions.buffers[0], 0, "a", "k", 8)
-		rest, err := io.ReadAll(client)
+		received, err := io.ReadAll(client)
 		assert.NilError(t, err)
-		assert.Equal(t, strings.Count(string(rest), "\n"), 2)
-		assert.Assert(t, strings.Contains(string(rest), `"call_seq":6`))
+		assert.Equal(t, strings.Count(string(received), "\n"), 2)
+		assert.Assert(t, strings.Contains(string(received), `"call_seq":6`))
 		synctest.Wait()
 		assert.Equal(t, sessions.drained, 1)
 	})
--- a/internal/lineserver/jsoncodec/codec.go
+++ b/internal/lineserver/jsoncodec/codec.go
@@ -188,6 +188,6 @@
 	if json.Valid(body) && !bytes.ContainsAny(body, "\r\n") {
 		return body
 	}
-	text, _ := json.Marshal(string(body))
-	return text
+	quoted, _ := json.Marshal(string(body))
+	return quoted
 }
--- a/internal/lineserver/jsoncodec/codec_test.go
+++ b/internal/lineserver/jsoncodec/codec_test.go
@@ -177,13 +177,13 @@
 	}
 	f.Fuzz(func(t *testing.T, input []byte) {
 		r := bufio.NewReaderSize(bytes.NewReader(input), 64)
-		for n := 0; ; n++ {
+		for lineCount := 0; ; lineCount++ {
 			request, err := Codec{}.ReadRequest(r, 32)
 			assert.Assert(t, len(request.Body) <= 32)
 			var fault *lineserver.Fault
 			if err != nil && !errors.As(err, &fault) {
 				assert.ErrorIs(t, err, io.EOF)
-				assert.Assert(t, n <= bytes.Count(input, []byte("\n")))
+				assert.Assert(t, lineCount <= bytes.Count(input, []byte("\n")))
 				return
 			}
 		}
--- a/internal/lineserver/server.go
+++ b/internal/lineserver/server.go
@@ -34,9 +34,9 @@
 	AttachBuffer(buffer session.Buffer) func()
 }
 
-// Sessions opens client sessions. Their responses go to out, from any goroutine.
+// Sessions opens client sessions. Their responses go to sink, from any goroutine.
 type Sessions interface {
-	NewSession(out session.Sink) Session
+	NewSession(sink session.Sink) Session
 }
 
 // Codec reads and writes the lines of one protocol. ReadRequest returns the next request, whose
--- a/internal/lineserver/server_test.go
+++ b/internal/lineserver/server_test.go
@@ -311,11 +311,13 @@
 }
 
 func TestUnavailable_RejectsAllButHeartbeats(t *testing.T) {
-	var got []session.Response
-	unavailable := lineserver.Unavailable{}.NewSession(func(response session.Response) { got = append(got, response) })
+	var responses []session.Response
+	unavailable := lineserver.Unavailable{}.NewSession(func(response session.Response) {
+		responses = append(responses, response)
+	})
 	unavailable.Do(session.Request{Verb: session.Heartbeat})
 	unavailable.Do(session.Request{Verb: session.Subscribe, Topic: "a"})
 	unavailable.End()
-	assert.Equal(t, got[0].Type, session.Alive)
-	assert.Equal(t, got[1].InReplyTo, session.Subscribe)
+	assert.Equal(t, responses[0].Type, session.Alive)
+	assert.Equal(t, responses[1].InReplyTo, session.Subscribe)
 }
--- a/internal/membership/versionedlist.go
+++ b/internal/membership/versionedlist.go
@@ -63,13 +63,13 @@
 	if l.id == 0 {
 		l.id, l.entries, l.removed = rand.Uint64()|1, map[string]listEntry{}, map[string]uint64{}
 	}
-	isListed := make(map[string]bool, len(nodes))
+	listed := make(map[string]bool, len(nodes))
 	for _, node := range nodes {
-		isListed[node.Name] = true
+		listed[node.Name] = true
 		l.setNode(node)
 	}
 	for name := range l.entries {
-		if !isListed[name] {
+		if !listed[name] {
 			l.changes++
 			l.removed[name] = l.changes
 			delete(l.entries, name)
--- a/internal/membership/versionedlist_test.go
+++ b/internal/membership/versionedlist_test.go
@@ -35,11 +35,11 @@
 				list = VersionedList{}
 			}
 		}
-		var all []Info
+		var listed []Info
 		for _, node := range nodes {
-			all = append(all, node)
+			listed = append(listed, node)
 		}
-		list.Set(all)
+		list.Set(listed)
 		change := list.Since(replica.Version())
 		sent = append(sent, change)
 		switch random.IntN(4) {
@@ -52,10 +52,10 @@
 		for !replica.Apply(change) {
 			change = list.Since(Version{})
 		}
-		sortByName(all)
-		assert.Equal(t, len(replica.All()), len(all))
+		sortByName(listed)
+		assert.Equal(t, len(replica.All()), len(listed))
 		for i, node := range replica.All() {
-			assert.DeepEqual(t, node, all[i])
+			assert.DeepEqual(t, node, listed[i])
 		}
 		assert.Assert(t, list.Since(replica.Version()).Empty())
 	}
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -43,12 +43,12 @@
 
 // Add adds or replaces members. Members that added does not name remain.
 func (v *View) Add(added []Info) {
-	members, isAdded := slices.Clone(added), make(map[string]bool, len(added))
+	members, addedNames := slices.Clone(added), make(map[string]bool, len(added))
 	for _, member := range added {
-		isAdded[member.Name] = true
+		addedNames[member.Name] = true
 	}
 	for _, member := range v.All() {
-		if !isAdded[member.Name] {
+		if !addedNames[member.Name] {
 			members = append(members, member)
 		}
 	}
--- a/internal/nodelease/manager_discovery.go
+++ b/internal/nodelease/manager_discovery.go
@@ -24,10 +24,10 @@
 		m.identified = map[string]nodeInfo{}
 	}
 	if request.From != nil {
-		m.identified[request.From.Name] = nodeInfo{info: *request.From, at: now}
+		m.identified[request.From.Name] = nodeInfo{info: *request.From, receivedAt: now}
 	}
 	for name, node := range m.identified {
-		if now.Sub(node.at) > m.Settings.Timing().SessionTimeout() {
+		if now.Sub(node.receivedAt) > m.Settings.Timing().SessionTimeout() {
 			delete(m.identified, name)
 			continue
 		}
@@ -38,10 +38,11 @@
 	return response, nil
 }
 
-// chooseControlNode returns a control node for the next session. If there is none to avoid and this
-// node is a control node, it is this node. After a session that worked (hadSession) it is one of
-// the members known from that session, otherwise one found through the seeds. If there is none to
-// avoid, those in this node's zone are preferred. An error has the code Unreachable.
+// chooseControlNode returns a control node for the next session. If this node is a control node and
+// there is none to avoid, it returns this node. After a session that worked (hadSession) it chooses
+// among the members known from that session. Otherwise, or if there is none among them, it also
+// queries the seeds. If there is none to avoid, it prefers nodes in this node's zone. An error has
+// the code Unreachable.
 func (m *Manager) chooseControlNode(ctx context.Context, avoid string, hadSession bool) (membership.Info, error) {
 	if m.Local != nil && avoid == "" {
 		return m.Info(), nil
--- a/internal/nodelease/manager_heartbeat.go
+++ b/internal/nodelease/manager_heartbeat.go
@@ -81,8 +81,9 @@
 }
 
 // updateMembers applies the members of a response, if they have changed. A control node that
-// started recently, or that no majority answers, may leave out a member that is live: an isolated
-// control node loses sessions that others have. Then no member is removed.
+// started recently, or that no majority answers, may leave out members that are live: sessions of
+// an isolated control node move to others. The members of such a response are only added, and none
+// is removed.
 func (m *Manager) updateMembers(response *HeartbeatResponse) {
 	uncertain := response.WarmingUp || response.Isolated || !response.Confirmed
 	members := response.Members
--- a/internal/nodelease/server.go
+++ b/internal/nodelease/server.go
@@ -55,9 +55,9 @@
 
 // nodeInfo is the Info that a node sent, when it arrived, and the number that it was assigned.
 type nodeInfo struct {
-	info   membership.Info
-	at     time.Time
-	number uint64
+	info       membership.Info
+	receivedAt time.Time
+	number     uint64
 }
 
 // Serve registers the procedures for nodes and for other control nodes with mux.
@@ -81,7 +81,7 @@
 		}
 	}
 	s.Table.Observe(session.info, 0)
-	response := &HeartbeatResponse{WarmingUp: s.isWarmingUp(session.at)}
+	response := &HeartbeatResponse{WarmingUp: s.isWarmingUp(session.receivedAt)}
 	if request.KnownVersion != nil {
 		change := s.currentMembers().Since(*request.KnownVersion)
 		response.Change, response.InfoNumber = &change, session.number
@@ -155,7 +155,7 @@
 	defer s.mu.Unlock()
 	var sessions []membership.Session
 	for name, session := range s.ownSessions {
-		age := now.Sub(session.at)
+		age := now.Sub(session.receivedAt)
 		if age > s.Timing.SessionTimeout() {
 			delete(s.ownSessions, name)
 			continue
--- a/internal/nodelease/statetransfer_test.go
+++ b/internal/nodelease/statetransfer_test.go
@@ -112,10 +112,10 @@
 			assert.Assert(t, request.Update == nil && len(request.Sessions) == 1)
 		}
 		assert.Equal(t, len(server.Table.Live()), 2)
-		other := http.NewServeMux()
-		server.Serve(other)
+		serverMux := http.NewServeMux()
+		server.Serve(serverMux)
 		response,
-			err := membership.Sessions.Call(context.Background(), &muxNetwork{other}, "c2", "c1",
+			err := membership.Sessions.Call(context.Background(), &muxNetwork{serverMux}, "c2", "c1",
 			&membership.SessionsRequest{From: "c2"})
 		assert.NilError(t, err)
 		assert.Equal(t, len(response.Sessions), 1)
--- a/internal/reachability/monitor.go
+++ b/internal/reachability/monitor.go
@@ -89,7 +89,7 @@
 		}
 		found <- m.reachablePeers(ctx)
 	}()
-	if answered, all := m.callLeaders(ctx, selfAnswerDivisor); answered > 0 || all == 0 {
+	if answered, called := m.callLeaders(ctx, selfAnswerDivisor); answered > 0 || called == 0 {
 		return true, nil
 	}
 	peers = <-found
@@ -100,12 +100,12 @@
 // It is false until the node knows what is usual.
 func (m *Monitor) isHeartbeatLate() bool {
 	_, isKnown := m.UsualLatency()
-	last := m.LastHeard()
-	if !isKnown || last.IsZero() {
+	lastHeard := m.LastHeard()
+	if !isKnown || lastHeard.IsZero() {
 		return false
 	}
 	limit := m.Timing.HeartbeatInterval()*lateNumerator/lateDenominator + m.slack()
-	return m.Clock.Now().Sub(last) > limit
+	return m.Clock.Now().Sub(lastHeard) > limit
 }
 
 func (m *Monitor) slack() time.Duration {
--- a/internal/reachability/probe.go
+++ b/internal/reachability/probe.go
@@ -40,22 +40,22 @@
 	if err := m.CheckServing(); err != nil {
 		return nil, err
 	}
-	answered, all := m.callLeaders(ctx, peerAnswerDivisor)
-	return &ProbeResponse{Reachable: peerAnswerDivisor*answered >= all}, nil
+	answered, called := m.callLeaders(ctx, peerAnswerDivisor)
+	return &ProbeResponse{Reachable: peerAnswerDivisor*answered >= called}, nil
 }
 
 // callLeaders calls all leaders at once. It returns the number that answered and the number called,
 // as soon as one in divisor of them has answered.
-func (m *Monitor) callLeaders(ctx context.Context, divisor int) (answered, all int) {
+func (m *Monitor) callLeaders(ctx context.Context, divisor int) (answered, called int) {
 	ctx, cancel := context.WithTimeout(ctx, m.Timing.HedgeDelay()+m.slack())
 	defer cancel()
 	addrs := m.LeaderAddrs()
-	enough := max(1, (len(addrs)+divisor-1)/divisor)
+	required := max(1, (len(addrs)+divisor-1)/divisor)
 	ping := func(ctx context.Context, addr string) (*failuredetector.PingResponse, error) {
 		return failuredetector.Ping.Call(ctx, m.Net, m.Self, addr, &failuredetector.PingRequest{})
 	}
 	isEnough := func(results []quorum.Result[string, *failuredetector.PingResponse]) bool {
-		return len(quorum.Successes(results)) >= enough
+		return len(quorum.Successes(results)) >= required
 	}
 	return len(quorum.Successes(quorum.Gather(ctx, addrs, ping, isEnough))), len(addrs)
 }
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -31,16 +31,16 @@
 	Message string
 }
 
-// FaultsError returns one apierror.SettingsInvalid with all faults, nil if there are none; where
+// FaultsError returns one apierror.SettingsInvalid with all faults, nil if there are none. source
 // names what was checked.
-func FaultsError(where string, faults []Fault) error {
+func FaultsError(source string, faults []Fault) error {
 	if len(faults) == 0 {
 		return nil
 	}
 	var texts []string
 	var listed []apierror.Fault
 	for _, fault := range faults {
-		texts = append(texts, fmt.Sprintf("%s: field %q: %s", where, fault.Field, fault.Message))
+		texts = append(texts, fmt.Sprintf("%s: field %q: %s", source, fault.Field, fault.Message))
 		listed = append(listed, apierror.Fault{Path: fault.Field, Message: fault.Message})
 	}
 	return apierror.New(apierror.SettingsInvalid, "%s", strings.Join(texts, "; ")).WithFaults(listed)
@@ -79,7 +79,7 @@
 	o.checkBootstrap(&c)
 	o.checkTimes(&c)
 	o.checkSizes(&c)
-	sort.SliceStable(c.faults, func(i, k int) bool { return c.faults[i].Field < c.faults[k].Field })
+	sort.SliceStable(c.faults, func(i, j int) bool { return c.faults[i].Field < c.faults[j].Field })
 	return c.faults
 }
 
--- a/tools/mutations/client.sh
+++ b/tools/mutations/client.sh
@@ -7,8 +7,8 @@
 mutant urgent-opens-alone internal/client/stream_open.go 's/if required == 0 \{/if true {\n\t\trequired += len(routine)/; s/opened\.isUrgent \|\| len\(urgent\) == 0/true/' $S 'UrgentProceeds'
 mutant urgent-never-waits internal/client/stream_deliver.go 's/go func\(\) \{\n\t\twindow, err := feed\.Fetch/func() {\n\t\twindow, err := feed.Fetch/' ./internal/client DeliverRound
 mutant urgent-lane internal/client/policies.go 's/if request\.isUrgent\(\) \{\n\t\tlane = /if false {\n\t\tlane = /' $S 'UrgentUnderFlood'
-mutant stream-withdrawn internal/client/stream_deliver.go 's/fate == stream\.EntryWithdrawn \|\|\n/\n/' ./internal/client 'WithdrawnEntries'
-mutant stream-stale internal/client/stream_deliver.go 's/return true, nil\n\t\}\n\tdefer end/fate = stream.EntryDeliverable\n\t}\n\tdefer end/' ./internal/client 'WithdrawnEntries'
+mutant stream-withdrawn internal/client/stream_deliver.go 's/status == stream\.EntryWithdrawn \|\|\n/\n/' ./internal/client 'WithdrawnEntries'
+mutant stream-stale internal/client/stream_deliver.go 's/return true, nil\n\t\}\n\tdefer endWrite/status = stream.EntryDeliverable\n\t}\n\tdefer endWrite/' ./internal/client 'WithdrawnEntries'
 mutant stream-left-out internal/client/stream_deliver.go 's/entry\.Key != "" && entry\.BodyDropped \|\|\n/\n/' ./internal/client 'WithdrawnEntries'
 mutant completion-awaited internal/client/withdraw.go 's/err == nil && len\(readers\.Nodes\) == 0/err == nil/' ./internal/client 'NamesPending'
 mutant completion-apart internal/client/service.go 's/spaces, completion, admit/spaces, admit, completion/' $S 'StreamsForget'
--- a/tools/mutations/delivery-fanout.sh
+++ b/tools/mutations/delivery-fanout.sh
@@ -1,6 +1,6 @@
 # Mutants of internal/delivery/fanout.
 mutant opened-meanwhile internal/delivery/fanout/open.go 's/s\.After != nil && \(!ok \|\| offset > \*s\.After\)/false \&\& ok \&\& offset > 0/' ./internal/delivery/fanout 'BetweenOpen'
-mutant requeue-in-place internal/delivery/fanout/follow.go 's/slices\.Concat\(asked, f\.pending\)/append(asked, f.pending...)/' ./internal/delivery/fanout 'AfterRequeue'
+mutant requeue-in-place internal/delivery/fanout/follow.go 's/slices\.Concat\(subscriptions, f\.pending\)/append(subscriptions, f.pending...)/' ./internal/delivery/fanout 'AfterRequeue'
 mutant isolated-reader-never-abandons internal/delivery/fanout/feed.go 's/return f\.isReader && f\.readerToken > 0 &&/return false \&\& f.readerToken > 0 \&\&/' $S 'RouterThatReceivesNothing'
 mutant abandon-without-release internal/delivery/fanout/finish.go 's/(releaseAndFinish\(request \*leader\.FollowRequest\) \{\n)\tf\.hub\.release\(f\.partition, true\)\n/$1/' ./internal/delivery/fanout 'IsolatedReader'
 mutant queued-not-withdrawn internal/delivery/fanout/tombstones.go 's/return entry\.Type == log\.TypeMessage && entry\.Key == withdrawal/return false \&\& entry.Key == withdrawal/' ./internal/delivery/fanout 'DropsQueued'
