--- a/internal/client/session/balance.go
+++ b/internal/client/session/balance.go
@@ -47,11 +47,11 @@
 		return member.Zone == self.Zone && member.ClientAddr != "" && member.MilliCores > 0 &&
 			(member.Name == self.Name || member.Stage == membership.Serving && !member.Isolated)
 	})
-	sum := 0
+	totalMilliCores := 0
 	for _, member := range zone {
-		sum += clientMilliCores(member)
+		totalMilliCores += clientMilliCores(member)
 	}
-	mean, surplus := float64(sum)/float64(max(len(zone), 1)), 0.0
+	mean, surplus := float64(totalMilliCores)/float64(max(len(zone), 1)), 0.0
 	for _, member := range zone {
 		excess := float64(clientMilliCores(member)) - mean
 		if excess > 0 && member.MilliCores >= scarceMilliCores && member.Name != self.Name {
@@ -100,26 +100,26 @@
 			smallest = min(smallest, clientMilliCores(node))
 		}
 	}
-	weights, sum := make([]float64, len(nodes)), 0.0
+	weights, totalWeight := make([]float64, len(nodes)), 0.0
 	for i, node := range nodes {
 		weights[i] = 1
 		if node.MilliCores > 0 {
 			weights[i] = float64(clientMilliCores(node)) / float64(smallest)
 		}
-		sum += weights[i]
+		totalWeight += weights[i]
 	}
 	credits := make([]float64, len(nodes))
 	for i := range credits {
-		credits[i] = rand.Float64() * weights[i] / sum
+		credits[i] = rand.Float64() * weights[i] / totalWeight
 	}
 	return func() membership.Info {
-		best := 0
+		chosen := 0
 		for i := range nodes {
-			if credits[i] += weights[i] / sum; credits[i] > credits[best] {
-				best = i
+			if credits[i] += weights[i] / totalWeight; credits[i] > credits[chosen] {
+				chosen = i
 			}
 		}
-		credits[best]--
-		return nodes[best]
+		credits[chosen]--
+		return nodes[chosen]
 	}
 }
--- a/internal/client/session/publish.go
+++ b/internal/client/session/publish.go
@@ -33,19 +33,19 @@
 		Live:          space.Kind == configuration.KindLive,
 		Configuration: s.registry.Store.Index().Sequence,
 	}
-	done := func(_ *leader.Decision, err error) {
+	respond := func(_ *leader.Decision, err error) {
 		if err != nil {
 			s.reject(request, err)
 			return
 		}
 		s.sink(Response{Type: Accepted, Topic: request.Topic, CallSeq: request.CallSeq})
 	}
-	s.registry.PartitionLog.SubmitAsync(s.registry.ctx, partition, message, s.registry.decisionDeadline(space), done)
+	s.registry.PartitionLog.SubmitAsync(s.registry.ctx, partition, message, s.registry.decisionDeadline(space), respond)
 	return nil
 }
 
-// A message may wait for its decision for 4/5 of the deadline of its space; the rest is for the way
-// back.
+// A message may wait for its decision for 4/5 of the deadline of its space. The rest is for the
+// transmission of the response.
 const (
 	decisionNumerator   = 4
 	decisionDenominator = 5
--- a/internal/client/session/withdraw.go
+++ b/internal/client/session/withdraw.go
@@ -46,14 +46,14 @@
 		Live:           space.Kind == configuration.KindLive,
 		Configuration:  s.registry.Store.Index().Sequence,
 	}
-	done := func(decision *leader.Decision, err error) {
+	onDecision := func(decision *leader.Decision, err error) {
 		if err != nil {
 			s.reject(request, err)
 			return
 		}
 		go s.awaitReaders(request, partition, decision, deadline)
 	}
-	s.registry.PartitionLog.SubmitAsync(s.registry.ctx, partition, message, deadline, done)
+	s.registry.PartitionLog.SubmitAsync(s.registry.ctx, partition, message, deadline, onDecision)
 	return nil
 }
 
--- a/internal/client/stream_deliver.go
+++ b/internal/client/stream_deliver.go
@@ -83,8 +83,8 @@
 	return nil, nil
 }
 
-// deliver writes an entry of a reader's window, or reports that the window is stale and must be
-// filled again.
+// deliver writes an entry of a reader's window, if the stream has its topic. It returns true if the
+// window is stale and must be filled again.
 func (st *subscriptionStream) deliver(reader reader, entry log.Entry) (stale bool, err error) {
 	if entry.Offset <= st.positions[reader.partition] {
 		return false, nil
--- a/internal/command/cli/call.go
+++ b/internal/command/cli/call.go
@@ -22,7 +22,7 @@
 
 // call makes a call and prints the response, indented if it is JSON.
 func call(ctx context.Context, streams Streams, opts *options, method, path string, body []byte) error {
-	response, err := do(ctx, opts, method, path, body)
+	response, err := sendRequest(ctx, opts, method, path, body)
 	if err != nil {
 		return err
 	}
@@ -44,7 +44,7 @@
 	return apierror.Wrap(apierror.Usage, err, "write the response")
 }
 
-func do(ctx context.Context, opts *options, method, path string, body []byte) (*http.Response, error) {
+func sendRequest(ctx context.Context, opts *options, method, path string, body []byte) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+opts.addr+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, apierror.Wrap(apierror.Usage, err, "address %s", opts.addr)
--- a/internal/command/cli/stream.go
+++ b/internal/command/cli/stream.go
@@ -29,7 +29,7 @@
 	if opts.cursor != "" {
 		query.Set("cursor", opts.cursor)
 	}
-	response, err := do(ctx, opts, http.MethodGet, "/v1/stream?"+query.Encode(), nil)
+	response, err := sendRequest(ctx, opts, http.MethodGet, "/v1/stream?"+query.Encode(), nil)
 	if err != nil {
 		return err
 	}
--- a/internal/command/serve/datadir.go
+++ b/internal/command/serve/datadir.go
@@ -12,12 +12,12 @@
 
 // openDisk locks the data directory and opens the log in it. A damaged log is set aside and
 // replaced by a new one. The returned function closes the log and releases the lock.
-func openDisk(start *retrier, dir string, log *event.Logger) (*walog.Log, func(), error) {
-	release, err := retry(start, func() (func(), error) { return lockDir(dir) })
+func openDisk(startRetrier *retrier, dir string, log *event.Logger) (*walog.Log, func(), error) {
+	release, err := retry(startRetrier, func() (func(), error) { return lockDir(dir) })
 	if err != nil {
 		return nil, nil, err
 	}
-	disk, err := retry(start, func() (*walog.Log, error) {
+	disk, err := retry(startRetrier, func() (*walog.Log, error) {
 		disk, err := walog.Open(dir)
 		if apierror.HasCode(err, apierror.DiskDamaged) {
 			log.Log(event.DiskDamaged, "problem", err)
--- a/internal/command/serve/process.go
+++ b/internal/command/serve/process.go
@@ -28,11 +28,11 @@
 	runtime.GOMAXPROCS(threads(nodeSettings.Disk, runtime.GOMAXPROCS(0)))
 	signals := catchSignals()
 	defer signals.end()
-	start := &retrier{clock: clock.Real{}, timing: timing, log: log, stop: signals.stop}
+	startRetrier := &retrier{clock: clock.Real{}, timing: timing, log: log, stop: signals.stop}
 
 	env := node.Environment{Clock: clock.Real{}, Net: wire.NewNetwork(timing)}
 	if nodeSettings.Disk != settings.DiskNone {
-		disk, closeDisk, err := openDisk(start, nodeSettings.DataDir, log)
+		disk, closeDisk, err := openDisk(startRetrier, nodeSettings.DataDir, log)
 		if err != nil {
 			return err
 		}
@@ -40,12 +40,12 @@
 		env.Disk = disk
 	}
 	listeners := opts.allListeners()
-	opened, err := openListeners(start, listeners, nodeSettings.Descriptors)
+	opened, err := openListeners(startRetrier, listeners, nodeSettings.Descriptors)
 	defer closeListeners(opened)
 	if err != nil {
 		return err
 	}
-	n, err := startNode(start, nodeSettings, env, log)
+	n, err := startNode(startRetrier, nodeSettings, env, log)
 	if err != nil {
 		return err
 	}
@@ -109,10 +109,10 @@
 
 // openListeners opens all ports before the node starts. If it returns an error, it also returns the
 // ports that it opened before.
-func openListeners(start *retrier, listeners []Listener, descriptors int) ([]net.Listener, error) {
+func openListeners(startRetrier *retrier, listeners []Listener, descriptors int) ([]net.Listener, error) {
 	var opened []net.Listener
 	for _, listener := range listeners {
-		port, err := retry(start, listener.open)
+		port, err := retry(startRetrier, listener.open)
 		if err != nil {
 			return opened, err
 		}
@@ -128,9 +128,9 @@
 }
 
 func startNode(
-	start *retrier, nodeSettings settings.Options, env node.Environment, log *event.Logger,
+	startRetrier *retrier, nodeSettings settings.Options, env node.Environment, log *event.Logger,
 ) (*node.Node, error) {
-	return retry(start, func() (*node.Node, error) {
+	return retry(startRetrier, func() (*node.Node, error) {
 		n, err := node.Start(context.Background(), nodeSettings, env, log)
 		if err != nil && env.Disk != nil {
 			_ = env.Disk.Reopen()
--- a/internal/command/serve/process_test.go
+++ b/internal/command/serve/process_test.go
@@ -130,12 +130,12 @@
 		t.Run(string(code), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				stop := make(chan struct{})
-				start := &retrier{clock: clock.Real{}, timing: settings.DefaultTiming,
+				startRetrier := &retrier{clock: clock.Real{}, timing: settings.DefaultTiming,
 					log: event.NewLogger(hclog.NewNullLogger()), stop: stop}
 				end := time.AfterFunc(time.Hour, func() { close(stop) })
 				defer end.Stop()
 				startedAt := time.Now()
-				_, err := retry(start, func() (int, error) { return 0, apierror.New(code, "not now") })
+				_, err := retry(startRetrier, func() (int, error) { return 0, apierror.New(code, "not now") })
 				assert.Assert(t, apierror.HasCode(err, code))
 				elapsed := time.Since(startedAt)
 				assert.Assert(t, elapsed >= want && elapsed <= want+settings.DefaultTiming.MaxBackoff(), "%s", elapsed)
--- a/internal/configuration/lanes.go
+++ b/internal/configuration/lanes.go
@@ -41,7 +41,7 @@
 	var compacted prefixMap[bool]
 	for _, prefix := range slices.SortedFunc(maps.Keys(table.values), shortestFirst) {
 		urgent := table.values[prefix]
-		if outer, ok := compacted.longest(prefix); ok && outer == urgent {
+		if outerUrgent, ok := compacted.longest(prefix); ok && outerUrgent == urgent {
 			continue
 		}
 		compacted.add(prefix, urgent)
--- a/internal/configuration/removed.go
+++ b/internal/configuration/removed.go
@@ -70,7 +70,7 @@
 			faults = append(faults, apierror.Fault{Path: fmt.Sprintf("$.spaces[%d].urgent", i), Message: message})
 		}
 	}
-	return r.add(next, current), FaultsError(append(faults, r.tooMany()...))
+	return r.add(next, current), FaultsError(append(faults, r.excessFaults()...))
 }
 
 // conflicts returns messages about spaces of next whose urgency is wrong, by the spaces' paths.
@@ -140,7 +140,7 @@
 	return added
 }
 
-func (r RemovedSpaces) tooMany() []apierror.Fault {
+func (r RemovedSpaces) excessFaults() []apierror.Fault {
 	if len(r) <= MaxRemovedSpaces {
 		return nil
 	}
--- a/internal/configuration/validate.go
+++ b/internal/configuration/validate.go
@@ -58,7 +58,7 @@
 	if c.UseAssignedLanes {
 		return v.faults
 	}
-	return append(v.faults, c.mixedUrgency()...)
+	return append(v.faults, c.mixedUrgencyFaults()...)
 }
 
 // validator collects the faults of one configuration. It remembers the names, prefixes and number
@@ -126,9 +126,9 @@
 	v.topics += len(space.Topics)
 }
 
-// mixedUrgency returns a fault for each space that shares topics with another space of a different
+// mixedUrgencyFaults returns a fault for each space that shares topics with another space of a different
 // urgency, now or after the other one is removed.
-func (c Config) mixedUrgency() []apierror.Fault {
+func (c Config) mixedUrgencyFaults() []apierror.Fault {
 	var spacesByPath prefixMap[int]
 	for i, space := range c.Spaces {
 		spacesByPath.add(space.path(), i)
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -153,44 +153,44 @@
 func (d *Detector) pingTargets(ctx context.Context, wasPaused bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for node, watched := range d.targets {
+	for node, target := range d.targets {
 		addr, ok := d.Addr(node)
 		if !ok {
 			continue
 		}
 		if !wasPaused {
-			watched.missed++
+			target.missed++
 		}
-		if watched.pingsInFlight < maxPingsInFlight {
-			watched.pingsInFlight++
-			go d.ping(ctx, node, watched, addr)
+		if target.pingsInFlight < maxPingsInFlight {
+			target.pingsInFlight++
+			go d.ping(ctx, node, target, addr)
 		}
 		switch {
-		case watched.failure != "":
-			go d.OnFailure(ctx, node, watched.failedSince, watched.failure)
-		case watched.missed > d.maxMissed(watched) && !watched.isQuerying:
-			watched.isQuerying = true
-			go d.queryPeers(ctx, node, watched, d.peers[node])
+		case target.failure != "":
+			go d.OnFailure(ctx, node, target.failedSince, target.failure)
+		case target.missed > d.maxMissed(target) && !target.isQuerying:
+			target.isQuerying = true
+			go d.queryPeers(ctx, node, target, d.peers[node])
 		}
 	}
 }
 
 // maxMissed returns how many pings may be unanswered. It is higher if recent answers took long,
 // since a slow or lossy connection is not a failure.
-func (d *Detector) maxMissed(watched *target) int {
+func (d *Detector) maxMissed(target *target) int {
 	interval := d.Timing.PingInterval()
-	maxSilence := min(d.Timing.FailureTimeout()+2*watched.latency, d.Timing.SessionTimeout()/2)
+	maxSilence := min(d.Timing.FailureTimeout()+2*target.latency, d.Timing.SessionTimeout()/2)
 	return int((maxSilence + interval/2) / interval)
 }
 
 // markFailed marks a target as failed, unless it already is or is no longer monitored. The caller
 // holds mu.
-func (d *Detector) markFailed(ctx context.Context, node string, watched *target, reason string) {
-	if watched.failure != "" || d.targets[node] != watched {
+func (d *Detector) markFailed(ctx context.Context, node string, target *target, reason string) {
+	if target.failure != "" || d.targets[node] != target {
 		return
 	}
-	watched.failure, watched.failedSince = reason, d.Clock.Now()
-	go d.OnFailure(ctx, node, watched.failedSince, reason)
+	target.failure, target.failedSince = reason, d.Clock.Now()
+	go d.OnFailure(ctx, node, target.failedSince, reason)
 }
 
 // Heard reports whether a node that is monitored here answered recently. It returns NotReady for a
@@ -198,17 +198,17 @@
 func (d *Detector) Heard(node string) (bool, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	watched := d.targets[node]
-	if watched == nil {
+	target := d.targets[node]
+	if target == nil {
 		return false, apierror.New(apierror.NotReady, "%s does not monitor %s", d.Self, node)
 	}
-	return watched.failure == "" && watched.missed <= maxRecentMisses && watched.refused == 0, nil
+	return target.failure == "" && target.missed <= maxRecentMisses && target.refused == 0, nil
 }
 
 // Failed reports whether a node that is monitored here counts as failed.
 func (d *Detector) Failed(node string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	watched := d.targets[node]
-	return watched != nil && watched.failure != ""
+	target := d.targets[node]
+	return target != nil && target.failure != ""
 }
--- a/internal/failuredetector/ping.go
+++ b/internal/failuredetector/ping.go
@@ -11,14 +11,14 @@
 )
 
 // ping pings a target, and a second time after a short delay if its port refused the first call.
-func (d *Detector) ping(ctx context.Context, node string, watched *target, addr string) {
+func (d *Detector) ping(ctx context.Context, node string, target *target, addr string) {
 	for isRetry := false; ; isRetry = true {
 		callCtx, cancel := context.WithTimeout(ctx, d.Timing.FailureTimeout())
 		start := d.Clock.Now()
 		_, err := Ping.Call(callCtx, d.Net, d.Self, addr, &PingRequest{})
 		cancel()
 		latency := d.Clock.Now().Sub(start)
-		if !d.recordPing(ctx, node, watched, pingResult{latency: latency, err: err, isRetry: isRetry}) {
+		if !d.recordPing(ctx, node, target, pingResult{latency: latency, err: err, isRetry: isRetry}) {
 			return
 		}
 		if d.Clock.Sleep(ctx, d.Timing.RefusalRetryDelay()) != nil {
@@ -34,31 +34,31 @@
 }
 
 // recordPing records the result of a ping, and reports whether to retry it.
-func (d *Detector) recordPing(ctx context.Context, node string, watched *target, result pingResult) (shouldRetry bool) {
+func (d *Detector) recordPing(ctx context.Context, node string, target *target, result pingResult) (shouldRetry bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if result.err != nil && wire.RefusedOrReset(result.err) && ctx.Err() == nil {
-		if result.isRetry || watched.refused == 0 {
-			watched.refused++
+		if result.isRetry || target.refused == 0 {
+			target.refused++
 		}
-		if watched.refused >= maxRefusals {
-			d.markFailed(ctx, node, watched, Refused)
+		if target.refused >= maxRefusals {
+			d.markFailed(ctx, node, target, Refused)
 		} else if !result.isRetry {
 			return true
 		}
 	}
-	watched.pingsInFlight--
+	target.pingsInFlight--
 	if wire.PeerResponded(result.err) {
-		watched.missed, watched.refused, watched.failure = 0, 0, ""
-		decayed := watched.latency - watched.latency/latencyDecayDivisor
-		watched.latency = max(result.latency, decayed)
+		target.missed, target.refused, target.failure = 0, 0, ""
+		decayed := target.latency - target.latency/latencyDecayDivisor
+		target.latency = max(result.latency, decayed)
 	}
 	return false
 }
 
 // queryPeers asks the other replicas whether they get answers from a target that doesn't answer
 // here. The target counts as failed if some of them respond and none gets answers from it.
-func (d *Detector) queryPeers(ctx context.Context, node string, watched *target, peers []string) {
+func (d *Detector) queryPeers(ctx context.Context, node string, target *target, peers []string) {
 	callCtx, cancel := context.WithTimeout(ctx, d.Timing.HedgeDelay())
 	defer cancel()
 	results := quorum.Gather(callCtx, peers, func(ctx context.Context, peer string) (bool, error) {
@@ -71,9 +71,9 @@
 	}, isHeardByAny)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	watched.isQuerying = false
-	if !isHeardByAny(results) && len(quorum.Successes(results)) > 0 && watched.missed > 0 {
-		d.markFailed(ctx, node, watched, Silent)
+	target.isQuerying = false
+	if !isHeardByAny(results) && len(quorum.Successes(results)) > 0 && target.missed > 0 {
+		d.markFailed(ctx, node, target, Silent)
 	}
 }
 
--- a/internal/gossip/gossiper.go
+++ b/internal/gossip/gossiper.go
@@ -42,11 +42,11 @@
 	// history.
 	Disk bool
 
-	// Only Run uses these fields. relayed is the digest of Store, and relayedUpdates its count of
-	// ownership updates, at the last relay. seenUpdates is the count at the last call of
+	// Only Run uses these fields. relayedDigest is the digest of Store, and relayedUpdates its count
+	// of ownership updates, at the last relay. seenUpdates is the count at the last call of
 	// ownershipChanged. roundsLeft is the number of rounds left. includeDiskless reports whether
 	// rounds include nodes without a disk.
-	relayed         Digest
+	relayedDigest   Digest
 	relayedUpdates  uint64
 	seenUpdates     uint64
 	roundsLeft      int
--- a/internal/gossip/relay.go
+++ b/internal/gossip/relay.go
@@ -29,8 +29,8 @@
 	if !g.Disk || updates == g.relayedUpdates {
 		return
 	}
-	lastRelayed := g.relayed
-	g.relayedUpdates, g.relayed = updates, g.Store.Digest()
+	lastRelayed := g.relayedDigest
+	g.relayedUpdates, g.relayedDigest = updates, g.Store.Digest()
 	lastRelayed.ConfigurationPending = true
 	update := g.Store.Since(lastRelayed)
 	for _, peer := range g.relayTargets() {
--- a/internal/httpapi/api.go
+++ b/internal/httpapi/api.go
@@ -125,20 +125,20 @@
 }
 
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return nil, apierror.New(apierror.Oversize, "the document is larger than %d bytes", limit)
 	}
-	return data, apierror.Wrap(apierror.Malformed, err, "the document could not be read whole")
+	return body, apierror.Wrap(apierror.Malformed, err, "the document could not be read whole")
 }
 
 func readDocument(w http.ResponseWriter, r *http.Request, shape strictjson.Shape, target any) error {
-	data, err := readBody(w, r, maxCallBytes)
+	document, err := readBody(w, r, maxCallBytes)
 	if err != nil {
 		return err
 	}
-	faults, err := strictjson.Check(data, shape)
+	faults, err := strictjson.Check(document, shape)
 	if err != nil {
 		return err
 	}
@@ -147,7 +147,7 @@
 			apierror.DocumentFaulty, "the first fault is at %s: %s", faults[0].Path, faults[0].Message,
 		).WithFaults(faults)
 	}
-	return apierror.Wrap(apierror.Malformed, json.Unmarshal(data, target), "the document could not be read")
+	return apierror.Wrap(apierror.Malformed, json.Unmarshal(document, target), "the document could not be read")
 }
 
 func objectShape(required []string, fields map[string]string) strictjson.Shape {
--- a/internal/lineserver/jsoncodec/codec.go
+++ b/internal/lineserver/jsoncodec/codec.go
@@ -54,13 +54,13 @@
 const envelopeBytes = 2 << 10
 
 var (
-	text   = strictjson.Shape{Kind: strictjson.Text}
-	fields = map[string]strictjson.Shape{
-		"visitor": text, "topic": text, "cursor": text,
+	textShape   = strictjson.Shape{Kind: strictjson.Text}
+	fieldShapes = map[string]strictjson.Shape{
+		"visitor": textShape, "topic": textShape, "cursor": textShape,
 		"call_seq": {Kind: strictjson.Count}, "body": {Kind: strictjson.Any},
-		"key": text, "of": text, "upto": {Kind: strictjson.Count},
+		"key": textShape, "of": textShape, "upto": {Kind: strictjson.Count},
 	}
-	required = map[session.Verb][]string{
+	requiredFields = map[session.Verb][]string{
 		session.Attach:      {"visitor"},
 		session.Subscribe:   {"topic"},
 		session.Unsubscribe: {"topic"},
@@ -70,19 +70,19 @@
 
 		session.Withdraw: {"topic", "key", "call_seq"},
 	}
-	optional = map[session.Verb][]string{
+	optionalFields = map[session.Verb][]string{
 		session.Subscribe: {"cursor"}, session.Send: {"key"}, session.Withdraw: {"of", "upto"},
 	}
 	shapes = func() map[session.Verb]strictjson.Shape {
 		byVerb := map[session.Verb]strictjson.Shape{}
-		for verb, names := range required {
+		for verb, names := range requiredFields {
 			shape := strictjson.Shape{
 				Kind:     strictjson.Object,
 				Required: append([]string{"verb"}, names...),
-				Fields:   map[string]strictjson.Shape{"verb": text},
+				Fields:   map[string]strictjson.Shape{"verb": textShape},
 			}
-			for _, name := range append(optional[verb], names...) {
-				shape.Fields[name] = fields[name]
+			for _, name := range append(optionalFields[verb], names...) {
+				shape.Fields[name] = fieldShapes[name]
 			}
 			byVerb[verb] = shape
 		}
--- a/internal/lineserver/read.go
+++ b/internal/lineserver/read.go
@@ -9,9 +9,9 @@
 	"postjunction/internal/apierror"
 )
 
-// ReadLine reads one line of at most maxBytes bytes and returns it without its end, LF or CRLF. It
-// is valid until the next read. A longer line is skipped and is a fault. A line without an end is
-// dropped.
+// ReadLine reads one line of at most maxBytes bytes and returns it without its end, LF or CRLF. The
+// returned slice is valid until the next read. A longer line is skipped and is a fault. A line
+// without an end is dropped.
 func ReadLine(r *bufio.Reader, maxBytes int) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -89,11 +89,11 @@
 	now := t.clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var live []Session
+	var sessions []Session
 	for _, entry := range t.sessions {
 		if age := now.Sub(entry.heardAt); age < t.timing.SessionTimeout() {
-			live = append(live, Session{Info: entry.info, Age: age})
+			sessions = append(sessions, Session{Info: entry.info, Age: age})
 		}
 	}
-	return live
+	return sessions
 }
--- a/internal/nodelease/statetransfer.go
+++ b/internal/nodelease/statetransfer.go
@@ -25,13 +25,15 @@
 	// tableChanged is closed when the table of members changes after checkedAt.
 	tableChanged <-chan struct{}
 	checkedAt    time.Time
-	// confirmed is the sequence number of the configuration confirmed last, since confirmedAt.
-	confirmed   uint64
-	confirmedAt time.Time
-	// required is the sequence number that every node must have reached.
-	required uint64
-	// sent is the version of this node's sessions that other control nodes have, by address.
-	sent map[string]membership.Version
+	// confirmedSequence is the sequence number of the configuration confirmed last. It has been
+	// confirmed since confirmedAt.
+	confirmedSequence uint64
+	confirmedAt       time.Time
+	// requiredSequence is the sequence number of the configuration that every node must have.
+	requiredSequence uint64
+	// peerVersions are the versions of this node's sessions that other control nodes have, by
+	// address.
+	peerVersions map[string]membership.Version
 	// peerNames are the names of other control nodes, by address.
 	peerNames map[string]string
 	// received are the sessions of other control nodes, by name.
@@ -80,13 +82,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	state := &s.transfer
-	if confirmation.OK && confirmation.Sequence != state.confirmed {
-		state.confirmed, state.confirmedAt = confirmation.Sequence, confirmation.At
+	if confirmation.OK && confirmation.Sequence != state.confirmedSequence {
+		state.confirmedSequence, state.confirmedAt = confirmation.Sequence, confirmation.At
 	}
 	if s.Clock.Now().Sub(state.confirmedAt) >= s.Timing.LeaseDuration() {
-		state.required = state.confirmed
+		state.requiredSequence = state.confirmedSequence
 	}
-	return state.required
+	return state.requiredSequence
 }
 
 // handleSessions returns this control node's sessions to another one. An older build, which sends
@@ -107,7 +109,7 @@
 // has sent no version so far, and otherwise the change from the version that it has.
 func (s *Server) sessionsRequest(address string) *membership.SessionsRequest {
 	s.mu.Lock()
-	known, ok := s.transfer.sent[address]
+	known, ok := s.transfer.peerVersions[address]
 	name := s.transfer.peerNames[address]
 	s.mu.Unlock()
 	received := s.receivedVersion(name)
@@ -196,13 +198,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	state := &s.transfer
-	if state.sent == nil {
-		state.sent, state.peerNames = map[string]membership.Version{}, map[string]string{}
+	if state.peerVersions == nil {
+		state.peerVersions, state.peerNames = map[string]membership.Version{}, map[string]string{}
 	}
 	if response.KnownVersion == nil {
-		delete(state.sent, address)
+		delete(state.peerVersions, address)
 		return true
 	}
-	state.sent[address], state.peerNames[address] = *response.KnownVersion, response.From
+	state.peerVersions[address], state.peerNames[address] = *response.KnownVersion, response.From
 	return request.Update == nil || response.KnownVersion.List == request.Update.Change.Version.List
 }
