--- a/internal/client/session/withdraw_test.go
+++ b/internal/client/session/withdraw_test.go
@@ -22,7 +22,7 @@
 type fakePartitionLog struct {
 	keysErr   error
 	decide    func(request *leader.Message) (*leader.Decision, error)
-	pending   func(n int) (*leader.PendingReaders, error)
+	pending   func(call int) (*leader.PendingReaders, error)
 	mu        sync.Mutex
 	calls     int
 	submitted []*leader.Message
--- a/internal/client/withdraw_test.go
+++ b/internal/client/withdraw_test.go
@@ -149,7 +149,7 @@
 
 // The nodes that are pending are named as of the last response, however later calls end.
 func TestAwaitReaders_NamesPendingNodes(t *testing.T) {
-	late := apierror.New(apierror.Unreachable, "no answer")
+	unreachable := apierror.New(apierror.Unreachable, "no answer")
 	for name, test := range map[string]struct {
 		answers []any
 		message string
@@ -163,8 +163,8 @@
 		"never": {
 			[]any{&leader.PendingReaders{Nodes: []string{"a1", "a2/streams"}}}, "a1, a2/streams", nil,
 		},
-		"query fails":        {[]any{late}, "could not be queried: unreachable", nil},
-		"later queries fail": {[]any{&leader.PendingReaders{Nodes: []string{"a1"}}, late}, "a1", nil},
+		"query fails":        {[]any{unreachable}, "could not be queried: unreachable", nil},
+		"later queries fail": {[]any{&leader.PendingReaders{Nodes: []string{"a1"}}, unreachable}, "a1", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/delivery/fanout/feed.go
+++ b/internal/delivery/fanout/feed.go
@@ -75,7 +75,7 @@
 	// The end of the registration as a reader (finish.go).
 	isReleasing bool
 	isFinished  bool
-	// suspensions counts the releases of buffers that are under way. Follow is not called
+	// suspensions counts the releases of buffers that are in progress. Follow is not called
 	// meanwhile.
 	suspensions  int
 	cancelFinish context.CancelFunc
--- a/internal/delivery/fanout/reader_finish_test.go
+++ b/internal/delivery/fanout/reader_finish_test.go
@@ -42,10 +42,10 @@
 		advance(2 * tick)
 		script.takeLog()
 		script.hub.Unsubscribe(subscription)
-		lost := 2
+		lossesLeft := 2
 		script.onFollow(func(request *leader.FollowRequest) (*leader.FollowResponse, time.Duration) {
-			if request.Finished && lost > 0 {
-				lost--
+			if request.Finished && lossesLeft > 0 {
+				lossesLeft--
 				return nil, time.Hour
 			}
 			return &leader.FollowResponse{Epoch: 1, CommittedEnd: 30, BacklogEnd: 30}, 0
@@ -195,9 +195,9 @@
 // A Follow without a response may have made the node a reader.
 func TestIsReader_ByLostFollow(t *testing.T) {
 	withScript(t, func(t *testing.T, script *scriptedLeaders) {
-		lost := 1
+		lossesLeft := 1
 		script.onFollow(func(request *leader.FollowRequest) (*leader.FollowResponse, time.Duration) {
-			if lost--; lost >= 0 {
+			if lossesLeft--; lossesLeft >= 0 {
 				return nil, time.Hour
 			}
 			return &leader.FollowResponse{Epoch: 1, CommittedEnd: 4, BacklogEnd: 4}, 0
--- a/internal/delivery/fanout/tombstones_test.go
+++ b/internal/delivery/fanout/tombstones_test.go
@@ -87,9 +87,9 @@
 		var first, second recorder
 		first.subscribe(script.hub, "b", nil)
 		advance(tick)
-		old := 0
+		responseCount := 0
 		script.onFollow(func(*leader.FollowRequest) (*leader.FollowResponse, time.Duration) {
-			if old++; old == 1 {
+			if responseCount++; responseCount == 1 {
 				return &leader.FollowResponse{
 					Epoch:        1,
 					CommittedEnd: 6,
--- a/internal/delivery/stream/feeds_test.go
+++ b/internal/delivery/stream/feeds_test.go
@@ -149,17 +149,17 @@
 			f.feed.entries, f.feed.receivedAt, f.feed.base = nil, nil, f.feed.end
 			f.feed.mu.Unlock()
 			f.leader.set(func() { f.leader.block = make(chan struct{}) })
-			got := make(chan Window, 1)
+			fetched := make(chan Window, 1)
 			go func() {
 				window, err := f.feed.Fetch(f.Context(), 1)
 				assert.Check(f, err)
-				got <- window
+				fetched <- window
 			}()
 			synctest.Wait()
 			f.leader.write(log.TypeWithdrawal, "k", "")
 			synctest.Wait()
 			close(f.leader.block)
-			window := <-got
+			window := <-fetched
 			assert.Equal(f, string(window.Entries[0].Body), "old")
 			assert.Equal(f, f.status(window, 0), EntryWithdrawn)
 			position, _ := f.leader.readPosition("b.1")
--- a/internal/httpapi/api.go
+++ b/internal/httpapi/api.go
@@ -175,7 +175,7 @@
 			"of": strictjson.Text, "upto": strictjson.Positive,
 		},
 	)
-	drainShape = objectShape([]string{"node"}, map[string]string{"node": strictjson.Text})
+	decommissionShape = objectShape([]string{"node"}, map[string]string{"node": strictjson.Text})
 )
 
 func (a *API) ready(http.ResponseWriter, *http.Request) (any, error) {
@@ -342,7 +342,7 @@
 	var input struct {
 		Node string `json:"node"`
 	}
-	if err := readDocument(w, r, drainShape, &input); err != nil {
+	if err := readDocument(w, r, decommissionShape, &input); err != nil {
 		return nil, err
 	}
 	return a.Operators.Decommission(r.Context(), input.Node)
--- a/internal/nodelease/statetransfer_test.go
+++ b/internal/nodelease/statetransfer_test.go
@@ -21,12 +21,12 @@
 		options := settings.Default()
 		servers := map[string]*Server{}
 		var request *membership.SessionsRequest
-		start := func(name, other string) {
+		start := func(name, peer string) {
 			server := newServer(name, options.Timing(), gossip.NewStore(nil),
 				func() Confirmation { return Confirmation{} })
 			server.Net = &funcNetwork{func(r *http.Request) (*http.Response, error) {
 				mux := http.NewServeMux()
-				servers[other].Serve(mux)
+				servers[peer].Serve(mux)
 				return (&muxNetwork{mux}).Do(r)
 			}}
 			servers[name] = server
@@ -155,14 +155,14 @@
 			}
 			return updates
 		}
-		lease := int(timing.LeaseDuration()/timing.HeartbeatInterval()) + 2
-		assert.Equal(t, len(changed(lease)), 3)
+		heartbeatsPastLease := int(timing.LeaseDuration()/timing.HeartbeatInterval()) + 2
+		assert.Equal(t, len(changed(heartbeatsPastLease)), 3)
 		sequence, configurations["a1"], configurations["a2"] = 8, 8, 8
-		assert.Equal(t, len(changed(lease-3)), 0, "within a lease no node is behind")
+		assert.Equal(t, len(changed(heartbeatsPastLease-3)), 0, "within a lease no node is behind")
 		updates := changed(3)
 		assert.Assert(t, len(updates) == 1 && updates[0].Name == "a3", "%+v", updates)
 		assert.Assert(t, updates[0].ConfigurationStale && updates[0].Configuration == 0, "%+v", updates)
-		assert.Equal(t, len(changed(lease)), 0)
+		assert.Equal(t, len(changed(heartbeatsPastLease)), 0)
 		configurations["a3"] = 8
 		updates = changed(2)
 		assert.Assert(t, len(updates) == 1 && updates[0].Name == "a3" && !updates[0].ConfigurationStale, "%+v", updates)
