--- a/internal/client/service.go
+++ b/internal/client/service.go
@@ -1,12 +1,14 @@
 // Package client serves the calls of clients: attach, send, withdraw, follow, ack and count.
 //
-// Each call passes a chain of policies (policies.go) to its handler. Invariants: nothing is served
-// without a lease; a client's call is served only under its newest attachment; a stream delivers
-// each message of its topics once, in the order of its partition, and nothing that is known to be
-// withdrawn; urgent calls and streams never wait for routine ones.
+// Each call passes a chain of policies (policies.go) to its handler. Invariants:
+//   - Nothing is served without a lease.
+//   - A client's call is served only under its newest attachment.
+//   - A stream delivers each message of its topics once, in the order of its partition, and no
+//     message that is known to be withdrawn.
+//   - Urgent calls and streams never wait for routine ones.
 //
 // A Service has no state of its own but counters. Calls run in their callers' goroutines and block
-// up to the call's time-out; Follow blocks as long as its stream.
+// for the call's time-out at most. Follow blocks until its stream ends.
 package client
 
 import (
--- a/internal/client/session/publish.go
+++ b/internal/client/session/publish.go
@@ -51,7 +51,8 @@
 	decisionDenominator = 5
 )
 
-// decisionDeadline returns until when a message that is sent now may wait for its decision.
+// decisionDeadline returns the time until which a message that is sent now may wait for its
+// decision.
 func (r *Registry) decisionDeadline(space configuration.Space) time.Time {
 	limit := r.Timing.CallTimeout()
 	if space.DeadlineMS > 0 {
--- a/internal/client/session/redirect.go
+++ b/internal/client/session/redirect.go
@@ -57,8 +57,9 @@
 }
 
 // redirectAddress returns the address of the node that a new client is redirected to, or "" if it
-// is served here. Among nodes with plenty of processor it is drawn anew for a client that comes
-// back, since the node that it was sent to may have failed without its peers having noticed yet.
+// is served here. Among nodes with plenty of processor it is drawn anew for a client that
+// reconnects, since the node that the client was sent to may have failed without its peers having
+// noticed yet.
 func (r *Registry) redirectAddress() string {
 	if address := r.nextTargetAddress(); address != "" {
 		return address
--- a/internal/client/session/session.go
+++ b/internal/client/session/session.go
@@ -18,7 +18,7 @@
 )
 
 // Session is one client on one connection. Do, AttachBuffer and End are called by one goroutine, in
-// order; responses come from any.
+// order. Responses may be sent by any goroutine.
 type Session struct {
 	registry *Registry
 	sink     Sink
--- a/internal/client/session/session_test.go
+++ b/internal/client/session/session_test.go
@@ -307,8 +307,8 @@
 	})
 }
 
-// The backlog of a returning client comes in several parts, while newer messages come already: all
-// are delivered, in order.
+// The backlog of a client that reconnects arrives in several parts, while newer messages arrive
+// already. All are delivered, in order.
 func TestBacklogInPartsIsDeliveredBeforeNewerMessages(t *testing.T) {
 	withSession(t, func(t *testing.T, fixture *fixture, session *Session) {
 		entry := func(offset uint64) log.Entry {
--- a/internal/client/stream.go
+++ b/internal/client/stream.go
@@ -10,7 +10,7 @@
 	"postjunction/internal/rawjson"
 )
 
-// idleDivisor: a stream that wrote nothing for the spread interval divided by this writes a
+// A stream that has written nothing for the spread interval divided by idleDivisor writes a
 // keepalive.
 const idleDivisor = 2
 
--- a/internal/client/withdraw_test.go
+++ b/internal/client/withdraw_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// A stream's window is older than a tombstone: what it covers is never delivered, the rest is, and
-// so is the withdrawal.
+// If a stream's window is older than a tombstone, the messages that the tombstone covers are never
+// delivered. All others are delivered, and so is the withdrawal.
 func TestStream_SkipsWithdrawnEntries(t *testing.T) {
 	for name, test := range map[string]struct {
 		cached, later []log.Entry
@@ -147,7 +147,7 @@
 	assert.ErrorContains(t, err, "a2")
 }
 
-// The nodes that are pending are named as of the last response, however later calls end.
+// The error names the nodes that were pending by the last response, even if later calls fail.
 func TestAwaitReaders_NamesPendingNodes(t *testing.T) {
 	unreachable := apierror.New(apierror.Unreachable, "no answer")
 	for name, test := range map[string]struct {
--- a/internal/configuration/validate.go
+++ b/internal/configuration/validate.go
@@ -126,8 +126,8 @@
 	v.topics += len(space.Topics)
 }
 
-// mixedUrgencyFaults returns a fault for each space that shares topics with another space of a different
-// urgency, now or after the other one is removed.
+// mixedUrgencyFaults returns a fault for each space that shares topics with another space of a
+// different urgency, now or after the other one is removed.
 func (c Config) mixedUrgencyFaults() []apierror.Fault {
 	var spacesByPath prefixMap[int]
 	for i, space := range c.Spaces {
--- a/internal/delivery/stream/window.go
+++ b/internal/delivery/stream/window.go
@@ -67,8 +67,8 @@
 // EntryStatus says whether an entry of a window may be delivered.
 type EntryStatus int
 
-// EntryDeliverable allows the delivery. EntryWithdrawn forbids it for good. EntryStale asks to read
-// the window again, since the feed doesn't know whether the entry was withdrawn.
+// EntryDeliverable allows the delivery. EntryWithdrawn forbids it permanently. EntryStale requires
+// that the window is read again, since the feed doesn't know whether the entry was withdrawn.
 const (
 	EntryDeliverable EntryStatus = iota
 	EntryWithdrawn
--- a/internal/lineserver/buffer.go
+++ b/internal/lineserver/buffer.go
@@ -24,7 +24,7 @@
 }
 
 // Release removes the pending messages of a partition that have keys. It reports whether none is
-// left. It closes the connection because of one that is being written only if cut is set.
+// left. If one is being written, it closes the connection only if closeConnection is set.
 func (c *conn) Release(partition int, closeConnection bool) bool {
 	return c.removeCovered(closeConnection, func(message *messageSpan) bool { return message.partition == partition })
 }
--- a/internal/lineserver/server.go
+++ b/internal/lineserver/server.go
@@ -1,9 +1,9 @@
-// Package lineserver serves client sessions over connections that carry lines of text. A Codec
+// Package lineserver serves client sessions over connections that transmit lines of text. A Codec
 // defines the line protocol.
 //
 // Each connection has a goroutine that reads, and one that writes while responses are pending.
-// Responses that come together are written together. A connection is closed when its client sends
-// nothing, when a write doesn't end, and when too many bytes are unwritten.
+// Responses that are pending at the same time are written together. A connection is closed when its
+// client sends nothing, when a write doesn't end, and when too many bytes are unwritten.
 package lineserver
 
 import (
@@ -296,8 +296,8 @@
 	}
 }
 
-// flush writes the pending bytes until there are none. Whatever became pending during a write goes
-// out in the next one.
+// flush writes the pending bytes until there are none. Bytes that become pending during a write are
+// sent by the next one.
 func (c *conn) flush() {
 	var written []byte
 	for {
--- a/internal/nodelease/statetransfer.go
+++ b/internal/nodelease/statetransfer.go
@@ -11,8 +11,8 @@
 	// memberChecksPerHeartbeat is how often in a heartbeat interval the table of members is checked
 	// for members that timed out.
 	memberChecksPerHeartbeat = 10
-	// lateDivisor: a session that is older than the heartbeat interval by more than the interval
-	// divided by this has its age sent separately.
+	// The age of a session is sent separately if it exceeds the heartbeat interval by more than the
+	// interval divided by lateDivisor.
 	lateDivisor = 3
 )
 
