--- a/internal/client/session/balance.go
+++ b/internal/client/session/balance.go
@@ -37,8 +37,8 @@
 }
 
 // computeBalance returns the fraction of its new clients that a node serves itself, and the nodes
-// that the other clients are redirected to. It assumes that the nodes of a zone get equally many new
-// clients.
+// that the other clients are redirected to. It assumes that the nodes of a zone get equally many
+// new clients.
 func computeBalance(self membership.Info, members []membership.Info) (keepFraction float64, targets []target) {
 	if self.MilliCores == 0 || self.MilliCores >= scarceMilliCores {
 		return 1, nil
--- a/internal/client/session/protocol.go
+++ b/internal/client/session/protocol.go
@@ -1,9 +1,10 @@
 // Package session serves one client on one connection: it attaches, subscribes and unsubscribes,
 // sends, withdraws, counts and sends heartbeats. Responses come in any order.
 //
-// Invariants: every Subscribe, Send, Count and Withdraw gets one response, unless the session ends
-// first; the messages of a subscription are delivered in the order of the log and without gaps, and
-// where that is impossible the client is asked to reconnect with its cursors.
+// Invariants:
+//   - Every Subscribe, Send, Count and Withdraw gets one response, unless the session ends first.
+//   - The messages of a subscription are delivered in the order of the log and without gaps. Where
+//     that is impossible, the client is asked to reconnect with its cursors.
 //
 // A Registry owns the sessions of a node. Its Run is driven by one goroutine of the node; the
 // requests of a session are driven by its connection. Nothing here blocks a connection: responses
--- a/internal/client/stream_open.go
+++ b/internal/client/stream_open.go
@@ -41,9 +41,9 @@
 	return err
 }
 
-// openAll opens the urgent partitions within the call's time. Without urgent partitions, the routine
-// ones have to be open by then. With urgent partitions, the routine ones may be opened later, so
-// that an urgent stream never waits for a routine partition.
+// openAll opens the urgent partitions within the call's time. Without urgent partitions, the
+// routine ones have to be open by then. With urgent partitions, the routine ones may be opened
+// later, so that an urgent stream never waits for a routine partition.
 func (st *subscriptionStream) openAll(ctx, callCtx context.Context, urgent, routine []int) error {
 	required, routineCtx := len(urgent), ctx
 	for _, partition := range urgent {
--- a/internal/settings/options.go
+++ b/internal/settings/options.go
@@ -39,8 +39,8 @@
 	ToleratedLosses int `json:"losses"`
 	// LeaseExtension lengthens the lease of a node while no control node can confirm it.
 	LeaseExtension Duration `json:"stretch"`
-	// Keepalive is how long a client may be silent before it sends a keepalive; three times that
-	// ends its session.
+	// Keepalive is how long a client may be silent before it sends a keepalive. A session ends once
+	// its client has been silent for between three and four times that.
 	Keepalive Duration `json:"keepalive"`
 	// Redelivery is how long after it was accepted a call may be sent again.
 	Redelivery Duration `json:"redelivery"`
