--- a/internal/client/session/protocol.go
+++ b/internal/client/session/protocol.go
@@ -1,9 +1,10 @@
 // Package session serves one client on one connection: it attaches, subscribes and unsubscribes,
 // sends, withdraws, counts and sends heartbeats. Responses come in any order.
 //
-// Invariants: every Subscribe, Send, Count and Withdraw gets one response, unless the session ends
-// first; the messages of a subscription are delivered in the order of the log and without gaps, and
-// where that is impossible the client is asked to reconnect with its cursors.
+// Invariants:
+//   - Every Subscribe, Send, Count and Withdraw gets one response, unless the session ends first.
+//   - The messages of a subscription are delivered in the order of the log and without gaps. Where
+//     that is impossible, the client is asked to reconnect with its cursors.
 //
 // A Registry owns the sessions of a node. Its Run is driven by one goroutine of the node; the
 // requests of a session are driven by its connection. Nothing here blocks a connection: responses
@@ -97,12 +98,12 @@
 // Buffer holds responses until they are written to the client. What is being written can be dropped
 // only by closing the connection.
 type Buffer interface {
-	// Withdraw drops the messages of a partition that are covered; it closes the connection if it
-	// must.
+	// Withdraw drops the messages of a partition that are covered. It closes the connection if one
+	// of them is being written.
 	Withdraw(partition int, covered fanout.WithdrawnFunc)
 	// Drop drops the messages of a topic that have keys.
 	Drop(topic string)
 	// Release drops the messages of a partition that have keys and reports whether none is left. It
-	// closes the connection only if cut is set.
-	Release(partition int, cut bool) bool
+	// closes the connection only if closeConnection is set.
+	Release(partition int, closeConnection bool) bool
 }
--- a/internal/client/withdraw_test.go
+++ b/internal/client/withdraw_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// A stream's window is older than a tombstone: what it covers is never delivered, the rest is, and
-// so is the withdrawal.
+// If a stream's window is older than a tombstone, the messages that the tombstone covers are never
+// delivered. All others are delivered, and so is the withdrawal.
 func TestStream_SkipsWithdrawnEntries(t *testing.T) {
 	for name, test := range map[string]struct {
 		cached, later []log.Entry
@@ -91,16 +91,16 @@
 				).Follow(ctx, 0, wake)
 				assert.NilError(t, err)
 				defer leave()
-				var got []string
+				var emitted []string
 				st := &subscriptionStream{
 					service: &Service{Store: gossip.NewStore(nil)}, request: &Request{Emit: func(line []byte) error {
 						var event Event
 						assert.NilError(t, json.Unmarshal(line, &event))
 						switch {
 						case event.Withdrawn == "":
-							got = append(got, string(event.Body)+" "+event.Key)
+							emitted = append(emitted, string(event.Body)+" "+event.Key)
 						case !strings.HasPrefix(event.Withdrawn, "other"):
-							got = append(got, "-"+event.Withdrawn)
+							emitted = append(emitted, "-"+event.Withdrawn)
 						}
 						return nil
 					}}, topics: map[string]bool{"s/a": true}, urgentTopics: map[string]bool{},
@@ -110,11 +110,11 @@
 				_, err = st.nextEntries(ctx, &st.readers[0])
 				assert.NilError(t, err)
 				reads.send(test.later...)
-				for more := true; more; {
-					more, err = st.deliverRound(ctx)
+				for hasMore := true; hasMore; {
+					hasMore, err = st.deliverRound(ctx)
 					assert.NilError(t, err)
 				}
-				assert.DeepEqual(t, got, test.want)
+				assert.DeepEqual(t, emitted, test.want)
 				stop()
 				synctest.Wait()
 			})
@@ -147,9 +147,9 @@
 	assert.ErrorContains(t, err, "a2")
 }
 
-// The nodes that are pending are named as of the last response, however later calls end.
+// The error names the nodes that were pending by the last response, even if later calls fail.
 func TestAwaitReaders_NamesPendingNodes(t *testing.T) {
-	late := apierror.New(apierror.Unreachable, "no answer")
+	unreachable := apierror.New(apierror.Unreachable, "no answer")
 	for name, test := range map[string]struct {
 		answers []any
 		message string
@@ -163,14 +163,14 @@
 		"never": {
 			[]any{&leader.PendingReaders{Nodes: []string{"a1", "a2/streams"}}}, "a1, a2/streams", nil,
 		},
-		"query fails":        {[]any{late}, "could not be queried: unreachable", nil},
-		"later queries fail": {[]any{&leader.PendingReaders{Nodes: []string{"a1"}}, late}, "a1", nil},
+		"query fails":        {[]any{unreachable}, "could not be queried: unreachable", nil},
+		"later queries fail": {[]any{&leader.PendingReaders{Nodes: []string{"a1"}}, unreachable}, "a1", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				service := &Service{Clock: clock.Real{}, Timing: settings.DefaultTiming}
 				calls := 0
-				begun := time.Now()
+				start := time.Now()
 				givenUp, err := service.awaitReaders(t.Context(), leader.Decision{
 					Partition: 3, Offset: 7,
 				}, func(context.Context) (*leader.PendingReaders, error) {
@@ -181,7 +181,7 @@
 					}
 					return answer.(*leader.PendingReaders), nil
 				})
-				assert.Assert(t, time.Since(begun) <= service.Timing.CallTimeout())
+				assert.Assert(t, time.Since(start) <= service.Timing.CallTimeout())
 				assert.DeepEqual(t, givenUp, test.givenUp)
 				if test.message == "" {
 					assert.NilError(t, err)
--- a/internal/gossip/gossiper.go
+++ b/internal/gossip/gossiper.go
@@ -42,11 +42,11 @@
 	// history.
 	Disk bool
 
-	// Only Run uses these fields. relayed is the digest of Store, and relayedUpdates its count of
-	// ownership updates, at the last relay. seenUpdates is the count at the last call of
+	// Only Run uses these fields. relayedDigest is the digest of Store, and relayedUpdates its count
+	// of ownership updates, at the last relay. seenUpdates is the count at the last call of
 	// ownershipChanged. roundsLeft is the number of rounds left. includeDiskless reports whether
 	// rounds include nodes without a disk.
-	relayed         Digest
+	relayedDigest   Digest
 	relayedUpdates  uint64
 	seenUpdates     uint64
 	roundsLeft      int
@@ -150,9 +150,9 @@
 // others get it with their heartbeats, each at its own time, which saves a small machine two dozen
 // exchanges at once.
 func (g *Gossiper) ownershipChanged() bool {
-	before := g.seenUpdates
+	previous := g.seenUpdates
 	g.seenUpdates = g.Store.ownershipUpdateCount()
-	return g.seenUpdates != before
+	return g.seenUpdates != previous
 }
 
 // beginRounds begins rounds after an update. They include nodes without a disk if includeDiskless
--- a/internal/httpapi/api.go
+++ b/internal/httpapi/api.go
@@ -125,20 +125,20 @@
 }
 
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return nil, apierror.New(apierror.Oversize, "the document is larger than %d bytes", limit)
 	}
-	return data, apierror.Wrap(apierror.Malformed, err, "the document could not be read whole")
+	return body, apierror.Wrap(apierror.Malformed, err, "the document could not be read whole")
 }
 
 func readDocument(w http.ResponseWriter, r *http.Request, shape strictjson.Shape, target any) error {
-	data, err := readBody(w, r, maxCallBytes)
+	document, err := readBody(w, r, maxCallBytes)
 	if err != nil {
 		return err
 	}
-	faults, err := strictjson.Check(data, shape)
+	faults, err := strictjson.Check(document, shape)
 	if err != nil {
 		return err
 	}
@@ -147,11 +147,11 @@
 			apierror.DocumentFaulty, "the first fault is at %s: %s", faults[0].Path, faults[0].Message,
 		).WithFaults(faults)
 	}
-	return apierror.Wrap(apierror.Malformed, json.Unmarshal(data, target), "the document could not be read")
+	return apierror.Wrap(apierror.Malformed, json.Unmarshal(document, target), "the document could not be read")
 }
 
-func objectShape(needed []string, fields map[string]string) strictjson.Shape {
-	shape := strictjson.Shape{Kind: strictjson.Object, Required: needed, Fields: map[string]strictjson.Shape{}}
+func objectShape(required []string, fields map[string]string) strictjson.Shape {
+	shape := strictjson.Shape{Kind: strictjson.Object, Required: required, Fields: map[string]strictjson.Shape{}}
 	for name, kind := range fields {
 		shape.Fields[name] = strictjson.Shape{Kind: kind}
 	}
@@ -175,7 +175,7 @@
 			"of": strictjson.Text, "upto": strictjson.Positive,
 		},
 	)
-	drainShape = objectShape([]string{"node"}, map[string]string{"node": strictjson.Text})
+	decommissionShape = objectShape([]string{"node"}, map[string]string{"node": strictjson.Text})
 )
 
 func (a *API) ready(http.ResponseWriter, *http.Request) (any, error) {
@@ -270,13 +270,13 @@
 	return a.Clients.Do(r.Context(), &client.Request{Verb: client.VerbAck, Token: bearer, Cursor: input.Cursor})
 }
 
-func checkQuery(r *http.Request, known ...string) error {
-	isKnown := map[string]bool{}
-	for _, name := range known {
-		isKnown[name] = true
+func checkQuery(r *http.Request, parameters ...string) error {
+	known := map[string]bool{}
+	for _, name := range parameters {
+		known[name] = true
 	}
 	for name := range r.URL.Query() {
-		if !isKnown[name] {
+		if !known[name] {
 			return apierror.New(apierror.DocumentFaulty, "%q is not a parameter of %s", name, r.URL.Path)
 		}
 	}
@@ -342,7 +342,7 @@
 	var input struct {
 		Node string `json:"node"`
 	}
-	if err := readDocument(w, r, drainShape, &input); err != nil {
+	if err := readDocument(w, r, decommissionShape, &input); err != nil {
 		return nil, err
 	}
 	return a.Operators.Decommission(r.Context(), input.Node)
