--- a/internal/partitionlog/idle/idle.go
+++ b/internal/partitionlog/idle/idle.go
@@ -122,11 +122,11 @@
 				due = w.due
 			}
 		}
-		if left := due.Sub(c.clock.Now()); left > 0 {
+		if remaining := due.Sub(c.clock.Now()); remaining > 0 {
 			ctx, wake := context.WithCancel(c.ctx)
 			queue.due, queue.wake = due, wake
 			c.mu.Unlock()
-			_ = c.clock.Sleep(ctx, left)
+			_ = c.clock.Sleep(ctx, remaining)
 			wake()
 			continue
 		}
--- a/internal/partitionlog/leader/followers.go
+++ b/internal/partitionlog/leader/followers.go
@@ -72,10 +72,10 @@
 	current := l.renewFollower(node, bootID)
 	isReader, givenUp := l.readerStatus(node, bootID)
 	token, isTokenValid := l.readerTokenOf(node, bootID, request.ReaderToken)
-	unknown := &FollowResponse{Epoch: l.Record.Epoch, UnknownFollower: true, MustReset: givenUp, ReaderToken: token}
+	rejected := &FollowResponse{Epoch: l.Record.Epoch, UnknownFollower: true, MustReset: givenUp, ReaderToken: token}
 	isLate := !isTokenValid && !request.Finished && l.isOtherReader(node, bootID)
 	if givenUp && !request.Finished || isLate || l.wasReplaced(node, bootID) || !request.follows(current) {
-		return unknown, nil, nil
+		return rejected, nil, nil
 	}
 	if !request.Finished {
 		l.replaceReader(node, bootID)
@@ -91,7 +91,7 @@
 	} else if len(request.After) > 0 {
 		stoppedAtKey := l.fillBacklog(response, request, isReader)
 		if stoppedAtKey && !isTokenValid {
-			return unknown, nil, nil
+			return rejected, nil, nil
 		}
 		if stoppedAtKey {
 			l.addReader(node, bootID)
@@ -167,20 +167,20 @@
 func (l *Leader) Poll(ctx context.Context, request *PollRequest) (*PollResponse, error) {
 	call := &pollCall{request: request, offset: request.From}
 	defer func() { l.endPoll(ctx, call.follower) }()
-	var due <-chan struct{}
+	var timeout <-chan struct{}
 	for {
 		response, committed, err := l.tryPoll(call)
 		if committed == nil {
 			return response, err
 		}
-		if due == nil {
+		if timeout == nil {
 			timerCtx, stop := context.WithCancel(ctx)
 			defer stop()
-			due = l.after(timerCtx, request.MaxWait)
+			timeout = l.after(timerCtx, request.MaxWait)
 		}
 		select {
 		case <-committed:
-		case <-due:
+		case <-timeout:
 			if ctx.Err() != nil {
 				return nil, apierror.WithCause(
 					apierror.Unreachable, ctx.Err(), "following partition %d", l.Record.Partition,
--- a/internal/partitionlog/leader/leader.go
+++ b/internal/partitionlog/leader/leader.go
@@ -42,7 +42,7 @@
 type Observer interface {
 	DiskFailed(partition int, err error)
 	LeadershipLost(partition int, epoch uint64, err error)
-	Opened(partition int, epoch uint64, how Recovery)
+	Opened(partition int, epoch uint64, recovery Recovery)
 	StepFailed(partition int, epoch uint64, step string, err error)
 	ReaderChanged(partition int, epoch uint64, node, bootID string, givenUp bool)
 	TombstonesFull(partition int, epoch uint64, tombstones int)
--- a/internal/partitionlog/leader/maintain.go
+++ b/internal/partitionlog/leader/maintain.go
@@ -25,7 +25,7 @@
 		if !ok {
 			return
 		}
-		to := l.prune()
+		prunedTo := l.prune()
 		err := l.writeChangelogBatch(ctx, flushed != nil)
 		if err != nil && ctx.Err() == nil {
 			l.options.Observer.StepFailed(l.Record.Partition, l.Record.Epoch, "write a changelog batch", err)
@@ -34,7 +34,7 @@
 			close(flushed)
 		}
 		if err == nil {
-			l.requestTrim(log.KindInput, to)
+			l.requestTrim(log.KindInput, prunedTo)
 		}
 	}
 }
@@ -131,9 +131,9 @@
 func (l *Leader) takeChanges(flush bool) (changelogBatch, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	changes := l.logs[log.KindChangelog]
-	batch := changelogBatch{input: l.state.Input, lastReplaced: changes.last.Offset}
-	length := changes.log.Len()
+	changelogProgress := l.logs[log.KindChangelog]
+	batch := changelogBatch{input: l.state.Input, lastReplaced: changelogProgress.last.Offset}
+	length := changelogProgress.log.Len()
 	batch.isCompaction = length > compactMinEntries && length > compactFactor*(1+l.state.Size()/compactMinEntries)
 	if batch.isCompaction {
 		l.state.MarkAllChanged()
--- a/internal/partitionlog/leader/progress.go
+++ b/internal/partitionlog/leader/progress.go
@@ -83,8 +83,8 @@
 		skip = int(offset - p.durable)
 	}
 	if skip < len(p.pending) {
-		rest := p.pending[skip:]
-		entries = append(entries, rest[:min(len(rest), maxBatchEntries)]...)
+		pending := p.pending[skip:]
+		entries = append(entries, pending[:min(len(pending), maxBatchEntries)]...)
 	}
 	return entries
 }
@@ -93,11 +93,11 @@
 // is of the record's epoch. It reports whether the commit moved.
 func (p *logProgress) advanceCommit(record assignment.Record, self string) bool {
 	var offsets []uint64
-	for _, to := range record.Replicas {
-		if to.Node == self {
+	for _, disk := range record.Replicas {
+		if disk.Node == self {
 			offsets = append(offsets, p.durable)
 		} else {
-			offsets = append(offsets, p.match[to.Incarnation])
+			offsets = append(offsets, p.match[disk.Incarnation])
 		}
 	}
 	slices.Sort(offsets)
@@ -125,11 +125,11 @@
 		appended := progress.appended
 		base := l.trimTo[progress.kind]
 		l.mu.Unlock()
-		trims := base.Offset > progress.log.Base().Offset
-		if diskFull && trims {
+		needsTrim := base.Offset > progress.log.Base().Offset
+		if diskFull && needsTrim {
 			entries = nil
 		}
-		if len(entries) == 0 && !trims {
+		if len(entries) == 0 && !needsTrim {
 			select {
 			case <-appended:
 			case <-l.trimRequests[progress.kind]:
--- a/internal/partitionlog/leader/read_test.go
+++ b/internal/partitionlog/leader/read_test.go
@@ -22,18 +22,18 @@
 	token  uint64
 }
 
-func (f *partitionReader) ask(request ReadRequest) chan *ReadResponse {
-	f.mu.Lock()
-	request.Node, request.BootID, request.ReaderToken, request.TracksTombstones, request.MaxWait = "a1/streams", f.bootID, f.token, true, f.options.Timing.LongPoll()
-	f.mu.Unlock()
+func (p *partitionReader) ask(request ReadRequest) chan *ReadResponse {
+	p.mu.Lock()
+	request.Node, request.BootID, request.ReaderToken, request.TracksTombstones, request.MaxWait = "a1/streams", p.bootID, p.token, true, p.options.Timing.LongPoll()
+	p.mu.Unlock()
 	responses := make(chan *ReadResponse, 1)
 	go func() {
-		response, err := f.Leader.Read(f.t.Context(), &request)
-		assert.Check(f.t, err == nil || f.t.Context().Err() != nil, "%v", err)
+		response, err := p.Leader.Read(p.t.Context(), &request)
+		assert.Check(p.t, err == nil || p.t.Context().Err() != nil, "%v", err)
 		if response != nil && response.ReaderToken > 0 {
-			f.mu.Lock()
-			f.token = response.ReaderToken
-			f.mu.Unlock()
+			p.mu.Lock()
+			p.token = response.ReaderToken
+			p.mu.Unlock()
 		}
 		responses <- response
 	}()
@@ -57,29 +57,29 @@
 }
 
 // obtainToken makes the reader request its token.
-func (f *partitionReader) obtainToken() *partitionReader {
-	f.t.Helper()
-	response := <-f.ask(ReadRequest{From: ^uint64(0)})
-	assert.Equal(f.t, response.ReaderToken, f.token)
-	assert.Assert(f.t, f.token > 0)
-	return f
+func (p *partitionReader) obtainToken() *partitionReader {
+	p.t.Helper()
+	response := <-p.ask(ReadRequest{From: ^uint64(0)})
+	assert.Equal(p.t, response.ReaderToken, p.token)
+	assert.Assert(p.t, p.token > 0)
+	return p
 }
 
 // start makes the node a reader that was sent messages with keys.
-func (f *partitionReader) start(from uint64) *partitionReader {
-	f.t.Helper()
-	f.obtainToken()
-	responses := f.ask(ReadRequest{From: from})
-	f.commitAll()
-	assert.Assert(f.t, len((<-responses).Entries) > 0)
-	assert.Equal(f.t, f.state.Readers["a1/streams"].BootID, f.bootID)
-	return f
+func (p *partitionReader) start(from uint64) *partitionReader {
+	p.t.Helper()
+	p.obtainToken()
+	responses := p.ask(ReadRequest{From: from})
+	p.commitAll()
+	assert.Assert(p.t, len((<-responses).Entries) > 0)
+	assert.Equal(p.t, p.state.Readers["a1/streams"].BootID, p.bootID)
+	return p
 }
 
-func (f *partitionReader) pendingAt(offset uint64) []string {
-	f.t.Helper()
-	pending, err := f.pendingReadersAt(offset)
-	assert.NilError(f.t, err)
+func (p *partitionReader) pendingAt(offset uint64) []string {
+	p.t.Helper()
+	pending, err := p.pendingReadersAt(offset)
+	assert.NilError(p.t, err)
 	return pending.Nodes
 }
 
--- a/internal/partitionlog/leader/readers.go
+++ b/internal/partitionlog/leader/readers.go
@@ -195,7 +195,7 @@
 // Unreachable if ctx ends, and NotPartitionLeader if the leadership is lost.
 func (l *Leader) PendingReaders(ctx context.Context, offset uint64, maxWait time.Duration) (*PendingReaders, error) {
 	startedAt := l.options.Clock.Now()
-	var due <-chan struct{}
+	var timeout <-chan struct{}
 	for {
 		l.mu.Lock()
 		if err := l.checkReadable(); err != nil {
@@ -219,15 +219,15 @@
 			l.observeDecision("forgotten", startedAt)
 			return pending, nil
 		}
-		if due == nil {
+		if timeout == nil {
 			timerCtx, stop := context.WithCancel(ctx)
 			defer stop()
-			due = l.after(timerCtx, maxWait)
+			timeout = l.after(timerCtx, maxWait)
 		}
 		select {
 		case <-readersChanged:
 		case <-committed:
-		case <-due:
+		case <-timeout:
 			if !isCommitted {
 				return nil, apierror.New(apierror.NotReady, "offset %d of partition %d is not committed",
 					offset, l.Record.Partition)
@@ -272,11 +272,11 @@
 		if _, isChanging := l.uncommittedReaders[name]; isChanging || progress.offset >= newest || l.stage != StageOpen {
 			continue
 		}
-		silent := now.Sub(progress.lastHeard)
+		silentFor := now.Sub(progress.lastHeard)
 		switch {
-		case !reader.GivenUp && silent > l.readerTimeout() && now.Sub(progress.lastMember) > l.readerTimeout():
+		case !reader.GivenUp && silentFor > l.readerTimeout() && now.Sub(progress.lastMember) > l.readerTimeout():
 			l.writeReader(name, state.ReaderEntry{BootID: reader.BootID, GivenUp: true})
-		case isMember && silent > l.options.Timing.SessionTimeout():
+		case isMember && silentFor > l.options.Timing.SessionTimeout():
 			go l.probeReader(l.ctx, name, address, reader.BootID)
 		}
 	}
--- a/internal/partitionlog/leader/readers_removed_test.go
+++ b/internal/partitionlog/leader/readers_removed_test.go
@@ -89,12 +89,12 @@
 		assert.NilError(t, err)
 		assert.Assert(t, !response.UnknownFollower)
 		assert.Equal(t, len(r.state.Readers), 1, "not committed yet")
-		again := &FollowRequest{
+		nextRequest := &FollowRequest{
 			Node: "a1", BootID: "b", BaseSequence: 2, Sequence: 3, TracksTombstones: true,
 			Topics: map[string]int{"t": 1}, After: map[string]uint64{"t": 0},
 			ReaderToken: r.readerToken("a1", "b"),
 		}
-		response, err = r.Follow(t.Context(), again)
+		response, err = r.Follow(t.Context(), nextRequest)
 		assert.NilError(t, err)
 		assert.Assert(t, response.UnknownFollower, "a finished run must continue under another boot ID")
 		responses := make(chan *FollowResponse, 1)
--- a/internal/partitionlog/leader/readers_test.go
+++ b/internal/partitionlog/leader/readers_test.go
@@ -53,7 +53,7 @@
 			Node: "a2", BootID: "b", Sequence: 1, Full: true, Topics: map[string]int{"t": 1},
 		})
 		assert.NilError(t, err)
-		old := r.startPoll(t.Context(), 1)
+		untrackedPoll := r.startPoll(t.Context(), 1)
 		startedAt := time.Now()
 		assert.Equal(t, r.submitAccepted(withdrawal("w", 1, "t", "k")), uint64(2))
 		polled := <-results
@@ -61,7 +61,7 @@
 		assert.DeepEqual(t, offsets(polled.response.Entries), []uint64{2})
 		assert.Assert(t, time.Since(startedAt) == 0, "woken after %s", time.Since(startedAt))
 		assert.Equal(t, polled.response.Entries[0].Client, "w")
-		assert.NilError(t, <-old)
+		assert.NilError(t, <-untrackedPoll)
 		response, err := r.Poll(t.Context(), &PollRequest{Node: "a2", BootID: "b", Sequence: 1})
 		assert.NilError(t, err)
 		assert.Equal(t, len(response.Entries), 0, "a node that tracks no tombstones is sent nothing with a key")
@@ -197,17 +197,17 @@
 		assert.Equal(t, r.state.Readers["a1"].BootID, "d")
 		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "d", 0)), []uint64{1})
 
-		given := r.readerToken("a1", "d")
+		lastToken := r.readerToken("a1", "d")
 		r.locked(func() {
 			r.followers, r.Leader.readerTokens, r.lastReaderToken, r.Record.Epoch = map[string]*follower{}, map[string]readerToken{}, 0, r.Record.Epoch+1
 		})
-		late("b", given)
-		late("c", given)
+		late("b", lastToken)
+		late("c", lastToken)
 		assert.Equal(t, r.state.Readers["a1"].BootID, "d")
 		r.follow("a1", "d", "t")
 		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "d", 0)), []uint64{1})
 
-		given = r.readerToken("a1", "d")
+		lastToken = r.readerToken("a1", "d")
 		response, err := r.Follow(t.Context(), &FollowRequest{
 			Node: "a1", BootID: "d", Sequence: 99, Full: true, TracksTombstones: true, Finished: true,
 		})
@@ -215,9 +215,9 @@
 		assert.Assert(t, !response.UnknownFollower)
 		r.commitAll()
 		r.locked(func() { r.followers = map[string]*follower{} })
-		late("d", given)
-		late("b", given)
-		late("d", given)
+		late("d", lastToken)
+		late("b", lastToken)
+		late("d", lastToken)
 		assert.Equal(t, len(r.state.Readers), 0)
 	})
 }
--- a/internal/partitionlog/leader/recovery.go
+++ b/internal/partitionlog/leader/recovery.go
@@ -148,11 +148,11 @@
 	if err != nil {
 		return nil, err
 	}
-	to, _ := l.Record.Replica(node)
+	source, _ := l.Record.Replica(node)
 	ctx, cancel := context.WithTimeout(ctx, l.options.Timing.CallTimeout())
 	defer cancel()
 	return replica.Fetch.Call(ctx, l.options.Net, l.options.Self, address, &replica.FetchRequest{
-		Partition: l.Record.Partition, Incarnation: to.Incarnation, Kind: kind, From: from, Limit: limit,
+		Partition: l.Record.Partition, Incarnation: source.Incarnation, Kind: kind, From: from, Limit: limit,
 	})
 }
 
@@ -310,13 +310,13 @@
 			continue
 		}
 		var tail replica.Tail
-		known := false
+		isTailKnown := false
 		for _, result := range sealed {
 			if result.Err == nil && result.Target.Node == to.Node {
-				tail, known = result.Value.Tails[progress.kind], true
+				tail, isTailKnown = result.Value.Tails[progress.kind], true
 			}
 		}
-		go l.replicate(ctx, progress, to, tail, known)
+		go l.replicate(ctx, progress, to, tail, isTailKnown)
 	}
 }
 
@@ -349,11 +349,11 @@
 	restored.Input = input
 	l.prunedTo = base
 	restoreAnswers(restored, partitionLog.log, base, input)
-	rest := partitionLog.log.Slice(input+1, partitionLog.commit, allEntries, allEntries)
-	for _, entry := range rest {
+	reprocessed := partitionLog.log.Slice(input+1, partitionLog.commit, allEntries, allEntries)
+	for _, entry := range reprocessed {
 		restored.Apply(entry)
 	}
-	l.recovery.Reprocessed, l.recovery.Keys = len(rest), restored.Size()
+	l.recovery.Reprocessed, l.recovery.Keys = len(reprocessed), restored.Size()
 	l.state, l.savedInput = restored, input
 	now := l.options.Clock.Now()
 	for node, reader := range restored.Readers {
--- a/internal/partitionlog/leader/recovery_test.go
+++ b/internal/partitionlog/leader/recovery_test.go
@@ -18,13 +18,13 @@
 // A new run never decides under an epoch that its disk has already sealed.
 func TestRecover_SealedEpochIsNeverUsedAgain(t *testing.T) {
 	ctx := t.Context()
-	memory := memlog.New()
+	disk := memlog.New()
 	local := replica.New(clock.Real{})
 	parts := map[uint16]journal.Part{}
 	for _, recordType := range replica.RecordTypes() {
 		parts[recordType] = local
 	}
-	opened, _, err := journal.Open(memory, clock.Real{}, parts, []journal.Part{local})
+	opened, _, err := journal.Open(disk, clock.Real{}, parts, []journal.Part{local})
 	assert.NilError(t, err)
 	runCtx, stop := context.WithCancel(ctx)
 	done := make(chan struct{})
--- a/internal/partitionlog/leader/replicate.go
+++ b/internal/partitionlog/leader/replicate.go
@@ -201,13 +201,13 @@
 		return
 	}
 	r.searchStep = max(1, r.searchStep*2)
-	to := min(tail.Last.Offset, r.next.Offset)
-	if to > floor+r.searchStep {
-		to -= r.searchStep
+	offset := min(tail.Last.Offset, r.next.Offset)
+	if offset > floor+r.searchStep {
+		offset -= r.searchStep
 	} else {
-		to = floor
+		offset = floor
 	}
-	if position, ok := r.progress.position(to); ok {
+	if position, ok := r.progress.position(offset); ok {
 		r.next, r.reset = position, false
 		return
 	}
--- a/internal/partitionlog/leader/tombstones.go
+++ b/internal/partitionlog/leader/tombstones.go
@@ -18,7 +18,7 @@
 // keyOffsets are the offsets of the last message and the last withdrawal under a key, 0 for none.
 type keyOffsets struct{ message, withdrawal uint64 }
 
-func isPrintableKey(key string) bool {
+func isValidKey(key string) bool {
 	for _, r := range key {
 		if !unicode.IsPrint(r) {
 			return false
@@ -27,7 +27,7 @@
 	return key != "" && len(key) <= maxKeyBytes && utf8.ValidString(key)
 }
 
-var malformedRules = []struct {
+var messageRules = []struct {
 	isViolated func(*Message) bool
 	detail     string
 }{
@@ -36,7 +36,7 @@
 		"call_seq must be above 0",
 	},
 	{
-		func(m *Message) bool { return m.Key != "" && !isPrintableKey(m.Key) },
+		func(m *Message) bool { return m.Key != "" && !isValidKey(m.Key) },
 		"a key must be 1 to 128 bytes of printable text",
 	},
 	{
@@ -58,7 +58,7 @@
 }
 
 func (m *Message) validate() error {
-	for _, rule := range malformedRules {
+	for _, rule := range messageRules {
 		if rule.isViolated(m) {
 			return apierror.New(apierror.Malformed, "%s", rule.detail)
 		}
--- a/internal/partitionlog/leader/view.go
+++ b/internal/partitionlog/leader/view.go
@@ -118,8 +118,8 @@
 // members.
 func (l *Leader) checkMajorityOfMembers() error {
 	members := 0
-	for _, to := range l.Record.Replicas {
-		if _, ok := l.options.Addr(to.Node); ok || to.Node == l.options.Self {
+	for _, replica := range l.Record.Replicas {
+		if _, ok := l.options.Addr(replica.Node); ok || replica.Node == l.options.Self {
 			members++
 		}
 	}
--- a/internal/partitionlog/leader/withdrawals_test.go
+++ b/internal/partitionlog/leader/withdrawals_test.go
@@ -90,10 +90,10 @@
 // accepted before stay accepted.
 func TestWithdrawal_PassesTheNamedSendersNumbers(t *testing.T) {
 	withLeader(t, 1, func(t *testing.T, r *rig) {
-		withdrawn := withdrawal("w", 1, "t", "k")
-		withdrawn.WithdrawSender, withdrawn.WithdrawUpTo = "v", 5
+		senderWithdrawal := withdrawal("w", 1, "t", "k")
+		senderWithdrawal.WithdrawSender, senderWithdrawal.WithdrawUpTo = "v", 5
 		outcomes := r.submit(
-			message("v", 2, "t", "k"), withdrawn, message("v", 4, "t", "k"), message("v", 2, "t", "k"),
+			message("v", 2, "t", "k"), senderWithdrawal, message("v", 4, "t", "k"), message("v", 2, "t", "k"),
 			message("v", 6, "t", "k"), message("v", 5, "u", "k"),
 		)
 		assert.Equal(t, outcomes[2].Err.Code, apierror.CallPassed)
@@ -101,15 +101,15 @@
 		assert.Assert(t, outcomes[4].Err == nil && outcomes[5].Err == nil)
 		r.expectRejected(message("v", 5, "t", "k"), apierror.CallPassed)
 		r.submitAccepted(message("v", 7, "t", "k"))
-		assert.Assert(t, r.submit(withdrawn)[0].Decision.Duplicate)
+		assert.Assert(t, r.submit(senderWithdrawal)[0].Decision.Duplicate)
 	})
 	withLeader(t, 1, func(t *testing.T, r *rig) {
 		r.evaluate(message("v", 2, "t", "k"))
 		r.commitAll()
-		withdrawn := withdrawal("w", 1, "t", "no message yet")
-		withdrawn.WithdrawSender, withdrawn.WithdrawUpTo = "v", 5
+		senderWithdrawal := withdrawal("w", 1, "t", "no message yet")
+		senderWithdrawal.WithdrawSender, senderWithdrawal.WithdrawUpTo = "v", 5
 		r.evaluate(message("v", 3, "t", "k"))
-		r.evaluate(withdrawn)
+		r.evaluate(senderWithdrawal)
 		partitionLog := r.logs[log.KindInput]
 		partitionLog.log.Append(time.Now(), partitionLog.pending[0])
 		partitionLog.pending, partitionLog.durable = partitionLog.pending[1:], 2
@@ -122,10 +122,10 @@
 		assert.Equal(t, len(r.uncommitted), 0)
 		assert.Equal(t, len(r.uncommittedKeys), 0)
 		assert.Assert(t, apierror.HasCode(r.evaluate(message("v", 4, "t", "k")).err, apierror.CallPassed))
-		again := withdrawal("w", 2, "t", withdrawn.Key)
-		again.WithdrawSender, again.WithdrawUpTo = "v", 4
-		assert.Assert(t, r.evaluate(again).alreadyWithdrawn)
-		again.CallSeq, again.WithdrawUpTo = 3, 6
-		assert.Assert(t, !r.evaluate(again).alreadyWithdrawn, "the existing tombstone does not pass a higher number")
+		repeated := withdrawal("w", 2, "t", senderWithdrawal.Key)
+		repeated.WithdrawSender, repeated.WithdrawUpTo = "v", 4
+		assert.Assert(t, r.evaluate(repeated).alreadyWithdrawn)
+		repeated.CallSeq, repeated.WithdrawUpTo = 3, 6
+		assert.Assert(t, !r.evaluate(repeated).alreadyWithdrawn, "the existing tombstone does not pass a higher number")
 	})
 }
--- a/internal/partitionlog/log/log_test.go
+++ b/internal/partitionlog/log/log_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func filled(count int) *Log {
+func newFilledLog(count int) *Log {
 	filledLog := New()
 	last := Position{}
 	for range count {
@@ -21,7 +21,7 @@
 
 // Guards against a trim that arrives after a later one and empties the log.
 func TestBaseNeverGoesBack(t *testing.T) {
-	filledLog := filled(10)
+	filledLog := newFilledLog(10)
 	positionAt := func(offset uint64) Position {
 		position, ok := filledLog.Position(offset)
 		assert.Assert(t, ok)
--- a/internal/partitionlog/replica/giveup_test.go
+++ b/internal/partitionlog/replica/giveup_test.go
@@ -59,17 +59,17 @@
 		synctest.Wait()
 		cancel()
 		assert.Assert(t, <-abandoned != nil)
-		done := make(chan *AppendResponse, 1)
+		responses := make(chan *AppendResponse, 1)
 		go func() {
 			response, err := r.Append(ctx, &AppendRequest{
-				Target: targetAt(1), Kind: log.KindInput, After: last, Entries: chain(last, 1, "c"),
+				Target: targetAt(1), Kind: log.KindInput, After: last, Entries: entriesAfter(last, 1, "c"),
 			})
 			assert.Check(t, err)
-			done <- response
+			responses <- response
 		}()
 		synctest.Wait()
 		close(release)
-		response := <-done
+		response := <-responses
 		assert.Assert(t, response.Matched)
 		assert.Equal(t, r.Log(1, log.KindInput).Last(), response.Tail.Last)
 	})
--- a/internal/partitionlog/replica/replica_test.go
+++ b/internal/partitionlog/replica/replica_test.go
@@ -18,7 +18,7 @@
 
 var ctx = context.Background()
 
-func boot(t *testing.T, disk *memlog.Disk, incarnation string) *Replica {
+func startReplica(t *testing.T, disk *memlog.Disk, incarnation string) *Replica {
 	r := New(clock.Real{})
 	parts := map[uint16]journal.Part{}
 	for _, recordType := range RecordTypes() {
@@ -33,7 +33,7 @@
 	return r
 }
 
-func chain(after log.Position, epoch uint64, bodies ...string) []log.Entry {
+func entriesAfter(after log.Position, epoch uint64, bodies ...string) []log.Entry {
 	var entries []log.Entry
 	for _, body := range bodies {
 		entry := log.Entry{
@@ -51,7 +51,7 @@
 func appendEntries(
 	t *testing.T, r *Replica, kind log.Kind, epoch uint64, after log.Position, bodies ...string,
 ) log.Position {
-	entries := chain(after, epoch, bodies...)
+	entries := entriesAfter(after, epoch, bodies...)
 	response, err := r.Append(ctx, &AppendRequest{Target: targetAt(epoch), Kind: kind, After: after, Entries: entries})
 	assert.NilError(t, err)
 	assert.Assert(t, response.Matched)
@@ -60,17 +60,17 @@
 
 func TestFencedEpochsStayFencedAcrossPowerLoss(t *testing.T) {
 	disk := memlog.New()
-	r := boot(t, disk, "i")
+	r := startReplica(t, disk, "i")
 	last := appendEntries(t, r, log.KindInput, 1, log.Position{}, "a", "b")
 	response, err := r.Seal(ctx, &SealRequest{Target: targetAt(3)})
 	assert.NilError(t, err)
 	assert.Equal(t, response.Tails[log.KindInput].Last, last)
 	disk.LosePower(true)
-	r = boot(t, disk, "i")
+	r = startReplica(t, disk, "i")
 	for _, kind := range log.Kinds {
 		_, err = r.Append(ctx, &AppendRequest{
 			Target: targetAt(2), Kind: kind, After: r.Log(1, kind).Last(),
-			Entries: chain(r.Log(1, kind).Last(), 2, "late"),
+			Entries: entriesAfter(r.Log(1, kind).Last(), 2, "late"),
 		})
 		assert.Assert(t, apierror.HasCode(err, apierror.StaleEpoch), "%s: %v", kind, err)
 	}
@@ -82,7 +82,7 @@
 }
 
 func TestAnotherIncarnationIsRejected(t *testing.T) {
-	r := boot(t, memlog.New(), "j")
+	r := startReplica(t, memlog.New(), "j")
 	_, err := r.Seal(ctx, &SealRequest{Target: targetAt(1)})
 	assert.Assert(t, apierror.HasCode(err, apierror.WrongDisk), "%v", err)
 	_, err = r.Append(ctx, &AppendRequest{Target: targetAt(1), Kind: log.KindInput})
@@ -93,7 +93,7 @@
 
 func TestTailThatDiffersIsReplacedAndAlteredEntriesAreNot(t *testing.T) {
 	disk := memlog.New()
-	r := boot(t, disk, "i")
+	r := startReplica(t, disk, "i")
 	common := appendEntries(t, r, log.KindInput, 1, log.Position{}, "a")
 	appendEntries(t, r, log.KindInput, 1, common, "lost", "lost too")
 	response, err := r.Append(ctx, &AppendRequest{
@@ -101,24 +101,24 @@
 	})
 	assert.NilError(t, err)
 	assert.Assert(t, !response.Matched, "another log at the same offset")
-	altered := chain(common, 2, "x")
+	altered := entriesAfter(common, 2, "x")
 	altered[0].Body = []byte("altered")
 	_, err = r.Append(ctx, &AppendRequest{Target: targetAt(2), Kind: log.KindInput, After: common, Entries: altered})
 	assert.Assert(t, apierror.HasCode(err, apierror.LogMismatch), "%v", err)
 	last := appendEntries(t, r, log.KindInput, 2, common, "new")
 	disk.LosePower(false)
-	r = boot(t, disk, "i")
+	r = startReplica(t, disk, "i")
 	assert.Equal(t, r.Log(1, log.KindInput).Last(), last)
 	assert.Equal(t, string(r.Log(1, log.KindInput).Slice(2, 2, 1, 1)[0].Body), "new")
 }
 
 func TestSnapshotIsUsedOnlyWhereItsPositionIsOnTheChangelog(t *testing.T) {
 	disk := memlog.New()
-	r := boot(t, disk, "i")
+	r := startReplica(t, disk, "i")
 	first := appendEntries(t, r, log.KindChangelog, 1, log.Position{}, "one")
 	second := appendEntries(t, r, log.KindChangelog, 1, first, "two")
 	assert.NilError(t, r.SaveSnapshot(ctx, Snapshot{Partition: 1, At: second, Input: 9, State: []byte(`{}`)}))
-	r = boot(t, disk, "i")
+	r = startReplica(t, disk, "i")
 	snapshot, ok := r.Snapshot(1)
 	assert.Assert(t, ok)
 	assert.Equal(t, snapshot.Input, uint64(9))
@@ -129,13 +129,13 @@
 	assert.NilError(t, err)
 	_, ok = r.Snapshot(1)
 	assert.Assert(t, !ok)
-	assert.Equal(t, len(boot(t, disk, "i").Partitions()), 0, "a dropped partition has entries after a restart")
+	assert.Equal(t, len(startReplica(t, disk, "i").Partitions()), 0, "a dropped partition has entries after a restart")
 }
 
 // A snapshot before the end of the changelog is used while its position is on the changelog, and
 // not once another leader replaced that part of it.
 func TestSnapshotBehindTheEndOfTheChangelog(t *testing.T) {
-	r := boot(t, memlog.New(), "i")
+	r := startReplica(t, memlog.New(), "i")
 	snapshotAt := appendEntries(t, r, log.KindChangelog, 1, log.Position{}, "a", "b")
 	assert.NilError(t, r.SaveSnapshot(ctx, Snapshot{Partition: 1, At: snapshotAt, Input: 7, State: []byte(`{}`)}))
 	replacedLast := appendEntries(t, r, log.KindChangelog, 1, snapshotAt, "c", "d")
@@ -152,7 +152,7 @@
 // Guards against a leader that was delayed between sealing and adopting, and then truncated what a
 // later leader had written to the disk since.
 func TestFencedLeaderTruncatesNothing(t *testing.T) {
-	r := boot(t, memlog.New(), "i")
+	r := startReplica(t, memlog.New(), "i")
 	common := appendEntries(t, r, log.KindInput, 1, log.Position{}, "a", "b")
 	_, err := r.Seal(ctx, &SealRequest{Target: targetAt(2)})
 	assert.NilError(t, err)
@@ -169,7 +169,7 @@
 // Data directories of the first format have bodies in JSON.
 func TestFoldersOfTheFirstFormatAreRead(t *testing.T) {
 	disk := memlog.New()
-	entries := chain(log.Position{}, 1, "a", "b")
+	entries := entriesAfter(log.Position{}, 1, "a", "b")
 	var records [][]byte
 	for _, entry := range entries {
 		body, err := json.Marshal(entryRecord{log.ID{Partition: 1, Kind: log.KindInput}, entry})
@@ -183,9 +183,9 @@
 	assert.NilError(t, disk.Write(1, records))
 	assert.NilError(t, disk.Sync())
 	for range 2 {
-		r := boot(t, disk, "i")
+		r := startReplica(t, disk, "i")
 		assert.DeepEqual(t, r.Log(1, log.KindInput).Slice(0, ^uint64(0), 9, 1<<20), entries)
-		entries = append(entries, chain(entries[len(entries)-1].Position(), 2, "c")...)
+		entries = append(entries, entriesAfter(entries[len(entries)-1].Position(), 2, "c")...)
 		appendEntries(t, r, log.KindInput, 2, entries[len(entries)-2].Position(), "c")
 	}
 }
@@ -203,7 +203,7 @@
 		response, err := r.CompareIdle(t.Context(), request)
 		return err == nil && response.Identical, err
 	}
-	r := boot(t, memlog.New(), "i")
+	r := startReplica(t, memlog.New(), "i")
 	last := appendEntries(t, r, log.KindInput, 3, log.Position{}, "a")
 	oneEntry, noEntries := IdleLog{
 		Partition: 1, Kind: log.KindInput, Epoch: 3, Last: last,
--- a/internal/partitionlog/router/epochs.go
+++ b/internal/partitionlog/router/epochs.go
@@ -21,13 +21,13 @@
 	byPartition map[int]leaderEpoch
 }
 
-func (s *leaderEpochs) contextOf(store *gossip.Store, record assignment.Record) context.Context {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.byPartition == nil {
-		s.byPartition = map[int]leaderEpoch{}
+func (l *leaderEpochs) contextOf(store *gossip.Store, record assignment.Record) context.Context {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.byPartition == nil {
+		l.byPartition = map[int]leaderEpoch{}
 	}
-	current, ok := s.byPartition[record.Partition]
+	current, ok := l.byPartition[record.Partition]
 	if ok && current.epoch >= record.Epoch {
 		return current.ctx
 	}
@@ -36,7 +36,7 @@
 	}
 	current.epoch = record.Epoch
 	current.ctx, current.cancel = context.WithCancel(context.Background())
-	s.byPartition[record.Partition] = current
+	l.byPartition[record.Partition] = current
 	if store.Record(record.Partition).Epoch > record.Epoch {
 		current.cancel()
 	}
--- a/internal/partitionlog/router/fixture_test.go
+++ b/internal/partitionlog/router/fixture_test.go
@@ -98,18 +98,18 @@
 	return f
 }
 
-func (f *fixture) submitCall(call uint64, timeout time.Duration) {
+func (f *fixture) submitCall(callSeq uint64, timeout time.Duration) {
 	f.SubmitAsync(context.Background(), testPartition, &leader.Message{
-		Client: "v", Topic: "t", CallSeq: call, Body: []byte("1"),
+		Client: "v", Topic: "t", CallSeq: callSeq, Body: []byte("1"),
 	}, time.Now().Add(timeout), func(decision *leader.Decision, err error) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if _, ok := f.results[call]; ok {
-			f.wrongAnswers = append(f.wrongAnswers, call)
+		if _, ok := f.results[callSeq]; ok {
+			f.wrongAnswers = append(f.wrongAnswers, callSeq)
 		}
-		f.results[call], f.answeredAt[call] = err, time.Now()
-		if err == nil && decision.Offset != call {
-			f.wrongAnswers = append(f.wrongAnswers, call)
+		f.results[callSeq], f.answeredAt[callSeq] = err, time.Now()
+		if err == nil && decision.Offset != callSeq {
+			f.wrongAnswers = append(f.wrongAnswers, callSeq)
 		}
 	})
 }
--- a/internal/partitionlog/router/forward.go
+++ b/internal/partitionlog/router/forward.go
@@ -100,10 +100,10 @@
 	if limit > 0 {
 		s.failures++
 	}
-	isOver := limit > 0 && s.failures >= limit || now.Sub(s.since) >= timeout ||
+	isExhausted := limit > 0 && s.failures >= limit || now.Sub(s.since) >= timeout ||
 		uncertainCodes[code] && now.Sub(startedAt) >= timeout
-	if isOver && s.router.Store.Record(s.partitionID).Version == s.version {
-		return 0, s.givenUp(err)
+	if isExhausted && s.router.Store.Record(s.partitionID).Version == s.version {
+		return 0, s.errGivenUp(err)
 	}
 	pause := s.router.Timing.MaxBackoff()
 	if briefCodes[code] {
@@ -113,7 +113,7 @@
 	return pause, nil
 }
 
-func (s *retryState) givenUp(err error) error {
+func (s *retryState) errGivenUp(err error) error {
 	return s.router.errGivenUp(s.partitionID, s.isUncertain, err)
 }
 
@@ -147,7 +147,7 @@
 		}
 		stop()
 		if ctx.Err() != nil {
-			return nil, retry.givenUp(err)
+			return nil, retry.errGivenUp(err)
 		}
 	}
 }
--- a/internal/partitionlog/router/router.go
+++ b/internal/partitionlog/router/router.go
@@ -120,11 +120,11 @@
 		return response, err
 	}
 	request = &ReadAttachmentRequest{Client: client}
-	routine, err := forward(ctx, r, r.homeOf(client, false), ReadAttachment, r.readAttachment, request)
-	if err == nil && routine.Attachment.Generation == generation {
-		err = r.attachUrgentHome(ctx, client, routine.Attachment.Secret, generation)
+	routineResponse, err := forward(ctx, r, r.homeOf(client, false), ReadAttachment, r.readAttachment, request)
+	if err == nil && routineResponse.Attachment.Generation == generation {
+		err = r.attachUrgentHome(ctx, client, routineResponse.Attachment.Secret, generation)
 	}
-	return routine, err
+	return routineResponse, err
 }
 
 // SaveCursor saves a client's cursor, in both homes.
@@ -133,9 +133,9 @@
 	if err != nil || !r.UsesTwoHomes() {
 		return err
 	}
-	urgent := *request
-	urgent.Urgent = true
-	_, err = forward(ctx, r, r.homeOf(request.Client, true), SaveCursor, r.saveCursor, &urgent)
+	urgentRequest := *request
+	urgentRequest.Urgent = true
+	_, err = forward(ctx, r, r.homeOf(request.Client, true), SaveCursor, r.saveCursor, &urgentRequest)
 	return err
 }
 
--- a/internal/partitionlog/router/submit.go
+++ b/internal/partitionlog/router/submit.go
@@ -27,17 +27,17 @@
 	queue.mu.Lock()
 	if waiting := len(queue.waiting) + queue.inFlight; r.Backlog != nil && waiting >= r.Backlog() {
 		queue.mu.Unlock()
-		full := apierror.New(apierror.Overloaded, "%d messages wait here for partition %d", waiting, partitionID)
-		submit.answer(nil, full)
+		overloaded := apierror.New(apierror.Overloaded, "%d messages wait here for partition %d", waiting, partitionID)
+		submit.answer(nil, overloaded)
 		return
 	}
 	queue.waiting = append(queue.waiting, submit)
-	start, early := !queue.running, queue.nextDeadline.IsZero() || deadline.Before(queue.nextDeadline)
+	mustStart, mustWake := !queue.running, queue.nextDeadline.IsZero() || deadline.Before(queue.nextDeadline)
 	queue.running = true
 	queue.mu.Unlock()
-	if start {
+	if mustStart {
 		go r.runQueue(partitionID, queue)
-	} else if early {
+	} else if mustWake {
 		select {
 		case queue.wake <- struct{}{}:
 		default:
@@ -224,7 +224,7 @@
 	}
 	limit, timeout := failureLimits[code], r.Timing.CallTimeout()
 	giveUpAll := limit > 0 && queue.failures >= limit || uncertainCodes[code] && now.Sub(startedAt) >= timeout
-	var others []*pendingSubmit
+	var toRetry []*pendingSubmit
 	for i, submit := range remaining {
 		since := submit.submittedAt
 		if queue.recordSince.After(since) {
@@ -233,18 +233,18 @@
 		if giveUpAll || now.Sub(since) >= timeout {
 			submit.answer(nil, r.errGivenUp(partitionID, submit.isUncertain, causes[i]))
 		} else {
-			others = append(others, submit)
+			toRetry = append(toRetry, submit)
 		}
 	}
-	return others
+	return toRetry
 }
 
 // pause waits for the backoff before the next attempt, or for a newer record. Meanwhile it answers
 // messages past their deadline.
 func (r *Router) pause(partitionID int, queue *submitQueue, changed <-chan struct{}) {
 	pause := r.Timing.Backoff(queue.attempts)
-	if left := r.Timing.MaxBackoff() - r.Clock.Now().Sub(queue.lastFailure); queue.failures > 0 && left > 0 {
-		pause = min(pause, left)
+	if remaining := r.Timing.MaxBackoff() - r.Clock.Now().Sub(queue.lastFailure); queue.failures > 0 && remaining > 0 {
+		pause = min(pause, remaining)
 	}
 	queue.attempts++
 	ctx, stop := context.WithTimeout(context.Background(), pause)
--- a/internal/partitionlog/router/submitqueue.go
+++ b/internal/partitionlog/router/submitqueue.go
@@ -89,11 +89,11 @@
 	expired = q.removeExpired(now)
 	count, size := 0, 0
 	for count < len(q.waiting) && count < maxBatchMessages {
-		body := len(q.waiting[count].message.Body)
-		if count > 0 && size+body > maxBatchBytes {
+		bodySize := len(q.waiting[count].message.Body)
+		if count > 0 && size+bodySize > maxBatchBytes {
 			break
 		}
-		size += body
+		size += bodySize
 		count++
 	}
 	batch = slices.Clone(q.waiting[:count])
--- a/internal/samza/changelog/bench_test.go
+++ b/internal/samza/changelog/bench_test.go
@@ -46,14 +46,14 @@
 				}
 			}
 		})
-		lastBatch := len(changes) - len(changes)/16
+		lastBatchStart := len(changes) - len(changes)/16
 		b.Run(fmt.Sprintf("directory and the last batch/keys=%d", keys), func(b *testing.B) {
 			for b.Loop() {
 				restored, err := state.Unmarshal(snapshot)
 				if err != nil {
 					b.Fatal(err)
 				}
-				if _, err := Replay(restored, 0, changes[lastBatch:]); err != nil {
+				if _, err := Replay(restored, 0, changes[lastBatchStart:]); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/samza/state/accepted.go
+++ b/internal/samza/state/accepted.go
@@ -91,7 +91,7 @@
 	if !hasCallNumber[entry.Type] {
 		return
 	}
-	s.noteKeyed(entry)
+	s.updateLastKeyed(entry)
 	if entry.Type == log.TypeWithdrawal {
 		s.addTombstone(entry)
 	}
@@ -120,10 +120,10 @@
 			continue
 		}
 		if entry.Key != "" {
-			s.forgetKeyed(entry)
+			s.pruneLastKeyed(entry)
 		}
 		pruned += s.pruneAnswers(Key(entry.Client, entry.Topic), entry.Offset)
-		s.noteTrimmed(entry)
+		s.recordTrimmed(entry)
 	}
 	return pruned
 }
@@ -147,11 +147,11 @@
 	return pruned
 }
 
-// noteTrimmed records that an entry of a topic is trimmed.
-func (s *State) noteTrimmed(entry log.Entry) {
-	if topic := s.Progress[entry.Topic]; entry.Offset > topic.Trimmed {
-		topic.Trimmed = entry.Offset
-		s.Progress[entry.Topic] = topic
+// recordTrimmed records that an entry of a topic is trimmed.
+func (s *State) recordTrimmed(entry log.Entry) {
+	if progress := s.Progress[entry.Topic]; entry.Offset > progress.Trimmed {
+		progress.Trimmed = entry.Offset
+		s.Progress[entry.Topic] = progress
 		s.dirty[progressPrefix+entry.Topic] = true
 	}
 }
--- a/internal/samza/state/apply.go
+++ b/internal/samza/state/apply.go
@@ -73,25 +73,25 @@
 		s.RestoreAnswer(entry)
 		return
 	}
-	s.noteKeyed(entry)
+	s.updateLastKeyed(entry)
 	calls.Last, calls.Generation = entry.CallSeq, max(calls.Generation, entry.Generation)
 	calls.addRecent(AcceptedCall{entry.CallSeq, entry.Offset, CallDigest(entry.Type, entry.Key, entry.Digest)})
 	s.Accepted[key] = calls
 	s.dirty[acceptedPrefix+key] = true
-	if topic := s.Progress[entry.Topic]; entry.Offset > topic.Offset {
-		s.Progress[entry.Topic] = Progress{entry.Offset, topic.Count + messages, topic.Trimmed}
+	if progress := s.Progress[entry.Topic]; entry.Offset > progress.Offset {
+		s.Progress[entry.Topic] = Progress{entry.Offset, progress.Count + messages, progress.Trimmed}
 		s.dirty[progressPrefix+entry.Topic] = true
 	}
 }
 
-func (s *State) noteKeyed(entry log.Entry) {
+func (s *State) updateLastKeyed(entry log.Entry) {
 	if entry.Type == log.TypeMessage && entry.Key != "" {
 		key := Key(entry.Topic, entry.Key)
 		s.LastKeyed[key] = max(s.LastKeyed[key], entry.Offset)
 	}
 }
 
-func (s *State) forgetKeyed(entry log.Entry) {
+func (s *State) pruneLastKeyed(entry log.Entry) {
 	if key := Key(entry.Topic, entry.Key); s.LastKeyed[key] <= entry.Offset {
 		delete(s.LastKeyed, key)
 	}
--- a/internal/samza/state/state_test.go
+++ b/internal/samza/state/state_test.go
@@ -11,20 +11,20 @@
 
 // entries returns messages of clients that use every second call number.
 func entries(clients, calls int) []log.Entry {
-	var list []log.Entry
+	var logEntries []log.Entry
 	for call := range calls {
 		for client := range clients {
-			list = append(list, log.Entry{
-				Offset: uint64(len(list) + 1), Type: log.TypeMessage, Topic: "s/a",
+			logEntries = append(logEntries, log.Entry{
+				Offset: uint64(len(logEntries) + 1), Type: log.TypeMessage, Topic: "s/a",
 				Client: fmt.Sprintf("v%d", client), CallSeq: 2 * uint64(call+1), Generation: 1,
 				Digest: log.Digest([]byte{byte(call), byte(client)}),
 			})
 		}
 	}
-	return list
+	return logEntries
 }
 
-func filled(clients, calls int) *State {
+func newFilledState(clients, calls int) *State {
 	state := New()
 	for _, entry := range entries(clients, calls) {
 		state.Apply(entry)
@@ -35,7 +35,7 @@
 // The answers to trimmed entries are dropped, but the last call number remains. A repeat then
 // gets an error code of its own and is never accepted again.
 func TestPruningRetainsTheLastCallNumber(t *testing.T) {
-	state := filled(3, 40)
+	state := newFilledState(3, 40)
 	state.TakeChanges()
 	assert.Equal(t, state.Prune(entries(3, 40)[:3*38]...), 3*38, "the answers to trimmed entries are dropped")
 	assert.Equal(t, len(state.TakeChanges()), 3+1, "each client's calls and the topic's progress are written again")
@@ -60,7 +60,7 @@
 func TestAnswersAreRestoredFromThePartitionLog(t *testing.T) {
 	logEntries := entries(3, 40)
 	for _, trimmed := range []int{0, 1, 50, 119, 120} {
-		state := filled(3, 40)
+		state := newFilledState(3, 40)
 		state.Prune(logEntries[:trimmed]...)
 		restored, err := Unmarshal(state.Marshal())
 		assert.NilError(t, err)
@@ -90,15 +90,15 @@
 // last one may have been accepted.
 func TestAnOlderBuildsAnswersMayHaveBeenAccepted(t *testing.T) {
 	state := New()
-	older := []byte(`{"l":9,"g":2,"r":[{"c":9,"o":4,"s":"d"}]}`)
-	assert.NilError(t, state.Set(Item{Key: "a:" + Key("v", "s/a"), Value: older}))
+	olderValue := []byte(`{"l":9,"g":2,"r":[{"c":9,"o":4,"s":"d"}]}`)
+	assert.NilError(t, state.Set(Item{Key: "a:" + Key("v", "s/a"), Value: olderValue}))
 	calls := state.Accepted[Key("v", "s/a")]
 	assert.Equal(t, calls.Last, uint64(9))
 	assert.Equal(t, calls.Floor, uint64(9))
 }
 
 func TestAnswersAreBounded(t *testing.T) {
-	state := filled(1, MaxAnswers+10)
+	state := newFilledState(1, MaxAnswers+10)
 	calls := state.Accepted[Key("v0", "s/a")]
 	assert.Equal(t, len(calls.Recent), MaxAnswers)
 	assert.Equal(t, calls.Floor, uint64(20))
@@ -107,7 +107,7 @@
 // Guards the size of a batch after a busy interval: a client with hundreds of answers is
 // written as one with none.
 func TestAnswersAreNotStored(t *testing.T) {
-	state := filled(200, 1200)
+	state := newFilledState(200, 1200)
 	size := 0
 	for _, item := range state.TakeChanges() {
 		size += len(item.Key) + len(item.Value)
--- a/internal/samza/state/tombstone.go
+++ b/internal/samza/state/tombstone.go
@@ -15,8 +15,8 @@
 }
 
 // WrittenBy reports whether it is the tombstone of a client's call.
-func (t Tombstone) WrittenBy(client string, call uint64) bool {
-	return t.Client == client && t.CallSeq == call
+func (t Tombstone) WrittenBy(client string, callSeq uint64) bool {
+	return t.Client == client && t.CallSeq == callSeq
 }
 
 // Reader is a node that may have received messages with keys, under which boot, and the offset of
--- a/internal/samza/state/tombstones_test.go
+++ b/internal/samza/state/tombstones_test.go
@@ -8,15 +8,15 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-func message(offset uint64, client string, call uint64, key string) log.Entry {
+func message(offset uint64, client string, callSeq uint64, key string) log.Entry {
 	return log.Entry{
-		Offset: offset, Type: log.TypeMessage, Topic: "s/a", Client: client, CallSeq: call, Key: key, Digest: "d",
+		Offset: offset, Type: log.TypeMessage, Topic: "s/a", Client: client, CallSeq: callSeq, Key: key, Digest: "d",
 	}
 }
 
-func withdrawal(offset uint64, client string, call uint64, key string, body SenderWithdrawal) log.Entry {
+func withdrawal(offset uint64, client string, callSeq uint64, key string, body SenderWithdrawal) log.Entry {
 	return log.Entry{
-		Offset: offset, Type: log.TypeWithdrawal, Topic: "s/a", Client: client, CallSeq: call, Key: key,
+		Offset: offset, Type: log.TypeWithdrawal, Topic: "s/a", Client: client, CallSeq: callSeq, Key: key,
 		Body: EncodeBody(body), Digest: "w",
 	}
 }
