--- a/internal/assignment/record.go
+++ b/internal/assignment/record.go
@@ -90,7 +90,8 @@
 	return Replica{}, false
 }
 
-// WithReplica returns the replicas with one more, or with it instead of its node's other disk.
+// WithReplica returns the replicas with another one added. It replaces the replica that its node
+// already has, if there is one.
 func (r Record) WithReplica(added Replica) []Replica {
 	replicas := slices.Clone(r.Replicas)
 	onNode := func(replica Replica) bool { return replica.Node == added.Node }
@@ -134,7 +135,7 @@
 	return r
 }
 
-// Includes reports whether a node has a replica of the partition or its learner.
+// Includes reports whether a node has a replica or the learner of the partition.
 func (r Record) Includes(node string) bool {
 	_, ok := r.Replica(node)
 	return ok || r.Learner != nil && r.Learner.Node == node
--- a/internal/partitionlog/idle/idle.go
+++ b/internal/partitionlog/idle/idle.go
@@ -28,7 +28,7 @@
 
 // Outcomes of a wait. With Superseded the log changed, or the wait was canceled, before the log was
 // confirmed. With Identical the replica ends as the log does, under its epoch. With Uncertain the
-// replica may not, or it did not answer.
+// replica may end differently, or it did not answer.
 const (
 	Superseded Outcome = iota
 	Identical
@@ -45,8 +45,8 @@
 	outcome chan Outcome
 }
 
-// diskQueue holds the logs that wait for a disk. wake ends the pause until due, when the first of
-// them is due.
+// diskQueue holds the logs that wait to be confirmed to a disk. due is when the first of them is
+// due, and wake ends the sleep until then.
 type diskQueue struct {
 	waiting map[*waiter]bool
 	due     time.Time
--- a/internal/partitionlog/idle/idle_test.go
+++ b/internal/partitionlog/idle/idle_test.go
@@ -116,7 +116,7 @@
 	})
 }
 
-// A log that is due before all that wait is confirmed when it is due, and the others with it.
+// A log that is due before all waiting ones is confirmed when it is due, and the others with it.
 func TestALogThatIsDueSoonerIsNotDelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -138,8 +138,8 @@
 	})
 }
 
-// Where a replica differs its leader gets Uncertain, and of the other logs at most those that are
-// compared with it do. The checksums of halves find it.
+// A log whose replica differs is Uncertain. Of the other logs, at most those in the same smallest
+// group are. Comparing halves finds that group.
 func TestALogThatDiffersIsFound(t *testing.T) {
 	disk := &fakeDisk{differing: map[int]bool{37: true}}
 	disk.waitForLogs(t, 100, func(_ *Confirmer, outcomes []chan Outcome, _ chan struct{}) {
@@ -154,8 +154,8 @@
 	})
 }
 
-// A log with new entries stops waiting at once, also while the others are compared. A disk that is
-// another one, or that does not answer, leaves all logs uncertain.
+// A log with new entries stops waiting at once, also while the others are compared. If another disk
+// is there, or none answers, all logs are uncertain.
 func TestAppendedLogsAndFailedRequests(t *testing.T) {
 	disk := &fakeDisk{delay: 500 * time.Millisecond}
 	disk.waitForLogs(t, 10, func(_ *Confirmer, outcomes []chan Outcome, appended chan struct{}) {
--- a/internal/partitionlog/leader/attach.go
+++ b/internal/partitionlog/leader/attach.go
@@ -10,8 +10,8 @@
 
 // Attach records an attachment of a client and returns its generation, which fences all earlier
 // attachments. A call with the secret of the last attachment is a retry and gets the same
-// generation. If assigned is above 0, it is the generation, which was assigned in the partition of
-// the client's other home. Attach returns TokenFenced if a higher generation is in force here.
+// generation. If assigned is above 0, it is the generation, which the client's other home has
+// assigned already. Attach returns TokenFenced if a higher generation is in force here.
 func (l *Leader) Attach(ctx context.Context, client, secret string, assigned uint64) (uint64, error) {
 	startedAt := l.options.Clock.Now()
 	l.mu.Lock()
--- a/internal/partitionlog/leader/compress.go
+++ b/internal/partitionlog/leader/compress.go
@@ -18,8 +18,8 @@
 }
 
 const (
-	// minCompressBytes is the total size of bodies from which on compression is tried. The result
-	// is used if it has at most maxCompressedEighths eighths of that size.
+	// Compression is tried for bodies of at least minCompressBytes in total. The result is used if
+	// it has at most maxCompressedEighths eighths of their size.
 	minCompressBytes     = 256
 	maxCompressedEighths = 7
 	// maxBodiesBytes bounds the bodies of one response.
--- a/internal/partitionlog/leader/filter.go
+++ b/internal/partitionlog/leader/filter.go
@@ -21,11 +21,11 @@
 	partitionLog := l.logs[log.KindInput]
 	size := 0
 	for after < partitionLog.commit {
-		next := partitionLog.entriesAfter(after)
-		if len(next) == 0 {
+		candidates := partitionLog.entriesAfter(after)
+		if len(candidates) == 0 {
 			break
 		}
-		for _, entry := range next {
+		for _, entry := range candidates {
 			if entry.Offset > partitionLog.commit || size > limit {
 				return entries, after, false
 			}
--- a/internal/partitionlog/leader/followers_test.go
+++ b/internal/partitionlog/leader/followers_test.go
@@ -68,8 +68,8 @@
 	})
 }
 
-// A backlog is returned in parts: one message with FirstOnly, otherwise as much as a slow link
-// carries.
+// A backlog is returned in parts: one message with FirstOnly, otherwise a little more than
+// maxFollowBytes, which a slow link still carries.
 func TestFollow_FirstOnlyReturnsOneMessage(t *testing.T) {
 	withSingleReplica(t, func(t *testing.T, leader *Leader) {
 		partitionLog := leader.logs[log.KindInput]
--- a/internal/partitionlog/leader/leadership.go
+++ b/internal/partitionlog/leader/leadership.go
@@ -18,8 +18,8 @@
 }
 
 // checkLeadership returns nil once a majority of the replicas, asked after the call began, has
-// accepted the leader's epoch. Whatever was decided before the call was then decided while no other
-// leader could decide. Waiting calls share a check.
+// accepted the leader's epoch. Then no leader of a higher epoch decided anything before the call.
+// Waiting calls share a check.
 func (l *Leader) checkLeadership(ctx context.Context) error {
 	l.mu.Lock()
 	check := l.nextCheck
--- a/internal/partitionlog/leader/learner.go
+++ b/internal/partitionlog/leader/learner.go
@@ -43,7 +43,7 @@
 }
 
 // isCaughtUp reports whether a learner has everything that is committed. If it replaces a lost disk
-// of the same machine, it must also have everything that this disk was known to have.
+// of the same machine, it must also have everything that the lost disk was known to have.
 func (p *logProgress) isCaughtUp(record assignment.Record, learner assignment.Replica) bool {
 	match := p.match[learner.Incarnation]
 	replaced, _ := record.Replica(learner.Node)
--- a/internal/partitionlog/leader/read_test.go
+++ b/internal/partitionlog/leader/read_test.go
@@ -22,7 +22,7 @@
 	token  uint64
 }
 
-func (p *partitionReader) ask(request ReadRequest) chan *ReadResponse {
+func (p *partitionReader) read(request ReadRequest) chan *ReadResponse {
 	p.mu.Lock()
 	request.Node, request.BootID, request.ReaderToken, request.TracksTombstones, request.MaxWait = "a1/streams", p.bootID, p.token, true, p.options.Timing.LongPoll()
 	p.mu.Unlock()
@@ -59,7 +59,7 @@
 // obtainToken makes the reader request its token.
 func (p *partitionReader) obtainToken() *partitionReader {
 	p.t.Helper()
-	response := <-p.ask(ReadRequest{From: ^uint64(0)})
+	response := <-p.read(ReadRequest{From: ^uint64(0)})
 	assert.Equal(p.t, response.ReaderToken, p.token)
 	assert.Assert(p.t, p.token > 0)
 	return p
@@ -69,7 +69,7 @@
 func (p *partitionReader) start(from uint64) *partitionReader {
 	p.t.Helper()
 	p.obtainToken()
-	responses := p.ask(ReadRequest{From: from})
+	responses := p.read(ReadRequest{From: from})
 	p.commitAll()
 	assert.Assert(p.t, len((<-responses).Entries) > 0)
 	assert.Equal(p.t, p.state.Readers["a1/streams"].BootID, p.bootID)
@@ -89,7 +89,7 @@
 		reader := (&partitionReader{rig: r, bootID: "b.1"}).start(0)
 		r.submitAccepted(withdrawal("v", 4, "t", "k"))
 		r.submitAccepted(message("v", 5, "t", "k"))
-		assert.Equal(t, describe((<-reader.ask(ReadRequest{From: 0})).Entries), "1- 2b 3b 4reader 5withdraw 6b")
+		assert.Equal(t, describe((<-reader.read(ReadRequest{From: 0})).Entries), "1- 2b 3b 4reader 5withdraw 6b")
 	},
 	"a node that tracks no tombstones is sent nothing with a key": func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", "k"), message("v", 2, "t", ""))
@@ -101,10 +101,10 @@
 	"it is committed that a node is a reader before it is sent a message with a key": func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", ""), message("v", 2, "t", "k"))
 		reader := (&partitionReader{rig: r, bootID: "b.1"}).obtainToken()
-		response := <-reader.ask(ReadRequest{From: 0})
+		response := <-reader.read(ReadRequest{From: 0})
 		assert.Equal(t, describe(response.Entries), "1b")
 		assert.Equal(t, response.To, uint64(1))
-		responses := reader.ask(ReadRequest{From: 1})
+		responses := reader.read(ReadRequest{From: 1})
 		assert.Equal(t, len(responses), 0)
 		r.commitAll()
 		assert.Equal(t, describe((<-responses).Entries), "2b 3reader")
@@ -115,17 +115,17 @@
 		reader := (&partitionReader{rig: r, bootID: "b.1"}).start(0)
 		offset := r.submitAccepted(withdrawal("v", 2, "t", "k"))
 		assert.DeepEqual(t, reader.pendingAt(offset), []string{"a1/streams"})
-		reader.ask(ReadRequest{From: offset, IgnoreProgress: true})
-		reader.ask(ReadRequest{From: ^uint64(0)})
-		reader.ask(ReadRequest{From: offset - 1})
+		reader.read(ReadRequest{From: offset, IgnoreProgress: true})
+		reader.read(ReadRequest{From: ^uint64(0)})
+		reader.read(ReadRequest{From: offset - 1})
 		assert.DeepEqual(t, reader.pendingAt(offset), []string{"a1/streams"})
-		reader.ask(ReadRequest{From: offset})
+		reader.read(ReadRequest{From: offset})
 		assert.Equal(t, len(reader.pendingAt(offset)), 0)
 	},
 	"a withdrawal is returned at once": func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", "k"))
 		reader := (&partitionReader{rig: r, bootID: "b.1"}).start(0)
-		responses, startedAt := reader.ask(ReadRequest{From: 2}), time.Now()
+		responses, startedAt := reader.read(ReadRequest{From: 2}), time.Now()
 		r.submitAccepted(withdrawal("v", 2, "t", "k"))
 		assert.Equal(t, describe((<-responses).Entries), "3withdraw")
 		assert.Equal(t, time.Since(startedAt), time.Duration(0))
@@ -136,26 +136,26 @@
 		current := (&partitionReader{rig: r, bootID: "b.2"}).start(0)
 		unknownRun := &partitionReader{rig: r, bootID: "unknown.1"}
 		for _, reader := range []*partitionReader{old, unknownRun} {
-			response := <-reader.ask(ReadRequest{From: 0})
+			response := <-reader.read(ReadRequest{From: 0})
 			assert.Equal(t, len(response.Entries), 0)
 			r.commitAll()
 			assert.Equal(t, r.state.Readers["a1/streams"].BootID, "b.2")
 		}
-		assert.Equal(t, len((<-current.ask(ReadRequest{From: 0})).Entries), 0, "another run has obtained the token")
-		assert.Equal(t, describe((<-current.ask(ReadRequest{From: 0})).Entries), "1b 2reader 3reader")
+		assert.Equal(t, len((<-current.read(ReadRequest{From: 0})).Entries), 0, "another run has obtained the token")
+		assert.Equal(t, describe((<-current.read(ReadRequest{From: 0})).Entries), "1b 2reader 3reader")
 	},
 	"a reader that finished is removed once that is committed, and late requests do not add it again": func(
 		t *testing.T, r *rig,
 	) {
 		r.submitAccepted(message("v", 1, "t", "k"))
 		reader := (&partitionReader{rig: r, bootID: "b.1"}).start(0)
-		responses := reader.ask(ReadRequest{From: ^uint64(0), Finished: true})
+		responses := reader.read(ReadRequest{From: ^uint64(0), Finished: true})
 		assert.Equal(t, len(responses), 0)
 		r.commitAll()
 		<-responses
 		assert.Equal(t, len(r.state.Readers), 0)
 		for range 2 {
-			assert.Equal(t, len((<-reader.ask(ReadRequest{From: 0})).Entries), 0)
+			assert.Equal(t, len((<-reader.read(ReadRequest{From: 0})).Entries), 0)
 			r.commitAll()
 			assert.Equal(t, len(r.state.Readers), 0)
 			reader.token = 0
@@ -164,17 +164,17 @@
 	},
 	"a node that is not a reader can finish too": func(t *testing.T, r *rig) {
 		reader := &partitionReader{rig: r, bootID: "b.1"}
-		<-reader.ask(ReadRequest{From: ^uint64(0), Finished: true})
+		<-reader.read(ReadRequest{From: ^uint64(0), Finished: true})
 		assert.Equal(t, r.logs[log.KindInput].last.Offset, uint64(0))
 	},
 	"a run that finishes does not remove the run after it": func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", "k"))
 		old := (&partitionReader{rig: r, bootID: "b.1"}).start(0)
 		current := (&partitionReader{rig: r, bootID: "b.2"}).start(0)
-		<-old.ask(ReadRequest{From: ^uint64(0), Finished: true})
+		<-old.read(ReadRequest{From: ^uint64(0), Finished: true})
 		r.commitAll()
 		assert.Equal(t, r.state.Readers["a1/streams"].BootID, "b.2")
-		assert.Assert(t, len((<-current.ask(ReadRequest{From: 0})).Entries) > 0)
+		assert.Assert(t, len((<-current.read(ReadRequest{From: 0})).Entries) > 0)
 	},
 	"a reader that was given up must reset, and is added under another boot ID or removed for good": func(
 		t *testing.T, r *rig,
@@ -191,12 +191,12 @@
 		assert.NilError(t, err)
 		assert.DeepEqual(t, pending.GivenUp, []string{"a1/streams"})
 		for _, request := range []ReadRequest{{From: 0}, {From: offset}, {From: ^uint64(0)}, {From: 0, IgnoreProgress: true}} {
-			response := <-reader.ask(request)
+			response := <-reader.read(request)
 			assert.Assert(t, response.MustReset)
 			assert.Equal(t, len(response.Entries), 0)
 		}
 		r.submitAccepted(message("v", 3, "t", "k"))
-		responses := reader.ask(ReadRequest{From: ^uint64(0), Finished: true})
+		responses := reader.read(ReadRequest{From: ^uint64(0), Finished: true})
 		r.commitAll()
 		<-responses
 		assert.Equal(t, len(r.state.Readers), 0)
--- a/internal/partitionlog/leader/readers.go
+++ b/internal/partitionlog/leader/readers.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// replaceReader replaces a node's reader under another boot ID by one under this boot ID. Nothing
-// that the earlier run was sent is left in the node. l.mu must be held.
+// replaceReader replaces a node's reader under another boot ID by one under this boot ID. The node
+// no longer has anything that the earlier run was sent. l.mu must be held.
 func (l *Leader) replaceReader(node, bootID string) {
 	if l.isOtherReader(node, bootID) {
 		l.addReader(node, bootID)
@@ -112,8 +112,8 @@
 	return ok && reader.BootID != bootID
 }
 
-// wasReplaced reports whether a boot ID is the one that a reader had before its present one. A call
-// from such a run is late.
+// wasReplaced reports whether a boot ID is the one that a node's reader had before its present one.
+// A call under it is late: the node has another boot ID since.
 func (l *Leader) wasReplaced(node, bootID string) bool {
 	reader, ok := l.state.Readers[node]
 	return ok && reader.ReplacedBootID == bootID && bootID != ""
@@ -282,16 +282,16 @@
 	}
 }
 
-// readerNode returns the node of a reader. One node may have several readers, which are named after
-// a slash.
+// readerNode returns the node of a reader, which is the reader's name up to a slash. One node may
+// have several readers, such as a1 and a1/streams.
 func readerNode(reader string) string {
 	node, _, _ := strings.Cut(reader, "/")
 	return node
 }
 
-// probeReader asks the node of a silent reader for its boot ID. If the reader belongs to an earlier
-// run, it removes the reader, because the node has nothing left of what that run was sent. A
-// reader's boot ID begins with that of its node's run.
+// probeReader asks the node of a silent reader for the boot ID of its present run. It removes a
+// reader of an earlier run, because the node no longer has anything that the earlier run was sent.
+// A reader's boot ID begins with that of its node's run.
 func (l *Leader) probeReader(ctx context.Context, name, address, bootID string) {
 	ctx, cancel := context.WithTimeout(ctx, l.options.Timing.CallTimeout())
 	defer cancel()
--- a/internal/partitionlog/leader/readers_test.go
+++ b/internal/partitionlog/leader/readers_test.go
@@ -23,11 +23,11 @@
 		r.becomeReader("a1", "b", 0)
 		go r.SubmitMany(t.Context(), []*Message{withdrawal("v", 3, "t", "k")})
 		synctest.Wait()
-		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "b", 0)), []uint64{1, 2, 3})
+		assert.DeepEqual(t, r.polledOffsets(r.poll("a1", "b", 0)), []uint64{1, 2, 3})
 		r.commitAll()
-		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "b", 0)), []uint64{2, 3, 5})
+		assert.DeepEqual(t, r.polledOffsets(r.poll("a1", "b", 0)), []uint64{2, 3, 5})
 		r.submitAccepted(message("v", 4, "t", "k"))
-		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "b", 0)), []uint64{2, 3, 5, 6})
+		assert.DeepEqual(t, r.polledOffsets(r.poll("a1", "b", 0)), []uint64{2, 3, 5, 6})
 		response, err := r.Follow(t.Context(), &FollowRequest{
 			Node: "a1", BootID: "b", BaseSequence: 1, Sequence: 2, TracksTombstones: true,
 			After: map[string]uint64{"t": 0},
@@ -74,21 +74,21 @@
 	})
 }
 
-// No node is sent its first message with a key before it is committed that this run of it is a
-// reader. Messages before that one are not delayed.
+// A node is sent its first message with a key only after it is committed that its run is a reader.
+// Messages before that one are not delayed.
 func TestReader_CommittedBeforeItIsGivenAKey(t *testing.T) {
 	withLeader(t, 1, func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", ""), message("v", 2, "t", "k"), message("v", 3, "t", ""))
 		r.follow("a1", "b", "t")
-		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "b", 0)), []uint64{1})
+		assert.DeepEqual(t, r.polledOffsets(r.poll("a1", "b", 0)), []uint64{1})
 		results := r.poll("a1", "b", 1)
 		assert.Equal(t, len(r.state.Readers), 0)
 		assert.Equal(t, len(results), 0)
 		r.commitAll()
-		assert.DeepEqual(t, r.entriesOf(results), []uint64{2, 3})
+		assert.DeepEqual(t, r.polledOffsets(results), []uint64{2, 3})
 		assert.Equal(t, r.state.Readers["a1"], state.Reader{BootID: "b", Offset: 4})
 		assert.DeepEqual(t, r.observed, []string{"a1 b"})
-		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "b", 1)), []uint64{2, 3})
+		assert.DeepEqual(t, r.polledOffsets(r.poll("a1", "b", 1)), []uint64{2, 3})
 		assert.Equal(t, r.logs[log.KindInput].last.Offset, uint64(4), "a run is recorded once")
 
 		answers := make(chan *FollowResponse, 1)
@@ -195,7 +195,7 @@
 		}
 		late("b", 1)
 		assert.Equal(t, r.state.Readers["a1"].BootID, "d")
-		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "d", 0)), []uint64{1})
+		assert.DeepEqual(t, r.polledOffsets(r.poll("a1", "d", 0)), []uint64{1})
 
 		lastToken := r.readerToken("a1", "d")
 		r.locked(func() {
@@ -205,7 +205,7 @@
 		late("c", lastToken)
 		assert.Equal(t, r.state.Readers["a1"].BootID, "d")
 		r.follow("a1", "d", "t")
-		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "d", 0)), []uint64{1})
+		assert.DeepEqual(t, r.polledOffsets(r.poll("a1", "d", 0)), []uint64{1})
 
 		lastToken = r.readerToken("a1", "d")
 		response, err := r.Follow(t.Context(), &FollowRequest{
@@ -229,7 +229,7 @@
 		r.follow("a1", "b", "t")
 		results := r.poll("a1", "b", 0)
 		r.commitAll()
-		assert.DeepEqual(t, r.entriesOf(results), []uint64{})
+		assert.DeepEqual(t, r.polledOffsets(results), []uint64{})
 		ctx, stop := context.WithTimeout(t.Context(), time.Second)
 		defer stop()
 		_, err := r.Follow(ctx, &FollowRequest{
--- a/internal/partitionlog/leader/readertoken.go
+++ b/internal/partitionlog/leader/readertoken.go
@@ -1,8 +1,8 @@
 package leader
 
-// readerToken is the number that a reader's run must send with its requests. The leader gives it to
-// the run that called last. It shows that this run was there after all other runs of its node that
-// this leader knows of.
+// readerToken is the number that a reader's run must send with its requests. The leader assigns it
+// to the run of a node that called last. A request with that number was sent after the leader last
+// heard of any other run of the node.
 type readerToken struct {
 	bootID string
 	number uint64
--- a/internal/partitionlog/leader/recovery.go
+++ b/internal/partitionlog/leader/recovery.go
@@ -285,16 +285,16 @@
 		l.trimTo[kind] = l.logs[kind].log.Base()
 	}
 	l.mu.Unlock()
-	starts := map[log.Kind]uint64{}
+	startOffsets := map[log.Kind]uint64{}
 	for _, kind := range log.Kinds {
 		var err error
-		if starts[kind], err = l.appendEntries(kind, log.Entry{Type: log.TypeEpochStart}); err != nil {
+		if startOffsets[kind], err = l.appendEntries(kind, log.Entry{Type: log.TypeEpochStart}); err != nil {
 			return err
 		}
 		l.startReplication(ctx, l.logs[kind], sealed)
 	}
 	for _, kind := range log.Kinds {
-		if err := l.awaitCommit(ctx, kind, starts[kind]); err != nil {
+		if err := l.awaitCommit(ctx, kind, startOffsets[kind]); err != nil {
 			return err
 		}
 	}
--- a/internal/partitionlog/leader/recovery_test.go
+++ b/internal/partitionlog/leader/recovery_test.go
@@ -15,7 +15,8 @@
 	"postjunction/internal/settings"
 )
 
-// A new run never decides under an epoch that its disk has already sealed.
+// A node never leads under an epoch that its disk had already sealed, as an earlier run may have
+// decided under it.
 func TestRecover_SealedEpochIsNeverUsedAgain(t *testing.T) {
 	ctx := t.Context()
 	disk := memlog.New()
--- a/internal/partitionlog/leader/replicate.go
+++ b/internal/partitionlog/leader/replicate.go
@@ -184,9 +184,10 @@
 	r.failures++
 }
 
-// rewind picks the next position to try with a replica whose log has the given tail. That is its
-// end if this log has the same entry there, otherwise a position further and further back. If the
-// two logs can't have an entry in common, it is the base of this log, with a reset.
+// rewind picks the next position to try with a replica whose log has the given tail. That is the
+// end of the replica's log if the leader's log has the same entry there. Otherwise each call goes
+// back further. If the two logs can't have an entry in common, it is the base of the leader's log,
+// with a reset.
 func (r *replicator) rewind(tail replica.Tail) {
 	r.leader.mu.Lock()
 	defer r.leader.mu.Unlock()
--- a/internal/partitionlog/leader/rig_test.go
+++ b/internal/partitionlog/leader/rig_test.go
@@ -21,7 +21,7 @@
 	"postjunction/internal/settings"
 )
 
-// rig is a leader whose disk writes only when the test calls for it, and the other nodes that it
+// rig is a leader whose disk writes only when the test calls commitAll, and the other nodes that it
 // knows.
 type rig struct {
 	*Leader
@@ -102,6 +102,7 @@
 	synctest.Wait()
 }
 
+// locked runs a function under the lock of the leader.
 func (r *rig) locked(run func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -188,7 +189,7 @@
 	return results
 }
 
-func (r *rig) entriesOf(results chan pollResult) []uint64 {
+func (r *rig) polledOffsets(results chan pollResult) []uint64 {
 	r.t.Helper()
 	result := <-results
 	assert.NilError(r.t, result.err)
@@ -209,7 +210,7 @@
 	r.t.Helper()
 	results := r.poll(node, bootID, from)
 	r.commitAll()
-	assert.Assert(r.t, len(r.entriesOf(results)) > 0)
+	assert.Assert(r.t, len(r.polledOffsets(results)) > 0)
 	assert.Equal(r.t, r.state.Readers[node].BootID, bootID)
 }
 
@@ -217,8 +218,8 @@
 	return r.PendingReaders(r.t.Context(), offset, r.options.Timing.LongPoll())
 }
 
-// submitOnce commits a message by the match of other replicas. That match doesn't change
-// afterwards.
+// submitOnce commits the first message, by setting the match of the other replicas to its offset.
+// The match stays there, so no later entry is committed.
 func (r *rig) submitOnce(message *Message) {
 	r.evaluate(message)
 	r.logs[log.KindInput].match[""] = 1
--- a/internal/partitionlog/leader/submit.go
+++ b/internal/partitionlog/leader/submit.go
@@ -54,7 +54,7 @@
 	last, generation uint64
 }
 
-// callsOf returns what a client did on a topic, by state.Key. l.mu must be held.
+// callsOf returns what a client did on a topic. key is the state.Key of both. l.mu must be held.
 func (l *Leader) callsOf(key string) clientCalls {
 	committed := l.state.Accepted[key]
 	calls := clientCalls{committed: committed, last: committed.Last, generation: committed.Generation}
--- a/internal/partitionlog/leader/tombstones.go
+++ b/internal/partitionlog/leader/tombstones.go
@@ -84,8 +84,9 @@
 }
 
 // findTombstone returns the tombstone that a withdrawal asks for, if there is one and no message
-// was accepted after it. The withdrawal still becomes an entry: the answer to its number must still
-// be known if it is retried after another message was accepted under the key. l.mu must be held.
+// was accepted after it. The withdrawal is appended to the log even if there is one: it may be
+// retried after another message was accepted under the key, and the answer to its number must then
+// be known. l.mu must be held.
 func (l *Leader) findTombstone(message *Message) existingTombstone {
 	if !message.Withdraw {
 		return existingTombstone{}
--- a/internal/partitionlog/leader/tombstones_test.go
+++ b/internal/partitionlog/leader/tombstones_test.go
@@ -12,8 +12,7 @@
 	"postjunction/internal/samza/state"
 )
 
-// The number of tombstones is bounded, but that doesn't keep a key that has one from being
-// withdrawn again.
+// The number of tombstones is bounded. A key that has a tombstone can still be withdrawn again.
 func TestTombstones_AreBounded(t *testing.T) {
 	withLeader(t, 1, func(t *testing.T, r *rig) {
 		r.options.MaxTombstones = func() int { return 2 }
@@ -112,7 +111,7 @@
 		r.locked(r.dropTombstones)
 		assert.Equal(t, len(restarted.state.Tombstones), 1)
 		r.follow("a1", "b", "t")
-		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "b", 0)), []uint64{2, 4, 5})
+		assert.DeepEqual(t, r.polledOffsets(r.poll("a1", "b", 0)), []uint64{2, 4, 5})
 		r.poll("a1", "b", offset)
 		pending, err = r.pendingReadersAt(offset)
 		assert.NilError(t, err)
@@ -136,6 +135,6 @@
 		r.state.Prune(partitionLog.Slice(1, offset, 9, 1<<20)...)
 		r.prunedTo = offset
 		r.locked(r.dropTombstones)
-		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "b", 0)), []uint64{offset})
+		assert.DeepEqual(t, r.polledOffsets(r.poll("a1", "b", 0)), []uint64{offset})
 	})
 }
--- a/internal/partitionlog/leader/withdrawals_test.go
+++ b/internal/partitionlog/leader/withdrawals_test.go
@@ -86,8 +86,8 @@
 	})
 }
 
-// The numbers of a sender that a withdrawal names are passed for good from the withdrawal on. Those
-// accepted before stay accepted.
+// From the withdrawal on, call numbers of the named sender up to the given one are never accepted.
+// Calls that were accepted before stay accepted.
 func TestWithdrawal_PassesTheNamedSendersNumbers(t *testing.T) {
 	withLeader(t, 1, func(t *testing.T, r *rig) {
 		senderWithdrawal := withdrawal("w", 1, "t", "k")
--- a/internal/partitionlog/log/entry.go
+++ b/internal/partitionlog/log/entry.go
@@ -19,7 +19,7 @@
 	KindChangelog Kind = "changelog"
 )
 
-// Kinds lists both.
+// Kinds lists both kinds.
 var Kinds = []Kind{KindInput, KindChangelog}
 
 // ID identifies a log.
@@ -94,7 +94,7 @@
 	Chain  uint64 `json:"x"`
 }
 
-// Less orders tails by the epoch of the last entry, then by its offset.
+// Less orders the ends of logs by the epoch of the last entry, then by its offset.
 func (p Position) Less(other Position) bool {
 	if p.Epoch != other.Epoch {
 		return p.Epoch < other.Epoch
--- a/internal/partitionlog/log/log.go
+++ b/internal/partitionlog/log/log.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Log holds the synced entries after a base. mu guards all its fields.
+// Log holds the synced entries after a base, and when each arrived. mu guards all its fields.
 type Log struct {
 	mu      sync.Mutex
 	base    Position
@@ -51,7 +51,8 @@
 	return l.entries[offset-l.base.Offset-1].Position(), true
 }
 
-// Slice returns entries from an offset on, bounded by a number and by bytes.
+// Slice returns the entries from one offset up to another. It stops after limit entries, and after
+// the entry with which their size reaches bytes.
 func (l *Log) Slice(from, to uint64, limit, bytes int) []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -140,7 +141,8 @@
 	l.commit = max(l.commit, offset)
 }
 
-// LastBefore returns the last offset that arrived before cutoff.
+// LastBefore returns the offset of the last entry that arrived before cutoff, that of the base if
+// there is none.
 func (l *Log) LastBefore(cutoff time.Time) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/partitionlog/log/log_test.go
+++ b/internal/partitionlog/log/log_test.go
@@ -55,7 +55,8 @@
 	}
 }
 
-// Logs on disks and on replicas of other builds have this value.
+// Logs on disks and on replicas of other builds contain chain checksums, so the function must not
+// change.
 func TestChainChecksumIsUnchanged(t *testing.T) {
 	entry := Entry{
 		Offset: 7, Epoch: 3, Type: TypeMessage, Topic: "a/b", Client: "a/v", CallSeq: 9, Generation: 2,
--- a/internal/partitionlog/replica/calls.go
+++ b/internal/partitionlog/replica/calls.go
@@ -54,8 +54,8 @@
 	Tail    Tail `json:"tail"`
 }
 
-// IdleLog is a log for which its leader has no new entries: the epoch under which it was appended
-// to, and its last position.
+// IdleLog is a log for which its leader has no new entries: the epoch of that leader, which is the
+// sealed one on the replica, and the position of the last entry.
 type IdleLog struct {
 	Partition int
 	Kind      log.Kind
@@ -71,7 +71,7 @@
 	Checksum    uint64             `json:"s"`
 }
 
-// CompareIdleResponse reports whether all logs do.
+// CompareIdleResponse reports whether all logs end where their leaders expect.
 type CompareIdleResponse struct {
 	Identical bool `json:"a,omitempty"`
 }
--- a/internal/partitionlog/replica/giveup_test.go
+++ b/internal/partitionlog/replica/giveup_test.go
@@ -13,7 +13,7 @@
 	"postjunction/internal/partitionlog/log"
 )
 
-// slowDisk blocks a sync until the channel that blocked has is closed.
+// slowDisk makes a sync wait until the channel received from blocked is closed.
 type slowDisk struct {
 	*memlog.Disk
 	blocked chan chan struct{}
--- a/internal/partitionlog/replica/handlers.go
+++ b/internal/partitionlog/replica/handlers.go
@@ -47,8 +47,8 @@
 	r.seals[partition] = max(r.seals[partition], epoch)
 }
 
-// TruncateAfter drops the entries after an offset, where they differ from a tail that was adopted
-// under the target's epoch.
+// TruncateAfter drops the entries after an offset. The log that was adopted under the target's
+// epoch ends there.
 func (r *Replica) TruncateAfter(ctx context.Context, target Target, kind log.Kind, offset uint64, urgent bool) error {
 	lock, err := r.lockPartition(ctx, target)
 	if err != nil {
@@ -62,7 +62,7 @@
 	)
 }
 
-// Fetch reads entries.
+// Fetch returns entries of a log, committed or not.
 func (r *Replica) Fetch(_ context.Context, request *FetchRequest) (*FetchResponse, error) {
 	if request.Incarnation != r.incarnation {
 		return nil, apierror.New(apierror.WrongDisk, "this disk is %s, not %s", r.incarnation, request.Incarnation)
--- a/internal/partitionlog/replica/records.go
+++ b/internal/partitionlog/replica/records.go
@@ -39,7 +39,7 @@
 	return journal.Record{Kind: recordType, Epoch: epoch, Offset: offset, Body: encoded}
 }
 
-// decodeBody decodes a body of this format, or of the first one, which was JSON.
+// decodeBody decodes a record's body in the present format, or in the first one, which was JSON.
 func decodeBody(body []byte, into any) error {
 	if len(body) > 0 && body[0] == '{' {
 		return json.Unmarshal(body, into)
--- a/internal/partitionlog/router/fixture_test.go
+++ b/internal/partitionlog/router/fixture_test.go
@@ -147,11 +147,13 @@
 	return response
 }
 
+// advance lets time pass in a synctest bubble.
 func advance(duration time.Duration) {
 	time.Sleep(duration)
 	synctest.Wait()
 }
 
+// bubble runs a test in a synctest bubble.
 func bubble(t *testing.T, test func(t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/partitionlog/router/forward.go
+++ b/internal/partitionlog/router/forward.go
@@ -65,22 +65,22 @@
 	router      *Router
 	partitionID int
 	// isUncertain reports whether an attempt may have been decided.
-	isUncertain bool
-	version     uint64
-	since       time.Time
-	failures    int
-	briefPause  time.Duration
+	isUncertain   bool
+	recordVersion uint64
+	recordSince   time.Time
+	failures      int
+	briefPause    time.Duration
 }
 
 func (s *retryState) observe(version uint64) {
-	if version != s.version {
-		s.version = version
+	if version != s.recordVersion {
+		s.recordVersion = version
 		s.restart()
 	}
 }
 
 func (s *retryState) restart() {
-	s.since, s.failures = s.router.Clock.Now(), 0
+	s.recordSince, s.failures = s.router.Clock.Now(), 0
 	s.briefPause = s.router.Timing.MaxBackoff() / briefPauseDivisor
 }
 
@@ -100,9 +100,9 @@
 	if limit > 0 {
 		s.failures++
 	}
-	isExhausted := limit > 0 && s.failures >= limit || now.Sub(s.since) >= timeout ||
+	isExhausted := limit > 0 && s.failures >= limit || now.Sub(s.recordSince) >= timeout ||
 		uncertainCodes[code] && now.Sub(startedAt) >= timeout
-	if isExhausted && s.router.Store.Record(s.partitionID).Version == s.version {
+	if isExhausted && s.router.Store.Record(s.partitionID).Version == s.recordVersion {
 		return 0, s.errGivenUp(err)
 	}
 	pause := s.router.Timing.MaxBackoff()
@@ -152,8 +152,8 @@
 	}
 }
 
-// errUncertain returns the error for a call that ended in err, but that an earlier attempt may have
-// had decided.
+// errUncertain returns the error for a call whose last attempt ended in err, but which may have
+// been decided by an earlier attempt.
 func errUncertain(partitionID int, err error) error {
 	return apierror.Wrap(apierror.OutcomeUnknown, apierror.New(apierror.OutcomeUnknown, "%v",
 		err), "partition %d", partitionID)
--- a/internal/partitionlog/router/forward_test.go
+++ b/internal/partitionlog/router/forward_test.go
@@ -31,7 +31,7 @@
 	return w.Result(), nil
 }
 
-// A question for pending readers is retried while the partition moves between leaders. Where no
+// A request for pending readers is retried while the partition moves between leaders. Where no
 // leader answers, the result is an error, which must not read as "none pending".
 func TestPendingReaders_IsRetried(t *testing.T) {
 	bubble(t, func(t *testing.T) {
--- a/internal/partitionlog/router/router.go
+++ b/internal/partitionlog/router/router.go
@@ -8,8 +8,8 @@
 // of its call number (RejectCallNumber).
 //
 // A Router runs one goroutine for each partition that messages wait for, and one for its batch in
-// flight. Its queues and epochs have locks of their own, none of which is held over a call. Submit
-// and the other calls block until they are answered or ctx ends. SubmitAsync never blocks.
+// flight. Its queues and epochs have locks of their own, none of which is held during a call.
+// Submit and the other calls block until they are answered or ctx ends. SubmitAsync never blocks.
 package router
 
 import (
@@ -107,9 +107,9 @@
 	return err
 }
 
-// ReadAttachment returns the attachment in force. An urgent home does not have this generation yet
-// where an older build assigned it, or where a call broke off in between. Then the urgent home gets
-// it from the routine home.
+// ReadAttachment returns the attachment in force. An urgent home may lack the given generation: an
+// older build assigned it, or the call that attached failed between the two homes. The attachment
+// is then copied from the routine home to the urgent one.
 func (r *Router) ReadAttachment(
 	ctx context.Context, client string, generation uint64, urgent bool,
 ) (*ReadAttachmentResponse, error) {
--- a/internal/samza/changelog/changelog_test.go
+++ b/internal/samza/changelog/changelog_test.go
@@ -71,9 +71,9 @@
 	assert.Equal(t, replayed.Size(), source.Size())
 }
 
-// A leader fails after it wrote a batch to the changelog, before the record that commits it: the
-// state is ahead of the input offset. Reprocessing changes nothing, but it must restore the
-// answers. Otherwise a repeat of an accepted call would be answered as one that never was.
+// A leader fails after it wrote a batch to the changelog, before the entry that commits it. The
+// state is then ahead of the input offset. Reprocessing changes nothing, but it must restore the
+// answers. Otherwise a retry of an accepted call would be rejected as never accepted.
 func TestBatchWithoutItsRecordKnowsItsAnswers(t *testing.T) {
 	entries := inputLog(5000)
 	source := apply(state.New(), entries[:2000])
--- a/internal/samza/changelog/tombstones_test.go
+++ b/internal/samza/changelog/tombstones_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// Tombstones and readers survive a change of leaders wherever the batches end. So does the removal
-// of one of them.
+// Tombstones and readers survive a change of leaders wherever the batches end. A removal of one of
+// them does too.
 func TestTombstonesSurviveReplay(t *testing.T) {
 	entries := tombstoneEntries()
 	for cut := range len(entries) + 1 {
--- a/internal/samza/state/accepted.go
+++ b/internal/samza/state/accepted.go
@@ -43,8 +43,8 @@
 	return json.Marshal(storedAccepted{a.Last, a.Generation, &a.Floor})
 }
 
-// UnmarshalJSON decodes the result of MarshalJSON. A value of an older build has no floor: all
-// calls up to its last one may have been accepted.
+// UnmarshalJSON decodes the result of MarshalJSON. A value of an older build has no floor. All
+// calls up to its last one may have been accepted, so that is the floor.
 func (a *AcceptedCalls) UnmarshalJSON(b []byte) error {
 	var stored storedAccepted
 	err := json.Unmarshal(b, &stored)
--- a/internal/samza/state/state.go
+++ b/internal/samza/state/state.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// Key returns the map key for a client's calls on a topic. With the topic first it returns that for
-// a message key of the topic.
+// Key returns the map key of a client's calls on a topic. Given a topic and a message key, in this
+// order, it returns the map key of that message key.
 func Key(client, topic string) string { return client + "\x1f" + topic }
 
 // Size returns the number of map keys.
--- a/internal/samza/state/state_test.go
+++ b/internal/samza/state/state_test.go
@@ -32,8 +32,8 @@
 	return state
 }
 
-// The answers to trimmed entries are dropped, but the last call number remains. A repeat then
-// gets an error code of its own and is never accepted again.
+// The answers to trimmed entries are dropped, but the last call number remains. A retry then gets
+// an error code of its own and is never accepted again.
 func TestPruningRetainsTheLastCallNumber(t *testing.T) {
 	state := newFilledState(3, 40)
 	state.TakeChanges()
@@ -86,8 +86,8 @@
 	}
 }
 
-// A value of a build without a floor does not say which answers were dropped: all calls up to its
-// last one may have been accepted.
+// A value written by a build without floors does not say which answers were dropped. All calls up
+// to the last one may have been accepted.
 func TestAnOlderBuildsAnswersMayHaveBeenAccepted(t *testing.T) {
 	state := New()
 	olderValue := []byte(`{"l":9,"g":2,"r":[{"c":9,"o":4,"s":"d"}]}`)
@@ -104,8 +104,8 @@
 	assert.Equal(t, calls.Floor, uint64(20))
 }
 
-// Guards the size of a batch after a busy interval: a client with hundreds of answers is
-// written as one with none.
+// Guards the size of a batch after a busy interval: a client with hundreds of answers takes no more
+// bytes than one with none.
 func TestAnswersAreNotStored(t *testing.T) {
 	state := newFilledState(200, 1200)
 	size := 0
--- a/internal/samza/state/tombstone.go
+++ b/internal/samza/state/tombstone.go
@@ -19,10 +19,10 @@
 	return t.Client == client && t.CallSeq == callSeq
 }
 
-// Reader is a node that may have received messages with keys, under which boot, and the offset of
-// the entry that says so. GivenUp is set for a reader that was silent for so long that nothing
-// waits for it. ReplacedBootID is the boot that this one replaced: of that run only late messages
-// can still arrive.
+// Reader is a node that may have received messages with keys: the boot ID under which it did, and
+// the offset of the last entry about it. GivenUp is set for a reader that was silent for so long
+// that nothing waits for it any more. ReplacedBootID is the boot ID before BootID: only late calls
+// of that run can still arrive.
 type Reader struct {
 	BootID         string `json:"b"`
 	Offset         uint64 `json:"o"`
@@ -30,7 +30,7 @@
 	ReplacedBootID string `json:"f,omitempty"`
 }
 
-// ReaderEntry is the body of a reader's entry: the node reads under a boot, is given up, or is
+// ReaderEntry is the body of a reader's entry: the node reads under a boot ID, is given up, or is
 // removed.
 type ReaderEntry struct {
 	BootID  string `json:"b"`
--- a/internal/samza/state/tombstones_test.go
+++ b/internal/samza/state/tombstones_test.go
@@ -49,8 +49,8 @@
 
 var withdrawnKey = Key("s/a", "k")
 
-// A withdrawal is a call of its client and a tombstone. Where it names a sender, that sender's
-// lower call numbers are passed.
+// A withdrawal adds a call of its client and a tombstone. If it names a sender, that sender's call
+// numbers up to the given one are passed.
 func TestWithdrawalsAndReadersAreState(t *testing.T) {
 	state := applyAll(keyedEntries()...)
 	for range 2 {
@@ -77,7 +77,7 @@
 }
 
 // A call is identified by its body, its key and the type of its entry. A message without a key is
-// identified by its body alone, as before there were keys.
+// identified by its body alone, as in builds without keys.
 func TestCallsAreIdentifiedByKeyAndBody(t *testing.T) {
 	seen := map[string]bool{}
 	for _, digest := range []string{
@@ -91,8 +91,8 @@
 	assert.Equal(t, CallDigest(log.TypeMessage, "", "d"), "d")
 }
 
-// Answers and tombstones are restored from the partition log, also a tombstone that a leader
-// dropped whose log was trimmed further.
+// Answers and tombstones are restored from the partition log. This includes a tombstone that was
+// dropped by another leader, whose log was trimmed further.
 func TestTombstonesAreRestoredFromThePartitionLog(t *testing.T) {
 	logEntries := keyedEntries()
 	state := applyAll(logEntries...)
@@ -126,7 +126,7 @@
 	assert.Equal(t, state.Accepted[Key("w", "s/a")].Floor, uint64(3))
 }
 
-// A state of a build without keys decodes as one without tombstones and readers.
+// A state written by a build without keys decodes as one without tombstones and readers.
 func TestAnOlderStateHasNoTombstones(t *testing.T) {
 	state, err := Unmarshal([]byte(`{"a":{},"p":{},"t":{},"k":{},"i":9}`))
 	assert.NilError(t, err)
