--- a/internal/partitionlog/idle/idle.go
+++ b/internal/partitionlog/idle/idle.go
@@ -1,5 +1,5 @@
-// Package idle confirms logs without new entries to the disks that store their replicas: all logs
-// of a disk in one call, instead of an empty append for each.
+// Package idle confirms that the replicas of logs without new entries end like the leaders' logs:
+// all replicas on a disk in one call, instead of an empty append for each.
 //
 // Invariants: Identical is reported only where the replica's log ended like the leader's, under its
 // epoch, when it was compared. A disk with waiting logs has one goroutine. It ends when no log
@@ -45,7 +45,7 @@
 	outcome chan Outcome
 }
 
-// diskQueue holds the logs that wait to be confirmed to a disk. due is when the first of them is
+// diskQueue holds the logs that wait to be confirmed on a disk. due is when the first of them is
 // due, and wake ends the sleep until then.
 type diskQueue struct {
 	waiting map[*waiter]bool
@@ -69,7 +69,7 @@
 	return &Confirmer{self: self, net: network, clock: c, timing: timing, ctx: ctx, queues: map[Disk]*diskQueue{}}
 }
 
-// Wait has a log confirmed to a disk once it is due, or earlier together with another log of that
+// Wait has a log confirmed on a disk once it is due, or earlier together with another log of that
 // disk. It blocks until that is done. It returns Superseded when appended or committed is closed or
 // ctx ends first.
 func (c *Confirmer) Wait(
--- a/internal/partitionlog/leader/leader.go
+++ b/internal/partitionlog/leader/leader.go
@@ -92,7 +92,10 @@
 	StageLost       = "lost"
 )
 
-// Recovery describes how the state was recovered.
+// Recovery describes how the state was recovered: where the replicas' logs ended, whether a
+// snapshot was used, how many changelog entries were replayed, how many entries were fetched from
+// other replicas, how many entries of the partition log were applied again, and how many keys the
+// state has.
 type Recovery struct {
 	Tails        string        `json:"tails"`
 	SnapshotUsed bool          `json:"directory"`
--- a/internal/partitionlog/leader/tombstones.go
+++ b/internal/partitionlog/leader/tombstones.go
@@ -27,6 +27,7 @@
 	return key != "" && len(key) <= maxKeyBytes && utf8.ValidString(key)
 }
 
+// A message that violates one of messageRules is malformed.
 var messageRules = []struct {
 	isViolated func(*Message) bool
 	detail     string
--- a/internal/partitionlog/replica/records.go
+++ b/internal/partitionlog/replica/records.go
@@ -20,6 +20,7 @@
 	log.Entry
 }
 
+// baseRecord sets the base of a log. With Fresh, an empty log replaces the existing one first.
 type baseRecord struct {
 	ID    log.ID       `json:"id"`
 	Base  log.Position `json:"base"`
--- a/internal/partitionlog/router/epochs.go
+++ b/internal/partitionlog/router/epochs.go
@@ -14,8 +14,8 @@
 	cancel context.CancelFunc
 }
 
-// leaderEpochs holds a context for each partition. It is canceled once a higher epoch is known, so
-// that calls to the leader of the old epoch end. mu guards byPartition.
+// leaderEpochs holds a context for each partition. The context is canceled once a higher epoch of
+// the partition is known, so that calls to the leader of the old epoch end. mu guards byPartition.
 type leaderEpochs struct {
 	mu          sync.Mutex
 	byPartition map[int]leaderEpoch
--- a/internal/partitionlog/router/forward.go
+++ b/internal/partitionlog/router/forward.go
@@ -55,8 +55,8 @@
 // briefCodes.
 const briefPauseDivisor = 32
 
-// failureLimits is how often an error may occur, without a newer record in between, before a call
-// is given up.
+// failureLimits is the number of errors at which a call is given up. Errors of both codes are
+// counted together, from the last newer record on.
 var failureLimits = map[apierror.Code]int{apierror.NoPartitionLeader: 2, apierror.Unreachable: 3}
 
 // retryState holds the failures of a forwarded call. Each newer record resets it, but not
@@ -119,8 +119,8 @@
 
 // forward has a request answered by the partition's leader, on this node or another one. It retries
 // while another attempt may succeed: at once after a newer record, and otherwise until a call's
-// timeout has passed since the last newer record. It gives up when the record names no leader for
-// the second time.
+// timeout has passed since the last newer record. It gives up earlier at a limit of failureLimits,
+// such as when the record names no leader for the second time.
 func forward[Q, A any](
 	ctx context.Context, router *Router, partitionID int, procedure *wire.Procedure[Q, A],
 	local func(context.Context, *Q) (*A, error), request *Q,
--- a/internal/partitionlog/router/router.go
+++ b/internal/partitionlog/router/router.go
@@ -62,8 +62,8 @@
 	return partition.OfClient(client, urgent, r.Store.VoterSet().Layout)
 }
 
-// UsesTwoHomes reports whether attachments are recorded in an urgent partition too. They are once
-// the build of every member supports that.
+// UsesTwoHomes reports whether attachments are recorded in an urgent partition too. They are if the
+// layout has urgent partitions, once the build of every member supports that.
 func (r *Router) UsesTwoHomes() bool {
 	for _, member := range r.View.All() {
 		if !member.SupportsTwoHomes {
--- a/internal/partitionlog/router/submit.go
+++ b/internal/partitionlog/router/submit.go
@@ -45,6 +45,7 @@
 	}
 }
 
+// rejectAll gives up messages because of err.
 func (r *Router) rejectAll(partitionID int, submits []*pendingSubmit, err error) {
 	for _, submit := range submits {
 		submit.answer(nil, r.errGivenUp(partitionID, submit.isUncertain, err))
