--- a/internal/partitionlog/leader/compress_test.go
+++ b/internal/partitionlog/leader/compress_test.go
@@ -11,22 +11,22 @@
 	"postjunction/internal/wire"
 )
 
-func compressibleBytes(r *rand.Rand, size int) []byte {
+func compressibleBytes(rng *rand.Rand, size int) []byte {
 	b := make([]byte, size)
 	for i := range b {
-		b[i] = 'a' + byte(r.IntN(16))
+		b[i] = 'a' + byte(rng.IntN(16))
 	}
 	return b
 }
 
 // Compressed bodies of text have little more than half the bytes, and are restored unchanged.
 func TestCompressedBodies_RoundTrip(t *testing.T) {
-	r := rand.New(rand.NewPCG(1, 2))
+	rng := rand.New(rand.NewPCG(1, 2))
 	for _, sizes := range [][]int{{700}, {20, 0, 4000, 333}, {900, 900, 900}} {
 		response := &PollResponse{}
 		for i, size := range sizes {
 			response.Entries = append(response.Entries, log.Entry{
-				Offset: uint64(i + 1), Topic: "t", Body: compressibleBytes(r, size),
+				Offset: uint64(i + 1), Topic: "t", Body: compressibleBytes(rng, size),
 			})
 		}
 		var want [][]byte
@@ -48,12 +48,12 @@
 }
 
 func TestCompress_SkipsSmallAndIncompressibleBodies(t *testing.T) {
-	r := rand.New(rand.NewPCG(1, 2))
+	rng := rand.New(rand.NewPCG(1, 2))
 	noise := make([]byte, 1000)
 	for i := range noise {
-		noise[i] = byte(r.IntN(256))
+		noise[i] = byte(rng.IntN(256))
 	}
-	for _, body := range [][]byte{compressibleBytes(r, minCompressBytes-1), noise, nil} {
+	for _, body := range [][]byte{compressibleBytes(rng, minCompressBytes-1), noise, nil} {
 		response := &FollowResponse{Backlog: []log.Entry{{Body: body}}}
 		response.Compress()
 		assert.Assert(t, response.Compressed == nil)
@@ -63,7 +63,7 @@
 }
 
 func TestDecompress_RejectsDamagedBodies(t *testing.T) {
-	r := rand.New(rand.NewPCG(1, 2))
+	rng := rand.New(rand.NewPCG(1, 2))
 	for name, damage := range map[string]func(*FollowResponse){
 		"cut short": func(response *FollowResponse) {
 			response.Compressed.Bytes = response.Compressed.Bytes[:len(response.Compressed.Bytes)/2]
@@ -77,7 +77,7 @@
 		"a negative size": func(response *FollowResponse) { response.Compressed.Sizes[0] = -1 },
 	} {
 		response := &FollowResponse{
-			Backlog: []log.Entry{{Body: compressibleBytes(r, 700)}, {Body: compressibleBytes(r, 700)}},
+			Backlog: []log.Entry{{Body: compressibleBytes(rng, 700)}, {Body: compressibleBytes(rng, 700)}},
 		}
 		response.Compress()
 		assert.Assert(t, response.Compressed != nil)
--- a/internal/partitionlog/leader/filter.go
+++ b/internal/partitionlog/leader/filter.go
@@ -13,10 +13,10 @@
 }
 
 // collect returns the committed entries after an offset that pass a filter, until they have more
-// than limit bytes, and the offset up to which it has read. If the follower is not a reader, it
+// than maxBytes bytes, and the offset up to which it has read. If the follower is not a reader, it
 // stops before a message with a key and reports that. l.mu must be held.
 func (l *Leader) collect(
-	after uint64, limit int, filter entryFilter,
+	after uint64, maxBytes int, filter entryFilter,
 ) (entries []log.Entry, to uint64, stoppedAtKey bool) {
 	partitionLog := l.logs[log.KindInput]
 	size := 0
@@ -26,7 +26,7 @@
 			break
 		}
 		for _, entry := range candidates {
-			if entry.Offset > partitionLog.commit || size > limit {
+			if entry.Offset > partitionLog.commit || size > maxBytes {
 				return entries, after, false
 			}
 			if l.passes(entry, filter) {
--- a/internal/partitionlog/leader/followers.go
+++ b/internal/partitionlog/leader/followers.go
@@ -122,16 +122,16 @@
 		from = min(from, after)
 		response.Trimmed = l.addTrimmed(response.Trimmed, topic, after)
 	}
-	limit := maxFollowBytes
+	maxBytes := maxFollowBytes
 	if request.FirstOnly {
-		limit = 0
+		maxBytes = 0
 	}
 	isWanted := func(entry log.Entry) bool {
 		after, ok := request.After[entry.Topic]
 		return ok && entry.Offset > after
 	}
 	filter := entryFilter{isWanted: isWanted, withKeys: request.TracksTombstones, isReader: isReader}
-	response.Backlog, response.BacklogEnd, stoppedAtKey = l.collect(max(from, response.Base), limit, filter)
+	response.Backlog, response.BacklogEnd, stoppedAtKey = l.collect(max(from, response.Base), maxBytes, filter)
 	return stoppedAtKey
 }
 
--- a/internal/partitionlog/leader/maintain.go
+++ b/internal/partitionlog/leader/maintain.go
@@ -68,10 +68,10 @@
 	now := l.options.Clock.Now()
 	partitionLog := l.logs[log.KindInput].log
 	partitionLog.DropLiveBodies(now.Add(-l.options.Timing.Spread))
-	expired := partitionLog.LastBefore(now.Add(-l.options.Timing.RetentionFor(l.options.LongestRetention())))
+	expiredTo := partitionLog.LastBefore(now.Add(-l.options.Timing.RetentionFor(l.options.LongestRetention())))
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for to := min(expired, l.savedInput); l.prunedTo < to; {
+	for to := min(expiredTo, l.savedInput); l.prunedTo < to; {
 		entries := partitionLog.Slice(l.prunedTo+1, to, maxBatchEntries, maxBatchBytes)
 		if len(entries) == 0 {
 			break
@@ -171,10 +171,10 @@
 	return offset, l.awaitCommit(ctx, log.KindChangelog, offset)
 }
 
-// Flush writes a changelog batch and a snapshot now, and waits up to limit for that. It is called
-// before the partition moves to another leader, which then recovers faster.
-func (l *Leader) Flush(ctx context.Context, limit time.Duration) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// Flush writes a changelog batch and a snapshot now, and waits for that, at most for timeout. It is
+// called before the partition moves to another leader, which then recovers faster.
+func (l *Leader) Flush(ctx context.Context, timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	flushed := make(chan struct{})
 	select {
--- a/internal/partitionlog/router/followers.go
+++ b/internal/partitionlog/router/followers.go
@@ -80,14 +80,14 @@
 
 // callOnce calls the leader that a record names, in one attempt.
 func callOnce[Q, A any](
-	ctx context.Context, router *Router, record assignment.Record, limit time.Duration,
+	ctx context.Context, router *Router, record assignment.Record, timeout time.Duration,
 	procedure *wire.Procedure[Q, A], local func(context.Context, *Q) (*A, error), request *Q,
 ) (*A, error) {
 	address, err := router.leaderAddress(record.Partition, record)
 	if err != nil {
 		return nil, err
 	}
-	callCtx, stop := context.WithTimeout(ctx, limit)
+	callCtx, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
 	if record.Leader == router.Self {
 		return local(callCtx, request)
@@ -122,8 +122,8 @@
 // Subscribers returns how many subscribers a topic has on all nodes, in one attempt.
 func (r *Router) Subscribers(ctx context.Context, partitionID int, topic string) (int, error) {
 	request := &SubscribersRequest{Partition: partitionID, Topic: topic}
-	record, limit := r.Store.Record(partitionID), r.Timing.CallTimeout()/2
-	response, err := callOnce(ctx, r, record, limit, Subscribers, r.subscribers, request)
+	record, timeout := r.Store.Record(partitionID), r.Timing.CallTimeout()/2
+	response, err := callOnce(ctx, r, record, timeout, Subscribers, r.subscribers, request)
 	if err != nil {
 		return 0, err
 	}
--- a/tools/mutations/partitionlog-leader.sh
+++ b/tools/mutations/partitionlog-leader.sh
@@ -14,7 +14,7 @@
 mutant reprocess $L/recovery.go 's/reprocessed := partitionLog.log.Slice\(input\+1, partitionLog.commit/reprocessed := partitionLog.log.Slice(partitionLog.commit+1, partitionLog.commit/' $S 'Faults|Reprocess'
 mutant attach-once $L/attach.go 's/if assigned == 0 && l\.isAttachRetry\(client, calls, secret\) \{/if false {/' ./$L 'Attach_Retry'
 mutant retention-before-trim $L/maintain.go 's/partitionLog.LastBefore\(now.Add\(-l.options.Timing.RetentionFor\(l.options.LongestRetention\(\)\)\)\)/partitionLog.LastBefore(now.Add(-l.options.Timing.Spread))/' $S 'Keeping|Retention'
-mutant trim-behind-input $L/maintain.go 's/to := min\(expired, l\.savedInput\)/to := expired/; s/l\.requestTrim\(log\.KindInput, prunedTo\)/l.requestTrim(log.KindInput, max(prunedTo, l.prune()))/' $S 'TrimmingWaits'
+mutant trim-behind-input $L/maintain.go 's/to := min\(expiredTo, l\.savedInput\)/to := expiredTo/; s/l\.requestTrim\(log\.KindInput, prunedTo\)/l.requestTrim(log.KindInput, max(prunedTo, l.prune()))/' $S 'TrimmingWaits'
 mutant covered-passed-over $L/filter.go 's/ && !l\.state\.IsWithdrawn\(entry\)//' ./$L 'WithdrawnMessagesAreSkipped'
 mutant withdrawal-to-all $L/filter.go 's/filter\.allWithdrawals \|\| filter\.isWanted\(entry\)/filter.isWanted(entry)/' ./$L 'WakesEveryFollower'
 mutant keys-need-tombstone-tracking $L/filter.go 's/filter\.withKeys && !l\.state\.IsWithdrawn\(entry\)/!l.state.IsWithdrawn(entry)/' ./$L 'WakesEveryFollower'
