--- a/internal/partitionlog/idle/idle.go
+++ b/internal/partitionlog/idle/idle.go
@@ -1,5 +1,5 @@
-// Package idle confirms logs without new entries to the disks that store their replicas: all logs
-// of a disk in one call, instead of an empty append for each.
+// Package idle confirms that the replicas of logs without new entries end like the leaders' logs:
+// all replicas on a disk in one call, instead of an empty append for each.
 //
 // Invariants: Identical is reported only where the replica's log ended like the leader's, under its
 // epoch, when it was compared. A disk with waiting logs has one goroutine. It ends when no log
@@ -28,7 +28,7 @@
 
 // Outcomes of a wait. With Superseded the log changed, or the wait was canceled, before the log was
 // confirmed. With Identical the replica ends as the log does, under its epoch. With Uncertain the
-// replica may not, or it did not answer.
+// replica may end differently, or it did not answer.
 const (
 	Superseded Outcome = iota
 	Identical
@@ -45,8 +45,8 @@
 	outcome chan Outcome
 }
 
-// diskQueue holds the logs that wait for a disk. wake ends the pause until due, when the first of
-// them is due.
+// diskQueue holds the logs that wait to be confirmed on a disk. due is when the first of them is
+// due, and wake ends the sleep until then.
 type diskQueue struct {
 	waiting map[*waiter]bool
 	due     time.Time
@@ -69,7 +69,7 @@
 	return &Confirmer{self: self, net: network, clock: c, timing: timing, ctx: ctx, queues: map[Disk]*diskQueue{}}
 }
 
-// Wait has a log confirmed to a disk once it is due, or earlier together with another log of that
+// Wait has a log confirmed on a disk once it is due, or earlier together with another log of that
 // disk. It blocks until that is done. It returns Superseded when appended or committed is closed or
 // ctx ends first.
 func (c *Confirmer) Wait(
@@ -122,11 +122,11 @@
 				due = w.due
 			}
 		}
-		if left := due.Sub(c.clock.Now()); left > 0 {
+		if remaining := due.Sub(c.clock.Now()); remaining > 0 {
 			ctx, wake := context.WithCancel(c.ctx)
 			queue.due, queue.wake = due, wake
 			c.mu.Unlock()
-			_ = c.clock.Sleep(ctx, left)
+			_ = c.clock.Sleep(ctx, remaining)
 			wake()
 			continue
 		}
--- a/internal/partitionlog/leader/leader.go
+++ b/internal/partitionlog/leader/leader.go
@@ -42,7 +42,7 @@
 type Observer interface {
 	DiskFailed(partition int, err error)
 	LeadershipLost(partition int, epoch uint64, err error)
-	Opened(partition int, epoch uint64, how Recovery)
+	Opened(partition int, epoch uint64, recovery Recovery)
 	StepFailed(partition int, epoch uint64, step string, err error)
 	ReaderChanged(partition int, epoch uint64, node, bootID string, givenUp bool)
 	TombstonesFull(partition int, epoch uint64, tombstones int)
@@ -92,7 +92,10 @@
 	StageLost       = "lost"
 )
 
-// Recovery describes how the state was recovered.
+// Recovery describes how the state was recovered: where the replicas' logs ended, whether a
+// snapshot was used, how many changelog entries were replayed, how many entries were fetched from
+// other replicas, how many entries of the partition log were applied again, and how many keys the
+// state has.
 type Recovery struct {
 	Tails        string        `json:"tails"`
 	SnapshotUsed bool          `json:"directory"`
--- a/internal/partitionlog/leader/maintain.go
+++ b/internal/partitionlog/leader/maintain.go
@@ -25,7 +25,7 @@
 		if !ok {
 			return
 		}
-		to := l.prune()
+		prunedTo := l.prune()
 		err := l.writeChangelogBatch(ctx, flushed != nil)
 		if err != nil && ctx.Err() == nil {
 			l.options.Observer.StepFailed(l.Record.Partition, l.Record.Epoch, "write a changelog batch", err)
@@ -34,7 +34,7 @@
 			close(flushed)
 		}
 		if err == nil {
-			l.requestTrim(log.KindInput, to)
+			l.requestTrim(log.KindInput, prunedTo)
 		}
 	}
 }
@@ -68,10 +68,10 @@
 	now := l.options.Clock.Now()
 	partitionLog := l.logs[log.KindInput].log
 	partitionLog.DropLiveBodies(now.Add(-l.options.Timing.Spread))
-	expired := partitionLog.LastBefore(now.Add(-l.options.Timing.RetentionFor(l.options.LongestRetention())))
+	expiredTo := partitionLog.LastBefore(now.Add(-l.options.Timing.RetentionFor(l.options.LongestRetention())))
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for to := min(expired, l.savedInput); l.prunedTo < to; {
+	for to := min(expiredTo, l.savedInput); l.prunedTo < to; {
 		entries := partitionLog.Slice(l.prunedTo+1, to, maxBatchEntries, maxBatchBytes)
 		if len(entries) == 0 {
 			break
@@ -131,9 +131,9 @@
 func (l *Leader) takeChanges(flush bool) (changelogBatch, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	changes := l.logs[log.KindChangelog]
-	batch := changelogBatch{input: l.state.Input, lastReplaced: changes.last.Offset}
-	length := changes.log.Len()
+	changelogProgress := l.logs[log.KindChangelog]
+	batch := changelogBatch{input: l.state.Input, lastReplaced: changelogProgress.last.Offset}
+	length := changelogProgress.log.Len()
 	batch.isCompaction = length > compactMinEntries && length > compactFactor*(1+l.state.Size()/compactMinEntries)
 	if batch.isCompaction {
 		l.state.MarkAllChanged()
@@ -171,10 +171,10 @@
 	return offset, l.awaitCommit(ctx, log.KindChangelog, offset)
 }
 
-// Flush writes a changelog batch and a snapshot now, and waits up to limit for that. It is called
-// before the partition moves to another leader, which then recovers faster.
-func (l *Leader) Flush(ctx context.Context, limit time.Duration) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// Flush writes a changelog batch and a snapshot now, and waits for that, at most for timeout. It is
+// called before the partition moves to another leader, which then recovers faster.
+func (l *Leader) Flush(ctx context.Context, timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	flushed := make(chan struct{})
 	select {
--- a/internal/partitionlog/leader/readers.go
+++ b/internal/partitionlog/leader/readers.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// replaceReader replaces a node's reader under another boot ID by one under this boot ID. Nothing
-// that the earlier run was sent is left in the node. l.mu must be held.
+// replaceReader replaces a node's reader under another boot ID by one under this boot ID. The node
+// no longer has anything that the earlier run was sent. l.mu must be held.
 func (l *Leader) replaceReader(node, bootID string) {
 	if l.isOtherReader(node, bootID) {
 		l.addReader(node, bootID)
@@ -112,8 +112,8 @@
 	return ok && reader.BootID != bootID
 }
 
-// wasReplaced reports whether a boot ID is the one that a reader had before its present one. A call
-// from such a run is late.
+// wasReplaced reports whether a boot ID is the one that a node's reader had before its present one.
+// A call under it is late: the node has another boot ID since.
 func (l *Leader) wasReplaced(node, bootID string) bool {
 	reader, ok := l.state.Readers[node]
 	return ok && reader.ReplacedBootID == bootID && bootID != ""
@@ -195,7 +195,7 @@
 // Unreachable if ctx ends, and NotPartitionLeader if the leadership is lost.
 func (l *Leader) PendingReaders(ctx context.Context, offset uint64, maxWait time.Duration) (*PendingReaders, error) {
 	startedAt := l.options.Clock.Now()
-	var due <-chan struct{}
+	var timeout <-chan struct{}
 	for {
 		l.mu.Lock()
 		if err := l.checkReadable(); err != nil {
@@ -219,15 +219,15 @@
 			l.observeDecision("forgotten", startedAt)
 			return pending, nil
 		}
-		if due == nil {
+		if timeout == nil {
 			timerCtx, stop := context.WithCancel(ctx)
 			defer stop()
-			due = l.after(timerCtx, maxWait)
+			timeout = l.after(timerCtx, maxWait)
 		}
 		select {
 		case <-readersChanged:
 		case <-committed:
-		case <-due:
+		case <-timeout:
 			if !isCommitted {
 				return nil, apierror.New(apierror.NotReady, "offset %d of partition %d is not committed",
 					offset, l.Record.Partition)
@@ -272,26 +272,26 @@
 		if _, isChanging := l.uncommittedReaders[name]; isChanging || progress.offset >= newest || l.stage != StageOpen {
 			continue
 		}
-		silent := now.Sub(progress.lastHeard)
+		silentFor := now.Sub(progress.lastHeard)
 		switch {
-		case !reader.GivenUp && silent > l.readerTimeout() && now.Sub(progress.lastMember) > l.readerTimeout():
+		case !reader.GivenUp && silentFor > l.readerTimeout() && now.Sub(progress.lastMember) > l.readerTimeout():
 			l.writeReader(name, state.ReaderEntry{BootID: reader.BootID, GivenUp: true})
-		case isMember && silent > l.options.Timing.SessionTimeout():
+		case isMember && silentFor > l.options.Timing.SessionTimeout():
 			go l.probeReader(l.ctx, name, address, reader.BootID)
 		}
 	}
 }
 
-// readerNode returns the node of a reader. One node may have several readers, which are named after
-// a slash.
+// readerNode returns the node of a reader, which is the reader's name up to a slash. One node may
+// have several readers, such as a1 and a1/streams.
 func readerNode(reader string) string {
 	node, _, _ := strings.Cut(reader, "/")
 	return node
 }
 
-// probeReader asks the node of a silent reader for its boot ID. If the reader belongs to an earlier
-// run, it removes the reader, because the node has nothing left of what that run was sent. A
-// reader's boot ID begins with that of its node's run.
+// probeReader asks the node of a silent reader for the boot ID of its present run. It removes a
+// reader of an earlier run, because the node no longer has anything that the earlier run was sent.
+// A reader's boot ID begins with that of its node's run.
 func (l *Leader) probeReader(ctx context.Context, name, address, bootID string) {
 	ctx, cancel := context.WithTimeout(ctx, l.options.Timing.CallTimeout())
 	defer cancel()
--- a/internal/partitionlog/leader/readers_test.go
+++ b/internal/partitionlog/leader/readers_test.go
@@ -23,11 +23,11 @@
 		r.becomeReader("a1", "b", 0)
 		go r.SubmitMany(t.Context(), []*Message{withdrawal("v", 3, "t", "k")})
 		synctest.Wait()
-		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "b", 0)), []uint64{1, 2, 3})
+		assert.DeepEqual(t, r.polledOffsets(r.poll("a1", "b", 0)), []uint64{1, 2, 3})
 		r.commitAll()
-		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "b", 0)), []uint64{2, 3, 5})
+		assert.DeepEqual(t, r.polledOffsets(r.poll("a1", "b", 0)), []uint64{2, 3, 5})
 		r.submitAccepted(message("v", 4, "t", "k"))
-		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "b", 0)), []uint64{2, 3, 5, 6})
+		assert.DeepEqual(t, r.polledOffsets(r.poll("a1", "b", 0)), []uint64{2, 3, 5, 6})
 		response, err := r.Follow(t.Context(), &FollowRequest{
 			Node: "a1", BootID: "b", BaseSequence: 1, Sequence: 2, TracksTombstones: true,
 			After: map[string]uint64{"t": 0},
@@ -53,7 +53,7 @@
 			Node: "a2", BootID: "b", Sequence: 1, Full: true, Topics: map[string]int{"t": 1},
 		})
 		assert.NilError(t, err)
-		old := r.startPoll(t.Context(), 1)
+		untrackedPoll := r.startPoll(t.Context(), 1)
 		startedAt := time.Now()
 		assert.Equal(t, r.submitAccepted(withdrawal("w", 1, "t", "k")), uint64(2))
 		polled := <-results
@@ -61,7 +61,7 @@
 		assert.DeepEqual(t, offsets(polled.response.Entries), []uint64{2})
 		assert.Assert(t, time.Since(startedAt) == 0, "woken after %s", time.Since(startedAt))
 		assert.Equal(t, polled.response.Entries[0].Client, "w")
-		assert.NilError(t, <-old)
+		assert.NilError(t, <-untrackedPoll)
 		response, err := r.Poll(t.Context(), &PollRequest{Node: "a2", BootID: "b", Sequence: 1})
 		assert.NilError(t, err)
 		assert.Equal(t, len(response.Entries), 0, "a node that tracks no tombstones is sent nothing with a key")
@@ -74,21 +74,21 @@
 	})
 }
 
-// No node is sent its first message with a key before it is committed that this run of it is a
-// reader. Messages before that one are not delayed.
+// A node is sent its first message with a key only after it is committed that its run is a reader.
+// Messages before that one are not delayed.
 func TestReader_CommittedBeforeItIsGivenAKey(t *testing.T) {
 	withLeader(t, 1, func(t *testing.T, r *rig) {
 		r.submitAccepted(message("v", 1, "t", ""), message("v", 2, "t", "k"), message("v", 3, "t", ""))
 		r.follow("a1", "b", "t")
-		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "b", 0)), []uint64{1})
+		assert.DeepEqual(t, r.polledOffsets(r.poll("a1", "b", 0)), []uint64{1})
 		results := r.poll("a1", "b", 1)
 		assert.Equal(t, len(r.state.Readers), 0)
 		assert.Equal(t, len(results), 0)
 		r.commitAll()
-		assert.DeepEqual(t, r.entriesOf(results), []uint64{2, 3})
+		assert.DeepEqual(t, r.polledOffsets(results), []uint64{2, 3})
 		assert.Equal(t, r.state.Readers["a1"], state.Reader{BootID: "b", Offset: 4})
 		assert.DeepEqual(t, r.observed, []string{"a1 b"})
-		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "b", 1)), []uint64{2, 3})
+		assert.DeepEqual(t, r.polledOffsets(r.poll("a1", "b", 1)), []uint64{2, 3})
 		assert.Equal(t, r.logs[log.KindInput].last.Offset, uint64(4), "a run is recorded once")
 
 		answers := make(chan *FollowResponse, 1)
@@ -195,19 +195,19 @@
 		}
 		late("b", 1)
 		assert.Equal(t, r.state.Readers["a1"].BootID, "d")
-		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "d", 0)), []uint64{1})
+		assert.DeepEqual(t, r.polledOffsets(r.poll("a1", "d", 0)), []uint64{1})
 
-		given := r.readerToken("a1", "d")
+		lastToken := r.readerToken("a1", "d")
 		r.locked(func() {
 			r.followers, r.Leader.readerTokens, r.lastReaderToken, r.Record.Epoch = map[string]*follower{}, map[string]readerToken{}, 0, r.Record.Epoch+1
 		})
-		late("b", given)
-		late("c", given)
+		late("b", lastToken)
+		late("c", lastToken)
 		assert.Equal(t, r.state.Readers["a1"].BootID, "d")
 		r.follow("a1", "d", "t")
-		assert.DeepEqual(t, r.entriesOf(r.poll("a1", "d", 0)), []uint64{1})
+		assert.DeepEqual(t, r.polledOffsets(r.poll("a1", "d", 0)), []uint64{1})
 
-		given = r.readerToken("a1", "d")
+		lastToken = r.readerToken("a1", "d")
 		response, err := r.Follow(t.Context(), &FollowRequest{
 			Node: "a1", BootID: "d", Sequence: 99, Full: true, TracksTombstones: true, Finished: true,
 		})
@@ -215,9 +215,9 @@
 		assert.Assert(t, !response.UnknownFollower)
 		r.commitAll()
 		r.locked(func() { r.followers = map[string]*follower{} })
-		late("d", given)
-		late("b", given)
-		late("d", given)
+		late("d", lastToken)
+		late("b", lastToken)
+		late("d", lastToken)
 		assert.Equal(t, len(r.state.Readers), 0)
 	})
 }
@@ -229,7 +229,7 @@
 		r.follow("a1", "b", "t")
 		results := r.poll("a1", "b", 0)
 		r.commitAll()
-		assert.DeepEqual(t, r.entriesOf(results), []uint64{})
+		assert.DeepEqual(t, r.polledOffsets(results), []uint64{})
 		ctx, stop := context.WithTimeout(t.Context(), time.Second)
 		defer stop()
 		_, err := r.Follow(ctx, &FollowRequest{
--- a/internal/partitionlog/leader/replicate.go
+++ b/internal/partitionlog/leader/replicate.go
@@ -184,9 +184,10 @@
 	r.failures++
 }
 
-// rewind picks the next position to try with a replica whose log has the given tail. That is its
-// end if this log has the same entry there, otherwise a position further and further back. If the
-// two logs can't have an entry in common, it is the base of this log, with a reset.
+// rewind picks the next position to try with a replica whose log has the given tail. That is the
+// end of the replica's log if the leader's log has the same entry there. Otherwise each call goes
+// back further. If the two logs can't have an entry in common, it is the base of the leader's log,
+// with a reset.
 func (r *replicator) rewind(tail replica.Tail) {
 	r.leader.mu.Lock()
 	defer r.leader.mu.Unlock()
@@ -201,13 +202,13 @@
 		return
 	}
 	r.searchStep = max(1, r.searchStep*2)
-	to := min(tail.Last.Offset, r.next.Offset)
-	if to > floor+r.searchStep {
-		to -= r.searchStep
+	offset := min(tail.Last.Offset, r.next.Offset)
+	if offset > floor+r.searchStep {
+		offset -= r.searchStep
 	} else {
-		to = floor
+		offset = floor
 	}
-	if position, ok := r.progress.position(to); ok {
+	if position, ok := r.progress.position(offset); ok {
 		r.next, r.reset = position, false
 		return
 	}
--- a/internal/partitionlog/router/forward.go
+++ b/internal/partitionlog/router/forward.go
@@ -55,8 +55,8 @@
 // briefCodes.
 const briefPauseDivisor = 32
 
-// failureLimits is how often an error may occur, without a newer record in between, before a call
-// is given up.
+// failureLimits is the number of errors at which a call is given up. Errors of both codes are
+// counted together, from the last newer record on.
 var failureLimits = map[apierror.Code]int{apierror.NoPartitionLeader: 2, apierror.Unreachable: 3}
 
 // retryState holds the failures of a forwarded call. Each newer record resets it, but not
@@ -65,22 +65,22 @@
 	router      *Router
 	partitionID int
 	// isUncertain reports whether an attempt may have been decided.
-	isUncertain bool
-	version     uint64
-	since       time.Time
-	failures    int
-	briefPause  time.Duration
+	isUncertain   bool
+	recordVersion uint64
+	recordSince   time.Time
+	failures      int
+	briefPause    time.Duration
 }
 
 func (s *retryState) observe(version uint64) {
-	if version != s.version {
-		s.version = version
+	if version != s.recordVersion {
+		s.recordVersion = version
 		s.restart()
 	}
 }
 
 func (s *retryState) restart() {
-	s.since, s.failures = s.router.Clock.Now(), 0
+	s.recordSince, s.failures = s.router.Clock.Now(), 0
 	s.briefPause = s.router.Timing.MaxBackoff() / briefPauseDivisor
 }
 
@@ -100,10 +100,10 @@
 	if limit > 0 {
 		s.failures++
 	}
-	isOver := limit > 0 && s.failures >= limit || now.Sub(s.since) >= timeout ||
+	isExhausted := limit > 0 && s.failures >= limit || now.Sub(s.recordSince) >= timeout ||
 		uncertainCodes[code] && now.Sub(startedAt) >= timeout
-	if isOver && s.router.Store.Record(s.partitionID).Version == s.version {
-		return 0, s.givenUp(err)
+	if isExhausted && s.router.Store.Record(s.partitionID).Version == s.recordVersion {
+		return 0, s.errGivenUp(err)
 	}
 	pause := s.router.Timing.MaxBackoff()
 	if briefCodes[code] {
@@ -113,14 +113,14 @@
 	return pause, nil
 }
 
-func (s *retryState) givenUp(err error) error {
+func (s *retryState) errGivenUp(err error) error {
 	return s.router.errGivenUp(s.partitionID, s.isUncertain, err)
 }
 
 // forward has a request answered by the partition's leader, on this node or another one. It retries
 // while another attempt may succeed: at once after a newer record, and otherwise until a call's
-// timeout has passed since the last newer record. It gives up when the record names no leader for
-// the second time.
+// timeout has passed since the last newer record. It gives up earlier at a limit of failureLimits,
+// such as when the record names no leader for the second time.
 func forward[Q, A any](
 	ctx context.Context, router *Router, partitionID int, procedure *wire.Procedure[Q, A],
 	local func(context.Context, *Q) (*A, error), request *Q,
@@ -147,13 +147,13 @@
 		}
 		stop()
 		if ctx.Err() != nil {
-			return nil, retry.givenUp(err)
+			return nil, retry.errGivenUp(err)
 		}
 	}
 }
 
-// errUncertain returns the error for a call that ended in err, but that an earlier attempt may have
-// had decided.
+// errUncertain returns the error for a call whose last attempt ended in err, but which may have
+// been decided by an earlier attempt.
 func errUncertain(partitionID int, err error) error {
 	return apierror.Wrap(apierror.OutcomeUnknown, apierror.New(apierror.OutcomeUnknown, "%v",
 		err), "partition %d", partitionID)
--- a/internal/partitionlog/router/router.go
+++ b/internal/partitionlog/router/router.go
@@ -8,8 +8,8 @@
 // of its call number (RejectCallNumber).
 //
 // A Router runs one goroutine for each partition that messages wait for, and one for its batch in
-// flight. Its queues and epochs have locks of their own, none of which is held over a call. Submit
-// and the other calls block until they are answered or ctx ends. SubmitAsync never blocks.
+// flight. Its queues and epochs have locks of their own, none of which is held during a call.
+// Submit and the other calls block until they are answered or ctx ends. SubmitAsync never blocks.
 package router
 
 import (
@@ -62,8 +62,8 @@
 	return partition.OfClient(client, urgent, r.Store.VoterSet().Layout)
 }
 
-// UsesTwoHomes reports whether attachments are recorded in an urgent partition too. They are once
-// the build of every member supports that.
+// UsesTwoHomes reports whether attachments are recorded in an urgent partition too. They are if the
+// layout has urgent partitions, once the build of every member supports that.
 func (r *Router) UsesTwoHomes() bool {
 	for _, member := range r.View.All() {
 		if !member.SupportsTwoHomes {
@@ -107,9 +107,9 @@
 	return err
 }
 
-// ReadAttachment returns the attachment in force. An urgent home does not have this generation yet
-// where an older build assigned it, or where a call broke off in between. Then the urgent home gets
-// it from the routine home.
+// ReadAttachment returns the attachment in force. An urgent home may lack the given generation: an
+// older build assigned it, or the call that attached failed between the two homes. The attachment
+// is then copied from the routine home to the urgent one.
 func (r *Router) ReadAttachment(
 	ctx context.Context, client string, generation uint64, urgent bool,
 ) (*ReadAttachmentResponse, error) {
@@ -120,11 +120,11 @@
 		return response, err
 	}
 	request = &ReadAttachmentRequest{Client: client}
-	routine, err := forward(ctx, r, r.homeOf(client, false), ReadAttachment, r.readAttachment, request)
-	if err == nil && routine.Attachment.Generation == generation {
-		err = r.attachUrgentHome(ctx, client, routine.Attachment.Secret, generation)
+	routineResponse, err := forward(ctx, r, r.homeOf(client, false), ReadAttachment, r.readAttachment, request)
+	if err == nil && routineResponse.Attachment.Generation == generation {
+		err = r.attachUrgentHome(ctx, client, routineResponse.Attachment.Secret, generation)
 	}
-	return routine, err
+	return routineResponse, err
 }
 
 // SaveCursor saves a client's cursor, in both homes.
@@ -133,9 +133,9 @@
 	if err != nil || !r.UsesTwoHomes() {
 		return err
 	}
-	urgent := *request
-	urgent.Urgent = true
-	_, err = forward(ctx, r, r.homeOf(request.Client, true), SaveCursor, r.saveCursor, &urgent)
+	urgentRequest := *request
+	urgentRequest.Urgent = true
+	_, err = forward(ctx, r, r.homeOf(request.Client, true), SaveCursor, r.saveCursor, &urgentRequest)
 	return err
 }
 
