--- a/internal/testing/sim/controls.go
+++ b/internal/testing/sim/controls.go
@@ -59,7 +59,7 @@
 // shutdownGrace is how long the platform waits for a process to stop before it kills it.
 const shutdownGrace = 6 * time.Second
 
-// Terminate asks a process to stop in good order, and kills it after shutdownGrace.
+// Terminate asks a process to stop gracefully, and kills it after shutdownGrace.
 func (w *World) Terminate(name string) {
 	m := w.Machines[name]
 	if process, _ := m.node(); process != nil {
@@ -112,20 +112,20 @@
 	m.sendDelay = delay
 }
 
-// SlowDisk makes each sync of a machine's disk take that many times as long. At 0 or 1 it takes as
-// long as on a fast disk.
-func (w *World) SlowDisk(name string, times int) {
+// SlowDisk multiplies the duration of each sync of a machine's disk by a factor. A factor of 0 or 1
+// restores the disk's normal duration.
+func (w *World) SlowDisk(name string, factor int) {
 	m := w.Machines[name]
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.diskSlowdown != times {
+	if m.diskSlowdown != factor {
 		w.recordDisturbance("slow disk")
 	}
-	m.diskSlowdown = times
+	m.diskSlowdown = factor
 }
 
-// HangDisk sets whether the syncs of a machine's disk hang until further notice. A process that
-// starts there uses the same disk.
+// HangDisk sets whether the syncs of a machine's disk hang. A process that starts on the machine
+// later is affected too.
 func (w *World) HangDisk(name string, hangs bool) {
 	m := w.Machines[name]
 	m.mu.Lock()
--- a/internal/testing/sim/faults.go
+++ b/internal/testing/sim/faults.go
@@ -22,7 +22,8 @@
 	return names[r.IntN(len(names))]
 }
 
-// namesOf returns the machines whose names begin with the letter of a kind, all for none.
+// namesOf returns the machines whose names begin with the letter of a kind, or all machines if kind
+// is empty.
 func (w *World) namesOf(kind string) []string {
 	var names []string
 	for _, name := range w.Names {
@@ -35,6 +36,7 @@
 
 func pickDiskKind(r *rand.Rand) string { return []string{"c", "s"}[r.IntN(2)] }
 
+// splitByZone picks a zone and returns the machines in it and those outside it.
 func (w *World) splitByZone(r *rand.Rand) (in, out []string) {
 	zone := fmt.Sprintf("z%d", r.IntN(w.Site.Zones)+1)
 	for _, n := range w.Names {
@@ -167,8 +169,8 @@
 	"drain": func(w *World, r *rand.Rand) func() {
 		name, lost := w.pickMachine(r, "s"), r.IntN(2) == 0
 		w.recordDisturbance("drain")
-		accepted := w.callNode(w.pickMachine(r, "c"), w.Site.Timing.Recovery, func(ctx context.Context, x *node.Node) error {
-			_, err := x.Operators.Decommission(ctx, name)
+		accepted := w.callNode(w.pickMachine(r, "c"), w.Site.Timing.Recovery, func(ctx context.Context, process *node.Node) error {
+			_, err := process.Operators.Decommission(ctx, name)
 			return err
 		}) == nil
 		return func() {
@@ -206,23 +208,23 @@
 		w.recordDisturbance("operators")
 		ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Recovery)
 		defer stop()
-		cur, err := w.Transport(w.pickMachine(r, "")).Get(ctx)
+		current, err := w.Transport(w.pickMachine(r, "")).Get(ctx)
 		if err != nil {
 			return noUndo
 		}
 		var wg sync.WaitGroup
 		for i := range 3 {
-			name, kind, seq := w.pickMachine(r, ""), uint64(r.IntN(3)), cur+1+r.Uint64N(3)
+			name, kind, seq := w.pickMachine(r, ""), uint64(r.IntN(3)), current+1+r.Uint64N(3)
 			wg.Go(func() {
-				doc := w.load.NumberedConfiguration(cur, seq, fmt.Sprintf("operator %d", i))
-				bad := []byte(fmt.Sprintf(`{"base":%d,"spaces":[{"name":"kept","kind":"kept","topics":["t0","t0"]}]}`, cur))
+				document := w.load.NumberedConfiguration(current, seq, fmt.Sprintf("operator %d", i))
+				invalid := []byte(fmt.Sprintf(`{"base":%d,"spaces":[{"name":"kept","kind":"kept","topics":["t0","t0"]}]}`, current))
 				if kind == 0 {
-					if _, err := w.Transport(name).Put(ctx, bad); err == nil {
+					if _, err := w.Transport(name).Put(ctx, invalid); err == nil {
 						w.History.Violate(history.Invalid, "an invalid configuration was accepted through %s", name)
 					}
 					return
 				}
-				if _, err := w.Put(name, doc); apierror.HasCode(err, apierror.ConfigurationInvalid) {
+				if _, err := w.Put(name, document); apierror.HasCode(err, apierror.ConfigurationInvalid) {
 					w.History.Violate(history.Invalid, "a valid configuration was rejected through %s: %v", name, err)
 				}
 			})
@@ -257,7 +259,8 @@
 	return s.First + " and " + s.Second
 }
 
-// PlanDay returns the steps of a random run. They depend on its seed alone.
+// PlanDay returns the steps of a random run. They depend on its seed alone. In a pair of faults, a
+// wipe comes first and a drain second.
 func PlanDay(seed uint64) []Step {
 	r := rand.New(rand.NewPCG(seed, 3))
 	names := FaultNames()
--- a/internal/testing/sim/intercept.go
+++ b/internal/testing/sim/intercept.go
@@ -29,8 +29,9 @@
 	hits int
 }
 
-// PauseCalls pauses matching calls where they are until they are released or their deadline passes.
-// The first function releases them. The second returns how many were paused.
+// PauseCalls pauses calls at each point that matches, until they are released or their deadline
+// passes. The first function that it returns releases them. The second returns how often a call was
+// paused.
 func (w *World) PauseCalls(match func(CallPoint) bool) (release func(), hits func() int) {
 	paused := &pausedCalls{match: match, released: make(chan struct{})}
 	w.mu.Lock()
@@ -41,8 +42,8 @@
 	release = func() {
 		once.Do(func() {
 			w.mu.Lock()
-			for i, x := range w.pauses {
-				if x == paused {
+			for i, candidate := range w.pauses {
+				if candidate == paused {
 					w.pauses = append(append([]*pausedCalls(nil), w.pauses[:i]...), w.pauses[i+1:]...)
 					break
 				}
@@ -100,8 +101,8 @@
 	}
 }
 
-// applyCallFault delays a call by its fault, until its deadline when it is lost. It returns the
-// delay of its duplicate, 0 for none.
+// applyCallFault delays a call by its fault. A call that is lost waits until its deadline.
+// applyCallFault returns the delay of the call's duplicate, or 0 if there is none.
 func (w *World) applyCallFault(ctx context.Context, point CallPoint) time.Duration {
 	w.mu.Lock()
 	intercept := w.intercept
--- a/internal/testing/sim/lineclients.go
+++ b/internal/testing/sim/lineclients.go
@@ -24,7 +24,8 @@
 	world   *World
 	Checker *deliverycheck.Checker
 	Load    Load
-	Calm    atomic.Bool
+	// Calm is set once the fleet has been without faults for a while.
+	Calm atomic.Bool
 	// NoPauses keeps every client reading without pauses.
 	NoPauses bool
 	// AnyCursorAge lets late clients resume from cursors of any age.
@@ -120,7 +121,7 @@
 	time.Sleep(d)
 }
 
-// sendLoop carries what the client sends.
+// sendLoop passes what the client sends to the server after the link's latency.
 func (s *lineSession) sendLoop() {
 	for {
 		select {
@@ -137,14 +138,15 @@
 			return
 		}
 		s.mu.Lock()
-		b := s.outgoing
+		data := s.outgoing
 		s.outgoing = nil
 		s.mu.Unlock()
-		s.conn.deliver(b)
+		s.conn.deliver(data)
 	}
 }
 
-// receiveLoop carries what the client receives.
+// receiveLoop passes each response to the client after the link's latency, unless its reading is
+// paused.
 func (s *lineSession) receiveLoop() {
 	var buffer []byte
 	for {
@@ -195,8 +197,8 @@
 		}}
 }
 
-// connect opens a connection to a machine. It returns nil where no process accepts it. A scripted
-// session is never chosen for a pause, from its first moment on.
+// connect opens a connection to a machine. It returns nil if no process accepts it. A scripted
+// session is marked before it is added to the sessions, so that pauseOne never chooses it.
 func (c *LineClients) connect(m *Machine, scripted bool, onResponse func(session.Response, time.Time),
 	onBroken func()) *lineSession {
 	services := m.services()
@@ -287,26 +289,26 @@
 		if load.Habits != nil {
 			load.Habits(&client.Habits)
 		}
-		for _, k := range r.Perm(load.Topics)[:min(load.Topics, 4+r.IntN(4))] {
-			client.Follow = append(client.Follow, simclient.Topic{Name: fmt.Sprintf("kept/t%d", k), Retained: true})
+		for _, topicIndex := range r.Perm(load.Topics)[:min(load.Topics, 4+r.IntN(4))] {
+			client.Follow = append(client.Follow, simclient.Topic{Name: fmt.Sprintf("kept/t%d", topicIndex), Retained: true})
 		}
 		if load.LiveTopics > 0 && i%2 == 0 {
-			t := fmt.Sprintf("live/l%d", r.IntN(load.LiveTopics))
-			client.Follow = append(client.Follow, simclient.Topic{Name: t})
-			client.SendTopics = append(client.SendTopics, simclient.SendTopic{Topic: t, Window: 1, Interval: 2 * load.SendInterval})
+			topic := fmt.Sprintf("live/l%d", r.IntN(load.LiveTopics))
+			client.Follow = append(client.Follow, simclient.Topic{Name: topic})
+			client.SendTopics = append(client.SendTopics, simclient.SendTopic{Topic: topic, Window: 1, Interval: 2 * load.SendInterval})
 		}
 		for index := range 2 {
-			width := 1
+			window := 1
 			if i%4 == 0 && index == 0 {
-				width = 8
+				window = 8
 			}
 			client.SendTopics = append(client.SendTopics, simclient.SendTopic{Topic: fmt.Sprintf("kept/t%d", (i+index*7)%max(1, load.Topics)),
-				Window: width, Interval: load.SendInterval / time.Duration(width)})
+				Window: window, Interval: load.SendInterval / time.Duration(window)})
 		}
-		client.Saved = func(t simclient.Topic) {
+		client.Saved = func(topic simclient.Topic) {
 			clients.mu.Lock()
 			defer clients.mu.Unlock()
-			clients.savedCursors = append(clients.savedCursors, t)
+			clients.savedCursors = append(clients.savedCursors, topic)
 		}
 		clients.startClient(client)
 	}
@@ -353,13 +355,13 @@
 	c.wg.Go(func() { client.Run(c.world.ctx, c.sendCtx) })
 }
 
-// StartLate starts clients that resume from cursors given to others since a moment.
+// StartLate starts clients that resume from cursors that other clients were given after a time.
 func (c *LineClients) StartLate(count int, since time.Time) {
 	c.mu.Lock()
 	var cursors []simclient.Topic
-	for _, t := range c.savedCursors {
-		if c.AnyCursorAge || t.Given.After(since) {
-			cursors = append(cursors, t)
+	for _, topic := range c.savedCursors {
+		if c.AnyCursorAge || topic.Given.After(since) {
+			cursors = append(cursors, topic)
 		}
 	}
 	c.mu.Unlock()
@@ -373,9 +375,9 @@
 			if len(cursors) == 0 {
 				break
 			}
-			if t := cursors[client.Rand.IntN(len(cursors))]; !seen[t.Name] {
-				seen[t.Name] = true
-				client.Follow = append(client.Follow, t)
+			if topic := cursors[client.Rand.IntN(len(cursors))]; !seen[topic.Name] {
+				seen[topic.Name] = true
+				client.Follow = append(client.Follow, topic)
 			}
 		}
 		if len(client.Follow) > 0 {
@@ -384,7 +386,8 @@
 	}
 }
 
-// RandomCallFaults returns a seeded choice of faults for the calls by which nodes follow topics.
+// RandomCallFaults returns a function that draws faults from a seed for a share of the calls by
+// which nodes follow topics.
 func RandomCallFaults(seed uint64, share float64) func(CallPoint) CallFault {
 	var mu sync.Mutex
 	r := rand.New(rand.NewPCG(seed, 77))
--- a/internal/testing/sim/load.go
+++ b/internal/testing/sim/load.go
@@ -51,7 +51,8 @@
 	Habits func(h *simclient.Habits)
 }
 
-// Configuration returns the configuration document of a load, on a base.
+// Configuration returns the configuration document of a load. Its base is the sequence number of the
+// configuration that it replaces.
 func (l Load) Configuration(base uint64) []byte {
 	list := func(prefix string, n int) string {
 		names := ""
@@ -113,9 +114,9 @@
 			fmt.Sprintf("kept/t%d", (first+1+rng.IntN(max(1, load.Topics-1)))%load.Topics)}
 		client.Sends = []string{fmt.Sprintf("kept/t%d", first)}
 		if load.LiveTopics > 0 && i < 2*load.LiveTopics {
-			t := fmt.Sprintf("live/l%d", i%load.LiveTopics)
-			client.Live[t] = true
-			client.Follows, client.Sends = append(client.Follows, t), append(client.Sends, t)
+			topic := fmt.Sprintf("live/l%d", i%load.LiveTopics)
+			client.Live[topic] = true
+			client.Follows, client.Sends = append(client.Follows, topic), append(client.Sends, topic)
 		}
 		if i < 2*load.UrgentSenders {
 			client.Urgent["stop/line"] = true
--- a/internal/testing/sim/machine.go
+++ b/internal/testing/sim/machine.go
@@ -23,7 +23,9 @@
 	Opts  settings.Options
 	Disk  *memlog.Disk
 
-	// mu guards all fields below.
+	// mu guards all fields below. A process is current while its number equals run. frozen is nil
+	// while the machine is not frozen, and is closed when it thaws. resetCh is closed when the
+	// machine's connections are reset.
 	mu           sync.Mutex
 	running      *node.Node
 	serving      *transport.Services
@@ -100,6 +102,8 @@
 	}
 }
 
+// processDisk is a machine's disk as one of its processes uses it. Writes fail once that process has
+// ended.
 type processDisk struct {
 	journal.Log
 	machine *Machine
@@ -227,7 +231,7 @@
 	if m.serving != nil {
 		close(m.serving.Ended)
 	}
-	server := m.lineServer
+	lines := m.lineServer
 	m.running, m.serving, m.lineServer = nil, nil, nil
 	m.run++
 	if process != nil && !m.unpowered {
@@ -242,8 +246,8 @@
 	if process != nil {
 		process.Kill()
 	}
-	if server != nil {
-		go func() { _ = server.server.Close() }()
+	if lines != nil {
+		go func() { _ = lines.server.Close() }()
 	}
 }
 
--- a/internal/testing/sim/network.go
+++ b/internal/testing/sim/network.go
@@ -33,14 +33,14 @@
 func (w *World) listenerAt(addr string) (listener, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	s, ok := w.listeners[addr]
-	return s, ok
+	l, ok := w.listeners[addr]
+	return l, ok
 }
 
-func (w *World) isCut(a, b string) bool {
+func (w *World) isCut(from, to string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.cuts[[2]string{a, b}] || w.cuts[[2]string{a, "*"}] || w.cuts[[2]string{"*", b}]
+	return w.cuts[[2]string{from, to}] || w.cuts[[2]string{from, "*"}] || w.cuts[[2]string{"*", to}]
 }
 
 type endpoint struct {
@@ -49,7 +49,7 @@
 	run     int
 }
 
-const retransmit = 200 * time.Millisecond
+const retransmitTimeout = 200 * time.Millisecond
 
 // linkRandom returns the next random number of a link. It depends only on the seed, the link and
 // how many numbers the link has drawn before.
@@ -77,8 +77,8 @@
 	w.mu.Lock()
 	loss := w.lossRate
 	w.mu.Unlock()
-	for k := retransmit; w.linkRandom(from, to) < loss; k *= 2 {
-		delay += k
+	for timeout := retransmitTimeout; w.linkRandom(from, to) < loss; timeout *= 2 {
+		delay += timeout
 	}
 	t := time.NewTimer(delay)
 	defer t.Stop()
@@ -92,11 +92,11 @@
 
 // waitForReset waits as a call to a machine without power does: nothing arrives until the machine
 // is back and resets the connection.
-func waitForReset(ctx context.Context, broken <-chan struct{}, m *Machine) error {
+func waitForReset(ctx context.Context, reset <-chan struct{}, m *Machine) error {
 	select {
 	case <-ctx.Done():
 		return apierror.WithCause(apierror.Unreachable, ctx.Err(), "no answer from %s, which has no power", m.Opts.Name)
-	case <-broken:
+	case <-reset:
 		return apierror.WithCause(apierror.Unreachable, syscall.ECONNRESET, "the connections of %s were reset", m.Opts.Name)
 	}
 }
@@ -128,17 +128,17 @@
 	if err := e.transmit(ctx, e.machine, target.machine); err != nil {
 		return nil, err
 	}
-	broken := target.machine.resetSignal()
+	targetReset := target.machine.resetSignal()
 	if target.machine.isUnpowered() {
-		return nil, waitForReset(ctx, broken, target.machine)
+		return nil, waitForReset(ctx, targetReset, target.machine)
 	}
 	if _, run := target.machine.node(); run != target.run {
 		return nil, apierror.WithCause(apierror.Unreachable, syscall.ECONNREFUSED, "connection refused by %s",
 			target.machine.Opts.Name)
 	}
 	type outcome struct {
-		r   *http.Response
-		err error
+		response *http.Response
+		err      error
 	}
 	outcomes := make(chan outcome, 1)
 	serve := func(ctx context.Context) *httptest.ResponseRecorder {
@@ -158,7 +158,7 @@
 		target.machine.waitWhileFrozen()
 		if _, run := target.machine.node(); run != target.run {
 			if target.machine.isUnpowered() {
-				outcomes <- outcome{nil, waitForReset(ctx, broken, target.machine)}
+				outcomes <- outcome{nil, waitForReset(ctx, targetReset, target.machine)}
 				return
 			}
 			outcomes <- outcome{nil, apierror.WithCause(apierror.Unreachable, syscall.ECONNRESET, "connection reset by %s",
@@ -175,7 +175,7 @@
 	select {
 	case <-e.machine.resetSignal():
 		return nil, apierror.New(apierror.Unreachable, "the connections of %s were reset", e.machine.Opts.Name)
-	case <-broken:
+	case <-targetReset:
 		return nil, apierror.WithCause(apierror.Unreachable, syscall.ECONNRESET, "the connections of %s were reset",
 			target.machine.Opts.Name)
 	case result := <-outcomes:
@@ -184,9 +184,9 @@
 			return nil, errProcessEnded
 		}
 		if result.err == nil {
-			e.world.recordPromise(r.URL.Path, body, result.r, sentAt)
+			e.world.recordPromise(r.URL.Path, body, result.response, sentAt)
 		}
-		return result.r, result.err
+		return result.response, result.err
 	case <-ctx.Done():
 		e.machine.waitWhileFrozen()
 		return nil, apierror.WithCause(apierror.Unreachable, ctx.Err(), "no answer from %s", target.machine.Opts.Name)
--- a/internal/testing/sim/observe.go
+++ b/internal/testing/sim/observe.go
@@ -18,7 +18,7 @@
 
 // callNode runs a function on a machine's process. It gives up after a limit, since a frozen
 // process gives no answer.
-func (w *World) callNode(name string, limit time.Duration, call func(ctx context.Context, x *node.Node) error) error {
+func (w *World) callNode(name string, limit time.Duration, call func(ctx context.Context, process *node.Node) error) error {
 	process := w.Machines[name].Node()
 	if process == nil {
 		return apierror.New(apierror.Unreachable, "%s is down", name)
@@ -41,14 +41,14 @@
 func (w *World) isDecommissioned(name string) func() bool {
 	return func() bool {
 		var done atomic.Bool
-		for _, k := range w.Names {
-			if k[0] == 'c' && !done.Load() {
-				_ = w.callNode(k, w.Site.Timing.CallTimeout(), func(ctx context.Context, x *node.Node) error {
-					v, err := x.Operators.Client.Read(ctx, decommission.Key)
+		for _, control := range w.Names {
+			if control[0] == 'c' && !done.Load() {
+				_ = w.callNode(control, w.Site.Timing.CallTimeout(), func(ctx context.Context, process *node.Node) error {
+					value, err := process.Operators.Client.Read(ctx, decommission.Key)
 					if err != nil {
 						return err
 					}
-					orders, err := decommission.Parse(v.Body)
+					orders, err := decommission.Parse(value.Body)
 					done.Store(err == nil && orders[name].Done)
 					return err
 				})
@@ -58,22 +58,22 @@
 	}
 }
 
-// Transport returns a machine as clients reach it.
+// Transport returns the transport by which clients reach a machine.
 func (w *World) Transport(name string) transport.Transport {
 	return &transport.Direct{Node: w.Machines[name].services, Gate: w.Machines[name].waitWhileFrozen}
 }
 
-// ReadyTransports returns the machines that are ready, as the platform's load balancer selects
-// them. It returns all machines when none is ready.
+// ReadyTransports returns the transports of the machines that are ready, as the platform's load
+// balancer selects them. It returns those of all machines when none is ready.
 func (w *World) ReadyTransports() []transport.Transport {
 	var transports []transport.Transport
 	for _, n := range w.Names {
 		m := w.Machines[n]
 		m.mu.Lock()
-		ok := m.serving != nil && m.frozen == nil
-		s := m.serving
+		available := m.serving != nil && m.frozen == nil
+		services := m.serving
 		m.mu.Unlock()
-		if ok && s.API.Ready() == nil {
+		if available && services.API.Ready() == nil {
 			transports = append(transports, w.Transport(n))
 		}
 	}
@@ -109,13 +109,13 @@
 	return nil
 }
 
-// StopSending stops the senders and waits until clients have caught up. It returns when it stopped
-// them.
+// StopSending stops the senders and waits for clients to catch up. It returns the time at which it
+// stopped the senders.
 func (w *World) StopSending(wait time.Duration) time.Time {
 	w.stopSending()
-	at := time.Now()
+	stoppedAt := time.Now()
 	time.Sleep(wait)
-	return at
+	return stoppedAt
 }
 
 // Put writes a configuration through a machine and records the outcome.
--- a/internal/testing/sim/promises.go
+++ b/internal/testing/sim/promises.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// recordPromise records the promise of a disk that a response between machines contains.
+// recordPromise records the promise that a disk made with a response between machines, if it made
+// one.
 func (w *World) recordPromise(path string, request []byte, response *http.Response, sentAt time.Time) {
 	read, ok := promiseReaders[path]
 	if !ok {
--- a/internal/testing/sim/readback.go
+++ b/internal/testing/sim/readback.go
@@ -11,7 +11,7 @@
 	"postjunction/internal/testing/history"
 )
 
-// SavedCursor is a cursor into all kept topics at one moment.
+// SavedCursor is a cursor into its topics, and the time at which it was saved.
 type SavedCursor struct {
 	Cursor string
 	Since  time.Time
@@ -44,7 +44,8 @@
 	return err
 }
 
-// SaveCursor gets a cursor into all kept topics now, for reading back after the final fault.
+// SaveCursor gets a cursor into all kept topics now, from which they are read back after the final
+// fault.
 func (w *World) SaveCursor(load Load) (SavedCursor, error) {
 	saved := SavedCursor{Since: time.Now()}
 	for i := range load.Topics {
--- a/internal/testing/sim/scripted.go
+++ b/internal/testing/sim/scripted.go
@@ -37,7 +37,7 @@
 
 const scriptedTimeout = 3 * time.Second
 
-// ConnectScripted connects and attaches a scripted client. It returns nil where no node answers.
+// ConnectScripted connects and attaches a scripted client. It returns nil if no node answers.
 func (c *LineClients) ConnectScripted(machine, name string) *ScriptedClient {
 	client := &ScriptedClient{Name: name, Machine: machine, clients: c, subscriptions: map[string]*deliverycheck.Subscription{},
 		cursors: map[string]string{}, notify: make(chan struct{}, 1)}
@@ -46,9 +46,9 @@
 		return nil
 	}
 	client.session.Do(session.Request{Verb: session.Attach, Client: name})
-	if a, ok := client.Wait(0, scriptedTimeout, func(a session.Response) bool {
-		return a.Type == session.Attached || a.InReplyTo == session.Attach
-	}); !ok || a.Type != session.Attached {
+	if response, ok := client.Wait(0, scriptedTimeout, func(response session.Response) bool {
+		return response.Type == session.Attached || response.InReplyTo == session.Attach
+	}); !ok || response.Type != session.Attached {
 		client.session.End()
 		return nil
 	}
@@ -87,8 +87,8 @@
 // End closes the connection and ends all subscriptions.
 func (c *ScriptedClient) End() {
 	c.mu.Lock()
-	for _, s := range c.subscriptions {
-		s.Ended(time.Now())
+	for _, subscription := range c.subscriptions {
+		subscription.Ended(time.Now())
 	}
 	c.mu.Unlock()
 	c.onBroken()
@@ -147,17 +147,17 @@
 	return c.responses[:len(c.responses):len(c.responses)]
 }
 
-// Wait waits for a matching response from an index on.
-func (c *ScriptedClient) Wait(from int, limit time.Duration, ok func(session.Response) bool) (TimedResponse, bool) {
+// Wait waits for the first matching response whose index is at least from.
+func (c *ScriptedClient) Wait(from int, limit time.Duration, matches func(session.Response) bool) (TimedResponse, bool) {
 	end := time.NewTimer(limit)
 	defer end.Stop()
 	for {
 		c.mu.Lock()
 		for ; from < len(c.responses); from++ {
-			if ok(c.responses[from].Response) {
-				s := c.responses[from]
+			if matches(c.responses[from].Response) {
+				response := c.responses[from]
 				c.mu.Unlock()
-				return s, true
+				return response, true
 			}
 		}
 		ended := c.ended
@@ -180,13 +180,13 @@
 	if c.subscriptions[topic] == nil {
 		c.subscriptions[topic] = c.clients.Checker.Subscribe(c.Name, topic, strings.HasPrefix(topic, "kept/"))
 	}
-	n := len(c.responses)
+	received := len(c.responses)
 	c.mu.Unlock()
 	c.session.Do(session.Request{Verb: session.Subscribe, Topic: topic, Cursor: cursor})
-	s, ok := c.Wait(n, scriptedTimeout, func(a session.Response) bool {
-		return a.Topic == topic && (a.Type == session.Subscribed || a.InReplyTo == session.Subscribe)
+	response, ok := c.Wait(received, scriptedTimeout, func(candidate session.Response) bool {
+		return candidate.Topic == topic && (candidate.Type == session.Subscribed || candidate.InReplyTo == session.Subscribe)
 	})
-	return s, ok && s.Type == session.Subscribed
+	return response, ok && response.Type == session.Subscribed
 }
 
 // Resume continues the subscription of an ended client of the same name, and its record in the
@@ -194,9 +194,9 @@
 func (c *ScriptedClient) Resume(previous *ScriptedClient, topic string) (TimedResponse, bool) {
 	previous.mu.Lock()
 	cursor := previous.cursors[topic]
-	for _, s := range previous.responses {
-		if s.Topic == topic && s.Cursor != "" {
-			cursor = s.Cursor
+	for _, response := range previous.responses {
+		if response.Topic == topic && response.Cursor != "" {
+			cursor = response.Cursor
 		}
 	}
 	subscription, responses := previous.subscriptions[topic], previous.responses
@@ -223,10 +223,10 @@
 
 // Send sends and returns the response.
 func (c *ScriptedClient) Send(topic, key string, call uint64) (TimedResponse, bool) {
-	n := c.ResponseCount()
+	received := c.ResponseCount()
 	c.SendAsync(topic, key, call)
-	return c.Wait(n, scriptedTimeout, func(a session.Response) bool {
-		return a.Topic == topic && a.CallSeq == call && (a.Type == session.Accepted || a.InReplyTo == session.Send)
+	return c.Wait(received, scriptedTimeout, func(response session.Response) bool {
+		return response.Topic == topic && response.CallSeq == call && (response.Type == session.Accepted || response.InReplyTo == session.Send)
 	})
 }
 
@@ -234,11 +234,11 @@
 // accepted.
 func (c *ScriptedClient) SendAccepted(topic, key string, call uint64) bool {
 	for range 20 {
-		s, ok := c.Send(topic, key, call)
-		if ok && s.Type == session.Accepted {
+		response, ok := c.Send(topic, key, call)
+		if ok && response.Type == session.Accepted {
 			return true
 		}
-		if ok && simclient.FinalRejections[apierror.From(s.Err).Code] {
+		if ok && simclient.FinalRejections[apierror.From(response.Err).Code] {
 			return false
 		}
 		time.Sleep(c.clients.world.Site.Timing.MaxBackoff())
@@ -250,12 +250,12 @@
 func (c *ScriptedClient) Withdraw(withdrawal deliverycheck.Withdrawal) (TimedResponse, bool) {
 	withdrawal.Client = c.Name
 	attempt := c.clients.Checker.Withdraw(withdrawal, time.Now())
-	n := c.ResponseCount()
+	received := c.ResponseCount()
 	c.session.Do(session.Request{Verb: session.Withdraw, Topic: withdrawal.Topic, Key: withdrawal.Key,
 		CallSeq: withdrawal.Call, WithdrawSender: withdrawal.Sender, WithdrawUpTo: withdrawal.UpTo})
-	response, ok := c.Wait(n, scriptedTimeout, func(a session.Response) bool {
-		return a.Topic == withdrawal.Topic && a.CallSeq == withdrawal.Call &&
-			(a.Type == session.WithdrawalComplete || a.InReplyTo == session.Withdraw)
+	response, ok := c.Wait(received, scriptedTimeout, func(candidate session.Response) bool {
+		return candidate.Topic == withdrawal.Topic && candidate.CallSeq == withdrawal.Call &&
+			(candidate.Type == session.WithdrawalComplete || candidate.InReplyTo == session.Withdraw)
 	})
 	switch {
 	case !ok:
--- a/internal/testing/sim/socket.go
+++ b/internal/testing/sim/socket.go
@@ -166,22 +166,22 @@
 const maxLineBytes = 64 << 10
 
 // ReadRequest reads one line as a request.
-func (lineCodec) ReadRequest(r *bufio.Reader, _ int) (t session.Request, err error) {
-	b, err := lineserver.ReadLine(r, maxLineBytes)
+func (lineCodec) ReadRequest(r *bufio.Reader, _ int) (request session.Request, err error) {
+	line, err := lineserver.ReadLine(r, maxLineBytes)
 	if err != nil {
-		return t, err
+		return request, err
 	}
-	return t, json.Unmarshal(b, &t)
+	return request, json.Unmarshal(line, &request)
 }
 
 // AppendResponse appends a response as one line.
-func (lineCodec) AppendResponse(b []byte, a session.Response) []byte {
-	response := lineResponse{Response: a}
-	if a.Err != nil {
-		response.Err = apierror.From(a.Err)
-		response.Failure = a.Err.Error()
+func (lineCodec) AppendResponse(b []byte, response session.Response) []byte {
+	encoded := lineResponse{Response: response}
+	if response.Err != nil {
+		encoded.Err = apierror.From(response.Err)
+		encoded.Failure = response.Err.Error()
 	}
-	line, err := json.Marshal(response)
+	line, err := json.Marshal(encoded)
 	if err != nil {
 		panic(err)
 	}
--- a/internal/testing/sim/world.go
+++ b/internal/testing/sim/world.go
@@ -39,7 +39,7 @@
 	DiskMB map[string]int
 }
 
-// Armor and Traductores are the two deployments with fewer access machines.
+// Armor and Traductores are two of the users' deployments, simulated with fewer access machines.
 var (
 	Armor = Site{Zones: 3, Control: 3, Access: 1, Storage: 3, Latency: 500 * time.Microsecond,
 		Timing: settings.DefaultTiming, Routine: 4, Urgent: 2}
@@ -110,7 +110,7 @@
 	add("s", settings.DiskStorage, site.Storage)
 	add("a", settings.DiskNone, site.Access)
 	for _, n := range site.Spares {
-		w.spare(n)
+		w.createSpare(n)
 	}
 	for _, m := range w.Machines {
 		m.Opts.Seeds = seeds
@@ -139,17 +139,18 @@
 	return opts
 }
 
-// spare makes a machine like an existing one, with an empty disk and its own name and address. It
-// never bootstraps a fleet and is absent until it is added.
-func (w *World) spare(like string) {
-	existing := w.Machines[like].Opts
-	opts := w.newSettings(like+"b", existing.Zone, existing.Disk)
+// createSpare makes a machine like an existing one, with an empty disk and its own name and address.
+// It never bootstraps a fleet and is absent until it is added.
+func (w *World) createSpare(original string) {
+	existing := w.Machines[original].Opts
+	opts := w.newSettings(original+"b", existing.Zone, existing.Disk)
 	opts.BootstrapBy = settings.BootstrapNever
 	w.Machines[opts.Name] = &Machine{world: w, Opts: opts, Disk: memlog.New(), resetCh: make(chan struct{}), removed: true}
 	w.Names = append(w.Names, opts.Name)
 }
 
-// Remove removes a machine for good. A graceful removal stops its process in good order first.
+// Remove removes a machine for good. A graceful removal first stops its process
+// gracefully.
 func (w *World) Remove(name string, graceful bool) {
 	if graceful {
 		w.Terminate(name)
