--- a/internal/testing/sim/boot_test.go
+++ b/internal/testing/sim/boot_test.go
@@ -28,11 +28,11 @@
 		return w.Names
 	}, shortDowntime},
 	{"all core processes are killed", func(w *World) []string {
-		ns := slices.DeleteFunc(slices.Clone(w.Names), func(n string) bool { return n[0] == 'a' })
-		for _, n := range ns {
+		names := slices.DeleteFunc(slices.Clone(w.Names), func(n string) bool { return n[0] == 'a' })
+		for _, n := range names {
 			w.Kill(n)
 		}
-		return ns
+		return names
 	}, shortDowntime},
 	{"one storage node is killed", func(w *World) []string {
 		n := busiest(w)
@@ -44,9 +44,9 @@
 func shortDowntime(w *World) time.Duration { return time.Duration(500+w.Int(1200)) * time.Millisecond }
 
 func restartSite(seed uint64) Site {
-	s := siteForSeed(seed)
-	s.Access, s.Routine, s.Urgent, s.Sync = 2, 12, 4, 5*time.Millisecond
-	return s
+	site := siteForSeed(seed)
+	site.Access, site.Routine, site.Urgent, site.Sync = 2, 12, 4, 5*time.Millisecond
+	return site
 }
 
 var restartLoad = Load{HTTPClients: 1, Topics: 40, LiveTopics: 4, UrgentSenders: 1}
@@ -68,7 +68,7 @@
 	assert.NilError(t, err)
 	time.Sleep(w.Site.Timing.Spread)
 	var mu sync.Mutex
-	last := map[string]uint64{}
+	lastOffset := map[string]uint64{}
 	send := func(node, topic, client string, callSeq uint64) bool {
 		running := w.Machines[node].Node()
 		if running == nil || running.Ready() != nil {
@@ -80,10 +80,10 @@
 		}
 		p := partition.Of(topic, space.Urgent, running.Store.VoterSet().Layout)
 		done := make(chan error, 1)
-		running.Sessions.PartitionLog.SubmitAsync(w.ctx, p, &leader.Message{Client: client, Topic: topic, CallSeq: callSeq, Body: []byte(`"b"`)}, time.Now().Add(w.Site.Timing.CallTimeout()), func(d *leader.Decision, err error) {
+		running.Sessions.PartitionLog.SubmitAsync(w.ctx, p, &leader.Message{Client: client, Topic: topic, CallSeq: callSeq, Body: []byte(`"b"`)}, time.Now().Add(w.Site.Timing.CallTimeout()), func(decision *leader.Decision, err error) {
 			if err == nil {
 				mu.Lock()
-				last[topic] = max(last[topic], d.Offset)
+				lastOffset[topic] = max(lastOffset[topic], decision.Offset)
 				mu.Unlock()
 			}
 			done <- err
@@ -98,9 +98,9 @@
 	for _, topic := range topics {
 		assert.NilError(t, w.WaitUntil(20*time.Second, topic+" is accepted", func() bool { return send("a1", topic, "warm", 1) }))
 	}
-	from := map[string]uint64{}
-	for k, v := range last {
-		from[k] = v
+	offsetBefore := map[string]uint64{}
+	for topic, offset := range lastOffset {
+		offsetBefore[topic] = offset
 	}
 	names := stopNodes(w)
 	time.Sleep(downtime)
@@ -137,7 +137,7 @@
 						tick()
 						continue
 					}
-					after := from[topic]
+					after := offsetBefore[topic]
 					subscription := running.Sessions.Hub.NewSubscription(partition.Of(topic, space.Urgent, running.Store.VoterSet().Layout), topic)
 					subscription.After = &after
 					opened, delivered, broken := make(chan error, 1), make(chan struct{}), make(chan struct{})
@@ -169,9 +169,9 @@
 		}
 	}
 	wg.Wait()
-	for _, l := range []*[]time.Duration{&times.open, &times.accept, &times.deliver} {
-		slices.Sort(*l)
-		assert.Equal(t, len(*l), len(topics)*w.Site.Access)
+	for _, durations := range []*[]time.Duration{&times.open, &times.accept, &times.deliver} {
+		slices.Sort(*durations)
+		assert.Equal(t, len(*durations), len(topics)*w.Site.Access)
 	}
 	return times
 }
@@ -183,14 +183,14 @@
 // TestMeasureBoot measures the time from the start of processes to service.
 func TestMeasureBoot(t *testing.T) {
 	skipUnlessMeasuring(t)
-	for _, way := range restarts {
+	for _, restart := range restarts {
 		var all serviceTimes
 		var worst []time.Duration
 		for seed := range uint64(seeds(8)) {
 			runFleet(t, restartSite(seed), seed, func(t *testing.T, w *World) {
-				b := measureRestart(t, w, way.stop, way.downtime(w))
-				all.open, all.accept, all.deliver = append(all.open, b.open...), append(all.accept, b.accept...), append(all.deliver, b.deliver...)
-				worst = append(worst, max(percentile(b.open, 1), percentile(b.accept, 1), percentile(b.deliver, 1)))
+				times := measureRestart(t, w, restart.stop, restart.downtime(w))
+				all.open, all.accept, all.deliver = append(all.open, times.open...), append(all.accept, times.accept...), append(all.deliver, times.deliver...)
+				worst = append(worst, max(percentile(times.open, 1), percentile(times.accept, 1), percentile(times.deliver, 1)))
 			})
 		}
 		slices.Sort(worst)
@@ -199,9 +199,9 @@
 			times []time.Duration
 		}{{"opened", all.open}, {"accepted", all.accept}, {"delivered", all.deliver}} {
 			slices.Sort(series.times)
-			t.Logf("%s, %s: p10 %s, p50 %s, p90 %s, max %s", way.name, series.what, percentile(series.times, .1), percentile(series.times, .5), percentile(series.times, .9), percentile(series.times, 1))
+			t.Logf("%s, %s: p10 %s, p50 %s, p90 %s, max %s", restart.name, series.what, percentile(series.times, .1), percentile(series.times, .5), percentile(series.times, .9), percentile(series.times, 1))
 		}
-		t.Logf("%s: everything after p50 %s, %s to %s", way.name, percentile(worst, .5), worst[0], percentile(worst, 1))
+		t.Logf("%s: everything after p50 %s, %s to %s", restart.name, percentile(worst, .5), worst[0], percentile(worst, 1))
 	}
 }
 
@@ -212,12 +212,12 @@
 func TestServiceIsBackSoonAfterProcessesStart(t *testing.T) {
 	t.Parallel()
 	skipUnderRace(t)
-	for _, way := range restarts {
+	for _, restart := range restarts {
 		for seed := range uint64(seeds(2)) {
 			runFleet(t, restartSite(seed), 300+seed, func(t *testing.T, w *World) {
-				b := measureRestart(t, w, way.stop, way.downtime(w))
-				last := max(percentile(b.open, 1), percentile(b.accept, 1), percentile(b.deliver, 1))
-				assert.Assert(t, last < w.Site.Timing.ReconcileInterval(), "seed %d: %s: everything only after %s", seed, way.name, last)
+				times := measureRestart(t, w, restart.stop, restart.downtime(w))
+				slowest := max(percentile(times.open, 1), percentile(times.accept, 1), percentile(times.deliver, 1))
+				assert.Assert(t, slowest < w.Site.Timing.ReconcileInterval(), "seed %d: %s: everything only after %s", seed, restart.name, slowest)
 			})
 		}
 	}
--- a/internal/testing/sim/bootstrap_test.go
+++ b/internal/testing/sim/bootstrap_test.go
@@ -12,10 +12,10 @@
 	"postjunction/internal/settings"
 )
 
-func seedSite(control, known int) Site {
-	s := Armor
-	s.Control, s.Access, s.BootstrapBy, s.ControlSeeds = control, 3, settings.BootstrapSeeds, known
-	return s
+func seedSite(control, controlSeeds int) Site {
+	site := Armor
+	site.Control, site.Access, site.BootstrapBy, site.ControlSeeds = control, 3, settings.BootstrapSeeds, controlSeeds
+	return site
 }
 
 // allNodesAreVoters reports whether every running control node is a voter with its present disk,
@@ -23,8 +23,8 @@
 func (w *World) allNodesAreVoters() bool {
 	var newest uint64
 	for _, n := range w.Names {
-		if x := w.Machines[n].Node(); x != nil {
-			newest = max(newest, x.VoterSet().Sequence)
+		if process := w.Machines[n].Node(); process != nil {
+			newest = max(newest, process.VoterSet().Sequence)
 		}
 	}
 	for _, name := range w.Names {
@@ -53,9 +53,9 @@
 					w := New(seedSite(control, controlSeeds), uint64(10*control+controlSeeds), Logger())
 					defer w.Close()
 					assert.NilError(t, w.Start(w.Names...))
-					at := time.Now()
+					startedAt := time.Now()
 					assert.NilError(t, w.WaitUntil(3*time.Second, "all control nodes are voters", w.allNodesAreVoters))
-					t.Logf("all control nodes are voters after %s under voter set %d", time.Since(at), w.Machines["c1"].Node().VoterSet().Sequence)
+					t.Logf("all control nodes are voters after %s under voter set %d", time.Since(startedAt), w.Machines["c1"].Node().VoterSet().Sequence)
 					assert.NilError(t, w.WaitReady(3*time.Second))
 					fleets := map[string]bool{}
 					for _, n := range w.Names {
@@ -99,9 +99,9 @@
 		time.Sleep(3 * time.Second)
 		w.Machines["c1"].Opts.BootstrapBy = settings.BootstrapNever
 		assert.NilError(t, w.Start("c1"))
-		at := time.Now()
+		startedAt := time.Now()
 		assert.NilError(t, w.WaitUntil(2*time.Second, "all control nodes are voters again", w.allNodesAreVoters))
-		t.Logf("a voter again after %s", time.Since(at))
+		t.Logf("a voter again after %s", time.Since(startedAt))
 		assert.Equal(t, w.Machines["c1"].Node().VoterSet().Fleet, fleet)
 	})
 }
@@ -110,9 +110,9 @@
 func TestNoBootstrapOnEmptiedDisks(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := Armor
-		s.BootstrapBy = settings.BootstrapNever
-		w := New(s, 7, Logger())
+		site := Armor
+		site.BootstrapBy = settings.BootstrapNever
+		w := New(site, 7, Logger())
 		defer w.Close()
 		assert.NilError(t, w.Start(w.Names...))
 		time.Sleep(20 * time.Second)
@@ -124,8 +124,7 @@
 	})
 }
 
-// A node whose first seeds do not answer, behind a cut, finds the fleet as soon as one seed
-// answers.
+// A node that is cut off from its first seeds finds the fleet as soon as another seed answers.
 func TestSilentSeedsCostNoTime(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -138,8 +137,8 @@
 		w.Machines["a3"].Opts.Seeds = []string{w.Machines["c1"].Opts.PeerListen, w.Machines["a1"].Opts.PeerListen, w.Machines["a2"].Opts.PeerListen}
 		time.Sleep(5 * time.Second)
 		assert.NilError(t, w.Start("a3"))
-		at := time.Now()
+		startedAt := time.Now()
 		assert.NilError(t, w.WaitUntil(time.Second, "a3 has a session", func() bool { return w.Machines["a3"].Node().Operators.ControlNode() != "" }))
-		t.Logf("a session after %s", time.Since(at))
+		t.Logf("a session after %s", time.Since(startedAt))
 	})
 }
--- a/internal/testing/sim/chaos_test.go
+++ b/internal/testing/sim/chaos_test.go
@@ -27,21 +27,21 @@
 			return false
 		}
 	}
-	ref := w.Machines["a1"].Node()
-	r := ref.VoterSet()
-	for _, s := range r.Voters {
-		i := w.Machines[s.Node].Node().Info()
-		if i.Incarnation != s.Incarnation || i.VoterSet != r.Sequence {
+	observer := w.Machines["a1"].Node()
+	voterSet := observer.VoterSet()
+	for _, voter := range voterSet.Voters {
+		info := w.Machines[voter.Node].Node().Info()
+		if info.Incarnation != voter.Incarnation || info.VoterSet != voterSet.Sequence {
 			return false
 		}
 	}
-	for p := range r.Layout.PartitionCount() {
-		x := ref.Store.Record(p)
-		if !x.Recovered || len(x.Replicas) != r.Layout.ReplicationFactor() || x.Learner != nil {
+	for p := range voterSet.Layout.PartitionCount() {
+		record := observer.Store.Record(p)
+		if !record.Recovered || len(record.Replicas) != voterSet.Layout.ReplicationFactor() || record.Learner != nil {
 			return false
 		}
-		for _, q := range x.Replicas {
-			if w.Machines[q.Node].Node().Info().Incarnation != q.Incarnation {
+		for _, replica := range record.Replicas {
+			if w.Machines[replica.Node].Node().Info().Incarnation != replica.Incarnation {
 				return false
 			}
 		}
@@ -52,16 +52,16 @@
 // runSteps runs the steps of a random run. Before a disk is wiped it waits until everything is
 // fully replicated, since the fleet tolerates one loss at a time.
 func (w *World) runSteps(t *testing.T, steps []Step) {
-	rng := func(s uint64) *rand.Rand { return rand.New(rand.NewPCG(s, 7)) }
+	newRand := func(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 7)) }
 	for i, step := range steps {
 		if step.First == "wipe" {
 			assert.NilError(t, w.WaitUntil(90*time.Second, "everything is fully replicated", w.isFullyReplicated), "seed %d, step %d", w.Seed, i)
 		}
 		t.Logf("seed %d: %s: step %d: %s", w.Seed, time.Now().Format("04:05.000"), i, step)
-		undo, undoSecond := Faults[step.First](w, rng(step.FirstSeed)), noUndo
+		undo, undoSecond := Faults[step.First](w, newRand(step.FirstSeed)), noUndo
 		time.Sleep(step.Between)
 		if step.Second != "" {
-			undoSecond = Faults[step.Second](w, rng(step.SecondSeed))
+			undoSecond = Faults[step.Second](w, newRand(step.SecondSeed))
 		}
 		time.Sleep(step.Duration)
 		undo()
@@ -91,19 +91,19 @@
 		if ctx.Err() != nil {
 			return
 		}
-		cx, stop := context.WithTimeout(ctx, w.Site.Timing.Recovery)
+		callCtx, stop := context.WithTimeout(ctx, w.Site.Timing.Recovery)
 		readAt := time.Now()
-		cur, err := w.Transport(from).Get(cx)
+		current, err := w.Transport(from).Get(callCtx)
 		stop()
 		if err != nil {
 			continue
 		}
-		w.History.ReadConfiguration(cur, readAt)
-		doc := w.load.NumberedConfiguration(cur, cur+1+r.Uint64N(9), "")
-		_, err = w.Put(to, doc)
+		w.History.ReadConfiguration(current, readAt)
+		document := w.load.NumberedConfiguration(current, current+1+r.Uint64N(9), "")
+		_, err = w.Put(to, document)
 		if apierror.HasCode(err, apierror.OutcomeUnknown) {
 			to = w.pickMachine(r, "")
-			_, err = w.Put(to, doc)
+			_, err = w.Put(to, document)
 		}
 		if apierror.HasCode(err, apierror.ConfigurationInvalid) {
 			w.History.Violate(history.Invalid, "a valid configuration was rejected through %s: %v", to, err)
@@ -123,28 +123,28 @@
 
 var covered = coverage{pairs: map[string]bool{}, judged: map[string]map[string]int{}}
 
-func (c *coverage) add(seed uint64, steps []Step, r history.Report) {
+func (c *coverage) add(seed uint64, steps []Step, report history.Report) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.runs[seed%2]++
-	c.waits = append(c.waits, r.LongestUndisturbed.Undisturbed)
+	c.waits = append(c.waits, report.LongestUndisturbed.Undisturbed)
 	seen := map[string]bool{}
-	for _, s := range steps {
-		for _, n := range []string{s.First, s.Second} {
-			seen[n] = true
+	for _, step := range steps {
+		for _, fault := range []string{step.First, step.Second} {
+			seen[fault] = true
 		}
-		if s.Second != "" {
-			c.pairs[min(s.First, s.Second)+"+"+max(s.First, s.Second)] = true
+		if step.Second != "" {
+			c.pairs[min(step.First, step.Second)+"+"+max(step.First, step.Second)] = true
 		}
 	}
 	delete(seen, "")
-	for n := range seen {
-		if c.judged[n] == nil {
-			c.judged[n] = map[string]int{}
+	for fault := range seen {
+		if c.judged[fault] == nil {
+			c.judged[fault] = map[string]int{}
 		}
-		for l, ok := range r.Judged {
+		for rule, ok := range report.Judged {
 			if ok {
-				c.judged[n][l]++
+				c.judged[fault][rule]++
 			}
 		}
 	}
@@ -158,20 +158,20 @@
 	if len(c.waits) == 0 {
 		return "no run"
 	}
-	at := func(q float64) time.Duration {
-		return c.waits[int(q*float64(len(c.waits)-1))].Round(10 * time.Millisecond)
+	quantile := func(share float64) time.Duration {
+		return c.waits[int(share*float64(len(c.waits)-1))].Round(10 * time.Millisecond)
 	}
-	k := len(FaultNames())
-	table := fmt.Sprintf("%d runs at armor, %d at traductores, %d of %d pairs of different faults; longest wait after the last disturbance: median %s, p95 %s, most %s\n\n| fault |", c.runs[0], c.runs[1], len(c.pairs), k*(k-1)/2+k, at(0.5), at(0.95), at(1))
-	for _, l := range history.Rules {
-		n, _, _ := strings.Cut(l, " ")
-		table += " " + strings.TrimPrefix(n, "never-") + " |"
+	faultCount := len(FaultNames())
+	table := fmt.Sprintf("%d runs at armor, %d at traductores, %d of %d pairs of different faults; longest wait after the last disturbance: median %s, p95 %s, most %s\n\n| fault |", c.runs[0], c.runs[1], len(c.pairs), faultCount*(faultCount-1)/2+faultCount, quantile(0.5), quantile(0.95), quantile(1))
+	for _, rule := range history.Rules {
+		name, _, _ := strings.Cut(rule, " ")
+		table += " " + strings.TrimPrefix(name, "never-") + " |"
 	}
 	table += "\n|---|" + strings.Repeat("---|", len(history.Rules)) + "\n"
 	for _, fault := range FaultNames() {
 		table += "| " + fault + " |"
-		for _, l := range history.Rules {
-			table += fmt.Sprintf(" %d |", c.judged[fault][l])
+		for _, rule := range history.Rules {
+			table += fmt.Sprintf(" %d |", c.judged[fault][rule])
 		}
 		table += "\n"
 	}
@@ -181,21 +181,21 @@
 func siteForSeed(seed uint64) Site { return []Site{Armor, Traductores}[seed%2] }
 
 func chaos(t *testing.T, seed uint64, steps []Step) {
-	r := runScenario(t, siteForSeed(seed), seed, time.Hour, func(t *testing.T, w *World) {
+	report := runScenario(t, siteForSeed(seed), seed, time.Hour, func(t *testing.T, w *World) {
 		ctx, stop := context.WithCancel(w.ctx)
 		defer stop()
 		w.wg.Go(func() { w.runOperator(ctx) })
 		w.runSteps(t, steps)
 	})
-	covered.add(seed, steps, r)
+	covered.add(seed, steps, report)
 }
 
 // TestSeeds runs random faults, alone and in pairs. PJ_SEEDS=from:to searches further.
 func TestSeeds(t *testing.T) {
 	from, to := uint64(100), uint64(106)
-	if v := os.Getenv("PJ_SEEDS"); v != "" {
-		n, err := fmt.Sscanf(v, "%d:%d", &from, &to)
-		assert.Assert(t, n == 2 && err == nil && from < to, "PJ_SEEDS must be from:to with from below to, is %q", v)
+	if value := os.Getenv("PJ_SEEDS"); value != "" {
+		n, err := fmt.Sscanf(value, "%d:%d", &from, &to)
+		assert.Assert(t, n == 2 && err == nil && from < to, "PJ_SEEDS must be from:to with from below to, is %q", value)
 	}
 	if raced {
 		to = from + 1
@@ -203,10 +203,10 @@
 	if os.Getenv("PJ_SEEDS") != "" {
 		t.Cleanup(func() { t.Logf("\n%s", covered.table()) })
 	}
-	for s := from; s < to; s++ {
-		t.Run(fmt.Sprint(s), func(t *testing.T) {
+	for seed := from; seed < to; seed++ {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			chaos(t, s, PlanDay(s))
+			chaos(t, seed, PlanDay(seed))
 		})
 	}
 }
@@ -221,31 +221,31 @@
 	}
 	seed, err := strconv.ParseUint(value, 10, 64)
 	assert.NilError(t, err, "PJ_REDUCE must be a seed, is %q", value)
-	fails := func(ss []Step) bool {
+	fails := func(steps []Step) bool {
 		for i := range 3 {
-			if !t.Run(fmt.Sprintf("%v try %d", ss, i), func(t *testing.T) { chaos(t, seed, ss) }) {
+			if !t.Run(fmt.Sprintf("%v try %d", steps, i), func(t *testing.T) { chaos(t, seed, steps) }) {
 				return true
 			}
 		}
 		return false
 	}
-	left := PlanDay(seed)
-	if !fails(left) {
+	remaining := PlanDay(seed)
+	if !fails(remaining) {
 		t.Skipf("seed %d did not fail in three tries", seed)
 	}
-	for i := 0; i < len(left); {
-		less := slices.Delete(slices.Clone(left), i, i+1)
-		if fails(less) {
-			left = less
+	for i := 0; i < len(remaining); {
+		shorter := slices.Delete(slices.Clone(remaining), i, i+1)
+		if fails(shorter) {
+			remaining = shorter
 			continue
 		}
-		if alone := slices.Clone(left); left[i].Second != "" {
-			alone[i].Second = ""
-			if fails(alone) {
-				left = alone
+		if firstOnly := slices.Clone(remaining); remaining[i].Second != "" {
+			firstOnly[i].Second = ""
+			if fails(firstOnly) {
+				remaining = firstOnly
 			}
 		}
 		i++
 	}
-	t.Logf("seed %d fails with %v", seed, left)
+	t.Logf("seed %d fails with %v", seed, remaining)
 }
--- a/internal/testing/sim/configuration_test.go
+++ b/internal/testing/sim/configuration_test.go
@@ -60,21 +60,21 @@
 				wg.Go(func() { _, errs[i] = w.Put(node, docs[i]) })
 			}
 			wg.Wait()
-			won := -1
+			winner := -1
 			for i, err := range errs {
 				if err == nil {
-					assert.Equal(t, won, -1, "two configurations on base %d were accepted", base)
-					won = i
+					assert.Equal(t, winner, -1, "two configurations on base %d were accepted", base)
+					winner = i
 					continue
 				}
 				assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationConflict), "%v", err)
 			}
-			assert.Assert(t, won >= 0, "no configuration was accepted on base %d: %v", base, errs)
+			assert.Assert(t, winner >= 0, "no configuration was accepted on base %d: %v", base, errs)
 			time.Sleep(w.Site.Timing.Spread)
 			for _, node := range w.Names {
 				config := w.Machines[node].Node().Store.Configuration()
 				assert.Equal(t, config.Sequence, base+1)
-				assert.Equal(t, len(config.Spaces[0].Topics), won+1, "%s applied a rejected configuration", node)
+				assert.Equal(t, len(config.Spaces[0].Topics), winner+1, "%s applied a rejected configuration", node)
 			}
 		}
 	})
@@ -97,21 +97,21 @@
 					wg.Go(func() { _, errs[i] = w.Put(w.Names[w.Int(len(w.Names))], docs[i]) })
 				}
 				wg.Wait()
-				won := -1
+				winner := -1
 				for i, err := range errs {
 					if err == nil {
-						assert.Equal(t, won, -1, "two configurations on base %d were accepted", base)
-						won = i
+						assert.Equal(t, winner, -1, "two configurations on base %d were accepted", base)
+						winner = i
 						continue
 					}
 					assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationConflict), "%v", err)
 				}
-				assert.Assert(t, won >= 0, "no configuration was accepted on base %d: %v", base, errs)
-				want, err := configuration.Parse(docs[won])
+				assert.Assert(t, winner >= 0, "no configuration was accepted on base %d: %v", base, errs)
+				want, err := configuration.Parse(docs[winner])
 				assert.NilError(t, err)
 				for i := range docs {
 					_, err := w.Put(w.Names[w.Int(len(w.Names))], docs[i])
-					assert.Equal(t, err == nil, i == won, "the same configuration again: %v", err)
+					assert.Equal(t, err == nil, i == winner, "the same configuration again: %v", err)
 					assert.Assert(t, err == nil || apierror.HasCode(err, apierror.ConfigurationConflict), "%v", err)
 				}
 				time.Sleep(w.Site.Timing.Spread)
@@ -458,36 +458,36 @@
 		for i := range 6 {
 			control := fmt.Sprintf("c%d", i%3+1)
 			var wg sync.WaitGroup
-			var put uint64
+			var accepted uint64
 			var err error
 			wg.Go(func() {
 				ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Recovery)
 				defer stop()
-				put, err = w.Transport("a1").Put(ctx, load.Configuration(seq))
+				accepted, err = w.Transport("a1").Put(ctx, load.Configuration(seq))
 			})
 			time.Sleep(time.Duration(w.Int(4)) * 500 * time.Microsecond)
 			w.Kill(control)
 			wg.Wait()
 			time.Sleep(4 * time.Second)
-			got, getErr := w.Transport("a1").Get(w.ctx)
+			current, getErr := w.Transport("a1").Get(w.ctx)
 			if apierror.HasCode(getErr, apierror.ConfigurationMissing) {
-				got, getErr = 0, nil
+				current, getErr = 0, nil
 			}
 			assert.NilError(t, getErr)
 			if err == nil {
-				assert.Equal(t, got, put)
-				w.History.AcceptConfiguration(seq, put, string(load.Configuration(seq)), time.Now())
+				assert.Equal(t, current, accepted)
+				w.History.AcceptConfiguration(seq, accepted, string(load.Configuration(seq)), time.Now())
 			} else {
-				assert.Assert(t, got == seq || got == seq+1, "read back %d after %d and %v", got, seq, err)
+				assert.Assert(t, current == seq || current == seq+1, "read back %d after %d and %v", current, seq, err)
 				if !apierror.HasCode(err, apierror.OutcomeUnknown) {
-					assert.Equal(t, got, seq, "rejected with %v, though it was accepted", err)
+					assert.Equal(t, current, seq, "rejected with %v, though it was accepted", err)
 				}
 			}
-			again := []string{"a1", "s2", fmt.Sprintf("c%d", (i+1)%3+1)}[w.Int(3)]
-			put, err = w.Put(again, load.Configuration(seq))
-			assert.NilError(t, err, "the same configuration again through %s, when %d was current", again, got)
-			assert.Equal(t, put, seq+1)
-			seq = put
+			retryNode := []string{"a1", "s2", fmt.Sprintf("c%d", (i+1)%3+1)}[w.Int(3)]
+			accepted, err = w.Put(retryNode, load.Configuration(seq))
+			assert.NilError(t, err, "the same configuration again through %s, when %d was current", retryNode, current)
+			assert.Equal(t, accepted, seq+1)
+			seq = accepted
 			assert.NilError(t, w.Start(control))
 			time.Sleep(3 * time.Second)
 		}
--- a/internal/testing/sim/decommission_restart_test.go
+++ b/internal/testing/sim/decommission_restart_test.go
@@ -19,10 +19,10 @@
 // decommissionStatus asks a node for the status of a decommissioning.
 func (w *World) decommissionStatus(through, name string) (decommission.Order, error) {
 	var order decommission.Order
-	err := w.callNode(through, w.Site.Timing.CallTimeout(), func(ctx context.Context, k *node.Node) error {
-		var e error
-		order, e = k.Operators.DecommissionStatus(ctx, name)
-		return e
+	err := w.callNode(through, w.Site.Timing.CallTimeout(), func(ctx context.Context, process *node.Node) error {
+		var statusErr error
+		order, statusErr = process.Operators.DecommissionStatus(ctx, name)
+		return statusErr
 	})
 	if err != nil {
 		return decommission.Order{}, err // a call that was given up on may still write order
@@ -44,8 +44,8 @@
 				target := busiest(w)
 				assert.NilError(t, w.startDecommission(target))
 				assert.NilError(t, w.WaitUntil(60*time.Second, target+" is empty", w.decommissionDone(target)))
-				for k := range 4 {
-					if k == 1 {
+				for round := range 4 {
+					if round == 1 {
 						w.Wipe(target)
 					} else {
 						w.Kill(target)
@@ -54,9 +54,9 @@
 					assert.NilError(t, w.Start(target))
 					time.Sleep(w.randomTenths(4, 6))
 					for _, n := range w.Names {
-						x, err := w.decommissionStatus(n, target)
+						order, err := w.decommissionStatus(n, target)
 						assert.NilError(t, err, "asked at %s", n)
-						assert.Assert(t, x.Done, "asked at %s: %+v", n, x)
+						assert.Assert(t, order.Done, "asked at %s: %+v", n, order)
 					}
 					assert.Equal(t, w.committedReplicaCount(t, target), 0, "something moved back to %s", target)
 				}
@@ -104,20 +104,20 @@
 	}
 }
 
-// A former placement controller decided on a change of a record before an order to decommission a
-// machine. The change is rejected once the order is done, also where the record never named the
-// machine.
+// A former placement controller has decided to change a record before a machine's decommissioning
+// is ordered, and writes the change after it is done. The change is rejected, even if the record
+// never named the machine.
 func TestADecommissioningFencesWhatWasDecidedBefore(t *testing.T) {
 	t.Parallel()
 	runFleet(t, Traductores, 400, func(t *testing.T, w *World) {
 		applyConfiguration(t, w)
 		operators := w.Machines["c1"].Node().Operators
-		read := func(p int) (r assignment.Record) {
-			v, err := operators.Client.Read(w.ctx, assignment.Key(p))
+		read := func(p int) (record assignment.Record) {
+			value, err := operators.Client.Read(w.ctx, assignment.Key(p))
 			assert.NilError(t, err)
-			r, err = assignment.Parse(v.Body, v.Version)
+			record, err = assignment.Parse(value.Body, value.Version)
 			assert.NilError(t, err)
-			return r
+			return record
 		}
 		var before []assignment.Record
 		for p := range w.Machines["c1"].Node().VoterSet().Layout.PartitionCount() {
@@ -126,22 +126,23 @@
 		target := busiest(w)
 		assert.NilError(t, w.startDecommission(target))
 		assert.NilError(t, w.WaitUntil(60*time.Second, target+" is empty", w.decommissionDone(target)))
-		others := 0
-		for p, r := range before {
-			if !r.Includes(target) {
-				others++
+		unrelated := 0
+		for p, record := range before {
+			if !record.Includes(target) {
+				unrelated++
 			}
-			r.Learner = &assignment.Replica{Node: target, Incarnation: w.Machines[target].Node().Info().Incarnation}
-			_, err := operators.Client.Change(w.ctx, assignment.Key(p), r.Version, registerclient.NewChangeID(), r.Marshal())
+			record.Learner = &assignment.Replica{Node: target, Incarnation: w.Machines[target].Node().Info().Incarnation}
+			_, err := operators.Client.Change(w.ctx, assignment.Key(p), record.Version, registerclient.NewChangeID(), record.Marshal())
 			assert.Assert(t, apierror.HasCode(err, apierror.StaleBase), "partition %d: %v", p, err)
 			assert.Assert(t, !read(p).Includes(target))
 		}
-		assert.Assert(t, others > 0, "void: %s had replicas of all partitions", target)
+		assert.Assert(t, unrelated > 0, "void: %s had replicas of all partitions", target)
 	})
 }
 
-// A node that is cut off from its peers, but not from operators, gives no final answer: neither 404
-// nor 409 for a machine, nor that one is empty, nor which configuration is current.
+// A node that is cut off from its peers, but not from operators, gives no final answer. It does not
+// reject a request for a machine with 404 or 409, report that a machine is empty, or say which
+// configuration is current.
 func TestACutNodeGivesNoFinalAnswers(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds(4)) {
@@ -156,16 +157,16 @@
 				for _, n := range []string{"unknown", "s1", "c1", "a1"} {
 					_, err := w.decommissionStatus(cut, n)
 					assert.Assert(t, isNotFinal(err), "the status of %s: %v", n, err)
-					err = w.callNode(cut, 2*w.Site.Timing.CallTimeout(), func(ctx context.Context, k *node.Node) error {
-						_, err := k.Operators.Decommission(ctx, n)
+					err = w.callNode(cut, 2*w.Site.Timing.CallTimeout(), func(ctx context.Context, process *node.Node) error {
+						_, err := process.Operators.Decommission(ctx, n)
 						return err
 					})
 					assert.Assert(t, isNotFinal(err), "the decommissioning of %s: %v", n, err)
 				}
 				_, err := w.Put(cut, load.Configuration(1))
 				assert.Assert(t, isNotFinal(err), "a configuration: %v", err)
-				err = w.callNode(cut, 2*w.Site.Timing.CallTimeout(), func(ctx context.Context, k *node.Node) error {
-					_, err := k.Operators.CurrentConfiguration(ctx)
+				err = w.callNode(cut, 2*w.Site.Timing.CallTimeout(), func(ctx context.Context, process *node.Node) error {
+					_, err := process.Operators.CurrentConfiguration(ctx)
 					return err
 				})
 				assert.Assert(t, isNotFinal(err), "a read: %v", err)
@@ -186,7 +187,7 @@
 var finalCodes = []apierror.Code{apierror.UnknownNode, apierror.DecommissionUnsafe, apierror.AlreadyEmpty, apierror.ConfigurationConflict, apierror.ConfigurationInvalid, apierror.ConfigurationMissing}
 
 func isNotFinal(err error) bool {
-	return err != nil && !slices.ContainsFunc(finalCodes, func(k apierror.Code) bool { return apierror.HasCode(err, k) })
+	return err != nil && !slices.ContainsFunc(finalCodes, func(code apierror.Code) bool { return apierror.HasCode(err, code) })
 }
 
 // A machine that joined a moment ago is known through every node, also through one that gossip has
--- a/internal/testing/sim/decommission_return_test.go
+++ b/internal/testing/sim/decommission_return_test.go
@@ -16,13 +16,13 @@
 	for seed := range uint64(seeds(2)) {
 		runScenario(t, siteForSeed(seed), 380+seed, siteForSeed(seed).Timing.Recovery, func(t *testing.T, w *World) {
 			target := busiest(w)
-			was := w.Machines[target].Node().Info().Incarnation
+			oldIncarnation := w.Machines[target].Node().Info().Incarnation
 			assert.NilError(t, w.startDecommission(target))
 			assert.NilError(t, w.WaitUntil(60*time.Second, target+" is empty", w.decommissionDone(target)))
 			w.Terminate(target)
 			time.Sleep(w.Site.Timing.Retention() + 10*time.Second)
 			assert.NilError(t, w.Start(target))
-			assert.Equal(t, w.Machines[target].Node().Info().Incarnation, was, "void: it came back with another disk")
+			assert.Equal(t, w.Machines[target].Node().Info().Incarnation, oldIncarnation, "void: it came back with another disk")
 			time.Sleep(w.Site.Timing.ReplacementDelay())
 			other := busiest(w)
 			w.Kill(other)
--- a/internal/testing/sim/decommission_test.go
+++ b/internal/testing/sim/decommission_test.go
@@ -14,27 +14,27 @@
 
 func (w *World) replicaCount(name string) int {
 	count := 0
-	ref := w.Machines["a1"].Node()
-	for p := range ref.VoterSet().Layout.PartitionCount() {
-		if ref.Store.Record(p).Includes(name) {
+	observer := w.Machines["a1"].Node()
+	for p := range observer.VoterSet().Layout.PartitionCount() {
+		if observer.Store.Record(p).Includes(name) {
 			count++
 		}
 	}
 	return count
 }
 
-// committedReplicaCount counts the records that name a node, as a majority of the voters has them.
-// Other nodes may learn of them later.
+// committedReplicaCount counts the records that name a node. It reads them from a majority of the
+// voters, since other nodes may learn of a change later.
 func (w *World) committedReplicaCount(t *testing.T, name string) int {
 	t.Helper()
 	count := 0
-	ref := w.Machines["a1"].Node()
-	for p := range ref.VoterSet().Layout.PartitionCount() {
-		v, err := ref.Operators.Client.Read(w.ctx, assignment.Key(p))
+	observer := w.Machines["a1"].Node()
+	for p := range observer.VoterSet().Layout.PartitionCount() {
+		value, err := observer.Operators.Client.Read(w.ctx, assignment.Key(p))
 		assert.NilError(t, err)
-		r, err := assignment.Parse(v.Body, v.Version)
+		record, err := assignment.Parse(value.Body, value.Version)
 		assert.NilError(t, err)
-		if r.Includes(name) {
+		if record.Includes(name) {
 			count++
 		}
 	}
@@ -48,12 +48,12 @@
 
 func (w *World) decommissionDone(name string) func() bool {
 	return func() bool {
-		v, err := w.Machines["a1"].Node().Operators.Client.Read(w.ctx, decommission.Key)
+		value, err := w.Machines["a1"].Node().Operators.Client.Read(w.ctx, decommission.Key)
 		if err != nil {
 			return false
 		}
-		l, err := decommission.Parse(v.Body)
-		return err == nil && l[name].Done
+		orders, err := decommission.Parse(value.Body)
+		return err == nil && orders[name].Done
 	}
 }
 
@@ -71,11 +71,11 @@
 		assert.NilError(t, w.startDecommission("s1"), "a repeated order is not an error")
 		time.Sleep(700 * time.Millisecond)
 		for i := range 3 {
-			c := fmt.Sprintf("c%d", i+1)
-			if w.Machines[c].Node().IsPlacementController() {
-				w.Kill(c)
+			control := fmt.Sprintf("c%d", i+1)
+			if w.Machines[control].Node().IsPlacementController() {
+				w.Kill(control)
 				time.Sleep(5 * time.Second)
-				assert.NilError(t, w.Start(c))
+				assert.NilError(t, w.Start(control))
 				break
 			}
 		}
--- a/internal/testing/sim/disk_test.go
+++ b/internal/testing/sim/disk_test.go
@@ -14,9 +14,9 @@
 	runFleet(t, Armor, 57, func(t *testing.T, w *World) {
 		applyConfiguration(t, w)
 		put := func(base uint64) (time.Duration, error) {
-			at := time.Now()
+			startedAt := time.Now()
 			_, err := w.Put("c1", load.Configuration(base))
-			return time.Since(at), err
+			return time.Since(startedAt), err
 		}
 		fast, err := put(1)
 		assert.NilError(t, err)
--- a/internal/testing/sim/effect_test.go
+++ b/internal/testing/sim/effect_test.go
@@ -89,8 +89,8 @@
 }
 
 // A space that was removed and is added again continues where it was: call numbers, logs and
-// cursors neither repeat nor skip. It can't be added with another urgency, since its messages are
-// in the partitions of the old one.
+// cursors neither repeat nor skip. It can't be added again with another urgency, since its
+// messages are in partitions of its earlier urgency.
 func TestSpaceThatComesBackGoesOnWhereItWas(t *testing.T) {
 	t.Parallel()
 	skipUnderRace(t)
@@ -105,8 +105,8 @@
 				}
 				return err
 			}
-			const there, live, other = `,{"name":"line","kind":"kept","urgent":true,"topics":["a"]}`, `,{"name":"line","kind":"live","urgent":true,"topics":["a"]}`, `,{"name":"line","kind":"kept","topics":["a"]}`
-			assert.NilError(t, putSpaces(there))
+			const kept, live, routine = `,{"name":"line","kind":"kept","urgent":true,"topics":["a"]}`, `,{"name":"line","kind":"live","urgent":true,"topics":["a"]}`, `,{"name":"line","kind":"kept","topics":["a"]}`
+			assert.NilError(t, putSpaces(kept))
 			attachment := attach(t, w, "a1", "v")
 			send := func(callSeq uint64) error {
 				_, err := w.Transport("a1").Send(w.ctx, attachment.Token, "line/a", callSeq, []byte(fmt.Sprint(callSeq)))
@@ -117,7 +117,7 @@
 			assert.NilError(t, send(2))
 			assert.NilError(t, putSpaces(""))
 			assert.Assert(t, apierror.HasCode(send(3), apierror.UnknownSpace))
-			err := putSpaces(other)
+			err := putSpaces(routine)
 			assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationInvalid), "a space was added again with another urgency: %v", err)
 			leaderNode := busiest(w)
 			w.Kill(leaderNode)
@@ -127,7 +127,7 @@
 			assert.NilError(t, putSpaces(live))
 			assert.NilError(t, send(3))
 			assert.NilError(t, putSpaces(""))
-			assert.NilError(t, putSpaces(there))
+			assert.NilError(t, putSpaces(kept))
 			assert.NilError(t, send(4))
 			assert.NilError(t, send(3), "a repeat of the call that was accepted while the space was live")
 			assert.NilError(t, send(6))
--- a/internal/testing/sim/empty_disk_test.go
+++ b/internal/testing/sim/empty_disk_test.go
@@ -20,8 +20,8 @@
 	lossWindow time.Duration
 }
 
-// deployments are those of the users' six deployments. The small ones and those with control faults
-// have the same machines.
+// deployments are the users' six deployments. The small ones have the same machines as those with
+// control faults, so four entries cover all six.
 var deployments = []deployment{
 	{"three zones", Armor, 4100 * time.Millisecond},
 	{"four zones", Traductores, 4 * time.Second},
@@ -29,13 +29,13 @@
 	{"four zones, grown", scaledUp(Traductores, 4, 8, 9), 6 * time.Second},
 }
 
-func scaledUp(s Site, zones, control, storage int) Site {
-	s.Zones, s.Control, s.Storage, s.ToleratedLosses, s.Routine, s.Urgent = zones, control, storage, 2, 16, 4
-	return s
+func scaledUp(site Site, zones, control, storage int) Site {
+	site.Zones, site.Control, site.Storage, site.ToleratedLosses, site.Routine, site.Urgent = zones, control, storage, 2, 16, 4
+	return site
 }
 
-// In every fullEvery-th run the storage nodes have a full retention time of messages. In the others
-// the clients have just started.
+// In every fullEvery-th run, clients send for a full retention time before the loss. In the others
+// they have just started.
 const (
 	measuredSeeds = 200
 	fullEvery     = 20
@@ -78,9 +78,9 @@
 // takes after the node is back.
 func measureRepair(t *testing.T, site deployment, seed uint64) (duration time.Duration) {
 	t.Helper()
-	warm := site.Timing.Recovery / 2
+	warmup := site.Timing.Recovery / 2
 	if seed%fullEvery == 0 {
-		warm = site.Timing.Keeping
+		warmup = site.Timing.Keeping
 	}
 	synctest.Test(t, func(t *testing.T) {
 		w := New(site.Site, seed, Logger())
@@ -90,7 +90,7 @@
 		_, err := w.Put("c1", platformLoad.Configuration(0))
 		assert.NilError(t, err)
 		w.StartHTTPClients(platformLoad)
-		time.Sleep(warm)
+		time.Sleep(warmup)
 		name := fmt.Sprint("s", 1+w.Int(site.Storage))
 		switch seed % 4 {
 		case 0:
@@ -101,10 +101,10 @@
 		w.Wipe(name)
 		time.Sleep(200*time.Millisecond + w.randomTenths(0, 6))
 		assert.NilError(t, w.Start(name))
-		at := time.Now()
+		startedAt := time.Now()
 		assert.NilError(t, w.WaitUntil(20*time.Second, "all replicas are complete", w.allReplicasComplete))
 		assert.NilError(t, w.WaitUntil(20*time.Second, "all control nodes are voters", w.allNodesAreVoters))
-		duration = time.Since(at)
+		duration = time.Since(startedAt)
 		w.StopSending(time.Second)
 	})
 	return duration
--- a/internal/testing/sim/faults_test.go
+++ b/internal/testing/sim/faults_test.go
@@ -16,8 +16,8 @@
 func busiest(w *World) string {
 	name, leaderships := "", -1
 	for _, n := range w.Names {
-		if x := w.Machines[n].Node(); x != nil && x.Info().Partitions > leaderships {
-			name, leaderships = n, x.Info().Partitions
+		if process := w.Machines[n].Node(); process != nil && process.Info().Partitions > leaderships {
+			name, leaderships = n, process.Info().Partitions
 		}
 	}
 	return name
@@ -29,31 +29,31 @@
 }{
 	"leader killed mid-append and mid-batch": {Armor, func(_ *testing.T, w *World) {
 		for range 3 {
-			o := busiest(w)
-			w.Kill(o)
+			leaderNode := busiest(w)
+			w.Kill(leaderNode)
 			settle(w)
-			_ = w.Start(o)
+			_ = w.Start(leaderNode)
 			time.Sleep(3 * time.Second)
 		}
 	}},
 	"leader paused past its lease and resumed": {Armor, func(_ *testing.T, w *World) {
-		o := busiest(w)
-		w.Freeze(o)
+		leaderNode := busiest(w)
+		w.Freeze(leaderNode)
 		time.Sleep(9 * time.Second)
-		w.Thaw(o)
+		w.Thaw(leaderNode)
 		settle(w)
 	}},
 	"leader cut off while it writes": {Armor, func(_ *testing.T, w *World) {
-		o := busiest(w)
-		w.Isolate(o)
+		leaderNode := busiest(w)
+		w.Isolate(leaderNode)
 		time.Sleep(11 * time.Second)
 		w.Heal()
 		settle(w)
 	}},
 	"one-way cut from the leader to control": {Armor, func(_ *testing.T, w *World) {
-		o := busiest(w)
+		leaderNode := busiest(w)
 		for _, c := range []string{"c1", "c2", "c3"} {
-			w.Cut(o, c)
+			w.Cut(leaderNode, c)
 		}
 		time.Sleep(11 * time.Second)
 		w.Heal()
@@ -61,18 +61,18 @@
 	}},
 	"storage node loses power with a torn tail": {Armor, func(_ *testing.T, w *World) {
 		for range 2 {
-			o := busiest(w)
-			w.LosePower(o, true)
+			leaderNode := busiest(w)
+			w.LosePower(leaderNode, true)
 			time.Sleep(time.Second)
-			_ = w.Start(o)
+			_ = w.Start(leaderNode)
 			settle(w)
 		}
 	}},
 	"storage node's disk wiped": {Armor, func(_ *testing.T, w *World) {
-		o := busiest(w)
-		w.Wipe(o)
+		leaderNode := busiest(w)
+		w.Wipe(leaderNode)
 		time.Sleep(2 * time.Second)
-		_ = w.Start(o)
+		_ = w.Start(leaderNode)
 		time.Sleep(25 * time.Second)
 	}},
 	"control disk wiped just after it promised": {Armor, func(t *testing.T, w *World) {
@@ -83,28 +83,28 @@
 			_ = w.Start(name)
 			_, _ = w.Put("a1", load.Configuration(uint64(i+1)))
 			assert.NilError(t, w.WaitUntil(30*time.Second, "the wiped disk is a voter", func() bool {
-				r := w.Machines["a1"].Node().VoterSet()
-				s, ok := r.Voter(name)
-				return ok && s.Incarnation == w.Machines[name].Node().Info().Incarnation && w.Machines[name].Node().Info().VoterSet == r.Sequence
+				voterSet := w.Machines["a1"].Node().VoterSet()
+				voter, ok := voterSet.Voter(name)
+				return ok && voter.Incarnation == w.Machines[name].Node().Info().Incarnation && w.Machines[name].Node().Info().VoterSet == voterSet.Sequence
 			}))
 			time.Sleep(3 * time.Second)
 		}
 	}},
 	"every control node restarted in turn": {Traductores, func(_ *testing.T, w *World) {
 		for i := range 4 {
-			c := fmt.Sprintf("c%d", i+1)
-			w.Terminate(c)
+			name := fmt.Sprintf("c%d", i+1)
+			w.Terminate(name)
 			time.Sleep(2 * time.Second)
-			_ = w.Start(c)
+			_ = w.Start(name)
 			time.Sleep(5 * time.Second)
 		}
 	}},
 	"every storage node restarted in turn": {Armor, func(_ *testing.T, w *World) {
 		for i := range 3 {
-			s := fmt.Sprintf("s%d", i+1)
-			w.Terminate(s)
+			name := fmt.Sprintf("s%d", i+1)
+			w.Terminate(name)
 			time.Sleep(2 * time.Second)
-			_ = w.Start(s)
+			_ = w.Start(name)
 			time.Sleep(8 * time.Second)
 		}
 	}},
@@ -125,10 +125,10 @@
 		time.Sleep(15 * time.Second)
 	}},
 	"a storage node's disk fills up": {Armor, func(_ *testing.T, w *World) {
-		o := busiest(w)
-		w.Machines[o].Disk.Fill(true)
+		leaderNode := busiest(w)
+		w.Machines[leaderNode].Disk.Fill(true)
 		settle(w)
-		w.Machines[o].Disk.Fill(false)
+		w.Machines[leaderNode].Disk.Fill(false)
 		time.Sleep(5 * time.Second)
 	}},
 	"control disks are cut from each other": {Armor, func(_ *testing.T, w *World) {
@@ -139,9 +139,9 @@
 	}},
 }
 
-// faultEffects are the effects that a script must have for its run to show anything: leaders that
-// changed, or disks that came back empty.
-var faultEffects = map[string]func(r history.Report, fresh int) bool{
+// faultEffects maps a script to a check that it had its effect: that leaders changed, or that disks
+// came back empty. Without the effect, its run shows nothing.
+var faultEffects = map[string]func(r history.Report, newDisks int) bool{
 	"leader killed mid-append and mid-batch":    leadersChanged,
 	"leader paused past its lease and resumed":  leadersChanged,
 	"leader cut off while it writes":            leadersChanged,
@@ -153,16 +153,16 @@
 	"control disk wiped just after it promised": disksReplaced,
 }
 
-func leadersChanged(r history.Report, _ int) bool { return r.Judged[history.Fenced] }
+func leadersChanged(report history.Report, _ int) bool { return report.Judged[history.Fenced] }
 
-func disksReplaced(_ history.Report, fresh int) bool { return fresh > 0 }
+func disksReplaced(_ history.Report, newDisks int) bool { return newDisks > 0 }
 
 // incarnations returns the incarnations of all disks.
 func (w *World) incarnations() map[string]bool {
 	found := map[string]bool{}
 	for _, n := range w.Names {
-		if x := w.Machines[n].Node(); x != nil && x.Info().Incarnation != "" {
-			found[x.Info().Incarnation] = true
+		if process := w.Machines[n].Node(); process != nil && process.Info().Incarnation != "" {
+			found[process.Info().Incarnation] = true
 		}
 	}
 	return found
@@ -177,19 +177,19 @@
 			if raced && !runsUnderRace[name] {
 				t.Skip("runs without the race detector, which slows simulated fleets too much")
 			}
-			fresh := 0
-			r := runScenario(t, scenario.site, 7, scenario.site.Timing.Recovery, func(t *testing.T, w *World) {
-				was := w.incarnations()
+			newDisks := 0
+			report := runScenario(t, scenario.site, 7, scenario.site.Timing.Recovery, func(t *testing.T, w *World) {
+				before := w.incarnations()
 				scenario.script(t, w)
-				for i := range w.incarnations() {
-					if !was[i] {
-						fresh++
+				for incarnation := range w.incarnations() {
+					if !before[incarnation] {
+						newDisks++
 					}
 				}
 			})
-			assert.Assert(t, len(r.Faults) > 0, "void: no fault had an effect")
-			if f := faultEffects[name]; f != nil {
-				assert.Assert(t, f(r, fresh), "void: the named fault had no effect")
+			assert.Assert(t, len(report.Faults) > 0, "void: no fault had an effect")
+			if hadEffect := faultEffects[name]; hadEffect != nil {
+				assert.Assert(t, hadEffect(report, newDisks), "void: the named fault had no effect")
 			}
 		})
 	}
--- a/internal/testing/sim/flap_test.go
+++ b/internal/testing/sim/flap_test.go
@@ -8,11 +8,11 @@
 	"gotest.tools/v3/assert"
 )
 
-func sumOfEpochs(w *World) (n uint64) {
+func sumOfEpochs(w *World) (sum uint64) {
 	for _, r := range w.records() {
-		n += r.Epoch
+		sum += r.Epoch
 	}
-	return n
+	return sum
 }
 
 // A machine that is slow, loses packets or pauses for a moment is not lost. No leader changes.
@@ -33,10 +33,10 @@
 		}},
 		{"pauses of 600 ms", func(w *World) {
 			for range 5 {
-				o := busiest(w)
-				w.Freeze(o)
+				leaderNode := busiest(w)
+				w.Freeze(leaderNode)
 				time.Sleep(600 * time.Millisecond)
-				w.Thaw(o)
+				w.Thaw(leaderNode)
 				time.Sleep(2 * time.Second)
 			}
 		}},
@@ -51,9 +51,9 @@
 			time.Sleep(5 * time.Second)
 		}},
 		{"a successor pauses for 3 s", func(w *World) {
-			o := busiest(w)
+			leaderNode := busiest(w)
 			for _, n := range w.Names {
-				if n[0] == 's' && n != o {
+				if n[0] == 's' && n != leaderNode {
 					w.Freeze(n)
 					time.Sleep(700 * time.Millisecond)
 					w.Thaw(n)
@@ -84,22 +84,22 @@
 			synctest.Test(t, func(t *testing.T) {
 				w := startWideFleet(t, Armor, 72)
 				defer w.Close()
-				was := sumOfEpochs(w)
+				before := sumOfEpochs(w)
 				disturbance.inject(w)
-				assert.Equal(t, sumOfEpochs(w), was, "partitions changed their leaders")
+				assert.Equal(t, sumOfEpochs(w), before, "partitions changed their leaders")
 			})
 		})
 	}
 }
 
-// Service is back after each loss within its bound.
+// After each kind of loss, every partition accepts messages again within the loss's maxGap.
 func TestServiceIsBackInItsTime(t *testing.T) {
 	t.Parallel()
-	for _, x := range machineLosses {
-		t.Run(x.name, func(t *testing.T) {
+	for _, loss := range machineLosses {
+		t.Run(loss.name, func(t *testing.T) {
 			t.Parallel()
-			d := longestGap(t, Armor, 73, x.inject)
-			assert.Assert(t, d <= x.most, "some partition accepted nothing for %s, at most %s are allowed", d, x.most)
+			gap := longestGap(t, Armor, 73, loss.inject)
+			assert.Assert(t, gap <= loss.maxGap, "some partition accepted nothing for %s, at most %s are allowed", gap, loss.maxGap)
 		})
 	}
 }
--- a/internal/testing/sim/flood_test.go
+++ b/internal/testing/sim/flood_test.go
@@ -30,21 +30,21 @@
 		applyConfiguration(t, w)
 		layout := w.Machines["a1"].Node().VoterSet().Layout
 		urgentClient := attach(t, w, "a1", "lead")
-		urgent := []string{w.records()[partition.Of("stop/line", true, layout)].Leader, w.records()[partition.OfClient("lead", true, layout)].Leader}
+		urgentLeaders := []string{w.records()[partition.Of("stop/line", true, layout)].Leader, w.records()[partition.OfClient("lead", true, layout)].Leader}
 		callSeq := uint64(0)
-		longest := func(duration time.Duration) time.Duration {
+		slowestCall := func(duration time.Duration) time.Duration {
 			var slowest time.Duration
 			for start := time.Now(); time.Since(start) < duration; {
 				callSeq++
-				start := time.Now()
+				sentAt := time.Now()
 				_, err := w.Transport("a1").Send(w.ctx, urgentClient.Token, "stop/line", callSeq, []byte(`"stop"`))
 				assert.NilError(t, err, "an urgent call was rejected")
-				slowest = max(slowest, time.Since(start))
+				slowest = max(slowest, time.Since(sentAt))
 				time.Sleep(20 * time.Millisecond)
 			}
 			return slowest
 		}
-		baseline := longest(time.Second)
+		baseline := slowestCall(time.Second)
 		ctx, stop := context.WithCancel(w.ctx)
 		var wg sync.WaitGroup
 		var mu sync.Mutex
@@ -83,18 +83,18 @@
 			}
 			return sum
 		}
-		underFlood := longest(700 * time.Millisecond)
+		underFlood := slowestCall(700 * time.Millisecond)
 		lost := ""
 		for _, node := range w.Names {
-			if node[0] == 's' && !slices.Contains(urgent, node) {
+			if node[0] == 's' && !slices.Contains(urgentLeaders, node) {
 				lost = node
 			}
 		}
 		before := epochs()
 		w.Wipe(lost)
-		withNodeLost := longest(4500 * time.Millisecond)
+		withNodeLost := slowestCall(4500 * time.Millisecond)
 		assert.NilError(t, w.Start(lost))
-		duringRepair := longest(time.Second)
+		duringRepair := slowestCall(time.Second)
 		limit := 3*baseline + 2*time.Millisecond
 		if epochs() != before {
 			limit = 2 * site.Timing.MaxBackoff()
--- a/internal/testing/sim/gap_test.go
+++ b/internal/testing/sim/gap_test.go
@@ -19,8 +19,8 @@
 
 var wideLoad = Load{HTTPClients: 4, Topics: 40, LiveTopics: 2, UrgentSenders: 1, SendInterval: 500 * time.Millisecond}
 
-// gapSenders sends messages into each partition, one after the other, and records the longest time
-// between two accepted ones. mu guards last and gap.
+// gapSenders sends messages into each partition, one after the other, and records for each the
+// longest time between two accepted messages. mu guards last and gap.
 type gapSenders struct {
 	mu   sync.Mutex
 	last map[int]time.Time
@@ -49,14 +49,14 @@
 	return senders
 }
 
-func (k *gapSenders) send(ctx context.Context, running *node.Node, partitionID int, topic string) {
+func (g *gapSenders) send(ctx context.Context, running *node.Node, partitionID int, topic string) {
 	for callSeq := uint64(1); ctx.Err() == nil; {
 		callCtx, stop := context.WithTimeout(ctx, time.Second)
 		_, err := running.Clients.Router.Submit(callCtx, partitionID, &leader.Message{Client: "taker", Topic: topic, CallSeq: callSeq, Body: []byte(`1`)})
 		stop()
 		if err == nil {
 			callSeq++
-			k.recordAccepted(partitionID)
+			g.recordAccepted(partitionID)
 		}
 		_ = sleep(ctx, 10*time.Millisecond)
 	}
@@ -73,27 +73,27 @@
 	}
 }
 
-func (k *gapSenders) recordAccepted(partitionID int) {
+func (g *gapSenders) recordAccepted(partitionID int) {
 	now := time.Now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.gap[partitionID] = max(k.gap[partitionID], now.Sub(k.last[partitionID]))
-	k.last[partitionID] = now
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.gap[partitionID] = max(g.gap[partitionID], now.Sub(g.last[partitionID]))
+	g.last[partitionID] = now
 }
 
 // stopAndFindLongest stops the senders and returns the longest time in which some partition
 // accepted nothing.
-func (k *gapSenders) stopAndFindLongest() time.Duration {
-	k.mu.Lock()
-	partitionIDs := slices.Collect(maps.Keys(k.last))
-	k.mu.Unlock()
+func (g *gapSenders) stopAndFindLongest() time.Duration {
+	g.mu.Lock()
+	partitionIDs := slices.Collect(maps.Keys(g.last))
+	g.mu.Unlock()
 	for _, partitionID := range partitionIDs {
-		k.recordAccepted(partitionID)
+		g.recordAccepted(partitionID)
 	}
-	k.stop()
-	k.wg.Wait()
+	g.stop()
+	g.wg.Wait()
 	longest := time.Duration(0)
-	for _, gap := range k.gap {
+	for _, gap := range g.gap {
 		longest = max(longest, gap)
 	}
 	return longest
@@ -117,7 +117,7 @@
 
 var machineLosses = []struct {
 	name   string
-	most   time.Duration
+	maxGap time.Duration
 	inject func(w *World)
 }{
 	{"storage node killed", time.Second, func(w *World) { w.Kill(busiest(w)) }},
--- a/internal/testing/sim/lineclients.go
+++ b/internal/testing/sim/lineclients.go
@@ -145,8 +145,8 @@
 	}
 }
 
-// receiveLoop passes each response to the client after the link's latency, unless its reading is
-// paused.
+// receiveLoop passes each response to the client after the link's latency. It waits while the
+// client's reading is paused.
 func (s *lineSession) receiveLoop() {
 	var buffer []byte
 	for {
--- a/internal/testing/sim/load.go
+++ b/internal/testing/sim/load.go
@@ -51,8 +51,8 @@
 	Habits func(h *simclient.Habits)
 }
 
-// Configuration returns the configuration document of a load. Its base is the sequence number of the
-// configuration that it replaces.
+// Configuration returns the configuration document of a load. Its base is the sequence number of
+// the configuration that it replaces.
 func (l Load) Configuration(base uint64) []byte {
 	list := func(prefix string, n int) string {
 		names := ""
--- a/internal/testing/sim/machine.go
+++ b/internal/testing/sim/machine.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// processDisk is a machine's disk as one of its processes uses it. Writes fail once that process has
-// ended.
+// processDisk is a machine's disk as one of its processes uses it. Writes fail once that process
+// has ended.
 type processDisk struct {
 	journal.Log
 	machine *Machine
--- a/internal/testing/sim/observe.go
+++ b/internal/testing/sim/observe.go
@@ -85,7 +85,7 @@
 	return transports
 }
 
-// WaitReady waits until every machine present is ready to serve, at most limit.
+// WaitReady waits until every machine present is ready to serve, for at most limit.
 func (w *World) WaitReady(limit time.Duration) error {
 	return w.WaitUntil(limit, "the fleet serves", func() bool {
 		for _, m := range w.Machines {
@@ -97,7 +97,7 @@
 	})
 }
 
-// WaitUntil polls a condition until it is true, at most limit.
+// WaitUntil polls a condition until it is true, for at most limit.
 func (w *World) WaitUntil(limit time.Duration, what string, condition func() bool) error {
 	end := time.Now().Add(limit)
 	for !condition() {
--- a/internal/testing/sim/world.go
+++ b/internal/testing/sim/world.go
@@ -33,7 +33,7 @@
 	// Spares names machines that each have one spare, which is absent until it is added: s2b for
 	// s2.
 	Spares []string
-	// Sync is how long a disk takes to sync; zero means a fast disk's time.
+	// Sync is how long a disk takes to sync; zero means syncDuration.
 	Sync time.Duration
 	// DiskMB limits the disks of some machines, in MiB.
 	DiskMB map[string]int
@@ -139,8 +139,8 @@
 	return opts
 }
 
-// createSpare makes a machine like an existing one, with an empty disk and its own name and address.
-// It never bootstraps a fleet and is absent until it is added.
+// createSpare makes a machine like an existing one, with an empty disk and its own name and
+// address. It never bootstraps a fleet and is absent until it is added.
 func (w *World) createSpare(original string) {
 	existing := w.Machines[original].Opts
 	opts := w.newSettings(original+"b", existing.Zone, existing.Disk)
@@ -149,8 +149,7 @@
 	w.Names = append(w.Names, opts.Name)
 }
 
-// Remove removes a machine for good. A graceful removal first stops its process
-// gracefully.
+// Remove removes a machine for good. If graceful, it terminates the machine's process first.
 func (w *World) Remove(name string, graceful bool) {
 	if graceful {
 		w.Terminate(name)
