--- a/internal/testing/sim/boot_test.go
+++ b/internal/testing/sim/boot_test.go
@@ -79,17 +79,17 @@
 			return false
 		}
 		p := partition.Of(topic, space.Urgent, running.Store.VoterSet().Layout)
-		done := make(chan error, 1)
+		result := make(chan error, 1)
 		running.Sessions.PartitionLog.SubmitAsync(w.ctx, p, &leader.Message{Client: client, Topic: topic, CallSeq: callSeq, Body: []byte(`"b"`)}, time.Now().Add(w.Site.Timing.CallTimeout()), func(decision *leader.Decision, err error) {
 			if err == nil {
 				mu.Lock()
 				lastOffset[topic] = max(lastOffset[topic], decision.Offset)
 				mu.Unlock()
 			}
-			done <- err
+			result <- err
 		})
 		select {
-		case err := <-done:
+		case err := <-result:
 			return err == nil
 		case <-time.After(w.Site.Timing.Recovery):
 			return false
@@ -184,12 +184,12 @@
 func TestMeasureBoot(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for _, restart := range restarts {
-		var all serviceTimes
+		var allTimes serviceTimes
 		var worst []time.Duration
 		for seed := range uint64(seeds(8)) {
 			runFleet(t, restartSite(seed), seed, func(t *testing.T, w *World) {
 				times := measureRestart(t, w, restart.stop, restart.downtime(w))
-				all.open, all.accept, all.deliver = append(all.open, times.open...), append(all.accept, times.accept...), append(all.deliver, times.deliver...)
+				allTimes.open, allTimes.accept, allTimes.deliver = append(allTimes.open, times.open...), append(allTimes.accept, times.accept...), append(allTimes.deliver, times.deliver...)
 				worst = append(worst, max(percentile(times.open, 1), percentile(times.accept, 1), percentile(times.deliver, 1)))
 			})
 		}
@@ -197,7 +197,7 @@
 		for _, series := range []struct {
 			what  string
 			times []time.Duration
-		}{{"opened", all.open}, {"accepted", all.accept}, {"delivered", all.deliver}} {
+		}{{"opened", allTimes.open}, {"accepted", allTimes.accept}, {"delivered", allTimes.deliver}} {
 			slices.Sort(series.times)
 			t.Logf("%s, %s: p10 %s, p50 %s, p90 %s, max %s", restart.name, series.what, percentile(series.times, .1), percentile(series.times, .5), percentile(series.times, .9), percentile(series.times, 1))
 		}
--- a/internal/testing/sim/cut_test.go
+++ b/internal/testing/sim/cut_test.go
@@ -25,16 +25,16 @@
 func heal(w *World, _ string) { w.Heal() }
 
 // cutApart cuts the target off from the chosen machines. It drops what the target sends to them if
-// out is set, and what the target receives from them if in is set.
-func cutApart(w *World, target string, out, in bool, chosen func(name string) bool) {
+// outgoing is set, and what the target receives from them if incoming is set.
+func cutApart(w *World, target string, outgoing, incoming bool, chosen func(name string) bool) {
 	for _, name := range w.Names {
 		if name == target || !chosen(name) {
 			continue
 		}
-		if out {
+		if outgoing {
 			w.Cut(target, name)
 		}
-		if in {
+		if incoming {
 			w.Cut(name, target)
 		}
 	}
--- a/internal/testing/sim/decommission_restart_test.go
+++ b/internal/testing/sim/decommission_restart_test.go
@@ -150,18 +150,18 @@
 			_, err := w.Put("a1", load.Configuration(0))
 			assert.NilError(t, err)
 			cut := []string{"c1", "a1"}[seed/2%2]
-			other := "c2"
+			connected := "c2"
 			w.Isolate(cut)
 			for range 20 {
 				time.Sleep(time.Second)
-				for _, n := range []string{"unknown", "s1", "c1", "a1"} {
-					_, err := w.decommissionStatus(cut, n)
-					assert.Assert(t, isNotFinal(err), "the status of %s: %v", n, err)
+				for _, machine := range []string{"unknown", "s1", "c1", "a1"} {
+					_, err := w.decommissionStatus(cut, machine)
+					assert.Assert(t, isNotFinal(err), "the status of %s: %v", machine, err)
 					err = w.callNode(cut, 2*w.Site.Timing.CallTimeout(), func(ctx context.Context, process *node.Node) error {
-						_, err := process.Operators.Decommission(ctx, n)
+						_, err := process.Operators.Decommission(ctx, machine)
 						return err
 					})
-					assert.Assert(t, isNotFinal(err), "the decommissioning of %s: %v", n, err)
+					assert.Assert(t, isNotFinal(err), "the decommissioning of %s: %v", machine, err)
 				}
 				_, err := w.Put(cut, load.Configuration(1))
 				assert.Assert(t, isNotFinal(err), "a configuration: %v", err)
@@ -171,7 +171,7 @@
 				})
 				assert.Assert(t, isNotFinal(err), "a read: %v", err)
 			}
-			_, err = w.decommissionStatus(other, "unknown")
+			_, err = w.decommissionStatus(connected, "unknown")
 			assert.Assert(t, apierror.HasCode(err, apierror.UnknownNode), "%v", err)
 			w.Heal()
 			time.Sleep(w.Site.Timing.SessionTimeout())
--- a/internal/testing/sim/faults.go
+++ b/internal/testing/sim/faults.go
@@ -37,16 +37,16 @@
 func pickDiskKind(r *rand.Rand) string { return []string{"c", "s"}[r.IntN(2)] }
 
 // splitByZone picks a zone and returns the machines in it and those outside it.
-func (w *World) splitByZone(r *rand.Rand) (in, out []string) {
+func (w *World) splitByZone(r *rand.Rand) (inside, outside []string) {
 	zone := fmt.Sprintf("z%d", r.IntN(w.Site.Zones)+1)
 	for _, n := range w.Names {
 		if w.Machines[n].Opts.Zone == zone {
-			in = append(in, n)
+			inside = append(inside, n)
 		} else {
-			out = append(out, n)
+			outside = append(outside, n)
 		}
 	}
-	return in, out
+	return inside, outside
 }
 
 func (w *World) undoByStarting(names ...string) func() {
@@ -91,9 +91,9 @@
 		return w.Heal
 	},
 	"zone cut": func(w *World, r *rand.Rand) func() {
-		in, out := w.splitByZone(r)
-		for _, a := range in {
-			for _, b := range out {
+		inside, outside := w.splitByZone(r)
+		for _, a := range inside {
+			for _, b := range outside {
 				w.Cut(a, b)
 				w.Cut(b, a)
 			}
@@ -101,11 +101,11 @@
 		return w.Heal
 	},
 	"zone lost": func(w *World, r *rand.Rand) func() {
-		in, _ := w.splitByZone(r)
-		for _, n := range in {
+		inside, _ := w.splitByZone(r)
+		for _, n := range inside {
 			w.LosePower(n, r.IntN(2) == 0)
 		}
-		return w.undoByStarting(in...)
+		return w.undoByStarting(inside...)
 	},
 	"lose packets": func(w *World, r *rand.Rand) func() {
 		w.DropPackets(0.1)
--- a/internal/testing/sim/observe.go
+++ b/internal/testing/sim/observe.go
@@ -40,21 +40,21 @@
 
 func (w *World) isDecommissioned(name string) func() bool {
 	return func() bool {
-		var done atomic.Bool
+		var decommissioned atomic.Bool
 		for _, control := range w.Names {
-			if control[0] == 'c' && !done.Load() {
+			if control[0] == 'c' && !decommissioned.Load() {
 				_ = w.callNode(control, w.Site.Timing.CallTimeout(), func(ctx context.Context, process *node.Node) error {
 					value, err := process.Operators.Client.Read(ctx, decommission.Key)
 					if err != nil {
 						return err
 					}
 					orders, err := decommission.Parse(value.Body)
-					done.Store(err == nil && orders[name].Done)
+					decommissioned.Store(err == nil && orders[name].Done)
 					return err
 				})
 			}
 		}
-		return done.Load()
+		return decommissioned.Load()
 	}
 }
 
