--- a/internal/testing/sim/idle_test.go
+++ b/internal/testing/sim/idle_test.go
@@ -11,8 +11,8 @@
 	"postjunction/internal/partitionlog/replica"
 )
 
-// The cost of comparing the replicas of idle partitions grows with pairs of machines, not with
-// partitions. A replica whose disk is lost is noticed nevertheless.
+// The cost of comparing the replicas of idle partitions grows with the number of pairs of machines,
+// not with that of partitions. The loss of a replica's disk is noticed nevertheless.
 func TestIdleLogsAreConfirmedTogether(t *testing.T) {
 	t.Parallel()
 	site := Armor
@@ -50,10 +50,10 @@
 		const sweeps = 4
 		time.Sleep(sweeps * site.Timing.SweepInterval())
 		after := w.TrafficByPath()
-		for _, p := range []string{keys.Read.Path, acceptor.Peek.Path} {
-			t.Logf("%s: %d calls, %d bytes in %d sweeps of %d partitions", p, after[p].Calls-before[p].Calls, after[p].Bytes-before[p].Bytes, sweeps, site.Routine+site.Urgent)
+		for _, path := range []string{keys.Read.Path, acceptor.Peek.Path} {
+			t.Logf("%s: %d calls, %d bytes in %d sweeps of %d partitions", path, after[path].Calls-before[path].Calls, after[path].Bytes-before[path].Bytes, sweeps, site.Routine+site.Urgent)
 		}
-		n := after[keys.Read.Path].Calls - before[keys.Read.Path].Calls
-		assert.Assert(t, n < site.Routine+site.Urgent, "%d reads", n)
+		reads := after[keys.Read.Path].Calls - before[keys.Read.Path].Calls
+		assert.Assert(t, reads < site.Routine+site.Urgent, "%d reads", reads)
 	})
 }
--- a/internal/testing/sim/leader_test.go
+++ b/internal/testing/sim/leader_test.go
@@ -27,49 +27,50 @@
 	return records
 }
 
-// withHistory returns a record from a node without a disk, with the history that nodes with a disk
-// have of the same version.
-func (w *World) withHistory(r assignment.Record) assignment.Record {
-	for _, m := range w.Machines {
-		n := m.Node()
-		if n == nil || m.Opts.Disk == settings.DiskNone {
+// withHistory returns the record of a node without a disk with the history filled in that a node
+// with a disk has of the same version.
+func (w *World) withHistory(record assignment.Record) assignment.Record {
+	for _, machine := range w.Machines {
+		running := machine.Node()
+		if running == nil || machine.Opts.Disk == settings.DiskNone {
 			continue
 		}
-		if x := n.Store.Record(r.Partition); x.Version == r.Version {
-			r.History = x.History
+		if stored := running.Store.Record(record.Partition); stored.Version == record.Version {
+			record.History = stored.History
 		}
 	}
-	return r
+	return record
 }
 
-// A storage node that is back before its peers find its port closed twice retains its leaderships.
-// One that is down for longer loses them to the successors that the record names, each partition
-// once. Either way no epoch is used again, and partitions with another leader do not change.
+// A storage node that restarts before its peers have found its port closed twice retains its
+// leaderships. One that is down for longer loses each of them once, to the successor that the
+// record names. Either way no epoch is used again, and partitions with another leader do not
+// change.
 func TestUsedEpochIsNeverUsedAgainAndSuccessorsTakeOverInOrder(t *testing.T) {
 	t.Parallel()
 	for downtime, retainsLeadership := range map[time.Duration]bool{30 * time.Millisecond: true, 600 * time.Millisecond: false} {
 		t.Run(downtime.String(), func(t *testing.T) {
 			t.Parallel()
 			runScenario(t, Armor, 21, Armor.Timing.Recovery/2, func(t *testing.T, w *World) {
-				leader := busiest(w)
+				leaderNode := busiest(w)
 				before := w.records()
-				w.Kill(leader)
+				w.Kill(leaderNode)
 				time.Sleep(downtime)
-				assert.NilError(t, w.Start(leader))
+				assert.NilError(t, w.Start(leaderNode))
 				time.Sleep(6 * time.Second)
-				for p, r := range w.records() {
-					if before[p].Leader != leader {
-						assert.Equal(t, r.Leader, before[p].Leader, "partition %d moved", p)
-						assert.Equal(t, r.Epoch, before[p].Epoch)
+				for partitionID, record := range w.records() {
+					if before[partitionID].Leader != leaderNode {
+						assert.Equal(t, record.Leader, before[partitionID].Leader, "partition %d moved", partitionID)
+						assert.Equal(t, record.Epoch, before[partitionID].Epoch)
 						continue
 					}
-					assert.Equal(t, r.Epoch, before[p].Epoch+1)
-					successor, reason := leader, "came back"
+					assert.Equal(t, record.Epoch, before[partitionID].Epoch+1)
+					successor, reason := leaderNode, "came back"
 					if !retainsLeadership {
-						successor, reason = before[p].Successors(func(assignment.Replica) int { return 0 })[0].Node, "the owner is gone: "+failuredetector.Refused
+						successor, reason = before[partitionID].Successors(func(assignment.Replica) int { return 0 })[0].Node, "the owner is gone: "+failuredetector.Refused
 					}
-					assert.Equal(t, r.Leader, successor, "partition %d", p)
-					last := r.History[len(r.History)-1]
+					assert.Equal(t, record.Leader, successor, "partition %d", partitionID)
+					last := record.History[len(record.History)-1]
 					assert.Assert(t, strings.Contains(last.Reason, reason), last.Reason)
 				}
 			})
@@ -79,29 +80,30 @@
 
 func attach(t *testing.T, w *World, node, name string) client.Attachment {
 	t.Helper()
-	a, err := w.Transport(node).Attach(w.ctx, name)
+	attachment, err := w.Transport(node).Attach(w.ctx, name)
 	assert.NilError(t, err)
-	return a
+	return attachment
 }
 
 func TestOldAttachmentCannotSendOnceANewerOneDid(t *testing.T) {
 	t.Parallel()
 	runFleet(t, Armor, 22, func(t *testing.T, w *World) {
 		applyConfiguration(t, w)
-		old := attach(t, w, "a1", "v")
-		now := attach(t, w, "c1", "v")
-		_, err := w.Transport("c2").Send(w.ctx, old.Token, "kept/t0", 1, []byte(`1`))
+		olderAttachment := attach(t, w, "a1", "v")
+		newerAttachment := attach(t, w, "c1", "v")
+		_, err := w.Transport("c2").Send(w.ctx, olderAttachment.Token, "kept/t0", 1, []byte(`1`))
 		assert.Assert(t, apierror.HasCode(err, apierror.TokenFenced), "%v", err)
-		_, err = w.Transport("c2").Send(w.ctx, now.Token, "kept/t0", 1, []byte(`1`))
+		_, err = w.Transport("c2").Send(w.ctx, newerAttachment.Token, "kept/t0", 1, []byte(`1`))
 		assert.NilError(t, err)
-		n := w.Machines["a1"].Node()
-		p := partition.Of("kept/t0", false, n.VoterSet().Layout)
-		_, err = n.Clients.Router.Submit(w.ctx, p, &leader.Message{Client: "v", Generation: old.Generation, Topic: "kept/t0", CallSeq: 2, Body: []byte(`2`)})
+		running := w.Machines["a1"].Node()
+		partitionID := partition.Of("kept/t0", false, running.VoterSet().Layout)
+		_, err = running.Clients.Router.Submit(w.ctx, partitionID, &leader.Message{Client: "v", Generation: olderAttachment.Generation, Topic: "kept/t0", CallSeq: 2, Body: []byte(`2`)})
 		assert.Assert(t, apierror.HasCode(err, apierror.TokenFenced), "a send that was in flight: %v", err)
 	})
 }
 
-// follow returns the calls received on topics within the limit, and the last cursor.
+// follow reads a stream of topics until it ends or the limit has passed. It returns the calls
+// received, the last cursor and the error that ended the stream.
 func follow(w *World, node, token, cursor string, topics []string, limit time.Duration) (calls []uint64, last string, end error) {
 	ctx, stop := context.WithTimeout(w.ctx, limit)
 	defer stop()
@@ -136,17 +138,17 @@
 			_, err := w.Transport("c2").Send(w.ctx, sender.Token, "kept/t0", call, []byte(fmt.Sprint(call)))
 			assert.NilError(t, err)
 			if call == 10 || call == 20 {
-				o := w.records()[partition.Of("kept/t0", false, w.Machines["a1"].Node().VoterSet().Layout)].Leader
-				w.Kill(o)
+				leaderNode := w.records()[partition.Of("kept/t0", false, w.Machines["a1"].Node().VoterSet().Layout)].Leader
+				w.Kill(leaderNode)
 				time.Sleep(5 * time.Second)
-				assert.NilError(t, w.Start(o))
+				assert.NilError(t, w.Start(leaderNode))
 			}
 			time.Sleep(700 * time.Millisecond)
 		}
 		calls, cursor, _ := follow(w, "c3", subscriber.Token, firstCursor, topics, 2*time.Second)
 		assert.Equal(t, len(calls), 34, "%v", calls)
-		again, _, _ := follow(w, "a1", subscriber.Token, cursor, topics, 2*time.Second)
-		assert.Equal(t, len(again), 0, "%v twice", again)
+		repeated, _, _ := follow(w, "a1", subscriber.Token, cursor, topics, 2*time.Second)
+		assert.Equal(t, len(repeated), 0, "%v twice", repeated)
 		time.Sleep(w.Site.Timing.Retention() + 10*time.Second)
 		for call < 40 {
 			call++
@@ -159,17 +161,17 @@
 	})
 }
 
-// A partition leader that is cut off together with a follower continues to write to both logs. None
-// of these writes may count.
+// A partition leader receives nothing from nodes with a disk and is frozen meanwhile. It continues
+// to write to its own log and to those of its followers. None of these writes may count.
 func TestFencedLeaderAndFollowerDecideNothing(t *testing.T) {
 	t.Parallel()
 	skipUnderRace(t)
 	runScenario(t, Traductores, 24, Traductores.Timing.Recovery, func(_ *testing.T, w *World) {
 		for range 2 {
 			target := busiest(w)
-			for _, n := range w.Names {
-				if n != target && n[0] != 'a' {
-					w.Cut(n, target)
+			for _, node := range w.Names {
+				if node != target && node[0] != 'a' {
+					w.Cut(node, target)
 				}
 			}
 			w.Freeze(target)
--- a/internal/testing/sim/load_test.go
+++ b/internal/testing/sim/load_test.go
@@ -13,8 +13,8 @@
 
 func (w *World) leadershipMoves() int {
 	moves := 0
-	for _, r := range w.records() {
-		moves += int(r.Epoch) - 1
+	for _, record := range w.records() {
+		moves += int(record.Epoch) - 1
 	}
 	return moves
 }
@@ -35,6 +35,8 @@
 	return accepted
 }
 
+// loadImbalance returns the load of the busiest storage node over the mean of all three. It
+// measures again if leaderships moved meanwhile.
 func loadImbalance(duration time.Duration, w *World) float64 {
 	before, epochs := w.acceptedByNode(), w.leadershipMoves()
 	time.Sleep(duration)
--- a/internal/testing/sim/measure_test.go
+++ b/internal/testing/sim/measure_test.go
@@ -24,8 +24,8 @@
 func leaderViews(w *World) []leader.View {
 	var views []leader.View
 	for _, machine := range w.Machines {
-		if n := machine.Node(); n != nil {
-			views = append(views, n.Operators.Leaders()...)
+		if running := machine.Node(); running != nil {
+			views = append(views, running.Operators.Leaders()...)
 		}
 	}
 	return views
@@ -135,8 +135,8 @@
 				time.Sleep(8 * time.Second)
 				way.inject(w)
 				time.Sleep(20 * time.Second)
-				r := w.History.Check(time.Now().Add(-time.Minute), time.Now())
-				waits = append(waits, fmt.Sprint(max(r.Routine.Max, r.Urgent.Max).Round(time.Millisecond)))
+				report := w.History.Check(time.Now().Add(-time.Minute), time.Now())
+				waits = append(waits, fmt.Sprint(max(report.Routine.Max, report.Urgent.Max).Round(time.Millisecond)))
 			})
 		}
 		t.Logf("%-24s longest wait of a client by seed: %v", way.name, waits)
--- a/internal/testing/sim/orders_test.go
+++ b/internal/testing/sim/orders_test.go
@@ -32,16 +32,16 @@
 			assert.NilError(t, err)
 			accepted = append(accepted, doc)
 			for earlier, again := range accepted {
-				seq, err := w.Put(w.Names[w.Int(len(w.Names))], again)
+				sequence, err := w.Put(w.Names[w.Int(len(w.Names))], again)
 				assert.NilError(t, err, "order %d after order %d", earlier, number)
-				assert.Equal(t, seq, uint64(2*earlier+2))
+				assert.Equal(t, sequence, uint64(2*earlier+2))
 			}
 			_, err = w.Put(w.Names[w.Int(len(w.Names))], load.NumberedConfiguration(2*number, 2*number+2, "another of the same number"))
 			assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationConflict), "%v", err)
 		}
-		got, err := w.Machines["s1"].Node().Operators.CurrentConfiguration(w.ctx)
+		config, err := w.Machines["s1"].Node().Operators.CurrentConfiguration(w.ctx)
 		assert.NilError(t, err)
-		assert.Equal(t, got.Sequence, uint64(12), "an order that is acknowledged again takes effect again")
+		assert.Equal(t, config.Sequence, uint64(12), "an order that is acknowledged again takes effect again")
 	})
 }
 
@@ -63,8 +63,8 @@
 			assert.NilError(t, w.WaitUntil(60*time.Second, name+"b is a voter", func() bool {
 				voterSet := w.Machines["a1"].Node().VoterSet()
 				_, ok := voterSet.Voter(name + "b")
-				_, old := voterSet.Voter(name)
-				return ok && !old
+				_, isStillVoter := voterSet.Voter(name)
+				return ok && !isStillVoter
 			}))
 			time.Sleep(w.Site.Timing.Recovery)
 		}
@@ -75,9 +75,9 @@
 		assert.NilError(t, w.Start(w.Present()...))
 		assert.NilError(t, w.WaitReady(30*time.Second))
 		for _, name := range w.Present() {
-			seq, err := w.Put(name, first)
+			sequence, err := w.Put(name, first)
 			assert.NilError(t, err, "through %s", name)
-			assert.Equal(t, seq, uint64(3))
+			assert.Equal(t, sequence, uint64(3))
 		}
 		_, err := w.Put("a1", load.NumberedConfiguration(0, 3, "other"))
 		assert.Assert(t, apierror.HasCode(err, apierror.ConfigurationConflict), "%v", err)
@@ -111,21 +111,21 @@
 const maxAttempts = 12
 
 func (o *simulatedOperator) read() (orders.Order, bool) {
-	var got orders.Order
+	var order orders.Order
 	call := time.Now()
 	err := o.world.callNode(o.node(), operatorTimeout, func(ctx context.Context, running *node.Node) error {
 		config, err := running.Operators.CurrentConfiguration(ctx)
-		got = orders.Order{Base: config.Base, Sequence: config.Sequence, ID: config.Source}
+		order = orders.Order{Base: config.Base, Sequence: config.Sequence, ID: config.Source}
 		return err
 	})
 	switch {
 	case apierror.HasCode(err, apierror.ConfigurationMissing):
-		got = orders.Order{}
+		order = orders.Order{}
 	case err != nil:
-		return orders.Order{}, false // a call that timed out may still write got
+		return orders.Order{}, false // a call that timed out may still write order
 	}
-	o.history.Read(got, call, time.Now())
-	return got, true
+	o.history.Read(order, call, time.Now())
+	return order, true
 }
 
 // send sends an order once. A lost response makes the outcome unknown.
@@ -253,13 +253,13 @@
 		history = orders.New(time.Now())
 		ctx, stop := context.WithTimeout(w.ctx, span)
 		defer stop()
-		var all sync.WaitGroup
+		var wg sync.WaitGroup
 		for index := range 3 {
 			simulated := &simulatedOperator{world: w, rng: rand.New(rand.NewPCG(seed, uint64(index))), name: fmt.Sprint("operator ", index), history: history, lostFraction: 0.5}
-			all.Go(func() { simulated.run(ctx) })
+			wg.Go(func() { simulated.run(ctx) })
 		}
 		w.injectControlFaults(ctx, rand.New(rand.NewPCG(seed, 99)))
-		all.Wait()
+		wg.Wait()
 	})
 	return history
 }
--- a/internal/testing/sim/power_loss_test.go
+++ b/internal/testing/sim/power_loss_test.go
@@ -32,8 +32,8 @@
 				time.Sleep(site.Timing.Recovery)
 				_, err = w.Put("a1", big.Configuration(1))
 				assert.NilError(t, err)
-				for _, n := range w.Names {
-					w.LosePower(n, w.Int(2) == 0)
+				for _, node := range w.Names {
+					w.LosePower(node, w.Int(2) == 0)
 				}
 				time.Sleep(site.Timing.FailureTimeout())
 				names := slices.Clone(w.Names)
@@ -42,16 +42,16 @@
 					names[i], names[k] = names[k], names[i]
 				}
 				before := w.TrafficByPath()
-				for _, n := range names {
-					assert.NilError(t, w.Start(n))
+				for _, node := range names {
+					assert.NilError(t, w.Start(node))
 					time.Sleep(time.Duration(w.Int(60)) * time.Millisecond)
 				}
 				assert.NilError(t, w.WaitUntil(site.Timing.ReconcileInterval(), "all are ready", func() bool {
-					return !slices.ContainsFunc(names, func(n string) bool { return w.Machines[n].Node().Ready() != nil })
+					return !slices.ContainsFunc(names, func(node string) bool { return w.Machines[node].Node().Ready() != nil })
 				}))
 				after, bytes := w.TrafficByPath(), 0
-				for _, p := range []string{keys.Read.Path, acceptor.Peek.Path, acceptor.Promise.Path, acceptor.Accept.Path} {
-					bytes += after[p].Bytes - before[p].Bytes
+				for _, path := range []string{keys.Read.Path, acceptor.Peek.Path, acceptor.Promise.Path, acceptor.Accept.Path} {
+					bytes += after[path].Bytes - before[path].Bytes
 				}
 				assert.Assert(t, bytes < 50*len(big.Configuration(1)), "%d bytes for a configuration of %d", bytes, len(big.Configuration(1)))
 			})
--- a/internal/testing/sim/repair_test.go
+++ b/internal/testing/sim/repair_test.go
@@ -10,9 +10,9 @@
 
 // platformSite is a site as the platform runs it, with all partitions.
 var platformSite = func() Site {
-	s := Armor
-	s.Control, s.Access, s.Routine, s.Urgent = 4, 2, 12, 4
-	return s
+	site := Armor
+	site.Control, site.Access, site.Routine, site.Urgent = 4, 2, 12, 4
+	return site
 }()
 
 // platformLoad is a load near the usual one of the platform.
@@ -21,15 +21,15 @@
 // allReplicasComplete reports whether every partition is recovered, has all its replicas on disks
 // of running processes, and has no learner.
 func (w *World) allReplicasComplete() bool {
-	ref := w.Machines["a1"].Node()
-	l := ref.VoterSet().Layout
-	for p := range l.PartitionCount() {
-		x := ref.Store.Record(p)
-		if !x.Recovered || len(x.Replicas) != l.ReplicationFactor() || x.Learner != nil {
+	observer := w.Machines["a1"].Node()
+	layout := observer.VoterSet().Layout
+	for partitionID := range layout.PartitionCount() {
+		record := observer.Store.Record(partitionID)
+		if !record.Recovered || len(record.Replicas) != layout.ReplicationFactor() || record.Learner != nil {
 			return false
 		}
-		for _, q := range x.Replicas {
-			if n := w.Machines[q.Node].Node(); n == nil || n.Info().Incarnation != q.Incarnation {
+		for _, replica := range record.Replicas {
+			if running := w.Machines[replica.Node].Node(); running == nil || running.Info().Incarnation != replica.Incarnation {
 				return false
 			}
 		}
@@ -37,8 +37,8 @@
 	return true
 }
 
-// A machine that comes back with an empty disk counts as lost for a short time only. Then the next
-// loss may follow. By then it has all its replicas, or is a voter again, under load.
+// A machine that comes back with an empty disk under load soon has all its replicas, or is a voter
+// again. Until then it counts as lost, and no other machine may be lost.
 func TestEmptyDisksAreFilledSoon(t *testing.T) {
 	t.Parallel()
 	skipUnderRace(t)
@@ -51,16 +51,16 @@
 				time.Sleep(w.Site.Timing.Spread)
 				w.StartHTTPClients(platformLoad)
 				time.Sleep(40 * time.Second)
-				for _, n := range []string{"s1", busiest(w), "c1"} {
-					w.Wipe(n)
+				for _, node := range []string{"s1", busiest(w), "c1"} {
+					w.Wipe(node)
 					time.Sleep(downtime)
-					assert.NilError(t, w.Start(n))
+					assert.NilError(t, w.Start(node))
 					startedAt := time.Now()
 					assert.NilError(t, w.WaitUntil(10*time.Second, "all replicas are complete", w.allReplicasComplete))
-					replicas := time.Since(startedAt)
+					replicasAfter := time.Since(startedAt)
 					assert.NilError(t, w.WaitUntil(10*time.Second, "all control nodes are voters", w.allNodesAreVoters))
-					t.Logf("%s: replicas complete %s after its return, voters after %s", n, replicas, time.Since(startedAt))
-					assert.Check(t, time.Since(startedAt) < 2500*time.Millisecond, n)
+					t.Logf("%s: replicas complete %s after its return, voters after %s", node, replicasAfter, time.Since(startedAt))
+					assert.Check(t, time.Since(startedAt) < 2500*time.Millisecond, node)
 					time.Sleep(4 * time.Second)
 				}
 				w.StopSending(time.Second)
@@ -79,11 +79,11 @@
 		time.Sleep(w.Site.Timing.Spread)
 		w.StartHTTPClients(platformLoad)
 		time.Sleep(20 * time.Second)
-		at := time.Now()
+		start := time.Now()
 		assert.NilError(t, w.startDecommission("s1"))
 		assert.NilError(t, w.WaitUntil(20*time.Second, "s1 is empty", w.decommissionDone("s1")))
-		t.Logf("empty after %s", time.Since(at))
-		assert.Check(t, time.Since(at) < 4*time.Second)
+		t.Logf("empty after %s", time.Since(start))
+		assert.Check(t, time.Since(start) < 4*time.Second)
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, w.replicaCount("s1"), 0, "a decommissioned machine got replicas again")
 		w.StopSending(time.Second)
@@ -97,27 +97,27 @@
 		assert.NilError(t, w.WaitUntil(10*time.Second, "every partition has its replicas", w.allReplicasComplete))
 		w.Kill("s2")
 		time.Sleep(4 * time.Second)
-		at := time.Now()
+		start := time.Now()
 		assert.NilError(t, w.startDecommission("s2"))
 		assert.NilError(t, w.WaitUntil(10*time.Second, "s2 is empty", w.decommissionDone("s2")))
-		t.Logf("empty after %s", time.Since(at))
+		t.Logf("empty after %s", time.Since(start))
 		assert.Equal(t, w.committedReplicaCount(t, "s2"), 0)
 		assert.NilError(t, w.WaitUntil(w.Site.Timing.Spread, "every node knows that s2 is empty", func() bool { return w.replicaCount("s2") == 0 }))
 	})
 }
 
 // A storage node that joined late and has no replicas is decommissioned at once. It remains empty
-// although replicas need a new node.
+// when another storage node is lost, whose replicas move to the small disks.
 func TestEmptyStorageNodeStaysEmpty(t *testing.T) {
 	t.Parallel()
-	s := Armor
-	s.Storage = 4
+	site := Armor
+	site.Storage = 4
 	synctest.Test(t, func(t *testing.T) {
-		w := New(s, 53, Logger())
+		w := New(site, 53, Logger())
 		defer w.Close()
-		for _, n := range w.Names {
-			if n != "s4" {
-				assert.NilError(t, w.Start(n))
+		for _, node := range w.Names {
+			if node != "s4" {
+				assert.NilError(t, w.Start(node))
 			}
 		}
 		assert.NilError(t, w.WaitUntil(10*time.Second, "every partition has its replicas", func() bool { return w.replicaCount("s1") > 0 && w.allReplicasComplete() }))
--- a/internal/testing/sim/replace_test.go
+++ b/internal/testing/sim/replace_test.go
@@ -19,9 +19,9 @@
 func wipeWhileOthersLosePower(t *testing.T, w *World, wiped string) {
 	t.Helper()
 	w.Wipe(wiped)
-	for _, k := range w.Present() {
-		if k != wiped {
-			w.LosePower(k, w.Int(2) == 0)
+	for _, node := range w.Present() {
+		if node != wiped {
+			w.LosePower(node, w.Int(2) == 0)
 		}
 	}
 	time.Sleep(time.Second)
@@ -30,8 +30,8 @@
 
 // A storage node is removed for good and another one replaces it under another name and address.
 // Four seconds later another storage node loses its disk and all others their power. Guards against
-// replicas of the first node that wait for its return for the retention time, so that two of three
-// are lost.
+// partitions that wait for the removed node's return for the retention time, and so lose two of
+// their three replicas.
 func TestReplacedStorageNodeIsMadeGoodBeforeTheNextLoss(t *testing.T) {
 	t.Parallel()
 	skipUnderRace(t)
@@ -51,14 +51,14 @@
 							assert.NilError(t, w.Add("s2b"))
 						}
 						time.Sleep(2 * time.Second)
-						for p, r := range w.records() {
-							if !r.Includes("s2b") || r.Includes("s2") {
-								t.Logf("partition %d is not fully replicated 2 s after the new node's start: %v", p, r.Replicas)
+						for partitionID, record := range w.records() {
+							if !record.Includes("s2b") || record.Includes("s2") {
+								t.Logf("partition %d is not fully replicated 2 s after the new node's start: %v", partitionID, record.Replicas)
 							}
 						}
 						time.Sleep(2 * time.Second)
-						for p, r := range w.records() {
-							assert.Assert(t, !r.Includes("s2"), "partition %d still names the removed node: %v", p, r.Replicas)
+						for partitionID, record := range w.records() {
+							assert.Assert(t, !record.Includes("s2"), "partition %d still names the removed node: %v", partitionID, record.Replicas)
 						}
 						wipeWhileOthersLosePower(t, w, "s1")
 						time.Sleep(site.Timing.Recovery)
@@ -83,15 +83,15 @@
 			time.Sleep(downtime)
 			assert.NilError(t, w.Start("s3"))
 			time.Sleep(Armor.Timing.Recovery / 2)
-			for p, r := range w.records() {
-				assert.Assert(t, r.Includes("s3") && !r.Includes("s2b"), "partition %d moved to %v", p, r.Replicas)
+			for partitionID, record := range w.records() {
+				assert.Assert(t, record.Includes("s3") && !record.Includes("s2b"), "partition %d moved to %v", partitionID, record.Replicas)
 			}
 		})
 	}
 }
 
-// A storage node that restarts while no new node is present retains its replicas. So does one that
-// is back with its disk before a new node has caught up.
+// A storage node that loses power and restarts with its disk, while no new node is present, retains
+// its replicas.
 func TestRestartMovesNoReplicas(t *testing.T) {
 	t.Parallel()
 	skipUnderRace(t)
@@ -102,9 +102,9 @@
 			time.Sleep(site.Timing.Recovery / 3)
 			assert.NilError(t, w.Start("s2"))
 			time.Sleep(site.Timing.Recovery / 2)
-			for p, r := range w.records() {
-				for _, x := range before[p].Replicas {
-					assert.Assert(t, r.Includes(x.Node), "partition %d moved from %v to %v", p, before[p].Replicas, r.Replicas)
+			for partitionID, record := range w.records() {
+				for _, replica := range before[partitionID].Replicas {
+					assert.Assert(t, record.Includes(replica.Node), "partition %d moved from %v to %v", partitionID, before[partitionID].Replicas, record.Replicas)
 				}
 			}
 		})
@@ -112,11 +112,11 @@
 }
 
 func (w *World) voterNames(node string) []string {
-	var ns []string
-	for _, x := range w.Machines[node].Node().VoterSet().Voters {
-		ns = append(ns, x.Node)
+	var names []string
+	for _, voter := range w.Machines[node].Node().VoterSet().Voters {
+		names = append(names, voter.Node)
 	}
-	return ns
+	return names
 }
 
 // A voter is removed for good and another one replaces it under another name and address. Four
@@ -128,22 +128,22 @@
 	for _, site := range []Site{Armor, Traductores} {
 		for _, how := range []string{"asked", "lost", "planned"} {
 			for seed := range uint64(seeds(2)) {
-				for _, out := range []string{"c1", "c2"} {
-					t.Run(fmt.Sprintf("%s of %d voters, %s, seed %d", out, site.Control, how, seed), func(t *testing.T) {
+				for _, removed := range []string{"c1", "c2"} {
+					t.Run(fmt.Sprintf("%s of %d voters, %s, seed %d", removed, site.Control, how, seed), func(t *testing.T) {
 						t.Parallel()
-						runScenario(t, withSpares(site, out), 720+seed, site.Timing.Recovery, func(t *testing.T, w *World) {
+						runScenario(t, withSpares(site, removed), 720+seed, site.Timing.Recovery, func(t *testing.T, w *World) {
 							if how == "planned" {
-								assert.NilError(t, w.Add(out+"b"))
+								assert.NilError(t, w.Add(removed+"b"))
 								time.Sleep(w.randomTenths(10, 20))
 							}
-							w.Remove(out, how != "lost")
+							w.Remove(removed, how != "lost")
 							if how != "planned" {
 								time.Sleep(1300 * time.Millisecond)
-								assert.NilError(t, w.Add(out+"b"))
+								assert.NilError(t, w.Add(removed+"b"))
 							}
 							time.Sleep(4 * time.Second)
-							ns := w.voterNames("c3")
-							assert.Assert(t, len(ns) == site.Control && !slices.Contains(ns, out) && slices.Contains(ns, out+"b"), "the voters are %v", ns)
+							voters := w.voterNames("c3")
+							assert.Assert(t, len(voters) == site.Control && !slices.Contains(voters, removed) && slices.Contains(voters, removed+"b"), "the voters are %v", voters)
 							wipeWhileOthersLosePower(t, w, "c3")
 							time.Sleep(site.Timing.Recovery)
 							assert.NilError(t, w.readBackConfiguration("a1", time.Now()))
@@ -173,11 +173,11 @@
 			time.Sleep(w.randomTenths(10, 30))
 			assert.NilError(t, w.Start("c2"))
 			time.Sleep(w.Site.Timing.Recovery / 2)
-			ns := w.voterNames("c1")
-			for _, n := range []string{"c1", "c2", "c2b", "c3", "c4"} {
-				assert.Assert(t, slices.Contains(ns, n), "the voters are %v", ns)
+			voters := w.voterNames("c1")
+			for _, node := range []string{"c1", "c2", "c2b", "c3", "c4"} {
+				assert.Assert(t, slices.Contains(voters, node), "the voters are %v", voters)
 			}
-			assert.Equal(t, len(ns), 5)
+			assert.Equal(t, len(voters), 5)
 			w.Wipe("c1")
 			time.Sleep(w.Site.Timing.Recovery / 6)
 			assert.NilError(t, w.Start("c1"))
--- a/internal/testing/sim/restart_test.go
+++ b/internal/testing/sim/restart_test.go
@@ -26,28 +26,28 @@
 		runFleet(t, siteForSeed(seed), 80+seed, func(t *testing.T, w *World) {
 			applyConfiguration(t, w)
 			for i := range w.Site.Control {
-				c := fmt.Sprintf("c%d", i+1)
-				if m := w.Machines[c]; !m.Node().IsPlacementController() && w.Int(2) == 0 {
-					w.promiseLocally(t, c, controller.Key, epoch.Epoch{Number: 50 + uint64(i), Node: c})
+				node := fmt.Sprintf("c%d", i+1)
+				if machine := w.Machines[node]; !machine.Node().IsPlacementController() && w.Int(2) == 0 {
+					w.promiseLocally(t, node, controller.Key, epoch.Epoch{Number: 50 + uint64(i), Node: node})
 				}
 			}
 			token := attach(t, w, "c1", "v").Token
-			for _, n := range w.Names {
-				w.LosePower(n, w.Int(2) == 0)
+			for _, node := range w.Names {
+				w.LosePower(node, w.Int(2) == 0)
 			}
 			restartedAt := time.Now()
 			assert.NilError(t, w.Start(w.Names...))
 			for i := range load.Topics {
-				var r client.Receipt
+				var receipt client.Receipt
 				err := error(nil)
 				for ok := false; !ok && time.Since(restartedAt) < w.Site.Timing.Recovery; ok = err == nil {
 					ctx, stop := context.WithTimeout(w.ctx, w.Site.Timing.Spread)
-					r, err = w.Transport("a1").Send(ctx, token, fmt.Sprintf("kept/t%d", i), 1, []byte(`"back"`))
+					receipt, err = w.Transport("a1").Send(ctx, token, fmt.Sprintf("kept/t%d", i), 1, []byte(`"back"`))
 					stop()
 					time.Sleep(w.Site.Timing.HeartbeatInterval() / 3)
 				}
 				assert.NilError(t, err, "seed %d: topic %d", seed, i)
-				_ = r
+				_ = receipt
 			}
 			longest = max(longest, time.Since(restartedAt))
 			assert.Assert(t, time.Since(restartedAt) < w.Site.Timing.Recovery*2/5, "seed %d: back after %s", seed, time.Since(restartedAt))
@@ -60,10 +60,10 @@
 // that reaches no other node.
 func (w *World) promiseLocally(t *testing.T, name, key string, promised epoch.Epoch) {
 	t.Helper()
-	m := w.Machines[name]
-	_, run := m.node()
-	voters := m.Node().VoterSet()
-	response, err := acceptor.Promise.Call(w.ctx, &endpoint{w, m, run}, name, m.Opts.PeerListen, &acceptor.PromiseRequest{Target: acceptor.Target{VoterSet: voters.Sequence, Incarnation: m.Node().Info().Incarnation, Key: key}, Epoch: promised})
+	machine := w.Machines[name]
+	_, run := machine.node()
+	voterSet := machine.Node().VoterSet()
+	response, err := acceptor.Promise.Call(w.ctx, &endpoint{w, machine, run}, name, machine.Opts.PeerListen, &acceptor.PromiseRequest{Target: acceptor.Target{VoterSet: voterSet.Sequence, Incarnation: machine.Node().Info().Incarnation, Key: key}, Epoch: promised})
 	assert.NilError(t, err)
 	assert.Assert(t, response.Granted)
 }
@@ -85,16 +85,16 @@
 			w.DropPackets(0.08)
 			assert.NilError(t, w.Start(w.Names...))
 			time.Sleep(8 * time.Second)
-			leaders := map[string]bool{}
+			controllers := map[string]bool{}
 			for range 150 {
-				for _, n := range w.Names {
-					if w.Machines[n].Node().IsPlacementController() {
-						leaders[n] = true
+				for _, node := range w.Names {
+					if w.Machines[node].Node().IsPlacementController() {
+						controllers[node] = true
 					}
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
-			assert.Assert(t, len(leaders) == 1, "seed %d: %d nodes were placement controller in 15 s", seed, len(leaders))
+			assert.Assert(t, len(controllers) == 1, "seed %d: %d nodes were placement controller in 15 s", seed, len(controllers))
 		})
 	}
 }
--- a/internal/testing/sim/scripted_test.go
+++ b/internal/testing/sim/scripted_test.go
@@ -23,9 +23,9 @@
 				}
 			})
 		}
-		r := rand.New(rand.NewPCG(950, 0))
+		rng := rand.New(rand.NewPCG(950, 0))
 		for sessionCount := func() int { lineClients.mu.Lock(); defer lineClients.mu.Unlock(); return lineClients.sessionCount }; sessionCount() < clients; {
-			lineClients.pauseOne(r)
+			lineClients.pauseOne(rng)
 		}
 		wg.Wait()
 	})
--- a/internal/testing/sim/sealed_test.go
+++ b/internal/testing/sim/sealed_test.go
@@ -11,8 +11,8 @@
 	"postjunction/internal/wire"
 )
 
-// The reconfigurer is lost after the old voter set is sealed and before the new one is open
-// anywhere. Another node finishes the change. An operator's calls that began in between succeed.
+// The reconfigurer is lost after the old voter set is sealed and before the new one is active
+// anywhere. Another node finishes the change. Calls of an operator that began in between succeed.
 func TestAChangeOfVotersOutlivesWhoBeganIt(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
@@ -20,13 +20,13 @@
 		runFleet(t, site, 300+seed, func(t *testing.T, w *World) {
 			w.Watch()
 			time.Sleep(3 * time.Second)
-			seq, err := w.Put("a1", load.Configuration(0))
+			sequence, err := w.Put("a1", load.Configuration(0))
 			assert.NilError(t, err)
 			var mu sync.Mutex
 			reconfigurer := ""
 			release, hits := w.PauseCalls(func(point CallPoint) bool {
-				var q acceptor.ActivateRequest
-				if point.Path != acceptor.Activate.Path || point.Stage != RequestStage || wire.Unmarshal(point.Body, &q) != nil {
+				var request acceptor.ActivateRequest
+				if point.Path != acceptor.Activate.Path || point.Stage != RequestStage || wire.Unmarshal(point.Body, &request) != nil {
 					return false
 				}
 				mu.Lock()
@@ -43,10 +43,10 @@
 			mu.Unlock()
 			w.Kill(killed)
 			killedAt := time.Now()
-			got, err := w.Transport("a1").Get(w.ctx)
+			current, err := w.Transport("a1").Get(w.ctx)
 			assert.NilError(t, err, "seed %d: %s lost", w.Seed, killed)
-			assert.Equal(t, got, seq)
-			_, err = w.Put("a1", load.Configuration(seq))
+			assert.Equal(t, current, sequence)
+			_, err = w.Put("a1", load.Configuration(sequence))
 			assert.NilError(t, err, "seed %d: %s lost", w.Seed, killed)
 			t.Logf("seed %d: %s lost, both calls took %s", w.Seed, killed, time.Since(killedAt))
 			release()
--- a/internal/testing/sim/sessions_test.go
+++ b/internal/testing/sim/sessions_test.go
@@ -75,14 +75,14 @@
 
 // injectRandomFaults injects random faults that affect client sessions, alone and in pairs.
 func injectRandomFaults(t *testing.T, w *World, clients *LineClients) {
-	r := rand.New(rand.NewPCG(w.Seed, 21))
-	names := []string{"kill", "kill many", "stop", "freeze", "isolate", "cut one way", "zone cut", "lose packets", "reset", "power", "control power", "wipe", "slow", "sessions reset", "leader killed", "leader frozen", "leader stopped", "leader cut", "control killed", "all power lost", "access stopped"}
-	stop := func() {}
-	if r.IntN(2) == 0 {
-		stop = w.InterceptCalls(RandomCallFaults(w.Seed, 0.02+0.3*r.Float64()))
+	rng := rand.New(rand.NewPCG(w.Seed, 21))
+	faultNames := []string{"kill", "kill many", "stop", "freeze", "isolate", "cut one way", "zone cut", "lose packets", "reset", "power", "control power", "wipe", "slow", "sessions reset", "leader killed", "leader frozen", "leader stopped", "leader cut", "control killed", "all power lost", "access stopped"}
+	stopCallFaults := func() {}
+	if rng.IntN(2) == 0 {
+		stopCallFaults = w.InterceptCalls(RandomCallFaults(w.Seed, 0.02+0.3*rng.Float64()))
 	}
-	for range 3 + r.IntN(2) {
-		first, second := names[r.IntN(len(names))], names[r.IntN(len(names))]
+	for range 3 + rng.IntN(2) {
+		first, second := faultNames[rng.IntN(len(faultNames))], faultNames[rng.IntN(len(faultNames))]
 		if second == "wipe" {
 			first, second = second, first
 		}
@@ -90,13 +90,13 @@
 			assert.NilError(t, w.WaitUntil(90*time.Second, "all replicas and voters are complete", w.isFullyReplicated))
 		}
 		t.Logf("seed %d: %s: %s and %s", w.Seed, time.Now().Format("04:05.000"), first, second)
-		undo := injectFault(w, clients, r, first)
-		time.Sleep(time.Duration(r.IntN(int(3 * time.Second))))
+		undo := injectFault(w, clients, rng, first)
+		time.Sleep(time.Duration(rng.IntN(int(3 * time.Second))))
 		undoSecond := noUndo
-		if first != "wipe" && r.IntN(2) == 0 {
-			undoSecond = injectFault(w, clients, r, second)
+		if first != "wipe" && rng.IntN(2) == 0 {
+			undoSecond = injectFault(w, clients, rng, second)
 		}
-		time.Sleep(time.Duration(r.IntN(int(8 * time.Second))))
+		time.Sleep(time.Duration(rng.IntN(int(8 * time.Second))))
 		undo()
 		undoSecond()
 		if first == "wipe" {
@@ -104,18 +104,18 @@
 			assert.NilError(t, w.Start(w.Names...))
 			assert.NilError(t, w.WaitUntil(90*time.Second, "the wiped disk is repaired", w.isFullyReplicated))
 		}
-		time.Sleep(time.Duration(r.IntN(int(8 * time.Second))))
+		time.Sleep(time.Duration(rng.IntN(int(8 * time.Second))))
 	}
-	stop()
+	stopCallFaults()
 }
 
-func injectFault(w *World, clients *LineClients, r *rand.Rand, name string) func() {
+func injectFault(w *World, clients *LineClients, rng *rand.Rand, name string) func() {
 	if fault, ok := Faults[name]; ok {
-		return fault(w, r)
+		return fault(w, rng)
 	}
 	leaderNode := busiest(w)
 	if leaderNode == "" {
-		leaderNode = w.pickMachine(r, "s")
+		leaderNode = w.pickMachine(rng, "s")
 	}
 	return map[string]func() func(){
 		"sessions reset": func() func() { clients.Reset(0.8); return noUndo },
@@ -135,12 +135,12 @@
 		},
 		"all power lost": func() func() {
 			for _, node := range w.Names {
-				w.LosePower(node, r.IntN(2) == 0)
+				w.LosePower(node, rng.IntN(2) == 0)
 			}
 			return w.undoByStarting(w.Names...)
 		},
 		"access stopped": func() func() {
-			node := w.pickMachine(r, "a")
+			node := w.pickMachine(rng, "a")
 			w.Terminate(node)
 			return w.undoByStarting(node)
 		},
--- a/internal/testing/sim/sim_test.go
+++ b/internal/testing/sim/sim_test.go
@@ -18,7 +18,7 @@
 var load = Load{HTTPClients: 10, Topics: 6, LiveTopics: 2, UrgentSenders: 2, SendInterval: 400 * time.Millisecond}
 
 // runScenario runs a script on a fleet under load and checks what its clients saw.
-func runScenario(t *testing.T, site Site, seed uint64, bound time.Duration, script func(t *testing.T, w *World)) (r history.Report) {
+func runScenario(t *testing.T, site Site, seed uint64, bound time.Duration, script func(t *testing.T, w *World)) (report history.Report) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := New(site, seed, Logger())
@@ -31,13 +31,13 @@
 		time.Sleep(5 * time.Second)
 		script(t, w)
 		w.Heal()
-		for _, n := range w.Names {
-			w.Thaw(n)
-			w.Slow(n, 0)
-			w.SlowDisk(n, 0)
-			w.HangDisk(n, false)
-			w.Machines[n].Disk.Fill(false)
-			assert.NilError(t, w.Start(n))
+		for _, node := range w.Names {
+			w.Thaw(node)
+			w.Slow(node, 0)
+			w.SlowDisk(node, 0)
+			w.HangDisk(node, false)
+			w.Machines[node].Disk.Fill(false)
+			assert.NilError(t, w.Start(node))
 		}
 		time.Sleep(15 * time.Second)
 		saved, err := w.SaveCursor(load)
@@ -45,21 +45,22 @@
 		time.Sleep(5 * time.Second)
 		stoppedAt := w.StopSending(10 * time.Second)
 		applyFinalFault(t, w, saved)
-		r = checkHistory(t, w, stoppedAt, bound)
+		report = checkHistory(t, w, stoppedAt, bound)
 	})
-	return r
+	return report
 }
 
-// finalFaults are the faults that a run may end with. Each hits one machine, or the power of all.
-var finalFaults = map[string]func(w *World, n string){
-	"killed":              func(w *World, n string) { w.Kill(n) },
-	"frozen":              func(w *World, n string) { w.Freeze(n) },
-	"cut off":             func(w *World, n string) { w.Isolate(n) },
-	"without power, torn": func(w *World, n string) { w.LosePower(n, true) },
-	"wiped":               func(w *World, n string) { w.Wipe(n) },
+// finalFaults are the faults that a run may end with. The last one affects all machines, each of
+// the others one machine.
+var finalFaults = map[string]func(w *World, node string){
+	"killed":              func(w *World, node string) { w.Kill(node) },
+	"frozen":              func(w *World, node string) { w.Freeze(node) },
+	"cut off":             func(w *World, node string) { w.Isolate(node) },
+	"without power, torn": func(w *World, node string) { w.LosePower(node, true) },
+	"wiped":               func(w *World, node string) { w.Wipe(node) },
 	"without power, as all others": func(w *World, _ string) {
-		for _, n := range w.Names {
-			w.LosePower(n, w.Int(2) == 0)
+		for _, node := range w.Names {
+			w.LosePower(node, w.Int(2) == 0)
 		}
 		_ = w.Start(w.Names...)
 	},
@@ -71,19 +72,19 @@
 // and every message of the retention time through several nodes.
 func applyFinalFault(t *testing.T, w *World, saved SavedCursor) {
 	t.Helper()
-	r := rand.New(rand.NewPCG(w.Seed, 9))
+	rng := rand.New(rand.NewPCG(w.Seed, 9))
 	present := w.Present()
-	fault, name := finalFaultNames[r.IntN(len(finalFaultNames))], present[r.IntN(len(present))]
-	if v := os.Getenv("PJ_LAST"); v != "" {
-		fault, name, _ = strings.Cut(v, "@")
-		assert.Assert(t, finalFaults[fault] != nil && w.Machines[name] != nil, "PJ_LAST is one of %v, an @ and one of %v", finalFaultNames, w.Names)
+	fault, node := finalFaultNames[rng.IntN(len(finalFaultNames))], present[rng.IntN(len(present))]
+	if override := os.Getenv("PJ_LAST"); override != "" {
+		fault, node, _ = strings.Cut(override, "@")
+		assert.Assert(t, finalFaults[fault] != nil && w.Machines[node] != nil, "PJ_LAST is one of %v, an @ and one of %v", finalFaultNames, w.Names)
 	}
-	finalFaults[fault](w, name)
-	t.Logf("seed %d: final fault: %s is %s", w.Seed, name, fault)
+	finalFaults[fault](w, node)
+	t.Logf("seed %d: final fault: %s is %s", w.Seed, node, fault)
 	time.Sleep(w.Site.Timing.Recovery / 2)
 	var others []string
 	for _, other := range present {
-		if other != name {
+		if other != node {
 			others = append(others, other)
 		}
 	}
@@ -117,17 +118,17 @@
 
 func checkHistory(t *testing.T, w *World, stoppedAt time.Time, bound time.Duration) history.Report {
 	t.Helper()
-	r := w.History.Check(stoppedAt, time.Now())
-	t.Logf("seed %d: sent %d accepted %d unknown %d receipts %d longest wait %s (%s at %s), undisturbed %s, spread p50 %s p99 %s", w.Seed, r.Sent, r.Accepted, r.Unknown, r.Receipts, r.Longest.Total, r.Longest.Kind, r.Longest.Place, r.LongestUndisturbed.Undisturbed, r.Spread.P50, r.Spread.P99)
-	for i, v := range r.Violations {
+	report := w.History.Check(stoppedAt, time.Now())
+	t.Logf("seed %d: sent %d accepted %d unknown %d receipts %d longest wait %s (%s at %s), undisturbed %s, spread p50 %s p99 %s", w.Seed, report.Sent, report.Accepted, report.Unknown, report.Receipts, report.Longest.Total, report.Longest.Kind, report.Longest.Place, report.LongestUndisturbed.Undisturbed, report.Spread.P50, report.Spread.P99)
+	for i, violation := range report.Violations {
 		if i < 10 {
-			t.Errorf("seed %d: %s: %s", w.Seed, v.Rule, v.Message)
+			t.Errorf("seed %d: %s: %s", w.Seed, violation.Rule, violation.Message)
 		}
 	}
-	assert.Assert(t, r.Accepted > 50, "too few messages were accepted for the run to prove anything")
-	assert.Assert(t, r.Longest.Total < bound, "%s at %s waited %s (still open: %v)", r.Longest.Kind, r.Longest.Place, r.Longest.Total, r.Longest.Open)
-	assert.Assert(t, r.Promises > 0 && r.Decisions["taken"] > 0 && r.Decisions["vouched"] > 0, "no promises or decisions were recorded")
-	return r
+	assert.Assert(t, report.Accepted > 50, "too few messages were accepted for the run to prove anything")
+	assert.Assert(t, report.Longest.Total < bound, "%s at %s waited %s (still open: %v)", report.Longest.Kind, report.Longest.Place, report.Longest.Total, report.Longest.Open)
+	assert.Assert(t, report.Promises > 0 && report.Decisions["taken"] > 0 && report.Decisions["vouched"] > 0, "no promises or decisions were recorded")
+	return report
 }
 
 func TestQuietDay(t *testing.T) {
--- a/internal/testing/sim/slot_comparison_test.go
+++ b/internal/testing/sim/slot_comparison_test.go
@@ -17,17 +17,17 @@
 )
 
 // While a change is being accepted, the acceptors' slots differ for a moment. Control nodes must
-// leave such a change alone. Guards against the following fault: all of them saw the difference at
-// each heartbeat, read the key, compared full slots and sent them again. Where the leader of the
-// key was slow they claimed it from one another, which made the slots differ again. With documents
-// of the users' size the control nodes' links remained saturated.
+// leave such a change alone. Guards against control nodes that see the difference at each
+// heartbeat, read the key, compare full slots and send them again. Where the leader of the key is
+// slow, they claim it from one another, which makes the slots differ again. With documents of the
+// users' size the control nodes' links remain saturated.
 //
-// The order in which acceptors answer decides what a node sees. It may see slots that differ, which
-// it leaves alone at each heartbeat. Or it sees a majority that has the change, which it reads once
-// without a claim, with one full slot more where its own disk is behind. So the answers of some
-// acceptors are delayed, and all nodes see the one or the other. The key has a leader beforehand,
-// since a change of the voter set after the first write would leave the claim to the measured
-// write.
+// The order in which acceptors answer decides what a node sees. It may see slots that differ, and
+// leaves them alone at each heartbeat. Or it sees a majority that has the change, and reads the key
+// once without a claim. It then reads one full slot more if its own disk is behind. Each case
+// delays the answers of some acceptors, so that all nodes see the same. The key has a leader before
+// the measured write. Otherwise a change of the voter set after the first write would leave the
+// claim to the measured one.
 func TestAChangeOnItsWayIsLeftAlone(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -47,8 +47,8 @@
 				assert.NilError(t, w.Start(w.Names...))
 				assert.NilError(t, w.WaitReady(20*time.Second))
 				assert.NilError(t, w.WaitUntil(20*time.Second, "all control disks are voters", func() bool {
-					return !slices.ContainsFunc(w.Names, func(n string) bool {
-						return len(w.Machines[n].Node().VoterSet().Voters) < site.Control
+					return !slices.ContainsFunc(w.Names, func(node string) bool {
+						return len(w.Machines[node].Node().VoterSet().Voters) < site.Control
 					})
 				}))
 				_, err := w.Put("c1", restartLoad.Configuration(0))
@@ -58,7 +58,7 @@
 				assert.Assert(t, w.Machines[keyLeader].Node().LeadsKey(quorumread.ConfigurationKey))
 				var mu sync.Mutex
 				slotsAsked, fullSlots := map[string]int{}, 0
-				end := w.InterceptCalls(func(point CallPoint) CallFault {
+				endInterception := w.InterceptCalls(func(point CallPoint) CallFault {
 					if point.Path != acceptor.Peek.Path {
 						return CallFault{}
 					}
@@ -83,15 +83,15 @@
 					}
 					return CallFault{}
 				})
-				release, hits := w.PauseCalls(func(p CallPoint) bool {
-					return p.Path == acceptor.Accept.Path && (p.To == "c6" || p.To == "c7" || p.To == "c8")
+				release, hits := w.PauseCalls(func(point CallPoint) bool {
+					return point.Path == acceptor.Accept.Path && (point.To == "c6" || point.To == "c7" || point.To == "c8")
 				})
 				before := w.TrafficByPath()
 				_, err = w.Put("a1", restartLoad.Configuration(1))
 				assert.NilError(t, err)
 				time.Sleep(site.Timing.LeaseDuration() / 3)
 				after := w.TrafficByPath()
-				end()
+				endInterception()
 				release()
 				assert.Assert(t, hits() > 0)
 				reads := after[keys.Read.Path].Calls - before[keys.Read.Path].Calls
@@ -119,8 +119,8 @@
 					assert.Assert(t, count <= limit, "%s requested %d slots, %d at most", node, count, limit)
 				}
 				time.Sleep(site.Timing.Recovery)
-				for _, n := range w.Names {
-					assert.Equal(t, w.Machines[n].Node().Store.Configuration().Sequence, uint64(2), n)
+				for _, node := range w.Names {
+					assert.Equal(t, w.Machines[node].Node().Store.Configuration().Sequence, uint64(2), node)
 				}
 				assert.Assert(t, w.allReplicasComplete(), "the slots are identical in the end")
 			})
--- a/internal/testing/sim/spread_test.go
+++ b/internal/testing/sim/spread_test.go
@@ -22,13 +22,13 @@
 		assert.NilError(t, w.WaitReady(20*time.Second))
 		time.Sleep(site.Timing.Spread)
 		counts := func() (exchanges int, versions uint64) {
-			for _, m := range w.Names {
-				if m[0] == 'a' {
-					exchanges += w.CallsInvolving(m, gossip.Exchange.Path)
+			for _, node := range w.Names {
+				if node[0] == 'a' {
+					exchanges += w.CallsInvolving(node, gossip.Exchange.Path)
 				}
 			}
-			for p := range site.Routine + site.Urgent {
-				versions += w.Machines["a1"].Node().Store.Record(p).Version
+			for partitionID := range site.Routine + site.Urgent {
+				versions += w.Machines["a1"].Node().Store.Record(partitionID).Version
 			}
 			return exchanges, versions
 		}
@@ -40,10 +40,10 @@
 		w.Kill(w.Machines["a1"].Node().Store.Record(0).Leader)
 		time.Sleep(site.Timing.Spread)
 		after, newVersions := counts()
-		each := float64(after-before-idleExchanges) / float64(site.Access)
-		t.Logf("%d records written; %.1f exchanges a node besides the %.1f of an idle time", newVersions-oldVersions, each, float64(idleExchanges)/float64(site.Access))
+		exchangesPerNode := float64(after-before-idleExchanges) / float64(site.Access)
+		t.Logf("%d records written; %.1f exchanges a node besides the %.1f of an idle time", newVersions-oldVersions, exchangesPerNode, float64(idleExchanges)/float64(site.Access))
 		assert.Assert(t, newVersions > oldVersions)
-		assert.Assert(t, each < 10, "%.1f exchanges", each)
+		assert.Assert(t, exchangesPerNode < 10, "%.1f exchanges", exchangesPerNode)
 	})
 }
 
@@ -61,40 +61,40 @@
 			time.Sleep(site.Timing.Spread)
 			lostLeader := w.Machines["a1"].Node().Store.Record(0).Leader
 			epochs := map[int]uint64{}
-			for _, m := range w.Machines {
-				for p := range site.Routine + site.Urgent {
-					epochs[p] = max(epochs[p], m.Node().Store.Record(p).Epoch)
+			for _, machine := range w.Machines {
+				for partitionID := range site.Routine + site.Urgent {
+					epochs[partitionID] = max(epochs[partitionID], machine.Node().Store.Record(partitionID).Epoch)
 				}
 			}
-			lost := map[int]time.Time{}
-			for p := range epochs {
-				if w.Machines[lostLeader].Node().Store.Record(p).Leader == lostLeader {
-					lost[p] = time.Time{}
+			unsettled := map[int]time.Time{}
+			for partitionID := range epochs {
+				if w.Machines[lostLeader].Node().Store.Record(partitionID).Leader == lostLeader {
+					unsettled[partitionID] = time.Time{}
 				}
 			}
-			assert.Assert(t, len(lost) > 0)
+			assert.Assert(t, len(unsettled) > 0)
 			w.Kill(lostLeader)
-			for ; len(lost) > 0; time.Sleep(time.Millisecond) {
-				for p, first := range lost {
-					informed, all := 0, 0
-					for _, n := range w.Names {
-						if n == lostLeader {
+			for ; len(unsettled) > 0; time.Sleep(time.Millisecond) {
+				for partitionID, first := range unsettled {
+					informed, total := 0, 0
+					for _, node := range w.Names {
+						if node == lostLeader {
 							continue
 						}
-						all++
-						if r := w.Machines[n].Node().Store.Record(p); r.Epoch > epochs[p] && r.Leader != "" {
+						total++
+						if record := w.Machines[node].Node().Store.Record(partitionID); record.Epoch > epochs[partitionID] && record.Leader != "" {
 							informed++
 						}
 					}
 					if informed > 0 && first.IsZero() {
 						first = time.Now()
-						lost[p] = first
+						unsettled[partitionID] = first
 					}
-					if informed == all {
-						d := time.Since(first)
-						t.Logf("seed %d: the new leader of partition %d was known to all %d after %s", seed, p, all, d)
-						assert.Assert(t, d < site.Timing.HeartbeatInterval(), "partition %d: %s", p, d)
-						delete(lost, p)
+					if informed == total {
+						delay := time.Since(first)
+						t.Logf("seed %d: the new leader of partition %d was known to all %d after %s", seed, partitionID, total, delay)
+						assert.Assert(t, delay < site.Timing.HeartbeatInterval(), "partition %d: %s", partitionID, delay)
+						delete(unsettled, partitionID)
 					}
 				}
 			}
--- a/internal/testing/sim/streams_forget_test.go
+++ b/internal/testing/sim/streams_forget_test.go
@@ -55,8 +55,8 @@
 
 func (s *streamScenario) withdraw(key string, callSeq uint64) (client.Withdrawal, error) {
 	answer, err := s.do("c1", &client.Request{Verb: client.VerbWithdraw, Token: s.sender, Topics: []string{"kept/t0"}, Key: &key, CallSeq: callSeq})
-	w, _ := answer.(client.Withdrawal)
-	return w, err
+	withdrawal, _ := answer.(client.Withdrawal)
+	return withdrawal, err
 }
 
 // waitWithdrawn repeats a withdrawal until it is acknowledged.
--- a/internal/testing/sim/submit_order_test.go
+++ b/internal/testing/sim/submit_order_test.go
@@ -45,15 +45,15 @@
 }
 
 func (c *numberingClient) submit(message numberedMessage, through string) {
-	n := c.world.Machines[through].Node()
-	if n == nil {
+	running := c.world.Machines[through].Node()
+	if running == nil {
 		return
 	}
 	c.world.History.Try(message.Message)
 	c.world.History.Send(message.Message, message.body, false, time.Now())
-	partitionID := partition.Of(message.Topic, false, n.VoterSet().Layout)
+	partitionID := partition.Of(message.Topic, false, running.VoterSet().Layout)
 	c.inFlight.Add(1)
-	n.Clients.Router.SubmitAsync(c.world.ctx, partitionID, &leader.Message{Client: c.name, Topic: message.Topic, CallSeq: message.Call, Body: []byte(message.body)}, time.Now().Add(time.Second), func(decision *leader.Decision, err error) {
+	running.Clients.Router.SubmitAsync(c.world.ctx, partitionID, &leader.Message{Client: c.name, Topic: message.Topic, CallSeq: message.Call, Body: []byte(message.body)}, time.Now().Add(time.Second), func(decision *leader.Decision, err error) {
 		defer c.inFlight.Done()
 		c.complete(message, decision, err)
 	})
@@ -130,16 +130,16 @@
 // readPartition reads all messages of the given topics in a partition's log.
 func readPartition(t *testing.T, w *World, partitionID int, topics map[string]bool) []history.Receipt {
 	t.Helper()
-	var got []history.Receipt
+	var receipts []history.Receipt
 	for offset := uint64(0); ; {
 		page, err := w.Machines["a1"].Node().Clients.Router.Read(w.ctx, partitionID, offset, 0)
 		assert.NilError(t, err)
 		if len(page.Entries) == 0 {
-			return got
+			return receipts
 		}
 		for _, entry := range page.Entries {
 			if entry.Type == log.TypeMessage && topics[entry.Topic] {
-				got = append(got, history.Receipt{Message: history.Message{Topic: entry.Topic, From: entry.Client, Call: entry.CallSeq}, Body: string(entry.Body), Partition: partitionID, Offset: entry.Offset, At: time.Now()})
+				receipts = append(receipts, history.Receipt{Message: history.Message{Topic: entry.Topic, From: entry.Client, Call: entry.CallSeq}, Body: string(entry.Body), Partition: partitionID, Offset: entry.Offset, At: time.Now()})
 			}
 		}
 		offset = page.To
--- a/internal/testing/sim/wiped_test.go
+++ b/internal/testing/sim/wiped_test.go
@@ -23,8 +23,8 @@
 			release := func() {}
 			if seed%2 == 0 {
 				var hits func() int
-				release, hits = w.PauseCalls(func(x CallPoint) bool {
-					return x.From != target && strings.Contains(x.Path, "/postjunction.Control/Change")
+				release, hits = w.PauseCalls(func(call CallPoint) bool {
+					return call.From != target && strings.Contains(call.Path, "/postjunction.Control/Change")
 				})
 				defer func() { assert.Check(t, hits() > 0, "void: the placement controller was not delayed") }()
 			}
@@ -33,12 +33,12 @@
 			time.Sleep(w.Site.Timing.TakeoverTimeout())
 			release()
 			time.Sleep(10 * time.Second)
-			for p, r := range w.records() {
-				for _, s := range r.History {
-					assert.Assert(t, s.Leader != target || s.Epoch <= before[p].Epoch || !strings.Contains(s.Reason, "came back"), "partition %d: %v on a lost disk", p, s)
+			for partitionID, record := range w.records() {
+				for _, entry := range record.History {
+					assert.Assert(t, entry.Leader != target || entry.Epoch <= before[partitionID].Epoch || !strings.Contains(entry.Reason, "came back"), "partition %d: %v on a lost disk", partitionID, entry)
 				}
-				x, ok := r.Replica(r.Leader)
-				assert.Assert(t, ok && x.Incarnation == w.Machines[r.Leader].Node().Info().Incarnation, "partition %d has a leader on a lost disk", p)
+				replica, ok := record.Replica(record.Leader)
+				assert.Assert(t, ok && replica.Incarnation == w.Machines[record.Leader].Node().Info().Incarnation, "partition %d has a leader on a lost disk", partitionID)
 			}
 		})
 	}
@@ -54,14 +54,16 @@
 		runScenario(t, siteForSeed(seed), 420+seed, time.Hour, func(t *testing.T, w *World) {
 			target := busiest(w)
 			w.Kill(target)
-			release, hits := w.PauseCalls(func(x CallPoint) bool { return x.From == target && strings.Contains(x.Path, "/postjunction.Control/") })
+			release, hits := w.PauseCalls(func(call CallPoint) bool {
+				return call.From == target && strings.Contains(call.Path, "/postjunction.Control/")
+			})
 			assert.NilError(t, w.Start(target))
 			time.Sleep(w.Site.Timing.TakeoverTimeout() * 3)
 			assert.Assert(t, hits() > 0, "void: no call was paused")
 			release()
 			time.Sleep(w.Site.Timing.TakeoverTimeout())
-			for p, r := range w.records() {
-				assert.Assert(t, r.Leader != target || r.Epoch > 1, "partition %d is closed: its leader %s never asked again", p, target)
+			for partitionID, record := range w.records() {
+				assert.Assert(t, record.Leader != target || record.Epoch > 1, "partition %d is closed: its leader %s never asked again", partitionID, target)
 			}
 		})
 	}
--- a/internal/testing/sim/withdraw_scenario_test.go
+++ b/internal/testing/sim/withdraw_scenario_test.go
@@ -98,9 +98,9 @@
 // that names the router which has not released them.
 func (s *withdrawalScenario) withdrawPending(key, node string) deliverycheck.Withdrawal {
 	s.t.Helper()
-	w := deliverycheck.Withdrawal{Topic: scenarioTopic, Key: key, Call: s.nextCallSeq()}
-	s.expectPending(w, node)
-	return w
+	withdrawal := deliverycheck.Withdrawal{Topic: scenarioTopic, Key: key, Call: s.nextCallSeq()}
+	s.expectPending(withdrawal, node)
+	return withdrawal
 }
 
 func (s *withdrawalScenario) expectPending(withdrawal deliverycheck.Withdrawal, node string) {
--- a/internal/testing/sim/withdraw_test.go
+++ b/internal/testing/sim/withdraw_test.go
@@ -228,14 +228,14 @@
 			_, ok := s.writer.Withdraw(deliverycheck.Withdrawal{Topic: scenarioTopic, Key: "race", Call: withdrawalSeq, Sender: "lead", UpTo: messageSeq})
 			assert.Assert(s.t, ok)
 			<-sent
-			a, ok := secondSession.Wait(0, scriptedTimeout, func(a session.Response) bool {
-				return a.CallSeq == messageSeq && (a.Type == session.Accepted || a.InReplyTo == session.Send && simclient.FinalRejections[apierror.From(a.Err).Code])
+			response, ok := secondSession.Wait(0, scriptedTimeout, func(response session.Response) bool {
+				return response.CallSeq == messageSeq && (response.Type == session.Accepted || response.InReplyTo == session.Send && simclient.FinalRejections[apierror.From(response.Err).Code])
 			})
 			assert.Assert(s.t, ok, "no answer to %d", messageSeq)
-			if a.Type == session.Accepted {
+			if response.Type == session.Accepted {
 				accepted++
 			} else {
-				assert.Assert(s.t, apierror.HasCode(a.Err, apierror.CallPassed), "%v", a.Err)
+				assert.Assert(s.t, apierror.HasCode(response.Err, apierror.CallPassed), "%v", response.Err)
 				passed++
 			}
 		}
