--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -1,4 +1,4 @@
-// Package docs keeps the pages equal to the code.
+// Package docs checks that the documentation and the code agree.
 package docs
 
 import (
@@ -76,9 +76,9 @@
 	sort.Strings(sorted)
 	var b strings.Builder
 	b.WriteString("\n| code | status | what to do |\n|---|---|---|\n")
-	for _, k := range sorted {
-		status, advice, _ := strings.Cut(codes[apierror.Code(k)], " ")
-		fmt.Fprintf(&b, "| `%s` | %s | %s |\n", k, status, advice)
+	for _, code := range sorted {
+		status, advice, _ := strings.Cut(codes[apierror.Code(code)], " ")
+		fmt.Fprintf(&b, "| `%s` | %s | %s |\n", code, status, advice)
 	}
 	b.WriteString("\n")
 	update(t, "callers.md", "<!-- problems -->", "<!-- end -->", b.String())
@@ -125,8 +125,8 @@
 				match[1],
 			)
 		}
-		for _, m := range names.FindAllStringSubmatch(content, -1) {
-			for _, mutant := range strings.Split(m[1], ", ") {
+		for _, match := range names.FindAllStringSubmatch(content, -1) {
+			for _, mutant := range strings.Split(match[1], ", ") {
 				assert.Assert(t, strings.Contains(mutants.String(), "mutant "+strings.Trim(mutant, "`")+" "),
 					"%s names mutant %s, which does not exist", page, mutant)
 			}
--- a/internal/golden/callers_test.go
+++ b/internal/golden/callers_test.go
@@ -103,18 +103,18 @@
 	request("GET", "/ready", "", "")
 	request("GET", "/live", "", "")
 	const bearer = "Bearer pj1.cGlja2VyLTd8MnxzZWNyZXQ"
-	for _, p := range []string{"/v1/attach", "/v1/send", "/v1/withdraw", "/v1/ack", "/v1/drain"} {
-		request("POST", p, "", "{}")
-		request("POST", p, bearer, "{}")
-		request("POST", p, bearer, `{"surplus":1}`)
-		request("POST", p, bearer, "no json")
+	for _, path := range []string{"/v1/attach", "/v1/send", "/v1/withdraw", "/v1/ack", "/v1/drain"} {
+		request("POST", path, "", "{}")
+		request("POST", path, bearer, "{}")
+		request("POST", path, bearer, `{"surplus":1}`)
+		request("POST", path, bearer, "no json")
 	}
-	for _, p := range []string{
+	for _, path := range []string{
 		"/v1/stream?x=1", "/v1/count?x=1", "/v1/partition?x=1", "/v1/why?x=1", "/v1/why?call_seq=x",
 	} {
-		request("GET", p, "", "")
-		request("GET", p, "Bearer foreign", "")
-		request("GET", p, bearer, "")
+		request("GET", path, "", "")
+		request("GET", path, "Bearer foreign", "")
+		request("GET", path, bearer, "")
 	}
 	golden.Assert(t, out.String(), "paths.golden")
 }
@@ -169,15 +169,15 @@
 		for code := range apierror.Codes() {
 			current := uint64(9)
 			problem := apierror.New(code, "why").WithCurrent(current)
-			a := session.Response{Type: "turned", InReplyTo: "join", Topic: "t", Err: problem}
-			rejections = append(rejections, fmt.Sprintf("turn %s %q\n", code, codec.AppendResponse(nil, a)))
+			response := session.Response{Type: "turned", InReplyTo: "join", Topic: "t", Err: problem}
+			rejections = append(rejections, fmt.Sprintf("turn %s %q\n", code, codec.AppendResponse(nil, response)))
 		}
 		out.WriteString(strings.Join(sorted(rejections), ""))
 	}
 	golden.Assert(t, out.String(), "lines.golden")
 }
 
-// peer records a call between nodes as it is sent, and has a handler answer it.
+// peer records calls between nodes as they are sent, and passes them to a handler.
 type peer struct {
 	handler  http.Handler
 	exchange strings.Builder
@@ -223,11 +223,11 @@
 		fmt.Fprintf(&recorder.exchange, "  problem %v\n", err)
 	}
 	r := httptest.NewRequest("POST", "/postjunction.Control/Peek", strings.NewReader("\xa0"))
-	for key, v := range map[string]string{
+	for key, value := range map[string]string{
 		"Content-Type": "application/cbor", "Connect-Protocol-Version": "1",
 		"Postjunction-Wire": "99", "Postjunction-From": "x",
 	} {
-		r.Header.Set(key, v)
+		r.Header.Set(key, value)
 	}
 	_, err := recorder.Do(r)
 	assert.NilError(t, err)
--- a/internal/golden/fill_test.go
+++ b/internal/golden/fill_test.go
@@ -13,77 +13,77 @@
 // between nodes doesn't sort their keys.
 type filler struct {
 	t     *testing.T
-	n     int
+	count int
 	stack []reflect.Type
 }
 
 const elements = 2
 
-func filled(t *testing.T, kind reflect.Type) any {
+func filled(t *testing.T, typ reflect.Type) any {
 	t.Helper()
-	value := reflect.New(kind)
+	value := reflect.New(typ)
 	(&filler{t: t}).fill(value.Elem())
 	return value.Interface()
 }
 
 func (f *filler) fill(value reflect.Value) {
-	kind := value.Type()
-	f.n++
-	switch kind {
+	typ := value.Type()
+	f.count++
+	switch typ {
 	case reflect.TypeFor[time.Time]():
-		value.Set(reflect.ValueOf(time.Date(2031, 4, 5, 6, 7, f.n%60, 123456789, time.UTC)))
+		value.Set(reflect.ValueOf(time.Date(2031, 4, 5, 6, 7, f.count%60, 123456789, time.UTC)))
 		return
 	case reflect.TypeFor[json.RawMessage]():
-		value.SetBytes(fmt.Appendf(nil, `{"raw":%d}`, f.n))
+		value.SetBytes(fmt.Appendf(nil, `{"raw":%d}`, f.count))
 		return
 	case reflect.TypeFor[[]byte]():
-		value.SetBytes(fmt.Appendf(nil, "b%d", f.n))
+		value.SetBytes(fmt.Appendf(nil, "b%d", f.count))
 		return
 	}
-	switch kind.Kind() {
+	switch typ.Kind() {
 	case reflect.Struct:
 		for _, enclosing := range f.stack {
-			if enclosing == kind {
+			if enclosing == typ {
 				return
 			}
 		}
-		f.stack = append(f.stack, kind)
-		for i := range kind.NumField() {
-			if field := kind.Field(i); isEncoded(field) {
+		f.stack = append(f.stack, typ)
+		for i := range typ.NumField() {
+			if field := typ.Field(i); isEncoded(field) {
 				f.fill(value.Field(i))
 			}
 		}
 		f.stack = f.stack[:len(f.stack)-1]
 	case reflect.Pointer:
-		value.Set(reflect.New(kind.Elem()))
+		value.Set(reflect.New(typ.Elem()))
 		f.fill(value.Elem())
 	case reflect.Slice:
-		value.Set(reflect.MakeSlice(kind, elements, elements))
+		value.Set(reflect.MakeSlice(typ, elements, elements))
 		for i := range elements {
 			f.fill(value.Index(i))
 		}
 	case reflect.Array:
-		for i := range kind.Len() {
+		for i := range typ.Len() {
 			f.fill(value.Index(i))
 		}
 	case reflect.Map:
-		key, element := reflect.New(kind.Key()).Elem(), reflect.New(kind.Elem()).Elem()
+		key, element := reflect.New(typ.Key()).Elem(), reflect.New(typ.Elem()).Elem()
 		f.fill(key)
 		f.fill(element)
-		value.Set(reflect.MakeMap(kind))
+		value.Set(reflect.MakeMap(typ))
 		value.SetMapIndex(key, element)
 	case reflect.String:
-		value.SetString(fmt.Sprintf("s%d", f.n))
+		value.SetString(fmt.Sprintf("s%d", f.count))
 	case reflect.Bool:
 		value.SetBool(true)
 	case reflect.Float32, reflect.Float64:
-		value.SetFloat(float64(f.n) + 0.25)
+		value.SetFloat(float64(f.count) + 0.25)
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		value.SetInt(int64(f.n))
+		value.SetInt(int64(f.count))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		value.SetUint(uint64(f.n))
+		value.SetUint(uint64(f.count))
 	default:
-		f.t.Fatalf("no example for a value of kind %s", kind.Kind())
+		f.t.Fatalf("no example for a value of kind %s", typ.Kind())
 	}
 }
 
@@ -93,11 +93,11 @@
 		return false
 	}
 	if field.Anonymous {
-		kind := field.Type
-		if kind.Kind() == reflect.Pointer {
-			kind = kind.Elem()
+		typ := field.Type
+		if typ.Kind() == reflect.Pointer {
+			typ = typ.Elem()
 		}
-		return field.IsExported() || kind.Kind() == reflect.Struct
+		return field.IsExported() || typ.Kind() == reflect.Struct
 	}
 	return field.IsExported()
 }
@@ -118,28 +118,28 @@
 
 // untagged collects the fields that are encoded under their Go names, in a type and all types that
 // it contains.
-func untagged(kind reflect.Type, seen map[reflect.Type]bool, found map[string]bool) {
-	if seen[kind] {
+func untagged(typ reflect.Type, seen map[reflect.Type]bool, found map[string]bool) {
+	if seen[typ] {
 		return
 	}
-	seen[kind] = true
-	switch kind.Kind() {
+	seen[typ] = true
+	switch typ.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Array:
-		untagged(kind.Elem(), seen, found)
+		untagged(typ.Elem(), seen, found)
 	case reflect.Map:
-		untagged(kind.Key(), seen, found)
-		untagged(kind.Elem(), seen, found)
+		untagged(typ.Key(), seen, found)
+		untagged(typ.Elem(), seen, found)
 	case reflect.Struct:
-		if kind == reflect.TypeFor[time.Time]() {
+		if typ == reflect.TypeFor[time.Time]() {
 			return
 		}
-		for i := range kind.NumField() {
-			field := kind.Field(i)
+		for i := range typ.NumField() {
+			field := typ.Field(i)
 			if !isEncoded(field) {
 				continue
 			}
 			if tag(field) == "" && (!field.Anonymous || field.Type.Kind() != reflect.Struct) {
-				found[fmt.Sprintf("%s.%s", kind, field.Name)] = true
+				found[fmt.Sprintf("%s.%s", typ, field.Name)] = true
 			}
 			untagged(field.Type, seen, found)
 		}
--- a/internal/golden/fleet_test.go
+++ b/internal/golden/fleet_test.go
@@ -74,10 +74,10 @@
 		assert.NilError(t, err)
 		client.Token = attachment.Token
 		client.Cursor = follow(t, world, client.Token, "", 0)[0].Cursor
-		for i, b := range []string{`{"pick":1}`, `{"pick":2}`, `"third"`} {
-			_, err := node.Send(t.Context(), client.Token, topic, uint64(i+1), []byte(b))
+		for i, body := range []string{`{"pick":1}`, `{"pick":2}`, `"third"`} {
+			_, err := node.Send(t.Context(), client.Token, topic, uint64(i+1), []byte(body))
 			assert.NilError(t, err)
-			client.Bodies = append(client.Bodies, b)
+			client.Bodies = append(client.Bodies, body)
 		}
 		time.Sleep(world.Site.Timing.Recovery)
 	})
@@ -157,8 +157,8 @@
 		assert.NilError(t, err)
 		assert.Equal(t, sequence, uint64(1))
 		var bodies []string
-		for _, l := range follow(t, world, client.Token, client.Cursor, len(client.Bodies)) {
-			bodies = append(bodies, string(l.Body))
+		for _, event := range follow(t, world, client.Token, client.Cursor, len(client.Bodies)) {
+			bodies = append(bodies, string(event.Body))
 		}
 		assert.DeepEqual(t, bodies, client.Bodies)
 		last := uint64(len(client.Bodies))
--- a/internal/golden/life_test.go
+++ b/internal/golden/life_test.go
@@ -20,16 +20,16 @@
 )
 
 // collectPaths collects the paths of all keys of a JSON value. Items of a list share one path.
-func collectPaths(path string, v any, found map[string]bool) {
-	switch value := v.(type) {
+func collectPaths(path string, value any, found map[string]bool) {
+	switch typed := value.(type) {
 	case map[string]any:
-		for key, item := range value {
+		for key, item := range typed {
 			found[path+"."+key] = true
 			collectPaths(path+"."+key, item, found)
 		}
 	case []any:
-		for _, y := range value {
-			collectPaths(path+"[]", y, found)
+		for _, item := range typed {
+			collectPaths(path+"[]", item, found)
 		}
 	default:
 	}
@@ -57,9 +57,9 @@
 		for _, name := range []string{"c1", "s1", "a1"} {
 			b, err := json.Marshal(world.Machines[name].Node().Operators.Counters())
 			assert.NilError(t, err)
-			var v any
-			assert.NilError(t, json.Unmarshal(b, &v))
-			collectPaths("counters "+name[:1], v, found)
+			var counters any
+			assert.NilError(t, json.Unmarshal(b, &counters))
+			collectPaths("counters "+name[:1], counters, found)
 		}
 	})
 	opened := open(t, world.Machines["c1"].Disk)
@@ -70,9 +70,9 @@
 		registers["register "+key] = true
 	}
 	var out strings.Builder
-	for _, m := range []map[string]bool{registers, found} {
-		for _, k := range slices.Sorted(maps.Keys(m)) {
-			fmt.Fprintln(&out, k)
+	for _, paths := range []map[string]bool{registers, found} {
+		for _, path := range slices.Sorted(maps.Keys(paths)) {
+			fmt.Fprintln(&out, path)
 		}
 	}
 	golden.Assert(t, out.String(), "keys.golden")
--- a/internal/golden/records_test.go
+++ b/internal/golden/records_test.go
@@ -39,7 +39,7 @@
 
 const diskIncarnation = "1111222233334444"
 
-// machine is all parts of a node that store records in one journal.
+// machine has all parts of a node that store records in one journal.
 type machine struct {
 	id      *identity.Part
 	voter   *acceptor.Acceptor
@@ -115,25 +115,25 @@
 		answer, err := m.voter.Promise(ctx, &acceptor.PromiseRequest{Target: target, Epoch: highEpoch})
 		assert.NilError(t, err)
 		assert.Assert(t, answer.Granted)
-		v := acceptor.Value{
+		keyValue := acceptor.Value{
 			Version: 3, ChangeID: "change-1", Successor: "machine-3",
 			Body: []byte(`{"of":"` + key + `"}`), Metadata: []byte("beside " + key),
 		}
-		answer, err = m.voter.Accept(ctx, &acceptor.AcceptRequest{Target: target, Epoch: highEpoch, Value: v})
+		answer, err = m.voter.Accept(ctx, &acceptor.AcceptRequest{Target: target, Epoch: highEpoch, Value: keyValue})
 		assert.NilError(t, err)
 		assert.Assert(t, answer.Granted)
 	}
-	b := acceptor.Target{VoterSet: voterSet.Sequence, Incarnation: diskIncarnation, Key: "duty/placement"}
-	a, err := m.voter.Promise(ctx, &acceptor.PromiseRequest{Target: b, Epoch: highEpoch})
+	placementTarget := acceptor.Target{VoterSet: voterSet.Sequence, Incarnation: diskIncarnation, Key: "duty/placement"}
+	answer, err := m.voter.Promise(ctx, &acceptor.PromiseRequest{Target: placementTarget, Epoch: highEpoch})
 	assert.NilError(t, err)
-	assert.Assert(t, a.Granted)
+	assert.Assert(t, answer.Granted)
 }
 
 // chainEntries gives entries their offsets, epochs, digests and chain sums after a position.
-func chainEntries(after partitionlog.Position, under uint64, entries ...partitionlog.Entry) []partitionlog.Entry {
+func chainEntries(after partitionlog.Position, entryEpoch uint64, entries ...partitionlog.Entry) []partitionlog.Entry {
 	for i := range entries {
 		entry := &entries[i]
-		entry.Offset, entry.Epoch, entry.Digest = after.Offset+1, under, partitionlog.Digest(entry.Body)
+		entry.Offset, entry.Epoch, entry.Digest = after.Offset+1, entryEpoch, partitionlog.Digest(entry.Body)
 		entry.Chain = partitionlog.NextChain(after.Chain, *entry)
 		after = entry.Position()
 	}
@@ -195,24 +195,24 @@
 	appendEntries(&replica.AppendRequest{
 		Target: target(1, 4), Kind: partitionlog.KindInput, After: entries[6].Position(), Base: entries[1].Position(),
 		Commit: 7})
-	log := changelog.EncodeBatch(7, sampleState().TakeChanges(), true)
-	log = append(log, changelog.EncodeCommit(changelog.Commit{Input: 7, Base: 1}))
-	log = chainEntries(partitionlog.Position{}, 4, log...)
+	changelogEntries := changelog.EncodeBatch(7, sampleState().TakeChanges(), true)
+	changelogEntries = append(changelogEntries, changelog.EncodeCommit(changelog.Commit{Input: 7, Base: 1}))
+	changelogEntries = chainEntries(partitionlog.Position{}, 4, changelogEntries...)
 	last := appendEntries(&replica.AppendRequest{
-		Target: target(1, 4), Kind: partitionlog.KindChangelog, Entries: log, Commit: 2,
+		Target: target(1, 4), Kind: partitionlog.KindChangelog, Entries: changelogEntries, Commit: 2,
 	})
 	snapshot := replica.Snapshot{Partition: 1, At: last, Input: 7, State: sampleState().Marshal()}
 	assert.NilError(t, m.replica.SaveSnapshot(ctx, snapshot))
 
 	from := partitionlog.Position{Offset: 40, Epoch: 2, Chain: 77}
-	two := chainEntries(from, 5, sampleEntries()[:3]...)
+	resetEntries := chainEntries(from, 5, sampleEntries()[:3]...)
 	appendEntries(&replica.AppendRequest{
-		Target: target(2, 5), Kind: partitionlog.KindInput, After: from, Entries: two, Reset: true, Commit: 41,
+		Target: target(2, 5), Kind: partitionlog.KindInput, After: from, Entries: resetEntries, Reset: true, Commit: 41,
 	})
 	assert.NilError(t, m.replica.TruncateAfter(ctx, target(2, 5), partitionlog.KindInput, 42, true))
 
-	three := chainEntries(partitionlog.Position{}, 6, sampleEntries()...)
-	appendEntries(&replica.AppendRequest{Target: target(3, 6), Kind: partitionlog.KindInput, Entries: three})
+	droppedEntries := chainEntries(partitionlog.Position{}, 6, sampleEntries()...)
+	appendEntries(&replica.AppendRequest{Target: target(3, 6), Kind: partitionlog.KindInput, Entries: droppedEntries})
 	_, err = m.replica.Drop(ctx, &replica.DropRequest{Target: target(3, 7)})
 	assert.NilError(t, err)
 }
@@ -281,8 +281,8 @@
 func TestBodies(t *testing.T) {
 	var out strings.Builder
 	write := func(name string, b []byte) { fmt.Fprintf(&out, "%s %s\n", name, body(b)) }
-	plain := func(name string, kind reflect.Type) {
-		b, err := json.Marshal(filled(t, kind))
+	plain := func(name string, typ reflect.Type) {
+		b, err := json.Marshal(filled(t, typ))
 		assert.NilError(t, err)
 		write(name, b)
 	}
@@ -319,7 +319,7 @@
 // Fields that are written as JSON on disk need tags too.
 func TestFieldsOnDiskHaveTags(t *testing.T) {
 	found, seen := map[string]bool{}, map[reflect.Type]bool{}
-	for _, kind := range []reflect.Type{
+	for _, typ := range []reflect.Type{
 		reflect.TypeFor[assignment.Record](), reflect.TypeFor[decommission.Orders](),
 		reflect.TypeFor[configuration.Config](), reflect.TypeFor[configuration.RemovedSpaces](),
 		reflect.TypeFor[voters.Set](), reflect.TypeFor[acceptor.Slot](),
@@ -328,7 +328,7 @@
 		reflect.TypeFor[state.SenderWithdrawal](), reflect.TypeFor[replica.Snapshot](),
 		reflect.TypeFor[partitionlog.Entry](),
 	} {
-		untagged(kind, seen, found)
+		untagged(typ, seen, found)
 	}
 	assert.Equal(t, len(found), 0, "%v need a tag", found)
 }
@@ -349,9 +349,9 @@
 		}
 		dir := t.TempDir()
 		assert.NilError(t, os.CopyFS(dir, os.DirFS(oldPath(disk.name))))
-		l, err := walog.Open(dir)
+		log, err := walog.Open(dir)
 		assert.NilError(t, err)
-		opened := open(t, l)
+		opened := open(t, log)
 		assert.NilError(t, opened.report.Cause)
 		assert.Equal(t, opened.report.Torn, uint64(0))
 		assert.Assert(t, opened.report.Records > 0 && !opened.report.Damaged)
@@ -365,8 +365,8 @@
 func (m *machine) describe(t *testing.T) string {
 	t.Helper()
 	var out strings.Builder
-	write := func(name string, v any) {
-		b, err := json.Marshal(v)
+	write := func(name string, value any) {
+		b, err := json.Marshal(value)
 		assert.NilError(t, err)
 		fmt.Fprintf(&out, "%s %s\n", name, b)
 	}
@@ -387,23 +387,23 @@
 		write(fmt.Sprintf("seal %d", partition), m.replica.Sealed(partition))
 		for _, kind := range partitionlog.Kinds {
 			from := m.replica.Log(partition, kind).Base().Offset + 1
-			a, err := m.replica.Fetch(t.Context(), &replica.FetchRequest{
+			answer, err := m.replica.Fetch(t.Context(), &replica.FetchRequest{
 				Partition: partition, Incarnation: diskIncarnation, Kind: kind, From: from, Limit: 99,
 			})
 			assert.NilError(t, err)
-			write(fmt.Sprintf("line %d %s", partition, kind), a)
-			if kind == partitionlog.KindChangelog && len(a.Entries) > 0 {
+			write(fmt.Sprintf("line %d %s", partition, kind), answer)
+			if kind == partitionlog.KindChangelog && len(answer.Entries) > 0 {
 				state := state.New()
-				replayed, err := changelog.Replay(state, 0, a.Entries)
+				replayed, err := changelog.Replay(state, 0, answer.Entries)
 				assert.NilError(t, err)
 				write(fmt.Sprintf("replayed to %d", replayed), state.Marshal())
 			}
 		}
 		if snapshot, ok := m.replica.Snapshot(partition); ok {
-			s, err := state.Unmarshal(snapshot.State)
+			restored, err := state.Unmarshal(snapshot.State)
 			assert.NilError(t, err)
 			write(fmt.Sprintf("directory %d", partition), snapshot)
-			write("state", s.Marshal())
+			write("state", restored.Marshal())
 		}
 	}
 	return out.String()
@@ -431,7 +431,7 @@
 	last := m.replica.Log(1, partitionlog.KindInput).Last()
 	entries := chainEntries(last, 8, partitionlog.Entry{Type: "start"})
 	request := &replica.AppendRequest{Target: target, Kind: partitionlog.KindInput, After: last, Entries: entries}
-	a, err := m.replica.Append(t.Context(), request)
+	answer, err := m.replica.Append(t.Context(), request)
 	assert.NilError(t, err)
-	assert.Assert(t, a.Matched)
+	assert.Assert(t, answer.Matched)
 }
--- a/internal/testing/crash/crash.go
+++ b/internal/testing/crash/crash.go
@@ -1,5 +1,5 @@
-// Package crash loses a disk's power after each of its writes and compares what is recovered with
-// what was acknowledged.
+// Package crash simulates a loss of power after each operation of a disk. Its tests compare what is
+// recovered with what was acknowledged.
 package crash
 
 import (
@@ -8,7 +8,7 @@
 	"postjunction/internal/disk/memlog"
 )
 
-// Moment is a disk as it was after one of its operations, with the number of tasks that were
+// Moment is a disk as it was after one of its operations, with the number of requests that were
 // answered by then.
 type Moment struct {
 	Op       string
@@ -28,7 +28,7 @@
 // New returns a recording log on an empty disk.
 func New() *Log { return &Log{Disk: memlog.New()} }
 
-// Answer records that one more task was answered.
+// Answer records that one more request was answered.
 func (l *Log) Answer() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -42,7 +42,7 @@
 	return l.moments
 }
 
-func (l *Log) note(op string) {
+func (l *Log) record(op string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.moments = append(l.moments, Moment{op, l.Disk.Copy(), l.answered})
@@ -51,27 +51,27 @@
 // Write writes to the disk and records the moment after.
 func (l *Log) Write(first uint64, records [][]byte) error {
 	err := l.Disk.Write(first, records)
-	l.note("write")
+	l.record("write")
 	return err
 }
 
 // Sync syncs the disk and records the moment after.
 func (l *Log) Sync() error {
 	err := l.Disk.Sync()
-	l.note("sync")
+	l.record("sync")
 	return err
 }
 
 // CutFront drops records from the front and records the moment after.
 func (l *Log) CutFront(i uint64) error {
 	err := l.Disk.CutFront(i)
-	l.note("cut front")
+	l.record("cut front")
 	return err
 }
 
 // CutBack drops records from the back and records the moment after.
 func (l *Log) CutBack(i uint64) error {
 	err := l.Disk.CutBack(i)
-	l.note("cut back")
+	l.record("cut back")
 	return err
 }
--- a/internal/testing/crash/crash_test.go
+++ b/internal/testing/crash/crash_test.go
@@ -25,23 +25,23 @@
 
 func boot(t *testing.T, disk journal.Log) (*diskParts, journal.Report, func()) {
 	t.Helper()
-	components := &diskParts{acceptor: acceptor.New(), replica: replica.New(clock.Real{})}
-	parts := map[uint16]journal.Part{recordtype.Slot: components.acceptor, recordtype.VoterSet: components.acceptor}
+	opened := &diskParts{acceptor: acceptor.New(), replica: replica.New(clock.Real{})}
+	parts := map[uint16]journal.Part{recordtype.Slot: opened.acceptor, recordtype.VoterSet: opened.acceptor}
 	for _, recordType := range replica.RecordTypes() {
-		parts[recordType] = components.replica
+		parts[recordType] = opened.replica
 	}
-	j, report, err := journal.Open(disk, clock.Real{}, parts, []journal.Part{components.acceptor, components.replica})
+	diskJournal, report, err := journal.Open(disk, clock.Real{}, parts, []journal.Part{opened.acceptor, opened.replica})
 	assert.NilError(t, err)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
-		j.Run(ctx)
+		diskJournal.Run(ctx)
 		close(done)
 	}()
-	components.journal = j
-	components.replica.Start("i", j)
-	components.acceptor.Start("i1", j, func(voters.Set) error { return nil }, func(voters.Set) {})
-	return components, report, func() {
+	opened.journal = diskJournal
+	opened.replica.Start("i", diskJournal)
+	opened.acceptor.Start("i1", diskJournal, func(voters.Set) error { return nil }, func(voters.Set) {})
+	return opened, report, func() {
 		stop()
 		<-done
 	}
@@ -74,28 +74,28 @@
 
 const partitions = 3
 
-func (s *diskParts) diskState(t *testing.T) diskState {
+func (d *diskParts) diskState(t *testing.T) diskState {
 	t.Helper()
 	contents := diskState{seals: map[int]uint64{}, logs: map[log.ID]map[uint64]log.Position{},
-		slots: map[string]acceptor.Slot{}, voterSet: s.acceptor.VoterSet().Sequence}
+		slots: map[string]acceptor.Slot{}, voterSet: d.acceptor.VoterSet().Sequence}
 	for partition := range partitions {
-		contents.seals[partition] = s.replica.Sealed(partition)
+		contents.seals[partition] = d.replica.Sealed(partition)
 		for _, kind := range log.Kinds {
 			positions := map[uint64]log.Position{}
-			for _, entry := range s.replica.Log(partition, kind).Slice(0, ^uint64(0), 1<<30, 1<<30) {
+			for _, entry := range d.replica.Log(partition, kind).Slice(0, ^uint64(0), 1<<30, 1<<30) {
 				positions[entry.Offset] = entry.Position()
 			}
 			contents.logs[log.ID{Partition: partition, Kind: kind}] = positions
 		}
-		if snapshot, ok := s.replica.Snapshot(partition); ok {
-			position, found := s.replica.Log(partition, log.KindChangelog).Position(snapshot.At.Offset)
+		if snapshot, ok := d.replica.Snapshot(partition); ok {
+			position, found := d.replica.Log(partition, log.KindChangelog).Position(snapshot.At.Offset)
 			assert.Assert(t, found && position == snapshot.At,
 				"a snapshot whose position is not on the changelog was returned")
 		}
 	}
 	if contents.voterSet > 0 {
 		for _, sealed := range []bool{false, true} {
-			if answer, err := s.acceptor.Peek(context.Background(), &acceptor.PeekRequest{VoterSet: contents.voterSet,
+			if answer, err := d.acceptor.Peek(context.Background(), &acceptor.PeekRequest{VoterSet: contents.voterSet,
 				Incarnation: "i1", Sealed: sealed}); err == nil {
 				contents.slots = answer.Slots
 			}
@@ -104,8 +104,8 @@
 	return contents
 }
 
-// checkBetween checks that a recovered state lies between the state answered last and the state
-// after the task in flight.
+// checkBetween checks that a recovered state lies between the state after the last answered request
+// and the state after the request in flight.
 func checkBetween(recovered, answered, next diskState) error {
 	for partition, epoch := range recovered.seals {
 		if epoch < answered.seals[partition] {
@@ -140,19 +140,19 @@
 	return nil
 }
 
-// operations go through everything that happens to a disk: bootstrap, promises, appends of two
-// epochs, a replaced tail, trims, a reset, snapshots, a drop and a new voter set. They write so
+// operations returns requests of every kind that changes a disk: bootstrap, promises, appends of
+// two epochs, a replaced tail, trims, a reset, snapshots, a drop and a new voter set. They write so
 // many records that the journal is compacted in between.
-func operations() []func(s *diskParts) error {
+func operations() []func(d *diskParts) error {
 	ctx := context.Background()
 	target := func(partition int, epoch uint64) replica.Target {
 		return replica.Target{Partition: partition, Incarnation: "i", Epoch: epoch}
 	}
 	appendEntries := func(partition int, kind log.Kind, epoch uint64, after func(prior *log.Log) log.Position,
 		count int, reset bool) func(*diskParts) error {
-		return func(s *diskParts) error {
-			position := after(s.replica.Log(partition, kind))
-			answer, err := s.replica.Append(ctx, &replica.AppendRequest{Target: target(partition, epoch), Kind: kind,
+		return func(d *diskParts) error {
+			position := after(d.replica.Log(partition, kind))
+			answer, err := d.replica.Append(ctx, &replica.AppendRequest{Target: target(partition, epoch), Kind: kind,
 				After: position, Entries: entries(position, epoch, count), Reset: reset})
 			if err == nil && !answer.Matched {
 				err = fmt.Errorf("the logs did not match")
@@ -168,51 +168,51 @@
 		}
 	}
 	seal := func(partition int, epoch uint64) func(*diskParts) error {
-		return func(s *diskParts) error {
-			_, err := s.replica.Seal(ctx, &replica.SealRequest{Target: target(partition, epoch)})
+		return func(d *diskParts) error {
+			_, err := d.replica.Seal(ctx, &replica.SealRequest{Target: target(partition, epoch)})
 			return err
 		}
 	}
 	trim := func(partition int, kind log.Kind, epoch, keepCount uint64) func(*diskParts) error {
-		return func(s *diskParts) error {
-			l := s.replica.Log(partition, kind)
+		return func(d *diskParts) error {
+			l := d.replica.Log(partition, kind)
 			base, _ := l.Position(l.Last().Offset - keepCount)
-			_, err := s.replica.Append(ctx, &replica.AppendRequest{Target: target(partition, epoch), Kind: kind,
+			_, err := d.replica.Append(ctx, &replica.AppendRequest{Target: target(partition, epoch), Kind: kind,
 				After: l.Last(), Base: base})
 			return err
 		}
 	}
 	saveSnapshot := func(partition int) func(*diskParts) error {
-		return func(s *diskParts) error {
-			return s.replica.SaveSnapshot(ctx, replica.Snapshot{Partition: partition,
-				At: s.replica.Log(partition, log.KindChangelog).Last(), Input: 1, State: []byte(`{}`)})
+		return func(d *diskParts) error {
+			return d.replica.SaveSnapshot(ctx, replica.Snapshot{Partition: partition,
+				At: d.replica.Log(partition, log.KindChangelog).Last(), Input: 1, State: []byte(`{}`)})
 		}
 	}
 	slot := func(key string, sequence uint64) acceptor.Target {
 		return acceptor.Target{VoterSet: sequence, Incarnation: "i1", Key: key}
 	}
 	promise := func(key string, number uint64) func(*diskParts) error {
-		return func(s *diskParts) error {
-			_, err := s.acceptor.Promise(ctx, &acceptor.PromiseRequest{Target: slot(key, s.acceptor.VoterSet().Sequence),
+		return func(d *diskParts) error {
+			_, err := d.acceptor.Promise(ctx, &acceptor.PromiseRequest{Target: slot(key, d.acceptor.VoterSet().Sequence),
 				Epoch: epoch.Epoch{Number: number, Node: "c1"}})
 			return err
 		}
 	}
 	accept := func(key string, number, version uint64) func(*diskParts) error {
-		return func(s *diskParts) error {
-			_, err := s.acceptor.Accept(ctx, &acceptor.AcceptRequest{Target: slot(key, s.acceptor.VoterSet().Sequence),
+		return func(d *diskParts) error {
+			_, err := d.acceptor.Accept(ctx, &acceptor.AcceptRequest{Target: slot(key, d.acceptor.VoterSet().Sequence),
 				Epoch: epoch.Epoch{Number: number, Node: "c1"}, Value: acceptor.Value{Version: version, Body: []byte(key)}})
 			return err
 		}
 	}
 	operations := []func(*diskParts) error{
-		func(s *diskParts) error {
-			_, err := s.acceptor.Bootstrap(ctx, &acceptor.BootstrapRequest{Incarnation: "i1",
+		func(d *diskParts) error {
+			_, err := d.acceptor.Bootstrap(ctx, &acceptor.BootstrapRequest{Incarnation: "i1",
 				VoterSet: initialVoterSet()})
 			return err
 		},
-		func(s *diskParts) error {
-			_, err := s.acceptor.Activate(ctx, &acceptor.ActivateRequest{Incarnation: "i1", VoterSet: initialVoterSet(),
+		func(d *diskParts) error {
+			_, err := d.acceptor.Activate(ctx, &acceptor.ActivateRequest{Incarnation: "i1", VoterSet: initialVoterSet(),
 				Bootstrap: true})
 			return err
 		},
@@ -226,17 +226,17 @@
 		appendEntries(1, log.KindInput, 5, func(*log.Log) log.Position {
 			return log.Position{Epoch: 4, Offset: 20, Chain: 7}
 		}, 3, true),
-		func(s *diskParts) error { return s.replica.TruncateAfter(ctx, target(1, 5), log.KindInput, 22, false) },
+		func(d *diskParts) error { return d.replica.TruncateAfter(ctx, target(1, 5), log.KindInput, 22, false) },
 		seal(2, 1), appendEntries(2, log.KindInput, 1, end, 4, false),
-		func(s *diskParts) error {
-			_, err := s.replica.Drop(ctx, &replica.DropRequest{Target: target(2, 9)})
+		func(d *diskParts) error {
+			_, err := d.replica.Drop(ctx, &replica.DropRequest{Target: target(2, 9)})
 			return err
 		},
 		accept(acceptor.VoterSetKey, 1, 1),
-		func(s *diskParts) error {
-			voterSet := s.acceptor.VoterSet()
+		func(d *diskParts) error {
+			voterSet := d.acceptor.VoterSet()
 			voterSet.Sequence++
-			_, err := s.acceptor.Activate(ctx, &acceptor.ActivateRequest{Incarnation: "i1", VoterSet: voterSet,
+			_, err := d.acceptor.Activate(ctx, &acceptor.ActivateRequest{Incarnation: "i1", VoterSet: voterSet,
 				Slots: map[string]acceptor.Slot{"description": {Accepted: epoch.Epoch{Number: 3, Node: "c1"},
 					Value: acceptor.Value{Version: 2}}}})
 			return err
@@ -253,15 +253,16 @@
 
 const maxExtraSeals = 64
 
-// Power is lost after every operation of the disk, with each number of unsynced records persisted
-// and the next one torn or not.
+// Power is lost after every operation of the disk, with various numbers of unsynced records
+// persisted and the next one torn or not. Under the race detector only every fourth operation is
+// tried.
 func TestPowerLostAfterEveryWrite(t *testing.T) {
 	disk := New()
-	components, _, stop := boot(t, disk)
-	states := []diskState{components.diskState(t)}
+	opened, _, stop := boot(t, disk)
+	states := []diskState{opened.diskState(t)}
 	run := func(number int, operation func(*diskParts) error) {
-		assert.NilError(t, operation(components), "task %d", number)
-		states = append(states, components.diskState(t))
+		assert.NilError(t, operation(opened), "request %d", number)
+		states = append(states, opened.diskState(t))
 		disk.Answer()
 	}
 	operations := operations()
@@ -270,36 +271,36 @@
 	}
 	// A compaction advances by one slice with each write: more is written until a compaction has
 	// finished.
-	for epoch := uint64(1); components.journal.Counters().Compactions == 0 && epoch < maxExtraSeals; epoch++ {
-		run(len(operations)+int(epoch), func(s *diskParts) error {
-			_, err := s.replica.Seal(t.Context(), &replica.SealRequest{
+	for epoch := uint64(1); opened.journal.Counters().Compactions == 0 && epoch < maxExtraSeals; epoch++ {
+		run(len(operations)+int(epoch), func(d *diskParts) error {
+			_, err := d.replica.Seal(t.Context(), &replica.SealRequest{
 				Target: replica.Target{Partition: 7, Incarnation: "i", Epoch: epoch}})
 			return err
 		})
 	}
-	tally := components.journal.Counters()
+	tally := opened.journal.Counters()
 	stop()
 	assert.Assert(t, tally.Compactions > 0, "void: the journal was never compacted")
 	cases, casesByOperation := 0, map[string]int{}
-	for at, moment := range disk.Moments() {
+	for index, moment := range disk.Moments() {
 		unsynced := moment.Disk.Unsynced()
-		if raceEnabled && at%4 != 0 {
+		if raceEnabled && index%4 != 0 {
 			continue
 		}
 		for persisted := 0; persisted <= unsynced; persisted += max(1, unsynced/8) {
 			for _, torn := range []bool{false, true} {
 				copied := moment.Disk.Copy()
 				copied.LosePowerAfter(persisted, torn)
-				got, report, stop := boot(t, copied)
-				contents := got.diskState(t)
+				recovered, report, stop := boot(t, copied)
+				contents := recovered.diskState(t)
 				stop()
 				cases++
 				casesByOperation[moment.Op]++
-				assert.Assert(t, !report.Damaged, "moment %d (%s), %d of %d persisted, torn %v: %v", at, moment.Op,
+				assert.Assert(t, !report.Damaged, "moment %d (%s), %d of %d persisted, torn %v: %v", index, moment.Op,
 					persisted, unsynced, torn, report.Cause)
 				assert.NilError(t, checkBetween(contents, states[moment.Answered],
 					states[min(moment.Answered+1, len(states)-1)]),
-					"moment %d (%s), %d of %d unsynced persisted, torn %v", at, moment.Op, persisted, unsynced, torn)
+					"moment %d (%s), %d of %d unsynced persisted, torn %v", index, moment.Op, persisted, unsynced, torn)
 			}
 		}
 	}
--- a/internal/testing/crash/slices_test.go
+++ b/internal/testing/crash/slices_test.go
@@ -19,7 +19,7 @@
 	"postjunction/internal/recordtype"
 )
 
-// gatedLog runs one operation before each slice of a compaction.
+// gatedLog calls a function before each slice of a compaction and counts the slices.
 type gatedLog struct {
 	*Log
 	slice func()
@@ -28,8 +28,8 @@
 
 // Write calls slice before it writes the first record of a slice.
 func (g *gatedLog) Write(first uint64, records [][]byte) error {
-	for i, r := range records {
-		if decoded, err := frame.Decode(first+uint64(i), r); err == nil && decoded.Kind == recordtype.CompactionBegins {
+	for i, record := range records {
+		if decoded, err := frame.Decode(first+uint64(i), record); err == nil && decoded.Kind == recordtype.CompactionBegins {
 			g.count++
 			g.slice()
 			break
@@ -41,21 +41,21 @@
 // randomOperation returns one operation that may happen to logs between two slices: an append, a
 // replaced tail, a trim before or after the position that the compaction has reached, a reset, a
 // drop, a truncation, a snapshot, a seal or a promise.
-func randomOperation(r *rand.Rand, lastEpoch *uint64) func(s *diskParts) error {
+func randomOperation(rng *rand.Rand, lastEpoch *uint64) func(d *diskParts) error {
 	ctx := context.Background()
-	partition, kind := r.IntN(partitions), log.Kinds[r.IntN(2)]
+	partition, kind := rng.IntN(partitions), log.Kinds[rng.IntN(2)]
 	target := func(epoch uint64) replica.Target {
 		return replica.Target{Partition: partition, Incarnation: "i", Epoch: epoch}
 	}
 	randomPosition := func(l *log.Log) log.Position {
 		first, last := l.Base().Offset, l.Last().Offset
-		at, _ := l.Position(first + r.Uint64N(last-first+1))
+		at, _ := l.Position(first + rng.Uint64N(last-first+1))
 		return at
 	}
 	appendEntries := func(after func(l *log.Log) log.Position, count int, reset bool) func(*diskParts) error {
-		return func(s *diskParts) error {
-			position := after(s.replica.Log(partition, kind))
-			answer, err := s.replica.Append(ctx, &replica.AppendRequest{Target: target(*lastEpoch), Kind: kind,
+		return func(d *diskParts) error {
+			position := after(d.replica.Log(partition, kind))
+			answer, err := d.replica.Append(ctx, &replica.AppendRequest{Target: target(*lastEpoch), Kind: kind,
 				After: position, Entries: entries(position, *lastEpoch, count), Reset: reset})
 			if err == nil && !answer.Matched {
 				err = fmt.Errorf("the logs did not match")
@@ -64,50 +64,50 @@
 		}
 	}
 	seal := func(operation func(*diskParts) error) func(*diskParts) error {
-		return func(s *diskParts) error {
+		return func(d *diskParts) error {
 			*lastEpoch++
-			if _, err := s.replica.Seal(ctx, &replica.SealRequest{Target: target(*lastEpoch)}); err != nil {
+			if _, err := d.replica.Seal(ctx, &replica.SealRequest{Target: target(*lastEpoch)}); err != nil {
 				return err
 			}
-			return operation(s)
+			return operation(d)
 		}
 	}
 	return []func(*diskParts) error{
-		appendEntries((*log.Log).Last, 1+r.IntN(90), false),
+		appendEntries((*log.Log).Last, 1+rng.IntN(90), false),
 		appendEntries((*log.Log).Last, 1, false),
-		seal(appendEntries(randomPosition, 1+r.IntN(90), false)),
-		seal(func(s *diskParts) error {
-			return s.replica.TruncateAfter(ctx, target(*lastEpoch), kind,
-				randomPosition(s.replica.Log(partition, kind)).Offset, false)
+		seal(appendEntries(randomPosition, 1+rng.IntN(90), false)),
+		seal(func(d *diskParts) error {
+			return d.replica.TruncateAfter(ctx, target(*lastEpoch), kind,
+				randomPosition(d.replica.Log(partition, kind)).Offset, false)
 		}),
-		func(s *diskParts) error {
-			l := s.replica.Log(partition, kind)
-			_, err := s.replica.Append(ctx, &replica.AppendRequest{Target: target(*lastEpoch), Kind: kind,
+		func(d *diskParts) error {
+			l := d.replica.Log(partition, kind)
+			_, err := d.replica.Append(ctx, &replica.AppendRequest{Target: target(*lastEpoch), Kind: kind,
 				After: l.Last(), Base: randomPosition(l)})
 			return err
 		},
 		seal(appendEntries(func(*log.Log) log.Position {
-			return log.Position{Offset: uint64(r.IntN(200)), Epoch: *lastEpoch - 1, Chain: 7}
-		}, 1+r.IntN(90), true)),
-		seal(func(s *diskParts) error {
-			_, err := s.replica.Drop(ctx, &replica.DropRequest{Target: target(*lastEpoch)})
+			return log.Position{Offset: uint64(rng.IntN(200)), Epoch: *lastEpoch - 1, Chain: 7}
+		}, 1+rng.IntN(90), true)),
+		seal(func(d *diskParts) error {
+			_, err := d.replica.Drop(ctx, &replica.DropRequest{Target: target(*lastEpoch)})
 			return err
 		}),
-		func(s *diskParts) error {
-			return s.replica.SaveSnapshot(ctx, replica.Snapshot{Partition: partition,
-				At: s.replica.Log(partition, log.KindChangelog).Last(), Input: 1, State: []byte(`{}`)})
+		func(d *diskParts) error {
+			return d.replica.SaveSnapshot(ctx, replica.Snapshot{Partition: partition,
+				At: d.replica.Log(partition, log.KindChangelog).Last(), Input: 1, State: []byte(`{}`)})
 		},
-		func(s *diskParts) error {
-			slot := acceptor.Target{VoterSet: s.acceptor.VoterSet().Sequence, Incarnation: "i1", Key: "description"}
+		func(d *diskParts) error {
+			slot := acceptor.Target{VoterSet: d.acceptor.VoterSet().Sequence, Incarnation: "i1", Key: "description"}
 			*lastEpoch++
-			_, err := s.acceptor.Promise(ctx, &acceptor.PromiseRequest{Target: slot,
+			_, err := d.acceptor.Promise(ctx, &acceptor.PromiseRequest{Target: slot,
 				Epoch: epoch.Epoch{Number: *lastEpoch, Node: "c1"}})
 			return err
 		},
-	}[r.IntN(9)]
+	}[rng.IntN(9)]
 }
 
-// checkEqual checks that the recovered logs and seals are exactly those from before.
+// checkEqual checks that the recovered logs and seals are exactly the wanted ones.
 func checkEqual(got, want diskState) error {
 	for id, wanted := range want.logs {
 		recovered := got.logs[id]
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// The journal is compacted in slices, and between each two of them the stored data changes. Power
-// is lost after every operation of the disk.
+// The journal is compacted in slices, and the stored data changes between slices. Power is lost
+// after a sixth of the disk's operations and at the end.
 func TestPowerLostBetweenSlices(t *testing.T) {
 	seeds, cases, slices, compactions := 16, 0, 0, 0
 	if raceEnabled {
@@ -139,12 +139,12 @@
 		synctest.Test(t, func(t *testing.T) {
 			disk := New()
 			gated := &gatedLog{Log: disk, slice: func() {}}
-			components, _, stop := boot(t, gated)
-			r, lastEpoch := rand.New(rand.NewPCG(uint64(seed), 1)), uint64(1)
-			states := []diskState{components.diskState(t)}
+			opened, _, stop := boot(t, gated)
+			rng, lastEpoch := rand.New(rand.NewPCG(uint64(seed), 1)), uint64(1)
+			states := []diskState{opened.diskState(t)}
 			run := func(operation func(*diskParts) error) {
-				assert.NilError(t, operation(components), "seed %d", seed)
-				states = append(states, components.diskState(t))
+				assert.NilError(t, operation(opened), "seed %d", seed)
+				states = append(states, opened.diskState(t))
 				disk.Answer()
 			}
 			for _, operation := range operations()[:2] {
@@ -152,10 +152,10 @@
 			}
 			for partition := range partitions {
 				for _, kind := range log.Kinds {
-					run(func(s *diskParts) error {
-						_, err := s.replica.Append(t.Context(), &replica.AppendRequest{
+					run(func(d *diskParts) error {
+						_, err := d.replica.Append(t.Context(), &replica.AppendRequest{
 							Target: replica.Target{Partition: partition, Incarnation: "i", Epoch: 1}, Kind: kind,
-							Entries: entries(log.Position{}, 1, 100+r.IntN(200))})
+							Entries: entries(log.Position{}, 1, 100+rng.IntN(200))})
 						return err
 					})
 				}
@@ -177,25 +177,25 @@
 				for {
 					select {
 					case <-gate:
-						run(randomOperation(r, &lastEpoch))
+						run(randomOperation(rng, &lastEpoch))
 					case <-halt:
 						return
 					}
 				}
 			}()
 			time.Sleep(time.Second)
-			assert.NilError(t, components.journal.Put(t.Context(), false, nil, probes...))
+			assert.NilError(t, opened.journal.Put(t.Context(), false, nil, probes...))
 			time.Sleep(time.Second)
 			close(halt)
 			<-done
-			compactions += int(components.journal.Counters().Compactions)
+			compactions += int(opened.journal.Counters().Compactions)
 			slices += gated.count
-			want := components.diskState(t)
+			want := opened.diskState(t)
 			stop()
-			disk.note("end")
+			disk.record("end")
 			moments := disk.Moments()
-			for at, moment := range moments[before:] {
-				if (at+seed)%6 != 0 && moment.Op != "end" {
+			for index, moment := range moments[before:] {
+				if (index+seed)%6 != 0 && moment.Op != "end" {
 					continue
 				}
 				unsynced := moment.Disk.Unsynced()
@@ -203,15 +203,15 @@
 					for _, torn := range []bool{false, true} {
 						copied := moment.Disk.Copy()
 						copied.LosePowerAfter(persisted, torn)
-						got, report, stop := boot(t, copied)
-						contents := got.diskState(t)
+						recovered, report, stop := boot(t, copied)
+						contents := recovered.diskState(t)
 						stop()
 						cases++
-						assert.Assert(t, !report.Damaged, "seed %d, moment %d (%s): %v", seed, at, moment.Op,
+						assert.Assert(t, !report.Damaged, "seed %d, moment %d (%s): %v", seed, index, moment.Op,
 							report.Cause)
 						assert.NilError(t, checkBetween(contents, states[moment.Answered],
 							states[min(moment.Answered+1, len(states)-1)]),
-							"seed %d, moment %d of %d (%s), %d of %d unsynced persisted, torn %v", seed, at,
+							"seed %d, moment %d of %d (%s), %d of %d unsynced persisted, torn %v", seed, index,
 							len(moments)-before, moment.Op, persisted, unsynced, torn)
 						if moment.Op == "end" {
 							assert.NilError(t, checkEqual(contents, want), "seed %d", seed)
--- a/internal/testing/deliverycheck/checker_test.go
+++ b/internal/testing/deliverycheck/checker_test.go
@@ -164,8 +164,8 @@
 		})
 		hit[injection.rule] = true
 	}
-	for _, r := range Rules {
-		assert.Assert(t, hit[r], "no violation of %s is injected", r)
+	for _, rule := range Rules {
+		assert.Assert(t, hit[rule], "no violation of %s is injected", rule)
 	}
 }
 
@@ -173,11 +173,11 @@
 	first, second := Message{"kept/b", "v", 1}, Message{"kept/b", "u", 1}
 	run.Try(first, "", "a", sec(11))
 	run.Try(second, "", "b", sec(11))
-	one, other := run.Subscribe("y", "kept/b", true), run.Subscribe("z", "kept/b", true)
-	one.Joined(sec(10))
-	other.Joined(sec(10))
-	one.Received(first, "a", Position{}, sec(12))
-	one.Received(second, "b", Position{}, sec(12))
-	other.Received(second, "b", Position{}, sec(12))
-	other.Received(first, "a", Position{}, sec(12))
+	inOrder, reversed := run.Subscribe("y", "kept/b", true), run.Subscribe("z", "kept/b", true)
+	inOrder.Joined(sec(10))
+	reversed.Joined(sec(10))
+	inOrder.Received(first, "a", Position{}, sec(12))
+	inOrder.Received(second, "b", Position{}, sec(12))
+	reversed.Received(second, "b", Position{}, sec(12))
+	reversed.Received(first, "a", Position{}, sec(12))
 }
--- a/internal/testing/deliverycheck/order.go
+++ b/internal/testing/deliverycheck/order.go
@@ -1,7 +1,7 @@
 package deliverycheck
 
-// order is the graph of which message directly followed which in what subscriptions received on a
-// topic.
+// order is a graph of the messages that the subscriptions to a topic received, with an edge from
+// each message to those that directly followed it in a subscription.
 type order struct {
 	followers map[Message]map[Message]bool
 }
@@ -31,18 +31,18 @@
 			ready = append(ready, message)
 		}
 	}
-	done := 0
+	visited := 0
 	for len(ready) > 0 {
 		message := ready[len(ready)-1]
 		ready = ready[:len(ready)-1]
-		done++
+		visited++
 		for follower := range o.followers[message] {
 			if predecessors[follower]--; predecessors[follower] == 0 {
 				ready = append(ready, follower)
 			}
 		}
 	}
-	if done == len(o.followers) {
+	if visited == len(o.followers) {
 		return Message{}, false
 	}
 	for message := range o.followers {
--- a/internal/testing/deliverycheck/presence.go
+++ b/internal/testing/deliverycheck/presence.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// countTolerance is how many listeners a count may be too high by.
+// countTolerance is by how many listeners a count may be too high.
 const countTolerance = 2
 
 // Presence is the time in which a client listens to a topic on one connection.
--- a/internal/testing/deliverycheck/withdrawn_test.go
+++ b/internal/testing/deliverycheck/withdrawn_test.go
@@ -170,7 +170,7 @@
 	assert.Equal(t, len(latencies), 1)
 	assert.Equal(t, latencies[0], sec(13).Sub(sec(12)))
 	assert.Equal(t, open, 1)
-	all := len(run.DeliveryLatencies(sec(0), sec(20), nil))
-	assert.Equal(t, all, 5+6+1)
+	deliveries := len(run.DeliveryLatencies(sec(0), sec(20), nil))
+	assert.Equal(t, deliveries, 5+6+1)
 	assert.Equal(t, len(run.DeliveryLatencies(sec(0), sec(20), func(client string) bool { return client == "x" })), 5)
 }
--- a/internal/testing/fleet/day.go
+++ b/internal/testing/fleet/day.go
@@ -17,7 +17,9 @@
 	"postjunction/internal/testing/transport"
 )
 
-// Day is a run of a fleet under load and faults of fixed length.
+// Day is a run of fixed length of a fleet under load and faults. Interval is the pause after a
+// fault. With Pairs, two faults are applied at a time. Next, if set, is the program that the fault
+// "upgrade" restarts machines with.
 type Day struct {
 	Load     sim.Load
 	Seed     uint64
@@ -33,7 +35,7 @@
 }
 
 // FullLoad is the load of both deployments: about 600 connections, 600 topics with stored messages
-// at 200 messages a second, 30 live topics at 20 a second, and five leads with stop-line calls.
+// at 200 messages a second, 30 live topics at 20 a second, and five senders of urgent messages.
 var FullLoad = sim.Load{HTTPClients: 600, Topics: 600, LiveTopics: 30, UrgentSenders: 5, SendInterval: 3 * time.Second}
 
 func (d *Day) logf(format string, args ...any) {
@@ -71,11 +73,11 @@
 }
 
 // add adds a client in the zone of one of the machines, in turn, and returns its index.
-func (c *callers) add(caller *httpclient.Client, machines []*Process) int {
+func (c *callers) add(client *httpclient.Client, machines []*Process) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	i := len(c.clients)
-	c.clients = append(c.clients, caller)
+	c.clients = append(c.clients, client)
 	c.zones = append(c.zones, machines[i%len(machines)].Opts.Zone)
 	return i
 }
--- a/internal/testing/fleet/faults.go
+++ b/internal/testing/fleet/faults.go
@@ -26,8 +26,8 @@
 		return process.Start()
 	},
 	"stop": func(ctx context.Context, day *Day, _ *Fleet, process *Process, rng *rand.Rand) error {
-		if t := process.Signal(syscall.SIGTERM, true); t > 6*time.Second {
-			return apierror.New(apierror.Internal, "%s took %s to stop", process.Name, t)
+		if elapsed := process.Signal(syscall.SIGTERM, true); elapsed > 6*time.Second {
+			return apierror.New(apierror.Internal, "%s took %s to stop", process.Name, elapsed)
 		}
 		wait(ctx, downtime(rng))
 		return process.Start()
@@ -115,8 +115,8 @@
 	}
 	faults["upgrade"] = func(ctx context.Context, day *Day, fleet *Fleet, _ *Process, rng *rand.Rand) error {
 		for _, process := range fleet.choose(rng, len(fleet.Processes), func(*Process) bool { return true }) {
-			if t := process.Signal(syscall.SIGTERM, true); t > 6*time.Second {
-				return apierror.New(apierror.Internal, "%s took %s to stop", process.Name, t)
+			if elapsed := process.Signal(syscall.SIGTERM, true); elapsed > 6*time.Second {
+				return apierror.New(apierror.Internal, "%s took %s to stop", process.Name, elapsed)
 			}
 			if day.Next != "" {
 				process.bin = day.Next
--- a/internal/testing/fleet/fleet.go
+++ b/internal/testing/fleet/fleet.go
@@ -27,7 +27,7 @@
 	RoundTrip time.Duration
 }
 
-// Sites are the deployments of the brief, and a small one.
+// Sites are the deployments that docs/brief.md describes, and a small one.
 var Sites = map[string]Site{
 	"small":       {Zones: 3, Control: 3, Access: 2, Stores: 3, RoundTrip: 500 * time.Microsecond},
 	"armor":       {Zones: 3, Control: 3, Access: 7, Stores: 3, RoundTrip: 500 * time.Microsecond},
@@ -47,21 +47,21 @@
 	ready map[string]bool
 }
 
-// New writes the settings of a site's machines under dir. With base 0 free ports are chosen.
+// New writes the settings of a site's machines under dir. If base is 0, free ports are chosen.
 // Otherwise the ports for clients count up from base, and those for peers from base+100. Unless
 // direct is set, connections between the machines go through a relay.
 func New(bin, dir string, site Site, base int, direct bool, edit func(*settings.Options)) (*Fleet, error) {
 	fleet := &Fleet{byName: map[string]*Process{}, ready: map[string]bool{}, Relay: newRelay(site.RoundTrip)}
 	var seeds []string
-	count := 0
-	add := func(kind, disk string, number int) error {
-		for i := range number {
-			count++
+	created := 0
+	add := func(kind, disk string, machineCount int) error {
+		for i := range machineCount {
+			created++
 			options := settings.Default()
 			options.Name, options.Zone, options.Disk = fmt.Sprintf("%s%d", kind, i+1),
 				fmt.Sprintf("z%d", i%site.Zones+1), disk
-			options.Listen, options.PeerListen = fmt.Sprintf("127.0.0.1:%d", base+count),
-				fmt.Sprintf("127.0.0.1:%d", base+100+count)
+			options.Listen, options.PeerListen = fmt.Sprintf("127.0.0.1:%d", base+created),
+				fmt.Sprintf("127.0.0.1:%d", base+100+created)
 			if base == 0 {
 				var err error
 				if options.Listen, err = freePort(); err != nil {
--- a/internal/testing/fleet/fleet_test.go
+++ b/internal/testing/fleet/fleet_test.go
@@ -97,8 +97,8 @@
 	poll.WaitOn(t, logged(process, "unexpected EOF"), poll.WithTimeout(10*time.Second))
 }
 
-// Ports from the range that the system assigns by itself could be in use by a relay or a connection
-// before their process started, and the fleet was never ready.
+// Guards against a fleet that is never ready: a port from the range that the system assigns by
+// itself may be in use by a relay or a connection before the process that is given it starts.
 func TestPortsLieBelowThoseTheSystemGivesOut(t *testing.T) {
 	seen := map[string]bool{}
 	for range 200 {
--- a/internal/testing/fleet/links.go
+++ b/internal/testing/fleet/links.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// limitFiles limits the size of a process's files, so that every further write fails as on a full
-// disk, or lifts the limit.
+// limitFiles limits the size of a process's files to 1 byte, so that every further write fails as
+// on a full disk, or lifts the limit.
 func (p *Process) limitFiles(limit bool) error {
 	p.mu.Lock()
 	command := p.cmd
@@ -75,11 +75,11 @@
 
 func init() {
 	faults["cut"] = func(ctx context.Context, _ *Day, fleet *Fleet, process *Process, rng *rand.Rand) error {
-		waitAndUndo(ctx, downtime(rng), fleet.Relay.Cut(process.Name, all), fleet.Relay.Cut(all, process.Name))
+		waitAndUndo(ctx, downtime(rng), fleet.Relay.Cut(process.Name, wildcard), fleet.Relay.Cut(wildcard, process.Name))
 		return nil
 	}
 	faults["oneway"] = func(ctx context.Context, _ *Day, fleet *Fleet, process *Process, rng *rand.Rand) error {
-		undo := []func(){fleet.Relay.Cut(all, process.Name)}
+		undo := []func(){fleet.Relay.Cut(wildcard, process.Name)}
 		if rng.IntN(2) == 0 {
 			undo[0]()
 			undo = undo[:0]
--- a/internal/testing/fleet/operators.go
+++ b/internal/testing/fleet/operators.go
@@ -37,9 +37,9 @@
 		if err == nil {
 			record.ReadConfiguration(current, asked)
 			document := d.Load.NumberedConfiguration(current, current+1+rng.Uint64N(9), "")
-			sequenceAccepted, putErr := transports[rng.IntN(len(transports))].Put(callCtx, document)
+			acceptedSequence, putErr := transports[rng.IntN(len(transports))].Put(callCtx, document)
 			if putErr == nil {
-				record.AcceptConfiguration(current, sequenceAccepted, string(document), time.Now())
+				record.AcceptConfiguration(current, acceptedSequence, string(document), time.Now())
 			} else if apierror.HasCode(putErr, apierror.ConfigurationInvalid) {
 				record.Violate(history.Invalid, "a valid configuration was rejected: %v", putErr)
 			}
--- a/internal/testing/fleet/probe.go
+++ b/internal/testing/fleet/probe.go
@@ -16,18 +16,18 @@
 )
 
 // probe measures stalls of the host that the fleet runs on: it writes and syncs a file beside the
-// fleet's disks, and sleeps. A delay as long as the failure timeout of a node is recorded as a
-// fault, and its end as another. probe returns the sum of these delays.
+// fleet's disks, and sleeps. The beginning and the end of a delay at least as long as the failure
+// timeout of a node are recorded as faults. probe returns the sum of these delays.
 func (d *Day) probe(ctx context.Context, fleet *Fleet, record *history.History) (sum time.Duration) {
 	measure := func(what string, usual time.Duration, do func()) {
 		begun := time.Now()
 		do()
 		ended := time.Now()
-		if late := ended.Sub(begun) - usual; late >= settings.DefaultTiming.FailureTimeout() {
-			d.logf("%s of the host stalled for %s until now", what, late)
+		if delay := ended.Sub(begun) - usual; delay >= settings.DefaultTiming.FailureTimeout() {
+			d.logf("%s of the host stalled for %s until now", what, delay)
 			record.AddFault("stall of "+what, begun)
 			record.AddFault("end of stall of "+what, ended)
-			sum += late
+			sum += delay
 		}
 	}
 	file, err := os.Create(filepath.Join(fleet.Processes[0].dir, "probe"))
--- a/internal/testing/fleet/process.go
+++ b/internal/testing/fleet/process.go
@@ -42,25 +42,25 @@
 	portsTo   = 30000
 )
 
-// nextPort holds the port that was returned last.
-var nextPort = struct {
+// lastPort holds the port that was returned last.
+var lastPort = struct {
 	sync.Mutex
-	n int
-}{n: portsFrom + rand.IntN(portsTo-portsFrom)}
+	port int
+}{port: portsFrom + rand.IntN(portsTo-portsFrom)}
 
 // freePort returns the address of a port without a listener, below the range from which the system
 // picks ports for connections and for listeners on port 0. A port of that range could be in use by
 // the time the process that it is meant for starts.
 func freePort() (string, error) {
-	nextPort.Lock()
-	defer nextPort.Unlock()
+	lastPort.Lock()
+	defer lastPort.Unlock()
 	for range portsTo - portsFrom {
-		if nextPort.n++; nextPort.n >= portsTo {
-			nextPort.n = portsFrom
+		if lastPort.port++; lastPort.port >= portsTo {
+			lastPort.port = portsFrom
 		}
-		address := fmt.Sprintf("127.0.0.1:%d", nextPort.n)
+		address := fmt.Sprintf("127.0.0.1:%d", lastPort.port)
 		if listener, err := net.Listen("tcp", address); err == nil {
-			return address, apierror.Wrap(apierror.Internal, listener.Close(), "release port %d", nextPort.n)
+			return address, apierror.Wrap(apierror.Internal, listener.Close(), "release port %d", lastPort.port)
 		}
 	}
 	return "", apierror.New(apierror.Internal, "no port from %d to %d is free", portsFrom, portsTo)
--- a/internal/testing/fleet/relay.go
+++ b/internal/testing/fleet/relay.go
@@ -16,7 +16,7 @@
 
 const (
 	retransmitDelay = 200 * time.Millisecond
-	all             = "*"
+	wildcard        = "*"
 	chunkBytes      = 32 << 10
 	maxChunks       = 64
 )
@@ -137,7 +137,7 @@
 func (r *Relay) awaitLink(from, to string) error {
 	for first := true; ; first = false {
 		r.mu.Lock()
-		cut, healed := r.cuts[[2]string{from, to}] || r.cuts[[2]string{from, all}] || r.cuts[[2]string{all, to}],
+		cut, healed := r.cuts[[2]string{from, to}] || r.cuts[[2]string{from, wildcard}] || r.cuts[[2]string{wildcard, to}],
 			r.healed
 		if cut && first {
 			r.counts["cut"]++
@@ -160,7 +160,8 @@
 }
 
 // copyDelayed copies one direction of a connection. Chunks are delayed, stay in order, and wait
-// while the link is cut. When the source breaks the connection, chunks in flight are lost.
+// while the link is cut. When reading from the source fails, chunks in flight are lost and the
+// target is reset.
 func (r *Relay) copyDelayed(source io.Reader, target net.Conn, from, to string) {
 	chunks := make(chan chunk, maxChunks)
 	broken := make(chan struct{})
@@ -185,37 +186,37 @@
 			}
 		}
 	}()
-	dead := false
+	failed := false
 	for chunk := range chunks {
-		if dead {
+		if failed {
 			continue
 		}
 		timer := time.NewTimer(time.Until(chunk.due))
 		select {
 		case <-timer.C:
 		case <-broken:
-			dead = true
+			failed = true
 		}
 		timer.Stop()
-		if dead = dead || r.awaitLink(from, to) != nil; dead {
+		if failed = failed || r.awaitLink(from, to) != nil; failed {
 			continue
 		}
 		select {
 		case <-broken:
-			dead = true
+			failed = true
 			continue
 		default:
 		}
 		_, err := target.Write(chunk.data)
-		dead = err != nil
+		failed = err != nil
 	}
 	_ = r.awaitLink(from, to)
 	select {
 	case <-broken:
-		dead = true
+		failed = true
 	default:
 	}
-	closeConnection(target, dead)
+	closeConnection(target, failed)
 }
 
 // Cut blocks the link from one machine to another. The returned function restores it. "*" means all
@@ -284,7 +285,7 @@
 }
 
 // Counts returns how many chunks the relay carried, held for a cut and delayed for a loss.
-func (r *Relay) Counts() (pieces, cut, lost uint64) {
+func (r *Relay) Counts() (chunks, cut, lost uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.counts["pieces"], r.counts["cut"], r.counts["lost"]
--- a/internal/testing/fleet/relay_test.go
+++ b/internal/testing/fleet/relay_test.go
@@ -66,8 +66,8 @@
 }
 
 func TestRelayHoldsChunksWhileALinkIsCut(t *testing.T) {
-	for name, cut := range map[string][2]string{"there": {"a", "b"}, "back": {"b", "a"}, "all to": {all, "b"},
-		"all from": {"a", all}} {
+	for name, cut := range map[string][2]string{"there": {"a", "b"}, "back": {"b", "a"}, "all to": {wildcard, "b"},
+		"all from": {"a", wildcard}} {
 		t.Run(name, func(t *testing.T) {
 			arrived := make(chan bool, 1)
 			relay, call := startRelay(t, 0, func(text string) { arrived <- text == "held" })
@@ -116,7 +116,7 @@
 func TestRelayLosesNothingForGood(t *testing.T) {
 	relay, call := startRelay(t, 0, func(string) {})
 	defer relay.Lose(0.2)()
-	for _, late := uint64(0), uint64(0); late == 0; _, _, late = relay.Counts() {
+	for _, lost := uint64(0), uint64(0); lost == 0; _, _, lost = relay.Counts() {
 		assert.NilError(t, call("x"))
 	}
 }
--- a/internal/testing/fleet/sessions.go
+++ b/internal/testing/fleet/sessions.go
@@ -35,38 +35,38 @@
 
 // lineRequest is a request of the line protocol.
 type lineRequest struct {
-	Verb   session.Verb `json:"verb"`
-	Client string       `json:"visitor,omitempty"`
-	Topic  string       `json:"topic,omitempty"`
-	Cursor string       `json:"cursor,omitempty"`
-	Call   uint64       `json:"call_seq,omitempty"`
-	Body   *string      `json:"body,omitempty"`
-	Key    string       `json:"key,omitempty"`
-	Of     string       `json:"of,omitempty"`
-	Upto   uint64       `json:"upto,omitempty"`
+	Verb           session.Verb `json:"verb"`
+	Client         string       `json:"visitor,omitempty"`
+	Topic          string       `json:"topic,omitempty"`
+	Cursor         string       `json:"cursor,omitempty"`
+	CallSeq        uint64       `json:"call_seq,omitempty"`
+	Body           *string      `json:"body,omitempty"`
+	Key            string       `json:"key,omitempty"`
+	WithdrawSender string       `json:"of,omitempty"`
+	WithdrawUpTo   uint64       `json:"upto,omitempty"`
 }
 
 // lineResponse is a response of the line protocol.
 type lineResponse struct {
-	What    session.ResponseType `json:"what"`
-	Re      session.Verb         `json:"re"`
-	Topic   string               `json:"topic"`
-	From    string               `json:"from"`
-	Call    uint64               `json:"call_seq"`
-	Cursor  string               `json:"cursor"`
-	Key     string               `json:"key"`
-	Count   int                  `json:"count"`
-	Body    string               `json:"body"`
-	Address string               `json:"address"`
-	Code    apierror.Code        `json:"code"`
-	Say     string               `json:"say"`
+	Type      session.ResponseType `json:"what"`
+	InReplyTo session.Verb         `json:"re"`
+	Topic     string               `json:"topic"`
+	From      string               `json:"from"`
+	CallSeq   uint64               `json:"call_seq"`
+	Cursor    string               `json:"cursor"`
+	Key       string               `json:"key"`
+	Count     int                  `json:"count"`
+	Body      string               `json:"body"`
+	Address   string               `json:"address"`
+	Code      apierror.Code        `json:"code"`
+	Message   string               `json:"say"`
 }
 
-func (a lineResponse) response() session.Response {
-	response := session.Response{Type: a.What, InReplyTo: a.Re, Topic: a.Topic, From: a.From, CallSeq: a.Call,
-		Cursor: a.Cursor, Key: a.Key, Count: a.Count, Body: []byte(a.Body), Address: a.Address}
-	if a.Code != "" {
-		response.Err = &apierror.Error{Code: a.Code, Message: a.Say}
+func (r lineResponse) response() session.Response {
+	response := session.Response{Type: r.Type, InReplyTo: r.InReplyTo, Topic: r.Topic, From: r.From, CallSeq: r.CallSeq,
+		Cursor: r.Cursor, Key: r.Key, Count: r.Count, Body: []byte(r.Body), Address: r.Address}
+	if r.Code != "" {
+		response.Err = &apierror.Error{Code: r.Code, Message: r.Message}
 	}
 	return response
 }
@@ -83,9 +83,10 @@
 }
 
 // Do sends a request.
-func (l *connection) Do(request session.Request) {
+func (c *connection) Do(request session.Request) {
 	encoded := lineRequest{Verb: request.Verb, Client: request.Client, Topic: request.Topic, Cursor: request.Cursor,
-		Call: request.CallSeq, Key: request.Key, Of: request.WithdrawSender, Upto: request.WithdrawUpTo}
+		CallSeq: request.CallSeq, Key: request.Key, WithdrawSender: request.WithdrawSender,
+		WithdrawUpTo: request.WithdrawUpTo}
 	if request.Verb == session.Send {
 		body := string(request.Body)
 		encoded.Body = &body
@@ -94,46 +95,46 @@
 	if err != nil {
 		return
 	}
-	l.mu.Lock()
-	l.output = append(append(l.output, b...), '\n')
-	l.mu.Unlock()
+	c.mu.Lock()
+	c.output = append(append(c.output, b...), '\n')
+	c.mu.Unlock()
 	select {
-	case l.outputReady <- struct{}{}:
+	case c.outputReady <- struct{}{}:
 	default:
 	}
 }
 
 // End closes the connection.
-func (l *connection) End() {
-	l.once.Do(func() {
-		close(l.ended)
-		_ = l.socket.Close()
+func (c *connection) End() {
+	c.once.Do(func() {
+		close(c.ended)
+		_ = c.socket.Close()
 	})
 }
 
-func (l *connection) write() {
+func (c *connection) write() {
 	for {
 		select {
-		case <-l.outputReady:
-		case <-l.ended:
+		case <-c.outputReady:
+		case <-c.ended:
 			return
 		}
-		l.mu.Lock()
-		b := l.output
-		l.output = nil
-		l.mu.Unlock()
-		if _, err := l.socket.Write(b); err != nil {
+		c.mu.Lock()
+		b := c.output
+		c.output = nil
+		c.mu.Unlock()
+		if _, err := c.socket.Write(b); err != nil {
 			return
 		}
 	}
 }
 
-func (l *connection) read(onResponse func(session.Response, time.Time), onBroken func()) {
-	defer l.End()
+func (c *connection) read(onResponse func(session.Response, time.Time), onBroken func()) {
+	defer c.End()
 	defer onBroken()
-	r := bufio.NewReader(l.socket)
+	reader := bufio.NewReader(c.socket)
 	for {
-		b, err := r.ReadBytes('\n')
+		b, err := reader.ReadBytes('\n')
 		now := time.Now()
 		if err != nil {
 			return
@@ -143,42 +144,42 @@
 			onResponse(session.Response{Type: session.ResponseType(fmt.Sprintf("%.200s: %v", b, err))}, now)
 			return
 		}
-		if response.What == session.Message {
+		if response.Type == session.Message {
 			now = now.Add(-maxReadDelay)
 		}
 		onResponse(response.response(), now)
 	}
 }
 
-func (v *Sessions) endpoints() (endpoints []simclient.Endpoint) {
-	for _, process := range v.fleet.Processes {
-		if process.Opts.ClientListen == "" || !v.fleet.isReady(process.Name) {
+func (s *Sessions) endpoints() (endpoints []simclient.Endpoint) {
+	for _, process := range s.fleet.Processes {
+		if process.Opts.ClientListen == "" || !s.fleet.isReady(process.Name) {
 			continue
 		}
-		endpoints = append(endpoints, v.endpoint(process))
+		endpoints = append(endpoints, s.endpoint(process))
 	}
 	if len(endpoints) > 0 {
 		return endpoints
 	}
-	for _, process := range v.fleet.Processes {
+	for _, process := range s.fleet.Processes {
 		if process.Opts.ClientListen != "" {
-			endpoints = append(endpoints, v.endpoint(process))
+			endpoints = append(endpoints, s.endpoint(process))
 		}
 	}
 	return endpoints
 }
 
-func (v *Sessions) endpoint(process *Process) simclient.Endpoint {
+func (s *Sessions) endpoint(process *Process) simclient.Endpoint {
 	return simclient.Endpoint{Address: process.Opts.ClientListen,
-		Connect: func(hear func(session.Response, time.Time), broken func()) simclient.Connection {
-			socket, err := (&net.Dialer{Timeout: time.Second}).DialContext(v.ctx, "tcp", process.Opts.ClientListen)
+		Connect: func(onResponse func(session.Response, time.Time), onBroken func()) simclient.Connection {
+			socket, err := (&net.Dialer{Timeout: time.Second}).DialContext(s.ctx, "tcp", process.Opts.ClientListen)
 			if err != nil {
 				return nil
 			}
 			connection := &connection{socket: socket, outputReady: make(chan struct{}, 1), ended: make(chan struct{})}
-			v.wg.Go(connection.write)
-			v.wg.Go(func() { connection.read(hear, broken) })
-			context.AfterFunc(v.ctx, connection.End)
+			s.wg.Go(connection.write)
+			s.wg.Go(func() { connection.read(onResponse, onBroken) })
+			context.AfterFunc(s.ctx, connection.End)
 			return connection
 		}}
 }
@@ -217,18 +218,18 @@
 
 // Stop stops the senders, waits until clients have caught up, disconnects them, and checks what
 // they received.
-func (v *Sessions) Stop(wait time.Duration) (deliverycheck.Tally, []deliverycheck.Violation) {
+func (s *Sessions) Stop(wait time.Duration) (deliverycheck.Tally, []deliverycheck.Violation) {
 	cut := time.Now()
-	v.stopSends()
+	s.stopSends()
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-v.ctx.Done():
+	case <-s.ctx.Done():
 	}
-	v.stop()
-	v.wg.Wait()
-	return v.Checker.Judge(cut)
+	s.stop()
+	s.wg.Wait()
+	return s.Checker.Judge(cut)
 }
 
 func (f *Fleet) isReady(name string) bool {
--- a/internal/testing/fleet/sessions_test.go
+++ b/internal/testing/fleet/sessions_test.go
@@ -12,8 +12,8 @@
 	"postjunction/internal/testing/sim"
 )
 
-// Clients send under keys and withdraw while one router is isolated with its clients still
-// connected and then reconnected, and while another is paused and resumed, with real processes. No
+// Clients of real processes send under keys and withdraw. Meanwhile the links of one router are cut
+// and restored, with its clients still connected, and another router is paused and resumed. No
 // withdrawn message may arrive after the acknowledgement, and no other message may be lost.
 func TestWithdrawalsWhileARouterIsCutOffAndComesBack(t *testing.T) {
 	fleet, err := New(build(t), t.ArtifactDir(), Sites["small"], 0, false, func(options *settings.Options) {
@@ -37,8 +37,8 @@
 	})
 	go fleet.Watch(ctx)
 	timing := settings.DefaultTiming
-	for at := time.Now(); !fleet.AllReady(); wait(ctx, 100*time.Millisecond) {
-		assert.Assert(t, time.Since(at) < 30*time.Second, "not ready: %s", fleet.unready())
+	for start := time.Now(); !fleet.AllReady(); wait(ctx, 100*time.Millisecond) {
+		assert.Assert(t, time.Since(start) < 30*time.Second, "not ready: %s", fleet.unready())
 	}
 	day := &Day{Load: sim.Load{Topics: 12, LiveTopics: 1, SendInterval: time.Second}, Out: testWriter{t}}
 	_, err = day.putFirstConfiguration(ctx, fleet)
@@ -49,7 +49,7 @@
 	calm := time.Now()
 	wait(ctx, 5*time.Second)
 	cut := time.Now()
-	healOutgoing, healIncoming := fleet.Relay.Cut("a1", all), fleet.Relay.Cut(all, "a1")
+	healOutgoing, healIncoming := fleet.Relay.Cut("a1", wildcard), fleet.Relay.Cut(wildcard, "a1")
 	wait(ctx, 5*time.Second)
 	healOutgoing()
 	healIncoming()
--- a/internal/testing/fleet/soak.go
+++ b/internal/testing/fleet/soak.go
@@ -95,7 +95,7 @@
 	earlyWindow = time.Second
 	// maxSoakGap is the longest pause between two faults of a series.
 	maxSoakGap = 4 * time.Second
-	// wipeInterval is the mean time between two losses of disks.
+	// wipeInterval is the mean pause before the next loss of a disk.
 	wipeInterval = 15 * time.Second
 	// repairTime is how long a machine that lost its disk may take to restore its replicas, without
 	// another fault.
@@ -176,7 +176,7 @@
 		})
 	}
 	early.Wait()
-	return errorsJoined(errs)
+	return firstError(errs)
 }
 
 func applyEarlyFault(ctx context.Context, name string, process *Process, down time.Duration) error {
@@ -197,7 +197,7 @@
 	return process.Start()
 }
 
-func errorsJoined(errs []error) error {
+func firstError(errs []error) error {
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -206,7 +206,7 @@
 	return nil
 }
 
-// note counts a fault.
+// countFault records that a fault was applied.
 func (s *Soak) countFault(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -259,14 +259,14 @@
 
 // report combines the results of all checkers.
 func (s *Soak) report(
-	callers history.Report, tally deliverycheck.Tally, violations []deliverycheck.Violation,
+	dayReport history.Report, tally deliverycheck.Tally, violations []deliverycheck.Violation,
 ) *SoakReport {
 	r := &SoakReport{
-		Seed: s.Seed, Length: s.Length, Sent: callers.Sent, Accepted: callers.Accepted, Unknown: callers.Unknown,
-		Received: callers.Receipts, Sessions: tally, Faults: maps.Clone(s.faultCounts), Orders: s.countOrders(),
-		Longest: callers.Longest.Total, Stalled: s.day.Stalled,
+		Seed: s.Seed, Length: s.Length, Sent: dayReport.Sent, Accepted: dayReport.Accepted, Unknown: dayReport.Unknown,
+		Received: dayReport.Receipts, Sessions: tally, Faults: maps.Clone(s.faultCounts), Orders: s.countOrders(),
+		Longest: dayReport.Longest.Total, Stalled: s.day.Stalled,
 	}
-	for _, violation := range callers.Violations {
+	for _, violation := range dayReport.Violations {
 		r.Violations = append(r.Violations, violation.Rule+": "+violation.Message)
 	}
 	for _, violation := range violations {
@@ -298,10 +298,10 @@
 	rng := rand.New(rand.NewPCG(s.Seed, uint64(50+operator)))
 	for number := 0; ctx.Err() == nil; number++ {
 		wait(ctx, time.Duration(rng.Int64N(int64(2*orderInterval))))
-		ports := fleet.Transports("")
+		transports := fleet.Transports("")
 		asked := time.Now()
 		readCtx, stop := context.WithTimeout(ctx, time.Second)
-		base, err := ports[rng.IntN(len(ports))].Get(readCtx)
+		base, err := transports[rng.IntN(len(transports))].Get(readCtx)
 		stop()
 		if err != nil {
 			continue
@@ -315,10 +315,10 @@
 func (s *Soak) order(ctx context.Context, fleet *Fleet, rng *rand.Rand, order orders.Order) {
 	document := s.Load.NumberedConfiguration(order.Base, order.Sequence, order.ID)
 	for range maxOrderTries {
-		ports := fleet.Transports("")
+		transports := fleet.Transports("")
 		begun := time.Now()
 		callCtx, stop := context.WithTimeout(ctx, time.Second)
-		sequence, err := ports[rng.IntN(len(ports))].Put(callCtx, document)
+		sequence, err := transports[rng.IntN(len(transports))].Put(callCtx, document)
 		stop()
 		ended := time.Now()
 		switch {
--- a/internal/testing/fleet/soakfaults.go
+++ b/internal/testing/fleet/soakfaults.go
@@ -46,9 +46,9 @@
 
 // roll restarts the machines of a kind one after the other.
 func roll(ctx context.Context, _ *Day, fleet *Fleet, process *Process, rng *rand.Rand) error {
-	for _, other := range fleet.named(process.Name[:1]) {
-		other.Terminate(gracePeriod)
-		if err := other.Start(); err != nil {
+	for _, machine := range fleet.named(process.Name[:1]) {
+		machine.Terminate(gracePeriod)
+		if err := machine.Start(); err != nil {
 			return err
 		}
 		wait(ctx, time.Duration(rng.Int64N(int64(maxRollGap))))
--- a/internal/testing/history/history.go
+++ b/internal/testing/history/history.go
@@ -255,8 +255,8 @@
 	}
 }
 
-// ObserveEffect checks an action of a node, on a call begun at asked, that newer configurations
-// forbid. sequence is the newest configuration that allows it.
+// ObserveEffect checks an action that a node took on a call begun at asked, and that newer
+// configurations forbid. sequence is the newest configuration that allows the action.
 func (h *History) ObserveEffect(node string, sequence uint64, asked time.Time, bound time.Duration, what string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -275,11 +275,11 @@
 	}
 }
 
-// UrgentCall checks how long an urgent call on a topic took beside blocked routine work against the
-// limit.
-func (h *History) UrgentCall(topic, beside string, took, limit time.Duration) {
-	if took > limit {
-		h.Violate(Behind, "an urgent call on %s took %s beside %s, the limit is %s", topic, took, beside, limit)
+// UrgentCall checks the time that an urgent call on a topic took while routine work was blocked
+// against a limit.
+func (h *History) UrgentCall(topic, beside string, elapsed, limit time.Duration) {
+	if elapsed > limit {
+		h.Violate(Behind, "an urgent call on %s took %s beside %s, the limit is %s", topic, elapsed, beside, limit)
 	}
 }
 
@@ -365,12 +365,12 @@
 	return report
 }
 
-func (h *History) judgeSubscriber(client string, subscription *subscriber, positions *positionIndex) {
+func (h *History) judgeSubscriber(client string, subscriber *subscriber, positions *positionIndex) {
 	seen := map[Message]bool{}
 	last := map[string]uint64{}
 	offset := map[string]uint64{}
-	for _, receipt := range subscription.receipts {
-		if _, ok := subscription.since[receipt.Topic]; !ok {
+	for _, receipt := range subscriber.receipts {
+		if _, ok := subscriber.since[receipt.Topic]; !ok {
 			h.violate(Foreign, "%s got %v, a topic that it did not subscribe to", client, receipt.Message)
 		}
 		if seen[receipt.Message] {
@@ -381,7 +381,7 @@
 			h.violate(Order, "%s got %v after call %d", client, receipt.Message, last[key])
 		}
 		seen[receipt.Message] = true
-		if last[key] != 0 && !subscription.live[receipt.Topic] && !subscription.excused {
+		if last[key] != 0 && !subscriber.live[receipt.Topic] && !subscriber.excused {
 			for _, call := range positions.callsBetween(receipt.Topic, receipt.From, last[key], receipt.Call) {
 				h.violate(Missed, "%s got %v after call %d, without call %d, which is in the partition log", client,
 					receipt.Message, last[key], call)
@@ -408,17 +408,17 @@
 }
 
 func (h *History) judgeCompleteness(cut time.Time) {
-	for client, subscription := range h.subscribers {
-		if subscription.excused {
+	for client, subscriber := range h.subscribers {
+		if subscriber.excused {
 			continue
 		}
 		received := map[Message]bool{}
-		for _, receipt := range subscription.receipts {
+		for _, receipt := range subscriber.receipts {
 			received[receipt.Message] = true
 		}
 		for message, state := range h.sent {
-			since, ok := subscription.since[message.Topic]
-			if !ok || subscription.live[message.Topic] || state.outcome != Accepted || !state.sentAt.After(since) ||
+			since, ok := subscriber.since[message.Topic]
+			if !ok || subscriber.live[message.Topic] || state.outcome != Accepted || !state.sentAt.After(since) ||
 				state.acceptedAt.After(cut) {
 				continue
 			}
@@ -431,11 +431,11 @@
 }
 
 func (h *History) judgeDelivery() {
-	for client, subscription := range h.subscribers {
-		for _, receipt := range subscription.receipts {
+	for client, subscriber := range h.subscribers {
+		for _, receipt := range subscriber.receipts {
 			state := h.sent[receipt.Message]
-			if state == nil || state.outcome != Accepted || subscription.live[receipt.Topic] ||
-				!state.sentAt.After(subscription.since[receipt.Topic]) || subscription.excused {
+			if state == nil || state.outcome != Accepted || subscriber.live[receipt.Topic] ||
+				!state.sentAt.After(subscriber.since[receipt.Topic]) || subscriber.excused {
 				continue
 			}
 			from := state.acceptedAt
--- a/internal/testing/history/history_test.go
+++ b/internal/testing/history/history_test.go
@@ -17,7 +17,7 @@
 
 func body(number uint64) string { return fmt.Sprintf("\"%d\"", number) }
 
-func got(number uint64) Receipt {
+func received(number uint64) Receipt {
 	return Receipt{Message: msg(number), Body: body(number), Partition: 1, Offset: 10 + number,
 		At: sec(float64(number) + 0.1)}
 }
@@ -40,7 +40,7 @@
 		h.Send(msg(number), body(number), false, sec(float64(number)))
 		h.AcceptMessage(msg(number), 1, 10+number, sec(float64(number)+0.05))
 		h.Begin(WaitAccept, "kept/a", sec(float64(number)))(sec(float64(number) + 0.05))
-		h.Receive("w", got(number))
+		h.Receive("w", received(number))
 	}
 	h.AcceptConfiguration(0, 1, "one", sec(0))
 	h.AcceptConfiguration(1, 2, "two", sec(2))
@@ -49,7 +49,7 @@
 	h.ObserveConfiguration("a1#1", 2, sec(5), 3*time.Second)
 	h.ReadConfiguration(2, sec(6))
 	h.ReadMessages(Reading{Through: "a1", Topics: map[string]bool{"kept/a": true}, Since: sec(0.5),
-		Got: []Receipt{got(1), got(2), got(3)}})
+		Got: []Receipt{received(1), received(2), received(3)}})
 	return h
 }
 
@@ -71,33 +71,33 @@
 				Got: receipts})
 		}
 	}
-	moved := got(3)
+	moved := received(3)
 	moved.Offset = 20
 	receiveOther := func(h *History, receipts ...Receipt) {
 		h.Subscribe("x", []string{"kept/a"}, nil, sec(0.5))
-		for _, r := range receipts {
-			h.Receive("x", r)
+		for _, receipt := range receipts {
+			h.Receive("x", receipt)
 		}
 	}
-	elsewhere := got(2)
+	elsewhere := received(2)
 	elsewhere.Offset = 30
 	injected := map[string]struct {
 		rule   string
 		inject func(h *History)
 	}{
-		"a subscriber gets a message twice":       {Twice, func(h *History) { h.Receive("w", got(2)) }},
-		"a fresh subscriber gets a message twice": {Twice, readMessages(got(1), got(2), got(2), got(3))},
+		"a subscriber gets a message twice":       {Twice, func(h *History) { h.Receive("w", received(2)) }},
+		"a fresh subscriber gets a message twice": {Twice, readMessages(received(1), received(2), received(2), received(3))},
 		"a message comes after a later one": {Order, func(h *History) {
-			h.subscribers["w"].receipts[0], h.subscribers["w"].receipts[1] = got(2), got(1)
+			h.subscribers["w"].receipts[0], h.subscribers["w"].receipts[1] = received(2), received(1)
 		}},
 		"a message is answered with two positions": {Order, func(h *History) {
 			h.AcceptMessage(msg(1), 1, 99, sec(5))
 		}},
-		"a message is read back at another position": {Order, readMessages(got(1), got(2), moved)},
+		"a message is read back at another position": {Order, readMessages(received(1), received(2), moved)},
 		"an accepted message never arrives": {Lost, func(h *History) {
 			h.subscribers["w"].receipts = h.subscribers["w"].receipts[:2]
 		}},
-		"an accepted message can't be read back": {Lost, readMessages(got(1), got(2))},
+		"an accepted message can't be read back": {Lost, readMessages(received(1), received(2))},
 		"a returning subscriber misses a message": {Missed, func(h *History) {
 			h.subscribers["w"].receipts = append(h.subscribers["w"].receipts[:1], h.subscribers["w"].receipts[2])
 		}},
@@ -118,8 +118,8 @@
 		"a subscriber misses what only another one got": {Missed, func(h *History) {
 			h.Send(msg(4), body(4), false, sec(4))
 			h.Send(msg(6), body(6), false, sec(6))
-			receiveOther(h, got(1), got(2), got(3), got(4), got(6))
-			h.Receive("w", got(6))
+			receiveOther(h, received(1), received(2), received(3), received(4), received(6))
+			h.Receive("w", received(6))
 		}},
 		"a call that was passed over arrives": {Foreign, func(h *History) { h.Pass(msg(2)) }},
 		"a call that was passed over is accepted": {Foreign, func(h *History) {
@@ -135,7 +135,7 @@
 		}},
 		"a message after a gap is delivered before an earlier one": {Order, func(h *History) {
 			h.Send(msg(9), body(9), false, sec(4))
-			receiveOther(h, got(9), got(3))
+			receiveOther(h, received(9), received(3))
 		}},
 		"a node decides under another's epoch": {Fenced, func(h *History) {
 			h.Decide(Decision{"s3", 1, 2, "taken", sec(3), sec(3.1)})
@@ -216,9 +216,9 @@
 	h.Send(msg(5), body(5), false, sec(5))
 	h.Send(msg(9), body(9), false, sec(5))
 	h.AcceptMessage(msg(9), 1, 19, sec(5.1))
-	h.Receive("w", got(9))
+	h.Receive("w", received(9))
 	h.ReadMessages(Reading{Through: "a2", Topics: map[string]bool{"kept/a": true}, Since: sec(5),
-		Got: []Receipt{got(9)}})
+		Got: []Receipt{received(9)}})
 	h.readings = h.readings[1:]
 	assert.Equal(t, violations(h), "", "gaps are allowed, and so is a rejected try before an accepted one")
 	h = soundHistory()
--- a/internal/testing/history/judged.go
+++ b/internal/testing/history/judged.go
@@ -1,9 +1,9 @@
 package history
 
-// noteJudged fills in which rules this run could have broken. A rule about partition leaders needs
-// a second epoch. One about disks needs a second promise of one disk. One about returning clients
-// needs a stream that was opened again. Urgent calls are checked by the same waits as all other
-// calls.
+// noteJudged fills in which rules this run could have broken. The rule about fenced leaders needs a
+// partition with a second epoch. The one about disks needs a second promise of one disk. The one
+// about returning clients needs a stream that was opened again. Urgent calls are checked by the
+// same waits as all other calls.
 func (h *History) noteJudged(report *Report) {
 	epochs, repeatedPromise, urgent := map[int]uint64{}, false, 0
 	for term := range h.leaders {
--- a/internal/testing/history/positions.go
+++ b/internal/testing/history/positions.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-type tries struct{ all, rejected int }
+type tries struct{ total, rejected int }
 
 // Try records one more try of a message.
 func (h *History) Try(message Message) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	tried := h.tries[message]
-	tried.all++
+	tried.total++
 	h.tries[message] = tried
 }
 
@@ -60,38 +60,39 @@
 		calls: map[sender][]positionedCall{}}
 }
 
-func (x *positionIndex) record(message Message, partition int, offset uint64, source string) {
+func (index *positionIndex) record(message Message, partition int, offset uint64, source string) {
 	position := position{partition, offset}
-	if other, ok := x.messages[position]; ok && other != message {
-		x.history.violate(Fenced, "%d/%d is %v by one source and %v by another (%s)", partition, offset, other, message,
+	if other, ok := index.messages[position]; ok && other != message {
+		index.history.violate(Fenced, "%d/%d is %v by one source and %v by another (%s)", partition, offset, other, message,
 			source)
 	}
-	x.messages[position] = message
-	if known, ok := x.positions[message]; ok && known != position {
-		x.history.violate(Twice, "%v is at %d/%d and at %d/%d (%s)", message, known.partition, known.offset, partition,
+	index.messages[position] = message
+	if known, ok := index.positions[message]; ok && known != position {
+		index.history.violate(Twice, "%v is at %d/%d and at %d/%d (%s)", message, known.partition, known.offset, partition,
 			offset, source)
 		return
 	}
-	if _, ok := x.positions[message]; !ok {
-		x.positions[message] = position
+	if _, ok := index.positions[message]; !ok {
+		index.positions[message] = position
 		key := sender{message.Topic, message.From}
-		x.calls[key] = append(x.calls[key], positionedCall{position, message.Call})
+		index.calls[key] = append(index.calls[key], positionedCall{position, message.Call})
 	}
 }
 
-// recordReceipts records all messages that were received or read back, and sorts the calls.
-func (x *positionIndex) recordReceipts() {
-	for client, subscription := range x.history.subscribers {
-		for _, receipt := range subscription.receipts {
-			x.record(receipt.Message, receipt.Partition, receipt.Offset, "delivered to "+client)
+// recordReceipts records all messages that were received or read back, and sorts the calls of each
+// sender by position.
+func (index *positionIndex) recordReceipts() {
+	for client, subscriber := range index.history.subscribers {
+		for _, receipt := range subscriber.receipts {
+			index.record(receipt.Message, receipt.Partition, receipt.Offset, "delivered to "+client)
 		}
 	}
-	for _, reading := range x.history.readings {
+	for _, reading := range index.history.readings {
 		for _, receipt := range reading.Got {
-			x.record(receipt.Message, receipt.Partition, receipt.Offset, "read back through "+reading.Through)
+			index.record(receipt.Message, receipt.Partition, receipt.Offset, "read back through "+reading.Through)
 		}
 	}
-	for _, calls := range x.calls {
+	for _, calls := range index.calls {
 		slices.SortFunc(calls, func(a, b positionedCall) int {
 			return cmp.Or(cmp.Compare(a.partition, b.partition), cmp.Compare(a.offset, b.offset))
 		})
@@ -99,9 +100,9 @@
 }
 
 // callsBetween returns the calls of a sender in the partition log with numbers between two others.
-func (x *positionIndex) callsBetween(topic, from string, low, high uint64) []uint64 {
+func (index *positionIndex) callsBetween(topic, from string, low, high uint64) []uint64 {
 	var calls []uint64
-	for _, positioned := range x.calls[sender{topic, from}] {
+	for _, positioned := range index.calls[sender{topic, from}] {
 		if positioned.call > low && positioned.call < high {
 			calls = append(calls, positioned.call)
 		}
@@ -122,8 +123,8 @@
 		if h.passedOver[message] {
 			h.violate(Foreign, "%v is at %s, though its number was passed over for good", message, position)
 		}
-		if tried := h.tries[message]; tried.all > 0 && tried.all == tried.rejected {
-			h.violate(Foreign, "%v is at %s, though each of its %d tries was rejected", message, position, tried.all)
+		if tried := h.tries[message]; tried.total > 0 && tried.total == tried.rejected {
+			h.violate(Foreign, "%v is at %s, though each of its %d tries was rejected", message, position, tried.total)
 		}
 	}
 }
--- a/internal/testing/history/trace.go
+++ b/internal/testing/history/trace.go
@@ -59,9 +59,9 @@
 	report.Decisions = map[string]int{}
 	for _, decision := range h.decisions {
 		report.Decisions[decision.What]++
-		if other, ok := h.leaders[term{decision.Partition, decision.Epoch}]; ok && other != decision.Node {
+		if leader, ok := h.leaders[term{decision.Partition, decision.Epoch}]; ok && leader != decision.Node {
 			h.violate(Fenced, "%s decided %q for partition %d under epoch %d, whose leader is %s", decision.Node,
-				decision.What, decision.Partition, decision.Epoch, other)
+				decision.What, decision.Partition, decision.Epoch, leader)
 		}
 		for _, opening := range opened[decision.Partition] {
 			if opening.Epoch > decision.Epoch && decision.Begun.After(opening.Answered) {
--- a/internal/testing/history/waits.go
+++ b/internal/testing/history/waits.go
@@ -79,7 +79,7 @@
 }
 
 func (h *History) judgeWaits(cut, now time.Time, report *Report) {
-	sort.Slice(h.faults, func(i, kind int) bool { return h.faults[i].Before(h.faults[kind]) })
+	sort.Slice(h.faults, func(i, k int) bool { return h.faults[i].Before(h.faults[k]) })
 	for _, wait := range h.openWaits {
 		h.addWait(wait, now, true)
 	}
--- a/internal/testing/httpclient/client.go
+++ b/internal/testing/httpclient/client.go
@@ -182,7 +182,7 @@
 const silenceFactor = 1.5
 
 // watchStream returns a context that ends once a stream had no event or keepalive for silenceFactor
-// times the keepalive interval, and a function to call on each of them.
+// times Spread, and a function to call on each event or keepalive.
 func (c *Client) watchStream(ctx context.Context) (context.Context, func()) {
 	streamCtx, cancel := context.WithCancel(ctx)
 	c.mu.Lock()
--- a/internal/testing/orders/orders.go
+++ b/internal/testing/orders/orders.go
@@ -3,8 +3,8 @@
 //
 // An operator retries an order (a whole configuration on a base version) until it has a definite
 // answer. The checked object is one register. It accepts an order if and only if the order's base
-// is the current version. It acknowledges again whatever it accepted before, refuses the rest, and
-// is read back whole. For tests only.
+// is the current version. It acknowledges an order again that it accepted before, and refuses all
+// others. A read returns the order that it accepted last. For tests only.
 package orders
 
 import (
@@ -118,22 +118,22 @@
 		if !operation.read && operation.outcome == Unclear {
 			continue
 		}
-		if at, ok := firstCall[operation.order]; !operation.read && ok && operation.outcome == Acknowledged {
-			if at.Before(operation.call) {
-				operation.call = at
+		if firstCallAt, ok := firstCall[operation.order]; !operation.read && ok && operation.outcome == Acknowledged {
+			if firstCallAt.Before(operation.call) {
+				operation.call = firstCallAt
 			}
 			delete(firstCall, operation.order)
 		}
 		merged = append(merged, operation)
 	}
-	for order, at := range firstCall {
-		merged = append(merged, operation{order: order, outcome: Unclear, call: at})
+	for order, firstCallAt := range firstCall {
+		merged = append(merged, operation{order: order, outcome: Unclear, call: firstCallAt})
 	}
 	return merged
 }
 
-// state is the register: all accepted orders in the sequence of their acceptance. The last one is
-// current.
+// state is the register's state: all accepted orders in the sequence of their acceptance. The last
+// one is current.
 type state struct{ accepted []Order }
 
 func (s state) current() Order {
--- a/internal/testing/simclient/client.go
+++ b/internal/testing/simclient/client.go
@@ -150,7 +150,7 @@
 	sentAt       time.Time
 	retryAt      time.Time
 	renumberings int
-	// earlier is the number under which the message was tried before, 0 for none.
+	// earlierCall is the number under which the message was tried before, 0 for none.
 	earlierCall uint64
 	inFlight    bool
 	key         string
@@ -253,8 +253,8 @@
 	}
 }
 
-// close ends the connection and reconnects within a time. With silently set, the old connection
-// stays open for a while.
+// close ends the connection and reconnects within a time. With silently set, the client stops using
+// the connection at once and ends it only after a random delay.
 func (client *Client) close(now time.Time, within time.Duration, silently bool) {
 	connection := client.connection
 	if connection == nil {
--- a/internal/testing/transcript/transcript_test.go
+++ b/internal/testing/transcript/transcript_test.go
@@ -26,8 +26,8 @@
 	output bytes.Buffer
 }
 
-func (x *exchange) handler(node string) http.Handler {
-	return x.world.Machines[node].Node().API().Handler()
+func (e *exchange) handler(node string) http.Handler {
+	return e.world.Machines[node].Node().API().Handler()
 }
 
 var masks = []struct {
@@ -46,26 +46,26 @@
 	return text
 }
 
-func (x *exchange) do(node, method, path, token, document string) map[string]any {
+func (e *exchange) do(node, method, path, token, document string) map[string]any {
 	request := httptest.NewRequest(method, path, strings.NewReader(document))
 	if token != "" {
 		request.Header.Set("Authorization", "Bearer "+token)
 	}
 	recorder := httptest.NewRecorder()
-	x.handler(node).ServeHTTP(recorder, request)
+	e.handler(node).ServeHTTP(recorder, request)
 	if len(document) > 200 {
 		document = document[:60] + fmt.Sprintf("... (%d bytes)", len(document))
 	}
-	fmt.Fprintf(&x.output, "%s %s %s %s\n  %d %s\n", node, method, mask(path), mask(document), recorder.Code,
+	fmt.Fprintf(&e.output, "%s %s %s %s\n  %d %s\n", node, method, mask(path), mask(document), recorder.Code,
 		mask(strings.TrimSpace(recorder.Body.String())))
-	assert.Assert(x.t, recorder.Code < 500 || strings.Contains(recorder.Body.String(), "retry_after_ms"),
+	assert.Assert(e.t, recorder.Code < 500 || strings.Contains(recorder.Body.String(), "retry_after_ms"),
 		"%s %s: %d %s", method, path, recorder.Code, recorder.Body)
 	var body map[string]any
 	_ = json.Unmarshal(recorder.Body.Bytes(), &body)
 	return body
 }
 
-func (x *exchange) stream(node, path, token string, during func(), duration time.Duration) []string {
+func (e *exchange) stream(node, path, token string, during func(), duration time.Duration) []string {
 	ctx, cancel := context.WithCancel(context.Background())
 	request := httptest.NewRequestWithContext(ctx, http.MethodGet, path, nil)
 	request.Header.Set("Authorization", "Bearer "+token)
@@ -73,17 +73,17 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		x.handler(node).ServeHTTP(recorder, request)
+		e.handler(node).ServeHTTP(recorder, request)
 	}()
 	time.Sleep(100 * time.Millisecond)
 	during()
 	time.Sleep(duration)
 	cancel()
 	<-done
-	fmt.Fprintf(&x.output, "%s GET %s\n  %d\n", node, mask(path), recorder.Code)
+	fmt.Fprintf(&e.output, "%s GET %s\n  %d\n", node, mask(path), recorder.Code)
 	lines := strings.Split(strings.TrimSpace(recorder.Body.String()), "\n")
 	for _, line := range lines {
-		fmt.Fprintf(&x.output, "  %s\n", mask(line))
+		fmt.Fprintf(&e.output, "  %s\n", mask(line))
 	}
 	return lines
 }
@@ -95,9 +95,9 @@
 		assert.NilError(t, world.Start(world.Names...))
 		assert.NilError(t, world.WaitReady(20*time.Second))
 		time.Sleep(5 * time.Second)
-		x := &exchange{t: t, world: world}
-		script(x)
-		golden.Assert(t, x.output.String(), file)
+		e := &exchange{t: t, world: world}
+		script(e)
+		golden.Assert(t, e.output.String(), file)
 	})
 }
 
@@ -105,57 +105,57 @@
 	`"kind":"kept","urgent":true,"topics":["line"]},{"name":"pings","kind":"live","topics":["floor"]}]`
 
 func TestDayOfAPicker(t *testing.T) {
-	run(t, "picker.txt", func(x *exchange) {
-		x.do("a1", "GET", "/ready", "", "")
-		x.do("a1", "GET", "/v1/description", "", "")
-		x.do("a1", "PUT", "/v1/description", "", `{"base":0,`+spaces+`}`)
+	run(t, "picker.txt", func(e *exchange) {
+		e.do("a1", "GET", "/ready", "", "")
+		e.do("a1", "GET", "/v1/description", "", "")
+		e.do("a1", "PUT", "/v1/description", "", `{"base":0,`+spaces+`}`)
 		time.Sleep(3 * time.Second)
-		x.do("c2", "GET", "/v1/description", "", "")
-		token := x.do("a1", "POST", "/v1/attach", "", `{"visitor":"picker-7"}`)["token"].(string)
-		lead := x.do("c1", "POST", "/v1/attach", "", `{"visitor":"lead-1"}`)["token"].(string)
+		e.do("c2", "GET", "/v1/description", "", "")
+		token := e.do("a1", "POST", "/v1/attach", "", `{"visitor":"picker-7"}`)["token"].(string)
+		lead := e.do("c1", "POST", "/v1/attach", "", `{"visitor":"lead-1"}`)["token"].(string)
 		send := func(topic string, call int, body string) {
-			x.do("c3", "POST", "/v1/send", token, fmt.Sprintf(`{"topic":%q,"call_seq":%d,"body":%s}`, topic, call,
+			e.do("c3", "POST", "/v1/send", token, fmt.Sprintf(`{"topic":%q,"call_seq":%d,"body":%s}`, topic, call,
 				body))
 		}
-		lines := x.stream("c2", "/v1/stream?topic=aisles/a1&topic=stop-line/line&topic=pings/floor", lead, func() {
+		lines := e.stream("c2", "/v1/stream?topic=aisles/a1&topic=stop-line/line&topic=pings/floor", lead, func() {
 			send("aisles/a1", 1, `{"pick": 12}`)
 			send("aisles/a1", 2, `{"pick": "<13> & more"}`)
 			send("pings/floor", 1, `"here"`)
 			send("stop-line/line", 1, `"stop"`)
-			x.do("a1", "GET", "/v1/count?topic=aisles/a1", token, "")
+			e.do("a1", "GET", "/v1/count?topic=aisles/a1", token, "")
 		}, time.Second)
 		send("aisles/a1", 3, `"while away"`)
 		send("pings/floor", 2, `"not offered on resume"`)
 		var last struct{ Cursor string }
 		assert.NilError(t, json.Unmarshal([]byte(lines[len(lines)-1]), &last))
-		x.do("s1", "POST", "/v1/ack", lead, `{"cursor":"`+last.Cursor+`"}`)
-		x.stream("a1", "/v1/stream?topic=aisles/a1&topic=stop-line/line&topic=pings/floor&cursor="+last.Cursor, lead,
+		e.do("s1", "POST", "/v1/ack", lead, `{"cursor":"`+last.Cursor+`"}`)
+		e.stream("a1", "/v1/stream?topic=aisles/a1&topic=stop-line/line&topic=pings/floor&cursor="+last.Cursor, lead,
 			func() {}, time.Second)
-		fmt.Fprintf(&x.output, "-- a newer attachment fences the older, stream and all\n")
-		x.stream("a1", "/v1/stream?topic=aisles/a1", lead, func() {
-			x.do("c3", "POST", "/v1/attach", "", `{"visitor":"lead-1"}`)
+		fmt.Fprintf(&e.output, "-- a newer attachment fences the older, stream and all\n")
+		e.stream("a1", "/v1/stream?topic=aisles/a1", lead, func() {
+			e.do("c3", "POST", "/v1/attach", "", `{"visitor":"lead-1"}`)
 		}, time.Second)
-		x.do("c1", "POST", "/v1/send", lead, `{"topic":"aisles/a1","call_seq":1,"body":1}`)
+		e.do("c1", "POST", "/v1/send", lead, `{"topic":"aisles/a1","call_seq":1,"body":1}`)
 	})
 }
 
 func TestWithdrawals(t *testing.T) {
-	run(t, "withdrawn.txt", func(x *exchange) {
-		x.do("a1", "PUT", "/v1/description", "", `{"base":0,`+spaces+`}`)
+	run(t, "withdrawn.txt", func(e *exchange) {
+		e.do("a1", "PUT", "/v1/description", "", `{"base":0,`+spaces+`}`)
 		time.Sleep(3 * time.Second)
-		token := x.do("a1", "POST", "/v1/attach", "", `{"visitor":"picker-7"}`)["token"].(string)
-		lead := x.do("c1", "POST", "/v1/attach", "", `{"visitor":"lead-1"}`)["token"].(string)
-		send := func(document string) { x.do("c3", "POST", "/v1/send", token, document) }
-		withdraw := func(token, doc string) { x.do("a1", "POST", "/v1/withdraw", token, doc) }
-		fmt.Fprintf(&x.output, "-- nobody listens\n")
+		token := e.do("a1", "POST", "/v1/attach", "", `{"visitor":"picker-7"}`)["token"].(string)
+		lead := e.do("c1", "POST", "/v1/attach", "", `{"visitor":"lead-1"}`)["token"].(string)
+		send := func(document string) { e.do("c3", "POST", "/v1/send", token, document) }
+		withdraw := func(token, doc string) { e.do("a1", "POST", "/v1/withdraw", token, doc) }
+		fmt.Fprintf(&e.output, "-- nobody listens\n")
 		send(`{"topic":"aisles/a1","call_seq":1,"key":"turn/12","body":"may I turn"}`)
 		withdraw(token, `{"topic":"aisles/a1","key":"turn/12","call_seq":2}`)
 		withdraw(token, `{"topic":"aisles/a1","key":"turn/12","call_seq":2}`)
 		withdraw(token, `{"topic":"aisles/a1","key":"turn/12","call_seq":3}`)
 		send(`{"topic":"aisles/a1","call_seq":1,"key":"turn/12","body":"may I turn"}`)
-		fmt.Fprintf(&x.output, "-- a stream that is open, one that comes back with its cursor, and the same key anew\n")
+		fmt.Fprintf(&e.output, "-- a stream that is open, one that comes back with its cursor, and the same key anew\n")
 		path := "/v1/stream?topic=aisles/a1&topic=stop-line/line&topic=pings/floor"
-		lines := x.stream("c2", path, lead, func() {
+		lines := e.stream("c2", path, lead, func() {
 			send(`{"topic":"aisles/a1","call_seq":4,"key":"turn/12","body":"may I now"}`)
 			send(`{"topic":"aisles/a1","call_seq":5,"key":"turn/13","body":"and there"}`)
 			send(`{"topic":"stop-line/line","call_seq":1,"key":"k","body":"stop"}`)
@@ -165,17 +165,17 @@
 		withdraw(token, `{"topic":"stop-line/line","key":"k","call_seq":2}`)
 		var first struct{ Cursor string }
 		assert.NilError(t, json.Unmarshal([]byte(lines[0]), &first))
-		x.stream("a1", path+"&cursor="+first.Cursor, lead, func() {
+		e.stream("a1", path+"&cursor="+first.Cursor, lead, func() {
 			withdraw(lead, `{"topic":"aisles/a1","key":"turn/13","call_seq":1}`)
 			withdraw(token, `{"topic":"pings/floor","key":"k","call_seq":2}`)
 			send(`{"topic":"aisles/a1","call_seq":7,"key":"turn/13","body":"new under its key"}`)
 		}, time.Second)
-		fmt.Fprintf(&x.output, "-- a sender is named whose message comes only after its withdrawal\n")
+		fmt.Fprintf(&e.output, "-- a sender is named whose message comes only after its withdrawal\n")
 		withdraw(lead, `{"topic":"aisles/a1","key":"turn/14","call_seq":2}`)
 		withdraw(lead, `{"topic":"aisles/a1","key":"turn/14","call_seq":2,"of":"picker-7","upto":8}`)
 		send(`{"topic":"aisles/a1","call_seq":8,"key":"turn/14","body":"late"}`)
 		send(`{"topic":"aisles/a1","call_seq":9,"key":"turn/14","body":"behind it"}`)
-		fmt.Fprintf(&x.output, "-- altered, passed, unknown, faulty\n")
+		fmt.Fprintf(&e.output, "-- altered, passed, unknown, faulty\n")
 		withdraw(token, `{"topic":"aisles/a1","key":"turn/13","call_seq":6}`)
 		withdraw(token, `{"topic":"aisles/a1","key":"turn/99","call_seq":10}`)
 		withdraw(token, `{"topic":"aisles/a9","key":"k","call_seq":10}`)
@@ -199,20 +199,20 @@
 }
 
 func TestBadInput(t *testing.T) {
-	run(t, "bad.txt", func(x *exchange) {
-		x.do("a1", "PUT", "/v1/description", "", `{"base":0,`+spaces+`}`)
+	run(t, "bad.txt", func(e *exchange) {
+		e.do("a1", "PUT", "/v1/description", "", `{"base":0,`+spaces+`}`)
 		time.Sleep(3 * time.Second)
-		token := x.do("a1", "POST", "/v1/attach", "", `{"visitor":"v"}`)["token"].(string)
-		send := func(document string) { x.do("a1", "POST", "/v1/send", token, document) }
-		x.do("a1", "GET", "/nowhere", "", "")
-		x.do("a1", "DELETE", "/v1/send", "", "")
+		token := e.do("a1", "POST", "/v1/attach", "", `{"visitor":"v"}`)["token"].(string)
+		send := func(document string) { e.do("a1", "POST", "/v1/send", token, document) }
+		e.do("a1", "GET", "/nowhere", "", "")
+		e.do("a1", "DELETE", "/v1/send", "", "")
 		for _, document := range []string{``, `{`, `[]`, `{"visitor":7}`, `{"visitor":"a b"}`,
 			`{"visitor":"v","visitor":"w"}`, `{"visitor":"v","more":1}`, `{"visitor":"v"} 1`} {
-			x.do("a1", "POST", "/v1/attach", "", document)
+			e.do("a1", "POST", "/v1/attach", "", document)
 		}
-		x.do("a1", "POST", "/v1/send", "", `{"topic":"aisles/a1","call_seq":1,"body":1}`)
-		x.do("a1", "POST", "/v1/send", "nonsense", `{"topic":"aisles/a1","call_seq":1,"body":1}`)
-		x.do("a1", "POST", "/v1/send", "pj1.dnwxfGFhYQ", `{"topic":"aisles/a1","call_seq":1,"body":1}`)
+		e.do("a1", "POST", "/v1/send", "", `{"topic":"aisles/a1","call_seq":1,"body":1}`)
+		e.do("a1", "POST", "/v1/send", "nonsense", `{"topic":"aisles/a1","call_seq":1,"body":1}`)
+		e.do("a1", "POST", "/v1/send", "pj1.dnwxfGFhYQ", `{"topic":"aisles/a1","call_seq":1,"body":1}`)
 		send(`{"topic":"aisles/a1","call_seq":1}`)
 		send(`{"topic":"aisles/a1","call_seq":-1,"body":1}`)
 		send(`{"topic":"aisles/a1","call_seq":1.5,"body":1}`)
@@ -229,9 +229,9 @@
 		send(`{"topic":"aisles/a1","call_seq":3,"body":"passed"}`)
 		send(`{"topic":"aisles/a1","call_seq":1,"body":"first"}`)
 		for call := 6; call <= 40; call++ {
-			length := x.output.Len()
+			length := e.output.Len()
 			send(fmt.Sprintf(`{"topic":"aisles/a1","call_seq":%d,"body":%d}`, call, call))
-			x.output.Truncate(length)
+			e.output.Truncate(length)
 		}
 		send(`{"topic":"aisles/a1","call_seq":3,"body":3}`)
 		send(`{"topic":"aisles/a1","call_seq":39,"body":39}`)
@@ -242,37 +242,37 @@
 		send(`{"topic":"aisles/a1","call_seq":45,"body":45}`)
 		for _, query := range []string{"", "?topic=nowhere/x", "?topic=aisles/a1&since=3", "?topic=aisles/a1&cursor=x",
 			"?topic=aisles/a1&cursor=c1.AAAAAAA", "?topic=aisles/a1&cursor=c1.%21%21"} {
-			x.do("a1", "GET", "/v1/stream"+query, token, "")
+			e.do("a1", "GET", "/v1/stream"+query, token, "")
 		}
-		x.do("a1", "POST", "/v1/ack", token, `{"cursor":"x"}`)
-		x.do("a1", "GET", "/v1/count", token, "")
-		x.do("a1", "GET", "/v1/partition?n=99", "", "")
-		x.do("a1", "GET", "/v1/partition?n=x", "", "")
-		x.do("a1", "POST", "/v1/drain", "", `{"node":"nobody"}`)
-		x.do("a1", "POST", "/v1/drain", "", `{"node":"a1"}`)
-		x.do("a1", "PUT", "/v1/description", "",
+		e.do("a1", "POST", "/v1/ack", token, `{"cursor":"x"}`)
+		e.do("a1", "GET", "/v1/count", token, "")
+		e.do("a1", "GET", "/v1/partition?n=99", "", "")
+		e.do("a1", "GET", "/v1/partition?n=x", "", "")
+		e.do("a1", "POST", "/v1/drain", "", `{"node":"nobody"}`)
+		e.do("a1", "POST", "/v1/drain", "", `{"node":"a1"}`)
+		e.do("a1", "PUT", "/v1/description", "",
 			`{"base":1,"spaces":[{"name":"aisles","kind":"kept","topics":["a1","a1","?"],"colour":1},`+
 				`{"name":"Aisles","kind":"lost","topics":[]}]}`)
-		x.do("a1", "PUT", "/v1/description", "",
+		e.do("a1", "PUT", "/v1/description", "",
 			`{"base":1,"spaces":[{"name":"stop-line","kind":"kept","topics":["line"]},{"name":"x","kind":"lost",`+
 				`"topics":["a","a"]}]}`)
-		x.do("a1", "PUT", "/v1/description", "",
+		e.do("a1", "PUT", "/v1/description", "",
 			`{"base":1,"spaces":[{"name":"stop-line","kind":"kept","topics":["line"]}]}`)
-		x.do("a1", "PUT", "/v1/description", "", `{"base":0,`+spaces+`}`)
-		x.do("c2", "PUT", "/v1/description", "", `{"base":0,"sequence":1,`+spaces+`}`)
-		x.do("a1", "PUT", "/v1/description", "", `{"base":0,"sequence":2,`+spaces+`}`)
-		x.do("a1", "PUT", "/v1/description", "", `{"base":0,"spaces":[]}`)
-		x.do("a1", "PUT", "/v1/description", "", `{"base":4,"sequence":9,`+spaces+`}`)
-		x.do("a1", "PUT", "/v1/description", "", `{"base":1,"sequence":1,`+spaces+`}`)
-		x.do("a1", "PUT", "/v1/description", "",
+		e.do("a1", "PUT", "/v1/description", "", `{"base":0,`+spaces+`}`)
+		e.do("c2", "PUT", "/v1/description", "", `{"base":0,"sequence":1,`+spaces+`}`)
+		e.do("a1", "PUT", "/v1/description", "", `{"base":0,"sequence":2,`+spaces+`}`)
+		e.do("a1", "PUT", "/v1/description", "", `{"base":0,"spaces":[]}`)
+		e.do("a1", "PUT", "/v1/description", "", `{"base":4,"sequence":9,`+spaces+`}`)
+		e.do("a1", "PUT", "/v1/description", "", `{"base":1,"sequence":1,`+spaces+`}`)
+		e.do("a1", "PUT", "/v1/description", "",
 			`{"base":1,"spaces":[{"name":"a","kind":"kept","prefix":"ka.","keep_ms":350001},{"name":"b",`+
 				`"kind":"kept","prefix":"ka.","deadline_ms":0}]}`)
-		x.do("a1", "PUT", "/v1/description", "",
+		e.do("a1", "PUT", "/v1/description", "",
 			`{"base":1,"spaces":[{"name":"a","kind":"kept","prefix":"ka.","keep_ms":350001}]}`)
-		x.do("a1", "PUT", "/v1/description", "",
+		e.do("a1", "PUT", "/v1/description", "",
 			`{"base":1,"spaces":[{"name":"a","kind":"kept","urgent":true,"prefix":"ka."},{"name":"b",`+
 				`"kind":"live","prefix":"ka.b"}]}`)
-		x.do("a1", "PUT", "/v1/description", "", `{"base":1,"spaces":[{"name":"a","kind":"kept","all":true}]}`)
-		x.do("a1", "GET", "/v1/description", "", "")
+		e.do("a1", "PUT", "/v1/description", "", `{"base":1,"spaces":[{"name":"a","kind":"kept","all":true}]}`)
+		e.do("a1", "GET", "/v1/description", "", "")
 	})
 }
--- a/internal/testing/transport/direct.go
+++ b/internal/testing/transport/direct.go
@@ -24,8 +24,8 @@
 	Ended chan struct{}
 }
 
-func (p *Direct) run(ctx context.Context, call func(services *Services) (any, error)) (any, error) {
-	services := p.Node()
+func (d *Direct) run(ctx context.Context, call func(services *Services) (any, error)) (any, error) {
+	services := d.Node()
 	if services == nil {
 		return nil, apierror.New(apierror.Unreachable, "the node is down")
 	}
@@ -35,14 +35,14 @@
 	}
 	answers := make(chan result, 1)
 	go func() {
-		p.Gate()
+		d.Gate()
 		value, err := call(services)
-		p.Gate()
+		d.Gate()
 		answers <- result{value, err}
 	}()
 	select {
 	case answer := <-answers:
-		if p.Node() != services {
+		if d.Node() != services {
 			return nil, apierror.New(apierror.Unreachable, "the node went down")
 		}
 		return answer.value, answer.err
@@ -53,34 +53,34 @@
 	}
 }
 
-func (p *Direct) do(ctx context.Context, request *client.Request) (any, error) {
-	return p.run(ctx, func(services *Services) (any, error) { return services.Clients.Do(ctx, request) })
+func (d *Direct) do(ctx context.Context, request *client.Request) (any, error) {
+	return d.run(ctx, func(services *Services) (any, error) { return services.Clients.Do(ctx, request) })
 }
 
 // Attach attaches a client.
-func (p *Direct) Attach(ctx context.Context, name string) (client.Attachment, error) {
-	answer, err := p.do(ctx, &client.Request{Verb: client.VerbAttach, Client: name})
+func (d *Direct) Attach(ctx context.Context, name string) (client.Attachment, error) {
+	answer, err := d.do(ctx, &client.Request{Verb: client.VerbAttach, Client: name})
 	attachment, _ := answer.(client.Attachment)
 	return attachment, err
 }
 
 // Send sends a message on a topic.
-func (p *Direct) Send(ctx context.Context, token, topic string, call uint64, body []byte) (client.Receipt, error) {
-	answer, err := p.do(ctx, &client.Request{Verb: client.VerbSend, Token: token, Topics: []string{topic},
+func (d *Direct) Send(ctx context.Context, token, topic string, call uint64, body []byte) (client.Receipt, error) {
+	answer, err := d.do(ctx, &client.Request{Verb: client.VerbSend, Token: token, Topics: []string{topic},
 		CallSeq: call, Body: body})
 	receipt, _ := answer.(client.Receipt)
 	return receipt, err
 }
 
 // Follow reads a stream until it ends or handle fails.
-func (p *Direct) Follow(ctx context.Context, token string, topics []string, cursor string,
+func (d *Direct) Follow(ctx context.Context, token string, topics []string, cursor string,
 	handle func(client.Event) error) error {
 	streamCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	events := make(chan client.Event)
 	done := make(chan error, 1)
 	go func() {
-		_, err := p.do(streamCtx, &client.Request{Verb: client.VerbFollow, Token: token, Topics: topics, Cursor: cursor,
+		_, err := d.do(streamCtx, &client.Request{Verb: client.VerbFollow, Token: token, Topics: topics, Cursor: cursor,
 			Emit: func(b []byte) error {
 				var event client.Event
 				if err := json.Unmarshal(b, &event); err != nil {
@@ -109,8 +109,8 @@
 	}
 }
 
-func (p *Direct) sequence(ctx context.Context, call func(services *Services) (any, error)) (uint64, error) {
-	answer, err := p.run(ctx, call)
+func (d *Direct) sequence(ctx context.Context, call func(services *Services) (any, error)) (uint64, error) {
+	answer, err := d.run(ctx, call)
 	var body struct {
 		Sequence uint64 `json:"sequence"`
 	}
@@ -119,20 +119,20 @@
 }
 
 // Put submits a configuration and returns its sequence.
-func (p *Direct) Put(ctx context.Context, document []byte) (uint64, error) {
-	return p.sequence(ctx, func(services *Services) (any, error) { return services.API.Operators.Put(ctx, document) })
+func (d *Direct) Put(ctx context.Context, document []byte) (uint64, error) {
+	return d.sequence(ctx, func(services *Services) (any, error) { return services.API.Operators.Put(ctx, document) })
 }
 
 // Get reads back the sequence of the configuration.
-func (p *Direct) Get(ctx context.Context) (uint64, error) {
-	return p.sequence(ctx,
+func (d *Direct) Get(ctx context.Context) (uint64, error) {
+	return d.sequence(ctx,
 		func(services *Services) (any, error) { return services.API.Operators.ReadConfiguration(ctx) })
 }
 
 // ShownConfiguration returns the sequence of the configuration that the node shows, and whether the
 // node serves.
-func (p *Direct) ShownConfiguration(ctx context.Context) (uint64, bool, error) {
-	services := p.Node()
+func (d *Direct) ShownConfiguration(ctx context.Context) (uint64, bool, error) {
+	services := d.Node()
 	if services == nil {
 		return 0, false, apierror.New(apierror.Unreachable, "the node is down")
 	}
--- a/internal/testing/transport/http.go
+++ b/internal/testing/transport/http.go
@@ -32,15 +32,15 @@
 	Client *http.Client
 }
 
-func (p *HTTP) call(ctx context.Context, method, path, token string, document []byte, out any) error {
-	request, err := http.NewRequestWithContext(ctx, method, p.Base+path, bytes.NewReader(document))
+func (h *HTTP) call(ctx context.Context, method, path, token string, document []byte, out any) error {
+	request, err := http.NewRequestWithContext(ctx, method, h.Base+path, bytes.NewReader(document))
 	if err != nil {
 		return apierror.Wrap(apierror.Usage, err, "%s", path)
 	}
 	if token != "" {
 		request.Header.Set("Authorization", "Bearer "+token)
 	}
-	response, err := p.Client.Do(request)
+	response, err := h.Client.Do(request)
 	if err != nil {
 		return apierror.Wrap(apierror.Unreachable, err, "%s", path)
 	}
@@ -69,62 +69,62 @@
 }
 
 // Attach attaches a client.
-func (p *HTTP) Attach(ctx context.Context, name string) (attachment client.Attachment, err error) {
-	return attachment, p.call(ctx, http.MethodPost, "/v1/attach", "", marshal(map[string]string{"visitor": name}),
+func (h *HTTP) Attach(ctx context.Context, name string) (attachment client.Attachment, err error) {
+	return attachment, h.call(ctx, http.MethodPost, "/v1/attach", "", marshal(map[string]string{"visitor": name}),
 		&attachment)
 }
 
 // Send sends a message on a topic.
-func (p *HTTP) Send(ctx context.Context, token, topic string, call uint64, body []byte) (receipt client.Receipt,
+func (h *HTTP) Send(ctx context.Context, token, topic string, call uint64, body []byte) (receipt client.Receipt,
 	err error) {
-	return receipt, p.call(ctx, http.MethodPost, "/v1/send", token,
+	return receipt, h.call(ctx, http.MethodPost, "/v1/send", token,
 		marshal(map[string]any{"topic": topic, "call_seq": call, "body": json.RawMessage(body)}), &receipt)
 }
 
 // Put submits a configuration and returns its sequence.
-func (p *HTTP) Put(ctx context.Context, document []byte) (uint64, error) {
+func (h *HTTP) Put(ctx context.Context, document []byte) (uint64, error) {
 	var answer struct {
 		Sequence uint64 `json:"sequence"`
 	}
-	err := p.call(ctx, http.MethodPut, "/v1/description", "", document, &answer)
+	err := h.call(ctx, http.MethodPut, "/v1/description", "", document, &answer)
 	return answer.Sequence, err
 }
 
 // Get reads back the sequence of the configuration.
-func (p *HTTP) Get(ctx context.Context) (uint64, error) {
+func (h *HTTP) Get(ctx context.Context) (uint64, error) {
 	var answer struct {
 		Sequence uint64 `json:"sequence"`
 	}
-	err := p.call(ctx, http.MethodGet, "/v1/description", "", nil, &answer)
+	err := h.call(ctx, http.MethodGet, "/v1/description", "", nil, &answer)
 	return answer.Sequence, err
 }
 
 // ShownConfiguration returns the sequence of the configuration that the node shows, and whether the
 // node serves.
-func (p *HTTP) ShownConfiguration(ctx context.Context) (uint64, bool, error) {
+func (h *HTTP) ShownConfiguration(ctx context.Context) (uint64, bool, error) {
 	var answer struct {
 		Configuration uint64 `json:"description"`
 		Leased        bool   `json:"licensed"`
 	}
-	err := p.call(ctx, http.MethodGet, "/v1/status", "", nil, &answer)
+	err := h.call(ctx, http.MethodGet, "/v1/status", "", nil, &answer)
 	return answer.Configuration, answer.Leased, err
 }
 
 const maxLineBytes = 4 << 20
 
 // Follow reads a stream until it ends or handle fails.
-func (p *HTTP) Follow(ctx context.Context, token string, topics []string, cursor string,
+func (h *HTTP) Follow(ctx context.Context, token string, topics []string, cursor string,
 	handle func(client.Event) error) error {
 	query := url.Values{"topic": topics}
 	if cursor != "" {
 		query.Set("cursor", cursor)
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, p.Base+"/v1/stream?"+query.Encode(), nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, h.Base+"/v1/stream?"+query.Encode(), nil)
 	if err != nil {
 		return apierror.Wrap(apierror.Usage, err, "stream")
 	}
 	request.Header.Set("Authorization", "Bearer "+token)
-	response, err := p.Client.Do(request)
+	response, err := h.Client.Do(request)
 	if err != nil {
 		return apierror.Wrap(apierror.Unreachable, err, "stream")
 	}
--- a/tools/days/draw.go
+++ b/tools/days/draw.go
@@ -9,18 +9,18 @@
 	"strings"
 )
 
-// variant is one kind of fault with the values that may be drawn for it. A machine class "" leaves the
-// choice to the bench.
+// variant is one kind of fault with the values that may be drawn for it. A machine class "" leaves
+// the choice to the bench.
 type variant struct {
-	kind    string
-	planned bool
-	classes []string
-	hows    []string
-	counts  []int
-	shares  []float64
-	x       []float64
-	forS    [2]float64
-	gapS    [2]float64
+	kind      string
+	planned   bool
+	classes   []string
+	hows      []string
+	counts    []int
+	shares    []float64
+	strengths []float64
+	forS      [2]float64
+	gapS      [2]float64
 }
 
 var anyClass = []string{"", "core", "store", "front"}
@@ -32,23 +32,23 @@
 			"seed", "meet", "power meet hard"}},
 	{kind: "node_freeze", classes: anyClass, counts: []int{1}, forS: [2]float64{0.5, 20},
 		hows: []string{"", "leader", "meet", "leader race", "hard"}},
-	{kind: "node_slow", classes: anyClass, counts: []int{1}, x: []float64{3, 5, 10}, forS: [2]float64{2, 12}},
+	{kind: "node_slow", classes: anyClass, counts: []int{1}, strengths: []float64{3, 5, 10}, forS: [2]float64{2, 12}},
 	{kind: "roll_term", planned: true, classes: anyClass, counts: []int{2, 3}, gapS: [2]float64{0.3, 2},
 		hows: []string{"", "busy"}},
 	{kind: "add_nodes", planned: true, classes: []string{"store", "front"}, counts: []int{1, 2}},
-	{kind: "replace_core", classes: []string{"", "store"}, x: []float64{0.5, 1, 2.5, 5},
+	{kind: "replace_core", classes: []string{"", "store"}, strengths: []float64{0.5, 1, 2.5, 5},
 		hows: []string{"", "oldest", "planned", "leader"}},
 	{kind: "after_ack_kill", classes: []string{"", "store"}, counts: []int{1}, forS: [2]float64{0.3, 4},
 		hows: []string{"", "kill", "timed", "taken"}},
 	{kind: "after_ack_wipe", classes: []string{"", "store"}, counts: []int{1}, forS: [2]float64{0.3, 4},
 		hows: []string{"", "oldest"}},
 	{kind: "disk_stall", classes: []string{"core", "store"}, counts: []int{1}, forS: [2]float64{0.5, 5}},
-	{kind: "disk_slow", classes: []string{"core", "store"}, counts: []int{1}, x: []float64{10, 30},
+	{kind: "disk_slow", classes: []string{"core", "store"}, counts: []int{1}, strengths: []float64{10, 30},
 		forS: [2]float64{2, 8}},
 	{kind: "disk_full", classes: []string{"core", "store"}, counts: []int{1}, forS: [2]float64{2, 8}},
-	{kind: "clock_step", shares: []float64{0.3, 0.6, 1}, x: []float64{500, 2000, 8000}, forS: [2]float64{2, 10},
+	{kind: "clock_step", shares: []float64{0.3, 0.6, 1}, strengths: []float64{500, 2000, 8000}, forS: [2]float64{2, 10},
 		hows: []string{"", "back", "ahead"}},
-	{kind: "reset_conns", shares: []float64{0.1, 0.5, 1}, x: []float64{0.5, 1}},
+	{kind: "reset_conns", shares: []float64{0.1, 0.5, 1}, strengths: []float64{0.5, 1}},
 	{kind: "core_cut", classes: []string{"", "", "store"}, counts: []int{1}, forS: [2]float64{2, 20},
 		hows: []string{"", "one_way", "near", "all", "behind", "split", "lure", "relieve", "both", "seeds", "oldest",
 			"leader", "leader race", "leader one_way race hard", "reset meet", "refuse", "meet"}},
@@ -64,11 +64,11 @@
 	{kind: "config_storm", planned: true, counts: []int{10, 40}, gapS: [2]float64{0.1, 0.4}},
 	{kind: "bad_config", planned: true, counts: []int{1, 4}, gapS: [2]float64{0.2, 1},
 		hows: []string{"cut_short", "same_place", "no_timeout", "old_version", "same_version"}},
-	{kind: "ack_lost", shares: nil, x: []float64{0.4, 0.7}, forS: [2]float64{5, 25}},
+	{kind: "ack_lost", shares: nil, strengths: []float64{0.4, 0.7}, forS: [2]float64{5, 25}},
 	{kind: "retire", planned: true, forS: [2]float64{6, 12}, hows: []string{"", "wipe"}},
-	{kind: "burst", x: []float64{2, 3}, forS: [2]float64{2, 8}},
+	{kind: "burst", strengths: []float64{2, 3}, forS: [2]float64{2, 8}},
 	{kind: "shift", shares: []float64{0.3, 0.6}, forS: [2]float64{3, 10}},
-	{kind: "lossy", shares: []float64{0.1, 0.3}, x: []float64{0.02, 0.05}, forS: [2]float64{2, 8}},
+	{kind: "lossy", shares: []float64{0.1, 0.3}, strengths: []float64{0.02, 0.05}, forS: [2]float64{2, 8}},
 }
 
 // controlKinds are the kinds that affect the control keys or the placement of replicas.
@@ -97,31 +97,31 @@
 
 // draw returns the day with the given number. It contains all kinds in only.
 func draw(site site, number uint64, only []string) day {
-	r := rand.New(rand.NewPCG(number, seedStream))
-	day := day{base: maps.Clone(site.Days[0]), name: fmt.Sprintf("own-%d", number), seed: r.Uint64N(math.MaxInt32)}
+	rng := rand.New(rand.NewPCG(number, seedStream))
+	day := day{base: maps.Clone(site.Days[0]), name: fmt.Sprintf("own-%d", number), seed: rng.Uint64N(math.MaxInt32)}
 	for _, field := range droppedFields {
 		delete(day.base, field)
 	}
 	wanted := slices.Clone(only)
-	for range minKinds + r.IntN(maxKinds-minKinds+1) {
+	for range minKinds + rng.IntN(maxKinds-minKinds+1) {
 		wanted = append(wanted, "")
 	}
 	for _, kind := range wanted {
-		if kind == "" && r.IntN(10) < controlInTen {
-			kind = pick(r, controlKinds)
+		if kind == "" && rng.IntN(10) < controlInTen {
+			kind = pick(rng, controlKinds)
 		}
-		variant := pick(r, ofKind(kind))
-		drawn := variant.draw(r, site.LengthS-quietEndS)
+		variant := pick(rng, ofKind(kind))
+		drawn := variant.draw(rng, site.LengthS-quietEndS)
 		if variant.planned {
 			day.plan = append(day.plan, drawn)
 		} else {
 			day.faults = append(day.faults, drawn)
 		}
 	}
-	if r.IntN(10) < closingsInTen {
-		kind := pick(r, closings)
-		day.closing = &closing{Kind: kind.kind, DownS: round(0.3 + r.Float64()*maxClosingDownS),
-			How: pick(r, kind.hows)}
+	if rng.IntN(10) < closingsInTen {
+		closingVariant := pick(rng, closings)
+		day.closing = &closing{Kind: closingVariant.kind, DownS: round(0.3 + rng.Float64()*maxClosingDownS),
+			How: pick(rng, closingVariant.hows)}
 	}
 	return day
 }
@@ -141,31 +141,31 @@
 	return matching
 }
 
-func (variant variant) draw(r *rand.Rand, end float64) fault {
-	drawn := fault{At: round(firstMomentS + r.Float64()*(end-firstMomentS)), Kind: variant.kind}
-	drawn.On = pick(r, variant.classes)
-	drawn.How = pick(r, variant.hows)
-	drawn.Count = pick(r, variant.counts)
-	drawn.Share = pick(r, variant.shares)
-	drawn.X = pick(r, variant.x)
-	drawn.ForS = uniform(r, variant.forS)
-	drawn.GapS = uniform(r, variant.gapS)
+func (variant variant) draw(rng *rand.Rand, end float64) fault {
+	drawn := fault{At: round(firstMomentS + rng.Float64()*(end-firstMomentS)), Kind: variant.kind}
+	drawn.On = pick(rng, variant.classes)
+	drawn.How = pick(rng, variant.hows)
+	drawn.Count = pick(rng, variant.counts)
+	drawn.Share = pick(rng, variant.shares)
+	drawn.X = pick(rng, variant.strengths)
+	drawn.ForS = uniform(rng, variant.forS)
+	drawn.GapS = uniform(rng, variant.gapS)
 	return drawn
 }
 
-func pick[T any](r *rand.Rand, from []T) T {
-	var none T
+func pick[T any](rng *rand.Rand, from []T) T {
+	var zero T
 	if len(from) == 0 {
-		return none
+		return zero
 	}
-	return from[r.IntN(len(from))]
+	return from[rng.IntN(len(from))]
 }
 
-func uniform(r *rand.Rand, span [2]float64) float64 {
+func uniform(rng *rand.Rand, span [2]float64) float64 {
 	if span[1] == 0 {
 		return 0
 	}
-	return round(span[0] + r.Float64()*(span[1]-span[0]))
+	return round(span[0] + rng.Float64()*(span[1]-span[0]))
 }
 
 func round(value float64) float64 { return math.Round(value*100) / 100 }
--- a/tools/days/main.go
+++ b/tools/days/main.go
@@ -2,9 +2,9 @@
 //
 //	go run ./tools/days -site SITE.toml -first 1 -count 20 -dir OUT
 //
-// A day takes its traffic from the first standard day of the site file. Its faults are drawn from all
-// kinds that the bench lists, at any moment, overlapping and repeated. Most days end with a closing
-// fault. The number of a day is its seed: the same site file and number give the same day.
+// A day takes its traffic from the first standard day of the site file. Its faults are drawn from
+// all kinds that the bench lists, at any moment, overlapping and repeated. Most days end with a
+// closing fault. The number of a day is its seed: the same site file and number give the same day.
 package main
 
 import (
--- a/tools/days/site.go
+++ b/tools/days/site.go
@@ -16,7 +16,8 @@
 	Days    []map[string]any `toml:"day"`
 }
 
-// day is a day in the bench's format. base has the fields of the standard day that a drawn day keeps.
+// day is a day in the bench's format. base has the fields of the standard day that a drawn day
+// keeps.
 type day struct {
 	base    map[string]any
 	name    string
