--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -22,6 +22,8 @@
 	"postjunction/internal/wire"
 )
 
+// update compares the part of a page between two marks with what it must contain, or replaces it if
+// the flag -update is given.
 func update(t *testing.T, file, begin, end, want string) {
 	t.Helper()
 	path := "../../docs/" + file
--- a/internal/testing/crash/crash_test.go
+++ b/internal/testing/crash/crash_test.go
@@ -278,9 +278,9 @@
 			return err
 		})
 	}
-	tally := opened.journal.Counters()
+	counters := opened.journal.Counters()
 	stop()
-	assert.Assert(t, tally.Compactions > 0, "void: the journal was never compacted")
+	assert.Assert(t, counters.Compactions > 0, "void: the journal was never compacted")
 	cases, casesByOperation := 0, map[string]int{}
 	for index, moment := range disk.Moments() {
 		unsynced := moment.Disk.Unsynced()
@@ -291,14 +291,14 @@
 			for _, torn := range []bool{false, true} {
 				copied := moment.Disk.Copy()
 				copied.LosePowerAfter(persisted, torn)
-				recovered, report, stop := boot(t, copied)
-				contents := recovered.diskState(t)
+				restarted, report, stop := boot(t, copied)
+				recovered := restarted.diskState(t)
 				stop()
 				cases++
 				casesByOperation[moment.Op]++
 				assert.Assert(t, !report.Damaged, "moment %d (%s), %d of %d persisted, torn %v: %v", index, moment.Op,
 					persisted, unsynced, torn, report.Cause)
-				assert.NilError(t, checkBetween(contents, states[moment.Answered],
+				assert.NilError(t, checkBetween(recovered, states[moment.Answered],
 					states[min(moment.Answered+1, len(states)-1)]),
 					"moment %d (%s), %d of %d unsynced persisted, torn %v", index, moment.Op, persisted, unsynced, torn)
 			}
--- a/internal/testing/crash/slices_test.go
+++ b/internal/testing/crash/slices_test.go
@@ -203,18 +203,18 @@
 					for _, torn := range []bool{false, true} {
 						copied := moment.Disk.Copy()
 						copied.LosePowerAfter(persisted, torn)
-						recovered, report, stop := boot(t, copied)
-						contents := recovered.diskState(t)
+						restarted, report, stop := boot(t, copied)
+						recovered := restarted.diskState(t)
 						stop()
 						cases++
 						assert.Assert(t, !report.Damaged, "seed %d, moment %d (%s): %v", seed, index, moment.Op,
 							report.Cause)
-						assert.NilError(t, checkBetween(contents, states[moment.Answered],
+						assert.NilError(t, checkBetween(recovered, states[moment.Answered],
 							states[min(moment.Answered+1, len(states)-1)]),
 							"seed %d, moment %d of %d (%s), %d of %d unsynced persisted, torn %v", seed, index,
 							len(moments)-before, moment.Op, persisted, unsynced, torn)
 						if moment.Op == "end" {
-							assert.NilError(t, checkEqual(contents, want), "seed %d", seed)
+							assert.NilError(t, checkEqual(recovered, want), "seed %d", seed)
 						}
 					}
 				}
--- a/internal/testing/deliverycheck/checker.go
+++ b/internal/testing/deliverycheck/checker.go
@@ -80,7 +80,8 @@
 		presences: map[string][]*Presence{}, withdrawals: map[string][]*Withdrawal{}}
 }
 
-// Subscription records one subscription of a client to a topic, across connections.
+// Subscription records one subscription of a client to a topic, across connections. A late one
+// begins at a cursor that another client received.
 type Subscription struct {
 	checker       *Checker
 	client        string
--- a/internal/testing/fleet/day.go
+++ b/internal/testing/fleet/day.go
@@ -63,8 +63,8 @@
 	history *history.History
 	// sequence is that of the first configuration.
 	sequence uint64
-	// sends ends when clients are to send no new messages.
-	sends     context.Context
+	// sendCtx ends when clients are to send no new messages.
+	sendCtx   context.Context
 	stopSends context.CancelFunc
 	workers   sync.WaitGroup
 	// endProbe ends the probe of the host, which then sends the time of all stalls to stalled.
@@ -96,9 +96,9 @@
 	}
 	defer run.workers.Wait()
 	defer stop()
-	run.workers.Go(func() { d.operate(run.sends, fleet, run.history, run.sequence) })
+	run.workers.Go(func() { d.operate(run.sendCtx, fleet, run.history, run.sequence) })
 	for i := range d.Load.FloodTopics {
-		run.workers.Go(func() { d.flood(run.sends, fleet, i) })
+		run.workers.Go(func() { d.flood(run.sendCtx, fleet, i) })
 	}
 	rng := rand.New(rand.NewPCG(d.Seed, 3))
 	end := time.Now().Add(d.Length)
@@ -149,7 +149,7 @@
 	for _, process := range fleet.Processes {
 		run.workers.Go(func() { watchConfiguration(ctx, process, run.history, spread) })
 	}
-	run.sends, run.stopSends = context.WithCancel(ctx)
+	run.sendCtx, run.stopSends = context.WithCancel(ctx)
 	fleet.callers = &callers{}
 	fleet.addCallers = func(load sim.Load, seed uint64, prefix string) { run.addCallers(ctx, load, seed, prefix) }
 	fleet.addCallers(d.Load, d.Seed, "")
@@ -167,7 +167,7 @@
 		client.Name = prefix + client.Name
 		client.Clock, client.History = clock.Real{}, r.history
 		client.Transports = func() []transport.Transport { return fleet.Transports(fleet.callers.zoneOf(i)) }
-		r.workers.Go(func() { client.Run(ctx, r.sends) })
+		r.workers.Go(func() { client.Run(ctx, r.sendCtx) })
 	}
 }
 
--- a/internal/testing/fleet/faults.go
+++ b/internal/testing/fleet/faults.go
@@ -13,6 +13,7 @@
 	"postjunction/internal/settings"
 )
 
+// fault applies a fault and returns when it has ended. A fault of one machine affects process.
 type fault func(ctx context.Context, day *Day, fleet *Fleet, process *Process, rng *rand.Rand) error
 
 func downtime(rng *rand.Rand) time.Duration { return time.Duration(2+rng.IntN(12)) * time.Second }
@@ -49,6 +50,7 @@
 	},
 }
 
+// choose returns up to count of the eligible machines at random.
 func (f *Fleet) choose(rng *rand.Rand, count int, eligible func(*Process) bool) []*Process {
 	var chosen []*Process
 	for _, process := range f.Processes {
--- a/internal/testing/fleet/links.go
+++ b/internal/testing/fleet/links.go
@@ -21,6 +21,7 @@
 
 var boolToInt = map[bool]int{true: 1}
 
+// waitAndUndo waits and then calls the functions that end a fault.
 func waitAndUndo(ctx context.Context, delay time.Duration, undo ...func()) {
 	wait(ctx, delay)
 	for _, restore := range undo {
@@ -45,6 +46,8 @@
 		&unix.Rlimit{Cur: maxBytes, Max: math.MaxUint64}, nil), "limit the file size of %s", p.Name)
 }
 
+// askControl sends an operator's request to one control node after the other until one accepts or
+// rejects it.
 func (f *Fleet) askControl(ctx context.Context, method, path, doc string) (string, error) {
 	for _, process := range f.Processes {
 		if !strings.HasPrefix(process.Name, "c") {
@@ -140,7 +143,7 @@
 			return nil
 		}
 		done := false
-		for t := time.Now(); time.Since(t) < time.Minute && !done && ctx.Err() == nil; wait(ctx, time.Second) {
+		for start := time.Now(); time.Since(start) < time.Minute && !done && ctx.Err() == nil; wait(ctx, time.Second) {
 			answer, err = fleet.askControl(ctx, http.MethodGet, "/v1/drain", "")
 			done = err == nil && drained(answer, process.Name)
 		}
@@ -167,6 +170,7 @@
 	return problem
 }
 
+// drained reports whether an answer says that the decommissioning of a node is done.
 func drained(answer, node string) bool {
 	var response struct{ Drains []decommission.Order }
 	if json.Unmarshal([]byte(answer), &response) != nil {
@@ -180,6 +184,7 @@
 	return false
 }
 
+// move has a share of the clients reconnect.
 func (c *callers) move(share float64) {
 	c.mu.Lock()
 	clients := c.clients
@@ -191,6 +196,7 @@
 	}
 }
 
+// moveToZone moves a share of the clients to a zone and has them reconnect.
 func (c *callers) moveToZone(share float64, zone string) {
 	c.mu.Lock()
 	clients := c.clients
--- a/internal/testing/fleet/operators.go
+++ b/internal/testing/fleet/operators.go
@@ -23,6 +23,7 @@
 	}
 }
 
+// operate submits configurations as an operator does, each based on the one that it reads back.
 func (d *Day) operate(ctx context.Context, fleet *Fleet, record *history.History, sequence uint64) {
 	rng := rand.New(rand.NewPCG(d.Seed, 4))
 	for {
@@ -32,10 +33,10 @@
 		}
 		transports := fleet.Transports("")
 		callCtx, cancel := context.WithTimeout(ctx, settings.DefaultTiming.Recovery)
-		asked := time.Now()
+		requestedAt := time.Now()
 		current, err := transports[rng.IntN(len(transports))].Get(callCtx)
 		if err == nil {
-			record.ReadConfiguration(current, asked)
+			record.ReadConfiguration(current, requestedAt)
 			document := d.Load.NumberedConfiguration(current, current+1+rng.Uint64N(9), "")
 			acceptedSequence, putErr := transports[rng.IntN(len(transports))].Put(callCtx, document)
 			if putErr == nil {
@@ -48,17 +49,18 @@
 	}
 }
 
+// watchConfiguration records which configuration a machine shows while it serves.
 func watchConfiguration(ctx context.Context, process *Process, record *history.History, bound time.Duration) {
 	for ctx.Err() == nil {
 		callCtx, cancel := context.WithTimeout(ctx, time.Second)
-		asked := time.Now()
+		requestedAt := time.Now()
 		process.mu.Lock()
 		run := fmt.Sprintf("%s#%d", process.Name, process.runs)
 		process.mu.Unlock()
 		sequence, serves, err := process.Transport().ShownConfiguration(callCtx)
 		cancel()
 		if err == nil && serves {
-			record.ObserveConfiguration(run, sequence, asked, bound)
+			record.ObserveConfiguration(run, sequence, requestedAt, bound)
 		}
 		wait(ctx, 500*time.Millisecond)
 	}
--- a/internal/testing/fleet/relay.go
+++ b/internal/testing/fleet/relay.go
@@ -45,7 +45,7 @@
 }
 
 // serve listens on the address at which the other machines reach a machine, and returns it.
-func (r *Relay) serve(name, zone, to string) (string, error) {
+func (r *Relay) serve(name, zone, address string) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", apierror.Wrap(apierror.Internal, err, "relay to %s", name)
@@ -60,7 +60,7 @@
 			if err != nil {
 				return
 			}
-			go r.relayConnection(name, to, connection)
+			go r.relayConnection(name, address, connection)
 		}
 	}()
 	return listener.Addr().String(), nil
@@ -88,23 +88,23 @@
 }
 
 // relayConnection relays a connection to a machine. Its preface names the machine that opened it.
-func (r *Relay) relayConnection(name, to string, incoming net.Conn) {
+func (r *Relay) relayConnection(name, address string, incoming net.Conn) {
 	r.track(name, incoming, true)
 	defer r.track(name, incoming, false)
-	in := bufio.NewReader(incoming)
-	from, err := mux.Preface(in)
+	buffered := bufio.NewReader(incoming)
+	from, err := mux.Preface(buffered)
 	if err != nil || r.awaitLink(from, name) != nil {
 		closeConnection(incoming, true)
 		return
 	}
-	outgoing, err := net.DialTimeout("tcp", to, time.Second)
+	outgoing, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		closeConnection(incoming, true)
 		return
 	}
 	var wg sync.WaitGroup
 	wg.Go(func() {
-		r.copyDelayed(io.MultiReader(bytes.NewReader(mux.AppendPreface(nil, from)), in), outgoing, from, name)
+		r.copyDelayed(io.MultiReader(bytes.NewReader(mux.AppendPreface(nil, from)), buffered), outgoing, from, name)
 	})
 	wg.Go(func() { r.copyDelayed(outgoing, incoming, name, from) })
 	wg.Wait()
--- a/internal/testing/fleet/sessions.go
+++ b/internal/testing/fleet/sessions.go
@@ -23,7 +23,7 @@
 	Checker   *deliverycheck.Checker
 	fleet     *Fleet
 	ctx       context.Context
-	sends     context.Context
+	sendCtx   context.Context
 	stop      context.CancelFunc
 	stopSends context.CancelFunc
 	wg        sync.WaitGroup
@@ -193,7 +193,7 @@
 	timing := settings.DefaultTiming
 	sessions := &Sessions{Checker: deliverycheck.New(timing.Keeping, 3*timing.Spread), fleet: f}
 	sessions.ctx, sessions.stop = context.WithCancel(ctx)
-	sessions.sends, sessions.stopSends = context.WithCancel(sessions.ctx)
+	sessions.sendCtx, sessions.stopSends = context.WithCancel(sessions.ctx)
 	topic, topics := "kept/t%d", load.Topics
 	if load.SessionTopics > 0 {
 		topic, topics = "kept/v%d", load.SessionTopics
@@ -211,7 +211,7 @@
 			client.SendTopics = append(client.SendTopics, simclient.SendTopic{Topic: fmt.Sprintf(topic, (i+7*k)%topics),
 				Window: 1 + 3*(i%2), Interval: load.SendInterval / time.Duration(1+3*(i%2))})
 		}
-		sessions.wg.Go(func() { client.Run(sessions.ctx, sessions.sends) })
+		sessions.wg.Go(func() { client.Run(sessions.ctx, sessions.sendCtx) })
 	}
 	return sessions
 }
--- a/internal/testing/fleet/soak.go
+++ b/internal/testing/fleet/soak.go
@@ -126,12 +126,12 @@
 	defer run.workers.Wait()
 	defer stop()
 	clients := fleet.StartSessions(ctx, s.Clients, s.Load, s.Seed)
-	opened := time.Now()
-	s.history = orders.New(opened)
+	start := time.Now()
+	s.history = orders.New(start)
 	first := orders.Order{Sequence: run.sequence, ID: "first"}
-	s.history.Tried(first, orders.Acknowledged, opened, opened)
+	s.history.Tried(first, orders.Acknowledged, start, start)
 	for i := range soakOperators {
-		run.workers.Go(func() { s.operate(run.sends, fleet, i) })
+		run.workers.Go(func() { s.operate(run.sendCtx, fleet, i) })
 	}
 	s.runFaults(ctx, fleet)
 	wait(ctx, settings.DefaultTiming.Recovery)
@@ -163,19 +163,19 @@
 	if err := fleet.Start(); err != nil {
 		return err
 	}
-	var early sync.WaitGroup
+	var wg sync.WaitGroup
 	errs := make([]error, earlyFaults)
 	for i, process := range fleet.choose(rng, earlyFaults, func(*Process) bool { return true }) {
 		name := []string{"kill", "stop", "hangup", "freeze"}[rng.IntN(4)]
-		at, down := time.Duration(rng.Int64N(int64(earlyWindow))), time.Duration(rng.Int64N(int64(earlyWindow)))
-		early.Go(func() {
-			wait(ctx, at)
+		startDelay, pause := time.Duration(rng.Int64N(int64(earlyWindow))), time.Duration(rng.Int64N(int64(earlyWindow)))
+		wg.Go(func() {
+			wait(ctx, startDelay)
 			s.day.logf("%s %s while the fleet starts", name, process.Name)
 			s.countFault(name)
-			errs[i] = applyEarlyFault(ctx, name, process, down)
+			errs[i] = applyEarlyFault(ctx, name, process, pause)
 		})
 	}
-	early.Wait()
+	wg.Wait()
 	return firstError(errs)
 }
 
@@ -216,35 +216,35 @@
 // runFaults runs the series of faults and the losses of disks until the soak's time is over, and
 // waits until they have ended.
 func (s *Soak) runFaults(ctx context.Context, fleet *Fleet) {
-	faulting, end := context.WithTimeout(ctx, s.Length)
-	defer end()
-	var series sync.WaitGroup
+	faultCtx, stopFaults := context.WithTimeout(ctx, s.Length)
+	defer stopFaults()
+	var wg sync.WaitGroup
 	for i := range s.Series {
-		series.Go(func() { s.series(ctx, faulting, fleet, rand.New(rand.NewPCG(s.Seed, uint64(20+i)))) })
+		wg.Go(func() { s.series(ctx, faultCtx, fleet, rand.New(rand.NewPCG(s.Seed, uint64(20+i)))) })
 	}
-	series.Go(func() { s.loseDisks(ctx, faulting, fleet, rand.New(rand.NewPCG(s.Seed, 12))) })
-	series.Wait()
+	wg.Go(func() { s.loseDisks(ctx, faultCtx, fleet, rand.New(rand.NewPCG(s.Seed, 12))) })
+	wg.Wait()
 }
 
-// series applies one fault after the other until faulting ends. A fault that has begun goes on to
+// series applies one fault after the other until faultCtx ends. A fault that has begun goes on to
 // its end, which ctx bounds.
-func (s *Soak) series(ctx, faulting context.Context, fleet *Fleet, rng *rand.Rand) {
-	for wait(faulting, time.Duration(rng.Int64N(int64(maxSoakGap)))); faulting.Err() == nil; {
+func (s *Soak) series(ctx, faultCtx context.Context, fleet *Fleet, rng *rand.Rand) {
+	for wait(faultCtx, time.Duration(rng.Int64N(int64(maxSoakGap)))); faultCtx.Err() == nil; {
 		name := soakFaults[rng.IntN(len(soakFaults))]
 		process := fleet.Processes[rng.IntN(len(fleet.Processes))]
 		s.disks.RLock()
 		s.countFault(name)
 		s.run.applyFault(ctx, name, process, rng)
 		s.disks.RUnlock()
-		wait(faulting, time.Duration(rng.Int64N(int64(maxSoakGap))))
+		wait(faultCtx, time.Duration(rng.Int64N(int64(maxSoakGap))))
 	}
 }
 
 // loseDisks makes one machine after the other lose its disk, beside other faults. The next disk is
 // lost only after the fleet had time, without other faults, to repair the one before.
-func (s *Soak) loseDisks(ctx, faulting context.Context, fleet *Fleet, rng *rand.Rand) {
+func (s *Soak) loseDisks(ctx, faultCtx context.Context, fleet *Fleet, rng *rand.Rand) {
 	hasDisk := func(process *Process) bool { return process.Opts.Disk != settings.DiskNone }
-	for wait(faulting, time.Duration(rng.Int64N(int64(2*wipeInterval)))); faulting.Err() == nil; {
+	for wait(faultCtx, time.Duration(rng.Int64N(int64(2*wipeInterval)))); faultCtx.Err() == nil; {
 		process := fleet.choose(rng, 1, hasDisk)[0]
 		s.disks.RLock()
 		s.countFault("wipe")
@@ -253,7 +253,7 @@
 		s.disks.Lock()
 		wait(ctx, repairTime)
 		s.disks.Unlock()
-		wait(faulting, time.Duration(rng.Int64N(int64(2*wipeInterval))))
+		wait(faultCtx, time.Duration(rng.Int64N(int64(2*wipeInterval))))
 	}
 }
 
@@ -299,14 +299,14 @@
 	for number := 0; ctx.Err() == nil; number++ {
 		wait(ctx, time.Duration(rng.Int64N(int64(2*orderInterval))))
 		transports := fleet.Transports("")
-		asked := time.Now()
+		requestedAt := time.Now()
 		readCtx, stop := context.WithTimeout(ctx, time.Second)
 		base, err := transports[rng.IntN(len(transports))].Get(readCtx)
 		stop()
 		if err != nil {
 			continue
 		}
-		s.run.history.ReadConfiguration(base, asked)
+		s.run.history.ReadConfiguration(base, requestedAt)
 		id := fmt.Sprintf("operator %d order %d", operator, number)
 		s.order(ctx, fleet, rng, orders.Order{Base: base, Sequence: base + 1 + rng.Uint64N(3), ID: id})
 	}
--- a/internal/testing/history/history.go
+++ b/internal/testing/history/history.go
@@ -238,9 +238,9 @@
 }
 
 // ObserveConfiguration checks which configuration a serving node reported at some moment after
-// asked. node names one run of the node. Within a run the configuration must not go back, and one
-// that was accepted must be reported within bound.
-func (h *History) ObserveConfiguration(node string, sequence uint64, asked time.Time, bound time.Duration) {
+// requestedAt. node names one run of the node. Within a run the configuration must not go back, and
+// one that was accepted must be reported within bound.
+func (h *History) ObserveConfiguration(node string, sequence uint64, requestedAt time.Time, bound time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if sequence < h.shownSequence[node] {
@@ -248,21 +248,21 @@
 	}
 	h.shownSequence[node] = max(sequence, h.shownSequence[node])
 	for newer, acceptedAt := range h.configurations {
-		if sequence < newer && asked.Sub(acceptedAt) > bound {
+		if sequence < newer && requestedAt.Sub(acceptedAt) > bound {
 			h.violate(Spread, "%s served configuration %d, %s after %d was accepted", node, sequence,
-				asked.Sub(acceptedAt), newer)
+				requestedAt.Sub(acceptedAt), newer)
 		}
 	}
 }
 
-// ObserveEffect checks an action that a node took on a call begun at asked, and that newer
+// ObserveEffect checks an action that a node took on a call begun at requestedAt, and that newer
 // configurations forbid. sequence is the newest configuration that allows the action.
-func (h *History) ObserveEffect(node string, sequence uint64, asked time.Time, bound time.Duration, what string) {
+func (h *History) ObserveEffect(node string, sequence uint64, requestedAt time.Time, bound time.Duration, what string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for newer, acceptedAt := range h.configurations {
-		if sequence < newer && asked.Sub(acceptedAt) > bound {
-			h.violate(Spread, "%s %s %s after configuration %d was accepted", node, what, asked.Sub(acceptedAt), newer)
+		if sequence < newer && requestedAt.Sub(acceptedAt) > bound {
+			h.violate(Spread, "%s %s %s after configuration %d was accepted", node, what, requestedAt.Sub(acceptedAt), newer)
 			return
 		}
 	}
@@ -283,13 +283,13 @@
 	}
 }
 
-// ReadConfiguration checks a configuration that an operator read back: the read began at asked and
-// returned sequence.
-func (h *History) ReadConfiguration(sequence uint64, asked time.Time) {
+// ReadConfiguration checks a configuration that an operator read back: the read began at
+// requestedAt and returned sequence.
+func (h *History) ReadConfiguration(sequence uint64, requestedAt time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for newer, acceptedAt := range h.configurations {
-		if sequence < newer && acceptedAt.Before(asked) {
+		if sequence < newer && acceptedAt.Before(requestedAt) {
 			h.violate(Readback, "configuration %d was read back after %d was accepted", sequence, newer)
 		}
 	}
--- a/internal/testing/history/trace.go
+++ b/internal/testing/history/trace.go
@@ -19,6 +19,7 @@
 // DecisionOpen is the decision by which a leader opens its partition under a new epoch.
 const DecisionOpen = "open"
 
+// term is one epoch of a partition.
 type term struct {
 	partition int
 	epoch     uint64
--- a/internal/testing/history/waits.go
+++ b/internal/testing/history/waits.go
@@ -16,7 +16,7 @@
 
 type pending struct {
 	kind, place string
-	at          time.Time
+	since       time.Time
 }
 
 // Wait is one finished or open wait. Undisturbed is the longest part of it in which no new fault
@@ -56,7 +56,7 @@
 }
 
 func (h *History) addWait(wait pending, end time.Time, open bool) {
-	h.waits = append(h.waits, Wait{Kind: wait.kind, Place: wait.place, From: wait.at, Total: end.Sub(wait.at),
+	h.waits = append(h.waits, Wait{Kind: wait.kind, Place: wait.place, From: wait.since, Total: end.Sub(wait.since),
 		Open: open})
 }
 
@@ -68,6 +68,7 @@
 	h.faultCounts[what]++
 }
 
+// undisturbed returns the longest part of a span in which no new fault occurred.
 func (h *History) undisturbed(from, end time.Time) time.Duration {
 	longest := time.Duration(0)
 	next := sort.Search(len(h.faults), func(i int) bool { return h.faults[i].After(from) })
--- a/internal/testing/httpclient/client.go
+++ b/internal/testing/httpclient/client.go
@@ -92,8 +92,8 @@
 	return c.token
 }
 
-// Run follows the stream until ctx ends, and sends until sends ends.
-func (c *Client) Run(ctx, sends context.Context) {
+// Run follows the stream until ctx ends, and sends until sendCtx ends.
+func (c *Client) Run(ctx, sendCtx context.Context) {
 	c.attach(ctx)
 	ready := make(chan struct{})
 	var wg sync.WaitGroup
@@ -106,7 +106,7 @@
 				case <-ctx.Done():
 				}
 			}
-			c.send(sends, topic, i)
+			c.send(sendCtx, topic, i)
 		})
 	}
 	wg.Wait()
@@ -233,7 +233,7 @@
 		endWait := c.History.Begin(history.WaitAccept, topic, c.Clock.Now())
 		for ctx.Err() == nil {
 			token := c.currentToken()
-			asked := c.Clock.Now()
+			requestedAt := c.Clock.Now()
 			attemptCtx, cancel := context.WithTimeout(ctx, sendTimeoutFactor*c.Spread)
 			receipt, err := c.transport().Send(attemptCtx, token, topic, call, []byte(body))
 			cancel()
@@ -257,7 +257,7 @@
 					message, err)
 				return
 			}
-			c.History.Retried(string(problem.Code), c.Clock.Now().Sub(asked))
+			c.History.Retried(string(problem.Code), c.Clock.Now().Sub(requestedAt))
 			c.pause(ctx, max(c.Spread/30, time.Duration(problem.RetryAfterMS)*time.Millisecond/2))
 		}
 		endWait(c.Clock.Now())
--- a/internal/testing/sim/load_test.go
+++ b/internal/testing/sim/load_test.go
@@ -11,6 +11,7 @@
 	"postjunction/internal/partition"
 )
 
+// leadershipMoves returns how often the leaderships of all partitions moved so far.
 func (w *World) leadershipMoves() int {
 	moves := 0
 	for _, record := range w.records() {
@@ -86,14 +87,14 @@
 					}
 				})
 			}
-			first, movesBefore := loadImbalance(10*time.Second, w), w.leadershipMoves()
+			initialImbalance, movesBefore := loadImbalance(10*time.Second, w), w.leadershipMoves()
 			time.Sleep(60 * time.Second)
-			last, moved := loadImbalance(20*time.Second, w), w.leadershipMoves()-movesBefore
+			finalImbalance, moves := loadImbalance(20*time.Second, w), w.leadershipMoves()-movesBefore
 			time.Sleep(30 * time.Second)
-			later := w.leadershipMoves() - movesBefore - moved
-			t.Logf("highest load over the mean: %.2f at first, %.2f later; %d moves, then %d in 30 s", first, last, moved, later)
-			assert.Assert(t, last < 1.6, "the highest load is %.2f of the mean", last)
-			assert.Assert(t, moved <= 6 && later == 0, "%d moves, then %d", moved, later)
+			laterMoves := w.leadershipMoves() - movesBefore - moves
+			t.Logf("highest load over the mean: %.2f at first, %.2f later; %d moves, then %d in 30 s", initialImbalance, finalImbalance, moves, laterMoves)
+			assert.Assert(t, finalImbalance < 1.6, "the highest load is %.2f of the mean", finalImbalance)
+			assert.Assert(t, moves <= 6 && laterMoves == 0, "%d moves, then %d", moves, laterMoves)
 			stop()
 		})
 	}
--- a/internal/testing/sim/orders_test.go
+++ b/internal/testing/sim/orders_test.go
@@ -31,8 +31,8 @@
 			_, err := w.Put(w.Names[w.Int(len(w.Names))], doc)
 			assert.NilError(t, err)
 			accepted = append(accepted, doc)
-			for earlier, again := range accepted {
-				sequence, err := w.Put(w.Names[w.Int(len(w.Names))], again)
+			for earlier, acceptedDoc := range accepted {
+				sequence, err := w.Put(w.Names[w.Int(len(w.Names))], acceptedDoc)
 				assert.NilError(t, err, "order %d after order %d", earlier, number)
 				assert.Equal(t, sequence, uint64(2*earlier+2))
 			}
@@ -255,8 +255,8 @@
 		defer stop()
 		var wg sync.WaitGroup
 		for index := range 3 {
-			simulated := &simulatedOperator{world: w, rng: rand.New(rand.NewPCG(seed, uint64(index))), name: fmt.Sprint("operator ", index), history: history, lostFraction: 0.5}
-			wg.Go(func() { simulated.run(ctx) })
+			operator := &simulatedOperator{world: w, rng: rand.New(rand.NewPCG(seed, uint64(index))), name: fmt.Sprint("operator ", index), history: history, lostFraction: 0.5}
+			wg.Go(func() { operator.run(ctx) })
 		}
 		w.injectControlFaults(ctx, rand.New(rand.NewPCG(seed, 99)))
 		wg.Wait()
--- a/internal/testing/sim/points_test.go
+++ b/internal/testing/sim/points_test.go
@@ -21,6 +21,7 @@
 	"postjunction/internal/wire"
 )
 
+// keyLeader returns the control node that leads a key, or c1 if no node leads it.
 func (w *World) keyLeader(key string) string {
 	for _, name := range w.Names {
 		if node := w.Machines[name].Node(); node != nil && node.LeadsKey(key) {
--- a/internal/testing/sim/redirect_test.go
+++ b/internal/testing/sim/redirect_test.go
@@ -55,9 +55,9 @@
 	}
 }
 
-// No client is redirected where that helps none: when all nodes are cut off from the leaders, when
-// packets are lost, when a machine is slow, and when only the control nodes or one storage node are
-// unreachable.
+// No client is redirected where a redirect would not help: when all nodes are cut off from the
+// leaders, when packets are lost, when a machine is slow, and when only the control nodes or one
+// storage node are unreachable.
 func TestNoClientIsRedirectedInVain(t *testing.T) {
 	t.Parallel()
 	faults := map[string]func(w *World){
--- a/internal/testing/sim/replace_test.go
+++ b/internal/testing/sim/replace_test.go
@@ -9,6 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
+// withSpares returns a site in which each of the named machines has a spare, whose name ends in b.
 func withSpares(site Site, names ...string) Site {
 	site.Spares = names
 	return site
@@ -121,7 +122,7 @@
 
 // A voter is removed for good and another one replaces it under another name and address. Four
 // seconds later another voter loses its disk and all others their power. Guards against a new node
-// that becomes a voter beside the dead one, so that no majority of four is possible any more.
+// that becomes a voter beside the removed one, so that the next loss leaves no majority of four.
 func TestReplacedVoterIsMadeGoodBeforeTheNextLoss(t *testing.T) {
 	t.Parallel()
 	skipUnderRace(t)
--- a/internal/testing/sim/restart_test.go
+++ b/internal/testing/sim/restart_test.go
@@ -68,6 +68,7 @@
 	assert.Assert(t, response.Granted)
 }
 
+// randomTenths returns a random duration from low to just below high, in tenths of a second.
 func (w *World) randomTenths(low, high int) time.Duration {
 	return time.Duration(low+w.Int(high-low)) * 100 * time.Millisecond
 }
--- a/internal/testing/sim/silent_test.go
+++ b/internal/testing/sim/silent_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// The leaderships of a storage node that falls silent fail over before clients give messages up: in
-// a twelfth of the recovery time.
+// The leaderships of a storage node that falls silent fail over within a twelfth of the recovery
+// time, before clients give up their messages.
 func TestSilentStorageNodeFailsOverWithinASecond(t *testing.T) {
 	t.Parallel()
 	for _, loss := range machineLosses {
--- a/internal/testing/sim/small_disk_test.go
+++ b/internal/testing/sim/small_disk_test.go
@@ -31,6 +31,7 @@
 	})
 }
 
+// runWithDiskLimit runs a script on a loaded fleet in which the disk of s1 has the given size.
 func runWithDiskLimit(t *testing.T, mb int, script func(t *testing.T, w *World)) {
 	site := platformSite
 	site.DiskMB = map[string]int{"s1": mb}
--- a/internal/testing/sim/submit_order_test.go
+++ b/internal/testing/sim/submit_order_test.go
@@ -158,10 +158,10 @@
 			applyConfiguration(t, w)
 			w.Watch()
 			topics := []string{"kept/t0", "kept/t1", "kept/t2", "kept/t3"}
-			isMeasured := map[string]bool{}
+			measuredTopics := map[string]bool{}
 			partitionIDs := map[int]bool{}
 			for _, topic := range topics {
-				isMeasured[topic] = true
+				measuredTopics[topic] = true
 				partitionIDs[partition.Of(topic, false, w.Machines["a1"].Node().VoterSet().Layout)] = true
 			}
 			isSubmitMany := func(call CallPoint) bool { return call.Path == router.SubmitMany.Path }
@@ -169,11 +169,11 @@
 			ctx, stop := context.WithCancel(w.ctx)
 			var wg, inFlight sync.WaitGroup
 			outcomes := map[string]int{}
-			var simulated []*numberingClient
+			var clients []*numberingClient
 			for i := range 5 {
 				rng := rand.New(rand.NewPCG(seed, uint64(i)))
 				client := &numberingClient{world: w, name: fmt.Sprintf("v%d", i), topics: topics, rng: rng, node: "a1", pending: map[uint64]numberedMessage{}, outcomes: map[string]int{}, inFlight: &inFlight}
-				simulated = append(simulated, client)
+				clients = append(clients, client)
 				wg.Go(func() { client.run(ctx, []string{"a1", "c1", "c2", "s1"}) })
 			}
 			paused := 0
@@ -234,12 +234,12 @@
 			wg.Wait()
 			inFlight.Wait()
 			assert.NilError(t, w.WaitReady(20*time.Second))
-			reading := history.Reading{Through: "the partition leaders", Topics: isMeasured, Since: start}
+			reading := history.Reading{Through: "the partition leaders", Topics: measuredTopics, Since: start}
 			for partitionID := range partitionIDs {
-				reading.Got = append(reading.Got, readPartition(t, w, partitionID, isMeasured)...)
+				reading.Got = append(reading.Got, readPartition(t, w, partitionID, measuredTopics)...)
 			}
 			w.History.ReadMessages(reading)
-			for _, client := range simulated {
+			for _, client := range clients {
 				for outcome, count := range client.outcomes {
 					outcomes[outcome] += count
 				}
--- a/internal/testing/sim/urgent_test.go
+++ b/internal/testing/sim/urgent_test.go
@@ -100,16 +100,16 @@
 			}
 			openStream("behind, shared", "c3", returningClient.Token, cursor, "stop/line", "kept/t0")
 			openStream("new, shared", "c2", newClient.Token, "", "stop/line", "kept/t3", "kept/t4")
-			opened := w.Site.Timing.MaxBackoff() * 3 / 2
-			time.Sleep(opened)
-			first := callSeq + 1
+			openTime := w.Site.Timing.MaxBackoff() * 3 / 2
+			time.Sleep(openTime)
+			firstCall := callSeq + 1
 			stalled := send(20)
 			time.Sleep(time.Second)
 			assert.Assert(t, hits() > 10, "void: nothing was paused")
 			w.History.UrgentCall("stop/line", "stalled routine partitions", stalled, 3*baseline+2*time.Millisecond)
 			mu.Lock()
 			for name, calls := range received {
-				for expected := first; expected <= callSeq; expected++ {
+				for expected := firstCall; expected <= callSeq; expected++ {
 					assert.Assert(t, !calls[expected].IsZero(), "%s never got urgent call %d", name, expected)
 				}
 			}
--- a/internal/testing/sim/wiped_test.go
+++ b/internal/testing/sim/wiped_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// A storage node comes back at once with an empty disk, while records name it with its lost one.
+// A storage node comes back at once with an empty disk, while records still name its lost one.
 // Guards against a node that then claims new epochs without end, five a second, so that the
 // placement controller loses every race against it. In every second run the placement controller is
 // delayed, since it would be first by far.
--- a/internal/testing/simclient/client.go
+++ b/internal/testing/simclient/client.go
@@ -105,7 +105,7 @@
 	nextCount       time.Time
 	countsRequested map[string]time.Time
 	lastReceived    map[string]deliverycheck.Message
-	sending         context.Context
+	sendCtx         context.Context
 }
 
 type connectionEvent struct {
@@ -174,6 +174,8 @@
 	return time.Duration(client.Rand.Float64() * float64(limit))
 }
 
+// nextTime returns a random time that lies an interval after now on average. With an interval of 0
+// the time never comes.
 func (client *Client) nextTime(now time.Time, interval time.Duration) time.Time {
 	if interval <= 0 {
 		return now.Add(1 << 60)
@@ -199,10 +201,10 @@
 	client.receive(connectionEvent{serial: serial, broken: true})
 }
 
-// Run runs the client until ctx ends. It sends new messages until sends ends.
-func (client *Client) Run(ctx, sends context.Context) {
+// Run runs the client until ctx ends. It sends new messages until sendCtx ends.
+func (client *Client) Run(ctx, sendCtx context.Context) {
 	now := time.Now()
-	client.notify, client.sending, client.countsRequested, client.lastReceived = make(chan struct{}, 1), sends,
+	client.notify, client.sendCtx, client.countsRequested, client.lastReceived = make(chan struct{}, 1), sendCtx,
 		map[string]time.Time{}, map[string]deliverycheck.Message{}
 	for _, topic := range client.Follow {
 		subscription := &subscription{Topic: topic, wanted: true}
@@ -312,9 +314,11 @@
 	client.send(now, session.Request{Verb: session.Attach, Client: client.Name})
 }
 
+// step does what is due: it connects, disconnects, changes subscriptions, counts listeners, sends
+// messages and heartbeats, and ends a connection that is too slow.
 func (client *Client) step(now time.Time) {
 	if client.connection == nil {
-		if now.Before(client.returnAt) && (client.sending.Err() == nil ||
+		if now.Before(client.returnAt) && (client.sendCtx.Err() == nil ||
 			client.returnAt.Sub(now) < client.Habits.Keepalive) {
 			return
 		}
@@ -333,7 +337,7 @@
 		client.close(now, habits.Keepalive/2, false)
 		return
 	}
-	stopped := client.sending.Err() != nil
+	stopped := client.sendCtx.Err() != nil
 	if now.After(client.nextAbsence) && !stopped {
 		client.nextAbsence = client.nextTime(now, habits.AwayInterval)
 		client.close(now, 0, client.Rand.IntN(2) == 0)
--- a/internal/testing/simclient/requests.go
+++ b/internal/testing/simclient/requests.go
@@ -55,6 +55,8 @@
 	return client.lastCall
 }
 
+// publish sends the messages and withdrawals of a sender that are due. It reports whether the
+// connection is still open.
 func (client *Client) publish(now time.Time, sender *sender) bool {
 	sender.messages = slices.DeleteFunc(sender.messages, func(message *message) bool {
 		if message.withdrawal != nil {
@@ -64,11 +66,11 @@
 	})
 	withdrawing := slices.IndexFunc(sender.messages, func(m *message) bool { return m.withdrawal != nil })
 	if pending := len(sender.messages) - 1; (withdrawing < 0 && pending+1 < sender.Window || withdrawing >= 0 &&
-		pending < sender.Window) && now.After(sender.next) && client.sending.Err() == nil {
+		pending < sender.Window) && now.After(sender.next) && client.sendCtx.Err() == nil {
 		sender.next = client.nextTime(now, sender.Interval)
 		sender.messages = append(sender.messages, &message{firstTriedAt: now})
 	}
-	if withdrawing < 0 && now.After(sender.nextWithdrawal) && client.sending.Err() == nil {
+	if withdrawing < 0 && now.After(sender.nextWithdrawal) && client.sendCtx.Err() == nil {
 		sender.nextWithdrawal = client.nextTime(now, client.Habits.WithdrawInterval)
 		sender.messages = append(sender.messages, client.newWithdrawal(now, sender.Topic))
 	}
--- a/tools/days/draw.go
+++ b/tools/days/draw.go
@@ -10,7 +10,7 @@
 )
 
 // variant is one kind of fault with the values that may be drawn for it. A machine class "" leaves
-// the choice to the bench.
+// the choice to the bench. Faults of a planned variant go into the plan of a day.
 type variant struct {
 	kind      string
 	planned   bool
@@ -126,6 +126,8 @@
 	return day
 }
 
+// ofKind returns the variants of a kind, and all variants for "". A kind may name one value of how
+// after a colon.
 func ofKind(kind string) []variant {
 	if kind == "" {
 		return variants
