--- a/internal/testing/fleet/day.go
+++ b/internal/testing/fleet/day.go
@@ -17,7 +17,9 @@
 	"postjunction/internal/testing/transport"
 )
 
-// Day is a run of a fleet under load and faults of fixed length.
+// Day is a run of fixed length of a fleet under load and faults. Interval is the pause after a
+// fault. With Pairs, two faults are applied at a time. Next, if set, is the program that the fault
+// "upgrade" restarts machines with.
 type Day struct {
 	Load     sim.Load
 	Seed     uint64
@@ -33,7 +35,7 @@
 }
 
 // FullLoad is the load of both deployments: about 600 connections, 600 topics with stored messages
-// at 200 messages a second, 30 live topics at 20 a second, and five leads with stop-line calls.
+// at 200 messages a second, 30 live topics at 20 a second, and five senders of urgent messages.
 var FullLoad = sim.Load{HTTPClients: 600, Topics: 600, LiveTopics: 30, UrgentSenders: 5, SendInterval: 3 * time.Second}
 
 func (d *Day) logf(format string, args ...any) {
@@ -61,8 +63,8 @@
 	history *history.History
 	// sequence is that of the first configuration.
 	sequence uint64
-	// sends ends when clients are to send no new messages.
-	sends     context.Context
+	// sendCtx ends when clients are to send no new messages.
+	sendCtx   context.Context
 	stopSends context.CancelFunc
 	workers   sync.WaitGroup
 	// endProbe ends the probe of the host, which then sends the time of all stalls to stalled.
@@ -71,11 +73,11 @@
 }
 
 // add adds a client in the zone of one of the machines, in turn, and returns its index.
-func (c *callers) add(caller *httpclient.Client, machines []*Process) int {
+func (c *callers) add(client *httpclient.Client, machines []*Process) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	i := len(c.clients)
-	c.clients = append(c.clients, caller)
+	c.clients = append(c.clients, client)
 	c.zones = append(c.zones, machines[i%len(machines)].Opts.Zone)
 	return i
 }
@@ -94,9 +96,9 @@
 	}
 	defer run.workers.Wait()
 	defer stop()
-	run.workers.Go(func() { d.operate(run.sends, fleet, run.history, run.sequence) })
+	run.workers.Go(func() { d.operate(run.sendCtx, fleet, run.history, run.sequence) })
 	for i := range d.Load.FloodTopics {
-		run.workers.Go(func() { d.flood(run.sends, fleet, i) })
+		run.workers.Go(func() { d.flood(run.sendCtx, fleet, i) })
 	}
 	rng := rand.New(rand.NewPCG(d.Seed, 3))
 	end := time.Now().Add(d.Length)
@@ -147,7 +149,7 @@
 	for _, process := range fleet.Processes {
 		run.workers.Go(func() { watchConfiguration(ctx, process, run.history, spread) })
 	}
-	run.sends, run.stopSends = context.WithCancel(ctx)
+	run.sendCtx, run.stopSends = context.WithCancel(ctx)
 	fleet.callers = &callers{}
 	fleet.addCallers = func(load sim.Load, seed uint64, prefix string) { run.addCallers(ctx, load, seed, prefix) }
 	fleet.addCallers(d.Load, d.Seed, "")
@@ -165,7 +167,7 @@
 		client.Name = prefix + client.Name
 		client.Clock, client.History = clock.Real{}, r.history
 		client.Transports = func() []transport.Transport { return fleet.Transports(fleet.callers.zoneOf(i)) }
-		r.workers.Go(func() { client.Run(ctx, r.sends) })
+		r.workers.Go(func() { client.Run(ctx, r.sendCtx) })
 	}
 }
 
--- a/internal/testing/fleet/faults.go
+++ b/internal/testing/fleet/faults.go
@@ -13,6 +13,7 @@
 	"postjunction/internal/settings"
 )
 
+// fault applies a fault and returns when it has ended. A fault of one machine affects process.
 type fault func(ctx context.Context, day *Day, fleet *Fleet, process *Process, rng *rand.Rand) error
 
 func downtime(rng *rand.Rand) time.Duration { return time.Duration(2+rng.IntN(12)) * time.Second }
@@ -26,8 +27,8 @@
 		return process.Start()
 	},
 	"stop": func(ctx context.Context, day *Day, _ *Fleet, process *Process, rng *rand.Rand) error {
-		if t := process.Signal(syscall.SIGTERM, true); t > 6*time.Second {
-			return apierror.New(apierror.Internal, "%s took %s to stop", process.Name, t)
+		if elapsed := process.Signal(syscall.SIGTERM, true); elapsed > 6*time.Second {
+			return apierror.New(apierror.Internal, "%s took %s to stop", process.Name, elapsed)
 		}
 		wait(ctx, downtime(rng))
 		return process.Start()
@@ -49,6 +50,7 @@
 	},
 }
 
+// choose returns up to count of the eligible machines at random.
 func (f *Fleet) choose(rng *rand.Rand, count int, eligible func(*Process) bool) []*Process {
 	var chosen []*Process
 	for _, process := range f.Processes {
@@ -115,8 +117,8 @@
 	}
 	faults["upgrade"] = func(ctx context.Context, day *Day, fleet *Fleet, _ *Process, rng *rand.Rand) error {
 		for _, process := range fleet.choose(rng, len(fleet.Processes), func(*Process) bool { return true }) {
-			if t := process.Signal(syscall.SIGTERM, true); t > 6*time.Second {
-				return apierror.New(apierror.Internal, "%s took %s to stop", process.Name, t)
+			if elapsed := process.Signal(syscall.SIGTERM, true); elapsed > 6*time.Second {
+				return apierror.New(apierror.Internal, "%s took %s to stop", process.Name, elapsed)
 			}
 			if day.Next != "" {
 				process.bin = day.Next
--- a/internal/testing/sim/submit_order_test.go
+++ b/internal/testing/sim/submit_order_test.go
@@ -45,15 +45,15 @@
 }
 
 func (c *numberingClient) submit(message numberedMessage, through string) {
-	n := c.world.Machines[through].Node()
-	if n == nil {
+	running := c.world.Machines[through].Node()
+	if running == nil {
 		return
 	}
 	c.world.History.Try(message.Message)
 	c.world.History.Send(message.Message, message.body, false, time.Now())
-	partitionID := partition.Of(message.Topic, false, n.VoterSet().Layout)
+	partitionID := partition.Of(message.Topic, false, running.VoterSet().Layout)
 	c.inFlight.Add(1)
-	n.Clients.Router.SubmitAsync(c.world.ctx, partitionID, &leader.Message{Client: c.name, Topic: message.Topic, CallSeq: message.Call, Body: []byte(message.body)}, time.Now().Add(time.Second), func(decision *leader.Decision, err error) {
+	running.Clients.Router.SubmitAsync(c.world.ctx, partitionID, &leader.Message{Client: c.name, Topic: message.Topic, CallSeq: message.Call, Body: []byte(message.body)}, time.Now().Add(time.Second), func(decision *leader.Decision, err error) {
 		defer c.inFlight.Done()
 		c.complete(message, decision, err)
 	})
@@ -130,16 +130,16 @@
 // readPartition reads all messages of the given topics in a partition's log.
 func readPartition(t *testing.T, w *World, partitionID int, topics map[string]bool) []history.Receipt {
 	t.Helper()
-	var got []history.Receipt
+	var receipts []history.Receipt
 	for offset := uint64(0); ; {
 		page, err := w.Machines["a1"].Node().Clients.Router.Read(w.ctx, partitionID, offset, 0)
 		assert.NilError(t, err)
 		if len(page.Entries) == 0 {
-			return got
+			return receipts
 		}
 		for _, entry := range page.Entries {
 			if entry.Type == log.TypeMessage && topics[entry.Topic] {
-				got = append(got, history.Receipt{Message: history.Message{Topic: entry.Topic, From: entry.Client, Call: entry.CallSeq}, Body: string(entry.Body), Partition: partitionID, Offset: entry.Offset, At: time.Now()})
+				receipts = append(receipts, history.Receipt{Message: history.Message{Topic: entry.Topic, From: entry.Client, Call: entry.CallSeq}, Body: string(entry.Body), Partition: partitionID, Offset: entry.Offset, At: time.Now()})
 			}
 		}
 		offset = page.To
@@ -158,10 +158,10 @@
 			applyConfiguration(t, w)
 			w.Watch()
 			topics := []string{"kept/t0", "kept/t1", "kept/t2", "kept/t3"}
-			isMeasured := map[string]bool{}
+			measuredTopics := map[string]bool{}
 			partitionIDs := map[int]bool{}
 			for _, topic := range topics {
-				isMeasured[topic] = true
+				measuredTopics[topic] = true
 				partitionIDs[partition.Of(topic, false, w.Machines["a1"].Node().VoterSet().Layout)] = true
 			}
 			isSubmitMany := func(call CallPoint) bool { return call.Path == router.SubmitMany.Path }
@@ -169,11 +169,11 @@
 			ctx, stop := context.WithCancel(w.ctx)
 			var wg, inFlight sync.WaitGroup
 			outcomes := map[string]int{}
-			var simulated []*numberingClient
+			var clients []*numberingClient
 			for i := range 5 {
 				rng := rand.New(rand.NewPCG(seed, uint64(i)))
 				client := &numberingClient{world: w, name: fmt.Sprintf("v%d", i), topics: topics, rng: rng, node: "a1", pending: map[uint64]numberedMessage{}, outcomes: map[string]int{}, inFlight: &inFlight}
-				simulated = append(simulated, client)
+				clients = append(clients, client)
 				wg.Go(func() { client.run(ctx, []string{"a1", "c1", "c2", "s1"}) })
 			}
 			paused := 0
@@ -234,12 +234,12 @@
 			wg.Wait()
 			inFlight.Wait()
 			assert.NilError(t, w.WaitReady(20*time.Second))
-			reading := history.Reading{Through: "the partition leaders", Topics: isMeasured, Since: start}
+			reading := history.Reading{Through: "the partition leaders", Topics: measuredTopics, Since: start}
 			for partitionID := range partitionIDs {
-				reading.Got = append(reading.Got, readPartition(t, w, partitionID, isMeasured)...)
+				reading.Got = append(reading.Got, readPartition(t, w, partitionID, measuredTopics)...)
 			}
 			w.History.ReadMessages(reading)
-			for _, client := range simulated {
+			for _, client := range clients {
 				for outcome, count := range client.outcomes {
 					outcomes[outcome] += count
 				}
