--- a/internal/partitionlog/router/followers.go
+++ b/internal/partitionlog/router/followers.go
@@ -65,11 +65,13 @@
 
 // compressing wraps a handler. It compresses the bodies of the response where the request asks for
 // that.
-func compressing[Q, A any, P interface {
-	*A
+func compressing[Req, Res any, P interface {
+	*Res
 	Compress()
-}](handler func(context.Context, *Q) (P, error), wantsCompression func(*Q) bool) func(context.Context, *Q) (*A, error) {
-	return func(ctx context.Context, request *Q) (*A, error) {
+}](
+	handler func(context.Context, *Req) (P, error), wantsCompression func(*Req) bool,
+) func(context.Context, *Req) (*Res, error) {
+	return func(ctx context.Context, request *Req) (*Res, error) {
 		response, err := handler(ctx, request)
 		if err == nil && wantsCompression(request) {
 			response.Compress()
@@ -79,10 +81,10 @@
 }
 
 // callOnce calls the leader that a record names, in one attempt.
-func callOnce[Q, A any](
+func callOnce[Req, Res any](
 	ctx context.Context, router *Router, record assignment.Record, timeout time.Duration,
-	procedure *wire.Procedure[Q, A], local func(context.Context, *Q) (*A, error), request *Q,
-) (*A, error) {
+	procedure *wire.Procedure[Req, Res], local func(context.Context, *Req) (*Res, error), request *Req,
+) (*Res, error) {
 	address, err := router.leaderAddress(record.Partition, record)
 	if err != nil {
 		return nil, err
--- a/internal/partitionlog/router/forward.go
+++ b/internal/partitionlog/router/forward.go
@@ -121,10 +121,10 @@
 // while another attempt may succeed: at once after a newer record, and otherwise until a call's
 // timeout has passed since the last newer record. It gives up earlier at a limit of failureLimits,
 // such as when the record names no leader for the second time.
-func forward[Q, A any](
-	ctx context.Context, router *Router, partitionID int, procedure *wire.Procedure[Q, A],
-	local func(context.Context, *Q) (*A, error), request *Q,
-) (*A, error) {
+func forward[Req, Res any](
+	ctx context.Context, router *Router, partitionID int, procedure *wire.Procedure[Req, Res],
+	local func(context.Context, *Req) (*Res, error), request *Req,
+) (*Res, error) {
 	retry := &retryState{router: router, partitionID: partitionID}
 	retry.restart()
 	for {
@@ -172,10 +172,10 @@
 
 // callLeader calls the leader that a record names, in one attempt. A call to another node ends when
 // a higher epoch is known.
-func callLeader[Q, A any](
-	ctx context.Context, router *Router, partitionID int, record assignment.Record, procedure *wire.Procedure[Q, A],
-	local func(context.Context, *Q) (*A, error), request *Q,
-) (*A, error) {
+func callLeader[Req, Res any](
+	ctx context.Context, router *Router, partitionID int, record assignment.Record, procedure *wire.Procedure[Req, Res],
+	local func(context.Context, *Req) (*Res, error), request *Req,
+) (*Res, error) {
 	address, err := router.leaderAddress(partitionID, record)
 	if err != nil {
 		return nil, err
