--- a/internal/client/service.go
+++ b/internal/client/service.go
@@ -38,7 +38,7 @@
 	Limiter    *admission.Limiter
 	CheckLease func() error
 	Draining   <-chan struct{}
-	OnResult   func(request *Request, err error)
+	OnError    func(request *Request, err error)
 
 	// mu guards the fields below.
 	mu           sync.Mutex
@@ -51,8 +51,8 @@
 // PresenceCount, or nil after Follow. Errors are of package apierror.
 func (s *Service) Do(ctx context.Context, request *Request) (any, error) {
 	err := s.chain(request.Verb)(ctx, request)
-	if err != nil && s.OnResult != nil {
-		s.OnResult(request, err)
+	if err != nil && s.OnError != nil {
+		s.OnError(request, err)
 	}
 	return request.response, err
 }
--- a/internal/node/wiring.go
+++ b/internal/node/wiring.go
@@ -154,7 +154,7 @@
 		Clock: clk, Timing: timing, BodyLimit: opts.BodyLimit,
 		Store: n.Store, Router: n.router, Presence: n.presence, Limiter: n.admission,
 		Feeds:      stream.New(ctx, self, n.bootID, n.router, clk, timing),
-		CheckLease: n.leaseManager.CheckLease, Draining: n.draining, OnResult: n.recordRejection,
+		CheckLease: n.leaseManager.CheckLease, Draining: n.draining, OnError: n.recordRejection,
 	}
 	n.hub = fanout.New(ctx, self, n.bootID, n.router, n.Store, clk, timing)
 	n.Sessions = (&session.Registry{
