--- a/internal/testing/sim/cut_test.go
+++ b/internal/testing/sim/cut_test.go
@@ -167,12 +167,12 @@
 
 // runContinuously sends an order and reads, each tenth of a second. Orders with an unknown outcome
 // are sent again.
-func (o *simulatedOperator) runContinuously(ctx context.Context) {
-	for n := 0; ctx.Err() == nil; n++ {
-		if current, ok := o.read(); ok {
-			o.send(orders.Order{Base: current.Sequence, Sequence: current.Sequence + 1, ID: fmt.Sprint(o.name, " ", n)})
-		} else if len(o.sent) > 0 {
-			o.send(o.sent[len(o.sent)-1])
+func (s *simulatedOperator) runContinuously(ctx context.Context) {
+	for number := 0; ctx.Err() == nil; number++ {
+		if current, ok := s.read(); ok {
+			s.send(orders.Order{Base: current.Sequence, Sequence: current.Sequence + 1, ID: fmt.Sprint(s.name, " ", number)})
+		} else if len(s.sent) > 0 {
+			s.send(s.sent[len(s.sent)-1])
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
--- a/internal/testing/sim/orders_test.go
+++ b/internal/testing/sim/orders_test.go
@@ -97,11 +97,11 @@
 	reachable []string
 }
 
-func (o *simulatedOperator) node() string {
-	if len(o.reachable) > 0 {
-		return o.reachable[o.rng.IntN(len(o.reachable))]
+func (s *simulatedOperator) node() string {
+	if len(s.reachable) > 0 {
+		return s.reachable[s.rng.IntN(len(s.reachable))]
 	}
-	return o.world.Names[o.rng.IntN(len(o.world.Names))]
+	return s.world.Names[s.rng.IntN(len(s.world.Names))]
 }
 
 // operatorTimeout is how long an operator waits for one response.
@@ -110,10 +110,10 @@
 // maxAttempts bounds how often one order is sent.
 const maxAttempts = 12
 
-func (o *simulatedOperator) read() (orders.Order, bool) {
+func (s *simulatedOperator) read() (orders.Order, bool) {
 	var order orders.Order
 	call := time.Now()
-	err := o.world.callNode(o.node(), operatorTimeout, func(ctx context.Context, running *node.Node) error {
+	err := s.world.callNode(s.node(), operatorTimeout, func(ctx context.Context, running *node.Node) error {
 		config, err := running.Operators.CurrentConfiguration(ctx)
 		order = orders.Order{Base: config.Base, Sequence: config.Sequence, ID: config.Source}
 		return err
@@ -124,15 +124,15 @@
 	case err != nil:
 		return orders.Order{}, false // a call that timed out may still write order
 	}
-	o.history.Read(order, call, time.Now())
+	s.history.Read(order, call, time.Now())
 	return order, true
 }
 
 // send sends an order once. A lost response makes the outcome unknown.
-func (o *simulatedOperator) send(order orders.Order) orders.Outcome {
+func (s *simulatedOperator) send(order orders.Order) orders.Outcome {
 	call := time.Now()
 	doc := load.NumberedConfiguration(order.Base, order.Sequence, order.ID)
-	err := o.world.callNode(o.node(), operatorTimeout, func(ctx context.Context, running *node.Node) error {
+	err := s.world.callNode(s.node(), operatorTimeout, func(ctx context.Context, running *node.Node) error {
 		config, err := configuration.Parse(doc)
 		if err != nil {
 			return err
@@ -147,36 +147,36 @@
 	case apierror.HasCode(err, apierror.ConfigurationConflict):
 		outcome = orders.Refused
 	}
-	if o.rng.Float64() < o.lostFraction {
+	if s.rng.Float64() < s.lostFraction {
 		outcome = orders.Unclear
 	}
-	o.history.Tried(order, outcome, call, time.Now())
+	s.history.Tried(order, outcome, call, time.Now())
 	return outcome
 }
 
-func (o *simulatedOperator) order(number int) {
-	current, ok := o.read()
+func (s *simulatedOperator) order(number int) {
+	current, ok := s.read()
 	if !ok {
 		return
 	}
-	order := orders.Order{Base: current.Sequence, Sequence: current.Sequence + 1 + o.rng.Uint64N(3), ID: fmt.Sprint(o.name, " ", number)}
-	o.sent = append(o.sent, order)
+	order := orders.Order{Base: current.Sequence, Sequence: current.Sequence + 1 + s.rng.Uint64N(3), ID: fmt.Sprint(s.name, " ", number)}
+	s.sent = append(s.sent, order)
 	for range maxAttempts {
-		if o.send(order) != orders.Unclear {
+		if s.send(order) != orders.Unclear {
 			return
 		}
-		time.Sleep(time.Duration(o.rng.IntN(200)) * time.Millisecond)
+		time.Sleep(time.Duration(s.rng.IntN(200)) * time.Millisecond)
 	}
 }
 
 // run sends orders until ctx ends. Now and then it repeats an earlier order.
-func (o *simulatedOperator) run(ctx context.Context) {
+func (s *simulatedOperator) run(ctx context.Context) {
 	for number := 0; ctx.Err() == nil; number++ {
-		if len(o.sent) > 0 && o.rng.IntN(4) == 0 {
-			o.send(o.sent[o.rng.IntN(len(o.sent))])
+		if len(s.sent) > 0 && s.rng.IntN(4) == 0 {
+			s.send(s.sent[s.rng.IntN(len(s.sent))])
 		}
-		o.order(number)
-		time.Sleep(time.Duration(o.rng.IntN(400)) * time.Millisecond)
+		s.order(number)
+		time.Sleep(time.Duration(s.rng.IntN(400)) * time.Millisecond)
 	}
 }
 
