--- a/internal/testing/sim/lineclients.go
+++ b/internal/testing/sim/lineclients.go
@@ -360,7 +360,7 @@
 	c.mu.Lock()
 	var cursors []simclient.Topic
 	for _, topic := range c.savedCursors {
-		if c.AnyCursorAge || topic.Given.After(since) {
+		if c.AnyCursorAge || topic.GivenAt.After(since) {
 			cursors = append(cursors, topic)
 		}
 	}
--- a/internal/testing/simclient/client.go
+++ b/internal/testing/simclient/client.go
@@ -29,13 +29,13 @@
 }
 
 // Topic is a topic that a client subscribes to. With a Cursor, the subscription begins at a cursor
-// that another client received with LastMessage at Given.
+// that another client received with LastMessage at GivenAt.
 type Topic struct {
 	Name        string
 	Retained    bool
 	Cursor      string
 	LastMessage deliverycheck.Message
-	Given       time.Time
+	GivenAt     time.Time
 }
 
 // SendTopic is a topic that a client sends on, with up to Window messages in flight.
@@ -210,7 +210,7 @@
 		subscription := &subscription{Topic: topic, wanted: true}
 		if topic.Cursor != "" {
 			subscription.record, subscription.cursor = client.Checker.SubscribeFromCursor(client.Name,
-				topic.LastMessage, topic.Given), topic.Cursor
+				topic.LastMessage, topic.GivenAt), topic.Cursor
 		}
 		client.subscriptions = append(client.subscriptions, subscription)
 	}
--- a/internal/testing/simclient/responses.go
+++ b/internal/testing/simclient/responses.go
@@ -84,7 +84,7 @@
 		sub.cursor = response.Cursor
 		if client.Saved != nil && sub.Retained && client.Rand.IntN(saveCursorOneIn) == 0 {
 			client.Saved(Topic{Name: sub.Name, Retained: true, Cursor: response.Cursor, LastMessage: message,
-				Given: now})
+				GivenAt: now})
 		}
 	},
 	session.Accepted: func(client *Client, now time.Time, response session.Response) {
