--- a/internal/testing/httpclient/client.go
+++ b/internal/testing/httpclient/client.go
@@ -20,17 +20,17 @@
 
 // Client is one simulated client.
 type Client struct {
-	Name       string
-	Clock      clock.Clock
-	Transports func() []transport.Transport
-	History    *history.History
-	Follows    []string
-	Sends      []string
-	Urgent     map[string]bool
-	Live       map[string]bool
-	Every      time.Duration
-	Rand       *rand.Rand
-	Spread     time.Duration
+	Name         string
+	Clock        clock.Clock
+	Transports   func() []transport.Transport
+	History      *history.History
+	FollowTopics []string
+	SendTopics   []string
+	Urgent       map[string]bool
+	Live         map[string]bool
+	SendInterval time.Duration
+	Rand         *rand.Rand
+	Spread       time.Duration
 
 	mu          sync.Mutex
 	token       string
@@ -98,9 +98,9 @@
 	ready := make(chan struct{})
 	var wg sync.WaitGroup
 	wg.Go(func() { c.listen(ctx, ready) })
-	for i, topic := range c.Sends {
+	for i, topic := range c.SendTopics {
 		wg.Go(func() {
-			if len(c.Follows) > 0 {
+			if len(c.FollowTopics) > 0 {
 				select {
 				case <-ready:
 				case <-ctx.Done():
@@ -113,7 +113,7 @@
 }
 
 func (c *Client) listen(ctx context.Context, ready chan struct{}) {
-	if len(c.Follows) == 0 {
+	if len(c.FollowTopics) == 0 {
 		return
 	}
 	first := true
@@ -122,7 +122,7 @@
 		token := c.currentToken()
 		streamCtx, onEvent := c.watchStream(ctx)
 		opened := false
-		err := c.transport().Follow(streamCtx, token, c.Follows, c.cursor, func(event client.Event) error {
+		err := c.transport().Follow(streamCtx, token, c.FollowTopics, c.cursor, func(event client.Event) error {
 			now := c.Clock.Now()
 			onEvent()
 			if !opened && event.End == nil {
@@ -169,7 +169,7 @@
 func (c *Client) recordSubscribed(event client.Event, now time.Time) {
 	if event.Attached > 0 {
 		var topics []string
-		for _, topic := range c.Follows {
+		for _, topic := range c.FollowTopics {
 			if !slices.Contains(event.Waiting, topic) {
 				topics = append(topics, topic)
 			}
@@ -225,7 +225,7 @@
 }
 
 func (c *Client) send(ctx context.Context, topic string, lane int) {
-	c.pause(ctx, c.Every)
+	c.pause(ctx, c.SendInterval)
 	for call := uint64(1); ctx.Err() == nil; call++ {
 		body := c.body(topic, call)
 		message := history.Message{Topic: topic, From: c.Name, Call: call}
@@ -261,6 +261,6 @@
 			c.pause(ctx, max(c.Spread/30, time.Duration(problem.RetryAfterMS)*time.Millisecond/2))
 		}
 		endWait(c.Clock.Now())
-		c.pause(ctx, c.Every*2/3)
+		c.pause(ctx, c.SendInterval*2/3)
 	}
 }
--- a/internal/testing/sim/load.go
+++ b/internal/testing/sim/load.go
@@ -107,22 +107,22 @@
 	rng := rand.New(rand.NewPCG(seed, 2))
 	var clients []*httpclient.Client
 	for i := range load.HTTPClients {
-		client := &httpclient.Client{Name: fmt.Sprintf("v%d", i), Every: load.SendInterval,
+		client := &httpclient.Client{Name: fmt.Sprintf("v%d", i), SendInterval: load.SendInterval,
 			Rand: rand.New(rand.NewPCG(seed, uint64(i)+10)), Spread: spread, Urgent: map[string]bool{}, Live: map[string]bool{}}
 		first := i % load.Topics
-		client.Follows = []string{fmt.Sprintf("kept/t%d", first),
+		client.FollowTopics = []string{fmt.Sprintf("kept/t%d", first),
 			fmt.Sprintf("kept/t%d", (first+1+rng.IntN(max(1, load.Topics-1)))%load.Topics)}
-		client.Sends = []string{fmt.Sprintf("kept/t%d", first)}
+		client.SendTopics = []string{fmt.Sprintf("kept/t%d", first)}
 		if load.LiveTopics > 0 && i < 2*load.LiveTopics {
 			topic := fmt.Sprintf("live/l%d", i%load.LiveTopics)
 			client.Live[topic] = true
-			client.Follows, client.Sends = append(client.Follows, topic), append(client.Sends, topic)
+			client.FollowTopics, client.SendTopics = append(client.FollowTopics, topic), append(client.SendTopics, topic)
 		}
 		if i < 2*load.UrgentSenders {
 			client.Urgent["stop/line"] = true
-			client.Follows = append(client.Follows, "stop/line")
+			client.FollowTopics = append(client.FollowTopics, "stop/line")
 			if i < load.UrgentSenders {
-				client.Sends = append(client.Sends, "stop/line")
+				client.SendTopics = append(client.SendTopics, "stop/line")
 			}
 		}
 		clients = append(clients, client)
