--- a/internal/testing/fleet/totals.go
+++ b/internal/testing/fleet/totals.go
@@ -10,7 +10,7 @@
 
 // Sums are the counters of all processes since their start, added up.
 type Sums struct {
-	Records, Batches, Accepted, ChangelogBatches, ChangelogItems, Streams uint64
+	Records, Syncs, Accepted, ChangelogBatches, ChangelogItems, Streams uint64
 }
 
 // String writes the sums and their ratios.
@@ -24,7 +24,7 @@
 	return fmt.Sprintf(
 		"counters since each start: records %d syncs %d accepted %d, syncs per message %.2f, records per sync "+
 			"%.2f, changelog batches %d, items per message %.2f, streams %d",
-		s.Records, s.Batches, s.Accepted, ratio(s.Batches, s.Accepted), ratio(s.Records, s.Batches), s.ChangelogBatches,
+		s.Records, s.Syncs, s.Accepted, ratio(s.Syncs, s.Accepted), ratio(s.Records, s.Syncs), s.ChangelogBatches,
 		ratio(s.ChangelogItems, s.Accepted), s.Streams)
 }
 
@@ -43,7 +43,7 @@
 				Batches uint64 `json:"Batches"`
 			} `json:"journal"`
 			Leaders []struct {
-				Tally struct {
+				Counters struct {
 					Accepted uint64 `json:"Taken"`
 					Batches  uint64 `json:"Batches"`
 					Items    uint64 `json:"Items"`
@@ -55,11 +55,11 @@
 		if response.StatusCode != http.StatusOK || err != nil {
 			return sums, apierror.Wrap(apierror.Malformed, err, "%s", process.Name)
 		}
-		sums.Records, sums.Batches, sums.Streams = sums.Records+counters.Journal.Records,
-			sums.Batches+counters.Journal.Batches, sums.Streams+counters.Streams
+		sums.Records, sums.Syncs, sums.Streams = sums.Records+counters.Journal.Records,
+			sums.Syncs+counters.Journal.Batches, sums.Streams+counters.Streams
 		for _, leader := range counters.Leaders {
-			sums.Accepted, sums.ChangelogBatches, sums.ChangelogItems = sums.Accepted+leader.Tally.Accepted,
-				sums.ChangelogBatches+leader.Tally.Batches, sums.ChangelogItems+leader.Tally.Items
+			sums.Accepted, sums.ChangelogBatches, sums.ChangelogItems = sums.Accepted+leader.Counters.Accepted,
+				sums.ChangelogBatches+leader.Counters.Batches, sums.ChangelogItems+leader.Counters.Items
 		}
 	}
 	return sums, nil
