--- a/internal/testing/deliverycheck/checker.go
+++ b/internal/testing/deliverycheck/checker.go
@@ -68,7 +68,12 @@
 	tally         Tally
 }
 
-// Tally counts what was checked.
+// Tally counts what was checked. Soak reports contain it, with its field names as keys. Got counts
+// received messages, and Late counts subscriptions that began at another client's cursor. Keyed
+// counts messages sent with a key. Open counts the responses that a withdrawal is recorded but not
+// confirmed by all routers, Forgotten the acknowledged withdrawals, and Void those that withdrew
+// nothing. Covered counts messages that were certainly withdrawn, and Spared those of them that
+// were accepted and that no client received.
 type Tally struct {
 	Sent, Accepted, Tries, Rejected, Renumbered, Got, Sessions, Resumed, Expired, Counts, Late int
 	Keyed, Withdrawals, Forgotten, Open, Void, Covered, Spared                                 int
@@ -80,14 +85,14 @@
 		presences: map[string][]*Presence{}, withdrawals: map[string][]*Withdrawal{}}
 }
 
-// Subscription records one subscription of a client to a topic, across connections. A late one
-// begins at a cursor that another client received.
+// Subscription records one subscription of a client to a topic, across connections. If
+// fromCursor, it began at a cursor that another client received.
 type Subscription struct {
 	checker       *Checker
 	client        string
 	topic         string
 	isRetained    bool
-	late          bool
+	fromCursor    bool
 	expired       bool
 	since         time.Time
 	cursorSentAt  time.Time
@@ -184,7 +189,7 @@
 	subscription := c.Subscribe(client, message.Topic, true)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	subscription.late, subscription.since, subscription.cursorSentAt = true, givenAt, givenAt
+	subscription.fromCursor, subscription.since, subscription.cursorSentAt = true, givenAt, givenAt
 	if state := c.sent[message]; state != nil {
 		subscription.cursorSentAt = state.triedAt
 	}
@@ -228,7 +233,7 @@
 		return
 	}
 	from := s.since
-	if s.late {
+	if s.fromCursor {
 		from = s.cursorSentAt
 	}
 	for message, state := range s.checker.sent {
@@ -298,7 +303,7 @@
 	c.judgeWithdrawals()
 	orders := map[string]*order{}
 	for _, subscription := range c.subscriptions {
-		if subscription.late {
+		if subscription.fromCursor {
 			c.tally.Late++
 		}
 		subscription.judgeOrder()
@@ -379,10 +384,10 @@
 func (s *Subscription) judgeCompleteness(cut time.Time) {
 	for message, state := range s.checker.sent {
 		if s.mustReceive(message, state) && s.receivedCount[message] == 0 && state.acceptedAt.Before(cut) &&
-			s.openAt(cut) && (!s.late || state.acceptedAt.After(cut.Add(-s.checker.Keeping))) {
+			s.openAt(cut) && (!s.fromCursor || state.acceptedAt.After(cut.Add(-s.checker.Keeping))) {
 			s.checker.addViolation(Lost, "%s never got %v, sent at %s, acknowledged at %s (joined at %s, late: %v)",
 				s.client, message, state.triedAt.Format("04:05.000"), state.acceptedAt.Format("04:05.000"),
-				s.since.Format("04:05.000"), s.late)
+				s.since.Format("04:05.000"), s.fromCursor)
 		}
 	}
 }
--- a/internal/testing/deliverycheck/checker_test.go
+++ b/internal/testing/deliverycheck/checker_test.go
@@ -81,9 +81,9 @@
 	subscription.Received(Message{"live/a", "v", 20}, "b", Position{}, sec(5))
 	assert.Equal(t, s.violations(), "", "a live message may arrive again on another connection")
 	s = soundScenario()
-	late := s.Subscribe("y", "kept/a", true)
-	late.Joined(sec(0.5))
-	late.Expired(sec(50))
+	expiring := s.Subscribe("y", "kept/a", true)
+	expiring.Joined(sec(0.5))
+	expiring.Expired(sec(50))
 	_, violations := s.Judge(sec(60))
 	assert.Equal(t, len(violations), 0, "a cursor may expire once it lacks a message older than the retention time: %v",
 		violations)
--- a/internal/testing/deliverycheck/withdrawn.go
+++ b/internal/testing/deliverycheck/withdrawn.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// compare reports whether two positions can be compared, and whether the first is before the
-// second.
+// compare reports whether the first position is before the second. ok is false if the two can't be
+// compared.
 func compare(first, second Position) (before, ok bool) {
 	return first.Offset < second.Offset, first.Offset > 0 && second.Offset > 0 && first.Partition == second.Partition
 }
--- a/internal/testing/sim/faults_test.go
+++ b/internal/testing/sim/faults_test.go
@@ -10,6 +10,8 @@
 	"postjunction/internal/testing/history"
 )
 
+// settle waits until the fleet has recovered from a fault. The time is longer than the recovery
+// bound of settings.DefaultTiming, 12 seconds, which every site here has.
 func settle(w *World) { time.Sleep(14 * time.Second) }
 
 // busiest returns the storage node that leads the most partitions.
--- a/internal/testing/sim/world.go
+++ b/internal/testing/sim/world.go
@@ -98,6 +98,8 @@
 		for i := range n {
 			opts := w.newSettings(fmt.Sprintf("%s%d", kind, i+1), fmt.Sprintf("z%d", i%site.Zones+1), disk)
 			name := opts.Name
+			// The first three control nodes are the seeds. In a fleet that its seeds bootstrap, only
+			// the first ControlSeeds control nodes are, and access nodes are the rest of the three.
 			if disk == settings.DiskControl && (site.BootstrapBy != settings.BootstrapSeeds || i < site.ControlSeeds) &&
 				len(seeds) < 3 || site.BootstrapBy == settings.BootstrapSeeds && disk == settings.DiskNone && len(seeds) < 3 {
 				seeds = append(seeds, opts.PeerListen)
