--- a/internal/nodelease/statetransfer_test.go
+++ b/internal/nodelease/statetransfer_test.go
@@ -114,8 +114,7 @@
 		assert.Equal(t, len(server.Table.Live()), 2)
 		serverMux := http.NewServeMux()
 		server.Serve(serverMux)
-		response,
-			err := membership.Sessions.Call(context.Background(), &muxNetwork{serverMux}, "c2", "c1",
+		response, err := membership.Sessions.Call(context.Background(), &muxNetwork{serverMux}, "c2", "c1",
 			&membership.SessionsRequest{From: "c2"})
 		assert.NilError(t, err)
 		assert.Equal(t, len(response.Sessions), 1)
@@ -141,8 +140,7 @@
 					version := replica.Version()
 					info := membership.Info{Name: name, BootID: "1", Stage: membership.Serving,
 						Configuration: configurations[name]}
-					response,
-						err := server.Heartbeat(context.Background(),
+					response, err := server.Heartbeat(context.Background(),
 						&HeartbeatRequest{Info: info, KnownVersion: &version})
 					assert.NilError(t, err)
 					assert.Equal(t, len(response.Change.ConfigurationOnly), 0)
--- a/internal/samza/changelog/tombstones_test.go
+++ b/internal/samza/changelog/tombstones_test.go
@@ -11,21 +11,20 @@
 
 func tombstoneEntries() []log.Entry {
 	return []log.Entry{
+		{Offset: 1, Type: log.TypeMessage, Topic: "t", Client: "v", CallSeq: 1, Key: "k"},
+		{Offset: 2, Type: log.TypeMessage, Topic: "t", Client: "v", CallSeq: 2, Key: "l"},
+		{Offset: 3, Type: log.TypeReader, Client: "a1", Body: state.EncodeBody(state.ReaderEntry{BootID: "b"})},
+		{Offset: 4, Type: log.TypeReader, Client: "a2", Body: state.EncodeBody(state.ReaderEntry{BootID: "b"})},
+		{Offset: 5, Type: log.TypeWithdrawal, Topic: "t", Client: "v", CallSeq: 3, Key: "k"},
 		{
-			Offset: 1, Type: log.TypeMessage, Topic: "t", Client: "v", CallSeq: 1, Key: "k",
-		}, {Offset: 2, Type: log.TypeMessage, Topic: "t", Client: "v", CallSeq: 2, Key: "l"},
-		{
-			Offset: 3, Type: log.TypeReader, Client: "a1",
-			Body: state.EncodeBody(state.ReaderEntry{BootID: "b"}),
-		}, {Offset: 4, Type: log.TypeReader, Client: "a2", Body: state.EncodeBody(state.ReaderEntry{BootID: "b"})},
-		{Offset: 5, Type: log.TypeWithdrawal, Topic: "t", Client: "v", CallSeq: 3, Key: "k"}, {
 			Offset: 6, Type: log.TypeWithdrawal, Topic: "t", Client: "w", CallSeq: 1, Key: "l",
 			Body: state.EncodeBody(state.SenderWithdrawal{Sender: "v", UpTo: 9}),
 		},
 		{
 			Offset: 7, Type: log.TypeReader, Client: "a2",
 			Body: state.EncodeBody(state.ReaderEntry{BootID: "b", Removed: true}),
-		}, {
+		},
+		{
 			Offset: 8, Type: log.TypeReader, Client: "a1",
 			Body: state.EncodeBody(state.ReaderEntry{BootID: "b", GivenUp: true}),
 		},
--- a/internal/samza/state/tombstones_test.go
+++ b/internal/samza/state/tombstones_test.go
@@ -27,15 +27,16 @@
 
 func keyedEntries() []log.Entry {
 	return []log.Entry{
-		message(1, "v", 1, "k"), message(2, "v", 2, "l"), reader(
-			3, "a1", ReaderEntry{BootID: "b"},
-		), reader(4, "a2", ReaderEntry{BootID: "b"}),
-		withdrawal(
-			5, "w", 3, "k", SenderWithdrawal{"v", 7},
-		), message(6, "u", 1, "k"), reader(7, "a1", ReaderEntry{BootID: "c"}), reader(
-			8, "a2", ReaderEntry{BootID: "b", GivenUp: true},
-		),
-		reader(9, "a3", ReaderEntry{BootID: "b"}), reader(10, "a3", ReaderEntry{BootID: "b", Removed: true}),
+		message(1, "v", 1, "k"),
+		message(2, "v", 2, "l"),
+		reader(3, "a1", ReaderEntry{BootID: "b"}),
+		reader(4, "a2", ReaderEntry{BootID: "b"}),
+		withdrawal(5, "w", 3, "k", SenderWithdrawal{"v", 7}),
+		message(6, "u", 1, "k"),
+		reader(7, "a1", ReaderEntry{BootID: "c"}),
+		reader(8, "a2", ReaderEntry{BootID: "b", GivenUp: true}),
+		reader(9, "a3", ReaderEntry{BootID: "b"}),
+		reader(10, "a3", ReaderEntry{BootID: "b", Removed: true}),
 	}
 }
 
