--- a/internal/partitionlog/leader/rig_test.go
+++ b/internal/partitionlog/leader/rig_test.go
@@ -77,15 +77,13 @@
 		}
 		r.Leader = New(Options{
 			Self: "s1", Net: r, Clock: clock.Real{}, Timing: settings.DefaultTiming, Replica: replica.New(clock.Real{}), Observer: r,
-			Backlog: func() int { return 64 }, CheckLease: func() error {
-				return nil
-			}, LongestRetention: func() time.Duration { return 0 }, LeaseExtension: time.Second,
+			Backlog: func() int { return 64 }, CheckLease: func() error { return nil },
+			LongestRetention: func() time.Duration { return 0 }, LeaseExtension: time.Second,
 			Addr: func(node string) (string, bool) { address, ok := r.members[node]; return address, ok },
 		}, record, false)
 		r.stage, r.state, r.ctx = StageOpen, state.New(), t.Context()
-		r.logs[log.KindInput], r.logs[log.KindChangelog] = newLogProgress(log.KindInput, log.New()), newLogProgress(
-			log.KindChangelog, log.New(),
-		)
+		r.logs[log.KindInput], r.logs[log.KindChangelog] = newLogProgress(log.KindInput, log.New()),
+			newLogProgress(log.KindChangelog, log.New())
 		run(t, r)
 	})
 }
