--- a/internal/testing/fleet/soak.go
+++ b/internal/testing/fleet/soak.go
@@ -56,7 +56,8 @@
 	Sessions  deliverycheck.Tally
 	Orders    map[string]int
 	Faults    map[string]int
-	Longest   time.Duration
+	// Longest is the longest wait of an HTTP client.
+	Longest time.Duration
 	// Stalled is how long the host was stalled.
 	Stalled    time.Duration
 	Violations []string
--- a/internal/testing/sim/load.go
+++ b/internal/testing/sim/load.go
@@ -102,7 +102,8 @@
 	w.httpClients = append(w.httpClients, clients...)
 }
 
-// PlanHTTPClients makes the HTTP clients of a load. Their topics depend on the seed alone.
+// PlanHTTPClients makes the HTTP clients of a load. Their topics depend on the load and the seed
+// alone.
 func PlanHTTPClients(load Load, seed uint64, spread time.Duration) []*httpclient.Client {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	var clients []*httpclient.Client
--- a/internal/testing/simclient/client.go
+++ b/internal/testing/simclient/client.go
@@ -47,15 +47,15 @@
 
 // Habits are the intervals and timeouts of a client.
 type Habits struct {
-	// Keepalive is how long it is silent before it sends a heartbeat.
+	// Keepalive is how long a client is silent before it sends a heartbeat.
 	Keepalive time.Duration
-	// ResponseTimeout is how long it waits for an answer to a send, SubscribeTimeout for an answer
-	// to a subscription, and Deadline for the decision on a message.
+	// ResponseTimeout is how long a client waits for the response to a send, and SubscribeTimeout for
+	// the response to a subscription. Deadline is how long it retries a message.
 	ResponseTimeout, SubscribeTimeout, Deadline time.Duration
-	// ChangeInterval is how often it ends or resumes a subscription, AwayInterval how often it
+	// ChangeInterval is how often a client ends or resumes a subscription, AwayInterval how often it
 	// disconnects, and CountInterval how often it counts listeners. 0 means never.
 	ChangeInterval, AwayInterval, CountInterval time.Duration
-	// MaxAbsence is the longest time that it stays disconnected.
+	// MaxAbsence is the longest time that a client stays disconnected.
 	MaxAbsence time.Duration
 	// KeyedFraction is the share of messages sent under a key, one of Keys on a topic.
 	// WithdrawInterval is how often a client withdraws on a topic, and 0 means never.
@@ -63,7 +63,7 @@
 	KeyedFraction                     float64
 	Keys                              int
 	WithdrawInterval, WithdrawTimeout time.Duration
-	// IgnoresMoves has an attached client ignore the advice to move to another node. It uses its
+	// If IgnoresMoves, an attached client ignores the advice to move to another node and uses its
 	// connection until that ends.
 	IgnoresMoves bool
 }
--- a/internal/testing/simclient/requests.go
+++ b/internal/testing/simclient/requests.go
@@ -74,6 +74,7 @@
 		sender.nextWithdrawal = client.nextTime(now, client.Habits.WithdrawInterval)
 		sender.messages = append(sender.messages, client.newWithdrawal(now, sender.Topic))
 	}
+	// Messages without a number yet, which is 0 and wraps around here, come last.
 	slices.SortStableFunc(sender.messages, func(a, b *message) int { return cmp.Compare(a.call-1, b.call-1) })
 	for _, message := range sender.messages {
 		if message.inFlight {
